--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -10,7 +10,7 @@
 	"os"
 	"runtime/debug"
 
-	"capersail/internal/wire/drill"
+	"capersail/internal/wire/simulator"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 // run answers each line until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<20)
-	hub := drill.NewHub()
+	hub := simulator.NewHub()
 	var long []byte // a line longer than the buffer
 	for n := 1; ; {
 		part, err := lines.ReadSlice('\n')
--- a/cmd/capersail/main_test.go
+++ b/cmd/capersail/main_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 // TestMain lets the test binary stand for the program itself.
@@ -130,13 +130,13 @@
 }
 
 // stage is a discovery service that knows one server.
-func stage(t *testing.T, id string) (*standin.Discovery, *standin.TileServer) {
+func stage(t *testing.T, id string) (*fake.Discovery, *fake.TileServer) {
 	t.Helper()
-	d, err := standin.NewDiscovery("127.0.0.1:0")
+	d, err := fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := standin.NewTileServer("127.0.0.1:0", "UP")
+	s, err := fake.NewTileServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -11,21 +11,21 @@
 	"testing"
 	"time"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 // Idle clients take all the descriptors that a relay has while discovery is down: it goes on serving by the list that it has, makes
 // room for whoever asks, and follows discovery when that returns. The machine holds the process to 64 descriptors.
 func TestFullOfIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	address := freeAddress(t) // discovery's, where nobody is yet
-	s1, err := standin.NewTileServer("127.0.0.1:0", "UP")
+	s1, err := fake.NewTileServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s1.Close)
 	config := configure(t, func(c map[string]any) {
 		c["listen"], c["discovery"], c["limits"] = "127.0.0.1:0", address, map[string]any{"sockets": 64}
-		c["known"] = json.RawMessage(`{"generation":1,"reset":true,"instances":[` + standin.Entry("s1", s1.Address, "Ready") + `]}`)
+		c["known"] = json.RawMessage(`{"generation":1,"reset":true,"instances":[` + fake.Entry("s1", s1.Address, "Ready") + `]}`)
 	})
 	shell := exec.CommandContext(t.Context(), "/bin/sh", "-c", `ulimit -n 64 && exec "$0"`, os.Args[0])
 	shell.Env = append(os.Environ(), "CAPERSAIL_RUN=1", "LB_CONFIG="+config)
@@ -57,12 +57,12 @@
 		}
 		idle(20)
 	}
-	s2, err := standin.NewTileServer("127.0.0.1:0", "UP")
+	s2, err := fake.NewTileServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s2.Close)
-	d, err := standin.NewDiscovery(address)
+	d, err := fake.NewDiscovery(address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 // Long measurements, kept out of CI: go test ./cmd/capersail -run '^$' -bench 'Gap|Mass' -benchtime 1x
@@ -86,9 +86,9 @@
 		f.gone(other)
 		ctx, stop := context.WithCancel(b.Context())
 		var all sync.WaitGroup
-		var viewers []*standin.Viewer
+		var viewers []*fake.Viewer
 		for i := range streams {
-			v := &standin.Viewer{Name: fmt.Sprint("v", i), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
+			v := &fake.Viewer{Name: fmt.Sprint("v", i), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
 				Token: true, Say: 2 * time.Second, Relay: f.any}
 			viewers = append(viewers, v)
 			all.Go(func() { v.Run(ctx) })
@@ -107,9 +107,9 @@
 			s.Kill()
 			f.list.Set(s.ID, s.Address, "Gone")
 		}
-		var cold []*standin.ScanServer
+		var cold []*fake.ScanServer
 		for i := range 4 {
-			s, err := standin.NewScanServer(fmt.Sprint("c", i), "127.0.0.1:0", f.feed, f.ledger)
+			s, err := fake.NewScanServer(fmt.Sprint("c", i), "127.0.0.1:0", f.feed, f.ledger)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -147,7 +147,7 @@
 		}
 		fmt.Printf("%d tokens after a relay's death, session 4 s: half served after %.1f s, 99 %% after %.1f s, all after %.1f s; "+
 			"told to come again %.1f times each; scans lost %d; cold servers' peak load %.2f (falls at %.0f for 1.5 s), longest over it %v\n",
-			streams, half, most, whole, float64(busy)/streams, lost, peak, standin.FallMultiple, over)
+			streams, half, most, whole, float64(busy)/streams, lost, peak, fake.FallMultiple, over)
 		stop()
 		all.Wait()
 		for _, bad := range f.ledger.Bad() {
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 // writeKeys writes a key file with keys of the given ids; the first seals.
@@ -34,11 +34,11 @@
 // fleet is relays as processes, with servers, discovery and the claim service as stand-ins.
 type fleet struct {
 	t       testing.TB
-	zk      *standin.ZooKeeper
-	list    *standin.Discovery
-	feed    *standin.Feed
-	ledger  *standin.Ledger
-	servers []*standin.ScanServer
+	zk      *fake.ZooKeeper
+	list    *fake.Discovery
+	feed    *fake.Feed
+	ledger  *fake.Ledger
+	servers []*fake.ScanServer
 	keys    string
 	file    string // resume.toml
 
@@ -53,18 +53,18 @@
 	t.Helper()
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	f := &fleet{t: t, feed: standin.NewFeed(5000, 50*time.Millisecond, stop), ledger: standin.NewLedger(), cmds: map[string]*exec.Cmd{}}
+	f := &fleet{t: t, feed: fake.NewFeed(5000, 50*time.Millisecond, stop), ledger: fake.NewLedger(), cmds: map[string]*exec.Cmd{}}
 	var err error
-	if f.zk, err = standin.NewZooKeeper("/"); err != nil {
+	if f.zk, err = fake.NewZooKeeper("/"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.zk.Close)
-	if f.list, err = standin.NewDiscovery("127.0.0.1:0"); err != nil {
+	if f.list, err = fake.NewDiscovery("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	f.list.Extra = `,"resumes":true`
 	for i := range servers {
-		s, err := standin.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", f.feed, f.ledger)
+		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", f.feed, f.ledger)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -174,11 +174,11 @@
 }
 
 // crowd starts viewers, those with a token that are wanted to have one. stop ends them all.
-func (f *fleet) crowd(n int, token func(i int) bool) (viewers []*standin.Viewer, stop func()) {
+func (f *fleet) crowd(n int, token func(i int) bool) (viewers []*fake.Viewer, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for i := range n {
-		v := &standin.Viewer{Name: fmt.Sprint("v", i), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
+		v := &fake.Viewer{Name: fmt.Sprint("v", i), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
 			Token: token(i), Say: 500 * time.Millisecond, Relay: f.any}
 		viewers = append(viewers, v)
 		all.Go(func() { v.Run(ctx) })
@@ -189,7 +189,7 @@
 }
 
 // current waits until every viewer has come past what is newest now.
-func (f *fleet) current(viewers []*standin.Viewer) {
+func (f *fleet) current(viewers []*fake.Viewer) {
 	f.t.Helper()
 	newest := f.feed.Newest() + 3 // what nobody can have yet
 	for _, v := range viewers {
@@ -354,7 +354,7 @@
 	}
 }
 
-func total(servers []*standin.ScanServer) (n int) {
+func total(servers []*fake.ScanServer) (n int) {
 	for _, s := range servers {
 		n += s.Opened()
 	}
@@ -362,7 +362,7 @@
 }
 
 // held is how many streams are claimed.
-func held(zk *standin.ZooKeeper) (n int) {
+func held(zk *fake.ZooKeeper) (n int) {
 	for _, p := range zk.Nodes("/a/streams/") {
 		if strings.HasSuffix(p, "/holder") {
 			n++
--- a/examples/resume/main.go
+++ b/examples/resume/main.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 func main() {
@@ -44,20 +44,20 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	zk, err := standin.NewZooKeeper("/")
+	zk, err := fake.NewZooKeeper("/")
 	if err != nil {
 		return err
 	}
-	list, err := standin.NewDiscovery("127.0.0.1:0")
+	list, err := fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	list.Extra = `,"resumes":true`
-	feed, ledger := standin.NewFeed(1000, 100*time.Millisecond, ctx.Done()), standin.NewLedger()
-	servers := map[string]*standin.ScanServer{}
+	feed, ledger := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done()), fake.NewLedger()
+	servers := map[string]*fake.ScanServer{}
 	var at atomic.Value // the server that has the stream
 	for i := range 3 {
-		s, err := standin.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, ledger)
+		s, err := fake.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, ledger)
 		if err != nil {
 			return err
 		}
@@ -99,7 +99,7 @@
 		relays, addresses = append(relays, cmd), append(addresses, address)
 	}
 	var relay atomic.Int32
-	v := &standin.Viewer{Name: "demo", Fields: "7f3a c=map-stream,t=acme", Wait: 3 * time.Second, Token: true,
+	v := &fake.Viewer{Name: "demo", Fields: "7f3a c=map-stream,t=acme", Wait: 3 * time.Second, Token: true,
 		Say: time.Second, Relay: func() string { return addresses[relay.Load()] }}
 	v.Event = func(text string) { fmt.Println("  client:", text) }
 	go v.Run(ctx)
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"os"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 func main() {
@@ -20,12 +20,12 @@
 }
 
 func run(list string) error {
-	d, err := standin.NewDiscovery(list)
+	d, err := fake.NewDiscovery(list)
 	if err != nil {
 		return err
 	}
 	for i, address := range []string{"127.0.0.1:8001", "127.0.0.1:8002"} {
-		s, err := standin.NewTileServer(address, "UP")
+		s, err := fake.NewTileServer(address, "UP")
 		if err != nil {
 			return err
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,7 +23,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"github.com/rs/zerolog"
 
-	"capersail/internal/ban"
+	"capersail/internal/manualeject"
 )
 
 const (
@@ -36,7 +36,7 @@
 )
 
 // ErrUnknown answers a call about a tile server that was never listed.
-var ErrUnknown = ban.ErrUnknown
+var ErrUnknown = manualeject.ErrUnknown
 
 // Relay is what the second address asks of the relay. Its methods must not block for long.
 type Relay interface {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"capersail/internal/control"
-	"capersail/internal/observe/depart"
+	"capersail/internal/observe/anomaly"
 	"capersail/internal/observe/timeline"
 	"capersail/internal/store"
 )
@@ -50,7 +50,7 @@
 		}
 	}
 	add("bands", began+100_000, "s-2", timeline.Band{State: timeline.Silent, From: began + 100_000, Cause: "2 probes without an answer"})
-	add("events", began+100_000, "silent\x00s-2", depart.Event{Server: "s-2", Kind: depart.Silent, From: began + 100_000, To: began + 130_000, Evidence: "2 probes", Confidence: 0.75})
+	add("events", began+100_000, "silent\x00s-2", anomaly.Event{Server: "s-2", Kind: anomaly.Silent, From: began + 100_000, To: began + 130_000, Evidence: "2 probes", Confidence: 0.75})
 	ctx := t.Context()
 	go s.Run(ctx)
 	s.Flush()
--- a/internal/command/demo_site.go
+++ b/internal/command/demo_site.go
@@ -16,7 +16,7 @@
 	"capersail/internal/control"
 	"capersail/internal/lifecycle"
 	"capersail/internal/observe/report"
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 const demoConfig = `{"name": "demo", "listen": %q, "discovery": %q, "seed": "8c1f30d27a5be964",
@@ -39,8 +39,8 @@
 type demoSite struct {
 	address string // the relay's
 	socket  string // where its time line is asked for
-	list    *standin.Discovery
-	servers []*standin.ScanServer
+	list    *fake.Discovery
+	servers []*fake.ScanServer
 	signals chan os.Signal
 	ended   chan error
 }
@@ -107,12 +107,12 @@
 
 // serve starts discovery and the servers.
 func (d *demoSite) serve(ctx context.Context) (err error) {
-	if d.list, err = standin.NewDiscovery("127.0.0.1:0"); err != nil {
+	if d.list, err = fake.NewDiscovery("127.0.0.1:0"); err != nil {
 		return err
 	}
-	feed, ledger := standin.NewFeed(1000, 100*time.Millisecond, ctx.Done()), standin.NewLedger()
+	feed, ledger := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done()), fake.NewLedger()
 	for i := range demoServers {
-		s, err := standin.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, ledger)
+		s, err := fake.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, ledger)
 		if err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 	for i := range demoClients {
 		clients.Go(func() {
 			for n := 0; watching.Err() == nil; n++ {
-				v := &standin.Viewer{Name: fmt.Sprintf("c%d.%d", i, n), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
+				v := &fake.Viewer{Name: fmt.Sprintf("c%d.%d", i, n), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
 					Say: time.Second, Relay: func() string { return d.address }}
 				one, done := context.WithTimeout(watching, time.Duration(2000+137*((i*7+n*11)%40))*time.Millisecond)
 				v.Run(one)
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -15,8 +15,8 @@
 
 	"capersail/internal/control"
 	"capersail/internal/lifecycle"
+	"capersail/internal/observe/anomaly"
 	"capersail/internal/observe/chart"
-	"capersail/internal/observe/depart"
 	"capersail/internal/observe/report"
 	"capersail/internal/observe/watch"
 	"capersail/internal/store"
@@ -218,7 +218,7 @@
 				fmt.Fprintln(w, report.EventLine(e))
 			}
 		}
-	}, func(e depart.Event) bool {
+	}, func(e anomaly.Event) bool {
 		if !q.Wants(e.Server) {
 			return true
 		}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -18,7 +18,7 @@
 	"capersail/internal/fleet/cells"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
-	"capersail/internal/observe/depart"
+	"capersail/internal/observe/anomaly"
 	"capersail/internal/observe/report"
 	"capersail/internal/observe/watch"
 )
@@ -130,7 +130,7 @@
 	Looks   *probing.Report    `json:"looks,omitempty"`
 	Error   string             `json:"error,omitempty"`
 	Reports []*report.Report   `json:"reports,omitempty"`
-	Event   *depart.Event      `json:"event,omitempty"`
+	Event   *anomaly.Event     `json:"event,omitempty"`
 }
 
 func (s *Server) serve(conn net.Conn) {
@@ -166,7 +166,7 @@
 		out.send(answer)
 		return
 	}
-	var events []<-chan depart.Event
+	var events []<-chan anomaly.Event
 	if q.Follow { // before the report: what begins meanwhile is told twice rather than not at all
 		for _, w := range s.Watchers {
 			c, stop := w.Follow()
@@ -191,7 +191,7 @@
 		in.ReadByte()
 		close(ended)
 	}()
-	merged := make(chan depart.Event)
+	merged := make(chan anomaly.Event)
 	for _, c := range events {
 		go func() {
 			for e := range c {
@@ -252,7 +252,7 @@
 }
 
 // Follow asks and goes on with events, until fn returns false or the relay ends.
-func Follow(path string, q report.Query, begin func([]*report.Report), fn func(depart.Event) bool) error {
+func Follow(path string, q report.Query, begin func([]*report.Report), fn func(anomaly.Event) bool) error {
 	q.Follow = true
 	return ask(path, q, func(r reply) bool {
 		if r.Event != nil {
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 
 	"capersail/internal/admin"
-	"capersail/internal/ban"
+	"capersail/internal/manualeject"
 )
 
 const (
@@ -41,7 +41,7 @@
 	log     zerolog.Logger
 
 	mu       sync.Mutex
-	bans     ban.Book
+	bans     manualeject.Book
 	draining chan struct{} // closed to end the drain that moves connections; nil when there is none
 }
 
@@ -152,7 +152,7 @@
 	if err != nil || !changed {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(o.dir, ban.Name(id)), nil, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(o.dir, manualeject.Name(id)), nil, 0o600); err != nil {
 		o.bans.Up(id, true)
 		return fmt.Errorf("the ban cannot be kept: %w", err)
 	}
@@ -170,7 +170,7 @@
 		return err
 	}
 	o.log.Info().Str("server", id).Float64("out_ms", since).Msg("tile server back")
-	if err := os.Remove(filepath.Join(o.dir, ban.Name(id))); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(filepath.Join(o.dir, manualeject.Name(id))); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		o.bans.Down(o.now(), id, true)
 		return fmt.Errorf("the ban cannot be ended: %w", err)
 	}
@@ -223,7 +223,7 @@
 	}
 	var ids []string
 	for _, e := range entries {
-		if id, ok := ban.FromName(e.Name()); ok {
+		if id, ok := manualeject.FromName(e.Name()); ok {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -12,7 +12,7 @@
 
 	"capersail/internal/relay"
 	"capersail/internal/wire/discovery"
-	"capersail/internal/wire/drill"
+	"capersail/internal/wire/simulator"
 )
 
 // Config is what a relay is told at its start.
@@ -97,7 +97,7 @@
 		return nil, fmt.Errorf("settings.classes: at least one class is wanted")
 	}
 	c.settings = settings.String()
-	c.Site = drill.DecodeSettings(settings)
+	c.Site = simulator.DecodeSettings(settings)
 	c.Known = &discovery.List{}
 	if known := v.Get("known"); known != nil {
 		if c.Known, err = discovery.Parse(known.String(), log); err != nil {
--- a/internal/lifecycle/leave_test.go
+++ b/internal/lifecycle/leave_test.go
@@ -13,7 +13,7 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/wire/gate"
+	"capersail/internal/wire/connlimit"
 	"capersail/internal/wire/platform"
 )
 
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	l := &starved{inner, make(chan struct{})}
-	door := gate.New(clock, 24, zerolog.Nop())
+	door := connlimit.New(clock, 24, zerolog.Nop())
 	go (&platform.Front{X: x, Site: site, Gate: door}).Serve(l)
 	var clients []net.Conn
 	said := []string{"OPEN a0 0f c=m,d=500\r\n", "OPEN a1 0f c=m,d=500\r\n", "OPEN a2 0f c=m,d=5", ""}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -17,8 +17,8 @@
 	"capersail/decide"
 	"capersail/internal/admin"
 	"capersail/internal/relay"
+	"capersail/internal/wire/connlimit"
 	"capersail/internal/wire/discovery"
-	"capersail/internal/wire/gate"
 	"capersail/internal/wire/platform"
 )
 
@@ -56,7 +56,7 @@
 	listener net.Listener
 	// inherited: the listening socket is the platform's, and lives on in the process that follows this one.
 	inherited bool
-	door      *gate.Gate
+	door      *connlimit.Gate
 	failed    chan error
 	longest   float64 // the longest deadline of its classes
 	// reload reads the front's file again and hands each part its new value. Nothing has changed if it fails.
@@ -195,7 +195,7 @@
 	if sockets == 0 {
 		return anySockets
 	}
-	n := sockets - ownSockets - probeSockets - gate.MostEvicted
+	n := sockets - ownSockets - probeSockets - connlimit.MostEvicted
 	if second {
 		n -= adminSockets
 	}
@@ -228,7 +228,7 @@
 	if err != nil {
 		return nil, err
 	}
-	door := gate.New(clock, room(c.Sockets, c.Admin != ""), log)
+	door := connlimit.New(clock, room(c.Sockets, c.Admin != ""), log)
 	front := &platform.Front{X: x, Site: c.Site, Gate: door}
 	joint := &seam{front: "platform", relay: c.Name, x: x, clock: clock, platform: front, site: c.Site, lister: lister}
 	all.join(joint)
--- a/internal/lifecycle/xmpp.go
+++ b/internal/lifecycle/xmpp.go
@@ -13,7 +13,7 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/wire/gate"
+	"capersail/internal/wire/connlimit"
 	"capersail/internal/wire/xmpp"
 	"capersail/internal/wire/zookeeper"
 )
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	door := gate.New(clock, room(o.Sockets, false), log)
+	door := connlimit.New(clock, room(o.Sockets, false), log)
 	front := &xmpp.Front{X: x, Hosts: hosts, Gate: door}
 	front.TLS.Store(secure)
 	go lister.Run(ctx)
--- a/internal/lifecycle/xmpp_test.go
+++ b/internal/lifecycle/xmpp_test.go
@@ -22,13 +22,13 @@
 
 	"github.com/rs/zerolog"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 // xmppBench is the XMPP front with stand-ins for all it speaks to.
 type xmppBench struct {
 	t       *testing.T
-	zk      *standin.ZooKeeper
+	zk      *fake.ZooKeeper
 	address string
 	relay   *runningFront
 	path    string // of the operator's file
@@ -54,7 +54,7 @@
 `
 
 func newXMPPBench(t *testing.T, security string) *xmppBench {
-	zk, err := standin.NewZooKeeper("/alerts")
+	zk, err := fake.NewZooKeeper("/alerts")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,8 +77,8 @@
 }
 
 // server starts an XMPP server with a node of its own, and waits until the relay has read that.
-func (b *xmppBench) server(name, hold string) *standin.XMPP {
-	s, err := standin.NewXMPP(hold)
+func (b *xmppBench) server(name, hold string) *fake.XMPP {
+	s, err := fake.NewXMPP(hold)
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 	}
 }
 
-func (b *xmppBench) node(name string, s *standin.XMPP, lifecycle string) {
+func (b *xmppBench) node(name string, s *fake.XMPP, lifecycle string) {
 	b.zk.Set(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q,"zone":"a"}`, s.Address, lifecycle))
 }
 
@@ -205,7 +205,7 @@
 	}
 }
 
-func await(t *testing.T, s *standin.XMPP, want string) {
+func await(t *testing.T, s *fake.XMPP, want string) {
 	t.Helper()
 	select {
 	case got := <-s.Arrived:
@@ -322,7 +322,7 @@
 // and a relay that leaves: every stream has exactly one outcome.
 func TestXMPPEveryStreamHasOneOutcome(t *testing.T) {
 	b := newXMPPBench(t, "plaintext = true")
-	servers := []*standin.XMPP{b.server("n1", ""), b.server("n2", ""), b.server("n3", "auth"), b.server("n4", "")}
+	servers := []*fake.XMPP{b.server("n1", ""), b.server("n2", ""), b.server("n3", "auth"), b.server("n4", "")}
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	outcomes := map[string]int{}
@@ -424,7 +424,7 @@
 	b.server("n1", "")
 	c := b.dial()
 	b.want("set-up", c.up(), "up")
-	other, err := standin.NewZooKeeper("/alerts")
+	other, err := fake.NewZooKeeper("/alerts")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ban/ban.go
+++ b/internal/manualeject/ban.go
@@ -3,7 +3,7 @@
 //
 // The operators' rules: a ban on an id that was never listed is refused; calls out may repeat and are one; a single
 // call back ends the ban, whatever the list says meanwhile; and a ban holds over a process's replacement.
-package ban
+package manualeject
 
 import (
 	"encoding/hex"
--- a/internal/ban/ban_test.go
+++ b/internal/manualeject/ban_test.go
@@ -1,4 +1,4 @@
-package ban
+package manualeject
 
 import (
 	"errors"
--- a/internal/observe/depart/depart.go
+++ b/internal/observe/anomaly/depart.go
@@ -1,7 +1,7 @@
 // Package depart finds where a server departs from its usual ways: against its own past, and against its peers in
 // the same seconds. It does no I/O and has no clock; it is fed the tap's records and told when time passes.
 // Each kind of event is a named pattern with its evidence. A change of the whole fleet is one event of the fleet.
-package depart
+package anomaly
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"slices"
 
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // Kind is a way to depart.
@@ -222,40 +222,40 @@
 }
 
 // Take takes one record; name is its server's.
-func (w *Watch) Take(name string, r *tap.Record) {
+func (w *Watch) Take(name string, r *recorder.Record) {
 	w.now = max(w.now, r.At)
 	if r.Server < 0 {
-		if r.Kind == tap.NoList {
+		if r.Kind == recorder.NoList {
 			w.fleet.breaks.add(r.At)
 		}
 		return
 	}
 	s := w.server(name)
 	switch r.Kind {
-	case tap.List:
+	case recorder.List:
 		s.list(r)
-	case tap.Probe:
+	case recorder.Probe:
 		s.probe(r)
-	case tap.Place:
+	case recorder.Place:
 		s.moves++
-	case tap.Up:
+	case recorder.Up:
 		s.ups.add(r.At)
 		s.refused, s.mute = 0, 0
 		s.setup(r.At, r.Took)
 		s.back(r.At, "connections stand again")
-	case tap.End:
+	case recorder.End:
 		s.moves++
-		if r.By == tap.Server {
+		if r.By == recorder.Server {
 			s.ended(r)
 		}
-	case tap.Move:
-		if r.By == tap.Silence {
+	case recorder.Move:
+		if r.By == recorder.Silence {
 			s.mute = max(s.mute, muteProbes)
 		}
 	}
 }
 
-func (s *watched) list(r *tap.Record) {
+func (s *watched) list(r *recorder.Record) {
 	ready := r.Mode == decide.Ready
 	if s.listed && (ready != (s.mode == decide.Ready)) {
 		s.flaps.add(r.At)
@@ -268,7 +268,7 @@
 	s.listed, s.mode, s.since = true, r.Mode, r.Since
 }
 
-func (s *watched) probe(r *tap.Record) {
+func (s *watched) probe(r *recorder.Record) {
 	switch r.Status {
 	case decide.OK:
 		s.mute, s.refused = 0, 0
@@ -339,7 +339,7 @@
 	s.restartWhy = fmt.Sprintf("%d connections broke or were refused, then %s; the list has its old start", refused, why)
 }
 
-func (s *watched) ended(r *tap.Record) {
+func (s *watched) ended(r *recorder.Record) {
 	switch r.Status {
 	case decide.Errored:
 		s.errors.add(r.At)
--- a/internal/observe/depart/depart_test.go
+++ b/internal/observe/anomaly/depart_test.go
@@ -1,4 +1,4 @@
-package depart
+package anomaly
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // The model fleet: servers with connections, reports that are refreshed now and then, probes and set-ups, in a time
@@ -50,12 +50,12 @@
 	for i := range hosts {
 		h := &host{name: fmt.Sprint("s", i), listed: true, capacity: 90 + 40*s.rng.Float64()}
 		s.hosts = append(s.hosts, h)
-		s.put(i, tap.Record{Kind: tap.List, Mode: decide.Ready})
+		s.put(i, recorder.Record{Kind: recorder.List, Mode: decide.Ready})
 	}
 	return s
 }
 
-func (s *scene) put(i int, r tap.Record) {
+func (s *scene) put(i int, r recorder.Record) {
 	r.At, r.Server = s.now, int32(i)
 	name := ""
 	if i >= 0 {
@@ -66,7 +66,7 @@
 
 func (s *scene) list(i int, mode decide.Mode, since float64) {
 	s.hosts[i].listed = mode == decide.Ready
-	s.put(i, tap.Record{Kind: tap.List, Mode: mode, Since: since})
+	s.put(i, recorder.Record{Kind: recorder.List, Mode: mode, Since: since})
 }
 
 // run lets time pass, 5 ms at a time.
@@ -77,7 +77,7 @@
 			h.held = slices.DeleteFunc(h.held, func(at float64) bool {
 				over := at <= s.now
 				if over {
-					s.put(i, tap.Record{Kind: tap.End, Status: decide.Cancelled, By: tap.Client, WasUp: true})
+					s.put(i, recorder.Record{Kind: recorder.End, Status: decide.Cancelled, By: recorder.Client, WasUp: true})
 				}
 				return over
 			})
@@ -116,7 +116,7 @@
 
 func (s *scene) probe(i int, h *host) {
 	h.probeAt = s.now + 600 + 600*s.rng.Float64()
-	r := tap.Record{Kind: tap.Probe, Status: decide.OK, Load: float32(h.report), Took: 0.3 + 0.3*s.rng.ExpFloat64()}
+	r := recorder.Record{Kind: recorder.Probe, Status: decide.OK, Load: float32(h.report), Took: 0.3 + 0.3*s.rng.ExpFloat64()}
 	switch {
 	case h.dead:
 		r.Status = decide.ConnectFailed
@@ -146,8 +146,8 @@
 	if !h.listed {
 		return
 	}
-	s.put(i, tap.Record{Kind: tap.Place})
-	end := tap.Record{Kind: tap.End, By: tap.Server}
+	s.put(i, recorder.Record{Kind: recorder.Place})
+	end := recorder.Record{Kind: recorder.End, By: recorder.Server}
 	switch {
 	case h.dead:
 		end.Status = decide.ConnectFailed
@@ -162,7 +162,7 @@
 		s.evidence(h, Errors, burst)
 	default:
 		took := 3 * math.Exp(s.jitter*s.rng.NormFloat64()) * max(1, h.slow)
-		s.put(i, tap.Record{Kind: tap.Up, Took: took})
+		s.put(i, recorder.Record{Kind: recorder.Up, Took: took})
 		if h.slow > 0 {
 			s.evidence(h, Slow, slowSamples)
 		}
@@ -175,7 +175,7 @@
 // breaks resets all connections of a host.
 func (s *scene) breaks(i int, status decide.Status) {
 	for range s.hosts[i].held {
-		s.put(i, tap.Record{Kind: tap.End, Status: status, By: tap.Server, WasUp: true})
+		s.put(i, recorder.Record{Kind: recorder.End, Status: status, By: recorder.Server, WasUp: true})
 	}
 	s.hosts[i].held = nil
 }
@@ -234,7 +234,7 @@
 		}
 		s.list(8, decide.GoneMode, 0) // and now the list says so
 		for range 3 {
-			s.put(-1, tap.Record{Kind: tap.NoList})
+			s.put(-1, recorder.Record{Kind: recorder.NoList})
 			s.visible[" list out of reach"] = s.now
 			s.run(400)
 		}
@@ -328,9 +328,9 @@
 func TestManyIDs(t *testing.T) {
 	w := New(50)
 	for i := range 20_000 {
-		r := tap.Record{At: 1e6 + float64(i)*10, Kind: tap.List, Mode: decide.Ready, Since: 1e6 + float64(i)*10}
+		r := recorder.Record{At: 1e6 + float64(i)*10, Kind: recorder.List, Mode: decide.Ready, Since: 1e6 + float64(i)*10}
 		w.Take(fmt.Sprint("id", i), &r)
-		r = tap.Record{At: r.At + 5, Kind: tap.List, Mode: decide.GoneMode}
+		r = recorder.Record{At: r.At + 5, Kind: recorder.List, Mode: decide.GoneMode}
 		w.Take(fmt.Sprint("id", i), &r)
 		if out := w.Tick(r.At, nil); len(out) != 0 {
 			t.Fatalf("%+v", out)
--- a/internal/observe/tap/tap.go
+++ b/internal/observe/recorder/tap.go
@@ -1,6 +1,6 @@
 // Package tap takes records of what a relay is told and decides, for whoever looks at them later. To put one
 // never blocks and allocates nothing; what finds no room is dropped and counted.
-package tap
+package recorder
 
 import (
 	"sync"
--- a/internal/observe/tap/tap_test.go
+++ b/internal/observe/recorder/tap_test.go
@@ -1,4 +1,4 @@
-package tap
+package recorder
 
 import (
 	"sync"
--- a/internal/observe/report/report.go
+++ b/internal/observe/report/report.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"capersail/decide"
-	"capersail/internal/observe/depart"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/anomaly"
+	"capersail/internal/observe/recorder"
 	"capersail/internal/observe/timeline"
 )
 
@@ -39,7 +39,7 @@
 	Held      int             `json:"held"`
 	Bands     []timeline.Band `json:"bands"`
 	Steps     []timeline.Step `json:"steps"`
-	Events    []depart.Event  `json:"events"`
+	Events    []anomaly.Event `json:"events"`
 	Forgotten float64         `json:"forgotten,omitempty"` // what was before is kept no more
 }
 
@@ -54,7 +54,7 @@
 }
 
 // AddEvents puts events on their lines.
-func (r *Report) AddEvents(events []depart.Event, q Query) {
+func (r *Report) AddEvents(events []anomaly.Event, q Query) {
 	for _, e := range events {
 		if !q.Wants(e.Server) {
 			continue
@@ -80,16 +80,16 @@
 		s := &r.Servers[i]
 		s.Bands = slices.DeleteFunc(s.Bands, func(b timeline.Band) bool { return outside(b.From, b.To) })
 		s.Steps = slices.DeleteFunc(s.Steps, func(x timeline.Step) bool { return outside(x.From, x.From+x.Width) })
-		s.Events = slices.DeleteFunc(s.Events, func(e depart.Event) bool { return outside(e.From, e.To) })
+		s.Events = slices.DeleteFunc(s.Events, func(e anomaly.Event) bool { return outside(e.From, e.To) })
 	}
 }
 
 // Events lists all events by their beginnings.
-func (r *Report) Events() (all []depart.Event) {
+func (r *Report) Events() (all []anomaly.Event) {
 	for _, s := range r.Servers {
 		all = append(all, s.Events...)
 	}
-	slices.SortStableFunc(all, func(a, b depart.Event) int { return cmp.Compare(a.From, b.From) })
+	slices.SortStableFunc(all, func(a, b anomaly.Event) int { return cmp.Compare(a.From, b.From) })
 	return all
 }
 
@@ -109,7 +109,7 @@
 }
 
 // EventLine writes an event on one line.
-func EventLine(e depart.Event) string {
+func EventLine(e anomaly.Event) string {
 	return fmt.Sprintf("%s - %-12s  %-14s  %-17s  %.0f %%  %s", Clock(e.From), Clock(e.To), who(e.Server), e.Name, 100*e.Confidence, e.Evidence)
 }
 
@@ -179,8 +179,8 @@
 	for why, n := range s.Reasons.Module {
 		tell(decide.Why(why).String(), n)
 	}
-	for by, n := range s.Reasons.Relay[tap.Nobody+1:] {
-		tell((tap.Nobody + 1 + tap.By(by)).String(), n)
+	for by, n := range s.Reasons.Relay[recorder.Nobody+1:] {
+		tell((recorder.Nobody + 1 + recorder.By(by)).String(), n)
 	}
 	if s.Refusals > known { // also those of a store that was written before reasons were kept
 		tell("not told", s.Refusals-known)
@@ -265,7 +265,7 @@
 		for _, e := range s.Events {
 			if err := out.Encode(struct {
 				Kind string `json:"kind"`
-				depart.Event
+				anomaly.Event
 			}{"event", e}); err != nil {
 				return err
 			}
--- a/internal/observe/report/report_test.go
+++ b/internal/observe/report/report_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 	"capersail/internal/observe/timeline"
 )
 
@@ -13,7 +13,7 @@
 func TestShowTellsReasons(t *testing.T) {
 	step := timeline.Step{From: 1e6, Width: 1000, Refusals: 10}
 	step.Reasons.Module[decide.NoRoom], step.Reasons.Module[decide.NoTokens] = 4, 2
-	step.Reasons.Relay[tap.Door] = 1
+	step.Reasons.Relay[recorder.Door] = 1
 	r := Report{Servers: []Server{{Name: timeline.Fleet, Steps: []timeline.Step{step}}}}
 	var shown, table strings.Builder
 	if err := r.Show(&shown, 60); err != nil {
--- a/internal/observe/timeline/timeline.go
+++ b/internal/observe/timeline/timeline.go
@@ -11,7 +11,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // State is what a server is in, as this relay saw it.
@@ -66,16 +66,16 @@
 
 // Reasons counts refusals and failures by what stood in the way.
 type Reasons struct {
-	Module [decide.NotAgain + 1]uint32 `cbor:"1,keyasint" json:"module"` // by decide.Why; none by NoReason
-	Relay  [tap.Operator + 1]uint32    `cbor:"2,keyasint" json:"relay"`  // what the module did not refuse, by who did
+	Module [decide.NotAgain + 1]uint32   `cbor:"1,keyasint" json:"module"` // by decide.Why; none by NoReason
+	Relay  [recorder.Operator + 1]uint32 `cbor:"2,keyasint" json:"relay"`  // what the module did not refuse, by who did
 }
 
 // add counts the reason of one record of a refusal or a failure.
-func (c *Reasons) add(r *tap.Record) {
+func (c *Reasons) add(r *recorder.Record) {
 	if r.Why != decide.NoReason {
 		c.Module[min(r.Why, decide.NotAgain)]++
 	} else {
-		c.Relay[min(r.By, tap.Operator)]++
+		c.Relay[min(r.By, recorder.Operator)]++
 	}
 }
 
@@ -338,7 +338,7 @@
 }
 
 // Fold takes one record; name is its server's.
-func (b *Book) Fold(name string, r *tap.Record) {
+func (b *Book) Fold(name string, r *recorder.Record) {
 	b.now = max(b.now, r.At)
 	if r.Server < 0 {
 		name = Fleet
@@ -346,37 +346,37 @@
 	l := b.line(name)
 	s := b.step(l, r.At)
 	switch r.Kind {
-	case tap.List:
+	case recorder.List:
 		b.list(l, r)
-	case tap.Probe:
+	case recorder.Probe:
 		s.Probes++
 		if r.Status == decide.OK && r.Load >= 0 {
 			reading(s, r.Load)
 		}
 		b.probe(l, s, r)
-	case tap.Told: // evidence of the load; that it answers is for this relay's own eyes
+	case recorder.Told: // evidence of the load; that it answers is for this relay's own eyes
 		if s.Told++; r.Load >= 0 {
 			reading(s, r.Load)
 		}
-	case tap.Place:
+	case recorder.Place:
 		s.Places++
 		if r.Attempt > 0 {
 			s.Retries++
 		}
 		l.held++
-	case tap.Up:
+	case recorder.Up:
 		s.Ups++
 		l.setups.RecordValue(max(1, int64(r.Took*1000)))
 		b.well(l, r.At, "a connection stands")
-	case tap.End:
+	case recorder.End:
 		l.held = max(0, l.held-1)
-		if r.By == tap.Server {
+		if r.By == recorder.Server {
 			s.Ends[min(r.Status, decide.Moot)]++
 			b.ended(l, r)
 		}
-	case tap.Move:
+	case recorder.Move:
 		s.Moves++
-	case tap.Refuse, tap.Fail:
+	case recorder.Refuse, recorder.Fail:
 		s.Refusals++
 		s.Reasons.add(r)
 		if l.Name != Fleet {
@@ -384,9 +384,9 @@
 			fleet.Refusals++
 			fleet.Reasons.add(r)
 		}
-	case tap.Delay:
+	case recorder.Delay:
 		s.Slow = max(s.Slow, float32(r.Took))
-	case tap.Dropped:
+	case recorder.Dropped:
 		s.Dropped += r.Count
 	}
 	s.Held = l.held
@@ -402,7 +402,7 @@
 	s.Readings++
 }
 
-func (b *Book) list(l *Line, r *tap.Record) {
+func (b *Book) list(l *Line, r *recorder.Record) {
 	l.mode = r.Mode
 	switch r.Mode {
 	case decide.Draining:
@@ -424,7 +424,7 @@
 	}
 }
 
-func (b *Book) probe(l *Line, s *Step, r *tap.Record) {
+func (b *Book) probe(l *Line, s *Step, r *recorder.Record) {
 	switch r.Status {
 	case decide.OK:
 		l.read = true
@@ -448,7 +448,7 @@
 }
 
 // ended looks at a connection or an attempt that the server ended.
-func (b *Book) ended(l *Line, r *tap.Record) {
+func (b *Book) ended(l *Line, r *recorder.Record) {
 	switch r.Status {
 	case decide.ConnectFailed, decide.Errored:
 		if l.faults++; l.faults >= 2 && l.mode == decide.Ready {
--- a/internal/observe/timeline/timeline_test.go
+++ b/internal/observe/timeline/timeline_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 func states(l *Line) (all []string) {
@@ -18,24 +18,28 @@
 
 // The states of a server, record by record.
 func TestStates(t *testing.T) {
-	list := func(m decide.Mode, since float64) tap.Record {
-		return tap.Record{Kind: tap.List, Mode: m, Since: since}
+	list := func(m decide.Mode, since float64) recorder.Record {
+		return recorder.Record{Kind: recorder.List, Mode: m, Since: since}
+	}
+	probe := func(s decide.Status) recorder.Record {
+		return recorder.Record{Kind: recorder.Probe, Status: s, Load: 0.2}
+	}
+	end := func(s decide.Status) recorder.Record {
+		return recorder.Record{Kind: recorder.End, Status: s, By: recorder.Server}
 	}
-	probe := func(s decide.Status) tap.Record { return tap.Record{Kind: tap.Probe, Status: s, Load: 0.2} }
-	end := func(s decide.Status) tap.Record { return tap.Record{Kind: tap.End, Status: s, By: tap.Server} }
 	for _, c := range []struct {
 		name    string
-		records []tap.Record
+		records []recorder.Record
 		want    string
 	}{
-		{"as usual", []tap.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Draining, 0), list(decide.GoneMode, 0)}, "[listed warm draining gone]"},
-		{"a cold start", []tap.Record{list(decide.Ready, 1e6)}, "[warming]"},
-		{"one probe lost is nothing", []tap.Record{list(decide.Ready, 0), probe(decide.OK), probe(decide.TimedOut), probe(decide.OK)}, "[listed warm]"},
-		{"silent and back", []tap.Record{list(decide.Ready, 0), probe(decide.OK), probe(decide.TimedOut), probe(decide.TimedOut), probe(decide.OK)}, "[listed warm silent warm]"},
-		{"dead and back", []tap.Record{list(decide.Ready, 0), probe(decide.OK), end(decide.ConnectFailed), end(decide.ConnectFailed), probe(decide.OK)}, "[listed warm left out warm]"},
-		{"replaced under its id", []tap.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Ready, 1e6)}, "[listed warm warming]"},
-		{"silent while it drains is its drain", []tap.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Draining, 0), probe(decide.TimedOut), probe(decide.TimedOut)}, "[listed warm draining]"},
-		{"the same again is no band", []tap.Record{list(decide.Ready, 0), list(decide.Ready, 0), probe(decide.OK), probe(decide.OK)}, "[listed warm]"},
+		{"as usual", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Draining, 0), list(decide.GoneMode, 0)}, "[listed warm draining gone]"},
+		{"a cold start", []recorder.Record{list(decide.Ready, 1e6)}, "[warming]"},
+		{"one probe lost is nothing", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), probe(decide.TimedOut), probe(decide.OK)}, "[listed warm]"},
+		{"silent and back", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), probe(decide.TimedOut), probe(decide.TimedOut), probe(decide.OK)}, "[listed warm silent warm]"},
+		{"dead and back", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), end(decide.ConnectFailed), end(decide.ConnectFailed), probe(decide.OK)}, "[listed warm left out warm]"},
+		{"replaced under its id", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Ready, 1e6)}, "[listed warm warming]"},
+		{"silent while it drains is its drain", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Draining, 0), probe(decide.TimedOut), probe(decide.TimedOut)}, "[listed warm draining]"},
+		{"the same again is no band", []recorder.Record{list(decide.Ready, 0), list(decide.Ready, 0), probe(decide.OK), probe(decide.OK)}, "[listed warm]"},
 	} {
 		b := New(Default())
 		for i, r := range c.records {
@@ -47,7 +51,7 @@
 		}
 	}
 	b := New(Default())
-	r := tap.Record{At: 1e6, Kind: tap.List, Mode: decide.Ready, Since: 1e6 - 2000}
+	r := recorder.Record{At: 1e6, Kind: recorder.List, Mode: decide.Ready, Since: 1e6 - 2000}
 	b.Fold("s", &r)
 	if b.Tick(1e6 + 7900); b.Line("s").State() != Warming {
 		t.Error("warm too soon")
@@ -70,7 +74,7 @@
 		now := 1e6
 		for range 3000 {
 			now += rng.ExpFloat64() * 400
-			r := tap.Record{At: now, Kind: tap.Place}
+			r := recorder.Record{At: now, Kind: recorder.Place}
 			b.Fold("s", &r)
 			at = append(at, now)
 		}
@@ -110,11 +114,11 @@
 	limits.Lines = 20
 	b := New(limits)
 	for i := range 10 { // these stay
-		r := tap.Record{At: 1e6, Kind: tap.List, Mode: decide.Ready}
+		r := recorder.Record{At: 1e6, Kind: recorder.List, Mode: decide.Ready}
 		b.Fold(fmt.Sprint("stays", i), &r)
 	}
 	for i := range 5000 {
-		r := tap.Record{At: 1e6 + float64(i), Kind: tap.List, Mode: decide.Ready}
+		r := recorder.Record{At: 1e6 + float64(i), Kind: recorder.List, Mode: decide.Ready}
 		b.Fold(fmt.Sprint("id", i), &r)
 		r.Mode = decide.GoneMode
 		b.Fold(fmt.Sprint("id", i), &r)
@@ -132,12 +136,12 @@
 // Load, set-ups and faults of a step.
 func TestStep(t *testing.T) {
 	b := New(Default())
-	for i, r := range []tap.Record{
-		{Kind: tap.List, Mode: decide.Ready},
-		{Kind: tap.Probe, Load: 0.2}, {Kind: tap.Told, Load: 0.6}, {Kind: tap.Probe, Load: -1}, {Kind: tap.Probe, Status: decide.TimedOut},
-		{Kind: tap.Place}, {Kind: tap.Up, Took: 5}, {Kind: tap.Place, Attempt: 1}, {Kind: tap.Up, Took: 100},
-		{Kind: tap.End, By: tap.Client, Status: decide.Cancelled}, {Kind: tap.End, By: tap.Server, Status: decide.Reset},
-		{Kind: tap.Refuse, Why: decide.NoRoom}, {Kind: tap.Delay, Took: 70}, {Kind: tap.Move},
+	for i, r := range []recorder.Record{
+		{Kind: recorder.List, Mode: decide.Ready},
+		{Kind: recorder.Probe, Load: 0.2}, {Kind: recorder.Told, Load: 0.6}, {Kind: recorder.Probe, Load: -1}, {Kind: recorder.Probe, Status: decide.TimedOut},
+		{Kind: recorder.Place}, {Kind: recorder.Up, Took: 5}, {Kind: recorder.Place, Attempt: 1}, {Kind: recorder.Up, Took: 100},
+		{Kind: recorder.End, By: recorder.Client, Status: decide.Cancelled}, {Kind: recorder.End, By: recorder.Server, Status: decide.Reset},
+		{Kind: recorder.Refuse, Why: decide.NoRoom}, {Kind: recorder.Delay, Took: 70}, {Kind: recorder.Move},
 	} {
 		r.At = 1e6 + float64(i)
 		b.Fold("s", &r)
@@ -155,13 +159,13 @@
 // Refusals are counted by reason, on the line of the server that the last attempt met and on the fleet's; merging keeps each count.
 func TestRefusalsByReason(t *testing.T) {
 	b := New(Default())
-	for i, r := range []tap.Record{
-		{Kind: tap.Refuse, Server: -1, Why: decide.NoRoom, By: tap.Module},
-		{Kind: tap.Refuse, Server: -1, Why: decide.NoRoom, By: tap.Module},
-		{Kind: tap.Refuse, Server: -1, Why: decide.NoServer, By: tap.Module},
-		{Kind: tap.Refuse, Server: -1, By: tap.Door},
-		{Kind: tap.Refuse, Server: 0, Why: decide.NoRetry, By: tap.Module},
-		{Kind: tap.Fail, Server: 0, Why: decide.NotAgain, By: tap.Module},
+	for i, r := range []recorder.Record{
+		{Kind: recorder.Refuse, Server: -1, Why: decide.NoRoom, By: recorder.Module},
+		{Kind: recorder.Refuse, Server: -1, Why: decide.NoRoom, By: recorder.Module},
+		{Kind: recorder.Refuse, Server: -1, Why: decide.NoServer, By: recorder.Module},
+		{Kind: recorder.Refuse, Server: -1, By: recorder.Door},
+		{Kind: recorder.Refuse, Server: 0, Why: decide.NoRetry, By: recorder.Module},
+		{Kind: recorder.Fail, Server: 0, Why: decide.NotAgain, By: recorder.Module},
 	} {
 		r.At = 1e6 + float64(i)*700 // over several steps
 		b.Fold("s", &r)
@@ -175,7 +179,7 @@
 	var onServer, ofFleet Reasons
 	onServer.Module[decide.NoRetry], onServer.Module[decide.NotAgain] = 1, 1
 	ofFleet.Module = onServer.Module
-	ofFleet.Module[decide.NoRoom], ofFleet.Module[decide.NoServer], ofFleet.Relay[tap.Door] = 2, 1, 1
+	ofFleet.Module[decide.NoRoom], ofFleet.Module[decide.NoServer], ofFleet.Relay[recorder.Door] = 2, 1, 1
 	if s := sum("s"); s.Refusals != 2 || s.Reasons != onServer {
 		t.Errorf("the server's: %d, %+v", s.Refusals, s.Reasons)
 	}
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/rs/zerolog"
 
 	"capersail/decide"
+	"capersail/internal/observe/recorder"
 	"capersail/internal/observe/report"
-	"capersail/internal/observe/tap"
 	"capersail/internal/observe/timeline"
 	"capersail/internal/relay"
 	"capersail/internal/store"
@@ -41,11 +41,11 @@
 		for i := range servers {
 			for k := range 3 {
 				at := now + float64(k)*300
-				x.Tap.Put(&tap.Record{At: at, Kind: tap.Place, Server: int32(i)})
-				x.Tap.Put(&tap.Record{At: at + 3, Kind: tap.Up, Server: int32(i), Took: 3})
-				x.Tap.Put(&tap.Record{At: at + 200, Kind: tap.End, Server: int32(i), By: tap.Client, Status: decide.Cancelled, WasUp: true})
+				x.Tap.Put(&recorder.Record{At: at, Kind: recorder.Place, Server: int32(i)})
+				x.Tap.Put(&recorder.Record{At: at + 3, Kind: recorder.Up, Server: int32(i), Took: 3})
+				x.Tap.Put(&recorder.Record{At: at + 200, Kind: recorder.End, Server: int32(i), By: recorder.Client, Status: decide.Cancelled, WasUp: true})
 			}
-			x.Tap.Put(&tap.Record{At: now, Kind: tap.Probe, Server: int32(i), Load: 0.4, Took: 0.4})
+			x.Tap.Put(&recorder.Record{At: now, Kind: recorder.Probe, Server: int32(i), Load: 0.4, Took: 0.4})
 		}
 		n += servers * 10
 		now += 1000
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -13,9 +13,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/rs/zerolog"
 
-	"capersail/internal/observe/depart"
+	"capersail/internal/observe/anomaly"
+	"capersail/internal/observe/recorder"
 	"capersail/internal/observe/report"
-	"capersail/internal/observe/tap"
 	"capersail/internal/observe/timeline"
 	"capersail/internal/relay"
 	"capersail/internal/store"
@@ -46,23 +46,23 @@
 
 	mu      sync.Mutex
 	book    *timeline.Book
-	depart  *depart.Watch
+	depart  *anomaly.Watch
 	names   []string
-	events  []depart.Event // ended ones and those that last, by their beginnings
+	events  []anomaly.Event // ended ones and those that last, by their beginnings
 	dropped uint64
 	folded  uint64
 	rows    map[string]*timeline.Step // the open row of each line
 	written float64
-	follow  map[chan depart.Event]bool
-	spare   []tap.Record
-	changes []depart.Change
+	follow  map[chan anomaly.Event]bool
+	spare   []recorder.Record
+	changes []anomaly.Change
 }
 
 // New returns a Watcher of an Exchange, which it gives a tap. It is called before the Exchange is used.
 func New(c Config, x *relay.Exchange, log zerolog.Logger) *Watcher {
-	w := &Watcher{Config: c, x: x, log: log, book: timeline.New(c.Limits), depart: depart.New(c.Most),
-		rows: map[string]*timeline.Step{}, follow: map[chan depart.Event]bool{}}
-	x.Tap = tap.New(c.Buffer)
+	w := &Watcher{Config: c, x: x, log: log, book: timeline.New(c.Limits), depart: anomaly.New(c.Most),
+		rows: map[string]*timeline.Step{}, follow: map[chan anomaly.Event]bool{}}
+	x.Tap = recorder.New(c.Buffer)
 	if c.Store != nil {
 		w.book.Sink = timeline.Sink{Band: w.band, Step: w.step}
 	}
@@ -97,7 +97,7 @@
 	w.tick(w.x.Clock.Unix(w.x.Clock.Now()))
 }
 
-func (w *Watcher) take(r *tap.Record) {
+func (w *Watcher) take(r *recorder.Record) {
 	r.At = w.x.Clock.Unix(r.At)
 	if r.Since > 0 {
 		r.Since = w.x.Clock.Unix(r.Since)
@@ -110,7 +110,7 @@
 		name = w.names[r.Server]
 	}
 	w.folded++
-	if r.Kind == tap.Dropped {
+	if r.Kind == recorder.Dropped {
 		w.dropped += uint64(r.Count)
 	}
 	w.book.Fold(name, r)
@@ -141,16 +141,16 @@
 }
 
 // changed notes an event that has begun or ended.
-func (w *Watcher) changed(e depart.Event) {
+func (w *Watcher) changed(e anomaly.Event) {
 	line := w.log.Info().Str("server", e.Server).Str("event", e.Name).Str("evidence", e.Evidence)
 	switch {
-	case e.Kind == depart.Relays: // whoever heard of it has a line for it
+	case e.Kind == anomaly.Relays: // whoever heard of it has a line for it
 	case e.To != 0:
 		line.Msg("departure ended")
 	default:
 		line.Float64("confidence", e.Confidence).Msg("departure")
 	}
-	i := slices.IndexFunc(w.events, func(o depart.Event) bool {
+	i := slices.IndexFunc(w.events, func(o anomaly.Event) bool {
 		return o.Server == e.Server && o.Kind == e.Kind && o.From == e.From
 	})
 	if i >= 0 {
@@ -186,7 +186,7 @@
 	if cause != "" {
 		what += " (" + cause + ")"
 	}
-	w.changed(depart.Event{Kind: depart.Relays, Name: depart.Relays.String(), From: at, To: at, Evidence: what, Confidence: 1})
+	w.changed(anomaly.Event{Kind: anomaly.Relays, Name: anomaly.Relays.String(), From: at, To: at, Evidence: what, Confidence: 1})
 }
 
 // The store's buckets.
@@ -244,13 +244,13 @@
 
 // Follow returns a channel of events as they begin and end. It is closed when its reader is too slow; nil if there
 // are too many. Call stop at the end.
-func (w *Watcher) Follow() (events <-chan depart.Event, stop func()) {
+func (w *Watcher) Follow() (events <-chan anomaly.Event, stop func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.follow) >= followers {
 		return nil, func() {}
 	}
-	c := make(chan depart.Event, 256)
+	c := make(chan anomaly.Event, 256)
 	w.follow[c] = true
 	return c, func() {
 		w.mu.Lock()
@@ -339,10 +339,10 @@
 			return true
 		})
 	}
-	var events []depart.Event
+	var events []anomaly.Event
 	if err == nil {
 		err = s.Scan(bucketEvents, 0, to, func(at int64, id string, v []byte) bool {
-			var e depart.Event
+			var e anomaly.Event
 			if bad = cbor.Unmarshal(v, &e); bad != nil {
 				return false
 			}
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -16,13 +16,13 @@
 	"github.com/rs/zerolog"
 
 	"capersail/decide"
-	"capersail/internal/observe/depart"
+	"capersail/internal/observe/anomaly"
 	"capersail/internal/observe/report"
 	"capersail/internal/observe/timeline"
 	"capersail/internal/relay"
-	"capersail/internal/standin"
 	"capersail/internal/store"
-	"capersail/internal/wire/gate"
+	"capersail/internal/testing/fake"
+	"capersail/internal/wire/connlimit"
 	"capersail/internal/wire/platform"
 )
 
@@ -36,7 +36,7 @@
 	t       testing.TB
 	x       *relay.Exchange
 	w       *Watcher
-	servers []*standin.ScanServer
+	servers []*fake.ScanServer
 	modes   []decide.Mode
 	since   []float64
 	relay   string
@@ -46,7 +46,7 @@
 	t.Helper()
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	feed, ledger := standin.NewFeed(1000, 50*time.Millisecond, stop), standin.NewLedger()
+	feed, ledger := fake.NewFeed(1000, 50*time.Millisecond, stop), fake.NewLedger()
 	clock := relay.NewClock()
 	site := &relay.Site{Classes: map[string]decide.Class{"m": 0}, LoadKey: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
 		MaxAttempts: 4, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(200), Tick: relay.Duration(5),
@@ -55,7 +55,7 @@
 	x := relay.NewExchange(site, clock, &platform.Servers{Clock: clock, ConnectTimeout: 300, LoadKey: "x0", Keep: 64})
 	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.Default(), Most: 100, Store: s}, x, zerolog.Nop())}
 	for i := range servers {
-		s, err := standin.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", feed, ledger)
+		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", feed, ledger)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	w.relay = l.Addr().String()
-	go (&platform.Front{X: x, Site: site, Gate: gate.New(clock, 4096, zerolog.Nop())}).Serve(l)
+	go (&platform.Front{X: x, Site: site, Gate: connlimit.New(clock, 4096, zerolog.Nop())}).Serve(l)
 	go relay.NewCore(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
 	go w.w.Run(t.Context())
 	return w
@@ -98,7 +98,7 @@
 	for i := range n {
 		all.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
-				v := &standin.Viewer{Name: fmt.Sprintf("c%d.%d", i, k), Fields: fmt.Sprintf("%x c=m", i+1), Wait: 3 * time.Second,
+				v := &fake.Viewer{Name: fmt.Sprintf("c%d.%d", i, k), Fields: fmt.Sprintf("%x c=m", i+1), Wait: 3 * time.Second,
 					Say: 700 * time.Millisecond, Relay: func() string { return w.relay }}
 				one, done := context.WithTimeout(ctx, time.Duration(400+150*((i*7+k*11)%40))*time.Millisecond)
 				v.Run(one)
@@ -109,7 +109,7 @@
 }
 
 // event finds an event that has begun.
-func (w *town) event(server string, k depart.Kind) *depart.Event {
+func (w *town) event(server string, k anomaly.Kind) *anomaly.Event {
 	for _, s := range w.w.Report(report.Query{}).Servers {
 		for _, e := range s.Events {
 			if e.Server == server && e.Kind == k {
@@ -137,7 +137,7 @@
 // or its state, and no line has one that did not happen there.
 func TestEveryFaultOnItsTimeLine(t *testing.T) {
 	if os.Getenv("CAPERSAIL_LONG") == "" {
-		t.Skip("a long measurement: CAPERSAIL_LONG=1. In CI depart.TestEveryKind plays the same faults in a time of its own")
+		t.Skip("a long measurement: CAPERSAIL_LONG=1. In CI anomaly.TestEveryKind plays the same faults in a time of its own")
 	}
 	w := newTown(t, 14, nil)
 	w.clients(200)
@@ -155,13 +155,13 @@
 		}
 		return known >= 8
 	})
-	slices.SortStableFunc(w.servers, func(a, b *standin.ScanServer) int { return cmp.Compare(ups[b.ID], ups[a.ID]) })
+	slices.SortStableFunc(w.servers, func(a, b *fake.ScanServer) int { return cmp.Compare(ups[b.ID], ups[a.ID]) })
 	type want struct {
 		server string
-		kind   depart.Kind
+		kind   anomaly.Kind
 	}
 	expected := map[want]bool{}
-	expect := func(i int, k depart.Kind) {
+	expect := func(i int, k anomaly.Kind) {
 		name := ""
 		if i >= 0 {
 			name = w.servers[i].ID
@@ -184,30 +184,30 @@
 
 	faults := float64(time.Now().UnixMilli())
 	w.servers[0].Silence(true)
-	w.servers[1].Turn(standin.Knobs{Erring: true})
-	w.servers[2].Turn(standin.Knobs{ProbeDelay: 120 * time.Millisecond})
-	w.servers[3].Turn(standin.Knobs{UpDelay: 150 * time.Millisecond})
-	expect(0, depart.Silent)
-	expect(1, depart.Errors)
-	expect(2, depart.LateAnswers)
-	expect(3, depart.Slow)
+	w.servers[1].Turn(fake.Knobs{Erring: true})
+	w.servers[2].Turn(fake.Knobs{ProbeDelay: 120 * time.Millisecond})
+	w.servers[3].Turn(fake.Knobs{UpDelay: 150 * time.Millisecond})
+	expect(0, anomaly.Silent)
+	expect(1, anomaly.Errors)
+	expect(2, anomaly.LateAnswers)
+	expect(3, anomaly.Slow)
 	state(0, timeline.Silent)
 	w.servers[0].Silence(false)
 	for i := 1; i <= 3; i++ {
-		w.servers[i].Turn(standin.Knobs{})
+		w.servers[i].Turn(fake.Knobs{})
 	}
 
 	w.servers[4].Refuse(true)
 	w.servers[5].SendAway(2)
-	w.servers[6].Turn(standin.Knobs{Extra: 0.9})
-	w.servers[7].Turn(standin.Knobs{Frozen: true})
-	expect(4, depart.Refusing)
-	expect(5, depart.DrainUnsaid)
-	expect(6, depart.Uneven)
-	expect(7, depart.Frozen)
+	w.servers[6].Turn(fake.Knobs{Extra: 0.9})
+	w.servers[7].Turn(fake.Knobs{Frozen: true})
+	expect(4, anomaly.Refusing)
+	expect(5, anomaly.DrainUnsaid)
+	expect(6, anomaly.Uneven)
+	expect(7, anomaly.Frozen)
 	w.servers[4].Refuse(false)
-	w.servers[6].Turn(standin.Knobs{})
-	w.servers[7].Turn(standin.Knobs{})
+	w.servers[6].Turn(fake.Knobs{})
+	w.servers[7].Turn(fake.Knobs{})
 
 	holds := func(name string) {
 		w.wait(name+" holds connections", func() bool {
@@ -218,7 +218,7 @@
 	}
 	holds(w.servers[8].ID)
 	w.servers[8].Kill()
-	expect(8, depart.Unreachable)
+	expect(8, anomaly.Unreachable)
 	w.mode(8, decide.GoneMode)
 	state(8, timeline.Gone)
 	w.mode(9, decide.Draining) // with word: a state, and no event
@@ -231,27 +231,27 @@
 		w.mode(11, decide.Draining)
 		w.mode(11, decide.Ready)
 	}
-	expect(11, depart.Flapping)
+	expect(11, anomaly.Flapping)
 	w.x.Members(decide.Failed, nil)
 	w.x.Members(decide.Failed, nil)
-	expect(-1, depart.NoList)
+	expect(-1, anomaly.NoList)
 
 	old := w.servers[12] // dies, and another process takes its address; the list says nothing
 	holds(old.ID)
 	old.Kill()
-	expect(12, depart.Unreachable)
-	s, err := standin.NewScanServer(old.ID, old.Address, old.Feed, old.Ledger)
+	expect(12, anomaly.Unreachable)
+	s, err := fake.NewScanServer(old.ID, old.Address, old.Feed, old.Ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Kill()
 	s.Capacity = 40
-	expect(12, depart.RestartedUnsaid)
+	expect(12, anomaly.RestartedUnsaid)
 
 	// What a machine that is short of time makes of itself is not a fault of the script: these two are about time.
-	clocked := map[depart.Kind]bool{depart.Slow: true, depart.LateAnswers: true}
+	clocked := map[anomaly.Kind]bool{anomaly.Slow: true, anomaly.LateAnswers: true}
 	// What follows from a fault at the same server.
-	follows := map[want]bool{{w.servers[3].ID, depart.Uneven}: true, {w.servers[7].ID, depart.Uneven}: true, {w.servers[0].ID, depart.RestartedUnsaid}: true}
+	follows := map[want]bool{{w.servers[3].ID, anomaly.Uneven}: true, {w.servers[7].ID, anomaly.Uneven}: true, {w.servers[0].ID, anomaly.RestartedUnsaid}: true}
 	for _, e := range w.w.Report(report.Query{}).Events() {
 		k := want{e.Server, e.Kind}
 		if e.From < faults { // when all clients came at once
@@ -287,9 +287,9 @@
 	w := newTown(t, 4, s)
 	w.clients(20)
 	w.servers[0].Silence(true)
-	w.wait("silent", func() bool { return w.event("s0", depart.Silent) != nil })
+	w.wait("silent", func() bool { return w.event("s0", anomaly.Silent) != nil })
 	w.servers[0].Silence(false)
-	w.wait("and it ends", func() bool { return w.event("s0", depart.Silent).To != 0 })
+	w.wait("and it ends", func() bool { return w.event("s0", anomaly.Silent).To != 0 })
 	live := w.w.Report(report.Query{})
 	w.w.Rest()
 	s.Flush()
--- a/internal/claim/claim.go
+++ b/internal/ownership/claim.go
@@ -4,7 +4,7 @@
 // of these in one transaction. docs/design/resume.md has the reasons.
 //
 // All times are milliseconds of one relay's clock; no two relays' clocks are ever compared.
-package claim
+package ownership
 
 import (
 	"encoding/binary"
@@ -18,7 +18,7 @@
 // it. A relay knows when it sent the last thing that was answered, which is no later. It stops trusting its
 // claims at proven + session*(1-Drift) - Grace, so that all is over when another can win:
 //
-//	Grace = 1000 (a write to a stuck client, link.WriteWithin) + 250 (between two looks) + 250 (to spare)
+//	Grace = 1000 (a write to a stuck client, splice.WriteWithin) + 250 (between two looks) + 250 (to spare)
 const (
 	Drift = 1.0 / 20 // by how much a relay's clock may run slower than the service's
 	Grace = 1500.0
--- a/internal/claim/model_test.go
+++ b/internal/ownership/model_test.go
@@ -1,4 +1,4 @@
-package claim
+package ownership
 
 import (
 	"errors"
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // BenchmarkDecision is a call's whole life in the core, from its opening to its end, with records and without, in
@@ -18,9 +18,9 @@
 		c     *Core
 		wire  *side
 		clock *Clock
-		spare []tap.Record
+		spare []recorder.Record
 	}
-	make1 := func(t *tap.Tap) *side1 {
+	make1 := func(t *recorder.Tap) *side1 {
 		clock, wire := NewSetClock(), &side{}
 		site := &Site{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true,
 			MaxRetryAfter: Duration(1000), Tick: Duration(5), Classes: []decide.ClassInfo{{Aim: Duration(300), Deadline: Duration(1000)}}}}
@@ -33,7 +33,7 @@
 		x.Members(decide.Whole, list)
 		return &side1{c: NewCore(x, 7, &noList{}, zerolog.Nop()), wire: wire, clock: clock}
 	}
-	sides := []*side1{make1(nil), make1(tap.New(8192))}
+	sides := []*side1{make1(nil), make1(recorder.New(8192))}
 	var spent [2]time.Duration
 	calls := 0
 	for b.Loop() {
--- a/internal/relay/claim_side.go
+++ b/internal/relay/claim_side.go
@@ -3,7 +3,7 @@
 import (
 	"capersail/decide"
 	"capersail/internal/guard"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // This file holds the methods by which a claim tells a call whether this relay may serve its stream.
@@ -50,6 +50,6 @@
 	case Claiming:
 		c.end(c.x.advised(Answer{Kind: Refused, RetryAfter: after}))
 	case Up:
-		c.move(tap.Claim)
+		c.move(recorder.Claim)
 	}
 }
--- a/internal/relay/client_side.go
+++ b/internal/relay/client_side.go
@@ -2,7 +2,7 @@
 
 import (
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // This file holds the client side's methods of a call.
@@ -36,7 +36,7 @@
 func (c *Call) Dismiss() {
 	c.x.mu.Lock()
 	defer c.x.mu.Unlock()
-	c.move(tap.Client)
+	c.move(recorder.Client)
 }
 
 // State is where the call stands, with the final answer if it ended without coming up.
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -11,7 +11,7 @@
 
 	"capersail/decide"
 	"capersail/internal/fleet/probing"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // Discovery is where the list of servers comes from. Neither method may block. Each is answered by one
@@ -56,7 +56,7 @@
 // NewCore returns the loop of a relay that has just started.
 func NewCore(x *Exchange, seed uint64, lister Discovery, log zerolog.Logger) *Core {
 	return &Core{x: x, balance: decide.New(x.site.Settings, seed), servers: x.servers, lister: lister, log: log,
-		tick: Millis(x.site.Settings.Tick), pool: make([]decide.View, 0, tap.Peers+1)}
+		tick: Millis(x.site.Settings.Tick), pool: make([]decide.View, 0, recorder.Peers+1)}
 }
 
 // timer is a moment at which the module wants an alarm, or the backstop looks at a request.
@@ -187,9 +187,9 @@
 		}
 		c.x.send(a.ID, a.Backend, Millis(a.Timeout), c.pool)
 	case decide.Refuse:
-		c.x.finish(a.ID, Answer{Kind: Refused, RetryAfter: Millis(a.RetryAfter), why: a.Why, by: tap.Module})
+		c.x.finish(a.ID, Answer{Kind: Refused, RetryAfter: Millis(a.RetryAfter), why: a.Why, by: recorder.Module})
 	case decide.Fail:
-		c.x.finish(a.ID, Answer{Kind: Failed, why: a.Why, by: tap.Module})
+		c.x.finish(a.ID, Answer{Kind: Failed, why: a.Why, by: recorder.Module})
 	case decide.Move:
 		c.x.move(a.ID)
 	case decide.Cancel:
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -9,7 +9,7 @@
 
 	"capersail/decide"
 	"capersail/internal/guard"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // State is where a call stands.
@@ -51,7 +51,7 @@
 	Cause      decide.Status
 	Note       string // with Failed, what the front may tell the client of the reason
 	why        decide.Why
-	by         tap.By
+	by         recorder.By
 }
 
 // Claim is a call's right to be served by this relay, where a stream may be at one relay only. Its methods
@@ -118,7 +118,7 @@
 type Exchange struct {
 	Clock *Clock
 	// Tap gets a record of whatever happens; nil for none. It is set before the first use.
-	Tap *tap.Tap
+	Tap *recorder.Tap
 	// Log gets what the guard denies, and what was done against a rule. It is set before the first use; the zero one writes nothing.
 	Log zerolog.Logger
 	// Violations and Denied count what was done against a rule, and what was not done for one.
@@ -238,7 +238,7 @@
 
 // elsewhere is the answer of a relay that is leaving: come again at once, to another.
 func (x *Exchange) elsewhere() Answer {
-	return Answer{Kind: Refused, RetryAfter: 50 + 100*rand.Float64(), by: tap.Leaving}
+	return Answer{Kind: Refused, RetryAfter: 50 + 100*rand.Float64(), by: recorder.Leaving}
 }
 
 // Resume takes on a connection that was open at a server before this relay started. The module hears of it
--- a/internal/relay/leaving.go
+++ b/internal/relay/leaving.go
@@ -2,7 +2,7 @@
 
 import (
 	"capersail/internal/guard"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // This file holds what a relay does with its calls as it leaves.
@@ -20,7 +20,7 @@
 	defer x.mu.Unlock()
 	for _, c := range x.calls {
 		if n > 0 && c.state == Up && !c.moving {
-			c.move(tap.Leaving)
+			c.move(recorder.Leaving)
 			n--
 		}
 	}
@@ -37,6 +37,6 @@
 		if guard.MayRefuse(c.guarded(true)) != guard.Allowed {
 			kind = Failed
 		}
-		c.end(Answer{Kind: kind, by: tap.Leaving})
+		c.end(Answer{Kind: kind, by: recorder.Leaving})
 	}
 }
--- a/internal/relay/message_test.go
+++ b/internal/relay/message_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // Where no class has an aim for messages, one that comes back soon is not told as slow, and one that nothing comes back for is.
 func TestSlowMessagesWithoutAnAim(t *testing.T) {
 	c, _, clock := bench(t)
 	c.x.site.Settings.Classes[0].Message = 0
-	c.x.Tap = tap.New(100)
+	c.x.Tap = recorder.New(100)
 	call := c.x.Open(Ask{Left: 1000}, &side{})
 	advance(c, clock, 20)
 	call.Attach(0, &side{})
@@ -18,7 +18,7 @@
 	call.Up(0)
 	slow := func() (n int) {
 		for _, r := range c.x.Tap.Take(nil) {
-			if r.Kind == tap.Delay {
+			if r.Kind == recorder.Delay {
 				n++
 			}
 		}
--- a/internal/relay/module_side.go
+++ b/internal/relay/module_side.go
@@ -3,7 +3,7 @@
 import (
 	"capersail/decide"
 	"capersail/internal/guard"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // This file carries out what the decision module wants of calls.
@@ -66,7 +66,7 @@
 		return false
 	}
 	x.post(decide.Gone{ID: id})
-	c.end(Answer{Kind: Failed, Cause: decide.TimedOut, by: tap.Late})
+	c.end(Answer{Kind: Failed, Cause: decide.TimedOut, by: recorder.Late})
 	return true
 }
 
@@ -75,15 +75,15 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if c := x.calls[id]; c != nil {
-		c.move(tap.Module)
+		c.move(recorder.Module)
 	}
 }
 
-func (c *Call) move(by tap.By) {
+func (c *Call) move(by recorder.By) {
 	if c.state == Up && !c.moving {
 		c.moving = true
 		if c.x.Tap != nil {
-			c.x.Tap.Put(&tap.Record{At: c.x.Clock.Now(), Kind: tap.Move, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), By: by})
+			c.x.Tap.Put(&recorder.Record{At: c.x.Clock.Now(), Kind: recorder.Move, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), By: by})
 		}
 		c.remote.Wake()
 	}
--- a/internal/relay/ops.go
+++ b/internal/relay/ops.go
@@ -2,7 +2,7 @@
 
 import (
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // This file holds what operators ask of a relay: a drain by hand, tile servers taken out by hand, and the figures.
@@ -176,7 +176,7 @@
 		}
 		switch {
 		case c.state == Up:
-			c.move(tap.Operator)
+			c.move(recorder.Operator)
 		case c.out && c.remote != nil:
 			c.remote.Wake()
 		}
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -3,7 +3,7 @@
 import (
 	"capersail/decide"
 	"capersail/internal/guard"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // This file holds the server side's methods of a call. Each names the attempt that it speaks for.
@@ -93,11 +93,11 @@
 			Took: Duration(c.x.Clock.Now() - c.attempt.SentAt)})
 	}
 	if c.x.Tap != nil {
-		c.x.Tap.Put(&tap.Record{At: c.x.Clock.Now(), Kind: tap.Up, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
+		c.x.Tap.Put(&recorder.Record{At: c.x.Clock.Now(), Kind: recorder.Up, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
 			Took: c.x.Clock.Now() - c.attempt.SentAt, Attempt: uint8(min(no, 255))})
 	}
 	if c.x.refusing() {
-		c.move(tap.Leaving)
+		c.move(recorder.Leaving)
 	}
 	return c.client
 }
@@ -176,7 +176,7 @@
 	if delay > least && now-s.notedAt >= 1000 {
 		s.notedAt = now
 		if c.x.Tap != nil {
-			c.x.Tap.Put(&tap.Record{At: now, Kind: tap.Delay, Request: uint64(c.ID), Server: int32(s.Number), Took: delay})
+			c.x.Tap.Put(&recorder.Record{At: now, Kind: recorder.Delay, Request: uint64(c.ID), Server: int32(s.Number), Took: delay})
 		}
 		c.x.post(decide.DelayNote{ID: c.ID, Backend: s.Number, Delay: Duration(delay)})
 	}
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -1,7 +1,7 @@
 package relay
 
 import (
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // This file finds connections whose server brings nothing back.
@@ -26,7 +26,7 @@
 		c.note(now - c.asked)
 		if now-c.asked >= silentAfter {
 			c.silent = true
-			c.move(tap.Silence)
+			c.move(recorder.Silence)
 		}
 	}
 }
--- a/internal/relay/taps.go
+++ b/internal/relay/taps.go
@@ -2,7 +2,7 @@
 
 import (
 	"capersail/decide"
-	"capersail/internal/observe/tap"
+	"capersail/internal/observe/recorder"
 )
 
 // This file makes records for the tap. Callers hold the Exchange's lock and have looked that there is a tap.
@@ -11,7 +11,7 @@
 func (x *Exchange) tapList(kind decide.ListKind) {
 	now := x.Clock.Now()
 	if kind == decide.Failed {
-		x.Tap.Put(&tap.Record{At: now, Kind: tap.NoList, Server: -1})
+		x.Tap.Put(&recorder.Record{At: now, Kind: recorder.NoList, Server: -1})
 		return
 	}
 	for _, s := range x.roster.servers {
@@ -20,18 +20,18 @@
 			continue
 		}
 		s.told, s.toldMode, s.toldStart = true, mode, s.started
-		x.Tap.Put(&tap.Record{At: now, Kind: tap.List, Server: int32(s.Number), Mode: mode, Since: s.since, Load: -1})
+		x.Tap.Put(&recorder.Record{At: now, Kind: recorder.List, Server: int32(s.Number), Mode: mode, Since: s.since, Load: -1})
 	}
 }
 
 // tapAnswer tells a final answer.
 func (c *Call) tapAnswer(a Answer) {
-	r := tap.Record{At: c.x.Clock.Now(), Kind: tap.Refuse, Request: uint64(c.ID), Server: -1, Status: a.Cause, Why: a.why, By: a.by}
+	r := recorder.Record{At: c.x.Clock.Now(), Kind: recorder.Refuse, Request: uint64(c.ID), Server: -1, Status: a.Cause, Why: a.why, By: a.by}
 	switch a.Kind {
 	case NoAnswer:
 		return
 	case Failed:
-		r.Kind = tap.Fail
+		r.Kind = recorder.Fail
 	}
 	if c.sends > 0 {
 		r.Server = int32(c.attempt.Server.Number)
@@ -41,13 +41,13 @@
 
 // tapPlace tells an attempt, and what else the module could have chosen.
 func (c *Call) tapPlace(pool []decide.View) {
-	r := tap.Record{At: c.attempt.SentAt, Kind: tap.Place, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
+	r := recorder.Record{At: c.attempt.SentAt, Kind: recorder.Place, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
 		Attempt: uint8(min(c.attempt.No, 255)), Load: -1}
 	for _, v := range pool {
 		if v.Backend == c.attempt.Server.Number {
 			r.Load = float32(v.Load)
-		} else if r.Inside < tap.Peers {
-			r.Pool[r.Inside] = tap.Peer{Server: int32(v.Backend), Load: float32(v.Load), AgeMs: float32(Millis(v.Age)), Cold: v.Cold}
+		} else if r.Inside < recorder.Peers {
+			r.Pool[r.Inside] = recorder.Peer{Server: int32(v.Backend), Load: float32(v.Load), AgeMs: float32(Millis(v.Age)), Cold: v.Cold}
 			r.Inside++
 		}
 	}
@@ -58,32 +58,32 @@
 // sends its clients away look alike.
 func (c *Call) tapEnd(status decide.Status, report decide.Report) {
 	now := c.x.Clock.Now()
-	r := tap.Record{At: now, Kind: tap.End, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), Status: status,
+	r := recorder.Record{At: now, Kind: recorder.End, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), Status: status,
 		Took: now - c.attempt.SentAt, Attempt: uint8(min(c.attempt.No, 255)), Load: float32(report.Load), Queue: float32(report.Inflight),
-		Errors: float32(report.Errors), By: tap.Server}
+		Errors: float32(report.Errors), By: recorder.Server}
 	r.WasUp = c.wasUp
 	switch {
 	case c.silent:
-		r.By = tap.Silence
+		r.By = recorder.Silence
 	case c.moving:
-		r.By = tap.Module
+		r.By = recorder.Module
 	case c.state == Ended && !c.broken:
-		r.By = tap.Client
+		r.By = recorder.Client
 	case c.canceled:
-		r.By = tap.Module
+		r.By = recorder.Module
 	}
 	c.x.Tap.Put(&r)
 }
 
 // tapProbe tells a probe's end.
 func (x *Exchange) tapProbe(at float64, s decide.Backend, status decide.Status, took float64, report decide.Report) {
-	x.Tap.Put(&tap.Record{At: at, Kind: tap.Probe, Server: int32(s), Status: status, Took: took, Load: float32(report.Load),
+	x.Tap.Put(&recorder.Record{At: at, Kind: recorder.Probe, Server: int32(s), Status: status, Took: took, Load: float32(report.Load),
 		Queue: float32(report.Inflight), Errors: float32(report.Errors)})
 }
 
 // tapTold tells that a reading of another relay is gone by.
 func (x *Exchange) tapTold(s decide.Backend, ageMs float64, load float64) {
-	x.Tap.Put(&tap.Record{At: x.Clock.Now() - ageMs, Kind: tap.Told, Server: int32(s), Took: ageMs, Load: float32(load)})
+	x.Tap.Put(&recorder.Record{At: x.Clock.Now() - ageMs, Kind: recorder.Told, Server: int32(s), Took: ageMs, Load: float32(load)})
 }
 
 // TurnedAway tells that the door refused a client of the class for want of descriptors.
@@ -92,7 +92,7 @@
 	x.figures.count(class, Refused)
 	x.mu.Unlock()
 	if x.Tap != nil {
-		x.Tap.Put(&tap.Record{At: x.Clock.Now(), Kind: tap.Refuse, Server: -1, By: tap.Door})
+		x.Tap.Put(&recorder.Record{At: x.Clock.Now(), Kind: recorder.Refuse, Server: -1, By: recorder.Door})
 	}
 }
 
--- a/internal/relay/trust_faults.go
+++ b/internal/relay/trust_faults.go
@@ -2,9 +2,9 @@
 
 package relay
 
-import "capersail/internal/fault"
+import "capersail/internal/testing/faultpoint"
 
 // disableCorroborationIfTold takes out the weighing of what peers tell, where the rules say so.
 func (s *Shared) disableCorroborationIfTold() {
-	s.scheduler.DisableCorroboration(fault.Present().Gullible)
+	s.scheduler.DisableCorroboration(faultpoint.Present().Gullible)
 }
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -9,7 +9,7 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 	"capersail/internal/token"
 )
 
@@ -28,7 +28,7 @@
 	s *Service
 }
 
-func newRelay(t testing.TB, zk *standin.ZooKeeper, change func(*Config)) *testRelay {
+func newRelay(t testing.TB, zk *fake.ZooKeeper, change func(*Config)) *testRelay {
 	t.Helper()
 	ring, err := token.NewRing([]token.Key{{ID: "a", Secret: bytes.Repeat([]byte{1}, 32)}})
 	if err != nil {
@@ -56,9 +56,9 @@
 	}
 }
 
-func service(t testing.TB) *standin.ZooKeeper {
+func service(t testing.TB) *fake.ZooKeeper {
 	t.Helper()
-	zk, err := standin.NewZooKeeper("/")
+	zk, err := fake.NewZooKeeper("/")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -1,4 +1,4 @@
-// Package resume is the driver round tokens and claims for one relay: it feeds the claim.Keeper with what the
+// Package resume is the driver round tokens and claims for one relay: it feeds the ownership.Keeper with what the
 // session with the claim service says, does what the Keeper asks, and tells calls whether their streams are
 // theirs. It knows no front's wire. docs/design/resume.md has the reasons, docs/RESUME.md the platform's lines.
 package resume
@@ -14,7 +14,7 @@
 
 	"github.com/rs/zerolog"
 
-	"capersail/internal/claim"
+	"capersail/internal/ownership"
 	"capersail/internal/relay"
 	"capersail/internal/token"
 	"capersail/internal/wire/zookeeper"
@@ -49,12 +49,12 @@
 	ring    atomic.Pointer[token.Ring]
 	until   atomic.Uint64 // bits of when claims are no longer to be trusted
 	session *zookeeper.Session
-	keeper  *claim.Keeper // of Run alone
+	keeper  *ownership.Keeper // of Run alone
 	streams map[uint64]*Stream
-	acts    []claim.Action
+	acts    []ownership.Action
 
 	mu      sync.Mutex
-	inbox   []any // claim.Event, or a func for Run
+	inbox   []any // ownership.Event, or a func for Run
 	ready   chan struct{}
 	handles uint64
 	stats   Stats
@@ -62,7 +62,7 @@
 
 // New returns a Service that Run begins.
 func New(c Config, ring *token.Ring, clock *relay.Clock, log zerolog.Logger) *Service {
-	s := &Service{Config: c, Clock: clock, Log: log, keeper: claim.New(rand.Uint64()), streams: map[uint64]*Stream{},
+	s := &Service{Config: c, Clock: clock, Log: log, keeper: ownership.New(rand.Uint64()), streams: map[uint64]*Stream{},
 		ready: make(chan struct{}, 1), wall: func() int64 { return time.Now().UnixMilli() }}
 	s.Path = path.Clean(c.Path)
 	s.ring.Store(ring)
@@ -125,7 +125,7 @@
 			return
 		case <-s.ready:
 		case <-wait.C:
-			s.feed(claim.Tick{})
+			s.feed(ownership.Tick{})
 		}
 		s.mu.Lock()
 		batch := s.inbox
@@ -135,7 +135,7 @@
 			switch ev := ev.(type) {
 			case func():
 				ev()
-			case claim.Event:
+			case ownership.Event:
 				s.feed(ev)
 			}
 		}
@@ -147,24 +147,24 @@
 func (s *Service) Close(within float64) { s.session.Close(within) }
 
 // feed lets the Keeper act. Only Run calls it, so answers reach calls in the order in which they were decided.
-func (s *Service) feed(ev claim.Event) {
+func (s *Service) feed(ev ownership.Event) {
 	s.acts = s.keeper.Handle(s.Clock.Now(), ev, s.acts[:0])
 	s.until.Store(math.Float64bits(s.keeper.Until()))
 	for _, act := range s.acts {
 		switch a := act.(type) {
-		case claim.Ask:
+		case ownership.Ask:
 			s.ask(a)
-		case claim.Won:
+		case ownership.Won:
 			s.count(&s.stats.Won)
 			s.streams[a.Handle].won(a.Generation)
-		case claim.Refused:
+		case ownership.Refused:
 			s.refused(a)
-		case claim.Lapsed:
+		case ownership.Lapsed:
 			s.count(&s.stats.Lapsed)
 			if st := s.streams[a.Handle]; st != nil {
 				st.lapse()
 			}
-		case claim.Released:
+		case ownership.Released:
 			if st := s.streams[a.Handle]; st != nil {
 				delete(s.streams, a.Handle)
 				st.free()
@@ -173,22 +173,22 @@
 	}
 }
 
-func (s *Service) refused(a claim.Refused) {
+func (s *Service) refused(a ownership.Refused) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
 	answer := relay.Answer{Kind: relay.Refused, RetryAfter: a.After}
 	switch a.Why {
-	case claim.Held:
+	case ownership.Held:
 		s.count(&s.stats.Held)
-	case claim.Behind:
+	case ownership.Behind:
 		s.count(&s.stats.Behind)
 		answer = relay.Answer{Kind: relay.Failed, Note: NoteBehind}
-	case claim.Unknown:
+	case ownership.Unknown:
 		s.count(&s.stats.Unknown)
 		answer = relay.Answer{Kind: relay.Failed, Note: NoteUnknown}
-	case claim.Unreachable:
+	case ownership.Unreachable:
 		s.count(&s.stats.Unreachable)
-	case claim.Slow:
+	case ownership.Slow:
 		s.count(&s.stats.Slow)
 	}
 	if st != nil {
@@ -198,49 +198,49 @@
 }
 
 // ask puts a Keeper's request to the claim service.
-func (s *Service) ask(a claim.Ask) {
+func (s *Service) ask(a ownership.Ask) {
 	record := s.Path + "/" + a.Stream.String()
 	holder := record + "/holder"
 	done := func(z zookeeper.Answer) {
-		r := claim.Reply{Ask: a.No, Version: z.Stat.Version, Owner: z.Stat.Owner}
+		r := ownership.Reply{Ask: a.No, Version: z.Stat.Version, Owner: z.Stat.Owner}
 		switch z.Code {
 		case zookeeper.OK:
 		case zookeeper.NoNode:
-			r.Code = claim.NoNode
+			r.Code = ownership.NoNode
 		case zookeeper.NodeExists:
-			r.Code = claim.Exists
+			r.Code = ownership.Exists
 		case zookeeper.BadVersion:
-			r.Code = claim.BadVersion
+			r.Code = ownership.BadVersion
 		case zookeeper.Lost:
-			r.Code = claim.Lost
+			r.Code = ownership.Lost
 		default:
 			s.Log.Warn().Int32("code", int32(z.Code)).Str("node", record).Msg("claim service refuses a request")
-			r.Code = claim.Other
+			r.Code = ownership.Other
 		}
-		if a.Kind == claim.Read && r.Code == claim.OK {
+		if a.Kind == ownership.Read && r.Code == ownership.OK {
 			var ok bool
-			if r.Record, ok = claim.ParseRecord(z.Data); !ok {
+			if r.Record, ok = ownership.ParseRecord(z.Data); !ok {
 				s.Log.Warn().Str("node", record).Msg("a record of another version; not used")
-				r.Code = claim.Other
+				r.Code = ownership.Other
 			}
 		}
 		s.post(r)
 	}
 	switch a.Kind {
-	case claim.Read:
+	case ownership.Read:
 		s.session.Get(record, done)
-	case claim.Make:
+	case ownership.Make:
 		s.session.Multi([]zookeeper.Step{zookeeper.CreateStep(record, a.Record.Marshal(), false),
 			zookeeper.CreateStep(holder, []byte(s.Relay), true)}, done)
-	case claim.Take:
+	case ownership.Take:
 		s.session.Multi([]zookeeper.Step{zookeeper.SetStep(record, a.Record.Marshal(), a.Version),
 			zookeeper.CreateStep(holder, []byte(s.Relay), true)}, done)
-	case claim.Look:
+	case ownership.Look:
 		s.session.Sync(holder, func(zookeeper.Answer) {})
 		s.session.Exists(holder, done)
-	case claim.Delete:
+	case ownership.Delete:
 		s.session.Delete(holder, -1, done)
-	case claim.Raise:
+	case ownership.Raise:
 		s.session.Set(record, a.Record.Marshal(), a.Version, done)
 	}
 }
@@ -258,17 +258,17 @@
 			}
 		})
 	}
-	s.post(claim.Connected{Session: session, Granted: granted, At: sentAt})
+	s.post(ownership.Connected{Session: session, Granted: granted, At: sentAt})
 }
 
-func (e *events) Disconnected() { (*Service)(e).post(claim.Disconnected{}) }
+func (e *events) Disconnected() { (*Service)(e).post(ownership.Disconnected{}) }
 
 func (e *events) Expired() {
 	(*Service)(e).Log.Warn().Msg("claim service: session expired")
-	(*Service)(e).post(claim.Expired{})
+	(*Service)(e).post(ownership.Expired{})
 }
 
-func (e *events) Answered(sentAt float64) { (*Service)(e).post(claim.Proven{At: sentAt}) }
+func (e *events) Answered(sentAt float64) { (*Service)(e).post(ownership.Proven{At: sentAt}) }
 
 // ancestors lists a path and those above it, the topmost first.
 func ancestors(p string) []string {
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -6,7 +6,7 @@
 	"sync"
 	"sync/atomic"
 
-	"capersail/internal/claim"
+	"capersail/internal/ownership"
 	"capersail/internal/relay"
 	"capersail/internal/token"
 )
@@ -118,7 +118,7 @@
 	}
 	st.handle = st.s.handle()
 	st.expires = st.s.wall() + int64(2*st.s.TokenLife+st.s.Skew)
-	w := claim.Want{Handle: st.handle, Stream: st.ID, Generation: st.token, Until: st.s.Clock.Now() + within, Expires: st.expires}
+	w := ownership.Want{Handle: st.handle, Stream: st.ID, Generation: st.token, Until: st.s.Clock.Now() + within, Expires: st.expires}
 	st.s.post(func() {
 		st.s.streams[w.Handle] = st
 		st.s.feed(w)
@@ -137,7 +137,7 @@
 		st.free()
 		return
 	}
-	st.s.post(claim.Drop{Handle: st.handle})
+	st.s.post(ownership.Drop{Handle: st.handle})
 }
 
 // free says that the claim is another's to win, or that there never was one.
@@ -184,7 +184,7 @@
 		st.gen.Store(0)
 		st.s.post(func() {
 			delete(st.s.streams, old)
-			st.s.feed(claim.Drop{Handle: old})
+			st.s.feed(ownership.Drop{Handle: old})
 		})
 		st.want(st.s.ClaimWithin)
 		st.mu.Unlock()
@@ -258,7 +258,7 @@
 
 // Lease is for how long the server may serve on without hearing of us, in ms; 0 if it need not be told now.
 // Without it a relay that is stopped would leave its server serving while the next relay's does too. What the
-// lease is longer than our trust by half of claim.Grace, so that the client is told to move before its server
+// lease is longer than our trust by half of ownership.Grace, so that the client is told to move before its server
 // ends the stream; the other half is for the lease's way to the server.
 func (st *Stream) Lease() float64 {
 	now := st.s.Clock.Now()
@@ -266,7 +266,7 @@
 		return 0
 	}
 	st.keptAt = now
-	return max(1, st.s.Until()-now+claim.Grace/2)
+	return max(1, st.s.Until()-now+ownership.Grace/2)
 }
 
 // Token seals a token for now; "" if there is none to give.
@@ -289,7 +289,7 @@
 	defer st.mu.Unlock()
 	if end := wall + int64(2*st.s.TokenLife+st.s.Skew); float64(end-st.expires) > st.s.TokenLife/4 && !st.over {
 		st.expires = end
-		st.s.post(claim.Confirm{Handle: st.handle, Expires: end})
+		st.s.post(ownership.Confirm{Handle: st.handle, Expires: end})
 	}
 	return text
 }
@@ -303,5 +303,5 @@
 		return
 	}
 	st.arrived = gen
-	st.s.post(claim.Confirm{Handle: st.handle, Arrived: true, Expires: st.expires})
+	st.s.post(ownership.Confirm{Handle: st.handle, Arrived: true, Expires: st.expires})
 }
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -4,7 +4,7 @@
 	"context"
 	"math/rand/v2"
 
-	"capersail/internal/claim"
+	"capersail/internal/ownership"
 	"capersail/internal/relay"
 	"capersail/internal/wire/zookeeper"
 )
@@ -38,7 +38,7 @@
 		case room <- struct{}{}:
 		}
 		s.session.Get(record, func(a zookeeper.Answer) {
-			r, ok := claim.ParseRecord(a.Data)
+			r, ok := ownership.ParseRecord(a.Data)
 			if a.Code != zookeeper.OK || !ok || float64(s.wall()-r.Expires) <= s.Skew {
 				<-room
 				return
--- a/internal/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -11,7 +11,7 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 	"capersail/internal/wire/discovery"
 )
 
@@ -25,7 +25,7 @@
 func listText(whole bool, from, until int, mode string) string {
 	var entries []string
 	for i := from; i < until; i++ {
-		entries = append(entries, standin.Entry(fmt.Sprintf("s-%08x", i*2654435761), fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255), mode))
+		entries = append(entries, fake.Entry(fmt.Sprintf("s-%08x", i*2654435761), fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255), mode))
 	}
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, until, whole, strings.Join(entries, ","))
 }
--- a/internal/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"capersail/internal/command"
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 const (
@@ -110,7 +110,7 @@
 }
 
 // startRelay starts the program on loopback with a list of servers. It is ended with the test.
-func startRelay(t *testing.T, discovery *standin.Discovery, more ...string) *relayProcess {
+func startRelay(t *testing.T, discovery *fake.Discovery, more ...string) *relayProcess {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -282,16 +282,16 @@
 }
 
 // stage is a discovery service that knows some servers, the first so many of which are there.
-func stage(t *testing.T, listed, there int) *standin.Discovery {
+func stage(t *testing.T, listed, there int) *fake.Discovery {
 	t.Helper()
 	d, _ := stageWith(t, listed, there)
 	return d
 }
 
 // stageWith is stage, and the servers that are there.
-func stageWith(t *testing.T, listed, there int) (d *standin.Discovery, all []*tileServer) {
+func stageWith(t *testing.T, listed, there int) (d *fake.Discovery, all []*tileServer) {
 	t.Helper()
-	d, err := standin.NewDiscovery("127.0.0.1:0")
+	d, err := fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/model/figures_test.go
+++ b/internal/simulation/model/figures_test.go
@@ -7,7 +7,7 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"capersail/internal/proving"
+	"capersail/internal/testing/cluster"
 )
 
 // What relays send to servers between two readings is summed where they tell it. Where it is guessed, servers are overdriven
@@ -68,7 +68,7 @@
 		}
 	}
 	if path := os.Getenv("CAPERSAIL_CHART"); path != "" {
-		if err := proving.Paint(path, proving.Panel{Title: "Probes a second at a server: 30 servers, 75 requests a second in all", X: "relays", Y: "probes a second", LogX: true,
+		if err := cluster.Paint(path, cluster.Panel{Title: "Probes a second at a server: 30 servers, 75 requests a second in all", X: "relays", Y: "probes a second", LogX: true,
 			Names: []string{"looks by turns", "each for itself (as it stood)"}, Lines: lines}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simnet/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -1,4 +1,4 @@
-package simnet
+package network
 
 import (
 	"bytes"
--- a/internal/hollow/calibrate.go
+++ b/internal/simulation/scale/calibrate.go
@@ -1,4 +1,4 @@
-package hollow
+package scale
 
 import (
 	"io"
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"capersail/internal/simnet"
+	"capersail/internal/simulation/network"
 )
 
 // PacketCost is the processor time that the simulated network takes for a packet, its copy, its counting and its delivery
@@ -16,7 +16,7 @@
 func PacketCost(layout Layout) time.Duration {
 	const endpoints, rounds, size = 100, 200, 250
 	var kinds tally
-	network := simnet.New(simnet.Config{Place: func(string) simnet.Place { return layout.Place(0) }, Delay: layout.Delay, Inspect: kinds.packet})
+	network := network.New(network.Config{Place: func(string) network.Place { return layout.Place(0) }, Delay: layout.Delay, Inspect: kinds.packet})
 	network.Record()
 	var readers sync.WaitGroup
 	var all []memberlist.NodeAwareTransport
--- a/internal/hollow/cells.go
+++ b/internal/simulation/scale/cells.go
@@ -1,4 +1,4 @@
-package hollow
+package scale
 
 import (
 	"fmt"
--- a/internal/hollow/events_test.go
+++ b/internal/simulation/scale/events_test.go
@@ -1,4 +1,4 @@
-package hollow
+package scale
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"time"
 
 	"capersail/internal/fleet/membership"
-	"capersail/internal/simnet"
+	"capersail/internal/simulation/network"
 )
 
 // deaths takes down when each relay has learned that one of the others has failed.
@@ -74,7 +74,7 @@
 
 // tell prints what an event has cost.
 func tell(what string, rest, g Figures) {
-	ratio, worst := 0.0, simnet.Sample{}
+	ratio, worst := 0.0, network.Sample{}
 	for _, s := range g.Seconds {
 		if s.WireOut() > worst.WireOut() {
 			worst = s
@@ -198,7 +198,7 @@
 		defer f.Stop()
 		fmt.Println(eventHeader)
 		const cutFor = 25 * time.Second
-		region := simnet.InRegion("region-1")
+		region := network.InRegion("region-1")
 		o := f.Observe(cost)
 		f.Network.CutOff("region", region)
 		time.Sleep(cutFor)
--- a/internal/hollow/figures.go
+++ b/internal/simulation/scale/figures.go
@@ -1,4 +1,4 @@
-package hollow
+package scale
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"capersail/internal/simnet"
+	"capersail/internal/simulation/network"
 )
 
 // Spread is a figure of all relays of a fleet, in bytes or messages a second.
@@ -30,8 +30,8 @@
 	NetworkCPU        float64       // ms that were taken off for it
 	HeapMB, StackMB   float64       // that live after a collection
 	Goroutines        float64
-	Kinds             Tally           // in all
-	Seconds           []simnet.Sample // of all relays together
+	Kinds             Tally            // in all
+	Seconds           []network.Sample // of all relays together
 	Refused           uint64
 	RealTook, RealCPU time.Duration // of this process, to measure it all
 }
@@ -87,28 +87,28 @@
 	return o.End()
 }
 
-func (f *Fleet) figures(records []simnet.Record, took time.Duration) Figures {
+func (f *Fleet) figures(records []network.Record, took time.Duration) Figures {
 	out := Figures{Relays: len(f.running()), Took: took}
 	connections := 0
 	for _, r := range records {
 		connections += r.Total.Connections
 		for i, s := range r.Seconds {
 			if i == len(out.Seconds) {
-				out.Seconds = append(out.Seconds, simnet.Sample{})
+				out.Seconds = append(out.Seconds, network.Sample{})
 			}
 			out.Seconds[i].Add(s)
 		}
 	}
 	out.Streams = float64(connections) / took.Seconds() / float64(max(out.Relays, 1))
-	out.Out = spread(records, took, simnet.Sample.Out)
-	out.In = spread(records, took, simnet.Sample.In)
-	out.WireOut = spread(records, took, simnet.Sample.WireOut)
-	out.WireIn = spread(records, took, simnet.Sample.WireIn)
-	out.Packets = spread(records, took, func(s simnet.Sample) int { return s.PacketsOut })
+	out.Out = spread(records, took, network.Sample.Out)
+	out.In = spread(records, took, network.Sample.In)
+	out.WireOut = spread(records, took, network.Sample.WireOut)
+	out.WireIn = spread(records, took, network.Sample.WireIn)
+	out.Packets = spread(records, took, func(s network.Sample) int { return s.PacketsOut })
 	return out
 }
 
-func spread(records []simnet.Record, took time.Duration, of func(simnet.Sample) int) (s Spread) {
+func spread(records []network.Record, took time.Duration, of func(network.Sample) int) (s Spread) {
 	for _, r := range records {
 		mean := float64(of(r.Total)) / took.Seconds()
 		s.Mean += mean / float64(len(records))
--- a/internal/hollow/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -1,4 +1,4 @@
-package hollow
+package scale
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"capersail/internal/fleet/membership"
 	"capersail/internal/relay"
-	"capersail/internal/simnet"
+	"capersail/internal/simulation/network"
 	"capersail/internal/wire/gossip"
 )
 
@@ -36,7 +36,7 @@
 type Relay struct {
 	Index   int
 	Address string
-	Place   simnet.Place
+	Place   network.Place
 	node    *gossip.Node // nil while it does not run
 	stop    context.CancelFunc
 	looks   *looks
@@ -45,7 +45,7 @@
 // Fleet is a fleet of hollow relays.
 type Fleet struct {
 	cfg     Config
-	Network *simnet.Network
+	Network *network.Network
 	kinds   tally
 	planned *planned // nil for a flat fleet
 
@@ -62,13 +62,13 @@
 	if c.CellsPerZone > 0 {
 		f.planned = newPlanned(c)
 	}
-	places := map[string]simnet.Place{}
+	places := map[string]network.Place{}
 	for i := range c.Relays {
 		r := &Relay{Index: i, Address: Address(i), Place: c.Layout.Place(i)}
 		places[r.Address] = r.Place
 		f.relays = append(f.relays, r)
 	}
-	f.Network = simnet.New(simnet.Config{Place: func(address string) simnet.Place { return places[address] }, Delay: c.Layout.Delay,
+	f.Network = network.New(network.Config{Place: func(address string) network.Place { return places[address] }, Delay: c.Layout.Delay,
 		Inspect: f.kinds.packet, InspectStream: f.kinds.stream})
 	for i := range f.relays {
 		if err := f.StartRelay(i); err != nil {
--- a/internal/hollow/layout.go
+++ b/internal/simulation/scale/layout.go
@@ -2,13 +2,13 @@
 // driver of the program (gossip.Node, and memory.Core where they share readings of servers) on a simulated network, without client
 // sockets. It uses nothing but package time, so that it runs in the virtual time of testing/synctest, where a second of a fleet takes
 // as much processor time as it needs; and in real time.
-package hollow
+package scale
 
 import (
 	"fmt"
 	"time"
 
-	"capersail/internal/simnet"
+	"capersail/internal/simulation/network"
 )
 
 // Layout says where relays stand: relay i is in zone i modulo Zones, zone z in region z modulo Regions.
@@ -27,13 +27,13 @@
 )
 
 // Place is where relay i stands.
-func (l Layout) Place(i int) simnet.Place {
+func (l Layout) Place(i int) network.Place {
 	zone := i % l.Zones
-	return simnet.Place{Region: fmt.Sprintf("region-%d", zone%l.Regions), Zone: fmt.Sprintf("zone-%02d", zone)}
+	return network.Place{Region: fmt.Sprintf("region-%d", zone%l.Regions), Zone: fmt.Sprintf("zone-%02d", zone)}
 }
 
 // Delay is how long a packet takes one way.
-func (l Layout) Delay(from, to simnet.Place) time.Duration {
+func (l Layout) Delay(from, to network.Place) time.Duration {
 	switch {
 	case from.Zone == to.Zone:
 		return delayInZone
--- a/internal/proving/cells.go
+++ b/internal/testing/cluster/cells.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"strings"
 	"syscall"
 
-	"capersail/internal/fault"
+	"capersail/internal/testing/faultpoint"
 )
 
 // Cell is a cell of a ground's relays in a plan.
@@ -132,7 +132,7 @@
 
 // LeastNear is the least near share that a relay had at any moment between two: what it noted last before the first, and what it noted
 // until the second. A share that lapsed meanwhile counts as none.
-func LeastNear(all []fault.Noted, name string, from, to float64) float64 {
+func LeastNear(all []faultpoint.Noted, name string, from, to float64) float64 {
 	least, until := -1.0, 0.0
 	for _, n := range all {
 		if n.Name != name || n.Event != "" || n.T > to {
--- a/internal/proving/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"capersail/internal/fault"
+	"capersail/internal/testing/faultpoint"
 )
 
 // regions are those of the tests, with a zone and a cell in each.
@@ -28,11 +28,11 @@
 
 // hurried is a fleet in cells whose leases are 2 s long, and in which cells hear of each other four times as often. The long run goes
 // by the program's own pace.
-func hurried() fault.Rules {
+func hurried() faultpoint.Rules {
 	if long() {
-		return fault.Rules{}
+		return faultpoint.Rules{}
 	}
-	return fault.Rules{LeaseMs: 2000, CellRate: 4}
+	return faultpoint.Rules{LeaseMs: 2000, CellRate: 4}
 }
 
 // cellPatience is patience with leases of 8 s, and rounds of 5 s between cells.
@@ -79,10 +79,10 @@
 
 // The checker adds shares up zone by zone: far ones count elsewhere, near ones in their zones, a flat relay's everywhere.
 func TestMostTakenInZones(t *testing.T) {
-	line := func(at float64, name string, near, far float64, zones ...string) fault.Noted {
-		return fault.Noted{T: at, Name: name, Share: near, Far: far, Zones: zones, Plan: 1}
+	line := func(at float64, name string, near, far float64, zones ...string) faultpoint.Noted {
+		return faultpoint.Noted{T: at, Name: name, Share: near, Far: far, Zones: zones, Plan: 1}
 	}
-	for want, all := range map[float64][]fault.Noted{
+	for want, all := range map[float64][]faultpoint.Noted{
 		1:    {line(0, "a", 0.75, 0.25, "x"), line(1, "b", 0.75, 0.25, "y")},
 		1.5:  {line(0, "a", 0.75, 0.25, "x"), line(1, "b", 0.75, 0.25, "x", "y")},
 		0.5:  {line(0, "a", 0.5, 0.5), line(1, "a", 0.25, 0.25)},
@@ -94,10 +94,10 @@
 	}
 	lapses := line(0, "a", 0.5, 0, "x")
 	lapses.Until = 4
-	if got := LeastNear([]fault.Noted{lapses, line(5, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0 {
+	if got := LeastNear([]faultpoint.Noted{lapses, line(5, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0 {
 		t.Errorf("a share that has lapsed for a while is %v", got)
 	}
-	if got := LeastNear([]fault.Noted{line(0, "a", 0.5, 0, "x"), line(5, "a", 0.25, 0, "x"), line(6, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0.25 {
+	if got := LeastNear([]faultpoint.Noted{line(0, "a", 0.5, 0, "x"), line(5, "a", 0.25, 0, "x"), line(6, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0.25 {
 		t.Errorf("the least is %v", got)
 	}
 }
--- a/internal/proving/cold_test.go
+++ b/internal/testing/cluster/cold_test.go
@@ -1,11 +1,11 @@
-package proving
+package cluster
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"capersail/internal/fault"
+	"capersail/internal/testing/faultpoint"
 )
 
 // coldDay is what a cold server's rule is told, and the load that would take it over its budget many times.
@@ -93,11 +93,11 @@
 func TestSharesNeedTheJointViewOverProcesses(t *testing.T) {
 	g := lay(t, Plan{Relays: 5, Unsafe: true}, 0)
 	for i := range g.Relays {
-		g.Rule(i, func(r *fault.Rules) { r.NoJoint = true })
+		g.Rule(i, func(r *faultpoint.Rules) { r.NoJoint = true })
 		g.Start(i)
 	}
 	await(t, patience()+10*time.Second, "at first", g.settled)
-	g.Rule(0, func(r *fault.Rules) { r.Rate = 0.95 }) // its grant lasts a little longer than the others think
+	g.Rule(0, func(r *faultpoint.Rules) { r.Rate = 0.95 }) // its grant lasts a little longer than the others think
 	sum := func() float64 {
 		all, err := g.Histories()
 		if err != nil {
--- a/internal/proving/load.go
+++ b/internal/testing/cluster/load.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"bufio"
@@ -12,13 +12,13 @@
 	"sync/atomic"
 	"time"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 // Sink is a server that notes when each connection's first line came to it.
 type Sink struct {
 	ID string
-	*standin.TileServer
+	*fake.TileServer
 	mu     sync.Mutex
 	came   []float64
 	probed []float64
@@ -26,7 +26,7 @@
 
 // NewSink starts a server that takes all that comes.
 func NewSink(id string) (*Sink, error) {
-	s, err := standin.NewTileServer("127.0.0.1:0", "UP")
+	s, err := fake.NewTileServer("127.0.0.1:0", "UP")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proving/many_test.go
+++ b/internal/testing/cluster/many_test.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"capersail/internal/fault"
+	"capersail/internal/testing/faultpoint"
 )
 
 // many is nine relays before twelve servers that report what their connections make of them.
@@ -25,7 +25,7 @@
 // relays is how many there are of each; newMany lays twice as many out, and starts the first half.
 const relays = 9
 
-func newMany(t *testing.T, p Plan, rules func(*fault.Rules)) *many {
+func newMany(t *testing.T, p Plan, rules func(*faultpoint.Rules)) *many {
 	p.Relays, p.Founders = 2*relays, relays
 	p.Settings = map[string]any{"specifics": map[string]any{"groups": false, "messageAimMs": []int{50}, "reportX0": "load asked of the server over what it can do",
 		"tenantQuotaConnections": []int{384}}}
@@ -191,8 +191,8 @@
 			}
 			pause(m, 9000)
 		},
-		"a liar: all empty": func(m *many) { m.g.Rule(4, func(r *fault.Rules) { r.Lies = true }); pause(m, 5000) },
-		"a liar: all full":  func(m *many) { m.g.Rule(4, func(r *fault.Rules) { r.Lies, r.Lie = true, 3 }); pause(m, 5000) },
+		"a liar: all empty": func(m *many) { m.g.Rule(4, func(r *faultpoint.Rules) { r.Lies = true }); pause(m, 5000) },
+		"a liar: all full":  func(m *many) { m.g.Rule(4, func(r *faultpoint.Rules) { r.Lies, r.Lie = true, 3 }); pause(m, 5000) },
 	}
 	for what, trouble := range troubles {
 		t.Run(what, func(t *testing.T) {
@@ -247,8 +247,8 @@
 	for _, gullible := range []bool{false, true} {
 		t.Run(fmt.Sprint(gullible), func(t *testing.T) {
 			t.Parallel()
-			m := newMany(t, Plan{}, func(r *fault.Rules) { r.Gullible = gullible })
-			m.g.Rule(4, func(r *fault.Rules) { r.Lies = true })
+			m := newMany(t, Plan{}, func(r *faultpoint.Rules) { r.Gullible = gullible })
+			m.g.Rule(4, func(r *faultpoint.Rules) { r.Lies = true })
 			believed := ""
 			for until := Now() + 6000; Now() < until && believed == ""; m.pass(200) {
 				out, err := ask("fleet", "show", "--socket", m.g.Relays[0].Socket)
--- a/internal/proving/oldlist_test.go
+++ b/internal/testing/cluster/oldlist_test.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 const (
@@ -142,7 +142,7 @@
 	all := servers(t, g, 3)
 	var known []json.RawMessage
 	for _, s := range all {
-		known = append(known, json.RawMessage(standin.Entry(s.ID, s.Address, "Ready")))
+		known = append(known, json.RawMessage(fake.Entry(s.ID, s.Address, "Ready")))
 	}
 	g.Discovery.Set("s0", all[0].Address, "Gone")
 	wait(toldBy + drainWithin)
--- a/internal/proving/operator_test.go
+++ b/internal/testing/cluster/operator_test.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"fmt"
--- a/internal/proving/proving.go
+++ b/internal/testing/cluster/proving.go
@@ -1,7 +1,7 @@
 // Package proving is the proving ground: it starts several processes of the real program on loopback, puts faults
 // between them by schedules that are drawn from a seed or read from a file, and reads their histories. The program is
 // built with the tag faults for it; the shipped one has no seams.
-package proving
+package cluster
 
 import (
 	"bufio"
@@ -24,8 +24,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"capersail/internal/fault"
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
+	"capersail/internal/testing/faultpoint"
 )
 
 // Build builds the program with its seams into a folder and returns its path. dir is the project's root.
@@ -63,19 +63,19 @@
 	OwnLooks bool               // they do, but each looks at servers for itself
 	Zones    []string           // of the settings; nil for the example's
 	ZoneOf   func(i int) string // a relay's, one of Zones
-	Rules    fault.Rules        // of each relay's process from its start on, but for the seed
+	Rules    faultpoint.Rules   // of each relay's process from its start on, but for the seed
 	Unsafe   bool               // a protection is taken out: the shares are not expected to add up
 }
 
 // Ground is a fleet of processes with its discovery.
 type Ground struct {
 	Plan
-	Discovery *standin.Discovery
+	Discovery *fake.Discovery
 	Relays    []*Relay
 
 	at     *place
 	mu     sync.Mutex
-	events []fault.Noted
+	events []faultpoint.Noted
 	cut    map[[2]int]bool
 	blind  map[int][]string // by relay: addresses of servers that it cannot reach
 }
@@ -89,7 +89,7 @@
 	cmd                   *exec.Cmd
 	ended                 chan struct{}
 	up, stopped           bool
-	rules                 fault.Rules
+	rules                 faultpoint.Rules
 	weight                atomic.Int64 // of what a Load brings
 	members               string       // the members' file as it is in a flat fleet
 }
@@ -150,7 +150,7 @@
 	if p.Site == "" {
 		p.Site = "ground"
 	}
-	d, err := standin.NewDiscovery("127.0.0.1:0")
+	d, err := fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
@@ -256,7 +256,7 @@
 func (g *Ground) note(i int, event string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.events = append(g.events, fault.Noted{T: Now(), Name: g.Relays[i].Name, Event: event})
+	g.events = append(g.events, faultpoint.Noted{T: Now(), Name: g.Relays[i].Name, Event: event})
 }
 
 // Start starts a relay's process.
@@ -349,7 +349,7 @@
 }
 
 // Rule changes a relay's faults.
-func (g *Ground) Rule(i int, change func(*fault.Rules)) error {
+func (g *Ground) Rule(i int, change func(*faultpoint.Rules)) error {
 	change(&g.Relays[i].rules)
 	return g.Relays[i].apply()
 }
@@ -392,14 +392,14 @@
 	clear(g.cut)
 	clear(g.blind)
 	for i, r := range g.Relays {
-		r.rules = fault.Rules{Seed: r.rules.Seed, Rate: r.rules.Rate, StepMs: r.rules.StepMs, LeaseMs: r.rules.LeaseMs, CellRate: r.rules.CellRate}
+		r.rules = faultpoint.Rules{Seed: r.rules.Seed, Rate: r.rules.Rate, StepMs: r.rules.StepMs, LeaseMs: r.rules.LeaseMs, CellRate: r.rules.CellRate}
 		g.Cont(i)
 	}
 	return g.Apply()
 }
 
 // Histories are all lines of all processes and of the rig, in the order of their times.
-func (g *Ground) Histories() ([]fault.Noted, error) {
+func (g *Ground) Histories() ([]faultpoint.Noted, error) {
 	g.mu.Lock()
 	all := slices.Clone(g.events)
 	g.mu.Unlock()
@@ -412,14 +412,14 @@
 			return nil, err
 		}
 		for lines := bufio.NewScanner(f); lines.Scan(); {
-			var n fault.Noted
+			var n faultpoint.Noted
 			if json.Unmarshal(lines.Bytes(), &n) == nil { // the last line of a killed process may be torn
 				all = append(all, n)
 			}
 		}
 		f.Close()
 	}
-	slices.SortStableFunc(all, func(a, b fault.Noted) int {
+	slices.SortStableFunc(all, func(a, b faultpoint.Noted) int {
 		switch {
 		case a.T < b.T:
 			return -1
@@ -432,9 +432,9 @@
 }
 
 // Last is the newest line of each relay's newest life.
-func (g *Ground) Last() (map[string]fault.Noted, error) {
+func (g *Ground) Last() (map[string]faultpoint.Noted, error) {
 	all, err := g.Histories()
-	last := map[string]fault.Noted{}
+	last := map[string]faultpoint.Noted{}
 	for _, n := range all {
 		switch n.Event {
 		case "start", "kill":
@@ -463,8 +463,8 @@
 }
 
 // agree tells whether relays hold one view of just them.
-func agree(last map[string]fault.Noted, names []string, settled bool) error {
-	var ref fault.Noted
+func agree(last map[string]faultpoint.Noted, names []string, settled bool) error {
+	var ref faultpoint.Noted
 	for _, name := range names {
 		n, ok := last[name]
 		if !ok {
@@ -504,8 +504,8 @@
 // MostTaken is the greatest sum of shares that the relays took at any moment of the budgets of one zone, and when that was. A relay
 // takes its share from its line on until the next one, until the share lapses, or until its process has ended; in a cell a near
 // one in some zones and a far one in all others.
-func MostTaken(all []fault.Noted) (most float64, at float64) {
-	held := map[string]fault.Noted{}
+func MostTaken(all []faultpoint.Noted) (most float64, at float64) {
+	held := map[string]faultpoint.Noted{}
 	zones := []string{""} // one that is near to no cell
 	for _, n := range all {
 		for _, zone := range n.Zones {
@@ -535,7 +535,7 @@
 }
 
 // Tail are the last lines before a moment, for a failure's report.
-func Tail(all []fault.Noted, at, ms float64) string {
+func Tail(all []faultpoint.Noted, at, ms float64) string {
 	var b strings.Builder
 	for _, n := range all {
 		if n.T > at-ms && n.T <= at+1 {
--- a/internal/proving/proving_test.go
+++ b/internal/testing/cluster/proving_test.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"capersail/internal/fault"
+	"capersail/internal/testing/faultpoint"
 )
 
 // program is the program with its seams, built once.
@@ -192,7 +192,7 @@
 			for i := range g.Relays {
 				g.Play([]Step{{Do: "rate", Who: i, Value: []float64{0.95, 1.05, 1}[i%3]}})
 			}
-			g.Rule(6, func(r *fault.Rules) { r.StepMs = 3_600_000 }) // and the clock of the day an hour ahead
+			g.Rule(6, func(r *faultpoint.Rules) { r.StepMs = 3_600_000 }) // and the clock of the day an hour ahead
 			g.Kill(6)
 			g.Start(6)
 			split(0, 0, 0, 0, 1, 1, 1)(t, g)
@@ -208,7 +208,7 @@
 		},
 		"other versions' digests": func(t *testing.T, g *Ground) {
 			for i := range g.Relays {
-				g.Rule(i, func(r *fault.Rules) { r.Digest = []int{0, -1, 1}[i%3] })
+				g.Rule(i, func(r *faultpoint.Rules) { r.Digest = []int{0, -1, 1}[i%3] })
 			}
 			g.Kill(1)
 			pause(500)
@@ -379,7 +379,7 @@
 				os.Remove(file)
 				return
 			}
-			t.Logf("to play it again: CAPERSAIL_REPLAY=%s go test ./internal/proving -run TestDrawnSchedules", file)
+			t.Logf("to play it again: CAPERSAIL_REPLAY=%s go test ./internal/testing/cluster -run TestDrawnSchedules", file)
 		}()
 		if err := g.Play(all); err != nil {
 			t.Fatal(err)
@@ -412,10 +412,10 @@
 
 // The checker finds a sum over one, and does not find one where a share has lapsed or its process has ended.
 func TestMostTaken(t *testing.T) {
-	line := func(at float64, name string, share, until float64) fault.Noted {
-		return fault.Noted{T: at, Name: name, Share: share, Until: until}
+	line := func(at float64, name string, share, until float64) faultpoint.Noted {
+		return faultpoint.Noted{T: at, Name: name, Share: share, Until: until}
 	}
-	for want, all := range map[float64][]fault.Noted{
+	for want, all := range map[float64][]faultpoint.Noted{
 		1.5: {line(0, "a", 0.5, 0), line(1, "b", 1, 9)},
 		1:   {line(0, "a", 0.5, 1), line(2, "b", 1, 9)},
 		0.9: {line(0, "a", 0.5, 0), {T: 1, Name: "a", Event: "kill"}, line(2, "b", 0.9, 9)},
@@ -440,7 +440,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, mark := range []string{"CAPERSAIL_FAULTS", "capersail/internal/fault"} {
+		for _, mark := range []string{"CAPERSAIL_FAULTS", "capersail/internal/testing/faultpoint"} {
 			if got := strings.Contains(string(text), mark); got != want {
 				t.Errorf("%s in %s: %v", mark, filepath.Base(path), got)
 			}
--- a/internal/proving/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"capersail/internal/fault"
+	"capersail/internal/testing/faultpoint"
 )
 
 // Step is one thing that a schedule does.
@@ -31,15 +31,17 @@
 	"split": func(g *Ground, s Step) error { g.Split(s.Parts); return g.Apply() },
 	"cut":   func(g *Ground, s Step) error { g.Cut(s.Who, s.To, true); return g.Apply() },
 	"join":  func(g *Ground, s Step) error { clear(g.cut); return g.Apply() },
-	"loss":  func(g *Ground, s Step) error { return g.all(func(r *fault.Rules) { r.Loss = s.Value }) },
-	"twice": func(g *Ground, s Step) error { return g.all(func(r *fault.Rules) { r.Twice = s.Value }) },
-	"delay": func(g *Ground, s Step) error { return g.all(func(r *fault.Rules) { r.DelayMs = s.Value }) },
-	"late":  func(g *Ground, s Step) error { return g.all(func(r *fault.Rules) { r.Late, r.LateMs = s.Value, 3000 }) },
-	"rate":  func(g *Ground, s Step) error { return g.Rule(s.Who, func(r *fault.Rules) { r.Rate = s.Value }) },
-	"heal":  func(g *Ground, s Step) error { return g.Heal() },
+	"loss":  func(g *Ground, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Loss = s.Value }) },
+	"twice": func(g *Ground, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Twice = s.Value }) },
+	"delay": func(g *Ground, s Step) error { return g.all(func(r *faultpoint.Rules) { r.DelayMs = s.Value }) },
+	"late": func(g *Ground, s Step) error {
+		return g.all(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
+	},
+	"rate": func(g *Ground, s Step) error { return g.Rule(s.Who, func(r *faultpoint.Rules) { r.Rate = s.Value }) },
+	"heal": func(g *Ground, s Step) error { return g.Heal() },
 }
 
-func (g *Ground) all(change func(*fault.Rules)) error {
+func (g *Ground) all(change func(*faultpoint.Rules)) error {
 	for i := range g.Relays {
 		if err := g.Rule(i, change); err != nil {
 			return err
--- a/internal/proving/soak_test.go
+++ b/internal/testing/cluster/soak_test.go
@@ -1,4 +1,4 @@
-package proving
+package cluster
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"time"
 
 	"capersail/decide"
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 const (
@@ -82,7 +82,7 @@
 // readyTargets is the list of the targets as all of them are ready.
 func readyTargets(targets []*Target) (all []json.RawMessage) {
 	for _, target := range targets {
-		all = append(all, json.RawMessage(standin.Entry(target.ID, target.Address, "Ready")))
+		all = append(all, json.RawMessage(fake.Entry(target.ID, target.Address, "Ready")))
 	}
 	return all
 }
--- a/internal/knownred/main.go
+++ b/internal/testing/expectedfail/main.go
@@ -1,7 +1,7 @@
 // Command knownred passes over the tests that KNOWN-RED.txt lists, and over nothing else. It reads what `go test -json` writes,
 // prints it as go test would, and ends with 0 if every test that failed is listed and every one listed has failed.
 //
-//	go test -json ./... | go run ./internal/knownred KNOWN-RED.txt
+//	go test -json ./... | go run ./internal/testing/expectedfail KNOWN-RED.txt
 package main
 
 import (
--- a/internal/fault/fault.go
+++ b/internal/testing/faultpoint/fault.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package fault
+package faultpoint
 
 import (
 	"encoding/json"
--- a/internal/fault/rules.go
+++ b/internal/testing/faultpoint/rules.go
@@ -3,7 +3,7 @@
 //
 // The file that CAPERSAIL_FAULTS names holds the Rules, read again as it changes; CAPERSAIL_HISTORY names a file to
 // which the process appends what it does, on the machine's one monotonic clock.
-package fault
+package faultpoint
 
 import "slices"
 
--- a/internal/wire/gate/gate.go
+++ b/internal/wire/connlimit/gate.go
@@ -1,6 +1,6 @@
 // Package gate guards the client side against clients that take more than their part of descriptors,
 // memory and processor time. Every limit on clients that both fronts keep is here.
-package gate
+package connlimit
 
 import (
 	"container/list"
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"capersail/internal/relay"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/splice"
 )
 
 const (
@@ -67,7 +67,7 @@
 
 // Pass is one client's connection, as the gate counts it.
 type Pass struct {
-	End   *link.End
+	End   *splice.End
 	Until float64 // when it must have brought its request
 
 	g       *Gate
@@ -118,7 +118,7 @@
 	if g.held-g.evicted >= g.room {
 		g.evict()
 	}
-	p := &Pass{End: &link.End{Conn: conn, Clock: g.Clock}, Until: g.Clock.Now() + RequestWithin, g: g, client: true}
+	p := &Pass{End: &splice.End{Conn: conn, Clock: g.Clock}, Until: g.Clock.Now() + RequestWithin, g: g, client: true}
 	p.place = g.idle.PushBack(p)
 	if g.held++; g.ending {
 		p.End.Wake()
--- a/internal/wire/gate/gate_test.go
+++ b/internal/wire/connlimit/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package connlimit
 
 import (
 	"net"
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -18,7 +18,7 @@
 	"capersail/internal/fleet/cells"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/relay"
-	"capersail/internal/simnet"
+	"capersail/internal/simulation/network"
 )
 
 // twoCells is a plan of two cells of three relays.
@@ -43,7 +43,7 @@
 
 // Two cells whose seeds name relays of both stay apart, and each hears of the other by summaries.
 func TestCellsAreNotMerged(t *testing.T) {
-	network := simnet.New(simnet.Config{})
+	network := network.New(network.Config{})
 	ctx, stop := context.WithCancel(context.Background())
 	dir := t.TempDir()
 	var all []*Node
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -22,9 +22,9 @@
 
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
-	"capersail/internal/proving"
 	"capersail/internal/relay"
-	"capersail/internal/simnet"
+	"capersail/internal/simulation/network"
+	"capersail/internal/testing/cluster"
 )
 
 // TestMain looks for goroutines that outlive the tests. memberlist's own probes under way end by their deadlines.
@@ -44,7 +44,7 @@
 }
 
 // fleet starts n Nodes on a simulated network, in lots, and ends them with the test.
-func fleet(t *testing.T, network *simnet.Network, n int, notice func(at string, c membership.Changed)) []*Node {
+func fleet(t *testing.T, network *network.Network, n int, notice func(at string, c membership.Changed)) []*Node {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	var all []*Node
@@ -99,7 +99,7 @@
 // a dead one is out of all views and one that is back is in them. Where one relay takes another for dead that is not, no view
 // may follow: most voters have to say so.
 func measure(t *testing.T, n int, watch time.Duration) (c cost) {
-	network := simnet.New(simnet.Config{})
+	network := network.New(network.Config{})
 	var failed, views atomic.Int64
 	var quiet atomic.Bool
 	all := fleet(t, network, n, func(_ string, c membership.Changed) {
@@ -173,7 +173,7 @@
 	if path == "" { // one small fleet, to see that the chart is drawn
 		path, sizes, watch = filepath.Join(t.TempDir(), "members.svg"), []int{10}, time.Second
 	}
-	panels := []proving.Panel{{Title: "What each relay sends and computes", X: "relays", LogX: true, Names: []string{"KB of packets a second", "ms of CPU a second"}, Lines: make([]plotter.XYs, 2)},
+	panels := []cluster.Panel{{Title: "What each relay sends and computes", X: "relays", LogX: true, Names: []string{"KB of packets a second", "ms of CPU a second"}, Lines: make([]plotter.XYs, 2)},
 		{Title: "How soon all views have it", X: "relays", Y: "s", LogX: true, Names: []string{"a dead one is out", "one that is back is in", "one view after the start of all"}, Lines: make([]plotter.XYs, 3)}}
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -186,13 +186,13 @@
 			}
 		})
 	}
-	if err := proving.Paint(path, panels...); err != nil {
+	if err := cluster.Paint(path, panels...); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // sentIn is how many bytes of packets all endpoints have sent since the recording began.
-func sentIn(network *simnet.Network) (bytes float64) {
+func sentIn(network *network.Network) (bytes float64) {
 	for _, r := range network.Recorded() {
 		bytes += float64(r.Total.BytesOut)
 	}
@@ -406,7 +406,7 @@
 // In an upgrade two processes of one relay run for a while: the second takes no share and says nothing to anybody until
 // the first has left, then goes on with what that one promised.
 func TestTwoProcessesOfOneRelay(t *testing.T) {
-	network := simnet.New(simnet.Config{})
+	network := network.New(network.Config{})
 	state := filepath.Join(t.TempDir(), "state")
 	start := func(at int) (*Node, func()) {
 		n, err := New(Config{Name: "r0", Site: "s", Bind: address(at), Seeds: []string{address(0)}, State: state, Founders: 1, Relays: 1, Clock: relay.NewClock(),
@@ -437,7 +437,7 @@
 
 // Keys are rotated while relays run, one after the other, and nobody is lost.
 func TestKeysAreRotated(t *testing.T) {
-	network := simnet.New(simnet.Config{})
+	network := network.New(network.Config{})
 	one, two := bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
 	ctx, stop := context.WithCancel(context.Background())
 	var all []*Node
--- a/internal/wire/gossip/moves_test.go
+++ b/internal/wire/gossip/moves_test.go
@@ -12,11 +12,11 @@
 
 	"capersail/internal/fleet/membership"
 	"capersail/internal/relay"
-	"capersail/internal/simnet"
+	"capersail/internal/simulation/network"
 )
 
 // startIn starts relay number i in a cell of twoCells and returns it with what has it leave and waits for its end.
-func startIn(t *testing.T, network *simnet.Network, dir, cell string, i int, seeds ...string) (*Node, func()) {
+func startIn(t *testing.T, network *network.Network, dir, cell string, i int, seeds ...string) (*Node, func()) {
 	t.Helper()
 	node, err := New(Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: seeds,
 		State: filepath.Join(dir, fmt.Sprintf("%s-%d", cell, i)), InitialPlace: -1, Founders: 3, Relays: 6, Seed: uint64(i),
@@ -46,7 +46,7 @@
 // A relay moves to another cell and soon comes back, through a relay that has not known it before. The relays that have met it
 // in the other cell meanwhile count it as there again as soon as they hear its status, not only once they try its address again.
 func TestRelayIsBackFromAnotherCell(t *testing.T) {
-	network, dir := simnet.New(simnet.Config{}), t.TempDir()
+	network, dir := network.New(network.Config{}), t.TempDir()
 	r0, _ := startIn(t, network, dir, "east-1", 0)
 	r3, _ := startIn(t, network, dir, "east-1", 3, address(0))
 	_, stopEast := startIn(t, network, dir, "east-1", 2, address(0))
--- a/internal/wire/gossip/seam_faults.go
+++ b/internal/wire/gossip/seam_faults.go
@@ -12,9 +12,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"capersail/internal/fault"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
+	"capersail/internal/testing/faultpoint"
 )
 
 // seam puts faults between this relay and the others.
@@ -30,7 +30,7 @@
 // WriteToAddress is memberlist's.
 func (f *faulty) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	text := append([]byte(nil), b...)
-	for _, after := range fault.Packet(to.Addr) {
+	for _, after := range faultpoint.Packet(to.Addr) {
 		if after <= 0 {
 			f.counted.WriteToAddress(text, to)
 			continue
@@ -47,7 +47,7 @@
 
 // DialAddressTimeout is memberlist's.
 func (f *faulty) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
-	if !fault.Reaches(to.Addr) {
+	if !faultpoint.Reaches(to.Addr) {
 		time.Sleep(min(within, 300*time.Millisecond))
 		return nil, errors.New("i/o timeout")
 	}
@@ -55,24 +55,24 @@
 }
 
 // noted is what the last line of the history said.
-var noted fault.Noted
+var noted faultpoint.Noted
 
 // history takes down what the relay reckons with, as it changes.
 func (n *Node) history() {
-	if !fault.On() {
+	if !faultpoint.On() {
 		return
 	}
 	n.mu.Lock()
-	if fault.Present().NoJoint {
+	if faultpoint.Present().NoJoint {
 		n.membership.DisableJointViews()
 	}
 	now, v := n.now(), n.membership.View()
 	r := n.membership.Estimate(now)
-	t := fault.Now()
-	line := fault.Noted{Name: n.cfg.Name, Incarnation: n.membership.Incarnation(), Epoch: r.Epoch, Hash: n.membership.Hash(), Phase: r.Phase.String(),
+	t := faultpoint.Now()
+	line := faultpoint.Noted{Name: n.cfg.Name, Incarnation: n.membership.Incarnation(), Epoch: r.Epoch, Hash: n.membership.Hash(), Phase: r.Phase.String(),
 		Settled: v.Settled(), Share: r.Share, Relays: r.Relays}
 	if !math.IsInf(r.Until, 1) {
-		line.Until = t + (r.Until-now)/fault.Rate()
+		line.Until = t + (r.Until-now)/faultpoint.Rate()
 	}
 	n.noteCells(&line, r, v)
 	if line.Epoch != noted.Epoch || line.Hash != noted.Hash {
@@ -88,11 +88,11 @@
 	}
 	line.T = t
 	noted = line
-	fault.Note(line)
+	faultpoint.Note(line)
 }
 
 // noteCells takes down what the relay knows of its cell and of the others.
-func (n *Node) noteCells(line *fault.Noted, r membership.FleetEstimate, v *membership.View) {
+func (n *Node) noteCells(line *faultpoint.Noted, r membership.FleetEstimate, v *membership.View) {
 	line.Far, line.Zones, line.Plan, line.Open = r.FarShare, r.NearZones, r.Plan, r.PlanOpen
 	if v.Allocation == nil {
 		line.Far, line.Zones = r.Share, nil
@@ -109,7 +109,7 @@
 
 // paced makes the leases of a cell as short as the rules say.
 func (n *Node) paced(p membership.Pace) membership.Pace {
-	if ms := fault.Present().LeaseMs; ms > 0 && p != (membership.Pace{}) {
+	if ms := faultpoint.Present().LeaseMs; ms > 0 && p != (membership.Pace{}) {
 		p.StatusEvery *= ms / p.LeaseFor
 		p.LeaseFor = ms
 	}
@@ -117,14 +117,14 @@
 }
 
 // hurried is how much faster the clock between cells runs than the relay's.
-func hurried() float64 { return max(fault.Present().CellRate, 1) }
+func hurried() float64 { return max(faultpoint.Present().CellRate, 1) }
 
 func (n *Node) cellTime(now float64) float64 { return now * hurried() }
 func (n *Node) nodeTime(at float64) float64  { return at / hurried() }
 
 // lie makes the readings that this relay made itself into what the rules say.
 func (n *Node) lie(readings []probing.Reading) []probing.Reading {
-	r := fault.Present()
+	r := faultpoint.Present()
 	if !r.Lies {
 		return readings
 	}
@@ -139,7 +139,7 @@
 
 // recode makes a status one of an earlier version, which lacks what is not needed, or of a later one, which has more.
 func (n *Node) recode(d membership.Status) any {
-	version := fault.Present().Digest
+	version := faultpoint.Present().Digest
 	if version == 0 {
 		return d
 	}
--- a/internal/wire/platform/client.go
+++ b/internal/wire/platform/client.go
@@ -9,8 +9,8 @@
 	"capersail/decide"
 	"capersail/internal/relay"
 	"capersail/internal/resume"
-	"capersail/internal/wire/gate"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/connlimit"
+	"capersail/internal/wire/splice"
 )
 
 // maxPings is how many pings a connection may begin with. Each costs an answer.
@@ -20,7 +20,7 @@
 type Front struct {
 	X    *relay.Exchange
 	Site *relay.Site
-	Gate *gate.Gate
+	Gate *connlimit.Gate
 	// Resume lets streams go on elsewhere; nil where that is off.
 	Resume *resume.Service
 }
@@ -29,7 +29,7 @@
 func (f *Front) Serve(l net.Listener) error { return f.Gate.Serve(l, f.serve) }
 
 // serve speaks with one client until its connection is closed, and that to its server too.
-func (f *Front) serve(p *gate.Pass) {
+func (f *Front) serve(p *connlimit.Pass) {
 	e := p.End
 	in := newLines(e.Conn)
 	e.Until(p.Until)
@@ -47,11 +47,11 @@
 
 // first takes a connection up to its request. Nil means that it has its answer, or that none is due: it said
 // nothing in time, or had to make room for others.
-func (f *Front) first(p *gate.Pass, e *link.End, in *lines) *relay.Call {
+func (f *Front) first(p *connlimit.Pass, e *splice.End, in *lines) *relay.Call {
 	last := false // what has come is all that counts: its time is up, its place is wanted, or the relay leaves
 	for range maxPings {
 		line, err := in.next()
-		if link.TimedOut(err) && !last {
+		if splice.TimedOut(err) && !last {
 			last = true
 			in.feed(e.Take())
 			line, err = in.next()
@@ -97,7 +97,7 @@
 var errUnasked = errors.New("lines before the answer")
 
 // refuse answers what cannot be read.
-func (f *Front) refuse(e *link.End, line []byte, err error) {
+func (f *Front) refuse(e *splice.End, line []byte, err error) {
 	f.Gate.Log.Warn().Err(err).Bytes("line", line[:min(len(line), 80)]).Msg("bad client; failed")
 	var r *refusal
 	if errors.As(err, &r) {
@@ -146,7 +146,7 @@
 
 // follow reads the client until its end. Before the call is up a wake means an answer; after that the
 // server side writes to the client, and this goroutine only passes on what the client sends.
-func (f *Front) follow(call *relay.Call, e *link.End, in *lines) {
+func (f *Front) follow(call *relay.Call, e *splice.End, in *lines) {
 	st := streamOf(call)
 	for {
 		line, err := in.next()
@@ -168,7 +168,7 @@
 			}
 			call.Asked()
 			remote.Pass(line) // if that fails, the server side meets the same break and ends both
-		case link.TimedOut(err):
+		case splice.TimedOut(err):
 			e.Rest()
 			if state, _ := call.State(); state == relay.Ended || e.Over() { // answered, or ended by its server
 				f.answer(call, e)
@@ -176,14 +176,14 @@
 			}
 			e.Until(0)
 		default:
-			call.Leave(link.Ending(err))
+			call.Leave(splice.Ending(err))
 			return
 		}
 	}
 }
 
 // answer writes the final answer of a call that did not come up.
-func (f *Front) answer(call *relay.Call, e *link.End) {
+func (f *Front) answer(call *relay.Call, e *splice.End) {
 	_, a := call.State()
 	switch {
 	case a.Kind == relay.Refused && a.RetryAfter > 0:
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -10,12 +10,12 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/wire/gate"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/connlimit"
+	"capersail/internal/wire/splice"
 )
 
 // awaitPending waits until a peer's bytes or end have come, which loopback brings in its own time.
-func awaitPending(t *testing.T, e *link.End) {
+func awaitPending(t *testing.T, e *splice.End) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !e.Pending(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -27,21 +27,21 @@
 // A request that has come when its connection is to be ended, and that nobody has read yet, is served: the bad order is made by
 // ending the connection first and reading it after. One that is not whole by then gets a clean end, not a reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
-	for name, end := range map[string]func(*gate.Pass){
-		"its time is up":      func(p *gate.Pass) { p.Until = 1 },
-		"its place is wanted": func(p *gate.Pass) { p.End.Hurry() },
-		"the relay leaves":    func(p *gate.Pass) { p.End.Wake() },
+	for name, end := range map[string]func(*connlimit.Pass){
+		"its time is up":      func(p *connlimit.Pass) { p.Until = 1 },
+		"its place is wanted": func(p *connlimit.Pass) { p.End.Hurry() },
+		"the relay leaves":    func(p *connlimit.Pass) { p.End.Wake() },
 	} {
 		for line, want := range map[string]string{open + "\r\n": "UP a1", "PING\r\n": "PONG", open: "end", "": "end"} {
 			_, x, _ := serve(t, "UP")
 			site := &relay.Site{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Classes: []decide.ClassInfo{{}}}}
-			f := &Front{X: x, Site: site, Gate: gate.New(x.Clock, 24, zerolog.Nop())}
+			f := &Front{X: x, Site: site, Gate: connlimit.New(x.Clock, 24, zerolog.Nop())}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.Close() })
-			go f.Gate.Serve(l, func(p *gate.Pass) {
+			go f.Gate.Serve(l, func(p *connlimit.Pass) {
 				if line != "" {
 					awaitPending(t, p.End)
 				}
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { own.Close() })
-		e := &link.End{Conn: own, Clock: x.Clock}
+		e := &splice.End{Conn: own, Clock: x.Clock}
 		leave(client.(*net.TCPConn))
 		awaitPending(t, e)
 		o, err := parseOpening([]byte(open))
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -14,8 +14,8 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/standin"
-	"capersail/internal/wire/gate"
+	"capersail/internal/testing/fake"
+	"capersail/internal/wire/connlimit"
 )
 
 func TestOpening(t *testing.T) {
@@ -104,7 +104,7 @@
 func (noList) Fetch() {}
 
 // serve starts both sides with servers that answer as told, by the id of each.
-func serve(t *testing.T, answers ...string) (address string, x *relay.Exchange, servers []*standin.TileServer) {
+func serve(t *testing.T, answers ...string) (address string, x *relay.Exchange, servers []*fake.TileServer) {
 	t.Helper()
 	clock := relay.NewClock()
 	site := &relay.Site{Classes: map[string]decide.Class{"m": 0}, LoadKey: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
@@ -113,7 +113,7 @@
 	x = relay.NewExchange(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, LoadKey: "x0", Keep: 4})
 	var list []relay.Listed
 	for i, answer := range answers {
-		s, err := standin.NewTileServer("127.0.0.1:0", answer)
+		s, err := fake.NewTileServer("127.0.0.1:0", answer)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	go (&Front{X: x, Site: site, Gate: gate.New(clock, 24, zerolog.Nop())}).Serve(l)
+	go (&Front{X: x, Site: site, Gate: connlimit.New(clock, 24, zerolog.Nop())}).Serve(l)
 	go relay.NewCore(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
 	return l.Addr().String(), x, servers
 }
@@ -291,7 +291,7 @@
 	var all []*client
 	for _, say := range []string{"", "PING\r\n", "half a li"} {
 		c := connect(t, address)
-		c.SetDeadline(time.Now().Add(4 * gate.RequestWithin * time.Millisecond))
+		c.SetDeadline(time.Now().Add(4 * connlimit.RequestWithin * time.Millisecond))
 		fmt.Fprint(c, say)
 		all = append(all, c)
 	}
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -8,7 +8,7 @@
 
 	"capersail/internal/relay"
 	"capersail/internal/resume"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/splice"
 )
 
 // The lines of the extension (docs/RESUME.md). All of this file is for calls that have a stream; the others
@@ -57,7 +57,7 @@
 
 // keep tells the server how long it may serve on, if that is due. It comes before a stream's first token: from
 // then on another relay may be shown one.
-func keep(e *link.End, st *resume.Stream) {
+func keep(e *splice.End, st *resume.Stream) {
 	if st == nil {
 		return
 	}
@@ -67,7 +67,7 @@
 }
 
 // begin is the server's UP, with what the client is to know beyond it: a gap, and its token.
-func begin(e *link.End, st *resume.Stream, a relay.Attempt, up []byte) []byte {
+func begin(e *splice.End, st *resume.Stream, a relay.Attempt, up []byte) []byte {
 	out := append([]byte(nil), up...)
 	first, stated := uint64(0), false
 	for _, field := range strings.Fields(string(up)) {
@@ -140,7 +140,7 @@
 }
 
 // part ends a stream at its server, and only then lets it be another relay's.
-func part(e *link.End, st *resume.Stream) {
+func part(e *splice.End, st *resume.Stream) {
 	if st != nil {
 		e.Close(relay.Clean)
 		e.Conn.Close()
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -14,9 +14,9 @@
 	"capersail/decide"
 	"capersail/internal/relay"
 	"capersail/internal/resume"
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 	"capersail/internal/token"
-	"capersail/internal/wire/gate"
+	"capersail/internal/wire/connlimit"
 )
 
 // What a first line turns into where tokens are on: the relay's two fields never go on.
@@ -89,7 +89,7 @@
 // BenchmarkLines: lines a second to one client, with the extension off, on but not asked for, and with a token.
 // Run it several times; the kinds take turns.
 func BenchmarkLines(b *testing.B) {
-	zk, err := standin.NewZooKeeper("/")
+	zk, err := fake.NewZooKeeper("/")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			f := &Front{X: x, Site: site, Gate: gate.New(clock, 64, zerolog.Nop())}
+			f := &Front{X: x, Site: site, Gate: connlimit.New(clock, 64, zerolog.Nop())}
 			if k.on {
 				f.Resume = service
 			}
--- a/internal/wire/platform/server.go
+++ b/internal/wire/platform/server.go
@@ -11,7 +11,7 @@
 	"capersail/decide"
 	"capersail/internal/relay"
 	"capersail/internal/resume"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/splice"
 )
 
 const (
@@ -40,7 +40,7 @@
 func (s *Servers) try(c *relay.Call, a relay.Attempt) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	e := &link.End{Clock: s.Clock, Stop: stop}
+	e := &splice.End{Clock: s.Clock, Stop: stop}
 	if !c.Attach(a.No, e) {
 		c.Over(a.No, decide.Moot, decide.NoReport)
 		return
@@ -49,9 +49,9 @@
 	if s.ConnectTimeout > 0 {
 		within = min(within, s.ConnectTimeout)
 	}
-	conn, err := link.Dial(ctx, a.Server.Address, within)
+	conn, err := splice.Dial(ctx, a.Server.Address, within)
 	if err != nil {
-		c.Over(a.No, link.Undialled(err), decide.NoReport)
+		c.Over(a.No, splice.Undialled(err), decide.NoReport)
 		return
 	}
 	defer conn.Close()
@@ -69,7 +69,7 @@
 }
 
 // converse sends the first line and follows the connection to its end, for PROTOCOL's table.
-func (s *Servers) converse(c *relay.Call, a relay.Attempt, e *link.End) (decide.Status, decide.Report) {
+func (s *Servers) converse(c *relay.Call, a relay.Attempt, e *splice.End) (decide.Status, decide.Report) {
 	more, told := tell(c, a)
 	if e.Pass(c.Payload.(*opening).line(a.Until-s.Clock.Now(), more)) != nil {
 		return decide.ConnectFailed, decide.NoReport
@@ -79,7 +79,7 @@
 	for {
 		e.Until(a.Until)
 		line, err := in.next()
-		if link.TimedOut(err) {
+		if splice.TimedOut(err) {
 			e.Rest() // before the looks below: a wake that comes after them must not be lost
 			if e.Over() {
 				return decide.Cancelled, decide.NoReport
@@ -115,7 +115,7 @@
 
 // carry passes lines from the server to the client until one side ends, or the client is to be moved.
 // It alone writes to a client whose call is up, so MOVE always stands between two lines.
-func (s *Servers) carry(c *relay.Call, a relay.Attempt, e *link.End, in *lines, line []byte) (decide.Status, decide.Report) {
+func (s *Servers) carry(c *relay.Call, a relay.Attempt, e *splice.End, in *lines, line []byte) (decide.Status, decide.Report) {
 	client := c.Up(a.No)
 	if client == nil {
 		return decide.Cancelled, decide.NoReport
@@ -155,7 +155,7 @@
 			within = line[len(line)-1] != '\n' // the rest of a line over 4 KiB is no line of its own
 			continue
 		}
-		if link.TimedOut(err) {
+		if splice.TimedOut(err) {
 			e.Rest()
 			if e.Over() { // the client has left, and the server took its time to end too
 				return decide.Cancelled, load
@@ -171,14 +171,14 @@
 		}
 		c.Broken()
 		part(e, st)
-		client.Close(link.Ending(err))
+		client.Close(splice.Ending(err))
 		return status, load
 	}
 }
 
 // depart sends the client away. A stream that may go on elsewhere is ended at its server and given back first:
 // the client may be at the next relay within a millisecond.
-func (s *Servers) depart(c *relay.Call, e *link.End, client relay.Client, st *resume.Stream, within bool,
+func (s *Servers) depart(c *relay.Call, e *splice.End, client relay.Client, st *resume.Stream, within bool,
 	load decide.Report) (decide.Status, decide.Report) {
 	part(e, st)
 	status := decide.Cancelled
@@ -255,7 +255,7 @@
 		until := s.Clock.Now() + probeWithin
 		old := k.conn != nil
 		status, load, err := s.ask(&k, p.address, until)
-		if err != nil && old && !link.TimedOut(err) { // it was closed while idle: that says nothing of the server
+		if err != nil && old && !splice.TimedOut(err) { // it was closed while idle: that says nothing of the server
 			status, load, _ = s.ask(&k, p.address, until)
 		}
 		if s.kept.Load() > s.Keep {
@@ -284,9 +284,9 @@
 // ask puts one question. After any error the connection is dropped.
 func (s *Servers) ask(k *kept, address string, until float64) (decide.Status, decide.Report, error) {
 	if k.conn == nil {
-		conn, err := link.Dial(context.Background(), address, until-s.Clock.Now())
+		conn, err := splice.Dial(context.Background(), address, until-s.Clock.Now())
 		if err != nil {
-			return link.Unprobed(err), decide.NoReport, err
+			return splice.Unprobed(err), decide.NoReport, err
 		}
 		*k = kept{conn, newLines(conn), address}
 		s.kept.Add(1)
@@ -299,7 +299,7 @@
 	}
 	if err != nil {
 		s.drop(k)
-		if link.TimedOut(err) {
+		if splice.TimedOut(err) {
 			return decide.TimedOut, decide.NoReport, err
 		}
 		return decide.Reset, decide.NoReport, err
--- a/internal/wire/drill/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"encoding/json"
--- a/internal/wire/drill/wire.go
+++ b/internal/wire/simulator/wire.go
@@ -1,6 +1,6 @@
 // Package drill speaks the bench's JSON dialect: it turns batches of events into calls of the decision
 // module and the module's actions into replies. It decides nothing.
-package drill
+package simulator
 
 import (
 	"encoding/base64"
--- a/internal/wire/link/link.go
+++ b/internal/wire/splice/link.go
@@ -1,5 +1,5 @@
 // Package link is one TCP or TLS connection as the two sides of a call share it.
-package link
+package splice
 
 import (
 	"context"
--- a/internal/wire/link/link_test.go
+++ b/internal/wire/splice/link_test.go
@@ -1,4 +1,4 @@
-package link
+package splice
 
 import (
 	"io"
--- a/internal/wire/link/seam.go
+++ b/internal/wire/splice/seam.go
@@ -1,6 +1,6 @@
 //go:build !faults
 
-package link
+package splice
 
 import (
 	"context"
--- a/internal/wire/link/seam_faults.go
+++ b/internal/wire/splice/seam_faults.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package link
+package splice
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 	"syscall"
 	"time"
 
-	"capersail/internal/fault"
 	"capersail/internal/relay"
+	"capersail/internal/testing/faultpoint"
 )
 
 // reach waits in vain for a server that the rules keep out of reach.
 func reach(ctx context.Context, addr string, within float64) error {
-	if fault.Reaches(addr) {
+	if faultpoint.Reaches(addr) {
 		return nil
 	}
 	select {
@@ -38,7 +38,7 @@
 }
 
 func (c *cuttable) cut() bool {
-	if !fault.Reaches(c.addr) {
+	if !faultpoint.Reaches(c.addr) {
 		c.lost.Store(true)
 		return true
 	}
--- a/internal/wire/xmpp/client.go
+++ b/internal/wire/xmpp/client.go
@@ -11,8 +11,8 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/wire/gate"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/connlimit"
+	"capersail/internal/wire/splice"
 )
 
 // Host is what the operator's file says of one `to`.
@@ -28,14 +28,14 @@
 	X     *relay.Exchange
 	Hosts map[string]Host
 	TLS   atomic.Pointer[tls.Config] // for new connections; nil only where the operator's file allows plaintext
-	Gate  *gate.Gate
+	Gate  *connlimit.Gate
 }
 
 // Serve accepts until the listener is closed.
 func (f *Front) Serve(l net.Listener) error { return f.Gate.Serve(l, f.serve) }
 
 // serve speaks with one client until its connection is closed, and that to its server too.
-func (f *Front) serve(p *gate.Pass) {
+func (f *Front) serve(p *connlimit.Pass) {
 	e := p.End
 	st := newStream(e)
 	e.Until(p.Until)
@@ -62,7 +62,7 @@
 
 // header takes the client's start tag, after STARTTLS where there is a certificate; all of it by a time that
 // no step renews.
-func (f *Front) header(e *link.End, st *stream, until float64) (*reader, Host, error) {
+func (f *Front) header(e *splice.End, st *stream, until float64) (*reader, Host, error) {
 	r := newReader(e.Conn)
 	host, err := f.start(st, r)
 	config := f.TLS.Load()
@@ -134,7 +134,7 @@
 				return
 			}
 			call.Nudge()
-		case link.TimedOut(err):
+		case splice.TimedOut(err):
 			st.client.Rest()
 			if state, answer := call.State(); state == relay.Ended || st.client.Over() {
 				f.answer(st, answer)
@@ -149,11 +149,11 @@
 		default:
 			// A client that ends its connection in order may have stanzas in the queue: they go out first.
 			state, _ := call.State()
-			if link.Ending(err) == relay.Clean && state == relay.Up && st.push(item{kind: closed, raw: []byte("</stream:stream>")}) {
+			if splice.Ending(err) == relay.Clean && state == relay.Up && st.push(item{kind: closed, raw: []byte("</stream:stream>")}) {
 				call.Nudge()
 				st.wait()
 			}
-			call.Leave(link.Ending(err))
+			call.Leave(splice.Ending(err))
 			return
 		}
 	}
--- a/internal/wire/xmpp/server.go
+++ b/internal/wire/xmpp/server.go
@@ -10,7 +10,7 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/splice"
 )
 
 // Servers is the server side: it dials, carries set-up and stanzas, classifies how attempts end, and
@@ -29,14 +29,14 @@
 func (s *Servers) try(c *relay.Call, a relay.Attempt) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	e := &link.End{Clock: s.Clock, Stop: stop}
+	e := &splice.End{Clock: s.Clock, Stop: stop}
 	if !c.Attach(a.No, e) {
 		c.Over(a.No, decide.Moot, decide.NoReport)
 		return
 	}
-	conn, err := link.Dial(ctx, a.Server.Address, min(a.Until-s.Clock.Now(), s.ConnectTimeout))
+	conn, err := splice.Dial(ctx, a.Server.Address, min(a.Until-s.Clock.Now(), s.ConnectTimeout))
 	if err != nil {
-		c.Over(a.No, link.Undialled(err), decide.NoReport)
+		c.Over(a.No, splice.Undialled(err), decide.NoReport)
 		return
 	}
 	defer conn.Close()
@@ -61,7 +61,7 @@
 	s  *Servers
 	c  *relay.Call
 	a  relay.Attempt
-	e  *link.End
+	e  *splice.End
 	st *stream
 	r  *reader
 
@@ -78,7 +78,7 @@
 func (at *attempt) next(until float64) (item, error) {
 	at.e.Until(until)
 	it, err := at.r.next()
-	if link.TimedOut(err) {
+	if splice.TimedOut(err) {
 		at.e.Rest()
 		if until == 0 || at.s.Clock.Now() < until || at.e.Over() {
 			return it, errWoken
@@ -159,10 +159,10 @@
 			return decide.Cancelled
 		case err == errWoken:
 			continue
-		case link.TimedOut(err) && !sent: // the client was given features and did nothing: no server's fault
+		case splice.TimedOut(err) && !sent: // the client was given features and did nothing: no server's fault
 			at.st.because("connection-timeout")
 			return decide.Cancelled
-		case link.TimedOut(err):
+		case splice.TimedOut(err):
 			return decide.TimedOut
 		case err != nil && !sent:
 			return decide.ConnectFailed
@@ -202,7 +202,7 @@
 			at.e.Pass([]byte("</stream:stream>"))
 			return decide.Cancelled
 		case err == errWoken:
-		case link.TimedOut(err):
+		case splice.TimedOut(err):
 			if at.s.Clock.Now()-at.since >= at.s.Silent {
 				return at.lost("connection-timeout", decide.Reset)
 			}
@@ -345,9 +345,9 @@
 func (s *Servers) probe(to relay.Server) (decide.Status, decide.Report) {
 	report := decide.NoReport
 	report.Load = to.Load
-	conn, err := link.Dial(context.Background(), to.Address, s.ConnectTimeout)
+	conn, err := splice.Dial(context.Background(), to.Address, s.ConnectTimeout)
 	if err != nil {
-		return link.Unprobed(err), report
+		return splice.Unprobed(err), report
 	}
 	defer conn.Close()
 	conn.SetDeadline(s.Clock.Wall(s.Clock.Now() + s.ConnectTimeout))
@@ -355,7 +355,7 @@
 		escape(s.ProbeTo), streamsNS)
 	it, err := newReader(conn).next()
 	switch {
-	case link.TimedOut(err):
+	case splice.TimedOut(err):
 		return decide.TimedOut, report
 	case err != nil || it.kind != opened:
 		return decide.Reset, report
--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -9,7 +9,7 @@
 	"sync"
 
 	"capersail/internal/relay"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/splice"
 )
 
 const (
@@ -25,7 +25,7 @@
 // stream is what the two sides of one call share: the client's writing end and the queue of what the
 // client sends. The server side alone takes from the queue, so no item is ever sent twice.
 type stream struct {
-	client *link.End
+	client *splice.End
 	open   item   // the client's start tag
 	to     string // the host it asked for
 
@@ -40,7 +40,7 @@
 	features string // as the client was given them, "" if it was not
 }
 
-func newStream(e *link.End) *stream {
+func newStream(e *splice.End) *stream {
 	st := &stream{client: e}
 	st.room = sync.NewCond(&st.mu)
 	return st
@@ -212,7 +212,7 @@
 // clientEnd is the client's end as the Exchange knows it. Its wake says that the call is over, which a
 // client side that waits for room in the queue must hear too.
 type clientEnd struct {
-	*link.End
+	*splice.End
 	st *stream
 }
 
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 
 	"capersail/internal/relay"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/splice"
 )
 
 const (
@@ -282,7 +282,7 @@
 	address := s.addresses[s.next%len(s.addresses)]
 	s.next++
 	s.mu.Unlock()
-	raw, err := link.Dial(ctx, address, s.Timeout/6)
+	raw, err := splice.Dial(ctx, address, s.Timeout/6)
 	if err != nil {
 		return fmt.Errorf("dial: %w", err)
 	}
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"capersail/internal/relay"
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 // watcher notes what happens to a session.
@@ -56,9 +56,9 @@
 	}
 }
 
-func open(t *testing.T) (*standin.ZooKeeper, *Session, *watcher) {
+func open(t *testing.T) (*fake.ZooKeeper, *Session, *watcher) {
 	t.Helper()
-	zk, err := standin.NewZooKeeper("/a")
+	zk, err := fake.NewZooKeeper("/a")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/zookeeper/zookeeper.go
+++ b/internal/wire/zookeeper/zookeeper.go
@@ -17,7 +17,7 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/splice"
 )
 
 // The figures of ZooKeeper's client protocol that are used here.
@@ -184,7 +184,7 @@
 func (c *Client) open(ctx context.Context) (*conn, error) {
 	address := c.Addresses[c.next%len(c.Addresses)]
 	c.next++
-	raw, err := link.Dial(ctx, address, c.Session/3)
+	raw, err := splice.Dial(ctx, address, c.Session/3)
 	if err != nil {
 		return nil, fmt.Errorf("dial: %w", err)
 	}
@@ -213,7 +213,7 @@
 	heard := n.clock.Now()
 	for {
 		p, err := n.frame(n.clock.Now() + c.granted/3)
-		if link.TimedOut(err) && n.clock.Now()-heard < c.granted*2/3 {
+		if splice.TimedOut(err) && n.clock.Now()-heard < c.granted*2/3 {
 			if err := n.send(record{}.i32(xidPing).i32(opPing), c.granted/3); err != nil {
 				return fmt.Errorf("ping: %w", err)
 			}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -24,7 +24,7 @@
 
 	"capersail/decide"
 	"capersail/internal/relay"
-	"capersail/internal/wire/link"
+	"capersail/internal/wire/splice"
 	"capersail/internal/wire/zookeeper"
 )
 
@@ -140,9 +140,9 @@
 		c.Over(a.No, decide.Moot, decide.NoReport)
 		return
 	}
-	raw, err := link.Dial(ctx, a.Server.Address, min(a.Until-d.clock.Now(), d.cfg.ConnectMs))
+	raw, err := splice.Dial(ctx, a.Server.Address, min(a.Until-d.clock.Now(), d.cfg.ConnectMs))
 	if err != nil {
-		c.Over(a.No, link.Undialled(err), decide.NoReport)
+		c.Over(a.No, splice.Undialled(err), decide.NoReport)
 		return
 	}
 	placed.Conn = raw // Begin and Up order this before every use by the client side
@@ -160,11 +160,11 @@
 	go func() {
 		report, status := decide.NoReport, decide.OK
 		report.Load = to.Load
-		raw, err := link.Dial(context.Background(), to.Address, d.cfg.ConnectMs)
+		raw, err := splice.Dial(context.Background(), to.Address, d.cfg.ConnectMs)
 		if err == nil {
 			raw.Close()
 		} else {
-			status = link.Unprobed(err)
+			status = splice.Unprobed(err)
 		}
 		done(status, report)
 	}()
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -17,7 +17,7 @@
 	pb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/status"
 
-	"capersail/internal/standin"
+	"capersail/internal/testing/fake"
 )
 
 // server is a grpc-go server that counts its unary calls; what it serves is gRPC's own health service.
@@ -45,13 +45,13 @@
 
 type bench struct {
 	t  *testing.T
-	zk *standin.ZooKeeper
+	zk *fake.ZooKeeper
 	d  *Dialer
 	pb.HealthClient
 }
 
 func newBench(t *testing.T, drain float64) *bench {
-	zk, err := standin.NewZooKeeper("/rpc")
+	zk, err := fake.NewZooKeeper("/rpc")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test.sh
+++ b/test.sh
@@ -12,14 +12,14 @@
 go tool staticcheck ./...
 go tool staticcheck -tags faults ./...
 go build ./...
-pure='/(decide|internal/claim|internal/fleet/(cellplan|cells|membership|probing)|internal/knownred|internal/model|internal/token|internal/observe/(depart|timeline))$'
+pure='/(decide|internal/ownership|internal/fleet/(cellplan|cells|membership|probing)|internal/testing/expectedfail|internal/simulation/model|internal/token|internal/observe/(anomaly|timeline))$'
 plain=$(go list ./... | grep -E "$pure")
 raced=$(go list ./... | grep -vE "$pure")
 if [ -s KNOWN-RED.txt ]; then
 	{
 		go test -json $plain || true
 		go test -json -race $raced || true
-	} | go run ./internal/knownred KNOWN-RED.txt
+	} | go run ./internal/testing/expectedfail KNOWN-RED.txt
 else
 	go test $plain
 	go test -race $raced
