--- a/internal/manualeject/ban.go
+++ b/internal/manualeject/ban.go
@@ -1,5 +1,5 @@
-// Package ban decides which tile servers are out by hand. It does no I/O and keeps no clock: the driver round it
-// keeps the bans where a process that replaces this one finds them, and tells the relay.
+// Package manualeject decides which servers operators have ejected by hand. It does no I/O and keeps no clock: the driver round it
+// keeps the ejections where a process that replaces this one finds them, and tells the relay.
 //
 // The operators' rules: a ban on an id that was never listed is refused; calls out may repeat and are one; a single
 // call back ends the ban, whatever the list says meanwhile; and a ban holds over a process's replacement.
--- a/internal/observe/anomaly/depart.go
+++ b/internal/observe/anomaly/depart.go
@@ -1,5 +1,5 @@
-// Package depart finds where a server departs from its usual ways: against its own past, and against its peers in
-// the same seconds. It does no I/O and has no clock; it is fed the tap's records and told when time passes.
+// Package anomaly finds where a server departs from its baseline: against its own past, and against its peers in
+// the same seconds. It does no I/O and has no clock; it is fed the recorder's records and told when time passes.
 // Each kind of event is a named pattern with its evidence. A change of the whole fleet is one event of the fleet.
 package anomaly
 
--- a/internal/observe/recorder/tap.go
+++ b/internal/observe/recorder/tap.go
@@ -1,4 +1,4 @@
-// Package tap takes records of what a relay is told and decides, for whoever looks at them later. To put one
+// Package recorder takes records of what a relay is told and decides, for whoever looks at them later. To put one
 // never blocks and allocates nothing; what finds no room is dropped and counted.
 package recorder
 
--- a/internal/observe/timeline/timeline.go
+++ b/internal/observe/timeline/timeline.go
@@ -1,4 +1,4 @@
-// Package timeline folds the tap's records into a line for each server: what state it was in, what it reported,
+// Package timeline folds the recorder's records into a line for each server: what state it was in, what it reported,
 // what went wrong with it, and what the relay decided about it. It does no I/O and has no clock: times are
 // milliseconds of the clock that the records carry.
 package timeline
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -1,4 +1,4 @@
-// Package watch is the driver round time lines and departures for one relay: it takes the tap's records, folds them,
+// Package watch is the driver round time lines and departures for one relay: it takes the recorder's records, folds them,
 // keeps what is closed in a store, and answers questions. Times are Unix times in milliseconds, by the relay's own
 // clock.
 package watch
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -1,4 +1,4 @@
-// Package claim decides which relay may serve a stream now. A Keeper is one relay's part in that: it is fed
+// Package ownership decides which relay may serve a stream now. A Keeper is one relay's part in that: it is fed
 // events, takes time as an argument, returns actions, and does no I/O. What it asks of a claim service is
 // what ZooKeeper gives: exclusive creation, ephemeral nodes that go with their session, versions, and several
 // of these in one transaction. docs/design/resume.md has the reasons.
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -1,4 +1,4 @@
-// Package simnet is a simulated network in memory for tests of many relays in one process. It carries memberlist's packets
+// Package network is a simulated network in memory for tests of many relays in one process. It carries memberlist's packets
 // and streams between endpoints that have a place, with delay, loss and partitions, and counts what goes in and out of each
 // endpoint, by the second. It uses nothing but package time, so that it runs in the virtual time of testing/synctest too.
 package network
--- a/internal/simulation/scale/layout.go
+++ b/internal/simulation/scale/layout.go
@@ -1,5 +1,5 @@
-// Package hollow runs hundreds of relays in one process to measure what their control traffic costs: the deciders and the
-// driver of the program (gossip.Node, and memory.Core where they share readings of servers) on a simulated network, without client
+// Package scale runs hundreds of relays in one process to measure what their control traffic costs: the deciders and the
+// driver of the program (gossip.Node, and relay.Core where they share readings of servers) on a simulated network, without client
 // sockets. It uses nothing but package time, so that it runs in the virtual time of testing/synctest, where a second of a fleet takes
 // as much processor time as it needs; and in real time.
 package scale
--- a/internal/testing/faultpoint/rules.go
+++ b/internal/testing/faultpoint/rules.go
@@ -1,4 +1,4 @@
-// Package fault is where tests put faults into a process: between it and the other relays, and into its clock. It is
+// Package faultpoint is where tests put faults into a process: between it and the other relays, and into its clock. It is
 // compiled in by the build tag faults only; the shipped program has none of it.
 //
 // The file that CAPERSAIL_FAULTS names holds the Rules, read again as it changes; CAPERSAIL_HISTORY names a file to
--- a/internal/wire/connlimit/gate.go
+++ b/internal/wire/connlimit/gate.go
@@ -1,4 +1,4 @@
-// Package gate guards the client side against clients that take more than their part of descriptors,
+// Package connlimit guards the client side against clients that take more than their part of descriptors,
 // memory and processor time. Every limit on clients that both fronts keep is here.
 package connlimit
 
--- a/internal/wire/splice/link.go
+++ b/internal/wire/splice/link.go
@@ -1,4 +1,4 @@
-// Package link is one TCP or TLS connection as the two sides of a call share it.
+// Package splice is one TCP or TLS connection as the two sides of a call share it.
 package splice
 
 import (
