--- /dev/null
+++ b/internal/wire/gossip/compat_test.go
@@ -0,0 +1,220 @@
+package gossip
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"capersail/internal/fleet/cells"
+	"capersail/internal/fleet/membership"
+	"capersail/internal/fleet/probing"
+)
+
+// The files under testdata/stored and testdata/wire were written by the program of 2026-12-03, before its names and types were
+// changed. They are never written anew: what has changed in them is what an upgrade would lose.
+
+func agreedView() *membership.View {
+	return &membership.View{Epoch: 7, Founders: 5, Unclaimed: []int{3, 4}, Voters: []string{"r1", "r2"}, Entries: []membership.Member{
+		{Name: "r1", In: true, Share: membership.Whole / 5, OutstandingLimit: membership.Whole / 6},
+		{Name: "r2", In: true, Idle: true},
+		{Name: "r3", OutstandingLimit: membership.Whole / 8},
+	}}
+}
+
+func proposedView() *membership.View {
+	return &membership.View{Epoch: 8, Founders: 5, Voters: []string{"r1"}, Entries: []membership.Member{
+		{Name: "r1", In: true, Share: membership.Whole / 5}, {Name: "r2", OutstandingLimit: membership.Whole / 9}}}
+}
+
+// cellView is a cell's, with an Allocation that has every field.
+func cellView() *membership.View {
+	v := proposedView()
+	v.Epoch = 41
+	v.Allocation = &membership.Allocation{Plan: 3, PlanHash: 0xfedcba9876543210, Open: true, Near: membership.Whole / 2, Far: membership.Whole / 16,
+		NearZones: []string{"east-1", "east-2"}, Cells: []string{"east", "west"}, LeaseFor: 8000, Founded: true}
+	return v
+}
+
+// enteredView is that of a flat fleet that has entered its first plan: the optional fields are not set.
+func enteredView() *membership.View {
+	v := proposedView()
+	v.Allocation = &membership.Allocation{Plan: 2, PlanHash: 5}
+	return v
+}
+
+// A member's record that the older program has kept is read to the same values, and kept again as the same bytes: what a relay has
+// promised before an upgrade holds after it, and after the way back.
+func TestRecordsOfTheOlderProgramAreReadAndKept(t *testing.T) {
+	for name, c := range map[string]struct {
+		cell string
+		want membership.Record
+	}{
+		"flat-first-start": {"", membership.Record{Incarnation: 1}},
+		"flat-handed-over": {"", membership.Record{Incarnation: 3, HandedOver: true, Promised: membership.Ballot{Round: 4, Name: "r2"}}},
+		"flat-agreed": {"", membership.Record{Incarnation: 1 << 40, HandedOver: true, Promised: membership.Ballot{Round: 9, Name: "r2"},
+			AcceptedBy: membership.Ballot{Round: 9, Name: "r1"}, Accepted: proposedView(), View: agreedView()}},
+		"flat-entering": {"", membership.Record{Incarnation: 8, HandedOver: true, Promised: membership.Ballot{Round: 2, Name: "r1"},
+			AcceptedBy: membership.Ballot{Round: 2, Name: "r1"}, Accepted: enteredView(), View: agreedView()}},
+		"cell-first-start": {"east", membership.Record{Incarnation: 1}},
+		"cell-agreed":      {"east", membership.Record{Incarnation: 5, HandedOver: true, View: cellView()}},
+		"cell-proposed": {"east", membership.Record{Incarnation: 6, HandedOver: true, Promised: membership.Ballot{Round: 12, Name: "r1"},
+			AcceptedBy: membership.Ballot{Round: 11, Name: "r2"}, Accepted: cellView(), View: enteredView()}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			file := filepath.Join("testdata", "stored", name+".cbor")
+			kept, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			path := filepath.Join(t.TempDir(), "state")
+			if err := os.WriteFile(path, kept, 0o600); err != nil {
+				t.Fatal(err)
+			}
+			d, got, err := openDisk(path, "casa", c.cell, "r1")
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(d.close)
+			if !reflect.DeepEqual(got, c.want) {
+				t.Errorf("read as %+v, want %+v", got, c.want)
+			}
+			if err := d.save(got); err != nil {
+				t.Fatal(err)
+			}
+			if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, kept) {
+				t.Errorf("kept again as %x (%v), was %x", again, err, kept)
+			}
+		})
+	}
+}
+
+// fullStatus has every optional field set.
+func fullStatus() membership.Status {
+	return membership.Status{Version: 2, Incarnation: 4, Lifecycle: membership.Draining, Zone: "east-1", Rate: 12.25, Held: 3, List: 1 << 50, Epoch: 7,
+		Hash: 0xfedcba9876543210, Founders: 5, InitialPlace: 2, HandedOver: true, Seq: 9, Sent: 0.5, Opened: 2}
+}
+
+func fullSummary() cells.Summary {
+	return cells.Summary{Cell: "east", Region: "e", Speaker: "r1", Incarnation: 4, Seq: 9, Epoch: 41, Plan: 3, PlanHash: 0xfedcba9876543210, Entered: 2,
+		Members: 12, Serving: 11, Rate: 1234.5, Held: 77, Sent: 1.5, Contacts: []string{"10.0.0.1:7946", "10.0.0.2:7946"}, Departed: []string{"r9"},
+		Forwarded: true, Founded: true}
+}
+
+func fullDirectory() cells.Directory {
+	return cells.Directory{Cell: "east", Speaker: "r1", Incarnation: 4, Seq: 2, Epoch: 41, Opened: 3, Regions: []cells.RegionFigures{
+		{Cells: 1, Heard: 1, Relays: 4, Serving: 4, Rate: 2, Held: 1, Sent: 0.25}, {Name: "w", Cells: 2}}}
+}
+
+func sampleReadings() []probing.Reading {
+	return []probing.Reading{
+		{ServerKey: 0xfedcba9876543210, Started: 1_700_000_000_123, By: "r1", Incarnation: 4, At: 1234, Age: 56,
+			Load: probing.Load{Load: 0.5, Inflight: 3, Errors: 0.125, Busy: 0.25}},
+		{ServerKey: 2, By: "r2", Incarnation: 1, At: 99_000, Load: probing.Load{Load: 1.5, Inflight: -1, Errors: -1, Busy: -1}},
+		{ServerKey: 3, By: "r1", Incarnation: 4, At: 1, Age: 1999, Load: probing.Load{Load: -1, Inflight: 0, Errors: 0, Busy: 2}},
+	}
+}
+
+func samplePlacements() []probing.PlacementDelta {
+	return []probing.PlacementDelta{{ServerKey: 0xfedcba9876543210, By: "r1", Incarnation: 4, Seq: 10, N: 3, Age: 150},
+		{ServerKey: 2, By: "r2", Incarnation: 1, Seq: 11, N: -2}}
+}
+
+// decodeBody reads a body to a value of the type that it holds, as messages.go and cells.go do.
+func decodeBody[T any](t *testing.T, body []byte) any {
+	t.Helper()
+	var value T
+	if err := cbor.Unmarshal(body, &value); err != nil {
+		t.Fatal(err)
+	}
+	return value
+}
+
+// What the older program sent is read to the same values, and sent again as the same bytes: the two run beside each other in one
+// fleet during an upgrade.
+func TestPacketsOfTheOlderProgramAreReadAndSent(t *testing.T) {
+	message := decodeBody[membership.Message]
+	status := decodeBody[membership.Status]
+	summary := decodeBody[cells.Summary]
+	directory := decodeBody[cells.Directory]
+	readings := func(t *testing.T, body []byte) any {
+		t.Helper()
+		got, err := decodeReadings(body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return got
+	}
+	placements := func(t *testing.T, body []byte) any {
+		t.Helper()
+		got, err := decodePlacements(body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return got
+	}
+	ballot := membership.Ballot{Round: 9, Name: "r1"}
+	for name, c := range map[string]struct {
+		kind   kind
+		want   any
+		body   any // what is encoded, where that is not the value
+		decode func(t *testing.T, body []byte) any
+	}{
+		"status-full":      {kind: kindStatus, want: fullStatus(), decode: status},
+		"status-short":     {kind: kindStatus, want: membership.Status{Version: 1, Incarnation: 1, Founders: 3, InitialPlace: -1}, decode: status},
+		"renew":            {kind: kindMessage, want: membership.Message{Kind: membership.Renew, Epoch: 7, At: 1234.5, From: 3, InitialPlace: 1}, decode: message},
+		"renew-in-a-cell":  {kind: kindMessage, want: membership.Message{Kind: membership.Renew, Epoch: 7, At: 0.1, From: 3, InitialPlace: -1, Plan: 3}, decode: message},
+		"renewed":          {kind: kindMessage, want: membership.Message{Kind: membership.Renewed, Epoch: 7, At: 98765.43210123, To: 4, From: 3}, decode: message},
+		"prepare":          {kind: kindMessage, want: membership.Message{Kind: membership.Prepare, Epoch: 7, Ballot: ballot, From: 3}, decode: message},
+		"promise":          {kind: kindMessage, want: membership.Message{Kind: membership.Promise, Epoch: 7, Ballot: ballot, By: membership.Ballot{Round: 8, Name: "r2"}, View: proposedView(), Gone: []string{"r3"}, To: 4, From: 3}, decode: message},
+		"accept":           {kind: kindMessage, want: membership.Message{Kind: membership.Accept, Epoch: 7, Ballot: ballot, View: enteredView(), From: 3}, decode: message},
+		"accepted":         {kind: kindMessage, want: membership.Message{Kind: membership.Accepted, Epoch: 7, Ballot: ballot, To: 4, From: 3}, decode: message},
+		"learn":            {kind: kindMessage, want: membership.Message{Kind: membership.Learn, View: agreedView(), From: 3}, decode: message},
+		"learn-in-a-cell":  {kind: kindMessage, want: membership.Message{Kind: membership.Learn, View: cellView(), From: 3}, decode: message},
+		"reject":           {kind: kindMessage, want: membership.Message{Kind: membership.Reject, Epoch: 7, Ballot: ballot, To: 4, From: 3}, decode: message},
+		"readings":         {kind: kindReadings, want: sampleReadings(), body: encodeReadings(sampleReadings()), decode: readings},
+		"placements":       {kind: kindPlacements, want: samplePlacements(), body: encodePlacements(samplePlacements()), decode: placements},
+		"summary-full":     {kind: kindSummary, want: fullSummary(), decode: summary},
+		"summary-short":    {kind: kindSummary, want: cells.Summary{Cell: "east", Speaker: "r1", Incarnation: 4, Seq: 1}, decode: summary},
+		"directory-full":   {kind: kindDirectory, want: fullDirectory(), decode: directory},
+		"directory-short":  {kind: kindDirectory, want: cells.Directory{Cell: "east", Speaker: "r1", Incarnation: 4, Seq: 1}, decode: directory},
+		"status-of-a-cell": {kind: kindOfCell, want: fullStatus(), decode: status},
+	} {
+		t.Run(name, func(t *testing.T) {
+			n := &Node{cfg: Config{Name: "r1"}}
+			if c.body == nil {
+				c.body = c.want
+			}
+			inner := c.kind
+			if inner == kindOfCell {
+				n.key, inner = keyOfCell("east"), kindStatus
+			}
+			sent, err := n.sealOwn(4, 9, inner, c.body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			text, err := os.ReadFile(filepath.Join("testdata", "wire", name+".cbor"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(sent, text) {
+				t.Errorf("sent as %x, was %x", sent, text)
+			}
+			e, err := open(text)
+			if err != nil || e.Kind != c.kind || e.From != "r1" || e.Incarnation != 4 || e.Seq != 9 {
+				t.Fatalf("opened as %+v: %v", e, err)
+			}
+			if c.kind == kindOfCell {
+				if e, err = n.unwrap(e); err != nil || e.Kind != kindStatus {
+					t.Fatalf("unwrapped as %+v: %v", e, err)
+				}
+			}
+			if got := c.decode(t, e.Body); !reflect.DeepEqual(got, c.want) {
+				t.Errorf("read as %+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
