--- /dev/null
+++ b/internal/observe/watch/stored_test.go
@@ -0,0 +1,152 @@
+package watch
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"capersail/internal/observe/depart"
+	"capersail/internal/observe/report"
+	"capersail/internal/observe/timeline"
+	"capersail/internal/store"
+)
+
+const storedAt = 1_800_000_000_000.0
+
+// writeStored writes the rows of testdata/timeline.db, which the version of 2026-12-03 wrote: every state, every
+// kind of event, and a step without a field that is zero.
+func writeStored(t *testing.T, path string) {
+	t.Helper()
+	s, err := store.Open(path, store.Options{}, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	closed := make(chan struct{})
+	go func() { s.Run(ctx); close(closed) }()
+	w := &Watcher{Config: Config{Store: s}, log: zerolog.Nop(), rows: map[string]*timeline.Step{}}
+	for state := timeline.Listed; state <= timeline.LeftOut; state++ {
+		from := storedAt + 1000*float64(state)
+		b := timeline.Band{State: state, From: from, Cause: fmt.Sprint("cause ", state)}
+		w.band("s1", b)
+		if b.To = from + 1000; state < timeline.LeftOut {
+			w.band("s1", b)
+		}
+	}
+	full := timeline.Step{
+		From: storedAt, Width: 1000, Places: 2, Retries: 3, Ups: 4, Moves: 5, Refusals: 6,
+		Ends: [8]uint32{1, 2, 3, 4, 5, 6, 7, 8}, Probes: 9, Lost: 10, Held: 11, Load: [3]float32{0.25, 0.5, 0.75},
+		Readings: 12, Setup: [3]float32{1.5, 2.5, 3.5}, Slow: 4.5, Dropped: 13, Merged: true, Told: 14,
+	}
+	for i := range full.Reasons.Module {
+		full.Reasons.Module[i] = uint32(100 + i)
+	}
+	for i := range full.Reasons.Relay {
+		full.Reasons.Relay[i] = uint32(200 + i)
+	}
+	w.step("s1", full)
+	full.From += 2000
+	w.step("s1", full) // into the same row
+	full.From += 20_000
+	w.step("s1", full) // into the next
+	w.step(timeline.Fleet, timeline.Step{From: storedAt, Width: 1000, Load: [3]float32{-1, -1, -1}})
+	for _, line := range []string{"s1", timeline.Fleet} {
+		w.put(line, w.rows[line])
+	}
+	for kind := depart.Kind(0); kind <= depart.Relays; kind++ {
+		from := storedAt + 100*float64(kind)
+		e := depart.Event{Server: "s1", Kind: kind, Name: kind.String(), From: from, Evidence: "seen", Confidence: 0.5}
+		if kind == depart.NoList || kind == depart.Relays {
+			e.Server = ""
+		}
+		w.changed(e)
+		if kind != depart.Slow { // this one lasts
+			e.To, e.Confidence, e.Evidence = from+50, 1, "over"
+			w.changed(e)
+		}
+	}
+	stop()
+	<-closed
+}
+
+// storedRows reads all rows of a time-line store, as they are encoded.
+func storedRows(t *testing.T, path string) map[string]string {
+	t.Helper()
+	s, err := store.Open(path, store.Options{ReadOnly: true}, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	rows := map[string]string{}
+	for _, bucket := range []string{"bands", "steps", "events"} {
+		err := s.Scan(bucket, 0, 1<<62, func(at int64, id string, value []byte) bool {
+			rows[fmt.Sprintf("%s %d %q", bucket, at, id)] = fmt.Sprintf("%x", value)
+			return true
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return rows
+}
+
+// The rows of a time line are written under the keys and in the bytes of an earlier version's.
+func TestTimelineIsWrittenAsBefore(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "new.db")
+	writeStored(t, path)
+	want, got := storedRows(t, "testdata/timeline.db"), storedRows(t, path)
+	for _, key := range slices.Sorted(maps.Keys(want)) {
+		if got[key] != want[key] {
+			t.Errorf("%s: written as %s, want %s", key, got[key], want[key])
+		}
+	}
+	if len(got) != len(want) || len(want) < 20 {
+		t.Errorf("%d rows, want %d", len(got), len(want))
+	}
+}
+
+// A time line that an earlier version wrote is shown as it was, and a part of it too.
+func TestStoredTimelineStaysReadable(t *testing.T) {
+	s, err := store.Open("testdata/timeline.db", store.Options{ReadOnly: true}, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	for file, q := range map[string]report.Query{
+		"timeline.json": {},
+		"part.json":     {Servers: []string{"s2"}, From: storedAt, To: storedAt + 1150},
+	} {
+		want, err := os.ReadFile(filepath.Join("testdata", file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r, err := FromStore(s, q)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := storedReport(t, r); !bytes.Equal(got, want) {
+			t.Errorf("%s: shown as\n%s", file, got)
+		}
+	}
+}
+
+// storedReport is a report as testdata holds it.
+func storedReport(t *testing.T, r *report.Report) []byte {
+	t.Helper()
+	if len(r.Servers) == 0 || r.At < storedAt {
+		t.Errorf("%d servers, at %.0f", len(r.Servers), r.At)
+	}
+	text, err := json.MarshalIndent(r, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
--- /dev/null
+++ b/internal/resume/stored_test.go
@@ -0,0 +1,172 @@
+package resume
+
+import (
+	"encoding/hex"
+	"maps"
+	"os"
+	"path"
+	"slices"
+	"strings"
+	"testing"
+
+	"capersail/internal/relay"
+	"capersail/internal/token"
+	"capersail/internal/wire/zookeeper"
+)
+
+// storedWall is the time of day at which testdata was written, by the version of 2026-12-03.
+const storedWall = 1_800_000_000_000
+
+// The streams of testdata: one whose token was never confirmed, one in its second generation with both tokens
+// confirmed, and one that is being served.
+var (
+	storedFresh  = token.StreamID{0xa0, 15: 1}
+	storedTwice  = token.StreamID{0xb0, 15: 2}
+	storedServed = token.StreamID{0xc0, 15: 3}
+)
+
+// storedLines reads the lines of a file of testdata as pairs of words.
+func storedLines(t *testing.T, name string) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile(path.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	pairs := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		first, second, _ := strings.Cut(strings.TrimSpace(line), " ")
+		pairs[first] = second
+	}
+	return pairs
+}
+
+// nodes reads what the ownership service keeps below /a/streams, each node's data in hex by its path.
+func (r *testRelay) nodes(t *testing.T, paths []string) map[string]string {
+	t.Helper()
+	data := map[string]string{}
+	for _, p := range paths {
+		answers := make(chan zookeeper.Answer, 1)
+		r.s.session.Get(p, func(a zookeeper.Answer) { answers <- a })
+		a := <-answers
+		if a.Code != zookeeper.OK {
+			t.Fatalf("%s: code %v", p, a.Code)
+		}
+		data[p] = hex.EncodeToString(a.Data)
+	}
+	return data
+}
+
+// begin opens a stream of a known id and waits for its ownership.
+func (r *testRelay) begin(t *testing.T, id token.StreamID) (*Stream, *relay.Call) {
+	t.Helper()
+	st := r.s.Fresh(Asked{Class: "m", Tenant: "acme", Key: 5, Group: 6})
+	st.ID = id
+	call := r.open(st)
+	eventually(t, "claimed", func() bool { return st.gen.Load() == 1 })
+	return st, call
+}
+
+// writeStored lets a relay write the nodes and tokens of testdata.
+func (r *testRelay) writeStored(t *testing.T, now func() int64) (tokens map[string]string) {
+	t.Helper()
+	r.s.wall = now
+	tokens = map[string]string{}
+	fresh, call := r.begin(t, storedFresh)
+	tokens["fresh-1"] = fresh.Token()
+	call.Leave(relay.Clean)
+	<-fresh.released
+
+	first, call := r.begin(t, storedTwice)
+	first.Passed(41)
+	tokens["twice-1"] = first.Token()
+	first.Got(1)
+	call.Leave(relay.Clean)
+	<-first.released
+	second, note, err := r.s.Resume(tokens["twice-1"], first.Asked)
+	if err != nil {
+		t.Fatal(note, err)
+	}
+	call = r.open(second)
+	eventually(t, "claimed again", func() bool { return second.gen.Load() == 2 })
+	tokens["twice-2"] = second.Token()
+	second.Got(2)
+	call.Leave(relay.Clean)
+	<-second.released
+
+	served, _ := r.begin(t, storedServed)
+	tokens["served-1"] = served.Token()
+	return tokens
+}
+
+// The nodes that a relay writes have the paths and the bytes of an earlier version's: relays of both share them
+// while a fleet is replaced.
+func TestNodesAreWrittenAsBefore(t *testing.T) {
+	want := storedLines(t, "nodes.txt")
+	zk := service(t)
+	r := newRelay(t, zk, nil)
+	r.writeStored(t, func() int64 { return storedWall })
+	paths := zk.Nodes("/a/streams/")
+	slices.Sort(paths)
+	if stored := slices.Sorted(maps.Keys(want)); !slices.Equal(paths, stored) {
+		t.Fatalf("nodes %q, want %q", paths, stored)
+	}
+	if got := r.nodes(t, paths); !maps.Equal(got, want) {
+		t.Errorf("nodes %q, want %q", got, want)
+	}
+}
+
+// Streams whose records and tokens an earlier version wrote go on, and those tokens that it had made worthless stay so.
+func TestStoredStreamsGoOn(t *testing.T) {
+	zk := service(t)
+	r := newRelay(t, zk, nil)
+	r.s.wall = func() int64 { return storedWall }
+	for p, data := range storedLines(t, "nodes.txt") {
+		if strings.HasSuffix(p, "/holder") {
+			continue // it went with its session
+		}
+		stored, err := hex.DecodeString(data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		created := make(chan zookeeper.Code, 1)
+		r.s.session.Create(p, stored, false, func(a zookeeper.Answer) { created <- a.Code })
+		if code := <-created; code != zookeeper.OK {
+			t.Fatalf("%s: code %v", p, code)
+		}
+	}
+	tokens := storedLines(t, "tokens.txt")
+	request := Asked{Class: "m", Tenant: "acme", Key: 5, Group: 6}
+	for _, c := range []struct {
+		token      string
+		stream     token.StreamID
+		generation uint64 // of the service that it begins, 0 if it is final
+		from       uint64
+		note       string
+	}{
+		{"fresh-1", storedFresh, 2, 1, ""},
+		{"twice-1", storedTwice, 0, 42, NoteBehind},
+		{"twice-2", storedTwice, 3, 42, ""},
+		{"served-1", storedServed, 2, 1, ""},
+	} {
+		t.Run(c.token, func(t *testing.T) {
+			st, note, err := r.s.Resume(tokens[c.token], request)
+			if err != nil {
+				t.Fatal(note, err)
+			}
+			if st.ID != c.stream || st.From != c.from {
+				t.Errorf("stream %v from %d, want %v from %d", st.ID, st.From, c.stream, c.from)
+			}
+			call := r.open(st)
+			eventually(t, "an answer", func() bool { state, _ := call.State(); return state != relay.Claiming })
+			state, answer := call.State()
+			switch {
+			case c.generation == 0:
+				if state != relay.Ended || answer.Kind != relay.Failed || answer.Note != c.note {
+					t.Errorf("state %v, %+v", state, answer)
+				}
+			case state != relay.Held || st.Generation() != c.generation:
+				t.Errorf("state %v, generation %d, want %d", state, st.Generation(), c.generation)
+			}
+		})
+	}
+}
