--- a/internal/observe/watch/stored_test.go
+++ b/internal/observe/watch/stored_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"capersail/internal/observe/depart"
+	"capersail/internal/observe/anomaly"
 	"capersail/internal/observe/report"
 	"capersail/internal/observe/timeline"
 	"capersail/internal/store"
@@ -61,14 +61,14 @@
 	for _, line := range []string{"s1", timeline.Fleet} {
 		w.put(line, w.rows[line])
 	}
-	for kind := depart.Kind(0); kind <= depart.Relays; kind++ {
+	for kind := anomaly.Kind(0); kind <= anomaly.Relays; kind++ {
 		from := storedAt + 100*float64(kind)
-		e := depart.Event{Server: "s1", Kind: kind, Name: kind.String(), From: from, Evidence: "seen", Confidence: 0.5}
-		if kind == depart.NoList || kind == depart.Relays {
+		e := anomaly.Event{Server: "s1", Kind: kind, Name: kind.String(), From: from, Evidence: "seen", Confidence: 0.5}
+		if kind == anomaly.NoList || kind == anomaly.Relays {
 			e.Server = ""
 		}
 		w.changed(e)
-		if kind != depart.Slow { // this one lasts
+		if kind != anomaly.Slow { // this one lasts
 			e.To, e.Confidence, e.Evidence = from+50, 1, "over"
 			w.changed(e)
 		}
