--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -38,7 +38,7 @@
 			line = long
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			reply, bad := hub.Batch(line)
+			reply, bad := hub.HandleBatch(line)
 			if bad != nil {
 				return fmt.Errorf("line %d: %w", n, bad)
 			}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -36,7 +36,7 @@
 )
 
 // ErrUnknown answers a call about a tile server that was never listed.
-var ErrUnknown = manualeject.ErrUnknown
+var ErrUnknown = manualeject.ErrNeverListed
 
 // Relay is what the second address asks of the relay. Its methods must not block for long.
 type Relay interface {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -47,13 +47,15 @@
 
 type source struct{}
 
-func (source) Counts() []relay.Counts {
-	return []relay.Counts{{Answered: 812, Deferred: 3, Errored: 1, Sends: 900}, {Answered: 5}}
+func (source) ClassCounts() []relay.ClassCounts {
+	return []relay.ClassCounts{{Established: 812, Rejected: 3, Failed: 1, Attempts: 900}, {Established: 5}}
 }
-func (source) Current() int           { return 14 }
-func (source) Cluster() relay.Cluster { return relay.Cluster{Listed: 6, Banned: 1, Shunned: 2} }
-func (source) Rules() relay.RuleFigures {
-	return relay.RuleFigures{ListAge: 1500, ListLapsed: true, Denied: map[string]uint64{"list lapsed": 7}, Refusals: map[string]uint64{"no room": 2},
+func (source) OpenRequests() int { return 14 }
+func (source) EndpointCounts() relay.EndpointCounts {
+	return relay.EndpointCounts{Listed: 6, EjectedManually: 1, Ejected: 2}
+}
+func (source) GuardStats() relay.GuardStats {
+	return relay.GuardStats{EndpointListAge: 1500, EndpointLeaseExpired: true, Denials: map[string]uint64{"list lapsed": 7}, Rejections: map[string]uint64{"no room": 2},
 		Violations: map[string]uint64{"drain": 0}}
 }
 
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -8,10 +8,10 @@
 
 // Source is one front's core as the figures read it.
 type Source interface {
-	Counts() []relay.Counts // by class number, since the process started
-	Current() int           // connections taken and not ended
-	Cluster() relay.Cluster
-	Rules() relay.RuleFigures
+	ClassCounts() []relay.ClassCounts // by class number, since the process started
+	OpenRequests() int                // connections taken and not ended
+	EndpointCounts() relay.EndpointCounts
+	GuardStats() relay.GuardStats
 }
 
 // Front is a source with the names of its classes, by number.
@@ -82,7 +82,7 @@
 	byName, order := map[string]*sums{}, []string{}
 	var current, size, unhealthy float64
 	for _, fr := range f.fronts {
-		for i, c := range fr.Source.Counts() {
+		for i, c := range fr.Source.ClassCounts() {
 			name := "unknown"
 			if i < len(fr.Classes) {
 				name = fr.Classes[i]
@@ -93,15 +93,15 @@
 				byName[name] = s
 				order = append(order, name)
 			}
-			s.answered += float64(c.Answered)
-			s.deferred += float64(c.Deferred)
-			s.errored += float64(c.Errored)
-			s.sends += float64(c.Sends)
+			s.answered += float64(c.Established)
+			s.deferred += float64(c.Rejected)
+			s.errored += float64(c.Failed)
+			s.sends += float64(c.Attempts)
 		}
-		current += float64(fr.Source.Current())
-		cluster := fr.Source.Cluster()
+		current += float64(fr.Source.OpenRequests())
+		cluster := fr.Source.EndpointCounts()
 		size += float64(cluster.Listed)
-		unhealthy += float64(cluster.Banned + cluster.Shunned + cluster.Withheld)
+		unhealthy += float64(cluster.EjectedManually + cluster.Ejected + cluster.Withheld)
 	}
 	for _, name := range order {
 		s := byName[name]
@@ -121,12 +121,12 @@
 	age, lapsed := 0.0, 0.0
 	sums := map[*prometheus.Desc]map[string]float64{f.denied: {}, f.refusals: {}, f.violations: {}}
 	for _, fr := range f.fronts {
-		figures := fr.Source.Rules()
-		age = max(age, figures.ListAge/1000)
-		if figures.ListLapsed {
+		figures := fr.Source.GuardStats()
+		age = max(age, figures.EndpointListAge/1000)
+		if figures.EndpointLeaseExpired {
 			lapsed = 1
 		}
-		for desc, counts := range map[*prometheus.Desc]map[string]uint64{f.denied: figures.Denied, f.refusals: figures.Refusals, f.violations: figures.Violations} {
+		for desc, counts := range map[*prometheus.Desc]map[string]uint64{f.denied: figures.Denials, f.refusals: figures.Rejections, f.violations: figures.Violations} {
 			for label, n := range counts {
 				sums[desc][label] += float64(n)
 			}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -102,7 +102,7 @@
 		return lifecycle.Run(cmd.Context(), from, p.Signals, zerolog.New(out).Level(l).With().Timestamp().Logger())
 	}
 	flags := func(c *cobra.Command) *cobra.Command {
-		c.Flags().StringVar(&from.Operator, "xmpp", "", "operator's `file` for the XMPP front; off without it")
+		c.Flags().StringVar(&from.XMPP, "xmpp", "", "operator's `file` for the XMPP front; off without it")
 		c.Flags().StringVar(&from.Resume, "resume", "", "operator's `file` for moving with a token; off without it")
 		c.Flags().StringVar(&from.Timeline, "timeline", "", "operator's `file` for time lines; off without it")
 		c.Flags().StringVar(&from.Members, "members", "", "operator's `file` for relays that know each other; off without it")
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -68,16 +68,16 @@
 	}
 	switch {
 	case has("zookeeper", "host", "class"):
-		_, err = lifecycle.ReadOperator(path)
+		_, err = lifecycle.ReadXMPPConfig(path)
 		return "xmpp", err
 	case has("site", "seeds", "founders"):
-		_, err = lifecycle.ReadMembers(path)
+		_, err = lifecycle.ReadMembersConfig(path)
 		return "members", err
 	case has("keys", "servers") && !has("socket", "store"):
-		_, err = lifecycle.ReadResume(path)
+		_, err = lifecycle.ReadResumeConfig(path)
 		return "resume", err
 	case has("socket", "store", "buffer"):
-		_, err = lifecycle.ReadTimeline(path)
+		_, err = lifecycle.ReadTimelineConfig(path)
 		return "timeline", err
 	}
 	return "", fmt.Errorf("%s: no key says what it is for: zookeeper, host and class are of the XMPP front, site, seeds and founders of members, keys of moving with a token, socket and store of time lines", path)
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -123,7 +123,7 @@
 // paths fills in what the configuration names.
 func (s *source) paths() error {
 	if s.config != "" {
-		t, err := lifecycle.ReadTimeline(s.config)
+		t, err := lifecycle.ReadTimelineConfig(s.config)
 		if err != nil {
 			return err
 		}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -13,29 +13,29 @@
 
 // The denials.
 const (
-	Allowed        Denial = iota
-	NotWaiting            // the request has its answer, or is up, or the attempt has been called off
-	AttemptOut            // another attempt of the request is out
-	AttemptsSpent         // it has had as many as the settings allow
-	TimeOver              // the time of the attempt is over
-	ClientGone            // the client has closed, or has spoilt its request
-	ServerNotReady        // the server drains, is out by hand or is gone
-	ListLapsed            // the list of servers cannot be confirmed
-	MayHaveRun            // an earlier attempt may have run, and the class must not run twice
-	WindowOver            // the time in which servers know a repeat again is over
-	OtherServers          // the server does not know the keys of the one where an earlier attempt may have run
-	RelayLeaving          // the relay leaves, or is drained by hand
-	NameTaken             // another request has the same name
-	ClaimLapsed           // the right to serve the stream may be lost
-	denials
+	Allowed              Denial = iota
+	NotWaiting                  // the request has its answer, or is up, or the attempt has been called off
+	AttemptInFlight             // another attempt of the request is out
+	AttemptsExhausted           // it has had as many as the settings allow
+	AttemptTimedOut             // the time of the attempt is over
+	ClientGone                  // the client has closed, or has spoilt its request
+	ServerNotReady              // the server drains, is out by hand or is gone
+	EndpointLeaseExpired        // the list of servers cannot be confirmed
+	MayHaveRun                  // an earlier attempt may have run, and the class must not run twice
+	DedupWindowOver             // the time in which servers know a repeat again is over
+	OutsideDedupScope           // the server does not know the keys of the one where an earlier attempt may have run
+	RelayShuttingDown           // the relay leaves, or is drained by hand
+	NameTaken                   // another request has the same name
+	OwnershipLost               // the right to serve the stream may be lost
+	denialCount
 )
 
-var denialNames = [denials]string{"allowed", "not waiting", "attempt out", "attempts spent", "time over", "client gone",
+var denialNames = [denialCount]string{"allowed", "not waiting", "attempt out", "attempts spent", "time over", "client gone",
 	"server not ready", "list lapsed", "may have run", "window over", "other servers", "relay leaving", "name taken", "claim lapsed"}
 
 // String is the denial as logs and figures have it.
 func (d Denial) String() string {
-	if d >= denials {
+	if d >= denialCount {
 		return "unknown"
 	}
 	return denialNames[d]
@@ -43,7 +43,7 @@
 
 // Denials are all reasons for which something may be denied.
 func Denials() (all []Denial) {
-	for d := Allowed + 1; d < denials; d++ {
+	for d := Allowed + 1; d < denialCount; d++ {
 		all = append(all, d)
 	}
 	return all
@@ -51,108 +51,108 @@
 
 // Request is what is known of a request that something is to be done for.
 type Request struct {
-	Waiting      bool // it has no answer, is not up, and is this relay's to serve
-	AttemptOut   bool // an attempt is out whose end has not been told
-	Begun        bool // the first byte of that attempt may have been written
-	MayHaveRun   bool // an attempt has ended without proof that it never ran
-	RanAt        float64
-	RanOn        Place // of the server of that attempt
-	Attempts     int   // made so far
-	MostAttempts int   // 0 for any number
-	Effect       decide.Effect
-	Scope        decide.Scope
-	Window       float64 // in which servers know a repeat again, in ms
-	Standing     bool    // a connection that stood at its server before this relay started: it goes back there whatever the list says
-	ClaimLapsed  bool
+	Waiting         bool // it has no answer, is not up, and is this relay's to serve
+	AttemptInFlight bool // an attempt is out whose end has not been told
+	MayHaveWritten  bool // the first byte of that attempt may have been written
+	MayHaveRun      bool // an attempt has ended without proof that it never ran
+	MayHaveRunAt    float64
+	MayHaveRunOn    Location // of the server of that attempt
+	Attempts        int      // made so far
+	MaxAttempts     int      // 0 for any number
+	Effect          decide.Effect
+	Scope           decide.Scope
+	DedupWindow     float64 // in which servers know a repeat again, in ms
+	Resumed         bool    // a connection that stood at its server before this relay started: it goes back there whatever the list says
+	OwnershipLost   bool
 }
 
-// Place is where a server stands.
-type Place struct {
+// Location is where a server stands.
+type Location struct {
 	Zone string
 	Cell int32
 }
 
-// Target is the server that something is to be sent to, by the newest list.
-type Target struct {
-	Known bool
-	Ready bool
-	Place Place
+// ServerStatus is the server that something is to be sent to, by the newest list.
+type ServerStatus struct {
+	EverListed bool
+	Ready      bool
+	Location   Location
 }
 
-// MayTry tells whether an attempt may be started: a dial, of which nothing is sent yet.
-func MayTry(now float64, r Request, to Target, list *ListLease) Denial {
+// MayAttempt tells whether an attempt may be started: a dial, of which nothing is sent yet.
+func MayAttempt(now float64, r Request, to ServerStatus, list *EndpointLease) Denial {
 	switch {
 	case !r.Waiting:
 		return NotWaiting
-	case r.ClaimLapsed:
-		return ClaimLapsed
-	case r.AttemptOut:
-		return AttemptOut
-	case r.MostAttempts > 0 && r.Attempts >= r.MostAttempts:
-		return AttemptsSpent
-	case !to.Known:
+	case r.OwnershipLost:
+		return OwnershipLost
+	case r.AttemptInFlight:
+		return AttemptInFlight
+	case r.MaxAttempts > 0 && r.Attempts >= r.MaxAttempts:
+		return AttemptsExhausted
+	case !to.EverListed:
 		return ServerNotReady
 	}
-	if d := mayRepeat(now, r, to); d != Allowed {
+	if d := mayRetry(now, r, to); d != Allowed {
 		return d
 	}
-	return mayReach(now, r, to, list)
+	return mayUseServer(now, r, to, list)
 }
 
 // MayWrite tells whether the first byte of an attempt that has been dialled may be written. until is when the relay stops waiting
 // for the attempt; clientGone, that the client's end has come, even where nobody has had time to read it.
-func MayWrite(now, until float64, r Request, to Target, list *ListLease, clientGone bool) Denial {
+func MayWrite(now, until float64, r Request, to ServerStatus, list *EndpointLease, clientGone bool) Denial {
 	switch {
 	case !r.Waiting:
 		return NotWaiting
-	case r.ClaimLapsed:
-		return ClaimLapsed
+	case r.OwnershipLost:
+		return OwnershipLost
 	case now >= until:
-		return TimeOver
+		return AttemptTimedOut
 	}
-	if d := mayReach(now, r, to, list); d != Allowed {
+	if d := mayUseServer(now, r, to, list); d != Allowed {
 		return d
 	}
 	if clientGone {
 		return ClientGone
 	}
-	return mayRepeat(now, r, to)
+	return mayRetry(now, r, to)
 }
 
-// mayReach tells whether something new may go to a server.
-func mayReach(now float64, r Request, to Target, list *ListLease) Denial {
+// mayUseServer tells whether something new may go to a server.
+func mayUseServer(now float64, r Request, to ServerStatus, list *EndpointLease) Denial {
 	switch {
-	case r.Standing:
+	case r.Resumed:
 		return Allowed
 	case !to.Ready:
 		return ServerNotReady
 	case !list.Valid(now):
-		return ListLapsed
+		return EndpointLeaseExpired
 	}
 	return Allowed
 }
 
-// mayRepeat tells whether a request whose earlier attempt may have run can be sent to a server.
-func mayRepeat(now float64, r Request, to Target) Denial {
+// mayRetry tells whether a request whose earlier attempt may have run can be sent to a server.
+func mayRetry(now float64, r Request, to ServerStatus) Denial {
 	switch {
 	case !r.MayHaveRun, r.Effect == decide.Safe:
 		return Allowed
 	case r.Effect == decide.Unsafe:
 		return MayHaveRun
-	case now-r.RanAt >= r.Window:
-		return WindowOver
-	case r.Scope == decide.ScopeZone && to.Place.Zone != r.RanOn.Zone, r.Scope == decide.ScopeCell && to.Place.Cell != r.RanOn.Cell:
-		return OtherServers
+	case now-r.MayHaveRunAt >= r.DedupWindow:
+		return DedupWindowOver
+	case r.Scope == decide.ScopeZone && to.Location.Zone != r.MayHaveRunOn.Zone, r.Scope == decide.ScopeCell && to.Location.Cell != r.MayHaveRunOn.Cell:
+		return OutsideDedupScope
 	}
 	return Allowed
 }
 
-// MayRefuse tells whether a request may be refused, which promises that trying again is harmless. Else it fails.
-func MayRefuse(r Request) Denial {
+// MayReject tells whether a request may be refused, which promises that trying again is harmless. Else it fails.
+func MayReject(r Request) Denial {
 	switch {
 	case r.Effect == decide.Safe:
 		return Allowed
-	case r.AttemptOut && r.Begun:
+	case r.AttemptInFlight && r.MayHaveWritten:
 		return MayHaveRun
 	case r.MayHaveRun && (r.Effect == decide.Unsafe || r.Scope != decide.ScopeAll):
 		return MayHaveRun
@@ -160,13 +160,13 @@
 	return Allowed
 }
 
-// MayStart tells whether the relay may take on a request.
-func MayStart(leaving, nameTaken bool) Denial {
+// MayAccept tells whether the relay may take on a request.
+func MayAccept(leaving, nameTaken bool) Denial {
 	switch {
 	case nameTaken:
 		return NameTaken
 	case leaving:
-		return RelayLeaving
+		return RelayShuttingDown
 	}
 	return Allowed
 }
--- a/internal/guard/listlease.go
+++ b/internal/guard/listlease.go
@@ -24,22 +24,22 @@
 //	- left over                                      50              250
 //	= reopenTerm, movedTerm                         300             4100
 const (
-	listTerm   = 5800.0
-	reopenTerm = 300.0
-	movedTerm  = 4100.0
-	// overdueAfter is how long after its end the lease may still be overstepped before a rule can be broken.
-	overdueAfter = 6000 + DrainGrace - listTerm
-	// failedFactor is by how much longer a relay is held to its list after a call that failed.
-	failedFactor = 4
+	endpointLeaseTerm  = 5800.0
+	watchEndedTerm     = 300.0
+	addressChangedTerm = 4100.0
+	// violationMargin is how long after its end the lease may still be overstepped before a rule can be broken.
+	violationMargin = 6000 + DrainGrace - endpointLeaseTerm
+	// failedCallFactor is by how much longer a relay is held to its list after a call that failed.
+	failedCallFactor = 4
 )
 
-// Loss is how a call to discovery ended, or why it brought nothing.
-type Loss uint8
+// DiscoveryLoss is how a call to discovery ended, or why it brought nothing.
+type DiscoveryLoss uint8
 
 // The losses.
 const (
 	// CallFailed: it was reset, answered with an error, or given up. That shows nothing, as others may be served.
-	CallFailed Loss = iota
+	CallFailed DiscoveryLoss = iota
 	// ConnectionRefused: discovery does not serve. It tells nobody anything, and its news counts anew from its return on.
 	ConnectionRefused
 	// WatchSilent: the watch stood, and brought no line any more.
@@ -48,106 +48,106 @@
 	AddressChanged
 )
 
-// terms are for how long a list that is pushed counts, from the moment that a rule counts from.
-type terms struct{ heard, lost, moved float64 }
+// leaseTerms are for how long a list that is pushed counts, from the moment that a rule counts from.
+type leaseTerms struct{ sinceHeard, sinceWatchEnded, sinceAddressChanged float64 }
 
 var (
-	pushedTerms = terms{heard: listTerm, lost: reopenTerm, moved: movedTerm}
-	// pushedLimits are when a rule can be broken.
-	pushedLimits = terms{heard: 6000 + DrainGrace, lost: DrainGrace, moved: 4000 + DrainGrace}
+	pushedTerms = leaseTerms{sinceHeard: endpointLeaseTerm, sinceWatchEnded: watchEndedTerm, sinceAddressChanged: addressChangedTerm}
+	// pushedViolationLimits are when a rule can be broken.
+	pushedViolationLimits = leaseTerms{sinceHeard: 6000 + DrainGrace, sinceWatchEnded: DrainGrace, sinceAddressChanged: 4000 + DrainGrace}
 )
 
-// ListLease says until when the list of servers that a relay holds may be acted on. The list that a process starts with is of a time
-// that nobody knows, so it is not acted on before discovery has been heard. ListLease has no clock and no lock: times are milliseconds
+// EndpointLease says until when the list of servers that a relay holds may be acted on. The list that a process starts with is of a time
+// that nobody knows, so it is not acted on before discovery has been heard. EndpointLease has no clock and no lock: times are milliseconds
 // on the caller's monotonic clock.
-type ListLease struct {
-	askWithin float64 // the settings' time for asking, 0 where lists are pushed
-	heard     float64 // when discovery last said something, or the process started
-	down      float64 // when it last refused a connection; -Inf for never
-	lost      float64 // when the watch on which it was heard ended; +Inf while it stands or is silent
-	moved     float64 // when the relay first followed discovery elsewhere since it was heard; +Inf for not
-	answered  bool    // it has said something since the start
-	watching  bool    // a watch is open, as far as can be told
-	failed    bool    // the last call failed
-	on        bool
+type EndpointLease struct {
+	pollWithin       float64 // the settings' time for asking, 0 where lists are pushed
+	heardAt          float64 // when discovery last said something, or the process started
+	refusedAt        float64 // when it last refused a connection; -Inf for never
+	watchEndedAt     float64 // when the watch on which it was heard ended; +Inf while it stands or is silent
+	addressChangedAt float64 // when the relay first followed discovery elsewhere since it was heard; +Inf for not
+	answered         bool    // it has said something since the start
+	watching         bool    // a watch is open, as far as can be told
+	lastCallFailed   bool    // the last call failed
+	enabled          bool
 }
 
-// NewListLease returns the lease of a relay that starts with a list from its configuration.
-func NewListLease(now, askWithin float64) ListLease {
-	return ListLease{askWithin: askWithin, heard: now, down: math.Inf(-1), lost: math.Inf(1), moved: math.Inf(1), on: true}
+// NewEndpointLease returns the lease of a relay that starts with a list from its configuration.
+func NewEndpointLease(now, askWithin float64) EndpointLease {
+	return EndpointLease{pollWithin: askWithin, heardAt: now, refusedAt: math.Inf(-1), watchEndedAt: math.Inf(1), addressChangedAt: math.Inf(1), enabled: true}
 }
 
-// Heard renews the lease: discovery has said something on a call that stands, so all that it had to tell before has come.
-func (l *ListLease) Heard(now float64) {
-	l.heard, l.answered, l.watching, l.failed = now, true, true, false
-	l.lost, l.moved = math.Inf(1), math.Inf(1)
+// Renew renews the lease: discovery has said something on a call that stands, so all that it had to tell before has come.
+func (l *EndpointLease) Renew(now float64) {
+	l.heardAt, l.answered, l.watching, l.lastCallFailed = now, true, true, false
+	l.watchEndedAt, l.addressChangedAt = math.Inf(1), math.Inf(1)
 }
 
-// Lost says that a watch has ended or a call brought nothing.
-func (l *ListLease) Lost(now float64, why Loss) {
+// RecordLoss says that a watch has ended or a call brought nothing.
+func (l *EndpointLease) RecordLoss(now float64, why DiscoveryLoss) {
 	switch {
 	case why == ConnectionRefused:
-		l.down, l.lost = now, min(l.lost, now)
+		l.refusedAt, l.watchEndedAt = now, min(l.watchEndedAt, now)
 	case why == AddressChanged:
-		l.moved = min(l.moved, now)
+		l.addressChangedAt = min(l.addressChangedAt, now)
 	case why == CallFailed && l.watching:
-		l.lost = now
+		l.watchEndedAt = now
 	}
-	l.watching, l.failed = false, true
+	l.watching, l.lastCallFailed = false, true
 }
 
-// Until is when the lease ends if nothing is heard.
-func (l *ListLease) Until() float64 {
+// ValidUntil is when the lease ends if nothing is heard.
+func (l *EndpointLease) ValidUntil() float64 {
 	switch {
-	case !l.on:
+	case !l.enabled:
 		return math.Inf(1)
 	case l.pushed():
-		return l.pushedUntil(pushedTerms)
+		return l.pushedValidUntil(pushedTerms)
 	case !l.answered:
-		return max(l.heard, l.down+l.term())
+		return max(l.heardAt, l.refusedAt+l.term())
 	}
-	return max(l.heard, l.down) + l.term()
+	return max(l.heardAt, l.refusedAt) + l.term()
 }
 
 // pushed tells whether lists come from an agent of the relay's own.
-func (l *ListLease) pushed() bool { return l.askWithin == 0 }
+func (l *EndpointLease) pushed() bool { return l.pollWithin == 0 }
 
-// pushedUntil is until when a list that is pushed counts, by some terms.
-func (l *ListLease) pushedUntil(t terms) float64 {
-	end := l.heard
+// pushedValidUntil is until when a list that is pushed counts, by some terms.
+func (l *EndpointLease) pushedValidUntil(t leaseTerms) float64 {
+	end := l.heardAt
 	if l.answered {
-		end = min(l.heard+t.heard, l.lost+t.lost, l.moved+t.moved)
+		end = min(l.heardAt+t.sinceHeard, l.watchEndedAt+t.sinceWatchEnded, l.addressChangedAt+t.sinceAddressChanged)
 	}
-	return max(end, l.down+t.lost)
+	return max(end, l.refusedAt+t.sinceWatchEnded)
 }
 
 // Valid tells whether the list may be acted on now.
-func (l *ListLease) Valid(now float64) bool { return now < l.Until() }
+func (l *EndpointLease) Valid(now float64) bool { return now < l.ValidUntil() }
 
-// Overdue tells whether what has been sent by the list may have broken the rule on drains: news that was never heard may count
+// MayBreakDrainRule tells whether what has been sent by the list may have broken the rule on drains: news that was never heard may count
 // as told, and the grace for it be over.
-func (l *ListLease) Overdue(now float64) bool {
-	if l.on && l.pushed() && l.answered {
-		return now >= l.pushedUntil(pushedLimits)
+func (l *EndpointLease) MayBreakDrainRule(now float64) bool {
+	if l.enabled && l.pushed() && l.answered {
+		return now >= l.pushedValidUntil(pushedViolationLimits)
 	}
-	return now >= l.Until()+overdueAfter
+	return now >= l.ValidUntil()+violationMargin
 }
 
 // Age is how long ago discovery was last heard, 0 for a list that is on no lease.
-func (l *ListLease) Age(now float64) float64 {
-	if !l.on {
+func (l *EndpointLease) Age(now float64) float64 {
+	if !l.enabled {
 		return 0
 	}
-	return now - l.heard
+	return now - l.heardAt
 }
 
 // term is for how long a list that is asked for counts after it was confirmed. Without a watch the settings may give less.
-func (l *ListLease) term() float64 {
+func (l *EndpointLease) term() float64 {
 	switch {
 	case l.watching:
-		return listTerm
-	case l.failed:
-		return min(listTerm, failedFactor*l.askWithin)
+		return endpointLeaseTerm
+	case l.lastCallFailed:
+		return min(endpointLeaseTerm, failedCallFactor*l.pollWithin)
 	}
-	return min(listTerm, l.askWithin)
+	return min(endpointLeaseTerm, l.pollWithin)
 }
--- a/internal/guard/violations.go
+++ b/internal/guard/violations.go
@@ -2,31 +2,31 @@
 
 import "sync/atomic"
 
-// Rule is a rule of the protocol page that is checked as the relay runs.
-type Rule uint8
+// Invariant is a rule of the protocol page that is checked as the relay runs.
+type Invariant uint8
 
 // The rules.
 const (
-	Drain     Rule = iota // something new was sent to a server after the grace, or by a list that had lapsed
-	Duplicate             // two attempts were out at once, or a request ran again that must not
-	Late                  // a request had its answer after its time
-	Promise               // a request was refused that may have run and must not run twice
-	rules
+	NothingNewAfterDrain Invariant = iota // something new was sent to a server after the grace, or by a list that had lapsed
+	NoDuplicateAttempt                    // two attempts were out at once, or a request ran again that must not
+	AnswerInTime                          // a request had its answer after its time
+	RejectOnlyIfHarmless                  // a request was refused that may have run and must not run twice
+	invariantCount
 )
 
-var ruleNames = [rules]string{"drain", "duplicate", "late", "promise"}
+var invariantNames = [invariantCount]string{"drain", "duplicate", "late", "promise"}
 
 // String is the rule as logs and figures have it.
-func (r Rule) String() string {
-	if r >= rules {
+func (r Invariant) String() string {
+	if r >= invariantCount {
 		return "unknown"
 	}
-	return ruleNames[r]
+	return invariantNames[r]
 }
 
-// Rules are all rules that are checked.
-func Rules() (all []Rule) {
-	for r := Drain; r < rules; r++ {
+// Invariants are all rules that are checked.
+func Invariants() (all []Invariant) {
+	for r := NothingNewAfterDrain; r < invariantCount; r++ {
 		all = append(all, r)
 	}
 	return all
@@ -40,31 +40,31 @@
 
 // mostKinds bounds the kinds that a counter tells apart: it does not compile if there are more rules or denials.
 const (
-	mostKinds       = 32
-	_         uint8 = mostKinds - uint8(rules)
-	_         uint8 = mostKinds - uint8(denials)
+	maxKinds       = 32
+	_        uint8 = maxKinds - uint8(invariantCount)
+	_        uint8 = maxKinds - uint8(denialCount)
 )
 
 // counter counts by kind since the process started. The zero one is ready; it is safe for use by many goroutines.
-type counter[Kind ~uint8] struct{ counts [mostKinds]atomic.Uint64 }
+type counter[Kind ~uint8] struct{ counts [maxKinds]atomic.Uint64 }
 
 // Add counts one.
 func (c *counter[Kind]) Add(kind Kind) {
-	if kind < mostKinds {
+	if kind < maxKinds {
 		c.counts[kind].Add(1)
 	}
 }
 
 // Count is how many there were.
 func (c *counter[Kind]) Count(kind Kind) uint64 {
-	if kind >= mostKinds {
+	if kind >= maxKinds {
 		return 0
 	}
 	return c.counts[kind].Load()
 }
 
-// Violations counts by rule what was done against it.
-type Violations = counter[Rule]
+// ViolationCounts counts by rule what was done against it.
+type ViolationCounts = counter[Invariant]
 
-// Denied counts what was not done, by the reason.
-type Denied = counter[Denial]
+// DenialCounts counts what was not done, by the reason.
+type DenialCounts = counter[Denial]
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -21,38 +21,38 @@
 const (
 	// adminSockets are the descriptors the second address may hold; the clients have them less.
 	adminSockets = admin.MostConnections
-	// lookEvery is how often the bans that another process of the relay may have changed are read, in ms. A ban
+	// ejectionPollInterval is how often the bans that another process of the relay may have changed are read, in ms. A ban
 	// binds 500 ms after its yes: this leaves four looks and the time to tell the module.
-	lookEvery = 100.0
-	// drainHold is how long a drain by hand keeps its connections before it moves them, in ms: new connections
+	ejectionPollInterval = 100.0
+	// migrationDelay is how long a drain by hand keeps its connections before it moves them, in ms: new connections
 	// come for 0.2 s after the first no to PING, and those that come up are moved at once.
-	drainHold = 300.0
-	// drainBy is when the last of them is moved; at 4 s a connection still held breaks the rule on lost ones.
-	drainBy = 2500.0
-	// bansFolder is where bans are kept in $TMPDIR, which the processes of one relay share in an upgrade.
-	bansFolder = "capersail-bans"
+	migrationDelay = 300.0
+	// migrationDeadline is when the last of them is moved; at 4 s a connection still held breaks the rule on lost ones.
+	migrationDeadline = 2500.0
+	// ejectionsFolder is where bans are kept in $TMPDIR, which the processes of one relay share in an upgrade.
+	ejectionsFolder = "capersail-bans"
 )
 
-// operated is the relay as its operators' second address sees it: every front, the bans, the drain by hand.
-type operated struct {
-	relays  []*runningFront
-	serving atomic.Bool
-	dir     string // where bans are kept
-	log     zerolog.Logger
+// adminTarget is the relay as its operators' second address sees it: every front, the bans, the drain by hand.
+type adminTarget struct {
+	fronts       []*runningFront
+	serving      atomic.Bool
+	ejectionsDir string // where bans are kept
+	log          zerolog.Logger
 
-	mu       sync.Mutex
-	bans     manualeject.Book
-	draining chan struct{} // closed to end the drain that moves connections; nil when there is none
+	mu            sync.Mutex
+	ejections     manualeject.Ejections
+	stopMigration chan struct{} // closed to end the drain that moves connections; nil when there is none
 }
 
 // startAdmin serves the second address until ctx ends. The bans kept in $TMPDIR by a process that this one
 // replaces hold from the start.
-func startAdmin(ctx context.Context, address string, relays []*runningFront, fronts []admin.Front, more []prometheus.Collector, log zerolog.Logger) (*operated, error) {
-	o := &operated{relays: relays, dir: filepath.Join(os.TempDir(), bansFolder), log: log}
-	if err := os.MkdirAll(o.dir, 0o700); err != nil {
+func startAdmin(ctx context.Context, address string, relays []*runningFront, fronts []admin.Front, more []prometheus.Collector, log zerolog.Logger) (*adminTarget, error) {
+	o := &adminTarget{fronts: relays, ejectionsDir: filepath.Join(os.TempDir(), ejectionsFolder), log: log}
+	if err := os.MkdirAll(o.ejectionsDir, 0o700); err != nil {
 		return nil, fmt.Errorf("admin: the bans cannot be kept: %w", err)
 	}
-	o.look()
+	o.reloadEjections()
 	figures := prometheus.NewRegistry()
 	for _, c := range append([]prometheus.Collector{admin.NewFigures(fronts...)}, more...) {
 		if err := figures.Register(c); err != nil {
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	// Before anybody else can change the bans: from here on they are read under the lock only.
-	log.Info().Str("admin", s.Addr().String()).Strs("out", o.bans.IDs()).Msg("second address")
+	log.Info().Str("admin", s.Addr().String()).Strs("out", o.ejections.IDs()).Msg("second address")
 	go func() {
 		if err := s.Serve(); err != nil {
 			log.Error().Err(err).Msg("the second address has stopped")
@@ -74,17 +74,17 @@
 		<-ctx.Done()
 		s.Close()
 	}()
-	go o.follow(ctx)
+	go o.followEjections(ctx)
 	return o, nil
 }
 
 // Ready: the front serves, has a list of servers, and neither drains nor leaves.
-func (o *operated) Ready() bool {
+func (o *adminTarget) Ready() bool {
 	if !o.serving.Load() {
 		return false
 	}
-	for _, r := range o.relays {
-		if !r.x.Accepting() || !r.x.HasList() {
+	for _, r := range o.fronts {
+		if !r.requests.Accepting() || !r.requests.HasEndpointList() {
 			return false
 		}
 	}
@@ -92,144 +92,144 @@
 }
 
 // Drain starts or ends a drain by hand. Calling it twice the same way does nothing more.
-func (o *operated) Drain(on bool) {
+func (o *adminTarget) Drain(on bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
-	case on && o.draining == nil:
-		o.draining = make(chan struct{})
-		for _, r := range o.relays {
-			r.x.SetDraining(true)
+	case on && o.stopMigration == nil:
+		o.stopMigration = make(chan struct{})
+		for _, r := range o.fronts {
+			r.requests.SetDraining(true)
 		}
-		go o.moveAll(o.draining)
-	case !on && o.draining != nil:
-		close(o.draining)
-		o.draining = nil
-		for _, r := range o.relays {
-			r.x.SetDraining(false)
+		go o.migrateConnections(o.stopMigration)
+	case !on && o.stopMigration != nil:
+		close(o.stopMigration)
+		o.stopMigration = nil
+		for _, r := range o.fronts {
+			r.requests.SetDraining(false)
 		}
 	}
 }
 
-// moveAll moves every open connection of a drain, evenly from drainHold to drainBy, unless the drain ends first.
-func (o *operated) moveAll(stop <-chan struct{}) {
-	if len(o.relays) == 0 {
+// migrateConnections moves every open connection of a drain, evenly from drainHold to drainBy, unless the drain ends first.
+func (o *adminTarget) migrateConnections(stop <-chan struct{}) {
+	if len(o.fronts) == 0 {
 		return
 	}
-	clock := o.relays[0].x.Clock
-	began := clock.Now()
-	all := make([]int, len(o.relays))
-	for i, r := range o.relays {
-		all[i] = r.x.MoveSome(0)
+	clock := o.fronts[0].requests.Clock
+	began := clock.NowMillis()
+	all := make([]int, len(o.fronts))
+	for i, r := range o.fronts {
+		all[i] = r.requests.MigrateSome(0)
 	}
 	for {
 		select {
 		case <-stop:
 			return
-		case <-clock.After(moveStep):
+		case <-clock.After(migrationInterval):
 		}
-		since, left := clock.Now()-began, 0
-		for i, r := range o.relays {
-			n := r.x.MoveSome(0) - keptBy(all[i], since)
-			left += r.x.MoveSome(n)
+		since, left := clock.NowMillis()-began, 0
+		for i, r := range o.fronts {
+			n := r.requests.MigrateSome(0) - keptDuringDrain(all[i], since)
+			left += r.requests.MigrateSome(n)
 		}
-		if since >= drainBy && left == 0 {
+		if since >= migrationDeadline && left == 0 {
 			return // what comes up from now on is moved at once
 		}
 	}
 }
 
-// keptBy is how many of all connections a drain by hand still keeps at some point.
-func keptBy(all int, since float64) int {
-	return shareOf(all, (drainBy-since)/(drainBy-drainHold))
+// keptDuringDrain is how many of all connections a drain by hand still keeps at some point.
+func keptDuringDrain(all int, since float64) int {
+	return fractionOf(all, (migrationDeadline-since)/(migrationDeadline-migrationDelay))
 }
 
 // Down takes a tile server out by hand. The ban is kept, and the module told, before the yes.
-func (o *operated) Down(id string) error {
+func (o *adminTarget) Down(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	changed, err := o.bans.Down(o.now(), id, o.known(id))
+	changed, err := o.ejections.Eject(o.now(), id, o.knowsServer(id))
 	if err != nil || !changed {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(o.dir, manualeject.Name(id)), nil, 0o600); err != nil {
-		o.bans.Up(id, true)
+	if err := os.WriteFile(filepath.Join(o.ejectionsDir, manualeject.FileName(id)), nil, 0o600); err != nil {
+		o.ejections.Readmit(id, true)
 		return fmt.Errorf("the ban cannot be kept: %w", err)
 	}
-	o.apply()
+	o.applyEjections()
 	return nil
 }
 
 // Up lets a tile server serve again.
-func (o *operated) Up(id string) error {
+func (o *adminTarget) Up(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	since, _ := o.bans.Since(o.now(), id)
-	changed, err := o.bans.Up(id, o.known(id))
+	since, _ := o.ejections.EjectedFor(o.now(), id)
+	changed, err := o.ejections.Readmit(id, o.knowsServer(id))
 	if err != nil || !changed {
 		return err
 	}
 	o.log.Info().Str("server", id).Float64("out_ms", since).Msg("tile server back")
-	if err := os.Remove(filepath.Join(o.dir, manualeject.Name(id))); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		o.bans.Down(o.now(), id, true)
+	if err := os.Remove(filepath.Join(o.ejectionsDir, manualeject.FileName(id))); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		o.ejections.Eject(o.now(), id, true)
 		return fmt.Errorf("the ban cannot be ended: %w", err)
 	}
-	o.apply()
+	o.applyEjections()
 	return nil
 }
 
 // now is the relay's time, in ms.
-func (o *operated) now() float64 { return o.relays[0].x.Clock.Now() }
+func (o *adminTarget) now() float64 { return o.fronts[0].requests.Clock.NowMillis() }
 
-// known tells whether any front has ever had the server in its list. The caller holds the lock.
-func (o *operated) known(id string) bool {
-	for _, r := range o.relays {
-		if r.x.Known(id) {
+// knowsServer tells whether any front has ever had the server in its list. The caller holds the lock.
+func (o *adminTarget) knowsServer(id string) bool {
+	for _, r := range o.fronts {
+		if r.requests.EverListed(id) {
 			return true
 		}
 	}
 	return false
 }
 
-// apply tells every front the bans. The caller holds the lock.
-func (o *operated) apply() {
-	out := o.bans.Out()
-	for _, r := range o.relays {
-		r.x.Ban(out)
+// applyEjections tells every front the bans. The caller holds the lock.
+func (o *adminTarget) applyEjections() {
+	out := o.ejections.Set()
+	for _, r := range o.fronts {
+		r.requests.SetManualEjections(out)
 	}
 }
 
-// follow reads the kept bans every lookEvery until ctx ends: another process of the relay may have changed them.
-func (o *operated) follow(ctx context.Context) {
-	clock := o.relays[0].x.Clock
+// followEjections reads the kept bans every lookEvery until ctx ends: another process of the relay may have changed them.
+func (o *adminTarget) followEjections(ctx context.Context) {
+	clock := o.fronts[0].requests.Clock
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-clock.After(lookEvery):
+		case <-clock.After(ejectionPollInterval):
 		}
-		o.look()
+		o.reloadEjections()
 	}
 }
 
-// look reads the kept bans, and tells the fronts if they have changed.
-func (o *operated) look() {
+// reloadEjections reads the kept bans, and tells the fronts if they have changed.
+func (o *adminTarget) reloadEjections() {
 	o.mu.Lock() // before the folder is read: a ban of this process's own must not be undone by an older look
 	defer o.mu.Unlock()
-	entries, err := os.ReadDir(o.dir)
+	entries, err := os.ReadDir(o.ejectionsDir)
 	if err != nil {
 		o.log.Error().Err(err).Msg("the bans kept cannot be read; those known stay")
 		return
 	}
 	var ids []string
 	for _, e := range entries {
-		if id, ok := manualeject.FromName(e.Name()); ok {
+		if id, ok := manualeject.IDFromFileName(e.Name()); ok {
 			ids = append(ids, id)
 		}
 	}
 	sort.Strings(ids)
-	if o.bans.Take(o.now(), ids) {
+	if o.ejections.Replace(o.now(), ids) {
 		o.log.Info().Strs("out", ids).Msg("tile servers out by hand")
-		o.apply()
+		o.applyEjections()
 	}
 }
--- a/internal/lifecycle/cells.go
+++ b/internal/lifecycle/cells.go
@@ -24,7 +24,7 @@
 }
 
 // ownCell is this relay's cell; the zero one where the plan doesn't name it.
-func (m *Members) ownCell() cellplan.Cell {
+func (m *MembersConfig) ownCell() cellplan.Cell {
 	if m.Plan == nil {
 		return cellplan.Cell{}
 	}
@@ -34,24 +34,24 @@
 
 // inRegion tells whether the relay is of a cell of a region. Else it goes by the flat fleet's rules, on the wire and on disk, also where
 // a plan gives the flat fleet a part.
-func (m *Members) inRegion() bool { return m.Plan != nil && !m.ownCell().Spanning() }
+func (m *MembersConfig) inRegion() bool { return m.Plan != nil && !m.ownCell().Spanning() }
 
 // checkCells finds what is wrong with the cells of a file.
-func (m *Members) checkCells(f *findings) {
+func (m *MembersConfig) checkCells(f *configProblems) {
 	if m.Plan == nil {
-		f.bad(m.Cell != "", "cell: %q is named, but there is no [plan]", m.Cell)
-		f.bad(m.Place != nil, "place: only a relay of a cell has one, and there is no [plan]")
+		f.addIf(m.Cell != "", "cell: %q is named, but there is no [plan]", m.Cell)
+		f.addIf(m.Place != nil, "place: only a relay of a cell has one, and there is no [plan]")
 		return
 	}
-	for _, problem := range problems(m.Plan.Check()) {
-		f.bad(true, "plan.%v", problem)
+	for _, problem := range joinedErrors(m.Plan.Check()) {
+		f.addIf(true, "plan.%v", problem)
 	}
 	m.checkFirstPlan(f)
 	m.checkOwnCell(f)
 }
 
-// problems are the errors that one error joins.
-func problems(err error) []error {
+// joinedErrors are the errors that one error joins.
+func joinedErrors(err error) []error {
 	var joined interface{ Unwrap() []error }
 	switch {
 	case err == nil:
@@ -63,36 +63,36 @@
 }
 
 // checkFirstPlan finds what plan 1 can't have: its cells take their parts at once, as nobody can have held any before.
-func (m *Members) checkFirstPlan(f *findings) {
+func (m *MembersConfig) checkFirstPlan(f *configProblems) {
 	if m.Plan.Number != 1 {
 		return
 	}
 	for i, c := range m.Plan.Cells {
-		f.bad(c.Spanning(), "plan.cells[%d].region: not set; a plan with a flat fleet in it has a number from 2 up", i)
-		f.bad(c.Relays == 0, "plan.cells[%d].relays: none, and by plan 1 there is nothing that a cell could hand over", i)
+		f.addIf(c.Spanning(), "plan.cells[%d].region: not set; a plan with a flat fleet in it has a number from 2 up", i)
+		f.addIf(c.Relays == 0, "plan.cells[%d].relays: none, and by plan 1 there is nothing that a cell could hand over", i)
 	}
 }
 
 // checkOwnCell finds what is wrong with this relay's part in the plan.
-func (m *Members) checkOwnCell(f *findings) {
+func (m *MembersConfig) checkOwnCell(f *configProblems) {
 	if m.Cell == "" {
-		f.bad(true, "cell: not set, but there is a [plan]: the name of this relay's cell is wanted")
+		f.addIf(true, "cell: not set, but there is a [plan]: the name of this relay's cell is wanted")
 		return
 	}
 	_, known := m.Plan.Find(m.Cell)
-	f.bad(!known, "cell: %q is none of the plan's", m.Cell)
-	f.bad(strings.ContainsRune(m.Cell, filepath.Separator), "cell: %q has a %c, and the state file is called after it", m.Cell, filepath.Separator)
+	f.addIf(!known, "cell: %q is none of the plan's", m.Cell)
+	f.addIf(strings.ContainsRune(m.Cell, filepath.Separator), "cell: %q has a %c, and the state file is called after it", m.Cell, filepath.Separator)
 	switch {
 	case m.Place != nil:
-		f.bad(*m.Place < 0 || *m.Place > mostFounders, "place: %d is not from 0 to %d", *m.Place, mostFounders)
+		f.addIf(*m.Place < 0 || *m.Place > maxFounders, "place: %d is not from 0 to %d", *m.Place, maxFounders)
 	case known:
-		f.bad(m.inRegion(), "place: not set; this relay's number within cell %q is wanted, from 0", m.Cell)
+		f.addIf(m.inRegion(), "place: not set; this relay's number within cell %q is wanted, from 0", m.Cell)
 	}
-	f.bad(m.Founders != 0 && known && m.inRegion(), "founders: in a cell the plan's relays found it; leave it out")
+	f.addIf(m.Founders != 0 && known && m.inRegion(), "founders: in a cell the plan's relays found it; leave it out")
 }
 
-// placeInCell makes a flat relay's node one of its cell. A cell with a region has its own seeds, record, places and pace.
-func (m *Members) placeInCell(g *gossip.Config) {
+// configureCell makes a flat relay's node one of its cell. A cell with a region has its own seeds, record, places and pace.
+func (m *MembersConfig) configureCell(g *gossip.Config) {
 	cell := m.ownCell()
 	g.Cell, g.Plan = m.Cell, m.Plan
 	if m.Place != nil {
@@ -108,10 +108,10 @@
 }
 
 // zoneNames are the names of the settings' zones.
-func zoneNames(c *Config) []string { return slices.Sorted(maps.Keys(c.Site.Zones)) }
+func zoneNames(c *Config) []string { return slices.Sorted(maps.Keys(c.Deployment.Zones)) }
 
 // checkZones finds a zone of the plan that the settings don't know.
-func (m *Members) checkZones(known []string) error {
+func (m *MembersConfig) checkZones(known []string) error {
 	if m.Plan == nil {
 		return nil
 	}
@@ -124,7 +124,7 @@
 }
 
 // checkReload tells why a file can't follow another one while the relay runs.
-func (m *Members) checkReload(next *Members) error {
+func (m *MembersConfig) checkReload(next *MembersConfig) error {
 	switch {
 	case m.Plan == nil && next.Plan == nil:
 		return nil
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -38,13 +38,13 @@
 `
 
 // readMembersText reads a members' file of a text.
-func readMembersText(t *testing.T, text string) (*Members, error) {
+func readMembersText(t *testing.T, text string) (*MembersConfig, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "members.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return ReadMembers(path)
+	return ReadMembersConfig(path)
 }
 
 // A good plan is read; a file without one has no cell.
@@ -71,8 +71,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Config{Name: "r3", Site: &relay.Site{Zones: map[string]decide.Zone{"eu-a": 0, "us-b": 1}}}
-	g, err := m.node(c, zerolog.Nop())
+	c := &Config{Name: "r3", Deployment: &relay.Deployment{Zones: map[string]decide.Zone{"eu-a": 0, "us-b": 1}}}
+	g, err := m.gossipConfig(c, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,8 +80,8 @@
 		!slices.Equal(g.Seeds, m.Plan.Cells[0].Contacts) || len(g.Zones) != 2 {
 		t.Errorf("%+v", g)
 	}
-	delete(c.Site.Zones, "us-b")
-	if _, err := m.node(c, zerolog.Nop()); !strings.Contains(errText(err), `plan.cells[1].zone: "us-b"`) {
+	delete(c.Deployment.Zones, "us-b")
+	if _, err := m.gossipConfig(c, zerolog.Nop()); !strings.Contains(errText(err), `plan.cells[1].zone: "us-b"`) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -24,13 +24,13 @@
 	Admin string
 	// FD is the descriptor of a listening socket that the platform holds for the clients' address and hands to
 	// every process of the relay ($LB_FD), or -1 where the relay binds the address itself.
-	FD       int
-	Seed     uint64
-	MemoryMB int
-	Sockets  int
-	Known    *discovery.List
-	Site     *relay.Site
-	settings string // as the file has them, to tell whether a new file changes them
+	FD           int
+	Seed         uint64
+	MemoryMB     int
+	Sockets      int
+	CachedList   *discovery.EndpointList
+	Deployment   *relay.Deployment
+	settingsText string // as the file has them, to tell whether a new file changes them
 }
 
 // ReadConfig reads the platform's configuration: the file that LB_CONFIG names, and the variables that
@@ -82,7 +82,7 @@
 			return nil, fmt.Errorf("limits.%s: %s is not a number from 0 on", key, limit)
 		}
 	}
-	least := leastSockets
+	least := minSockets
 	if c.Admin != "" {
 		least += adminSockets
 	}
@@ -96,11 +96,11 @@
 	if len(settings.GetArray("classes")) == 0 {
 		return nil, fmt.Errorf("settings.classes: at least one class is wanted")
 	}
-	c.settings = settings.String()
-	c.Site = simulator.DecodeSettings(settings)
-	c.Known = &discovery.List{}
+	c.settingsText = settings.String()
+	c.Deployment = simulator.DecodeSettings(settings)
+	c.CachedList = &discovery.EndpointList{}
 	if known := v.Get("known"); known != nil {
-		if c.Known, err = discovery.Parse(known.String(), log); err != nil {
+		if c.CachedList, err = discovery.ParseList(known.String(), log); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/lifecycle/leave_test.go
+++ b/internal/lifecycle/leave_test.go
@@ -45,9 +45,9 @@
 // it has nothing else to do are answered, and who rests gets a clean end: the process would go over unread bytes, and reset them.
 func TestLeaveAnswersWhatHasCome(t *testing.T) {
 	clock := relay.NewClock()
-	site := &relay.Site{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
+	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
 		Classes: []decide.ClassInfo{{Aim: relay.Duration(300), Deadline: relay.Duration(10_000)}}}}
-	x := relay.NewExchange(site, clock, &platform.Servers{Clock: clock})
+	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock})
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,13 +67,13 @@
 		fmt.Fprint(c, text)
 		clients = append(clients, c)
 	}
-	for door.Held() < len(said) {
+	for door.DescriptorsHeld() < len(said) {
 		time.Sleep(time.Millisecond)
 	}
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		leave(&runningFront{x: x, listener: l, door: door, longest: 10_000})
+		shutDownFront(&runningFront{requests: x, listener: l, limiter: door, longestDeadline: 10_000})
 	}()
 	for { // until it has nothing to do but wait for these
 		c, err := net.Dial("tcp", inner.Addr().String())
@@ -97,7 +97,7 @@
 		c.Close()
 	}
 	<-left
-	if door.Held() != 0 {
-		t.Errorf("%d descriptors are held after it", door.Held())
+	if door.DescriptorsHeld() != 0 {
+		t.Errorf("%d descriptors are held after it", door.DescriptorsHeld())
 	}
 }
--- a/internal/lifecycle/looks.go
+++ b/internal/lifecycle/looks.go
@@ -6,40 +6,40 @@
 	"capersail/internal/fleet/probing"
 )
 
-// looksFigures is the collector of what is known of looks at servers by turns. Each is read when it is asked for.
+// probingMetrics is the collector of what is known of looks at servers by turns. Each is read when it is asked for.
 //
 //	relay_looks_relays                 gauge    that share readings, this one too; 1 for nobody else
 //	relay_looks_total                  counter  looks at servers by turns
 //	relay_looks_taken_total            counter  readings of others that were new here
 //	relay_looks_left_out_total{reason} counter  readings of others that were left out
 //	relay_looks_doubted                gauge    relays whose readings are left out
-type looksFigures struct {
-	report                                func() (probing.Report, bool)
-	relays, looks, taken, leftOut, doubts *prometheus.Desc
+type probingMetrics struct {
+	report                                      func() (probing.Report, bool)
+	relays, probes, taken, dropped, quarantined *prometheus.Desc
 }
 
-func newLooksFigures(report func() (probing.Report, bool)) *looksFigures {
+func newProbingMetrics(report func() (probing.Report, bool)) *probingMetrics {
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("relay_looks"+name, help, labels, nil)
 	}
-	return &looksFigures{report: report,
-		relays:  d("_relays", "Relays that share readings, this one too."),
-		looks:   d("_total", "Looks at servers by turns."),
-		taken:   d("_taken_total", "Readings of other relays that were new here."),
-		leftOut: d("_left_out_total", "Readings of other relays that were left out, by reason.", "reason"),
-		doubts:  d("_doubted", "Relays whose readings are left out, as two others contradict them."),
+	return &probingMetrics{report: report,
+		relays:      d("_relays", "Relays that share readings, this one too."),
+		probes:      d("_total", "Looks at servers by turns."),
+		taken:       d("_taken_total", "Readings of other relays that were new here."),
+		dropped:     d("_left_out_total", "Readings of other relays that were left out, by reason.", "reason"),
+		quarantined: d("_doubted", "Relays whose readings are left out, as two others contradict them."),
 	}
 }
 
 // Describe is the collector's.
-func (f *looksFigures) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{f.relays, f.looks, f.taken, f.leftOut, f.doubts} {
+func (f *probingMetrics) Describe(ch chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{f.relays, f.probes, f.taken, f.dropped, f.quarantined} {
 		ch <- d
 	}
 }
 
 // Collect is the collector's.
-func (f *looksFigures) Collect(ch chan<- prometheus.Metric) {
+func (f *probingMetrics) Collect(ch chan<- prometheus.Metric) {
 	r, ok := f.report()
 	if !ok {
 		return
@@ -51,12 +51,12 @@
 		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(n), labels...)
 	}
 	gauge(f.relays, float64(r.Relays))
-	count(f.looks, r.Probes)
+	count(f.probes, r.Probes)
 	count(f.taken, r.Taken)
 	for why, n := range r.Dropped {
-		count(f.leftOut, n, why)
+		count(f.dropped, n, why)
 	}
-	gauge(f.doubts, float64(len(r.Quarantined)))
+	gauge(f.quarantined, float64(len(r.Quarantined)))
 }
 
 // collectors are several as one.
--- a/internal/lifecycle/members.go
+++ b/internal/lifecycle/members.go
@@ -23,65 +23,65 @@
 	"capersail/internal/wire/gossip"
 )
 
-// Members is the operator's file for relays that know each other; deploy/members.toml says what each key means.
-type Members struct {
-	Site     string   `toml:"site"`
-	Bind     string   `toml:"bind"`
-	Tell     string   `toml:"tell"`
-	Seeds    []string `toml:"seeds"`
-	Keys     string   `toml:"keys"`
-	State    string   `toml:"state"`
-	Socket   string   `toml:"socket"`
-	Zone     string   `toml:"zone"`
-	Founders int      `toml:"founders"`
-	Looks    bool     `toml:"looks"`
+// MembersConfig is the operator's file for relays that know each other; deploy/members.toml says what each key means.
+type MembersConfig struct {
+	Site        string   `toml:"site"`
+	Bind        string   `toml:"bind"`
+	Advertise   string   `toml:"tell"`
+	Seeds       []string `toml:"seeds"`
+	Keys        string   `toml:"keys"`
+	State       string   `toml:"state"`
+	Socket      string   `toml:"socket"`
+	Zone        string   `toml:"zone"`
+	Founders    int      `toml:"founders"`
+	ShareProbes bool     `toml:"looks"`
 	cellSettings
 
 	keys [][]byte
 }
 
-// mostFounders bounds the places of a fleet; so many relays are far beyond what gossip is made for.
-const mostFounders = 10_000
+// maxFounders bounds the places of a fleet; so many relays are far beyond what gossip is made for.
+const maxFounders = 10_000
 
-// ReadMembers reads the file and the keys that it names. The error has every problem, each with its key.
-func ReadMembers(path string) (*Members, error) {
-	m := &Members{Looks: true}
+// ReadMembersConfig reads the file and the keys that it names. The error has every problem, each with its key.
+func ReadMembersConfig(path string) (*MembersConfig, error) {
+	m := &MembersConfig{ShareProbes: true}
 	f, err := decodeFile(path, m)
 	if err != nil {
 		return nil, err
 	}
-	bad := f.bad
+	bad := f.addIf
 	bad(m.Site == "" || len(m.Site) > 100, "site: from 1 to 100 bytes; relays of other sites are never merged with")
-	host, err := address(m.Bind)
+	host, err := checkAddress(m.Bind)
 	bad(err != nil, "bind: %v", err)
 	if err == nil {
 		bad(m.Keys == "" && !net.ParseIP(host).IsLoopback(), "bind: %s is not a loopback address, and without keys no other is allowed", host)
-		bad(net.ParseIP(host).IsUnspecified() && m.Tell == "", "tell: has to be set where bind is no one address that others can reach")
+		bad(net.ParseIP(host).IsUnspecified() && m.Advertise == "", "tell: has to be set where bind is no one address that others can reach")
 	}
-	if m.Tell != "" {
-		_, err := address(m.Tell)
+	if m.Advertise != "" {
+		_, err := checkAddress(m.Advertise)
 		bad(err != nil, "tell: %v", err)
 	}
 	bad(len(m.Seeds) == 0 && !m.inRegion(), "seeds: at least one is wanted")
 	for i, s := range m.Seeds {
-		_, err := address(s)
+		_, err := checkAddress(s)
 		bad(err != nil, "seeds: entry %d: %v", i+1, err)
 	}
 	bad(!filepath.IsAbs(m.State), "state: %q is not a path from / on", m.State)
 	bad(m.Socket != "" && !filepath.IsAbs(m.Socket), "socket: %q is not a path from / on", m.Socket)
 	bad(len(m.Socket) > 100, "socket: over 100 bytes; the kernel takes no more")
-	bad(m.Founders < 0 || m.Founders > mostFounders, "founders: from 1 to %d, or 0 for the settings' number", mostFounders)
+	bad(m.Founders < 0 || m.Founders > maxFounders, "founders: from 1 to %d, or 0 for the settings' number", maxFounders)
 	if m.Keys != "" {
 		var err error
-		m.keys, err = readSeals(m.Keys)
+		m.keys, err = readGossipKeys(m.Keys)
 		bad(err != nil, "keys: %v", err)
 	}
 	m.checkCells(f)
 	return m, f.err()
 }
 
-// address checks host:port, the host an IP address: there is no name lookup in the way of a relay that starts.
-func address(s string) (host string, err error) {
+// checkAddress checks host:port, the host an IP checkAddress: there is no name lookup in the way of a relay that starts.
+func checkAddress(s string) (host string, err error) {
 	host, port, err := net.SplitHostPort(s)
 	switch n, bad := strconv.Atoi(port); {
 	case err != nil:
@@ -94,10 +94,10 @@
 	return host, nil
 }
 
-// readSeals reads the keys that seal packets: one a line as base64, 16, 24 or 32 bytes, the first seals. Errors never
+// readGossipKeys reads the keys that seal packets: one a line as base64, 16, 24 or 32 bytes, the first seals. Errors never
 // show a secret.
-func readSeals(path string) (keys [][]byte, err error) {
-	text, err := readPrivate(path)
+func readGossipKeys(path string) (keys [][]byte, err error) {
+	text, err := readSecretFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -124,14 +124,14 @@
 	return keys, nil
 }
 
-// doing is what a relay tells the others that it does.
-func (s *seam) doing() membership.Lifecycle {
+// lifecycleState is what a relay tells the others that it does.
+func (s *frontSeam) lifecycleState() membership.Lifecycle {
 	switch {
-	case s.x.Leaving():
+	case s.requests.ShuttingDown():
 		return membership.Leaving
-	case s.x.Draining():
+	case s.requests.Draining():
 		return membership.Draining
-	case !s.x.HasList():
+	case !s.requests.HasEndpointList():
 		return membership.Starting
 	}
 	return membership.Serving
@@ -142,41 +142,41 @@
 	if c == nil {
 		return nil, fmt.Errorf("%s: LB_CONFIG is not set: only relays of the platform's front know each other", path)
 	}
-	m, err := ReadMembers(path)
+	m, err := ReadMembersConfig(path)
 	if err != nil {
 		return nil, err
 	}
 	log = log.With().Str("part", "members").Logger()
-	conf, err := m.node(c, log)
+	conf, err := m.gossipConfig(c, log)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	var node *gossip.Node
 	var door *control.Server
-	var shared *relay.Shared
+	var shared *relay.SharedProbing
 	ctx, end := context.WithCancel(context.Background()) // of its own: it is there until the fronts have left
 	started := false
 	p := &part{name: "members"}
-	p.join = func(s *seam) {
+	p.join = func(s *frontSeam) {
 		if s.platform == nil {
 			return
 		}
-		conf.Clock, conf.Refresh = s.clock, s.lister.Again
-		conf.Self = func() gossip.Self {
-			return gossip.Self{Lifecycle: s.doing(), Arrivals: s.x.Arrivals(), Held: s.x.Current(), List: s.lister.Generation()}
+		conf.Clock, conf.RefreshEndpoints = s.clock, s.discovery.RestartWatch
+		conf.LocalActivity = func() gossip.LocalActivity {
+			return gossip.LocalActivity{Lifecycle: s.lifecycleState(), Arrivals: s.requests.Arrivals(), OpenRequests: s.requests.OpenRequests(), ListVersion: s.discovery.ListVersion()}
 		}
-		conf.Notice = s.notice
-		if m.Looks {
-			conf.Received = func(ev probing.Event) { shared.Hear(ev) }
+		conf.OnChange = s.notifyChange
+		if m.ShareProbes {
+			conf.OnProbingEvent = func(ev probing.Event) { shared.Receive(ev) }
 		}
 		if node, err = gossip.New(conf); err == nil {
 			s.fleet = node
-			if m.Looks {
-				shared = relay.NewShared(s.x, conf.Name, conf.Seed, node, func(name string) {
+			if m.ShareProbes {
+				shared = relay.NewSharedProbing(s.requests, conf.Name, conf.Seed, node, func(name string) {
 					log.Warn().Str("member", name).Msg("its readings of servers are left out for 30 s: two others contradict them")
-					s.notice(membership.Changed{What: membership.ChangePeer, Name: name, State: "doubted", Cause: "two others contradict its readings"})
+					s.notifyChange(membership.Changed{What: membership.ChangePeer, Name: name, State: "doubted", Cause: "two others contradict its readings"})
 				})
-				s.shared = shared
+				s.probeSharing = shared
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 		return nil
 	}
 	p.reload = func() (func(), error) {
-		n, err := ReadMembers(path)
+		n, err := ReadMembersConfig(path)
 		if err != nil {
 			return nil, err
 		}
@@ -214,11 +214,11 @@
 				node.SetPlan(n.Cell, *n.Plan)
 				m.cellSettings = n.cellSettings
 			}
-			log.Info().Int("keys", len(n.keys)).Bool("needs_restart", n.fixed() != m.fixed()).Msg("reloaded members")
+			log.Info().Int("keys", len(n.keys)).Bool("needs_restart", n.restartOnly() != m.restartOnly()).Msg("reloaded members")
 		}, nil
 	}
 	p.leave = func() { node.Leave() }
-	p.figures = func() prometheus.Collector { return collectors{node.Figures(), newLooksFigures(shared.Report)} }
+	p.metrics = func() prometheus.Collector { return collectors{node.Collector(), newProbingMetrics(shared.Report)} }
 	p.stop = func() {
 		if door != nil {
 			door.Close()
@@ -231,16 +231,16 @@
 	return p, nil
 }
 
-// node is what the file and the settings make of a relay.
-func (m *Members) node(c *Config, log zerolog.Logger) (gossip.Config, error) {
-	set := c.Site.Settings
-	g := gossip.Config{Name: c.Name, Site: m.Site, Zone: m.Zone, Bind: m.Bind, Advertise: m.Tell, Seeds: m.Seeds, Keys: m.keys, State: m.State,
+// gossipConfig is what the file and the settings make of a relay.
+func (m *MembersConfig) gossipConfig(c *Config, log zerolog.Logger) (gossip.Config, error) {
+	set := c.Deployment.Settings
+	g := gossip.Config{Name: c.Name, Site: m.Site, Zone: m.Zone, Bind: m.Bind, Advertise: m.Advertise, Seeds: m.Seeds, Keys: m.keys, State: m.State,
 		InitialPlace: set.Me, Founders: m.Founders, Relays: max(set.Relays, 1), Seed: c.Seed, Log: log}
 	if g.Founders == 0 {
 		g.Founders = g.Relays
 	}
 	if g.Zone == "" {
-		for name, z := range c.Site.Zones {
+		for name, z := range c.Deployment.Zones {
 			if z == set.Zone {
 				g.Zone = name
 			}
@@ -250,16 +250,16 @@
 		if err := m.checkZones(zoneNames(c)); err != nil {
 			return g, err
 		}
-		m.placeInCell(&g)
+		m.configureCell(&g)
 	}
-	g.Zones = c.Site.Zones
-	if !gossip.GoodName(c.Name) {
+	g.Zones = c.Deployment.Zones
+	if !gossip.ValidName(c.Name) {
 		return g, fmt.Errorf("name: %q of the platform's file cannot be a member's: 1 to 128 bytes that print are wanted", c.Name)
 	}
 	return g, nil
 }
 
-// fixed is what of the file a reload does not take in.
-func (m *Members) fixed() string {
-	return fmt.Sprint(m.Site, m.Bind, m.Tell, m.Seeds, m.State, m.Socket, m.Zone, m.Founders, m.Looks)
+// restartOnly is what of the file a reload does not take in.
+func (m *MembersConfig) restartOnly() string {
+	return fmt.Sprint(m.Site, m.Bind, m.Advertise, m.Seeds, m.State, m.Socket, m.Zone, m.Founders, m.ShareProbes)
 }
--- a/internal/lifecycle/members_test.go
+++ b/internal/lifecycle/members_test.go
@@ -25,12 +25,12 @@
 		}
 		return path
 	}
-	read := func(text string) (*Members, error) {
+	read := func(text string) (*MembersConfig, error) {
 		path := filepath.Join(dir, "members.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return ReadMembers(path)
+		return ReadMembersConfig(path)
 	}
 	if m, err := read(goodMembers); err != nil || m.Site != "casa" {
 		t.Errorf("%+v, %v", m, err)
@@ -66,7 +66,7 @@
 	}
 	for want, text := range map[string]string{"line 2: not base64": one + "\n???\n", "line 1: 3 bytes": "AAAA\n", "line 2: the key is there twice": one + "\n" + one, "no key": "# none\n"} {
 		path := keys(text, 0o600)
-		if _, err := readSeals(path); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), one) {
+		if _, err := readGossipKeys(path); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), one) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -16,32 +16,32 @@
 // part is a subsystem beside the fronts, with a file of its own. What it has no use for is nil.
 type part struct {
 	name   string
-	join   func(s *seam)                    // to each front, before it serves
+	join   func(s *frontSeam)               // to each front, before it serves
 	start  func(ctx context.Context) error  // once all fronts are joined
 	reload func() (apply func(), err error) // reads and checks first; nothing has changed if it fails
 	leave  func()                           // after the fronts have left
 	stop   func()                           // at the very end
 	// figures are shown on the second address, where that is on.
-	figures func() prometheus.Collector
+	metrics func() prometheus.Collector
 }
 
-// seam is a front as a part may join it.
-type seam struct {
-	front    string
-	relay    string // the relay's name
-	x        *relay.Exchange
-	clock    *relay.Clock
-	platform *platform.Front // nil for other fronts
-	site     *relay.Site
-	lister   *discovery.Client // nil for other fronts
-	fleet    relay.Fleet       // a part's to set; nil where relays do not know each other
-	shared   *relay.Shared     // the same; nil where each looks at servers for itself
-	notices  []func(membership.Changed)
+// frontSeam is a front as a part may join it.
+type frontSeam struct {
+	front           string
+	relay           string // the relay's name
+	requests        *relay.RequestTable
+	clock           *relay.Clock
+	platform        *platform.Front // nil for other fronts
+	deployment      *relay.Deployment
+	discovery       *discovery.Client    // nil for other fronts
+	fleet           relay.FleetView      // a part's to set; nil where relays do not know each other
+	probeSharing    *relay.SharedProbing // the same; nil where each looks at servers for itself
+	changeListeners []func(membership.Changed)
 }
 
-// notice tells the parts that asked for it of a change in the fleet.
-func (s *seam) notice(c membership.Changed) {
-	for _, f := range s.notices {
+// notifyChange tells the parts that asked for it of a change in the fleet.
+func (s *frontSeam) notifyChange(c membership.Changed) {
+	for _, f := range s.changeListeners {
 		f(c)
 	}
 }
@@ -49,18 +49,18 @@
 // partList is the parts that are on.
 type partList []*part
 
-// figures are those of all parts.
-func (all partList) figures() (out []prometheus.Collector) {
+// metrics are those of all parts.
+func (all partList) metrics() (out []prometheus.Collector) {
 	for _, p := range all {
-		if p.figures != nil {
-			out = append(out, p.figures())
+		if p.metrics != nil {
+			out = append(out, p.metrics())
 		}
 	}
 	return out
 }
 
-// parts reads the files of all parts that are on. It is the one place where the parts are listed.
-func parts(from Sources, c *Config, log zerolog.Logger) (all partList, err error) {
+// readParts reads the files of all readParts that are on. It is the one place where the readParts are listed.
+func readParts(from Sources, c *Config, log zerolog.Logger) (all partList, err error) {
 	for _, p := range []struct {
 		file string
 		read func(path string, c *Config, log zerolog.Logger) (*part, error)
@@ -81,7 +81,7 @@
 	return all, nil
 }
 
-func (all partList) join(s *seam) {
+func (all partList) join(s *frontSeam) {
 	for _, p := range all {
 		if p.join != nil {
 			p.join(s)
--- a/internal/lifecycle/resume.go
+++ b/internal/lifecycle/resume.go
@@ -16,8 +16,8 @@
 	"capersail/internal/token"
 )
 
-// Resume is the operator's file for moving with a token; deploy/resume.toml says what each key means.
-type Resume struct {
+// ResumeConfig is the operator's file for moving with a token; deploy/resume.toml says what each key means.
+type ResumeConfig struct {
 	Servers     []string `toml:"servers"`
 	Path        string   `toml:"path"`
 	SessionMs   float64  `toml:"session_ms"`
@@ -29,12 +29,12 @@
 	SweepMs     float64  `toml:"sweep_ms"`
 	EveryServer bool     `toml:"every_server"`
 
-	ring *token.Ring
+	keyRing *token.Ring
 }
 
-// ReadResume reads the file and the keys that it names. An error names the file and the key.
-func ReadResume(path string) (*Resume, error) {
-	t := &Resume{Path: "/capersail/streams", SessionMs: 8000, LifeMs: 1_800_000, RenewMs: 5000, ClaimMs: 500, SkewMs: 2000, SweepMs: 600_000}
+// ReadResumeConfig reads the file and the keys that it names. An error names the file and the key.
+func ReadResumeConfig(path string) (*ResumeConfig, error) {
+	t := &ResumeConfig{Path: "/capersail/streams", SessionMs: 8000, LifeMs: 1_800_000, RenewMs: 5000, ClaimMs: 500, SkewMs: 2000, SweepMs: 600_000}
 	meta, err := toml.DecodeFile(path, t)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -72,23 +72,23 @@
 	if bad != "" {
 		return nil, fmt.Errorf("%s: %s", path, bad)
 	}
-	if t.ring, err = readKeys(t.Keys); err != nil {
+	if t.keyRing, err = readTokenKeys(t.Keys); err != nil {
 		return nil, fmt.Errorf("%s: keys: %s: %w", path, t.Keys, err)
 	}
 	return t, nil
 }
 
-// readKeys reads a key file of tokens.
-func readKeys(path string) (*token.Ring, error) {
-	text, err := readPrivate(path)
+// readTokenKeys reads a key file of tokens.
+func readTokenKeys(path string) (*token.Ring, error) {
+	text, err := readSecretFile(path)
 	if err != nil {
 		return nil, err
 	}
 	return token.ParseKeys(text)
 }
 
-// readPrivate reads a file with secrets. Its mode is asked of the file that is read, not of its name.
-func readPrivate(path string) ([]byte, error) {
+// readSecretFile reads a file with secrets. Its mode is asked of the file that is read, not of its name.
+func readSecretFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -104,16 +104,16 @@
 	return io.ReadAll(io.LimitReader(f, token.MaxKeyFile))
 }
 
-// closeClaims is how long the end of the session with the claim service is waited for, in ms; it ends by itself
+// ownershipCloseTimeout is how long the end of the session with the claim service is waited for, in ms; it ends by itself
 // too, but later.
-const closeClaims = 150.0
+const ownershipCloseTimeout = 150.0
 
 // resumePart is moving with a token as a part.
 func resumePart(path string, c *Config, log zerolog.Logger) (*part, error) {
 	if c == nil {
 		return nil, fmt.Errorf("%s: LB_CONFIG is not set: only the platform's front moves with a token", path)
 	}
-	t, err := ReadResume(path)
+	t, err := ReadResumeConfig(path)
 	if err != nil {
 		return nil, err
 	}
@@ -121,9 +121,9 @@
 	var service *resume.Service
 	return &part{
 		name: "resume",
-		join: func(s *seam) {
+		join: func(s *frontSeam) {
 			if s.platform != nil {
-				service = resume.New(t.service(s.relay), t.ring, s.clock, log)
+				service = resume.New(t.serviceConfig(s.relay), t.keyRing, s.clock, log)
 				s.platform.Resume = service
 			}
 		},
@@ -132,27 +132,27 @@
 			return nil
 		},
 		reload: func() (func(), error) {
-			n, err := ReadResume(path)
+			n, err := ReadResumeConfig(path)
 			if err != nil {
 				return nil, err
 			}
 			return func() {
-				service.SetRing(n.ring)
+				service.SetRing(n.keyRing)
 				service.Move(n.Servers)
-				log.Info().Str("sealing", n.ring.Sealing()).Strs("claims", n.Servers).
-					Bool("needs_restart", n.fixed() != t.fixed()).Msg("reloaded resume")
+				log.Info().Str("sealing", n.keyRing.Sealing()).Strs("claims", n.Servers).
+					Bool("needs_restart", n.restartOnly() != t.restartOnly()).Msg("reloaded resume")
 			}, nil
 		},
-		leave: func() { service.Close(closeClaims) },
+		leave: func() { service.Close(ownershipCloseTimeout) },
 	}, nil
 }
 
-func (t *Resume) service(relay string) resume.Config {
+func (t *ResumeConfig) serviceConfig(relay string) resume.Config {
 	return resume.Config{Relay: relay, Servers: t.Servers, Path: t.Path, Session: t.SessionMs, ClaimWithin: t.ClaimMs,
 		TokenLife: t.LifeMs, Renew: t.RenewMs, Skew: t.SkewMs, SweepEvery: t.SweepMs, EveryServer: t.EveryServer}
 }
 
-// fixed is what of the file a reload does not take in.
-func (t *Resume) fixed() string {
+// restartOnly is what of the file a reload does not take in.
+func (t *ResumeConfig) restartOnly() string {
 	return fmt.Sprint(t.Path, t.SessionMs, t.LifeMs, t.RenewMs, t.ClaimMs, t.SkewMs, t.SweepMs, t.EveryServer)
 }
--- a/internal/lifecycle/run_test.go
+++ b/internal/lifecycle/run_test.go
@@ -7,9 +7,9 @@
 	for _, time := range []float64{1200, 3000} {
 		for _, all := range []int{1, 10, 74} {
 			left := all
-			for since := 0.0; since <= time; since += moveStep {
-				n := left - staying(all, since, time)
-				if since < time*holdPart && n != 0 || n > all/6+1 {
+			for since := 0.0; since <= time; since += migrationInterval {
+				n := left - keptDuringShutdown(all, since, time)
+				if since < time*keepOpenFraction && n != 0 || n > all/6+1 {
 					t.Errorf("%d of %d are moved after %v of %v ms", n, all, since, time)
 				}
 				left -= n
@@ -25,14 +25,14 @@
 // them well before 4 s, when one still held is lost.
 func TestDrainMovesAllInTime(t *testing.T) {
 	for _, all := range []int{0, 1, 7, 300} {
-		if keptBy(all, 0) != all || keptBy(all, drainHold) != all {
-			t.Errorf("%d: moved before %v ms", all, drainHold)
+		if keptDuringDrain(all, 0) != all || keptDuringDrain(all, migrationDelay) != all {
+			t.Errorf("%d: moved before %v ms", all, migrationDelay)
 		}
-		if keptBy(all, drainBy) != 0 || drainBy+2*moveStep >= 4000 {
-			t.Errorf("%d: %d kept at %v ms", all, keptBy(all, drainBy), drainBy)
+		if keptDuringDrain(all, migrationDeadline) != 0 || migrationDeadline+2*migrationInterval >= 4000 {
+			t.Errorf("%d: %d kept at %v ms", all, keptDuringDrain(all, migrationDeadline), migrationDeadline)
 		}
-		for since := drainHold; since < drainBy; since += moveStep {
-			if step := keptBy(all, since) - keptBy(all, since+moveStep); step > all/40+1 {
+		for since := migrationDelay; since < migrationDeadline; since += migrationInterval {
+			if step := keptDuringDrain(all, since) - keptDuringDrain(all, since+migrationInterval); step > all/40+1 {
 				t.Errorf("%d: %d moved at once at %v ms", all, step, since)
 			}
 		}
--- a/internal/lifecycle/timeline.go
+++ b/internal/lifecycle/timeline.go
@@ -17,8 +17,8 @@
 	"capersail/internal/store"
 )
 
-// Timeline is the operator's file for time lines; deploy/timeline.toml says what each key means.
-type Timeline struct {
+// TimelineConfig is the operator's file for time lines; deploy/timeline.toml says what each key means.
+type TimelineConfig struct {
 	Socket     string `toml:"socket"`
 	Store      string `toml:"store"`
 	StoreMB    int64  `toml:"store_mb"`
@@ -27,14 +27,14 @@
 	Servers    int    `toml:"servers"`
 }
 
-// ReadTimeline reads the file. The error has every problem, each with its key.
-func ReadTimeline(path string) (*Timeline, error) {
-	t := &Timeline{StoreMB: 256, StoreHours: 72, Buffer: 8192, Servers: 512}
+// ReadTimelineConfig reads the file. The error has every problem, each with its key.
+func ReadTimelineConfig(path string) (*TimelineConfig, error) {
+	t := &TimelineConfig{StoreMB: 256, StoreHours: 72, Buffer: 8192, Servers: 512}
 	f, err := decodeFile(path, t)
 	if err != nil {
 		return nil, err
 	}
-	bad := f.bad
+	bad := f.addIf
 	bad(t.Socket != "" && !filepath.IsAbs(t.Socket), "socket: %q is not a path from / on", t.Socket)
 	bad(len(t.Socket) > 100, "socket: over 100 bytes; the kernel takes no more")
 	bad(t.Store != "" && !filepath.IsAbs(t.Store), "store: %q is not a path from / on", t.Store)
@@ -46,13 +46,13 @@
 }
 
 // options bound the store.
-func (t *Timeline) options() store.Options {
+func (t *TimelineConfig) options() store.Options {
 	return store.Options{MaxBytes: t.StoreMB << 20, MaxAge: time.Duration(t.StoreHours) * time.Hour}
 }
 
 // timelinePart is time lines as a part.
 func timelinePart(path string, _ *Config, log zerolog.Logger) (*part, error) {
-	t, err := ReadTimeline(path)
+	t, err := ReadTimelineConfig(path)
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 	ctx, end := context.WithCancel(context.Background()) // of their own: what comes last is folded and written too
 	return &part{
 		name: "timeline",
-		join: func(s *seam) {
+		join: func(s *frontSeam) {
 			c := watch.Config{Relay: s.relay, Buffer: t.Buffer, Limits: timeline.Default(), Most: t.Servers}
 			c.Limits.Lines = t.Servers
 			if s.platform == nil {
@@ -83,9 +83,9 @@
 				stores = append(stores, one)
 				c.Store = one
 			}
-			w := watch.New(c, s.x, log)
+			w := watch.New(c, s.requests, log)
 			watchers = append(watchers, w)
-			s.notices = append(s.notices, func(m membership.Changed) { w.Note(m.Name, m.State, m.Cause) })
+			s.changeListeners = append(s.changeListeners, func(m membership.Changed) { w.Note(m.Name, m.State, m.Cause) })
 		},
 		start: func(context.Context) error {
 			started = true
--- a/internal/lifecycle/xmpp.go
+++ b/internal/lifecycle/xmpp.go
@@ -18,8 +18,8 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// Operator is the operator's file for the XMPP front.
-type Operator struct {
+// XMPPConfig is the operator's file for the XMPP front.
+type XMPPConfig struct {
 	Listen      string `toml:"listen"`
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
@@ -48,9 +48,9 @@
 	}
 }
 
-// ReadOperator reads the operator's file. An error names the key.
-func ReadOperator(path string) (*Operator, error) {
-	o := &Operator{Relays: 1, SilentMs: 5000, ConnectMs: 1000, MaxRetryMs: 5000, Sockets: 1024}
+// ReadXMPPConfig reads the operator's file. An error names the key.
+func ReadXMPPConfig(path string) (*XMPPConfig, error) {
+	o := &XMPPConfig{Relays: 1, SilentMs: 5000, ConnectMs: 1000, MaxRetryMs: 5000, Sockets: 1024}
 	meta, err := toml.DecodeFile(path, o)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -91,8 +91,8 @@
 		bad = "silent_ms: from 100 to 7000"
 	case !(o.ConnectMs > 0):
 		bad = "connect_ms: more than 0"
-	case o.Sockets < leastSockets:
-		bad = fmt.Sprintf("sockets: %d at least", leastSockets)
+	case o.Sockets < minSockets:
+		bad = fmt.Sprintf("sockets: %d at least", minSockets)
 	}
 	if bad != "" {
 		return nil, fmt.Errorf("%s: %s", path, bad)
@@ -100,10 +100,10 @@
 	return o, nil
 }
 
-// Site turns the file into the module's settings. Every class is Unsafe there: once a client's SASL bytes
+// Deployment turns the file into the module's settings. Every class is Unsafe there: once a client's SASL bytes
 // have reached a server a lost set-up is final.
-func (o *Operator) Site() (*relay.Site, map[string]xmpp.Host) {
-	site := &relay.Site{Classes: map[string]decide.Class{}, Tenants: map[string]decide.Tenant{}, Zones: map[string]decide.Zone{}}
+func (o *XMPPConfig) Deployment() (*relay.Deployment, map[string]xmpp.Host) {
+	site := &relay.Deployment{Classes: map[string]decide.Class{}, Tenants: map[string]decide.Tenant{}, Zones: map[string]decide.Zone{}}
 	for i, z := range o.Zones {
 		site.Zones[z] = decide.Zone(i)
 	}
@@ -140,12 +140,12 @@
 	return site, hosts
 }
 
-func (o *Operator) ensemble() zookeeper.Ensemble {
+func (o *XMPPConfig) ensemble() zookeeper.Ensemble {
 	return zookeeper.Ensemble{Addresses: o.ZooKeeper.Servers, Path: o.ZooKeeper.Path, Session: o.ZooKeeper.SessionMs}
 }
 
-// secure loads what STARTTLS needs; nil only where plaintext is allowed.
-func (o *Operator) secure() (*tls.Config, error) {
+// tlsConfig loads what STARTTLS needs; nil only where plaintext is allowed.
+func (o *XMPPConfig) tlsConfig() (*tls.Config, error) {
 	if o.Certificate == "" {
 		return nil, nil
 	}
@@ -156,51 +156,51 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// fixed is what of the file a reload does not take in: the module's settings and the address.
-func (o *Operator) fixed() string {
+// restartOnly is what of the file a reload does not take in: the module's settings and the address.
+func (o *XMPPConfig) restartOnly() string {
 	return fmt.Sprint(o.Listen, o.Zone, o.Zones, o.Me, o.Relays, o.SilentMs, o.ConnectMs, o.MaxRetryMs, o.Class, o.Host)
 }
 
 // startXMPP starts the XMPP front with a core of its own.
-func startXMPP(ctx context.Context, from Sources, o *Operator, all partList, log zerolog.Logger) (*runningFront, error) {
-	site, hosts := o.Site()
-	secure, err := o.secure()
+func startXMPP(ctx context.Context, from Sources, o *XMPPConfig, all partList, log zerolog.Logger) (*runningFront, error) {
+	site, hosts := o.Deployment()
+	secure, err := o.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
 	clock := relay.NewClock()
 	servers := &xmpp.Servers{Clock: clock, ConnectTimeout: o.ConnectMs, ProbeTo: o.Host[0].To, Silent: o.SilentMs, Log: log}
-	x := relay.NewExchange(site, clock, servers)
-	all.join(&seam{front: "xmpp", relay: "xmpp", x: x, clock: clock})
+	x := relay.NewRequestTable(site, clock, servers)
+	all.join(&frontSeam{front: "xmpp", relay: "xmpp", requests: x, clock: clock})
 	lister := zookeeper.NewClient(o.ensemble(), x, log)
-	x.Members(decide.Cached, nil)
+	x.UpdateEndpoints(decide.Cached, nil)
 	lister.Watch() // there is no cached list to begin with
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	door := connlimit.New(clock, room(o.Sockets, false), log)
+	door := connlimit.New(clock, connectionCapacity(o.Sockets, false), log)
 	front := &xmpp.Front{X: x, Hosts: hosts, Gate: door}
 	front.TLS.Store(secure)
 	go lister.Run(ctx)
-	go relay.NewCore(x, rand.Uint64(), lister, log).Run(ctx)
-	r := &runningFront{x: x, listener: l, door: door, failed: make(chan error, 1), longest: longest(site)}
+	go relay.NewEventLoop(x, rand.Uint64(), lister, log).Run(ctx)
+	r := &runningFront{requests: x, listener: l, limiter: door, serveFailed: make(chan error, 1), longestDeadline: longestDeadline(site)}
 	r.reload = func() error {
-		n, err := ReadOperator(from.Operator)
+		n, err := ReadXMPPConfig(from.XMPP)
 		if err != nil {
 			return err
 		}
-		secure, err := n.secure()
+		secure, err := n.tlsConfig()
 		if err != nil {
-			return fmt.Errorf("%s: %w", from.Operator, err)
+			return fmt.Errorf("%s: %w", from.XMPP, err)
 		}
 		lister.Move(n.ensemble())
 		front.TLS.Store(secure)
-		door.SetRoom(room(n.Sockets, false))
-		log.Info().Strs("zookeeper", n.ZooKeeper.Servers).Bool("needs_restart", n.fixed() != o.fixed()).Msg("reloaded XMPP")
+		door.SetDescriptorLimit(connectionCapacity(n.Sockets, false))
+		log.Info().Strs("zookeeper", n.ZooKeeper.Servers).Bool("needs_restart", n.restartOnly() != o.restartOnly()).Msg("reloaded XMPP")
 		return nil
 	}
-	go func() { r.failed <- front.Serve(l) }()
+	go func() { r.serveFailed <- front.Serve(l) }()
 	log.Info().Str("listen", l.Addr().String()).Msg("serving XMPP")
 	return r, nil
 }
--- a/internal/lifecycle/xmpp_test.go
+++ b/internal/lifecycle/xmpp_test.go
@@ -62,13 +62,13 @@
 	if err := os.WriteFile(path, fmt.Appendf(nil, operatorText, security, zk.Address), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	o, err := ReadOperator(path)
+	o, err := ReadXMPPConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	r, err := startXMPP(ctx, Sources{Operator: path}, o, nil, zerolog.Nop())
+	r, err := startXMPP(ctx, Sources{XMPP: path}, o, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	b.t.Cleanup(s.Kill)
 	b.node(name, s, "Ready")
 	for i := 0; ; i++ {
-		if _, ok := b.relay.x.Server(name); ok {
+		if _, ok := b.relay.requests.Server(name); ok {
 			return s
 		}
 		if i > 1000 {
@@ -363,7 +363,7 @@
 	servers[0].Kill()
 	servers[1].Silence()
 	b.node("n3", servers[2], "Terminating")
-	all.Go(func() { leave(b.relay) })
+	all.Go(func() { shutDownFront(b.relay) })
 	all.Wait()
 	t.Log(outcomes)
 }
@@ -450,7 +450,7 @@
 	b.zk = other
 	b.server("n2", "")
 	for i := 0; ; i++ { // until the new list has come n1 may still be given streams
-		if !b.relay.x.Listed("n1") {
+		if !b.relay.requests.ServerReady("n1") {
 			break
 		}
 		if i > 1000 {
--- a/internal/manualeject/ban.go
+++ b/internal/manualeject/ban.go
@@ -12,81 +12,81 @@
 	"slices"
 )
 
-// ErrUnknown refuses a call about an id that was never listed.
-var ErrUnknown = errors.New("no such tile server was ever listed")
+// ErrNeverListed refuses a call about an id that was never listed.
+var ErrNeverListed = errors.New("no such tile server was ever listed")
 
-// Book is the set of tile servers that are out by hand, with the time each went out, in the relay's milliseconds.
-type Book struct {
-	out map[string]float64
+// Ejections is the set of tile servers that are out by hand, with the time each went out, in the relay's milliseconds.
+type Ejections struct {
+	ejectedAt map[string]float64
 }
 
-// Down takes a server out at now. It tells whether that changed anything: a ban that stands keeps its time.
-func (b *Book) Down(now float64, id string, listed bool) (changed bool, err error) {
+// Eject takes a server out at now. It tells whether that changed anything: a ban that stands keeps its time.
+func (b *Ejections) Eject(now float64, id string, listed bool) (changed bool, err error) {
 	if !listed {
-		return false, ErrUnknown
+		return false, ErrNeverListed
 	}
-	if _, ok := b.out[id]; ok {
+	if _, ok := b.ejectedAt[id]; ok {
 		return false, nil
 	}
-	if b.out == nil {
-		b.out = map[string]float64{}
+	if b.ejectedAt == nil {
+		b.ejectedAt = map[string]float64{}
 	}
-	b.out[id] = now
+	b.ejectedAt[id] = now
 	return true, nil
 }
 
-// Since is how long the server has been out at now, in ms; false if it is not out.
-func (b *Book) Since(now float64, id string) (float64, bool) {
-	at, ok := b.out[id]
+// EjectedFor is how long the server has been out at now, in ms; false if it is not out.
+func (b *Ejections) EjectedFor(now float64, id string) (float64, bool) {
+	at, ok := b.ejectedAt[id]
 	return now - at, ok
 }
 
-// Up lets a server serve again. It tells whether that changed anything.
-func (b *Book) Up(id string, listed bool) (changed bool, err error) {
-	_, out := b.out[id]
+// Readmit lets a server serve again. It tells whether that changed anything.
+func (b *Ejections) Readmit(id string, listed bool) (changed bool, err error) {
+	_, out := b.ejectedAt[id]
 	if !listed && !out {
-		return false, ErrUnknown
+		return false, ErrNeverListed
 	}
 	if !out {
 		return false, nil
 	}
-	delete(b.out, id)
+	delete(b.ejectedAt, id)
 	return true, nil
 }
 
-// Take replaces the bans by those kept, which another process of the relay may have changed, at now. A ban that
+// Replace replaces the bans by those kept, which another process of the relay may have changed, at now. A ban that
 // stands keeps its time. It tells whether that changed anything.
-func (b *Book) Take(now float64, kept []string) (changed bool) {
+func (b *Ejections) Replace(now float64, kept []string) (changed bool) {
 	next := make(map[string]float64, len(kept))
 	for _, id := range kept {
-		at, ok := b.out[id]
+		at, ok := b.ejectedAt[id]
 		if !ok {
 			at, changed = now, true
 		}
 		next[id] = at
 	}
-	changed = changed || len(next) != len(b.out)
-	b.out = next
+	changed = changed || len(next) != len(b.ejectedAt)
+	b.ejectedAt = next
 	return changed
 }
 
-// Out is the set of bans.
-func (b *Book) Out() map[string]bool {
-	out := make(map[string]bool, len(b.out))
-	for id := range b.out {
+// Set is the set of bans.
+func (b *Ejections) Set() map[string]bool {
+	out := make(map[string]bool, len(b.ejectedAt))
+	for id := range b.ejectedAt {
 		out[id] = true
 	}
 	return out
 }
 
 // IDs are the ids that are out, in order.
-func (b *Book) IDs() []string { return slices.Sorted(maps.Keys(b.out)) }
+func (b *Ejections) IDs() []string { return slices.Sorted(maps.Keys(b.ejectedAt)) }
 
-// Name is the name under which a ban on the id is kept: any id, whatever bytes it has, is one plain file name.
-func Name(id string) string { return "out-" + hex.EncodeToString([]byte(id)) }
+// FileName is the name under which a ban on the id is kept: any id, whatever bytes it has, is one plain file name.
+func FileName(id string) string { return "out-" + hex.EncodeToString([]byte(id)) }
 
-// FromName is the id of a name that Name made; false for any other name.
-func FromName(name string) (string, bool) {
+// IDFromFileName is the id of a name that Name made; false for any other name.
+func IDFromFileName(name string) (string, bool) {
 	if len(name) < 4 || name[:4] != "out-" {
 		return "", false
 	}
--- a/internal/manualeject/stored_test.go
+++ b/internal/manualeject/stored_test.go
@@ -26,7 +26,7 @@
 	var ids []string
 	for _, e := range entries {
 		want, known := storedBans[e.Name()]
-		id, ok := FromName(e.Name())
+		id, ok := IDFromFileName(e.Name())
 		if !known || !ok || id != want {
 			t.Errorf("%s: read as %q, %v, want %q", e.Name(), id, ok, want)
 		}
@@ -35,15 +35,15 @@
 			t.Errorf("%s: %v; the name says all", e.Name(), err)
 		}
 	}
-	var b Book
-	if !b.Take(1000, ids) {
+	var b Ejections
+	if !b.Replace(1000, ids) {
 		t.Error("stored bans change nothing")
 	}
 	if got := b.IDs(); len(got) != len(storedBans) || !slices.Contains(got, "s-5be2a07c") {
 		t.Errorf("bans: %q", got)
 	}
 	for name, id := range storedBans {
-		if got := Name(id); got != name {
+		if got := FileName(id); got != name {
 			t.Errorf("%q is kept as %q, want %q", id, got, name)
 		}
 	}
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -24,28 +24,28 @@
 // memory that their lines hold.
 func BenchmarkFold(b *testing.B) {
 	const servers = 200
-	clock := relay.NewSetClock()
-	x := relay.NewExchange(&relay.Site{}, clock, nil)
+	clock := relay.NewManualClock()
+	x := relay.NewRequestTable(&relay.Deployment{}, clock, nil)
 	w := New(Config{Buffer: 1 << 15, Limits: timeline.Default(), Most: servers}, x, zerolog.Nop())
-	var list []relay.Listed
+	var list []relay.Endpoint
 	for i := range servers {
-		list = append(list, relay.Listed{ID: fmt.Sprint("s", i), Mode: decide.Ready})
+		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Mode: decide.Ready})
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	x.Members(decide.Whole, list)
+	x.UpdateEndpoints(decide.Whole, list)
 	w.Fold()
-	now, n := clock.Now(), 0
+	now, n := clock.NowMillis(), 0
 	for b.Loop() { // a second of each server's life: three connections and a probe
 		for i := range servers {
 			for k := range 3 {
 				at := now + float64(k)*300
-				x.Tap.Put(&recorder.Record{At: at, Kind: recorder.Place, Server: int32(i)})
-				x.Tap.Put(&recorder.Record{At: at + 3, Kind: recorder.Up, Server: int32(i), Took: 3})
-				x.Tap.Put(&recorder.Record{At: at + 200, Kind: recorder.End, Server: int32(i), By: recorder.Client, Status: decide.Cancelled, WasUp: true})
+				x.Recorder.Put(&recorder.Record{At: at, Kind: recorder.Place, Server: int32(i)})
+				x.Recorder.Put(&recorder.Record{At: at + 3, Kind: recorder.Up, Server: int32(i), Took: 3})
+				x.Recorder.Put(&recorder.Record{At: at + 200, Kind: recorder.End, Server: int32(i), By: recorder.Client, Status: decide.Cancelled, WasUp: true})
 			}
-			x.Tap.Put(&recorder.Record{At: now, Kind: recorder.Probe, Server: int32(i), Load: 0.4, Took: 0.4})
+			x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.Probe, Server: int32(i), Load: 0.4, Took: 0.4})
 		}
 		n += servers * 10
 		now += 1000
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -41,7 +41,7 @@
 // Watcher is one relay's.
 type Watcher struct {
 	Config
-	x   *relay.Exchange
+	x   *relay.RequestTable
 	log zerolog.Logger
 
 	mu      sync.Mutex
@@ -59,10 +59,10 @@
 }
 
 // New returns a Watcher of an Exchange, which it gives a tap. It is called before the Exchange is used.
-func New(c Config, x *relay.Exchange, log zerolog.Logger) *Watcher {
+func New(c Config, x *relay.RequestTable, log zerolog.Logger) *Watcher {
 	w := &Watcher{Config: c, x: x, log: log, book: timeline.New(c.Limits), depart: anomaly.New(c.Most),
 		rows: map[string]*timeline.Step{}, follow: map[chan anomaly.Event]bool{}}
-	x.Tap = recorder.New(c.Buffer)
+	x.Recorder = recorder.New(c.Buffer)
 	if c.Store != nil {
 		w.book.Sink = timeline.Sink{Band: w.band, Step: w.step}
 	}
@@ -77,7 +77,7 @@
 			w.Fold()
 			w.Rest()
 			return
-		case <-w.x.Tap.Ready():
+		case <-w.x.Recorder.Ready():
 		case <-w.x.Clock.After(lookEvery):
 		}
 		w.Fold()
@@ -88,13 +88,13 @@
 func (w *Watcher) Fold() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	records := w.x.Tap.Take(w.spare)
+	records := w.x.Recorder.Take(w.spare)
 	for i := range records {
 		r := &records[i]
 		w.take(r)
 	}
 	w.spare = records[:0]
-	w.tick(w.x.Clock.Unix(w.x.Clock.Now()))
+	w.tick(w.x.Clock.Unix(w.x.Clock.NowMillis()))
 }
 
 func (w *Watcher) take(r *recorder.Record) {
@@ -105,7 +105,7 @@
 	name := timeline.Fleet
 	if r.Server >= 0 {
 		if int(r.Server) >= len(w.names) {
-			w.names = w.x.Names(len(w.names), w.names)
+			w.names = w.x.ServerIDs(len(w.names), w.names)
 		}
 		name = w.names[r.Server]
 	}
@@ -178,7 +178,7 @@
 func (w *Watcher) Note(relay, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.x.Clock.Unix(w.x.Clock.Now())
+	at := w.x.Clock.Unix(w.x.Clock.NowMillis())
 	what := "relay " + relay + ": " + state
 	if relay == "" {
 		what = "this relay: " + state
@@ -263,7 +263,7 @@
 func (w *Watcher) Report(q report.Query) *report.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := w.x.Clock.Unix(w.x.Clock.Now())
+	now := w.x.Clock.Unix(w.x.Clock.NowMillis())
 	r := &report.Report{Relay: w.Relay, At: now, Dropped: w.dropped, Evicted: w.book.Evicted}
 	if w.Store != nil {
 		if err := w.Store.Failing(); err != nil {
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -34,7 +34,7 @@
 // town is a relay in this process, with servers and clients on loopback.
 type town struct {
 	t       testing.TB
-	x       *relay.Exchange
+	x       *relay.RequestTable
 	w       *Watcher
 	servers []*fake.ScanServer
 	modes   []decide.Mode
@@ -48,11 +48,11 @@
 	t.Cleanup(func() { close(stop) })
 	feed, ledger := fake.NewFeed(1000, 50*time.Millisecond, stop), fake.NewLedger()
 	clock := relay.NewClock()
-	site := &relay.Site{Classes: map[string]decide.Class{"m": 0}, LoadKey: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
+	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
 		MaxAttempts: 4, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(200), Tick: relay.Duration(5),
 		ConnectTimeout: relay.Duration(300), Rules: decide.Rules{Cold: relay.Duration(3000), StartCapacity: 0.36, FallMultiple: 4,
 			FallFor: relay.Duration(1500)}, Classes: []decide.ClassInfo{{Aim: relay.Duration(800), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewExchange(site, clock, &platform.Servers{Clock: clock, ConnectTimeout: 300, LoadKey: "x0", Keep: 64})
+	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock, ConnectTimeout: 300, LoadKey: "x0", Keep: 64})
 	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.Default(), Most: 100, Store: s}, x, zerolog.Nop())}
 	for i := range servers {
 		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", feed, ledger)
@@ -72,17 +72,17 @@
 	t.Cleanup(func() { l.Close() })
 	w.relay = l.Addr().String()
 	go (&platform.Front{X: x, Site: site, Gate: connlimit.New(clock, 4096, zerolog.Nop())}).Serve(l)
-	go relay.NewCore(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
+	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
 	go w.w.Run(t.Context())
 	return w
 }
 
 func (w *town) list() {
-	var all []relay.Listed
+	var all []relay.Endpoint
 	for i, s := range w.servers {
-		all = append(all, relay.Listed{ID: s.ID, Address: s.Address, Mode: w.modes[i], Started: w.since[i], Load: -1})
+		all = append(all, relay.Endpoint{ID: s.ID, Address: s.Address, Mode: w.modes[i], StartedAt: w.since[i], Load: -1})
 	}
-	w.x.Members(decide.Whole, all)
+	w.x.UpdateEndpoints(decide.Whole, all)
 }
 
 func (w *town) mode(i int, m decide.Mode) {
@@ -232,8 +232,8 @@
 		w.mode(11, decide.Ready)
 	}
 	expect(11, anomaly.Flapping)
-	w.x.Members(decide.Failed, nil)
-	w.x.Members(decide.Failed, nil)
+	w.x.UpdateEndpoints(decide.Failed, nil)
+	w.x.UpdateEndpoints(decide.Failed, nil)
 	expect(-1, anomaly.NoList)
 
 	old := w.servers[12] // dies, and another process takes its address; the list says nothing
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -15,23 +15,23 @@
 func BenchmarkDecision(b *testing.B) {
 	const each = 2000
 	type side1 struct {
-		c     *Core
+		c     *EventLoop
 		wire  *side
 		clock *Clock
 		spare []recorder.Record
 	}
 	make1 := func(t *recorder.Tap) *side1 {
-		clock, wire := NewSetClock(), &side{}
-		site := &Site{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true,
+		clock, wire := NewManualClock(), &side{}
+		site := &Deployment{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true,
 			MaxRetryAfter: Duration(1000), Tick: Duration(5), Classes: []decide.ClassInfo{{Aim: Duration(300), Deadline: Duration(1000)}}}}
-		x := NewExchange(site, clock, wire)
-		x.Tap = t
-		var list []Listed
+		x := NewRequestTable(site, clock, wire)
+		x.Recorder = t
+		var list []Endpoint
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-			list = append(list, Listed{ID: id, Address: "127.0.0.1:1", Mode: decide.Ready})
+			list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1", Mode: decide.Ready})
 		}
-		x.Members(decide.Whole, list)
-		return &side1{c: NewCore(x, 7, &noList{}, zerolog.Nop()), wire: wire, clock: clock}
+		x.UpdateEndpoints(decide.Whole, list)
+		return &side1{c: NewEventLoop(x, 7, &noList{}, zerolog.Nop()), wire: wire, clock: clock}
 	}
 	sides := []*side1{make1(nil), make1(recorder.New(8192))}
 	var spent [2]time.Duration
@@ -41,22 +41,22 @@
 			began := time.Now()
 			for range each {
 				s.wire.tries = s.wire.tries[:0]
-				call := s.c.x.Open(Ask{Left: 1000}, &side{})
+				call := s.c.table.Open(OpenRequest{Timeout: 1000}, &side{})
 				for len(s.wire.tries) == 0 {
 					if state, _ := call.State(); state == Ended {
 						break
 					}
-					s.clock.Set(s.clock.Now() + 5)
+					s.clock.Set(s.clock.NowMillis() + 5)
 					s.c.Step()
 				}
-				if call.Attach(0, &side{}) && call.Begin(0) && call.Up(0) != nil {
-					call.Leave(Clean)
+				if call.Attach(0, &side{}) && call.BeginWrite(0) && call.Establish(0) != nil {
+					call.ClientClosed(GracefulClose)
 				}
-				call.Over(0, decide.Cancelled, decide.NoReport)
+				call.EndAttempt(0, decide.Cancelled, decide.NoReport)
 				s.c.Step()
 			}
-			if s.c.x.Tap != nil {
-				s.spare = s.c.x.Tap.Take(s.spare)
+			if s.c.table.Recorder != nil {
+				s.spare = s.c.table.Recorder.Take(s.spare)
 			}
 			spent[i] += time.Since(began)
 		}
--- a/internal/relay/claim_side.go
+++ b/internal/relay/claim_side.go
@@ -8,48 +8,48 @@
 
 // This file holds the methods by which a claim tells a call whether this relay may serve its stream.
 
-// Claimed says that the stream is this relay's: the call goes to the module, as any that comes back. It is
+// OwnershipAcquired says that the stream is this relay's: the call goes to the module, as any that comes back. It is
 // false if it waits for that no more.
-func (c *Call) Claimed() bool {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
+func (c *Request) OwnershipAcquired() bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
 	switch {
-	case c.state != Claiming:
+	case c.state != AwaitingOwnership:
 		return false
-	case guard.MayStart(c.x.refusing(), false) != guard.Allowed:
-		c.end(c.x.advised(c.x.elsewhere()))
+	case guard.MayAccept(c.table.rejecting(), false) != guard.Allowed:
+		c.answerFinally(c.table.applyRetryAfterSetting(c.table.shutdownRejection()))
 		return false
 	}
-	c.state = Held
-	c.x.post(c.request())
+	c.state = Queued
+	c.table.post(c.decisionRequest())
 	return true
 }
 
-// Unclaimed says that it is not.
-func (c *Call) Unclaimed(a Answer) {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	if c.state == Claiming {
-		c.end(c.x.advised(a))
+// OwnershipDenied says that it is not.
+func (c *Request) OwnershipDenied(a Answer) {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.state == AwaitingOwnership {
+		c.answerFinally(c.table.applyRetryAfterSetting(a))
 	}
 }
 
-// Lapse says that the claim may be lost: the call is ended politely, and nothing goes out for it any more.
-func (c *Call) Lapse(after float64) {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	c.lapsed = true
+// LoseOwnership says that the claim may be lost: the call is ended politely, and nothing goes out for it any more.
+func (c *Request) LoseOwnership(after float64) {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	c.ownershipLost = true
 	switch c.state {
-	case Held, Trying:
-		a := Answer{Kind: Refused, RetryAfter: after}
-		if guard.MayRefuse(c.guarded(true)) != guard.Allowed {
+	case Queued, Attempting:
+		a := Answer{Kind: Rejected, RetryAfter: after}
+		if guard.MayReject(c.guardFacts(true)) != guard.Allowed {
 			a = Answer{Kind: Failed}
 		}
-		c.x.post(decide.Gone{ID: c.ID})
-		c.end(c.x.advised(a))
-	case Claiming:
-		c.end(c.x.advised(Answer{Kind: Refused, RetryAfter: after}))
-	case Up:
-		c.move(recorder.Claim)
+		c.table.post(decide.Gone{ID: c.ID})
+		c.answerFinally(c.table.applyRetryAfterSetting(a))
+	case AwaitingOwnership:
+		c.answerFinally(c.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: after}))
+	case Established:
+		c.migrate(recorder.Claim)
 	}
 }
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -14,32 +14,32 @@
 // Clock is the program's only source of time: milliseconds since an arbitrary origin. A clock made by
 // NewSetClock stands still until a test sets it.
 type Clock struct {
-	origin time.Time
-	manual bool
-	set    atomic.Uint64 // bits of the time of a clock that tests set
+	origin    time.Time
+	manual    bool
+	manualNow atomic.Uint64 // bits of the time of a clock that tests set
 	// stepped: bits of how far the clock of the day of such a clock is off.
-	stepped atomic.Uint64
+	wallStep atomic.Uint64
 }
 
 // NewClock returns a clock that runs.
-func NewClock() *Clock { return &Clock{origin: timeOfDay()} }
+func NewClock() *Clock { return &Clock{origin: wallNow()} }
 
-// NewSetClock returns a clock that stands still.
-func NewSetClock() *Clock {
+// NewManualClock returns a clock that stands still.
+func NewManualClock() *Clock {
 	c := &Clock{origin: time.Unix(1_000_000_000, 0), manual: true}
 	c.Set(clockStart)
 	return c
 }
 
 // Set moves a clock made by NewSetClock.
-func (c *Clock) Set(ms float64) { c.set.Store(math.Float64bits(ms)) }
+func (c *Clock) Set(ms float64) { c.manualNow.Store(math.Float64bits(ms)) }
 
-// Now is the time in milliseconds.
-func (c *Clock) Now() float64 {
+// NowMillis is the time in milliseconds.
+func (c *Clock) NowMillis() float64 {
 	if c.manual {
-		return math.Float64frombits(c.set.Load())
+		return math.Float64frombits(c.manualNow.Load())
 	}
-	return clockStart + float64(c.since().Nanoseconds())/1e6
+	return clockStart + float64(c.elapsed().Nanoseconds())/1e6
 }
 
 // FromUnix turns the Unix time in milliseconds of something that has happened into this clock's; 0 stays 0, for long ago. The clock of
@@ -49,29 +49,31 @@
 	if ms == 0 {
 		return 0
 	}
-	now := c.Now()
+	now := c.NowMillis()
 	byStart := clockStart + ms - float64(c.origin.UnixNano())/1e6
-	byDay := now + ms - c.day()
+	byDay := now + ms - c.wallMillis()
 	return min(max(byStart, byDay), now)
 }
 
-// day is the clock of the day now, as Unix time in milliseconds.
-func (c *Clock) day() float64 {
+// wallMillis is the clock of the wallMillis now, as Unix time in milliseconds.
+func (c *Clock) wallMillis() float64 {
 	if c.manual {
-		return c.Unix(c.Now()) + math.Float64frombits(c.stepped.Load())
+		return c.Unix(c.NowMillis()) + math.Float64frombits(c.wallStep.Load())
 	}
-	return float64(timeOfDay().UnixNano()) / 1e6
+	return float64(wallNow().UnixNano()) / 1e6
 }
 
-// StepDay steps the clock of the day of a clock made by NewSetClock, by ms from where it would be.
-func (c *Clock) StepDay(ms float64) { c.stepped.Store(math.Float64bits(ms)) }
+// StepWallClock steps the clock of the day of a clock made by NewSetClock, by ms from where it would be.
+func (c *Clock) StepWallClock(ms float64) { c.wallStep.Store(math.Float64bits(ms)) }
 
 // Unix turns this clock's time into Unix time in milliseconds, by the one origin that was read at the start: it
 // does not step with the clock of the day.
 func (c *Clock) Unix(ms float64) float64 { return ms - clockStart + float64(c.origin.UnixNano())/1e6 }
 
-// Wall is when a network deadline falls that lies at ms on this clock.
-func (c *Clock) Wall(ms float64) time.Time { return time.Now().Add(Duration(ms - c.Now())) }
+// WallDeadline is when a network deadline falls that lies at ms on this clock.
+func (c *Clock) WallDeadline(ms float64) time.Time {
+	return time.Now().Add(Duration(ms - c.NowMillis()))
+}
 
 // Duration is the one place where milliseconds become a time.Duration. It rounds to whole microseconds,
 // in which the module's figures are stated, and bounds what is out of all reason.
--- a/internal/relay/clock_faults.go
+++ b/internal/relay/clock_faults.go
@@ -11,8 +11,8 @@
 // started is what the faulty clock showed when the process began.
 var started = faultpoint.Shown()
 
-// since is how long ago the process began, by a clock that may run fast or slow.
-func (c *Clock) since() time.Duration { return faultpoint.Shown() - started }
+// elapsed is how long ago the process began, by a clock that may run fast or slow.
+func (c *Clock) elapsed() time.Duration { return faultpoint.Shown() - started }
 
-// timeOfDay is the clock of the day, which may be off.
-func timeOfDay() time.Time { return time.Now().Add(faultpoint.Step()) }
+// wallNow is the clock of the day, which may be off.
+func wallNow() time.Time { return time.Now().Add(faultpoint.Step()) }
--- a/internal/relay/exchange_test.go
+++ b/internal/relay/exchange_test.go
@@ -17,19 +17,19 @@
 	gone   bool // the client's end has come, and nobody has read it
 }
 
-func (s *side) Try(_ *Call, a Attempt) { s.tries = append(s.tries, a) }
+func (s *side) StartAttempt(_ *Request, a Attempt) { s.tries = append(s.tries, a) }
 func (s *side) Probe(_ Server, done func(decide.Status, decide.Report)) {
 	s.probes++
 	done(decide.OK, decide.Report{Load: 0.1, Inflight: -1, Errors: -1, Busy: -1})
 }
-func (s *side) Pass([]byte) error { return nil }
-func (s *side) Close(Ending)      { s.closed++ }
-func (s *side) Wake()             { s.woken++ }
-func (s *side) Pending() bool     { return s.gone }
+func (s *side) Forward([]byte) error { return nil }
+func (s *side) Close(CloseKind)      { s.closed++ }
+func (s *side) Wake()                { s.woken++ }
+func (s *side) HasUnread() bool      { return s.gone }
 
 // model is what a request's state machine is meant to be: plain values, no locks, no channels.
 type model struct {
-	call     *Call
+	call     *Request
 	client   *side
 	state    State
 	answer   AnswerKind
@@ -51,9 +51,9 @@
 // claimed stands for what may give a call its claim.
 type claimed struct{ begun, released int }
 
-func (c *claimed) Wait() bool  { return true }
-func (c *claimed) Begin(*Call) { c.begun++ }
-func (c *claimed) Release()    { c.released++ }
+func (c *claimed) MustWait() bool   { return true }
+func (c *claimed) Acquire(*Request) { c.begun++ }
+func (c *claimed) Release()         { c.released++ }
 
 // over tells whether neither side has anything to do with the request any more.
 func (m *model) over() bool { return m.state == Ended && !m.out }
@@ -74,23 +74,23 @@
 	f.Add([]byte{0, 1, 129, 16, 1, 0, 1, 1, 0, 2, 1, 0, 3, 1, 0, 18, 1, 0, 4, 1, 0, 5, 1, 3})          // lapsed while it may run
 	f.Add([]byte{0, 0, 128, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 19, 0, 0, 5, 0, 6})                   // the server's no
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		clock, wire := NewSetClock(), &side{}
-		site := &Site{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{}, {Effect: decide.Unsafe}}}}
-		x := NewExchange(site, clock, wire)
+		clock, wire := NewManualClock(), &side{}
+		site := &Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{}, {Effect: decide.Unsafe}}}}
+		x := NewRequestTable(site, clock, wire)
 		modes := []decide.Mode{decide.Ready, decide.Ready}
 		list := func() {
-			x.Members(decide.Whole, []Listed{{ID: "a", Mode: modes[0]}, {ID: "b", Mode: modes[1]}})
+			x.UpdateEndpoints(decide.Whole, []Endpoint{{ID: "a", Mode: modes[0]}, {ID: "b", Mode: modes[1]}})
 		}
 		list()
 		calls := map[int]*model{}
 		leaving := false
 		for ; len(steps) >= 3; steps = steps[3:] {
 			op, who, arg := steps[0]%21, int(steps[1]%4), int(steps[2])
-			m, now := calls[who], clock.Now()
+			m, now := calls[who], clock.NowMillis()
 			if m == nil && op != 0 && op != 9 && op != 10 && op != 13 {
 				continue
 			}
-			live := m != nil && m.state == Trying && !m.canceled
+			live := m != nil && m.state == Attempting && !m.canceled
 			switch op {
 			case 0:
 				if m == nil {
@@ -99,27 +99,27 @@
 					for _, o := range calls {
 						double = double || m.name != "" && o.name == m.name && !o.over()
 					}
-					ask := Ask{Name: m.name, Class: decide.Class(who % 2), Left: 1000}
+					ask := OpenRequest{Name: m.name, Class: decide.Class(who % 2), Timeout: 1000}
 					if arg >= 128 {
-						m.claim, m.state = &claimed{}, Claiming
-						ask.Claim = m.claim
+						m.claim, m.state = &claimed{}, AwaitingOwnership
+						ask.Ownership = m.claim
 					}
 					m.call = x.Open(ask, m.client)
 					if calls[who] = m; double {
 						m.state, m.answer, m.name = Ended, Failed, ""
 					} else if leaving {
-						m.state, m.answer = Ended, Refused
+						m.state, m.answer = Ended, Rejected
 					}
 				}
 			case 1:
 				tries := len(wire.tries)
-				x.send(m.call.ID, decide.Backend(arg%2), float64(arg), nil)
-				allowed := m.state == Held && !m.out && m.sends < 3 && !(m.mayRun && who%2 == 1)
+				x.startAttempt(m.call.ID, decide.Backend(arg%2), float64(arg), nil)
+				allowed := m.state == Queued && !m.out && m.sends < 3 && !(m.mayRun && who%2 == 1)
 				if allowed != (len(wire.tries) == tries+1) {
 					t.Fatalf("send in %+v: tried %v", m, !allowed)
 				}
 				if allowed {
-					m.state, m.out, m.attached, m.canceled, m.begun, m.to = Trying, true, false, false, false, arg%2
+					m.state, m.out, m.attached, m.canceled, m.begun, m.to = Attempting, true, false, false, false, arg%2
 					m.sends++
 					if m.until = m.deadline; arg != 0 {
 						m.until = min(m.until, now+float64(arg))
@@ -131,7 +131,7 @@
 				}
 				m.attached = m.attached || live
 			case 3:
-				if got, want := m.call.Begin(m.sends-1), live && modes[m.to] == decide.Ready && now < m.until && !m.client.gone; got != want {
+				if got, want := m.call.BeginWrite(m.sends-1), live && modes[m.to] == decide.Ready && now < m.until && !m.client.gone; got != want {
 					t.Fatalf("begin in %+v: %v", m, got)
 				} else {
 					m.begun = m.begun || want
@@ -140,41 +140,41 @@
 				if !m.attached && live { // no side says up before it has attached
 					continue
 				}
-				if got := m.call.Up(m.sends-1) != nil; got != live {
+				if got := m.call.Establish(m.sends-1) != nil; got != live {
 					t.Fatalf("up in %+v: %v", m, got)
 				}
 				if live {
-					m.state, m.moving = Up, leaving
+					m.state, m.moving = Established, leaving
 				}
 			case 5:
-				m.call.Over(m.sends-1, decide.Status(arg%8), decide.NoReport)
+				m.call.EndAttempt(m.sends-1, decide.Status(arg%8), decide.NoReport)
 				if m.out {
 					m.outcomes++
 					m.out = false
 					status := decide.Status(arg % 8)
 					m.mayRun = m.mayRun || !status.NeverRan()
 					switch m.state {
-					case Trying:
-						m.state = Held
-					case Up:
+					case Attempting:
+						m.state = Queued
+					case Established:
 						m.state = Ended
 					}
 				}
 			case 6:
-				m.call.Leave(Ending(arg % 2))
+				m.call.ClientClosed(CloseKind(arg % 2))
 				m.state = Ended
 			case 7:
-				x.move(m.call.ID)
-				m.moving = m.moving || m.state == Up
+				x.migrate(m.call.ID)
+				m.moving = m.moving || m.state == Established
 			case 8, 12:
-				kind := Refused + AnswerKind(arg%2)
+				kind := Rejected + AnswerKind(arg%2)
 				if op == 12 {
 					kind = Failed
-					x.overdue(m.call.ID)
+					x.failOverdue(m.call.ID)
 				} else {
-					x.finish(m.call.ID, Answer{Kind: kind})
+					x.answer(m.call.ID, Answer{Kind: kind})
 				}
-				if m.state != Up && m.state != Ended {
+				if m.state != Established && m.state != Ended {
 					m.state, m.answer = Ended, kind
 				}
 			case 9:
@@ -183,41 +183,41 @@
 			case 10:
 				clock.Set(now + float64(arg*4))
 			case 11:
-				x.cancel(m.call.ID, m.sends-1)
-				m.canceled = m.canceled || m.state == Trying
+				x.cancelAttempt(m.call.ID, m.sends-1)
+				m.canceled = m.canceled || m.state == Attempting
 			case 13:
-				x.Drain()
+				x.BeginShutdown()
 				leaving = true
 			case 14:
-				want := m.state != Up && m.state != Ended
-				if got := m.call.Spoil(); got != want {
+				want := m.state != Established && m.state != Ended
+				if got := m.call.FailOnClientError(); got != want {
 					t.Fatalf("spoil in %+v: %v", m, got)
 				}
 				if want {
 					m.state, m.answer = Ended, Failed
 				}
 			case 15:
-				m.call.Dismiss()
-				m.moving = m.moving || m.state == Up
+				m.call.MigrateClient()
+				m.moving = m.moving || m.state == Established
 			case 16:
-				want := m.state == Claiming && !leaving
-				if got := m.call.Claimed(); got != want {
+				want := m.state == AwaitingOwnership && !leaving
+				if got := m.call.OwnershipAcquired(); got != want {
 					t.Fatalf("claimed in %+v: %v", m, got)
 				}
 				if want {
-					m.state = Held
-				} else if m.state == Claiming {
-					m.state, m.answer = Ended, Refused
+					m.state = Queued
+				} else if m.state == AwaitingOwnership {
+					m.state, m.answer = Ended, Rejected
 				}
 			case 17:
-				if m.call.Unclaimed(Answer{Kind: Failed}); m.state == Claiming {
+				if m.call.OwnershipDenied(Answer{Kind: Failed}); m.state == AwaitingOwnership {
 					m.state, m.answer = Ended, Failed
 				}
 			case 18:
-				m.call.Lapse(100)
-				m.moving = m.moving || m.state == Up
-				if m.state != Up && m.state != Ended {
-					if m.answer = Refused; who%2 == 1 && (m.mayRun || m.out && m.begun) {
+				m.call.LoseOwnership(100)
+				m.moving = m.moving || m.state == Established
+				if m.state != Established && m.state != Ended {
+					if m.answer = Rejected; who%2 == 1 && (m.mayRun || m.out && m.begun) {
 						m.answer = Failed
 					}
 					m.state = Ended
@@ -225,7 +225,7 @@
 			case 20:
 				m.client.gone = true
 			case 19:
-				if m.call.Reject(m.sends-1, "no"); m.state == Trying {
+				if m.call.FailByServer(m.sends-1, "no"); m.state == Attempting {
 					m.state, m.answer = Ended, Failed
 				}
 			}
@@ -237,25 +237,25 @@
 			}
 			for who, m := range calls {
 				state, answer := m.call.State()
-				if state != m.state || answer.Kind != m.answer || m.call.out != m.out {
-					t.Fatalf("after step %d: request %d is %v %+v, out %v; want %+v", op, who, state, answer, m.call.out, m)
+				if state != m.state || answer.Kind != m.answer || m.call.attemptInFlight != m.out {
+					t.Fatalf("after step %d: request %d is %v %+v, out %v; want %+v", op, who, state, answer, m.call.attemptInFlight, m)
 				}
 				if c := m.claim; c != nil && (c.released == 1) != m.over() || c != nil && c.released > c.begun+1 {
 					t.Fatalf("request %d in %v: claim asked for %d times, released %d times", who, m.state, c.begun, c.released)
 				}
-				if m.state == Claiming && m.out {
+				if m.state == AwaitingOwnership && m.out {
 					t.Fatalf("request %d has an attempt out before its claim is won", who)
 				}
-				if moving, _ := m.call.Moving(); moving != m.moving {
+				if moving, _ := m.call.Migrating(); moving != m.moving {
 					t.Fatalf("request %d: moving %v", who, moving)
 				}
-				if (m.state == Up || m.state == Ended) != isClosed(m.call.Settled()) {
+				if (m.state == Established || m.state == Ended) != isClosed(m.call.Settled()) {
 					t.Fatalf("request %d in %v: settled is wrong", who, m.state)
 				}
 				if outcomes[m.call.ID] > m.outcomes {
 					t.Fatalf("request %d: %d outcomes told of %d", who, outcomes[m.call.ID], m.outcomes)
 				}
-				if _, kept := x.calls[m.call.ID]; kept == m.over() || isClosed(m.call.Finished()) != m.over() {
+				if _, kept := x.requests[m.call.ID]; kept == m.over() || isClosed(m.call.Finished()) != m.over() {
 					t.Fatalf("request %d in %v is kept: %v", who, m.state, kept)
 				}
 			}
@@ -278,23 +278,23 @@
 func (n *noList) Fetch() {}
 
 // bench is a core on a clock that stands still.
-func bench(t *testing.T) (*Core, *side, *Clock) {
+func bench(t *testing.T) (*EventLoop, *side, *Clock) {
 	t.Helper()
-	clock, wire := NewSetClock(), &side{}
-	site := &Site{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true, Ask: true,
+	clock, wire := NewManualClock(), &side{}
+	site := &Deployment{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true, Ask: true,
 		MaxRetryAfter: Duration(1000), Tick: Duration(5),
 		Classes: []decide.ClassInfo{{Aim: Duration(300), Deadline: Duration(1000), Message: Duration(50)}}}}
-	x := NewExchange(site, clock, wire)
-	x.Members(decide.Cached, []Listed{{ID: "a", Address: "127.0.0.1:1", Mode: decide.Ready}})
-	c := NewCore(x, 7, &noList{}, zerolog.Nop())
+	x := NewRequestTable(site, clock, wire)
+	x.UpdateEndpoints(decide.Cached, []Endpoint{{ID: "a", Address: "127.0.0.1:1", Mode: decide.Ready}})
+	c := NewEventLoop(x, 7, &noList{}, zerolog.Nop())
 	c.Step()
 	return c, wire, clock
 }
 
 // advance lets time pass in ticks.
-func advance(c *Core, clock *Clock, ms float64) {
-	for end := clock.Now() + ms; clock.Now() < end; {
-		clock.Set(clock.Now() + 5)
+func advance(c *EventLoop, clock *Clock, ms float64) {
+	for end := clock.NowMillis() + ms; clock.NowMillis() < end; {
+		clock.Set(clock.NowMillis() + 5)
 		c.Step()
 	}
 }
@@ -302,17 +302,17 @@
 func TestCorePlacesAfterAProbe(t *testing.T) {
 	c, wire, clock := bench(t)
 	client := &side{}
-	call := c.x.Open(Ask{Left: 1000}, client)
+	call := c.table.Open(OpenRequest{Timeout: 1000}, client)
 	advance(c, clock, 20)
 	if len(wire.tries) != 1 || wire.probes != 1 {
 		t.Fatalf("%d tries, %d probes", len(wire.tries), wire.probes)
 	}
 	call.Attach(0, &side{})
-	if !call.Begin(0) || call.Up(0) == nil {
+	if !call.BeginWrite(0) || call.Establish(0) == nil {
 		t.Fatal("the attempt may not go on")
 	}
 	advance(c, clock, 5000)
-	if state, _ := call.State(); state != Up {
+	if state, _ := call.State(); state != Established {
 		t.Fatalf("state %v", state)
 	}
 }
@@ -320,10 +320,10 @@
 // A request the module gave up on is answered at once, with a time to come again, not near its deadline.
 func TestCoreRefusesAtOnce(t *testing.T) {
 	c, wire, clock := bench(t)
-	c.x.Members(decide.Delta, []Listed{{ID: "a", Mode: decide.GoneMode}})
-	call := c.x.Open(Ask{Left: 1000}, &side{})
+	c.table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", Mode: decide.GoneMode}})
+	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
 	advance(c, clock, 10)
-	if state, a := call.State(); state != Ended || a.Kind != Refused || len(wire.tries) != 0 {
+	if state, a := call.State(); state != Ended || a.Kind != Rejected || len(wire.tries) != 0 {
 		t.Fatalf("state %v, answer %+v, %d tries", state, a, len(wire.tries))
 	}
 }
@@ -331,12 +331,12 @@
 // The backstop: an attempt whose end is never told must not leave its client without an answer.
 func TestCoreAnswersByTheDeadline(t *testing.T) {
 	c, _, clock := bench(t)
-	call := c.x.Open(Ask{Left: 1000}, &side{})
+	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
 	advance(c, clock, 1000)
 	if state, _ := call.State(); state == Ended {
 		t.Fatal("answered too early")
 	}
-	advance(c, clock, overdueAfter+5)
+	advance(c, clock, backstopDelay+5)
 	if state, a := call.State(); state != Ended || a.Kind != Failed {
 		t.Fatalf("state %v, answer %+v", state, a)
 	}
@@ -345,24 +345,24 @@
 // A line that nothing comes back for tells of a silent server; at 7 s the connection would be lost.
 func TestCoreMovesOffASilentServer(t *testing.T) {
 	c, _, clock := bench(t)
-	call := c.x.Open(Ask{Left: 1000}, &side{})
+	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
 	advance(c, clock, 20)
 	remote := &side{}
 	call.Attach(0, remote)
-	call.Begin(0)
-	call.Up(0)
+	call.BeginWrite(0)
+	call.Establish(0)
 	for range 3 { // lines that come back at once
-		call.Asked()
+		call.LineSent()
 		advance(c, clock, 5)
-		call.Heard()
+		call.LineReceived()
 		advance(c, clock, 2000)
 	}
-	if moving, _ := call.Moving(); moving {
+	if moving, _ := call.Migrating(); moving {
 		t.Fatal("moved off a sound server")
 	}
-	call.Asked()
-	advance(c, clock, silentAfter+sweepEvery+5)
-	if moving, silent := call.Moving(); !moving || !silent || remote.woken == 0 {
+	call.LineSent()
+	advance(c, clock, silentAfter+sweepInterval+5)
+	if moving, silent := call.Migrating(); !moving || !silent || remote.woken == 0 {
 		t.Fatalf("moving %v, silent %v, woken %d times", moving, silent, remote.woken)
 	}
 }
@@ -370,17 +370,17 @@
 // A module that panics on one event goes on with the next.
 func TestCoreOutlivesAPanic(t *testing.T) {
 	c, _, clock := bench(t)
-	c.handle(clock.Now(), decide.Opened{Backend: -1})
-	call := c.x.Open(Ask{Left: 1000}, &side{})
+	c.handle(clock.NowMillis(), decide.Opened{Backend: -1})
+	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
 	advance(c, clock, 20)
-	if state, _ := call.State(); state != Trying {
+	if state, _ := call.State(); state != Attempting {
 		t.Fatalf("state %v", state)
 	}
 }
 
 // What starts before this program did is told on the module's clock, and long ago stays long ago.
 func TestClock(t *testing.T) {
-	c := NewSetClock()
+	c := NewManualClock()
 	now := float64(c.origin.UnixMilli())
 	if got := c.FromUnix(now - 250); got != clockStart-250 {
 		t.Errorf("started 250 ms ago: %v", got)
@@ -406,19 +406,19 @@
 		"none has run":   {decide.Full, 101, true},
 		"none has begun": {decide.ConnectFailed, 101, true},
 	} {
-		clock, wire := NewSetClock(), &side{}
-		x := NewExchange(&Site{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{Effect: decide.Keyed, Window: Duration(100)}}}}, clock, wire)
-		x.Members(decide.Whole, []Listed{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
-		call := x.Open(Ask{Left: 5000}, &side{})
-		x.send(call.ID, 0, 0, nil)
-		clock.Set(clock.Now() + 1000) // its own dial counts for nothing
-		if !call.Attach(0, &side{}) || !call.Begin(0) {
+		clock, wire := NewManualClock(), &side{}
+		x := NewRequestTable(&Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{Effect: decide.Keyed, Window: Duration(100)}}}}, clock, wire)
+		x.UpdateEndpoints(decide.Whole, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
+		call := x.Open(OpenRequest{Timeout: 5000}, &side{})
+		x.startAttempt(call.ID, 0, 0, nil)
+		clock.Set(clock.NowMillis() + 1000) // its own dial counts for nothing
+		if !call.Attach(0, &side{}) || !call.BeginWrite(0) {
 			t.Fatal("the first attempt is not let go")
 		}
-		call.Over(0, c.first, decide.NoReport)
-		x.send(call.ID, 1, 0, nil)
-		clock.Set(clock.Now() + c.dial)
-		if got := call.Attach(1, &side{}) && call.Begin(1); got != c.want {
+		call.EndAttempt(0, c.first, decide.NoReport)
+		x.startAttempt(call.ID, 1, 0, nil)
+		clock.Set(clock.NowMillis() + c.dial)
+		if got := call.Attach(1, &side{}) && call.BeginWrite(1); got != c.want {
 			t.Errorf("%s: let go %v", name, got)
 		}
 	}
@@ -427,9 +427,9 @@
 // A relay that leaves tells a time to come again only where the settings allow one.
 func TestLeavingTellsNoTimeWhereNoneIsAllowed(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
-		x := NewExchange(&Site{Settings: decide.Settings{RetryAfter: allowed, Classes: []decide.ClassInfo{{}}}}, NewSetClock(), &side{})
-		x.Drain()
-		if _, a := x.Open(Ask{Left: 500}, &side{}).State(); a.Kind != Refused || (a.RetryAfter > 0) != allowed {
+		x := NewRequestTable(&Deployment{Settings: decide.Settings{RetryAfter: allowed, Classes: []decide.ClassInfo{{}}}}, NewManualClock(), &side{})
+		x.BeginShutdown()
+		if _, a := x.Open(OpenRequest{Timeout: 500}, &side{}).State(); a.Kind != Rejected || (a.RetryAfter > 0) != allowed {
 			t.Errorf("allowed %v: %+v", allowed, a)
 		}
 	}
--- a/internal/relay/module_side.go
+++ b/internal/relay/module_side.go
@@ -8,95 +8,95 @@
 
 // This file carries out what the decision module wants of calls.
 
-// send does what the module wants: one more attempt. What the rules forbid is never sent.
-func (x *Exchange) send(id decide.RequestID, to decide.Backend, timeout float64, pool []decide.View) {
+// startAttempt does what the module wants: one more attempt. What the rules forbid is never sent.
+func (x *RequestTable) startAttempt(id decide.RequestID, to decide.Backend, timeout float64, pool []decide.View) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := x.calls[id]
-	if denial := x.mayTry(c, to); denial != guard.Allowed {
-		x.post(decide.Outcome{ID: id, Backend: to, Status: decide.Moot, Closed: c == nil || c.state != Held, Report: decide.NoReport})
+	c := x.requests[id]
+	if denial := x.mayAttempt(c, to); denial != guard.Allowed {
+		x.post(decide.Outcome{ID: id, Backend: to, Status: decide.Moot, Closed: c == nil || c.state != Queued, Report: decide.NoReport})
 		return
 	}
-	c.try(x.roster.servers[to], timeout)
-	if x.Tap != nil {
-		c.tapPlace(pool)
+	c.startAttempt(x.endpoints.servers[to], timeout)
+	if x.Recorder != nil {
+		c.recordPlacement(pool)
 	}
 }
 
-// mayTry tells whether an attempt of a call that the module wants may be started. The caller holds the lock.
-func (x *Exchange) mayTry(c *Call, to decide.Backend) guard.Denial {
+// mayAttempt tells whether an attempt of a call that the module wants may be started. The caller holds the lock.
+func (x *RequestTable) mayAttempt(c *Request, to decide.Backend) guard.Denial {
 	if c == nil {
 		return guard.NotWaiting
 	}
 	var s *Server
-	if to >= 0 && int(to) < len(x.roster.servers) {
-		s = x.roster.servers[to]
+	if to >= 0 && int(to) < len(x.endpoints.servers) {
+		s = x.endpoints.servers[to]
 	}
-	denial := guard.MayTry(x.Clock.Now(), c.guarded(c.state == Held), s.target(), &x.list)
+	denial := guard.MayAttempt(x.Clock.NowMillis(), c.guardFacts(c.state == Queued), s.guardStatus(), &x.endpointLease)
 	if denial != guard.Allowed {
-		c.deny(denial, s)
+		c.recordDenial(denial, s)
 	}
 	return denial
 }
 
-// finish gives a request the module's final answer. It comes too late for one that is up or ended.
-func (x *Exchange) finish(id decide.RequestID, a Answer) {
+// answer gives a request the module's final answer. It comes too late for one that is up or ended.
+func (x *RequestTable) answer(id decide.RequestID, a Answer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := x.calls[id]
-	if c == nil || guard.MayAnswer(c.state == Ended, c.state == Up) != guard.Allowed {
+	c := x.requests[id]
+	if c == nil || guard.MayAnswer(c.state == Ended, c.state == Established) != guard.Allowed {
 		return
 	}
-	if a.Kind == Refused && guard.MayRefuse(c.guarded(true)) != guard.Allowed {
-		c.violated(guard.Promise, nil)
+	if a.Kind == Rejected && guard.MayReject(c.guardFacts(true)) != guard.Allowed {
+		c.recordViolation(guard.RejectOnlyIfHarmless, nil)
 		a.Kind = Failed
 	}
-	if a.why != decide.NoReason && a.why <= decide.NotAgain {
-		x.figures.refusals[a.why]++
+	if a.reason != decide.NoReason && a.reason <= decide.NotAgain {
+		x.counters.rejections[a.reason]++
 	}
-	c.end(a)
+	c.answerFinally(a)
 }
 
-// overdue is the backstop behind the module: a request that has no answer well after its deadline fails.
-func (x *Exchange) overdue(id decide.RequestID) (late bool) {
+// failOverdue is the backstop behind the module: a request that has no answer well after its deadline fails.
+func (x *RequestTable) failOverdue(id decide.RequestID) (late bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := x.calls[id]
-	if c == nil || c.state == Up || c.state == Ended {
+	c := x.requests[id]
+	if c == nil || c.state == Established || c.state == Ended {
 		return false
 	}
 	x.post(decide.Gone{ID: id})
-	c.end(Answer{Kind: Failed, Cause: decide.TimedOut, by: recorder.Late})
+	c.answerFinally(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.Late})
 	return true
 }
 
-// move asks the server side to send a client away politely.
-func (x *Exchange) move(id decide.RequestID) {
+// migrate asks the server side to send a client away politely.
+func (x *RequestTable) migrate(id decide.RequestID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if c := x.calls[id]; c != nil {
-		c.move(recorder.Module)
+	if c := x.requests[id]; c != nil {
+		c.migrate(recorder.Module)
 	}
 }
 
-func (c *Call) move(by recorder.By) {
-	if c.state == Up && !c.moving {
-		c.moving = true
-		if c.x.Tap != nil {
-			c.x.Tap.Put(&recorder.Record{At: c.x.Clock.Now(), Kind: recorder.Move, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), By: by})
+func (c *Request) migrate(by recorder.By) {
+	if c.state == Established && !c.migrating {
+		c.migrating = true
+		if c.table.Recorder != nil {
+			c.table.Recorder.Put(&recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.Move, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), By: by})
 		}
-		c.remote.Wake()
+		c.serverConn.Wake()
 	}
 }
 
-// cancel stops the wait for an attempt.
-func (x *Exchange) cancel(id decide.RequestID, no int) {
+// cancelAttempt stops the wait for an attempt.
+func (x *RequestTable) cancelAttempt(id decide.RequestID, no int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if c := x.calls[id]; c != nil && c.state == Trying && c.attempt.No == no {
+	if c := x.requests[id]; c != nil && c.state == Attempting && c.attempt.Number == no {
 		c.canceled = true
-		if c.remote != nil {
-			c.remote.Close(Clean)
+		if c.serverConn != nil {
+			c.serverConn.Close(GracefulClose)
 		}
 	}
 }
--- a/internal/relay/reckon.go
+++ b/internal/relay/reckon.go
@@ -8,12 +8,12 @@
 	"capersail/internal/fleet/probing"
 )
 
-// Reckon is what the module is to reckon with: now is the module's time, own the membership.Node's. Summed says whether so little comes
+// ToFleetStatus is what the module is to reckon with: now is the module's time, own the membership.Node's. Summed says whether so little comes
 // to the fleet that relays tell each other what they send; it holds where they share readings only.
 //
 // Zone gives the module's number of a zone's name, false for one that no server or relay here has; it may be nil where the fleet has no
 // cells, and all is far then. A near zone without a number has no server to budget for.
-func Reckon(now, own float64, r membership.FleetEstimate, zone func(name string) (decide.Zone, bool)) decide.Fleet {
+func ToFleetStatus(now, own float64, r membership.FleetEstimate, zone func(name string) (decide.Zone, bool)) decide.Fleet {
 	f := decide.Fleet{Relays: r.Relays, Share: r.Share, Others: r.Others, Held: r.Held, Sent: r.Sent}
 	f.Summed = r.Others >= 0 && r.Others+r.Own <= probing.MaxPlacementRate
 	if r.Plan > 0 {
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -9,182 +9,182 @@
 // This file holds the server side's methods of a call. Each names the attempt that it speaks for.
 
 // Attach makes the attempt's end known, before it dials. It is false if the attempt is wanted no more.
-func (c *Call) Attach(no int, r Remote) bool {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	if c.state != Trying || c.attempt.No != no || c.canceled {
+func (c *Request) Attach(no int, r ServerConn) bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.state != Attempting || c.attempt.Number != no || c.canceled {
 		return false
 	}
-	c.remote = r
+	c.serverConn = r
 	return true
 }
 
-// Begin is asked just before the attempt's first byte is written. It is false if the server has begun to
+// BeginWrite is asked just before the attempt's first byte is written. It is false if the server has begun to
 // drain meanwhile (rule 3: half a second after the news nothing new may go there, and a dial can take that
 // long), if the attempt is wanted no more, if the client has gone (its side may have had no time to read that), or if
 // the time in which servers know a repeated request again is over: then nothing may be written.
-func (c *Call) Begin(no int) bool {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	waiting := c.state == Trying && c.attempt.No == no && !c.canceled
-	s := c.attempt.listed()
-	denial := guard.MayWrite(c.x.Clock.Now(), c.attempt.Until, c.guarded(waiting), s.target(), &c.x.list, waiting && c.client.Pending())
+func (c *Request) BeginWrite(no int) bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	waiting := c.state == Attempting && c.attempt.Number == no && !c.canceled
+	s := c.attempt.currentServer()
+	denial := guard.MayWrite(c.table.Clock.NowMillis(), c.attempt.Deadline, c.guardFacts(waiting), s.guardStatus(), &c.table.endpointLease, waiting && c.clientConn.HasUnread())
 	if denial != guard.Allowed {
-		c.deny(denial, s)
+		c.recordDenial(denial, s)
 		return false
 	}
-	c.begun, c.began = true, c.x.Clock.Now()
-	c.x.figures.add(c.x.figures.sends, c.Class)
+	c.mayHaveWritten, c.wroteAt = true, c.table.Clock.NowMillis()
+	c.table.counters.increment(c.table.counters.attempts, c.Class)
 	return true
 }
 
-// Dialogue is the client's end for a front whose set-up is a conversation, once the attempt has begun; nil
+// HandshakeClient is the client's end for a front whose set-up is a conversation, once the attempt has begun; nil
 // if the attempt is wanted no more.
-func (c *Call) Dialogue(no int) Client {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	if c.state != Trying || c.attempt.No != no || c.canceled {
+func (c *Request) HandshakeClient(no int) ClientConn {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.state != Attempting || c.attempt.Number != no || c.canceled {
 		return nil
 	}
-	return c.client
+	return c.clientConn
 }
 
-// Nudge wakes the server side, for which the client side has left something in what they share.
-func (c *Call) Nudge() {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	if c.remote != nil && c.out {
-		c.remote.Wake()
+// WakeServerSide wakes the server side, for which the client side has left something in what they share.
+func (c *Request) WakeServerSide() {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.serverConn != nil && c.attemptInFlight {
+		c.serverConn.Wake()
 	}
 }
 
-// Reject gives the call its final answer from the server's side: the server will never take it, and no other
+// FailByServer gives the call its final answer from the server's side: the server will never take it, and no other
 // server would. The attempt is to be ended as usual.
-func (c *Call) Reject(no int, note string) {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	if c.state == Trying && c.attempt.No == no {
-		c.spoil(note)
+func (c *Request) FailByServer(no int, note string) {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.state == Attempting && c.attempt.Number == no {
+		c.failWithNote(note)
 	}
 }
 
-// Draining tells whether the attempt's server has begun to drain.
-func (c *Call) Draining() bool {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	return c.attempt.listed().mode != decide.Ready
+// ServerDraining tells whether the attempt's server has begun to drain.
+func (c *Request) ServerDraining() bool {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	return c.attempt.currentServer().mode != decide.Ready
 }
 
-// Up says that the server has taken the connection. It returns the client's end, or nil if the client
+// Establish says that the server has taken the connection. It returns the client's end, or nil if the client
 // has left meanwhile; then the attempt is to be ended.
-func (c *Call) Up(no int) Client {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	if c.state != Trying || c.attempt.No != no || c.canceled {
+func (c *Request) Establish(no int) ClientConn {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.state != Attempting || c.attempt.Number != no || c.canceled {
 		return nil
 	}
-	c.state, c.wasUp = Up, true
+	c.state, c.wasEstablished = Established, true
 	close(c.settled)
-	c.x.figures.add(c.x.figures.answered, c.Class)
+	c.table.counters.increment(c.table.counters.established, c.Class)
 	if c.resumed {
-		c.x.post(decide.Inherited{Request: c.request(), Backend: c.attempt.Server.Number})
+		c.table.post(decide.Inherited{Request: c.decisionRequest(), Backend: c.attempt.Server.Number})
 	} else {
-		c.x.post(decide.Opened{ID: c.ID, Attempt: no, Backend: c.attempt.Server.Number,
-			Took: Duration(c.x.Clock.Now() - c.attempt.SentAt)})
+		c.table.post(decide.Opened{ID: c.ID, Attempt: no, Backend: c.attempt.Server.Number,
+			Took: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt)})
 	}
-	if c.x.Tap != nil {
-		c.x.Tap.Put(&recorder.Record{At: c.x.Clock.Now(), Kind: recorder.Up, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
-			Took: c.x.Clock.Now() - c.attempt.SentAt, Attempt: uint8(min(no, 255))})
+	if c.table.Recorder != nil {
+		c.table.Recorder.Put(&recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.Up, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
+			Took: c.table.Clock.NowMillis() - c.attempt.StartedAt, Attempt: uint8(min(no, 255))})
 	}
-	if c.x.refusing() {
-		c.move(recorder.Leaving)
+	if c.table.rejecting() {
+		c.migrate(recorder.Leaving)
 	}
-	return c.client
+	return c.clientConn
 }
 
-// Broken says that the server has ended its connection. It comes before the client's is closed: that makes the
+// ServerClosed says that the server has ended its connection. It comes before the client's is closed: that makes the
 // client's goroutine say that the client has left, and the one to blame would be the wrong one.
-func (c *Call) Broken() {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	c.broken = c.state == Up
+func (c *Request) ServerClosed() {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	c.serverClosed = c.state == Established
 }
 
-// Moving tells whether the client is to be sent away, and whether that is because the server is silent.
-func (c *Call) Moving() (moving, silent bool) {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	return c.moving, c.silent
+// Migrating tells whether the client is to be sent away, and whether that is because the server is silent.
+func (c *Request) Migrating() (moving, silent bool) {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	return c.migrating, c.serverSilent
 }
 
-// Over ends the attempt, exactly once, after its connection has been closed. Before the call is up it goes
+// EndAttempt ends the attempt, exactly once, after its connection has been closed. Before the call is up it goes
 // back to the module; after that it is the end of the call.
-func (c *Call) Over(no int, status decide.Status, report decide.Report) {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	if !c.out || c.attempt.No != no {
+func (c *Request) EndAttempt(no int, status decide.Status, report decide.Report) {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if !c.attemptInFlight || c.attempt.Number != no {
 		return
 	}
-	c.out = false
-	if c.x.Tap != nil {
-		c.tapEnd(status, report)
+	c.attemptInFlight = false
+	if c.table.Recorder != nil {
+		c.recordAttemptEnd(status, report)
 	}
 	if (c.canceled || c.state == Ended) && !status.NeverRan() { // whatever else it met, it was called off
 		status = decide.Cancelled
 	}
-	if !c.mayRun && !status.NeverRan() {
-		c.mayRun, c.ranAt, c.ranOn = true, c.began, c.attempt.listed().place()
+	if !c.mayHaveRun && !status.NeverRan() {
+		c.mayHaveRun, c.mayHaveRunAt, c.mayHaveRunOn = true, c.wroteAt, c.attempt.currentServer().location()
 	}
 	switch c.state {
-	case Trying:
-		c.state = Held
-	case Up:
+	case Attempting:
+		c.state = Queued
+	case Established:
 		c.state = Ended
 	}
-	if c.resumed && c.state == Held { // the module does not know it yet
-		c.end(Answer{Kind: Failed, Cause: status})
+	if c.resumed && c.state == Queued { // the module does not know it yet
+		c.answerFinally(Answer{Kind: Failed, Cause: status})
 		return
 	}
-	if c.state == Held {
+	if c.state == Queued {
 		c.answer.Cause = status
 	}
-	c.x.post(decide.Outcome{ID: c.ID, Attempt: no, Backend: c.attempt.Server.Number, Status: status, Report: report,
-		Took: Duration(c.x.Clock.Now() - c.attempt.SentAt), Closed: c.state == Ended})
-	c.drop()
+	c.table.post(decide.Outcome{ID: c.ID, Attempt: no, Backend: c.attempt.Server.Number, Status: status, Report: report,
+		Took: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt), Closed: c.state == Ended})
+	c.removeIfDone()
 }
 
-// Heard says that a line came back from the server. What the oldest unanswered line waited for it is the
+// LineReceived says that a line came back from the server. What the oldest unanswered line waited for it is the
 // time a message takes there now; the module is told when that is over a third of the shortest aim (where no
 // class has one, over lateAfter), and at most once a second for each server.
-func (c *Call) Heard() {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	if c.asked != 0 {
-		c.note(c.x.Clock.Now() - c.asked)
-		c.asked = 0
+func (c *Request) LineReceived() {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	if c.unansweredSince != 0 {
+		c.noteDelay(c.table.Clock.NowMillis() - c.unansweredSince)
+		c.unansweredSince = 0
 	}
 }
 
-func (c *Call) note(delay float64) {
-	least := lateAfter
-	for _, class := range c.x.site.Settings.Classes {
+func (c *Request) noteDelay(delay float64) {
+	least := slowMessageAfter
+	for _, class := range c.table.deployment.Settings.Classes {
 		if class.Message > 0 {
 			least = min(least, Millis(class.Message)/3)
 		}
 	}
-	now, s := c.x.Clock.Now(), c.attempt.listed()
-	if delay > least && now-s.notedAt >= 1000 {
-		s.notedAt = now
-		if c.x.Tap != nil {
-			c.x.Tap.Put(&recorder.Record{At: now, Kind: recorder.Delay, Request: uint64(c.ID), Server: int32(s.Number), Took: delay})
+	now, s := c.table.Clock.NowMillis(), c.attempt.currentServer()
+	if delay > least && now-s.delayNotedAt >= 1000 {
+		s.delayNotedAt = now
+		if c.table.Recorder != nil {
+			c.table.Recorder.Put(&recorder.Record{At: now, Kind: recorder.Delay, Request: uint64(c.ID), Server: int32(s.Number), Took: delay})
 		}
-		c.x.post(decide.DelayNote{ID: c.ID, Backend: s.Number, Delay: Duration(delay)})
+		c.table.post(decide.DelayNote{ID: c.ID, Backend: s.Number, Delay: Duration(delay)})
 	}
 }
 
-// Load says that the server has told the connection's load, in microseconds of work a second.
-func (c *Call) Load(x float64) {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	c.x.post(decide.LoadNote{ID: c.ID, Backend: c.attempt.Server.Number, Load: x / 1e6})
+// ReportLoad says that the server has told the connection's load, in microseconds of work a second.
+func (c *Request) ReportLoad(x float64) {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	c.table.post(decide.LoadNote{ID: c.ID, Backend: c.attempt.Server.Number, Load: x / 1e6})
 }
--- a/internal/relay/shared.go
+++ b/internal/relay/shared.go
@@ -25,27 +25,27 @@
 	maxQueuedEvents      = 256 // batches of peers' readings that wait for the core loop; more are dropped
 )
 
-// Shared lets a relay probe servers by turns with its peers. It is the core loop's; other goroutines call Hear and Report.
-type Shared struct {
-	peers             Peers
-	x                 *Exchange
-	scheduler         *probing.Scheduler
-	actions           []probing.Action
-	outbox            []probing.Action // what is to be sent once the fleet is released
-	participantsStamp uint64           // of the participants and the list that the scheduler has
-	stepAt            float64
-	participantsAt    float64
-	reportAt          float64
-	assigning         bool // a table is being made
-	serverIDs         map[uint64]string
-	queued            atomic.Int64
-	report            atomic.Pointer[probing.Report]
-	onQuarantine      func(name string)
+// SharedProbing lets a relay probe servers by turns with its peers. It is the core loop's; other goroutines call Hear and Report.
+type SharedProbing struct {
+	peers                 Peers
+	table                 *RequestTable
+	scheduler             *probing.Scheduler
+	actions               []probing.Action
+	outbox                []probing.Action // what is to be sent once the fleet is released
+	participantsStamp     uint64           // of the participants and the list that the scheduler has
+	steppedAt             float64
+	participantsCheckedAt float64
+	reportedAt            float64
+	assignmentPending     bool // a table is being made
+	serverIDs             map[uint64]string
+	queued                atomic.Int64
+	report                atomic.Pointer[probing.Report]
+	onQuarantine          func(name string)
 }
 
-// NewShared returns what is to be put into a Core and told to the peers. onQuarantine is told when a relay's readings are left out.
-func NewShared(x *Exchange, relay string, seed uint64, peers Peers, onQuarantine func(name string)) *Shared {
-	return &Shared{peers: peers, x: x, scheduler: probing.New(relay, seed), onQuarantine: onQuarantine, serverIDs: map[uint64]string{}}
+// NewSharedProbing returns what is to be put into a Core and told to the peers. onQuarantine is told when a relay's readings are left out.
+func NewSharedProbing(x *RequestTable, relay string, seed uint64, peers Peers, onQuarantine func(name string)) *SharedProbing {
+	return &SharedProbing{peers: peers, table: x, scheduler: probing.New(relay, seed), onQuarantine: onQuarantine, serverIDs: map[uint64]string{}}
 }
 
 // The core loop's inbox has the module's events; these two are the loop's own, on their way through it.
@@ -54,26 +54,26 @@
 		decide.Peer
 		event probing.Event
 	}
-	participants struct {
+	participantsEvent struct {
 		decide.Peer
 		probing.Fleet
 		serverIDs map[uint64]string
 	}
 )
 
-// Hear takes what a peer has passed on: a probing.ReadingsReceived or PlacementsReceived.
-func (s *Shared) Hear(ev probing.Event) {
+// Receive takes what a peer has passed on: a probing.ReadingsReceived or PlacementsReceived.
+func (s *SharedProbing) Receive(ev probing.Event) {
 	if s.queued.Add(1) > maxQueuedEvents {
 		s.queued.Add(-1)
 		return
 	}
-	s.x.mu.Lock()
-	defer s.x.mu.Unlock()
-	s.x.post(peerEvent{event: ev})
+	s.table.mu.Lock()
+	defer s.table.mu.Unlock()
+	s.table.post(peerEvent{event: ev})
 }
 
 // Report is what was known within the last second; false before anything was.
-func (s *Shared) Report() (probing.Report, bool) {
+func (s *SharedProbing) Report() (probing.Report, bool) {
 	if s == nil {
 		return probing.Report{}, false
 	}
@@ -85,23 +85,23 @@
 
 // updateParticipants checks who takes part and which servers there are. A table of 1,000 relays and 5,000 servers takes 0.2 s, so it is
 // made beside the loop.
-func (s *Shared) updateParticipants(now float64) {
-	if s.assigning || now < s.participantsAt+participantsInterval {
+func (s *SharedProbing) updateParticipants(now float64) {
+	if s.assignmentPending || now < s.participantsCheckedAt+participantsInterval {
 		return
 	}
-	s.participantsAt = now
+	s.participantsCheckedAt = now
 	relays, incarnation := s.peers.Participants()
-	servers, ids := s.x.readyServers()
+	servers, ids := s.table.readyServers()
 	stamp := fingerprint(relays, incarnation, servers)
 	if stamp == s.participantsStamp {
 		return
 	}
-	s.participantsStamp, s.assigning = stamp, true
+	s.participantsStamp, s.assignmentPending = stamp, true
 	go func() {
 		table := probing.Assign(relays, servers)
-		s.x.mu.Lock()
-		defer s.x.mu.Unlock()
-		s.x.post(participants{Fleet: probing.Fleet{Relays: relays, Incarnation: incarnation, Servers: servers, Table: table}, serverIDs: ids})
+		s.table.mu.Lock()
+		defer s.table.mu.Unlock()
+		s.table.post(participantsEvent{Fleet: probing.Fleet{Relays: relays, Incarnation: incarnation, Servers: servers, Table: table}, serverIDs: ids})
 	}()
 }
 
@@ -128,29 +128,29 @@
 }
 
 // readyServers are the servers that new connections may go to.
-func (x *Exchange) readyServers() (out []probing.Server, ids map[uint64]string) {
+func (x *RequestTable) readyServers() (out []probing.Server, ids map[uint64]string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	ids = make(map[uint64]string, len(x.roster.servers))
-	for _, s := range x.roster.servers {
+	ids = make(map[uint64]string, len(x.endpoints.servers))
+	for _, s := range x.endpoints.servers {
 		if s.mode == decide.Ready {
 			key := ServerKey(s.ID)
-			out = append(out, probing.Server{Key: key, Zone: s.zone, Started: int64(s.started)})
+			out = append(out, probing.Server{Key: key, Zone: s.zone, Started: int64(s.startedUnix)})
 			ids[key] = s.ID
 		}
 	}
 	return out, ids
 }
 
-// takeProbing gives the scheduler what of the inbox is its own, and tells whether the module is to have it too.
-func (c *Core) takeProbing(now float64, ev decide.Event) (modules bool) {
+// routeProbingEvent gives the scheduler what of the inbox is its own, and tells whether the module is to have it too.
+func (c *EventLoop) routeProbingEvent(now float64, ev decide.Event) (modules bool) {
 	switch e := ev.(type) {
 	case peerEvent:
-		c.Shared.queued.Add(-1)
+		c.SharedProbing.queued.Add(-1)
 		c.stepScheduler(now, e.event)
 		return false
-	case participants:
-		c.Shared.assigning, c.Shared.serverIDs = false, e.serverIDs
+	case participantsEvent:
+		c.SharedProbing.assignmentPending, c.SharedProbing.serverIDs = false, e.serverIDs
 		c.stepScheduler(now, e.Fleet)
 		return false
 	case decide.Outcome:
@@ -164,33 +164,33 @@
 	return true
 }
 
-func (c *Core) serverKey(id decide.Backend) uint64 {
-	c.x.mu.Lock()
-	defer c.x.mu.Unlock()
-	return ServerKey(c.x.roster.servers[id].ID)
+func (c *EventLoop) serverKey(id decide.Backend) uint64 {
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	return ServerKey(c.table.endpoints.servers[id].ID)
 }
 
 // stepScheduler lets the scheduler act. What goes to peers waits until the fleet is released.
-func (c *Core) stepScheduler(now float64, ev probing.Event) {
-	s := c.Shared
+func (c *EventLoop) stepScheduler(now float64, ev probing.Event) {
+	s := c.SharedProbing
 	s.actions = s.scheduler.Handle(now, ev, s.actions[:0])
 	for _, a := range s.actions {
 		switch a := a.(type) {
 		case probing.Probe:
-			if id, ok := c.x.readyServer(s.serverIDs[a.ServerKey]); ok {
+			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
 				c.probe(id)
 			}
 		case probing.UseReading:
-			if id, ok := c.x.readyServer(s.serverIDs[a.ServerKey]); ok {
+			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
 				l := a.Reading.Load
-				if c.x.Tap != nil {
-					c.x.tapTold(id, a.Age, max(l.Load, l.Busy))
+				if c.table.Recorder != nil {
+					c.table.recordPeerReading(id, a.Age, max(l.Load, l.Busy))
 				}
 				c.handle(now, decide.Told{Backend: id, Age: Duration(a.Age),
 					Report: decide.Report{Load: l.Load, Inflight: l.Inflight, Errors: l.Errors, Busy: l.Busy}})
 			}
 		case probing.PeerPlacement:
-			if id, ok := c.x.readyServer(s.serverIDs[a.ServerKey]); ok {
+			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
 				c.handle(now, decide.Told{Backend: id, Age: Duration(a.Age), Sent: a.N})
 			}
 		case probing.Quarantine:
@@ -202,37 +202,37 @@
 }
 
 // readyServer is a server's number, while it is listed and ready.
-func (x *Exchange) readyServer(id string) (decide.Backend, bool) {
+func (x *RequestTable) readyServer(id string) (decide.Backend, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	s := x.roster.byID[id]
+	s := x.endpoints.byID[id]
 	if s == nil || s.mode != decide.Ready {
 		return 0, false
 	}
 	return s.Number, true
 }
 
-// stepIfDue lets the scheduler see whose turn it is, and returns how long until the next step.
-func (c *Core) stepIfDue(now float64) float64 {
-	s := c.Shared
-	if now >= s.stepAt+stepInterval {
-		s.stepAt = now
-		s.disableCorroborationIfTold()
+// stepSchedulerIfDue lets the scheduler see whose turn it is, and returns how long until the next step.
+func (c *EventLoop) stepSchedulerIfDue(now float64) float64 {
+	s := c.SharedProbing
+	if now >= s.steppedAt+stepInterval {
+		s.steppedAt = now
+		s.applyCorroborationFault()
 		c.stepScheduler(now, probing.Tick{})
 	}
-	if now >= s.reportAt+reportInterval {
-		s.reportAt = now
+	if now >= s.reportedAt+reportInterval {
+		s.reportedAt = now
 		r := s.scheduler.Report(now)
 		for i := range r.Servers {
 			r.Servers[i].ID = s.serverIDs[r.Servers[i].ServerKey]
 		}
 		s.report.Store(&r)
 	}
-	return max(s.stepAt+stepInterval-now, 0)
+	return max(s.steppedAt+stepInterval-now, 0)
 }
 
 // sendOutbox passes on what the scheduler wants passed on.
-func (s *Shared) sendOutbox() {
+func (s *SharedProbing) sendOutbox() {
 	for _, a := range s.outbox {
 		switch t := a.(type) {
 		case probing.SendReadings:
--- a/internal/relay/site.go
+++ b/internal/relay/site.go
@@ -6,13 +6,13 @@
 	"capersail/decide"
 )
 
-// Site is what a relay is configured with: the module's settings, and the numbers that stand for names.
-type Site struct {
-	Settings decide.Settings
-	Classes  map[string]decide.Class
-	Tenants  map[string]decide.Tenant
-	Zones    map[string]decide.Zone
-	LoadKey  string // the report field that tells load over capacity
+// Deployment is what a relay is configured with: the module's settings, and the numbers that stand for names.
+type Deployment struct {
+	Settings  decide.Settings
+	Classes   map[string]decide.Class
+	Tenants   map[string]decide.Tenant
+	Zones     map[string]decide.Zone
+	LoadField string // the report field that tells load over capacity
 }
 
 // ServerKey is the number that stands for a server's id at every relay.
@@ -22,55 +22,55 @@
 	return sum.Sum64()
 }
 
-// Listed is one line of the list of servers, in names.
-type Listed struct {
-	ID      string
-	Address string
-	Zone    string
-	Cell    int32
-	Mode    decide.Mode
-	Started float64 // Unix time in milliseconds, 0 for long ago
-	Load    float64 // load over capacity that the list itself tells, negative if it does not
-	Resumes bool    // it takes streams up where they stopped
+// Endpoint is one line of the list of servers, in names.
+type Endpoint struct {
+	ID             string
+	Address        string
+	Zone           string
+	Cell           int32
+	Mode           decide.Mode
+	StartedAt      float64 // Unix time in milliseconds, 0 for long ago
+	Load           float64 // load over capacity that the list itself tells, negative if it does not
+	SupportsResume bool    // it takes streams up where they stopped
 }
 
 // Server is one server as the server side needs it.
 type Server struct {
-	Number  decide.Backend
-	ID      string
-	Address string
-	Load    float64 // as the list told it last, negative if it does not
-	Resumes bool
-	mode    decide.Mode // as the module is told: a server out by hand, or of a list that has lapsed, drains
-	listed  decide.Mode // as the list has it
-	banned  bool        // out by hand
+	Number          decide.Backend
+	ID              string
+	Address         string
+	Load            float64 // as the list told it last, negative if it does not
+	SupportsResume  bool
+	mode            decide.Mode // as the module is told: a server out by hand, or of a list that has lapsed, drains
+	listedMode      decide.Mode // as the list has it
+	ejectedManually bool        // out by hand
 	// unreadyAt is when mode was last seen to leave Ready, on the relay's clock.
-	unreadyAt float64
-	notedAt   float64 // when the module was last told of a slow message there
-	now       *Server // the roster's own, of which an attempt holds a copy
+	unreadyAt    float64
+	delayNotedAt float64 // when the module was last told of a slow message there
+	current      *Server // the roster's own, of which an attempt holds a copy
 
-	started   float64 // Unix ms, as the list has it
-	since     float64 // the same on the relay's clock, as of when the list first had it
-	zone      string
-	cell      int32
-	told      bool // the tap knows mode and start
-	toldMode  decide.Mode
-	toldStart float64
+	startedUnix   float64 // Unix ms, as the list has it
+	startedAt     float64 // the same on the relay's clock, as of when the list first had it
+	zone          string
+	cell          int32
+	recorded      bool // the tap knows mode and start
+	recordedMode  decide.Mode
+	recordedStart float64
 }
 
-// roster turns names into the module's numbers and holds the newest list. The Exchange guards it.
-type roster struct {
-	site    *Site
-	clock   *Clock
-	byID    map[string]*Server
-	servers []*Server       // by number; a server keeps its number for this relay's life
-	out     map[string]bool // the ids of servers that are out by hand
-	lapsed  bool            // the list cannot be confirmed, and nothing new is sent by it
-	whole   bool            // a whole list has come from discovery, or one with entries from the configuration
+// endpointList turns names into the module's numbers and holds the newest list. The Exchange guards it.
+type endpointList struct {
+	deployment      *Deployment
+	clock           *Clock
+	byID            map[string]*Server
+	servers         []*Server       // by number; a server keeps its number for this relay's life
+	ejectedManually map[string]bool // the ids of servers that are out by hand
+	leaseExpired    bool            // the list cannot be confirmed, and nothing new is sent by it
+	complete        bool            // a whole list has come from discovery, or one with entries from the configuration
 }
 
-// take writes a list into the roster and returns it in the module's numbers.
-func (r *roster) take(kind decide.ListKind, list []Listed) decide.Members {
+// apply writes a list into the roster and returns it in the module's numbers.
+func (r *endpointList) apply(kind decide.ListKind, list []Endpoint) decide.Members {
 	if kind != decide.Delta && kind != decide.Failed { // who is not in a whole list is gone
 		listed := map[string]bool{}
 		for _, l := range list {
@@ -78,23 +78,23 @@
 		}
 		for _, s := range r.servers {
 			if !listed[s.ID] {
-				s.listed = decide.GoneMode
+				s.listedMode = decide.GoneMode
 				r.setMode(s)
 			}
 		}
 	}
 	m := decide.Members{Kind: kind}
-	r.whole = r.whole || kind == decide.Whole || kind == decide.Cached && len(list) > 0
+	r.complete = r.complete || kind == decide.Whole || kind == decide.Cached && len(list) > 0
 	for _, l := range list {
 		s := r.byID[l.ID]
 		if s == nil {
-			s = &Server{Number: decide.Backend(len(r.servers)), ID: l.ID, banned: r.out[l.ID]}
+			s = &Server{Number: decide.Backend(len(r.servers)), ID: l.ID, ejectedManually: r.ejectedManually[l.ID]}
 			r.byID[l.ID] = s
 			r.servers = append(r.servers, s)
 		}
-		s.listed, s.Load, s.Resumes, s.zone, s.cell = l.Mode, l.Load, l.Resumes, l.Zone, l.Cell
-		if s.started != l.Started {
-			s.started, s.since = l.Started, r.clock.FromUnix(l.Started)
+		s.listedMode, s.Load, s.SupportsResume, s.zone, s.cell = l.Mode, l.Load, l.SupportsResume, l.Zone, l.Cell
+		if s.startedUnix != l.StartedAt {
+			s.startedUnix, s.startedAt = l.StartedAt, r.clock.FromUnix(l.StartedAt)
 		}
 		r.setMode(s)
 		if l.Address != "" { // an entry that says Gone may come without one
@@ -107,9 +107,9 @@
 
 // setMode sets the mode that the module is told from what is known of a server: a ready one drains that is out by hand, or
 // stands on a list that has lapsed. It tells whether the mode has changed.
-func (r *roster) setMode(s *Server) (changed bool) {
-	now, mode := r.clock.Now(), s.shown()
-	if mode == decide.Ready && r.lapsed {
+func (r *endpointList) setMode(s *Server) (changed bool) {
+	now, mode := r.clock.NowMillis(), s.operatorMode()
+	if mode == decide.Ready && r.leaseExpired {
 		mode = decide.Draining
 	}
 	if s.mode == decide.Ready && mode != decide.Ready {
@@ -120,16 +120,16 @@
 	return changed
 }
 
-// shown is the server's mode as operators see it: by the list, or out by hand.
-func (s *Server) shown() decide.Mode {
-	if s.banned && s.listed == decide.Ready {
+// operatorMode is the server's mode as operators see it: by the list, or out by hand.
+func (s *Server) operatorMode() decide.Mode {
+	if s.ejectedManually && s.listedMode == decide.Ready {
 		return decide.Draining
 	}
-	return s.listed
+	return s.listedMode
 }
 
-// refresh sets the mode of every server as of now, and returns what that changes for the module.
-func (r *roster) refresh() decide.Members {
+// refreshModes sets the mode of every server as of now, and returns what that changes for the module.
+func (r *endpointList) refreshModes() decide.Members {
 	m := decide.Members{Kind: decide.Revised}
 	for _, s := range r.servers {
 		if r.setMode(s) {
@@ -140,7 +140,7 @@
 }
 
 // entry is the server as the module is told of it.
-func (r *roster) entry(s *Server) decide.Entry {
-	return decide.Entry{Backend: s.Number, Mode: s.mode, Zone: r.site.Zones[s.zone], Cell: s.cell, Spot: ServerKey(s.ID),
-		Since: Duration(s.since)}
+func (r *endpointList) entry(s *Server) decide.Entry {
+	return decide.Entry{Backend: s.Number, Mode: s.mode, Zone: r.deployment.Zones[s.zone], Cell: s.cell, Spot: ServerKey(s.ID),
+		Since: Duration(s.startedAt)}
 }
--- a/internal/relay/trust_faults.go
+++ b/internal/relay/trust_faults.go
@@ -4,7 +4,7 @@
 
 import "capersail/internal/testing/faultpoint"
 
-// disableCorroborationIfTold takes out the weighing of what peers tell, where the rules say so.
-func (s *Shared) disableCorroborationIfTold() {
+// applyCorroborationFault takes out the weighing of what peers tell, where the rules say so.
+func (s *SharedProbing) applyCorroborationFault() {
 	s.scheduler.DisableCorroboration(faultpoint.Present().Gullible)
 }
--- a/internal/relay/trust_seam.go
+++ b/internal/relay/trust_seam.go
@@ -2,5 +2,5 @@
 
 package relay
 
-// disableCorroborationIfTold is where tests take out the weighing of what peers tell.
-func (s *Shared) disableCorroborationIfTold() {}
+// applyCorroborationFault is where tests take out the weighing of what peers tell.
+func (s *SharedProbing) applyCorroborationFault() {}
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -15,16 +15,16 @@
 
 type nobody struct{}
 
-func (nobody) Try(*relay.Call, relay.Attempt)                         {}
+func (nobody) StartAttempt(*relay.Request, relay.Attempt)             {}
 func (nobody) Probe(relay.Server, func(decide.Status, decide.Report)) {}
-func (nobody) Pass([]byte) error                                      { return nil }
-func (nobody) Close(relay.Ending)                                     {}
-func (nobody) Pending() bool                                          { return false }
+func (nobody) Forward([]byte) error                                   { return nil }
+func (nobody) Close(relay.CloseKind)                                  {}
+func (nobody) HasUnread() bool                                        { return false }
 func (nobody) Wake()                                                  {}
 
 // testRelay is a Service with an Exchange, without sockets but for the claim service's.
 type testRelay struct {
-	x *relay.Exchange
+	x *relay.RequestTable
 	s *Service
 }
 
@@ -35,15 +35,15 @@
 		t.Fatal(err)
 	}
 	clock := relay.NewClock()
-	site := &relay.Site{Settings: decide.Settings{RetryAfter: true, Classes: []decide.ClassInfo{{}}}}
+	site := &relay.Deployment{Settings: decide.Settings{RetryAfter: true, Classes: []decide.ClassInfo{{}}}}
 	c := Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a/streams", Session: 4000, ClaimWithin: 20_000, TokenLife: 60_000,
 		Renew: 1000, Skew: 1000}
 	if change != nil {
 		change(&c)
 	}
-	r := &testRelay{relay.NewExchange(site, clock, nobody{}), New(c, ring, clock, zerolog.Nop())}
+	r := &testRelay{relay.NewRequestTable(site, clock, nobody{}), New(c, ring, clock, zerolog.Nop())}
 	go r.s.Run(t.Context())
-	eventually(t, "connected", func() bool { return r.s.Until() > clock.Now() })
+	eventually(t, "connected", func() bool { return r.s.Until() > clock.NowMillis() })
 	return r
 }
 
@@ -66,14 +66,14 @@
 	return zk
 }
 
-func (r *testRelay) open(st *Stream) *relay.Call {
-	return r.x.Open(relay.Ask{Claim: st, Left: 30_000}, nobody{})
+func (r *testRelay) open(st *Stream) *relay.Request {
+	return r.x.Open(relay.OpenRequest{Ownership: st, Timeout: 30_000}, nobody{})
 }
 
 // fresh makes n streams and gives them back; it returns their tokens.
 func (r *testRelay) fresh(t testing.TB, n int) (tokens []string) {
 	t.Helper()
-	var calls []*relay.Call
+	var calls []*relay.Request
 	var streams []*Stream
 	for range n {
 		st := r.s.Fresh(Asked{Class: "m"})
@@ -83,7 +83,7 @@
 	eventually(t, "claimed", func() bool { return r.s.Stats().Won >= uint64(n) })
 	for i, st := range streams {
 		tokens = append(tokens, st.Token())
-		calls[i].Leave(relay.Clean)
+		calls[i].ClientClosed(relay.GracefulClose)
 	}
 	for _, st := range streams {
 		<-st.released
@@ -92,7 +92,7 @@
 }
 
 // resume opens with tokens, all at once, and waits until each call has its claim or its answer.
-func (r *testRelay) resume(t testing.TB, tokens []string) (calls []*relay.Call) {
+func (r *testRelay) resume(t testing.TB, tokens []string) (calls []*relay.Request) {
 	t.Helper()
 	for _, text := range tokens {
 		st, note, err := r.s.Resume(text, Asked{Class: "m"})
@@ -102,7 +102,7 @@
 		calls = append(calls, r.open(st))
 	}
 	for _, c := range calls {
-		eventually(t, "an answer", func() bool { state, _ := c.State(); return state != relay.Claiming })
+		eventually(t, "an answer", func() bool { state, _ := c.State(); return state != relay.AwaitingOwnership })
 	}
 	return calls
 }
@@ -132,16 +132,16 @@
 	a, b := newRelay(t, zk, nil), newRelay(t, zk, nil)
 	tokens := a.fresh(t, 1)
 	first := a.resume(t, tokens)[0]
-	if state, _ := first.State(); state != relay.Held {
+	if state, _ := first.State(); state != relay.Queued {
 		t.Fatalf("state %v", state)
 	}
 	second := b.resume(t, tokens)[0]
-	if _, answer := second.State(); answer.Kind != relay.Refused || answer.RetryAfter <= 0 || answer.RetryAfter > 4000 {
+	if _, answer := second.State(); answer.Kind != relay.Rejected || answer.RetryAfter <= 0 || answer.RetryAfter > 4000 {
 		t.Errorf("%+v", answer)
 	}
-	first.Leave(relay.Clean)
+	first.ClientClosed(relay.GracefulClose)
 	eventually(t, "given back", func() bool { return len(zk.Nodes("/a/streams/")) == 1 })
-	if state, _ := b.resume(t, tokens)[0].State(); state != relay.Held {
+	if state, _ := b.resume(t, tokens)[0].State(); state != relay.Queued {
 		t.Errorf("state %v", state)
 	}
 }
@@ -161,7 +161,7 @@
 		t.Error("a stream that has lapsed is still trusted")
 	}
 	eventually(t, "claimed anew", func() bool { return plain.gen.Load() == 2 })
-	if state, _ := a.State(); state != relay.Held || !plain.Trusted() {
+	if state, _ := a.State(); state != relay.Queued || !plain.Trusted() {
 		t.Errorf("without a token out: state %v, trusted %v", state, plain.Trusted())
 	}
 }
@@ -173,7 +173,7 @@
 	r := newRelay(t, zk, nil)
 	tokens := r.fresh(t, 200)
 	zk.Hold(200)
-	var calls []*relay.Call
+	var calls []*relay.Request
 	for _, text := range tokens {
 		st, _, err := r.s.Resume(text, Asked{Class: "m"})
 		if err != nil {
@@ -182,7 +182,7 @@
 		calls = append(calls, r.open(st))
 	}
 	for _, c := range calls {
-		eventually(t, "claimed", func() bool { state, _ := c.State(); return state == relay.Held })
+		eventually(t, "claimed", func() bool { state, _ := c.State(); return state == relay.Queued })
 	}
 	if s := r.s.Stats(); s.Won != 400 {
 		t.Errorf("%+v", s)
@@ -209,7 +209,7 @@
 					calls := r.resume(b, tokens[i:i+k.step])
 					spent += time.Since(began)
 					for _, c := range calls {
-						c.Leave(relay.Clean)
+						c.ClientClosed(relay.GracefulClose)
 					}
 					claims += len(calls)
 					eventually(b, "given back", func() bool { return len(zk.Nodes("/a/streams/")) == n })
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -139,7 +139,7 @@
 				s.feed(ev)
 			}
 		}
-		wait.Reset(relay.Duration(max(1, s.keeper.Next()-s.Clock.Now())))
+		wait.Reset(relay.Duration(max(1, s.keeper.Next()-s.Clock.NowMillis())))
 	}
 }
 
@@ -148,7 +148,7 @@
 
 // feed lets the Keeper act. Only Run calls it, so answers reach calls in the order in which they were decided.
 func (s *Service) feed(ev ownership.Event) {
-	s.acts = s.keeper.Handle(s.Clock.Now(), ev, s.acts[:0])
+	s.acts = s.keeper.Handle(s.Clock.NowMillis(), ev, s.acts[:0])
 	s.until.Store(math.Float64bits(s.keeper.Until()))
 	for _, act := range s.acts {
 		switch a := act.(type) {
@@ -176,7 +176,7 @@
 func (s *Service) refused(a ownership.Refused) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
-	answer := relay.Answer{Kind: relay.Refused, RetryAfter: a.After}
+	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: a.After}
 	switch a.Why {
 	case ownership.Held:
 		s.count(&s.stats.Held)
--- a/internal/resume/stored_test.go
+++ b/internal/resume/stored_test.go
@@ -57,7 +57,7 @@
 }
 
 // begin opens a stream of a known id and waits for its ownership.
-func (r *testRelay) begin(t *testing.T, id token.StreamID) (*Stream, *relay.Call) {
+func (r *testRelay) begin(t *testing.T, id token.StreamID) (*Stream, *relay.Request) {
 	t.Helper()
 	st := r.s.Fresh(Asked{Class: "m", Tenant: "acme", Key: 5, Group: 6})
 	st.ID = id
@@ -73,14 +73,14 @@
 	tokens = map[string]string{}
 	fresh, call := r.begin(t, storedFresh)
 	tokens["fresh-1"] = fresh.Token()
-	call.Leave(relay.Clean)
+	call.ClientClosed(relay.GracefulClose)
 	<-fresh.released
 
 	first, call := r.begin(t, storedTwice)
 	first.Passed(41)
 	tokens["twice-1"] = first.Token()
 	first.Got(1)
-	call.Leave(relay.Clean)
+	call.ClientClosed(relay.GracefulClose)
 	<-first.released
 	second, note, err := r.s.Resume(tokens["twice-1"], first.Asked)
 	if err != nil {
@@ -90,7 +90,7 @@
 	eventually(t, "claimed again", func() bool { return second.gen.Load() == 2 })
 	tokens["twice-2"] = second.Token()
 	second.Got(2)
-	call.Leave(relay.Clean)
+	call.ClientClosed(relay.GracefulClose)
 	<-second.released
 
 	served, _ := r.begin(t, storedServed)
@@ -157,14 +157,14 @@
 				t.Errorf("stream %v from %d, want %v from %d", st.ID, st.From, c.stream, c.from)
 			}
 			call := r.open(st)
-			eventually(t, "an answer", func() bool { state, _ := call.State(); return state != relay.Claiming })
+			eventually(t, "an answer", func() bool { state, _ := call.State(); return state != relay.AwaitingOwnership })
 			state, answer := call.State()
 			switch {
 			case c.generation == 0:
 				if state != relay.Ended || answer.Kind != relay.Failed || answer.Note != c.note {
 					t.Errorf("state %v, %+v", state, answer)
 				}
-			case state != relay.Held || st.Generation() != c.generation:
+			case state != relay.Queued || st.Generation() != c.generation:
 				t.Errorf("state %v, generation %d, want %d", state, st.Generation(), c.generation)
 			}
 		})
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -57,7 +57,7 @@
 	keptAt   float64
 
 	mu      sync.Mutex
-	call    *relay.Call
+	call    *relay.Request
 	handle  uint64
 	over    bool
 	arrived uint64 // generation whose token the client has confirmed
@@ -100,15 +100,15 @@
 	return st, "", nil
 }
 
-// Wait tells whether the call waits for the claim: only a stream that some other relay may have does.
-func (st *Stream) Wait() bool { return st.token != 0 }
+// MustWait tells whether the call waits for the claim: only a stream that some other relay may have does.
+func (st *Stream) MustWait() bool { return st.token != 0 }
 
-// Begin asks for the claim.
-func (st *Stream) Begin(c *relay.Call) {
+// Acquire asks for the claim.
+func (st *Stream) Acquire(c *relay.Request) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.call = c
-	st.want(min(st.s.ClaimWithin, c.Left))
+	st.want(min(st.s.ClaimWithin, c.Timeout))
 }
 
 // want posts a Want. The caller holds the lock.
@@ -118,7 +118,7 @@
 	}
 	st.handle = st.s.handle()
 	st.expires = st.s.wall() + int64(2*st.s.TokenLife+st.s.Skew)
-	w := ownership.Want{Handle: st.handle, Stream: st.ID, Generation: st.token, Until: st.s.Clock.Now() + within, Expires: st.expires}
+	w := ownership.Want{Handle: st.handle, Stream: st.ID, Generation: st.token, Until: st.s.Clock.NowMillis() + within, Expires: st.expires}
 	st.s.post(func() {
 		st.s.streams[w.Handle] = st
 		st.s.feed(w)
@@ -161,9 +161,9 @@
 	c := st.call
 	st.mu.Unlock()
 	if st.token != 0 {
-		c.Claimed()
+		c.OwnershipAcquired()
 	} else {
-		c.Nudge() // its token can be given out
+		c.WakeServerSide() // its token can be given out
 	}
 }
 
@@ -172,7 +172,7 @@
 	c := st.call
 	st.handle = 0
 	st.mu.Unlock()
-	c.Unclaimed(a)
+	c.OwnershipDenied(a)
 }
 
 func (st *Stream) lapse() {
@@ -192,7 +192,7 @@
 	}
 	st.mu.Unlock()
 	st.lost.Store(true)
-	c.Lapse(500 * (1 + rand.Float64()))
+	c.LoseOwnership(500 * (1 + rand.Float64()))
 }
 
 // Trusted tells whether a line may still be passed on. It is asked before each: a process that slept past the
@@ -201,7 +201,7 @@
 	if !st.handed.Load() && st.token == 0 {
 		return true
 	}
-	return !st.lost.Load() && st.s.Clock.Now() < st.s.Until()
+	return !st.lost.Load() && st.s.Clock.NowMillis() < st.s.Until()
 }
 
 // EveryServer tells whether every server takes streams up, whatever the list says.
@@ -226,13 +226,13 @@
 	if gen == 0 {
 		return false
 	}
-	age := st.s.Clock.Now() - st.givenAt
+	age := st.s.Clock.NowMillis() - st.givenAt
 	return st.givenGen != gen || age >= st.s.Renew && st.givenPos != st.position.Load() || age >= st.s.TokenLife/2
 }
 
 // NextDue is when Due and Lease are to be asked again at the latest.
 func (st *Stream) NextDue() float64 {
-	now := st.s.Clock.Now()
+	now := st.s.Clock.NowMillis()
 	next := now + st.s.Renew
 	if st.givenGen != 0 {
 		next = max(now+1, st.givenAt+min(st.s.Renew, st.s.TokenLife/2))
@@ -261,7 +261,7 @@
 // lease is longer than our trust by half of ownership.Grace, so that the client is told to move before its server
 // ends the stream; the other half is for the lease's way to the server.
 func (st *Stream) Lease() float64 {
-	now := st.s.Clock.Now()
+	now := st.s.Clock.NowMillis()
 	if !st.leased || st.gen.Load() == 0 || now-st.keptAt < st.s.Session*leasePart {
 		return 0
 	}
@@ -275,7 +275,7 @@
 	if gen == 0 || st.lost.Load() {
 		return ""
 	}
-	now, wall, pos := st.s.Clock.Now(), st.s.wall(), st.position.Load()
+	now, wall, pos := st.s.Clock.NowMillis(), st.s.wall(), st.position.Load()
 	text, err := st.s.ring.Load().Seal(&token.Token{Stream: st.ID, Generation: gen, Class: st.Class, Tenant: st.Tenant,
 		Key: st.Key, Group: st.Group, Position: pos, Server: st.server, Relay: st.s.Relay, Issued: wall,
 		Expires: wall + int64(st.s.TokenLife)})
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -8,13 +8,13 @@
 	"syscall"
 )
 
-// room is how many signals wait while none is read.
-const room = 8
+// queueSize is how many signals wait while none is read.
+const queueSize = 8
 
 var caught = catch()
 
 func catch() <-chan os.Signal {
-	signals := make(chan os.Signal, room)
+	signals := make(chan os.Signal, queueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
 }
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -18,7 +18,7 @@
 // nowhere is a server side and a discovery that do nothing.
 type nowhere struct{}
 
-func (nowhere) Try(*relay.Call, relay.Attempt)                                {}
+func (nowhere) StartAttempt(*relay.Request, relay.Attempt)                    {}
 func (nowhere) Probe(_ relay.Server, done func(decide.Status, decide.Report)) {}
 func (nowhere) Watch()                                                        {}
 func (nowhere) Fetch()                                                        {}
@@ -32,28 +32,28 @@
 
 // listed is a relay's core that takes lists in.
 type listed struct {
-	x    *relay.Exchange
-	core *relay.Core
+	x    *relay.RequestTable
+	core *relay.EventLoop
 }
 
 func newListed() *listed {
-	site := &relay.Site{Zones: map[string]decide.Zone{"hall-a": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true,
+	site := &relay.Deployment{Zones: map[string]decide.Zone{"hall-a": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true,
 		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{Aim: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewExchange(site, relay.NewClock(), nowhere{})
-	return &listed{x, relay.NewCore(x, 7, nowhere{}, zerolog.Nop())}
+	x := relay.NewRequestTable(site, relay.NewClock(), nowhere{})
+	return &listed{x, relay.NewEventLoop(x, 7, nowhere{}, zerolog.Nop())}
 }
 
 func (l *listed) take(tb testing.TB, text string) {
 	tb.Helper()
-	list, err := discovery.Parse(text, zerolog.Nop())
+	list, err := discovery.ParseList(text, zerolog.Nop())
 	if err != nil {
 		tb.Fatal(err)
 	}
 	kind := decide.Delta
-	if list.Full {
+	if list.Complete {
 		kind = decide.Whole
 	}
-	l.x.Members(kind, list.Entries)
+	l.x.UpdateEndpoints(kind, list.Endpoints)
 	l.core.Step()
 }
 
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -87,7 +87,7 @@
 	if f.cfg.Peering {
 		own := r.localTime()
 		now := float64(f.Now) / float64(ms)
-		word := relay.Reckon(now, own, r.node.Estimate(own), nil)
+		word := relay.ToFleetStatus(now, own, r.node.Estimate(own), nil)
 		word.Shared = r.scheduler.On()
 		word.Summed = word.Summed && word.Shared && !f.cfg.GuessPlacements
 		f.carryOut(r, r.balancer.Handle(f.Now, word, nil))
--- a/internal/simulation/scale/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -92,16 +92,16 @@
 	if f.planned != nil {
 		f.planned.enter(&c, f.cfg.cellOf(i), i)
 	}
-	c.Self = func() gossip.Self {
-		return gossip.Self{Lifecycle: membership.Serving, Arrivals: uint64(time.Since(began).Seconds() * f.cfg.Arrivals), Held: 1000, List: 1}
+	c.LocalActivity = func() gossip.LocalActivity {
+		return gossip.LocalActivity{Lifecycle: membership.Serving, Arrivals: uint64(time.Since(began).Seconds() * f.cfg.Arrivals), OpenRequests: 1000, ListVersion: 1}
 	}
 	if f.cfg.Notice != nil {
-		c.Notice = func(changed membership.Changed) { f.cfg.Notice(i, changed) }
+		c.OnChange = func(changed membership.Changed) { f.cfg.Notice(i, changed) }
 	}
 	var shared *looks
 	if f.cfg.Servers > 0 {
 		shared = newLooks(f.cfg, c.Clock)
-		c.Received = shared.hear
+		c.OnProbingEvent = shared.hear
 	}
 	node, err := gossip.New(c)
 	if err != nil {
--- a/internal/testing/cluster/cells.go
+++ b/internal/testing/cluster/cells.go
@@ -20,7 +20,7 @@
 }
 
 // Divide writes a plan into the members' files of the relays of its cells. A process that runs takes it in at Hup.
-func (g *Ground) Divide(number uint64, cells []Cell) error {
+func (g *Cluster) Divide(number uint64, cells []Cell) error {
 	plan := fmt.Sprintf("\n[plan]\nnumber = %d\n", number)
 	for _, c := range cells {
 		plan += g.table(c)
@@ -39,7 +39,7 @@
 }
 
 // table is a cell as the file has it.
-func (g *Ground) table(c Cell) string {
+func (g *Cluster) table(c Cell) string {
 	var contacts []string
 	relays := c.Contacts
 	if relays == nil {
@@ -56,11 +56,11 @@
 }
 
 // Flatten takes plan and cell out of a relay's file.
-func (g *Ground) Flatten(i int) error { return g.writeMembers(i, false, "") }
+func (g *Cluster) Flatten(i int) error { return g.writeMembers(i, false, "") }
 
 // writeMembers writes a relay's members' file anew: what it had at first, and its part of a plan. A relay of a cell with a region
 // has no founders of its own.
-func (g *Ground) writeMembers(i int, celled bool, more string) error {
+func (g *Cluster) writeMembers(i int, celled bool, more string) error {
 	r := g.Relays[i]
 	text := r.members
 	if celled {
@@ -71,7 +71,7 @@
 }
 
 // Replan divides the fleet anew and has all processes of its cells take that in.
-func (g *Ground) Replan(number uint64, cells []Cell) error {
+func (g *Cluster) Replan(number uint64, cells []Cell) error {
 	if err := g.Divide(number, cells); err != nil {
 		return err
 	}
@@ -84,14 +84,14 @@
 }
 
 // Hup has a relay's process read its files again.
-func (g *Ground) Hup(i int) {
+func (g *Cluster) Hup(i int) {
 	if r := g.Relays[i]; r.up {
 		r.cmd.Process.Signal(syscall.SIGHUP)
 	}
 }
 
 // AgreeInCells tells whether the relays that run agree within each cell, and act by the parts of a plan that all cells have entered.
-func (g *Ground) AgreeInCells(number uint64, cells []Cell) error {
+func (g *Cluster) AgreeInCells(number uint64, cells []Cell) error {
 	last, err := g.Last()
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 }
 
 // HearCells tells whether every relay that runs hears of so many cells, by its directory.
-func (g *Ground) HearCells(want int) error {
+func (g *Cluster) HearCells(want int) error {
 	last, err := g.Last()
 	if err != nil {
 		return err
--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -39,7 +39,7 @@
 func cellPatience() time.Duration { return 45 * time.Second }
 
 // layRegions lays out twelve relays in three regions and starts them, by plan 1.
-func layRegions(t *testing.T) (*Ground, []Cell) {
+func layRegions(t *testing.T) (*Cluster, []Cell) {
 	t.Helper()
 	cells := regionCells()
 	zones := []string{"east-a", "north-a", "west-a"}
@@ -60,7 +60,7 @@
 }
 
 // whole checks that the relays take nearly all of the budgets of zones now. lay checks that they never take more.
-func whole(t *testing.T, g *Ground, zones ...string) {
+func whole(t *testing.T, g *Cluster, zones ...string) {
 	t.Helper()
 	last, err := g.Last()
 	if err != nil {
@@ -176,7 +176,7 @@
 
 // speakerKilled kills the speaker of the first cell, and starts it again: another speaks, the log says why, and another cell's speaker
 // hears of it.
-func speakerKilled(t *testing.T, g *Ground, cells []Cell) {
+func speakerKilled(t *testing.T, g *Cluster, cells []Cell) {
 	t.Helper()
 	last, err := g.Last()
 	if err != nil {
@@ -237,7 +237,7 @@
 }
 
 // wholeCellRestarted kills all relays of a cell at once and starts them again.
-func wholeCellRestarted(t *testing.T, g *Ground, cells []Cell) {
+func wholeCellRestarted(t *testing.T, g *Cluster, cells []Cell) {
 	t.Helper()
 	for _, i := range cells[1].Relays {
 		g.Kill(i)
@@ -328,7 +328,7 @@
 }
 
 // planned tells whether all relays of cells that run have entered a plan, or a later one.
-func (g *Ground) planned(number uint64, cells ...Cell) error {
+func (g *Cluster) planned(number uint64, cells ...Cell) error {
 	last, err := g.Last()
 	if err != nil {
 		return err
@@ -344,7 +344,7 @@
 }
 
 // movedOut tells whether the relays of a cell have none in their view that has gone.
-func (g *Ground) movedOut(gone int, cell Cell) error {
+func (g *Cluster) movedOut(gone int, cell Cell) error {
 	last, err := g.Last()
 	for _, i := range cell.Relays {
 		if n := last[g.Relays[i].Name]; err == nil && slices.Contains(n.Members, g.Relays[gone].Name) {
@@ -389,7 +389,7 @@
 }
 
 // back takes the plan out of the three relays again.
-func back(t *testing.T, g *Ground) {
+func back(t *testing.T, g *Cluster) {
 	t.Helper()
 	for i := range 3 {
 		if err := g.Flatten(i); err != nil {
@@ -405,7 +405,7 @@
 }
 
 // moveFlat moves the four relays of a flat fleet into a cell.
-func moveFlat(t *testing.T, g *Ground, flat, cell Cell) {
+func moveFlat(t *testing.T, g *Cluster, flat, cell Cell) {
 	t.Helper()
 	replan := func(number uint64, cells ...Cell) {
 		t.Helper()
--- a/internal/testing/cluster/cold_test.go
+++ b/internal/testing/cluster/cold_test.go
@@ -14,7 +14,7 @@
 // cold plays a day on seven relays whose settings say there is one, as before a fleet grew: three warm servers take
 // their clients, then a cold one comes while trouble plays. It returns how much of the cold server's allowance all
 // relays together used up.
-func cold(t *testing.T, talk bool, trouble func(g *Ground)) float64 {
+func cold(t *testing.T, talk bool, trouble func(g *Cluster)) float64 {
 	g := lay(t, Plan{Relays: 7, Founders: 1, Alone: !talk, Settings: map[string]any{
 		"balancers": 1, "specifics": map[string]any{"groups": false, "messageAimMs": []int{50}, "reportX0": "load asked of the server over what it can do", "tenantQuotaConnections": []int{240}}}}, 0)
 	var sinks []*Sink
@@ -53,14 +53,14 @@
 // rolling replacement, though the settings' number of relays is a seventh of the truth. Relays that do not know
 // each other go by that number, and go far over.
 func TestColdBudgetOverProcesses(t *testing.T) {
-	troubles := map[string]func(g *Ground){
-		"partition and heal": func(g *Ground) {
+	troubles := map[string]func(g *Cluster){
+		"partition and heal": func(g *Cluster) {
 			g.Split([]int{0, 0, 0, 0, 1, 1, 1})
 			g.Apply()
 			time.Sleep(5 * time.Second)
 			g.Heal()
 		},
-		"rolling replacement": func(g *Ground) {
+		"rolling replacement": func(g *Cluster) {
 			for i := range g.Relays {
 				if i%2 == 0 {
 					g.Kill(i)
@@ -82,7 +82,7 @@
 	}
 	t.Run("without members", func(t *testing.T) {
 		t.Parallel()
-		if spent := cold(t, false, func(*Ground) {}); spent <= 1 {
+		if spent := cold(t, false, func(*Cluster) {}); spent <= 1 {
 			t.Errorf("the load takes %.2f of the budget only: this test would find nothing", spent)
 		}
 	})
--- a/internal/testing/cluster/load.go
+++ b/internal/testing/cluster/load.go
@@ -90,7 +90,7 @@
 
 // Load brings so many connections a second, spread over the relays by their weights, until the context ends; each that
 // comes up is held for a while. It sends to loopback only, where all relays of a ground are.
-func (g *Ground) Load(ctx context.Context, seed uint64, rate float64, hold time.Duration, tally *Tally) {
+func (g *Cluster) Load(ctx context.Context, seed uint64, rate float64, hold time.Duration, tally *Tally) {
 	rng := rand.New(rand.NewPCG(seed, 0x6c6f6164))
 	var all sync.WaitGroup
 	defer all.Wait()
--- a/internal/testing/cluster/many_test.go
+++ b/internal/testing/cluster/many_test.go
@@ -13,7 +13,7 @@
 // many is nine relays before twelve servers that report what their connections make of them.
 type many struct {
 	t     *testing.T
-	g     *Ground
+	g     *Cluster
 	sinks []*Sink
 	tally Tally
 	idle  []float64 // by server: since when it holds nothing
--- a/internal/testing/cluster/oldlist_test.go
+++ b/internal/testing/cluster/oldlist_test.go
@@ -20,7 +20,7 @@
 )
 
 // servers starts n servers that take everything, lists them, and returns them.
-func servers(t *testing.T, g *Ground, n int) (all []*Sink) {
+func servers(t *testing.T, g *Cluster, n int) (all []*Sink) {
 	t.Helper()
 	for i := range n {
 		s, err := NewSink(fmt.Sprintf("s%d", i))
@@ -36,7 +36,7 @@
 }
 
 // before puts a proxy between a relay that has not started yet and discovery.
-func before(t *testing.T, g *Ground, i int) *Proxy {
+func before(t *testing.T, g *Cluster, i int) *Proxy {
 	t.Helper()
 	p, err := NewProxy(g.Discovery.Address)
 	if err != nil {
--- a/internal/testing/cluster/proving.go
+++ b/internal/testing/cluster/proving.go
@@ -67,8 +67,8 @@
 	Unsafe   bool               // a protection is taken out: the shares are not expected to add up
 }
 
-// Ground is a fleet of processes with its discovery.
-type Ground struct {
+// Cluster is a fleet of processes with its discovery.
+type Cluster struct {
 	Plan
 	Discovery *fake.Discovery
 	Relays    []*Relay
@@ -143,7 +143,7 @@
 }
 
 // New lays a ground out. No process runs yet. example is the path of the example's configuration.
-func New(p Plan, example string) (*Ground, error) {
+func New(p Plan, example string) (*Cluster, error) {
 	if p.Founders == 0 {
 		p.Founders = p.Relays
 	}
@@ -158,7 +158,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Ground{Plan: p, Discovery: d, cut: map[[2]int]bool{}, blind: map[int][]string{}, at: at}
+	g := &Cluster{Plan: p, Discovery: d, cut: map[[2]int]bool{}, blind: map[int][]string{}, at: at}
 	for i := range p.Relays {
 		r := &Relay{Name: fmt.Sprintf("r%d", i), dir: filepath.Join(p.Dir, fmt.Sprintf("r%d", i)), rules: p.Rules}
 		r.rules.Seed = uint64(i)
@@ -180,7 +180,7 @@
 }
 
 // configure writes a relay's files.
-func (g *Ground) configure(i int, example string) error {
+func (g *Cluster) configure(i int, example string) error {
 	text, err := os.ReadFile(example)
 	if err != nil {
 		return err
@@ -222,7 +222,7 @@
 }
 
 // Reconfigure changes keys of a relay's configuration. It counts from its next start or reload on.
-func (g *Ground) Reconfigure(i int, changes map[string]any) error {
+func (g *Cluster) Reconfigure(i int, changes map[string]any) error {
 	path := g.Relays[i].file("config.json")
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -253,14 +253,14 @@
 	return os.Rename(r.file("faults.new"), r.file("faults"))
 }
 
-func (g *Ground) note(i int, event string) {
+func (g *Cluster) note(i int, event string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.events = append(g.events, faultpoint.Noted{T: Now(), Name: g.Relays[i].Name, Event: event})
 }
 
 // Start starts a relay's process.
-func (g *Ground) Start(i int) error {
+func (g *Cluster) Start(i int) error {
 	r := g.Relays[i]
 	if r.up {
 		return nil
@@ -298,7 +298,7 @@
 }
 
 // Kill kills a relay's process and waits for its end.
-func (g *Ground) Kill(i int) {
+func (g *Cluster) Kill(i int) {
 	r := g.Relays[i]
 	if !r.up {
 		return
@@ -310,7 +310,7 @@
 }
 
 // Term asks a relay's process to leave, and waits for its end.
-func (g *Ground) Term(i int) {
+func (g *Cluster) Term(i int) {
 	r := g.Relays[i]
 	if !r.up {
 		return
@@ -323,7 +323,7 @@
 }
 
 // Stop stops a relay's process as it stands; Cont lets it go on.
-func (g *Ground) Stop(i int) {
+func (g *Cluster) Stop(i int) {
 	if r := g.Relays[i]; r.up && !r.stopped {
 		r.cmd.Process.Signal(syscall.SIGSTOP)
 		r.stopped = true
@@ -332,7 +332,7 @@
 }
 
 // Cont lets a stopped process go on.
-func (g *Ground) Cont(i int) {
+func (g *Cluster) Cont(i int) {
 	if r := g.Relays[i]; r.up && r.stopped {
 		g.note(i, "cont")
 		r.cmd.Process.Signal(syscall.SIGCONT)
@@ -341,7 +341,7 @@
 }
 
 // Close ends all processes.
-func (g *Ground) Close() {
+func (g *Cluster) Close() {
 	for i := range g.Relays {
 		g.Kill(i)
 	}
@@ -349,16 +349,16 @@
 }
 
 // Rule changes a relay's faults.
-func (g *Ground) Rule(i int, change func(*faultpoint.Rules)) error {
+func (g *Cluster) Rule(i int, change func(*faultpoint.Rules)) error {
 	change(&g.Relays[i].rules)
 	return g.Relays[i].apply()
 }
 
 // Cut cuts what one relay sends to another, or lets it pass again.
-func (g *Ground) Cut(from, to int, on bool) { g.cut[[2]int{from, to}] = on }
+func (g *Cluster) Cut(from, to int, on bool) { g.cut[[2]int{from, to}] = on }
 
 // Split cuts the fleet: relays of different parts hear nothing of each other.
-func (g *Ground) Split(part []int) {
+func (g *Cluster) Split(part []int) {
 	for a := range g.Relays {
 		for b := range g.Relays {
 			g.Cut(a, b, part[a] != part[b])
@@ -367,10 +367,10 @@
 }
 
 // Blind keeps a relay from reaching servers, by their addresses; what stands falls silent and is reset at the heal.
-func (g *Ground) Blind(i int, servers ...string) { g.blind[i] = servers }
+func (g *Cluster) Blind(i int, servers ...string) { g.blind[i] = servers }
 
 // Apply hands the cuts to all processes.
-func (g *Ground) Apply() error {
+func (g *Cluster) Apply() error {
 	var all []error
 	for i, r := range g.Relays {
 		r.rules.Cut, r.rules.CutFrom = slices.Clone(g.blind[i]), nil
@@ -388,7 +388,7 @@
 }
 
 // Heal ends all faults: cuts, loss, stops; whoever is down stays down.
-func (g *Ground) Heal() error {
+func (g *Cluster) Heal() error {
 	clear(g.cut)
 	clear(g.blind)
 	for i, r := range g.Relays {
@@ -399,7 +399,7 @@
 }
 
 // Histories are all lines of all processes and of the rig, in the order of their times.
-func (g *Ground) Histories() ([]faultpoint.Noted, error) {
+func (g *Cluster) Histories() ([]faultpoint.Noted, error) {
 	g.mu.Lock()
 	all := slices.Clone(g.events)
 	g.mu.Unlock()
@@ -432,7 +432,7 @@
 }
 
 // Last is the newest line of each relay's newest life.
-func (g *Ground) Last() (map[string]faultpoint.Noted, error) {
+func (g *Cluster) Last() (map[string]faultpoint.Noted, error) {
 	all, err := g.Histories()
 	last := map[string]faultpoint.Noted{}
 	for _, n := range all {
@@ -447,7 +447,7 @@
 }
 
 // Agree tells whether all relays that run hold one view of just them. settled wants every share at its target too.
-func (g *Ground) Agree(settled bool) error {
+func (g *Cluster) Agree(settled bool) error {
 	last, err := g.Last()
 	if err != nil {
 		return err
