--- a/internal/testing/cluster/proving_test.go
+++ b/internal/testing/cluster/proving_test.go
@@ -44,7 +44,7 @@
 }
 
 // lay lays a ground out and starts its first relays; at the end it checks that no shares ever added up to over one.
-func lay(t *testing.T, p Plan, start int) *Ground {
+func lay(t *testing.T, p Plan, start int) *Cluster {
 	t.Helper()
 	p.Program, p.Dir = program, t.TempDir()
 	g, err := New(p, "../../examples/config.json")
@@ -73,7 +73,7 @@
 }
 
 // startAll starts all relays of a ground.
-func startAll(t *testing.T, g *Ground) {
+func startAll(t *testing.T, g *Cluster) {
 	t.Helper()
 	for i := range g.Relays {
 		if err := g.Start(i); err != nil {
@@ -83,7 +83,7 @@
 }
 
 // load has clients come to a ground's relays, so many a second and each for so long, until the test ends. It returns what they met.
-func load(t *testing.T, g *Ground, rate float64, hold time.Duration) *Tally {
+func load(t *testing.T, g *Cluster, rate float64, hold time.Duration) *Tally {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	tally, done := &Tally{}, make(chan struct{})
@@ -108,11 +108,11 @@
 	return took
 }
 
-func (g *Ground) agreed() error  { return g.Agree(false) }
-func (g *Ground) settled() error { return g.Agree(true) }
+func (g *Cluster) agreed() error  { return g.Agree(false) }
+func (g *Cluster) settled() error { return g.Agree(true) }
 
 // without tells whether no relay that runs has one in its view.
-func (g *Ground) without(gone int) error {
+func (g *Cluster) without(gone int) error {
 	last, err := g.Last()
 	if err != nil {
 		return err
@@ -132,13 +132,13 @@
 func TestRelaysAgreeThroughFaults(t *testing.T) {
 	const n = 7
 	pause := func(ms int) { time.Sleep(time.Duration(ms) * time.Millisecond) }
-	all := func(t *testing.T, g *Ground, do string, value float64) {
+	all := func(t *testing.T, g *Cluster, do string, value float64) {
 		if err := g.Play([]Step{{Do: do, Value: value}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	split := func(parts ...int) func(*testing.T, *Ground) {
-		return func(t *testing.T, g *Ground) {
+	split := func(parts ...int) func(*testing.T, *Cluster) {
+		return func(t *testing.T, g *Cluster) {
 			g.Split(parts)
 			g.Apply()
 			pause(6000)
@@ -148,18 +148,18 @@
 	if long() {
 		lossFor = 60_000
 	}
-	for what, break_ := range map[string]func(*testing.T, *Ground){
+	for what, break_ := range map[string]func(*testing.T, *Cluster){
 		"halves":             split(0, 0, 0, 0, 1, 1, 1),
 		"majority, minority": split(0, 0, 0, 0, 0, 1, 1),
 		"three ways":         split(0, 0, 1, 1, 2, 2, 2),
-		"A does not hear B":  func(t *testing.T, g *Ground) { g.Cut(1, 0, true); g.Apply(); pause(5000) },
-		"one hears nobody":   func(t *testing.T, g *Ground) { cutIn(g, 2); pause(6000) },
-		"stopped, then woken": func(t *testing.T, g *Ground) {
+		"A does not hear B":  func(t *testing.T, g *Cluster) { g.Cut(1, 0, true); g.Apply(); pause(5000) },
+		"one hears nobody":   func(t *testing.T, g *Cluster) { cutIn(g, 2); pause(6000) },
+		"stopped, then woken": func(t *testing.T, g *Cluster) {
 			g.Stop(3)
 			await(t, patience(), "out", func() error { return g.without(3) })
 			g.Cont(3)
 		},
-		"killed and back at once": func(t *testing.T, g *Ground) {
+		"killed and back at once": func(t *testing.T, g *Cluster) {
 			all(t, g, "late", 0.1) // packets of the first life come in the second
 			pause(500)
 			g.Kill(0)
@@ -169,12 +169,12 @@
 			}
 			pause(2000)
 		},
-		"killed for good": func(t *testing.T, g *Ground) {
+		"killed for good": func(t *testing.T, g *Cluster) {
 			g.Kill(1)
 			took := await(t, patience(), "out of all views", func() error { return g.without(1) })
 			t.Logf("out of all views after %v", took.Round(10*time.Millisecond))
 		},
-		"half killed, back at once": func(t *testing.T, g *Ground) {
+		"half killed, back at once": func(t *testing.T, g *Cluster) {
 			for i := range 4 {
 				g.Kill(i)
 			}
@@ -182,13 +182,13 @@
 				g.Start(i)
 			}
 		},
-		"a fifth lost": func(t *testing.T, g *Ground) {
+		"a fifth lost": func(t *testing.T, g *Cluster) {
 			all(t, g, "loss", 0.2)
 			began := Now()
 			pause(lossFor)
 			kept(t, g, began)
 		},
-		"clocks 5% off, and a cut": func(t *testing.T, g *Ground) {
+		"clocks 5% off, and a cut": func(t *testing.T, g *Cluster) {
 			for i := range g.Relays {
 				g.Play([]Step{{Do: "rate", Who: i, Value: []float64{0.95, 1.05, 1}[i%3]}})
 			}
@@ -197,7 +197,7 @@
 			g.Start(6)
 			split(0, 0, 0, 0, 1, 1, 1)(t, g)
 		},
-		"delay, doubling, old packets": func(t *testing.T, g *Ground) {
+		"delay, doubling, old packets": func(t *testing.T, g *Cluster) {
 			all(t, g, "delay", 80)
 			all(t, g, "twice", 0.2)
 			all(t, g, "late", 0.05)
@@ -206,7 +206,7 @@
 			g.Start(2)
 			pause(2000)
 		},
-		"other versions' digests": func(t *testing.T, g *Ground) {
+		"other versions' digests": func(t *testing.T, g *Cluster) {
 			for i := range g.Relays {
 				g.Rule(i, func(r *faultpoint.Rules) { r.Digest = []int{0, -1, 1}[i%3] })
 			}
@@ -218,7 +218,7 @@
 				t.Errorf("with digests of three versions: %v", err)
 			}
 		},
-		"a crowd of garbage": func(t *testing.T, g *Ground) {
+		"a crowd of garbage": func(t *testing.T, g *Cluster) {
 			began := Now()
 			garbage(t, g)
 			pause(1000)
@@ -242,7 +242,7 @@
 
 // kept checks that since a moment no relay was told a view without one of the ground's: all of them run, and a majority
 // hears each.
-func kept(t *testing.T, g *Ground, since float64) {
+func kept(t *testing.T, g *Cluster, since float64) {
 	t.Helper()
 	history, err := g.Histories()
 	if err != nil {
@@ -257,7 +257,7 @@
 }
 
 // cutIn cuts all that comes to a relay; what it says still gets out.
-func cutIn(g *Ground, i int) {
+func cutIn(g *Cluster, i int) {
 	for j := range g.Relays {
 		g.Cut(j, i, j != i)
 	}
@@ -265,7 +265,7 @@
 }
 
 // garbage throws packets and streams at every relay: noise, cut and oversized messages, and what was sent before.
-func garbage(t *testing.T, g *Ground) {
+func garbage(t *testing.T, g *Cluster) {
 	for i, r := range g.Relays {
 		c, err := net.Dial("udp", r.Gossip)
 		if err != nil {
@@ -335,10 +335,10 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			a, b := lay(t, Plan{Relays: 3, Keys: key('a')}, 0), lay(t, other, 0)
-			for i, g := range []*Ground{a, b} {
+			for i, g := range []*Cluster{a, b} {
 				for _, r := range g.Relays {
 					text, _ := os.ReadFile(r.file("members.toml"))
-					seeds := fmt.Sprintf("seeds = [%q, %q, ", []*Ground{b, a}[i].Relays[0].Gossip, []*Ground{b, a}[i].Relays[1].Gossip)
+					seeds := fmt.Sprintf("seeds = [%q, %q, ", []*Cluster{b, a}[i].Relays[0].Gossip, []*Cluster{b, a}[i].Relays[1].Gossip)
 					os.WriteFile(r.file("members.toml"), []byte(strings.Replace(string(text), "seeds = [", seeds, 1)), 0o600)
 				}
 				for j := range g.Relays {
--- a/internal/testing/cluster/pushed_test.go
+++ b/internal/testing/cluster/pushed_test.go
@@ -13,11 +13,11 @@
 // and which gets no other, may act on its list for the grace only; one that follows another agent, for 4 s and the grace.
 func TestNothingNewWithoutTheAgent(t *testing.T) {
 	for name, play := range map[string]struct {
-		lose func(t *testing.T, g *Ground, agent *Proxy)
+		lose func(t *testing.T, g *Cluster, agent *Proxy)
 		told time.Duration
 	}{
-		"the watch is reset and the next one hangs": {func(_ *testing.T, _ *Ground, agent *Proxy) { agent.Set(Hung) }, 0},
-		"a new configuration names an agent that hangs": {func(t *testing.T, g *Ground, _ *Proxy) {
+		"the watch is reset and the next one hangs": {func(_ *testing.T, _ *Cluster, agent *Proxy) { agent.Set(Hung) }, 0},
+		"a new configuration names an agent that hangs": {func(t *testing.T, g *Cluster, _ *Proxy) {
 			before(t, g, 0).Set(Silent)
 			g.Hup(0)
 		}, movedWithin},
--- a/internal/testing/cluster/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -22,26 +22,26 @@
 }
 
 // doings are what a step can do.
-var doings = map[string]func(g *Ground, s Step) error{
-	"start": func(g *Ground, s Step) error { return g.Start(s.Who) },
-	"kill":  func(g *Ground, s Step) error { g.Kill(s.Who); return nil },
-	"term":  func(g *Ground, s Step) error { g.Term(s.Who); return nil },
-	"stop":  func(g *Ground, s Step) error { g.Stop(s.Who); return nil },
-	"cont":  func(g *Ground, s Step) error { g.Cont(s.Who); return nil },
-	"split": func(g *Ground, s Step) error { g.Split(s.Parts); return g.Apply() },
-	"cut":   func(g *Ground, s Step) error { g.Cut(s.Who, s.To, true); return g.Apply() },
-	"join":  func(g *Ground, s Step) error { clear(g.cut); return g.Apply() },
-	"loss":  func(g *Ground, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Loss = s.Value }) },
-	"twice": func(g *Ground, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Twice = s.Value }) },
-	"delay": func(g *Ground, s Step) error { return g.all(func(r *faultpoint.Rules) { r.DelayMs = s.Value }) },
-	"late": func(g *Ground, s Step) error {
+var doings = map[string]func(g *Cluster, s Step) error{
+	"start": func(g *Cluster, s Step) error { return g.Start(s.Who) },
+	"kill":  func(g *Cluster, s Step) error { g.Kill(s.Who); return nil },
+	"term":  func(g *Cluster, s Step) error { g.Term(s.Who); return nil },
+	"stop":  func(g *Cluster, s Step) error { g.Stop(s.Who); return nil },
+	"cont":  func(g *Cluster, s Step) error { g.Cont(s.Who); return nil },
+	"split": func(g *Cluster, s Step) error { g.Split(s.Parts); return g.Apply() },
+	"cut":   func(g *Cluster, s Step) error { g.Cut(s.Who, s.To, true); return g.Apply() },
+	"join":  func(g *Cluster, s Step) error { clear(g.cut); return g.Apply() },
+	"loss":  func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Loss = s.Value }) },
+	"twice": func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Twice = s.Value }) },
+	"delay": func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.DelayMs = s.Value }) },
+	"late": func(g *Cluster, s Step) error {
 		return g.all(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
 	},
-	"rate": func(g *Ground, s Step) error { return g.Rule(s.Who, func(r *faultpoint.Rules) { r.Rate = s.Value }) },
-	"heal": func(g *Ground, s Step) error { return g.Heal() },
+	"rate": func(g *Cluster, s Step) error { return g.Rule(s.Who, func(r *faultpoint.Rules) { r.Rate = s.Value }) },
+	"heal": func(g *Cluster, s Step) error { return g.Heal() },
 }
 
-func (g *Ground) all(change func(*faultpoint.Rules)) error {
+func (g *Cluster) all(change func(*faultpoint.Rules)) error {
 	for i := range g.Relays {
 		if err := g.Rule(i, change); err != nil {
 			return err
@@ -51,7 +51,7 @@
 }
 
 // Play carries a schedule out.
-func (g *Ground) Play(all []Step) error {
+func (g *Cluster) Play(all []Step) error {
 	for _, s := range all {
 		time.Sleep(time.Duration(s.AfterMs * float64(time.Millisecond)))
 		do, ok := doings[s.Do]
--- a/internal/testing/cluster/soak_test.go
+++ b/internal/testing/cluster/soak_test.go
@@ -38,7 +38,7 @@
 
 // soak is one run: a fleet, its clients and the faults, drawn from a seed.
 type soak struct {
-	*Ground
+	*Cluster
 	pushed  bool // lists come from an agent of each relay's own
 	judge   *Judge
 	proxies []*Proxy
@@ -57,7 +57,7 @@
 		settings["discovery"] = "push"
 	}
 	g := lay(t, Plan{Relays: soakRelays, Alone: true, Settings: settings}, 0)
-	s := &soak{Ground: g, pushed: pushed, judge: NewJudge(soakWindow), serves: make([]atomic.Bool, soakRelays), busy: make([]atomic.Bool, soakRelays),
+	s := &soak{Cluster: g, pushed: pushed, judge: NewJudge(soakWindow), serves: make([]atomic.Bool, soakRelays), busy: make([]atomic.Bool, soakRelays),
 		away: make([]atomic.Bool, soakTargets)}
 	for i := range soakTargets {
 		target, err := NewTarget(fmt.Sprintf("s%d", i))
--- a/internal/wire/connlimit/gate_test.go
+++ b/internal/wire/connlimit/gate_test.go
@@ -13,7 +13,7 @@
 
 // visitor is what a pass is meant to be.
 type visitor struct {
-	pass   *Pass
+	pass   *Permit
 	conn   *conn
 	client bool // its descriptor is held
 	asked  bool // and may not be taken away
@@ -37,7 +37,7 @@
 	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 9, 1, 10, 4, 9, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		const room = 12
-		g := New(relay.NewSetClock(), room, zerolog.Nop())
+		g := New(relay.NewManualClock(), room, zerolog.Nop())
 		var all []*visitor
 		var idle []*visitor
 		held, placed, wanted := 0, 0, 0
@@ -72,7 +72,7 @@
 					want()
 				}
 				c := &conn{}
-				v := &visitor{pass: g.enter(c), conn: c, client: true}
+				v := &visitor{pass: g.admitConnection(c), conn: c, client: true}
 				all, idle = append(all, v), append(idle, v)
 				held++
 			} else if len(all) > 0 {
@@ -82,8 +82,8 @@
 					if v.asked || v.server || !v.client { // a connection asks once, and before it is closed
 						continue
 					}
-					may := placed+2 <= room-leastSpare
-					if got := v.pass.Ask(); got != may {
+					may := placed+2 <= room-minIdleReserve
+					if got := v.pass.AcquireRequest(); got != may {
 						t.Fatalf("ask: %v with %d placed of %+v", got, placed, v)
 					}
 					if may {
@@ -96,23 +96,23 @@
 						}
 					}
 				case 2:
-					v.pass.Ending()
+					v.pass.ReleaseRequest()
 					if v.asked {
 						v.asked = false
 						placed--
 						idle = append(idle, v)
 					}
 				case 3:
-					v.pass.Ending()
+					v.pass.ReleaseRequest()
 					if v.asked {
 						v.asked = false
 						placed--
 						idle = append(idle, v)
 					}
-					v.pass.Closed()
+					v.pass.ReleaseClient()
 					free(v)
 				case 4:
-					v.pass.leave()
+					v.pass.release()
 					free(v)
 					if v.server {
 						v.server = false
@@ -120,15 +120,15 @@
 					}
 				}
 			}
-			if g.held != held || g.placed != placed || g.idle.Len() != len(idle) || g.evicted != wanted {
-				t.Fatalf("held %d, placed %d, idle %d, making way %d; want %d, %d, %d, %d", g.held, g.placed, g.idle.Len(), g.evicted, held, placed,
+			if g.descriptorsHeld != held || g.requestDescriptors != placed || g.idlePermits.Len() != len(idle) || g.evicting != wanted {
+				t.Fatalf("held %d, placed %d, idle %d, making way %d; want %d, %d, %d, %d", g.descriptorsHeld, g.requestDescriptors, g.idlePermits.Len(), g.evicting, held, placed,
 					len(idle), wanted)
 			}
 			if held-wanted > room+1 {
 				t.Fatalf("%d held of %d, %d of them make way", held, room, wanted)
 			}
 			for i, v := range all {
-				if v.client != v.pass.client || v.wanted != v.pass.evicted || v.wanted && !v.pass.End.Hurried() || v.conn.closed {
+				if v.client != v.pass.clientCounted || v.wanted != v.pass.evicted || v.wanted && !v.pass.Half.ClosingNow() || v.conn.closed {
 					t.Fatalf("visitor %d: %+v, closed %v", i, v, v.conn.closed)
 				}
 			}
--- a/internal/wire/discovery/call.go
+++ b/internal/wire/discovery/call.go
@@ -17,116 +17,116 @@
 	"capersail/internal/relay"
 )
 
-// call makes one call and takes in every list that it brings.
-func (c *Client) call(ctx context.Context, address, path string, version *int64) error {
-	a := c.open(ctx, address, path)
+// streamLists makes one streamLists and takes in every list that it brings.
+func (c *Client) streamLists(ctx context.Context, address, path string, version *int64) error {
+	a := c.openHedged(ctx, address, path)
 	defer a.close()
 	if a.err != nil {
-		return a.failure()
+		return a.callError()
 	}
-	for text, err := a.first, a.then; ; text, err = a.lists.next() {
+	for text, err := a.first, a.firstErr; ; text, err = a.lists.next() {
 		ended := errors.Is(err, io.EOF)
 		if len(text) > 0 && (err == nil || ended) {
-			list, err := Parse(string(text), c.log)
+			list, err := ParseList(string(text), c.log)
 			if err != nil {
 				return err
 			}
-			if !a.begun && !list.Full && list.Version < *version {
-				return errOther
+			if !a.firstTaken && !list.Complete && list.Version < *version {
+				return errOlderVersion
 			}
-			if !c.doubt.believes(list, *version, c.listed(), address) {
-				return errDoubted
+			if !c.confirmation.accepts(list, *version, c.listedServers(), address) {
+				return errUnconfirmed
 			}
 			c.logList(a, list, *version)
 			*version = list.Version
-			c.generation.Store(list.Version)
+			c.listVersion.Store(list.Version)
 			kind := decide.Delta
-			if list.Full {
+			if list.Complete {
 				kind = decide.Whole
 			}
-			c.tell(kind, list.Entries)
+			c.deliver(kind, list.Endpoints)
 		}
 		if err == nil {
-			c.heard()
+			c.onContact()
 		}
 		switch {
 		case ended:
 			return nil
-		case fellSilent(err):
-			return errSilent
+		case deadlineExceeded(err):
+			return errWatchSilent
 		case err != nil:
 			return fmt.Errorf("read: %w", err)
 		}
-		a.begun = true
-		a.conn.SetDeadline(c.clock.Wall(c.clock.Now() + c.quiet))
+		a.firstTaken = true
+		a.conn.SetDeadline(c.clock.WallDeadline(c.clock.NowMillis() + c.silenceTimeout))
 	}
 }
 
-// failure is what a call without an answer ends with. Only a refused connection shows that discovery is down: an answer of 503 and a
+// callError is what a call without an answer ends with. Only a refused connection shows that discovery is down: an answer of 503 and a
 // reset may as well be those of one that serves others and has too many callers (protocol, Discovery).
-func (a *answer) failure() error {
+func (a *response) callError() error {
 	switch {
-	case slow(a.err) && !a.dialled:
-		return fmt.Errorf("%w: %w", errUnreached, a.err)
+	case timedOut(a.err) && !a.connected:
+		return fmt.Errorf("%w: %w", errUnreachable, a.err)
 	case errors.Is(a.err, syscall.ECONNREFUSED):
-		return fmt.Errorf("%w: %w", errRefused, a.err)
+		return fmt.Errorf("%w: %w", errConnectionRefused, a.err)
 	}
 	return a.err
 }
 
-// fellSilent tells whether this side's deadline ended a read. ETIMEDOUT is the kernel's word that the connection is broken.
-func fellSilent(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+// deadlineExceeded tells whether this side's deadline ended a read. ETIMEDOUT is the kernel's word that the connection is broken.
+func deadlineExceeded(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// slow tells whether time ran out.
-func slow(err error) bool {
+// timedOut tells whether time ran out.
+func timedOut(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// answer is what a call has brought: its first line, or an error.
-type answer struct {
-	no   int    // of the call, 0 or 1
-	id   uint64 // of the call, since the process started
-	took float64
+// response is what a call has brought: its first line, or an error.
+type response struct {
+	attempt int    // of the call, 0 or 1
+	callID  uint64 // of the call, since the process started
+	took    float64
 	// dialled: its connection came up.
-	dialled bool
-	conn    net.Conn
-	lists   objects
-	first   []byte
-	then    error // what came with the first line, as the end of a body does
-	begun   bool  // the first line has been taken in
-	err     error // no first line came
-	close   func()
+	connected  bool
+	conn       net.Conn
+	lists      objectReader
+	first      []byte
+	firstErr   error // what came with the first line, as the end of a body does
+	firstTaken bool  // the first line has been taken in
+	err        error // no first line came
+	close      func()
 }
 
-// open makes a call and waits for the first line of its answer. One that hangs says nothing of discovery, and to give it up would
+// openHedged makes a call and waits for the first line of its answer. One that hangs says nothing of discovery, and to give it up would
 // throw away the answer of one that is only slow: a second is made beside it, once, and the first answer counts. One that
 // fails at once is not made again here, as discovery may have too many callers.
-func (c *Client) open(ctx context.Context, address, path string) *answer {
-	answers := make(chan *answer, 2)
+func (c *Client) openHedged(ctx context.Context, address, path string) *response {
+	answers := make(chan *response, 2)
 	var stops []func()
 	ask := func() {
 		own, stop := context.WithCancel(ctx)
 		no := len(stops)
 		stops = append(stops, stop)
-		id, began := c.calls.Add(1), c.clock.Now()
+		id, began := c.callCount.Add(1), c.clock.NowMillis()
 		go func() {
-			a := c.begins(own, address, path)
-			a.no, a.id, a.took, a.close = no, id, c.clock.Now()-began, stop
+			a := c.openCall(own, address, path)
+			a.attempt, a.callID, a.took, a.close = no, id, c.clock.NowMillis()-began, stop
 			c.logCall(own, a, path)
 			answers <- a
 		}()
 	}
 	ask()
-	second := c.clock.After(c.second)
+	second := c.clock.After(c.hedgeDelay)
 	for out := 1; ; {
-		var a *answer
+		var a *response
 		select {
 		case <-second:
 		case a = <-answers:
 			out--
 		}
-		if len(stops) == 1 && (a == nil || slow(a.err)) {
+		if len(stops) == 1 && (a == nil || timedOut(a.err)) {
 			second = nil
 			ask()
 			out++
@@ -135,7 +135,7 @@
 			continue
 		}
 		for no, stop := range stops {
-			if no != a.no {
+			if no != a.attempt {
 				stop()
 			}
 		}
@@ -143,34 +143,34 @@
 	}
 }
 
-// begins makes one call, up to the first line of its answer. The connection is closed with the context.
-func (c *Client) begins(ctx context.Context, address, path string) *answer {
-	d := net.Dialer{Timeout: relay.Duration(dialWithin)}
+// openCall makes one call, up to the first line of its answer. The connection is closed with the context.
+func (c *Client) openCall(ctx context.Context, address, path string) *response {
+	d := net.Dialer{Timeout: relay.Duration(dialTimeout)}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return &answer{err: fmt.Errorf("dial: %w", err)}
+		return &response{err: fmt.Errorf("dial: %w", err)}
 	}
 	context.AfterFunc(ctx, func() { conn.Close() })
-	conn.SetDeadline(c.clock.Wall(c.clock.Now() + c.within))
+	conn.SetDeadline(c.clock.WallDeadline(c.clock.NowMillis() + c.responseTimeout))
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, address); err != nil {
-		return &answer{dialled: true, err: fmt.Errorf("ask: %w", err)}
+		return &response{connected: true, err: fmt.Errorf("ask: %w", err)}
 	}
-	body, err := head(bufio.NewReaderSize(conn, maxLine))
+	body, err := readHead(bufio.NewReaderSize(conn, maxHeadLine))
 	if err != nil {
-		return &answer{dialled: true, err: err}
+		return &response{connected: true, err: err}
 	}
-	a := &answer{dialled: true, conn: conn, lists: objects{bufio.NewReaderSize(body, 64<<10)}}
-	if a.first, a.then = a.lists.next(); a.then != nil && !errors.Is(a.then, io.EOF) {
-		a.err = fmt.Errorf("read: %w", a.then)
+	a := &response{connected: true, conn: conn, lists: objectReader{bufio.NewReaderSize(body, 64<<10)}}
+	if a.first, a.firstErr = a.lists.next(); a.firstErr != nil && !errors.Is(a.firstErr, io.EOF) {
+		a.err = fmt.Errorf("read: %w", a.firstErr)
 	}
 	return a
 }
 
-// maxLine is the most bytes of a line of a head.
-const maxLine = 4096
+// maxHeadLine is the most bytes of a line of a head.
+const maxHeadLine = 4096
 
-// head reads an answer's status and fields and returns its body.
-func head(r *bufio.Reader) (io.Reader, error) {
+// readHead reads an answer's status and fields and returns its body.
+func readHead(r *bufio.Reader) (io.Reader, error) {
 	next := func() (string, error) {
 		line, err := r.ReadSlice('\n')
 		return strings.TrimRight(string(line), "\r\n"), err
@@ -207,46 +207,46 @@
 		}
 	}
 	if chunked {
-		return &chunks{r: r}, nil
+		return &chunkedBody{r: r}, nil
 	}
 	return io.LimitReader(r, length), nil
 }
 
-// chunks reads a chunked body.
-type chunks struct {
-	r    *bufio.Reader
-	left int64 // of the present chunk
-	open bool  // its end has not been read
+// chunkedBody reads a chunked body.
+type chunkedBody struct {
+	r         *bufio.Reader
+	remaining int64 // of the present chunk
+	inChunk   bool  // its end has not been read
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
-	for c.left == 0 {
-		if c.open {
+func (c *chunkedBody) Read(p []byte) (int, error) {
+	for c.remaining == 0 {
+		if c.inChunk {
 			if _, err := c.r.ReadSlice('\n'); err != nil {
-				return 0, cut(err)
+				return 0, truncated(err)
 			}
-			c.open = false
+			c.inChunk = false
 		}
 		line, err := c.r.ReadSlice('\n')
 		if err != nil {
-			return 0, cut(err)
+			return 0, truncated(err)
 		}
 		size, _, _ := strings.Cut(strings.TrimSpace(string(line)), ";")
-		if c.left, err = strconv.ParseInt(strings.TrimSpace(size), 16, 64); err != nil || c.left < 0 {
+		if c.remaining, err = strconv.ParseInt(strings.TrimSpace(size), 16, 64); err != nil || c.remaining < 0 {
 			return 0, fmt.Errorf("chunk size %.40q", size)
 		}
-		if c.left == 0 {
+		if c.remaining == 0 {
 			return 0, io.EOF
 		}
-		c.open = true
+		c.inChunk = true
 	}
-	n, err := c.r.Read(p[:min(int64(len(p)), c.left)])
-	c.left -= int64(n)
-	return n, cut(err)
+	n, err := c.r.Read(p[:min(int64(len(p)), c.remaining)])
+	c.remaining -= int64(n)
+	return n, truncated(err)
 }
 
-// cut marks an end in the middle of a body, which is no clean one.
-func cut(err error) error {
+// truncated marks an end in the middle of a body, which is no clean one.
+func truncated(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -36,8 +36,8 @@
 		{"cut off", `{"instances":[`, 0, true},
 	}
 	for _, c := range cases {
-		list, err := Parse(c.in, zerolog.Nop())
-		if (err != nil) != c.fails || err == nil && len(list.Entries) != c.entries {
+		list, err := ParseList(c.in, zerolog.Nop())
+		if (err != nil) != c.fails || err == nil && len(list.Endpoints) != c.entries {
 			t.Errorf("%s: %+v, %v", c.name, list, err)
 		}
 	}
@@ -70,10 +70,10 @@
 		}
 		fmt.Fprint(conn, "0\r\n\r\n")
 	}()
-	x := relay.NewExchange(&relay.Site{}, relay.NewClock(), nil)
+	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	c := NewClient(l.Addr().String(), x, zerolog.Nop())
 	version := int64(4)
-	if err := c.call(context.Background(), l.Addr().String(), "/v1/endpoints?watch=1&after=4", &version); err != nil {
+	if err := c.streamLists(context.Background(), l.Addr().String(), "/v1/endpoints?watch=1&after=4", &version); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-asked; !strings.HasPrefix(got, "GET /v1/endpoints?watch=1&after=4 HTTP/1.1") {
@@ -121,11 +121,11 @@
 		}()
 		return l.Addr().String()
 	}
-	x := relay.NewExchange(&relay.Site{}, relay.NewClock(), nil)
+	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	var said strings.Builder
 	c := NewClient(service(70, false), x, zerolog.New(&said))
 	var failures atomic.Int32
-	c.tell = func(kind decide.ListKind, _ []relay.Listed) {
+	c.deliver = func(kind decide.ListKind, _ []relay.Endpoint) {
 		if kind == decide.Failed {
 			failures.Add(1)
 		}
@@ -139,9 +139,9 @@
 		if got := <-asked; got != path {
 			t.Errorf("asked for %q, want %q", got, path)
 		}
-		for until := time.Now().Add(10 * time.Second); version > 0 && c.Generation() != version; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); version > 0 && c.ListVersion() != version; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
-				t.Fatalf("generation %d, want %d", c.Generation(), version)
+				t.Fatalf("generation %d, want %d", c.ListVersion(), version)
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 	want("/v1/endpoints?watch=1&after=71", 0)
 	want("/v1/endpoints", 7)
 	want("/v1/endpoints?watch=1&after=7", 7)
-	c.Again() // out of turn: the watch may have gone silent
+	c.RestartWatch() // out of turn: the watch may have gone silent
 	want("/v1/endpoints?watch=1&after=7", 7)
 	c.SetAddress("127.0.0.1:1") // nobody is there: that is a failure, told once
 	for failures.Load() == 0 {
@@ -195,11 +195,11 @@
 			asked <- strings.Fields(first)[1]
 		}
 	}()
-	x := relay.NewExchange(&relay.Site{}, relay.NewClock(), nil)
+	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	c := NewClient(l.Addr().String(), x, zerolog.Nop())
-	c.quiet, c.second, c.within = 700, 100, 700
+	c.silenceTimeout, c.hedgeDelay, c.responseTimeout = 700, 100, 700
 	failed := make(chan int, 8)
-	c.tell = func(kind decide.ListKind, _ []relay.Listed) {
+	c.deliver = func(kind decide.ListKind, _ []relay.Endpoint) {
 		if kind == decide.Failed {
 			failed <- len(asked)
 		}
@@ -225,11 +225,11 @@
 	f.Add(`{"generation":3,"reset":true,"instances":[` + ready + `]}`)
 	f.Add(`{"instances":[{}]}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		list, err := Parse(text, zerolog.Nop())
+		list, err := ParseList(text, zerolog.Nop())
 		if err != nil {
 			return
 		}
-		for _, l := range list.Entries {
+		for _, l := range list.Endpoints {
 			if l.ID == "" || l.Mode != decide.GoneMode && l.Address == "" {
 				t.Errorf("an entry without a name or an address came through: %+v", l)
 			}
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -14,25 +14,25 @@
 	"capersail/internal/relay"
 )
 
-// List is what discovery knew at some time.
-type List struct {
-	Version int64
-	Full    bool
-	Entries []relay.Listed
+// EndpointList is what discovery knew at some time.
+type EndpointList struct {
+	Version   int64
+	Complete  bool
+	Endpoints []relay.Endpoint
 }
 
-// maxList is the most bytes of one list.
-const maxList = 8 << 20
+// maxListBytes is the most bytes of one list.
+const maxListBytes = 8 << 20
 
-// objects reads JSON objects that each end with their line, be it on one line or indented over several.
-type objects struct{ r *bufio.Reader }
+// objectReader reads JSON objectReader that each end with their line, be it on one line or indented over several.
+type objectReader struct{ r *bufio.Reader }
 
 // next returns the next object, or nothing for an empty line. With an error it returns what has come of one so far.
-func (o *objects) next() (text []byte, err error) {
+func (o *objectReader) next() (text []byte, err error) {
 	depth, quoted, escaped := 0, false, false
 	for {
 		part, err := o.r.ReadSlice('\n')
-		if text = append(text, part...); len(text) > maxList {
+		if text = append(text, part...); len(text) > maxListBytes {
 			return nil, errors.New("a list over the bound")
 		}
 		for _, b := range part {
@@ -56,28 +56,28 @@
 	}
 }
 
-// doubt holds back a whole list that takes back what is known: one without any server, or of an older version than the one
+// listConfirmation holds back a whole list that takes back what is known: one without any server, or of an older version than the one
 // held from the same address. It may be true, as a service may have begun anew, or a copy that lags behind may have
 // answered, or one that has not read its servers yet. So another call is made at once, and what two in a row say is taken.
-type doubt struct {
+type listConfirmation struct {
 	address string // that the list held came from
-	waits   bool   // one was held back, and no list has been taken since
+	pending bool   // one was held back, and no list has been taken since
 }
 
-// believes tells whether a list is to be taken in, as one of held servers and a version is held.
-func (d *doubt) believes(l *List, version int64, held int, address string) bool {
-	older := version != anew && l.Version < version && d.address == address
-	if l.Full && !d.waits && (older || len(l.Entries) == 0 && held > 0) {
-		d.waits = true
+// accepts tells whether a list is to be taken in, as one of held servers and a version is held.
+func (d *listConfirmation) accepts(l *EndpointList, version int64, held int, address string) bool {
+	older := version != unknownVersion && l.Version < version && d.address == address
+	if l.Complete && !d.pending && (older || len(l.Endpoints) == 0 && held > 0) {
+		d.pending = true
 		return false
 	}
-	d.address, d.waits = address, false
+	d.address, d.pending = address, false
 	return true
 }
 
-// Parse reads one list, as discovery sends it or as a relay's configuration holds it. An entry that makes
+// ParseList reads one list, as discovery sends it or as a relay's configuration holds it. An entry that makes
 // no sense is logged and skipped: one bad line must not hide the news about all other servers.
-func Parse(text string, log zerolog.Logger) (*List, error) {
+func ParseList(text string, log zerolog.Logger) (*EndpointList, error) {
 	v, err := fastjson.Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
@@ -87,21 +87,21 @@
 	if in := v.Get("instances"); v.Type() != fastjson.TypeObject || in != nil && in.Type() != fastjson.TypeArray {
 		return nil, fmt.Errorf("list: not an object with an array of instances")
 	}
-	list := &List{Version: v.GetInt64("generation"), Full: v.GetBool("reset")}
+	list := &EndpointList{Version: v.GetInt64("generation"), Complete: v.GetBool("reset")}
 	for _, e := range v.GetArray("instances") {
-		if l, err := entry(e); err != nil {
+		if l, err := parseEndpoint(e); err != nil {
 			log.Warn().Err(err).Str("entry", e.String()).Msg("bad entry in the list; skipped")
 		} else {
-			list.Entries = append(list.Entries, l)
+			list.Endpoints = append(list.Endpoints, l)
 		}
 	}
 	return list, nil
 }
 
-func entry(e *fastjson.Value) (relay.Listed, error) {
-	l := relay.Listed{ID: string(e.GetStringBytes("instanceId")), Address: string(e.GetStringBytes("hostPort")),
-		Zone: string(e.GetStringBytes("zone")), Cell: int32(e.GetInt("cell")), Started: e.GetFloat64("startedAtMs"),
-		Resumes: e.GetBool("resumes")}
+func parseEndpoint(e *fastjson.Value) (relay.Endpoint, error) {
+	l := relay.Endpoint{ID: string(e.GetStringBytes("instanceId")), Address: string(e.GetStringBytes("hostPort")),
+		Zone: string(e.GetStringBytes("zone")), Cell: int32(e.GetInt("cell")), StartedAt: e.GetFloat64("startedAtMs"),
+		SupportsResume: e.GetBool("resumes")}
 	if l.ID == "" {
 		return l, fmt.Errorf("instanceId is missing")
 	}
--- a/internal/wire/discovery/moments_test.go
+++ b/internal/wire/discovery/moments_test.go
@@ -118,35 +118,35 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			address, asked := script(t, c.answers...)
-			x := relay.NewExchange(&relay.Site{}, relay.NewClock(), nil)
-			x.Members(decide.Cached, []relay.Listed{{ID: "s-1", Address: "127.0.0.1:1", Mode: decide.Ready}})
+			x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
+			x.UpdateEndpoints(decide.Cached, []relay.Endpoint{{ID: "s-1", Address: "127.0.0.1:1", Mode: decide.Ready}})
 			client := NewClient(address, x, zerolog.Nop())
-			client.quiet, client.second, client.within = 400, 200, 5000
+			client.silenceTimeout, client.hedgeDelay, client.responseTimeout = 400, 200, 5000
 			failures, empty := 0, false
 			var mu sync.Mutex
-			client.tell = func(kind decide.ListKind, list []relay.Listed) {
+			client.deliver = func(kind decide.ListKind, list []relay.Endpoint) {
 				mu.Lock()
 				defer mu.Unlock()
-				if x.Members(kind, list); kind == decide.Failed {
+				if x.UpdateEndpoints(kind, list); kind == decide.Failed {
 					failures++
 					client.Watch() // as the module would, after its back-off
 				}
-				empty = empty || x.Cluster().Listed == 0
+				empty = empty || x.EndpointCounts().Listed == 0
 			}
 			go client.Run(t.Context(), 41)
 			client.Watch()
 			if strings.HasPrefix(name, "of an old version") { // from the address that gave a newer one: in its own call
-				for client.Generation() != 45 {
+				for client.ListVersion() != 45 {
 					time.Sleep(time.Millisecond)
 				}
-				client.Again()
+				client.RestartWatch()
 			}
-			for until := time.Now().Add(20 * time.Second); client.Generation() != 50; time.Sleep(time.Millisecond) {
-				if g := client.Generation(); g == 7 {
+			for until := time.Now().Add(20 * time.Second); client.ListVersion() != 50; time.Sleep(time.Millisecond) {
+				if g := client.ListVersion(); g == 7 {
 					t.Fatal("an old list was taken at its word")
 				}
 				if time.Now().After(until) {
-					t.Fatalf("generation %d after 20 s, %d calls", client.Generation(), len(asked))
+					t.Fatalf("generation %d after 20 s, %d calls", client.ListVersion(), len(asked))
 				}
 			}
 			mu.Lock()
@@ -164,19 +164,19 @@
 // What takes back what is known is taken in once a second call says the same.
 func TestDoubtedTwiceIsBelieved(t *testing.T) {
 	address, asked := script(t, whole(42, "s-1"), whole(43), whole(43))
-	x := relay.NewExchange(&relay.Site{}, relay.NewClock(), nil)
+	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
 	go client.Run(t.Context(), 41)
 	client.Watch()
-	for client.Generation() != 42 {
+	for client.ListVersion() != 42 {
 		time.Sleep(time.Millisecond)
 	}
-	client.Again()
-	for client.Generation() != 43 {
+	client.RestartWatch()
+	for client.ListVersion() != 43 {
 		time.Sleep(time.Millisecond)
 	}
-	if n := len(asked); n != 3 || x.Cluster().Listed != 0 {
-		t.Errorf("%d calls, %d servers listed", n, x.Cluster().Listed)
+	if n := len(asked); n != 3 || x.EndpointCounts().Listed != 0 {
+		t.Errorf("%d calls, %d servers listed", n, x.EndpointCounts().Listed)
 	}
 }
 
@@ -185,11 +185,11 @@
 // that others call too. Without Pushed nothing was ever asked for, and the list of the start stood for the day.
 func TestPushed(t *testing.T) {
 	address, asked := script(t, "RESET", whole(42, "s-1")+"RESET", "RESET", "RESET", whole(43, "s-9"))
-	x := relay.NewExchange(&relay.Site{}, relay.NewClock(), nil)
+	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
 	client.Pushed = true
-	client.tell = func(kind decide.ListKind, list []relay.Listed) {
-		if x.Members(kind, list); kind == decide.Failed {
+	client.deliver = func(kind decide.ListKind, list []relay.Endpoint) {
+		if x.UpdateEndpoints(kind, list); kind == decide.Failed {
 			t.Error("the module was told of a failure")
 		}
 	}
@@ -201,7 +201,7 @@
 			t.Fatal("not asked in 10 s")
 		}
 	}
-	for client.Generation() != 43 {
+	for client.ListVersion() != 43 {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -212,7 +212,7 @@
 	for err, want := range map[error]bool{os.ErrDeadlineExceeded: true, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ECONNRESET: false,
 		io.EOF: false} {
 		read := &net.OpError{Op: "read", Net: "tcp", Err: err}
-		if got := fellSilent(read); got != want {
+		if got := deadlineExceeded(read); got != want {
 			t.Errorf("%v: %v", err, got)
 		}
 	}
--- a/internal/wire/gossip/cellfigures.go
+++ b/internal/wire/gossip/cellfigures.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// cellFigures are what is shown of cells; nothing in a flat fleet without a plan. At a relay that doesn't speak for its cell those of
+// cellMetrics are what is shown of cells; nothing in a flat fleet without a plan. At a relay that doesn't speak for its cell those of
 // other cells are the speaker's, some seconds old.
 //
 //	relay_cells{region,state}          gauge    other cells: heard, or unheard for three rounds
@@ -17,37 +17,37 @@
 //	relay_cells_directory_seconds      gauge    since the speaker's directory came, -1 for never
 //	relay_cells_bytes_total{way}       counter  bytes of summaries and directories, out and in
 //	relay_cells_dropped_total{reason}  counter  summaries and directories dropped
-type cellFigures struct {
-	cells, relays, plan, filePlan, entered, opened, speaker, mismatched, farShare, directory, bytes, dropped *prometheus.Desc
+type cellMetrics struct {
+	cells, relays, plan, filePlan, joined, activated, representative, mismatched, farShare, directory, bytes, dropped *prometheus.Desc
 }
 
-func newCellFigures() cellFigures {
+func newCellMetrics() cellMetrics {
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("relay_cells"+name, help, labels, nil)
 	}
-	return cellFigures{
-		cells:      d("", "Other cells, by region and whether they are heard.", "region", "state"),
-		relays:     d("_relays", "Relays in other cells.", "region"),
-		plan:       d("_plan", "Number of the plan that the cell goes by."),
-		filePlan:   d("_file_plan", "Number of the file's plan."),
-		entered:    d("_entered", "Newest plan that nobody in the cell acts by an earlier one of."),
-		opened:     d("_opened", "Newest plan that every cell is known to have entered."),
-		speaker:    d("_speaker", "1 where this relay speaks for its cell."),
-		mismatched: d("_mismatched", "Other cells that have another table under the plan's number."),
-		farShare:   d("_far_share", "This relay's share of a budget outside its region."),
-		directory:  d("_directory_seconds", "Since the speaker's directory came, -1 for never."),
-		bytes:      d("_bytes_total", "Bytes of summaries and directories.", "way"),
-		dropped:    d("_dropped_total", "Summaries and directories dropped, by reason.", "reason"),
+	return cellMetrics{
+		cells:          d("", "Other cells, by region and whether they are heard.", "region", "state"),
+		relays:         d("_relays", "Relays in other cells.", "region"),
+		plan:           d("_plan", "Number of the plan that the cell goes by."),
+		filePlan:       d("_file_plan", "Number of the file's plan."),
+		joined:         d("_entered", "Newest plan that nobody in the cell acts by an earlier one of."),
+		activated:      d("_opened", "Newest plan that every cell is known to have entered."),
+		representative: d("_speaker", "1 where this relay speaks for its cell."),
+		mismatched:     d("_mismatched", "Other cells that have another table under the plan's number."),
+		farShare:       d("_far_share", "This relay's share of a budget outside its region."),
+		directory:      d("_directory_seconds", "Since the speaker's directory came, -1 for never."),
+		bytes:          d("_bytes_total", "Bytes of summaries and directories.", "way"),
+		dropped:        d("_dropped_total", "Summaries and directories dropped, by reason.", "reason"),
 	}
 }
 
-func (f cellFigures) describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{f.cells, f.relays, f.plan, f.filePlan, f.entered, f.opened, f.speaker, f.mismatched, f.farShare, f.directory, f.bytes, f.dropped} {
+func (f cellMetrics) describe(ch chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{f.cells, f.relays, f.plan, f.filePlan, f.joined, f.activated, f.representative, f.mismatched, f.farShare, f.directory, f.bytes, f.dropped} {
 		ch <- d
 	}
 }
 
-func (f cellFigures) collect(ch chan<- prometheus.Metric, n *Node) {
+func (f cellMetrics) collect(ch chan<- prometheus.Metric, n *Node) {
 	r, ok := n.Cells()
 	if !ok {
 		return
@@ -74,13 +74,13 @@
 	}
 	gauge(f.plan, float64(r.Plan))
 	gauge(f.filePlan, float64(r.FilePlan))
-	gauge(f.entered, float64(r.Entered))
-	gauge(f.opened, float64(r.Opened))
+	gauge(f.joined, float64(r.Entered))
+	gauge(f.activated, float64(r.Opened))
 	speaks := 0.0
 	if r.Speaker == n.cfg.Name {
 		speaks = 1
 	}
-	gauge(f.speaker, speaks)
+	gauge(f.representative, speaks)
 	gauge(f.mismatched, mismatched)
 	gauge(f.farShare, n.Estimate().FarShare)
 	age := -1.0
--- a/internal/wire/gossip/cellreport.go
+++ b/internal/wire/gossip/cellreport.go
@@ -7,13 +7,13 @@
 	"capersail/internal/fleet/cells"
 )
 
-// sayOfCells tells people of a change among cells, with its cause.
-func (n *Node) sayOfCells(l *cellLink, c cells.Changed) {
+// logCellChange tells people of a change among cells, with its cause.
+func (n *Node) logCellChange(l *cellLink, c cells.Changed) {
 	cause := ""
 	switch {
 	case c.Kind == cells.SpeakerChanged && c.Cell == l.cell:
-		cause = n.speakerCause(l, c.Speaker)
-		l.speaker = c.Speaker
+		cause = n.representativeCause(l, c.Speaker)
+		l.representative = c.Speaker
 	case c.Kind == cells.SpeakerChanged:
 		cause = "its summary"
 	case c.Kind == cells.CellLost:
@@ -39,9 +39,9 @@
 	event.Str("cause", cause).Msg("cells")
 }
 
-// speakerCause is why another relay speaks for this cell.
-func (n *Node) speakerCause(l *cellLink, speaker string) string {
-	before := l.speaker
+// representativeCause is why another relay speaks for this cell.
+func (n *Node) representativeCause(l *cellLink, speaker string) string {
+	before := l.representative
 	if before == "" {
 		return "it is the first voter that is alive"
 	}
@@ -51,7 +51,7 @@
 	if gone, ok := l.departed[before]; ok {
 		return before + " has " + gone.state
 	}
-	if !slices.ContainsFunc(l.local.Voters, func(v cells.Voter) bool { return v.Name == before }) {
+	if !slices.ContainsFunc(l.lastReport.Voters, func(v cells.Voter) bool { return v.Name == before }) {
 		return before + " votes no more"
 	}
 	return speaker + " comes before " + before + " among the voters"
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	cellGossip = 200 * time.Millisecond // memberlist's rounds of gossip within a cell
-	// cellPushPull is the time between two exchanges of whole states within a cell. Each fills a second with more than 8 KB at both sides,
+	cellGossipInterval = 200 * time.Millisecond // memberlist's rounds of gossip within a cell
+	// cellPushPullInterval is the time between two exchanges of whole states within a cell. Each fills a second with more than 8 KB at both sides,
 	// and a relay begins and answers one in this time on average: in fewer than one second of a hundred.
-	cellPushPull = 5 * time.Minute
-	cellEvery    = 1000.0   // ms between two tellings of the cell's figures
-	departedFor  = 20_000.0 // ms for which relays that went are named to other cells
-	cellRoom     = 512      // summaries and directories that wait
+	cellPushPullInterval = 5 * time.Minute
+	cellReportInterval   = 1000.0   // ms between two tellings of the cell's figures
+	departureRetention   = 20_000.0 // ms for which relays that went are named to other cells
+	cellInboxSize        = 512      // summaries and directories that wait
 )
 
 // cellLink is a Node's part in what cells know of each other. There is none in a flat fleet without a plan: its methods do nothing on
 // nil. All but the inbox and the counts are used by Run only, or under the Node's lock.
 type cellLink struct {
-	cell        string // by the plan, also where the wire has none
-	coordinator *cells.Coordinator
-	inbox       chan cells.Event
-	local       cells.LocalCell // as told last
-	dueAt       float64         // when it is to be told again
-	known       bool            // figures of other cells have come
-	departed    map[string]departure
-	speaker     string // of this cell
+	cell           string // by the plan, also where the wire has none
+	coordinator    *cells.Coordinator
+	inbox          chan cells.Event
+	lastReport     cells.LocalCell // as told last
+	nextReportAt   float64         // when it is to be told again
+	othersKnown    bool            // figures of other cells have come
+	departed       map[string]departure
+	representative string // of this cell
 
 	// seen are the newest directories by speaker, under the lock of the Node's peers.
-	seen map[string]directoryMark
+	newestDirectories map[string]directoryMark
 
 	bytesOut, bytesIn atomic.Uint64 // of summaries and directories, before memberlist's own framing
 }
@@ -52,7 +52,7 @@
 // directoryMark orders the directories of a speaker.
 type directoryMark struct{ incarnation, seq uint64 }
 
-func (m directoryMark) less(o directoryMark) bool {
+func (m directoryMark) before(o directoryMark) bool {
 	return m.incarnation < o.incarnation || m.incarnation == o.incarnation && m.seq < o.seq
 }
 
@@ -78,60 +78,60 @@
 func (n *Node) SetPlan(cell string, plan cellplan.Plan) {
 	for {
 		select {
-		case n.plans <- planUpdate{cell, plan}:
+		case n.planUpdates <- planUpdate{cell, plan}:
 			return
 		default:
 		}
 		select {
-		case <-n.plans:
+		case <-n.planUpdates:
 		default:
 		}
 	}
 }
 
-// takePlan takes in a plan that a reload has brought.
-func (n *Node) takePlan(u planUpdate) {
+// applyPlan takes in a plan that a reload has brought.
+func (n *Node) applyPlan(u planUpdate) {
 	n.handle(membership.PlanChanged{Plan: &u.plan, Cell: u.cell})
 	if n.cells.Load() == nil {
-		n.link(u.cell, u.plan)
+		n.startCells(u.cell, u.plan)
 		return
 	}
-	n.handleCells(cells.PlanChanged{Plan: u.plan})
+	n.handleCellEvent(cells.PlanChanged{Plan: u.plan})
 }
 
-// link begins to take part in what cells know of each other.
-func (n *Node) link(cell string, plan cellplan.Plan) {
+// startCells begins to take part in what cells know of each other.
+func (n *Node) startCells(cell string, plan cellplan.Plan) {
 	n.mu.Lock()
 	c := cells.Config{Name: n.cfg.Name, Cell: cell, Incarnation: n.membership.Incarnation(), Plan: plan, Seed: n.cfg.Seed}
-	l := &cellLink{cell: cell, coordinator: cells.New(n.cellTime(n.now()), c), inbox: make(chan cells.Event, cellRoom), departed: map[string]departure{},
-		seen: map[string]directoryMark{}, dueAt: math.Inf(-1)}
+	l := &cellLink{cell: cell, coordinator: cells.New(n.cellTime(n.now()), c), inbox: make(chan cells.Event, cellInboxSize), departed: map[string]departure{},
+		newestDirectories: map[string]directoryMark{}, nextReportAt: math.Inf(-1)}
 	n.mu.Unlock()
 	n.cells.Store(l)
 }
 
-// received is the inbox, nil where there are no cells.
-func (l *cellLink) received() <-chan cells.Event {
+// events is the inbox, nil where there are no cells.
+func (l *cellLink) events() <-chan cells.Event {
 	if l == nil {
 		return nil
 	}
 	return l.inbox
 }
 
-// nextOfCells is when tickCells is due.
-func (n *Node) nextOfCells() float64 {
+// nextCellTick is when tickCells is due.
+func (n *Node) nextCellTick() float64 {
 	l := n.cells.Load()
 	if l == nil {
 		return math.Inf(1)
 	}
-	return min(l.dueAt, n.nodeTime(l.coordinator.Next()))
+	return min(l.nextReportAt, n.nodeTime(l.coordinator.Next()))
 }
 
-// changed notes a change in the membership, which is told without waiting for the next round of figures.
-func (l *cellLink) changed(c membership.Changed, now float64) {
+// noteMembershipChange notes a change in the membership, which is told without waiting for the next round of figures.
+func (l *cellLink) noteMembershipChange(c membership.Changed, now float64) {
 	if l == nil {
 		return
 	}
-	l.dueAt = now
+	l.nextReportAt = now
 	if c.What != membership.ChangePeer {
 		return
 	}
@@ -145,29 +145,29 @@
 // tickCells tells the Coordinator of this cell where that is due, and lets time pass for it.
 func (n *Node) tickCells() {
 	l, now := n.cells.Load(), n.now()
-	if l == nil || now < n.nextOfCells() {
+	if l == nil || now < n.nextCellTick() {
 		return
 	}
-	if now < l.dueAt {
-		n.handleCells(cells.Tick{})
+	if now < l.nextReportAt {
+		n.handleCellEvent(cells.Tick{})
 		return
 	}
-	l.dueAt = now + cellEvery
+	l.nextReportAt = now + cellReportInterval
 	if local, ok := n.localCell(l, now); ok {
-		l.local = local
-		n.handleCells(local)
-		n.tellMembership(l)
+		l.lastReport = local
+		n.handleCellEvent(local)
+		n.updateOtherCells(l)
 	}
 }
 
-// tellMembership hands on what is known of the other cells.
-func (n *Node) tellMembership(l *cellLink) {
+// updateOtherCells hands on what is known of the other cells.
+func (n *Node) updateOtherCells(l *cellLink) {
 	n.mu.Lock()
 	others := l.coordinator.Others(n.cellTime(n.now()))
 	opened := l.coordinator.Opened()
 	allocation := n.membership.View().Allocation
 	n.mu.Unlock()
-	n.handle(membership.OtherCells{Relays: others.Relays, Rate: others.Rate, Held: others.Held, Sent: others.Sent, Known: l.known})
+	n.handle(membership.OtherCells{Relays: others.Relays, Rate: others.Rate, Held: others.Held, Sent: others.Sent, Known: l.othersKnown})
 	if allocation != nil && !allocation.Open && opened >= allocation.Plan {
 		n.handle(membership.PlanOpened{Plan: allocation.Plan, Hash: allocation.PlanHash})
 	}
@@ -205,7 +205,7 @@
 		local.Voters = append(local.Voters, cells.Voter{Name: name, Address: n.address(name), Alive: name == n.cfg.Name || alive(peers[name].Health)})
 	}
 	for name, d := range l.departed {
-		if now-d.at > departedFor {
+		if now-d.at > departureRetention {
 			delete(l.departed, name)
 			continue
 		}
@@ -234,12 +234,12 @@
 	return ""
 }
 
-// handleCells lets the Coordinator act, then carries out what it wants.
-func (n *Node) handleCells(ev cells.Event) {
-	defer n.history()
+// handleCellEvent lets the Coordinator act, then carries out what it wants.
+func (n *Node) handleCellEvent(ev cells.Event) {
+	defer n.recordHistory()
 	l := n.cells.Load()
 	if _, ok := ev.(cells.DirectoryReceived); ok {
-		l.known = true
+		l.othersKnown = true
 	}
 	n.mu.Lock()
 	acts := l.coordinator.Handle(n.cellTime(n.now()), ev, nil)
@@ -251,11 +251,11 @@
 		case cells.ForwardSummary:
 			n.sendTo(a.To, kindSummary, a.Summary)
 		case cells.PublishDirectory:
-			l.known = true
+			l.othersKnown = true
 			n.publishDirectory(l, a.Directory)
 		case cells.Changed:
-			n.sayOfCells(l, a)
-			l.dueAt = n.now() // the membership is told of the other cells, and of a plan that is open
+			n.logCellChange(l, a)
+			l.nextReportAt = n.now() // the membership is told of the other cells, and of a plan that is open
 		}
 	}
 }
@@ -266,20 +266,20 @@
 	if list == nil {
 		return
 	}
-	text, err := seal(n.cfg.Name, a.Summary.Incarnation, n.seq.Add(1), kindSummary, a.Summary)
+	text, err := encodeEnvelope(n.cfg.Name, a.Summary.Incarnation, n.seq.Add(1), kindSummary, a.Summary)
 	if err != nil {
 		n.log.Error().Err(err).Msg("members: a summary cannot be written")
 		return
 	}
 	l.bytesOut.Add(uint64(len(text)))
 	if err := list.SendToAddress(memberlist.Address{Addr: a.Address}, text); err != nil {
-		n.drops.count(unsent, err.Error())
+		n.dropped.count(dropUnsent, err.Error())
 	}
 }
 
 // publishDirectory tells this cell of all others.
 func (n *Node) publishDirectory(l *cellLink, d cells.Directory) {
-	text, err := n.sealOwn(d.Incarnation, n.seq.Add(1), kindDirectory, d)
+	text, err := n.encodeForCell(d.Incarnation, n.seq.Add(1), kindDirectory, d)
 	if err != nil {
 		n.log.Error().Err(err).Msg("members: the directory cannot be written")
 		return
@@ -300,64 +300,64 @@
 func (b *directoryBroadcast) Message() []byte { return b.text }
 func (b *directoryBroadcast) Finished()       {}
 
-// takeOfCells takes in a summary or a directory. forward says that a directory is to be passed on.
-func (n *Node) takeOfCells(e envelope, text []byte, forward bool) {
+// receiveFromCell takes in a summary or a directory. forward says that a directory is to be passed on.
+func (n *Node) receiveFromCell(e envelope, text []byte, forward bool) {
 	l := n.cells.Load()
 	if l == nil {
-		n.drops.count(unknown, "of cells, and there is no plan here")
+		n.dropped.count(dropUnknown, "of cells, and there is no plan here")
 		return
 	}
 	l.bytesIn.Add(uint64(len(text)))
 	if e.Kind == kindDirectory {
 		var d cells.Directory
 		if err := cbor.Unmarshal(e.Body, &d); err != nil || d.Check() != nil || d.Speaker != e.From || d.Incarnation != e.Incarnation {
-			n.drops.count(malformed, "a directory that makes no sense")
+			n.dropped.count(dropMalformed, "a directory that makes no sense")
 			return
 		}
-		if !n.newDirectory(l, d) {
+		if !n.noteDirectory(l, d) {
 			return // gossip brings each several times
 		}
 		if forward {
 			n.queue.QueueBroadcast(&directoryBroadcast{text})
 		}
-		n.postCells(l, cells.DirectoryReceived{From: e.From, Directory: d})
+		n.enqueueCellEvent(l, cells.DirectoryReceived{From: e.From, Directory: d})
 		return
 	}
 	var s cells.Summary
 	if err := cbor.Unmarshal(e.Body, &s); err != nil || s.Check() != nil || !s.Forwarded && (s.Speaker != e.From || s.Incarnation != e.Incarnation) {
-		n.drops.count(malformed, "a summary that makes no sense")
+		n.dropped.count(dropMalformed, "a summary that makes no sense")
 		return
 	}
 	sender := e
 	if !s.Forwarded { // a relay that has changed its cell counts anew
 		sender.From = s.Cell + "\x00" + e.From
 	}
-	if !n.fresh(sender) {
-		n.drops.count(replayed, e.From)
+	if !n.isFirstDelivery(sender) {
+		n.dropped.count(dropReplayed, e.From)
 		return
 	}
-	n.postCells(l, cells.SummaryReceived{From: e.From, Summary: s})
+	n.enqueueCellEvent(l, cells.SummaryReceived{From: e.From, Summary: s})
 }
 
-// newDirectory notes a directory, and tells whether it is newer than all of its speaker's.
-func (n *Node) newDirectory(l *cellLink, d cells.Directory) bool {
+// noteDirectory notes a directory, and tells whether it is newer than all of its speaker's.
+func (n *Node) noteDirectory(l *cellLink, d cells.Directory) bool {
 	n.peers.Lock()
 	defer n.peers.Unlock()
 	mark := directoryMark{d.Incarnation, d.Seq}
-	old, known := l.seen[d.Speaker]
-	if known && !old.less(mark) || !known && len(l.seen) >= maxPeers {
+	old, known := l.newestDirectories[d.Speaker]
+	if known && !old.before(mark) || !known && len(l.newestDirectories) >= maxPeers {
 		return false
 	}
-	l.seen[d.Speaker] = mark
+	l.newestDirectories[d.Speaker] = mark
 	return true
 }
 
-// postCells queues an event. When there is no room it is dropped: all that is said is said again.
-func (n *Node) postCells(l *cellLink, ev cells.Event) {
+// enqueueCellEvent queues an event. When there is no room it is dropped: all that is said is said again.
+func (n *Node) enqueueCellEvent(l *cellLink, ev cells.Event) {
 	select {
 	case l.inbox <- ev:
 	default:
-		n.drops.count(overrun, "")
+		n.dropped.count(dropOverflow, "")
 	}
 }
 
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(n.disk.close)
+	t.Cleanup(n.record.close)
 	return n
 }
 
@@ -56,7 +56,7 @@
 	for i := range 6 {
 		c := Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: []string{address(0), address(3), address(4)}, State: filepath.Join(dir, fmt.Sprint(i)),
 			InitialPlace: i % 3, Founders: 3, Relays: 6, Seed: uint64(i), Clock: relay.NewClock(), Transport: network.Transport, Log: zerolog.Nop(),
-			Self: func() Self { return Self{Lifecycle: membership.Serving, List: 1} }, Cell: twoCells().Cells[i/3].Name, Plan: twoCells(), Pace: membership.CellPace}
+			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: twoCells().Cells[i/3].Name, Plan: twoCells(), Pace: membership.CellPace}
 		node, err := New(c)
 		if err != nil {
 			t.Fatal(err)
@@ -96,16 +96,16 @@
 // envelopes and metadata are what they were before there were cells.
 func TestEnvelopesOfCells(t *testing.T) {
 	flat, east, west := lonelyIn(t, "", nil), lonelyIn(t, "east-1", twoCells()), lonelyIn(t, "west-1", twoCells())
-	east.link("east-1", *twoCells())
-	sealed := func(n *Node, k kind, body any) []byte {
-		text, err := n.sealOwn(4, 7, k, body)
+	east.startCells("east-1", *twoCells())
+	sealed := func(n *Node, k envelopeKind, body any) []byte {
+		text, err := n.encodeForCell(4, 7, k, body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return bytes.Replace(text, []byte("me"), []byte("he"), 1)
 	}
 	status := good7()
-	plain, err := seal("he", 4, 7, kindStatus, status)
+	plain, err := encodeEnvelope("he", 4, 7, kindStatus, status)
 	if err != nil || !bytes.Equal(plain, sealed(flat, kindStatus, status)) {
 		t.Errorf("a flat fleet's envelope is %x, not %x; %v", sealed(flat, kindStatus, status), plain, err)
 	}
@@ -113,13 +113,13 @@
 		t.Errorf("metadata: %q, %q", flat.delegateMeta(), east.delegateMeta())
 	}
 	summary := cells.Summary{Cell: "west-1", Region: "west", Speaker: "he", Incarnation: 4, Seq: 1, Members: 3, Serving: 3}
-	fromWest, err := seal("he", 4, 8, kindSummary, summary)
+	fromWest, err := encodeEnvelope("he", 4, 8, kindSummary, summary)
 	if err != nil {
 		t.Fatal(err)
 	}
 	astray := summary
 	astray.Speaker = "she" // not the sender
-	wrong, err := seal("he", 4, 9, kindSummary, astray)
+	wrong, err := encodeEnvelope("he", 4, 9, kindSummary, astray)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,31 +127,31 @@
 		what string
 		to   *Node
 		text []byte
-		why  reason // reasons for taken
+		why  dropReason // reasons for taken
 	}{
-		{"its own cell's status", east, sealed(east, kindStatus, status), reasons},
-		{"another cell's status", east, sealed(west, kindStatus, status), foreign},
-		{"a flat fleet's status", east, sealed(flat, kindStatus, status), foreign},
-		{"a cell's status in a flat fleet", flat, sealed(west, kindStatus, status), foreign},
-		{"a summary", east, fromWest, reasons},
-		{"the same again", east, fromWest, replayed},
-		{"a summary of somebody else", east, wrong, malformed},
-		{"a summary without a plan", flat, fromWest, unknown},
-		{"no body of a cell", east, mustSeal(t, "he", kindOfCell, "nonsense"), malformed},
-		{"a cell's directory from outside", east, mustSeal(t, "he", kindDirectory, cells.Directory{Cell: "east-1", Speaker: "he", Incarnation: 4, Seq: 1}), foreign},
+		{"its own cell's status", east, sealed(east, kindStatus, status), dropReasonCount},
+		{"another cell's status", east, sealed(west, kindStatus, status), dropForeign},
+		{"a flat fleet's status", east, sealed(flat, kindStatus, status), dropForeign},
+		{"a cell's status in a flat fleet", flat, sealed(west, kindStatus, status), dropForeign},
+		{"a summary", east, fromWest, dropReasonCount},
+		{"the same again", east, fromWest, dropReplayed},
+		{"a summary of somebody else", east, wrong, dropMalformed},
+		{"a summary without a plan", flat, fromWest, dropUnknown},
+		{"no body of a cell", east, mustSeal(t, "he", kindOfCell, "nonsense"), dropMalformed},
+		{"a cell's directory from outside", east, mustSeal(t, "he", kindDirectory, cells.Directory{Cell: "east-1", Speaker: "he", Incarnation: 4, Seq: 1}), dropForeign},
 	} {
-		before, count := one.to.drops.total[one.why%reasons].Load(), uint64(0)
-		for i := range one.to.drops.total {
-			count += one.to.drops.total[i].Load()
+		before, count := one.to.dropped.total[one.why%dropReasonCount].Load(), uint64(0)
+		for i := range one.to.dropped.total {
+			count += one.to.dropped.total[i].Load()
 		}
-		one.to.take(one.text, false)
+		one.to.receive(one.text, false)
 		after := uint64(0)
-		for i := range one.to.drops.total {
-			after += one.to.drops.total[i].Load()
+		for i := range one.to.dropped.total {
+			after += one.to.dropped.total[i].Load()
 		}
 		taken := after == count
-		if taken != (one.why == reasons) || !taken && one.to.drops.total[one.why].Load() != before+1 {
-			t.Errorf("%s: taken %v, %d of %s", one.what, taken, one.to.drops.total[one.why%reasons].Load(), append(reasonNames[:], "")[one.why])
+		if taken != (one.why == dropReasonCount) || !taken && one.to.dropped.total[one.why].Load() != before+1 {
+			t.Errorf("%s: taken %v, %d of %s", one.what, taken, one.to.dropped.total[one.why%dropReasonCount].Load(), append(dropReasonNames[:], "")[one.why])
 		}
 	}
 	select {
@@ -166,9 +166,9 @@
 
 func (n *Node) delegateMeta() []byte { return (*delegate)(n).NodeMeta(memberlist.MetaMaxSize) }
 
-func mustSeal(t *testing.T, from string, k kind, body any) []byte {
+func mustSeal(t *testing.T, from string, k envelopeKind, body any) []byte {
 	t.Helper()
-	text, err := seal(from, 4, 99, k, body)
+	text, err := encodeEnvelope(from, 4, 99, k, body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,7 +201,7 @@
 	dir := t.TempDir()
 	for _, kept := range []string{"", "east-1"} {
 		path := filepath.Join(dir, "state"+kept)
-		d, _, err := openDisk(path, "s", kept, "me")
+		d, _, err := openRecordFile(path, "s", kept, "me")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -218,7 +218,7 @@
 			t.Errorf("cell %q: %d fields, %v", kept, len(fields), err)
 		}
 		for _, asked := range []string{"", "east-1", "west-1"} {
-			d, rec, err := openDisk(path, "s", asked, "me")
+			d, rec, err := openRecordFile(path, "s", asked, "me")
 			d.close()
 			if (err == nil) != (asked == kept) || err == nil && rec.Incarnation != 3 {
 				t.Errorf("of %q, asked as %q: %+v, %v", kept, asked, rec, err)
--- a/internal/wire/gossip/cellwire.go
+++ b/internal/wire/gossip/cellwire.go
@@ -10,10 +10,10 @@
 
 // The kinds of envelopes of a fleet in cells. A program that knows no cells counts them as unknown and goes on.
 const (
-	kindSummary   kind = 5 // of another cell, from its speaker; also as a relay of this cell has forwarded it
-	kindDirectory kind = 6 // what a cell's speaker tells its own cell of all cells
+	kindSummary   envelopeKind = 5 // of another cell, from its speaker; also as a relay of this cell has forwarded it
+	kindDirectory envelopeKind = 6 // what a cell's speaker tells its own cell of all cells
 	// kindOfCell holds an envelope's kind and body for relays of one cell only.
-	kindOfCell kind = 64
+	kindOfCell envelopeKind = 64
 )
 
 // cellKey tells the envelopes of one cell from those of others; 0 is a flat fleet's. The cells' relays are kept apart by their
@@ -33,20 +33,20 @@
 type cellBody struct {
 	_    struct{} `cbor:",toarray"`
 	Cell cellKey
-	Kind kind
+	Kind envelopeKind
 	Body cbor.RawMessage
 }
 
-// sealOwn seals what is for relays of this cell; in a flat fleet it is what seal makes.
-func (n *Node) sealOwn(incarnation, seq uint64, k kind, body any) ([]byte, error) {
+// encodeForCell seals what is for relays of this cell; in a flat fleet it is what seal makes.
+func (n *Node) encodeForCell(incarnation, seq uint64, k envelopeKind, body any) ([]byte, error) {
 	if n.key == 0 {
-		return seal(n.cfg.Name, incarnation, seq, k, body)
+		return encodeEnvelope(n.cfg.Name, incarnation, seq, k, body)
 	}
 	text, err := cbor.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	return seal(n.cfg.Name, incarnation, seq, kindOfCell, cellBody{Cell: n.key, Kind: k, Body: text})
+	return encodeEnvelope(n.cfg.Name, incarnation, seq, kindOfCell, cellBody{Cell: n.key, Kind: k, Body: text})
 }
 
 var (
@@ -54,8 +54,8 @@
 	errCellBody  = errors.New("an envelope of a cell that makes no sense")
 )
 
-// unwrap gives an envelope the kind and body that it holds. It fails for one that is for another cell's relays.
-func (n *Node) unwrap(e envelope) (envelope, error) {
+// unwrapCell gives an envelope the kind and body that it holds. It fails for one that is for another cell's relays.
+func (n *Node) unwrapCell(e envelope) (envelope, error) {
 	if e.Kind != kindOfCell {
 		if n.key != 0 && e.Kind != kindSummary {
 			return e, errOtherCell
@@ -73,12 +73,12 @@
 	return e, nil
 }
 
-// unwrapReason is what an envelope that unwrap refuses is counted as.
-func unwrapReason(err error) reason {
+// unwrapDropReason is what an envelope that unwrap refuses is counted as.
+func unwrapDropReason(err error) dropReason {
 	if errors.Is(err, errOtherCell) {
-		return foreign
+		return dropForeign
 	}
-	return malformed
+	return dropMalformed
 }
 
 // sameCell tells whether a relay is of this relay's cell, by what it says of itself.
@@ -89,7 +89,7 @@
 func (d *delegate) NotifyMerge(peers []*memberlist.Node) error {
 	for _, m := range peers {
 		if !(*Node)(d).sameCell(m) {
-			d.drops.count(foreign, m.Name+": "+errOtherCell.Error())
+			d.dropped.count(dropForeign, m.Name+": "+errOtherCell.Error())
 			return errOtherCell
 		}
 	}
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -74,7 +74,7 @@
 			if err := os.WriteFile(path, kept, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			d, got, err := openDisk(path, "casa", c.cell, "r1")
+			d, got, err := openRecordFile(path, "casa", c.cell, "r1")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -158,7 +158,7 @@
 	}
 	ballot := membership.Ballot{Round: 9, Name: "r1"}
 	for name, c := range map[string]struct {
-		kind   kind
+		kind   envelopeKind
 		want   any
 		body   any // what is encoded, where that is not the value
 		decode func(t *testing.T, body []byte) any
@@ -192,7 +192,7 @@
 			if inner == kindOfCell {
 				n.key, inner = keyOfCell("east"), kindStatus
 			}
-			sent, err := n.sealOwn(4, 9, inner, c.body)
+			sent, err := n.encodeForCell(4, 9, inner, c.body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -203,12 +203,12 @@
 			if !bytes.Equal(sent, text) {
 				t.Errorf("sent as %x, was %x", sent, text)
 			}
-			e, err := open(text)
+			e, err := decodeEnvelope(text)
 			if err != nil || e.Kind != c.kind || e.From != "r1" || e.Incarnation != 4 || e.Seq != 9 {
 				t.Fatalf("opened as %+v: %v", e, err)
 			}
 			if c.kind == kindOfCell {
-				if e, err = n.unwrap(e); err != nil || e.Kind != kindStatus {
+				if e, err = n.unwrapCell(e); err != nil || e.Kind != kindStatus {
 					t.Fatalf("unwrapped as %+v: %v", e, err)
 				}
 			}
--- a/internal/wire/gossip/delegate.go
+++ b/internal/wire/gossip/delegate.go
@@ -25,7 +25,7 @@
 }
 
 // NotifyMsg is memberlist's: a message, or a status that is passed on.
-func (d *delegate) NotifyMsg(b []byte) { (*Node)(d).take(slices.Clone(b), true) }
+func (d *delegate) NotifyMsg(b []byte) { (*Node)(d).receive(slices.Clone(b), true) }
 
 // GetBroadcasts is memberlist's.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
@@ -51,15 +51,15 @@
 func (d *delegate) MergeRemoteState(b []byte, _ bool) {
 	var all [][]byte
 	if err := cbor.Unmarshal(b, &all); err != nil || len(all) > maxPeers {
-		d.drops.count(malformed, "a state that makes no sense")
+		d.dropped.count(dropMalformed, "a state that makes no sense")
 		return
 	}
 	for _, text := range all {
-		(*Node)(d).take(text, false)
+		(*Node)(d).receive(text, false)
 	}
 }
 
-func (d *delegate) note(m *memberlist.Node, w membership.Health) {
+func (d *delegate) notePeer(m *memberlist.Node, w membership.Health) {
 	c := *m
 	d.peers.Lock()
 	if d.peers.nodes[m.Name] != nil || len(d.peers.nodes) < maxPeers {
@@ -74,32 +74,32 @@
 		delete(d.peers.there, m.Name)
 	}
 	d.peers.Unlock()
-	(*Node)(d).post(membership.PeerHealth{Name: m.Name, Health: w})
+	(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: w})
 }
 
 // NotifyJoin is memberlist's.
-func (d *delegate) NotifyJoin(m *memberlist.Node) { d.note(m, membership.Alive) }
+func (d *delegate) NotifyJoin(m *memberlist.Node) { d.notePeer(m, membership.Alive) }
 
 // NotifyUpdate is memberlist's.
-func (d *delegate) NotifyUpdate(m *memberlist.Node) { d.note(m, membership.Alive) }
+func (d *delegate) NotifyUpdate(m *memberlist.Node) { d.notePeer(m, membership.Alive) }
 
 // NotifyLeave is memberlist's, for one that failed and for one that said so.
 func (d *delegate) NotifyLeave(m *memberlist.Node) {
 	if m.State == memberlist.StateLeft {
-		d.note(m, membership.Left)
+		d.notePeer(m, membership.Left)
 	} else {
-		d.note(m, membership.Failed)
+		d.notePeer(m, membership.Failed)
 	}
 }
 
 // NotifyAlive is memberlist's: a name that nobody could have is no peer, and neither is a relay of another cell.
 func (d *delegate) NotifyAlive(m *memberlist.Node) error {
-	if !GoodName(m.Name) {
-		d.drops.count(malformed, "a name that makes no sense")
+	if !ValidName(m.Name) {
+		d.dropped.count(dropMalformed, "a name that makes no sense")
 		return errors.New("bad name")
 	}
 	if !(*Node)(d).sameCell(m) {
-		d.drops.count(foreign, m.Name+": "+errOtherCell.Error())
+		d.dropped.count(dropForeign, m.Name+": "+errOtherCell.Error())
 		return errOtherCell
 	}
 	return nil
@@ -107,5 +107,5 @@
 
 // NotifyConflict is memberlist's: two relays of one name.
 func (d *delegate) NotifyConflict(old, other *memberlist.Node) {
-	d.drops.count(conflict, fmt.Sprintf("%s at %s and %s", old.Name, old.Address(), other.Address()))
+	d.dropped.count(dropConflict, fmt.Sprintf("%s at %s and %s", old.Name, old.Address(), other.Address()))
 }
--- a/internal/wire/gossip/disk.go
+++ b/internal/wire/gossip/disk.go
@@ -15,16 +15,16 @@
 	"capersail/internal/fleet/membership"
 )
 
-// disk keeps a membership.Node's record in one file, written anew each time: to a second file, synced, then renamed. A lock
+// recordFile keeps a membership.Node's record in one file, written anew each time: to a second file, synced, then renamed. A lock
 // on a file beside it keeps a second process of the relay from promising things too.
-type disk struct {
+type recordFile struct {
 	path, site, cell, name string
 	lock                   *os.File
 	inUse                  bool // another process of the relay has it
 }
 
-// kept is the file: the record with whose it is, and a sum over it.
-type kept struct {
+// storedRecord is the file: the record with whose it is, and a sum over it.
+type storedRecord struct {
 	Version int             `cbor:"1,keyasint"`
 	Site    string          `cbor:"2,keyasint"`
 	Name    string          `cbor:"3,keyasint"`
@@ -34,39 +34,41 @@
 }
 
 const (
-	diskVersion = 1
-	mostKept    = 1 << 20
+	recordVersion  = 1
+	maxRecordBytes = 1 << 20
 )
 
-// errInUse says that another process of the relay runs: in an upgrade, until it has left.
-var errInUse = errors.New("another process of this relay has it")
+// errRecordInUse says that another process of the relay runs: in an upgrade, until it has left.
+var errRecordInUse = errors.New("another process of this relay has it")
 
-// errUnread says that there is a record, of which nothing can be known: what the relay has promised, perhaps.
-var errUnread = errors.New("it cannot be used")
+// errRecordUnusable says that there is a record, of which nothing can be known: what the relay has promised, perhaps.
+var errRecordUnusable = errors.New("it cannot be used")
 
-// openDisk reads the record; a file that is not there is that of a relay's first start. With an error the disk is
+// openRecordFile reads the record; a file that is not there is that of a relay's first start. With an error the disk is
 // one on which nothing can be kept.
-func openDisk(path, site, cell, name string) (*disk, membership.Record, error) {
+func openRecordFile(path, site, cell, name string) (*recordFile, membership.Record, error) {
 	var rec membership.Record
-	fail := func(err error) (*disk, membership.Record, error) { return &disk{}, rec, fmt.Errorf("state: %w", err) }
+	fail := func(err error) (*recordFile, membership.Record, error) {
+		return &recordFile{}, rec, fmt.Errorf("state: %w", err)
+	}
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fail(err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return fail(fmt.Errorf("%s: %w", path, errInUse))
+		return fail(fmt.Errorf("%s: %w", path, errRecordInUse))
 	}
-	d := &disk{path: path, site: site, cell: cell, name: name, lock: lock}
+	d := &recordFile{path: path, site: site, cell: cell, name: name, lock: lock}
 	rec, err = d.load()
 	if err != nil {
 		lock.Close()
-		return fail(fmt.Errorf("%w: %w", errUnread, err))
+		return fail(fmt.Errorf("%w: %w", errRecordUnusable, err))
 	}
 	return d, rec, nil
 }
 
-func (d *disk) load() (rec membership.Record, err error) {
+func (d *recordFile) load() (rec membership.Record, err error) {
 	f, err := os.Open(d.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return rec, nil
@@ -75,17 +77,17 @@
 		return rec, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostKept))
+	text, err := io.ReadAll(io.LimitReader(f, maxRecordBytes))
 	if err != nil {
 		return rec, err
 	}
-	var k kept
+	var k storedRecord
 	if err := cbor.Unmarshal(text, &k); err != nil {
 		return rec, fmt.Errorf("%s: not a record, or a torn one", d.path)
 	}
 	switch {
-	case k.Version != diskVersion:
-		return rec, fmt.Errorf("%s: version %d; this program writes %d", d.path, k.Version, diskVersion)
+	case k.Version != recordVersion:
+		return rec, fmt.Errorf("%s: version %d; this program writes %d", d.path, k.Version, recordVersion)
 	case k.Site != d.site || k.Name != d.name:
 		return rec, fmt.Errorf("%s: of %s at %s, not of %s at %s", d.path, k.Name, k.Site, d.name, d.site)
 	case k.Cell != d.cell:
@@ -107,7 +109,7 @@
 }
 
 // save keeps a record before it returns.
-func (d *disk) save(rec membership.Record) error {
+func (d *recordFile) save(rec membership.Record) error {
 	if d.lock == nil {
 		return errors.New("state: nothing can be kept")
 	}
@@ -115,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := cbor.Marshal(kept{Version: diskVersion, Site: d.site, Cell: d.cell, Name: d.name, Sum: crc32.ChecksumIEEE(body), Record: body})
+	text, err := cbor.Marshal(storedRecord{Version: recordVersion, Site: d.site, Cell: d.cell, Name: d.name, Sum: crc32.ChecksumIEEE(body), Record: body})
 	if err != nil {
 		return err
 	}
@@ -125,7 +127,7 @@
 	return nil
 }
 
-func (d *disk) write(text []byte) (err error) {
+func (d *recordFile) write(text []byte) (err error) {
 	f, err := os.OpenFile(d.path+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -147,7 +149,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func (d *disk) close() {
+func (d *recordFile) close() {
 	if d.lock != nil {
 		d.lock.Close()
 	}
--- a/internal/wire/gossip/drops.go
+++ b/internal/wire/gossip/drops.go
@@ -11,60 +11,60 @@
 	"github.com/rs/zerolog"
 )
 
-// reason is why something that came was dropped.
-type reason uint8
+// dropReason is why something that came was dropped.
+type dropReason uint8
 
 const (
-	malformed reason = iota // nothing that a relay sends
-	unsealed                // not sealed with a key of this fleet
-	foreign                 // of another site
-	replayed                // it had come before
-	unknown                 // of a later version
-	overrun                 // more than could be taken in
-	conflict                // a second relay of one name
-	unsent                  // one of this relay's own that could not be sent
-	otherwise
-	reasons
+	dropMalformed dropReason = iota // nothing that a relay sends
+	dropUnsealed                    // not sealed with a key of this fleet
+	dropForeign                     // of another site
+	dropReplayed                    // it had come before
+	dropUnknown                     // of a later version
+	dropOverflow                    // more than could be taken in
+	dropConflict                    // a second relay of one name
+	dropUnsent                      // one of this relay's own that could not be sent
+	dropOther
+	dropReasonCount
 )
 
-var reasonNames = [reasons]string{"malformed", "unsealed", "foreign", "replayed", "unknown", "overrun", "conflict", "unsent", "other"}
+var dropReasonNames = [dropReasonCount]string{"malformed", "unsealed", "foreign", "replayed", "unknown", "overrun", "conflict", "unsent", "other"}
 
-// sayEvery bounds the log: one line a reason in such a time.
-const sayEvery = time.Minute
+// dropLogInterval bounds the log: one line a reason in such a time.
+const dropLogInterval = time.Minute
 
-// drops counts what was dropped, by reason.
-type drops struct {
+// dropCounters counts what was dropped, by reason.
+type dropCounters struct {
 	log   zerolog.Logger
-	total [reasons]atomic.Uint64
+	total [dropReasonCount]atomic.Uint64
 
-	mu   sync.Mutex
-	said [reasons]time.Time
+	mu       sync.Mutex
+	loggedAt [dropReasonCount]time.Time
 }
 
-func newDrops(log zerolog.Logger) *drops { return &drops{log: log} }
+func newDropCounters(log zerolog.Logger) *dropCounters { return &dropCounters{log: log} }
 
-func (d *drops) count(r reason, what string) {
+func (d *dropCounters) count(r dropReason, what string) {
 	n := d.total[r].Add(1)
 	d.mu.Lock()
 	now := time.Now()
-	say := now.Sub(d.said[r]) >= sayEvery
+	say := now.Sub(d.loggedAt[r]) >= dropLogInterval
 	if say {
-		d.said[r] = now
+		d.loggedAt[r] = now
 	}
 	d.mu.Unlock()
 	if say {
 		if len(what) > 200 {
 			what = what[:200]
 		}
-		d.log.Warn().Str("reason", reasonNames[r]).Uint64("so_far", n).Str("what", what).Msg("members: dropped")
+		d.log.Warn().Str("reason", dropReasonNames[r]).Uint64("so_far", n).Str("what", what).Msg("members: dropped")
 	}
 }
 
 // logger is memberlist's log: what it says of packets that it drops is counted, the rest is for debugging.
-func (d *drops) logger() *log.Logger { return log.New(d, "", 0) }
+func (d *dropCounters) logger() *log.Logger { return log.New(d, "", 0) }
 
 // Write takes one line of memberlist's.
-func (d *drops) Write(line []byte) (int, error) {
+func (d *dropCounters) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	has := func(parts ...string) bool {
 		for _, p := range parts {
@@ -76,14 +76,14 @@
 	}
 	switch {
 	case has("unacceptable label", "label header"):
-		d.count(foreign, text)
+		d.count(dropForeign, text)
 	case has("ecrypt"):
-		d.count(unsealed, text)
+		d.count(dropUnsealed, text)
 	case has("invalid checksum", "ecode", "not supported", "missing message type", "truncated", "decompress", "invalid msgType", "unexpected node", "ailed to receive",
 		"remote state"):
-		d.count(malformed, text)
+		d.count(dropMalformed, text)
 	case has("queue full", "Too many pending"):
-		d.count(overrun, text)
+		d.count(dropOverflow, text)
 	default:
 		d.log.Debug().Str("memberlist", text).Msg("members")
 	}
@@ -95,17 +95,17 @@
 	packetsOut, bytesOut, packetsIn, bytesIn atomic.Uint64
 }
 
-// counted is memberlist's transport with its traffic counted.
-type counted struct {
+// countingTransport is memberlist's transport with its traffic countingTransport.
+type countingTransport struct {
 	memberlist.NodeAwareTransport
 	traffic *traffic
 	in      chan *memberlist.Packet
 	stop    chan struct{}
 }
 
-// count begins to count a transport's traffic; its Shutdown ends that.
-func count(t memberlist.NodeAwareTransport, into *traffic) *counted {
-	c := &counted{NodeAwareTransport: t, traffic: into, in: make(chan *memberlist.Packet, 64), stop: make(chan struct{})}
+// countTraffic begins to countTraffic a transport's traffic; its Shutdown ends that.
+func countTraffic(t memberlist.NodeAwareTransport, into *traffic) *countingTransport {
+	c := &countingTransport{NodeAwareTransport: t, traffic: into, in: make(chan *memberlist.Packet, 64), stop: make(chan struct{})}
 	go func() {
 		for {
 			select {
@@ -126,22 +126,22 @@
 }
 
 // WriteTo is memberlist's.
-func (c *counted) WriteTo(b []byte, to string) (time.Time, error) {
+func (c *countingTransport) WriteTo(b []byte, to string) (time.Time, error) {
 	return c.WriteToAddress(b, memberlist.Address{Addr: to})
 }
 
 // WriteToAddress is memberlist's.
-func (c *counted) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+func (c *countingTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	c.traffic.packetsOut.Add(1)
 	c.traffic.bytesOut.Add(uint64(len(b)))
 	return c.NodeAwareTransport.WriteToAddress(b, to)
 }
 
 // PacketCh is memberlist's.
-func (c *counted) PacketCh() <-chan *memberlist.Packet { return c.in }
+func (c *countingTransport) PacketCh() <-chan *memberlist.Packet { return c.in }
 
 // Shutdown is memberlist's.
-func (c *counted) Shutdown() error {
+func (c *countingTransport) Shutdown() error {
 	close(c.stop)
 	return c.NodeAwareTransport.Shutdown()
 }
--- a/internal/wire/gossip/envelope.go
+++ b/internal/wire/gossip/envelope.go
@@ -10,14 +10,14 @@
 	"capersail/internal/fleet/membership"
 )
 
-// kind says what an envelope holds.
-type kind uint8
+// envelopeKind says what an envelope holds.
+type envelopeKind uint8
 
 const (
-	kindStatus     kind = 1
-	kindMessage    kind = 2
-	kindReadings   kind = 3 // readings of servers; an older version counts it as unknown
-	kindPlacements kind = 4 // what relays have sent to servers; the same
+	kindStatus     envelopeKind = 1
+	kindMessage    envelopeKind = 2
+	kindReadings   envelopeKind = 3 // readings of servers; an older version counts it as unknown
+	kindPlacements envelopeKind = 4 // what relays have sent to servers; the same
 )
 
 // envelope is what goes over the wire. A status's Seq is the status's own, so that whoever passes it on changes
@@ -28,16 +28,16 @@
 	From        string
 	Incarnation uint64
 	Seq         uint64
-	Kind        kind
+	Kind        envelopeKind
 	Body        cbor.RawMessage
 }
 
 const (
 	envelopeVersion = 1
-	longestName     = 128
+	maxNameBytes    = 128
 )
 
-func seal(from string, incarnation, seq uint64, k kind, body any) ([]byte, error) {
+func encodeEnvelope(from string, incarnation, seq uint64, k envelopeKind, body any) ([]byte, error) {
 	text, err := cbor.Marshal(body)
 	if err != nil {
 		return nil, err
@@ -45,29 +45,29 @@
 	return cbor.Marshal(envelope{Version: envelopeVersion, From: from, Incarnation: incarnation, Seq: seq, Kind: k, Body: text})
 }
 
-// open reads an envelope. A later version may hold more, after these fields; what it changes has to be another kind.
-func open(text []byte) (e envelope, err error) {
-	if len(text) > maxBody {
+// decodeEnvelope reads an envelope. A later version may hold more, after these fields; what it changes has to be another kind.
+func decodeEnvelope(text []byte) (e envelope, err error) {
+	if len(text) > maxEnvelopeBytes {
 		return e, errors.New("oversized")
 	}
 	if err := cbor.Unmarshal(text, &e); err != nil {
 		return e, errors.New("no envelope")
 	}
-	if e.Version < 1 || !GoodName(e.From) || e.Incarnation == 0 {
+	if e.Version < 1 || !ValidName(e.From) || e.Incarnation == 0 {
 		return e, errors.New("an envelope that makes no sense")
 	}
 	return e, nil
 }
 
-// GoodName tells whether a relay may have the name.
-func GoodName(s string) bool {
-	return s != "" && len(s) <= longestName && !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd })
+// ValidName tells whether a relay may have the name.
+func ValidName(s string) bool {
+	return s != "" && len(s) <= maxNameBytes && !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd })
 }
 
 // validStatus tells whether a status could be true.
 func validStatus(d membership.Status) bool {
 	return d.Version >= 1 && d.Rate >= 0 && !math.IsNaN(d.Rate) && d.Rate < 1e9 && d.Held >= 0 && d.Sent >= 0 && d.Sent < 1e9 && d.Founders >= 1 && d.Founders <= 1<<20 &&
-		d.InitialPlace < d.Founders && len(d.Zone) <= longestName
+		d.InitialPlace < d.Founders && len(d.Zone) <= maxNameBytes
 }
 
 // validMessage tells whether a message could have been sent by a membership.Node.
--- a/internal/wire/gossip/figures.go
+++ b/internal/wire/gossip/figures.go
@@ -12,18 +12,18 @@
 	r := n.membership.Report(n.now())
 	n.mu.Unlock()
 	r.Site, r.Dropped = n.cfg.Site, map[string]uint64{}
-	for i := range n.drops.total {
-		if c := n.drops.total[i].Load(); c > 0 {
-			r.Dropped[reasonNames[i]] = c
+	for i := range n.dropped.total {
+		if c := n.dropped.total[i].Load(); c > 0 {
+			r.Dropped[dropReasonNames[i]] = c
 		}
 	}
 	return r
 }
 
 // Traffic is what has gone out and come in, in bytes of packets.
-func (n *Node) Traffic() (out, in uint64) { return n.net.bytesOut.Load(), n.net.bytesIn.Load() }
+func (n *Node) Traffic() (out, in uint64) { return n.traffic.bytesOut.Load(), n.traffic.bytesIn.Load() }
 
-// figures is the collector of what this relay knows of the others. Each is read when it is asked for.
+// fleetCollector is the collector of what this relay knows of the others. Each is read when it is asked for.
 //
 //	relay_members{state}                 gauge    relays by state, this one as "here"
 //	relay_members_in_view                gauge    members of the view
@@ -33,18 +33,18 @@
 //	relay_members_share                  gauge    of a budget of the fleet, 0 to 1
 //	relay_members_dropped_total{reason}  counter  packets and messages dropped
 //	relay_members_bytes_total{way}       counter  bytes of packets, out and in
-type figures struct {
-	n                                                            *Node
+type fleetCollector struct {
+	node                                                         *Node
 	members, inView, epoch, phase, agreed, share, dropped, bytes *prometheus.Desc
-	cells                                                        cellFigures
+	cells                                                        cellMetrics
 }
 
-// Figures returns the collector.
-func (n *Node) Figures() prometheus.Collector {
+// Collector returns the collector.
+func (n *Node) Collector() prometheus.Collector {
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("relay_members"+name, help, labels, nil)
 	}
-	return &figures{n: n,
+	return &fleetCollector{node: n,
 		members: d("", "Relays known, by state.", "state"),
 		inView:  d("_in_view", "Members of the view."),
 		epoch:   d("_epoch", "Epoch of the view."),
@@ -53,12 +53,12 @@
 		share:   d("_share", "This relay's share of a budget of the fleet."),
 		dropped: d("_dropped_total", "Packets and messages dropped, by reason.", "reason"),
 		bytes:   d("_bytes_total", "Bytes of packets between relays.", "way"),
-		cells:   newCellFigures(),
+		cells:   newCellMetrics(),
 	}
 }
 
 // Describe is the collector's.
-func (f *figures) Describe(ch chan<- *prometheus.Desc) {
+func (f *fleetCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{f.members, f.inView, f.epoch, f.phase, f.agreed, f.share, f.dropped, f.bytes} {
 		ch <- d
 	}
@@ -66,8 +66,8 @@
 }
 
 // Collect is the collector's.
-func (f *figures) Collect(ch chan<- prometheus.Metric) {
-	r := f.n.Report()
+func (f *fleetCollector) Collect(ch chan<- prometheus.Metric) {
+	r := f.node.Report()
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
@@ -96,11 +96,11 @@
 	}
 	gauge(f.agreed, agreed)
 	gauge(f.share, r.Share)
-	for i := range f.n.drops.total {
-		ch <- prometheus.MustNewConstMetric(f.dropped, prometheus.CounterValue, float64(f.n.drops.total[i].Load()), reasonNames[i])
+	for i := range f.node.dropped.total {
+		ch <- prometheus.MustNewConstMetric(f.dropped, prometheus.CounterValue, float64(f.node.dropped.total[i].Load()), dropReasonNames[i])
 	}
-	out, back := f.n.Traffic()
+	out, back := f.node.Traffic()
 	ch <- prometheus.MustNewConstMetric(f.bytes, prometheus.CounterValue, float64(out), "out")
 	ch <- prometheus.MustNewConstMetric(f.bytes, prometheus.CounterValue, float64(back), "in")
-	f.cells.collect(ch, f.n)
+	f.cells.collect(ch, f.node)
 }
--- a/internal/wire/gossip/gossip.go
+++ b/internal/wire/gossip/gossip.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	bindEvery    = 5 * time.Second // a taken port is tried again
-	stateEvery   = 200 * time.Millisecond
-	rejoinEvery  = 700 * time.Millisecond
-	seedsEvery   = 5 // so many rejoins, the last of which goes to a seed
-	inboxRoom    = 4096
-	reliableRoom = 32   // messages over packet size under way at once
-	packetRoom   = 1100 // bytes of a message that goes as one packet; more goes over TCP
-	maxPeers     = 4096 // names known at once
-	maxBody      = 1 << 18
-	leaveWithin  = 400 * time.Millisecond
-	// elsewhereEvery is the time between two joins to an address where another cell's relay has answered, unless the relay that was
+	bindRetryInterval = 5 * time.Second // a taken port is tried again
+	lockRetryInterval = 200 * time.Millisecond
+	rejoinInterval    = 700 * time.Millisecond
+	seedJoinPeriod    = 5 // so many rejoins, the last of which goes to a seed
+	inboxSize         = 4096
+	maxReliableSends  = 32   // messages over packet size under way at once
+	maxPacketBytes    = 1100 // bytes of a message that goes as one packet; more goes over TCP
+	maxPeers          = 4096 // names known at once
+	maxEnvelopeBytes  = 1 << 18
+	leaveTimeout      = 400 * time.Millisecond
+	// otherCellRetryInterval is the time between two joins to an address where another cell's relay has answered, unless the relay that was
 	// there is heard of in this cell again.
-	elsewhereEvery = time.Minute
+	otherCellRetryInterval = time.Minute
 )
 
-// Self is what this relay does now, as whoever starts the Node knows it. It must not block.
-type Self struct {
-	Lifecycle membership.Lifecycle
-	Arrivals  uint64 // since the process started
-	Held      int
-	List      int64
+// LocalActivity is what this relay does now, as whoever starts the Node knows it. It must not block.
+type LocalActivity struct {
+	Lifecycle    membership.Lifecycle
+	Arrivals     uint64 // since the process started
+	OpenRequests int
+	ListVersion  int64
 }
 
 // Config is what a Node is told.
@@ -62,12 +62,12 @@
 	Founders, Relays int
 	Seed             uint64
 	Clock            *relay.Clock
-	Self             func() Self
-	Refresh          func()                   // asks for the list of servers out of turn
-	Notice           func(membership.Changed) // is told of each change; nil for nobody
+	LocalActivity    func() LocalActivity
+	RefreshEndpoints func()                   // asks for the list of servers out of turn
+	OnChange         func(membership.Changed) // is told of each change; nil for nobody
 	// Received is told of what a peer passes on of servers, a probing.ReadingsReceived or PlacementsReceived; nil for
 	// nobody. It must not block.
-	Received func(ev probing.Event)
+	OnProbingEvent func(ev probing.Event)
 	// Transport makes what carries packets and streams from and to a host and port; nil for UDP and TCP sockets.
 	Transport func(host string, port int, log *log.Logger) (memberlist.NodeAwareTransport, error)
 	// Cell is this relay's cell and Plan divides the fleet's budgets among all of them; "" and nil for a flat fleet.
@@ -81,25 +81,25 @@
 
 // Node is one relay among the others.
 type Node struct {
-	cfg     Config
-	log     zerolog.Logger
-	disk    *disk
-	ring    *memberlist.Keyring
-	queue   *memberlist.TransmitLimitedQueue
-	inbox   chan membership.Event
-	drops   *drops
-	net     *traffic
-	batches chan readingsBatch // readings on their way out
-	plans   chan planUpdate    // plans that a reload has brought
-	big     chan struct{}      // a token for each message over TCP under way
+	cfg           Config
+	log           zerolog.Logger
+	record        *recordFile
+	keyring       *memberlist.Keyring
+	queue         *memberlist.TransmitLimitedQueue
+	inbox         chan membership.Event
+	dropped       *dropCounters
+	traffic       *traffic
+	batches       chan outgoingBatch // readings on their way out
+	planUpdates   chan planUpdate    // plans that a reload has brought
+	reliableSends chan struct{}      // a token for each message over TCP under way
 
 	mu         sync.Mutex // held for each step of the membership.Node, and by Hold while decisions are made
 	membership *membership.Node
 
-	cell  string  // as the wire and the disk have it: "" in a flat fleet, also one that a plan gives a part
-	key   cellKey // of cell
-	cells atomic.Pointer[cellLink]
-	zone  func(name string) (decide.Zone, bool) // the module's number of a zone
+	cell       string  // as the wire and the disk have it: "" in a flat fleet, also one that a plan gives a part
+	key        cellKey // of cell
+	cells      atomic.Pointer[cellLink]
+	zoneNumber func(name string) (decide.Zone, bool) // the module's number of a zone
 
 	list    atomic.Pointer[memberlist.Memberlist]
 	seq     atomic.Uint64
@@ -123,44 +123,44 @@
 // not to serve: the relay then promises nothing, and goes on by the settings' number.
 func New(c Config) (*Node, error) {
 	if c.Transport == nil {
-		c.Transport = overSockets
+		c.Transport = socketTransport
 	}
-	n := &Node{cfg: c, log: c.Log, inbox: make(chan membership.Event, inboxRoom), batches: make(chan readingsBatch, batchRoom), plans: make(chan planUpdate, 1), drops: newDrops(c.Log), net: &traffic{},
-		big: make(chan struct{}, reliableRoom), stopped: make(chan struct{})}
+	n := &Node{cfg: c, log: c.Log, inbox: make(chan membership.Event, inboxSize), batches: make(chan outgoingBatch, batchQueueSize), planUpdates: make(chan planUpdate, 1), dropped: newDropCounters(c.Log), traffic: &traffic{},
+		reliableSends: make(chan struct{}, maxReliableSends), stopped: make(chan struct{})}
 	n.peers.nodes, n.peers.there = map[string]*memberlist.Node{}, map[string]bool{}
 	n.peers.digests, n.peers.replays = map[string][]byte{}, map[string]*probing.Window{}
 	n.peers.elsewhere = map[string]time.Time{}
 	n.cell = c.wireCell()
 	n.key = keyOfCell(n.cell)
-	n.zone = n.cfg.zoneNumber
-	n.queue = &memberlist.TransmitLimitedQueue{NumNodes: n.count, RetransmitMult: 3}
+	n.zoneNumber = n.cfg.zoneNumber
+	n.queue = &memberlist.TransmitLimitedQueue{NumNodes: n.relayCount, RetransmitMult: 3}
 	if len(c.Keys) > 0 {
 		ring, err := memberlist.NewKeyring(c.Keys, c.Keys[0])
 		if err != nil {
 			return nil, fmt.Errorf("keys: %w", err)
 		}
-		n.ring = ring
+		n.keyring = ring
 	}
-	n.begin()
+	n.openRecord()
 	return n, nil
 }
 
-// begin reads the record and makes the membership.Node; it says so of the disk if another process of the relay has the record
+// openRecord reads the record and makes the membership.Node; it says so of the disk if another process of the relay has the record
 // still. Whoever cannot read what it may have promised takes no share; whoever has no record, and can keep none, goes on by the
 // settings' number and promises nothing.
-func (n *Node) begin() {
+func (n *Node) openRecord() {
 	c := n.cfg
-	d, rec, err := openDisk(c.State, c.Site, n.cell, c.Name)
+	d, rec, err := openRecordFile(c.State, c.Site, n.cell, c.Name)
 	place := c.InitialPlace
 	switch {
-	case errors.Is(err, errInUse):
+	case errors.Is(err, errRecordInUse):
 		place, d.inUse = -1, true
-		if n.disk != nil {
-			n.disk = d
+		if n.record != nil {
+			n.record = d
 			return
 		}
 		n.log.Info().Err(err).Msg("members: waiting for it; no share until then")
-	case errors.Is(err, errUnread):
+	case errors.Is(err, errRecordUnusable):
 		place = -1
 		n.log.Error().Err(err).Msg("what the relay has promised cannot be known; it takes no part in choices and no share")
 	case err != nil:
@@ -168,9 +168,9 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.disk = d
+	n.record = d
 	n.membership = membership.New(n.now(), membership.Config{Name: c.Name, InitialPlace: place, Founders: c.Founders, Relays: c.Relays, Seed: c.Seed,
-		Cell: c.Cell, Plan: c.Plan, Pace: n.paced(c.Pace)}, rec)
+		Cell: c.Cell, Plan: c.Plan, Pace: n.adjustPace(c.Pace)}, rec)
 	if err != nil {
 		n.membership.Handle(n.now(), membership.Unsaved{}, nil)
 	}
@@ -179,22 +179,22 @@
 // Run takes part until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.stopped)
-	for n.disk.inUse {
+	for n.record.inUse {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(stateEvery):
+		case <-time.After(lockRetryInterval):
 		}
-		n.begin()
+		n.openRecord()
 	}
 	var all sync.WaitGroup
-	all.Go(func() { n.mesh(ctx) })
+	all.Go(func() { n.runMemberlist(ctx) })
 	n.mu.Lock()
 	acts := n.membership.Start(n.now(), nil)
 	n.mu.Unlock()
-	n.do(acts)
+	n.execute(acts)
 	if n.cfg.Plan != nil {
-		n.link(n.cfg.Cell, *n.cfg.Plan)
+		n.startCells(n.cfg.Cell, *n.cfg.Plan)
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -202,17 +202,17 @@
 		select {
 		case <-ctx.Done():
 			all.Wait()
-			n.disk.close()
+			n.record.close()
 			return
 		case ev := <-n.inbox:
 			n.handle(ev)
 		case w := <-n.batches:
 			n.sendBatch(w)
 			continue
-		case update := <-n.plans:
-			n.takePlan(update)
-		case ev := <-n.cells.Load().received():
-			n.handleCells(ev)
+		case update := <-n.planUpdates:
+			n.applyPlan(update)
+		case ev := <-n.cells.Load().events():
+			n.handleCellEvent(ev)
 		case <-timer.C:
 			n.handle(membership.Tick{})
 		}
@@ -222,29 +222,29 @@
 		}
 		n.tickCells()
 		n.mu.Lock()
-		next := min(n.membership.Next(), n.nextOfCells())
+		next := min(n.membership.Next(), n.nextCellTick())
 		n.mu.Unlock()
 		timer.Reset(relay.Duration(max(min(next, looked+membership.MeterInterval)-n.now(), 1)))
 	}
 }
 
-func (n *Node) now() float64 { return n.cfg.Clock.Now() }
+func (n *Node) now() float64 { return n.cfg.Clock.NowMillis() }
 
 // localState is what this relay does.
 func (n *Node) localState(now float64) membership.LocalState {
-	s := n.cfg.Self()
-	own := n.meter.LocalState(now, s.Lifecycle, s.Arrivals, s.Held)
-	own.Zone, own.List = n.cfg.Zone, s.List
+	s := n.cfg.LocalActivity()
+	own := n.meter.LocalState(now, s.Lifecycle, s.Arrivals, s.OpenRequests)
+	own.Zone, own.List = n.cfg.Zone, s.ListVersion
 	n.local = own
 	return own
 }
 
-// post queues an event. When there is no room it is dropped: all that is said is said again.
-func (n *Node) post(ev membership.Event) {
+// enqueueEvent queues an event. When there is no room it is dropped: all that is said is said again.
+func (n *Node) enqueueEvent(ev membership.Event) {
 	select {
 	case n.inbox <- ev:
 	default:
-		n.drops.count(overrun, "")
+		n.dropped.count(dropOverflow, "")
 	}
 }
 
@@ -253,15 +253,15 @@
 	n.mu.Lock()
 	acts := n.membership.Handle(n.now(), ev, nil)
 	n.mu.Unlock()
-	n.history()
-	n.do(acts)
+	n.recordHistory()
+	n.execute(acts)
 }
 
-func (n *Node) do(acts []membership.Action) {
+func (n *Node) execute(acts []membership.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case membership.Save:
-			if err := n.disk.save(a.Record); err != nil {
+			if err := n.record.save(a.Record); err != nil {
 				n.log.Error().Err(err).Msg("what the relay has promised cannot be kept; it takes no part in choices any more")
 				n.handle(membership.Unsaved{})
 				return // what follows from it is not done
@@ -271,29 +271,29 @@
 		case membership.Publish:
 			n.publish(a.Status)
 		case membership.Changed:
-			n.cells.Load().changed(a, n.now())
+			n.cells.Load().noteMembershipChange(a, n.now())
 			n.log.Info().Str("what", a.What.String()).Str("member", a.Name).Str("state", a.State).Str("cause", a.Cause).Msg("fleet")
-			if n.cfg.Notice != nil {
-				n.cfg.Notice(a)
+			if n.cfg.OnChange != nil {
+				n.cfg.OnChange(a)
 			}
 		case membership.Refresh:
 			n.log.Info().Int64("generation", a.Generation).Msg("a peer has a newer list of servers; asking discovery")
-			if n.cfg.Refresh != nil {
-				n.cfg.Refresh()
+			if n.cfg.RefreshEndpoints != nil {
+				n.cfg.RefreshEndpoints()
 			}
 		}
 	}
 }
 
-// Hold returns what the module is to reckon with at the moment, by the caller's clock, and keeps it so until Release.
-func (n *Node) Hold(now float64) decide.Fleet {
+// LockStatus returns what the module is to reckon with at the moment, by the caller's clock, and keeps it so until Release.
+func (n *Node) LockStatus(now float64) decide.Fleet {
 	n.mu.Lock()
 	own := n.now()
-	return relay.Reckon(now, own, n.membership.Estimate(own), n.zone)
+	return relay.ToFleetStatus(now, own, n.membership.Estimate(own), n.zoneNumber)
 }
 
-// Release ends a Hold.
-func (n *Node) Release() { n.mu.Unlock() }
+// UnlockStatus ends a Hold.
+func (n *Node) UnlockStatus() { n.mu.Unlock() }
 
 // Estimate is what this relay reckons with now.
 func (n *Node) Estimate() membership.FleetEstimate {
@@ -304,20 +304,20 @@
 
 // SetKeys rotates the keys while the Node runs: the first seals from now on, all open.
 func (n *Node) SetKeys(keys [][]byte) error {
-	if n.ring == nil || len(keys) == 0 {
+	if n.keyring == nil || len(keys) == 0 {
 		return errors.New("sealing cannot be switched on or off while the relay runs")
 	}
 	for _, k := range keys {
-		if err := n.ring.AddKey(k); err != nil {
+		if err := n.keyring.AddKey(k); err != nil {
 			return err
 		}
 	}
-	if err := n.ring.UseKey(keys[0]); err != nil {
+	if err := n.keyring.UseKey(keys[0]); err != nil {
 		return err
 	}
-	for _, k := range n.ring.GetKeys() {
+	for _, k := range n.keyring.GetKeys() {
 		if !slices.ContainsFunc(keys, func(o []byte) bool { return string(o) == string(k) }) {
-			if err := n.ring.RemoveKey(k); err != nil {
+			if err := n.keyring.RemoveKey(k); err != nil {
 				return err
 			}
 		}
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -58,9 +58,9 @@
 	for i := range n {
 		name := fmt.Sprintf("r%03d", i)
 		c := Config{Name: name, Site: "site", Bind: address(i), Seeds: []string{address(0), address(1)}, State: filepath.Join(dir, name), InitialPlace: i, Founders: n, Relays: n,
-			Seed: uint64(i), Clock: relay.NewClock(), Self: func() Self { return Self{Lifecycle: membership.Serving, List: 1} }, Transport: network.Transport, Log: zerolog.Nop()}
+			Seed: uint64(i), Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Transport: network.Transport, Log: zerolog.Nop()}
 		if notice != nil {
-			c.Notice = func(ch membership.Changed) { notice(name, ch) }
+			c.OnChange = func(ch membership.Changed) { notice(name, ch) }
 		}
 		node, err := New(c)
 		if err != nil {
@@ -212,7 +212,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(n.disk.close)
+	t.Cleanup(n.record.close)
 	return n
 }
 
@@ -224,8 +224,8 @@
 // version, with fields that nobody knows here, and one of an earlier one, with fields missing, are taken.
 func TestWhatIsDropped(t *testing.T) {
 	n := lone(t)
-	sealed := func(k kind, inc, seq uint64, body any) []byte {
-		text, err := seal("peer", inc, seq, k, body)
+	sealed := func(k envelopeKind, inc, seq uint64, body any) []byte {
+		text, err := encodeEnvelope("peer", inc, seq, k, body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -237,27 +237,27 @@
 	huge := membership.Message{Kind: membership.Learn, From: 4, View: &membership.View{Epoch: 1, Founders: 3, Voters: []string{"x"}, Entries: []membership.Member{{Name: "x", In: true, Share: 1 << 63}}}}
 	for what, c := range map[string]struct {
 		text []byte
-		r    reason
+		r    dropReason
 	}{
-		"noise":                          {[]byte("hello, is anybody there?"), malformed},
-		"nothing":                        {nil, malformed},
-		"oversized":                      {bytes.Repeat([]byte{0x80}, maxBody+1), malformed},
-		"cut":                            {renew[:len(renew)/2], malformed},
-		"a digest that cannot be":        {sealed(kindStatus, 4, 7, nan), malformed},
-		"a digest of another's number":   {sealed(kindStatus, 4, 8, good7()), malformed},
-		"a view whose shares are absurd": {sealed(kindMessage, 4, 10, huge), malformed},
-		"a choice without a view":        {sealed(kindMessage, 4, 11, membership.Message{Kind: membership.Learn, From: 4}), malformed},
-		"a kind of a later version":      {sealed(77, 4, 12, 1), unknown},
+		"noise":                          {[]byte("hello, is anybody there?"), dropMalformed},
+		"nothing":                        {nil, dropMalformed},
+		"oversized":                      {bytes.Repeat([]byte{0x80}, maxEnvelopeBytes+1), dropMalformed},
+		"cut":                            {renew[:len(renew)/2], dropMalformed},
+		"a digest that cannot be":        {sealed(kindStatus, 4, 7, nan), dropMalformed},
+		"a digest of another's number":   {sealed(kindStatus, 4, 8, good7()), dropMalformed},
+		"a view whose shares are absurd": {sealed(kindMessage, 4, 10, huge), dropMalformed},
+		"a choice without a view":        {sealed(kindMessage, 4, 11, membership.Message{Kind: membership.Learn, From: 4}), dropMalformed},
+		"a kind of a later version":      {sealed(77, 4, 12, 1), dropUnknown},
 	} {
-		before := n.drops.total[c.r].Load()
-		if n.take(c.text, true); n.drops.total[c.r].Load() != before+1 || len(n.inbox) != 0 {
-			t.Errorf("%s: dropped as %s %d times, %d events", what, reasonNames[c.r], n.drops.total[c.r].Load()-before, len(n.inbox))
+		before := n.dropped.total[c.r].Load()
+		if n.receive(c.text, true); n.dropped.total[c.r].Load() != before+1 || len(n.inbox) != 0 {
+			t.Errorf("%s: dropped as %s %d times, %d events", what, dropReasonNames[c.r], n.dropped.total[c.r].Load()-before, len(n.inbox))
 		}
 	}
-	n.take(renew, true)
-	n.take(renew, true)
-	if len(n.inbox) != 1 || n.drops.total[replayed].Load() != 1 {
-		t.Errorf("a message that came twice: %d events, %d replays", len(n.inbox), n.drops.total[replayed].Load())
+	n.receive(renew, true)
+	n.receive(renew, true)
+	if len(n.inbox) != 1 || n.dropped.total[dropReplayed].Load() != 1 {
+		t.Errorf("a message that came twice: %d events, %d replays", len(n.inbox), n.dropped.total[dropReplayed].Load())
 	}
 	<-n.inbox
 	fields := map[int]any{}
@@ -273,7 +273,7 @@
 	for i, v := range versions {
 		v.change()
 		fields[13] = 20 + i
-		n.take(sealed(kindStatus, 4, uint64(20+i), fields), true)
+		n.receive(sealed(kindStatus, 4, uint64(20+i), fields), true)
 		if len(n.inbox) != 1 {
 			t.Errorf("%s of the digest: %d events", v.what, len(n.inbox))
 			continue
@@ -288,7 +288,7 @@
 func TestDigestIsSmall(t *testing.T) {
 	d := good7()
 	d.Zone, d.Incarnation, d.Rate, d.Held, d.List, d.Epoch, d.Hash, d.Seq, d.Sent = strings.Repeat("z", 20), 1<<40, 12345.67, 1<<20, 1<<60, 1<<40, 1<<63, 1<<40, 999.9
-	text, err := seal(strings.Repeat("n", 40), d.Incarnation, d.Seq, kindStatus, d)
+	text, err := encodeEnvelope(strings.Repeat("n", 40), d.Incarnation, d.Seq, kindStatus, d)
 	if err != nil || len(text) > 250 {
 		t.Errorf("%d bytes, %v", len(text), err)
 	}
@@ -298,27 +298,27 @@
 func TestTalkComesThrough(t *testing.T) {
 	n := lone(t)
 	var got []probing.Event
-	n.cfg.Received = func(ev probing.Event) { got = append(got, ev) }
+	n.cfg.OnProbingEvent = func(ev probing.Event) { got = append(got, ev) }
 	rows := []probing.PlacementDelta{{ServerKey: 1 << 63, By: "a", Incarnation: 3, Seq: 4, N: 2, Age: 17}, {ServerKey: 5, By: "b", Incarnation: 1, Seq: 9, N: -3, Age: 0}}
 	readings := []probing.Reading{{ServerKey: 7, Started: 50, By: "a", Incarnation: 3, At: 1234, Age: 20, Load: probing.Load{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25}}}
 	bad := encodePlacements(rows)
 	bad.Rows[1].By = 2
 	for i, c := range []struct {
-		k    kind
+		k    envelopeKind
 		body any
 	}{{kindPlacements, encodePlacements(rows)}, {kindReadings, encodeReadings(readings)}, {kindPlacements, bad}} {
-		text, err := seal("peer", 4, uint64(i+1), c.k, c.body)
+		text, err := encodeEnvelope("peer", 4, uint64(i+1), c.k, c.body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.take(text, true)
-		n.take(text, true) // a replay
+		n.receive(text, true)
+		n.receive(text, true) // a replay
 	}
 	if want := []probing.Event{probing.PlacementsReceived{From: "peer", Rows: rows}, probing.ReadingsReceived{From: "peer", Readings: readings}}; !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
 	}
-	if n.drops.total[malformed].Load() != 2 || n.drops.total[replayed].Load() != 2 {
-		t.Errorf("%d malformed, %d replayed", n.drops.total[malformed].Load(), n.drops.total[replayed].Load())
+	if n.dropped.total[dropMalformed].Load() != 2 || n.dropped.total[dropReplayed].Load() != 2 {
+		t.Errorf("%d malformed, %d replayed", n.dropped.total[dropMalformed].Load(), n.dropped.total[dropReplayed].Load())
 	}
 }
 
@@ -327,21 +327,21 @@
 func TestDiskTrouble(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state")
-	d, _, err := openDisk(path, "s", "", "me")
+	d, _, err := openRecordFile(path, "s", "", "me")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := d.save(membership.Record{Incarnation: 7, HandedOver: true}); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := openDisk(path, "s", "", "me"); err == nil || !strings.Contains(err.Error(), "another process") {
+	if _, _, err := openRecordFile(path, "s", "", "me"); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("a second process: %v", err)
 	}
 	d.close()
 	good, _ := os.ReadFile(path)
 	read := func(site, name, want string) {
 		t.Helper()
-		d, rec, err := openDisk(path, site, "", name)
+		d, rec, err := openRecordFile(path, site, "", name)
 		d.close()
 		if want == "" && (err != nil || rec.Incarnation != 7) || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%v, %+v; want %q", err, rec, want)
@@ -356,7 +356,7 @@
 	bent[len(bent)-2] ^= 1
 	os.WriteFile(path, bent, 0o600)
 	read("s", "me", "sum does not fit")
-	var k kept
+	var k storedRecord
 	cbor.Unmarshal(good, &k)
 	k.Version = 2
 	later, _ := cbor.Marshal(k)
@@ -389,13 +389,13 @@
 // A disk that fails in the middle of a life: what follows from what could not be kept is not done.
 func TestDiskFailsLater(t *testing.T) {
 	n := lone(t)
-	n.disk.path = filepath.Join(t.TempDir(), "gone", "state")
+	n.record.path = filepath.Join(t.TempDir(), "gone", "state")
 	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
 	n.handle(membership.StatusReceived{Name: "peer", Status: membership.Status{Version: 1, Incarnation: 1, Epoch: 3, Founders: 3, InitialPlace: 1, HandedOver: true, Seq: 1}})
 	n.peers.Lock()
 	told := n.peers.digests["me"]
 	n.peers.Unlock()
-	if e, err := open(told); err == nil {
+	if e, err := decodeEnvelope(told); err == nil {
 		var d membership.Status
 		if cbor.Unmarshal(e.Body, &d); d.HandedOver {
 			t.Error("the relay told that it has pledged, and its disk does not know")
@@ -410,7 +410,7 @@
 	state := filepath.Join(t.TempDir(), "state")
 	start := func(at int) (*Node, func()) {
 		n, err := New(Config{Name: "r0", Site: "s", Bind: address(at), Seeds: []string{address(0)}, State: state, Founders: 1, Relays: 1, Clock: relay.NewClock(),
-			Self: func() Self { return Self{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.Nop()})
+			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -443,7 +443,7 @@
 	var all []*Node
 	for i := range 3 {
 		n, err := New(Config{Name: fmt.Sprint("r", i), Site: "s", Bind: address(i), Seeds: []string{address(0)}, Keys: [][]byte{one}, State: filepath.Join(t.TempDir(), "state"),
-			InitialPlace: i, Founders: 3, Relays: 3, Clock: relay.NewClock(), Self: func() Self { return Self{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.New(io.Discard)})
+			InitialPlace: i, Founders: 3, Relays: 3, Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.New(io.Discard)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -467,7 +467,7 @@
 		time.Sleep(600 * time.Millisecond)
 	}
 	for _, n := range all {
-		if got := n.drops.total[unsealed].Load(); got > 0 || !whole() {
+		if got := n.dropped.total[dropUnsealed].Load(); got > 0 || !whole() {
 			t.Errorf("%s: %d packets could not be opened, %d in the view", n.cfg.Name, got, inView(n))
 		}
 	}
--- a/internal/wire/gossip/join.go
+++ b/internal/wire/gossip/join.go
@@ -18,26 +18,26 @@
 // Leave says that this relay goes, and waits a moment for the word to spread. The relay takes no share from here on.
 func (n *Node) Leave() {
 	if l := n.list.Load(); l != nil {
-		if err := l.Leave(leaveWithin); err != nil {
+		if err := l.Leave(leaveTimeout); err != nil {
 			n.log.Info().Err(err).Msg("not all peers may have heard that this relay leaves")
 		}
 	}
 }
 
-// count is how many relays there are, for how often a status is passed on.
-func (n *Node) count() int {
+// relayCount is how many relays there are, for how often a status is passed on.
+func (n *Node) relayCount() int {
 	if l := n.list.Load(); l != nil {
 		return max(l.NumMembers(), 1)
 	}
 	return 1
 }
 
-// mesh brings memberlist up, and joins it to the others, until the context ends.
-func (n *Node) mesh(ctx context.Context) {
+// runMemberlist brings memberlist up, and joins it to the others, until the context ends.
+func (n *Node) runMemberlist(ctx context.Context) {
 	var list *memberlist.Memberlist
 	for said := false; list == nil; {
 		var err error
-		if list, err = n.create(); err == nil {
+		if list, err = n.createMemberlist(); err == nil {
 			break
 		}
 		if !said {
@@ -47,11 +47,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(bindEvery):
+		case <-time.After(bindRetryInterval):
 		}
 	}
 	n.list.Store(list)
-	n.log.Info().Str("bind", n.cfg.Bind).Bool("sealed", n.ring != nil).Msg("members: listening")
+	n.log.Info().Str("bind", n.cfg.Bind).Bool("sealed", n.keyring != nil).Msg("members: listening")
 	defer func() {
 		if err := list.Shutdown(); err != nil {
 			n.log.Info().Err(err).Msg("members: end")
@@ -59,7 +59,7 @@
 	}()
 	said := false
 	for round := 0; ; round++ {
-		if target := n.missing(list, round); target != "" {
+		if target := n.nextJoinTarget(list, round); target != "" {
 			_, err := list.Join([]string{target})
 			if err != nil && strings.Contains(err.Error(), errOtherCell.Error()) {
 				n.peers.Lock()
@@ -74,19 +74,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rejoinEvery/2 + time.Duration(rand.Int64N(int64(rejoinEvery)))):
+		case <-time.After(rejoinInterval/2 + time.Duration(rand.Int64N(int64(rejoinInterval)))):
 		}
 	}
 }
 
-// missing is an address to join: that of a relay that was there and is not, or a seed that nobody answers at. After a
+// nextJoinTarget is an address to join: that of a relay that was there and is not, or a seed that nobody answers at. After a
 // cut both sides have given each other up, and only a new join heals that. Where a relay of another cell has answered, a while passes
 // before it is tried again: a join costs both sides all they know.
-func (n *Node) missing(list *memberlist.Memberlist, round int) string {
+func (n *Node) nextJoinTarget(list *memberlist.Memberlist, round int) string {
 	there := map[string]bool{}
 	n.peers.Lock()
 	for address, at := range n.peers.elsewhere {
-		there[address] = time.Since(at) < elsewhereEvery
+		there[address] = time.Since(at) < otherCellRetryInterval
 	}
 	there[n.cfg.Bind], there[n.cfg.Advertise] = true, true
 	for name := range n.peers.there {
@@ -94,7 +94,7 @@
 	}
 	n.peers.Unlock()
 	var lost []string
-	if list.NumMembers() == 1 || round%seedsEvery == 0 {
+	if list.NumMembers() == 1 || round%seedJoinPeriod == 0 {
 		for _, s := range n.cfg.Seeds {
 			if !there[s] {
 				lost = append(lost, s)
@@ -116,9 +116,9 @@
 	return lost[rand.IntN(len(lost))]
 }
 
-// create starts memberlist on its transport. The times suit relays of one site: a relay that has died is failed after
+// createMemberlist starts memberlist on its transport. The times suit relays of one site: a relay that has died is failed after
 // about 2 s, one that loses a fifth of its packets is not.
-func (n *Node) create() (*memberlist.Memberlist, error) {
+func (n *Node) createMemberlist() (*memberlist.Memberlist, error) {
 	host, text, err := net.SplitHostPort(n.cfg.Bind)
 	if err != nil {
 		return nil, err
@@ -128,13 +128,13 @@
 		return nil, err
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Logger = n.drops.logger()
+	c.Logger = n.dropped.logger()
 	transport, err := n.cfg.Transport(host, port, c.Logger)
 	if err != nil {
 		return nil, err
 	}
-	c.Name, c.Label, c.Keyring = n.cfg.Name, n.cfg.Site, n.ring
-	c.Transport = n.seam(count(transport, n.net))
+	c.Name, c.Label, c.Keyring = n.cfg.Name, n.cfg.Site, n.keyring
+	c.Transport = n.injectFaults(countTraffic(transport, n.traffic))
 	c.BindAddr, c.BindPort = host, port
 	c.AdvertiseAddr, c.AdvertisePort = host, port
 	if n.cfg.Advertise != "" {
@@ -151,7 +151,7 @@
 	c.RetransmitMult, c.GossipInterval, c.GossipNodes = 4, 100*time.Millisecond, 3
 	c.PushPullInterval, c.GossipToTheDeadTime = 15*time.Second, 15*time.Second
 	if n.cell != "" {
-		c.GossipInterval, c.PushPullInterval = cellGossip, cellPushPull
+		c.GossipInterval, c.PushPullInterval = cellGossipInterval, cellPushPullInterval
 	}
 	c.DeadNodeReclaimTime = time.Second
 	c.EnableCompression = false
@@ -163,7 +163,7 @@
 	return list, nil
 }
 
-// overSockets carries packets by UDP and streams by TCP.
-func overSockets(host string, port int, log *log.Logger) (memberlist.NodeAwareTransport, error) {
+// socketTransport carries packets by UDP and streams by TCP.
+func socketTransport(host string, port int, log *log.Logger) (memberlist.NodeAwareTransport, error) {
 	return memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: log})
 }
--- a/internal/wire/gossip/messages.go
+++ b/internal/wire/gossip/messages.go
@@ -16,7 +16,7 @@
 func (n *Node) send(to string, m membership.Message) { n.sendTo(to, kindMessage, m) }
 
 // sendTo carries a message to a peer: as one packet, or over TCP where it is too large for that.
-func (n *Node) sendTo(to string, k kind, m any) {
+func (n *Node) sendTo(to string, k envelopeKind, m any) {
 	list := n.list.Load()
 	n.peers.Lock()
 	node := n.peers.nodes[to]
@@ -27,34 +27,34 @@
 	n.mu.Lock()
 	incarnation := n.membership.Incarnation()
 	n.mu.Unlock()
-	text, err := n.sealOwn(incarnation, n.seq.Add(1), k, m)
+	text, err := n.encodeForCell(incarnation, n.seq.Add(1), k, m)
 	if err != nil {
 		n.log.Error().Err(err).Msg("members: a message cannot be written")
 		return
 	}
-	if len(text) <= packetRoom {
+	if len(text) <= maxPacketBytes {
 		if err := list.SendBestEffort(node, text); err != nil {
-			n.drops.count(unsent, err.Error())
+			n.dropped.count(dropUnsent, err.Error())
 		}
 		return
 	}
 	select {
-	case n.big <- struct{}{}:
+	case n.reliableSends <- struct{}{}:
 	default:
-		n.drops.count(unsent, "too many large messages under way")
+		n.dropped.count(dropUnsent, "too many large messages under way")
 		return
 	}
 	go func() {
-		defer func() { <-n.big }()
+		defer func() { <-n.reliableSends }()
 		if err := list.SendReliable(node, text); err != nil {
-			n.drops.count(unsent, err.Error())
+			n.dropped.count(dropUnsent, err.Error())
 		}
 	}()
 }
 
 // publish tells this relay's status to all.
 func (n *Node) publish(d membership.Status) {
-	text, err := n.sealOwn(d.Incarnation, d.Seq, kindStatus, n.recode(d))
+	text, err := n.encodeForCell(d.Incarnation, d.Seq, kindStatus, n.adjustStatus(d))
 	if err != nil {
 		n.log.Error().Err(err).Msg("members: the digest cannot be written")
 		return
@@ -79,29 +79,29 @@
 func (b *statusBroadcast) Message() []byte { return b.text }
 func (b *statusBroadcast) Finished()       {}
 
-// take opens what a peer has sent. forward says that a status is to be passed on.
-func (n *Node) take(text []byte, forward bool) {
-	e, err := open(text)
+// receive opens what a peer has sent. forward says that a status is to be passed on.
+func (n *Node) receive(text []byte, forward bool) {
+	e, err := decodeEnvelope(text)
 	switch {
 	case err != nil:
-		n.drops.count(malformed, err.Error())
+		n.dropped.count(dropMalformed, err.Error())
 		return
 	case e.From == n.cfg.Name:
 		return
 	}
-	if e, err = n.unwrap(e); err != nil {
-		n.drops.count(unwrapReason(err), e.From)
+	if e, err = n.unwrapCell(e); err != nil {
+		n.dropped.count(unwrapDropReason(err), e.From)
 		return
 	}
 	switch e.Kind {
 	case kindStatus:
 		var d membership.Status
 		if err := cbor.Unmarshal(e.Body, &d); err != nil || !validStatus(d) || d.Incarnation != e.Incarnation || d.Seq != e.Seq {
-			n.drops.count(malformed, "a digest that makes no sense")
+			n.dropped.count(dropMalformed, "a digest that makes no sense")
 			return
 		}
-		if n.newer(e, text) {
-			n.post(membership.StatusReceived{Name: e.From, Status: d})
+		if n.noteStatus(e, text) {
+			n.enqueueEvent(membership.StatusReceived{Name: e.From, Status: d})
 			if forward {
 				n.queue.QueueBroadcast(&statusBroadcast{e.From, text})
 			}
@@ -109,41 +109,41 @@
 	case kindMessage:
 		var m membership.Message
 		if err := cbor.Unmarshal(e.Body, &m); err != nil || !validMessage(m) || m.From != e.Incarnation {
-			n.drops.count(malformed, "a message that makes no sense")
+			n.dropped.count(dropMalformed, "a message that makes no sense")
 			return
 		}
-		if !n.fresh(e) {
-			n.drops.count(replayed, e.From)
+		if !n.isFirstDelivery(e) {
+			n.dropped.count(dropReplayed, e.From)
 			return
 		}
-		n.post(membership.MessageReceived{From: e.From, Message: m})
+		n.enqueueEvent(membership.MessageReceived{From: e.From, Message: m})
 	case kindReadings, kindPlacements:
-		if n.cfg.Received == nil {
+		if n.cfg.OnProbingEvent == nil {
 			return
 		}
-		ev, err := readBatch(e)
+		ev, err := decodeBatch(e)
 		if err != nil {
-			n.drops.count(malformed, err.Error())
+			n.dropped.count(dropMalformed, err.Error())
 			return
 		}
-		if !n.fresh(e) {
-			n.drops.count(replayed, e.From)
+		if !n.isFirstDelivery(e) {
+			n.dropped.count(dropReplayed, e.From)
 			return
 		}
-		n.cfg.Received(ev)
+		n.cfg.OnProbingEvent(ev)
 	case kindSummary, kindDirectory:
-		n.takeOfCells(e, text, forward)
+		n.receiveFromCell(e, text, forward)
 	default: // of a later version
-		n.drops.count(unknown, strconv.Itoa(int(e.Kind)))
+		n.dropped.count(dropUnknown, strconv.Itoa(int(e.Kind)))
 	}
 }
 
-// newer notes a status, and tells whether it is news.
-func (n *Node) newer(e envelope, text []byte) bool {
+// noteStatus notes a status, and tells whether it is news.
+func (n *Node) noteStatus(e envelope, text []byte) bool {
 	n.peers.Lock()
 	defer n.peers.Unlock()
 	if old, ok := n.peers.digests[e.From]; ok {
-		if o, err := open(old); err == nil && (o.Incarnation > e.Incarnation || o.Incarnation == e.Incarnation && o.Seq >= e.Seq) {
+		if o, err := decodeEnvelope(old); err == nil && (o.Incarnation > e.Incarnation || o.Incarnation == e.Incarnation && o.Seq >= e.Seq) {
 			return false
 		}
 	} else if len(n.peers.digests) >= maxPeers {
@@ -162,8 +162,8 @@
 	}
 }
 
-// fresh tells whether a message has not come before.
-func (n *Node) fresh(e envelope) bool {
+// isFirstDelivery tells whether a message has not come before.
+func (n *Node) isFirstDelivery(e envelope) bool {
 	n.peers.Lock()
 	defer n.peers.Unlock()
 	w := n.peers.replays[e.From]
--- a/internal/wire/gossip/moves_test.go
+++ b/internal/wire/gossip/moves_test.go
@@ -21,7 +21,7 @@
 	node, err := New(Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: seeds,
 		State: filepath.Join(dir, fmt.Sprintf("%s-%d", cell, i)), InitialPlace: -1, Founders: 3, Relays: 6, Seed: uint64(i),
 		Clock: relay.NewClock(), Transport: network.Transport, Log: zerolog.Nop(),
-		Self: func() Self { return Self{Lifecycle: membership.Serving, List: 1} }, Cell: cell, Plan: twoCells(), Pace: membership.CellPace})
+		LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: cell, Plan: twoCells(), Pace: membership.CellPace})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	stopEast()
 	_, stopWest := startIn(t, network, dir, "west-1", 2)
 	await(t, 20*time.Second, "the one that moved is missed", func() bool { return !r0.counts("r2") && !r3.counts("r2") })
-	time.Sleep(5 * rejoinEvery) // its address has been tried, and a relay of the other cell has answered
+	time.Sleep(5 * rejoinInterval) // its address has been tried, and a relay of the other cell has answered
 	stopWest()
 	r1, _ := startIn(t, network, dir, "east-1", 1, address(0))
 	await(t, 10*time.Second, "a new relay is there", func() bool { return r1.counts("r0") && r1.counts("r3") && r0.counts("r1") && r3.counts("r1") })
--- a/internal/wire/gossip/readings.go
+++ b/internal/wire/gossip/readings.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	batchRoom   = 64 // batches that wait to be sent; more are dropped, as newer ones follow
-	maxReadings = 20 // readings in one packet: up to 45 bytes each, and the names of their origins
+	batchQueueSize       = 64 // batches that wait to be sent; more are dropped, as newer ones follow
+	maxReadingsPerPacket = 20 // readings in one packet: up to 45 bytes each, and the names of their origins
 )
 
-// readingsBatch is readings, or rows of placements, on their way to a peer.
-type readingsBatch struct {
+// outgoingBatch is readings, or rows of placements, on their way to a peer.
+type outgoingBatch struct {
 	to       string
 	readings []probing.Reading
 	rows     []probing.PlacementDelta
@@ -79,50 +79,50 @@
 
 // SendReadings passes readings on to a peer, when Run comes to it.
 func (n *Node) SendReadings(to string, readings []probing.Reading) {
-	n.enqueue(readingsBatch{to: to, readings: readings})
+	n.enqueueBatch(outgoingBatch{to: to, readings: readings})
 }
 
 // SendPlacements passes placements on to a peer, when Run comes to it.
 func (n *Node) SendPlacements(to string, rows []probing.PlacementDelta) {
-	n.enqueue(readingsBatch{to: to, rows: rows})
+	n.enqueueBatch(outgoingBatch{to: to, rows: rows})
 }
 
-func (n *Node) enqueue(w readingsBatch) {
+func (n *Node) enqueueBatch(w outgoingBatch) {
 	select {
 	case n.batches <- w:
 	default:
-		n.drops.count(overrun, "")
+		n.dropped.count(dropOverflow, "")
 	}
 }
 
 // sendBatch sends readings and placements, in packets of a size.
-func (n *Node) sendBatch(w readingsBatch) {
+func (n *Node) sendBatch(w outgoingBatch) {
 	if len(w.rows) > 0 {
 		n.sendTo(w.to, kindPlacements, encodePlacements(w.rows))
 	}
 	for len(w.readings) > 0 {
-		some := w.readings[:min(len(w.readings), maxReadings)]
+		some := w.readings[:min(len(w.readings), maxReadingsPerPacket)]
 		w.readings = w.readings[len(some):]
-		some = n.lie(some)
+		some = n.falsifyReadings(some)
 		n.sendTo(w.to, kindReadings, encodeReadings(some))
 	}
 }
 
-// milli is a figure in thousandths, -1 for none.
-func milli(x float64) int64 {
+// toThousandths is a figure in thousandths, -1 for none.
+func toThousandths(x float64) int64 {
 	if x < 0 || math.IsNaN(x) {
 		return -1
 	}
 	return int64(math.Round(min(x, 1e9) * 1000))
 }
 
-// names gives each name a number.
-type names struct {
+// nameTable gives each name a number.
+type nameTable struct {
 	list []string
 	at   map[string]int
 }
 
-func (n *names) of(name string) int {
+func (n *nameTable) index(name string) int {
 	by, known := n.at[name]
 	if !known {
 		by = len(n.list)
@@ -135,16 +135,16 @@
 	return by
 }
 
-// origin is the name that a number in a packet stands for.
-func origin(list []string, by int) (string, error) {
-	if by < 0 || by >= len(list) || !GoodName(list[by]) {
-		return "", errReadings
+// originName is the name that a number in a packet stands for.
+func originName(list []string, by int) (string, error) {
+	if by < 0 || by >= len(list) || !ValidName(list[by]) {
+		return "", errMalformedBatch
 	}
 	return list[by], nil
 }
 
-// readBatch is what an envelope of readings or placements says.
-func readBatch(e envelope) (probing.Event, error) {
+// decodeBatch is what an envelope of readings or placements says.
+func decodeBatch(e envelope) (probing.Event, error) {
 	if e.Kind == kindPlacements {
 		rows, err := decodePlacements(e.Body)
 		return probing.PlacementsReceived{From: e.From, Rows: rows}, err
@@ -154,9 +154,9 @@
 }
 
 func encodePlacements(rows []probing.PlacementDelta) (w wirePlacements) {
-	var all names
+	var all nameTable
 	for _, r := range rows {
-		w.Rows = append(w.Rows, wirePlacement{ServerKey: r.ServerKey, By: all.of(r.By), Incarnation: r.Incarnation, Seq: r.Seq, N: r.N, Age: int64(r.Age)})
+		w.Rows = append(w.Rows, wirePlacement{ServerKey: r.ServerKey, By: all.index(r.By), Incarnation: r.Incarnation, Seq: r.Seq, N: r.N, Age: int64(r.Age)})
 	}
 	w.Names = all.list
 	return w
@@ -165,10 +165,10 @@
 func decodePlacements(body []byte) (out []probing.PlacementDelta, err error) {
 	var w wirePlacements
 	if err := cbor.Unmarshal(body, &w); err != nil || len(w.Rows) > 2*probing.MaxPlacementsPerRound {
-		return nil, errReadings
+		return nil, errMalformedBatch
 	}
 	for _, r := range w.Rows {
-		by, err := origin(w.Names, r.By)
+		by, err := originName(w.Names, r.By)
 		if err != nil {
 			return nil, err
 		}
@@ -178,21 +178,21 @@
 }
 
 func encodeReadings(readings []probing.Reading) (w wireReadings) {
-	var all names
+	var all nameTable
 	for _, r := range readings {
-		w.Readings = append(w.Readings, wireReading{ServerKey: r.ServerKey, Started: r.Started, By: all.of(r.By), Incarnation: r.Incarnation, At: int64(r.At), Age: int64(r.Age),
-			Load: milli(r.Load.Load), Inflight: milli(r.Inflight), Errors: milli(r.Errors), Busy: milli(r.Busy)})
+		w.Readings = append(w.Readings, wireReading{ServerKey: r.ServerKey, Started: r.Started, By: all.index(r.By), Incarnation: r.Incarnation, At: int64(r.At), Age: int64(r.Age),
+			Load: toThousandths(r.Load.Load), Inflight: toThousandths(r.Inflight), Errors: toThousandths(r.Errors), Busy: toThousandths(r.Busy)})
 	}
 	w.Names = all.list
 	return w
 }
 
-var errReadings = errors.New("readings that make no sense")
+var errMalformedBatch = errors.New("readings that make no sense")
 
 func decodeReadings(body []byte) (out []probing.Reading, err error) {
 	var w wireReadings
-	if err := cbor.Unmarshal(body, &w); err != nil || len(w.Readings) > 4*maxReadings {
-		return nil, errReadings
+	if err := cbor.Unmarshal(body, &w); err != nil || len(w.Readings) > 4*maxReadingsPerPacket {
+		return nil, errMalformedBatch
 	}
 	part := func(x int64) float64 {
 		if x < 0 {
@@ -201,9 +201,9 @@
 		return float64(x) / 1000
 	}
 	for _, r := range w.Readings {
-		by, err := origin(w.Names, r.By)
+		by, err := originName(w.Names, r.By)
 		if err != nil || r.Age < 0 {
-			return nil, errReadings
+			return nil, errMalformedBatch
 		}
 		out = append(out, probing.Reading{ServerKey: r.ServerKey, Started: r.Started, By: by, Incarnation: r.Incarnation, At: float64(r.At), Age: float64(r.Age),
 			Load: probing.Load{Load: part(r.Load), Inflight: part(r.Inflight), Errors: part(r.Errors), Busy: part(r.Busy)}})
--- a/internal/wire/gossip/seam.go
+++ b/internal/wire/gossip/seam.go
@@ -9,21 +9,21 @@
 	"capersail/internal/fleet/membership"
 )
 
-// seam is where tests put faults between relays; this program has none.
-func (n *Node) seam(t *counted) memberlist.NodeAwareTransport { return t }
+// injectFaults is where tests put faults between relays; this program has none.
+func (n *Node) injectFaults(t *countingTransport) memberlist.NodeAwareTransport { return t }
 
-// history is where tests take down what the relay reckons with; this program does not.
-func (n *Node) history() {}
+// recordHistory is where tests take down what the relay reckons with; this program does not.
+func (n *Node) recordHistory() {}
 
-// paced is where tests have a cell go faster; this program goes by its pace.
-func (n *Node) paced(p membership.Pace) membership.Pace { return p }
+// adjustPace is where tests have a cell go faster; this program goes by its pace.
+func (n *Node) adjustPace(p membership.Pace) membership.Pace { return p }
 
 // cellTime is the Coordinator's clock by the Node's, and nodeTime the other way round; tests let it run faster.
 func (n *Node) cellTime(now float64) float64 { return now }
 func (n *Node) nodeTime(at float64) float64  { return at }
 
-// recode is where tests make a status one of another version; this program's are its own.
-func (n *Node) recode(d membership.Status) any { return d }
+// adjustStatus is where tests make a status one of another version; this program's are its own.
+func (n *Node) adjustStatus(d membership.Status) any { return d }
 
-// lie is where tests have a relay tell nonsense.
-func (n *Node) lie(readings []probing.Reading) []probing.Reading { return readings }
+// falsifyReadings is where tests have a relay tell nonsense.
+func (n *Node) falsifyReadings(readings []probing.Reading) []probing.Reading { return readings }
--- a/internal/wire/gossip/seam_faults.go
+++ b/internal/wire/gossip/seam_faults.go
@@ -17,48 +17,50 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// seam puts faults between this relay and the others.
-func (n *Node) seam(t *counted) memberlist.NodeAwareTransport { return &faulty{t} }
+// injectFaults puts faults between this relay and the others.
+func (n *Node) injectFaults(t *countingTransport) memberlist.NodeAwareTransport {
+	return &faultyTransport{t}
+}
 
-type faulty struct{ *counted }
+type faultyTransport struct{ *countingTransport }
 
 // WriteTo is memberlist's.
-func (f *faulty) WriteTo(b []byte, to string) (time.Time, error) {
+func (f *faultyTransport) WriteTo(b []byte, to string) (time.Time, error) {
 	return f.WriteToAddress(b, memberlist.Address{Addr: to})
 }
 
 // WriteToAddress is memberlist's.
-func (f *faulty) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+func (f *faultyTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	text := append([]byte(nil), b...)
 	for _, after := range faultpoint.Packet(to.Addr) {
 		if after <= 0 {
-			f.counted.WriteToAddress(text, to)
+			f.countingTransport.WriteToAddress(text, to)
 			continue
 		}
-		time.AfterFunc(after, func() { f.counted.WriteToAddress(text, to) })
+		time.AfterFunc(after, func() { f.countingTransport.WriteToAddress(text, to) })
 	}
 	return time.Now(), nil
 }
 
 // DialTimeout is memberlist's.
-func (f *faulty) DialTimeout(to string, within time.Duration) (net.Conn, error) {
+func (f *faultyTransport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
 	return f.DialAddressTimeout(memberlist.Address{Addr: to}, within)
 }
 
 // DialAddressTimeout is memberlist's.
-func (f *faulty) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
+func (f *faultyTransport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
 	if !faultpoint.Reaches(to.Addr) {
 		time.Sleep(min(within, 300*time.Millisecond))
 		return nil, errors.New("i/o timeout")
 	}
-	return f.counted.DialAddressTimeout(to, within)
+	return f.countingTransport.DialAddressTimeout(to, within)
 }
 
-// noted is what the last line of the history said.
-var noted faultpoint.Noted
+// lastRecorded is what the last line of the history said.
+var lastRecorded faultpoint.Noted
 
-// history takes down what the relay reckons with, as it changes.
-func (n *Node) history() {
+// recordHistory takes down what the relay reckons with, as it changes.
+func (n *Node) recordHistory() {
 	if !faultpoint.On() {
 		return
 	}
@@ -75,19 +77,19 @@
 		line.Until = t + (r.Until-now)/faultpoint.Rate()
 	}
 	n.noteCells(&line, r, v)
-	if line.Epoch != noted.Epoch || line.Hash != noted.Hash {
+	if line.Epoch != lastRecorded.Epoch || line.Hash != lastRecorded.Hash {
 		line.Members = v.MemberNames()
 	} else {
-		line.Members = noted.Members
+		line.Members = lastRecorded.Members
 	}
 	n.mu.Unlock()
-	same := line.Epoch == noted.Epoch && line.Hash == noted.Hash && line.Phase == noted.Phase && line.Share == noted.Share && line.Relays == noted.Relays &&
-		line.Far == noted.Far && slices.Equal(line.Zones, noted.Zones) && line.Plan == noted.Plan && line.Open == noted.Open && line.Speaker == noted.Speaker && line.CellsHeard == noted.CellsHeard
-	if same && math.Abs(line.Until-noted.Until) < 1 && t < noted.T+1000 {
+	same := line.Epoch == lastRecorded.Epoch && line.Hash == lastRecorded.Hash && line.Phase == lastRecorded.Phase && line.Share == lastRecorded.Share && line.Relays == lastRecorded.Relays &&
+		line.Far == lastRecorded.Far && slices.Equal(line.Zones, lastRecorded.Zones) && line.Plan == lastRecorded.Plan && line.Open == lastRecorded.Open && line.Speaker == lastRecorded.Speaker && line.CellsHeard == lastRecorded.CellsHeard
+	if same && math.Abs(line.Until-lastRecorded.Until) < 1 && t < lastRecorded.T+1000 {
 		return
 	}
 	line.T = t
-	noted = line
+	lastRecorded = line
 	faultpoint.Note(line)
 }
 
@@ -101,14 +103,14 @@
 	if l == nil {
 		return
 	}
-	line.Cell, line.Speaker = l.cell, l.speaker
+	line.Cell, line.Speaker = l.cell, l.representative
 	for _, region := range l.coordinator.Report(n.cellTime(n.now())).Regions {
 		line.CellsHeard += region.Heard
 	}
 }
 
-// paced makes the leases of a cell as short as the rules say.
-func (n *Node) paced(p membership.Pace) membership.Pace {
+// adjustPace makes the leases of a cell as short as the rules say.
+func (n *Node) adjustPace(p membership.Pace) membership.Pace {
 	if ms := faultpoint.Present().LeaseMs; ms > 0 && p != (membership.Pace{}) {
 		p.StatusEvery *= ms / p.LeaseFor
 		p.LeaseFor = ms
@@ -116,14 +118,14 @@
 	return p
 }
 
-// hurried is how much faster the clock between cells runs than the relay's.
-func hurried() float64 { return max(faultpoint.Present().CellRate, 1) }
+// cellClockRate is how much faster the clock between cells runs than the relay's.
+func cellClockRate() float64 { return max(faultpoint.Present().CellRate, 1) }
 
-func (n *Node) cellTime(now float64) float64 { return now * hurried() }
-func (n *Node) nodeTime(at float64) float64  { return at / hurried() }
+func (n *Node) cellTime(now float64) float64 { return now * cellClockRate() }
+func (n *Node) nodeTime(at float64) float64  { return at / cellClockRate() }
 
-// lie makes the readings that this relay made itself into what the rules say.
-func (n *Node) lie(readings []probing.Reading) []probing.Reading {
+// falsifyReadings makes the readings that this relay made itself into what the rules say.
+func (n *Node) falsifyReadings(readings []probing.Reading) []probing.Reading {
 	r := faultpoint.Present()
 	if !r.Lies {
 		return readings
@@ -137,8 +139,8 @@
 	return readings
 }
 
-// recode makes a status one of an earlier version, which lacks what is not needed, or of a later one, which has more.
-func (n *Node) recode(d membership.Status) any {
+// adjustStatus makes a status one of an earlier version, which lacks what is not needed, or of a later one, which has more.
+func (n *Node) adjustStatus(d membership.Status) any {
 	version := faultpoint.Present().Digest
 	if version == 0 {
 		return d
--- a/internal/wire/gossip/talk_cost_test.go
+++ b/internal/wire/gossip/talk_cost_test.go
@@ -88,7 +88,7 @@
 			r.at[c.column[a.ServerKey]] = c.now - a.Age
 		case probing.SendReadings:
 			for rest := a.Readings; len(rest) > 0; {
-				some := rest[:min(len(rest), maxReadings)]
+				some := rest[:min(len(rest), maxReadingsPerPacket)]
 				rest = rest[len(some):]
 				r.readings += r.post(a.To, kindReadings, encodeReadings(some))
 			}
@@ -99,8 +99,8 @@
 }
 
 // post seals a message and returns its size.
-func (r *talker) post(to string, k kind, body any) int {
-	text, err := seal(r.name, 1<<40, 1<<20, k, body)
+func (r *talker) post(to string, k envelopeKind, body any) int {
+	text, err := encodeEnvelope(r.name, 1<<40, 1<<20, k, body)
 	if err != nil {
 		panic(err)
 	}
@@ -112,11 +112,11 @@
 // turn is one step of one relay: what has come, then what is due.
 func (c *talkers) turn(r *talker) {
 	for _, m := range r.in {
-		e, err := open(m.text)
+		e, err := decodeEnvelope(m.text)
 		if err != nil {
 			panic(err)
 		}
-		ev, err := readBatch(e)
+		ev, err := decodeBatch(e)
 		if err != nil {
 			panic(err)
 		}
--- a/internal/wire/platform/client.go
+++ b/internal/wire/platform/client.go
@@ -18,9 +18,9 @@
 
 // Front is the client side: it speaks with each client in a goroutine of its own.
 type Front struct {
-	X    *relay.Exchange
-	Site *relay.Site
-	Gate *connlimit.Gate
+	X    *relay.RequestTable
+	Site *relay.Deployment
+	Gate *connlimit.Limiter
 	// Resume lets streams go on elsewhere; nil where that is off.
 	Resume *resume.Service
 }
@@ -29,17 +29,17 @@
 func (f *Front) Serve(l net.Listener) error { return f.Gate.Serve(l, f.serve) }
 
 // serve speaks with one client until its connection is closed, and that to its server too.
-func (f *Front) serve(p *connlimit.Pass) {
-	e := p.End
+func (f *Front) serve(p *connlimit.Permit) {
+	e := p.Half
 	in := newLines(e.Conn)
-	e.Until(p.Until)
+	e.SetReadUntil(p.RequestUntil)
 	call := f.first(p, e, in)
 	if call != nil {
 		f.follow(call, e, in)
 	}
-	p.Ending()
-	e.Drain()
-	p.Closed()
+	p.ReleaseRequest()
+	e.CloseAndDiscard()
+	p.ReleaseClient()
 	if call != nil {
 		<-call.Finished()
 	}
@@ -47,13 +47,13 @@
 
 // first takes a connection up to its request. Nil means that it has its answer, or that none is due: it said
 // nothing in time, or had to make room for others.
-func (f *Front) first(p *connlimit.Pass, e *splice.End, in *lines) *relay.Call {
+func (f *Front) first(p *connlimit.Permit, e *splice.Half, in *lines) *relay.Request {
 	last := false // what has come is all that counts: its time is up, its place is wanted, or the relay leaves
 	for range maxPings {
 		line, err := in.next()
 		if splice.TimedOut(err) && !last {
 			last = true
-			in.feed(e.Take())
+			in.feed(e.ReadPending())
 			line, err = in.next()
 		}
 		if err != nil && !errors.Is(err, errTooLong) {
@@ -65,7 +65,7 @@
 				// front's kept connection may be this process's, while the one that follows it serves the socket
 				answer = "BUSY\r\n"
 			}
-			if e.Pass([]byte(answer)) != nil {
+			if e.Forward([]byte(answer)) != nil {
 				return nil
 			}
 			continue
@@ -78,12 +78,12 @@
 			f.refuse(e, line, err)
 			return nil
 		}
-		if !p.Ask() { // the bound on descriptors: better a no at once than an accept that fails
-			f.X.TurnedAway(ask.Class)
-			e.Pass([]byte("BUSY 500\r\n"))
+		if !p.AcquireRequest() { // the bound on descriptors: better a no at once than an accept that fails
+			f.X.RecordConnLimitRejection(ask.Class)
+			e.Forward([]byte("BUSY 500\r\n"))
 			return nil
 		}
-		e.Until(0)
+		e.SetReadUntil(0)
 		if at != "" {
 			return f.X.Resume(ask, at, e)
 		}
@@ -97,20 +97,20 @@
 var errUnasked = errors.New("lines before the answer")
 
 // refuse answers what cannot be read.
-func (f *Front) refuse(e *splice.End, line []byte, err error) {
+func (f *Front) refuse(e *splice.Half, line []byte, err error) {
 	f.Gate.Log.Warn().Err(err).Bytes("line", line[:min(len(line), 80)]).Msg("bad client; failed")
 	var r *refusal
 	if errors.As(err, &r) {
-		e.Pass([]byte("ERR resume " + r.note + "\r\n"))
+		e.Forward([]byte("ERR resume " + r.note + "\r\n"))
 		return
 	}
-	e.Pass([]byte("ERR bad request\r\n"))
+	e.Forward([]byte("ERR bad request\r\n"))
 }
 
 // ask puts a first line into the module's numbers.
-func (f *Front) ask(line []byte, err error) (relay.Ask, string, error) {
+func (f *Front) ask(line []byte, err error) (relay.OpenRequest, string, error) {
 	if err != nil {
-		return relay.Ask{}, "", err
+		return relay.OpenRequest{}, "", err
 	}
 	parse := parseOpening
 	if f.Resume != nil {
@@ -118,11 +118,11 @@
 	}
 	o, err := parse(line)
 	if err != nil {
-		return relay.Ask{}, "", err
+		return relay.OpenRequest{}, "", err
 	}
 	class, ok := f.Site.Classes[o.class]
 	if !ok {
-		return relay.Ask{}, "", fmt.Errorf("unknown class %q", o.class)
+		return relay.OpenRequest{}, "", fmt.Errorf("unknown class %q", o.class)
 	}
 	tenant, ok := f.Site.Tenants[o.tenant]
 	if !ok {
@@ -132,67 +132,67 @@
 	if longest := relay.Millis(f.Site.Settings.Classes[class].Deadline); longest > 0 && o.at == "" {
 		left = min(left, longest) // no client of the class waits for longer, whatever it says
 	}
-	ask := relay.Ask{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.hint, Left: left,
+	ask := relay.OpenRequest{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.hint, Timeout: left,
 		Returned: o.returned, Payload: o}
 	if o.resume != "" {
 		st, err := f.stream(o)
 		if err != nil {
-			return relay.Ask{}, "", err
+			return relay.OpenRequest{}, "", err
 		}
-		ask.Claim, ask.Returned = st, ask.Returned || st.Wait()
+		ask.Ownership, ask.Returned = st, ask.Returned || st.MustWait()
 	}
 	return ask, o.at, nil
 }
 
 // follow reads the client until its end. Before the call is up a wake means an answer; after that the
 // server side writes to the client, and this goroutine only passes on what the client sends.
-func (f *Front) follow(call *relay.Call, e *splice.End, in *lines) {
+func (f *Front) follow(call *relay.Request, e *splice.Half, in *lines) {
 	st := streamOf(call)
 	for {
 		line, err := in.next()
 		switch {
 		case st != nil && err == nil && got(st, line): // the relay's own line, whenever it comes
-		case len(line) > 0 && call.Spoil():
+		case len(line) > 0 && call.FailOnClientError():
 			f.refuse(e, line, errUnasked)
 			return
 		case errors.Is(err, errTooLong): // no part of it goes on, and the server is no worse for its client
 			f.Gate.Log.Warn().Err(err).Msg("bad client; moved")
-			call.Dismiss()
+			call.MigrateClient()
 			<-call.Finished()
 			return
 		case len(line) > 0:
-			remote := call.Remote()
+			remote := call.ServerConn()
 			if remote == nil {
 				f.answer(call, e)
 				return
 			}
-			call.Asked()
-			remote.Pass(line) // if that fails, the server side meets the same break and ends both
+			call.LineSent()
+			remote.Forward(line) // if that fails, the server side meets the same break and ends both
 		case splice.TimedOut(err):
-			e.Rest()
-			if state, _ := call.State(); state == relay.Ended || e.Over() { // answered, or ended by its server
+			e.ClearWake()
+			if state, _ := call.State(); state == relay.Ended || e.Closed() { // answered, or ended by its server
 				f.answer(call, e)
 				return
 			}
-			e.Until(0)
+			e.SetReadUntil(0)
 		default:
-			call.Leave(splice.Ending(err))
+			call.ClientClosed(splice.EndingOf(err))
 			return
 		}
 	}
 }
 
 // answer writes the final answer of a call that did not come up.
-func (f *Front) answer(call *relay.Call, e *splice.End) {
+func (f *Front) answer(call *relay.Request, e *splice.Half) {
 	_, a := call.State()
 	switch {
-	case a.Kind == relay.Refused && a.RetryAfter > 0:
-		e.Pass(fmt.Appendf(nil, "BUSY %d\r\n", int(math.Ceil(a.RetryAfter))))
-	case a.Kind == relay.Refused:
-		e.Pass([]byte("BUSY\r\n"))
+	case a.Kind == relay.Rejected && a.RetryAfter > 0:
+		e.Forward(fmt.Appendf(nil, "BUSY %d\r\n", int(math.Ceil(a.RetryAfter))))
+	case a.Kind == relay.Rejected:
+		e.Forward([]byte("BUSY\r\n"))
 	case a.Kind == relay.Failed && a.Note != "":
-		e.Pass([]byte("ERR resume " + a.Note + "\r\n"))
+		e.Forward([]byte("ERR resume " + a.Note + "\r\n"))
 	case a.Kind == relay.Failed:
-		e.Pass([]byte("ERR\r\n"))
+		e.Forward([]byte("ERR\r\n"))
 	}
 }
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -15,9 +15,9 @@
 )
 
 // awaitPending waits until a peer's bytes or end have come, which loopback brings in its own time.
-func awaitPending(t *testing.T, e *splice.End) {
+func awaitPending(t *testing.T, e *splice.Half) {
 	t.Helper()
-	for until := time.Now().Add(10 * time.Second); !e.Pending(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("nothing comes")
 		}
@@ -27,23 +27,23 @@
 // A request that has come when its connection is to be ended, and that nobody has read yet, is served: the bad order is made by
 // ending the connection first and reading it after. One that is not whole by then gets a clean end, not a reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
-	for name, end := range map[string]func(*connlimit.Pass){
-		"its time is up":      func(p *connlimit.Pass) { p.Until = 1 },
-		"its place is wanted": func(p *connlimit.Pass) { p.End.Hurry() },
-		"the relay leaves":    func(p *connlimit.Pass) { p.End.Wake() },
+	for name, end := range map[string]func(*connlimit.Permit){
+		"its time is up":      func(p *connlimit.Permit) { p.RequestUntil = 1 },
+		"its place is wanted": func(p *connlimit.Permit) { p.Half.CloseNow() },
+		"the relay leaves":    func(p *connlimit.Permit) { p.Half.Wake() },
 	} {
 		for line, want := range map[string]string{open + "\r\n": "UP a1", "PING\r\n": "PONG", open: "end", "": "end"} {
 			_, x, _ := serve(t, "UP")
-			site := &relay.Site{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Classes: []decide.ClassInfo{{}}}}
+			site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Classes: []decide.ClassInfo{{}}}}
 			f := &Front{X: x, Site: site, Gate: connlimit.New(x.Clock, 24, zerolog.Nop())}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.Close() })
-			go f.Gate.Serve(l, func(p *connlimit.Pass) {
+			go f.Gate.Serve(l, func(p *connlimit.Permit) {
 				if line != "" {
-					awaitPending(t, p.End)
+					awaitPending(t, p.Half)
 				}
 				end(p)
 				f.serve(p)
@@ -80,14 +80,14 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { own.Close() })
-		e := &splice.End{Conn: own, Clock: x.Clock}
+		e := &splice.Half{Conn: own, Clock: x.Clock}
 		leave(client.(*net.TCPConn))
 		awaitPending(t, e)
 		o, err := parseOpening([]byte(open))
 		if err != nil {
 			t.Fatal(err)
 		}
-		call := x.Open(relay.Ask{Name: "a1", Left: 500, Payload: o}, e)
+		call := x.Open(relay.OpenRequest{Name: "a1", Timeout: 500, Payload: o}, e)
 		<-call.Settled()
 		if n := len(servers[0].Firsts); n > 0 {
 			t.Errorf("%s: %d first lines were sent", name, n)
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -104,14 +104,14 @@
 func (noList) Fetch() {}
 
 // serve starts both sides with servers that answer as told, by the id of each.
-func serve(t *testing.T, answers ...string) (address string, x *relay.Exchange, servers []*fake.TileServer) {
+func serve(t *testing.T, answers ...string) (address string, x *relay.RequestTable, servers []*fake.TileServer) {
 	t.Helper()
 	clock := relay.NewClock()
-	site := &relay.Site{Classes: map[string]decide.Class{"m": 0}, LoadKey: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
+	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
 		MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(900), Tick: relay.Duration(5),
 		ConnectTimeout: relay.Duration(1000), Classes: []decide.ClassInfo{{Aim: relay.Duration(300), Deadline: relay.Duration(600)}}}}
-	x = relay.NewExchange(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, LoadKey: "x0", Keep: 4})
-	var list []relay.Listed
+	x = relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, LoadKey: "x0", Keep: 4})
+	var list []relay.Endpoint
 	for i, answer := range answers {
 		s, err := fake.NewTileServer("127.0.0.1:0", answer)
 		if err != nil {
@@ -119,16 +119,16 @@
 		}
 		t.Cleanup(s.Close)
 		servers = append(servers, s)
-		list = append(list, relay.Listed{ID: fmt.Sprint("s", i), Address: s.Address, Mode: decide.Ready})
+		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Address: s.Address, Mode: decide.Ready})
 	}
-	x.Members(decide.Whole, list)
+	x.UpdateEndpoints(decide.Whole, list)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
 	go (&Front{X: x, Site: site, Gate: connlimit.New(clock, 24, zerolog.Nop())}).Serve(l)
-	go relay.NewCore(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
+	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
 	return l.Addr().String(), x, servers
 }
 
@@ -212,7 +212,7 @@
 		t.Fatal(got)
 	}
 	fmt.Fprint(c, "M 2 unread when the move comes\r\n")
-	x.MoveSome(1)
+	x.MigrateSome(1)
 	got := c.next()
 	for strings.HasPrefix(got, "M ") {
 		got = c.next()
@@ -247,7 +247,7 @@
 	c := dial(t, address, open)
 	<-servers[0].Firsts
 	c.Close()
-	for i := 0; x.MoveSome(0) > 0; i++ {
+	for i := 0; x.MigrateSome(0) > 0; i++ {
 		if i > 1000 {
 			t.Fatal("the call is kept")
 		}
@@ -354,7 +354,7 @@
 		t.Errorf("the first client got %q; %d first lines", got, len(servers[0].Firsts))
 	}
 	c.Close()
-	for x.MoveSome(0) > 0 {
+	for x.MigrateSome(0) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if got := dial(t, address, open).next(); got != "UP a1" {
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -15,8 +15,8 @@
 // meet a nil once and nothing more.
 
 // streamOf is the call's stream, nil if its client did not ask for one.
-func streamOf(c *relay.Call) *resume.Stream {
-	st, _ := c.Claim.(*resume.Stream)
+func streamOf(c *relay.Request) *resume.Stream {
+	st, _ := c.Ownership.(*resume.Stream)
 	return st
 }
 
@@ -38,12 +38,12 @@
 var unwilling = map[string]string{"STALE": resume.NoteBehind, "AHEAD": resume.NoteAhead}
 
 // tell is what a server that takes streams up is told beyond the client's line.
-func tell(c *relay.Call, a relay.Attempt) (more string, told bool) {
+func tell(c *relay.Request, a relay.Attempt) (more string, told bool) {
 	st := streamOf(c)
 	if st == nil {
 		return "", false
 	}
-	told = a.Server.Resumes || st.EveryServer()
+	told = a.Server.SupportsResume || st.EveryServer()
 	lease := st.Attempt(told)
 	if !told {
 		return "", false
@@ -57,17 +57,17 @@
 
 // keep tells the server how long it may serve on, if that is due. It comes before a stream's first token: from
 // then on another relay may be shown one.
-func keep(e *splice.End, st *resume.Stream) {
+func keep(e *splice.Half, st *resume.Stream) {
 	if st == nil {
 		return
 	}
 	if ms := st.Lease(); ms > 0 {
-		e.Pass(fmt.Appendf(nil, "KEEP %d\r\n", int(ms))) // if that fails, the reader meets the same break
+		e.Forward(fmt.Appendf(nil, "KEEP %d\r\n", int(ms))) // if that fails, the reader meets the same break
 	}
 }
 
 // begin is the server's UP, with what the client is to know beyond it: a gap, and its token.
-func begin(e *splice.End, st *resume.Stream, a relay.Attempt, up []byte) []byte {
+func begin(e *splice.Half, st *resume.Stream, a relay.Attempt, up []byte) []byte {
 	out := append([]byte(nil), up...)
 	first, stated := uint64(0), false
 	for _, field := range strings.Fields(string(up)) {
@@ -140,9 +140,9 @@
 }
 
 // part ends a stream at its server, and only then lets it be another relay's.
-func part(e *splice.End, st *resume.Stream) {
+func part(e *splice.Half, st *resume.Stream) {
 	if st != nil {
-		e.Close(relay.Clean)
+		e.Close(relay.GracefulClose)
 		e.Conn.Close()
 		st.ReleaseNow()
 	}
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -96,17 +96,17 @@
 	b.Cleanup(zk.Close)
 	ring, _ := token.NewRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
 	clock := relay.NewClock()
-	site := &relay.Site{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2,
+	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2,
 		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{Aim: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewExchange(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, Keep: 4})
-	x.Members(decide.Whole, []relay.Listed{{ID: "s", Address: flood(b), Mode: decide.Ready, Resumes: true}})
+	x := relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, Keep: 4})
+	x.UpdateEndpoints(decide.Whole, []relay.Endpoint{{ID: "s", Address: flood(b), Mode: decide.Ready, SupportsResume: true}})
 	service := resume.New(resume.Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a", Session: 8000, ClaimWithin: 500,
 		TokenLife: 60_000, Renew: 5000}, ring, clock, zerolog.Nop())
 	go service.Run(b.Context())
-	for service.Until() < clock.Now() {
+	for service.Until() < clock.NowMillis() {
 		time.Sleep(time.Millisecond)
 	}
-	go relay.NewCore(x, 7, noList{}, zerolog.Nop()).Run(b.Context())
+	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(b.Context())
 	kinds := []struct {
 		name, more string
 		on         bool
--- a/internal/wire/platform/server.go
+++ b/internal/wire/platform/server.go
@@ -34,57 +34,57 @@
 	kept    atomic.Int64 // connections kept for probes
 }
 
-// Try makes one attempt in a goroutine of its own.
-func (s *Servers) Try(c *relay.Call, a relay.Attempt) { go s.try(c, a) }
+// StartAttempt makes one attempt in a goroutine of its own.
+func (s *Servers) StartAttempt(c *relay.Request, a relay.Attempt) { go s.try(c, a) }
 
-func (s *Servers) try(c *relay.Call, a relay.Attempt) {
+func (s *Servers) try(c *relay.Request, a relay.Attempt) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	e := &splice.End{Clock: s.Clock, Stop: stop}
-	if !c.Attach(a.No, e) {
-		c.Over(a.No, decide.Moot, decide.NoReport)
+	e := &splice.Half{Clock: s.Clock, Stop: stop}
+	if !c.Attach(a.Number, e) {
+		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
 		return
 	}
-	within := a.Until - s.Clock.Now()
+	within := a.Deadline - s.Clock.NowMillis()
 	if s.ConnectTimeout > 0 {
 		within = min(within, s.ConnectTimeout)
 	}
 	conn, err := splice.Dial(ctx, a.Server.Address, within)
 	if err != nil {
-		c.Over(a.No, splice.Undialled(err), decide.NoReport)
+		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoReport)
 		return
 	}
 	defer conn.Close()
-	if !e.Attach(conn) || !c.Begin(a.No) {
+	if !e.Attach(conn) || !c.BeginWrite(a.Number) {
 		conn.Close() // the server is to see the end before the module hears of it and may send elsewhere
-		c.Over(a.No, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
 		return
 	}
 	status, load := s.converse(c, a, e)
 	// Before the outcome is told: a timed-out attempt that still stands while the next one is sent is a
 	// second copy.
-	e.Close(relay.Clean)
+	e.Close(relay.GracefulClose)
 	conn.Close()
-	c.Over(a.No, status, load)
+	c.EndAttempt(a.Number, status, load)
 }
 
 // converse sends the first line and follows the connection to its end, for PROTOCOL's table.
-func (s *Servers) converse(c *relay.Call, a relay.Attempt, e *splice.End) (decide.Status, decide.Report) {
+func (s *Servers) converse(c *relay.Request, a relay.Attempt, e *splice.Half) (decide.Status, decide.Report) {
 	more, told := tell(c, a)
-	if e.Pass(c.Payload.(*opening).line(a.Until-s.Clock.Now(), more)) != nil {
+	if e.Forward(c.Payload.(*opening).line(a.Deadline-s.Clock.NowMillis(), more)) != nil {
 		return decide.ConnectFailed, decide.NoReport
 	}
-	c.Wrote(a.No)
+	c.FirstLineWritten(a.Number)
 	in := newLines(e.Conn)
 	for {
-		e.Until(a.Until)
+		e.SetReadUntil(a.Deadline)
 		line, err := in.next()
 		if splice.TimedOut(err) {
-			e.Rest() // before the looks below: a wake that comes after them must not be lost
-			if e.Over() {
+			e.ClearWake() // before the looks below: a wake that comes after them must not be lost
+			if e.Closed() {
 				return decide.Cancelled, decide.NoReport
 			}
-			if s.Clock.Now() < a.Until { // its server has begun to drain: what was sent in time goes on
+			if s.Clock.NowMillis() < a.Deadline { // its server has begun to drain: what was sent in time goes on
 				continue
 			}
 			return decide.TimedOut, decide.NoReport
@@ -99,7 +99,7 @@
 			if !told {
 				return decide.Errored, decide.NoReport
 			}
-			c.Reject(a.No, unwilling[first])
+			c.FailByServer(a.Number, unwilling[first])
 			return decide.Cancelled, decide.NoReport
 		case "BUSY":
 			return decide.Full, report(rest, s.LoadKey)
@@ -115,8 +115,8 @@
 
 // carry passes lines from the server to the client until one side ends, or the client is to be moved.
 // It alone writes to a client whose call is up, so MOVE always stands between two lines.
-func (s *Servers) carry(c *relay.Call, a relay.Attempt, e *splice.End, in *lines, line []byte) (decide.Status, decide.Report) {
-	client := c.Up(a.No)
+func (s *Servers) carry(c *relay.Request, a relay.Attempt, e *splice.Half, in *lines, line []byte) (decide.Status, decide.Report) {
+	client := c.Establish(a.Number)
 	if client == nil {
 		return decide.Cancelled, decide.NoReport
 	}
@@ -128,20 +128,20 @@
 	for {
 		if !looked {
 			keep(e, st)
-			e.Until(nextLook(st))
+			e.SetReadUntil(nextLook(st))
 			looked = true
 		}
 		if st != nil && !st.Trusted() {
 			return s.depart(c, e, client, st, within, load)
 		}
-		if err := client.Pass(line); err != nil {
+		if err := client.Forward(line); err != nil {
 			part(e, st)
-			client.Close(relay.Broken) // a client that takes nothing for a second has left
+			client.Close(relay.AbortiveClose) // a client that takes nothing for a second has left
 			return decide.Cancelled, load
 		}
 		if st != nil && !within && passed(st, line) != nil {
 			keep(e, st)
-			client.Pass(tokenLine(st))
+			client.Forward(tokenLine(st))
 			looked = false
 		}
 		var err error
@@ -156,11 +156,11 @@
 			continue
 		}
 		if splice.TimedOut(err) {
-			e.Rest()
-			if e.Over() { // the client has left, and the server took its time to end too
+			e.ClearWake()
+			if e.Closed() { // the client has left, and the server took its time to end too
 				return decide.Cancelled, load
 			}
-			if moving, _ := c.Moving(); moving {
+			if moving, _ := c.Migrating(); moving {
 				return s.depart(c, e, client, st, within, load)
 			}
 			line, looked = nil, false
@@ -169,44 +169,44 @@
 		if st != nil && !st.Trusted() { // its server's lease has ended before we looked
 			return s.depart(c, e, client, st, within, load)
 		}
-		c.Broken()
+		c.ServerClosed()
 		part(e, st)
-		client.Close(splice.Ending(err))
+		client.Close(splice.EndingOf(err))
 		return status, load
 	}
 }
 
 // depart sends the client away. A stream that may go on elsewhere is ended at its server and given back first:
 // the client may be at the next relay within a millisecond.
-func (s *Servers) depart(c *relay.Call, e *splice.End, client relay.Client, st *resume.Stream, within bool,
+func (s *Servers) depart(c *relay.Request, e *splice.Half, client relay.ClientConn, st *resume.Stream, within bool,
 	load decide.Report) (decide.Status, decide.Report) {
 	part(e, st)
 	status := decide.Cancelled
-	if _, silent := c.Moving(); silent {
+	if _, silent := c.Migrating(); silent {
 		status = decide.Reset
 	}
 	if within {
-		client.Close(relay.Broken)
+		client.Close(relay.AbortiveClose)
 		return decide.Cancelled, load
 	}
-	client.Pass(append(tokenLine(st), "MOVE\r\n"...))
-	client.Close(relay.Clean)
+	client.Forward(append(tokenLine(st), "MOVE\r\n"...))
+	client.Close(relay.GracefulClose)
 	return status, load
 }
 
 // heard looks at a line on its way to the client. It returns what the connection's end would mean now.
-func (s *Servers) heard(c *relay.Call, line []byte) (decide.Status, decide.Report) {
+func (s *Servers) heard(c *relay.Request, line []byte) (decide.Status, decide.Report) {
 	switch first, rest := word(line); first {
 	case "LOAD":
 		if x, err := strconv.ParseFloat(rest, 64); err == nil && x >= 0 {
-			c.Load(x)
+			c.ReportLoad(x)
 		}
 	case "BYE":
 		return decide.OK, report(rest, s.LoadKey)
 	case "MOVE":
 		return decide.Cancelled, decide.NoReport
 	default:
-		c.Heard()
+		c.LineReceived()
 	}
 	return decide.Reset, decide.NoReport
 }
@@ -252,7 +252,7 @@
 		if k.address != p.address {
 			s.drop(&k)
 		}
-		until := s.Clock.Now() + probeWithin
+		until := s.Clock.NowMillis() + probeWithin
 		old := k.conn != nil
 		status, load, err := s.ask(&k, p.address, until)
 		if err != nil && old && !splice.TimedOut(err) { // it was closed while idle: that says nothing of the server
@@ -284,14 +284,14 @@
 // ask puts one question. After any error the connection is dropped.
 func (s *Servers) ask(k *kept, address string, until float64) (decide.Status, decide.Report, error) {
 	if k.conn == nil {
-		conn, err := splice.Dial(context.Background(), address, until-s.Clock.Now())
+		conn, err := splice.Dial(context.Background(), address, until-s.Clock.NowMillis())
 		if err != nil {
-			return splice.Unprobed(err), decide.NoReport, err
+			return splice.ProbeStatus(err), decide.NoReport, err
 		}
 		*k = kept{conn, newLines(conn), address}
 		s.kept.Add(1)
 	}
-	k.conn.SetDeadline(s.Clock.Wall(until))
+	k.conn.SetDeadline(s.Clock.WallDeadline(until))
 	_, err := k.conn.Write([]byte("STATS\r\n"))
 	var line []byte
 	if err == nil {
--- a/internal/wire/simulator/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -10,17 +10,17 @@
 	"capersail/internal/relay"
 )
 
-// newNode starts an instance from its settings.
-func newNode(who int, seed uint64, p *fastjson.Value) *node {
+// newInstance starts an instance from its settings.
+func newInstance(who int, seed uint64, p *fastjson.Value) *instance {
 	site := DecodeSettings(p)
-	return &node{who: who, classes: site.Classes, tenants: site.Tenants, zones: site.Zones, loadKey: site.LoadKey,
-		jobs: map[string]*job{}, byID: map[decide.RequestID]*job{}, balance: decide.New(site.Settings, seed)}
+	return &instance{number: who, classes: site.Classes, tenants: site.Tenants, zones: site.Zones, loadKey: site.LoadField,
+		requests: map[string]*trackedRequest{}, byID: map[decide.RequestID]*trackedRequest{}, balancer: decide.New(site.Settings, seed)}
 }
 
 // DecodeSettings reads the settings object, which the simulator's first message and a real relay's
 // configuration share. Keys that are absent count as 0, unknown ones are skipped.
-func DecodeSettings(p *fastjson.Value) *relay.Site {
-	n := &relay.Site{Classes: map[string]decide.Class{}, Tenants: map[string]decide.Tenant{},
+func DecodeSettings(p *fastjson.Value) *relay.Deployment {
+	n := &relay.Deployment{Classes: map[string]decide.Class{}, Tenants: map[string]decide.Tenant{},
 		Zones: map[string]decide.Zone{}}
 	set := decide.Settings{
 		Me:             p.GetInt("me"),
@@ -29,18 +29,18 @@
 		MaxAttempts:    p.GetInt("limits", "mostTries"),
 		Probes:         p.GetBool("limits", "probes"),
 		RetryAfter:     p.GetBool("limits", "retryAfter"),
-		MaxRetryAfter:  span(p, "limits", "maxRetryAfterMs"),
-		ConnectTimeout: span(p, "limits", "connectTimeoutMs"),
-		Tick:           span(p, "quantumMs"),
+		MaxRetryAfter:  durationAt(p, "limits", "maxRetryAfterMs"),
+		ConnectTimeout: durationAt(p, "limits", "connectTimeoutMs"),
+		Tick:           durationAt(p, "quantumMs"),
 		Groups:         p.GetBool("specifics", "groups"),
 		TellsDelay:     p.GetBool("specifics", "tellsDelay"),
 		Ask:            string(p.GetStringBytes("discovery")) == "ask",
 		Rules: decide.Rules{
-			AskWithin:     span(p, "rules", "askWithinMs"),
+			AskWithin:     durationAt(p, "rules", "askWithinMs"),
 			StartCapacity: p.GetFloat64("rules", "startCapacity"),
-			Cold:          span(p, "rules", "coldMs"),
+			Cold:          durationAt(p, "rules", "coldMs"),
 			FallMultiple:  p.GetFloat64("rules", "fallMultiple"),
-			FallFor:       span(p, "rules", "overloadForMs"),
+			FallFor:       durationAt(p, "rules", "overloadForMs"),
 		},
 		Prices: decide.Prices{
 			CrossZone: p.GetFloat64("prices", "crossZone"),
@@ -56,9 +56,9 @@
 	messages := p.GetArray("specifics", "messageAimMs")
 	for i, c := range p.GetArray("classes") {
 		info := decide.ClassInfo{
-			Aim:      span(c, "aimMs"),
-			Deadline: span(c, "deadlineMs"),
-			Window:   span(c, "windowMs"),
+			Aim:      durationAt(c, "aimMs"),
+			Deadline: durationAt(c, "deadlineMs"),
+			Window:   durationAt(c, "windowMs"),
 			Worth:    c.GetFloat64("worth"),
 		}
 		switch string(c.GetStringBytes("semantics")) {
@@ -95,13 +95,13 @@
 		"x1": string(p.GetStringBytes("specifics", "reportX1")),
 	} {
 		if strings.HasPrefix(meaning, "load") {
-			n.LoadKey = key
+			n.LoadField = key
 		}
 	}
 	n.Settings = set
 	return n
 }
 
-func span(p *fastjson.Value, keys ...string) time.Duration {
+func durationAt(p *fastjson.Value, keys ...string) time.Duration {
 	return relay.Duration(p.GetFloat64(keys...))
 }
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -18,17 +18,17 @@
 // wires are three servers: one takes what comes, one loses it, one says nothing. Probes are answered with no report.
 type wires struct {
 	clock *relay.Clock
-	out   map[*relay.Call]relay.Attempt
+	out   map[*relay.Request]relay.Attempt
 }
 
 type deaf struct{}
 
-func (deaf) Pass([]byte) error  { return nil }
-func (deaf) Close(relay.Ending) {}
-func (deaf) Wake()              {}
-func (deaf) Pending() bool      { return false }
+func (deaf) Forward([]byte) error  { return nil }
+func (deaf) Close(relay.CloseKind) {}
+func (deaf) Wake()                 {}
+func (deaf) HasUnread() bool       { return false }
 
-func (w *wires) Try(c *relay.Call, a relay.Attempt) { w.out[c] = a }
+func (w *wires) StartAttempt(c *relay.Request, a relay.Attempt) { w.out[c] = a }
 func (w *wires) Probe(s relay.Server, done func(decide.Status, decide.Report)) {
 	if s.ID != "c" {
 		go done(decide.OK, decide.NoReport)
@@ -43,16 +43,16 @@
 func (w *wires) turn() {
 	for c, a := range w.out {
 		switch {
-		case a.Server.ID == "c" && w.clock.Now() < a.Until:
-		case !c.Attach(a.No, deaf{}) || !c.Begin(a.No):
+		case a.Server.ID == "c" && w.clock.NowMillis() < a.Deadline:
+		case !c.Attach(a.Number, deaf{}) || !c.BeginWrite(a.Number):
 			delete(w.out, c)
-			c.Over(a.No, decide.Moot, decide.NoReport)
+			c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
 		case a.Server.ID == "a":
 			delete(w.out, c)
-			c.Up(a.No)
+			c.Establish(a.Number)
 		default:
 			delete(w.out, c)
-			c.Over(a.No, map[string]decide.Status{"b": decide.Reset, "c": decide.TimedOut}[a.Server.ID], decide.NoReport)
+			c.EndAttempt(a.Number, map[string]decide.Status{"b": decide.Reset, "c": decide.TimedOut}[a.Server.ID], decide.NoReport)
 		}
 	}
 }
@@ -109,33 +109,33 @@
 			t.Fatal(err)
 		}
 		site := DecodeSettings(v)
-		clock := relay.NewSetClock()
-		w := &wires{clock, map[*relay.Call]relay.Attempt{}}
-		x := relay.NewExchange(site, clock, w)
+		clock := relay.NewManualClock()
+		w := &wires{clock, map[*relay.Request]relay.Attempt{}}
+		x := relay.NewRequestTable(site, clock, w)
 		var log strings.Builder
-		core := relay.NewCore(x, 3, w, zerolog.New(&log))
-		var list []relay.Listed
+		core := relay.NewEventLoop(x, 3, w, zerolog.New(&log))
+		var list []relay.Endpoint
 		for _, id := range []string{"a", "b", "c"} {
-			list = append(list, relay.Listed{ID: id, Address: "127.0.0.1:1", Zone: "hall-a", Mode: decide.Ready, Started: clock.Unix(clock.Now() - 500)})
+			list = append(list, relay.Endpoint{ID: id, Address: "127.0.0.1:1", Zone: "hall-a", Mode: decide.Ready, StartedAt: clock.Unix(clock.NowMillis() - 500)})
 		}
-		x.Members(decide.Cached, list)
-		calls := map[*relay.Call]float64{}
+		x.UpdateEndpoints(decide.Cached, list)
+		calls := map[*relay.Request]float64{}
 		for i := range 24 {
 			if len(site.Settings.Classes) == 0 {
 				return // refused at start (TestBadConfiguration)
 			}
 			left := []float64{0.5, 20, 90, 500}[i%4]
-			ask := relay.Ask{Class: decide.Class(i % len(site.Settings.Classes)), Tenant: decide.Tenant(i%3 - 1), Group: uint64(i % 3), Left: left, Returned: i%5 == 0}
-			calls[x.Open(ask, deaf{})] = clock.Now() + left
+			ask := relay.OpenRequest{Class: decide.Class(i % len(site.Settings.Classes)), Tenant: decide.Tenant(i%3 - 1), Group: uint64(i % 3), Timeout: left, Returned: i%5 == 0}
+			calls[x.Open(ask, deaf{})] = clock.NowMillis() + left
 		}
 		for steps := 0; len(calls) > 0; steps++ {
 			next := core.Step()
 			w.turn()
 			for c, deadline := range calls {
-				if state, _ := c.State(); state == relay.Up || state == relay.Ended {
+				if state, _ := c.State(); state == relay.Established || state == relay.Ended {
 					delete(calls, c)
-				} else if clock.Now() > deadline+50 {
-					t.Errorf("%s: no answer %.0f ms after the deadline", what, clock.Now()-deadline)
+				} else if clock.NowMillis() > deadline+50 {
+					t.Errorf("%s: no answer %.0f ms after the deadline", what, clock.NowMillis()-deadline)
 					return
 				}
 			}
@@ -143,7 +143,7 @@
 				t.Errorf("%s: the loop does not come to rest: next in %v ms", what, next)
 				return
 			}
-			clock.Set(clock.Now() + max(min(next, 5), 0.05))
+			clock.Set(clock.NowMillis() + max(min(next, 5), 0.05))
 		}
 		if text := log.String(); strings.Contains(text, "panic") {
 			t.Errorf("%s: %.300s", what, text)
--- a/internal/wire/simulator/wire.go
+++ b/internal/wire/simulator/wire.go
@@ -17,49 +17,49 @@
 
 // Hub hosts many instances of the module. They share the spelling of backend names and nothing else.
 type Hub struct {
-	parser   fastjson.Parser
-	backends map[string]int // every backend's name, numbered in the order of first mention in this process
-	names    []string
-	spots    []uint64      // hashes of the names
-	nodes    map[int]*node // nil for an instance that was stopped
-	acts     []decide.Action
-	entries  []decide.Entry
-	out      []byte
-	first    bool
+	parser      fastjson.Parser
+	servers     map[string]int // every backend's name, numbered in the order of first mention in this process
+	serverNames []string
+	serverKeys  []uint64          // hashes of the names
+	instances   map[int]*instance // nil for an instance that was stopped
+	actions     []decide.Action
+	endpoints   []decide.Entry
+	reply       []byte
+	firstAction bool
 }
 
-// node is one instance with its own numbering of everything, so that its decisions do not depend on
+// instance is one instance with its own numbering of everything, so that its decisions do not depend on
 // which other instances this process hosts.
-type node struct {
-	who     int
-	balance *decide.Balancer
-	classes map[string]decide.Class
-	tenants map[string]decide.Tenant
-	zones   map[string]decide.Zone
-	loadKey string
-	local   []decide.Backend // by the hub's number, -1 if not met
-	global  []int            // the hub's number, by local number
-	jobs    map[string]*job
-	byID    map[decide.RequestID]*job
-	lastID  decide.RequestID
+type instance struct {
+	number   int
+	balancer *decide.Balancer
+	classes  map[string]decide.Class
+	tenants  map[string]decide.Tenant
+	zones    map[string]decide.Zone
+	loadKey  string
+	local    []decide.Backend // by the hub's number, -1 if not met
+	global   []int            // the hub's number, by local number
+	requests map[string]*trackedRequest
+	byID     map[decide.RequestID]*trackedRequest
+	lastID   decide.RequestID
 }
 
-// job is a request that either side may still name.
-type job struct {
-	id   decide.RequestID
-	name string
-	out  int // attempts whose end has not been told
-	over bool
+// trackedRequest is a request that either side may still name.
+type trackedRequest struct {
+	id           decide.RequestID
+	name         string
+	openAttempts int // attempts whose end has not been told
+	finished     bool
 }
 
 // NewHub returns a Hub without instances.
 func NewHub() *Hub {
-	return &Hub{backends: map[string]int{}, nodes: map[int]*node{}}
+	return &Hub{servers: map[string]int{}, instances: map[int]*instance{}}
 }
 
-// Batch takes one line and returns the reply, newline included; it is valid until the next call. An
+// HandleBatch takes one line and returns the reply, newline included; it is valid until the next call. An
 // error means that the line is not of the dialect.
-func (h *Hub) Batch(line []byte) (reply []byte, err error) {
+func (h *Hub) HandleBatch(line []byte) (reply []byte, err error) {
 	top, err := h.parser.ParseBytes(line)
 	if err != nil {
 		return nil, fmt.Errorf("not JSON: %w", err)
@@ -79,88 +79,88 @@
 	if err != nil {
 		return nil, fmt.Errorf("arrivals: %w", err)
 	}
-	h.out = append(h.out[:0], `{"actions":[`...)
-	h.first = true
+	h.reply = append(h.reply[:0], `{"actions":[`...)
+	h.firstAction = true
 	for i, ev := range arrivals {
-		if err := h.event(relay.Duration(clock), ev); err != nil {
+		if err := h.handleEvent(relay.Duration(clock), ev); err != nil {
 			return nil, fmt.Errorf("arrival %d: %w", i, err)
 		}
 	}
-	h.out = append(h.out, "]}\n"...)
-	return h.out, nil
+	h.reply = append(h.reply, "]}\n"...)
+	return h.reply, nil
 }
 
-// fields reads an event's values by position and remembers the first that is not what it should be.
-type fields struct {
-	vals []*fastjson.Value
-	err  error
+// eventValues reads an event's values by position and remembers the first that is not what it should be.
+type eventValues struct {
+	values []*fastjson.Value
+	err    error
 }
 
-func (f *fields) get(i int) *fastjson.Value {
-	if i >= len(f.vals) || f.vals[i].Type() == fastjson.TypeNull {
+func (f *eventValues) at(i int) *fastjson.Value {
+	if i >= len(f.values) || f.values[i].Type() == fastjson.TypeNull {
 		return nil
 	}
-	return f.vals[i]
+	return f.values[i]
 }
 
-func (f *fields) bad(i int, err error) {
+func (f *eventValues) fail(i int, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("value %d: %w", i, err)
 	}
 }
 
-func (f *fields) num(i int) float64 {
-	v := f.get(i)
+func (f *eventValues) float(i int) float64 {
+	v := f.at(i)
 	if v == nil {
 		return 0
 	}
 	x, err := number(v)
 	if err != nil {
-		f.bad(i, err)
+		f.fail(i, err)
 	}
 	return x
 }
 
-func (f *fields) whole(i int) uint64 {
-	v := f.get(i)
+func (f *eventValues) unsigned(i int) uint64 {
+	v := f.at(i)
 	if v == nil {
 		return 0
 	}
 	x, err := v.Uint64()
 	if err != nil {
-		f.bad(i, err)
+		f.fail(i, err)
 	}
 	return x
 }
 
-func (f *fields) text(i int) []byte {
-	v := f.get(i)
+func (f *eventValues) text(i int) []byte {
+	v := f.at(i)
 	if v == nil || v.Type() == fastjson.TypeNumber { // an absent tenant may be 0
 		return nil
 	}
 	s, err := v.StringBytes()
 	if err != nil {
-		f.bad(i, err)
+		f.fail(i, err)
 	}
 	return s
 }
 
-func (f *fields) flag(i int) bool {
-	v := f.get(i)
+func (f *eventValues) boolean(i int) bool {
+	v := f.at(i)
 	if v == nil {
 		return false
 	}
 	x, err := v.Bool()
 	if err != nil {
-		f.bad(i, err)
+		f.fail(i, err)
 	}
 	return x
 }
 
-func (f *fields) must(i int) []byte {
+func (f *eventValues) requiredText(i int) []byte {
 	s := f.text(i)
 	if len(s) == 0 {
-		f.bad(i, fmt.Errorf("a name is missing"))
+		f.fail(i, fmt.Errorf("a name is missing"))
 	}
 	return s
 }
@@ -176,7 +176,7 @@
 	return x, err
 }
 
-func (h *Hub) event(now time.Duration, ev *fastjson.Value) error {
+func (h *Hub) handleEvent(now time.Duration, ev *fastjson.Value) error {
 	vals, err := ev.Array()
 	if err != nil || len(vals) < 2 {
 		return fmt.Errorf("an event must be an array of a name and an instance")
@@ -189,27 +189,27 @@
 	if err != nil {
 		return fmt.Errorf("%s: instance: %w", kind, err)
 	}
-	f := &fields{vals: vals}
-	n, born := h.nodes[who]
+	f := &eventValues{values: vals}
+	n, born := h.instances[who]
 	switch {
 	case string(kind) == "powerOn":
-		profile := f.get(3)
+		profile := f.at(3)
 		if profile == nil || profile.Type() != fastjson.TypeObject {
 			return fmt.Errorf("powerOn: profileData must be an object")
 		}
-		seed := f.whole(2)
+		seed := f.unsigned(2)
 		if f.err != nil {
 			return fmt.Errorf("powerOn: %w", f.err)
 		}
-		h.nodes[who] = newNode(who, seed, profile)
+		h.instances[who] = newInstance(who, seed, profile)
 		return nil
 	case !born:
 		return fmt.Errorf("%s: instance %d was never started", kind, who)
 	case string(kind) == "crashNow":
-		h.nodes[who] = nil
+		h.instances[who] = nil
 		return nil
 	}
-	event, err := h.decode(n, string(kind), f)
+	event, err := h.decodeEvent(n, string(kind), f)
 	if err == nil {
 		err = f.err
 	}
@@ -223,91 +223,91 @@
 }
 
 // handle lets the module act. A panic there is told to the bench, which ends the day with its text.
-func (h *Hub) handle(n *node, now time.Duration, ev decide.Event) {
+func (h *Hub) handle(n *instance, now time.Duration, ev decide.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.open("broken", n.who)
-			h.str(fmt.Sprint(p))
-			h.out = append(h.out, ']')
+			h.beginAction("broken", n.number)
+			h.writeString(fmt.Sprint(p))
+			h.reply = append(h.reply, ']')
 		}
 	}()
-	h.acts = n.balance.Handle(now, ev, h.acts[:0])
-	for _, a := range h.acts {
-		h.encode(n, a)
+	h.actions = n.balancer.Handle(now, ev, h.actions[:0])
+	for _, a := range h.actions {
+		h.writeAction(n, a)
 	}
 	switch e := ev.(type) {
 	case decide.Outcome:
-		n.settle(e.ID)
+		n.forgetFinished(e.ID)
 	case decide.Gone:
-		n.settle(e.ID)
+		n.forgetFinished(e.ID)
 	}
 }
 
-// decode builds the module's event; nil stands for one that concerns nothing the instance still knows.
-func (h *Hub) decode(n *node, kind string, f *fields) (decide.Event, error) {
+// decodeEvent builds the module's event; nil stands for one that concerns nothing the instance still knows.
+func (h *Hub) decodeEvent(n *instance, kind string, f *eventValues) (decide.Event, error) {
 	if n == nil { // stopped: whatever is still under way for it is void
-		n = &node{jobs: map[string]*job{}}
+		n = &instance{requests: map[string]*trackedRequest{}}
 	}
 	switch kind {
 	case "registry":
-		return h.members(n, f)
+		return h.decodeList(n, f)
 	case "newRequest":
-		r, err := h.request(n, f, 0)
+		r, err := h.decodeRequest(n, f, 0)
 		if err != nil || r == nil {
 			return nil, err
 		}
 		return *r, nil
 	case "inherited":
-		r, err := h.request(n, f, 1)
+		r, err := h.decodeRequest(n, f, 1)
 		if err != nil || r == nil {
 			return nil, err
 		}
-		return decide.Inherited{Request: *r, Backend: h.backend(n, f.must(10))}, nil
+		return decide.Inherited{Request: *r, Backend: h.serverID(n, f.requiredText(10))}, nil
 	case "alarm":
-		return decide.Alarm{Token: f.whole(2)}, nil
+		return decide.Alarm{Token: f.unsigned(2)}, nil
 	case "echo":
-		status, err := verdict(f.whole(4))
-		return decide.Probed{Took: relay.Duration(f.num(2)), Backend: h.backend(n, f.must(3)), Status: status,
-			Report: n.report(f.get(5))}, err
+		status, err := decodeStatus(f.unsigned(4))
+		return decide.Probed{Took: relay.Duration(f.float(2)), Backend: h.serverID(n, f.requiredText(3)), Status: status,
+			Report: n.decodeReport(f.at(5))}, err
 	case "fromPeer":
 		data, err := base64.StdEncoding.DecodeString(string(f.text(3)))
-		return decide.Peer{From: int(f.whole(2)), Data: data}, err
+		return decide.Peer{From: int(f.unsigned(2)), Data: data}, err
 	}
 	var name []byte
 	switch kind {
 	case "flowing", "interim", "closedAttempt", "dropped":
-		name = f.must(2)
+		name = f.requiredText(2)
 	default:
 		return nil, fmt.Errorf("unknown event")
 	}
-	j := n.jobs[string(name)]
+	j := n.requests[string(name)]
 	if j == nil {
-		j = &job{}
+		j = &trackedRequest{}
 	}
 	var ev decide.Event
 	switch kind {
 	case "flowing":
-		ev = decide.Opened{ID: j.id, Attempt: int(f.whole(3)), Backend: h.backend(n, f.must(4)), Took: relay.Duration(f.num(5))}
+		ev = decide.Opened{ID: j.id, Attempt: int(f.unsigned(3)), Backend: h.serverID(n, f.requiredText(4)), Took: relay.Duration(f.float(5))}
 	case "interim":
-		backend, amount := h.backend(n, f.must(3)), f.num(5)
-		switch f.whole(6) {
+		backend, amount := h.serverID(n, f.requiredText(3)), f.float(5)
+		switch f.unsigned(6) {
 		case 1:
 			ev = decide.LoadNote{ID: j.id, Backend: backend, Load: amount / 1e6}
 		case 2:
 			ev = decide.DelayNote{ID: j.id, Backend: backend, Delay: relay.Duration(amount)}
 		}
 	case "closedAttempt":
-		status, err := verdict(f.whole(4))
+		status, err := decodeStatus(f.unsigned(4))
 		if err != nil {
 			return nil, err
 		}
-		o := decide.Outcome{ID: j.id, Attempt: int(f.whole(3)), Status: status, Backend: h.backend(n, f.must(5)),
-			Took: relay.Duration(f.num(6)), Closed: f.flag(7), Report: n.report(f.get(8))}
-		j.out--
-		j.over = j.over || o.Closed
+		o := decide.Outcome{ID: j.id, Attempt: int(f.unsigned(3)), Status: status, Backend: h.serverID(n, f.requiredText(5)),
+			Took: relay.Duration(f.float(6)), Closed: f.boolean(7), Report: n.decodeReport(f.at(8))}
+		j.openAttempts--
+		j.finished = j.finished || o.Closed
 		ev = o
 	case "dropped":
-		j.over = true
+		j.finished = true
 		ev = decide.Gone{ID: j.id}
 	}
 	if j.id == 0 {
@@ -316,34 +316,34 @@
 	return ev, nil
 }
 
-func (h *Hub) request(n *node, f *fields, out int) (*decide.Request, error) {
-	name := string(f.must(2))
+func (h *Hub) decodeRequest(n *instance, f *eventValues, out int) (*decide.Request, error) {
+	name := string(f.requiredText(2))
 	class, ok := n.classes[string(f.text(3))]
-	if !ok && n.balance != nil {
+	if !ok && n.balancer != nil {
 		return nil, fmt.Errorf("unknown class %q", f.text(3))
 	}
-	r := decide.Request{Class: class, Tenant: decide.NoTenant, Key: f.whole(5), Left: relay.Duration(f.num(6)), Group: f.whole(8)}
+	r := decide.Request{Class: class, Tenant: decide.NoTenant, Key: f.unsigned(5), Left: relay.Duration(f.float(6)), Group: f.unsigned(8)}
 	if t, ok := n.tenants[string(f.text(4))]; ok {
 		r.Tenant = t
 	}
-	attrs := f.whole(9)
+	attrs := f.unsigned(9)
 	if attrs&1 != 0 {
-		r.Hint = f.num(7)
+		r.Hint = f.float(7)
 	}
 	r.Returned, r.Flow = attrs&(2|16) != 0, attrs&8 != 0
-	if f.err != nil || n.balance == nil {
+	if f.err != nil || n.balancer == nil {
 		return nil, f.err
 	}
 	n.lastID++
 	r.ID = n.lastID
-	j := &job{id: r.ID, name: name, out: out}
-	n.jobs[name], n.byID[r.ID] = j, j
+	j := &trackedRequest{id: r.ID, name: name, openAttempts: out}
+	n.requests[name], n.byID[r.ID] = j, j
 	return &r, nil
 }
 
-func (h *Hub) members(n *node, f *fields) (decide.Event, error) {
+func (h *Hub) decodeList(n *instance, f *eventValues) (decide.Event, error) {
 	var m decide.Members
-	switch form := f.whole(2); form {
+	switch form := f.unsigned(2); form {
 	case 4:
 		m.Kind = decide.Delta
 	case 0:
@@ -355,8 +355,8 @@
 	default:
 		return nil, fmt.Errorf("unknown form %d", form)
 	}
-	h.entries = h.entries[:0]
-	if list := f.get(4); list != nil {
+	h.endpoints = h.endpoints[:0]
+	if list := f.at(4); list != nil {
 		lines, err := list.Array()
 		if err != nil {
 			return nil, err
@@ -366,11 +366,11 @@
 			if err != nil {
 				return nil, err
 			}
-			e := &fields{vals: vals}
-			entry := decide.Entry{Backend: h.backend(n, e.must(0)), Cell: int32(e.whole(2)), Since: relay.Duration(e.num(5)),
+			e := &eventValues{values: vals}
+			entry := decide.Entry{Backend: h.serverID(n, e.requiredText(0)), Cell: int32(e.unsigned(2)), Since: relay.Duration(e.float(5)),
 				Zone: n.zones[string(e.text(6))]}
-			entry.Spot = h.spots[n.global[entry.Backend]]
-			switch mode := e.whole(1); mode {
+			entry.Spot = h.serverKeys[n.global[entry.Backend]]
+			switch mode := e.unsigned(1); mode {
 			case 0:
 				entry.Mode = decide.GoneMode
 			case 1:
@@ -383,21 +383,21 @@
 			if e.err != nil {
 				return nil, fmt.Errorf("entry: %w", e.err)
 			}
-			h.entries = append(h.entries, entry)
+			h.endpoints = append(h.endpoints, entry)
 		}
 	}
-	m.Entries = h.entries
+	m.Entries = h.endpoints
 	return m, nil
 }
 
-// backend numbers a name, first for the hub, to hash it once, then for the instance.
-func (h *Hub) backend(n *node, name []byte) decide.Backend {
-	g, ok := h.backends[string(name)]
+// serverID numbers a name, first for the hub, to hash it once, then for the instance.
+func (h *Hub) serverID(n *instance, name []byte) decide.Backend {
+	g, ok := h.servers[string(name)]
 	if !ok {
-		g = len(h.names)
-		h.names = append(h.names, string(name))
-		h.backends[h.names[g]] = g
-		h.spots = append(h.spots, relay.ServerKey(h.names[g]))
+		g = len(h.serverNames)
+		h.serverNames = append(h.serverNames, string(name))
+		h.servers[h.serverNames[g]] = g
+		h.serverKeys = append(h.serverKeys, relay.ServerKey(h.serverNames[g]))
 	}
 	for g >= len(n.local) {
 		n.local = append(n.local, -1)
@@ -409,7 +409,7 @@
 	return n.local[g]
 }
 
-func (n *node) report(v *fastjson.Value) decide.Report {
+func (n *instance) decodeReport(v *fastjson.Value) decide.Report {
 	r := decide.NoReport
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return r
@@ -426,15 +426,15 @@
 	return r
 }
 
-// settle forgets a request that nobody will name again.
-func (n *node) settle(id decide.RequestID) {
-	if j := n.byID[id]; j != nil && j.over && j.out <= 0 {
+// forgetFinished forgets a request that nobody will name again.
+func (n *instance) forgetFinished(id decide.RequestID) {
+	if j := n.byID[id]; j != nil && j.finished && j.openAttempts <= 0 {
 		delete(n.byID, id)
-		delete(n.jobs, j.name)
+		delete(n.requests, j.name)
 	}
 }
 
-func verdict(code uint64) (decide.Status, error) {
+func decodeStatus(code uint64) (decide.Status, error) {
 	switch code {
 	case 200:
 		return decide.OK, nil
@@ -456,7 +456,7 @@
 	return 0, fmt.Errorf("unknown verdict %d", code)
 }
 
-func (h *Hub) encode(n *node, a decide.Action) {
+func (h *Hub) writeAction(n *instance, a decide.Action) {
 	name := func(id decide.RequestID) string {
 		if j := n.byID[id]; j != nil {
 			return j.name
@@ -465,93 +465,93 @@
 	}
 	over := func(id decide.RequestID) {
 		if j := n.byID[id]; j != nil {
-			j.over = true
+			j.finished = true
 		}
-		n.settle(id)
+		n.forgetFinished(id)
 	}
 	switch a := a.(type) {
 	case decide.Send:
-		h.open("callOut", n.who)
-		h.str(name(a.ID))
-		h.ms(a.Timeout)
-		h.str(h.names[n.global[a.Backend]])
-		n.byID[a.ID].out++
+		h.beginAction("callOut", n.number)
+		h.writeString(name(a.ID))
+		h.writeMillis(a.Timeout)
+		h.writeString(h.serverNames[n.global[a.Backend]])
+		n.byID[a.ID].openAttempts++
 	case decide.Refuse:
-		h.open("overloadReply", n.who)
-		h.str(name(a.ID))
-		h.ms(a.RetryAfter)
+		h.beginAction("overloadReply", n.number)
+		h.writeString(name(a.ID))
+		h.writeMillis(a.RetryAfter)
 		over(a.ID)
 	case decide.Fail:
-		h.open("respondError", n.who)
-		h.str(name(a.ID))
+		h.beginAction("respondError", n.number)
+		h.writeString(name(a.ID))
 		over(a.ID)
 	case decide.Move:
-		h.open("redirect", n.who)
-		h.str(name(a.ID))
+		h.beginAction("redirect", n.number)
+		h.writeString(name(a.ID))
 		over(a.ID)
 	case decide.Cancel:
-		h.open("recall", n.who)
-		h.str(name(a.ID))
-		h.int(uint64(a.Attempt))
+		h.beginAction("recall", n.number)
+		h.writeString(name(a.ID))
+		h.writeUint(uint64(a.Attempt))
 	case decide.Probe:
-		h.open("check", n.who)
-		h.str(h.names[n.global[a.Backend]])
+		h.beginAction("check", n.number)
+		h.writeString(h.serverNames[n.global[a.Backend]])
 	case decide.CloseIdle:
-		h.open("shutIdle", n.who)
-		h.str(h.names[n.global[a.Backend]])
+		h.beginAction("shutIdle", n.number)
+		h.writeString(h.serverNames[n.global[a.Backend]])
 	case decide.Timer:
-		h.open("notifyMe", n.who)
-		h.ms(a.After)
-		h.int(a.Token)
+		h.beginAction("notifyMe", n.number)
+		h.writeMillis(a.After)
+		h.writeUint(a.Token)
 	case decide.Subscribe:
-		h.open("observe", n.who)
-		h.out = append(h.out, ",true"...)
+		h.beginAction("observe", n.number)
+		h.reply = append(h.reply, ",true"...)
 	case decide.Fetch:
-		h.open("readList", n.who)
+		h.beginAction("readList", n.number)
 	case decide.Tell:
-		h.open("announce", n.who)
+		h.beginAction("announce", n.number)
 		if a.Peer < 0 {
-			h.str("all")
+			h.writeString("all")
 		} else {
-			h.int(uint64(a.Peer))
+			h.writeUint(uint64(a.Peer))
 		}
-		h.str(base64.StdEncoding.EncodeToString(a.Data))
+		h.writeString(base64.StdEncoding.EncodeToString(a.Data))
 	case decide.Log:
-		h.open("print", n.who)
-		h.str(a.Text)
+		h.beginAction("print", n.number)
+		h.writeString(a.Text)
 	default:
 		panic(fmt.Sprintf("no wire for %T", a))
 	}
-	h.out = append(h.out, ']')
+	h.reply = append(h.reply, ']')
 }
 
-func (h *Hub) open(kind string, who int) {
-	if !h.first {
-		h.out = append(h.out, ',')
-	}
-	h.first = false
-	h.out = append(h.out, '[', '"')
-	h.out = append(h.out, kind...)
-	h.out = append(h.out, '"')
-	h.int(uint64(who))
+func (h *Hub) beginAction(kind string, who int) {
+	if !h.firstAction {
+		h.reply = append(h.reply, ',')
+	}
+	h.firstAction = false
+	h.reply = append(h.reply, '[', '"')
+	h.reply = append(h.reply, kind...)
+	h.reply = append(h.reply, '"')
+	h.writeUint(uint64(who))
 }
 
-func (h *Hub) int(x uint64) { h.out = strconv.AppendUint(append(h.out, ','), x, 10) }
+func (h *Hub) writeUint(x uint64) { h.reply = strconv.AppendUint(append(h.reply, ','), x, 10) }
 
-// ms writes a duration rounded up to the bench's microseconds, so that no timer comes early.
-func (h *Hub) ms(d time.Duration) {
+// writeMillis writes a duration rounded up to the bench's microseconds, so that no timer comes early.
+func (h *Hub) writeMillis(d time.Duration) {
 	us := (d + time.Microsecond - 1) / time.Microsecond
-	h.out = strconv.AppendFloat(append(h.out, ','), float64(us)/1000, 'f', -1, 64)
+	h.reply = strconv.AppendFloat(append(h.reply, ','), float64(us)/1000, 'f', -1, 64)
 }
 
-func (h *Hub) str(s string) {
-	h.out = append(h.out, ',', '"')
+func (h *Hub) writeString(s string) {
+	h.reply = append(h.reply, ',', '"')
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c == '"' || c == '\\' { // names from the wire hardly ever need this
-			h.out = append(h.out, fmt.Sprintf(`\u%04x`, c)...)
+			h.reply = append(h.reply, fmt.Sprintf(`\u%04x`, c)...)
 		} else {
-			h.out = append(h.out, c)
+			h.reply = append(h.reply, c)
 		}
 	}
-	h.out = append(h.out, '"')
+	h.reply = append(h.reply, '"')
 }
--- a/internal/wire/simulator/wire_test.go
+++ b/internal/wire/simulator/wire_test.go
@@ -27,7 +27,7 @@
 
 func reply(t *testing.T, h *Hub, line string) string {
 	t.Helper()
-	out, err := h.Batch([]byte(line))
+	out, err := h.HandleBatch([]byte(line))
 	if err != nil {
 		t.Fatalf("%s: %v", line, err)
 	}
@@ -55,8 +55,8 @@
 			t.Errorf("%s: %s, want %s", s.name, got, s.want)
 		}
 	}
-	if n := h.nodes[3]; len(n.jobs) != 0 || len(n.byID) != 0 {
-		t.Errorf("a finished request is still kept: %v", n.jobs)
+	if n := h.instances[3]; len(n.requests) != 0 || len(n.byID) != 0 {
+		t.Errorf("a finished request is still kept: %v", n.requests)
 	}
 	reply(t, h, batch(2100, `["crashNow",3]`))
 	if got := reply(t, h, batch(2200, `["alarm",3,5]`)); got != "{\"actions\":[]}\n" {
@@ -94,7 +94,7 @@
 	} {
 		h := NewHub()
 		reply(t, h, batch(1, start(3), list(3)))
-		if out, err := h.Batch([]byte(line)); err == nil {
+		if out, err := h.HandleBatch([]byte(line)); err == nil {
 			t.Errorf("%s: taken, with %s", name, out)
 		}
 	}
@@ -147,10 +147,10 @@
 	f.Add(batch(1012, `["inherited",3,"k","save","uni",1,1,null,0,0,"10.0.0.2:80"]`, `["interim",3,"k","10.0.0.2:80",0,900,2]`))
 	f.Fuzz(func(t *testing.T, line string) {
 		h := NewHub()
-		if _, err := h.Batch([]byte(batch(1000, start(3), list(3), `["newRequest",3,"j","view","uni",1,1800,null,0,0]`))); err != nil {
+		if _, err := h.HandleBatch([]byte(batch(1000, start(3), list(3), `["newRequest",3,"j","view","uni",1,1800,null,0,0]`))); err != nil {
 			t.Fatal(err)
 		}
-		out, err := h.Batch([]byte(line))
+		out, err := h.HandleBatch([]byte(line))
 		if err == nil && (bytes.Contains(out, []byte(`["broken"`)) || !bytes.HasSuffix(out, []byte("]}\n"))) {
 			t.Errorf("%s: %s", line, out)
 		}
