--- a/internal/wire/splice/link.go
+++ b/internal/wire/splice/link.go
@@ -16,8 +16,8 @@
 	"capersail/internal/relay"
 )
 
-// WriteWithin bounds every write: a peer that takes nothing for so long has its connection ended.
-const WriteWithin = 1000.0
+// WriteTimeout bounds every write: a peer that takes nothing for so long has its connection ended.
+const WriteTimeout = 1000.0
 
 // lingerFor is how long a connection that was ended cleanly waits for the other end. Closing one with
 // unread bytes makes the kernel send a reset, which can overtake and destroy the last line written. Beyond
@@ -27,9 +27,9 @@
 	lingerBytes = 256 << 10
 )
 
-// End is one connection's end of a call, for the other side's goroutine and the core loop. A sticky wake
+// Half is one connection's end of a call, for the other side's goroutine and the core loop. A sticky wake
 // makes a pending read return at once; a write never waits longer than WriteWithin.
-type End struct {
+type Half struct {
 	mu     sync.Mutex
 	Conn   net.Conn // nil while it is dialled
 	Clock  *relay.Clock
@@ -37,20 +37,20 @@
 	woken  bool
 	closed bool
 	// hurried is closed once the connection's descriptor is wanted; nil until somebody needs to know.
-	hurried chan struct{}
-	hurry   bool
+	closeNowSignal chan struct{}
+	closingNow     bool
 }
 
 // Attach gives the end its connection once it is dialled; false if it was closed meanwhile.
-func (e *End) Attach(conn net.Conn) bool {
+func (e *Half) Attach(conn net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Conn = conn
 	return !e.closed
 }
 
-// Until sets when a pending read returns at the latest, unless the end has been woken already; 0 is never.
-func (e *End) Until(at float64) {
+// SetReadUntil sets when a pending read returns at the latest, unless the end has been woken already; 0 is never.
+func (e *Half) SetReadUntil(at float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -58,26 +58,26 @@
 	case at == 0:
 		e.Conn.SetReadDeadline(time.Time{})
 	default:
-		e.Conn.SetReadDeadline(e.Clock.Wall(at))
+		e.Conn.SetReadDeadline(e.Clock.WallDeadline(at))
 	}
 }
 
-// Over tells whether the end has been closed: by its call's other side, or because the attempt is called off.
-func (e *End) Over() bool {
+// Closed tells whether the end has been closed: by its call's other side, or because the attempt is called off.
+func (e *Half) Closed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.closed
 }
 
-// Rest lets reads wait again after a wake.
-func (e *End) Rest() {
+// ClearWake lets reads wait again after a wake.
+func (e *Half) ClearWake() {
 	e.mu.Lock()
 	e.woken = false
 	e.mu.Unlock()
 }
 
 // Wake makes the goroutine that reads the connection look at its call.
-func (e *End) Wake() {
+func (e *Half) Wake() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.woken = true
@@ -86,56 +86,56 @@
 	}
 }
 
-// Hurry makes the goroutine that reads the connection end it without a wait, even one for the peer's end.
-func (e *End) Hurry() {
+// CloseNow makes the goroutine that reads the connection end it without a wait, even one for the peer's end.
+func (e *Half) CloseNow() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.hurry {
+	if e.closingNow {
 		return
 	}
-	e.woken, e.hurry = true, true
-	close(e.hurriedly())
+	e.woken, e.closingNow = true, true
+	close(e.closeNowChannel())
 	if e.Conn != nil {
 		e.Conn.SetDeadline(time.Unix(1, 0))
 	}
 }
 
-// Hurried tells whether Hurry was called.
-func (e *End) Hurried() bool {
+// ClosingNow tells whether Hurry was called.
+func (e *Half) ClosingNow() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.hurry
+	return e.closingNow
 }
 
-// hurriedly is the channel that Hurry closes. The caller holds the lock.
-func (e *End) hurriedly() chan struct{} {
-	if e.hurried == nil {
-		e.hurried = make(chan struct{})
+// closeNowChannel is the channel that Hurry closes. The caller holds the lock.
+func (e *Half) closeNowChannel() chan struct{} {
+	if e.closeNowSignal == nil {
+		e.closeNowSignal = make(chan struct{})
 	}
-	return e.hurried
+	return e.closeNowSignal
 }
 
-// Take returns what has come and not been read, up to a line's length, without a wait. A read whose deadline has passed
+// ReadPending returns what has come and not been read, up to a line's length, without a wait. A read whose deadline has passed
 // does not look: a last line that came before a close would be thrown away unseen. Every later read returns at once.
-func (e *End) Take() []byte {
+func (e *Half) ReadPending() []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Conn.SetReadDeadline(time.Unix(1, 0))
 	p := make([]byte, 4096)
-	n := e.raw(func(fd int) (int, error) { return syscall.Read(fd, p) })
+	n := e.controlDescriptor(func(fd int) (int, error) { return syscall.Read(fd, p) })
 	return p[:max(n, 0)]
 }
 
-// Pending tells whether the peer's end, or bytes of the peer, have come that nobody has read yet, without a wait.
-func (e *End) Pending() bool { return e.peek() >= 0 }
+// HasUnread tells whether the peer's end, or bytes of the peer, have come that nobody has read yet, without a wait.
+func (e *Half) HasUnread() bool { return e.peek() >= 0 }
 
-// Ended is Pending for a peer that may say something at any time: only its end counts.
-func (e *End) Ended() bool { return e.peek() == 0 }
+// PeerClosed is Pending for a peer that may say something at any time: only its end counts.
+func (e *Half) PeerClosed() bool { return e.peek() == 0 }
 
 // peek returns how much can be read at once, 0 at the peer's end, and a negative number if nothing has come.
-func (e *End) peek() int {
+func (e *Half) peek() int {
 	p := make([]byte, 1)
-	return e.raw(func(fd int) (int, error) {
+	return e.controlDescriptor(func(fd int) (int, error) {
 		n, _, err := syscall.Recvfrom(fd, p, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if errors.Is(err, syscall.ECONNRESET) {
 			return 0, nil
@@ -144,8 +144,8 @@
 	})
 }
 
-// raw makes one call on the connection's descriptor, which may not wait. It is negative where that failed, or there is none.
-func (e *End) raw(call func(fd int) (int, error)) int {
+// controlDescriptor makes one call on the connection's descriptor, which may not wait. It is negative where that failed, or there is none.
+func (e *Half) controlDescriptor(call func(fd int) (int, error)) int {
 	conn := e.Conn
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
@@ -175,16 +175,16 @@
 	return n
 }
 
-// Pass writes to the connection.
-func (e *End) Pass(p []byte) error {
-	e.Conn.SetWriteDeadline(e.Clock.Wall(e.Clock.Now() + WriteWithin))
+// Forward writes to the connection.
+func (e *Half) Forward(p []byte) error {
+	e.Conn.SetWriteDeadline(e.Clock.WallDeadline(e.Clock.NowMillis() + WriteTimeout))
 	_, err := e.Conn.Write(p)
 	return err
 }
 
 // Close ends the connection: cleanly, with a bounded wait for the peer's end, or with a reset. The
 // goroutine that reads the connection closes it for good.
-func (e *End) Close(how relay.Ending) {
+func (e *Half) Close(how relay.CloseKind) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
@@ -197,10 +197,10 @@
 	half, ok := e.Conn.(interface{ CloseWrite() error }) // TCP and TLS have it
 	switch {
 	case e.Conn == nil:
-	case ok && how == relay.Clean:
+	case ok && how == relay.GracefulClose:
 		half.CloseWrite()
-		if !e.hurry {
-			e.Conn.SetReadDeadline(e.Clock.Wall(e.Clock.Now() + lingerFor))
+		if !e.closingNow {
+			e.Conn.SetReadDeadline(e.Clock.WallDeadline(e.Clock.NowMillis() + lingerFor))
 		}
 	default:
 		raw := e.Conn
@@ -214,34 +214,34 @@
 	}
 }
 
-// Drain throws away what still comes, until the peer's end, the bounded wait or Hurry, then closes for good. A peer
+// CloseAndDiscard throws away what still comes, until the peer's end, the bounded wait or Hurry, then closes for good. A peer
 // that goes on sending is left to its full buffers until then, so that it can read the last line first.
-func (e *End) Drain() {
-	began := e.Clock.Now()
-	e.Close(relay.Clean)
+func (e *Half) CloseAndDiscard() {
+	began := e.Clock.NowMillis()
+	e.Close(relay.GracefulClose)
 	if n, err := io.Copy(io.Discard, io.LimitReader(e.Conn, lingerBytes)); n == lingerBytes && err == nil {
 		e.mu.Lock()
-		hurried := e.hurriedly()
+		hurried := e.closeNowChannel()
 		e.mu.Unlock()
 		select {
-		case <-e.Clock.After(began + lingerFor - e.Clock.Now()):
+		case <-e.Clock.After(began + lingerFor - e.Clock.NowMillis()):
 		case <-hurried:
 		}
 	}
-	if e.Hurried() { // a close over unread bytes would send a reset, which may overtake the last line
-		e.Take()
+	if e.ClosingNow() { // a close over unread bytes would send a reset, which may overtake the last line
+		e.ReadPending()
 	}
 	e.Conn.Close()
 }
 
-// ownShortages are what a dial fails with for want of something on this machine, a route or the right to it among them.
-var ownShortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
+// localErrors are what a dial fails with for want of something on this machine, a route or the right to it among them.
+var localErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EPERM, syscall.ENETUNREACH, syscall.ENETDOWN}
 
-// Undialled is the outcome of an attempt whose dial failed. One that failed for want of something of our
+// DialStatus is the outcome of an attempt whose dial failed. One that failed for want of something of our
 // own, such as descriptors, says nothing of the server: taken for its failure it would leave a sound one out.
-func Undialled(err error) decide.Status {
-	for _, errno := range ownShortages {
+func DialStatus(err error) decide.Status {
+	for _, errno := range localErrors {
 		if errors.Is(err, errno) {
 			return decide.Moot
 		}
@@ -249,21 +249,21 @@
 	return decide.ConnectFailed
 }
 
-// Unprobed is the same for a probe, which tells a silent server from a dead one.
-func Unprobed(err error) decide.Status {
+// ProbeStatus is the same for a probe, which tells a silent server from a dead one.
+func ProbeStatus(err error) decide.Status {
 	var slow net.Error
 	if errors.As(err, &slow) && slow.Timeout() {
 		return decide.TimedOut
 	}
-	return Undialled(err)
+	return DialStatus(err)
 }
 
-// Ending tells a clean end from a break.
-func Ending(err error) relay.Ending {
+// EndingOf tells a clean end from a break.
+func EndingOf(err error) relay.CloseKind {
 	if errors.Is(err, io.EOF) {
-		return relay.Clean
+		return relay.GracefulClose
 	}
-	return relay.Broken
+	return relay.AbortiveClose
 }
 
 // TimedOut tells whether a deadline or a wake cut a read short.
--- a/internal/wire/splice/link_test.go
+++ b/internal/wire/splice/link_test.go
@@ -13,7 +13,7 @@
 )
 
 // pair is two ends of one TCP connection.
-func pair(t *testing.T) (*End, *net.TCPConn) {
+func pair(t *testing.T) (*Half, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,13 +29,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { peer.Close(); own.Close() })
-	return &End{Conn: own, Clock: relay.NewClock()}, peer.(*net.TCPConn)
+	return &Half{Conn: own, Clock: relay.NewClock()}, peer.(*net.TCPConn)
 }
 
 // await waits until something has come, which loopback brings in its own time.
-func await(t *testing.T, e *End) {
+func await(t *testing.T, e *Half) {
 	t.Helper()
-	for until := time.Now().Add(10 * time.Second); !e.Pending(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("nothing comes")
 		}
@@ -55,14 +55,14 @@
 		"bytes, then a end": {func(p *net.TCPConn) { p.Write([]byte("x")); p.Close() }, false},
 	} {
 		e, peer := pair(t)
-		if e.Pending() || e.Ended() {
+		if e.HasUnread() || e.PeerClosed() {
 			t.Errorf("%s: before it", name)
 		}
 		c.does(peer)
 		e.Wake()
 		await(t, e)
-		if !e.Pending() || e.Ended() != c.ended {
-			t.Errorf("%s: pending %v, ended %v", name, e.Pending(), e.Ended())
+		if !e.HasUnread() || e.PeerClosed() != c.ended {
+			t.Errorf("%s: pending %v, ended %v", name, e.HasUnread(), e.PeerClosed())
 		}
 	}
 }
@@ -72,14 +72,14 @@
 	e, peer := pair(t)
 	peer.Write([]byte("line\r\n"))
 	await(t, e)
-	e.Until(e.Clock.Now() - 1)
+	e.SetReadUntil(e.Clock.NowMillis() - 1)
 	if n, err := e.Conn.Read(make([]byte, 9)); n != 0 || !TimedOut(err) {
 		t.Fatalf("the premise: %d, %v", n, err)
 	}
-	if got := string(e.Take()); got != "line\r\n" {
+	if got := string(e.ReadPending()); got != "line\r\n" {
 		t.Errorf("%q", got)
 	}
-	if got := e.Take(); len(got) != 0 {
+	if got := e.ReadPending(); len(got) != 0 {
 		t.Errorf("%q, with nothing there", got)
 	}
 }
@@ -88,20 +88,20 @@
 // the linger has begun, so without Hurry it would last as long.
 func TestHurryEndsALinger(t *testing.T) {
 	e, peer := pair(t)
-	e.Clock = relay.NewSetClock()
-	e.Pass([]byte("BUSY\r\n"))
+	e.Clock = relay.NewManualClock()
+	e.Forward([]byte("BUSY\r\n"))
 	done := make(chan struct{})
-	go func() { defer close(done); e.Drain() }()
+	go func() { defer close(done); e.CloseAndDiscard() }()
 	if got, err := io.ReadAll(peer); err != nil || string(got) != "BUSY\r\n" { // up to the half-close, after which it lingers
 		t.Errorf("%q, %v", got, err)
 	}
-	e.Clock.Set(e.Clock.Now() - 60_000)
+	e.Clock.Set(e.Clock.NowMillis() - 60_000)
 	peer.Write(make([]byte, lingerBytes))
-	for e.Pending() { // until all that it reads of a flood has been read
+	for e.HasUnread() { // until all that it reads of a flood has been read
 		time.Sleep(time.Millisecond)
 	}
-	e.Hurry()
-	e.Hurry()
+	e.CloseNow()
+	e.CloseNow()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
@@ -121,7 +121,7 @@
 		syscall.ETIMEDOUT: decide.ConnectFailed,
 	} {
 		dial := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
-		if got := Undialled(dial); got != want {
+		if got := DialStatus(dial); got != want {
 			t.Errorf("%v: %v, want %v", err, got, want)
 		}
 	}
--- a/internal/wire/xmpp/client.go
+++ b/internal/wire/xmpp/client.go
@@ -25,36 +25,36 @@
 
 // Front is the client side.
 type Front struct {
-	X     *relay.Exchange
+	X     *relay.RequestTable
 	Hosts map[string]Host
 	TLS   atomic.Pointer[tls.Config] // for new connections; nil only where the operator's file allows plaintext
-	Gate  *connlimit.Gate
+	Gate  *connlimit.Limiter
 }
 
 // Serve accepts until the listener is closed.
 func (f *Front) Serve(l net.Listener) error { return f.Gate.Serve(l, f.serve) }
 
 // serve speaks with one client until its connection is closed, and that to its server too.
-func (f *Front) serve(p *connlimit.Pass) {
-	e := p.End
+func (f *Front) serve(p *connlimit.Permit) {
+	e := p.Half
 	st := newStream(e)
-	e.Until(p.Until)
-	r, host, err := f.header(e, st, p.Until)
-	var call *relay.Call
+	e.SetReadUntil(p.RequestUntil)
+	r, host, err := f.header(e, st, p.RequestUntil)
+	var call *relay.Request
 	switch {
 	case err != nil:
 		f.Gate.Log.Warn().Err(err).Str("to", st.to).Msg("stream refused before it was placed")
-	case !p.Ask():
-		f.X.TurnedAway(host.Class)
+	case !p.AcquireRequest():
+		f.X.RecordConnLimitRejection(host.Class)
 		st.finish("resource-constraint", retryAfter(500))
 	default:
-		e.Until(0)
-		call = f.X.Open(relay.Ask{Class: host.Class, Tenant: host.Tenant, Key: host.Key, Left: host.Left, Payload: st}, clientEnd{e, st})
+		e.SetReadUntil(0)
+		call = f.X.Open(relay.OpenRequest{Class: host.Class, Tenant: host.Tenant, Key: host.Key, Timeout: host.Left, Payload: st}, clientEnd{e, st})
 		f.follow(call, st, r)
 	}
-	p.Ending()
-	e.Drain()
-	p.Closed()
+	p.ReleaseRequest()
+	e.CloseAndDiscard()
+	p.ReleaseClient()
 	if call != nil {
 		<-call.Finished()
 	}
@@ -62,7 +62,7 @@
 
 // header takes the client's start tag, after STARTTLS where there is a certificate; all of it by a time that
 // no step renews.
-func (f *Front) header(e *splice.End, st *stream, until float64) (*reader, Host, error) {
+func (f *Front) header(e *splice.Half, st *stream, until float64) (*reader, Host, error) {
 	r := newReader(e.Conn)
 	host, err := f.start(st, r)
 	config := f.TLS.Load()
@@ -80,14 +80,14 @@
 		return r, host, err
 	}
 	secure := tls.Server(e.Conn, config)
-	ctx, stop := context.WithTimeout(context.Background(), relay.Duration(until-f.X.Clock.Now()))
+	ctx, stop := context.WithTimeout(context.Background(), relay.Duration(until-f.X.Clock.NowMillis()))
 	defer stop()
 	if err := secure.HandshakeContext(ctx); err != nil {
 		return r, host, fmt.Errorf("TLS: %w", err)
 	}
 	e.Attach(secure)
 	st.header = false // the client begins a new stream, and is owed a new start tag
-	e.Until(until)
+	e.SetReadUntil(until)
 	r = newReader(secure)
 	host, err = f.start(st, r)
 	return r, host, err
@@ -122,7 +122,7 @@
 }
 
 // follow reads the client until its end, and queues what it sends for the server side.
-func (f *Front) follow(call *relay.Call, st *stream, r *reader) {
+func (f *Front) follow(call *relay.Request, st *stream, r *reader) {
 	defer st.leave()
 	for {
 		it, err := r.next()
@@ -133,27 +133,27 @@
 				f.answer(st, answer)
 				return
 			}
-			call.Nudge()
+			call.WakeServerSide()
 		case splice.TimedOut(err):
-			st.client.Rest()
-			if state, answer := call.State(); state == relay.Ended || st.client.Over() {
+			st.client.ClearWake()
+			if state, answer := call.State(); state == relay.Ended || st.client.Closed() {
 				f.answer(st, answer)
 				return
 			}
-			st.client.Until(0)
+			st.client.SetReadUntil(0)
 		case ours(err):
 			f.Gate.Log.Warn().Err(err).Str("to", st.to).Msg("stream ended for what its client sent")
 			st.finish(err.Error(), "")
-			call.Leave(relay.Clean)
+			call.ClientClosed(relay.GracefulClose)
 			return
 		default:
 			// A client that ends its connection in order may have stanzas in the queue: they go out first.
 			state, _ := call.State()
-			if splice.Ending(err) == relay.Clean && state == relay.Up && st.push(item{kind: closed, raw: []byte("</stream:stream>")}) {
-				call.Nudge()
+			if splice.EndingOf(err) == relay.GracefulClose && state == relay.Established && st.push(item{kind: closed, raw: []byte("</stream:stream>")}) {
+				call.WakeServerSide()
 				st.wait()
 			}
-			call.Leave(splice.Ending(err))
+			call.ClientClosed(splice.EndingOf(err))
 			return
 		}
 	}
@@ -162,7 +162,7 @@
 // answer tells the client the final answer of a stream that did not come up.
 func (f *Front) answer(st *stream, a relay.Answer) {
 	switch a.Kind {
-	case relay.Refused:
+	case relay.Rejected:
 		st.finish("resource-constraint", retryAfter(a.RetryAfter))
 	case relay.Failed:
 		switch {
--- a/internal/wire/xmpp/server.go
+++ b/internal/wire/xmpp/server.go
@@ -23,34 +23,34 @@
 	Log            zerolog.Logger
 }
 
-// Try makes one attempt in a goroutine of its own.
-func (s *Servers) Try(c *relay.Call, a relay.Attempt) { go s.try(c, a) }
+// StartAttempt makes one attempt in a goroutine of its own.
+func (s *Servers) StartAttempt(c *relay.Request, a relay.Attempt) { go s.try(c, a) }
 
-func (s *Servers) try(c *relay.Call, a relay.Attempt) {
+func (s *Servers) try(c *relay.Request, a relay.Attempt) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	e := &splice.End{Clock: s.Clock, Stop: stop}
-	if !c.Attach(a.No, e) {
-		c.Over(a.No, decide.Moot, decide.NoReport)
+	e := &splice.Half{Clock: s.Clock, Stop: stop}
+	if !c.Attach(a.Number, e) {
+		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
 		return
 	}
-	conn, err := splice.Dial(ctx, a.Server.Address, min(a.Until-s.Clock.Now(), s.ConnectTimeout))
+	conn, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-s.Clock.NowMillis(), s.ConnectTimeout))
 	if err != nil {
-		c.Over(a.No, splice.Undialled(err), decide.NoReport)
+		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoReport)
 		return
 	}
 	defer conn.Close()
-	if !e.Attach(conn) || !c.Begin(a.No) {
+	if !e.Attach(conn) || !c.BeginWrite(a.Number) {
 		conn.Close()
-		c.Over(a.No, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
 		return
 	}
 	st := c.Payload.(*stream)
 	at := &attempt{s: s, c: c, a: a, e: e, st: st, r: newReader(conn)}
 	status := at.setUp()
-	e.Close(relay.Clean)
+	e.Close(relay.GracefulClose)
 	conn.Close()
-	c.Over(a.No, status, decide.NoReport)
+	c.EndAttempt(a.Number, status, decide.NoReport)
 	if state, _ := c.State(); state == relay.Ended {
 		st.leave()
 	}
@@ -59,9 +59,9 @@
 // attempt is one connection to a server.
 type attempt struct {
 	s  *Servers
-	c  *relay.Call
+	c  *relay.Request
 	a  relay.Attempt
-	e  *splice.End
+	e  *splice.Half
 	st *stream
 	r  *reader
 
@@ -76,11 +76,11 @@
 
 // next reads the server's next item, until a time; 0 is never.
 func (at *attempt) next(until float64) (item, error) {
-	at.e.Until(until)
+	at.e.SetReadUntil(until)
 	it, err := at.r.next()
 	if splice.TimedOut(err) {
-		at.e.Rest()
-		if until == 0 || at.s.Clock.Now() < until || at.e.Over() {
+		at.e.ClearWake()
+		if until == 0 || at.s.Clock.NowMillis() < until || at.e.Closed() {
 			return it, errWoken
 		}
 	}
@@ -90,18 +90,18 @@
 // setUp carries the stream to the features after SASL. Until the client's SASL bytes go out nothing has
 // run: whatever happens, the attempt may be made again elsewhere, and is told as one that never connected.
 func (at *attempt) setUp() decide.Status {
-	if at.e.Pass(append([]byte("<?xml version='1.0'?>"), at.st.open.raw...)) != nil {
+	if at.e.Forward(append([]byte("<?xml version='1.0'?>"), at.st.open.raw...)) != nil {
 		return decide.ConnectFailed
 	}
-	open, status := at.expect(opened, "stream:stream", at.a.Until)
+	open, status := at.expect(opened, "stream:stream", at.a.Deadline)
 	if status != decide.OK {
 		return status
 	}
-	features, status := at.expect(element, "stream:features", at.a.Until)
+	features, status := at.expect(element, "stream:features", at.a.Deadline)
 	if status != decide.OK {
 		return status
 	}
-	if at.c.Dialogue(at.a.No) == nil {
+	if at.c.HandshakeClient(at.a.Number) == nil {
 		return decide.Cancelled
 	}
 	if !at.st.greet(string(open.raw), withoutTLS(string(features.raw))) {
@@ -115,9 +115,9 @@
 	for {
 		it, err := at.next(until)
 		switch {
-		case err == errWoken && at.e.Over():
+		case err == errWoken && at.e.Closed():
 			return it, decide.Cancelled
-		case err == errWoken && at.c.Draining():
+		case err == errWoken && at.c.ServerDraining():
 			return it, decide.Moot
 		case err == errWoken:
 		case err != nil || it.kind != k || it.name != name:
@@ -134,7 +134,7 @@
 	for {
 		// A server that has begun to drain gets nothing new. Before SASL the attempt is simply not made; a
 		// stream in the middle of it cannot be taken elsewhere, and its client is told to come again.
-		if at.c.Draining() {
+		if at.c.ServerDraining() {
 			if !sent {
 				return decide.Moot
 			}
@@ -143,19 +143,19 @@
 		}
 		for it, ok := at.st.pop(); ok; it, ok = at.st.pop() {
 			if it.kind == closed {
-				at.e.Pass(it.raw)
+				at.e.Forward(it.raw)
 				at.st.finish("", "")
-				at.c.Leave(relay.Clean)
+				at.c.ClientClosed(relay.GracefulClose)
 				return decide.Cancelled
 			}
 			sent = true
-			if at.e.Pass(it.raw) != nil {
+			if at.e.Forward(it.raw) != nil {
 				return decide.Reset
 			}
 		}
-		it, err := at.next(at.a.Last)
+		it, err := at.next(at.a.ClientDeadline)
 		switch {
-		case err == errWoken && at.e.Over():
+		case err == errWoken && at.e.Closed():
 			return decide.Cancelled
 		case err == errWoken:
 			continue
@@ -170,7 +170,7 @@
 			return decide.Reset
 		}
 		if it.name == "stream:features" && again {
-			if at.c.Up(at.a.No) == nil {
+			if at.c.Establish(at.a.Number) == nil {
 				return decide.Cancelled
 			}
 			if at.st.write(it.raw) != nil {
@@ -194,16 +194,16 @@
 			return at.lost("remote-connection-failed", decide.Reset)
 		}
 		it, err := at.next(at.wakeAt())
-		if moving, silent := at.c.Moving(); moving {
+		if moving, silent := at.c.Migrating(); moving {
 			return at.move(silent)
 		}
 		switch {
-		case err == errWoken && at.e.Over():
-			at.e.Pass([]byte("</stream:stream>"))
+		case err == errWoken && at.e.Closed():
+			at.e.Forward([]byte("</stream:stream>"))
 			return decide.Cancelled
 		case err == errWoken:
 		case splice.TimedOut(err):
-			if at.s.Clock.Now()-at.since >= at.s.Silent {
+			if at.s.Clock.NowMillis()-at.since >= at.s.Silent {
 				return at.lost("connection-timeout", decide.Reset)
 			}
 			if at.ping() != nil {
@@ -212,13 +212,13 @@
 		case err != nil:
 			return at.lost("remote-connection-failed", decide.Reset)
 		case it.kind == closed:
-			at.e.Pass([]byte("</stream:stream>"))
+			at.e.Forward([]byte("</stream:stream>"))
 			return at.lost("", decide.OK)
 		case it.name == "stream:error":
 			at.st.write(it.raw)
 			return at.lost("", decide.Cancelled)
 		default:
-			at.since = at.s.Clock.Now()
+			at.since = at.s.Clock.NowMillis()
 			if at.pong(it) {
 				continue
 			}
@@ -233,7 +233,7 @@
 // unconfirmed, it stays queued; all does without that.
 func (at *attempt) flush(all bool) error {
 	for {
-		now := at.s.Clock.Now()
+		now := at.s.Clock.NowMillis()
 		if late := at.pingAfter > 0 && now-at.since >= at.s.Silent*2/5; !all && (late || len(at.unconfirmed) >= maxQueue || size(at.unconfirmed) >= maxBytes) {
 			return nil
 		}
@@ -245,7 +245,7 @@
 			at.since = now
 		}
 		at.unconfirmed = append(at.unconfirmed, it)
-		if err := at.e.Pass(it.raw); err != nil { // a part of a stanza is none: what was cut off is bounced too
+		if err := at.e.Forward(it.raw); err != nil { // a part of a stanza is none: what was cut off is bounced too
 			return err
 		}
 	}
@@ -275,7 +275,7 @@
 func (at *attempt) ping() error {
 	at.pings++
 	at.pingAfter = len(at.unconfirmed)
-	return at.e.Pass(fmt.Appendf(nil, "<iq type='get' id='capersail-%d-%d'><ping xmlns='urn:xmpp:ping'/></iq>", at.c.ID, at.pings))
+	return at.e.Forward(fmt.Appendf(nil, "<iq type='get' id='capersail-%d-%d'><ping xmlns='urn:xmpp:ping'/></iq>", at.c.ID, at.pings))
 }
 
 // pong takes the answer to our own ping; an error is as good as a result.
@@ -290,7 +290,7 @@
 // lost ends a stream whose server is gone, silent or done. What the server has not confirmed, and what is
 // still queued, comes back to the client as errors: never lost without a word, never sent twice.
 func (at *attempt) lost(condition string, status decide.Status) decide.Status {
-	at.c.Broken() // before the client is told: its goroutine then says that it has left
+	at.c.ServerClosed() // before the client is told: its goroutine then says that it has left
 	back := at.unconfirmed
 	if status == decide.OK || status == decide.Cancelled { // it ended its stream in order, after what it had read
 		back = nil
@@ -307,7 +307,7 @@
 		}
 	}
 	at.st.finish(condition, "")
-	at.st.client.Close(relay.Clean)
+	at.st.client.Close(relay.GracefulClose)
 	return status
 }
 
@@ -316,7 +316,7 @@
 	if silent || at.pingAfter > 0 || at.flush(true) != nil {
 		return at.lost("reset", decide.Reset)
 	}
-	at.e.Pass([]byte("</stream:stream>"))
+	at.e.Forward([]byte("</stream:stream>"))
 	return at.lost("reset", decide.Cancelled)
 }
 
@@ -347,10 +347,10 @@
 	report.Load = to.Load
 	conn, err := splice.Dial(context.Background(), to.Address, s.ConnectTimeout)
 	if err != nil {
-		return splice.Unprobed(err), report
+		return splice.ProbeStatus(err), report
 	}
 	defer conn.Close()
-	conn.SetDeadline(s.Clock.Wall(s.Clock.Now() + s.ConnectTimeout))
+	conn.SetDeadline(s.Clock.WallDeadline(s.Clock.NowMillis() + s.ConnectTimeout))
 	fmt.Fprintf(conn, "<?xml version='1.0'?><stream:stream to='%s' version='1.0' xmlns='jabber:client' xmlns:stream='%s'>",
 		escape(s.ProbeTo), streamsNS)
 	it, err := newReader(conn).next()
--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -25,7 +25,7 @@
 // stream is what the two sides of one call share: the client's writing end and the queue of what the
 // client sends. The server side alone takes from the queue, so no item is ever sent twice.
 type stream struct {
-	client *splice.End
+	client *splice.Half
 	open   item   // the client's start tag
 	to     string // the host it asked for
 
@@ -40,7 +40,7 @@
 	features string // as the client was given them, "" if it was not
 }
 
-func newStream(e *splice.End) *stream {
+func newStream(e *splice.Half) *stream {
 	st := &stream{client: e}
 	st.room = sync.NewCond(&st.mu)
 	return st
@@ -92,7 +92,7 @@
 		return net.ErrClosed
 	}
 	st.header = true
-	return st.client.Pass(p)
+	return st.client.Forward(p)
 }
 
 // greet gives the client a server's start tag and features, once. A retry's must be the same: the client
@@ -104,7 +104,7 @@
 		return st.features == features
 	}
 	st.features, st.header = features, true
-	return !st.final && st.client.Pass([]byte("<?xml version='1.0'?>"+open+features)) == nil
+	return !st.final && st.client.Forward([]byte("<?xml version='1.0'?>"+open+features)) == nil
 }
 
 // finish gives the client its one outcome: the end of the stream, after a stream error if one is named.
@@ -124,7 +124,7 @@
 		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", condition, errorsNS, more)
 	}
 	b.WriteString("</stream:stream>")
-	st.client.Pass([]byte(b.String()))
+	st.client.Forward([]byte(b.String()))
 }
 
 // wait returns once the call is over.
@@ -212,17 +212,17 @@
 // clientEnd is the client's end as the Exchange knows it. Its wake says that the call is over, which a
 // client side that waits for room in the queue must hear too.
 type clientEnd struct {
-	*splice.End
+	*splice.Half
 	st *stream
 }
 
 // Wake frees the client side to write the answer.
 func (c clientEnd) Wake() {
 	c.st.leave()
-	c.End.Wake()
+	c.Half.Wake()
 }
 
-// Pending is the client's end only: it may say something at any time.
-func (c clientEnd) Pending() bool { return c.End.Ended() }
+// HasUnread is the client's end only: it may say something at any time.
+func (c clientEnd) HasUnread() bool { return c.Half.PeerClosed() }
 
-var _ relay.Client = clientEnd{}
+var _ relay.ClientConn = clientEnd{}
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -230,7 +230,7 @@
 // Run keeps the session until the context ends.
 func (s *Session) Run(ctx context.Context) {
 	for pause := firstPause; ctx.Err() == nil; {
-		began := s.Clock.Now()
+		began := s.Clock.NowMillis()
 		err := s.connection(ctx)
 		s.lose()
 		if errors.Is(err, errExpired) {
@@ -244,7 +244,7 @@
 			return
 		}
 		s.Log.Warn().Err(err).Msg("claim service: connection ended")
-		if s.Clock.Now()-began > mostPause || errors.Is(err, errExpired) {
+		if s.Clock.NowMillis()-began > mostPause || errors.Is(err, errExpired) {
 			pause = firstPause
 		}
 		select {
@@ -291,7 +291,7 @@
 	n := &conn{Conn: raw, r: bufio.NewReaderSize(raw, batchBytes), clock: s.Clock}
 	wanted := s.hello
 	wanted.timeout = s.Timeout
-	sentAt := s.Clock.Now()
+	sentAt := s.Clock.NowMillis()
 	h, err := n.shake(wanted)
 	if err != nil {
 		return err
@@ -316,10 +316,10 @@
 
 // write sends what is queued, all of it together, and a ping when nothing was sent for a while.
 func (s *Session) write(ctx context.Context, n *conn, pingEvery float64) error {
-	last := s.Clock.Now()
+	last := s.Clock.NowMillis()
 	for {
 		s.mu.Lock()
-		now, out, sent := s.Clock.Now(), record{}, 0
+		now, out, sent := s.Clock.NowMillis(), record{}, 0
 		for ; sent < len(s.unsent) && len(out) < batchBytes; sent++ {
 			r := s.unsent[sent]
 			s.xid++
@@ -336,7 +336,7 @@
 		s.mu.Unlock()
 		if len(out) > 0 {
 			last = now
-			n.SetWriteDeadline(s.Clock.Wall(now + s.Timeout/3))
+			n.SetWriteDeadline(s.Clock.WallDeadline(now + s.Timeout/3))
 			if _, err := n.Write(out); err != nil {
 				n.Close()
 				return fmt.Errorf("write: %w", err)
@@ -349,7 +349,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-s.kick:
-		case <-s.Clock.After(max(1, last+pingEvery-s.Clock.Now())):
+		case <-s.Clock.After(max(1, last+pingEvery-s.Clock.NowMillis())):
 		}
 	}
 }
@@ -357,7 +357,7 @@
 // read takes answers and events until the connection ends.
 func (s *Session) read(n *conn) error {
 	for {
-		p, err := n.frame(s.Clock.Now() + s.hello.timeout*silentPart)
+		p, err := n.frame(s.Clock.NowMillis() + s.hello.timeout*silentPart)
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
--- a/internal/wire/zookeeper/wire.go
+++ b/internal/wire/zookeeper/wire.go
@@ -47,14 +47,14 @@
 }
 
 func (n *conn) send(b record, within float64) error {
-	n.SetWriteDeadline(n.clock.Wall(n.clock.Now() + within))
+	n.SetWriteDeadline(n.clock.WallDeadline(n.clock.NowMillis() + within))
 	_, err := n.Write(append(record{}.i32(int32(len(b))), b...))
 	return err
 }
 
 // frame reads one frame. A read that a deadline cuts short before its first byte loses nothing.
 func (n *conn) frame(until float64) ([]byte, error) {
-	n.SetReadDeadline(n.clock.Wall(until))
+	n.SetReadDeadline(n.clock.WallDeadline(until))
 	if _, err := n.r.Peek(4); err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	if err != nil {
 		return h, fmt.Errorf("connect request: %w", err)
 	}
-	p, err := n.frame(n.clock.Now() + within)
+	p, err := n.frame(n.clock.NowMillis() + within)
 	if err != nil {
 		return h, fmt.Errorf("connect response: %w", err)
 	}
--- a/internal/wire/zookeeper/zookeeper.go
+++ b/internal/wire/zookeeper/zookeeper.go
@@ -63,7 +63,7 @@
 // failure, with jitter.
 type Client struct {
 	Ensemble
-	X   *relay.Exchange
+	X   *relay.RequestTable
 	Log zerolog.Logger
 
 	asks  chan struct{}
@@ -77,15 +77,15 @@
 	secret  []byte
 	zxid    int64
 	next    int // which address to try
-	nodes   map[string]relay.Listed
+	nodes   map[string]relay.Endpoint
 	granted float64
 }
 
 // NewClient returns a client of a service.
-func NewClient(e Ensemble, x *relay.Exchange, log zerolog.Logger) *Client {
+func NewClient(e Ensemble, x *relay.RequestTable, log zerolog.Logger) *Client {
 	e.Path = strings.TrimRight(e.Path, "/")
 	return &Client{Ensemble: e, wanted: e, X: x, Log: log, asks: make(chan struct{}, 1), moved: make(chan struct{}, 1),
-		nodes: map[string]relay.Listed{}}
+		nodes: map[string]relay.Endpoint{}}
 }
 
 // Move follows another service, or another path, at once. The connection that is open is ended, and the
@@ -158,7 +158,7 @@
 			c.id, c.secret = 0, nil
 		}
 		c.Log.Info().Err(err).Msg("watch of the ephemeral nodes ended")
-		c.X.Members(decide.Failed, nil)
+		c.X.UpdateEndpoints(decide.Failed, nil)
 	}
 }
 
@@ -210,10 +210,10 @@
 	if n.list, err = n.ask(opGetChildren, c.Path, c.granted/3); err != nil {
 		return err
 	}
-	heard := n.clock.Now()
+	heard := n.clock.NowMillis()
 	for {
-		p, err := n.frame(n.clock.Now() + c.granted/3)
-		if splice.TimedOut(err) && n.clock.Now()-heard < c.granted*2/3 {
+		p, err := n.frame(n.clock.NowMillis() + c.granted/3)
+		if splice.TimedOut(err) && n.clock.NowMillis()-heard < c.granted*2/3 {
 			if err := n.send(record{}.i32(xidPing).i32(opPing), c.granted/3); err != nil {
 				return fmt.Errorf("ping: %w", err)
 			}
@@ -222,7 +222,7 @@
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		heard = n.clock.Now()
+		heard = n.clock.NowMillis()
 		if err := c.reply(n, &reader{p: p}); err != nil {
 			return err
 		}
@@ -298,7 +298,7 @@
 		}
 	}
 	if n.first { // who is not there any more is missing from the whole list told below
-		c.nodes = map[string]relay.Listed{}
+		c.nodes = map[string]relay.Endpoint{}
 	}
 	for name := range c.nodes {
 		if !here[name] {
@@ -328,11 +328,11 @@
 		return
 	}
 	n.first = false
-	list := make([]relay.Listed, 0, len(c.nodes))
+	list := make([]relay.Endpoint, 0, len(c.nodes))
 	for _, l := range c.nodes {
 		list = append(list, l)
 	}
-	c.X.Members(decide.Whole, list)
+	c.X.UpdateEndpoints(decide.Whole, list)
 }
 
 // gone drops a node. An ephemeral node vanishes with its server's session.
@@ -340,7 +340,7 @@
 	if l, known := c.nodes[name]; known {
 		delete(c.nodes, name)
 		l.Mode = decide.GoneMode
-		c.X.Members(decide.Delta, []relay.Listed{l})
+		c.X.UpdateEndpoints(decide.Delta, []relay.Endpoint{l})
 	}
 }
 
@@ -359,18 +359,18 @@
 	}
 	c.nodes[name] = l
 	if !n.first {
-		c.X.Members(decide.Delta, []relay.Listed{l})
+		c.X.UpdateEndpoints(decide.Delta, []relay.Endpoint{l})
 	}
 }
 
 // node reads a node's JSON.
-func node(name string, data []byte) (relay.Listed, error) {
+func node(name string, data []byte) (relay.Endpoint, error) {
 	v, err := fastjson.ParseBytes(data)
 	if err != nil {
-		return relay.Listed{}, fmt.Errorf("data: %w", err)
+		return relay.Endpoint{}, fmt.Errorf("data: %w", err)
 	}
-	l := relay.Listed{ID: name, Address: string(v.GetStringBytes("address")), Zone: string(v.GetStringBytes("zone")),
-		Cell: int32(v.GetInt("cell")), Started: v.GetFloat64("startedAtMs"), Load: -1}
+	l := relay.Endpoint{ID: name, Address: string(v.GetStringBytes("address")), Zone: string(v.GetStringBytes("zone")),
+		Cell: int32(v.GetInt("cell")), StartedAt: v.GetFloat64("startedAtMs"), Load: -1}
 	if load := v.Get("load"); load != nil {
 		l.Load = max(load.GetFloat64(), 0)
 	}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -43,7 +43,7 @@
 
 // Dialer places connections. It is safe for use by many goroutines.
 type Dialer struct {
-	x     *relay.Exchange
+	x     *relay.RequestTable
 	clock *relay.Clock
 	cfg   Config
 	stop  context.CancelFunc
@@ -72,7 +72,7 @@
 			return nil, errors.New("plugin: times must be positive")
 		}
 	}
-	site := &relay.Site{Zones: map[string]decide.Zone{}, Settings: decide.Settings{Relays: max(cfg.Clients, 1), Zones: len(cfg.Zones),
+	site := &relay.Deployment{Zones: map[string]decide.Zone{}, Settings: decide.Settings{Relays: max(cfg.Clients, 1), Zones: len(cfg.Zones),
 		MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(cfg.DialMs),
 		ConnectTimeout: relay.Duration(cfg.ConnectMs), Tick: relay.Duration(1), Ask: true,
 		Rules:   decide.Rules{AskWithin: relay.Duration(cfg.SessionMs)},
@@ -83,28 +83,28 @@
 	site.Settings.Zone = site.Zones[cfg.Zone]
 	ctx, stop := context.WithCancel(context.Background())
 	d := &Dialer{clock: relay.NewClock(), cfg: cfg, stop: stop}
-	d.x = relay.NewExchange(site, d.clock, d)
+	d.x = relay.NewRequestTable(site, d.clock, d)
 	lister := zookeeper.NewClient(zookeeper.Ensemble{Addresses: cfg.ZooKeeper, Path: cfg.Path, Session: cfg.SessionMs}, d.x, log)
-	d.x.Members(decide.Cached, nil)
+	d.x.UpdateEndpoints(decide.Cached, nil)
 	lister.Watch()
 	go lister.Run(ctx)
-	go relay.NewCore(d.x, rand.Uint64(), lister, log).Run(ctx)
+	go relay.NewEventLoop(d.x, rand.Uint64(), lister, log).Run(ctx)
 	return d, nil
 }
 
 // Close ends the core. Open connections go on; dials fail.
 func (d *Dialer) Close() {
-	d.x.Drain()
+	d.x.BeginShutdown()
 	d.stop()
 }
 
 // waiter is the client side's end of a dial. It learns the end from the call itself.
 type waiter struct{}
 
-func (waiter) Pass([]byte) error  { return nil }
-func (waiter) Close(relay.Ending) {}
-func (waiter) Wake()              {}
-func (waiter) Pending() bool      { return false }
+func (waiter) Forward([]byte) error  { return nil }
+func (waiter) Close(relay.CloseKind) {}
+func (waiter) Wake()                 {}
+func (waiter) HasUnread() bool       { return false }
 
 // Dial is for grpc.WithContextDialer. The target is not looked at: the core knows where the servers are.
 func (d *Dialer) Dial(ctx context.Context, _ string) (net.Conn, error) {
@@ -112,43 +112,43 @@
 	if at, ok := ctx.Deadline(); ok {
 		left = min(left, relay.Millis(time.Until(at)))
 	}
-	call := d.x.Open(relay.Ask{Tenant: decide.NoTenant, Left: max(left, 1)}, waiter{})
+	call := d.x.Open(relay.OpenRequest{Tenant: decide.NoTenant, Timeout: max(left, 1)}, waiter{})
 	select {
 	case <-call.Settled():
 	case <-ctx.Done():
-		call.Leave(relay.Broken)
+		call.ClientClosed(relay.AbortiveClose)
 		return nil, ctx.Err()
 	}
-	if r, ok := call.Remote().(remote); ok {
+	if r, ok := call.ServerConn().(remote); ok {
 		return r.conn, nil
 	}
 	_, a := call.State()
-	if a.Kind == relay.Refused {
+	if a.Kind == relay.Rejected {
 		return nil, &RefusedError{RetryAfter: relay.Duration(a.RetryAfter)}
 	}
 	return nil, errors.New("no server could be reached")
 }
 
-// Try makes one attempt; it is part of the core's server side.
-func (d *Dialer) Try(c *relay.Call, a relay.Attempt) { go d.try(c, a) }
+// StartAttempt makes one attempt; it is part of the core's server side.
+func (d *Dialer) StartAttempt(c *relay.Request, a relay.Attempt) { go d.try(c, a) }
 
-func (d *Dialer) try(c *relay.Call, a relay.Attempt) {
+func (d *Dialer) try(c *relay.Request, a relay.Attempt) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	placed := &conn{d: d, call: c, no: a.No, stop: stop, first: true}
-	if !c.Attach(a.No, remote{placed}) {
-		c.Over(a.No, decide.Moot, decide.NoReport)
+	placed := &conn{d: d, call: c, no: a.Number, stop: stop, first: true}
+	if !c.Attach(a.Number, remote{placed}) {
+		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
 		return
 	}
-	raw, err := splice.Dial(ctx, a.Server.Address, min(a.Until-d.clock.Now(), d.cfg.ConnectMs))
+	raw, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-d.clock.NowMillis(), d.cfg.ConnectMs))
 	if err != nil {
-		c.Over(a.No, splice.Undialled(err), decide.NoReport)
+		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoReport)
 		return
 	}
 	placed.Conn = raw // Begin and Up order this before every use by the client side
-	if !c.Begin(a.No) || c.Up(a.No) == nil {
+	if !c.BeginWrite(a.Number) || c.Establish(a.Number) == nil {
 		raw.Close()
-		c.Over(a.No, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
 		return
 	}
 	placed.ready()
@@ -164,7 +164,7 @@
 		if err == nil {
 			raw.Close()
 		} else {
-			status = splice.Unprobed(err)
+			status = splice.ProbeStatus(err)
 		}
 		done(status, report)
 	}()
@@ -182,7 +182,7 @@
 type conn struct {
 	net.Conn
 	d    *Dialer
-	call *relay.Call
+	call *relay.Request
 	no   int
 	stop func()
 
@@ -205,14 +205,14 @@
 // remote is a placed connection as the core knows it, which calls it with its own lock held.
 type remote struct{ *conn }
 
-// Pass is never used: gRPC writes by itself.
-func (r remote) Pass(p []byte) error {
+// Forward is never used: gRPC writes by itself.
+func (r remote) Forward(p []byte) error {
 	_, err := r.conn.Write(p)
 	return err
 }
 
 // Close ends the dial or the connection; gRPC meets the end and tells the core.
-func (r remote) Close(relay.Ending) {
+func (r remote) Close(relay.CloseKind) {
 	r.stop()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -247,7 +247,7 @@
 		return
 	}
 	go func() { // the core that wakes holds its lock
-		if moving, _ := c.call.Moving(); !moving && !c.call.Draining() {
+		if moving, _ := c.call.Migrating(); !moving && !c.call.ServerDraining() {
 			return
 		}
 		c.mu.Lock()
@@ -281,7 +281,7 @@
 	}
 	c.mu.Unlock()
 	err := c.Conn.Close()
-	c.call.Over(c.no, status, decide.NoReport)
+	c.call.EndAttempt(c.no, status, decide.NoReport)
 	return err
 }
 
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -149,9 +149,9 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	stop()
-	for i := 0; b.d.x.MoveSome(0) != 1; i++ {
+	for i := 0; b.d.x.MigrateSome(0) != 1; i++ {
 		if i > 3000 {
-			t.Fatalf("%d connections are kept", b.d.x.MoveSome(0))
+			t.Fatalf("%d connections are kept", b.d.x.MigrateSome(0))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
