--- a/decide/blind_test.go
+++ b/decide/blind_test.go
@@ -8,26 +8,26 @@
 // Where no report tells a load and no tenant has a quota, every backend was reckoned at 0: a relay sent all of a group to the first
 // of its circle, whatever it held there and however long that took to answer, and a cold one got what a constant allowed.
 func TestBlindSiteSpreads(t *testing.T) {
-	place := func(took func(Backend) time.Duration) map[Backend]int {
+	place := func(took func(ServerID) time.Duration) map[ServerID]int {
 		set := settings()
-		set.Tenants, set.Groups, set.Relays = nil, true, 1
+		set.Tenants, set.GroupAffinity, set.Relays = nil, true, 1
 		r := newRelay(t, set, 3, 8)
-		on := map[Backend]int{}
+		on := map[ServerID]int{}
 		for id := RequestID(1); id <= 200; id++ {
-			acts := r.pass(300 * ms).do(Request{ID: id, Tenant: NoTenant, Left: 2 * time.Second, Group: 1 + uint64(id)%2*(uint64(id)%12)})
+			acts := r.pass(300 * ms).do(Request{ID: id, Tenant: NoTenant, TimeLeft: 2 * time.Second, Group: 1 + uint64(id)%2*(uint64(id)%12)})
 			for i := 0; i < len(acts); i++ {
 				if p, ok := acts[i].(Probe); ok {
-					acts = append(acts, r.do(Probed{Backend: p.Backend, Took: took(p.Backend), Report: NoReport})...)
+					acts = append(acts, r.do(ProbeResult{Server: p.Server, Latency: took(p.Server), Report: NoLoadReport})...)
 				}
 			}
-			for _, s := range all[Send](acts) {
-				on[s.Backend]++
-				r.do(Opened{ID: id, Backend: s.Backend, Took: 10 * ms})
+			for _, s := range all[Forward](acts) {
+				on[s.Server]++
+				r.do(Opened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
 			}
 		}
 		return on
 	}
-	even := place(func(Backend) time.Duration { return 4 * ms })
+	even := place(func(ServerID) time.Duration { return 4 * ms })
 	most, used := 0, 0
 	for _, n := range even {
 		most, used = max(most, n), used+1
@@ -35,7 +35,7 @@
 	if most > 70 || used < 5 { // half of them are one group's, which the first of its circle got all
 		t.Errorf("200 connections of seven groups over eight backends: %v", even)
 	}
-	late := place(func(id Backend) time.Duration {
+	late := place(func(id ServerID) time.Duration {
 		if id == 2 {
 			return 120 * ms
 		}
@@ -49,22 +49,22 @@
 // A fresh backend of such a site warms up with more than a trickle, and with less than what fills it.
 func TestBlindSiteWarmsUp(t *testing.T) {
 	set := settings()
-	set.Tenants, set.Relays, set.Rules.FallFor = nil, 1, 3*time.Second
+	set.Tenants, set.Relays, set.Rules.OverloadWindow = nil, 1, 3*time.Second
 	r := newRelay(t, set, 5, 4)
 	sent := 0
 	for id := RequestID(1); id <= 600; id++ {
 		if id == 400 { // the four hold 400 now
-			r.do(Members{Kind: Delta, Entries: []Entry{{Backend: 4, Mode: Ready, Spot: 99, Since: r.now}}})
+			r.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 4, State: Ready, RendezvousKey: 99, StartedAt: r.now}}})
 		}
-		acts := r.pass(20 * ms).do(Request{ID: id, Tenant: NoTenant, Left: 2 * time.Second})
+		acts := r.pass(20 * ms).do(Request{ID: id, Tenant: NoTenant, TimeLeft: 2 * time.Second})
 		for i := 0; i < len(acts); i++ {
 			if p, ok := acts[i].(Probe); ok {
-				acts = append(acts, r.do(Probed{Backend: p.Backend, Took: 4 * ms, Report: NoReport})...)
+				acts = append(acts, r.do(ProbeResult{Server: p.Server, Latency: 4 * ms, Report: NoLoadReport})...)
 			}
 		}
-		for _, s := range all[Send](acts) {
-			r.do(Opened{ID: id, Backend: s.Backend, Took: 10 * ms})
-			if s.Backend == 4 {
+		for _, s := range all[Forward](acts) {
+			r.do(Opened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
+			if s.Server == 4 {
 				sent++
 			}
 		}
@@ -85,12 +85,12 @@
 			for i := 0; i < len(acts); i++ {
 				switch a := acts[i].(type) {
 				case Probe:
-					acts = append(acts, r.do(Probed{Backend: a.Backend, Status: status, Took: 9 * ms, Report: NoReport})...)
+					acts = append(acts, r.do(ProbeResult{Server: a.Server, Status: status, Latency: 9 * ms, Report: NoLoadReport})...)
 				case Timer:
-					acts = append(acts, r.pass(a.After).do(Alarm{Token: a.Token})...)
-				case Send:
+					acts = append(acts, r.pass(a.After).do(TimerFired{Token: a.Token})...)
+				case Forward:
 					sent++
-					r.do(Outcome{ID: a.ID, Backend: a.Backend, Status: Full, Closed: true, Report: NoReport})
+					r.do(Outcome{ID: a.ID, Server: a.Server, Status: AtCapacity, Closed: true, Report: NoLoadReport})
 				}
 				if i > 200 {
 					break
@@ -109,14 +109,14 @@
 	through := 0
 	for me := range 20 {
 		set := settings()
-		set.Relays, set.Me, set.Groups = 20, me, true
-		set.Tenants[0].Quota = 100
+		set.Relays, set.RelayIndex, set.GroupAffinity = 20, me, true
+		set.Tenants[0].ConnectionQuota = 100
 		r := newRelay(t, set, 1, 24)
-		r.do(Members{Kind: Delta, Entries: []Entry{{Backend: 24, Mode: Ready, Spot: 99, Since: r.now}}})
+		r.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 24, State: Ready, RendezvousKey: 99, StartedAt: r.now}}})
 		for range 60 {
 			r.pass(5 * ms)
 			r.b.now = r.now
-			if r.b.coldBudget(r.b.server(24)) {
+			if r.b.drawSlowStartBudget(r.b.stateOf(24)) {
 				through++
 			}
 		}
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -19,7 +19,7 @@
 	groups  bool
 	alarms  []due // in the order in which they are due
 	ends    []RequestID
-	at      []Backend
+	at      []ServerID
 	load    []float64
 	backlog []Action
 }
@@ -31,22 +31,22 @@
 
 func newBusy(servers int, groups bool) *busy {
 	set := settings()
-	set.Relays, set.Groups, set.Tick, set.TellsDelay = 1, groups, 5*ms, false
-	set.Tenants[0].Quota, set.Tenants[1].Quota = 20_000, 20_000 // 10,000 connections are a fifth of all capacity
+	set.Relays, set.GroupAffinity, set.Tick, set.ReportsMessageDelay = 1, groups, 5*ms, false
+	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 20_000, 20_000 // 10,000 connections are a fifth of all capacity
 	y := &busy{b: New(set, 1), now: time.Hour, groups: groups, load: make([]float64, servers)}
-	var list []Entry
+	var list []Endpoint
 	for i := range servers {
-		list = append(list, Entry{Backend: Backend(i), Mode: Ready, Spot: (uint64(i) + 1) * 0x9e3779b97f4a7c15})
+		list = append(list, Endpoint{Server: ServerID(i), State: Ready, RendezvousKey: (uint64(i) + 1) * 0x9e3779b97f4a7c15})
 		y.load[i] = 0.35 + 0.001*float64(i%100)
 	}
-	y.in(Members{Kind: Whole, Entries: list})
+	y.in(WatchEvent{Kind: Snapshot, Endpoints: list})
 	for i := range 10_000 { // open before this relay started, spread over all servers
 		y.id++
-		r, at := Request{ID: y.id, Tenant: Tenant(i % 2), Left: time.Hour}, Backend(i%servers)
+		r, at := Request{ID: y.id, Tenant: Tenant(i % 2), TimeLeft: time.Hour}, ServerID(i%servers)
 		if groups {
 			r.Group = 1 + uint64(i)%500
 		}
-		y.in(Inherited{Request: r, Backend: at})
+		y.in(Inherited{Request: r, Server: at})
 		y.ends, y.at = append(y.ends, y.id), append(y.at, at)
 	}
 	return y
@@ -59,12 +59,12 @@
 		y.backlog = y.backlog[1:]
 		switch a := a.(type) {
 		case Probe:
-			y.backlog = y.b.Handle(y.now, Probed{Backend: a.Backend, Took: ms, Report: Report{Load: y.load[a.Backend] + 0.2*float64(len(y.load)*len(y.b.fleet[a.Backend].held))/10_000, Inflight: -1, Errors: -1, Busy: -1}}, y.backlog)
-		case Send:
-			y.backlog = y.b.Handle(y.now, Opened{ID: a.ID, Backend: a.Backend, Took: 5 * ms}, y.backlog)
-			y.ends, y.at = append(y.ends, a.ID), append(y.at, a.Backend)
+			y.backlog = y.b.Handle(y.now, ProbeResult{Server: a.Server, Latency: ms, Report: LoadReport{Load: y.load[a.Server] + 0.2*float64(len(y.load)*len(y.b.servers[a.Server].connections))/10_000, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, y.backlog)
+		case Forward:
+			y.backlog = y.b.Handle(y.now, Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * ms}, y.backlog)
+			y.ends, y.at = append(y.ends, a.ID), append(y.at, a.Server)
 		case Timer:
-			if a.Token%wakeKinds == wakeWatch { // the only one that matters here
+			if a.Token%timerKinds == timerLoadWatch { // the only one that matters here
 				y.alarms = append(y.alarms, due{y.now + a.After, a.Token})
 			}
 		}
@@ -77,14 +77,14 @@
 	for len(y.alarms) > 0 && y.alarms[0].at <= y.now {
 		token := y.alarms[0].token
 		y.alarms = y.alarms[1:]
-		y.in(Alarm{Token: token})
+		y.in(TimerFired{Token: token})
 	}
 	if len(y.ends) >= 10_000 {
-		y.in(Outcome{ID: y.ends[0], Backend: y.at[0], Status: OK, Closed: true, Report: NoReport})
+		y.in(Outcome{ID: y.ends[0], Server: y.at[0], Status: OK, Closed: true, Report: NoLoadReport})
 		y.ends, y.at = y.ends[1:], y.at[1:]
 	}
 	y.id++
-	r := Request{ID: y.id, Tenant: Tenant(y.id % 2), Key: uint64(y.id), Left: 2 * time.Second}
+	r := Request{ID: y.id, Tenant: Tenant(y.id % 2), Key: uint64(y.id), TimeLeft: 2 * time.Second}
 	if y.groups {
 		r.Group = 1 + uint64(y.id)%500
 	}
@@ -95,34 +95,34 @@
 // through lists that change, failures and their ends.
 func TestCircleIsTheFirstByRank(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
-	b := New(Settings{Relays: 1, Zones: 3, Groups: true, Probes: true, Tick: ms}, 1)
+	b := New(Settings{Relays: 1, Zones: 3, GroupAffinity: true, Probes: true, Tick: ms}, 1)
 	now := time.Hour
 	for range 3000 {
 		now += ms
-		id := Backend(rng.IntN(60))
+		id := ServerID(rng.IntN(60))
 		switch rng.IntN(4) {
 		case 0:
-			b.Handle(now, Members{Kind: Delta, Entries: []Entry{{Backend: id, Mode: Mode(rng.IntN(3)), Zone: Zone(rng.IntN(3)), Spot: uint64(id)*7919 + 1}}}, nil)
+			b.Handle(now, WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: id, State: EndpointState(rng.IntN(3)), Zone: Zone(rng.IntN(3)), RendezvousKey: uint64(id)*7919 + 1}}}, nil)
 		case 1:
 			b.now = now
-			s := b.server(id)
-			s.bad, s.badTill = rng.IntN(5) > 0, now+time.Duration(rng.IntN(300))*ms
+			s := b.stateOf(id)
+			s.ejected, s.ejectedUntil = rng.IntN(5) > 0, now+time.Duration(rng.IntN(300))*ms
 		}
 		b.now = now
 		group := 1 + uint64(rng.IntN(20))
-		var want []Backend
-		for i := range b.fleet {
-			if s := &b.fleet[i]; s.pos >= 0 && !(s.bad && now < s.badTill) {
-				want = append(want, Backend(i))
+		var want []ServerID
+		for i := range b.servers {
+			if s := &b.servers[i]; s.zoneIndex >= 0 && !(s.ejected && now < s.ejectedUntil) {
+				want = append(want, ServerID(i))
 			}
 		}
-		rank := func(id Backend) uint64 {
-			r := (b.fleet[id].Spot ^ group) * 0x9e3779b97f4a7c15
+		rank := func(id ServerID) uint64 {
+			r := (b.servers[id].RendezvousKey ^ group) * 0x9e3779b97f4a7c15
 			return (r ^ r>>29) * 0xbf58476d1ce4e5b9
 		}
-		slices.SortFunc(want, func(x, y Backend) int { return cmp.Compare(rank(y), rank(x)) })
-		if want = want[:min(len(want), probesPerPick)]; !slices.Equal(b.circle(group, 1), want) {
-			t.Fatalf("group %d: %v, want %v", group, b.circle(group, 1), want)
+		slices.SortFunc(want, func(x, y ServerID) int { return cmp.Compare(rank(y), rank(x)) })
+		if want = want[:min(len(want), probesPerPlacement)]; !slices.Equal(b.groupSubset(group, 1), want) {
+			t.Fatalf("group %d: %v, want %v", group, b.groupSubset(group, 1), want)
 		}
 	}
 }
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -62,7 +62,7 @@
 
 // goldenServer is a server as the course plays it.
 type goldenServer struct {
-	entry  Entry
+	entry  Endpoint
 	base   float64 // its load beside what this relay opens there
 	slow   time.Duration
 	health goldenHealth
@@ -115,7 +115,7 @@
 	perConn float64
 	reports int // how servers report: 0 all, 1 load only, 2 busy only, 3 nothing
 	answers int // how discovery answers: 0 deltas, 1 whole lists, 2 mostly not
-	views   []View
+	views   []PooledServer
 	acts    []Action
 	hash    uint64
 	actions int
@@ -143,7 +143,7 @@
 		servers = 1 + c.n(60)
 	}
 	if seed%40 == 11 { // a pool of more readings than a placement looks at
-		servers, c.set.Groups = 300, false
+		servers, c.set.GroupAffinity = 300, false
 	}
 	c.perConn = goldenPick(c, 0.002, 0.02, 0.06)
 	c.reports = goldenPick(c, 0, 0, 0, 1, 2, 3)
@@ -161,15 +161,15 @@
 	case 12: // more failing keys than are remembered
 		servers, c.steps, c.keys, c.trouble = 1, 3500, 1<<40, 1
 	case 13: // more groups than orders are kept of
-		servers, c.steps, c.groups, c.set.Groups, c.set.Probes = 3, 7000, 1<<40, true, true
+		servers, c.steps, c.groups, c.set.GroupAffinity, c.set.Probes = 3, 7000, 1<<40, true, true
 	case 14: // groups whose order begins with servers that are ill
-		servers, c.groups, c.set.Groups, c.set.Probes, c.trouble = 60, 5, true, true, 1
+		servers, c.groups, c.set.GroupAffinity, c.set.Probes, c.trouble = 60, 5, true, true, 1
 		c.gap, c.weights = 15*time.Millisecond, []int{60, 0, 1, 2, 20, 3, 0, 0, 0, 1}
 	}
 	heat := goldenPick(c, 0, 0.2, 0.5, 0.7, 0.9)
 	for i := range servers {
-		e := Entry{Backend: Backend(i), Mode: Ready, Zone: Zone(c.n(max(c.set.Zones, 1))), Cell: int32(i / 2),
-			Spot: c.rng.Uint64()}
+		e := Endpoint{Server: ServerID(i), State: Ready, Zone: Zone(c.n(max(c.set.Zones, 1))), Cell: int32(i / 2),
+			RendezvousKey: c.rng.Uint64()}
 		c.servers = append(c.servers, goldenServer{entry: e, base: heat + 0.2*c.rng.Float64(),
 			slow: goldenPick(c, 2*ms, 2*ms, 8*ms)})
 	}
@@ -179,38 +179,38 @@
 
 func (c *goldenCourse) drawSettings(seed uint64) Settings {
 	if seed%80 == 79 { // settings that make no sense
-		return Settings{Me: -3, Relays: -2, Zone: -1, Zones: -4, MaxAttempts: -1, Probes: seed%160 == 79,
-			Rules: Rules{StartCapacity: 9, Cold: -1}}
+		return Settings{RelayIndex: -3, Relays: -2, Zone: -1, Zones: -4, MaxAttempts: -1, Probes: seed%160 == 79,
+			Rules: Rules{SlowStartCapacity: 9, SlowStartWindow: -1}}
 	}
 	relays := goldenPick(c, 1, 2, 3, 10, 40, 80, 300)
 	zones := goldenPick(c, 1, 1, 2, 3, 5)
 	set := Settings{
-		Me: c.n(relays), Relays: relays, Zone: Zone(c.n(zones)), Zones: zones,
+		RelayIndex: c.n(relays), Relays: relays, Zone: Zone(c.n(zones)), Zones: zones,
 		Classes: []ClassInfo{
-			{Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 1, Message: 50 * ms},
-			{Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: Unsafe},
-			{Aim: 200 * ms, Deadline: time.Second, Worth: 1, Effect: Keyed, Scope: ScopeCell, Window: time.Second},
-			{Aim: 500 * ms, Deadline: 4 * time.Second, Worth: 1, Effect: Keyed, Scope: ScopeZone,
-				Window: 3 * time.Second},
-			{Aim: 250 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Keyed, Window: 200 * ms},
+			{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, MessageLatencyObjective: 50 * ms},
+			{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Idempotency: NonIdempotent},
+			{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: time.Second},
+			{LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeZone,
+				DedupWindow: 3 * time.Second},
+			{LatencyObjective: 250 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupWindow: 200 * ms},
 		},
 		MaxAttempts: goldenPick(c, 1, 2, 2, 3, 3), Probes: seed%5 != 4, RetryAfter: c.chance(0.8),
 		MaxRetryAfter:  goldenPick(c, 0, time.Second, 5*time.Second),
 		ConnectTimeout: goldenPick(c, 0, 100*ms, 300*ms),
 		Tick:           goldenPick(c, 0, ms, 5*ms, 20*ms),
-		Groups:         seed%3 == 0, TellsDelay: c.chance(0.5), Ask: c.chance(0.6),
+		GroupAffinity:  seed%3 == 0, ReportsMessageDelay: c.chance(0.5), MustSubscribe: c.chance(0.6),
 		Rules: Rules{
-			AskWithin:     goldenPick(c, 0, 5*time.Second, 10*time.Second),
-			StartCapacity: goldenPick(c, 0, 0.1, 0.25),
-			Cold:          goldenPick(c, 0, 2*time.Second, 8*time.Second, 20*time.Second),
-			FallMultiple:  goldenPick(c, 2.0, 3.0),
-			FallFor:       goldenPick(c, 0, time.Second, 3*time.Second),
+			PollWithin:        goldenPick(c, 0, 5*time.Second, 10*time.Second),
+			SlowStartCapacity: goldenPick(c, 0, 0.1, 0.25),
+			SlowStartWindow:   goldenPick(c, 0, 2*time.Second, 8*time.Second, 20*time.Second),
+			OverloadFactor:    goldenPick(c, 2.0, 3.0),
+			OverloadWindow:    goldenPick(c, 0, time.Second, 3*time.Second),
 		},
-		Prices:         Prices{CrossZone: goldenPick(c, 0, 0.05, 0.5), Probe: 0.002, Move: 0.02},
-		OverShareWorth: 0.5,
+		Prices:                  Prices{CrossZone: goldenPick(c, 0, 0.05, 0.5), Probe: 0.002, Move: 0.02},
+		OverQuotaPriorityWeight: 0.5,
 	}
 	for range goldenPick(c, 0, 1, 2, 4) {
-		set.Tenants = append(set.Tenants, TenantInfo{Share: 0.25, Quota: goldenPick(c, 0, 40.0, 500.0, 20000.0)})
+		set.Tenants = append(set.Tenants, TenantInfo{ServiceShare: 0.25, ConnectionQuota: goldenPick(c, 0, 40.0, 500.0, 20000.0)})
 	}
 	return set
 }
@@ -218,13 +218,13 @@
 // play begins with a list, of one kind or another, draws steps, and lets all that is under way end.
 func (c *goldenCourse) play() {
 	if c.chance(0.5) {
-		c.handle(Members{Kind: Cached, Entries: c.list(goldenPick(c, 0, 0.5, 1))})
+		c.handle(WatchEvent{Kind: Cached, Endpoints: c.list(goldenPick(c, 0, 0.5, 1))})
 	}
 	if c.chance(0.2) {
-		c.handle(Members{Kind: Failed})
+		c.handle(WatchEvent{Kind: WatchFailed})
 	}
 	if c.chance(0.8) {
-		c.after(c.upTo(2*time.Second), Members{Kind: Whole, Entries: c.list(1)})
+		c.after(c.upTo(2*time.Second), WatchEvent{Kind: Snapshot, Endpoints: c.list(1)})
 	}
 	if c.chance(0.6) {
 		c.handle(c.drawFleet())
@@ -306,9 +306,9 @@
 
 func (c *goldenCourse) react(act Action) {
 	switch a := act.(type) {
-	case Send:
+	case Forward:
 		c.attempt(a)
-	case Refuse:
+	case Reject:
 		conn := c.conn(a.ID)
 		conn.over = true
 		if conn.request.Key != 0 && c.chance(0.3) { // its client comes again
@@ -316,30 +316,30 @@
 		}
 	case Fail:
 		c.conn(a.ID).over = true
-	case Move:
-		c.after(c.upTo(20*ms), Outcome{ID: a.ID, Backend: Backend(c.conn(a.ID).on), Status: Cancelled, Closed: true,
-			Report: NoReport})
+	case Migrate:
+		c.after(c.upTo(20*ms), Outcome{ID: a.ID, Server: ServerID(c.conn(a.ID).on), Status: Cancelled, Closed: true,
+			Report: NoLoadReport})
 		if c.chance(0.7) {
 			c.after(30*ms+c.upTo(200*ms), c.drawRequest(0, true))
 		}
 	case Probe:
-		c.answerProbe(a.Backend)
+		c.answerProbe(a.Server)
 	case Timer:
-		c.after(a.After, Alarm{Token: a.Token})
+		c.after(a.After, TimerFired{Token: a.Token})
 		if c.chance(0.01) { // an alarm too early
-			c.after(a.After/2, Alarm{Token: a.Token})
+			c.after(a.After/2, TimerFired{Token: a.Token})
 		}
-	case Subscribe, Fetch:
+	case Subscribe, FetchSnapshot:
 		c.answerDiscovery()
 	}
 }
 
 // attempt draws how an attempt goes.
-func (c *goldenCourse) attempt(a Send) {
+func (c *goldenCourse) attempt(a Forward) {
 	conn := c.conn(a.ID)
-	conn.on, conn.attempts = int(a.Backend), conn.attempts+1
-	s := &c.servers[a.Backend]
-	end := Outcome{ID: a.ID, Attempt: conn.attempts - 1, Backend: a.Backend, Report: c.report(s)}
+	conn.on, conn.attempts = int(a.Server), conn.attempts+1
+	s := &c.servers[a.Server]
+	end := Outcome{ID: a.ID, Attempt: conn.attempts - 1, Server: a.Server, Report: c.report(s)}
 	took := 5*ms + c.upTo(40*ms)
 	if c.chance(0.02) {
 		took = c.upTo(3 * time.Second)
@@ -350,66 +350,66 @@
 	case health == goldenErring:
 		end.Status = Errored
 	case health == goldenFull:
-		end.Status = Full
+		end.Status = AtCapacity
 	case health == goldenSilent || took >= a.Timeout:
 		end.Status, took = TimedOut, a.Timeout
 	case c.chance(0.01):
-		end.Status = goldenPick(c, Reset, Cancelled, Moot)
+		end.Status = goldenPick(c, Reset, Cancelled, Superseded)
 	default:
-		c.after(took, Opened{ID: a.ID, Attempt: end.Attempt, Backend: a.Backend, Took: took})
+		c.after(took, Opened{ID: a.ID, Attempt: end.Attempt, Server: a.Server, SetupLatency: took})
 		took += c.upTo(2 * c.life)
 		end.Status, end.Closed = goldenPick(c, OK, OK, OK, Reset, Cancelled), c.chance(0.97)
 		conn.over = false
 	}
-	end.Took = took
+	end.Elapsed = took
 	c.after(took, end)
 }
 
-func (c *goldenCourse) report(s *goldenServer) Report {
+func (c *goldenCourse) report(s *goldenServer) LoadReport {
 	load := s.base + c.perConn*float64(s.open)
 	switch {
 	case s.health == goldenBlind || c.reports == 3:
-		return NoReport
+		return NoLoadReport
 	case c.reports == 2:
-		return Report{Load: -1, Inflight: -1, Errors: -1, Busy: load}
+		return LoadReport{Load: -1, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: load}
 	case c.reports == 1:
-		return Report{Load: load, Inflight: -1, Errors: -1, Busy: -1}
+		return LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}
 	}
-	return Report{Load: load, Inflight: load * 30, Errors: 0, Busy: load / 2}
+	return LoadReport{Load: load, InFlight: load * 30, ErrorsPerSecond: 0, CPUUtilization: load / 2}
 }
 
-func (c *goldenCourse) answerProbe(id Backend) {
+func (c *goldenCourse) answerProbe(id ServerID) {
 	s := &c.servers[id]
-	p := Probed{Backend: id, Took: s.slow + c.upTo(3*ms), Report: c.report(s)}
+	p := ProbeResult{Server: id, Latency: s.slow + c.upTo(3*ms), Report: c.report(s)}
 	switch {
 	case c.chance(0.01): // lost
 		return
 	case c.chance(0.01):
-		p.Status, p.Report = goldenPick(c, Full, Moot), NoReport
+		p.Status, p.Report = goldenPick(c, AtCapacity, Superseded), NoLoadReport
 	case s.health == goldenDead:
-		p.Status, p.Report = ConnectFailed, NoReport
+		p.Status, p.Report = ConnectFailed, NoLoadReport
 	case s.health == goldenErring && c.chance(0.8):
-		p.Status, p.Report = Errored, NoReport
+		p.Status, p.Report = Errored, NoLoadReport
 	case s.health == goldenSilent:
-		p.Status, p.Took, p.Report = TimedOut, 400*ms, NoReport
+		p.Status, p.Latency, p.Report = TimedOut, 400*ms, NoLoadReport
 	}
-	c.after(p.Took, p)
+	c.after(p.Latency, p)
 }
 
 func (c *goldenCourse) answerDiscovery() {
 	wait := c.upTo(60 * ms)
 	switch {
 	case c.answers == 2 && c.chance(0.8) || c.chance(0.1):
-		c.after(wait, Members{Kind: Failed})
+		c.after(wait, WatchEvent{Kind: WatchFailed})
 	case c.answers == 1:
-		c.after(wait, Members{Kind: Whole, Entries: c.list(1)})
+		c.after(wait, WatchEvent{Kind: Snapshot, Endpoints: c.list(1)})
 	default:
-		c.after(wait, Members{Kind: Delta, Entries: c.list(goldenPick(c, 0, 0.1, 1))})
+		c.after(wait, WatchEvent{Kind: Delta, Endpoints: c.list(goldenPick(c, 0, 0.1, 1))})
 	}
 }
 
 // list draws a part of the servers, as they stand.
-func (c *goldenCourse) list(part float64) (list []Entry) {
+func (c *goldenCourse) list(part float64) (list []Endpoint) {
 	for i := range c.servers {
 		if part == 1 || c.chance(part) {
 			list = append(list, c.servers[i].entry)
@@ -445,33 +445,33 @@
 			id := RequestID(1 + len(c.conns) - 1 - c.n(min(len(c.conns), 50)))
 			if conn := c.conn(id); !conn.over {
 				conn.over = true
-				c.handle(Gone{ID: id})
+				c.handle(ClientGone{ID: id})
 			}
 		}
 	case 6:
 		c.inherit()
 	case 7:
 		if len(c.conns) > 0 {
-			c.handle(LoadNote{ID: RequestID(1 + c.n(len(c.conns))), Backend: c.anyServer(), Load: c.rng.Float64()})
+			c.handle(ConnectionLoad{ID: RequestID(1 + c.n(len(c.conns))), Server: c.anyServer(), Load: c.rng.Float64()})
 		}
 	case 8:
 		if len(c.conns) > 0 {
 			id := RequestID(1 + c.n(len(c.conns)))
-			c.handle(DelayNote{ID: id, Backend: Backend(c.conn(id).on), Delay: c.upTo(120 * ms)})
+			c.handle(MessageDelay{ID: id, Server: ServerID(c.conn(id).on), Delay: c.upTo(120 * ms)})
 		}
 	case 9:
 		c.odd()
 	}
 }
 
-func (c *goldenCourse) anyServer() Backend { return Backend(c.n(len(c.servers))) }
+func (c *goldenCourse) anyServer() ServerID { return ServerID(c.n(len(c.servers))) }
 
 // drawRequest draws a request, and enters it with the course.
 func (c *goldenCourse) drawRequest(key uint64, returned bool) Request {
 	r := Request{
 		ID: RequestID(len(c.conns) + 1), Class: Class(c.n(5)), Tenant: Tenant(c.n(5) - 1),
-		Key: key, Hint: c.rng.Float64(), Returned: returned, Flow: c.chance(0.1),
-		Left: goldenPick(c, 2*time.Second, 2*time.Second, time.Second, c.upTo(300*ms), 4*time.Second),
+		Key: key, LoadHint: c.rng.Float64(), Returning: returned, Flow: c.chance(0.1),
+		TimeLeft: goldenPick(c, 2*time.Second, 2*time.Second, time.Second, c.upTo(300*ms), 4*time.Second),
 	}
 	if key == 0 && c.chance(0.7) {
 		r.Key = 1 + c.rng.Uint64N(uint64(c.keys))
@@ -489,35 +489,35 @@
 	conn := c.conn(r.ID)
 	conn.on, conn.open, conn.attempts = int(on), true, 1
 	c.servers[on].open++
-	c.handle(Inherited{Request: r, Backend: on})
-	c.after(c.upTo(2*c.life), Outcome{ID: r.ID, Backend: on, Status: OK, Closed: true, Report: NoReport})
+	c.handle(Inherited{Request: r, Server: on})
+	c.after(c.upTo(2*c.life), Outcome{ID: r.ID, Server: on, Status: OK, Closed: true, Report: NoLoadReport})
 }
 
-func (c *goldenCourse) drawTold() Told {
-	told := Told{Backend: c.anyServer(), Age: c.upTo(1500 * ms), Report: NoReport}
+func (c *goldenCourse) drawTold() GossipReading {
+	told := GossipReading{Server: c.anyServer(), Age: c.upTo(1500 * ms), Report: NoLoadReport}
 	switch {
 	case c.chance(0.7):
-		told.Report = c.report(&c.servers[told.Backend])
+		told.Report = c.report(&c.servers[told.Server])
 	case c.chance(0.05):
-		told.Sent = 700
+		told.PlacementDelta = 700
 	default:
-		told.Sent = c.n(7) - 3
+		told.PlacementDelta = c.n(7) - 3
 	}
 	return told
 }
 
-func (c *goldenCourse) drawFleet() Fleet {
-	f := Fleet{Relays: goldenPick(c, 0, 1, 2, 9, 80, 300), Share: c.rng.Float64(), Far: c.rng.Float64() / 10,
-		Others: goldenPick(c, -1, 0, 20*c.rng.Float64(), 300), Held: goldenPick(c, -1, 0, c.n(2000)),
-		Sent: goldenPick(c, 0, 0, 5*c.rng.Float64()), Shared: c.chance(0.5), Summed: c.chance(0.5)}
+func (c *goldenCourse) drawFleet() FleetStatus {
+	f := FleetStatus{Relays: goldenPick(c, 0, 1, 2, 9, 80, 300), BudgetShare: c.rng.Float64(), FarBudgetShare: c.rng.Float64() / 10,
+		PeerRequestRate: goldenPick(c, -1, 0, 20*c.rng.Float64(), 300), PeerConnections: goldenPick(c, -1, 0, c.n(2000)),
+		PeerMigrationRate: goldenPick(c, 0, 0, 5*c.rng.Float64()), SharesReadings: c.chance(0.5), SharesPlacements: c.chance(0.5)}
 	if c.chance(0.3) {
-		f.Until = c.now + c.upTo(5*time.Second)
+		f.BudgetUntil = c.now + c.upTo(5*time.Second)
 	}
 	if c.chance(0.4) {
-		f.Near = []Zone{}
+		f.NearZones = []Zone{}
 		for z := range c.set.Zones {
 			if c.chance(0.5) {
-				f.Near = append(f.Near, Zone(z))
+				f.NearZones = append(f.NearZones, Zone(z))
 			}
 		}
 	}
@@ -529,26 +529,26 @@
 	e := &c.servers[c.anyServer()].entry
 	switch c.n(8) {
 	case 0, 1:
-		e.Mode, e.Since = Ready, c.now-c.upTo(3*time.Second)
+		e.State, e.StartedAt = Ready, c.now-c.upTo(3*time.Second)
 	case 2:
-		e.Mode = Draining
+		e.State = Draining
 	case 3:
-		e.Mode = GoneMode
+		e.State = Removed
 	case 4:
 		e.Zone = Zone(c.n(max(c.set.Zones, 1) + 1)) // one of them is not in the settings
 	case 5:
-		e.Spot = c.rng.Uint64()
+		e.RendezvousKey = c.rng.Uint64()
 	default:
-		e.Mode = Ready
+		e.State = Ready
 	}
-	kind := goldenPick(c, Delta, Delta, Delta, Revised, Whole, Cached, Failed)
+	kind := goldenPick(c, Delta, Delta, Delta, LocalDelta, Snapshot, Cached, WatchFailed)
 	switch kind {
-	case Delta, Revised:
-		c.handle(Members{Kind: kind, Entries: []Entry{*e}})
-	case Failed:
-		c.handle(Members{Kind: kind})
+	case Delta, LocalDelta:
+		c.handle(WatchEvent{Kind: kind, Endpoints: []Endpoint{*e}})
+	case WatchFailed:
+		c.handle(WatchEvent{Kind: kind})
 	default:
-		c.handle(Members{Kind: kind, Entries: c.list(goldenPick(c, 0.9, 1, 1))})
+		c.handle(WatchEvent{Kind: kind, Endpoints: c.list(goldenPick(c, 0.9, 1, 1))})
 	}
 }
 
@@ -565,8 +565,8 @@
 	if s.health == goldenDead { // its connections break
 		for i := range c.conns {
 			if conn := &c.conns[i]; conn.open && conn.on == int(id) {
-				c.after(c.upTo(10*ms), Outcome{ID: RequestID(i + 1), Backend: id, Status: Reset, Closed: true,
-					Report: NoReport})
+				c.after(c.upTo(10*ms), Outcome{ID: RequestID(i + 1), Server: id, Status: Reset, Closed: true,
+					Report: NoLoadReport})
 			}
 		}
 	}
@@ -577,30 +577,30 @@
 	unknown := RequestID(1 << 40)
 	switch c.n(7) {
 	case 0:
-		c.handle(Peer{From: 1, Data: []byte("word")})
+		c.handle(PeerMessage{From: 1, Data: []byte("word")})
 	case 1:
-		c.handle(Opened{ID: unknown, Backend: c.anyServer(), Took: c.upTo(time.Second)})
+		c.handle(Opened{ID: unknown, Server: c.anyServer(), SetupLatency: c.upTo(time.Second)})
 	case 2:
-		c.handle(Outcome{ID: unknown, Backend: c.anyServer(), Status: Reset})
+		c.handle(Outcome{ID: unknown, Server: c.anyServer(), Status: Reset})
 	case 3:
-		c.handle(Gone{ID: unknown})
+		c.handle(ClientGone{ID: unknown})
 	case 4:
-		c.handle(DelayNote{ID: unknown, Backend: c.anyServer(), Delay: time.Second})
+		c.handle(MessageDelay{ID: unknown, Server: c.anyServer(), Delay: time.Second})
 	case 5:
-		c.handle(Probed{Backend: c.anyServer(), Took: ms, Report: NoReport})
+		c.handle(ProbeResult{Server: c.anyServer(), Latency: ms, Report: NoLoadReport})
 	case 6:
-		c.handle(Members{Kind: Failed})
+		c.handle(WatchEvent{Kind: WatchFailed})
 	}
 }
 
 // observe hashes what those see who watch.
 func (c *goldenCourse) observe() {
-	c.views = c.b.Pool(make([]View, 0, goldenPick(c, 3, 64, 400)))
+	c.views = c.b.ProbePool(make([]PooledServer, 0, goldenPick(c, 3, 64, 400)))
 	c.add(uint64(len(c.views)))
 	for _, v := range c.views {
-		c.add(uint64(v.Backend), math.Float64bits(v.Load), uint64(v.Age), goldenBool(v.Cold))
+		c.add(uint64(v.Server), math.Float64bits(v.EstimatedLoad), uint64(v.ReadingAge), goldenBool(v.InSlowStart))
 	}
-	c.add(uint64(c.b.Shunned()))
+	c.add(uint64(c.b.EjectedCount()))
 }
 
 func goldenBool(is bool) uint64 {
@@ -613,27 +613,27 @@
 // hashAction writes an action as numbers: names may change, these may not.
 func (c *goldenCourse) hashAction(act Action) {
 	switch a := act.(type) {
-	case Send:
-		c.add(1, uint64(a.ID), uint64(a.Backend), uint64(a.Timeout))
-	case Refuse:
-		c.add(2, uint64(a.ID), uint64(a.RetryAfter), uint64(a.Why))
+	case Forward:
+		c.add(1, uint64(a.ID), uint64(a.Server), uint64(a.Timeout))
+	case Reject:
+		c.add(2, uint64(a.ID), uint64(a.RetryAfter), uint64(a.Reason))
 	case Fail:
-		c.add(3, uint64(a.ID), uint64(a.Why))
-	case Move:
+		c.add(3, uint64(a.ID), uint64(a.Reason))
+	case Migrate:
 		c.add(4, uint64(a.ID))
 	case Probe:
-		c.add(5, uint64(a.Backend))
+		c.add(5, uint64(a.Server))
 	case Timer:
 		c.add(6, uint64(a.After), a.Token)
 	case Subscribe:
 		c.add(7)
-	case Fetch:
+	case FetchSnapshot:
 		c.add(8)
-	case Cancel:
+	case CancelAttempt:
 		c.add(9, uint64(a.ID), uint64(a.Attempt))
-	case CloseIdle:
-		c.add(10, uint64(a.Backend))
-	case Tell:
+	case CloseIdleConnections:
+		c.add(10, uint64(a.Server))
+	case SendToPeer:
 		c.add(11, uint64(a.Peer), uint64(len(a.Data)))
 	case Log:
 		c.add(12, uint64(len(a.Text)))
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -7,56 +7,56 @@
 
 // This file decides which backends are probed for a request, and what is learnt from their readings.
 
-// ready places a request at once if the pool is fresh; else the pool is topped up first.
-func (b *Balancer) ready(r *request) {
-	r.need = b.ask(r.Group)
-	b.holdOrPlace(r)
+// probeThenPlace places a request at once if the pool is fresh; else the pool is topped up first.
+func (b *Balancer) probeThenPlace(r *request) {
+	r.probesAwaited = b.probeCandidates(r.Group)
+	b.queueOrPlace(r)
 }
 
-// ask tops up the pool for a connection of a group, or of none, and returns how many answers will come.
-func (b *Balancer) ask(group uint64) int {
+// probeCandidates tops up the pool for a connection of a group, or of none, and returns how many answers will come.
+func (b *Balancer) probeCandidates(group uint64) int {
 	switch {
-	case !b.set.Probes:
+	case !b.settings.Probes:
 		return 0
 	case group != 0:
-		return b.topUp(b.circle(group, 1), probesPerPick, false)
+		return b.topUpReadings(b.groupSubset(group, 1), probesPerPlacement, false)
 	}
-	return b.topUp(b.zones[b.set.Zone], probesPerPick-b.fresh(), true)
+	return b.topUpReadings(b.serversByZone[b.settings.Zone], probesPerPlacement-b.pruneStaleReadings(), true)
 }
 
-func (b *Balancer) holdOrPlace(r *request) {
-	wait := min((r.deadline-b.now)/4, 2*b.probeRTT+2*b.set.Tick)
-	if r.need == 0 || wait < b.set.Tick {
-		b.place(r)
+func (b *Balancer) queueOrPlace(r *request) {
+	wait := min((r.deadline-b.now)/4, 2*b.probeRTT+2*b.settings.Tick)
+	if r.probesAwaited == 0 || wait < b.settings.Tick {
+		b.placeRequest(r)
 		return
 	}
-	r.phase = holding
-	b.waiting = append(b.waiting, r)
+	r.phase = phaseQueued
+	b.queuedRequests = append(b.queuedRequests, r)
 	r.wakeAt = b.now + wait
-	b.wake(wakeRequest, uint64(r.ID), wait)
+	b.setTimer(timerRequest, uint64(r.ID), wait)
 }
 
-// circle lists a group's backends in an order that all relays agree on, so that its connections, which
+// groupSubset lists a group's backends in an order that all relays agree on, so that its connections, which
 // share work where they meet, meet on few; wide is 1, or 2 for twice as many. Only where groups share.
-func (b *Balancer) circle(group uint64, wide int) []Backend {
-	b.round = b.round[:0]
-	for _, id := range b.ring(group) {
-		if s := &b.fleet[id]; (!s.bad || b.now >= s.badTill) && len(b.round) < wide*probesPerPick {
-			b.round = append(b.round, id)
+func (b *Balancer) groupSubset(group uint64, wide int) []ServerID {
+	b.subsetScratch = b.subsetScratch[:0]
+	for _, id := range b.rendezvousOrder(group) {
+		if s := &b.servers[id]; (!s.ejected || b.now >= s.ejectedUntil) && len(b.subsetScratch) < wide*probesPerPlacement {
+			b.subsetScratch = append(b.subsetScratch, id)
 		}
 	}
-	return b.round
+	return b.subsetScratch
 }
 
-// rank returns the first n of all listed backends in a group's order, or of those that are well.
-func (b *Balancer) rank(group uint64, n int, well bool) (out []Backend) {
+// rankServers returns the first n of all listed backends in a group's order, or of those that are well.
+func (b *Balancer) rankServers(group uint64, n int, well bool) (out []ServerID) {
 	top := make([]uint64, n)
-	for _, zone := range b.zones {
+	for _, zone := range b.serversByZone {
 		for _, id := range zone {
-			if s := &b.fleet[id]; well && s.bad && b.now < s.badTill {
+			if s := &b.servers[id]; well && s.ejected && b.now < s.ejectedUntil {
 				continue
 			}
-			rank := (b.fleet[id].Spot ^ group) * 0x9e3779b97f4a7c15
+			rank := (b.servers[id].RendezvousKey ^ group) * 0x9e3779b97f4a7c15
 			rank = (rank ^ rank>>29) * 0xbf58476d1ce4e5b9
 			if len(out) < n {
 				out = append(out, -1)
@@ -72,118 +72,120 @@
 	return out
 }
 
-// topUp probes up to n backends of a list, at random or in order, and returns how many answers are worth
+// topUpReadings probes up to n backends of a list, at random or in order, and returns how many answers are worth
 // waiting for. A bad one met on the way is probed too once its time is up, but nobody waits for it.
-func (b *Balancer) topUp(list []Backend, n int, random bool) (need int) {
+func (b *Balancer) topUpReadings(list []ServerID, n int, random bool) (need int) {
 	for i := 0; i < len(list) && need < n; i++ {
 		if random {
-			b.swap(list, i, i+b.rng.IntN(len(list)-i))
+			b.swapInZone(list, i, i+b.rng.IntN(len(list)-i))
 		}
-		s := &b.fleet[list[i]]
-		if s.bad && b.now < s.badTill || s.readAt >= 0 && b.now-s.readAt <= b.usable() {
+		s := &b.servers[list[i]]
+		if s.ejected && b.now < s.ejectedUntil || s.readAt >= 0 && b.now-s.readAt <= b.readingMaxAge() {
 			continue
 		}
-		b.probe(list[i])
-		if !s.bad {
+		b.sendProbe(list[i])
+		if !s.ejected {
 			need++
 		}
 	}
 	return need
 }
 
-func (b *Balancer) probed(e Probed) {
-	s := b.server(e.Backend)
-	s.probeTill = 0
+func (b *Balancer) recordProbeResult(e ProbeResult) {
+	s := b.stateOf(e.Server)
+	s.probePendingUntil = 0
 	switch {
 	case e.Status == OK:
-		if s.bad && s.errs == 0 && e.Report.Load < b.mean/2 {
-			s.chill(b.now) // it holds next to nothing: a new process, which the list will tell of later
+		if s.ejected && s.consecutiveErrors == 0 && e.Report.Load < b.poolLoadMean/2 {
+			s.startSlowStart(b.now) // it holds next to nothing: a new process, which the list will tell of later
 		}
-		s.settle(b.now - reportLag)
-		if s.silent, s.mute = 0, 0; s.errs == 0 || b.now >= s.badTill {
-			s.bad = false
+		s.dropReported(b.now - loadReportDelay)
+		if s.missedProbes, s.unansweredProbes = 0, 0; s.consecutiveErrors == 0 || b.now >= s.ejectedUntil {
+			s.ejected = false
 		}
-		b.probeRTT = max(e.Took, b.probeRTT-b.probeRTT/4)
-		b.read(s, e)
-	case e.Status == Full || e.Status == Moot: // too many probes; it says nothing of its health
+		b.probeRTT = max(e.Latency, b.probeRTT-b.probeRTT/4)
+		b.recordReading(s, e)
+	case e.Status == AtCapacity || e.Status == Superseded: // too many probes; it says nothing of its health
 	default:
-		b.leave(s, e.Status)
-		if s.silent++; e.Status == Errored {
-			s.mute = 0
+		b.ejectServer(s, e.Status)
+		if s.missedProbes++; e.Status == Errored {
+			s.unansweredProbes = 0
 		} else {
-			s.mute++
+			s.unansweredProbes++
 		}
 		// It is probed again after a back-off, not on every arrival that meets it.
-		s.badTill = b.now + b.jittered(freshFor/2, s.silent-stillFor, errorHold)
+		s.ejectedUntil = b.now + b.jitteredBackoff(readingFreshFor/2, s.missedProbes-failuresBeforeReaction, ejectionBackoff)
 	}
-	if len(s.held) > 0 && (e.Status == OK || s.mute > 0) { // one that answers with an error still serves them
-		b.look(e.Backend, s)
+	if len(s.connections) > 0 && (e.Status == OK || s.unansweredProbes > 0) { // one that answers with an error still serves them
+		b.rebalanceServer(e.Server, s)
 	}
-	for _, r := range slices.Clone(b.waiting) { // some wait on meanwhile, for another zone's answers
-		if r.need--; r.need < 1 {
-			b.unwait(r)
-			b.place(r)
+	for _, r := range slices.Clone(b.queuedRequests) { // some wait on meanwhile, for another zone's answers
+		if r.probesAwaited--; r.probesAwaited < 1 {
+			b.dequeueRequest(r)
+			b.placeRequest(r)
 		}
 	}
 }
 
-func (b *Balancer) read(s *server, e Probed) {
-	s.load = max(e.Report.Load, e.Report.Busy)
-	if s.guess = s.load < 0; s.guess {
-		s.load = b.guessed(s, e.Took)
+func (b *Balancer) recordReading(s *serverState, e ProbeResult) {
+	s.readLoad = max(e.Report.Load, e.Report.CPUUtilization)
+	if s.loadGuessed = s.readLoad < 0; s.loadGuessed {
+		s.readLoad = b.guessLoad(s, e.Latency)
 	} else {
-		b.learn(s, e.Report)
+		b.learnLoadPerConnection(s, e.Report)
 	}
-	if s.bad || s.pos < 0 {
+	if s.ejected || s.zoneIndex < 0 {
 		return
 	}
 	s.readAt = b.now
-	if !s.pooled {
-		s.pooled = true
-		b.pool = append(b.pool, e.Backend)
+	if !s.inPool {
+		s.inPool = true
+		b.pool = append(b.pool, e.Server)
 	}
 }
 
-// guessed is a load that no report tells. One that answers probes late is overdriven; else what this
+// guessLoad is a load that no report tells. One that answers probes late is overdriven; else what this
 // relay holds there is all there is, as at a start, or where no quota says what that adds, its part of it.
-func (b *Balancer) guessed(s *server, took time.Duration) float64 {
-	own := func(n int) float64 { return float64(n) + fewHeld }
-	if b.slow(took) && b.loads == 0 {
+func (b *Balancer) guessLoad(s *serverState, took time.Duration) float64 {
+	own := func(n int) float64 { return float64(n) + uninformativeConnections }
+	if b.recordProbeLatency(took) && b.warmLoadMean == 0 {
 		return 1
-	} else if b.quota > 0 {
-		return min(float64(len(s.held)*b.set.Relays)*b.supposed(), easeLoad)
+	} else if b.totalConnectionQuota > 0 {
+		return min(float64(len(s.connections)*b.settings.Relays)*b.quotaLoadPerConnection(), rebalanceTargetLoad)
 	}
-	return min(busyLoad*own(len(s.held))/own(b.held/max(b.listed(), 1)), easeLoad)
+	return min(watchedLoad*own(len(s.connections))/own(b.ownConnections/max(b.listedCount(), 1)), rebalanceTargetLoad)
 }
 
-// learn follows what a connection adds to a warm backend's load: mean load over mean connections held, or
+// learnLoadPerConnection follows what a connection adds to a warm backend's load: mean load over mean connections held, or
 // what all relays hold where no report counts them. Quotas bound it, as who holds few has seen too little.
-func (b *Balancer) learn(s *server, report Report) {
-	if b.warmth(s) < 1 {
+func (b *Balancer) learnLoadPerConnection(s *serverState, report LoadReport) {
+	if b.capacityFraction(s) < 1 {
 		return
 	}
-	conns := report.Inflight
+	conns := report.InFlight
 	if conns < 0 {
-		conns = b.all() / float64(max(b.listed(), 1))
+		conns = b.fleetConnections() / float64(max(b.listedCount(), 1))
 	}
-	b.loads += (s.load - b.loads) / 8
-	b.conns += (conns - b.conns) / 8
-	if b.conns >= 1 {
-		b.perConn = b.loads / b.conns
+	b.warmLoadMean += (s.readLoad - b.warmLoadMean) / 8
+	b.warmConnectionsMean += (conns - b.warmConnectionsMean) / 8
+	if b.warmConnectionsMean >= 1 {
+		b.learnedLoadPerConnection = b.warmLoadMean / b.warmConnectionsMean
 	}
-	if mean := b.supposed(); mean > 0 {
-		b.perConn = min(b.perConn, overQuota*mean)
+	if mean := b.quotaLoadPerConnection(); mean > 0 {
+		b.learnedLoadPerConnection = min(b.learnedLoadPerConnection, maxLoadOverQuotaMean*mean)
 	}
 }
 
-// supposed is what a connection adds by what the tenants' quotas make of it, 0 where those are not told.
-func (b *Balancer) supposed() float64 {
-	b.most = max(b.most, b.listed()) // not fewer: a quota does not follow a crash
-	if b.quota == 0 {
+// quotaLoadPerConnection is what a connection adds by what the tenants' quotas make of it, 0 where those are not told.
+func (b *Balancer) quotaLoadPerConnection() float64 {
+	b.maxListed = max(b.maxListed, b.listedCount()) // not fewer: a quota does not follow a crash
+	if b.totalConnectionQuota == 0 {
 		return 0
 	}
-	return quotaOfAll * float64(b.most) / b.quota
+	return quotaCapacityShare * float64(b.maxListed) / b.totalConnectionQuota
 }
 
-// adds is what one more connection is taken to add. A relay that holds few has seen few.
-func (b *Balancer) adds() float64 { return max(b.perConn, b.supposed()) }
+// loadPerConnection is what one more connection is taken to add. A relay that holds few has seen few.
+func (b *Balancer) loadPerConnection() float64 {
+	return max(b.learnedLoadPerConnection, b.quotaLoadPerConnection())
+}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -15,7 +15,7 @@
 	set     Settings
 	rng     *rand.Rand
 	now     time.Duration
-	mode    map[Backend]Mode
+	mode    map[ServerID]EndpointState
 	jobs    map[RequestID]*job
 	pending []pending
 	nextID  RequestID
@@ -31,7 +31,7 @@
 	open     bool
 	over     bool
 	mayRun   bool // an attempt ended without proof that it never ran
-	ranOn    Backend
+	ranOn    ServerID
 }
 
 type pending struct {
@@ -46,11 +46,11 @@
 func (w *world) do(ev Event) {
 	for _, act := range w.b.Handle(w.now, ev, nil) {
 		switch a := act.(type) {
-		case Send:
+		case Forward:
 			w.send(a)
-		case Refuse:
+		case Reject:
 			j := w.conclude(a.ID, "refusal")
-			if j.mayRun && w.set.Classes[j.class].Effect != Safe {
+			if j.mayRun && w.set.Classes[j.class].Idempotency != Idempotent {
 				w.t.Fatalf("request %d refused although it may have run", a.ID)
 			}
 			if a.RetryAfter > w.set.MaxRetryAfter {
@@ -58,60 +58,60 @@
 			}
 		case Fail:
 			w.conclude(a.ID, "failure")
-		case Move:
+		case Migrate:
 			j := w.jobs[a.ID]
 			if j == nil || !j.open || j.over {
 				w.t.Fatalf("move of request %d, which is not open", a.ID)
 			}
 			j.over = true
-			w.later(ms, Outcome{ID: a.ID, Status: Cancelled, Closed: true, Report: NoReport})
+			w.later(ms, Outcome{ID: a.ID, Status: Cancelled, Closed: true, Report: NoLoadReport})
 		case Timer:
-			w.later(a.After, Alarm{Token: a.Token})
+			w.later(a.After, TimerFired{Token: a.Token})
 		case Probe:
-			p := Probed{Backend: a.Backend, Took: 3 * ms, Report: NoReport}
+			p := ProbeResult{Server: a.Server, Latency: 3 * ms, Report: NoLoadReport}
 			switch w.rng.IntN(8) {
 			case 0:
 				p.Status = TimedOut
 			case 1:
-				p.Status = []Status{ConnectFailed, Full, Errored}[w.rng.IntN(3)]
+				p.Status = []Status{ConnectFailed, AtCapacity, Errored}[w.rng.IntN(3)]
 			default:
 				load := w.rng.Float64()
-				p.Report = Report{Load: load, Inflight: 20 * load, Errors: -1, Busy: -1}
+				p.Report = LoadReport{Load: load, InFlight: 20 * load, ErrorsPerSecond: -1, CPUUtilization: -1}
 			}
 			w.later(time.Duration(w.rng.IntN(100))*ms, p)
 		case Subscribe:
-			w.later(20*ms, Members{Kind: []ListKind{Delta, Failed}[w.rng.IntN(2)]})
+			w.later(20*ms, WatchEvent{Kind: []WatchKind{Delta, WatchFailed}[w.rng.IntN(2)]})
 		}
 	}
 }
 
-func (w *world) send(a Send) {
+func (w *world) send(a Forward) {
 	j := w.jobs[a.ID]
 	if j == nil || j.over || j.open || j.out {
 		w.t.Fatalf("send for request %d: %+v", a.ID, j)
 	}
-	if w.mode[a.Backend] != Ready {
-		w.t.Fatalf("send to backend %d in mode %d", a.Backend, w.mode[a.Backend])
+	if w.mode[a.Server] != Ready {
+		w.t.Fatalf("send to backend %d in mode %d", a.Server, w.mode[a.Server])
 	}
 	if j.attempts++; j.attempts > 2 {
 		w.t.Fatalf("request %d has %d attempts", a.ID, j.attempts)
 	}
-	if class := w.set.Classes[j.class]; j.mayRun && class.Effect == Unsafe ||
-		j.mayRun && class.Effect == Keyed && a.Backend/2 != j.ranOn/2 {
-		w.t.Fatalf("request %d of class %d was repeated on %d", a.ID, j.class, a.Backend)
+	if class := w.set.Classes[j.class]; j.mayRun && class.Idempotency == NonIdempotent ||
+		j.mayRun && class.Idempotency == IdempotentWithKey && a.Server/2 != j.ranOn/2 {
+		w.t.Fatalf("request %d of class %d was repeated on %d", a.ID, j.class, a.Server)
 	}
 	j.out = true
 	w.sends++
 	left := j.deadline - w.now
 	took := time.Duration(w.rng.IntN(600)) * ms
 	limit := min(a.Timeout, left)
-	end := Outcome{ID: a.ID, Attempt: j.attempts - 1, Backend: a.Backend, Took: took, Report: NoReport}
+	end := Outcome{ID: a.ID, Attempt: j.attempts - 1, Server: a.Server, Elapsed: took, Report: NoLoadReport}
 	switch status := Status(w.rng.IntN(8)); {
 	case took >= limit: // also the time-out at the deadline, after which the answer is still owed
 		end.Status = TimedOut
 		w.later(limit, end)
-	case status == OK || status == Cancelled || status == Moot || status == TimedOut:
-		w.later(took, Opened{ID: a.ID, Attempt: end.Attempt, Backend: a.Backend, Took: took})
+	case status == OK || status == Cancelled || status == Superseded || status == TimedOut:
+		w.later(took, Opened{ID: a.ID, Attempt: end.Attempt, Server: a.Server, SetupLatency: took})
 		end.Status, end.Closed = []Status{OK, Reset}[w.rng.IntN(2)], true
 		w.later(took+time.Duration(w.rng.IntN(5000))*ms, end)
 	default:
@@ -161,7 +161,7 @@
 			j := w.jobs[e.ID]
 			j.out = false
 			if !e.Status.NeverRan() && !j.mayRun {
-				j.mayRun, j.ranOn = true, e.Backend
+				j.mayRun, j.ranOn = true, e.Server
 			}
 			if e.Closed && !j.over {
 				w.answers++
@@ -177,32 +177,32 @@
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		set := settings()
-		set.Ask = seed%2 == 0
-		set.Groups = seed%3 == 0
-		w := &world{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Minute, mode: map[Backend]Mode{},
+		set.MustSubscribe = seed%2 == 0
+		set.GroupAffinity = seed%3 == 0
+		w := &world{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Minute, mode: map[ServerID]EndpointState{},
 			jobs: map[RequestID]*job{}, b: New(set, seed)}
-		w.b.Handle(w.now, Members{Kind: Cached}, nil)
+		w.b.Handle(w.now, WatchEvent{Kind: Cached}, nil)
 		for w.now < 3*time.Minute {
 			w.now += ms * time.Duration(1+w.rng.IntN(20))
 			w.deliver()
 			switch w.rng.IntN(12) {
 			case 0: // a backend comes, drains, goes or starts anew
-				e := Entry{Backend: Backend(w.rng.IntN(12)), Mode: Mode(w.rng.IntN(3)), Since: w.now * time.Duration(w.rng.IntN(5)/4)}
-				e.Zone, e.Cell = Zone(e.Backend%2), int32(e.Backend/2)
-				w.mode[e.Backend] = e.Mode
-				w.do(Members{Kind: Delta, Entries: []Entry{e}})
+				e := Endpoint{Server: ServerID(w.rng.IntN(12)), State: EndpointState(w.rng.IntN(3)), StartedAt: w.now * time.Duration(w.rng.IntN(5)/4)}
+				e.Zone, e.Cell = Zone(e.Server%2), int32(e.Server/2)
+				w.mode[e.Server] = e.State
+				w.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{e}})
 			case 1, 2, 3:
 				w.nextID++
 				req := Request{ID: w.nextID, Class: Class(w.rng.IntN(3)), Tenant: Tenant(w.rng.IntN(3)) - 1,
-					Key: uint64(w.rng.IntN(5)), Group: uint64(w.rng.IntN(4)), Left: time.Duration(w.rng.IntN(2000)) * ms}
-				w.jobs[req.ID] = &job{class: req.Class, deadline: w.now + req.Left}
+					Key: uint64(w.rng.IntN(5)), Group: uint64(w.rng.IntN(4)), TimeLeft: time.Duration(w.rng.IntN(2000)) * ms}
+				w.jobs[req.ID] = &job{class: req.Class, deadline: w.now + req.TimeLeft}
 				w.do(req)
 			case 4: // a client leaves
 				id := RequestID(w.rng.IntN(int(w.nextID) + 1))
 				if j := w.jobs[id]; j != nil && !j.over {
 					j.over = true
 					w.answers++
-					w.do(Gone{ID: id})
+					w.do(ClientGone{ID: id})
 				}
 			}
 			for id, j := range w.jobs {
@@ -218,10 +218,10 @@
 			w.now += 20 * ms
 			w.deliver()
 		}
-		if n := len(w.b.reqs); n != 0 {
+		if n := len(w.b.requests); n != 0 {
 			t.Errorf("seed %d: %d requests are still kept after all have ended", seed, n)
 		}
-		if n := len(w.b.waiting) + w.b.held; n != 0 {
+		if n := len(w.b.queuedRequests) + w.b.ownConnections; n != 0 {
 			t.Errorf("seed %d: %d waiting or held after all have ended", seed, n)
 		}
 	}
@@ -234,12 +234,12 @@
 		req := ask(id)
 		req.Key = uint64(id)
 		r.pass(ms).do(req)
-		r.do(Opened{ID: 1 << 40, Took: 20 * ms})
+		r.do(Opened{ID: 1 << 40, SetupLatency: 20 * ms})
 	}
-	if n := len(r.b.keys.young) + len(r.b.keys.old); n > 2*keysKept || n < keysKept {
+	if n := len(r.b.keyFailures.recent) + len(r.b.keyFailures.previous); n > 2*failingKeysKept || n < failingKeysKept {
 		t.Errorf("%d keys kept", n)
 	}
-	if len(r.b.reqs) != 0 || len(r.b.setups) != setupsKept {
-		t.Errorf("%d requests and %d set-up times kept", len(r.b.reqs), len(r.b.setups))
+	if len(r.b.requests) != 0 || len(r.b.setupLatencies) != setupLatenciesKept {
+		t.Errorf("%d requests and %d set-up times kept", len(r.b.requests), len(r.b.setupLatencies))
 	}
 }
--- a/decide/talk_test.go
+++ b/decide/talk_test.go
@@ -8,11 +8,11 @@
 
 // Requests that reach many relays between two reports must not all meet on the server that read least.
 func TestVastRelaysDoNotAllPickTheLeastLoaded(t *testing.T) {
-	loads, on := map[Backend]float64{0: 0.2, 1: 0.25, 2: 0.25, 3: 0.25}, map[Backend]int{}
+	loads, on := map[ServerID]float64{0: 0.2, 1: 0.25, 2: 0.25, 3: 0.25}, map[ServerID]int{}
 	for relay := range 80 {
 		set := settings()
-		set.Relays, set.Me, set.Prices.CrossZone = 80, relay, 1
-		set.Tenants[0].Quota = 100
+		set.Relays, set.RelayIndex, set.Prices.CrossZone = 80, relay, 1
+		set.Tenants[0].ConnectionQuota = 100
 		r := newRelay(t, set, uint64(relay), 4)
 		r.pass(4 * time.Second) // the last request came 4 s ago
 		on[r.place(ask(1), loads)]++
@@ -29,17 +29,17 @@
 	sent := 0
 	for relay := range 80 {
 		set := settings()
-		set.Relays, set.Me = 80, relay
-		set.Tenants[0].Quota = 100 // that is 0.032 of a backend for each
+		set.Relays, set.RelayIndex = 80, relay
+		set.Tenants[0].ConnectionQuota = 100 // that is 0.032 of a backend for each
 		r := newRelay(t, set, uint64(relay), 4)
-		for gone := range Backend(20) { // what was listed once has no room either
-			r.do(Members{Kind: Delta, Entries: []Entry{{Backend: 4 + gone, Mode: GoneMode}}})
+		for gone := range ServerID(20) { // what was listed once has no room either
+			r.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 4 + gone, State: Removed}}})
 		}
 		acts := r.do(ask(1))
 		for _, p := range all[Probe](acts) {
-			acts = append(acts, r.do(Probed{Backend: p.Backend, Took: 2 * ms, Report: Report{Load: 0.6, Inflight: -1, Errors: -1, Busy: -1}})...)
+			acts = append(acts, r.do(ProbeResult{Server: p.Server, Latency: 2 * ms, Report: LoadReport{Load: 0.6, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}})...)
 		}
-		sent += len(all[Send](acts))
+		sent += len(all[Forward](acts))
 	}
 	if sent < 20 || sent > 55 {
 		t.Errorf("80 relays sent %d of their first 80 requests on, to room for 19", sent)
@@ -50,16 +50,16 @@
 // all servers stood under half of their load while 300 requests a second were refused for want of room.
 func TestFullCircleGoesOn(t *testing.T) {
 	set := settings()
-	set.Groups, set.Zones = true, 1
-	set.Tenants[0].Quota, set.Tenants[1].Quota = 100, 100
+	set.GroupAffinity, set.Zones = true, 1
+	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 100, 100
 	for _, room := range []bool{true, false} {
-		on := map[Backend]bool{}
+		on := map[ServerID]bool{}
 		for seed := range uint64(20) {
 			r := newRelay(t, set, seed, 12)
-			order, loads := r.b.rank(5, ringLen, false), map[Backend]float64{}
+			order, loads := r.b.rankServers(5, groupOrderLen, false), map[ServerID]float64{}
 			for i, id := range order {
 				loads[id] = 0.95
-				if i >= probesPerPick && (room || i >= 2*probesPerPick) {
+				if i >= probesPerPlacement && (room || i >= 2*probesPerPlacement) {
 					loads[id] = 0.3
 				}
 			}
@@ -69,7 +69,7 @@
 			if got >= 0 {
 				on[got] = true
 			}
-			if i := slices.Index(order, got); room != (i >= probesPerPick && i < 2*probesPerPick) {
+			if i := slices.Index(order, got); room != (i >= probesPerPlacement && i < 2*probesPerPlacement) {
 				t.Errorf("room in the next four %v: placed at %d of the order", room, i)
 			}
 		}
@@ -84,17 +84,17 @@
 func TestColdBudgetReckonsWithAllZones(t *testing.T) {
 	draws := func(groups bool) (n int) {
 		set := settings()
-		set.Groups, set.Zones, set.Relays = groups, 3, 20
-		set.Tenants[0].Quota = 100
+		set.GroupAffinity, set.Zones, set.Relays = groups, 3, 20
+		set.Tenants[0].ConnectionQuota = 100
 		r := newRelay(t, set, 1, 0)
-		var list []Entry
-		for i := range Backend(24) {
-			list = append(list, Entry{Backend: i, Mode: Ready, Zone: Zone(i % 3), Spot: uint64(i+1) * 7919})
+		var list []Endpoint
+		for i := range ServerID(24) {
+			list = append(list, Endpoint{Server: i, State: Ready, Zone: Zone(i % 3), RendezvousKey: uint64(i+1) * 7919})
 		}
-		list[0].Since = r.now
-		r.do(Members{Kind: Whole, Entries: list})
+		list[0].StartedAt = r.now
+		r.do(WatchEvent{Kind: Snapshot, Endpoints: list})
 		for range 2000 {
-			if r.b.coldBudget(r.b.server(0)) {
+			if r.b.drawSlowStartBudget(r.b.stateOf(0)) {
 				n++
 			}
 		}
@@ -109,27 +109,27 @@
 // of a backend that failed this relay.
 func TestToldReadings(t *testing.T) {
 	r := newRelay(t, settings(), 1, 4)
-	r.do(Fleet{Relays: 9, Share: 1.0 / 9, Shared: true})
-	told := func(id Backend, age time.Duration, load float64) {
-		r.do(Told{Backend: id, Age: age, Report: Report{Load: load, Inflight: -1, Errors: -1, Busy: -1}})
+	r.do(FleetStatus{Relays: 9, BudgetShare: 1.0 / 9, SharesReadings: true})
+	told := func(id ServerID, age time.Duration, load float64) {
+		r.do(GossipReading{Server: id, Age: age, Report: LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}})
 	}
 	told(0, 300*ms, 0.4)
 	told(0, 600*ms, 0.9) // older than what is held
-	if s := r.b.server(0); s.load != 0.4 || s.readAt != r.now-300*ms {
-		t.Errorf("holds %.1f of %v", s.load, r.now-s.readAt)
+	if s := r.b.stateOf(0); s.readLoad != 0.4 || s.readAt != r.now-300*ms {
+		t.Errorf("holds %.1f of %v", s.readLoad, r.now-s.readAt)
 	}
-	for i := range Backend(3) {
+	for i := range ServerID(3) {
 		told(i+1, 200*ms, 0.4)
 	}
-	if acts := r.do(ask(1)); len(all[Probe](acts)) != 0 || len(all[Send](acts)) != 1 {
+	if acts := r.do(ask(1)); len(all[Probe](acts)) != 0 || len(all[Forward](acts)) != 1 {
 		t.Errorf("with all readings at hand: %v", acts)
 	}
-	r.do(Outcome{ID: 1, Attempt: 1, Backend: r.b.reqs[1].backend, Status: ConnectFailed, Report: NoReport})
-	failed := Backend(slices.IndexFunc(r.b.fleet, func(s server) bool { return s.bad }))
-	if told(failed, 0, 0.1); !r.b.server(failed).bad || r.b.server(failed).readAt >= 0 {
+	r.do(Outcome{ID: 1, Attempt: 1, Server: r.b.requests[1].server, Status: ConnectFailed, Report: NoLoadReport})
+	failed := ServerID(slices.IndexFunc(r.b.servers, func(s serverState) bool { return s.ejected }))
+	if told(failed, 0, 0.1); !r.b.stateOf(failed).ejected || r.b.stateOf(failed).readAt >= 0 {
 		t.Error("a word of others brought a failed backend back")
 	}
-	r.pass(2 * freshFor)
+	r.pass(2 * readingFreshFor)
 	if acts := r.do(ask(2)); len(all[Probe](acts)) == 0 {
 		t.Errorf("readings of over 2 s ago still count: %v", acts)
 	}
--- a/decide/view.go
+++ b/decide/view.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// View is a backend as a placement sees it.
-type View struct {
-	Backend Backend
-	Load    float64       // as estimated now
-	Age     time.Duration // of its reading
-	Cold    bool
+// PooledServer is a backend as a placement sees it.
+type PooledServer struct {
+	Server        ServerID
+	EstimatedLoad float64       // as estimated now
+	ReadingAge    time.Duration // of its reading
+	InSlowStart   bool
 }
 
-// Pool appends the backends with usable readings to out, up to its capacity. It changes nothing.
-func (b *Balancer) Pool(out []View) []View {
+// ProbePool appends the backends with usable readings to out, up to its capacity. It changes nothing.
+func (b *Balancer) ProbePool(out []PooledServer) []PooledServer {
 	for _, id := range b.pool {
 		if len(out) == cap(out) {
 			break
 		}
-		if s := &b.fleet[id]; s.readAt >= 0 {
-			out = append(out, View{Backend: id, Load: b.estimate(s), Age: b.now - s.readAt, Cold: b.warmth(s) < 1})
+		if s := &b.servers[id]; s.readAt >= 0 {
+			out = append(out, PooledServer{Server: id, EstimatedLoad: b.estimatedLoad(s), ReadingAge: b.now - s.readAt, InSlowStart: b.capacityFraction(s) < 1})
 		}
 	}
 	return out
 }
 
-// Shunned is how many of the listed backends get nothing now because they failed, erred or were silent.
-func (b *Balancer) Shunned() (n int) {
-	for _, zone := range b.zones {
+// EjectedCount is how many of the listed backends get nothing now because they failed, erred or were silent.
+func (b *Balancer) EjectedCount() (n int) {
+	for _, zone := range b.serversByZone {
 		for _, id := range zone {
-			if b.fleet[id].bad {
+			if b.servers[id].ejected {
 				n++
 			}
 		}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -59,8 +59,8 @@
 	MayHaveRunOn    Location // of the server of that attempt
 	Attempts        int      // made so far
 	MaxAttempts     int      // 0 for any number
-	Effect          decide.Effect
-	Scope           decide.Scope
+	Effect          decide.Idempotency
+	Scope           decide.DedupScope
 	DedupWindow     float64 // in which servers know a repeat again, in ms
 	Resumed         bool    // a connection that stood at its server before this relay started: it goes back there whatever the list says
 	OwnershipLost   bool
@@ -135,9 +135,9 @@
 // mayRetry tells whether a request whose earlier attempt may have run can be sent to a server.
 func mayRetry(now float64, r Request, to ServerStatus) Denial {
 	switch {
-	case !r.MayHaveRun, r.Effect == decide.Safe:
+	case !r.MayHaveRun, r.Effect == decide.Idempotent:
 		return Allowed
-	case r.Effect == decide.Unsafe:
+	case r.Effect == decide.NonIdempotent:
 		return MayHaveRun
 	case now-r.MayHaveRunAt >= r.DedupWindow:
 		return DedupWindowOver
@@ -150,11 +150,11 @@
 // MayReject tells whether a request may be refused, which promises that trying again is harmless. Else it fails.
 func MayReject(r Request) Denial {
 	switch {
-	case r.Effect == decide.Safe:
+	case r.Effect == decide.Idempotent:
 		return Allowed
 	case r.AttemptInFlight && r.MayHaveWritten:
 		return MayHaveRun
-	case r.MayHaveRun && (r.Effect == decide.Unsafe || r.Scope != decide.ScopeAll):
+	case r.MayHaveRun && (r.Effect == decide.NonIdempotent || r.Scope != decide.ScopeAll):
 		return MayHaveRun
 	}
 	return Allowed
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -85,7 +85,7 @@
 	list := NewEndpointLease(0, 0)
 	list.Renew(10_000)
 	target := ServerStatus{EverListed: true, Ready: true, Location: Location{"a", 1}}
-	sound := Request{Waiting: true, Effect: decide.Keyed, DedupWindow: 1000}
+	sound := Request{Waiting: true, Effect: decide.IdempotentWithKey, DedupWindow: 1000}
 	with := func(change func(*Request, *ServerStatus)) (Request, ServerStatus) {
 		r, to := sound, target
 		change(&r, &to)
@@ -104,11 +104,11 @@
 		{OwnershipLost, func(r *Request, _ *ServerStatus) { r.OwnershipLost = true }},
 		{ServerNotReady, func(_ *Request, to *ServerStatus) { to.Ready = false }},
 		{Allowed, func(r *Request, to *ServerStatus) { r.Resumed, to.Ready = true, false }},
-		{MayHaveRun, func(r *Request, _ *ServerStatus) { repeat(r); r.Effect = decide.Unsafe }},
+		{MayHaveRun, func(r *Request, _ *ServerStatus) { repeat(r); r.Effect = decide.NonIdempotent }},
 		{DedupWindowOver, func(r *Request, _ *ServerStatus) { repeat(r); r.MayHaveRunAt = 9100 }},
 		{OutsideDedupScope, func(r *Request, to *ServerStatus) { repeat(r); r.Scope = decide.ScopeZone; to.Location.Zone = "b" }},
 		{OutsideDedupScope, func(r *Request, to *ServerStatus) { repeat(r); r.Scope = decide.ScopeCell; to.Location.Cell = 2 }},
-		{Allowed, func(r *Request, to *ServerStatus) { repeat(r); r.Effect = decide.Safe; r.MayHaveRunAt = 0 }},
+		{Allowed, func(r *Request, to *ServerStatus) { repeat(r); r.Effect = decide.Idempotent; r.MayHaveRunAt = 0 }},
 	} {
 		r, to := with(c.change)
 		if got := MayAttempt(10_100, r, to, &list); got != c.want {
@@ -143,13 +143,13 @@
 		r    Request
 		want Denial
 	}{
-		{Request{Effect: decide.Safe, MayHaveRun: true}, Allowed},
-		{Request{Effect: decide.Unsafe}, Allowed},
-		{Request{Effect: decide.Unsafe, MayHaveRun: true}, MayHaveRun},
-		{Request{Effect: decide.Unsafe, AttemptInFlight: true}, Allowed},
-		{Request{Effect: decide.Unsafe, AttemptInFlight: true, MayHaveWritten: true}, MayHaveRun},
-		{Request{Effect: decide.Keyed, MayHaveRun: true}, Allowed},
-		{Request{Effect: decide.Keyed, Scope: decide.ScopeZone, MayHaveRun: true}, MayHaveRun},
+		{Request{Effect: decide.Idempotent, MayHaveRun: true}, Allowed},
+		{Request{Effect: decide.NonIdempotent}, Allowed},
+		{Request{Effect: decide.NonIdempotent, MayHaveRun: true}, MayHaveRun},
+		{Request{Effect: decide.NonIdempotent, AttemptInFlight: true}, Allowed},
+		{Request{Effect: decide.NonIdempotent, AttemptInFlight: true, MayHaveWritten: true}, MayHaveRun},
+		{Request{Effect: decide.IdempotentWithKey, MayHaveRun: true}, Allowed},
+		{Request{Effect: decide.IdempotentWithKey, Scope: decide.ScopeZone, MayHaveRun: true}, MayHaveRun},
 	} {
 		if got := MayReject(c.r); got != c.want {
 			t.Errorf("MayRefuse(%+v) = %v, want %v", c.r, got, c.want)
--- a/internal/lifecycle/leave_test.go
+++ b/internal/lifecycle/leave_test.go
@@ -46,7 +46,7 @@
 func TestLeaveAnswersWhatHasCome(t *testing.T) {
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
-		Classes: []decide.ClassInfo{{Aim: relay.Duration(300), Deadline: relay.Duration(10_000)}}}}
+		Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(10_000)}}}}
 	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock})
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lifecycle/members.go
+++ b/internal/lifecycle/members.go
@@ -235,7 +235,7 @@
 func (m *MembersConfig) gossipConfig(c *Config, log zerolog.Logger) (gossip.Config, error) {
 	set := c.Deployment.Settings
 	g := gossip.Config{Name: c.Name, Site: m.Site, Zone: m.Zone, Bind: m.Bind, Advertise: m.Advertise, Seeds: m.Seeds, Keys: m.keys, State: m.State,
-		InitialPlace: set.Me, Founders: m.Founders, Relays: max(set.Relays, 1), Seed: c.Seed, Log: log}
+		InitialPlace: set.RelayIndex, Founders: m.Founders, Relays: max(set.Relays, 1), Seed: c.Seed, Log: log}
 	if g.Founders == 0 {
 		g.Founders = g.Relays
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -217,13 +217,13 @@
 func startPlatform(ctx context.Context, from Sources, c *Config, all partList, log zerolog.Logger) (*runningFront, error) {
 	// The simulator's note of slow messages has no line on the sockets: under a load of 1.3 the clients' own
 	// lines still come back within 0.3 ms. The module is to know that a reading is all it will get.
-	c.Deployment.Settings.TellsDelay = false
+	c.Deployment.Settings.ReportsMessageDelay = false
 	clock := relay.NewClock()
 	servers := &platform.Servers{Clock: clock, ConnectTimeout: relay.Millis(c.Deployment.Settings.ConnectTimeout), LoadKey: c.Deployment.LoadField, Keep: probeSockets}
 	x := relay.NewRequestTable(c.Deployment, clock, servers)
 	x.Log = log.Sample(&zerolog.BurstSampler{Burst: rejectionLogBurst, Period: time.Second})
 	lister := discovery.NewClient(c.Discovery, x, log)
-	lister.Pushed = !c.Deployment.Settings.Ask
+	lister.Pushed = !c.Deployment.Settings.MustSubscribe
 	l, inherited, err := listen(c)
 	if err != nil {
 		return nil, err
@@ -233,8 +233,8 @@
 	joint := &frontSeam{front: "platform", relay: c.Name, requests: x, clock: clock, platform: front, deployment: c.Deployment, discovery: lister}
 	all.join(joint)
 	askWithin := 0.0
-	if c.Deployment.Settings.Ask {
-		askWithin = relay.Millis(c.Deployment.Settings.Rules.AskWithin)
+	if c.Deployment.Settings.MustSubscribe {
+		askWithin = relay.Millis(c.Deployment.Settings.Rules.PollWithin)
 	}
 	x.LeaseEndpointList(askWithin)
 	x.UpdateEndpoints(decide.Cached, c.CachedList.Endpoints)
--- a/internal/lifecycle/xmpp.go
+++ b/internal/lifecycle/xmpp.go
@@ -107,15 +107,15 @@
 	for i, z := range o.Zones {
 		site.Zones[z] = decide.Zone(i)
 	}
-	site.Settings = decide.Settings{Me: o.Me, Relays: o.Relays, Zone: site.Zones[o.Zone], Zones: len(o.Zones), MaxAttempts: 2,
+	site.Settings = decide.Settings{RelayIndex: o.Me, Relays: o.Relays, Zone: site.Zones[o.Zone], Zones: len(o.Zones), MaxAttempts: 2,
 		Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(o.MaxRetryMs), ConnectTimeout: relay.Duration(o.ConnectMs),
-		Tick: relay.Duration(5), Ask: true, Rules: decide.Rules{AskWithin: relay.Duration(o.ZooKeeper.SessionMs)}}
+		Tick: relay.Duration(5), MustSubscribe: true, Rules: decide.Rules{PollWithin: relay.Duration(o.ZooKeeper.SessionMs)}}
 	deadlines := map[string]float64{}
 	for i, c := range o.Class {
 		site.Classes[c.Name] = decide.Class(i)
 		deadlines[c.Name] = c.DeadlineMs
-		site.Settings.Classes = append(site.Settings.Classes, decide.ClassInfo{Aim: relay.Duration(c.SetupMs),
-			Deadline: relay.Duration(c.DeadlineMs), Effect: decide.Unsafe, Worth: c.Worth})
+		site.Settings.Classes = append(site.Settings.Classes, decide.ClassInfo{LatencyObjective: relay.Duration(c.SetupMs),
+			Deadline: relay.Duration(c.DeadlineMs), Idempotency: decide.NonIdempotent, PriorityWeight: c.Worth})
 	}
 	hosts := map[string]xmpp.Host{}
 	for _, h := range o.Host {
@@ -135,7 +135,7 @@
 		hosts[h.To] = xmpp.Host{Class: site.Classes[h.Class], Tenant: tenant, Key: relay.ServerKey(key), Left: deadlines[h.Class]}
 	}
 	for i := range site.Settings.Tenants {
-		site.Settings.Tenants[i].Share = 1 / float64(len(site.Settings.Tenants))
+		site.Settings.Tenants[i].ServiceShare = 1 / float64(len(site.Settings.Tenants))
 	}
 	return site, hosts
 }
--- a/internal/observe/anomaly/depart.go
+++ b/internal/observe/anomaly/depart.go
@@ -145,7 +145,7 @@
 // watched is what is known of one server.
 type watched struct {
 	name    string
-	mode    decide.Mode
+	mode    decide.EndpointState
 	since   float64
 	listed  bool
 	mute    int
@@ -343,7 +343,7 @@
 	switch r.Status {
 	case decide.Errored:
 		s.errors.add(r.At)
-	case decide.Full:
+	case decide.AtCapacity:
 		s.full.add(r.At)
 	case decide.ConnectFailed:
 		s.refused++
--- a/internal/observe/anomaly/depart_test.go
+++ b/internal/observe/anomaly/depart_test.go
@@ -64,7 +64,7 @@
 	s.w.Take(name, &r)
 }
 
-func (s *scene) list(i int, mode decide.Mode, since float64) {
+func (s *scene) list(i int, mode decide.EndpointState, since float64) {
 	s.hosts[i].listed = mode == decide.Ready
 	s.put(i, recorder.Record{Kind: recorder.List, Mode: mode, Since: since})
 }
@@ -155,7 +155,7 @@
 	case h.silent:
 		end.Status = decide.TimedOut
 	case h.refusing:
-		end.Status = decide.Full
+		end.Status = decide.AtCapacity
 		s.evidence(h, Refusing, burst)
 	case h.erring:
 		end.Status = decide.Errored
@@ -232,7 +232,7 @@
 			s.visible["s10 flapping"] = s.now
 			s.run(1500)
 		}
-		s.list(8, decide.GoneMode, 0) // and now the list says so
+		s.list(8, decide.Removed, 0) // and now the list says so
 		for range 3 {
 			s.put(-1, recorder.Record{Kind: recorder.NoList})
 			s.visible[" list out of reach"] = s.now
@@ -241,7 +241,7 @@
 		s.list(11, decide.Draining, 0) // with word: no event
 		s.breaks(11, decide.Cancelled)
 		s.run(6000)
-		s.list(11, decide.GoneMode, 0)
+		s.list(11, decide.Removed, 0)
 		s.list(11, decide.Ready, s.now-100)
 		s.run(120_000)
 		found := s.found()
@@ -330,7 +330,7 @@
 	for i := range 20_000 {
 		r := recorder.Record{At: 1e6 + float64(i)*10, Kind: recorder.List, Mode: decide.Ready, Since: 1e6 + float64(i)*10}
 		w.Take(fmt.Sprint("id", i), &r)
-		r = recorder.Record{At: r.At + 5, Kind: recorder.List, Mode: decide.GoneMode}
+		r = recorder.Record{At: r.At + 5, Kind: recorder.List, Mode: decide.Removed}
 		w.Take(fmt.Sprint("id", i), &r)
 		if out := w.Tick(r.At, nil); len(out) != 0 {
 			t.Fatalf("%+v", out)
--- a/internal/observe/recorder/tap.go
+++ b/internal/observe/recorder/tap.go
@@ -77,8 +77,8 @@
 	Errors  float32
 	Kind    Kind
 	Status  decide.Status
-	Mode    decide.Mode
-	Why     decide.Why
+	Mode    decide.EndpointState
+	Why     decide.RejectReason
 	By      By
 	Attempt uint8 // from 0
 	WasUp   bool  // with End: the connection stood
--- a/internal/observe/report/report.go
+++ b/internal/observe/report/report.go
@@ -159,7 +159,7 @@
 // Faults are the ends that a server is to blame for.
 func Faults(s timeline.Step) (n uint32) {
 	for status, count := range s.Ends {
-		if st := decide.Status(status); st != decide.OK && st != decide.Moot && st != decide.Cancelled {
+		if st := decide.Status(status); st != decide.OK && st != decide.Superseded && st != decide.Cancelled {
 			n += count
 		}
 	}
@@ -177,7 +177,7 @@
 		}
 	}
 	for why, n := range s.Reasons.Module {
-		tell(decide.Why(why).String(), n)
+		tell(decide.RejectReason(why).String(), n)
 	}
 	for by, n := range s.Reasons.Relay[recorder.Nobody+1:] {
 		tell((recorder.Nobody + 1 + recorder.By(by)).String(), n)
--- a/internal/observe/report/report_test.go
+++ b/internal/observe/report/report_test.go
@@ -12,7 +12,7 @@
 // The fleet's line tells refusals by reason; those of an old store, which has no reasons, are told as such.
 func TestShowTellsReasons(t *testing.T) {
 	step := timeline.Step{From: 1e6, Width: 1000, Refusals: 10}
-	step.Reasons.Module[decide.NoRoom], step.Reasons.Module[decide.NoTokens] = 4, 2
+	step.Reasons.Module[decide.NoCapacity], step.Reasons.Module[decide.RetryBudgetExhausted] = 4, 2
 	step.Reasons.Relay[recorder.Door] = 1
 	r := Report{Servers: []Server{{Name: timeline.Fleet, Steps: []timeline.Step{step}}}}
 	var shown, table strings.Builder
--- a/internal/observe/timeline/timeline.go
+++ b/internal/observe/timeline/timeline.go
@@ -66,14 +66,14 @@
 
 // Reasons counts refusals and failures by what stood in the way.
 type Reasons struct {
-	Module [decide.NotAgain + 1]uint32   `cbor:"1,keyasint" json:"module"` // by decide.Why; none by NoReason
+	Module [decide.MayHaveRun + 1]uint32 `cbor:"1,keyasint" json:"module"` // by decide.Why; none by NoReason
 	Relay  [recorder.Operator + 1]uint32 `cbor:"2,keyasint" json:"relay"`  // what the module did not refuse, by who did
 }
 
 // add counts the reason of one record of a refusal or a failure.
 func (c *Reasons) add(r *recorder.Record) {
 	if r.Why != decide.NoReason {
-		c.Module[min(r.Why, decide.NotAgain)]++
+		c.Module[min(r.Why, decide.MayHaveRun)]++
 	} else {
 		c.Relay[min(r.By, recorder.Operator)]++
 	}
@@ -116,7 +116,7 @@
 
 	held    int32
 	since   float64
-	mode    decide.Mode
+	mode    decide.EndpointState
 	unheard int // probes without an answer in a row
 	faults  int // connections that failed in a row
 	read    bool
@@ -371,7 +371,7 @@
 	case recorder.End:
 		l.held = max(0, l.held-1)
 		if r.By == recorder.Server {
-			s.Ends[min(r.Status, decide.Moot)]++
+			s.Ends[min(r.Status, decide.Superseded)]++
 			b.ended(l, r)
 		}
 	case recorder.Move:
@@ -407,7 +407,7 @@
 	switch r.Mode {
 	case decide.Draining:
 		b.enter(l, r.At, Draining, "list")
-	case decide.GoneMode:
+	case decide.Removed:
 		b.enter(l, r.At, Gone, "list")
 	default:
 		if r.Since != l.since || l.state() == Gone || l.state() == 0 || l.state() == Draining {
--- a/internal/observe/timeline/timeline_test.go
+++ b/internal/observe/timeline/timeline_test.go
@@ -18,7 +18,7 @@
 
 // The states of a server, record by record.
 func TestStates(t *testing.T) {
-	list := func(m decide.Mode, since float64) recorder.Record {
+	list := func(m decide.EndpointState, since float64) recorder.Record {
 		return recorder.Record{Kind: recorder.List, Mode: m, Since: since}
 	}
 	probe := func(s decide.Status) recorder.Record {
@@ -32,7 +32,7 @@
 		records []recorder.Record
 		want    string
 	}{
-		{"as usual", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Draining, 0), list(decide.GoneMode, 0)}, "[listed warm draining gone]"},
+		{"as usual", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Draining, 0), list(decide.Removed, 0)}, "[listed warm draining gone]"},
 		{"a cold start", []recorder.Record{list(decide.Ready, 1e6)}, "[warming]"},
 		{"one probe lost is nothing", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), probe(decide.TimedOut), probe(decide.OK)}, "[listed warm]"},
 		{"silent and back", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), probe(decide.TimedOut), probe(decide.TimedOut), probe(decide.OK)}, "[listed warm silent warm]"},
@@ -120,7 +120,7 @@
 	for i := range 5000 {
 		r := recorder.Record{At: 1e6 + float64(i), Kind: recorder.List, Mode: decide.Ready}
 		b.Fold(fmt.Sprint("id", i), &r)
-		r.Mode = decide.GoneMode
+		r.Mode = decide.Removed
 		b.Fold(fmt.Sprint("id", i), &r)
 	}
 	if n := len(b.Names()); n != 20 || b.Evicted != 5010-20 {
@@ -141,7 +141,7 @@
 		{Kind: recorder.Probe, Load: 0.2}, {Kind: recorder.Told, Load: 0.6}, {Kind: recorder.Probe, Load: -1}, {Kind: recorder.Probe, Status: decide.TimedOut},
 		{Kind: recorder.Place}, {Kind: recorder.Up, Took: 5}, {Kind: recorder.Place, Attempt: 1}, {Kind: recorder.Up, Took: 100},
 		{Kind: recorder.End, By: recorder.Client, Status: decide.Cancelled}, {Kind: recorder.End, By: recorder.Server, Status: decide.Reset},
-		{Kind: recorder.Refuse, Why: decide.NoRoom}, {Kind: recorder.Delay, Took: 70}, {Kind: recorder.Move},
+		{Kind: recorder.Refuse, Why: decide.NoCapacity}, {Kind: recorder.Delay, Took: 70}, {Kind: recorder.Move},
 	} {
 		r.At = 1e6 + float64(i)
 		b.Fold("s", &r)
@@ -160,12 +160,12 @@
 func TestRefusalsByReason(t *testing.T) {
 	b := New(Default())
 	for i, r := range []recorder.Record{
-		{Kind: recorder.Refuse, Server: -1, Why: decide.NoRoom, By: recorder.Module},
-		{Kind: recorder.Refuse, Server: -1, Why: decide.NoRoom, By: recorder.Module},
+		{Kind: recorder.Refuse, Server: -1, Why: decide.NoCapacity, By: recorder.Module},
+		{Kind: recorder.Refuse, Server: -1, Why: decide.NoCapacity, By: recorder.Module},
 		{Kind: recorder.Refuse, Server: -1, Why: decide.NoServer, By: recorder.Module},
 		{Kind: recorder.Refuse, Server: -1, By: recorder.Door},
-		{Kind: recorder.Refuse, Server: 0, Why: decide.NoRetry, By: recorder.Module},
-		{Kind: recorder.Fail, Server: 0, Why: decide.NotAgain, By: recorder.Module},
+		{Kind: recorder.Refuse, Server: 0, Why: decide.AttemptsExhausted, By: recorder.Module},
+		{Kind: recorder.Fail, Server: 0, Why: decide.MayHaveRun, By: recorder.Module},
 	} {
 		r.At = 1e6 + float64(i)*700 // over several steps
 		b.Fold("s", &r)
@@ -177,9 +177,9 @@
 		return all
 	}
 	var onServer, ofFleet Reasons
-	onServer.Module[decide.NoRetry], onServer.Module[decide.NotAgain] = 1, 1
+	onServer.Module[decide.AttemptsExhausted], onServer.Module[decide.MayHaveRun] = 1, 1
 	ofFleet.Module = onServer.Module
-	ofFleet.Module[decide.NoRoom], ofFleet.Module[decide.NoServer], ofFleet.Relay[recorder.Door] = 2, 1, 1
+	ofFleet.Module[decide.NoCapacity], ofFleet.Module[decide.NoServer], ofFleet.Relay[recorder.Door] = 2, 1, 1
 	if s := sum("s"); s.Refusals != 2 || s.Reasons != onServer {
 		t.Errorf("the server's: %d, %+v", s.Refusals, s.Reasons)
 	}
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -34,7 +34,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	x.UpdateEndpoints(decide.Whole, list)
+	x.UpdateEndpoints(decide.Snapshot, list)
 	w.Fold()
 	now, n := clock.NowMillis(), 0
 	for b.Loop() { // a second of each server's life: three connections and a probe
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -37,7 +37,7 @@
 	x       *relay.RequestTable
 	w       *Watcher
 	servers []*fake.ScanServer
-	modes   []decide.Mode
+	modes   []decide.EndpointState
 	since   []float64
 	relay   string
 }
@@ -50,8 +50,8 @@
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
 		MaxAttempts: 4, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(200), Tick: relay.Duration(5),
-		ConnectTimeout: relay.Duration(300), Rules: decide.Rules{Cold: relay.Duration(3000), StartCapacity: 0.36, FallMultiple: 4,
-			FallFor: relay.Duration(1500)}, Classes: []decide.ClassInfo{{Aim: relay.Duration(800), Deadline: relay.Duration(3000)}}}}
+		ConnectTimeout: relay.Duration(300), Rules: decide.Rules{SlowStartWindow: relay.Duration(3000), SlowStartCapacity: 0.36, OverloadFactor: 4,
+			OverloadWindow: relay.Duration(1500)}, Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(800), Deadline: relay.Duration(3000)}}}}
 	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock, ConnectTimeout: 300, LoadKey: "x0", Keep: 64})
 	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.Default(), Most: 100, Store: s}, x, zerolog.Nop())}
 	for i := range servers {
@@ -82,10 +82,10 @@
 	for i, s := range w.servers {
 		all = append(all, relay.Endpoint{ID: s.ID, Address: s.Address, Mode: w.modes[i], StartedAt: w.since[i], Load: -1})
 	}
-	w.x.UpdateEndpoints(decide.Whole, all)
+	w.x.UpdateEndpoints(decide.Snapshot, all)
 }
 
-func (w *town) mode(i int, m decide.Mode) {
+func (w *town) mode(i int, m decide.EndpointState) {
 	w.modes[i] = m
 	w.list()
 }
@@ -219,7 +219,7 @@
 	holds(w.servers[8].ID)
 	w.servers[8].Kill()
 	expect(8, anomaly.Unreachable)
-	w.mode(8, decide.GoneMode)
+	w.mode(8, decide.Removed)
 	state(8, timeline.Gone)
 	w.mode(9, decide.Draining) // with word: a state, and no event
 	state(9, timeline.Draining)
@@ -232,8 +232,8 @@
 		w.mode(11, decide.Ready)
 	}
 	expect(11, anomaly.Flapping)
-	w.x.UpdateEndpoints(decide.Failed, nil)
-	w.x.UpdateEndpoints(decide.Failed, nil)
+	w.x.UpdateEndpoints(decide.WatchFailed, nil)
+	w.x.UpdateEndpoints(decide.WatchFailed, nil)
 	expect(-1, anomaly.NoList)
 
 	old := w.servers[12] // dies, and another process takes its address; the list says nothing
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -23,14 +23,14 @@
 	make1 := func(t *recorder.Tap) *side1 {
 		clock, wire := NewManualClock(), &side{}
 		site := &Deployment{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true,
-			MaxRetryAfter: Duration(1000), Tick: Duration(5), Classes: []decide.ClassInfo{{Aim: Duration(300), Deadline: Duration(1000)}}}}
+			MaxRetryAfter: Duration(1000), Tick: Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: Duration(300), Deadline: Duration(1000)}}}}
 		x := NewRequestTable(site, clock, wire)
 		x.Recorder = t
 		var list []Endpoint
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 			list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1", Mode: decide.Ready})
 		}
-		x.UpdateEndpoints(decide.Whole, list)
+		x.UpdateEndpoints(decide.Snapshot, list)
 		return &side1{c: NewEventLoop(x, 7, &noList{}, zerolog.Nop()), wire: wire, clock: clock}
 	}
 	sides := []*side1{make1(nil), make1(recorder.New(8192))}
@@ -52,7 +52,7 @@
 				if call.Attach(0, &side{}) && call.BeginWrite(0) && call.Establish(0) != nil {
 					call.ClientClosed(GracefulClose)
 				}
-				call.EndAttempt(0, decide.Cancelled, decide.NoReport)
+				call.EndAttempt(0, decide.Cancelled, decide.NoLoadReport)
 				s.c.Step()
 			}
 			if s.c.table.Recorder != nil {
--- a/internal/relay/claim_side.go
+++ b/internal/relay/claim_side.go
@@ -45,7 +45,7 @@
 		if guard.MayReject(c.guardFacts(true)) != guard.Allowed {
 			a = Answer{Kind: Failed}
 		}
-		c.table.post(decide.Gone{ID: c.ID})
+		c.table.post(decide.ClientGone{ID: c.ID})
 		c.answerFinally(c.table.applyRetryAfterSetting(a))
 	case AwaitingOwnership:
 		c.answerFinally(c.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: after}))
--- a/internal/relay/client_side.go
+++ b/internal/relay/client_side.go
@@ -26,7 +26,7 @@
 		return false
 	}
 	if !c.resumed && c.state != AwaitingOwnership { // else the module does not know it
-		c.table.post(decide.Gone{ID: c.ID})
+		c.table.post(decide.ClientGone{ID: c.ID})
 	}
 	c.answerFinally(Answer{Kind: Failed, Note: note})
 	return true
@@ -63,12 +63,12 @@
 	switch c.state {
 	case Queued, Attempting, AwaitingOwnership:
 		if !c.resumed && c.state != AwaitingOwnership {
-			c.table.post(decide.Gone{ID: c.ID})
+			c.table.post(decide.ClientGone{ID: c.ID})
 		}
 		c.answerFinally(Answer{Kind: NoAnswer})
 	case Established:
 		if !c.serverClosed { // else the server ended it, and this is only the client's side of that
-			c.table.post(decide.Gone{ID: c.ID})
+			c.table.post(decide.ClientGone{ID: c.ID})
 		}
 		c.state = Ended
 		c.serverConn.Close(how)
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -25,7 +25,7 @@
 			if everywhere {
 				told += step
 			}
-			x.UpdateEndpoints(decide.Whole, []Endpoint{old, {ID: "new", Mode: decide.Ready, StartedAt: told}})
+			x.UpdateEndpoints(decide.Snapshot, []Endpoint{old, {ID: "new", Mode: decide.Ready, StartedAt: told}})
 			if got := x.endpoints.byID["old"].startedAt; got != before {
 				t.Errorf("step %v, everywhere %v: the old server's start moved by %v ms", step, everywhere, got-before)
 			}
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -31,7 +31,7 @@
 // FleetView is what this relay knows of the others. What Hold returns stands until Release: whoever changes it waits, so
 // that no decision is made by a share that this relay has said it no longer takes. Neither may block for long.
 type FleetView interface {
-	LockStatus(now float64) decide.Fleet
+	LockStatus(now float64) decide.FleetStatus
 	UnlockStatus()
 }
 
@@ -46,7 +46,7 @@
 	actions    []decide.Action
 	sweptAt    float64
 	tick       float64
-	candidates []decide.View // of the placement under way, for the tap
+	candidates []decide.PooledServer // of the placement under way, for the tap
 	// Fleet is nil where the relays do not know each other. It is set before Run.
 	FleetView FleetView
 	// Shared is nil where this relay looks at servers for itself. It is set before Run, and with Fleet only.
@@ -56,7 +56,7 @@
 // NewEventLoop returns the loop of a relay that has just started.
 func NewEventLoop(x *RequestTable, seed uint64, lister Discovery, log zerolog.Logger) *EventLoop {
 	return &EventLoop{table: x, balancer: decide.New(x.deployment.Settings, seed), dialer: x.dialer, discovery: lister, log: log,
-		tick: Millis(x.deployment.Settings.Tick), candidates: make([]decide.View, 0, recorder.Peers+1)}
+		tick: Millis(x.deployment.Settings.Tick), candidates: make([]decide.PooledServer, 0, recorder.Peers+1)}
 }
 
 // timer is a moment at which the module wants an alarm, or the backstop looks at a request.
@@ -124,8 +124,8 @@
 	}
 	if c.FleetView != nil {
 		f := c.FleetView.LockStatus(now)
-		f.Shared = c.SharedProbing != nil && c.SharedProbing.scheduler.On()
-		f.Summed = f.Summed && f.Shared
+		f.SharesReadings = c.SharedProbing != nil && c.SharedProbing.scheduler.On()
+		f.SharesPlacements = f.SharesPlacements && f.SharesReadings
 		c.handle(now, f)
 		defer c.FleetView.UnlockStatus()
 	}
@@ -134,14 +134,14 @@
 			continue
 		}
 		if r, ok := ev.(decide.Request); ok {
-			c.timers.set(timer{dueAt: now + Millis(r.Left) + backstopDelay, request: r.ID})
+			c.timers.set(timer{dueAt: now + Millis(r.TimeLeft) + backstopDelay, request: r.ID})
 		}
 		c.handle(now, ev)
 	}
 	for len(c.timers.entries) > 0 && c.timers.entries[0].dueAt <= now {
 		due := heap.Pop(&c.timers).(timer)
 		if due.request == 0 {
-			c.handle(now, decide.Alarm{Token: due.token})
+			c.handle(now, decide.TimerFired{Token: due.token})
 		} else if c.table.failOverdue(due.request) {
 			c.log.Error().Uint64("request", uint64(due.request)).Msg("no answer by the deadline; failed")
 		}
@@ -149,7 +149,7 @@
 	if now-c.sweptAt >= sweepInterval {
 		c.sweptAt = now
 		c.table.sweepSilentServers()
-		c.table.ejectedCount.Store(int64(c.balancer.Shunned()))
+		c.table.ejectedCount.Store(int64(c.balancer.EjectedCount()))
 	}
 	next := sweepInterval
 	if c.SharedProbing != nil {
@@ -178,29 +178,29 @@
 
 func (c *EventLoop) perform(act decide.Action) {
 	switch a := act.(type) {
-	case decide.Send:
+	case decide.Forward:
 		if c.table.Recorder != nil {
-			c.candidates = c.balancer.Pool(c.candidates[:0])
+			c.candidates = c.balancer.ProbePool(c.candidates[:0])
 		}
 		if c.SharedProbing != nil {
-			c.stepScheduler(c.table.Clock.NowMillis(), probing.Sent{ServerKey: c.serverKey(a.Backend), N: 1})
+			c.stepScheduler(c.table.Clock.NowMillis(), probing.Sent{ServerKey: c.serverKey(a.Server), N: 1})
 		}
-		c.table.startAttempt(a.ID, a.Backend, Millis(a.Timeout), c.candidates)
-	case decide.Refuse:
-		c.table.answer(a.ID, Answer{Kind: Rejected, RetryAfter: Millis(a.RetryAfter), reason: a.Why, decidedBy: recorder.Module})
+		c.table.startAttempt(a.ID, a.Server, Millis(a.Timeout), c.candidates)
+	case decide.Reject:
+		c.table.answer(a.ID, Answer{Kind: Rejected, RetryAfter: Millis(a.RetryAfter), reason: a.Reason, decidedBy: recorder.Module})
 	case decide.Fail:
-		c.table.answer(a.ID, Answer{Kind: Failed, reason: a.Why, decidedBy: recorder.Module})
-	case decide.Move:
+		c.table.answer(a.ID, Answer{Kind: Failed, reason: a.Reason, decidedBy: recorder.Module})
+	case decide.Migrate:
 		c.table.migrate(a.ID)
-	case decide.Cancel:
+	case decide.CancelAttempt:
 		c.table.cancelAttempt(a.ID, a.Attempt)
 	case decide.Probe:
-		c.probe(a.Backend)
+		c.probe(a.Server)
 	case decide.Timer:
 		c.timers.set(timer{dueAt: c.table.Clock.NowMillis() + Millis(a.After), token: a.Token})
 	case decide.Subscribe:
 		c.discovery.Watch()
-	case decide.Fetch:
+	case decide.FetchSnapshot:
 		c.discovery.Fetch()
 	case decide.Log:
 		c.log.Info().Msg(a.Text)
@@ -209,18 +209,18 @@
 	}
 }
 
-func (c *EventLoop) probe(id decide.Backend) {
+func (c *EventLoop) probe(id decide.ServerID) {
 	c.table.mu.Lock()
 	s := *c.table.endpoints.servers[id]
 	c.table.mu.Unlock()
 	began := c.table.Clock.NowMillis()
-	c.dialer.Probe(s, func(status decide.Status, report decide.Report) {
+	c.dialer.Probe(s, func(status decide.Status, report decide.LoadReport) {
 		c.table.mu.Lock()
 		defer c.table.mu.Unlock()
 		if c.table.Recorder != nil {
 			now := c.table.Clock.NowMillis()
 			c.table.recordProbe(now, id, status, now-began, report)
 		}
-		c.table.post(decide.Probed{Backend: id, Status: status, Took: Duration(c.table.Clock.NowMillis() - began), Report: report})
+		c.table.post(decide.ProbeResult{Server: id, Status: status, Latency: Duration(c.table.Clock.NowMillis() - began), Report: report})
 	})
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -50,7 +50,7 @@
 	RetryAfter float64 // with Refused, 0 for no advice
 	Cause      decide.Status
 	Note       string // with Failed, what the front may tell the client of the reason
-	reason     decide.Why
+	reason     decide.RejectReason
 	decidedBy  recorder.By
 }
 
@@ -109,7 +109,7 @@
 // ServerDialer is the server side as the core sees it. Neither method may block.
 type ServerDialer interface {
 	StartAttempt(c *Request, a Attempt)
-	Probe(s Server, done func(status decide.Status, report decide.Report))
+	Probe(s Server, done func(status decide.Status, report decide.LoadReport))
 }
 
 // RequestTable is where the client side and the server side meet, and the guard of the rules: each request has
@@ -194,7 +194,7 @@
 }
 
 // UpdateEndpoints takes news of the servers: at once for the check before a send, and in turn for the module.
-func (x *RequestTable) UpdateEndpoints(kind decide.ListKind, list []Endpoint) {
+func (x *RequestTable) UpdateEndpoints(kind decide.WatchKind, list []Endpoint) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.post(x.endpoints.apply(kind, list))
@@ -291,8 +291,8 @@
 	if c.Ownership != nil { // the wait for the claim is over, and the client's patience has gone on
 		left = max(0, c.deadline-c.table.Clock.NowMillis())
 	}
-	return decide.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Left: Duration(left), Hint: c.Hint,
-		Group: c.Group, Returned: c.Returned}
+	return decide.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, TimeLeft: Duration(left), LoadHint: c.Hint,
+		Group: c.Group, Returning: c.Returned}
 }
 
 // startAttempt starts an attempt. The caller holds the lock.
--- a/internal/relay/exchange_test.go
+++ b/internal/relay/exchange_test.go
@@ -18,9 +18,9 @@
 }
 
 func (s *side) StartAttempt(_ *Request, a Attempt) { s.tries = append(s.tries, a) }
-func (s *side) Probe(_ Server, done func(decide.Status, decide.Report)) {
+func (s *side) Probe(_ Server, done func(decide.Status, decide.LoadReport)) {
 	s.probes++
-	done(decide.OK, decide.Report{Load: 0.1, Inflight: -1, Errors: -1, Busy: -1})
+	done(decide.OK, decide.LoadReport{Load: 0.1, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1})
 }
 func (s *side) Forward([]byte) error { return nil }
 func (s *side) Close(CloseKind)      { s.closed++ }
@@ -75,11 +75,11 @@
 	f.Add([]byte{0, 0, 128, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 19, 0, 0, 5, 0, 6})                   // the server's no
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		clock, wire := NewManualClock(), &side{}
-		site := &Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{}, {Effect: decide.Unsafe}}}}
+		site := &Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{}, {Idempotency: decide.NonIdempotent}}}}
 		x := NewRequestTable(site, clock, wire)
-		modes := []decide.Mode{decide.Ready, decide.Ready}
+		modes := []decide.EndpointState{decide.Ready, decide.Ready}
 		list := func() {
-			x.UpdateEndpoints(decide.Whole, []Endpoint{{ID: "a", Mode: modes[0]}, {ID: "b", Mode: modes[1]}})
+			x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: modes[0]}, {ID: "b", Mode: modes[1]}})
 		}
 		list()
 		calls := map[int]*model{}
@@ -113,7 +113,7 @@
 				}
 			case 1:
 				tries := len(wire.tries)
-				x.startAttempt(m.call.ID, decide.Backend(arg%2), float64(arg), nil)
+				x.startAttempt(m.call.ID, decide.ServerID(arg%2), float64(arg), nil)
 				allowed := m.state == Queued && !m.out && m.sends < 3 && !(m.mayRun && who%2 == 1)
 				if allowed != (len(wire.tries) == tries+1) {
 					t.Fatalf("send in %+v: tried %v", m, !allowed)
@@ -147,7 +147,7 @@
 					m.state, m.moving = Established, leaving
 				}
 			case 5:
-				m.call.EndAttempt(m.sends-1, decide.Status(arg%8), decide.NoReport)
+				m.call.EndAttempt(m.sends-1, decide.Status(arg%8), decide.NoLoadReport)
 				if m.out {
 					m.outcomes++
 					m.out = false
@@ -178,7 +178,7 @@
 					m.state, m.answer = Ended, kind
 				}
 			case 9:
-				modes[who%2] = decide.Mode(arg % 3)
+				modes[who%2] = decide.EndpointState(arg % 3)
 				list()
 			case 10:
 				clock.Set(now + float64(arg*4))
@@ -231,7 +231,7 @@
 			}
 			outcomes := map[decide.RequestID]int{}
 			for _, ev := range x.inbox {
-				if o, ok := ev.(decide.Outcome); ok && o.Status != decide.Moot {
+				if o, ok := ev.(decide.Outcome); ok && o.Status != decide.Superseded {
 					outcomes[o.ID]++
 				}
 			}
@@ -281,9 +281,9 @@
 func bench(t *testing.T) (*EventLoop, *side, *Clock) {
 	t.Helper()
 	clock, wire := NewManualClock(), &side{}
-	site := &Deployment{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true, Ask: true,
+	site := &Deployment{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true, MustSubscribe: true,
 		MaxRetryAfter: Duration(1000), Tick: Duration(5),
-		Classes: []decide.ClassInfo{{Aim: Duration(300), Deadline: Duration(1000), Message: Duration(50)}}}}
+		Classes: []decide.ClassInfo{{LatencyObjective: Duration(300), Deadline: Duration(1000), MessageLatencyObjective: Duration(50)}}}}
 	x := NewRequestTable(site, clock, wire)
 	x.UpdateEndpoints(decide.Cached, []Endpoint{{ID: "a", Address: "127.0.0.1:1", Mode: decide.Ready}})
 	c := NewEventLoop(x, 7, &noList{}, zerolog.Nop())
@@ -320,7 +320,7 @@
 // A request the module gave up on is answered at once, with a time to come again, not near its deadline.
 func TestCoreRefusesAtOnce(t *testing.T) {
 	c, wire, clock := bench(t)
-	c.table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", Mode: decide.GoneMode}})
+	c.table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", Mode: decide.Removed}})
 	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
 	advance(c, clock, 10)
 	if state, a := call.State(); state != Ended || a.Kind != Rejected || len(wire.tries) != 0 {
@@ -370,7 +370,7 @@
 // A module that panics on one event goes on with the next.
 func TestCoreOutlivesAPanic(t *testing.T) {
 	c, _, clock := bench(t)
-	c.handle(clock.NowMillis(), decide.Opened{Backend: -1})
+	c.handle(clock.NowMillis(), decide.Opened{Server: -1})
 	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
 	advance(c, clock, 20)
 	if state, _ := call.State(); state != Attempting {
@@ -403,19 +403,19 @@
 	}{
 		"inside":         {decide.Reset, 99, true},
 		"over":           {decide.Reset, 101, false},
-		"none has run":   {decide.Full, 101, true},
+		"none has run":   {decide.AtCapacity, 101, true},
 		"none has begun": {decide.ConnectFailed, 101, true},
 	} {
 		clock, wire := NewManualClock(), &side{}
-		x := NewRequestTable(&Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{Effect: decide.Keyed, Window: Duration(100)}}}}, clock, wire)
-		x.UpdateEndpoints(decide.Whole, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
+		x := NewRequestTable(&Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{Idempotency: decide.IdempotentWithKey, DedupWindow: Duration(100)}}}}, clock, wire)
+		x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
 		call := x.Open(OpenRequest{Timeout: 5000}, &side{})
 		x.startAttempt(call.ID, 0, 0, nil)
 		clock.Set(clock.NowMillis() + 1000) // its own dial counts for nothing
 		if !call.Attach(0, &side{}) || !call.BeginWrite(0) {
 			t.Fatal("the first attempt is not let go")
 		}
-		call.EndAttempt(0, c.first, decide.NoReport)
+		call.EndAttempt(0, c.first, decide.NoLoadReport)
 		x.startAttempt(call.ID, 1, 0, nil)
 		clock.Set(clock.NowMillis() + c.dial)
 		if got := call.Attach(1, &side{}) && call.BeginWrite(1); got != c.want {
--- a/internal/relay/guarded.go
+++ b/internal/relay/guarded.go
@@ -11,8 +11,8 @@
 func (c *Request) guardFacts(waiting bool) guard.Request {
 	class := &c.table.deployment.Settings.Classes[c.Class]
 	return guard.Request{Waiting: waiting, AttemptInFlight: c.attemptInFlight, MayHaveWritten: c.mayHaveWritten, MayHaveRun: c.mayHaveRun, MayHaveRunAt: c.mayHaveRunAt, MayHaveRunOn: c.mayHaveRunOn,
-		Attempts: c.attempts, MaxAttempts: c.table.deployment.Settings.MaxAttempts, Effect: class.Effect, Scope: class.Scope,
-		DedupWindow: Millis(class.Window), Resumed: c.resumed, OwnershipLost: c.ownershipLost}
+		Attempts: c.attempts, MaxAttempts: c.table.deployment.Settings.MaxAttempts, Effect: class.Idempotency, Scope: class.DedupScope,
+		DedupWindow: Millis(class.DedupWindow), Resumed: c.resumed, OwnershipLost: c.ownershipLost}
 }
 
 // guardStatus is a server as the guard is told of it, by the newest list.
@@ -141,7 +141,7 @@
 		f.Violations[rule.String()] = x.Violations.Count(rule)
 	}
 	for why, n := range x.counters.rejections {
-		f.Rejections[decide.Why(why).String()] = n
+		f.Rejections[decide.RejectReason(why).String()] = n
 	}
 	return f
 }
@@ -155,7 +155,7 @@
 		x.Log.Warn().Float64("list_age_ms", x.endpointLease.Age(now)).Msg("the list of servers cannot be confirmed; nothing new is sent by it")
 	}
 	x.endpoints.leaseExpired = lapsed
-	if m := x.endpoints.refreshModes(); len(m.Entries) > 0 {
+	if m := x.endpoints.refreshModes(); len(m.Endpoints) > 0 {
 		x.post(m)
 	}
 }
--- a/internal/relay/guarded_test.go
+++ b/internal/relay/guarded_test.go
@@ -12,7 +12,7 @@
 	clock := NewManualClock()
 	x := NewRequestTable(&Deployment{}, clock, nil)
 	x.LeaseEndpointList(10_000)
-	x.UpdateEndpoints(decide.Whole, []Endpoint{{ID: "s", Address: "127.0.0.1:1", Mode: decide.Ready}})
+	x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "s", Address: "127.0.0.1:1", Mode: decide.Ready}})
 	pass := func(ms float64, stopped bool) {
 		end := clock.NowMillis() + ms
 		for !stopped && clock.NowMillis()+sweepInterval < end {
--- a/internal/relay/message_test.go
+++ b/internal/relay/message_test.go
@@ -9,7 +9,7 @@
 // Where no class has an aim for messages, one that comes back soon is not told as slow, and one that nothing comes back for is.
 func TestSlowMessagesWithoutAnAim(t *testing.T) {
 	c, _, clock := bench(t)
-	c.table.deployment.Settings.Classes[0].Message = 0
+	c.table.deployment.Settings.Classes[0].MessageLatencyObjective = 0
 	c.table.Recorder = recorder.New(100)
 	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
 	advance(c, clock, 20)
--- a/internal/relay/module_side.go
+++ b/internal/relay/module_side.go
@@ -9,12 +9,12 @@
 // This file carries out what the decision module wants of calls.
 
 // startAttempt does what the module wants: one more attempt. What the rules forbid is never sent.
-func (x *RequestTable) startAttempt(id decide.RequestID, to decide.Backend, timeout float64, pool []decide.View) {
+func (x *RequestTable) startAttempt(id decide.RequestID, to decide.ServerID, timeout float64, pool []decide.PooledServer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	c := x.requests[id]
 	if denial := x.mayAttempt(c, to); denial != guard.Allowed {
-		x.post(decide.Outcome{ID: id, Backend: to, Status: decide.Moot, Closed: c == nil || c.state != Queued, Report: decide.NoReport})
+		x.post(decide.Outcome{ID: id, Server: to, Status: decide.Superseded, Closed: c == nil || c.state != Queued, Report: decide.NoLoadReport})
 		return
 	}
 	c.startAttempt(x.endpoints.servers[to], timeout)
@@ -24,7 +24,7 @@
 }
 
 // mayAttempt tells whether an attempt of a call that the module wants may be started. The caller holds the lock.
-func (x *RequestTable) mayAttempt(c *Request, to decide.Backend) guard.Denial {
+func (x *RequestTable) mayAttempt(c *Request, to decide.ServerID) guard.Denial {
 	if c == nil {
 		return guard.NotWaiting
 	}
@@ -51,7 +51,7 @@
 		c.recordViolation(guard.RejectOnlyIfHarmless, nil)
 		a.Kind = Failed
 	}
-	if a.reason != decide.NoReason && a.reason <= decide.NotAgain {
+	if a.reason != decide.NoReason && a.reason <= decide.MayHaveRun {
 		x.counters.rejections[a.reason]++
 	}
 	c.answerFinally(a)
@@ -65,7 +65,7 @@
 	if c == nil || c.state == Established || c.state == Ended {
 		return false
 	}
-	x.post(decide.Gone{ID: id})
+	x.post(decide.ClientGone{ID: id})
 	c.answerFinally(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.Late})
 	return true
 }
--- a/internal/relay/ops.go
+++ b/internal/relay/ops.go
@@ -18,7 +18,7 @@
 // requestCounters are the counters, by class. The Exchange's lock guards them.
 type requestCounters struct {
 	established, rejected, failed, attempts []uint64
-	rejections                              [decide.NotAgain + 1]uint64 // by the module's reason
+	rejections                              [decide.MayHaveRun + 1]uint64 // by the module's reason
 }
 
 func newRequestCounters(classes int) requestCounters {
@@ -93,7 +93,7 @@
 	defer x.mu.Unlock()
 	c.Ejected = int(x.ejectedCount.Load())
 	for _, s := range x.endpoints.servers {
-		if s.listedMode != decide.GoneMode {
+		if s.listedMode != decide.Removed {
 			c.Listed++
 			switch {
 			case s.ejectedManually:
@@ -152,7 +152,7 @@
 func (x *RequestTable) SetManualEjections(out map[string]bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	m := decide.Members{Kind: decide.Revised}
+	m := decide.WatchEvent{Kind: decide.LocalDelta}
 	x.endpoints.ejectedManually = out
 	for _, s := range x.endpoints.servers {
 		if s.ejectedManually == out[s.ID] {
@@ -160,9 +160,9 @@
 		}
 		s.ejectedManually = out[s.ID]
 		x.endpoints.setMode(s)
-		m.Entries = append(m.Entries, x.endpoints.entry(s))
+		m.Endpoints = append(m.Endpoints, x.endpoints.entry(s))
 	}
-	if len(m.Entries) == 0 {
+	if len(m.Endpoints) == 0 {
 		return
 	}
 	x.post(m)
--- a/internal/relay/ops_test.go
+++ b/internal/relay/ops_test.go
@@ -7,12 +7,12 @@
 )
 
 // modes finds what the module was last told of each server, from what the exchange posted.
-func told(x *RequestTable) map[decide.Backend]decide.Mode {
-	out := map[decide.Backend]decide.Mode{}
+func told(x *RequestTable) map[decide.ServerID]decide.EndpointState {
+	out := map[decide.ServerID]decide.EndpointState{}
 	for _, ev := range x.inbox {
-		if m, ok := ev.(decide.Members); ok {
-			for _, e := range m.Entries {
-				out[e.Backend] = e.Mode
+		if m, ok := ev.(decide.WatchEvent); ok {
+			for _, e := range m.Endpoints {
+				out[e.Server] = e.State
 			}
 		}
 	}
@@ -24,7 +24,7 @@
 func TestBan(t *testing.T) {
 	clock, wire := NewManualClock(), &side{}
 	x := NewRequestTable(&Deployment{Settings: decide.Settings{Classes: []decide.ClassInfo{{}}}}, clock, wire)
-	x.UpdateEndpoints(decide.Whole, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
+	x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
 	up, client := x.Open(OpenRequest{Timeout: 1000}, &side{}), &side{}
 	x.startAttempt(up.ID, 0, 0, nil)
 	up.Attach(0, client)
@@ -46,7 +46,7 @@
 		t.Error("a connection at a server out by hand is not moved")
 	}
 	x.inbox = nil
-	x.UpdateEndpoints(decide.Whole, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}, {ID: "c", Mode: decide.Ready}})
+	x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}, {ID: "c", Mode: decide.Ready}})
 	if m := told(x); m[0] != decide.Draining || m[1] != decide.Ready {
 		t.Errorf("a new list undoes the ban: %v", m)
 	}
@@ -70,7 +70,7 @@
 func TestCounts(t *testing.T) {
 	clock, wire := NewManualClock(), &side{}
 	x := NewRequestTable(&Deployment{Settings: decide.Settings{Classes: []decide.ClassInfo{{}, {}}}}, clock, wire)
-	x.UpdateEndpoints(decide.Whole, []Endpoint{{ID: "a", Mode: decide.Ready}})
+	x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}})
 	a := x.Open(OpenRequest{Class: 1, Timeout: 1000}, &side{})
 	x.startAttempt(a.ID, 0, 0, nil)
 	a.Attach(0, &side{})
--- a/internal/relay/reckon.go
+++ b/internal/relay/reckon.go
@@ -13,22 +13,22 @@
 //
 // Zone gives the module's number of a zone's name, false for one that no server or relay here has; it may be nil where the fleet has no
 // cells, and all is far then. A near zone without a number has no server to budget for.
-func ToFleetStatus(now, own float64, r membership.FleetEstimate, zone func(name string) (decide.Zone, bool)) decide.Fleet {
-	f := decide.Fleet{Relays: r.Relays, Share: r.Share, Others: r.Others, Held: r.Held, Sent: r.Sent}
-	f.Summed = r.Others >= 0 && r.Others+r.Own <= probing.MaxPlacementRate
+func ToFleetStatus(now, own float64, r membership.FleetEstimate, zone func(name string) (decide.Zone, bool)) decide.FleetStatus {
+	f := decide.FleetStatus{Relays: r.Relays, BudgetShare: r.Share, PeerRequestRate: r.Others, PeerConnections: r.Held, PeerMigrationRate: r.Sent}
+	f.SharesPlacements = r.Others >= 0 && r.Others+r.Own <= probing.MaxPlacementRate
 	if r.Plan > 0 {
-		f.Far, f.Near = r.FarShare, []decide.Zone{}
+		f.FarBudgetShare, f.NearZones = r.FarShare, []decide.Zone{}
 		for _, name := range r.NearZones {
 			if zone == nil {
 				break
 			}
 			if number, known := zone(name); known {
-				f.Near = append(f.Near, number)
+				f.NearZones = append(f.NearZones, number)
 			}
 		}
 	}
 	if !math.IsInf(r.Until, 1) {
-		f.Until = Duration(now + r.Until - own)
+		f.BudgetUntil = Duration(now + r.Until - own)
 	}
 	return f
 }
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -87,10 +87,10 @@
 	close(c.settled)
 	c.table.counters.increment(c.table.counters.established, c.Class)
 	if c.resumed {
-		c.table.post(decide.Inherited{Request: c.decisionRequest(), Backend: c.attempt.Server.Number})
+		c.table.post(decide.Inherited{Request: c.decisionRequest(), Server: c.attempt.Server.Number})
 	} else {
-		c.table.post(decide.Opened{ID: c.ID, Attempt: no, Backend: c.attempt.Server.Number,
-			Took: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt)})
+		c.table.post(decide.Opened{ID: c.ID, Attempt: no, Server: c.attempt.Server.Number,
+			SetupLatency: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt)})
 	}
 	if c.table.Recorder != nil {
 		c.table.Recorder.Put(&recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.Up, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
@@ -119,7 +119,7 @@
 
 // EndAttempt ends the attempt, exactly once, after its connection has been closed. Before the call is up it goes
 // back to the module; after that it is the end of the call.
-func (c *Request) EndAttempt(no int, status decide.Status, report decide.Report) {
+func (c *Request) EndAttempt(no int, status decide.Status, report decide.LoadReport) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	if !c.attemptInFlight || c.attempt.Number != no {
@@ -148,8 +148,8 @@
 	if c.state == Queued {
 		c.answer.Cause = status
 	}
-	c.table.post(decide.Outcome{ID: c.ID, Attempt: no, Backend: c.attempt.Server.Number, Status: status, Report: report,
-		Took: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt), Closed: c.state == Ended})
+	c.table.post(decide.Outcome{ID: c.ID, Attempt: no, Server: c.attempt.Server.Number, Status: status, Report: report,
+		Elapsed: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt), Closed: c.state == Ended})
 	c.removeIfDone()
 }
 
@@ -168,8 +168,8 @@
 func (c *Request) noteDelay(delay float64) {
 	least := slowMessageAfter
 	for _, class := range c.table.deployment.Settings.Classes {
-		if class.Message > 0 {
-			least = min(least, Millis(class.Message)/3)
+		if class.MessageLatencyObjective > 0 {
+			least = min(least, Millis(class.MessageLatencyObjective)/3)
 		}
 	}
 	now, s := c.table.Clock.NowMillis(), c.attempt.currentServer()
@@ -178,7 +178,7 @@
 		if c.table.Recorder != nil {
 			c.table.Recorder.Put(&recorder.Record{At: now, Kind: recorder.Delay, Request: uint64(c.ID), Server: int32(s.Number), Took: delay})
 		}
-		c.table.post(decide.DelayNote{ID: c.ID, Backend: s.Number, Delay: Duration(delay)})
+		c.table.post(decide.MessageDelay{ID: c.ID, Server: s.Number, Delay: Duration(delay)})
 	}
 }
 
@@ -186,5 +186,5 @@
 func (c *Request) ReportLoad(x float64) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
-	c.table.post(decide.LoadNote{ID: c.ID, Backend: c.attempt.Server.Number, Load: x / 1e6})
+	c.table.post(decide.ConnectionLoad{ID: c.ID, Server: c.attempt.Server.Number, Load: x / 1e6})
 }
--- a/internal/relay/shared.go
+++ b/internal/relay/shared.go
@@ -51,11 +51,11 @@
 // The core loop's inbox has the module's events; these two are the loop's own, on their way through it.
 type (
 	peerEvent struct {
-		decide.Peer
+		decide.PeerMessage
 		event probing.Event
 	}
 	participantsEvent struct {
-		decide.Peer
+		decide.PeerMessage
 		probing.Fleet
 		serverIDs map[uint64]string
 	}
@@ -154,17 +154,17 @@
 		c.stepScheduler(now, e.Fleet)
 		return false
 	case decide.Outcome:
-		c.stepScheduler(now, probing.Sent{ServerKey: c.serverKey(e.Backend), N: -1})
-	case decide.Probed:
+		c.stepScheduler(now, probing.Sent{ServerKey: c.serverKey(e.Server), N: -1})
+	case decide.ProbeResult:
 		if e.Status == decide.OK {
-			load := probing.Load{Load: e.Report.Load, Inflight: e.Report.Inflight, Errors: e.Report.Errors, Busy: e.Report.Busy}
-			c.stepScheduler(now, probing.Read{ServerKey: c.serverKey(e.Backend), Load: load})
+			load := probing.Load{Load: e.Report.Load, Inflight: e.Report.InFlight, Errors: e.Report.ErrorsPerSecond, Busy: e.Report.CPUUtilization}
+			c.stepScheduler(now, probing.Read{ServerKey: c.serverKey(e.Server), Load: load})
 		}
 	}
 	return true
 }
 
-func (c *EventLoop) serverKey(id decide.Backend) uint64 {
+func (c *EventLoop) serverKey(id decide.ServerID) uint64 {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	return ServerKey(c.table.endpoints.servers[id].ID)
@@ -186,12 +186,12 @@
 				if c.table.Recorder != nil {
 					c.table.recordPeerReading(id, a.Age, max(l.Load, l.Busy))
 				}
-				c.handle(now, decide.Told{Backend: id, Age: Duration(a.Age),
-					Report: decide.Report{Load: l.Load, Inflight: l.Inflight, Errors: l.Errors, Busy: l.Busy}})
+				c.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age),
+					Report: decide.LoadReport{Load: l.Load, InFlight: l.Inflight, ErrorsPerSecond: l.Errors, CPUUtilization: l.Busy}})
 			}
 		case probing.PeerPlacement:
 			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				c.handle(now, decide.Told{Backend: id, Age: Duration(a.Age), Sent: a.N})
+				c.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.N})
 			}
 		case probing.Quarantine:
 			s.onQuarantine(a.Name)
@@ -202,7 +202,7 @@
 }
 
 // readyServer is a server's number, while it is listed and ready.
-func (x *RequestTable) readyServer(id string) (decide.Backend, bool) {
+func (x *RequestTable) readyServer(id string) (decide.ServerID, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := x.endpoints.byID[id]
--- a/internal/relay/site.go
+++ b/internal/relay/site.go
@@ -28,7 +28,7 @@
 	Address        string
 	Zone           string
 	Cell           int32
-	Mode           decide.Mode
+	Mode           decide.EndpointState
 	StartedAt      float64 // Unix time in milliseconds, 0 for long ago
 	Load           float64 // load over capacity that the list itself tells, negative if it does not
 	SupportsResume bool    // it takes streams up where they stopped
@@ -36,14 +36,14 @@
 
 // Server is one server as the server side needs it.
 type Server struct {
-	Number          decide.Backend
+	Number          decide.ServerID
 	ID              string
 	Address         string
 	Load            float64 // as the list told it last, negative if it does not
 	SupportsResume  bool
-	mode            decide.Mode // as the module is told: a server out by hand, or of a list that has lapsed, drains
-	listedMode      decide.Mode // as the list has it
-	ejectedManually bool        // out by hand
+	mode            decide.EndpointState // as the module is told: a server out by hand, or of a list that has lapsed, drains
+	listedMode      decide.EndpointState // as the list has it
+	ejectedManually bool                 // out by hand
 	// unreadyAt is when mode was last seen to leave Ready, on the relay's clock.
 	unreadyAt    float64
 	delayNotedAt float64 // when the module was last told of a slow message there
@@ -54,7 +54,7 @@
 	zone          string
 	cell          int32
 	recorded      bool // the tap knows mode and start
-	recordedMode  decide.Mode
+	recordedMode  decide.EndpointState
 	recordedStart float64
 }
 
@@ -70,25 +70,25 @@
 }
 
 // apply writes a list into the roster and returns it in the module's numbers.
-func (r *endpointList) apply(kind decide.ListKind, list []Endpoint) decide.Members {
-	if kind != decide.Delta && kind != decide.Failed { // who is not in a whole list is gone
+func (r *endpointList) apply(kind decide.WatchKind, list []Endpoint) decide.WatchEvent {
+	if kind != decide.Delta && kind != decide.WatchFailed { // who is not in a whole list is gone
 		listed := map[string]bool{}
 		for _, l := range list {
 			listed[l.ID] = true
 		}
 		for _, s := range r.servers {
 			if !listed[s.ID] {
-				s.listedMode = decide.GoneMode
+				s.listedMode = decide.Removed
 				r.setMode(s)
 			}
 		}
 	}
-	m := decide.Members{Kind: kind}
-	r.complete = r.complete || kind == decide.Whole || kind == decide.Cached && len(list) > 0
+	m := decide.WatchEvent{Kind: kind}
+	r.complete = r.complete || kind == decide.Snapshot || kind == decide.Cached && len(list) > 0
 	for _, l := range list {
 		s := r.byID[l.ID]
 		if s == nil {
-			s = &Server{Number: decide.Backend(len(r.servers)), ID: l.ID, ejectedManually: r.ejectedManually[l.ID]}
+			s = &Server{Number: decide.ServerID(len(r.servers)), ID: l.ID, ejectedManually: r.ejectedManually[l.ID]}
 			r.byID[l.ID] = s
 			r.servers = append(r.servers, s)
 		}
@@ -100,7 +100,7 @@
 		if l.Address != "" { // an entry that says Gone may come without one
 			s.Address = l.Address
 		}
-		m.Entries = append(m.Entries, r.entry(s))
+		m.Endpoints = append(m.Endpoints, r.entry(s))
 	}
 	return m
 }
@@ -121,7 +121,7 @@
 }
 
 // operatorMode is the server's mode as operators see it: by the list, or out by hand.
-func (s *Server) operatorMode() decide.Mode {
+func (s *Server) operatorMode() decide.EndpointState {
 	if s.ejectedManually && s.listedMode == decide.Ready {
 		return decide.Draining
 	}
@@ -129,18 +129,18 @@
 }
 
 // refreshModes sets the mode of every server as of now, and returns what that changes for the module.
-func (r *endpointList) refreshModes() decide.Members {
-	m := decide.Members{Kind: decide.Revised}
+func (r *endpointList) refreshModes() decide.WatchEvent {
+	m := decide.WatchEvent{Kind: decide.LocalDelta}
 	for _, s := range r.servers {
 		if r.setMode(s) {
-			m.Entries = append(m.Entries, r.entry(s))
+			m.Endpoints = append(m.Endpoints, r.entry(s))
 		}
 	}
 	return m
 }
 
 // entry is the server as the module is told of it.
-func (r *endpointList) entry(s *Server) decide.Entry {
-	return decide.Entry{Backend: s.Number, Mode: s.mode, Zone: r.deployment.Zones[s.zone], Cell: s.cell, Spot: ServerKey(s.ID),
-		Since: Duration(s.startedAt)}
+func (r *endpointList) entry(s *Server) decide.Endpoint {
+	return decide.Endpoint{Server: s.Number, State: s.mode, Zone: r.deployment.Zones[s.zone], Cell: s.cell, RendezvousKey: ServerKey(s.ID),
+		StartedAt: Duration(s.startedAt)}
 }
--- a/internal/relay/taps.go
+++ b/internal/relay/taps.go
@@ -8,9 +8,9 @@
 // This file makes records for the tap. Callers hold the Exchange's lock and have looked that there is a tap.
 
 // recordEndpointList tells what a list has changed.
-func (x *RequestTable) recordEndpointList(kind decide.ListKind) {
+func (x *RequestTable) recordEndpointList(kind decide.WatchKind) {
 	now := x.Clock.NowMillis()
-	if kind == decide.Failed {
+	if kind == decide.WatchFailed {
 		x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.NoList, Server: -1})
 		return
 	}
@@ -40,14 +40,14 @@
 }
 
 // recordPlacement tells an attempt, and what else the module could have chosen.
-func (c *Request) recordPlacement(pool []decide.View) {
+func (c *Request) recordPlacement(pool []decide.PooledServer) {
 	r := recorder.Record{At: c.attempt.StartedAt, Kind: recorder.Place, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
 		Attempt: uint8(min(c.attempt.Number, 255)), Load: -1}
 	for _, v := range pool {
-		if v.Backend == c.attempt.Server.Number {
-			r.Load = float32(v.Load)
+		if v.Server == c.attempt.Server.Number {
+			r.Load = float32(v.EstimatedLoad)
 		} else if r.Inside < recorder.Peers {
-			r.Pool[r.Inside] = recorder.Peer{Server: int32(v.Backend), Load: float32(v.Load), AgeMs: float32(Millis(v.Age)), Cold: v.Cold}
+			r.Pool[r.Inside] = recorder.Peer{Server: int32(v.Server), Load: float32(v.EstimatedLoad), AgeMs: float32(Millis(v.ReadingAge)), Cold: v.InSlowStart}
 			r.Inside++
 		}
 	}
@@ -56,11 +56,11 @@
 
 // recordAttemptEnd tells how an attempt ended, and who ended it: to the module a client that has left and a server that
 // sends its clients away look alike.
-func (c *Request) recordAttemptEnd(status decide.Status, report decide.Report) {
+func (c *Request) recordAttemptEnd(status decide.Status, report decide.LoadReport) {
 	now := c.table.Clock.NowMillis()
 	r := recorder.Record{At: now, Kind: recorder.End, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), Status: status,
-		Took: now - c.attempt.StartedAt, Attempt: uint8(min(c.attempt.Number, 255)), Load: float32(report.Load), Queue: float32(report.Inflight),
-		Errors: float32(report.Errors), By: recorder.Server}
+		Took: now - c.attempt.StartedAt, Attempt: uint8(min(c.attempt.Number, 255)), Load: float32(report.Load), Queue: float32(report.InFlight),
+		Errors: float32(report.ErrorsPerSecond), By: recorder.Server}
 	r.WasUp = c.wasEstablished
 	switch {
 	case c.serverSilent:
@@ -76,13 +76,13 @@
 }
 
 // recordProbe tells a probe's end.
-func (x *RequestTable) recordProbe(at float64, s decide.Backend, status decide.Status, took float64, report decide.Report) {
+func (x *RequestTable) recordProbe(at float64, s decide.ServerID, status decide.Status, took float64, report decide.LoadReport) {
 	x.Recorder.Put(&recorder.Record{At: at, Kind: recorder.Probe, Server: int32(s), Status: status, Took: took, Load: float32(report.Load),
-		Queue: float32(report.Inflight), Errors: float32(report.Errors)})
+		Queue: float32(report.InFlight), Errors: float32(report.ErrorsPerSecond)})
 }
 
 // recordPeerReading tells that a reading of another relay is gone by.
-func (x *RequestTable) recordPeerReading(s decide.Backend, ageMs float64, load float64) {
+func (x *RequestTable) recordPeerReading(s decide.ServerID, ageMs float64, load float64) {
 	x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis() - ageMs, Kind: recorder.Told, Server: int32(s), Took: ageMs, Load: float32(load)})
 }
 
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -15,12 +15,12 @@
 
 type nobody struct{}
 
-func (nobody) StartAttempt(*relay.Request, relay.Attempt)             {}
-func (nobody) Probe(relay.Server, func(decide.Status, decide.Report)) {}
-func (nobody) Forward([]byte) error                                   { return nil }
-func (nobody) Close(relay.CloseKind)                                  {}
-func (nobody) HasUnread() bool                                        { return false }
-func (nobody) Wake()                                                  {}
+func (nobody) StartAttempt(*relay.Request, relay.Attempt)                 {}
+func (nobody) Probe(relay.Server, func(decide.Status, decide.LoadReport)) {}
+func (nobody) Forward([]byte) error                                       { return nil }
+func (nobody) Close(relay.CloseKind)                                      {}
+func (nobody) HasUnread() bool                                            { return false }
+func (nobody) Wake()                                                      {}
 
 // testRelay is a Service with an Exchange, without sockets but for the claim service's.
 type testRelay struct {
--- a/internal/simulation/capacity/decisions_test.go
+++ b/internal/simulation/capacity/decisions_test.go
@@ -20,7 +20,7 @@
 
 type placed struct {
 	id decide.RequestID
-	at decide.Backend
+	at decide.ServerID
 }
 
 const (
@@ -29,31 +29,31 @@
 )
 
 func newCrowded(servers, connections int) *crowded {
-	set := decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, Tick: 5 * time.Millisecond, Groups: true,
-		Classes: []decide.ClassInfo{{Aim: 800 * time.Millisecond, Deadline: 3200 * time.Millisecond, Worth: 1}},
-		Tenants: []decide.TenantInfo{{Share: 1, Quota: enoughRoom}},
-		Rules:   decide.Rules{AskWithin: 10 * time.Second, StartCapacity: 0.36, Cold: 8600 * time.Millisecond, FallMultiple: 4, FallFor: 1500 * time.Millisecond}}
+	set := decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, Tick: 5 * time.Millisecond, GroupAffinity: true,
+		Classes: []decide.ClassInfo{{LatencyObjective: 800 * time.Millisecond, Deadline: 3200 * time.Millisecond, PriorityWeight: 1}},
+		Tenants: []decide.TenantInfo{{ServiceShare: 1, ConnectionQuota: enoughRoom}},
+		Rules:   decide.Rules{PollWithin: 10 * time.Second, SlowStartCapacity: 0.36, SlowStartWindow: 8600 * time.Millisecond, OverloadFactor: 4, OverloadWindow: 1500 * time.Millisecond}}
 	c := &crowded{b: decide.New(set, 7), now: time.Hour, held: make([]int, servers)}
-	var list []decide.Entry
+	var list []decide.Endpoint
 	for i := range servers {
-		list = append(list, decide.Entry{Backend: decide.Backend(i), Mode: decide.Ready, Spot: (uint64(i) + 1) * 0x9e3779b97f4a7c15})
+		list = append(list, decide.Endpoint{Server: decide.ServerID(i), State: decide.Ready, RendezvousKey: (uint64(i) + 1) * 0x9e3779b97f4a7c15})
 	}
-	c.feed(decide.Members{Kind: decide.Whole, Entries: list})
+	c.feed(decide.WatchEvent{Kind: decide.Snapshot, Endpoints: list})
 	for i := range connections {
 		c.next++
-		r, at := decide.Request{ID: c.next, Left: time.Hour, Group: 1 + uint64(i%groups)}, decide.Backend(i%servers)
-		c.feed(decide.Inherited{Request: r, Backend: at})
+		r, at := decide.Request{ID: c.next, TimeLeft: time.Hour, Group: 1 + uint64(i%groups)}, decide.ServerID(i%servers)
+		c.feed(decide.Inherited{Request: r, Server: at})
 		c.keep(c.next, at)
 	}
 	return c
 }
 
-func (c *crowded) keep(id decide.RequestID, at decide.Backend) {
+func (c *crowded) keep(id decide.RequestID, at decide.ServerID) {
 	c.open = append(c.open, placed{id, at})
 	c.held[at]++
 }
 
-func (c *crowded) load(at decide.Backend) float64 { return 0.35 + 0.001*float64(at%100) }
+func (c *crowded) load(at decide.ServerID) float64 { return 0.35 + 0.001*float64(at%100) }
 
 // feed gives the module one event, and answers probes and sends at once.
 func (c *crowded) feed(ev decide.Event) {
@@ -63,11 +63,11 @@
 		c.acts = c.acts[1:]
 		switch a := act.(type) {
 		case decide.Probe:
-			report := decide.Report{Load: c.load(a.Backend), Inflight: -1, Errors: -1, Busy: -1}
-			c.acts = c.b.Handle(c.now, decide.Probed{Backend: a.Backend, Took: time.Millisecond, Report: report}, c.acts)
-		case decide.Send:
-			c.acts = c.b.Handle(c.now, decide.Opened{ID: a.ID, Backend: a.Backend, Took: 5 * time.Millisecond}, c.acts)
-			c.keep(a.ID, a.Backend)
+			report := decide.LoadReport{Load: c.load(a.Server), InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}
+			c.acts = c.b.Handle(c.now, decide.ProbeResult{Server: a.Server, Latency: time.Millisecond, Report: report}, c.acts)
+		case decide.Forward:
+			c.acts = c.b.Handle(c.now, decide.Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * time.Millisecond}, c.acts)
+			c.keep(a.ID, a.Server)
 		}
 	}
 	c.acts = c.acts[:0]
@@ -79,9 +79,9 @@
 	first := c.open[0]
 	c.open = c.open[1:]
 	c.held[first.at]--
-	c.feed(decide.Outcome{ID: first.id, Backend: first.at, Status: decide.OK, Closed: true, Report: decide.NoReport})
+	c.feed(decide.Outcome{ID: first.id, Server: first.at, Status: decide.OK, Closed: true, Report: decide.NoLoadReport})
 	c.next++
-	c.feed(decide.Request{ID: c.next, Key: uint64(c.next), Left: 2 * time.Second, Group: 1 + uint64(c.next)%groups})
+	c.feed(decide.Request{ID: c.next, Key: uint64(c.next), TimeLeft: 2 * time.Second, Group: 1 + uint64(c.next)%groups})
 }
 
 // What a decision costs by the number of servers and of held connections, and the module's bytes for either.
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -18,10 +18,10 @@
 // nowhere is a server side and a discovery that do nothing.
 type nowhere struct{}
 
-func (nowhere) StartAttempt(*relay.Request, relay.Attempt)                    {}
-func (nowhere) Probe(_ relay.Server, done func(decide.Status, decide.Report)) {}
-func (nowhere) Watch()                                                        {}
-func (nowhere) Fetch()                                                        {}
+func (nowhere) StartAttempt(*relay.Request, relay.Attempt)                        {}
+func (nowhere) Probe(_ relay.Server, done func(decide.Status, decide.LoadReport)) {}
+func (nowhere) Watch()                                                            {}
+func (nowhere) Fetch()                                                            {}
 func listText(whole bool, from, until int, mode string) string {
 	var entries []string
 	for i := from; i < until; i++ {
@@ -38,7 +38,7 @@
 
 func newListed() *listed {
 	site := &relay.Deployment{Zones: map[string]decide.Zone{"hall-a": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true,
-		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{Aim: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
+		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
 	x := relay.NewRequestTable(site, relay.NewClock(), nowhere{})
 	return &listed{x, relay.NewEventLoop(x, 7, nowhere{}, zerolog.Nop())}
 }
@@ -51,7 +51,7 @@
 	}
 	kind := decide.Delta
 	if list.Complete {
-		kind = decide.Whole
+		kind = decide.Snapshot
 	}
 	l.x.UpdateEndpoints(kind, list.Endpoints)
 	l.core.Step()
--- a/internal/simulation/model/client.go
+++ b/internal/simulation/model/client.go
@@ -30,7 +30,7 @@
 // arrive is a new client.
 func (f *Fleet) arrive() {
 	c := &client{since: f.Now}
-	c.req = decide.Request{Class: 0, Tenant: decide.Tenant(f.rng.IntN(2)), Key: f.rng.Uint64() | 1, Left: 2 * time.Second,
+	c.req = decide.Request{Class: 0, Tenant: decide.Tenant(f.rng.IntN(2)), Key: f.rng.Uint64() | 1, TimeLeft: 2 * time.Second,
 		Group: 1 + uint64(math.Pow(f.rng.Float64(), 1.5)*float64(f.groups))}
 	f.ask(c)
 }
@@ -56,11 +56,11 @@
 		r, s := f.Relays[i%len(f.Relays)], f.Servers[at]
 		f.lastID++
 		c := &client{relay: r, at: s, ends: f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)),
-			req: decide.Request{ID: f.lastID, Key: f.rng.Uint64() | 1, Left: time.Hour, Group: uint64(group)}}
+			req: decide.Request{ID: f.lastID, Key: f.rng.Uint64() | 1, TimeLeft: time.Hour, Group: uint64(group)}}
 		f.requests[c.req.ID], s.connections[c], s.idleSince = c, true, -1
 		r.connections++
-		f.deliver(r, r.incarnation, decide.Inherited{Request: c.req, Backend: s.Backend})
-		c.req.Left = 2 * time.Second
+		f.deliver(r, r.incarnation, decide.Inherited{Request: c.req, Server: s.Server})
+		c.req.TimeLeft = 2 * time.Second
 	}
 }
 
@@ -104,7 +104,7 @@
 
 // comeAgain brings a client back to any relay that is up.
 func (f *Fleet) comeAgain(c *client, after time.Duration) {
-	c.req.Returned = true
+	c.req.Returning = true
 	if c.at == nil && c.tries == 0 {
 		c.since = f.Now + after
 	}
@@ -135,7 +135,7 @@
 
 // finish ends a connection and lets its relay know how.
 func (f *Fleet) finish(c *client, status decide.Status) {
-	outcome := decide.Outcome{ID: c.req.ID, Backend: c.at.Backend, Status: status, Closed: true, Report: decide.NoReport}
+	outcome := decide.Outcome{ID: c.req.ID, Server: c.at.Server, Status: status, Closed: true, Report: decide.NoLoadReport}
 	f.deliverLater(c.relay, 0, outcome)
 	f.disconnect(c)
 }
--- a/internal/simulation/model/discovery.go
+++ b/internal/simulation/model/discovery.go
@@ -12,21 +12,21 @@
 	callTime  time.Duration // for one call
 	patience  time.Duration // a call that waits longer fails
 	busyUntil time.Duration // when it is done with all calls that came
-	list      []decide.Entry
+	list      []decide.Endpoint
 }
 
 // List is the list of servers as discovery has it.
-func (f *Fleet) List() []decide.Entry { return slices.Clone(f.discovery.list) }
+func (f *Fleet) List() []decide.Endpoint { return slices.Clone(f.discovery.list) }
 
 // Announce tells discovery, and a while later all who watch.
-func (f *Fleet) Announce(s *Server, mode decide.Mode) {
-	if s.Mode = mode; mode == decide.Ready && len(s.connections) == 0 {
+func (f *Fleet) Announce(s *Server, mode decide.EndpointState) {
+	if s.State = mode; mode == decide.Ready && len(s.connections) == 0 {
 		s.idleSince = f.Now
 	}
-	f.discovery.list[s.Backend] = s.Entry
+	f.discovery.list[s.Server] = s.Endpoint
 	for _, r := range f.Relays {
 		if life := r.incarnation; r.up && r.watches {
-			news := []decide.Entry{s.Entry}
+			news := []decide.Endpoint{s.Endpoint}
 			f.After(f.Between(20*ms, 400*ms), func() {
 				if r.up && r.incarnation == life {
 					f.deliverList(r, decide.Delta, news)
@@ -43,13 +43,13 @@
 	wait, life := f.discovery.busyUntil-f.Now, r.incarnation
 	if wait > f.discovery.patience {
 		f.count("calls failed")
-		f.deliverLater(r, f.discovery.patience, decide.Members{Kind: decide.Failed})
+		f.deliverLater(r, f.discovery.patience, decide.WatchEvent{Kind: decide.WatchFailed})
 		return
 	}
 	f.After(wait, func() {
 		if r.up && r.incarnation == life {
 			r.watches = true
-			f.deliverList(r, decide.Whole, f.List())
+			f.deliverList(r, decide.Snapshot, f.List())
 		}
 	})
 }
--- a/internal/simulation/model/many_test.go
+++ b/internal/simulation/model/many_test.go
@@ -58,13 +58,13 @@
 	f.Advance(over)
 	total, can := 0, 0.0
 	for i, s := range f.Servers {
-		if i < len(placed) && s.Mode == decide.Ready {
+		if i < len(placed) && s.State == decide.Ready {
 			total += s.Placed - placed[i]
 			can += s.Capacity
 		}
 	}
 	for i := range placed {
-		if s := f.Servers[i]; s.Mode == decide.Ready {
+		if s := f.Servers[i]; s.State == decide.Ready {
 			most = max(most, float64(s.Placed-placed[i])/float64(total)*can/s.Capacity)
 			probes = max(probes, float64(s.Probes-probed[i])/over.Seconds())
 		}
@@ -76,7 +76,7 @@
 func (f *Fleet) fullest() (most float64) {
 	sum, n := 0.0, 0
 	for _, s := range f.Servers {
-		if s.Mode == decide.Ready {
+		if s.State == decide.Ready {
 			sum += f.Utilisation(s)
 			n++
 			most = max(most, f.Utilisation(s))
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -82,14 +82,14 @@
 	}
 	f.set = decide.Settings{
 		Relays: cfg.Relays, Zones: 3, MaxAttempts: 6, Probes: true, RetryAfter: true, MaxRetryAfter: 1500 * ms,
-		ConnectTimeout: 150 * ms, Tick: 5 * ms, Groups: cfg.GroupWork, Ask: true,
-		Classes: []decide.ClassInfo{{Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 1, Message: 50 * ms}},
-		Tenants: []decide.TenantInfo{{Share: 0.5}, {Share: 0.5}},
-		Rules:   decide.Rules{AskWithin: 10 * time.Second, StartCapacity: 0.36, Cold: 8 * time.Second, FallMultiple: 4, FallFor: 1500 * ms},
+		ConnectTimeout: 150 * ms, Tick: 5 * ms, GroupAffinity: cfg.GroupWork, MustSubscribe: true,
+		Classes: []decide.ClassInfo{{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, MessageLatencyObjective: 50 * ms}},
+		Tenants: []decide.TenantInfo{{ServiceShare: 0.5}, {ServiceShare: 0.5}},
+		Rules:   decide.Rules{PollWithin: 10 * time.Second, SlowStartCapacity: 0.36, SlowStartWindow: 8 * time.Second, OverloadFactor: 4, OverloadWindow: 1500 * ms},
 		Prices:  decide.Prices{CrossZone: 0.03, Probe: 0.002, Move: 0.02},
 	}
 	for i := range f.set.Tenants {
-		f.set.Tenants[i].Quota = float64(cfg.Connections) / cfg.Utilisation * quotaPart / 2
+		f.set.Tenants[i].ConnectionQuota = float64(cfg.Connections) / cfg.Utilisation * quotaPart / 2
 	}
 	if cfg.Tune != nil {
 		cfg.Tune(&f.set)
--- a/internal/simulation/model/model_test.go
+++ b/internal/simulation/model/model_test.go
@@ -126,7 +126,7 @@
 			day(f)
 			f.Advance(18 * time.Second)
 			for _, s := range f.Servers {
-				if s.Since > 0 && s.Mode == decide.Ready && f.Now-s.Since > 6*time.Second {
+				if s.StartedAt > 0 && s.State == decide.Ready && f.Now-s.StartedAt > 6*time.Second {
 					fresh++
 					if s.Connections() == 0 {
 						idle++
--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -99,9 +99,9 @@
 	var servers []probing.Server
 	stamp := fmt.Sprint(view.Hash(), ":")
 	for _, e := range r.list {
-		if e.Mode == decide.Ready {
-			servers = append(servers, probing.Server{Key: e.Spot, Zone: strconv.Itoa(int(e.Zone)), Started: int64(e.Since)})
-			stamp += fmt.Sprint(e.Backend, "/", int64(e.Since), " ")
+		if e.State == decide.Ready {
+			servers = append(servers, probing.Server{Key: e.RendezvousKey, Zone: strconv.Itoa(int(e.Zone)), Started: int64(e.StartedAt)})
+			stamp += fmt.Sprint(e.Server, "/", int64(e.StartedAt), " ")
 		}
 	}
 	table := r.fleet.tables[stamp]
@@ -126,12 +126,12 @@
 			}
 		case probing.UseReading:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.carryOut(r, r.balancer.Handle(f.Now, decide.Told{Backend: s.Backend, Age: relay.Duration(a.Age),
-					Report: decide.Report{Load: a.Reading.Load.Load, Inflight: -1, Errors: -1, Busy: -1}}, nil))
+				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: relay.Duration(a.Age),
+					Report: decide.LoadReport{Load: a.Reading.Load.Load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, nil))
 			}
 		case probing.PeerPlacement:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.carryOut(r, r.balancer.Handle(f.Now, decide.Told{Backend: s.Backend, Age: relay.Duration(a.Age), Sent: a.N}, nil))
+				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: relay.Duration(a.Age), PlacementDelta: a.N}, nil))
 			}
 		case probing.SendPlacements:
 			f.count("tells of placements")
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -22,10 +22,10 @@
 	index        int
 	balancer     *decide.Balancer
 	up           bool
-	incarnation  int             // it was started so many times; what was meant for an earlier life is dropped
-	drainKnownAt []time.Duration // when it was told that a server takes nothing new, -1 if it does
-	list         []decide.Entry  // its list of servers
-	listChanges  int             // changes of it
+	incarnation  int               // it was started so many times; what was meant for an earlier life is dropped
+	drainKnownAt []time.Duration   // when it was told that a server takes nothing new, -1 if it does
+	list         []decide.Endpoint // its list of servers
+	listChanges  int               // changes of it
 	watches      bool
 	arrived      uint64
 	connections  int
@@ -44,9 +44,9 @@
 }
 
 // Start starts a relay with a list that it had once.
-func (f *Fleet) Start(r *Relay, known []decide.Entry) {
+func (f *Fleet) Start(r *Relay, known []decide.Endpoint) {
 	set := f.set
-	set.Me, set.Zone = r.index, r.Zone
+	set.RelayIndex, set.Zone = r.index, r.Zone
 	r.up, r.watches, r.draining, r.drainKnownAt, r.list, r.arrived, r.connections = true, false, false, nil, nil, 0, 0
 	r.incarnation++
 	r.balancer = decide.New(set, uint64(f.Now)+uint64(r.index))
@@ -88,18 +88,18 @@
 		own := r.localTime()
 		now := float64(f.Now) / float64(ms)
 		word := relay.ToFleetStatus(now, own, r.node.Estimate(own), nil)
-		word.Shared = r.scheduler.On()
-		word.Summed = word.Summed && word.Shared && !f.cfg.GuessPlacements
+		word.SharesReadings = r.scheduler.On()
+		word.SharesPlacements = word.SharesPlacements && word.SharesReadings && !f.cfg.GuessPlacements
 		f.carryOut(r, r.balancer.Handle(f.Now, word, nil))
 		if o, ok := ev.(decide.Outcome); ok && !f.cfg.GuessPlacements {
-			f.stepScheduler(r, probing.Sent{ServerKey: f.Servers[o.Backend].Spot, N: -1})
+			f.stepScheduler(r, probing.Sent{ServerKey: f.Servers[o.Server].RendezvousKey, N: -1})
 		}
-		if p, ok := ev.(decide.Probed); ok && p.Status == decide.OK {
+		if p, ok := ev.(decide.ProbeResult); ok && p.Status == decide.OK {
 			load := p.Report.Load
 			if r.Lies != nil {
 				load = *r.Lies
 			}
-			f.stepScheduler(r, probing.Read{ServerKey: f.Servers[p.Backend].Spot, Load: probing.Load{Load: load, Inflight: -1, Errors: -1, Busy: -1}})
+			f.stepScheduler(r, probing.Read{ServerKey: f.Servers[p.Server].RendezvousKey, Load: probing.Load{Load: load, Inflight: -1, Errors: -1, Busy: -1}})
 		}
 	}
 	f.carryOut(r, r.balancer.Handle(f.Now, ev, nil))
@@ -110,43 +110,43 @@
 	f.After(d, func() { f.deliver(r, life, ev) })
 }
 
-func (f *Fleet) deliverList(r *Relay, kind decide.ListKind, list []decide.Entry) {
+func (f *Fleet) deliverList(r *Relay, kind decide.WatchKind, list []decide.Endpoint) {
 	for _, e := range list {
-		for int(e.Backend) >= len(r.drainKnownAt) {
+		for int(e.Server) >= len(r.drainKnownAt) {
 			r.drainKnownAt = append(r.drainKnownAt, -1)
-			r.list = append(r.list, decide.Entry{})
+			r.list = append(r.list, decide.Endpoint{})
 		}
-		if r.list[e.Backend] = e; e.Mode == decide.Ready {
-			r.drainKnownAt[e.Backend] = -1
-		} else if r.drainKnownAt[e.Backend] < 0 {
-			r.drainKnownAt[e.Backend] = f.Now
+		if r.list[e.Server] = e; e.State == decide.Ready {
+			r.drainKnownAt[e.Server] = -1
+		} else if r.drainKnownAt[e.Server] < 0 {
+			r.drainKnownAt[e.Server] = f.Now
 		}
 	}
 	r.listChanges++
-	f.deliver(r, r.incarnation, decide.Members{Kind: kind, Entries: list})
+	f.deliver(r, r.incarnation, decide.WatchEvent{Kind: kind, Endpoints: list})
 }
 
 func (f *Fleet) carryOut(r *Relay, acts []decide.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case decide.Timer:
-			f.deliverLater(r, a.After, decide.Alarm{Token: a.Token})
+			f.deliverLater(r, a.After, decide.TimerFired{Token: a.Token})
 		case decide.Subscribe:
 			f.callDiscovery(r)
 		case decide.Probe:
-			f.probe(r, f.Servers[a.Backend])
-		case decide.Send:
+			f.probe(r, f.Servers[a.Server])
+		case decide.Forward:
 			if f.cfg.Peering && !f.cfg.GuessPlacements {
-				f.stepScheduler(r, probing.Sent{ServerKey: f.Servers[a.Backend].Spot, N: 1})
+				f.stepScheduler(r, probing.Sent{ServerKey: f.Servers[a.Server].RendezvousKey, N: 1})
 			}
 			f.send(r, a)
-		case decide.Move:
+		case decide.Migrate:
 			f.count("moves")
 			c := f.requests[a.ID]
 			f.finish(c, decide.Cancelled)
 			f.comeAgain(c, f.returnDelay())
-		case decide.Refuse:
-			f.noteRefusal(a.Why)
+		case decide.Reject:
+			f.noteRefusal(a.Reason)
 			c := f.requests[a.ID]
 			f.disconnect(c)
 			f.comeAgain(c, max(f.Between(20*ms, 160*ms), a.RetryAfter/3))
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -20,7 +20,7 @@
 
 // Server is one server.
 type Server struct {
-	decide.Entry
+	decide.Endpoint
 	Capacity         float64 // work a second, once warm
 	MaxConnections   int     // connections it holds, those of probes too; 0 for any number
 	state            State
@@ -52,11 +52,11 @@
 
 // AddServer adds a server, started at a time or long ago. Nobody is told.
 func (f *Fleet) AddServer(zone decide.Zone, since time.Duration) *Server {
-	id := decide.Backend(len(f.Servers))
-	s := &Server{Entry: decide.Entry{Backend: id, Mode: decide.Ready, Zone: zone, Cell: int32(zone), Spot: (uint64(id) + 1) * 0x9e3779b97f4a7c15, Since: since},
+	id := decide.ServerID(len(f.Servers))
+	s := &Server{Endpoint: decide.Endpoint{Server: id, State: decide.Ready, Zone: zone, Cell: int32(zone), RendezvousKey: (uint64(id) + 1) * 0x9e3779b97f4a7c15, StartedAt: since},
 		Capacity: 1, born: f.Now, connections: map[*client]bool{}, probeConnections: map[*Relay]time.Duration{}, idleSince: f.Now}
 	f.Servers = append(f.Servers, s)
-	f.discovery.list = append(f.discovery.list, s.Entry)
+	f.discovery.list = append(f.discovery.list, s.Endpoint)
 	return s
 }
 
@@ -81,7 +81,7 @@
 
 // Return brings a server back as a new process.
 func (f *Fleet) Return(s *Server) {
-	s.state, s.Since, s.born, s.loadHistory = Healthy, f.Now, f.Now, nil
+	s.state, s.StartedAt, s.born, s.loadHistory = Healthy, f.Now, f.Now, nil
 	f.Announce(s, decide.Ready)
 }
 
@@ -98,14 +98,14 @@
 	}
 	f.After(drain, func() {
 		f.Lose(s, Dead)
-		f.Announce(s, decide.GoneMode)
+		f.Announce(s, decide.Removed)
 		f.Announce(f.AddServer(s.Zone, f.Now), decide.Ready)
 	})
 }
 
 func (f *Fleet) warmth(s *Server) float64 {
-	if cold := f.Now - s.Since; s.Since > 0 && cold < f.set.Rules.Cold {
-		return f.set.Rules.StartCapacity + (1-f.set.Rules.StartCapacity)*float64(cold)/float64(f.set.Rules.Cold)
+	if cold := f.Now - s.StartedAt; s.StartedAt > 0 && cold < f.set.Rules.SlowStartWindow {
+		return f.set.Rules.SlowStartCapacity + (1-f.set.Rules.SlowStartCapacity)*float64(cold)/float64(f.set.Rules.SlowStartWindow)
 	}
 	return 1
 }
@@ -127,7 +127,7 @@
 func (f *Fleet) probe(r *Relay, s *Server) {
 	f.count("probes")
 	s.Probes++
-	ev := decide.Probed{Backend: s.Backend, Took: 2 * ms, Report: decide.NoReport}
+	ev := decide.ProbeResult{Server: s.Server, Latency: 2 * ms, Report: decide.NoLoadReport}
 	if f.Now > s.probeConnections[r] && s.state == Healthy {
 		f.count("probe connections")
 		if s.full(f.Now) {
@@ -142,25 +142,25 @@
 	case s.state == Dead:
 		ev.Status = decide.ConnectFailed
 	case s.state == Silent || r.cannotReach(s):
-		ev.Status, ev.Took = decide.TimedOut, 200*ms
+		ev.Status, ev.Latency = decide.TimedOut, 200*ms
 	case ev.Status == decide.OK:
 		at := (f.Now - reportDelay) / reportInterval * reportInterval
 		if i := int((at - s.born) / loadInterval); at >= s.born && i < len(s.loadHistory) {
 			ev.Report.Load = s.loadHistory[i]
-		} else if s.Since > 0 { // a new one has had nothing
+		} else if s.StartedAt > 0 { // a new one has had nothing
 			ev.Report.Load = 0
 		}
 	}
-	f.deliverLater(r, ev.Took, ev)
+	f.deliverLater(r, ev.Latency, ev)
 }
 
-func (f *Fleet) send(r *Relay, a decide.Send) {
+func (f *Fleet) send(r *Relay, a decide.Forward) {
 	f.count("sends")
-	s, c := f.Servers[a.Backend], f.requests[a.ID]
+	s, c := f.Servers[a.Server], f.requests[a.ID]
 	if c.at != nil {
 		f.Fatal(fmt.Sprintf("%s: a second attempt for %d while one is out", f.Now, a.ID))
 	}
-	if told := r.drainKnownAt[s.Backend]; told >= 0 {
+	if told := r.drainKnownAt[s.Server]; told >= 0 {
 		f.Tally.LateSend = max(f.Tally.LateSend, f.Now-told)
 	}
 	c.at = s
@@ -168,7 +168,7 @@
 	over := func(took time.Duration, how decide.Status) {
 		f.count(how.String())
 		c.at = nil
-		f.deliverLater(r, took, decide.Outcome{ID: a.ID, Attempt: c.attempt, Backend: s.Backend, Status: how, Took: took, Report: decide.NoReport})
+		f.deliverLater(r, took, decide.Outcome{ID: a.ID, Attempt: c.attempt, Server: s.Server, Status: how, Elapsed: took, Report: decide.NoLoadReport})
 	}
 	switch {
 	case s.state == Dead:
@@ -177,8 +177,8 @@
 		over(min(a.Timeout, f.set.ConnectTimeout), decide.ConnectFailed)
 	case s.state == Failing:
 		over(2*ms, decide.Errored)
-	case s.Mode != decide.Ready:
-		over(ms, decide.Full)
+	case s.State != decide.Ready:
+		over(ms, decide.AtCapacity)
 	case s.full(f.Now):
 		over(ms, decide.ConnectFailed)
 	default:
@@ -189,6 +189,6 @@
 		f.noteColdSend(s)
 		c.ends = f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime))
 		f.Tally.Waits = append(f.Tally.Waits, f.Now-c.since)
-		f.deliverLater(r, 20*ms, decide.Opened{ID: a.ID, Attempt: c.attempt, Backend: s.Backend, Took: 20 * ms})
+		f.deliverLater(r, 20*ms, decide.Opened{ID: a.ID, Attempt: c.attempt, Server: s.Server, SetupLatency: 20 * ms})
 	}
 }
--- a/internal/simulation/model/tally.go
+++ b/internal/simulation/model/tally.go
@@ -49,22 +49,22 @@
 // a multiple of what fills it over its warm-up, with two roots and two put down to chance.
 func (f *Fleet) noteColdSend(s *Server) {
 	rules := f.set.Rules
-	cold := f.Now - s.Since
-	if s.Since == 0 || cold > rules.Cold {
+	cold := f.Now - s.StartedAt
+	if s.StartedAt == 0 || cold > rules.SlowStartWindow {
 		return
 	}
 	s.recentSends = append(s.recentSends, f.Now)
-	s.recentSends = slices.DeleteFunc(s.recentSends, func(at time.Duration) bool { return f.Now-at > rules.FallFor })
-	room := rules.FallMultiple * f.warmth(s) * rules.FallFor.Seconds() / (f.connectionLoad * rules.Cold.Seconds())
+	s.recentSends = slices.DeleteFunc(s.recentSends, func(at time.Duration) bool { return f.Now-at > rules.OverloadWindow })
+	room := rules.OverloadFactor * f.warmth(s) * rules.OverloadWindow.Seconds() / (f.connectionLoad * rules.SlowStartWindow.Seconds())
 	room += 2*math.Sqrt(room) + 2
 	f.Tally.Overrun = max(f.Tally.Overrun, float64(len(s.recentSends))/room)
 }
 
 // noteRefusal counts a refusal, and how long servers have stood idle that could have taken it.
-func (f *Fleet) noteRefusal(why decide.Why) {
+func (f *Fleet) noteRefusal(why decide.RejectReason) {
 	f.count("refused: " + why.String())
 	for _, s := range f.Servers {
-		if why == decide.NoRoom && s.idleSince >= 0 && s.Mode == decide.Ready && s.state == Healthy {
+		if why == decide.NoCapacity && s.idleSince >= 0 && s.State == decide.Ready && s.state == Healthy {
 			f.Tally.LongestIdle = max(f.Tally.LongestIdle, f.Now-s.idleSince)
 		}
 	}
--- a/internal/simulation/scale/looks.go
+++ b/internal/simulation/scale/looks.go
@@ -49,16 +49,18 @@
 func (l *looks) hear(ev probing.Event) { l.shared.Receive(ev) }
 
 // Watch is relay.Discovery's: the list comes once and stays.
-func (l *looks) Watch() { l.exchange.UpdateEndpoints(decide.Whole, l.list) }
+func (l *looks) Watch() { l.exchange.UpdateEndpoints(decide.Snapshot, l.list) }
 
 // Fetch is relay.Discovery's.
-func (l *looks) Fetch() { l.exchange.UpdateEndpoints(decide.Whole, l.list) }
+func (l *looks) Fetch() { l.exchange.UpdateEndpoints(decide.Snapshot, l.list) }
 
 // StartAttempt is relay.Servers': there are no clients, so nothing is tried.
 func (l *looks) StartAttempt(*relay.Request, relay.Attempt) {}
 
 // Probe is relay.Servers': each server tells a load of its own, which moves a little.
-func (l *looks) Probe(s relay.Server, done func(decide.Status, decide.Report)) {
+func (l *looks) Probe(s relay.Server, done func(decide.Status, decide.LoadReport)) {
 	load := 0.3 + 0.4*float64(s.Number%16)/16 + 0.02*float64(time.Now().Unix()%3)
-	time.AfterFunc(answerAfter, func() { done(decide.OK, decide.Report{Load: load, Inflight: -1, Errors: -1, Busy: -1}) })
+	time.AfterFunc(answerAfter, func() {
+		done(decide.OK, decide.LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1})
+	})
 }
--- a/internal/testing/cluster/judge.go
+++ b/internal/testing/cluster/judge.go
@@ -23,7 +23,7 @@
 type Request struct {
 	ID       string
 	Relay    int
-	Effect   decide.Effect
+	Effect   decide.Idempotency
 	Sent     float64 // when its last byte was written; 0 if it never was
 	Answer   string  // the first word of its answer, "" for none
 	Answered float64 // when that came, or the connection ended without
@@ -155,14 +155,14 @@
 		}
 	}
 	ran := slices.IndexFunc(attempts, func(a Arrival) bool { return a.Ran })
-	if ran < 0 || r.Effect == decide.Safe {
+	if ran < 0 || r.Effect == decide.Idempotent {
 		return broken
 	}
-	if r.Effect == decide.Unsafe && r.Answer == "BUSY" {
+	if r.Effect == decide.NonIdempotent && r.Answer == "BUSY" {
 		broken = append(broken, fmt.Sprintf("duplicate: %s was refused though it may have run at %s", r.ID, attempts[ran].Server))
 	}
 	for _, again := range attempts[ran+1:] {
-		if r.Effect == decide.Unsafe || again.At-attempts[ran].At > j.KeyedWindow+goneWithin {
+		if r.Effect == decide.NonIdempotent || again.At-attempts[ran].At > j.KeyedWindow+goneWithin {
 			broken = append(broken, fmt.Sprintf("duplicate: %s ran at %s and came to %s %.0f ms later", r.ID, attempts[ran].Server, again.Server, again.At-attempts[ran].At))
 		}
 	}
--- a/internal/testing/cluster/soak_test.go
+++ b/internal/testing/cluster/soak_test.go
@@ -222,7 +222,7 @@
 		return
 	}
 	class := rng.IntN(len(soakClasses))
-	r := Request{ID: fmt.Sprintf("q%d", n), Relay: relay, Effect: []decide.Effect{decide.Safe, decide.Keyed, decide.Unsafe}[class]}
+	r := Request{ID: fmt.Sprintf("q%d", n), Relay: relay, Effect: []decide.Idempotency{decide.Idempotent, decide.IdempotentWithKey, decide.NonIdempotent}[class]}
 	defer func() { s.judge.Asked(r) }()
 	conn, err := net.DialTimeout("tcp", s.Relays[relay].Listen, time.Second)
 	if err != nil {
--- a/internal/wire/discovery/call.go
+++ b/internal/wire/discovery/call.go
@@ -42,7 +42,7 @@
 			c.listVersion.Store(list.Version)
 			kind := decide.Delta
 			if list.Complete {
-				kind = decide.Whole
+				kind = decide.Snapshot
 			}
 			c.deliver(kind, list.Endpoints)
 		}
--- a/internal/wire/discovery/discovery.go
+++ b/internal/wire/discovery/discovery.go
@@ -37,7 +37,7 @@
 // Client asks discovery. The module says when; it also draws the jittered wait after a failed call.
 type Client struct {
 	clock   *relay.Clock
-	deliver func(decide.ListKind, []relay.Endpoint)
+	deliver func(decide.WatchKind, []relay.Endpoint)
 	// heard says that discovery has said something on a call that stands; unheard, that a call has ended or brought nothing.
 	onContact       func()
 	onLoss          func(why guard.DiscoveryLoss)
@@ -140,7 +140,7 @@
 	select {
 	case c.polls <- watch:
 	default: // so many calls wait already that one more brings nothing new; each is answered once
-		go c.deliver(decide.Failed, nil)
+		go c.deliver(decide.WatchFailed, nil)
 	}
 }
 
@@ -202,7 +202,7 @@
 		case watch || err != nil:
 			c.log.Info().Err(err).Bool("watch", watch).Msg("discovery call ended")
 			c.discardQueuedPolls()
-			c.deliver(decide.Failed, nil)
+			c.deliver(decide.WatchFailed, nil)
 		}
 	}
 }
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -125,8 +125,8 @@
 	var said strings.Builder
 	c := NewClient(service(70, false), x, zerolog.New(&said))
 	var failures atomic.Int32
-	c.deliver = func(kind decide.ListKind, _ []relay.Endpoint) {
-		if kind == decide.Failed {
+	c.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
+		if kind == decide.WatchFailed {
 			failures.Add(1)
 		}
 	}
@@ -199,8 +199,8 @@
 	c := NewClient(l.Addr().String(), x, zerolog.Nop())
 	c.silenceTimeout, c.hedgeDelay, c.responseTimeout = 700, 100, 700
 	failed := make(chan int, 8)
-	c.deliver = func(kind decide.ListKind, _ []relay.Endpoint) {
-		if kind == decide.Failed {
+	c.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
+		if kind == decide.WatchFailed {
 			failed <- len(asked)
 		}
 	}
@@ -230,7 +230,7 @@
 			return
 		}
 		for _, l := range list.Endpoints {
-			if l.ID == "" || l.Mode != decide.GoneMode && l.Address == "" {
+			if l.ID == "" || l.Mode != decide.Removed && l.Address == "" {
 				t.Errorf("an entry without a name or an address came through: %+v", l)
 			}
 		}
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -111,7 +111,7 @@
 	case "Terminating":
 		l.Mode = decide.Draining
 	case "Gone":
-		l.Mode = decide.GoneMode
+		l.Mode = decide.Removed
 	default:
 		return l, fmt.Errorf("lifecycle %q", mode)
 	}
--- a/internal/wire/discovery/log.go
+++ b/internal/wire/discovery/log.go
@@ -30,7 +30,7 @@
 		case len(draining)+len(gone) >= maxLoggedServers:
 		case entry.Mode == decide.Draining:
 			draining = append(draining, entry.ID)
-		case entry.Mode == decide.GoneMode:
+		case entry.Mode == decide.Removed:
 			gone = append(gone, entry.ID)
 		}
 	}
--- a/internal/wire/discovery/moments_test.go
+++ b/internal/wire/discovery/moments_test.go
@@ -124,10 +124,10 @@
 			client.silenceTimeout, client.hedgeDelay, client.responseTimeout = 400, 200, 5000
 			failures, empty := 0, false
 			var mu sync.Mutex
-			client.deliver = func(kind decide.ListKind, list []relay.Endpoint) {
+			client.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
 				mu.Lock()
 				defer mu.Unlock()
-				if x.UpdateEndpoints(kind, list); kind == decide.Failed {
+				if x.UpdateEndpoints(kind, list); kind == decide.WatchFailed {
 					failures++
 					client.Watch() // as the module would, after its back-off
 				}
@@ -188,8 +188,8 @@
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
 	client.Pushed = true
-	client.deliver = func(kind decide.ListKind, list []relay.Endpoint) {
-		if x.UpdateEndpoints(kind, list); kind == decide.Failed {
+	client.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
+		if x.UpdateEndpoints(kind, list); kind == decide.WatchFailed {
 			t.Error("the module was told of a failure")
 		}
 	}
--- a/internal/wire/gossip/gossip.go
+++ b/internal/wire/gossip/gossip.go
@@ -286,7 +286,7 @@
 }
 
 // LockStatus returns what the module is to reckon with at the moment, by the caller's clock, and keeps it so until Release.
-func (n *Node) LockStatus(now float64) decide.Fleet {
+func (n *Node) LockStatus(now float64) decide.FleetStatus {
 	n.mu.Lock()
 	own := n.now()
 	return relay.ToFleetStatus(now, own, n.membership.Estimate(own), n.zoneNumber)
--- a/internal/wire/platform/line.go
+++ b/internal/wire/platform/line.go
@@ -65,8 +65,8 @@
 }
 
 // report reads a load report, `x0=0.61,qps=33`. loadKey names the field that tells load over capacity.
-func report(text, loadKey string) decide.Report {
-	r := decide.NoReport
+func report(text, loadKey string) decide.LoadReport {
+	r := decide.NoLoadReport
 	for _, field := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		x, err := strconv.ParseFloat(value, 64)
@@ -77,11 +77,11 @@
 		case name == loadKey:
 			r.Load = x
 		case name == "inflight" || name == "rif":
-			r.Inflight = x
+			r.InFlight = x
 		case name == "eps" || name == "fail_rate":
-			r.Errors = x
+			r.ErrorsPerSecond = x
 		case name == "util" || name == "busy":
-			r.Busy = x
+			r.CPUUtilization = x
 		}
 	}
 	return r
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -109,7 +109,7 @@
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
 		MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(900), Tick: relay.Duration(5),
-		ConnectTimeout: relay.Duration(1000), Classes: []decide.ClassInfo{{Aim: relay.Duration(300), Deadline: relay.Duration(600)}}}}
+		ConnectTimeout: relay.Duration(1000), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(600)}}}}
 	x = relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, LoadKey: "x0", Keep: 4})
 	var list []relay.Endpoint
 	for i, answer := range answers {
@@ -121,7 +121,7 @@
 		servers = append(servers, s)
 		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Address: s.Address, Mode: decide.Ready})
 	}
-	x.UpdateEndpoints(decide.Whole, list)
+	x.UpdateEndpoints(decide.Snapshot, list)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/platform/server.go
+++ b/internal/wire/platform/server.go
@@ -30,7 +30,7 @@
 	Keep           int64 // how many connections may be kept for probes
 
 	mu      sync.Mutex
-	probers map[decide.Backend]chan probe
+	probers map[decide.ServerID]chan probe
 	kept    atomic.Int64 // connections kept for probes
 }
 
@@ -42,7 +42,7 @@
 	defer stop()
 	e := &splice.Half{Clock: s.Clock, Stop: stop}
 	if !c.Attach(a.Number, e) {
-		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
 	within := a.Deadline - s.Clock.NowMillis()
@@ -51,13 +51,13 @@
 	}
 	conn, err := splice.Dial(ctx, a.Server.Address, within)
 	if err != nil {
-		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoReport)
+		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
 	}
 	defer conn.Close()
 	if !e.Attach(conn) || !c.BeginWrite(a.Number) {
 		conn.Close() // the server is to see the end before the module hears of it and may send elsewhere
-		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
 	status, load := s.converse(c, a, e)
@@ -69,10 +69,10 @@
 }
 
 // converse sends the first line and follows the connection to its end, for PROTOCOL's table.
-func (s *Servers) converse(c *relay.Request, a relay.Attempt, e *splice.Half) (decide.Status, decide.Report) {
+func (s *Servers) converse(c *relay.Request, a relay.Attempt, e *splice.Half) (decide.Status, decide.LoadReport) {
 	more, told := tell(c, a)
 	if e.Forward(c.Payload.(*opening).line(a.Deadline-s.Clock.NowMillis(), more)) != nil {
-		return decide.ConnectFailed, decide.NoReport
+		return decide.ConnectFailed, decide.NoLoadReport
 	}
 	c.FirstLineWritten(a.Number)
 	in := newLines(e.Conn)
@@ -82,31 +82,31 @@
 		if splice.TimedOut(err) {
 			e.ClearWake() // before the looks below: a wake that comes after them must not be lost
 			if e.Closed() {
-				return decide.Cancelled, decide.NoReport
+				return decide.Cancelled, decide.NoLoadReport
 			}
 			if s.Clock.NowMillis() < a.Deadline { // its server has begun to drain: what was sent in time goes on
 				continue
 			}
-			return decide.TimedOut, decide.NoReport
+			return decide.TimedOut, decide.NoLoadReport
 		}
 		if err != nil {
-			return decide.Reset, decide.NoReport
+			return decide.Reset, decide.NoLoadReport
 		}
 		switch first, rest := word(line); first {
 		case "UP":
 			return s.carry(c, a, e, in, line)
 		case "STALE", "AHEAD":
 			if !told {
-				return decide.Errored, decide.NoReport
+				return decide.Errored, decide.NoLoadReport
 			}
 			c.FailByServer(a.Number, unwilling[first])
-			return decide.Cancelled, decide.NoReport
+			return decide.Cancelled, decide.NoLoadReport
 		case "BUSY":
-			return decide.Full, report(rest, s.LoadKey)
+			return decide.AtCapacity, report(rest, s.LoadKey)
 		case "BYE":
 			return decide.OK, report(rest, s.LoadKey)
 		case "MOVE":
-			return decide.Cancelled, decide.NoReport
+			return decide.Cancelled, decide.NoLoadReport
 		default:
 			return decide.Errored, report(rest, s.LoadKey)
 		}
@@ -115,16 +115,16 @@
 
 // carry passes lines from the server to the client until one side ends, or the client is to be moved.
 // It alone writes to a client whose call is up, so MOVE always stands between two lines.
-func (s *Servers) carry(c *relay.Request, a relay.Attempt, e *splice.Half, in *lines, line []byte) (decide.Status, decide.Report) {
+func (s *Servers) carry(c *relay.Request, a relay.Attempt, e *splice.Half, in *lines, line []byte) (decide.Status, decide.LoadReport) {
 	client := c.Establish(a.Number)
 	if client == nil {
-		return decide.Cancelled, decide.NoReport
+		return decide.Cancelled, decide.NoLoadReport
 	}
 	st := streamOf(c)
 	if st != nil {
 		line = begin(e, st, a, line)
 	}
-	status, load, within, looked := decide.Reset, decide.NoReport, false, false
+	status, load, within, looked := decide.Reset, decide.NoLoadReport, false, false
 	for {
 		if !looked {
 			keep(e, st)
@@ -179,7 +179,7 @@
 // depart sends the client away. A stream that may go on elsewhere is ended at its server and given back first:
 // the client may be at the next relay within a millisecond.
 func (s *Servers) depart(c *relay.Request, e *splice.Half, client relay.ClientConn, st *resume.Stream, within bool,
-	load decide.Report) (decide.Status, decide.Report) {
+	load decide.LoadReport) (decide.Status, decide.LoadReport) {
 	part(e, st)
 	status := decide.Cancelled
 	if _, silent := c.Migrating(); silent {
@@ -195,7 +195,7 @@
 }
 
 // heard looks at a line on its way to the client. It returns what the connection's end would mean now.
-func (s *Servers) heard(c *relay.Request, line []byte) (decide.Status, decide.Report) {
+func (s *Servers) heard(c *relay.Request, line []byte) (decide.Status, decide.LoadReport) {
 	switch first, rest := word(line); first {
 	case "LOAD":
 		if x, err := strconv.ParseFloat(rest, 64); err == nil && x >= 0 {
@@ -204,25 +204,25 @@
 	case "BYE":
 		return decide.OK, report(rest, s.LoadKey)
 	case "MOVE":
-		return decide.Cancelled, decide.NoReport
+		return decide.Cancelled, decide.NoLoadReport
 	default:
 		c.LineReceived()
 	}
-	return decide.Reset, decide.NoReport
+	return decide.Reset, decide.NoLoadReport
 }
 
 // probe is one question for a prober.
 type probe struct {
 	address string
-	done    func(decide.Status, decide.Report)
+	done    func(decide.Status, decide.LoadReport)
 }
 
 // Probe asks a server for its load, on a connection that is kept from one probe to the next.
-func (s *Servers) Probe(to relay.Server, done func(decide.Status, decide.Report)) {
+func (s *Servers) Probe(to relay.Server, done func(decide.Status, decide.LoadReport)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.probers == nil {
-		s.probers = map[decide.Backend]chan probe{}
+		s.probers = map[decide.ServerID]chan probe{}
 	}
 	ask := s.probers[to.Number]
 	if ask == nil {
@@ -233,7 +233,7 @@
 	select {
 	case ask <- probe{to.Address, done}:
 	default: // the module never asks again so soon; if it does, nothing was sent
-		go done(decide.Moot, decide.NoReport)
+		go done(decide.Superseded, decide.NoLoadReport)
 	}
 }
 
@@ -282,11 +282,11 @@
 }
 
 // ask puts one question. After any error the connection is dropped.
-func (s *Servers) ask(k *kept, address string, until float64) (decide.Status, decide.Report, error) {
+func (s *Servers) ask(k *kept, address string, until float64) (decide.Status, decide.LoadReport, error) {
 	if k.conn == nil {
 		conn, err := splice.Dial(context.Background(), address, until-s.Clock.NowMillis())
 		if err != nil {
-			return splice.ProbeStatus(err), decide.NoReport, err
+			return splice.ProbeStatus(err), decide.NoLoadReport, err
 		}
 		*k = kept{conn, newLines(conn), address}
 		s.kept.Add(1)
@@ -300,17 +300,17 @@
 	if err != nil {
 		s.drop(k)
 		if splice.TimedOut(err) {
-			return decide.TimedOut, decide.NoReport, err
+			return decide.TimedOut, decide.NoLoadReport, err
 		}
-		return decide.Reset, decide.NoReport, err
+		return decide.Reset, decide.NoLoadReport, err
 	}
 	switch first, rest := word(line); first {
 	case "PONG":
 		return decide.OK, report(rest, s.LoadKey), nil
 	case "BUSY":
-		return decide.Full, decide.NoReport, nil
+		return decide.AtCapacity, decide.NoLoadReport, nil
 	case "NO":
-		return decide.Moot, decide.NoReport, nil
+		return decide.Superseded, decide.NoLoadReport, nil
 	}
-	return decide.Errored, decide.NoReport, nil
+	return decide.Errored, decide.NoLoadReport, nil
 }
--- a/internal/wire/simulator/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -23,24 +23,24 @@
 	n := &relay.Deployment{Classes: map[string]decide.Class{}, Tenants: map[string]decide.Tenant{},
 		Zones: map[string]decide.Zone{}}
 	set := decide.Settings{
-		Me:             p.GetInt("me"),
-		Relays:         p.GetInt("balancers"),
-		OverShareWorth: p.GetFloat64("overShareWorth"),
-		MaxAttempts:    p.GetInt("limits", "mostTries"),
-		Probes:         p.GetBool("limits", "probes"),
-		RetryAfter:     p.GetBool("limits", "retryAfter"),
-		MaxRetryAfter:  durationAt(p, "limits", "maxRetryAfterMs"),
-		ConnectTimeout: durationAt(p, "limits", "connectTimeoutMs"),
-		Tick:           durationAt(p, "quantumMs"),
-		Groups:         p.GetBool("specifics", "groups"),
-		TellsDelay:     p.GetBool("specifics", "tellsDelay"),
-		Ask:            string(p.GetStringBytes("discovery")) == "ask",
+		RelayIndex:              p.GetInt("me"),
+		Relays:                  p.GetInt("balancers"),
+		OverQuotaPriorityWeight: p.GetFloat64("overShareWorth"),
+		MaxAttempts:             p.GetInt("limits", "mostTries"),
+		Probes:                  p.GetBool("limits", "probes"),
+		RetryAfter:              p.GetBool("limits", "retryAfter"),
+		MaxRetryAfter:           durationAt(p, "limits", "maxRetryAfterMs"),
+		ConnectTimeout:          durationAt(p, "limits", "connectTimeoutMs"),
+		Tick:                    durationAt(p, "quantumMs"),
+		GroupAffinity:           p.GetBool("specifics", "groups"),
+		ReportsMessageDelay:     p.GetBool("specifics", "tellsDelay"),
+		MustSubscribe:           string(p.GetStringBytes("discovery")) == "ask",
 		Rules: decide.Rules{
-			AskWithin:     durationAt(p, "rules", "askWithinMs"),
-			StartCapacity: p.GetFloat64("rules", "startCapacity"),
-			Cold:          durationAt(p, "rules", "coldMs"),
-			FallMultiple:  p.GetFloat64("rules", "fallMultiple"),
-			FallFor:       durationAt(p, "rules", "overloadForMs"),
+			PollWithin:        durationAt(p, "rules", "askWithinMs"),
+			SlowStartCapacity: p.GetFloat64("rules", "startCapacity"),
+			SlowStartWindow:   durationAt(p, "rules", "coldMs"),
+			OverloadFactor:    p.GetFloat64("rules", "fallMultiple"),
+			OverloadWindow:    durationAt(p, "rules", "overloadForMs"),
 		},
 		Prices: decide.Prices{
 			CrossZone: p.GetFloat64("prices", "crossZone"),
@@ -56,35 +56,35 @@
 	messages := p.GetArray("specifics", "messageAimMs")
 	for i, c := range p.GetArray("classes") {
 		info := decide.ClassInfo{
-			Aim:      durationAt(c, "aimMs"),
-			Deadline: durationAt(c, "deadlineMs"),
-			Window:   durationAt(c, "windowMs"),
-			Worth:    c.GetFloat64("worth"),
+			LatencyObjective: durationAt(c, "aimMs"),
+			Deadline:         durationAt(c, "deadlineMs"),
+			DedupWindow:      durationAt(c, "windowMs"),
+			PriorityWeight:   c.GetFloat64("worth"),
 		}
 		switch string(c.GetStringBytes("semantics")) {
 		case "guarded":
-			info.Effect = decide.Keyed
+			info.Idempotency = decide.IdempotentWithKey
 		case "free":
 		default: // what is not known to be harmless is not repeated
-			info.Effect = decide.Unsafe
+			info.Idempotency = decide.NonIdempotent
 		}
 		switch string(c.GetStringBytes("group")) {
 		case "zone":
-			info.Scope = decide.ScopeZone
+			info.DedupScope = decide.ScopeZone
 		case "cell":
-			info.Scope = decide.ScopeCell
+			info.DedupScope = decide.ScopeCell
 		}
 		if i < len(messages) {
-			info.Message = relay.Duration(messages[i].GetFloat64())
+			info.MessageLatencyObjective = relay.Duration(messages[i].GetFloat64())
 		}
 		n.Classes[string(c.GetStringBytes("name"))] = decide.Class(i)
 		set.Classes = append(set.Classes, info)
 	}
 	quotas := p.GetArray("specifics", "tenantQuotaConnections")
 	for i, t := range p.GetArray("realms") {
-		info := decide.TenantInfo{Share: t.GetFloat64("portion")}
+		info := decide.TenantInfo{ServiceShare: t.GetFloat64("portion")}
 		if i < len(quotas) {
-			info.Quota = quotas[i].GetFloat64()
+			info.ConnectionQuota = quotas[i].GetFloat64()
 		}
 		n.Tenants[string(t.GetStringBytes("name"))] = decide.Tenant(i)
 		set.Tenants = append(set.Tenants, info)
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -29,11 +29,11 @@
 func (deaf) HasUnread() bool       { return false }
 
 func (w *wires) StartAttempt(c *relay.Request, a relay.Attempt) { w.out[c] = a }
-func (w *wires) Probe(s relay.Server, done func(decide.Status, decide.Report)) {
+func (w *wires) Probe(s relay.Server, done func(decide.Status, decide.LoadReport)) {
 	if s.ID != "c" {
-		go done(decide.OK, decide.NoReport)
+		go done(decide.OK, decide.NoLoadReport)
 	} else {
-		go done(decide.TimedOut, decide.NoReport)
+		go done(decide.TimedOut, decide.NoLoadReport)
 	}
 }
 func (w *wires) Watch() {}
@@ -46,13 +46,13 @@
 		case a.Server.ID == "c" && w.clock.NowMillis() < a.Deadline:
 		case !c.Attach(a.Number, deaf{}) || !c.BeginWrite(a.Number):
 			delete(w.out, c)
-			c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
+			c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		case a.Server.ID == "a":
 			delete(w.out, c)
 			c.Establish(a.Number)
 		default:
 			delete(w.out, c)
-			c.EndAttempt(a.Number, map[string]decide.Status{"b": decide.Reset, "c": decide.TimedOut}[a.Server.ID], decide.NoReport)
+			c.EndAttempt(a.Number, map[string]decide.Status{"b": decide.Reset, "c": decide.TimedOut}[a.Server.ID], decide.NoLoadReport)
 		}
 	}
 }
--- a/internal/wire/simulator/wire.go
+++ b/internal/wire/simulator/wire.go
@@ -23,7 +23,7 @@
 	serverKeys  []uint64          // hashes of the names
 	instances   map[int]*instance // nil for an instance that was stopped
 	actions     []decide.Action
-	endpoints   []decide.Entry
+	endpoints   []decide.Endpoint
 	reply       []byte
 	firstAction bool
 }
@@ -37,8 +37,8 @@
 	tenants  map[string]decide.Tenant
 	zones    map[string]decide.Zone
 	loadKey  string
-	local    []decide.Backend // by the hub's number, -1 if not met
-	global   []int            // the hub's number, by local number
+	local    []decide.ServerID // by the hub's number, -1 if not met
+	global   []int             // the hub's number, by local number
 	requests map[string]*trackedRequest
 	byID     map[decide.RequestID]*trackedRequest
 	lastID   decide.RequestID
@@ -238,7 +238,7 @@
 	switch e := ev.(type) {
 	case decide.Outcome:
 		n.forgetFinished(e.ID)
-	case decide.Gone:
+	case decide.ClientGone:
 		n.forgetFinished(e.ID)
 	}
 }
@@ -262,16 +262,16 @@
 		if err != nil || r == nil {
 			return nil, err
 		}
-		return decide.Inherited{Request: *r, Backend: h.serverID(n, f.requiredText(10))}, nil
+		return decide.Inherited{Request: *r, Server: h.serverID(n, f.requiredText(10))}, nil
 	case "alarm":
-		return decide.Alarm{Token: f.unsigned(2)}, nil
+		return decide.TimerFired{Token: f.unsigned(2)}, nil
 	case "echo":
 		status, err := decodeStatus(f.unsigned(4))
-		return decide.Probed{Took: relay.Duration(f.float(2)), Backend: h.serverID(n, f.requiredText(3)), Status: status,
+		return decide.ProbeResult{Latency: relay.Duration(f.float(2)), Server: h.serverID(n, f.requiredText(3)), Status: status,
 			Report: n.decodeReport(f.at(5))}, err
 	case "fromPeer":
 		data, err := base64.StdEncoding.DecodeString(string(f.text(3)))
-		return decide.Peer{From: int(f.unsigned(2)), Data: data}, err
+		return decide.PeerMessage{From: int(f.unsigned(2)), Data: data}, err
 	}
 	var name []byte
 	switch kind {
@@ -287,28 +287,28 @@
 	var ev decide.Event
 	switch kind {
 	case "flowing":
-		ev = decide.Opened{ID: j.id, Attempt: int(f.unsigned(3)), Backend: h.serverID(n, f.requiredText(4)), Took: relay.Duration(f.float(5))}
+		ev = decide.Opened{ID: j.id, Attempt: int(f.unsigned(3)), Server: h.serverID(n, f.requiredText(4)), SetupLatency: relay.Duration(f.float(5))}
 	case "interim":
 		backend, amount := h.serverID(n, f.requiredText(3)), f.float(5)
 		switch f.unsigned(6) {
 		case 1:
-			ev = decide.LoadNote{ID: j.id, Backend: backend, Load: amount / 1e6}
+			ev = decide.ConnectionLoad{ID: j.id, Server: backend, Load: amount / 1e6}
 		case 2:
-			ev = decide.DelayNote{ID: j.id, Backend: backend, Delay: relay.Duration(amount)}
+			ev = decide.MessageDelay{ID: j.id, Server: backend, Delay: relay.Duration(amount)}
 		}
 	case "closedAttempt":
 		status, err := decodeStatus(f.unsigned(4))
 		if err != nil {
 			return nil, err
 		}
-		o := decide.Outcome{ID: j.id, Attempt: int(f.unsigned(3)), Status: status, Backend: h.serverID(n, f.requiredText(5)),
-			Took: relay.Duration(f.float(6)), Closed: f.boolean(7), Report: n.decodeReport(f.at(8))}
+		o := decide.Outcome{ID: j.id, Attempt: int(f.unsigned(3)), Status: status, Server: h.serverID(n, f.requiredText(5)),
+			Elapsed: relay.Duration(f.float(6)), Closed: f.boolean(7), Report: n.decodeReport(f.at(8))}
 		j.openAttempts--
 		j.finished = j.finished || o.Closed
 		ev = o
 	case "dropped":
 		j.finished = true
-		ev = decide.Gone{ID: j.id}
+		ev = decide.ClientGone{ID: j.id}
 	}
 	if j.id == 0 {
 		return nil, nil
@@ -322,15 +322,15 @@
 	if !ok && n.balancer != nil {
 		return nil, fmt.Errorf("unknown class %q", f.text(3))
 	}
-	r := decide.Request{Class: class, Tenant: decide.NoTenant, Key: f.unsigned(5), Left: relay.Duration(f.float(6)), Group: f.unsigned(8)}
+	r := decide.Request{Class: class, Tenant: decide.NoTenant, Key: f.unsigned(5), TimeLeft: relay.Duration(f.float(6)), Group: f.unsigned(8)}
 	if t, ok := n.tenants[string(f.text(4))]; ok {
 		r.Tenant = t
 	}
 	attrs := f.unsigned(9)
 	if attrs&1 != 0 {
-		r.Hint = f.float(7)
+		r.LoadHint = f.float(7)
 	}
-	r.Returned, r.Flow = attrs&(2|16) != 0, attrs&8 != 0
+	r.Returning, r.Flow = attrs&(2|16) != 0, attrs&8 != 0
 	if f.err != nil || n.balancer == nil {
 		return nil, f.err
 	}
@@ -342,16 +342,16 @@
 }
 
 func (h *Hub) decodeList(n *instance, f *eventValues) (decide.Event, error) {
-	var m decide.Members
+	var m decide.WatchEvent
 	switch form := f.unsigned(2); form {
 	case 4:
 		m.Kind = decide.Delta
 	case 0:
-		m.Kind = decide.Whole
+		m.Kind = decide.Snapshot
 	case 3:
 		m.Kind = decide.Cached
 	case 2:
-		m.Kind = decide.Failed
+		m.Kind = decide.WatchFailed
 	default:
 		return nil, fmt.Errorf("unknown form %d", form)
 	}
@@ -367,16 +367,16 @@
 				return nil, err
 			}
 			e := &eventValues{values: vals}
-			entry := decide.Entry{Backend: h.serverID(n, e.requiredText(0)), Cell: int32(e.unsigned(2)), Since: relay.Duration(e.float(5)),
+			entry := decide.Endpoint{Server: h.serverID(n, e.requiredText(0)), Cell: int32(e.unsigned(2)), StartedAt: relay.Duration(e.float(5)),
 				Zone: n.zones[string(e.text(6))]}
-			entry.Spot = h.serverKeys[n.global[entry.Backend]]
+			entry.RendezvousKey = h.serverKeys[n.global[entry.Server]]
 			switch mode := e.unsigned(1); mode {
 			case 0:
-				entry.Mode = decide.GoneMode
+				entry.State = decide.Removed
 			case 1:
-				entry.Mode = decide.Ready
+				entry.State = decide.Ready
 			case 2:
-				entry.Mode = decide.Draining
+				entry.State = decide.Draining
 			default:
 				return nil, fmt.Errorf("unknown mode %d", mode)
 			}
@@ -386,12 +386,12 @@
 			h.endpoints = append(h.endpoints, entry)
 		}
 	}
-	m.Entries = h.endpoints
+	m.Endpoints = h.endpoints
 	return m, nil
 }
 
 // serverID numbers a name, first for the hub, to hash it once, then for the instance.
-func (h *Hub) serverID(n *instance, name []byte) decide.Backend {
+func (h *Hub) serverID(n *instance, name []byte) decide.ServerID {
 	g, ok := h.servers[string(name)]
 	if !ok {
 		g = len(h.serverNames)
@@ -403,14 +403,14 @@
 		n.local = append(n.local, -1)
 	}
 	if n.local[g] < 0 {
-		n.local[g] = decide.Backend(len(n.global))
+		n.local[g] = decide.ServerID(len(n.global))
 		n.global = append(n.global, g)
 	}
 	return n.local[g]
 }
 
-func (n *instance) decodeReport(v *fastjson.Value) decide.Report {
-	r := decide.NoReport
+func (n *instance) decodeReport(v *fastjson.Value) decide.LoadReport {
+	r := decide.NoLoadReport
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return r
 	}
@@ -420,9 +420,9 @@
 		}
 	}
 	read(n.loadKey, &r.Load)
-	read("rif", &r.Inflight)
-	read("fail_rate", &r.Errors)
-	read("busy", &r.Busy)
+	read("rif", &r.InFlight)
+	read("fail_rate", &r.ErrorsPerSecond)
+	read("busy", &r.CPUUtilization)
 	return r
 }
 
@@ -441,7 +441,7 @@
 	case 502:
 		return decide.Errored, nil
 	case 429:
-		return decide.Full, nil
+		return decide.AtCapacity, nil
 	case 408:
 		return decide.TimedOut, nil
 	case 521:
@@ -451,7 +451,7 @@
 	case 444:
 		return decide.Cancelled, nil
 	case 409:
-		return decide.Moot, nil
+		return decide.Superseded, nil
 	}
 	return 0, fmt.Errorf("unknown verdict %d", code)
 }
@@ -470,13 +470,13 @@
 		n.forgetFinished(id)
 	}
 	switch a := a.(type) {
-	case decide.Send:
+	case decide.Forward:
 		h.beginAction("callOut", n.number)
 		h.writeString(name(a.ID))
 		h.writeMillis(a.Timeout)
-		h.writeString(h.serverNames[n.global[a.Backend]])
+		h.writeString(h.serverNames[n.global[a.Server]])
 		n.byID[a.ID].openAttempts++
-	case decide.Refuse:
+	case decide.Reject:
 		h.beginAction("overloadReply", n.number)
 		h.writeString(name(a.ID))
 		h.writeMillis(a.RetryAfter)
@@ -485,20 +485,20 @@
 		h.beginAction("respondError", n.number)
 		h.writeString(name(a.ID))
 		over(a.ID)
-	case decide.Move:
+	case decide.Migrate:
 		h.beginAction("redirect", n.number)
 		h.writeString(name(a.ID))
 		over(a.ID)
-	case decide.Cancel:
+	case decide.CancelAttempt:
 		h.beginAction("recall", n.number)
 		h.writeString(name(a.ID))
 		h.writeUint(uint64(a.Attempt))
 	case decide.Probe:
 		h.beginAction("check", n.number)
-		h.writeString(h.serverNames[n.global[a.Backend]])
-	case decide.CloseIdle:
+		h.writeString(h.serverNames[n.global[a.Server]])
+	case decide.CloseIdleConnections:
 		h.beginAction("shutIdle", n.number)
-		h.writeString(h.serverNames[n.global[a.Backend]])
+		h.writeString(h.serverNames[n.global[a.Server]])
 	case decide.Timer:
 		h.beginAction("notifyMe", n.number)
 		h.writeMillis(a.After)
@@ -506,9 +506,9 @@
 	case decide.Subscribe:
 		h.beginAction("observe", n.number)
 		h.reply = append(h.reply, ",true"...)
-	case decide.Fetch:
+	case decide.FetchSnapshot:
 		h.beginAction("readList", n.number)
-	case decide.Tell:
+	case decide.SendToPeer:
 		h.beginAction("announce", n.number)
 		if a.Peer < 0 {
 			h.writeString("all")
--- a/internal/wire/splice/link.go
+++ b/internal/wire/splice/link.go
@@ -243,7 +243,7 @@
 func DialStatus(err error) decide.Status {
 	for _, errno := range localErrors {
 		if errors.Is(err, errno) {
-			return decide.Moot
+			return decide.Superseded
 		}
 	}
 	return decide.ConnectFailed
--- a/internal/wire/splice/link_test.go
+++ b/internal/wire/splice/link_test.go
@@ -113,9 +113,9 @@
 // leave all servers out at once, as cold ones.
 func TestUndialled(t *testing.T) {
 	for err, want := range map[error]decide.Status{
-		syscall.EMFILE: decide.Moot, syscall.ENFILE: decide.Moot, syscall.ENOBUFS: decide.Moot, syscall.ENOMEM: decide.Moot,
-		syscall.EADDRNOTAVAIL: decide.Moot, syscall.EAGAIN: decide.Moot, syscall.EPERM: decide.Moot, syscall.ENETUNREACH: decide.Moot,
-		syscall.ENETDOWN: decide.Moot,
+		syscall.EMFILE: decide.Superseded, syscall.ENFILE: decide.Superseded, syscall.ENOBUFS: decide.Superseded, syscall.ENOMEM: decide.Superseded,
+		syscall.EADDRNOTAVAIL: decide.Superseded, syscall.EAGAIN: decide.Superseded, syscall.EPERM: decide.Superseded, syscall.ENETUNREACH: decide.Superseded,
+		syscall.ENETDOWN: decide.Superseded,
 
 		syscall.ECONNREFUSED: decide.ConnectFailed, syscall.EHOSTUNREACH: decide.ConnectFailed, syscall.ECONNRESET: decide.ConnectFailed,
 		syscall.ETIMEDOUT: decide.ConnectFailed,
--- a/internal/wire/xmpp/server.go
+++ b/internal/wire/xmpp/server.go
@@ -31,18 +31,18 @@
 	defer stop()
 	e := &splice.Half{Clock: s.Clock, Stop: stop}
 	if !c.Attach(a.Number, e) {
-		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
 	conn, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-s.Clock.NowMillis(), s.ConnectTimeout))
 	if err != nil {
-		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoReport)
+		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
 	}
 	defer conn.Close()
 	if !e.Attach(conn) || !c.BeginWrite(a.Number) {
 		conn.Close()
-		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
 	st := c.Payload.(*stream)
@@ -50,7 +50,7 @@
 	status := at.setUp()
 	e.Close(relay.GracefulClose)
 	conn.Close()
-	c.EndAttempt(a.Number, status, decide.NoReport)
+	c.EndAttempt(a.Number, status, decide.NoLoadReport)
 	if state, _ := c.State(); state == relay.Ended {
 		st.leave()
 	}
@@ -118,7 +118,7 @@
 		case err == errWoken && at.e.Closed():
 			return it, decide.Cancelled
 		case err == errWoken && at.c.ServerDraining():
-			return it, decide.Moot
+			return it, decide.Superseded
 		case err == errWoken:
 		case err != nil || it.kind != k || it.name != name:
 			return it, decide.ConnectFailed
@@ -136,7 +136,7 @@
 		// stream in the middle of it cannot be taken elsewhere, and its client is told to come again.
 		if at.c.ServerDraining() {
 			if !sent {
-				return decide.Moot
+				return decide.Superseded
 			}
 			at.st.because("reset")
 			return decide.Cancelled
@@ -338,12 +338,12 @@
 }
 
 // Probe opens a stream and waits for the server's start tag. Load comes from the server's own node.
-func (s *Servers) Probe(to relay.Server, done func(decide.Status, decide.Report)) {
+func (s *Servers) Probe(to relay.Server, done func(decide.Status, decide.LoadReport)) {
 	go func() { done(s.probe(to)) }()
 }
 
-func (s *Servers) probe(to relay.Server) (decide.Status, decide.Report) {
-	report := decide.NoReport
+func (s *Servers) probe(to relay.Server) (decide.Status, decide.LoadReport) {
+	report := decide.NoLoadReport
 	report.Load = to.Load
 	conn, err := splice.Dial(context.Background(), to.Address, s.ConnectTimeout)
 	if err != nil {
--- a/internal/wire/zookeeper/zookeeper.go
+++ b/internal/wire/zookeeper/zookeeper.go
@@ -158,7 +158,7 @@
 			c.id, c.secret = 0, nil
 		}
 		c.Log.Info().Err(err).Msg("watch of the ephemeral nodes ended")
-		c.X.UpdateEndpoints(decide.Failed, nil)
+		c.X.UpdateEndpoints(decide.WatchFailed, nil)
 	}
 }
 
@@ -332,14 +332,14 @@
 	for _, l := range c.nodes {
 		list = append(list, l)
 	}
-	c.X.UpdateEndpoints(decide.Whole, list)
+	c.X.UpdateEndpoints(decide.Snapshot, list)
 }
 
 // gone drops a node. An ephemeral node vanishes with its server's session.
 func (c *Client) gone(name string) {
 	if l, known := c.nodes[name]; known {
 		delete(c.nodes, name)
-		l.Mode = decide.GoneMode
+		l.Mode = decide.Removed
 		c.X.UpdateEndpoints(decide.Delta, []relay.Endpoint{l})
 	}
 }
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -74,9 +74,9 @@
 	}
 	site := &relay.Deployment{Zones: map[string]decide.Zone{}, Settings: decide.Settings{Relays: max(cfg.Clients, 1), Zones: len(cfg.Zones),
 		MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(cfg.DialMs),
-		ConnectTimeout: relay.Duration(cfg.ConnectMs), Tick: relay.Duration(1), Ask: true,
-		Rules:   decide.Rules{AskWithin: relay.Duration(cfg.SessionMs)},
-		Classes: []decide.ClassInfo{{Aim: relay.Duration(cfg.ConnectMs), Deadline: relay.Duration(cfg.DialMs), Worth: 1}}}}
+		ConnectTimeout: relay.Duration(cfg.ConnectMs), Tick: relay.Duration(1), MustSubscribe: true,
+		Rules:   decide.Rules{PollWithin: relay.Duration(cfg.SessionMs)},
+		Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(cfg.ConnectMs), Deadline: relay.Duration(cfg.DialMs), PriorityWeight: 1}}}}
 	for i, z := range cfg.Zones {
 		site.Zones[z] = decide.Zone(i)
 	}
@@ -137,18 +137,18 @@
 	defer stop()
 	placed := &conn{d: d, call: c, no: a.Number, stop: stop, first: true}
 	if !c.Attach(a.Number, remote{placed}) {
-		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
 	raw, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-d.clock.NowMillis(), d.cfg.ConnectMs))
 	if err != nil {
-		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoReport)
+		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
 	}
 	placed.Conn = raw // Begin and Up order this before every use by the client side
 	if !c.BeginWrite(a.Number) || c.Establish(a.Number) == nil {
 		raw.Close()
-		c.EndAttempt(a.Number, decide.Moot, decide.NoReport)
+		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
 	placed.ready()
@@ -156,9 +156,9 @@
 
 // Probe asks whether a server takes connections; it is part of the core's server side. Load comes from the
 // server's own node.
-func (d *Dialer) Probe(to relay.Server, done func(decide.Status, decide.Report)) {
+func (d *Dialer) Probe(to relay.Server, done func(decide.Status, decide.LoadReport)) {
 	go func() {
-		report, status := decide.NoReport, decide.OK
+		report, status := decide.NoLoadReport, decide.OK
 		report.Load = to.Load
 		raw, err := splice.Dial(context.Background(), to.Address, d.cfg.ConnectMs)
 		if err == nil {
@@ -281,7 +281,7 @@
 	}
 	c.mu.Unlock()
 	err := c.Conn.Close()
-	c.call.EndAttempt(c.no, status, decide.NoReport)
+	c.call.EndAttempt(c.no, status, decide.NoLoadReport)
 	return err
 }
 
