--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -80,7 +80,7 @@
 	c.Close()
 	f.wait("given back", func() bool { return held(f.zk) == 0 })
 
-	ring, err := token.NewRing([]token.Key{{ID: "a", Secret: []byte(strings.Repeat("a", 32))}})
+	ring, err := token.NewKeyRing([]token.Key{{ID: "a", Secret: []byte(strings.Repeat("a", 32))}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 		text, _ := ring.Seal(&k)
 		return text
 	}
-	other, _ := token.NewRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
+	other, _ := token.NewKeyRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
 	forged, _ := other.Seal(good)
 	now := time.Now().UnixMilli()
 	before := f.servers[0].Opened()
@@ -105,11 +105,11 @@
 		{"another class", "c=zoom,t=acme,d=3000,g=5,resume=" + text, "ERR resume mismatch"},
 		{"another tenant", "c=map-stream,t=surf,d=3000,g=5,resume=" + text, "ERR resume mismatch"},
 		{"another group", "c=map-stream,t=acme,d=3000,g=6,resume=" + text, "ERR resume mismatch"},
-		{"expired", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.Expires = now - 200 }), "ERR resume expired"},
-		{"from the future", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.Issued = now + 60_000 }), "ERR resume expired"},
+		{"expired", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.ExpiresUnixMs = now - 200 }), "ERR resume expired"},
+		{"from the future", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.IssuedUnixMs = now + 60_000 }), "ERR resume expired"},
 		{"a stream nobody knows", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.Stream[0]++ }), "ERR resume unknown"},
-		{"a generation to come", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.Generation = 9 }), "ERR resume unknown"},
-		{"generation 0, which stands for a new stream", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.Generation = 0 }), "ERR resume token"},
+		{"a generation to come", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.FencingToken = 9 }), "ERR resume unknown"},
+		{"generation 0, which stands for a new stream", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.FencingToken = 0 }), "ERR resume token"},
 		{"a negative position", "c=map-stream,t=acme,d=3000,g=5,pos=-1,resume=" + text, "ERR resume position"},
 		{"a position that is none", "c=map-stream,t=acme,d=3000,g=5,pos=9223372036854775807,resume=" + text, "ERR resume position"},
 		{"at and resume", "c=map-stream,t=acme,d=3000,g=5,at=s0,resume=" + text, "ERR bad request"},
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -43,14 +43,14 @@
 	}
 	const began = 1_800_000_000_000.0
 	for _, server := range []string{"s-1", "s-2"} {
-		add("bands", began, server, timeline.Band{State: timeline.Warm, From: began, Cause: "list"})
+		add("bands", began, server, timeline.StatePeriod{State: timeline.Warm, From: began, Cause: "list"})
 		for i := range 30 {
 			at := began + float64(i)*10_000
-			add("steps", at, server, timeline.Step{From: at, Width: 10_000, Places: 3, Ups: 3, Readings: 8, Load: [3]float32{0.1, 0.4, 0.7}})
+			add("steps", at, server, timeline.Interval{From: at, Width: 10_000, Placements: 3, Connections: 3, Readings: 8, Load: [3]float32{0.1, 0.4, 0.7}})
 		}
 	}
-	add("bands", began+100_000, "s-2", timeline.Band{State: timeline.Silent, From: began + 100_000, Cause: "2 probes without an answer"})
-	add("events", began+100_000, "silent\x00s-2", anomaly.Event{Server: "s-2", Kind: anomaly.Silent, From: began + 100_000, To: began + 130_000, Evidence: "2 probes", Confidence: 0.75})
+	add("bands", began+100_000, "s-2", timeline.StatePeriod{State: timeline.Unresponsive, From: began + 100_000, Cause: "2 probes without an answer"})
+	add("events", began+100_000, "silent\x00s-2", anomaly.Event{Server: "s-2", Kind: anomaly.Unresponsive, From: began + 100_000, To: began + 130_000, Evidence: "2 probes", Confidence: 0.75})
 	ctx := t.Context()
 	go s.Run(ctx)
 	s.Flush()
--- a/internal/command/demo_test.go
+++ b/internal/command/demo_test.go
@@ -20,23 +20,23 @@
 	leave := site.crowd(ctx)
 	defer leave()
 	var placed, refused uint32
-	var fleet timeline.Step
+	var fleet timeline.Interval
 	for placed+refused < 2*demoClients {
 		pause(ctx, 200*time.Millisecond)
 		r, err := site.report()
 		if err != nil {
 			t.Fatal(err)
 		}
-		placed, fleet = 0, timeline.Step{}
+		placed, fleet = 0, timeline.Interval{}
 		for _, s := range r.Servers {
 			for _, step := range s.Steps {
-				placed += step.Places
-				if s.Name == timeline.Fleet {
+				placed += step.Placements
+				if s.Name == timeline.FleetName {
 					fleet = timeline.Merge(fleet, step)
 				}
 			}
 		}
-		refused = fleet.Refusals
+		refused = fleet.Rejections
 	}
 	t.Logf("placed %d, refused %d:%s", placed, refused, report.Refused(fleet))
 	if refused*20 >= placed {
--- a/internal/command/watch.go
+++ b/internal/command/watch.go
@@ -92,7 +92,7 @@
 func (m screen) lines() (all []report.Server) {
 	if m.report != nil {
 		for _, s := range m.report.Servers {
-			if s.Name != timeline.Fleet {
+			if s.Name != timeline.FleetName {
 				all = append(all, s)
 			}
 		}
--- a/internal/lifecycle/resume.go
+++ b/internal/lifecycle/resume.go
@@ -29,7 +29,7 @@
 	SweepMs     float64  `toml:"sweep_ms"`
 	EveryServer bool     `toml:"every_server"`
 
-	keyRing *token.Ring
+	keyRing *token.KeyRing
 }
 
 // ReadResumeConfig reads the file and the keys that it names. An error names the file and the key.
@@ -54,8 +54,8 @@
 		bad = "servers: at least one is wanted"
 	case !strings.HasPrefix(t.Path, "/") || t.Path == "/" || strings.HasSuffix(t.Path, "/") || strings.Contains(t.Path, "//"):
 		bad = fmt.Sprintf("path: %q is not a path from / on without a / at its end", t.Path)
-	case !(t.SessionMs >= ownership.MinSession && t.SessionMs <= 120_000):
-		bad = fmt.Sprintf("session_ms: from %v to 120000; claims are trusted for 0.95 of it less %v", ownership.MinSession, ownership.Grace)
+	case !(t.SessionMs >= ownership.MinSessionTimeout && t.SessionMs <= 120_000):
+		bad = fmt.Sprintf("session_ms: from %v to 120000; claims are trusted for 0.95 of it less %v", ownership.MinSessionTimeout, ownership.ExpiryMargin)
 	case !(t.LifeMs >= 10_000 && t.LifeMs <= 7*86_400_000):
 		bad = "token_life_ms: from 10000 to 604800000 (a week)"
 	case !(t.RenewMs >= 200 && t.RenewMs <= t.LifeMs/2):
@@ -79,12 +79,12 @@
 }
 
 // readTokenKeys reads a key file of tokens.
-func readTokenKeys(path string) (*token.Ring, error) {
+func readTokenKeys(path string) (*token.KeyRing, error) {
 	text, err := readSecretFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return token.ParseKeys(text)
+	return token.ParseKeyFile(text)
 }
 
 // readSecretFile reads a file with secrets. Its mode is asked of the file that is read, not of its name.
@@ -98,10 +98,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := token.CheckMode(info); err != nil {
+	if err := token.CheckKeyFileMode(info); err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(f, token.MaxKeyFile))
+	return io.ReadAll(io.LimitReader(f, token.MaxKeyFileSize))
 }
 
 // ownershipCloseTimeout is how long the end of the session with the claim service is waited for, in ms; it ends by itself
@@ -137,9 +137,9 @@
 				return nil, err
 			}
 			return func() {
-				service.SetRing(n.keyRing)
-				service.Move(n.Servers)
-				log.Info().Str("sealing", n.keyRing.Sealing()).Strs("claims", n.Servers).
+				service.SetKeys(n.keyRing)
+				service.SetServers(n.Servers)
+				log.Info().Str("sealing", n.keyRing.SealingKeyID()).Strs("claims", n.Servers).
 					Bool("needs_restart", n.restartOnly() != t.restartOnly()).Msg("reloaded resume")
 			}, nil
 		},
@@ -148,8 +148,8 @@
 }
 
 func (t *ResumeConfig) serviceConfig(relay string) resume.Config {
-	return resume.Config{Relay: relay, Servers: t.Servers, Path: t.Path, Session: t.SessionMs, ClaimWithin: t.ClaimMs,
-		TokenLife: t.LifeMs, Renew: t.RenewMs, Skew: t.SkewMs, SweepEvery: t.SweepMs, EveryServer: t.EveryServer}
+	return resume.Config{Relay: relay, Servers: t.Servers, Path: t.Path, SessionTimeout: t.SessionMs, AcquireTimeout: t.ClaimMs,
+		TokenLifetime: t.LifeMs, TokenRenewInterval: t.RenewMs, MaxClockSkew: t.SkewMs, SweepInterval: t.SweepMs, AllServersResume: t.EveryServer}
 }
 
 // restartOnly is what of the file a reload does not take in.
--- a/internal/lifecycle/timeline.go
+++ b/internal/lifecycle/timeline.go
@@ -66,8 +66,8 @@
 	return &part{
 		name: "timeline",
 		join: func(s *frontSeam) {
-			c := watch.Config{Relay: s.relay, Buffer: t.Buffer, Limits: timeline.Default(), Most: t.Servers}
-			c.Limits.Lines = t.Servers
+			c := watch.Config{Relay: s.relay, Buffer: t.Buffer, Limits: timeline.DefaultLimits(), Most: t.Servers}
+			c.Limits.MaxServers = t.Servers
 			if s.platform == nil {
 				c.Relay = s.front
 			}
--- a/internal/observe/anomaly/depart.go
+++ b/internal/observe/anomaly/depart.go
@@ -17,45 +17,45 @@
 
 // The kinds.
 const (
-	Silent          Kind = iota // answers nothing, without a reset
-	Unreachable                 // refuses connections, though the list has it
-	LateAnswers                 // answers probes late, with the numbers of before
-	Frozen                      // its report repeats while connections come and go there
-	Errors                      // a burst of errors
-	Slow                        // sets up slower than its peers, and than it used to
-	RestartedUnsaid             // a new process, of which the list says nothing
-	DrainUnsaid                 // sends its clients away, of which the list says nothing
-	Flapping                    // the list takes it out and in again
-	Uneven                      // loaded far beyond its peers
-	Refusing                    // listed, but full to whoever comes
-	NoList                      // of the fleet: the list is out of reach
-	kinds                       // that are found here
+	Unresponsive            Kind = iota // answers nothing, without a reset
+	Unreachable                         // refuses connections, though the list has it
+	LateProbeReplies                    // answers probes late, with the numbers of before
+	FrozenReport                        // its report repeats while connections come and go there
+	ErrorBurst                          // a burst of errors
+	SlowSetup                           // sets up slower than its peers, and than it used to
+	UnannouncedRestart                  // a new process, of which the list says nothing
+	UnannouncedDrain                    // sends its clients away, of which the list says nothing
+	Flapping                            // the list takes it out and in again
+	UnevenLoad                          // loaded far beyond its peers
+	RejectingAll                        // listed, but full to whoever comes
+	EndpointListUnreachable             // of the fleet: the list is out of reach
+	kindCount                           // that are found here
 )
 
-// Relays is of the fleet: another relay has come, failed, left or changed. It is told, not found here.
-const Relays = kinds
+// RelayChanged is of the fleet: another relay has come, failed, left or changed. It is told, not found here.
+const RelayChanged = kindCount
 
-var names = [kinds + 1]string{"silent", "unreachable", "late answers", "frozen report", "errors", "slow", "restarted unsaid",
+var kindNames = [kindCount + 1]string{"silent", "unreachable", "late answers", "frozen report", "errors", "slow", "restarted unsaid",
 	"drain unsaid", "flapping", "uneven load", "refusing", "list out of reach", "relays"}
 
-func (k Kind) String() string { return names[min(k, Relays)] }
+func (k Kind) String() string { return kindNames[min(k, RelayChanged)] }
 
 // ParseKind finds a kind by its name.
 func ParseKind(name string) (Kind, bool) {
-	i := slices.Index(names[:], name)
+	i := slices.Index(kindNames[:], name)
 	return Kind(max(i, 0)), i >= 0
 }
 
-// hold is how long a pattern must be there before its event begins, release how long it must be absent before the
+// beginAfter is how long a pattern must be there before its event begins, release how long it must be absent before the
 // event ends, in ms: an event does not flutter.
-var hold, release [kinds]float64
+var beginAfter, endAfter [kindCount]float64
 
 func init() {
-	for k := range kinds {
-		release[k] = 3000
+	for k := range kindCount {
+		endAfter[k] = 3000
 	}
-	hold[Slow], hold[Uneven] = 300, 4000
-	release[Slow], release[Uneven], release[Flapping], release[NoList] = 5000, 5000, 30_000, 8000
+	beginAfter[SlowSetup], beginAfter[UnevenLoad] = 300, 4000
+	endAfter[SlowSetup], endAfter[UnevenLoad], endAfter[Flapping], endAfter[EndpointListUnreachable] = 5000, 5000, 30_000, 8000
 }
 
 // The figures of the patterns. Times are in milliseconds.
@@ -142,8 +142,8 @@
 
 type sample struct{ at, took float64 }
 
-// watched is what is known of one server.
-type watched struct {
+// serverState is what is known of one server.
+type serverState struct {
 	name    string
 	mode    decide.EndpointState
 	since   float64
@@ -171,37 +171,37 @@
 	restarted                              float64 // when it was found back, 0 if not
 	restartWhy                             string
 
-	seen    [kinds]float64 // since when the pattern is there, 0 if it is not
-	absent  [kinds]float64 // since when it is not, while an event lasts
-	current [kinds]*Event
+	seen    [kindCount]float64 // since when the pattern is there, 0 if it is not
+	absent  [kindCount]float64 // since when it is not, while an event lasts
+	current [kindCount]*Event
 	found   found // the pattern that is looked at now
 	touched float64
 }
 
-// Watch looks at all servers.
-type Watch struct {
-	servers  map[string]*watched
-	order    []*watched
-	fleet    *watched
-	most     int // servers at once
-	now      float64
-	lastTick float64
+// Detector looks at all servers.
+type Detector struct {
+	servers    map[string]*serverState
+	order      []*serverState
+	fleet      *serverState
+	maxServers int // servers at once
+	now        float64
+	lastTick   float64
 
 	loads, setups []float64 // of all servers now, in order: whoever is far from their median is far from its peers
 }
 
 // New returns a Watch that knows so many servers at once at most.
-func New(most int) *Watch {
-	return &Watch{servers: map[string]*watched{}, fleet: &watched{}, most: most}
+func New(most int) *Detector {
+	return &Detector{servers: map[string]*serverState{}, fleet: &serverState{}, maxServers: most}
 }
 
-func (w *Watch) server(name string) *watched {
+func (w *Detector) server(name string) *serverState {
 	s := w.servers[name]
 	if s == nil {
-		if len(w.order) >= w.most {
-			w.forget()
+		if len(w.order) >= w.maxServers {
+			w.evictServer()
 		}
-		s = &watched{name: name, load: -1}
+		s = &serverState{name: name, load: -1}
 		w.servers[name] = s
 		w.order = append(w.order, s)
 	}
@@ -209,8 +209,8 @@
 	return s
 }
 
-// forget drops the server that nothing was heard of for the longest, one that is not listed first.
-func (w *Watch) forget() {
+// evictServer drops the server that nothing was heard of for the longest, one that is not listed first.
+func (w *Detector) evictServer() {
 	i := 0
 	for j, s := range w.order {
 		if o := w.order[i]; o.listed && !s.listed || o.listed == s.listed && s.touched < o.touched {
@@ -221,60 +221,60 @@
 	w.order = slices.Delete(w.order, i, i+1)
 }
 
-// Take takes one record; name is its server's.
-func (w *Watch) Take(name string, r *recorder.Record) {
+// Observe takes one record; name is its server's.
+func (w *Detector) Observe(name string, r *recorder.Record) {
 	w.now = max(w.now, r.At)
 	if r.Server < 0 {
-		if r.Kind == recorder.NoList {
+		if r.Kind == recorder.EndpointListUnreachable {
 			w.fleet.breaks.add(r.At)
 		}
 		return
 	}
 	s := w.server(name)
 	switch r.Kind {
-	case recorder.List:
+	case recorder.EndpointChanged:
 		s.list(r)
-	case recorder.Probe:
+	case recorder.ProbeEnded:
 		s.probe(r)
-	case recorder.Place:
+	case recorder.AttemptStarted:
 		s.moves++
-	case recorder.Up:
+	case recorder.ConnectionUp:
 		s.ups.add(r.At)
 		s.refused, s.mute = 0, 0
-		s.setup(r.At, r.Took)
+		s.setup(r.At, r.Elapsed)
 		s.back(r.At, "connections stand again")
-	case recorder.End:
+	case recorder.AttemptEnded:
 		s.moves++
-		if r.By == recorder.Server {
+		if r.Initiator == recorder.Server {
 			s.ended(r)
 		}
-	case recorder.Move:
-		if r.By == recorder.Silence {
+	case recorder.ClientMigrated:
+		if r.Initiator == recorder.ServerSilent {
 			s.mute = max(s.mute, muteProbes)
 		}
 	}
 }
 
-func (s *watched) list(r *recorder.Record) {
+func (s *serverState) list(r *recorder.Record) {
 	ready := r.Mode == decide.Ready
 	if s.listed && (ready != (s.mode == decide.Ready)) {
 		s.flaps.add(r.At)
 	}
-	if !ready || r.Since != s.since { // it is another process, or leaves, and the list has said so
+	if !ready || r.StartedAt != s.since { // it is another process, or leaves, and the list has said so
 		s.mute, s.refused, s.crashed, s.lateRun = 0, 0, 0, 0
 		s.errors, s.full, s.breaks, s.away = s.errors[:0], s.full[:0], s.breaks[:0], s.away[:0]
 		s.loadAt, s.sameReads = 0, 0
 	}
-	s.listed, s.mode, s.since = true, r.Mode, r.Since
+	s.listed, s.mode, s.since = true, r.Mode, r.StartedAt
 }
 
-func (s *watched) probe(r *recorder.Record) {
+func (s *serverState) probe(r *recorder.Record) {
 	switch r.Status {
 	case decide.OK:
 		s.mute, s.refused = 0, 0
 		load, same := float64(r.Load), s.loadAt != 0 && float64(r.Load) == s.load
 		usual := best(s.probeTook)
-		if len(s.probeTook) >= frozenReads && r.Took > max(lateLeast, lateTimes*usual) {
+		if len(s.probeTook) >= frozenReads && r.Elapsed > max(lateLeast, lateTimes*usual) {
 			if s.lateRun++; same {
 				s.lateSame++
 			}
@@ -286,7 +286,7 @@
 			if len(s.probeTook) == 2*recallKept {
 				s.probeTook = append(s.probeTook[:0], s.probeTook[1:]...)
 			}
-			s.probeTook = append(s.probeTook, r.Took)
+			s.probeTook = append(s.probeTook, r.Elapsed)
 		}
 		if load < 0 {
 			return
@@ -313,7 +313,7 @@
 }
 
 // broke notes a connection that broke or was refused: several at once are a crash.
-func (s *watched) broke(at float64) {
+func (s *serverState) broke(at float64) {
 	s.breaks.add(at)
 	if s.breaks.since(at-crashFor) >= 2 && s.mode == decide.Ready && s.crashed == 0 {
 		s.crashed, s.crashLoad = at, s.load
@@ -321,7 +321,7 @@
 }
 
 // back notes that a server that had crashed serves again, though the list has said nothing.
-func (s *watched) back(at float64, why string) {
+func (s *serverState) back(at float64, why string) {
 	if s.crashed == 0 || at-s.crashed > backFor {
 		s.crashed = 0
 		return
@@ -339,7 +339,7 @@
 	s.restartWhy = fmt.Sprintf("%d connections broke or were refused, then %s; the list has its old start", refused, why)
 }
 
-func (s *watched) ended(r *recorder.Record) {
+func (s *serverState) ended(r *recorder.Record) {
 	switch r.Status {
 	case decide.Errored:
 		s.errors.add(r.At)
@@ -351,13 +351,13 @@
 	case decide.Reset:
 		s.broke(r.At)
 	case decide.Cancelled:
-		if r.WasUp {
+		if r.WasConnected {
 			s.away.add(r.At)
 		}
 	}
 }
 
-func (s *watched) setup(at, took float64) {
+func (s *serverState) setup(at, took float64) {
 	if len(s.setups) == 2*recallKept {
 		s.setups = append(s.setups[:0], s.setups[1:]...)
 	}
@@ -367,13 +367,13 @@
 	switch s.pastCount++; {
 	case s.pastCount <= pastSamples:
 		s.past += (x - s.past) / float64(s.pastCount)
-	case s.current[Slow] == nil && x-s.past < math.Log(slowTimes):
+	case s.current[SlowSetup] == nil && x-s.past < math.Log(slowTimes):
 		s.past += (x - s.past) * pastWeight
 	}
 }
 
 // lately is the median set-up time of the last seconds; 0 if there are too few.
-func (s *watched) lately(now float64) float64 {
+func (s *serverState) lately(now float64) float64 {
 	var all [slowMost]float64
 	n := 0
 	for _, x := range s.setups[max(0, len(s.setups)-slowMost):] {
@@ -390,7 +390,7 @@
 }
 
 // slower tells whether its set-ups are slow against its own past.
-func (s *watched) slower() (took float64, yes bool) {
+func (s *serverState) slower() (took float64, yes bool) {
 	took = s.latest
 	if took == 0 {
 		return 0, false
@@ -408,15 +408,15 @@
 	return slices.Sorted(slices.Values(all))[len(all)/4]
 }
 
-// pattern says whether a kind's pattern is there now, with its evidence and how sure it is.
-func (w *Watch) pattern(k Kind, s *watched) (evidence string, sure float64) {
+// detect says whether a kind's detect is there now, with its evidence and how sure it is.
+func (w *Detector) detect(k Kind, s *serverState) (evidence string, sure float64) {
 	now, ready := w.now, s.mode == decide.Ready
 	if !ready && k != Flapping {
 		return "", 0
 	}
 	grown := func(n, least int) float64 { return 1 - math.Pow(0.5, float64(n-least+2)) }
 	switch k {
-	case Silent:
+	case Unresponsive:
 		if s.mute >= muteProbes {
 			return fmt.Sprintf("%d probes in a row without an answer, no reset", s.mute), grown(s.mute, muteProbes)
 		}
@@ -428,12 +428,12 @@
 		if n := s.breaks.since(s.crashed - crashFor); s.crashed != 0 && n >= inRow && s.ups.last() < s.crashed {
 			return fmt.Sprintf("%d connections broke or were refused together, and none stands since; the list has it ready", n), grown(n, inRow)
 		}
-	case LateAnswers:
+	case LateProbeReplies:
 		if s.lateRun >= 2 {
 			return fmt.Sprintf("%d answers in a row over %.0f ms where %.1f are usual, %d with the numbers of before", s.lateRun,
 				max(lateLeast, lateTimes*best(s.probeTook)), best(s.probeTook), s.lateSame), grown(s.lateRun, 2)
 		}
-	case Frozen:
+	case FrozenReport:
 		if s.lateRun > 0 { // that its numbers are old is part of answering late
 			return "", 0
 		}
@@ -441,14 +441,14 @@
 			return fmt.Sprintf("load %.3f in %d readings over %.1f s, while %d connections came or went", s.load, s.sameReads,
 				(s.loadAt-s.sameFrom)/1000, s.moves), grown(s.moves, frozenMoves)
 		}
-	case Errors:
+	case ErrorBurst:
 		if n := s.errors.since(now - window); n >= burst && n > s.ups.since(s.errors.first(n)) {
 			return fmt.Sprintf("%d errors in %.0f s", n, window/1000), grown(n, burst)
 		}
 		if n := s.errors.since(max(now-rowFor, s.ups.last())); n >= inRow { // a relay that leaves it out asks seldom
 			return fmt.Sprintf("%d errors in a row", n), grown(n, inRow)
 		}
-	case Slow:
+	case SlowSetup:
 		took, slow := s.slower()
 		if !slow {
 			return "", 0
@@ -456,11 +456,11 @@
 		if m := middle(w.setups); len(w.setups) > fewPeers && took > slowTimes*m && took > m+slowLeast {
 			return fmt.Sprintf("set-ups take %.0f ms; %.0f at %d peers, %.0f before", took, m, len(w.setups)-1, math.Exp(s.past)), 0.9
 		}
-	case RestartedUnsaid:
+	case UnannouncedRestart:
 		if s.restarted != 0 && now-s.restarted < window {
 			return s.restartWhy, 0.8
 		}
-	case DrainUnsaid:
+	case UnannouncedDrain:
 		if n := s.away.since(now - window); n >= 2 {
 			return fmt.Sprintf("%d clients sent away in %.0f s; the list has it ready", n, window/1000), grown(n, 2)
 		}
@@ -468,11 +468,11 @@
 		if n := s.flaps.since(now - flapFor); n >= flapTimes {
 			return fmt.Sprintf("out of the list or back %d times in %.0f s", n, flapFor/1000), grown(n, flapTimes)
 		}
-	case Uneven:
+	case UnevenLoad:
 		if m := middle(w.loads); s.reads(now) && len(w.loads) > fewPeers && s.load-m > max(unevenBy, unevenPart*m) {
 			return fmt.Sprintf("load %.2f where the median of %d servers is %.2f", s.load, len(w.loads), m), min(0.95, 0.5+(s.load-m)/2)
 		}
-	case Refusing:
+	case RejectingAll:
 		if n := s.full.since(now - window); n >= burst && s.ups.since(s.full.first(n)) == 0 {
 			return fmt.Sprintf("full to %d in %.0f s, and it takes none; the list has it ready", n, window/1000), grown(n, burst)
 		}
@@ -484,7 +484,7 @@
 }
 
 // reads tells whether there is a reading that says something of now.
-func (s *watched) reads(now float64) bool {
+func (s *serverState) reads(now float64) bool {
 	return s.mode == decide.Ready && s.loadAt != 0 && s.load >= 0 && now-s.loadAt < freshFor
 }
 
@@ -497,7 +497,7 @@
 }
 
 // compare gathers what servers are compared with, once for all of them.
-func (w *Watch) compare() {
+func (w *Detector) compare() {
 	w.loads, w.setups = w.loads[:0], w.setups[:0]
 	for _, s := range w.order {
 		if s.reads(w.now) {
@@ -518,34 +518,34 @@
 const tickEvery = 100.0
 
 // Tick looks at all patterns. It appends what has begun or ended to out.
-func (w *Watch) Tick(now float64, out []Change) []Change {
+func (w *Detector) Tick(now float64, out []Change) []Change {
 	w.now = max(w.now, now)
 	if w.now-w.lastTick < tickEvery {
 		return out
 	}
 	w.lastTick = w.now
 	w.compare()
-	for k := Kind(0); k < NoList; k++ {
-		out = w.tick(k, out)
+	for k := Kind(0); k < EndpointListUnreachable; k++ {
+		out = w.detectKind(k, out)
 	}
 	if n := w.fleet.breaks.since(w.now - 10_000); n >= listFails {
-		out = w.settle(w.fleet, NoList, fmt.Sprintf("%d calls in 10 s failed", n), 0.9, out)
+		out = w.updateEvent(w.fleet, EndpointListUnreachable, fmt.Sprintf("%d calls in 10 s failed", n), 0.9, out)
 	} else {
-		out = w.settle(w.fleet, NoList, "", 0, out)
+		out = w.updateEvent(w.fleet, EndpointListUnreachable, "", 0, out)
 	}
 	return out
 }
 
-// tick looks at one kind at all servers: what most of them do at once is the fleet's.
-func (w *Watch) tick(k Kind, out []Change) []Change {
+// detectKind looks at one kind at all servers: what most of them do at once is the fleet's.
+func (w *Detector) detectKind(k Kind, out []Change) []Change {
 	ready, there := 0, 0
 	for _, s := range w.order {
 		if s.mode == decide.Ready {
 			ready++
 		}
-		if s.found.evidence, s.found.sure = w.pattern(k, s); s.found.evidence != "" {
+		if s.found.evidence, s.found.sure = w.detect(k, s); s.found.evidence != "" {
 			there++
-		} else if _, slow := s.slower(); k == Slow && slow {
+		} else if _, slow := s.slower(); k == SlowSetup && slow {
 			there++ // a fleet that is slow has no peers to stand out from
 		}
 	}
@@ -554,20 +554,20 @@
 	if whole {
 		evidence, sure = fmt.Sprintf("%d of %d servers at once", there, ready), 0.9
 	}
-	out = w.settle(w.fleet, k, evidence, sure, out)
+	out = w.updateEvent(w.fleet, k, evidence, sure, out)
 	taken := w.fleet.current[k] != nil || w.fleet.seen[k] != 0
 	for _, s := range w.order {
 		evidence, sure := "", 0.0
 		if !taken {
 			evidence, sure = s.found.evidence, s.found.sure
 		}
-		out = w.settle(s, k, evidence, sure, out)
+		out = w.updateEvent(s, k, evidence, sure, out)
 	}
 	return out
 }
 
-// settle begins or ends an event by its hold and release times.
-func (w *Watch) settle(s *watched, k Kind, evidence string, sure float64, out []Change) []Change {
+// updateEvent begins or ends an event by its hold and release times.
+func (w *Detector) updateEvent(s *serverState, k Kind, evidence string, sure float64, out []Change) []Change {
 	e := s.current[k]
 	switch {
 	case evidence != "" && e != nil:
@@ -577,7 +577,7 @@
 		if s.seen[k] == 0 {
 			s.seen[k] = w.now
 		}
-		if w.now-s.seen[k] >= hold[k] {
+		if w.now-s.seen[k] >= beginAfter[k] {
 			s.current[k] = &Event{Server: s.name, Kind: k, Name: k.String(), From: s.seen[k], Evidence: evidence, Confidence: sure}
 			out = append(out, Change{*s.current[k]})
 		}
@@ -585,7 +585,7 @@
 		if s.absent[k] == 0 {
 			s.absent[k] = w.now
 		}
-		if w.now-s.absent[k] >= release[k] || s.mode != decide.Ready && s != w.fleet && k != Flapping {
+		if w.now-s.absent[k] >= endAfter[k] || s.mode != decide.Ready && s != w.fleet && k != Flapping {
 			e.To = s.absent[k]
 			out = append(out, Change{*e})
 			s.current[k], s.seen[k], s.absent[k] = nil, 0, 0
@@ -596,9 +596,9 @@
 	return out
 }
 
-// Current lists the events that last.
-func (w *Watch) Current() (all []Event) {
-	for _, s := range append([]*watched{w.fleet}, w.order...) {
+// Active lists the events that last.
+func (w *Detector) Active() (all []Event) {
+	for _, s := range append([]*serverState{w.fleet}, w.order...) {
 		for _, e := range s.current {
 			if e != nil {
 				all = append(all, *e)
--- a/internal/observe/anomaly/depart_test.go
+++ b/internal/observe/anomaly/depart_test.go
@@ -29,7 +29,7 @@
 }
 
 type scene struct {
-	w       *Watch
+	w       *Detector
 	rng     *rand.Rand
 	now     float64
 	hosts   []*host
@@ -50,7 +50,7 @@
 	for i := range hosts {
 		h := &host{name: fmt.Sprint("s", i), listed: true, capacity: 90 + 40*s.rng.Float64()}
 		s.hosts = append(s.hosts, h)
-		s.put(i, recorder.Record{Kind: recorder.List, Mode: decide.Ready})
+		s.put(i, recorder.Record{Kind: recorder.EndpointChanged, Mode: decide.Ready})
 	}
 	return s
 }
@@ -61,12 +61,12 @@
 	if i >= 0 {
 		name = s.hosts[i].name
 	}
-	s.w.Take(name, &r)
+	s.w.Observe(name, &r)
 }
 
 func (s *scene) list(i int, mode decide.EndpointState, since float64) {
 	s.hosts[i].listed = mode == decide.Ready
-	s.put(i, recorder.Record{Kind: recorder.List, Mode: mode, Since: since})
+	s.put(i, recorder.Record{Kind: recorder.EndpointChanged, Mode: mode, StartedAt: since})
 }
 
 // run lets time pass, 5 ms at a time.
@@ -77,7 +77,7 @@
 			h.held = slices.DeleteFunc(h.held, func(at float64) bool {
 				over := at <= s.now
 				if over {
-					s.put(i, recorder.Record{Kind: recorder.End, Status: decide.Cancelled, By: recorder.Client, WasUp: true})
+					s.put(i, recorder.Record{Kind: recorder.AttemptEnded, Status: decide.Cancelled, Initiator: recorder.Client, WasConnected: true})
 				}
 				return over
 			})
@@ -116,17 +116,17 @@
 
 func (s *scene) probe(i int, h *host) {
 	h.probeAt = s.now + 600 + 600*s.rng.Float64()
-	r := recorder.Record{Kind: recorder.Probe, Status: decide.OK, Load: float32(h.report), Took: 0.3 + 0.3*s.rng.ExpFloat64()}
+	r := recorder.Record{Kind: recorder.ProbeEnded, Status: decide.OK, Load: float32(h.report), Elapsed: 0.3 + 0.3*s.rng.ExpFloat64()}
 	switch {
 	case h.dead:
 		r.Status = decide.ConnectFailed
 		s.evidence(h, Unreachable, 2)
 	case h.silent:
 		r.Status = decide.TimedOut
-		s.evidence(h, Silent, 2)
+		s.evidence(h, Unresponsive, 2)
 	case h.late:
-		s.evidence(h, LateAnswers, 2)
-		r.Took = 100 + 80*s.rng.Float64()
+		s.evidence(h, LateProbeReplies, 2)
+		r.Elapsed = 100 + 80*s.rng.Float64()
 	}
 	s.put(i, r)
 }
@@ -146,8 +146,8 @@
 	if !h.listed {
 		return
 	}
-	s.put(i, recorder.Record{Kind: recorder.Place})
-	end := recorder.Record{Kind: recorder.End, By: recorder.Server}
+	s.put(i, recorder.Record{Kind: recorder.AttemptStarted})
+	end := recorder.Record{Kind: recorder.AttemptEnded, Initiator: recorder.Server}
 	switch {
 	case h.dead:
 		end.Status = decide.ConnectFailed
@@ -156,15 +156,15 @@
 		end.Status = decide.TimedOut
 	case h.refusing:
 		end.Status = decide.AtCapacity
-		s.evidence(h, Refusing, burst)
+		s.evidence(h, RejectingAll, burst)
 	case h.erring:
 		end.Status = decide.Errored
-		s.evidence(h, Errors, burst)
+		s.evidence(h, ErrorBurst, burst)
 	default:
 		took := 3 * math.Exp(s.jitter*s.rng.NormFloat64()) * max(1, h.slow)
-		s.put(i, recorder.Record{Kind: recorder.Up, Took: took})
+		s.put(i, recorder.Record{Kind: recorder.ConnectionUp, Elapsed: took})
 		if h.slow > 0 {
-			s.evidence(h, Slow, slowSamples)
+			s.evidence(h, SlowSetup, slowSamples)
 		}
 		h.held = append(h.held, s.now+5000+15_000*s.rng.ExpFloat64())
 		return
@@ -175,7 +175,7 @@
 // breaks resets all connections of a host.
 func (s *scene) breaks(i int, status decide.Status) {
 	for range s.hosts[i].held {
-		s.put(i, recorder.Record{Kind: recorder.End, Status: status, By: recorder.Server, WasUp: true})
+		s.put(i, recorder.Record{Kind: recorder.AttemptEnded, Status: status, Initiator: recorder.Server, WasConnected: true})
 	}
 	s.hosts[i].held = nil
 }
@@ -211,9 +211,9 @@
 		s.hosts[0].silent, s.hosts[1].erring, s.hosts[2].late, s.hosts[3].slow = false, false, false, 0
 		s.run(20_000)
 		s.hosts[4].refusing = true
-		s.fault(5, DrainUnsaid, func(h *host) { s.breaks(5, decide.Cancelled) })
-		s.fault(6, Uneven, func(h *host) { h.extra = 0.8 })
-		s.fault(7, Frozen, func(h *host) { h.frozen = true })
+		s.fault(5, UnannouncedDrain, func(h *host) { s.breaks(5, decide.Cancelled) })
+		s.fault(6, UnevenLoad, func(h *host) { h.extra = 0.8 })
+		s.fault(7, FrozenReport, func(h *host) { h.frozen = true })
 		s.run(14_000)
 		s.hosts[4].refusing, s.hosts[6].extra, s.hosts[7].frozen = false, 0, false
 		s.run(20_000)
@@ -223,7 +223,7 @@
 		}
 		s.run(3000)
 		s.hosts[9].dead = false
-		s.visible["s9 "+RestartedUnsaid.String()] = s.now
+		s.visible["s9 "+UnannouncedRestart.String()] = s.now
 		s.run(4000)
 		for range 4 {
 			s.list(10, decide.Draining, 0)
@@ -234,7 +234,7 @@
 		}
 		s.list(8, decide.Removed, 0) // and now the list says so
 		for range 3 {
-			s.put(-1, recorder.Record{Kind: recorder.NoList})
+			s.put(-1, recorder.Record{Kind: recorder.EndpointListUnreachable})
 			s.visible[" list out of reach"] = s.now
 			s.run(400)
 		}
@@ -250,7 +250,7 @@
 				t.Errorf("seed %d: %q was not found", seed, what)
 				continue
 			}
-			i := slices.IndexFunc(names[:], func(n string) bool { return strings.HasSuffix(what, " "+n) })
+			i := slices.IndexFunc(kindNames[:], func(n string) bool { return strings.HasSuffix(what, " "+n) })
 			worst[Kind(i)] = max(worst[Kind(i)], s.noticed[what]-at)
 		}
 		for what, from := range found {
@@ -258,7 +258,7 @@
 				t.Errorf("seed %d: %q at %.0f did not happen", seed, what, from)
 			}
 		}
-		if left := s.w.Current(); len(left) != 0 {
+		if left := s.w.Active(); len(left) != 0 {
 			t.Errorf("seed %d: still there long after: %+v", seed, left)
 		}
 		ends := map[string]int{}
@@ -273,9 +273,9 @@
 			}
 		}
 	}
-	for k := range kinds {
+	for k := range kindCount {
 		t.Logf("%-18s told %5.0f ms after it could be seen, at most", k, worst[k])
-		if k != Uneven && k != Frozen && worst[k] > 1000 { // these two are there only once they have lasted
+		if k != UnevenLoad && k != FrozenReport && worst[k] > 1000 { // these two are there only once they have lasted
 			t.Errorf("%v: told only after %.0f ms", k, worst[k])
 		}
 	}
@@ -296,9 +296,9 @@
 // What the whole fleet does at once is one event of the fleet.
 func TestFleet(t *testing.T) {
 	for what, f := range map[Kind]func(h *host){
-		Slow:   func(h *host) { h.slow = 15 },
-		Silent: func(h *host) { h.silent = true },
-		Errors: func(h *host) { h.erring = true },
+		SlowSetup:    func(h *host) { h.slow = 15 },
+		Unresponsive: func(h *host) { h.silent = true },
+		ErrorBurst:   func(h *host) { h.erring = true },
 	} {
 		s := newScene(7, 10)
 		s.run(30_000)
@@ -328,10 +328,10 @@
 func TestManyIDs(t *testing.T) {
 	w := New(50)
 	for i := range 20_000 {
-		r := recorder.Record{At: 1e6 + float64(i)*10, Kind: recorder.List, Mode: decide.Ready, Since: 1e6 + float64(i)*10}
-		w.Take(fmt.Sprint("id", i), &r)
-		r = recorder.Record{At: r.At + 5, Kind: recorder.List, Mode: decide.Removed}
-		w.Take(fmt.Sprint("id", i), &r)
+		r := recorder.Record{At: 1e6 + float64(i)*10, Kind: recorder.EndpointChanged, Mode: decide.Ready, StartedAt: 1e6 + float64(i)*10}
+		w.Observe(fmt.Sprint("id", i), &r)
+		r = recorder.Record{At: r.At + 5, Kind: recorder.EndpointChanged, Mode: decide.Removed}
+		w.Observe(fmt.Sprint("id", i), &r)
 		if out := w.Tick(r.At, nil); len(out) != 0 {
 			t.Fatalf("%+v", out)
 		}
--- a/internal/observe/chart/chart.go
+++ b/internal/observe/chart/chart.go
@@ -42,7 +42,7 @@
 	from, to := math.Inf(1), math.Inf(-1)
 	var servers []report.Server
 	for _, s := range r.Servers {
-		if s.Name == timeline.Fleet || len(s.Steps)+len(s.Bands) == 0 {
+		if s.Name == timeline.FleetName || len(s.Steps)+len(s.Bands) == 0 {
 			continue
 		}
 		for _, x := range s.Steps {
@@ -134,7 +134,7 @@
 	readTo := 0.0
 	most := 1.0
 	for _, x := range s.Steps {
-		most = max(most, float64(x.Places)/x.Width)
+		most = max(most, float64(x.Placements)/x.Width)
 	}
 	for _, x := range s.Steps {
 		mid := seconds(x.From + x.Width/2)
@@ -145,7 +145,7 @@
 			n := len(load) - 1
 			load[n], readTo = append(load[n], plotter.XY{X: mid, Y: float64(x.Load[1])}), x.From+x.Width
 		}
-		if x.Places > 0 {
+		if x.Placements > 0 {
 			placed = append(placed, plotter.XY{X: mid, Y: 0.02})
 		}
 		if report.Faults(x) > 0 {
--- a/internal/observe/recorder/tap_test.go
+++ b/internal/observe/recorder/tap_test.go
@@ -12,7 +12,7 @@
 	for w := range 10 {
 		all.Go(func() {
 			for i := range 10_000 {
-				x.Put(&Record{At: float64(i), Kind: Place, Server: int32(w)})
+				x.Put(&Record{At: float64(i), Kind: AttemptStarted, Server: int32(w)})
 			}
 		})
 	}
@@ -22,12 +22,12 @@
 	default:
 		t.Error("the reader was not woken")
 	}
-	got := x.Take(nil)
-	if last := got[len(got)-1]; len(got) != 4097 || last.Kind != Dropped || last.Count != 100_000-4096 {
+	got := x.TakeAll(nil)
+	if last := got[len(got)-1]; len(got) != 4097 || last.Kind != RecordsDropped || last.Count != 100_000-4096 {
 		t.Errorf("%d records, the last %+v", len(got), last)
 	}
-	x.Put(&Record{Kind: Up})
-	if got = x.Take(got[:0]); len(got) != 1 || got[0].Kind != Up {
+	x.Put(&Record{Kind: ConnectionUp})
+	if got = x.TakeAll(got[:0]); len(got) != 1 || got[0].Kind != ConnectionUp {
 		t.Errorf("after the burst: %+v", got)
 	}
 }
@@ -49,7 +49,7 @@
 			ended = true
 		default:
 		}
-		spare = x.Take(spare)
+		spare = x.TakeAll(spare)
 		for _, r := range spare {
 			if r.Request != next {
 				t.Fatalf("record %d where %d was due", r.Request, next)
@@ -65,11 +65,11 @@
 func BenchmarkRecord(b *testing.B) {
 	x := New(1 << 14)
 	var spare []Record
-	r := Record{Kind: Place, Server: 3, Inside: 4}
+	r := Record{Kind: AttemptStarted, Server: 3, PoolSize: 4}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if x.Put(&r); i&0x1fff == 0 {
-			spare = x.Take(spare)
+			spare = x.TakeAll(spare)
 		}
 	}
 }
--- a/internal/observe/report/report.go
+++ b/internal/observe/report/report.go
@@ -29,18 +29,18 @@
 
 // Wants tells whether a line is asked for. The fleet's always is.
 func (q Query) Wants(name string) bool {
-	return name == timeline.Fleet || len(q.Servers) == 0 || slices.Contains(q.Servers, name)
+	return name == timeline.FleetName || len(q.Servers) == 0 || slices.Contains(q.Servers, name)
 }
 
 // Server is one line.
 type Server struct {
-	Name      string          `json:"server"`
-	State     string          `json:"state"`
-	Held      int             `json:"held"`
-	Bands     []timeline.Band `json:"bands"`
-	Steps     []timeline.Step `json:"steps"`
-	Events    []anomaly.Event `json:"events"`
-	Forgotten float64         `json:"forgotten,omitempty"` // what was before is kept no more
+	Name      string                 `json:"server"`
+	State     string                 `json:"state"`
+	Held      int                    `json:"held"`
+	Bands     []timeline.StatePeriod `json:"bands"`
+	Steps     []timeline.Interval    `json:"steps"`
+	Events    []anomaly.Event        `json:"events"`
+	Forgotten float64                `json:"forgotten,omitempty"` // what was before is kept no more
 }
 
 // Report is an answer.
@@ -78,8 +78,8 @@
 	outside := func(from, end float64) bool { return from > to || end != 0 && end < q.From }
 	for i := range r.Servers {
 		s := &r.Servers[i]
-		s.Bands = slices.DeleteFunc(s.Bands, func(b timeline.Band) bool { return outside(b.From, b.To) })
-		s.Steps = slices.DeleteFunc(s.Steps, func(x timeline.Step) bool { return outside(x.From, x.From+x.Width) })
+		s.Bands = slices.DeleteFunc(s.Bands, func(b timeline.StatePeriod) bool { return outside(b.From, b.To) })
+		s.Steps = slices.DeleteFunc(s.Steps, func(x timeline.Interval) bool { return outside(x.From, x.From+x.Width) })
 		s.Events = slices.DeleteFunc(s.Events, func(e anomaly.Event) bool { return outside(e.From, e.To) })
 	}
 }
@@ -102,7 +102,7 @@
 }
 
 func who(name string) string {
-	if name == timeline.Fleet {
+	if name == timeline.FleetName {
 		return "(fleet)"
 	}
 	return name
@@ -117,7 +117,7 @@
 func (r *Report) List(w io.Writer) error {
 	fmt.Fprintf(w, "%-20s %-9s %5s %6s %7s %7s %6s  %s\n", "server", "state", "held", "load", "placed", "faults", "moved", "departures now")
 	for _, s := range r.Servers {
-		if s.Name == timeline.Fleet {
+		if s.Name == timeline.FleetName {
 			continue
 		}
 		load, t := "-", total(s.Steps)
@@ -132,7 +132,7 @@
 				now = append(now, e.Name)
 			}
 		}
-		fmt.Fprintf(w, "%-20s %-9s %5d %6s %7d %7d %6d  %s\n", s.Name, s.State, s.Held, load, t.Places, Faults(t), t.Moves, strings.Join(now, ", "))
+		fmt.Fprintf(w, "%-20s %-9s %5d %6s %7d %7d %6d  %s\n", s.Name, s.State, s.Held, load, t.Placements, Faults(t), t.Migrations, strings.Join(now, ", "))
 	}
 	return r.trailer(w)
 }
@@ -149,7 +149,7 @@
 	return err
 }
 
-func total(steps []timeline.Step) (t timeline.Step) {
+func total(steps []timeline.Interval) (t timeline.Interval) {
 	for _, s := range steps {
 		t = timeline.Merge(t, s)
 	}
@@ -157,7 +157,7 @@
 }
 
 // Faults are the ends that a server is to blame for.
-func Faults(s timeline.Step) (n uint32) {
+func Faults(s timeline.Interval) (n uint32) {
 	for status, count := range s.Ends {
 		if st := decide.Status(status); st != decide.OK && st != decide.Superseded && st != decide.Cancelled {
 			n += count
@@ -167,7 +167,7 @@
 }
 
 // Refused tells a step's refusals and failures by reason, each with its count.
-func Refused(s timeline.Step) string {
+func Refused(s timeline.Interval) string {
 	var text strings.Builder
 	known := uint32(0)
 	tell := func(reason string, n uint32) {
@@ -176,14 +176,14 @@
 			known += n
 		}
 	}
-	for why, n := range s.Reasons.Module {
+	for why, n := range s.RejectReasons.Module {
 		tell(decide.RejectReason(why).String(), n)
 	}
-	for by, n := range s.Reasons.Relay[recorder.Nobody+1:] {
-		tell((recorder.Nobody + 1 + recorder.By(by)).String(), n)
+	for by, n := range s.RejectReasons.Relay[recorder.Nobody+1:] {
+		tell((recorder.Nobody + 1 + recorder.Initiator(by)).String(), n)
 	}
-	if s.Refusals > known { // also those of a store that was written before reasons were kept
-		tell("not told", s.Refusals-known)
+	if s.Rejections > known { // also those of a store that was written before reasons were kept
+		tell("not told", s.Rejections-known)
 	}
 	return text.String()
 }
@@ -193,7 +193,7 @@
 // Show draws each line: its bands, its load as a row of characters, counts and events.
 func (r *Report) Show(w io.Writer, width int) error {
 	for _, s := range r.Servers {
-		if s.Name == timeline.Fleet && len(s.Events) == 0 && total(s.Steps).Refusals == 0 {
+		if s.Name == timeline.FleetName && len(s.Events) == 0 && total(s.Steps).Rejections == 0 {
 			continue
 		}
 		fmt.Fprintf(w, "%s  %s\n", who(s.Name), s.State)
@@ -217,8 +217,8 @@
 			}
 			t := total(s.Steps)
 			fmt.Fprintf(w, "  load %s|%s|%s  (. idle, @ full)\n", Clock(from), row, Clock(to))
-			fmt.Fprintf(w, "  placed %d, retries %d, up %d, moved %d, refused %d, probes %d (%d lost), told by others %d; set-up 99 %% %.1f ms at worst\n", t.Places,
-				t.Retries, t.Ups, t.Moves, t.Refusals, t.Probes, t.Lost, t.Told, t.Setup[1])
+			fmt.Fprintf(w, "  placed %d, retries %d, up %d, moved %d, refused %d, probes %d (%d lost), told by others %d; set-up 99 %% %.1f ms at worst\n", t.Placements,
+				t.Retries, t.Connections, t.Migrations, t.Rejections, t.Probes, t.ProbesLost, t.PeerReadings, t.Setup[1])
 			if f := Faults(t); f > 0 {
 				fmt.Fprintf(w, "  faults:")
 				for status, n := range t.Ends {
@@ -228,7 +228,7 @@
 				}
 				fmt.Fprintln(w)
 			}
-			if t.Refusals > 0 {
+			if t.Rejections > 0 {
 				fmt.Fprintf(w, "  refused:%s\n", Refused(t))
 			}
 		}
@@ -248,7 +248,7 @@
 			if err := out.Encode(struct {
 				Server string `json:"server"`
 				Kind   string `json:"kind"`
-				timeline.Band
+				timeline.StatePeriod
 			}{s.Name, "band", b}); err != nil {
 				return err
 			}
@@ -257,7 +257,7 @@
 			if err := out.Encode(struct {
 				Server string `json:"server"`
 				Kind   string `json:"kind"`
-				timeline.Step
+				timeline.Interval
 			}{s.Name, "step", x}); err != nil {
 				return err
 			}
@@ -284,8 +284,8 @@
 	for _, s := range r.Servers {
 		for _, x := range s.Steps {
 			out.Write([]string{s.Name, strconv.FormatFloat(x.From, 'f', 0, 64), strconv.FormatFloat(x.Width, 'f', 0, 64),
-				strconv.Itoa(int(x.Held)), u(x.Places), u(x.Retries), u(x.Ups), u(x.Moves), u(x.Refusals), u(Faults(x)), u(x.Probes), u(x.Lost),
-				f(x.Load[0]), f(x.Load[1]), f(x.Load[2]), f(x.Setup[0]), f(x.Setup[1]), f(x.Slow), u(x.Told), strings.TrimSpace(Refused(x))})
+				strconv.Itoa(int(x.OpenConnections)), u(x.Placements), u(x.Retries), u(x.Connections), u(x.Migrations), u(x.Rejections), u(Faults(x)), u(x.Probes), u(x.ProbesLost),
+				f(x.Load[0]), f(x.Load[1]), f(x.Load[2]), f(x.Setup[0]), f(x.Setup[1]), f(x.SlowestMessage), u(x.PeerReadings), strings.TrimSpace(Refused(x))})
 		}
 	}
 	out.Flush()
--- a/internal/observe/report/report_test.go
+++ b/internal/observe/report/report_test.go
@@ -11,10 +11,10 @@
 
 // The fleet's line tells refusals by reason; those of an old store, which has no reasons, are told as such.
 func TestShowTellsReasons(t *testing.T) {
-	step := timeline.Step{From: 1e6, Width: 1000, Refusals: 10}
-	step.Reasons.Module[decide.NoCapacity], step.Reasons.Module[decide.RetryBudgetExhausted] = 4, 2
-	step.Reasons.Relay[recorder.Door] = 1
-	r := Report{Servers: []Server{{Name: timeline.Fleet, Steps: []timeline.Step{step}}}}
+	step := timeline.Interval{From: 1e6, Width: 1000, Rejections: 10}
+	step.RejectReasons.Module[decide.NoCapacity], step.RejectReasons.Module[decide.RetryBudgetExhausted] = 4, 2
+	step.RejectReasons.Relay[recorder.DescriptorLimit] = 1
+	r := Report{Servers: []Server{{Name: timeline.FleetName, Steps: []timeline.Interval{step}}}}
 	var shown, table strings.Builder
 	if err := r.Show(&shown, 60); err != nil {
 		t.Fatal(err)
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -26,7 +26,7 @@
 	const servers = 200
 	clock := relay.NewManualClock()
 	x := relay.NewRequestTable(&relay.Deployment{}, clock, nil)
-	w := New(Config{Buffer: 1 << 15, Limits: timeline.Default(), Most: servers}, x, zerolog.Nop())
+	w := New(Config{Buffer: 1 << 15, Limits: timeline.DefaultLimits(), Most: servers}, x, zerolog.Nop())
 	var list []relay.Endpoint
 	for i := range servers {
 		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Mode: decide.Ready})
@@ -41,11 +41,11 @@
 		for i := range servers {
 			for k := range 3 {
 				at := now + float64(k)*300
-				x.Recorder.Put(&recorder.Record{At: at, Kind: recorder.Place, Server: int32(i)})
-				x.Recorder.Put(&recorder.Record{At: at + 3, Kind: recorder.Up, Server: int32(i), Took: 3})
-				x.Recorder.Put(&recorder.Record{At: at + 200, Kind: recorder.End, Server: int32(i), By: recorder.Client, Status: decide.Cancelled, WasUp: true})
+				x.Recorder.Put(&recorder.Record{At: at, Kind: recorder.AttemptStarted, Server: int32(i)})
+				x.Recorder.Put(&recorder.Record{At: at + 3, Kind: recorder.ConnectionUp, Server: int32(i), Elapsed: 3})
+				x.Recorder.Put(&recorder.Record{At: at + 200, Kind: recorder.AttemptEnded, Server: int32(i), Initiator: recorder.Client, Status: decide.Cancelled, WasConnected: true})
 			}
-			x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.Probe, Server: int32(i), Load: 0.4, Took: 0.4})
+			x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.ProbeEnded, Server: int32(i), Load: 0.4, Elapsed: 0.4})
 		}
 		n += servers * 10
 		now += 1000
@@ -73,7 +73,7 @@
 	for r := range rows {
 		at := 1.8e12 + float64(r)*rowWidth
 		for i := range servers {
-			text, _ := cbor.Marshal(timeline.Step{From: at, Width: rowWidth, Places: 3, Ups: 3, Probes: 8, Readings: 8, Load: [3]float32{0.1, 0.4, 0.7}, Setup: [3]float32{3, 9, 12}})
+			text, _ := cbor.Marshal(timeline.Interval{From: at, Width: rowWidth, Placements: 3, Connections: 3, Probes: 8, Readings: 8, Load: [3]float32{0.1, 0.4, 0.7}, Setup: [3]float32{3, 9, 12}})
 			s.Append(bucketSteps, int64(at), fmt.Sprint("s-", i), text)
 		}
 		if r%300 == 299 {
--- a/internal/observe/watch/stored_test.go
+++ b/internal/observe/watch/stored_test.go
@@ -32,43 +32,43 @@
 	ctx, stop := context.WithCancel(t.Context())
 	closed := make(chan struct{})
 	go func() { s.Run(ctx); close(closed) }()
-	w := &Watcher{Config: Config{Store: s}, log: zerolog.Nop(), rows: map[string]*timeline.Step{}}
-	for state := timeline.Listed; state <= timeline.LeftOut; state++ {
+	w := &Watcher{Config: Config{Store: s}, log: zerolog.Nop(), rows: map[string]*timeline.Interval{}}
+	for state := timeline.Listed; state <= timeline.Ejected; state++ {
 		from := storedAt + 1000*float64(state)
-		b := timeline.Band{State: state, From: from, Cause: fmt.Sprint("cause ", state)}
+		b := timeline.StatePeriod{State: state, From: from, Cause: fmt.Sprint("cause ", state)}
 		w.band("s1", b)
-		if b.To = from + 1000; state < timeline.LeftOut {
+		if b.To = from + 1000; state < timeline.Ejected {
 			w.band("s1", b)
 		}
 	}
-	full := timeline.Step{
-		From: storedAt, Width: 1000, Places: 2, Retries: 3, Ups: 4, Moves: 5, Refusals: 6,
-		Ends: [8]uint32{1, 2, 3, 4, 5, 6, 7, 8}, Probes: 9, Lost: 10, Held: 11, Load: [3]float32{0.25, 0.5, 0.75},
-		Readings: 12, Setup: [3]float32{1.5, 2.5, 3.5}, Slow: 4.5, Dropped: 13, Merged: true, Told: 14,
+	full := timeline.Interval{
+		From: storedAt, Width: 1000, Placements: 2, Retries: 3, Connections: 4, Migrations: 5, Rejections: 6,
+		Ends: [8]uint32{1, 2, 3, 4, 5, 6, 7, 8}, Probes: 9, ProbesLost: 10, OpenConnections: 11, Load: [3]float32{0.25, 0.5, 0.75},
+		Readings: 12, Setup: [3]float32{1.5, 2.5, 3.5}, SlowestMessage: 4.5, Dropped: 13, Merged: true, PeerReadings: 14,
 	}
-	for i := range full.Reasons.Module {
-		full.Reasons.Module[i] = uint32(100 + i)
+	for i := range full.RejectReasons.Module {
+		full.RejectReasons.Module[i] = uint32(100 + i)
 	}
-	for i := range full.Reasons.Relay {
-		full.Reasons.Relay[i] = uint32(200 + i)
+	for i := range full.RejectReasons.Relay {
+		full.RejectReasons.Relay[i] = uint32(200 + i)
 	}
 	w.step("s1", full)
 	full.From += 2000
 	w.step("s1", full) // into the same row
 	full.From += 20_000
 	w.step("s1", full) // into the next
-	w.step(timeline.Fleet, timeline.Step{From: storedAt, Width: 1000, Load: [3]float32{-1, -1, -1}})
-	for _, line := range []string{"s1", timeline.Fleet} {
+	w.step(timeline.FleetName, timeline.Interval{From: storedAt, Width: 1000, Load: [3]float32{-1, -1, -1}})
+	for _, line := range []string{"s1", timeline.FleetName} {
 		w.put(line, w.rows[line])
 	}
-	for kind := anomaly.Kind(0); kind <= anomaly.Relays; kind++ {
+	for kind := anomaly.Kind(0); kind <= anomaly.RelayChanged; kind++ {
 		from := storedAt + 100*float64(kind)
 		e := anomaly.Event{Server: "s1", Kind: kind, Name: kind.String(), From: from, Evidence: "seen", Confidence: 0.5}
-		if kind == anomaly.NoList || kind == anomaly.Relays {
+		if kind == anomaly.EndpointListUnreachable || kind == anomaly.RelayChanged {
 			e.Server = ""
 		}
 		w.changed(e)
-		if kind != anomaly.Slow { // this one lasts
+		if kind != anomaly.SlowSetup { // this one lasts
 			e.To, e.Confidence, e.Evidence = from+50, 1, "over"
 			w.changed(e)
 		}
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -45,13 +45,13 @@
 	log zerolog.Logger
 
 	mu      sync.Mutex
-	book    *timeline.Book
-	depart  *anomaly.Watch
+	book    *timeline.Timelines
+	depart  *anomaly.Detector
 	names   []string
 	events  []anomaly.Event // ended ones and those that last, by their beginnings
 	dropped uint64
 	folded  uint64
-	rows    map[string]*timeline.Step // the open row of each line
+	rows    map[string]*timeline.Interval // the open row of each line
 	written float64
 	follow  map[chan anomaly.Event]bool
 	spare   []recorder.Record
@@ -61,10 +61,10 @@
 // New returns a Watcher of an Exchange, which it gives a tap. It is called before the Exchange is used.
 func New(c Config, x *relay.RequestTable, log zerolog.Logger) *Watcher {
 	w := &Watcher{Config: c, x: x, log: log, book: timeline.New(c.Limits), depart: anomaly.New(c.Most),
-		rows: map[string]*timeline.Step{}, follow: map[chan anomaly.Event]bool{}}
+		rows: map[string]*timeline.Interval{}, follow: map[chan anomaly.Event]bool{}}
 	x.Recorder = recorder.New(c.Buffer)
 	if c.Store != nil {
-		w.book.Sink = timeline.Sink{Band: w.band, Step: w.step}
+		w.book.Sink = timeline.Sink{StateChanged: w.band, IntervalComplete: w.step}
 	}
 	return w
 }
@@ -88,7 +88,7 @@
 func (w *Watcher) Fold() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	records := w.x.Recorder.Take(w.spare)
+	records := w.x.Recorder.TakeAll(w.spare)
 	for i := range records {
 		r := &records[i]
 		w.take(r)
@@ -99,10 +99,10 @@
 
 func (w *Watcher) take(r *recorder.Record) {
 	r.At = w.x.Clock.Unix(r.At)
-	if r.Since > 0 {
-		r.Since = w.x.Clock.Unix(r.Since)
+	if r.StartedAt > 0 {
+		r.StartedAt = w.x.Clock.Unix(r.StartedAt)
 	}
-	name := timeline.Fleet
+	name := timeline.FleetName
 	if r.Server >= 0 {
 		if int(r.Server) >= len(w.names) {
 			w.names = w.x.ServerIDs(len(w.names), w.names)
@@ -110,11 +110,11 @@
 		name = w.names[r.Server]
 	}
 	w.folded++
-	if r.Kind == recorder.Dropped {
+	if r.Kind == recorder.RecordsDropped {
 		w.dropped += uint64(r.Count)
 	}
-	w.book.Fold(name, r)
-	w.depart.Take(name, r)
+	w.book.Apply(name, r)
+	w.depart.Observe(name, r)
 	w.look(r.At)
 }
 
@@ -144,7 +144,7 @@
 func (w *Watcher) changed(e anomaly.Event) {
 	line := w.log.Info().Str("server", e.Server).Str("event", e.Name).Str("evidence", e.Evidence)
 	switch {
-	case e.Kind == anomaly.Relays: // whoever heard of it has a line for it
+	case e.Kind == anomaly.RelayChanged: // whoever heard of it has a line for it
 	case e.To != 0:
 		line.Msg("departure ended")
 	default:
@@ -186,7 +186,7 @@
 	if cause != "" {
 		what += " (" + cause + ")"
 	}
-	w.changed(anomaly.Event{Kind: anomaly.Relays, Name: anomaly.Relays.String(), From: at, To: at, Evidence: what, Confidence: 1})
+	w.changed(anomaly.Event{Kind: anomaly.RelayChanged, Name: anomaly.RelayChanged.String(), From: at, To: at, Evidence: what, Confidence: 1})
 }
 
 // The store's buckets.
@@ -205,12 +205,12 @@
 	w.Store.Append(bucket, at, id, text)
 }
 
-func (w *Watcher) band(line string, b timeline.Band) {
+func (w *Watcher) band(line string, b timeline.StatePeriod) {
 	w.append(bucketBands, int64(b.From), line, b)
 }
 
 // step adds a step of the finest width to the line's open row.
-func (w *Watcher) step(line string, s timeline.Step) {
+func (w *Watcher) step(line string, s timeline.Interval) {
 	from := float64(int64(s.From/rowWidth)) * rowWidth
 	row := w.rows[line]
 	if row != nil && row.From != from {
@@ -226,7 +226,7 @@
 	*row = merged
 }
 
-func (w *Watcher) put(line string, row *timeline.Step) {
+func (w *Watcher) put(line string, row *timeline.Interval) {
 	w.append(bucketSteps, int64(row.From), line, row)
 }
 
@@ -235,7 +235,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.Store != nil {
-		w.book.Seal()
+		w.book.CompleteAll()
 		for name, row := range w.rows {
 			w.put(name, row)
 		}
@@ -266,21 +266,21 @@
 	now := w.x.Clock.Unix(w.x.Clock.NowMillis())
 	r := &report.Report{Relay: w.Relay, At: now, Dropped: w.dropped, Evicted: w.book.Evicted}
 	if w.Store != nil {
-		if err := w.Store.Failing(); err != nil {
+		if err := w.Store.WriteError(); err != nil {
 			r.Store = err.Error()
 		}
-		r.Dropped += w.Store.Dropped()
+		r.Dropped += w.Store.DroppedRows()
 	}
 	for _, name := range w.book.Names() {
 		if !q.Wants(name) {
 			continue
 		}
-		l := w.book.Line(name)
-		r.Servers = append(r.Servers, report.Server{Name: name, State: l.State().String(), Held: l.Held(),
-			Bands: slices.Clone(l.Bands), Steps: l.Steps(), Forgotten: l.Forgotten})
+		l := w.book.Server(name)
+		r.Servers = append(r.Servers, report.Server{Name: name, State: l.State().String(), Held: l.OpenConnections(),
+			Bands: slices.Clone(l.States), Steps: l.Intervals(), Forgotten: l.DiscardedBefore})
 	}
 	events := slices.Clone(w.events)
-	for _, c := range w.depart.Current() { // with the evidence that there is now
+	for _, c := range w.depart.Active() { // with the evidence that there is now
 		for i, e := range events {
 			if e.Server == c.Server && e.Kind == c.Kind && e.From == c.From {
 				events[i] = c
@@ -311,7 +311,7 @@
 	var bad error
 	err := s.Scan(bucketSteps, from, to, func(at int64, id string, v []byte) bool {
 		if q.Wants(id) {
-			var step timeline.Step
+			var step timeline.Interval
 			if bad = cbor.Unmarshal(v, &step); bad != nil {
 				return false
 			}
@@ -324,7 +324,7 @@
 	if err == nil {
 		err = s.Scan(bucketBands, 0, to, func(at int64, id string, v []byte) bool {
 			if q.Wants(id) {
-				var b timeline.Band
+				var b timeline.StatePeriod
 				if bad = cbor.Unmarshal(v, &b); bad != nil {
 					return false
 				}
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -53,7 +53,7 @@
 		ConnectTimeout: relay.Duration(300), Rules: decide.Rules{SlowStartWindow: relay.Duration(3000), SlowStartCapacity: 0.36, OverloadFactor: 4,
 			OverloadWindow: relay.Duration(1500)}, Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(800), Deadline: relay.Duration(3000)}}}}
 	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock, ConnectTimeout: 300, LoadKey: "x0", Keep: 64})
-	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.Default(), Most: 100, Store: s}, x, zerolog.Nop())}
+	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), Most: 100, Store: s}, x, zerolog.Nop())}
 	for i := range servers {
 		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", feed, ledger)
 		if err != nil {
@@ -148,8 +148,8 @@
 		known := 0
 		for _, s := range w.w.Report(report.Query{}).Servers {
 			total := sum(s)
-			if ups[s.Name] = 0; total.Ups >= 14 && total.Probes >= 6 {
-				ups[s.Name] = total.Ups
+			if ups[s.Name] = 0; total.Connections >= 14 && total.Probes >= 6 {
+				ups[s.Name] = total.Connections
 				known++
 			}
 		}
@@ -173,7 +173,7 @@
 		w.wait(fmt.Sprint(w.servers[i].ID, " ", s), func() bool {
 			w.w.mu.Lock()
 			defer w.w.mu.Unlock()
-			for _, b := range w.w.book.Line(w.servers[i].ID).Bands {
+			for _, b := range w.w.book.Server(w.servers[i].ID).States {
 				if b.State == s {
 					return true
 				}
@@ -187,11 +187,11 @@
 	w.servers[1].Turn(fake.Knobs{Erring: true})
 	w.servers[2].Turn(fake.Knobs{ProbeDelay: 120 * time.Millisecond})
 	w.servers[3].Turn(fake.Knobs{UpDelay: 150 * time.Millisecond})
-	expect(0, anomaly.Silent)
-	expect(1, anomaly.Errors)
-	expect(2, anomaly.LateAnswers)
-	expect(3, anomaly.Slow)
-	state(0, timeline.Silent)
+	expect(0, anomaly.Unresponsive)
+	expect(1, anomaly.ErrorBurst)
+	expect(2, anomaly.LateProbeReplies)
+	expect(3, anomaly.SlowSetup)
+	state(0, timeline.Unresponsive)
 	w.servers[0].Silence(false)
 	for i := 1; i <= 3; i++ {
 		w.servers[i].Turn(fake.Knobs{})
@@ -201,10 +201,10 @@
 	w.servers[5].SendAway(2)
 	w.servers[6].Turn(fake.Knobs{Extra: 0.9})
 	w.servers[7].Turn(fake.Knobs{Frozen: true})
-	expect(4, anomaly.Refusing)
-	expect(5, anomaly.DrainUnsaid)
-	expect(6, anomaly.Uneven)
-	expect(7, anomaly.Frozen)
+	expect(4, anomaly.RejectingAll)
+	expect(5, anomaly.UnannouncedDrain)
+	expect(6, anomaly.UnevenLoad)
+	expect(7, anomaly.FrozenReport)
 	w.servers[4].Refuse(false)
 	w.servers[6].Turn(fake.Knobs{})
 	w.servers[7].Turn(fake.Knobs{})
@@ -213,7 +213,7 @@
 		w.wait(name+" holds connections", func() bool {
 			w.w.mu.Lock()
 			defer w.w.mu.Unlock()
-			return w.w.book.Line(name).Held() >= 3
+			return w.w.book.Server(name).OpenConnections() >= 3
 		})
 	}
 	holds(w.servers[8].ID)
@@ -234,7 +234,7 @@
 	expect(11, anomaly.Flapping)
 	w.x.UpdateEndpoints(decide.WatchFailed, nil)
 	w.x.UpdateEndpoints(decide.WatchFailed, nil)
-	expect(-1, anomaly.NoList)
+	expect(-1, anomaly.EndpointListUnreachable)
 
 	old := w.servers[12] // dies, and another process takes its address; the list says nothing
 	holds(old.ID)
@@ -246,12 +246,12 @@
 	}
 	defer s.Kill()
 	s.Capacity = 40
-	expect(12, anomaly.RestartedUnsaid)
+	expect(12, anomaly.UnannouncedRestart)
 
 	// What a machine that is short of time makes of itself is not a fault of the script: these two are about time.
-	clocked := map[anomaly.Kind]bool{anomaly.Slow: true, anomaly.LateAnswers: true}
+	clocked := map[anomaly.Kind]bool{anomaly.SlowSetup: true, anomaly.LateProbeReplies: true}
 	// What follows from a fault at the same server.
-	follows := map[want]bool{{w.servers[3].ID, anomaly.Uneven}: true, {w.servers[7].ID, anomaly.Uneven}: true, {w.servers[0].ID, anomaly.RestartedUnsaid}: true}
+	follows := map[want]bool{{w.servers[3].ID, anomaly.UnevenLoad}: true, {w.servers[7].ID, anomaly.UnevenLoad}: true, {w.servers[0].ID, anomaly.UnannouncedRestart}: true}
 	for _, e := range w.w.Report(report.Query{}).Events() {
 		k := want{e.Server, e.Kind}
 		if e.From < faults { // when all clients came at once
@@ -267,7 +267,7 @@
 	t.Logf("%d kinds of event and 5 of state on 14 servers in %.0f s", len(expected), time.Since(began).Seconds())
 }
 
-func sum(s report.Server) (t timeline.Step) {
+func sum(s report.Server) (t timeline.Interval) {
 	for _, x := range s.Steps {
 		t = timeline.Merge(t, x)
 	}
@@ -287,9 +287,9 @@
 	w := newTown(t, 4, s)
 	w.clients(20)
 	w.servers[0].Silence(true)
-	w.wait("silent", func() bool { return w.event("s0", anomaly.Silent) != nil })
+	w.wait("silent", func() bool { return w.event("s0", anomaly.Unresponsive) != nil })
 	w.servers[0].Silence(false)
-	w.wait("and it ends", func() bool { return w.event("s0", anomaly.Silent).To != 0 })
+	w.wait("and it ends", func() bool { return w.event("s0", anomaly.Unresponsive).To != 0 })
 	live := w.w.Report(report.Query{})
 	w.w.Rest()
 	s.Flush()
@@ -314,8 +314,8 @@
 				continue
 			}
 			found = true
-			if a, b := sum(l), sum(k); a.Places > b.Places || a.Probes > b.Probes || b.Places == 0 {
-				t.Errorf("%s: %d placements and %d probes live, %d and %d kept", l.Name, a.Places, a.Probes, b.Places, b.Probes)
+			if a, b := sum(l), sum(k); a.Placements > b.Placements || a.Probes > b.Probes || b.Placements == 0 {
+				t.Errorf("%s: %d placements and %d probes live, %d and %d kept", l.Name, a.Placements, a.Probes, b.Placements, b.Probes)
 			}
 			if len(k.Bands) < len(l.Bands) || !reflect.DeepEqual(k.Bands[:len(l.Bands)], l.Bands) {
 				t.Errorf("%s: bands %+v, kept %+v", l.Name, l.Bands, k.Bands)
--- a/internal/ownership/model_test.go
+++ b/internal/ownership/model_test.go
@@ -13,7 +13,7 @@
 // The model: a claim service with sessions, two or three relays whose clocks run at different rates, and an
 // adversary that delays, cuts, pauses and repeats. It knows nothing of how a Keeper works.
 
-const sessionMs = 6000.0
+const modelSessionMs = 6000.0
 
 type node struct {
 	record  Record
@@ -31,7 +31,7 @@
 // expire ends sessions that were silent for their time-out, and deletes their holders.
 func (s *service) expire() {
 	for id, at := range s.heard {
-		if s.now-at >= sessionMs {
+		if s.now-at >= modelSessionMs {
 			delete(s.heard, id)
 			for _, n := range s.nodes {
 				if n.owner == id {
@@ -42,35 +42,35 @@
 	}
 }
 
-func (s *service) do(session int64, a Ask) Reply {
-	r := Reply{Ask: a.No}
+func (s *service) do(session int64, a Request) Reply {
+	r := Reply{RequestID: a.ID}
 	n := s.nodes[a.Stream]
 	switch {
-	case a.Kind == Make && n != nil:
-		r.Code = Exists
-	case a.Kind == Make:
+	case a.Kind == CreateAndAcquire && n != nil:
+		r.Code = AlreadyExists
+	case a.Kind == CreateAndAcquire:
 		s.nodes[a.Stream] = &node{record: a.Record, owner: session}
 	case n == nil:
-		r.Code = NoNode
-	case a.Kind == Read:
+		r.Code = NotFound
+	case a.Kind == ReadRecord:
 		r.Record, r.Version = n.record, n.version
-	case a.Kind == Take && n.owner != 0:
-		r.Code = Exists
-	case (a.Kind == Take || a.Kind == Raise) && n.version != a.Version:
-		r.Code = BadVersion
-	case a.Kind == Take || a.Kind == Raise:
+	case a.Kind == UpdateAndAcquire && n.owner != 0:
+		r.Code = AlreadyExists
+	case (a.Kind == UpdateAndAcquire || a.Kind == UpdateRecord) && n.version != a.Version:
+		r.Code = VersionMismatch
+	case a.Kind == UpdateAndAcquire || a.Kind == UpdateRecord:
 		n.version++
 		n.record, r.Version = a.Record, n.version
-		if a.Kind == Take {
+		if a.Kind == UpdateAndAcquire {
 			n.owner = session
 		}
 	case n.owner == 0:
-		r.Code = NoNode
-	case a.Kind == Look:
-		r.Owner = n.owner
-	case a.Kind == Delete:
+		r.Code = NotFound
+	case a.Kind == CheckHolder:
+		r.OwnerSession = n.owner
+	case a.Kind == DeleteHolder:
 		if n.owner != session { // a Keeper must never take another's claim away
-			r.Code = Other + 1
+			r.Code = ServiceError + 1
 			return r
 		}
 		n.owner = 0
@@ -80,26 +80,26 @@
 
 // caller is one opening of a stream at one relay.
 type caller struct {
-	handle  uint64
-	stream  int
-	token   uint64
-	asked   float64
-	answers int
-	won     bool
-	mute    bool // slept past the end of its trust
-	gen     uint64
-	lapsed  float64 // local time, 0 if not
+	handle         uint64
+	stream         int
+	shownToken     uint64
+	askedAt        float64
+	answers        int
+	owned          bool
+	sleptPastLease bool // slept past the end of its trust
+	fencingToken   uint64
+	expiredAt      float64 // local time, 0 if not
 }
 
 type inFlight struct {
-	ask  Ask
+	ask  Request
 	sent float64
 	r    Reply
 	done bool
 }
 
 type relay struct {
-	k         *Keeper
+	lease     *Lease
 	rate      float64
 	paused    bool
 	connected bool
@@ -110,24 +110,24 @@
 }
 
 type world struct {
-	rng     *rand.Rand
-	calm    int // how much rarer faults are
-	svc     *service
-	relays  []*relay
-	streams []token.StreamID
-	tokens  [][]uint64 // generations of all tokens ever given, by stream
-	highest []uint64   // generation won last
-	handles uint64
-	trace   []string
-	wins    int
-	refused map[Why]int
+	rng          *rand.Rand
+	calm         int // how much rarer faults are
+	svc          *service
+	relays       []*relay
+	streams      []token.StreamID
+	tokens       [][]uint64 // generations of all tokens ever given, by stream
+	highest      []uint64   // generation won last
+	handles      uint64
+	trace        []string
+	acquisitions int
+	rejected     map[RejectReason]int
 }
 
 func newWorld(seed uint64, relays, streams int) *world {
-	w := &world{calm: 1 + int(seed/6%4)*3, rng: rand.New(rand.NewPCG(seed, 1)), refused: map[Why]int{},
+	w := &world{calm: 1 + int(seed/6%4)*3, rng: rand.New(rand.NewPCG(seed, 1)), rejected: map[RejectReason]int{},
 		svc: &service{nodes: map[token.StreamID]*node{}, heard: map[int64]float64{}}}
 	for i := range relays {
-		w.relays = append(w.relays, &relay{k: New(seed + uint64(i)), rate: 0.976 + 0.048*w.rng.Float64(), callers: map[uint64]*caller{}})
+		w.relays = append(w.relays, &relay{lease: New(seed + uint64(i)), rate: 0.976 + 0.048*w.rng.Float64(), callers: map[uint64]*caller{}})
 	}
 	w.streams = make([]token.StreamID, streams)
 	for i := range w.streams {
@@ -144,8 +144,8 @@
 	panic(violation(fmt.Sprintf(format, args...) + "\n" + strings.Join(w.trace[max(0, len(w.trace)-60):], "\n")))
 }
 
-// try plays a world and returns what was found.
-func (w *world) try(steps int) (found error) {
+// findViolation plays a world and returns what was found.
+func (w *world) findViolation(steps int) (found error) {
 	defer func() {
 		if v, ok := recover().(violation); ok {
 			found = errors.New(string(v))
@@ -157,52 +157,52 @@
 
 func (w *world) local(r *relay) float64 { return 1000 + w.svc.now*r.rate }
 
-func (w *world) tell(i int, ev Event) {
+func (w *world) deliver(i int, ev Event) {
 	r := w.relays[i]
 	w.trace = append(w.trace, fmt.Sprintf("%.0f relay %d %T%+v", w.svc.now, i, ev, ev))
 	now := w.local(r)
-	for _, act := range r.k.Handle(now, ev, nil) {
+	for _, act := range r.lease.Handle(now, ev, nil) {
 		w.trace = append(w.trace, fmt.Sprintf("    %T%+v", act, act))
 		switch a := act.(type) {
-		case Ask:
+		case Request:
 			if !r.connected {
 				w.fail("asks without a connection: %+v", a)
 			}
 			r.wire = append(r.wire, &inFlight{ask: a, sent: now})
-		case Won:
+		case Acquired:
 			c := r.callers[a.Handle]
 			if c.answers++; c.answers > 1 {
 				w.fail("two answers for %+v", c)
 			}
-			c.won, c.gen = true, a.Generation
-			if a.Generation <= w.highest[c.stream] {
-				w.fail("generation %d won after %d", a.Generation, w.highest[c.stream])
+			c.owned, c.fencingToken = true, a.FencingToken
+			if a.FencingToken <= w.highest[c.stream] {
+				w.fail("generation %d won after %d", a.FencingToken, w.highest[c.stream])
 			}
-			if n := w.svc.nodes[w.streams[c.stream]]; c.token != 0 && c.token < n.record.Floor {
-				w.fail("a token of %d won below the floor %d", c.token, n.record.Floor)
+			if n := w.svc.nodes[w.streams[c.stream]]; c.shownToken != 0 && c.shownToken < n.record.MinFencingToken {
+				w.fail("a token of %d won below the floor %d", c.shownToken, n.record.MinFencingToken)
 			}
-			w.highest[c.stream] = a.Generation
-			w.tokens[c.stream] = append(w.tokens[c.stream], a.Generation)
-			w.wins++
-		case Refused:
+			w.highest[c.stream] = a.FencingToken
+			w.tokens[c.stream] = append(w.tokens[c.stream], a.FencingToken)
+			w.acquisitions++
+		case Rejected:
 			c := r.callers[a.Handle]
 			if c.answers++; c.answers > 1 {
 				w.fail("two answers for %+v", c)
 			}
-			if (a.Why == Held || a.Why == Unreachable || a.Why == Slow) != (a.After > 0) || a.After > sessionMs {
+			if (a.Reason == ErrAlreadyOwned || a.Reason == ErrServiceUnreachable || a.Reason == ErrTimedOut) != (a.RetryAfter > 0) || a.RetryAfter > modelSessionMs {
 				w.fail("refused with %+v", a)
 			}
-			w.refused[a.Why]++
+			w.rejected[a.Reason]++
 			delete(r.callers, a.Handle)
-		case Lapsed:
+		case LeaseExpired:
 			c := r.callers[a.Handle]
-			if c == nil || c.answers != 1 || c.lapsed != 0 {
+			if c == nil || c.answers != 1 || c.expiredAt != 0 {
 				w.fail("lapsed: %+v", c)
 			}
-			c.lapsed = now
+			c.expiredAt = now
 		}
 	}
-	w.check()
+	w.checkSingleOwner()
 }
 
 // wake ends a relay's sleep. What it slept past the end of its trust passes no line again, as it looks at the
@@ -211,21 +211,21 @@
 	r := w.relays[i]
 	r.paused = false
 	for _, c := range r.callers {
-		c.mute = c.mute || c.won && w.local(r) >= r.k.Until()
+		c.sleptPastLease = c.sleptPastLease || c.owned && w.local(r) >= r.lease.ValidUntil()
 	}
-	w.tell(i, Tick{})
+	w.deliver(i, Tick{})
 }
 
 // serving tells whether a caller may be served at this instant. A relay that is asleep counts until what it
 // passed on last, just before the end of its trust, has surely been written.
 func (w *world) serving(r *relay, c *caller) bool {
-	if !c.won || c.mute {
+	if !c.owned || c.sleptPastLease {
 		return false
 	}
-	return !r.paused || w.local(r) < r.k.Until()+r.k.margin
+	return !r.paused || w.local(r) < r.lease.ValidUntil()+r.lease.margin
 }
 
-func (w *world) check() {
+func (w *world) checkSingleOwner() {
 	for s := range w.streams {
 		var who []int
 		for i, r := range w.relays {
@@ -241,7 +241,7 @@
 	}
 }
 
-func (w *world) cut(i int) {
+func (w *world) disconnect(i int) {
 	r := w.relays[i]
 	if !r.connected {
 		return
@@ -252,9 +252,9 @@
 	wire := r.wire
 	r.connected, r.wire = false, nil
 	for _, f := range wire {
-		w.tell(i, Reply{Ask: f.ask.No, Code: Lost})
+		w.deliver(i, Reply{RequestID: f.ask.ID, Code: NoReply})
 	}
-	w.tell(i, Disconnected{})
+	w.deliver(i, SessionDisconnected{})
 }
 
 func (w *world) connect(i int) {
@@ -265,14 +265,14 @@
 	if _, stands := w.svc.heard[r.session]; !stands {
 		if r.session != 0 {
 			r.session = 0
-			w.tell(i, Expired{})
+			w.deliver(i, SessionExpired{})
 		}
 		w.svc.sessions++
 		r.session = w.svc.sessions
 	}
 	w.svc.heard[r.session] = w.svc.now
 	r.connected = true
-	w.tell(i, Connected{r.session, sessionMs, w.local(r)})
+	w.deliver(i, SessionConnected{r.session, modelSessionMs, w.local(r)})
 }
 
 // serve lets the service do a relay's next request.
@@ -286,9 +286,9 @@
 			return // it would close the connection
 		}
 		w.svc.heard[r.session] = w.svc.now
-		if f.ask.No != 0 {
+		if f.ask.ID != 0 {
 			f.r = w.svc.do(r.session, f.ask)
-			if f.r.Code > Other {
+			if f.r.Code > ServiceError {
 				w.fail("relay %d deletes another's holder: %+v", i, f.ask)
 			}
 		}
@@ -297,17 +297,17 @@
 	}
 }
 
-// hear lets a relay have its next answer.
-func (w *world) hear(i int) {
+// deliverReply lets a relay have its next answer.
+func (w *world) deliverReply(i int) {
 	r := w.relays[i]
 	if len(r.wire) == 0 || !r.wire[0].done {
 		return
 	}
 	f := r.wire[0]
 	r.wire = r.wire[1:]
-	w.tell(i, Proven{f.sent})
-	if f.ask.No != 0 {
-		w.tell(i, f.r)
+	w.deliver(i, Renewed{f.sent})
+	if f.ask.ID != 0 {
+		w.deliver(i, f.r)
 	}
 }
 
@@ -316,20 +316,20 @@
 	for end := w.svc.now + ms; w.svc.now < end; {
 		w.svc.now += min(50, end-w.svc.now)
 		w.svc.expire()
-		w.check()
+		w.checkSingleOwner()
 		for i, r := range w.relays {
 			if r.paused {
 				continue
 			}
 			if r.connected {
 				if _, stands := w.svc.heard[r.session]; !stands {
-					w.cut(i)
+					w.disconnect(i)
 				}
 			}
-			w.drops(i, false)
+			w.releaseExpired(i, false)
 			if w.local(r)-r.ticked >= 250 {
 				r.ticked = w.local(r)
-				w.tell(i, Tick{})
+				w.deliver(i, Tick{})
 				if r.connected && len(r.wire) < 20 {
 					r.wire = append(r.wire, &inFlight{sent: r.ticked}) // a ping
 				}
@@ -338,12 +338,12 @@
 	}
 }
 
-// drops ends callers that have lapsed: all, or those that a stuck client may hold up no longer.
-func (w *world) drops(i int, all bool) {
+// releaseExpired ends callers that have lapsed: all, or those that a stuck client may hold up no longer.
+func (w *world) releaseExpired(i int, all bool) {
 	r := w.relays[i]
 	for _, c := range r.sorted() {
-		if c.lapsed != 0 && (all || w.local(r)-c.lapsed >= 950) {
-			w.done(i, c)
+		if c.expiredAt != 0 && (all || w.local(r)-c.expiredAt >= 950) {
+			w.release(i, c)
 		}
 	}
 }
@@ -357,12 +357,12 @@
 	return all
 }
 
-func (w *world) want(i, s int, gen uint64) *caller {
+func (w *world) acquire(i, s int, gen uint64) *caller {
 	w.handles++
 	r := w.relays[i]
-	c := &caller{handle: w.handles, stream: s, token: gen, asked: w.svc.now}
+	c := &caller{handle: w.handles, stream: s, shownToken: gen, askedAt: w.svc.now}
 	r.callers[c.handle] = c
-	w.tell(i, Want{Handle: c.handle, Stream: w.streams[s], Generation: gen, Until: w.local(r) + 500, Expires: 1 << 40})
+	w.deliver(i, Acquire{Handle: c.handle, Stream: w.streams[s], FencingToken: gen, Deadline: w.local(r) + 500, ExpiresUnixMs: 1 << 40})
 	return c
 }
 
@@ -380,7 +380,7 @@
 	switch w.rng.IntN(20) {
 	case 0:
 		if w.rng.IntN(4*w.calm) == 0 {
-			w.cut(i)
+			w.disconnect(i)
 		}
 	case 1, 2:
 		w.connect(i)
@@ -399,7 +399,7 @@
 		}
 	case 7, 8, 9: // any token ever given is shown anywhere, and forged generations are too
 		if known := w.tokens[s]; len(known) > 0 {
-			w.want(i, s, known[max(0, len(known)-1-w.rng.IntN(3))]+uint64(w.rng.IntN(12)/11))
+			w.acquire(i, s, known[max(0, len(known)-1-w.rng.IntN(3))]+uint64(w.rng.IntN(12)/11))
 		} else if len(r.callers) == 0 {
 			fresh := true
 			for _, o := range w.relays {
@@ -408,24 +408,24 @@
 				}
 			}
 			if fresh && w.svc.nodes[w.streams[s]] == nil { // no two relays make the same id
-				w.want(i, s, 0)
+				w.acquire(i, s, 0)
 			}
 		}
 	case 5, 10: // a caller is done, or its client has left before it was answered
 		for _, c := range r.sorted() {
-			w.done(i, c)
+			w.release(i, c)
 			break
 		}
 	case 11, 12:
 		for _, c := range r.sorted() {
-			if c.won && c.lapsed == 0 {
-				w.tell(i, Confirm{c.handle, w.rng.IntN(2) == 0, 1<<40 + int64(w.rng.IntN(3))})
+			if c.owned && c.expiredAt == 0 {
+				w.deliver(i, ExtendRecord{c.handle, w.rng.IntN(2) == 0, 1<<40 + int64(w.rng.IntN(3))})
 			}
 		}
 	case 13, 14, 15, 16:
 		w.serve(i)
 	default:
-		w.hear(i)
+		w.deliverReply(i)
 	}
 }
 
@@ -438,24 +438,24 @@
 		w.connect(i)
 		for range 4 {
 			w.serve(i)
-			w.hear(i)
+			w.deliverReply(i)
 		}
 		if known := w.tokens[s]; len(known) > 0 && len(r.callers) == 0 {
-			w.want(i, s, known[len(known)-1])
+			w.acquire(i, s, known[len(known)-1])
 		}
 		w.pass(50)
 	}
 }
 
-// done ends a caller.
-func (w *world) done(i int, c *caller) {
-	c.won = false
-	w.tell(i, Drop{c.handle})
+// release ends a caller.
+func (w *world) release(i int, c *caller) {
+	c.owned = false
+	w.deliver(i, Release{c.handle})
 	delete(w.relays[i].callers, c.handle)
 }
 
-// settle ends all faults.
-func (w *world) settle(ms float64) {
+// runWithoutFaults ends all faults.
+func (w *world) runWithoutFaults(ms float64) {
 	for range int(ms / 50) {
 		w.pass(50)
 		for i, r := range w.relays {
@@ -466,7 +466,7 @@
 			for len(r.wire) > 0 && r.connected {
 				before := len(r.wire)
 				w.serve(i)
-				w.hear(i)
+				w.deliverReply(i)
 				if len(r.wire) >= before && !r.wire[0].done {
 					break
 				}
@@ -480,60 +480,60 @@
 		w.step()
 	}
 	// Progress: once faults have stopped every caller has its answer, and the newest token wins somewhere.
-	w.settle(2 * sessionMs)
+	w.runWithoutFaults(2 * modelSessionMs)
 	for i, r := range w.relays {
 		for _, c := range r.sorted() {
 			if c.answers != 1 {
 				w.fail("relay %d: no answer for %+v", i, c)
 			}
-			w.done(i, c)
+			w.release(i, c)
 		}
 	}
-	w.settle(1000)
+	w.runWithoutFaults(1000)
 	for s, known := range w.tokens {
 		if len(known) == 0 {
 			continue
 		}
 		i := w.rng.IntN(len(w.relays))
-		c := w.want(i, s, known[len(known)-1])
-		w.settle(400)
-		if !c.won {
+		c := w.acquire(i, s, known[len(known)-1])
+		w.runWithoutFaults(400)
+		if !c.owned {
 			w.fail("no progress for stream %d with its newest token %d: %+v", s, known[len(known)-1], w.svc.nodes[w.streams[s]])
 		}
-		if known[0] < w.svc.nodes[w.streams[s]].record.Floor {
-			w.done(i, c)
-			w.settle(100)
-			before := w.refused[Behind]
-			w.want(i, s, known[0])
-			if w.settle(400); w.refused[Behind] != before+1 {
+		if known[0] < w.svc.nodes[w.streams[s]].record.MinFencingToken {
+			w.release(i, c)
+			w.runWithoutFaults(100)
+			before := w.rejected[ErrStaleToken]
+			w.acquire(i, s, known[0])
+			if w.runWithoutFaults(400); w.rejected[ErrStaleToken] != before+1 {
 				w.fail("a token below the floor was not refused as behind")
 			}
 		}
 	}
 	for i, r := range w.relays { // bounded memory: what nobody holds is forgotten
 		for _, c := range r.sorted() {
-			w.done(i, c)
+			w.release(i, c)
 		}
 	}
-	w.settle(1000)
+	w.runWithoutFaults(1000)
 	for i, r := range w.relays {
-		if r.k.Streams() != 0 || len(r.k.asks) != 0 || len(r.k.handles)+len(r.k.open) != 0 {
-			w.fail("relay %d keeps %d streams, %d asks, %d handles", i, r.k.Streams(), len(r.k.asks), len(r.k.handles))
+		if r.lease.StreamCount() != 0 || len(r.lease.pending) != 0 || len(r.lease.byHandle)+len(r.lease.undecided) != 0 {
+			w.fail("relay %d keeps %d streams, %d asks, %d handles", i, r.lease.StreamCount(), len(r.lease.pending), len(r.lease.byHandle))
 		}
 	}
 }
 
 // Random steps of an adversarial scheduler over 2 and 3 relays: never two holders, never two answers, rising
 // generations, and progress once faults stop.
-func TestNeverTwoHolders(t *testing.T) {
-	wins, refused := 0, map[Why]int{}
+func TestNeverTwoOwners(t *testing.T) {
+	wins, refused := 0, map[RejectReason]int{}
 	for seed := range uint64(400) {
 		w := newWorld(seed, 2+int(seed%2), 1+int(seed%3))
-		if err := w.try(1500); err != nil {
+		if err := w.findViolation(1500); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		wins += w.wins
-		for why, n := range w.refused {
+		wins += w.acquisitions
+		for why, n := range w.rejected {
 			refused[why] += n
 		}
 	}
@@ -548,21 +548,21 @@
 	for seed := range uint64(400) {
 		w := newWorld(seed, 2+int(seed%2), 1+int(seed%3))
 		for _, r := range w.relays {
-			r.k.margin = 0
+			r.lease.margin = 0
 		}
-		if err := w.try(1500); err != nil && strings.Contains(err.Error(), "is served by") {
+		if err := w.findViolation(1500); err != nil && strings.Contains(err.Error(), "is served by") {
 			return
 		}
 	}
 	t.Error("no seed finds what a margin of 0 does")
 }
 
-func FuzzKeeper(f *testing.F) {
+func FuzzLease(f *testing.F) {
 	for seed := range uint64(8) {
 		f.Add(seed, uint16(500))
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
-		if err := newWorld(seed, 2+int(seed%2), 1+int(seed%3)).try(int(steps % 4000)); err != nil {
+		if err := newWorld(seed, 2+int(seed%2), 1+int(seed%3)).findViolation(int(steps % 4000)); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/ownership/stored_test.go
+++ b/internal/ownership/stored_test.go
@@ -11,11 +11,11 @@
 // storedRecords are the records of testdata/records.hex, which the version of 2026-12-03 wrote, line by line.
 var storedRecords = []Record{
 	{},
-	{Generation: 1, Expires: 1_800_000_000_000},
-	{Generation: 7, Floor: 6, Expires: 1_800_003_602_000},
-	{Generation: 1<<64 - 1, Floor: 1<<64 - 2, Expires: 1<<63 - 1},
-	{Generation: 0x0102030405060708, Floor: 0x1112131415161718, Expires: 0x2122232425262728},
-	{Generation: 2, Floor: 1, Expires: -1},
+	{FencingToken: 1, ExpiresUnixMs: 1_800_000_000_000},
+	{FencingToken: 7, MinFencingToken: 6, ExpiresUnixMs: 1_800_003_602_000},
+	{FencingToken: 1<<64 - 1, MinFencingToken: 1<<64 - 2, ExpiresUnixMs: 1<<63 - 1},
+	{FencingToken: 0x0102030405060708, MinFencingToken: 0x1112131415161718, ExpiresUnixMs: 0x2122232425262728},
+	{FencingToken: 2, MinFencingToken: 1, ExpiresUnixMs: -1},
 }
 
 // Records that an earlier version left at the ownership service are read to the same values, and written to the same
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -20,7 +20,7 @@
 		clock *Clock
 		spare []recorder.Record
 	}
-	make1 := func(t *recorder.Tap) *side1 {
+	make1 := func(t *recorder.Recorder) *side1 {
 		clock, wire := NewManualClock(), &side{}
 		site := &Deployment{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true,
 			MaxRetryAfter: Duration(1000), Tick: Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: Duration(300), Deadline: Duration(1000)}}}}
@@ -56,7 +56,7 @@
 				s.c.Step()
 			}
 			if s.c.table.Recorder != nil {
-				s.spare = s.c.table.Recorder.Take(s.spare)
+				s.spare = s.c.table.Recorder.TakeAll(s.spare)
 			}
 			spent[i] += time.Since(began)
 		}
--- a/internal/relay/claim_side.go
+++ b/internal/relay/claim_side.go
@@ -50,6 +50,6 @@
 	case AwaitingOwnership:
 		c.answerFinally(c.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: after}))
 	case Established:
-		c.migrate(recorder.Claim)
+		c.migrate(recorder.OwnershipLost)
 	}
 }
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -56,7 +56,7 @@
 // NewEventLoop returns the loop of a relay that has just started.
 func NewEventLoop(x *RequestTable, seed uint64, lister Discovery, log zerolog.Logger) *EventLoop {
 	return &EventLoop{table: x, balancer: decide.New(x.deployment.Settings, seed), dialer: x.dialer, discovery: lister, log: log,
-		tick: Millis(x.deployment.Settings.Tick), candidates: make([]decide.PooledServer, 0, recorder.Peers+1)}
+		tick: Millis(x.deployment.Settings.Tick), candidates: make([]decide.PooledServer, 0, recorder.MaxCandidates+1)}
 }
 
 // timer is a moment at which the module wants an alarm, or the backstop looks at a request.
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -51,7 +51,7 @@
 	Cause      decide.Status
 	Note       string // with Failed, what the front may tell the client of the reason
 	reason     decide.RejectReason
-	decidedBy  recorder.By
+	decidedBy  recorder.Initiator
 }
 
 // OwnershipLease is a call's right to be served by this relay, where a stream may be at one relay only. Its methods
@@ -118,7 +118,7 @@
 type RequestTable struct {
 	Clock *Clock
 	// Tap gets a record of whatever happens; nil for none. It is set before the first use.
-	Recorder *recorder.Tap
+	Recorder *recorder.Recorder
 	// Log gets what the guard denies, and what was done against a rule. It is set before the first use; the zero one writes nothing.
 	Log zerolog.Logger
 	// Violations and Denied count what was done against a rule, and what was not done for one.
@@ -238,7 +238,7 @@
 
 // shutdownRejection is the answer of a relay that is leaving: come again at once, to another.
 func (x *RequestTable) shutdownRejection() Answer {
-	return Answer{Kind: Rejected, RetryAfter: 50 + 100*rand.Float64(), decidedBy: recorder.Leaving}
+	return Answer{Kind: Rejected, RetryAfter: 50 + 100*rand.Float64(), decidedBy: recorder.Shutdown}
 }
 
 // Resume takes on a connection that was open at a server before this relay started. The module hears of it
--- a/internal/relay/leaving.go
+++ b/internal/relay/leaving.go
@@ -20,7 +20,7 @@
 	defer x.mu.Unlock()
 	for _, c := range x.requests {
 		if n > 0 && c.state == Established && !c.migrating {
-			c.migrate(recorder.Leaving)
+			c.migrate(recorder.Shutdown)
 			n--
 		}
 	}
@@ -37,6 +37,6 @@
 		if guard.MayReject(c.guardFacts(true)) != guard.Allowed {
 			kind = Failed
 		}
-		c.answerFinally(Answer{Kind: kind, decidedBy: recorder.Leaving})
+		c.answerFinally(Answer{Kind: kind, decidedBy: recorder.Shutdown})
 	}
 }
--- a/internal/relay/message_test.go
+++ b/internal/relay/message_test.go
@@ -17,8 +17,8 @@
 	call.BeginWrite(0)
 	call.Establish(0)
 	slow := func() (n int) {
-		for _, r := range c.table.Recorder.Take(nil) {
-			if r.Kind == recorder.Delay {
+		for _, r := range c.table.Recorder.TakeAll(nil) {
+			if r.Kind == recorder.MessageDelayed {
 				n++
 			}
 		}
--- a/internal/relay/module_side.go
+++ b/internal/relay/module_side.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	x.post(decide.ClientGone{ID: id})
-	c.answerFinally(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.Late})
+	c.answerFinally(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.Backstop})
 	return true
 }
 
@@ -79,11 +79,11 @@
 	}
 }
 
-func (c *Request) migrate(by recorder.By) {
+func (c *Request) migrate(by recorder.Initiator) {
 	if c.state == Established && !c.migrating {
 		c.migrating = true
 		if c.table.Recorder != nil {
-			c.table.Recorder.Put(&recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.Move, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), By: by})
+			c.table.Recorder.Put(&recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.ClientMigrated, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), Initiator: by})
 		}
 		c.serverConn.Wake()
 	}
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -93,11 +93,11 @@
 			SetupLatency: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt)})
 	}
 	if c.table.Recorder != nil {
-		c.table.Recorder.Put(&recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.Up, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
-			Took: c.table.Clock.NowMillis() - c.attempt.StartedAt, Attempt: uint8(min(no, 255))})
+		c.table.Recorder.Put(&recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.ConnectionUp, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
+			Elapsed: c.table.Clock.NowMillis() - c.attempt.StartedAt, Attempt: uint8(min(no, 255))})
 	}
 	if c.table.rejecting() {
-		c.migrate(recorder.Leaving)
+		c.migrate(recorder.Shutdown)
 	}
 	return c.clientConn
 }
@@ -176,7 +176,7 @@
 	if delay > least && now-s.delayNotedAt >= 1000 {
 		s.delayNotedAt = now
 		if c.table.Recorder != nil {
-			c.table.Recorder.Put(&recorder.Record{At: now, Kind: recorder.Delay, Request: uint64(c.ID), Server: int32(s.Number), Took: delay})
+			c.table.Recorder.Put(&recorder.Record{At: now, Kind: recorder.MessageDelayed, Request: uint64(c.ID), Server: int32(s.Number), Elapsed: delay})
 		}
 		c.table.post(decide.MessageDelay{ID: c.ID, Server: s.Number, Delay: Duration(delay)})
 	}
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -26,7 +26,7 @@
 		c.noteDelay(now - c.unansweredSince)
 		if now-c.unansweredSince >= silentAfter {
 			c.serverSilent = true
-			c.migrate(recorder.Silence)
+			c.migrate(recorder.ServerSilent)
 		}
 	}
 }
--- a/internal/relay/taps.go
+++ b/internal/relay/taps.go
@@ -11,7 +11,7 @@
 func (x *RequestTable) recordEndpointList(kind decide.WatchKind) {
 	now := x.Clock.NowMillis()
 	if kind == decide.WatchFailed {
-		x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.NoList, Server: -1})
+		x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.EndpointListUnreachable, Server: -1})
 		return
 	}
 	for _, s := range x.endpoints.servers {
@@ -20,18 +20,18 @@
 			continue
 		}
 		s.recorded, s.recordedMode, s.recordedStart = true, mode, s.startedUnix
-		x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.List, Server: int32(s.Number), Mode: mode, Since: s.startedAt, Load: -1})
+		x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.EndpointChanged, Server: int32(s.Number), Mode: mode, StartedAt: s.startedAt, Load: -1})
 	}
 }
 
 // recordAnswer tells a final answer.
 func (c *Request) recordAnswer(a Answer) {
-	r := recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.Refuse, Request: uint64(c.ID), Server: -1, Status: a.Cause, Why: a.reason, By: a.decidedBy}
+	r := recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.RequestRejected, Request: uint64(c.ID), Server: -1, Status: a.Cause, Reason: a.reason, Initiator: a.decidedBy}
 	switch a.Kind {
 	case NoAnswer:
 		return
 	case Failed:
-		r.Kind = recorder.Fail
+		r.Kind = recorder.RequestFailed
 	}
 	if c.attempts > 0 {
 		r.Server = int32(c.attempt.Server.Number)
@@ -41,14 +41,14 @@
 
 // recordPlacement tells an attempt, and what else the module could have chosen.
 func (c *Request) recordPlacement(pool []decide.PooledServer) {
-	r := recorder.Record{At: c.attempt.StartedAt, Kind: recorder.Place, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
+	r := recorder.Record{At: c.attempt.StartedAt, Kind: recorder.AttemptStarted, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
 		Attempt: uint8(min(c.attempt.Number, 255)), Load: -1}
 	for _, v := range pool {
 		if v.Server == c.attempt.Server.Number {
 			r.Load = float32(v.EstimatedLoad)
-		} else if r.Inside < recorder.Peers {
-			r.Pool[r.Inside] = recorder.Peer{Server: int32(v.Server), Load: float32(v.EstimatedLoad), AgeMs: float32(Millis(v.ReadingAge)), Cold: v.InSlowStart}
-			r.Inside++
+		} else if r.PoolSize < recorder.MaxCandidates {
+			r.Pool[r.PoolSize] = recorder.Candidate{Server: int32(v.Server), Load: float32(v.EstimatedLoad), AgeMs: float32(Millis(v.ReadingAge)), WarmingUp: v.InSlowStart}
+			r.PoolSize++
 		}
 	}
 	c.table.Recorder.Put(&r)
@@ -58,32 +58,32 @@
 // sends its clients away look alike.
 func (c *Request) recordAttemptEnd(status decide.Status, report decide.LoadReport) {
 	now := c.table.Clock.NowMillis()
-	r := recorder.Record{At: now, Kind: recorder.End, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), Status: status,
-		Took: now - c.attempt.StartedAt, Attempt: uint8(min(c.attempt.Number, 255)), Load: float32(report.Load), Queue: float32(report.InFlight),
-		Errors: float32(report.ErrorsPerSecond), By: recorder.Server}
-	r.WasUp = c.wasEstablished
+	r := recorder.Record{At: now, Kind: recorder.AttemptEnded, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number), Status: status,
+		Elapsed: now - c.attempt.StartedAt, Attempt: uint8(min(c.attempt.Number, 255)), Load: float32(report.Load), Queue: float32(report.InFlight),
+		Errors: float32(report.ErrorsPerSecond), Initiator: recorder.Server}
+	r.WasConnected = c.wasEstablished
 	switch {
 	case c.serverSilent:
-		r.By = recorder.Silence
+		r.Initiator = recorder.ServerSilent
 	case c.migrating:
-		r.By = recorder.Module
+		r.Initiator = recorder.Module
 	case c.state == Ended && !c.serverClosed:
-		r.By = recorder.Client
+		r.Initiator = recorder.Client
 	case c.canceled:
-		r.By = recorder.Module
+		r.Initiator = recorder.Module
 	}
 	c.table.Recorder.Put(&r)
 }
 
 // recordProbe tells a probe's end.
 func (x *RequestTable) recordProbe(at float64, s decide.ServerID, status decide.Status, took float64, report decide.LoadReport) {
-	x.Recorder.Put(&recorder.Record{At: at, Kind: recorder.Probe, Server: int32(s), Status: status, Took: took, Load: float32(report.Load),
+	x.Recorder.Put(&recorder.Record{At: at, Kind: recorder.ProbeEnded, Server: int32(s), Status: status, Elapsed: took, Load: float32(report.Load),
 		Queue: float32(report.InFlight), Errors: float32(report.ErrorsPerSecond)})
 }
 
 // recordPeerReading tells that a reading of another relay is gone by.
 func (x *RequestTable) recordPeerReading(s decide.ServerID, ageMs float64, load float64) {
-	x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis() - ageMs, Kind: recorder.Told, Server: int32(s), Took: ageMs, Load: float32(load)})
+	x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis() - ageMs, Kind: recorder.PeerReading, Server: int32(s), Elapsed: ageMs, Load: float32(load)})
 }
 
 // RecordConnLimitRejection tells that the door refused a client of the class for want of descriptors.
@@ -92,7 +92,7 @@
 	x.counters.countAnswer(class, Rejected)
 	x.mu.Unlock()
 	if x.Recorder != nil {
-		x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis(), Kind: recorder.Refuse, Server: -1, By: recorder.Door})
+		x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis(), Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit})
 	}
 }
 
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -22,59 +22,59 @@
 
 // Config is what a Service is told. Times are in milliseconds.
 type Config struct {
-	Relay       string   // this relay's name, for the holder's node and for tokens
-	Servers     []string // the claim service
-	Path        string   // under which it keeps a node for each stream
-	Session     float64
-	ClaimWithin float64 // a claim that is not won by then is refused
-	TokenLife   float64
-	Renew       float64 // a client has its position in its token at least so often
-	Skew        float64 // by which relays' clocks of the day may differ
-	SweepEvery  float64 // records without a good token are looked for so often, 0 for never
-	EveryServer bool    // every server takes streams up, whatever the list says
+	Relay              string   // this relay's name, for the holder's node and for tokens
+	Servers            []string // the claim service
+	Path               string   // under which it keeps a node for each stream
+	SessionTimeout     float64
+	AcquireTimeout     float64 // a claim that is not won by then is refused
+	TokenLifetime      float64
+	TokenRenewInterval float64 // a client has its position in its token at least so often
+	MaxClockSkew       float64 // by which relays' clocks of the day may differ
+	SweepInterval      float64 // records without a good token are looked for so often, 0 for never
+	AllServersResume   bool    // every server takes streams up, whatever the list says
 }
 
 // Stats are counters since the start, for the log and for tests.
 type Stats struct {
-	Won, Held, Behind, Unknown, Unreachable, Slow, Lapsed, Swept uint64
+	Acquired, AlreadyOwned, StaleToken, UnknownStream, ServiceUnreachable, TimedOut, Expired, Swept uint64
 }
 
 // Service is one relay's. Its methods never block, but for Run and Close.
 type Service struct {
 	Config
-	Clock *relay.Clock
-	Log   zerolog.Logger
-	wall  func() int64 // Unix ms
+	Clock   *relay.Clock
+	Log     zerolog.Logger
+	unixNow func() int64 // Unix ms
 
-	ring    atomic.Pointer[token.Ring]
-	until   atomic.Uint64 // bits of when claims are no longer to be trusted
-	session *zookeeper.Session
-	keeper  *ownership.Keeper // of Run alone
-	streams map[uint64]*Stream
-	acts    []ownership.Action
+	keys       atomic.Pointer[token.KeyRing]
+	validUntil atomic.Uint64 // bits of when claims are no longer to be trusted
+	session    *zookeeper.Session
+	lease      *ownership.Lease // of Run alone
+	streams    map[uint64]*Stream
+	actions    []ownership.Action
 
-	mu      sync.Mutex
-	inbox   []any // ownership.Event, or a func for Run
-	ready   chan struct{}
-	handles uint64
-	stats   Stats
+	mu         sync.Mutex
+	inbox      []any // ownership.Event, or a func for Run
+	wake       chan struct{}
+	lastHandle uint64
+	stats      Stats
 }
 
 // New returns a Service that Run begins.
-func New(c Config, ring *token.Ring, clock *relay.Clock, log zerolog.Logger) *Service {
-	s := &Service{Config: c, Clock: clock, Log: log, keeper: ownership.New(rand.Uint64()), streams: map[uint64]*Stream{},
-		ready: make(chan struct{}, 1), wall: func() int64 { return time.Now().UnixMilli() }}
+func New(c Config, ring *token.KeyRing, clock *relay.Clock, log zerolog.Logger) *Service {
+	s := &Service{Config: c, Clock: clock, Log: log, lease: ownership.New(rand.Uint64()), streams: map[uint64]*Stream{},
+		wake: make(chan struct{}, 1), unixNow: func() int64 { return time.Now().UnixMilli() }}
 	s.Path = path.Clean(c.Path)
-	s.ring.Store(ring)
-	s.session = zookeeper.NewSession(c.Servers, c.Session, clock, (*events)(s), log)
+	s.keys.Store(ring)
+	s.session = zookeeper.NewSession(c.Servers, c.SessionTimeout, clock, (*sessionEvents)(s), log)
 	return s
 }
 
-// SetRing takes a new ring of keys: its first seals at once, and what it lacks opens nothing any more.
-func (s *Service) SetRing(r *token.Ring) { s.ring.Store(r) }
+// SetKeys takes a new ring of keys: its first seals at once, and what it lacks opens nothing any more.
+func (s *Service) SetKeys(r *token.KeyRing) { s.keys.Store(r) }
 
-// Move follows other addresses of the claim service.
-func (s *Service) Move(servers []string) { s.session.Move(servers) }
+// SetServers follows other addresses of the claim service.
+func (s *Service) SetServers(servers []string) { s.session.Move(servers) }
 
 // Stats returns the counters.
 func (s *Service) Stats() Stats {
@@ -89,33 +89,33 @@
 	s.mu.Unlock()
 }
 
-// Until is when this relay's claims are no longer to be trusted. It falls behind the clock while the claim
+// ValidUntil is when this relay's claims are no longer to be trusted. It falls behind the clock while the claim
 // service answers nothing, and while this process sleeps.
-func (s *Service) Until() float64 { return math.Float64frombits(s.until.Load()) }
+func (s *Service) ValidUntil() float64 { return math.Float64frombits(s.validUntil.Load()) }
 
-// post queues an event for Run.
-func (s *Service) post(ev any) {
+// enqueue queues an event for Run.
+func (s *Service) enqueue(ev any) {
 	s.mu.Lock()
 	s.inbox = append(s.inbox, ev)
 	s.mu.Unlock()
 	select {
-	case s.ready <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (s *Service) handle() uint64 {
+func (s *Service) nextHandle() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handles++
-	return s.handles
+	s.lastHandle++
+	return s.lastHandle
 }
 
 // Run keeps the session and the claims until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	go s.session.Run(ctx)
-	if s.SweepEvery > 0 {
-		go s.sweeps(ctx)
+	if s.SweepInterval > 0 {
+		go s.sweepLoop(ctx)
 	}
 	wait := time.NewTimer(0)
 	defer wait.Stop()
@@ -123,9 +123,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.ready:
+		case <-s.wake:
 		case <-wait.C:
-			s.feed(ownership.Tick{})
+			s.handleEvent(ownership.Tick{})
 		}
 		s.mu.Lock()
 		batch := s.inbox
@@ -136,119 +136,119 @@
 			case func():
 				ev()
 			case ownership.Event:
-				s.feed(ev)
+				s.handleEvent(ev)
 			}
 		}
-		wait.Reset(relay.Duration(max(1, s.keeper.Next()-s.Clock.NowMillis())))
+		wait.Reset(relay.Duration(max(1, s.lease.NextTick()-s.Clock.NowMillis())))
 	}
 }
 
 // Close gives all claims back at once, at the end of a relay's life, and waits for that no longer than within.
 func (s *Service) Close(within float64) { s.session.Close(within) }
 
-// feed lets the Keeper act. Only Run calls it, so answers reach calls in the order in which they were decided.
-func (s *Service) feed(ev ownership.Event) {
-	s.acts = s.keeper.Handle(s.Clock.NowMillis(), ev, s.acts[:0])
-	s.until.Store(math.Float64bits(s.keeper.Until()))
-	for _, act := range s.acts {
+// handleEvent lets the Keeper act. Only Run calls it, so answers reach calls in the order in which they were decided.
+func (s *Service) handleEvent(ev ownership.Event) {
+	s.actions = s.lease.Handle(s.Clock.NowMillis(), ev, s.actions[:0])
+	s.validUntil.Store(math.Float64bits(s.lease.ValidUntil()))
+	for _, act := range s.actions {
 		switch a := act.(type) {
-		case ownership.Ask:
-			s.ask(a)
-		case ownership.Won:
-			s.count(&s.stats.Won)
-			s.streams[a.Handle].won(a.Generation)
-		case ownership.Refused:
-			s.refused(a)
-		case ownership.Lapsed:
-			s.count(&s.stats.Lapsed)
+		case ownership.Request:
+			s.sendRequest(a)
+		case ownership.Acquired:
+			s.count(&s.stats.Acquired)
+			s.streams[a.Handle].acquired(a.FencingToken)
+		case ownership.Rejected:
+			s.rejected(a)
+		case ownership.LeaseExpired:
+			s.count(&s.stats.Expired)
 			if st := s.streams[a.Handle]; st != nil {
-				st.lapse()
+				st.leaseExpired()
 			}
 		case ownership.Released:
 			if st := s.streams[a.Handle]; st != nil {
 				delete(s.streams, a.Handle)
-				st.free()
+				st.markReleased()
 			}
 		}
 	}
 }
 
-func (s *Service) refused(a ownership.Refused) {
+func (s *Service) rejected(a ownership.Rejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
-	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: a.After}
-	switch a.Why {
-	case ownership.Held:
-		s.count(&s.stats.Held)
-	case ownership.Behind:
-		s.count(&s.stats.Behind)
-		answer = relay.Answer{Kind: relay.Failed, Note: NoteBehind}
-	case ownership.Unknown:
-		s.count(&s.stats.Unknown)
-		answer = relay.Answer{Kind: relay.Failed, Note: NoteUnknown}
-	case ownership.Unreachable:
-		s.count(&s.stats.Unreachable)
-	case ownership.Slow:
-		s.count(&s.stats.Slow)
+	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: a.RetryAfter}
+	switch a.Reason {
+	case ownership.ErrAlreadyOwned:
+		s.count(&s.stats.AlreadyOwned)
+	case ownership.ErrStaleToken:
+		s.count(&s.stats.StaleToken)
+		answer = relay.Answer{Kind: relay.Failed, Note: NoteStaleToken}
+	case ownership.ErrUnknownStream:
+		s.count(&s.stats.UnknownStream)
+		answer = relay.Answer{Kind: relay.Failed, Note: NoteUnknownStream}
+	case ownership.ErrServiceUnreachable:
+		s.count(&s.stats.ServiceUnreachable)
+	case ownership.ErrTimedOut:
+		s.count(&s.stats.TimedOut)
 	}
 	if st != nil {
-		st.free()
-		st.refused(answer)
+		st.markReleased()
+		st.rejected(answer)
 	}
 }
 
-// ask puts a Keeper's request to the claim service.
-func (s *Service) ask(a ownership.Ask) {
+// sendRequest puts a Keeper's request to the claim service.
+func (s *Service) sendRequest(a ownership.Request) {
 	record := s.Path + "/" + a.Stream.String()
 	holder := record + "/holder"
 	done := func(z zookeeper.Answer) {
-		r := ownership.Reply{Ask: a.No, Version: z.Stat.Version, Owner: z.Stat.Owner}
+		r := ownership.Reply{RequestID: a.ID, Version: z.Stat.Version, OwnerSession: z.Stat.Owner}
 		switch z.Code {
 		case zookeeper.OK:
 		case zookeeper.NoNode:
-			r.Code = ownership.NoNode
+			r.Code = ownership.NotFound
 		case zookeeper.NodeExists:
-			r.Code = ownership.Exists
+			r.Code = ownership.AlreadyExists
 		case zookeeper.BadVersion:
-			r.Code = ownership.BadVersion
+			r.Code = ownership.VersionMismatch
 		case zookeeper.Lost:
-			r.Code = ownership.Lost
+			r.Code = ownership.NoReply
 		default:
 			s.Log.Warn().Int32("code", int32(z.Code)).Str("node", record).Msg("claim service refuses a request")
-			r.Code = ownership.Other
+			r.Code = ownership.ServiceError
 		}
-		if a.Kind == ownership.Read && r.Code == ownership.OK {
+		if a.Kind == ownership.ReadRecord && r.Code == ownership.OK {
 			var ok bool
 			if r.Record, ok = ownership.ParseRecord(z.Data); !ok {
 				s.Log.Warn().Str("node", record).Msg("a record of another version; not used")
-				r.Code = ownership.Other
+				r.Code = ownership.ServiceError
 			}
 		}
-		s.post(r)
+		s.enqueue(r)
 	}
 	switch a.Kind {
-	case ownership.Read:
+	case ownership.ReadRecord:
 		s.session.Get(record, done)
-	case ownership.Make:
+	case ownership.CreateAndAcquire:
 		s.session.Multi([]zookeeper.Step{zookeeper.CreateStep(record, a.Record.Marshal(), false),
 			zookeeper.CreateStep(holder, []byte(s.Relay), true)}, done)
-	case ownership.Take:
+	case ownership.UpdateAndAcquire:
 		s.session.Multi([]zookeeper.Step{zookeeper.SetStep(record, a.Record.Marshal(), a.Version),
 			zookeeper.CreateStep(holder, []byte(s.Relay), true)}, done)
-	case ownership.Look:
+	case ownership.CheckHolder:
 		s.session.Sync(holder, func(zookeeper.Answer) {})
 		s.session.Exists(holder, done)
-	case ownership.Delete:
+	case ownership.DeleteHolder:
 		s.session.Delete(holder, -1, done)
-	case ownership.Raise:
+	case ownership.UpdateRecord:
 		s.session.Set(record, a.Record.Marshal(), a.Version, done)
 	}
 }
 
-// events is the Service as its session sees it.
-type events Service
+// sessionEvents is the Service as its session sees it.
+type sessionEvents Service
 
-func (e *events) Connected(session int64, granted, sentAt float64) {
+func (e *sessionEvents) Connected(session int64, granted, sentAt float64) {
 	s := (*Service)(e)
 	s.Log.Info().Float64("session_ms", granted).Msg("claim service: connected")
 	for i, p := range ancestors(s.Path) { // made by whoever comes first
@@ -258,17 +258,19 @@
 			}
 		})
 	}
-	s.post(ownership.Connected{Session: session, Granted: granted, At: sentAt})
+	s.enqueue(ownership.SessionConnected{SessionID: session, Timeout: granted, SentAt: sentAt})
 }
 
-func (e *events) Disconnected() { (*Service)(e).post(ownership.Disconnected{}) }
+func (e *sessionEvents) Disconnected() { (*Service)(e).enqueue(ownership.SessionDisconnected{}) }
 
-func (e *events) Expired() {
+func (e *sessionEvents) Expired() {
 	(*Service)(e).Log.Warn().Msg("claim service: session expired")
-	(*Service)(e).post(ownership.Expired{})
+	(*Service)(e).enqueue(ownership.SessionExpired{})
 }
 
-func (e *events) Answered(sentAt float64) { (*Service)(e).post(ownership.Proven{At: sentAt}) }
+func (e *sessionEvents) Answered(sentAt float64) {
+	(*Service)(e).enqueue(ownership.Renewed{SentAt: sentAt})
+}
 
 // ancestors lists a path and those above it, the topmost first.
 func ancestors(p string) []string {
--- a/internal/resume/stored_test.go
+++ b/internal/resume/stored_test.go
@@ -46,7 +46,7 @@
 	data := map[string]string{}
 	for _, p := range paths {
 		answers := make(chan zookeeper.Answer, 1)
-		r.s.session.Get(p, func(a zookeeper.Answer) { answers <- a })
+		r.service.session.Get(p, func(a zookeeper.Answer) { answers <- a })
 		a := <-answers
 		if a.Code != zookeeper.OK {
 			t.Fatalf("%s: code %v", p, a.Code)
@@ -59,42 +59,42 @@
 // begin opens a stream of a known id and waits for its ownership.
 func (r *testRelay) begin(t *testing.T, id token.StreamID) (*Stream, *relay.Request) {
 	t.Helper()
-	st := r.s.Fresh(Asked{Class: "m", Tenant: "acme", Key: 5, Group: 6})
+	st := r.service.NewStream(StreamRequest{Class: "m", Tenant: "acme", Key: 5, Group: 6})
 	st.ID = id
 	call := r.open(st)
-	eventually(t, "claimed", func() bool { return st.gen.Load() == 1 })
+	eventually(t, "claimed", func() bool { return st.fencingToken.Load() == 1 })
 	return st, call
 }
 
 // writeStored lets a relay write the nodes and tokens of testdata.
 func (r *testRelay) writeStored(t *testing.T, now func() int64) (tokens map[string]string) {
 	t.Helper()
-	r.s.wall = now
+	r.service.unixNow = now
 	tokens = map[string]string{}
 	fresh, call := r.begin(t, storedFresh)
-	tokens["fresh-1"] = fresh.Token()
+	tokens["fresh-1"] = fresh.IssueToken()
 	call.ClientClosed(relay.GracefulClose)
 	<-fresh.released
 
 	first, call := r.begin(t, storedTwice)
-	first.Passed(41)
-	tokens["twice-1"] = first.Token()
-	first.Got(1)
+	first.SetPosition(41)
+	tokens["twice-1"] = first.IssueToken()
+	first.ConfirmToken(1)
 	call.ClientClosed(relay.GracefulClose)
 	<-first.released
-	second, note, err := r.s.Resume(tokens["twice-1"], first.Asked)
+	second, note, err := r.service.ResumeStream(tokens["twice-1"], first.StreamRequest)
 	if err != nil {
 		t.Fatal(note, err)
 	}
 	call = r.open(second)
-	eventually(t, "claimed again", func() bool { return second.gen.Load() == 2 })
-	tokens["twice-2"] = second.Token()
-	second.Got(2)
+	eventually(t, "claimed again", func() bool { return second.fencingToken.Load() == 2 })
+	tokens["twice-2"] = second.IssueToken()
+	second.ConfirmToken(2)
 	call.ClientClosed(relay.GracefulClose)
 	<-second.released
 
 	served, _ := r.begin(t, storedServed)
-	tokens["served-1"] = served.Token()
+	tokens["served-1"] = served.IssueToken()
 	return tokens
 }
 
@@ -102,7 +102,7 @@
 // while a fleet is replaced.
 func TestNodesAreWrittenAsBefore(t *testing.T) {
 	want := storedLines(t, "nodes.txt")
-	zk := service(t)
+	zk := newOwnershipService(t)
 	r := newRelay(t, zk, nil)
 	r.writeStored(t, func() int64 { return storedWall })
 	paths := zk.Nodes("/a/streams/")
@@ -117,9 +117,9 @@
 
 // Streams whose records and tokens an earlier version wrote go on, and those tokens that it had made worthless stay so.
 func TestStoredStreamsGoOn(t *testing.T) {
-	zk := service(t)
+	zk := newOwnershipService(t)
 	r := newRelay(t, zk, nil)
-	r.s.wall = func() int64 { return storedWall }
+	r.service.unixNow = func() int64 { return storedWall }
 	for p, data := range storedLines(t, "nodes.txt") {
 		if strings.HasSuffix(p, "/holder") {
 			continue // it went with its session
@@ -129,13 +129,13 @@
 			t.Fatal(err)
 		}
 		created := make(chan zookeeper.Code, 1)
-		r.s.session.Create(p, stored, false, func(a zookeeper.Answer) { created <- a.Code })
+		r.service.session.Create(p, stored, false, func(a zookeeper.Answer) { created <- a.Code })
 		if code := <-created; code != zookeeper.OK {
 			t.Fatalf("%s: code %v", p, code)
 		}
 	}
 	tokens := storedLines(t, "tokens.txt")
-	request := Asked{Class: "m", Tenant: "acme", Key: 5, Group: 6}
+	request := StreamRequest{Class: "m", Tenant: "acme", Key: 5, Group: 6}
 	for _, c := range []struct {
 		token      string
 		stream     token.StreamID
@@ -144,17 +144,17 @@
 		note       string
 	}{
 		{"fresh-1", storedFresh, 2, 1, ""},
-		{"twice-1", storedTwice, 0, 42, NoteBehind},
+		{"twice-1", storedTwice, 0, 42, NoteStaleToken},
 		{"twice-2", storedTwice, 3, 42, ""},
 		{"served-1", storedServed, 2, 1, ""},
 	} {
 		t.Run(c.token, func(t *testing.T) {
-			st, note, err := r.s.Resume(tokens[c.token], request)
+			st, note, err := r.service.ResumeStream(tokens[c.token], request)
 			if err != nil {
 				t.Fatal(note, err)
 			}
-			if st.ID != c.stream || st.From != c.from {
-				t.Errorf("stream %v from %d, want %v from %d", st.ID, st.From, c.stream, c.from)
+			if st.ID != c.stream || st.FirstScan != c.from {
+				t.Errorf("stream %v from %d, want %v from %d", st.ID, st.FirstScan, c.stream, c.from)
 			}
 			call := r.open(st)
 			eventually(t, "an answer", func() bool { state, _ := call.State(); return state != relay.AwaitingOwnership })
@@ -164,8 +164,8 @@
 				if state != relay.Ended || answer.Kind != relay.Failed || answer.Note != c.note {
 					t.Errorf("state %v, %+v", state, answer)
 				}
-			case state != relay.Queued || st.Generation() != c.generation:
-				t.Errorf("state %v, generation %d, want %d", state, st.Generation(), c.generation)
+			case state != relay.Queued || st.FencingToken() != c.generation:
+				t.Errorf("state %v, generation %d, want %d", state, st.FencingToken(), c.generation)
 			}
 		})
 	}
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -13,21 +13,21 @@
 
 // What a client may be told of why its stream cannot go on. All are final: the client begins anew.
 const (
-	NoteToken    = "token"    // not a token, or sealed by no key of ours
-	NoteExpired  = "expired"  // its time is over
-	NoteMismatch = "mismatch" // of another class, tenant, key or group
-	NoteBehind   = "behind"   // a later token is known to have arrived
-	NoteUnknown  = "unknown"  // the claim service has no such stream
-	NotePosition = "position" // not a position, or one from before the stream
-	NoteAhead    = "ahead"    // a position that the server has not come to
+	NoteInvalidToken    = "token"    // not a token, or sealed by no key of ours
+	NoteExpired         = "expired"  // its time is over
+	NoteMismatch        = "mismatch" // of another class, tenant, key or group
+	NoteStaleToken      = "behind"   // a later token is known to have arrived
+	NoteUnknownStream   = "unknown"  // the claim service has no such stream
+	NoteInvalidPosition = "position" // not a position, or one from before the stream
+	NotePositionAhead   = "ahead"    // a position that the server has not come to
 )
 
-// releaseWithin is how long an end waits for its claim to be another's to win, in milliseconds: without that
+// releaseTimeout is how long an end waits for its claim to be another's to win, in milliseconds: without that
 // the client could be at the next relay first, and be told to come again.
-const releaseWithin = 150.0
+const releaseTimeout = 150.0
 
-// Asked is what a client asks for: the request that its token must be of, and the last scan that it has.
-type Asked struct {
+// StreamRequest is what a client asks for: the request that its token must be of, and the last scan that it has.
+type StreamRequest struct {
 	Class, Tenant string
 	Key, Group    uint64
 	Position      uint64
@@ -37,53 +37,53 @@
 // Stream is a stream's claim at this relay, and its way to tokens. It implements relay.Claim. One goroutine,
 // that which passes lines to the client, calls Passed, Due and Token.
 type Stream struct {
-	Asked
-	ID   token.StreamID
-	From uint64 // the first scan wanted, 0 for whatever comes
-
-	s        *Service
-	token    uint64 // generation of the token shown, 0 for a new stream
-	released chan struct{}
-	freed    sync.Once
-	position atomic.Uint64
-	handed   atomic.Bool // a token was given out: the stream may be at another relay one day
-	lost     atomic.Bool
-	gen      atomic.Uint64 // 0 until the claim is won
-	server   string        // for tokens
-	givenAt  float64
-	givenPos uint64
-	givenGen uint64
-	leased   bool // its server is told how long it may serve without hearing of us
-	keptAt   float64
-
-	mu      sync.Mutex
-	call    *relay.Request
-	handle  uint64
-	over    bool
-	arrived uint64 // generation whose token the client has confirmed
-	expires int64  // of the record, as this relay last asked for
+	StreamRequest
+	ID        token.StreamID
+	FirstScan uint64 // the first scan wanted, 0 for whatever comes
+
+	service            *Service
+	shownToken         uint64 // generation of the token shown, 0 for a new stream
+	released           chan struct{}
+	releaseOnce        sync.Once
+	position           atomic.Uint64
+	tokenIssued        atomic.Bool // a token was given out: the stream may be at another relay one day
+	ownershipLost      atomic.Bool
+	fencingToken       atomic.Uint64 // 0 until the claim is won
+	serverName         string        // for tokens
+	issuedAt           float64
+	issuedPosition     uint64
+	issuedFencingToken uint64
+	serverLeased       bool // its server is told how long it may serve without hearing of us
+	leaseSentAt        float64
+
+	mu                  sync.Mutex
+	call                *relay.Request
+	handle              uint64
+	ended               bool
+	deliveredToken      uint64 // generation whose token the client has confirmed
+	recordExpiresUnixMs int64  // of the record, as this relay last asked for
 }
 
-// Fresh is a new stream. It is served whether or not the claim service can be asked; its token follows.
-func (s *Service) Fresh(a Asked) *Stream {
-	st := &Stream{Asked: a, ID: token.NewStreamID(), s: s, released: make(chan struct{})}
+// NewStream is a new stream. It is served whether or not the claim service can be asked; its token follows.
+func (s *Service) NewStream(a StreamRequest) *Stream {
+	st := &Stream{StreamRequest: a, ID: token.NewStreamID(), service: s, released: make(chan struct{})}
 	if a.HasPosition {
-		st.From = a.Position + 1
+		st.FirstScan = a.Position + 1
 		st.position.Store(a.Position)
 	}
 	return st
 }
 
-// Resume is a stream that goes on. The error says why it cannot, and the note what the client is told.
-func (s *Service) Resume(text string, a Asked) (st *Stream, note string, err error) {
-	t, err := s.ring.Load().Open(text)
+// ResumeStream is a stream that goes on. The error says why it cannot, and the note what the client is told.
+func (s *Service) ResumeStream(text string, a StreamRequest) (st *Stream, note string, err error) {
+	t, err := s.keys.Load().Open(text)
 	if err != nil {
-		return nil, NoteToken, err
+		return nil, NoteInvalidToken, err
 	}
-	if t.Generation == 0 { // inside it stands for a new stream, which nothing is checked for
-		return nil, NoteToken, errors.New("of generation 0")
+	if t.FencingToken == 0 { // inside it stands for a new stream, which nothing is checked for
+		return nil, NoteInvalidToken, errors.New("of generation 0")
 	}
-	if err := t.Check(a.Class, a.Tenant, a.Key, a.Group, s.wall(), int64(s.Skew)); err != nil {
+	if err := t.Check(a.Class, a.Tenant, a.Key, a.Group, s.unixNow(), int64(s.MaxClockSkew)); err != nil {
 		if errors.Is(err, token.ErrExpired) {
 			return nil, NoteExpired, err
 		}
@@ -93,35 +93,35 @@
 		a.Position = t.Position
 	}
 	if a.Position == 1<<64-1 {
-		return nil, NotePosition, errors.New("no scan can follow that position")
+		return nil, NoteInvalidPosition, errors.New("no scan can follow that position")
 	}
-	st = &Stream{Asked: a, ID: t.Stream, From: a.Position + 1, s: s, token: t.Generation, released: make(chan struct{})}
+	st = &Stream{StreamRequest: a, ID: t.Stream, FirstScan: a.Position + 1, service: s, shownToken: t.FencingToken, released: make(chan struct{})}
 	st.position.Store(a.Position)
 	return st, "", nil
 }
 
 // MustWait tells whether the call waits for the claim: only a stream that some other relay may have does.
-func (st *Stream) MustWait() bool { return st.token != 0 }
+func (st *Stream) MustWait() bool { return st.shownToken != 0 }
 
 // Acquire asks for the claim.
 func (st *Stream) Acquire(c *relay.Request) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.call = c
-	st.want(min(st.s.ClaimWithin, c.Timeout))
+	st.acquire(min(st.service.AcquireTimeout, c.Timeout))
 }
 
-// want posts a Want. The caller holds the lock.
-func (st *Stream) want(within float64) {
-	if st.over {
+// acquire posts a Want. The caller holds the lock.
+func (st *Stream) acquire(within float64) {
+	if st.ended {
 		return
 	}
-	st.handle = st.s.handle()
-	st.expires = st.s.wall() + int64(2*st.s.TokenLife+st.s.Skew)
-	w := ownership.Want{Handle: st.handle, Stream: st.ID, Generation: st.token, Until: st.s.Clock.NowMillis() + within, Expires: st.expires}
-	st.s.post(func() {
-		st.s.streams[w.Handle] = st
-		st.s.feed(w)
+	st.handle = st.service.nextHandle()
+	st.recordExpiresUnixMs = st.service.unixNow() + int64(2*st.service.TokenLifetime+st.service.MaxClockSkew)
+	w := ownership.Acquire{Handle: st.handle, Stream: st.ID, FencingToken: st.shownToken, Deadline: st.service.Clock.NowMillis() + within, ExpiresUnixMs: st.recordExpiresUnixMs}
+	st.service.enqueue(func() {
+		st.service.streams[w.Handle] = st
+		st.service.handleEvent(w)
 	})
 }
 
@@ -129,45 +129,45 @@
 func (st *Stream) Release() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.over {
+	if st.ended {
 		return
 	}
-	st.over = true
+	st.ended = true
 	if st.handle == 0 {
-		st.free()
+		st.markReleased()
 		return
 	}
-	st.s.post(ownership.Drop{Handle: st.handle})
+	st.service.enqueue(ownership.Release{Handle: st.handle})
 }
 
-// free says that the claim is another's to win, or that there never was one.
-func (st *Stream) free() { st.freed.Do(func() { close(st.released) }) }
+// markReleased says that the claim is another's to win, or that there never was one.
+func (st *Stream) markReleased() { st.releaseOnce.Do(func() { close(st.released) }) }
 
-// ReleaseNow gives the claim back before the client is told to go, and waits for that for a moment. The
+// ReleaseAndWait gives the claim back before the client is told to go, and waits for that for a moment. The
 // stream's connection to its server must be closed.
-func (st *Stream) ReleaseNow() {
+func (st *Stream) ReleaseAndWait() {
 	st.Release()
 	select {
 	case <-st.released:
-	case <-st.s.Clock.After(releaseWithin):
+	case <-st.service.Clock.After(releaseTimeout):
 	}
 }
 
 // The Service's methods; Run's goroutine calls them.
 
-func (st *Stream) won(generation uint64) {
-	st.gen.Store(generation)
+func (st *Stream) acquired(generation uint64) {
+	st.fencingToken.Store(generation)
 	st.mu.Lock()
 	c := st.call
 	st.mu.Unlock()
-	if st.token != 0 {
+	if st.shownToken != 0 {
 		c.OwnershipAcquired()
 	} else {
 		c.WakeServerSide() // its token can be given out
 	}
 }
 
-func (st *Stream) refused(a relay.Answer) {
+func (st *Stream) rejected(a relay.Answer) {
 	st.mu.Lock()
 	c := st.call
 	st.handle = 0
@@ -175,133 +175,133 @@
 	c.OwnershipDenied(a)
 }
 
-func (st *Stream) lapse() {
+func (st *Stream) leaseExpired() {
 	st.mu.Lock()
 	c := st.call
-	if st.token == 0 && !st.handed.Load() && !st.over {
+	if st.shownToken == 0 && !st.tokenIssued.Load() && !st.ended {
 		// No token is out, so no other relay can have it: it is served on, and claimed anew.
 		old := st.handle
-		st.gen.Store(0)
-		st.s.post(func() {
-			delete(st.s.streams, old)
-			st.s.feed(ownership.Drop{Handle: old})
+		st.fencingToken.Store(0)
+		st.service.enqueue(func() {
+			delete(st.service.streams, old)
+			st.service.handleEvent(ownership.Release{Handle: old})
 		})
-		st.want(st.s.ClaimWithin)
+		st.acquire(st.service.AcquireTimeout)
 		st.mu.Unlock()
 		return
 	}
 	st.mu.Unlock()
-	st.lost.Store(true)
+	st.ownershipLost.Store(true)
 	c.LoseOwnership(500 * (1 + rand.Float64()))
 }
 
-// Trusted tells whether a line may still be passed on. It is asked before each: a process that slept past the
+// MayForward tells whether a line may still be passed on. It is asked before each: a process that slept past the
 // end of its claims must not pass what it had read before.
-func (st *Stream) Trusted() bool {
-	if !st.handed.Load() && st.token == 0 {
+func (st *Stream) MayForward() bool {
+	if !st.tokenIssued.Load() && st.shownToken == 0 {
 		return true
 	}
-	return !st.lost.Load() && st.s.Clock.NowMillis() < st.s.Until()
+	return !st.ownershipLost.Load() && st.service.Clock.NowMillis() < st.service.ValidUntil()
 }
 
-// EveryServer tells whether every server takes streams up, whatever the list says.
-func (st *Stream) EveryServer() bool { return st.s.EveryServer }
+// AllServersResume tells whether every server takes streams up, whatever the list says.
+func (st *Stream) AllServersResume() bool { return st.service.AllServersResume }
 
-// Generation is what a server is told. A new stream's first service is 1, whether or not it is claimed yet.
-func (st *Stream) Generation() uint64 { return max(1, st.gen.Load()) }
+// FencingToken is what a server is told. A new stream's first service is 1, whether or not it is claimed yet.
+func (st *Stream) FencingToken() uint64 { return max(1, st.fencingToken.Load()) }
 
-// Placed says which server has it.
-func (st *Stream) Placed(server string) { st.server = server }
+// SetServer says which server has it.
+func (st *Stream) SetServer(server string) { st.serverName = server }
 
-// Passed says that a scan has gone to the client.
-func (st *Stream) Passed(scan uint64) { st.position.Store(scan) }
+// SetPosition says that a scan has gone to the client.
+func (st *Stream) SetPosition(scan uint64) { st.position.Store(scan) }
 
 // Position is the last scan that went to the client.
 func (st *Stream) Position() uint64 { return st.position.Load() }
 
-// Due tells whether a token is to be given out now: the first of a generation at once, then with each Renew
+// TokenDue tells whether a token is to be given out now: the first of a generation at once, then with each Renew
 // in which the position has moved, and before the one that the client has is too old.
-func (st *Stream) Due() bool {
-	gen := st.gen.Load()
+func (st *Stream) TokenDue() bool {
+	gen := st.fencingToken.Load()
 	if gen == 0 {
 		return false
 	}
-	age := st.s.Clock.NowMillis() - st.givenAt
-	return st.givenGen != gen || age >= st.s.Renew && st.givenPos != st.position.Load() || age >= st.s.TokenLife/2
+	age := st.service.Clock.NowMillis() - st.issuedAt
+	return st.issuedFencingToken != gen || age >= st.service.TokenRenewInterval && st.issuedPosition != st.position.Load() || age >= st.service.TokenLifetime/2
 }
 
-// NextDue is when Due and Lease are to be asked again at the latest.
-func (st *Stream) NextDue() float64 {
-	now := st.s.Clock.NowMillis()
-	next := now + st.s.Renew
-	if st.givenGen != 0 {
-		next = max(now+1, st.givenAt+min(st.s.Renew, st.s.TokenLife/2))
+// NextCheck is when Due and Lease are to be asked again at the latest.
+func (st *Stream) NextCheck() float64 {
+	now := st.service.Clock.NowMillis()
+	next := now + st.service.TokenRenewInterval
+	if st.issuedFencingToken != 0 {
+		next = max(now+1, st.issuedAt+min(st.service.TokenRenewInterval, st.service.TokenLifetime/2))
 	}
-	if st.leased && st.gen.Load() != 0 {
-		next = min(next, st.keptAt+st.s.Session*leasePart)
+	if st.serverLeased && st.fencingToken.Load() != 0 {
+		next = min(next, st.leaseSentAt+st.service.SessionTimeout*leaseRenewFraction)
 	}
 	return next
 }
 
-// leasePart of a session is how often a server hears that it may go on.
-const leasePart = 1.0 / 8
+// leaseRenewFraction of a session is how often a server hears that it may go on.
+const leaseRenewFraction = 1.0 / 8
 
-// Attempt begins an attempt at a server, which is told leases or not. It returns the first lease, 0 for none: a
+// BeginAttempt begins an attempt at a server, which is told leases or not. It returns the first lease, 0 for none: a
 // new stream has no token out that another relay could be shown.
-func (st *Stream) Attempt(leased bool) float64 {
-	st.leased, st.keptAt = leased, 0
-	if st.token == 0 {
+func (st *Stream) BeginAttempt(leased bool) float64 {
+	st.serverLeased, st.leaseSentAt = leased, 0
+	if st.shownToken == 0 {
 		return 0
 	}
-	return st.Lease()
+	return st.ServerLease()
 }
 
-// Lease is for how long the server may serve on without hearing of us, in ms; 0 if it need not be told now.
+// ServerLease is for how long the server may serve on without hearing of us, in ms; 0 if it need not be told now.
 // Without it a relay that is stopped would leave its server serving while the next relay's does too. What the
 // lease is longer than our trust by half of ownership.Grace, so that the client is told to move before its server
 // ends the stream; the other half is for the lease's way to the server.
-func (st *Stream) Lease() float64 {
-	now := st.s.Clock.NowMillis()
-	if !st.leased || st.gen.Load() == 0 || now-st.keptAt < st.s.Session*leasePart {
+func (st *Stream) ServerLease() float64 {
+	now := st.service.Clock.NowMillis()
+	if !st.serverLeased || st.fencingToken.Load() == 0 || now-st.leaseSentAt < st.service.SessionTimeout*leaseRenewFraction {
 		return 0
 	}
-	st.keptAt = now
-	return max(1, st.s.Until()-now+ownership.Grace/2)
+	st.leaseSentAt = now
+	return max(1, st.service.ValidUntil()-now+ownership.ExpiryMargin/2)
 }
 
-// Token seals a token for now; "" if there is none to give.
-func (st *Stream) Token() string {
-	gen := st.gen.Load()
-	if gen == 0 || st.lost.Load() {
+// IssueToken seals a token for now; "" if there is none to give.
+func (st *Stream) IssueToken() string {
+	gen := st.fencingToken.Load()
+	if gen == 0 || st.ownershipLost.Load() {
 		return ""
 	}
-	now, wall, pos := st.s.Clock.NowMillis(), st.s.wall(), st.position.Load()
-	text, err := st.s.ring.Load().Seal(&token.Token{Stream: st.ID, Generation: gen, Class: st.Class, Tenant: st.Tenant,
-		Key: st.Key, Group: st.Group, Position: pos, Server: st.server, Relay: st.s.Relay, Issued: wall,
-		Expires: wall + int64(st.s.TokenLife)})
-	st.givenAt, st.givenPos, st.givenGen = now, pos, gen
+	now, wall, pos := st.service.Clock.NowMillis(), st.service.unixNow(), st.position.Load()
+	text, err := st.service.keys.Load().Seal(&token.Token{Stream: st.ID, FencingToken: gen, Class: st.Class, Tenant: st.Tenant,
+		Key: st.Key, Group: st.Group, Position: pos, Server: st.serverName, Relay: st.service.Relay, IssuedUnixMs: wall,
+		ExpiresUnixMs: wall + int64(st.service.TokenLifetime)})
+	st.issuedAt, st.issuedPosition, st.issuedFencingToken = now, pos, gen
 	if err != nil {
-		st.s.Log.Error().Err(err).Str("class", st.Class).Str("tenant", st.Tenant).Msg("no token can be sealed")
+		st.service.Log.Error().Err(err).Str("class", st.Class).Str("tenant", st.Tenant).Msg("no token can be sealed")
 		return ""
 	}
-	st.handed.Store(true)
+	st.tokenIssued.Store(true)
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if end := wall + int64(2*st.s.TokenLife+st.s.Skew); float64(end-st.expires) > st.s.TokenLife/4 && !st.over {
-		st.expires = end
-		st.s.post(ownership.Confirm{Handle: st.handle, Expires: end})
+	if end := wall + int64(2*st.service.TokenLifetime+st.service.MaxClockSkew); float64(end-st.recordExpiresUnixMs) > st.service.TokenLifetime/4 && !st.ended {
+		st.recordExpiresUnixMs = end
+		st.service.enqueue(ownership.ExtendRecord{Handle: st.handle, ExpiresUnixMs: end})
 	}
 	return text
 }
 
-// Got says that the client has the token of a generation: earlier ones are worth nothing from then on.
-func (st *Stream) Got(generation uint64) {
-	gen := st.gen.Load()
+// ConfirmToken says that the client has the token of a generation: earlier ones are worth nothing from then on.
+func (st *Stream) ConfirmToken(generation uint64) {
+	gen := st.fencingToken.Load()
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if generation != gen || gen == 0 || st.arrived == gen || st.over || !st.handed.Load() {
+	if generation != gen || gen == 0 || st.deliveredToken == gen || st.ended || !st.tokenIssued.Load() {
 		return
 	}
-	st.arrived = gen
-	st.s.post(ownership.Confirm{Handle: st.handle, Arrived: true, Expires: st.expires})
+	st.deliveredToken = gen
+	st.service.enqueue(ownership.ExtendRecord{Handle: st.handle, TokenDelivered: true, ExpiresUnixMs: st.recordExpiresUnixMs})
 }
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -9,16 +9,16 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// sweepWindow is how many records a sweep reads at once; claims wait behind them for no longer.
-const sweepWindow = 64
+// sweepConcurrency is how many records a sweep reads at once; claims wait behind them for no longer.
+const sweepConcurrency = 64
 
-// sweeps removes records whose last token has expired, each relay at times of its own.
-func (s *Service) sweeps(ctx context.Context) {
+// sweepLoop removes records whose last token has expired, each relay at times of its own.
+func (s *Service) sweepLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.Clock.After(s.SweepEvery * (0.5 + rand.Float64())):
+		case <-s.Clock.After(s.SweepInterval * (0.5 + rand.Float64())):
 			s.Sweep(ctx)
 		}
 	}
@@ -29,7 +29,7 @@
 func (s *Service) Sweep(ctx context.Context) {
 	names := make(chan []string, 1)
 	s.session.Children(s.Path, func(a zookeeper.Answer) { names <- a.Children })
-	room := make(chan struct{}, sweepWindow)
+	room := make(chan struct{}, sweepConcurrency)
 	for _, name := range <-names {
 		record := s.Path + "/" + name
 		select {
@@ -39,7 +39,7 @@
 		}
 		s.session.Get(record, func(a zookeeper.Answer) {
 			r, ok := ownership.ParseRecord(a.Data)
-			if a.Code != zookeeper.OK || !ok || float64(s.wall()-r.Expires) <= s.Skew {
+			if a.Code != zookeeper.OK || !ok || float64(s.unixNow()-r.ExpiresUnixMs) <= s.MaxClockSkew {
 				<-room
 				return
 			}
@@ -51,12 +51,12 @@
 			})
 		})
 	}
-	for range sweepWindow { // the last answers
+	for range sweepConcurrency { // the last answers
 		select {
 		case <-ctx.Done():
 			return
 		case room <- struct{}{}:
-		case <-s.Clock.After(relay.Millis(relay.Duration(s.Session))):
+		case <-s.Clock.After(relay.Millis(relay.Duration(s.SessionTimeout))):
 			return
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,17 +21,17 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Version is what this program writes. A file of a higher one is refused.
-const Version = 1
+// FormatVersion is what this program writes. A file of a higher one is refused.
+const FormatVersion = 1
 
 const (
-	writeEvery = time.Second
-	retryEvery = 5 * time.Second
-	lockWait   = 200 * time.Millisecond
-	// boundPart of the rows goes when the file is over its bound.
-	boundPart = 10
-	// removeMost rows are removed in one transaction, so that it stays short.
-	removeMost = 20_000
+	writeInterval  = time.Second
+	reopenInterval = 5 * time.Second
+	lockTimeout    = 200 * time.Millisecond
+	// evictionDivisor of the rows goes when the file is over its bound.
+	evictionDivisor = 10
+	// maxRemovedPerTx rows are removed in one transaction, so that it stays short.
+	maxRemovedPerTx = 20_000
 )
 
 // Why a file cannot be used.
@@ -62,13 +62,13 @@
 	path string
 	log  zerolog.Logger
 
-	mu      sync.Mutex
-	db      *bolt.DB // nil while there is no file
-	queue   []row
-	dropped uint64
-	failing error
-	newest  int64
-	kick    chan chan struct{}
+	mu            sync.Mutex
+	db            *bolt.DB // nil while there is no file
+	queue         []row
+	dropped       uint64
+	writeErr      error
+	newestMs      int64
+	flushRequests chan chan struct{}
 }
 
 // Open opens or makes a file. The error names it. ErrNewer and ErrDamaged want a person; after any error a Store
@@ -77,20 +77,20 @@
 	if o.MaxQueue == 0 {
 		o.MaxQueue = 65536
 	}
-	s := &Store{Options: o, path: path, log: log, kick: make(chan chan struct{})}
+	s := &Store{Options: o, path: path, log: log, flushRequests: make(chan chan struct{})}
 	return s, s.open()
 }
 
 func (s *Store) open() error {
-	db, err := open(s.path, s.ReadOnly)
+	db, err := openFile(s.path, s.ReadOnly)
 	if err != nil {
 		s.mu.Lock()
-		s.failing = err
+		s.writeErr = err
 		s.mu.Unlock()
 		return err
 	}
 	s.mu.Lock()
-	s.db, s.failing = db, nil
+	s.db, s.writeErr = db, nil
 	s.mu.Unlock()
 	return nil
 }
@@ -100,11 +100,11 @@
 	versionKey = []byte("version")
 )
 
-func open(path string, readOnly bool) (*bolt.DB, error) {
-	if err := whole(path); err != nil {
+func openFile(path string, readOnly bool) (*bolt.DB, error) {
+	if err := checkComplete(path); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWait, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
 		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
@@ -115,8 +115,8 @@
 	}
 	check := func(tx *bolt.Tx) error {
 		if b := tx.Bucket(metaBucket); b != nil {
-			if v := b.Get(versionKey); len(v) == 1 && v[0] > Version {
-				return fmt.Errorf("%s: %w (%d; this is %d)", path, ErrNewer, v[0], Version)
+			if v := b.Get(versionKey); len(v) == 1 && v[0] > FormatVersion {
+				return fmt.Errorf("%s: %w (%d; this is %d)", path, ErrNewer, v[0], FormatVersion)
 			}
 		}
 		return nil
@@ -127,7 +127,7 @@
 			if err != nil {
 				return err
 			}
-			return b.Put(versionKey, []byte{Version})
+			return b.Put(versionKey, []byte{FormatVersion})
 		})
 	}
 	if err != nil {
@@ -137,9 +137,9 @@
 	return db, nil
 }
 
-// whole tells whether a file has all pages that its newest valid meta page counts. bbolt would map it all the same,
+// checkComplete tells whether a file has all pages that its newest valid meta page counts. bbolt would map it all the same,
 // and the first look at a page that is not there ends the process.
-func whole(path string) error {
+func checkComplete(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -167,7 +167,7 @@
 		if _, err := f.ReadAt(m, i*size); err != nil {
 			return fmt.Errorf("%w: %d bytes", ErrDamaged, info.Size())
 		}
-		if tx := binary.LittleEndian.Uint64(m[64:]); binary.LittleEndian.Uint64(m[72:]) == sum(m[16:72]) && tx >= newest {
+		if tx := binary.LittleEndian.Uint64(m[64:]); binary.LittleEndian.Uint64(m[72:]) == metaChecksum(m[16:72]) && tx >= newest {
 			newest, pages = tx, binary.LittleEndian.Uint64(m[56:])
 		}
 	}
@@ -177,29 +177,31 @@
 	return nil
 }
 
-// sum is what bbolt's meta pages are checked by.
-func sum(p []byte) uint64 {
+// metaChecksum is what bbolt's meta pages are checked by.
+func metaChecksum(p []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(p)
 	return h.Sum64()
 }
 
-func key(at int64, id string) []byte {
+func rowKey(at int64, id string) []byte {
 	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(id)), uint64(at)), id...)
 }
 
 // Append queues a row with a time in ms. One with the same bucket, time and id is written over.
 func (s *Store) Append(bucket string, at int64, id string, value []byte) {
-	s.put(row{bucket, key(at, id), value}, at)
+	s.enqueue(row{bucket, rowKey(at, id), value}, at)
 }
 
 // Put queues a value that is state, not history: it has no age.
-func (s *Store) Put(bucket, id string, value []byte) { s.put(row{"=" + bucket, []byte(id), value}, 0) }
+func (s *Store) Put(bucket, id string, value []byte) {
+	s.enqueue(row{"=" + bucket, []byte(id), value}, 0)
+}
 
-func (s *Store) put(r row, at int64) {
+func (s *Store) enqueue(r row, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.newest = max(s.newest, at)
+	s.newestMs = max(s.newestMs, at)
 	if len(s.queue) >= s.MaxQueue {
 		s.queue = append(s.queue[:0], s.queue[1:]...)
 		s.dropped++
@@ -207,49 +209,49 @@
 	s.queue = append(s.queue, r)
 }
 
-// Dropped is how many rows found no room, and Failing why rows cannot be written now.
-func (s *Store) Dropped() uint64 {
+// DroppedRows is how many rows found no room, and Failing why rows cannot be written now.
+func (s *Store) DroppedRows() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dropped
 }
 
-// Failing is why rows cannot be written now; nil if they can.
-func (s *Store) Failing() error {
+// WriteError is why rows cannot be written now; nil if they can.
+func (s *Store) WriteError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failing
+	return s.writeErr
 }
 
 // Run writes until the context ends, then writes what is left and closes the file.
 func (s *Store) Run(ctx context.Context) {
-	tick := time.NewTicker(writeEvery)
+	tick := time.NewTicker(writeInterval)
 	defer tick.Stop()
 	tried := time.Now()
 	for {
 		var done chan struct{}
 		select {
 		case <-ctx.Done():
-			s.write()
-			s.close()
+			s.writeQueue()
+			s.closeFile()
 			return
-		case done = <-s.kick:
+		case done = <-s.flushRequests:
 		case <-tick.C:
 		}
-		if s.handle() == nil && time.Since(tried) >= retryEvery {
+		if s.database() == nil && time.Since(tried) >= reopenInterval {
 			tried = time.Now()
 			if err := s.open(); err == nil {
 				s.log.Info().Str("store", s.path).Msg("store is open again")
 			}
 		}
-		s.write()
+		s.writeQueue()
 		if done != nil {
 			close(done)
 		}
 	}
 }
 
-func (s *Store) handle() *bolt.DB {
+func (s *Store) database() *bolt.DB {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.db
@@ -258,11 +260,11 @@
 // Flush waits until what was appended before it is written, or cannot be. Run must be running.
 func (s *Store) Flush() {
 	done := make(chan struct{})
-	s.kick <- done
+	s.flushRequests <- done
 	<-done
 }
 
-func (s *Store) close() {
+func (s *Store) closeFile() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.db != nil {
@@ -272,12 +274,12 @@
 }
 
 // Close closes a file that is not Run.
-func (s *Store) Close() { s.close() }
+func (s *Store) Close() { s.closeFile() }
 
-// write writes the queue in one transaction. Rows whose transaction fails go back to its front.
-func (s *Store) write() {
+// writeQueue writes the queue in one transaction. Rows whose transaction fails go back to its front.
+func (s *Store) writeQueue() {
 	s.mu.Lock()
-	db, rows, newest := s.db, s.queue, s.newest
+	db, rows, newest := s.db, s.queue, s.newestMs
 	s.queue = nil
 	s.mu.Unlock()
 	if len(rows) == 0 {
@@ -295,24 +297,24 @@
 					return err
 				}
 			}
-			return s.bound(tx, newest)
+			return s.enforceBounds(tx, newest)
 		})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.failing
+	was := s.writeErr
 	switch {
 	case err == nil:
-		s.failing = nil
+		s.writeErr = nil
 		if was != nil {
 			s.log.Info().Str("store", s.path).Uint64("dropped", s.dropped).Msg("store is written again")
 		}
 	default:
 		if db != nil {
-			s.failing = fmt.Errorf("%s: %w", s.path, err)
+			s.writeErr = fmt.Errorf("%s: %w", s.path, err)
 		}
 		if was == nil {
-			s.log.Error().Err(s.failing).Msg("store cannot be written; going on in memory")
+			s.log.Error().Err(s.writeErr).Msg("store cannot be written; going on in memory")
 		}
 		s.queue = append(rows, s.queue...)
 		if over := len(s.queue) - s.MaxQueue; over > 0 {
@@ -322,9 +324,9 @@
 	}
 }
 
-// bound removes rows that are too old, and the oldest where the file is too large.
-func (s *Store) bound(tx *bolt.Tx, newest int64) error {
-	old := key(newest-s.MaxAge.Milliseconds(), "")
+// enforceBounds removes rows that are too old, and the oldest where the file is too large.
+func (s *Store) enforceBounds(tx *bolt.Tx, newest int64) error {
+	old := rowKey(newest-s.MaxAge.Milliseconds(), "")
 	over := s.MaxBytes > 0 && tx.Size()-int64(tx.DB().Stats().FreePageN*tx.DB().Info().PageSize) > s.MaxBytes
 	return tx.ForEach(func(name []byte, b *bolt.Bucket) error {
 		if name[0] == '=' || bytes.Equal(name, metaBucket) {
@@ -332,10 +334,10 @@
 		}
 		most := 0
 		if over {
-			most = min(removeMost, b.Stats().KeyN/boundPart+1)
+			most = min(maxRemovedPerTx, b.Stats().KeyN/evictionDivisor+1)
 		}
 		c, n := b.Cursor(), 0
-		for k, _ := c.First(); k != nil && n < removeMost && (n < most || s.MaxAge > 0 && bytes.Compare(k, old) < 0); k, _ = c.First() {
+		for k, _ := c.First(); k != nil && n < maxRemovedPerTx && (n < most || s.MaxAge > 0 && bytes.Compare(k, old) < 0); k, _ = c.First() {
 			if err := c.Delete(); err != nil {
 				return err
 			}
@@ -348,7 +350,7 @@
 // Scan calls fn with each row of a bucket whose time lies in [from, to], in order of time, until it returns false.
 // Rows that are queued are not among them. The value is good only during the call.
 func (s *Store) Scan(bucket string, from, to int64, fn func(at int64, id string, value []byte) bool) error {
-	db := s.handle()
+	db := s.database()
 	if db == nil {
 		return fmt.Errorf("%s: not open", s.path)
 	}
@@ -358,7 +360,7 @@
 			return nil
 		}
 		c := b.Cursor()
-		for k, v := c.Seek(key(from, "")); len(k) >= 8; k, v = c.Next() {
+		for k, v := c.Seek(rowKey(from, "")); len(k) >= 8; k, v = c.Next() {
 			at := int64(binary.BigEndian.Uint64(k))
 			if at > to || !fn(at, string(k[8:]), v) {
 				return nil
@@ -370,7 +372,7 @@
 
 // Get reads a value that was Put; nil if there is none.
 func (s *Store) Get(bucket, id string) (value []byte, err error) {
-	db := s.handle()
+	db := s.database()
 	if db == nil {
 		return nil, fmt.Errorf("%s: not open", s.path)
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,7 +15,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-func count(t *testing.T, s *Store, bucket string) (n int) {
+func countRows(t *testing.T, s *Store, bucket string) (n int) {
 	t.Helper()
 	if err := s.Scan(bucket, 0, 1<<60, func(int64, string, []byte) bool { n++; return true }); err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	return n
 }
 
-func open1(t *testing.T, path string, o Options) *Store {
+func openStore(t *testing.T, path string, o Options) *Store {
 	t.Helper()
 	s, err := Open(path, o, zerolog.Nop())
 	if err != nil {
@@ -33,16 +33,16 @@
 	return s
 }
 
-func TestRows(t *testing.T) {
+func TestRowsAreReadInOrderOfTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
-	s := open1(t, path, Options{})
+	s := openStore(t, path, Options{})
 	for i := range 100 {
 		s.Append("steps", int64(i), fmt.Sprint("s", i%3), []byte{byte(i)})
 	}
 	s.Append("steps", 7, "s1", []byte("over"))
 	s.Put("state", "list", []byte("x"))
-	s.write()
-	if n := count(t, s, "steps"); n != 100 {
+	s.writeQueue()
+	if n := countRows(t, s, "steps"); n != 100 {
 		t.Errorf("%d rows", n)
 	}
 	var got []string
@@ -60,19 +60,19 @@
 
 // What was written is there after a torn write: the file as any prefix of the last transaction leaves it, data pages
 // first, then the meta page, opens with all rows of the transaction before it, or of both.
-func TestTornWrite(t *testing.T) {
+func TestTornWriteLosesNoEarlierTransaction(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.db")
-	s := open1(t, path, Options{})
+	s := openStore(t, path, Options{})
 	for i := range 300 {
 		s.Append("rows", int64(i), "a", bytes.Repeat([]byte{1}, 40))
 	}
-	s.write()
+	s.writeQueue()
 	before, _ := os.ReadFile(path)
 	for i := range 50 {
 		s.Append("rows", int64(1000+i), "b", bytes.Repeat([]byte{2}, 40))
 	}
-	s.write()
+	s.writeQueue()
 	after, _ := os.ReadFile(path)
 	s.Close()
 	page := os.Getpagesize()
@@ -86,7 +86,7 @@
 			t.Fatalf("%s: %v", what, err)
 		}
 		defer s.Close()
-		if n := count(t, s, "rows"); n != 300 && n != 350 || full && n != 350 {
+		if n := countRows(t, s, "rows"); n != 300 && n != 350 || full && n != 350 {
 			t.Fatalf("%s: %d rows", what, n)
 		}
 	}
@@ -113,14 +113,14 @@
 	}
 }
 
-func TestRefusedFiles(t *testing.T) {
+func TestUnusableFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.db")
-	s := open1(t, path, Options{})
+	s := openStore(t, path, Options{})
 	for i := range 1000 {
 		s.Append("rows", int64(i), "a", bytes.Repeat([]byte{1}, 100))
 	}
-	s.write()
+	s.writeQueue()
 	if _, err := Open(path, Options{}, zerolog.Nop()); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), path) {
 		t.Errorf("a second daemon: %v", err)
 	}
@@ -143,7 +143,7 @@
 	}
 	os.WriteFile(path, good, 0o600)
 	db, _ := bolt.Open(path, 0o600, nil)
-	db.Update(func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put(versionKey, []byte{Version + 1}) })
+	db.Update(func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put(versionKey, []byte{FormatVersion + 1}) })
 	db.Close()
 	if _, err := Open(path, Options{}, zerolog.Nop()); !errors.Is(err, ErrNewer) {
 		t.Errorf("of a newer version: %v", err)
@@ -151,7 +151,7 @@
 }
 
 // No disk, then one: rows wait, are bounded, and are written when there is a file.
-func TestNoDisk(t *testing.T) {
+func TestRowsWaitForADisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
 	s, err := Open(filepath.Join(dir, "s.db"), Options{MaxQueue: 10}, zerolog.Nop())
 	if err == nil {
@@ -160,40 +160,40 @@
 	for i := range 25 {
 		s.Append("rows", int64(i), "a", nil)
 	}
-	s.write()
-	if s.Failing() == nil || s.Dropped() != 15 {
-		t.Errorf("failing %v, %d dropped", s.Failing(), s.Dropped())
+	s.writeQueue()
+	if s.WriteError() == nil || s.DroppedRows() != 15 {
+		t.Errorf("failing %v, %d dropped", s.WriteError(), s.DroppedRows())
 	}
 	os.Mkdir(dir, 0o700)
 	if err := s.open(); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	s.write()
-	if n := count(t, s, "rows"); n != 10 || s.Failing() != nil {
-		t.Errorf("%d rows, %v", n, s.Failing())
+	s.writeQueue()
+	if n := countRows(t, s, "rows"); n != 10 || s.WriteError() != nil {
+		t.Errorf("%d rows, %v", n, s.WriteError())
 	}
 }
 
-func TestBounds(t *testing.T) {
-	s := open1(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxAge: 500 * time.Millisecond, MaxQueue: 1 << 20})
+func TestAgeAndSizeAreBounded(t *testing.T) {
+	s := openStore(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxAge: 500 * time.Millisecond, MaxQueue: 1 << 20})
 	for i := range 2000 {
 		s.Append("rows", int64(i), "a", nil)
 	}
 	s.Put("state", "kept", []byte{1})
-	s.write()
-	if n := count(t, s, "rows"); n != 501 {
+	s.writeQueue()
+	if n := countRows(t, s, "rows"); n != 501 {
 		t.Errorf("%d rows within 500 ms", n)
 	}
 	if v, _ := s.Get("state", "kept"); v == nil {
 		t.Error("state has no age")
 	}
-	s = open1(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxBytes: 1 << 20, MaxQueue: 1 << 20})
+	s = openStore(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxBytes: 1 << 20, MaxQueue: 1 << 20})
 	for i := range 100 {
 		for j := range 100 {
 			s.Append("rows", int64(i*100+j), "a", bytes.Repeat([]byte{1}, 1000))
 		}
-		s.write()
+		s.writeQueue()
 	}
 	if info, _ := os.Stat(s.path); info.Size() > 4<<20 {
 		t.Errorf("%d bytes of 10 MB", info.Size())
@@ -206,7 +206,7 @@
 }
 
 // Run writes what is left at its end.
-func TestRun(t *testing.T) {
+func TestRunWritesTheRestAtItsEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, err := Open(path, Options{}, zerolog.Nop())
 	if err != nil {
@@ -217,13 +217,13 @@
 	go func() { s.Run(ctx); close(ended) }()
 	s.Append("rows", 1, "a", nil)
 	s.Flush()
-	if n := count(t, s, "rows"); n != 1 {
+	if n := countRows(t, s, "rows"); n != 1 {
 		t.Errorf("%d rows", n)
 	}
 	s.Append("rows", 2, "a", nil)
 	stop()
 	<-ended
-	if n := count(t, open1(t, path, Options{ReadOnly: true}), "rows"); n != 2 {
+	if n := countRows(t, openStore(t, path, Options{ReadOnly: true}), "rows"); n != 2 {
 		t.Errorf("%d rows after the end", n)
 	}
 }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -58,8 +58,8 @@
 			}
 			s.Append("steps", 1_800_000_010_000, "s1", []byte("again"))
 			s.Append("steps", 1_800_000_020_000, "s1", []byte("new"))
-			s.write()
-			if n := count(t, s, "steps"); n != len(storedRows["steps"])+1 {
+			s.writeQueue()
+			if n := countRows(t, s, "steps"); n != len(storedRows["steps"])+1 {
 				t.Errorf("%d rows after one was written over and one added", n)
 			}
 		})
--- a/internal/token/keyfile.go
+++ b/internal/token/keyfile.go
@@ -8,25 +8,25 @@
 	"github.com/BurntSushi/toml"
 )
 
-// MaxKeyFile bounds a key file.
-const MaxKeyFile = 64 << 10
+// MaxKeyFileSize bounds a key file.
+const MaxKeyFileSize = 64 << 10
 
-// CheckMode refuses a key file that others than its owner can read or write.
-func CheckMode(info fs.FileInfo) error {
+// CheckKeyFileMode refuses a key file that others than its owner can read or write.
+func CheckKeyFileMode(info fs.FileInfo) error {
 	switch {
 	case !info.Mode().IsRegular():
 		return fmt.Errorf("not a regular file (%s)", info.Mode())
 	case info.Mode().Perm()&0o077 != 0:
 		return fmt.Errorf("mode %04o lets others at the keys; 0600 is wanted", info.Mode().Perm())
-	case info.Size() > MaxKeyFile:
-		return fmt.Errorf("%d bytes; at most %d are wanted", info.Size(), MaxKeyFile)
+	case info.Size() > MaxKeyFileSize:
+		return fmt.Errorf("%d bytes; at most %d are wanted", info.Size(), MaxKeyFileSize)
 	}
 	return nil
 }
 
-// ParseKeys reads a key file: [[key]] tables with id and secret, 32 bytes as standard base64. The first seals.
+// ParseKeyFile reads a key file: [[key]] tables with id and secret, 32 bytes as standard base64. The first seals.
 // Errors name the key and never show a secret.
-func ParseKeys(text []byte) (*Ring, error) {
+func ParseKeyFile(text []byte) (*KeyRing, error) {
 	var file struct {
 		Key []struct {
 			ID     string `toml:"id"`
@@ -51,5 +51,5 @@
 		}
 		keys[i] = Key{ID: k.ID, Secret: secret}
 	}
-	return NewRing(keys)
+	return NewKeyRing(keys)
 }
--- a/internal/token/stored_test.go
+++ b/internal/token/stored_test.go
@@ -13,22 +13,22 @@
 // two under the first key of testdata/keys.toml, the third under its second.
 var storedTokens = []Token{
 	{
-		Stream:     StreamID{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 255},
-		Generation: 7, Class: "map-stream", Tenant: "agri-souss",
+		Stream:       StreamID{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 255},
+		FencingToken: 7, Class: "map-stream", Tenant: "agri-souss",
 		Key: 1<<64 - 1, Group: 5, Position: 4711, Server: "s-5be2a07c", Relay: "n3",
-		Issued: 1_800_000_000_000, Expires: 1_800_000_600_000,
+		IssuedUnixMs: 1_800_000_000_000, ExpiresUnixMs: 1_800_000_600_000,
 	},
 	{
-		Stream:     StreamID{15: 1},
-		Generation: 1, Class: "zoom",
-		Issued: 1_800_000_000_000, Expires: 1_800_000_600_000,
+		Stream:       StreamID{15: 1},
+		FencingToken: 1, Class: "zoom",
+		IssuedUnixMs: 1_800_000_000_000, ExpiresUnixMs: 1_800_000_600_000,
 	},
 	{
-		Stream:     StreamID{1: 1},
-		Generation: 1<<64 - 1, Class: "map-stream", Tenant: "acme",
+		Stream:       StreamID{1: 1},
+		FencingToken: 1<<64 - 1, Class: "map-stream", Tenant: "acme",
 		Key: 1, Group: 1<<64 - 1, Position: 1<<64 - 1,
 		Server: strings.Repeat("s", 40), Relay: strings.Repeat("r", 40),
-		Issued: 1, Expires: 1<<63 - 1,
+		IssuedUnixMs: 1, ExpiresUnixMs: 1<<63 - 1,
 	},
 }
 
@@ -44,20 +44,20 @@
 }
 
 // storedRing is the ring of testdata/keys.toml, with the key that seals and nonces that are known.
-func storedRing(t *testing.T, seals string) *Ring {
+func storedRing(t *testing.T, seals string) *KeyRing {
 	t.Helper()
 	text, err := os.ReadFile("testdata/keys.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := ParseKeys(text)
+	r, err := ParseKeyFile(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Sealing() != "k2" {
-		t.Fatalf("%q seals, want the file's first key", r.Sealing())
+	if r.SealingKeyID() != "k2" {
+		t.Fatalf("%q seals, want the file's first key", r.SealingKeyID())
 	}
-	r.seal, r.random = seals, &counting{}
+	r.sealingID, r.random = seals, &counting{}
 	return r
 }
 
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -19,22 +19,22 @@
 	"golang.org/x/crypto/chacha20poly1305"
 )
 
-// MaxLen is the longest token as text. First lines have 4 KiB for all their fields.
-const MaxLen = 400
+// MaxTokenLen is the longest token as text. First lines have 4 KiB for all their fields.
+const MaxTokenLen = 400
 
-// maxName bounds the names of servers and relays in a token. They only help an operator's eye.
-const maxName = 40
+// maxNameLen bounds the names of servers and relays in a token. They only help an operator's eye.
+const maxNameLen = 40
 
-const version = "cs1."
+const tokenPrefix = "cs1."
 
 // Why a token is refused. Expired and Mismatch are for the caller to find with Check.
 var (
-	ErrForm     = errors.New("not of a token's form")
-	ErrKey      = errors.New("sealed by an unknown key")
-	ErrForged   = errors.New("does not open")
-	ErrExpired  = errors.New("expired")
-	ErrMismatch = errors.New("of another stream")
-	ErrTooLong  = errors.New("names too long for a token")
+	ErrMalformed  = errors.New("not of a token's form")
+	ErrUnknownKey = errors.New("sealed by an unknown key")
+	ErrForged     = errors.New("does not open")
+	ErrExpired    = errors.New("expired")
+	ErrMismatch   = errors.New("of another stream")
+	ErrTooLong    = errors.New("names too long for a token")
 )
 
 // StreamID names a stream at all relays and servers. It is random and says nothing.
@@ -50,23 +50,23 @@
 
 // Token is what is sealed. Class and Tenant are names, as numbers differ between configurations.
 type Token struct {
-	Stream     StreamID `cbor:"1,keyasint"`
-	Generation uint64   `cbor:"2,keyasint"` // of the service in which it was given
-	Class      string   `cbor:"3,keyasint"`
-	Tenant     string   `cbor:"4,keyasint,omitempty"`
-	Key        uint64   `cbor:"5,keyasint,omitempty"`
-	Group      uint64   `cbor:"6,keyasint,omitempty"`
-	Position   uint64   `cbor:"7,keyasint"` // the last scan passed on when it was given
-	Server     string   `cbor:"8,keyasint,omitempty"`
-	Relay      string   `cbor:"9,keyasint,omitempty"`
-	Issued     int64    `cbor:"10,keyasint"` // Unix ms
-	Expires    int64    `cbor:"11,keyasint"` // Unix ms
+	Stream        StreamID `cbor:"1,keyasint"`
+	FencingToken  uint64   `cbor:"2,keyasint"` // of the service in which it was given
+	Class         string   `cbor:"3,keyasint"`
+	Tenant        string   `cbor:"4,keyasint,omitempty"`
+	Key           uint64   `cbor:"5,keyasint,omitempty"`
+	Group         uint64   `cbor:"6,keyasint,omitempty"`
+	Position      uint64   `cbor:"7,keyasint"` // the last scan passed on when it was given
+	Server        string   `cbor:"8,keyasint,omitempty"`
+	Relay         string   `cbor:"9,keyasint,omitempty"`
+	IssuedUnixMs  int64    `cbor:"10,keyasint"` // Unix ms
+	ExpiresUnixMs int64    `cbor:"11,keyasint"` // Unix ms
 }
 
 // Check says whether the token is for such a request now. skew is by how much clocks may differ, in ms.
 func (t *Token) Check(class, tenant string, key, group uint64, now, skew int64) error {
 	switch {
-	case now > t.Expires+skew || now < t.Issued-skew:
+	case now > t.ExpiresUnixMs+skew || now < t.IssuedUnixMs-skew:
 		return ErrExpired
 	case t.Class != class || t.Tenant != tenant || t.Key != key || t.Group != group:
 		return ErrMismatch
@@ -80,19 +80,19 @@
 	Secret []byte // 32 bytes
 }
 
-// Ring is a set of keys. The first seals; all open. It is immutable: a new file makes a new Ring.
-type Ring struct {
-	seal    string
-	ciphers map[string]cipher.AEAD
-	random  io.Reader
+// KeyRing is a set of keys. The first seals; all open. It is immutable: a new file makes a new KeyRing.
+type KeyRing struct {
+	sealingID string
+	ciphers   map[string]cipher.AEAD
+	random    io.Reader
 }
 
-// NewRing checks keys and makes a ring of them.
-func NewRing(keys []Key) (*Ring, error) {
+// NewKeyRing checks keys and makes a ring of them.
+func NewKeyRing(keys []Key) (*KeyRing, error) {
 	if len(keys) == 0 {
 		return nil, errors.New("key: at least one is wanted")
 	}
-	r := &Ring{seal: keys[0].ID, ciphers: make(map[string]cipher.AEAD, len(keys)), random: rand.Reader}
+	r := &KeyRing{sealingID: keys[0].ID, ciphers: make(map[string]cipher.AEAD, len(keys)), random: rand.Reader}
 	for i, k := range keys {
 		if k.ID == "" || len(k.ID) > 16 || strings.Trim(k.ID, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") != "" {
 			return nil, fmt.Errorf("key %d: id: %q is not 1 to 16 of letters, digits, - and _", i+1, k.ID)
@@ -109,11 +109,11 @@
 	return r, nil
 }
 
-// Sealing is the id of the key that seals.
-func (r *Ring) Sealing() string { return r.seal }
+// SealingKeyID is the id of the key that seals.
+func (r *KeyRing) SealingKeyID() string { return r.sealingID }
 
-// strict refuses what no relay writes: an unknown or repeated field is a token of another version.
-var strict = func() cbor.DecMode {
+// strictDecoding refuses what no relay writes: an unknown or repeated field is a token of another version.
+var strictDecoding = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
@@ -123,16 +123,16 @@
 }()
 
 // Seal makes the text. ErrTooLong if the class and tenant have names that no token can hold.
-func (r *Ring) Seal(t *Token) (string, error) {
+func (r *KeyRing) Seal(t *Token) (string, error) {
 	short := *t
-	short.Server, short.Relay = cut(t.Server), cut(t.Relay)
+	short.Server, short.Relay = truncateName(t.Server), truncateName(t.Relay)
 	body, err := cbor.Marshal(&short)
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
-	head := version + r.seal + "."
-	c := r.ciphers[r.seal]
-	if len(head)+base64.RawURLEncoding.EncodedLen(c.NonceSize()+len(body)+c.Overhead()) > MaxLen {
+	head := tokenPrefix + r.sealingID + "."
+	c := r.ciphers[r.sealingID]
+	if len(head)+base64.RawURLEncoding.EncodedLen(c.NonceSize()+len(body)+c.Overhead()) > MaxTokenLen {
 		return "", ErrTooLong
 	}
 	buf := make([]byte, c.NonceSize(), c.NonceSize()+len(body)+c.Overhead())
@@ -142,33 +142,33 @@
 	return head + base64.RawURLEncoding.EncodeToString(c.Seal(buf, buf, body, []byte(head))), nil
 }
 
-func cut(name string) string { return name[:min(len(name), maxName)] }
+func truncateName(name string) string { return name[:min(len(name), maxNameLen)] }
 
 // Open takes a text apart. It never looks at more than MaxLen bytes.
-func (r *Ring) Open(text string) (*Token, error) {
-	if len(text) > MaxLen || !strings.HasPrefix(text, version) {
-		return nil, ErrForm
+func (r *KeyRing) Open(text string) (*Token, error) {
+	if len(text) > MaxTokenLen || !strings.HasPrefix(text, tokenPrefix) {
+		return nil, ErrMalformed
 	}
-	id, encoded, ok := strings.Cut(text[len(version):], ".")
+	id, encoded, ok := strings.Cut(text[len(tokenPrefix):], ".")
 	if !ok {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	c := r.ciphers[id]
 	if c == nil {
-		return nil, ErrKey
+		return nil, ErrUnknownKey
 	}
 	// Strict: else the spare bits of the last digit make several texts of one token.
 	buf, err := base64.RawURLEncoding.Strict().DecodeString(encoded)
 	if err != nil || strings.ContainsAny(encoded, "\r\n") || len(buf) < c.NonceSize()+c.Overhead() {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
-	body, err := c.Open(nil, buf[:c.NonceSize()], buf[c.NonceSize():], []byte(text[:len(version)+len(id)+1]))
+	body, err := c.Open(nil, buf[:c.NonceSize()], buf[c.NonceSize():], []byte(text[:len(tokenPrefix)+len(id)+1]))
 	if err != nil {
 		return nil, ErrForged
 	}
 	t := &Token{}
-	if err := strict.Unmarshal(body, t); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrForm, err)
+	if err := strictDecoding.Unmarshal(body, t); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return t, nil
 }
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -13,9 +13,9 @@
 
 func key(id string, fill byte) Key { return Key{id, bytes.Repeat([]byte{fill}, 32)} }
 
-func ring(t testing.TB, keys ...Key) *Ring {
+func ring(t testing.TB, keys ...Key) *KeyRing {
 	t.Helper()
-	r, err := NewRing(keys)
+	r, err := NewKeyRing(keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,18 +23,18 @@
 }
 
 func sample() *Token {
-	return &Token{Stream: NewStreamID(), Generation: 7, Class: "map-stream", Tenant: "agri-souss", Key: 1<<64 - 1, Group: 1<<64 - 1,
-		Position: 1<<64 - 1, Server: "s-5be2a07c", Relay: "n3", Issued: 1_800_000_000_000, Expires: 1_800_000_600_000}
+	return &Token{Stream: NewStreamID(), FencingToken: 7, Class: "map-stream", Tenant: "agri-souss", Key: 1<<64 - 1, Group: 1<<64 - 1,
+		Position: 1<<64 - 1, Server: "s-5be2a07c", Relay: "n3", IssuedUnixMs: 1_800_000_000_000, ExpiresUnixMs: 1_800_000_600_000}
 }
 
-func TestSealAndOpen(t *testing.T) {
+func TestSealedTokenOpensUnchanged(t *testing.T) {
 	old, next := ring(t, key("a", 1)), ring(t, key("b", 2), key("a", 1))
 	want := sample()
 	text, err := old.Seal(want)
-	if err != nil || len(text) > MaxLen {
+	if err != nil || len(text) > MaxTokenLen {
 		t.Fatalf("%d bytes, %v", len(text), err)
 	}
-	for name, r := range map[string]*Ring{"its own ring": old, "a ring with a newer key": next} {
+	for name, r := range map[string]*KeyRing{"its own ring": old, "a ring with a newer key": next} {
 		if got, err := r.Open(text); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
@@ -47,7 +47,7 @@
 	}
 	long := sample()
 	long.Server, long.Relay = strings.Repeat("s", 300), strings.Repeat("r", 300)
-	if text, err := old.Seal(long); err != nil || len(text) > MaxLen {
+	if text, err := old.Seal(long); err != nil || len(text) > MaxTokenLen {
 		t.Errorf("long names of machines: %d bytes, %v", len(text), err)
 	}
 	long.Tenant = strings.Repeat("t", 300)
@@ -58,7 +58,7 @@
 
 const base64url = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 
-func TestRefused(t *testing.T) {
+func TestForeignTextIsRejected(t *testing.T) {
 	r := ring(t, key("a", 1))
 	text, _ := r.Seal(sample())
 	removed, _ := ring(t, key("z", 3)).Seal(sample())
@@ -71,15 +71,15 @@
 		name, in string
 		want     error
 	}{
-		{"empty", "", ErrForm},
-		{"cut to its head", "cs1.a.", ErrForm},
-		{"without key", "cs1.", ErrForm},
+		{"empty", "", ErrMalformed},
+		{"cut to its head", "cs1.a.", ErrMalformed},
+		{"without key", "cs1.", ErrMalformed},
 		{"a byte changed", string(flip), ErrForged},
-		{"of another version", "cs2" + text[3:], ErrForm},
-		{"by a key taken out", removed, ErrKey},
+		{"of another version", "cs2" + text[3:], ErrMalformed},
+		{"by a key taken out", removed, ErrUnknownKey},
 		{"by another key of that id", sameID, ErrForged},
-		{"a line end inside", text[:30] + "\n" + text[30:], ErrForm},
-		{"60 MB", "cs1.a." + strings.Repeat("A", 60<<20), ErrForm},
+		{"a line end inside", text[:30] + "\n" + text[30:], ErrMalformed},
+		{"60 MB", "cs1.a." + strings.Repeat("A", 60<<20), ErrMalformed},
 	} {
 		if _, err := r.Open(c.in); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
@@ -87,9 +87,9 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestTokenIsBoundToItsRequest(t *testing.T) {
 	k := sample()
-	at := k.Issued + 1000
+	at := k.IssuedUnixMs + 1000
 	for _, c := range []struct {
 		name          string
 		class, tenant string
@@ -102,9 +102,9 @@
 		{"another tenant", k.Class, "surf", k.Key, k.Group, at, ErrMismatch},
 		{"another key", k.Class, k.Tenant, 1, k.Group, at, ErrMismatch},
 		{"another group", k.Class, k.Tenant, k.Key, 1, at, ErrMismatch},
-		{"late within the skew", k.Class, k.Tenant, k.Key, k.Group, k.Expires + 900, nil},
-		{"expired", k.Class, k.Tenant, k.Key, k.Group, k.Expires + 1001, ErrExpired},
-		{"from the future", k.Class, k.Tenant, k.Key, k.Group, k.Issued - 1001, ErrExpired},
+		{"late within the skew", k.Class, k.Tenant, k.Key, k.Group, k.ExpiresUnixMs + 900, nil},
+		{"expired", k.Class, k.Tenant, k.Key, k.Group, k.ExpiresUnixMs + 1001, ErrExpired},
+		{"from the future", k.Class, k.Tenant, k.Key, k.Group, k.IssuedUnixMs - 1001, ErrExpired},
 	} {
 		if err := k.Check(c.class, c.tenant, c.key, c.group, c.now, 1000); !errors.Is(err, c.want) || c.want == nil && err != nil {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestKeyFile(t *testing.T) {
+func TestKeyFileErrorsNameTheKeyOnly(t *testing.T) {
 	secret := base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{5}, 32))
 	for _, c := range []struct{ name, text, want string }{
 		{"good", "[[key]]\nid='a'\nsecret='" + secret + "'\n", ""},
@@ -125,7 +125,7 @@
 		{"not TOML", "[[key]]\nid='a'\nsecret=hush!", "line 3: not TOML"},
 		{"a number", "[[key]]\nid='a'\nsecret=77", "key: a table"},
 	} {
-		_, err := ParseKeys([]byte(c.text))
+		_, err := ParseKeyFile([]byte(c.text))
 		if got := ""; err != nil {
 			got = err.Error()
 			if !strings.HasPrefix(got, c.want) || c.want == "" || strings.Contains(got, "hush") {
@@ -143,14 +143,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := CheckMode(info); (err == nil) != ok {
+		if err := CheckKeyFileMode(info); (err == nil) != ok {
 			t.Errorf("mode %o: %v", mode, err)
 		}
 	}
 }
 
 // A token cut anywhere opens nowhere.
-func TestCut(t *testing.T) {
+func TestTruncatedTokenIsRejected(t *testing.T) {
 	r := ring(t, key("a", 1))
 	text, _ := r.Seal(sample())
 	for n := range text {
@@ -174,8 +174,8 @@
 	})
 }
 
-// FuzzBody: a body that was sealed with the right key but is not what relays write is refused, not half read.
-func FuzzBody(f *testing.F) {
+// FuzzForeignBody: a body that was sealed with the right key but is not what relays write is refused, not half read.
+func FuzzForeignBody(f *testing.F) {
 	r := ring(f, key("a", 1))
 	f.Add([]byte{0xa1, 0x02, 0x07})
 	f.Add([]byte{0xa2, 0x02, 0x07, 0x02, 0x08})
--- a/internal/wire/platform/line.go
+++ b/internal/wire/platform/line.go
@@ -126,7 +126,7 @@
 	}
 	if position != "" {
 		if o.position, err = strconv.ParseUint(position, 10, 64); err != nil || o.position > maxPosition {
-			return nil, &refusal{resume.NotePosition, fmt.Errorf("pos=%q is not the number of a scan", position)}
+			return nil, &refusal{resume.NoteInvalidPosition, fmt.Errorf("pos=%q is not the number of a scan", position)}
 		}
 		o.hasPosition = true
 	}
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -22,12 +22,12 @@
 
 // stream is what an opening asks for.
 func (f *Front) stream(o *opening) (*resume.Stream, error) {
-	asked := resume.Asked{Class: o.class, Tenant: o.tenant, Key: o.key, Group: o.group, Position: o.position,
+	asked := resume.StreamRequest{Class: o.class, Tenant: o.tenant, Key: o.key, Group: o.group, Position: o.position,
 		HasPosition: o.hasPosition}
 	if o.resume == "new" {
-		return f.Resume.Fresh(asked), nil
+		return f.Resume.NewStream(asked), nil
 	}
-	st, note, err := f.Resume.Resume(o.resume, asked)
+	st, note, err := f.Resume.ResumeStream(o.resume, asked)
 	if err != nil {
 		return nil, &refusal{note, err}
 	}
@@ -35,7 +35,7 @@
 }
 
 // unwilling is what a server's refusal to go on means to the client.
-var unwilling = map[string]string{"STALE": resume.NoteBehind, "AHEAD": resume.NoteAhead}
+var unwilling = map[string]string{"STALE": resume.NoteStaleToken, "AHEAD": resume.NotePositionAhead}
 
 // tell is what a server that takes streams up is told beyond the client's line.
 func tell(c *relay.Request, a relay.Attempt) (more string, told bool) {
@@ -43,12 +43,12 @@
 	if st == nil {
 		return "", false
 	}
-	told = a.Server.SupportsResume || st.EveryServer()
-	lease := st.Attempt(told)
+	told = a.Server.SupportsResume || st.AllServersResume()
+	lease := st.BeginAttempt(told)
 	if !told {
 		return "", false
 	}
-	more = fmt.Sprintf(",s=%s,gen=%d,from=%d", st.ID, st.Generation(), st.From)
+	more = fmt.Sprintf(",s=%s,gen=%d,from=%d", st.ID, st.FencingToken(), st.FirstScan)
 	if lease > 0 {
 		more += fmt.Sprintf(",lease=%d", int(lease))
 	}
@@ -61,7 +61,7 @@
 	if st == nil {
 		return
 	}
-	if ms := st.Lease(); ms > 0 {
+	if ms := st.ServerLease(); ms > 0 {
 		e.Forward(fmt.Appendf(nil, "KEEP %d\r\n", int(ms))) // if that fails, the reader meets the same break
 	}
 }
@@ -77,15 +77,15 @@
 		}
 	}
 	switch {
-	case stated && st.From != 0 && first > st.From:
-		out = fmt.Appendf(out, "GAP %d %d\r\n", st.From, first-1)
-	case !stated && st.From != 0: // its server does not number scans, or does not go back
-		out = fmt.Appendf(out, "GAP %d -\r\n", st.From)
+	case stated && st.FirstScan != 0 && first > st.FirstScan:
+		out = fmt.Appendf(out, "GAP %d %d\r\n", st.FirstScan, first-1)
+	case !stated && st.FirstScan != 0: // its server does not number scans, or does not go back
+		out = fmt.Appendf(out, "GAP %d -\r\n", st.FirstScan)
 	}
 	if stated {
-		st.Passed(first - 1)
+		st.SetPosition(first - 1)
 	}
-	st.Placed(a.Server.ID)
+	st.SetServer(a.Server.ID)
 	keep(e, st)
 	return append(out, tokenLine(st)...)
 }
@@ -95,11 +95,11 @@
 	if st == nil {
 		return nil
 	}
-	text := st.Token()
+	text := st.IssueToken()
 	if text == "" {
 		return nil
 	}
-	return fmt.Appendf(nil, "TOKEN %d %s\r\n", st.Generation(), text)
+	return fmt.Appendf(nil, "TOKEN %d %s\r\n", st.FencingToken(), text)
 }
 
 // passed notes a line that went to the client. It returns the stream if a token is due after it.
@@ -110,10 +110,10 @@
 			n = n*10 + uint64(rest[digits]-'0')
 		}
 		if digits > 0 && n <= maxPosition {
-			st.Passed(n)
+			st.SetPosition(n)
 		}
 	}
-	if !st.Due() {
+	if !st.TokenDue() {
 		return nil
 	}
 	return st
@@ -124,7 +124,7 @@
 	if st == nil {
 		return 0
 	}
-	return st.NextDue()
+	return st.NextCheck()
 }
 
 // got takes the client's word that it has a token. It is the relay's line: no server reads it.
@@ -134,7 +134,7 @@
 		return false
 	}
 	if n, err := strconv.ParseUint(string(bytes.TrimRight(rest, "\r\n")), 10, 64); err == nil {
-		st.Got(n)
+		st.ConfirmToken(n)
 	}
 	return true
 }
@@ -144,6 +144,6 @@
 	if st != nil {
 		e.Close(relay.GracefulClose)
 		e.Conn.Close()
-		st.ReleaseNow()
+		st.ReleaseAndWait()
 	}
 }
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -94,16 +94,16 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(zk.Close)
-	ring, _ := token.NewRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
+	ring, _ := token.NewKeyRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2,
 		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
 	x := relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, Keep: 4})
 	x.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{{ID: "s", Address: flood(b), Mode: decide.Ready, SupportsResume: true}})
-	service := resume.New(resume.Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a", Session: 8000, ClaimWithin: 500,
-		TokenLife: 60_000, Renew: 5000}, ring, clock, zerolog.Nop())
+	service := resume.New(resume.Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a", SessionTimeout: 8000, AcquireTimeout: 500,
+		TokenLifetime: 60_000, TokenRenewInterval: 5000}, ring, clock, zerolog.Nop())
 	go service.Run(b.Context())
-	for service.Until() < clock.NowMillis() {
+	for service.ValidUntil() < clock.NowMillis() {
 		time.Sleep(time.Millisecond)
 	}
 	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(b.Context())
--- a/internal/wire/platform/server.go
+++ b/internal/wire/platform/server.go
@@ -131,7 +131,7 @@
 			e.SetReadUntil(nextLook(st))
 			looked = true
 		}
-		if st != nil && !st.Trusted() {
+		if st != nil && !st.MayForward() {
 			return s.depart(c, e, client, st, within, load)
 		}
 		if err := client.Forward(line); err != nil {
@@ -166,7 +166,7 @@
 			line, looked = nil, false
 			continue
 		}
-		if st != nil && !st.Trusted() { // its server's lease has ended before we looked
+		if st != nil && !st.MayForward() { // its server's lease has ended before we looked
 			return s.depart(c, e, client, st, within, load)
 		}
 		c.ServerClosed()
