--- a/internal/command/cells.go
+++ b/internal/command/cells.go
@@ -24,19 +24,19 @@
 		if region.Cells == 0 { // the relay's own cell only
 			continue
 		}
-		fmt.Fprintf(tab, "%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.1f\n", regionName(region.Name), region.Cells, region.Heard, region.Relays, region.Serving, region.Rate,
-			region.Held, region.Sent)
+		fmt.Fprintf(tab, "%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.1f\n", regionName(region.Name), region.Cells, region.Known, region.Relays, region.Serving, region.RequestRate,
+			region.OpenConnections, region.DrainRate)
 	}
 	if err := tab.Flush(); err != nil {
 		return err
 	}
-	if known.Speaker != r.Relay {
-		fmt.Fprintf(w, "cells one by one are known at the speaker, %s\n", orNobody(known.Speaker))
+	if known.Representative != r.Relay {
+		fmt.Fprintf(w, "cells one by one are known at the speaker, %s\n", orNobody(known.Representative))
 	}
 	fmt.Fprintln(tab, "CELL\tREGION\tSTATE\tAGE\tSPEAKER\tPLAN\tENTERED\tEPOCH\tRELAYS\tSERVING\tPER S\tHELD\tGONE")
 	for _, region := range known.Regions {
 		for _, c := range region.Rows {
-			if known.Speaker == r.Relay || c.Own {
+			if known.Representative == r.Relay || c.Own {
 				showCell(tab, region.Name, c)
 			}
 		}
@@ -57,23 +57,23 @@
 	if c.Mismatch {
 		plan += " (another table)"
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%s\n", c.Name, regionName(region), cellState(c), age, orNobody(c.Speaker), plan, c.Entered, c.Epoch,
-		c.Relays, c.Serving, c.Rate, c.Held, strings.Join(c.Departed, " "))
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%s\n", c.Name, regionName(region), cellState(c), age, orNobody(c.Representative), plan, c.JoinedPlan, c.Epoch,
+		c.Relays, c.Serving, c.RequestRate, c.OpenConnections, strings.Join(c.Departed, " "))
 }
 
 // cellHeadline is what the relay knows of its own cell's plan, in a line.
 func cellHeadline(r *membership.Report, known *cells.Report) string {
-	line := fmt.Sprintf("cell %s of %s: speaker %s, plan %d", known.Cell, regionName(known.Region), orNobody(known.Speaker), known.Plan)
+	line := fmt.Sprintf("cell %s of %s: speaker %s, plan %d", known.Cell, regionName(known.Region), orNobody(known.Representative), known.Plan)
 	if known.FilePlan != known.Plan {
 		line += fmt.Sprintf(" (the file has %d)", known.FilePlan)
 	}
-	line += fmt.Sprintf(", entered %d, open %d", known.Entered, known.Opened)
+	line += fmt.Sprintf(", entered %d, open %d", known.JoinedPlan, known.ActivatedPlan)
 	if c := r.Cell; c != nil {
 		if c.Plan > 0 {
 			line += fmt.Sprintf(", near %.4f, far %.4f of a budget", c.Near, c.Far)
 		}
-		if c.Waits != membership.PlanInForce.String() {
-			line += ", waits: " + c.Waits
+		if c.Pending != membership.PlanActive.String() {
+			line += ", waits: " + c.Pending
 		}
 	}
 	if known.DirectoryMs >= 0 {
@@ -86,7 +86,7 @@
 	switch {
 	case c.Own:
 		return "here"
-	case c.Heard:
+	case c.Known:
 		return "heard"
 	case c.AgeMs >= 0:
 		return "lost"
@@ -125,11 +125,11 @@
 	if old == nil {
 		old = &cells.Report{}
 	}
-	if old.Speaker != now.Speaker {
-		lines = append(lines, fmt.Sprintf("cell %s: speaker %s", now.Cell, orNobody(now.Speaker)))
+	if old.Representative != now.Representative {
+		lines = append(lines, fmt.Sprintf("cell %s: speaker %s", now.Cell, orNobody(now.Representative)))
 	}
-	if old.Plan != now.Plan || old.Entered != now.Entered || old.Opened != now.Opened || old.FilePlan != now.FilePlan {
-		lines = append(lines, fmt.Sprintf("cell %s: plan %d, entered %d, open %d, the file has %d", now.Cell, now.Plan, now.Entered, now.Opened, now.FilePlan))
+	if old.Plan != now.Plan || old.JoinedPlan != now.JoinedPlan || old.ActivatedPlan != now.ActivatedPlan || old.FilePlan != now.FilePlan {
+		lines = append(lines, fmt.Sprintf("cell %s: plan %d, entered %d, open %d, the file has %d", now.Cell, now.Plan, now.JoinedPlan, now.ActivatedPlan, now.FilePlan))
 	}
 	regions := map[string]cells.RegionReport{}
 	before := map[string]cells.CellReport{}
@@ -140,15 +140,15 @@
 		}
 	}
 	for _, region := range now.Regions {
-		if was := regions[region.Name]; was.Cells != region.Cells || was.Heard != region.Heard {
-			lines = append(lines, fmt.Sprintf("region %s: %d of %d other cells heard", regionName(region.Name), region.Heard, region.Cells))
+		if was := regions[region.Name]; was.Cells != region.Cells || was.Known != region.Known {
+			lines = append(lines, fmt.Sprintf("region %s: %d of %d other cells heard", regionName(region.Name), region.Known, region.Cells))
 		}
 		for _, c := range region.Rows {
 			was, known := before[c.Name]
-			if c.Own || known && was.Speaker == c.Speaker && was.Plan == c.Plan && was.Entered == c.Entered && cellState(was) == cellState(c) {
+			if c.Own || known && was.Representative == c.Representative && was.Plan == c.Plan && was.JoinedPlan == c.JoinedPlan && cellState(was) == cellState(c) {
 				continue
 			}
-			lines = append(lines, fmt.Sprintf("cell %s: %s, speaker %s, plan %d, entered %d", c.Name, cellState(c), orNobody(c.Speaker), c.Plan, c.Entered))
+			lines = append(lines, fmt.Sprintf("cell %s: %s, speaker %s, plan %d, entered %d", c.Name, cellState(c), orNobody(c.Representative), c.Plan, c.JoinedPlan))
 		}
 	}
 	return lines
--- a/internal/command/cells_test.go
+++ b/internal/command/cells_test.go
@@ -10,13 +10,13 @@
 
 // knownCells is what a relay of cell eu-a-1 knows of a fleet of four cells.
 func knownCells(speaker string) *cells.Report {
-	return &cells.Report{Cell: "eu-a-1", Region: "eu", Speaker: speaker, Plan: 4, Entered: 4, Opened: 3, FilePlan: 5, DirectoryMs: 2100, Regions: []cells.RegionReport{
-		{RegionFigures: cells.RegionFigures{Name: "eu", Cells: 1, Heard: 1, Relays: 60, Serving: 59, Rate: 12.5, Held: 900}, Rows: []cells.CellReport{
-			{Name: "eu-a-1", Own: true, Heard: true, Speaker: speaker, Plan: 4, Entered: 4, Relays: 60},
-			{Name: "eu-b-1", Heard: true, AgeMs: 1200, Speaker: "r70", Plan: 4, Entered: 4, Relays: 60}}},
-		{RegionFigures: cells.RegionFigures{Name: "us", Cells: 2, Heard: 1, Relays: 120, Serving: 120}, Rows: []cells.CellReport{
-			{Name: "us-a-1", AgeMs: 20_000, Speaker: "r130", Plan: 3, Entered: 3, Relays: 60, Departed: []string{"r140"}},
-			{Name: "us-b-1", Heard: true, AgeMs: 300, Speaker: "r190", Plan: 4, PlanHash: "ab", Mismatch: true, Entered: 4, Relays: 60}}},
+	return &cells.Report{Cell: "eu-a-1", Region: "eu", Representative: speaker, Plan: 4, JoinedPlan: 4, ActivatedPlan: 3, FilePlan: 5, DirectoryMs: 2100, Regions: []cells.RegionReport{
+		{RegionFigures: cells.RegionFigures{Name: "eu", Cells: 1, Known: 1, Relays: 60, Serving: 59, RequestRate: 12.5, OpenConnections: 900}, Rows: []cells.CellReport{
+			{Name: "eu-a-1", Own: true, Known: true, Representative: speaker, Plan: 4, JoinedPlan: 4, Relays: 60},
+			{Name: "eu-b-1", Known: true, AgeMs: 1200, Representative: "r70", Plan: 4, JoinedPlan: 4, Relays: 60}}},
+		{RegionFigures: cells.RegionFigures{Name: "us", Cells: 2, Known: 1, Relays: 120, Serving: 120}, Rows: []cells.CellReport{
+			{Name: "us-a-1", AgeMs: 20_000, Representative: "r130", Plan: 3, JoinedPlan: 3, Relays: 60, Departed: []string{"r140"}},
+			{Name: "us-b-1", Known: true, AgeMs: 300, Representative: "r190", Plan: 4, PlanHash: "ab", Mismatch: true, JoinedPlan: 4, Relays: 60}}},
 	}}
 }
 
@@ -35,8 +35,8 @@
 		{"r9", []string{"cells one by one are known at the speaker, r3", "us 2 1 120 120 0.0 0 0.0", "eu-a-1 eu here - r3 4 4 0 60 0 0.0 0"}, "us-a-1"},
 	} {
 		var shown strings.Builder
-		waits := membership.AwaitsCells.String()
-		r := &membership.Report{Relay: one.relay, Cell: &membership.CellReport{Plan: 4, Near: 0.25, Far: 0.01, Waits: waits}}
+		waits := membership.PendingCells.String()
+		r := &membership.Report{Relay: one.relay, Cell: &membership.CellReport{Plan: 4, Near: 0.25, Far: 0.01, Pending: waits}}
 		if err := showCells(&shown, r, knownCells("r3")); err != nil {
 			t.Fatal(err)
 		}
@@ -66,10 +66,10 @@
 	if got := cellChanges(now, knownCells("r3")); len(got) > 0 {
 		t.Errorf("nothing has changed, but %q", got)
 	}
-	now.Speaker, now.Opened = "r5", 4
-	now.Regions[1].Heard = 2
-	now.Regions[1].Rows[0].Heard = true
-	now.Regions[0].Rows[1].Speaker = "r71"
+	now.Representative, now.ActivatedPlan = "r5", 4
+	now.Regions[1].Known = 2
+	now.Regions[1].Rows[0].Known = true
+	now.Regions[0].Rows[1].Representative = "r71"
 	got := strings.Join(cellChanges(knownCells("r3"), now), "\n")
 	want := "cell eu-a-1: speaker r5\ncell eu-a-1: plan 4, entered 4, open 4, the file has 5\ncell eu-b-1: heard, speaker r71, plan 4, entered 4\n" +
 		"region us: 2 of 2 other cells heard\ncell us-a-1: heard, speaker r130, plan 3, entered 3"
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -42,11 +42,11 @@
 	}
 	mine := 0
 	for _, s := range looks.Servers {
-		if s.Mine {
+		if s.Assigned {
 			mine++
 		}
 	}
-	fmt.Fprintf(w, "it looks at %d of %d servers for %d relays: %d looks by turns, %d readings of others taken in\n", mine, len(looks.Servers), looks.Relays, looks.Probes, looks.Taken)
+	fmt.Fprintf(w, "it looks at %d of %d servers for %d relays: %d looks by turns, %d readings of others taken in\n", mine, len(looks.Servers), looks.Relays, looks.Probes, looks.Received)
 	if len(looks.Quarantined) > 0 {
 		fmt.Fprintln(w, "left out, as two others contradict them:", strings.Join(looks.Quarantined, " "))
 	}
@@ -54,10 +54,10 @@
 	fmt.Fprintln(tab, "SERVER\tZONE\tLOOKED AT\tLOAD\tAGE MS\tREAD BY")
 	for _, s := range looks.Servers {
 		own := "by others"
-		if s.Mine {
-			own = fmt.Sprintf("by this relay, turn %d of %d", s.Rank+1, min(probing.Probers, looks.Relays))
+		if s.Assigned {
+			own = fmt.Sprintf("by this relay, turn %d of %d", s.Rank+1, min(probing.ProbersPerServer, looks.Relays))
 		}
-		by := s.By
+		by := s.Origin
 		if by == "" {
 			by = "nobody that counts"
 		}
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -101,9 +101,9 @@
 	if r.Epoch > 0 {
 		line += " (" + r.Hash + ")"
 	}
-	line += fmt.Sprintf(", %d relays, share %.4f: %s", r.Relays, r.Share, r.Why)
-	if r.Unclaimed > 0 {
-		line += fmt.Sprintf(", %d places with their owners", r.Unclaimed)
+	line += fmt.Sprintf(", %d relays, share %.4f: %s", r.Relays, r.BudgetShare, r.ShareReason)
+	if r.UnreleasedSlots > 0 {
+		line += fmt.Sprintf(", %d places with their owners", r.UnreleasedSlots)
 	}
 	return line
 }
@@ -124,7 +124,7 @@
 			view += ", voter"
 		}
 		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%s\t%s\t%.4f\t%.4f\t%d\t%d\t%.1f\t%d\t%s\n", m.Name, m.State, (time.Duration(m.SinceMs) * time.Millisecond).Round(100*time.Millisecond),
-			m.Lifecycle, m.Zone, view, m.Share, max(m.Share, m.OutstandingLimit), m.Epoch, m.Incarnation, m.Rate, m.Held, m.How)
+			m.Lifecycle, m.Zone, view, m.BudgetShare, max(m.BudgetShare, m.OutstandingLimit), m.Epoch, m.Incarnation, m.RequestRate, m.OpenConnections, m.Source)
 	}
 	if err := tab.Flush(); err != nil {
 		return err
@@ -148,10 +148,10 @@
 
 // memberChanges are the differences between two answers of a relay, a line each.
 func memberChanges(old, now *membership.Report) (lines []string) {
-	if old == nil || old.Phase != now.Phase || old.Epoch != now.Epoch || old.Share != now.Share {
+	if old == nil || old.Phase != now.Phase || old.Epoch != now.Epoch || old.BudgetShare != now.BudgetShare {
 		lines = append(lines, headline(now))
 	}
-	before := map[string]membership.Row{}
+	before := map[string]membership.MemberReport{}
 	if old != nil {
 		for _, m := range old.Members {
 			before[m.Name] = m
--- a/internal/fleet/cellplan/check.go
+++ b/internal/fleet/cellplan/check.go
@@ -10,12 +10,12 @@
 
 // Bounds of a plan.
 const (
-	MostCells    = 256
-	MostRelays   = 64      // of a cell with a region; 16 to 18 keep to 8 KB a second each (docs/measurements/capacity.md)
-	MostSpanning = 4096    // relays of a cell that spans all regions
-	MostContacts = 16      // of a cell
-	LongestName  = 64      // bytes of a cell's, region's or zone's name
-	MostNumber   = 1 << 62 // of a plan; fits the signed integers of the file
+	MaxCells          = 256
+	MaxRelays         = 64      // of a cell with a region; 16 to 18 keep to 8 KB a second each (docs/measurements/capacity.md)
+	MaxSpanningRelays = 4096    // relays of a cell that spans all regions
+	MaxContacts       = 16      // of a cell
+	MaxNameBytes      = 64      // bytes of a cell's, region's or zone's name
+	MaxPlanNumber     = 1 << 62 // of a plan; fits the signed integers of the file
 )
 
 // Problem is something in a plan that cannot be, and the key in the file where it stands, from the plan's table on.
@@ -29,12 +29,12 @@
 // Check returns every problem of the plan, each a *Problem, joined in the order of the file; nil if it can be used.
 func (p Plan) Check() error {
 	c := checker{plan: p, names: map[string]int{}, regions: map[string]string{}}
-	c.numbers()
+	c.checkNumbers()
 	for i, cell := range p.Cells {
-		c.cell(i, cell)
+		c.checkCell(i, cell)
 	}
 	if len(c.problems) == 0 { // the sums of a table that is wrong as it stands mean nothing
-		c.sums()
+		c.checkSums()
 	}
 	return errors.Join(c.problems...)
 }
@@ -51,16 +51,16 @@
 	c.problems = append(c.problems, &Problem{Key: key, Cause: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) numbers() {
+func (c *checker) checkNumbers() {
 	p := c.plan
-	if p.Number < 1 || p.Number > MostNumber {
-		c.add("number", "%d is not from 1 to %d", p.Number, MostNumber)
+	if p.Number < 1 || p.Number > MaxPlanNumber {
+		c.add("number", "%d is not from 1 to %d", p.Number, MaxPlanNumber)
 	}
 	if math.IsNaN(p.HomeShare) || p.HomeShare < 0 || p.HomeShare > 1 {
 		c.add("home_share", "%v is not over 0 and at most 1", p.HomeShare)
 	}
-	if len(p.Cells) == 0 || len(p.Cells) > MostCells {
-		c.add("cells", "%d cells; from 1 to %d can be", len(p.Cells), MostCells)
+	if len(p.Cells) == 0 || len(p.Cells) > MaxCells {
+		c.add("cells", "%d cells; from 1 to %d can be", len(p.Cells), MaxCells)
 		return
 	}
 	total := 0
@@ -74,39 +74,39 @@
 	}
 }
 
-func (c *checker) cell(i int, cell Cell) {
+func (c *checker) checkCell(i int, cell Cell) {
 	key := func(field string) string { return fmt.Sprintf("cells[%d].%s", i, field) }
-	if cause := badName(cell.Name); cause != "" {
+	if cause := nameProblem(cell.Name); cause != "" {
 		c.add(key("name"), "%s", cause)
 	} else if before, taken := c.names[cell.Name]; taken {
 		c.add(key("name"), "%q is also the name of cells[%d]", cell.Name, before)
 	} else {
 		c.names[cell.Name] = i
 	}
-	c.place(i, cell)
-	most := MostRelays
+	c.checkLocation(i, cell)
+	most := MaxRelays
 	if cell.Spanning() {
-		most = MostSpanning
+		most = MaxSpanningRelays
 	}
 	if cell.Relays < 0 || cell.Relays > most {
 		c.add(key("relays"), "%d relays in cell %q; from 0 to %d can be", cell.Relays, cell.Name, most)
 	}
-	if len(cell.Contacts) > MostContacts {
-		c.add(key("contacts"), "%d contacts; at most %d", len(cell.Contacts), MostContacts)
+	if len(cell.Contacts) > MaxContacts {
+		c.add(key("contacts"), "%d contacts; at most %d", len(cell.Contacts), MaxContacts)
 		return
 	}
 	if len(cell.Contacts) == 0 && cell.Relays > 0 && len(c.plan.Cells) > 1 {
 		c.add(key("contacts"), "none: no other cell could reach %q", cell.Name)
 	}
 	for j, contact := range cell.Contacts {
-		if cause := badContact(contact); cause != "" {
+		if cause := contactProblem(contact); cause != "" {
 			c.add(fmt.Sprintf("cells[%d].contacts[%d]", i, j), "%s", cause)
 		}
 	}
 }
 
-// place checks where a cell stands: in a region and one of its zones, or nowhere.
-func (c *checker) place(i int, cell Cell) {
+// checkLocation checks where a cell stands: in a region and one of its zones, or nowhere.
+func (c *checker) checkLocation(i int, cell Cell) {
 	key := func(field string) string { return fmt.Sprintf("cells[%d].%s", i, field) }
 	if cell.Spanning() {
 		if cell.Zone != "" {
@@ -114,11 +114,11 @@
 		}
 		return
 	}
-	if cause := badName(cell.Region); cause != "" {
+	if cause := nameProblem(cell.Region); cause != "" {
 		c.add(key("region"), "%s", cause)
 		return
 	}
-	if cause := badName(cell.Zone); cause != "" {
+	if cause := nameProblem(cell.Zone); cause != "" {
 		c.add(key("zone"), "%s", cause)
 		return
 	}
@@ -129,8 +129,8 @@
 	c.regions[cell.Zone] = cell.Region
 }
 
-// sums checks, by adding up the parts, that no budget is given away more than once.
-func (c *checker) sums() {
+// checkSums checks, by adding up the parts, that no budget is given away more than once.
+func (c *checker) checkSums() {
 	parts := c.plan.parts()
 	summed := map[string]bool{}
 	for i, cell := range c.plan.Cells {
@@ -147,21 +147,21 @@
 	}
 }
 
-// badName tells why a name can't be one, "" if it can.
-func badName(name string) string {
+// nameProblem tells why a name can't be one, "" if it can.
+func nameProblem(name string) string {
 	switch {
 	case name == "":
 		return "empty"
-	case len(name) > LongestName:
-		return fmt.Sprintf("%d bytes long; at most %d", len(name), LongestName)
+	case len(name) > MaxNameBytes:
+		return fmt.Sprintf("%d bytes long; at most %d", len(name), MaxNameBytes)
 	case strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == 0x7f || r == 0xfffd }):
 		return fmt.Sprintf("%q has characters that a name can't have", name)
 	}
 	return ""
 }
 
-// badContact tells why an address can't be a contact, "" if it can.
-func badContact(contact string) string {
+// contactProblem tells why an address can't be a contact, "" if it can.
+func contactProblem(contact string) string {
 	address, err := netip.ParseAddrPort(contact)
 	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() || address.Addr().IsMulticast() {
 		return fmt.Sprintf("%q is not an IP address and a port", contact)
--- a/internal/fleet/cellplan/plan.go
+++ b/internal/fleet/cellplan/plan.go
@@ -106,10 +106,10 @@
 	case weight == 0:
 		return part{zones: weights.zones}
 	}
-	rest := portion(Whole, weights.placed, weights.all)
+	rest := portion(Whole, weights.regional, weights.all)
 	home := portion(rest, p.homeUnits(), Whole)
-	far := portion(rest-home, weight, weights.placed)
-	return part{near: portion(home, weight, weights.region) + far, far: far, zones: weights.zones}
+	far := portion(rest-home, weight, weights.regional)
+	return part{near: portion(home, weight, weights.inRegion) + far, far: far, zones: weights.zones}
 }
 
 // parts are those of all cells, in the order of the plan.
@@ -187,8 +187,8 @@
 
 // weights are sums over cells: of all, of those that have a region, and of those of one region, which stand in zones.
 type weights struct {
-	all, placed, region uint64
-	zones               []string
+	all, regional, inRegion uint64
+	zones                   []string
 }
 
 func (p Plan) weigh(region string) (w weights) {
@@ -198,9 +198,9 @@
 		if c.Spanning() {
 			continue
 		}
-		w.placed += weight
+		w.regional += weight
 		if c.Region == region {
-			w.region += weight
+			w.inRegion += weight
 		}
 	}
 	w.zones = p.Zones(region)
--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -58,7 +58,7 @@
 		{"home share no number", func(p *Plan) { p.HomeShare = math.NaN() }, "home_share"},
 		{"no cells", func(p *Plan) { p.Cells = nil }, "cells"},
 		{"too many cells", func(p *Plan) {
-			for i := range MostCells {
+			for i := range MaxCells {
 				p.Cells = append(p.Cells, cell(fmt.Sprint("c", i), "a", "a-1", 1))
 			}
 		}, "cells"},
@@ -179,9 +179,9 @@
 func drawn(draw *rand.Rand) Plan {
 	p := Plan{Number: 1 + draw.Uint64N(9), HomeShare: draw.Float64()}
 	lowest := draw.IntN(2)
-	for i := range 1 + draw.IntN(MostCells-1) {
+	for i := range 1 + draw.IntN(MaxCells-1) {
 		region := fmt.Sprint("r", draw.IntN(6))
-		p.Cells = append(p.Cells, cell(fmt.Sprint("c", i), region, fmt.Sprint(region, "-", draw.IntN(4)), lowest+draw.IntN(MostRelays+1-lowest)))
+		p.Cells = append(p.Cells, cell(fmt.Sprint("c", i), region, fmt.Sprint(region, "-", draw.IntN(4)), lowest+draw.IntN(MaxRelays+1-lowest)))
 	}
 	if draw.IntN(3) == 0 {
 		p.Cells = append(p.Cells, cell("flat", "", "", 1+draw.IntN(1100)))
--- a/internal/fleet/cells/coordinator.go
+++ b/internal/fleet/cells/coordinator.go
@@ -7,11 +7,11 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// mostCells bounds the other cells that are kept: those of the file's plan and those of the view's.
-const mostCells = 2 * cellplan.MostCells
+// maxCells bounds the other cells that are kept: those of the file's plan and those of the view's.
+const maxCells = 2 * cellplan.MaxCells
 
-// Drops counts what came from elsewhere and was not taken.
-type Drops struct {
+// DropCounters counts what came from elsewhere and was not taken.
+type DropCounters struct {
 	Malformed uint64 `json:"malformed"`
 	Unknown   uint64 `json:"unknown_cell"` // not named in a plan in force
 	Stale     uint64 `json:"stale"`        // doubled, or overtaken by a newer one
@@ -19,31 +19,31 @@
 
 // Coordinator is one relay's part in what cells know of each other. It is not safe for concurrent use.
 type Coordinator struct {
-	cfg     Config
-	plan    cellplan.Plan
-	local   LocalCell
-	known   bool // a LocalCell has been told
-	remotes map[string]*remote
-	order   []string // the names of the other cells, sorted
+	cfg        Config
+	plan       cellplan.Plan
+	local      LocalCell
+	localKnown bool // a LocalCell has been told
+	remotes    map[string]*remote
+	cellNames  []string // the names of the other cells, sorted
 
-	speaker       string // of this cell, "" for none
-	speaking      bool
-	speakingSince float64
-	rival         string // another relay of this cell that speaks too
-	rivalAt       float64
-	seq           uint64 // of summaries
-	pace          pacer
-	nextLook      float64 // for cells that have become unheard
+	representative        string // of this cell, "" for none
+	representing          bool
+	representingSince     float64
+	otherRepresentative   string // another relay of this cell that speaks too
+	otherRepresentativeAt float64
+	summarySeq            uint64 // of summaries
+	pace                  pacer
+	nextLostCheckAt       float64 // for cells that have become unheard
 
-	directory      Directory // the newest of this cell
-	directoryAt    float64   // when it came or was published, negative for never
-	directoryMarks []mark
-	directorySeq   uint64
-	nextDirectory  float64
-	directoryDirty bool            // something in it has changed
-	inherited      []RegionFigures // of the directory before this relay spoke
-	opened         uint64
-	drops          Drops
+	directory        Directory // the newest of this cell
+	directoryAt      float64   // when it came or was published, negative for never
+	directorySeen    []sequenceMark
+	directorySeq     uint64
+	nextDirectoryAt  float64
+	directoryDirty   bool            // something in it has changed
+	inheritedRegions []RegionFigures // of the directory before this relay spoke
+	activatedPlan    uint64
+	drops            DropCounters
 }
 
 // New returns a Coordinator that knows only its plan, which has to have passed Check.
@@ -59,19 +59,19 @@
 	case LocalCell:
 		out = c.setLocal(now, ev, out)
 	case SummaryReceived:
-		out = c.receive(now, ev.Summary, out)
+		out = c.receiveSummary(now, ev.Summary, out)
 	case DirectoryReceived:
 		out = c.receiveDirectory(now, ev.Directory, out)
 	case PlanChanged:
 		c.setPlan(now, ev.Plan)
-		out = c.checkOpened(out)
+		out = c.checkActivation(out)
 	}
-	if !c.speaking {
+	if !c.representing {
 		return out
 	}
 	out = c.checkLost(now, out)
-	out = c.publishDue(now, out)
-	return c.sendDue(now, out)
+	out = c.publishDirectoryDue(now, out)
+	return c.sendSummaryDue(now, out)
 }
 
 // setLocal takes in what is known of this relay's own cell.
@@ -80,20 +80,20 @@
 	cellsChanged := !slices.Equal(before.Cells, l.Cells)
 	c.local = l
 	if cellsChanged {
-		c.keepNamed(now)
+		c.retainNamedCells(now)
 	}
-	changed := !c.known || before.Members != l.Members || before.Epoch != l.Epoch || before.Plan != l.Plan || before.Entered != l.Entered
-	c.known = true
-	spoke := c.speaking
-	out = c.choose(now, out)
+	changed := !c.localKnown || before.Members != l.Members || before.Epoch != l.Epoch || before.Plan != l.Plan || before.JoinedPlan != l.JoinedPlan
+	c.localKnown = true
+	spoke := c.representing
+	out = c.electRepresentative(now, out)
 	if spoke && changed {
-		c.hurry(now)
+		c.expedite(now)
 	}
-	return c.checkOpened(out)
+	return c.checkActivation(out)
 }
 
-// choose makes the first voter that is alive the speaker.
-func (c *Coordinator) choose(now float64, out []Action) []Action {
+// electRepresentative makes the first voter that is alive the speaker.
+func (c *Coordinator) electRepresentative(now float64, out []Action) []Action {
 	speaker := ""
 	for _, v := range c.local.Voters {
 		if v.Alive || v.Name == c.cfg.Name {
@@ -101,46 +101,46 @@
 			break
 		}
 	}
-	if speaker == c.speaker {
+	if speaker == c.representative {
 		return out
 	}
-	c.speaker = speaker
+	c.representative = speaker
 	speaking := speaker == c.cfg.Name
-	if speaking && !c.speaking {
-		c.begin(now)
+	if speaking && !c.representing {
+		c.becomeRepresentative(now)
 	}
-	c.speaking = speaking
-	return append(out, Changed{Kind: SpeakerChanged, Cell: c.cfg.Cell, Speaker: speaker})
+	c.representing = speaking
+	return append(out, Changed{Kind: RepresentativeChanged, Cell: c.cfg.Cell, Representative: speaker})
 }
 
-// begin makes this relay the speaker: it starts in turn after its own cell's name, and tells all soon.
-func (c *Coordinator) begin(now float64) {
-	c.speakingSince = now
-	c.inherited = c.directory.Regions
+// becomeRepresentative makes this relay the speaker: it starts in turn after its own cell's name, and tells all soon.
+func (c *Coordinator) becomeRepresentative(now float64) {
+	c.representingSince = now
+	c.inheritedRegions = c.directory.Regions
 	c.directoryDirty = true
-	c.nextDirectory = now
+	c.nextDirectoryAt = now
 	for _, r := range c.remotes {
 		r.sentTo = ""
 	}
 	draw := rand.New(rand.NewPCG(c.cfg.Seed, c.cfg.Incarnation))
-	c.pace.turn, _ = slices.BinarySearch(c.order, c.cfg.Cell)
-	c.pace.turn += len(c.order) - 1 // sendNext goes one on
-	c.pace.next = now + draw.Float64()*c.step()
-	c.hurry(now)
+	c.pace.position, _ = slices.BinarySearch(c.cellNames, c.cfg.Cell)
+	c.pace.position += len(c.cellNames) - 1 // sendNext goes one on
+	c.pace.nextSummaryAt = now + draw.Float64()*c.summaryInterval()
+	c.expedite(now)
 }
 
 // setPlan takes in the file's plan.
 func (c *Coordinator) setPlan(now float64, p cellplan.Plan) {
 	c.plan = p
-	c.keepNamed(now)
+	c.retainNamedCells(now)
 }
 
-// keepNamed keeps the other cells that a plan in force names, and forgets all others. Of a view that names more cells than can be
+// retainNamedCells keeps the other cells that a plan in force names, and forgets all others. Of a view that names more cells than can be
 // none is kept, so that its plan is never opened here.
-func (c *Coordinator) keepNamed(now float64) {
+func (c *Coordinator) retainNamedCells(now float64) {
 	named := map[string]bool{}
 	names := c.plan.Names()
-	if len(c.local.Cells) <= cellplan.MostCells {
+	if len(c.local.Cells) <= cellplan.MaxCells {
 		names = append(names, c.local.Cells...)
 	}
 	for _, name := range names {
@@ -153,25 +153,25 @@
 			delete(c.remotes, name)
 		}
 	}
-	c.order = c.order[:0]
+	c.cellNames = c.cellNames[:0]
 	for name := range named {
 		r := c.remotes[name]
 		if r == nil {
-			r = &remote{name: name, heardAt: -1, rotatedAt: now}
+			r = &remote{name: name, summaryAt: -1, rotatedAt: now}
 			c.remotes[name] = r
 		}
 		if cell, ok := c.plan.Find(name); ok {
 			r.region, r.weight, r.planContacts = cell.Region, cell.Relays, cell.Contacts
 		}
-		c.order = append(c.order, name)
+		c.cellNames = append(c.cellNames, name)
 	}
-	slices.Sort(c.order)
-	c.pace.quick = min(c.pace.quick, len(c.order))
+	slices.Sort(c.cellNames)
+	c.pace.expeditedLeft = min(c.pace.expeditedLeft, len(c.cellNames))
 	c.directoryDirty = true
 }
 
-// receive takes in a summary.
-func (c *Coordinator) receive(now float64, s Summary, out []Action) []Action {
+// receiveSummary takes in a summary.
+func (c *Coordinator) receiveSummary(now float64, s Summary, out []Action) []Action {
 	if s.Check() != nil {
 		c.drops.Malformed++
 		return out
@@ -181,42 +181,42 @@
 		c.drops.Unknown++
 		return out
 	}
-	if to := c.otherSpeaker(now); to != "" && !s.Forwarded {
+	if to := c.forwardTarget(now); to != "" && !s.Forwarded {
 		passed := s
 		passed.Forwarded = true
 		out = append(out, ForwardSummary{To: to, Summary: passed})
 	}
-	r.note(s)
+	r.notePlans(s)
 	out = c.checkMismatch(r, s, out)
-	out = c.checkOpened(out)
-	return c.update(now, r, s, out)
+	out = c.checkActivation(out)
+	return c.updateFigures(now, r, s, out)
 }
 
-// otherSpeaker is a relay of this cell that a summary is to be forwarded to: the speaker or, where two believe that they are, the
+// forwardTarget is a relay of this cell that a summary is to be forwarded to: the speaker or, where two believe that they are, the
 // other one; "" for none.
-func (c *Coordinator) otherSpeaker(now float64) string {
-	if !c.speaking {
-		return c.speaker
+func (c *Coordinator) forwardTarget(now float64) string {
+	if !c.representing {
+		return c.representative
 	}
-	if c.rival != "" && now-c.rivalAt <= UnheardRounds*directoryEvery {
-		return c.rival
+	if c.otherRepresentative != "" && now-c.otherRepresentativeAt <= UnknownAfterRounds*directoryInterval {
+		return c.otherRepresentative
 	}
 	return ""
 }
 
-// update takes a summary's figures for the cell's, if it is the newest.
-func (c *Coordinator) update(now float64, r *remote, s Summary, out []Action) []Action {
-	unheard := r.heardAt < 0 || now-r.heardAt > UnheardRounds*c.round()
+// updateFigures takes a summary's figures for the cell's, if it is the newest.
+func (c *Coordinator) updateFigures(now float64, r *remote, s Summary, out []Action) []Action {
+	unheard := r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
 	older := s.Epoch < r.summary.Epoch && !unheard // of a part of the cell that is behind
-	if !r.accept(now, s, unheard) || older {
+	if !r.acceptSummary(now, s, unheard) || older {
 		c.drops.Stale++
 		return out
 	}
 	before := r.summary
-	first := r.heardAt < 0
-	r.summary, r.heardAt, r.contact = s, now, 0
-	if r.announce(now, rotateRounds*c.round()) {
-		out = append(out, Changed{Kind: SpeakerChanged, Cell: r.name, Speaker: s.Speaker})
+	first := r.summaryAt < 0
+	r.summary, r.summaryAt, r.contact = s, now, 0
+	if r.announceRepresentative(now, contactRotationRounds*c.round()) {
+		out = append(out, Changed{Kind: RepresentativeChanged, Cell: r.name, Representative: s.Representative})
 	}
 	if _, ok := c.plan.Find(r.name); !ok {
 		r.region = s.Region
@@ -224,29 +224,29 @@
 	if first || r.lost || before.Members != s.Members || before.Serving != s.Serving {
 		c.directoryDirty = true
 	}
-	if c.speaking && len(s.Contacts) > 0 && r.sentTo != "" && r.sentTo != s.Contacts[0] {
-		r.urgent = true // it has another speaker, which may know nothing yet
+	if c.representing && len(s.Contacts) > 0 && r.sentTo != "" && r.sentTo != s.Contacts[0] {
+		r.expedited = true // it has another speaker, which may know nothing yet
 	}
-	if c.speaking && r.lost {
-		c.hurry(now)
+	if c.representing && r.lost {
+		c.expedite(now)
 	}
 	if first || r.lost {
 		r.lost = false
-		out = append(out, Changed{Kind: CellHeard, Cell: r.name, Speaker: s.Speaker})
+		out = append(out, Changed{Kind: CellKnown, Cell: r.name, Representative: s.Representative})
 	}
 	return out
 }
 
 // checkLost tells of cells that have become unheard.
 func (c *Coordinator) checkLost(now float64, out []Action) []Action {
-	if now < c.nextLook {
+	if now < c.nextLostCheckAt {
 		return out
 	}
-	c.nextLook = now + lookEvery
-	limit := UnheardRounds * c.round()
-	for _, name := range c.order {
+	c.nextLostCheckAt = now + lostCheckInterval
+	limit := UnknownAfterRounds * c.round()
+	for _, name := range c.cellNames {
 		r := c.remotes[name]
-		since := max(r.heardAt, c.speakingSince)
+		since := max(r.summaryAt, c.representingSince)
 		if !r.lost && now-since > limit {
 			r.lost = true
 			c.directoryDirty = true
@@ -260,16 +260,16 @@
 func (c *Coordinator) summary() Summary {
 	l := c.local
 	own, _ := c.plan.Find(c.cfg.Cell)
-	s := Summary{Cell: c.cfg.Cell, Region: own.Region, Speaker: c.cfg.Name, Incarnation: c.cfg.Incarnation, Seq: c.seq, Epoch: l.Epoch,
-		Plan: l.Plan, PlanHash: l.PlanHash, Entered: l.Entered, Founded: l.Founded, Members: l.Members, Serving: min(l.Serving, l.Members), Rate: l.Rate, Held: l.Held, Sent: l.Sent}
+	s := Summary{Cell: c.cfg.Cell, Region: own.Region, Representative: c.cfg.Name, Incarnation: c.cfg.Incarnation, Seq: c.summarySeq, Epoch: l.Epoch,
+		Plan: l.Plan, PlanHash: l.PlanHash, JoinedPlan: l.JoinedPlan, Bootstrapped: l.Bootstrapped, Members: l.Members, Serving: min(l.Serving, l.Members), RequestRate: l.RequestRate, OpenConnections: l.OpenConnections, DrainRate: l.DrainRate}
 	for _, v := range l.Voters { // this relay is the first that is alive
-		if (v.Alive || v.Name == c.cfg.Name) && v.Address != "" && len(s.Contacts) < MostContacts {
+		if (v.Alive || v.Name == c.cfg.Name) && v.Address != "" && len(s.Contacts) < MaxContacts {
 			s.Contacts = append(s.Contacts, v.Address)
 		}
 	}
-	room := departedBytes
+	room := maxDepartedBytes
 	for _, name := range l.Departed {
-		if room -= len(name) + 2; room < 0 || len(s.Departed) == MostDeparted {
+		if room -= len(name) + 2; room < 0 || len(s.Departed) == MaxDeparted {
 			break
 		}
 		s.Departed = append(s.Departed, name)
--- a/internal/fleet/cells/evidence.go
+++ b/internal/fleet/cells/evidence.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Opened is the newest plan that every cell is known to have entered, by this relay or one that has told it; 0 for none. It never
+// ActivatedPlan is the newest plan that every cell is known to have entered, by this relay or one that has told it; 0 for none. It never
 // falls.
-func (c *Coordinator) Opened() uint64 { return c.opened }
+func (c *Coordinator) ActivatedPlan() uint64 { return c.activatedPlan }
 
-// required are the cells that must have entered the view's plan before it is open; nil if they are not known.
-func (c *Coordinator) required() []string {
+// requiredCells are the cells that must have entered the view's plan before it is open; nil if they are not known.
+func (c *Coordinator) requiredCells() []string {
 	if len(c.local.Cells) > 0 {
 		return c.local.Cells
 	}
@@ -17,44 +17,44 @@
 	return nil
 }
 
-// checkOpened looks whether every cell has entered this cell's plan.
-func (c *Coordinator) checkOpened(out []Action) []Action {
+// checkActivation looks whether every cell has entered this cell's plan.
+func (c *Coordinator) checkActivation(out []Action) []Action {
 	l := c.local
-	if l.Plan == 0 || l.Entered < l.Plan || c.opened >= l.Plan {
+	if l.Plan == 0 || l.JoinedPlan < l.Plan || c.activatedPlan >= l.Plan {
 		return out
 	}
-	names := c.required()
+	names := c.requiredCells()
 	missing := func(name string) bool {
 		if name == c.cfg.Cell {
 			return false
 		}
 		r := c.remotes[name]
-		return r == nil || !r.entered(l.Plan, l.PlanHash)
+		return r == nil || !r.joined(l.Plan, l.PlanHash)
 	}
-	if len(names) == 0 || slices.ContainsFunc(names, missing) || !c.continued(names) {
+	if len(names) == 0 || slices.ContainsFunc(names, missing) || !c.anyCellContinued(names) {
 		return out
 	}
-	return c.open(l.Plan, out)
+	return c.activatePlan(l.Plan, out)
 }
 
-// continued tells whether some cell has come into this cell's plan from the one before. Only such a cell knows who held a part by that,
+// anyCellContinued tells whether some cell has come into this cell's plan from the one before. Only such a cell knows who held a part by that,
 // and has entered none that leaves one out: cells that are all founded by a plan never open it.
-func (c *Coordinator) continued(names []string) bool {
+func (c *Coordinator) anyCellContinued(names []string) bool {
 	came := func(name string) bool {
 		r := c.remotes[name]
 		return r != nil && r.continued(c.local.Plan, c.local.PlanHash)
 	}
-	return !c.local.Founded || slices.ContainsFunc(names, came)
+	return !c.local.Bootstrapped || slices.ContainsFunc(names, came)
 }
 
-// open notes that a plan is open.
-func (c *Coordinator) open(plan uint64, out []Action) []Action {
-	if plan <= c.opened {
+// activatePlan notes that a plan is activatePlan.
+func (c *Coordinator) activatePlan(plan uint64, out []Action) []Action {
+	if plan <= c.activatedPlan {
 		return out
 	}
-	c.opened = plan
+	c.activatedPlan = plan
 	c.directoryDirty = true
-	return append(out, Changed{Kind: PlanOpened, Cell: c.cfg.Cell, Plan: plan})
+	return append(out, Changed{Kind: PlanActivated, Cell: c.cfg.Cell, Plan: plan})
 }
 
 // checkMismatch tells once of a cell that has another table under the number of this cell's plan.
@@ -64,7 +64,7 @@
 	}
 	differs := s.PlanHash != c.local.PlanHash
 	if differs && !r.mismatch {
-		out = append(out, Changed{Kind: PlanMismatch, Cell: r.name, Speaker: s.Speaker, Plan: s.Plan})
+		out = append(out, Changed{Kind: PlanMismatch, Cell: r.name, Representative: s.Representative, Plan: s.Plan})
 	}
 	r.mismatch = differs
 	return out
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -29,7 +29,7 @@
 				all = all && g.entered >= next.Number
 			}
 			for _, r := range n.byName {
-				early = early || !all && r.coordinator.Opened() >= next.Number
+				early = early || !all && r.coordinator.ActivatedPlan() >= next.Number
 			}
 		}
 		for number := uint64(2); number <= 4; number++ {
@@ -65,7 +65,7 @@
 
 func (n *network) openAt(plan uint64) (count int) {
 	for _, r := range n.byName {
-		if r.up && r.coordinator.Opened() >= plan {
+		if r.up && r.coordinator.ActivatedPlan() >= plan {
 			count++
 		}
 	}
@@ -85,7 +85,7 @@
 func TestEvidenceIsMonotone(t *testing.T) {
 	c, plan := one(t)
 	entered := func(number, hash uint64) LocalCell {
-		return LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: number, PlanHash: hash, Cells: plan.Names(), Entered: number}
+		return LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: number, PlanHash: hash, Cells: plan.Names(), JoinedPlan: number}
 	}
 	before := plan
 	before.Number = 1
@@ -100,14 +100,14 @@
 	c.Handle(0, SummaryReceived{Summary: heardFrom(other, "b", 4)}, nil)
 	c.Handle(0, entered(2, plan.Hash()), nil)
 	c.Handle(0, SummaryReceived{Summary: old}, nil)
-	if c.Opened() != 0 {
+	if c.ActivatedPlan() != 0 {
 		t.Fatal("open without a word of cell c")
 	}
 	wrong := heardFrom(other, "c", 1)
 	out := c.Handle(0, SummaryReceived{Summary: wrong}, nil)
 	wrong.Seq++
 	out = c.Handle(0, SummaryReceived{Summary: wrong}, out)
-	if c.Opened() != 0 {
+	if c.ActivatedPlan() != 0 {
 		t.Fatal("another table is counted")
 	}
 	mismatches := 0
@@ -120,18 +120,18 @@
 		t.Error("the mismatch is told", mismatches, "times")
 	}
 	waiting := heardFrom(plan, "c", 3) // it holds the plan, but somebody may still act by the one before
-	waiting.Entered = 1
+	waiting.JoinedPlan = 1
 	c.Handle(0, SummaryReceived{Summary: waiting}, nil)
-	if c.Opened() != 0 {
+	if c.ActivatedPlan() != 0 {
 		t.Fatal("a cell counts that isn't quiet")
 	}
 	c.Handle(0, SummaryReceived{Summary: heardFrom(plan, "c", 2)}, nil)
-	if c.Opened() != 2 {
+	if c.ActivatedPlan() != 2 {
 		t.Fatal("an overtaken packet's word is true too, but it isn't counted")
 	}
 	c.Handle(0, entered(3, 77), nil)
-	c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Speaker: "a-0", Incarnation: 1, Seq: 1, Opened: 1}}, nil)
-	if c.Opened() != 2 {
+	c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: "a-0", Incarnation: 1, Seq: 1, ActivatedPlan: 1}}, nil)
+	if c.ActivatedPlan() != 2 {
 		t.Error("what was open is taken back")
 	}
 }
@@ -140,25 +140,25 @@
 // entered itself.
 func TestOpeningGoesByTheView(t *testing.T) {
 	c, plan := one(t)
-	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: append(plan.Names(), "gone"), Entered: 1}
+	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: append(plan.Names(), "gone"), JoinedPlan: 1}
 	c.Handle(0, l, nil)
 	for _, name := range []string{"b", "c"} {
 		c.Handle(0, SummaryReceived{Summary: heardFrom(plan, name, 1)}, nil)
 	}
-	l.Entered = 2
+	l.JoinedPlan = 2
 	c.Handle(0, l, nil)
-	if c.Opened() != 0 {
+	if c.ActivatedPlan() != 0 {
 		t.Fatal("a cell of the plan before isn't waited for")
 	}
-	l.Entered = 1
+	l.JoinedPlan = 1
 	c.Handle(0, l, nil)
 	c.Handle(0, SummaryReceived{Summary: heardFrom(plan, "gone", 1)}, nil)
-	if c.Opened() != 0 {
+	if c.ActivatedPlan() != 0 {
 		t.Fatal("open though this cell hasn't entered the plan")
 	}
-	l.Entered = 2
+	l.JoinedPlan = 2
 	c.Handle(0, l, nil)
-	if c.Opened() != 2 {
+	if c.ActivatedPlan() != 2 {
 		t.Error("not open though all have entered")
 	}
 }
@@ -166,16 +166,16 @@
 // A cell that has entered a later plan has been through the one before, also when old word of it comes after.
 func TestLaterPlanCounts(t *testing.T) {
 	c, plan := one(t)
-	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), Entered: 2}, nil)
+	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2}, nil)
 	later, old := plan, plan
 	later.Number, old.Number = 4, 1
 	c.Handle(0, SummaryReceived{Summary: heardFrom(later, "b", 1)}, nil)
 	c.Handle(0, SummaryReceived{Summary: heardFrom(old, "b", 2)}, nil)
-	if c.Opened() != 0 {
+	if c.ActivatedPlan() != 0 {
 		t.Fatal("open without cell c")
 	}
 	c.Handle(0, SummaryReceived{Summary: heardFrom(plan, "c", 1)}, nil)
-	if c.Opened() != 2 {
+	if c.ActivatedPlan() != 2 {
 		t.Error("old word takes back that a cell is past the plan")
 	}
 }
@@ -183,16 +183,16 @@
 // A view that names more cells than are kept is never opened.
 func TestTooManyCellsNeverOpen(t *testing.T) {
 	c, plan := one(t)
-	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), Entered: 2}
-	for i := range cellplan.MostCells {
+	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2}
+	for i := range cellplan.MaxCells {
 		l.Cells = append(l.Cells, fmt.Sprint("x", i))
 	}
 	c.Handle(0, l, nil)
 	for _, name := range l.Cells {
 		c.Handle(0, SummaryReceived{Summary: heardFrom(plan, name, 1)}, nil)
 	}
-	if c.Opened() != 0 || len(c.remotes) != 2 {
-		t.Error("opened", c.Opened(), "with", len(c.remotes), "cells kept")
+	if c.ActivatedPlan() != 0 || len(c.remotes) != 2 {
+		t.Error("opened", c.ActivatedPlan(), "with", len(c.remotes), "cells kept")
 	}
 }
 
@@ -200,17 +200,17 @@
 // heard that has come from there, it is.
 func TestFoundedCellsAloneNeverOpen(t *testing.T) {
 	c, plan := one(t)
-	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), Entered: 2, Founded: true}, nil)
+	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2, Bootstrapped: true}, nil)
 	for _, name := range plan.Names() {
 		s := heardFrom(plan, name, 1)
-		s.Founded = true
+		s.Bootstrapped = true
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
 	}
-	if c.Opened() != 0 {
+	if c.ActivatedPlan() != 0 {
 		t.Fatal("open though nobody has come from the plan before")
 	}
 	c.Handle(0, SummaryReceived{Summary: heardFrom(plan, "b", 2)}, nil)
-	if c.Opened() != 2 {
+	if c.ActivatedPlan() != 2 {
 		t.Error("not open though one has come from the plan before, and all have entered")
 	}
 }
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -100,7 +100,7 @@
 func (n *network) fresh(since float64) bool {
 	for _, g := range n.cells {
 		for _, r := range g.speaker().coordinator.remotes {
-			if r.heardAt < since {
+			if r.summaryAt < since {
 				return false
 			}
 		}
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	c := New(0, Config{Name: "relay-eu-north-0-001", Cell: plan.Cells[0].Name, Incarnation: 1 << 40, Plan: plan})
-	l := LocalCell{Members: 64, Serving: 64, Epoch: 1 << 30, Plan: 1234, Entered: 1234, PlanHash: plan.Hash(), Rate: 12345.678, Held: 123456789, Sent: 123.456}
+	l := LocalCell{Members: 64, Serving: 64, Epoch: 1 << 30, Plan: 1234, JoinedPlan: 1234, PlanHash: plan.Hash(), RequestRate: 12345.678, OpenConnections: 123456789, DrainRate: 123.456}
 	for i := range 7 {
 		name := fmt.Sprintf("relay-eu-north-0-%03d", i+1)
 		l.Voters = append(l.Voters, Voter{Name: name, Address: fmt.Sprintf("100.100.100.%d:17946", 100+i), Alive: true})
@@ -151,18 +151,18 @@
 		l.Departed = append(l.Departed, fmt.Sprintf("relay-eu-north-0-%03d", i+1))
 	}
 	c.Handle(0, l, nil)
-	c.seq = 1 << 40
+	c.summarySeq = 1 << 40
 	summary := c.summary()
 	if err := summary.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for i, cell := range plan.Cells[1:] {
 		other := summary
-		other.Cell, other.Region, other.Speaker, other.Seq = cell.Name, cell.Region, fmt.Sprintf("%s-%d", cell.Name, i), 1
+		other.Cell, other.Region, other.Representative, other.Seq = cell.Name, cell.Region, fmt.Sprintf("%s-%d", cell.Name, i), 1
 		c.Handle(second, SummaryReceived{Summary: other}, nil)
 	}
-	rows := c.rows(second)
-	directory := Directory{Cell: c.cfg.Cell, Speaker: c.cfg.Name, Incarnation: 1 << 40, Seq: 1 << 40, Epoch: 1 << 30, Opened: 1234, Regions: rows}
+	rows := c.regionRows(second)
+	directory := Directory{Cell: c.cfg.Cell, Representative: c.cfg.Name, Incarnation: 1 << 40, Seq: 1 << 40, Epoch: 1 << 30, ActivatedPlan: 1234, Regions: rows}
 	if err := directory.Check(); err != nil || len(rows) != 5 || rows[1].Relays != 7*64 {
 		t.Fatal(err, rows)
 	}
@@ -170,7 +170,7 @@
 	if size(t, summary) > 400 || size(t, directory) > 600 {
 		t.Error("too large")
 	}
-	if len(summary.Contacts) != MostContacts || len(summary.Departed) < 4 || strings.Join(summary.Contacts, " ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
+	if len(summary.Contacts) != MaxContacts || len(summary.Departed) < 4 || strings.Join(summary.Contacts, " ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
 		t.Error(summary)
 	}
 }
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -38,12 +38,12 @@
 			}
 			c.Report(now)
 			c.Others(now)
-			if sent > 1 || len(c.remotes) > 16+16 || len(c.order) != len(c.remotes) || c.Opened() < opened {
-				t.Fatal(sent, len(c.remotes), len(c.order), c.Opened(), opened)
+			if sent > 1 || len(c.remotes) > 16+16 || len(c.cellNames) != len(c.remotes) || c.ActivatedPlan() < opened {
+				t.Fatal(sent, len(c.remotes), len(c.cellNames), c.ActivatedPlan(), opened)
 			}
-			opened = c.Opened()
+			opened = c.ActivatedPlan()
 			for _, r := range c.remotes {
-				if len(r.marks) > mostSpeakers || len(r.claims) > mostClaims {
+				if len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins {
 					t.Fatal("memory of a cell grows")
 				}
 			}
@@ -54,11 +54,11 @@
 // drawnEvent makes an event of four bytes.
 func drawnEvent(text []byte) Event {
 	kind, a, b := text[0], int(text[1]), int(text[2])
-	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Speaker: fmt.Sprintf("relay-%d", b%9), Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
-		Plan: uint64(b % 6), PlanHash: uint64(a % 3), Entered: uint64(b % 5), Members: a, Serving: b, Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
+	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9), Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
+		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a, Serving: b, Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
 	switch kind % 6 {
 	case 0:
-		l := LocalCell{Members: a, Serving: b, Epoch: uint64(a % 3), Plan: uint64(b % 6), PlanHash: uint64(a % 3), Entered: uint64(b % 6), Rate: float64(a)}
+		l := LocalCell{Members: a, Serving: b, Epoch: uint64(a % 3), Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 6), RequestRate: float64(a)}
 		for i := range a % 4 {
 			l.Voters = append(l.Voters, Voter{Name: fmt.Sprintf("relay-%d", i), Address: fmt.Sprintf("10.0.0.%d:2", i+1), Alive: b>>i&1 == 1})
 		}
@@ -67,10 +67,10 @@
 		}
 		return l
 	case 1, 2:
-		return SummaryReceived{From: summary.Speaker, Summary: summary}
+		return SummaryReceived{From: summary.Representative, Summary: summary}
 	case 3:
-		return DirectoryReceived{From: summary.Speaker, Directory: Directory{Cell: "cell-0", Speaker: summary.Speaker, Incarnation: summary.Incarnation, Seq: summary.Seq,
-			Epoch: summary.Epoch, Opened: uint64(b % 4), Regions: []RegionFigures{{Name: "region-0", Cells: a, Heard: b, Relays: a, Serving: b}}}}
+		return DirectoryReceived{From: summary.Representative, Directory: Directory{Cell: "cell-0", Representative: summary.Representative, Incarnation: summary.Incarnation, Seq: summary.Seq,
+			Epoch: summary.Epoch, ActivatedPlan: uint64(b % 4), Regions: []RegionFigures{{Name: "region-0", Cells: a, Known: b, Relays: a, Serving: b}}}}
 	case 4:
 		return PlanChanged{drawnPlan(1+a%16, uint64(1+b%6))}
 	}
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -172,8 +172,8 @@
 // local is what a relay knows of its cell.
 func (n *network) local(r *relay) LocalCell {
 	g := r.group
-	l := LocalCell{Members: g.members(), Serving: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash, Cells: g.names, Entered: g.entered,
-		Rate: 100 * float64(g.members()), Held: 1000 * g.members()}
+	l := LocalCell{Members: g.members(), Serving: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash, Cells: g.names, JoinedPlan: g.entered,
+		RequestRate: 100 * float64(g.members()), OpenConnections: 1000 * g.members()}
 	for _, other := range g.relays {
 		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address, Alive: r.believes(other)})
 	}
@@ -317,13 +317,13 @@
 			i = len(want) - 1
 		}
 		if g != r.group {
-			want[i].add(RegionFigures{Cells: 1, Heard: 1, Relays: g.members(), Serving: g.members()})
+			want[i].add(RegionFigures{Cells: 1, Known: 1, Relays: g.members(), Serving: g.members()})
 		}
 	}
 	rows := r.coordinator.directory.Regions
 	want = slices.DeleteFunc(want, func(row RegionFigures) bool { return row.Cells == 0 })
 	return slices.EqualFunc(want, rows, func(a, b RegionFigures) bool {
-		return a.Name == b.Name && a.Cells == b.Cells && a.Heard == b.Heard && a.Relays == b.Relays && a.Serving == b.Serving
+		return a.Name == b.Name && a.Cells == b.Cells && a.Known == b.Known && a.Relays == b.Relays && a.Serving == b.Serving
 	})
 }
 
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -7,18 +7,18 @@
 
 // Report is what is known of the cells at one relay, for people.
 type Report struct {
-	Cell     string `json:"cell"`
-	Region   string `json:"region"`
-	Speaker  string `json:"speaker"` // of this cell, "" for none
-	Plan     uint64 `json:"plan"`    // of the view
-	PlanHash string `json:"plan_hash"`
-	Entered  uint64 `json:"entered"`
-	Opened   uint64 `json:"opened"`
-	FilePlan uint64 `json:"file_plan"`
+	Cell           string `json:"cell"`
+	Region         string `json:"region"`
+	Representative string `json:"speaker"` // of this cell, "" for none
+	Plan           uint64 `json:"plan"`    // of the view
+	PlanHash       string `json:"plan_hash"`
+	JoinedPlan     uint64 `json:"entered"`
+	ActivatedPlan  uint64 `json:"opened"`
+	FilePlan       uint64 `json:"file_plan"`
 	// DirectoryMs is the age of the speaker's directory, negative if there is none.
 	DirectoryMs float64        `json:"directory_ms"`
 	Regions     []RegionReport `json:"regions"`
-	Dropped     Drops          `json:"dropped"`
+	Dropped     DropCounters   `json:"dropped"`
 }
 
 // RegionReport is one region in a Report: the other cells' figures, and the cells, this one's own among them.
@@ -29,33 +29,33 @@
 
 // CellReport is one cell in a Report. At a relay that is no speaker most are known by their region's figures only.
 type CellReport struct {
-	Name     string   `json:"cell"`
-	Own      bool     `json:"own,omitempty"`
-	Heard    bool     `json:"heard"` // lately
-	AgeMs    float64  `json:"age_ms"`
-	Speaker  string   `json:"speaker"`
-	Epoch    uint64   `json:"epoch"`
-	Plan     uint64   `json:"plan"`
-	PlanHash string   `json:"plan_hash"`
-	Mismatch bool     `json:"mismatch"` // it has another table under this cell's plan number
-	Entered  uint64   `json:"entered"`
-	Relays   int      `json:"relays"`
-	Serving  int      `json:"serving"`
-	Rate     float64  `json:"per_s"`
-	Held     int      `json:"held"`
-	Sent     float64  `json:"sent_per_s"`
-	Departed []string `json:"departed,omitempty"`
-	Contact  string   `json:"contact"` // where the last summary to it went
+	Name            string   `json:"cell"`
+	Own             bool     `json:"own,omitempty"`
+	Known           bool     `json:"heard"` // lately
+	AgeMs           float64  `json:"age_ms"`
+	Representative  string   `json:"speaker"`
+	Epoch           uint64   `json:"epoch"`
+	Plan            uint64   `json:"plan"`
+	PlanHash        string   `json:"plan_hash"`
+	Mismatch        bool     `json:"mismatch"` // it has another table under this cell's plan number
+	JoinedPlan      uint64   `json:"entered"`
+	Relays          int      `json:"relays"`
+	Serving         int      `json:"serving"`
+	RequestRate     float64  `json:"per_s"`
+	OpenConnections int      `json:"held"`
+	DrainRate       float64  `json:"sent_per_s"`
+	Departed        []string `json:"departed,omitempty"`
+	Contact         string   `json:"contact"` // where the last summary to it went
 }
 
 // Report tells what the Coordinator knows.
 func (c *Coordinator) Report(now float64) Report {
 	own, _ := c.plan.Find(c.cfg.Cell)
-	report := Report{Cell: c.cfg.Cell, Region: own.Region, Speaker: c.speaker, Plan: c.local.Plan, PlanHash: hex(c.local.PlanHash), Entered: c.local.Entered,
-		Opened: c.opened, FilePlan: c.plan.Number, DirectoryMs: -1, Dropped: c.drops}
+	report := Report{Cell: c.cfg.Cell, Region: own.Region, Representative: c.representative, Plan: c.local.Plan, PlanHash: hex(c.local.PlanHash), JoinedPlan: c.local.JoinedPlan,
+		ActivatedPlan: c.activatedPlan, FilePlan: c.plan.Number, DirectoryMs: -1, Dropped: c.drops}
 	rows := c.directory.Regions
-	if c.directoryAt < 0 || c.speaking {
-		rows = c.rows(now)
+	if c.directoryAt < 0 || c.representing {
+		rows = c.regionRows(now)
 	}
 	if c.directoryAt >= 0 {
 		report.DirectoryMs = now - c.directoryAt
@@ -64,7 +64,7 @@
 		report.Regions = append(report.Regions, RegionReport{RegionFigures: row})
 	}
 	report.addCell(own.Region, c.ownReport())
-	for _, name := range c.order {
+	for _, name := range c.cellNames {
 		r := c.remotes[name]
 		report.addCell(r.region, c.cellReport(now, r))
 	}
@@ -89,16 +89,16 @@
 
 func (c *Coordinator) ownReport() CellReport {
 	l := c.local
-	return CellReport{Name: c.cfg.Cell, Own: true, Heard: true, Speaker: c.speaker, Epoch: l.Epoch, Plan: l.Plan, PlanHash: hex(l.PlanHash), Entered: l.Entered,
-		Relays: l.Members, Serving: l.Serving, Rate: l.Rate, Held: l.Held, Sent: l.Sent, Departed: l.Departed}
+	return CellReport{Name: c.cfg.Cell, Own: true, Known: true, Representative: c.representative, Epoch: l.Epoch, Plan: l.Plan, PlanHash: hex(l.PlanHash), JoinedPlan: l.JoinedPlan,
+		Relays: l.Members, Serving: l.Serving, RequestRate: l.RequestRate, OpenConnections: l.OpenConnections, DrainRate: l.DrainRate, Departed: l.Departed}
 }
 
 func (c *Coordinator) cellReport(now float64, r *remote) CellReport {
 	s := r.summary
-	report := CellReport{Name: r.name, Heard: !c.unheard(now, r), AgeMs: -1, Speaker: s.Speaker, Epoch: s.Epoch, Plan: s.Plan, PlanHash: hex(s.PlanHash),
-		Mismatch: r.mismatch, Entered: s.Entered, Relays: s.Members, Serving: s.Serving, Rate: s.Rate, Held: s.Held, Sent: s.Sent, Departed: s.Departed, Contact: r.sentTo}
-	if r.heardAt >= 0 {
-		report.AgeMs = now - r.heardAt
+	report := CellReport{Name: r.name, Known: !c.isUnknown(now, r), AgeMs: -1, Representative: s.Representative, Epoch: s.Epoch, Plan: s.Plan, PlanHash: hex(s.PlanHash),
+		Mismatch: r.mismatch, JoinedPlan: s.JoinedPlan, Relays: s.Members, Serving: s.Serving, RequestRate: s.RequestRate, OpenConnections: s.OpenConnections, DrainRate: s.DrainRate, Departed: s.Departed, Contact: r.sentTo}
+	if r.summaryAt >= 0 {
+		report.AgeMs = now - r.summaryAt
 	}
 	return report
 }
--- a/internal/fleet/cells/speaker_test.go
+++ b/internal/fleet/cells/speaker_test.go
@@ -22,20 +22,20 @@
 	g.relays[1].believes = func(r *relay) bool { return r != first }
 	n.tell(g)
 	n.pass(20 * second)
-	if !g.relays[0].coordinator.speaking || !g.relays[1].coordinator.speaking {
+	if !g.relays[0].coordinator.representing || !g.relays[1].coordinator.representing {
 		t.Fatal("there are no two speakers")
 	}
-	told := n.changes[SpeakerChanged]
+	told := n.changes[RepresentativeChanged]
 	for range 30 {
 		n.pass(10 * second)
 		if !n.agreed() {
 			for _, r := range n.byName {
-				t.Log(n.now, r.name, n.informed(r), r.coordinator.speaking, r.coordinator.rival, r.coordinator.directory)
+				t.Log(n.now, r.name, n.informed(r), r.coordinator.representing, r.coordinator.otherRepresentative, r.coordinator.directory)
 			}
 			t.Fatal("two speakers break the agreement")
 		}
 	}
-	if more := n.changes[SpeakerChanged] - told; more > 0 || n.changes[CellLost] > 0 {
+	if more := n.changes[RepresentativeChanged] - told; more > 0 || n.changes[CellLost] > 0 {
 		t.Errorf("%d changes of speaker and %d lost cells told in 300 s", more, n.changes[CellLost])
 	}
 }
@@ -77,11 +77,11 @@
 	for range 3 {
 		c.Handle(late, SummaryReceived{Summary: heardFrom(plan, "b", 2)}, nil)
 	}
-	if c.remotes["b"].heardAt != 0 {
+	if c.remotes["b"].summaryAt != 0 {
 		t.Error("a doubled old packet makes a dead cell live")
 	}
 	c.Handle(late, SummaryReceived{Summary: heardFrom(plan, "b", 3)}, nil)
-	if c.remotes["b"].heardAt != late {
+	if c.remotes["b"].summaryAt != late {
 		t.Error("a speaker that has lost its numbers is never heard again")
 	}
 }
@@ -90,7 +90,7 @@
 func TestOlderViewOfACell(t *testing.T) {
 	c, plan := one(t)
 	newer, older := heardFrom(plan, "b", 5), heardFrom(plan, "b", 9)
-	newer.Epoch, older.Epoch, older.Speaker, older.Members, older.Serving = 8, 7, "b-2", 2, 2
+	newer.Epoch, older.Epoch, older.Representative, older.Members, older.Serving = 8, 7, "b-2", 2, 2
 	c.Handle(0, SummaryReceived{Summary: newer}, nil)
 	c.Handle(second, SummaryReceived{Summary: older}, nil)
 	if c.remotes["b"].summary.Members != 32 {
@@ -136,7 +136,7 @@
 	n.cut = func(from, to *relay) bool { return isolated(from) && !isolated(to) } // only its own contacts can tell
 	heal := n.now
 	took := n.until(300*second, func() bool {
-		return !slices.ContainsFunc(n.cells, func(o *group) bool { return o != g && g.relays[3].coordinator.remotes[o.name].heardAt < heal })
+		return !slices.ContainsFunc(n.cells, func(o *group) bool { return o != g && g.relays[3].coordinator.remotes[o.name].summaryAt < heal })
 	})
 	t.Logf("three of four contacts dead: all heard after %.1f s", took/second)
 	if took > 5*Round(3) {
@@ -160,7 +160,7 @@
 		}
 	}
 	row := n.cells[0].relays[2].coordinator.directory.Regions[1]
-	if row.Heard != 0 || row.Relays != 32 || row.Rate != 3200 {
+	if row.Known != 0 || row.Relays != 32 || row.RequestRate != 3200 {
 		t.Errorf("the cut off region is told as %+v", row)
 	}
 }
@@ -248,13 +248,13 @@
 		s := heardFrom(plan, "b", uint64(i+1))
 		s.Cell = fmt.Sprint("x", i)
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
-		s.Cell, s.Speaker, s.Plan, s.Entered, s.PlanHash = "b", fmt.Sprint("s", i), 7, 7, uint64(i)
+		s.Cell, s.Representative, s.Plan, s.JoinedPlan, s.PlanHash = "b", fmt.Sprint("s", i), 7, 7, uint64(i)
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
-		c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Speaker: fmt.Sprint("s", i), Incarnation: 1, Seq: 1}}, nil)
+		c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: fmt.Sprint("s", i), Incarnation: 1, Seq: 1}}, nil)
 	}
 	r := c.remotes["b"]
-	if len(c.remotes) != 2 || len(r.marks) > mostSpeakers || len(r.claims) > mostClaims || len(c.directoryMarks) > mostSpeakers || c.drops.Unknown != 5000 {
-		t.Error(len(c.remotes), len(r.marks), len(r.claims), len(c.directoryMarks), c.drops)
+	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins || len(c.directorySeen) > maxRepresentatives || c.drops.Unknown != 5000 {
+		t.Error(len(c.remotes), len(r.seen), len(r.planJoins), len(c.directorySeen), c.drops)
 	}
 	c.Handle(0, PlanChanged{cellplan.Plan{Number: 2, Cells: plan.Cells[:2]}}, nil)
 	if len(c.remotes) != 1 || c.remotes["b"] != r {
@@ -266,9 +266,9 @@
 func TestChecks(t *testing.T) {
 	_, plan := one(t)
 	for i, change := range []func(s *Summary){
-		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Speaker = "" }, func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
-		func(s *Summary) { s.Entered = s.Plan + 1 }, func(s *Summary) { s.Members = -1 }, func(s *Summary) { s.Serving = s.Members + 1 },
-		func(s *Summary) { s.Rate = math.NaN() }, func(s *Summary) { s.Rate = math.Inf(1) }, func(s *Summary) { s.Sent = -1 }, func(s *Summary) { s.Held = -1 },
+		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Representative = "" }, func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
+		func(s *Summary) { s.JoinedPlan = s.Plan + 1 }, func(s *Summary) { s.Members = -1 }, func(s *Summary) { s.Serving = s.Members + 1 },
+		func(s *Summary) { s.RequestRate = math.NaN() }, func(s *Summary) { s.RequestRate = math.Inf(1) }, func(s *Summary) { s.DrainRate = -1 }, func(s *Summary) { s.OpenConnections = -1 },
 		func(s *Summary) { s.Contacts = []string{"relay:1"} }, func(s *Summary) { s.Contacts = make([]string, 4) }, func(s *Summary) { s.Departed = make([]string, 9) },
 		func(s *Summary) { s.Departed = []string{"a\nb"} },
 	} {
@@ -282,11 +282,11 @@
 		}
 	}
 	for i, change := range []func(d *Directory){
-		func(d *Directory) { d.Cell = "" }, func(d *Directory) { d.Seq = 0 }, func(d *Directory) { d.Regions[0].Rate = math.NaN() },
-		func(d *Directory) { d.Regions[0].Heard = 3 }, func(d *Directory) { d.Regions = make([]RegionFigures, 17) },
-		func(d *Directory) { d.Regions[1].Name = "r" }, func(d *Directory) { d.Regions[0].Cells = 1 << 20 }, func(d *Directory) { d.Opened = math.MaxUint64 },
+		func(d *Directory) { d.Cell = "" }, func(d *Directory) { d.Seq = 0 }, func(d *Directory) { d.Regions[0].RequestRate = math.NaN() },
+		func(d *Directory) { d.Regions[0].Known = 3 }, func(d *Directory) { d.Regions = make([]RegionFigures, 17) },
+		func(d *Directory) { d.Regions[1].Name = "r" }, func(d *Directory) { d.Regions[0].Cells = 1 << 20 }, func(d *Directory) { d.ActivatedPlan = math.MaxUint64 },
 	} {
-		d := Directory{Cell: "a", Speaker: "a-0", Incarnation: 1, Seq: 1, Regions: []RegionFigures{{Name: "r", Cells: 2, Heard: 1}, {Name: "s"}}}
+		d := Directory{Cell: "a", Representative: "a-0", Incarnation: 1, Seq: 1, Regions: []RegionFigures{{Name: "r", Cells: 2, Known: 1}, {Name: "s"}}}
 		if d.Check() != nil {
 			t.Fatal(d.Check())
 		}
@@ -311,6 +311,6 @@
 
 // heardFrom is a summary of a cell that has entered the plan.
 func heardFrom(plan cellplan.Plan, cell string, seq uint64) Summary {
-	return Summary{Cell: cell, Region: "r", Speaker: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3, Plan: plan.Number, PlanHash: plan.Hash(), Entered: plan.Number,
-		Members: 32, Serving: 30, Rate: 100, Held: 1000}
+	return Summary{Cell: cell, Region: "r", Representative: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3, Plan: plan.Number, PlanHash: plan.Hash(), JoinedPlan: plan.Number,
+		Members: 32, Serving: 30, RequestRate: 100, OpenConnections: 1000}
 }
--- a/internal/fleet/cells/types.go
+++ b/internal/fleet/cells/types.go
@@ -40,12 +40,12 @@
 		Cells    []string // of the view's Allocation: all that must have entered Plan before it is open; nil to go by the file's
 		// Entered is the newest plan that nobody in the cell acts by an earlier one of: the view's, once that view is so old that
 		// every grant by an older one has run out. Never over Plan.
-		Entered  uint64
-		Founded  bool    // by Plan, and has come from no earlier one
-		Rate     float64 // requests a second at its relays
-		Held     int     // connections
-		Sent     float64 // connections a second that they send away
-		Departed []string
+		JoinedPlan      uint64
+		Bootstrapped    bool    // by Plan, and has come from no earlier one
+		RequestRate     float64 // requests a second at its relays
+		OpenConnections int     // connections
+		DrainRate       float64 // connections a second that they send away
+		Departed        []string
 	}
 	// SummaryReceived is a summary that came from another cell, or from a relay of this cell that has forwarded it.
 	SummaryReceived struct {
@@ -88,10 +88,10 @@
 	PublishDirectory struct{ Directory Directory }
 	// Changed is for people and figures.
 	Changed struct {
-		Kind    Change
-		Cell    string
-		Speaker string // of the cell, where that has changed
-		Plan    uint64 // that is opened or told with another table
+		Kind           Change
+		Cell           string
+		Representative string // of the cell, where that has changed
+		Plan           uint64 // that is opened or told with another table
 	}
 )
 
@@ -105,13 +105,13 @@
 
 // The changes.
 const (
-	SpeakerChanged Change = iota + 1 // a cell has another speaker
-	CellLost                         // nothing has been heard of a cell for UnheardRounds rounds; its last figures stand
-	CellHeard                        // a cell is heard for the first time, or again
-	PlanMismatch                     // a cell has another table under the number of this cell's plan: its word is not counted
-	PlanOpened                       // every cell is known to have entered the plan
+	RepresentativeChanged Change = iota + 1 // a cell has another speaker
+	CellLost                                // nothing has been heard of a cell for UnheardRounds rounds; its last figures stand
+	CellKnown                               // a cell is heard for the first time, or again
+	PlanMismatch                            // a cell has another table under the number of this cell's plan: its word is not counted
+	PlanActivated                           // every cell is known to have entered the plan
 )
 
 func (c Change) String() string {
-	return [...]string{"", "speaker changed", "cell lost", "cell heard", "plan mismatch", "plan opened"}[min(c, PlanOpened)]
+	return [...]string{"", "speaker changed", "cell lost", "cell heard", "plan mismatch", "plan opened"}[min(c, PlanActivated)]
 }
--- a/internal/fleet/membership/allocation.go
+++ b/internal/fleet/membership/allocation.go
@@ -16,23 +16,23 @@
 	PlanHash uint64 `cbor:"2,keyasint"`
 	// Open says that every cell had entered the plan: the parts are the plan's in full. While it is not, they are the lesser of this
 	// plan's and those before.
-	Open bool   `cbor:"3,keyasint,omitempty"`
-	Near uint64 `cbor:"4,keyasint,omitempty"` // of Whole, for servers in NearZones
-	Far  uint64 `cbor:"5,keyasint,omitempty"` // of Whole, for all others; never over Near
+	Activated bool   `cbor:"3,keyasint,omitempty"`
+	Near      uint64 `cbor:"4,keyasint,omitempty"` // of Whole, for servers in NearZones
+	Far       uint64 `cbor:"5,keyasint,omitempty"` // of Whole, for all others; never over Near
 	// NearZones and Cells are in order. Cells are all that may hold a part by this plan or by the one before.
 	NearZones []string `cbor:"6,keyasint,omitempty"`
 	Cells     []string `cbor:"7,keyasint,omitempty"`
 	// LeaseFor is the time of a lease in ms, 0 for the constant of that name. It is the same in all views of a chain: what a holder
 	// trusts and what the others wait must be one number.
-	LeaseFor uint32 `cbor:"8,keyasint,omitempty"`
+	LeaseMillis uint32 `cbor:"8,keyasint,omitempty"`
 	// Founded says that the cell was founded by this plan, which is not the first: it has come from no earlier one, and cannot know
 	// which cells hold a part by that.
-	Founded bool `cbor:"9,keyasint,omitempty"`
+	Bootstrapped bool `cbor:"9,keyasint,omitempty"`
 }
 
-// FirstEntered is the plan that a chain without an Allocation enters. Plan 1 is for fleets that are founded in cells: a cell that is
+// FirstJoinedPlan is the plan that a chain without an Allocation enters. Plan 1 is for fleets that are founded in cells: a cell that is
 // founded under it is open at once.
-const FirstEntered = 2
+const FirstJoinedPlan = 2
 
 // plan is the number of the plan acted by, 0 for none.
 func (a *Allocation) plan() uint64 {
@@ -46,7 +46,7 @@
 // cell might hold more than its part by it.
 func (a *Allocation) successor() uint64 {
 	if a == nil {
-		return FirstEntered
+		return FirstJoinedPlan
 	}
 	return a.Plan + 1
 }
@@ -59,35 +59,35 @@
 	return a.Cells
 }
 
-// foundAllocation is that of the first view of a cell. Under plan 1 nothing can have come before; under a later one the cell
+// bootstrapAllocation is that of the first view of a cell. Under plan 1 nothing can have come before; under a later one the cell
 // holds nothing until the plan is open.
-func foundAllocation(plan *cellplan.Plan, cell string, leaseFor uint32) *Allocation {
-	a := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Cells: plan.Names(), LeaseFor: leaseFor}
+func bootstrapAllocation(plan *cellplan.Plan, cell string, leaseFor uint32) *Allocation {
+	a := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Cells: plan.Names(), LeaseMillis: leaseFor}
 	if plan.Number == 1 {
-		return a.opened(plan, cell)
+		return a.activated(plan, cell)
 	}
-	a.Founded = true
+	a.Bootstrapped = true
 	return a
 }
 
-// entered is the Allocation by which a cell enters a plan: of each part the lesser of what it held and what it is to hold.
-func (a *Allocation) entered(plan *cellplan.Plan, cell string) *Allocation {
+// joined is the Allocation by which a cell enters a plan: of each part the lesser of what it held and what it is to hold.
+func (a *Allocation) joined(plan *cellplan.Plan, cell string) *Allocation {
 	near, far, zones := plan.Parts(cell)
 	next := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Near: near, Far: far, NearZones: zones, Cells: plan.Names()}
 	if a == nil {
 		return next
 	}
-	next.LeaseFor = a.LeaseFor
+	next.LeaseMillis = a.LeaseMillis
 	next.Near, next.Far = min(near, a.Near), min(far, a.Far)
 	next.NearZones = slices.DeleteFunc(slices.Clone(zones), func(zone string) bool { return !slices.Contains(a.NearZones, zone) })
 	next.Cells = slices.Compact(slices.Sorted(slices.Values(append(plan.Names(), a.Cells...))))
 	return next
 }
 
-// opened is the Allocation by which a cell that has entered a plan takes its parts in full.
-func (a *Allocation) opened(plan *cellplan.Plan, cell string) *Allocation {
+// activated is the Allocation by which a cell that has entered a plan takes its parts in full.
+func (a *Allocation) activated(plan *cellplan.Plan, cell string) *Allocation {
 	next := *a
-	next.Open = true
+	next.Activated = true
 	next.Near, next.Far, next.NearZones = plan.Parts(cell)
 	next.Cells = nil
 	for _, c := range plan.Cells {
@@ -99,17 +99,17 @@
 	return &next
 }
 
-// same tells whether two Allocations are alike.
-func (a *Allocation) same(b *Allocation) bool {
+// equal tells whether two Allocations are alike.
+func (a *Allocation) equal(b *Allocation) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
-	return a.Plan == b.Plan && a.PlanHash == b.PlanHash && a.Open == b.Open && a.Near == b.Near && a.Far == b.Far && a.LeaseFor == b.LeaseFor && a.Founded == b.Founded &&
+	return a.Plan == b.Plan && a.PlanHash == b.PlanHash && a.Activated == b.Activated && a.Near == b.Near && a.Far == b.Far && a.LeaseMillis == b.LeaseMillis && a.Bootstrapped == b.Bootstrapped &&
 		slices.Equal(a.NearZones, b.NearZones) && slices.Equal(a.Cells, b.Cells)
 }
 
-// within tells whether an Allocation gives nowhere more than another.
-func (a *Allocation) within(b *Allocation) bool {
+// atMost tells whether an Allocation gives nowhere more than another.
+func (a *Allocation) atMost(b *Allocation) bool {
 	if b == nil {
 		return true
 	}
@@ -132,8 +132,8 @@
 	return a.Far
 }
 
-// shares are what a relay with a share of its cell's part may take of the budgets of near and of far servers.
-func (a *Allocation) shares(share float64) (near, far float64) {
+// budgetShares are what a relay with a share of its cell's part may take of the budgets of near and of far servers.
+func (a *Allocation) budgetShares(share float64) (near, far float64) {
 	if a == nil {
 		return share, share
 	}
@@ -146,7 +146,7 @@
 // summary is an Allocation in a few words.
 func (a *Allocation) summary() string {
 	state := " entered"
-	if a.Open {
+	if a.Activated {
 		state = " open"
 	}
 	return "plan " + strconv.FormatUint(a.Plan, 10) + state
@@ -160,26 +160,26 @@
 
 // Bounds of an Allocation that comes from elsewhere.
 const (
-	maxZones    = 256
-	maxCells    = 2 * cellplan.MostCells
-	longestName = 256
-	minLeaseFor = 1000   // ms
-	maxLeaseFor = 60_000 // ms
+	maxZones       = 256
+	maxCells       = 2 * cellplan.MaxCells
+	maxNameBytes   = 256
+	minLeaseMillis = 1000   // ms
+	maxLeaseMillis = 60_000 // ms
 )
 
-// check tells whether an Allocation that came from elsewhere could be.
-func (a *Allocation) check() bool {
+// valid tells whether an Allocation that came from elsewhere could be.
+func (a *Allocation) valid() bool {
 	if a == nil {
 		return true
 	}
 	ordered := func(names []string) bool {
 		for i, name := range names {
-			if name == "" || len(name) > longestName || i > 0 && names[i-1] >= name {
+			if name == "" || len(name) > maxNameBytes || i > 0 && names[i-1] >= name {
 				return false
 			}
 		}
 		return true
 	}
 	return a.Plan > 0 && a.Near >= a.Far && a.Near <= Whole && len(a.NearZones) <= maxZones && len(a.Cells) <= maxCells &&
-		ordered(a.NearZones) && ordered(a.Cells) && (a.LeaseFor == 0 || a.LeaseFor >= minLeaseFor && a.LeaseFor <= maxLeaseFor)
+		ordered(a.NearZones) && ordered(a.Cells) && (a.LeaseMillis == 0 || a.LeaseMillis >= minLeaseMillis && a.LeaseMillis <= maxLeaseMillis)
 }
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -29,20 +29,20 @@
 		"a zone twice":          {func(a *Allocation) { a.NearZones = []string{"a", "a"} }, false},
 		"a cell with no name":   {func(a *Allocation) { a.Cells = []string{""} }, false},
 		"too many cells":        {func(a *Allocation) { a.Cells = many }, false},
-		"a lease of 10 minutes": {func(a *Allocation) { a.LeaseFor = 600_000 }, false},
-		"a lease of 1 ms":       {func(a *Allocation) { a.LeaseFor = 1 }, false},
-		"a lease of 8 s":        {func(a *Allocation) { a.LeaseFor = 8000 }, true},
+		"a lease of 10 minutes": {func(a *Allocation) { a.LeaseMillis = 600_000 }, false},
+		"a lease of 1 ms":       {func(a *Allocation) { a.LeaseMillis = 1 }, false},
+		"a lease of 8 s":        {func(a *Allocation) { a.LeaseMillis = 8000 }, true},
 	} {
 		view := flatView()
-		view.Unclaimed = nil
-		view.Allocation = foundAllocation(twoCells(1, 3, 3), "east", 0)
+		view.UnreleasedSlots = nil
+		view.Allocation = bootstrapAllocation(twoCells(1, 3, 3), "east", 0)
 		c.change(view.Allocation)
 		if err := view.Check(); (err == nil) != c.good {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	view := flatView()
-	view.Allocation = foundAllocation(twoCells(1, 3, 3), "east", 0)
+	view.Allocation = bootstrapAllocation(twoCells(1, 3, 3), "east", 0)
 	if view.Check() == nil {
 		t.Error("an Allocation beside places that their owners keep")
 	}
@@ -51,20 +51,20 @@
 // A cell enters a plan with the lesser parts of both and only those zones near that are near by both, and is open with the plan's own.
 func TestEnterWithTheLesserParts(t *testing.T) {
 	before, after := twoCells(2, 3, 1), twoCells(3, 1, 3)
-	held := (&Allocation{Plan: 1, LeaseFor: 8000}).opened(before, "east")
+	held := (&Allocation{Plan: 1, LeaseMillis: 8000}).activated(before, "east")
 	held.Plan = before.Number
-	entered := held.entered(after, "east")
+	entered := held.joined(after, "east")
 	near, far, _ := after.Parts("east")
-	if entered.Open || entered.Plan != 3 || entered.Near != min(near, held.Near) || entered.Far != min(far, held.Far) || entered.LeaseFor != 8000 {
+	if entered.Activated || entered.Plan != 3 || entered.Near != min(near, held.Near) || entered.Far != min(far, held.Far) || entered.LeaseMillis != 8000 {
 		t.Errorf("entered as %+v, holding %+v", entered, held)
 	}
-	if opened := entered.opened(after, "east"); !opened.Open || opened.Near != near || opened.Far != far || len(opened.Cells) != 2 {
+	if opened := entered.activated(after, "east"); !opened.Activated || opened.Near != near || opened.Far != far || len(opened.Cells) != 2 {
 		t.Errorf("opened as %+v", opened)
 	}
-	if flat := (*Allocation)(nil).entered(twoCells(2, 3, 1), "east"); flat.Plan != 2 || flat.Near >= Whole || flat.Open {
+	if flat := (*Allocation)(nil).joined(twoCells(2, 3, 1), "east"); flat.Plan != 2 || flat.Near >= Whole || flat.Activated {
 		t.Errorf("a flat fleet enters as %+v", flat)
 	}
-	if founded := foundAllocation(twoCells(2, 3, 1), "east", 0); founded.Open || founded.Near > 0 || founded.Far > 0 {
+	if founded := bootstrapAllocation(twoCells(2, 3, 1), "east", 0); founded.Activated || founded.Near > 0 || founded.Far > 0 {
 		t.Errorf("a cell that is founded by plan 2 holds %+v", founded)
 	}
 }
@@ -73,7 +73,7 @@
 func celled(t *testing.T) *world {
 	w := newWorld(3, 3, 11)
 	for i, n := range w.nodes {
-		n.cfg.Cell, n.cfg.Plan, n.cfg.Pace = "east", twoCells(1, 3, 1), CellPace
+		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = "east", twoCells(1, 3, 1), CellTiming
 		w.start(i)
 	}
 	w.run(25_000)
@@ -88,18 +88,18 @@
 	w := celled(t)
 	node := w.nodes[0]
 	now := node.clock(w.now)
-	node.k.cfg.Relays = 9
+	node.k.cfg.ConfiguredRelays = 9
 	e := node.k.Estimate(now)
-	if e.Relays != 9 || e.Others != -1 || e.Held != -1 || e.Plan != 1 || !e.PlanOpen {
+	if e.Relays != 9 || e.OtherRequestRate != -1 || e.OtherConnections != -1 || e.Plan != 1 || !e.PlanActivated {
 		t.Errorf("with no word of the others: %+v", e)
 	}
 	near, far, _ := twoCells(1, 3, 1).Parts("east")
-	if math.Abs(e.Share*3-float64(near)/float64(Whole)) > 1e-9 || math.Abs(e.FarShare*3-float64(far)/float64(Whole)) > 1e-9 || e.NearZones[0] != "east-1" {
-		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.Share, e.FarShare)
+	if math.Abs(e.BudgetShare*3-float64(near)/float64(Whole)) > 1e-9 || math.Abs(e.FarBudgetShare*3-float64(far)/float64(Whole)) > 1e-9 || e.NearZones[0] != "east-1" {
+		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.BudgetShare, e.FarBudgetShare)
 	}
-	own := node.k.peers[name(1)].Status.Rate + node.k.peers[name(2)].Status.Rate
-	node.k.Handle(now, OtherCells{Relays: 40, Rate: 100, Held: 7, Sent: 2, Known: true}, nil)
-	if e = node.k.Estimate(now); e.Relays != 43 || e.Others != own+100 || e.Held != 7 || e.Sent != 2 {
+	own := node.k.peers[name(1)].Status.RequestRate + node.k.peers[name(2)].Status.RequestRate
+	node.k.Handle(now, OtherCells{Relays: 40, RequestRate: 100, OpenConnections: 7, DrainRate: 2, Known: true}, nil)
+	if e = node.k.Estimate(now); e.Relays != 43 || e.OtherRequestRate != own+100 || e.OtherConnections != 7 || e.DrainRate != 2 {
 		t.Errorf("with the others: %+v", e)
 	}
 }
@@ -113,7 +113,7 @@
 	w.start(2)
 	for range 400 {
 		w.run(100)
-		if share := old.k.Share(old.clock(w.now)); share > 0 {
+		if share := old.k.BudgetShare(old.clock(w.now)); share > 0 {
 			t.Fatalf("an older program takes %v of the whole", share)
 		}
 	}
@@ -139,10 +139,10 @@
 		w.run(12_000)
 	}
 	a := w.nodes[0].k.View().Allocation
-	if wait := w.nodes[0].k.PlanWait(); a.Plan != 2 || a.Open || wait != AwaitsOpen {
+	if wait := w.nodes[0].k.PlanPending(); a.Plan != 2 || a.Activated || wait != PendingActivation {
 		t.Fatalf("%+v, %s", a, wait)
 	}
-	w.feed(0, PlanOpened{Plan: 2, Hash: a.PlanHash})
+	w.feed(0, PlanActivated{Plan: 2, Hash: a.PlanHash})
 	seen := map[string]bool{}
 	for range 300 {
 		w.run(10)
@@ -161,25 +161,25 @@
 	}
 	w.run(2000)
 	a := w.nodes[0].k.View().Allocation
-	if a.Plan != 2 || a.Open {
+	if a.Plan != 2 || a.Activated {
 		t.Fatalf("entered %+v", a)
 	}
-	if plan, quiet := w.nodes[0].k.Entered(); plan != 2 || quiet {
+	if plan, quiet := w.nodes[0].k.AdoptedPlan(); plan != 2 || quiet {
 		t.Errorf("entered %d, quiet %v right away", plan, quiet)
 	}
 	w.run(10_000)
-	if got := w.nodes[0].k.EnteredQuiet(); got != 2 {
+	if got := w.nodes[0].k.JoinedPlan(); got != 2 {
 		t.Errorf("quiet in %d after 10 s", got)
 	}
-	w.feed(0, PlanOpened{Plan: 2, Hash: a.PlanHash + 1})
-	w.feed(0, PlanOpened{Plan: 3, Hash: a.PlanHash})
+	w.feed(0, PlanActivated{Plan: 2, Hash: a.PlanHash + 1})
+	w.feed(0, PlanActivated{Plan: 3, Hash: a.PlanHash})
 	w.run(2000)
-	if w.nodes[0].k.View().Allocation.Open || w.nodes[0].k.PlanWait() != AwaitsCells {
-		t.Errorf("open by another table: %s", w.nodes[0].k.PlanWait())
+	if w.nodes[0].k.View().Allocation.Activated || w.nodes[0].k.PlanPending() != PendingCells {
+		t.Errorf("open by another table: %s", w.nodes[0].k.PlanPending())
 	}
-	w.feed(1, PlanOpened{Plan: 2, Hash: a.PlanHash})
+	w.feed(1, PlanActivated{Plan: 2, Hash: a.PlanHash})
 	w.run(3000)
-	if got := w.nodes[2].k.View().Allocation; !got.Open || w.nodes[2].k.Opened() != 2 {
+	if got := w.nodes[2].k.View().Allocation; !got.Activated || w.nodes[2].k.ActivatedPlan() != 2 {
 		t.Errorf("not open: %+v", got)
 	}
 }
--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -71,9 +71,9 @@
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *cellWorld {
 	w := newWorld(relays, relays, f.seed*1000+uint64(len(f.cells)))
 	w.now, w.change = f.now, f.change
-	pace := Pace{LeaseFor: []float64{LeaseFor, CellPace.LeaseFor}[f.rng.IntN(2)], StatusEvery: CellPace.StatusEvery}
+	pace := Timing{LeaseDuration: []float64{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)], StatusInterval: CellTiming.StatusInterval}
 	for _, n := range w.nodes {
-		n.cfg.Cell, n.cfg.Plan, n.cfg.Pace = name, plan, pace
+		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
 		n.zero -= f.now * n.rate
 	}
 	w.loss, w.twice = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
@@ -133,13 +133,13 @@
 				continue
 			}
 			f.conclude(c, i)
-			plan, a := n.k.EnteredQuiet(), n.k.View().Allocation
+			plan, a := n.k.JoinedPlan(), n.k.View().Allocation
 			if plan == 0 || a == nil || a.Plan != plan {
 				continue
 			}
 			for to, other := range f.cells {
 				if other != c {
-					f.claims = append(f.claims, claim{f.late(), c.name, plan, a.PlanHash, to, f.rng.IntN(len(other.nodes)), a.Founded})
+					f.claims = append(f.claims, claim{f.late(), c.name, plan, a.PlanHash, to, f.rng.IntN(len(other.nodes)), a.Bootstrapped})
 				}
 			}
 		}
@@ -205,7 +205,7 @@
 func (f *federation) conclude(c *cellWorld, i int) {
 	n := c.nodes[i]
 	a := n.k.View().Allocation
-	if n.old || a == nil || a.Open || n.k.EnteredQuiet() < a.Plan {
+	if n.old || a == nil || a.Activated || n.k.JoinedPlan() < a.Plan {
 		return
 	}
 	for _, cell := range a.Cells {
@@ -213,10 +213,10 @@
 			return
 		}
 	}
-	if a.Founded && n.continued < a.Plan { // nobody knows who held a part by the plan before
+	if a.Bootstrapped && n.continued < a.Plan { // nobody knows who held a part by the plan before
 		return
 	}
-	c.feed(i, PlanOpened{Plan: a.Plan, Hash: a.PlanHash})
+	c.feed(i, PlanActivated{Plan: a.Plan, Hash: a.PlanHash})
 }
 
 // founded tells whether every cell has a view, as operators see it.
@@ -233,7 +233,7 @@
 func (f *federation) opened() bool {
 	for _, c := range f.cells {
 		for _, n := range c.nodes {
-			if a := n.disk.View; a != nil && a.Allocation != nil && a.Allocation.Open && a.Allocation.Plan >= f.plan.Number {
+			if a := n.disk.View; a != nil && a.Allocation != nil && a.Allocation.Activated && a.Allocation.Plan >= f.plan.Number {
 				return true
 			}
 		}
@@ -363,10 +363,10 @@
 // deafenOne lets a relay drain and come back, so that the shares of the others in its cell shrink, and one of them hear nothing of that
 // until all leases have run out.
 func (f *federation) deafenOne(c *cellWorld, i int) {
-	c.feed(i, LocalState{Lifecycle: Draining, Rate: 10, List: 1})
+	c.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
 	f.run(WaitOut + 5000*f.rng.Float64())
 	c.strike = true
-	c.feed(i, LocalState{Lifecycle: Serving, Rate: 10, List: 1})
+	c.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
 	f.run(2 * WaitOut)
 	c.strike = false
 	for _, n := range c.nodes {
@@ -512,7 +512,7 @@
 		for _, c := range f.cells {
 			for i, n := range c.nodes {
 				next := f.plans[n.k.View().Allocation.successor()]
-				if a := n.k.View().Allocation; a != nil && !a.Open {
+				if a := n.k.View().Allocation; a != nil && !a.Activated {
 					next = f.plans[a.Plan]
 				}
 				if next == nil {
@@ -540,8 +540,8 @@
 		if err := c.agreed(); err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
-		if a := c.nodes[0].k.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Open {
-			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.cfg.Plan.Number, f.plan.Number, c.nodes[0].k.PlanWait())
+		if a := c.nodes[0].k.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
+			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.cfg.Plan.Number, f.plan.Number, c.nodes[0].k.PlanPending())
 		}
 	}
 	return nil
@@ -616,12 +616,12 @@
 	for what, without := range map[string]func(*Node){
 		"the lesser of two plans": func(n *Node) { n.jointPlans = false },
 		"waiting for all cells":   func(n *Node) { n.awaitsCells = false },
-		"waiting for older views": func(n *Node) { n.awaitsQuiet = false },
+		"waiting for older views": func(n *Node) { n.awaitsEarlierViews = false },
 		"the rule of versions":    func(n *Node) { n.checksVersions = false },
 		"the sequence of plans":   func(n *Node) { n.inSequence = false },
 		"the joint view":          func(n *Node) { n.jointViews = false },
-		"the grace":               func(n *Node) { n.grace = 0 },
-		"the wait for the effect": func(n *Node) { n.effectWithin = 0 },
+		"the grace":               func(n *Node) { n.safetyMargin = 0 },
+		"the wait for the effect": func(n *Node) { n.maxEffectDelay = 0 },
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -2,37 +2,37 @@
 
 // FleetEstimate is what this relay knows of the fleet and may take of its budgets now.
 type FleetEstimate struct {
-	Phase  Phase
-	Epoch  uint64
-	Relays int     // that are there, this one too
-	Share  float64 // of a fleet-wide budget, 0 to 1; where there are cells, of servers in NearZones
-	Until  float64 // when the share lapses unless it is renewed; +Inf if it does not
-	Others float64 // requests a second that the others see; negative where it is not known
-	Own    float64 // that this relay sees
-	Held   int     // connections that the others hold; negative where it is not known
-	Sent   float64 // connections a second that others send away, as they drain or leave
-	Why    string  // the share
+	Phase            Phase
+	Epoch            uint64
+	Relays           int     // that are there, this one too
+	BudgetShare      float64 // of a fleet-wide budget, 0 to 1; where there are cells, of servers in NearZones
+	ShareValidUntil  float64 // when the share lapses unless it is renewed; +Inf if it does not
+	OtherRequestRate float64 // requests a second that the others see; negative where it is not known
+	OwnRequestRate   float64 // that this relay sees
+	OtherConnections int     // connections that the others hold; negative where it is not known
+	DrainRate        float64 // connections a second that others send away, as they drain or leave
+	ShareReason      string  // the share
 	// FarShare is the share of the budget of servers outside NearZones; without cells it is Share, and NearZones nil: everywhere.
-	FarShare  float64
-	NearZones []string
-	Plan      uint64 // that the cell acts by, 0 without cells
-	PlanOpen  bool
+	FarBudgetShare float64
+	NearZones      []string
+	Plan           uint64 // that the cell acts by, 0 without cells
+	PlanActivated  bool
 }
 
 // Estimate returns the FleetEstimate of the moment. The share is to be asked for, or held against Until, right before each use.
 func (n *Node) Estimate(now float64) FleetEstimate {
 	now = max(now, n.now)
-	r := FleetEstimate{Phase: n.phase, Epoch: n.view.Epoch, Relays: max(n.cfg.Relays, 1), Others: -1, Own: n.local.Rate, Held: -1}
-	r.Share, r.Until, r.Why = n.share(now)
-	r.FarShare = r.Share
+	r := FleetEstimate{Phase: n.phase, Epoch: n.view.Epoch, Relays: max(n.cfg.ConfiguredRelays, 1), OtherRequestRate: -1, OwnRequestRate: n.local.RequestRate, OtherConnections: -1}
+	r.BudgetShare, r.ShareValidUntil, r.ShareReason = n.budgetShare(now)
+	r.FarBudgetShare = r.BudgetShare
 	if a := n.view.Allocation; a != nil {
-		r.Share, r.FarShare = a.shares(r.Share)
-		r.NearZones, r.Plan, r.PlanOpen = a.NearZones, a.Plan, a.Open
+		r.BudgetShare, r.FarBudgetShare = a.budgetShares(r.BudgetShare)
+		r.NearZones, r.Plan, r.PlanActivated = a.NearZones, a.Plan, a.Activated
 	}
 	if n.view.Epoch == 0 {
 		return r
 	}
-	r.Relays, r.Others, r.Held = 0, 0, 0
+	r.Relays, r.OtherRequestRate, r.OtherConnections = 0, 0, 0
 	for _, s := range n.view.Entries {
 		if !s.In {
 			continue
@@ -43,27 +43,27 @@
 			continue
 		}
 		if p.Status.Lifecycle == Serving {
-			r.Others += p.Status.Rate
+			r.OtherRequestRate += p.Status.RequestRate
 		}
-		r.Held += p.Status.Held
+		r.OtherConnections += p.Status.OpenConnections
 	}
 	r.Relays = max(r.Relays, 1)
-	for _, p := range n.order {
-		if p.Status.Lifecycle >= Draining && now-p.StatusAt < sendingValidFor {
-			r.Sent += p.Status.Sent
+	for _, p := range n.sortedPeers {
+		if p.Status.Lifecycle >= Draining && now-p.StatusAt < drainStatusValidFor {
+			r.DrainRate += p.Status.DrainRate
 		}
 	}
 	if n.view.Allocation != nil {
-		n.addOthers(&r)
+		n.addOtherCells(&r)
 	}
 	return r
 }
 
-// addOthers adds what the other cells do, as last heard.
-func (n *Node) addOthers(r *FleetEstimate) {
-	if o := n.others; o.Known {
-		r.Relays, r.Others, r.Held, r.Sent = r.Relays+o.Relays, r.Others+o.Rate, r.Held+o.Held, r.Sent+o.Sent
+// addOtherCells adds what the other cells do, as last heard.
+func (n *Node) addOtherCells(r *FleetEstimate) {
+	if o := n.otherCells; o.Known {
+		r.Relays, r.OtherRequestRate, r.OtherConnections, r.DrainRate = r.Relays+o.Relays, r.OtherRequestRate+o.RequestRate, r.OtherConnections+o.OpenConnections, r.DrainRate+o.DrainRate
 		return
 	}
-	r.Relays, r.Others, r.Held = max(r.Relays, n.cfg.Relays), -1, -1
+	r.Relays, r.OtherRequestRate, r.OtherConnections = max(r.Relays, n.cfg.ConfiguredRelays), -1, -1
 }
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -23,32 +23,32 @@
 	}
 	// LocalState is what this relay does now.
 	LocalState struct {
-		Lifecycle Lifecycle
-		Zone      string
-		Rate      float64
-		Held      int
-		List      int64
-		Sent      float64
+		Lifecycle              Lifecycle
+		Zone                   string
+		RequestRate            float64
+		OpenConnections        int
+		EndpointListGeneration int64
+		DrainRate              float64
 	}
-	// Unsaved says that a Record could not be kept: nothing that followed from it has been done, and the relay must
+	// RecordNotSaved says that a Record could not be kept: nothing that followed from it has been done, and the relay must
 	// promise nothing any more.
-	Unsaved struct{}
+	RecordNotSaved struct{}
 	// PlanChanged says that the file has another plan. It has passed its Check and names this relay's cell, which a relay of a flat
 	// fleet learns with its first plan and which never changes after that.
 	PlanChanged struct {
 		Plan *cellplan.Plan
 		Cell string
 	}
-	// PlanOpened says that every cell is known to have entered a plan, by the table of this hash, and to act by no earlier one. It
+	// PlanActivated says that every cell is known to have entered a plan, by the table of this hash, and to act by no earlier one. It
 	// is heeded only while the view's plan is the same: say it again with each directory.
-	PlanOpened struct{ Plan, Hash uint64 }
+	PlanActivated struct{ Plan, Hash uint64 }
 	// OtherCells is what all other cells together do, by their last word.
 	OtherCells struct {
-		Relays int
-		Rate   float64 // requests a second that come to them
-		Held   int     // connections
-		Sent   float64 // connections a second that they send away
-		Known  bool    // false until something was heard
+		Relays          int
+		RequestRate     float64 // requests a second that come to them
+		OpenConnections int     // connections
+		DrainRate       float64 // connections a second that they send away
+		Known           bool    // false until something was heard
 	}
 	// Tick says that time has passed; see Next.
 	Tick struct{}
@@ -58,9 +58,9 @@
 func (StatusReceived) event()  {}
 func (MessageReceived) event() {}
 func (LocalState) event()      {}
-func (Unsaved) event()         {}
+func (RecordNotSaved) event()  {}
 func (PlanChanged) event()     {}
-func (PlanOpened) event()      {}
+func (PlanActivated) event()   {}
 func (OtherCells) event()      {}
 func (Tick) event()            {}
 
@@ -95,17 +95,17 @@
 	Publish struct{ Status Status }
 	// Changed is for people: the view, the phase or a peer's state has changed.
 	Changed struct {
-		What  ChangeKind
+		Kind  ChangeKind
 		Name  string // the peer
 		State string
 		Cause string
 	}
-	// Refresh wants the list of servers asked for out of turn: a peer has a newer one.
-	Refresh struct{ Generation int64 }
+	// RefreshEndpointList wants the list of servers asked for out of turn: a peer has a newer one.
+	RefreshEndpointList struct{ Generation int64 }
 )
 
-func (Save) action()    {}
-func (Send) action()    {}
-func (Publish) action() {}
-func (Changed) action() {}
-func (Refresh) action() {}
+func (Save) action()                {}
+func (Send) action()                {}
+func (Publish) action()             {}
+func (Changed) action()             {}
+func (RefreshEndpointList) action() {}
--- a/internal/fleet/membership/flat_test.go
+++ b/internal/fleet/membership/flat_test.go
@@ -9,8 +9,8 @@
 
 // flatView is a view of a fleet without cells, with something in every field.
 func flatView() *View {
-	return &View{Epoch: 7, Founders: 5, Unclaimed: []int{4}, Voters: []string{"r1", "r2"}, Entries: []Member{
-		{Name: "r1", In: true, Share: Whole / 4, OutstandingLimit: Whole / 5}, {Name: "r2", In: true, Idle: true}, {Name: "r3", OutstandingLimit: Whole / 8}}}
+	return &View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{4}, Voters: []string{"r1", "r2"}, Entries: []Member{
+		{Name: "r1", In: true, BudgetShare: Whole / 4, OutstandingLimit: Whole / 5}, {Name: "r2", In: true, Idle: true}, {Name: "r3", OutstandingLimit: Whole / 8}}}
 }
 
 // What a relay of a fleet without cells says and keeps is to the byte what it was before there were cells, so that programs from before
@@ -20,9 +20,9 @@
 	if got, want := view.Hash(), uint64(17517558683486390685); got != want {
 		t.Errorf("the hash is %d, and was %d", got, want)
 	}
-	node := New(1000, Config{Name: "r1", InitialPlace: 0, Founders: 5, Relays: 5, Seed: 1}, Record{Incarnation: 2, HandedOver: true, View: view})
+	node := New(1000, Config{Name: "r1", BootstrapSlot: 0, BootstrapSize: 5, ConfiguredRelays: 5, Seed: 1}, Record{Incarnation: 2, SlotReleased: true, View: view})
 	var status Status
-	for _, action := range node.Handle(2000, LocalState{Lifecycle: Serving, Zone: "z1", Rate: 12.5, Held: 3, List: 9}, nil) {
+	for _, action := range node.Handle(2000, LocalState{Lifecycle: Serving, Zone: "z1", RequestRate: 12.5, OpenConnections: 3, EndpointListGeneration: 9}, nil) {
 		if published, ok := action.(Publish); ok {
 			status = published.Status
 		}
@@ -33,8 +33,8 @@
 	}{
 		"view":    {view, "a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b00000020000000000582627231627232"},
 		"status":  {status, "ad01010203030104627a3105fb4029000000000000060307090807091bf31adecf8544099d0a050b000cf50d01"},
-		"record":  {Record{Incarnation: 3, HandedOver: true, Promised: Ballot{4, "r2"}, AcceptedBy: Ballot{4, "r2"}, Accepted: view, View: view}, "a6010302f503a201040262723204a201040262723205a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b0000002000000000058262723162723206a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b00000020000000000582627231627232"},
-		"renewal": {Message{Kind: Renew, Epoch: 7, At: 1234.5, From: 3, InitialPlace: 0}, "a70101020703fb40934a000000000005a20100026006a20100026009030a00"},
+		"record":  {Record{Incarnation: 3, SlotReleased: true, Promised: Ballot{4, "r2"}, AcceptedBallot: Ballot{4, "r2"}, Accepted: view, View: view}, "a6010302f503a201040262723204a201040262723205a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b0000002000000000058262723162723206a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b00000020000000000582627231627232"},
+		"renewal": {Message{Kind: Renew, Epoch: 7, SentAtMillis: 1234.5, From: 3, BootstrapSlot: 0}, "a70101020703fb40934a000000000005a20100026006a20100026009030a00"},
 	} {
 		got, err := cbor.Marshal(c.value)
 		if err != nil {
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -12,12 +12,12 @@
 
 // Record is what has to be on disk before anything that follows from it is said or done.
 type Record struct {
-	Incarnation uint64 `cbor:"1,keyasint"`
-	HandedOver  bool   `cbor:"2,keyasint"`
-	Promised    Ballot `cbor:"3,keyasint"`
-	AcceptedBy  Ballot `cbor:"4,keyasint"`
-	Accepted    *View  `cbor:"5,keyasint,omitempty"` // the view after the one held
-	View        *View  `cbor:"6,keyasint,omitempty"` // the newest that is known to be chosen; nil for view 0
+	Incarnation    uint64 `cbor:"1,keyasint"`
+	SlotReleased   bool   `cbor:"2,keyasint"`
+	Promised       Ballot `cbor:"3,keyasint"`
+	AcceptedBallot Ballot `cbor:"4,keyasint"`
+	Accepted       *View  `cbor:"5,keyasint,omitempty"` // the view after the one held
+	View           *View  `cbor:"6,keyasint,omitempty"` // the newest that is known to be chosen; nil for view 0
 }
 
 // Kind is the kind of a message between two relays.
@@ -37,15 +37,15 @@
 
 // Message is what one relay's Node says to another's.
 type Message struct {
-	Kind         Kind     `cbor:"1,keyasint"`
-	Epoch        uint64   `cbor:"2,keyasint"`
-	At           float64  `cbor:"3,keyasint,omitempty"`
-	To           uint64   `cbor:"4,keyasint,omitempty"` // the incarnation that an answer is for
-	Ballot       Ballot   `cbor:"5,keyasint,omitempty"`
-	By           Ballot   `cbor:"6,keyasint,omitempty"`
-	View         *View    `cbor:"7,keyasint,omitempty"`
-	Gone         []string `cbor:"8,keyasint,omitempty"`
-	From         uint64   `cbor:"9,keyasint"` // the sender's incarnation
-	InitialPlace int      `cbor:"10,keyasint"`
-	Plan         uint64   `cbor:"11,keyasint,omitempty"` // of a Renew: the plan that the asker's view has
+	Kind           Kind     `cbor:"1,keyasint"`
+	Epoch          uint64   `cbor:"2,keyasint"`
+	SentAtMillis   float64  `cbor:"3,keyasint,omitempty"`
+	To             uint64   `cbor:"4,keyasint,omitempty"` // the incarnation that an answer is for
+	Ballot         Ballot   `cbor:"5,keyasint,omitempty"`
+	AcceptedBallot Ballot   `cbor:"6,keyasint,omitempty"`
+	View           *View    `cbor:"7,keyasint,omitempty"`
+	Unavailable    []string `cbor:"8,keyasint,omitempty"`
+	From           uint64   `cbor:"9,keyasint"` // the sender's incarnation
+	BootstrapSlot  int      `cbor:"10,keyasint"`
+	Plan           uint64   `cbor:"11,keyasint,omitempty"` // of a Renew: the plan that the asker's view has
 }
--- a/internal/fleet/membership/model_test.go
+++ b/internal/fleet/membership/model_test.go
@@ -72,11 +72,11 @@
 func newWorld(n, founders int, seed uint64) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]bool{}, slow: 20}
 	for i := range n {
-		rate := 1 + Drift*(2*w.rng.Float64()-1)
+		rate := 1 + MaxClockDrift*(2*w.rng.Float64()-1)
 		if seed%2 == 0 { // as far apart as may be
-			rate = 1 + Drift*float64(2*w.rng.IntN(2)-1)
+			rate = 1 + MaxClockDrift*float64(2*w.rng.IntN(2)-1)
 		}
-		w.nodes = append(w.nodes, &node{cfg: Config{Name: name(i), InitialPlace: i, Founders: founders, Relays: founders, Seed: seed + uint64(i)},
+		w.nodes = append(w.nodes, &node{cfg: Config{Name: name(i), BootstrapSlot: i, BootstrapSize: founders, ConfiguredRelays: founders, Seed: seed + uint64(i)},
 			rate: rate, zero: 1000 * w.rng.Float64()})
 	}
 	return w
@@ -99,7 +99,7 @@
 	acts := n.k.Start(n.clock(w.now), nil)
 	n.look(w.now)
 	w.act(i, acts)
-	w.feed(i, LocalState{Lifecycle: Serving, Rate: 10, List: 1})
+	w.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
 }
 
 func (w *world) kill(i int) { w.nodes[i].up = false }
@@ -240,14 +240,14 @@
 
 // forget drops the looks by which nothing may take effect any more.
 func (n *node) forget(now float64) {
-	for len(n.looks) > 0 && n.looks[0].at+EffectWithin < now {
+	for len(n.looks) > 0 && n.looks[0].at+MaxEffectDelay < now {
 		n.looks = n.looks[1:]
 	}
 }
 
 // look takes down a node's share after an event.
 func (n *node) look(now float64) {
-	n.share, n.until, _ = n.k.share(n.clock(now))
+	n.share, n.until, _ = n.k.budgetShare(n.clock(now))
 	n.parts = n.k.View().Allocation
 	if n.up && !n.stopped && n.clock(now) < n.until {
 		n.looked(now)
@@ -371,7 +371,7 @@
 	if err := w.agreed(); err != nil {
 		t.Fatal(err)
 	}
-	if got := w.nodes[0].k.Estimate(w.nodes[0].clock(w.now)).Share; math.Abs(got-1.0/6) > 1e-6 {
+	if got := w.nodes[0].k.Estimate(w.nodes[0].clock(w.now)).BudgetShare; math.Abs(got-1.0/6) > 1e-6 {
 		t.Errorf("a share of six is %v", got)
 	}
 	w.start(3)
@@ -387,11 +387,11 @@
 // A relay whose list of servers stays behind a peer's asks discovery once, and again only much later; one that is behind
 // for a moment, as all are while word of a change spreads, does not.
 func TestListBehindIsAskedFor(t *testing.T) {
-	k := New(0, Config{Name: "me", Founders: 3, Relays: 3}, Record{})
+	k := New(0, Config{Name: "me", BootstrapSize: 3, ConfiguredRelays: 3}, Record{})
 	asked := func(from, to float64, list int64) (n int) {
 		for now := from; now < to; now += 100 {
-			for _, a := range k.Handle(now, LocalState{Lifecycle: Serving, List: list}, nil) {
-				if _, ok := a.(Refresh); ok {
+			for _, a := range k.Handle(now, LocalState{Lifecycle: Serving, EndpointListGeneration: list}, nil) {
+				if _, ok := a.(RefreshEndpointList); ok {
 					n++
 				}
 			}
@@ -399,11 +399,11 @@
 		return n
 	}
 	k.Handle(0, PeerHealth{"peer", Alive}, nil)
-	k.Handle(0, StatusReceived{"peer", Status{Incarnation: 1, Seq: 1, Founders: 3, InitialPlace: 1, List: 5}}, nil)
+	k.Handle(0, StatusReceived{"peer", Status{Incarnation: 1, Seq: 1, BootstrapSize: 3, BootstrapSlot: 1, EndpointListGeneration: 5}}, nil)
 	if n := asked(100, 1500, 4) + asked(1500, 4000, 5); n != 0 {
 		t.Errorf("asked %d times, for a moment's lag", n)
 	}
-	k.Handle(4000, StatusReceived{"peer", Status{Incarnation: 1, Seq: 2, Founders: 3, InitialPlace: 1, List: 9}}, nil)
+	k.Handle(4000, StatusReceived{"peer", Status{Incarnation: 1, Seq: 2, BootstrapSize: 3, BootstrapSlot: 1, EndpointListGeneration: 9}}, nil)
 	if n := asked(4000, 10_000, 5); n != 1 {
 		t.Errorf("asked %d times in 6 s behind", n)
 	}
@@ -413,10 +413,10 @@
 // have run out.
 func (w *world) deafenOne(i int) {
 	clear(w.cut)
-	w.feed(i, LocalState{Lifecycle: Draining, Rate: 10, List: 1})
+	w.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
 	w.run(6000 + 1000*w.rng.Float64())
 	w.strike = true
-	w.feed(i, LocalState{Lifecycle: Serving, Rate: 10, List: 1})
+	w.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
 	w.run(6000)
 	w.strike = false
 	for _, n := range w.nodes {
@@ -485,7 +485,7 @@
 			clear(w.cut)
 		case 9:
 			if x.up && !x.stopped {
-				w.feed(i, LocalState{Lifecycle: []Lifecycle{Serving, Draining, Leaving}[w.rng.IntN(3)], Rate: 10, List: 1})
+				w.feed(i, LocalState{Lifecycle: []Lifecycle{Serving, Draining, Leaving}[w.rng.IntN(3)], RequestRate: 10, EndpointListGeneration: 1})
 			}
 		case 10: // a relay comes to serve, and at the moment of the view that shrinks the others' shares one of them goes deaf
 			if x.up && !x.stopped {
@@ -588,10 +588,10 @@
 	for what, without := range map[string]func(*Node){
 		"the joint view": func(k *Node) { k.jointViews = false },
 		"the wait":       func(k *Node) { k.waitOut = 300 },
-		"the grant":      func(k *Node) { k.leaseFor = 60_000 },
-		"the grace":      func(k *Node) { k.grace = 0 },
-		"the effect":     func(k *Node) { k.effectWithin = 0 },
-		"the pledge":     func(k *Node) { k.handsOver = false },
+		"the grant":      func(k *Node) { k.leaseDuration = 60_000 },
+		"the grace":      func(k *Node) { k.safetyMargin = 0 },
+		"the effect":     func(k *Node) { k.maxEffectDelay = 0 },
+		"the pledge":     func(k *Node) { k.releasesSlots = false },
 	} {
 		found := uint64(0)
 		for seed := uint64(1); seed < 3000 && found == 0; seed++ {
@@ -626,15 +626,15 @@
 func (n *Node) clone() *Node {
 	c := *n
 	c.rng, c.actions = rand.New(rand.NewPCG(n.cfg.Seed, 3)), nil
-	c.peers, c.order, c.renewals = map[string]*Peer{}, nil, maps.Clone(n.renewals)
+	c.peers, c.sortedPeers, c.renewalSentAt = map[string]*Peer{}, nil, maps.Clone(n.renewalSentAt)
 	for name, p := range n.peers {
 		q := *p
-		*c.peer(name) = q
+		*c.peerEntry(name) = q
 	}
-	if n.attempt != nil {
-		t := *n.attempt
-		t.promised, t.accepted = maps.Clone(t.promised), maps.Clone(t.accepted)
-		c.attempt = &t
+	if n.proposal != nil {
+		t := *n.proposal
+		t.promises, t.acceptances = maps.Clone(t.promises), maps.Clone(t.acceptances)
+		c.proposal = &t
 	}
 	return &c
 }
@@ -663,7 +663,7 @@
 
 func (l *little) sum() (sum float64) {
 	for _, n := range l.nodes {
-		sum += n.k.Estimate(l.now).Share
+		sum += n.k.Estimate(l.now).BudgetShare
 	}
 	return sum
 }
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -4,19 +4,19 @@
 
 // viewRequest is what the next view is to be made of.
 type viewRequest struct {
-	members    []string // in the order of names
-	idle       map[string]bool
-	places     []int // that members hand over
-	allocation *Allocation
+	members       []string // in the order of names
+	idle          map[string]bool
+	releasedSlots []int // that members hand over
+	allocation    *Allocation
 	// quiet: nobody can act by an earlier view than this any more.
-	quiet bool
+	earlierViewsExpired bool
 	// released are those who are known to take no more than their share of this view.
-	released map[string]bool
-	unsafe   bool // in tests only: whoever is gone takes nothing, as if it knew
+	lowered      map[string]bool
+	ignoreLimits bool // in tests only: whoever is gone takes nothing, as if it knew
 }
 
-// goneMembers are the members that this relay takes for gone: failed, or leaving by their own word.
-func (n *Node) goneMembers() (names []string) {
+// unavailableMembers are the members that this relay takes for gone: failed, or leaving by their own word.
+func (n *Node) unavailableMembers() (names []string) {
 	for _, s := range n.view.Entries {
 		p := n.peers[s.Name]
 		if !s.In || s.Name == n.cfg.Name || p == nil {
@@ -32,25 +32,25 @@
 	return names
 }
 
-// nextWanted is what the next view is to be made of, if gone are gone; changed says whether it differs from the one held.
-func (n *Node) nextWanted(gone func(name string) bool) (w viewRequest, changed bool) {
+// nextViewRequest is what the next view is to be made of, if gone are gone; changed says whether it differs from the one held.
+func (n *Node) nextViewRequest(gone func(name string) bool) (w viewRequest, changed bool) {
 	v := n.view
-	w.idle, w.released = map[string]bool{}, map[string]bool{}
+	w.idle, w.lowered = map[string]bool{}, map[string]bool{}
 	take := func(name string, d Status) {
 		_, seated := v.find(name)
 		in := v.Member(name).In
 		switch {
-		case in && (gone(name) || d.Incarnation > 0 && v.Allocation != nil && !n.admits(d)):
+		case in && (gone(name) || d.Incarnation > 0 && v.Allocation != nil && !n.isEligible(d)):
 			changed = true
 			return
-		case !in && (!d.HandedOver || d.Lifecycle == Leaving || gone(name) || !n.admits(d)):
+		case !in && (!d.SlotReleased || d.Lifecycle == Leaving || gone(name) || !n.isEligible(d)):
 			return
 		case !in:
-			if !seated && slices.Contains(v.Unclaimed, d.InitialPlace) && d.Founders == v.Founders {
-				if !n.effective(n.handedOverSince(name)) { // what it took of its place may take effect still
+			if !seated && slices.Contains(v.UnreleasedSlots, d.BootstrapSlot) && d.BootstrapSize == v.BootstrapSize {
+				if !n.hasTakenEffect(n.slotReleasedAtOf(name)) { // what it took of its place may take effect still
 					return
 				}
-				w.places = append(w.places, d.InitialPlace)
+				w.releasedSlots = append(w.releasedSlots, d.BootstrapSlot)
 			}
 			changed = true
 		}
@@ -69,10 +69,10 @@
 	for _, name := range slices.Compact(names) {
 		d := n.status()
 		if p := n.peers[name]; name != n.cfg.Name {
-			if d = (Status{InitialPlace: -1}); p != nil && p.StatusAt >= 0 {
+			if d = (Status{BootstrapSlot: -1}); p != nil && p.StatusAt >= 0 {
 				d = p.Status
 			} else if s := v.Member(name); s.In { // a member that has not said a word in this relay's life
-				d.HandedOver = true
+				d.SlotReleased = true
 				if s.Idle {
 					d.Lifecycle = Draining
 				}
@@ -80,50 +80,52 @@
 		}
 		take(name, d)
 	}
-	n.noteReleased(&w)
+	n.noteLowered(&w)
 	if len(w.members) == 0 {
 		return w, false
 	}
-	w.allocation, _ = n.allocationWanted()
-	changed = changed || !w.allocation.same(v.Allocation)
-	return w, changed || w.quiet && !v.Settled() && v.improves(w)
+	w.allocation, _ = n.nextAllocation()
+	changed = changed || !w.allocation.equal(v.Allocation)
+	return w, changed || w.earlierViewsExpired && !v.Settled() && v.improves(w)
 }
 
-// noteReleased notes who is known to act by no earlier view than the one held. A status that says so is good for ever,
+// noteLowered notes who is known to act by no earlier view than the one held. A status that says so is good for ever,
 // as what is held is on disk.
-func (n *Node) noteReleased(w *viewRequest) {
+func (n *Node) noteLowered(w *viewRequest) {
 	all := true
 	for _, s := range n.view.Entries {
 		p := n.peers[s.Name]
 		switch {
-		case s.Name == n.cfg.Name && n.effective(n.adopted), s.OutstandingLimit <= s.Share,
-			p != nil && p.StatusAt >= 0 && p.Status.Epoch >= n.view.Epoch && n.effective(p.HoldsSince):
-			w.released[s.Name] = true
+		case s.Name == n.cfg.Name && n.hasTakenEffect(n.viewAdoptedAt), s.OutstandingLimit <= s.BudgetShare,
+			p != nil && p.StatusAt >= 0 && p.Status.Epoch >= n.view.Epoch && n.hasTakenEffect(p.EpochSince):
+			w.lowered[s.Name] = true
 		default:
 			all = false
 		}
 	}
-	w.quiet = all || n.now >= n.adopted+n.lifeOfViews() || !n.jointViews
-	w.unsafe = !n.jointViews
+	w.earlierViewsExpired = all || n.now >= n.viewAdoptedAt+n.earlierViewsExpireAfter() || !n.jointViews
+	w.ignoreLimits = !n.jointViews
 }
 
-// effective tells whether all that a relay did by its share before since has taken effect. Since is when it is known to have
+// hasTakenEffect tells whether all that a relay did by its share before since has taken effect. Since is when it is known to have
 // stopped, by this relay's clock.
-func (n *Node) effective(since float64) bool { return n.now >= since+n.effectWithin*(1+Drift) }
+func (n *Node) hasTakenEffect(since float64) bool {
+	return n.now >= since+n.maxEffectDelay*(1+MaxClockDrift)
+}
 
-// handedOverSince is when a relay that has handed its place over was first known to have.
-func (n *Node) handedOverSince(name string) float64 {
+// slotReleasedAtOf is when a relay that has handed its place over was first known to have.
+func (n *Node) slotReleasedAtOf(name string) float64 {
 	if p := n.peers[name]; name != n.cfg.Name && p != nil {
-		return p.HandedOverSince
+		return p.SlotReleasedAt
 	}
-	return n.handedOverAt
+	return n.slotReleasedAt
 }
 
 // improves tells whether the next view would bring a share nearer to its target, or let an outstanding limit go.
 func (v *View) improves(w viewRequest) bool {
 	n := v.next(w)
 	for _, s := range n.Entries {
-		if s.In && s.Share > v.Member(s.Name).Share {
+		if s.In && s.BudgetShare > v.Member(s.Name).BudgetShare {
 			return true
 		}
 	}
@@ -134,15 +136,15 @@
 // any relay may take by this view or an earlier one is its outstanding limit there, and shares beyond these limits are
 // given only from what no limit holds.
 func (v *View) next(w viewRequest) *View {
-	n := &View{Epoch: v.Epoch + 1, Founders: v.Founders, Allocation: w.allocation}
-	n.Unclaimed = slices.DeleteFunc(slices.Clone(v.Unclaimed), func(p int) bool { return slices.Contains(w.places, p) })
+	n := &View{Epoch: v.Epoch + 1, BootstrapSize: v.BootstrapSize, Allocation: w.allocation}
+	n.UnreleasedSlots = slices.DeleteFunc(slices.Clone(v.UnreleasedSlots), func(p int) bool { return slices.Contains(w.releasedSlots, p) })
 	for _, s := range v.Entries {
-		bound := s.maximum()
-		if w.quiet || w.released[s.Name] {
-			bound = s.Share
+		bound := s.maxShare()
+		if w.earlierViewsExpired || w.lowered[s.Name] {
+			bound = s.BudgetShare
 		}
 		in := slices.Contains(w.members, s.Name)
-		if w.unsafe && !in {
+		if w.ignoreLimits && !in {
 			bound = 0
 		}
 		if in || bound > 0 {
@@ -154,7 +156,7 @@
 			n.Entries = slices.Insert(n.Entries, i, Member{Name: name, In: true, Idle: w.idle[name]})
 		}
 	}
-	due, free := n.target(), Whole-n.reserved()
+	due, free := n.targetShare(), Whole-n.unreleasedShare()
 	for i := range n.Entries {
 		free -= n.Entries[i].OutstandingLimit
 	}
@@ -163,9 +165,9 @@
 		if !s.In || s.Idle {
 			continue
 		}
-		s.Share = min(due, s.OutstandingLimit)
-		if grow := min(due-s.Share, free); grow > 0 {
-			s.Share += grow
+		s.BudgetShare = min(due, s.OutstandingLimit)
+		if grow := min(due-s.BudgetShare, free); grow > 0 {
+			s.BudgetShare += grow
 			free -= grow
 		}
 	}
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -15,93 +15,93 @@
 
 // Config is what a Node is told at its start.
 type Config struct {
-	Name         string
-	InitialPlace int // this relay's number, from 0
-	Founders     int // how many places view 0 has
-	Relays       int // the settings' number, reckoned with before any agreement
-	Seed         uint64
-	Cell         string         // the name of this relay's cell, "" without cells
-	Plan         *cellplan.Plan // the file's; nil without cells. It has passed its Check and names Cell
-	Pace         Pace
+	Name             string
+	BootstrapSlot    int // this relay's number, from 0
+	BootstrapSize    int // how many places view 0 has
+	ConfiguredRelays int // the settings' number, reckoned with before any agreement
+	Seed             uint64
+	Cell             string         // the name of this relay's cell, "" without cells
+	Plan             *cellplan.Plan // the file's; nil without cells. It has passed its Check and names Cell
+	Timing           Timing
 }
 
 // Node is one relay's part in the fleet. It is not safe for concurrent use.
 type Node struct {
-	cfg    Config
-	rng    *rand.Rand
-	record Record
-	view   *View // record.View, or view 0
-	hash   uint64
-	local  LocalState
-	peers  map[string]*Peer
-	order  []*Peer // all of them but this relay, by name
-	broken bool    // its record cannot be kept
+	cfg           Config
+	rng           *rand.Rand
+	record        Record
+	view          *View // record.View, or view 0
+	viewHash      uint64
+	local         LocalState
+	peers         map[string]*Peer
+	sortedPeers   []*Peer // all of them but this relay, by name
+	storageFailed bool    // its record cannot be kept
 	// What keeps the shares' sum, as tests take it out to see that they would find out.
-	jointViews, handsOver bool
-	leaseFor, waitOut     float64
-	grace, effectWithin   float64
+	jointViews, releasesSlots    bool
+	leaseDuration, waitOut       float64
+	safetyMargin, maxEffectDelay float64
 	// And what keeps the sum over all cells.
-	jointPlans, awaitsCells, awaitsQuiet, inSequence, checksVersions bool
-
-	celled    bool           // view 0 has no places: the chain is, or is to be, founded by a plan
-	others    OtherCells     // what the other cells do
-	opened    uint64         // the newest plan that all its cells are known to have entered
-	quietPlan uint64         // the newest that nobody in this cell acts by an earlier one of
-	enteredAt float64        // when a view of the present plan was first held in this life
-	replaced  *cellplan.Plan // the plan that the file had before, while the view is by it
-
-	began        float64
-	now          float64
-	actions      []Action
-	adopted      float64 // when the view was adopted in this life
-	handedOverAt float64 // when the relay handed its place over in this life, or this life began
-
-	renewals   map[string]float64 // by voter: when the newest renewal that it answered was sent
-	validUntil float64            // until when the share may be taken
-	renewAt    float64
-	attempt    *attempt
-	round      uint64  // the highest met
-	attemptAt  float64 // not before this
-	needSince  float64 // negative: nothing is to change
-	acceptedAt float64 // since when a view is accepted here and not chosen, negative if none is
-	agreedAt   float64
-	phase      Phase
-	publishAt  float64
-	catchUpAt  float64 // not before this is a view asked for
-	published  Status
-	seq        uint64  // of the statuses
-	refreshAt  float64 // from when on a newer list at a peer is asked for
+	jointPlans, awaitsCells, awaitsEarlierViews, inSequence, checksVersions bool
+
+	bootstrappedByPlan bool           // view 0 has no places: the chain is, or is to be, founded by a plan
+	otherCells         OtherCells     // what the other cells do
+	activatedPlan      uint64         // the newest plan that all its cells are known to have entered
+	joinedPlan         uint64         // the newest that nobody in this cell acts by an earlier one of
+	planAdoptedAt      float64        // when a view of the present plan was first held in this life
+	previousPlan       *cellplan.Plan // the plan that the file had before, while the view is by it
+
+	startedAt      float64
+	now            float64
+	actions        []Action
+	viewAdoptedAt  float64 // when the view was adopted in this life
+	slotReleasedAt float64 // when the relay handed its place over in this life, or this life began
+
+	renewalSentAt     map[string]float64 // by voter: when the newest renewal that it answered was sent
+	leaseValidUntil   float64            // until when the share may be taken
+	nextRenewalAt     float64
+	proposal          *proposal
+	highestRound      uint64  // the highest met
+	nextProposalAt    float64 // not before this
+	changeWantedSince float64 // negative: nothing is to change
+	viewAcceptedAt    float64 // since when a view is accepted here and not chosen, negative if none is
+	agreedAt          float64
+	phase             Phase
+	nextStatusAt      float64
+	nextCatchUpAt     float64 // not before this is a view asked for
+	lastStatus        Status
+	statusSeq         uint64  // of the statuses
+	refreshListAt     float64 // from when on a newer list at a peer is asked for
 }
 
 // New returns the Node of a relay that starts. rec is what was kept, the zero Record for none; the first action
 // of the first event keeps it with the next incarnation.
 func New(now float64, cfg Config, rec Record) *Node {
-	cfg.Founders = max(cfg.Founders, 1)
+	cfg.BootstrapSize = max(cfg.BootstrapSize, 1)
 	n := &Node{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d656d626572)), record: rec, peers: map[string]*Peer{},
-		jointViews: true, handsOver: true, leaseFor: LeaseFor, waitOut: WaitOut, grace: Grace, effectWithin: EffectWithin,
-		jointPlans: true, awaitsCells: true, awaitsQuiet: true, inSequence: true, checksVersions: true, enteredAt: now,
-		began: now, now: now, adopted: now, handedOverAt: now,
-		renewals: map[string]float64{}, validUntil: math.Inf(-1),
-		needSince: -1, acceptedAt: -1, agreedAt: -1,
+		jointViews: true, releasesSlots: true, leaseDuration: LeaseDuration, waitOut: WaitOut, safetyMargin: LeaseSafetyMargin, maxEffectDelay: MaxEffectDelay,
+		jointPlans: true, awaitsCells: true, awaitsEarlierViews: true, inSequence: true, checksVersions: true, planAdoptedAt: now,
+		startedAt: now, now: now, viewAdoptedAt: now, slotReleasedAt: now,
+		renewalSentAt: map[string]float64{}, leaseValidUntil: math.Inf(-1),
+		changeWantedSince: -1, viewAcceptedAt: -1, agreedAt: -1,
 	}
 	if n.view = rec.View; n.view == nil {
-		n.view = founding(cfg.Founders)
-		if n.celled = cfg.Plan != nil; n.celled {
-			n.view.Unclaimed = nil
+		n.view = bootstrapView(cfg.BootstrapSize)
+		if n.bootstrappedByPlan = cfg.Plan != nil; n.bootstrappedByPlan {
+			n.view.UnreleasedSlots = nil
 		}
 	}
-	n.cfg.Pace = cfg.Pace.orFlat()
-	if a := n.view.Allocation; a != nil && a.Open {
-		n.opened = a.Plan
+	n.cfg.Timing = cfg.Timing.withFlatDefaults()
+	if a := n.view.Allocation; a != nil && a.Activated {
+		n.activatedPlan = a.Plan
 	}
-	if n.cfg.InitialPlace >= n.view.Founders {
-		n.cfg.InitialPlace = -1
+	if n.cfg.BootstrapSlot >= n.view.BootstrapSize {
+		n.cfg.BootstrapSlot = -1
 	}
-	n.hash = n.view.Hash()
+	n.viewHash = n.view.Hash()
 	n.record.Incarnation++
 	if rec.Accepted != nil {
-		n.acceptedAt = now
+		n.viewAcceptedAt = now
 	}
 	return n
 }
@@ -109,7 +109,7 @@
 // Start returns the first actions.
 func (n *Node) Start(now float64, out []Action) []Action {
 	n.now, n.actions = now, out
-	n.save()
+	n.saveRecord()
 	n.publish(true)
 	return n.actions
 }
@@ -128,14 +128,14 @@
 		n.onMessage(e.From, e.Message)
 	case LocalState:
 		n.local = e
-	case Unsaved:
-		n.broken, n.attempt = true, nil
+	case RecordNotSaved:
+		n.storageFailed, n.proposal = true, nil
 	case PlanChanged:
 		n.onPlanChanged(e)
-	case PlanOpened:
-		n.onPlanOpened(e)
+	case PlanActivated:
+		n.onPlanActivated(e)
 	case OtherCells:
-		n.others = e
+		n.otherCells = e
 		return n.actions
 	}
 	switch e := ev.(type) {
@@ -144,41 +144,41 @@
 			return n.actions
 		}
 	}
-	n.step()
+	n.runDueTasks()
 	return n.actions
 }
 
 // Next is when a Tick is due at the latest.
 func (n *Node) Next() float64 {
 	next := n.now + 100
-	if n.validUntil > n.now {
-		next = min(next, n.validUntil)
+	if n.leaseValidUntil > n.now {
+		next = min(next, n.leaseValidUntil)
 	}
-	return min(next, max(n.renewAt, n.now+10))
+	return min(next, max(n.nextRenewalAt, n.now+10))
 }
 
-// step is what time brings.
-func (n *Node) step() {
-	n.noteQuiet()
+// runDueTasks is what time brings.
+func (n *Node) runDueTasks() {
+	n.noteJoinedPlan()
 	n.catchUp()
-	n.handOver()
+	n.releaseSlot()
 	n.renewLease()
 	n.propose()
 	n.updatePhase()
 	n.publish(false)
-	n.refreshList()
+	n.refreshEndpointList()
 }
 
 func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-func (n *Node) save() {
-	if !n.broken {
+func (n *Node) saveRecord() {
+	if !n.storageFailed {
 		n.emit(Save{n.record})
 	}
 }
 
 func (n *Node) send(to string, m Message) {
-	m.From, m.InitialPlace = n.record.Incarnation, n.cfg.InitialPlace
+	m.From, m.BootstrapSlot = n.record.Incarnation, n.cfg.BootstrapSlot
 	if to == n.cfg.Name {
 		n.onMessage(to, m)
 		return
@@ -190,7 +190,7 @@
 func (n *Node) Incarnation() uint64 { return n.record.Incarnation }
 
 // Hash is the view's.
-func (n *Node) Hash() uint64 { return n.hash }
+func (n *Node) Hash() uint64 { return n.viewHash }
 
 // View returns the view held.
 func (n *Node) View() *View { return n.view }
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -1,7 +1,7 @@
 package membership
 
 const (
-	startGrace = 1500.0 // a relay that has heard nobody for so long is alone
+	startupWait = 1500.0 // a relay that has heard nobody for so long is alone
 )
 
 // Phase is how far a relay's view is agreed.
@@ -24,11 +24,11 @@
 func (n *Node) updatePhase() {
 	was, cause := n.phase, ""
 	heard := false
-	for _, p := range n.order {
+	for _, p := range n.sortedPeers {
 		heard = heard || p.Health == Alive
 	}
 	switch seat := n.view.Member(n.cfg.Name); {
-	case n.view.Epoch == 0 && !heard && n.now < n.began+startGrace:
+	case n.view.Epoch == 0 && !heard && n.now < n.startedAt+startupWait:
 		n.phase, cause = PhaseStarting, "nobody is heard yet"
 	case n.view.Epoch == 0 && !heard:
 		n.phase, cause = PhaseAlone, "nobody is heard"
@@ -36,11 +36,11 @@
 		n.phase, cause = PhaseStarting, "no view is agreed yet"
 	case !seat.In && n.votersAlive() >= n.view.majority():
 		n.phase, cause = PhaseStarting, "not in the view"
-	case seat.In && n.now >= n.validUntil && n.now < n.adopted+startGrace && n.votersAlive() >= n.view.majority():
+	case seat.In && n.now >= n.leaseValidUntil && n.now < n.viewAdoptedAt+startupWait && n.votersAlive() >= n.view.majority():
 		n.phase, cause = PhaseSettling, "its grant is awaited"
 	case n.votersAlive() < n.view.majority():
 		n.phase, cause = PhaseCutOff, "too few voters are heard"
-	case seat.In && n.now >= n.validUntil:
+	case seat.In && n.now >= n.leaseValidUntil:
 		n.phase, cause = PhaseCutOff, "too few voters renew the grant"
 	case n.view.Settled():
 		n.phase, cause = PhaseAgreed, "every share is at its target"
@@ -51,6 +51,6 @@
 		n.agreedAt = n.now
 	}
 	if n.phase != was {
-		n.emit(Changed{What: ChangePhase, State: n.phase.String(), Cause: cause})
+		n.emit(Changed{Kind: ChangePhase, State: n.phase.String(), Cause: cause})
 	}
 }
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -1,8 +1,8 @@
 package membership
 
 const (
-	sendingInterval = 500.0  // a relay that sends its clients away says so as often
-	sendingValidFor = 1500.0 // and is believed for so long
+	drainStatusInterval = 500.0  // a relay that sends its clients away says so as often
+	drainStatusValidFor = 1500.0 // and is believed for so long
 )
 
 // Lifecycle is what a relay says it does.
@@ -23,21 +23,21 @@
 // Status is what a relay tells all others of itself. Fields that a reader does not know are skipped, those that a
 // writer did not know are zero.
 type Status struct {
-	Version      int       `cbor:"1,keyasint"`
-	Incarnation  uint64    `cbor:"2,keyasint"` // of the process: rises with each start
-	Lifecycle    Lifecycle `cbor:"3,keyasint"`
-	Zone         string    `cbor:"4,keyasint,omitempty"`
-	Rate         float64   `cbor:"5,keyasint"` // requests a second that clients bring it
-	Held         int       `cbor:"6,keyasint"` // connections
-	List         int64     `cbor:"7,keyasint"` // generation of its list of servers
-	Epoch        uint64    `cbor:"8,keyasint"` // of the view that it holds, on its disk
-	Hash         uint64    `cbor:"9,keyasint"` // of that view
-	Founders     int       `cbor:"10,keyasint"`
-	InitialPlace int       `cbor:"11,keyasint"`           // from 0; negative for none
-	HandedOver   bool      `cbor:"12,keyasint"`           // its place is the fleet's to divide
-	Seq          uint64    `cbor:"13,keyasint"`           // rises with each status of an incarnation
-	Sent         float64   `cbor:"14,keyasint,omitempty"` // connections a second that it sends away, in a drain or as it leaves
-	Opened       uint64    `cbor:"15,keyasint,omitempty"` // the newest plan that all its cells are known to have entered
+	Version                int       `cbor:"1,keyasint"`
+	Incarnation            uint64    `cbor:"2,keyasint"` // of the process: rises with each start
+	Lifecycle              Lifecycle `cbor:"3,keyasint"`
+	Zone                   string    `cbor:"4,keyasint,omitempty"`
+	RequestRate            float64   `cbor:"5,keyasint"` // requests a second that clients bring it
+	OpenConnections        int       `cbor:"6,keyasint"` // connections
+	EndpointListGeneration int64     `cbor:"7,keyasint"` // generation of its list of servers
+	Epoch                  uint64    `cbor:"8,keyasint"` // of the view that it holds, on its disk
+	Hash                   uint64    `cbor:"9,keyasint"` // of that view
+	BootstrapSize          int       `cbor:"10,keyasint"`
+	BootstrapSlot          int       `cbor:"11,keyasint"`           // from 0; negative for none
+	SlotReleased           bool      `cbor:"12,keyasint"`           // its place is the fleet's to divide
+	Seq                    uint64    `cbor:"13,keyasint"`           // rises with each status of an incarnation
+	DrainRate              float64   `cbor:"14,keyasint,omitempty"` // connections a second that it sends away, in a drain or as it leaves
+	ActivatedPlan          uint64    `cbor:"15,keyasint,omitempty"` // the newest plan that all its cells are known to have entered
 }
 
 // The versions that this program writes: StatusVersionCells where a plan of cells is configured or acted by. Older programs don't know
@@ -50,17 +50,17 @@
 // status is what this relay tells of itself.
 func (n *Node) status() Status {
 	return Status{
-		Version: n.version(), Incarnation: n.record.Incarnation, Opened: n.statusOpened(),
-		Lifecycle: n.local.Lifecycle, Zone: n.local.Zone, Rate: n.local.Rate, Held: n.local.Held, List: n.local.List, Sent: n.local.Sent,
-		Epoch: n.view.Epoch, Hash: n.hash,
-		Founders: n.view.Founders, InitialPlace: n.cfg.InitialPlace, HandedOver: n.record.HandedOver,
+		Version: n.statusVersion(), Incarnation: n.record.Incarnation, ActivatedPlan: n.statusActivatedPlan(),
+		Lifecycle: n.local.Lifecycle, Zone: n.local.Zone, RequestRate: n.local.RequestRate, OpenConnections: n.local.OpenConnections, EndpointListGeneration: n.local.EndpointListGeneration, DrainRate: n.local.DrainRate,
+		Epoch: n.view.Epoch, Hash: n.viewHash,
+		BootstrapSize: n.view.BootstrapSize, BootstrapSlot: n.cfg.BootstrapSlot, SlotReleased: n.record.SlotReleased,
 	}
 }
 
-// publishEvery is the time between two statuses: it grows with the fleet, so that what a relay gets does not. In a cell it is drawn
+// statusInterval is the time between two statuses: it grows with the fleet, so that what a relay gets does not. In a cell it is drawn
 // anew each time, from half to one and a half of the pace: all relays tell a new view at once, and would else go on telling at once.
-func (n *Node) publishEvery() float64 {
-	every := max(n.cfg.Pace.StatusEvery, 50*float64(len(n.peers)))
+func (n *Node) statusInterval() float64 {
+	every := max(n.cfg.Timing.StatusInterval, 50*float64(len(n.peers)))
 	if n.view.Allocation != nil {
 		every *= 0.5 + n.rng.Float64()
 	}
@@ -69,17 +69,17 @@
 
 // publish publishes the status: at once where the state, the list, the view or HandedOver is new, else now and then.
 func (n *Node) publish(now bool) {
-	d, t := n.status(), n.published
-	now = now || d.Lifecycle != t.Lifecycle || d.List != t.List || (d.Sent > 0) != (t.Sent > 0) ||
-		d.Epoch != t.Epoch || d.HandedOver != t.HandedOver || d.Version != t.Version || d.Opened != t.Opened
-	if !now && n.now < n.publishAt {
+	d, t := n.status(), n.lastStatus
+	now = now || d.Lifecycle != t.Lifecycle || d.EndpointListGeneration != t.EndpointListGeneration || (d.DrainRate > 0) != (t.DrainRate > 0) ||
+		d.Epoch != t.Epoch || d.SlotReleased != t.SlotReleased || d.Version != t.Version || d.ActivatedPlan != t.ActivatedPlan
+	if !now && n.now < n.nextStatusAt {
 		return
 	}
-	n.seq++
-	d.Seq = n.seq
-	n.published, n.publishAt = d, n.now+n.publishEvery()
-	if d.Sent > 0 {
-		n.publishAt = n.now + sendingInterval
+	n.statusSeq++
+	d.Seq = n.statusSeq
+	n.lastStatus, n.nextStatusAt = d, n.now+n.statusInterval()
+	if d.DrainRate > 0 {
+		n.nextStatusAt = n.now + drainStatusInterval
 	}
 	n.emit(Publish{d})
 }
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -22,42 +22,42 @@
 	Name string `cbor:"1,keyasint"`
 	In   bool   `cbor:"2,keyasint,omitempty"` // a member; else it has gone, and only its outstanding limit is left
 	// Share is what it takes by this view; OutstandingLimit the most that it may take by any view that may still be acted on.
-	Share            uint64 `cbor:"3,keyasint,omitempty"`
+	BudgetShare      uint64 `cbor:"3,keyasint,omitempty"`
 	OutstandingLimit uint64 `cbor:"4,keyasint,omitempty"`
 	Idle             bool   `cbor:"5,keyasint,omitempty"` // it drains by hand: a member that is due no share
 }
 
-// maximum is what the relay may take, whichever of the views it acts on.
-func (s Member) maximum() uint64 { return max(s.Share, s.OutstandingLimit) }
+// maxShare is what the relay may take, whichever of the views it acts on.
+func (s Member) maxShare() uint64 { return max(s.BudgetShare, s.OutstandingLimit) }
 
 // View is one link of the chain of views. It is never changed once made.
 type View struct {
-	Epoch     uint64   `cbor:"1,keyasint"`
-	Founders  int      `cbor:"2,keyasint"`           // places of view 0
-	Unclaimed []int    `cbor:"3,keyasint,omitempty"` // places that their relays have not handed over: each is its owner's
-	Entries   []Member `cbor:"4,keyasint,omitempty"` // in the order of names
-	Voters    []string `cbor:"5,keyasint"`
+	Epoch           uint64   `cbor:"1,keyasint"`
+	BootstrapSize   int      `cbor:"2,keyasint"`           // places of view 0
+	UnreleasedSlots []int    `cbor:"3,keyasint,omitempty"` // places that their relays have not handed over: each is its owner's
+	Entries         []Member `cbor:"4,keyasint,omitempty"` // in the order of names
+	Voters          []string `cbor:"5,keyasint"`
 	// Allocation is the part of the budgets that the shares divide; nil for the whole.
 	Allocation *Allocation `cbor:"6,keyasint,omitempty"`
 }
 
-// founding is view 0: places only. Its voters are named by place.
-func founding(founders int) *View {
-	v := &View{Founders: founders}
+// bootstrapView is view 0: places only. Its voters are named by place.
+func bootstrapView(founders int) *View {
+	v := &View{BootstrapSize: founders}
 	for i := range founders {
-		v.Unclaimed = append(v.Unclaimed, i)
+		v.UnreleasedSlots = append(v.UnreleasedSlots, i)
 		if i < MaxVoters {
-			v.Voters = append(v.Voters, placeName(i))
+			v.Voters = append(v.Voters, slotVoterName(i))
 		}
 	}
 	return v
 }
 
-// placeName is how a voter of view 0 is called; no relay has such a name.
-func placeName(place int) string { return "\x00" + strconv.Itoa(place) }
+// slotVoterName is how a voter of view 0 is called; no relay has such a name.
+func slotVoterName(place int) string { return "\x00" + strconv.Itoa(place) }
 
-// initialShare is the share of a place.
-func (v *View) initialShare() uint64 { return Whole / uint64(v.Founders) }
+// slotShare is the share of a place.
+func (v *View) slotShare() uint64 { return Whole / uint64(v.BootstrapSize) }
 
 // Member returns a relay's entry; the zero one if it has none.
 func (v *View) Member(name string) Member {
@@ -98,20 +98,22 @@
 // that is cut in two go on with what they have.
 func (v *View) half() int { return (len(v.Voters) + 1) / 2 }
 
-// reserved is what the places' owners keep.
-func (v *View) reserved() uint64 { return v.initialShare() * uint64(len(v.Unclaimed)) }
+// unreleasedShare is what the places' owners keep.
+func (v *View) unreleasedShare() uint64 { return v.slotShare() * uint64(len(v.UnreleasedSlots)) }
 
-// target is the share that each member that serves is due.
-func (v *View) target() uint64 { return (Whole - v.reserved()) / uint64(max(v.Serving(), 1)) }
+// targetShare is the share that each member that serves is due.
+func (v *View) targetShare() uint64 {
+	return (Whole - v.unreleasedShare()) / uint64(max(v.Serving(), 1))
+}
 
 // Settled tells whether every share is at its target.
 func (v *View) Settled() bool {
 	if v.Epoch == 0 {
 		return false
 	}
-	due := v.target()
+	due := v.targetShare()
 	for _, s := range v.Entries {
-		if s.In && s.Share != due && !s.Idle || !s.In && s.OutstandingLimit > 0 {
+		if s.In && s.BudgetShare != due && !s.Idle || !s.In && s.OutstandingLimit > 0 {
 			return false
 		}
 	}
@@ -123,21 +125,21 @@
 	h := fnv.New64a()
 	put := func(s string) { h.Write([]byte(s)); h.Write([]byte{0}) }
 	put(strconv.FormatUint(v.Epoch, 10))
-	for _, p := range v.Unclaimed {
+	for _, p := range v.UnreleasedSlots {
 		put(strconv.Itoa(p))
 	}
 	for _, s := range v.Entries {
 		put(s.Name)
-		put(strconv.FormatBool(s.In) + strconv.FormatUint(s.Share, 10) + " " + strconv.FormatUint(s.OutstandingLimit, 10))
+		put(strconv.FormatBool(s.In) + strconv.FormatUint(s.BudgetShare, 10) + " " + strconv.FormatUint(s.OutstandingLimit, 10))
 	}
 	for _, n := range v.Voters {
 		put(n)
 	}
 	if a := v.Allocation; a != nil {
-		for _, number := range []uint64{a.Plan, a.PlanHash, a.Near, a.Far, uint64(a.LeaseFor)} {
+		for _, number := range []uint64{a.Plan, a.PlanHash, a.Near, a.Far, uint64(a.LeaseMillis)} {
 			put(strconv.FormatUint(number, 10))
 		}
-		put(strconv.FormatBool(a.Open))
+		put(strconv.FormatBool(a.Activated))
 		put(strings.Join(a.NearZones, " "))
 		put(strings.Join(a.Cells, " "))
 	}
@@ -167,19 +169,19 @@
 
 // Check tells what of a view that came from elsewhere could not be.
 func (v *View) Check() error {
-	if v.Epoch == 0 || v.Founders < 1 || v.Founders > maxEntries || len(v.Voters) == 0 || len(v.Voters) > MaxVoters ||
-		len(v.Entries) > maxEntries || len(v.Unclaimed) > v.Founders {
+	if v.Epoch == 0 || v.BootstrapSize < 1 || v.BootstrapSize > maxEntries || len(v.Voters) == 0 || len(v.Voters) > MaxVoters ||
+		len(v.Entries) > maxEntries || len(v.UnreleasedSlots) > v.BootstrapSize {
 		return errBadView
 	}
-	if !v.Allocation.check() || v.Allocation != nil && len(v.Unclaimed) > 0 {
+	if !v.Allocation.valid() || v.Allocation != nil && len(v.UnreleasedSlots) > 0 {
 		return errBadView
 	}
-	sum := v.reserved()
+	sum := v.unreleasedShare()
 	for i, s := range v.Entries {
-		if s.maximum() > Whole || i > 0 && v.Entries[i-1].Name >= s.Name || s.Name == "" {
+		if s.maxShare() > Whole || i > 0 && v.Entries[i-1].Name >= s.Name || s.Name == "" {
 			return errBadView
 		}
-		if sum += s.maximum(); sum > Whole {
+		if sum += s.maxShare(); sum > Whole {
 			return errBadView
 		}
 	}
@@ -188,8 +190,8 @@
 			return errBadView
 		}
 	}
-	for i, p := range v.Unclaimed {
-		if p < 0 || p >= v.Founders || i > 0 && v.Unclaimed[i-1] >= p {
+	for i, p := range v.UnreleasedSlots {
+		if p < 0 || p >= v.BootstrapSize || i > 0 && v.UnreleasedSlots[i-1] >= p {
 			return errBadView
 		}
 	}
--- a/internal/fleet/probing/assign.go
+++ b/internal/fleet/probing/assign.go
@@ -21,17 +21,17 @@
 	Started int64 // when its process started, Unix ms; 0 for long ago
 }
 
-// Probers is how many relays probe each server: three, so that one that tells nonsense is outvoted by two.
-const Probers = 3
+// ProbersPerServer is how many relays probe each server: three, so that one that tells nonsense is outvoted by two.
+const ProbersPerServer = 3
 
-// spare is how much more than the mean a relay may be given to probe, as a part of the mean. With none, whoever comes
+// assignmentSlack is how much more than the mean a relay may be given to probe, as a part of the mean. With none, whoever comes
 // last gets what is left over, and one relay more or less moves much.
-const spare = 0.25
+const assignmentSlack = 0.25
 
-// Table says who probes which server.
-type Table struct {
-	relays []string
-	lists  [][]int32 // by server, as given: the relays that probe it, in the order in which they were chosen
+// Assignment says who probes which server.
+type Assignment struct {
+	relays  []string
+	probers [][]int32 // by server, as given: the relays that probe it, in the order in which they were chosen
 }
 
 // Assign gives each server Probers relays, or all where there are fewer. Each server takes the relays that rank highest in
@@ -41,45 +41,45 @@
 //
 // At least one prober is of another zone where there is one: a zone that is cut off is seen by those outside as what it
 // is, and two of three are near, where a look costs no crossing.
-func Assign(relays []Relay, servers []Server) *Table {
+func Assign(relays []Relay, servers []Server) *Assignment {
 	relays = slices.Clone(relays)
 	slices.SortFunc(relays, func(a, b Relay) int { return cmp.Compare(a.Name, b.Name) })
 	relays = slices.CompactFunc(relays, func(a, b Relay) bool { return a.Name == b.Name })
-	t := &Table{lists: make([][]int32, len(servers))}
+	t := &Assignment{probers: make([][]int32, len(servers))}
 	for _, r := range relays {
 		t.relays = append(t.relays, r.Name)
 	}
-	each := min(Probers, len(relays))
+	each := min(ProbersPerServer, len(relays))
 	if each == 0 {
 		return t
 	}
 	seeds := make([]uint64, len(relays))
 	for i, r := range relays {
-		seeds[i] = hash(r.Name)
+		seeds[i] = hashName(r.Name)
 	}
 	order := make([]int, len(servers))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(mix(servers[a].Key), mix(servers[b].Key)) })
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(mixBits(servers[a].Key), mixBits(servers[b].Key)) })
 	mean := float64(each*len(servers)) / float64(len(relays))
-	fill := max(int32(mean*(1+spare)+0.999), 1)
+	fill := max(int32(mean*(1+assignmentSlack)+0.999), 1)
 	taken := make([]int32, len(relays))
 	for _, s := range order {
-		t.lists[s] = choose(servers[s], relays, seeds, taken, fill, each)
+		t.probers[s] = chooseProbers(servers[s], relays, seeds, taken, fill, each)
 	}
 	return t
 }
 
-// choose picks a server's probers: up to each-1 of its zone, the rest of others, what is short from anywhere; all with room
+// chooseProbers picks a server's probers: up to each-1 of its zone, the rest of others, what is short from anywhere; all with room
 // first. The last resort, a relay that has its fill, is needed only where rounding leaves no room elsewhere.
-func choose(s Server, relays []Relay, seeds []uint64, taken []int32, fill int32, each int) []int32 {
+func chooseProbers(s Server, relays []Relay, seeds []uint64, taken []int32, fill int32, each int) []int32 {
 	picked := make([]int32, 0, each)
 	pick := func(want int, ok func(i int) bool) {
 		for len(picked) < want {
 			best, top := int32(-1), uint64(0)
 			for i := range relays {
-				if rank := mix(seeds[i] ^ s.Key); (best < 0 || rank > top) && ok(i) && !slices.Contains(picked, int32(i)) {
+				if rank := mixBits(seeds[i] ^ s.Key); (best < 0 || rank > top) && ok(i) && !slices.Contains(picked, int32(i)) {
 					best, top = int32(i), rank
 				}
 			}
@@ -99,18 +99,18 @@
 	return picked
 }
 
-// Of returns the names of a server's probers, by its place in the list that Assign was given.
-func (t *Table) Of(server int) []string {
-	out := make([]string, len(t.lists[server]))
-	for i, r := range t.lists[server] {
+// Probers returns the names of a server's probers, by its place in the list that Assign was given.
+func (t *Assignment) Probers(server int) []string {
+	out := make([]string, len(t.probers[server]))
+	for i, r := range t.probers[server] {
 		out[i] = t.relays[r]
 	}
 	return out
 }
 
 // rank is a relay's place among a server's probers, negative if it is none.
-func (t *Table) rank(server int, relay string) int {
-	for i, r := range t.lists[server] {
+func (t *Assignment) rank(server int, relay string) int {
+	for i, r := range t.probers[server] {
 		if t.relays[r] == relay {
 			return i
 		}
@@ -118,8 +118,8 @@
 	return -1
 }
 
-// hash is FNV-1a of a name.
-func hash(s string) uint64 {
+// hashName is FNV-1a of a name.
+func hashName(s string) uint64 {
 	h := uint64(0xcbf29ce484222325)
 	for i := range len(s) {
 		h = (h ^ uint64(s[i])) * 0x100000001b3
@@ -127,8 +127,8 @@
 	return h
 }
 
-// mix spreads a number's bits (the finish of splitmix64).
-func mix(x uint64) uint64 {
+// mixBits spreads a number's bits (the finish of splitmix64).
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -14,21 +14,21 @@
 		rs = append(rs, Relay{fmt.Sprintf("r%d", i), fmt.Sprintf("z%d", i%zones)})
 	}
 	for i := range servers {
-		ss = append(ss, Server{Key: hash(fmt.Sprintf("s%d", i)), Zone: fmt.Sprintf("z%d", i%zones)})
+		ss = append(ss, Server{Key: hashName(fmt.Sprintf("s%d", i)), Zone: fmt.Sprintf("z%d", i%zones)})
 	}
 	return rs, ss
 }
 
 // check tells what of a table is not as promised.
-func check(t interface{ Errorf(string, ...any) }, rs []Relay, ss []Server, table *Table) {
+func check(t interface{ Errorf(string, ...any) }, rs []Relay, ss []Server, table *Assignment) {
 	zone, parts, inZone := map[string]string{}, map[string]int{}, map[string]int{}
 	for _, r := range rs {
 		zone[r.Name] = r.Zone
 		inZone[r.Zone]++
 	}
-	each := min(Probers, len(rs))
+	each := min(ProbersPerServer, len(rs))
 	for i, s := range ss {
-		of := table.Of(i)
+		of := table.Probers(i)
 		near := 0
 		for j, name := range of {
 			parts[name]++
@@ -45,7 +45,7 @@
 	}
 	mean := float64(each*len(ss)) / float64(len(rs))
 	for name, n := range parts {
-		if float64(n) > math.Ceil(mean*(1+spare)+0.001)+1 {
+		if float64(n) > math.Ceil(mean*(1+assignmentSlack)+0.001)+1 {
 			t.Errorf("%d relays, %d servers: %s looks at %d, the mean is %.1f", len(rs), len(ss), name, n, mean)
 		}
 	}
@@ -70,8 +70,8 @@
 		check(r, rs, ss, table)
 		other := Assign(rapid.Permutation(rs).Draw(r, "order"), ss)
 		for i := range ss {
-			if !slices.Equal(table.Of(i), other.Of(i)) {
-				r.Errorf("the order of names changes who looks at a server: %v, %v", table.Of(i), other.Of(i))
+			if !slices.Equal(table.Probers(i), other.Probers(i)) {
+				r.Errorf("the order of names changes who looks at a server: %v, %v", table.Probers(i), other.Probers(i))
 			}
 		}
 	})
@@ -86,13 +86,13 @@
 	}
 	for i, s := range ss {
 		near := 0
-		for _, name := range table.Of(i) {
+		for _, name := range table.Probers(i) {
 			if zone[name] == s.Zone {
 				near++
 			}
 		}
-		if near == 0 || near == Probers {
-			t.Errorf("%d of %v are of zone %s", near, table.Of(i), s.Zone)
+		if near == 0 || near == ProbersPerServer {
+			t.Errorf("%d of %v are of zone %s", near, table.Probers(i), s.Zone)
 		}
 	}
 }
@@ -102,10 +102,10 @@
 	for _, size := range [][2]int{{9, 60}, {30, 90}, {300, 90}, {300, 2000}} {
 		rs, ss := fleet(size[0], size[1], 3)
 		before := Assign(rs, ss)
-		moved := func(table *Table, ss []Server, gone string) (n int) {
+		moved := func(table *Assignment, ss []Server, gone string) (n int) {
 			for i := range ss {
-				for _, name := range before.Of(i) {
-					if name != gone && !slices.Contains(table.Of(i), name) {
+				for _, name := range before.Probers(i) {
+					if name != gone && !slices.Contains(table.Probers(i), name) {
 						n++
 					}
 				}
@@ -113,12 +113,12 @@
 			return n
 		}
 		// What was probed by the one that goes must move, and about as much again may.
-		fair := Probers * size[1] / size[0]
+		fair := ProbersPerServer * size[1] / size[0]
 		if n := moved(Assign(rs[1:], ss), ss, rs[0].Name); n > 3*fair+6 {
-			t.Errorf("%v: without one relay %d looks move that were others', of %d; its own are %d", size, n, Probers*size[1], fair)
+			t.Errorf("%v: without one relay %d looks move that were others', of %d; its own are %d", size, n, ProbersPerServer*size[1], fair)
 		}
-		if n := moved(Assign(rs, ss[:len(ss)-1]), ss[:len(ss)-1], ""); n > 3*Probers+6 {
-			t.Errorf("%v: without one server %d looks move, of %d", size, n, Probers*size[1])
+		if n := moved(Assign(rs, ss[:len(ss)-1]), ss[:len(ss)-1], ""); n > 3*ProbersPerServer+6 {
+			t.Errorf("%v: without one server %d looks move, of %d", size, n, ProbersPerServer*size[1])
 		}
 	}
 }
--- a/internal/fleet/probing/corroborate.go
+++ b/internal/fleet/probing/corroborate.go
@@ -10,84 +10,84 @@
 const (
 	TooOld           = "too old"
 	Impossible       = "impossible"
-	Unknown          = "unknown server or relay"
+	UnknownOrigin    = "unknown server or relay"
 	OtherIncarnation = "another process of the server"
 	Quarantined      = "of a doubted relay"
 	Uncorroborated   = "not borne out"
 	NoLoad           = "without a load"
 )
 
-// onReading weighs a reading that a peer has passed on. It returns why it is left out.
-func (sc *Scheduler) onReading(r Reading) string {
-	s, o := sc.servers[r.ServerKey], sc.relays[r.By]
+// acceptReading weighs a reading that a peer has passed on. It returns why it is left out.
+func (sc *Scheduler) acceptReading(r Reading) string {
+	s, o := sc.servers[r.ServerKey], sc.relays[r.Origin]
 	switch {
-	case r.By == sc.me:
+	case r.Origin == sc.self:
 		return ""
 	case s == nil || o == nil:
-		return Unknown
-	case !possible(r):
+		return UnknownOrigin
+	case !plausible(r):
 		return Impossible
-	case effectiveLoad(r) < 0:
+	case placementLoad(r) < 0:
 		return NoLoad
 	case r.Started != s.Started:
 		return OtherIncarnation
 	case r.Incarnation < o.incarnation:
 		return TooOld
 	}
-	age := sc.age(o, r)
-	h := &keptReading{Reading: r, taken: sc.now - age}
+	age := sc.readingAge(o, r)
+	h := &keptReading{Reading: r, readAt: sc.now - age}
 	switch {
-	case age > UsableFor:
+	case age > MaxReadingAge:
 		return TooOld
-	case !s.note(h): // it has come before
+	case !s.keepNewest(h): // it has come before
 		return ""
 	}
-	sc.taken++
+	sc.receivedReadings++
 	b := sc.corroborate(s, h)
 	sc.checkOrigins(s)
-	if !sc.trustAll && sc.quarantined(r.By) {
-		s.newest = slices.DeleteFunc(s.newest, func(x *keptReading) bool { return x == h })
+	if !sc.skipCorroboration && sc.isQuarantined(r.Origin) {
+		s.newestByOrigin = slices.DeleteFunc(s.newestByOrigin, func(x *keptReading) bool { return x == h })
 		return Quarantined
 	}
 	if b == nil {
 		return Uncorroborated
 	}
-	if b.taken > s.usedAt {
-		s.usedAt, s.usedFrom = b.taken, b.By
+	if b.readAt > s.usedReadAt {
+		s.usedReadAt, s.usedOrigin = b.readAt, b.Origin
 		believed := b.Reading
-		believed.Age = sc.now - b.taken
+		believed.Age = sc.now - b.readAt
 		sc.emit(UseReading{believed})
 	}
 	return ""
 }
 
-// age is how old a reading is: what it says, or more where it came later than others of its origin have. The quickest message
+// readingAge is how old a reading is: what it says, or more where it came later than others of its origin have. The quickest message
 // counts for less the longer ago it was, as far as two clocks can part: with a window of 8 s instead, a slow clock's
 // readings were taken for up to 1.6 s older than they were, and the more the longer its origin had said nothing.
-func (sc *Scheduler) age(o *origin, r Reading) float64 {
+func (sc *Scheduler) readingAge(o *origin, r Reading) float64 {
 	if o.incarnation != r.Incarnation {
 		o.incarnation, o.clockOffset = r.Incarnation, math.Inf(1)
 	}
-	offset, quickest := sc.now-r.At, o.clockOffset+MaxClockDrift*(sc.now-o.offsetAt)
+	offset, quickest := sc.now-r.ReadAt, o.clockOffset+MaxClockDrift*(sc.now-o.clockOffsetAt)
 	if offset-r.Age <= quickest {
-		o.clockOffset, o.offsetAt = offset-r.Age, sc.now
+		o.clockOffset, o.clockOffsetAt = offset-r.Age, sc.now
 		return r.Age
 	}
 	return offset - quickest
 }
 
-// note keeps a reading if it is the newest of its origin, and tells whether it was.
-func (s *server) note(h *keptReading) bool {
-	i := slices.IndexFunc(s.newest, func(o *keptReading) bool { return o.By == h.By })
+// keepNewest keeps a reading if it is the newest of its origin, and tells whether it was.
+func (s *server) keepNewest(h *keptReading) bool {
+	i := slices.IndexFunc(s.newestByOrigin, func(o *keptReading) bool { return o.Origin == h.Origin })
 	if i >= 0 {
-		if o := s.newest[i]; o.Incarnation > h.Incarnation || o.Incarnation == h.Incarnation && o.At >= h.At {
+		if o := s.newestByOrigin[i]; o.Incarnation > h.Incarnation || o.Incarnation == h.Incarnation && o.ReadAt >= h.ReadAt {
 			return false
 		}
-		s.newest = slices.Delete(s.newest, i, i+1)
+		s.newestByOrigin = slices.Delete(s.newestByOrigin, i, i+1)
 	}
-	s.newest = append(s.newest, h)
-	slices.SortStableFunc(s.newest, func(a, b *keptReading) int { return cmp.Compare(b.taken, a.taken) })
-	s.newest = s.newest[:min(len(s.newest), 2*Probers)]
+	s.newestByOrigin = append(s.newestByOrigin, h)
+	slices.SortStableFunc(s.newestByOrigin, func(a, b *keptReading) int { return cmp.Compare(b.readAt, a.readAt) })
+	s.newestByOrigin = s.newestByOrigin[:min(len(s.newestByOrigin), 2*ProbersPerServer)]
 	return true
 }
 
@@ -95,17 +95,17 @@
 // of the newest three, else none. One relay alone is believed by nobody, so one that tells nonsense can neither empty nor
 // flood a server.
 func (sc *Scheduler) corroborate(s *server, h *keptReading) *keptReading {
-	if sc.trustAll {
+	if sc.skipCorroboration {
 		return h
 	}
 	var others []*keptReading
-	for _, o := range s.newest {
-		if o.By != h.By && sc.now-o.taken <= UsableFor+TurnInterval && !sc.quarantined(o.By) {
+	for _, o := range s.newestByOrigin {
+		if o.Origin != h.Origin && sc.now-o.readAt <= MaxReadingAge+TurnInterval && !sc.isQuarantined(o.Origin) {
 			others = append(others, o)
 		}
 	}
 	for _, o := range others {
-		if near(h.Reading, o.Reading) {
+		if agree(h.Reading, o.Reading) {
 			return h
 		}
 	}
@@ -113,11 +113,11 @@
 		return nil
 	}
 	three := []*keptReading{h, others[0], others[1]}
-	slices.SortFunc(three, func(a, b *keptReading) int { return cmp.Compare(effectiveLoad(a.Reading), effectiveLoad(b.Reading)) })
+	slices.SortFunc(three, func(a, b *keptReading) int { return cmp.Compare(placementLoad(a.Reading), placementLoad(b.Reading)) })
 	return three[1]
 }
 
-func (sc *Scheduler) quarantined(name string) bool {
+func (sc *Scheduler) isQuarantined(name string) bool {
 	o := sc.relays[name]
 	return o != nil && sc.now < o.quarantinedUntil
 }
@@ -126,19 +126,19 @@
 // between: where those two agree with each other and not with it, its origin has told nonsense. A reading that only older
 // ones contradict may be the first to see a load change: when all relays had restarted honest ones were quarantined for that.
 func (sc *Scheduler) checkOrigins(s *server) {
-	for i := 1; i < len(s.newest)-1; i++ { // the youngest come first
-		after, h, before := s.newest[i-1], s.newest[i], s.newest[i+1]
-		o := sc.relays[h.By]
-		if h.checked || o == nil || sc.quarantined(after.By) || sc.quarantined(before.By) || after.taken-before.taken > UsableFor+TurnInterval {
+	for i := 1; i < len(s.newestByOrigin)-1; i++ { // the youngest come first
+		after, h, before := s.newestByOrigin[i-1], s.newestByOrigin[i], s.newestByOrigin[i+1]
+		o := sc.relays[h.Origin]
+		if h.checked || o == nil || sc.isQuarantined(after.Origin) || sc.isQuarantined(before.Origin) || after.readAt-before.readAt > MaxReadingAge+TurnInterval {
 			continue
 		}
 		switch h.checked = true; {
-		case near(h.Reading, after.Reading) || near(h.Reading, before.Reading):
+		case agree(h.Reading, after.Reading) || agree(h.Reading, before.Reading):
 			o.strikes = max(o.strikes-0.5, 0)
-		case near(after.Reading, before.Reading):
+		case agree(after.Reading, before.Reading):
 			if o.strikes++; o.strikes >= maxStrikes && sc.now >= o.quarantinedUntil {
 				o.quarantinedUntil, o.strikes = sc.now+quarantineFor, 0
-				sc.emit(Quarantine{Name: h.By})
+				sc.emit(Quarantine{Name: h.Origin})
 			}
 		}
 	}
--- a/internal/fleet/probing/event.go
+++ b/internal/fleet/probing/event.go
@@ -4,17 +4,17 @@
 type Event interface{ event() }
 
 type (
-	// Fleet is who takes part, in a view; Table is Assign's of it and of the Servers told last.
-	Fleet struct {
+	// ParticipantsChanged is who takes part, in a view; Table is Assign's of it and of the Servers told last.
+	ParticipantsChanged struct {
 		Relays      []Relay
 		Incarnation uint64 // this relay's incarnation
 		Servers     []Server
-		Table       *Table
+		Assignment  *Assignment
 	}
-	// Read is what this relay read itself, whoever wanted it.
-	Read struct {
+	// OwnReading is what this relay read itself, whoever wanted it.
+	OwnReading struct {
 		ServerKey uint64
-		Load
+		LoadReport
 	}
 	// ReadingsReceived is what a peer has passed on.
 	ReadingsReceived struct {
@@ -25,10 +25,10 @@
 	Tick struct{}
 )
 
-func (Fleet) event()            {}
-func (Read) event()             {}
-func (ReadingsReceived) event() {}
-func (Tick) event()             {}
+func (ParticipantsChanged) event() {}
+func (OwnReading) event()          {}
+func (ReadingsReceived) event()    {}
+func (Tick) event()                {}
 
 // Action is something a Scheduler wants done.
 type Action interface{ action() }
--- a/internal/fleet/probing/placements.go
+++ b/internal/fleet/probing/placements.go
@@ -12,24 +12,24 @@
 	MaxPlacementRate = 200.0
 	// MaxPlacementsPerRound is how many rows a round carries.
 	MaxPlacementsPerRound = 48
-	maxDelta              = 1000
+	maxPlacementDelta     = 1000
 )
 
 // PlacementDelta is what one relay has sent to one server in one round, less what has ended there.
 type PlacementDelta struct {
 	ServerKey   uint64
-	By          string
+	Origin      string
 	Incarnation uint64
 	Seq         uint64 // of the origin's rows: rises by one
-	N           int
+	Delta       int
 	Age         float64
 }
 
 type (
-	// Sent says that this relay has sent so many connections to a server; negative, that so many have ended there.
-	Sent struct {
+	// LocalPlacement says that this relay has sent so many connections to a server; negative, that so many have ended there.
+	LocalPlacement struct {
 		ServerKey uint64
-		N         int
+		Delta     int
 	}
 	// PlacementsReceived is what a peer has passed on.
 	PlacementsReceived struct {
@@ -45,74 +45,74 @@
 	}
 )
 
-func (Sent) event()               {}
+func (LocalPlacement) event()     {}
 func (PlacementsReceived) event() {}
 func (PeerPlacement) action()     {}
 func (SendPlacements) action()    {}
 
-// row is one that is to be passed on.
-type row struct {
+// gossipedPlacement is one that is to be passed on.
+type gossipedPlacement struct {
 	PlacementDelta
-	taken float64
-	sent  int
+	placedAt float64
+	rounds   int
 }
 
-// onSent gathers this relay's own until its next round.
-func (sc *Scheduler) onSent(e Sent) {
-	if sc.On() && sc.servers[e.ServerKey] != nil {
-		sc.placed[e.ServerKey] += e.N
+// notePlacement gathers this relay's own until its next round.
+func (sc *Scheduler) notePlacement(e LocalPlacement) {
+	if sc.HasPeers() && sc.servers[e.ServerKey] != nil {
+		sc.pendingPlacements[e.ServerKey] += e.Delta
 	}
 }
 
-// onPlacement takes in a row that a peer has passed on. It returns why it is left out.
-func (sc *Scheduler) onPlacement(p PlacementDelta) string {
-	o := sc.relays[p.By]
+// acceptPlacement takes in a row that a peer has passed on. It returns why it is left out.
+func (sc *Scheduler) acceptPlacement(p PlacementDelta) string {
+	o := sc.relays[p.Origin]
 	switch {
-	case p.By == sc.me:
+	case p.Origin == sc.self:
 		return ""
 	case o == nil || sc.servers[p.ServerKey] == nil:
-		return Unknown
-	case p.N == 0 || p.N > maxDelta || p.N < -maxDelta || p.Age < 0 || math.IsNaN(p.Age):
+		return UnknownOrigin
+	case p.Delta == 0 || p.Delta > maxPlacementDelta || p.Delta < -maxPlacementDelta || p.Age < 0 || math.IsNaN(p.Age):
 		return Impossible
-	case p.Age > UsableFor:
+	case p.Age > MaxReadingAge:
 		return TooOld
 	case sc.now < o.quarantinedUntil:
 		return Quarantined
-	case !o.seen.Take(p.Incarnation, p.Seq):
+	case !o.placementDedup.Accept(p.Incarnation, p.Seq):
 		return ""
 	}
-	sc.rows = append(sc.rows, row{p, sc.now - p.Age, 0})
+	sc.gossipedPlacements = append(sc.gossipedPlacements, gossipedPlacement{p, sc.now - p.Age, 0})
 	sc.emit(PeerPlacement{p})
 	return ""
 }
 
 // placementBatch returns what a round passes on: this relay's own first, then what has been passed on least.
 func (sc *Scheduler) placementBatch() []PlacementDelta {
-	for _, s := range sc.list {
-		if n := min(max(sc.placed[s.Key], -maxDelta), maxDelta); n != 0 {
-			sc.seq++
-			own := PlacementDelta{ServerKey: s.Key, By: sc.me, Incarnation: sc.incarnation, Seq: sc.seq, N: n}
-			sc.rows = append(sc.rows, row{own, sc.now, 0})
+	for _, s := range sc.serverList {
+		if n := min(max(sc.pendingPlacements[s.Key], -maxPlacementDelta), maxPlacementDelta); n != 0 {
+			sc.placementSeq++
+			own := PlacementDelta{ServerKey: s.Key, Origin: sc.self, Incarnation: sc.incarnation, Seq: sc.placementSeq, Delta: n}
+			sc.gossipedPlacements = append(sc.gossipedPlacements, gossipedPlacement{own, sc.now, 0})
 		}
 	}
-	clear(sc.placed)
-	keep, batch := sc.rows[:0], []PlacementDelta(nil)
-	for i := len(sc.rows) - 1; i >= 0; i-- { // the newest first
-		r := &sc.rows[i]
-		if sc.now-r.taken > UsableFor/2 || r.sent >= maxPasses || len(batch) >= MaxPlacementsPerRound {
-			r.sent = maxPasses
+	clear(sc.pendingPlacements)
+	keep, batch := sc.gossipedPlacements[:0], []PlacementDelta(nil)
+	for i := len(sc.gossipedPlacements) - 1; i >= 0; i-- { // the newest first
+		r := &sc.gossipedPlacements[i]
+		if sc.now-r.placedAt > MaxReadingAge/2 || r.rounds >= maxGossipRounds || len(batch) >= MaxPlacementsPerRound {
+			r.rounds = maxGossipRounds
 			continue
 		}
-		r.sent++
+		r.rounds++
 		p := r.PlacementDelta
-		p.Age = sc.now - r.taken
+		p.Age = sc.now - r.placedAt
 		batch = append(batch, p)
 	}
-	for _, r := range sc.rows {
-		if r.sent < maxPasses {
+	for _, r := range sc.gossipedPlacements {
+		if r.rounds < maxGossipRounds {
 			keep = append(keep, r)
 		}
 	}
-	sc.rows = keep
+	sc.gossipedPlacements = keep
 	return batch
 }
--- a/internal/fleet/probing/placements_test.go
+++ b/internal/fleet/probing/placements_test.go
@@ -9,15 +9,15 @@
 // A Window takes each number once, in any order, up to 64 behind.
 func TestWindow(t *testing.T) {
 	for seed := range uint64(50) {
-		rng, w, seen := rand.New(rand.NewPCG(seed, 1)), Window{}, map[uint64]bool{}
+		rng, w, seen := rand.New(rand.NewPCG(seed, 1)), DedupWindow{}, map[uint64]bool{}
 		for high := uint64(100); high < 400; high++ {
 			n := high - rng.Uint64N(63)
-			if got := w.Take(1, n); got == seen[n] {
+			if got := w.Accept(1, n); got == seen[n] {
 				t.Fatalf("seed %d: %d taken: %v, seen before: %v", seed, n, got, seen[n])
 			}
 			seen[n] = true
 		}
-		if w.Take(1, 1) || !w.Take(2, 1) || w.Take(1, 1000) {
+		if w.Accept(1, 1) || !w.Accept(2, 1) || w.Accept(1, 1000) {
 			t.Error("a number far behind, or of an earlier life, was taken, or one of a new life was not")
 		}
 	}
@@ -37,14 +37,14 @@
 	at, told := map[string]int{}, 0
 	for i, r := range rs {
 		keepers[i], got[i], at[r.Name] = New(r.Name, uint64(i)), make([]int, len(ss)), i
-		keepers[i].Handle(0, Fleet{Relays: rs, Incarnation: 1, Servers: ss, Table: table}, nil)
+		keepers[i].Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: table}, nil)
 	}
 	var act func(i int, now float64, acts []Action)
 	act = func(i int, now float64, acts []Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
 			case PeerPlacement:
-				got[i][index[a.ServerKey]] += a.N
+				got[i][index[a.ServerKey]] += a.Delta
 				if a.Age > 1000 {
 					t.Errorf("word of a placement is %.0f ms old", a.Age)
 				}
@@ -65,7 +65,7 @@
 				sent[s] += n
 				got[i][s] += n
 				told++
-				k.Handle(now, Sent{ServerKey: ss[s].Key, N: n}, nil)
+				k.Handle(now, LocalPlacement{ServerKey: ss[s].Key, Delta: n}, nil)
 			}
 			act(i, now, k.Handle(now, Tick{}, nil))
 		}
@@ -79,22 +79,22 @@
 	if missed*200 > all {
 		t.Errorf("%d of %d were not heard of", missed, all)
 	}
-	good := PlacementDelta{ServerKey: ss[0].Key, By: "r1", Incarnation: 1, Seq: 9000, N: 1}
+	good := PlacementDelta{ServerKey: ss[0].Key, Origin: "r1", Incarnation: 1, Seq: 9000, Delta: 1}
 	for _, c := range []struct {
 		why    string
 		change func(p *PlacementDelta)
 	}{
-		{Unknown, func(p *PlacementDelta) { p.By = "stranger" }},
-		{Unknown, func(p *PlacementDelta) { p.ServerKey++ }},
-		{Impossible, func(p *PlacementDelta) { p.N = 0 }},
-		{Impossible, func(p *PlacementDelta) { p.N = 1 << 40 }},
+		{UnknownOrigin, func(p *PlacementDelta) { p.Origin = "stranger" }},
+		{UnknownOrigin, func(p *PlacementDelta) { p.ServerKey++ }},
+		{Impossible, func(p *PlacementDelta) { p.Delta = 0 }},
+		{Impossible, func(p *PlacementDelta) { p.Delta = 1 << 40 }},
 		{Impossible, func(p *PlacementDelta) { p.Age = math.NaN() }},
-		{TooOld, func(p *PlacementDelta) { p.Age = UsableFor + 1 }},
+		{TooOld, func(p *PlacementDelta) { p.Age = MaxReadingAge + 1 }},
 	} {
 		p, k := good, keepers[0]
 		c.change(&p)
-		if before := k.dropped[c.why]; len(k.Handle(9000, PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 || k.dropped[c.why] != before+1 {
-			t.Errorf("%s: %v", c.why, k.dropped)
+		if before := k.dropCounts[c.why]; len(k.Handle(9000, PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 || k.dropCounts[c.why] != before+1 {
+			t.Errorf("%s: %v", c.why, k.dropCounts)
 		}
 	}
 }
--- a/internal/fleet/probing/reading.go
+++ b/internal/fleet/probing/reading.go
@@ -9,21 +9,21 @@
 	// the most that a server is probed by turns, whatever becomes of the gossip between relays.
 	ProbeInterval = 1500.0
 	// TurnInterval is how old a server's newest reading is when the next prober's turn comes.
-	TurnInterval = ProbeInterval / Probers
-	// UsableFor is how old a reading may be: a report is renewed within 1.4 s and read within 0.5 s of its turn, and word of it
+	TurnInterval = ProbeInterval / ProbersPerServer
+	// MaxReadingAge is how old a reading may be: a report is renewed within 1.4 s and read within 0.5 s of its turn, and word of it
 	// takes up to five rounds of GossipInterval.
-	UsableFor = 2000.0
+	MaxReadingAge = 2000.0
 	// GossipInterval is the time between two rounds of gossip: of 300 relays each hears what three pass on within five rounds.
 	GossipInterval = 150.0
 	// GossipFanout is how many peers a round goes to.
 	GossipFanout = 3
 	// MaxReadingsPerRound is how many readings a round carries: so that they fit one packet.
 	MaxReadingsPerRound = 36
-	// maxPasses is how many rounds carry one reading: enough for it to come round, few enough that the newest go first.
-	maxPasses = 3
-	// NearAbsolute and NearRelative say how far two readings of one server may lie apart and still corroborate each other:
+	// maxGossipRounds is how many rounds carry one reading: enough for it to come round, few enough that the newest go first.
+	maxGossipRounds = 3
+	// NearAbsolute and AgreeRelative say how far two readings of one server may lie apart and still corroborate each other:
 	// reports are noisy by up to 7%, and a server takes several connections between two probes.
-	NearAbsolute, NearRelative = 0.2, 0.2
+	AgreeAbsolute, AgreeRelative = 0.2, 0.2
 	// maxStrikes is how many readings that two others contradict put a relay in quarantine, for quarantineFor; two that are corroborated
 	// take one strike back, as one that always tells the same is right now and then.
 	maxStrikes    = 4.0
@@ -32,8 +32,8 @@
 	MaxClockDrift = 1.05/0.95 - 1
 )
 
-// Load is what a server's report says. A field that did not come is negative.
-type Load struct {
+// LoadReport is what a server's report says. A field that did not come is negative.
+type LoadReport struct {
 	Load, Inflight, Errors, Busy float64
 }
 
@@ -41,36 +41,36 @@
 type Reading struct {
 	ServerKey   uint64 // the server
 	Started     int64  // of the server's process, as the origin's list has it
-	By          string // the origin, who read it
+	Origin      string // the origin, who read it
 	Incarnation uint64 // the origin's incarnation
-	At          float64
+	ReadAt      float64
 	// Age is in ms, as whoever passes the reading on reckons it.
 	Age float64
-	Load
+	LoadReport
 }
 
 // keptReading is a reading as it is kept: taken is when it was read, by this relay's clock.
 type keptReading struct {
 	Reading
-	taken   float64
-	sent    int  // rounds that have carried it
+	readAt  float64
+	rounds  int  // rounds that have carried it
 	checked bool // it has been corroborated or contradicted
 }
 
-// effectiveLoad is what placements go by.
-func effectiveLoad(r Reading) float64 { return max(r.Load.Load, r.Busy) }
+// placementLoad is what placements go by.
+func placementLoad(r Reading) float64 { return max(r.LoadReport.Load, r.Busy) }
 
-func near(a, b Reading) bool {
-	x, y := effectiveLoad(a), effectiveLoad(b)
-	return math.Abs(x-y) <= NearAbsolute+NearRelative*max(x, y, 0)
+func agree(a, b Reading) bool {
+	x, y := placementLoad(a), placementLoad(b)
+	return math.Abs(x-y) <= AgreeAbsolute+AgreeRelative*max(x, y, 0)
 }
 
-// possible tells whether a server could have reported this.
-func possible(r Reading) bool {
-	for _, x := range []float64{r.Load.Load, r.Inflight, r.Errors, r.Busy} {
+// plausible tells whether a server could have reported this.
+func plausible(r Reading) bool {
+	for _, x := range []float64{r.LoadReport.Load, r.Inflight, r.Errors, r.Busy} {
 		if math.IsNaN(x) || x < -1 || x > 1e6 {
 			return false
 		}
 	}
-	return r.Age >= 0 && !math.IsNaN(r.At) && r.Load.Load < 1000
+	return r.Age >= 0 && !math.IsNaN(r.ReadAt) && r.LoadReport.Load < 1000
 }
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -63,7 +63,7 @@
 	}
 	table := Assign(up, c.ss)
 	for i, k := range c.keepers {
-		k.Handle(c.own(i), Fleet{Relays: up, Incarnation: 1, Servers: c.ss, Table: table}, nil)
+		k.Handle(c.own(i), ParticipantsChanged{Relays: up, Incarnation: 1, Servers: c.ss, Assignment: table}, nil)
 	}
 }
 
@@ -96,7 +96,7 @@
 			c.act(i, k.Handle(c.own(i), Tick{}, nil))
 			for j := range c.ss {
 				c.seen++
-				if c.now-c.believe[i][j] > UsableFor {
+				if c.now-c.believe[i][j] > MaxReadingAge {
 					c.gaps++
 				}
 			}
@@ -113,7 +113,7 @@
 			if !lies {
 				load = c.loads[a.ServerKey] * (1 + 0.05*c.rng.NormFloat64())
 			}
-			c.keepers[i].Handle(c.own(i), Read{ServerKey: a.ServerKey, Load: Load{Load: load, Inflight: -1, Errors: -1, Busy: -1}}, nil)
+			c.keepers[i].Handle(c.own(i), OwnReading{ServerKey: a.ServerKey, LoadReport: LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1}}, nil)
 			c.believed(i, a.ServerKey, c.now, load)
 		case SendReadings:
 			for to, r := range c.rs {
@@ -123,7 +123,7 @@
 			}
 		case UseReading:
 			c.worst = max(c.worst, a.Age)
-			c.believed(i, a.ServerKey, c.now-a.Age/c.rate[i], effectiveLoad(a.Reading))
+			c.believed(i, a.ServerKey, c.now-a.Age/c.rate[i], placementLoad(a.Reading))
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		return
 	}
 	off := math.Inf(1)
-	for _, x := range c.past[spot][max(0, len(c.past[spot])-int(2*UsableFor/step)):] {
+	for _, x := range c.past[spot][max(0, len(c.past[spot])-int(2*MaxReadingAge/step)):] {
 		off = min(off, math.Abs(load-x))
 	}
 	c.wrong = max(c.wrong, off)
@@ -179,7 +179,7 @@
 			if relays > 2 && missing > 0.01 {
 				t.Errorf("%d relays, %.0f%% lost: without a reading %.3f of the time", relays, 100*loss, missing)
 			}
-			if c.worst > UsableFor {
+			if c.worst > MaxReadingAge {
 				t.Errorf("believed at an age of %.0f ms", c.worst)
 			}
 		}
@@ -196,11 +196,11 @@
 				c.loads[s.Key] = 1 + 0.2*c.rng.Float64()
 			}
 			for _, k := range c.keepers {
-				k.trustAll = trust
+				k.skipCorroboration = trust
 			}
 			c.lies[4] = lie
 			c.run(12_000)
-			if fooled := c.wrong > 2*(NearAbsolute+NearRelative); fooled != trust {
+			if fooled := c.wrong > 2*(AgreeAbsolute+AgreeRelative); fooled != trust {
 				t.Errorf("lie %v, all believed %v: believed what was %.2f off", lie, trust, c.wrong)
 			}
 			doubted := 0
@@ -222,7 +222,7 @@
 func TestReadingsLeftOut(t *testing.T) {
 	rs, ss := fleet(4, 1, 1)
 	ss[0].Started = 50
-	good := Reading{ServerKey: ss[0].Key, Started: 50, By: "r1", Incarnation: 1, At: 100, Age: 10, Load: Load{0.5, -1, -1, -1}}
+	good := Reading{ServerKey: ss[0].Key, Started: 50, Origin: "r1", Incarnation: 1, ReadAt: 100, Age: 10, LoadReport: LoadReport{0.5, -1, -1, -1}}
 	for _, c := range []struct {
 		why    string
 		change func(r *Reading)
@@ -230,37 +230,37 @@
 		{Uncorroborated, func(*Reading) {}},
 		{OtherIncarnation, func(r *Reading) { r.Started = 49 }},
 		{OtherIncarnation, func(r *Reading) { r.Started = 51 }},
-		{Impossible, func(r *Reading) { r.Load.Load = math.NaN() }},
-		{Impossible, func(r *Reading) { r.Load.Load = -7 }},
-		{NoLoad, func(r *Reading) { r.Load.Load = -1 }},
+		{Impossible, func(r *Reading) { r.LoadReport.Load = math.NaN() }},
+		{Impossible, func(r *Reading) { r.LoadReport.Load = -7 }},
+		{NoLoad, func(r *Reading) { r.LoadReport.Load = -1 }},
 		{Impossible, func(r *Reading) { r.Age = -1 }},
-		{TooOld, func(r *Reading) { r.Age = UsableFor + 1 }},
-		{Unknown, func(r *Reading) { r.By = "stranger" }},
-		{Unknown, func(r *Reading) { r.ServerKey++ }},
+		{TooOld, func(r *Reading) { r.Age = MaxReadingAge + 1 }},
+		{UnknownOrigin, func(r *Reading) { r.Origin = "stranger" }},
+		{UnknownOrigin, func(r *Reading) { r.ServerKey++ }},
 	} {
 		k := New("r0", 1)
-		k.Handle(0, Fleet{Relays: rs, Incarnation: 1, Servers: ss, Table: Assign(rs, ss)}, nil)
+		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
 		r := good
 		c.change(&r)
-		if acts := k.Handle(1000, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 || k.dropped[c.why] != 1 {
-			t.Errorf("%s: %v, %v", c.why, acts, k.dropped)
+		if acts := k.Handle(1000, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 || k.dropCounts[c.why] != 1 {
+			t.Errorf("%s: %v, %v", c.why, acts, k.dropCounts)
 		}
 	}
 	k := New("r0", 1)
-	k.Handle(0, Fleet{Relays: rs, Incarnation: 1, Servers: ss, Table: Assign(rs, ss)}, nil)
+	k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
 	hear := func(now float64, r Reading) string {
 		acts := k.Handle(now, ReadingsReceived{"r2", []Reading{r}}, nil)
-		return fmt.Sprintf("%d %v", len(acts), k.dropped)
+		return fmt.Sprintf("%d %v", len(acts), k.dropCounts)
 	}
 	second := good
-	second.By, second.Load.Load = "r2", 0.55
+	second.Origin, second.LoadReport.Load = "r2", 0.55
 	hear(1000, good)
 	if got := hear(1000, second); got != "1 map[not borne out:1]" {
 		t.Errorf("one that is borne out: %s", got)
 	}
 	// A packet that was under way for 5 s says that its reading is 10 ms old; what came before tells that it is not.
 	late := good
-	late.At, late.Age = 200, 10
+	late.ReadAt, late.Age = 200, 10
 	if got := hear(6100, late); got != "0 map[not borne out:1 too old:1]" {
 		t.Errorf("one that was under way for 5 s: %s", got)
 	}
@@ -291,8 +291,8 @@
 						t.Errorf("r%d believes %.2f of a server that stands at %.2f", i, row.Load, c.loads[row.ServerKey])
 					}
 				}
-				if left := r.Dropped[TooOld]; left > r.Taken/50 {
-					t.Errorf("clocks %v apart: r%d left %d readings out as too old, took %d", 2*drift, i, left, r.Taken)
+				if left := r.Dropped[TooOld]; left > r.Received/50 {
+					t.Errorf("clocks %v apart: r%d left %d readings out as too old, took %d", 2*drift, i, left, r.Received)
 				}
 			}
 		}
--- a/internal/fleet/probing/seam_faults.go
+++ b/internal/fleet/probing/seam_faults.go
@@ -3,4 +3,4 @@
 package probing
 
 // DisableCorroboration makes the Scheduler believe all that it is told, as tests do to see that they would find out.
-func (sc *Scheduler) DisableCorroboration(out bool) { sc.trustAll = out }
+func (sc *Scheduler) DisableCorroboration(out bool) { sc.skipCorroboration = out }
--- a/internal/fleet/probing/window.go
+++ b/internal/fleet/probing/window.go
@@ -1,17 +1,17 @@
 package probing
 
-// Window remembers which numbers of a sender have come: all up to 64 below the highest. The zero Window is ready.
-type Window struct {
+// DedupWindow remembers which numbers of a sender have come: all up to 64 below the highest. The zero DedupWindow is ready.
+type DedupWindow struct {
 	incarnation, high, seen uint64
 }
 
-// Take tells whether a number of a sender's incarnation is new, and notes it.
-func (w *Window) Take(life, seq uint64) bool {
+// Accept tells whether a number of a sender's incarnation is new, and notes it.
+func (w *DedupWindow) Accept(life, seq uint64) bool {
 	switch {
 	case life < w.incarnation:
 		return false
 	case life > w.incarnation:
-		*w = Window{incarnation: life}
+		*w = DedupWindow{incarnation: life}
 	}
 	switch {
 	case seq > w.high:
--- a/internal/lifecycle/cells.go
+++ b/internal/lifecycle/cells.go
@@ -104,7 +104,7 @@
 	g.Seeds = cell.Contacts
 	g.Founders = max(cell.Relays, 1)
 	g.State += "." + m.Cell
-	g.Pace = membership.CellPace
+	g.Pace = membership.CellTiming
 }
 
 // zoneNames are the names of the settings' zones.
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.Cell != "eu-a-1" || g.InitialPlace != 3 || g.Founders != 60 || g.State != "/var/lib/capersail/members.eu-a-1" || g.Pace != membership.CellPace ||
+	if g.Cell != "eu-a-1" || g.InitialPlace != 3 || g.Founders != 60 || g.State != "/var/lib/capersail/members.eu-a-1" || g.Pace != membership.CellTiming ||
 		!slices.Equal(g.Seeds, m.Plan.Cells[0].Contacts) || len(g.Zones) != 2 {
 		t.Errorf("%+v", g)
 	}
--- a/internal/lifecycle/looks.go
+++ b/internal/lifecycle/looks.go
@@ -52,7 +52,7 @@
 	}
 	gauge(f.relays, float64(r.Relays))
 	count(f.probes, r.Probes)
-	count(f.taken, r.Taken)
+	count(f.taken, r.Received)
 	for why, n := range r.Dropped {
 		count(f.dropped, n, why)
 	}
--- a/internal/lifecycle/members.go
+++ b/internal/lifecycle/members.go
@@ -174,7 +174,7 @@
 			if m.ShareProbes {
 				shared = relay.NewSharedProbing(s.requests, conf.Name, conf.Seed, node, func(name string) {
 					log.Warn().Str("member", name).Msg("its readings of servers are left out for 30 s: two others contradict them")
-					s.notifyChange(membership.Changed{What: membership.ChangePeer, Name: name, State: "doubted", Cause: "two others contradict its readings"})
+					s.notifyChange(membership.Changed{Kind: membership.ChangePeer, Name: name, State: "doubted", Cause: "two others contradict its readings"})
 				})
 				s.probeSharing = shared
 			}
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -124,7 +124,7 @@
 	}
 	if c.FleetView != nil {
 		f := c.FleetView.LockStatus(now)
-		f.SharesReadings = c.SharedProbing != nil && c.SharedProbing.scheduler.On()
+		f.SharesReadings = c.SharedProbing != nil && c.SharedProbing.scheduler.HasPeers()
 		f.SharesPlacements = f.SharesPlacements && f.SharesReadings
 		c.handle(now, f)
 		defer c.FleetView.UnlockStatus()
@@ -183,7 +183,7 @@
 			c.candidates = c.balancer.ProbePool(c.candidates[:0])
 		}
 		if c.SharedProbing != nil {
-			c.stepScheduler(c.table.Clock.NowMillis(), probing.Sent{ServerKey: c.serverKey(a.Server), N: 1})
+			c.stepScheduler(c.table.Clock.NowMillis(), probing.LocalPlacement{ServerKey: c.serverKey(a.Server), Delta: 1})
 		}
 		c.table.startAttempt(a.ID, a.Server, Millis(a.Timeout), c.candidates)
 	case decide.Reject:
--- a/internal/relay/reckon.go
+++ b/internal/relay/reckon.go
@@ -14,10 +14,10 @@
 // Zone gives the module's number of a zone's name, false for one that no server or relay here has; it may be nil where the fleet has no
 // cells, and all is far then. A near zone without a number has no server to budget for.
 func ToFleetStatus(now, own float64, r membership.FleetEstimate, zone func(name string) (decide.Zone, bool)) decide.FleetStatus {
-	f := decide.FleetStatus{Relays: r.Relays, BudgetShare: r.Share, PeerRequestRate: r.Others, PeerConnections: r.Held, PeerMigrationRate: r.Sent}
-	f.SharesPlacements = r.Others >= 0 && r.Others+r.Own <= probing.MaxPlacementRate
+	f := decide.FleetStatus{Relays: r.Relays, BudgetShare: r.BudgetShare, PeerRequestRate: r.OtherRequestRate, PeerConnections: r.OtherConnections, PeerMigrationRate: r.DrainRate}
+	f.SharesPlacements = r.OtherRequestRate >= 0 && r.OtherRequestRate+r.OwnRequestRate <= probing.MaxPlacementRate
 	if r.Plan > 0 {
-		f.FarBudgetShare, f.NearZones = r.FarShare, []decide.Zone{}
+		f.FarBudgetShare, f.NearZones = r.FarBudgetShare, []decide.Zone{}
 		for _, name := range r.NearZones {
 			if zone == nil {
 				break
@@ -27,8 +27,8 @@
 			}
 		}
 	}
-	if !math.IsInf(r.Until, 1) {
-		f.BudgetUntil = Duration(now + r.Until - own)
+	if !math.IsInf(r.ShareValidUntil, 1) {
+		f.BudgetUntil = Duration(now + r.ShareValidUntil - own)
 	}
 	return f
 }
--- a/internal/relay/shared.go
+++ b/internal/relay/shared.go
@@ -56,7 +56,7 @@
 	}
 	participantsEvent struct {
 		decide.PeerMessage
-		probing.Fleet
+		probing.ParticipantsChanged
 		serverIDs map[uint64]string
 	}
 )
@@ -101,7 +101,7 @@
 		table := probing.Assign(relays, servers)
 		s.table.mu.Lock()
 		defer s.table.mu.Unlock()
-		s.table.post(participantsEvent{Fleet: probing.Fleet{Relays: relays, Incarnation: incarnation, Servers: servers, Table: table}, serverIDs: ids})
+		s.table.post(participantsEvent{ParticipantsChanged: probing.ParticipantsChanged{Relays: relays, Incarnation: incarnation, Servers: servers, Assignment: table}, serverIDs: ids})
 	}()
 }
 
@@ -151,14 +151,14 @@
 		return false
 	case participantsEvent:
 		c.SharedProbing.assignmentPending, c.SharedProbing.serverIDs = false, e.serverIDs
-		c.stepScheduler(now, e.Fleet)
+		c.stepScheduler(now, e.ParticipantsChanged)
 		return false
 	case decide.Outcome:
-		c.stepScheduler(now, probing.Sent{ServerKey: c.serverKey(e.Server), N: -1})
+		c.stepScheduler(now, probing.LocalPlacement{ServerKey: c.serverKey(e.Server), Delta: -1})
 	case decide.ProbeResult:
 		if e.Status == decide.OK {
-			load := probing.Load{Load: e.Report.Load, Inflight: e.Report.InFlight, Errors: e.Report.ErrorsPerSecond, Busy: e.Report.CPUUtilization}
-			c.stepScheduler(now, probing.Read{ServerKey: c.serverKey(e.Server), Load: load})
+			load := probing.LoadReport{Load: e.Report.Load, Inflight: e.Report.InFlight, Errors: e.Report.ErrorsPerSecond, Busy: e.Report.CPUUtilization}
+			c.stepScheduler(now, probing.OwnReading{ServerKey: c.serverKey(e.Server), LoadReport: load})
 		}
 	}
 	return true
@@ -182,7 +182,7 @@
 			}
 		case probing.UseReading:
 			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				l := a.Reading.Load
+				l := a.Reading.LoadReport
 				if c.table.Recorder != nil {
 					c.table.recordPeerReading(id, a.Age, max(l.Load, l.Busy))
 				}
@@ -191,7 +191,7 @@
 			}
 		case probing.PeerPlacement:
 			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				c.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.N})
+				c.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.Delta})
 			}
 		case probing.Quarantine:
 			s.onQuarantine(a.Name)
--- a/internal/simulation/model/client.go
+++ b/internal/simulation/model/client.go
@@ -9,17 +9,17 @@
 )
 
 type client struct {
-	req     decide.Request
-	since   time.Duration // first try
-	relay   *Relay
-	at      *Server
-	attempt int
-	ends    time.Duration
-	tries   int
+	req      decide.Request
+	openedAt time.Duration // first try
+	relay    *Relay
+	server   *Server
+	attempt  int
+	endsAt   time.Duration
+	retries  int
 }
 
-// sorted lists the clients in the order of their names, for what is drawn over them.
-func (f *Fleet) sorted() (list []*client) {
+// sortedClients lists the clients in the order of their names, for what is drawn over them.
+func (f *Fleet) sortedClients() (list []*client) {
 	for _, c := range f.requests {
 		list = append(list, c)
 	}
@@ -27,19 +27,19 @@
 	return list
 }
 
-// arrive is a new client.
-func (f *Fleet) arrive() {
-	c := &client{since: f.Now}
+// newClient is a new client.
+func (f *Fleet) newClient() {
+	c := &client{openedAt: f.Now}
 	c.req = decide.Request{Class: 0, Tenant: decide.Tenant(f.rng.IntN(2)), Key: f.rng.Uint64() | 1, TimeLeft: 2 * time.Second,
 		Group: 1 + uint64(math.Pow(f.rng.Float64(), 1.5)*float64(f.groups))}
-	f.ask(c)
+	f.openRequest(c)
 }
 
 // Arrivals brings so many clients a second from now on.
 func (f *Fleet) Arrivals(rate float64, until time.Duration) {
 	f.After(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		if f.Now < until {
-			f.arrive()
+			f.newClient()
 			f.Arrivals(rate, until)
 		}
 	})
@@ -55,7 +55,7 @@
 		}
 		r, s := f.Relays[i%len(f.Relays)], f.Servers[at]
 		f.lastID++
-		c := &client{relay: r, at: s, ends: f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)),
+		c := &client{relay: r, server: s, endsAt: f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)),
 			req: decide.Request{ID: f.lastID, Key: f.rng.Uint64() | 1, TimeLeft: time.Hour, Group: uint64(group)}}
 		f.requests[c.req.ID], s.connections[c], s.idleSince = c, true, -1
 		r.connections++
@@ -64,10 +64,10 @@
 	}
 }
 
-func (f *Fleet) ask(c *client) {
+func (f *Fleet) openRequest(c *client) {
 	r := f.pickRelay()
 	if r == nil {
-		f.After(f.Between(100*ms, 300*ms), func() { f.ask(c) })
+		f.After(f.Between(100*ms, 300*ms), func() { f.openRequest(c) })
 		return
 	}
 	f.count("asks")
@@ -102,52 +102,52 @@
 // returnDelay draws how long a client takes to come again once its connection has ended.
 func (f *Fleet) returnDelay() time.Duration { return f.Between(170*ms, 1400*ms) }
 
-// comeAgain brings a client back to any relay that is up.
-func (f *Fleet) comeAgain(c *client, after time.Duration) {
+// reconnectLater brings a client back to any relay that is up.
+func (f *Fleet) reconnectLater(c *client, after time.Duration) {
 	c.req.Returning = true
-	if c.at == nil && c.tries == 0 {
-		c.since = f.Now + after
+	if c.server == nil && c.retries == 0 {
+		c.openedAt = f.Now + after
 	}
-	c.tries++
-	f.After(after, func() { f.ask(c) })
+	c.retries++
+	f.After(after, func() { f.openRequest(c) })
 }
 
-// moveAway ends a connection politely, if it is still at the server.
-func (f *Fleet) moveAway(c *client, s *Server) {
-	if c.at == s && s != nil {
-		f.finish(c, decide.Cancelled)
-		f.comeAgain(c, f.returnDelay())
+// migrate ends a connection politely, if it is still at the server.
+func (f *Fleet) migrate(c *client, s *Server) {
+	if c.server == s && s != nil {
+		f.closeConnection(c, decide.Cancelled)
+		f.reconnectLater(c, f.returnDelay())
 	}
 }
 
 // EmptyRelay empties a relay within a time, as a drain by hand does.
 func (f *Fleet) EmptyRelay(r *Relay, within time.Duration) {
-	for _, c := range f.sorted() {
-		if c.relay == r && c.at != nil {
+	for _, c := range f.sortedClients() {
+		if c.relay == r && c.server != nil {
 			f.After(f.Between(within/8, within), func() {
 				if c.relay == r {
-					f.moveAway(c, c.at)
+					f.migrate(c, c.server)
 				}
 			})
 		}
 	}
 }
 
-// finish ends a connection and lets its relay know how.
-func (f *Fleet) finish(c *client, status decide.Status) {
-	outcome := decide.Outcome{ID: c.req.ID, Server: c.at.Server, Status: status, Closed: true, Report: decide.NoLoadReport}
+// closeConnection ends a connection and lets its relay know how.
+func (f *Fleet) closeConnection(c *client, status decide.Status) {
+	outcome := decide.Outcome{ID: c.req.ID, Server: c.server.Server, Status: status, Closed: true, Report: decide.NoLoadReport}
 	f.deliverLater(c.relay, 0, outcome)
 	f.disconnect(c)
 }
 
 // disconnect takes a client off its relay and its server, if it has one.
 func (f *Fleet) disconnect(c *client) {
-	if c.at != nil {
+	if c.server != nil {
 		c.relay.connections--
-		if delete(c.at.connections, c); len(c.at.connections) == 0 {
-			c.at.idleSince = f.Now
+		if delete(c.server.connections, c); len(c.server.connections) == 0 {
+			c.server.idleSince = f.Now
 		}
 	}
-	c.at, c.relay = nil, nil
+	c.server, c.relay = nil, nil
 	delete(f.requests, c.req.ID)
 }
--- a/internal/simulation/model/cold_test.go
+++ b/internal/simulation/model/cold_test.go
@@ -37,13 +37,13 @@
 						f.Start(r, f.List())
 					}
 					f.Advance(14 * time.Second)
-					spent = append(spent, f.Tally.Overrun)
+					spent = append(spent, f.Tally.SlowStartOverrun)
 					for _, s := range f.Servers[12:] {
 						if allowed++; s.Placed > 0 {
 							sends++
 						}
 					}
-					if f.Tally.LateSend > 500*ms {
+					if f.Tally.LatestDrainSend > 500*ms {
 						t.Errorf("%d relays, seed %d: %v", relays, seed, &f.Tally)
 					}
 				}
--- a/internal/simulation/model/discovery.go
+++ b/internal/simulation/model/discovery.go
@@ -9,10 +9,10 @@
 
 // discovery is the discovery service: one queue for all relays' calls; those given up are worked through too.
 type discovery struct {
-	callTime  time.Duration // for one call
-	patience  time.Duration // a call that waits longer fails
-	busyUntil time.Duration // when it is done with all calls that came
-	list      []decide.Endpoint
+	serviceTime time.Duration // for one call
+	callTimeout time.Duration // a call that waits longer fails
+	busyUntil   time.Duration // when it is done with all calls that came
+	list        []decide.Endpoint
 }
 
 // List is the list of servers as discovery has it.
@@ -36,14 +36,14 @@
 	}
 }
 
-func (f *Fleet) callDiscovery(r *Relay) {
+func (f *Fleet) pollDiscovery(r *Relay) {
 	f.count("calls")
 	f.Tally.DiscoveryCalls = append(f.Tally.DiscoveryCalls, f.Now)
-	f.discovery.busyUntil = max(f.discovery.busyUntil, f.Now) + f.discovery.callTime
+	f.discovery.busyUntil = max(f.discovery.busyUntil, f.Now) + f.discovery.serviceTime
 	wait, life := f.discovery.busyUntil-f.Now, r.incarnation
-	if wait > f.discovery.patience {
+	if wait > f.discovery.callTimeout {
 		f.count("calls failed")
-		f.deliverLater(r, f.discovery.patience, decide.WatchEvent{Kind: decide.WatchFailed})
+		f.deliverLater(r, f.discovery.callTimeout, decide.WatchEvent{Kind: decide.WatchFailed})
 		return
 	}
 	f.After(wait, func() {
--- a/internal/simulation/model/many_test.go
+++ b/internal/simulation/model/many_test.go
@@ -163,7 +163,7 @@
 			f.Begin()
 			f.settle(t, 20*time.Second, "at first")
 			f.Advance(4 * time.Second)
-			f.Tally.LongestIdle, f.Tally.Overrun = 0, 0
+			f.Tally.LongestIdle, f.Tally.SlowStartOverrun = 0, 0
 			refused := f.Tally.Counts["refused: no room"]
 			troubles[what](f)
 			through := f.Tally.Counts["refused: no room"] - refused
@@ -179,7 +179,7 @@
 			if probes > 2.3 {
 				t.Errorf("one server was probed %.2f times a second", probes)
 			}
-			if f.Tally.MaxShares > 1+1e-9 || f.Tally.Overrun > 1 || f.Tally.LongestIdle > 2*time.Second || f.Tally.LateSend > 500*ms {
+			if f.Tally.MaxBudgetShares > 1+1e-9 || f.Tally.SlowStartOverrun > 1 || f.Tally.LongestIdle > 2*time.Second || f.Tally.LatestDrainSend > 500*ms {
 				t.Errorf("%v", &f.Tally)
 			}
 		})
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -53,7 +53,7 @@
 
 	cfg            Config
 	rng            *rand.Rand
-	set            decide.Settings
+	settings       decide.Settings
 	sequence       int
 	events         eventQueue
 	discovery      discovery
@@ -64,7 +64,7 @@
 	lastID         decide.RequestID
 	requests       map[decide.RequestID]*client
 	network        network
-	tables         map[string]*probing.Table
+	tables         map[string]*probing.Assignment
 }
 
 // New returns a fleet that has not started. Loads are such that its Connections use the servers up to the Utilisation.
@@ -74,13 +74,13 @@
 		meanLifetime:   40 * time.Second,
 		connectionLoad: cfg.Utilisation * float64(cfg.Servers) / float64(cfg.Connections),
 		groups:         max(2, cfg.Connections/15),
-		discovery:      discovery{callTime: 70 * ms, patience: time.Second},
+		discovery:      discovery{serviceTime: 70 * ms, callTimeout: time.Second},
 		Tally:          Tally{Counts: map[string]int{}},
 		requests:       map[decide.RequestID]*client{},
-		tables:         map[string]*probing.Table{},
+		tables:         map[string]*probing.Assignment{},
 		Fatal:          func(what string) { panic(what) },
 	}
-	f.set = decide.Settings{
+	f.settings = decide.Settings{
 		Relays: cfg.Relays, Zones: 3, MaxAttempts: 6, Probes: true, RetryAfter: true, MaxRetryAfter: 1500 * ms,
 		ConnectTimeout: 150 * ms, Tick: 5 * ms, GroupAffinity: cfg.GroupWork, MustSubscribe: true,
 		Classes: []decide.ClassInfo{{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, MessageLatencyObjective: 50 * ms}},
@@ -88,11 +88,11 @@
 		Rules:   decide.Rules{PollWithin: 10 * time.Second, SlowStartCapacity: 0.36, SlowStartWindow: 8 * time.Second, OverloadFactor: 4, OverloadWindow: 1500 * ms},
 		Prices:  decide.Prices{CrossZone: 0.03, Probe: 0.002, Move: 0.02},
 	}
-	for i := range f.set.Tenants {
-		f.set.Tenants[i].ConnectionQuota = float64(cfg.Connections) / cfg.Utilisation * quotaPart / 2
+	for i := range f.settings.Tenants {
+		f.settings.Tenants[i].ConnectionQuota = float64(cfg.Connections) / cfg.Utilisation * quotaPart / 2
 	}
 	if cfg.Tune != nil {
-		cfg.Tune(&f.set)
+		cfg.Tune(&f.settings)
 	}
 	for i := range cfg.Servers {
 		f.AddServer(decide.Zone(i%3), 0)
@@ -106,7 +106,7 @@
 
 // Begin starts all relays with the list as it is, opens the connections that stood before and lets new ones come.
 func (f *Fleet) Begin() {
-	f.After(0, f.step)
+	f.After(0, f.runInterval)
 	for _, r := range f.Relays {
 		f.Start(r, f.List())
 	}
@@ -116,12 +116,12 @@
 
 // BeginIdle starts time only: relays, connections and clients are the caller's to bring, connections last for good.
 func (f *Fleet) BeginIdle() {
-	f.After(0, f.step)
+	f.After(0, f.runInterval)
 	f.meanLifetime = time.Hour
 }
 
-// step notes loads, ends connections whose time has come, and counts time on servers asked too much.
-func (f *Fleet) step() {
+// runInterval notes loads, ends connections whose time has come, and counts time on servers asked too much.
+func (f *Fleet) runInterval() {
 	loads := make([]float64, len(f.Servers))
 	for i, s := range f.Servers {
 		loads[i] = f.Utilisation(s)
@@ -130,18 +130,18 @@
 			f.Tally.Overloaded += loadInterval * time.Duration(len(s.connections))
 		}
 	}
-	for _, c := range f.sorted() {
-		if s := c.at; s != nil && s.connections[c] && f.Now >= c.ends {
-			f.finish(c, decide.OK)
+	for _, c := range f.sortedClients() {
+		if s := c.server; s != nil && s.connections[c] && f.Now >= c.endsAt {
+			f.closeConnection(c, decide.OK)
 		}
 	}
 	for i, s := range f.Servers {
 		s.loadHistory = append(s.loadHistory, loads[i])
 	}
 	if f.cfg.Peering {
-		f.shares()
+		f.noteBudgetShares()
 	}
-	f.After(loadInterval, f.step)
+	f.After(loadInterval, f.runInterval)
 }
 
 func (f *Fleet) count(what string) { f.Tally.Counts[what]++ }
--- a/internal/simulation/model/model_test.go
+++ b/internal/simulation/model/model_test.go
@@ -99,14 +99,14 @@
 		"a zone lost and back cold": func(f *Fleet) {
 			for _, s := range f.Servers[:12] {
 				if s.Zone == 0 {
-					f.Lose(s, Dead)
-					f.After(8*time.Second, func() { f.Return(s) })
+					f.Fail(s, Dead)
+					f.After(8*time.Second, func() { f.Restart(s) })
 				}
 			}
 		},
 		"replaced beside bad ones": func(f *Fleet) {
-			f.Lose(f.Servers[9], Silent)
-			f.Err(f.Servers[10])
+			f.Fail(f.Servers[9], Silent)
+			f.FailWithErrors(f.Servers[10])
 			f.Servers[11].Capacity = 0.3
 			some(f, 4)
 		},
@@ -133,8 +133,8 @@
 					}
 				}
 			}
-			most = max(most, f.Tally.Overrun)
-			if f.Tally.LateSend > 500*ms || f.Tally.OverloadedPart() > 0.05 {
+			most = max(most, f.Tally.SlowStartOverrun)
+			if f.Tally.LatestDrainSend > 500*ms || f.Tally.OverloadedPart() > 0.05 {
 				t.Errorf("%s: seed %d: %v", name, seed, &f.Tally)
 			}
 		}
--- a/internal/simulation/model/network.go
+++ b/internal/simulation/model/network.go
@@ -55,8 +55,8 @@
 	f.Partition(parts)
 }
 
-// post brings something to a relay, unless it is lost, cut off or there is nobody any more.
-func (f *Fleet) post(from, to *Relay, most float64, do func()) {
+// sendLater brings something to a relay, unless it is lost, cut off or there is nobody any more.
+func (f *Fleet) sendLater(from, to *Relay, most float64, do func()) {
 	if to == nil || !to.up || f.network.partitioned(from, to) || f.network.rng.Float64() < f.cfg.Loss {
 		return
 	}
