--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -42,7 +42,7 @@
 func (r *Relay) startPeering() {
 	f, life := r.fleet, r.incarnation
 	seed := f.cfg.Seed + uint64(r.index)
-	config := membership.Config{Name: r.Name, InitialPlace: r.index, Founders: f.cfg.Relays, Relays: f.cfg.Relays, Seed: seed}
+	config := membership.Config{Name: r.Name, BootstrapSlot: r.index, BootstrapSize: f.cfg.Relays, ConfiguredRelays: f.cfg.Relays, Seed: seed}
 	r.node = membership.New(r.localTime(), config, r.record)
 	r.scheduler = probing.New(r.Name, seed)
 	r.meter, r.health, r.schedulerView = membership.Meter{}, map[*Relay]membership.Health{}, nil
@@ -60,7 +60,7 @@
 				doing = membership.Draining
 			}
 			own := r.meter.LocalState(r.localTime(), doing, r.arrived, r.connections)
-			own.List = 1
+			own.EndpointListGeneration = 1
 			f.stepNode(r, own)
 		}
 		f.stepNode(r, membership.Tick{})
@@ -112,7 +112,7 @@
 		table = probing.Assign(relays, servers)
 		r.fleet.tables[stamp] = table
 	}
-	r.fleet.stepScheduler(r, probing.Fleet{Relays: relays, Incarnation: uint64(r.incarnation), Servers: servers, Table: table})
+	r.fleet.stepScheduler(r, probing.ParticipantsChanged{Relays: relays, Incarnation: uint64(r.incarnation), Servers: servers, Assignment: table})
 }
 
 // stepScheduler hands an event to a relay's scheduler and does what it wants.
@@ -127,23 +127,23 @@
 		case probing.UseReading:
 			if s := f.serverByKey(a.ServerKey); s != nil {
 				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: relay.Duration(a.Age),
-					Report: decide.LoadReport{Load: a.Reading.Load.Load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, nil))
+					Report: decide.LoadReport{Load: a.Reading.LoadReport.Load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, nil))
 			}
 		case probing.PeerPlacement:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: relay.Duration(a.Age), PlacementDelta: a.N}, nil))
+				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: relay.Duration(a.Age), PlacementDelta: a.Delta}, nil))
 			}
 		case probing.SendPlacements:
 			f.count("tells of placements")
 			to, rows := f.relayByName(a.To), slices.Clone(a.Rows)
-			f.post(r, to, maxPacketDelay, func() { f.stepScheduler(to, probing.PlacementsReceived{From: r.Name, Rows: rows}) })
+			f.sendLater(r, to, maxPacketDelay, func() { f.stepScheduler(to, probing.PlacementsReceived{From: r.Name, Rows: rows}) })
 		case probing.Quarantine:
 			f.count("doubts of " + a.Name)
 		case probing.SendReadings:
 			f.count("tells")
 			to := f.relayByName(a.To)
 			batch := slices.Clone(a.Readings)
-			f.post(r, to, maxPacketDelay, func() { f.stepScheduler(to, probing.ReadingsReceived{From: r.Name, Readings: batch}) })
+			f.sendLater(r, to, maxPacketDelay, func() { f.stepScheduler(to, probing.ReadingsReceived{From: r.Name, Readings: batch}) })
 		}
 	}
 }
@@ -171,11 +171,11 @@
 			r.record = a.Record
 		case membership.Send:
 			to := f.relayByName(a.To)
-			f.post(r, to, maxPacketDelay, func() { f.stepNode(to, membership.MessageReceived{From: r.Name, Message: a.Message}) })
+			f.sendLater(r, to, maxPacketDelay, func() { f.stepNode(to, membership.MessageReceived{From: r.Name, Message: a.Message}) })
 		case membership.Publish:
 			for _, to := range f.Relays {
 				if to != r {
-					f.post(r, to, maxStatusDelay, func() { f.stepNode(to, membership.StatusReceived{Name: r.Name, Status: a.Status}) })
+					f.sendLater(r, to, maxStatusDelay, func() { f.stepNode(to, membership.StatusReceived{Name: r.Name, Status: a.Status}) })
 				}
 			}
 		}
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -45,7 +45,7 @@
 
 // Start starts a relay with a list that it had once.
 func (f *Fleet) Start(r *Relay, known []decide.Endpoint) {
-	set := f.set
+	set := f.settings
 	set.RelayIndex, set.Zone = r.index, r.Zone
 	r.up, r.watches, r.draining, r.drainKnownAt, r.list, r.arrived, r.connections = true, false, false, nil, nil, 0, 0
 	r.incarnation++
@@ -65,10 +65,10 @@
 // Kill ends a relay with all that it holds; its clients come again.
 func (f *Fleet) Kill(r *Relay) {
 	r.up = false
-	for _, c := range f.sorted() {
+	for _, c := range f.sortedClients() {
 		if c.relay == r {
 			f.disconnect(c)
-			f.comeAgain(c, f.returnDelay())
+			f.reconnectLater(c, f.returnDelay())
 		}
 	}
 	f.detectFailures(r)
@@ -77,7 +77,7 @@
 // Drain says that a relay drains by hand, or does no longer.
 func (f *Fleet) Drain(r *Relay, on bool) { r.draining = on }
 
-func (r *Relay) cannotReach(s *Server) bool { return r.unreachable != nil && r.unreachable(s) }
+func (r *Relay) isUnreachable(s *Server) bool { return r.unreachable != nil && r.unreachable(s) }
 
 // deliver passes an event to a relay's module, in its present life, and does what it wants.
 func (f *Fleet) deliver(r *Relay, life int, ev decide.Event) {
@@ -88,18 +88,18 @@
 		own := r.localTime()
 		now := float64(f.Now) / float64(ms)
 		word := relay.ToFleetStatus(now, own, r.node.Estimate(own), nil)
-		word.SharesReadings = r.scheduler.On()
+		word.SharesReadings = r.scheduler.HasPeers()
 		word.SharesPlacements = word.SharesPlacements && word.SharesReadings && !f.cfg.GuessPlacements
 		f.carryOut(r, r.balancer.Handle(f.Now, word, nil))
 		if o, ok := ev.(decide.Outcome); ok && !f.cfg.GuessPlacements {
-			f.stepScheduler(r, probing.Sent{ServerKey: f.Servers[o.Server].RendezvousKey, N: -1})
+			f.stepScheduler(r, probing.LocalPlacement{ServerKey: f.Servers[o.Server].RendezvousKey, Delta: -1})
 		}
 		if p, ok := ev.(decide.ProbeResult); ok && p.Status == decide.OK {
 			load := p.Report.Load
 			if r.Lies != nil {
 				load = *r.Lies
 			}
-			f.stepScheduler(r, probing.Read{ServerKey: f.Servers[p.Server].RendezvousKey, Load: probing.Load{Load: load, Inflight: -1, Errors: -1, Busy: -1}})
+			f.stepScheduler(r, probing.OwnReading{ServerKey: f.Servers[p.Server].RendezvousKey, LoadReport: probing.LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1}})
 		}
 	}
 	f.carryOut(r, r.balancer.Handle(f.Now, ev, nil))
@@ -132,24 +132,24 @@
 		case decide.Timer:
 			f.deliverLater(r, a.After, decide.TimerFired{Token: a.Token})
 		case decide.Subscribe:
-			f.callDiscovery(r)
+			f.pollDiscovery(r)
 		case decide.Probe:
 			f.probe(r, f.Servers[a.Server])
 		case decide.Forward:
 			if f.cfg.Peering && !f.cfg.GuessPlacements {
-				f.stepScheduler(r, probing.Sent{ServerKey: f.Servers[a.Server].RendezvousKey, N: 1})
+				f.stepScheduler(r, probing.LocalPlacement{ServerKey: f.Servers[a.Server].RendezvousKey, Delta: 1})
 			}
 			f.send(r, a)
 		case decide.Migrate:
 			f.count("moves")
 			c := f.requests[a.ID]
-			f.finish(c, decide.Cancelled)
-			f.comeAgain(c, f.returnDelay())
+			f.closeConnection(c, decide.Cancelled)
+			f.reconnectLater(c, f.returnDelay())
 		case decide.Reject:
-			f.noteRefusal(a.Reason)
+			f.noteRejection(a.Reason)
 			c := f.requests[a.ID]
 			f.disconnect(c)
-			f.comeAgain(c, max(f.Between(20*ms, 160*ms), a.RetryAfter/3))
+			f.reconnectLater(c, max(f.Between(20*ms, 160*ms), a.RetryAfter/3))
 		case decide.Fail:
 			f.Fatal(fmt.Sprintf("%s: a request that may be repeated failed: %+v", f.Now, a))
 		}
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -68,44 +68,44 @@
 	return f.Servers[i]
 }
 
-// Lose takes a server away, with its connections: it is in the state from now on.
-func (f *Fleet) Lose(s *Server, state State) {
+// Fail takes a server away, with its connections: it is in the state from now on.
+func (f *Fleet) Fail(s *Server, state State) {
 	s.state = state
-	for _, c := range f.sorted() {
-		if c.at == s {
-			f.finish(c, decide.Reset)
-			f.comeAgain(c, f.returnDelay())
+	for _, c := range f.sortedClients() {
+		if c.server == s {
+			f.closeConnection(c, decide.Reset)
+			f.reconnectLater(c, f.returnDelay())
 		}
 	}
 }
 
-// Return brings a server back as a new process.
-func (f *Fleet) Return(s *Server) {
+// Restart brings a server back as a new process.
+func (f *Fleet) Restart(s *Server) {
 	s.state, s.StartedAt, s.born, s.loadHistory = Healthy, f.Now, f.Now, nil
 	f.Announce(s, decide.Ready)
 }
 
-// Err makes a server answer all with errors.
-func (f *Fleet) Err(s *Server) { s.state = Failing }
+// FailWithErrors makes a server answer all with errors.
+func (f *Fleet) FailWithErrors(s *Server) { s.state = Failing }
 
 // Replace drains a server, brings a cold one in its zone, and stops the old one.
 func (f *Fleet) Replace(s *Server, drain time.Duration) {
 	f.Announce(s, decide.Draining)
-	for _, c := range f.sorted() { // it asks its clients to leave, one by one
-		if c.at == s {
-			f.After(f.Between(0, drain), func() { f.moveAway(c, s) })
+	for _, c := range f.sortedClients() { // it asks its clients to leave, one by one
+		if c.server == s {
+			f.After(f.Between(0, drain), func() { f.migrate(c, s) })
 		}
 	}
 	f.After(drain, func() {
-		f.Lose(s, Dead)
+		f.Fail(s, Dead)
 		f.Announce(s, decide.Removed)
 		f.Announce(f.AddServer(s.Zone, f.Now), decide.Ready)
 	})
 }
 
-func (f *Fleet) warmth(s *Server) float64 {
-	if cold := f.Now - s.StartedAt; s.StartedAt > 0 && cold < f.set.Rules.SlowStartWindow {
-		return f.set.Rules.SlowStartCapacity + (1-f.set.Rules.SlowStartCapacity)*float64(cold)/float64(f.set.Rules.SlowStartWindow)
+func (f *Fleet) slowStartFactor(s *Server) float64 {
+	if cold := f.Now - s.StartedAt; s.StartedAt > 0 && cold < f.settings.Rules.SlowStartWindow {
+		return f.settings.Rules.SlowStartCapacity + (1-f.settings.Rules.SlowStartCapacity)*float64(cold)/float64(f.settings.Rules.SlowStartWindow)
 	}
 	return 1
 }
@@ -120,7 +120,7 @@
 		}
 		load += float64(len(groups)) * f.groupLoad
 	}
-	return load / s.Capacity / f.warmth(s)
+	return load / s.Capacity / f.slowStartFactor(s)
 }
 
 // probe answers with a load that is late, as reports are.
@@ -141,7 +141,7 @@
 	switch {
 	case s.state == Dead:
 		ev.Status = decide.ConnectFailed
-	case s.state == Silent || r.cannotReach(s):
+	case s.state == Silent || r.isUnreachable(s):
 		ev.Status, ev.Latency = decide.TimedOut, 200*ms
 	case ev.Status == decide.OK:
 		at := (f.Now - reportDelay) / reportInterval * reportInterval
@@ -157,24 +157,24 @@
 func (f *Fleet) send(r *Relay, a decide.Forward) {
 	f.count("sends")
 	s, c := f.Servers[a.Server], f.requests[a.ID]
-	if c.at != nil {
+	if c.server != nil {
 		f.Fatal(fmt.Sprintf("%s: a second attempt for %d while one is out", f.Now, a.ID))
 	}
 	if told := r.drainKnownAt[s.Server]; told >= 0 {
-		f.Tally.LateSend = max(f.Tally.LateSend, f.Now-told)
+		f.Tally.LatestDrainSend = max(f.Tally.LatestDrainSend, f.Now-told)
 	}
-	c.at = s
+	c.server = s
 	c.attempt++
 	over := func(took time.Duration, how decide.Status) {
 		f.count(how.String())
-		c.at = nil
+		c.server = nil
 		f.deliverLater(r, took, decide.Outcome{ID: a.ID, Attempt: c.attempt, Server: s.Server, Status: how, Elapsed: took, Report: decide.NoLoadReport})
 	}
 	switch {
 	case s.state == Dead:
 		over(ms, decide.ConnectFailed)
-	case s.state == Silent || r.cannotReach(s):
-		over(min(a.Timeout, f.set.ConnectTimeout), decide.ConnectFailed)
+	case s.state == Silent || r.isUnreachable(s):
+		over(min(a.Timeout, f.settings.ConnectTimeout), decide.ConnectFailed)
 	case s.state == Failing:
 		over(2*ms, decide.Errored)
 	case s.State != decide.Ready:
@@ -186,9 +186,9 @@
 		r.connections++
 		s.Placed++
 		s.idleSince = -1
-		f.noteColdSend(s)
-		c.ends = f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime))
-		f.Tally.Waits = append(f.Tally.Waits, f.Now-c.since)
+		f.noteSlowStartSend(s)
+		c.endsAt = f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime))
+		f.Tally.Waits = append(f.Tally.Waits, f.Now-c.openedAt)
 		f.deliverLater(r, 20*ms, decide.Opened{ID: a.ID, Attempt: c.attempt, Server: s.Server, SetupLatency: 20 * ms})
 	}
 }
--- a/internal/simulation/network/delayed.go
+++ b/internal/simulation/network/delayed.go
@@ -20,13 +20,13 @@
 	due []delivery
 }
 
-// delayed are the packets on their way. It has a timer for each slot that holds any, and no goroutine.
-type delayed struct {
+// delayQueue are the packets on their way. It has a timer for each slot that holds any, and no goroutine.
+type delayQueue struct {
 	mu    sync.Mutex
 	slots map[int64]*slot
 }
 
-func (d *delayed) add(now time.Time, delay time.Duration, packet delivery) {
+func (d *delayQueue) add(now time.Time, delay time.Duration, packet delivery) {
 	key := now.Add(delay+slotWidth-1).UnixNano() / int64(slotWidth)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -39,7 +39,7 @@
 	s.due = append(s.due, packet)
 }
 
-func (d *delayed) deliver(key int64) {
+func (d *delayQueue) deliver(key int64) {
 	d.mu.Lock()
 	s := d.slots[key]
 	delete(d.slots, key)
--- a/internal/simulation/network/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	packetRoom = 1024 // packets that wait to be read at an endpoint
-	streamRoom = 64   // connections that wait to be accepted there
+	packetQueueSize = 1024 // packets that wait to be read at an endpoint
+	streamQueueSize = 64   // connections that wait to be accepted there
 
 	labelMark     = 244 // memberlist begins a stream with its label, if it has one
 	openingLength = 96
@@ -65,7 +65,7 @@
 	case e.packets <- p:
 		e.meter.packet(now, 0, len(p.Buf))
 	default:
-		e.network.refused.Add(1)
+		e.network.overflowed.Add(1)
 	}
 }
 
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -58,18 +58,18 @@
 	cfg     Config
 	loss    atomic.Uint64 // in parts of lossWhole
 	started atomic.Int64  // of the recording, Unix ns; 0 for none
-	delayed delayed
-
-	mu        sync.RWMutex
-	endpoints map[string]*endpoint
-	meters    map[string]*meter // they outlive endpoints that are started again
-	down      map[string]bool
-	cuts      map[string]cut
-	refused   atomic.Uint64 // packets that a full endpoint had no room for
+	delayed delayQueue
+
+	mu         sync.RWMutex
+	endpoints  map[string]*endpoint
+	meters     map[string]*meter // they outlive endpoints that are started again
+	down       map[string]bool
+	cuts       map[string]cut
+	overflowed atomic.Uint64 // packets that a full endpoint had no room for
 }
 
-// lossWhole is a loss of every packet.
-const lossWhole = 1 << 20
+// lossScale is a loss of every packet.
+const lossScale = 1 << 20
 
 // cut stops what goes from one set of endpoints to another.
 type cut struct {
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &endpoint{network: n, address: address, from: from, packets: make(chan *memberlist.Packet, packetRoom), streams: make(chan net.Conn, streamRoom)}
+	e := &endpoint{network: n, address: address, from: from, packets: make(chan *memberlist.Packet, packetQueueSize), streams: make(chan net.Conn, streamQueueSize)}
 	if n.cfg.Place != nil {
 		e.place = n.cfg.Place(address)
 	}
@@ -114,7 +114,7 @@
 }
 
 // SetLoss sets which part of all packets is lost, 0 to 1.
-func (n *Network) SetLoss(part float64) { n.loss.Store(uint64(part * lossWhole)) }
+func (n *Network) SetLoss(part float64) { n.loss.Store(uint64(part * lossScale)) }
 
 // SetDown takes an endpoint off the network, as if its process had died, or brings it back: its packets are lost, connections to it
 // are refused.
@@ -150,8 +150,8 @@
 	}
 }
 
-// Refused is how many packets came to endpoints that had no room: their processes are too slow.
-func (n *Network) Refused() uint64 { return n.refused.Load() }
+// Overflowed is how many packets came to endpoints that had no room: their processes are too slow.
+func (n *Network) Overflowed() uint64 { return n.overflowed.Load() }
 
 // route finds the endpoint at an address; reachable is false where nothing comes through to it from the sender.
 func (n *Network) route(from *endpoint, to string) (peer *endpoint, reachable bool) {
@@ -171,7 +171,7 @@
 
 func (n *Network) lost() bool {
 	loss := n.loss.Load()
-	return loss > 0 && rand.Uint64N(lossWhole) < loss
+	return loss > 0 && rand.Uint64N(lossScale) < loss
 }
 
 func (n *Network) delay(from, to *endpoint) time.Duration {
--- a/internal/simulation/scale/cells.go
+++ b/internal/simulation/scale/cells.go
@@ -50,7 +50,7 @@
 // enter gives a relay its part in the plan.
 func (p *planned) enter(c *gossip.Config, cell string, i int) {
 	members := p.members[cell]
-	c.Cell, c.Plan, c.Pace, c.Zones = cell, &p.plan, membership.CellPace, p.zones
+	c.Cell, c.Plan, c.Pace, c.Zones = cell, &p.plan, membership.CellTiming, p.zones
 	c.Founders, c.Seeds = len(members), nil
 	for place, member := range members {
 		if member == i {
--- a/internal/simulation/scale/cost_test.go
+++ b/internal/simulation/scale/cost_test.go
@@ -157,7 +157,7 @@
 		fmt.Printf("one view %s after the last start, %v; real time %.1f s, processor time %.1f s\n", one, err, (realNow() - at).Seconds(), (processorTime() - cpu).Seconds())
 		stands, err := f.AwaitSettled(time.Minute)
 		fmt.Printf("settled %s after that, %v; real time %.1f s, processor time %.1f s; dropped %v, refused %d\n", stands, err, (realNow() - at).Seconds(),
-			(processorTime() - cpu).Seconds(), f.Dropped(), f.Network.Refused())
+			(processorTime() - cpu).Seconds(), f.Dropped(), f.Network.Overflowed())
 	})
 }
 
--- a/internal/simulation/scale/events_test.go
+++ b/internal/simulation/scale/events_test.go
@@ -23,7 +23,7 @@
 func (d *deaths) notice(relay int, c membership.Changed) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.What == membership.ChangePeer && c.Name == d.name && (c.State == membership.Failed.String() || c.State == membership.Left.String()) && d.took != nil {
+	if c.Kind == membership.ChangePeer && c.Name == d.name && (c.State == membership.Failed.String() || c.State == membership.Left.String()) && d.took != nil {
 		if _, known := d.took[relay]; !known {
 			d.took[relay] = time.Since(d.at)
 		}
--- a/internal/simulation/scale/figures.go
+++ b/internal/simulation/scale/figures.go
@@ -58,7 +58,7 @@
 // Observe begins to measure. packetCost is what PacketCost returned. There is one Observation at a time.
 func (f *Fleet) Observe(packetCost time.Duration) *Observation {
 	f.Network.Record()
-	return &Observation{fleet: f, packetCost: packetCost, before: f.kinds.read(), refused: f.Network.Refused(), cpu: processorTime(), real: realNow(), began: time.Now()}
+	return &Observation{fleet: f, packetCost: packetCost, before: f.kinds.read(), refused: f.Network.Overflowed(), cpu: processorTime(), real: realNow(), began: time.Now()}
 }
 
 // End tells what the time since Observe has cost.
@@ -71,7 +71,7 @@
 	for k := range after {
 		figures.Kinds[k].Messages, figures.Kinds[k].Bytes = after[k].Messages-o.before[k].Messages, after[k].Bytes-o.before[k].Bytes
 	}
-	figures.Refused = f.Network.Refused() - o.refused
+	figures.Refused = f.Network.Overflowed() - o.refused
 	each := took.Seconds() * float64(figures.Relays)
 	network := time.Duration(figures.Packets.Mean * each * float64(o.packetCost))
 	figures.NetworkCPU = network.Seconds() * 1000 / each
--- a/internal/wire/gossip/cellfigures.go
+++ b/internal/wire/gossip/cellfigures.go
@@ -68,21 +68,21 @@
 		if region.Cells == 0 {
 			continue
 		}
-		gauge(f.cells, float64(region.Heard), region.Name, "heard")
-		gauge(f.cells, float64(region.Cells-region.Heard), region.Name, "unheard")
+		gauge(f.cells, float64(region.Known), region.Name, "heard")
+		gauge(f.cells, float64(region.Cells-region.Known), region.Name, "unheard")
 		gauge(f.relays, float64(region.Relays), region.Name)
 	}
 	gauge(f.plan, float64(r.Plan))
 	gauge(f.filePlan, float64(r.FilePlan))
-	gauge(f.joined, float64(r.Entered))
-	gauge(f.activated, float64(r.Opened))
+	gauge(f.joined, float64(r.JoinedPlan))
+	gauge(f.activated, float64(r.ActivatedPlan))
 	speaks := 0.0
-	if r.Speaker == n.cfg.Name {
+	if r.Representative == n.cfg.Name {
 		speaks = 1
 	}
 	gauge(f.representative, speaks)
 	gauge(f.mismatched, mismatched)
-	gauge(f.farShare, n.Estimate().FarShare)
+	gauge(f.farShare, n.Estimate().FarBudgetShare)
 	age := -1.0
 	if r.DirectoryMs >= 0 {
 		age = r.DirectoryMs / 1000
--- a/internal/wire/gossip/cellreport.go
+++ b/internal/wire/gossip/cellreport.go
@@ -11,18 +11,18 @@
 func (n *Node) logCellChange(l *cellLink, c cells.Changed) {
 	cause := ""
 	switch {
-	case c.Kind == cells.SpeakerChanged && c.Cell == l.cell:
-		cause = n.representativeCause(l, c.Speaker)
-		l.representative = c.Speaker
-	case c.Kind == cells.SpeakerChanged:
+	case c.Kind == cells.RepresentativeChanged && c.Cell == l.cell:
+		cause = n.representativeCause(l, c.Representative)
+		l.representative = c.Representative
+	case c.Kind == cells.RepresentativeChanged:
 		cause = "its summary"
 	case c.Kind == cells.CellLost:
-		cause = fmt.Sprintf("nothing heard for %d rounds", cells.UnheardRounds)
-	case c.Kind == cells.CellHeard:
+		cause = fmt.Sprintf("nothing heard for %d rounds", cells.UnknownAfterRounds)
+	case c.Kind == cells.CellKnown:
 		cause = "a summary"
 	case c.Kind == cells.PlanMismatch:
 		cause = "its table differs from this cell's; what it says of the plan is not counted"
-	case c.Kind == cells.PlanOpened:
+	case c.Kind == cells.PlanActivated:
 		cause = "every cell has entered it"
 	}
 	event := n.log.Info()
@@ -30,8 +30,8 @@
 		event = n.log.Warn()
 	}
 	event = event.Str("what", c.Kind.String()).Str("cell", c.Cell)
-	if c.Speaker != "" {
-		event = event.Str("speaker", c.Speaker)
+	if c.Representative != "" {
+		event = event.Str("speaker", c.Representative)
 	}
 	if c.Plan > 0 {
 		event = event.Uint64("plan", c.Plan)
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -132,7 +132,7 @@
 		return
 	}
 	l.nextReportAt = now
-	if c.What != membership.ChangePeer {
+	if c.Kind != membership.ChangePeer {
 		return
 	}
 	if c.State == membership.Failed.String() || c.State == membership.Left.String() {
@@ -164,12 +164,12 @@
 func (n *Node) updateOtherCells(l *cellLink) {
 	n.mu.Lock()
 	others := l.coordinator.Others(n.cellTime(n.now()))
-	opened := l.coordinator.Opened()
+	opened := l.coordinator.ActivatedPlan()
 	allocation := n.membership.View().Allocation
 	n.mu.Unlock()
-	n.handle(membership.OtherCells{Relays: others.Relays, Rate: others.Rate, Held: others.Held, Sent: others.Sent, Known: l.othersKnown})
-	if allocation != nil && !allocation.Open && opened >= allocation.Plan {
-		n.handle(membership.PlanOpened{Plan: allocation.Plan, Hash: allocation.PlanHash})
+	n.handle(membership.OtherCells{Relays: others.Relays, RequestRate: others.RequestRate, OpenConnections: others.OpenConnections, DrainRate: others.DrainRate, Known: l.othersKnown})
+	if allocation != nil && !allocation.Activated && opened >= allocation.Plan {
+		n.handle(membership.PlanActivated{Plan: allocation.Plan, Hash: allocation.PlanHash})
 	}
 }
 
@@ -185,9 +185,9 @@
 	for _, p := range n.membership.Peers() {
 		peers[p.Name] = p
 	}
-	local = cells.LocalCell{Epoch: view.Epoch, Entered: n.membership.EnteredQuiet(), Rate: n.local.Rate, Held: n.local.Held, Sent: n.local.Sent}
+	local = cells.LocalCell{Epoch: view.Epoch, JoinedPlan: n.membership.JoinedPlan(), RequestRate: n.local.RequestRate, OpenConnections: n.local.OpenConnections, DrainRate: n.local.DrainRate}
 	if a := view.Allocation; a != nil {
-		local.Plan, local.PlanHash, local.Cells, local.Founded = a.Plan, a.PlanHash, a.Cells, a.Founded
+		local.Plan, local.PlanHash, local.Cells, local.Bootstrapped = a.Plan, a.PlanHash, a.Cells, a.Bootstrapped
 	}
 	for _, name := range view.MemberNames() {
 		local.Members++
@@ -196,9 +196,9 @@
 			local.Serving++
 		}
 		if name != n.cfg.Name && alive(p.Health) {
-			local.Rate += p.Status.Rate
-			local.Held += p.Status.Held
-			local.Sent += p.Status.Sent
+			local.RequestRate += p.Status.RequestRate
+			local.OpenConnections += p.Status.OpenConnections
+			local.DrainRate += p.Status.DrainRate
 		}
 	}
 	for _, name := range view.Voters {
@@ -310,7 +310,7 @@
 	l.bytesIn.Add(uint64(len(text)))
 	if e.Kind == kindDirectory {
 		var d cells.Directory
-		if err := cbor.Unmarshal(e.Body, &d); err != nil || d.Check() != nil || d.Speaker != e.From || d.Incarnation != e.Incarnation {
+		if err := cbor.Unmarshal(e.Body, &d); err != nil || d.Check() != nil || d.Representative != e.From || d.Incarnation != e.Incarnation {
 			n.dropped.count(dropMalformed, "a directory that makes no sense")
 			return
 		}
@@ -324,7 +324,7 @@
 		return
 	}
 	var s cells.Summary
-	if err := cbor.Unmarshal(e.Body, &s); err != nil || s.Check() != nil || !s.Forwarded && (s.Speaker != e.From || s.Incarnation != e.Incarnation) {
+	if err := cbor.Unmarshal(e.Body, &s); err != nil || s.Check() != nil || !s.Forwarded && (s.Representative != e.From || s.Incarnation != e.Incarnation) {
 		n.dropped.count(dropMalformed, "a summary that makes no sense")
 		return
 	}
@@ -344,11 +344,11 @@
 	n.peers.Lock()
 	defer n.peers.Unlock()
 	mark := directoryMark{d.Incarnation, d.Seq}
-	old, known := l.newestDirectories[d.Speaker]
+	old, known := l.newestDirectories[d.Representative]
 	if known && !old.before(mark) || !known && len(l.newestDirectories) >= maxPeers {
 		return false
 	}
-	l.newestDirectories[d.Speaker] = mark
+	l.newestDirectories[d.Representative] = mark
 	return true
 }
 
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -56,7 +56,7 @@
 	for i := range 6 {
 		c := Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: []string{address(0), address(3), address(4)}, State: filepath.Join(dir, fmt.Sprint(i)),
 			InitialPlace: i % 3, Founders: 3, Relays: 6, Seed: uint64(i), Clock: relay.NewClock(), Transport: network.Transport, Log: zerolog.Nop(),
-			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: twoCells().Cells[i/3].Name, Plan: twoCells(), Pace: membership.CellPace}
+			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: twoCells().Cells[i/3].Name, Plan: twoCells(), Pace: membership.CellTiming}
 		node, err := New(c)
 		if err != nil {
 			t.Fatal(err)
@@ -67,7 +67,7 @@
 	heard := func(n *Node) (cells int) {
 		r, _ := n.Cells()
 		for _, region := range r.Regions {
-			cells += region.Heard
+			cells += region.Known
 		}
 		return cells
 	}
@@ -112,13 +112,13 @@
 	if flat.delegateMeta() != nil || string(east.delegateMeta()) != "east-1" {
 		t.Errorf("metadata: %q, %q", flat.delegateMeta(), east.delegateMeta())
 	}
-	summary := cells.Summary{Cell: "west-1", Region: "west", Speaker: "he", Incarnation: 4, Seq: 1, Members: 3, Serving: 3}
+	summary := cells.Summary{Cell: "west-1", Region: "west", Representative: "he", Incarnation: 4, Seq: 1, Members: 3, Serving: 3}
 	fromWest, err := encodeEnvelope("he", 4, 8, kindSummary, summary)
 	if err != nil {
 		t.Fatal(err)
 	}
 	astray := summary
-	astray.Speaker = "she" // not the sender
+	astray.Representative = "she" // not the sender
 	wrong, err := encodeEnvelope("he", 4, 9, kindSummary, astray)
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 		{"a summary of somebody else", east, wrong, dropMalformed},
 		{"a summary without a plan", flat, fromWest, dropUnknown},
 		{"no body of a cell", east, mustSeal(t, "he", kindOfCell, "nonsense"), dropMalformed},
-		{"a cell's directory from outside", east, mustSeal(t, "he", kindDirectory, cells.Directory{Cell: "east-1", Speaker: "he", Incarnation: 4, Seq: 1}), dropForeign},
+		{"a cell's directory from outside", east, mustSeal(t, "he", kindDirectory, cells.Directory{Cell: "east-1", Representative: "he", Incarnation: 4, Seq: 1}), dropForeign},
 	} {
 		before, count := one.to.dropped.total[one.why%dropReasonCount].Load(), uint64(0)
 		for i := range one.to.dropped.total {
--- a/internal/wire/gossip/envelope.go
+++ b/internal/wire/gossip/envelope.go
@@ -66,13 +66,13 @@
 
 // validStatus tells whether a status could be true.
 func validStatus(d membership.Status) bool {
-	return d.Version >= 1 && d.Rate >= 0 && !math.IsNaN(d.Rate) && d.Rate < 1e9 && d.Held >= 0 && d.Sent >= 0 && d.Sent < 1e9 && d.Founders >= 1 && d.Founders <= 1<<20 &&
-		d.InitialPlace < d.Founders && len(d.Zone) <= maxNameBytes
+	return d.Version >= 1 && d.RequestRate >= 0 && !math.IsNaN(d.RequestRate) && d.RequestRate < 1e9 && d.OpenConnections >= 0 && d.DrainRate >= 0 && d.DrainRate < 1e9 && d.BootstrapSize >= 1 && d.BootstrapSize <= 1<<20 &&
+		d.BootstrapSlot < d.BootstrapSize && len(d.Zone) <= maxNameBytes
 }
 
 // validMessage tells whether a message could have been sent by a membership.Node.
 func validMessage(m membership.Message) bool {
-	if math.IsNaN(m.At) || math.IsInf(m.At, 0) || len(m.Gone) > maxPeers {
+	if math.IsNaN(m.SentAtMillis) || math.IsInf(m.SentAtMillis, 0) || len(m.Unavailable) > maxPeers {
 		return false
 	}
 	v := m.View
--- a/internal/wire/gossip/figures.go
+++ b/internal/wire/gossip/figures.go
@@ -95,7 +95,7 @@
 		agreed = r.AgreedMs / 1000
 	}
 	gauge(f.agreed, agreed)
-	gauge(f.share, r.Share)
+	gauge(f.share, r.BudgetShare)
 	for i := range f.node.dropped.total {
 		ch <- prometheus.MustNewConstMetric(f.dropped, prometheus.CounterValue, float64(f.node.dropped.total[i].Load()), dropReasonNames[i])
 	}
--- a/internal/wire/gossip/gossip.go
+++ b/internal/wire/gossip/gossip.go
@@ -73,7 +73,7 @@
 	// Cell is this relay's cell and Plan divides the fleet's budgets among all of them; "" and nil for a flat fleet.
 	Cell string
 	Plan *cellplan.Plan
-	Pace membership.Pace // within the cell; the zero Pace is a flat fleet's
+	Pace membership.Timing // within the cell; the zero Pace is a flat fleet's
 	// Zones are the settings' zones by name, by which the plan's are known to the module.
 	Zones map[string]decide.Zone
 	Log   zerolog.Logger
@@ -112,7 +112,7 @@
 		// elsewhere are addresses where a relay of another cell has answered, and when that was.
 		elsewhere map[string]time.Time
 		digests   map[string][]byte // by name, as they came
-		replays   map[string]*probing.Window
+		replays   map[string]*probing.DedupWindow
 	}
 
 	meter membership.Meter
@@ -128,7 +128,7 @@
 	n := &Node{cfg: c, log: c.Log, inbox: make(chan membership.Event, inboxSize), batches: make(chan outgoingBatch, batchQueueSize), planUpdates: make(chan planUpdate, 1), dropped: newDropCounters(c.Log), traffic: &traffic{},
 		reliableSends: make(chan struct{}, maxReliableSends), stopped: make(chan struct{})}
 	n.peers.nodes, n.peers.there = map[string]*memberlist.Node{}, map[string]bool{}
-	n.peers.digests, n.peers.replays = map[string][]byte{}, map[string]*probing.Window{}
+	n.peers.digests, n.peers.replays = map[string][]byte{}, map[string]*probing.DedupWindow{}
 	n.peers.elsewhere = map[string]time.Time{}
 	n.cell = c.wireCell()
 	n.key = keyOfCell(n.cell)
@@ -169,10 +169,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.record = d
-	n.membership = membership.New(n.now(), membership.Config{Name: c.Name, InitialPlace: place, Founders: c.Founders, Relays: c.Relays, Seed: c.Seed,
-		Cell: c.Cell, Plan: c.Plan, Pace: n.adjustPace(c.Pace)}, rec)
+	n.membership = membership.New(n.now(), membership.Config{Name: c.Name, BootstrapSlot: place, BootstrapSize: c.Founders, ConfiguredRelays: c.Relays, Seed: c.Seed,
+		Cell: c.Cell, Plan: c.Plan, Timing: n.adjustPace(c.Pace)}, rec)
 	if err != nil {
-		n.membership.Handle(n.now(), membership.Unsaved{}, nil)
+		n.membership.Handle(n.now(), membership.RecordNotSaved{}, nil)
 	}
 }
 
@@ -234,7 +234,7 @@
 func (n *Node) localState(now float64) membership.LocalState {
 	s := n.cfg.LocalActivity()
 	own := n.meter.LocalState(now, s.Lifecycle, s.Arrivals, s.OpenRequests)
-	own.Zone, own.List = n.cfg.Zone, s.ListVersion
+	own.Zone, own.EndpointListGeneration = n.cfg.Zone, s.ListVersion
 	n.local = own
 	return own
 }
@@ -263,7 +263,7 @@
 		case membership.Save:
 			if err := n.record.save(a.Record); err != nil {
 				n.log.Error().Err(err).Msg("what the relay has promised cannot be kept; it takes no part in choices any more")
-				n.handle(membership.Unsaved{})
+				n.handle(membership.RecordNotSaved{})
 				return // what follows from it is not done
 			}
 		case membership.Send:
@@ -272,11 +272,11 @@
 			n.publish(a.Status)
 		case membership.Changed:
 			n.cells.Load().noteMembershipChange(a, n.now())
-			n.log.Info().Str("what", a.What.String()).Str("member", a.Name).Str("state", a.State).Str("cause", a.Cause).Msg("fleet")
+			n.log.Info().Str("what", a.Kind.String()).Str("member", a.Name).Str("state", a.State).Str("cause", a.Cause).Msg("fleet")
 			if n.cfg.OnChange != nil {
 				n.cfg.OnChange(a)
 			}
-		case membership.Refresh:
+		case membership.RefreshEndpointList:
 			n.log.Info().Int64("generation", a.Generation).Msg("a peer has a newer list of servers; asking discovery")
 			if n.cfg.RefreshEndpoints != nil {
 				n.cfg.RefreshEndpoints()
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -105,9 +105,9 @@
 	all := fleet(t, network, n, func(_ string, c membership.Changed) {
 		switch {
 		case !quiet.Load():
-		case c.What == membership.ChangePeer && c.State == "failed":
+		case c.Kind == membership.ChangePeer && c.State == "failed":
 			failed.Add(1)
-		case c.What == membership.ChangeView:
+		case c.Kind == membership.ChangeView:
 			views.Add(1)
 		}
 	})
@@ -217,7 +217,7 @@
 }
 
 func good7() membership.Status {
-	return membership.Status{Version: 1, Incarnation: 4, Lifecycle: membership.Serving, Rate: 2, Founders: 3, InitialPlace: 1, HandedOver: true, Seq: 7}
+	return membership.Status{Version: 1, Incarnation: 4, Lifecycle: membership.Serving, RequestRate: 2, BootstrapSize: 3, BootstrapSlot: 1, SlotReleased: true, Seq: 7}
 }
 
 // What cannot be is dropped and counted by its reason, and the same message twice is taken once; a digest of a later
@@ -231,10 +231,10 @@
 		}
 		return text
 	}
-	renew := sealed(kindMessage, 4, 9, membership.Message{Kind: membership.Renew, Epoch: 1, From: 4, InitialPlace: 1})
+	renew := sealed(kindMessage, 4, 9, membership.Message{Kind: membership.Renew, Epoch: 1, From: 4, BootstrapSlot: 1})
 	nan := good7()
-	nan.Rate = -1
-	huge := membership.Message{Kind: membership.Learn, From: 4, View: &membership.View{Epoch: 1, Founders: 3, Voters: []string{"x"}, Entries: []membership.Member{{Name: "x", In: true, Share: 1 << 63}}}}
+	nan.RequestRate = -1
+	huge := membership.Message{Kind: membership.Learn, From: 4, View: &membership.View{Epoch: 1, BootstrapSize: 3, Voters: []string{"x"}, Entries: []membership.Member{{Name: "x", In: true, BudgetShare: 1 << 63}}}}
 	for what, c := range map[string]struct {
 		text []byte
 		r    dropReason
@@ -278,7 +278,7 @@
 			t.Errorf("%s of the digest: %d events", v.what, len(n.inbox))
 			continue
 		}
-		if d := (<-n.inbox).(membership.StatusReceived).Status; d.Lifecycle != membership.Serving || !d.HandedOver {
+		if d := (<-n.inbox).(membership.StatusReceived).Status; d.Lifecycle != membership.Serving || !d.SlotReleased {
 			t.Errorf("%s of the digest: %+v", v.what, d)
 		}
 	}
@@ -287,7 +287,7 @@
 // A digest stays small, whatever it says.
 func TestDigestIsSmall(t *testing.T) {
 	d := good7()
-	d.Zone, d.Incarnation, d.Rate, d.Held, d.List, d.Epoch, d.Hash, d.Seq, d.Sent = strings.Repeat("z", 20), 1<<40, 12345.67, 1<<20, 1<<60, 1<<40, 1<<63, 1<<40, 999.9
+	d.Zone, d.Incarnation, d.RequestRate, d.OpenConnections, d.EndpointListGeneration, d.Epoch, d.Hash, d.Seq, d.DrainRate = strings.Repeat("z", 20), 1<<40, 12345.67, 1<<20, 1<<60, 1<<40, 1<<63, 1<<40, 999.9
 	text, err := encodeEnvelope(strings.Repeat("n", 40), d.Incarnation, d.Seq, kindStatus, d)
 	if err != nil || len(text) > 250 {
 		t.Errorf("%d bytes, %v", len(text), err)
@@ -299,8 +299,8 @@
 	n := lone(t)
 	var got []probing.Event
 	n.cfg.OnProbingEvent = func(ev probing.Event) { got = append(got, ev) }
-	rows := []probing.PlacementDelta{{ServerKey: 1 << 63, By: "a", Incarnation: 3, Seq: 4, N: 2, Age: 17}, {ServerKey: 5, By: "b", Incarnation: 1, Seq: 9, N: -3, Age: 0}}
-	readings := []probing.Reading{{ServerKey: 7, Started: 50, By: "a", Incarnation: 3, At: 1234, Age: 20, Load: probing.Load{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25}}}
+	rows := []probing.PlacementDelta{{ServerKey: 1 << 63, Origin: "a", Incarnation: 3, Seq: 4, Delta: 2, Age: 17}, {ServerKey: 5, Origin: "b", Incarnation: 1, Seq: 9, Delta: -3, Age: 0}}
+	readings := []probing.Reading{{ServerKey: 7, Started: 50, Origin: "a", Incarnation: 3, ReadAt: 1234, Age: 20, LoadReport: probing.LoadReport{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25}}}
 	bad := encodePlacements(rows)
 	bad.Rows[1].By = 2
 	for i, c := range []struct {
@@ -331,7 +331,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.save(membership.Record{Incarnation: 7, HandedOver: true}); err != nil {
+	if err := d.save(membership.Record{Incarnation: 7, SlotReleased: true}); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := openRecordFile(path, "s", "", "me"); err == nil || !strings.Contains(err.Error(), "another process") {
@@ -368,7 +368,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := n.Estimate(); r.Share != 0 || strings.Count(said.String(), "\n") != 1 {
+	if r := n.Estimate(); r.BudgetShare != 0 || strings.Count(said.String(), "\n") != 1 {
 		t.Errorf("a record that cannot be read: %+v, said %q", r, said.String())
 	}
 	said.Reset()
@@ -376,12 +376,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := n.Estimate(); r.Share != 0.25 || strings.Count(said.String(), "\n") != 1 {
+	if r := n.Estimate(); r.BudgetShare != 0.25 || strings.Count(said.String(), "\n") != 1 {
 		t.Errorf("no record, and none can be kept: %+v, said %q", r, said.String())
 	}
 	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
-	n.handle(membership.StatusReceived{Name: "peer", Status: membership.Status{Version: 1, Incarnation: 1, Epoch: 3, Founders: 4, InitialPlace: 1, HandedOver: true, Seq: 1}})
-	if r := n.Estimate(); r.Share != 0.25 {
+	n.handle(membership.StatusReceived{Name: "peer", Status: membership.Status{Version: 1, Incarnation: 1, Epoch: 3, BootstrapSize: 4, BootstrapSlot: 1, SlotReleased: true, Seq: 1}})
+	if r := n.Estimate(); r.BudgetShare != 0.25 {
 		t.Errorf("without a record it pledged: %+v", r)
 	}
 }
@@ -391,13 +391,13 @@
 	n := lone(t)
 	n.record.path = filepath.Join(t.TempDir(), "gone", "state")
 	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
-	n.handle(membership.StatusReceived{Name: "peer", Status: membership.Status{Version: 1, Incarnation: 1, Epoch: 3, Founders: 3, InitialPlace: 1, HandedOver: true, Seq: 1}})
+	n.handle(membership.StatusReceived{Name: "peer", Status: membership.Status{Version: 1, Incarnation: 1, Epoch: 3, BootstrapSize: 3, BootstrapSlot: 1, SlotReleased: true, Seq: 1}})
 	n.peers.Lock()
 	told := n.peers.digests["me"]
 	n.peers.Unlock()
 	if e, err := decodeEnvelope(told); err == nil {
 		var d membership.Status
-		if cbor.Unmarshal(e.Body, &d); d.HandedOver {
+		if cbor.Unmarshal(e.Body, &d); d.SlotReleased {
 			t.Error("the relay told that it has pledged, and its disk does not know")
 		}
 	}
@@ -419,17 +419,17 @@
 		return n, func() { stop(); n.Wait() }
 	}
 	first, end := start(0)
-	await(t, 30*time.Second, "a view", func() bool { return inView(first) == 1 && first.Estimate().Share == 1 })
+	await(t, 30*time.Second, "a view", func() bool { return inView(first) == 1 && first.Estimate().BudgetShare == 1 })
 	second, endSecond := start(1)
 	defer endSecond()
 	for range 20 {
-		if s := second.Estimate().Share; s != 0 {
+		if s := second.Estimate().BudgetShare; s != 0 {
 			t.Fatalf("the second takes %v beside the first", s)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	end()
-	await(t, 30*time.Second, "its turn", func() bool { return second.Estimate().Share == 1 })
+	await(t, 30*time.Second, "its turn", func() bool { return second.Estimate().BudgetShare == 1 })
 	if second.Estimate().Epoch == 0 {
 		t.Error("the second does not know what the first promised")
 	}
--- a/internal/wire/gossip/messages.go
+++ b/internal/wire/gossip/messages.go
@@ -171,8 +171,8 @@
 		if len(n.peers.replays) >= maxPeers {
 			return false
 		}
-		w = &probing.Window{}
+		w = &probing.DedupWindow{}
 		n.peers.replays[e.From] = w
 	}
-	return w.Take(e.Incarnation, e.Seq)
+	return w.Accept(e.Incarnation, e.Seq)
 }
--- a/internal/wire/gossip/seam.go
+++ b/internal/wire/gossip/seam.go
@@ -16,7 +16,7 @@
 func (n *Node) recordHistory() {}
 
 // adjustPace is where tests have a cell go faster; this program goes by its pace.
-func (n *Node) adjustPace(p membership.Pace) membership.Pace { return p }
+func (n *Node) adjustPace(p membership.Timing) membership.Timing { return p }
 
 // cellTime is the Coordinator's clock by the Node's, and nodeTime the other way round; tests let it run faster.
 func (n *Node) cellTime(now float64) float64 { return now }
--- a/internal/wire/gossip/seam_faults.go
+++ b/internal/wire/gossip/seam_faults.go
@@ -72,9 +72,9 @@
 	r := n.membership.Estimate(now)
 	t := faultpoint.Now()
 	line := faultpoint.Noted{Name: n.cfg.Name, Incarnation: n.membership.Incarnation(), Epoch: r.Epoch, Hash: n.membership.Hash(), Phase: r.Phase.String(),
-		Settled: v.Settled(), Share: r.Share, Relays: r.Relays}
-	if !math.IsInf(r.Until, 1) {
-		line.Until = t + (r.Until-now)/faultpoint.Rate()
+		Settled: v.Settled(), Share: r.BudgetShare, Relays: r.Relays}
+	if !math.IsInf(r.ShareValidUntil, 1) {
+		line.Until = t + (r.ShareValidUntil-now)/faultpoint.Rate()
 	}
 	n.noteCells(&line, r, v)
 	if line.Epoch != lastRecorded.Epoch || line.Hash != lastRecorded.Hash {
@@ -95,9 +95,9 @@
 
 // noteCells takes down what the relay knows of its cell and of the others.
 func (n *Node) noteCells(line *faultpoint.Noted, r membership.FleetEstimate, v *membership.View) {
-	line.Far, line.Zones, line.Plan, line.Open = r.FarShare, r.NearZones, r.Plan, r.PlanOpen
+	line.Far, line.Zones, line.Plan, line.Open = r.FarBudgetShare, r.NearZones, r.Plan, r.PlanActivated
 	if v.Allocation == nil {
-		line.Far, line.Zones = r.Share, nil
+		line.Far, line.Zones = r.BudgetShare, nil
 	}
 	l := n.cells.Load()
 	if l == nil {
@@ -105,15 +105,15 @@
 	}
 	line.Cell, line.Speaker = l.cell, l.representative
 	for _, region := range l.coordinator.Report(n.cellTime(n.now())).Regions {
-		line.CellsHeard += region.Heard
+		line.CellsHeard += region.Known
 	}
 }
 
 // adjustPace makes the leases of a cell as short as the rules say.
-func (n *Node) adjustPace(p membership.Pace) membership.Pace {
-	if ms := faultpoint.Present().LeaseMs; ms > 0 && p != (membership.Pace{}) {
-		p.StatusEvery *= ms / p.LeaseFor
-		p.LeaseFor = ms
+func (n *Node) adjustPace(p membership.Timing) membership.Timing {
+	if ms := faultpoint.Present().LeaseMs; ms > 0 && p != (membership.Timing{}) {
+		p.StatusInterval *= ms / p.LeaseDuration
+		p.LeaseDuration = ms
 	}
 	return p
 }
@@ -132,8 +132,8 @@
 	}
 	readings = slices.Clone(readings)
 	for i := range readings {
-		if readings[i].By == n.cfg.Name {
-			readings[i].Load = probing.Load{Load: r.Lie, Inflight: -1, Errors: -1, Busy: -1}
+		if readings[i].Origin == n.cfg.Name {
+			readings[i].LoadReport = probing.LoadReport{Load: r.Lie, Inflight: -1, Errors: -1, Busy: -1}
 		}
 	}
 	return readings
--- a/internal/wire/gossip/talk_cost_test.go
+++ b/internal/wire/gossip/talk_cost_test.go
@@ -71,7 +71,7 @@
 	}
 	table := probing.Assign(c.relays, c.servers)
 	for _, r := range c.all {
-		c.act(r, r.scheduler.Handle(c.now, probing.Fleet{Relays: c.relays, Incarnation: 1 << 40, Servers: c.servers, Table: table}, nil))
+		c.act(r, r.scheduler.Handle(c.now, probing.ParticipantsChanged{Relays: c.relays, Incarnation: 1 << 40, Servers: c.servers, Assignment: table}, nil))
 	}
 	return c
 }
@@ -82,7 +82,7 @@
 		switch a := a.(type) {
 		case probing.Probe:
 			load := 0.5 + 0.02*r.rng.NormFloat64()
-			r.scheduler.Handle(c.now, probing.Read{ServerKey: a.ServerKey, Load: probing.Load{Load: load, Inflight: 12, Errors: -1, Busy: -1}}, nil)
+			r.scheduler.Handle(c.now, probing.OwnReading{ServerKey: a.ServerKey, LoadReport: probing.LoadReport{Load: load, Inflight: 12, Errors: -1, Busy: -1}}, nil)
 			r.at[c.column[a.ServerKey]] = c.now
 		case probing.UseReading:
 			r.at[c.column[a.ServerKey]] = c.now - a.Age
@@ -131,7 +131,7 @@
 	for end := c.now + ms; c.now < end; c.now += talkStep {
 		for c.due += placedEach * talkStep / 1000; c.due >= 1; c.due-- {
 			s := c.servers[c.rng.IntN(len(c.servers))]
-			c.all[c.rng.IntN(len(c.all))].scheduler.Handle(c.now, probing.Sent{ServerKey: s.Key, N: 1}, nil)
+			c.all[c.rng.IntN(len(c.all))].scheduler.Handle(c.now, probing.LocalPlacement{ServerKey: s.Key, Delta: 1}, nil)
 		}
 		var wait sync.WaitGroup
 		workers := runtime.GOMAXPROCS(0)
@@ -166,7 +166,7 @@
 	n := 0
 	for _, r := range c.all {
 		for _, at := range r.at {
-			if c.now-at > probing.UsableFor {
+			if c.now-at > probing.MaxReadingAge {
 				n++
 			}
 		}
