--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -126,7 +126,7 @@
 		select {
 		case <-stop:
 			return
-		case <-clock.After(migrationInterval):
+		case <-clock.AfterMillis(migrationInterval):
 		}
 		since, left := clock.NowMillis()-began, 0
 		for i, r := range o.fronts {
@@ -206,7 +206,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-clock.After(ejectionPollInterval):
+		case <-clock.AfterMillis(ejectionPollInterval):
 		}
 		o.reloadEjections()
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -273,7 +273,7 @@
 func shutDownFront(r *runningFront) {
 	r.requests.BeginShutdown()
 	began, span, all := r.requests.Clock.NowMillis(), min(r.longestDeadline, maxServeSpan), r.requests.MigrateSome(0)
-	pause := func(ms float64) { <-r.requests.Clock.After(ms) }
+	pause := func(ms float64) { <-r.requests.Clock.AfterMillis(ms) }
 	for now := began; now < began+span+answerGrace; now = r.requests.Clock.NowMillis() {
 		n := r.requests.MigrateSome(0) - keptDuringShutdown(all, now-began, span)
 		if left := r.requests.MigrateSome(n); left == 0 && now >= began+minShutdown {
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -49,7 +49,7 @@
 		}
 		n += servers * 10
 		now += 1000
-		clock.Set(now)
+		clock.SetMillis(now)
 		w.Fold()
 	}
 	runtime.GC()
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -78,7 +78,7 @@
 			w.Rest()
 			return
 		case <-w.x.Recorder.Ready():
-		case <-w.x.Clock.After(lookEvery):
+		case <-w.x.Clock.AfterMillis(lookEvery):
 		}
 		w.Fold()
 	}
@@ -94,13 +94,13 @@
 		w.take(r)
 	}
 	w.spare = records[:0]
-	w.tick(w.x.Clock.Unix(w.x.Clock.NowMillis()))
+	w.tick(w.x.Clock.UnixMillis(w.x.Clock.NowMillis()))
 }
 
 func (w *Watcher) take(r *recorder.Record) {
-	r.At = w.x.Clock.Unix(r.At)
+	r.At = w.x.Clock.UnixMillis(r.At)
 	if r.StartedAt > 0 {
-		r.StartedAt = w.x.Clock.Unix(r.StartedAt)
+		r.StartedAt = w.x.Clock.UnixMillis(r.StartedAt)
 	}
 	name := timeline.FleetName
 	if r.Server >= 0 {
@@ -178,7 +178,7 @@
 func (w *Watcher) Note(relay, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.x.Clock.Unix(w.x.Clock.NowMillis())
+	at := w.x.Clock.UnixMillis(w.x.Clock.NowMillis())
 	what := "relay " + relay + ": " + state
 	if relay == "" {
 		what = "this relay: " + state
@@ -263,7 +263,7 @@
 func (w *Watcher) Report(q report.Query) *report.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := w.x.Clock.Unix(w.x.Clock.NowMillis())
+	now := w.x.Clock.UnixMillis(w.x.Clock.NowMillis())
 	r := &report.Report{Relay: w.Relay, At: now, Dropped: w.dropped, Evicted: w.book.Evicted}
 	if w.Store != nil {
 		if err := w.Store.WriteError(); err != nil {
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -46,7 +46,7 @@
 					if state, _ := call.State(); state == Ended {
 						break
 					}
-					s.clock.Set(s.clock.NowMillis() + 5)
+					s.clock.SetMillis(s.clock.NowMillis() + 5)
 					s.c.Step()
 				}
 				if call.Attach(0, &side{}) && call.BeginWrite(0) && call.Establish(0) != nil {
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -27,14 +27,22 @@
 // NewManualClock returns a clock that stands still.
 func NewManualClock() *Clock {
 	c := &Clock{origin: time.Unix(1_000_000_000, 0), manual: true}
-	c.Set(clockStart)
+	c.SetMillis(clockStart)
 	return c
 }
 
-// Set moves a clock made by NewSetClock.
-func (c *Clock) Set(ms float64) { c.manualNow.Store(math.Float64bits(ms)) }
+// SetMillis moves a clock made by NewSetClock.
+func (c *Clock) SetMillis(ms float64) { c.manualNow.Store(math.Float64bits(ms)) }
 
-// NowMillis is the time in milliseconds.
+// Now is the time since an arbitrary origin, on the monotonic clock.
+func (c *Clock) Now() time.Duration {
+	if c.manual {
+		return Duration(c.NowMillis())
+	}
+	return clockStart*time.Millisecond + c.elapsed()
+}
+
+// NowMillis is Now in milliseconds.
 func (c *Clock) NowMillis() float64 {
 	if c.manual {
 		return math.Float64frombits(c.manualNow.Load())
@@ -42,10 +50,10 @@
 	return clockStart + float64(c.elapsed().Nanoseconds())/1e6
 }
 
-// FromUnix turns the Unix time in milliseconds of something that has happened into this clock's; 0 stays 0, for long ago. The clock of
+// FromUnixMillis turns the Unix time in milliseconds of something that has happened into this clock's; 0 stays 0, for long ago. The clock of
 // the day may have been stepped since the process started, here alone or on all machines. So it goes by both readings, that of the
 // start and that of now, and takes the later time: what has just happened is never taken for old, and nothing lies ahead.
-func (c *Clock) FromUnix(ms float64) float64 {
+func (c *Clock) FromUnixMillis(ms float64) float64 {
 	if ms == 0 {
 		return 0
 	}
@@ -58,7 +66,7 @@
 // wallMillis is the clock of the wallMillis now, as Unix time in milliseconds.
 func (c *Clock) wallMillis() float64 {
 	if c.manual {
-		return c.Unix(c.NowMillis()) + math.Float64frombits(c.wallStep.Load())
+		return c.UnixMillis(c.NowMillis()) + math.Float64frombits(c.wallStep.Load())
 	}
 	return float64(wallNow().UnixNano()) / 1e6
 }
@@ -66,12 +74,15 @@
 // StepWallClock steps the clock of the day of a clock made by NewSetClock, by ms from where it would be.
 func (c *Clock) StepWallClock(ms float64) { c.wallStep.Store(math.Float64bits(ms)) }
 
-// Unix turns this clock's time into Unix time in milliseconds, by the one origin that was read at the start: it
+// UnixMillis turns this clock's time into UnixMillis time in milliseconds, by the one origin that was read at the start: it
 // does not step with the clock of the day.
-func (c *Clock) Unix(ms float64) float64 { return ms - clockStart + float64(c.origin.UnixNano())/1e6 }
+func (c *Clock) UnixMillis(ms float64) float64 { return ms - clockStart + float64(c.origin.UnixNano())/1e6 }
+
+// WallDeadline is the network deadline that falls at an instant of this clock.
+func (c *Clock) WallDeadline(at time.Duration) time.Time { return time.Now().Add(at - c.Now()) }
 
-// WallDeadline is when a network deadline falls that lies at ms on this clock.
-func (c *Clock) WallDeadline(ms float64) time.Time {
+// WallDeadlineMillis is when a network deadline falls that lies at ms on this clock.
+func (c *Clock) WallDeadlineMillis(ms float64) time.Time {
 	return time.Now().Add(Duration(ms - c.NowMillis()))
 }
 
@@ -88,5 +99,8 @@
 // Millis is the way back from the module's durations.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// After sends once ms have passed.
-func (c *Clock) After(ms float64) <-chan time.Time { return time.After(Duration(ms)) }
+// AfterMillis sends once ms have passed.
+func (c *Clock) AfterMillis(ms float64) <-chan time.Time { return time.After(Duration(ms)) }
+
+// After sends once the time has passed.
+func (c *Clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -15,11 +15,11 @@
 		for _, everywhere := range []bool{false, true} {
 			clock := NewManualClock()
 			x := NewRequestTable(&Deployment{}, clock, nil)
-			day := func() float64 { return clock.Unix(clock.NowMillis()) }
+			day := func() float64 { return clock.UnixMillis(clock.NowMillis()) }
 			old := Endpoint{ID: "old", Mode: decide.Ready, StartedAt: day() - 60_000}
 			x.UpdateEndpoints(decide.Cached, []Endpoint{old})
 			before := x.endpoints.byID["old"].startedAt
-			clock.Set(clock.NowMillis() + 20_000)
+			clock.SetMillis(clock.NowMillis() + 20_000)
 			clock.StepWallClock(step)
 			told := day() - age
 			if everywhere {
--- a/internal/relay/exchange_test.go
+++ b/internal/relay/exchange_test.go
@@ -181,7 +181,7 @@
 				modes[who%2] = decide.EndpointState(arg % 3)
 				list()
 			case 10:
-				clock.Set(now + float64(arg*4))
+				clock.SetMillis(now + float64(arg*4))
 			case 11:
 				x.cancelAttempt(m.call.ID, m.sends-1)
 				m.canceled = m.canceled || m.state == Attempting
@@ -294,7 +294,7 @@
 // advance lets time pass in ticks.
 func advance(c *EventLoop, clock *Clock, ms float64) {
 	for end := clock.NowMillis() + ms; clock.NowMillis() < end; {
-		clock.Set(clock.NowMillis() + 5)
+		clock.SetMillis(clock.NowMillis() + 5)
 		c.Step()
 	}
 }
@@ -382,10 +382,10 @@
 func TestClock(t *testing.T) {
 	c := NewManualClock()
 	now := float64(c.origin.UnixMilli())
-	if got := c.FromUnix(now - 250); got != clockStart-250 {
+	if got := c.FromUnixMillis(now - 250); got != clockStart-250 {
 		t.Errorf("started 250 ms ago: %v", got)
 	}
-	if got := c.FromUnix(0); got != 0 {
+	if got := c.FromUnixMillis(0); got != 0 {
 		t.Errorf("long ago: %v", got)
 	}
 	if got := Duration(1.2346); got != 1235000 {
@@ -411,13 +411,13 @@
 		x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
 		call := x.Open(OpenRequest{Timeout: 5000}, &side{})
 		x.startAttempt(call.ID, 0, 0, nil)
-		clock.Set(clock.NowMillis() + 1000) // its own dial counts for nothing
+		clock.SetMillis(clock.NowMillis() + 1000) // its own dial counts for nothing
 		if !call.Attach(0, &side{}) || !call.BeginWrite(0) {
 			t.Fatal("the first attempt is not let go")
 		}
 		call.EndAttempt(0, c.first, decide.NoLoadReport)
 		x.startAttempt(call.ID, 1, 0, nil)
-		clock.Set(clock.NowMillis() + c.dial)
+		clock.SetMillis(clock.NowMillis() + c.dial)
 		if got := call.Attach(1, &side{}) && call.BeginWrite(1); got != c.want {
 			t.Errorf("%s: let go %v", name, got)
 		}
--- a/internal/relay/guarded_test.go
+++ b/internal/relay/guarded_test.go
@@ -16,10 +16,10 @@
 	pass := func(ms float64, stopped bool) {
 		end := clock.NowMillis() + ms
 		for !stopped && clock.NowMillis()+sweepInterval < end {
-			clock.Set(clock.NowMillis() + sweepInterval)
+			clock.SetMillis(clock.NowMillis() + sweepInterval)
 			x.sweepSilentServers()
 		}
-		clock.Set(end)
+		clock.SetMillis(end)
 	}
 	x.RenewEndpointLease()
 	pass(2000, false)
--- a/internal/relay/site.go
+++ b/internal/relay/site.go
@@ -94,7 +94,7 @@
 		}
 		s.listedMode, s.Load, s.SupportsResume, s.zone, s.cell = l.Mode, l.Load, l.SupportsResume, l.Zone, l.Cell
 		if s.startedUnix != l.StartedAt {
-			s.startedUnix, s.startedAt = l.StartedAt, r.clock.FromUnix(l.StartedAt)
+			s.startedUnix, s.startedAt = l.StartedAt, r.clock.FromUnixMillis(l.StartedAt)
 		}
 		r.setMode(s)
 		if l.Address != "" { // an entry that says Gone may come without one
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -149,7 +149,7 @@
 	st.Release()
 	select {
 	case <-st.released:
-	case <-st.service.Clock.After(releaseTimeout):
+	case <-st.service.Clock.AfterMillis(releaseTimeout):
 	}
 }
 
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -18,7 +18,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.Clock.After(s.SweepInterval * (0.5 + rand.Float64())):
+		case <-s.Clock.AfterMillis(s.SweepInterval * (0.5 + rand.Float64())):
 			s.Sweep(ctx)
 		}
 	}
@@ -56,7 +56,7 @@
 		case <-ctx.Done():
 			return
 		case room <- struct{}{}:
-		case <-s.Clock.After(relay.Millis(relay.Duration(s.SessionTimeout))):
+		case <-s.Clock.AfterMillis(relay.Millis(relay.Duration(s.SessionTimeout))):
 			return
 		}
 	}
--- a/internal/simulation/capacity/page_test.go
+++ b/internal/simulation/capacity/page_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	pagePath = "../../docs/CAPACITY.md"
+	pagePath = "../../../docs/CAPACITY.md"
 	// rounding is how far a figure of the page may lie from its own sum: it has three figures.
 	rounding = 0.01
 )
--- a/internal/simulation/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -112,7 +112,7 @@
 // startRelay starts the program on loopback with a list of servers. It is ended with the test.
 func startRelay(t *testing.T, discovery *fake.Discovery, more ...string) *relayProcess {
 	t.Helper()
-	text, err := os.ReadFile("../../examples/config.json")
+	text, err := os.ReadFile("../../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/cluster/proving_test.go
+++ b/internal/testing/cluster/proving_test.go
@@ -21,7 +21,7 @@
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "proving")
 	if err == nil {
-		program, err = Build("../..", dir)
+		program, err = Build("../../..", dir)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -47,7 +47,7 @@
 func lay(t *testing.T, p Plan, start int) *Cluster {
 	t.Helper()
 	p.Program, p.Dir = program, t.TempDir()
-	g, err := New(p, "../../examples/config.json")
+	g, err := New(p, "../../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -431,7 +431,7 @@
 	dir := t.TempDir()
 	shipped := filepath.Join(dir, "capersail")
 	cmd := exec.Command("go", "build", "-o", shipped, "./cmd/capersail")
-	cmd.Dir = "../.."
+	cmd.Dir = "../../.."
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
--- a/internal/wire/discovery/call.go
+++ b/internal/wire/discovery/call.go
@@ -58,7 +58,7 @@
 			return fmt.Errorf("read: %w", err)
 		}
 		a.firstTaken = true
-		a.conn.SetDeadline(c.clock.WallDeadline(c.clock.NowMillis() + c.silenceTimeout))
+		a.conn.SetDeadline(c.clock.WallDeadlineMillis(c.clock.NowMillis() + c.silenceTimeout))
 	}
 }
 
@@ -118,7 +118,7 @@
 		}()
 	}
 	ask()
-	second := c.clock.After(c.hedgeDelay)
+	second := c.clock.AfterMillis(c.hedgeDelay)
 	for out := 1; ; {
 		var a *response
 		select {
@@ -151,7 +151,7 @@
 		return &response{err: fmt.Errorf("dial: %w", err)}
 	}
 	context.AfterFunc(ctx, func() { conn.Close() })
-	conn.SetDeadline(c.clock.WallDeadline(c.clock.NowMillis() + c.responseTimeout))
+	conn.SetDeadline(c.clock.WallDeadlineMillis(c.clock.NowMillis() + c.responseTimeout))
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, address); err != nil {
 		return &response{connected: true, err: fmt.Errorf("ask: %w", err)}
 	}
--- a/internal/wire/discovery/discovery.go
+++ b/internal/wire/discovery/discovery.go
@@ -197,7 +197,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-c.clock.After(agentRetryDelay):
+			case <-c.clock.AfterMillis(agentRetryDelay):
 			}
 		case watch || err != nil:
 			c.log.Info().Err(err).Bool("watch", watch).Msg("discovery call ended")
--- a/internal/wire/platform/server.go
+++ b/internal/wire/platform/server.go
@@ -261,7 +261,7 @@
 		if s.kept.Load() > s.Keep {
 			s.drop(&k)
 		}
-		idle = s.Clock.After(keptFor)
+		idle = s.Clock.AfterMillis(keptFor)
 		p.done(status, load)
 	}
 }
@@ -291,7 +291,7 @@
 		*k = kept{conn, newLines(conn), address}
 		s.kept.Add(1)
 	}
-	k.conn.SetDeadline(s.Clock.WallDeadline(until))
+	k.conn.SetDeadline(s.Clock.WallDeadlineMillis(until))
 	_, err := k.conn.Write([]byte("STATS\r\n"))
 	var line []byte
 	if err == nil {
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -116,7 +116,7 @@
 		core := relay.NewEventLoop(x, 3, w, zerolog.New(&log))
 		var list []relay.Endpoint
 		for _, id := range []string{"a", "b", "c"} {
-			list = append(list, relay.Endpoint{ID: id, Address: "127.0.0.1:1", Zone: "hall-a", Mode: decide.Ready, StartedAt: clock.Unix(clock.NowMillis() - 500)})
+			list = append(list, relay.Endpoint{ID: id, Address: "127.0.0.1:1", Zone: "hall-a", Mode: decide.Ready, StartedAt: clock.UnixMillis(clock.NowMillis() - 500)})
 		}
 		x.UpdateEndpoints(decide.Cached, list)
 		calls := map[*relay.Request]float64{}
@@ -143,7 +143,7 @@
 				t.Errorf("%s: the loop does not come to rest: next in %v ms", what, next)
 				return
 			}
-			clock.Set(clock.NowMillis() + max(min(next, 5), 0.05))
+			clock.SetMillis(clock.NowMillis() + max(min(next, 5), 0.05))
 		}
 		if text := log.String(); strings.Contains(text, "panic") {
 			t.Errorf("%s: %.300s", what, text)
--- a/internal/wire/splice/link.go
+++ b/internal/wire/splice/link.go
@@ -58,7 +58,7 @@
 	case at == 0:
 		e.Conn.SetReadDeadline(time.Time{})
 	default:
-		e.Conn.SetReadDeadline(e.Clock.WallDeadline(at))
+		e.Conn.SetReadDeadline(e.Clock.WallDeadlineMillis(at))
 	}
 }
 
@@ -177,7 +177,7 @@
 
 // Forward writes to the connection.
 func (e *Half) Forward(p []byte) error {
-	e.Conn.SetWriteDeadline(e.Clock.WallDeadline(e.Clock.NowMillis() + WriteTimeout))
+	e.Conn.SetWriteDeadline(e.Clock.WallDeadlineMillis(e.Clock.NowMillis() + WriteTimeout))
 	_, err := e.Conn.Write(p)
 	return err
 }
@@ -200,7 +200,7 @@
 	case ok && how == relay.GracefulClose:
 		half.CloseWrite()
 		if !e.closingNow {
-			e.Conn.SetReadDeadline(e.Clock.WallDeadline(e.Clock.NowMillis() + lingerFor))
+			e.Conn.SetReadDeadline(e.Clock.WallDeadlineMillis(e.Clock.NowMillis() + lingerFor))
 		}
 	default:
 		raw := e.Conn
@@ -224,7 +224,7 @@
 		hurried := e.closeNowChannel()
 		e.mu.Unlock()
 		select {
-		case <-e.Clock.After(began + lingerFor - e.Clock.NowMillis()):
+		case <-e.Clock.AfterMillis(began + lingerFor - e.Clock.NowMillis()):
 		case <-hurried:
 		}
 	}
--- a/internal/wire/xmpp/server.go
+++ b/internal/wire/xmpp/server.go
@@ -350,7 +350,7 @@
 		return splice.ProbeStatus(err), report
 	}
 	defer conn.Close()
-	conn.SetDeadline(s.Clock.WallDeadline(s.Clock.NowMillis() + s.ConnectTimeout))
+	conn.SetDeadline(s.Clock.WallDeadlineMillis(s.Clock.NowMillis() + s.ConnectTimeout))
 	fmt.Fprintf(conn, "<?xml version='1.0'?><stream:stream to='%s' version='1.0' xmlns='jabber:client' xmlns:stream='%s'>",
 		escape(s.ProbeTo), streamsNS)
 	it, err := newReader(conn).next()
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -223,7 +223,7 @@
 	s.mu.Unlock()
 	select {
 	case <-done:
-	case <-s.Clock.After(within):
+	case <-s.Clock.AfterMillis(within):
 	}
 }
 
@@ -249,7 +249,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-s.Clock.After(pause * (0.5 + rand.Float64())):
+		case <-s.Clock.AfterMillis(pause * (0.5 + rand.Float64())):
 		}
 		pause = min(2*pause, mostPause)
 	}
@@ -336,7 +336,7 @@
 		s.mu.Unlock()
 		if len(out) > 0 {
 			last = now
-			n.SetWriteDeadline(s.Clock.WallDeadline(now + s.Timeout/3))
+			n.SetWriteDeadline(s.Clock.WallDeadlineMillis(now + s.Timeout/3))
 			if _, err := n.Write(out); err != nil {
 				n.Close()
 				return fmt.Errorf("write: %w", err)
@@ -349,7 +349,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-s.kick:
-		case <-s.Clock.After(max(1, last+pingEvery-s.Clock.NowMillis())):
+		case <-s.Clock.AfterMillis(max(1, last+pingEvery-s.Clock.NowMillis())):
 		}
 	}
 }
--- a/internal/wire/zookeeper/wire.go
+++ b/internal/wire/zookeeper/wire.go
@@ -47,14 +47,14 @@
 }
 
 func (n *conn) send(b record, within float64) error {
-	n.SetWriteDeadline(n.clock.WallDeadline(n.clock.NowMillis() + within))
+	n.SetWriteDeadline(n.clock.WallDeadlineMillis(n.clock.NowMillis() + within))
 	_, err := n.Write(append(record{}.i32(int32(len(b))), b...))
 	return err
 }
 
 // frame reads one frame. A read that a deadline cuts short before its first byte loses nothing.
 func (n *conn) frame(until float64) ([]byte, error) {
-	n.SetReadDeadline(n.clock.WallDeadline(until))
+	n.SetReadDeadline(n.clock.WallDeadlineMillis(until))
 	if _, err := n.r.Peek(4); err != nil {
 		return nil, err
 	}
