--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"math"
 	"net"
 	"os"
@@ -73,6 +74,9 @@
 		}
 		if math.Abs(sum-1) > 0.001 {
 			t.Errorf("the relays take %v of the budgets in %s", sum, zone)
+			for _, name := range slices.Sorted(maps.Keys(last)) {
+				t.Logf("last noted: %+v", last[name])
+			}
 		}
 	}
 }
