--- a/internal/wire/splice/link.go
+++ b/internal/wire/splice/half.go
@@ -2,17 +2,12 @@
 package splice
 
 import (
-	"context"
 	"crypto/tls"
-	"errors"
 	"io"
 	"net"
-	"os"
 	"sync"
-	"syscall"
 	"time"
 
-	"capersail/decide"
 	"capersail/internal/relay"
 )
 
@@ -115,66 +110,6 @@
 	return e.closeNowSignal
 }
 
-// ReadPending returns what has come and not been read, up to a line's length, without a wait. A read whose deadline has passed
-// does not look: a last line that came before a close would be thrown away unseen. Every later read returns at once.
-func (e *Half) ReadPending() []byte {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.Conn.SetReadDeadline(time.Unix(1, 0))
-	p := make([]byte, 4096)
-	n := e.controlDescriptor(func(fd int) (int, error) { return syscall.Read(fd, p) })
-	return p[:max(n, 0)]
-}
-
-// HasUnread tells whether the peer's end, or bytes of the peer, have come that nobody has read yet, without a wait.
-func (e *Half) HasUnread() bool { return e.peek() >= 0 }
-
-// PeerClosed is Pending for a peer that may say something at any time: only its end counts.
-func (e *Half) PeerClosed() bool { return e.peek() == 0 }
-
-// peek returns how much can be read at once, 0 at the peer's end, and a negative number if nothing has come.
-func (e *Half) peek() int {
-	p := make([]byte, 1)
-	return e.controlDescriptor(func(fd int) (int, error) {
-		n, _, err := syscall.Recvfrom(fd, p, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		if errors.Is(err, syscall.ECONNRESET) {
-			return 0, nil
-		}
-		return n, err
-	})
-}
-
-// controlDescriptor makes one call on the connection's descriptor, which may not wait. It is negative where that failed, or there is none.
-func (e *Half) controlDescriptor(call func(fd int) (int, error)) int {
-	conn := e.Conn
-	if t, ok := conn.(*tls.Conn); ok {
-		conn = t.NetConn()
-	}
-	sc, ok := conn.(syscall.Conn)
-	if !ok {
-		return -1
-	}
-	rc, err := sc.SyscallConn()
-	if err != nil {
-		return -1
-	}
-	n := -1
-	if rc.Control(func(fd uintptr) {
-		for {
-			var err error
-			if n, err = call(int(fd)); !errors.Is(err, syscall.EINTR) {
-				if err != nil {
-					n = -1
-				}
-				return
-			}
-		}
-	}) != nil {
-		return -1
-	}
-	return n
-}
-
 // Forward writes to the connection.
 func (e *Half) Forward(p []byte) error {
 	e.Conn.SetWriteDeadline(e.Clock.WallDeadlineMillis(e.Clock.NowMillis() + WriteTimeout))
@@ -233,51 +168,3 @@
 	}
 	e.Conn.Close()
 }
-
-// localErrors are what a dial fails with for want of something on this machine, a route or the right to it among them.
-var localErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
-	syscall.EPERM, syscall.ENETUNREACH, syscall.ENETDOWN}
-
-// DialStatus is the outcome of an attempt whose dial failed. One that failed for want of something of our
-// own, such as descriptors, says nothing of the server: taken for its failure it would leave a sound one out.
-func DialStatus(err error) decide.Status {
-	for _, errno := range localErrors {
-		if errors.Is(err, errno) {
-			return decide.Superseded
-		}
-	}
-	return decide.ConnectFailed
-}
-
-// ProbeStatus is the same for a probe, which tells a silent server from a dead one.
-func ProbeStatus(err error) decide.Status {
-	var slow net.Error
-	if errors.As(err, &slow) && slow.Timeout() {
-		return decide.TimedOut
-	}
-	return DialStatus(err)
-}
-
-// EndingOf tells a clean end from a break.
-func EndingOf(err error) relay.CloseKind {
-	if errors.Is(err, io.EOF) {
-		return relay.GracefulClose
-	}
-	return relay.AbortiveClose
-}
-
-// TimedOut tells whether a deadline or a wake cut a read short.
-func TimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
-
-// Dial connects. Keep-alive stays off: it notices nothing that the protocols' own lines do not.
-func Dial(ctx context.Context, addr string, within float64) (net.Conn, error) {
-	if err := reach(ctx, addr, within); err != nil {
-		return nil, err
-	}
-	d := net.Dialer{Timeout: relay.Duration(max(within, 1)), KeepAlive: -1}
-	conn, err := d.DialContext(ctx, "tcp", addr)
-	if err != nil {
-		return nil, err
-	}
-	return through(conn, addr), nil
-}
