--- a/internal/wire/connlimit/limiter.go
+++ b/internal/wire/connlimit/limiter.go
@@ -1,5 +1,6 @@
-// Package connlimit guards the client side against clients that take more than their part of descriptors,
-// memory and processor time. Every limit on clients that both fronts keep is here.
+// Package connlimit bounds what clients may take of this relay: descriptors, time without a request, kernel
+// buffers and log lines. Both fronts take their connections from it. It never closes a connection itself: only the
+// goroutine that reads one can tell whether its last line has come.
 package connlimit
 
 import (
@@ -17,129 +18,159 @@
 )
 
 const (
-	// RequestWithin is how long after its acceptance a connection without a request is closed; what it sends
-	// meanwhile does not renew it. A client that says nothing useful is owed a close within 3 s.
+	// RequestWithin is how long after its acceptance a connection without a request is closed, in milliseconds.
+	// What the client sends meanwhile does not renew it: one that says nothing useful is owed a close within 3 s.
 	RequestWithin = 2000.0
-	// socketBufferBytes bounds what the kernel holds of a client's bytes, each way. Left to itself it grows to
+	// socketBufferBytes bounds the kernel's buffer of a client's connection, each way. Left to itself it grows to
 	// megabytes for a client that sends without end, hundreds of times over.
 	socketBufferBytes = 32 << 10
-	// idleReserveFraction of the descriptors is never given to requests: connections that have not asked yet, or that
-	// are being told no, come and go there. They push one another out, the oldest first.
+	// idleReserveFraction of the descriptors is kept for connections without a request and for those that are being
+	// rejected. They evict one another, the oldest first.
 	idleReserveFraction = 1.0 / 8
 	minIdleReserve      = 8
-	// MaxEvicting bounds the idle connections that have been told to make room and have not yet; beyond it nothing is
+	// MaxEvicting bounds the connections that have been told to close and have not yet; beyond it nothing is
 	// accepted. Each takes no longer than its goroutine takes to look once at what has come.
 	MaxEvicting = 8
-	// logLinesPerSecond is how many log lines a second clients' faults may cause.
+	// logLinesPerSecond bounds the log lines that clients' faults may cause.
 	logLinesPerSecond = 5
+	// acceptRetryDelay is the pause after a failed accept.
+	acceptRetryDelay = 5 * time.Millisecond
+	// requestCost is how many descriptors a request holds: the client's and its server's.
+	requestCost = 2
 )
 
-// Limiter counts the descriptors that clients hold, with those of their connections to servers.
+// Limiter counts the descriptors that clients hold, with those of their connections to servers. Invariants, under mu:
+// descriptorsHeld - evicting never exceeds descriptorLimit by more than the connection just accepted, and
+// requestDescriptors leaves the idle reserve free. Its methods may be called by several goroutines.
 type Limiter struct {
 	Clock *relay.Clock
-	// Log is for clients' faults; it is thinned out, as a client must not write the log at full speed.
+	// Log is for clients' faults. It is sampled, as a client must not write the log at full speed.
 	Log zerolog.Logger
 
 	mu                 sync.Mutex
 	descriptorLimit    int
 	descriptorsHeld    int
 	requestDescriptors int       // of those held, the ones of requests
-	idlePermits        list.List // of *Pass without a request, or with their answer; the oldest first
-	evicting           int       // of those held, the ones that make room
-	evictionDone       sync.Cond // one of them has
-	draining           bool      // whoever brings no request now is sent away
+	idlePermits        list.List // of *Permit without a request, or with their answer; the oldest first
+	evicting           int       // of those held, the ones that have been told to close
+	evictionDone       sync.Cond // signalled as evicting falls
+	draining           bool      // connections that bring no request now are closed
 }
 
-// New returns a gate for so many descriptors.
-func New(clock *relay.Clock, room int, log zerolog.Logger) *Limiter {
-	g := &Limiter{Clock: clock, Log: log.Sample(&zerolog.BurstSampler{Burst: logLinesPerSecond, Period: time.Second})}
-	g.evictionDone.L = &g.mu
-	g.SetDescriptorLimit(room)
-	return g
+// New returns a limiter for descriptorLimit descriptors.
+func New(clock *relay.Clock, descriptorLimit int, log zerolog.Logger) *Limiter {
+	sampled := log.Sample(&zerolog.BurstSampler{Burst: logLinesPerSecond, Period: time.Second})
+	l := &Limiter{Clock: clock, Log: sampled}
+	l.evictionDone.L = &l.mu
+	l.SetDescriptorLimit(descriptorLimit)
+	return l
 }
 
-// SetDescriptorLimit changes how many descriptors there are. Requests that stand beyond it stay.
-func (g *Limiter) SetDescriptorLimit(room int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.descriptorLimit = room
+// SetDescriptorLimit changes how many descriptors there are. Requests beyond the new limit stay.
+func (l *Limiter) SetDescriptorLimit(descriptorLimit int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.descriptorLimit = descriptorLimit
 }
 
-// Serve accepts until the listener is closed, and gives each connection to serve in a goroutine of its own.
-func (g *Limiter) Serve(l net.Listener, serve func(*Permit)) error {
+// Serve accepts until the listener is closed, which is no error, and gives each connection to serve in a goroutine of
+// its own. The permit is released when serve returns.
+func (l *Limiter) Serve(listener net.Listener, serve func(*Permit)) error {
 	for {
-		g.mu.Lock()
-		for g.evicting >= MaxEvicting {
-			g.evictionDone.Wait()
-		}
-		g.mu.Unlock()
-		conn, err := l.Accept()
+		l.awaitEvictions()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // no descriptor is left all the same: one of the idle gives its own up
-			g.Log.Warn().Err(err).Msg("accept failed")
-			g.mu.Lock()
-			g.evictOldestIdle()
-			g.mu.Unlock()
-			time.Sleep(relay.Duration(5))
+		if err != nil {
+			l.recoverFromAccept(err)
 			continue
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			tcp.SetReadBuffer(socketBufferBytes)
 			tcp.SetWriteBuffer(socketBufferBytes)
 		}
-		p := g.admitConnection(conn)
+		permit := l.admitConnection(conn)
 		go func() {
-			defer p.release()
-			serve(p)
+			defer permit.release()
+			serve(permit)
 		}()
-		// The goroutine reads what has come before the next connection can push this one out.
+		// The goroutine reads what has come before the next connection can evict this one.
 		runtime.Gosched()
 	}
 }
 
-func (g *Limiter) admitConnection(conn net.Conn) *Permit {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.descriptorsHeld-g.evicting >= g.descriptorLimit {
-		g.evictOldestIdle()
+func (l *Limiter) awaitEvictions() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for l.evicting >= MaxEvicting {
+		l.evictionDone.Wait()
 	}
-	p := &Permit{Half: &splice.Half{Conn: conn, Clock: g.Clock}, RequestUntil: g.Clock.NowMillis() + RequestWithin, limiter: g, clientCounted: true}
-	p.idleElement = g.idlePermits.PushBack(p)
-	if g.descriptorsHeld++; g.draining {
-		p.Half.Wake()
+}
+
+// recoverFromAccept has one idle connection give its descriptor up: none is left, whatever the count says.
+func (l *Limiter) recoverFromAccept(err error) {
+	l.Log.Warn().Err(err).Msg("accept failed; evicting the oldest idle connection")
+	l.mu.Lock()
+	l.evictOldestIdle()
+	l.mu.Unlock()
+	time.Sleep(acceptRetryDelay)
+}
+
+func (l *Limiter) admitConnection(conn net.Conn) *Permit {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.descriptorsHeld-l.evicting >= l.descriptorLimit {
+		l.evictOldestIdle()
 	}
-	return p
+	permit := &Permit{
+		Half:          &splice.Half{Conn: conn, Clock: l.Clock},
+		RequestUntil:  l.Clock.NowMillis() + RequestWithin,
+		limiter:       l,
+		clientCounted: true,
+	}
+	permit.idleElement = l.idlePermits.PushBack(permit)
+	l.descriptorsHeld++
+	if l.draining {
+		permit.Half.Wake()
+	}
+	return permit
 }
 
-// evictOldestIdle has the oldest idle connection closed, if there is one. Its own goroutine does it, as it alone can tell whether the
-// last line has come meanwhile: closed from here, over a line that nobody had read, the client would have a reset for an
-// answer. The caller holds the lock.
-func (g *Limiter) evictOldestIdle() {
-	if e := g.idlePermits.Front(); e != nil {
-		p := e.Value.(*Permit)
-		g.idlePermits.Remove(e)
-		p.evicted = true
-		g.evicting++
-		p.Half.CloseNow()
+// evictOldestIdle tells the oldest idle connection to close, if there is one. Its own goroutine closes it: closed from
+// here, over a line that nobody had read, the client would get a reset. The caller holds the lock.
+func (l *Limiter) evictOldestIdle() {
+	oldest := l.idlePermits.Front()
+	if oldest == nil {
+		return
 	}
+	permit := oldest.Value.(*Permit)
+	l.idlePermits.Remove(oldest)
+	permit.evicted = true
+	l.evicting++
+	permit.Half.CloseNow()
+}
+
+// requestLimit is how many descriptors requests may hold. The caller holds the lock.
+func (l *Limiter) requestLimit() int {
+	reserve := max(minIdleReserve, int(float64(l.descriptorLimit)*idleReserveFraction))
+	return l.descriptorLimit - reserve
 }
 
-// Drain sends everyone away who has brought no request; who brings one now is served as ever. For a relay that leaves, and has
-// no more to do than this.
-func (g *Limiter) Drain() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.draining = true
-	for e := g.idlePermits.Front(); e != nil; e = e.Next() {
+// Drain closes every connection that has no request, now and from now on; one that brings a request first is served.
+// It is for a relay that shuts down.
+func (l *Limiter) Drain() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.draining = true
+	for e := l.idlePermits.Front(); e != nil; e = e.Next() {
 		e.Value.(*Permit).Half.Wake()
 	}
 }
 
-// DescriptorsHeld is how many descriptors clients hold, and their connections to servers.
-func (g *Limiter) DescriptorsHeld() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.descriptorsHeld
+// DescriptorsHeld is how many descriptors clients and their connections to servers hold.
+func (l *Limiter) DescriptorsHeld() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.descriptorsHeld
 }
--- a/internal/wire/connlimit/permit.go
+++ b/internal/wire/connlimit/permit.go
@@ -6,64 +6,37 @@
 	"capersail/internal/wire/splice"
 )
 
-// Permit is one client's connection, as the gate counts it.
+// Permit is one client's connection, as its Limiter counts it. The goroutine that serves the connection calls its methods.
 type Permit struct {
 	Half         *splice.Half
-	RequestUntil float64 // when it must have brought its request
+	RequestUntil float64 // when the client must have brought its request, in milliseconds of the limiter's clock
 
+	// The limiter's lock guards what follows.
 	limiter        *Limiter
-	idleElement    *list.Element // among the idle
-	clientCounted  bool          // its own descriptor is counted
+	idleElement    *list.Element // among the limiter's idlePermits
+	clientCounted  bool          // the client's descriptor is counted
 	requestCounted bool          // and counts as a request's
-	evicted        bool          // and is wanted
-	serverCounted  bool          // that of its connection to a server is counted
+	evicted        bool          // the connection has been told to close
+	serverCounted  bool          // the descriptor of its connection to a server is counted
 }
 
-// releaseClient takes the client's own descriptor out of the count. The caller holds the lock.
-func (p *Permit) releaseClient() {
-	p.returnToIdle()
-	if p.clientCounted {
-		p.clientCounted = false
-		p.limiter.descriptorsHeld--
-		p.cancelEviction()
-		p.limiter.idlePermits.Remove(p.idleElement)
-	}
-}
-
-// cancelEviction takes back that the connection was to make room. The caller holds the lock.
-func (p *Permit) cancelEviction() {
-	if p.evicted {
-		p.evicted = false
-		p.limiter.evicting--
-		p.limiter.evictionDone.Signal()
-	}
-}
-
-// returnToIdle puts a request's connection among the idle. The caller holds the lock.
-func (p *Permit) returnToIdle() {
-	if p.requestCounted {
-		p.requestCounted = false
-		p.limiter.requestDescriptors--
-		p.idleElement = p.limiter.idlePermits.PushBack(p)
-	}
-}
-
-// AcquireRequest takes the second descriptor that a request needs; false if requests have all they may. From then on
-// the connection is not pushed out, nor if it was to make room.
+// AcquireRequest takes the second descriptor that a request needs; false if requests hold all they may. From then on
+// the connection is not evicted, even if it had been told to close.
 func (p *Permit) AcquireRequest() bool {
-	g := p.limiter
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.requestDescriptors+2 > g.descriptorLimit-max(minIdleReserve, int(float64(g.descriptorLimit)*idleReserveFraction)) {
+	l := p.limiter
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.requestDescriptors+requestCost > l.requestLimit() {
 		return false
 	}
-	g.descriptorsHeld++
-	g.requestDescriptors += 2
-	p.requestCounted, p.serverCounted = true, true
-	g.idlePermits.Remove(p.idleElement)
+	l.descriptorsHeld++
+	l.requestDescriptors += requestCost
+	p.requestCounted = true
+	p.serverCounted = true
+	l.idlePermits.Remove(p.idleElement)
 	p.cancelEviction()
-	for g.descriptorsHeld-g.evicting > g.descriptorLimit && g.idlePermits.Len() > 0 {
-		g.evictOldestIdle()
+	for l.descriptorsHeld-l.evicting > l.descriptorLimit && l.idlePermits.Len() > 0 {
+		l.evictOldestIdle()
 	}
 	return true
 }
@@ -82,6 +55,7 @@
 	p.releaseClient()
 }
 
+// release takes everything out of the count that is still in it.
 func (p *Permit) release() {
 	p.limiter.mu.Lock()
 	defer p.limiter.mu.Unlock()
@@ -92,3 +66,35 @@
 		p.limiter.requestDescriptors--
 	}
 }
+
+// releaseClient takes the client's own descriptor out of the count. The caller holds the lock.
+func (p *Permit) releaseClient() {
+	p.returnToIdle()
+	if !p.clientCounted {
+		return
+	}
+	p.clientCounted = false
+	p.limiter.descriptorsHeld--
+	p.cancelEviction()
+	p.limiter.idlePermits.Remove(p.idleElement)
+}
+
+// cancelEviction takes the connection out of those that have been told to close. The caller holds the lock.
+func (p *Permit) cancelEviction() {
+	if !p.evicted {
+		return
+	}
+	p.evicted = false
+	p.limiter.evicting--
+	p.limiter.evictionDone.Signal()
+}
+
+// returnToIdle puts a request's connection among the idle. The caller holds the lock.
+func (p *Permit) returnToIdle() {
+	if !p.requestCounted {
+		return
+	}
+	p.requestCounted = false
+	p.limiter.requestDescriptors--
+	p.idleElement = p.limiter.idlePermits.PushBack(p)
+}
