--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -23,7 +23,7 @@
 A script has one step a line: "> TEXT" sends TEXT, "< WORD" waits for a line whose first word is WORD, "wait 1s"
 pauses; lines that begin with # are left out.`,
 		Args: arguments(cobra.ExactArgs(1)),
-		RunE: func(cmd *cobra.Command, args []string) error {
+		RunE: func(_ *cobra.Command, args []string) error {
 			conn, err := net.Dial("tcp", args[0])
 			if err != nil {
 				return err
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -123,7 +123,7 @@
 	root.AddCommand(
 		flags(&cobra.Command{Use: "serve", Short: "Serve, as LB_CONFIG and the flags say", Args: arguments(cobra.NoArgs), RunE: serve}),
 		p.demo(), p.config(), p.timeline(), p.members(), p.fleet(), p.client(),
-		&cobra.Command{Use: "version", Short: "Print the version", Args: arguments(cobra.NoArgs), Run: func(cmd *cobra.Command, _ []string) {
+		&cobra.Command{Use: "version", Short: "Print the version", Args: arguments(cobra.NoArgs), Run: func(_ *cobra.Command, _ []string) {
 			fmt.Fprintln(p.Out, "capersail", version())
 		}},
 	)
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -20,7 +20,7 @@
 		Use:   "check FILE...",
 		Short: "Check files of any kind; each problem is a line that names the file and the key",
 		Args:  arguments(cobra.MinimumNArgs(1)),
-		RunE: func(cmd *cobra.Command, files []string) error {
+		RunE: func(_ *cobra.Command, files []string) error {
 			var all []error
 			for _, f := range files {
 				kind, err := p.check(f)
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -42,7 +42,7 @@
 	c.PersistentFlags().StringVar(&s.to, "to", "", "only up to this `time`")
 
 	show := func(use, short string, args cobra.PositionalArgs, f func(io.Writer, *report.Report) error) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: arguments(args), RunE: func(cmd *cobra.Command, servers []string) error {
+		return &cobra.Command{Use: use, Short: short, Args: arguments(args), RunE: func(_ *cobra.Command, servers []string) error {
 			all, err := s.read(servers)
 			if err != nil {
 				return err
@@ -82,7 +82,7 @@
 func (p *Program) export(s *source) *cobra.Command {
 	var format, out string
 	c := &cobra.Command{Use: "export [SERVER...]", Short: "Write JSON lines, CSV, or a picture (PNG, SVG)", Args: arguments(cobra.ArbitraryArgs),
-		RunE: func(cmd *cobra.Command, servers []string) error {
+		RunE: func(_ *cobra.Command, servers []string) error {
 			if format == "" {
 				format = strings.TrimPrefix(filepath.Ext(out), ".")
 			}
--- a/internal/command/watch.go
+++ b/internal/command/watch.go
@@ -17,7 +17,7 @@
 
 func (p *Program) watch(s *source) *cobra.Command {
 	return &cobra.Command{Use: "watch [SERVER...]", Short: "The fleet as it goes: a terminal interface, or events through a pipe",
-		Args: arguments(cobra.ArbitraryArgs), RunE: func(cmd *cobra.Command, servers []string) error {
+		Args: arguments(cobra.ArbitraryArgs), RunE: func(_ *cobra.Command, servers []string) error {
 			if f, ok := p.Out.(*os.File); !ok || !isatty.IsTerminal(f.Fd()) {
 				return s.follow(p.Out, servers)
 			}
--- a/internal/observe/anomaly/depart_test.go
+++ b/internal/observe/anomaly/depart_test.go
@@ -211,7 +211,7 @@
 		s.hosts[0].silent, s.hosts[1].erring, s.hosts[2].late, s.hosts[3].slow = false, false, false, 0
 		s.run(20_000)
 		s.hosts[4].refusing = true
-		s.fault(5, UnannouncedDrain, func(h *host) { s.breaks(5, decide.Cancelled) })
+		s.fault(5, UnannouncedDrain, func(_ *host) { s.breaks(5, decide.Cancelled) })
 		s.fault(6, UnevenLoad, func(h *host) { h.extra = 0.8 })
 		s.fault(7, FrozenReport, func(h *host) { h.frozen = true })
 		s.run(14_000)
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -175,12 +175,12 @@
 }
 
 // Note puts word of another relay on the list of events: what it is now, and how that is known.
-func (w *Watcher) Note(relay, state, cause string) {
+func (w *Watcher) Note(member, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := w.x.Clock.UnixMillis(w.x.Clock.NowMillis())
-	what := "relay " + relay + ": " + state
-	if relay == "" {
+	what := "relay " + member + ": " + state
+	if member == "" {
 		what = "this relay: " + state
 	}
 	if cause != "" {
@@ -309,7 +309,7 @@
 		to = 1<<62 - 1
 	}
 	var bad error
-	err := s.Scan(bucketSteps, from, to, func(at int64, id string, v []byte) bool {
+	err := s.Scan(bucketSteps, from, to, func(_ int64, id string, v []byte) bool {
 		if q.Wants(id) {
 			var step timeline.Interval
 			if bad = cbor.Unmarshal(v, &step); bad != nil {
@@ -322,7 +322,7 @@
 		return true
 	})
 	if err == nil {
-		err = s.Scan(bucketBands, 0, to, func(at int64, id string, v []byte) bool {
+		err = s.Scan(bucketBands, 0, to, func(_ int64, id string, v []byte) bool {
 			if q.Wants(id) {
 				var b timeline.StatePeriod
 				if bad = cbor.Unmarshal(v, &b); bad != nil {
@@ -341,7 +341,7 @@
 	}
 	var events []anomaly.Event
 	if err == nil {
-		err = s.Scan(bucketEvents, 0, to, func(at int64, id string, v []byte) bool {
+		err = s.Scan(bucketEvents, 0, to, func(_ int64, _ string, v []byte) bool {
 			var e anomaly.Event
 			if bad = cbor.Unmarshal(v, &e); bad != nil {
 				return false
--- a/internal/simulation/capacity/capacity.go
+++ b/internal/simulation/capacity/capacity.go
@@ -24,30 +24,12 @@
 	return Size{Relays: 1100, Connections: 57e6, Deliveries: 11e6, Shards: 75_000, Listeners: 1.2e6, Regions: 5, Zones: 17}
 }
 
-// Today is a fleet of 300 relays with the target's load of one relay: what it carries in fact is not recorded here.
-func Today() Size {
-	t := Target()
-	part := 300 / t.Relays
-	return Size{Relays: 300, Connections: t.Connections * part, Deliveries: t.Deliveries * part, Shards: t.Shards * part,
-		Listeners: t.Listeners * part, Regions: t.Regions, Zones: t.Zones}
-}
-
 // ConnectionsPerRelay is the mean.
 func (s Size) ConnectionsPerRelay() float64 { return s.Connections / s.Relays }
 
 // DeliveriesPerRelay is the mean, a second.
 func (s Size) DeliveriesPerRelay() float64 { return s.Deliveries / s.Relays }
 
-// Budget is what control may cost one relay.
-type Budget struct {
-	Core           float64 // part of one core
-	MemoryMB       float64
-	BytesPerSecond float64 // each way
-}
-
-// ControlBudget is the operators' limit for control.
-func ControlBudget() Budget { return Budget{Core: 0.024, MemoryMB: 256, BytesPerSecond: 8000} }
-
 // Point is one measurement: a value at a size.
 type Point struct{ Size, Value float64 }
 
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -18,10 +18,10 @@
 // nowhere is a server side and a discovery that do nothing.
 type nowhere struct{}
 
-func (nowhere) StartAttempt(*relay.Request, relay.Attempt)                        {}
-func (nowhere) Probe(_ relay.Server, done func(decide.Status, decide.LoadReport)) {}
-func (nowhere) Watch()                                                            {}
-func (nowhere) Fetch()                                                            {}
+func (nowhere) StartAttempt(*relay.Request, relay.Attempt)                     {}
+func (nowhere) Probe(_ relay.Server, _ func(decide.Status, decide.LoadReport)) {}
+func (nowhere) Watch()                                                         {}
+func (nowhere) Fetch()                                                         {}
 func listText(whole bool, from, until int, mode string) string {
 	var entries []string
 	for i := from; i < until; i++ {
--- a/internal/simulation/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -103,7 +103,7 @@
 }
 
 // count is how many bytes and lines have come.
-func (l *countedLog) count() (bytes, lines int) {
+func (l *countedLog) count() (size, lines int) {
 	l.Lock()
 	defer l.Unlock()
 	return l.bytes, l.lines
--- a/internal/simulation/scale/calibrate.go
+++ b/internal/simulation/scale/calibrate.go
@@ -16,13 +16,13 @@
 func PacketCost(layout Layout) time.Duration {
 	const endpoints, rounds, size = 100, 200, 250
 	var kinds tally
-	network := network.New(network.Config{Place: func(string) network.Place { return layout.Place(0) }, Delay: layout.Delay, Inspect: kinds.packet})
-	network.Record()
+	simulated := network.New(network.Config{Place: func(string) network.Place { return layout.Place(0) }, Delay: layout.Delay, Inspect: kinds.packet})
+	simulated.Record()
 	var readers sync.WaitGroup
 	var all []memberlist.NodeAwareTransport
 	done := make(chan struct{})
 	for i := range endpoints {
-		t, err := network.Transport(hostOf(i), port, log.New(io.Discard, "", 0))
+		t, err := simulated.Transport(hostOf(i), port, log.New(io.Discard, "", 0))
 		if err != nil {
 			return 0
 		}
--- a/internal/simulation/scale/cost_test.go
+++ b/internal/simulation/scale/cost_test.go
@@ -161,7 +161,7 @@
 	})
 }
 
-func course(f *Fleet, done <-chan struct{}, real, cpu time.Duration) {
+func course(f *Fleet, done <-chan struct{}, wall, cpu time.Duration) {
 	for began := time.Now(); ; {
 		select {
 		case <-done:
@@ -169,7 +169,7 @@
 		case <-time.After(time.Second):
 		}
 		k := f.kinds.read()
-		fmt.Printf("%5.1f s %+v; real time %.1f s, processor time %.1f s; MB sent: views %d, push-pull %d, statuses %d, liveness %d\n", time.Since(began).Seconds(), f.State(),
-			(realNow() - real).Seconds(), (processorTime() - cpu).Seconds(), k[Views].Bytes/1e6, k[PushPull].Bytes/1e6, k[Statuses].Bytes/1e6, k[Liveness].Bytes/1e6)
+		fmt.Printf("%5.1f s %+v; wall time %.1f s, processor time %.1f s; MB sent: views %d, push-pull %d, statuses %d, liveness %d\n", time.Since(began).Seconds(), f.State(),
+			(realNow() - wall).Seconds(), (processorTime() - cpu).Seconds(), k[Views].Bytes/1e6, k[PushPull].Bytes/1e6, k[Statuses].Bytes/1e6, k[Liveness].Bytes/1e6)
 	}
 }
--- a/internal/simulation/scale/figures.go
+++ b/internal/simulation/scale/figures.go
@@ -64,17 +64,17 @@
 // End tells what the time since Observe has cost.
 func (o *Observation) End() Figures {
 	f, took := o.fleet, time.Since(o.began)
-	real, cpu := realNow()-o.real, processorTime()-o.cpu
+	elapsed, cpu := realNow()-o.real, processorTime()-o.cpu
 	figures := f.figures(f.Network.Recorded(), took)
-	figures.RealTook, figures.RealCPU = real, cpu
+	figures.RealTook, figures.RealCPU = elapsed, cpu
 	after := f.kinds.read()
 	for k := range after {
 		figures.Kinds[k].Messages, figures.Kinds[k].Bytes = after[k].Messages-o.before[k].Messages, after[k].Bytes-o.before[k].Bytes
 	}
 	figures.Refused = f.Network.Overflowed() - o.refused
 	each := took.Seconds() * float64(figures.Relays)
-	network := time.Duration(figures.Packets.Mean * each * float64(o.packetCost))
-	figures.NetworkCPU = network.Seconds() * 1000 / each
+	networkTime := time.Duration(figures.Packets.Mean * each * float64(o.packetCost))
+	figures.NetworkCPU = networkTime.Seconds() * 1000 / each
 	figures.CPU = cpu.Seconds()*1000/each - figures.NetworkCPU
 	figures.memory()
 	return figures
--- a/internal/testing/cluster/many_test.go
+++ b/internal/testing/cluster/many_test.go
@@ -122,7 +122,7 @@
 func TestManyRelaysAddUp(t *testing.T) {
 	pause := func(m *many, ms int) { m.pass(ms) }
 	troubles := map[string]func(m *many){
-		"calm":   func(m *many) {},
+		"calm":   func(_ *many) {},
 		"halves": func(m *many) { m.g.Split(parts(5)); m.g.Apply(); pause(m, 5000) },
 		"a zone cut off for 6 s": func(m *many) { // its relays and a third of the servers
 			m.g.Split(parts(3))
--- a/internal/testing/cluster/proving_test.go
+++ b/internal/testing/cluster/proving_test.go
@@ -138,7 +138,7 @@
 		}
 	}
 	split := func(parts ...int) func(*testing.T, *Cluster) {
-		return func(t *testing.T, g *Cluster) {
+		return func(_ *testing.T, g *Cluster) {
 			g.Split(parts)
 			g.Apply()
 			pause(6000)
@@ -148,12 +148,12 @@
 	if long() {
 		lossFor = 60_000
 	}
-	for what, break_ := range map[string]func(*testing.T, *Cluster){
+	for what, disturb := range map[string]func(*testing.T, *Cluster){
 		"halves":             split(0, 0, 0, 0, 1, 1, 1),
 		"majority, minority": split(0, 0, 0, 0, 0, 1, 1),
 		"three ways":         split(0, 0, 1, 1, 2, 2, 2),
-		"A does not hear B":  func(t *testing.T, g *Cluster) { g.Cut(1, 0, true); g.Apply(); pause(5000) },
-		"one hears nobody":   func(t *testing.T, g *Cluster) { cutIn(g, 2); pause(6000) },
+		"A does not hear B":  func(_ *testing.T, g *Cluster) { g.Cut(1, 0, true); g.Apply(); pause(5000) },
+		"one hears nobody":   func(_ *testing.T, g *Cluster) { cutIn(g, 2); pause(6000) },
 		"stopped, then woken": func(t *testing.T, g *Cluster) {
 			g.Stop(3)
 			await(t, patience(), "out", func() error { return g.without(3) })
@@ -174,7 +174,7 @@
 			took := await(t, patience(), "out of all views", func() error { return g.without(1) })
 			t.Logf("out of all views after %v", took.Round(10*time.Millisecond))
 		},
-		"half killed, back at once": func(t *testing.T, g *Cluster) {
+		"half killed, back at once": func(_ *testing.T, g *Cluster) {
 			for i := range 4 {
 				g.Kill(i)
 			}
@@ -229,7 +229,7 @@
 			t.Parallel()
 			g := lay(t, Plan{Relays: n}, n)
 			formed := await(t, patience()+10*time.Second, "at first", g.settled)
-			break_(t, g)
+			disturb(t, g)
 			if err := g.Heal(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/testing/cluster/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -30,7 +30,7 @@
 	"cont":  func(g *Cluster, s Step) error { g.Cont(s.Who); return nil },
 	"split": func(g *Cluster, s Step) error { g.Split(s.Parts); return g.Apply() },
 	"cut":   func(g *Cluster, s Step) error { g.Cut(s.Who, s.To, true); return g.Apply() },
-	"join":  func(g *Cluster, s Step) error { clear(g.cut); return g.Apply() },
+	"join":  func(g *Cluster, _ Step) error { clear(g.cut); return g.Apply() },
 	"loss":  func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Loss = s.Value }) },
 	"twice": func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Twice = s.Value }) },
 	"delay": func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.DelayMs = s.Value }) },
@@ -38,7 +38,7 @@
 		return g.all(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
 	},
 	"rate": func(g *Cluster, s Step) error { return g.Rule(s.Who, func(r *faultpoint.Rules) { r.Rate = s.Value }) },
-	"heal": func(g *Cluster, s Step) error { return g.Heal() },
+	"heal": func(g *Cluster, _ Step) error { return g.Heal() },
 }
 
 func (g *Cluster) all(change func(*faultpoint.Rules)) error {
--- a/internal/testing/fake/zookeeper.go
+++ b/internal/testing/fake/zookeeper.go
@@ -26,7 +26,6 @@
 	lastID   int64
 	zxid     int64
 	faults   zfaults
-	done     int // requests answered
 	thawed   *sync.Cond
 }
 
@@ -160,13 +159,6 @@
 	return all
 }
 
-// Done is how many requests were answered.
-func (z *ZooKeeper) Done() int {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	return z.done
-}
-
 // Expire forgets every session, with its ephemeral nodes.
 func (z *ZooKeeper) Expire() {
 	z.mu.Lock()
@@ -286,8 +278,8 @@
 	}
 }
 
-func (c *zkConn) event(kind int, path string) {
-	c.frame(str(u32(u32(u32(u64(u32(nil, -1), -1), 0), kind), 3), path), time.Time{})
+func (c *zkConn) event(kind int, node string) {
+	c.frame(str(u32(u32(u32(u64(u32(nil, -1), -1), 0), kind), 3), node), time.Time{})
 }
 
 func (c *zkConn) read() ([]byte, error) {
@@ -383,7 +375,6 @@
 		return false
 	}
 	c.session.heard = time.Now()
-	z.done++
 	in := &zin{p}
 	xid, op := in.i32(), in.i32()
 	code, body := 0, []byte(nil)
