--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -194,7 +194,7 @@
 // A reader that hangs on the socket is hung up on, others are answered, and the socket is its owner's only.
 func TestControlSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
-	s, err := control.Listen(path, control.Room{}, zerolog.Nop())
+	s, err := control.Listen(path, control.Sources{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +202,7 @@
 	if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 {
 		t.Errorf("mode %o", info.Mode().Perm())
 	}
-	if _, err := control.Listen(path, control.Room{}, zerolog.Nop()); err == nil {
+	if _, err := control.Listen(path, control.Sources{}, zerolog.Nop()); err == nil {
 		t.Error("two daemons on one socket")
 	}
 	var hanging []net.Conn
--- /dev/null
+++ b/internal/control/protocol.go
@@ -0,0 +1,38 @@
+package control
+
+import (
+	"encoding/json"
+	"net"
+	"time"
+
+	"capersail/internal/fleet/cells"
+	"capersail/internal/fleet/membership"
+	"capersail/internal/fleet/probing"
+	"capersail/internal/observe/anomaly"
+	"capersail/internal/observe/report"
+)
+
+// question is what is asked: of the fleet, or of time lines.
+type question struct {
+	Fleet bool `json:"fleet,omitempty"`
+	Looks bool `json:"looks,omitempty"`
+	report.Query
+}
+
+// reply is what comes back on a line.
+type reply struct {
+	Fleet   *membership.Report `json:"fleet,omitempty"`
+	Cells   *cells.Report      `json:"cells,omitempty"`
+	Looks   *probing.Report    `json:"looks,omitempty"`
+	Error   string             `json:"error,omitempty"`
+	Reports []*report.Report   `json:"reports,omitempty"`
+	Event   *anomaly.Event     `json:"event,omitempty"`
+}
+
+// replyWriter writes replies, each within writeTimeout.
+type replyWriter struct{ net.Conn }
+
+func (w replyWriter) send(r reply) error {
+	w.SetWriteDeadline(time.Now().Add(writeTimeout))
+	return json.NewEncoder(w.Conn).Encode(r)
+}
--- a/internal/lifecycle/members.go
+++ b/internal/lifecycle/members.go
@@ -185,7 +185,7 @@
 			return err
 		}
 		if m.Socket != "" {
-			if door, err = control.Listen(m.Socket, control.Room{Fleet: node, Looks: shared.Report, Cells: node.Cells}, log); err != nil {
+			if door, err = control.Listen(m.Socket, control.Sources{Fleet: node, Probing: shared.Report, Cells: node.Cells}, log); err != nil {
 				return fmt.Errorf("%s: socket: %w", path, err)
 			}
 		}
--- a/internal/lifecycle/timeline.go
+++ b/internal/lifecycle/timeline.go
@@ -100,7 +100,7 @@
 			if t.Socket == "" {
 				return nil
 			}
-			if door, err = control.Listen(t.Socket, control.Room{Watchers: watchers}, log); err != nil {
+			if door, err = control.Listen(t.Socket, control.Sources{Watchers: watchers}, log); err != nil {
 				return fmt.Errorf("%s: socket: %w", path, err)
 			}
 			return nil
--- a/internal/wire/splice/descriptor.go
+++ b/internal/wire/splice/descriptor.go
@@ -7,24 +7,27 @@
 	"time"
 )
 
-// ReadPending returns what has come and not been read, up to a line's length, without a wait. A read whose deadline has passed
-// does not look: a last line that came before a close would be thrown away unseen. Every later read returns at once.
+// pendingBytes is the length of the longest line.
+const pendingBytes = 4096
+
+// ReadPending returns what has come and not been read, up to pendingBytes, without a wait. A read whose deadline has passed
+// looks at nothing: a last line that came before a close would be discarded unseen. Every later read returns at once.
 func (e *Half) ReadPending() []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Conn.SetReadDeadline(time.Unix(1, 0))
-	p := make([]byte, 4096)
+	p := make([]byte, pendingBytes)
 	n := e.controlDescriptor(func(fd int) (int, error) { return syscall.Read(fd, p) })
 	return p[:max(n, 0)]
 }
 
-// HasUnread tells whether the peer's end, or bytes of the peer, have come that nobody has read yet, without a wait.
+// HasUnread tells, without a wait, whether bytes of the peer, or its end, have come that nobody has read yet.
 func (e *Half) HasUnread() bool { return e.peek() >= 0 }
 
-// PeerClosed is Pending for a peer that may say something at any time: only its end counts.
+// PeerClosed tells, without a wait, whether the peer's end is the next thing to read.
 func (e *Half) PeerClosed() bool { return e.peek() == 0 }
 
-// peek returns how much can be read at once, 0 at the peer's end, and a negative number if nothing has come.
+// peek returns how many bytes can be read at once (1 for any), 0 at the peer's end, and a negative number if nothing has come.
 func (e *Half) peek() int {
 	p := make([]byte, 1)
 	return e.controlDescriptor(func(fd int) (int, error) {
@@ -36,7 +39,8 @@
 	})
 }
 
-// controlDescriptor makes one call on the connection's descriptor, which may not wait. It is negative where that failed, or there is none.
+// controlDescriptor makes one call on the connection's descriptor, which must not wait, again after EINTR. It returns a
+// negative number where the call failed or there is no descriptor.
 func (e *Half) controlDescriptor(call func(fd int) (int, error)) int {
 	conn := e.Conn
 	if t, ok := conn.(*tls.Conn); ok {
--- a/internal/wire/splice/dial.go
+++ b/internal/wire/splice/dial.go
@@ -12,12 +12,16 @@
 	"capersail/internal/relay"
 )
 
-// localErrors are what a dial fails with for want of something on this machine, a route or the right to it among them.
-var localErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
-	syscall.EPERM, syscall.ENETUNREACH, syscall.ENETDOWN}
+// localErrors are what a dial fails with for want of something on this machine: a descriptor, memory, a route.
+var localErrors = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE,
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
+	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN,
+	syscall.EPERM,
+}
 
-// DialStatus is the outcome of an attempt whose dial failed. One that failed for want of something of our
-// own, such as descriptors, says nothing of the server: taken for its failure it would leave a sound one out.
+// DialStatus is the outcome of an attempt whose dial failed. A failure of this machine says nothing of the server: taken for
+// the server's it would eject a healthy one.
 func DialStatus(err error) decide.Status {
 	for _, errno := range localErrors {
 		if errors.Is(err, errno) {
@@ -27,7 +31,7 @@
 	return decide.ConnectFailed
 }
 
-// ProbeStatus is the same for a probe, which tells a silent server from a dead one.
+// ProbeStatus is DialStatus for a probe, which tells a server that does not answer from one that refuses.
 func ProbeStatus(err error) decide.Status {
 	var slow net.Error
 	if errors.As(err, &slow) && slow.Timeout() {
@@ -36,7 +40,7 @@
 	return DialStatus(err)
 }
 
-// EndingOf tells a clean end from a break.
+// EndingOf is how a connection ended whose read returned err: cleanly after io.EOF, abortively otherwise.
 func EndingOf(err error) relay.CloseKind {
 	if errors.Is(err, io.EOF) {
 		return relay.GracefulClose
@@ -44,10 +48,10 @@
 	return relay.AbortiveClose
 }
 
-// TimedOut tells whether a deadline or a wake cut a read short.
+// TimedOut tells whether a deadline or a Wake cut a read short.
 func TimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// Dial connects. Keep-alive stays off: it notices nothing that the protocols' own lines do not.
+// Dial connects within so many milliseconds, 1 at least. TCP keep-alive stays off: the protocols have their own.
 func Dial(ctx context.Context, addr string, within float64) (net.Conn, error) {
 	if err := reach(ctx, addr, within); err != nil {
 		return nil, err
--- a/internal/wire/splice/half.go
+++ b/internal/wire/splice/half.go
@@ -1,4 +1,5 @@
-// Package splice is one TCP or TLS connection as the two sides of a call share it.
+// Package splice is one TCP or TLS connection as the two sides of a request share it: the goroutine that reads it, the other
+// side's goroutine, which writes and ends it, and the event loop, which wakes it. It knows no protocol.
 package splice
 
 import (
@@ -11,19 +12,20 @@
 	"capersail/internal/relay"
 )
 
-// WriteTimeout bounds every write: a peer that takes nothing for so long has its connection ended.
+// WriteTimeout bounds every write, in milliseconds: a peer that takes nothing for so long has its connection ended.
 const WriteTimeout = 1000.0
 
-// lingerFor is how long a connection that was ended cleanly waits for the other end. Closing one with
-// unread bytes makes the kernel send a reset, which can overtake and destroy the last line written. Beyond
-// lingerBytes nothing more is read: to throw away what a client sends at full speed costs processor time.
 const (
-	lingerFor   = 500.0
+	// lingerFor is how long, in milliseconds, a connection that was closed cleanly waits for its peer's end. A close over
+	// unread bytes makes the kernel send a reset, which can overtake and destroy the last line written.
+	lingerFor = 500.0
+	// lingerBytes bounds what is read and discarded meanwhile: a client that sends at full speed costs processor time.
 	lingerBytes = 256 << 10
 )
 
-// Half is one connection's end of a call, for the other side's goroutine and the core loop. A sticky wake
-// makes a pending read return at once; a write never waits longer than WriteWithin.
+// Half is one of the two connections of a request. Its methods may be called by several goroutines; only one of them reads.
+// A wake is sticky: reads return at once until ClearWake. A write never waits longer than WriteTimeout.
+// Once closed, a Half stays closed.
 type Half struct {
 	mu     sync.Mutex
 	Conn   net.Conn // nil while it is dialled
@@ -31,12 +33,12 @@
 	Stop   func() // ends the dial, if there is one
 	woken  bool
 	closed bool
-	// hurried is closed once the connection's descriptor is wanted; nil until somebody needs to know.
+	// closeNowSignal is closed by CloseNow; nil until somebody waits for it.
 	closeNowSignal chan struct{}
 	closingNow     bool
 }
 
-// Attach gives the end its connection once it is dialled; false if it was closed meanwhile.
+// Attach sets the connection once it is dialled. It tells whether the Half is still open.
 func (e *Half) Attach(conn net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,7 +46,7 @@
 	return !e.closed
 }
 
-// SetReadUntil sets when a pending read returns at the latest, unless the end has been woken already; 0 is never.
+// SetReadUntil sets when a read returns at the latest, in milliseconds of the clock; 0 is never. It has no effect after a wake.
 func (e *Half) SetReadUntil(at float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,21 +59,21 @@
 	}
 }
 
-// Closed tells whether the end has been closed: by its call's other side, or because the attempt is called off.
+// Closed tells whether Close was called: by the request's other side, or because the attempt is cancelled.
 func (e *Half) Closed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.closed
 }
 
-// ClearWake lets reads wait again after a wake.
+// ClearWake lets reads wait again after a Wake.
 func (e *Half) ClearWake() {
 	e.mu.Lock()
 	e.woken = false
 	e.mu.Unlock()
 }
 
-// Wake makes the goroutine that reads the connection look at its call.
+// Wake makes the goroutine that reads the connection look at its request.
 func (e *Half) Wake() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,7 +83,7 @@
 	}
 }
 
-// CloseNow makes the goroutine that reads the connection end it without a wait, even one for the peer's end.
+// CloseNow makes the goroutine that reads the connection close it without any wait, even one for the peer's end.
 func (e *Half) CloseNow() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,7 +104,7 @@
 	return e.closingNow
 }
 
-// closeNowChannel is the channel that Hurry closes. The caller holds the lock.
+// closeNowChannel is the channel that CloseNow closes. The caller holds the lock.
 func (e *Half) closeNowChannel() chan struct{} {
 	if e.closeNowSignal == nil {
 		e.closeNowSignal = make(chan struct{})
@@ -117,8 +119,8 @@
 	return err
 }
 
-// Close ends the connection: cleanly, with a bounded wait for the peer's end, or with a reset. The
-// goroutine that reads the connection closes it for good.
+// Close ends the connection: cleanly, with a bounded wait for the peer's end, or with a reset. It is idempotent. The
+// goroutine that reads the connection releases the descriptor.
 func (e *Half) Close(how relay.CloseKind) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -149,8 +151,8 @@
 	}
 }
 
-// CloseAndDiscard throws away what still comes, until the peer's end, the bounded wait or Hurry, then closes for good. A peer
-// that goes on sending is left to its full buffers until then, so that it can read the last line first.
+// CloseAndDiscard closes cleanly, discards what still comes until the peer's end, the bounded wait or CloseNow, and releases the
+// descriptor. A peer that goes on sending is left to its full buffers until then, so that it can read the last line first.
 func (e *Half) CloseAndDiscard() {
 	began := e.Clock.NowMillis()
 	e.Close(relay.GracefulClose)
