--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -27,16 +27,16 @@
 )
 
 const (
-	// within is what a caller may take for a whole call, and what an answer may take to be written: the operators
-	// want every answer within 1 s, beside callers that hold a connection for 4 s without a whole call.
-	within = time.Second
-	// MostConnections is how many of the second address's connections are held at once. Beyond it the oldest one
+	// callTimeout is what a caller may take for a whole call, and what an answer may take to be written: the operators
+	// want every answer callTimeout 1 s, beside callers that hold a connection for 4 s without a whole call.
+	callTimeout = time.Second
+	// MaxConnections is how many of the second address's connections are held at once. Beyond it the oldest one
 	// that has not sent a whole call is closed: a crowd of silent callers then pushes out only each other.
-	MostConnections = 32
+	MaxConnections = 32
 )
 
-// ErrUnknown answers a call about a tile server that was never listed.
-var ErrUnknown = manualeject.ErrNeverListed
+// ErrNeverListed answers a call about a tile server that was never listed.
+var ErrNeverListed = manualeject.ErrNeverListed
 
 // Relay is what the second address asks of the relay. Its methods must not block for long.
 type Relay interface {
@@ -46,16 +46,16 @@
 	Drain(on bool)
 	// Down takes a tile server out by hand, Up lets it serve again. Either fails with ErrUnknown for an id that was
 	// never listed; the ban is kept before they return.
-	Down(id string) error
-	Up(id string) error
+	Eject(id string) error
+	Readmit(id string) error
 }
 
 // Server serves the second address.
 type Server struct {
-	http  *http.Server
-	l     *bounded
-	relay Relay
-	log   zerolog.Logger
+	http     *http.Server
+	listener *boundedListener
+	relay    Relay
+	log      zerolog.Logger
 }
 
 // Listen binds the address. The figures are those gathered by figures.
@@ -64,33 +64,33 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	s := &Server{relay: relay, log: log, l: &bounded{Listener: l, most: MostConnections, open: map[net.Conn]bool{}}}
+	s := &Server{relay: relay, log: log, listener: &boundedListener{Listener: l, limit: MaxConnections, silent: map[net.Conn]bool{}}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /ops/readiness", s.readiness)
+	mux.HandleFunc("GET /ops/readiness", s.handleReadiness)
 	mux.Handle("GET /ops/stats", promhttp.HandlerFor(figures, promhttp.HandlerOpts{ErrorHandling: promhttp.ContinueOnError}))
-	mux.HandleFunc("POST /ops/tile-servers/down/{id}", s.tileServer(relay.Down))
-	mux.HandleFunc("POST /ops/tile-servers/up/{id}", s.tileServer(relay.Up))
-	mux.HandleFunc("POST /ops/drain/start", s.drain(true))
-	mux.HandleFunc("POST /ops/drain/stop", s.drain(false))
+	mux.HandleFunc("POST /ops/tile-servers/down/{id}", s.ejectionHandler(relay.Eject))
+	mux.HandleFunc("POST /ops/tile-servers/up/{id}", s.ejectionHandler(relay.Readmit))
+	mux.HandleFunc("POST /ops/drain/start", s.drainHandler(true))
+	mux.HandleFunc("POST /ops/drain/stop", s.drainHandler(false))
 	s.http = &http.Server{
-		Handler:           closing(mux),
-		ReadHeaderTimeout: within,
-		ReadTimeout:       within,
-		WriteTimeout:      within,
-		IdleTimeout:       within,
+		Handler:           closeAfterCall(mux),
+		ReadHeaderTimeout: callTimeout,
+		ReadTimeout:       callTimeout,
+		WriteTimeout:      callTimeout,
+		IdleTimeout:       callTimeout,
 		MaxHeaderBytes:    8 << 10,
-		ConnState:         s.l.state,
+		ConnState:         s.listener.trackState,
 	}
 	s.http.SetKeepAlivesEnabled(false)
 	return s, nil
 }
 
 // Addr is where it listens.
-func (s *Server) Addr() net.Addr { return s.l.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Serve answers calls until Close.
 func (s *Server) Serve() error {
-	if err := s.http.Serve(s.l); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("admin: %w", err)
 	}
 	return nil
@@ -105,15 +105,15 @@
 	return ctx
 }
 
-// closing makes every answer the last one of its connection: one call a connection.
-func closing(h http.Handler) http.Handler {
+// closeAfterCall makes every answer the last one of its connection: one call a connection.
+func closeAfterCall(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Connection", "close")
 		h.ServeHTTP(w, r)
 	})
 }
 
-func (s *Server) readiness(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if s.relay.Ready() {
 		fmt.Fprintln(w, "ready")
 		return
@@ -121,7 +121,7 @@
 	http.Error(w, "not ready", http.StatusServiceUnavailable)
 }
 
-func (s *Server) drain(on bool) http.HandlerFunc {
+func (s *Server) drainHandler(on bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		s.relay.Drain(on)
 		s.log.Info().Bool("draining", on).Msg("drain by hand")
@@ -129,12 +129,12 @@
 	}
 }
 
-func (s *Server) tileServer(do func(string) error) http.HandlerFunc {
+func (s *Server) ejectionHandler(do func(string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
 		err := do(id)
 		switch {
-		case errors.Is(err, ErrUnknown):
+		case errors.Is(err, ErrNeverListed):
 			http.Error(w, err.Error(), http.StatusNotFound)
 		case err != nil:
 			s.log.Error().Err(err).Str("server", id).Msg("a ban cannot be kept")
@@ -146,57 +146,57 @@
 	}
 }
 
-// bounded is a listener that holds at most so many connections. When a new one would be one too many, the oldest
+// boundedListener is a listener that holds at most so many connections. When a new one would be one too many, the oldest
 // that has not yet sent a whole call is closed.
-type bounded struct {
+type boundedListener struct {
 	net.Listener
-	most int
+	limit int
 
-	mu    sync.Mutex
-	open  map[net.Conn]bool // true while no whole call has come on it
-	order []net.Conn        // in the order they came; those closed or asked are skipped
+	mu       sync.Mutex
+	silent   map[net.Conn]bool // true while no whole call has come on it
+	arrivals []net.Conn        // in the order they came; those closed or asked are skipped
 }
 
-// state follows each connection through the server.
-func (b *bounded) state(c net.Conn, st http.ConnState) {
+// trackState follows each connection through the server.
+func (b *boundedListener) trackState(c net.Conn, st http.ConnState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch st {
 	case http.StateActive:
-		if _, ok := b.open[c]; ok {
-			b.open[c] = false
+		if _, ok := b.silent[c]; ok {
+			b.silent[c] = false
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(b.open, c)
+		delete(b.silent, c)
 	}
 }
 
 // Accept makes room for the new connection first.
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *boundedListener) Accept() (net.Conn, error) {
 	c, err := b.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.open) >= b.most && len(b.order) > 0 {
-		old := b.order[0]
-		b.order = b.order[1:]
-		if fresh := b.open[old]; fresh {
-			delete(b.open, old)
+	for len(b.silent) >= b.limit && len(b.arrivals) > 0 {
+		old := b.arrivals[0]
+		b.arrivals = b.arrivals[1:]
+		if fresh := b.silent[old]; fresh {
+			delete(b.silent, old)
 			old.Close()
 		}
 	}
-	b.open[c] = true
-	b.order = append(b.order, c)
-	if len(b.order) > 4*b.most { // what is closed or asked leaves the queue
-		kept := b.order[:0]
-		for _, o := range b.order {
-			if b.open[o] {
+	b.silent[c] = true
+	b.arrivals = append(b.arrivals, c)
+	if len(b.arrivals) > 4*b.limit { // what is closed or asked leaves the queue
+		kept := b.arrivals[:0]
+		for _, o := range b.arrivals {
+			if b.silent[o] {
 				kept = append(kept, o)
 			}
 		}
-		b.order = kept
+		b.arrivals = kept
 	}
 	return c, nil
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -29,16 +29,16 @@
 	defer r.mu.Unlock()
 	r.ready = !on
 }
-func (r *fakeRelay) Down(id string) error {
+func (r *fakeRelay) Eject(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if id != "s1" {
-		return fmt.Errorf("down %s: %w", id, ErrUnknown)
+		return fmt.Errorf("down %s: %w", id, ErrNeverListed)
 	}
 	r.out[id] = true
 	return nil
 }
-func (r *fakeRelay) Up(id string) error {
+func (r *fakeRelay) Readmit(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.out, id)
@@ -141,7 +141,7 @@
 	base, _, s := serveOn(t)
 	address := strings.TrimPrefix(base, "http://")
 	var silent []net.Conn
-	for range 3 * MostConnections {
+	for range 3 * MaxConnections {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -155,11 +155,11 @@
 			t.Fatalf("beside a crowd: %d", code)
 		}
 	}
-	s.l.mu.Lock()
-	if held := len(s.l.open); held > MostConnections {
-		t.Errorf("%d connections held, at most %d wanted", held, MostConnections)
+	s.listener.mu.Lock()
+	if held := len(s.listener.silent); held > MaxConnections {
+		t.Errorf("%d connections held, at most %d wanted", held, MaxConnections)
 	}
-	s.l.mu.Unlock()
+	s.listener.mu.Unlock()
 	for i, c := range silent { // each is closed, pushed out or at the end of its second; an answer (408) is as good
 		c.SetReadDeadline(time.Now().Add(30 * time.Second))
 		_, err := bufio.NewReader(c).ReadString('\n')
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -20,7 +20,7 @@
 
 const (
 	// adminSockets are the descriptors the second address may hold; the clients have them less.
-	adminSockets = admin.MostConnections
+	adminSockets = admin.MaxConnections
 	// ejectionPollInterval is how often the bans that another process of the relay may have changed are read, in ms. A ban
 	// binds 500 ms after its yes: this leaves four looks and the time to tell the module.
 	ejectionPollInterval = 100.0
@@ -144,8 +144,8 @@
 	return fractionOf(all, (migrationDeadline-since)/(migrationDeadline-migrationDelay))
 }
 
-// Down takes a tile server out by hand. The ban is kept, and the module told, before the yes.
-func (o *adminTarget) Down(id string) error {
+// Eject takes a tile server out by hand. The ban is kept, and the module told, before the yes.
+func (o *adminTarget) Eject(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	changed, err := o.ejections.Eject(o.now(), id, o.knowsServer(id))
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Up lets a tile server serve again.
-func (o *adminTarget) Up(id string) error {
+// Readmit lets a tile server serve again.
+func (o *adminTarget) Readmit(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	since, _ := o.ejections.EjectedFor(o.now(), id)
