--- a/decide/actions.go
+++ b/decide/actions.go
@@ -2,25 +2,41 @@
 
 import "time"
 
-// RejectReason says what stood in the way of a request that gets no server. It is told to people; nothing is decided by it.
+// RejectReason says why a request got no server. It is told to people; nothing is decided by it.
 type RejectReason uint8
 
 // The reasons.
 const (
 	NoReason             RejectReason = iota
-	NoServer                          // none is listed, well and allowed
-	NoCapacity                        // the best one found has no room, or others will fill it
-	AttemptsExhausted                 // its attempt failed, and its tries are used up
+	NoServer                          // none is listed, not ejected and allowed
+	NoCapacity                        // the best one found has no capacity left, or others will fill it
+	AttemptsExhausted                 // its attempt failed, and no retry is planned any more
 	RetryBudgetExhausted              // its attempt failed, and its tenant has no retry token
 	DeadlineNear                      // its attempt failed too near its deadline
 	MayHaveRun                        // its attempt may have run, and the class may not run twice
+	rejectReasons
 )
 
-func (w RejectReason) String() string {
-	return [...]string{"", "no server", "no room", "no retry", "no retry tokens", "no time", "may have run"}[min(w, MayHaveRun)]
+// rejectReasonNames are the names that metrics and time lines have.
+var rejectReasonNames = [rejectReasons]string{
+	NoReason:             "",
+	NoServer:             "no server",
+	NoCapacity:           "no room",
+	AttemptsExhausted:    "no retry",
+	RetryBudgetExhausted: "no retry tokens",
+	DeadlineNear:         "no time",
+	MayHaveRun:           "may have run",
 }
 
-// Action is something a Balancer wants done. The types that implement it are all in this file.
+// String is the reason as metrics and time lines have it.
+func (r RejectReason) String() string {
+	if r >= rejectReasons {
+		return "unknown"
+	}
+	return rejectReasonNames[r]
+}
+
+// Action is something that a Balancer wants done. The types that implement it are all in this file.
 type Action interface{ action() }
 
 type (
@@ -28,38 +44,38 @@
 	Forward struct {
 		ID      RequestID
 		Server  ServerID
-		Timeout time.Duration
+		Timeout time.Duration // for the set-up of its connection
 	}
-	// Reject is a final answer: no, and a new try does no harm.
+	// Reject is a final answer: no, and a new attempt does no harm.
 	Reject struct {
 		ID         RequestID
-		RetryAfter time.Duration
+		RetryAfter time.Duration // 0 for none
 		Reason     RejectReason
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer that promises nothing: the request may have run.
 	Fail struct {
 		ID     RequestID
 		Reason RejectReason
 	}
 	// Migrate ends an open connection politely; its client comes again.
 	Migrate struct{ ID RequestID }
-	// Probe asks a backend for its load.
+	// Probe asks a server for its load.
 	Probe struct{ Server ServerID }
-	// Timer asks for an Alarm.
+	// Timer asks for a TimerFired with the token.
 	Timer struct {
 		After time.Duration
 		Token uint64
 	}
-	// Subscribe asks discovery for changes from now on.
+	// Subscribe polls discovery, for changes from now on.
 	Subscribe struct{}
-	// FetchSnapshot asks discovery for the whole list once.
+	// FetchSnapshot asks discovery for the complete list once.
 	FetchSnapshot struct{}
 	// CancelAttempt stops the wait for an attempt.
 	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
 	}
-	// CloseIdleConnections closes this relay's idle connections to a backend.
+	// CloseIdleConnections closes this relay's idle connections to a server.
 	CloseIdleConnections struct{ Server ServerID }
 	// SendToPeer sends bytes to a peer, or to all of them if Peer is negative.
 	SendToPeer struct {
--- /dev/null
+++ b/decide/balancer.go
@@ -0,0 +1,216 @@
+package decide
+
+import "time"
+
+// Balancer makes one relay's decisions. It routes each event to the parts that it concerns; what they decide
+// stands in their files. It is not safe for use by several goroutines at once.
+type Balancer struct {
+	*environment
+
+	// What is known.
+	endpoints *endpointSet
+	requests  *requestTable
+	fleet     *fleetView
+	arrivals  *arrivalRate
+	load      *loadModel
+	pool      *probePool
+	timeouts  *setupTimeouts
+	retries   *retryBudget
+
+	// What is decided by it.
+	outliers   *outlierRule
+	dispatch   *dispatcher
+	retry      *retryRule
+	rejections *rejectionRule
+	polling    *discoveryPolling
+	rebalance  *rebalancer
+}
+
+// New returns the Balancer of a relay that has just started. Settings that make no sense are replaced by the
+// nearest that do. The same settings, seed and events bring the same actions.
+func New(settings Settings, seed uint64) *Balancer {
+	settings = validSettings(settings)
+	env := newEnvironment(settings, seed)
+	endpoints := newEndpointSet(settings.Zones)
+	requests := newRequestTable(env, endpoints)
+	fleet := newFleetView(settings.Relays)
+	arrivals := &arrivalRate{environment: env}
+	load := &loadModel{
+		environment: env,
+		endpoints:   endpoints,
+		requests:    requests,
+		fleet:       fleet,
+		quota:       newQuota(settings.Tenants),
+	}
+	b := &Balancer{
+		environment: env,
+		endpoints:   endpoints,
+		requests:    requests,
+		fleet:       fleet,
+		arrivals:    arrivals,
+		load:        load,
+		timeouts:    &setupTimeouts{environment: env},
+		retries:     newRetryBudget(len(settings.Tenants)),
+		rejections:  &rejectionRule{environment: env, requests: requests},
+		polling:     &discoveryPolling{environment: env, fleet: fleet},
+	}
+	b.outliers = &outlierRule{environment: env, timeouts: b.timeouts}
+	b.retry = &retryRule{environment: env, budget: b.retries, rejections: b.rejections}
+	b.pool = &probePool{
+		environment: env,
+		endpoints:   endpoints,
+		fleet:       fleet,
+		load:        load,
+		outliers:    b.outliers,
+		probeRTT:    firstProbeRoundTrip,
+	}
+	b.buildPlacement()
+	return b
+}
+
+// buildPlacement puts together the parts that choose servers, from those that New has made.
+func (b *Balancer) buildPlacement() {
+	affinity := &groupAffinity{environment: b.environment, endpoints: b.endpoints}
+	admission := &admission{
+		environment: b.environment,
+		endpoints:   b.endpoints,
+		pool:        b.pool,
+		load:        b.load,
+		arrivals:    b.arrivals,
+		fleet:       b.fleet,
+	}
+	placement := &placement{
+		environment: b.environment,
+		endpoints:   b.endpoints,
+		pool:        b.pool,
+		affinity:    affinity,
+		load:        b.load,
+		admission:   admission,
+		budget: &slowStartBudget{
+			environment: b.environment,
+			endpoints:   b.endpoints,
+			requests:    b.requests,
+			arrivals:    b.arrivals,
+			fleet:       b.fleet,
+			load:        b.load,
+		},
+	}
+	b.dispatch = &dispatcher{
+		environment: b.environment,
+		endpoints:   b.endpoints,
+		requests:    b.requests,
+		pool:        b.pool,
+		affinity:    affinity,
+		placement:   placement,
+		admission:   admission,
+		timeouts:    b.timeouts,
+		polling:     b.polling,
+		rejections:  b.rejections,
+	}
+	b.rebalance = &rebalancer{
+		environment: b.environment,
+		endpoints:   b.endpoints,
+		requests:    b.requests,
+		fleet:       b.fleet,
+		pool:        b.pool,
+		load:        b.load,
+		placement:   placement,
+		dispatch:    b.dispatch,
+	}
+}
+
+// Handle takes one event and appends what is to be done about it to out. Time never goes back.
+func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
+	b.begin(now, out)
+	switch e := ev.(type) {
+	case WatchEvent:
+		b.recordWatchEvent(e)
+	case Request:
+		r := b.requests.trackRequest(e)
+		b.arrivals.recordRequest()
+		b.retries.earn(r.Tenant)
+		b.dispatch.probeThenPlace(r)
+	case Inherited:
+		b.requests.trackInherited(e)
+		b.rebalance.scheduleLoadWatch()
+	case Opened:
+		b.recordOpened(e)
+	case Outcome:
+		b.recordOutcome(e)
+	case ClientGone:
+		if r := b.requests.requests[e.ID]; r != nil {
+			b.requests.endRequest(r)
+		}
+	case TimerFired:
+		b.resumeTimer(e.Token)
+	case ProbeResult:
+		b.recordProbeResult(e)
+	case GossipReading:
+		b.pool.recordGossip(e)
+	case FleetStatus:
+		b.fleet.recordFleetStatus(e)
+	case MessageDelay:
+		if r := b.requests.requests[e.ID]; r != nil {
+			b.pool.recordMessageDelay(e, r)
+		}
+	}
+	return b.actions
+}
+
+func (b *Balancer) recordWatchEvent(e WatchEvent) {
+	if e.Kind == WatchFailed {
+		b.polling.recordPollFailure()
+		return
+	}
+	b.polling.recordAnswer(e.Kind)
+	b.endpoints.apply(e, b.now, b.settings.Rules.SlowStartWindow)
+	b.dispatch.releaseListWaiters()
+}
+
+func (b *Balancer) recordOpened(e Opened) {
+	b.timeouts.recordSetupLatency(e.SetupLatency)
+	b.endpoints.stateOf(e.Server).health.consecutiveErrors = 0
+	r := b.requests.requests[e.ID]
+	if r == nil || r.phase == phaseDone {
+		return
+	}
+	r.phase = phaseOpen
+	b.rejections.keyFailures.clearFailures(r.Key)
+	b.rebalance.scheduleLoadWatch()
+}
+
+// recordOutcome ends an attempt. If it was never opened, its request gets a retry or a final answer.
+func (b *Balancer) recordOutcome(e Outcome) {
+	r := b.requests.requests[e.ID]
+	if r == nil || r.attempts == 0 {
+		return
+	}
+	phase := r.phase
+	b.requests.removeConnection(r)
+	b.outliers.recordAttempt(b.endpoints.stateOf(e.Server), e.Status, phase)
+	if e.Closed || phase == phaseDone || phase == phaseOpen {
+		b.requests.endRequest(r)
+		return
+	}
+	b.requests.recordRun(r, e)
+	b.retry.retryOrReject(r)
+}
+
+func (b *Balancer) recordProbeResult(e ProbeResult) {
+	b.pool.recordProbeResult(e)
+	b.rebalance.recordProbeResult(e)
+	b.dispatch.countProbeResult()
+}
+
+func (b *Balancer) resumeTimer(token uint64) {
+	switch id := token / timerKinds; token % timerKinds {
+	case timerRequest:
+		b.dispatch.resume(RequestID(id))
+	case timerLoadWatch:
+		b.rebalance.watchLoad()
+	case timerDiscovery:
+		b.polling.pollDiscovery(id)
+	case timerMigrate:
+		b.rebalance.migrateExcess(ServerID(id), &b.endpoints.servers[id])
+	}
+}
--- a/decide/rebalance.go
+++ b/decide/rebalance.go
@@ -2,63 +2,140 @@
 
 import "time"
 
-// This file decides when connections move away from the backends that hold them.
+const (
+	// loadWatchInterval is how often, at most, servers that hold own connections are looked at.
+	loadWatchInterval = 2 * time.Second
+	// watchedLoad is the load, 0 to 1, of the pool or of a server beyond which they are looked at.
+	watchedLoad = 0.5
+	// rebalanceTriggerLoad is the load beyond which a server is overloaded.
+	rebalanceTriggerLoad = 0.85
+	// rebalanceTargetLoad is what an overloaded server is brought down to, and what no other is brought over.
+	rebalanceTargetLoad = 0.65
+)
 
-// scheduleLoadWatch keeps the timer for looking at the backends that hold this relay's connections.
-func (b *Balancer) scheduleLoadWatch() {
-	if !b.loadWatchScheduled && b.ownConnections > 0 {
-		b.loadWatchScheduled = true
-		b.setTimer(timerLoadWatch, 0, loadWatchInterval/2+time.Duration(b.timerPhase*float64(loadWatchInterval/4)))
+// rebalancer decides when open connections migrate away from their servers.
+type rebalancer struct {
+	*environment
+	endpoints          *endpointSet
+	requests           *requestTable
+	fleet              *fleetView
+	pool               *probePool
+	load               *loadModel
+	placement          *placement
+	dispatch           *dispatcher
+	loadWatchScheduled bool
+}
+
+// scheduleLoadWatch keeps the timer for looking at the servers that hold own connections.
+func (b *rebalancer) scheduleLoadWatch() {
+	if b.loadWatchScheduled || b.requests.ownConnections == 0 {
+		return
 	}
+	b.loadWatchScheduled = true
+	offset := time.Duration(b.timerPhase * float64(loadWatchInterval/4))
+	b.setTimer(timerLoadWatch, 0, loadWatchInterval/2+offset)
 }
 
-// rebalanceServer judges a backend that holds our connections. All relays that see it overdriven move only their
-// part of the excess, drawn at random; off a silent one each goes after its own rebalanceServer. Nothing moves
-// unless the pool has a better place: if everything looks bad, it is better to stay.
-func (b *Balancer) rebalanceServer(id ServerID, s *serverState) {
-	part, load := 1.0, b.estimatedLoad(s)
-	switch {
-	case s.unansweredProbes > 0:
-		if s.unansweredProbes < failuresBeforeReaction {
-			b.sendProbe(id)
-			return
+// watchLoad looks at the servers that hold own connections.
+func (b *rebalancer) watchLoad() {
+	b.loadWatchScheduled = false
+	for i := range b.endpoints.servers {
+		s := &b.endpoints.servers[i]
+		if len(s.connections) == 0 || !b.needsWatching(s) {
+			continue
+		}
+		if b.fleet.status.SharesReadings && b.pool.isFresh(s) {
+			b.rebalanceServer(ServerID(i), s)
+		} else {
+			b.pool.sendProbe(ServerID(i))
 		}
-	case s.readLoad > rebalanceTriggerLoad && b.now < s.messagesLateUntil:
-		part = (s.readLoad - rebalanceTargetLoad) / s.readLoad
-	case !b.settings.ReportsMessageDelay && load > (rebalanceTriggerLoad+rebalanceTargetLoad)/2: // what has left since the reading is not moved again
-		part = (load - rebalanceTargetLoad) / load
-	default:
+	}
+	b.scheduleLoadWatch()
+}
+
+// recordProbeResult looks at the server of a probe's result, if it holds own connections. One that answers
+// with an error still serves them.
+func (b *rebalancer) recordProbeResult(e ProbeResult) {
+	s := b.endpoints.stateOf(e.Server)
+	if len(s.connections) > 0 && (e.Status == OK || s.health.unansweredProbes > 0) {
+		b.rebalanceServer(e.Server, s)
+	}
+}
+
+// needsWatching tells whether a server may be overloaded. Where nothing tells of late messages, one that is
+// busy itself or has not been read needs it in an idle pool too.
+func (b *rebalancer) needsWatching(s *serverState) bool {
+	if b.pool.poolLoadMean > watchedLoad {
+		return true
+	}
+	if b.settings.ReportsMessageDelay {
+		return false
+	}
+	return s.reading.load == 0 || s.reading.loadGuessed || b.load.estimatedLoad(s) > watchedLoad
+}
+
+// rebalanceServer judges a server that holds own connections, and has its excess migrate. All relays that
+// see it overloaded migrate only their part of the excess, drawn at random; off a silent one each goes
+// after its own look. A relay that holds few connections reads few servers: it has others probed first.
+func (b *rebalancer) rebalanceServer(id ServerID, s *serverState) {
+	if s.health.unansweredProbes > 0 && !s.health.silent() {
+		b.pool.sendProbe(id)
 		return
 	}
-	// So many of them, drawn at random. A relay that holds few sees few others: it asks before it moves.
-	if s.excessConnections = int(part*float64(len(s.connections)) + b.rng.Float64()); s.excessConnections == 0 {
+	excess := b.excessPart(s)
+	if excess == 0 {
 		return
 	}
-	if r := b.requests[s.connections[0]]; r != nil && b.probeCandidates(r.Group) > 0 {
-		b.setTimer(timerMigrate, uint64(id), min(2*b.probeRTT+2*b.settings.Tick, readingFreshFor/4))
+	s.excessConnections = int(excess*float64(len(s.connections)) + b.rng.Float64())
+	if s.excessConnections == 0 {
+		return
+	}
+	if r := b.requests.requests[s.connections[0]]; r != nil && b.dispatch.probeCandidates(r.Group) > 0 {
+		b.setTimer(timerMigrate, uint64(id), min(b.pool.probeWait(), readingFreshFor/4))
 		return
 	}
 	b.migrateExcess(id, s)
 }
 
-// migrateExcess moves a backend's excess where there is a better place.
-func (b *Balancer) migrateExcess(id ServerID, s *serverState) {
-	n := s.excessConnections
+// excessPart is the part, 0 to 1, of a server's connections that are to migrate: all of a silent one's.
+func (b *rebalancer) excessPart(s *serverState) float64 {
+	load := b.load.estimatedLoad(s) // what has left since the reading does not migrate again
+	messagesLate := b.now < s.reading.messagesLateUntil
+	switch {
+	case s.health.silent():
+		return 1
+	case s.reading.load > rebalanceTriggerLoad && messagesLate:
+		return (s.reading.load - rebalanceTargetLoad) / s.reading.load
+	case !b.settings.ReportsMessageDelay && load > (rebalanceTriggerLoad+rebalanceTargetLoad)/2:
+		return (load - rebalanceTargetLoad) / load
+	}
+	return 0
+}
+
+// migrateExcess migrates a server's excess connections while there is a better place: if everything looks
+// bad, it is better to stay.
+func (b *rebalancer) migrateExcess(id ServerID, s *serverState) {
+	excess := s.excessConnections
 	s.excessConnections = 0
 	for i, held := range s.connections {
-		r := b.requests[held]
-		if r == nil || n < 1 {
+		r := b.requests.requests[held]
+		if r == nil || excess < 1 {
 			continue
 		}
-		pick, _ := b.pickCheapest(&request{Request: Request{Group: r.Group}, mayHaveRunOn: -1})
-		if pick < 0 || pick == id || b.estimatedLoad(&b.servers[pick]) > rebalanceTargetLoad {
+		pick, _ := b.placement.pickCheapest(&request{Request: Request{Group: r.Group}, mayHaveRunOn: -1})
+		if pick < 0 || pick == id {
 			return
 		}
-		if r.phase == phaseOpen && b.rng.Float64()*float64(len(s.connections)-i) < float64(n) {
-			n--
-			b.emit(Migrate{ID: held})
+		target := &b.endpoints.servers[pick]
+		if b.load.estimatedLoad(target) > rebalanceTargetLoad {
+			return
+		}
+		left := float64(len(s.connections) - i)
+		if r.phase == phaseOpen && b.rng.Float64()*left < float64(excess) {
+			excess--
 			r.phase = phaseDone
-			b.servers[pick].unreportedPlacements = append(b.servers[pick].unreportedPlacements, b.now)
+			b.emit(Migrate{ID: held})
+			target.reading.recordPlacement(b.now)
 		}
 	}
 }
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Zones, classes, tenants and backends are small integers, given out by whoever feeds the module. No
-// name ever reaches a decision.
+// Servers, zones, classes and tenants are small integers, given out by whoever feeds the module. No name ever
+// reaches a decision.
 type (
-	// ServerID is a backend's number at this relay, dense from 0 in the order of first mention.
+	// ServerID is a server's number at this relay, dense from 0 in the order of first mention.
 	ServerID int32
-	// Zone is a place where relays and backends stand.
+	// Zone is a failure domain in which relays and servers stand, numbered from 0.
 	Zone int32
 	// Class is an index into Settings.Classes.
 	Class int32
@@ -17,83 +17,104 @@
 	RequestID uint64
 )
 
-// NoTenant marks a request at a site without tenants.
+// NoTenant marks a request of a deployment without tenants.
 const NoTenant Tenant = -1
 
 // Idempotency says what a repeat of a request would do.
 type Idempotency uint8
 
-// The effects of a class.
+// The kinds of class by what a repeat does.
 const (
-	Idempotent        Idempotency = iota // may be repeated and refused freely
-	IdempotentWithKey                    // repeats are dropped by the backends of a group, for a while
+	Idempotent        Idempotency = iota // may be repeated and rejected freely
+	IdempotentWithKey                    // servers of the DedupScope drop repeats within the DedupWindow
 	NonIdempotent                        // may be sent again only if no earlier attempt can have run
 )
 
-// DedupScope is the group of backends that share the keys they have seen.
+// DedupScope is the set of servers that share the idempotency keys they have seen.
 type DedupScope uint8
 
-// The scopes of a keyed class.
+// The scopes of a class that is IdempotentWithKey.
 const (
-	ScopeAll DedupScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  DedupScope = iota // all servers
+	ScopeZone                   // those of a zone
+	ScopeCell                   // those of a cell, see Endpoint.Cell
 )
 
 // ClassInfo describes a class of requests.
 type ClassInfo struct {
-	LatencyObjective        time.Duration // set-up within this is on time
-	Deadline                time.Duration // the client's patience over all its tries
+	LatencyObjective        time.Duration // a connection set up within this is on time
+	Deadline                time.Duration // the client's patience over all its attempts
 	Idempotency             Idempotency
-	DedupScope              DedupScope    // for Keyed
-	DedupWindow             time.Duration // for Keyed: how long repeats are remembered
-	PriorityWeight          float64
-	MessageLatencyObjective time.Duration // aim for one message on an open connection, 0 if not told
+	DedupScope              DedupScope    // for IdempotentWithKey
+	DedupWindow             time.Duration // for IdempotentWithKey: how long a key is remembered
+	PriorityWeight          float64       // what one request counts in the result
+	MessageLatencyObjective time.Duration // for one message on an open connection, 0 if not told
 }
 
 // TenantInfo describes a tenant.
 type TenantInfo struct {
-	ServiceShare    float64 // its part of the service
-	ConnectionQuota float64 // its open connections over all relays within its share, 0 if not told
+	ServiceShare    float64 // its part of the service, 0 to 1
+	ConnectionQuota float64 // open connections over all relays that are within its share, 0 if not told
 }
 
 // Prices are points taken off the result for each unit.
 type Prices struct {
 	CrossZone float64 // an attempt that crosses zones
-	Probe     float64 // a probe for each first try
-	Move      float64 // a move for each first try
+	Probe     float64 // a probe for each first attempt
+	Move      float64 // a migration for each first attempt
 }
 
-// Rules are the figures of the four rules.
+// Rules are the figures of the protocol's four rules.
 type Rules struct {
-	PollWithin        time.Duration // unsubscribed for this long, a relay counts as told
-	SlowStartCapacity float64       // least part of its capacity that a cold backend has
-	SlowStartWindow   time.Duration // it is warm no later than this
+	PollWithin        time.Duration // a relay without a subscription for this long counts as notified
+	SlowStartCapacity float64       // least part of its capacity, 0 to 1, that a server has at its start
+	SlowStartWindow   time.Duration // from its start on; it is warm no later than this
 	OverloadFactor    float64       // sent more than this multiple of its present capacity
-	OverloadWindow    time.Duration // for this long, it falls over
+	OverloadWindow    time.Duration // over so long a time, a server falls over
 }
 
 // Settings are all that a Balancer is told at its start.
 type Settings struct {
-	RelayIndex int // this relay's number, from 0
-	Relays     int // how many relays there are
-	Zone       Zone
-	Zones      int
+	RelayIndex int  // this relay's number, from 0
+	Relays     int  // how many relays there are
+	Zone       Zone // this relay's
+	Zones      int  // how many zones there are
 
 	Classes                 []ClassInfo
 	Tenants                 []TenantInfo
-	OverQuotaPriorityWeight float64 // worth of a request beyond its tenant's share, as a part of the usual
+	OverQuotaPriorityWeight float64 // of a request beyond its tenant's share, as a part of its class's
 
-	MaxAttempts         int // attempts a request may have
-	Probes              bool
+	MaxAttempts         int  // a bound: retry.go plans no more than the first and one retry
+	Probes              bool // servers answer probes
 	RetryAfter          bool // clients are told when to come again
 	MaxRetryAfter       time.Duration
-	ConnectTimeout      time.Duration
+	ConnectTimeout      time.Duration // least time for a set-up
 	Tick                time.Duration // least time between two batches of events
-	GroupAffinity       bool          // a backend pays once for all connections of a group
-	ReportsMessageDelay bool          // delay notes come
-	MustSubscribe       bool          // discovery tells only those who subscribe
+	GroupAffinity       bool          // a server pays once for all connections of a group
+	ReportsMessageDelay bool          // MessageDelay events come
+	MustSubscribe       bool          // discovery notifies only relays that subscribe
 
 	Rules  Rules
 	Prices Prices
 }
+
+// validSettings replaces what makes no sense by the nearest that does.
+func validSettings(set Settings) Settings {
+	set.Relays = max(set.Relays, 1)
+	set.Zones = max(set.Zones, int(set.Zone)+1, 1)
+	set.Zone = max(set.Zone, 0)
+	set.MaxAttempts = max(set.MaxAttempts, 1)
+	if set.Rules.SlowStartCapacity <= 0 || set.Rules.SlowStartCapacity > 1 {
+		set.Rules.SlowStartCapacity = 1
+	}
+	if set.Rules.PollWithin <= 0 {
+		set.Rules.PollWithin = 10 * time.Second
+	}
+	if set.Rules.OverloadWindow <= 0 {
+		set.Rules.OverloadWindow = time.Second
+	}
+	if len(set.Classes) == 0 {
+		set.Classes = []ClassInfo{{LatencyObjective: time.Second, Deadline: time.Second}}
+	}
+	return set
+}
