--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -71,7 +71,7 @@
 // buildPlacement puts together the parts that choose servers, from those that New has made.
 func (b *Balancer) buildPlacement() {
 	affinity := &groupAffinity{environment: b.environment, endpoints: b.endpoints}
-	admission := &admission{
+	admit := &admission{
 		environment: b.environment,
 		endpoints:   b.endpoints,
 		pool:        b.pool,
@@ -79,13 +79,13 @@
 		arrivals:    b.arrivals,
 		fleet:       b.fleet,
 	}
-	placement := &placement{
+	place := &placement{
 		environment: b.environment,
 		endpoints:   b.endpoints,
 		pool:        b.pool,
 		affinity:    affinity,
 		load:        b.load,
-		admission:   admission,
+		admission:   admit,
 		budget: &slowStartBudget{
 			environment: b.environment,
 			endpoints:   b.endpoints,
@@ -101,8 +101,8 @@
 		requests:    b.requests,
 		pool:        b.pool,
 		affinity:    affinity,
-		placement:   placement,
-		admission:   admission,
+		placement:   place,
+		admission:   admit,
 		timeouts:    b.timeouts,
 		polling:     b.polling,
 		rejections:  b.rejections,
@@ -114,7 +114,7 @@
 		fleet:       b.fleet,
 		pool:        b.pool,
 		load:        b.load,
-		placement:   placement,
+		placement:   place,
 		dispatch:    b.dispatch,
 	}
 }
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -17,7 +17,8 @@
 // It has no clock, no goroutine, no lock and no I/O, and learns no name of a server. All chance comes from
 // the seed: the same settings, seed and events bring the same actions (TestGoldenActions). It plans by
 // what it was told last; internal/guard enforces rules 2 and 3 and the bound on attempts right before an
-// act, by what is known then. Both go by Status.NeverRan.
+// act, by what is known then. Both go by the same predicates: Status.NeverRan, DedupScope.Covers,
+// Idempotency.RepeatIsHarmless.
 //
 // # Which file decides what
 //
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -105,15 +105,8 @@
 // and still remembers its key. Of a class that may not run twice no repeat comes this far.
 func (p *placement) dropsRepeat(r *request, s *serverState) bool {
 	first, class := &p.endpoints.servers[r.mayHaveRunOn], p.class(r)
-	switch {
-	case p.now-r.mayHaveRunAt >= class.DedupWindow:
-		return false
-	case class.DedupScope == ScopeZone:
-		return s.Zone == first.Zone
-	case class.DedupScope == ScopeCell:
-		return s.Cell == first.Cell
-	}
-	return true
+	remembered := p.now-r.mayHaveRunAt < class.DedupWindow
+	return remembered && class.DedupScope.Covers(s.Zone == first.Zone, s.Cell == first.Cell)
 }
 
 // pickFallback is the choice when no reading is left: a warm server at random, first at home and not ejected,
--- a/decide/rejection.go
+++ b/decide/rejection.go
@@ -13,7 +13,7 @@
 	class := j.class(r)
 	failures := j.keyFailures.recordFailure(r.Key)
 	j.requests.endRequest(r)
-	if r.mayHaveRunOn >= 0 && (class.Idempotency == NonIdempotent || class.DedupScope != ScopeAll) {
+	if r.mayHaveRunOn >= 0 && !class.Idempotency.RepeatIsHarmless(class.DedupScope) {
 		j.emit(Fail{ID: r.ID, Reason: reason})
 		return
 	}
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -40,6 +40,30 @@
 	ScopeCell                   // those of a cell, see Endpoint.Cell
 )
 
+// Covers tells whether two servers share the idempotency keys they have seen, by whether they stand in one
+// zone and in one cell.
+func (s DedupScope) Covers(sameZone, sameCell bool) bool {
+	switch s {
+	case ScopeZone:
+		return sameZone
+	case ScopeCell:
+		return sameCell
+	}
+	return true
+}
+
+// RepeatIsHarmless tells whether, after an attempt that may have run, a repeat by the client does no harm
+// whichever server it reaches: only then may the request be rejected, which says so.
+func (i Idempotency) RepeatIsHarmless(scope DedupScope) bool {
+	switch i {
+	case Idempotent:
+		return true
+	case NonIdempotent:
+		return false
+	}
+	return scope == ScopeAll
+}
+
 // ClassInfo describes a class of requests.
 type ClassInfo struct {
 	LatencyObjective        time.Duration // a connection set up within this is on time
