--- /dev/null
+++ b/decide/retry_test.go
@@ -0,0 +1,105 @@
+package decide
+
+import (
+	"testing"
+	"time"
+)
+
+func TestOneRetryElsewhereAfterJitter(t *testing.T) {
+	loads := map[ServerID]float64{0: 0.1, 1: 0.2, 2: 0.3, 3: 0.3}
+	waits := map[time.Duration]bool{}
+	for seed := range uint64(20) {
+		r := newRelay(t, settings(), seed, 4)
+		first := r.place(ask(1), loads)
+		acts := r.pass(10 * ms).do(Outcome{ID: 1, Server: first, Status: Reset, Report: NoLoadReport})
+		timers := all[Timer](acts)
+		if len(timers) != 1 || timers[0].After > 75*ms {
+			t.Fatalf("no back-off within a quarter of the aim: %v", acts)
+		}
+		waits[timers[0].After] = true
+		acts = r.answer(r.pass(timers[0].After).do(TimerFired{Token: timers[0].Token}), loads)
+		sends := all[Forward](acts)
+		if len(sends) != 1 || sends[0].Server == first {
+			t.Fatalf("second try: %v, want one on another backend than %d", acts, first)
+		}
+		acts = r.pass(10 * ms).do(Outcome{ID: 1, Attempt: 1, Server: sends[0].Server, Status: Reset, Report: NoLoadReport})
+		if len(all[Reject](acts)) != 1 || len(all[Timer](acts)) != 0 {
+			t.Fatalf("after two tries: %v, want a refusal", acts)
+		}
+	}
+	if len(waits) < 10 {
+		t.Errorf("back-off is not jittered: %v", waits)
+	}
+}
+
+// One tenant's surge of failures must not use up another's retries.
+func TestRetryBucketIsEachTenantsOwn(t *testing.T) {
+	r := newRelay(t, settings(), 1, 8)
+	loads := map[ServerID]float64{}
+	for i := range ServerID(8) {
+		loads[i] = 0.1
+	}
+	fail := func(id RequestID, tenant Tenant) (retried bool) {
+		req := ask(id)
+		req.Tenant = tenant
+		on := r.pass(5*time.Second).place(req, loads)
+		if on < 0 {
+			t.Fatalf("request %d was not placed", id)
+		}
+		return len(all[Timer](r.do(Outcome{ID: id, Server: on, Status: AtCapacity, Report: NoLoadReport}))) == 1
+	}
+	retries := 0
+	for id := RequestID(1); id <= 20; id++ {
+		if fail(id, 0) {
+			retries++
+		}
+	}
+	if retries < int(maxRetryTokens) || retries > 6 {
+		t.Errorf("%d of 20 failures were retried; want the burst and a fifth of the rest", retries)
+	}
+	if !fail(21, 1) {
+		t.Error("another tenant's bucket was drained")
+	}
+}
+
+func TestEffectsDecideBetweenRetryRefusalAndFailure(t *testing.T) {
+	cases := []struct {
+		name   string
+		class  Class
+		status Status
+		retry  bool
+		refuse bool // after the last try
+	}{
+		{"safe, may have run", 0, Reset, true, true},
+		{"unsafe, never ran", 1, AtCapacity, true, true},
+		{"unsafe, may have run", 1, Errored, false, false},
+		{"keyed, never ran", 2, ConnectFailed, true, true},
+		{"keyed, may have run", 2, Reset, true, false},
+	}
+	loads := map[ServerID]float64{0: 0.1, 1: 0.1, 2: 0.1, 3: 0.1}
+	for _, c := range cases {
+		for seed := range uint64(12) {
+			r := newRelay(t, settings(), seed, 4)
+			req := ask(1)
+			req.Class = c.class
+			on := r.place(req, loads)
+			acts := r.do(Outcome{ID: 1, Server: on, Status: c.status, Report: NoLoadReport})
+			timers := all[Timer](acts)
+			if (len(timers) == 1) != c.retry {
+				t.Fatalf("%s: %v", c.name, acts)
+			}
+			if c.retry {
+				acts = r.answer(r.pass(timers[0].After).do(TimerFired{Token: timers[0].Token}), loads)
+				for _, s := range all[Forward](acts) {
+					if c.class == 2 && !c.status.NeverRan() && s.Server/2 != on/2 {
+						t.Fatalf("%s: sent again outside the cell", c.name)
+					}
+					acts = r.do(Outcome{ID: 1, Attempt: 1, Server: s.Server, Status: c.status, Report: NoLoadReport})
+				}
+			}
+			if len(all[Reject](acts)) == 1 != c.refuse || len(all[Fail](acts)) == 1 == c.refuse {
+				t.Fatalf("%s: ended with %v", c.name, acts)
+			}
+		}
+	}
+}
