--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -5,7 +5,8 @@
 const (
 	firstPollTimer = 1 // id of the timer for the first poll; 0 is that of all others
 
-	// pollRetryInterval is the longest backoff after a failed poll: half of the time in which news has to come.
+	// pollRetryInterval is the longest backoff after a failed poll: half of the time in which watch events
+	// have to come.
 	pollRetryInterval = 3 * time.Second
 	// pollsPerPollWithin is how many polls discovery surely works through in Rules.PollWithin.
 	pollsPerPollWithin = 140
--- a/decide/environment.go
+++ b/decide/environment.go
@@ -18,7 +18,7 @@
 // environment is what every rule works with while one event is handled.
 type environment struct {
 	settings   Settings
-	rng        *rand.Rand    // the rules draw in the order of the code: the same events bring the same actions
+	rng        *rand.Rand    // the order of its draws is part of what TestGoldenActions holds
 	timerPhase float64       // 0 to 1, fixed by the relay's number: keeps the fleet's periodic timers apart
 	now        time.Duration // of the event at hand
 	startedAt  time.Duration // time of the first event, -1 before it
--- a/decide/events.go
+++ b/decide/events.go
@@ -161,7 +161,7 @@
 	// FleetStatus is what the relays know of each other. Before the first, Settings.Relays holds for all.
 	FleetStatus struct {
 		Relays            int           // that are there, this one too
-		BudgetShare       float64       // this relay's part, 0 to 1, of a server's slow-start budget in NearZones
+		BudgetShare       float64       // this relay's part, 0 to 1, of a slow-start budget in NearZones
 		FarBudgetShare    float64       // its part in other zones
 		NearZones         []Zone        // nil: every zone is near
 		BudgetUntil       time.Duration // both parts are 0 from then on, until another comes; 0 for never
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// ejectionBackoff is the base of the time for which a server that answers with errors is left out, and the
-	// most that a failed probe costs.
+	// ejectionBackoff is the base of the time for which a server that answers with errors stays ejected, and
+	// the most that a failed probe costs.
 	ejectionBackoff = 4 * time.Second
-	// maxErrorEjection bounds the time for which a server that answers with errors is left out.
+	// maxErrorEjection bounds the time for which a server that answers with errors stays ejected.
 	maxErrorEjection = time.Minute
 	// failuresBeforeReaction is how many failures in a row are no accident: of a server's probes, of set-ups.
 	failuresBeforeReaction = 2
--- a/decide/probes.go
+++ b/decide/probes.go
@@ -10,10 +10,10 @@
 	readingFreshFor = time.Second
 	// firstProbeRoundTrip is what a probe is taken to need before one has been answered.
 	firstProbeRoundTrip = time.Second
-	// prunePause is how long a large pool may keep readings that have become too old: to look at all of it for
-	// each request would cost more than all else.
+	// prunePause is how long a large pool may keep readings that have become too old: to look at all of it
+	// for each request would cost more than all else.
 	prunePause = readingFreshFor / 16
-	// delayNoteInterval is the time within which a message that is late is told of again, as long as they are.
+	// delayNoteInterval is the time within which the next late message is reported, as long as they are late.
 	delayNoteInterval = 1100 * time.Millisecond
 )
 
--- a/decide/setup_timeout.go
+++ b/decide/setup_timeout.go
@@ -8,8 +8,8 @@
 const (
 	// tolerableFalseTimeouts is the part, 0 to 1, of set-ups that may time out although they would have come.
 	tolerableFalseTimeouts = 0.001
-	// setupLatenciesKept is how many set-up latencies the percentile is taken over; an eighth of them is enough
-	// to begin with.
+	// setupLatenciesKept is how many set-up latencies the percentile is taken over; an eighth of them is
+	// enough to begin with.
 	setupLatenciesKept = 128
 	// minTimeoutOverMedian is the least multiple of the median: a percentile near it is a sample too small.
 	minTimeoutOverMedian = 3
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -13,7 +13,7 @@
 )
 
 // What a reader at night has to take in at once stays small: each file, each function and each line. Nothing
-// limits the sum: such a limit makes people cram.
+// limits the sum: such a limit makes people cram. A tab counts as four.
 func TestFilesAndFunctionsStaySmall(t *testing.T) {
 	const maxFileLines, maxFunctionLines, maxWidth = 300, 50, 110
 	files := sourceFiles(t)
@@ -27,7 +27,7 @@
 			t.Errorf("%s: %d lines, %d at most", name, len(lines), maxFileLines)
 		}
 		for i, line := range lines {
-			if width := len([]rune(line)); width > maxWidth {
+			if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > maxWidth {
 				t.Errorf("%s:%d: a line is %d wide, %d at most", name, i+1, width, maxWidth)
 			}
 		}
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -13,7 +13,7 @@
 type slowStart struct {
 	startedAt      time.Duration   // of the warm-up, -1 if the server is warm
 	recentAttempts []time.Duration // when own attempts were sent, warm or not, within the overload window
-	recentDemand   []time.Duration // when this relay would have sent one in slow start, within the same window
+	recentDemand   []time.Duration // when one in slow start was a candidate here, within it
 }
 
 // startSlowStart starts a server's warm-up: it is another process now.
