--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,54 +1,7 @@
-// Package guard is the one place that decides whether a relay may send, repeat, answer, close or start something now. The rules are
-// those of the protocol page; whoever acts fills in what is known at that moment, asks right before the act, and does nothing that
-// is denied. It has no clock, no lock and no I/O.
-//
-// Check functions return a Denial, Allowed if nothing stands in the way. Violations counts what was done against a rule all the
-// same: each is a fault of this program.
 package guard
 
 import "capersail/decide"
 
-// Denial says why something may not be done now.
-type Denial uint8
-
-// The denials.
-const (
-	Allowed              Denial = iota
-	NotWaiting                  // the request has its answer, or is up, or the attempt has been called off
-	AttemptInFlight             // another attempt of the request is out
-	AttemptsExhausted           // it has had as many as the settings allow
-	AttemptTimedOut             // the time of the attempt is over
-	ClientGone                  // the client has closed, or has spoilt its request
-	ServerNotReady              // the server drains, is out by hand or is gone
-	EndpointLeaseExpired        // the list of servers cannot be confirmed
-	MayHaveRun                  // an earlier attempt may have run, and the class must not run twice
-	DedupWindowOver             // the time in which servers know a repeat again is over
-	OutsideDedupScope           // the server does not know the keys of the one where an earlier attempt may have run
-	RelayShuttingDown           // the relay leaves, or is drained by hand
-	NameTaken                   // another request has the same name
-	OwnershipLost               // the right to serve the stream may be lost
-	denialCount
-)
-
-var denialNames = [denialCount]string{"allowed", "not waiting", "attempt out", "attempts spent", "time over", "client gone",
-	"server not ready", "list lapsed", "may have run", "window over", "other servers", "relay leaving", "name taken", "claim lapsed"}
-
-// String is the denial as logs and figures have it.
-func (d Denial) String() string {
-	if d >= denialCount {
-		return "unknown"
-	}
-	return denialNames[d]
-}
-
-// Denials are all reasons for which something may be denied.
-func Denials() (all []Denial) {
-	for d := Allowed + 1; d < denialCount; d++ {
-		all = append(all, d)
-	}
-	return all
-}
-
 // Request is what is known of a request that something is to be done for.
 type Request struct {
 	Waiting         bool // it has no answer, is not up, and is this relay's to serve
