--- a/internal/guard/denial.go
+++ b/internal/guard/denial.go
@@ -1,42 +1,76 @@
 package guard
 
-// Denial says why something may not be done now.
+// Denial is the reason why something may not be done now.
 type Denial uint8
 
 // The denials.
 const (
-	Allowed              Denial = iota
-	NotWaiting                  // the request has its answer, or is up, or the attempt has been called off
-	AttemptInFlight             // another attempt of the request is out
-	AttemptsExhausted           // it has had as many as the settings allow
-	AttemptTimedOut             // the time of the attempt is over
-	ClientGone                  // the client has closed, or has spoilt its request
-	ServerNotReady              // the server drains, is out by hand or is gone
-	EndpointLeaseExpired        // the list of servers cannot be confirmed
-	MayHaveRun                  // an earlier attempt may have run, and the class must not run twice
-	DedupWindowOver             // the time in which servers know a repeat again is over
-	OutsideDedupScope           // the server does not know the keys of the one where an earlier attempt may have run
-	RelayShuttingDown           // the relay leaves, or is drained by hand
-	NameTaken                   // another request has the same name
-	OwnershipLost               // the right to serve the stream may be lost
+	// Allowed is the zero Denial: nothing stands in the way.
+	Allowed Denial = iota
+	// NotWaiting: the request has its answer or is established, or the attempt has been canceled.
+	NotWaiting
+	// AttemptInFlight: another attempt of the request is in flight.
+	AttemptInFlight
+	// AttemptsExhausted: the request has had as many attempts as the settings allow.
+	AttemptsExhausted
+	// AttemptTimedOut: the attempt's deadline has passed.
+	AttemptTimedOut
+	// ClientGone: the client has closed, or has broken the protocol.
+	ClientGone
+	// ServerNotReady: the server is draining, manually ejected or gone.
+	ServerNotReady
+	// EndpointLeaseExpired: the endpoint list has not been confirmed for too long.
+	EndpointLeaseExpired
+	// MayHaveRun: an earlier attempt may have run, and the request is not idempotent.
+	MayHaveRun
+	// DedupWindowOver: servers no longer recognize a retry by its idempotency key.
+	DedupWindowOver
+	// OutsideDedupScope: the server does not share idempotency keys with the one that may have run the request.
+	OutsideDedupScope
+	// RelayShuttingDown: the relay shuts down, or is drained by an operator.
+	RelayShuttingDown
+	// NameTaken: another open request has the same name.
+	NameTaken
+	// OwnershipLost: the ownership lease of the stream may be lost.
+	OwnershipLost
+
 	denialCount
 )
 
-var denialNames = [denialCount]string{"allowed", "not waiting", "attempt out", "attempts spent", "time over", "client gone",
-	"server not ready", "list lapsed", "may have run", "window over", "other servers", "relay leaving", "name taken", "claim lapsed"}
-
-// String is the denial as logs and figures have it.
-func (d Denial) String() string {
-	if d >= denialCount {
-		return "unknown"
-	}
-	return denialNames[d]
+// denialNames are values of the metric relay_denied's label: operators' dashboards know them.
+var denialNames = [denialCount]string{
+	Allowed:              "allowed",
+	NotWaiting:           "not waiting",
+	AttemptInFlight:      "attempt out",
+	AttemptsExhausted:    "attempts spent",
+	AttemptTimedOut:      "time over",
+	ClientGone:           "client gone",
+	ServerNotReady:       "server not ready",
+	EndpointLeaseExpired: "list lapsed",
+	MayHaveRun:           "may have run",
+	DedupWindowOver:      "window over",
+	OutsideDedupScope:    "other servers",
+	RelayShuttingDown:    "relay leaving",
+	NameTaken:            "name taken",
+	OwnershipLost:        "claim lapsed",
 }
 
-// Denials are all reasons for which something may be denied.
-func Denials() (all []Denial) {
+// String returns the denial's name in logs and metrics, "unknown" for a value that is none.
+func (d Denial) String() string { return nameOf(denialNames[:], uint8(d)) }
+
+// Denials returns all denials but Allowed.
+func Denials() []Denial {
+	var all []Denial
 	for d := Allowed + 1; d < denialCount; d++ {
 		all = append(all, d)
 	}
 	return all
 }
+
+// nameOf returns the name of an enumeration's value, "unknown" if it has none.
+func nameOf(names []string, value uint8) string {
+	if int(value) >= len(names) {
+		return "unknown"
+	}
+	return names[value]
+}
--- a/internal/guard/endpoint_lease.go
+++ b/internal/guard/endpoint_lease.go
@@ -1,106 +1,163 @@
 package guard
 
-import "math"
+import (
+	"math"
+	"time"
+)
 
-// The list of servers is held on a lease. What discovery has to tell counts as told 6 s after it was made, whether or not it
-// arrived, and half a second later nothing new may go to a server that it takes away. A relay that does not hear from discovery
-// cannot know of such news, so it acts on its list only for so long that none can count against it:
+// The endpoint list is held on a lease. News from discovery counts as told 6 s after it was made, whether or
+// not it arrived, and DrainGrace later nothing new may go to a server that it takes away. A relay that does
+// not hear from discovery cannot know of such news, so it acts on its list only for so long that none can
+// count against it, in ms:
 //
 //	told at the latest                                   6000
 //	+ grace of the rule on drains                         500
 //	- from a change to its writing on a sound watch       300
 //	- held up between the check and the first byte        150
 //	- left over                                           250
-//	= listTerm                                           5800
+//	= endpointLeaseTerm                                  5800
 //
-// Where lists are pushed, by an agent of the relay's own, two sentences give earlier times. What the agent has counts as told whether
-// or not a watch is open, so the end of a watch leaves the grace less the margins; and it counts as told 4 s after the SIGHUP that
-// names the agent. Only a watch that has fallen silent has the 6 s. An agent that refuses connections is down and learns nothing.
+// Where lists are pushed, by an agent of the relay's own, two sentences of the protocol page give earlier
+// times. What the agent has counts as told whether or not a watch is open, so the end of a watch leaves the
+// grace less the margins; and it counts as told 4 s after the SIGHUP that names the agent. Only a watch that
+// has fallen silent has the 6 s. An agent that refuses connections is down and learns nothing.
 //
 //	                                        watch ended    another agent
 //	told                                              0             4000
 //	+ grace of the rule on drains                   500              500
 //	- held up between the check and the first byte  150              150
 //	- left over                                      50              250
-//	= reopenTerm, movedTerm                         300             4100
+//	= watchEndedTerm, addressChangedTerm            300             4100
 const (
-	endpointLeaseTerm  = 5800.0
-	watchEndedTerm     = 300.0
-	addressChangedTerm = 4100.0
-	// violationMargin is how long after its end the lease may still be overstepped before a rule can be broken.
-	violationMargin = 6000 + DrainGrace - endpointLeaseTerm
-	// failedCallFactor is by how much longer a relay is held to its list after a call that failed.
+	toldWithin         = 6000 * time.Millisecond
+	toldAfterMove      = 4000 * time.Millisecond
+	endpointLeaseTerm  = 5800 * time.Millisecond
+	watchEndedTerm     = 300 * time.Millisecond
+	addressChangedTerm = 4100 * time.Millisecond
+	// violationMargin is how long after its end the lease may still be overstepped before the rule on drains
+	// can be broken.
+	violationMargin = toldWithin + DrainGrace - endpointLeaseTerm
+	// failedCallFactor is by how much longer than pollWithin a relay is held to its list after a failed call.
 	failedCallFactor = 4
 )
 
+// never and forever stand for instants that do not come. Half the range leaves room to add a term to either.
+const (
+	forever = time.Duration(math.MaxInt64 / 2)
+	never   = -forever
+)
+
 // DiscoveryLoss is how a call to discovery ended, or why it brought nothing.
 type DiscoveryLoss uint8
 
 // The losses.
 const (
-	// CallFailed: it was reset, answered with an error, or given up. That shows nothing, as others may be served.
+	// CallFailed: it was reset, answered with an error, or given up. That shows nothing, as others may be
+	// served.
 	CallFailed DiscoveryLoss = iota
-	// ConnectionRefused: discovery does not serve. It tells nobody anything, and its news counts anew from its return on.
+	// ConnectionRefused: discovery does not serve. It tells nobody anything, and its news counts anew from its
+	// return on.
 	ConnectionRefused
 	// WatchSilent: the watch stood, and brought no line any more.
 	WatchSilent
 	// AddressChanged: the relay follows discovery elsewhere.
 	AddressChanged
+
+	discoveryLossCount
 )
 
-// leaseTerms are for how long a list that is pushed counts, from the moment that a rule counts from.
-type leaseTerms struct{ sinceHeard, sinceWatchEnded, sinceAddressChanged float64 }
+var discoveryLossNames = [discoveryLossCount]string{
+	CallFailed:        "call failed",
+	ConnectionRefused: "connection refused",
+	WatchSilent:       "watch silent",
+	AddressChanged:    "address changed",
+}
+
+// String returns the loss's name in logs, "unknown" for a value that is none.
+func (l DiscoveryLoss) String() string { return nameOf(discoveryLossNames[:], uint8(l)) }
+
+// leaseTerms are for how long a list that is pushed counts, from the event that a rule counts from.
+type leaseTerms struct {
+	sinceHeard          time.Duration
+	sinceWatchEnded     time.Duration
+	sinceAddressChanged time.Duration
+}
 
 var (
-	pushedTerms = leaseTerms{sinceHeard: endpointLeaseTerm, sinceWatchEnded: watchEndedTerm, sinceAddressChanged: addressChangedTerm}
-	// pushedViolationLimits are when a rule can be broken.
-	pushedViolationLimits = leaseTerms{sinceHeard: 6000 + DrainGrace, sinceWatchEnded: DrainGrace, sinceAddressChanged: 4000 + DrainGrace}
+	pushedTerms = leaseTerms{
+		sinceHeard:          endpointLeaseTerm,
+		sinceWatchEnded:     watchEndedTerm,
+		sinceAddressChanged: addressChangedTerm,
+	}
+	// pushedViolationLimits are when the rule on drains can be broken.
+	pushedViolationLimits = leaseTerms{
+		sinceHeard:          toldWithin + DrainGrace,
+		sinceWatchEnded:     DrainGrace,
+		sinceAddressChanged: toldAfterMove + DrainGrace,
+	}
 )
 
-// EndpointLease says until when the list of servers that a relay holds may be acted on. The list that a process starts with is of a time
-// that nobody knows, so it is not acted on before discovery has been heard. EndpointLease has no clock and no lock: times are milliseconds
-// on the caller's monotonic clock.
+// EndpointLease says until when the endpoint list that a relay holds may be acted on. The list that a process
+// starts with is of a time that nobody knows, so it is not acted on before discovery has been heard. The zero
+// EndpointLease is disabled and never expires. It has no clock and no lock: instants are the caller's.
 type EndpointLease struct {
-	pollWithin       float64 // the settings' time for asking, 0 where lists are pushed
-	heardAt          float64 // when discovery last said something, or the process started
-	refusedAt        float64 // when it last refused a connection; -Inf for never
-	watchEndedAt     float64 // when the watch on which it was heard ended; +Inf while it stands or is silent
-	addressChangedAt float64 // when the relay first followed discovery elsewhere since it was heard; +Inf for not
-	answered         bool    // it has said something since the start
-	watching         bool    // a watch is open, as far as can be told
-	lastCallFailed   bool    // the last call failed
-	enabled          bool
+	pollWithin time.Duration // the settings' time for a poll, 0 where lists are pushed
+
+	heardAt          time.Duration // when discovery last said something, or the process started
+	refusedAt        time.Duration // when it last refused a connection, or never
+	watchEndedAt     time.Duration // of the watch that it was heard on; forever while that stands or is silent
+	addressChangedAt time.Duration // when the relay first followed it elsewhere since it was heard, or forever
+
+	answered       bool // discovery has said something since the start
+	watching       bool // a watch is open, as far as can be told
+	lastCallFailed bool
+	enabled        bool
 }
 
-// NewEndpointLease returns the lease of a relay that starts with a list from its configuration.
-func NewEndpointLease(now, askWithin float64) EndpointLease {
-	return EndpointLease{pollWithin: askWithin, heardAt: now, refusedAt: math.Inf(-1), watchEndedAt: math.Inf(1), addressChangedAt: math.Inf(1), enabled: true}
+// NewEndpointLease returns the lease of a relay that starts with a list from its configuration. pollWithin is
+// the settings' time for a poll of discovery, 0 where lists are pushed.
+func NewEndpointLease(now, pollWithin time.Duration) EndpointLease {
+	return EndpointLease{
+		pollWithin:       pollWithin,
+		heardAt:          now,
+		refusedAt:        never,
+		watchEndedAt:     forever,
+		addressChangedAt: forever,
+		enabled:          true,
+	}
 }
 
-// Renew renews the lease: discovery has said something on a call that stands, so all that it had to tell before has come.
-func (l *EndpointLease) Renew(now float64) {
-	l.heardAt, l.answered, l.watching, l.lastCallFailed = now, true, true, false
-	l.watchEndedAt, l.addressChangedAt = math.Inf(1), math.Inf(1)
+// Renew renews the lease: discovery has said something on a call that stands, so all that it had to tell
+// before has come.
+func (l *EndpointLease) Renew(now time.Duration) {
+	l.heardAt = now
+	l.answered = true
+	l.watching = true
+	l.lastCallFailed = false
+	l.watchEndedAt = forever
+	l.addressChangedAt = forever
 }
 
-// RecordLoss says that a watch has ended or a call brought nothing.
-func (l *EndpointLease) RecordLoss(now float64, why DiscoveryLoss) {
+// RecordLoss records that a watch has ended or a call brought nothing.
+func (l *EndpointLease) RecordLoss(now time.Duration, loss DiscoveryLoss) {
 	switch {
-	case why == ConnectionRefused:
-		l.refusedAt, l.watchEndedAt = now, min(l.watchEndedAt, now)
-	case why == AddressChanged:
+	case loss == ConnectionRefused:
+		l.refusedAt = now
+		l.watchEndedAt = min(l.watchEndedAt, now)
+	case loss == AddressChanged:
 		l.addressChangedAt = min(l.addressChangedAt, now)
-	case why == CallFailed && l.watching:
+	case loss == CallFailed && l.watching:
 		l.watchEndedAt = now
 	}
-	l.watching, l.lastCallFailed = false, true
+	l.watching = false
+	l.lastCallFailed = true
 }
 
-// ValidUntil is when the lease ends if nothing is heard.
-func (l *EndpointLease) ValidUntil() float64 {
+// ValidUntil returns when the lease expires if nothing is heard; far beyond any instant if it is disabled.
+func (l *EndpointLease) ValidUntil() time.Duration {
 	switch {
 	case !l.enabled:
-		return math.Inf(1)
+		return forever
 	case l.pushed():
 		return l.pushedValidUntil(pushedTerms)
 	case !l.answered:
@@ -112,37 +169,41 @@
 // pushed tells whether lists come from an agent of the relay's own.
 func (l *EndpointLease) pushed() bool { return l.pollWithin == 0 }
 
-// pushedValidUntil is until when a list that is pushed counts, by some terms.
-func (l *EndpointLease) pushedValidUntil(t leaseTerms) float64 {
+// pushedValidUntil returns until when a list that is pushed counts, by some terms.
+func (l *EndpointLease) pushedValidUntil(t leaseTerms) time.Duration {
 	end := l.heardAt
 	if l.answered {
-		end = min(l.heardAt+t.sinceHeard, l.watchEndedAt+t.sinceWatchEnded, l.addressChangedAt+t.sinceAddressChanged)
+		end = min(end+t.sinceHeard, l.watchEndedAt+t.sinceWatchEnded, l.addressChangedAt+t.sinceAddressChanged)
 	}
 	return max(end, l.refusedAt+t.sinceWatchEnded)
 }
 
+// Enabled tells whether the list is on a lease at all.
+func (l *EndpointLease) Enabled() bool { return l.enabled }
+
 // Valid tells whether the list may be acted on now.
-func (l *EndpointLease) Valid(now float64) bool { return now < l.ValidUntil() }
+func (l *EndpointLease) Valid(now time.Duration) bool { return !l.enabled || now < l.ValidUntil() }
 
-// MayBreakDrainRule tells whether what has been sent by the list may have broken the rule on drains: news that was never heard may count
-// as told, and the grace for it be over.
-func (l *EndpointLease) MayBreakDrainRule(now float64) bool {
+// MayBreakDrainRule tells whether what is sent by the list now may break the rule on drains: news that was
+// never heard may count as told, and the grace for it be over.
+func (l *EndpointLease) MayBreakDrainRule(now time.Duration) bool {
 	if l.enabled && l.pushed() && l.answered {
 		return now >= l.pushedValidUntil(pushedViolationLimits)
 	}
 	return now >= l.ValidUntil()+violationMargin
 }
 
-// Age is how long ago discovery was last heard, 0 for a list that is on no lease.
-func (l *EndpointLease) Age(now float64) float64 {
+// Age returns how long ago discovery was last heard, 0 for a list that is on no lease.
+func (l *EndpointLease) Age(now time.Duration) time.Duration {
 	if !l.enabled {
 		return 0
 	}
 	return now - l.heardAt
 }
 
-// term is for how long a list that is asked for counts after it was confirmed. Without a watch the settings may give less.
-func (l *EndpointLease) term() float64 {
+// term returns for how long a list that is polled counts after it was confirmed. Without a watch the settings
+// may give less.
+func (l *EndpointLease) term() time.Duration {
 	switch {
 	case l.watching:
 		return endpointLeaseTerm
--- a/internal/guard/endpoint_lease_test.go
+++ b/internal/guard/endpoint_lease_test.go
@@ -3,78 +3,115 @@
 import (
 	"math"
 	"testing"
+	"time"
 )
 
-func TestListLease(t *testing.T) {
-	const start, ask = 1000.0, 10_000.0
-	heard := func(at ...float64) func(*EndpointLease) {
-		return func(l *EndpointLease) {
-			for _, t := range at {
-				l.Renew(t)
-			}
+const ms = time.Millisecond
+
+// renewed renews a lease at each of some instants.
+func renewed(at ...time.Duration) func(*EndpointLease) {
+	return func(l *EndpointLease) {
+		for _, t := range at {
+			l.Renew(t)
 		}
 	}
-	lost := func(at float64, why DiscoveryLoss) func(*EndpointLease) {
-		return func(l *EndpointLease) { l.RecordLoss(at, why) }
-	}
+}
+
+// lost records a loss.
+func lost(at time.Duration, loss DiscoveryLoss) func(*EndpointLease) {
+	return func(l *EndpointLease) { l.RecordLoss(at, loss) }
+}
+
+func TestEndpointLeaseExpiry(t *testing.T) {
+	const start, poll, pushed = 1000 * ms, 10_000 * ms, 0
+	const polledMargin = violationMargin
+	const watchEndedMargin = DrainGrace - watchEndedTerm
+	const addressChangedMargin = 4000*ms + DrainGrace - addressChangedTerm
 	for _, c := range []struct {
-		name  string
-		ask   float64
-		steps []func(*EndpointLease)
-		until float64
+		name       string
+		pollWithin time.Duration
+		steps      []func(*EndpointLease)
+		until      time.Duration
+		margin     time.Duration // from the expiry until the rule on drains may be broken
 	}{
-		{"not asked yet", ask, nil, start},
-		{"pushed, silent from the start", 0, nil, start},
-		{"first call failed", ask, []func(*EndpointLease){lost(2000, CallFailed)}, start},
-		{"first call refused", ask, []func(*EndpointLease){lost(2000, ConnectionRefused)}, 2000 + endpointLeaseTerm},
-		{"on a watch", ask, []func(*EndpointLease){heard(2000, 4000)}, 4000 + endpointLeaseTerm},
-		{"the watch ended", ask, []func(*EndpointLease){heard(2000, 4000), lost(5000, CallFailed)}, 4000 + endpointLeaseTerm},
-		{"down since", ask, []func(*EndpointLease){heard(2000), lost(5000, ConnectionRefused)}, 5000 + endpointLeaseTerm},
-		{"heard again", ask, []func(*EndpointLease){heard(2000), lost(5000, ConnectionRefused), heard(9000)}, 9000 + endpointLeaseTerm},
-		{"settings give less without a watch", 1000, []func(*EndpointLease){heard(2000), lost(2500, CallFailed)}, 2000 + failedCallFactor*1000},
-		{"pushed, on a watch", 0, []func(*EndpointLease){heard(2000, 4000)}, 4000 + endpointLeaseTerm},
-		{"pushed, fallen silent", 0, []func(*EndpointLease){heard(4000), lost(7000, WatchSilent), lost(9000, CallFailed)}, 4000 + endpointLeaseTerm},
-		{"pushed, the watch ended", 0, []func(*EndpointLease){heard(4000), lost(5000, CallFailed), lost(5100, CallFailed)}, 5000 + watchEndedTerm},
-		{"pushed, and was opened again", 0, []func(*EndpointLease){heard(4000), lost(5000, CallFailed), heard(5100)}, 5100 + endpointLeaseTerm},
-		{"pushed, and the agent is down", 0, []func(*EndpointLease){heard(4000), lost(5000, CallFailed), lost(9000, ConnectionRefused)}, 9000 + watchEndedTerm},
-		{"pushed, the agent was down and hangs", 0, []func(*EndpointLease){heard(4000), lost(5000, ConnectionRefused), lost(9000, CallFailed)}, 5000 + watchEndedTerm},
-		{"pushed, another agent", 0, []func(*EndpointLease){heard(4000), lost(5000, AddressChanged), lost(6000, AddressChanged)}, 5000 + addressChangedTerm},
-		{"pushed, another agent late in the silence", 0, []func(*EndpointLease){heard(4000), lost(8000, AddressChanged)}, 4000 + endpointLeaseTerm},
-		{"pushed, another agent after the watch had ended", 0, []func(*EndpointLease){heard(4000), lost(5000, CallFailed), lost(5050, AddressChanged)}, 5000 + watchEndedTerm},
-		{"asked for, another address", ask, []func(*EndpointLease){heard(4000), lost(5000, AddressChanged)}, 4000 + endpointLeaseTerm},
+		{"not polled yet", poll, nil, start, polledMargin},
+		{"pushed, silent from the start", pushed, nil, start, polledMargin},
+		{"first call failed", poll, []func(*EndpointLease){lost(2000*ms, CallFailed)}, start, polledMargin},
+		{"first call refused", poll, []func(*EndpointLease){lost(2000*ms, ConnectionRefused)},
+			2000*ms + endpointLeaseTerm, polledMargin},
+		{"on a watch", poll, []func(*EndpointLease){renewed(2000*ms, 4000*ms)},
+			4000*ms + endpointLeaseTerm, polledMargin},
+		{"the watch ended", poll, []func(*EndpointLease){renewed(2000*ms, 4000*ms), lost(5000*ms, CallFailed)},
+			4000*ms + endpointLeaseTerm, polledMargin},
+		{"down since", poll, []func(*EndpointLease){renewed(2000 * ms), lost(5000*ms, ConnectionRefused)},
+			5000*ms + endpointLeaseTerm, polledMargin},
+		{"heard again", poll,
+			[]func(*EndpointLease){renewed(2000 * ms), lost(5000*ms, ConnectionRefused), renewed(9000 * ms)},
+			9000*ms + endpointLeaseTerm, polledMargin},
+		{"settings give less without a watch", 1000 * ms,
+			[]func(*EndpointLease){renewed(2000 * ms), lost(2500*ms, CallFailed)},
+			2000*ms + failedCallFactor*1000*ms, polledMargin},
+		{"pushed, on a watch", pushed, []func(*EndpointLease){renewed(2000*ms, 4000*ms)},
+			4000*ms + endpointLeaseTerm, polledMargin},
+		{"pushed, fallen silent", pushed,
+			[]func(*EndpointLease){renewed(4000 * ms), lost(7000*ms, WatchSilent), lost(9000*ms, CallFailed)},
+			4000*ms + endpointLeaseTerm, polledMargin},
+		{"pushed, the watch ended", pushed,
+			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, CallFailed), lost(5100*ms, CallFailed)},
+			5000*ms + watchEndedTerm, watchEndedMargin},
+		{"pushed, and was opened again", pushed,
+			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, CallFailed), renewed(5100 * ms)},
+			5100*ms + endpointLeaseTerm, polledMargin},
+		{"pushed, and the agent is down", pushed,
+			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, CallFailed), lost(9000*ms, ConnectionRefused)},
+			9000*ms + watchEndedTerm, watchEndedMargin},
+		{"pushed, the agent was down and hangs", pushed,
+			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, ConnectionRefused), lost(9000*ms, CallFailed)},
+			5000*ms + watchEndedTerm, watchEndedMargin},
+		{"pushed, another agent", pushed,
+			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, AddressChanged), lost(6000*ms, AddressChanged)},
+			5000*ms + addressChangedTerm, addressChangedMargin},
+		{"pushed, another agent late in the silence", pushed,
+			[]func(*EndpointLease){renewed(4000 * ms), lost(8000*ms, AddressChanged)},
+			4000*ms + endpointLeaseTerm, polledMargin},
+		{"pushed, another agent after the watch had ended", pushed,
+			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, CallFailed), lost(5050*ms, AddressChanged)},
+			5000*ms + watchEndedTerm, watchEndedMargin},
+		{"polled, another address", poll, []func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, AddressChanged)},
+			4000*ms + endpointLeaseTerm, polledMargin},
 	} {
-		l := NewEndpointLease(start, c.ask)
-		for _, step := range c.steps {
-			step(&l)
-		}
-		if l.ValidUntil() != c.until || !l.Valid(c.until-1) || l.Valid(c.until) {
-			t.Errorf("%s: until %v, want %v", c.name, l.ValidUntil(), c.until)
-		}
-		late := violationMargin
-		switch c.until {
-		case 5000 + watchEndedTerm, 9000 + watchEndedTerm:
-			late = DrainGrace - watchEndedTerm
-		case 5000 + addressChangedTerm:
-			late = 4000 + DrainGrace - addressChangedTerm
-		}
-		if l.MayBreakDrainRule(c.until+late-1) || !l.MayBreakDrainRule(c.until+late) {
-			t.Errorf("%s: overdue at another time than %v after the end", c.name, late)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			l := NewEndpointLease(start, c.pollWithin)
+			for _, step := range c.steps {
+				step(&l)
+			}
+			if l.ValidUntil() != c.until || !l.Valid(c.until-1) || l.Valid(c.until) {
+				t.Errorf("valid until %v, want %v", l.ValidUntil(), c.until)
+			}
+			breaks := c.until + c.margin
+			if l.MayBreakDrainRule(breaks-1) || !l.MayBreakDrainRule(breaks) {
+				t.Errorf("may break the rule on drains at another time than %v after the expiry", c.margin)
+			}
+		})
 	}
+}
+
+func TestADisabledEndpointLeaseNeverExpires(t *testing.T) {
 	var none EndpointLease
-	if !none.Valid(math.MaxFloat64) || none.Age(5) != 0 {
-		t.Error("a list on no lease lapses")
+	if !none.Valid(math.MaxInt64) || none.Age(5*ms) != 0 || none.Enabled() {
+		t.Error("a list on no lease expires")
 	}
 }
 
-// However words and times fall, a list that is acted on was heard less than told time and grace ago, less the margins.
+// Whenever discovery falls silent and a call fails, a list that is acted on was heard less than the told time
+// and the grace ago, less the margins.
 func TestNoListIsActedOnThatMayBeOverruled(t *testing.T) {
-	for silence := 0.0; silence < 9000; silence += 50 {
-		l := NewEndpointLease(0, 10_000)
-		l.Renew(3000)
-		l.RecordLoss(3000+silence/2, CallFailed)
-		if now := 3000 + silence; l.Valid(now) && silence >= 6000+DrainGrace-300-150 {
-			t.Fatalf("valid %v ms after it was confirmed", silence)
+	for silence := time.Duration(0); silence < 9000*ms; silence += 50 * ms {
+		l := NewEndpointLease(0, 10_000*ms)
+		l.Renew(3000 * ms)
+		l.RecordLoss(3000*ms+silence/2, CallFailed)
+		if l.Valid(3000*ms+silence) && silence >= 6000*ms+DrainGrace-300*ms-150*ms {
+			t.Fatalf("valid %v after it was confirmed", silence)
 		}
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,39 +1,48 @@
 package guard
 
-import "capersail/decide"
+import (
+	"time"
 
-// Request is what is known of a request that something is to be done for.
+	"capersail/decide"
+)
+
+// Request holds the facts about the request that something is to be done for.
 type Request struct {
-	Waiting         bool // it has no answer, is not up, and is this relay's to serve
-	AttemptInFlight bool // an attempt is out whose end has not been told
+	Waiting         bool // it is this relay's to serve, has no answer, and is not established
+	AttemptInFlight bool // the end of an attempt has not been reported
 	MayHaveWritten  bool // the first byte of that attempt may have been written
-	MayHaveRun      bool // an attempt has ended without proof that it never ran
-	MayHaveRunAt    float64
-	MayHaveRunOn    Location // of the server of that attempt
-	Attempts        int      // made so far
-	MaxAttempts     int      // 0 for any number
-	Effect          decide.Idempotency
-	Scope           decide.DedupScope
-	DedupWindow     float64 // in which servers know a repeat again, in ms
-	Resumed         bool    // a connection that stood at its server before this relay started: it goes back there whatever the list says
-	OwnershipLost   bool
+	Attempts        int  // started so far
+	MaxAttempts     int  // 0 for any number
+
+	MayHaveRun   bool          // an attempt has ended without proof that it never ran
+	MayHaveRunAt time.Duration // when that attempt may have begun to run
+	MayHaveRunOn Location      // of that attempt's server
+
+	Idempotency decide.Idempotency
+	DedupScope  decide.DedupScope
+	DedupWindow time.Duration // for how long servers recognize a retry
+
+	// Resumed marks a connection that was open at its server before this relay started: it goes back there
+	// whatever the endpoint list says.
+	Resumed       bool
+	OwnershipLost bool // the ownership lease of its stream may be lost
 }
 
-// Location is where a server stands.
+// Location is the zone and the cell of a server.
 type Location struct {
 	Zone string
 	Cell int32
 }
 
-// ServerStatus is the server that something is to be sent to, by the newest list.
+// ServerStatus is what the newest endpoint list says of the server that something is to be sent to.
 type ServerStatus struct {
 	EverListed bool
 	Ready      bool
 	Location   Location
 }
 
-// MayAttempt tells whether an attempt may be started: a dial, of which nothing is sent yet.
-func MayAttempt(now float64, r Request, to ServerStatus, list *EndpointLease) Denial {
+// MayAttempt tells whether an attempt may be started: a dial, of which nothing is written yet.
+func MayAttempt(now time.Duration, r Request, to ServerStatus, lease *EndpointLease) Denial {
 	switch {
 	case !r.Waiting:
 		return NotWaiting
@@ -46,25 +55,27 @@
 	case !to.EverListed:
 		return ServerNotReady
 	}
-	if d := mayRetry(now, r, to); d != Allowed {
-		return d
+	if denial := mayRetry(now, r, to); denial != Allowed {
+		return denial
 	}
-	return mayUseServer(now, r, to, list)
+	return mayUseServer(now, r, to, lease)
 }
 
-// MayWrite tells whether the first byte of an attempt that has been dialled may be written. until is when the relay stops waiting
-// for the attempt; clientGone, that the client's end has come, even where nobody has had time to read it.
-func MayWrite(now, until float64, r Request, to ServerStatus, list *EndpointLease, clientGone bool) Denial {
+// MayWrite tells whether the first byte of an attempt that has been dialled may be written. deadline is when
+// the relay gives the attempt up; clientGone, that the client's end has come, read or unread.
+func MayWrite(
+	now, deadline time.Duration, r Request, to ServerStatus, lease *EndpointLease, clientGone bool,
+) Denial {
 	switch {
 	case !r.Waiting:
 		return NotWaiting
 	case r.OwnershipLost:
 		return OwnershipLost
-	case now >= until:
+	case now >= deadline:
 		return AttemptTimedOut
 	}
-	if d := mayUseServer(now, r, to, list); d != Allowed {
-		return d
+	if denial := mayUseServer(now, r, to, lease); denial != Allowed {
+		return denial
 	}
 	if clientGone {
 		return ClientGone
@@ -73,60 +84,73 @@
 }
 
 // mayUseServer tells whether something new may go to a server.
-func mayUseServer(now float64, r Request, to ServerStatus, list *EndpointLease) Denial {
+func mayUseServer(now time.Duration, r Request, to ServerStatus, lease *EndpointLease) Denial {
 	switch {
 	case r.Resumed:
 		return Allowed
 	case !to.Ready:
 		return ServerNotReady
-	case !list.Valid(now):
+	case !lease.Valid(now):
 		return EndpointLeaseExpired
 	}
 	return Allowed
 }
 
-// mayRetry tells whether a request whose earlier attempt may have run can be sent to a server.
-func mayRetry(now float64, r Request, to ServerStatus) Denial {
+// mayRetry tells whether a request whose earlier attempt may have run can go to a server.
+func mayRetry(now time.Duration, r Request, to ServerStatus) Denial {
 	switch {
-	case !r.MayHaveRun, r.Effect == decide.Idempotent:
+	case !r.MayHaveRun, r.Idempotency == decide.Idempotent:
 		return Allowed
-	case r.Effect == decide.NonIdempotent:
+	case r.Idempotency == decide.NonIdempotent:
 		return MayHaveRun
 	case now-r.MayHaveRunAt >= r.DedupWindow:
 		return DedupWindowOver
-	case r.Scope == decide.ScopeZone && to.Location.Zone != r.MayHaveRunOn.Zone, r.Scope == decide.ScopeCell && to.Location.Cell != r.MayHaveRunOn.Cell:
+	case !recognizesRetry(r, to):
 		return OutsideDedupScope
 	}
 	return Allowed
 }
 
-// MayReject tells whether a request may be refused, which promises that trying again is harmless. Else it fails.
+// recognizesRetry tells whether the server shares idempotency keys with the one that may have run the
+// request.
+func recognizesRetry(r Request, to ServerStatus) bool {
+	switch r.DedupScope {
+	case decide.ScopeZone:
+		return to.Location.Zone == r.MayHaveRunOn.Zone
+	case decide.ScopeCell:
+		return to.Location.Cell == r.MayHaveRunOn.Cell
+	}
+	return true
+}
+
+// MayReject tells whether a request may be rejected, which promises the client that a retry is harmless. A
+// request that may not be rejected fails.
 func MayReject(r Request) Denial {
 	switch {
-	case r.Effect == decide.Idempotent:
+	case r.Idempotency == decide.Idempotent:
 		return Allowed
 	case r.AttemptInFlight && r.MayHaveWritten:
 		return MayHaveRun
-	case r.MayHaveRun && (r.Effect == decide.NonIdempotent || r.Scope != decide.ScopeAll):
+	case r.MayHaveRun && (r.Idempotency == decide.NonIdempotent || r.DedupScope != decide.ScopeAll):
 		return MayHaveRun
 	}
 	return Allowed
 }
 
-// MayAccept tells whether the relay may take on a request.
-func MayAccept(leaving, nameTaken bool) Denial {
+// MayAccept tells whether the relay may take on a request. shuttingDown holds for a drain by an operator too.
+func MayAccept(shuttingDown, nameTaken bool) Denial {
 	switch {
 	case nameTaken:
 		return NameTaken
-	case leaving:
+	case shuttingDown:
 		return RelayShuttingDown
 	}
 	return Allowed
 }
 
 // MayAnswer tells whether a request may be given a final answer: once, and not while a server serves it.
-func MayAnswer(answered, up bool) Denial {
-	if answered || up {
+func MayAnswer(answered, established bool) Denial {
+	if answered || established {
 		return NotWaiting
 	}
 	return Allowed
--- a/internal/guard/invariants.go
+++ b/internal/guard/invariants.go
@@ -1,61 +1,75 @@
 package guard
 
-import "sync/atomic"
+import (
+	"sync/atomic"
+	"time"
+)
 
-// Invariant is a rule of the protocol page that is checked as the relay runs.
+// Invariant is a rule of the protocol page that is checked, after each act, as the relay runs.
 type Invariant uint8
 
-// The rules.
+// The invariants.
 const (
-	NothingNewAfterDrain Invariant = iota // something new was sent to a server after the grace, or by a list that had lapsed
-	NoDuplicateAttempt                    // two attempts were out at once, or a request ran again that must not
-	AnswerInTime                          // a request had its answer after its time
-	RejectOnlyIfHarmless                  // a request was refused that may have run and must not run twice
+	// NothingNewAfterDrain: nothing new goes to a server later than DrainGrace after the news that it drains
+	// or is gone, and nothing by an endpoint list whose lease has long expired.
+	NothingNewAfterDrain Invariant = iota
+	// NoDuplicateAttempt: a request has one attempt in flight, and does not run again where it must not.
+	NoDuplicateAttempt
+	// AnswerInTime: a request has its answer at most AnswerSlack after its deadline.
+	AnswerInTime
+	// RejectOnlyIfHarmless: a request that may have run and must not run twice is failed, never rejected.
+	RejectOnlyIfHarmless
+
 	invariantCount
 )
 
-var invariantNames = [invariantCount]string{"drain", "duplicate", "late", "promise"}
-
-// String is the rule as logs and figures have it.
-func (r Invariant) String() string {
-	if r >= invariantCount {
-		return "unknown"
-	}
-	return invariantNames[r]
+// invariantNames are values of the metric relay_violations' label: operators' dashboards know them.
+var invariantNames = [invariantCount]string{
+	NothingNewAfterDrain: "drain",
+	NoDuplicateAttempt:   "duplicate",
+	AnswerInTime:         "late",
+	RejectOnlyIfHarmless: "promise",
 }
 
-// Invariants are all rules that are checked.
-func Invariants() (all []Invariant) {
-	for r := NothingNewAfterDrain; r < invariantCount; r++ {
-		all = append(all, r)
+// String returns the invariant's name in logs and metrics, "unknown" for a value that is none.
+func (i Invariant) String() string { return nameOf(invariantNames[:], uint8(i)) }
+
+// Invariants returns all invariants.
+func Invariants() []Invariant {
+	var all []Invariant
+	for i := NothingNewAfterDrain; i < invariantCount; i++ {
+		all = append(all, i)
 	}
 	return all
 }
 
-// DrainGrace is how long after the news something may still go to a server that drains or is gone, in ms.
-const DrainGrace = 500.0
-
-// AnswerSlack is how long after a request's time its answer may come, in ms: 20 by the rules and 50 more on sockets.
-const AnswerSlack = 70.0
+const (
+	// DrainGrace is how long after the news that a server drains or is gone something new may still go there.
+	DrainGrace = 500 * time.Millisecond
+	// AnswerSlack is how long after a request's deadline its answer may come: 20 ms by the rules, and 50 ms
+	// more on sockets.
+	AnswerSlack = 70 * time.Millisecond
+)
 
-// mostKinds bounds the kinds that a counter tells apart: it does not compile if there are more rules or denials.
+// maxKinds bounds the kinds that a counter tells apart: it does not compile if there are more of either.
 const (
 	maxKinds       = 32
 	_        uint8 = maxKinds - uint8(invariantCount)
 	_        uint8 = maxKinds - uint8(denialCount)
 )
 
-// counter counts by kind since the process started. The zero one is ready; it is safe for use by many goroutines.
+// counter counts by kind since the process started. The zero one is ready; it is safe for use by many
+// goroutines.
 type counter[Kind ~uint8] struct{ counts [maxKinds]atomic.Uint64 }
 
-// Add counts one.
+// Add counts one of a kind. A kind that is none is not counted.
 func (c *counter[Kind]) Add(kind Kind) {
 	if kind < maxKinds {
 		c.counts[kind].Add(1)
 	}
 }
 
-// Count is how many there were.
+// Count returns how many of a kind there were.
 func (c *counter[Kind]) Count(kind Kind) uint64 {
 	if kind >= maxKinds {
 		return 0
@@ -63,8 +77,8 @@
 	return c.counts[kind].Load()
 }
 
-// ViolationCounts counts by rule what was done against it.
+// ViolationCounts counts by invariant what was done against it.
 type ViolationCounts = counter[Invariant]
 
-// DenialCounts counts what was not done, by the reason.
+// DenialCounts counts by reason what was denied.
 type DenialCounts = counter[Denial]
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -76,7 +76,9 @@
 
 // UnixMillis turns this clock's time into UnixMillis time in milliseconds, by the one origin that was read at the start: it
 // does not step with the clock of the day.
-func (c *Clock) UnixMillis(ms float64) float64 { return ms - clockStart + float64(c.origin.UnixNano())/1e6 }
+func (c *Clock) UnixMillis(ms float64) float64 {
+	return ms - clockStart + float64(c.origin.UnixNano())/1e6
+}
 
 // WallDeadline is the network deadline that falls at an instant of this clock.
 func (c *Clock) WallDeadline(at time.Duration) time.Time { return time.Now().Add(at - c.Now()) }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -251,7 +251,7 @@
 	s := x.endpoints.byID[server]
 	denial := guard.MayAccept(x.rejecting(), c.nameTaken())
 	if denial == guard.Allowed {
-		denial = guard.MayAttempt(x.Clock.NowMillis(), c.guardFacts(c.state == Queued), s.guardStatus(), &x.endpointLease)
+		denial = guard.MayAttempt(x.Clock.Now(), c.guardFacts(c.state == Queued), s.guardStatus(), &x.endpointLease)
 	}
 	if denial != guard.Allowed {
 		c.recordDenial(denial, s)
@@ -317,7 +317,7 @@
 	if guard.MayAnswer(c.state == Ended, c.state == Established) != guard.Allowed {
 		return
 	}
-	if a.Kind != NoAnswer && c.table.Clock.NowMillis() > c.deadline+guard.AnswerSlack {
+	if a.Kind != NoAnswer && c.table.Clock.NowMillis() > c.deadline+Millis(guard.AnswerSlack) {
 		c.recordViolation(guard.AnswerInTime, nil)
 	}
 	if a.Cause == decide.OK { // then what the last attempt met
--- a/internal/relay/guarded.go
+++ b/internal/relay/guarded.go
@@ -10,9 +10,21 @@
 // guardFacts is what the guard is told of a call. The caller holds the lock.
 func (c *Request) guardFacts(waiting bool) guard.Request {
 	class := &c.table.deployment.Settings.Classes[c.Class]
-	return guard.Request{Waiting: waiting, AttemptInFlight: c.attemptInFlight, MayHaveWritten: c.mayHaveWritten, MayHaveRun: c.mayHaveRun, MayHaveRunAt: c.mayHaveRunAt, MayHaveRunOn: c.mayHaveRunOn,
-		Attempts: c.attempts, MaxAttempts: c.table.deployment.Settings.MaxAttempts, Effect: class.Idempotency, Scope: class.DedupScope,
-		DedupWindow: Millis(class.DedupWindow), Resumed: c.resumed, OwnershipLost: c.ownershipLost}
+	return guard.Request{
+		Waiting:         waiting,
+		AttemptInFlight: c.attemptInFlight,
+		MayHaveWritten:  c.mayHaveWritten,
+		Attempts:        c.attempts,
+		MaxAttempts:     c.table.deployment.Settings.MaxAttempts,
+		MayHaveRun:      c.mayHaveRun,
+		MayHaveRunAt:    Duration(c.mayHaveRunAt),
+		MayHaveRunOn:    c.mayHaveRunOn,
+		Idempotency:     class.Idempotency,
+		DedupScope:      class.DedupScope,
+		DedupWindow:     class.DedupWindow,
+		Resumed:         c.resumed,
+		OwnershipLost:   c.ownershipLost,
+	}
 }
 
 // guardStatus is a server as the guard is told of it, by the newest list.
@@ -48,9 +60,10 @@
 	if s != nil {
 		event = event.Str("server", s.ID).Str("zone", s.zone)
 	}
-	now := c.table.Clock.NowMillis()
+	now := c.table.Clock.Now()
 	event.Stringer("rule", rule).Uint64("request", uint64(c.ID)).Str("id", c.Name).Int("attempt", c.attempt.Number).
-		Float64("list_age_ms", c.table.endpointLease.Age(now)).Float64("lapsed_ms", now-c.table.endpointLease.ValidUntil()).Msg("a rule is broken")
+		Float64("list_age_ms", Millis(c.table.endpointLease.Age(now))).
+		Float64("lapsed_ms", Millis(now-c.table.endpointLease.ValidUntil())).Msg("a rule is broken")
 }
 
 // FirstLineWritten says that the whole first line of an attempt has been written. It checks once more, after the act, what Begin was asked
@@ -61,8 +74,8 @@
 	if c.attempt.Number != no || c.resumed {
 		return
 	}
-	now, s := c.table.Clock.NowMillis(), c.attempt.currentServer()
-	if c.table.endpointLease.MayBreakDrainRule(now) || s.mode != decide.Ready && now-s.unreadyAt > guard.DrainGrace {
+	now, s := c.table.Clock.Now(), c.attempt.currentServer()
+	if c.table.endpointLease.MayBreakDrainRule(now) || s.mode != decide.Ready && now-Duration(s.unreadyAt) > guard.DrainGrace {
 		c.recordViolation(guard.NothingNewAfterDrain, s)
 	}
 }
@@ -72,7 +85,7 @@
 func (x *RequestTable) LeaseEndpointList(askWithin float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.endpointLease = guard.NewEndpointLease(x.Clock.NowMillis(), askWithin)
+	x.endpointLease = guard.NewEndpointLease(x.Clock.Now(), Duration(askWithin))
 	x.leased, x.checkedAt = true, x.Clock.NowMillis()
 	x.checkEndpointLease()
 }
@@ -93,8 +106,8 @@
 	if x.noticeProcessStop(now); now < x.ignoreReadsUntil {
 		return
 	}
-	age := x.endpointLease.Age(now)
-	x.endpointLease.Renew(now)
+	age := Millis(x.endpointLease.Age(x.Clock.Now()))
+	x.endpointLease.Renew(x.Clock.Now())
 	if x.endpoints.leaseExpired {
 		x.Log.Info().Float64("list_age_ms", age).Msg("the list of servers is confirmed again")
 	}
@@ -114,7 +127,7 @@
 func (x *RequestTable) RecordDiscoveryLoss(why guard.DiscoveryLoss) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.endpointLease.RecordLoss(x.Clock.NowMillis(), why)
+	x.endpointLease.RecordLoss(x.Clock.Now(), why)
 	x.checkEndpointLease()
 }
 
@@ -131,8 +144,8 @@
 func (x *RequestTable) GuardStats() GuardStats {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	now := x.Clock.NowMillis()
-	f := GuardStats{EndpointListAge: x.endpointLease.Age(now), EndpointLeaseExpired: !x.endpointLease.Valid(now),
+	now := x.Clock.Now()
+	f := GuardStats{EndpointListAge: Millis(x.endpointLease.Age(now)), EndpointLeaseExpired: !x.endpointLease.Valid(now),
 		Denials: map[string]uint64{}, Rejections: map[string]uint64{}, Violations: map[string]uint64{}}
 	for _, why := range guard.Denials() {
 		f.Denials[why.String()] = x.Denials.Count(why)
@@ -149,10 +162,10 @@
 // checkEndpointLease tells the module once the list lapses or is confirmed again: to it, servers of a lapsed list drain. They keep what they
 // have and get nothing new. The caller holds the lock.
 func (x *RequestTable) checkEndpointLease() {
-	now := x.Clock.NowMillis()
+	now := x.Clock.Now()
 	lapsed := !x.endpointLease.Valid(now)
 	if lapsed && !x.endpoints.leaseExpired {
-		x.Log.Warn().Float64("list_age_ms", x.endpointLease.Age(now)).Msg("the list of servers cannot be confirmed; nothing new is sent by it")
+		x.Log.Warn().Float64("list_age_ms", Millis(x.endpointLease.Age(now))).Msg("the list of servers cannot be confirmed; nothing new is sent by it")
 	}
 	x.endpoints.leaseExpired = lapsed
 	if m := x.endpoints.refreshModes(); len(m.Endpoints) > 0 {
--- a/internal/relay/module_side.go
+++ b/internal/relay/module_side.go
@@ -32,7 +32,7 @@
 	if to >= 0 && int(to) < len(x.endpoints.servers) {
 		s = x.endpoints.servers[to]
 	}
-	denial := guard.MayAttempt(x.Clock.NowMillis(), c.guardFacts(c.state == Queued), s.guardStatus(), &x.endpointLease)
+	denial := guard.MayAttempt(x.Clock.Now(), c.guardFacts(c.state == Queued), s.guardStatus(), &x.endpointLease)
 	if denial != guard.Allowed {
 		c.recordDenial(denial, s)
 	}
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -28,7 +28,7 @@
 	defer c.table.mu.Unlock()
 	waiting := c.state == Attempting && c.attempt.Number == no && !c.canceled
 	s := c.attempt.currentServer()
-	denial := guard.MayWrite(c.table.Clock.NowMillis(), c.attempt.Deadline, c.guardFacts(waiting), s.guardStatus(), &c.table.endpointLease, waiting && c.clientConn.HasUnread())
+	denial := guard.MayWrite(c.table.Clock.Now(), Duration(c.attempt.Deadline), c.guardFacts(waiting), s.guardStatus(), &c.table.endpointLease, waiting && c.clientConn.HasUnread())
 	if denial != guard.Allowed {
 		c.recordDenial(denial, s)
 		return false
