--- a/internal/relay/client_side.go
+++ b/internal/relay/client_side.go
@@ -74,12 +74,3 @@
 		c.serverConn.Close(how)
 	}
 }
-
-// LineSent says that a line went to the server; see Heard.
-func (c *Request) LineSent() {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.unansweredSince == 0 {
-		c.unansweredSince = c.table.Clock.NowMillis()
-	}
-}
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -36,3 +36,18 @@
 		}
 	}
 }
+
+// What starts before this program did is told on the module's clock, and long ago stays long ago.
+func TestClock(t *testing.T) {
+	c := NewManualClock()
+	now := float64(c.origin.UnixMilli())
+	if got := c.FromUnixMillis(now - 250); got != clockStart-250 {
+		t.Errorf("started 250 ms ago: %v", got)
+	}
+	if got := c.FromUnixMillis(0); got != 0 {
+		t.Errorf("long ago: %v", got)
+	}
+	if got := Duration(1.2346); got != 1235000 {
+		t.Errorf("1.2346 ms: %v", got)
+	}
+}
--- a/internal/relay/ops.go
+++ b/internal/relay/counters.go
@@ -2,11 +2,10 @@
 
 import (
 	"capersail/decide"
+	"capersail/internal/guard"
 	"capersail/internal/observe/recorder"
 )
 
-// This file holds what operators ask of a relay: a drain by hand, tile servers taken out by hand, and the figures.
-
 // ClassCounts are the figures of one class since the process started.
 type ClassCounts struct {
 	Established uint64 // connections brought up
@@ -71,13 +70,6 @@
 // Arrivals is how many requests have come since the process started.
 func (x *RequestTable) Arrivals() uint64 { return x.arrived.Load() }
 
-// ShuttingDown tells whether the relay is on its way out for good.
-func (x *RequestTable) ShuttingDown() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.shuttingDown
-}
-
 // EndpointCounts is what the relay knows of the tile servers in the list.
 type EndpointCounts struct {
 	Listed          int // in the list, ready or draining
@@ -106,79 +98,40 @@
 	return c
 }
 
-// SetDraining starts or ends a drain by hand: while it lasts the relay is not ready, refuses what comes with a time
-// to come again, and moves a call that comes up at once. The calls that are up are moved by MoveSome.
-func (x *RequestTable) SetDraining(on bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.drainedManually = on
-}
-
-// Accepting tells whether the relay takes new clients: it is neither draining nor leaving.
-func (x *RequestTable) Accepting() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return !x.rejecting()
-}
-
-// Draining tells whether a drain by hand is on.
-func (x *RequestTable) Draining() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.drainedManually
-}
-
-// rejecting tells whether what comes is to be refused. The caller holds the lock.
-func (x *RequestTable) rejecting() bool { return x.shuttingDown || x.drainedManually }
-
-// HasEndpointList tells whether the relay has a list of servers to go by: a whole one from discovery, or one with entries
-// from its configuration.
-func (x *RequestTable) HasEndpointList() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.endpoints.complete
+// GuardStats are what operators see of the guard, since the process started.
+type GuardStats struct {
+	EndpointListAge      float64 // ms since discovery was last heard, 0 where the list is not held on a lease
+	EndpointLeaseExpired bool
+	Denials              map[string]uint64 // by what stood in the way
+	Rejections           map[string]uint64 // by the module's reason
+	Violations           map[string]uint64 // by rule
 }
 
-// EverListed tells whether a server of that id has ever been in the list.
-func (x *RequestTable) EverListed(id string) bool {
+// GuardStats returns the figures of the guard.
+func (x *RequestTable) GuardStats() GuardStats {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.endpoints.byID[id] != nil
+	now := x.Clock.Now()
+	f := GuardStats{EndpointListAge: Millis(x.endpointLease.Age(now)), EndpointLeaseExpired: !x.endpointLease.Valid(now),
+		Denials: map[string]uint64{}, Rejections: map[string]uint64{}, Violations: map[string]uint64{}}
+	for _, why := range guard.Denials() {
+		f.Denials[why.String()] = x.Denials.Count(why)
+	}
+	for _, rule := range guard.Invariants() {
+		f.Violations[rule.String()] = x.Violations.Count(rule)
+	}
+	for why, n := range x.counters.rejections {
+		f.Rejections[decide.RejectReason(why).String()] = n
+	}
+	return f
 }
 
-// SetManualEjections takes the servers that are out by hand, all of them. To the module a server that is out is one that drains,
-// so it gets nothing new, and the check before a send's first byte holds for it as for a drain; whoever is up
-// there is moved, since the server is to restart. A server that comes back is listed as the list has it.
-func (x *RequestTable) SetManualEjections(out map[string]bool) {
+// RecordConnLimitRejection tells that the door refused a client of the class for want of descriptors.
+func (x *RequestTable) RecordConnLimitRejection(class decide.Class) {
 	x.mu.Lock()
-	defer x.mu.Unlock()
-	m := decide.WatchEvent{Kind: decide.LocalDelta}
-	x.endpoints.ejectedManually = out
-	for _, s := range x.endpoints.servers {
-		if s.ejectedManually == out[s.ID] {
-			continue
-		}
-		s.ejectedManually = out[s.ID]
-		x.endpoints.setMode(s)
-		m.Endpoints = append(m.Endpoints, x.endpoints.entry(s))
-	}
-	if len(m.Endpoints) == 0 {
-		return
-	}
-	x.post(m)
+	x.counters.countAnswer(class, Rejected)
+	x.mu.Unlock()
 	if x.Recorder != nil {
-		x.recordEndpointList(decide.Delta)
-	}
-	for _, c := range x.requests {
-		s := c.attempt.currentServer()
-		if s == nil || !s.ejectedManually {
-			continue
-		}
-		switch {
-		case c.state == Established:
-			c.migrate(recorder.Operator)
-		case c.attemptInFlight && c.serverConn != nil:
-			c.serverConn.Wake()
-		}
+		x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis(), Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit})
 	}
 }
--- a/internal/relay/taps.go
+++ b/internal/relay/recording.go
@@ -85,23 +85,3 @@
 func (x *RequestTable) recordPeerReading(s decide.ServerID, ageMs float64, load float64) {
 	x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis() - ageMs, Kind: recorder.PeerReading, Server: int32(s), Elapsed: ageMs, Load: float32(load)})
 }
-
-// RecordConnLimitRejection tells that the door refused a client of the class for want of descriptors.
-func (x *RequestTable) RecordConnLimitRejection(class decide.Class) {
-	x.mu.Lock()
-	x.counters.countAnswer(class, Rejected)
-	x.mu.Unlock()
-	if x.Recorder != nil {
-		x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis(), Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit})
-	}
-}
-
-// ServerIDs appends the ids of servers from number from on, in the order of their numbers.
-func (x *RequestTable) ServerIDs(from int, out []string) []string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for _, s := range x.endpoints.servers[min(from, len(x.endpoints.servers)):] {
-		out = append(out, s.ID)
-	}
-	return out
-}
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -153,35 +153,6 @@
 	c.removeIfDone()
 }
 
-// LineReceived says that a line came back from the server. What the oldest unanswered line waited for it is the
-// time a message takes there now; the module is told when that is over a third of the shortest aim (where no
-// class has one, over lateAfter), and at most once a second for each server.
-func (c *Request) LineReceived() {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.unansweredSince != 0 {
-		c.noteDelay(c.table.Clock.NowMillis() - c.unansweredSince)
-		c.unansweredSince = 0
-	}
-}
-
-func (c *Request) noteDelay(delay float64) {
-	least := slowMessageAfter
-	for _, class := range c.table.deployment.Settings.Classes {
-		if class.MessageLatencyObjective > 0 {
-			least = min(least, Millis(class.MessageLatencyObjective)/3)
-		}
-	}
-	now, s := c.table.Clock.NowMillis(), c.attempt.currentServer()
-	if delay > least && now-s.delayNotedAt >= 1000 {
-		s.delayNotedAt = now
-		if c.table.Recorder != nil {
-			c.table.Recorder.Put(&recorder.Record{At: now, Kind: recorder.MessageDelayed, Request: uint64(c.ID), Server: int32(s.Number), Elapsed: delay})
-		}
-		c.table.post(decide.MessageDelay{ID: c.ID, Server: s.Number, Delay: Duration(delay)})
-	}
-}
-
 // ReportLoad says that the server has told the connection's load, in microseconds of work a second.
 func (c *Request) ReportLoad(x float64) {
 	c.table.mu.Lock()
