--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -43,24 +43,24 @@
 }
 
 // ClassCounts returns the figures of each class, in the order of the classes' numbers.
-func (x *RequestTable) ClassCounts() []ClassCounts {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	out := make([]ClassCounts, len(x.counters.established))
+func (t *RequestTable) ClassCounts() []ClassCounts {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := make([]ClassCounts, len(t.counters.established))
 	for i := range out {
-		out[i] = ClassCounts{Established: x.counters.established[i], Rejected: x.counters.rejected[i], Failed: x.counters.failed[i],
-			Attempts: x.counters.attempts[i]}
+		out[i] = ClassCounts{Established: t.counters.established[i], Rejected: t.counters.rejected[i], Failed: t.counters.failed[i],
+			Attempts: t.counters.attempts[i]}
 	}
 	return out
 }
 
 // OpenRequests is how many connections the relay has taken and not ended: those that asked and have no final answer,
 // and those that are up.
-func (x *RequestTable) OpenRequests() (n int) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for _, c := range x.requests {
-		if c.state != Ended {
+func (t *RequestTable) OpenRequests() (n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, r := range t.requests {
+		if r.state != Ended {
 			n++
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // Arrivals is how many requests have come since the process started.
-func (x *RequestTable) Arrivals() uint64 { return x.arrived.Load() }
+func (t *RequestTable) Arrivals() uint64 { return t.arrived.Load() }
 
 // EndpointCounts is what the relay knows of the tile servers in the list.
 type EndpointCounts struct {
@@ -80,22 +80,22 @@
 }
 
 // EndpointCounts counts the servers in the list.
-func (x *RequestTable) EndpointCounts() (c EndpointCounts) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	c.Ejected = int(x.ejectedCount.Load())
-	for _, s := range x.endpoints.servers {
+func (t *RequestTable) EndpointCounts() (counts EndpointCounts) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	counts.Ejected = int(t.ejectedCount.Load())
+	for _, s := range t.endpoints.servers {
 		if s.listedMode != decide.Removed {
-			c.Listed++
+			counts.Listed++
 			switch {
 			case s.ejectedManually:
-				c.EjectedManually++
+				counts.EjectedManually++
 			case s.listedMode == decide.Ready && s.mode != decide.Ready:
-				c.Withheld++
+				counts.Withheld++
 			}
 		}
 	}
-	return c
+	return counts
 }
 
 // GuardStats are what operators see of the guard, since the process started.
@@ -108,30 +108,30 @@
 }
 
 // GuardStats returns the figures of the guard.
-func (x *RequestTable) GuardStats() GuardStats {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	now := x.Clock.Now()
-	f := GuardStats{EndpointListAge: Millis(x.endpointLease.Age(now)), EndpointLeaseExpired: !x.endpointLease.Valid(now),
+func (t *RequestTable) GuardStats() GuardStats {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Clock.Now()
+	f := GuardStats{EndpointListAge: Millis(t.endpointLease.Age(now)), EndpointLeaseExpired: !t.endpointLease.Valid(now),
 		Denials: map[string]uint64{}, Rejections: map[string]uint64{}, Violations: map[string]uint64{}}
 	for _, why := range guard.Denials() {
-		f.Denials[why.String()] = x.Denials.Count(why)
+		f.Denials[why.String()] = t.Denials.Count(why)
 	}
 	for _, rule := range guard.Invariants() {
-		f.Violations[rule.String()] = x.Violations.Count(rule)
+		f.Violations[rule.String()] = t.Violations.Count(rule)
 	}
-	for why, n := range x.counters.rejections {
+	for why, n := range t.counters.rejections {
 		f.Rejections[decide.RejectReason(why).String()] = n
 	}
 	return f
 }
 
 // RecordConnLimitRejection tells that the door refused a client of the class for want of descriptors.
-func (x *RequestTable) RecordConnLimitRejection(class decide.Class) {
-	x.mu.Lock()
-	x.counters.countAnswer(class, Rejected)
-	x.mu.Unlock()
-	if x.Recorder != nil {
-		x.Recorder.Put(&recorder.Record{At: x.Clock.NowMillis(), Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit})
+func (t *RequestTable) RecordConnLimitRejection(class decide.Class) {
+	t.mu.Lock()
+	t.counters.countAnswer(class, Rejected)
+	t.mu.Unlock()
+	if t.Recorder != nil {
+		t.Recorder.Put(&recorder.Record{At: t.Clock.NowMillis(), Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit})
 	}
 }
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -50,46 +50,46 @@
 }
 
 // apply writes a list into the roster and returns it in the module's numbers.
-func (r *endpointList) apply(kind decide.WatchKind, list []Endpoint) decide.WatchEvent {
+func (l *endpointList) apply(kind decide.WatchKind, list []Endpoint) decide.WatchEvent {
 	if kind != decide.Delta && kind != decide.WatchFailed { // who is not in a whole list is gone
 		listed := map[string]bool{}
-		for _, l := range list {
-			listed[l.ID] = true
+		for _, e := range list {
+			listed[e.ID] = true
 		}
-		for _, s := range r.servers {
+		for _, s := range l.servers {
 			if !listed[s.ID] {
 				s.listedMode = decide.Removed
-				r.setMode(s)
+				l.setMode(s)
 			}
 		}
 	}
 	m := decide.WatchEvent{Kind: kind}
-	r.complete = r.complete || kind == decide.Snapshot || kind == decide.Cached && len(list) > 0
-	for _, l := range list {
-		s := r.byID[l.ID]
+	l.complete = l.complete || kind == decide.Snapshot || kind == decide.Cached && len(list) > 0
+	for _, e := range list {
+		s := l.byID[e.ID]
 		if s == nil {
-			s = &Server{Number: decide.ServerID(len(r.servers)), ID: l.ID, ejectedManually: r.ejectedManually[l.ID]}
-			r.byID[l.ID] = s
-			r.servers = append(r.servers, s)
+			s = &Server{Number: decide.ServerID(len(l.servers)), ID: e.ID, ejectedManually: l.ejectedManually[e.ID]}
+			l.byID[e.ID] = s
+			l.servers = append(l.servers, s)
 		}
-		s.listedMode, s.Load, s.SupportsResume, s.zone, s.cell = l.Mode, l.Load, l.SupportsResume, l.Zone, l.Cell
-		if s.startedUnix != l.StartedAt {
-			s.startedUnix, s.startedAt = l.StartedAt, r.clock.FromUnixMillis(l.StartedAt)
+		s.listedMode, s.Load, s.SupportsResume, s.zone, s.cell = e.Mode, e.Load, e.SupportsResume, e.Zone, e.Cell
+		if s.startedUnix != e.StartedAt {
+			s.startedUnix, s.startedAt = e.StartedAt, l.clock.FromUnixMillis(e.StartedAt)
 		}
-		r.setMode(s)
-		if l.Address != "" { // an entry that says Gone may come without one
-			s.Address = l.Address
+		l.setMode(s)
+		if e.Address != "" { // an entry that says Gone may come without one
+			s.Address = e.Address
 		}
-		m.Endpoints = append(m.Endpoints, r.entry(s))
+		m.Endpoints = append(m.Endpoints, l.entry(s))
 	}
 	return m
 }
 
 // setMode sets the mode that the module is told from what is known of a server: a ready one drains that is out by hand, or
 // stands on a list that has lapsed. It tells whether the mode has changed.
-func (r *endpointList) setMode(s *Server) (changed bool) {
-	now, mode := r.clock.NowMillis(), s.operatorMode()
-	if mode == decide.Ready && r.leaseExpired {
+func (l *endpointList) setMode(s *Server) (changed bool) {
+	now, mode := l.clock.NowMillis(), s.operatorMode()
+	if mode == decide.Ready && l.leaseExpired {
 		mode = decide.Draining
 	}
 	if s.mode == decide.Ready && mode != decide.Ready {
@@ -109,18 +109,18 @@
 }
 
 // refreshModes sets the mode of every server as of now, and returns what that changes for the module.
-func (r *endpointList) refreshModes() decide.WatchEvent {
+func (l *endpointList) refreshModes() decide.WatchEvent {
 	m := decide.WatchEvent{Kind: decide.LocalDelta}
-	for _, s := range r.servers {
-		if r.setMode(s) {
-			m.Endpoints = append(m.Endpoints, r.entry(s))
+	for _, s := range l.servers {
+		if l.setMode(s) {
+			m.Endpoints = append(m.Endpoints, l.entry(s))
 		}
 	}
 	return m
 }
 
 // entry is the server as the module is told of it.
-func (r *endpointList) entry(s *Server) decide.Endpoint {
-	return decide.Endpoint{Server: s.Number, State: s.mode, Zone: r.deployment.Zones[s.zone], Cell: s.cell, RendezvousKey: ServerKey(s.ID),
+func (l *endpointList) entry(s *Server) decide.Endpoint {
+	return decide.Endpoint{Server: s.Number, State: s.mode, Zone: l.deployment.Zones[s.zone], Cell: s.cell, RendezvousKey: ServerKey(s.ID),
 		StartedAt: Duration(s.startedAt)}
 }
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -10,46 +10,46 @@
 
 // OwnershipAcquired says that the stream is this relay's: the call goes to the module, as any that comes back. It is
 // false if it waits for that no more.
-func (c *Request) OwnershipAcquired() bool {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
+func (r *Request) OwnershipAcquired() bool {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
 	switch {
-	case c.state != AwaitingOwnership:
+	case r.state != AwaitingOwnership:
 		return false
-	case guard.MayAccept(c.table.rejecting(), false) != guard.Allowed:
-		c.answerFinally(c.table.applyRetryAfterSetting(c.table.shutdownRejection()))
+	case guard.MayAccept(r.table.rejecting(), false) != guard.Allowed:
+		r.answerFinally(r.table.applyRetryAfterSetting(r.table.shutdownRejection()))
 		return false
 	}
-	c.state = Queued
-	c.table.post(c.decisionRequest())
+	r.state = Queued
+	r.table.post(r.decisionRequest())
 	return true
 }
 
 // OwnershipDenied says that it is not.
-func (c *Request) OwnershipDenied(a Answer) {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.state == AwaitingOwnership {
-		c.answerFinally(c.table.applyRetryAfterSetting(a))
+func (r *Request) OwnershipDenied(a Answer) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if r.state == AwaitingOwnership {
+		r.answerFinally(r.table.applyRetryAfterSetting(a))
 	}
 }
 
 // LoseOwnership says that the claim may be lost: the call is ended politely, and nothing goes out for it any more.
-func (c *Request) LoseOwnership(after float64) {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	c.ownershipLost = true
-	switch c.state {
+func (r *Request) LoseOwnership(after float64) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	r.ownershipLost = true
+	switch r.state {
 	case Queued, Attempting:
 		a := Answer{Kind: Rejected, RetryAfter: after}
-		if guard.MayReject(c.guardFacts(true)) != guard.Allowed {
+		if guard.MayReject(r.guardFacts(true)) != guard.Allowed {
 			a = Answer{Kind: Failed}
 		}
-		c.table.post(decide.ClientGone{ID: c.ID})
-		c.answerFinally(c.table.applyRetryAfterSetting(a))
+		r.table.post(decide.ClientGone{ID: r.ID})
+		r.answerFinally(r.table.applyRetryAfterSetting(a))
 	case AwaitingOwnership:
-		c.answerFinally(c.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: after}))
+		r.answerFinally(r.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: after}))
 	case Established:
-		c.migrate(recorder.OwnershipLost)
+		r.migrate(recorder.OwnershipLost)
 	}
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -86,68 +86,68 @@
 }
 
 // nameTaken tells whether another call has the name.
-func (c *Request) nameTaken() bool { return c.Name != "" && c.table.requestsByName[c.Name] != c }
+func (r *Request) nameTaken() bool { return r.Name != "" && r.table.requestsByName[r.Name] != r }
 
-func (c *Request) decisionRequest() decide.Request {
-	left := c.Timeout
-	if c.Ownership != nil { // the wait for the claim is over, and the client's patience has gone on
-		left = max(0, c.deadline-c.table.Clock.NowMillis())
+func (r *Request) decisionRequest() decide.Request {
+	left := r.Timeout
+	if r.Ownership != nil { // the wait for the claim is over, and the client's patience has gone on
+		left = max(0, r.deadline-r.table.Clock.NowMillis())
 	}
-	return decide.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, TimeLeft: Duration(left), LoadHint: c.Hint,
-		Group: c.Group, Returning: c.Returned}
+	return decide.Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, TimeLeft: Duration(left), LoadHint: r.Hint,
+		Group: r.Group, Returning: r.Returned}
 }
 
 // startAttempt starts an attempt. The caller holds the lock.
-func (c *Request) startAttempt(s *Server, timeout float64) {
-	now := c.table.Clock.NowMillis()
-	if c.attemptInFlight {
-		c.recordViolation(guard.NoDuplicateAttempt, s)
+func (r *Request) startAttempt(s *Server, timeout float64) {
+	now := r.table.Clock.NowMillis()
+	if r.attemptInFlight {
+		r.recordViolation(guard.NoDuplicateAttempt, s)
 	}
-	until := c.deadline
+	until := r.deadline
 	if timeout != 0 {
 		until = min(until, now+timeout)
 	}
-	c.attempt = Attempt{Number: c.attempts, Server: *s, StartedAt: now, Deadline: until, ClientDeadline: c.deadline}
-	c.attempt.Server.current = s
-	c.state, c.attemptInFlight, c.mayHaveWritten, c.canceled, c.serverConn = Attempting, true, false, false, nil
-	c.attempts++
-	c.table.dialer.StartAttempt(c, c.attempt)
+	r.attempt = Attempt{Number: r.attempts, Server: *s, StartedAt: now, Deadline: until, ClientDeadline: r.deadline}
+	r.attempt.Server.current = s
+	r.state, r.attemptInFlight, r.mayHaveWritten, r.canceled, r.serverConn = Attempting, true, false, false, nil
+	r.attempts++
+	r.table.dialer.StartAttempt(r, r.attempt)
 }
 
 // answerFinally gives a call that is not up its final answer, once. The caller holds the lock.
-func (c *Request) answerFinally(a Answer) {
-	if guard.MayAnswer(c.state == Ended, c.state == Established) != guard.Allowed {
+func (r *Request) answerFinally(a Answer) {
+	if guard.MayAnswer(r.state == Ended, r.state == Established) != guard.Allowed {
 		return
 	}
-	if a.Kind != NoAnswer && c.table.Clock.NowMillis() > c.deadline+Millis(guard.AnswerSlack) {
-		c.recordViolation(guard.AnswerInTime, nil)
+	if a.Kind != NoAnswer && r.table.Clock.NowMillis() > r.deadline+Millis(guard.AnswerSlack) {
+		r.recordViolation(guard.AnswerInTime, nil)
 	}
 	if a.Cause == decide.OK { // then what the last attempt met
-		a.Cause = c.answer.Cause
+		a.Cause = r.answer.Cause
 	}
-	c.state, c.answer = Ended, a
-	close(c.settled)
-	c.table.counters.countAnswer(c.Class, a.Kind)
-	if c.table.Recorder != nil {
-		c.recordAnswer(a)
+	r.state, r.answer = Ended, a
+	close(r.settled)
+	r.table.counters.countAnswer(r.Class, a.Kind)
+	if r.table.Recorder != nil {
+		r.recordAnswer(a)
 	}
-	if c.attemptInFlight && c.serverConn != nil {
-		c.serverConn.Close(GracefulClose)
+	if r.attemptInFlight && r.serverConn != nil {
+		r.serverConn.Close(GracefulClose)
 	}
-	c.removeIfDone()
-	c.clientConn.Wake()
+	r.removeIfDone()
+	r.clientConn.Wake()
 }
 
 // removeIfDone forgets a call that is over on both sides.
-func (c *Request) removeIfDone() {
-	if c.state == Ended && !c.attemptInFlight && c.table.requests[c.ID] == c {
-		delete(c.table.requests, c.ID)
-		if !c.nameTaken() {
-			delete(c.table.requestsByName, c.Name)
+func (r *Request) removeIfDone() {
+	if r.state == Ended && !r.attemptInFlight && r.table.requests[r.ID] == r {
+		delete(r.table.requests, r.ID)
+		if !r.nameTaken() {
+			delete(r.table.requestsByName, r.Name)
 		}
-		close(c.finished)
-		if c.Ownership != nil { // and never before: an attempt that is out holds the claim
-			c.Ownership.Release()
+		close(r.finished)
+		if r.Ownership != nil { // and never before: an attempt that is out holds the claim
+			r.Ownership.Release()
 		}
 	}
 }
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -53,139 +53,139 @@
 }
 
 // post queues an event for the module. The caller holds the lock.
-func (x *RequestTable) post(ev decide.Event) {
-	x.inbox = append(x.inbox, ev)
+func (t *RequestTable) post(ev decide.Event) {
+	t.inbox = append(t.inbox, ev)
 	select {
-	case x.ready <- struct{}{}:
+	case t.ready <- struct{}{}:
 	default:
 	}
 }
 
 // UpdateEndpoints takes news of the servers: at once for the check before a send, and in turn for the module.
-func (x *RequestTable) UpdateEndpoints(kind decide.WatchKind, list []Endpoint) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.post(x.endpoints.apply(kind, list))
-	if x.Recorder != nil {
-		x.recordEndpointList(kind)
+func (t *RequestTable) UpdateEndpoints(kind decide.WatchKind, list []Endpoint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.post(t.endpoints.apply(kind, list))
+	if t.Recorder != nil {
+		t.recordEndpointList(kind)
 	}
-	for _, c := range x.requests { // whoever has a connection to a server that drains now may want to know
-		if c.attemptInFlight && c.serverConn != nil && c.attempt.currentServer().mode != decide.Ready {
-			c.serverConn.Wake()
+	for _, r := range t.requests { // whoever has a connection to a server that drains now may want to know
+		if r.attemptInFlight && r.serverConn != nil && r.attempt.currentServer().mode != decide.Ready {
+			r.serverConn.Wake()
 		}
 	}
 }
 
 // Open takes on a request. A relay that is leaving refuses it at once, and one with the name of a request
 // that stands fails: to its server it would be a second attempt at that.
-func (x *RequestTable) Open(a OpenRequest, client ClientConn) *Request {
-	x.mu.Lock()
-	c := x.register(a, client)
-	switch denial := guard.MayAccept(x.rejecting(), c.nameTaken()); {
+func (t *RequestTable) Open(a OpenRequest, client ClientConn) *Request {
+	t.mu.Lock()
+	r := t.register(a, client)
+	switch denial := guard.MayAccept(t.rejecting(), r.nameTaken()); {
 	case denial == guard.NameTaken:
-		c.recordDenial(denial, nil)
-		c.answerFinally(Answer{Kind: Failed})
+		r.recordDenial(denial, nil)
+		r.answerFinally(Answer{Kind: Failed})
 	case denial != guard.Allowed:
-		c.recordDenial(denial, nil)
-		c.answerFinally(x.applyRetryAfterSetting(x.shutdownRejection()))
+		r.recordDenial(denial, nil)
+		r.answerFinally(t.applyRetryAfterSetting(t.shutdownRejection()))
 	case a.Ownership != nil && a.Ownership.MustWait():
-		c.state = AwaitingOwnership
+		r.state = AwaitingOwnership
 	default:
-		x.post(c.decisionRequest())
+		t.post(r.decisionRequest())
 	}
-	begin := a.Ownership != nil && c.state != Ended
-	x.mu.Unlock()
+	begin := a.Ownership != nil && r.state != Ended
+	t.mu.Unlock()
 	if begin {
-		a.Ownership.Acquire(c)
+		a.Ownership.Acquire(r)
 	}
-	return c
+	return r
 }
 
 // shutdownRejection is the answer of a relay that is leaving: come again at once, to another.
-func (x *RequestTable) shutdownRejection() Answer {
+func (t *RequestTable) shutdownRejection() Answer {
 	return Answer{Kind: Rejected, RetryAfter: 50 + 100*rand.Float64(), decidedBy: recorder.Shutdown}
 }
 
 // Resume takes on a connection that was open at a server before this relay started. The module hears of it
 // once it is up again.
-func (x *RequestTable) Resume(a OpenRequest, server string, client ClientConn) *Request {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	c := x.register(a, client)
-	c.resumed = true
-	s := x.endpoints.byID[server]
-	denial := guard.MayAccept(x.rejecting(), c.nameTaken())
+func (t *RequestTable) Resume(a OpenRequest, server string, client ClientConn) *Request {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.register(a, client)
+	r.resumed = true
+	s := t.endpoints.byID[server]
+	denial := guard.MayAccept(t.rejecting(), r.nameTaken())
 	if denial == guard.Allowed {
-		denial = guard.MayAttempt(x.Clock.Now(), c.guardFacts(c.state == Queued), s.guardStatus(), &x.endpointLease)
+		denial = guard.MayAttempt(t.Clock.Now(), r.guardFacts(r.state == Queued), s.guardStatus(), &t.endpointLease)
 	}
 	if denial != guard.Allowed {
-		c.recordDenial(denial, s)
-		c.answerFinally(Answer{Kind: Failed})
-		return c
+		r.recordDenial(denial, s)
+		r.answerFinally(Answer{Kind: Failed})
+		return r
 	}
-	c.startAttempt(s, 0)
-	return c
+	r.startAttempt(s, 0)
+	return r
 }
 
 // applyRetryAfterSetting takes the time to come again out of an answer where clients are not told any.
-func (x *RequestTable) applyRetryAfterSetting(a Answer) Answer {
-	if !x.deployment.Settings.RetryAfter {
+func (t *RequestTable) applyRetryAfterSetting(a Answer) Answer {
+	if !t.deployment.Settings.RetryAfter {
 		a.RetryAfter = 0
 	}
 	return a
 }
 
 // register keeps a call from its arrival on.
-func (x *RequestTable) register(a OpenRequest, client ClientConn) *Request {
-	x.lastID++
-	x.arrived.Add(1)
-	c := &Request{OpenRequest: a, ID: x.lastID, table: x, clientConn: client, settled: make(chan struct{}),
-		finished: make(chan struct{}), deadline: x.Clock.NowMillis() + a.Timeout}
-	x.requests[c.ID] = c
-	if a.Name != "" && x.requestsByName[a.Name] == nil {
-		x.requestsByName[a.Name] = c
+func (t *RequestTable) register(a OpenRequest, client ClientConn) *Request {
+	t.lastID++
+	t.arrived.Add(1)
+	r := &Request{OpenRequest: a, ID: t.lastID, table: t, clientConn: client, settled: make(chan struct{}),
+		finished: make(chan struct{}), deadline: t.Clock.NowMillis() + a.Timeout}
+	t.requests[r.ID] = r
+	if a.Name != "" && t.requestsByName[a.Name] == nil {
+		t.requestsByName[a.Name] = r
 	}
-	return c
+	return r
 }
 
 // Server looks a server up by its id.
-func (x *RequestTable) Server(id string) (Server, bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if s := x.endpoints.byID[id]; s != nil {
+func (t *RequestTable) Server(id string) (Server, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.endpoints.byID[id]; s != nil {
 		return *s, true
 	}
 	return Server{}, false
 }
 
 // ServerReady tells whether the newest list has a server ready for new connections.
-func (x *RequestTable) ServerReady(id string) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	s := x.endpoints.byID[id]
+func (t *RequestTable) ServerReady(id string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.endpoints.byID[id]
 	return s != nil && s.mode == decide.Ready
 }
 
 // HasEndpointList tells whether the relay has a list of servers to go by: a whole one from discovery, or one with entries
 // from its configuration.
-func (x *RequestTable) HasEndpointList() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.endpoints.complete
+func (t *RequestTable) HasEndpointList() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.endpoints.complete
 }
 
 // EverListed tells whether a server of that id has ever been in the list.
-func (x *RequestTable) EverListed(id string) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.endpoints.byID[id] != nil
+func (t *RequestTable) EverListed(id string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.endpoints.byID[id] != nil
 }
 
 // ServerIDs appends the ids of servers from number from on, in the order of their numbers.
-func (x *RequestTable) ServerIDs(from int, out []string) []string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for _, s := range x.endpoints.servers[min(from, len(x.endpoints.servers)):] {
+func (t *RequestTable) ServerIDs(from int, out []string) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, s := range t.endpoints.servers[min(from, len(t.endpoints.servers)):] {
 		out = append(out, s.ID)
 	}
 	return out
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -44,8 +44,8 @@
 }
 
 // NewSharedProbing returns what is to be put into a Core and told to the peers. onQuarantine is told when a relay's readings are left out.
-func NewSharedProbing(x *RequestTable, relay string, seed uint64, peers Peers, onQuarantine func(name string)) *SharedProbing {
-	return &SharedProbing{peers: peers, table: x, scheduler: probing.New(relay, seed), onQuarantine: onQuarantine, serverIDs: map[uint64]string{}}
+func NewSharedProbing(table *RequestTable, relay string, seed uint64, peers Peers, onQuarantine func(name string)) *SharedProbing {
+	return &SharedProbing{peers: peers, table: table, scheduler: probing.New(relay, seed), onQuarantine: onQuarantine, serverIDs: map[uint64]string{}}
 }
 
 // The core loop's inbox has the module's events; these two are the loop's own, on their way through it.
@@ -128,11 +128,11 @@
 }
 
 // readyServers are the servers that new connections may go to.
-func (x *RequestTable) readyServers() (out []probing.Server, ids map[uint64]string) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	ids = make(map[uint64]string, len(x.endpoints.servers))
-	for _, s := range x.endpoints.servers {
+func (t *RequestTable) readyServers() (out []probing.Server, ids map[uint64]string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ids = make(map[uint64]string, len(t.endpoints.servers))
+	for _, s := range t.endpoints.servers {
 		if s.mode == decide.Ready {
 			key := ServerKey(s.ID)
 			out = append(out, probing.Server{Key: key, Zone: s.zone, Started: int64(s.startedUnix)})
@@ -143,55 +143,55 @@
 }
 
 // routeProbingEvent gives the scheduler what of the inbox is its own, and tells whether the module is to have it too.
-func (c *EventLoop) routeProbingEvent(now float64, ev decide.Event) (modules bool) {
+func (l *EventLoop) routeProbingEvent(now float64, ev decide.Event) (modules bool) {
 	switch e := ev.(type) {
 	case peerEvent:
-		c.SharedProbing.queued.Add(-1)
-		c.stepScheduler(now, e.event)
+		l.SharedProbing.queued.Add(-1)
+		l.stepScheduler(now, e.event)
 		return false
 	case participantsEvent:
-		c.SharedProbing.assignmentPending, c.SharedProbing.serverIDs = false, e.serverIDs
-		c.stepScheduler(now, e.ParticipantsChanged)
+		l.SharedProbing.assignmentPending, l.SharedProbing.serverIDs = false, e.serverIDs
+		l.stepScheduler(now, e.ParticipantsChanged)
 		return false
 	case decide.Outcome:
-		c.stepScheduler(now, probing.LocalPlacement{ServerKey: c.serverKey(e.Server), Delta: -1})
+		l.stepScheduler(now, probing.LocalPlacement{ServerKey: l.serverKey(e.Server), Delta: -1})
 	case decide.ProbeResult:
 		if e.Status == decide.OK {
 			load := probing.LoadReport{Load: e.Report.Load, Inflight: e.Report.InFlight, Errors: e.Report.ErrorsPerSecond, Busy: e.Report.CPUUtilization}
-			c.stepScheduler(now, probing.OwnReading{ServerKey: c.serverKey(e.Server), LoadReport: load})
+			l.stepScheduler(now, probing.OwnReading{ServerKey: l.serverKey(e.Server), LoadReport: load})
 		}
 	}
 	return true
 }
 
-func (c *EventLoop) serverKey(id decide.ServerID) uint64 {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	return ServerKey(c.table.endpoints.servers[id].ID)
+func (l *EventLoop) serverKey(id decide.ServerID) uint64 {
+	l.table.mu.Lock()
+	defer l.table.mu.Unlock()
+	return ServerKey(l.table.endpoints.servers[id].ID)
 }
 
 // stepScheduler lets the scheduler act. What goes to peers waits until the fleet is released.
-func (c *EventLoop) stepScheduler(now float64, ev probing.Event) {
-	s := c.SharedProbing
+func (l *EventLoop) stepScheduler(now float64, ev probing.Event) {
+	s := l.SharedProbing
 	s.actions = s.scheduler.Handle(now, ev, s.actions[:0])
 	for _, a := range s.actions {
 		switch a := a.(type) {
 		case probing.Probe:
-			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				c.probe(id)
+			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
+				l.probe(id)
 			}
 		case probing.UseReading:
-			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				l := a.Reading.LoadReport
-				if c.table.Recorder != nil {
-					c.table.recordPeerReading(id, a.Age, max(l.Load, l.Busy))
+			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
+				load := a.Reading.LoadReport
+				if l.table.Recorder != nil {
+					l.table.recordPeerReading(id, a.Age, max(load.Load, load.Busy))
 				}
-				c.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age),
-					Report: decide.LoadReport{Load: l.Load, InFlight: l.Inflight, ErrorsPerSecond: l.Errors, CPUUtilization: l.Busy}})
+				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age),
+					Report: decide.LoadReport{Load: load.Load, InFlight: load.Inflight, ErrorsPerSecond: load.Errors, CPUUtilization: load.Busy}})
 			}
 		case probing.PeerPlacement:
-			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				c.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.Delta})
+			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
+				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.Delta})
 			}
 		case probing.Quarantine:
 			s.onQuarantine(a.Name)
@@ -202,10 +202,10 @@
 }
 
 // readyServer is a server's number, while it is listed and ready.
-func (x *RequestTable) readyServer(id string) (decide.ServerID, bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	s := x.endpoints.byID[id]
+func (t *RequestTable) readyServer(id string) (decide.ServerID, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.endpoints.byID[id]
 	if s == nil || s.mode != decide.Ready {
 		return 0, false
 	}
@@ -213,12 +213,12 @@
 }
 
 // stepSchedulerIfDue lets the scheduler see whose turn it is, and returns how long until the next step.
-func (c *EventLoop) stepSchedulerIfDue(now float64) float64 {
-	s := c.SharedProbing
+func (l *EventLoop) stepSchedulerIfDue(now float64) float64 {
+	s := l.SharedProbing
 	if now >= s.steppedAt+stepInterval {
 		s.steppedAt = now
 		s.applyCorroborationFault()
-		c.stepScheduler(now, probing.Tick{})
+		l.stepScheduler(now, probing.Tick{})
 	}
 	if now >= s.reportedAt+reportInterval {
 		s.reportedAt = now
