--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -31,6 +31,7 @@
 	changes   map[Change]int
 	check     func() // after each event; nil for nothing
 	sizes     struct{ summary, directory int }
+	trace     *trace // of all actions; nil for none
 }
 
 // group is a cell with what its view says.
@@ -229,6 +230,7 @@
 }
 
 func (n *network) do(r *relay, a Action) {
+	n.trace.add(r, a)
 	switch a := a.(type) {
 	case SendSummary:
 		r.group.sent = append(r.group.sent, n.now)
--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -27,6 +27,7 @@
 	zone   string   // where
 	change func(*Node)
 	made   int // cells so far, for their names
+	trace  *trace
 }
 
 type cellWorld struct {
@@ -77,6 +78,10 @@
 		n.zero -= f.now * n.rate
 	}
 	w.loss, w.twice = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
+	if f.trace != nil {
+		w.trace = f.trace
+		w.spreadClocks()
+	}
 	c := &cellWorld{w, name, region}
 	f.cells = append(f.cells, c)
 	return c
@@ -323,7 +328,17 @@
 
 // drawnCells plays one schedule of faults and plans.
 func drawnCells(regions, zones, relays int, flat bool, seed uint64, steps int, change func(*Node)) *federation {
-	f := &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{}, plans: map[uint64]*cellplan.Plan{}, zones: []string{"nobody's"}, change: change}
+	f := newFederation(seed, change)
+	f.play(regions, zones, relays, flat, steps)
+	return f
+}
+
+func newFederation(seed uint64, change func(*Node)) *federation {
+	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{}, plans: map[uint64]*cellplan.Plan{},
+		zones: []string{"nobody's"}, change: change}
+}
+
+func (f *federation) play(regions, zones, relays int, flat bool, steps int) {
 	f.found(regions, zones, relays, flat)
 	f.run(6000 * f.rng.Float64())
 	for range steps {
@@ -334,7 +349,6 @@
 			f.run(6000 * f.rng.Float64())
 		}
 	}
-	return f
 }
 
 // fault is one step of a schedule.
--- a/internal/fleet/membership/model_test.go
+++ b/internal/fleet/membership/model_test.go
@@ -29,6 +29,8 @@
 	change func(*Node) // takes a protection out
 	epoch  uint64      // the highest that anybody has held
 	strike bool        // one that has not heard of the next view when the first adopts it hears nothing any more
+	early  float64     // how long before Next a Tick may come, in ms
+	trace  *trace      // of all actions; nil for none
 }
 
 type node struct {
@@ -70,7 +72,7 @@
 func name(i int) string { return fmt.Sprintf("r%02d", i) }
 
 func newWorld(n, founders int, seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]bool{}, slow: 20}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]bool{}, slow: 20, early: 10}
 	for i := range n {
 		rate := 1 + MaxClockDrift*(2*w.rng.Float64()-1)
 		if seed%2 == 0 { // as far apart as may be
@@ -162,6 +164,7 @@
 
 func (w *world) act(i int, acts []Action) {
 	for _, a := range acts {
+		w.trace.add(i, w.nodes[i].share, a)
 		switch a := a.(type) {
 		case Save:
 			w.nodes[i].disk = a.Record
@@ -319,7 +322,7 @@
 			w.detect()
 		}
 		for i, n := range w.nodes {
-			if n.up && !n.stopped && n.clock(w.now) >= n.k.Next()-10 {
+			if n.up && !n.stopped && n.clock(w.now) >= n.k.Next()-w.early {
 				w.feed(i, Tick{})
 			}
 		}
@@ -443,6 +446,13 @@
 	founders = min(founders, n)
 	w := newWorld(n, founders, seed)
 	w.change = change
+	w.play(founders, seed, steps)
+	return w
+}
+
+// play plays one schedule of faults.
+func (w *world) play(founders int, seed uint64, steps int) {
+	n := len(w.nodes)
 	w.loss, w.twice = 0.2*w.rng.Float64()*float64(seed%2), 0.1*float64(seed%3)/2
 	for i := range n {
 		if i < founders || w.rng.IntN(2) == 0 {
@@ -498,7 +508,6 @@
 			w.run(5000 * w.rng.Float64())
 		}
 	}
-	return w
 }
 
 // heal ends all faults and waits for agreement.
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -28,12 +28,14 @@
 	seen    int
 	believe [][]float64 // by relay and server: when the reading believed was taken
 	past    map[uint64][]float64
+	trace   *trace // of all actions; nil for none
 }
 
 type letter struct {
 	at       float64
 	from, to int
 	readings []Reading
+	rows     []PlacementDelta // in place of readings
 }
 
 const step = 25.0
@@ -85,6 +87,8 @@
 		for _, l := range due {
 			if l.at > c.now {
 				c.mail = append(c.mail, l)
+			} else if l.rows != nil && !c.down[l.to] {
+				c.act(l.to, c.keepers[l.to].Handle(c.own(l.to), PlacementsReceived{From: c.rs[l.from].Name, Rows: l.rows}, nil))
 			} else if !c.down[l.to] {
 				c.act(l.to, c.keepers[l.to].Handle(c.own(l.to), ReadingsReceived{From: c.rs[l.from].Name, Readings: l.readings}, nil))
 			}
@@ -93,6 +97,9 @@
 			if c.down[i] {
 				continue
 			}
+			if c.trace != nil {
+				c.place(i)
+			}
 			c.act(i, k.Handle(c.own(i), Tick{}, nil))
 			for j := range c.ss {
 				c.seen++
@@ -106,7 +113,14 @@
 
 func (c *crowd) act(i int, acts []Action) {
 	for _, a := range acts {
+		c.trace.add(i, a)
 		switch a := a.(type) {
+		case SendPlacements:
+			for to, r := range c.rs {
+				if r.Name == a.To && c.rng.Float64() >= c.loss {
+					c.mail = append(c.mail, letter{c.now + 1 + 20*c.rng.Float64(), i, to, nil, a.Rows})
+				}
+			}
 		case Probe:
 			c.looks[a.ServerKey] = append(c.looks[a.ServerKey], c.now)
 			load, lies := c.lies[i]
@@ -118,7 +132,7 @@
 		case SendReadings:
 			for to, r := range c.rs {
 				if r.Name == a.To && c.rng.Float64() >= c.loss && (c.cut == nil || !c.cut(i, to)) {
-					c.mail = append(c.mail, letter{c.now + 1 + 20*c.rng.Float64(), i, to, a.Readings})
+					c.mail = append(c.mail, letter{c.now + 1 + 20*c.rng.Float64(), i, to, a.Readings, nil})
 				}
 			}
 		case UseReading:
