--- a/internal/fleet/cells/coordinator.go
+++ b/internal/fleet/cells/coordinator.go
@@ -3,8 +3,10 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // maxCells bounds the other cells that are kept: those of the file's plan and those of the view's.
@@ -28,18 +30,18 @@
 
 	representative        string // of this cell, "" for none
 	representing          bool
-	representingSince     float64
+	representingSince     time.Duration
 	otherRepresentative   string // another relay of this cell that speaks too
-	otherRepresentativeAt float64
+	otherRepresentativeAt time.Duration
 	summarySeq            uint64 // of summaries
 	pace                  pacer
-	nextLostCheckAt       float64 // for cells that have become unheard
+	nextLostCheckAt       time.Duration // for cells that have become unheard
 
-	directory        Directory // the newest of this cell
-	directoryAt      float64   // when it came or was published, negative for never
+	directory        Directory     // the newest of this cell
+	directoryAt      time.Duration // when it came or was published, negative for never
 	directorySeen    []sequenceMark
 	directorySeq     uint64
-	nextDirectoryAt  float64
+	nextDirectoryAt  time.Duration
 	directoryDirty   bool            // something in it has changed
 	inheritedRegions []RegionFigures // of the directory before this relay spoke
 	activatedPlan    uint64
@@ -47,14 +49,14 @@
 }
 
 // New returns a Coordinator that knows only its plan, which has to have passed Check.
-func New(now float64, cfg Config) *Coordinator {
+func New(now time.Duration, cfg Config) *Coordinator {
 	c := &Coordinator{cfg: cfg, remotes: map[string]*remote{}, directoryAt: -1}
 	c.setPlan(now, cfg.Plan)
 	return c
 }
 
 // Handle takes one event in and appends what is to be done.
-func (c *Coordinator) Handle(now float64, ev Event, out []Action) []Action {
+func (c *Coordinator) Handle(now time.Duration, ev Event, out []Action) []Action {
 	switch ev := ev.(type) {
 	case LocalCell:
 		out = c.setLocal(now, ev, out)
@@ -75,7 +77,7 @@
 }
 
 // setLocal takes in what is known of this relay's own cell.
-func (c *Coordinator) setLocal(now float64, l LocalCell, out []Action) []Action {
+func (c *Coordinator) setLocal(now time.Duration, l LocalCell, out []Action) []Action {
 	before := c.local
 	cellsChanged := !slices.Equal(before.Cells, l.Cells)
 	c.local = l
@@ -93,7 +95,7 @@
 }
 
 // electRepresentative makes the first voter that is alive the speaker.
-func (c *Coordinator) electRepresentative(now float64, out []Action) []Action {
+func (c *Coordinator) electRepresentative(now time.Duration, out []Action) []Action {
 	speaker := ""
 	for _, v := range c.local.Voters {
 		if v.Alive || v.Name == c.cfg.Name {
@@ -114,7 +116,7 @@
 }
 
 // becomeRepresentative makes this relay the speaker: it starts in turn after its own cell's name, and tells all soon.
-func (c *Coordinator) becomeRepresentative(now float64) {
+func (c *Coordinator) becomeRepresentative(now time.Duration) {
 	c.representingSince = now
 	c.inheritedRegions = c.directory.Regions
 	c.directoryDirty = true
@@ -125,19 +127,19 @@
 	draw := rand.New(rand.NewPCG(c.cfg.Seed, c.cfg.Incarnation))
 	c.pace.position, _ = slices.BinarySearch(c.cellNames, c.cfg.Cell)
 	c.pace.position += len(c.cellNames) - 1 // sendNext goes one on
-	c.pace.nextSummaryAt = now + draw.Float64()*c.summaryInterval()
+	c.pace.nextSummaryAt = now + duration.Scale(c.summaryInterval(), draw.Float64())
 	c.expedite(now)
 }
 
 // setPlan takes in the file's plan.
-func (c *Coordinator) setPlan(now float64, p cellplan.Plan) {
+func (c *Coordinator) setPlan(now time.Duration, p cellplan.Plan) {
 	c.plan = p
 	c.retainNamedCells(now)
 }
 
 // retainNamedCells keeps the other cells that a plan in force names, and forgets all others. Of a view that names more cells than can be
 // none is kept, so that its plan is never opened here.
-func (c *Coordinator) retainNamedCells(now float64) {
+func (c *Coordinator) retainNamedCells(now time.Duration) {
 	named := map[string]bool{}
 	names := c.plan.Names()
 	if len(c.local.Cells) <= cellplan.MaxCells {
@@ -171,7 +173,7 @@
 }
 
 // receiveSummary takes in a summary.
-func (c *Coordinator) receiveSummary(now float64, s Summary, out []Action) []Action {
+func (c *Coordinator) receiveSummary(now time.Duration, s Summary, out []Action) []Action {
 	if s.Check() != nil {
 		c.drops.Malformed++
 		return out
@@ -194,7 +196,7 @@
 
 // forwardTarget is a relay of this cell that a summary is to be forwarded to: the speaker or, where two believe that they are, the
 // other one; "" for none.
-func (c *Coordinator) forwardTarget(now float64) string {
+func (c *Coordinator) forwardTarget(now time.Duration) string {
 	if !c.representing {
 		return c.representative
 	}
@@ -205,7 +207,7 @@
 }
 
 // updateFigures takes a summary's figures for the cell's, if it is the newest.
-func (c *Coordinator) updateFigures(now float64, r *remote, s Summary, out []Action) []Action {
+func (c *Coordinator) updateFigures(now time.Duration, r *remote, s Summary, out []Action) []Action {
 	unheard := r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
 	older := s.Epoch < r.summary.Epoch && !unheard // of a part of the cell that is behind
 	if !r.acceptSummary(now, s, unheard) || older {
@@ -238,7 +240,7 @@
 }
 
 // checkLost tells of cells that have become unheard.
-func (c *Coordinator) checkLost(now float64, out []Action) []Action {
+func (c *Coordinator) checkLost(now time.Duration, out []Action) []Action {
 	if now < c.nextLostCheckAt {
 		return out
 	}
--- a/internal/fleet/cells/directory.go
+++ b/internal/fleet/cells/directory.go
@@ -3,12 +3,15 @@
 import (
 	"cmp"
 	"slices"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 const (
-	directoryInterval    = 5 * second
-	minDirectoryInterval = 2 * second // at least, after a change: 2.5 times the rest's
-	otherRegions         = "\x7e"     // the row in which regions beyond MostRegions are summed; sorts after every usual name
+	directoryInterval    = 5 * time.Second
+	minDirectoryInterval = 2 * time.Second // at least, after a change: 2.5 times the rest's
+	otherRegions         = "\x7e"          // the row in which regions beyond MostRegions are summed; sorts after every usual name
 )
 
 // Figures are sums over the other cells.
@@ -21,7 +24,7 @@
 
 // Others are the other cells' figures by what this relay knows: the speaker by the summaries, any other by the speaker's directory, and
 // before there is one by the plan.
-func (c *Coordinator) Others(now float64) (sum Figures) {
+func (c *Coordinator) Others(now time.Duration) (sum Figures) {
 	rows := c.directory.Regions
 	if c.directoryAt < 0 || c.representing {
 		rows = c.regionRows(now)
@@ -38,7 +41,7 @@
 
 // regionRows sums the summaries by region. A cell that was never heard is reckoned with by the plan; where there is one, and the directory
 // before this relay spoke tells more of its region, with that.
-func (c *Coordinator) regionRows(now float64) []RegionFigures {
+func (c *Coordinator) regionRows(now time.Duration) []RegionFigures {
 	regions := map[string]*RegionFigures{}
 	unknown := map[string]bool{}
 	for _, name := range c.cellNames {
@@ -75,7 +78,7 @@
 }
 
 // isUnknown tells whether nothing has been heard of a cell for long.
-func (c *Coordinator) isUnknown(now float64, r *remote) bool {
+func (c *Coordinator) isUnknown(now time.Duration, r *remote) bool {
 	return r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
 }
 
@@ -116,15 +119,15 @@
 }
 
 // informed tells whether a speaker has heard of all cells, or has had the time to.
-func (c *Coordinator) informed(now float64) bool {
-	if now-c.representingSince >= informedAfterRounds*c.round() {
+func (c *Coordinator) informed(now time.Duration) bool {
+	if now-c.representingSince >= duration.Scale(c.round(), informedAfterRounds) {
 		return true
 	}
 	return !slices.ContainsFunc(c.cellNames, func(name string) bool { return c.isUnknown(now, c.remotes[name]) })
 }
 
 // directoryDue is when the next directory may go.
-func (c *Coordinator) directoryDue() float64 {
+func (c *Coordinator) directoryDue() time.Duration {
 	due := c.nextDirectoryAt
 	if c.directoryDirty {
 		due = min(due, c.nextDirectoryAt-directoryInterval+minDirectoryInterval)
@@ -132,7 +135,7 @@
 	return due
 }
 
-func (c *Coordinator) publishDirectoryDue(now float64, out []Action) []Action {
+func (c *Coordinator) publishDirectoryDue(now time.Duration, out []Action) []Action {
 	if now < c.directoryDue() {
 		return out
 	}
@@ -150,7 +153,7 @@
 }
 
 // receiveDirectory takes in a directory of this cell's speaker. That a plan is open counts whenever it comes.
-func (c *Coordinator) receiveDirectory(now float64, d Directory, out []Action) []Action {
+func (c *Coordinator) receiveDirectory(now time.Duration, d Directory, out []Action) []Action {
 	if d.Check() != nil || d.Cell != c.cfg.Cell {
 		c.drops.Malformed++
 		return out
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // enter makes a cell's view hold a plan, and say so as entered later.
@@ -37,7 +38,7 @@
 			last := n.cells[n.draw.IntN(len(n.cells))]
 			n.cut = func(from, to *relay) bool { return (from.group == last) != (to.group == last) }
 			for _, g := range n.cells {
-				n.after(n.draw.Float64()*30*second, func() { n.enter(g, next) })
+				n.after(duration.Scale(30*second, n.draw.Float64()), func() { n.enter(g, next) })
 			}
 			n.pass(50 * second)
 			n.kill(n.cells[0].speaker())
@@ -47,7 +48,7 @@
 			}
 			n.cut = nil
 			took := n.until(60*second, func() bool { return n.openAt(number) == n.up() })
-			t.Logf("seed %d: plan %d is open everywhere %.1f s after the heal", seed, number, took/second)
+			t.Logf("seed %d: plan %d is open everywhere %.1f s after the heal", seed, number, took.Seconds())
 			if took > 30*second {
 				t.Error("too late")
 			}
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -4,8 +4,10 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // deathKnownWithin is how long after a cell's view has changed every other cell may take to know it.
@@ -14,7 +16,7 @@
 // A death is known in all other cells within 20 s of its cell's view, also where it is the speaker's and a packet in a hundred is
 // lost. A cell that has lost its speaker has a whole directory again within three rounds.
 func TestDeathElsewhereIsKnown(t *testing.T) {
-	slowest, whole, deaths := 0.0, 0.0, 0
+	slowest, whole, deaths := time.Duration(0), time.Duration(0), 0
 	for seed := range uint64(6) {
 		n := fleetOf(t, seed, large, 2, 4)
 		n.loss, n.double = 0.01, 0.02
@@ -23,7 +25,7 @@
 		}
 		for i := range 10 {
 			g := n.cells[n.draw.IntN(len(n.cells))]
-			n.pass(n.draw.Float64() * 15 * second)
+			n.pass(duration.Scale(15*second, n.draw.Float64()))
 			victim := g.speaker()
 			if i%2 == 1 {
 				victim = g.relays[len(g.relays)-1]
@@ -37,11 +39,11 @@
 			all := took + n.until(60*second, n.agreed)
 			slowest, whole = max(slowest, took), max(whole, all)
 			if took > deathKnownWithin || all > 3*Round(len(n.cells)) {
-				t.Errorf("seed %d: the death of %s is known after %.1f s, all directories are whole after %.1f s", seed, victim.name, took/second, all/second)
+				t.Errorf("seed %d: the death of %s is known after %.1f s, all directories are whole after %.1f s", seed, victim.name, took.Seconds(), all.Seconds())
 			}
 		}
 	}
-	t.Logf("%d deaths: known in every other cell after %.1f s at most, all directories whole after %.1f s", deaths, slowest/second, whole/second)
+	t.Logf("%d deaths: known in every other cell after %.1f s at most, all directories whole after %.1f s", deaths, slowest.Seconds(), whole.Seconds())
 }
 
 // A region that was cut off for ten minutes, both ways or one way, is agreed with everywhere within 20 s, and no speaker sends more
@@ -87,9 +89,9 @@
 		directories = max(directories, busiest(g.gossiped, heal, n.now))
 	}
 	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; a speaker's busiest second %d packets and %d directories, %.2f of its busiest at rest",
-		took/second, fresh/second, packets, directories, most)
+		took.Seconds(), fresh.Seconds(), packets, directories, most)
 	if took+fresh > 20*second {
-		t.Errorf("agreed after %.1f s, fresh %.1f s later", took/second, fresh/second)
+		t.Errorf("agreed after %.1f s, fresh %.1f s later", took.Seconds(), fresh.Seconds())
 	}
 	if most > 3 || directories > 1 {
 		t.Errorf("%.2f times the packets of the rest, %d directories in a second", most, directories)
@@ -97,7 +99,7 @@
 }
 
 // fresh tells whether every speaker has heard of every cell since a moment.
-func (n *network) fresh(since float64) bool {
+func (n *network) fresh(since time.Duration) bool {
 	for _, g := range n.cells {
 		for _, r := range g.speaker().coordinator.remotes {
 			if r.summaryAt < since {
@@ -122,9 +124,9 @@
 		sent := during(n.cells[0].sent, from, n.now)
 		rates[len(n.cells)] = float64(sent) / 100
 		t.Logf("%d cells: %.2f packets a second of a speaker, at most %d in one; a round takes %.1f s", len(n.cells), rates[len(n.cells)],
-			busiest(n.cells[0].sent, from, n.now), Round(len(n.cells))/second)
+			busiest(n.cells[0].sent, from, n.now), Round(len(n.cells)).Seconds())
 	}
-	if most := second / roundPerCell; rates[10] > 2 || rates[34] > most*1.01 || rates[128] > most*1.01 {
+	if most := float64(second) / float64(roundPerCell); rates[10] > 2 || rates[34] > most*1.01 || rates[128] > most*1.01 {
 		t.Error(rates)
 	}
 }
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
 )
@@ -21,9 +22,9 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		plan := drawnPlan(3, 2)
 		c := New(0, Config{Name: "relay-0", Cell: "cell-0", Incarnation: 1, Plan: plan})
-		now, opened := 0.0, uint64(0)
+		now, opened := time.Duration(0), uint64(0)
 		for ; len(text) >= 4; text = text[4:] {
-			now += (float64(text[3]) - 40) * 100
+			now += (time.Duration(text[3]) - 40) * 100 * time.Millisecond
 			sent := 0
 			for _, a := range c.Handle(now, drawnEvent(text), nil) {
 				if send, is := a.(SendSummary); is {
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -3,21 +3,24 @@
 import (
 	"container/heap"
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
+	"time"
 
 	"github.com/fxamacker/cbor/v2"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
+const second = time.Second
+
 // network is a simulated network of cells on a set clock: packets between relays are delayed, lost, doubled and so reordered, and
 // cut where a test says so.
 type network struct {
 	t         *testing.T
-	now       float64
+	now       time.Duration
 	events    events
 	order     int
 	draw      *rand.Rand
@@ -46,7 +49,7 @@
 	entered uint64
 	names   []string // of the view's Allocation
 
-	sent, gossiped []float64 // when its relays sent summaries to other cells, and directories
+	sent, gossiped []time.Duration // when its relays sent summaries to other cells, and directories
 }
 
 type relay struct {
@@ -56,12 +59,12 @@
 	incarnation uint64
 	up          bool
 	coordinator *Coordinator
-	wake        float64
+	wake        time.Duration
 	believes    func(r *relay) bool
 }
 
 type event struct {
-	at    float64
+	at    time.Duration
 	order int
 	do    func()
 }
@@ -131,12 +134,12 @@
 	r.coordinator = New(n.now, Config{Name: r.name, Cell: r.group.name, Incarnation: r.incarnation, Plan: n.plan, Seed: n.draw.Uint64()})
 }
 
-func (n *network) after(delay float64, do func()) {
+func (n *network) after(delay time.Duration, do func()) {
 	n.order++
 	heap.Push(&n.events, event{n.now + delay, n.order, do})
 }
 
-func (n *network) every(period float64, do func()) {
+func (n *network) every(period time.Duration, do func()) {
 	n.after(period, func() {
 		do()
 		n.every(period, do)
@@ -144,11 +147,11 @@
 }
 
 // pass lets time pass.
-func (n *network) pass(duration float64) { n.until(duration, func() bool { return false }) }
+func (n *network) pass(span time.Duration) { n.until(span, func() bool { return false }) }
 
-// until lets time pass until something holds, and returns how long that took; infinite if it didn't within the limit. It looks every
+// until lets time pass until something holds, and returns how long that took; duration.Forever if it didn't within the limit. It looks every
 // tenth of a second.
-func (n *network) until(limit float64, holds func() bool) float64 {
+func (n *network) until(limit time.Duration, holds func() bool) time.Duration {
 	from := n.now
 	look := n.now
 	for len(n.events) > 0 && n.events[0].at <= from+limit {
@@ -167,7 +170,7 @@
 		}
 	}
 	n.now = from + limit
-	return math.Inf(1)
+	return duration.Forever
 }
 
 // local is what a relay knows of its cell.
@@ -214,7 +217,7 @@
 		n.do(r, a)
 	}
 	next := r.coordinator.Next()
-	if math.IsInf(next, 1) {
+	if next == duration.Forever {
 		return
 	}
 	incarnation, wake := r.incarnation, max(next, n.now)
@@ -243,7 +246,7 @@
 		n.sizes.directory = max(n.sizes.directory, size(n.t, a.Directory))
 		for _, other := range r.group.relays {
 			if other != r { // gossip passes it on several times, so that hardly any is lost
-				n.after(100+n.draw.Float64()*400, func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
+				n.after(100*time.Millisecond+duration.Scale(400*time.Millisecond, n.draw.Float64()), func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
 			}
 		}
 	case Changed:
@@ -264,7 +267,7 @@
 		if n.draw.Float64() < n.loss || n.cut != nil && n.cut(from, to) {
 			continue
 		}
-		n.after(10+n.draw.Float64()*140, func() { n.handle(to, ev) })
+		n.after(10*time.Millisecond+duration.Scale(140*time.Millisecond, n.draw.Float64()), func() { n.handle(to, ev) })
 	}
 }
 
@@ -330,7 +333,7 @@
 }
 
 // busiest is the most events in any second of a span.
-func busiest(times []float64, from, to float64) (most int) {
+func busiest(times []time.Duration, from, to time.Duration) (most int) {
 	for i, t := range times {
 		if t < from || t >= to {
 			continue
@@ -347,7 +350,7 @@
 }
 
 // during counts the events of a span.
-func during(times []float64, from, to float64) (count int) {
+func during(times []time.Duration, from, to time.Duration) (count int) {
 	for _, t := range times {
 		if t >= from && t < to {
 			count++
--- a/internal/fleet/cells/remote.go
+++ b/internal/fleet/cells/remote.go
@@ -1,6 +1,9 @@
 package cells
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
 const (
 	maxRepresentatives = 4 // whose numbers are remembered of a cell
@@ -14,7 +17,7 @@
 	weight       int // its relays by the plan
 	planContacts []string
 
-	summaryAt float64 // when summary came, negative for never
+	summaryAt time.Duration // when summary came, negative for never
 	lost      bool
 	summary   Summary        // the newest
 	seen      []sequenceMark // of its speakers, the one heard last at the end
@@ -25,7 +28,7 @@
 	mismatch      bool
 
 	contact                 int // index in addresses()
-	rotatedAt               float64
+	rotatedAt               time.Duration
 	sentTo                  string // the last address, "" for none since this relay speaks
 	expedited               bool   // its summary is due out of turn
 	sentEarly               bool   // it was told out of turn since its last turn
@@ -37,7 +40,7 @@
 	representative string
 	incarnation    uint64
 	seq            uint64
-	receivedAt     float64 // when it was heard
+	receivedAt     time.Duration // when it was heard
 }
 
 func (m sequenceMark) less(o sequenceMark) bool {
@@ -63,7 +66,7 @@
 
 // address is where the next summary goes, "" if there is nowhere. Another contact is tried when nothing has been heard for two
 // rounds, and then each round; each time, while nothing has been heard since this relay speaks: the cell doesn't know its address yet.
-func (r *remote) address(now, round, speakingSince float64) string {
+func (r *remote) address(now, round, speakingSince time.Duration) string {
 	all := r.addresses()
 	if len(all) == 0 {
 		return ""
@@ -78,7 +81,7 @@
 
 // acceptSummary tells whether a summary is newer than what is known of its speaker, and notes it. A speaker that has lost its numbers
 // would never be newer: once nothing has been heard of the cell for a while, a speaker whose old numbers rise is taken as it is.
-func (r *remote) acceptSummary(now float64, s Summary, unheard bool) bool {
+func (r *remote) acceptSummary(now time.Duration, s Summary, unheard bool) bool {
 	said := sequenceMark{s.Representative, s.Incarnation, s.Seq, now}
 	i := slices.IndexFunc(r.seen, func(m sequenceMark) bool { return m.representative == s.Representative })
 	if i >= 0 && !r.seen[i].less(said) {
@@ -100,7 +103,7 @@
 
 // announceRepresentative tells whether the cell is to be told as having another speaker: the one told before has been silent for a while. Two that
 // speak at once would be told each time.
-func (r *remote) announceRepresentative(now, silence float64) bool {
+func (r *remote) announceRepresentative(now, silence time.Duration) bool {
 	speaker := r.summary.Representative
 	if speaker == r.announcedRepresentative {
 		return false
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -3,6 +3,9 @@
 import (
 	"slices"
 	"strconv"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 // Report is what is known of the cells at one relay, for people.
@@ -49,7 +52,7 @@
 }
 
 // Report tells what the Coordinator knows.
-func (c *Coordinator) Report(now float64) Report {
+func (c *Coordinator) Report(now time.Duration) Report {
 	own, _ := c.plan.Find(c.cfg.Cell)
 	report := Report{Cell: c.cfg.Cell, Region: own.Region, Representative: c.representative, Plan: c.local.Plan, PlanHash: hex(c.local.PlanHash), JoinedPlan: c.local.JoinedPlan,
 		ActivatedPlan: c.activatedPlan, FilePlan: c.plan.Number, DirectoryMs: -1, Dropped: c.drops}
@@ -58,7 +61,7 @@
 		rows = c.regionRows(now)
 	}
 	if c.directoryAt >= 0 {
-		report.DirectoryMs = now - c.directoryAt
+		report.DirectoryMs = duration.Millis(now - c.directoryAt)
 	}
 	for _, row := range rows {
 		report.Regions = append(report.Regions, RegionReport{RegionFigures: row})
@@ -93,12 +96,12 @@
 		Relays: l.Members, Serving: l.Serving, RequestRate: l.RequestRate, OpenConnections: l.OpenConnections, DrainRate: l.DrainRate, Departed: l.Departed}
 }
 
-func (c *Coordinator) cellReport(now float64, r *remote) CellReport {
+func (c *Coordinator) cellReport(now time.Duration, r *remote) CellReport {
 	s := r.summary
 	report := CellReport{Name: r.name, Known: !c.isUnknown(now, r), AgeMs: -1, Representative: s.Representative, Epoch: s.Epoch, Plan: s.Plan, PlanHash: hex(s.PlanHash),
 		Mismatch: r.mismatch, JoinedPlan: s.JoinedPlan, Relays: s.Members, Serving: s.Serving, RequestRate: s.RequestRate, OpenConnections: s.OpenConnections, DrainRate: s.DrainRate, Departed: s.Departed, Contact: r.sentTo}
 	if r.summaryAt >= 0 {
-		report.AgeMs = now - r.summaryAt
+		report.AgeMs = duration.Millis(now - r.summaryAt)
 	}
 	return report
 }
--- a/internal/fleet/cells/rounds.go
+++ b/internal/fleet/cells/rounds.go
@@ -1,16 +1,19 @@
 package cells
 
-import "math"
+import (
+	"time"
 
-// The pace between cells, in milliseconds.
+	"capersail/internal/fleet/duration"
+)
+
+// The pace between cells.
 const (
-	second                = 1000.0
-	minRound              = 5 * second
-	roundPerCell          = 0.3 * second // a round gets longer with the fleet, so that a speaker's packets a second don't grow
-	minExpeditedRound     = 2 * second
+	minRound              = 5 * time.Second
+	roundPerCell          = 300 * time.Millisecond // a round gets longer with the fleet, so that a speaker's packets a second don't grow
+	minExpeditedRound     = 2 * time.Second
 	expeditedPart         = 0.4 // of a round, for a quick one: 2.5 times the packets a second, for one round
 	contactRotationRounds = 2
-	lostCheckInterval     = second // for cells that have become unheard
+	lostCheckInterval     = time.Second // for cells that have become unheard
 	// UnknownAfterRounds without a word make a cell unheard.
 	UnknownAfterRounds  = 3
 	informedAfterRounds = 1.2 // a new speaker has heard of all that can be heard
@@ -18,30 +21,31 @@
 
 // pacer spreads summaries evenly over a round: one cell at a time, in turn.
 type pacer struct {
-	nextSummaryAt  float64 // when the next summary goes
-	position       int     // whose turn it is
-	expeditedLeft  int     // so many summaries are left of a quick round
-	nextExpediteAt float64 // no other quick round before
-	expediteAgain  bool    // one is due then
-	outOfTurn      bool    // the last summary was
+	nextSummaryAt  time.Duration // when the next summary goes
+	position       int           // whose turn it is
+	expeditedLeft  int           // so many summaries are left of a quick round
+	nextExpediteAt time.Duration // no other quick round before
+	expediteAgain  bool          // one is due then
+	outOfTurn      bool          // the last summary was
 }
 
 // Round is how long it takes a speaker to tell each other cell once, by the number of all cells.
-func Round(cells int) float64 { return max(minRound, roundPerCell*float64(cells)) }
+func Round(cells int) time.Duration { return max(minRound, roundPerCell*time.Duration(cells)) }
 
-func (c *Coordinator) round() float64 { return Round(len(c.cellNames) + 1) }
+func (c *Coordinator) round() time.Duration { return Round(len(c.cellNames) + 1) }
 
 // summaryInterval is the time between two summaries.
-func (c *Coordinator) summaryInterval() float64 {
+func (c *Coordinator) summaryInterval() time.Duration {
 	round := c.round()
 	if c.pace.expeditedLeft > 0 {
-		round = max(minExpeditedRound, expeditedPart*round)
+		round = max(minExpeditedRound, duration.Scale(round, expeditedPart))
 	}
-	return round / float64(max(len(c.cellNames), 1))
+	cells := time.Duration(max(len(c.cellNames), 1))
+	return (round + cells - 1) / cells // rounded up: a cell's next turn comes no sooner than a round later
 }
 
 // expedite starts a quick round, at most one in the time of a round: what comes sooner after is told in the ordinary round first.
-func (c *Coordinator) expedite(now float64) {
+func (c *Coordinator) expedite(now time.Duration) {
 	if now < c.pace.nextExpediteAt {
 		c.pace.expediteAgain = true
 		return
@@ -53,7 +57,7 @@
 }
 
 // sendSummaryDue sends what is due. After a pause it doesn't make up for what it has missed.
-func (c *Coordinator) sendSummaryDue(now float64, out []Action) []Action {
+func (c *Coordinator) sendSummaryDue(now time.Duration, out []Action) []Action {
 	if len(c.cellNames) == 0 || now < c.pace.nextSummaryAt {
 		return out
 	}
@@ -67,7 +71,7 @@
 	return out
 }
 
-func (c *Coordinator) sendNextSummary(now float64, out []Action) []Action {
+func (c *Coordinator) sendNextSummary(now time.Duration, out []Action) []Action {
 	c.pace.outOfTurn = !c.pace.outOfTurn // at most every other one, so that the round goes on
 	for _, name := range c.cellNames {
 		if r := c.remotes[name]; r.expedited && c.pace.outOfTurn {
@@ -94,7 +98,7 @@
 	}
 }
 
-func (c *Coordinator) sendSummaryTo(now float64, r *remote, out []Action) []Action {
+func (c *Coordinator) sendSummaryTo(now time.Duration, r *remote, out []Action) []Action {
 	r.expedited = false
 	r.sentTo = r.address(now, c.round(), c.representingSince)
 	if r.sentTo == "" {
@@ -104,10 +108,10 @@
 	return append(out, SendSummary{Address: r.sentTo, Cell: r.name, Summary: c.summary()})
 }
 
-// Next is when the Coordinator wants a Tick; infinite for not before the next event.
-func (c *Coordinator) Next() float64 {
+// Next is when the Coordinator wants a Tick; duration.Forever for not before the next event.
+func (c *Coordinator) Next() time.Duration {
 	if !c.representing {
-		return math.Inf(1)
+		return duration.Forever
 	}
 	next := c.directoryDue()
 	if len(c.cellNames) > 0 {
--- a/internal/fleet/cells/speaker_test.go
+++ b/internal/fleet/cells/speaker_test.go
@@ -5,8 +5,10 @@
 	"math"
 	"slices"
 	"testing"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // small is three cells in two regions.
@@ -54,7 +56,7 @@
 	n.start(g.relays[0])
 	n.tell(g)
 	if took := n.until(60*second, n.agreed); took > 25*second {
-		t.Errorf("taken again after %.1f s", took/second)
+		t.Errorf("taken again after %.1f s", took.Seconds())
 	}
 }
 
@@ -138,9 +140,9 @@
 	took := n.until(300*second, func() bool {
 		return !slices.ContainsFunc(n.cells, func(o *group) bool { return o != g && g.relays[3].coordinator.remotes[o.name].summaryAt < heal })
 	})
-	t.Logf("three of four contacts dead: all heard after %.1f s", took/second)
+	t.Logf("three of four contacts dead: all heard after %.1f s", took.Seconds())
 	if took > 5*Round(3) {
-		t.Errorf("after %.1f s", took/second)
+		t.Errorf("after %.1f s", took.Seconds())
 	}
 }
 
@@ -194,7 +196,7 @@
 		}
 	}
 	if sent > 1 || c.Next() <= now {
-		t.Errorf("%d summaries at once, next in %.1f s", sent, (c.Next()-now)/second)
+		t.Errorf("%d summaries at once, next in %.1f s", sent, (c.Next() - now).Seconds())
 	}
 }
 
@@ -212,8 +214,8 @@
 	n.tell(g)
 	n.pass(3 * round)
 	for i, want := range []int{33, 33, 0} { // a quick round, the second, and none more
-		start := from + float64(i)*round
-		sent := during(g.sent, start, start+0.45*round)
+		start := from + time.Duration(i)*round
+		sent := during(g.sent, start, start+duration.Scale(round, 0.45))
 		if want == 33 && sent < want || want == 0 && sent > 16 {
 			t.Errorf("round %d: %d summaries in its first 0.45", i, sent)
 		}
@@ -228,7 +230,7 @@
 	c := New(0, Config{Name: "a-1", Cell: "a", Incarnation: 1, Plan: plan})
 	out := c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 3}, nil)
 	tried := map[string]bool{}
-	for now := 0.0; now < 3*Round(2); now = c.Next() {
+	for now := time.Duration(0); now < 3*Round(2); now = c.Next() {
 		for _, a := range c.Handle(now, Tick{}, out) {
 			if send, is := a.(SendSummary); is {
 				tried[send.Address] = true
--- a/internal/fleet/cells/trace_test.go
+++ b/internal/fleet/cells/trace_test.go
@@ -9,6 +9,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"capersail/internal/fleet/duration"
 )
 
 var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
@@ -49,7 +51,7 @@
 		n.trace = newTrace()
 		n.loss, n.double = 0.1*float64(seed%3), 0.05*float64(seed%2)
 		for i := range 6 {
-			n.pass(n.draw.Float64() * 25 * second)
+			n.pass(duration.Scale(25*second, n.draw.Float64()))
 			g := n.cells[n.draw.IntN(len(n.cells))]
 			switch r := g.relays[n.draw.IntN(len(g.relays))]; {
 			case i == 3:
--- a/internal/fleet/cells/types.go
+++ b/internal/fleet/cells/types.go
@@ -4,7 +4,7 @@
 // have entered the numbered plan that gives it more. A speaker that dies, is doubled or comes back with old numbers can delay that
 // and nothing else.
 //
-// The Coordinator decides and does no I/O; times are milliseconds of its driver's clock.
+// The Coordinator decides and does no I/O; times are durations since an arbitrary origin of its driver's clock.
 package cells
 
 import "capersail/internal/fleet/cellplan"
--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -7,8 +7,10 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // federation is a fleet of several cells on one set clock. Each cell has its own net, as world has it; between cells go only claims to
@@ -72,7 +74,7 @@
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *cellWorld {
 	w := newWorld(relays, relays, f.seed*1000+uint64(len(f.cells)))
 	w.now, w.change = f.now, f.change
-	pace := Timing{LeaseDuration: []float64{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)], StatusInterval: CellTiming.StatusInterval}
+	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)], StatusInterval: CellTiming.StatusInterval}
 	for _, n := range w.nodes {
 		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
 		n.zero -= f.now * n.rate
@@ -378,10 +380,10 @@
 // until all leases have run out.
 func (f *federation) deafenOne(c *cellWorld, i int) {
 	c.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
-	f.run(WaitOut + 5000*f.rng.Float64())
+	f.run(duration.Millis(WaitOut) + 5000*f.rng.Float64())
 	c.strike = true
 	c.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
-	f.run(2 * WaitOut)
+	f.run(2 * duration.Millis(WaitOut))
 	c.strike = false
 	for _, n := range c.nodes {
 		n.deaf = false
--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -1,17 +1,19 @@
 package membership
 
+import "time"
+
 // FleetEstimate is what this relay knows of the fleet and may take of its budgets now.
 type FleetEstimate struct {
 	Phase            Phase
 	Epoch            uint64
-	Relays           int     // that are there, this one too
-	BudgetShare      float64 // of a fleet-wide budget, 0 to 1; where there are cells, of servers in NearZones
-	ShareValidUntil  float64 // when the share lapses unless it is renewed; +Inf if it does not
-	OtherRequestRate float64 // requests a second that the others see; negative where it is not known
-	OwnRequestRate   float64 // that this relay sees
-	OtherConnections int     // connections that the others hold; negative where it is not known
-	DrainRate        float64 // connections a second that others send away, as they drain or leave
-	ShareReason      string  // the share
+	Relays           int           // that are there, this one too
+	BudgetShare      float64       // of a fleet-wide budget, 0 to 1; where there are cells, of servers in NearZones
+	ShareValidUntil  time.Duration // when the share expires unless it is renewed; far ahead if it needs none
+	OtherRequestRate float64       // requests a second that the others see; negative where it is not known
+	OwnRequestRate   float64       // that this relay sees
+	OtherConnections int           // connections that the others hold; negative where it is not known
+	DrainRate        float64       // connections a second that others send away, as they drain or leave
+	ShareReason      string        // the share
 	// FarShare is the share of the budget of servers outside NearZones; without cells it is Share, and NearZones nil: everywhere.
 	FarBudgetShare float64
 	NearZones      []string
@@ -20,7 +22,7 @@
 }
 
 // Estimate returns the FleetEstimate of the moment. The share is to be asked for, or held against Until, right before each use.
-func (n *Node) Estimate(now float64) FleetEstimate {
+func (n *Node) Estimate(now time.Duration) FleetEstimate {
 	now = max(now, n.now)
 	r := FleetEstimate{Phase: n.phase, Epoch: n.view.Epoch, Relays: max(n.cfg.ConfiguredRelays, 1), OtherRequestRate: -1, OwnRequestRate: n.local.RequestRate, OtherConnections: -1}
 	r.BudgetShare, r.ShareValidUntil, r.ShareReason = n.budgetShare(now)
--- a/internal/fleet/membership/flat_test.go
+++ b/internal/fleet/membership/flat_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/hex"
 	"testing"
+	"time"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -20,9 +21,9 @@
 	if got, want := view.Hash(), uint64(17517558683486390685); got != want {
 		t.Errorf("the hash is %d, and was %d", got, want)
 	}
-	node := New(1000, Config{Name: "r1", BootstrapSlot: 0, BootstrapSize: 5, ConfiguredRelays: 5, Seed: 1}, Record{Incarnation: 2, SlotReleased: true, View: view})
+	node := New(time.Second, Config{Name: "r1", BootstrapSlot: 0, BootstrapSize: 5, ConfiguredRelays: 5, Seed: 1}, Record{Incarnation: 2, SlotReleased: true, View: view})
 	var status Status
-	for _, action := range node.Handle(2000, LocalState{Lifecycle: Serving, Zone: "z1", RequestRate: 12.5, OpenConnections: 3, EndpointListGeneration: 9}, nil) {
+	for _, action := range node.Handle(2*time.Second, LocalState{Lifecycle: Serving, Zone: "z1", RequestRate: 12.5, OpenConnections: 3, EndpointListGeneration: 9}, nil) {
 		if published, ok := action.(Publish); ok {
 			status = published.Status
 		}
--- a/internal/fleet/membership/model_test.go
+++ b/internal/fleet/membership/model_test.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 // world is a fleet in memory: Nodes on one set clock, each with a clock of its own that runs fast or slow, and a
@@ -45,9 +47,9 @@
 	words     map[int]Health
 	lost      map[int]float64 // since when a peer is not heard
 	leaving   bool
-	deaf      bool    // no packet comes to it, and it is taken for alive
-	share     float64 // as of its last event
-	until     float64 // on its clock
+	deaf      bool          // no packet comes to it, and it is taken for alive
+	share     float64       // as of its last event
+	until     time.Duration // on its clock
 	parts     *Allocation
 	looks     []look
 	old       bool              // its program is from before cells
@@ -84,7 +86,8 @@
 	return w
 }
 
-func (n *node) clock(now float64) float64 { return n.zero + now*n.rate }
+// clock is what its clock reads at a moment of the world, in ms.
+func (n *node) clock(now float64) time.Duration { return duration.FromMillis(n.zero + now*n.rate) }
 
 func (w *world) start(i int) {
 	n := w.nodes[i]
@@ -243,7 +246,7 @@
 
 // forget drops the looks by which nothing may take effect any more.
 func (n *node) forget(now float64) {
-	for len(n.looks) > 0 && n.looks[0].at+MaxEffectDelay < now {
+	for len(n.looks) > 0 && n.looks[0].at+duration.Millis(MaxEffectDelay) < now {
 		n.looks = n.looks[1:]
 	}
 }
@@ -322,7 +325,7 @@
 			w.detect()
 		}
 		for i, n := range w.nodes {
-			if n.up && !n.stopped && n.clock(w.now) >= n.k.Next()-w.early {
+			if n.up && !n.stopped && n.clock(w.now) >= n.k.Next()-duration.FromMillis(w.early) {
 				w.feed(i, Tick{})
 			}
 		}
@@ -370,7 +373,7 @@
 			t.Errorf("%s still has the killed one in its view", n.cfg.Name)
 		}
 	}
-	w.run(WaitOut + 2000)
+	w.run(duration.Millis(WaitOut) + 2000)
 	if err := w.agreed(); err != nil {
 		t.Fatal(err)
 	}
@@ -391,8 +394,8 @@
 // for a moment, as all are while word of a change spreads, does not.
 func TestListBehindIsAskedFor(t *testing.T) {
 	k := New(0, Config{Name: "me", BootstrapSize: 3, ConfiguredRelays: 3}, Record{})
-	asked := func(from, to float64, list int64) (n int) {
-		for now := from; now < to; now += 100 {
+	asked := func(from, to time.Duration, list int64) (n int) {
+		for now := from; now < to; now += 100 * time.Millisecond {
 			for _, a := range k.Handle(now, LocalState{Lifecycle: Serving, EndpointListGeneration: list}, nil) {
 				if _, ok := a.(RefreshEndpointList); ok {
 					n++
@@ -403,11 +406,11 @@
 	}
 	k.Handle(0, PeerHealth{"peer", Alive}, nil)
 	k.Handle(0, StatusReceived{"peer", Status{Incarnation: 1, Seq: 1, BootstrapSize: 3, BootstrapSlot: 1, EndpointListGeneration: 5}}, nil)
-	if n := asked(100, 1500, 4) + asked(1500, 4000, 5); n != 0 {
+	if n := asked(100*time.Millisecond, 1500*time.Millisecond, 4) + asked(1500*time.Millisecond, 4*time.Second, 5); n != 0 {
 		t.Errorf("asked %d times, for a moment's lag", n)
 	}
-	k.Handle(4000, StatusReceived{"peer", Status{Incarnation: 1, Seq: 2, BootstrapSize: 3, BootstrapSlot: 1, EndpointListGeneration: 9}}, nil)
-	if n := asked(4000, 10_000, 5); n != 1 {
+	k.Handle(4*time.Second, StatusReceived{"peer", Status{Incarnation: 1, Seq: 2, BootstrapSize: 3, BootstrapSlot: 1, EndpointListGeneration: 9}}, nil)
+	if n := asked(4*time.Second, 10*time.Second, 5); n != 1 {
 		t.Errorf("asked %d times in 6 s behind", n)
 	}
 }
@@ -596,8 +599,8 @@
 func TestSharesNeedTheirProtections(t *testing.T) {
 	for what, without := range map[string]func(*Node){
 		"the joint view": func(k *Node) { k.jointViews = false },
-		"the wait":       func(k *Node) { k.waitOut = 300 },
-		"the grant":      func(k *Node) { k.leaseDuration = 60_000 },
+		"the wait":       func(k *Node) { k.waitOut = 300 * time.Millisecond },
+		"the grant":      func(k *Node) { k.leaseDuration = time.Minute },
 		"the grace":      func(k *Node) { k.safetyMargin = 0 },
 		"the effect":     func(k *Node) { k.maxEffectDelay = 0 },
 		"the pledge":     func(k *Node) { k.releasesSlots = false },
@@ -617,7 +620,7 @@
 
 // little is a world whose every step is chosen: which packet arrives next, or that time passes.
 type little struct {
-	now   float64
+	now   time.Duration
 	nodes []*node
 	wires []packet
 }
@@ -702,9 +705,9 @@
 			})
 		}
 	}
-	for _, ms := range []float64{450, WaitOut + 10} {
+	for _, wait := range []time.Duration{450 * time.Millisecond, WaitOut + 10*time.Millisecond} {
 		visit(func(c *little) {
-			c.now += ms
+			c.now += wait
 			for i := range c.nodes {
 				c.feed(i, Tick{})
 			}
@@ -735,7 +738,7 @@
 	} else {
 		w.run(50)
 	}
-	l := &little{now: w.now, nodes: w.nodes}
+	l := &little{now: duration.FromMillis(w.now), nodes: w.nodes}
 	for _, n := range l.nodes {
 		n.k.jointViews = joint
 	}
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -1,6 +1,11 @@
 package membership
 
-import "slices"
+import (
+	"slices"
+	"time"
+
+	"capersail/internal/fleet/duration"
+)
 
 // viewRequest is what the next view is to be made of.
 type viewRequest struct {
@@ -109,12 +114,12 @@
 
 // hasTakenEffect tells whether all that a relay did by its share before since has taken effect. Since is when it is known to have
 // stopped, by this relay's clock.
-func (n *Node) hasTakenEffect(since float64) bool {
-	return n.now >= since+n.maxEffectDelay*(1+MaxClockDrift)
+func (n *Node) hasTakenEffect(since time.Duration) bool {
+	return n.now >= since+duration.Scale(n.maxEffectDelay, 1+MaxClockDrift)
 }
 
 // slotReleasedAtOf is when a relay that has handed its place over was first known to have.
-func (n *Node) slotReleasedAtOf(name string) float64 {
+func (n *Node) slotReleasedAtOf(name string) time.Duration {
 	if p := n.peers[name]; name != n.cfg.Name && p != nil {
 		return p.SlotReleasedAt
 	}
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -3,14 +3,15 @@
 // chosen by Paxos among a few voters, and shares are held under leases.
 // docs/design/members.md has the promise, the reasons and the proof's outline.
 //
-// All times are milliseconds of one relay's monotonic clock; no two relays' clocks are ever compared.
+// All times are durations since an arbitrary origin of one relay's monotonic clock; no two relays' clocks are ever compared.
 package membership
 
 import (
-	"math"
 	"math/rand/v2"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // Config is what a Node is told at its start.
@@ -38,8 +39,8 @@
 	storageFailed bool    // its record cannot be kept
 	// What keeps the shares' sum, as tests take it out to see that they would find out.
 	jointViews, releasesSlots    bool
-	leaseDuration, waitOut       float64
-	safetyMargin, maxEffectDelay float64
+	leaseDuration, waitOut       time.Duration
+	safetyMargin, maxEffectDelay time.Duration
 	// And what keeps the sum over all cells.
 	jointPlans, awaitsCells, awaitsEarlierViews, inSequence, checksVersions bool
 
@@ -47,42 +48,42 @@
 	otherCells         OtherCells     // what the other cells do
 	activatedPlan      uint64         // the newest plan that all its cells are known to have entered
 	joinedPlan         uint64         // the newest that nobody in this cell acts by an earlier one of
-	planAdoptedAt      float64        // when a view of the present plan was first held in this life
+	planAdoptedAt      time.Duration  // when a view of the present plan was first held in this life
 	previousPlan       *cellplan.Plan // the plan that the file had before, while the view is by it
 
-	startedAt      float64
-	now            float64
+	startedAt      time.Duration
+	now            time.Duration
 	actions        []Action
-	viewAdoptedAt  float64 // when the view was adopted in this life
-	slotReleasedAt float64 // when the relay handed its place over in this life, or this life began
+	viewAdoptedAt  time.Duration // when the view was adopted in this life
+	slotReleasedAt time.Duration // when the relay handed its place over in this life, or this life began
 
-	renewalSentAt     map[string]float64 // by voter: when the newest renewal that it answered was sent
-	leaseValidUntil   float64            // until when the share may be taken
-	nextRenewalAt     float64
+	renewalSentAt     map[string]time.Duration // by voter: when the newest renewal that it answered was sent
+	leaseValidUntil   time.Duration            // until when the share may be taken
+	nextRenewalAt     time.Duration
 	proposal          *proposal
-	highestRound      uint64  // the highest met
-	nextProposalAt    float64 // not before this
-	changeWantedSince float64 // negative: nothing is to change
-	viewAcceptedAt    float64 // since when a view is accepted here and not chosen, negative if none is
-	agreedAt          float64
+	highestRound      uint64        // the highest met
+	nextProposalAt    time.Duration // not before this
+	changeWantedSince time.Duration // negative: nothing is to change
+	viewAcceptedAt    time.Duration // since when a view is accepted here and not chosen, negative if none is
+	agreedAt          time.Duration
 	phase             Phase
-	nextStatusAt      float64
-	nextCatchUpAt     float64 // not before this is a view asked for
+	nextStatusAt      time.Duration
+	nextCatchUpAt     time.Duration // not before this is a view asked for
 	lastStatus        Status
-	statusSeq         uint64  // of the statuses
-	refreshListAt     float64 // from when on a newer list at a peer is asked for
+	statusSeq         uint64        // of the statuses
+	refreshListAt     time.Duration // from when on a newer list at a peer is asked for
 }
 
 // New returns the Node of a relay that starts. rec is what was kept, the zero Record for none; the first action
 // of the first event keeps it with the next incarnation.
-func New(now float64, cfg Config, rec Record) *Node {
+func New(now time.Duration, cfg Config, rec Record) *Node {
 	cfg.BootstrapSize = max(cfg.BootstrapSize, 1)
 	n := &Node{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d656d626572)), record: rec, peers: map[string]*Peer{},
 		jointViews: true, releasesSlots: true, leaseDuration: LeaseDuration, waitOut: WaitOut, safetyMargin: LeaseSafetyMargin, maxEffectDelay: MaxEffectDelay,
 		jointPlans: true, awaitsCells: true, awaitsEarlierViews: true, inSequence: true, checksVersions: true, planAdoptedAt: now,
 		startedAt: now, now: now, viewAdoptedAt: now, slotReleasedAt: now,
-		renewalSentAt: map[string]float64{}, leaseValidUntil: math.Inf(-1),
+		renewalSentAt: map[string]time.Duration{}, leaseValidUntil: duration.Never,
 		changeWantedSince: -1, viewAcceptedAt: -1, agreedAt: -1,
 	}
 	if n.view = rec.View; n.view == nil {
@@ -107,7 +108,7 @@
 }
 
 // Start returns the first actions.
-func (n *Node) Start(now float64, out []Action) []Action {
+func (n *Node) Start(now time.Duration, out []Action) []Action {
 	n.now, n.actions = now, out
 	n.saveRecord()
 	n.publish(true)
@@ -115,7 +116,7 @@
 }
 
 // Handle takes one event and appends what is to be done about it to out.
-func (n *Node) Handle(now float64, ev Event, out []Action) []Action {
+func (n *Node) Handle(now time.Duration, ev Event, out []Action) []Action {
 	n.now, n.actions = max(now, n.now), out
 	switch e := ev.(type) {
 	case PeerHealth:
@@ -149,12 +150,12 @@
 }
 
 // Next is when a Tick is due at the latest.
-func (n *Node) Next() float64 {
-	next := n.now + 100
+func (n *Node) Next() time.Duration {
+	next := n.now + 100*time.Millisecond
 	if n.leaseValidUntil > n.now {
 		next = min(next, n.leaseValidUntil)
 	}
-	return min(next, max(n.nextRenewalAt, n.now+10))
+	return min(next, max(n.nextRenewalAt, n.now+10*time.Millisecond))
 }
 
 // runDueTasks is what time brings.
@@ -199,4 +200,4 @@
 func (n *Node) Phase() Phase { return n.phase }
 
 // AgreedAt is when the view was last agreed or settling, negative for never.
-func (n *Node) AgreedAt() float64 { return n.agreedAt }
+func (n *Node) AgreedAt() time.Duration { return n.agreedAt }
--- a/internal/fleet/membership/paxos.go
+++ b/internal/fleet/membership/paxos.go
@@ -1,19 +1,24 @@
 package membership
 
-import "slices"
+import (
+	"slices"
+	"time"
+
+	"capersail/internal/fleet/duration"
+)
 
 const (
-	ballotTimeout    = 500.0  // a ballot that has no majority by then is given up
-	proposerTurn     = 400.0  // between two voters' turns to propose
-	acceptedTimeout  = 600.0  // an accepted view that nobody tells the choice of is taken up
-	bootstrapWait    = 700.0  // how long founders wait for each other before they make the first view
-	bootstrapWaitMax = 3000.0 // and at the latest they do with a majority
+	ballotTimeout    = 500 * time.Millisecond // a ballot that has no majority by then is given up
+	proposerTurn     = 400 * time.Millisecond // between two voters' turns to propose
+	acceptedTimeout  = 600 * time.Millisecond // an accepted view that nobody tells the choice of is taken up
+	bootstrapWait    = 700 * time.Millisecond // how long founders wait for each other before they make the first view
+	bootstrapWaitMax = 3 * time.Second        // and at the latest they do with a majority
 )
 
 // proposal is a ballot of this relay's own.
 type proposal struct {
 	ballot          Ballot
-	startedAt       float64
+	startedAt       time.Duration
 	proposed        *View // proposed; nil while promises are awaited
 	highestBallot   Ballot
 	highestAccepted *View
@@ -57,8 +62,8 @@
 }
 
 // proposerDelay is how long this voter lets those before it go first.
-func (n *Node) proposerDelay() float64 {
-	wait := 0.0
+func (n *Node) proposerDelay() time.Duration {
+	wait := time.Duration(0)
 	for _, v := range n.view.Voters {
 		name := n.voterRelay(v)
 		if name == n.cfg.Name {
@@ -83,7 +88,7 @@
 // abandonProposal ends a ballot; another may follow after a while drawn at random.
 func (n *Node) abandonProposal() {
 	n.proposal = nil
-	n.nextProposalAt = n.now + proposerTurn*(0.25+n.rng.Float64())
+	n.nextProposalAt = n.now + duration.Scale(proposerTurn, 0.25+n.rng.Float64())
 }
 
 func (n *Node) onMessage(from string, m Message) {
@@ -94,8 +99,8 @@
 	case Learn:
 		n.adoptView(m.View)
 	case Renewed:
-		if m.To == n.record.Incarnation && m.SentAtMillis <= n.now && slices.Contains(n.view.Voters, from) {
-			n.renewalSentAt[from] = max(n.renewalSentAt[from], m.SentAtMillis)
+		if m.To == n.record.Incarnation && duration.FromMillis(m.SentAtMillis) <= n.now && slices.Contains(n.view.Voters, from) {
+			n.renewalSentAt[from] = max(n.renewalSentAt[from], duration.FromMillis(m.SentAtMillis))
 			n.extendLease()
 		}
 	case Reject:
--- a/internal/fleet/membership/peer.go
+++ b/internal/fleet/membership/peer.go
@@ -3,10 +3,13 @@
 import (
 	"slices"
 	"strings"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 const (
-	staleListGrace = 2000.0 // a peer has had a newer list of servers for so long
+	staleListGrace = 2 * time.Second // a peer has had a newer list of servers for so long
 )
 
 // Health is what is known of a peer's health.
@@ -29,11 +32,11 @@
 type Peer struct {
 	Name        string
 	Health      Health
-	HealthSince float64 // of the health
+	HealthSince time.Duration // of the health
 	Status      Status
-	StatusAt    float64 // when the status came, negative for never
+	StatusAt    time.Duration // when the status came, negative for never
 	// Since when its statuses have named their epoch, and said what they say of its place.
-	EpochSince, SlotReleasedAt float64
+	EpochSince, SlotReleasedAt time.Duration
 }
 
 // Peers returns what is known of all others, in the order of names.
@@ -66,7 +69,7 @@
 	}
 	p.Health, p.HealthSince = e.Health, n.now
 	if e.Health == Alive {
-		n.nextStatusAt = min(n.nextStatusAt, n.now+100) // a peer that is new here has not heard us either
+		n.nextStatusAt = min(n.nextStatusAt, n.now+100*time.Millisecond) // a peer that is new here has not heard us either
 	}
 	n.emit(Changed{Kind: ChangePeer, Name: e.Name, State: e.Health.String(), Cause: "failure detection"})
 }
@@ -108,9 +111,9 @@
 	}
 	switch {
 	case newest <= n.local.EndpointListGeneration || n.local.EndpointListGeneration == 0:
-		n.refreshListAt = n.now + staleListGrace*(1+n.rng.Float64()/2)
+		n.refreshListAt = n.now + duration.Scale(staleListGrace, 1+n.rng.Float64()/2)
 	case n.now >= n.refreshListAt:
-		n.refreshListAt = n.now + 4*staleListGrace*(1+n.rng.Float64()/2)
+		n.refreshListAt = n.now + duration.Scale(4*staleListGrace, 1+n.rng.Float64()/2)
 		n.emit(RefreshEndpointList{newest})
 	}
 }
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -1,7 +1,9 @@
 package membership
 
+import "time"
+
 const (
-	startupWait = 1500.0 // a relay that has heard nobody for so long is alone
+	startupWait = 1500 * time.Millisecond // a relay that has heard nobody for so long is alone
 )
 
 // Phase is how far a relay's view is agreed.
--- a/internal/fleet/membership/place_test.go
+++ b/internal/fleet/membership/place_test.go
@@ -1,6 +1,9 @@
 package membership
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // A relay that joins a chain founded with fewer places than its number says that it has none: a status with a place that the chain
 // does not have would be taken for nonsense.
@@ -11,7 +14,7 @@
 	if err := view.Check(); err != nil {
 		t.Fatal(err)
 	}
-	for _, a := range n.Handle(1, MessageReceived{From: "r0", Message: Message{Kind: Learn, View: view, From: 1}}, nil) {
+	for _, a := range n.Handle(time.Millisecond, MessageReceived{From: "r0", Message: Message{Kind: Learn, View: view, From: 1}}, nil) {
 		if p, ok := a.(Publish); ok && p.Status.Epoch == 1 && p.Status.BootstrapSlot != -1 {
 			t.Errorf("founders %d, place %d", p.Status.BootstrapSize, p.Status.BootstrapSlot)
 		}
--- a/internal/fleet/membership/plan.go
+++ b/internal/fleet/membership/plan.go
@@ -2,16 +2,18 @@
 
 import (
 	"slices"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // Timing is how often a relay says what it says again. The zero Timing is the flat fleet's.
 type Timing struct {
 	// LeaseFor is for the founding of a cell: the chain keeps it in its views, and all its relays act by that. Renewals come
 	// LeaseFor/4 apart.
-	LeaseDuration  float64
-	StatusInterval float64 // at least so long between two statuses without news
+	LeaseDuration  time.Duration
+	StatusInterval time.Duration // at least so long between two statuses without news
 }
 
 // withFlatDefaults fills in what is not set.
@@ -26,10 +28,10 @@
 }
 
 // CellTiming is the pace inside a cell.
-var CellTiming = Timing{LeaseDuration: 8000, StatusInterval: 10_000}
+var CellTiming = Timing{LeaseDuration: 8 * time.Second, StatusInterval: 10 * time.Second}
 
-// flatStatusInterval of the flat fleet, in ms.
-const flatStatusInterval = 1000.0
+// flatStatusInterval of the flat fleet.
+const flatStatusInterval = time.Second
 
 // PlanPendingReason is why the plan of the file is not acted by yet.
 type PlanPendingReason uint8
@@ -114,7 +116,7 @@
 	if n.cfg.Timing.LeaseDuration == LeaseDuration {
 		return 0
 	}
-	return uint32(n.cfg.Timing.LeaseDuration)
+	return uint32(n.cfg.Timing.LeaseDuration / time.Millisecond)
 }
 
 // allCellsJoined tells whether every cell of a plan is known to have entered it, and to act by no earlier one.
@@ -221,13 +223,15 @@
 // leaseScale is how much longer leases are in this chain than in a flat fleet.
 func (n *Node) leaseScale() float64 {
 	if a := n.view.Allocation; a != nil && a.LeaseMillis > 0 {
-		return float64(a.LeaseMillis) / LeaseDuration
+		return float64(a.LeaseMillis) / leaseMillis
 	}
 	return 1
 }
 
 // earlierViewsExpireAfter is how long after a view's adoption nobody acts by an earlier one any more.
-func (n *Node) earlierViewsExpireAfter() float64 { return n.waitOut * n.leaseScale() }
+func (n *Node) earlierViewsExpireAfter() time.Duration {
+	return duration.Scale(n.waitOut, n.leaseScale())
+}
 
 // statusVersion is that of the statuses that this relay tells: an older program than 2 knows of no Allocation.
 func (n *Node) statusVersion() int {
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -4,6 +4,9 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 // Report is what is known of the fleet at one relay, for people.
@@ -74,19 +77,19 @@
 }
 
 // Report tells what the Node knows. Site and Dropped are its driver's to fill in.
-func (n *Node) Report(now float64) Report {
+func (n *Node) Report(now time.Duration) Report {
 	r := n.Estimate(now)
 	out := Report{Relay: n.cfg.Name, Phase: r.Phase.String(), Epoch: r.Epoch, Hash: strconv.FormatUint(n.viewHash, 16), AgreedMs: -1, Relays: r.Relays,
 		BudgetShare: r.BudgetShare, ShareReason: r.ShareReason, OtherRequestRate: r.OtherRequestRate, UnreleasedSlots: len(n.view.UnreleasedSlots), Cell: n.cellReport(r)}
 	if n.agreedAt >= 0 {
-		out.AgreedMs = now - n.agreedAt
+		out.AgreedMs = duration.Millis(now - n.agreedAt)
 	}
-	row := func(name, state, how string, since float64, d Status) {
+	row := func(name, state, how string, since time.Duration, d Status) {
 		s := n.view.Member(name)
 		out.Members = append(out.Members, MemberReport{Name: name, State: state, Lifecycle: d.Lifecycle.String(), Zone: d.Zone, Member: s.In,
 			Voter:       slices.Contains(n.view.Voters, n.voterName(name, d.BootstrapSlot)),
 			BudgetShare: float64(s.BudgetShare) / float64(Whole), OutstandingLimit: float64(s.OutstandingLimit) / float64(Whole),
-			SinceMs: since, Source: how, Epoch: d.Epoch, Incarnation: d.Incarnation, RequestRate: d.RequestRate, OpenConnections: d.OpenConnections})
+			SinceMs: duration.Millis(since), Source: how, Epoch: d.Epoch, Incarnation: d.Incarnation, RequestRate: d.RequestRate, OpenConnections: d.OpenConnections})
 	}
 	row(n.cfg.Name, "here", "itself", now-n.startedAt, n.status())
 	for _, p := range n.sortedPeers {
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -1,8 +1,14 @@
 package membership
 
+import (
+	"time"
+
+	"capersail/internal/fleet/duration"
+)
+
 const (
-	drainStatusInterval = 500.0  // a relay that sends its clients away says so as often
-	drainStatusValidFor = 1500.0 // and is believed for so long
+	drainStatusInterval = 500 * time.Millisecond  // a relay that sends its clients away says so as often
+	drainStatusValidFor = 1500 * time.Millisecond // and is believed for so long
 )
 
 // Lifecycle is what a relay says it does.
@@ -59,10 +65,10 @@
 
 // statusInterval is the time between two statuses: it grows with the fleet, so that what a relay gets does not. In a cell it is drawn
 // anew each time, from half to one and a half of the pace: all relays tell a new view at once, and would else go on telling at once.
-func (n *Node) statusInterval() float64 {
-	every := max(n.cfg.Timing.StatusInterval, 50*float64(len(n.peers)))
+func (n *Node) statusInterval() time.Duration {
+	every := max(n.cfg.Timing.StatusInterval, 50*time.Millisecond*time.Duration(len(n.peers)))
 	if n.view.Allocation != nil {
-		every *= 0.5 + n.rng.Float64()
+		every = duration.Scale(every, 0.5+n.rng.Float64())
 	}
 	return every
 }
--- a/internal/fleet/probing/corroborate.go
+++ b/internal/fleet/probing/corroborate.go
@@ -2,8 +2,10 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 // Dropped are the reasons for which readings are left out.
@@ -64,13 +66,14 @@
 // readingAge is how old a reading is: what it says, or more where it came later than others of its origin have. The quickest message
 // counts for less the longer ago it was, as far as two clocks can part: with a window of 8 s instead, a slow clock's
 // readings were taken for up to 1.6 s older than they were, and the more the longer its origin had said nothing.
-func (sc *Scheduler) readingAge(o *origin, r Reading) float64 {
+func (sc *Scheduler) readingAge(o *origin, r Reading) time.Duration {
 	if o.incarnation != r.Incarnation {
-		o.incarnation, o.clockOffset = r.Incarnation, math.Inf(1)
+		o.incarnation, o.clockKnown = r.Incarnation, false
 	}
-	offset, quickest := sc.now-r.ReadAt, o.clockOffset+MaxClockDrift*(sc.now-o.clockOffsetAt)
-	if offset-r.Age <= quickest {
-		o.clockOffset, o.clockOffsetAt = offset-r.Age, sc.now
+	offset := sc.now - r.ReadAt
+	quickest := o.clockOffset + duration.Scale(sc.now-o.clockOffsetAt, MaxClockDrift)
+	if !o.clockKnown || offset-r.Age <= quickest {
+		o.clockOffset, o.clockOffsetAt, o.clockKnown = offset-r.Age, sc.now, true
 		return r.Age
 	}
 	return offset - quickest
--- a/internal/fleet/probing/placements.go
+++ b/internal/fleet/probing/placements.go
@@ -1,6 +1,6 @@
 package probing
 
-import "math"
+import "time"
 
 // Placements are summed and not guessed: each relay tells what it has sent to which server since its last round, less what has
 // ended there, all others hear it as they hear readings, and each adds what is younger than its reading of that server. Without
@@ -22,7 +22,7 @@
 	Incarnation uint64
 	Seq         uint64 // of the origin's rows: rises by one
 	Delta       int
-	Age         float64
+	Age         time.Duration
 }
 
 type (
@@ -53,7 +53,7 @@
 // gossipedPlacement is one that is to be passed on.
 type gossipedPlacement struct {
 	PlacementDelta
-	placedAt float64
+	placedAt time.Duration
 	rounds   int
 }
 
@@ -72,7 +72,7 @@
 		return ""
 	case o == nil || sc.servers[p.ServerKey] == nil:
 		return UnknownOrigin
-	case p.Delta == 0 || p.Delta > maxPlacementDelta || p.Delta < -maxPlacementDelta || p.Age < 0 || math.IsNaN(p.Age):
+	case p.Delta == 0 || p.Delta > maxPlacementDelta || p.Delta < -maxPlacementDelta || p.Age < 0:
 		return Impossible
 	case p.Age > MaxReadingAge:
 		return TooOld
--- a/internal/fleet/probing/placements_test.go
+++ b/internal/fleet/probing/placements_test.go
@@ -4,6 +4,7 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+	"time"
 )
 
 // A Window takes each number once, in any order, up to 64 behind.
@@ -39,25 +40,25 @@
 		keepers[i], got[i], at[r.Name] = New(r.Name, uint64(i)), make([]int, len(ss)), i
 		keepers[i].Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: table}, nil)
 	}
-	var act func(i int, now float64, acts []Action)
-	act = func(i int, now float64, acts []Action) {
+	var act func(i int, now time.Duration, acts []Action)
+	act = func(i int, now time.Duration, acts []Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
 			case PeerPlacement:
 				got[i][index[a.ServerKey]] += a.Delta
-				if a.Age > 1000 {
-					t.Errorf("word of a placement is %.0f ms old", a.Age)
+				if a.Age > time.Second {
+					t.Errorf("word of a placement is %v old", a.Age)
 				}
 			case SendPlacements:
 				if to := at[a.To]; rng.Float64() > 0.1 {
-					act(to, now, keepers[to].Handle(now+5, PlacementsReceived{From: rs[i].Name, Rows: a.Rows}, nil))
+					act(to, now, keepers[to].Handle(now+5*time.Millisecond, PlacementsReceived{From: rs[i].Name, Rows: a.Rows}, nil))
 				}
 			}
 		}
 	}
-	for now := 1000.0; now < 9000; now += 25 {
+	for now := time.Second; now < 9*time.Second; now += 25 * time.Millisecond {
 		for i, k := range keepers {
-			if now < 7000 && rng.Float64() < 0.3 { // 100 a second of all
+			if now < 7*time.Second && rng.Float64() < 0.3 { // 100 a second of all
 				s, n := rng.IntN(len(ss)), 1
 				if rng.Float64() < 0.4 { // as many ends, nearly
 					n = -1
@@ -88,12 +89,12 @@
 		{UnknownOrigin, func(p *PlacementDelta) { p.ServerKey++ }},
 		{Impossible, func(p *PlacementDelta) { p.Delta = 0 }},
 		{Impossible, func(p *PlacementDelta) { p.Delta = 1 << 40 }},
-		{Impossible, func(p *PlacementDelta) { p.Age = math.NaN() }},
+		{Impossible, func(p *PlacementDelta) { p.Age = math.MinInt64 }},
 		{TooOld, func(p *PlacementDelta) { p.Age = MaxReadingAge + 1 }},
 	} {
 		p, k := good, keepers[0]
 		c.change(&p)
-		if before := k.dropCounts[c.why]; len(k.Handle(9000, PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 || k.dropCounts[c.why] != before+1 {
+		if before := k.dropCounts[c.why]; len(k.Handle(9*time.Second, PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 || k.dropCounts[c.why] != before+1 {
 			t.Errorf("%s: %v", c.why, k.dropCounts)
 		}
 	}
--- a/internal/fleet/probing/reading.go
+++ b/internal/fleet/probing/reading.go
@@ -1,20 +1,23 @@
 package probing
 
-import "math"
+import (
+	"math"
+	"time"
+)
 
-// All times are milliseconds of this relay's monotonic clock. A reading carries its origin's own clock only to tell which
+// All times are durations since an arbitrary origin of this relay's monotonic clock. A reading carries its origin's own clock only to tell which
 // of two is newer, and how much later than others of that origin it came; no two relays' clocks are compared otherwise.
 const (
 	// ProbeInterval is the least time between two probes of one server by one relay. Probers/ProbeInterval = 2 a second is
 	// the most that a server is probed by turns, whatever becomes of the gossip between relays.
-	ProbeInterval = 1500.0
+	ProbeInterval = 1500 * time.Millisecond
 	// TurnInterval is how old a server's newest reading is when the next prober's turn comes.
 	TurnInterval = ProbeInterval / ProbersPerServer
 	// MaxReadingAge is how old a reading may be: a report is renewed within 1.4 s and read within 0.5 s of its turn, and word of it
 	// takes up to five rounds of GossipInterval.
-	MaxReadingAge = 2000.0
+	MaxReadingAge = 2 * time.Second
 	// GossipInterval is the time between two rounds of gossip: of 300 relays each hears what three pass on within five rounds.
-	GossipInterval = 150.0
+	GossipInterval = 150 * time.Millisecond
 	// GossipFanout is how many peers a round goes to.
 	GossipFanout = 3
 	// MaxReadingsPerRound is how many readings a round carries: so that they fit one packet.
@@ -27,7 +30,7 @@
 	// maxStrikes is how many readings that two others contradict put a relay in quarantine, for quarantineFor; two that are corroborated
 	// take one strike back, as one that always tells the same is right now and then.
 	maxStrikes    = 4.0
-	quarantineFor = 30_000.0
+	quarantineFor = 30 * time.Second
 	// MaxClockDrift is by how much the clocks of two relays may part in a time, one 5% fast and one 5% slow.
 	MaxClockDrift = 1.05/0.95 - 1
 )
@@ -43,16 +46,16 @@
 	Started     int64  // of the server's process, as the origin's list has it
 	Origin      string // the origin, who read it
 	Incarnation uint64 // the origin's incarnation
-	ReadAt      float64
-	// Age is in ms, as whoever passes the reading on reckons it.
-	Age float64
+	ReadAt      time.Duration
+	// Age is how old the reading is, as whoever passes it on estimates it.
+	Age time.Duration
 	LoadReport
 }
 
 // keptReading is a reading as it is kept: taken is when it was read, by this relay's clock.
 type keptReading struct {
 	Reading
-	readAt  float64
+	readAt  time.Duration
 	rounds  int  // rounds that have carried it
 	checked bool // it has been corroborated or contradicted
 }
@@ -72,5 +75,5 @@
 			return false
 		}
 	}
-	return r.Age >= 0 && !math.IsNaN(r.ReadAt) && r.LoadReport.Load < 1000
+	return r.Age >= 0 && r.LoadReport.Load < 1000
 }
--- a/internal/fleet/probing/report.go
+++ b/internal/fleet/probing/report.go
@@ -1,8 +1,10 @@
 package probing
 
 import (
-	"math"
 	"slices"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 // Report is what is known of the probes, for people.
@@ -28,7 +30,7 @@
 }
 
 // Report tells what the Scheduler knows.
-func (sc *Scheduler) Report(now float64) Report {
+func (sc *Scheduler) Report(now time.Duration) Report {
 	out := Report{Relays: len(sc.peerNames) + 1, Probes: sc.probeCount, Received: sc.receivedReadings, Dropped: map[string]uint64{}}
 	for why, n := range sc.dropCounts {
 		out.Dropped[why] = n
@@ -40,9 +42,9 @@
 	}
 	slices.Sort(out.Quarantined)
 	for _, s := range sc.serverList {
-		row := ServerReport{ServerKey: s.Key, Zone: s.Zone, Assigned: s.rank >= 0, Rank: s.rank, Load: -1, Origin: s.usedOrigin}
-		if row.AgeMs = now - s.usedReadAt; math.IsInf(s.usedReadAt, -1) {
-			row.AgeMs = -1
+		row := ServerReport{ServerKey: s.Key, Zone: s.Zone, Assigned: s.rank >= 0, Rank: s.rank, Load: -1, AgeMs: -1, Origin: s.usedOrigin}
+		if s.usedReadAt != duration.Never {
+			row.AgeMs = duration.Millis(now - s.usedReadAt)
 		}
 		for _, h := range s.newestByOrigin {
 			if h.Origin == s.usedOrigin {
--- a/internal/fleet/probing/scheduler.go
+++ b/internal/fleet/probing/scheduler.go
@@ -2,9 +2,11 @@
 
 import (
 	"cmp"
-	"math"
 	"math/rand/v2"
 	"slices"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 // server is what is known of one.
@@ -12,20 +14,21 @@
 	Server
 	index          int
 	rank           int // this relay's among the probers, negative if it is none
-	probedAt       float64
+	probedAt       time.Duration
 	newestByOrigin []*keptReading // one of each origin, the youngest first
-	usedReadAt     float64        // when the reading believed last was taken
+	usedReadAt     time.Duration  // when the reading believed last was taken
 	usedOrigin     string         // and whose it was
 }
 
 // origin is what is known of a relay's readings.
 type origin struct {
 	incarnation      uint64
-	clockOffset      float64     // own clock less the origin's, by its quickest message; +Inf before any
-	clockOffsetAt    float64     // when that came
-	placementDedup   DedupWindow // of its placements
+	clockOffset      time.Duration // own clock less the origin's, by its quickest message
+	clockOffsetAt    time.Duration // when that came
+	clockKnown       bool          // a message has come in this incarnation
+	placementDedup   DedupWindow   // of its placements
 	strikes          float64
-	quarantinedUntil float64 // quarantined until then
+	quarantinedUntil time.Duration // quarantined until then
 }
 
 // Scheduler is one relay's part in probing servers by turns. It is not safe for concurrent use.
@@ -37,7 +40,7 @@
 	serverList         []*server
 	relays             map[string]*origin
 	peerNames          []string // of the others
-	nextGossipAt       float64
+	nextGossipAt       time.Duration
 	pendingPlacements  map[uint64]int      // connections sent to servers since the last round, less those that ended
 	gossipedPlacements []gossipedPlacement // placements that are still passed on
 	placementSeq       uint64
@@ -46,7 +49,7 @@
 	probeCount         uint64
 	receivedReadings   uint64
 	actions            []Action
-	now                float64
+	now                time.Duration
 }
 
 // New returns the Scheduler of a relay that starts.
@@ -61,7 +64,7 @@
 func (sc *Scheduler) HasPeers() bool { return len(sc.peerNames) > 0 }
 
 // Handle takes one event and appends what is to be done about it to out.
-func (sc *Scheduler) Handle(now float64, ev Event, out []Action) []Action {
+func (sc *Scheduler) Handle(now time.Duration, ev Event, out []Action) []Action {
 	sc.now, sc.actions = max(now, sc.now), out
 	switch e := ev.(type) {
 	case ParticipantsChanged:
@@ -108,7 +111,7 @@
 		}
 		o := sc.relays[r.Name]
 		if o == nil {
-			o = &origin{clockOffset: math.Inf(1), quarantinedUntil: math.Inf(-1)}
+			o = &origin{quarantinedUntil: duration.Never}
 		}
 		relays[r.Name] = o
 		sc.peerNames = append(sc.peerNames, r.Name)
@@ -119,7 +122,7 @@
 	for i, s := range e.Servers {
 		n := old[s.Key]
 		if n == nil || n.Started != s.Started {
-			n = &server{probedAt: math.Inf(-1), usedReadAt: math.Inf(-1)}
+			n = &server{probedAt: duration.Never, usedReadAt: duration.Never}
 		}
 		n.Server, n.index, n.rank = s, i, e.Assignment.rank(i, sc.self)
 		sc.servers[s.Key] = n
@@ -149,11 +152,11 @@
 		if s.rank < 0 || sc.now < s.probedAt+ProbeInterval {
 			continue
 		}
-		newest := math.Inf(-1)
+		newest := duration.Never
 		for _, h := range s.newestByOrigin {
 			newest = max(newest, h.readAt)
 		}
-		if sc.now >= newest+TurnInterval+GossipInterval*float64(s.rank) || sc.now >= s.probedAt+2*ProbeInterval {
+		if sc.now >= newest+TurnInterval+GossipInterval*time.Duration(s.rank) || sc.now >= s.probedAt+2*ProbeInterval {
 			s.probedAt = sc.now
 			sc.probeCount++
 			sc.emit(Probe{ServerKey: s.Key})
@@ -166,7 +169,7 @@
 	if sc.now < sc.nextGossipAt {
 		return
 	}
-	sc.nextGossipAt = sc.now + GossipInterval*(0.9+0.2*sc.rng.Float64())
+	sc.nextGossipAt = sc.now + duration.Scale(GossipInterval, 0.9+0.2*sc.rng.Float64())
 	var news []*keptReading
 	for _, s := range sc.serverList {
 		for _, h := range s.newestByOrigin {
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -5,6 +5,9 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 // crowd is many Schedulers on a set clock, with a net that loses and delays, and servers whose loads wander.
@@ -70,7 +73,9 @@
 }
 
 // own is the time on a relay's clock, which began at another moment than the others'.
-func (c *crowd) own(i int) float64 { return c.now*c.rate[i] + 1e4*float64(i%7) }
+func (c *crowd) own(i int) time.Duration {
+	return duration.FromMillis(c.now*c.rate[i] + 1e4*float64(i%7))
+}
 
 func (c *crowd) run(ms float64) {
 	spots := map[uint64]int{}
@@ -103,7 +108,7 @@
 			c.act(i, k.Handle(c.own(i), Tick{}, nil))
 			for j := range c.ss {
 				c.seen++
-				if c.now-c.believe[i][j] > MaxReadingAge {
+				if c.now-c.believe[i][j] > duration.Millis(MaxReadingAge) {
 					c.gaps++
 				}
 			}
@@ -136,8 +141,8 @@
 				}
 			}
 		case UseReading:
-			c.worst = max(c.worst, a.Age)
-			c.believed(i, a.ServerKey, c.now-a.Age/c.rate[i], placementLoad(a.Reading))
+			c.worst = max(c.worst, duration.Millis(a.Age))
+			c.believed(i, a.ServerKey, c.now-duration.Millis(a.Age)/c.rate[i], placementLoad(a.Reading))
 		}
 	}
 }
@@ -152,7 +157,7 @@
 		return
 	}
 	off := math.Inf(1)
-	for _, x := range c.past[spot][max(0, len(c.past[spot])-int(2*MaxReadingAge/step)):] {
+	for _, x := range c.past[spot][max(0, len(c.past[spot])-int(2*duration.Millis(MaxReadingAge)/step)):] {
 		off = min(off, math.Abs(load-x))
 	}
 	c.wrong = max(c.wrong, off)
@@ -193,7 +198,7 @@
 			if relays > 2 && missing > 0.01 {
 				t.Errorf("%d relays, %.0f%% lost: without a reading %.3f of the time", relays, 100*loss, missing)
 			}
-			if c.worst > MaxReadingAge {
+			if c.worst > duration.Millis(MaxReadingAge) {
 				t.Errorf("believed at an age of %.0f ms", c.worst)
 			}
 		}
@@ -236,7 +241,7 @@
 func TestReadingsLeftOut(t *testing.T) {
 	rs, ss := fleet(4, 1, 1)
 	ss[0].Started = 50
-	good := Reading{ServerKey: ss[0].Key, Started: 50, Origin: "r1", Incarnation: 1, ReadAt: 100, Age: 10, LoadReport: LoadReport{0.5, -1, -1, -1}}
+	good := Reading{ServerKey: ss[0].Key, Started: 50, Origin: "r1", Incarnation: 1, ReadAt: 100 * time.Millisecond, Age: 10 * time.Millisecond, LoadReport: LoadReport{0.5, -1, -1, -1}}
 	for _, c := range []struct {
 		why    string
 		change func(r *Reading)
@@ -256,26 +261,26 @@
 		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
 		r := good
 		c.change(&r)
-		if acts := k.Handle(1000, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 || k.dropCounts[c.why] != 1 {
+		if acts := k.Handle(time.Second, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 || k.dropCounts[c.why] != 1 {
 			t.Errorf("%s: %v, %v", c.why, acts, k.dropCounts)
 		}
 	}
 	k := New("r0", 1)
 	k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
-	hear := func(now float64, r Reading) string {
+	hear := func(now time.Duration, r Reading) string {
 		acts := k.Handle(now, ReadingsReceived{"r2", []Reading{r}}, nil)
 		return fmt.Sprintf("%d %v", len(acts), k.dropCounts)
 	}
 	second := good
 	second.Origin, second.LoadReport.Load = "r2", 0.55
-	hear(1000, good)
-	if got := hear(1000, second); got != "1 map[not borne out:1]" {
+	hear(time.Second, good)
+	if got := hear(time.Second, second); got != "1 map[not borne out:1]" {
 		t.Errorf("one that is borne out: %s", got)
 	}
 	// A packet that was under way for 5 s says that its reading is 10 ms old; what came before tells that it is not.
 	late := good
-	late.ReadAt, late.Age = 200, 10
-	if got := hear(6100, late); got != "0 map[not borne out:1 too old:1]" {
+	late.ReadAt, late.Age = 200*time.Millisecond, 10*time.Millisecond
+	if got := hear(6100*time.Millisecond, late); got != "0 map[not borne out:1 too old:1]" {
 		t.Errorf("one that was under way for 5 s: %s", got)
 	}
 }
--- a/internal/relay/reckon.go
+++ b/internal/relay/reckon.go
@@ -1,9 +1,10 @@
 package relay
 
 import (
-	"math"
+	"time"
 
 	"capersail/decide"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
 )
@@ -13,7 +14,7 @@
 //
 // Zone gives the module's number of a zone's name, false for one that no server or relay here has; it may be nil where the fleet has no
 // cells, and all is far then. A near zone without a number has no server to budget for.
-func ToFleetStatus(now, own float64, r membership.FleetEstimate, zone func(name string) (decide.Zone, bool)) decide.FleetStatus {
+func ToFleetStatus(now, own time.Duration, r membership.FleetEstimate, zone func(name string) (decide.Zone, bool)) decide.FleetStatus {
 	f := decide.FleetStatus{Relays: r.Relays, BudgetShare: r.BudgetShare, PeerRequestRate: r.OtherRequestRate, PeerConnections: r.OtherConnections, PeerMigrationRate: r.DrainRate}
 	f.SharesPlacements = r.OtherRequestRate >= 0 && r.OtherRequestRate+r.OwnRequestRate <= probing.MaxPlacementRate
 	if r.Plan > 0 {
@@ -27,8 +28,8 @@
 			}
 		}
 	}
-	if !math.IsInf(r.ShareValidUntil, 1) {
-		f.BudgetUntil = Duration(now + r.ShareValidUntil - own)
+	if r.ShareValidUntil != duration.Forever {
+		f.BudgetUntil = (now + r.ShareValidUntil - own).Round(time.Microsecond)
 	}
 	return f
 }
--- a/internal/relay/reckon_test.go
+++ b/internal/relay/reckon_test.go
@@ -1,11 +1,11 @@
 package relay
 
 import (
-	"math"
 	"slices"
 	"testing"
 
 	"capersail/decide"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 )
 
@@ -16,7 +16,7 @@
 		number, known := numbers[name]
 		return number, known
 	}
-	estimate := membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.02, ShareValidUntil: math.Inf(1), NearZones: []string{"a", "unknown here", "b"}, Plan: 4}
+	estimate := membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.02, ShareValidUntil: duration.Forever, NearZones: []string{"a", "unknown here", "b"}, Plan: 4}
 	got := ToFleetStatus(0, 0, estimate, zone)
 	if got.BudgetShare != 0.3 || got.FarBudgetShare != 0.02 || !slices.Equal(got.NearZones, []decide.Zone{3, 5}) {
 		t.Errorf("in a cell: %+v", got)
@@ -24,7 +24,7 @@
 	if got := ToFleetStatus(0, 0, estimate, nil); got.NearZones == nil || len(got.NearZones) > 0 {
 		t.Errorf("in a cell with no numbers all is far, not %+v", got)
 	}
-	if got := ToFleetStatus(0, 0, membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.3, ShareValidUntil: math.Inf(1)}, nil); got.NearZones != nil || got.BudgetShare != 0.3 {
+	if got := ToFleetStatus(0, 0, membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.3, ShareValidUntil: duration.Forever}, nil); got.NearZones != nil || got.BudgetShare != 0.3 {
 		t.Errorf("without cells: %+v", got)
 	}
 }
--- a/internal/relay/shared.go
+++ b/internal/relay/shared.go
@@ -3,8 +3,10 @@
 import (
 	"hash/fnv"
 	"sync/atomic"
+	"time"
 
 	"capersail/decide"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/probing"
 )
 
@@ -173,7 +175,7 @@
 // stepScheduler lets the scheduler act. What goes to peers waits until the fleet is released.
 func (c *EventLoop) stepScheduler(now float64, ev probing.Event) {
 	s := c.SharedProbing
-	s.actions = s.scheduler.Handle(now, ev, s.actions[:0])
+	s.actions = s.scheduler.Handle(duration.FromMillis(now), ev, s.actions[:0])
 	for _, a := range s.actions {
 		switch a := a.(type) {
 		case probing.Probe:
@@ -184,14 +186,14 @@
 			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
 				l := a.Reading.LoadReport
 				if c.table.Recorder != nil {
-					c.table.recordPeerReading(id, a.Age, max(l.Load, l.Busy))
+					c.table.recordPeerReading(id, Millis(a.Age), max(l.Load, l.Busy))
 				}
-				c.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age),
+				c.handle(now, decide.GossipReading{Server: id, Age: a.Age.Round(time.Microsecond),
 					Report: decide.LoadReport{Load: l.Load, InFlight: l.Inflight, ErrorsPerSecond: l.Errors, CPUUtilization: l.Busy}})
 			}
 		case probing.PeerPlacement:
 			if id, ok := c.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				c.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.Delta})
+				c.handle(now, decide.GossipReading{Server: id, Age: a.Age.Round(time.Microsecond), PlacementDelta: a.Delta})
 			}
 		case probing.Quarantine:
 			s.onQuarantine(a.Name)
@@ -222,7 +224,7 @@
 	}
 	if now >= s.reportedAt+reportInterval {
 		s.reportedAt = now
-		r := s.scheduler.Report(now)
+		r := s.scheduler.Report(duration.FromMillis(now))
 		for i := range r.Servers {
 			r.Servers[i].ID = s.serverIDs[r.Servers[i].ServerKey]
 		}
--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"capersail/decide"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
-	"capersail/internal/relay"
 )
 
 // peering is what a relay has of the others.
@@ -34,8 +34,8 @@
 func (r *Relay) ProbingReport() probing.Report { return r.scheduler.Report(r.localTime()) }
 
 // localTime is the time on the relay's clock for membership and probing, which began at another moment than the others'.
-func (r *Relay) localTime() float64 {
-	return float64(r.fleet.Now)/float64(ms)*r.clockRate + 1e4*float64(r.index%7)
+func (r *Relay) localTime() time.Duration {
+	return duration.Scale(r.fleet.Now, r.clockRate) + 10*time.Second*time.Duration(r.index%7)
 }
 
 // startPeering starts a relay's part in membership and probing.
@@ -53,7 +53,7 @@
 		if !r.up || r.incarnation != life {
 			return
 		}
-		if f.Now >= metered+relay.Duration(membership.MeterInterval) {
+		if f.Now >= metered+membership.MeterInterval {
 			metered = f.Now
 			doing := membership.Serving
 			if r.draining {
@@ -64,7 +64,7 @@
 			f.stepNode(r, own)
 		}
 		f.stepNode(r, membership.Tick{})
-		f.After(max(relay.Duration((r.node.Next()-r.localTime())/r.clockRate), ms), tick)
+		f.After(max(duration.Scale(r.node.Next()-r.localTime(), 1/r.clockRate).Round(time.Microsecond), ms), tick)
 	}
 	turn = func() {
 		if !r.up || r.incarnation != life {
@@ -126,12 +126,12 @@
 			}
 		case probing.UseReading:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: relay.Duration(a.Age),
+				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: a.Age.Round(time.Microsecond),
 					Report: decide.LoadReport{Load: a.Reading.LoadReport.Load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, nil))
 			}
 		case probing.PeerPlacement:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: relay.Duration(a.Age), PlacementDelta: a.Delta}, nil))
+				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: a.Age.Round(time.Microsecond), PlacementDelta: a.Delta}, nil))
 			}
 		case probing.SendPlacements:
 			f.count("tells of placements")
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -86,8 +86,7 @@
 	}
 	if f.cfg.Peering {
 		own := r.localTime()
-		now := float64(f.Now) / float64(ms)
-		word := relay.ToFleetStatus(now, own, r.node.Estimate(own), nil)
+		word := relay.ToFleetStatus(f.Now, own, r.node.Estimate(own), nil)
 		word.SharesReadings = r.scheduler.HasPeers()
 		word.SharesPlacements = word.SharesPlacements && word.SharesReadings && !f.cfg.GuessPlacements
 		f.carryOut(r, r.balancer.Handle(f.Now, word, nil))
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -1,7 +1,6 @@
 package gossip
 
 import (
-	"math"
 	"slices"
 	"sync/atomic"
 	"time"
@@ -12,6 +11,7 @@
 	"capersail/decide"
 	"capersail/internal/fleet/cellplan"
 	"capersail/internal/fleet/cells"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 )
 
@@ -20,9 +20,9 @@
 	// cellPushPullInterval is the time between two exchanges of whole states within a cell. Each fills a second with more than 8 KB at both sides,
 	// and a relay begins and answers one in this time on average: in fewer than one second of a hundred.
 	cellPushPullInterval = 5 * time.Minute
-	cellReportInterval   = 1000.0   // ms between two tellings of the cell's figures
-	departureRetention   = 20_000.0 // ms for which relays that went are named to other cells
-	cellInboxSize        = 512      // summaries and directories that wait
+	cellReportInterval   = time.Second      // between two tellings of the cell's figures
+	departureRetention   = 20 * time.Second // for which relays that went are named to other cells
+	cellInboxSize        = 512              // summaries and directories that wait
 )
 
 // cellLink is a Node's part in what cells know of each other. There is none in a flat fleet without a plan: its methods do nothing on
@@ -32,7 +32,7 @@
 	coordinator    *cells.Coordinator
 	inbox          chan cells.Event
 	lastReport     cells.LocalCell // as told last
-	nextReportAt   float64         // when it is to be told again
+	nextReportAt   time.Duration   // when it is to be told again
 	othersKnown    bool            // figures of other cells have come
 	departed       map[string]departure
 	representative string // of this cell
@@ -45,7 +45,7 @@
 
 // departure is a relay that has gone from the cell.
 type departure struct {
-	at    float64
+	at    time.Duration
 	state string
 }
 
@@ -104,7 +104,7 @@
 	n.mu.Lock()
 	c := cells.Config{Name: n.cfg.Name, Cell: cell, Incarnation: n.membership.Incarnation(), Plan: plan, Seed: n.cfg.Seed}
 	l := &cellLink{cell: cell, coordinator: cells.New(n.cellTime(n.now()), c), inbox: make(chan cells.Event, cellInboxSize), departed: map[string]departure{},
-		newestDirectories: map[string]directoryMark{}, nextReportAt: math.Inf(-1)}
+		newestDirectories: map[string]directoryMark{}, nextReportAt: n.now()}
 	n.mu.Unlock()
 	n.cells.Store(l)
 }
@@ -118,16 +118,16 @@
 }
 
 // nextCellTick is when tickCells is due.
-func (n *Node) nextCellTick() float64 {
+func (n *Node) nextCellTick() time.Duration {
 	l := n.cells.Load()
 	if l == nil {
-		return math.Inf(1)
+		return duration.Forever
 	}
 	return min(l.nextReportAt, n.nodeTime(l.coordinator.Next()))
 }
 
 // noteMembershipChange notes a change in the membership, which is told without waiting for the next round of figures.
-func (l *cellLink) noteMembershipChange(c membership.Changed, now float64) {
+func (l *cellLink) noteMembershipChange(c membership.Changed, now time.Duration) {
 	if l == nil {
 		return
 	}
@@ -174,7 +174,7 @@
 }
 
 // localCell is what this relay knows of its own cell; nothing before there is a view.
-func (n *Node) localCell(l *cellLink, now float64) (local cells.LocalCell, ok bool) {
+func (n *Node) localCell(l *cellLink, now time.Duration) (local cells.LocalCell, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	view := n.membership.View()
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -6,6 +6,7 @@
 	"path/filepath"
 	"reflect"
 	"testing"
+	"time"
 
 	"github.com/fxamacker/cbor/v2"
 
@@ -111,15 +112,15 @@
 
 func sampleReadings() []probing.Reading {
 	return []probing.Reading{
-		{ServerKey: 0xfedcba9876543210, Started: 1_700_000_000_123, Origin: "r1", Incarnation: 4, ReadAt: 1234, Age: 56,
+		{ServerKey: 0xfedcba9876543210, Started: 1_700_000_000_123, Origin: "r1", Incarnation: 4, ReadAt: 1234 * time.Millisecond, Age: 56 * time.Millisecond,
 			LoadReport: probing.LoadReport{Load: 0.5, Inflight: 3, Errors: 0.125, Busy: 0.25}},
-		{ServerKey: 2, Origin: "r2", Incarnation: 1, ReadAt: 99_000, LoadReport: probing.LoadReport{Load: 1.5, Inflight: -1, Errors: -1, Busy: -1}},
-		{ServerKey: 3, Origin: "r1", Incarnation: 4, ReadAt: 1, Age: 1999, LoadReport: probing.LoadReport{Load: -1, Inflight: 0, Errors: 0, Busy: 2}},
+		{ServerKey: 2, Origin: "r2", Incarnation: 1, ReadAt: 99 * time.Second, LoadReport: probing.LoadReport{Load: 1.5, Inflight: -1, Errors: -1, Busy: -1}},
+		{ServerKey: 3, Origin: "r1", Incarnation: 4, ReadAt: time.Millisecond, Age: 1999 * time.Millisecond, LoadReport: probing.LoadReport{Load: -1, Inflight: 0, Errors: 0, Busy: 2}},
 	}
 }
 
 func samplePlacements() []probing.PlacementDelta {
-	return []probing.PlacementDelta{{ServerKey: 0xfedcba9876543210, Origin: "r1", Incarnation: 4, Seq: 10, Delta: 3, Age: 150},
+	return []probing.PlacementDelta{{ServerKey: 0xfedcba9876543210, Origin: "r1", Incarnation: 4, Seq: 10, Delta: 3, Age: 150 * time.Millisecond},
 		{ServerKey: 2, Origin: "r2", Incarnation: 1, Seq: 11, Delta: -2}}
 }
 
--- a/internal/wire/gossip/gossip.go
+++ b/internal/wire/gossip/gossip.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"log"
-	"math"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -18,6 +17,7 @@
 
 	"capersail/decide"
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
 	"capersail/internal/relay"
@@ -198,7 +198,7 @@
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for looked := math.Inf(-1); ; {
+	for looked := duration.Never; ; {
 		select {
 		case <-ctx.Done():
 			all.Wait()
@@ -224,14 +224,14 @@
 		n.mu.Lock()
 		next := min(n.membership.Next(), n.nextCellTick())
 		n.mu.Unlock()
-		timer.Reset(relay.Duration(max(min(next, looked+membership.MeterInterval)-n.now(), 1)))
+		timer.Reset(max(min(next, looked+membership.MeterInterval)-n.now(), time.Millisecond))
 	}
 }
 
-func (n *Node) now() float64 { return n.cfg.Clock.NowMillis() }
+func (n *Node) now() time.Duration { return n.cfg.Clock.Now() }
 
 // localState is what this relay does.
-func (n *Node) localState(now float64) membership.LocalState {
+func (n *Node) localState(now time.Duration) membership.LocalState {
 	s := n.cfg.LocalActivity()
 	own := n.meter.LocalState(now, s.Lifecycle, s.Arrivals, s.OpenRequests)
 	own.Zone, own.EndpointListGeneration = n.cfg.Zone, s.ListVersion
@@ -289,7 +289,7 @@
 func (n *Node) LockStatus(now float64) decide.FleetStatus {
 	n.mu.Lock()
 	own := n.now()
-	return relay.ToFleetStatus(now, own, n.membership.Estimate(own), n.zoneNumber)
+	return relay.ToFleetStatus(duration.FromMillis(now), own, n.membership.Estimate(own), n.zoneNumber)
 }
 
 // UnlockStatus ends a Hold.
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -299,8 +299,8 @@
 	n := lone(t)
 	var got []probing.Event
 	n.cfg.OnProbingEvent = func(ev probing.Event) { got = append(got, ev) }
-	rows := []probing.PlacementDelta{{ServerKey: 1 << 63, Origin: "a", Incarnation: 3, Seq: 4, Delta: 2, Age: 17}, {ServerKey: 5, Origin: "b", Incarnation: 1, Seq: 9, Delta: -3, Age: 0}}
-	readings := []probing.Reading{{ServerKey: 7, Started: 50, Origin: "a", Incarnation: 3, ReadAt: 1234, Age: 20, LoadReport: probing.LoadReport{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25}}}
+	rows := []probing.PlacementDelta{{ServerKey: 1 << 63, Origin: "a", Incarnation: 3, Seq: 4, Delta: 2, Age: 17 * time.Millisecond}, {ServerKey: 5, Origin: "b", Incarnation: 1, Seq: 9, Delta: -3, Age: 0}}
+	readings := []probing.Reading{{ServerKey: 7, Started: 50, Origin: "a", Incarnation: 3, ReadAt: 1234 * time.Millisecond, Age: 20 * time.Millisecond, LoadReport: probing.LoadReport{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25}}}
 	bad := encodePlacements(rows)
 	bad.Rows[1].By = 2
 	for i, c := range []struct {
--- a/internal/wire/gossip/readings.go
+++ b/internal/wire/gossip/readings.go
@@ -3,9 +3,11 @@
 import (
 	"errors"
 	"math"
+	"time"
 
 	"github.com/fxamacker/cbor/v2"
 
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/probing"
 )
 
@@ -156,7 +158,7 @@
 func encodePlacements(rows []probing.PlacementDelta) (w wirePlacements) {
 	var all nameTable
 	for _, r := range rows {
-		w.Rows = append(w.Rows, wirePlacement{ServerKey: r.ServerKey, By: all.index(r.Origin), Incarnation: r.Incarnation, Seq: r.Seq, N: r.Delta, Age: int64(r.Age)})
+		w.Rows = append(w.Rows, wirePlacement{ServerKey: r.ServerKey, By: all.index(r.Origin), Incarnation: r.Incarnation, Seq: r.Seq, N: r.Delta, Age: int64(r.Age / time.Millisecond)})
 	}
 	w.Names = all.list
 	return w
@@ -172,7 +174,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, probing.PlacementDelta{ServerKey: r.ServerKey, Origin: by, Incarnation: r.Incarnation, Seq: r.Seq, Delta: r.N, Age: float64(r.Age)})
+		out = append(out, probing.PlacementDelta{ServerKey: r.ServerKey, Origin: by, Incarnation: r.Incarnation, Seq: r.Seq, Delta: r.N, Age: duration.FromMillis(float64(r.Age))})
 	}
 	return out, nil
 }
@@ -180,7 +182,7 @@
 func encodeReadings(readings []probing.Reading) (w wireReadings) {
 	var all nameTable
 	for _, r := range readings {
-		w.Readings = append(w.Readings, wireReading{ServerKey: r.ServerKey, Started: r.Started, By: all.index(r.Origin), Incarnation: r.Incarnation, At: int64(r.ReadAt), Age: int64(r.Age),
+		w.Readings = append(w.Readings, wireReading{ServerKey: r.ServerKey, Started: r.Started, By: all.index(r.Origin), Incarnation: r.Incarnation, At: int64(r.ReadAt / time.Millisecond), Age: int64(r.Age / time.Millisecond),
 			Load: toThousandths(r.LoadReport.Load), Inflight: toThousandths(r.Inflight), Errors: toThousandths(r.Errors), Busy: toThousandths(r.Busy)})
 	}
 	w.Names = all.list
@@ -205,7 +207,7 @@
 		if err != nil || r.Age < 0 {
 			return nil, errMalformedBatch
 		}
-		out = append(out, probing.Reading{ServerKey: r.ServerKey, Started: r.Started, Origin: by, Incarnation: r.Incarnation, ReadAt: float64(r.At), Age: float64(r.Age),
+		out = append(out, probing.Reading{ServerKey: r.ServerKey, Started: r.Started, Origin: by, Incarnation: r.Incarnation, ReadAt: duration.FromMillis(float64(r.At)), Age: duration.FromMillis(float64(r.Age)),
 			LoadReport: probing.LoadReport{Load: part(r.Load), Inflight: part(r.Inflight), Errors: part(r.Errors), Busy: part(r.Busy)}})
 	}
 	return out, nil
--- a/internal/wire/gossip/seam.go
+++ b/internal/wire/gossip/seam.go
@@ -3,10 +3,12 @@
 package gossip
 
 import (
-	"capersail/internal/fleet/probing"
+	"time"
+
 	"github.com/hashicorp/memberlist"
 
 	"capersail/internal/fleet/membership"
+	"capersail/internal/fleet/probing"
 )
 
 // injectFaults is where tests put faults between relays; this program has none.
@@ -19,8 +21,8 @@
 func (n *Node) adjustPace(p membership.Timing) membership.Timing { return p }
 
 // cellTime is the Coordinator's clock by the Node's, and nodeTime the other way round; tests let it run faster.
-func (n *Node) cellTime(now float64) float64 { return now }
-func (n *Node) nodeTime(at float64) float64  { return at }
+func (n *Node) cellTime(now time.Duration) time.Duration { return now }
+func (n *Node) nodeTime(at time.Duration) time.Duration  { return at }
 
 // adjustStatus is where tests make a status one of another version; this program's are its own.
 func (n *Node) adjustStatus(d membership.Status) any { return d }
--- a/internal/wire/gossip/seam_faults.go
+++ b/internal/wire/gossip/seam_faults.go
@@ -12,6 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
 	"capersail/internal/testing/faultpoint"
@@ -73,8 +74,8 @@
 	t := faultpoint.Now()
 	line := faultpoint.Noted{Name: n.cfg.Name, Incarnation: n.membership.Incarnation(), Epoch: r.Epoch, Hash: n.membership.Hash(), Phase: r.Phase.String(),
 		Settled: v.Settled(), Share: r.BudgetShare, Relays: r.Relays}
-	if !math.IsInf(r.ShareValidUntil, 1) {
-		line.Until = t + (r.ShareValidUntil-now)/faultpoint.Rate()
+	if r.ShareValidUntil != duration.Forever {
+		line.Until = t + duration.Millis(r.ShareValidUntil-now)/faultpoint.Rate()
 	}
 	n.noteCells(&line, r, v)
 	if line.Epoch != lastRecorded.Epoch || line.Hash != lastRecorded.Hash {
@@ -112,8 +113,8 @@
 // adjustPace makes the leases of a cell as short as the rules say.
 func (n *Node) adjustPace(p membership.Timing) membership.Timing {
 	if ms := faultpoint.Present().LeaseMs; ms > 0 && p != (membership.Timing{}) {
-		p.StatusInterval *= ms / p.LeaseDuration
-		p.LeaseDuration = ms
+		p.StatusInterval = duration.Scale(p.StatusInterval, ms/duration.Millis(p.LeaseDuration))
+		p.LeaseDuration = duration.FromMillis(ms)
 	}
 	return p
 }
@@ -121,8 +122,8 @@
 // cellClockRate is how much faster the clock between cells runs than the relay's.
 func cellClockRate() float64 { return max(faultpoint.Present().CellRate, 1) }
 
-func (n *Node) cellTime(now float64) float64 { return now * cellClockRate() }
-func (n *Node) nodeTime(at float64) float64  { return at / cellClockRate() }
+func (n *Node) cellTime(now time.Duration) time.Duration { return duration.Scale(now, cellClockRate()) }
+func (n *Node) nodeTime(at time.Duration) time.Duration  { return duration.Scale(at, 1/cellClockRate()) }
 
 // falsifyReadings makes the readings that this relay made itself into what the rules say.
 func (n *Node) falsifyReadings(readings []probing.Reading) []probing.Reading {
--- a/internal/wire/gossip/talk_cost_test.go
+++ b/internal/wire/gossip/talk_cost_test.go
@@ -7,14 +7,15 @@
 	"runtime"
 	"sync"
 	"testing"
+	"time"
 
 	"capersail/internal/fleet/probing"
 )
 
 const (
-	talkStep   = 25.0   // ms between two steps of the set clock
-	talkWarm   = 3000.0 // ms until all is even
-	placedEach = 200.0  // requests a second of the whole fleet: what placements are told up to
+	talkStep   = 25 * time.Millisecond // between two steps of the set clock
+	talkWarm   = 3 * time.Second       // until all is even
+	placedEach = 200.0                 // requests a second of the whole fleet: what placements are told up to
 	// mostTalk is packets a second out of a relay: a round each 150 ms at most a tenth sooner, to three peers, of two packets of
 	// readings and one of placements.
 	mostTalk = 3 * 3 / 0.135
@@ -37,7 +38,7 @@
 	all     []*talker
 	number  map[string]int
 	column  map[uint64]int
-	now     float64
+	now     time.Duration
 	due     float64 // requests not yet placed
 }
 
@@ -46,7 +47,7 @@
 	scheduler *probing.Scheduler
 	name      string
 	rng       *rand.Rand
-	at        []float64
+	at        []time.Duration
 	out, in   []posted
 	readings  int // bytes told
 	placed    int
@@ -63,7 +64,7 @@
 	for i := range relays {
 		name := fmt.Sprint("relay-", i)
 		c.relays, c.number[name] = append(c.relays, probing.Relay{Name: name, Zone: fmt.Sprint("zone-", i%17)}), i
-		c.all = append(c.all, &talker{scheduler: probing.New(name, uint64(i)), name: name, rng: rand.New(rand.NewPCG(uint64(i), 3)), at: make([]float64, servers)})
+		c.all = append(c.all, &talker{scheduler: probing.New(name, uint64(i)), name: name, rng: rand.New(rand.NewPCG(uint64(i), 3)), at: make([]time.Duration, servers)})
 	}
 	for i := range servers {
 		s := probing.Server{Key: c.rng.Uint64(), Zone: fmt.Sprint("zone-", i%17), Started: 1.8e12}
@@ -127,9 +128,9 @@
 }
 
 // pass lets time go by, with requests placed all the while. The relays of one step do not meet, so they go side by side.
-func (c *talkers) pass(ms float64) {
-	for end := c.now + ms; c.now < end; c.now += talkStep {
-		for c.due += placedEach * talkStep / 1000; c.due >= 1; c.due-- {
+func (c *talkers) pass(span time.Duration) {
+	for end := c.now + span; c.now < end; c.now += talkStep {
+		for c.due += placedEach * talkStep.Seconds(); c.due >= 1; c.due-- {
 			s := c.servers[c.rng.IntN(len(c.servers))]
 			c.all[c.rng.IntN(len(c.all))].scheduler.Handle(c.now, probing.LocalPlacement{ServerKey: s.Key, Delta: 1}, nil)
 		}
@@ -175,7 +176,7 @@
 }
 
 // measureTalk plays so many relays and servers for a time, once all is even.
-func measureTalk(relays, servers int, watch float64) (cost talkCost) {
+func measureTalk(relays, servers int, watch time.Duration) (cost talkCost) {
 	c := newTalkers(relays, servers)
 	c.pass(talkWarm)
 	const looks = 10
@@ -185,7 +186,7 @@
 		c.pass(watch / looks)
 		cost.without += c.stale() / looks
 	}
-	each := float64(relays) * watch / 1000
+	each := float64(relays) * watch.Seconds()
 	cost.processor = (cpu() - began) / each
 	readings2, placed2, packets2 := c.told()
 	cost.readings, cost.placed, cost.packets = (readings2-readings)/each, (placed2-placed)/each, (packets2-packets)/each
@@ -195,7 +196,7 @@
 // What relays tell each other of servers, by the number of either: bytes, packets and processor time of one relay, and whether
 // the readings come round.
 func TestCostOfTalk(t *testing.T) {
-	sizes, watch := [][2]int{{10, 30}, {30, 30}}, 2000.0
+	sizes, watch := [][2]int{{10, 30}, {30, 30}}, 2*time.Second
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
 		sizes = [][2]int{{10, 90}, {30, 90}, {100, 90}, {300, 90}, {600, 90}, {1100, 90}, {300, 10}, {300, 30}, {300, 330}, {300, 1000}, {1100, 330}, {64, 20}, {64, 90}, {64, 330}}
 	}
