--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -3,8 +3,10 @@
 import (
 	"hash/fnv"
 	"sync/atomic"
+	"time"
 
 	"capersail/decide"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/probing"
 )
 
@@ -173,7 +175,7 @@
 // stepScheduler lets the scheduler act. What goes to peers waits until the fleet is released.
 func (l *EventLoop) stepScheduler(now float64, ev probing.Event) {
 	s := l.SharedProbing
-	s.actions = s.scheduler.Handle(now, ev, s.actions[:0])
+	s.actions = s.scheduler.Handle(duration.FromMillis(now), ev, s.actions[:0])
 	for _, a := range s.actions {
 		switch a := a.(type) {
 		case probing.Probe:
@@ -184,14 +186,23 @@
 			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
 				load := a.Reading.LoadReport
 				if l.table.Recorder != nil {
-					l.table.recordPeerReading(id, a.Age, max(load.Load, load.Busy))
+					l.table.recordPeerReading(id, Millis(a.Age), max(load.Load, load.Busy))
 				}
-				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age),
-					Report: decide.LoadReport{Load: load.Load, InFlight: load.Inflight, ErrorsPerSecond: load.Errors, CPUUtilization: load.Busy}})
+				report := decide.LoadReport{
+					Load:            load.Load,
+					InFlight:        load.Inflight,
+					ErrorsPerSecond: load.Errors,
+					CPUUtilization:  load.Busy,
+				}
+				l.handle(now, decide.GossipReading{Server: id, Age: a.Age.Round(time.Microsecond), Report: report})
 			}
 		case probing.PeerPlacement:
 			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.Delta})
+				l.handle(now, decide.GossipReading{
+					Server:         id,
+					Age:            a.Age.Round(time.Microsecond),
+					PlacementDelta: a.Delta,
+				})
 			}
 		case probing.Quarantine:
 			s.onQuarantine(a.Name)
@@ -222,7 +233,7 @@
 	}
 	if now >= s.reportedAt+reportInterval {
 		s.reportedAt = now
-		r := s.scheduler.Report(now)
+		r := s.scheduler.Report(duration.FromMillis(now))
 		for i := range r.Servers {
 			r.Servers[i].ID = s.serverIDs[r.Servers[i].ServerKey]
 		}
