--- a/internal/lifecycle/resume.go
+++ b/internal/lifecycle/resume.go
@@ -7,11 +7,13 @@
 	"net"
 	"os"
 	"strings"
+	"time"
 
 	"github.com/BurntSushi/toml"
 	"github.com/rs/zerolog"
 
 	"capersail/internal/ownership"
+	"capersail/internal/relay"
 	"capersail/internal/resume"
 	"capersail/internal/token"
 )
@@ -54,8 +56,9 @@
 		bad = "servers: at least one is wanted"
 	case !strings.HasPrefix(t.Path, "/") || t.Path == "/" || strings.HasSuffix(t.Path, "/") || strings.Contains(t.Path, "//"):
 		bad = fmt.Sprintf("path: %q is not a path from / on without a / at its end", t.Path)
-	case !(t.SessionMs >= ownership.MinSessionTimeout && t.SessionMs <= 120_000):
-		bad = fmt.Sprintf("session_ms: from %v to 120000; claims are trusted for 0.95 of it less %v", ownership.MinSessionTimeout, ownership.ExpiryMargin)
+	case !(t.SessionMs >= relay.Millis(ownership.MinSessionTimeout) && t.SessionMs <= 120_000):
+		bad = fmt.Sprintf("session_ms: from %v to 120000; claims are trusted for 0.95 of it less %v",
+			relay.Millis(ownership.MinSessionTimeout), relay.Millis(ownership.ExpiryMargin))
 	case !(t.LifeMs >= 10_000 && t.LifeMs <= 7*86_400_000):
 		bad = "token_life_ms: from 10000 to 604800000 (a week)"
 	case !(t.RenewMs >= 200 && t.RenewMs <= t.LifeMs/2):
@@ -104,9 +107,9 @@
 	return io.ReadAll(io.LimitReader(f, token.MaxKeyFileSize))
 }
 
-// ownershipCloseTimeout is how long the end of the session with the claim service is waited for, in ms; it ends by itself
+// ownershipCloseTimeout is how long the end of the session with the ownership service is waited for; it ends by itself
 // too, but later.
-const ownershipCloseTimeout = 150.0
+const ownershipCloseTimeout = 150 * time.Millisecond
 
 // resumePart is moving with a token as a part.
 func resumePart(path string, c *Config, log zerolog.Logger) (*part, error) {
@@ -147,9 +150,19 @@
 	}, nil
 }
 
-func (t *ResumeConfig) serviceConfig(relay string) resume.Config {
-	return resume.Config{Relay: relay, Servers: t.Servers, Path: t.Path, SessionTimeout: t.SessionMs, AcquireTimeout: t.ClaimMs,
-		TokenLifetime: t.LifeMs, TokenRenewInterval: t.RenewMs, MaxClockSkew: t.SkewMs, SweepInterval: t.SweepMs, AllServersResume: t.EveryServer}
+func (t *ResumeConfig) serviceConfig(name string) resume.Config {
+	return resume.Config{
+		Relay:              name,
+		Servers:            t.Servers,
+		Path:               t.Path,
+		SessionTimeout:     relay.Duration(t.SessionMs),
+		AcquireTimeout:     relay.Duration(t.ClaimMs),
+		TokenLifetime:      relay.Duration(t.LifeMs),
+		TokenRenewInterval: relay.Duration(t.RenewMs),
+		MaxClockSkew:       relay.Duration(t.SkewMs),
+		SweepInterval:      relay.Duration(t.SweepMs),
+		AllServersResume:   t.EveryServer,
+	}
 }
 
 // restartOnly is what of the file a reload does not take in.
