--- a/internal/wire/discovery/call.go
+++ b/internal/wire/discovery/call.go
@@ -6,12 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"net"
-	"os"
-	"strconv"
-	"strings"
-	"syscall"
 
 	"capersail/decide"
 	"capersail/internal/relay"
@@ -62,27 +57,6 @@
 	}
 }
 
-// callError is what a call without an answer ends with. Only a refused connection shows that discovery is down: an answer of 503 and a
-// reset may as well be those of one that serves others and has too many callers (protocol, Discovery).
-func (a *response) callError() error {
-	switch {
-	case timedOut(a.err) && !a.connected:
-		return fmt.Errorf("%w: %w", errUnreachable, a.err)
-	case errors.Is(a.err, syscall.ECONNREFUSED):
-		return fmt.Errorf("%w: %w", errConnectionRefused, a.err)
-	}
-	return a.err
-}
-
-// deadlineExceeded tells whether this side's deadline ended a read. ETIMEDOUT is the kernel's word that the connection is broken.
-func deadlineExceeded(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
-
-// timedOut tells whether time ran out.
-func timedOut(err error) bool {
-	var e net.Error
-	return errors.As(err, &e) && e.Timeout()
-}
-
 // response is what a call has brought: its first line, or an error.
 type response struct {
 	attempt int    // of the call, 0 or 1
@@ -165,90 +139,3 @@
 	}
 	return a
 }
-
-// maxHeadLine is the most bytes of a line of a head.
-const maxHeadLine = 4096
-
-// readHead reads an answer's status and fields and returns its body.
-func readHead(r *bufio.Reader) (io.Reader, error) {
-	next := func() (string, error) {
-		line, err := r.ReadSlice('\n')
-		return strings.TrimRight(string(line), "\r\n"), err
-	}
-	status, err := next()
-	if err != nil {
-		return nil, fmt.Errorf("status line: %w", err)
-	}
-	parts := strings.SplitN(status, " ", 3)
-	if len(parts) < 2 || !strings.HasPrefix(parts[0], "HTTP/1.") {
-		return nil, fmt.Errorf("status line %.60q", status)
-	}
-	if parts[1] != "200" {
-		return nil, fmt.Errorf("discovery answered %s", parts[1])
-	}
-	length, chunked := int64(math.MaxInt64), false
-	for n := 0; ; n++ {
-		line, err := next()
-		if err != nil || n > 100 {
-			return nil, fmt.Errorf("head: %d fields: %w", n, err)
-		}
-		if line == "" {
-			break
-		}
-		name, value, _ := strings.Cut(line, ":")
-		value = strings.TrimSpace(value)
-		switch strings.ToLower(name) {
-		case "content-length":
-			if length, err = strconv.ParseInt(value, 10, 64); err != nil || length < 0 {
-				return nil, fmt.Errorf("content-length %.40q", value)
-			}
-		case "transfer-encoding":
-			chunked = strings.EqualFold(value, "chunked")
-		}
-	}
-	if chunked {
-		return &chunkedBody{r: r}, nil
-	}
-	return io.LimitReader(r, length), nil
-}
-
-// chunkedBody reads a chunked body.
-type chunkedBody struct {
-	r         *bufio.Reader
-	remaining int64 // of the present chunk
-	inChunk   bool  // its end has not been read
-}
-
-func (c *chunkedBody) Read(p []byte) (int, error) {
-	for c.remaining == 0 {
-		if c.inChunk {
-			if _, err := c.r.ReadSlice('\n'); err != nil {
-				return 0, truncated(err)
-			}
-			c.inChunk = false
-		}
-		line, err := c.r.ReadSlice('\n')
-		if err != nil {
-			return 0, truncated(err)
-		}
-		size, _, _ := strings.Cut(strings.TrimSpace(string(line)), ";")
-		if c.remaining, err = strconv.ParseInt(strings.TrimSpace(size), 16, 64); err != nil || c.remaining < 0 {
-			return 0, fmt.Errorf("chunk size %.40q", size)
-		}
-		if c.remaining == 0 {
-			return 0, io.EOF
-		}
-		c.inChunk = true
-	}
-	n, err := c.r.Read(p[:min(int64(len(p)), c.remaining)])
-	c.remaining -= int64(n)
-	return n, truncated(err)
-}
-
-// truncated marks an end in the middle of a body, which is no clean one.
-func truncated(err error) error {
-	if errors.Is(err, io.EOF) {
-		return io.ErrUnexpectedEOF
-	}
-	return err
-}
--- a/internal/wire/discovery/discovery.go
+++ b/internal/wire/discovery/discovery.go
@@ -80,21 +80,6 @@
 	c.restartCall()
 }
 
-// lossReason is why a call that ended with an error is over.
-func (c *Client) lossReason(err error) guard.DiscoveryLoss {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	switch {
-	case c.addressChanged:
-		return guard.AddressChanged
-	case errors.Is(err, errConnectionRefused):
-		return guard.ConnectionRefused
-	case errors.Is(err, errWatchSilent):
-		return guard.WatchSilent
-	}
-	return guard.CallFailed
-}
-
 // ListVersion is the version of the newest list taken in, 0 before the first.
 func (c *Client) ListVersion() int64 { return c.listVersion.Load() }
 
@@ -147,24 +132,6 @@
 // unknownVersion is the version of a list that cannot be compared.
 const unknownVersion = -1
 
-// errOlderVersion ends a watch whose first changes are of a version before the one held: this service counts its own.
-var errOlderVersion = errors.New("changes of an older version than the one held")
-
-// errWatchSilent ends a watch that had begun and brings no line any more. What it misses counts as told 6 s after it fell
-// silent, so another is opened at once, and the module hears of it only if that one fails: its back-off, up to 7.5 s for
-// 300 relays, is for a service that answers too many.
-var errWatchSilent = errors.New("the watch has fallen silent")
-
-// errUnreachable ends calls whose connections did not come up in time. Discovery has had no work with them, and the time that they
-// took paces them: another is made at once, so that the first to get through is no back-off late.
-var errUnreachable = errors.New("discovery cannot be reached")
-
-// errConnectionRefused ends a call whose connection was refused: discovery does not serve.
-var errConnectionRefused = errors.New("discovery refuses connections")
-
-// errUnconfirmed ends a call that brought a list which a second call has to confirm.
-var errUnconfirmed = errors.New("a list that takes back what is known")
-
 // Run carries calls out, one after the other, until the context ends. version is that of the list held.
 func (c *Client) Run(ctx context.Context, version int64) {
 	for watch, moved, again := c.Pushed, false, c.Pushed; ; moved = len(c.restart) > 0 {
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -1,9 +1,6 @@
 package discovery
 
 import (
-	"bufio"
-	"bytes"
-	"errors"
 	"fmt"
 	"net"
 
@@ -21,60 +18,6 @@
 	Endpoints []relay.Endpoint
 }
 
-// maxListBytes is the most bytes of one list.
-const maxListBytes = 8 << 20
-
-// objectReader reads JSON objectReader that each end with their line, be it on one line or indented over several.
-type objectReader struct{ r *bufio.Reader }
-
-// next returns the next object, or nothing for an empty line. With an error it returns what has come of one so far.
-func (o *objectReader) next() (text []byte, err error) {
-	depth, quoted, escaped := 0, false, false
-	for {
-		part, err := o.r.ReadSlice('\n')
-		if text = append(text, part...); len(text) > maxListBytes {
-			return nil, errors.New("a list over the bound")
-		}
-		for _, b := range part {
-			switch {
-			case escaped:
-				escaped = false
-			case quoted:
-				escaped, quoted = b == '\\', b != '"'
-			case b == '"':
-				quoted = true
-			case b == '{', b == '[':
-				depth++
-			case b == '}', b == ']':
-				depth--
-			}
-		}
-		if errors.Is(err, bufio.ErrBufferFull) || err == nil && depth > 0 {
-			continue
-		}
-		return bytes.TrimSpace(text), err
-	}
-}
-
-// listConfirmation holds back a whole list that takes back what is known: one without any server, or of an older version than the one
-// held from the same address. It may be true, as a service may have begun anew, or a copy that lags behind may have
-// answered, or one that has not read its servers yet. So another call is made at once, and what two in a row say is taken.
-type listConfirmation struct {
-	address string // that the list held came from
-	pending bool   // one was held back, and no list has been taken since
-}
-
-// accepts tells whether a list is to be taken in, as one of held servers and a version is held.
-func (d *listConfirmation) accepts(l *EndpointList, version int64, held int, address string) bool {
-	older := version != unknownVersion && l.Version < version && d.address == address
-	if l.Complete && !d.pending && (older || len(l.Endpoints) == 0 && held > 0) {
-		d.pending = true
-		return false
-	}
-	d.address, d.pending = address, false
-	return true
-}
-
 // ParseList reads one list, as discovery sends it or as a relay's configuration holds it. An entry that makes
 // no sense is logged and skipped: one bad line must not hide the news about all other servers.
 func ParseList(text string, log zerolog.Logger) (*EndpointList, error) {
