--- a/internal/wire/discovery/call.go
+++ b/internal/wire/discovery/call.go
@@ -7,42 +7,46 @@
 	"fmt"
 	"io"
 	"net"
+	"time"
 
 	"capersail/decide"
-	"capersail/internal/relay"
 )
 
-// streamLists makes one streamLists and takes in every list that it brings.
+// bodyBuffer is how much of a body is read at once, in bytes.
+const bodyBuffer = 64 << 10
+
+// response is what a call has brought: its first list, or an error.
+type response struct {
+	callID  uint64        // numbers the calls of the process
+	attempt int           // 0, or 1 for the hedged call
+	latency time.Duration // until its first list or its error
+	err     error         // no first list came
+
+	connected bool // the connection came up
+	conn      net.Conn
+	lists     objectReader
+	first     []byte // the first list's text
+	firstErr  error  // what came with it, as the end of a body does
+	close     func() // ends the call
+}
+
+// streamLists makes one call and takes in every list that it brings, until the call ends.
 func (c *Client) streamLists(ctx context.Context, address, path string, version *int64) error {
-	a := c.openHedged(ctx, address, path)
-	defer a.close()
-	if a.err != nil {
-		return a.callError()
+	r := c.openHedged(ctx, address, path)
+	defer r.close()
+	if r.err != nil {
+		return r.callError()
 	}
-	for text, err := a.first, a.firstErr; ; text, err = a.lists.next() {
+	text, err := r.first, r.firstErr
+	for first := true; ; first = false {
 		ended := errors.Is(err, io.EOF)
 		if len(text) > 0 && (err == nil || ended) {
-			list, err := ParseList(string(text), c.log)
-			if err != nil {
+			if err := c.takeList(r, text, first, address, version); err != nil {
 				return err
 			}
-			if !a.firstTaken && !list.Complete && list.Version < *version {
-				return errOlderVersion
-			}
-			if !c.confirmation.accepts(list, *version, c.listedServers(), address) {
-				return errUnconfirmed
-			}
-			c.logList(a, list, *version)
-			*version = list.Version
-			c.listVersion.Store(list.Version)
-			kind := decide.Delta
-			if list.Complete {
-				kind = decide.Snapshot
-			}
-			c.deliver(kind, list.Endpoints)
 		}
 		if err == nil {
-			c.onContact()
+			c.to.onContact()
 		}
 		switch {
 		case ended:
@@ -52,90 +56,108 @@
 		case err != nil:
 			return fmt.Errorf("read: %w", err)
 		}
-		a.firstTaken = true
-		a.conn.SetDeadline(c.clock.WallDeadlineMillis(c.clock.NowMillis() + c.silenceTimeout))
+		c.setDeadline(r.conn, c.timeouts.silence)
+		text, err = r.lists.next()
 	}
 }
 
-// response is what a call has brought: its first line, or an error.
-type response struct {
-	attempt int    // of the call, 0 or 1
-	callID  uint64 // of the call, since the process started
-	took    float64
-	// dialled: its connection came up.
-	connected  bool
-	conn       net.Conn
-	lists      objectReader
-	first      []byte
-	firstErr   error // what came with the first line, as the end of a body does
-	firstTaken bool  // the first line has been taken in
-	err        error // no first line came
-	close      func()
+// takeList takes in one list of a call, the first of it or a later one.
+func (c *Client) takeList(r *response, text []byte, first bool, address string, version *int64) error {
+	list, err := ParseList(string(text), c.log)
+	if err != nil {
+		return err
+	}
+	if first && !list.Complete && list.Version < *version {
+		return errOlderVersion
+	}
+	if !c.confirmation.accepts(list, *version, c.to.listedServers(), address) {
+		return errUnconfirmed
+	}
+	c.logList(r, list, *version)
+	*version = list.Version
+	c.listVersion.Store(list.Version)
+	kind := decide.Delta
+	if list.Complete {
+		kind = decide.Snapshot
+	}
+	c.to.deliver(kind, list.Endpoints)
+	return nil
 }
 
-// openHedged makes a call and waits for the first line of its answer. One that hangs says nothing of discovery, and to give it up would
-// throw away the answer of one that is only slow: a second is made beside it, once, and the first answer counts. One that
-// fails at once is not made again here, as discovery may have too many callers.
+// openHedged makes a call and waits for the first list of its response. A call that hangs says nothing of
+// discovery, and to give it up would throw away a response that is only slow: a hedged call is made beside
+// it, once, and the first response counts. A call that fails at once is not hedged, as discovery may have too
+// many callers.
 func (c *Client) openHedged(ctx context.Context, address, path string) *response {
-	answers := make(chan *response, 2)
-	var stops []func()
-	ask := func() {
-		own, stop := context.WithCancel(ctx)
-		no := len(stops)
-		stops = append(stops, stop)
-		id, began := c.callCount.Add(1), c.clock.NowMillis()
+	responses := make(chan *response, 2)
+	var cancels []func()
+	start := func() {
+		call, cancel := context.WithCancel(ctx)
+		attempt := len(cancels)
+		cancels = append(cancels, cancel)
+		id, began := c.callCount.Add(1), c.clock.Now()
 		go func() {
-			a := c.openCall(own, address, path)
-			a.attempt, a.callID, a.took, a.close = no, id, c.clock.NowMillis()-began, stop
-			c.logCall(own, a, path)
-			answers <- a
+			r := c.openCall(call, address, path)
+			r.callID, r.attempt, r.close = id, attempt, cancel
+			r.latency = c.clock.Now() - began
+			c.logCall(call, r, path)
+			responses <- r
 		}()
 	}
-	ask()
-	second := c.clock.AfterMillis(c.hedgeDelay)
-	for out := 1; ; {
-		var a *response
+	start()
+	hedge := c.clock.After(c.timeouts.hedge)
+	for open := 1; ; {
+		var r *response
 		select {
-		case <-second:
-		case a = <-answers:
-			out--
+		case <-hedge:
+		case r = <-responses:
+			open--
 		}
-		if len(stops) == 1 && (a == nil || timedOut(a.err)) {
-			second = nil
-			ask()
-			out++
+		if len(cancels) == 1 && (r == nil || timedOut(r.err)) {
+			hedge = nil
+			start()
+			open++
 		}
-		if a == nil || a.err != nil && out > 0 {
+		if r == nil || r.err != nil && open > 0 {
 			continue
 		}
-		for no, stop := range stops {
-			if no != a.attempt {
-				stop()
+		for attempt, cancel := range cancels {
+			if attempt != r.attempt {
+				cancel()
 			}
 		}
-		return a
+		return r
 	}
 }
 
-// openCall makes one call, up to the first line of its answer. The connection is closed with the context.
+// openCall makes one call, up to the first list of its response. The connection is closed with the context.
 func (c *Client) openCall(ctx context.Context, address, path string) *response {
-	d := net.Dialer{Timeout: relay.Duration(dialTimeout)}
-	conn, err := d.DialContext(ctx, "tcp", address)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return &response{err: fmt.Errorf("dial: %w", err)}
 	}
 	context.AfterFunc(ctx, func() { conn.Close() })
-	conn.SetDeadline(c.clock.WallDeadlineMillis(c.clock.NowMillis() + c.responseTimeout))
-	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, address); err != nil {
-		return &response{connected: true, err: fmt.Errorf("ask: %w", err)}
+	r := &response{connected: true, conn: conn}
+	c.setDeadline(conn, c.timeouts.response)
+	if err := writeRequest(conn, address, path); err != nil {
+		r.err = fmt.Errorf("send request: %w", err)
+		return r
 	}
 	body, err := readHead(bufio.NewReaderSize(conn, maxHeadLine))
 	if err != nil {
-		return &response{connected: true, err: err}
+		r.err = err
+		return r
 	}
-	a := &response{connected: true, conn: conn, lists: objectReader{bufio.NewReaderSize(body, 64<<10)}}
-	if a.first, a.firstErr = a.lists.next(); a.firstErr != nil && !errors.Is(a.firstErr, io.EOF) {
-		a.err = fmt.Errorf("read: %w", a.firstErr)
+	r.lists = objectReader{bufio.NewReaderSize(body, bodyBuffer)}
+	r.first, r.firstErr = r.lists.next()
+	if r.firstErr != nil && !errors.Is(r.firstErr, io.EOF) {
+		r.err = fmt.Errorf("read: %w", r.firstErr)
 	}
-	return a
+	return r
+}
+
+// setDeadline bounds what is read from and written to a connection from now on.
+func (c *Client) setDeadline(conn net.Conn, after time.Duration) {
+	conn.SetDeadline(c.clock.WallDeadline(c.clock.Now() + after))
 }
--- a/internal/wire/discovery/confirm.go
+++ b/internal/wire/discovery/confirm.go
@@ -1,20 +1,23 @@
 package discovery
 
-// listConfirmation holds back a whole list that takes back what is known: one without any server, or of an older version than the one
-// held from the same address. It may be true, as a service may have begun anew, or a copy that lags behind may have
-// answered, or one that has not read its servers yet. So another call is made at once, and what two in a row say is taken.
+// listConfirmation holds back a complete list that takes back what is known: one without any server, or of an
+// older version than the one held from the same address. It may be true, as a service may have begun anew, or
+// a copy that lags behind may have responded, or one that has not read its servers yet. So another call is
+// made at once, and what two in a row say is taken in.
 type listConfirmation struct {
 	address string // that the list held came from
-	pending bool   // one was held back, and no list has been taken since
+	pending bool   // one was held back, and no list has been taken in since
 }
 
-// accepts tells whether a list is to be taken in, as one of held servers and a version is held.
-func (d *listConfirmation) accepts(l *EndpointList, version int64, held int, address string) bool {
-	older := version != unknownVersion && l.Version < version && d.address == address
-	if l.Complete && !d.pending && (older || len(l.Endpoints) == 0 && held > 0) {
-		d.pending = true
+// accepts tells whether a list from an address is to be taken in by one that holds so many servers of a
+// version.
+func (c *listConfirmation) accepts(list *EndpointList, version int64, servers int, address string) bool {
+	older := version != unknownVersion && list.Version < version && c.address == address
+	empty := len(list.Endpoints) == 0 && servers > 0
+	if list.Complete && !c.pending && (older || empty) {
+		c.pending = true
 		return false
 	}
-	d.address, d.pending = address, false
+	c.address, c.pending = address, false
 	return true
 }
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"bufio"
-	"context"
+	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -18,33 +18,41 @@
 
 const ready = `{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","lifecycle":"Ready"}`
 
-func TestParse(t *testing.T) {
+func TestParseListSkipsMalformedEndpoints(t *testing.T) {
 	cases := []struct {
-		name, in string
-		entries  int
-		fails    bool
+		name, in  string
+		endpoints int
+		fails     bool
 	}{
 		{"nothing has changed", `{"generation":3,"reset":false,"instances":[]}`, 0, false},
 		{"one", `{"generation":3,"reset":true,"instances":[` + ready + `]}`, 1, false},
 		{"gone without an address", `{"instances":[{"instanceId":"s-1","lifecycle":"Gone"}]}`, 1, false},
-		{"draining at no address", `{"instances":[{"instanceId":"s-1","lifecycle":"Terminating","hostPort":"nowhere"}]}`, 1, false},
-		{"draining with no address", `{"instances":[{"instanceId":"s-1","lifecycle":"Terminating"}]}`, 1, false},
+		{"draining at no address",
+			`{"instances":[{"instanceId":"s-1","lifecycle":"Terminating","hostPort":"nowhere"}]}`, 1, false},
+		{"draining with no address",
+			`{"instances":[{"instanceId":"s-1","lifecycle":"Terminating"}]}`, 1, false},
 		{"bad ones are skipped", `{"instances":[{"instanceId":7},{"lifecycle":"Ready"},3,` + ready + `,` +
-			`{"instanceId":"x","lifecycle":"Ready","hostPort":"nowhere"},{"instanceId":"x","lifecycle":"Odd"}]}`, 1, false},
+			`{"instanceId":"x","lifecycle":"Ready","hostPort":"nowhere"},` +
+			`{"instanceId":"x","lifecycle":"Odd"}]}`, 1, false},
 		{"not an array", `{"instances":7}`, 0, true},
 		{"not an object", `[]`, 0, true},
 		{"cut off", `{"instances":[`, 0, true},
 	}
 	for _, c := range cases {
-		list, err := ParseList(c.in, zerolog.Nop())
-		if (err != nil) != c.fails || err == nil && len(list.Endpoints) != c.entries {
-			t.Errorf("%s: %+v, %v", c.name, list, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			list, err := ParseList(c.in, zerolog.Nop())
+			if (err != nil) != c.fails || errors.Is(err, errMalformedList) != c.fails {
+				t.Errorf("%+v, %v", list, err)
+			}
+			if err == nil && len(list.Endpoints) != c.endpoints {
+				t.Errorf("%+v", list)
+			}
+		})
 	}
 }
 
 // A watch whose first line brings no change stays open; what comes later, however the chunks fall, counts.
-func TestWatch(t *testing.T) {
+func TestWatchTakesInEventsAcrossChunks(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +71,8 @@
 		for line := first; strings.TrimSpace(line) != ""; line, _ = r.ReadString('\n') {
 		}
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		text := "{\"generation\":5,\"reset\":false,\"instances\":[]}\n\n{\"generation\":6,\"reset\":false,\"instances\":[" + ready + "]}\n"
+		text := `{"generation":5,"reset":false,"instances":[]}` + "\n\n" +
+			`{"generation":6,"reset":false,"instances":[` + ready + "]}\n"
 		for i := 0; i < len(text); i += 7 {
 			part := text[i:min(i+7, len(text))]
 			fmt.Fprintf(conn, "%x;x=y\r\n%s\r\n", len(part), part)
@@ -73,10 +82,11 @@
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	c := NewClient(l.Addr().String(), x, zerolog.Nop())
 	version := int64(4)
-	if err := c.streamLists(context.Background(), l.Addr().String(), "/v1/endpoints?watch=1&after=4", &version); err != nil {
+	const path = "/v1/endpoints?watch=1&after=4"
+	if err := c.streamLists(t.Context(), l.Addr().String(), path, &version); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-asked; !strings.HasPrefix(got, "GET /v1/endpoints?watch=1&after=4 HTTP/1.1") {
+	if got := <-asked; !strings.HasPrefix(got, "GET "+path+" HTTP/1.1") {
 		t.Errorf("asked %q", got)
 	}
 	if s, ok := x.Server("s-1"); !ok || s.Number != 0 || version != 6 {
@@ -84,10 +94,11 @@
 	}
 }
 
-// At another address discovery is asked at once, in one call: for what changed after the version held, to which a service
-// that does not know that version answers with the whole list. One that answers with changes of an older version counts its
-// own, and is asked for all of it. The end of the old watch is no failure.
-func TestSetAddress(t *testing.T) {
+// At another address discovery is polled at once, in one call: for what changed after the version held, to
+// which a service that does not know that version answers with the complete list. One that answers with
+// changes of an older version counts its own, and is asked for all of it. The end of the old watch is no
+// failure.
+func TestNewAddressIsWatchedFromTheVersionHeld(t *testing.T) {
 	asked := make(chan string, 8)
 	service := func(generation int, knows bool) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,9 +121,12 @@
 				first, _ := r.ReadString('\n')
 				for line := first; strings.TrimSpace(line) != ""; line, _ = r.ReadString('\n') {
 				}
-				list := fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[]}\n", generation, !knows || !strings.Contains(first, "watch"))
-				if strings.Contains(first, "watch") {
-					fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
+				watch := strings.Contains(first, "watch")
+				complete := !knows || !watch
+				list := fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[]}`+"\n", generation, complete)
+				if watch {
+					fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+					fmt.Fprintf(conn, "%x\r\n%s\r\n", len(list), list)
 				} else {
 					fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 				}
@@ -125,22 +139,24 @@
 	var said strings.Builder
 	c := NewClient(service(70, false), x, zerolog.New(&said))
 	var failures atomic.Int32
-	c.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
+	c.to.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
 		if kind == decide.WatchFailed {
 			failures.Add(1)
 		}
 	}
 	go c.Run(t.Context(), 41)
 	c.Watch()
-	c.Watch() // one that waits while a watch is out is answered with it
-	// want waits for a call, and until what it brings has been taken in: a move in between would ask after the version before.
+	c.Watch() // a poll that waits while a watch is out is answered with it
+	// want waits for a call, and until what it brings has been taken in: a move in between would ask after
+	// the version before.
 	want := func(path string, version int64) {
 		t.Helper()
 		if got := <-asked; got != path {
 			t.Errorf("asked for %q, want %q", got, path)
 		}
-		for until := time.Now().Add(10 * time.Second); version > 0 && c.ListVersion() != version; time.Sleep(time.Millisecond) {
-			if time.Now().After(until) {
+		deadline := time.Now().Add(10 * time.Second)
+		for ; version > 0 && c.ListVersion() != version; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
 				t.Fatalf("generation %d, want %d", c.ListVersion(), version)
 			}
 		}
@@ -165,9 +181,9 @@
 	}
 }
 
-// A watch that has begun and falls silent is opened anew at once, after the version that came last, and the module's back-off
-// of up to 7.5 s is not waited for: what was missed counts as told 6 s later. One that is silent from its begin is a failure, once
-// a second call beside it has been silent too.
+// A watch that has begun and falls silent is opened anew at once, after the version that came last, and the
+// module's backoff of up to 7.5 s is not waited for: what was missed counts as notified 6 s later. One that
+// is silent from its begin is a failure, once a second call beside it has been silent too.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -197,9 +213,13 @@
 	}()
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	c := NewClient(l.Addr().String(), x, zerolog.Nop())
-	c.silenceTimeout, c.hedgeDelay, c.responseTimeout = 700, 100, 700
+	c.timeouts = timeouts{
+		response: 700 * time.Millisecond,
+		hedge:    100 * time.Millisecond,
+		silence:  700 * time.Millisecond,
+	}
 	failed := make(chan int, 8)
-	c.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
+	c.to.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
 		if kind == decide.WatchFailed {
 			failed <- len(asked)
 		}
@@ -229,9 +249,9 @@
 		if err != nil {
 			return
 		}
-		for _, l := range list.Endpoints {
-			if l.ID == "" || l.Mode != decide.Removed && l.Address == "" {
-				t.Errorf("an entry without a name or an address came through: %+v", l)
+		for _, endpoint := range list.Endpoints {
+			if endpoint.ID == "" || endpoint.Mode != decide.Removed && endpoint.Address == "" {
+				t.Errorf("an endpoint without a name or an address came through: %+v", endpoint)
 			}
 		}
 	})
--- a/internal/wire/discovery/http.go
+++ b/internal/wire/discovery/http.go
@@ -10,16 +10,21 @@
 	"strings"
 )
 
-// maxHeadLine is the most bytes of a line of a head.
-const maxHeadLine = 4096
+const (
+	maxHeadLine   = 4096 // bytes of a line of a response's head
+	maxHeadFields = 100
+)
+
+// writeRequest asks for a path.
+func writeRequest(w io.Writer, address, path string) error {
+	_, err := fmt.Fprintf(w, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, address)
+	return err
+}
 
-// readHead reads an answer's status and fields and returns its body.
+// readHead reads a response's status and fields and returns its body. Another status than 200 is a
+// statusError.
 func readHead(r *bufio.Reader) (io.Reader, error) {
-	next := func() (string, error) {
-		line, err := r.ReadSlice('\n')
-		return strings.TrimRight(string(line), "\r\n"), err
-	}
-	status, err := next()
+	status, err := readLine(r)
 	if err != nil {
 		return nil, fmt.Errorf("status line: %w", err)
 	}
@@ -28,12 +33,12 @@
 		return nil, fmt.Errorf("status line %.60q", status)
 	}
 	if parts[1] != "200" {
-		return nil, fmt.Errorf("discovery answered %s", parts[1])
+		return nil, statusError{parts[1]}
 	}
 	length, chunked := int64(math.MaxInt64), false
 	for n := 0; ; n++ {
-		line, err := next()
-		if err != nil || n > 100 {
+		line, err := readLine(r)
+		if err != nil || n > maxHeadFields {
 			return nil, fmt.Errorf("head: %d fields: %w", n, err)
 		}
 		if line == "" {
@@ -56,13 +61,20 @@
 	return io.LimitReader(r, length), nil
 }
 
-// chunkedBody reads a chunked body.
+// readLine reads a line of a head without its end.
+func readLine(r *bufio.Reader) (string, error) {
+	line, err := r.ReadSlice('\n')
+	return strings.TrimRight(string(line), "\r\n"), err
+}
+
+// chunkedBody reads a body in chunks (RFC 9112, 7.1) without its trailer.
 type chunkedBody struct {
 	r         *bufio.Reader
 	remaining int64 // of the present chunk
 	inChunk   bool  // its end has not been read
 }
 
+// Read is io.Reader's.
 func (c *chunkedBody) Read(p []byte) (int, error) {
 	for c.remaining == 0 {
 		if c.inChunk {
@@ -76,7 +88,8 @@
 			return 0, truncated(err)
 		}
 		size, _, _ := strings.Cut(strings.TrimSpace(string(line)), ";")
-		if c.remaining, err = strconv.ParseInt(strings.TrimSpace(size), 16, 64); err != nil || c.remaining < 0 {
+		c.remaining, err = strconv.ParseInt(strings.TrimSpace(size), 16, 64)
+		if err != nil || c.remaining < 0 {
 			return 0, fmt.Errorf("chunk size %.40q", size)
 		}
 		if c.remaining == 0 {
@@ -89,7 +102,7 @@
 	return n, truncated(err)
 }
 
-// truncated marks an end in the middle of a body, which is no clean one.
+// truncated tells an end in the middle of a body from a clean one.
 func truncated(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"errors"
 	"fmt"
 	"net"
 
@@ -11,58 +12,75 @@
 	"capersail/internal/relay"
 )
 
-// EndpointList is what discovery knew at some time.
+// unknownVersion is the version of a list that cannot be compared with others.
+const unknownVersion = -1
+
+// EndpointList is one list of discovery's: what it knew at some time, or what changed.
 type EndpointList struct {
 	Version   int64
-	Complete  bool
+	Complete  bool // it replaces the list held; else it changes it
 	Endpoints []relay.Endpoint
 }
 
-// ParseList reads one list, as discovery sends it or as a relay's configuration holds it. An entry that makes
-// no sense is logged and skipped: one bad line must not hide the news about all other servers.
+// The protocol's names of an endpoint's lifecycle.
+var lifecycles = map[string]decide.EndpointState{
+	"Ready":       decide.Ready,
+	"Terminating": decide.Draining,
+	"Gone":        decide.Removed,
+}
+
+// ParseList reads one list, as discovery sends it or as a relay's configuration holds it. An endpoint that
+// makes no sense is logged and skipped: one bad line must not hide what is said of all other servers. An
+// error is errMalformedList.
 func ParseList(text string, log zerolog.Logger) (*EndpointList, error) {
-	v, err := fastjson.Parse(text)
+	object, err := fastjson.Parse(text)
 	if err != nil {
-		return nil, fmt.Errorf("list: %w", err)
+		return nil, fmt.Errorf("%w: %w", errMalformedList, err)
 	}
 	// An empty array is a list too: a watch that has missed nothing begins with one. fastjson gives nil for
 	// it, as for no array at all, so the type is what counts.
-	if in := v.Get("instances"); v.Type() != fastjson.TypeObject || in != nil && in.Type() != fastjson.TypeArray {
-		return nil, fmt.Errorf("list: not an object with an array of instances")
+	instances := object.Get("instances")
+	if object.Type() != fastjson.TypeObject || instances != nil && instances.Type() != fastjson.TypeArray {
+		return nil, fmt.Errorf("%w: not an object with an array of instances", errMalformedList)
 	}
-	list := &EndpointList{Version: v.GetInt64("generation"), Complete: v.GetBool("reset")}
-	for _, e := range v.GetArray("instances") {
-		if l, err := parseEndpoint(e); err != nil {
-			log.Warn().Err(err).Str("entry", e.String()).Msg("bad entry in the list; skipped")
-		} else {
-			list.Endpoints = append(list.Endpoints, l)
+	list := &EndpointList{Version: object.GetInt64("generation"), Complete: object.GetBool("reset")}
+	for _, one := range object.GetArray("instances") {
+		endpoint, err := parseEndpoint(one)
+		if err != nil {
+			log.Warn().Err(err).Str("entry", one.String()).
+				Msg("malformed endpoint in the list skipped, its server stays as it was: check discovery")
+			continue
 		}
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list, nil
 }
 
-func parseEndpoint(e *fastjson.Value) (relay.Endpoint, error) {
-	l := relay.Endpoint{ID: string(e.GetStringBytes("instanceId")), Address: string(e.GetStringBytes("hostPort")),
-		Zone: string(e.GetStringBytes("zone")), Cell: int32(e.GetInt("cell")), StartedAt: e.GetFloat64("startedAtMs"),
-		SupportsResume: e.GetBool("resumes")}
-	if l.ID == "" {
-		return l, fmt.Errorf("instanceId is missing")
+// parseEndpoint reads one endpoint of a list.
+func parseEndpoint(object *fastjson.Value) (relay.Endpoint, error) {
+	endpoint := relay.Endpoint{
+		ID:             string(object.GetStringBytes("instanceId")),
+		Address:        string(object.GetStringBytes("hostPort")),
+		Zone:           string(object.GetStringBytes("zone")),
+		Cell:           int32(object.GetInt("cell")),
+		StartedAt:      object.GetFloat64("startedAtMs"),
+		SupportsResume: object.GetBool("resumes"),
+	}
+	if endpoint.ID == "" {
+		return endpoint, errors.New("instanceId is missing")
 	}
-	switch mode := string(e.GetStringBytes("lifecycle")); mode {
-	case "Ready":
-		l.Mode = decide.Ready
-	case "Terminating":
-		l.Mode = decide.Draining
-	case "Gone":
-		l.Mode = decide.Removed
-	default:
-		return l, fmt.Errorf("lifecycle %q", mode)
+	lifecycle := string(object.GetStringBytes("lifecycle"))
+	mode, known := lifecycles[lifecycle]
+	if !known {
+		return endpoint, fmt.Errorf("lifecycle %q", lifecycle)
 	}
-	if _, _, err := net.SplitHostPort(l.Address); err != nil {
-		if l.Mode == decide.Ready {
-			return l, fmt.Errorf("hostPort: %w", err)
+	endpoint.Mode = mode
+	if _, _, err := net.SplitHostPort(endpoint.Address); err != nil {
+		if mode == decide.Ready {
+			return endpoint, fmt.Errorf("hostPort: %w", err)
 		}
-		l.Address = "" // that it takes nothing new counts all the same; what is known of its address stays
+		// That it takes nothing new counts all the same; what is known of its address stays.
+		endpoint.Address = ""
 	}
-	return l, nil
+	return endpoint, nil
 }
--- a/internal/wire/discovery/moments_test.go
+++ b/internal/wire/discovery/moments_test.go
@@ -18,9 +18,9 @@
 	"capersail/internal/relay"
 )
 
-// script plays discovery: each call is answered by the next of its answers, the last one for good. An answer is the body of a
-// watch; "HANG" says nothing at all, "RESET" ends the connection, and a body that ends in "HANG" or "RESET" does so after it.
-// It returns the address, and what was asked for.
+// script plays discovery: each call is answered by the next of its answers, the last one for good. An answer
+// is the body of a watch; "HANG" says nothing at all, "RESET" ends the connection, and a body that ends in
+// "HANG" or "RESET" does so after it. It returns the address, and what was asked for.
 func script(t *testing.T, answers ...string) (string, <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,9 +80,11 @@
 func whole(version int, ids ...string) string {
 	var list []string
 	for _, id := range ids {
-		list = append(list, fmt.Sprintf("{\"instanceId\":%q,\"hostPort\":\"127.0.0.1:1\",\"zone\":\"{a\\\"}\",\"lifecycle\":\"Ready\"}", id))
+		const endpoint = `{"instanceId":%q,"hostPort":"127.0.0.1:1","zone":"{a\"}","lifecycle":"Ready"}`
+		list = append(list, fmt.Sprintf(endpoint, id))
 	}
-	return fmt.Sprintf("{\"generation\":%d,\"reset\":true,\"instances\":[%s]}\n", version, strings.Join(list, ","))
+	all := strings.Join(list, ",")
+	return fmt.Sprintf("{\"generation\":%d,\"reset\":true,\"instances\":[%s]}\n", version, all)
 }
 
 // indented spreads a list over lines, an empty one among them.
@@ -90,58 +92,74 @@
 	return strings.NewReplacer("{\"", "{\n\n  \"", ",", ",\n\t", "]", "\n]", "}\n", "\n}\n").Replace(list)
 }
 
-// What comes of calls at their rarest moments. The list held is s-1 of version 41, and each case says what is held in the
-// end, how many calls that took, and whether the module heard of a failure before it.
-func TestMoments(t *testing.T) {
-	change := "{\"generation\":50,\"reset\":false,\"instances\":[{\"instanceId\":\"s-9\",\"hostPort\":\"127.0.0.1:9\",\"lifecycle\":\"Ready\"}]}\n"
+// What comes of calls at their rarest moments. The list held is s-1 of version 41, and each case says what is
+// held in the end, how many calls that took, and whether the module heard of a failure before it.
+func TestListIsTakenInWhateverACallBrings(t *testing.T) {
+	change := `{"generation":50,"reset":false,"instances":[` +
+		`{"instanceId":"s-9","hostPort":"127.0.0.1:9","lifecycle":"Ready"}]}` + "\n"
 	good := whole(50, "s-9")
 	for name, c := range map[string]struct {
 		answers []string
 		calls   int
 		failed  bool
 	}{
-		"as it should be":                          {[]string{good}, 1, false},
-		"indented":                                 {[]string{indented(good)}, 1, false},
-		"indented changes":                         {[]string{indented(change)}, 1, false},
-		"the first call hangs":                     {[]string{"HANG", good}, 2, false},
-		"the first call hangs in the middle":       {[]string{good[:30] + "HANG", good}, 2, false},
-		"an indented list hangs in the middle":     {[]string{indented(good)[:40] + "HANG", good}, 2, false},
-		"the first call is reset":                  {[]string{"RESET", good}, 2, true},
-		"a list cut short":                         {[]string{good[:len(good)-9] + "RESET", good}, 2, true},
-		"silent, and the next call hangs":          {[]string{whole(45, "s-1") + "HANG", "HANG", good}, 3, false},
-		"silent in the middle of a line":           {[]string{whole(45, "s-1") + change[:20] + "HANG", good}, 2, false},
-		"empty, and the next is not":               {[]string{whole(42), good}, 2, false},
-		"of an old version, and the next is not":   {[]string{whole(45, "s-2"), whole(7, "s-3"), good}, 1, false},
-		"no list at all: garbage":                  {[]string{"}{\n", good}, 2, true},
-		"a list that does not end, in lines or so": {[]string{"{" + strings.Repeat("\n", 5000) + "HANG", good}, 2, false},
+		"as it should be":                      {[]string{good}, 1, false},
+		"indented":                             {[]string{indented(good)}, 1, false},
+		"indented changes":                     {[]string{indented(change)}, 1, false},
+		"the first call hangs":                 {[]string{"HANG", good}, 2, false},
+		"the first call hangs in the middle":   {[]string{good[:30] + "HANG", good}, 2, false},
+		"an indented list hangs in the middle": {[]string{indented(good)[:40] + "HANG", good}, 2, false},
+		"the first call is reset":              {[]string{"RESET", good}, 2, true},
+		"a list cut short":                     {[]string{good[:len(good)-9] + "RESET", good}, 2, true},
+		"silent, and the next call hangs": {
+			[]string{whole(45, "s-1") + "HANG", "HANG", good}, 3, false,
+		},
+		"silent in the middle of a line": {
+			[]string{whole(45, "s-1") + change[:20] + "HANG", good}, 2, false,
+		},
+		"empty, and the next is not": {[]string{whole(42), good}, 2, false},
+		"of an old version, and the next is not": {
+			[]string{whole(45, "s-2"), whole(7, "s-3"), good}, 1, false,
+		},
+		"no list at all: garbage": {[]string{"}{\n", good}, 2, true},
+		"a list that does not end, in lines or so": {
+			[]string{"{" + strings.Repeat("\n", 5000) + "HANG", good}, 2, false,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			address, asked := script(t, c.answers...)
 			x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
-			x.UpdateEndpoints(decide.Cached, []relay.Endpoint{{ID: "s-1", Address: "127.0.0.1:1", Mode: decide.Ready}})
+			held := relay.Endpoint{ID: "s-1", Address: "127.0.0.1:1", Mode: decide.Ready}
+			x.UpdateEndpoints(decide.Cached, []relay.Endpoint{held})
 			client := NewClient(address, x, zerolog.Nop())
-			client.silenceTimeout, client.hedgeDelay, client.responseTimeout = 400, 200, 5000
+			client.timeouts = timeouts{
+				response: 5 * time.Second,
+				hedge:    200 * time.Millisecond,
+				silence:  400 * time.Millisecond,
+			}
 			failures, empty := 0, false
 			var mu sync.Mutex
-			client.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
+			client.to.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
 				mu.Lock()
 				defer mu.Unlock()
 				if x.UpdateEndpoints(kind, list); kind == decide.WatchFailed {
 					failures++
-					client.Watch() // as the module would, after its back-off
+					client.Watch() // as the module would, after its backoff
 				}
 				empty = empty || x.EndpointCounts().Listed == 0
 			}
 			go client.Run(t.Context(), 41)
 			client.Watch()
-			if strings.HasPrefix(name, "of an old version") { // from the address that gave a newer one: in its own call
+			if strings.HasPrefix(name, "of an old version") {
+				// From the address that gave a newer one: in its own call.
 				for client.ListVersion() != 45 {
 					time.Sleep(time.Millisecond)
 				}
 				client.RestartWatch()
 			}
-			for until := time.Now().Add(20 * time.Second); client.ListVersion() != 50; time.Sleep(time.Millisecond) {
+			until := time.Now().Add(20 * time.Second)
+			for ; client.ListVersion() != 50; time.Sleep(time.Millisecond) {
 				if g := client.ListVersion(); g == 7 {
 					t.Fatal("an old list was taken at its word")
 				}
@@ -162,7 +180,7 @@
 }
 
 // What takes back what is known is taken in once a second call says the same.
-func TestDoubtedTwiceIsBelieved(t *testing.T) {
+func TestListIsTakenInOnceConfirmed(t *testing.T) {
 	address, asked := script(t, whole(42, "s-1"), whole(43), whole(43))
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
@@ -180,15 +198,16 @@
 	}
 }
 
-// A relay with an agent of its own, which pushes lists, watches without being asked to and opens each watch that ends anew: what
-// the agent has counts as told whether or not a watch is open. The module hears of no failure; its back-off is for a service
-// that others call too. Without Pushed nothing was ever asked for, and the list of the start stood for the day.
-func TestPushed(t *testing.T) {
+// A relay with an agent of its own, which pushes lists, watches without being asked to and opens each watch
+// that ends anew: what the agent has counts as notified whether or not a watch is open. The module hears of
+// no failure; its backoff is for a service that others call too. Without Pushed nothing was ever asked for,
+// and the list of the start stood for the day.
+func TestPushedListsAreWatchedForGood(t *testing.T) {
 	address, asked := script(t, "RESET", whole(42, "s-1")+"RESET", "RESET", "RESET", whole(43, "s-9"))
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
 	client.Pushed = true
-	client.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
+	client.to.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
 		if x.UpdateEndpoints(kind, list); kind == decide.WatchFailed {
 			t.Error("the module was told of a failure")
 		}
@@ -206,11 +225,16 @@
 	}
 }
 
-// Only this side's deadline says that a watch is silent. A connection that the kernel gives up is broken, as one that is reset is: what a
-// relay's own agent has then counts as told at once.
-func TestBrokenIsNotSilent(t *testing.T) {
-	for err, want := range map[error]bool{os.ErrDeadlineExceeded: true, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ECONNRESET: false,
-		io.EOF: false} {
+// Only this side's deadline says that a watch is silent. A connection that the kernel gives up is broken, as
+// one that is reset is: what a relay's own agent has then counts as notified at once.
+func TestBrokenConnectionIsNoSilentWatch(t *testing.T) {
+	for err, want := range map[error]bool{
+		os.ErrDeadlineExceeded: true,
+		syscall.ETIMEDOUT:      false,
+		syscall.EHOSTUNREACH:   false,
+		syscall.ECONNRESET:     false,
+		io.EOF:                 false,
+	} {
 		read := &net.OpError{Op: "read", Net: "tcp", Err: err}
 		if got := deadlineExceeded(read); got != want {
 			t.Errorf("%v: %v", err, got)
