--- a/internal/wire/simulator/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -10,13 +10,6 @@
 	"capersail/internal/relay"
 )
 
-// newInstance starts an instance from its settings.
-func newInstance(who int, seed uint64, p *fastjson.Value) *instance {
-	site := DecodeSettings(p)
-	return &instance{number: who, classes: site.Classes, tenants: site.Tenants, zones: site.Zones, loadKey: site.LoadField,
-		requests: map[string]*trackedRequest{}, byID: map[decide.RequestID]*trackedRequest{}, balancer: decide.New(site.Settings, seed)}
-}
-
 // DecodeSettings reads the settings object, which the simulator's first message and a real relay's
 // configuration share. Keys that are absent count as 0, unknown ones are skipped.
 func DecodeSettings(p *fastjson.Value) *relay.Deployment {
