--- a/internal/wire/simulator/actions.go
+++ b/internal/wire/simulator/actions.go
@@ -9,102 +9,128 @@
 	"capersail/decide"
 )
 
-func (h *Hub) writeAction(n *instance, a decide.Action) {
-	name := func(id decide.RequestID) string {
-		if j := n.byID[id]; j != nil {
-			return j.name
-		}
-		return ""
-	}
-	over := func(id decide.RequestID) {
-		if j := n.byID[id]; j != nil {
-			j.finished = true
-		}
-		n.forgetFinished(id)
-	}
-	switch a := a.(type) {
+// writeAction writes what the module wants, and notes what it means for the requests that are tracked.
+func (h *Hub) writeAction(from *instance, action decide.Action) {
+	w, number := &h.reply, from.number
+	switch a := action.(type) {
 	case decide.Forward:
-		h.beginAction("callOut", n.number)
-		h.writeString(name(a.ID))
-		h.writeMillis(a.Timeout)
-		h.writeString(h.serverNames[n.global[a.Server]])
-		n.byID[a.ID].openAttempts++
+		w.beginAction(actionForward, number)
+		w.text(from.requestName(a.ID))
+		w.duration(a.Timeout)
+		w.text(h.serverName(from, a.Server))
+		from.byID[a.ID].openAttempts++
 	case decide.Reject:
-		h.beginAction("overloadReply", n.number)
-		h.writeString(name(a.ID))
-		h.writeMillis(a.RetryAfter)
-		over(a.ID)
+		w.beginAction(actionReject, number)
+		w.text(from.requestName(a.ID))
+		w.duration(a.RetryAfter)
+		from.finish(a.ID)
 	case decide.Fail:
-		h.beginAction("respondError", n.number)
-		h.writeString(name(a.ID))
-		over(a.ID)
+		w.beginAction(actionFail, number)
+		w.text(from.requestName(a.ID))
+		from.finish(a.ID)
 	case decide.Migrate:
-		h.beginAction("redirect", n.number)
-		h.writeString(name(a.ID))
-		over(a.ID)
+		w.beginAction(actionMigrate, number)
+		w.text(from.requestName(a.ID))
+		from.finish(a.ID)
 	case decide.CancelAttempt:
-		h.beginAction("recall", n.number)
-		h.writeString(name(a.ID))
-		h.writeUint(uint64(a.Attempt))
+		w.beginAction(actionCancelAttempt, number)
+		w.text(from.requestName(a.ID))
+		w.unsigned(uint64(a.Attempt))
 	case decide.Probe:
-		h.beginAction("check", n.number)
-		h.writeString(h.serverNames[n.global[a.Server]])
+		w.beginAction(actionProbe, number)
+		w.text(h.serverName(from, a.Server))
 	case decide.CloseIdleConnections:
-		h.beginAction("shutIdle", n.number)
-		h.writeString(h.serverNames[n.global[a.Server]])
+		w.beginAction(actionCloseIdle, number)
+		w.text(h.serverName(from, a.Server))
+	default:
+		h.writeOwnAction(from, action)
+	}
+	w.endAction()
+}
+
+// writeOwnAction writes an action that concerns no request and no server.
+func (h *Hub) writeOwnAction(from *instance, action decide.Action) {
+	w, number := &h.reply, from.number
+	switch a := action.(type) {
 	case decide.Timer:
-		h.beginAction("notifyMe", n.number)
-		h.writeMillis(a.After)
-		h.writeUint(a.Token)
+		w.beginAction(actionTimer, number)
+		w.duration(a.After)
+		w.unsigned(a.Token)
 	case decide.Subscribe:
-		h.beginAction("observe", n.number)
-		h.reply = append(h.reply, ",true"...)
+		w.beginAction(actionSubscribe, number)
+		w.boolean(true)
 	case decide.FetchSnapshot:
-		h.beginAction("readList", n.number)
+		w.beginAction(actionFetchSnapshot, number)
 	case decide.SendToPeer:
-		h.beginAction("announce", n.number)
+		w.beginAction(actionSendToPeer, number)
 		if a.Peer < 0 {
-			h.writeString("all")
+			w.text(allPeers)
 		} else {
-			h.writeUint(uint64(a.Peer))
+			w.unsigned(uint64(a.Peer))
 		}
-		h.writeString(base64.StdEncoding.EncodeToString(a.Data))
+		w.text(base64.StdEncoding.EncodeToString(a.Data))
 	case decide.Log:
-		h.beginAction("print", n.number)
-		h.writeString(a.Text)
+		w.beginAction(actionLog, number)
+		w.text(a.Text)
 	default:
-		panic(fmt.Sprintf("no wire for %T", a))
+		panic(fmt.Sprintf("no wire for %T", action))
 	}
-	h.reply = append(h.reply, ']')
 }
 
-func (h *Hub) beginAction(kind string, who int) {
-	if !h.firstAction {
-		h.reply = append(h.reply, ',')
+// replyWriter builds a reply. It keeps its buffer from one to the next.
+type replyWriter struct {
+	buffer []byte
+	some   bool // an action has been written
+}
+
+func (w *replyWriter) begin() {
+	w.buffer = append(w.buffer[:0], `{"actions":[`...)
+	w.some = false
+}
+
+// end is the whole reply, valid until the next begin.
+func (w *replyWriter) end() []byte {
+	w.buffer = append(w.buffer, "]}\n"...)
+	return w.buffer
+}
+
+// beginAction begins an action of an instance; its values follow, then endAction.
+func (w *replyWriter) beginAction(kind actionKind, instance int) {
+	if w.some {
+		w.buffer = append(w.buffer, ',')
 	}
-	h.firstAction = false
-	h.reply = append(h.reply, '[', '"')
-	h.reply = append(h.reply, kind...)
-	h.reply = append(h.reply, '"')
-	h.writeUint(uint64(who))
+	w.some = true
+	w.buffer = append(w.buffer, '[', '"')
+	w.buffer = append(w.buffer, kind...)
+	w.buffer = append(w.buffer, '"')
+	w.unsigned(uint64(instance))
 }
 
-func (h *Hub) writeUint(x uint64) { h.reply = strconv.AppendUint(append(h.reply, ','), x, 10) }
+func (w *replyWriter) endAction() { w.buffer = append(w.buffer, ']') }
+
+func (w *replyWriter) unsigned(x uint64) {
+	w.buffer = strconv.AppendUint(append(w.buffer, ','), x, 10)
+}
+
+func (w *replyWriter) boolean(x bool) {
+	w.buffer = strconv.AppendBool(append(w.buffer, ','), x)
+}
 
-// writeMillis writes a duration rounded up to the bench's microseconds, so that no timer comes early.
-func (h *Hub) writeMillis(d time.Duration) {
+// duration writes milliseconds, rounded up to the simulator's microseconds, so that no timer comes early.
+func (w *replyWriter) duration(d time.Duration) {
 	us := (d + time.Microsecond - 1) / time.Microsecond
-	h.reply = strconv.AppendFloat(append(h.reply, ','), float64(us)/1000, 'f', -1, 64)
+	w.buffer = strconv.AppendFloat(append(w.buffer, ','), float64(us)/1000, 'f', -1, 64)
 }
 
-func (h *Hub) writeString(s string) {
-	h.reply = append(h.reply, ',', '"')
+// text writes a string. Names from the wire hardly ever need escapes.
+func (w *replyWriter) text(s string) {
+	w.buffer = append(w.buffer, ',', '"')
 	for i := range len(s) {
-		if c := s[i]; c < ' ' || c == '"' || c == '\\' { // names from the wire hardly ever need this
-			h.reply = append(h.reply, fmt.Sprintf(`\u%04x`, c)...)
+		if c := s[i]; c < ' ' || c == '"' || c == '\\' {
+			w.buffer = append(w.buffer, fmt.Sprintf(`\u%04x`, c)...)
 		} else {
-			h.reply = append(h.reply, c)
+			w.buffer = append(w.buffer, c)
 		}
 	}
-	h.reply = append(h.reply, '"')
+	w.buffer = append(w.buffer, '"')
 }
--- a/internal/wire/simulator/events.go
+++ b/internal/wire/simulator/events.go
@@ -7,191 +7,201 @@
 	"github.com/valyala/fastjson"
 
 	"capersail/decide"
-	"capersail/internal/relay"
 )
 
 // decodeEvent builds the module's event; nil stands for one that concerns nothing the instance still knows.
-func (h *Hub) decodeEvent(n *instance, kind string, f *eventValues) (decide.Event, error) {
-	if n == nil { // stopped: whatever is still under way for it is void
-		n = &instance{requests: map[string]*trackedRequest{}}
+// to is nil for an instance that was stopped.
+func (h *Hub) decodeEvent(to *instance, kind eventKind, v *eventValues) (decide.Event, error) {
+	if to == nil {
+		to = emptyInstance()
 	}
 	switch kind {
-	case "registry":
-		return h.decodeList(n, f)
-	case "newRequest":
-		r, err := h.decodeRequest(n, f, 0)
-		if err != nil || r == nil {
+	case eventEndpointList:
+		return h.decodeList(to, v)
+	case eventRequest:
+		request, err := h.decodeRequest(to, v, 0)
+		if err != nil || request == nil {
 			return nil, err
 		}
-		return *r, nil
-	case "inherited":
-		r, err := h.decodeRequest(n, f, 1)
-		if err != nil || r == nil {
+		return *request, nil
+	case eventInherited:
+		request, err := h.decodeRequest(to, v, 1)
+		if err != nil || request == nil {
 			return nil, err
 		}
-		return decide.Inherited{Request: *r, Server: h.serverID(n, f.requiredText(10))}, nil
-	case "alarm":
-		return decide.TimerFired{Token: f.unsigned(2)}, nil
-	case "echo":
-		status, err := decodeStatus(f.unsigned(4))
-		return decide.ProbeResult{Latency: relay.Duration(f.float(2)), Server: h.serverID(n, f.requiredText(3)), Status: status,
-			Report: n.decodeReport(f.at(5))}, err
-	case "fromPeer":
-		data, err := base64.StdEncoding.DecodeString(string(f.text(3)))
-		return decide.PeerMessage{From: int(f.unsigned(2)), Data: data}, err
-	}
-	var name []byte
-	switch kind {
-	case "flowing", "interim", "closedAttempt", "dropped":
-		name = f.requiredText(2)
-	default:
-		return nil, fmt.Errorf("unknown event")
-	}
-	j := n.requests[string(name)]
-	if j == nil {
-		j = &trackedRequest{}
+		return decide.Inherited{Request: *request, Server: h.serverID(to, v.requiredText(10))}, nil
+	case eventTimer:
+		return decide.TimerFired{Token: v.unsigned(2)}, nil
+	case eventProbeResult:
+		return h.decodeProbeResult(to, v)
+	case eventPeerMessage:
+		data, err := base64.StdEncoding.DecodeString(string(v.text(3)))
+		return decide.PeerMessage{From: int(v.unsigned(2)), Data: data}, err
+	case eventOpened, eventNote, eventAttemptOutcome, eventClientGone:
+		return h.decodeOfRequest(to, kind, v)
 	}
-	var ev decide.Event
+	return nil, wordError{"event", string(kind)}
+}
+
+// decodeOfRequest builds an event of a request that is under way.
+func (h *Hub) decodeOfRequest(to *instance, kind eventKind, v *eventValues) (event decide.Event, err error) {
+	request := to.request(v.requiredText(2))
 	switch kind {
-	case "flowing":
-		ev = decide.Opened{ID: j.id, Attempt: int(f.unsigned(3)), Server: h.serverID(n, f.requiredText(4)), SetupLatency: relay.Duration(f.float(5))}
-	case "interim":
-		backend, amount := h.serverID(n, f.requiredText(3)), f.float(5)
-		switch f.unsigned(6) {
-		case 1:
-			ev = decide.ConnectionLoad{ID: j.id, Server: backend, Load: amount / 1e6}
-		case 2:
-			ev = decide.MessageDelay{ID: j.id, Server: backend, Delay: relay.Duration(amount)}
+	case eventOpened:
+		event = decide.Opened{
+			ID:           request.id,
+			Attempt:      int(v.unsigned(3)),
+			Server:       h.serverID(to, v.requiredText(4)),
+			SetupLatency: v.millis(5),
 		}
-	case "closedAttempt":
-		status, err := decodeStatus(f.unsigned(4))
-		if err != nil {
-			return nil, err
-		}
-		o := decide.Outcome{ID: j.id, Attempt: int(f.unsigned(3)), Status: status, Server: h.serverID(n, f.requiredText(5)),
-			Elapsed: relay.Duration(f.float(6)), Closed: f.boolean(7), Report: n.decodeReport(f.at(8))}
-		j.openAttempts--
-		j.finished = j.finished || o.Closed
-		ev = o
-	case "dropped":
-		j.finished = true
-		ev = decide.ClientGone{ID: j.id}
-	}
-	if j.id == 0 {
-		return nil, nil
-	}
-	return ev, nil
+	case eventNote:
+		event = h.decodeNote(to, request, v)
+	case eventAttemptOutcome:
+		event, err = h.decodeOutcome(to, request, v)
+	case eventClientGone:
+		request.finished = true
+		event = decide.ClientGone{ID: request.id}
+	}
+	if err != nil || request.id == 0 {
+		return nil, err
+	}
+	return event, nil
+}
+
+func (h *Hub) decodeProbeResult(to *instance, v *eventValues) (decide.Event, error) {
+	status, err := lookUp(statuses, "status", v.unsigned(4))
+	return decide.ProbeResult{
+		Latency: v.millis(2),
+		Server:  h.serverID(to, v.requiredText(3)),
+		Status:  status,
+		Report:  to.decodeReport(v.at(5)),
+	}, err
+}
+
+// decodeNote builds the event of a note that comes while a request is open; nil for a note of a kind that is
+// not known.
+func (h *Hub) decodeNote(to *instance, request *trackedRequest, v *eventValues) decide.Event {
+	server := h.serverID(to, v.requiredText(3))
+	amount := v.float(5)
+	switch v.unsigned(6) {
+	case noteLoad:
+		return decide.ConnectionLoad{ID: request.id, Server: server, Load: amount / 1e6}
+	case noteDelay:
+		return decide.MessageDelay{ID: request.id, Server: server, Delay: v.millis(5)}
+	}
+	return nil
+}
+
+// decodeOutcome builds the event of an attempt's end.
+func (h *Hub) decodeOutcome(to *instance, request *trackedRequest, v *eventValues) (decide.Event, error) {
+	status, err := lookUp(statuses, "status", v.unsigned(4))
+	if err != nil {
+		return nil, err
+	}
+	outcome := decide.Outcome{
+		ID:      request.id,
+		Attempt: int(v.unsigned(3)),
+		Status:  status,
+		Server:  h.serverID(to, v.requiredText(5)),
+		Elapsed: v.millis(6),
+		Closed:  v.boolean(7),
+		Report:  to.decodeReport(v.at(8)),
+	}
+	request.openAttempts--
+	request.finished = request.finished || outcome.Closed
+	return outcome, nil
 }
 
-func (h *Hub) decodeRequest(n *instance, f *eventValues, out int) (*decide.Request, error) {
-	name := string(f.requiredText(2))
-	class, ok := n.classes[string(f.text(3))]
-	if !ok && n.balancer != nil {
-		return nil, fmt.Errorf("unknown class %q", f.text(3))
-	}
-	r := decide.Request{Class: class, Tenant: decide.NoTenant, Key: f.unsigned(5), TimeLeft: relay.Duration(f.float(6)), Group: f.unsigned(8)}
-	if t, ok := n.tenants[string(f.text(4))]; ok {
-		r.Tenant = t
-	}
-	attrs := f.unsigned(9)
-	if attrs&1 != 0 {
-		r.LoadHint = f.float(7)
-	}
-	r.Returning, r.Flow = attrs&(2|16) != 0, attrs&8 != 0
-	if f.err != nil || n.balancer == nil {
-		return nil, f.err
-	}
-	n.lastID++
-	r.ID = n.lastID
-	j := &trackedRequest{id: r.ID, name: name, openAttempts: out}
-	n.requests[name], n.byID[r.ID] = j, j
-	return &r, nil
+// decodeRequest builds a request that begins, with so many attempts out; nil where the instance was stopped.
+func (h *Hub) decodeRequest(to *instance, v *eventValues, openAttempts int) (*decide.Request, error) {
+	name := string(v.requiredText(2))
+	class, known := to.deployment.Classes[string(v.text(3))]
+	if !known && to.balancer != nil {
+		return nil, wordError{"class", string(v.text(3))}
+	}
+	request := decide.Request{
+		Class:    class,
+		Tenant:   decide.NoTenant,
+		Key:      v.unsigned(5),
+		TimeLeft: v.millis(6),
+		Group:    v.unsigned(8),
+	}
+	if tenant, known := to.deployment.Tenants[string(v.text(4))]; known {
+		request.Tenant = tenant
+	}
+	attributes := v.unsigned(9)
+	if attributes&attributeLoadHint != 0 {
+		request.LoadHint = v.float(7)
+	}
+	request.Returning = attributes&attributesReturning != 0
+	request.Flow = attributes&attributeFlow != 0
+	if v.err != nil || to.balancer == nil {
+		return nil, v.err
+	}
+	request.ID = to.track(name, openAttempts)
+	return &request, nil
 }
 
-func (h *Hub) decodeList(n *instance, f *eventValues) (decide.Event, error) {
-	var m decide.WatchEvent
-	switch form := f.unsigned(2); form {
-	case 4:
-		m.Kind = decide.Delta
-	case 0:
-		m.Kind = decide.Snapshot
-	case 3:
-		m.Kind = decide.Cached
-	case 2:
-		m.Kind = decide.WatchFailed
-	default:
-		return nil, fmt.Errorf("unknown form %d", form)
+// decodeList builds the event of an endpoint list. Its endpoints are valid until the next list.
+func (h *Hub) decodeList(to *instance, v *eventValues) (decide.Event, error) {
+	kind, err := lookUp(watchKinds, "form", v.unsigned(2))
+	if err != nil {
+		return nil, err
 	}
 	h.endpoints = h.endpoints[:0]
-	if list := f.at(4); list != nil {
+	if list := v.at(4); list != nil {
 		lines, err := list.Array()
 		if err != nil {
 			return nil, err
 		}
 		for _, line := range lines {
-			vals, err := line.Array()
+			endpoint, err := h.decodeEndpoint(to, line)
 			if err != nil {
 				return nil, err
 			}
-			e := &eventValues{values: vals}
-			entry := decide.Endpoint{Server: h.serverID(n, e.requiredText(0)), Cell: int32(e.unsigned(2)), StartedAt: relay.Duration(e.float(5)),
-				Zone: n.zones[string(e.text(6))]}
-			entry.RendezvousKey = h.serverKeys[n.global[entry.Server]]
-			switch mode := e.unsigned(1); mode {
-			case 0:
-				entry.State = decide.Removed
-			case 1:
-				entry.State = decide.Ready
-			case 2:
-				entry.State = decide.Draining
-			default:
-				return nil, fmt.Errorf("unknown mode %d", mode)
-			}
-			if e.err != nil {
-				return nil, fmt.Errorf("entry: %w", e.err)
-			}
-			h.endpoints = append(h.endpoints, entry)
+			h.endpoints = append(h.endpoints, endpoint)
 		}
 	}
-	m.Endpoints = h.endpoints
-	return m, nil
+	return decide.WatchEvent{Kind: kind, Endpoints: h.endpoints}, nil
 }
 
-func (n *instance) decodeReport(v *fastjson.Value) decide.LoadReport {
-	r := decide.NoLoadReport
-	if v == nil || v.Type() != fastjson.TypeObject {
-		return r
+func (h *Hub) decodeEndpoint(to *instance, line *fastjson.Value) (endpoint decide.Endpoint, err error) {
+	values, err := line.Array()
+	if err != nil {
+		return endpoint, err
 	}
-	read := func(name string, to *float64) {
-		if x, err := number(v.Get(name)); err == nil && name != "" {
-			*to = max(x, 0)
-		}
+	v := &eventValues{values: values}
+	number := h.servers.number(v.requiredText(0))
+	state, err := lookUp(endpointStates, "mode", v.unsigned(1))
+	endpoint = decide.Endpoint{
+		Server:        to.serverID(number),
+		RendezvousKey: h.servers.keys[number],
+		State:         state,
+		Cell:          int32(v.unsigned(2)),
+		StartedAt:     v.millis(5),
+		Zone:          to.deployment.Zones[string(v.text(6))],
+	}
+	if err == nil && v.err != nil {
+		err = fmt.Errorf("entry: %w", v.err)
 	}
-	read(n.loadKey, &r.Load)
-	read("rif", &r.InFlight)
-	read("fail_rate", &r.ErrorsPerSecond)
-	read("busy", &r.CPUUtilization)
-	return r
+	return endpoint, err
 }
 
-func decodeStatus(code uint64) (decide.Status, error) {
-	switch code {
-	case 200:
-		return decide.OK, nil
-	case 502:
-		return decide.Errored, nil
-	case 429:
-		return decide.AtCapacity, nil
-	case 408:
-		return decide.TimedOut, nil
-	case 521:
-		return decide.ConnectFailed, nil
-	case 520:
-		return decide.Reset, nil
-	case 444:
-		return decide.Cancelled, nil
-	case 409:
-		return decide.Superseded, nil
-	}
-	return 0, fmt.Errorf("unknown verdict %d", code)
+// decodeReport reads a load report. A value that is absent, or is no number, is unknown; a negative one
+// counts as 0.
+func (n *instance) decodeReport(object *fastjson.Value) decide.LoadReport {
+	report := decide.NoLoadReport
+	if object == nil || object.Type() != fastjson.TypeObject {
+		return report
+	}
+	read := func(key string, to *float64) {
+		if x, err := finiteNumber(object.Get(key)); err == nil && key != "" {
+			*to = max(x, 0)
+		}
+	}
+	read(n.deployment.LoadField, &report.Load)
+	read(reportInFlight, &report.InFlight)
+	read(reportErrors, &report.ErrorsPerSecond)
+	read(reportCPU, &report.CPUUtilization)
+	return report
 }
--- a/internal/wire/simulator/hub.go
+++ b/internal/wire/simulator/hub.go
@@ -1,5 +1,3 @@
-// Package simulator speaks the bench's JSON dialect: it turns batches of events into calls of the decision
-// module and the module's actions into replies. It decides nothing.
 package simulator
 
 import (
@@ -12,39 +10,37 @@
 	"capersail/internal/relay"
 )
 
-// Hub hosts many instances of the module. They share the spelling of backend names and nothing else.
+// Hub hosts many instances of the decision module. They share the spelling of servers' names and nothing
+// else. It is for one goroutine.
 type Hub struct {
-	parser      fastjson.Parser
-	servers     map[string]int // every backend's name, numbered in the order of first mention in this process
-	serverNames []string
-	serverKeys  []uint64          // hashes of the names
-	instances   map[int]*instance // nil for an instance that was stopped
-	actions     []decide.Action
-	endpoints   []decide.Endpoint
-	reply       []byte
-	firstAction bool
+	parser    fastjson.Parser
+	instances map[int]*instance // nil for one that was stopped
+	servers   serverNames
+	endpoints []decide.Endpoint // reused from list to list
+	actions   []decide.Action   // reused from event to event
+	reply     replyWriter
 }
 
 // NewHub returns a Hub without instances.
 func NewHub() *Hub {
-	return &Hub{servers: map[string]int{}, instances: map[int]*instance{}}
+	return &Hub{instances: map[int]*instance{}, servers: serverNames{numbers: map[string]int{}}}
 }
 
 // HandleBatch takes one line and returns the reply, newline included; it is valid until the next call. An
-// error means that the line is not of the dialect.
+// error means that the line is not of the dialect; what stood before the fault has been taken in.
 func (h *Hub) HandleBatch(line []byte) (reply []byte, err error) {
-	top, err := h.parser.ParseBytes(line)
+	batch, err := h.parser.ParseBytes(line)
 	if err != nil {
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
-	if top.Type() != fastjson.TypeObject {
-		return nil, fmt.Errorf("a batch must be an object, not %s", top.Type())
+	if batch.Type() != fastjson.TypeObject {
+		return nil, fmt.Errorf("a batch must be an object, not %s", batch.Type())
 	}
-	clock, err := number(top.Get("tsMs"))
+	clock, err := finiteNumber(batch.Get("tsMs"))
 	if err != nil {
 		return nil, fmt.Errorf("tsMs: %w", err)
 	}
-	list := top.Get("arrivals")
+	list := batch.Get("arrivals")
 	if list == nil {
 		return nil, fmt.Errorf("arrivals are missing")
 	}
@@ -52,99 +48,116 @@
 	if err != nil {
 		return nil, fmt.Errorf("arrivals: %w", err)
 	}
-	h.reply = append(h.reply[:0], `{"actions":[`...)
-	h.firstAction = true
-	for i, ev := range arrivals {
-		if err := h.handleEvent(relay.Duration(clock), ev); err != nil {
+	now := relay.Duration(clock)
+	h.reply.begin()
+	for i, arrival := range arrivals {
+		if err := h.handleEvent(now, arrival); err != nil {
 			return nil, fmt.Errorf("arrival %d: %w", i, err)
 		}
 	}
-	h.reply = append(h.reply, "]}\n"...)
-	return h.reply, nil
+	return h.reply.end(), nil
 }
 
-func (h *Hub) handleEvent(now time.Duration, ev *fastjson.Value) error {
-	vals, err := ev.Array()
-	if err != nil || len(vals) < 2 {
+// handleEvent takes one arrival: an array of the event's name, the instance's number and values by position.
+func (h *Hub) handleEvent(now time.Duration, arrival *fastjson.Value) error {
+	values, err := arrival.Array()
+	if err != nil || len(values) < 2 {
 		return fmt.Errorf("an event must be an array of a name and an instance")
 	}
-	kind, err := vals[0].StringBytes()
+	name, err := values[0].StringBytes()
 	if err != nil {
 		return fmt.Errorf("event name: %w", err)
 	}
-	who, err := vals[1].Int()
+	kind := eventKind(name)
+	number, err := values[1].Int()
 	if err != nil {
 		return fmt.Errorf("%s: instance: %w", kind, err)
 	}
-	f := &eventValues{values: vals}
-	n, born := h.instances[who]
+	v := &eventValues{values: values}
+	if kind == eventStart {
+		return h.start(number, v)
+	}
+	to, started := h.instances[number]
 	switch {
-	case string(kind) == "powerOn":
-		profile := f.at(3)
-		if profile == nil || profile.Type() != fastjson.TypeObject {
-			return fmt.Errorf("powerOn: profileData must be an object")
-		}
-		seed := f.unsigned(2)
-		if f.err != nil {
-			return fmt.Errorf("powerOn: %w", f.err)
-		}
-		h.instances[who] = newInstance(who, seed, profile)
-		return nil
-	case !born:
-		return fmt.Errorf("%s: instance %d was never started", kind, who)
-	case string(kind) == "crashNow":
-		h.instances[who] = nil
+	case !started:
+		return fmt.Errorf("%s: instance %d was never started", kind, number)
+	case kind == eventStop:
+		h.instances[number] = nil
 		return nil
 	}
-	event, err := h.decodeEvent(n, string(kind), f)
+	event, err := h.decodeEvent(to, kind, v)
 	if err == nil {
-		err = f.err
+		err = v.err
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", kind, err)
 	}
-	if n != nil && event != nil {
-		h.handle(n, now, event)
+	if to != nil && event != nil {
+		h.handle(to, now, event)
 	}
 	return nil
 }
 
-// handle lets the module act. A panic there is told to the bench, which ends the day with its text.
-func (h *Hub) handle(n *instance, now time.Duration, ev decide.Event) {
+// start begins an instance, or begins it anew.
+func (h *Hub) start(number int, v *eventValues) error {
+	settings := v.at(3)
+	if settings == nil || settings.Type() != fastjson.TypeObject {
+		return fmt.Errorf("%s: profileData must be an object", eventStart)
+	}
+	seed := v.unsigned(2)
+	if v.err != nil {
+		return fmt.Errorf("%s: %w", eventStart, v.err)
+	}
+	h.instances[number] = newInstance(number, seed, settings)
+	return nil
+}
+
+// handle lets the module act. A panic there is told to the simulator, which ends the day with its text.
+func (h *Hub) handle(to *instance, now time.Duration, event decide.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.beginAction("broken", n.number)
-			h.writeString(fmt.Sprint(p))
-			h.reply = append(h.reply, ']')
+			h.reply.beginAction(actionPanicked, to.number)
+			h.reply.text(fmt.Sprint(p))
+			h.reply.endAction()
 		}
 	}()
-	h.actions = n.balancer.Handle(now, ev, h.actions[:0])
-	for _, a := range h.actions {
-		h.writeAction(n, a)
+	h.actions = to.balancer.Handle(now, event, h.actions[:0])
+	for _, action := range h.actions {
+		h.writeAction(to, action)
 	}
-	switch e := ev.(type) {
+	switch event := event.(type) {
 	case decide.Outcome:
-		n.forgetFinished(e.ID)
+		to.forgetFinished(event.ID)
 	case decide.ClientGone:
-		n.forgetFinished(e.ID)
+		to.forgetFinished(event.ID)
 	}
 }
 
+// serverNames numbers the servers' names in the order of first mention in this process.
+type serverNames struct {
+	numbers map[string]int
+	names   []string
+	keys    []uint64 // of the rendezvous order: hashes of the names
+}
+
+func (s *serverNames) number(name []byte) int {
+	number, known := s.numbers[string(name)]
+	if !known {
+		number = len(s.names)
+		text := string(name)
+		s.names = append(s.names, text)
+		s.numbers[text] = number
+		s.keys = append(s.keys, relay.ServerKey(text))
+	}
+	return number
+}
+
 // serverID numbers a name, first for the hub, to hash it once, then for the instance.
-func (h *Hub) serverID(n *instance, name []byte) decide.ServerID {
-	g, ok := h.servers[string(name)]
-	if !ok {
-		g = len(h.serverNames)
-		h.serverNames = append(h.serverNames, string(name))
-		h.servers[h.serverNames[g]] = g
-		h.serverKeys = append(h.serverKeys, relay.ServerKey(h.serverNames[g]))
-	}
-	for g >= len(n.local) {
-		n.local = append(n.local, -1)
-	}
-	if n.local[g] < 0 {
-		n.local[g] = decide.ServerID(len(n.global))
-		n.global = append(n.global, g)
-	}
-	return n.local[g]
+func (h *Hub) serverID(of *instance, name []byte) decide.ServerID {
+	return of.serverID(h.servers.number(name))
+}
+
+// serverName is the name of an instance's server.
+func (h *Hub) serverName(of *instance, id decide.ServerID) string {
+	return h.servers.names[of.hubNumbers[id]]
 }
--- a/internal/wire/simulator/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -11,90 +11,150 @@
 )
 
 // DecodeSettings reads the settings object, which the simulator's first message and a real relay's
-// configuration share. Keys that are absent count as 0, unknown ones are skipped.
-func DecodeSettings(p *fastjson.Value) *relay.Deployment {
-	n := &relay.Deployment{Classes: map[string]decide.Class{}, Tenants: map[string]decide.Tenant{},
-		Zones: map[string]decide.Zone{}}
-	set := decide.Settings{
-		RelayIndex:              p.GetInt("me"),
-		Relays:                  p.GetInt("balancers"),
-		OverQuotaPriorityWeight: p.GetFloat64("overShareWorth"),
-		MaxAttempts:             p.GetInt("limits", "mostTries"),
-		Probes:                  p.GetBool("limits", "probes"),
-		RetryAfter:              p.GetBool("limits", "retryAfter"),
-		MaxRetryAfter:           durationAt(p, "limits", "maxRetryAfterMs"),
-		ConnectTimeout:          durationAt(p, "limits", "connectTimeoutMs"),
-		Tick:                    durationAt(p, "quantumMs"),
-		GroupAffinity:           p.GetBool("specifics", "groups"),
-		ReportsMessageDelay:     p.GetBool("specifics", "tellsDelay"),
-		MustSubscribe:           string(p.GetStringBytes("discovery")) == "ask",
+// configuration share. Keys that are absent count as 0, unknown ones are skipped. What a key becomes:
+//
+//	me                                   Settings.RelayIndex
+//	balancers                            Settings.Relays
+//	zone, areas                          Settings.Zone, Zones; Deployment.Zones by name
+//	discovery                            Settings.MustSubscribe for "ask"; else lists are pushed
+//	quantumMs                            Settings.Tick
+//	overShareWorth                       Settings.OverQuotaPriorityWeight
+//	limits.mostTries                     Settings.MaxAttempts
+//	limits.probes, retryAfter            Settings.Probes, RetryAfter
+//	limits.maxRetryAfterMs               Settings.MaxRetryAfter
+//	limits.connectTimeoutMs              Settings.ConnectTimeout
+//	rules.askWithinMs                    Rules.PollWithin
+//	rules.startCapacity                  Rules.SlowStartCapacity
+//	rules.coldMs                         Rules.SlowStartWindow
+//	rules.fallMultiple, overloadForMs    Rules.OverloadFactor, OverloadWindow
+//	prices.crossZone, probe, moves       Prices.CrossZone, Probe, Move
+//	specifics.groups                     Settings.GroupAffinity
+//	specifics.tellsDelay                 Settings.ReportsMessageDelay
+//	specifics.messageAimMs               ClassInfo.MessageLatencyObjective, by class
+//	specifics.tenantQuotaConnections     TenantInfo.ConnectionQuota, by tenant
+//	specifics.reportX0, reportX1         Deployment.LoadField, the one that begins with "load"
+//	classes: name                        Deployment.Classes
+//	classes: aimMs, deadlineMs           ClassInfo.LatencyObjective, Deadline
+//	classes: worth                       ClassInfo.PriorityWeight
+//	classes: semantics, windowMs, group  ClassInfo.Idempotency, DedupWindow, DedupScope
+//	realms: name, portion                Deployment.Tenants; TenantInfo.ServiceShare
+func DecodeSettings(object *fastjson.Value) *relay.Deployment {
+	deployment := &relay.Deployment{
+		Settings:  decodeScalars(object),
+		LoadField: decodeLoadKey(object),
+	}
+	decodeZones(object, deployment)
+	decodeClasses(object, deployment)
+	decodeTenants(object, deployment)
+	return deployment
+}
+
+// decodeScalars reads what is neither a zone, a class nor a tenant.
+func decodeScalars(object *fastjson.Value) decide.Settings {
+	return decide.Settings{
+		RelayIndex:              object.GetInt("me"),
+		Relays:                  object.GetInt("balancers"),
+		OverQuotaPriorityWeight: object.GetFloat64("overShareWorth"),
+		MaxAttempts:             object.GetInt("limits", "mostTries"),
+		Probes:                  object.GetBool("limits", "probes"),
+		RetryAfter:              object.GetBool("limits", "retryAfter"),
+		MaxRetryAfter:           durationAt(object, "limits", "maxRetryAfterMs"),
+		ConnectTimeout:          durationAt(object, "limits", "connectTimeoutMs"),
+		Tick:                    durationAt(object, "quantumMs"),
+		GroupAffinity:           object.GetBool("specifics", "groups"),
+		ReportsMessageDelay:     object.GetBool("specifics", "tellsDelay"),
+		MustSubscribe:           string(object.GetStringBytes("discovery")) == "ask",
 		Rules: decide.Rules{
-			PollWithin:        durationAt(p, "rules", "askWithinMs"),
-			SlowStartCapacity: p.GetFloat64("rules", "startCapacity"),
-			SlowStartWindow:   durationAt(p, "rules", "coldMs"),
-			OverloadFactor:    p.GetFloat64("rules", "fallMultiple"),
-			OverloadWindow:    durationAt(p, "rules", "overloadForMs"),
+			PollWithin:        durationAt(object, "rules", "askWithinMs"),
+			SlowStartCapacity: object.GetFloat64("rules", "startCapacity"),
+			SlowStartWindow:   durationAt(object, "rules", "coldMs"),
+			OverloadFactor:    object.GetFloat64("rules", "fallMultiple"),
+			OverloadWindow:    durationAt(object, "rules", "overloadForMs"),
 		},
 		Prices: decide.Prices{
-			CrossZone: p.GetFloat64("prices", "crossZone"),
-			Probe:     p.GetFloat64("prices", "probe"),
-			Move:      p.GetFloat64("prices", "moves"),
+			CrossZone: object.GetFloat64("prices", "crossZone"),
+			Probe:     object.GetFloat64("prices", "probe"),
+			Move:      object.GetFloat64("prices", "moves"),
 		},
 	}
-	for i, z := range p.GetArray("areas") {
-		n.Zones[string(z.GetStringBytes())] = decide.Zone(i)
-		set.Zones++
+}
+
+// decodeZones numbers the zones in their order, and finds the relay's own.
+func decodeZones(object *fastjson.Value, deployment *relay.Deployment) {
+	deployment.Zones = map[string]decide.Zone{}
+	for i, zone := range object.GetArray("areas") {
+		deployment.Zones[string(zone.GetStringBytes())] = decide.Zone(i)
+		deployment.Settings.Zones++
+	}
+	deployment.Settings.Zone = deployment.Zones[string(object.GetStringBytes("zone"))]
+}
+
+// The words of classes. A class whose semantics are not known to be harmless is not repeated.
+var (
+	idempotencies = map[string]decide.Idempotency{
+		"free":    decide.Idempotent,
+		"guarded": decide.IdempotentWithKey,
+	}
+	dedupScopes = map[string]decide.DedupScope{
+		"zone": decide.ScopeZone,
+		"cell": decide.ScopeCell,
 	}
-	set.Zone = n.Zones[string(p.GetStringBytes("zone"))]
-	messages := p.GetArray("specifics", "messageAimMs")
-	for i, c := range p.GetArray("classes") {
+)
+
+// decodeClasses numbers the classes in their order.
+func decodeClasses(object *fastjson.Value, deployment *relay.Deployment) {
+	deployment.Classes = map[string]decide.Class{}
+	messageObjectives := object.GetArray("specifics", "messageAimMs")
+	for i, class := range object.GetArray("classes") {
 		info := decide.ClassInfo{
-			LatencyObjective: durationAt(c, "aimMs"),
-			Deadline:         durationAt(c, "deadlineMs"),
-			DedupWindow:      durationAt(c, "windowMs"),
-			PriorityWeight:   c.GetFloat64("worth"),
-		}
-		switch string(c.GetStringBytes("semantics")) {
-		case "guarded":
-			info.Idempotency = decide.IdempotentWithKey
-		case "free":
-		default: // what is not known to be harmless is not repeated
-			info.Idempotency = decide.NonIdempotent
+			LatencyObjective: durationAt(class, "aimMs"),
+			Deadline:         durationAt(class, "deadlineMs"),
+			DedupWindow:      durationAt(class, "windowMs"),
+			DedupScope:       dedupScopes[string(class.GetStringBytes("group"))],
+			PriorityWeight:   class.GetFloat64("worth"),
 		}
-		switch string(c.GetStringBytes("group")) {
-		case "zone":
-			info.DedupScope = decide.ScopeZone
-		case "cell":
-			info.DedupScope = decide.ScopeCell
+		idempotency, known := idempotencies[string(class.GetStringBytes("semantics"))]
+		if !known {
+			idempotency = decide.NonIdempotent
 		}
-		if i < len(messages) {
-			info.MessageLatencyObjective = relay.Duration(messages[i].GetFloat64())
+		info.Idempotency = idempotency
+		if i < len(messageObjectives) {
+			info.MessageLatencyObjective = relay.Duration(messageObjectives[i].GetFloat64())
 		}
-		n.Classes[string(c.GetStringBytes("name"))] = decide.Class(i)
-		set.Classes = append(set.Classes, info)
+		deployment.Classes[string(class.GetStringBytes("name"))] = decide.Class(i)
+		deployment.Settings.Classes = append(deployment.Settings.Classes, info)
 	}
-	quotas := p.GetArray("specifics", "tenantQuotaConnections")
-	for i, t := range p.GetArray("realms") {
-		info := decide.TenantInfo{ServiceShare: t.GetFloat64("portion")}
+}
+
+// decodeTenants numbers the tenants in their order.
+func decodeTenants(object *fastjson.Value, deployment *relay.Deployment) {
+	deployment.Tenants = map[string]decide.Tenant{}
+	quotas := object.GetArray("specifics", "tenantQuotaConnections")
+	for i, tenant := range object.GetArray("realms") {
+		info := decide.TenantInfo{ServiceShare: tenant.GetFloat64("portion")}
 		if i < len(quotas) {
 			info.ConnectionQuota = quotas[i].GetFloat64()
 		}
-		n.Tenants[string(t.GetStringBytes("name"))] = decide.Tenant(i)
-		set.Tenants = append(set.Tenants, info)
+		deployment.Tenants[string(tenant.GetStringBytes("name"))] = decide.Tenant(i)
+		deployment.Settings.Tenants = append(deployment.Settings.Tenants, info)
 	}
-	// Which report value tells load over capacity is said in words only.
-	for key, meaning := range map[string]string{
-		"x0": string(p.GetStringBytes("specifics", "reportX0")),
-		"x1": string(p.GetStringBytes("specifics", "reportX1")),
+}
+
+// decodeLoadKey finds which value of a load report is load over capacity: the settings say so in words only.
+// The later of two keys wins that both say so.
+func decodeLoadKey(object *fastjson.Value) (key string) {
+	for _, one := range []struct{ key, meaning string }{
+		{"x0", string(object.GetStringBytes("specifics", "reportX0"))},
+		{"x1", string(object.GetStringBytes("specifics", "reportX1"))},
 	} {
-		if strings.HasPrefix(meaning, "load") {
-			n.LoadField = key
+		if strings.HasPrefix(one.meaning, "load") {
+			key = one.key
 		}
 	}
-	n.Settings = set
-	return n
+	return key
 }
 
-func durationAt(p *fastjson.Value, keys ...string) time.Duration {
-	return relay.Duration(p.GetFloat64(keys...))
+// durationAt reads a number of milliseconds.
+func durationAt(object *fastjson.Value, keys ...string) time.Duration {
+	return relay.Duration(object.GetFloat64(keys...))
 }
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -15,7 +15,8 @@
 	"capersail/internal/relay"
 )
 
-// wires are three servers: one takes what comes, one loses it, one says nothing. Probes are answered with no report.
+// wires are three servers: one takes what comes, one loses it, one says nothing. Probes are answered with no
+// report.
 type wires struct {
 	clock *relay.Clock
 	out   map[*relay.Request]relay.Attempt
@@ -57,11 +58,20 @@
 	}
 }
 
-// spoil returns settings in which one thing is not as any site has it: each key in turn left out, nought, negative, enormous, of
-// another type, an empty list, an empty text.
+// spoil returns settings in which one thing is not as any site has it: each key in turn left out, nought,
+// negative, enormous, of another type, an empty list, an empty text.
 func spoil(v any, path string, each func(path string)) {
 	swap := func(key string, old any, set func(any), drop func()) {
-		for name, x := range map[string]any{"0": 0, "-1": -1, "1e18": 1e18, "text": "x", "empty text": "", "empty list": []any{}, "true": true, "null": nil} {
+		for name, x := range map[string]any{
+			"0":          0,
+			"-1":         -1,
+			"1e18":       1e18,
+			"text":       "x",
+			"empty text": "",
+			"empty list": []any{},
+			"true":       true,
+			"null":       nil,
+		} {
 			set(x)
 			each(path + key + " is " + name)
 		}
@@ -84,8 +94,8 @@
 	}
 }
 
-// Whatever a customer's settings lack or say, each request gets its one answer in time, the module does not panic, and the loop comes to
-// rest between its timers.
+// Whatever a customer's settings lack or say, each request gets its one answer in time, the module does not
+// panic, and the loop comes to rest between its timers.
 func TestAnySettingsAnswerInTime(t *testing.T) {
 	text, err := os.ReadFile("../../../examples/config.json")
 	if err != nil {
@@ -96,10 +106,22 @@
 		t.Fatal(err)
 	}
 	settings := config["settings"].(map[string]any)
-	settings["realms"] = []any{map[string]any{"name": "acme", "portion": 0.6}, map[string]any{"name": "tiny", "portion": 0.01}}
-	settings["specifics"] = map[string]any{"groups": true, "tenantQuotaConnections": []any{9.0, 0.0}, "messageAimMs": []any{50.0}, "reportX0": "load"}
-	settings["classes"] = append(settings["classes"].([]any), map[string]any{"name": "once", "aimMs": 40.0, "deadlineMs": 90.0, "semantics": "single_shot"},
-		map[string]any{"name": "guarded", "aimMs": 40.0, "deadlineMs": 90.0, "semantics": "guarded", "group": "cell", "windowMs": 30.0})
+	settings["realms"] = []any{
+		map[string]any{"name": "acme", "portion": 0.6},
+		map[string]any{"name": "tiny", "portion": 0.01},
+	}
+	settings["specifics"] = map[string]any{
+		"groups":                 true,
+		"tenantQuotaConnections": []any{9.0, 0.0},
+		"messageAimMs":           []any{50.0},
+		"reportX0":               "load",
+	}
+	settings["classes"] = append(settings["classes"].([]any),
+		map[string]any{"name": "once", "aimMs": 40.0, "deadlineMs": 90.0, "semantics": "single_shot"},
+		map[string]any{
+			"name": "guarded", "aimMs": 40.0, "deadlineMs": 90.0,
+			"semantics": "guarded", "group": "cell", "windowMs": 30.0,
+		})
 	n := 0
 	play := func(what string) {
 		n++
--- a/internal/wire/simulator/values.go
+++ b/internal/wire/simulator/values.go
@@ -1,94 +1,103 @@
 package simulator
 
 import (
+	"errors"
 	"fmt"
 	"math"
+	"time"
 
 	"github.com/valyala/fastjson"
+
+	"capersail/internal/relay"
+)
+
+var (
+	errNameMissing   = errors.New("a name is missing")
+	errNumberMissing = errors.New("a number is missing")
+	errNumberRange   = errors.New("number out of range")
 )
 
-// eventValues reads an event's values by position and remembers the first that is not what it should be.
+// eventValues reads an event's values by position. One that is absent or null counts as 0, false or "". The
+// first value that is not what it should be is kept in err.
 type eventValues struct {
 	values []*fastjson.Value
 	err    error
 }
 
-func (f *eventValues) at(i int) *fastjson.Value {
-	if i >= len(f.values) || f.values[i].Type() == fastjson.TypeNull {
+// at is the value at a position, nil if it is absent or null.
+func (v *eventValues) at(i int) *fastjson.Value {
+	if i >= len(v.values) || v.values[i].Type() == fastjson.TypeNull {
 		return nil
 	}
-	return f.values[i]
+	return v.values[i]
 }
 
-func (f *eventValues) fail(i int, err error) {
-	if f.err == nil {
-		f.err = fmt.Errorf("value %d: %w", i, err)
+// fail notes what is wrong with a value; nil for nothing.
+func (v *eventValues) fail(i int, err error) {
+	if err != nil && v.err == nil {
+		v.err = fmt.Errorf("value %d: %w", i, err)
 	}
 }
 
-func (f *eventValues) float(i int) float64 {
-	v := f.at(i)
-	if v == nil {
+func (v *eventValues) float(i int) float64 {
+	value := v.at(i)
+	if value == nil {
 		return 0
 	}
-	x, err := number(v)
-	if err != nil {
-		f.fail(i, err)
-	}
+	x, err := finiteNumber(value)
+	v.fail(i, err)
 	return x
 }
 
-func (f *eventValues) unsigned(i int) uint64 {
-	v := f.at(i)
-	if v == nil {
+// millis reads a number of milliseconds.
+func (v *eventValues) millis(i int) time.Duration { return relay.Duration(v.float(i)) }
+
+func (v *eventValues) unsigned(i int) uint64 {
+	value := v.at(i)
+	if value == nil {
 		return 0
 	}
-	x, err := v.Uint64()
-	if err != nil {
-		f.fail(i, err)
-	}
+	x, err := value.Uint64()
+	v.fail(i, err)
 	return x
 }
 
-func (f *eventValues) text(i int) []byte {
-	v := f.at(i)
-	if v == nil || v.Type() == fastjson.TypeNumber { // an absent tenant may be 0
-		return nil
-	}
-	s, err := v.StringBytes()
-	if err != nil {
-		f.fail(i, err)
+func (v *eventValues) boolean(i int) bool {
+	value := v.at(i)
+	if value == nil {
+		return false
 	}
-	return s
+	x, err := value.Bool()
+	v.fail(i, err)
+	return x
 }
 
-func (f *eventValues) boolean(i int) bool {
-	v := f.at(i)
-	if v == nil {
-		return false
-	}
-	x, err := v.Bool()
-	if err != nil {
-		f.fail(i, err)
+func (v *eventValues) text(i int) []byte {
+	value := v.at(i)
+	if value == nil || value.Type() == fastjson.TypeNumber { // an absent tenant may be 0
+		return nil
 	}
-	return x
+	text, err := value.StringBytes()
+	v.fail(i, err)
+	return text
 }
 
-func (f *eventValues) requiredText(i int) []byte {
-	s := f.text(i)
-	if len(s) == 0 {
-		f.fail(i, fmt.Errorf("a name is missing"))
+func (v *eventValues) requiredText(i int) []byte {
+	text := v.text(i)
+	if len(text) == 0 {
+		v.fail(i, errNameMissing)
 	}
-	return s
+	return text
 }
 
-func number(v *fastjson.Value) (float64, error) {
-	if v == nil {
-		return 0, fmt.Errorf("a number is missing")
+// finiteNumber reads a number that is none of NaN and the infinities.
+func finiteNumber(value *fastjson.Value) (float64, error) {
+	if value == nil {
+		return 0, errNumberMissing
 	}
-	x, err := v.Float64()
+	x, err := value.Float64()
 	if err == nil && (math.IsNaN(x) || math.IsInf(x, 0)) {
-		err = fmt.Errorf("number out of range")
+		err = errNumberRange
 	}
 	return x, err
 }
