--- a/internal/lifecycle/resume.go
+++ b/internal/lifecycle/resume_config.go
@@ -1,18 +1,13 @@
 package lifecycle
 
 import (
-	"context"
 	"fmt"
-	"io"
 	"net"
-	"os"
 	"strings"
 
 	"github.com/BurntSushi/toml"
-	"github.com/rs/zerolog"
 
 	"capersail/internal/ownership"
-	"capersail/internal/resume"
 	"capersail/internal/token"
 )
 
@@ -78,80 +73,6 @@
 	return t, nil
 }
 
-// readTokenKeys reads a key file of tokens.
-func readTokenKeys(path string) (*token.KeyRing, error) {
-	text, err := readSecretFile(path)
-	if err != nil {
-		return nil, err
-	}
-	return token.ParseKeyFile(text)
-}
-
-// readSecretFile reads a file with secrets. Its mode is asked of the file that is read, not of its name.
-func readSecretFile(path string) ([]byte, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	info, err := f.Stat()
-	if err != nil {
-		return nil, err
-	}
-	if err := token.CheckKeyFileMode(info); err != nil {
-		return nil, err
-	}
-	return io.ReadAll(io.LimitReader(f, token.MaxKeyFileSize))
-}
-
-// ownershipCloseTimeout is how long the end of the session with the claim service is waited for, in ms; it ends by itself
-// too, but later.
-const ownershipCloseTimeout = 150.0
-
-// resumePart is moving with a token as a part.
-func resumePart(path string, c *Config, log zerolog.Logger) (*part, error) {
-	if c == nil {
-		return nil, fmt.Errorf("%s: LB_CONFIG is not set: only the platform's front moves with a token", path)
-	}
-	t, err := ReadResumeConfig(path)
-	if err != nil {
-		return nil, err
-	}
-	log = log.With().Str("part", "resume").Logger()
-	var service *resume.Service
-	return &part{
-		name: "resume",
-		join: func(s *frontSeam) {
-			if s.platform != nil {
-				service = resume.New(t.serviceConfig(s.relay), t.keyRing, s.clock, log)
-				s.platform.Resume = service
-			}
-		},
-		start: func(ctx context.Context) error {
-			go service.Run(ctx)
-			return nil
-		},
-		reload: func() (func(), error) {
-			n, err := ReadResumeConfig(path)
-			if err != nil {
-				return nil, err
-			}
-			return func() {
-				service.SetKeys(n.keyRing)
-				service.SetServers(n.Servers)
-				log.Info().Str("sealing", n.keyRing.SealingKeyID()).Strs("claims", n.Servers).
-					Bool("needs_restart", n.restartOnly() != t.restartOnly()).Msg("reloaded resume")
-			}, nil
-		},
-		leave: func() { service.Close(ownershipCloseTimeout) },
-	}, nil
-}
-
-func (t *ResumeConfig) serviceConfig(relay string) resume.Config {
-	return resume.Config{Relay: relay, Servers: t.Servers, Path: t.Path, SessionTimeout: t.SessionMs, AcquireTimeout: t.ClaimMs,
-		TokenLifetime: t.LifeMs, TokenRenewInterval: t.RenewMs, MaxClockSkew: t.SkewMs, SweepInterval: t.SweepMs, AllServersResume: t.EveryServer}
-}
-
 // restartOnly is what of the file a reload does not take in.
 func (t *ResumeConfig) restartOnly() string {
 	return fmt.Sprint(t.Path, t.SessionMs, t.LifeMs, t.RenewMs, t.ClaimMs, t.SkewMs, t.SweepMs, t.EveryServer)
--- a/internal/lifecycle/timeline.go
+++ b/internal/lifecycle/timeline_part.go
@@ -4,9 +4,7 @@
 	"context"
 	"fmt"
 	"os"
-	"path/filepath"
 	"sync"
-	"time"
 
 	"github.com/rs/zerolog"
 
@@ -17,39 +15,6 @@
 	"capersail/internal/store"
 )
 
-// TimelineConfig is the operator's file for time lines; deploy/timeline.toml says what each key means.
-type TimelineConfig struct {
-	Socket     string `toml:"socket"`
-	Store      string `toml:"store"`
-	StoreMB    int64  `toml:"store_mb"`
-	StoreHours int64  `toml:"store_hours"`
-	Buffer     int    `toml:"buffer"`
-	Servers    int    `toml:"servers"`
-}
-
-// ReadTimelineConfig reads the file. The error has every problem, each with its key.
-func ReadTimelineConfig(path string) (*TimelineConfig, error) {
-	t := &TimelineConfig{StoreMB: 256, StoreHours: 72, Buffer: 8192, Servers: 512}
-	f, err := decodeFile(path, t)
-	if err != nil {
-		return nil, err
-	}
-	bad := f.addIf
-	bad(t.Socket != "" && !filepath.IsAbs(t.Socket), "socket: %q is not a path from / on", t.Socket)
-	bad(len(t.Socket) > 100, "socket: over 100 bytes; the kernel takes no more")
-	bad(t.Store != "" && !filepath.IsAbs(t.Store), "store: %q is not a path from / on", t.Store)
-	bad(t.StoreMB < 4 || t.StoreMB > 1<<20, "store_mb: from 4 to 1048576")
-	bad(t.StoreHours < 1 || t.StoreHours > 24*366, "store_hours: from 1 to 8784")
-	bad(t.Buffer < 64 || t.Buffer > 1<<20, "buffer: from 64 to 1048576 records")
-	bad(t.Servers < 1 || t.Servers > 100_000, "servers: from 1 to 100000")
-	return t, f.err()
-}
-
-// options bound the store.
-func (t *TimelineConfig) options() store.Options {
-	return store.Options{MaxBytes: t.StoreMB << 20, MaxAge: time.Duration(t.StoreHours) * time.Hour}
-}
-
 // timelinePart is time lines as a part.
 func timelinePart(path string, _ *Config, log zerolog.Logger) (*part, error) {
 	t, err := ReadTimelineConfig(path)
--- a/internal/lifecycle/xmpp.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -6,9 +6,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
-	"strings"
 
-	"github.com/BurntSushi/toml"
 	"github.com/rs/zerolog"
 
 	"capersail/decide"
@@ -18,86 +16,48 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// XMPPConfig is the operator's file for the XMPP front.
-type XMPPConfig struct {
-	Listen      string `toml:"listen"`
-	Certificate string `toml:"certificate"`
-	Key         string `toml:"key"`
-	Plaintext   bool   `toml:"plaintext"`
-	Sockets     int    `toml:"sockets"`
-	Zone        string `toml:"zone"`
-	Zones       []string
-	Me          int     `toml:"me"`
-	Relays      int     `toml:"relays"`
-	SilentMs    float64 `toml:"silent_ms"`
-	ConnectMs   float64 `toml:"connect_ms"`
-	MaxRetryMs  float64 `toml:"max_retry_after_ms"`
-	ZooKeeper   struct {
-		Servers   []string
-		Path      string
-		SessionMs float64 `toml:"session_ms"`
-	}
-	Class []struct {
-		Name       string
-		SetupMs    float64 `toml:"setup_ms"`
-		DeadlineMs float64 `toml:"deadline_ms"`
-		Worth      float64
-	}
-	Host []struct {
-		To, Class, Tenant, Key string
-	}
-}
-
-// ReadXMPPConfig reads the operator's file. An error names the key.
-func ReadXMPPConfig(path string) (*XMPPConfig, error) {
-	o := &XMPPConfig{Relays: 1, SilentMs: 5000, ConnectMs: 1000, MaxRetryMs: 5000, Sockets: 1024}
-	meta, err := toml.DecodeFile(path, o)
+// startXMPP starts the XMPP front with a core of its own.
+func startXMPP(ctx context.Context, from Sources, o *XMPPConfig, all partList, log zerolog.Logger) (*runningFront, error) {
+	site, hosts := o.Deployment()
+	secure, err := o.tlsConfig()
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, err
 	}
-	for _, key := range meta.Undecoded() {
-		return nil, fmt.Errorf("%s: %s: unknown key", path, key)
+	clock := relay.NewClock()
+	servers := &xmpp.Servers{Clock: clock, ConnectTimeout: o.ConnectMs, ProbeTo: o.Host[0].To, Silent: o.SilentMs, Log: log}
+	x := relay.NewRequestTable(site, clock, servers)
+	all.join(&frontSeam{front: "xmpp", relay: "xmpp", requests: x, clock: clock})
+	lister := zookeeper.NewClient(o.ensemble(), x, log)
+	x.UpdateEndpoints(decide.Cached, nil)
+	lister.Watch() // there is no cached list to begin with
+	l, err := net.Listen("tcp", o.Listen)
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
 	}
-	classes := map[string]bool{}
-	for _, c := range o.Class {
-		if c.Name == "" || !(c.SetupMs > 0) || !(c.DeadlineMs >= c.SetupMs) {
-			return nil, fmt.Errorf("%s: class: name, setup_ms and a deadline_ms no shorter are wanted", path)
+	door := connlimit.New(clock, connectionCapacity(o.Sockets, false), log)
+	front := &xmpp.Front{X: x, Hosts: hosts, Gate: door}
+	front.TLS.Store(secure)
+	go lister.Run(ctx)
+	go relay.NewEventLoop(x, rand.Uint64(), lister, log).Run(ctx)
+	r := &runningFront{requests: x, listener: l, limiter: door, serveFailed: make(chan error, 1), longestDeadline: longestDeadline(site)}
+	r.reload = func() error {
+		n, err := ReadXMPPConfig(from.XMPP)
+		if err != nil {
+			return err
 		}
-		classes[c.Name] = true
-	}
-	for _, h := range o.Host {
-		if h.To == "" || !classes[h.Class] {
-			return nil, fmt.Errorf("%s: host.class: %q of host %q is no class of this file", path, h.Class, h.To)
+		secure, err := n.tlsConfig()
+		if err != nil {
+			return fmt.Errorf("%s: %w", from.XMPP, err)
 		}
+		lister.Move(n.ensemble())
+		front.TLS.Store(secure)
+		door.SetDescriptorLimit(connectionCapacity(n.Sockets, false))
+		log.Info().Strs("zookeeper", n.ZooKeeper.Servers).Bool("needs_restart", n.restartOnly() != o.restartOnly()).Msg("reloaded XMPP")
+		return nil
 	}
-	bad := ""
-	_, _, address := net.SplitHostPort(o.Listen)
-	switch {
-	case address != nil:
-		bad = "listen: " + address.Error()
-	case o.Certificate == "" && !o.Plaintext:
-		bad = "certificate: not set, and plaintext is not allowed"
-	case (o.Certificate == "") != (o.Key == ""):
-		bad = "key: certificate and key go together"
-	case len(o.ZooKeeper.Servers) == 0:
-		bad = "zookeeper.servers: at least one is wanted"
-	case !strings.HasPrefix(o.ZooKeeper.Path, "/"):
-		bad = "zookeeper.path: a path from / on is wanted"
-	case !(o.ZooKeeper.SessionMs >= 100):
-		bad = "zookeeper.session_ms: 100 at least"
-	case len(o.Host) == 0:
-		bad = "host: at least one is wanted"
-	case !(o.SilentMs >= 100 && o.SilentMs <= 7000):
-		bad = "silent_ms: from 100 to 7000"
-	case !(o.ConnectMs > 0):
-		bad = "connect_ms: more than 0"
-	case o.Sockets < minSockets:
-		bad = fmt.Sprintf("sockets: %d at least", minSockets)
-	}
-	if bad != "" {
-		return nil, fmt.Errorf("%s: %s", path, bad)
-	}
-	return o, nil
+	go func() { r.serveFailed <- front.Serve(l) }()
+	log.Info().Str("listen", l.Addr().String()).Msg("serving XMPP")
+	return r, nil
 }
 
 // Deployment turns the file into the module's settings. Every class is Unsafe there: once a client's SASL bytes
@@ -155,52 +115,3 @@
 	}
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
-
-// restartOnly is what of the file a reload does not take in: the module's settings and the address.
-func (o *XMPPConfig) restartOnly() string {
-	return fmt.Sprint(o.Listen, o.Zone, o.Zones, o.Me, o.Relays, o.SilentMs, o.ConnectMs, o.MaxRetryMs, o.Class, o.Host)
-}
-
-// startXMPP starts the XMPP front with a core of its own.
-func startXMPP(ctx context.Context, from Sources, o *XMPPConfig, all partList, log zerolog.Logger) (*runningFront, error) {
-	site, hosts := o.Deployment()
-	secure, err := o.tlsConfig()
-	if err != nil {
-		return nil, err
-	}
-	clock := relay.NewClock()
-	servers := &xmpp.Servers{Clock: clock, ConnectTimeout: o.ConnectMs, ProbeTo: o.Host[0].To, Silent: o.SilentMs, Log: log}
-	x := relay.NewRequestTable(site, clock, servers)
-	all.join(&frontSeam{front: "xmpp", relay: "xmpp", requests: x, clock: clock})
-	lister := zookeeper.NewClient(o.ensemble(), x, log)
-	x.UpdateEndpoints(decide.Cached, nil)
-	lister.Watch() // there is no cached list to begin with
-	l, err := net.Listen("tcp", o.Listen)
-	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
-	}
-	door := connlimit.New(clock, connectionCapacity(o.Sockets, false), log)
-	front := &xmpp.Front{X: x, Hosts: hosts, Gate: door}
-	front.TLS.Store(secure)
-	go lister.Run(ctx)
-	go relay.NewEventLoop(x, rand.Uint64(), lister, log).Run(ctx)
-	r := &runningFront{requests: x, listener: l, limiter: door, serveFailed: make(chan error, 1), longestDeadline: longestDeadline(site)}
-	r.reload = func() error {
-		n, err := ReadXMPPConfig(from.XMPP)
-		if err != nil {
-			return err
-		}
-		secure, err := n.tlsConfig()
-		if err != nil {
-			return fmt.Errorf("%s: %w", from.XMPP, err)
-		}
-		lister.Move(n.ensemble())
-		front.TLS.Store(secure)
-		door.SetDescriptorLimit(connectionCapacity(n.Sockets, false))
-		log.Info().Strs("zookeeper", n.ZooKeeper.Servers).Bool("needs_restart", n.restartOnly() != o.restartOnly()).Msg("reloaded XMPP")
-		return nil
-	}
-	go func() { r.serveFailed <- front.Serve(l) }()
-	log.Info().Str("listen", l.Addr().String()).Msg("serving XMPP")
-	return r, nil
-}
