--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestGroupsMeet(t *testing.T) {
+func TestGroupsMeetOnFewServers(t *testing.T) {
 	set := settings()
 	set.GroupAffinity = true
 	loads := map[ServerID]float64{}
@@ -20,19 +20,19 @@
 		at := map[ServerID]bool{}
 		for seed := range uint64(10) {
 			r := newRelay(t, set, seed, 12)
-			req := ask(1)
+			req := newRequest(1)
 			req.Group = group
 			on := r.place(req, loads)
 			at[on], spots[on] = true, true
 		}
 		if len(at) != 1 {
-			t.Errorf("group %d was spread over %d backends by ten relays", group, len(at))
+			t.Errorf("group %d was spread over %d servers by ten relays", group, len(at))
 		}
 	}
 	if len(spots) < 3 {
-		t.Errorf("eight groups share %d backends", len(spots))
+		t.Errorf("eight groups share %d servers", len(spots))
 	}
-	// In an overload a group must not take whatever has room: each further backend pays for it again.
+	// In an overload a group must not take whatever has room: each further server pays for it again.
 	for i := range loads {
 		loads[i] = 0.62
 	}
@@ -40,25 +40,26 @@
 	for seed := range uint64(60) {
 		r := newRelay(t, set, seed, 12)
 		for i := range ServerID(12) { // everything is in the pool, all but the group's own with more room
-			r.do(ProbeResult{Server: i, Report: LoadReport{Load: 0.3, InFlight: 6, ErrorsPerSecond: -1, CPUUtilization: -1}})
+			r.do(ProbeResult{Server: i, Report: loadReport(0.3, 6)})
 		}
-		req := ask(1)
+		req := newRequest(1)
 		req.Group = 5
 		for _, id := range slices.Clone(r.b.dispatch.affinity.groupSubset(5, 1)) {
-			r.do(ProbeResult{Server: id, Report: LoadReport{Load: 0.62, InFlight: 12, ErrorsPerSecond: -1, CPUUtilization: -1}})
+			r.do(ProbeResult{Server: id, Report: loadReport(0.62, 12)})
 		}
 		if on := r.place(req, loads); on >= 0 {
 			at[on] = true
 		}
 	}
 	if len(at) == 0 || len(at) > probesPerPlacement {
-		t.Errorf("a loaded group was spread over %d backends", len(at))
+		t.Errorf("a loaded group was spread over %d servers", len(at))
 	}
 }
 
-// A group whose circle is full goes on to the next four of its order before it is refused: on the days of 300 relays half of
-// all servers stood under half of their load while 300 requests a second were refused for want of room.
-func TestFullCircleGoesOn(t *testing.T) {
+// A group whose subset is full goes on to the next four of its order before it is rejected: on the days of
+// 300 relays half of all servers stood under half of their load while 300 requests a second were rejected
+// for want of room.
+func TestFullSubsetIsWidened(t *testing.T) {
 	set := settings()
 	set.GroupAffinity, set.Zones = true, 1
 	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 100, 100
@@ -73,7 +74,7 @@
 					loads[id] = 0.3
 				}
 			}
-			req := ask(1)
+			req := newRequest(1)
 			req.Group = 5
 			got := r.place(req, loads)
 			if got >= 0 {
@@ -89,9 +90,9 @@
 	}
 }
 
-// A group's circle is the first four by rank of all backends that are listed and well, whatever has been kept of it:
-// through lists that change, failures and their ends.
-func TestCircleIsTheFirstByRank(t *testing.T) {
+// A group's subset is the first four by weight of all servers that are listed and well, whatever has been
+// kept of it: through lists that change, failures and their ends.
+func TestGroupSubsetIsTheBeginningOfTheRendezvousOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	b := New(Settings{Relays: 1, Zones: 3, GroupAffinity: true, Probes: true, Tick: ms}, 1)
 	now := time.Hour
@@ -100,7 +101,12 @@
 		id := ServerID(rng.IntN(60))
 		switch rng.IntN(4) {
 		case 0:
-			b.Handle(now, WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: id, State: EndpointState(rng.IntN(3)), Zone: Zone(rng.IntN(3)), RendezvousKey: uint64(id)*7919 + 1}}}, nil)
+			b.Handle(now, WatchEvent{Kind: Delta, Endpoints: []Endpoint{{
+				Server:        id,
+				State:         EndpointState(rng.IntN(3)),
+				Zone:          Zone(rng.IntN(3)),
+				RendezvousKey: uint64(id)*7919 + 1,
+			}}}, nil)
 		case 1:
 			b.now = now
 			s := b.endpoints.stateOf(id)
@@ -110,7 +116,8 @@
 		group := 1 + uint64(rng.IntN(20))
 		var want []ServerID
 		for i := range b.endpoints.servers {
-			if s := &b.endpoints.servers[i]; s.zoneIndex >= 0 && !(s.health.ejected && now < s.health.ejectedUntil) {
+			s := &b.endpoints.servers[i]
+			if s.zoneIndex >= 0 && !(s.health.ejected && now < s.health.ejectedUntil) {
 				want = append(want, ServerID(i))
 			}
 		}
@@ -119,7 +126,8 @@
 			return (r ^ r>>29) * 0xbf58476d1ce4e5b9
 		}
 		slices.SortFunc(want, func(x, y ServerID) int { return cmp.Compare(rank(y), rank(x)) })
-		if want = want[:min(len(want), probesPerPlacement)]; !slices.Equal(b.dispatch.affinity.groupSubset(group, 1), want) {
+		want = want[:min(len(want), probesPerPlacement)]
+		if !slices.Equal(b.dispatch.affinity.groupSubset(group, 1), want) {
 			t.Fatalf("group %d: %v, want %v", group, b.dispatch.affinity.groupSubset(group, 1), want)
 		}
 	}
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -11,10 +11,15 @@
 		r := newRelay(t, settings(), 77, 9)
 		loads := map[ServerID]float64{0: 0.2, 1: 0.3, 2: 0.4, 5: 0.2, 7: 0.6}
 		for id := RequestID(1); id < 60; id++ {
-			acts := r.answer(r.pass(90*ms).do(ask(id)), loads)
-			for _, s := range all[Forward](acts) {
+			acts := r.answer(r.advance(90*ms).do(newRequest(id)), loads)
+			for _, s := range actionsOf[Forward](acts) {
 				if id%5 == 0 {
-					acts = append(acts, r.do(Outcome{ID: id, Server: s.Server, Status: Reset, Report: NoLoadReport})...)
+					acts = append(acts, r.do(Outcome{
+						ID:     id,
+						Server: s.Server,
+						Status: Reset,
+						Report: NoLoadReport,
+					})...)
 				}
 			}
 			log = append(log, acts...)
@@ -30,10 +35,17 @@
 	for _, set := range []Settings{{}, {Relays: -3, Zones: -1, Zone: 7, MaxAttempts: -2},
 		{Classes: []ClassInfo{{}}, Rules: Rules{SlowStartCapacity: 9, SlowStartWindow: -1}, Probes: true}} {
 		r := newRelay(t, set, 1, 3)
-		r.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 1, State: Ready, StartedAt: r.now, Zone: 99}}})
-		acts := r.answer(r.do(Request{ID: 1, Class: 5, Tenant: 8, TimeLeft: time.Second}), map[ServerID]float64{0: 0.1, 2: 0.1})
-		acts = append(acts, r.pass(time.Second).do(TimerFired{Token: 1 * timerKinds})...)
-		if len(all[Forward](acts))+len(all[Reject](acts))+len(all[Fail](acts)) != 1 {
+		r.do(WatchEvent{
+			Kind: Delta, Endpoints: []Endpoint{{Server: 1, State: Ready, StartedAt: r.now, Zone: 99}},
+		})
+		acts := r.answer(r.do(Request{
+			ID:       1,
+			Class:    5,
+			Tenant:   8,
+			TimeLeft: time.Second,
+		}), map[ServerID]float64{0: 0.1, 2: 0.1})
+		acts = append(acts, r.advance(time.Second).do(TimerFired{Token: 1 * timerKinds})...)
+		if len(actionsOf[Forward](acts))+len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 1 {
 			t.Errorf("%+v: %v", set, acts)
 		}
 	}
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// busy is a relay under load: 1,000 requests a second, each held for 10 s, on so many servers, all of which answer
-// probes at once with a load that follows what is held there. step is one request and all that comes of it.
+// busy is a relay under load: 1,000 requests a second, each held for 10 s, on so many servers, all of which
+// answer probes at once with a load that follows what is held there. step is one request and all that comes
+// of it.
 type busy struct {
 	b       *Balancer
 	now     time.Duration
@@ -29,11 +30,14 @@
 func newBusy(servers int, groups bool) *busy {
 	set := settings()
 	set.Relays, set.GroupAffinity, set.Tick, set.ReportsMessageDelay = 1, groups, 5*ms, false
-	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 20_000, 20_000 // 10,000 connections are a fifth of all capacity
+	// 10,000 connections are a fifth of all capacity
+	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 20_000, 20_000
 	y := &busy{b: New(set, 1), now: time.Hour, groups: groups, load: make([]float64, servers)}
 	var list []Endpoint
 	for i := range servers {
-		list = append(list, Endpoint{Server: ServerID(i), State: Ready, RendezvousKey: (uint64(i) + 1) * 0x9e3779b97f4a7c15})
+		list = append(list, Endpoint{
+			Server: ServerID(i), State: Ready, RendezvousKey: (uint64(i) + 1) * 0x9e3779b97f4a7c15,
+		})
 		y.load[i] = 0.35 + 0.001*float64(i%100)
 	}
 	y.in(WatchEvent{Kind: Snapshot, Endpoints: list})
@@ -56,7 +60,13 @@
 		y.backlog = y.backlog[1:]
 		switch a := a.(type) {
 		case Probe:
-			y.backlog = y.b.Handle(y.now, ProbeResult{Server: a.Server, Latency: ms, Report: LoadReport{Load: y.load[a.Server] + 0.2*float64(len(y.load)*len(y.b.endpoints.servers[a.Server].connections))/10_000, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, y.backlog)
+			held := len(y.b.endpoints.servers[a.Server].connections)
+			load := y.load[a.Server] + 0.2*float64(len(y.load)*held)/10_000
+			y.backlog = y.b.Handle(y.now, ProbeResult{
+				Server:  a.Server,
+				Latency: ms,
+				Report:  loadReport(load, -1),
+			}, y.backlog)
 		case Forward:
 			y.backlog = y.b.Handle(y.now, Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * ms}, y.backlog)
 			y.ends, y.at = append(y.ends, a.ID), append(y.at, a.Server)
@@ -88,8 +98,8 @@
 	y.in(r)
 }
 
-// What one request costs the module, with all that comes of it, by the number of servers: it must not grow with the
-// fleet.
+// What one request costs the module, with all that comes of it, by the number of servers: it must not grow
+// with the fleet.
 func BenchmarkRequest(b *testing.B) {
 	for _, groups := range []bool{false, true} {
 		for _, servers := range []int{10, 90, 1000, 5000} {
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"capersail/decide"
 )
 
-// A relay with one backend asks for its load first, and places the connection by the answer.
+// A relay with one server asks for its load first, and places the connection by the answer.
 func Example() {
 	b := decide.New(decide.Settings{
 		Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, Tick: time.Millisecond,
@@ -15,22 +15,26 @@
 	}, 7)
 	now := time.Second
 	events := []decide.Event{
-		decide.WatchEvent{Kind: decide.Snapshot, Endpoints: []decide.Endpoint{{Server: 0, State: decide.Ready}}},
+		decide.WatchEvent{
+			Kind: decide.Snapshot, Endpoints: []decide.Endpoint{{Server: 0, State: decide.Ready}},
+		},
 		decide.Request{ID: 1, Tenant: decide.NoTenant, TimeLeft: time.Second},
-		decide.ProbeResult{Server: 0, Latency: 2 * time.Millisecond, Report: decide.LoadReport{Load: 0.4, InFlight: 9}},
+		decide.ProbeResult{
+			Server: 0, Latency: 2 * time.Millisecond, Report: decide.LoadReport{Load: 0.4, InFlight: 9},
+		},
 	}
 	for _, ev := range events {
 		for _, act := range b.Handle(now, ev, nil) {
 			switch a := act.(type) {
 			case decide.Probe:
-				fmt.Println("probe backend", a.Server)
+				fmt.Println("probe server", a.Server)
 			case decide.Forward:
-				fmt.Println("send request", a.ID, "to backend", a.Server)
+				fmt.Println("send request", a.ID, "to server", a.Server)
 			}
 		}
 		now += 2 * time.Millisecond
 	}
 	// Output:
-	// probe backend 0
-	// send request 1 to backend 0
+	// probe server 0
+	// send request 1 to server 0
 }
--- a/decide/golden_course_test.go
+++ b/decide/golden_course_test.go
@@ -9,11 +9,11 @@
 
 // goldenServer is a server as the course plays it.
 type goldenServer struct {
-	entry  Endpoint
-	base   float64 // its load beside what this relay opens there
-	slow   time.Duration
-	health goldenHealth
-	open   int
+	endpoint Endpoint
+	base     float64 // its load beside what this relay opens there
+	slow     time.Duration
+	health   goldenHealth
+	open     int
 }
 
 type goldenHealth int
@@ -53,8 +53,8 @@
 	servers []goldenServer
 	conns   []goldenConn // by request's number less one
 	steps   int
-	gap     time.Duration // mean time between steps
-	weights []int         // of the kinds of step
+	gap     time.Duration    // mean time between steps
+	weights [goldenSteps]int // how likely each kind of step is
 	groups  int
 	keys    int
 	trouble float64 // part of servers that are not well, in bad times
@@ -76,92 +76,6 @@
 
 func goldenPick[T any](c *goldenCourse, of ...T) T { return of[c.n(len(of))] }
 
-// newGoldenCourse draws settings, servers and the character of a course.
-func newGoldenCourse(t *testing.T, seed uint64) *goldenCourse {
-	c := &goldenCourse{
-		t:    t,
-		rng:  rand.New(rand.NewPCG(seed, 0x601d)),
-		now:  time.Minute,
-		hash: 14695981039346656037, // the offset of FNV-1a
-	}
-	c.set = c.drawSettings(seed)
-	servers := 1 + c.n(12)
-	if seed%4 == 0 {
-		servers = 1 + c.n(60)
-	}
-	if seed%40 == 11 { // a pool of more readings than a placement looks at
-		servers, c.set.GroupAffinity = 300, false
-	}
-	c.perConn = goldenPick(c, 0.002, 0.02, 0.06)
-	c.reports = goldenPick(c, 0, 0, 0, 1, 2, 3)
-	c.answers = goldenPick(c, 0, 1, 2)
-	c.steps = 1500
-	c.gap = goldenPick(c, 2*ms, 15*ms, 60*ms, 400*ms)
-	c.groups, c.keys = goldenPick(c, 1, 5, 40), goldenPick(c, 3, 200)
-	c.trouble = goldenPick(c, 0, 0.05, 0.3, 0.8)
-	c.life = goldenPick(c, time.Second, 10*time.Second, 200*time.Second)
-	//              request told fleet members health gone inherited notes delay odd
-	c.weights = []int{60, 6, 2, 3, 4, 3, 2, 2, 4, 1}
-	switch seed % 40 {
-	case 11:
-		c.steps, c.gap, c.trouble, c.weights = 3000, 2*time.Millisecond, 0, []int{60, 600, 2, 1, 0, 3, 2, 2, 4, 1}
-	case 12: // more failing keys than are remembered
-		servers, c.steps, c.keys, c.trouble = 1, 3500, 1<<40, 1
-	case 13: // more groups than orders are kept of
-		servers, c.steps, c.groups, c.set.GroupAffinity, c.set.Probes = 3, 7000, 1<<40, true, true
-	case 14: // groups whose order begins with servers that are ill
-		servers, c.groups, c.set.GroupAffinity, c.set.Probes, c.trouble = 60, 5, true, true, 1
-		c.gap, c.weights = 15*time.Millisecond, []int{60, 0, 1, 2, 20, 3, 0, 0, 0, 1}
-	}
-	heat := goldenPick(c, 0, 0.2, 0.5, 0.7, 0.9)
-	for i := range servers {
-		e := Endpoint{Server: ServerID(i), State: Ready, Zone: Zone(c.n(max(c.set.Zones, 1))), Cell: int32(i / 2),
-			RendezvousKey: c.rng.Uint64()}
-		c.servers = append(c.servers, goldenServer{entry: e, base: heat + 0.2*c.rng.Float64(),
-			slow: goldenPick(c, 2*ms, 2*ms, 8*ms)})
-	}
-	c.b = New(c.set, seed*7919+1)
-	return c
-}
-
-func (c *goldenCourse) drawSettings(seed uint64) Settings {
-	if seed%80 == 79 { // settings that make no sense
-		return Settings{RelayIndex: -3, Relays: -2, Zone: -1, Zones: -4, MaxAttempts: -1, Probes: seed%160 == 79,
-			Rules: Rules{SlowStartCapacity: 9, SlowStartWindow: -1}}
-	}
-	relays := goldenPick(c, 1, 2, 3, 10, 40, 80, 300)
-	zones := goldenPick(c, 1, 1, 2, 3, 5)
-	set := Settings{
-		RelayIndex: c.n(relays), Relays: relays, Zone: Zone(c.n(zones)), Zones: zones,
-		Classes: []ClassInfo{
-			{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, MessageLatencyObjective: 50 * ms},
-			{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Idempotency: NonIdempotent},
-			{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: time.Second},
-			{LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeZone,
-				DedupWindow: 3 * time.Second},
-			{LatencyObjective: 250 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupWindow: 200 * ms},
-		},
-		MaxAttempts: goldenPick(c, 1, 2, 2, 3, 3), Probes: seed%5 != 4, RetryAfter: c.chance(0.8),
-		MaxRetryAfter:  goldenPick(c, 0, time.Second, 5*time.Second),
-		ConnectTimeout: goldenPick(c, 0, 100*ms, 300*ms),
-		Tick:           goldenPick(c, 0, ms, 5*ms, 20*ms),
-		GroupAffinity:  seed%3 == 0, ReportsMessageDelay: c.chance(0.5), MustSubscribe: c.chance(0.6),
-		Rules: Rules{
-			PollWithin:        goldenPick(c, 0, 5*time.Second, 10*time.Second),
-			SlowStartCapacity: goldenPick(c, 0, 0.1, 0.25),
-			SlowStartWindow:   goldenPick(c, 0, 2*time.Second, 8*time.Second, 20*time.Second),
-			OverloadFactor:    goldenPick(c, 2.0, 3.0),
-			OverloadWindow:    goldenPick(c, 0, time.Second, 3*time.Second),
-		},
-		Prices:                  Prices{CrossZone: goldenPick(c, 0, 0.05, 0.5), Probe: 0.002, Move: 0.02},
-		OverQuotaPriorityWeight: 0.5,
-	}
-	for range goldenPick(c, 0, 1, 2, 4) {
-		set.Tenants = append(set.Tenants, TenantInfo{ServiceShare: 0.25, ConnectionQuota: goldenPick(c, 0, 40.0, 500.0, 20000.0)})
-	}
-	return set
-}
-
 // play begins with a list, of one kind or another, draws steps, and lets all that is under way end.
 func (c *goldenCourse) play() {
 	if c.chance(0.5) {
@@ -264,8 +178,13 @@
 	case Fail:
 		c.conn(a.ID).over = true
 	case Migrate:
-		c.after(c.upTo(20*ms), Outcome{ID: a.ID, Server: ServerID(c.conn(a.ID).on), Status: Cancelled, Closed: true,
-			Report: NoLoadReport})
+		c.after(c.upTo(20*ms), Outcome{
+			ID:     a.ID,
+			Server: ServerID(c.conn(a.ID).on),
+			Status: Cancelled,
+			Closed: true,
+			Report: NoLoadReport,
+		})
 		if c.chance(0.7) {
 			c.after(30*ms+c.upTo(200*ms), c.drawRequest(0, true))
 		}
@@ -320,7 +239,7 @@
 	case c.reports == 2:
 		return LoadReport{Load: -1, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: load}
 	case c.reports == 1:
-		return LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}
+		return loadReport(load, -1)
 	}
 	return LoadReport{Load: load, InFlight: load * 30, ErrorsPerSecond: 0, CPUUtilization: load / 2}
 }
@@ -359,12 +278,27 @@
 func (c *goldenCourse) list(part float64) (list []Endpoint) {
 	for i := range c.servers {
 		if part == 1 || c.chance(part) {
-			list = append(list, c.servers[i].entry)
+			list = append(list, c.servers[i].endpoint)
 		}
 	}
 	return list
 }
 
+// The kinds of step, as the weights of a course count them.
+const (
+	goldenRequest = iota
+	goldenGossip
+	goldenFleet
+	goldenList
+	goldenHealthChange
+	goldenGone
+	goldenInherited
+	goldenLoadNote
+	goldenDelay
+	goldenOdd
+	goldenSteps
+)
+
 // step draws one thing that happens.
 func (c *goldenCourse) step() {
 	sum := 0
@@ -377,17 +311,17 @@
 		kind++
 	}
 	switch kind {
-	case 0:
+	case goldenRequest:
 		c.handle(c.drawRequest(0, false))
-	case 1:
-		c.handle(c.drawTold())
-	case 2:
+	case goldenGossip:
+		c.handle(c.drawGossip())
+	case goldenFleet:
 		c.handle(c.drawFleet())
-	case 3:
+	case goldenList:
 		c.changeList()
-	case 4:
+	case goldenHealthChange:
 		c.changeHealth()
-	case 5:
+	case goldenGone:
 		if len(c.conns) > 0 {
 			id := RequestID(1 + len(c.conns) - 1 - c.n(min(len(c.conns), 50)))
 			if conn := c.conn(id); !conn.over {
@@ -395,85 +329,29 @@
 				c.handle(ClientGone{ID: id})
 			}
 		}
-	case 6:
+	case goldenInherited:
 		c.inherit()
-	case 7:
+	case goldenLoadNote:
 		if len(c.conns) > 0 {
-			c.handle(ConnectionLoad{ID: RequestID(1 + c.n(len(c.conns))), Server: c.anyServer(), Load: c.rng.Float64()})
+			c.handle(ConnectionLoad{
+				ID: RequestID(1 + c.n(len(c.conns))), Server: c.anyServer(), Load: c.rng.Float64(),
+			})
 		}
-	case 8:
+	case goldenDelay:
 		if len(c.conns) > 0 {
 			id := RequestID(1 + c.n(len(c.conns)))
 			c.handle(MessageDelay{ID: id, Server: ServerID(c.conn(id).on), Delay: c.upTo(120 * ms)})
 		}
-	case 9:
+	case goldenOdd:
 		c.odd()
 	}
 }
 
 func (c *goldenCourse) anyServer() ServerID { return ServerID(c.n(len(c.servers))) }
 
-// drawRequest draws a request, and enters it with the course.
-func (c *goldenCourse) drawRequest(key uint64, returned bool) Request {
-	r := Request{
-		ID: RequestID(len(c.conns) + 1), Class: Class(c.n(5)), Tenant: Tenant(c.n(5) - 1),
-		Key: key, LoadHint: c.rng.Float64(), Returning: returned, Flow: c.chance(0.1),
-		TimeLeft: goldenPick(c, 2*time.Second, 2*time.Second, time.Second, c.upTo(300*ms), 4*time.Second),
-	}
-	if key == 0 && c.chance(0.7) {
-		r.Key = 1 + c.rng.Uint64N(uint64(c.keys))
-	}
-	if c.chance(0.8) {
-		r.Group = 1 + c.rng.Uint64N(uint64(c.groups))
-	}
-	c.conns = append(c.conns, goldenConn{request: r})
-	return r
-}
-
-func (c *goldenCourse) inherit() {
-	r := c.drawRequest(0, false)
-	on := c.anyServer()
-	conn := c.conn(r.ID)
-	conn.on, conn.open, conn.attempts = int(on), true, 1
-	c.servers[on].open++
-	c.handle(Inherited{Request: r, Server: on})
-	c.after(c.upTo(2*c.life), Outcome{ID: r.ID, Server: on, Status: OK, Closed: true, Report: NoLoadReport})
-}
-
-func (c *goldenCourse) drawTold() GossipReading {
-	told := GossipReading{Server: c.anyServer(), Age: c.upTo(1500 * ms), Report: NoLoadReport}
-	switch {
-	case c.chance(0.7):
-		told.Report = c.report(&c.servers[told.Server])
-	case c.chance(0.05):
-		told.PlacementDelta = 700
-	default:
-		told.PlacementDelta = c.n(7) - 3
-	}
-	return told
-}
-
-func (c *goldenCourse) drawFleet() FleetStatus {
-	f := FleetStatus{Relays: goldenPick(c, 0, 1, 2, 9, 80, 300), BudgetShare: c.rng.Float64(), FarBudgetShare: c.rng.Float64() / 10,
-		PeerRequestRate: goldenPick(c, -1, 0, 20*c.rng.Float64(), 300), PeerConnections: goldenPick(c, -1, 0, c.n(2000)),
-		PeerMigrationRate: goldenPick(c, 0, 0, 5*c.rng.Float64()), SharesReadings: c.chance(0.5), SharesPlacements: c.chance(0.5)}
-	if c.chance(0.3) {
-		f.BudgetUntil = c.now + c.upTo(5*time.Second)
-	}
-	if c.chance(0.4) {
-		f.NearZones = []Zone{}
-		for z := range c.set.Zones {
-			if c.chance(0.5) {
-				f.NearZones = append(f.NearZones, Zone(z))
-			}
-		}
-	}
-	return f
-}
-
 // changeList lets a server start anew, drain, go, come back or change its place, and tells of it.
 func (c *goldenCourse) changeList() {
-	e := &c.servers[c.anyServer()].entry
+	e := &c.servers[c.anyServer()].endpoint
 	switch c.n(8) {
 	case 0, 1:
 		e.State, e.StartedAt = Ready, c.now-c.upTo(3*time.Second)
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -62,7 +62,8 @@
 	c.views = c.b.ProbePool(make([]PooledServer, 0, goldenPick(c, 3, 64, 400)))
 	c.add(uint64(len(c.views)))
 	for _, v := range c.views {
-		c.add(uint64(v.Server), math.Float64bits(v.EstimatedLoad), uint64(v.ReadingAge), goldenBool(v.InSlowStart))
+		c.add(uint64(v.Server), math.Float64bits(v.EstimatedLoad))
+		c.add(uint64(v.ReadingAge), goldenBool(v.InSlowStart))
 	}
 	c.add(uint64(c.b.EjectedCount()))
 }
--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -6,63 +6,73 @@
 	"time"
 )
 
-// A report is up to a second old when it is read. Twenty placed within 300 ms once counted for nothing after a
-// probe that brought the old figure again, and the server's overload went unseen for 4 s.
-func TestAnOldReadingDoesNotHidePlacements(t *testing.T) {
+// A report is up to a second old when it is read. Twenty placed within 300 ms once counted for nothing
+// after a probe that brought the old figure again, and the server's overload went unseen for 4 s.
+func TestOldReadingDoesNotHidePlacements(t *testing.T) {
 	r := newRelay(t, settings(), 1, 1)
 	r.b.load.learnedLoadPerConnection = 0.05
 	loads := map[ServerID]float64{0: 0.1}
 	for id := RequestID(1); id <= 4; id++ {
-		r.place(ask(id), loads)
+		r.place(newRequest(id), loads)
 	}
 	read := func() float64 {
-		r.do(ProbeResult{Server: 0, Latency: ms, Report: LoadReport{Load: 0.1, InFlight: 2, ErrorsPerSecond: -1, CPUUtilization: -1}})
+		r.do(ProbeResult{Server: 0, Latency: ms, Report: loadReport(0.1, 2)})
 		return r.b.load.estimatedLoad(&r.b.endpoints.servers[0])
 	}
-	if got := r.pass(loadReportDelay / 2); read() < 0.2 {
-		t.Errorf("%v after four placements: %v", loadReportDelay/2, r.b.load.estimatedLoad(&got.b.endpoints.servers[0]))
+	if got := r.advance(loadReportDelay / 2); read() < 0.2 {
+		t.Errorf("%v after four placements: %v",
+			loadReportDelay/2, r.b.load.estimatedLoad(&got.b.endpoints.servers[0]))
 	}
-	if r.pass(loadReportDelay); read() > 0.11 {
+	if r.advance(loadReportDelay); read() > 0.11 {
 		t.Error("placements are counted beside a reading that counts them")
 	}
 }
 
-// For its first second or two a server has no report yet. That was taken for a load of 0: clients were moved off a
-// server at 1.04 onto one with three times its connections. It stays to be read, and counts what is held there.
-func TestAServerWithoutAReportIsNotIdle(t *testing.T) {
+// For its first second or two a server has no report yet. That was taken for a load of 0: clients were
+// migrated off a server at 1.04 onto one with three times its connections. It stays to be read, and counts
+// what is held there.
+func TestServerWithoutALoadReportIsNotIdle(t *testing.T) {
 	set := settings()
 	set.Relays, set.Tenants[0].ConnectionQuota = 3, 60
 	r := newRelay(t, set, 1, 2)
 	for id := RequestID(1); id <= 10; id++ {
-		r.do(Inherited{Request: ask(id), Server: 0})
+		r.do(Inherited{Request: newRequest(id), Server: 0})
 	}
 	r.do(ProbeResult{Server: 0, Latency: ms, Report: NoLoadReport})
-	r.do(ProbeResult{Server: 1, Latency: ms, Report: LoadReport{Load: 0.3, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}})
-	if got := all[Forward](r.do(ask(20))); len(got) != 1 || got[0].Server != 1 {
+	r.do(ProbeResult{Server: 1, Latency: ms, Report: loadReport(0.3, -1)})
+	if got := actionsOf[Forward](r.do(newRequest(20))); len(got) != 1 || got[0].Server != 1 {
 		t.Errorf("placed as %v beside a server that holds ten and has no report", got)
 	}
-	probes := all[Probe](r.pass(2 * loadWatchInterval).do(TimerFired{Token: timerLoadWatch}))
+	probes := actionsOf[Probe](r.advance(2 * loadWatchInterval).do(TimerFired{Token: timerLoadWatch}))
 	if !slices.Contains(probes, Probe{Server: 0}) {
 		t.Errorf("the watch asks %v, not the server without a report", probes)
 	}
 }
 
-// Where no report tells a load and no tenant has a quota, every backend was reckoned at 0: a relay sent all of a group to the first
-// of its circle, whatever it held there and however long that took to answer, and a cold one got what a constant allowed.
-func TestBlindSiteSpreads(t *testing.T) {
+// Where no report tells a load and no tenant has a quota, every server was reckoned at 0: a relay sent all
+// of a group to the first of its subset, whatever it held there and however long that took to answer, and a
+// server in slow start got what a constant allowed.
+func TestSpreadsWithoutLoadReports(t *testing.T) {
 	place := func(took func(ServerID) time.Duration) map[ServerID]int {
 		set := settings()
 		set.Tenants, set.GroupAffinity, set.Relays = nil, true, 1
 		r := newRelay(t, set, 3, 8)
 		on := map[ServerID]int{}
 		for id := RequestID(1); id <= 200; id++ {
-			acts := r.pass(300 * ms).do(Request{ID: id, Tenant: NoTenant, TimeLeft: 2 * time.Second, Group: 1 + uint64(id)%2*(uint64(id)%12)})
+			acts := r.advance(300 * ms).do(Request{
+				ID:       id,
+				Tenant:   NoTenant,
+				TimeLeft: 2 * time.Second,
+				Group:    1 + uint64(id)%2*(uint64(id)%12),
+			})
 			for i := 0; i < len(acts); i++ {
 				if p, ok := acts[i].(Probe); ok {
-					acts = append(acts, r.do(ProbeResult{Server: p.Server, Latency: took(p.Server), Report: NoLoadReport})...)
+					acts = append(acts, r.do(ProbeResult{
+						Server: p.Server, Latency: took(p.Server), Report: NoLoadReport,
+					})...)
 				}
 			}
-			for _, s := range all[Forward](acts) {
+			for _, s := range actionsOf[Forward](acts) {
 				on[s.Server]++
 				r.do(Opened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
 			}
@@ -74,8 +84,8 @@
 	for _, n := range even {
 		most, used = max(most, n), used+1
 	}
-	if most > 70 || used < 5 { // half of them are one group's, which the first of its circle got all
-		t.Errorf("200 connections of seven groups over eight backends: %v", even)
+	if most > 70 || used < 5 { // half of them are one group's, which the first of its subset got all
+		t.Errorf("200 connections of seven groups over eight servers: %v", even)
 	}
 	late := place(func(id ServerID) time.Duration {
 		if id == 2 {
@@ -84,6 +94,7 @@
 		return 4 * ms
 	})
 	if late[2] > even[2]/2 {
-		t.Errorf("one that takes 120 ms to answer a probe got %d, and %d when it took 4: %v", late[2], even[2], late)
+		t.Errorf("one that takes 120 ms to answer a probe got %d, and %d when it took 4: %v",
+			late[2], even[2], late)
 	}
 }
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// A relay that holds few of the connections learnt from its own that each takes a sixth of a backend, and refused
-// most of what came from another at that one's restart. The tenants' quotas bound what it may believe. One
-// that has just started, and has learnt nothing, sent 41 in a row to one backend: they stand for it in a pick.
-func TestQuotasBoundWhatAConnectionAdds(t *testing.T) {
+// A relay that holds few of the connections learnt from its own that each takes a sixth of a server, and
+// rejected most of what came from another at that one's restart. The tenants' quotas bound what it may
+// believe. One that has just started, and has learnt nothing, sent 41 in a row to one server: they stand
+// for it in a pick.
+func TestQuotasBoundLoadPerConnection(t *testing.T) {
 	set := settings()
 	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 60, 60
 	r := newRelay(t, set, 1, 5)
@@ -13,18 +14,20 @@
 	loads := map[ServerID]float64{0: 0.1, 1: 0.1, 2: 0.1, 3: 0.1, 4: 0.1}
 	counts := map[ServerID]int{}
 	for id := RequestID(1); id <= 20; id++ {
-		for _, s := range all[Forward](r.answer(r.do(ask(id)), loads)) {
+		for _, s := range actionsOf[Forward](r.answer(r.do(newRequest(id)), loads)) {
 			counts[s.Server]++
 		}
 	}
 	for on, n := range counts {
 		if n > 8 {
-			t.Errorf("a fresh relay sent %d of 20 to backend %d", n, on)
+			t.Errorf("a fresh relay sent %d of 20 to server %d", n, on)
 		}
 	}
 	r.b.load.learnedLoadPerConnection, r.b.requests.ownConnections = 0, 3
 	for range 50 {
-		r.b.load.learnLoadPerConnection(&serverState{slowStart: slowStart{startedAt: -1}, reading: reading{load: 0.6}}, NoLoadReport)
+		r.b.load.learnLoadPerConnection(&serverState{
+			slowStart: slowStart{startedAt: -1}, reading: reading{load: 0.6},
+		}, NoLoadReport)
 	}
 	if got := r.b.load.learnedLoadPerConnection; got < mean || got > maxLoadOverQuotaMean*mean+1e-9 {
 		t.Errorf("a connection adds %.3f, by the quotas about %.3f", got, mean)
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -11,11 +11,11 @@
 			r := newRelay(t, settings(), seed, 0)
 			var last Reject
 			for id := range RequestID(failures) {
-				req := ask(id + 1)
+				req := newRequest(id + 1)
 				req.Key = 42
-				refused := all[Reject](r.do(req))
+				refused := actionsOf[Reject](r.do(req))
 				if len(refused) != 1 || refused[0].RetryAfter > time.Second {
-					t.Fatalf("want one refusal within the cap: %v", refused)
+					t.Fatalf("want one rejection within the cap: %v", refused)
 				}
 				last = refused[0]
 			}
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -5,48 +5,59 @@
 	"time"
 )
 
-func TestOneRetryElsewhereAfterJitter(t *testing.T) {
+func TestOneRetryElsewhereAfterJitteredBackoff(t *testing.T) {
 	loads := map[ServerID]float64{0: 0.1, 1: 0.2, 2: 0.3, 3: 0.3}
 	waits := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		r := newRelay(t, settings(), seed, 4)
-		first := r.place(ask(1), loads)
-		acts := r.pass(10 * ms).do(Outcome{ID: 1, Server: first, Status: Reset, Report: NoLoadReport})
-		timers := all[Timer](acts)
+		first := r.place(newRequest(1), loads)
+		acts := r.advance(10 * ms).do(Outcome{ID: 1, Server: first, Status: Reset, Report: NoLoadReport})
+		timers := actionsOf[Timer](acts)
 		if len(timers) != 1 || timers[0].After > 75*ms {
-			t.Fatalf("no back-off within a quarter of the aim: %v", acts)
+			t.Fatalf("no backoff within a quarter of the latency objective: %v", acts)
 		}
 		waits[timers[0].After] = true
-		acts = r.answer(r.pass(timers[0].After).do(TimerFired{Token: timers[0].Token}), loads)
-		sends := all[Forward](acts)
+		acts = r.answer(r.advance(timers[0].After).do(TimerFired{Token: timers[0].Token}), loads)
+		sends := actionsOf[Forward](acts)
 		if len(sends) != 1 || sends[0].Server == first {
-			t.Fatalf("second try: %v, want one on another backend than %d", acts, first)
+			t.Fatalf("second try: %v, want one on another server than %d", acts, first)
 		}
-		acts = r.pass(10 * ms).do(Outcome{ID: 1, Attempt: 1, Server: sends[0].Server, Status: Reset, Report: NoLoadReport})
-		if len(all[Reject](acts)) != 1 || len(all[Timer](acts)) != 0 {
-			t.Fatalf("after two tries: %v, want a refusal", acts)
+		acts = r.advance(10 * ms).do(Outcome{
+			ID:      1,
+			Attempt: 1,
+			Server:  sends[0].Server,
+			Status:  Reset,
+			Report:  NoLoadReport,
+		})
+		if len(actionsOf[Reject](acts)) != 1 || len(actionsOf[Timer](acts)) != 0 {
+			t.Fatalf("after two tries: %v, want a rejection", acts)
 		}
 	}
 	if len(waits) < 10 {
-		t.Errorf("back-off is not jittered: %v", waits)
+		t.Errorf("backoff is not jittered: %v", waits)
 	}
 }
 
 // One tenant's surge of failures must not use up another's retries.
-func TestRetryBucketIsEachTenantsOwn(t *testing.T) {
+func TestRetryBudgetIsPerTenant(t *testing.T) {
 	r := newRelay(t, settings(), 1, 8)
 	loads := map[ServerID]float64{}
 	for i := range ServerID(8) {
 		loads[i] = 0.1
 	}
 	fail := func(id RequestID, tenant Tenant) (retried bool) {
-		req := ask(id)
+		req := newRequest(id)
 		req.Tenant = tenant
-		on := r.pass(5*time.Second).place(req, loads)
+		on := r.advance(5*time.Second).place(req, loads)
 		if on < 0 {
 			t.Fatalf("request %d was not placed", id)
 		}
-		return len(all[Timer](r.do(Outcome{ID: id, Server: on, Status: AtCapacity, Report: NoLoadReport}))) == 1
+		return len(actionsOf[Timer](r.do(Outcome{
+			ID:     id,
+			Server: on,
+			Status: AtCapacity,
+			Report: NoLoadReport,
+		}))) == 1
 	}
 	retries := 0
 	for id := RequestID(1); id <= 20; id++ {
@@ -62,7 +73,7 @@
 	}
 }
 
-func TestEffectsDecideBetweenRetryRefusalAndFailure(t *testing.T) {
+func TestIdempotencyDecidesRetryRejectOrFail(t *testing.T) {
 	cases := []struct {
 		name   string
 		class  Class
@@ -80,24 +91,30 @@
 	for _, c := range cases {
 		for seed := range uint64(12) {
 			r := newRelay(t, settings(), seed, 4)
-			req := ask(1)
+			req := newRequest(1)
 			req.Class = c.class
 			on := r.place(req, loads)
 			acts := r.do(Outcome{ID: 1, Server: on, Status: c.status, Report: NoLoadReport})
-			timers := all[Timer](acts)
+			timers := actionsOf[Timer](acts)
 			if (len(timers) == 1) != c.retry {
 				t.Fatalf("%s: %v", c.name, acts)
 			}
 			if c.retry {
-				acts = r.answer(r.pass(timers[0].After).do(TimerFired{Token: timers[0].Token}), loads)
-				for _, s := range all[Forward](acts) {
+				acts = r.answer(r.advance(timers[0].After).do(TimerFired{Token: timers[0].Token}), loads)
+				for _, s := range actionsOf[Forward](acts) {
 					if c.class == 2 && !c.status.NeverRan() && s.Server/2 != on/2 {
 						t.Fatalf("%s: sent again outside the cell", c.name)
 					}
-					acts = r.do(Outcome{ID: 1, Attempt: 1, Server: s.Server, Status: c.status, Report: NoLoadReport})
+					acts = r.do(Outcome{
+						ID:      1,
+						Attempt: 1,
+						Server:  s.Server,
+						Status:  c.status,
+						Report:  NoLoadReport,
+					})
 				}
 			}
-			if len(all[Reject](acts)) == 1 != c.refuse || len(all[Fail](acts)) == 1 == c.refuse {
+			if len(actionsOf[Reject](acts)) == 1 != c.refuse || len(actionsOf[Fail](acts)) == 1 == c.refuse {
 				t.Fatalf("%s: ended with %v", c.name, acts)
 			}
 		}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -8,7 +8,7 @@
 
 // world plays a random but legal course of events to one Balancer and watches the rules that one relay
 // can see: an answer for each request in time and only one, at most two attempts and never two at once,
-// nothing to a backend that drains or is gone, no repeat or refusal that an effect forbids.
+// nothing to a server that drains or is gone, no repeat or rejection that an effect forbids.
 type world struct {
 	t       *testing.T
 	b       *Balancer
@@ -49,9 +49,9 @@
 		case Forward:
 			w.send(a)
 		case Reject:
-			j := w.conclude(a.ID, "refusal")
+			j := w.conclude(a.ID, "rejection")
 			if j.mayRun && w.set.Classes[j.class].Idempotency != Idempotent {
-				w.t.Fatalf("request %d refused although it may have run", a.ID)
+				w.t.Fatalf("request %d rejected although it may have run", a.ID)
 			}
 			if a.RetryAfter > w.set.MaxRetryAfter {
 				w.t.Fatalf("retry-after %v", a.RetryAfter)
@@ -76,7 +76,7 @@
 				p.Status = []Status{ConnectFailed, AtCapacity, Errored}[w.rng.IntN(3)]
 			default:
 				load := w.rng.Float64()
-				p.Report = LoadReport{Load: load, InFlight: 20 * load, ErrorsPerSecond: -1, CPUUtilization: -1}
+				p.Report = loadReport(load, 20*load)
 			}
 			w.later(time.Duration(w.rng.IntN(100))*ms, p)
 		case Subscribe:
@@ -91,7 +91,7 @@
 		w.t.Fatalf("send for request %d: %+v", a.ID, j)
 	}
 	if w.mode[a.Server] != Ready {
-		w.t.Fatalf("send to backend %d in mode %d", a.Server, w.mode[a.Server])
+		w.t.Fatalf("send to server %d in mode %d", a.Server, w.mode[a.Server])
 	}
 	if j.attempts++; j.attempts > 2 {
 		w.t.Fatalf("request %d has %d attempts", a.ID, j.attempts)
@@ -179,22 +179,39 @@
 		set := settings()
 		set.MustSubscribe = seed%2 == 0
 		set.GroupAffinity = seed%3 == 0
-		w := &world{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Minute, mode: map[ServerID]EndpointState{},
-			jobs: map[RequestID]*job{}, b: New(set, seed)}
+		w := &world{
+			t:    t,
+			b:    New(set, seed),
+			set:  set,
+			rng:  rand.New(rand.NewPCG(seed, 1)),
+			now:  time.Minute,
+			mode: map[ServerID]EndpointState{},
+			jobs: map[RequestID]*job{},
+		}
 		w.b.Handle(w.now, WatchEvent{Kind: Cached}, nil)
 		for w.now < 3*time.Minute {
 			w.now += ms * time.Duration(1+w.rng.IntN(20))
 			w.deliver()
 			switch w.rng.IntN(12) {
-			case 0: // a backend comes, drains, goes or starts anew
-				e := Endpoint{Server: ServerID(w.rng.IntN(12)), State: EndpointState(w.rng.IntN(3)), StartedAt: w.now * time.Duration(w.rng.IntN(5)/4)}
+			case 0: // a server comes, drains, goes or starts anew
+				e := Endpoint{
+					Server:    ServerID(w.rng.IntN(12)),
+					State:     EndpointState(w.rng.IntN(3)),
+					StartedAt: w.now * time.Duration(w.rng.IntN(5)/4),
+				}
 				e.Zone, e.Cell = Zone(e.Server%2), int32(e.Server/2)
 				w.mode[e.Server] = e.State
 				w.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{e}})
 			case 1, 2, 3:
 				w.nextID++
-				req := Request{ID: w.nextID, Class: Class(w.rng.IntN(3)), Tenant: Tenant(w.rng.IntN(3)) - 1,
-					Key: uint64(w.rng.IntN(5)), Group: uint64(w.rng.IntN(4)), TimeLeft: time.Duration(w.rng.IntN(2000)) * ms}
+				req := Request{
+					ID:       w.nextID,
+					Class:    Class(w.rng.IntN(3)),
+					Tenant:   Tenant(w.rng.IntN(3)) - 1,
+					Key:      uint64(w.rng.IntN(5)),
+					Group:    uint64(w.rng.IntN(4)),
+					TimeLeft: time.Duration(w.rng.IntN(2000)) * ms,
+				}
 				w.jobs[req.ID] = &job{class: req.Class, deadline: w.now + req.TimeLeft}
 				w.do(req)
 			case 4: // a client leaves
@@ -212,7 +229,8 @@
 			}
 		}
 		if w.sends < 150 || w.answers < 500 {
-			t.Fatalf("seed %d: only %d sends and %d answers; the course is too tame to show anything", seed, w.sends, w.answers)
+			t.Fatalf("seed %d: only %d sends and %d answers; the course is too tame to show anything",
+				seed, w.sends, w.answers)
 		}
 		for w.now < 4*time.Minute { // let all end
 			w.now += 20 * ms
@@ -231,15 +249,17 @@
 func TestMemoryIsBounded(t *testing.T) {
 	r := newRelay(t, settings(), 1, 0)
 	for id := RequestID(1); id < 20000; id++ {
-		req := ask(id)
+		req := newRequest(id)
 		req.Key = uint64(id)
-		r.pass(ms).do(req)
+		r.advance(ms).do(req)
 		r.do(Opened{ID: 1 << 40, SetupLatency: 20 * ms})
 	}
-	if n := len(r.b.rejections.keyFailures.recent) + len(r.b.rejections.keyFailures.previous); n > 2*failingKeysKept || n < failingKeysKept {
+	failures := &r.b.rejections.keyFailures
+	if n := len(failures.recent) + len(failures.previous); n > 2*failingKeysKept || n < failingKeysKept {
 		t.Errorf("%d keys kept", n)
 	}
 	if len(r.b.requests.requests) != 0 || len(r.b.timeouts.setupLatencies) != setupLatenciesKept {
-		t.Errorf("%d requests and %d set-up times kept", len(r.b.requests.requests), len(r.b.timeouts.setupLatencies))
+		t.Errorf("%d requests and %d set-up times kept",
+			len(r.b.requests.requests), len(r.b.timeouts.setupLatencies))
 	}
 }
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -7,9 +7,9 @@
 
 // Rule 4: whatever they have saved up and however they surge, all relays together keep to a part of the
 // budget. Before, each relay saved a token and all spent theirs at once.
-func TestAllRelaysTogetherSpareAColdBackend(t *testing.T) {
+func TestFleetStaysWithinSlowStartBudget(t *testing.T) {
 	for name, found := range map[string]Status{
-		"told of its start":                OK,
+		"listed with its start":            OK,
 		"found dead before":                ConnectFailed,
 		"silent before, now holds nothing": TimedOut, // the list tells of its restart seconds later
 	} {
@@ -19,31 +19,34 @@
 			set.RelayIndex = relay
 			r := newRelay(t, set, uint64(relay), 5)
 			loads := map[ServerID]float64{0: 0.5, 1: 0.55, 2: 0.55, 3: 0.55, 4: 0.55}
-			r.place(ask(1), loads) // 1/40 of a backend a connection
-			r.pass(5 * time.Second)
+			r.place(newRequest(1), loads) // 1/40 of a server a connection
+			r.advance(5 * time.Second)
 			if found == OK {
-				r.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 0, State: Ready, StartedAt: time.Minute + 5*time.Second}}})
+				r.do(WatchEvent{
+					Kind:      Delta,
+					Endpoints: []Endpoint{{Server: 0, State: Ready, StartedAt: time.Minute + 5*time.Second}},
+				})
 			} else {
 				r.do(ProbeResult{Server: 0, Status: found, Report: NoLoadReport})
-				r.do(ProbeResult{Server: 0, Report: LoadReport{Load: 0, InFlight: 0, ErrorsPerSecond: -1, CPUUtilization: -1}})
+				r.do(ProbeResult{Server: 0, Report: loadReport(0, 0)})
 			}
-			r.pass(2 * time.Second)
+			r.advance(2 * time.Second)
 			loads[0] = 0 // it looks idle to everybody
-			if r.place(ask(2), loads) == 0 {
+			if r.place(newRequest(2), loads) == 0 {
 				sent++
 			}
 		}
 		// 20 connections fill it, it turns them over in 8 s at the most and stands at 0.44 of that: 3.3 in
 		// the second that breaks the rule.
 		if sent == 0 || sent > 5 {
-			t.Errorf("%s: 200 relays sent a cold backend %d connections in one moment", name, sent)
+			t.Errorf("%s: 200 relays sent a server in slow start %d connections in one moment", name, sent)
 		}
 	}
 }
 
-// A relay that has just started and finds only cold backends must not take what their few connections
+// A relay that has just started and finds only servers in slow start must not take what their few connections
 // weigh in the first moments for what a connection costs.
-func TestARelayThatKnowsNothingSparesColdBackends(t *testing.T) {
+func TestNewRelaySparesServersInSlowStart(t *testing.T) {
 	sent := 0
 	for me := range 10 {
 		set := settings()
@@ -55,38 +58,43 @@
 		}
 		r.do(WatchEvent{Kind: Snapshot, Endpoints: list})
 		for id := RequestID(1); id <= 6; id++ {
-			acts := r.pass(50 * ms).do(ask(id))
+			acts := r.advance(50 * ms).do(newRequest(id))
 			for i := 0; i < len(acts); i++ {
 				if p, ok := acts[i].(Probe); ok {
 					acts = append(acts, r.do(ProbeResult{Server: p.Server, Latency: 2 * ms,
-						Report: LoadReport{Load: 0.003, InFlight: 3, ErrorsPerSecond: -1, CPUUtilization: -1}})...)
+						Report: loadReport(0.003, 3)})...)
 				}
 			}
-			sent += len(all[Forward](acts))
+			sent += len(actionsOf[Forward](acts))
 		}
 	}
-	if sent > 12 { // about one connection a backend in the second that breaks the rule
-		t.Errorf("ten new relays sent six cold backends %d connections in 0.3 s", sent)
+	if sent > 12 { // about one connection a server in the second that breaks the rule
+		t.Errorf("ten new relays sent six servers in slow start %d connections in 0.3 s", sent)
 	}
 }
 
-// A fresh backend of such a site warms up with more than a trickle, and with less than what fills it.
-func TestBlindSiteWarmsUp(t *testing.T) {
+// A fresh server of such a site warms up with more than a trickle, and with less than what fills it.
+func TestSlowStartWithoutLoadReports(t *testing.T) {
 	set := settings()
 	set.Tenants, set.Relays, set.Rules.OverloadWindow = nil, 1, 3*time.Second
 	r := newRelay(t, set, 5, 4)
 	sent := 0
 	for id := RequestID(1); id <= 600; id++ {
 		if id == 400 { // the four hold 400 now
-			r.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 4, State: Ready, RendezvousKey: 99, StartedAt: r.now}}})
+			r.do(WatchEvent{
+				Kind:      Delta,
+				Endpoints: []Endpoint{{Server: 4, State: Ready, RendezvousKey: 99, StartedAt: r.now}},
+			})
 		}
-		acts := r.pass(20 * ms).do(Request{ID: id, Tenant: NoTenant, TimeLeft: 2 * time.Second})
+		acts := r.advance(20 * ms).do(Request{ID: id, Tenant: NoTenant, TimeLeft: 2 * time.Second})
 		for i := 0; i < len(acts); i++ {
 			if p, ok := acts[i].(Probe); ok {
-				acts = append(acts, r.do(ProbeResult{Server: p.Server, Latency: 4 * ms, Report: NoLoadReport})...)
+				acts = append(acts, r.do(ProbeResult{
+					Server: p.Server, Latency: 4 * ms, Report: NoLoadReport,
+				})...)
 			}
 		}
-		for _, s := range all[Forward](acts) {
+		for _, s := range actionsOf[Forward](acts) {
 			r.do(Opened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
 			if s.Server == 4 {
 				sent++
@@ -94,22 +102,27 @@
 		}
 	}
 	if sent < 8 || sent > 60 { // in 4 s; the constant allowed 3
-		t.Errorf("%d connections in 4 s to a server that has just started, where the others hold 100 each", sent)
+		t.Errorf("%d connections in 4 s to a server that has just started, where the others hold 100 each",
+			sent)
 	}
 }
 
-// A group that has lost its backend comes to one cold backend at once, and who is refused comes again: a relay of many that is asked for
-// that backend time and again must not go by how often its mean request comes there. By that it let every one through.
-func TestColdBudgetCountsWhatAsksForIt(t *testing.T) {
+// A group that has lost its server comes to one server in slow start at once, and who is rejected comes
+// again: a relay of many that is asked for that server time and again must not go by how often its mean
+// request comes there. By that it let every one through.
+func TestSlowStartBudgetCountsDemand(t *testing.T) {
 	through := 0
 	for me := range 20 {
 		set := settings()
 		set.Relays, set.RelayIndex, set.GroupAffinity = 20, me, true
 		set.Tenants[0].ConnectionQuota = 100
 		r := newRelay(t, set, 1, 24)
-		r.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 24, State: Ready, RendezvousKey: 99, StartedAt: r.now}}})
+		r.do(WatchEvent{
+			Kind:      Delta,
+			Endpoints: []Endpoint{{Server: 24, State: Ready, RendezvousKey: 99, StartedAt: r.now}},
+		})
 		for range 60 {
-			r.pass(5 * ms)
+			r.advance(5 * ms)
 			r.b.now = r.now
 			if r.b.dispatch.placement.budget.drawSlowStartBudget(r.b.endpoints.stateOf(24)) {
 				through++
@@ -121,9 +134,10 @@
 	}
 }
 
-// A cold backend's budget is spread over how often requests meet it: with groups four of all backends are met, not four of a
-// zone's. A third of the budget was used where there are three zones, and new backends stayed empty.
-func TestColdBudgetReckonsWithAllZones(t *testing.T) {
+// The budget of a server in slow start is spread over how often requests meet it: with groups four of all
+// servers are met, not four of a zone's. A third of the budget was used where there are three zones, and
+// new servers stayed empty.
+func TestSlowStartBudgetReckonsWithAllZones(t *testing.T) {
 	draws := func(groups bool) (n int) {
 		set := settings()
 		set.GroupAffinity, set.Zones, set.Relays = groups, 3, 20
@@ -131,7 +145,12 @@
 		r := newRelay(t, set, 1, 0)
 		var list []Endpoint
 		for i := range ServerID(24) {
-			list = append(list, Endpoint{Server: i, State: Ready, Zone: Zone(i % 3), RendezvousKey: uint64(i+1) * 7919})
+			list = append(list, Endpoint{
+				Server:        i,
+				State:         Ready,
+				Zone:          Zone(i % 3),
+				RendezvousKey: uint64(i+1) * 7919,
+			})
 		}
 		list[0].StartedAt = r.now
 		r.do(WatchEvent{Kind: Snapshot, Endpoints: list})
