--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -132,3 +132,23 @@
 		}
 	}
 }
+
+// A server that comes or goes must not move groups that it is not in the subset of.
+func TestRendezvousOrderKeepsWhenAServerGoes(t *testing.T) {
+	set := newEndpointSet(1)
+	for i := range ServerID(20) {
+		set.updateEndpoint(Endpoint{Server: i, State: Ready, RendezvousKey: uint64(i+1) * 7919})
+	}
+	a := &groupAffinity{environment: testEnvironment(settings()), endpoints: set}
+	before := map[uint64][]ServerID{}
+	for group := range uint64(50) {
+		before[group] = a.rankServers(group, 20, false)
+	}
+	set.updateEndpoint(Endpoint{Server: 7})
+	for group, order := range before {
+		want := slices.DeleteFunc(order, func(id ServerID) bool { return id == 7 })
+		if got := a.rankServers(group, 19, false); !slices.Equal(got, want) {
+			t.Fatalf("group %d: %v, want %v", group, got, want)
+		}
+	}
+}
--- a/decide/discovery_test.go
+++ b/decide/discovery_test.go
@@ -53,3 +53,52 @@
 		t.Errorf("%d failed calls are reckoned with after an answer", r.b.polling.consecutivePollFailures)
 	}
 }
+
+// The turns of a fleet grow with it, up to a part of the time in which a relay has to poll.
+func TestPollSpreadGrowsWithTheFleet(t *testing.T) {
+	for relays, want := range map[int]time.Duration{
+		1:   10 * time.Second / pollsPerPollWithin,
+		70:  5 * time.Second,
+		300: 7500 * ms,
+	} {
+		p := &discoveryPolling{environment: testEnvironment(settings()), fleet: newFleetView(relays)}
+		if got := p.pollSpread().Round(ms); got != want.Round(ms) {
+			t.Errorf("%d relays: %v, want %v", relays, got, want)
+		}
+	}
+}
+
+func TestFirstPollIsMadeOnce(t *testing.T) {
+	set := settings()
+	set.MustSubscribe = true
+	p := &discoveryPolling{environment: testEnvironment(set), fleet: newFleetView(10)}
+	p.recordAnswer(Cached)
+	p.expediteFirstPoll()
+	p.expediteFirstPoll()
+	if n := len(actionsOf[Timer](p.actions)); n != 2 {
+		t.Fatalf("%d timers, want one in turn and one before", n)
+	}
+	p.pollDiscovery(firstPollTimer)
+	p.pollDiscovery(firstPollTimer)
+	if n := len(actionsOf[Subscribe](p.actions)); n != 1 {
+		t.Errorf("polled %d times", n)
+	}
+	p.pollDiscovery(0) // after a failure
+	if n := len(actionsOf[Subscribe](p.actions)); n != 2 {
+		t.Errorf("polled %d times after a failure", n)
+	}
+}
+
+func TestFirstUsableListIsTheFirstWithAServer(t *testing.T) {
+	set := settings()
+	set.MustSubscribe = true
+	p := &discoveryPolling{environment: testEnvironment(set), fleet: newFleetView(1)}
+	for i, c := range []struct {
+		listed       int
+		first, await bool
+	}{{0, false, true}, {3, true, false}, {3, false, false}, {0, false, false}} {
+		if got := p.recordList(c.listed); got != c.first || p.awaitsFirstList() != c.await {
+			t.Errorf("list %d: first %v, awaited %v", i, got, p.awaitsFirstList())
+		}
+	}
+}
--- a/decide/driver_test.go
+++ b/decide/driver_test.go
@@ -149,3 +149,11 @@
 	acts := r.answer(r.advance(loadWatchInterval).do(newRequest(RequestID(r.now))), loads)
 	return r.answer(append(acts, r.do(TimerFired{Token: timerLoadWatch})...), loads)
 }
+
+// testEnvironment is that of a relay that has run for a minute.
+func testEnvironment(set Settings) *environment {
+	env := newEnvironment(validSettings(set), 1)
+	env.begin(time.Minute, nil)
+	env.begin(2*time.Minute, nil)
+	return env
+}
--- /dev/null
+++ b/decide/events_test.go
@@ -0,0 +1,32 @@
+package decide
+
+import "testing"
+
+func TestStatusAndReasonNames(t *testing.T) {
+	for s := OK; s < statuses; s++ {
+		if name := s.String(); name == "" || name == "unknown" {
+			t.Errorf("status %d has no name", s)
+		}
+	}
+	for r := NoServer; r < rejectReasons; r++ {
+		if name := r.String(); name == "" || name == "unknown" {
+			t.Errorf("reason %d has no name", r)
+		}
+	}
+	if s, r := statuses.String(), rejectReasons.String(); s != "unknown" || r != "unknown" {
+		t.Errorf("beyond the last: %q, %q", s, r)
+	}
+	if name := NoReason.String(); name != "" {
+		t.Errorf("no reason is %q", name)
+	}
+}
+
+// Only these prove that a repeat does no harm (rule 2).
+func TestWhatProvesThatAnAttemptNeverRan(t *testing.T) {
+	proof := map[Status]bool{AtCapacity: true, ConnectFailed: true, Superseded: true}
+	for s := OK; s < statuses; s++ {
+		if s.NeverRan() != proof[s] {
+			t.Errorf("%v: %v", s, s.NeverRan())
+		}
+	}
+}
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -41,3 +41,18 @@
 		}
 	}
 }
+
+func TestFleetCountsGoByWhatPeersSay(t *testing.T) {
+	fleet := newFleetView(4)
+	if n, rate := fleet.fleetConnections(10), fleet.fleetRequestRate(2); n != 40 || rate != 8 {
+		t.Errorf("nothing said: %v connections, %v requests a second", n, rate)
+	}
+	fleet.recordFleetStatus(FleetStatus{Relays: 4, PeerConnections: 7, PeerRequestRate: 3})
+	if n, rate := fleet.fleetConnections(10), fleet.fleetRequestRate(2); n != 17 || rate != 5 {
+		t.Errorf("with peers' counts: %v connections, %v requests a second", n, rate)
+	}
+	fleet.recordFleetStatus(FleetStatus{Relays: -1, BudgetShare: 7, FarBudgetShare: -1})
+	if s := fleet.status; s.Relays != 1 || s.BudgetShare != 1 || s.FarBudgetShare != 0 {
+		t.Errorf("nonsense is kept: %+v", s)
+	}
+}
--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -98,3 +98,47 @@
 			late[2], even[2], late)
 	}
 }
+
+// A load report counts what is older than its delay, and no more.
+func TestReadingDropsWhatItCounts(t *testing.T) {
+	var r reading
+	for at := range time.Duration(4) {
+		r.recordPlacement(at)
+		r.recordClose(at)
+	}
+	r.recordPeerPlacements(3, 1)
+	r.recordPeerPlacements(-2, 3)
+	r.dropReported(1)
+	got := [3]int{len(r.unreportedPlacements), len(r.unreportedPeerPlacements), len(r.unreportedCloses)}
+	if want := [3]int{2, 0, 4}; got != want {
+		t.Errorf("left %v of placements, peers' and closes, want %v", got, want)
+	}
+}
+
+func TestPeerPlacementsAreBounded(t *testing.T) {
+	var r reading
+	for range 3 {
+		r.recordPeerPlacements(peerPlacementsKept/2+1, 0)
+	}
+	if n := len(r.unreportedPeerPlacements); n != peerPlacementsKept {
+		t.Errorf("%d kept, want %d", n, peerPlacementsKept)
+	}
+}
+
+func TestSlowProbesAreToldFromTheUsual(t *testing.T) {
+	m := &loadModel{environment: testEnvironment(settings())}
+	for range 20 {
+		if m.recordProbeLatency(4 * ms) {
+			t.Fatal("the usual is slow")
+		}
+	}
+	if !m.recordProbeLatency(40 * ms) {
+		t.Error("ten times the usual is not slow")
+	}
+	for range 100 { // everything is slower now
+		m.recordProbeLatency(40 * ms)
+	}
+	if m.recordProbeLatency(40 * ms) {
+		t.Error("what all probes take is slow")
+	}
+}
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -72,3 +72,86 @@
 		t.Error("an erring server is still given new connections")
 	}
 }
+
+func newTestOutliers() (*outlierRule, *serverState) {
+	env := testEnvironment(settings())
+	rule := &outlierRule{environment: env, timeouts: &setupTimeouts{environment: env}}
+	return rule, newEndpointSet(1).stateOf(0)
+}
+
+func TestWhichAttemptsEject(t *testing.T) {
+	for _, c := range []struct {
+		status  Status
+		phase   requestPhase
+		ejected bool
+	}{
+		{Errored, phaseInFlight, true},
+		{ConnectFailed, phaseInFlight, true},
+		{TimedOut, phaseInFlight, true},
+		{Reset, phaseInFlight, true},
+		{Reset, phaseOpen, true},
+		{TimedOut, phaseOpen, false},
+		{Errored, phaseDone, false},
+		{AtCapacity, phaseInFlight, false},
+		{Cancelled, phaseInFlight, false},
+		{Superseded, phaseInFlight, false},
+		{OK, phaseOpen, false},
+	} {
+		rule, s := newTestOutliers()
+		s.reading.at = rule.now
+		rule.recordAttempt(s, c.status, c.phase)
+		if s.health.ejected != c.ejected {
+			t.Errorf("%v in phase %d: ejected %v", c.status, c.phase, s.health.ejected)
+		}
+		if outOfPool := c.ejected || c.status == AtCapacity; s.reading.usable() == outOfPool {
+			t.Errorf("%v in phase %d: reading usable %v", c.status, c.phase, s.reading.usable())
+		}
+	}
+}
+
+// A server that answers fast with errors answers probes well: a good probe alone does not bring it back.
+func TestErroringServerStaysEjectedForItsTime(t *testing.T) {
+	rule, s := newTestOutliers()
+	rule.recordAttempt(s, Errored, phaseInFlight)
+	s.health.ejectedUntil = rule.now + time.Second
+	rule.recordProbeSuccess(s, 0.5, 0.5)
+	if !s.health.ejected {
+		t.Fatal("back before its time")
+	}
+	rule.begin(rule.now+time.Second, nil)
+	rule.recordProbeSuccess(s, 0.5, 0.5)
+	if s.health.ejected {
+		t.Error("not back after its time")
+	}
+}
+
+func TestMissedProbesTellErrorsFromSilence(t *testing.T) {
+	rule, s := newTestOutliers()
+	rule.recordProbeFailure(s, TimedOut)
+	if s.health.silent() || s.health.answersWithErrors() {
+		t.Error("one unanswered probe is a verdict")
+	}
+	rule.recordProbeFailure(s, TimedOut)
+	if !s.health.silent() {
+		t.Error("two unanswered probes are none")
+	}
+	rule.recordProbeFailure(s, Errored)
+	if s.health.silent() || !s.health.answersWithErrors() {
+		t.Error("one that answers with an error is silent")
+	}
+	if rule.recordProbeSuccess(s, 0.5, 0.5); s.health.missedProbes != 0 || s.health.ejected {
+		t.Error("a good probe does not clear what was missed")
+	}
+}
+
+// It holds next to nothing after a failure: a new process, though the endpoint list does not say so yet.
+func TestEmptyServerAfterAFailureIsInSlowStart(t *testing.T) {
+	for load, want := range map[float64]bool{0.1: true, 0.4: false} {
+		rule, s := newTestOutliers()
+		rule.recordProbeFailure(s, TimedOut)
+		rule.recordProbeSuccess(s, load, 0.5)
+		if got := s.slowStart.startedAt >= 0; got != want {
+			t.Errorf("back with a load of %.1f in a pool at 0.5: in slow start %v", load, got)
+		}
+	}
+}
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -33,3 +33,18 @@
 		t.Errorf("a connection adds %.3f, by the quotas about %.3f", got, mean)
 	}
 }
+
+func TestQuotaDoesNotShrinkWithACrash(t *testing.T) {
+	q := newQuota([]TenantInfo{{ConnectionQuota: 30}, {ConnectionQuota: 50}})
+	all := q.loadPerConnection(10)
+	if want := quotaCapacityShare * 10 / 80; all != want {
+		t.Errorf("ten servers: %.3f, want %.3f", all, want)
+	}
+	if left := q.loadPerConnection(2); left != all {
+		t.Errorf("after a crash: %.3f, want %.3f", left, all)
+	}
+	none := newQuota(nil)
+	if got := none.loadPerConnection(10); got != 0 {
+		t.Errorf("without quotas: %.3f", got)
+	}
+}
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -120,3 +120,49 @@
 		}
 	}
 }
+
+func TestRetryBudgetIsATokenBucket(t *testing.T) {
+	b := newRetryBudget(2)
+	for range int(maxRetryTokens) {
+		if !b.has(0) {
+			t.Fatal("the burst is less than the bucket")
+		}
+		b.spend(0)
+	}
+	if b.has(0) || !b.has(1) || !b.has(2) {
+		t.Fatal("want an empty bucket, and two full ones")
+	}
+	for n := 1; !b.has(0); n++ {
+		if b.earn(0); n > 6 {
+			t.Fatalf("no token after %d requests", n)
+		}
+	}
+	for range 100 {
+		b.earn(0)
+	}
+	if got := b.retryTokens[0]; got != maxRetryTokens {
+		t.Errorf("saved up %.1f", got)
+	}
+}
+
+func TestBackoffDoublesWithinItsBound(t *testing.T) {
+	env := testEnvironment(settings())
+	longest := func(failures int) (most time.Duration) {
+		for range 400 {
+			wait := env.jitteredBackoff(100*ms, failures, time.Second)
+			if wait < 0 || wait > time.Second {
+				t.Fatalf("after %d failures: %v", failures, wait)
+			}
+			most = max(most, wait)
+		}
+		return most
+	}
+	for _, c := range []struct {
+		failures int
+		limit    time.Duration
+	}{{-2, 100 * ms}, {0, 100 * ms}, {1, 200 * ms}, {3, 800 * ms}, {4, time.Second}, {1000, time.Second}} {
+		if got := longest(c.failures); got > c.limit || got < c.limit*9/10 {
+			t.Errorf("after %d failures up to %v, want up to %v", c.failures, got, c.limit)
+		}
+	}
+}
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -165,3 +165,35 @@
 		t.Errorf("%d draws of 2000 with groups, %d without", with, without)
 	}
 }
+
+func TestCapacityRisesOverTheSlowStartWindow(t *testing.T) {
+	rules := settings().Rules
+	for _, c := range []struct {
+		startedAt, now time.Duration
+		want           float64
+	}{
+		{-1, time.Minute, 1},
+		{time.Minute, time.Minute, 0.25},
+		{time.Minute, time.Minute + 4*time.Second, 0.625},
+		{time.Minute, time.Minute + 8*time.Second, 1},
+	} {
+		s := slowStart{startedAt: c.startedAt}
+		if got := s.capacityFraction(c.now, &rules); got != c.want {
+			t.Errorf("%v after its start: %.3f, want %.3f", c.now-c.startedAt, got, c.want)
+		}
+	}
+}
+
+func TestSlowStartCountsWithinTheWindow(t *testing.T) {
+	s := slowStart{startedAt: -1}
+	for i := range 5 {
+		at := time.Duration(i) * 400 * ms
+		s.recordAttempt(at, time.Second)
+		if others := s.recordDemand(at, time.Second); others != float64(min(i, 2)) {
+			t.Errorf("at %v it was asked for %v times more", at, others)
+		}
+	}
+	if n := s.recentAttemptCount(2*time.Second, time.Second); n != 2 { // those at 1.2 s and 1.6 s
+		t.Errorf("%v attempts of the last second, want 2", n)
+	}
+}
