--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -15,7 +15,6 @@
 	load      *loadModel
 	pool      *probePool
 	timeouts  *setupTimeouts
-	retries   *retryBudget
 
 	// What is decided by it.
 	outliers   *outlierRule
@@ -50,12 +49,15 @@
 		arrivals:    arrivals,
 		load:        load,
 		timeouts:    &setupTimeouts{environment: env},
-		retries:     newRetryBudget(len(settings.Tenants)),
 		rejections:  &rejectionRule{environment: env, requests: requests},
 		polling:     &discoveryPolling{environment: env, fleet: fleet},
 	}
 	b.outliers = &outlierRule{environment: env, timeouts: b.timeouts}
-	b.retry = &retryRule{environment: env, budget: b.retries, rejections: b.rejections}
+	b.retry = &retryRule{
+		environment: env,
+		budget:      newRetryBudget(len(settings.Tenants)),
+		rejections:  b.rejections,
+	}
 	b.pool = &probePool{
 		environment: env,
 		endpoints:   endpoints,
@@ -82,6 +84,7 @@
 	place := &placement{
 		environment: b.environment,
 		endpoints:   b.endpoints,
+		fleet:       b.fleet,
 		pool:        b.pool,
 		affinity:    affinity,
 		load:        b.load,
@@ -119,7 +122,9 @@
 	}
 }
 
-// Handle takes one event and appends what is to be done about it to out. Time never goes back.
+// Handle takes one event and appends what is to be done about it to out, which it returns. now is the time
+// since an origin of the caller's choice, the same as that of the events' times, and never less than at the
+// last call.
 func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
 	b.begin(now, out)
 	switch e := ev.(type) {
@@ -128,7 +133,7 @@
 	case Request:
 		r := b.requests.trackRequest(e)
 		b.arrivals.recordRequest()
-		b.retries.earn(r.Tenant)
+		b.retry.budget.earn(r.Tenant)
 		b.dispatch.probeThenPlace(r)
 	case Inherited:
 		b.requests.trackInherited(e)
@@ -203,7 +208,7 @@
 }
 
 func (b *Balancer) resumeTimer(token uint64) {
-	switch id := token / timerKinds; token % timerKinds {
+	switch kind, id := splitToken(token); kind {
 	case timerRequest:
 		b.dispatch.resume(RequestID(id))
 	case timerLoadWatch:
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -44,7 +44,7 @@
 			Tenant:   8,
 			TimeLeft: time.Second,
 		}), map[ServerID]float64{0: 0.1, 2: 0.1})
-		acts = append(acts, r.advance(time.Second).do(TimerFired{Token: 1 * timerKinds})...)
+		acts = append(acts, r.advance(time.Second).do(TimerFired{Token: timerRequest.token(1)})...)
 		if len(actionsOf[Forward](acts))+len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 1 {
 			t.Errorf("%+v: %v", set, acts)
 		}
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -38,7 +38,7 @@
 	return d.pool.topUpHomeZone()
 }
 
-// queueOrPlace has a request wait for the probes that it awaits, if there is time.
+// queueOrPlace has a request wait for the probes that it awaits, for a quarter of the time left at the most.
 func (d *dispatcher) queueOrPlace(r *request) {
 	wait := min((r.deadline-d.now)/4, d.pool.probeWait())
 	if r.probesAwaited == 0 || wait < d.settings.Tick {
--- a/decide/driver_test.go
+++ b/decide/driver_test.go
@@ -147,7 +147,7 @@
 func (r *relay) watchLoad(loads map[ServerID]float64) []Action {
 	// A request keeps the pool fresh.
 	acts := r.answer(r.advance(loadWatchInterval).do(newRequest(RequestID(r.now))), loads)
-	return r.answer(append(acts, r.do(TimerFired{Token: timerLoadWatch})...), loads)
+	return r.answer(append(acts, r.do(TimerFired{Token: timerLoadWatch.token(0)})...), loads)
 }
 
 // testEnvironment is that of a relay that has run for a minute.
--- a/decide/environment.go
+++ b/decide/environment.go
@@ -6,15 +6,25 @@
 	"time"
 )
 
-// Kinds of timer, in the low bits of a token.
+// timerKind says what a timer is for.
+type timerKind uint64
+
 const (
-	timerRequest   = iota // a queued request's probes or its backoff are due
-	timerLoadWatch        // look at the servers that hold our connections
-	timerDiscovery
-	timerMigrate // a server's excess is to go, and probes for a better place are due
+	timerRequest   timerKind = iota // a queued request's probes or its backoff are due; id: the request's
+	timerLoadWatch                  // the servers that hold own connections are to be looked at
+	timerDiscovery                  // discovery is to be polled; id: firstPollTimer or 0
+	timerMigrate                    // probes for a better place are due; id: the server whose excess migrates
 	timerKinds
 )
 
+// token is a timer's token: its kind and an id.
+func (k timerKind) token(id uint64) uint64 { return id*uint64(timerKinds) + uint64(k) }
+
+// splitToken returns what token has put together.
+func splitToken(token uint64) (kind timerKind, id uint64) {
+	return timerKind(token % uint64(timerKinds)), token / uint64(timerKinds)
+}
+
 // environment is what every rule works with while one event is handled.
 type environment struct {
 	settings   Settings
@@ -49,8 +59,8 @@
 
 // setTimer asks for a TimerFired with the kind and the id in its token, no sooner than the next batch of
 // events.
-func (e *environment) setTimer(kind, id uint64, after time.Duration) {
-	e.emit(Timer{After: max(after, e.settings.Tick), Token: id*timerKinds + kind})
+func (e *environment) setTimer(kind timerKind, id uint64, after time.Duration) {
+	e.emit(Timer{After: max(after, e.settings.Tick), Token: kind.token(id)})
 }
 
 // uptime is how long ago the first event came.
--- a/decide/golden_course_test.go
+++ b/decide/golden_course_test.go
@@ -60,8 +60,8 @@
 	trouble float64 // part of servers that are not well, in bad times
 	life    time.Duration
 	perConn float64
-	reports int // how servers report: 0 all, 1 load only, 2 busy only, 3 nothing
-	answers int // how discovery answers: 0 deltas, 1 whole lists, 2 mostly not
+	reports int // how servers report: 0 all, 1 load only, 2 CPU only, 3 nothing
+	answers int // how discovery answers: 0 deltas, 1 snapshots, 2 mostly not
 	views   []PooledServer
 	acts    []Action
 	hash    uint64
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -14,10 +14,11 @@
 
 // health is what a server's failures say of it.
 //
-// An ejected server gets nothing new, until a probe succeeds at or after ejectedUntil.
+// An ejected server gets nothing new, but as the last resort of a placement without readings, until a probe
+// succeeds; one that answered attempts with errors only by a probe at or after ejectedUntil.
 type health struct {
 	ejected           bool
-	ejectedUntil      time.Duration // no probe is sent to it before
+	ejectedUntil      time.Duration // no placement has it probed before
 	consecutiveErrors int           // attempts in a row that it answered with an error
 	missedProbes      int           // probes in a row that brought no reading
 	unansweredProbes  int           // and no answer at all
@@ -55,7 +56,7 @@
 }
 
 // recordFault notes an attempt that failed at a server. One that answers fast with errors looks idle and
-// answers probes well, so it is also left out for a time that doubles with each failure.
+// answers probes well, so it also stays ejected for a time that doubles with each failure.
 func (o *outlierRule) recordFault(s *serverState, status Status) {
 	o.ejectServer(s, status)
 	switch status {
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -19,6 +19,7 @@
 type placement struct {
 	*environment
 	endpoints *endpointSet
+	fleet     *fleetView
 	pool      *probePool
 	affinity  *groupAffinity
 	load      *loadModel
@@ -81,7 +82,7 @@
 
 // candidateLimit is how many readings a placement looks at.
 func (p *placement) candidateLimit() int {
-	if p.pool.fleet.status.SharesReadings {
+	if p.fleet.status.SharesReadings {
 		return sharedCandidates
 	}
 	return maxCandidates
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -40,7 +40,7 @@
 	for name, n := range map[string]int{"silent fleet": 4, "empty list": 0} {
 		r := newRelay(t, settings(), 3, n)
 		acts := r.answer(r.do(newRequest(1)), nil)
-		acts = append(acts, r.advance(time.Second).do(TimerFired{Token: 1*timerKinds + timerRequest})...)
+		acts = append(acts, r.advance(time.Second).do(TimerFired{Token: timerRequest.token(1)})...)
 		sends, refused := len(actionsOf[Forward](acts)), len(actionsOf[Reject](acts))
 		if n > 0 && sends != 1 || n == 0 && refused != 1 {
 			t.Errorf("%s: %d sends, %d rejections", name, sends, refused)
--- a/decide/rebalance.go
+++ b/decide/rebalance.go
@@ -3,12 +3,15 @@
 import "time"
 
 const (
-	// loadWatchInterval is how often, at most, servers that hold own connections are looked at.
+	// loadWatchInterval is the time within which a server that holds own connections is looked at again. The
+	// timer runs after half of it and, by the relay's phase, up to a quarter more.
 	loadWatchInterval = 2 * time.Second
 	// watchedLoad is the load, 0 to 1, of the pool or of a server beyond which they are looked at.
 	watchedLoad = 0.5
 	// rebalanceTriggerLoad is the load beyond which a server is overloaded.
 	rebalanceTriggerLoad = 0.85
+	// unreportedTriggerLoad is the same where no message delays are reported: nothing else tells in time.
+	unreportedTriggerLoad = (rebalanceTriggerLoad + rebalanceTargetLoad) / 2
 	// rebalanceTargetLoad is what an overloaded server is brought down to, and what no other is brought over.
 	rebalanceTargetLoad = 0.65
 )
@@ -106,7 +109,7 @@
 		return 1
 	case s.reading.load > rebalanceTriggerLoad && messagesLate:
 		return (s.reading.load - rebalanceTargetLoad) / s.reading.load
-	case !b.settings.ReportsMessageDelay && load > (rebalanceTriggerLoad+rebalanceTargetLoad)/2:
+	case !b.settings.ReportsMessageDelay && load > unreportedTriggerLoad:
 		return (load - rebalanceTargetLoad) / load
 	}
 	return 0
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -46,8 +46,8 @@
 	return &requestTable{environment: env, endpoints: endpoints, requests: map[RequestID]*request{}}
 }
 
-// trackRequest enters a request. A class or tenant that the settings do not know becomes the nearest class,
-// and the tenant after the last.
+// trackRequest enters a request. A class that the settings do not know becomes the nearest, any tenant that
+// they do not know the one after the last.
 func (t *requestTable) trackRequest(e Request) *request {
 	e.Class = min(max(e.Class, 0), Class(len(t.settings.Classes)-1))
 	if e.Tenant < 0 || int(e.Tenant) >= len(t.settings.Tenants) {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -10,6 +10,8 @@
 	// plannedAttempts is the most that this module plans for a request, whatever Settings.MaxAttempts allows:
 	// the first and one retry.
 	plannedAttempts = 2
+	// minRetryTicks is the least time left, in ticks, in which a retry can be of use.
+	minRetryTicks = 4
 	// maxBackoffDoublings keeps the shift of a backoff within its type.
 	maxBackoffDoublings = 16
 )
@@ -45,14 +47,14 @@
 
 // retryOrReject gives a request whose attempt failed its one retry after a backoff, or its final answer. A
 // retry is stopped by the class (rule 2), the clock, the number of attempts or the tenant's budget, in this
-// order.
+// order. The backoff starts from a quarter of the latency objective and leaves most of the time that is left.
 func (t *retryRule) retryOrReject(r *request) {
 	left := r.deadline - t.now
 	wait := t.jitteredBackoff(t.class(r).LatencyObjective/4, r.attempts-1, left/4)
 	switch {
 	case r.mayHaveRunOn >= 0 && t.class(r).Idempotency == NonIdempotent:
 		t.rejections.rejectRequest(r, MayHaveRun)
-	case left < 4*t.settings.Tick:
+	case left < minRetryTicks*t.settings.Tick:
 		t.rejections.rejectRequest(r, DeadlineNear)
 	case r.attempts >= min(plannedAttempts, t.settings.MaxAttempts):
 		t.rejections.rejectRequest(r, AttemptsExhausted)
