--- a/decide/doc.go
+++ b/decide/doc.go
@@ -25,6 +25,7 @@
 //	balancer.go       routes events to the parts below; decides nothing
 //	environment.go    settings, time, random draws and actions, for all parts; timers
 //	settings.go       settings, and what replaces those that make no sense
+//	idempotency.go    what a repeat of a request does (rule 2)
 //	events.go         what a Balancer is told
 //	actions.go        what a Balancer wants done, and the reasons of rejections
 //	view.go           what those see who watch
