--- a/decide/load.go
+++ b/decide/load.go
@@ -90,8 +90,8 @@
 	r := &s.reading
 	since := float64(len(r.unreportedPlacements) + len(r.unreportedPeerPlacements) - len(r.unreportedCloses))
 	if migrating := m.fleet.status.PeerMigrationRate; migrating > 0 {
-		unseen := min(m.now-r.at, loadWatchInterval) + loadReportDelay
-		since -= migrating * unseen.Seconds() / float64(max(m.endpoints.listedCount(), 1))
+		unreported := min(m.now-r.at, loadWatchInterval) + loadReportDelay
+		since -= migrating * unreported.Seconds() / float64(max(m.endpoints.listedCount(), 1))
 	}
 	load := max(r.load+since*m.loadPerConnection(), 0)
 	if m.now < r.messagesLateUntil { // work is piled up there, whatever load is asked of it now
@@ -161,13 +161,13 @@
 // piled up where it was. Of the usual it learns fast what is shorter and slowly what is longer, as many
 // servers may be slow at once.
 func (m *loadModel) recordProbeLatency(latency time.Duration) bool {
-	switch usual := m.usualProbeLatency; {
-	case usual == 0:
+	switch before := m.usualProbeLatency; {
+	case before == 0:
 		m.usualProbeLatency = latency
-	case latency < usual:
-		m.usualProbeLatency += (latency - usual) / 4
+	case latency < before:
+		m.usualProbeLatency += (latency - before) / 4
 	default:
-		m.usualProbeLatency += (min(latency, 2*usual) - usual) / 32
+		m.usualProbeLatency += (min(latency, 2*before) - before) / 32
 	}
 	return latency > slowProbeFactor*m.usualProbeLatency+m.settings.Tick
 }
