--- a/internal/testing/fake/platform.go
+++ b/internal/testing/fake/discovery.go
@@ -10,116 +10,6 @@
 	"time"
 )
 
-// TileServer is a server of the platform's protocol: it takes every connection and returns every line.
-type TileServer struct {
-	Address string
-	// Firsts gets each first line as it came, but for probes.
-	Firsts chan string
-
-	acceptor acceptor
-
-	mu     sync.Mutex
-	answer string
-	report string // of its load, as probes get it
-	asked  func() string
-	held   int
-}
-
-// NewTileServer starts a server on loopback, at any port if the address ends in ":0". It answers first
-// lines with answer; "UP" gives each a receipt, "" says nothing at all, and "-" ends the connection.
-func NewTileServer(address, answer string) (*TileServer, error) {
-	l, err := net.Listen("tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	s := &TileServer{Address: l.Addr().String(), Firsts: make(chan string, 4096), answer: answer, report: "x0=0.2,qps=3,queue=0"}
-	s.acceptor.start(l, s.serve)
-	return s, nil
-}
-
-// Close ends the server and resets its connections.
-func (s *TileServer) Close() {
-	s.acceptor.reset()
-}
-
-// SetReport changes what probes are told.
-func (s *TileServer) SetReport(report string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.report = report
-}
-
-// Ask has each probe answered by what fn returns.
-func (s *TileServer) Ask(fn func() string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.asked = fn
-}
-
-// Held is how many connections are up.
-func (s *TileServer) Held() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.held
-}
-
-func (s *TileServer) hold(n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.held += n
-}
-
-// Say sends a line on every connection; it ends them after it if last is set.
-func (s *TileServer) Say(line string, last bool) {
-	for _, c := range s.acceptor.all() {
-		fmt.Fprintf(c, "%s\r\n", line)
-		if last {
-			c.(*net.TCPConn).CloseWrite()
-		}
-	}
-}
-
-func (s *TileServer) serve(c net.Conn) {
-	defer c.Close()
-	in := bufio.NewReader(c)
-	for up := false; ; {
-		line, err := in.ReadString('\n')
-		if err != nil {
-			return
-		}
-		switch text := strings.TrimRight(line, "\r\n"); {
-		case text == "PING" || text == "STATS":
-			s.mu.Lock()
-			report, asked := s.report, s.asked
-			s.mu.Unlock()
-			if asked != nil {
-				report = asked()
-			}
-			fmt.Fprintf(c, "PONG %s\r\n", report)
-		case up:
-			fmt.Fprint(c, line)
-		case !strings.HasPrefix(text, "OPEN "):
-			fmt.Fprint(c, "SYNTAX\r\n")
-			return
-		default:
-			s.Firsts <- text
-			switch s.answer {
-			case "":
-			case "-":
-				return
-			case "UP":
-				fmt.Fprintf(c, "UP %s\r\n", strings.Fields(text)[1])
-				up = true
-				s.hold(1)
-				defer s.hold(-1)
-			default:
-				fmt.Fprintf(c, "%s\r\n", s.answer)
-				return
-			}
-		}
-	}
-}
-
 // Discovery is the platform's list of servers.
 type Discovery struct {
 	Address string
@@ -152,7 +42,8 @@
 
 // Entry is one line of the list.
 func Entry(id, address, lifecycle string) string {
-	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"hall-a","lifecycle":%q,"startedAtMs":0}`, id, address, lifecycle)
+	const form = `{"instanceId":%q,"hostPort":%q,"zone":"hall-a","lifecycle":%q,"startedAtMs":0}`
+	return fmt.Sprintf(form, id, address, lifecycle)
 }
 
 // Set changes one entry and tells every watch.
@@ -198,7 +89,8 @@
 	defer c.Close()
 	in := bufio.NewReader(c)
 	first, err := in.ReadString('\n')
-	for line := first; err == nil && strings.TrimSpace(line) != ""; line, err = in.ReadString('\n') {
+	for line := first; err == nil && strings.TrimSpace(line) != ""; {
+		line, err = in.ReadString('\n')
 	}
 	whole := d.Whole()
 	if !strings.Contains(first, "watch=1") {
@@ -210,16 +102,21 @@
 	d.changed = append(d.changed, changes)
 	d.mu.Unlock()
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(whole), whole)
+	d.stream(c, changes)
+}
+
+// stream sends a watch each change, and an empty line while nothing changes, until its connection fails.
+func (d *Discovery) stream(c net.Conn, changes chan string) {
+	defer d.forget(changes)
 	idle := time.NewTicker(2 * time.Second)
 	defer idle.Stop()
 	for {
-		text := "\n" // while nothing changes
+		text := "\n"
 		select {
 		case text = <-changes:
 		case <-idle.C:
 		}
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
-			d.forget(changes)
 			return
 		}
 	}
--- /dev/null
+++ b/internal/testing/fake/scanstream.go
@@ -0,0 +1,181 @@
+package fake
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// opening is what a first line asks for. The stream is "" on a line without one.
+type opening struct {
+	id     string
+	stream string
+	gen    uint64
+	from   uint64
+	lease  uint64
+}
+
+func parseOpening(text string) opening {
+	parts := strings.Split(text, " ")
+	o := opening{id: parts[1]}
+	for field := range strings.SplitSeq(parts[len(parts)-1], ",") {
+		switch name, value, _ := strings.Cut(field, "="); name {
+		case "s":
+			o.stream = value
+		case "gen":
+			o.gen, _ = strconv.ParseUint(value, 10, 64)
+		case "from":
+			o.from, _ = strconv.ParseUint(value, 10, 64)
+		case "lease":
+			o.lease, _ = strconv.ParseUint(value, 10, 64)
+		}
+	}
+	return o
+}
+
+// firstScan returns the number of the first scan to send: as asked for, but none that is no longer kept.
+func (o opening) firstScan(newest, keep uint64) uint64 {
+	from := o.from
+	if from == 0 {
+		from = newest + 1
+	}
+	oldest := newest - min(newest, keep) + 1
+	return max(from, 1, oldest)
+}
+
+// open answers a first line and serves the stream.
+func (s *ScanServer) open(c *net.TCPConn, in *bufio.Reader, text string) {
+	if s.First != nil {
+		s.First(text)
+	}
+	s.still()
+	if s.dead() {
+		return
+	}
+	o := parseOpening(text)
+	newest := s.Feed.Newest()
+	busy, fence, knobs := s.noteOpening(o)
+	time.Sleep(knobs.UpDelay)
+	switch {
+	case knobs.Erring:
+		fmt.Fprint(c, "ERR\r\n")
+		return
+	case busy:
+		fmt.Fprint(c, "BUSY\r\n")
+		return
+	case o.stream != "" && o.gen < fence:
+		fmt.Fprintf(c, "STALE %d\r\n", fence)
+		return
+	case o.from > newest+1:
+		fmt.Fprintf(c, "AHEAD %d\r\n", newest)
+		return
+	}
+	s.mu.Lock()
+	s.conns[c] = true
+	s.load()
+	s.mu.Unlock()
+	stream := &scanStream{
+		opening: o,
+		server:  s,
+		conn:    c,
+		in:      in,
+		over:    make(chan struct{}),
+	}
+	stream.serve(o.firstScan(newest, s.Feed.Keep))
+}
+
+// noteOpening counts a first line and raises the stream's fence. It returns the fence from before.
+func (s *ScanServer) noteOpening(o opening) (busy bool, fence uint64, knobs Knobs) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.opened++
+	fence = s.fences[o.stream]
+	if o.stream != "" && o.gen > fence {
+		s.fences[o.stream] = o.gen
+	}
+	return s.busy, fence, s.knobs
+}
+
+// scanStream is one stream that is served.
+type scanStream struct {
+	opening
+	server *ScanServer
+	conn   *net.TCPConn
+	in     *bufio.Reader
+	over   chan struct{} // closed once the client's side has ended
+	expiry *time.Timer   // ends the stream when its lease does
+
+	writing sync.Mutex
+}
+
+// serve answers the first line and sends scans until either side ends.
+func (t *scanStream) serve(from uint64) {
+	if t.stream == "" {
+		fmt.Fprintf(t.conn, "UP %s\r\n", t.id)
+	} else {
+		t.server.Ledger.begin(t.stream, t.server.ID, t.gen, t.conn)
+		defer t.server.Ledger.end(t.stream, t.conn)
+		fmt.Fprintf(t.conn, "UP %s from=%d\r\n", t.id, from)
+	}
+	// Whoever is told a lease ends the stream by itself when it is not renewed in time: its relay may be stopped.
+	t.expiry = time.AfterFunc(time.Hour, func() {
+		t.server.Ledger.end(t.stream, t.conn)
+		t.conn.Close()
+	})
+	defer t.expiry.Stop()
+	if t.lease > 0 {
+		t.expiry.Reset(time.Duration(t.lease) * time.Millisecond)
+	}
+	go t.echo()
+	t.sendScans(from)
+}
+
+// echo returns the client's lines and renews the lease, until the client's side ends.
+func (t *scanStream) echo() {
+	defer close(t.over)
+	defer t.server.Feed.more.Broadcast()
+	for {
+		line, err := t.in.ReadString('\n')
+		t.server.still()
+		if err != nil {
+			return
+		}
+		if text, ok := strings.CutPrefix(strings.TrimSpace(line), "KEEP "); ok && t.stream != "" {
+			ms, _ := strconv.Atoi(text)
+			t.expiry.Reset(time.Duration(ms) * time.Millisecond)
+			continue
+		}
+		if err := t.write(line); err != nil {
+			return
+		}
+	}
+}
+
+// sendScans sends each scan from the given one on.
+func (t *scanStream) sendScans(from uint64) {
+	for next := from; ; next++ {
+		if !t.server.Feed.await(next, t.over) {
+			return
+		}
+		t.server.still()
+		select {
+		case <-t.over:
+			return
+		default:
+		}
+		if err := t.write(fmt.Sprintf("SCAN %d %016x\r\n", next, next*0x9e3779b97f4a7c15)); err != nil {
+			return
+		}
+	}
+}
+
+func (t *scanStream) write(text string) error {
+	t.writing.Lock()
+	defer t.writing.Unlock()
+	_, err := fmt.Fprint(t.conn, text)
+	return err
+}
--- a/internal/testing/fake/viewer.go
+++ b/internal/testing/fake/viewer.go
@@ -28,32 +28,6 @@
 	tally Tally
 }
 
-// Tally is what happened to a viewer.
-type Tally struct {
-	Openings, Answers int // of connections whose first line was sent; answers that came to them
-	Ups, Busy, Failed int
-	Moves, Breaks     int
-	Unreached         int             // connections that never stood
-	Last              uint64          // the last scan
-	Scans             uint64          // how many came
-	Lost, Disorder    uint64          // scans that never came, and that came out of turn
-	Notes             []string        // what it was told of failures and gaps
-	Gaps              []time.Duration // from the last scan before an end to the first after it
-	LastAt            time.Time
-}
-
-// Tally returns a copy.
-func (v *Viewer) Tally() Tally {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	t := v.tally
-	t.Notes, t.Gaps = append([]string(nil), t.Notes...), append([]time.Duration(nil), t.Gaps...)
-	return t
-}
-
-// Forget empties the list of gaps.
-func (v *Viewer) Forget() { v.note(func(t *Tally) { t.Gaps = nil }) }
-
 // Held is the token that it has.
 func (v *Viewer) Held() string {
 	v.mu.Lock()
@@ -61,12 +35,6 @@
 	return v.held
 }
 
-func (v *Viewer) note(f func(t *Tally)) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	f(&v.tally)
-}
-
 func (v *Viewer) event(format string, args ...any) {
 	if v.Event != nil {
 		v.Event(fmt.Sprintf(format, args...))
@@ -96,38 +64,61 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	v.mu.Lock()
-	more := ""
-	if v.Token && v.held != "" {
-		more = fmt.Sprintf(",resume=%s,pos=%d", v.held, v.tally.Last)
-	} else if v.Token {
-		if more = ",resume=new"; v.tally.Last > 0 {
-			more += fmt.Sprintf(",pos=%d", v.tally.Last)
-		}
-	}
-	v.tally.Openings++
-	v.mu.Unlock()
-	fmt.Fprintf(conn, "OPEN %s-%d %s,d=%d%s\r\n", v.Name, n, v.Fields, v.Wait.Milliseconds(), more)
+	v.note(func(t *Tally) { t.Openings++ })
+	fmt.Fprintf(conn, "OPEN %s-%d %s,d=%d%s\r\n", v.Name, n, v.Fields, v.Wait.Milliseconds(), v.resumeFields())
 	conn.SetReadDeadline(time.Now().Add(v.Wait + 3*time.Second))
 	in := bufio.NewReader(conn)
 	line, err := in.ReadString('\n')
 	if err != nil {
-		v.note(func(t *Tally) {
-			if t.Breaks++; ctx.Err() == nil {
-				t.Notes = append(t.Notes, "unanswered by "+relay)
-			} else {
-				t.Openings--
-			}
-		})
+		v.noteUnanswered(ctx, relay)
 		return soon()
 	}
-	words := strings.Fields(line)
 	v.note(func(t *Tally) { t.Answers++ })
 	v.event("answered %s", strings.TrimSpace(line))
+	if strings.Fields(line)[0] != "UP" {
+		return v.rejected(in, line)
+	}
+	v.note(func(t *Tally) { t.Ups++ })
+	if v.Say > 0 {
+		stop := make(chan struct{})
+		defer close(stop)
+		go v.talk(conn, stop)
+	}
+	conn.SetReadDeadline(time.Time{})
+	return v.follow(conn, in)
+}
+
+// resumeFields returns the fields of the next first line that ask for a token or show one.
+func (v *Viewer) resumeFields() string {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	switch {
-	case words[0] == "UP":
-		v.note(func(t *Tally) { t.Ups++ })
-	case words[0] == "BUSY":
+	case !v.Token:
+		return ""
+	case v.held != "":
+		return fmt.Sprintf(",resume=%s,pos=%d", v.held, v.tally.Last)
+	case v.tally.Last > 0:
+		return fmt.Sprintf(",resume=new,pos=%d", v.tally.Last)
+	}
+	return ",resume=new"
+}
+
+// noteUnanswered counts a connection that ended before its answer. One that Run's end cut was not opened.
+func (v *Viewer) noteUnanswered(ctx context.Context, relay string) {
+	v.note(func(t *Tally) {
+		t.Breaks++
+		if ctx.Err() != nil {
+			t.Openings--
+			return
+		}
+		t.Notes = append(t.Notes, "unanswered by "+relay)
+	})
+}
+
+// rejected notes an answer other than UP, and returns how long to wait before the next time.
+func (v *Viewer) rejected(in *bufio.Reader, line string) time.Duration {
+	words := strings.Fields(line)
+	if words[0] == "BUSY" {
 		v.note(func(t *Tally) { t.Busy++ })
 		v.surplus(in)
 		if len(words) > 1 {
@@ -135,34 +126,34 @@
 			return time.Duration(ms) * time.Millisecond
 		}
 		return soon()
-	default:
-		v.surplus(in)
-		v.mu.Lock()
-		defer v.mu.Unlock()
-		v.tally.Failed++
-		v.tally.Notes = append(v.tally.Notes, strings.TrimSpace(line))
-		if len(words) > 1 && words[1] == "resume" { // final: it begins anew
-			v.held = ""
-		}
-		return soon()
 	}
-	if v.Say > 0 {
-		stop := make(chan struct{})
-		defer close(stop)
-		go func() {
-			tick := time.NewTicker(v.Say)
-			defer tick.Stop()
-			for {
-				select {
-				case <-stop:
-					return
-				case <-tick.C:
-					fmt.Fprint(conn, "M\r\n")
-				}
-			}
-		}()
+	v.surplus(in)
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.tally.Failed++
+	v.tally.Notes = append(v.tally.Notes, strings.TrimSpace(line))
+	if len(words) > 1 && words[1] == "resume" { // final: it begins anew
+		v.held = ""
 	}
-	conn.SetReadDeadline(time.Time{})
+	return soon()
+}
+
+// talk sends a line each period until stop is closed.
+func (v *Viewer) talk(conn net.Conn, stop <-chan struct{}) {
+	tick := time.NewTicker(v.Say)
+	defer tick.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-tick.C:
+			fmt.Fprint(conn, "M\r\n")
+		}
+	}
+}
+
+// follow reads the stream to its end, and returns how long to wait before the next time.
+func (v *Viewer) follow(conn net.Conn, in *bufio.Reader) time.Duration {
 	for first := true; ; {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -195,27 +186,12 @@
 
 // surplus counts what comes after a final answer as further answers.
 func (v *Viewer) surplus(in *bufio.Reader) {
-	if line, err := in.ReadString('\n'); err == nil {
-		v.note(func(t *Tally) { t.Answers++; t.Notes = append(t.Notes, "second answer: "+strings.TrimSpace(line)) })
-	}
-}
-
-func (v *Viewer) scan(x uint64, first bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	now := time.Now()
-	if t := &v.tally; t.Last != 0 {
-		if first {
-			t.Gaps = append(t.Gaps, now.Sub(t.LastAt))
-		}
-		switch {
-		case x <= t.Last:
-			t.Disorder++
-			return
-		case x > t.Last+1:
-			t.Lost += x - t.Last - 1
-		}
+	line, err := in.ReadString('\n')
+	if err != nil {
+		return
 	}
-	v.tally.Last, v.tally.LastAt = x, now
-	v.tally.Scans++
+	v.note(func(t *Tally) {
+		t.Answers++
+		t.Notes = append(t.Notes, "second answer: "+strings.TrimSpace(line))
+	})
 }
--- a/internal/testing/fake/xmpp.go
+++ b/internal/testing/fake/xmpp.go
@@ -74,17 +74,7 @@
 		}
 		switch start.Name.Local {
 		case "stream":
-			switch {
-			case authed:
-				s.say(c, "%s<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>", header)
-				s.Arrived <- "up"
-			case s.Hold == "header":
-				s.Arrived <- "header"
-			default:
-				s.say(c, "%s<stream:features><starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"+
-					"<mechanisms xmlns='urn:ietf:params:xml:ns:xmpp-sasl'><mechanism>PLAIN</mechanism></mechanisms></stream:features>", header)
-				s.Arrived <- "header"
-			}
+			s.greet(c, authed)
 		case "auth":
 			d.Skip()
 			s.Arrived <- "auth"
@@ -93,19 +83,40 @@
 				d, authed = xml.NewDecoder(c), true
 			}
 		default:
-			id := ""
-			for _, a := range start.Attr {
-				if a.Name.Local == "id" {
-					id = a.Value
-				}
-			}
 			d.Skip()
-			if start.Name.Local == "iq" {
-				s.say(c, "<iq type='result' id='%s'/>", id)
-			} else {
-				s.Arrived <- start.Name.Local + " " + id
-				s.say(c, "<%s id='%s'><body>&lt;echo&gt;<![CDATA[</message>]]></body></%[1]s>", start.Name.Local, id)
-			}
+			s.answerStanza(c, start)
 		}
 	}
 }
+
+// greet answers a stream header.
+func (s *XMPP) greet(c net.Conn, authed bool) {
+	switch {
+	case authed:
+		s.say(c, "%s<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>", header)
+		s.Arrived <- "up"
+	case s.Hold == "header":
+		s.Arrived <- "header"
+	default:
+		s.say(c, "%s<stream:features><starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"+
+			"<mechanisms xmlns='urn:ietf:params:xml:ns:xmpp-sasl'><mechanism>PLAIN</mechanism></mechanisms>"+
+			"</stream:features>", header)
+		s.Arrived <- "header"
+	}
+}
+
+// answerStanza answers an iq with a result, and any other stanza with an echo.
+func (s *XMPP) answerStanza(c net.Conn, start xml.StartElement) {
+	id := ""
+	for _, a := range start.Attr {
+		if a.Name.Local == "id" {
+			id = a.Value
+		}
+	}
+	if start.Name.Local == "iq" {
+		s.say(c, "<iq type='result' id='%s'/>", id)
+		return
+	}
+	s.Arrived <- start.Name.Local + " " + id
+	s.say(c, "<%s id='%s'><body>&lt;echo&gt;<![CDATA[</message>]]></body></%[1]s>", start.Name.Local, id)
+}
