--- a/cmd/capersail/main_test.go
+++ b/cmd/capersail/main_test.go
@@ -130,13 +130,13 @@
 }
 
 // stage is a discovery service that knows one server.
-func stage(t *testing.T, id string) (*fake.Discovery, *fake.TileServer) {
+func stage(t *testing.T, id string) (*fake.Discovery, *fake.EchoServer) {
 	t.Helper()
 	d, err := fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := fake.NewTileServer("127.0.0.1:0", "UP")
+	s, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,13 +150,13 @@
 	d, s := stage(t, "s1")
 	cmd, address, _ := start(t, configure(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
-		c["known"] = json.RawMessage(d.Whole())
+		c["known"] = json.RawMessage(d.Snapshot())
 	}))
 	c := dial(t, address)
 	c.ask(t, "PING", "PONG")
 	c.ask(t, open, "UP")
 	c.ask(t, "M 1 hello", "M")
-	if first := <-s.Firsts; !strings.HasPrefix(first, "OPEN 9b1f 7f3a c=map-stream,t=acme,d=") {
+	if first := <-s.FirstLines; !strings.HasPrefix(first, "OPEN 9b1f 7f3a c=map-stream,t=acme,d=") {
 		t.Errorf("the server was sent %q", first)
 	}
 	dial(t, address).ask(t, "nonsense", "ERR")
@@ -194,7 +194,7 @@
 	next, s2 := stage(t, "s2")
 	path := configure(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", old.Address
-		c["known"] = json.RawMessage(old.Whole())
+		c["known"] = json.RawMessage(old.Snapshot())
 	})
 	cmd, address, said := start(t, path)
 	hangUp := func(text []byte, want string) {
@@ -217,15 +217,15 @@
 	}
 	c := dial(t, address)
 	c.ask(t, open, "UP")
-	<-s1.Firsts
+	<-s1.FirstLines
 	good, _ := os.ReadFile(path)
 	hangUp(nil, "LB_CONFIG: ")
 	hangUp([]byte(strings.Replace(string(good), old.Address, "nowhere", 1)), "discovery: ")
 	k := dial(t, address)
 	k.ask(t, strings.Replace(open, "9b1f", "9b20", 1), "UP")
-	<-s1.Firsts
+	<-s1.FirstLines
 	hangUp([]byte(strings.Replace(string(good), old.Address, next.Address, 1)), "reloaded")
-	for i := 0; len(s2.Firsts) == 0; i++ { // the news takes its time
+	for i := 0; len(s2.FirstLines) == 0; i++ { // the news takes its time
 		if i > 2000 {
 			t.Fatal("the new discovery is not followed")
 		}
--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -18,7 +18,7 @@
 // room for whoever asks, and follows discovery when that returns. The machine holds the process to 64 descriptors.
 func TestFullOfIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	address := freeAddress(t) // discovery's, where nobody is yet
-	s1, err := fake.NewTileServer("127.0.0.1:0", "UP")
+	s1, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 		}
 		idle(20)
 	}
-	s2, err := fake.NewTileServer("127.0.0.1:0", "UP")
+	s2, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	d.Set("s2", s2.Address, "Ready") // and s1 is gone
-	for i, until := 100, time.Now().Add(20*time.Second); len(s2.Firsts) == 0; i++ {
+	for i, until := 100, time.Now().Add(20*time.Second); len(s2.FirstLines) == 0; i++ {
 		idle(10)
 		ask(i)
 		if time.Now().After(until) {
@@ -88,7 +88,7 @@
 	admin := freeAddress(t)
 	cmd, relay, said := start(t, configure(t, func(c map[string]any) {
 		c["listen"], c["discovery"], c["admin"] = "127.0.0.1:0", d.Address, admin
-		c["known"] = json.RawMessage(d.Whole())
+		c["known"] = json.RawMessage(d.Snapshot())
 	}))
 	open1 := dial(t, relay)
 	open1.ask(t, open, "UP")
--- a/cmd/capersail/ops_test.go
+++ b/cmd/capersail/ops_test.go
@@ -62,7 +62,7 @@
 	t.Cleanup(func() { l.Close() })
 	return l, configure(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = l.Addr().String(), d.Address
-		c["known"] = json.RawMessage(d.Whole())
+		c["known"] = json.RawMessage(d.Snapshot())
 	})
 }
 
@@ -156,7 +156,7 @@
 	ops := "http://" + freeAddress(t)
 	cmd := program(t, configure(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
-		c["known"] = json.RawMessage(d.Whole())
+		c["known"] = json.RawMessage(d.Snapshot())
 	}))
 	cmd.Env = append(cmd.Env, "LB_ADMIN="+strings.TrimPrefix(ops, "http://"), "TMPDIR="+t.TempDir())
 	cmd, address, _ := startCmd(t, cmd)
@@ -164,7 +164,7 @@
 	awaitReady(t, strings.TrimPrefix(ops, "http://"))
 	c := dial(t, address)
 	c.ask(t, open, "UP")
-	<-s.Firsts
+	<-s.FirstLines
 
 	if code, _ := call(t, "POST", ops+"/ops/drain/start"); code != 200 {
 		t.Fatalf("drain: %d", code)
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -40,7 +40,7 @@
 				var gaps []time.Duration
 				lost := uint64(0)
 				for _, v := range viewers {
-					if k := v.Tally(); v.Token == with {
+					if k := v.Tally(); v.UseTokens == with {
 						gaps, lost = append(gaps, k.Gaps...), lost+k.Lost
 					}
 				}
@@ -48,7 +48,7 @@
 					quantile(gaps, 0.5), quantile(gaps, 0.99), lost)
 			}
 			for _, v := range viewers {
-				v.Forget()
+				v.ClearGaps()
 			}
 		}
 		f.current(viewers)
@@ -65,7 +65,7 @@
 		f.cmds[relays[2]].Process.Kill()
 		collect("a relay killed")
 		stop()
-		for _, bad := range f.ledger.Bad() {
+		for _, bad := range f.ledger.Violations() {
 			b.Error(bad)
 		}
 	}
@@ -79,7 +79,7 @@
 		f := newFleet(b, 8, "claim_ms = 2000\n")
 		f.config = func(c map[string]any) { c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 16384} }
 		for _, s := range f.servers {
-			s.Capacity, s.StartPart, s.Warm = 700, 0.36, 8600*time.Millisecond
+			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow = 700, 0.36, 8600*time.Millisecond
 		}
 		a, other := f.start(0, 2), f.start(1, 2)
 		f.wait("claim service", f.claims)
@@ -88,15 +88,15 @@
 		var all sync.WaitGroup
 		var viewers []*fake.Viewer
 		for i := range streams {
-			v := &fake.Viewer{Name: fmt.Sprint("v", i), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
-				Token: true, Say: 2 * time.Second, Relay: f.any}
+			v := &fake.Viewer{Name: fmt.Sprint("v", i), OpenFields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), WaitLimit: 3 * time.Second,
+				UseTokens: true, SendEvery: 2 * time.Second, RelayAddress: f.any}
 			viewers = append(viewers, v)
 			all.Go(func() { v.Run(ctx) })
 			time.Sleep(2 * time.Millisecond)
 		}
 		served := func() (n int) {
 			for _, v := range viewers {
-				if k := v.Tally(); k.Last > 0 && v.Held() != "" {
+				if k := v.Tally(); k.LastScan > 0 && v.ResumeToken() != "" {
 					n++
 				}
 			}
@@ -114,8 +114,8 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(s.Kill)
-			s.Capacity, s.StartPart, s.Warm, s.Started = 700, 0.36, 8600*time.Millisecond, time.Now()
-			f.list.Start(s.ID, s.Address, "Ready", s.Started)
+			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow, s.StartedAt = 700, 0.36, 8600*time.Millisecond, time.Now()
+			f.list.SetStarted(s.ID, s.Address, "Ready", s.StartedAt)
 			cold = append(cold, s)
 		}
 		f.mu.Lock()
@@ -127,7 +127,7 @@
 			f.wait("served again", func() bool {
 				n := 0
 				for _, v := range viewers {
-					if v.Tally().Last > at+2 {
+					if v.Tally().LastScan > at+2 {
 						n++
 					}
 				}
@@ -138,7 +138,7 @@
 		half, most, whole := back(0.5), back(0.99), back(1)
 		peak, over, busy, lost := 0.0, time.Duration(0), 0, uint64(0)
 		for _, s := range cold {
-			p, o := s.Strain()
+			p, o := s.PeakLoad()
 			peak, over = max(peak, p), max(over, o)
 		}
 		for _, v := range viewers {
@@ -147,10 +147,10 @@
 		}
 		fmt.Printf("%d tokens after a relay's death, session 4 s: half served after %.1f s, 99 %% after %.1f s, all after %.1f s; "+
 			"told to come again %.1f times each; scans lost %d; cold servers' peak load %.2f (falls at %.0f for 1.5 s), longest over it %v\n",
-			streams, half, most, whole, float64(busy)/streams, lost, peak, fake.FallMultiple, over)
+			streams, half, most, whole, float64(busy)/streams, lost, peak, fake.OverloadFactor, over)
 		stop()
 		all.Wait()
-		for _, bad := range f.ledger.Bad() {
+		for _, bad := range f.ledger.Violations() {
 			b.Error(bad)
 		}
 		b.ReportMetric(whole, "s/all")
--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -60,7 +60,7 @@
 
 func (f *fleet) sound() {
 	f.t.Helper()
-	for _, bad := range f.ledger.Bad() {
+	for _, bad := range f.ledger.Violations() {
 		f.t.Error(bad)
 	}
 }
@@ -97,7 +97,7 @@
 	other, _ := token.NewKeyRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
 	forged, _ := other.Seal(good)
 	now := time.Now().UnixMilli()
-	before := f.servers[0].Opened()
+	before := f.servers[0].Openings()
 	for i, k := range []struct{ name, fields, want string }{
 		{"forged", "c=map-stream,t=acme,d=3000,g=5,resume=" + forged, "ERR resume token"},
 		{"cut", "c=map-stream,t=acme,d=3000,g=5,resume=" + text[:len(text)-9], "ERR resume token"},
@@ -116,7 +116,7 @@
 		{"two tokens", "c=map-stream,t=acme,d=3000,g=5,resume=" + text + ",resume=" + forged, "UP"}, // the first counts
 	} {
 		if k.want == "UP" {
-			if n := f.servers[0].Opened(); n != before {
+			if n := f.servers[0].Openings(); n != before {
 				t.Errorf("%d refused openings reached the server", n-before)
 			}
 		}
@@ -287,21 +287,21 @@
 // The claim service gone before, during and after; its answers lost; its sessions forgotten.
 func TestClaimServiceGone(t *testing.T) {
 	f := newFleet(t, 2, "")
-	f.zk.Refuse(true)
+	f.zk.SetUnreachable(true)
 	at := f.start(0, 1)
 	c := dial(t, at)
 	c.ask(t, "OPEN s 7f c=map-stream,t=acme,d=3000,g=5,resume=new", "UP") // new streams need no claim to be served
 	c.until(t, "SCAN")
-	f.zk.Refuse(false)
+	f.zk.SetUnreachable(false)
 	words := c.until(t, "TOKEN")
 	fmt.Fprintf(c, "GOT %s\r\n", words[1])
 
-	f.zk.Cut() // a session taken up again costs nothing
+	f.zk.ResetConnections() // a session taken up again costs nothing
 	f.wait("connected again", func() bool { return f.said("ownership service connected") >= 2 })
 	for range 3 {
 		c.until(t, "SCAN")
 	}
-	f.zk.Refuse(true) // for longer than claims are trusted: moved, before another could have won
+	f.zk.SetUnreachable(true) // for longer than claims are trusted: moved, before another could have won
 	last := ""
 	for {
 		line, err := c.in.ReadString('\n')
@@ -318,15 +318,15 @@
 	if got, _ := f.show(at, "down", words[2], ",pos="+last); !strings.HasPrefix(got, "BUSY ") {
 		t.Errorf("while the service is gone: %q", got)
 	}
-	f.zk.Refuse(false)
+	f.zk.SetUnreachable(false)
 	c, _ = f.comeAgain(at, "back", words[2], ",pos="+last)
 	words = c.until(t, "TOKEN")
 	fmt.Fprintf(c, "GOT %s\r\nM\r\n", words[1])
 	c.until(t, "M")
 
-	f.zk.Expire() // forgotten while served: moved at once
+	f.zk.ExpireSessions() // forgotten while served: moved at once
 	c.until(t, "MOVE")
-	f.zk.Swallow(1) // the claim is made, and the answer lost: the node exists and is ours
+	f.zk.DropAnswers(1) // the claim is made, and the answer lost: the node exists and is ours
 	c, _ = f.comeAgain(at, "swallowed", words[2], "")
 	c.until(t, "SCAN")
 	if n := held(f.zk); n != 1 {
@@ -334,11 +334,11 @@
 	}
 	c.Close()
 	f.wait("given back", func() bool { return held(f.zk) == 0 })
-	f.zk.Freeze(true) // it answers nothing at all
+	f.zk.SetFrozen(true) // it answers nothing at all
 	if got, _ := f.show(at, "frozen", words[2], ""); !strings.HasPrefix(got, "BUSY ") {
 		t.Errorf("while the service is frozen: %q", got)
 	}
-	f.zk.Freeze(false)
+	f.zk.SetFrozen(false)
 	c, _ = f.comeAgain(at, "thawed", words[2], "")
 	c.until(t, "SCAN")
 	f.sound()
@@ -371,7 +371,7 @@
 			var once sync.Once
 			met := make(chan string, 1)
 			for _, s := range f.servers {
-				s.First = func(string) {
+				s.OnFirstLine = func(string) {
 					once.Do(func() {
 						got, second := f.show(b, "second", text, "") // in the middle of the first's attempt
 						second.Close()
@@ -381,10 +381,10 @@
 							s.Kill()
 							f.list.Set(s.ID, s.Address, "Gone")
 						case "silent":
-							s.Silence(true)
+							s.SetSilent(true)
 							f.list.Set(s.ID, s.Address, "Gone")
 						case "draining":
-							s.Refuse(true)
+							s.SetRejecting(true)
 							f.list.Set(s.ID, s.Address, "Terminating")
 						}
 					})
@@ -416,7 +416,7 @@
 		got, _ := c.in.ReadString('\n')
 		return strings.HasPrefix(got, "UP")
 	})
-	if first := <-s.Firsts; !strings.HasSuffix(first, ",resume=new,pos=7") {
+	if first := <-s.FirstLines; !strings.HasSuffix(first, ",resume=new,pos=7") {
 		t.Errorf("the server was sent %q", first)
 	}
 }
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -62,7 +62,7 @@
 	if f.list, err = fake.NewDiscovery("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	f.list.Extra = `,"resumes":true`
+	f.list.ExtraFields = `,"resumes":true`
 	for i := range servers {
 		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", f.feed, f.ledger)
 		if err != nil {
@@ -94,7 +94,7 @@
 		f.t.Fatal(err)
 	}
 	c["name"], c["listen"], c["discovery"] = fmt.Sprint("n", me), "127.0.0.1:0", f.list.Address
-	c["known"] = json.RawMessage(f.list.Whole())
+	c["known"] = json.RawMessage(f.list.Snapshot())
 	settings := c["settings"].(map[string]any)
 	settings["balancers"], settings["me"] = all, me
 	if f.config != nil {
@@ -178,8 +178,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for i := range n {
-		v := &fake.Viewer{Name: fmt.Sprint("v", i), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
-			Token: token(i), Say: 500 * time.Millisecond, Relay: f.any}
+		v := &fake.Viewer{Name: fmt.Sprint("v", i), OpenFields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), WaitLimit: 3 * time.Second,
+			UseTokens: token(i), SendEvery: 500 * time.Millisecond, RelayAddress: f.any}
 		viewers = append(viewers, v)
 		all.Go(func() { v.Run(ctx) })
 	}
@@ -193,7 +193,7 @@
 	f.t.Helper()
 	newest := f.feed.Newest() + 3 // what nobody can have yet
 	for _, v := range viewers {
-		f.wait("every stream is served", func() bool { return v.Tally().Last >= newest && (!v.Token || v.Held() != "") })
+		f.wait("every stream is served", func() bool { return v.Tally().LastScan >= newest && (!v.UseTokens || v.ResumeToken() != "") })
 	}
 }
 
@@ -202,9 +202,9 @@
 	f.t.Helper()
 	for _, s := range f.servers {
 		f.list.Set(s.ID, s.Address, "Terminating")
-		s.Refuse(true)
-		f.wait("drained", func() bool { return s.SendAway(3) == 0 })
-		s.Refuse(false)
+		s.SetRejecting(true)
+		f.wait("drained", func() bool { return s.MigrateOneIn(3) == 0 })
+		s.SetRejecting(false)
 		f.list.Set(s.ID, s.Address, "Ready")
 	}
 }
@@ -228,9 +228,9 @@
 	f.servers[0].Kill()
 	f.list.Set("s0", f.servers[0].Address, "Gone")
 	current()
-	f.servers[1].Silence(true)
+	f.servers[1].SetSilent(true)
 	current()
-	f.servers[1].Silence(false)
+	f.servers[1].SetSilent(false)
 	f.gone(relays[1])
 	f.cmds[relays[1]].Process.Kill()
 	current()
@@ -260,7 +260,7 @@
 			t.Errorf("%s: %d answers to %d openings", v.Name, k.Answers, k.Openings)
 		}
 	}
-	for _, bad := range f.ledger.Bad() {
+	for _, bad := range f.ledger.Violations() {
 		t.Error(bad)
 	}
 	_, served := f.ledger.Serving()
@@ -279,7 +279,7 @@
 	f.wait("claim service", f.claims)
 	var inFlight sync.Map // attempts out for a stream, as the servers see them
 	for _, s := range f.servers {
-		s.First = func(line string) {
+		s.OnFirstLine = func(line string) {
 			_, rest, _ := strings.Cut(line, ",s=")
 			stream, _, _ := strings.Cut(rest, ",")
 			n, _ := inFlight.LoadOrStore(stream, new(atomic.Int32))
@@ -349,14 +349,14 @@
 			t.Fatalf("seed %d: a refused token reached a server", i)
 		}
 	}
-	for _, bad := range f.ledger.Bad() {
+	for _, bad := range f.ledger.Violations() {
 		t.Error(bad)
 	}
 }
 
 func total(servers []*fake.ScanServer) (n int) {
 	for _, s := range servers {
-		n += s.Opened()
+		n += s.Openings()
 	}
 	return n
 }
--- a/cmd/capersail/timeline_test.go
+++ b/cmd/capersail/timeline_test.go
@@ -19,7 +19,7 @@
 	os.WriteFile(file, fmt.Appendf(nil, "socket = %q\nstore = %q\n", socket, db), 0o600)
 	config := configure(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
-		c["known"] = json.RawMessage(d.Whole())
+		c["known"] = json.RawMessage(d.Snapshot())
 	})
 	serve := func(more ...string) (*exec.Cmd, string, <-chan string) {
 		cmd := program(t, config)
@@ -49,7 +49,7 @@
 	cmd, address, _ := serve("--timeline", file)
 	for i := range 5 {
 		dial(t, address).ask(t, fmt.Sprintf("OPEN t%d 7f3a c=map-stream,t=acme,d=2000", i), "UP")
-		<-s.Firsts
+		<-s.FirstLines
 	}
 	f := &fleet{t: t}
 	f.wait("its answer on the socket", func() bool { return strings.Contains(ask("--socket", socket, "show", "s1"), "placed 5,") })
--- a/examples/resume/main.go
+++ b/examples/resume/main.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	list.Extra = `,"resumes":true`
+	list.ExtraFields = `,"resumes":true`
 	feed, ledger := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done()), fake.NewLedger()
 	servers := map[string]*fake.ScanServer{}
 	var at atomic.Value // the server that has the stream
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		s.First = func(line string) {
+		s.OnFirstLine = func(line string) {
 			at.Store(s.ID)
 			fmt.Printf("  %s was told: ...%s\n", s.ID, line[max(0, len(line)-100):])
 		}
@@ -99,9 +99,9 @@
 		relays, addresses = append(relays, cmd), append(addresses, address)
 	}
 	var relay atomic.Int32
-	v := &fake.Viewer{Name: "demo", Fields: "7f3a c=map-stream,t=acme", Wait: 3 * time.Second, Token: true,
-		Say: time.Second, Relay: func() string { return addresses[relay.Load()] }}
-	v.Event = func(text string) { fmt.Println("  client:", text) }
+	v := &fake.Viewer{Name: "demo", OpenFields: "7f3a c=map-stream,t=acme", WaitLimit: 3 * time.Second, UseTokens: true,
+		SendEvery: time.Second, RelayAddress: func() string { return addresses[relay.Load()] }}
+	v.OnEvent = func(text string) { fmt.Println("  client:", text) }
 	go v.Run(ctx)
 	fmt.Println("two relays, three servers, one stream of scans, one each 100 ms")
 	time.Sleep(every)
@@ -109,8 +109,8 @@
 	id := at.Load().(string)
 	fmt.Printf("%s drains and sends its clients away\n", id)
 	list.Set(id, servers[id].Address, "Terminating")
-	servers[id].Refuse(true)
-	servers[id].SendAway(2)
+	servers[id].SetRejecting(true)
+	servers[id].MigrateOneIn(2)
 	time.Sleep(every)
 
 	fmt.Println("the relay is killed with -9; the client goes to the other, where its claim still stands for a while")
@@ -119,9 +119,9 @@
 	time.Sleep(every + 6*time.Second)
 
 	t := v.Tally()
-	fmt.Printf("%d scans up to number %d: %d lost, %d out of turn; longest gap %v\n", t.Scans, t.Last, t.Lost, t.Disorder,
+	fmt.Printf("%d scans up to number %d: %d lost, %d out of turn; longest gap %v\n", t.Scans, t.LastScan, t.Lost, t.Disorder,
 		longest(t.Gaps).Round(time.Millisecond))
-	for _, bad := range ledger.Bad() {
+	for _, bad := range ledger.Violations() {
 		fmt.Println("must not happen:", bad)
 	}
 	return nil
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -25,14 +25,14 @@
 		return err
 	}
 	for i, address := range []string{"127.0.0.1:8001", "127.0.0.1:8002"} {
-		s, err := fake.NewTileServer(address, "UP")
+		s, err := fake.NewEchoServer(address, "UP")
 		if err != nil {
 			return err
 		}
 		id := fmt.Sprintf("toy-%d", i+1)
 		d.Set(id, s.Address, "Ready")
 		go func() {
-			for line := range s.Firsts {
+			for line := range s.FirstLines {
 				fmt.Printf("%s took %s\n", id, line)
 			}
 		}()
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -79,8 +79,8 @@
 	pause(ctx, every)
 	p.say("server-0 drains: the list says so, and it sends its clients away")
 	site.list.Set(drained.ID, drained.Address, "Terminating")
-	drained.Refuse(true)
-	for drained.SendAway(3) > 0 && ctx.Err() == nil {
+	drained.SetRejecting(true)
+	for drained.MigrateOneIn(3) > 0 && ctx.Err() == nil {
 		pause(ctx, every/20)
 	}
 	pause(ctx, every)
@@ -88,9 +88,9 @@
 	killed.Kill()
 	pause(ctx, every)
 	p.say("server-2 falls silent, without a reset")
-	silent.Silence(true)
+	silent.SetSilent(true)
 	pause(ctx, 2*every)
-	silent.Silence(false)
+	silent.SetSilent(false)
 	site.list.Set(killed.ID, killed.Address, "Gone")
 	pause(ctx, every)
 }
--- a/internal/command/demo_site.go
+++ b/internal/command/demo_site.go
@@ -130,8 +130,8 @@
 	for i := range demoClients {
 		clients.Go(func() {
 			for n := 0; watching.Err() == nil; n++ {
-				v := &fake.Viewer{Name: fmt.Sprintf("c%d.%d", i, n), Fields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), Wait: 3 * time.Second,
-					Say: time.Second, Relay: func() string { return d.address }}
+				v := &fake.Viewer{Name: fmt.Sprintf("c%d.%d", i, n), OpenFields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), WaitLimit: 3 * time.Second,
+					SendEvery: time.Second, RelayAddress: func() string { return d.address }}
 				one, done := context.WithTimeout(watching, time.Duration(2000+137*((i*7+n*11)%40))*time.Millisecond)
 				v.Run(one)
 				done()
--- a/internal/lifecycle/xmpp_test.go
+++ b/internal/lifecycle/xmpp_test.go
@@ -96,7 +96,7 @@
 }
 
 func (b *xmppBench) node(name string, s *fake.XMPP, lifecycle string) {
-	b.zk.Set(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q,"zone":"a"}`, s.Address, lifecycle))
+	b.zk.SetNode(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q,"zone":"a"}`, s.Address, lifecycle))
 }
 
 // client is an XMPP client whose reads are by encoding/xml.
@@ -208,9 +208,9 @@
 func await(t *testing.T, s *fake.XMPP, want string) {
 	t.Helper()
 	select {
-	case got := <-s.Arrived:
+	case got := <-s.Stages:
 		for got != want {
-			got = <-s.Arrived
+			got = <-s.Stages
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatalf("the server never saw %q", want)
@@ -290,7 +290,7 @@
 	s := b.server("n1", "")
 	c := b.dial()
 	b.want("set-up", c.up(), "up")
-	s.Silence()
+	s.SetSilent()
 	var want []string
 	for i := range 150 {
 		fmt.Fprintf(c, "<message id='m%d' to='x'/>", i)
@@ -361,7 +361,7 @@
 		<-ready
 	}
 	servers[0].Kill()
-	servers[1].Silence()
+	servers[1].SetSilent()
 	b.node("n3", servers[2], "Terminating")
 	all.Go(func() { shutDownFront(b.relay) })
 	all.Wait()
@@ -408,12 +408,12 @@
 	b := newXMPPBench(t, "plaintext = true")
 	old := b.server("n1", "")
 	b.want("set-up", b.dial().up(), "up")
-	b.zk.Expire()
-	b.zk.Set("n1", "")
+	b.zk.ExpireSessions()
+	b.zk.SetNode("n1", "")
 	b.server("n2", "")
 	old.Kill()
 	b.want("set-up at the new one", b.dial().up(), "up")
-	b.zk.Set("bad", "no JSON")
+	b.zk.SetNode("bad", "no JSON")
 	b.server("n3", "")
 }
 
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -98,8 +98,8 @@
 	for i := range n {
 		all.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
-				v := &fake.Viewer{Name: fmt.Sprintf("c%d.%d", i, k), Fields: fmt.Sprintf("%x c=m", i+1), Wait: 3 * time.Second,
-					Say: 700 * time.Millisecond, Relay: func() string { return w.relay }}
+				v := &fake.Viewer{Name: fmt.Sprintf("c%d.%d", i, k), OpenFields: fmt.Sprintf("%x c=m", i+1), WaitLimit: 3 * time.Second,
+					SendEvery: 700 * time.Millisecond, RelayAddress: func() string { return w.relay }}
 				one, done := context.WithTimeout(ctx, time.Duration(400+150*((i*7+k*11)%40))*time.Millisecond)
 				v.Run(one)
 				done()
@@ -183,31 +183,31 @@
 	}
 
 	faults := float64(time.Now().UnixMilli())
-	w.servers[0].Silence(true)
-	w.servers[1].Turn(fake.Knobs{Erring: true})
-	w.servers[2].Turn(fake.Knobs{ProbeDelay: 120 * time.Millisecond})
-	w.servers[3].Turn(fake.Knobs{UpDelay: 150 * time.Millisecond})
+	w.servers[0].SetSilent(true)
+	w.servers[1].SetFaults(fake.ServerFaults{AnswerError: true})
+	w.servers[2].SetFaults(fake.ServerFaults{ProbeDelay: 120 * time.Millisecond})
+	w.servers[3].SetFaults(fake.ServerFaults{UpDelay: 150 * time.Millisecond})
 	expect(0, anomaly.Unresponsive)
 	expect(1, anomaly.ErrorBurst)
 	expect(2, anomaly.LateProbeReplies)
 	expect(3, anomaly.SlowSetup)
 	state(0, timeline.Unresponsive)
-	w.servers[0].Silence(false)
+	w.servers[0].SetSilent(false)
 	for i := 1; i <= 3; i++ {
-		w.servers[i].Turn(fake.Knobs{})
+		w.servers[i].SetFaults(fake.ServerFaults{})
 	}
 
-	w.servers[4].Refuse(true)
-	w.servers[5].SendAway(2)
-	w.servers[6].Turn(fake.Knobs{Extra: 0.9})
-	w.servers[7].Turn(fake.Knobs{Frozen: true})
+	w.servers[4].SetRejecting(true)
+	w.servers[5].MigrateOneIn(2)
+	w.servers[6].SetFaults(fake.ServerFaults{ExtraLoad: 0.9})
+	w.servers[7].SetFaults(fake.ServerFaults{FreezeReport: true})
 	expect(4, anomaly.RejectingAll)
 	expect(5, anomaly.UnannouncedDrain)
 	expect(6, anomaly.UnevenLoad)
 	expect(7, anomaly.FrozenReport)
-	w.servers[4].Refuse(false)
-	w.servers[6].Turn(fake.Knobs{})
-	w.servers[7].Turn(fake.Knobs{})
+	w.servers[4].SetRejecting(false)
+	w.servers[6].SetFaults(fake.ServerFaults{})
+	w.servers[7].SetFaults(fake.ServerFaults{})
 
 	holds := func(name string) {
 		w.wait(name+" holds connections", func() bool {
@@ -223,7 +223,7 @@
 	state(8, timeline.Gone)
 	w.mode(9, decide.Draining) // with word: a state, and no event
 	state(9, timeline.Draining)
-	w.servers[9].SendAway(2)
+	w.servers[9].MigrateOneIn(2)
 	w.since[10] = float64(time.Now().UnixMilli())
 	w.mode(10, decide.Ready) // with word: another process under the same id
 	state(10, timeline.Warming)
@@ -286,9 +286,9 @@
 	go func() { s.Run(ctx); close(closed) }()
 	w := newTown(t, 4, s)
 	w.clients(20)
-	w.servers[0].Silence(true)
+	w.servers[0].SetSilent(true)
 	w.wait("silent", func() bool { return w.event("s0", anomaly.Unresponsive) != nil })
-	w.servers[0].Silence(false)
+	w.servers[0].SetSilent(false)
 	w.wait("and it ends", func() bool { return w.event("s0", anomaly.Unresponsive).To != 0 })
 	live := w.w.Report(report.Query{})
 	w.w.Rest()
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -60,7 +60,7 @@
 		return withoutToken.fencingToken.Load() == 1 && withToken.fencingToken.Load() == 1
 	})
 	withToken.IssueToken()
-	zk.Expire()
+	zk.ExpireSessions()
 	eventually(t, "ended", func() bool { return stateOf(b) == relay.Ended })
 	if withToken.MayForward() || withToken.IssueToken() != "" {
 		t.Error("a stream whose lease has expired is still served")
@@ -77,7 +77,7 @@
 	zk := newOwnershipService(t)
 	r := newRelay(t, zk)
 	tokens := r.newStreams(t, 200)
-	zk.Hold(200)
+	zk.HoldAnswers(200)
 	for _, q := range r.startResuming(t, tokens) {
 		eventually(t, "acquired", func() bool { return stateOf(q) == relay.Queued })
 	}
@@ -93,7 +93,7 @@
 	zk := newOwnershipService(b)
 	r := newRelay(b, zk)
 	tokens := r.newStreams(b, n)
-	zk.Delay(time.Millisecond)
+	zk.DelayAnswers(time.Millisecond)
 	for _, k := range []struct {
 		name string
 		step int
--- a/internal/simulation/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	config["listen"], config["admin"], config["discovery"] = "127.0.0.1:0", "127.0.0.1:0", discovery.Address
-	config["known"] = json.RawMessage(discovery.Whole())
+	config["known"] = json.RawMessage(discovery.Snapshot())
 	config["limits"] = map[string]any{"cores": 1, "memory_mb": 2048, "sockets": 19_000}
 	text, _ = json.Marshal(config)
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/testing/cluster/cold_test.go
+++ b/internal/testing/cluster/cold_test.go
@@ -39,7 +39,7 @@
 	go func() { defer close(playing); trouble(g) }()
 	time.Sleep(700 * time.Millisecond) // in the middle of it
 	began := Now()
-	g.Discovery.Start("s3", sinks[3].Address, "Ready", time.Now())
+	g.Discovery.SetStarted("s3", sinks[3].Address, "Ready", time.Now())
 	time.Sleep(time.Duration(coldDay.ColdMs) * time.Millisecond)
 	came := sinks[3].Came(began, began+coldDay.ColdMs)
 	<-playing
--- a/internal/testing/cluster/load.go
+++ b/internal/testing/cluster/load.go
@@ -18,7 +18,7 @@
 // Sink is a server that notes when each connection's first line came to it.
 type Sink struct {
 	ID string
-	*fake.TileServer
+	*fake.EchoServer
 	mu     sync.Mutex
 	came   []float64
 	probed []float64
@@ -26,13 +26,13 @@
 
 // NewSink starts a server that takes all that comes.
 func NewSink(id string) (*Sink, error) {
-	s, err := fake.NewTileServer("127.0.0.1:0", "UP")
+	s, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
 		return nil, err
 	}
-	k := &Sink{ID: id, TileServer: s}
+	k := &Sink{ID: id, EchoServer: s}
 	go func() {
-		for range s.Firsts {
+		for range s.FirstLines {
 			k.mu.Lock()
 			k.came = append(k.came, Now())
 			k.mu.Unlock()
@@ -43,11 +43,11 @@
 
 // Weigh has the sink report what its connections make of it, each adding a part of its capacity, and note its probes.
 func (k *Sink) Weigh(adds float64) {
-	k.Ask(func() string {
+	k.ReportFrom(func() string {
 		k.mu.Lock()
 		k.probed = append(k.probed, Now())
 		k.mu.Unlock()
-		return fmt.Sprintf("x0=%.4f", adds*float64(k.Held()))
+		return fmt.Sprintf("x0=%.4f", adds*float64(k.OpenConnections()))
 	})
 }
 
--- a/internal/testing/cluster/many_test.go
+++ b/internal/testing/cluster/many_test.go
@@ -83,7 +83,7 @@
 		for i, s := range m.sinks {
 			now := Now()
 			switch {
-			case s.Held() > 0:
+			case s.OpenConnections() > 0:
 				m.idle[i] = 0
 			case m.idle[i] == 0:
 				m.idle[i] = now
@@ -187,7 +187,7 @@
 			}
 			pause(m, 1500)
 			for _, s := range m.sinks[:6] {
-				m.g.Discovery.Start(s.ID, s.Address, "Ready", time.Now())
+				m.g.Discovery.SetStarted(s.ID, s.Address, "Ready", time.Now())
 			}
 			pause(m, 9000)
 		},
--- a/internal/testing/fake/discovery.go
+++ b/internal/testing/fake/discovery.go
@@ -12,13 +12,13 @@
 
 // Discovery is the platform's list of servers.
 type Discovery struct {
-	Address string
-	Extra   string // more fields of each entry, as JSON with a comma before it
+	Address     string
+	ExtraFields string // more fields of each entry, as JSON with a comma before it
 
-	mu      sync.Mutex
-	version int
-	list    map[string]string // an entry's JSON by its id
-	changed []chan string
+	mu         sync.Mutex
+	generation int
+	entries    map[string]string // an entry's JSON by its id
+	watches    []chan string
 }
 
 // NewDiscovery starts discovery on loopback.
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{Address: l.Addr().String(), version: 1, list: map[string]string{}}
+	d := &Discovery{Address: l.Addr().String(), generation: 1, entries: map[string]string{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -47,42 +47,44 @@
 }
 
 // Set changes one entry and tells every watch.
-func (d *Discovery) Set(id, address, lifecycle string) { d.Start(id, address, lifecycle, time.Time{}) }
+func (d *Discovery) Set(id, address, lifecycle string) {
+	d.SetStarted(id, address, lifecycle, time.Time{})
+}
 
-// Start is Set for a server that has started at a time; the zero one is long ago.
-func (d *Discovery) Start(id, address, lifecycle string, at time.Time) {
+// SetStarted is Set for a server that has started at a time; the zero one is long ago.
+func (d *Discovery) SetStarted(id, address, lifecycle string, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.version++
+	d.generation++
 	entry := Entry(id, address, lifecycle)
 	if !at.IsZero() {
 		entry = strings.Replace(entry, `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, at.UnixMilli()), 1)
 	}
-	d.list[id] = strings.TrimSuffix(entry, "}") + d.Extra + "}"
-	for _, w := range d.changed {
-		w <- d.text(false, d.list[id])
+	d.entries[id] = strings.TrimSuffix(entry, "}") + d.ExtraFields + "}"
+	for _, w := range d.watches {
+		w <- d.message(false, d.entries[id])
 	}
 }
 
-func (d *Discovery) text(whole bool, entries string) string {
-	return fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[%s]}\n", d.version, whole, entries)
+func (d *Discovery) message(whole bool, entries string) string {
+	return fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[%s]}\n", d.generation, whole, entries)
 }
 
-// Whole is the whole list.
-func (d *Discovery) Whole() string {
+// Snapshot is the whole list.
+func (d *Discovery) Snapshot() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []string
-	for _, e := range d.list {
+	for _, e := range d.entries {
 		all = append(all, e)
 	}
-	return d.text(true, strings.Join(all, ","))
+	return d.message(true, strings.Join(all, ","))
 }
 
-func (d *Discovery) forget(w chan string) {
+func (d *Discovery) removeWatch(w chan string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.changed = slices.DeleteFunc(d.changed, func(c chan string) bool { return c == w })
+	d.watches = slices.DeleteFunc(d.watches, func(c chan string) bool { return c == w })
 }
 
 func (d *Discovery) serve(c net.Conn) {
@@ -92,14 +94,14 @@
 	for line := first; err == nil && strings.TrimSpace(line) != ""; {
 		line, err = in.ReadString('\n')
 	}
-	whole := d.Whole()
+	whole := d.Snapshot()
 	if !strings.Contains(first, "watch=1") {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
 		return
 	}
 	changes := make(chan string, 64)
 	d.mu.Lock()
-	d.changed = append(d.changed, changes)
+	d.watches = append(d.watches, changes)
 	d.mu.Unlock()
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(whole), whole)
 	d.stream(c, changes)
@@ -107,7 +109,7 @@
 
 // stream sends a watch each change, and an empty line while nothing changes, until its connection fails.
 func (d *Discovery) stream(c net.Conn, changes chan string) {
-	defer d.forget(changes)
+	defer d.removeWatch(changes)
 	idle := time.NewTicker(2 * time.Second)
 	defer idle.Stop()
 	for {
--- a/internal/testing/fake/echoserver.go
+++ b/internal/testing/fake/echoserver.go
@@ -8,72 +8,72 @@
 	"sync"
 )
 
-// TileServer is a server of the platform's protocol: it takes every connection and returns every line.
-type TileServer struct {
+// EchoServer is a server of the platform's protocol: it takes every connection and returns every line.
+type EchoServer struct {
 	Address string
 	// Firsts gets each first line as it came, but for probes.
-	Firsts chan string
+	FirstLines chan string
 
 	acceptor acceptor
 
-	mu     sync.Mutex
-	answer string
-	report string // of its load, as probes get it
-	asked  func() string
-	held   int
+	mu              sync.Mutex
+	answer          string
+	report          string // of its load, as probes get it
+	reportFunc      func() string
+	openConnections int
 }
 
-// NewTileServer starts a server on loopback, at any port if the address ends in ":0". It answers first
+// NewEchoServer starts a server on loopback, at any port if the address ends in ":0". It answers first
 // lines with answer; "UP" gives each a receipt, "" says nothing at all, and "-" ends the connection.
-func NewTileServer(address, answer string) (*TileServer, error) {
+func NewEchoServer(address, answer string) (*EchoServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &TileServer{
-		Address: l.Addr().String(),
-		Firsts:  make(chan string, 4096),
-		answer:  answer,
-		report:  "x0=0.2,qps=3,queue=0",
+	s := &EchoServer{
+		Address:    l.Addr().String(),
+		FirstLines: make(chan string, 4096),
+		answer:     answer,
+		report:     "x0=0.2,qps=3,queue=0",
 	}
 	s.acceptor.start(l, s.serve)
 	return s, nil
 }
 
 // Close ends the server and resets its connections.
-func (s *TileServer) Close() {
+func (s *EchoServer) Close() {
 	s.acceptor.reset()
 }
 
 // SetReport changes what probes are told.
-func (s *TileServer) SetReport(report string) {
+func (s *EchoServer) SetReport(report string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report = report
 }
 
-// Ask has each probe answered by what fn returns.
-func (s *TileServer) Ask(fn func() string) {
+// ReportFrom has each probe answered by what fn returns.
+func (s *EchoServer) ReportFrom(fn func() string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = fn
+	s.reportFunc = fn
 }
 
-// Held is how many connections are up.
-func (s *TileServer) Held() int {
+// OpenConnections is how many connections are up.
+func (s *EchoServer) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.openConnections
 }
 
-func (s *TileServer) hold(n int) {
+func (s *EchoServer) addConnections(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held += n
+	s.openConnections += n
 }
 
-// Say sends a line on every connection; it ends them after it if last is set.
-func (s *TileServer) Say(line string, last bool) {
+// Broadcast sends a line on every connection; it ends them after it if last is set.
+func (s *EchoServer) Broadcast(line string, last bool) {
 	for _, c := range s.acceptor.all() {
 		fmt.Fprintf(c, "%s\r\n", line)
 		if last {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (s *TileServer) serve(c net.Conn) {
+func (s *EchoServer) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for up := false; ; {
@@ -99,7 +99,7 @@
 			fmt.Fprint(c, "SYNTAX\r\n")
 			return
 		default:
-			s.Firsts <- text
+			s.FirstLines <- text
 			switch s.answer {
 			case "":
 			case "-":
@@ -107,8 +107,8 @@
 			case "UP":
 				fmt.Fprintf(c, "UP %s\r\n", strings.Fields(text)[1])
 				up = true
-				s.hold(1)
-				defer s.hold(-1)
+				s.addConnections(1)
+				defer s.addConnections(-1)
 			default:
 				fmt.Fprintf(c, "%s\r\n", s.answer)
 				return
@@ -118,9 +118,9 @@
 }
 
 // currentReport returns the answer to a probe.
-func (s *TileServer) currentReport() string {
+func (s *EchoServer) currentReport() string {
 	s.mu.Lock()
-	report, asked := s.report, s.asked
+	report, asked := s.report, s.reportFunc
 	s.mu.Unlock()
 	if asked != nil {
 		return asked()
--- a/internal/testing/fake/scanfaults.go
+++ b/internal/testing/fake/scanfaults.go
@@ -7,63 +7,63 @@
 
 // Kill ends the server at once and resets its connections.
 func (s *ScanServer) Kill() {
-	s.l.Close()
+	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
+	for c := range s.connections {
 		c.SetLinger(0)
 		c.Close()
 	}
 	s.silent, s.killed = false, true
-	s.thaw.Broadcast()
+	s.resumed.Broadcast()
 }
 
-// Silence makes it say and read nothing, with all connections open; or ends that.
-func (s *ScanServer) Silence(on bool) {
+// SetSilent makes it say and read nothing, with all connections open; or ends that.
+func (s *ScanServer) SetSilent(on bool) {
 	s.mu.Lock()
 	s.silent = on
 	s.mu.Unlock()
-	s.thaw.Broadcast()
+	s.resumed.Broadcast()
 }
 
-// Knobs are ways in which a server misbehaves.
-type Knobs struct {
-	ProbeDelay time.Duration // answers probes so late, with the numbers of when it was turned
-	Frozen     bool          // its report stays as it is
-	Erring     bool          // answers first lines and probes with ERR
-	UpDelay    time.Duration // takes so long to say UP
-	Extra      float64       // load on top of what it holds
-	told       string
+// ServerFaults are ways in which a server misbehaves.
+type ServerFaults struct {
+	ProbeDelay   time.Duration // answers probes so late, with the numbers of when it was turned
+	FreezeReport bool          // its report stays as it is
+	AnswerError  bool          // answers first lines and probes with ERR
+	UpDelay      time.Duration // takes so long to say UP
+	ExtraLoad    float64       // load on top of what it holds
+	frozenLoad   string
 }
 
-// Turn sets the knobs.
-func (s *ScanServer) Turn(k Knobs) {
+// SetFaults sets the knobs.
+func (s *ScanServer) SetFaults(k ServerFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k.told = fmt.Sprintf("%.3f", s.load()+k.Extra)
-	s.knobs = k
+	k.frozenLoad = fmt.Sprintf("%.3f", s.measureLoad()+k.ExtraLoad)
+	s.faults = k
 }
 
-// Refuse makes it answer BUSY to whoever comes, as a draining server does.
-func (s *ScanServer) Refuse(on bool) {
+// SetRejecting makes it answer BUSY to whoever comes, as a draining server does.
+func (s *ScanServer) SetRejecting(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.busy = on
+	s.rejecting = on
 }
 
-// SendAway ends one connection in n with MOVE, and returns how many are left.
-func (s *ScanServer) SendAway(n int) (left int) {
+// MigrateOneIn ends one connection in n with MOVE, and returns how many are left.
+func (s *ScanServer) MigrateOneIn(n int) (left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen := 0
-	for c, serves := range s.conns {
+	for c, serves := range s.connections {
 		if !serves {
 			continue
 		}
 		if seen++; seen%n == 1 {
 			fmt.Fprint(c, "MOVE\r\n")
 			c.CloseWrite()
-			delete(s.conns, c)
+			delete(s.connections, c)
 		} else {
 			left++
 		}
@@ -71,25 +71,25 @@
 	return left
 }
 
-// Opened is how many first lines came, but for probes.
-func (s *ScanServer) Opened() int {
+// Openings is how many first lines came, but for probes.
+func (s *ScanServer) Openings() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.opened
+	return s.openings
 }
 
-// dead tells whether the server was killed.
-func (s *ScanServer) dead() bool {
+// isKilled tells whether the server was killed.
+func (s *ScanServer) isKilled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.killed
 }
 
-// still waits while the server is silent.
-func (s *ScanServer) still() {
+// waitWhileSilent waits while the server is silent.
+func (s *ScanServer) waitWhileSilent() {
 	s.mu.Lock()
 	for s.silent {
-		s.thaw.Wait()
+		s.resumed.Wait()
 	}
 	s.mu.Unlock()
 }
--- a/internal/testing/fake/scanload.go
+++ b/internal/testing/fake/scanload.go
@@ -4,41 +4,41 @@
 
 // The rule on cold servers, in its figures for this project.
 const (
-	FallMultiple = 4.0
-	FallFor      = 1500 * time.Millisecond
+	OverloadFactor = 4.0
+	OverloadWindow = 1500 * time.Millisecond
 )
 
-// load is what is asked of the server over what it can do now. The caller holds the lock.
-func (s *ScanServer) load() float64 {
+// measureLoad is what is asked of the server over what it can do now. The caller holds the lock.
+func (s *ScanServer) measureLoad() float64 {
 	if s.Capacity == 0 {
 		return s.Load
 	}
 	able := 1.0
-	if age := time.Since(s.Started); age < s.Warm {
-		able = s.StartPart + (1-s.StartPart)*float64(age)/float64(s.Warm)
+	if age := time.Since(s.StartedAt); age < s.SlowStartWindow {
+		able = s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(age)/float64(s.SlowStartWindow)
 	}
 	n := 0.0
-	for _, serves := range s.conns {
+	for _, serves := range s.connections {
 		if serves {
 			n++
 		}
 	}
 	x := n / (s.Capacity * able)
-	s.peak = max(s.peak, x)
-	if x <= FallMultiple {
-		s.overAt = time.Time{}
-	} else if s.overAt.IsZero() {
-		s.overAt = time.Now()
+	s.peakLoad = max(s.peakLoad, x)
+	if x <= OverloadFactor {
+		s.overloadedAt = time.Time{}
+	} else if s.overloadedAt.IsZero() {
+		s.overloadedAt = time.Now()
 	} else {
-		s.longest = max(s.longest, time.Since(s.overAt))
+		s.longestOverload = max(s.longestOverload, time.Since(s.overloadedAt))
 	}
 	return x
 }
 
-// Strain is the highest load so far, and the longest time over FallMultiple.
-func (s *ScanServer) Strain() (peak float64, over time.Duration) {
+// PeakLoad is the highest load so far, and the longest time over FallMultiple.
+func (s *ScanServer) PeakLoad() (peak float64, over time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.load()
-	return s.peak, s.longest
+	s.measureLoad()
+	return s.peakLoad, s.longestOverload
 }
--- a/internal/testing/fake/scanserver.go
+++ b/internal/testing/fake/scanserver.go
@@ -19,29 +19,29 @@
 	Load float64
 	// Capacity is how many connections fill the server once it is warm. Cold at Started, it has StartPart of it, and
 	// all after Warm; one that holds over FallMultiple times what it can for FallFor has fallen over.
-	Capacity  float64
-	Started   time.Time
-	StartPart float64
-	Warm      time.Duration
+	Capacity          float64
+	StartedAt         time.Time
+	SlowStartCapacity float64
+	SlowStartWindow   time.Duration
 	// First, if set, is called with each first line before it is answered.
-	First func(line string)
+	OnFirstLine func(line string)
 
 	// Knobs are its faults; see Turn.
-	knobs Knobs
+	faults ServerFaults
 
-	l      net.Listener
-	mu     sync.Mutex
-	conns  map[*net.TCPConn]bool // true once it serves
-	fences map[string]uint64
-	silent bool
-	busy   bool
-	killed bool
-	thaw   *sync.Cond
-	opened int // first lines, but for probes
+	listener    net.Listener
+	mu          sync.Mutex
+	connections map[*net.TCPConn]bool // true once it serves
+	fences      map[string]uint64
+	silent      bool
+	rejecting   bool
+	killed      bool
+	resumed     *sync.Cond
+	openings    int // first lines, but for probes
 
-	peak    float64   // most connections over what it could do at that moment
-	overAt  time.Time // since when it is over FallMultiple
-	longest time.Duration
+	peakLoad        float64   // most connections over what it could do at that moment
+	overloadedAt    time.Time // since when it is over FallMultiple
+	longestOverload time.Duration
 }
 
 // NewScanServer starts a server on loopback.
@@ -51,40 +51,40 @@
 		return nil, err
 	}
 	s := &ScanServer{
-		ID:      id,
-		Address: l.Addr().String(),
-		Feed:    feed,
-		Ledger:  ledger,
-		Load:    0.2,
-		l:       l,
-		conns:   map[*net.TCPConn]bool{},
-		fences:  map[string]uint64{},
+		ID:          id,
+		Address:     l.Addr().String(),
+		Feed:        feed,
+		Ledger:      ledger,
+		Load:        0.2,
+		listener:    l,
+		connections: map[*net.TCPConn]bool{},
+		fences:      map[string]uint64{},
 	}
-	s.thaw = sync.NewCond(&s.mu)
+	s.resumed = sync.NewCond(&s.mu)
 	go s.accept()
 	return s, nil
 }
 
 func (s *ScanServer) accept() {
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		conn := c.(*net.TCPConn)
 		s.mu.Lock()
-		s.conns[conn] = false
+		s.connections[conn] = false
 		s.mu.Unlock()
 		go s.serve(conn)
 	}
 }
 
 func (s *ScanServer) serve(c *net.TCPConn) {
-	defer s.forget(c)
+	defer s.removeConnection(c)
 	in := bufio.NewReader(c)
 	for {
 		line, err := in.ReadString('\n')
-		s.still()
+		s.waitWhileSilent()
 		if err != nil {
 			return
 		}
@@ -101,24 +101,24 @@
 	}
 }
 
-func (s *ScanServer) forget(c *net.TCPConn) {
+func (s *ScanServer) removeConnection(c *net.TCPConn) {
 	c.Close()
 	s.mu.Lock()
-	delete(s.conns, c)
+	delete(s.connections, c)
 	s.mu.Unlock()
 }
 
 // answerProbe returns the answer to a probe, as late as the faults ask for.
 func (s *ScanServer) answerProbe() string {
 	s.mu.Lock()
-	k := s.knobs
-	load := fmt.Sprintf("%.3f", s.load()+k.Extra)
+	k := s.faults
+	load := fmt.Sprintf("%.3f", s.measureLoad()+k.ExtraLoad)
 	s.mu.Unlock()
-	if k.ProbeDelay > 0 || k.Frozen {
-		load = k.told
+	if k.ProbeDelay > 0 || k.FreezeReport {
+		load = k.frozenLoad
 	}
 	time.Sleep(k.ProbeDelay)
-	if k.Erring {
+	if k.AnswerError {
 		return "ERR"
 	}
 	return "PONG x0=" + load + ",qps=3,queue=0"
--- a/internal/testing/fake/scanstream.go
+++ b/internal/testing/fake/scanstream.go
@@ -12,11 +12,11 @@
 
 // opening is what a first line asks for. The stream is "" on a line without one.
 type opening struct {
-	id     string
-	stream string
-	gen    uint64
-	from   uint64
-	lease  uint64
+	id         string
+	stream     string
+	generation uint64
+	from       uint64
+	lease      uint64
 }
 
 func parseOpening(text string) opening {
@@ -27,7 +27,7 @@
 		case "s":
 			o.stream = value
 		case "gen":
-			o.gen, _ = strconv.ParseUint(value, 10, 64)
+			o.generation, _ = strconv.ParseUint(value, 10, 64)
 		case "from":
 			o.from, _ = strconv.ParseUint(value, 10, 64)
 		case "lease":
@@ -49,11 +49,11 @@
 
 // open answers a first line and serves the stream.
 func (s *ScanServer) open(c *net.TCPConn, in *bufio.Reader, text string) {
-	if s.First != nil {
-		s.First(text)
+	if s.OnFirstLine != nil {
+		s.OnFirstLine(text)
 	}
-	s.still()
-	if s.dead() {
+	s.waitWhileSilent()
+	if s.isKilled() {
 		return
 	}
 	o := parseOpening(text)
@@ -61,13 +61,13 @@
 	busy, fence, knobs := s.noteOpening(o)
 	time.Sleep(knobs.UpDelay)
 	switch {
-	case knobs.Erring:
+	case knobs.AnswerError:
 		fmt.Fprint(c, "ERR\r\n")
 		return
 	case busy:
 		fmt.Fprint(c, "BUSY\r\n")
 		return
-	case o.stream != "" && o.gen < fence:
+	case o.stream != "" && o.generation < fence:
 		fmt.Fprintf(c, "STALE %d\r\n", fence)
 		return
 	case o.from > newest+1:
@@ -75,41 +75,41 @@
 		return
 	}
 	s.mu.Lock()
-	s.conns[c] = true
-	s.load()
+	s.connections[c] = true
+	s.measureLoad()
 	s.mu.Unlock()
 	stream := &scanStream{
-		opening: o,
-		server:  s,
-		conn:    c,
-		in:      in,
-		over:    make(chan struct{}),
+		opening:     o,
+		server:      s,
+		conn:        c,
+		in:          in,
+		clientEnded: make(chan struct{}),
 	}
 	stream.serve(o.firstScan(newest, s.Feed.Keep))
 }
 
 // noteOpening counts a first line and raises the stream's fence. It returns the fence from before.
-func (s *ScanServer) noteOpening(o opening) (busy bool, fence uint64, knobs Knobs) {
+func (s *ScanServer) noteOpening(o opening) (busy bool, fence uint64, knobs ServerFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.opened++
+	s.openings++
 	fence = s.fences[o.stream]
-	if o.stream != "" && o.gen > fence {
-		s.fences[o.stream] = o.gen
+	if o.stream != "" && o.generation > fence {
+		s.fences[o.stream] = o.generation
 	}
-	return s.busy, fence, s.knobs
+	return s.rejecting, fence, s.faults
 }
 
 // scanStream is one stream that is served.
 type scanStream struct {
 	opening
-	server *ScanServer
-	conn   *net.TCPConn
-	in     *bufio.Reader
-	over   chan struct{} // closed once the client's side has ended
-	expiry *time.Timer   // ends the stream when its lease does
+	server      *ScanServer
+	conn        *net.TCPConn
+	in          *bufio.Reader
+	clientEnded chan struct{} // closed once the client's side has ended
+	leaseTimer  *time.Timer   // ends the stream when its lease does
 
-	writing sync.Mutex
+	writeMu sync.Mutex
 }
 
 // serve answers the first line and sends scans until either side ends.
@@ -117,18 +117,18 @@
 	if t.stream == "" {
 		fmt.Fprintf(t.conn, "UP %s\r\n", t.id)
 	} else {
-		t.server.Ledger.begin(t.stream, t.server.ID, t.gen, t.conn)
-		defer t.server.Ledger.end(t.stream, t.conn)
+		t.server.Ledger.beginService(t.stream, t.server.ID, t.generation, t.conn)
+		defer t.server.Ledger.endService(t.stream, t.conn)
 		fmt.Fprintf(t.conn, "UP %s from=%d\r\n", t.id, from)
 	}
 	// Whoever is told a lease ends the stream by itself when it is not renewed in time: its relay may be stopped.
-	t.expiry = time.AfterFunc(time.Hour, func() {
-		t.server.Ledger.end(t.stream, t.conn)
+	t.leaseTimer = time.AfterFunc(time.Hour, func() {
+		t.server.Ledger.endService(t.stream, t.conn)
 		t.conn.Close()
 	})
-	defer t.expiry.Stop()
+	defer t.leaseTimer.Stop()
 	if t.lease > 0 {
-		t.expiry.Reset(time.Duration(t.lease) * time.Millisecond)
+		t.leaseTimer.Reset(time.Duration(t.lease) * time.Millisecond)
 	}
 	go t.echo()
 	t.sendScans(from)
@@ -136,17 +136,17 @@
 
 // echo returns the client's lines and renews the lease, until the client's side ends.
 func (t *scanStream) echo() {
-	defer close(t.over)
+	defer close(t.clientEnded)
 	defer t.server.Feed.more.Broadcast()
 	for {
 		line, err := t.in.ReadString('\n')
-		t.server.still()
+		t.server.waitWhileSilent()
 		if err != nil {
 			return
 		}
 		if text, ok := strings.CutPrefix(strings.TrimSpace(line), "KEEP "); ok && t.stream != "" {
 			ms, _ := strconv.Atoi(text)
-			t.expiry.Reset(time.Duration(ms) * time.Millisecond)
+			t.leaseTimer.Reset(time.Duration(ms) * time.Millisecond)
 			continue
 		}
 		if err := t.write(line); err != nil {
@@ -158,12 +158,12 @@
 // sendScans sends each scan from the given one on.
 func (t *scanStream) sendScans(from uint64) {
 	for next := from; ; next++ {
-		if !t.server.Feed.await(next, t.over) {
+		if !t.server.Feed.await(next, t.clientEnded) {
 			return
 		}
-		t.server.still()
+		t.server.waitWhileSilent()
 		select {
-		case <-t.over:
+		case <-t.clientEnded:
 			return
 		default:
 		}
@@ -174,8 +174,8 @@
 }
 
 func (t *scanStream) write(text string) error {
-	t.writing.Lock()
-	defer t.writing.Unlock()
+	t.writeMu.Lock()
+	defer t.writeMu.Unlock()
 	_, err := fmt.Fprint(t.conn, text)
 	return err
 }
--- a/internal/testing/fake/viewer.go
+++ b/internal/testing/fake/viewer.go
@@ -15,36 +15,36 @@
 // Viewer is a client that watches one stream of scans over and over: it comes back after every end, with its
 // token if it uses one.
 type Viewer struct {
-	Name   string
-	Fields string        // of its first lines: class, tenant and so on, but for d
-	Wait   time.Duration // its patience, d
-	Token  bool          // it uses tokens
-	Say    time.Duration // it sends a line each so often, 0 for never
-	Relay  func() string // the address to come to now
-	Event  func(string)  // if set, called with whatever happens but scans
+	Name         string
+	OpenFields   string        // of its first lines: class, tenant and so on, but for d
+	WaitLimit    time.Duration // its patience, d
+	UseTokens    bool          // it uses tokens
+	SendEvery    time.Duration // it sends a line each so often, 0 for never
+	RelayAddress func() string // the address to come to now
+	OnEvent      func(string)  // if set, called with whatever happens but scans
 
 	mu    sync.Mutex
-	held  string // its token
+	token string // its token
 	tally Tally
 }
 
-// Held is the token that it has.
-func (v *Viewer) Held() string {
+// ResumeToken is the token that it has.
+func (v *Viewer) ResumeToken() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.held
+	return v.token
 }
 
-func (v *Viewer) event(format string, args ...any) {
-	if v.Event != nil {
-		v.Event(fmt.Sprintf(format, args...))
+func (v *Viewer) reportEvent(format string, args ...any) {
+	if v.OnEvent != nil {
+		v.OnEvent(fmt.Sprintf(format, args...))
 	}
 }
 
 // Run watches until the context ends.
 func (v *Viewer) Run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		pause := v.once(ctx, n)
+		pause := v.watchOnce(ctx, n)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
@@ -52,40 +52,40 @@
 	}
 }
 
-func soon() time.Duration { return time.Duration(10+rand.IntN(60)) * time.Millisecond }
+func retryDelay() time.Duration { return time.Duration(10+rand.IntN(60)) * time.Millisecond }
 
-// once opens the stream and follows it to its end. It returns how long to wait before the next time.
-func (v *Viewer) once(ctx context.Context, n int) time.Duration {
-	relay := v.Relay()
+// watchOnce opens the stream and follows it to its end. It returns how long to wait before the next time.
+func (v *Viewer) watchOnce(ctx context.Context, n int) time.Duration {
+	relay := v.RelayAddress()
 	conn, err := net.DialTimeout("tcp", relay, 500*time.Millisecond)
 	if err != nil {
-		v.note(func(t *Tally) { t.Unreached++ })
-		return soon()
+		v.updateTally(func(t *Tally) { t.Unreachable++ })
+		return retryDelay()
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	v.note(func(t *Tally) { t.Openings++ })
-	fmt.Fprintf(conn, "OPEN %s-%d %s,d=%d%s\r\n", v.Name, n, v.Fields, v.Wait.Milliseconds(), v.resumeFields())
-	conn.SetReadDeadline(time.Now().Add(v.Wait + 3*time.Second))
+	v.updateTally(func(t *Tally) { t.Openings++ })
+	fmt.Fprintf(conn, "OPEN %s-%d %s,d=%d%s\r\n", v.Name, n, v.OpenFields, v.WaitLimit.Milliseconds(), v.resumeFields())
+	conn.SetReadDeadline(time.Now().Add(v.WaitLimit + 3*time.Second))
 	in := bufio.NewReader(conn)
 	line, err := in.ReadString('\n')
 	if err != nil {
 		v.noteUnanswered(ctx, relay)
-		return soon()
+		return retryDelay()
 	}
-	v.note(func(t *Tally) { t.Answers++ })
-	v.event("answered %s", strings.TrimSpace(line))
+	v.updateTally(func(t *Tally) { t.Answers++ })
+	v.reportEvent("answered %s", strings.TrimSpace(line))
 	if strings.Fields(line)[0] != "UP" {
-		return v.rejected(in, line)
+		return v.noteRejection(in, line)
 	}
-	v.note(func(t *Tally) { t.Ups++ })
-	if v.Say > 0 {
+	v.updateTally(func(t *Tally) { t.Ups++ })
+	if v.SendEvery > 0 {
 		stop := make(chan struct{})
 		defer close(stop)
-		go v.talk(conn, stop)
+		go v.sendLines(conn, stop)
 	}
 	conn.SetReadDeadline(time.Time{})
-	return v.follow(conn, in)
+	return v.readStream(conn, in)
 }
 
 // resumeFields returns the fields of the next first line that ask for a token or show one.
@@ -93,19 +93,19 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
-	case !v.Token:
+	case !v.UseTokens:
 		return ""
-	case v.held != "":
-		return fmt.Sprintf(",resume=%s,pos=%d", v.held, v.tally.Last)
-	case v.tally.Last > 0:
-		return fmt.Sprintf(",resume=new,pos=%d", v.tally.Last)
+	case v.token != "":
+		return fmt.Sprintf(",resume=%s,pos=%d", v.token, v.tally.LastScan)
+	case v.tally.LastScan > 0:
+		return fmt.Sprintf(",resume=new,pos=%d", v.tally.LastScan)
 	}
 	return ",resume=new"
 }
 
 // noteUnanswered counts a connection that ended before its answer. One that Run's end cut was not opened.
 func (v *Viewer) noteUnanswered(ctx context.Context, relay string) {
-	v.note(func(t *Tally) {
+	v.updateTally(func(t *Tally) {
 		t.Breaks++
 		if ctx.Err() != nil {
 			t.Openings--
@@ -115,32 +115,32 @@
 	})
 }
 
-// rejected notes an answer other than UP, and returns how long to wait before the next time.
-func (v *Viewer) rejected(in *bufio.Reader, line string) time.Duration {
+// noteRejection notes an answer other than UP, and returns how long to wait before the next time.
+func (v *Viewer) noteRejection(in *bufio.Reader, line string) time.Duration {
 	words := strings.Fields(line)
 	if words[0] == "BUSY" {
-		v.note(func(t *Tally) { t.Busy++ })
-		v.surplus(in)
+		v.updateTally(func(t *Tally) { t.Busy++ })
+		v.countSecondAnswer(in)
 		if len(words) > 1 {
 			ms, _ := strconv.Atoi(words[1])
 			return time.Duration(ms) * time.Millisecond
 		}
-		return soon()
+		return retryDelay()
 	}
-	v.surplus(in)
+	v.countSecondAnswer(in)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.tally.Failed++
 	v.tally.Notes = append(v.tally.Notes, strings.TrimSpace(line))
 	if len(words) > 1 && words[1] == "resume" { // final: it begins anew
-		v.held = ""
+		v.token = ""
 	}
-	return soon()
+	return retryDelay()
 }
 
-// talk sends a line each period until stop is closed.
-func (v *Viewer) talk(conn net.Conn, stop <-chan struct{}) {
-	tick := time.NewTicker(v.Say)
+// sendLines sends a line each period until stop is closed.
+func (v *Viewer) sendLines(conn net.Conn, stop <-chan struct{}) {
+	tick := time.NewTicker(v.SendEvery)
 	defer tick.Stop()
 	for {
 		select {
@@ -152,45 +152,45 @@
 	}
 }
 
-// follow reads the stream to its end, and returns how long to wait before the next time.
-func (v *Viewer) follow(conn net.Conn, in *bufio.Reader) time.Duration {
+// readStream reads the stream to its end, and returns how long to wait before the next time.
+func (v *Viewer) readStream(conn net.Conn, in *bufio.Reader) time.Duration {
 	for first := true; ; {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			v.note(func(t *Tally) { t.Breaks++ })
-			v.event("the connection ended")
-			return soon()
+			v.updateTally(func(t *Tally) { t.Breaks++ })
+			v.reportEvent("the connection ended")
+			return retryDelay()
 		}
 		switch words := strings.Fields(line); {
 		case len(words) == 0:
 		case words[0] == "SCAN":
 			x, _ := strconv.ParseUint(words[1], 10, 64)
-			if v.scan(x, first); first {
-				v.event("scan %d is the first that comes", x)
+			if v.countScan(x, first); first {
+				v.reportEvent("scan %d is the first that comes", x)
 			}
 			first = false
 		case words[0] == "TOKEN":
 			v.mu.Lock()
-			v.held = words[2]
+			v.token = words[2]
 			v.mu.Unlock()
 			fmt.Fprintf(conn, "GOT %s\r\n", words[1])
 		case words[0] == "GAP":
-			v.note(func(t *Tally) { t.Notes = append(t.Notes, strings.TrimSpace(line)) })
+			v.updateTally(func(t *Tally) { t.Notes = append(t.Notes, strings.TrimSpace(line)) })
 		case words[0] == "MOVE":
-			v.note(func(t *Tally) { t.Moves++ })
-			v.event("told to move; the last scan was %d", v.Tally().Last)
+			v.updateTally(func(t *Tally) { t.Moves++ })
+			v.reportEvent("told to move; the last scan was %d", v.Tally().LastScan)
 			return time.Duration(rand.IntN(20)) * time.Millisecond
 		}
 	}
 }
 
-// surplus counts what comes after a final answer as further answers.
-func (v *Viewer) surplus(in *bufio.Reader) {
+// countSecondAnswer counts what comes after a final answer as further answers.
+func (v *Viewer) countSecondAnswer(in *bufio.Reader) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return
 	}
-	v.note(func(t *Tally) {
+	v.updateTally(func(t *Tally) {
 		t.Answers++
 		t.Notes = append(t.Notes, "second answer: "+strings.TrimSpace(line))
 	})
--- a/internal/testing/fake/xmpp.go
+++ b/internal/testing/fake/xmpp.go
@@ -12,14 +12,14 @@
 type XMPP struct {
 	Address string
 	// Hold says where a connection stops answering: "header", "auth" or "" for never.
-	Hold string
+	HoldAt string
 	// Arrived gets a word at each stage: "header", "auth", "up", and "message ID" for each stanza.
-	Arrived chan string
+	Stages chan string
 
 	acceptor acceptor
 
-	mu    sync.Mutex
-	quiet bool
+	mu     sync.Mutex
+	silent bool
 }
 
 // NewXMPP starts a server on loopback.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &XMPP{Address: l.Addr().String(), Hold: hold, Arrived: make(chan string, 4096)}
+	s := &XMPP{Address: l.Addr().String(), HoldAt: hold, Stages: make(chan string, 4096)}
 	s.acceptor.start(l, s.serve)
 	return s, nil
 }
@@ -38,17 +38,17 @@
 	s.acceptor.reset()
 }
 
-// Silence makes the server say nothing more, on connections that stay open.
-func (s *XMPP) Silence() {
+// SetSilent makes the server say nothing more, on connections that stay open.
+func (s *XMPP) SetSilent() {
 	s.mu.Lock()
-	s.quiet = true
+	s.silent = true
 	s.mu.Unlock()
 }
 
-func (s *XMPP) say(c net.Conn, format string, args ...any) {
+func (s *XMPP) send(c net.Conn, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.quiet {
+	if !s.silent {
 		fmt.Fprintf(c, format, args...)
 	}
 }
@@ -65,7 +65,7 @@
 			return
 		}
 		if end, ok := t.(xml.EndElement); ok && end.Name.Local == "stream" {
-			s.say(c, "</stream:stream>")
+			s.send(c, "</stream:stream>")
 			return
 		}
 		start, ok := t.(xml.StartElement)
@@ -77,9 +77,9 @@
 			s.greet(c, authed)
 		case "auth":
 			d.Skip()
-			s.Arrived <- "auth"
-			if s.Hold != "auth" {
-				s.say(c, "<success xmlns='urn:ietf:params:xml:ns:xmpp-sasl'/>")
+			s.Stages <- "auth"
+			if s.HoldAt != "auth" {
+				s.send(c, "<success xmlns='urn:ietf:params:xml:ns:xmpp-sasl'/>")
 				d, authed = xml.NewDecoder(c), true
 			}
 		default:
@@ -93,15 +93,15 @@
 func (s *XMPP) greet(c net.Conn, authed bool) {
 	switch {
 	case authed:
-		s.say(c, "%s<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>", header)
-		s.Arrived <- "up"
-	case s.Hold == "header":
-		s.Arrived <- "header"
+		s.send(c, "%s<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>", header)
+		s.Stages <- "up"
+	case s.HoldAt == "header":
+		s.Stages <- "header"
 	default:
-		s.say(c, "%s<stream:features><starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"+
+		s.send(c, "%s<stream:features><starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"+
 			"<mechanisms xmlns='urn:ietf:params:xml:ns:xmpp-sasl'><mechanism>PLAIN</mechanism></mechanisms>"+
 			"</stream:features>", header)
-		s.Arrived <- "header"
+		s.Stages <- "header"
 	}
 }
 
@@ -114,9 +114,9 @@
 		}
 	}
 	if start.Name.Local == "iq" {
-		s.say(c, "<iq type='result' id='%s'/>", id)
+		s.send(c, "<iq type='result' id='%s'/>", id)
 		return
 	}
-	s.Arrived <- start.Name.Local + " " + id
-	s.say(c, "<%s id='%s'><body>&lt;echo&gt;<![CDATA[</message>]]></body></%[1]s>", start.Name.Local, id)
+	s.Stages <- start.Name.Local + " " + id
+	s.send(c, "<%s id='%s'><body>&lt;echo&gt;<![CDATA[</message>]]></body></%[1]s>", start.Name.Local, id)
 }
--- a/internal/testing/fake/zkcodec.go
+++ b/internal/testing/fake/zkcodec.go
@@ -2,43 +2,43 @@
 
 import "encoding/binary"
 
-func u32(b []byte, x int) []byte    { return binary.BigEndian.AppendUint32(b, uint32(int32(x))) }
-func u64(b []byte, x int64) []byte  { return binary.BigEndian.AppendUint64(b, uint64(x)) }
-func str(b []byte, s string) []byte { return append(u32(b, len(s)), s...) }
+func appendUint32(b []byte, x int) []byte    { return binary.BigEndian.AppendUint32(b, uint32(int32(x))) }
+func appendUint64(b []byte, x int64) []byte  { return binary.BigEndian.AppendUint64(b, uint64(x)) }
+func appendString(b []byte, s string) []byte { return append(appendUint32(b, len(s)), s...) }
 
-// zin reads a request's fields.
-type zin struct{ p []byte }
+// zkReader reads a request's fields.
+type zkReader struct{ rest []byte }
 
-func (r *zin) i32() int {
-	x := int(int32(binary.BigEndian.Uint32(r.p)))
-	r.p = r.p[4:]
+func (r *zkReader) readInt() int {
+	x := int(int32(binary.BigEndian.Uint32(r.rest)))
+	r.rest = r.rest[4:]
 	return x
 }
 
-func (r *zin) str() string {
-	n := max(0, r.i32())
-	s := string(r.p[:n])
-	r.p = r.p[n:]
+func (r *zkReader) readString() string {
+	n := max(0, r.readInt())
+	s := string(r.rest[:n])
+	r.rest = r.rest[n:]
 	return s
 }
 
-func (r *zin) flag() bool {
-	x := r.p[0] == 1
-	r.p = r.p[1:]
+func (r *zkReader) readBool() bool {
+	x := r.rest[0] == 1
+	r.rest = r.rest[1:]
 	return x
 }
 
 // skipACL reads the list of rights that comes with a node.
-func (r *zin) skipACL() {
-	for n := r.i32(); n > 0; n-- {
-		r.i32()
-		r.str()
-		r.str()
+func (r *zkReader) skipACL() {
+	for n := r.readInt(); n > 0; n-- {
+		r.readInt()
+		r.readString()
+		r.readString()
 	}
 }
 
-func (n *znode) stat(b []byte) []byte {
+func (n *zkNode) stat(b []byte) []byte {
 	b = append(b, make([]byte, 32)...)
-	b = u64(u32(u32(u32(b, n.version), 0), 0), n.owner)
-	return u64(u32(u32(b, len(n.data)), 0), 0)
+	b = appendUint64(appendUint32(appendUint32(appendUint32(b, n.version), 0), 0), n.owner)
+	return appendUint64(appendUint32(appendUint32(b, len(n.data)), 0), 0)
 }
--- a/internal/testing/fake/zkconn.go
+++ b/internal/testing/fake/zkconn.go
@@ -9,16 +9,16 @@
 
 type zkConn struct {
 	net.Conn
-	session *zsession
-	out     chan zreply
-	list    bool // watches the children
-	data    map[string]bool
-	held    []zreply
+	session         *zkSession
+	out             chan zkReply
+	watchesChildren bool // watches the children
+	watchedData     map[string]bool
+	heldAnswers     []zkReply
 }
 
-type zreply struct {
-	frame []byte
-	at    time.Time
+type zkReply struct {
+	frame  []byte
+	sendAt time.Time
 }
 
 func (z *ZooKeeper) serve(c *zkConn) {
@@ -50,26 +50,26 @@
 	for z.faults.frozen {
 		z.thawed.Wait()
 	}
-	if z.faults.refuse {
+	if z.faults.unreachable {
 		return false
 	}
 	s := z.sessions[id]
 	if id == 0 {
 		z.lastID++
-		s = &zsession{id: z.lastID}
+		s = &zkSession{id: z.lastID}
 		z.sessions[s.id] = s
 	}
 	if s == nil {
 		timeout = 0
-		s = &zsession{conn: c}
+		s = &zkSession{conn: c}
 	} else if s.conn != nil {
 		s.conn.Close()
 	}
 	s.conn = c
 	s.timeout = time.Duration(timeout) * time.Millisecond
-	s.heard = time.Now()
+	s.heardAt = time.Now()
 	c.session = s
-	c.frame(str(u64(u32(u32(nil, 0), timeout), s.id), "0123456789abcdef"), time.Time{})
+	c.queue(appendString(appendUint64(appendUint32(appendUint32(nil, 0), timeout), s.id), "0123456789abcdef"), time.Time{})
 	return true
 }
 
@@ -85,23 +85,23 @@
 // write sends what is queued, each frame when its time has come, until the queue is closed.
 func (c *zkConn) write() {
 	for r := range c.out {
-		time.Sleep(time.Until(r.at))
+		time.Sleep(time.Until(r.sendAt))
 		if _, err := c.Write(r.frame); err != nil {
 			c.Close()
 		}
 	}
 }
 
-func (c *zkConn) frame(b []byte, at time.Time) {
+func (c *zkConn) queue(b []byte, at time.Time) {
 	select {
-	case c.out <- zreply{append(u32(nil, len(b)), b...), at}:
+	case c.out <- zkReply{append(appendUint32(nil, len(b)), b...), at}:
 	default:
 		c.Close()
 	}
 }
 
-func (c *zkConn) event(kind int, node string) {
-	c.frame(str(u32(u32(u32(u64(u32(nil, -1), -1), 0), kind), 3), node), time.Time{})
+func (c *zkConn) queueEvent(kind int, node string) {
+	c.queue(appendString(appendUint32(appendUint32(appendUint32(appendUint64(appendUint32(nil, -1), -1), 0), kind), 3), node), time.Time{})
 }
 
 func (c *zkConn) read() ([]byte, error) {
@@ -121,18 +121,18 @@
 	watchChildren = 4
 )
 
-// fire tells the watches of a path.
-func (z *ZooKeeper) fire(p string, kind int) {
+// notifyWatches tells the watches of a path.
+func (z *ZooKeeper) notifyWatches(p string, kind int) {
 	for _, s := range z.sessions {
 		c := s.conn
 		switch {
 		case c == nil:
-		case kind == watchChildren && p == z.path && c.list:
-			c.list = false
-			c.event(kind, p)
-		case kind != watchChildren && c.data[p]:
-			delete(c.data, p)
-			c.event(kind, p)
+		case kind == watchChildren && p == z.root && c.watchesChildren:
+			c.watchesChildren = false
+			c.queueEvent(kind, p)
+		case kind != watchChildren && c.watchedData[p]:
+			delete(c.watchedData, p)
+			c.queueEvent(kind, p)
 		}
 	}
 }
--- a/internal/testing/fake/zkfaults.go
+++ b/internal/testing/fake/zkfaults.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-type zfaults struct {
-	refuse  bool
-	frozen  bool
-	delay   time.Duration
-	hold    int // so many requests must have come before the first of them is answered
-	swallow int // so many transactions are done, and their connection is cut instead of an answer
+type zkFaults struct {
+	unreachable bool
+	frozen      bool
+	delay       time.Duration
+	holdAnswers int // so many requests must have come before the first of them is answered
+	dropAnswers int // so many transactions are done, and their connection is cut instead of an answer
 }
 
-// Refuse makes the service unreachable, or reachable again. Sessions go on ageing.
-func (z *ZooKeeper) Refuse(on bool) {
+// SetUnreachable makes the service unreachable, or reachable again. Sessions go on ageing.
+func (z *ZooKeeper) SetUnreachable(on bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.faults.refuse = on
+	z.faults.unreachable = on
 	if on {
-		z.cut()
+		z.resetConnections()
 	}
 }
 
-// Freeze stops the service in the middle of everything: it reads nothing, answers nothing, expires nothing.
-func (z *ZooKeeper) Freeze(on bool) {
+// SetFrozen stops the service in the middle of everything: it reads nothing, answers nothing, expires nothing.
+func (z *ZooKeeper) SetFrozen(on bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.faults.frozen = on
 	z.thawed.Broadcast()
 }
 
-// Delay lets every answer take so long; answers to requests that came together come together.
-func (z *ZooKeeper) Delay(d time.Duration) {
+// DelayAnswers lets every answer take so long; answers to requests that came together come together.
+func (z *ZooKeeper) DelayAnswers(d time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.faults.delay = d
 }
 
-// Hold answers nothing until n requests, but for pings, have come on one connection.
-func (z *ZooKeeper) Hold(n int) {
+// HoldAnswers answers nothing until n requests, but for pings, have come on one connection.
+func (z *ZooKeeper) HoldAnswers(n int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.faults.hold = n
+	z.faults.holdAnswers = n
 }
 
-// Swallow does the next n transactions without an answer and cuts their connections.
-func (z *ZooKeeper) Swallow(n int) {
+// DropAnswers does the next n transactions without an answer and cuts their connections.
+func (z *ZooKeeper) DropAnswers(n int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.faults.swallow = n
+	z.faults.dropAnswers = n
 }
--- a/internal/testing/fake/zkrequests.go
+++ b/internal/testing/fake/zkrequests.go
@@ -39,101 +39,101 @@
 	for z.faults.frozen {
 		z.thawed.Wait()
 	}
-	if z.sessions[c.session.id] != c.session || c.session.conn != c || z.faults.refuse {
+	if z.sessions[c.session.id] != c.session || c.session.conn != c || z.faults.unreachable {
 		return false
 	}
-	c.session.heard = time.Now()
-	in := &zin{p}
-	xid, op := in.i32(), in.i32()
+	c.session.heardAt = time.Now()
+	in := &zkReader{p}
+	xid, op := in.readInt(), in.readInt()
 	code, body := 0, []byte(nil)
 	switch op {
 	case opPing:
 	case opClose:
-		z.end(c.session)
+		z.endSession(c.session)
 		return false
 	case opMulti:
-		body = z.multi(c, in)
-		if z.faults.swallow > 0 {
-			z.faults.swallow--
+		body = z.performAll(c, in)
+		if z.faults.dropAnswers > 0 {
+			z.faults.dropAnswers--
 			return false
 		}
 	case opChildren:
-		code, body = z.children(c, in)
+		code, body = z.listChildren(c, in)
 	default:
-		code, body, _ = z.step(c, op, in)
+		code, body, _ = z.perform(c, op, in)
 	}
-	frame := append(u32(u64(u32(nil, xid), z.zxid), code), body...)
-	if z.faults.hold > 0 && op != opPing {
+	frame := append(appendUint32(appendUint64(appendUint32(nil, xid), z.zxid), code), body...)
+	if z.faults.holdAnswers > 0 && op != opPing {
 		z.holdBack(c, frame)
 		return true
 	}
-	c.frame(frame, time.Now().Add(z.faults.delay))
+	c.queue(frame, time.Now().Add(z.faults.delay))
 	return true
 }
 
 // holdBack keeps an answer until there are as many as the fault asks for, and sends them all then.
 func (z *ZooKeeper) holdBack(c *zkConn, frame []byte) {
-	c.held = append(c.held, zreply{frame: frame})
-	if len(c.held) < z.faults.hold {
+	c.heldAnswers = append(c.heldAnswers, zkReply{frame: frame})
+	if len(c.heldAnswers) < z.faults.holdAnswers {
 		return
 	}
-	for _, r := range c.held {
-		c.frame(r.frame, time.Time{})
+	for _, r := range c.heldAnswers {
+		c.queue(r.frame, time.Time{})
 	}
-	c.held = nil
-	z.faults.hold = 0
+	c.heldAnswers = nil
+	z.faults.holdAnswers = 0
 }
 
-// children lists a node's children, and watches them if asked to.
-func (z *ZooKeeper) children(c *zkConn, in *zin) (code int, body []byte) {
-	dir := in.str()
+// listChildren lists a node's listChildren, and watches them if asked to.
+func (z *ZooKeeper) listChildren(c *zkConn, in *zkReader) (code int, body []byte) {
+	dir := in.readString()
 	if z.nodes[dir] == nil {
 		return zNoNode, nil
 	}
-	c.list = c.list || in.flag() && dir == z.path
+	c.watchesChildren = c.watchesChildren || in.readBool() && dir == z.root
 	n := 0
 	for p := range z.nodes {
 		if p != "/" && path.Dir(p) == dir {
-			body = str(body, path.Base(p))
+			body = appendString(body, path.Base(p))
 			n++
 		}
 	}
-	return 0, append(u32(nil, n), body...)
+	return 0, append(appendUint32(nil, n), body...)
 }
 
-// step does one request, or one part of a transaction; undo takes it back.
-func (z *ZooKeeper) step(c *zkConn, op int, in *zin) (code int, body []byte, undo func()) {
+// perform does one request, or one part of a transaction; undo takes it back.
+func (z *ZooKeeper) perform(c *zkConn, op int, in *zkReader) (code int, body []byte, undo func()) {
 	undo = func() {}
-	p := in.str()
+	p := in.readString()
 	n := z.nodes[p]
 	if n == nil && op != opCreate && op != opSync {
 		switch op {
 		case opSetData:
-			in.str()
-			in.i32()
+			in.readString()
+			in.readInt()
 		case opDelete, opCheck:
-			in.i32()
+			in.readInt()
 		}
 		return zNoNode, nil, undo
 	}
 	switch op {
 	case opCreate:
-		return z.create(c, p, in)
+		return z.createNode(c, p, in)
 	case opDelete:
-		return z.delete(p, in)
+		return z.deleteNode(p, in)
 	case opExists:
 		return 0, n.stat(nil), undo
 	case opGetData:
-		if in.flag() {
-			c.data[p] = true
+		if in.readBool() {
+			c.watchedData[p] = true
 		}
-		return 0, n.stat(str(nil, n.data)), undo
+		return 0, n.stat(appendString(nil, n.data)), undo
 	case opSetData:
 		return z.setData(p, in)
 	case opSync:
-		return 0, str(nil, p), undo
+		return 0, appendString(nil, p), undo
 	case opCheck:
-		if !n.hasVersion(in.i32()) {
+		if !n.hasVersion(in.readInt()) {
 			return zBadVersion, nil, undo
 		}
 		return 0, nil, undo
@@ -142,15 +142,15 @@
 }
 
 // hasVersion tells whether a request that asks for a version may change the node; -1 is any.
-func (n *znode) hasVersion(version int) bool {
+func (n *zkNode) hasVersion(version int) bool {
 	return version == -1 || version == n.version
 }
 
-func (z *ZooKeeper) create(c *zkConn, p string, in *zin) (code int, body []byte, undo func()) {
+func (z *ZooKeeper) createNode(c *zkConn, p string, in *zkReader) (code int, body []byte, undo func()) {
 	undo = func() {}
-	data := in.str()
+	data := in.readString()
 	in.skipACL()
-	flags := in.i32()
+	flags := in.readInt()
 	parent := z.nodes[path.Dir(p)]
 	switch {
 	case parent == nil:
@@ -160,18 +160,18 @@
 	case z.nodes[p] != nil:
 		return zExists, nil, undo
 	}
-	made := &znode{data: data}
+	made := &zkNode{data: data}
 	if flags&1 != 0 {
 		made.owner = c.session.id
 	}
-	z.add(p, made)
-	return 0, str(nil, p), func() { delete(z.nodes, p) }
+	z.addNode(p, made)
+	return 0, appendString(nil, p), func() { delete(z.nodes, p) }
 }
 
-func (z *ZooKeeper) delete(p string, in *zin) (code int, body []byte, undo func()) {
+func (z *ZooKeeper) deleteNode(p string, in *zkReader) (code int, body []byte, undo func()) {
 	undo = func() {}
 	n := z.nodes[p]
-	if !n.hasVersion(in.i32()) {
+	if !n.hasVersion(in.readInt()) {
 		return zBadVersion, nil, undo
 	}
 	for o := range z.nodes {
@@ -179,14 +179,14 @@
 			return zNotEmpty, nil, undo
 		}
 	}
-	z.remove(p)
+	z.removeNode(p)
 	return 0, nil, func() { z.nodes[p] = n }
 }
 
-func (z *ZooKeeper) setData(p string, in *zin) (code int, body []byte, undo func()) {
+func (z *ZooKeeper) setData(p string, in *zkReader) (code int, body []byte, undo func()) {
 	undo = func() {}
 	n := z.nodes[p]
-	data, version := in.str(), in.i32()
+	data, version := in.readString(), in.readInt()
 	if !n.hasVersion(version) {
 		return zBadVersion, nil, undo
 	}
@@ -194,6 +194,6 @@
 	z.zxid++
 	n.data = data
 	n.version++
-	z.fire(p, watchData)
+	z.notifyWatches(p, watchData)
 	return 0, n.stat(nil), func() { *n = was }
 }
--- a/internal/testing/fake/zktransaction.go
+++ b/internal/testing/fake/zktransaction.go
@@ -1,7 +1,7 @@
 package fake
 
-// multi does all parts or none.
-func (z *ZooKeeper) multi(c *zkConn, in *zin) []byte {
+// performAll does all parts or none.
+func (z *ZooKeeper) performAll(c *zkConn, in *zkReader) []byte {
 	type part struct {
 		op   int
 		code int
@@ -11,17 +11,17 @@
 	var undos []func()
 	failed := false
 	for {
-		op, last := in.i32(), in.flag()
-		in.i32()
+		op, last := in.readInt(), in.readBool()
+		in.readInt()
 		if last {
 			break
 		}
 		done := part{op: op, code: zInconsistent}
 		if failed {
-			z.skip(op, in)
+			z.skipRequest(op, in)
 		} else {
 			var undo func()
-			done.code, done.body, undo = z.step(c, op, in)
+			done.code, done.body, undo = z.perform(c, op, in)
 			undos = append(undos, undo)
 			failed = done.code != 0
 		}
@@ -30,29 +30,29 @@
 	var out []byte
 	for _, p := range parts {
 		if failed {
-			out = u32(u32(append(u32(out, -1), 0), p.code), p.code)
+			out = appendUint32(appendUint32(append(appendUint32(out, -1), 0), p.code), p.code)
 		} else {
-			out = append(u32(append(u32(out, p.op), 0), 0), p.body...)
+			out = append(appendUint32(append(appendUint32(out, p.op), 0), 0), p.body...)
 		}
 	}
 	for i := len(undos) - 1; failed && i >= 0; i-- {
 		undos[i]()
 	}
-	return u32(append(u32(out, -1), 1), -1)
+	return appendUint32(append(appendUint32(out, -1), 1), -1)
 }
 
-// skip reads a part that is not done.
-func (z *ZooKeeper) skip(op int, in *zin) {
-	in.str()
+// skipRequest reads a part that is not done.
+func (z *ZooKeeper) skipRequest(op int, in *zkReader) {
+	in.readString()
 	switch op {
 	case opCreate:
-		in.str()
+		in.readString()
 		in.skipACL()
-		in.i32()
+		in.readInt()
 	case opSetData:
-		in.str()
-		in.i32()
+		in.readString()
+		in.readInt()
 	default:
-		in.i32()
+		in.readInt()
 	}
 }
--- a/internal/testing/fake/zookeeper.go
+++ b/internal/testing/fake/zookeeper.go
@@ -13,27 +13,27 @@
 type ZooKeeper struct {
 	Address string
 
-	path     string // whose children Set writes
-	l        net.Listener
+	root     string // whose children Set writes
+	listener net.Listener
 	mu       sync.Mutex
-	nodes    map[string]*znode
-	sessions map[int64]*zsession
+	nodes    map[string]*zkNode
+	sessions map[int64]*zkSession
 	lastID   int64
 	zxid     int64
-	faults   zfaults
+	faults   zkFaults
 	thawed   *sync.Cond
 }
 
-type znode struct {
+type zkNode struct {
 	data    string
 	version int
 	owner   int64
 }
 
-type zsession struct {
+type zkSession struct {
 	id      int64
 	timeout time.Duration
-	heard   time.Time
+	heardAt time.Time
 	conn    *zkConn
 }
 
@@ -48,14 +48,14 @@
 	}
 	z := &ZooKeeper{
 		Address:  l.Addr().String(),
-		path:     root,
-		l:        l,
-		nodes:    map[string]*znode{"/": {}},
-		sessions: map[int64]*zsession{},
+		root:     root,
+		listener: l,
+		nodes:    map[string]*zkNode{"/": {}},
+		sessions: map[int64]*zkSession{},
 	}
 	z.thawed = sync.NewCond(&z.mu)
 	for p := root; p != "/"; p = path.Dir(p) {
-		z.nodes[p] = &znode{}
+		z.nodes[p] = &zkNode{}
 	}
 	go z.accept(l)
 	go z.endSilentSessions()
@@ -67,8 +67,8 @@
 	for range time.Tick(20 * time.Millisecond) {
 		z.mu.Lock()
 		for _, s := range z.sessions {
-			if !z.faults.frozen && time.Since(s.heard) >= s.timeout {
-				z.end(s)
+			if !z.faults.frozen && time.Since(s.heardAt) >= s.timeout {
+				z.endSession(s)
 			}
 		}
 		z.mu.Unlock()
@@ -81,12 +81,12 @@
 		if err != nil {
 			return
 		}
-		go z.serve(&zkConn{Conn: c, data: map[string]bool{}, out: make(chan zreply, 1<<16)})
+		go z.serve(&zkConn{Conn: c, watchedData: map[string]bool{}, out: make(chan zkReply, 1<<16)})
 	}
 }
 
-// Also listens on one more address, as another member of the ensemble does.
-func (z *ZooKeeper) Also() (string, error) {
+// ListenAgain listens on one more address, as another member of the ensemble does.
+func (z *ZooKeeper) ListenAgain() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -97,26 +97,26 @@
 
 // Close ends the first address, and every connection; sessions live on for what else listens.
 func (z *ZooKeeper) Close() {
-	z.l.Close()
+	z.listener.Close()
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.cut()
+	z.resetConnections()
 }
 
-// Set creates a node or changes its data; "" removes it, as the end of its owner's session does.
-func (z *ZooKeeper) Set(name, data string) {
+// SetNode creates a node or changes its data; "" removes it, as the end of its owner's session does.
+func (z *ZooKeeper) SetNode(name, data string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	full := z.path + "/" + name
+	full := z.root + "/" + name
 	switch n := z.nodes[full]; {
 	case data == "":
-		z.remove(full)
+		z.removeNode(full)
 	case n == nil:
-		z.add(full, &znode{data: data})
+		z.addNode(full, &zkNode{data: data})
 	default:
 		n.data = data
 		n.version++
-		z.fire(full, watchData)
+		z.notifyWatches(full, watchData)
 	}
 }
 
@@ -132,23 +132,23 @@
 	return all
 }
 
-// Expire forgets every session, with its ephemeral nodes.
-func (z *ZooKeeper) Expire() {
+// ExpireSessions forgets every session, with its ephemeral nodes.
+func (z *ZooKeeper) ExpireSessions() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for _, s := range z.sessions {
-		z.end(s)
+		z.endSession(s)
 	}
 }
 
-// Cut ends every connection; sessions live on.
-func (z *ZooKeeper) Cut() {
+// ResetConnections ends every connection; sessions live on.
+func (z *ZooKeeper) ResetConnections() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.cut()
+	z.resetConnections()
 }
 
-func (z *ZooKeeper) cut() {
+func (z *ZooKeeper) resetConnections() {
 	for _, s := range z.sessions {
 		if s.conn != nil {
 			s.conn.Close()
@@ -156,30 +156,30 @@
 	}
 }
 
-func (z *ZooKeeper) end(s *zsession) {
+func (z *ZooKeeper) endSession(s *zkSession) {
 	delete(z.sessions, s.id)
 	if s.conn != nil {
 		s.conn.Close()
 	}
 	for p, n := range z.nodes {
 		if n.owner == s.id {
-			z.remove(p)
+			z.removeNode(p)
 		}
 	}
 }
 
-func (z *ZooKeeper) add(p string, n *znode) {
+func (z *ZooKeeper) addNode(p string, n *zkNode) {
 	z.zxid++
 	z.nodes[p] = n
-	z.fire(path.Dir(p), watchChildren)
+	z.notifyWatches(path.Dir(p), watchChildren)
 }
 
-func (z *ZooKeeper) remove(p string) {
+func (z *ZooKeeper) removeNode(p string) {
 	if z.nodes[p] == nil {
 		return
 	}
 	z.zxid++
 	delete(z.nodes, p)
-	z.fire(p, watchDeleted)
-	z.fire(path.Dir(p), watchChildren)
+	z.notifyWatches(p, watchDeleted)
+	z.notifyWatches(path.Dir(p), watchChildren)
 }
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -89,7 +89,7 @@
 		}
 		call := x.Open(relay.OpenRequest{Name: "a1", Timeout: 500, Payload: o}, e)
 		<-call.Settled()
-		if n := len(servers[0].Firsts); n > 0 {
+		if n := len(servers[0].FirstLines); n > 0 {
 			t.Errorf("%s: %d first lines were sent", name, n)
 		}
 	}
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -104,7 +104,7 @@
 func (noList) Fetch() {}
 
 // serve starts both sides with servers that answer as told, by the id of each.
-func serve(t *testing.T, answers ...string) (address string, x *relay.RequestTable, servers []*fake.TileServer) {
+func serve(t *testing.T, answers ...string) (address string, x *relay.RequestTable, servers []*fake.EchoServer) {
 	t.Helper()
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
@@ -113,7 +113,7 @@
 	x = relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, LoadKey: "x0", Keep: 4})
 	var list []relay.Endpoint
 	for i, answer := range answers {
-		s, err := fake.NewTileServer("127.0.0.1:0", answer)
+		s, err := fake.NewEchoServer("127.0.0.1:0", answer)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -190,8 +190,8 @@
 		if got != want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
-		if len(servers[0].Firsts) > 2 || want == "ERR" && len(servers[0].Firsts) > 0 {
-			t.Errorf("%s: the server was sent %d first lines", c.name, len(servers[0].Firsts))
+		if len(servers[0].FirstLines) > 2 || want == "ERR" && len(servers[0].FirstLines) > 0 {
+			t.Errorf("%s: the server was sent %d first lines", c.name, len(servers[0].FirstLines))
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	if got := c.next(); got != "M 1 first" {
 		t.Fatal(got)
 	}
-	servers[0].Say("LOAD 12.5", false)
+	servers[0].Broadcast("LOAD 12.5", false)
 	if got := c.next(); got != "LOAD 12.5" {
 		t.Fatal(got)
 	}
@@ -227,7 +227,7 @@
 	address, _, servers := serve(t, "UP")
 	c := dial(t, address, open)
 	c.next()
-	servers[0].Say("BYE x0=0.5", true)
+	servers[0].Broadcast("BYE x0=0.5", true)
 	if a, b := c.next(), c.next(); a != "BYE x0=0.5" || b != "end" {
 		t.Errorf("%q, %q", a, b)
 	}
@@ -245,7 +245,7 @@
 func TestClientLeavesMidSetUp(t *testing.T) {
 	address, x, servers := serve(t, "")
 	c := dial(t, address, open)
-	<-servers[0].Firsts
+	<-servers[0].FirstLines
 	c.Close()
 	for i := 0; x.MigrateSome(0) > 0; i++ {
 		if i > 1000 {
@@ -324,13 +324,13 @@
 		for got == "PONG" {
 			got = c.next()
 		}
-		if got != "ERR bad request" || len(servers[0].Firsts) > 0 {
-			t.Errorf("%s: %.40q, %d first lines sent on", name, got, len(servers[0].Firsts))
+		if got != "ERR bad request" || len(servers[0].FirstLines) > 0 {
+			t.Errorf("%s: %.40q, %d first lines sent on", name, got, len(servers[0].FirstLines))
 		}
 	}
 	address, _, servers := serve(t, "")
 	c := dial(t, address, open)
-	<-servers[0].Firsts
+	<-servers[0].FirstLines
 	fmt.Fprint(c, "M 1 while its attempt is out\r\n")
 	if got := c.next(); got != "ERR bad request" {
 		t.Errorf("a line while the attempt is out: %q", got)
@@ -350,8 +350,8 @@
 		}
 	}
 	fmt.Fprint(c, "M 1\r\n")
-	if got := c.next(); got != "M 1" || len(servers[0].Firsts) != 1 {
-		t.Errorf("the first client got %q; %d first lines", got, len(servers[0].Firsts))
+	if got := c.next(); got != "M 1" || len(servers[0].FirstLines) != 1 {
+		t.Errorf("the first client got %q; %d first lines", got, len(servers[0].FirstLines))
 	}
 	c.Close()
 	for x.MigrateSome(0) > 0 {
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -124,7 +124,7 @@
 // one is told.
 func TestSessionIsKept(t *testing.T) {
 	zk, s, w := open(t)
-	second, err := zk.Also()
+	second, err := zk.ListenAgain()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 	if w.sessions[0] != w.sessions[1] || len(zk.Nodes("/a/mine")) != 1 {
 		t.Errorf("sessions %v, %q", w.sessions, zk.Nodes("/a"))
 	}
-	zk.Swallow(1)
+	zk.DropAnswers(1)
 	if a := now(func(f func(Answer)) { s.Multi([]Step{CreateStep("/a/lost", nil, true)}, f) }); a.Code != Lost {
 		t.Errorf("an answer that never came: %+v", a)
 	}
@@ -145,7 +145,7 @@
 		t.Error("and yet it was done")
 	}
 	w.wait(t, "connected for 1000 ms", 3)
-	zk.Expire()
+	zk.ExpireSessions()
 	w.wait(t, "expired", 1)
 	w.wait(t, "connected for 1000 ms", 4)
 	if w.sessions[3] == w.sessions[2] {
@@ -153,11 +153,11 @@
 	}
 	s.Move([]string{second}) // as at a reload
 	w.wait(t, "connected for 1000 ms", 5)
-	zk.Freeze(true) // silence ends a connection, too, and everything out is answered
+	zk.SetFrozen(true) // silence ends a connection, too, and everything out is answered
 	if a := now(func(f func(Answer)) { s.Get("/a", f) }); a.Code != Lost {
 		t.Errorf("from a frozen service: %+v", a)
 	}
-	zk.Freeze(false)
+	zk.SetFrozen(false)
 }
 
 // FuzzAnswer: no frame makes the reader panic, or read without end.
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -70,7 +70,7 @@
 }
 
 func (b *bench) node(name string, s *server, lifecycle string) {
-	b.zk.Set(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q}`, s.address, lifecycle))
+	b.zk.SetNode(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q}`, s.address, lifecycle))
 }
 
 func (b *bench) call() {
