--- a/internal/testing/fake/acceptor.go
+++ b/internal/testing/fake/acceptor.go
@@ -2,10 +2,12 @@
 
 import (
 	"net"
+	"slices"
 	"sync"
 )
 
-// acceptor takes connections on a listener, each served in a goroutine of its own, and can reset them all.
+// acceptor takes connections on a listener, each served in a goroutine of its own that ends with the
+// connection.
 type acceptor struct {
 	listener net.Listener
 
@@ -34,10 +36,10 @@
 func (a *acceptor) all() []net.Conn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]net.Conn(nil), a.conns...)
+	return slices.Clone(a.conns)
 }
 
-// reset ends it as a process that dies does: connections are reset, new ones refused.
+// reset ends it as a process that dies does: connections are reset, new ones refused. It may be called again.
 func (a *acceptor) reset() {
 	a.listener.Close()
 	for _, c := range a.all() {
--- a/internal/testing/fake/discovery.go
+++ b/internal/testing/fake/discovery.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// Discovery is the platform's list of servers.
+// Discovery is the platform's discovery service: the endpoint list, as a snapshot or watched.
 type Discovery struct {
 	Address     string
-	ExtraFields string // more fields of each entry, as JSON with a comma before it
+	ExtraFields string // added to each endpoint that is set from now on, as JSON with a comma before it
 
 	mu         sync.Mutex
 	generation int
-	entries    map[string]string // an entry's JSON by its id
-	watches    []chan string
+	entries    map[string]string // by id: the endpoint's JSON
+	watches    []chan string     // one an open watch, for its events
 }
 
-// NewDiscovery starts discovery on loopback.
+// NewDiscovery starts discovery, which runs for as long as the process does. It fails if the address cannot
+// be listened on.
 func NewDiscovery(address string) (*Discovery, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -40,18 +41,18 @@
 	return d, nil
 }
 
-// Entry is one line of the list.
+// Entry returns one endpoint of the list as JSON.
 func Entry(id, address, lifecycle string) string {
 	const form = `{"instanceId":%q,"hostPort":%q,"zone":"hall-a","lifecycle":%q,"startedAtMs":0}`
 	return fmt.Sprintf(form, id, address, lifecycle)
 }
 
-// Set changes one entry and tells every watch.
+// Set adds or changes one endpoint and notifies every watch.
 func (d *Discovery) Set(id, address, lifecycle string) {
 	d.SetStarted(id, address, lifecycle, time.Time{})
 }
 
-// SetStarted is Set for a server that has started at a time; the zero one is long ago.
+// SetStarted is Set for a server that started at a time; the zero time stands for long ago.
 func (d *Discovery) SetStarted(id, address, lifecycle string, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,11 +67,12 @@
 	}
 }
 
-func (d *Discovery) message(whole bool, entries string) string {
-	return fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[%s]}\n", d.generation, whole, entries)
+// message returns a watch event, or a snapshot if complete is set. The caller holds the lock.
+func (d *Discovery) message(complete bool, entries string) string {
+	return fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[%s]}\n", d.generation, complete, entries)
 }
 
-// Snapshot is the whole list.
+// Snapshot returns the complete endpoint list as JSON.
 func (d *Discovery) Snapshot() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,20 +96,20 @@
 	for line := first; err == nil && strings.TrimSpace(line) != ""; {
 		line, err = in.ReadString('\n')
 	}
-	whole := d.Snapshot()
+	snapshot := d.Snapshot()
 	if !strings.Contains(first, "watch=1") {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(snapshot), snapshot)
 		return
 	}
 	changes := make(chan string, 64)
 	d.mu.Lock()
 	d.watches = append(d.watches, changes)
 	d.mu.Unlock()
-	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(whole), whole)
+	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(snapshot), snapshot)
 	d.stream(c, changes)
 }
 
-// stream sends a watch each change, and an empty line while nothing changes, until its connection fails.
+// stream sends a watch its events, and an empty line while nothing changes, until its connection fails.
 func (d *Discovery) stream(c net.Conn, changes chan string) {
 	defer d.removeWatch(changes)
 	idle := time.NewTicker(2 * time.Second)
--- a/internal/testing/fake/echoserver.go
+++ b/internal/testing/fake/echoserver.go
@@ -8,23 +8,26 @@
 	"sync"
 )
 
-// EchoServer is a server of the platform's protocol: it takes every connection and returns every line.
+// EchoServer is a server of the platform's protocol that accepts every connection and returns every line.
 type EchoServer struct {
 	Address string
-	// Firsts gets each first line as it came, but for probes.
+	// FirstLines gets each first line as it came, probes not counted. Once it is full, connections wait for a
+	// reader.
 	FirstLines chan string
 
 	acceptor acceptor
 
+	answer string // to first lines; see NewEchoServer
+
 	mu              sync.Mutex
-	answer          string
-	report          string // of its load, as probes get it
-	reportFunc      func() string
+	report          string        // the load report
+	reportFunc      func() string // if set, in report's place
 	openConnections int
 }
 
-// NewEchoServer starts a server on loopback, at any port if the address ends in ":0". It answers first
-// lines with answer; "UP" gives each a receipt, "" says nothing at all, and "-" ends the connection.
+// NewEchoServer starts a server, at any port if the address ends in ":0", that runs until Close. It answers
+// first lines with answer and ends the connection, except that "UP" accepts it, "" leaves it unanswered, and
+// "-" ends it without an answer. It fails if the address cannot be listened on.
 func NewEchoServer(address, answer string) (*EchoServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -40,26 +43,26 @@
 	return s, nil
 }
 
-// Close ends the server and resets its connections.
+// Close ends the server and resets its connections. It may be called again.
 func (s *EchoServer) Close() {
 	s.acceptor.reset()
 }
 
-// SetReport changes what probes are told.
+// SetReport changes the load report that answers probes.
 func (s *EchoServer) SetReport(report string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report = report
 }
 
-// ReportFrom has each probe answered by what fn returns.
+// ReportFrom has each probe answered with the load report that fn returns.
 func (s *EchoServer) ReportFrom(fn func() string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reportFunc = fn
 }
 
-// OpenConnections is how many connections are up.
+// OpenConnections returns how many connections are accepted and open.
 func (s *EchoServer) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +75,7 @@
 	s.openConnections += n
 }
 
-// Broadcast sends a line on every connection; it ends them after it if last is set.
+// Broadcast sends a line on every connection, and ends them after it if last is set.
 func (s *EchoServer) Broadcast(line string, last bool) {
 	for _, c := range s.acceptor.all() {
 		fmt.Fprintf(c, "%s\r\n", line)
@@ -117,13 +120,13 @@
 	}
 }
 
-// currentReport returns the answer to a probe.
+// currentReport returns the load report for a probe.
 func (s *EchoServer) currentReport() string {
 	s.mu.Lock()
-	report, asked := s.report, s.reportFunc
+	report, reportFunc := s.report, s.reportFunc
 	s.mu.Unlock()
-	if asked != nil {
-		return asked()
+	if reportFunc != nil {
+		return reportFunc()
 	}
 	return report
 }
--- a/internal/testing/fake/feed.go
+++ b/internal/testing/fake/feed.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Feed is the radar: scans numbered from 1, of which every server has the newest Keep.
+// Feed is the radar that all servers have their scans from: numbered from 1, the newest Keep are to be had.
 type Feed struct {
 	Keep uint64
 
 	mu     sync.Mutex
 	newest uint64
-	more   *sync.Cond
+	more   *sync.Cond // on mu: newest has grown, or a stream has ended
 }
 
-// NewFeed returns a feed that makes a scan each period until stop is closed.
+// NewFeed returns a feed that makes a scan each period, in a goroutine that ends once stop is closed.
 func NewFeed(keep uint64, period time.Duration, stop <-chan struct{}) *Feed {
 	f := &Feed{Keep: keep, newest: 1}
 	f.more = sync.NewCond(&f.mu)
@@ -38,8 +38,8 @@
 	}
 }
 
-// await blocks until scan n has been made and returns true, or false once it finds over closed, which it looks
-// for whenever it is woken: at the latest with the next scan.
+// await blocks until scan n has been made and returns true, or false once it finds over closed, which it
+// looks for whenever it is woken: at the latest with the next scan.
 func (f *Feed) await(n uint64, over <-chan struct{}) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,7 +54,7 @@
 	return true
 }
 
-// Newest is the number of the newest scan.
+// Newest returns the number of the newest scan.
 func (f *Feed) Newest() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testing/fake/ledger.go
+++ b/internal/testing/fake/ledger.go
@@ -3,12 +3,13 @@
 import (
 	"fmt"
 	"net"
+	"slices"
 	"sync"
 
 	"golang.org/x/sys/unix"
 )
 
-// Ledger is what all servers together saw of each stream: who serves it, in which generation.
+// Ledger records, over all servers, who serves each stream in which generation, and which rule that broke.
 type Ledger struct {
 	mu                sync.Mutex
 	serving           map[string]*service
@@ -17,6 +18,7 @@
 	violations        []string
 }
 
+// service is one server that serves a stream.
 type service struct {
 	server     string
 	generation uint64
@@ -28,8 +30,8 @@
 	return &Ledger{serving: map[string]*service{}, highestGeneration: map[string]uint64{}}
 }
 
-// beginService notes a service. If another server's connection for the stream still stands at this instant, two
-// servers serve it. The kernel is asked, since a goroutine may be late to read what has come long ago.
+// beginService records a service. If another server's connection for the stream still stands at this instant,
+// two servers serve it. The kernel is asked, since a goroutine may be late to read what has come long ago.
 func (l *Ledger) beginService(stream, server string, gen uint64, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,13 +43,15 @@
 			stream, server, gen, o.server, o.generation))
 	}
 	if gen <= l.highestGeneration[stream] {
-		l.violations = append(l.violations, fmt.Sprintf("stream %s: generation %d after %d", stream, gen, l.highestGeneration[stream]))
+		l.violations = append(l.violations, fmt.Sprintf("stream %s: generation %d after %d",
+			stream, gen, l.highestGeneration[stream]))
 	}
 	l.highestGeneration[stream] = gen
 	l.serving[stream] = &service{server, gen, conn}
 	l.served++
 }
 
+// endService removes a service, unless another has begun since.
 func (l *Ledger) endService(stream string, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,21 +60,21 @@
 	}
 }
 
-// Violations lists what must not have happened.
+// Violations lists each time two servers served a stream at once, or a generation did not grow.
 func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.violations...)
+	return slices.Clone(l.violations)
 }
 
-// Serving is how many streams are served now, and Served how many services there were.
+// Serving returns how many streams are served now, and how many services have begun in all.
 func (l *Ledger) Serving() (now, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.serving), l.served
 }
 
-// isEstablished tells whether the peer of a connection has not ended it.
+// isEstablished reports whether the kernel holds a connection to be established, ended by neither side.
 func isEstablished(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/testing/fake/scanfaults.go
+++ b/internal/testing/fake/scanfaults.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Kill ends the server at once and resets its connections.
+// Kill ends the server at once and resets its connections, as a process that dies does. It may be called
+// again.
 func (s *ScanServer) Kill() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -14,11 +15,12 @@
 		c.SetLinger(0)
 		c.Close()
 	}
-	s.silent, s.killed = false, true
+	s.silent = false
+	s.killed = true
 	s.resumed.Broadcast()
 }
 
-// SetSilent makes it say and read nothing, with all connections open; or ends that.
+// SetSilent makes the server read and answer nothing, with all connections open, or ends that.
 func (s *ScanServer) SetSilent(on bool) {
 	s.mu.Lock()
 	s.silent = on
@@ -26,32 +28,33 @@
 	s.resumed.Broadcast()
 }
 
-// ServerFaults are ways in which a server misbehaves.
+// ServerFaults are ways in which a server misbehaves. The zero value is none.
 type ServerFaults struct {
-	ProbeDelay   time.Duration // answers probes so late, with the numbers of when it was turned
-	FreezeReport bool          // its report stays as it is
-	AnswerError  bool          // answers first lines and probes with ERR
-	UpDelay      time.Duration // takes so long to say UP
-	ExtraLoad    float64       // load on top of what it holds
-	frozenLoad   string
+	ProbeDelay   time.Duration // before each answer to a probe, which has the load of when the fault was set
+	FreezeReport bool          // load reports stay as they were when the fault was set
+	AnswerError  bool          // first lines and probes are answered with ERR
+	UpDelay      time.Duration // before each answer to a first line
+	ExtraLoad    float64       // added to the load in reports
+
+	frozenLoad string
 }
 
-// SetFaults sets the knobs.
-func (s *ScanServer) SetFaults(k ServerFaults) {
+// SetFaults replaces the server's faults.
+func (s *ScanServer) SetFaults(faults ServerFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k.frozenLoad = fmt.Sprintf("%.3f", s.measureLoad()+k.ExtraLoad)
-	s.faults = k
+	faults.frozenLoad = fmt.Sprintf("%.3f", s.measureLoad()+faults.ExtraLoad)
+	s.faults = faults
 }
 
-// SetRejecting makes it answer BUSY to whoever comes, as a draining server does.
+// SetRejecting makes the server answer BUSY to every first line, as a draining server does, or ends that.
 func (s *ScanServer) SetRejecting(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rejecting = on
 }
 
-// MigrateOneIn ends one connection in n with MOVE, and returns how many are left.
+// MigrateOneIn ends one served connection in n with MOVE, and returns how many are left.
 func (s *ScanServer) MigrateOneIn(n int) (left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,25 +74,25 @@
 	return left
 }
 
-// Openings is how many first lines came, but for probes.
+// Openings returns how many first lines came, probes not counted.
 func (s *ScanServer) Openings() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.openings
 }
 
-// isKilled tells whether the server was killed.
+// isKilled reports whether Kill was called.
 func (s *ScanServer) isKilled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.killed
 }
 
-// waitWhileSilent waits while the server is silent.
+// waitWhileSilent blocks until the server is not silent.
 func (s *ScanServer) waitWhileSilent() {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	for s.silent {
 		s.resumed.Wait()
 	}
-	s.mu.Unlock()
 }
--- a/internal/testing/fake/scanload.go
+++ b/internal/testing/fake/scanload.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// The rule on cold servers, in its figures for this project.
+// A server is overloaded while it holds over OverloadFactor times the connections that it can take, and fails
+// if that lasts for OverloadWindow. The figures are those of the protocol page.
 const (
 	OverloadFactor = 4.0
 	OverloadWindow = 1500 * time.Millisecond
 )
 
-// measureLoad is what is asked of the server over what it can do now. The caller holds the lock.
+// measureLoad returns the connections that are served over what the server can take now, 1 when it is full,
+// and records the highest. The caller holds the lock.
 func (s *ScanServer) measureLoad() float64 {
 	if s.Capacity == 0 {
 		return s.Load
 	}
-	able := 1.0
+	capacity := 1.0
 	if age := time.Since(s.StartedAt); age < s.SlowStartWindow {
-		able = s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(age)/float64(s.SlowStartWindow)
+		capacity = s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(age)/float64(s.SlowStartWindow)
 	}
-	n := 0.0
+	served := 0.0
 	for _, serves := range s.connections {
 		if serves {
-			n++
+			served++
 		}
 	}
-	x := n / (s.Capacity * able)
-	s.peakLoad = max(s.peakLoad, x)
-	if x <= OverloadFactor {
+	load := served / (s.Capacity * capacity)
+	s.peakLoad = max(s.peakLoad, load)
+	switch {
+	case load <= OverloadFactor:
 		s.overloadedAt = time.Time{}
-	} else if s.overloadedAt.IsZero() {
+	case s.overloadedAt.IsZero():
 		s.overloadedAt = time.Now()
-	} else {
+	default:
 		s.longestOverload = max(s.longestOverload, time.Since(s.overloadedAt))
 	}
-	return x
+	return load
 }
 
-// PeakLoad is the highest load so far, and the longest time over FallMultiple.
-func (s *ScanServer) PeakLoad() (peak float64, over time.Duration) {
+// PeakLoad returns the highest load so far, and the longest time over OverloadFactor.
+func (s *ScanServer) PeakLoad() (peak float64, overloaded time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.measureLoad()
--- a/internal/testing/fake/scanserver.go
+++ b/internal/testing/fake/scanserver.go
@@ -9,42 +9,43 @@
 	"time"
 )
 
-// ScanServer serves scans by the lines of docs/RESUME.md. One that is not told of a stream serves plain lines.
+// ScanServer serves streams of scans by the lines of docs/RESUME.md, and plain connections to clients that
+// name no stream. Its fields are set before the first connection comes.
 type ScanServer struct {
 	ID      string
 	Address string
 	Feed    *Feed
 	Ledger  *Ledger
-	// Load is what probes are told where Capacity is 0.
+	// Load is what load reports say where Capacity is 0.
 	Load float64
-	// Capacity is how many connections fill the server once it is warm. Cold at Started, it has StartPart of it, and
-	// all after Warm; one that holds over FallMultiple times what it can for FallFor has fallen over.
+	// Capacity is how many connections fill the server. During slow start it grows evenly, from the part
+	// SlowStartCapacity at StartedAt to the whole of it after SlowStartWindow.
 	Capacity          float64
 	StartedAt         time.Time
 	SlowStartCapacity float64
 	SlowStartWindow   time.Duration
-	// First, if set, is called with each first line before it is answered.
+	// OnFirstLine, if set, is called with each first line before it is answered.
 	OnFirstLine func(line string)
 
-	// Knobs are its faults; see Turn.
-	faults ServerFaults
+	listener net.Listener
 
-	listener    net.Listener
 	mu          sync.Mutex
-	connections map[*net.TCPConn]bool // true once it serves
-	fences      map[string]uint64
-	silent      bool
-	rejecting   bool
-	killed      bool
-	resumed     *sync.Cond
-	openings    int // first lines, but for probes
+	connections map[*net.TCPConn]bool // true once the connection's stream is served
+	fences      map[string]uint64     // by stream: the highest generation that came
+	openings    int                   // first lines that came, probes not counted
 
-	peakLoad        float64   // most connections over what it could do at that moment
-	overloadedAt    time.Time // since when it is over FallMultiple
+	faults    ServerFaults
+	silent    bool
+	resumed   *sync.Cond // on mu: silent has ended
+	rejecting bool
+	killed    bool
+
+	peakLoad        float64
+	overloadedAt    time.Time // zero while the load is within OverloadFactor
 	longestOverload time.Duration
 }
 
-// NewScanServer starts a server on loopback.
+// NewScanServer starts a server that runs until Kill. It fails if the address cannot be listened on.
 func NewScanServer(id, address string, feed *Feed, ledger *Ledger) (*ScanServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -111,14 +112,14 @@
 // answerProbe returns the answer to a probe, as late as the faults ask for.
 func (s *ScanServer) answerProbe() string {
 	s.mu.Lock()
-	k := s.faults
-	load := fmt.Sprintf("%.3f", s.measureLoad()+k.ExtraLoad)
+	faults := s.faults
+	load := fmt.Sprintf("%.3f", s.measureLoad()+faults.ExtraLoad)
 	s.mu.Unlock()
-	if k.ProbeDelay > 0 || k.FreezeReport {
-		load = k.frozenLoad
+	if faults.ProbeDelay > 0 || faults.FreezeReport {
+		load = faults.frozenLoad
 	}
-	time.Sleep(k.ProbeDelay)
-	if k.AnswerError {
+	time.Sleep(faults.ProbeDelay)
+	if faults.AnswerError {
 		return "ERR"
 	}
 	return "PONG x0=" + load + ",qps=3,queue=0"
--- a/internal/testing/fake/scanstream.go
+++ b/internal/testing/fake/scanstream.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// opening is what a first line asks for. The stream is "" on a line without one.
+// opening is what a first line asks for.
 type opening struct {
 	id         string
-	stream     string
-	generation uint64
-	from       uint64
-	lease      uint64
+	stream     string // "" on a line without one
+	generation uint64 // the stream's fencing token
+	from       uint64 // the first scan wanted, 0 for the next one
+	lease      uint64 // how long the stream may be served without a renewal, in ms; 0 for ever
 }
 
 func parseOpening(text string) opening {
@@ -37,7 +37,7 @@
 	return o
 }
 
-// firstScan returns the number of the first scan to send: as asked for, but none that is no longer kept.
+// firstScan returns the number of the first scan to send: the one asked for, or the oldest that is kept.
 func (o opening) firstScan(newest, keep uint64) uint64 {
 	from := o.from
 	if from == 0 {
@@ -47,7 +47,7 @@
 	return max(from, 1, oldest)
 }
 
-// open answers a first line and serves the stream.
+// open answers a first line and serves its stream until that ends.
 func (s *ScanServer) open(c *net.TCPConn, in *bufio.Reader, text string) {
 	if s.OnFirstLine != nil {
 		s.OnFirstLine(text)
@@ -58,13 +58,13 @@
 	}
 	o := parseOpening(text)
 	newest := s.Feed.Newest()
-	busy, fence, knobs := s.noteOpening(o)
-	time.Sleep(knobs.UpDelay)
+	rejecting, fence, faults := s.noteOpening(o)
+	time.Sleep(faults.UpDelay)
 	switch {
-	case knobs.AnswerError:
+	case faults.AnswerError:
 		fmt.Fprint(c, "ERR\r\n")
 		return
-	case busy:
+	case rejecting:
 		fmt.Fprint(c, "BUSY\r\n")
 		return
 	case o.stream != "" && o.generation < fence:
@@ -88,8 +88,9 @@
 	stream.serve(o.firstScan(newest, s.Feed.Keep))
 }
 
-// noteOpening counts a first line and raises the stream's fence. It returns the fence from before.
-func (s *ScanServer) noteOpening(o opening) (busy bool, fence uint64, knobs ServerFaults) {
+// noteOpening counts a first line and raises its stream's fence. It returns the fence from before, and the
+// faults now.
+func (s *ScanServer) noteOpening(o opening) (rejecting bool, fence uint64, faults ServerFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.openings++
@@ -121,7 +122,7 @@
 		defer t.server.Ledger.endService(t.stream, t.conn)
 		fmt.Fprintf(t.conn, "UP %s from=%d\r\n", t.id, from)
 	}
-	// Whoever is told a lease ends the stream by itself when it is not renewed in time: its relay may be stopped.
+	// The server ends a leased stream by itself, since a relay that does not renew in time may be stopped.
 	t.leaseTimer = time.AfterFunc(time.Hour, func() {
 		t.server.Ledger.endService(t.stream, t.conn)
 		t.conn.Close()
--- a/internal/testing/fake/tally.go
+++ b/internal/testing/fake/tally.go
@@ -5,21 +5,28 @@
 	"time"
 )
 
-// Tally is what happened to a viewer.
+// Tally counts what happened to a viewer's connections, and the scans that came over them.
 type Tally struct {
-	Openings, Answers int // of connections whose first line was sent; answers that came to them
-	Ups, Busy, Failed int
-	Moves, Breaks     int
-	Unreachable       int             // connections that never stood
-	LastScan          uint64          // the last scan
-	Scans             uint64          // how many came
-	Lost, Disorder    uint64          // scans that never came, and that came out of turn
-	Notes             []string        // what it was told of failures and gaps
-	Gaps              []time.Duration // from the last scan before an end to the first after it
-	LastScanAt        time.Time
+	Unreachable int // connections that could not be established
+	Openings    int // connections whose first line was sent
+	Answers     int // answers to first lines
+	Ups         int // answers UP
+	Busy        int // answers BUSY
+	Failed      int // answers other than UP and BUSY
+	Moves       int // connections ended by MOVE
+	Breaks      int // connections ended without a word
+
+	Scans      uint64 // scans that came in order
+	Lost       uint64 // scans that never came
+	Disorder   uint64 // scans that came again, or after a later one
+	LastScan   uint64 // the number of the last one in order, 0 before the first
+	LastScanAt time.Time
+
+	Notes []string        // answers that were failures, and gaps that were announced
+	Gaps  []time.Duration // from the last scan of a connection to the first of the next
 }
 
-// Tally returns a copy.
+// Tally returns a copy of the viewer's counts.
 func (v *Viewer) Tally() Tally {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -32,13 +39,14 @@
 // ClearGaps empties the list of gaps.
 func (v *Viewer) ClearGaps() { v.updateTally(func(t *Tally) { t.Gaps = nil }) }
 
+// updateTally calls f with the counts, under their lock.
 func (v *Viewer) updateTally(f func(t *Tally)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	f(&v.tally)
 }
 
-// countScan counts one countScan; first is set for the first of a connection.
+// countScan counts scan x; first is set for the first of a connection.
 func (v *Viewer) countScan(x uint64, first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/testing/fake/viewer.go
+++ b/internal/testing/fake/viewer.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// Viewer is a client that watches one stream of scans over and over: it comes back after every end, with its
-// token if it uses one.
+// Viewer is a client that watches one stream of scans. It reconnects after every end, with its resume token
+// if it uses tokens.
 type Viewer struct {
 	Name         string
-	OpenFields   string        // of its first lines: class, tenant and so on, but for d
-	WaitLimit    time.Duration // its patience, d
-	UseTokens    bool          // it uses tokens
-	SendEvery    time.Duration // it sends a line each so often, 0 for never
-	RelayAddress func() string // the address to come to now
-	OnEvent      func(string)  // if set, called with whatever happens but scans
+	OpenFields   string        // the fields of its first lines, such as class and tenant, without d
+	WaitLimit    time.Duration // how long an answer may take by its first lines, d
+	UseTokens    bool          // it asks for a resume token and reconnects with it
+	SendEvery    time.Duration // the period in which it sends a line, 0 for never
+	RelayAddress func() string // called before each connection for the address to connect to
+	OnEvent      func(string)  // if set, called with answers, ends and each connection's first scan
 
 	mu    sync.Mutex
-	token string // its token
+	token string // "" while it has none
 	tally Tally
 }
 
-// ResumeToken is the token that it has.
+// ResumeToken returns the newest resume token, "" for none.
 func (v *Viewer) ResumeToken() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// Run watches until the context ends.
+// Run watches the stream until the context ends.
 func (v *Viewer) Run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		pause := v.watchOnce(ctx, n)
@@ -52,9 +52,10 @@
 	}
 }
 
+// retryDelay is drawn, so that viewers do not come back together.
 func retryDelay() time.Duration { return time.Duration(10+rand.IntN(60)) * time.Millisecond }
 
-// watchOnce opens the stream and follows it to its end. It returns how long to wait before the next time.
+// watchOnce opens the stream and reads it to its end. It returns how long to wait before the next connection.
 func (v *Viewer) watchOnce(ctx context.Context, n int) time.Duration {
 	relay := v.RelayAddress()
 	conn, err := net.DialTimeout("tcp", relay, 500*time.Millisecond)
@@ -65,7 +66,8 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	v.updateTally(func(t *Tally) { t.Openings++ })
-	fmt.Fprintf(conn, "OPEN %s-%d %s,d=%d%s\r\n", v.Name, n, v.OpenFields, v.WaitLimit.Milliseconds(), v.resumeFields())
+	fmt.Fprintf(conn, "OPEN %s-%d %s,d=%d%s\r\n",
+		v.Name, n, v.OpenFields, v.WaitLimit.Milliseconds(), v.resumeFields())
 	conn.SetReadDeadline(time.Now().Add(v.WaitLimit + 3*time.Second))
 	in := bufio.NewReader(conn)
 	line, err := in.ReadString('\n')
@@ -103,7 +105,8 @@
 	return ",resume=new"
 }
 
-// noteUnanswered counts a connection that ended before its answer. One that Run's end cut was not opened.
+// noteUnanswered counts a connection that ended before its answer. One that Run's end cut does not count as
+// opened.
 func (v *Viewer) noteUnanswered(ctx context.Context, relay string) {
 	v.updateTally(func(t *Tally) {
 		t.Breaks++
@@ -115,7 +118,7 @@
 	})
 }
 
-// noteRejection notes an answer other than UP, and returns how long to wait before the next time.
+// noteRejection notes an answer other than UP, and returns how long to wait before the next connection.
 func (v *Viewer) noteRejection(in *bufio.Reader, line string) time.Duration {
 	words := strings.Fields(line)
 	if words[0] == "BUSY" {
@@ -132,7 +135,7 @@
 	defer v.mu.Unlock()
 	v.tally.Failed++
 	v.tally.Notes = append(v.tally.Notes, strings.TrimSpace(line))
-	if len(words) > 1 && words[1] == "resume" { // final: it begins anew
+	if len(words) > 1 && words[1] == "resume" { // the token is rejected for good
 		v.token = ""
 	}
 	return retryDelay()
@@ -152,7 +155,7 @@
 	}
 }
 
-// readStream reads the stream to its end, and returns how long to wait before the next time.
+// readStream reads the stream to its end, and returns how long to wait before the next connection.
 func (v *Viewer) readStream(conn net.Conn, in *bufio.Reader) time.Duration {
 	for first := true; ; {
 		line, err := in.ReadString('\n')
@@ -165,7 +168,8 @@
 		case len(words) == 0:
 		case words[0] == "SCAN":
 			x, _ := strconv.ParseUint(words[1], 10, 64)
-			if v.countScan(x, first); first {
+			v.countScan(x, first)
+			if first {
 				v.reportEvent("scan %d is the first that comes", x)
 			}
 			first = false
@@ -178,7 +182,7 @@
 			v.updateTally(func(t *Tally) { t.Notes = append(t.Notes, strings.TrimSpace(line)) })
 		case words[0] == "MOVE":
 			v.updateTally(func(t *Tally) { t.Moves++ })
-			v.reportEvent("told to move; the last scan was %d", v.Tally().LastScan)
+			v.reportEvent("notified to move; the last scan was %d", v.Tally().LastScan)
 			return time.Duration(rand.IntN(20)) * time.Millisecond
 		}
 	}
--- a/internal/testing/fake/xmpp.go
+++ b/internal/testing/fake/xmpp.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// XMPP is a server that takes any PLAIN authentication and counts what it is sent. Its parser is
-// encoding/xml, so the program's own is checked against another.
+// XMPP is a server that accepts any PLAIN authentication and echoes stanzas. Its parser is encoding/xml, so
+// the program's own is checked against another.
 type XMPP struct {
 	Address string
-	// Hold says where a connection stops answering: "header", "auth" or "" for never.
+	// HoldAt is the stage at which a connection is answered no more: "header", "auth" or "" for none.
 	HoldAt string
-	// Arrived gets a word at each stage: "header", "auth", "up", and "message ID" for each stanza.
+	// Stages gets a word at each stage: "header", "auth", "up", and "message ID" for each stanza.
 	Stages chan string
 
 	acceptor acceptor
@@ -22,7 +22,7 @@
 	silent bool
 }
 
-// NewXMPP starts a server on loopback.
+// NewXMPP starts a server on loopback that runs until Kill. It fails if there is no port to listen on.
 func NewXMPP(hold string) (*XMPP, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,16 +33,17 @@
 	return s, nil
 }
 
-// Kill ends the server as a process that dies does: connections are reset, new ones refused.
+// Kill ends the server as a process that dies does: connections are reset, new ones refused. It may be called
+// again.
 func (s *XMPP) Kill() {
 	s.acceptor.reset()
 }
 
-// SetSilent makes the server say nothing more, on connections that stay open.
+// SetSilent makes the server answer nothing more, on connections that stay open.
 func (s *XMPP) SetSilent() {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.silent = true
-	s.mu.Unlock()
 }
 
 func (s *XMPP) send(c net.Conn, format string, args ...any) {
--- a/internal/testing/fake/zkcodec.go
+++ b/internal/testing/fake/zkcodec.go
@@ -2,11 +2,36 @@
 
 import "encoding/binary"
 
-func appendUint32(b []byte, x int) []byte    { return binary.BigEndian.AppendUint32(b, uint32(int32(x))) }
-func appendUint64(b []byte, x int64) []byte  { return binary.BigEndian.AppendUint64(b, uint64(x)) }
-func appendString(b []byte, s string) []byte { return append(appendUint32(b, len(s)), s...) }
+// zkWriter is a frame that is being written. Each method returns it with a field more.
+type zkWriter []byte
 
-// zkReader reads a request's fields.
+func (w zkWriter) ints(values ...int) zkWriter {
+	for _, x := range values {
+		w = binary.BigEndian.AppendUint32(w, uint32(int32(x)))
+	}
+	return w
+}
+
+func (w zkWriter) long(x int64) zkWriter {
+	return binary.BigEndian.AppendUint64(w, uint64(x))
+}
+
+func (w zkWriter) text(s string) zkWriter {
+	return append(w.ints(len(s)), s...)
+}
+
+func (w zkWriter) flag(on bool) zkWriter {
+	if on {
+		return append(w, 1)
+	}
+	return append(w, 0)
+}
+
+func (w zkWriter) raw(b []byte) zkWriter {
+	return append(w, b...)
+}
+
+// zkReader reads a request's fields. It panics on one that is cut short.
 type zkReader struct{ rest []byte }
 
 func (r *zkReader) readInt() int {
@@ -28,7 +53,7 @@
 	return x
 }
 
-// skipACL reads the list of rights that comes with a node.
+// skipACL reads the list of access rights of a create.
 func (r *zkReader) skipACL() {
 	for n := r.readInt(); n > 0; n-- {
 		r.readInt()
@@ -37,8 +62,7 @@
 	}
 }
 
-func (n *zkNode) stat(b []byte) []byte {
-	b = append(b, make([]byte, 32)...)
-	b = appendUint64(appendUint32(appendUint32(appendUint32(b, n.version), 0), 0), n.owner)
-	return appendUint64(appendUint32(appendUint32(b, len(n.data)), 0), 0)
+// stat appends the node's facts: of transactions and times, which nobody reads here, none.
+func (n *zkNode) stat(w zkWriter) zkWriter {
+	return w.raw(make([]byte, 32)).ints(n.version, 0, 0).long(n.owner).ints(len(n.data), 0).long(0)
 }
--- a/internal/testing/fake/zkconn.go
+++ b/internal/testing/fake/zkconn.go
@@ -7,20 +7,23 @@
 	"time"
 )
 
+// zkConn is one client's connection. Its fields but out belong to the service and are under its lock.
 type zkConn struct {
 	net.Conn
 	session         *zkSession
 	out             chan zkReply
-	watchesChildren bool // watches the children
-	watchedData     map[string]bool
-	heldAnswers     []zkReply
+	watchesChildren bool            // of the root
+	watchedData     map[string]bool // by path
+	heldAnswers     []zkReply       // by the fault HoldAnswers
 }
 
+// zkReply is a frame to be sent at an instant, at once if that has passed.
 type zkReply struct {
 	frame  []byte
 	sendAt time.Time
 }
 
+// serve answers a connection's requests until it ends. The goroutine that writes ends with it.
 func (z *ZooKeeper) serve(c *zkConn) {
 	defer c.Close()
 	hello, err := c.read()
@@ -41,7 +44,8 @@
 	}
 }
 
-// connect begins a session or takes up one, and answers so. A session that is not known gets a timeout of 0.
+// connect begins a session or resumes one, and answers the handshake; the answer to a session that is not
+// known has a timeout of 0. It returns false if the connection is to end.
 func (z *ZooKeeper) connect(c *zkConn, hello []byte) bool {
 	id := int64(binary.BigEndian.Uint64(hello[16:]))
 	timeout := int(binary.BigEndian.Uint32(hello[12:]))
@@ -69,7 +73,7 @@
 	s.timeout = time.Duration(timeout) * time.Millisecond
 	s.heardAt = time.Now()
 	c.session = s
-	c.queue(appendString(appendUint64(appendUint32(appendUint32(nil, 0), timeout), s.id), "0123456789abcdef"), time.Time{})
+	c.queue(zkWriter{}.ints(0, timeout).long(s.id).text("0123456789abcdef"), time.Time{})
 	return true
 }
 
@@ -92,16 +96,17 @@
 	}
 }
 
+// queue has a frame sent, and ends the connection if too many wait.
 func (c *zkConn) queue(b []byte, at time.Time) {
 	select {
-	case c.out <- zkReply{append(appendUint32(nil, len(b)), b...), at}:
+	case c.out <- zkReply{zkWriter{}.ints(len(b)).raw(b), at}:
 	default:
 		c.Close()
 	}
 }
 
 func (c *zkConn) queueEvent(kind int, node string) {
-	c.queue(appendString(appendUint32(appendUint32(appendUint32(appendUint64(appendUint32(nil, -1), -1), 0), kind), 3), node), time.Time{})
+	c.queue(zkWriter{}.ints(-1).long(-1).ints(0, kind, connected).text(node), time.Time{})
 }
 
 func (c *zkConn) read() ([]byte, error) {
@@ -114,6 +119,9 @@
 	return p, err
 }
 
+// connected is the state of a session that each event says.
+const connected = 3
+
 // The kinds of a watch's event.
 const (
 	watchDeleted  = 2
@@ -121,7 +129,7 @@
 	watchChildren = 4
 )
 
-// notifyWatches tells the watches of a path.
+// notifyWatches notifies the watches of a path, and ends them.
 func (z *ZooKeeper) notifyWatches(p string, kind int) {
 	for _, s := range z.sessions {
 		c := s.conn
--- a/internal/testing/fake/zkfaults.go
+++ b/internal/testing/fake/zkfaults.go
@@ -5,9 +5,9 @@
 type zkFaults struct {
 	unreachable bool
 	frozen      bool
-	delay       time.Duration
-	holdAnswers int // so many requests must have come before the first of them is answered
-	dropAnswers int // so many transactions are done, and their connection is cut instead of an answer
+	delay       time.Duration // before each answer
+	holdAnswers int           // how many requests must have come before the first of them is answered
+	dropAnswers int           // how many transactions are yet to be done without an answer
 }
 
 // SetUnreachable makes the service unreachable, or reachable again. Sessions go on ageing.
@@ -20,7 +20,8 @@
 	}
 }
 
-// SetFrozen stops the service in the middle of everything: it reads nothing, answers nothing, expires nothing.
+// SetFrozen stops the service in the middle of everything: it reads nothing, answers nothing, expires
+// nothing.
 func (z *ZooKeeper) SetFrozen(on bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -28,7 +29,7 @@
 	z.thawed.Broadcast()
 }
 
-// DelayAnswers lets every answer take so long; answers to requests that came together come together.
+// DelayAnswers delays every answer by d. Answers to requests that came together come together.
 func (z *ZooKeeper) DelayAnswers(d time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -42,7 +43,7 @@
 	z.faults.holdAnswers = n
 }
 
-// DropAnswers does the next n transactions without an answer and cuts their connections.
+// DropAnswers does the next n transactions and ends their connections in place of an answer.
 func (z *ZooKeeper) DropAnswers(n int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
--- a/internal/testing/fake/zkrequests.go
+++ b/internal/testing/fake/zkrequests.go
@@ -21,6 +21,9 @@
 	opClose    = -11
 )
 
+// ephemeral is the flag of a create whose node ends with its session.
+const ephemeral = 1
+
 // The protocol's error codes.
 const (
 	zInconsistent  = -2 // a part of a transaction whose other part failed
@@ -62,7 +65,7 @@
 	default:
 		code, body, _ = z.perform(c, op, in)
 	}
-	frame := append(appendUint32(appendUint64(appendUint32(nil, xid), z.zxid), code), body...)
+	frame := zkWriter{}.ints(xid).long(z.zxid).ints(code).raw(body)
 	if z.faults.holdAnswers > 0 && op != opPing {
 		z.holdBack(c, frame)
 		return true
@@ -84,7 +87,7 @@
 	z.faults.holdAnswers = 0
 }
 
-// listChildren lists a node's listChildren, and watches them if asked to.
+// listChildren lists a node's children, and watches them if asked to.
 func (z *ZooKeeper) listChildren(c *zkConn, in *zkReader) (code int, body []byte) {
 	dir := in.readString()
 	if z.nodes[dir] == nil {
@@ -92,16 +95,18 @@
 	}
 	c.watchesChildren = c.watchesChildren || in.readBool() && dir == z.root
 	n := 0
+	var names zkWriter
 	for p := range z.nodes {
 		if p != "/" && path.Dir(p) == dir {
-			body = appendString(body, path.Base(p))
+			names = names.text(path.Base(p))
 			n++
 		}
 	}
-	return 0, append(appendUint32(nil, n), body...)
+	return 0, zkWriter{}.ints(n).raw(names)
 }
 
-// perform does one request, or one part of a transaction; undo takes it back.
+// perform does one request, or one part of a transaction; undo takes it back. An operation that finds no node
+// still reads its fields, since the next part follows them.
 func (z *ZooKeeper) perform(c *zkConn, op int, in *zkReader) (code int, body []byte, undo func()) {
 	undo = func() {}
 	p := in.readString()
@@ -127,11 +132,11 @@
 		if in.readBool() {
 			c.watchedData[p] = true
 		}
-		return 0, n.stat(appendString(nil, n.data)), undo
+		return 0, n.stat(zkWriter{}.text(n.data)), undo
 	case opSetData:
 		return z.setData(p, in)
 	case opSync:
-		return 0, appendString(nil, p), undo
+		return 0, zkWriter{}.text(p), undo
 	case opCheck:
 		if !n.hasVersion(in.readInt()) {
 			return zBadVersion, nil, undo
@@ -141,7 +146,7 @@
 	return zUnimplemented, nil, undo
 }
 
-// hasVersion tells whether a request that asks for a version may change the node; -1 is any.
+// hasVersion reports whether the node has the version that a request asks for; -1 is any.
 func (n *zkNode) hasVersion(version int) bool {
 	return version == -1 || version == n.version
 }
@@ -160,12 +165,12 @@
 	case z.nodes[p] != nil:
 		return zExists, nil, undo
 	}
-	made := &zkNode{data: data}
-	if flags&1 != 0 {
-		made.owner = c.session.id
+	node := &zkNode{data: data}
+	if flags&ephemeral != 0 {
+		node.owner = c.session.id
 	}
-	z.addNode(p, made)
-	return 0, appendString(nil, p), func() { delete(z.nodes, p) }
+	z.addNode(p, node)
+	return 0, zkWriter{}.text(p), func() { delete(z.nodes, p) }
 }
 
 func (z *ZooKeeper) deleteNode(p string, in *zkReader) (code int, body []byte, undo func()) {
--- a/internal/testing/fake/zktransaction.go
+++ b/internal/testing/fake/zktransaction.go
@@ -1,6 +1,6 @@
 package fake
 
-// performAll does all parts or none.
+// performAll does all parts of a transaction, or none if one fails, and returns their results.
 func (z *ZooKeeper) performAll(c *zkConn, in *zkReader) []byte {
 	type part struct {
 		op   int
@@ -27,21 +27,21 @@
 		}
 		parts = append(parts, done)
 	}
-	var out []byte
+	var out zkWriter
 	for _, p := range parts {
 		if failed {
-			out = appendUint32(appendUint32(append(appendUint32(out, -1), 0), p.code), p.code)
+			out = out.ints(-1).flag(false).ints(p.code, p.code)
 		} else {
-			out = append(appendUint32(append(appendUint32(out, p.op), 0), 0), p.body...)
+			out = out.ints(p.op).flag(false).ints(0).raw(p.body)
 		}
 	}
 	for i := len(undos) - 1; failed && i >= 0; i-- {
 		undos[i]()
 	}
-	return appendUint32(append(appendUint32(out, -1), 1), -1)
+	return out.ints(-1).flag(true).ints(-1)
 }
 
-// skipRequest reads a part that is not done.
+// skipRequest reads the fields of a part that is not done.
 func (z *ZooKeeper) skipRequest(op int, in *zkReader) {
 	in.readString()
 	switch op {
--- a/internal/testing/fake/zookeeper.go
+++ b/internal/testing/fake/zookeeper.go
@@ -13,34 +13,36 @@
 type ZooKeeper struct {
 	Address string
 
-	root     string // whose children Set writes
+	root     string // the node whose children SetNode writes and watches of children see
 	listener net.Listener
+
 	mu       sync.Mutex
-	nodes    map[string]*zkNode
+	nodes    map[string]*zkNode // by path
 	sessions map[int64]*zkSession
-	lastID   int64
-	zxid     int64
+	lastID   int64 // of a session
+	zxid     int64 // of the newest change
 	faults   zkFaults
-	thawed   *sync.Cond
+	thawed   *sync.Cond // on mu: faults.frozen has ended
 }
 
 type zkNode struct {
 	data    string
 	version int
-	owner   int64
+	owner   int64 // the session that an ephemeral node belongs to, 0 for none
 }
 
 type zkSession struct {
 	id      int64
 	timeout time.Duration
 	heardAt time.Time
-	conn    *zkConn
+	conn    *zkConn // nil while it has none
 }
 
-// NewZooKeeper starts the service on loopback. path and its parents exist from the start.
+// NewZooKeeper starts the service at a free port of loopback; see NewZooKeeperAt.
 func NewZooKeeper(root string) (*ZooKeeper, error) { return NewZooKeeperAt("127.0.0.1:0", root) }
 
-// NewZooKeeperAt starts it at an address.
+// NewZooKeeperAt starts the service at an address. The node root and its parents exist from the start. It
+// fails if the address cannot be listened on.
 func NewZooKeeperAt(address, root string) (*ZooKeeper, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -62,7 +64,8 @@
 	return z, nil
 }
 
-// endSilentSessions runs for as long as the process does.
+// endSilentSessions ends each session that was silent for its timeout. It runs for as long as the process
+// does, since sessions outlive Close.
 func (z *ZooKeeper) endSilentSessions() {
 	for range time.Tick(20 * time.Millisecond) {
 		z.mu.Lock()
@@ -85,7 +88,7 @@
 	}
 }
 
-// ListenAgain listens on one more address, as another member of the ensemble does.
+// ListenAgain listens on one more address, as another member of the ensemble does, and returns it.
 func (z *ZooKeeper) ListenAgain() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,7 +98,7 @@
 	return l.Addr().String(), nil
 }
 
-// Close ends the first address, and every connection; sessions live on for what else listens.
+// Close stops listening on Address and ends every connection. Sessions live on for what ListenAgain gave.
 func (z *ZooKeeper) Close() {
 	z.listener.Close()
 	z.mu.Lock()
@@ -103,7 +106,8 @@
 	z.resetConnections()
 }
 
-// SetNode creates a node or changes its data; "" removes it, as the end of its owner's session does.
+// SetNode creates a child of the root or changes its data; "" removes it, as the end of its owner's session
+// does.
 func (z *ZooKeeper) SetNode(name, data string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -120,19 +124,19 @@
 	}
 }
 
-// Nodes lists the paths under a prefix that have nodes.
-func (z *ZooKeeper) Nodes(prefix string) (all []string) {
+// Nodes lists the paths of all nodes that begin with a prefix, in no order.
+func (z *ZooKeeper) Nodes(prefix string) (paths []string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for p := range z.nodes {
 		if strings.HasPrefix(p, prefix) {
-			all = append(all, p)
+			paths = append(paths, p)
 		}
 	}
-	return all
+	return paths
 }
 
-// ExpireSessions forgets every session, with its ephemeral nodes.
+// ExpireSessions ends every session, with its ephemeral nodes.
 func (z *ZooKeeper) ExpireSessions() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
