--- a/internal/testing/cluster/cells.go
+++ b/internal/testing/cluster/cells.go
@@ -6,9 +6,6 @@
 	"os"
 	"slices"
 	"strings"
-	"syscall"
-
-	"capersail/internal/testing/faultpoint"
 )
 
 // Cell is a cell of a ground's relays in a plan.
@@ -38,6 +35,22 @@
 	return errors.Join(all...)
 }
 
+// Replan divides the fleet anew and has all processes of its cells take that in.
+func (g *Cluster) Replan(number uint64, cells []Cell) error {
+	if err := g.Divide(number, cells); err != nil {
+		return err
+	}
+	for _, c := range cells {
+		for _, i := range c.Relays {
+			g.Hup(i)
+		}
+	}
+	return nil
+}
+
+// Flatten takes plan and cell out of a relay's file.
+func (g *Cluster) Flatten(i int) error { return g.writeMembers(i, false, "") }
+
 // table is a cell as the file has it.
 func (g *Cluster) table(c Cell) string {
 	var contacts []string
@@ -55,9 +68,6 @@
 	return text + fmt.Sprintf("relays = %d\n", c.Weight)
 }
 
-// Flatten takes plan and cell out of a relay's file.
-func (g *Cluster) Flatten(i int) error { return g.writeMembers(i, false, "") }
-
 // writeMembers writes a relay's members' file anew: what it had at first, and its part of a plan. A relay of a cell with a region
 // has no founders of its own.
 func (g *Cluster) writeMembers(i int, celled bool, more string) error {
@@ -69,86 +79,3 @@
 	}
 	return os.WriteFile(r.file("members.toml"), []byte(text+more), 0o600)
 }
-
-// Replan divides the fleet anew and has all processes of its cells take that in.
-func (g *Cluster) Replan(number uint64, cells []Cell) error {
-	if err := g.Divide(number, cells); err != nil {
-		return err
-	}
-	for _, c := range cells {
-		for _, i := range c.Relays {
-			g.Hup(i)
-		}
-	}
-	return nil
-}
-
-// Hup has a relay's process read its files again.
-func (g *Cluster) Hup(i int) {
-	if r := g.Relays[i]; r.up {
-		r.cmd.Process.Signal(syscall.SIGHUP)
-	}
-}
-
-// AgreeInCells tells whether the relays that run agree within each cell, and act by the parts of a plan that all cells have entered.
-func (g *Cluster) AgreeInCells(number uint64, cells []Cell) error {
-	last, err := g.Last()
-	if err != nil {
-		return err
-	}
-	for _, c := range cells {
-		var names []string
-		for _, i := range c.Relays {
-			if g.Relays[i].up {
-				names = append(names, g.Relays[i].Name)
-			}
-		}
-		slices.Sort(names)
-		if err := agree(last, names, true); err != nil {
-			return fmt.Errorf("cell %s: %w", c.Name, err)
-		}
-		for _, name := range names {
-			if n := last[name]; n.Plan != number || !n.Open {
-				return fmt.Errorf("cell %s: %s goes by plan %d, opened: %v; %d is wanted", c.Name, name, n.Plan, n.Open, number)
-			}
-		}
-	}
-	return nil
-}
-
-// HearCells tells whether every relay that runs hears of so many cells, by its directory.
-func (g *Cluster) HearCells(want int) error {
-	last, err := g.Last()
-	if err != nil {
-		return err
-	}
-	for _, r := range g.Relays {
-		if n := last[r.Name]; r.up && n.CellsHeard != want {
-			return fmt.Errorf("%s hears of %d cells, not of %d", r.Name, n.CellsHeard, want)
-		}
-	}
-	return nil
-}
-
-// LeastNear is the least near share that a relay had at any moment between two: what it noted last before the first, and what it noted
-// until the second. A share that lapsed meanwhile counts as none.
-func LeastNear(all []faultpoint.Noted, name string, from, to float64) float64 {
-	least, until := -1.0, 0.0
-	for _, n := range all {
-		if n.Name != name || n.Event != "" || n.T > to {
-			continue
-		}
-		if n.T <= from {
-			least, until = n.Share, n.Until
-			continue
-		}
-		if until > 0 && until < n.T {
-			return 0
-		}
-		least, until = min(least, n.Share), n.Until
-	}
-	if until > 0 && until < to {
-		return 0
-	}
-	return max(least, 0)
-}
--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -81,31 +81,6 @@
 	}
 }
 
-// The checker adds shares up zone by zone: far ones count elsewhere, near ones in their zones, a flat relay's everywhere.
-func TestMostTakenInZones(t *testing.T) {
-	line := func(at float64, name string, near, far float64, zones ...string) faultpoint.Noted {
-		return faultpoint.Noted{T: at, Name: name, Share: near, Far: far, Zones: zones, Plan: 1}
-	}
-	for want, all := range map[float64][]faultpoint.Noted{
-		1:    {line(0, "a", 0.75, 0.25, "x"), line(1, "b", 0.75, 0.25, "y")},
-		1.5:  {line(0, "a", 0.75, 0.25, "x"), line(1, "b", 0.75, 0.25, "x", "y")},
-		0.5:  {line(0, "a", 0.5, 0.5), line(1, "a", 0.25, 0.25)},
-		1.75: {line(0, "a", 0.75, 0.25, "x"), {T: 1, Name: "b", Share: 1}},
-	} {
-		if got, _ := MostTaken(all); got != want {
-			t.Errorf("%v, want %v", got, want)
-		}
-	}
-	lapses := line(0, "a", 0.5, 0, "x")
-	lapses.Until = 4
-	if got := LeastNear([]faultpoint.Noted{lapses, line(5, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0 {
-		t.Errorf("a share that has lapsed for a while is %v", got)
-	}
-	if got := LeastNear([]faultpoint.Noted{line(0, "a", 0.5, 0, "x"), line(5, "a", 0.25, 0, "x"), line(6, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0.25 {
-		t.Errorf("the least is %v", got)
-	}
-}
-
 // A region of three is cut off: its relays go on serving and keep their near shares all the while, as do all others; after the heal
 // every relay hears of all cells again. Then a speaker is killed, and a whole cell restarted.
 func TestRegionCutOff(t *testing.T) {
--- a/internal/testing/cluster/oldlist_test.go
+++ b/internal/testing/cluster/endpointlist_test.go
@@ -19,36 +19,6 @@
 	oldListHold = 300 * time.Millisecond
 )
 
-// servers starts n servers that take everything, lists them, and returns them.
-func servers(t *testing.T, g *Cluster, n int) (all []*Sink) {
-	t.Helper()
-	for i := range n {
-		s, err := NewSink(fmt.Sprintf("s%d", i))
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(s.Close)
-		s.SetReport("x0=0.1")
-		g.Discovery.Set(s.ID, s.Address, "Ready")
-		all = append(all, s)
-	}
-	return all
-}
-
-// before puts a proxy between a relay that has not started yet and discovery.
-func before(t *testing.T, g *Cluster, i int) *Proxy {
-	t.Helper()
-	p, err := NewProxy(g.Discovery.Address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(p.Close)
-	if err := g.Reconfigure(i, map[string]any{"discovery": p.Address}); err != nil {
-		t.Fatal(err)
-	}
-	return p
-}
-
 // One relay of three is cut off from discovery, while clients and servers reach it, and servers are removed meanwhile. News
 // that it cannot hear counts as told 6 s after it was made (incident of 2026-12-02), so half a second later the relay may
 // send those servers nothing more. After the heal it serves again.
--- /dev/null
+++ b/internal/testing/cluster/loopback.go
@@ -0,0 +1,44 @@
+package cluster
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+)
+
+// place is what a ground has of loopback for itself: a net, and the ports that its relays have there.
+type place struct {
+	net                   string // 127.x.y.
+	gossip, listen, admin int
+	held                  []net.Listener
+}
+
+// take takes a place that nobody has. The ports are below those that are given out for a moment, and are held at the
+// net's last address until the ground is closed: so neither a ground of this process or of another nor whoever has one of
+// them for all addresses can be in the way of a relay.
+func take() (*place, error) {
+	for range 100 {
+		base := 10_000 + rand.IntN(20_000)
+		p := &place{net: fmt.Sprintf("127.%d.%d.", 1+rand.IntN(250), rand.IntN(256)), gossip: base, listen: base + 1, admin: base + 2}
+		for port := base; port < base+3; port++ {
+			l, err := net.Listen("tcp", fmt.Sprintf("%s254:%d", p.net, port))
+			if err != nil {
+				p.release()
+				break
+			}
+			p.held = append(p.held, l)
+		}
+		if len(p.held) == 3 {
+			return p, nil
+		}
+	}
+	return nil, errors.New("no loopback net is free")
+}
+
+func (p *place) release() {
+	for _, l := range p.held {
+		l.Close()
+	}
+	p.held = nil
+}
--- a/internal/testing/cluster/proving_test.go
+++ b/internal/testing/cluster/membership_test.go
@@ -1,13 +1,11 @@
 package cluster
 
 import (
-	"context"
 	"encoding/base64"
 	"fmt"
 	"net"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -15,118 +13,6 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// program is the program with its seams, built once.
-var program string
-
-func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "proving")
-	if err == nil {
-		program, err = Build("../../..", dir)
-	}
-	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	code := m.Run()
-	os.RemoveAll(dir)
-	os.Exit(code)
-}
-
-func long() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
-
-// patience is how long a condition is waited for before a test fails. What is promised is 5 s, and the long run
-// holds the relays to that; a busy machine that runs all packages' tests at once gets more.
-func patience() time.Duration {
-	if long() {
-		return 5 * time.Second
-	}
-	return 25 * time.Second
-}
-
-// lay lays a ground out and starts its first relays; at the end it checks that no shares ever added up to over one.
-func lay(t *testing.T, p Plan, start int) *Cluster {
-	t.Helper()
-	p.Program, p.Dir = program, t.TempDir()
-	g, err := New(p, "../../../examples/config.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		g.Close()
-		all, err := g.Histories()
-		if most, at := MostTaken(all); err != nil || most > 1+1e-9 && !p.Unsafe {
-			t.Errorf("%v; the shares added up to %v:\n%s", err, most, Tail(all, at, 6000))
-		}
-		if t.Failed() {
-			for _, r := range g.Relays {
-				log := r.Log()
-				t.Logf("%s: ... %s", r.Name, log[max(0, len(log)-3000):])
-			}
-		}
-	})
-	for i := range start {
-		if err := g.Start(i); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return g
-}
-
-// startAll starts all relays of a ground.
-func startAll(t *testing.T, g *Cluster) {
-	t.Helper()
-	for i := range g.Relays {
-		if err := g.Start(i); err != nil {
-			t.Fatal(err)
-		}
-	}
-}
-
-// load has clients come to a ground's relays, so many a second and each for so long, until the test ends. It returns what they met.
-func load(t *testing.T, g *Cluster, rate float64, hold time.Duration) *Tally {
-	t.Helper()
-	ctx, stop := context.WithCancel(t.Context())
-	tally, done := &Tally{}, make(chan struct{})
-	go func() {
-		defer close(done)
-		g.Load(ctx, 1, rate, hold, tally)
-	}()
-	t.Cleanup(func() {
-		stop()
-		<-done
-	})
-	return tally
-}
-
-// await fails the test if a condition does not come to hold, and returns how long it took.
-func await(t *testing.T, within time.Duration, what string, check func() error) time.Duration {
-	t.Helper()
-	took, err := Await(within, check)
-	if err != nil {
-		t.Fatalf("%s: %v", what, err)
-	}
-	return took
-}
-
-func (g *Cluster) agreed() error  { return g.Agree(false) }
-func (g *Cluster) settled() error { return g.Agree(true) }
-
-// without tells whether no relay that runs has one in its view.
-func (g *Cluster) without(gone int) error {
-	last, err := g.Last()
-	if err != nil {
-		return err
-	}
-	for i, r := range g.Relays {
-		for _, name := range last[r.Name].Members {
-			if i != gone && r.up && name == g.Relays[gone].Name {
-				return fmt.Errorf("%s still has %s in epoch %d", r.Name, name, last[r.Name].Epoch)
-			}
-		}
-	}
-	return nil
-}
-
 // Seven relays through every fault, each fault on a fleet of its own: after the heal all that run hold one view of
 // just them, and at no moment do the shares add up to over one (lay checks that).
 func TestRelaysAgreeThroughFaults(t *testing.T) {
@@ -362,88 +248,3 @@
 		})
 	}
 }
-
-// Drawn schedules. CAPERSAIL_REPLAY names a file with one to be played instead.
-func TestDrawnSchedules(t *testing.T) {
-	seeds := 2
-	if long() {
-		seeds = 40
-	}
-	play := func(t *testing.T, all []Step) {
-		g := lay(t, Plan{Relays: 7}, 7)
-		await(t, patience()+10*time.Second, "at first", g.settled)
-		file := filepath.Join(os.TempDir(), strings.ReplaceAll(t.Name(), "/", "-")+".json")
-		Write(file, all)
-		defer func() {
-			if !t.Failed() {
-				os.Remove(file)
-				return
-			}
-			t.Logf("to play it again: CAPERSAIL_REPLAY=%s go test ./internal/testing/cluster -run TestDrawnSchedules", file)
-		}()
-		if err := g.Play(all); err != nil {
-			t.Fatal(err)
-		}
-		for i := range g.Relays {
-			g.Start(i)
-		}
-		if err := g.Heal(); err != nil {
-			t.Fatal(err)
-		}
-		t.Logf("one view %v after the heal", await(t, patience()+5*time.Second, "after the heal", g.agreed).Round(10*time.Millisecond))
-	}
-	if file := os.Getenv("CAPERSAIL_REPLAY"); file != "" {
-		all, err := Read(file)
-		if err != nil {
-			t.Fatal(err)
-		}
-		play(t, all)
-		return
-	}
-	for seed := range uint64(seeds) {
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			if !long() || seed%4 != 3 {
-				t.Parallel()
-			}
-			play(t, Draw(seed, 7, 14))
-		})
-	}
-}
-
-// The checker finds a sum over one, and does not find one where a share has lapsed or its process has ended.
-func TestMostTaken(t *testing.T) {
-	line := func(at float64, name string, share, until float64) faultpoint.Noted {
-		return faultpoint.Noted{T: at, Name: name, Share: share, Until: until}
-	}
-	for want, all := range map[float64][]faultpoint.Noted{
-		1.5: {line(0, "a", 0.5, 0), line(1, "b", 1, 9)},
-		1:   {line(0, "a", 0.5, 1), line(2, "b", 1, 9)},
-		0.9: {line(0, "a", 0.5, 0), {T: 1, Name: "a", Event: "kill"}, line(2, "b", 0.9, 9)},
-	} {
-		if got, _ := MostTaken(all); got != want {
-			t.Errorf("%v, want %v", got, want)
-		}
-	}
-}
-
-// The shipped program has no seams.
-func TestShippedProgramHasNoSeams(t *testing.T) {
-	dir := t.TempDir()
-	shipped := filepath.Join(dir, "capersail")
-	cmd := exec.Command("go", "build", "-o", shipped, "./cmd/capersail")
-	cmd.Dir = "../../.."
-	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	for path, want := range map[string]bool{shipped: false, program: true} {
-		text, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, mark := range []string{"CAPERSAIL_FAULTS", "capersail/internal/testing/faultpoint"} {
-			if got := strings.Contains(string(text), mark); got != want {
-				t.Errorf("%s in %s: %v", mark, filepath.Base(path), got)
-			}
-		}
-	}
-}
