--- a/internal/testing/cluster/agreement.go
+++ b/internal/testing/cluster/agreement.go
@@ -23,24 +23,24 @@
 	}
 }
 
-// Agree tells whether all relays that run hold one view of just them. settled wants every share at its target too.
-func (g *Cluster) Agree(settled bool) error {
-	last, err := g.Last()
+// CheckAgreement tells whether all relays that run hold one view of just them. settled wants every share at its target too.
+func (fleet *Cluster) CheckAgreement(settled bool) error {
+	last, err := fleet.Latest()
 	if err != nil {
 		return err
 	}
 	var names []string
-	for _, r := range g.Relays {
-		if r.up {
+	for _, r := range fleet.Relays {
+		if r.running {
 			names = append(names, r.Name)
 		}
 	}
 	slices.Sort(names) // as views have them
-	return agree(last, names, settled)
+	return checkAgreement(last, names, settled)
 }
 
-// agree tells whether relays hold one view of just them.
-func agree(last map[string]faultpoint.Noted, names []string, settled bool) error {
+// checkAgreement tells whether relays hold one view of just them.
+func checkAgreement(last map[string]faultpoint.Noted, names []string, settled bool) error {
 	var ref faultpoint.Noted
 	for _, name := range names {
 		n, ok := last[name]
@@ -63,21 +63,21 @@
 	return nil
 }
 
-// AgreeInCells tells whether the relays that run agree within each cell, and act by the parts of a plan that all cells have entered.
-func (g *Cluster) AgreeInCells(number uint64, cells []Cell) error {
-	last, err := g.Last()
+// CheckCellAgreement tells whether the relays that run agree within each cell, and act by the parts of a plan that all cells have entered.
+func (fleet *Cluster) CheckCellAgreement(number uint64, cells []Cell) error {
+	last, err := fleet.Latest()
 	if err != nil {
 		return err
 	}
 	for _, c := range cells {
 		var names []string
 		for _, i := range c.Relays {
-			if g.Relays[i].up {
-				names = append(names, g.Relays[i].Name)
+			if fleet.Relays[i].running {
+				names = append(names, fleet.Relays[i].Name)
 			}
 		}
 		slices.Sort(names)
-		if err := agree(last, names, true); err != nil {
+		if err := checkAgreement(last, names, true); err != nil {
 			return fmt.Errorf("cell %s: %w", c.Name, err)
 		}
 		for _, name := range names {
@@ -89,14 +89,14 @@
 	return nil
 }
 
-// HearCells tells whether every relay that runs hears of so many cells, by its directory.
-func (g *Cluster) HearCells(want int) error {
-	last, err := g.Last()
+// CheckKnownCells tells whether every relay that runs hears of so many cells, by its directory.
+func (fleet *Cluster) CheckKnownCells(want int) error {
+	last, err := fleet.Latest()
 	if err != nil {
 		return err
 	}
-	for _, r := range g.Relays {
-		if n := last[r.Name]; r.up && n.CellsHeard != want {
+	for _, r := range fleet.Relays {
+		if n := last[r.Name]; r.running && n.CellsHeard != want {
 			return fmt.Errorf("%s hears of %d cells, not of %d", r.Name, n.CellsHeard, want)
 		}
 	}
--- a/internal/testing/cluster/cells.go
+++ b/internal/testing/cluster/cells.go
@@ -16,11 +16,11 @@
 	Weight             int   // its relays by the plan; 0 for a cell that goes away, whose relays may run still
 }
 
-// Divide writes a plan into the members' files of the relays of its cells. A process that runs takes it in at Hup.
-func (g *Cluster) Divide(number uint64, cells []Cell) error {
+// WritePlan writes a plan into the members' files of the relays of its cells. A process that runs takes it in at Hup.
+func (fleet *Cluster) WritePlan(number uint64, cells []Cell) error {
 	plan := fmt.Sprintf("\n[plan]\nnumber = %d\n", number)
 	for _, c := range cells {
-		plan += g.table(c)
+		plan += fleet.cellTable(c)
 	}
 	var all []error
 	for _, c := range cells {
@@ -29,37 +29,37 @@
 			if c.Region != "" {
 				own += fmt.Sprintf("place = %d\n", place)
 			}
-			all = append(all, g.writeMembers(i, c.Region != "", own+plan))
+			all = append(all, fleet.writeMembers(i, c.Region != "", own+plan))
 		}
 	}
 	return errors.Join(all...)
 }
 
 // Replan divides the fleet anew and has all processes of its cells take that in.
-func (g *Cluster) Replan(number uint64, cells []Cell) error {
-	if err := g.Divide(number, cells); err != nil {
+func (fleet *Cluster) Replan(number uint64, cells []Cell) error {
+	if err := fleet.WritePlan(number, cells); err != nil {
 		return err
 	}
 	for _, c := range cells {
 		for _, i := range c.Relays {
-			g.Hup(i)
+			fleet.Reload(i)
 		}
 	}
 	return nil
 }
 
-// Flatten takes plan and cell out of a relay's file.
-func (g *Cluster) Flatten(i int) error { return g.writeMembers(i, false, "") }
+// RemovePlan takes plan and cell out of a relay's file.
+func (fleet *Cluster) RemovePlan(i int) error { return fleet.writeMembers(i, false, "") }
 
-// table is a cell as the file has it.
-func (g *Cluster) table(c Cell) string {
+// cellTable is a cell as the file has it.
+func (fleet *Cluster) cellTable(c Cell) string {
 	var contacts []string
 	relays := c.Contacts
 	if relays == nil {
 		relays = c.Relays[:min(len(c.Relays), 3)]
 	}
 	for _, i := range relays {
-		contacts = append(contacts, fmt.Sprintf("%q", g.Relays[i].Gossip))
+		contacts = append(contacts, fmt.Sprintf("%q", fleet.Relays[i].Gossip))
 	}
 	text := fmt.Sprintf("\n[[plan.cells]]\nname = %q\ncontacts = [%s]\n", c.Name, strings.Join(contacts, ", "))
 	if c.Region != "" {
@@ -70,12 +70,12 @@
 
 // writeMembers writes a relay's members' file anew: what it had at first, and its part of a plan. A relay of a cell with a region
 // has no founders of its own.
-func (g *Cluster) writeMembers(i int, celled bool, more string) error {
-	r := g.Relays[i]
-	text := r.members
+func (fleet *Cluster) writeMembers(i int, celled bool, more string) error {
+	r := fleet.Relays[i]
+	text := r.membersText
 	if celled {
 		lines := slices.DeleteFunc(strings.Split(text, "\n"), func(line string) bool { return strings.HasPrefix(line, "founders") })
 		text = strings.Join(lines, "\n")
 	}
-	return os.WriteFile(r.file("members.toml"), []byte(text+more), 0o600)
+	return os.WriteFile(r.path("members.toml"), []byte(text+more), 0o600)
 }
--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -27,43 +27,43 @@
 	return cells
 }
 
-// hurried is a fleet in cells whose leases are 2 s long, and in which cells hear of each other four times as often. The long run goes
+// fastCells is a fleet in cells whose leases are 2 s long, and in which cells hear of each other four times as often. The long run goes
 // by the program's own pace.
-func hurried() faultpoint.Rules {
-	if long() {
+func fastCells() faultpoint.Rules {
+	if longRun() {
 		return faultpoint.Rules{}
 	}
 	return faultpoint.Rules{LeaseMs: 2000, CellRate: 4}
 }
 
-// cellPatience is patience with leases of 8 s, and rounds of 5 s between cells.
-func cellPatience() time.Duration { return 45 * time.Second }
+// cellWaitLimit is patience with leases of 8 s, and rounds of 5 s between cells.
+func cellWaitLimit() time.Duration { return 45 * time.Second }
 
-// layRegions lays out twelve relays in three regions and starts them, by plan 1.
-func layRegions(t *testing.T) (*Cluster, []Cell) {
+// newRegionCluster lays out twelve relays in three regions and starts them, by plan 1.
+func newRegionCluster(t *testing.T) (*Cluster, []Cell) {
 	t.Helper()
 	cells := regionCells()
 	zones := []string{"east-a", "north-a", "west-a"}
-	g := lay(t, Plan{Relays: 12, Zones: zones, ZoneOf: func(i int) string { return zones[i/4] }, Rules: hurried(), Admin: true}, 0)
-	if err := g.Divide(1, cells); err != nil {
+	fleet := newCluster(t, Layout{Relays: 12, Zones: zones, ZoneOf: func(i int) string { return zones[i/4] }, Faults: fastCells(), Admin: true}, 0)
+	if err := fleet.WritePlan(1, cells); err != nil {
 		t.Fatal(err)
 	}
-	for i := range g.Relays {
-		if err := g.Start(i); err != nil {
+	for i := range fleet.Relays {
+		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	formed := await(t, cellPatience(), "at first", func() error { return g.AgreeInCells(1, cells) })
-	heard := await(t, cellPatience(), "cells hear of each other", func() error { return g.HearCells(2) })
+	formed := await(t, cellWaitLimit(), "at first", func() error { return fleet.CheckCellAgreement(1, cells) })
+	heard := await(t, cellWaitLimit(), "cells hear of each other", func() error { return fleet.CheckKnownCells(2) })
 	t.Logf("agreed %.1f s after the start, and all cells were heard %.1f s later", formed.Seconds(), heard.Seconds())
-	whole(t, g, zones...)
-	return g, cells
+	checkFullShares(t, fleet, zones...)
+	return fleet, cells
 }
 
-// whole checks that the relays take nearly all of the budgets of zones now. lay checks that they never take more.
-func whole(t *testing.T, g *Cluster, zones ...string) {
+// checkFullShares checks that the relays take nearly all of the budgets of zones now. lay checks that they never take more.
+func checkFullShares(t *testing.T, fleet *Cluster, zones ...string) {
 	t.Helper()
-	last, err := g.Last()
+	last, err := fleet.Latest()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,9 +85,9 @@
 // every relay hears of all cells again. Then a speaker is killed, and a whole cell restarted.
 func TestRegionCutOff(t *testing.T) {
 	t.Parallel()
-	g, cells := layRegions(t)
-	cutFor, within := 8*time.Second, cellPatience()
-	if long() {
+	fleet, cells := newRegionCluster(t)
+	cutFor, within := 8*time.Second, cellWaitLimit()
+	if longRun() {
 		cutFor, within = 10*time.Minute, 20*time.Second
 	}
 	if text := os.Getenv("CAPERSAIL_CUT"); text != "" { // another length, as "90s"
@@ -97,12 +97,12 @@
 		}
 	}
 	from := Now()
-	g.Split([]int{1, 1, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0})
-	g.Apply()
+	fleet.Split([]int{1, 1, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0})
+	fleet.ApplyCuts()
 	end := time.Now().Add(cutFor)
 	await(t, cutFor, "the cut is noticed", func() error {
-		last, err := g.Last()
-		for i, r := range g.Relays {
+		last, err := fleet.Latest()
+		for i, r := range fleet.Relays {
 			if want := map[bool]int{true: 0, false: 1}[i < 4]; err == nil && last[r.Name].CellsHeard != want {
 				err = fmt.Errorf("%s hears of %d cells", r.Name, last[r.Name].CellsHeard)
 			}
@@ -111,33 +111,33 @@
 	})
 	for time.Now().Before(end) {
 		for _, i := range []int{0, 3, 4, 11} {
-			serves(t, g.Relays[i])
+			checkServes(t, fleet.Relays[i])
 		}
 		time.Sleep(time.Second)
 	}
-	if err := g.AgreeInCells(1, cells); err != nil {
+	if err := fleet.CheckCellAgreement(1, cells); err != nil {
 		t.Errorf("in the cut: %v", err)
 	}
-	if err := g.Heal(); err != nil {
+	if err := fleet.Heal(); err != nil {
 		t.Fatal(err)
 	}
-	healed := await(t, within, "all cells are heard again", func() error { return g.HearCells(2) })
+	healed := await(t, within, "all cells are heard again", func() error { return fleet.CheckKnownCells(2) })
 	t.Logf("a cut of %v; all relays heard of all cells %.2f s after the heal", cutFor, healed.Seconds())
-	all, err := g.Histories()
+	all, err := fleet.History()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range g.Relays {
-		if least := LeastNear(all, r.Name, from, Now()); least < 0.9/4 {
+	for _, r := range fleet.Relays {
+		if least := LowestNearShare(all, r.Name, from, Now()); least < 0.9/4 {
 			t.Errorf("%s had a near share of %.4f in the cut", r.Name, least)
 		}
 	}
-	speakerKilled(t, g, cells)
-	wholeCellRestarted(t, g, cells)
+	killRepresentative(t, fleet, cells)
+	restartCell(t, fleet, cells)
 }
 
-// serves checks that a relay answers a client.
-func serves(t *testing.T, r *Relay) {
+// checkServes checks that a relay answers a client.
+func checkServes(t *testing.T, r *Relay) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Listen)
 	if err != nil {
@@ -145,7 +145,7 @@
 		return
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience()))
+	c.SetDeadline(time.Now().Add(waitLimit()))
 	fmt.Fprint(c, "PING\r\n")
 	answer := make([]byte, 4)
 	if _, err := io.ReadFull(c, answer); err != nil || string(answer) != "PONG" {
@@ -153,23 +153,23 @@
 	}
 }
 
-// speakerKilled kills the speaker of the first cell, and starts it again: another speaks, the log says why, and another cell's speaker
+// killRepresentative kills the speaker of the first cell, and starts it again: another speaks, the log says why, and another cell's speaker
 // hears of it.
-func speakerKilled(t *testing.T, g *Cluster, cells []Cell) {
+func killRepresentative(t *testing.T, fleet *Cluster, cells []Cell) {
 	t.Helper()
-	last, err := g.Last()
+	last, err := fleet.Latest()
 	if err != nil {
 		t.Fatal(err)
 	}
 	speakerOf := func(cell Cell, not string) (speaker int, err error) {
-		last, err := g.Last()
+		last, err := fleet.Latest()
 		if err != nil {
 			return 0, err
 		}
 		said := ""
 		for _, i := range cell.Relays {
-			r := g.Relays[i]
-			if !r.Up() {
+			r := fleet.Relays[i]
+			if !r.Running() {
 				continue
 			}
 			name := last[r.Name].Speaker
@@ -178,21 +178,21 @@
 			}
 			said = name
 		}
-		return slices.IndexFunc(g.Relays, func(r *Relay) bool { return r.Name == said }), nil
+		return slices.IndexFunc(fleet.Relays, func(r *Relay) bool { return r.Name == said }), nil
 	}
 	old, err := speakerOf(cells[0], "")
 	if err != nil {
 		t.Fatal(err, last)
 	}
-	g.Kill(old)
+	fleet.Kill(old)
 	var speaker int
-	took := await(t, cellPatience(), "another speaks", func() error {
-		speaker, err = speakerOf(cells[0], g.Relays[old].Name)
+	took := await(t, cellWaitLimit(), "another speaks", func() error {
+		speaker, err = speakerOf(cells[0], fleet.Relays[old].Name)
 		return err
 	})
-	cause := fmt.Sprintf(`"speaker":"%s","cause":"%s has failed"`, g.Relays[speaker].Name, g.Relays[old].Name)
-	await(t, patience(), "the log has it", func() error {
-		if !strings.Contains(g.Relays[speaker].Log(), cause) {
+	cause := fmt.Sprintf(`"speaker":"%s","cause":"%s has failed"`, fleet.Relays[speaker].Name, fleet.Relays[old].Name)
+	await(t, waitLimit(), "the log has it", func() error {
+		if !strings.Contains(fleet.Relays[speaker].Log(), cause) {
 			return fmt.Errorf("no %s", cause)
 		}
 		return nil
@@ -201,55 +201,55 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := await(t, cellPatience(), "another cell hears of it", func() error {
-		out, err := ask("members", "list", "--socket", g.Relays[other].Socket)
+	told := await(t, cellWaitLimit(), "another cell hears of it", func() error {
+		out, err := runProgram("members", "list", "--socket", fleet.Relays[other].Socket)
 		for line := range strings.Lines(out) {
-			if f := strings.Fields(line); len(f) > 4 && f[0] == cells[0].Name && f[2] == "heard" && f[4] == g.Relays[speaker].Name {
+			if f := strings.Fields(line); len(f) > 4 && f[0] == cells[0].Name && f[2] == "heard" && f[4] == fleet.Relays[speaker].Name {
 				return nil
 			}
 		}
 		return fmt.Errorf("%v: %s", err, out)
 	})
 	t.Logf("another spoke %.1f s after the speaker's end, and another cell heard of it %.1f s later", took.Seconds(), told.Seconds())
-	g.Start(old)
-	await(t, cellPatience(), "the old one is back", func() error { return errors.Join(g.AgreeInCells(1, cells), g.HearCells(2)) })
+	fleet.Start(old)
+	await(t, cellWaitLimit(), "the old one is back", func() error { return errors.Join(fleet.CheckCellAgreement(1, cells), fleet.CheckKnownCells(2)) })
 }
 
-// wholeCellRestarted kills all relays of a cell at once and starts them again.
-func wholeCellRestarted(t *testing.T, g *Cluster, cells []Cell) {
+// restartCell kills all relays of a cell at once and starts them again.
+func restartCell(t *testing.T, fleet *Cluster, cells []Cell) {
 	t.Helper()
 	for _, i := range cells[1].Relays {
-		g.Kill(i)
+		fleet.Kill(i)
 	}
 	for _, i := range cells[1].Relays {
-		if err := g.Start(i); err != nil {
+		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	took := await(t, cellPatience(), "after the restart of a cell", func() error { return errors.Join(g.AgreeInCells(1, cells), g.HearCells(2)) })
+	took := await(t, cellWaitLimit(), "after the restart of a cell", func() error { return errors.Join(fleet.CheckCellAgreement(1, cells), fleet.CheckKnownCells(2)) })
 	t.Logf("a cell agreed, and was heard, %.1f s after the restart of all its relays", took.Seconds())
-	whole(t, g, "east-a", "north-a", "west-a")
+	checkFullShares(t, fleet, "east-a", "north-a", "west-a")
 }
 
 // All relays are restarted in turn, one of each cell at a time. The fleet goes by its plan again after each, and figures and list
 // tell of it.
 func TestCellsRestartedInTurn(t *testing.T) {
 	t.Parallel()
-	g, cells := layRegions(t)
+	fleet, cells := newRegionCluster(t)
 	for place := range 4 {
 		for _, c := range cells {
-			g.Term(c.Relays[place])
+			fleet.Term(c.Relays[place])
 		}
 		for _, c := range cells {
-			if err := g.Start(c.Relays[place]); err != nil {
+			if err := fleet.Start(c.Relays[place]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		await(t, cellPatience(), fmt.Sprintf("after the restart of each cell's relay %d", place), func() error { return g.AgreeInCells(1, cells) })
+		await(t, cellWaitLimit(), fmt.Sprintf("after the restart of each cell's relay %d", place), func() error { return fleet.CheckCellAgreement(1, cells) })
 	}
-	await(t, cellPatience(), "cells hear of each other", func() error { return g.HearCells(2) })
-	whole(t, g, "east-a", "north-a", "west-a")
-	list, err := ask("members", "list", "--socket", g.Relays[5].Socket)
+	await(t, cellWaitLimit(), "cells hear of each other", func() error { return fleet.CheckKnownCells(2) })
+	checkFullShares(t, fleet, "east-a", "north-a", "west-a")
+	list, err := runProgram("members", "list", "--socket", fleet.Relays[5].Socket)
 	if err != nil || !strings.Contains(list, "cell north-1 of north: speaker r") || strings.Contains(list, "r11") {
 		t.Errorf("%v\n%s", err, list)
 	}
@@ -263,58 +263,58 @@
 // A cell is split in two and made one again while the fleet runs, by four plans and SIGHUP.
 func TestPlanChanges(t *testing.T) {
 	t.Parallel()
-	g, cells := layRegions(t)
+	fleet, cells := newRegionCluster(t)
 	move := func(i int) { // the relay's file has its new cell already
-		g.Term(i)
-		if err := g.Start(i); err != nil {
+		fleet.Term(i)
+		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
 	step := func(what string, number uint64, cells []Cell) {
 		t.Helper()
-		took := await(t, cellPatience(), what, func() error { return g.AgreeInCells(number, cells) })
+		took := await(t, cellWaitLimit(), what, func() error { return fleet.CheckCellAgreement(number, cells) })
 		t.Logf("%s: %.1f s", what, took.Seconds())
-		whole(t, g, "east-a", "north-a", "west-a")
+		checkFullShares(t, fleet, "east-a", "north-a", "west-a")
 	}
 	split := regionCells()
 	split[2].Relays, split[2].Weight = []int{8, 9}, 2
 	split = append(split, Cell{Name: "west-2", Region: "west", Zone: "west-a", Relays: []int{10, 11}, Weight: 2})
-	if err := g.Replan(2, split); err != nil {
+	if err := fleet.Replan(2, split); err != nil {
 		t.Fatal(err)
 	}
-	await(t, cellPatience(), "plan 2 is entered", func() error { return g.planned(2, cells[0], cells[1]) })
+	await(t, cellWaitLimit(), "plan 2 is entered", func() error { return fleet.checkPlanJoined(2, cells[0], cells[1]) })
 	move(10)
 	move(11)
 	step("a cell is split in two", 2, split)
 	merging := slices.Clone(split)
 	merging[2].Weight, merging[3].Weight = 4, 0
-	if err := g.Replan(3, merging); err != nil {
+	if err := fleet.Replan(3, merging); err != nil {
 		t.Fatal(err)
 	}
 	step("one of them holds nothing", 3, merging)
 	merged := slices.Clone(merging)
 	merged[2].Relays, merged[3].Relays = []int{8, 9, 10, 11}, nil
-	if err := g.Divide(3, merged); err != nil {
+	if err := fleet.WritePlan(3, merged); err != nil {
 		t.Fatal(err)
 	}
 	move(10)
 	move(11)
 	step("its relays are in the other", 3, merged)
-	if err := g.Replan(4, regionCells()); err != nil {
+	if err := fleet.Replan(4, regionCells()); err != nil {
 		t.Fatal(err)
 	}
 	step("it is gone from the plan", 4, regionCells())
 }
 
-// planned tells whether all relays of cells that run have entered a plan, or a later one.
-func (g *Cluster) planned(number uint64, cells ...Cell) error {
-	last, err := g.Last()
+// checkPlanJoined tells whether all relays of cells that run have entered a plan, or a later one.
+func (fleet *Cluster) checkPlanJoined(number uint64, cells ...Cell) error {
+	last, err := fleet.Latest()
 	if err != nil {
 		return err
 	}
 	for _, c := range cells {
 		for _, i := range c.Relays {
-			if n := last[g.Relays[i].Name]; g.Relays[i].up && n.Plan < number {
+			if n := last[fleet.Relays[i].Name]; fleet.Relays[i].running && n.Plan < number {
 				return fmt.Errorf("%s goes by plan %d", n.Name, n.Plan)
 			}
 		}
@@ -322,12 +322,12 @@
 	return nil
 }
 
-// movedOut tells whether the relays of a cell have none in their view that has gone.
-func (g *Cluster) movedOut(gone int, cell Cell) error {
-	last, err := g.Last()
+// checkMovedOut tells whether the relays of a cell have none in their view that has gone.
+func (fleet *Cluster) checkMovedOut(gone int, cell Cell) error {
+	last, err := fleet.Latest()
 	for _, i := range cell.Relays {
-		if n := last[g.Relays[i].Name]; err == nil && slices.Contains(n.Members, g.Relays[gone].Name) {
-			err = fmt.Errorf("%s has %s in its view", n.Name, g.Relays[gone].Name)
+		if n := last[fleet.Relays[i].Name]; err == nil && slices.Contains(n.Members, fleet.Relays[gone].Name) {
+			err = fmt.Errorf("%s has %s in its view", n.Name, fleet.Relays[gone].Name)
 		}
 	}
 	return err
@@ -336,25 +336,25 @@
 // A flat fleet is moved into a cell without a stop. While one relay has no plan the others do not enter it, and they can go back.
 func TestFlatFleetIsMovedIntoCells(t *testing.T) {
 	t.Parallel()
-	g := lay(t, Plan{Relays: 4, Zones: []string{"east-a"}, ZoneOf: func(int) string { return "east-a" }, Rules: hurried()}, 4)
-	await(t, cellPatience(), "at first", g.settled)
+	fleet := newCluster(t, Layout{Relays: 4, Zones: []string{"east-a"}, ZoneOf: func(int) string { return "east-a" }, Faults: fastCells()}, 4)
+	await(t, cellWaitLimit(), "at first", fleet.checkSettled)
 	flat := Cell{Name: "flat", Relays: []int{0, 1, 2}, Weight: 2}
 	cell := Cell{Name: "east-1", Region: "east", Zone: "east-a", Contacts: []int{3, 2}, Weight: 2}
-	if err := g.Replan(2, []Cell{flat, cell}); err != nil { // relay 3 has no plan
+	if err := fleet.Replan(2, []Cell{flat, cell}); err != nil { // relay 3 has no plan
 		t.Fatal(err)
 	}
 	waits := func(i int, want string) func() error {
 		return func() error {
-			out, err := ask("members", "list", "--socket", g.Relays[i].Socket)
+			out, err := runProgram("members", "list", "--socket", fleet.Relays[i].Socket)
 			if err != nil || !strings.Contains(out, want) {
 				return fmt.Errorf("no %q: %v: %s", want, err, out)
 			}
 			return nil
 		}
 	}
-	await(t, cellPatience(), "the plan waits for the relay without one", waits(0, "a member's program is too old"))
+	await(t, cellWaitLimit(), "the plan waits for the relay without one", waits(0, "a member's program is too old"))
 	time.Sleep(2 * time.Second)
-	last, err := g.Last()
+	last, err := fleet.Latest()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,71 +363,71 @@
 			t.Errorf("%s has a share of %v by plan %d", n.Name, n.Share, n.Plan)
 		}
 	}
-	back(t, g)
-	moveFlat(t, g, flat, cell)
+	removePlans(t, fleet)
+	moveIntoCell(t, fleet, flat, cell)
 }
 
-// back takes the plan out of the three relays again.
-func back(t *testing.T, g *Cluster) {
+// removePlans takes the plan out of the three relays again.
+func removePlans(t *testing.T, fleet *Cluster) {
 	t.Helper()
 	for i := range 3 {
-		if err := g.Flatten(i); err != nil {
+		if err := fleet.RemovePlan(i); err != nil {
 			t.Fatal(err)
 		}
-		g.Term(i)
-		if err := g.Start(i); err != nil {
+		fleet.Term(i)
+		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
-		await(t, cellPatience(), "a relay goes back", g.agreed)
+		await(t, cellWaitLimit(), "a relay goes back", fleet.checkAgreed)
 	}
-	await(t, cellPatience(), "all are flat", g.settled)
+	await(t, cellWaitLimit(), "all are flat", fleet.checkSettled)
 }
 
-// moveFlat moves the four relays of a flat fleet into a cell.
-func moveFlat(t *testing.T, g *Cluster, flat, cell Cell) {
+// moveIntoCell moves the four relays of a flat fleet into a cell.
+func moveIntoCell(t *testing.T, fleet *Cluster, flat, cell Cell) {
 	t.Helper()
 	replan := func(number uint64, cells ...Cell) {
 		t.Helper()
-		if err := g.Replan(number, cells); err != nil {
+		if err := fleet.Replan(number, cells); err != nil {
 			t.Fatal(err)
 		}
 	}
 	move := func(number uint64, i int, cells ...Cell) {
 		t.Helper()
-		if err := g.Divide(number, cells); err != nil {
+		if err := fleet.WritePlan(number, cells); err != nil {
 			t.Fatal(err)
 		}
-		g.Term(i)
-		if err := g.Start(i); err != nil {
+		fleet.Term(i)
+		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
-		await(t, cellPatience(), "a relay is back", func() error { // a SIGHUP before it listens for signals would end it
-			last, err := g.Last()
-			if _, ok := last[g.Relays[i].Name]; err == nil && !ok {
+		await(t, cellWaitLimit(), "a relay is back", func() error { // a SIGHUP before it listens for signals would end it
+			last, err := fleet.Latest()
+			if _, ok := last[fleet.Relays[i].Name]; err == nil && !ok {
 				err = errors.New("it has said nothing yet")
 			}
 			return err
 		})
-		await(t, cellPatience(), "a relay is moved", func() error { return g.movedOut(i, flat) })
+		await(t, cellWaitLimit(), "a relay is moved", func() error { return fleet.checkMovedOut(i, flat) })
 	}
 	flat.Relays = []int{0, 1, 2, 3}
 	replan(2, flat, cell)
-	await(t, cellPatience(), "plan 2 is entered", func() error { return g.planned(2, flat) })
+	await(t, cellWaitLimit(), "plan 2 is entered", func() error { return fleet.checkPlanJoined(2, flat) })
 	flat.Relays, cell.Relays = []int{0, 1, 2}, []int{3}
 	move(2, 3, flat, cell)
 	flat.Relays, cell.Relays = []int{0, 1}, []int{3, 2}
 	move(2, 2, flat, cell)
-	await(t, cellPatience(), "plan 2", func() error { return g.AgreeInCells(2, []Cell{flat, cell}) })
-	whole(t, g, "east-a")
+	await(t, cellWaitLimit(), "plan 2", func() error { return fleet.CheckCellAgreement(2, []Cell{flat, cell}) })
+	checkFullShares(t, fleet, "east-a")
 	flat.Weight, cell.Weight = 0, 4
 	replan(3, flat, cell)
-	await(t, cellPatience(), "plan 3", func() error { return g.AgreeInCells(3, []Cell{flat, cell}) })
-	whole(t, g, "east-a")
+	await(t, cellWaitLimit(), "plan 3", func() error { return fleet.CheckCellAgreement(3, []Cell{flat, cell}) })
+	checkFullShares(t, fleet, "east-a")
 	flat.Relays, cell.Relays = []int{0}, []int{3, 2, 1}
 	move(3, 1, flat, cell)
 	flat.Relays, cell.Relays = nil, []int{3, 2, 1, 0}
 	move(3, 0, flat, cell)
 	replan(4, cell)
-	await(t, cellPatience(), "plan 4", func() error { return g.AgreeInCells(4, []Cell{cell}) })
-	whole(t, g, "east-a")
+	await(t, cellWaitLimit(), "plan 4", func() error { return fleet.CheckCellAgreement(4, []Cell{cell}) })
+	checkFullShares(t, fleet, "east-a")
 }
--- a/internal/testing/cluster/config.go
+++ b/internal/testing/cluster/config.go
@@ -11,7 +11,7 @@
 )
 
 // configure writes a relay's files.
-func (g *Cluster) configure(i int, example string) error {
+func (fleet *Cluster) configure(i int, example string) error {
 	text, err := os.ReadFile(example)
 	if err != nil {
 		return err
@@ -20,41 +20,41 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return err
 	}
-	r := g.Relays[i]
-	c["name"], c["listen"], c["discovery"], c["seed"] = r.Name, r.Listen, g.Discovery.Address, fmt.Sprintf("%x", i+1)
+	r := fleet.Relays[i]
+	c["name"], c["listen"], c["discovery"], c["seed"] = r.Name, r.Listen, fleet.Discovery.Address, fmt.Sprintf("%x", i+1)
 	settings := c["settings"].(map[string]any)
-	settings["me"], settings["balancers"] = i, g.Plan.Relays
-	if len(g.Zones) > 0 {
-		settings["areas"], settings["zone"] = g.Zones, g.ZoneOf(i)
+	settings["me"], settings["balancers"] = i, fleet.Layout.Relays
+	if len(fleet.Zones) > 0 {
+		settings["areas"], settings["zone"] = fleet.Zones, fleet.ZoneOf(i)
 	}
-	for k, v := range g.Settings {
+	for k, v := range fleet.Settings {
 		settings[k] = v
 	}
 	if text, err = json.Marshal(c); err != nil {
 		return err
 	}
 	seeds := []string{}
-	for j := range min(3, len(g.Relays)) {
-		seeds = append(seeds, fmt.Sprintf("%q", g.Relays[j].Gossip))
+	for j := range min(3, len(fleet.Relays)) {
+		seeds = append(seeds, fmt.Sprintf("%q", fleet.Relays[j].Gossip))
 	}
-	members := fmt.Sprintf("site = %q\nbind = %q\nseeds = [%s]\nstate = %q\nsocket = %q\nfounders = %d\n", g.Site, r.Gossip, strings.Join(seeds, ", "),
-		filepath.Join(r.dir, "state"), r.Socket, g.Founders)
-	if g.OwnLooks {
+	members := fmt.Sprintf("site = %q\nbind = %q\nseeds = [%s]\nstate = %q\nsocket = %q\nfounders = %d\n", fleet.Deployment, r.Gossip, strings.Join(seeds, ", "),
+		filepath.Join(r.dir, "state"), r.Socket, fleet.Founders)
+	if fleet.OwnProbes {
 		members += "looks = false\n"
 	}
-	if g.Keys != "" {
-		members += fmt.Sprintf("keys = %q\n", r.file("keys"))
-		if err := os.WriteFile(r.file("keys"), []byte(g.Keys), 0o600); err != nil {
+	if fleet.Keys != "" {
+		members += fmt.Sprintf("keys = %q\n", r.path("keys"))
+		if err := os.WriteFile(r.path("keys"), []byte(fleet.Keys), 0o600); err != nil {
 			return err
 		}
 	}
-	r.members = members
-	return errors.Join(os.WriteFile(r.file("config.json"), text, 0o600), g.Flatten(i), r.apply())
+	r.membersText = members
+	return errors.Join(os.WriteFile(r.path("config.json"), text, 0o600), fleet.RemovePlan(i), r.writeFaults())
 }
 
 // Reconfigure changes keys of a relay's configuration. It counts from its next start or reload on.
-func (g *Cluster) Reconfigure(i int, changes map[string]any) error {
-	path := g.Relays[i].file("config.json")
+func (fleet *Cluster) Reconfigure(i int, changes map[string]any) error {
+	path := fleet.Relays[i].path("config.json")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
--- a/internal/testing/cluster/endpointlist_test.go
+++ b/internal/testing/cluster/endpointlist_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// toldWithin is when discovery's news counts as told at the latest, whether or not it arrived (protocol page, Figures).
-	toldWithin = 6 * time.Second
+	// listNotifiedWithin is when discovery's news counts as told at the latest, whether or not it arrived (protocol page, Figures).
+	listNotifiedWithin = 6 * time.Second
 	// drainGrace is how long after that something new may still go to a server that drains or is gone, with the sockets' 50 ms.
 	drainGrace = 550 * time.Millisecond
-	// oldListRate is how many clients come in a second, and oldListHold for how long each stays.
-	oldListRate = 90.0
-	oldListHold = 300 * time.Millisecond
+	// clientRate is how many clients come in a second, and oldListHold for how long each stays.
+	clientRate = 90.0
+	clientHold = 300 * time.Millisecond
 )
 
 // One relay of three is cut off from discovery, while clients and servers reach it, and servers are removed meanwhile. News
@@ -33,36 +33,36 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := lay(t, Plan{Relays: 3, Alone: true}, 0)
-			all := servers(t, g, 3)
-			proxy := before(t, g, 0)
-			startAll(t, g)
-			tally := load(t, g, oldListRate, oldListHold)
-			await(t, patience(), "all serve", func() error {
+			fleet := newCluster(t, Layout{Relays: 3, WithoutMembers: true}, 0)
+			all := addServers(t, fleet, 3)
+			proxy := proxyDiscovery(t, fleet, 0)
+			startAll(t, fleet)
+			tally := startLoad(t, fleet, clientRate, clientHold)
+			await(t, waitLimit(), "all serve", func() error {
 				for _, s := range all {
-					if len(s.Came(0, Now())) < 10 {
-						return fmt.Errorf("%s has %d connections", s.ID, len(s.Came(0, Now())))
+					if len(s.ConnectedAt(0, Now())) < 10 {
+						return fmt.Errorf("%s has %d connections", s.ID, len(s.ConnectedAt(0, Now())))
 					}
 				}
 				return nil
 			})
-			proxy.Set(play.mode)
+			proxy.SetMode(play.mode)
 			time.Sleep(500 * time.Millisecond)
-			g.Discovery.Set("s0", all[0].Address, play.change)
+			fleet.Discovery.Set("s0", all[0].Address, play.change)
 			changed := Now()
-			time.Sleep(toldWithin + drainGrace)
+			time.Sleep(listNotifiedWithin + drainGrace)
 			from := Now()
 			time.Sleep(4 * time.Second)
-			if late := all[0].Came(from, Now()); len(late) > 0 {
+			if late := all[0].ConnectedAt(from, Now()); len(late) > 0 {
 				t.Errorf("%d connections came to a server that is %s, the first %.2f s after the change and the last %.2f s", len(late), play.change,
 					(late[0]-changed)/1000, (late[len(late)-1]-changed)/1000)
 			}
-			proxy.Set(Pass)
-			g.Relays[1].Weigh(0)
-			g.Relays[2].Weigh(0)
+			proxy.SetMode(Pass)
+			fleet.Relays[1].SetWeight(0)
+			fleet.Relays[2].SetWeight(0)
 			time.Sleep(400 * time.Millisecond)
 			up := tally.Up.Load()
-			await(t, patience(), "the relay serves again", func() error {
+			await(t, waitLimit(), "the relay serves again", func() error {
 				if n := tally.Up.Load() - up; n < 20 {
 					return fmt.Errorf("%d connections are up", n)
 				}
@@ -78,26 +78,26 @@
 	for _, change := range []string{"Gone", "Terminating"} {
 		t.Run(change, func(t *testing.T) {
 			t.Parallel()
-			g := lay(t, Plan{Relays: 3, Alone: true}, 0)
-			all := servers(t, g, 3)
-			startAll(t, g)
-			load(t, g, oldListRate, oldListHold)
+			fleet := newCluster(t, Layout{Relays: 3, WithoutMembers: true}, 0)
+			all := addServers(t, fleet, 3)
+			startAll(t, fleet)
+			startLoad(t, fleet, clientRate, clientHold)
 			used := func() error {
-				if n := len(all[0].Came(Now()-1000, Now())); n < 5 {
+				if n := len(all[0].ConnectedAt(Now()-1000, Now())); n < 5 {
 					return fmt.Errorf("%d connections came to s0 in the last second", n)
 				}
 				return nil
 			}
-			await(t, patience(), "s0 is used", used)
-			g.Discovery.Set("s0", all[0].Address, change)
+			await(t, waitLimit(), "s0 is used", used)
+			fleet.Discovery.Set("s0", all[0].Address, change)
 			left := Now()
 			wait(4000)
-			if late := all[0].Came(left+arrivesWithin+drainWithin, Now()); len(late) > 0 {
+			if late := all[0].ConnectedAt(left+deliveredWithin+drainMargin, Now()); len(late) > 0 {
 				t.Errorf("%d connections came to s0 while it was %s, the first %.2f s after the news", len(late), change, (late[0]-left)/1000)
 			}
-			g.Discovery.Set("s0", all[0].Address, "Ready")
+			fleet.Discovery.Set("s0", all[0].Address, "Ready")
 			await(t, 2*time.Second, "s0 is used again", used)
-			wait(left + toldBy + drainWithin + 1000 - Now())
+			wait(left + notifiedWithin + drainMargin + 1000 - Now())
 			if err := used(); err != nil {
 				t.Errorf("when its leaving counts as told without a word: %v", err)
 			}
@@ -108,31 +108,31 @@
 // A relay starts with the list that it last had, in which a server stands that has been gone for long; its first call to discovery is
 // spread over seconds, as all relays may start at once. Nothing goes to that server, and the others are used once discovery is heard.
 func TestNothingNewByTheListOfTheStart(t *testing.T) {
-	g := lay(t, Plan{Relays: 3, Alone: true, Settings: map[string]any{"balancers": 300}}, 0)
-	all := servers(t, g, 3)
+	fleet := newCluster(t, Layout{Relays: 3, WithoutMembers: true, Settings: map[string]any{"balancers": 300}}, 0)
+	all := addServers(t, fleet, 3)
 	var known []json.RawMessage
 	for _, s := range all {
 		known = append(known, json.RawMessage(fake.Entry(s.ID, s.Address, "Ready")))
 	}
-	g.Discovery.Set("s0", all[0].Address, "Gone")
-	wait(toldBy + drainWithin)
-	for i := range g.Relays {
-		if err := g.Reconfigure(i, map[string]any{"known": map[string]any{"generation": 1, "reset": true, "instances": known}}); err != nil {
+	fleet.Discovery.Set("s0", all[0].Address, "Gone")
+	wait(notifiedWithin + drainMargin)
+	for i := range fleet.Relays {
+		if err := fleet.Reconfigure(i, map[string]any{"known": map[string]any{"generation": 1, "reset": true, "instances": known}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	startAll(t, g)
-	load(t, g, oldListRate, oldListHold)
-	await(t, patience(), "the others are used", func() error {
+	startAll(t, fleet)
+	startLoad(t, fleet, clientRate, clientHold)
+	await(t, waitLimit(), "the others are used", func() error {
 		for _, s := range all[1:] {
-			if n := len(s.Came(Now()-1000, Now())); n < 10 {
+			if n := len(s.ConnectedAt(Now()-1000, Now())); n < 10 {
 				return fmt.Errorf("%d connections came to %s in the last second", n, s.ID)
 			}
 		}
 		return nil
 	})
 	wait(7500) // by then every relay has asked
-	if late := all[0].Came(0, Now()); len(late) > 0 {
+	if late := all[0].ConnectedAt(0, Now()); len(late) > 0 {
 		t.Errorf("%d connections came to a server that was gone before the relays started", len(late))
 	}
 }
--- a/internal/testing/cluster/faults.go
+++ b/internal/testing/cluster/faults.go
@@ -9,64 +9,64 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// Rule changes a relay's faults.
-func (g *Cluster) Rule(i int, change func(*faultpoint.Rules)) error {
-	change(&g.Relays[i].rules)
-	return g.Relays[i].apply()
+// ChangeFaults changes a relay's faults.
+func (fleet *Cluster) ChangeFaults(i int, change func(*faultpoint.Rules)) error {
+	change(&fleet.Relays[i].faults)
+	return fleet.Relays[i].writeFaults()
 }
 
 // Cut cuts what one relay sends to another, or lets it pass again.
-func (g *Cluster) Cut(from, to int, on bool) { g.cut[[2]int{from, to}] = on }
+func (fleet *Cluster) Cut(from, to int, on bool) { fleet.cuts[[2]int{from, to}] = on }
 
 // Split cuts the fleet: relays of different parts hear nothing of each other.
-func (g *Cluster) Split(part []int) {
-	for a := range g.Relays {
-		for b := range g.Relays {
-			g.Cut(a, b, part[a] != part[b])
+func (fleet *Cluster) Split(part []int) {
+	for a := range fleet.Relays {
+		for b := range fleet.Relays {
+			fleet.Cut(a, b, part[a] != part[b])
 		}
 	}
 }
 
-// Blind keeps a relay from reaching servers, by their addresses; what stands falls silent and is reset at the heal.
-func (g *Cluster) Blind(i int, servers ...string) { g.blind[i] = servers }
+// CutServers keeps a relay from reaching servers, by their addresses; what stands falls silent and is reset at the heal.
+func (fleet *Cluster) CutServers(i int, servers ...string) { fleet.cutServers[i] = servers }
 
-// Apply hands the cuts to all processes.
-func (g *Cluster) Apply() error {
+// ApplyCuts hands the cuts to all processes.
+func (fleet *Cluster) ApplyCuts() error {
 	var all []error
-	for i, r := range g.Relays {
-		r.rules.Cut, r.rules.CutFrom = slices.Clone(g.blind[i]), nil
-		for j, o := range g.Relays {
-			if g.cut[[2]int{i, j}] {
-				r.rules.Cut = append(r.rules.Cut, o.Gossip)
+	for i, r := range fleet.Relays {
+		r.faults.Cut, r.faults.CutFrom = slices.Clone(fleet.cutServers[i]), nil
+		for j, o := range fleet.Relays {
+			if fleet.cuts[[2]int{i, j}] {
+				r.faults.Cut = append(r.faults.Cut, o.Gossip)
 			}
-			if g.cut[[2]int{j, i}] {
-				r.rules.CutFrom = append(r.rules.CutFrom, o.Gossip)
+			if fleet.cuts[[2]int{j, i}] {
+				r.faults.CutFrom = append(r.faults.CutFrom, o.Gossip)
 			}
 		}
-		all = append(all, r.apply())
+		all = append(all, r.writeFaults())
 	}
 	return errors.Join(all...)
 }
 
 // Heal ends all faults: cuts, loss, stops; whoever is down stays down.
-func (g *Cluster) Heal() error {
-	clear(g.cut)
-	clear(g.blind)
-	for i, r := range g.Relays {
-		r.rules = faultpoint.Rules{Seed: r.rules.Seed, Rate: r.rules.Rate, StepMs: r.rules.StepMs, LeaseMs: r.rules.LeaseMs, CellRate: r.rules.CellRate}
-		g.Cont(i)
+func (fleet *Cluster) Heal() error {
+	clear(fleet.cuts)
+	clear(fleet.cutServers)
+	for i, r := range fleet.Relays {
+		r.faults = faultpoint.Rules{Seed: r.faults.Seed, Rate: r.faults.Rate, StepMs: r.faults.StepMs, LeaseMs: r.faults.LeaseMs, CellRate: r.faults.CellRate}
+		fleet.Cont(i)
 	}
-	return g.Apply()
+	return fleet.ApplyCuts()
 }
 
-// apply hands the rules to the process: a file that is replaced at once.
-func (r *Relay) apply() error {
-	text, err := json.Marshal(r.rules)
+// writeFaults hands the rules to the process: a file that is replaced at once.
+func (r *Relay) writeFaults() error {
+	text, err := json.Marshal(r.faults)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(r.file("faults.new"), text, 0o600); err != nil {
+	if err := os.WriteFile(r.path("faults.new"), text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(r.file("faults.new"), r.file("faults"))
+	return os.Rename(r.path("faults.new"), r.path("faults"))
 }
--- a/internal/testing/cluster/harness_test.go
+++ b/internal/testing/cluster/harness_test.go
@@ -25,64 +25,64 @@
 	os.Exit(code)
 }
 
-func long() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
+func longRun() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
-// patience is how long a condition is waited for before a test fails. What is promised is 5 s, and the long run
+// waitLimit is how long a condition is waited for before a test fails. What is promised is 5 s, and the long run
 // holds the relays to that; a busy machine that runs all packages' tests at once gets more.
-func patience() time.Duration {
-	if long() {
+func waitLimit() time.Duration {
+	if longRun() {
 		return 5 * time.Second
 	}
 	return 25 * time.Second
 }
 
-// lay lays a ground out and starts its first relays; at the end it checks that no shares ever added up to over one.
-func lay(t *testing.T, p Plan, start int) *Cluster {
+// newCluster lays a ground out and starts its first relays; at the end it checks that no shares ever added up to over one.
+func newCluster(t *testing.T, p Layout, start int) *Cluster {
 	t.Helper()
 	p.Program, p.Dir = program, t.TempDir()
-	g, err := New(p, "../../../examples/config.json")
+	fleet, err := New(p, "../../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		g.Close()
-		all, err := g.Histories()
-		if most, at := MostTaken(all); err != nil || most > 1+1e-9 && !p.Unsafe {
-			t.Errorf("%v; the shares added up to %v:\n%s", err, most, Tail(all, at, 6000))
+		fleet.Close()
+		all, err := fleet.History()
+		if most, at := PeakShareSum(all); err != nil || most > 1+1e-9 && !p.Unprotected {
+			t.Errorf("%v; the shares added up to %v:\n%s", err, most, FormatHistory(all, at, 6000))
 		}
 		if t.Failed() {
-			for _, r := range g.Relays {
+			for _, r := range fleet.Relays {
 				log := r.Log()
 				t.Logf("%s: ... %s", r.Name, log[max(0, len(log)-3000):])
 			}
 		}
 	})
 	for i := range start {
-		if err := g.Start(i); err != nil {
+		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return g
+	return fleet
 }
 
 // startAll starts all relays of a ground.
-func startAll(t *testing.T, g *Cluster) {
+func startAll(t *testing.T, fleet *Cluster) {
 	t.Helper()
-	for i := range g.Relays {
-		if err := g.Start(i); err != nil {
+	for i := range fleet.Relays {
+		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// load has clients come to a ground's relays, so many a second and each for so long, until the test ends. It returns what they met.
-func load(t *testing.T, g *Cluster, rate float64, hold time.Duration) *Tally {
+// startLoad has clients come to a ground's relays, so many a second and each for so long, until the test ends. It returns what they met.
+func startLoad(t *testing.T, fleet *Cluster, rate float64, hold time.Duration) *LoadTally {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	tally, done := &Tally{}, make(chan struct{})
+	tally, done := &LoadTally{}, make(chan struct{})
 	go func() {
 		defer close(done)
-		g.Load(ctx, 1, rate, hold, tally)
+		fleet.Load(ctx, 1, rate, hold, tally)
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -91,31 +91,31 @@
 	return tally
 }
 
-// servers starts n servers that take everything, lists them, and returns them.
-func servers(t *testing.T, g *Cluster, n int) (all []*Sink) {
+// addServers starts n addServers that take everything, lists them, and returns them.
+func addServers(t *testing.T, fleet *Cluster, n int) (all []*RecordingServer) {
 	t.Helper()
 	for i := range n {
-		s, err := NewSink(fmt.Sprintf("s%d", i))
+		s, err := NewRecordingServer(fmt.Sprintf("s%d", i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
 		s.SetReport("x0=0.1")
-		g.Discovery.Set(s.ID, s.Address, "Ready")
+		fleet.Discovery.Set(s.ID, s.Address, "Ready")
 		all = append(all, s)
 	}
 	return all
 }
 
-// before puts a proxy between a relay that has not started yet and discovery.
-func before(t *testing.T, g *Cluster, i int) *Proxy {
+// proxyDiscovery puts a proxy between a relay that has not started yet and discovery.
+func proxyDiscovery(t *testing.T, fleet *Cluster, i int) *Proxy {
 	t.Helper()
-	p, err := NewProxy(g.Discovery.Address)
+	p, err := NewProxy(fleet.Discovery.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	if err := g.Reconfigure(i, map[string]any{"discovery": p.Address}); err != nil {
+	if err := fleet.Reconfigure(i, map[string]any{"discovery": p.Address}); err != nil {
 		t.Fatal(err)
 	}
 	return p
@@ -131,19 +131,19 @@
 	return took
 }
 
-func (g *Cluster) agreed() error { return g.Agree(false) }
+func (fleet *Cluster) checkAgreed() error { return fleet.CheckAgreement(false) }
 
-func (g *Cluster) settled() error { return g.Agree(true) }
+func (fleet *Cluster) checkSettled() error { return fleet.CheckAgreement(true) }
 
-// without tells whether no relay that runs has one in its view.
-func (g *Cluster) without(gone int) error {
-	last, err := g.Last()
+// checkRemoved tells whether no relay that runs has one in its view.
+func (fleet *Cluster) checkRemoved(gone int) error {
+	last, err := fleet.Latest()
 	if err != nil {
 		return err
 	}
-	for i, r := range g.Relays {
+	for i, r := range fleet.Relays {
 		for _, name := range last[r.Name].Members {
-			if i != gone && r.up && name == g.Relays[gone].Name {
+			if i != gone && r.running && name == fleet.Relays[gone].Name {
 				return fmt.Errorf("%s still has %s in epoch %d", r.Name, name, last[r.Name].Epoch)
 			}
 		}
--- a/internal/testing/cluster/history.go
+++ b/internal/testing/cluster/history.go
@@ -23,13 +23,13 @@
 	return float64(t.Sec)*1000 + float64(t.Nsec)/1e6
 }
 
-// Histories are all lines of all processes and of the rig, in the order of their times.
-func (g *Cluster) Histories() ([]faultpoint.Noted, error) {
-	g.mu.Lock()
-	all := slices.Clone(g.events)
-	g.mu.Unlock()
-	for _, r := range g.Relays {
-		f, err := os.Open(r.file("history"))
+// History are all lines of all processes and of the rig, in the order of their times.
+func (fleet *Cluster) History() ([]faultpoint.Noted, error) {
+	fleet.mu.Lock()
+	all := slices.Clone(fleet.events)
+	fleet.mu.Unlock()
+	for _, r := range fleet.Relays {
+		f, err := os.Open(r.path("history"))
 		if errors.Is(err, os.ErrNotExist) {
 			continue
 		}
@@ -56,9 +56,9 @@
 	return all, nil
 }
 
-// Last is the newest line of each relay's newest life.
-func (g *Cluster) Last() (map[string]faultpoint.Noted, error) {
-	all, err := g.Histories()
+// Latest is the newest line of each relay's newest life.
+func (fleet *Cluster) Latest() (map[string]faultpoint.Noted, error) {
+	all, err := fleet.History()
 	last := map[string]faultpoint.Noted{}
 	for _, n := range all {
 		switch n.Event {
@@ -71,8 +71,8 @@
 	return last, err
 }
 
-// Tail are the last lines before a moment, for a failure's report.
-func Tail(all []faultpoint.Noted, at, ms float64) string {
+// FormatHistory are the last lines before a moment, for a failure's report.
+func FormatHistory(all []faultpoint.Noted, at, ms float64) string {
 	var b strings.Builder
 	for _, n := range all {
 		if n.T > at-ms && n.T <= at+1 {
--- a/internal/testing/cluster/load.go
+++ b/internal/testing/cluster/load.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Tally is what became of a Load's connections.
-type Tally struct {
-	Up, Busy, Other, Unreached atomic.Int64
+// LoadTally is what became of a Load's connections.
+type LoadTally struct {
+	Up, Busy, Other, Unreachable atomic.Int64
 
-	mu      sync.Mutex
-	refused []float64 // when
+	mu         sync.Mutex
+	rejectedAt []float64 // when
 }
 
-// Refused is how many were told BUSY between two moments.
-func (t *Tally) Refused(from, to float64) (n int) {
+// Rejected is how many were told BUSY between two moments.
+func (t *LoadTally) Rejected(from, to float64) (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, at := range t.refused {
+	for _, at := range t.rejectedAt {
 		if at >= from && at < to {
 			n++
 		}
@@ -34,7 +34,7 @@
 
 // Load brings so many connections a second, spread over the relays by their weights, until the context ends; each that
 // comes up is held for a while. It sends to loopback only, where all relays of a ground are.
-func (g *Cluster) Load(ctx context.Context, seed uint64, rate float64, hold time.Duration, tally *Tally) {
+func (fleet *Cluster) Load(ctx context.Context, seed uint64, rate float64, hold time.Duration, tally *LoadTally) {
 	rng := rand.New(rand.NewPCG(seed, 0x6c6f6164))
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -47,14 +47,14 @@
 		case <-time.After(time.Until(next)):
 		}
 		sum := int64(0)
-		for _, r := range g.Relays {
+		for _, r := range fleet.Relays {
 			sum += r.weight.Load()
 		}
 		if sum == 0 {
 			continue
 		}
 		at, to := rng.Int64N(sum), ""
-		for _, r := range g.Relays {
+		for _, r := range fleet.Relays {
 			if at -= r.weight.Load(); at < 0 {
 				to = r.Listen
 				break
@@ -62,15 +62,15 @@
 		}
 		key := rng.Uint64()
 		if to != "" { // a weight has just been changed
-			all.Go(func() { once(ctx, to, n, key, hold, tally) })
+			all.Go(func() { sendRequest(ctx, to, n, key, hold, tally) })
 		}
 	}
 }
 
-func once(ctx context.Context, to string, n int, key uint64, hold time.Duration, tally *Tally) {
+func sendRequest(ctx context.Context, to string, n int, key uint64, hold time.Duration, tally *LoadTally) {
 	conn, err := net.DialTimeout("tcp", to, time.Second)
 	if err != nil {
-		tally.Unreached.Add(1)
+		tally.Unreachable.Add(1)
 		return
 	}
 	defer conn.Close()
@@ -88,7 +88,7 @@
 	case "BUSY":
 		tally.Busy.Add(1)
 		tally.mu.Lock()
-		tally.refused = append(tally.refused, Now())
+		tally.rejectedAt = append(tally.rejectedAt, Now())
 		tally.mu.Unlock()
 	default:
 		tally.Other.Add(1)
--- a/internal/testing/cluster/observations.go
+++ b/internal/testing/cluster/observations.go
@@ -8,13 +8,13 @@
 
 // Request is one request as its client saw it.
 type Request struct {
-	ID       string
-	Relay    int
-	Effect   decide.Idempotency
-	Sent     float64 // when its last byte was written; 0 if it never was
-	Answer   string  // the first word of its answer, "" for none
-	Answered float64 // when that came, or the connection ended without
-	Closed   float64 // when the client closed, 0 if the other side did
+	ID          string
+	Relay       int
+	Idempotency decide.Idempotency
+	Sent        float64 // when its last byte was written; 0 if it never was
+	Answer      string  // the first word of its answer, "" for none
+	Answered    float64 // when that came, or the connection ended without
+	Closed      float64 // when the client closed, 0 if the other side did
 }
 
 // Absence is a time in which a server drained or was gone by what discovery had.
@@ -26,17 +26,17 @@
 // Span is a time in which something was disturbed.
 type Span struct{ From, To float64 }
 
-func (s Span) meets(from, to float64) bool { return s.From <= to && (s.To == 0 || s.To >= from) }
+func (s Span) overlaps(from, to float64) bool { return s.From <= to && (s.To == 0 || s.To >= from) }
 
-// Asked takes in a request that has ended.
-func (j *Judge) Asked(r Request) {
+// RecordRequest takes in a request that has ended.
+func (j *Judge) RecordRequest(r Request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.requests[r.ID] = &r
 }
 
-// Leaves notes that a server drains or is gone from now on; back, that it is ready again.
-func (j *Judge) Leaves(server string) (back func()) {
+// RecordAbsence notes that a server drains or is gone from now on; back, that it is ready again.
+func (j *Judge) RecordAbsence(server string) (back func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	a := &Absence{Server: server, From: Now()}
@@ -48,13 +48,13 @@
 	}
 }
 
-// Deaf notes that a relay may not hear discovery from now on; end, that it may again.
-func (j *Judge) Deaf(relay int) (end func()) { return j.disturb(j.deaf, relay) }
+// DiscoveryLost notes that a relay may not hear discovery from now on; end, that it may again.
+func (j *Judge) DiscoveryLost(relay int) (end func()) { return j.beginSpan(j.discoveryLost, relay) }
 
-// Dead notes that a relay's process is ended by force or stopped from now on; end, that this is over.
-func (j *Judge) Dead(relay int) (end func()) { return j.disturb(j.dead, relay) }
+// ProcessDown notes that a relay's process is ended by force or stopped from now on; end, that this is over.
+func (j *Judge) ProcessDown(relay int) (end func()) { return j.beginSpan(j.processDown, relay) }
 
-func (j *Judge) disturb(spans map[int][]*Span, relay int) (end func()) {
+func (j *Judge) beginSpan(spans map[int][]*Span, relay int) (end func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := &Span{From: Now()}
@@ -66,6 +66,6 @@
 	}
 }
 
-func disturbed(spans []*Span, from, to float64) bool {
-	return slices.ContainsFunc(spans, func(s *Span) bool { return s.meets(from, to) })
+func anyOverlaps(spans []*Span, from, to float64) bool {
+	return slices.ContainsFunc(spans, func(s *Span) bool { return s.overlaps(from, to) })
 }
--- a/internal/testing/cluster/operator_test.go
+++ b/internal/testing/cluster/operator_test.go
@@ -13,23 +13,23 @@
 	"time"
 )
 
-// ask runs a command of the program and returns what it prints.
-func ask(args ...string) (string, error) {
+// runProgram runs a command of the program and returns what it prints.
+func runProgram(args ...string) (string, error) {
 	out, err := exec.Command(program, args...).CombinedOutput()
 	return string(out), err
 }
 
 // What operators see: the list, the figures, a line for each change with its cause, and the time lines' events.
 func TestOperatorsSeeTheFleet(t *testing.T) {
-	g := lay(t, Plan{Relays: 3, Admin: true, Timeline: true}, 3)
-	await(t, patience()+10*time.Second, "at first", g.settled)
-	list, err := ask("members", "list", "--config", g.Relays[0].file("members.toml"))
+	fleet := newCluster(t, Layout{Relays: 3, Admin: true, Timeline: true}, 3)
+	await(t, waitLimit()+10*time.Second, "at first", fleet.checkSettled)
+	list, err := runProgram("members", "list", "--config", fleet.Relays[0].path("members.toml"))
 	if err != nil || !strings.Contains(list, "r0 at ground: agreed, epoch ") || !strings.Contains(list, "share 0.3333: granted in the view") || strings.Count(list, "member, voter") != 3 {
 		t.Errorf("%v\n%s", err, list)
 	}
 	figures := func(want ...string) func() error {
 		return func() error {
-			res, err := http.Get("http://" + g.Relays[0].Admin + "/ops/stats")
+			res, err := http.Get("http://" + fleet.Relays[0].Admin + "/ops/stats")
 			if err != nil {
 				return err
 			}
@@ -43,10 +43,10 @@
 			return nil
 		}
 	}
-	await(t, patience(), "figures", figures(`relay_members{state="alive"} 2`, `relay_members_in_view 3`, `relay_members_phase{phase="agreed"} 1`, `relay_looks_relays 3`, `relay_looks_doubted 0`))
+	await(t, waitLimit(), "figures", figures(`relay_members{state="alive"} 2`, `relay_members_in_view 3`, `relay_members_phase{phase="agreed"} 1`, `relay_looks_relays 3`, `relay_looks_doubted 0`))
 
-	watch := exec.Command(program, "members", "watch", "--socket", g.Relays[0].Socket, "--every", "50ms")
-	shown, err := os.Create(g.Relays[0].file("watched"))
+	watch := exec.Command(program, "members", "watch", "--socket", fleet.Relays[0].Socket, "--every", "50ms")
+	shown, err := os.Create(fleet.Relays[0].path("watched"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,32 +65,32 @@
 	}
 	t.Cleanup(func() { watch.Process.Kill() })
 	// A drain by hand is told, and takes the relay's share; its end gives it back.
-	http.Post("http://"+g.Relays[1].Admin+"/ops/drain/start", "", nil)
-	await(t, patience(), "the drain is told", func() error {
-		if out, _ := ask("members", "list", "--socket", g.Relays[0].Socket); !strings.Contains(out, "draining") || !strings.Contains(out, "share 0.5000") {
+	http.Post("http://"+fleet.Relays[1].Admin+"/ops/drain/start", "", nil)
+	await(t, waitLimit(), "the drain is told", func() error {
+		if out, _ := runProgram("members", "list", "--socket", fleet.Relays[0].Socket); !strings.Contains(out, "draining") || !strings.Contains(out, "share 0.5000") {
 			return fmt.Errorf("%s", out)
 		}
 		return nil
 	})
-	await(t, patience(), "and watched", seen("r1: alive, draining"))
-	http.Post("http://"+g.Relays[1].Admin+"/ops/drain/stop", "", nil)
-	await(t, patience(), "its end too", g.settled)
-	g.Kill(2)
-	await(t, patience(), "a death is told", figures(`relay_members{state="failed"} 1`, `relay_members_in_view 2`))
-	await(t, patience(), "the log has it", func() error {
-		if log := g.Relays[0].Log(); !strings.Contains(log, `"member":"r2","state":"failed","cause":"failure detection"`) {
+	await(t, waitLimit(), "and watched", seen("r1: alive, draining"))
+	http.Post("http://"+fleet.Relays[1].Admin+"/ops/drain/stop", "", nil)
+	await(t, waitLimit(), "its end too", fleet.checkSettled)
+	fleet.Kill(2)
+	await(t, waitLimit(), "a death is told", figures(`relay_members{state="failed"} 1`, `relay_members_in_view 2`))
+	await(t, waitLimit(), "the log has it", func() error {
+		if log := fleet.Relays[0].Log(); !strings.Contains(log, `"member":"r2","state":"failed","cause":"failure detection"`) {
 			return fmt.Errorf("no line for it")
 		}
 		return nil
 	})
-	await(t, patience(), "the time line has it", func() error {
-		out, err := ask("timeline", "events", "--socket", g.Relays[0].file("t"))
+	await(t, waitLimit(), "the time line has it", func() error {
+		out, err := runProgram("timeline", "events", "--socket", fleet.Relays[0].path("t"))
 		if err != nil || !strings.Contains(out, "relay r2: failed (failure detection)") {
 			return fmt.Errorf("%v: %s", err, out)
 		}
 		return nil
 	})
-	await(t, patience(), "and watched", seen("r2: failed"))
+	await(t, waitLimit(), "and watched", seen("r2: failed"))
 	watch.Process.Signal(syscall.SIGINT)
 	if err := watch.Wait(); err != nil {
 		t.Error(err)
@@ -100,17 +100,17 @@
 // A taken port, seeds that nobody answers at, a key file that others can read: each said in one line. The first two do
 // not keep the relay from serving, by the settings' number, and are mended once they can be.
 func TestRelayServesAlone(t *testing.T) {
-	g := lay(t, Plan{Relays: 3}, 0)
-	l, err := net.Listen("tcp", g.Relays[1].Gossip)
+	fleet := newCluster(t, Layout{Relays: 3}, 0)
+	l, err := net.Listen("tcp", fleet.Relays[1].Gossip)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Start(0) // its seeds are not there
-	g.Start(1) // its port is taken
+	fleet.Start(0) // its seeds are not there
+	fleet.Start(1) // its port is taken
 	for i, want := range map[int]string{0: "seed out of reach", 1: "cannot listen"} {
-		r := g.Relays[i]
-		await(t, patience(), want, func() error {
-			list, err := ask("members", "list", "--socket", r.Socket)
+		r := fleet.Relays[i]
+		await(t, waitLimit(), want, func() error {
+			list, err := runProgram("members", "list", "--socket", r.Socket)
 			if n := strings.Count(r.Log(), want); n != 1 || !strings.Contains(list, ": alone, epoch 0") || !strings.Contains(list, "share 0.3333") {
 				return fmt.Errorf("%d lines of it; %v %s", n, err, list)
 			}
@@ -128,15 +128,15 @@
 		c.Close()
 	}
 	l.Close()
-	g.Start(2)
-	await(t, patience()+10*time.Second, "once they can", g.settled)
+	fleet.Start(2)
+	await(t, waitLimit()+10*time.Second, "once they can", fleet.checkSettled)
 
-	os.WriteFile(g.Relays[0].file("keys"), []byte("AAAAAAAAAAAAAAAAAAAAAA==\n"), 0o644)
-	bad := g.Relays[0].file("bad.toml")
-	text, _ := os.ReadFile(g.Relays[0].file("members.toml"))
-	os.WriteFile(bad, append(text, []byte(fmt.Sprintf("keys = %q\n", g.Relays[0].file("keys")))...), 0o600)
+	os.WriteFile(fleet.Relays[0].path("keys"), []byte("AAAAAAAAAAAAAAAAAAAAAA==\n"), 0o644)
+	bad := fleet.Relays[0].path("bad.toml")
+	text, _ := os.ReadFile(fleet.Relays[0].path("members.toml"))
+	os.WriteFile(bad, append(text, []byte(fmt.Sprintf("keys = %q\n", fleet.Relays[0].path("keys")))...), 0o600)
 	cmd := exec.Command(program, "--members", bad)
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+g.Relays[0].file("config.json"))
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+fleet.Relays[0].path("config.json"))
 	out, err := cmd.CombinedOutput()
 	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "keys: mode 0644") {
 		t.Errorf("%v: %s", err, out)
@@ -145,10 +145,10 @@
 
 // Without the flag a relay knows nobody: it listens on nothing more, and says nothing of members.
 func TestMembersOffCostsNothing(t *testing.T) {
-	g := lay(t, Plan{Relays: 1, Alone: true, Admin: true}, 1)
-	r := g.Relays[0]
+	fleet := newCluster(t, Layout{Relays: 1, WithoutMembers: true, Admin: true}, 1)
+	r := fleet.Relays[0]
 	var figures string
-	await(t, patience(), "figures", func() error {
+	await(t, waitLimit(), "figures", func() error {
 		res, err := http.Get("http://" + r.Admin + "/ops/stats")
 		if err != nil {
 			return err
--- a/internal/testing/cluster/proxy.go
+++ b/internal/testing/cluster/proxy.go
@@ -60,8 +60,8 @@
 	return p, nil
 }
 
-// Set changes the mode, for the connections that stand too.
-func (p *Proxy) Set(mode ProxyMode) {
+// SetMode changes the mode, for the connections that stand too.
+func (p *Proxy) SetMode(mode ProxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.open {
@@ -80,7 +80,7 @@
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
-	p.Set(Broken)
+	p.SetMode(Broken)
 }
 
 func (p *Proxy) state() (ProxyMode, <-chan struct{}) {
@@ -95,12 +95,12 @@
 		if err != nil {
 			return
 		}
-		go p.carry(conn)
+		go p.forward(conn)
 	}
 }
 
-// enter counts a connection in, in the present mode.
-func (p *Proxy) enter(c *proxied) ProxyMode {
+// add counts a connection in, in the present mode.
+func (p *Proxy) add(c *proxied) ProxyMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[c] = struct{}{}
@@ -108,22 +108,22 @@
 	return p.mode
 }
 
-func (p *Proxy) leave(c *proxied) {
+func (p *Proxy) remove(c *proxied) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.open, c)
 }
 
-func (p *Proxy) carry(conn net.Conn) {
+func (p *Proxy) forward(conn net.Conn) {
 	defer conn.Close()
 	c := &proxied{client: conn}
-	switch p.enter(c) {
+	switch p.add(c) {
 	case Down, Broken:
-		p.turnAway(conn)
-		p.leave(c)
+		p.reject(conn)
+		p.remove(c)
 		return
 	}
-	defer p.leave(c)
+	defer p.remove(c)
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
@@ -138,8 +138,8 @@
 	<-done
 }
 
-// turnAway answers a call as a discovery that is down.
-func (p *Proxy) turnAway(conn net.Conn) {
+// reject answers a call as a discovery that is down.
+func (p *Proxy) reject(conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(time.Second))
 	conn.Read(make([]byte, 4096))
 	if mode, _ := p.state(); mode == Down {
--- a/internal/testing/cluster/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -21,29 +21,37 @@
 	Value   float64 `json:"value,omitempty"`
 }
 
-// doings are what a step can do.
-var doings = map[string]func(g *Cluster, s Step) error{
-	"start": func(g *Cluster, s Step) error { return g.Start(s.Who) },
-	"kill":  func(g *Cluster, s Step) error { g.Kill(s.Who); return nil },
-	"term":  func(g *Cluster, s Step) error { g.Term(s.Who); return nil },
-	"stop":  func(g *Cluster, s Step) error { g.Stop(s.Who); return nil },
-	"cont":  func(g *Cluster, s Step) error { g.Cont(s.Who); return nil },
-	"split": func(g *Cluster, s Step) error { g.Split(s.Parts); return g.Apply() },
-	"cut":   func(g *Cluster, s Step) error { g.Cut(s.Who, s.To, true); return g.Apply() },
-	"join":  func(g *Cluster, _ Step) error { clear(g.cut); return g.Apply() },
-	"loss":  func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Loss = s.Value }) },
-	"twice": func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Twice = s.Value }) },
-	"delay": func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.DelayMs = s.Value }) },
-	"late": func(g *Cluster, s Step) error {
-		return g.all(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
+// actions are what a step can do.
+var actions = map[string]func(fleet *Cluster, s Step) error{
+	"start": func(fleet *Cluster, s Step) error { return fleet.Start(s.Who) },
+	"kill":  func(fleet *Cluster, s Step) error { fleet.Kill(s.Who); return nil },
+	"term":  func(fleet *Cluster, s Step) error { fleet.Term(s.Who); return nil },
+	"stop":  func(fleet *Cluster, s Step) error { fleet.Stop(s.Who); return nil },
+	"cont":  func(fleet *Cluster, s Step) error { fleet.Cont(s.Who); return nil },
+	"split": func(fleet *Cluster, s Step) error { fleet.Split(s.Parts); return fleet.ApplyCuts() },
+	"cut":   func(fleet *Cluster, s Step) error { fleet.Cut(s.Who, s.To, true); return fleet.ApplyCuts() },
+	"join":  func(fleet *Cluster, _ Step) error { clear(fleet.cuts); return fleet.ApplyCuts() },
+	"loss": func(fleet *Cluster, s Step) error {
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Loss = s.Value })
 	},
-	"rate": func(g *Cluster, s Step) error { return g.Rule(s.Who, func(r *faultpoint.Rules) { r.Rate = s.Value }) },
-	"heal": func(g *Cluster, _ Step) error { return g.Heal() },
+	"twice": func(fleet *Cluster, s Step) error {
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Twice = s.Value })
+	},
+	"delay": func(fleet *Cluster, s Step) error {
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.DelayMs = s.Value })
+	},
+	"late": func(fleet *Cluster, s Step) error {
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
+	},
+	"rate": func(fleet *Cluster, s Step) error {
+		return fleet.ChangeFaults(s.Who, func(r *faultpoint.Rules) { r.Rate = s.Value })
+	},
+	"heal": func(fleet *Cluster, _ Step) error { return fleet.Heal() },
 }
 
-func (g *Cluster) all(change func(*faultpoint.Rules)) error {
-	for i := range g.Relays {
-		if err := g.Rule(i, change); err != nil {
+func (fleet *Cluster) changeAllFaults(change func(*faultpoint.Rules)) error {
+	for i := range fleet.Relays {
+		if err := fleet.ChangeFaults(i, change); err != nil {
 			return err
 		}
 	}
@@ -51,22 +59,22 @@
 }
 
 // Play carries a schedule out.
-func (g *Cluster) Play(all []Step) error {
+func (fleet *Cluster) Play(all []Step) error {
 	for _, s := range all {
 		time.Sleep(time.Duration(s.AfterMs * float64(time.Millisecond)))
-		do, ok := doings[s.Do]
-		if !ok || s.Who < 0 || s.Who >= len(g.Relays) || s.To < 0 || s.To >= len(g.Relays) || s.Do == "split" && len(s.Parts) != len(g.Relays) {
+		do, ok := actions[s.Do]
+		if !ok || s.Who < 0 || s.Who >= len(fleet.Relays) || s.To < 0 || s.To >= len(fleet.Relays) || s.Do == "split" && len(s.Parts) != len(fleet.Relays) {
 			return fmt.Errorf("a schedule's step that cannot be: %+v", s)
 		}
-		if err := do(g, s); err != nil {
+		if err := do(fleet, s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Draw draws a schedule of faults for n relays that run.
-func Draw(seed uint64, n, steps int) (all []Step) {
+// DrawSchedule draws a schedule of faults for n relays that run.
+func DrawSchedule(seed uint64, n, steps int) (all []Step) {
 	rng := rand.New(rand.NewPCG(seed, 0x67726f756e64))
 	for i := range n { // the clocks first: they differ all the while
 		all = append(all, Step{Do: "rate", Who: i, Value: 1 + 0.05*(2*rng.Float64()-1)})
@@ -105,8 +113,8 @@
 	return all
 }
 
-// Write keeps a schedule in a file, from which Read takes it to be played again.
-func Write(path string, all []Step) error {
+// WriteSchedule keeps a schedule in a file, from which Read takes it to be played again.
+func WriteSchedule(path string, all []Step) error {
 	text, err := json.MarshalIndent(all, "", " ")
 	if err != nil {
 		return err
@@ -114,13 +122,13 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// Read reads a schedule.
-func Read(path string) (all []Step, err error) {
+// ReadSchedule reads a schedule.
+func ReadSchedule(path string) (all []Step, err error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
 		err = json.Unmarshal(text, &all)
 	}
-	if err == nil && slices.ContainsFunc(all, func(s Step) bool { return doings[s.Do] == nil }) {
+	if err == nil && slices.ContainsFunc(all, func(s Step) bool { return actions[s.Do] == nil }) {
 		err = fmt.Errorf("%s: a step that does nothing known", path)
 	}
 	return all, err
--- a/internal/testing/cluster/schedule_test.go
+++ b/internal/testing/cluster/schedule_test.go
@@ -12,14 +12,14 @@
 // Drawn schedules. CAPERSAIL_REPLAY names a file with one to be played instead.
 func TestDrawnSchedules(t *testing.T) {
 	seeds := 2
-	if long() {
+	if longRun() {
 		seeds = 40
 	}
 	play := func(t *testing.T, all []Step) {
-		g := lay(t, Plan{Relays: 7}, 7)
-		await(t, patience()+10*time.Second, "at first", g.settled)
+		fleet := newCluster(t, Layout{Relays: 7}, 7)
+		await(t, waitLimit()+10*time.Second, "at first", fleet.checkSettled)
 		file := filepath.Join(os.TempDir(), strings.ReplaceAll(t.Name(), "/", "-")+".json")
-		Write(file, all)
+		WriteSchedule(file, all)
 		defer func() {
 			if !t.Failed() {
 				os.Remove(file)
@@ -27,19 +27,19 @@
 			}
 			t.Logf("to play it again: CAPERSAIL_REPLAY=%s go test ./internal/testing/cluster -run TestDrawnSchedules", file)
 		}()
-		if err := g.Play(all); err != nil {
+		if err := fleet.Play(all); err != nil {
 			t.Fatal(err)
 		}
-		for i := range g.Relays {
-			g.Start(i)
+		for i := range fleet.Relays {
+			fleet.Start(i)
 		}
-		if err := g.Heal(); err != nil {
+		if err := fleet.Heal(); err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("one view %v after the heal", await(t, patience()+5*time.Second, "after the heal", g.agreed).Round(10*time.Millisecond))
+		t.Logf("one view %v after the heal", await(t, waitLimit()+5*time.Second, "after the heal", fleet.checkAgreed).Round(10*time.Millisecond))
 	}
 	if file := os.Getenv("CAPERSAIL_REPLAY"); file != "" {
-		all, err := Read(file)
+		all, err := ReadSchedule(file)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,10 +48,10 @@
 	}
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			if !long() || seed%4 != 3 {
+			if !longRun() || seed%4 != 3 {
 				t.Parallel()
 			}
-			play(t, Draw(seed, 7, 14))
+			play(t, DrawSchedule(seed, 7, 14))
 		})
 	}
 }
--- a/internal/testing/cluster/shares.go
+++ b/internal/testing/cluster/shares.go
@@ -6,10 +6,10 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// MostTaken is the greatest sum of shares that the relays took at any moment of the budgets of one zone, and when that was. A relay
+// PeakShareSum is the greatest sum of shares that the relays took at any moment of the budgets of one zone, and when that was. A relay
 // takes its share from its line on until the next one, until the share lapses, or until its process has ended; in a cell a near
 // one in some zones and a far one in all others.
-func MostTaken(all []faultpoint.Noted) (most float64, at float64) {
+func PeakShareSum(all []faultpoint.Noted) (most float64, at float64) {
 	held := map[string]faultpoint.Noted{}
 	zones := []string{""} // one that is near to no cell
 	for _, n := range all {
@@ -39,9 +39,9 @@
 	return most, at
 }
 
-// LeastNear is the least near share that a relay had at any moment between two: what it noted last before the first, and what it noted
+// LowestNearShare is the least near share that a relay had at any moment between two: what it noted last before the first, and what it noted
 // until the second. A share that lapsed meanwhile counts as none.
-func LeastNear(all []faultpoint.Noted, name string, from, to float64) float64 {
+func LowestNearShare(all []faultpoint.Noted, name string, from, to float64) float64 {
 	least, until := -1.0, 0.0
 	for _, n := range all {
 		if n.Name != name || n.Event != "" || n.T > to {
--- a/internal/testing/cluster/shares_test.go
+++ b/internal/testing/cluster/shares_test.go
@@ -16,7 +16,7 @@
 		1:   {line(0, "a", 0.5, 1), line(2, "b", 1, 9)},
 		0.9: {line(0, "a", 0.5, 0), {T: 1, Name: "a", Event: "kill"}, line(2, "b", 0.9, 9)},
 	} {
-		if got, _ := MostTaken(all); got != want {
+		if got, _ := PeakShareSum(all); got != want {
 			t.Errorf("%v, want %v", got, want)
 		}
 	}
@@ -33,16 +33,16 @@
 		0.5:  {line(0, "a", 0.5, 0.5), line(1, "a", 0.25, 0.25)},
 		1.75: {line(0, "a", 0.75, 0.25, "x"), {T: 1, Name: "b", Share: 1}},
 	} {
-		if got, _ := MostTaken(all); got != want {
+		if got, _ := PeakShareSum(all); got != want {
 			t.Errorf("%v, want %v", got, want)
 		}
 	}
 	lapses := line(0, "a", 0.5, 0, "x")
 	lapses.Until = 4
-	if got := LeastNear([]faultpoint.Noted{lapses, line(5, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0 {
+	if got := LowestNearShare([]faultpoint.Noted{lapses, line(5, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0 {
 		t.Errorf("a share that has lapsed for a while is %v", got)
 	}
-	if got := LeastNear([]faultpoint.Noted{line(0, "a", 0.5, 0, "x"), line(5, "a", 0.25, 0, "x"), line(6, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0.25 {
+	if got := LowestNearShare([]faultpoint.Noted{line(0, "a", 0.5, 0, "x"), line(5, "a", 0.25, 0, "x"), line(6, "a", 0.5, 0, "x")}, "a", 1, 9); got != 0.25 {
 		t.Errorf("the least is %v", got)
 	}
 }
--- a/internal/testing/cluster/soak_test.go
+++ b/internal/testing/cluster/soak_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	soakRelays  = 24
-	soakTargets = 10
-	soakRate    = 150.0 // requests a second
-	soakFor     = 22 * time.Second
-	soakWindow  = 1200 // ms in which targets know a repeat of the guarded class again
-	soakFaults  = 9    // faults that go on beside each other
-	soakPushed  = 3    // lists are pushed on each of so many seeds
+	soakRelays    = 24
+	soakServers   = 10
+	soakRate      = 150.0 // requests a second
+	soakFor       = 22 * time.Second
+	soakWindow    = 1200 // ms in which targets know a repeat of the guarded class again
+	soakFaults    = 9    // faults that go on beside each other
+	soakPushEvery = 3    // lists are pushed on each of so many seeds
 )
 
 // soakClasses have every effect. The seed draws which a request is of.
@@ -39,66 +39,66 @@
 // soak is one run: a fleet, its clients and the faults, drawn from a seed.
 type soak struct {
 	*Cluster
-	pushed  bool // lists come from an agent of each relay's own
-	judge   *Judge
-	proxies []*Proxy
-	targets []*Target
-	serves  []atomic.Bool // whether clients may come to a relay
-	busy    []atomic.Bool // a fault of the relay's process is on
-	away    []atomic.Bool // a target is off the list
-	seen    sync.Map      // how many faults of each kind there were
-	control sync.Mutex    // of the Ground, which is not safe for use by many
+	pushedLists  bool // lists come from an agent of each relay's own
+	judge        *Judge
+	proxies      []*Proxy
+	servers      []*FaultyServer
+	serving      []atomic.Bool // whether clients may come to a relay
+	processFault []atomic.Bool // a fault of the relay's process is on
+	removed      []atomic.Bool // a target is off the list
+	faultCounts  sync.Map      // how many faults of each kind there were
+	clusterMu    sync.Mutex    // of the Ground, which is not safe for use by many
 }
 
 func newSoak(t *testing.T, seed uint64) *soak {
 	settings := map[string]any{"classes": soakClasses, "balancers": 300}
-	pushed := seed%soakPushed == 0
+	pushed := seed%soakPushEvery == 0
 	if pushed {
 		settings["discovery"] = "push"
 	}
-	g := lay(t, Plan{Relays: soakRelays, Alone: true, Settings: settings}, 0)
-	s := &soak{Cluster: g, pushed: pushed, judge: NewJudge(soakWindow), serves: make([]atomic.Bool, soakRelays), busy: make([]atomic.Bool, soakRelays),
-		away: make([]atomic.Bool, soakTargets)}
-	for i := range soakTargets {
-		target, err := NewTarget(fmt.Sprintf("s%d", i))
+	fleet := newCluster(t, Layout{Relays: soakRelays, WithoutMembers: true, Settings: settings}, 0)
+	s := &soak{Cluster: fleet, pushedLists: pushed, judge: NewJudge(soakWindow), serving: make([]atomic.Bool, soakRelays), processFault: make([]atomic.Bool, soakRelays),
+		removed: make([]atomic.Bool, soakServers)}
+	for i := range soakServers {
+		target, err := NewFaultyServer(fmt.Sprintf("s%d", i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(target.Close)
-		s.targets = append(s.targets, target)
-		g.Discovery.Set(target.ID, target.Address, "Ready")
+		s.servers = append(s.servers, target)
+		fleet.Discovery.Set(target.ID, target.Address, "Ready")
 	}
-	known := map[string]any{"generation": 1, "reset": true, "instances": readyTargets(s.targets)}
+	known := map[string]any{"generation": 1, "reset": true, "instances": readyServers(s.servers)}
 	for i := range soakRelays { // each process starts with this list, however old it is by then
-		if err := g.Reconfigure(i, map[string]any{"known": known}); err != nil {
+		if err := fleet.Reconfigure(i, map[string]any{"known": known}); err != nil {
 			t.Fatal(err)
 		}
-		s.proxies = append(s.proxies, before(t, g, i))
-		s.start(t, i)
+		s.proxies = append(s.proxies, proxyDiscovery(t, fleet, i))
+		s.startRelay(t, i)
 	}
 	return s
 }
 
-// readyTargets is the list of the targets as all of them are ready.
-func readyTargets(targets []*Target) (all []json.RawMessage) {
+// readyServers is the list of the targets as all of them are ready.
+func readyServers(targets []*FaultyServer) (all []json.RawMessage) {
 	for _, target := range targets {
 		all = append(all, json.RawMessage(fake.Entry(target.ID, target.Address, "Ready")))
 	}
 	return all
 }
 
-// start starts a relay's process and lets clients come once it answers.
-func (s *soak) start(t *testing.T, i int) {
-	s.control.Lock()
+// startRelay starts a relay's process and lets clients come once it answers.
+func (s *soak) startRelay(t *testing.T, i int) {
+	s.clusterMu.Lock()
 	err := s.Start(i)
-	s.control.Unlock()
+	s.clusterMu.Unlock()
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	heard := func() {}
-	if !s.pushed { // its first call has its turn; a watch of its own agent is opened at once
-		heard = s.judge.Deaf(i)
+	if !s.pushedLists { // its first call has its turn; a watch of its own agent is opened at once
+		heard = s.judge.DiscoveryLost(i)
 	}
 	for range 100 {
 		if conn, err := net.DialTimeout("tcp", s.Relays[i].Listen, time.Second); err == nil {
@@ -107,72 +107,72 @@
 		}
 		wait(20)
 	}
-	s.serves[i].Store(true)
+	s.serving[i].Store(true)
 	time.AfterFunc(10*time.Second, heard)
 }
 
-// count notes a fault.
-func (s *soak) count(kind string) {
-	n, _ := s.seen.LoadOrStore(kind, new(atomic.Int64))
+// countFault notes a fault.
+func (s *soak) countFault(kind string) {
+	n, _ := s.faultCounts.LoadOrStore(kind, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
 }
 
-// fault plays one fault to its end.
-func (s *soak) fault(t *testing.T, rng *rand.Rand) {
+// playFault plays one playFault to its end.
+func (s *soak) playFault(t *testing.T, rng *rand.Rand) {
 	ms := func(from, to float64) float64 { return from + (to-from)*rng.Float64() }
-	relay, target := rng.IntN(soakRelays), rng.IntN(soakTargets)
+	relay, target := rng.IntN(soakRelays), rng.IntN(soakServers)
 	switch rng.IntN(11) {
 	case 0, 1, 2:
-		s.deafen(relay, []ProxyMode{Silent, Trickle, Down, Broken, Hung}[rng.IntN(5)], ms(500, 9000))
+		s.disturbDiscovery(relay, []ProxyMode{Silent, Trickle, Down, Broken, Hung}[rng.IntN(5)], ms(500, 9000))
 	case 3, 4, 5:
-		s.remove(target, []string{"Gone", "Terminating"}[rng.IntN(2)], ms(500, 15_000))
+		s.removeServer(target, []string{"Gone", "Terminating"}[rng.IntN(2)], ms(500, 15_000))
 	case 6:
-		s.count("target fails")
-		s.targets[target].Set(TargetMode(1 + rng.IntN(int(targets)-1)))
+		s.countFault("target fails")
+		s.servers[target].SetMode(ServerMode(1 + rng.IntN(int(serverModes)-1)))
 		wait(ms(300, 4000))
-		s.targets[target].Set(Takes)
+		s.servers[target].SetMode(Accept)
 	case 7, 10:
-		s.restart(t, relay, rng.IntN(2) == 0, ms(0, 1000))
+		s.restartRelay(t, relay, rng.IntN(2) == 0, ms(0, 1000))
 	case 8:
-		s.hold(relay, ms(50, 140))
+		s.pauseRelay(relay, ms(50, 140))
 	case 9:
-		s.count("reload")
-		s.control.Lock()
-		s.Hup(relay)
-		s.control.Unlock()
+		s.countFault("reload")
+		s.clusterMu.Lock()
+		s.Reload(relay)
+		s.clusterMu.Unlock()
 		wait(ms(0, 500))
 	}
 }
 
-// disturbed tells the judge that a relay may not hear discovery, and returns what ends that. What a relay's own agent has counts as told
+// discoveryLost tells the judge that a relay may not hear discovery, and returns what ends that. What a relay's own agent has counts as told
 // unless the watch is silent: a break does not excuse it.
-func (s *soak) disturbed(relay int, mode ProxyMode) (end func()) {
-	if s.pushed && (mode == Down || mode == Broken || mode == Hung) {
+func (s *soak) discoveryLost(relay int, mode ProxyMode) (end func()) {
+	if s.pushedLists && (mode == Down || mode == Broken || mode == Hung) {
 		return func() {}
 	}
-	return s.judge.Deaf(relay)
+	return s.judge.DiscoveryLost(relay)
 }
 
-// deafen disturbs a relay's way to discovery. Its next call may be late by what calls that hang and a back-off take.
-func (s *soak) deafen(relay int, mode ProxyMode, ms float64) {
-	s.count("deaf")
-	heard := s.disturbed(relay, mode)
-	s.proxies[relay].Set(mode)
+// disturbDiscovery disturbs a relay's way to discovery. Its next call may be late by what calls that hang and a back-off take.
+func (s *soak) disturbDiscovery(relay int, mode ProxyMode, ms float64) {
+	s.countFault("deaf")
+	heard := s.discoveryLost(relay, mode)
+	s.proxies[relay].SetMode(mode)
 	wait(ms)
-	s.proxies[relay].Set(Pass)
+	s.proxies[relay].SetMode(Pass)
 	time.AfterFunc(14*time.Second, heard)
 }
 
-// remove takes a target off the list for a while; one that is gone has died.
-func (s *soak) remove(i int, lifecycle string, ms float64) {
-	if s.away[i].Swap(true) {
+// removeServer takes a target off the list for a while; one that is gone has died.
+func (s *soak) removeServer(i int, lifecycle string, ms float64) {
+	if s.removed[i].Swap(true) {
 		return
 	}
-	defer s.away[i].Store(false)
-	s.count(lifecycle)
-	target := s.targets[i]
+	defer s.removed[i].Store(false)
+	s.countFault(lifecycle)
+	target := s.servers[i]
 	s.Discovery.Set(target.ID, target.Address, lifecycle)
-	back := s.judge.Leaves(target.ID)
+	back := s.judge.RecordAbsence(target.ID)
 	if lifecycle == "Gone" {
 		target.Reset()
 	}
@@ -181,55 +181,55 @@
 	s.Discovery.Set(target.ID, target.Address, "Ready")
 }
 
-// restart ends a relay's process, by force or in order, and starts it anew.
-func (s *soak) restart(t *testing.T, i int, force bool, pause float64) {
-	if s.busy[i].Swap(true) {
+// restartRelay ends a relay's process, by force or in order, and starts it anew.
+func (s *soak) restartRelay(t *testing.T, i int, force bool, pause float64) {
+	if s.processFault[i].Swap(true) {
 		return
 	}
-	defer s.busy[i].Store(false)
-	s.serves[i].Store(false)
+	defer s.processFault[i].Store(false)
+	s.serving[i].Store(false)
 	if force {
-		s.count("kill")
-		dead := s.judge.Dead(i)
-		s.control.Lock()
+		s.countFault("kill")
+		dead := s.judge.ProcessDown(i)
+		s.clusterMu.Lock()
 		s.Kill(i)
-		s.control.Unlock()
+		s.clusterMu.Unlock()
 		time.AfterFunc(200*time.Millisecond, dead)
 	} else {
-		s.count("leave")
+		s.countFault("leave")
 		s.Term(i)
 	}
 	wait(pause)
-	s.start(t, i)
+	s.startRelay(t, i)
 }
 
-// hold stops a relay's process for as long as one may be held up.
-func (s *soak) hold(i int, ms float64) {
-	if s.busy[i].Swap(true) {
+// pauseRelay stops a relay's process for as long as one may be held up.
+func (s *soak) pauseRelay(i int, ms float64) {
+	if s.processFault[i].Swap(true) {
 		return
 	}
-	defer s.busy[i].Store(false)
-	s.count("held up")
+	defer s.processFault[i].Store(false)
+	s.countFault("held up")
 	s.Stop(i)
 	wait(ms)
 	s.Cont(i)
 }
 
-// client sends one request and tells the judge what became of it.
-func (s *soak) client(ctx context.Context, n int, rng *rand.Rand) {
+// sendRequest sends one request and tells the judge what became of it.
+func (s *soak) sendRequest(ctx context.Context, n int, rng *rand.Rand) {
 	relay := rng.IntN(soakRelays)
-	if !s.serves[relay].Load() {
+	if !s.serving[relay].Load() {
 		return
 	}
 	class := rng.IntN(len(soakClasses))
-	r := Request{ID: fmt.Sprintf("q%d", n), Relay: relay, Effect: []decide.Idempotency{decide.Idempotent, decide.IdempotentWithKey, decide.NonIdempotent}[class]}
-	defer func() { s.judge.Asked(r) }()
+	r := Request{ID: fmt.Sprintf("q%d", n), Relay: relay, Idempotency: []decide.Idempotency{decide.Idempotent, decide.IdempotentWithKey, decide.NonIdempotent}[class]}
+	defer func() { s.judge.RecordRequest(r) }()
 	conn, err := net.DialTimeout("tcp", s.Relays[relay].Listen, time.Second)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	line := fmt.Sprintf("OPEN %s %x c=%s,t=acme,d=%.0f\r\n", r.ID, rng.Uint64(), soakClasses[class]["name"], clientPatience)
+	line := fmt.Sprintf("OPEN %s %x c=%s,t=acme,d=%.0f\r\n", r.ID, rng.Uint64(), soakClasses[class]["name"], requestDeadline)
 	if rng.IntN(4) == 0 { // in pieces
 		cut := rng.IntN(len(line))
 		fmt.Fprint(conn, line[:cut])
@@ -240,7 +240,7 @@
 		return
 	}
 	r.Sent = Now()
-	patience := clientPatience + 2000
+	patience := requestDeadline + 2000
 	leaves := rng.IntN(8) == 0
 	if leaves {
 		patience = 400 * rng.Float64()
@@ -262,20 +262,20 @@
 	}
 }
 
-// load brings requests until the context ends, and waits for the last of them.
-func (s *soak) load(ctx context.Context, seed uint64) {
+// sendLoad brings requests until the context ends, and waits for the last of them.
+func (s *soak) sendLoad(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	for n := 0; ctx.Err() == nil; n++ {
 		wait(rng.ExpFloat64() / soakRate * 1000)
 		own := rand.New(rand.NewPCG(seed, uint64(n)+2))
-		clients.Go(func() { s.client(ctx, n, own) })
+		clients.Go(func() { s.sendRequest(ctx, n, own) })
 	}
 }
 
-// play lets faults overlap until the context ends.
-func (s *soak) play(ctx context.Context, t *testing.T, seed uint64) {
+// playFaults lets faults overlap until the context ends.
+func (s *soak) playFaults(ctx context.Context, t *testing.T, seed uint64) {
 	var faults sync.WaitGroup
 	defer faults.Wait()
 	for i := range soakFaults {
@@ -283,7 +283,7 @@
 		faults.Go(func() {
 			for ctx.Err() == nil {
 				wait(500 * rng.Float64())
-				s.fault(t, rng)
+				s.playFault(t, rng)
 			}
 		})
 	}
@@ -312,24 +312,24 @@
 func TestSoak(t *testing.T) {
 	first, n := soakSeeds(t)
 	for seed := first; seed < first+n; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soakOnce(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
-func soakOnce(t *testing.T, seed uint64) {
+func runSoak(t *testing.T, seed uint64) {
 	s := newSoak(t, seed)
 	wait(5000) // the relays' first calls are spread
 	ctx, stop := context.WithTimeout(t.Context(), soakFor)
 	defer stop()
 	var all sync.WaitGroup
-	all.Go(func() { s.load(ctx, seed) })
-	all.Go(func() { s.play(ctx, t, seed) })
+	all.Go(func() { s.sendLoad(ctx, seed) })
+	all.Go(func() { s.playFaults(ctx, t, seed) })
 	all.Wait()
 	var arrivals []Arrival
-	for _, target := range s.targets {
+	for _, target := range s.servers {
 		arrivals = append(arrivals, target.Arrivals()...)
 	}
-	broken := s.judge.Verdict(arrivals)
+	broken := s.judge.Violations(arrivals)
 	for i, text := range broken {
 		if i == 12 {
 			t.Errorf("and %d more", len(broken)-i)
@@ -343,7 +343,7 @@
 		}
 	}
 	faults := 0
-	s.seen.Range(func(kind, n any) bool {
+	s.faultCounts.Range(func(kind, n any) bool {
 		faults += int(n.(*atomic.Int64).Load())
 		t.Logf("%s: %d", kind, n.(*atomic.Int64).Load())
 		return true
--- a/internal/testing/cluster/target.go
+++ b/internal/testing/cluster/target.go
@@ -9,28 +9,28 @@
 	"sync/atomic"
 )
 
-// TargetMode is how a Target answers.
-type TargetMode int32
+// ServerMode is how a Target answers.
+type ServerMode int32
 
 // The modes.
 const (
-	Takes   TargetMode = iota // UP, and every line back
-	Hangs                     // nothing
-	Errs                      // ERR
-	IsFull                    // BUSY
-	Resets                    // the connection is reset after its first line
-	targets                   // how many there are
+	Accept         ServerMode = iota // UP, and every line back
+	Hang                             // nothing
+	AnswerError                      // ERR
+	AnswerBusy                       // BUSY
+	ResetAfterOpen                   // the connection is reset after its first line
+	serverModes                      // how many there are
 )
 
 // Arrival is one attempt as it came to a Target.
 type Arrival struct {
 	ID, Server string
 	At, End    float64 // as Now; End is 0 while the connection stands
-	Ran        bool    // it may have run: it was not told BUSY
+	MayHaveRun bool    // it may have run: it was not told BUSY
 }
 
-// Target is a server of the platform's protocol that fails as it is told, and keeps what came to it.
-type Target struct {
+// FaultyServer is a server of the platform's protocol that fails as it is told, and keeps what came to it.
+type FaultyServer struct {
 	ID, Address string
 
 	mode     atomic.Int32
@@ -40,13 +40,13 @@
 	arrivals []*Arrival
 }
 
-// NewTarget starts a server on loopback.
-func NewTarget(id string) (*Target, error) {
+// NewFaultyServer starts a server on loopback.
+func NewFaultyServer(id string) (*FaultyServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	t := &Target{ID: id, Address: l.Addr().String(), listener: l, open: map[net.Conn]struct{}{}}
+	t := &FaultyServer{ID: id, Address: l.Addr().String(), listener: l, open: map[net.Conn]struct{}{}}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -59,11 +59,11 @@
 	return t, nil
 }
 
-// Set changes how it answers from now on.
-func (t *Target) Set(mode TargetMode) { t.mode.Store(int32(mode)) }
+// SetMode changes how it answers from now on.
+func (t *FaultyServer) SetMode(mode ServerMode) { t.mode.Store(int32(mode)) }
 
 // Reset breaks all connections, as a process that dies does.
-func (t *Target) Reset() {
+func (t *FaultyServer) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for conn := range t.open {
@@ -73,13 +73,13 @@
 }
 
 // Close ends the server.
-func (t *Target) Close() {
+func (t *FaultyServer) Close() {
 	t.listener.Close()
 	t.Reset()
 }
 
 // Arrivals are all attempts that have come.
-func (t *Target) Arrivals() (all []Arrival) {
+func (t *FaultyServer) Arrivals() (all []Arrival) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range t.arrivals {
@@ -88,13 +88,13 @@
 	return all
 }
 
-func (t *Target) enter(conn net.Conn) {
+func (t *FaultyServer) addConnection(conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.open[conn] = struct{}{}
 }
 
-func (t *Target) leave(conn net.Conn, a *Arrival) {
+func (t *FaultyServer) removeConnection(conn net.Conn, a *Arrival) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.open, conn)
@@ -104,18 +104,18 @@
 	conn.Close()
 }
 
-func (t *Target) came(id string) *Arrival {
+func (t *FaultyServer) recordArrival(id string) *Arrival {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a := &Arrival{ID: id, Server: t.ID, At: Now(), Ran: TargetMode(t.mode.Load()) != IsFull}
+	a := &Arrival{ID: id, Server: t.ID, At: Now(), MayHaveRun: ServerMode(t.mode.Load()) != AnswerBusy}
 	t.arrivals = append(t.arrivals, a)
 	return a
 }
 
-func (t *Target) serve(conn net.Conn) {
-	t.enter(conn)
+func (t *FaultyServer) serve(conn net.Conn) {
+	t.addConnection(conn)
 	var a *Arrival
-	defer func() { t.leave(conn, a) }()
+	defer func() { t.removeConnection(conn, a) }()
 	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
@@ -125,13 +125,13 @@
 		text := strings.TrimSpace(line)
 		switch {
 		case text == "STATS" || text == "PING":
-			if TargetMode(t.mode.Load()) != Hangs {
+			if ServerMode(t.mode.Load()) != Hang {
 				fmt.Fprint(conn, "PONG x0=0.1\r\n")
 			}
 		case a != nil:
 			fmt.Fprint(conn, line)
 		default:
-			a = t.came(strings.Fields(text + " - -")[1])
+			a = t.recordArrival(strings.Fields(text + " - -")[1])
 			if !t.answer(conn, a) {
 				return
 			}
@@ -140,22 +140,22 @@
 }
 
 // answer answers a first line, and tells whether the connection goes on.
-func (t *Target) answer(conn net.Conn, a *Arrival) bool {
-	mode := TargetMode(t.mode.Load())
-	if !a.Ran { // its mode has changed in this moment
-		mode = IsFull
+func (t *FaultyServer) answer(conn net.Conn, a *Arrival) bool {
+	mode := ServerMode(t.mode.Load())
+	if !a.MayHaveRun { // its mode has changed in this moment
+		mode = AnswerBusy
 	}
 	switch mode {
-	case Takes:
+	case Accept:
 		fmt.Fprintf(conn, "UP %s\r\n", a.ID)
 		return true
-	case Hangs:
+	case Hang:
 		return true
-	case Errs:
+	case AnswerError:
 		fmt.Fprint(conn, "ERR\r\n")
-	case IsFull:
+	case AnswerBusy:
 		fmt.Fprint(conn, "BUSY\r\n")
-	case Resets:
+	case ResetAfterOpen:
 		conn.(*net.TCPConn).SetLinger(0)
 	}
 	return false
