--- /dev/null
+++ b/internal/testing/expectedfail/list.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+)
+
+// maxExpected is how many tests may be listed: a longer list is a habit, not an exception.
+const maxExpected = 3
+
+// expected is one line of the list: a test that fails for a real fault.
+type expected struct {
+	pkg, test    string
+	cause, issue string
+}
+
+// parse reads the list: `PACKAGE TEST | cause | issue` on each line, the package as a path from the project's
+// root. Empty lines are passed over. It fails on any other line, and on a list that is too long.
+func parse(text string) (list []expected, err error) {
+	for i, line := range strings.Split(text, "\n") {
+		if strings.TrimSpace(line) == "" {
+			continue
+		}
+		entry, ok := parseLine(line)
+		if !ok {
+			return nil, fmt.Errorf("line %d: `PACKAGE TEST | cause | issue` is wanted: %s", i+1, line)
+		}
+		list = append(list, entry)
+	}
+	if len(list) > maxExpected {
+		return nil, fmt.Errorf("%d tests are listed, %d at most may be", len(list), maxExpected)
+	}
+	return list, nil
+}
+
+func parseLine(line string) (entry expected, ok bool) {
+	parts := strings.Split(line, "|")
+	if len(parts) != 3 {
+		return expected{}, false
+	}
+	name := strings.Fields(parts[0])
+	cause, issue := strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])
+	if len(name) != 2 || cause == "" || issue == "" {
+		return expected{}, false
+	}
+	return expected{name[0], name[1], cause, issue}, true
+}
+
+// isIn reports whether the test's package is the one of a full import path.
+func (e expected) isIn(pkg string) bool {
+	return pkg == e.pkg || strings.HasSuffix(pkg, "/"+e.pkg)
+}
+
+// hasPart reports whether a test of the same package is the listed one, or a subtest of it.
+func (e expected) hasPart(test string) bool {
+	return e.test == test || strings.HasPrefix(test, e.test+"/")
+}
