--- a/internal/testing/cluster/loadreports_test.go
+++ b/internal/testing/cluster/loadreports_test.go
@@ -288,7 +288,7 @@
 		t.Logf("%.2f of its fair part to one server, %.2f probes a second at one; rejected %d of %d",
 			unfairness, probeRate, m.tally.Busy.Load(), m.tally.Up.Load())
 		if probeRate < 4 {
-			t.Errorf("each for itself, a server is probed %.2f times a second: this test would find nothing", probeRate)
+			t.Errorf("each for itself: %.2f probes a second at one server, this test would find nothing", probeRate)
 		}
 	})
 }
--- /dev/null
+++ b/internal/testing/faultpoint/network.go
@@ -0,0 +1,36 @@
+//go:build faults
+
+package faultpoint
+
+import (
+	"slices"
+	"time"
+)
+
+// Reaches reports whether a connection to an address can be made: both ways have to be open.
+func Reaches(address string) bool {
+	r := rules.Load()
+	return !slices.Contains(r.Cut, address) && !slices.Contains(r.CutFrom, address)
+}
+
+// Packet draws what becomes of a packet to an address: it returns the delays after which copies of it are to
+// be sent, none if it is lost.
+func Packet(address string) (delays []time.Duration) {
+	r := rules.Load()
+	if slices.Contains(r.Cut, address) {
+		return nil
+	}
+	random.Lock()
+	defer random.Unlock()
+	for again := true; again; again = random.Float64() < r.Twice {
+		if random.Float64() < r.Loss {
+			continue
+		}
+		ms := r.DelayMs * random.Float64()
+		if random.Float64() < r.Late {
+			ms += r.LateMs
+		}
+		delays = append(delays, time.Duration(ms*float64(time.Millisecond)))
+	}
+	return delays
+}
