--- a/internal/simulation/scale/calibrate.go
+++ b/internal/simulation/scale/calibrate.go
@@ -15,8 +15,8 @@
 // included: measured on endpoints whose packets are read and thrown away. It is to be called in the kind of time that is measured in.
 func PacketCost(layout Layout) time.Duration {
 	const endpoints, rounds, size = 100, 200, 250
-	var kinds tally
-	simulated := network.New(network.Config{Place: func(string) network.Place { return layout.Place(0) }, Delay: layout.Delay, Inspect: kinds.packet})
+	var kinds trafficCounter
+	simulated := network.New(network.Config{Place: func(string) network.Place { return layout.Place(0) }, Delay: layout.Delay, Inspect: kinds.countPacket})
 	simulated.Record()
 	var readers sync.WaitGroup
 	var all []memberlist.NodeAwareTransport
--- a/internal/simulation/scale/cells.go
+++ b/internal/simulation/scale/celllayout.go
@@ -9,8 +9,8 @@
 	"capersail/internal/wire/gossip"
 )
 
-// planned is how a fleet is divided into cells: the relays of a zone in CellsPerZone cells each.
-type planned struct {
+// cellLayout is how a fleet is divided into cells: the relays of a zone in CellsPerZone cells each.
+type cellLayout struct {
 	plan    cellplan.Plan
 	members map[string][]int // the relays of a cell, by its name
 	zones   map[string]decide.Zone
@@ -21,11 +21,11 @@
 	return fmt.Sprintf("%s-%c", c.Layout.Place(i).Zone, 'a'+rune(i/c.Layout.Zones%c.CellsPerZone))
 }
 
-// contacts are how many relays of a cell are named to other cells, and to its own as seeds.
-const contacts = 3
+// contactsPerCell are how many relays of a cell are named to other cells, and to its own as seeds.
+const contactsPerCell = 3
 
-func newPlanned(c Config) *planned {
-	p := &planned{plan: cellplan.Plan{Number: 1, HomeShare: cellplan.DefaultHomeShare}, members: map[string][]int{}, zones: map[string]decide.Zone{}}
+func newCellLayout(c Config) *cellLayout {
+	p := &cellLayout{plan: cellplan.Plan{Number: 1, HomeShare: cellplan.DefaultHomeShare}, members: map[string][]int{}, zones: map[string]decide.Zone{}}
 	var names []string
 	for i := range c.Relays {
 		name := c.cellOf(i)
@@ -38,7 +38,7 @@
 		members := p.members[name]
 		place := c.Layout.Place(members[0])
 		cell := cellplan.Cell{Name: name, Region: place.Region, Zone: place.Zone, Relays: len(members)}
-		for _, i := range members[:min(contacts, len(members))] {
+		for _, i := range members[:min(contactsPerCell, len(members))] {
 			cell.Contacts = append(cell.Contacts, Address(i))
 		}
 		p.plan.Cells = append(p.plan.Cells, cell)
@@ -47,8 +47,8 @@
 	return p
 }
 
-// enter gives a relay its part in the plan.
-func (p *planned) enter(c *gossip.Config, cell string, i int) {
+// configure gives a relay its part in the plan.
+func (p *cellLayout) configure(c *gossip.Config, cell string, i int) {
 	members := p.members[cell]
 	c.Cell, c.Plan, c.Pace, c.Zones = cell, &p.plan, membership.CellTiming, p.zones
 	c.Founders, c.Seeds = len(members), nil
@@ -56,7 +56,7 @@
 		if member == i {
 			c.InitialPlace = place
 		}
-		if place < contacts {
+		if place < contactsPerCell {
 			c.Seeds = append(c.Seeds, Address(member))
 		}
 	}
--- a/internal/simulation/scale/clock.go
+++ b/internal/simulation/scale/clock.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// realNow is the machine's clock, which virtual time does not change.
-func realNow() time.Duration {
+// machineNow is the machine's clock, which virtual time does not change.
+func machineNow() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		return 0
--- a/internal/simulation/scale/cost_test.go
+++ b/internal/simulation/scale/cost_test.go
@@ -20,8 +20,8 @@
 	realTime = flag.Bool("realtime", false, "run the long tests in real time")
 )
 
-// play runs in virtual time, or in real time where that is asked for.
-func play(t *testing.T, f func(t *testing.T)) {
+// inVirtualTime runs in virtual time, or in real time where that is asked for.
+func inVirtualTime(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	if *realTime {
 		f(t)
@@ -30,18 +30,18 @@
 	synctest.Test(t, f)
 }
 
-// long passes over tests that take minutes.
-func long(t *testing.T) {
+// skipUnlessLong passes over tests that take minutes.
+func skipUnlessLong(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CAPERSAIL_LONG") != "1" {
 		t.Skip("CAPERSAIL_LONG=1 plays it")
 	}
 }
 
-// begin starts a fleet that ends with the test.
-func begin(t *testing.T, c Config) *Fleet {
+// startFleet starts a fleet that ends with the test.
+func startFleet(t *testing.T, c Config) *Fleet {
 	t.Helper()
-	c.Dir, c.Layout = t.TempDir(), Site
+	c.Dir, c.Layout = t.TempDir(), LargeLayout
 	f, err := Start(c)
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +49,8 @@
 	return f
 }
 
-// settled waits until a fleet holds one view that stands.
-func settled(t *testing.T, f *Fleet) {
+// awaitSettled waits until a fleet holds one view that stands.
+func awaitSettled(t *testing.T, f *Fleet) {
 	t.Helper()
 	if _, err := f.AwaitSettled(5 * time.Minute); err != nil {
 		f.Stop()
@@ -61,12 +61,12 @@
 // afterForming is how long the statuses of a fleet that has just formed are passed on.
 const afterForming = 6 * time.Second
 
-// atRest measures a fleet of a size at rest while one packet in a hundred is lost.
-func atRest(t *testing.T, c Config, over time.Duration) (figures Figures) {
-	cost := PacketCost(Site)
-	f := begin(t, c)
+// measureAtRest measures a fleet of a size at rest while one packet in a hundred is lost.
+func measureAtRest(t *testing.T, c Config, over time.Duration) (figures Figures) {
+	cost := PacketCost(LargeLayout)
+	f := startFleet(t, c)
 	defer f.Stop()
-	settled(t, f)
+	awaitSettled(t, f)
 	f.Network.SetLoss(0.01)
 	time.Sleep(afterForming)
 	return f.Measure(over, cost)
@@ -88,13 +88,13 @@
 	return n / every
 }
 
-// prediction is what the bytes out of a relay hang on: something fixed (probes, leases, framing), and a weight of each term.
-type prediction struct {
+// costModel is what the bytes out of a relay hang on: something fixed (probes, leases, framing), and a weight of each term.
+type costModel struct {
 	fixed, status, pushPull float64
 }
 
-// learn takes the weights from the kinds of traffic at some sizes: each kind by least squares through the origin.
-func learn(measured []Figures) (p prediction) {
+// fitCostModel takes the weights from the kinds of traffic at some sizes: each kind by least squares through the origin.
+func fitCostModel(measured []Figures) (p costModel) {
 	var statusXY, statusXX, pushXY, pushXX float64
 	for _, g := range measured {
 		statuses, pushPull := g.KindRate(Statuses), g.KindRate(PushPull)
@@ -108,7 +108,7 @@
 	return p
 }
 
-func (p prediction) at(relays int) float64 {
+func (p costModel) predict(relays int) float64 {
 	return p.fixed + p.status*statusTerm(relays) + p.pushPull*pushPullTerm(relays)
 }
 
@@ -119,14 +119,14 @@
 	const over, tolerance, larger = 16 * time.Second, 0.1, 40
 	var measured []Figures
 	for _, n := range []int{8, 16, 24} {
-		synctest.Test(t, func(t *testing.T) { measured = append(measured, atRest(t, Config{Relays: n}, over)) })
+		synctest.Test(t, func(t *testing.T) { measured = append(measured, measureAtRest(t, Config{Relays: n}, over)) })
 		t.Logf("%d relays: %.0f bytes out a relay a second", n, measured[len(measured)-1].Out.Mean)
 	}
 	var got float64
-	synctest.Test(t, func(t *testing.T) { got = atRest(t, Config{Relays: larger}, over).Out.Mean })
-	learned := learn(measured)
-	want := learned.at(larger)
-	t.Logf("%d relays: %.0f bytes out a relay a second, predicted %.0f by %+v; 600: %.0f, 1100: %.0f", larger, got, want, learned, learned.at(600), learned.at(1100))
+	synctest.Test(t, func(t *testing.T) { got = measureAtRest(t, Config{Relays: larger}, over).Out.Mean })
+	learned := fitCostModel(measured)
+	want := learned.predict(larger)
+	t.Logf("%d relays: %.0f bytes out a relay a second, predicted %.0f by %+v; 600: %.0f, 1100: %.0f", larger, got, want, learned, learned.predict(600), learned.predict(1100))
 	if math.Abs(got/want-1) > tolerance {
 		t.Errorf("%d relays: %.0f bytes out a relay a second, predicted %.0f", larger, got, want)
 	}
@@ -134,42 +134,42 @@
 
 // The figures of one size, for docs/measurements/capacity.md.
 func TestCostOfSize(t *testing.T) {
-	long(t)
-	play(t, func(t *testing.T) {
-		figures := atRest(t, Config{Relays: *relays, Spread: *spreadBy, Servers: *servers, CellsPerZone: *perZone}, *watch)
+	skipUnlessLong(t)
+	inVirtualTime(t, func(t *testing.T) {
+		figures := measureAtRest(t, Config{Relays: *relays, StartSpread: *spreadBy, Servers: *servers, CellsPerZone: *perZone}, *watch)
 		fmt.Printf("%s\n%s\n%s", Header, figures.Row(), figures.KindRows())
 		fmt.Printf("streams opened a second %.3f, goroutines a relay %.1f, packets refused %d, real time %.1f s, processor time %.1f s\n", figures.Streams, figures.Goroutines,
-			figures.Refused, figures.RealTook.Seconds(), figures.RealCPU.Seconds())
+			figures.Overflowed, figures.RealTook.Seconds(), figures.RealCPU.Seconds())
 	})
 }
 
 // How a fleet forms, second by second, and what that takes.
 func TestForming(t *testing.T) {
-	long(t)
-	play(t, func(t *testing.T) {
-		at, cpu := realNow(), processorTime()
-		f := begin(t, Config{Relays: *relays, Spread: *spreadBy, Servers: *servers, CellsPerZone: *perZone})
+	skipUnlessLong(t)
+	inVirtualTime(t, func(t *testing.T) {
+		at, cpu := machineNow(), processorTime()
+		f := startFleet(t, Config{Relays: *relays, StartSpread: *spreadBy, Servers: *servers, CellsPerZone: *perZone})
 		defer f.Stop()
 		done := make(chan struct{})
 		defer close(done)
-		go course(f, done, at, cpu)
+		go printProgress(f, done, at, cpu)
 		one, err := f.AwaitOneView(2 * time.Minute)
-		fmt.Printf("one view %s after the last start, %v; real time %.1f s, processor time %.1f s\n", one, err, (realNow() - at).Seconds(), (processorTime() - cpu).Seconds())
+		fmt.Printf("one view %s after the last start, %v; real time %.1f s, processor time %.1f s\n", one, err, (machineNow() - at).Seconds(), (processorTime() - cpu).Seconds())
 		stands, err := f.AwaitSettled(time.Minute)
-		fmt.Printf("settled %s after that, %v; real time %.1f s, processor time %.1f s; dropped %v, refused %d\n", stands, err, (realNow() - at).Seconds(),
+		fmt.Printf("settled %s after that, %v; real time %.1f s, processor time %.1f s; dropped %v, refused %d\n", stands, err, (machineNow() - at).Seconds(),
 			(processorTime() - cpu).Seconds(), f.Dropped(), f.Network.Overflowed())
 	})
 }
 
-func course(f *Fleet, done <-chan struct{}, wall, cpu time.Duration) {
+func printProgress(f *Fleet, done <-chan struct{}, wall, cpu time.Duration) {
 	for began := time.Now(); ; {
 		select {
 		case <-done:
 			return
 		case <-time.After(time.Second):
 		}
-		k := f.kinds.read()
+		k := f.traffic.snapshot()
 		fmt.Printf("%5.1f s %+v; wall time %.1f s, processor time %.1f s; MB sent: views %d, push-pull %d, statuses %d, liveness %d\n", time.Since(began).Seconds(), f.State(),
-			(realNow() - wall).Seconds(), (processorTime() - cpu).Seconds(), k[Views].Bytes/1e6, k[PushPull].Bytes/1e6, k[Statuses].Bytes/1e6, k[Liveness].Bytes/1e6)
+			(machineNow() - wall).Seconds(), (processorTime() - cpu).Seconds(), k[Views].Bytes/1e6, k[PushPull].Bytes/1e6, k[Statuses].Bytes/1e6, k[Liveness].Bytes/1e6)
 	}
 }
--- a/internal/simulation/scale/events_test.go
+++ b/internal/simulation/scale/events_test.go
@@ -12,39 +12,39 @@
 	"capersail/internal/simulation/network"
 )
 
-// deaths takes down when each relay has learned that one of the others has failed.
-type deaths struct {
-	mu   sync.Mutex
-	name string
-	at   time.Time
-	took map[int]time.Duration // by the relay that learned it
+// deathWatch takes down when each relay has learned that one of the others has failed.
+type deathWatch struct {
+	mu           sync.Mutex
+	awaited      string
+	killedAt     time.Time
+	learnedAfter map[int]time.Duration // by the relay that learned it
 }
 
-func (d *deaths) notice(relay int, c membership.Changed) {
+func (d *deathWatch) record(relay int, c membership.Changed) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.Kind == membership.ChangePeer && c.Name == d.name && (c.State == membership.Failed.String() || c.State == membership.Left.String()) && d.took != nil {
-		if _, known := d.took[relay]; !known {
-			d.took[relay] = time.Since(d.at)
+	if c.Kind == membership.ChangePeer && c.Name == d.awaited && (c.State == membership.Failed.String() || c.State == membership.Left.String()) && d.learnedAfter != nil {
+		if _, known := d.learnedAfter[relay]; !known {
+			d.learnedAfter[relay] = time.Since(d.killedAt)
 		}
 	}
 }
 
 // expect begins to wait for word of one relay's death.
-func (d *deaths) expect(relay int) {
+func (d *deathWatch) expect(relay int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.name, d.at, d.took = Name(relay), time.Now(), map[int]time.Duration{}
+	d.awaited, d.killedAt, d.learnedAfter = Name(relay), time.Now(), map[int]time.Duration{}
 }
 
-// known tells how soon all relays of the same zone, and all others, knew.
-func (d *deaths) known(f *Fleet, dead int) string {
+// summary tells how soon all relays of the same zone, and all others, knew.
+func (d *deathWatch) summary(f *Fleet, dead int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var near, far []time.Duration
 	missing := 0
 	for i, r := range f.relays {
-		took, known := d.took[i]
+		took, known := d.learnedAfter[i]
 		switch {
 		case i == dead:
 		case !known:
@@ -72,8 +72,8 @@
 	return slices.Max(all).Round(time.Millisecond)
 }
 
-// tell prints what an event has cost.
-func tell(what string, rest, g Figures) {
+// printEvent prints what an event has cost.
+func printEvent(what string, rest, g Figures) {
 	ratio, worst := 0.0, network.Sample{}
 	for _, s := range g.Seconds {
 		if s.WireOut() > worst.WireOut() {
@@ -82,8 +82,8 @@
 	}
 	each := float64(max(rest.Relays, 1))
 	ratio = float64(worst.PacketsOut) / (rest.Packets.Mean * each)
-	fmt.Printf("| %s | %d | %.0f | %.0f | %.0f | %.0f / %.0f | %.0f / %.0f | %.2f | %.2f | %.0f | %.1f |\n", what, rest.Relays, g.Took.Seconds(), rest.Out.Mean, g.Out.Mean, g.Out.P99, g.Out.Worst, g.In.P99, g.In.Worst,
-		rest.CPU, g.CPU, float64(worst.Out())/each, ratio)
+	fmt.Printf("| %s | %d | %.0f | %.0f | %.0f | %.0f / %.0f | %.0f / %.0f | %.2f | %.2f | %.0f | %.1f |\n", what, rest.Relays, g.Took.Seconds(), rest.Out.Mean, g.Out.Mean, g.Out.P99, g.Out.MaxSecond, g.In.P99, g.In.MaxSecond,
+		rest.CPUMillis, g.CPUMillis, float64(worst.Out())/each, ratio)
 }
 
 const eventHeader = "| event | relays | seconds | out at rest, B/s | out, B/s | out, 99th / worst second of any relay | in, 99th / worst | CPU at rest, ms a second | CPU, ms a second " +
@@ -92,23 +92,23 @@
 // restBefore is how long a fleet is measured at rest before an event.
 const restBefore = 20 * time.Second
 
-// ready starts a fleet and measures it at rest.
-func ready(t *testing.T, c Config) (f *Fleet, rest Figures, cost time.Duration) {
+// startAtRest starts a fleet and measures it at rest.
+func startAtRest(t *testing.T, c Config) (f *Fleet, rest Figures, cost time.Duration) {
 	t.Helper()
-	cost = PacketCost(Site)
-	f = begin(t, c)
-	settled(t, f)
+	cost = PacketCost(LargeLayout)
+	f = startFleet(t, c)
+	awaitSettled(t, f)
 	f.Network.SetLoss(0.01)
 	time.Sleep(afterForming)
 	return f, f.Measure(restBefore, cost), cost
 }
 
-func size() Config {
-	return Config{Relays: *relays, Spread: *spreadBy, Servers: *servers, CellsPerZone: *perZone}
+func sizeFromFlags() Config {
+	return Config{Relays: *relays, StartSpread: *spreadBy, Servers: *servers, CellsPerZone: *perZone}
 }
 
-// awaitOne waits for one view and tells how long it took.
-func awaitOne(f *Fleet, what string) {
+// printOneView waits for one view and tells how long it took.
+func printOneView(f *Fleet, what string) {
 	took, err := f.AwaitOneView(time.Minute)
 	if err != nil {
 		fmt.Printf("%s: %v\n", what, err)
@@ -119,13 +119,13 @@
 
 // Restarts one after the other, as 310 relays restart once a day, played faster; and a relay that dies.
 func TestEventRestarts(t *testing.T) {
-	long(t)
-	play(t, func(t *testing.T) {
+	skipUnlessLong(t)
+	inVirtualTime(t, func(t *testing.T) {
 		const restarts, every, away = 6, 10 * time.Second, 2 * time.Second
-		var d deaths
-		c := size()
-		c.Notice = d.notice
-		f, rest, cost := ready(t, c)
+		var d deathWatch
+		c := sizeFromFlags()
+		c.OnChange = d.record
+		f, rest, cost := startAtRest(t, c)
 		defer f.Stop()
 		fmt.Println(eventHeader)
 		o := f.Observe(cost)
@@ -139,27 +139,27 @@
 			time.Sleep(every - away)
 		}
 		g := o.End()
-		tell(fmt.Sprintf("%d restarts, one in %s", restarts, every), rest, g)
+		printEvent(fmt.Sprintf("%d restarts, one in %s", restarts, every), rest, g)
 		extra := (g.Out.Mean - rest.Out.Mean) * g.Took.Seconds() / restarts
 		fmt.Printf("a restart costs each relay %.0f bytes out, and %.1f ms; 310 a day: %.1f B/s and %.4f ms a second more in the mean\n", extra,
-			(g.CPU-rest.CPU)*g.Took.Seconds()/restarts, extra*310/86400, (g.CPU-rest.CPU)*g.Took.Seconds()/restarts*310/86400)
-		awaitOne(f, "after the restarts")
+			(g.CPUMillis-rest.CPUMillis)*g.Took.Seconds()/restarts, extra*310/86400, (g.CPUMillis-rest.CPUMillis)*g.Took.Seconds()/restarts*310/86400)
+		printOneView(f, "after the restarts")
 		dead := 5
 		d.expect(dead)
 		o = f.Observe(cost)
 		f.StopRelay(dead, false)
-		awaitOne(f, "a relay dies")
+		printOneView(f, "a relay dies")
 		time.Sleep(5 * time.Second)
-		tell("a relay dies", rest, o.End())
-		fmt.Println(d.known(f, dead))
+		printEvent("a relay dies", rest, o.End())
+		fmt.Println(d.summary(f, dead))
 	})
 }
 
 // A zone is lost, and its relays come back after a while.
 func TestEventZoneLost(t *testing.T) {
-	long(t)
-	play(t, func(t *testing.T) {
-		f, rest, cost := ready(t, size())
+	skipUnlessLong(t)
+	inVirtualTime(t, func(t *testing.T) {
+		f, rest, cost := startAtRest(t, sizeFromFlags())
 		defer f.Stop()
 		fmt.Println(eventHeader)
 		zone := f.relays[3].Place.Zone
@@ -175,26 +175,26 @@
 			ended.Go(func() { f.StopRelay(i, false) })
 		}
 		ended.Wait()
-		awaitOne(f, fmt.Sprintf("%s of %d relays is lost", zone, len(inside)))
+		printOneView(f, fmt.Sprintf("%s of %d relays is lost", zone, len(inside)))
 		time.Sleep(5 * time.Second)
-		tell("a zone is lost", rest, o.End())
+		printEvent("a zone is lost", rest, o.End())
 		o = f.Observe(cost)
 		for _, i := range inside {
 			if err := f.StartRelay(i); err != nil {
 				t.Fatal(err)
 			}
 		}
-		awaitOne(f, "it is back")
+		printOneView(f, "it is back")
 		time.Sleep(5 * time.Second)
-		tell("it is back", rest, o.End())
+		printEvent("it is back", rest, o.End())
 	})
 }
 
 // A region is cut off for a while.
 func TestEventRegionCutOff(t *testing.T) {
-	long(t)
-	play(t, func(t *testing.T) {
-		f, rest, cost := ready(t, size())
+	skipUnlessLong(t)
+	inVirtualTime(t, func(t *testing.T) {
+		f, rest, cost := startAtRest(t, sizeFromFlags())
 		defer f.Stop()
 		fmt.Println(eventHeader)
 		const cutFor = 25 * time.Second
@@ -202,12 +202,12 @@
 		o := f.Observe(cost)
 		f.Network.CutOff("region", region)
 		time.Sleep(cutFor)
-		tell("a region is cut off", rest, o.End())
+		printEvent("a region is cut off", rest, o.End())
 		fmt.Printf("views held at the end of the cut: %s\n", strings.TrimSpace(fmt.Sprintf("%+v", f.State())))
 		o = f.Observe(cost)
 		f.Network.Heal("region")
-		awaitOne(f, "it is healed")
+		printOneView(f, "it is healed")
 		time.Sleep(5 * time.Second)
-		tell("it is healed", rest, o.End())
+		printEvent("it is healed", rest, o.End())
 	})
 }
--- a/internal/simulation/scale/figures.go
+++ b/internal/simulation/scale/figures.go
@@ -10,29 +10,29 @@
 	"capersail/internal/simulation/network"
 )
 
-// Spread is a figure of all relays of a fleet, in bytes or messages a second.
-type Spread struct {
-	Mean  float64 // of all relays and seconds
-	Most  float64 // of the relay that has most of it in the mean
-	P99   float64 // the 99th of 100 seconds of the relay where that is greatest
-	Worst float64 // the worst second of any relay
+// Distribution is a figure of all relays of a fleet, in bytes or messages a second.
+type Distribution struct {
+	Mean      float64 // of all relays and seconds
+	MaxMean   float64 // of the relay that has most of it in the mean
+	P99       float64 // the 99th of 100 seconds of the relay where that is greatest
+	MaxSecond float64 // the worst second of any relay
 }
 
 // Figures are what a fleet costs each of its relays in a second.
 type Figures struct {
 	Relays            int
 	Took              time.Duration // by the fleet's clock
-	Out, In           Spread        // bytes of payload, packets and streams
-	WireOut, WireIn   Spread        // with the headers of a wire
-	Packets           Spread        // that go out
+	Out, In           Distribution  // bytes of payload, packets and streams
+	WireOut, WireIn   Distribution  // with the headers of a wire
+	Packets           Distribution  // that go out
 	Streams           float64       // opened
-	CPU               float64       // ms, without what the simulated network takes
-	NetworkCPU        float64       // ms that were taken off for it
+	CPUMillis         float64       // ms, without what the simulated network takes
+	NetworkCPUMillis  float64       // ms that were taken off for it
 	HeapMB, StackMB   float64       // that live after a collection
 	Goroutines        float64
-	Kinds             Tally            // in all
+	Kinds             Traffic          // in all
 	Seconds           []network.Sample // of all relays together
-	Refused           uint64
+	Overflowed        uint64
 	RealTook, RealCPU time.Duration // of this process, to measure it all
 }
 
@@ -47,36 +47,36 @@
 
 // Observation is a stretch of time that is measured.
 type Observation struct {
-	fleet      *Fleet
-	packetCost time.Duration
-	before     Tally
-	refused    uint64
-	cpu, real  time.Duration
-	began      time.Time
+	fleet                 *Fleet
+	packetCost            time.Duration
+	trafficBefore         Traffic
+	overflowedBefore      uint64
+	cpuBefore, realBefore time.Duration
+	startedAt             time.Time
 }
 
 // Observe begins to measure. packetCost is what PacketCost returned. There is one Observation at a time.
 func (f *Fleet) Observe(packetCost time.Duration) *Observation {
 	f.Network.Record()
-	return &Observation{fleet: f, packetCost: packetCost, before: f.kinds.read(), refused: f.Network.Overflowed(), cpu: processorTime(), real: realNow(), began: time.Now()}
+	return &Observation{fleet: f, packetCost: packetCost, trafficBefore: f.traffic.snapshot(), overflowedBefore: f.Network.Overflowed(), cpuBefore: processorTime(), realBefore: machineNow(), startedAt: time.Now()}
 }
 
 // End tells what the time since Observe has cost.
 func (o *Observation) End() Figures {
-	f, took := o.fleet, time.Since(o.began)
-	elapsed, cpu := realNow()-o.real, processorTime()-o.cpu
-	figures := f.figures(f.Network.Recorded(), took)
+	f, took := o.fleet, time.Since(o.startedAt)
+	elapsed, cpu := machineNow()-o.realBefore, processorTime()-o.cpuBefore
+	figures := f.summarize(f.Network.Recorded(), took)
 	figures.RealTook, figures.RealCPU = elapsed, cpu
-	after := f.kinds.read()
+	after := f.traffic.snapshot()
 	for k := range after {
-		figures.Kinds[k].Messages, figures.Kinds[k].Bytes = after[k].Messages-o.before[k].Messages, after[k].Bytes-o.before[k].Bytes
+		figures.Kinds[k].Messages, figures.Kinds[k].Bytes = after[k].Messages-o.trafficBefore[k].Messages, after[k].Bytes-o.trafficBefore[k].Bytes
 	}
-	figures.Refused = f.Network.Overflowed() - o.refused
+	figures.Overflowed = f.Network.Overflowed() - o.overflowedBefore
 	each := took.Seconds() * float64(figures.Relays)
 	networkTime := time.Duration(figures.Packets.Mean * each * float64(o.packetCost))
-	figures.NetworkCPU = networkTime.Seconds() * 1000 / each
-	figures.CPU = cpu.Seconds()*1000/each - figures.NetworkCPU
-	figures.memory()
+	figures.NetworkCPUMillis = networkTime.Seconds() * 1000 / each
+	figures.CPUMillis = cpu.Seconds()*1000/each - figures.NetworkCPUMillis
+	figures.addMemory()
 	return figures
 }
 
@@ -87,7 +87,7 @@
 	return o.End()
 }
 
-func (f *Fleet) figures(records []network.Record, took time.Duration) Figures {
+func (f *Fleet) summarize(records []network.Record, took time.Duration) Figures {
 	out := Figures{Relays: len(f.running()), Took: took}
 	connections := 0
 	for _, r := range records {
@@ -100,26 +100,26 @@
 		}
 	}
 	out.Streams = float64(connections) / took.Seconds() / float64(max(out.Relays, 1))
-	out.Out = spread(records, took, network.Sample.Out)
-	out.In = spread(records, took, network.Sample.In)
-	out.WireOut = spread(records, took, network.Sample.WireOut)
-	out.WireIn = spread(records, took, network.Sample.WireIn)
-	out.Packets = spread(records, took, func(s network.Sample) int { return s.PacketsOut })
+	out.Out = distributionOf(records, took, network.Sample.Out)
+	out.In = distributionOf(records, took, network.Sample.In)
+	out.WireOut = distributionOf(records, took, network.Sample.WireOut)
+	out.WireIn = distributionOf(records, took, network.Sample.WireIn)
+	out.Packets = distributionOf(records, took, func(s network.Sample) int { return s.PacketsOut })
 	return out
 }
 
-func spread(records []network.Record, took time.Duration, of func(network.Sample) int) (s Spread) {
+func distributionOf(records []network.Record, took time.Duration, of func(network.Sample) int) (s Distribution) {
 	for _, r := range records {
 		mean := float64(of(r.Total)) / took.Seconds()
 		s.Mean += mean / float64(len(records))
-		s.Most = max(s.Most, mean)
+		s.MaxMean = max(s.MaxMean, mean)
 		s.P99 = max(s.P99, float64(r.Percentile(0.99, of)))
-		s.Worst = max(s.Worst, float64(r.Percentile(1, of)))
+		s.MaxSecond = max(s.MaxSecond, float64(r.Percentile(1, of)))
 	}
 	return s
 }
 
-func (g *Figures) memory() {
+func (g *Figures) addMemory() {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -130,8 +130,8 @@
 
 // Row is the figures as a row of a table in Markdown; see Header.
 func (g Figures) Row() string {
-	return fmt.Sprintf("| %d | %.0f | %.0f | %.0f / %.0f | %.0f | %.0f / %.0f | %.0f | %.0f | %.1f | %.2f | %.2f | %.2f | %.2f |", g.Relays, g.Took.Seconds(), g.Out.Mean, g.Out.P99, g.Out.Worst,
-		g.In.Mean, g.In.P99, g.In.Worst, g.WireOut.Mean, g.WireOut.Most, g.Packets.Mean, g.CPU, g.NetworkCPU, g.HeapMB, g.StackMB)
+	return fmt.Sprintf("| %d | %.0f | %.0f | %.0f / %.0f | %.0f | %.0f / %.0f | %.0f | %.0f | %.1f | %.2f | %.2f | %.2f | %.2f |", g.Relays, g.Took.Seconds(), g.Out.Mean, g.Out.P99, g.Out.MaxSecond,
+		g.In.Mean, g.In.P99, g.In.MaxSecond, g.WireOut.Mean, g.WireOut.MaxMean, g.Packets.Mean, g.CPUMillis, g.NetworkCPUMillis, g.HeapMB, g.StackMB)
 }
 
 // Header heads a table of Rows.
--- a/internal/simulation/scale/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -17,11 +17,11 @@
 
 // Config is what a Fleet is made of.
 type Config struct {
-	Relays int
-	Layout Layout
-	Dir    string        // for the relays' state files
-	Spread time.Duration // over which the starts are spread
-	Keys   [][]byte      // that seal packets; with any, traffic is not told by kind
+	Relays      int
+	Layout      Layout
+	Dir         string        // for the relays' state files
+	StartSpread time.Duration // over which the starts are spread
+	Keys        [][]byte      // that seal packets; with any, traffic is not told by kind
 	// CellsPerZone divides the relays of each zone into so many cells; 0 for a flat fleet.
 	CellsPerZone int
 	// Servers is how many servers the relays look at by turns; 0 for none.
@@ -29,7 +29,7 @@
 	// Arrivals is how many requests a second come to each relay, as it tells the others.
 	Arrivals float64
 	// Notice is told of each change at each relay; nil for nobody. It must not block.
-	Notice func(relay int, c membership.Changed)
+	OnChange func(relay int, c membership.Changed)
 }
 
 // Relay is one hollow relay.
@@ -39,15 +39,15 @@
 	Place   network.Place
 	node    *gossip.Node // nil while it does not run
 	stop    context.CancelFunc
-	looks   *looks
+	prober  *prober
 }
 
 // Fleet is a fleet of hollow relays.
 type Fleet struct {
 	cfg     Config
 	Network *network.Network
-	kinds   tally
-	planned *planned // nil for a flat fleet
+	traffic trafficCounter
+	cells   *cellLayout // nil for a flat fleet
 
 	mu     sync.Mutex
 	relays []*Relay
@@ -60,7 +60,7 @@
 func Start(c Config) (*Fleet, error) {
 	f := &Fleet{cfg: c}
 	if c.CellsPerZone > 0 {
-		f.planned = newPlanned(c)
+		f.cells = newCellLayout(c)
 	}
 	places := map[string]network.Place{}
 	for i := range c.Relays {
@@ -69,13 +69,13 @@
 		f.relays = append(f.relays, r)
 	}
 	f.Network = network.New(network.Config{Place: func(address string) network.Place { return places[address] }, Delay: c.Layout.Delay,
-		Inspect: f.kinds.packet, InspectStream: f.kinds.stream})
+		Inspect: f.traffic.countPacket, InspectStream: f.traffic.countStream})
 	for i := range f.relays {
 		if err := f.StartRelay(i); err != nil {
 			f.Stop()
 			return nil, err
 		}
-		time.Sleep(c.Spread / time.Duration(c.Relays))
+		time.Sleep(c.StartSpread / time.Duration(c.Relays))
 	}
 	return f, nil
 }
@@ -89,19 +89,19 @@
 	for s := range min(seeds, f.cfg.Relays) {
 		c.Seeds = append(c.Seeds, Address(s*f.cfg.Relays/min(seeds, f.cfg.Relays)))
 	}
-	if f.planned != nil {
-		f.planned.enter(&c, f.cfg.cellOf(i), i)
+	if f.cells != nil {
+		f.cells.configure(&c, f.cfg.cellOf(i), i)
 	}
 	c.LocalActivity = func() gossip.LocalActivity {
 		return gossip.LocalActivity{Lifecycle: membership.Serving, Arrivals: uint64(time.Since(began).Seconds() * f.cfg.Arrivals), OpenRequests: 1000, ListVersion: 1}
 	}
-	if f.cfg.Notice != nil {
-		c.OnChange = func(changed membership.Changed) { f.cfg.Notice(i, changed) }
+	if f.cfg.OnChange != nil {
+		c.OnChange = func(changed membership.Changed) { f.cfg.OnChange(i, changed) }
 	}
-	var shared *looks
+	var shared *prober
 	if f.cfg.Servers > 0 {
-		shared = newLooks(f.cfg, c.Clock)
-		c.OnProbingEvent = shared.hear
+		shared = newProber(f.cfg, c.Clock)
+		c.OnProbingEvent = shared.receive
 	}
 	node, err := gossip.New(c)
 	if err != nil {
@@ -112,7 +112,7 @@
 		shared.start(ctx, c.Name, uint64(i), node)
 	}
 	f.mu.Lock()
-	r.node, r.stop, r.looks = node, stop, shared
+	r.node, r.stop, r.prober = node, stop, shared
 	f.mu.Unlock()
 	go node.Run(ctx)
 	return nil
@@ -138,8 +138,8 @@
 	f.Network.SetDown(r.Address, false)
 }
 
-// lingering is how long memberlist's own goroutines may go on after its end.
-const lingering = 40 * time.Second
+// memberlistLinger is how long memberlist's own goroutines may go on after its end.
+const memberlistLinger = 40 * time.Second
 
 // Stop ends all relays, and waits until nothing of them is left.
 func (f *Fleet) Stop() {
@@ -148,7 +148,7 @@
 		all.Go(func() { f.StopRelay(i, false) })
 	}
 	all.Wait()
-	time.Sleep(lingering)
+	time.Sleep(memberlistLinger)
 }
 
 // running are the relays that run and are not down, by their nodes.
@@ -201,8 +201,8 @@
 	return sum
 }
 
-// one tells whether all that run hold one view of just them: in cells, whether each holds its cell's, and knows of just the others.
-func (f *Fleet) one() bool {
+// hasOneView tells whether all that run hold hasOneView view of just them: in cells, whether each holds its cell's, and knows of just the others.
+func (f *Fleet) hasOneView() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	running := 0
@@ -217,7 +217,7 @@
 			continue
 		}
 		cell := ""
-		if f.planned != nil {
+		if f.cells != nil {
 			cell = f.cfg.cellOf(i)
 		}
 		e := r.node.Estimate()
@@ -233,18 +233,18 @@
 	return true
 }
 
-// lookEvery is how often a fleet is looked at while something is waited for.
-const lookEvery = 100 * time.Millisecond
+// pollEvery is how often a fleet is looked at while something is waited for.
+const pollEvery = 100 * time.Millisecond
 
-// ErrNotWithin says that what was waited for did not come.
-type ErrNotWithin struct {
+// TimeoutError says that what was waited for did not come.
+type TimeoutError struct {
 	What   string
 	Within time.Duration
 	State  State
 }
 
 // Error is the error's text.
-func (e *ErrNotWithin) Error() string {
+func (e *TimeoutError) Error() string {
 	return fmt.Sprintf("%s: not within %s; %+v", e.What, e.Within, e.State)
 }
 
@@ -252,30 +252,30 @@
 	began := time.Now()
 	for !ok() {
 		if time.Since(began) > within {
-			return 0, &ErrNotWithin{what, within, f.State()}
+			return 0, &TimeoutError{what, within, f.State()}
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollEvery)
 	}
 	return time.Since(began), nil
 }
 
 // AwaitOneView waits until all relays that run hold one view of just them.
 func (f *Fleet) AwaitOneView(within time.Duration) (time.Duration, error) {
-	return f.await(within, "one view of all", f.one)
+	return f.await(within, "one view of all", f.hasOneView)
 }
 
-// Quiet is how long one view has to stand, with all shares at their target, for a fleet to count as settled.
-const Quiet = 3 * time.Second
+// SettledAfter is how long one view has to stand, with all shares at their target, for a fleet to count as settled.
+const SettledAfter = 3 * time.Second
 
 // AwaitSettled waits until one view has stood for Quiet.
 func (f *Fleet) AwaitSettled(within time.Duration) (time.Duration, error) {
 	stands, epoch := time.Now(), uint64(0)
 	return f.await(within, "one view that stands", func() bool {
 		s := f.State()
-		if s.Agreed != len(f.running()) || !f.one() || s.Highest != epoch {
+		if s.Agreed != len(f.running()) || !f.hasOneView() || s.Highest != epoch {
 			stands, epoch = time.Now(), s.Highest
 			return false
 		}
-		return time.Since(stands) >= Quiet
+		return time.Since(stands) >= SettledAfter
 	})
 }
--- a/internal/simulation/scale/layout.go
+++ b/internal/simulation/scale/layout.go
@@ -16,8 +16,8 @@
 	Regions, Zones int
 }
 
-// Site is the layout of the large fleet: 5 regions and 17 zones.
-var Site = Layout{Regions: 5, Zones: 17}
+// LargeLayout is the layout of the large fleet: 5 regions and 17 zones.
+var LargeLayout = Layout{Regions: 5, Zones: 17}
 
 // One way delays.
 const (
--- a/internal/simulation/scale/kinds.go
+++ b/internal/simulation/scale/traffic.go
@@ -12,39 +12,39 @@
 
 // The kinds. Framing is labels, checksums and the lengths of messages that share a packet.
 const (
-	Probes      Kind = iota // pings, and their answers
-	Liveness                // who is alive, suspected or dead
-	Statuses                // what relays tell of themselves
-	Leases                  // renewals of grants
-	Choices                 // ballots and views
-	Readings                // of servers
-	Placements              // connections sent to servers
-	Summaries               // between cells
-	Directories             // of all cells, from a cell's speaker to its own
+	Probes          Kind = iota // pings, and their answers
+	Liveness                    // who is alive, suspected or dead
+	Statuses                    // what relays tell of themselves
+	Leases                      // renewals of grants
+	Consensus                   // ballots and views
+	LoadReports                 // of servers
+	Placements                  // connections sent to servers
+	CellSummaries               // between cells
+	CellDirectories             // of all cells, from a cell's speaker to its own
 	Framing
 	PushPull // streams: all that is known, both ways
 	Views    // streams: views too large for a packet
 	Others
-	kinds
+	kindCount
 )
 
 func (k Kind) String() string {
-	return [kinds]string{"probes", "liveness", "statuses", "leases", "choices", "readings", "placements", "summaries", "directories", "framing", "push-pull (streams)", "views (streams)",
+	return [kindCount]string{"probes", "liveness", "statuses", "leases", "choices", "readings", "placements", "summaries", "directories", "framing", "push-pull (streams)", "views (streams)",
 		"others"}[k]
 }
 
-// Tally is what went out, by kind.
-type Tally [kinds]struct{ Messages, Bytes uint64 }
+// Traffic is what went out, by kind.
+type Traffic [kindCount]struct{ Messages, Bytes uint64 }
 
-// tally counts while packets are sent.
-type tally [kinds]struct{ messages, bytes atomic.Uint64 }
+// trafficCounter counts while packets are sent.
+type trafficCounter [kindCount]struct{ messages, bytes atomic.Uint64 }
 
-func (t *tally) add(k Kind, bytes int) {
+func (t *trafficCounter) add(k Kind, bytes int) {
 	t[k].messages.Add(1)
 	t[k].bytes.Add(uint64(bytes))
 }
 
-func (t *tally) read() (out Tally) {
+func (t *trafficCounter) snapshot() (out Traffic) {
 	for k := range t {
 		out[k].Messages, out[k].Bytes = t[k].messages.Load(), t[k].bytes.Load()
 	}
@@ -67,8 +67,8 @@
 	checksumLength = 5
 )
 
-// packet counts a packet that is not sealed; a sealed one counts as Others.
-func (t *tally) packet(_ string, b []byte) {
+// countPacket counts a countPacket that is not sealed; a sealed one counts as Others.
+func (t *trafficCounter) countPacket(_ string, b []byte) {
 	whole := len(b)
 	if len(b) > 2 && b[0] == typeLabel {
 		b = b[min(2+int(b[1]), len(b)):]
@@ -77,7 +77,7 @@
 		b = b[checksumLength:]
 	}
 	if len(b) < 2 || b[0] != typeCompound {
-		t.message(b)
+		t.countMessage(b)
 		t[Framing].bytes.Add(uint64(whole - len(b)))
 		return
 	}
@@ -90,14 +90,14 @@
 	rest := lengths[2*parts:]
 	for i := range parts {
 		length := min(int(binary.BigEndian.Uint16(lengths[2*i:])), len(rest))
-		t.message(rest[:length])
+		t.countMessage(rest[:length])
 		rest = rest[length:]
 		counted += length
 	}
 	t[Framing].bytes.Add(uint64(whole - counted))
 }
 
-func (t *tally) message(b []byte) {
+func (t *trafficCounter) countMessage(b []byte) {
 	if len(b) == 0 {
 		return
 	}
@@ -115,8 +115,8 @@
 	}
 }
 
-// stream counts what is written to a stream.
-func (t *tally) stream(_ string, opening []byte, written int) {
+// countStream counts what is written to a countStream.
+func (t *trafficCounter) countStream(_ string, opening []byte, written int) {
 	switch {
 	case len(opening) == 0:
 		t[Framing].bytes.Add(uint64(written))
@@ -150,14 +150,14 @@
 	b = b[1:]
 	var value uint64
 	for range envelopeItems - 1 {
-		if value, b = item(b); b == nil {
+		if value, b = readItem(b); b == nil {
 			return Others
 		}
 	}
 	if value == envelopeOfCell && len(b) > 0 && b[0] == 0x80|ofCellItems {
 		b = b[1:]
 		for range ofCellItems - 1 {
-			if value, b = item(b); b == nil {
+			if value, b = readItem(b); b == nil {
 				return Others
 			}
 		}
@@ -166,13 +166,13 @@
 	case envelopeStatus:
 		return Statuses
 	case envelopeReadings:
-		return Readings
+		return LoadReports
 	case envelopePlaced:
 		return Placements
 	case envelopeSummary:
-		return Summaries
+		return CellSummaries
 	case envelopeDirectory:
-		return Directories
+		return CellDirectories
 	case envelopeMessage:
 	default:
 		return Others
@@ -184,11 +184,11 @@
 	case membership.Renew, membership.Renewed:
 		return Leases
 	}
-	return Choices
+	return Consensus
 }
 
-// item reads a number or a text in CBOR, and returns the number or the text's length, and the rest.
-func item(b []byte) (value uint64, rest []byte) {
+// readItem reads a number or a text in CBOR, and returns the number or the text's length, and the rest.
+func readItem(b []byte) (value uint64, rest []byte) {
 	if len(b) == 0 {
 		return 0, nil
 	}
