--- a/internal/simulation/scale/celllayout.go
+++ b/internal/simulation/scale/celllayout.go
@@ -9,23 +9,28 @@
 	"capersail/internal/wire/gossip"
 )
 
-// cellLayout is how a fleet is divided into cells: the relays of a zone in CellsPerZone cells each.
+// cellLayout is how a fleet is divided into cells: the relays of each zone in CellsPerZone cells.
 type cellLayout struct {
 	plan    cellplan.Plan
-	members map[string][]int // the relays of a cell, by its name
+	members map[string][]int // by cell: its relays
 	zones   map[string]decide.Zone
 }
 
-// cellOf is the name of the cell of relay i.
+// cellOf returns the name of the cell of relay i.
 func (c Config) cellOf(i int) string {
-	return fmt.Sprintf("%s-%c", c.Layout.Place(i).Zone, 'a'+rune(i/c.Layout.Zones%c.CellsPerZone))
+	cell := i / c.Layout.Zones % c.CellsPerZone
+	return fmt.Sprintf("%s-%c", c.Layout.Place(i).Zone, 'a'+rune(cell))
 }
 
-// contactsPerCell are how many relays of a cell are named to other cells, and to its own as seeds.
+// contactsPerCell is how many relays of a cell are named to other cells, and to its own as seeds.
 const contactsPerCell = 3
 
 func newCellLayout(c Config) *cellLayout {
-	p := &cellLayout{plan: cellplan.Plan{Number: 1, HomeShare: cellplan.DefaultHomeShare}, members: map[string][]int{}, zones: map[string]decide.Zone{}}
+	p := &cellLayout{
+		plan:    cellplan.Plan{Number: 1, HomeShare: cellplan.DefaultHomeShare},
+		members: map[string][]int{},
+		zones:   map[string]decide.Zone{},
+	}
 	var names []string
 	for i := range c.Relays {
 		name := c.cellOf(i)
@@ -37,7 +42,12 @@
 	for _, name := range names {
 		members := p.members[name]
 		place := c.Layout.Place(members[0])
-		cell := cellplan.Cell{Name: name, Region: place.Region, Zone: place.Zone, Relays: len(members)}
+		cell := cellplan.Cell{
+			Name:   name,
+			Region: place.Region,
+			Zone:   place.Zone,
+			Relays: len(members),
+		}
 		for _, i := range members[:min(contactsPerCell, len(members))] {
 			cell.Contacts = append(cell.Contacts, Address(i))
 		}
@@ -47,11 +57,15 @@
 	return p
 }
 
-// configure gives a relay its part in the plan.
+// configure adds relay i's part in the plan to its configuration.
 func (p *cellLayout) configure(c *gossip.Config, cell string, i int) {
 	members := p.members[cell]
-	c.Cell, c.Plan, c.Pace, c.Zones = cell, &p.plan, membership.CellTiming, p.zones
-	c.Founders, c.Seeds = len(members), nil
+	c.Cell = cell
+	c.Plan = &p.plan
+	c.Pace = membership.CellTiming
+	c.Zones = p.zones
+	c.Founders = len(members)
+	c.Seeds = nil
 	for place, member := range members {
 		if member == i {
 			c.InitialPlace = place
--- a/internal/simulation/scale/clock.go
+++ b/internal/simulation/scale/clock.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// machineNow is the machine's clock, which virtual time does not change.
+// machineNow returns the machine's monotonic clock, which virtual time does not change.
 func machineNow() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
--- a/internal/simulation/scale/cost_test.go
+++ b/internal/simulation/scale/cost_test.go
@@ -14,13 +14,13 @@
 var (
 	relays   = flag.Int("relays", 100, "relays of the long tests")
 	spreadBy = flag.Duration("spread", 0, "over which the starts of the long tests are spread")
-	servers  = flag.Int("servers", 0, "servers that the relays of the long tests look at by turns")
+	servers  = flag.Int("servers", 0, "servers whose load reports the relays of the long tests share")
 	perZone  = flag.Int("cells", 0, "cells in each zone in the long tests; 0 for a flat fleet")
 	watch    = flag.Duration("watch", 101*time.Second, "how long the long tests measure")
 	realTime = flag.Bool("realtime", false, "run the long tests in real time")
 )
 
-// inVirtualTime runs in virtual time, or in real time where that is asked for.
+// inVirtualTime runs f in virtual time, or in real time by the flag.
 func inVirtualTime(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	if *realTime {
@@ -30,7 +30,7 @@
 	synctest.Test(t, f)
 }
 
-// skipUnlessLong passes over tests that take minutes.
+// skipUnlessLong skips a test that takes minutes.
 func skipUnlessLong(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CAPERSAIL_LONG") != "1" {
@@ -38,10 +38,11 @@
 	}
 }
 
-// startFleet starts a fleet that ends with the test.
+// startFleet starts a fleet in the large layout. The caller stops it.
 func startFleet(t *testing.T, c Config) *Fleet {
 	t.Helper()
-	c.Dir, c.Layout = t.TempDir(), LargeLayout
+	c.Dir = t.TempDir()
+	c.Layout = LargeLayout
 	f, err := Start(c)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +50,7 @@
 	return f
 }
 
-// awaitSettled waits until a fleet holds one view that stands.
+// awaitSettled waits until a fleet has settled.
 func awaitSettled(t *testing.T, f *Fleet) {
 	t.Helper()
 	if _, err := f.AwaitSettled(5 * time.Minute); err != nil {
@@ -58,11 +59,12 @@
 	}
 }
 
-// afterForming is how long the statuses of a fleet that has just formed are passed on.
+// afterForming is how long the statuses of a fleet that has just formed are gossiped.
 const afterForming = 6 * time.Second
 
-// measureAtRest measures a fleet of a size at rest while one packet in a hundred is lost.
-func measureAtRest(t *testing.T, c Config, over time.Duration) (figures Figures) {
+// measureAtRest measures a fleet at rest while one packet in a hundred is lost.
+func measureAtRest(t *testing.T, c Config, over time.Duration) Figures {
+	t.Helper()
 	cost := PacketCost(LargeLayout)
 	f := startFleet(t, c)
 	defer f.Stop()
@@ -72,39 +74,47 @@
 	return f.Measure(over, cost)
 }
 
-// statusTerm is how many statuses a flat relay passes on in a second, by the number of relays, as the code has it: each relay tells
-// its own once in max(1 s, 50 ms x relays), and each passes each on 3 x ceil(log10(relays+1)) times.
+// statusTerm returns how many statuses a flat relay gossips in a second, by the number of relays, as the code
+// has it: each relay sends its own once in max(1 s, 50 ms x relays), and each forwards each 3 x
+// ceil(log10(relays+1)) times.
 func statusTerm(relays int) float64 {
 	n := float64(relays)
 	return n / max(1, 0.05*n) * 3 * math.Ceil(math.Log10(n+1))
 }
 
-// pushPullTerm is how many relays' states go out in push-pulls in a second: of all, once in 15 s x (1 + ceil(log2(relays/32))).
+// pushPullTerm returns how many relays' states go out in push-pulls in a second: of all, once in
+// 15 s x (1 + ceil(log2(relays/32))).
 func pushPullTerm(relays int) float64 {
-	n, every := float64(relays), 15.0
+	n := float64(relays)
+	intervalSeconds := 15.0
 	if n > 32 {
-		every *= 1 + math.Ceil(math.Log2(n)-5)
+		intervalSeconds *= 1 + math.Ceil(math.Log2(n)-5)
 	}
-	return n / every
+	return n / intervalSeconds
 }
 
-// costModel is what the bytes out of a relay hang on: something fixed (probes, leases, framing), and a weight of each term.
+// costModel says how the bytes that a relay sends in a second depend on the number of relays: a fixed part
+// (probes, leases, framing), and a weight of each term.
 type costModel struct {
 	fixed, status, pushPull float64
 }
 
-// fitCostModel takes the weights from the kinds of traffic at some sizes: each kind by least squares through the origin.
+// fitCostModel takes the weights from the kinds of traffic at some sizes, each by least squares through the
+// origin.
 func fitCostModel(measured []Figures) (p costModel) {
 	var statusXY, statusXX, pushXY, pushXX float64
 	for _, g := range measured {
 		statuses, pushPull := g.KindRate(Statuses), g.KindRate(PushPull)
 		x := statusTerm(g.Relays)
-		statusXY, statusXX = statusXY+x*statuses, statusXX+x*x
+		statusXY += x * statuses
+		statusXX += x * x
 		x = pushPullTerm(g.Relays)
-		pushXY, pushXX = pushXY+x*pushPull, pushXX+x*x
+		pushXY += x * pushPull
+		pushXX += x * x
 		p.fixed += (g.Out.Mean - statuses - pushPull) / float64(len(measured))
 	}
-	p.status, p.pushPull = statusXY/statusXX, pushXY/pushXX
+	p.status = statusXY / statusXX
+	p.pushPull = pushXY / pushXX
 	return p
 }
 
@@ -112,64 +122,88 @@
 	return p.fixed + p.status*statusTerm(relays) + p.pushPull*pushPullTerm(relays)
 }
 
-// What a relay sends hangs on the number of relays as the terms say, and on nothing else: a size is predicted from smaller ones. A tenth
-// is four times what push-pulls and statuses that fall into one window of 16 s and not into the next made up in six runs: the greatest
-// size has a push-pull in 30 s and a status in 2 s. Relays that tell their statuses every second whatever their number are found out.
+// What a relay sends depends on the number of relays as the terms say, and on nothing else: a size is
+// predicted from smaller ones. The tolerance covers push-pulls and statuses that fall into one window of 16 s
+// and not into the next: the greatest size has a push-pull in 30 s and a status in 2 s. It fails where relays
+// send their statuses every second whatever their number.
 func TestHollowFleetCost(t *testing.T) {
 	const over, tolerance, larger = 16 * time.Second, 0.1, 40
 	var measured []Figures
 	for _, n := range []int{8, 16, 24} {
-		synctest.Test(t, func(t *testing.T) { measured = append(measured, measureAtRest(t, Config{Relays: n}, over)) })
+		synctest.Test(t, func(t *testing.T) {
+			measured = append(measured, measureAtRest(t, Config{Relays: n}, over))
+		})
 		t.Logf("%d relays: %.0f bytes out a relay a second", n, measured[len(measured)-1].Out.Mean)
 	}
 	var got float64
-	synctest.Test(t, func(t *testing.T) { got = measureAtRest(t, Config{Relays: larger}, over).Out.Mean })
-	learned := fitCostModel(measured)
-	want := learned.predict(larger)
-	t.Logf("%d relays: %.0f bytes out a relay a second, predicted %.0f by %+v; 600: %.0f, 1100: %.0f", larger, got, want, learned, learned.predict(600), learned.predict(1100))
+	synctest.Test(t, func(t *testing.T) {
+		got = measureAtRest(t, Config{Relays: larger}, over).Out.Mean
+	})
+	model := fitCostModel(measured)
+	want := model.predict(larger)
+	t.Logf("%d relays: %.0f bytes out a relay a second, predicted %.0f by %+v; 600: %.0f, 1100: %.0f",
+		larger, got, want, model, model.predict(600), model.predict(1100))
 	if math.Abs(got/want-1) > tolerance {
 		t.Errorf("%d relays: %.0f bytes out a relay a second, predicted %.0f", larger, got, want)
 	}
 }
 
-// The figures of one size, for docs/measurements/capacity.md.
+// Prints the figures of one size, for docs/measurements/capacity.md.
 func TestCostOfSize(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
-		figures := measureAtRest(t, Config{Relays: *relays, StartSpread: *spreadBy, Servers: *servers, CellsPerZone: *perZone}, *watch)
-		fmt.Printf("%s\n%s\n%s", Header, figures.Row(), figures.KindRows())
-		fmt.Printf("streams opened a second %.3f, goroutines a relay %.1f, packets refused %d, real time %.1f s, processor time %.1f s\n", figures.Streams, figures.Goroutines,
-			figures.Overflowed, figures.RealTook.Seconds(), figures.RealCPU.Seconds())
+		figures := measureAtRest(t, sizeFromFlags(), *watch)
+		fmt.Printf("%s\n%s\n%s", Header(), figures.Row(), figures.KindRows())
+		fmt.Printf("streams opened a second %.3f, goroutines a relay %.1f, packets dropped for want of room %d, ",
+			figures.Streams, figures.Goroutines, figures.Overflowed)
+		fmt.Printf("real time %.1f s, processor time %.1f s\n",
+			figures.RealTook.Seconds(), figures.RealCPU.Seconds())
 	})
 }
 
-// How a fleet forms, second by second, and what that takes.
+// Prints how a fleet forms, second by second, and what that takes.
 func TestForming(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
-		at, cpu := machineNow(), processorTime()
-		f := startFleet(t, Config{Relays: *relays, StartSpread: *spreadBy, Servers: *servers, CellsPerZone: *perZone})
+		use := startUse()
+		f := startFleet(t, sizeFromFlags())
 		defer f.Stop()
 		done := make(chan struct{})
 		defer close(done)
-		go printProgress(f, done, at, cpu)
-		one, err := f.AwaitOneView(2 * time.Minute)
-		fmt.Printf("one view %s after the last start, %v; real time %.1f s, processor time %.1f s\n", one, err, (machineNow() - at).Seconds(), (processorTime() - cpu).Seconds())
-		stands, err := f.AwaitSettled(time.Minute)
-		fmt.Printf("settled %s after that, %v; real time %.1f s, processor time %.1f s; dropped %v, refused %d\n", stands, err, (machineNow() - at).Seconds(),
-			(processorTime() - cpu).Seconds(), f.Dropped(), f.Network.Overflowed())
+		go printProgress(f, done, use)
+		took, err := f.AwaitOneView(2 * time.Minute)
+		fmt.Printf("one view %s after the last start, %v; %s\n", took, err, use)
+		took, err = f.AwaitSettled(time.Minute)
+		fmt.Printf("settled %s after that, %v; %s; dropped %v, for want of room %d\n",
+			took, err, use, f.Dropped(), f.Network.Overflowed())
 	})
 }
 
-func printProgress(f *Fleet, done <-chan struct{}, wall, cpu time.Duration) {
-	for began := time.Now(); ; {
+// use is what this process takes of the machine from a point on.
+type use struct {
+	real, cpu time.Duration
+}
+
+func startUse() use { return use{real: machineNow(), cpu: processorTime()} }
+
+// String returns what was taken so far.
+func (u use) String() string {
+	return fmt.Sprintf("real time %.1f s, processor time %.1f s",
+		(machineNow() - u.real).Seconds(), (processorTime() - u.cpu).Seconds())
+}
+
+// printProgress prints a line a second until done is closed.
+func printProgress(f *Fleet, done <-chan struct{}, use use) {
+	megabytes := func(t Traffic, k Kind) uint64 { return t[k].Bytes / 1e6 }
+	for startedAt := time.Now(); ; {
 		select {
 		case <-done:
 			return
 		case <-time.After(time.Second):
 		}
-		k := f.traffic.snapshot()
-		fmt.Printf("%5.1f s %+v; wall time %.1f s, processor time %.1f s; MB sent: views %d, push-pull %d, statuses %d, liveness %d\n", time.Since(began).Seconds(), f.State(),
-			(machineNow() - wall).Seconds(), (processorTime() - cpu).Seconds(), k[Views].Bytes/1e6, k[PushPull].Bytes/1e6, k[Statuses].Bytes/1e6, k[Liveness].Bytes/1e6)
+		t := f.traffic.snapshot()
+		fmt.Printf("%5.1f s %+v; %s; MB sent: views %d, push-pull %d, statuses %d, liveness %d\n",
+			time.Since(startedAt).Seconds(), f.State(), use,
+			megabytes(t, Views), megabytes(t, PushPull), megabytes(t, Statuses), megabytes(t, Liveness))
 	}
 }
--- /dev/null
+++ b/internal/simulation/scale/envelope.go
@@ -0,0 +1,93 @@
+package scale
+
+import "capersail/internal/fleet/membership"
+
+// The kinds of gossip's envelopes, as they are on the wire.
+const (
+	envelopeStatus    = 1
+	envelopeMessage   = 2
+	envelopeReadings  = 3
+	envelopePlaced    = 4
+	envelopeSummary   = 5
+	envelopeDirectory = 6
+	envelopeOfCell    = 64 // holds a kind and a body for one cell
+	envelopeItems     = 6  // Version, From, Incarnation, Seq, Kind, Body
+	ofCellItems       = 3  // Cell, Kind, Body
+)
+
+// envelopeKind returns the kind of an envelope, of which it reads no more than it needs.
+func envelopeKind(b []byte) Kind {
+	if len(b) == 0 || b[0] != 0x80|envelopeItems {
+		return Others
+	}
+	b = b[1:]
+	var value uint64
+	for range envelopeItems - 1 {
+		if value, b = readItem(b); b == nil {
+			return Others
+		}
+	}
+	if value == envelopeOfCell && len(b) > 0 && b[0] == 0x80|ofCellItems {
+		b = b[1:]
+		for range ofCellItems - 1 {
+			if value, b = readItem(b); b == nil {
+				return Others
+			}
+		}
+	}
+	switch value {
+	case envelopeStatus:
+		return Statuses
+	case envelopeReadings:
+		return LoadReports
+	case envelopePlaced:
+		return Placements
+	case envelopeSummary:
+		return CellSummaries
+	case envelopeDirectory:
+		return CellDirectories
+	case envelopeMessage:
+	default:
+		return Others
+	}
+	if len(b) < 3 || b[0]>>5 != 5 || b[1] != 1 { // a map whose first key is the Message's Kind
+		return Others
+	}
+	switch membership.Kind(b[2]) {
+	case membership.Renew, membership.Renewed:
+		return Leases
+	}
+	return Consensus
+}
+
+// readItem reads a number or a text in CBOR. It returns the number or the text's length, and the rest; nil if
+// the text is cut short or of another type.
+func readItem(b []byte) (value uint64, rest []byte) {
+	if len(b) == 0 {
+		return 0, nil
+	}
+	major, short := b[0]>>5, b[0]&31
+	b = b[1:]
+	switch {
+	case short < 24:
+		value = uint64(short)
+	case short <= 27:
+		width := 1 << (short - 24)
+		if len(b) < width {
+			return 0, nil
+		}
+		for _, x := range b[:width] {
+			value = value<<8 | uint64(x)
+		}
+		b = b[width:]
+	default:
+		return 0, nil
+	}
+	if major >= 2 {
+		if uint64(len(b)) < value {
+			return 0, nil
+		}
+		b = b[value:]
+	}
+	return value, b
+}
--- a/internal/simulation/scale/events_test.go
+++ b/internal/simulation/scale/events_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -12,32 +11,36 @@
 	"capersail/internal/simulation/network"
 )
 
-// deathWatch takes down when each relay has learned that one of the others has failed.
+// deathWatch records when each relay has learned that one of the others has failed.
 type deathWatch struct {
 	mu           sync.Mutex
 	awaited      string
 	killedAt     time.Time
-	learnedAfter map[int]time.Duration // by the relay that learned it
+	learnedAfter map[int]time.Duration // by relay, from killedAt on; nil before expect
 }
 
 func (d *deathWatch) record(relay int, c membership.Changed) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.Kind == membership.ChangePeer && c.Name == d.awaited && (c.State == membership.Failed.String() || c.State == membership.Left.String()) && d.learnedAfter != nil {
-		if _, known := d.learnedAfter[relay]; !known {
-			d.learnedAfter[relay] = time.Since(d.killedAt)
-		}
+	gone := c.State == membership.Failed.String() || c.State == membership.Left.String()
+	if c.Kind != membership.ChangePeer || c.Name != d.awaited || !gone || d.learnedAfter == nil {
+		return
+	}
+	if _, known := d.learnedAfter[relay]; !known {
+		d.learnedAfter[relay] = time.Since(d.killedAt)
 	}
 }
 
-// expect begins to wait for word of one relay's death.
+// expect has the death of a relay, which is killed now, recorded.
 func (d *deathWatch) expect(relay int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.awaited, d.killedAt, d.learnedAfter = Name(relay), time.Now(), map[int]time.Duration{}
+	d.awaited = Name(relay)
+	d.killedAt = time.Now()
+	d.learnedAfter = map[int]time.Duration{}
 }
 
-// summary tells how soon all relays of the same zone, and all others, knew.
+// summary says how soon all relays of the same zone, and all others, knew.
 func (d *deathWatch) summary(f *Fleet, dead int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,7 +58,8 @@
 			far = append(far, took)
 		}
 	}
-	return fmt.Sprintf("death known in the same zone after %v to %v, elsewhere after %v to %v, not by %d of %d", first(near), last(near), first(far), last(far), missing, len(f.relays)-1)
+	return fmt.Sprintf("death known in the same zone after %v to %v, elsewhere after %v to %v, not by %d of %d",
+		first(near), last(near), first(far), last(far), missing, len(f.relays)-1)
 }
 
 func first(all []time.Duration) time.Duration {
@@ -72,27 +76,49 @@
 	return slices.Max(all).Round(time.Millisecond)
 }
 
-// printEvent prints what an event has cost.
+// eventColumns are the heads of the table of printEvent.
+var eventColumns = []string{
+	"event",
+	"relays",
+	"seconds",
+	"out at rest, B/s",
+	"out, B/s",
+	"out, 99th / worst second of any relay",
+	"in, 99th / worst",
+	"CPU at rest, ms a second",
+	"CPU, ms a second",
+	"out in the fleet's worst second, B a relay",
+	"packets of that second over the rest's",
+}
+
+// printEvent prints what an event has cost, as a row of a table.
 func printEvent(what string, rest, g Figures) {
-	ratio, worst := 0.0, network.Sample{}
+	var worst network.Sample
 	for _, s := range g.Seconds {
 		if s.WireOut() > worst.WireOut() {
 			worst = s
 		}
 	}
-	each := float64(max(rest.Relays, 1))
-	ratio = float64(worst.PacketsOut) / (rest.Packets.Mean * each)
-	fmt.Printf("| %s | %d | %.0f | %.0f | %.0f | %.0f / %.0f | %.0f / %.0f | %.2f | %.2f | %.0f | %.1f |\n", what, rest.Relays, g.Took.Seconds(), rest.Out.Mean, g.Out.Mean, g.Out.P99, g.Out.MaxSecond, g.In.P99, g.In.MaxSecond,
-		rest.CPUMillis, g.CPUMillis, float64(worst.Out())/each, ratio)
+	relays := float64(max(rest.Relays, 1))
+	fmt.Println(tableRow([]string{
+		what,
+		fmt.Sprint(rest.Relays),
+		fmt.Sprintf("%.0f", g.Took.Seconds()),
+		fmt.Sprintf("%.0f", rest.Out.Mean),
+		fmt.Sprintf("%.0f", g.Out.Mean),
+		fmt.Sprintf("%.0f / %.0f", g.Out.P99, g.Out.MaxSecond),
+		fmt.Sprintf("%.0f / %.0f", g.In.P99, g.In.MaxSecond),
+		fmt.Sprintf("%.2f", rest.CPUMillis),
+		fmt.Sprintf("%.2f", g.CPUMillis),
+		fmt.Sprintf("%.0f", float64(worst.Out())/relays),
+		fmt.Sprintf("%.1f", float64(worst.PacketsOut)/(rest.Packets.Mean*relays)),
+	}))
 }
 
-const eventHeader = "| event | relays | seconds | out at rest, B/s | out, B/s | out, 99th / worst second of any relay | in, 99th / worst | CPU at rest, ms a second | CPU, ms a second " +
-	"| out in the fleet's worst second, B a relay | packets of that second over the rest's |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
-
 // restBefore is how long a fleet is measured at rest before an event.
 const restBefore = 20 * time.Second
 
-// startAtRest starts a fleet and measures it at rest.
+// startAtRest starts a fleet and measures it at rest. The caller stops it.
 func startAtRest(t *testing.T, c Config) (f *Fleet, rest Figures, cost time.Duration) {
 	t.Helper()
 	cost = PacketCost(LargeLayout)
@@ -103,11 +129,12 @@
 	return f, f.Measure(restBefore, cost), cost
 }
 
+// sizeFromFlags returns the fleet of the long tests.
 func sizeFromFlags() Config {
 	return Config{Relays: *relays, StartSpread: *spreadBy, Servers: *servers, CellsPerZone: *perZone}
 }
 
-// printOneView waits for one view and tells how long it took.
+// printOneView waits for one view and prints how long it took.
 func printOneView(f *Fleet, what string) {
 	took, err := f.AwaitOneView(time.Minute)
 	if err != nil {
@@ -117,7 +144,8 @@
 	fmt.Printf("%s: one view of all after %.1f s\n", what, took.Seconds())
 }
 
-// Restarts one after the other, as 310 relays restart once a day, played faster; and a relay that dies.
+// Prints what restarts cost, one after the other, as 310 relays restart once a day, played faster; and a
+// relay that dies.
 func TestEventRestarts(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
@@ -127,7 +155,7 @@
 		c.OnChange = d.record
 		f, rest, cost := startAtRest(t, c)
 		defer f.Stop()
-		fmt.Println(eventHeader)
+		fmt.Println(tableHead(eventColumns))
 		o := f.Observe(cost)
 		for i := range restarts {
 			relay := (i*37 + 11) % c.Relays
@@ -140,9 +168,11 @@
 		}
 		g := o.End()
 		printEvent(fmt.Sprintf("%d restarts, one in %s", restarts, every), rest, g)
-		extra := (g.Out.Mean - rest.Out.Mean) * g.Took.Seconds() / restarts
-		fmt.Printf("a restart costs each relay %.0f bytes out, and %.1f ms; 310 a day: %.1f B/s and %.4f ms a second more in the mean\n", extra,
-			(g.CPUMillis-rest.CPUMillis)*g.Took.Seconds()/restarts, extra*310/86400, (g.CPUMillis-rest.CPUMillis)*g.Took.Seconds()/restarts*310/86400)
+		const aSecond = 310.0 / 86400
+		bytes := (g.Out.Mean - rest.Out.Mean) * g.Took.Seconds() / restarts
+		millis := (g.CPUMillis - rest.CPUMillis) * g.Took.Seconds() / restarts
+		fmt.Printf("a restart costs each relay %.0f bytes out, and %.1f ms; ", bytes, millis)
+		fmt.Printf("310 a day: %.1f B/s and %.4f ms a second more in the mean\n", bytes*aSecond, millis*aSecond)
 		printOneView(f, "after the restarts")
 		dead := 5
 		d.expect(dead)
@@ -155,13 +185,13 @@
 	})
 }
 
-// A zone is lost, and its relays come back after a while.
+// Prints what it costs that a zone is lost, and that its relays come back after a while.
 func TestEventZoneLost(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
 		f, rest, cost := startAtRest(t, sizeFromFlags())
 		defer f.Stop()
-		fmt.Println(eventHeader)
+		fmt.Println(tableHead(eventColumns))
 		zone := f.relays[3].Place.Zone
 		var inside []int
 		for i, r := range f.relays {
@@ -170,11 +200,11 @@
 			}
 		}
 		o := f.Observe(cost)
-		var ended sync.WaitGroup
+		var stopping sync.WaitGroup
 		for _, i := range inside {
-			ended.Go(func() { f.StopRelay(i, false) })
+			stopping.Go(func() { f.StopRelay(i, false) })
 		}
-		ended.Wait()
+		stopping.Wait()
 		printOneView(f, fmt.Sprintf("%s of %d relays is lost", zone, len(inside)))
 		time.Sleep(5 * time.Second)
 		printEvent("a zone is lost", rest, o.End())
@@ -190,20 +220,20 @@
 	})
 }
 
-// A region is cut off for a while.
+// Prints what it costs that a region is cut off for a while.
 func TestEventRegionCutOff(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
 		f, rest, cost := startAtRest(t, sizeFromFlags())
 		defer f.Stop()
-		fmt.Println(eventHeader)
+		fmt.Println(tableHead(eventColumns))
 		const cutFor = 25 * time.Second
 		region := network.InRegion("region-1")
 		o := f.Observe(cost)
 		f.Network.CutOff("region", region)
 		time.Sleep(cutFor)
 		printEvent("a region is cut off", rest, o.End())
-		fmt.Printf("views held at the end of the cut: %s\n", strings.TrimSpace(fmt.Sprintf("%+v", f.State())))
+		fmt.Printf("views held at the end of the cut: %+v\n", f.State())
 		o = f.Observe(cost)
 		f.Network.Heal("region")
 		printOneView(f, "it is healed")
--- a/internal/simulation/scale/figures.go
+++ b/internal/simulation/scale/figures.go
@@ -10,33 +10,36 @@
 	"capersail/internal/simulation/network"
 )
 
-// Distribution is a figure of all relays of a fleet, in bytes or messages a second.
+// Distribution is a figure over all relays of a fleet, in bytes or messages a second.
 type Distribution struct {
 	Mean      float64 // of all relays and seconds
-	MaxMean   float64 // of the relay that has most of it in the mean
+	MaxMean   float64 // of the relay whose mean is greatest
 	P99       float64 // the 99th of 100 seconds of the relay where that is greatest
-	MaxSecond float64 // the worst second of any relay
+	MaxSecond float64 // the greatest second of any relay
 }
 
-// Figures are what a fleet costs each of its relays in a second.
+// Figures are what a fleet costs each of its relays in a second, unless another unit is said.
 type Figures struct {
-	Relays            int
-	Took              time.Duration // by the fleet's clock
-	Out, In           Distribution  // bytes of payload, packets and streams
-	WireOut, WireIn   Distribution  // with the headers of a wire
-	Packets           Distribution  // that go out
-	Streams           float64       // opened
-	CPUMillis         float64       // ms, without what the simulated network takes
-	NetworkCPUMillis  float64       // ms that were taken off for it
-	HeapMB, StackMB   float64       // that live after a collection
-	Goroutines        float64
-	Kinds             Traffic          // in all
-	Seconds           []network.Sample // of all relays together
-	Overflowed        uint64
-	RealTook, RealCPU time.Duration // of this process, to measure it all
+	Relays int
+	Took   time.Duration // by the fleet's clock
+
+	Out, In         Distribution     // bytes of payload, in packets and streams
+	WireOut, WireIn Distribution     // the same with the headers of a wire
+	Packets         Distribution     // packets sent
+	Streams         float64          // streams opened
+	Kinds           Traffic          // messages and bytes sent, over all relays and the whole time
+	Overflowed      uint64           // packets dropped at full queues, over all relays and the whole time
+	Seconds         []network.Sample // by second: the sum of all relays
+
+	CPUMillis        float64 // without what the simulated network takes
+	NetworkCPUMillis float64 // what was taken off for it
+	HeapMB, StackMB  float64 // of a relay, after a garbage collection
+	Goroutines       float64 // of a relay
+
+	RealTook, RealCPU time.Duration // what this process took to measure it all
 }
 
-// processorTime is what this process has used.
+// processorTime returns what this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -45,48 +48,57 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Observation is a stretch of time that is measured.
+// Observation is a time that is being measured.
 type Observation struct {
-	fleet                 *Fleet
-	packetCost            time.Duration
-	trafficBefore         Traffic
-	overflowedBefore      uint64
-	cpuBefore, realBefore time.Duration
-	startedAt             time.Time
+	fleet            *Fleet
+	packetCost       time.Duration
+	trafficBefore    Traffic
+	overflowedBefore uint64
+	cpuBefore        time.Duration
+	realBefore       time.Duration
+	startedAt        time.Time
 }
 
 // Observe begins to measure. packetCost is what PacketCost returned. There is one Observation at a time.
 func (f *Fleet) Observe(packetCost time.Duration) *Observation {
 	f.Network.Record()
-	return &Observation{fleet: f, packetCost: packetCost, trafficBefore: f.traffic.snapshot(), overflowedBefore: f.Network.Overflowed(), cpuBefore: processorTime(), realBefore: machineNow(), startedAt: time.Now()}
+	return &Observation{
+		fleet:            f,
+		packetCost:       packetCost,
+		trafficBefore:    f.traffic.snapshot(),
+		overflowedBefore: f.Network.Overflowed(),
+		cpuBefore:        processorTime(),
+		realBefore:       machineNow(),
+		startedAt:        time.Now(),
+	}
 }
 
-// End tells what the time since Observe has cost.
+// End returns what the time since Observe has cost.
 func (o *Observation) End() Figures {
-	f, took := o.fleet, time.Since(o.startedAt)
-	elapsed, cpu := machineNow()-o.realBefore, processorTime()-o.cpuBefore
-	figures := f.summarize(f.Network.Recorded(), took)
-	figures.RealTook, figures.RealCPU = elapsed, cpu
-	after := f.traffic.snapshot()
-	for k := range after {
-		figures.Kinds[k].Messages, figures.Kinds[k].Bytes = after[k].Messages-o.trafficBefore[k].Messages, after[k].Bytes-o.trafficBefore[k].Bytes
-	}
-	figures.Overflowed = f.Network.Overflowed() - o.overflowedBefore
-	each := took.Seconds() * float64(figures.Relays)
-	networkTime := time.Duration(figures.Packets.Mean * each * float64(o.packetCost))
-	figures.NetworkCPUMillis = networkTime.Seconds() * 1000 / each
-	figures.CPUMillis = cpu.Seconds()*1000/each - figures.NetworkCPUMillis
+	took := time.Since(o.startedAt)
+	realTook := machineNow() - o.realBefore
+	cpu := processorTime() - o.cpuBefore
+	figures := o.fleet.summarize(o.fleet.Network.Recorded(), took)
+	figures.RealTook = realTook
+	figures.RealCPU = cpu
+	figures.Kinds = o.fleet.traffic.snapshot().since(o.trafficBefore)
+	figures.Overflowed = o.fleet.Network.Overflowed() - o.overflowedBefore
+	relaySeconds := took.Seconds() * float64(figures.Relays)
+	networkTime := time.Duration(figures.Packets.Mean * relaySeconds * float64(o.packetCost))
+	figures.NetworkCPUMillis = networkTime.Seconds() * 1000 / relaySeconds
+	figures.CPUMillis = cpu.Seconds()*1000/relaySeconds - figures.NetworkCPUMillis
 	figures.addMemory()
 	return figures
 }
 
-// Measure lets time pass and tells what it cost.
+// Measure waits for a time and returns what it cost.
 func (f *Fleet) Measure(over, packetCost time.Duration) Figures {
 	o := f.Observe(packetCost)
 	time.Sleep(over)
 	return o.End()
 }
 
+// summarize returns the figures of the network's records.
 func (f *Fleet) summarize(records []network.Record, took time.Duration) Figures {
 	out := Figures{Relays: len(f.running()), Took: took}
 	connections := 0
@@ -108,49 +120,92 @@
 	return out
 }
 
-func distributionOf(records []network.Record, took time.Duration, of func(network.Sample) int) (s Distribution) {
+func distributionOf(
+	records []network.Record, took time.Duration, of func(network.Sample) int,
+) (d Distribution) {
 	for _, r := range records {
 		mean := float64(of(r.Total)) / took.Seconds()
-		s.Mean += mean / float64(len(records))
-		s.MaxMean = max(s.MaxMean, mean)
-		s.P99 = max(s.P99, float64(r.Percentile(0.99, of)))
-		s.MaxSecond = max(s.MaxSecond, float64(r.Percentile(1, of)))
+		d.Mean += mean / float64(len(records))
+		d.MaxMean = max(d.MaxMean, mean)
+		d.P99 = max(d.P99, float64(r.Percentile(0.99, of)))
+		d.MaxSecond = max(d.MaxSecond, float64(r.Percentile(1, of)))
 	}
-	return s
+	return d
 }
 
+// addMemory adds what this process holds, divided by the relays.
 func (g *Figures) addMemory() {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	n := float64(max(g.Relays, 1))
-	g.HeapMB, g.StackMB = float64(m.HeapAlloc)/1e6/n, float64(m.StackInuse)/1e6/n
+	g.HeapMB = float64(m.HeapAlloc) / 1e6 / n
+	g.StackMB = float64(m.StackInuse) / 1e6 / n
 	g.Goroutines = float64(runtime.NumGoroutine()) / n
 }
 
-// Row is the figures as a row of a table in Markdown; see Header.
-func (g Figures) Row() string {
-	return fmt.Sprintf("| %d | %.0f | %.0f | %.0f / %.0f | %.0f | %.0f / %.0f | %.0f | %.0f | %.1f | %.2f | %.2f | %.2f | %.2f |", g.Relays, g.Took.Seconds(), g.Out.Mean, g.Out.P99, g.Out.MaxSecond,
-		g.In.Mean, g.In.P99, g.In.MaxSecond, g.WireOut.Mean, g.WireOut.MaxMean, g.Packets.Mean, g.CPUMillis, g.NetworkCPUMillis, g.HeapMB, g.StackMB)
+// columns are the heads of a table of Rows.
+var columns = []string{
+	"relays",
+	"seconds",
+	"out, B/s",
+	"out, 99th of 100 s / worst second of any relay",
+	"in, B/s",
+	"in, 99th / worst",
+	"out with headers, B/s",
+	"the same at the relay with most",
+	"packets out a second",
+	"CPU, ms a second",
+	"the test's own network (taken off)",
+	"heap, MB",
+	"stacks, MB",
 }
 
-// Header heads a table of Rows.
-const Header = "| relays | seconds | out, B/s | out, 99th of 100 s / worst second of any relay | in, B/s | in, 99th / worst | out with headers, B/s | the same at the relay with most | packets out a second " +
-	"| CPU, ms a second | the test's own network (taken off) | heap, MB | stacks, MB |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
+// Header returns the head of a table of Rows in Markdown.
+func Header() string { return tableHead(columns) }
+
+func tableHead(columns []string) string {
+	return tableRow(columns) + "\n|" + strings.Repeat(" --- |", len(columns))
+}
+
+func tableRow(cells []string) string { return "| " + strings.Join(cells, " | ") + " |" }
+
+// Row returns the figures as a row of a table in Markdown, under Header.
+func (g Figures) Row() string {
+	return tableRow([]string{
+		fmt.Sprint(g.Relays),
+		fmt.Sprintf("%.0f", g.Took.Seconds()),
+		fmt.Sprintf("%.0f", g.Out.Mean),
+		fmt.Sprintf("%.0f / %.0f", g.Out.P99, g.Out.MaxSecond),
+		fmt.Sprintf("%.0f", g.In.Mean),
+		fmt.Sprintf("%.0f / %.0f", g.In.P99, g.In.MaxSecond),
+		fmt.Sprintf("%.0f", g.WireOut.Mean),
+		fmt.Sprintf("%.0f", g.WireOut.MaxMean),
+		fmt.Sprintf("%.1f", g.Packets.Mean),
+		fmt.Sprintf("%.2f", g.CPUMillis),
+		fmt.Sprintf("%.2f", g.NetworkCPUMillis),
+		fmt.Sprintf("%.2f", g.HeapMB),
+		fmt.Sprintf("%.2f", g.StackMB),
+	})
+}
 
-// KindRate is how many bytes of a kind each relay sends in a second.
+// KindRate returns how many bytes of a kind each relay sends in a second.
 func (g Figures) KindRate(k Kind) float64 {
 	return float64(g.Kinds[k].Bytes) / g.Took.Seconds() / float64(max(g.Relays, 1))
 }
 
-// KindRows are the kinds as rows of a table in Markdown: bytes and messages that each relay sends in a second.
+// KindRows returns the kinds as rows of a table in Markdown: bytes and messages that each relay sends in a
+// second.
 func (g Figures) KindRows() string {
 	var b strings.Builder
-	each := g.Took.Seconds() * float64(max(g.Relays, 1))
+	relaySeconds := g.Took.Seconds() * float64(max(g.Relays, 1))
 	for k, t := range g.Kinds {
-		if t.Bytes > 0 {
-			fmt.Fprintf(&b, "| %d | %s | %.0f | %.2f |\n", g.Relays, Kind(k), float64(t.Bytes)/each, float64(t.Messages)/each)
+		if t.Bytes == 0 {
+			continue
 		}
+		bytes := float64(t.Bytes) / relaySeconds
+		messages := float64(t.Messages) / relaySeconds
+		fmt.Fprintf(&b, "| %d | %s | %.0f | %.2f |\n", g.Relays, Kind(k), bytes, messages)
 	}
 	return b.String()
 }
--- a/internal/simulation/scale/traffic.go
+++ b/internal/simulation/scale/traffic.go
@@ -2,41 +2,68 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"sync/atomic"
-
-	"capersail/internal/fleet/membership"
 )
 
-// Kind is what a part of the traffic is for.
+// Kind is what a message or a part of a packet is for.
 type Kind int
 
-// The kinds. Framing is labels, checksums and the lengths of messages that share a packet.
+// The kinds of traffic. Framing is labels, checksums and the lengths of messages that share a packet.
 const (
-	Probes          Kind = iota // pings, and their answers
+	Probes          Kind = iota // memberlist's pings and their answers
 	Liveness                    // who is alive, suspected or dead
-	Statuses                    // what relays tell of themselves
-	Leases                      // renewals of grants
+	Statuses                    // relays' own statuses
+	Leases                      // renewals of leases
 	Consensus                   // ballots and views
 	LoadReports                 // of servers
-	Placements                  // connections sent to servers
+	Placements                  // connections placed on servers
 	CellSummaries               // between cells
-	CellDirectories             // of all cells, from a cell's speaker to its own
+	CellDirectories             // of all cells, from a cell's representative to its own relays
 	Framing
-	PushPull // streams: all that is known, both ways
+	PushPull // streams: the whole state, both ways
 	Views    // streams: views too large for a packet
 	Others
 	kindCount
 )
 
+// kindNames are as the pages with measurements have them.
+var kindNames = [kindCount]string{
+	Probes:          "probes",
+	Liveness:        "liveness",
+	Statuses:        "statuses",
+	Leases:          "leases",
+	Consensus:       "choices",
+	LoadReports:     "readings",
+	Placements:      "placements",
+	CellSummaries:   "summaries",
+	CellDirectories: "directories",
+	Framing:         "framing",
+	PushPull:        "push-pull (streams)",
+	Views:           "views (streams)",
+	Others:          "others",
+}
+
 func (k Kind) String() string {
-	return [kindCount]string{"probes", "liveness", "statuses", "leases", "choices", "readings", "placements", "summaries", "directories", "framing", "push-pull (streams)", "views (streams)",
-		"others"}[k]
+	if k < 0 || k >= kindCount {
+		return fmt.Sprintf("kind %d", int(k))
+	}
+	return kindNames[k]
 }
 
-// Traffic is what went out, by kind.
+// Traffic is what was sent, by kind.
 type Traffic [kindCount]struct{ Messages, Bytes uint64 }
 
-// trafficCounter counts while packets are sent.
+// since returns what was sent after an earlier Traffic.
+func (t Traffic) since(before Traffic) Traffic {
+	for k := range t {
+		t[k].Messages -= before[k].Messages
+		t[k].Bytes -= before[k].Bytes
+	}
+	return t
+}
+
+// trafficCounter counts what is sent. It is safe for concurrent use.
 type trafficCounter [kindCount]struct{ messages, bytes atomic.Uint64 }
 
 func (t *trafficCounter) add(k Kind, bytes int) {
@@ -46,12 +73,13 @@
 
 func (t *trafficCounter) snapshot() (out Traffic) {
 	for k := range t {
-		out[k].Messages, out[k].Bytes = t[k].messages.Load(), t[k].bytes.Load()
+		out[k].Messages = t[k].messages.Load()
+		out[k].Bytes = t[k].bytes.Load()
 	}
 	return out
 }
 
-// memberlist's message types, and where its headers end.
+// memberlist's message types, and the length of its checksum.
 const (
 	typePing       = 0
 	typeIndirect   = 1
@@ -69,7 +97,7 @@
 
 // countPacket counts a countPacket that is not sealed; a sealed one counts as Others.
 func (t *trafficCounter) countPacket(_ string, b []byte) {
-	whole := len(b)
+	size := len(b)
 	if len(b) > 2 && b[0] == typeLabel {
 		b = b[min(2+int(b[1]), len(b)):]
 	}
@@ -78,13 +106,13 @@
 	}
 	if len(b) < 2 || b[0] != typeCompound {
 		t.countMessage(b)
-		t[Framing].bytes.Add(uint64(whole - len(b)))
+		t[Framing].bytes.Add(uint64(size - len(b)))
 		return
 	}
 	parts, counted := int(b[1]), 0
 	lengths := b[2:]
 	if len(lengths) < 2*parts {
-		t.add(Others, whole)
+		t.add(Others, size)
 		return
 	}
 	rest := lengths[2*parts:]
@@ -94,9 +122,10 @@
 		rest = rest[length:]
 		counted += length
 	}
-	t[Framing].bytes.Add(uint64(whole - counted))
+	t[Framing].bytes.Add(uint64(size - counted))
 }
 
+// countMessage counts one of memberlist's messages.
 func (t *trafficCounter) countMessage(b []byte) {
 	if len(b) == 0 {
 		return
@@ -128,92 +157,3 @@
 		t.add(Probes, written)
 	}
 }
-
-// The kinds of gossip's envelopes, as they are on the wire.
-const (
-	envelopeStatus    = 1
-	envelopeMessage   = 2
-	envelopeReadings  = 3
-	envelopePlaced    = 4
-	envelopeSummary   = 5
-	envelopeDirectory = 6
-	envelopeOfCell    = 64 // holds a kind and a body for one cell
-	envelopeItems     = 6  // Version, From, Incarnation, Seq, Kind, Body
-	ofCellItems       = 3  // Cell, Kind, Body
-)
-
-// envelopeKind reads just so much of an envelope as tells its kind.
-func envelopeKind(b []byte) Kind {
-	if len(b) == 0 || b[0] != 0x80|envelopeItems {
-		return Others
-	}
-	b = b[1:]
-	var value uint64
-	for range envelopeItems - 1 {
-		if value, b = readItem(b); b == nil {
-			return Others
-		}
-	}
-	if value == envelopeOfCell && len(b) > 0 && b[0] == 0x80|ofCellItems {
-		b = b[1:]
-		for range ofCellItems - 1 {
-			if value, b = readItem(b); b == nil {
-				return Others
-			}
-		}
-	}
-	switch value {
-	case envelopeStatus:
-		return Statuses
-	case envelopeReadings:
-		return LoadReports
-	case envelopePlaced:
-		return Placements
-	case envelopeSummary:
-		return CellSummaries
-	case envelopeDirectory:
-		return CellDirectories
-	case envelopeMessage:
-	default:
-		return Others
-	}
-	if len(b) < 3 || b[0]>>5 != 5 || b[1] != 1 { // a map whose first key is the Message's Kind
-		return Others
-	}
-	switch membership.Kind(b[2]) {
-	case membership.Renew, membership.Renewed:
-		return Leases
-	}
-	return Consensus
-}
-
-// readItem reads a number or a text in CBOR, and returns the number or the text's length, and the rest.
-func readItem(b []byte) (value uint64, rest []byte) {
-	if len(b) == 0 {
-		return 0, nil
-	}
-	major, short := b[0]>>5, b[0]&31
-	b = b[1:]
-	switch {
-	case short < 24:
-		value = uint64(short)
-	case short <= 27:
-		width := 1 << (short - 24)
-		if len(b) < width {
-			return 0, nil
-		}
-		for _, x := range b[:width] {
-			value = value<<8 | uint64(x)
-		}
-		b = b[width:]
-	default:
-		return 0, nil
-	}
-	if major >= 2 {
-		if uint64(len(b)) < value {
-			return 0, nil
-		}
-		b = b[value:]
-	}
-	return value, b
-}
