--- a/internal/simulation/capacity/capacity.go
+++ b/internal/simulation/capacity/capacity.go
@@ -50,8 +50,8 @@
 	return (limit - l.Constant) / l.Slope
 }
 
-// errPoints says that no line goes through what was measured.
-var errPoints = errors.New("a line needs two points of different sizes")
+// errTooFewPoints says that no line goes through what was measured.
+var errTooFewPoints = errors.New("a line needs two points of different sizes")
 
 // Fit is the straight line with the least squared distance to the points.
 func Fit(points []Point) (Line, error) {
@@ -67,11 +67,11 @@
 		together += (p.Size - size) * (p.Value - value)
 	}
 	if len(points) < 2 || spread == 0 {
-		return Line{}, errPoints
+		return Line{}, errTooFewPoints
 	}
 	slope := together / spread
 	return Line{Slope: slope, Constant: value - slope*size}, nil
 }
 
-// Error is how far a prediction lies from what was measured, as a part of the latter: negative where it was too low.
-func Error(predicted, measured float64) float64 { return predicted/measured - 1 }
+// RelativeError is how far a prediction lies from what was measured, as a part of the latter: negative where it was too low.
+func RelativeError(predicted, measured float64) float64 { return predicted/measured - 1 }
--- a/internal/simulation/capacity/capacity_test.go
+++ b/internal/simulation/capacity/capacity_test.go
@@ -32,7 +32,7 @@
 			t.Errorf("%+v reaches %v at %v, want %v", c.line, c.limit, got, c.want)
 		}
 	}
-	if got := Error(90, 100); math.Abs(got+0.1) > 1e-9 {
+	if got := RelativeError(90, 100); math.Abs(got+0.1) > 1e-9 {
 		t.Errorf("an error of %v", got)
 	}
 }
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -15,13 +15,13 @@
 	"capersail/internal/wire/discovery"
 )
 
-// nowhere is a server side and a discovery that do nothing.
-type nowhere struct{}
+// noServers is a server side and a discovery that do nothing.
+type noServers struct{}
 
-func (nowhere) StartAttempt(*relay.Request, relay.Attempt)                     {}
-func (nowhere) Probe(_ relay.Server, _ func(decide.Status, decide.LoadReport)) {}
-func (nowhere) Watch()                                                         {}
-func (nowhere) Fetch()                                                         {}
+func (noServers) StartAttempt(*relay.Request, relay.Attempt)                     {}
+func (noServers) Probe(_ relay.Server, _ func(decide.Status, decide.LoadReport)) {}
+func (noServers) Watch()                                                         {}
+func (noServers) Fetch()                                                         {}
 func listText(whole bool, from, until int, mode string) string {
 	var entries []string
 	for i := from; i < until; i++ {
@@ -30,20 +30,20 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, until, whole, strings.Join(entries, ","))
 }
 
-// listed is a relay's core that takes lists in.
-type listed struct {
-	x    *relay.RequestTable
-	core *relay.EventLoop
+// listReader is a relay's core that takes lists in.
+type listReader struct {
+	table *relay.RequestTable
+	loop  *relay.EventLoop
 }
 
-func newListed() *listed {
+func newListReader() *listReader {
 	site := &relay.Deployment{Zones: map[string]decide.Zone{"hall-a": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true,
 		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewRequestTable(site, relay.NewClock(), nowhere{})
-	return &listed{x, relay.NewEventLoop(x, 7, nowhere{}, zerolog.Nop())}
+	x := relay.NewRequestTable(site, relay.NewClock(), noServers{})
+	return &listReader{x, relay.NewEventLoop(x, 7, noServers{}, zerolog.Nop())}
 }
 
-func (l *listed) take(tb testing.TB, text string) {
+func (l *listReader) apply(tb testing.TB, text string) {
 	tb.Helper()
 	list, err := discovery.ParseList(text, zerolog.Nop())
 	if err != nil {
@@ -53,12 +53,12 @@
 	if list.Complete {
 		kind = decide.Snapshot
 	}
-	l.x.UpdateEndpoints(kind, list.Endpoints)
-	l.core.Step()
+	l.table.UpdateEndpoints(kind, list.Endpoints)
+	l.loop.Step()
 }
 
-// heapNow is the heap after a collection.
-func heapNow() float64 {
+// collectedHeap is the heap after a collection.
+func collectedHeap() float64 {
 	var figures runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&figures)
@@ -69,23 +69,23 @@
 // change of one of them, which must not grow with the list.
 func TestCostOfLists(t *testing.T) {
 	sizes, turns := []int{100, 200, 400}, 5
-	if long() {
+	if longRun() {
 		sizes, turns = []int{90, 330, 1000, 2500, 5000}, 40
 	}
 	var bytes, whole, delta, heap []Point
 	for _, n := range sizes {
 		text := listText(true, 0, n, "Ready")
-		before := heapNow()
-		l := newListed()
-		l.take(t, text)
+		before := collectedHeap()
+		l := newListReader()
+		l.apply(t, text)
 		size := float64(n)
-		heap = append(heap, Point{size, heapNow() - before})
+		heap = append(heap, Point{size, collectedHeap() - before})
 		bytes = append(bytes, Point{size, float64(len(text))})
 		quickest := [2]time.Duration{time.Hour, time.Hour}
 		for range turns {
 			for i, change := range []string{text, listText(false, 0, 1, "Terminating")} {
 				began := time.Now()
-				l.take(t, change)
+				l.apply(t, change)
 				quickest[i] = min(quickest[i], time.Since(began))
 			}
 		}
@@ -104,7 +104,7 @@
 		}
 		early, _ := Fit(row.points[:len(row.points)-1])
 		last := row.points[len(row.points)-1]
-		t.Logf("%s: %.4g a server and %.4g; without the last size it is foretold with an error of %+.3f", row.what, line.Slope, line.Constant, Error(early.At(last.Size), last.Value))
+		t.Logf("%s: %.4g a server and %.4g; without the last size it is foretold with an error of %+.3f", row.what, line.Slope, line.Constant, RelativeError(early.At(last.Size), last.Value))
 	}
 	if line, _ := Fit(bytes); line.Slope > 200 {
 		t.Errorf("%.0f bytes a server", line.Slope)
--- a/internal/simulation/capacity/page_test.go
+++ b/internal/simulation/capacity/page_test.go
@@ -17,8 +17,8 @@
 // row is one line of a table, by its column's heading.
 type row map[string]string
 
-// tables are the page's, each with its rows.
-func tables(t *testing.T) (all [][]row) {
+// readTables are the page's, each with its rows.
+func readTables(t *testing.T) (all [][]row) {
 	t.Helper()
 	text, err := os.ReadFile(pagePath)
 	if err != nil {
@@ -49,34 +49,34 @@
 	return all
 }
 
-// number reads a figure of the page: 51,818 or 0.0045.
-func number(cell string) (float64, bool) {
+// parseNumber reads a figure of the page: 51,818 or 0.0045.
+func parseNumber(cell string) (float64, bool) {
 	x, err := strconv.ParseFloat(strings.ReplaceAll(cell, ",", ""), 64)
 	return x, err == nil
 }
 
-// near tells whether a figure is its sum, but for rounding.
-func near(figure, sum float64) bool {
+// isNear tells whether a figure is its sum, but for rounding.
+func isNear(figure, sum float64) bool {
 	return math.Abs(figure-sum) <= rounding*math.Abs(sum) || math.Abs(figure-sum) < 1e-9
 }
 
 // What the page works out is slope x size + constant, for both sizes.
 func TestPageLines(t *testing.T) {
 	checked := 0
-	for _, table := range tables(t) {
+	for _, table := range readTables(t) {
 		for _, r := range table {
-			slope, has := number(r["slope"])
-			constant, hasConstant := number(r["constant"])
+			slope, has := parseNumber(r["slope"])
+			constant, hasConstant := parseNumber(r["constant"])
 			if !has || !hasConstant {
 				continue
 			}
 			line := Line{Slope: slope, Constant: constant}
 			for size, value := range map[string]string{"size today": "today", "size at target": "at target"} {
-				at, hasSize := number(r[size])
-				figure, hasFigure := number(r[value])
+				at, hasSize := parseNumber(r[size])
+				figure, hasFigure := parseNumber(r[value])
 				if !hasSize || !hasFigure {
 					t.Errorf("%q: %s is %q, %s is %q", r["what"], size, r[size], value, r[value])
-				} else if !near(figure, line.At(at)) {
+				} else if !isNear(figure, line.At(at)) {
 					t.Errorf("%q: %s is %s, and %g x %g + %g is %g", r["what"], value, r[value], slope, at, constant, line.At(at))
 				}
 			}
@@ -91,22 +91,22 @@
 // Where a table ends in a sum, it is that of the rows above.
 func TestPageSums(t *testing.T) {
 	checked := 0
-	for _, table := range tables(t) {
+	for _, table := range readTables(t) {
 		if len(table) == 0 || table[len(table)-1]["what"] != "sum" {
 			continue
 		}
 		last := table[len(table)-1]
 		for head, cell := range last {
-			want, ok := number(cell)
+			want, ok := parseNumber(cell)
 			if !ok {
 				continue
 			}
 			sum := 0.0
 			for _, r := range table[:len(table)-1] {
-				x, _ := number(r[head])
+				x, _ := parseNumber(r[head])
 				sum += x
 			}
-			if !near(want, sum) {
+			if !isNear(want, sum) {
 				t.Errorf("sum of %q: %s, and the rows add up to %g", head, cell, sum)
 			}
 			checked++
@@ -119,7 +119,7 @@
 
 // No cell of the page is left blank: what was not run says so.
 func TestPageHasNoBlanks(t *testing.T) {
-	for _, table := range tables(t) {
+	for _, table := range readTables(t) {
 		for i, r := range table {
 			for head, cell := range r {
 				if cell == "" {
@@ -136,15 +136,15 @@
 		"deliveries a second": Target().Deliveries, "deliveries a second of a relay": Target().DeliveriesPerRelay(), "shards of topics": Target().Shards,
 		"listeners of the largest topic": Target().Listeners, "regions": Target().Regions, "zones": Target().Zones}
 	found := 0
-	for _, table := range tables(t) {
+	for _, table := range readTables(t) {
 		for _, r := range table {
 			size, known := want[r["what"]]
-			figure, ok := number(r["target"])
+			figure, ok := parseNumber(r["target"])
 			if !known || !ok {
 				continue
 			}
 			found++
-			if !near(figure, size) {
+			if !isNear(figure, size) {
 				t.Errorf("%s: %g, want %g", r["what"], figure, size)
 			}
 		}
--- a/internal/simulation/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -26,11 +26,11 @@
 const (
 	runAsRelay = "CAPERSAIL_CAPACITY_RELAY" // set where the test binary stands for the program
 	tickHertz  = 100                        // of the times in /proc/PID/stat
-	patience   = 60 * time.Second
+	waitLimit  = 60 * time.Second
 )
 
-// long tells whether the sizes of the page are to be measured, and not CI's.
-func long() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
+// longRun tells whether the sizes of the page are to be measured, and not CI's.
+func longRun() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
 // TestMain lets the test binary stand for the program itself. On SIGUSR1 it then tells its heap, on standard output.
 func TestMain(m *testing.M) {
@@ -61,39 +61,39 @@
 
 // relayProcess is the program, started for a test.
 type relayProcess struct {
-	t       *testing.T
-	pid     int
-	address string
-	admin   string
-	heap    *json.Decoder
-	log     *countedLog
-	cmd     *exec.Cmd
-	ended   chan struct{} // its log has ended
+	t           *testing.T
+	pid         int
+	address     string
+	admin       string
+	heapReports *json.Decoder
+	log         *logCounter
+	cmd         *exec.Cmd
+	ended       chan struct{} // its log has ended
 }
 
-// countedLog counts the bytes of a log and looks for the addresses in it.
-type countedLog struct {
+// logCounter counts the bytes of a log and looks for the addresses in it.
+type logCounter struct {
 	sync.Mutex
-	bytes int
-	lines int
-	other []string // lines that are none of the log's, as a data race is told
-	found map[string]string
-	ready chan struct{}
+	bytes      int
+	lines      int
+	otherLines []string // lines that are none of the log's, as a data race is told
+	addresses  map[string]string
+	ready      chan struct{}
 }
 
-func (l *countedLog) follow(in io.Reader) {
+func (l *logCounter) follow(in io.Reader) {
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		var line struct{ Message, Listen, Admin string }
 		err := json.Unmarshal(lines.Bytes(), &line)
 		l.Lock()
 		if err != nil {
-			l.other = append(l.other, lines.Text())
+			l.otherLines = append(l.otherLines, lines.Text())
 		}
 		l.bytes += len(lines.Bytes()) + 1
 		l.lines++
 		for key, value := range map[string]string{"listen": line.Listen, "admin": line.Admin} {
-			if _, known := l.found[key]; value != "" && !known {
-				if l.found[key] = value; len(l.found) == 2 {
+			if _, known := l.addresses[key]; value != "" && !known {
+				if l.addresses[key] = value; len(l.addresses) == 2 {
 					close(l.ready)
 				}
 			}
@@ -103,7 +103,7 @@
 }
 
 // count is how many bytes and lines have come.
-func (l *countedLog) count() (size, lines int) {
+func (l *logCounter) count() (size, lines int) {
 	l.Lock()
 	defer l.Unlock()
 	return l.bytes, l.lines
@@ -130,7 +130,7 @@
 	}
 	cmd := exec.CommandContext(t.Context(), os.Args[0], more...)
 	cmd.Env = append(os.Environ(), runAsRelay+"=1", "LB_CONFIG="+path, "TMPDIR="+t.TempDir())
-	r := &relayProcess{t: t, log: &countedLog{found: map[string]string{}, ready: make(chan struct{})}, cmd: cmd, ended: make(chan struct{})}
+	r := &relayProcess{t: t, log: &logCounter{addresses: map[string]string{}, ready: make(chan struct{})}, cmd: cmd, ended: make(chan struct{})}
 	logs, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -142,41 +142,41 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	r.pid, r.heap = cmd.Process.Pid, json.NewDecoder(figures)
+	r.pid, r.heapReports = cmd.Process.Pid, json.NewDecoder(figures)
 	go func() { r.log.follow(logs); close(r.ended) }()
 	t.Cleanup(func() {
 		cmd.Process.Kill()
 		<-r.ended
 		cmd.Wait()
-		if len(r.log.other) > 0 {
-			t.Errorf("the relay said what is no log line:\n%s", strings.Join(r.log.other, "\n"))
+		if len(r.log.otherLines) > 0 {
+			t.Errorf("the relay said what is no log line:\n%s", strings.Join(r.log.otherLines, "\n"))
 		}
 	})
 	select {
 	case <-r.log.ready:
 	case <-r.ended:
 		t.Fatal("the relay ended before it served")
-	case <-time.After(patience):
+	case <-time.After(waitLimit):
 		t.Fatal("the relay does not serve")
 	}
-	r.address, r.admin = r.log.found["listen"], r.log.found["admin"]
+	r.address, r.admin = r.log.addresses["listen"], r.log.addresses["admin"]
 	return r
 }
 
-// collected are the relay's heap and stacks after a collection.
-func (r *relayProcess) collected() (h heapFigures) {
+// collectHeap are the relay's heap and stacks after a collection.
+func (r *relayProcess) collectHeap() (h heapFigures) {
 	r.t.Helper()
 	if err := syscall.Kill(r.pid, syscall.SIGUSR1); err != nil {
 		r.t.Fatal(err)
 	}
-	if err := r.heap.Decode(&h); err != nil {
+	if err := r.heapReports.Decode(&h); err != nil {
 		r.t.Fatal(err)
 	}
 	return h
 }
 
-// proc reads a file of the relay's in /proc.
-func (r *relayProcess) proc(name string) string {
+// readProc reads a file of the relay's in /readProc.
+func (r *relayProcess) readProc(name string) string {
 	r.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", r.pid, name))
 	if err != nil {
@@ -185,17 +185,17 @@
 	return string(text)
 }
 
-// resident is the relay's resident memory, in bytes.
-func (r *relayProcess) resident() float64 {
+// residentBytes is the relay's residentBytes memory, in bytes.
+func (r *relayProcess) residentBytes() float64 {
 	r.t.Helper()
-	_, rest, _ := strings.Cut(r.proc("status"), "VmRSS:")
+	_, rest, _ := strings.Cut(r.readProc("status"), "VmRSS:")
 	var kilobytes float64
 	fmt.Sscan(rest, &kilobytes)
 	return kilobytes * 1024
 }
 
-// descriptors is how many the relay holds.
-func (r *relayProcess) descriptors() int {
+// descriptorCount is how many the relay holds.
+func (r *relayProcess) descriptorCount() int {
 	r.t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.pid))
 	if err != nil {
@@ -204,10 +204,10 @@
 	return len(entries)
 }
 
-// processor is the time that the relay has computed, in its own code and in the kernel.
-func (r *relayProcess) processor() time.Duration {
+// processorTime is the time that the relay has computed, in its own code and in the kernel.
+func (r *relayProcess) processorTime() time.Duration {
 	r.t.Helper()
-	text := r.proc("stat")
+	text := r.readProc("stat")
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	var ticks float64
 	for _, field := range fields[11:13] { // utime and stime are the 14th and 15th of all
@@ -217,19 +217,19 @@
 	return time.Duration(ticks / tickHertz * float64(time.Second))
 }
 
-// tileServer answers probes, takes every connection, and returns every line.
-type tileServer struct {
+// echoServer answers probes, takes every connection, and returns every line.
+type echoServer struct {
 	address string
 
-	mu   sync.Mutex
-	open []net.Conn // those that are up
+	mu          sync.Mutex
+	connections []net.Conn // those that are up
 }
 
-// push sends a line on every connection that is up, one after the other.
-func (s *tileServer) push(line []byte) error {
+// broadcast sends a line on every connection that is up, one after the other.
+func (s *echoServer) broadcast(line []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, conn := range s.open {
+	for _, conn := range s.connections {
 		if _, err := conn.Write(line); err != nil {
 			return err
 		}
@@ -237,14 +237,14 @@
 	return nil
 }
 
-func startTileServer(t *testing.T) *tileServer {
+func startEchoServer(t *testing.T) *echoServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &tileServer{address: l.Addr().String()}
+	s := &echoServer{address: l.Addr().String()}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -257,7 +257,7 @@
 	return s
 }
 
-func (s *tileServer) serve(conn net.Conn) {
+func (s *echoServer) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReaderSize(conn, 512)
 	for up := false; ; {
@@ -272,7 +272,7 @@
 		default:
 			up, line = true, []byte("UP 1\r\n")
 			s.mu.Lock()
-			s.open = append(s.open, conn)
+			s.connections = append(s.connections, conn)
 			s.mu.Unlock()
 		}
 		if _, err := conn.Write(line); err != nil {
@@ -281,15 +281,15 @@
 	}
 }
 
-// stage is a discovery service that knows some servers, the first so many of which are there.
-func stage(t *testing.T, listed, there int) *fake.Discovery {
+// startDiscovery is a discovery service that knows some servers, the first so many of which are there.
+func startDiscovery(t *testing.T, listed, there int) *fake.Discovery {
 	t.Helper()
-	d, _ := stageWith(t, listed, there)
+	d, _ := startServers(t, listed, there)
 	return d
 }
 
-// stageWith is stage, and the servers that are there.
-func stageWith(t *testing.T, listed, there int) (d *fake.Discovery, all []*tileServer) {
+// startServers is stage, and the servers that are there.
+func startServers(t *testing.T, listed, there int) (d *fake.Discovery, all []*echoServer) {
 	t.Helper()
 	d, err := fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -298,7 +298,7 @@
 	for i := range listed {
 		address := "127.0.0.1:1"
 		if i < there {
-			all = append(all, startTileServer(t))
+			all = append(all, startEchoServer(t))
 			address = all[i].address
 		}
 		d.Set(fmt.Sprint("s", i), address, "Ready")
--- a/internal/simulation/capacity/rest_test.go
+++ b/internal/simulation/capacity/rest_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	mostFigures = 64 << 10 // bytes of a scrape
-	mostAtRest  = 4096     // bytes of log while nothing happens
+	maxScrapeBytes  = 64 << 10 // bytes of a scrape
+	maxRestLogBytes = 4096     // bytes of log while nothing happens
 )
 
 // scrape asks for the figures once.
@@ -32,8 +32,8 @@
 	return len(text)
 }
 
-// alone is the flag that lets a relay know others, of which there are none.
-func alone(t *testing.T) []string {
+// membersFlag is the flag that lets a relay know others, of which there are none.
+func membersFlag(t *testing.T) []string {
 	t.Helper()
 	l, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -53,13 +53,13 @@
 // reload has the relay read its configuration again so many times, and returns what one costs it.
 func (r *relayProcess) reload(times int) (processor time.Duration) {
 	r.t.Helper()
-	before := r.processor()
+	before := r.processorTime()
 	for range times {
 		_, lines := r.log.count()
 		if err := syscall.Kill(r.pid, syscall.SIGHUP); err != nil {
 			r.t.Fatal(err)
 		}
-		for until := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(waitLimit); ; time.Sleep(time.Millisecond) {
 			if _, now := r.log.count(); now > lines {
 				break
 			}
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	return (r.processor() - before) / time.Duration(times)
+	return (r.processorTime() - before) / time.Duration(times)
 }
 
 // What a relay costs at rest by the servers that are listed: processor time, log, memory; one scrape of its figures; one
@@ -79,34 +79,34 @@
 		members bool
 	}
 	sizes, watch, times := []setup{{10, false}, {100, false}, {10, true}}, 500*time.Millisecond, 20
-	if long() {
+	if longRun() {
 		sizes, watch, times = []setup{{10, false}, {90, false}, {330, false}, {1000, false}, {5000, false}, {10, true}, {330, true}}, 10*time.Second, 200
 	}
 	for _, s := range sizes {
 		var flags []string
 		if s.members {
-			flags = alone(t)
+			flags = membersFlag(t)
 		}
-		r := startRelay(t, stage(t, s.servers, min(s.servers, servers)), flags...)
+		r := startRelay(t, startDiscovery(t, s.servers, min(s.servers, servers)), flags...)
 		time.Sleep(watch / 10) // until the start is over
-		began, at := time.Now(), r.processor()
+		began, at := time.Now(), r.processorTime()
 		logged, _ := r.log.count()
 		time.Sleep(watch)
 		more, lines := r.log.count()
-		core := (r.processor() - at).Seconds() / time.Since(began).Seconds()
-		h, resident := r.collected(), r.resident()
-		at = r.processor()
+		core := (r.processorTime() - at).Seconds() / time.Since(began).Seconds()
+		h, resident := r.collectHeap(), r.residentBytes()
+		at = r.processorTime()
 		bytes := 0
 		for range times {
 			bytes = scrape(t, r.admin)
 		}
-		each := (r.processor() - at).Seconds() * 1000 / float64(times)
+		each := (r.processorTime() - at).Seconds() * 1000 / float64(times)
 		t.Logf("%d servers listed, members %v: %.5f of a core at rest, %d bytes of log in %v after %d at the start (%d lines in all), heap %d, resident %.0f; a scrape: %d bytes, %.2f ms of processor time; a reload: %v",
 			s.servers, s.members, core, more-logged, watch, logged, lines, h.Heap, resident, bytes, each, r.reload(times))
-		if bytes > mostFigures {
+		if bytes > maxScrapeBytes {
 			t.Errorf("%d bytes of figures", bytes)
 		}
-		if more-logged > mostAtRest {
+		if more-logged > maxRestLogBytes {
 			t.Errorf("%d bytes of log at rest", more-logged)
 		}
 	}
--- a/internal/simulation/capacity/leave_test.go
+++ b/internal/simulation/capacity/shutdown_test.go
@@ -10,17 +10,17 @@
 )
 
 // What it costs a relay to send its clients away at SIGTERM: each is told to move, and the relay has so much time for all.
-func TestRelayLeaves(t *testing.T) {
+func TestCostOfGracefulShutdown(t *testing.T) {
 	sizes := []int{50, 200}
-	if long() {
+	if longRun() {
 		sizes = []int{1000, 2000, 4000}
 	}
 	for _, n := range sizes {
-		r := startRelay(t, stage(t, servers, servers))
-		all := connect(t, r.address, nil, n)
+		r := startRelay(t, startDiscovery(t, servers, servers))
+		all := openClients(t, r.address, nil, n)
 		var moved atomic.Int64
 		var wait sync.WaitGroup
-		before := r.processor()
+		before := r.processorTime()
 		began := time.Now()
 		var first, last atomic.Int64
 		for _, v := range all {
