--- a/internal/simulation/capacity/capacity.go
+++ b/internal/simulation/capacity/capacity.go
@@ -1,6 +1,7 @@
-// Package capacity holds the arithmetic of docs/CAPACITY.md: the sizes that the page reckons with, straight lines fitted to
-// measured points, and how far a prediction was off where it was checked. Its tests measure the slopes that the page quotes,
-// and check the page's own sums.
+// Package capacity holds the arithmetic of docs/CAPACITY.md: the sizes that the page computes with, straight
+// lines fitted to measured points, and how far a prediction was off where it was checked. Its tests measure
+// the slopes that the page quotes, on the program itself and on its parts, and check the page's own sums.
+// Only they call it.
 package capacity
 
 import (
@@ -8,26 +9,34 @@
 	"math"
 )
 
-// Size is how large a deployment is.
+// Size is how large a deployment is, over all its relays unless another whole is said.
 type Size struct {
 	Relays      float64
-	Connections float64 // of clients, over all relays
-	Deliveries  float64 // lines to clients a second, over all relays
+	Connections float64 // of clients
+	Deliveries  float64 // lines to clients a second
 	Shards      float64 // of topics
 	Listeners   float64 // of the largest topic
 	Regions     float64
 	Zones       float64
 }
 
-// Target is the size to design for.
+// Target returns the size to design for.
 func Target() Size {
-	return Size{Relays: 1100, Connections: 57e6, Deliveries: 11e6, Shards: 75_000, Listeners: 1.2e6, Regions: 5, Zones: 17}
+	return Size{
+		Relays:      1100,
+		Connections: 57e6,
+		Deliveries:  11e6,
+		Shards:      75_000,
+		Listeners:   1.2e6,
+		Regions:     5,
+		Zones:       17,
+	}
 }
 
-// ConnectionsPerRelay is the mean.
+// ConnectionsPerRelay returns the mean.
 func (s Size) ConnectionsPerRelay() float64 { return s.Connections / s.Relays }
 
-// DeliveriesPerRelay is the mean, a second.
+// DeliveriesPerRelay returns the mean, in lines a second.
 func (s Size) DeliveriesPerRelay() float64 { return s.Deliveries / s.Relays }
 
 // Point is one measurement: a value at a size.
@@ -36,10 +45,11 @@
 // Line is a cost by size: Slope x size + Constant.
 type Line struct{ Slope, Constant float64 }
 
-// At is what the line says at a size.
+// At returns the cost at a size.
 func (l Line) At(size float64) float64 { return l.Slope*size + l.Constant }
 
-// Reaches is the size at which the line comes to a limit, +Inf where it never does.
+// Reaches returns the size at which the cost comes to a limit, 0 where it is over it from the start, +Inf
+// where it never does.
 func (l Line) Reaches(limit float64) float64 {
 	switch {
 	case l.Constant >= limit:
@@ -50,28 +60,30 @@
 	return (limit - l.Constant) / l.Slope
 }
 
-// errTooFewPoints says that no line goes through what was measured.
+// errTooFewPoints says that no line can be fitted.
 var errTooFewPoints = errors.New("a line needs two points of different sizes")
 
-// Fit is the straight line with the least squared distance to the points.
+// Fit returns the straight line with the least squared distance to the points. It fails without two points of
+// different sizes.
 func Fit(points []Point) (Line, error) {
 	n := float64(len(points))
-	var size, value float64
+	var meanSize, meanValue float64
 	for _, p := range points {
-		size += p.Size / n
-		value += p.Value / n
+		meanSize += p.Size / n
+		meanValue += p.Value / n
 	}
-	var spread, together float64
+	var variance, covariance float64
 	for _, p := range points {
-		spread += (p.Size - size) * (p.Size - size)
-		together += (p.Size - size) * (p.Value - value)
+		variance += (p.Size - meanSize) * (p.Size - meanSize)
+		covariance += (p.Size - meanSize) * (p.Value - meanValue)
 	}
-	if len(points) < 2 || spread == 0 {
+	if len(points) < 2 || variance == 0 {
 		return Line{}, errTooFewPoints
 	}
-	slope := together / spread
-	return Line{Slope: slope, Constant: value - slope*size}, nil
+	slope := covariance / variance
+	return Line{Slope: slope, Constant: meanValue - slope*meanSize}, nil
 }
 
-// RelativeError is how far a prediction lies from what was measured, as a part of the latter: negative where it was too low.
+// RelativeError returns how far a prediction is from what was measured, as a part of the latter: negative
+// where it was too low.
 func RelativeError(predicted, measured float64) float64 { return predicted/measured - 1 }
--- a/internal/simulation/capacity/capacity_test.go
+++ b/internal/simulation/capacity/capacity_test.go
@@ -22,16 +22,25 @@
 	}
 }
 
-// Where a line comes to a limit.
+// A line comes to a limit where it says, at 0 if it begins over it, and never if it does not rise.
 func TestReaches(t *testing.T) {
 	for _, c := range []struct {
 		line        Line
 		limit, want float64
-	}{{Line{2, 10}, 30, 10}, {Line{0, 10}, 30, math.Inf(1)}, {Line{-1, 10}, 30, math.Inf(1)}, {Line{1, 40}, 30, 0}} {
+	}{
+		{Line{2, 10}, 30, 10},
+		{Line{0, 10}, 30, math.Inf(1)},
+		{Line{-1, 10}, 30, math.Inf(1)},
+		{Line{1, 40}, 30, 0},
+	} {
 		if got := c.line.Reaches(c.limit); got != c.want {
 			t.Errorf("%+v reaches %v at %v, want %v", c.line, c.limit, got, c.want)
 		}
 	}
+}
+
+// An error is a part of what was measured, negative where the prediction was too low.
+func TestRelativeError(t *testing.T) {
 	if got := RelativeError(90, 100); math.Abs(got+0.1) > 1e-9 {
 		t.Errorf("an error of %v", got)
 	}
--- a/internal/simulation/capacity/connections_test.go
+++ b/internal/simulation/capacity/connections_test.go
@@ -13,10 +13,12 @@
 )
 
 const (
-	servers            = 4
-	openAtOnce         = 64
-	maxConnectionBytes = 64 << 10 // bytes of heap and stacks that a connection may cost at most: a leak of a buffer would show
-	echoTimeout        = 30 * time.Second
+	// maxConnectionBytes of heap and stacks may a connection cost: a leaked buffer would show.
+	maxConnectionBytes = 64 << 10
+
+	servers     = 4
+	openAtOnce  = 64
+	echoTimeout = 30 * time.Second
 )
 
 // client is a client with an open connection.
@@ -25,47 +27,57 @@
 	in *bufio.Reader
 }
 
-// openClients opens connections beyond those that there are, spread over the servers.
-func openClients(t *testing.T, address string, all []*client, until int) []*client {
+// openClients opens connections beyond those that there are, until there are so many, spread over the
+// servers.
+func openClients(t *testing.T, address string, clients []*client, until int) []*client {
 	t.Helper()
-	first := len(all)
-	all = append(all, make([]*client, until-first)...)
-	var wait sync.WaitGroup
-	room := make(chan struct{}, openAtOnce)
+	first := len(clients)
+	clients = append(clients, make([]*client, until-first)...)
+	var opening sync.WaitGroup
+	slots := make(chan struct{}, openAtOnce)
 	for i := first; i < until; i++ {
-		room <- struct{}{}
-		wait.Go(func() {
-			defer func() { <-room }()
-			conn, err := net.Dial("tcp", address)
+		slots <- struct{}{}
+		opening.Go(func() {
+			defer func() { <-slots }()
+			c, err := openClient(address, i)
 			if err != nil {
-				t.Error(err)
-				return
+				t.Errorf("connection %d: %v", i, err)
 			}
-			conn.SetDeadline(time.Now().Add(echoTimeout))
-			fmt.Fprintf(conn, "OPEN c%d %x c=map-stream,t=acme,at=s%d\r\n", i, i, i%servers)
-			v := &client{conn, bufio.NewReaderSize(conn, 512)}
-			if line, err := v.in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "UP") {
-				t.Errorf("connection %d: %q, %v", i, line, err)
-			}
-			conn.SetDeadline(time.Time{})
-			all[i] = v
+			clients[i] = c
 		})
 	}
-	wait.Wait()
+	opening.Wait()
 	if t.Failed() {
 		t.FailNow()
 	}
-	return all
+	return clients
+}
+
+func openClient(address string, i int) (*client, error) {
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	conn.SetDeadline(time.Now().Add(echoTimeout))
+	fmt.Fprintf(conn, "OPEN c%d %x c=map-stream,t=acme,at=s%d\r\n", i, i, i%servers)
+	c := &client{conn, bufio.NewReaderSize(conn, 512)}
+	line, err := c.in.ReadString('\n')
+	if err != nil || !strings.HasPrefix(line, "UP") {
+		return c, fmt.Errorf("answer %q, %v", line, err)
+	}
+	conn.SetDeadline(time.Time{})
+	return c, nil
 }
 
-// closeClients ends what connect has opened.
-func closeClients(all []*client) {
-	for _, v := range all {
-		v.Close()
+// closeClients ends what openClients has opened.
+func closeClients(clients []*client) {
+	for _, c := range clients {
+		c.Close()
 	}
 }
 
-// kernelMemory is what the kernel holds in objects that it cannot give back, sockets among them, and in socket buffers.
+// kernelMemory returns the bytes that the kernel holds in objects that it cannot give back, sockets among
+// them, and in socket buffers.
 func kernelMemory(t *testing.T) (unreclaimable, buffers float64) {
 	t.Helper()
 	text, err := os.ReadFile("/proc/meminfo")
@@ -81,127 +93,181 @@
 	return unreclaimable * 1024, buffers * float64(os.Getpagesize())
 }
 
-// What one open connection costs a relay, in its own memory and in descriptors: by holding more and more of them.
+// connectionCosts are a relay's figures at growing numbers of open connections.
+type connectionCosts struct {
+	idle          []Point // of a core, at rest
+	heap          []Point
+	stacks        []Point
+	resident      []Point
+	descriptors   []Point
+	kernelMemory  []Point // of all four ends, which are on this machine
+	socketBuffers []Point // of all four ends
+}
+
+// measure adds the figures of a relay with so many connections, at rest for a time.
+func (c *connectionCosts) measure(t *testing.T, r *relayProcess, connections int, rest time.Duration) {
+	t.Helper()
+	h := r.collectHeap()
+	time.Sleep(rest / 10)
+	startedAt, before := time.Now(), r.processorTime()
+	time.Sleep(rest)
+	core := (r.processorTime() - before).Seconds() / time.Since(startedAt).Seconds()
+	unreclaimable, buffers := kernelMemory(t)
+	add := func(points *[]Point, value float64) {
+		*points = append(*points, Point{float64(connections), value})
+	}
+	add(&c.idle, core)
+	add(&c.heap, float64(h.Heap))
+	add(&c.stacks, float64(h.Stack))
+	add(&c.resident, r.residentBytes())
+	add(&c.descriptors, float64(r.descriptorCount()))
+	add(&c.kernelMemory, unreclaimable)
+	add(&c.socketBuffers, buffers)
+	t.Logf("%d connections: heap %d, stacks %d, resident %.0f bytes, %d goroutines, %d descriptors; "+
+		"%.4f of a core at rest",
+		connections, h.Heap, h.Stack, r.residentBytes(), h.Goroutines, r.descriptorCount(), core)
+}
+
+// log prints the line of each figure, and how well its first two points predict the last.
+func (c *connectionCosts) log(t *testing.T) {
+	t.Helper()
+	for _, row := range []struct {
+		what   string
+		points []Point
+	}{
+		{"of a core at rest", c.idle},
+		{"heap", c.heap},
+		{"stacks", c.stacks},
+		{"resident", c.resident},
+		{"descriptors", c.descriptors},
+		{"kernel's unreclaimable memory, all four ends", c.kernelMemory},
+		{"socket buffers, all four ends", c.socketBuffers},
+	} {
+		line, early := mustFit(t, row.points), mustFit(t, row.points[:2])
+		last := row.points[len(row.points)-1]
+		t.Logf("%s: %.4g a connection and %.4g; the first two predict the last with an error of %+.3f",
+			row.what, line.Slope, line.Constant, RelativeError(early.At(last.Size), last.Value))
+	}
+}
+
+func mustFit(t *testing.T, points []Point) Line {
+	t.Helper()
+	line, err := Fit(points)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return line
+}
+
+// Measures what one open connection costs a relay, in its own memory and in descriptors, by more and more of
+// them, and holds descriptors and memory to what they may be.
 func TestCostOfOpenConnections(t *testing.T) {
 	sizes, rest := []int{50, 100, 200}, 200*time.Millisecond
 	if longRun() {
 		sizes, rest = []int{1000, 2000, 4000, 8000}, 10*time.Second
 	}
 	r := startRelay(t, startDiscovery(t, servers, servers))
-	var all []*client
-	defer func() { closeClients(all) }()
-	var heap, stacks, resident, descriptors, kernel, buffers, idle []Point
+	var clients []*client
+	defer func() { closeClients(clients) }()
+	var costs connectionCosts
 	for _, n := range sizes {
-		before, more := r.processorTime(), n-len(all)
-		all = openClients(t, r.address, all, n)
-		opened := (r.processorTime() - before) / time.Duration(more)
-		h := r.collectHeap()
-		time.Sleep(rest / 10)
-		began, at := time.Now(), r.processorTime()
-		time.Sleep(rest)
-		core := (r.processorTime() - at).Seconds() / time.Since(began).Seconds()
-		idle = append(idle, Point{float64(n), core})
-		size := float64(n)
-		heap = append(heap, Point{size, float64(h.Heap)})
-		stacks = append(stacks, Point{size, float64(h.Stack)})
-		resident = append(resident, Point{size, r.residentBytes()})
-		descriptors = append(descriptors, Point{size, float64(r.descriptorCount())})
-		slab, mem := kernelMemory(t)
-		kernel, buffers = append(kernel, Point{size, slab}), append(buffers, Point{size, mem})
-		t.Logf("%d connections: heap %d, stacks %d, resident %.0f bytes, %d goroutines, %d descriptors; %v of processor time to open one, %.4f of a core at rest",
-			n, h.Heap, h.Stack, r.residentBytes(), h.Goroutines, r.descriptorCount(), opened, core)
-	}
-	fit := func(points []Point) Line {
-		line, err := Fit(points)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return line
-	}
-	for _, row := range []struct {
-		what   string
-		points []Point
-	}{{"of a core at rest", idle}, {"heap", heap}, {"stacks", stacks}, {"resident", resident}, {"descriptors", descriptors},
-		{"kernel's unreclaimable memory, all four ends", kernel}, {"socket buffers, all four ends", buffers}} {
-		line, early := fit(row.points), fit(row.points[:2])
-		last := row.points[len(row.points)-1]
-		t.Logf("%s: %.4g a connection and %.4g; the first two foretell the last with an error of %+.3f", row.what, line.Slope, line.Constant, RelativeError(early.At(last.Size), last.Value))
+		more := n - len(clients)
+		before := r.processorTime()
+		clients = openClients(t, r.address, clients, n)
+		t.Logf("%v of processor time to open one", (r.processorTime()-before)/time.Duration(more))
+		costs.measure(t, r, n, rest)
 	}
-	if each := fit(descriptors).Slope; each < 1.9 || each > 2.1 {
+	costs.log(t)
+	if each := mustFit(t, costs.descriptors).Slope; each < 1.9 || each > 2.1 {
 		t.Errorf("%.2f descriptors a connection, not its own and its server's", each)
 	}
-	if each := fit(heap).Slope + fit(stacks).Slope; each > maxConnectionBytes {
+	if each := mustFit(t, costs.heap).Slope + mustFit(t, costs.stacks).Slope; each > maxConnectionBytes {
 		t.Errorf("%.0f bytes of heap and stacks a connection", each)
 	}
 }
 
-// quantile is the value below which a part of all lies.
+// quantile returns the value below which a part of all lies.
 func quantile(sorted []time.Duration, part float64) time.Duration {
 	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
 }
 
-// measureEcho has each viewer send a line once an interval, and returns how long each took to come back, and what the relay
-// computed meanwhile for one line passed: two for each that comes back.
-func measureEcho(t *testing.T, r *relayProcess, all []*client, interval, watch time.Duration) (took []time.Duration, lines float64, core float64) {
+// measureEcho has each client send a line once an interval. It returns how long each took to come back, the
+// lines passed in a second, two for each that came back, and the part of a core that the relay took
+// meanwhile.
+func measureEcho(
+	t *testing.T, r *relayProcess, clients []*client, interval, watch time.Duration,
+) (took []time.Duration, lines, core float64) {
 	t.Helper()
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	began := time.Now()
+	var echoing sync.WaitGroup
+	startedAt := time.Now()
+	end := startedAt.Add(watch)
 	before := r.processorTime()
-	for i, v := range all {
-		wait.Go(func() {
-			var mine []time.Duration
-			for at := began.Add(interval * time.Duration(i) / time.Duration(len(all))); at.Before(began.Add(watch)); at = at.Add(interval) {
-				time.Sleep(time.Until(at))
-				sent := time.Now()
-				v.SetDeadline(sent.Add(echoTimeout))
-				if _, err := v.Write([]byte("M 0123456789abcdef0123456789abcdef\r\n")); err != nil {
-					t.Error(err)
-					return
-				}
-				if _, err := v.in.ReadSlice('\n'); err != nil {
-					t.Error(err)
-					return
-				}
-				mine = append(mine, time.Since(sent))
+	for i, c := range clients {
+		echoing.Go(func() {
+			offset := interval * time.Duration(i) / time.Duration(len(clients))
+			own, err := c.echo(startedAt.Add(offset), end, interval)
+			if err != nil {
+				t.Error(err)
+				return
 			}
 			mu.Lock()
-			took = append(took, mine...)
-			mu.Unlock()
+			defer mu.Unlock()
+			took = append(took, own...)
 		})
 	}
-	wait.Wait()
-	seconds := time.Since(began).Seconds()
+	echoing.Wait()
+	seconds := time.Since(startedAt).Seconds()
 	slices.Sort(took)
 	return took, 2 * float64(len(took)) / seconds, (r.processorTime() - before).Seconds() / seconds
 }
 
-// What a relay computes for one line passed, and how long a line takes there and back, by lines a second.
+// echo sends a line each interval until the end, and returns how long each took to come back.
+func (c *client) echo(from, end time.Time, interval time.Duration) (took []time.Duration, err error) {
+	for at := from; at.Before(end); at = at.Add(interval) {
+		time.Sleep(time.Until(at))
+		sentAt := time.Now()
+		c.SetDeadline(sentAt.Add(echoTimeout))
+		if _, err := c.Write([]byte("M 0123456789abcdef0123456789abcdef\r\n")); err != nil {
+			return nil, err
+		}
+		if _, err := c.in.ReadSlice('\n'); err != nil {
+			return nil, err
+		}
+		took = append(took, time.Since(sentAt))
+	}
+	return took, nil
+}
+
+// Measures what a relay computes for one line passed, and how long a line takes there and back, by lines a
+// second.
 func TestCostOfLines(t *testing.T) {
-	held, watch, rates := 100, time.Second, []float64{200, 400, 800} // lines a second
+	connections, watch, rates := 100, time.Second, []float64{200, 400, 800} // lines a second
 	if longRun() {
-		held, watch, rates = 4000, 10*time.Second, []float64{2000, 4000, 8000, 16_000, 24_000, 32_000, 48_000}
+		connections, watch = 4000, 10*time.Second
+		rates = []float64{2000, 4000, 8000, 16_000, 24_000, 32_000, 48_000}
 	}
 	r := startRelay(t, startDiscovery(t, servers, servers))
-	all := openClients(t, r.address, nil, held)
-	defer closeClients(all)
+	clients := openClients(t, r.address, nil, connections)
+	defer closeClients(clients)
 	var cores []Point
 	for _, rate := range rates {
-		interval := time.Duration(2 * float64(held) / rate * float64(time.Second))
-		took, lines, core := measureEcho(t, r, all, interval, watch)
-		if t.Failed() || len(took) < held/2 {
+		interval := time.Duration(2 * float64(connections) / rate * float64(time.Second))
+		took, lines, core := measureEcho(t, r, clients, interval, watch)
+		if t.Failed() || len(took) < connections/2 {
 			t.Fatalf("at %.0f lines a second %d came back", rate, len(took))
 		}
 		cores = append(cores, Point{lines, core})
-		t.Logf("%d connections, %.0f lines a second: %.4f of a core, %.1f us a line; there and back p50 %v, p99 %v, most %v", held, lines, core, core/lines*1e6,
-			quantile(took, 0.5), quantile(took, 0.99), took[len(took)-1])
+		t.Logf("%d connections, %.0f lines a second: %.4f of a core, %.1f us a line; "+
+			"there and back p50 %v, p99 %v, most %v",
+			connections, lines, core, core/lines*1e6, quantile(took, 0.5), quantile(took, 0.99), took[len(took)-1])
 	}
 	const fitted = 5 // beyond these rates a relay of one core may have no time left
-	last := cores[min(len(cores), fitted)-1]
-	early, _ := Fit(cores[:min(len(cores), fitted)-1])
-	line, err := Fit(cores[:min(len(cores), fitted)])
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Logf("%.2f us of processor time a line and %.4f of a core, fitted to the first five; without the last of them it is foretold with an error of %+.3f", line.Slope*1e6, line.Constant, RelativeError(early.At(last.Size), last.Value))
+	cores = cores[:min(len(cores), fitted)]
+	last := cores[len(cores)-1]
+	early, _ := Fit(cores[:len(cores)-1])
+	line := mustFit(t, cores)
+	t.Logf("%.2f us of processor time a line and %.4f of a core, fitted to the first five; "+
+		"without the last of them it is predicted with an error of %+.3f",
+		line.Slope*1e6, line.Constant, RelativeError(early.At(last.Size), last.Value))
 }
--- a/internal/simulation/capacity/decisions_test.go
+++ b/internal/simulation/capacity/decisions_test.go
@@ -8,12 +8,12 @@
 	"capersail/decide"
 )
 
-// loadedBalancer is a decision module that holds connections, with a request and an end a step.
+// loadedBalancer is a decision module with open connections, on which each step is a request and an end.
 type loadedBalancer struct {
 	balancer     *decide.Balancer
 	now          time.Duration
-	openByServer []int // by server
-	connections  []connection
+	openByServer []int
+	connections  []connection // the oldest first
 	lastID       decide.RequestID
 	actions      []decide.Action
 }
@@ -24,93 +24,144 @@
 }
 
 const (
-	enoughQuota = 1 << 24 // connections of tenants' quota: nothing is refused for want of room
+	enoughQuota = 1 << 24 // connections of a tenant: no request is rejected by its quota
 	groupCount  = 5000
 )
 
 func newLoadedBalancer(servers, connections int) *loadedBalancer {
-	set := decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, Tick: 5 * time.Millisecond, GroupAffinity: true,
-		Classes: []decide.ClassInfo{{LatencyObjective: 800 * time.Millisecond, Deadline: 3200 * time.Millisecond, PriorityWeight: 1}},
+	settings := decide.Settings{
+		Relays:        1,
+		Zones:         1,
+		MaxAttempts:   2,
+		Probes:        true,
+		RetryAfter:    true,
+		MaxRetryAfter: time.Second,
+		Tick:          5 * time.Millisecond,
+		GroupAffinity: true,
+		Classes: []decide.ClassInfo{{
+			LatencyObjective: 800 * time.Millisecond,
+			Deadline:         3200 * time.Millisecond,
+			PriorityWeight:   1,
+		}},
 		Tenants: []decide.TenantInfo{{ServiceShare: 1, ConnectionQuota: enoughQuota}},
-		Rules:   decide.Rules{PollWithin: 10 * time.Second, SlowStartCapacity: 0.36, SlowStartWindow: 8600 * time.Millisecond, OverloadFactor: 4, OverloadWindow: 1500 * time.Millisecond}}
-	c := &loadedBalancer{balancer: decide.New(set, 7), now: time.Hour, openByServer: make([]int, servers)}
-	var list []decide.Endpoint
+		Rules: decide.Rules{
+			PollWithin:        10 * time.Second,
+			SlowStartCapacity: 0.36,
+			SlowStartWindow:   8600 * time.Millisecond,
+			OverloadFactor:    4,
+			OverloadWindow:    1500 * time.Millisecond,
+		},
+	}
+	b := &loadedBalancer{
+		balancer:     decide.New(settings, 7),
+		now:          time.Hour,
+		openByServer: make([]int, servers),
+	}
+	var endpoints []decide.Endpoint
 	for i := range servers {
-		list = append(list, decide.Endpoint{Server: decide.ServerID(i), State: decide.Ready, RendezvousKey: (uint64(i) + 1) * 0x9e3779b97f4a7c15})
+		endpoints = append(endpoints, decide.Endpoint{
+			Server:        decide.ServerID(i),
+			State:         decide.Ready,
+			RendezvousKey: (uint64(i) + 1) * 0x9e3779b97f4a7c15,
+		})
 	}
-	c.handle(decide.WatchEvent{Kind: decide.Snapshot, Endpoints: list})
+	b.handle(decide.WatchEvent{Kind: decide.Snapshot, Endpoints: endpoints})
 	for i := range connections {
-		c.lastID++
-		r, at := decide.Request{ID: c.lastID, TimeLeft: time.Hour, Group: 1 + uint64(i%groupCount)}, decide.ServerID(i%servers)
-		c.handle(decide.Inherited{Request: r, Server: at})
-		c.hold(c.lastID, at)
+		b.lastID++
+		request := decide.Request{ID: b.lastID, TimeLeft: time.Hour, Group: 1 + uint64(i%groupCount)}
+		server := decide.ServerID(i % servers)
+		b.handle(decide.Inherited{Request: request, Server: server})
+		b.hold(b.lastID, server)
 	}
-	return c
+	return b
 }
 
-func (c *loadedBalancer) hold(id decide.RequestID, at decide.ServerID) {
-	c.connections = append(c.connections, connection{id, at})
-	c.openByServer[at]++
+// hold records an open connection.
+func (b *loadedBalancer) hold(id decide.RequestID, server decide.ServerID) {
+	b.connections = append(b.connections, connection{id, server})
+	b.openByServer[server]++
 }
 
-func (c *loadedBalancer) loadOf(at decide.ServerID) float64 { return 0.35 + 0.001*float64(at%100) }
+// loadReport returns a server's answer to a probe.
+func loadReport(server decide.ServerID) decide.LoadReport {
+	load := 0.35 + 0.001*float64(server%100)
+	return decide.LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}
+}
 
-// handle gives the module one event, and answers probes and sends at once.
-func (c *loadedBalancer) handle(ev decide.Event) {
-	c.actions = c.balancer.Handle(c.now, ev, c.actions)
-	for len(c.actions) > 0 {
-		act := c.actions[0]
-		c.actions = c.actions[1:]
-		switch a := act.(type) {
+// handle gives the module one event, and answers its probes and attempts at once.
+func (b *loadedBalancer) handle(event decide.Event) {
+	b.actions = b.balancer.Handle(b.now, event, b.actions)
+	for len(b.actions) > 0 {
+		action := b.actions[0]
+		b.actions = b.actions[1:]
+		switch a := action.(type) {
 		case decide.Probe:
-			report := decide.LoadReport{Load: c.loadOf(a.Server), InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}
-			c.actions = c.balancer.Handle(c.now, decide.ProbeResult{Server: a.Server, Latency: time.Millisecond, Report: report}, c.actions)
+			result := decide.ProbeResult{Server: a.Server, Latency: time.Millisecond, Report: loadReport(a.Server)}
+			b.actions = b.balancer.Handle(b.now, result, b.actions)
 		case decide.Forward:
-			c.actions = c.balancer.Handle(c.now, decide.Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * time.Millisecond}, c.actions)
-			c.hold(a.ID, a.Server)
+			opened := decide.Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * time.Millisecond}
+			b.actions = b.balancer.Handle(b.now, opened, b.actions)
+			b.hold(a.ID, a.Server)
 		}
 	}
-	c.actions = c.actions[:0]
+	b.actions = b.actions[:0]
 }
 
 // step is one request, and the end of the oldest connection.
-func (c *loadedBalancer) step() {
-	c.now += time.Millisecond
-	first := c.connections[0]
-	c.connections = c.connections[1:]
-	c.openByServer[first.server]--
-	c.handle(decide.Outcome{ID: first.id, Server: first.server, Status: decide.OK, Closed: true, Report: decide.NoLoadReport})
-	c.lastID++
-	c.handle(decide.Request{ID: c.lastID, Key: uint64(c.lastID), TimeLeft: 2 * time.Second, Group: 1 + uint64(c.lastID)%groupCount})
+func (b *loadedBalancer) step() {
+	b.now += time.Millisecond
+	oldest := b.connections[0]
+	b.connections = b.connections[1:]
+	b.openByServer[oldest.server]--
+	b.handle(decide.Outcome{
+		ID:     oldest.id,
+		Server: oldest.server,
+		Status: decide.OK,
+		Closed: true,
+		Report: decide.NoLoadReport,
+	})
+	b.lastID++
+	b.handle(decide.Request{
+		ID:       b.lastID,
+		Key:      uint64(b.lastID),
+		TimeLeft: 2 * time.Second,
+		Group:    1 + uint64(b.lastID)%groupCount,
+	})
 }
 
-// What a decision costs by the number of servers and of held connections, and the module's bytes for either.
+// Measures what a decision costs by the number of servers and of open connections, and the module's bytes for
+// either, and holds these to what they may be.
 func TestCostOfDecisions(t *testing.T) {
-	sizes, steps := [][2]int{{10, 500}, {100, 500}, {100, 2000}}, 300
+	type size struct{ servers, connections int }
+	sizes, steps := []size{{10, 500}, {100, 500}, {100, 2000}}, 300
 	if longRun() {
-		sizes = [][2]int{{10, 10_000}, {90, 10_000}, {330, 10_000}, {1000, 10_000}, {5000, 10_000}, {330, 1000}, {330, 20_000}, {330, 52_000}, {330, 75_000}}
+		sizes = []size{
+			{10, 10_000}, {90, 10_000}, {330, 10_000}, {1000, 10_000}, {5000, 10_000},
+			{330, 1000}, {330, 20_000}, {330, 52_000}, {330, 75_000},
+		}
 		steps = 5000
 	}
-	const bound = 64 << 10 // bytes of the module's heap a server or a connection; a list kept for each would show
+	const maxBytes = 64 << 10 // of heap for a server or a connection; a list kept for each would show
 	for _, size := range sizes {
 		before := collectedHeap()
-		c := newLoadedBalancer(size[0], size[1])
+		b := newLoadedBalancer(size.servers, size.connections)
 		heap := collectedHeap() - before
 		for range steps / 5 {
-			c.step()
+			b.step()
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		for range steps {
-			c.step()
+			b.step()
 		}
-		each := time.Since(began) / time.Duration(steps)
-		t.Logf("%5d servers, %6d connections: %v a request with its end, heap %.0f bytes", size[0], size[1], each, heap)
-		if len(c.connections) < size[1]-steps/5 {
-			t.Errorf("%d connections of %d are left: requests were not served", len(c.connections), size[1])
+		each := time.Since(startedAt) / time.Duration(steps)
+		t.Logf("%5d servers, %6d connections: %v a request with its end, heap %.0f bytes",
+			size.servers, size.connections, each, heap)
+		if len(b.connections) < size.connections-steps/5 {
+			t.Errorf("%d connections of %d are left: requests were not served", len(b.connections), size.connections)
 		}
-		if heap > bound*float64(size[0]+size[1]) {
+		if heap > maxBytes*float64(size.servers+size.connections) {
 			t.Errorf("%.0f bytes of heap", heap)
 		}
-		runtime.KeepAlive(c)
+		runtime.KeepAlive(b)
 	}
 }
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -18,31 +18,56 @@
 // noServers is a server side and a discovery that do nothing.
 type noServers struct{}
 
-func (noServers) StartAttempt(*relay.Request, relay.Attempt)                     {}
+// StartAttempt is relay.Servers'.
+func (noServers) StartAttempt(*relay.Request, relay.Attempt) {}
+
+// Probe is relay.Servers'.
 func (noServers) Probe(_ relay.Server, _ func(decide.Status, decide.LoadReport)) {}
-func (noServers) Watch()                                                         {}
-func (noServers) Fetch()                                                         {}
-func listText(whole bool, from, until int, mode string) string {
+
+// Watch is relay.Discovery's.
+func (noServers) Watch() {}
+
+// Fetch is relay.Discovery's.
+func (noServers) Fetch() {}
+
+// listText returns endpoints, numbered from one up to another, as discovery sends them.
+func listText(complete bool, from, until int, lifecycle string) string {
 	var entries []string
 	for i := from; i < until; i++ {
-		entries = append(entries, fake.Entry(fmt.Sprintf("s-%08x", i*2654435761), fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255), mode))
+		id := fmt.Sprintf("s-%08x", i*2654435761)
+		address := fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255)
+		entries = append(entries, fake.Entry(id, address, lifecycle))
 	}
-	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, until, whole, strings.Join(entries, ","))
+	all := strings.Join(entries, ",")
+	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, until, complete, all)
 }
 
-// listReader is a relay's core that takes lists in.
+// listReader is a relay's event loop that endpoint lists are given to.
 type listReader struct {
 	table *relay.RequestTable
 	loop  *relay.EventLoop
 }
 
 func newListReader() *listReader {
-	site := &relay.Deployment{Zones: map[string]decide.Zone{"hall-a": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true,
-		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewRequestTable(site, relay.NewClock(), noServers{})
-	return &listReader{x, relay.NewEventLoop(x, 7, noServers{}, zerolog.Nop())}
+	deployment := &relay.Deployment{
+		Zones: map[string]decide.Zone{"hall-a": 0},
+		Settings: decide.Settings{
+			Relays:      1,
+			Zones:       1,
+			MaxAttempts: 2,
+			Probes:      true,
+			Tick:        5 * time.Millisecond,
+			Classes: []decide.ClassInfo{{
+				LatencyObjective: 300 * time.Millisecond,
+				Deadline:         3 * time.Second,
+			}},
+		},
+	}
+	table := relay.NewRequestTable(deployment, relay.NewClock(), noServers{})
+	return &listReader{table, relay.NewEventLoop(table, 7, noServers{}, zerolog.Nop())}
 }
 
+// apply has the event loop parse and apply an endpoint list or an event of it.
 func (l *listReader) apply(tb testing.TB, text string) {
 	tb.Helper()
 	list, err := discovery.ParseList(text, zerolog.Nop())
@@ -57,7 +82,7 @@
 	l.loop.Step()
 }
 
-// collectedHeap is the heap after a collection.
+// collectedHeap returns the heap's bytes after a garbage collection.
 func collectedHeap() float64 {
 	var figures runtime.MemStats
 	runtime.GC()
@@ -65,14 +90,14 @@
 	return float64(figures.HeapAlloc)
 }
 
-// What a list of servers costs: bytes on the wire, processor time to parse and apply, heap, by the number of servers; and a
-// change of one of them, which must not grow with the list.
+// Measures what an endpoint list costs by the number of servers: bytes on the wire, processor time to parse
+// and apply, heap; and a change of one server, which must not grow with the list.
 func TestCostOfLists(t *testing.T) {
-	sizes, turns := []int{100, 200, 400}, 5
+	sizes, rounds := []int{100, 200, 400}, 5
 	if longRun() {
-		sizes, turns = []int{90, 330, 1000, 2500, 5000}, 40
+		sizes, rounds = []int{90, 330, 1000, 2500, 5000}, 40
 	}
-	var bytes, whole, delta, heap []Point
+	var bytes, snapshot, delta, heap []Point
 	for _, n := range sizes {
 		text := listText(true, 0, n, "Ready")
 		before := collectedHeap()
@@ -81,35 +106,39 @@
 		size := float64(n)
 		heap = append(heap, Point{size, collectedHeap() - before})
 		bytes = append(bytes, Point{size, float64(len(text))})
-		quickest := [2]time.Duration{time.Hour, time.Hour}
-		for range turns {
+		fastest := [2]time.Duration{time.Hour, time.Hour}
+		for range rounds {
 			for i, change := range []string{text, listText(false, 0, 1, "Terminating")} {
-				began := time.Now()
+				startedAt := time.Now()
 				l.apply(t, change)
-				quickest[i] = min(quickest[i], time.Since(began))
+				fastest[i] = min(fastest[i], time.Since(startedAt))
 			}
 		}
-		whole = append(whole, Point{size, quickest[0].Seconds()})
-		delta = append(delta, Point{size, quickest[1].Seconds()})
-		t.Logf("%d servers: %d bytes, %v to take the list in, %v a change of one, heap %.0f bytes", n, len(text), quickest[0], quickest[1], heap[len(heap)-1].Value)
+		snapshot = append(snapshot, Point{size, fastest[0].Seconds()})
+		delta = append(delta, Point{size, fastest[1].Seconds()})
+		t.Logf("%d servers: %d bytes, %v for the list, %v for a change of one, heap %.0f bytes",
+			n, len(text), fastest[0], fastest[1], heap[len(heap)-1].Value)
 		runtime.KeepAlive(l)
 	}
 	for _, row := range []struct {
 		what   string
 		points []Point
-	}{{"bytes of the list", bytes}, {"s to take it in", whole}, {"s to take in a change", delta}, {"heap", heap}} {
-		line, err := Fit(row.points)
-		if err != nil {
-			t.Fatal(err)
-		}
+	}{
+		{"bytes of the list", bytes},
+		{"s to apply it", snapshot},
+		{"s to apply a change", delta},
+		{"heap", heap},
+	} {
+		line := mustFit(t, row.points)
 		early, _ := Fit(row.points[:len(row.points)-1])
 		last := row.points[len(row.points)-1]
-		t.Logf("%s: %.4g a server and %.4g; without the last size it is foretold with an error of %+.3f", row.what, line.Slope, line.Constant, RelativeError(early.At(last.Size), last.Value))
+		t.Logf("%s: %.4g a server and %.4g; without the last size it is predicted with an error of %+.3f",
+			row.what, line.Slope, line.Constant, RelativeError(early.At(last.Size), last.Value))
 	}
-	if line, _ := Fit(bytes); line.Slope > 200 {
-		t.Errorf("%.0f bytes a server", line.Slope)
+	if slope := mustFit(t, bytes).Slope; slope > 200 {
+		t.Errorf("%.0f bytes a server", slope)
 	}
-	if line, _ := Fit(heap); line.Slope > 4000 {
-		t.Errorf("%.0f bytes of heap a server", line.Slope)
+	if slope := mustFit(t, heap).Slope; slope > 4000 {
+		t.Errorf("%.0f bytes of heap a server", slope)
 	}
 }
--- a/internal/simulation/capacity/page_test.go
+++ b/internal/simulation/capacity/page_test.go
@@ -10,14 +10,14 @@
 
 const (
 	pagePath = "../../../docs/CAPACITY.md"
-	// rounding is how far a figure of the page may lie from its own sum: it has three figures.
+	// rounding is how far a figure of the page may be from its own sum, as it has three digits.
 	rounding = 0.01
 )
 
 // row is one line of a table, by its column's heading.
 type row map[string]string
 
-// readTables are the page's, each with its rows.
+// readTables returns the page's tables, each with its rows.
 func readTables(t *testing.T) (all [][]row) {
 	t.Helper()
 	text, err := os.ReadFile(pagePath)
@@ -49,13 +49,13 @@
 	return all
 }
 
-// parseNumber reads a figure of the page: 51,818 or 0.0045.
+// parseNumber reads a figure of the page, as 51,818 or 0.0045.
 func parseNumber(cell string) (float64, bool) {
 	x, err := strconv.ParseFloat(strings.ReplaceAll(cell, ",", ""), 64)
 	return x, err == nil
 }
 
-// isNear tells whether a figure is its sum, but for rounding.
+// isNear reports whether a figure is its sum, but for rounding.
 func isNear(figure, sum float64) bool {
 	return math.Abs(figure-sum) <= rounding*math.Abs(sum) || math.Abs(figure-sum) < 1e-9
 }
@@ -77,7 +77,8 @@
 				if !hasSize || !hasFigure {
 					t.Errorf("%q: %s is %q, %s is %q", r["what"], size, r[size], value, r[value])
 				} else if !isNear(figure, line.At(at)) {
-					t.Errorf("%q: %s is %s, and %g x %g + %g is %g", r["what"], value, r[value], slope, at, constant, line.At(at))
+					t.Errorf("%q: %s is %s, and %g x %g + %g is %g",
+						r["what"], value, r[value], slope, at, constant, line.At(at))
 				}
 			}
 			checked++
@@ -132,9 +133,18 @@
 
 // The sizes that the page names are those of this package.
 func TestPageSizes(t *testing.T) {
-	want := map[string]float64{"relays": Target().Relays, "connections": Target().Connections, "connections of a relay": math.Round(Target().ConnectionsPerRelay()),
-		"deliveries a second": Target().Deliveries, "deliveries a second of a relay": Target().DeliveriesPerRelay(), "shards of topics": Target().Shards,
-		"listeners of the largest topic": Target().Listeners, "regions": Target().Regions, "zones": Target().Zones}
+	target := Target()
+	want := map[string]float64{
+		"relays":                         target.Relays,
+		"connections":                    target.Connections,
+		"connections of a relay":         math.Round(target.ConnectionsPerRelay()),
+		"deliveries a second":            target.Deliveries,
+		"deliveries a second of a relay": target.DeliveriesPerRelay(),
+		"shards of topics":               target.Shards,
+		"listeners of the largest topic": target.Listeners,
+		"regions":                        target.Regions,
+		"zones":                          target.Zones,
+	}
 	found := 0
 	for _, table := range readTables(t) {
 		for _, r := range table {
--- a/internal/simulation/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -29,10 +29,11 @@
 	waitLimit  = 60 * time.Second
 )
 
-// longRun tells whether the sizes of the page are to be measured, and not CI's.
+// longRun reports whether the sizes of the page are to be measured, and not CI's.
 func longRun() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
-// TestMain lets the test binary stand for the program itself. On SIGUSR1 it then tells its heap, on standard output.
+// TestMain has the test binary be the program itself where the environment asks for it. It then writes its
+// heap to standard output at each SIGUSR1.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsRelay) != "1" {
 		os.Exit(m.Run())
@@ -46,13 +47,23 @@
 			var figures runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&figures)
-			json.NewEncoder(os.Stdout).Encode(heapFigures{Heap: figures.HeapAlloc, Stack: figures.StackInuse, Goroutines: runtime.NumGoroutine()})
+			json.NewEncoder(os.Stdout).Encode(heapFigures{
+				Heap:       figures.HeapAlloc,
+				Stack:      figures.StackInuse,
+				Goroutines: runtime.NumGoroutine(),
+			})
 		}
 	}()
-	os.Exit(command.Main(os.Args[1:], &command.Program{In: os.Stdin, Out: os.Stdout, Err: os.Stderr, Getenv: os.Getenv, Signals: caught}))
+	os.Exit(command.Main(os.Args[1:], &command.Program{
+		In:      os.Stdin,
+		Out:     os.Stdout,
+		Err:     os.Stderr,
+		Getenv:  os.Getenv,
+		Signals: caught,
+	}))
 }
 
-// heapFigures are a relay's, after a collection.
+// heapFigures are a relay's after a garbage collection, in bytes.
 type heapFigures struct {
 	Heap       uint64
 	Stack      uint64
@@ -71,16 +82,17 @@
 	ended       chan struct{} // its log has ended
 }
 
-// logCounter counts the bytes of a log and looks for the addresses in it.
+// logCounter counts the bytes and lines of a log, and finds the relay's addresses in it.
 type logCounter struct {
 	sync.Mutex
 	bytes      int
 	lines      int
-	otherLines []string // lines that are none of the log's, as a data race is told
-	addresses  map[string]string
-	ready      chan struct{}
+	otherLines []string          // lines that are not JSON, as a data race is reported
+	addresses  map[string]string // by key: listen and admin
+	ready      chan struct{}     // closed once both addresses are known
 }
 
+// follow reads a log to its end.
 func (l *logCounter) follow(in io.Reader) {
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		var line struct{ Message, Listen, Admin string }
@@ -91,46 +103,42 @@
 		}
 		l.bytes += len(lines.Bytes()) + 1
 		l.lines++
-		for key, value := range map[string]string{"listen": line.Listen, "admin": line.Admin} {
-			if _, known := l.addresses[key]; value != "" && !known {
-				if l.addresses[key] = value; len(l.addresses) == 2 {
-					close(l.ready)
-				}
-			}
-		}
+		l.setAddress("listen", line.Listen)
+		l.setAddress("admin", line.Admin)
 		l.Unlock()
 	}
 }
 
-// count is how many bytes and lines have come.
+// setAddress records an address that a line has, the first time. The caller holds the lock.
+func (l *logCounter) setAddress(key, address string) {
+	if _, known := l.addresses[key]; known || address == "" {
+		return
+	}
+	l.addresses[key] = address
+	if len(l.addresses) == 2 {
+		close(l.ready)
+	}
+}
+
+// count returns how many bytes and lines have come.
 func (l *logCounter) count() (size, lines int) {
 	l.Lock()
 	defer l.Unlock()
 	return l.bytes, l.lines
 }
 
-// startRelay starts the program on loopback with a list of servers. It is ended with the test.
+// startRelay starts the program on loopback, with more arguments, and ends it with the test.
 func startRelay(t *testing.T, discovery *fake.Discovery, more ...string) *relayProcess {
 	t.Helper()
-	text, err := os.ReadFile("../../../examples/config.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var config map[string]any
-	if err := json.Unmarshal(text, &config); err != nil {
-		t.Fatal(err)
-	}
-	config["listen"], config["admin"], config["discovery"] = "127.0.0.1:0", "127.0.0.1:0", discovery.Address
-	config["known"] = json.RawMessage(discovery.Snapshot())
-	config["limits"] = map[string]any{"cores": 1, "memory_mb": 2048, "sockets": 19_000}
-	text, _ = json.Marshal(config)
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
 	cmd := exec.CommandContext(t.Context(), os.Args[0], more...)
-	cmd.Env = append(os.Environ(), runAsRelay+"=1", "LB_CONFIG="+path, "TMPDIR="+t.TempDir())
-	r := &relayProcess{t: t, log: &logCounter{addresses: map[string]string{}, ready: make(chan struct{})}, cmd: cmd, ended: make(chan struct{})}
+	config := writeConfig(t, discovery)
+	cmd.Env = append(os.Environ(), runAsRelay+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
+	r := &relayProcess{
+		t:     t,
+		log:   &logCounter{addresses: map[string]string{}, ready: make(chan struct{})},
+		cmd:   cmd,
+		ended: make(chan struct{}),
+	}
 	logs, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -142,16 +150,13 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	r.pid, r.heapReports = cmd.Process.Pid, json.NewDecoder(figures)
-	go func() { r.log.follow(logs); close(r.ended) }()
-	t.Cleanup(func() {
-		cmd.Process.Kill()
-		<-r.ended
-		cmd.Wait()
-		if len(r.log.otherLines) > 0 {
-			t.Errorf("the relay said what is no log line:\n%s", strings.Join(r.log.otherLines, "\n"))
-		}
-	})
+	r.pid = cmd.Process.Pid
+	r.heapReports = json.NewDecoder(figures)
+	go func() {
+		r.log.follow(logs)
+		close(r.ended)
+	}()
+	t.Cleanup(r.stop)
 	select {
 	case <-r.log.ready:
 	case <-r.ended:
@@ -159,11 +164,50 @@
 	case <-time.After(waitLimit):
 		t.Fatal("the relay does not serve")
 	}
-	r.address, r.admin = r.log.addresses["listen"], r.log.addresses["admin"]
+	r.address = r.log.addresses["listen"]
+	r.admin = r.log.addresses["admin"]
 	return r
 }
 
-// collectHeap are the relay's heap and stacks after a collection.
+// writeConfig writes the example's configuration, with the servers that a discovery has, and returns its
+// path.
+func writeConfig(t *testing.T, discovery *fake.Discovery) string {
+	t.Helper()
+	text, err := os.ReadFile("../../../examples/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var config map[string]any
+	if err := json.Unmarshal(text, &config); err != nil {
+		t.Fatal(err)
+	}
+	config["listen"] = "127.0.0.1:0"
+	config["admin"] = "127.0.0.1:0"
+	config["discovery"] = discovery.Address
+	config["known"] = json.RawMessage(discovery.Snapshot())
+	config["limits"] = map[string]any{"cores": 1, "memory_mb": 2048, "sockets": 19_000}
+	text, err = json.Marshal(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// stop kills the relay, and checks that its log had nothing but log lines.
+func (r *relayProcess) stop() {
+	r.cmd.Process.Kill()
+	<-r.ended
+	r.cmd.Wait()
+	if len(r.log.otherLines) > 0 {
+		r.t.Errorf("the relay wrote what is no log line:\n%s", strings.Join(r.log.otherLines, "\n"))
+	}
+}
+
+// collectHeap has the relay collect garbage, and returns its heap and stacks.
 func (r *relayProcess) collectHeap() (h heapFigures) {
 	r.t.Helper()
 	if err := syscall.Kill(r.pid, syscall.SIGUSR1); err != nil {
@@ -194,7 +238,7 @@
 	return kilobytes * 1024
 }
 
-// descriptorCount is how many the relay holds.
+// descriptorCount returns how many file descriptors the relay has open.
 func (r *relayProcess) descriptorCount() int {
 	r.t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.pid))
@@ -204,7 +248,7 @@
 	return len(entries)
 }
 
-// processorTime is the time that the relay has computed, in its own code and in the kernel.
+// processorTime returns the time that the relay has computed, in its own code and in the kernel.
 func (r *relayProcess) processorTime() time.Duration {
 	r.t.Helper()
 	text := r.readProc("stat")
@@ -217,15 +261,16 @@
 	return time.Duration(ticks / tickHertz * float64(time.Second))
 }
 
-// echoServer answers probes, takes every connection, and returns every line.
+// echoServer answers probes, accepts every connection, and returns every line. It allocates less than
+// fake.EchoServer.
 type echoServer struct {
 	address string
 
 	mu          sync.Mutex
-	connections []net.Conn // those that are up
+	connections []net.Conn // accepted ones
 }
 
-// broadcast sends a line on every connection that is up, one after the other.
+// broadcast sends a line on every accepted connection, one after the other.
 func (s *echoServer) broadcast(line []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,6 +282,7 @@
 	return nil
 }
 
+// startEchoServer starts a server that ends with the test.
 func startEchoServer(t *testing.T) *echoServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -245,18 +291,20 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	s := &echoServer{address: l.Addr().String()}
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go s.serve(conn)
-		}
-	}()
+	go s.accept(l)
 	return s
 }
 
+func (s *echoServer) accept(l net.Listener) {
+	for {
+		conn, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go s.serve(conn)
+	}
+}
+
 func (s *echoServer) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReaderSize(conn, 512)
@@ -270,7 +318,8 @@
 		case bytes.HasPrefix(line, []byte("STATS")), bytes.HasPrefix(line, []byte("PING")):
 			line = []byte("PONG x0=0.2,qps=3,queue=0\r\n")
 		default:
-			up, line = true, []byte("UP 1\r\n")
+			up = true
+			line = []byte("UP 1\r\n")
 			s.mu.Lock()
 			s.connections = append(s.connections, conn)
 			s.mu.Unlock()
@@ -281,15 +330,15 @@
 	}
 }
 
-// startDiscovery is a discovery service that knows some servers, the first so many of which are there.
-func startDiscovery(t *testing.T, listed, there int) *fake.Discovery {
+// startDiscovery starts a discovery that lists some servers, the first so many of which run.
+func startDiscovery(t *testing.T, listed, running int) *fake.Discovery {
 	t.Helper()
-	d, _ := startServers(t, listed, there)
+	d, _ := startServers(t, listed, running)
 	return d
 }
 
-// startServers is stage, and the servers that are there.
-func startServers(t *testing.T, listed, there int) (d *fake.Discovery, all []*echoServer) {
+// startServers is startDiscovery, and returns the servers that run.
+func startServers(t *testing.T, listed, running int) (d *fake.Discovery, all []*echoServer) {
 	t.Helper()
 	d, err := fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -297,7 +346,7 @@
 	}
 	for i := range listed {
 		address := "127.0.0.1:1"
-		if i < there {
+		if i < running {
 			all = append(all, startEchoServer(t))
 			address = all[i].address
 		}
