--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -55,7 +55,7 @@
 	return relay.EndpointCounts{Listed: 6, EjectedManually: 1, Ejected: 2}
 }
 func (source) GuardStats() relay.GuardStats {
-	return relay.GuardStats{EndpointListAge: 1500, EndpointLeaseExpired: true, Denials: map[string]uint64{"list lapsed": 7}, Rejections: map[string]uint64{"no room": 2},
+	return relay.GuardStats{EndpointListAge: 1500 * time.Millisecond, EndpointLeaseExpired: true, Denials: map[string]uint64{"list lapsed": 7}, Rejections: map[string]uint64{"no room": 2},
 		Violations: map[string]uint64{"drain": 0}}
 }
 
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -122,7 +122,7 @@
 	sums := map[*prometheus.Desc]map[string]float64{f.denied: {}, f.refusals: {}, f.violations: {}}
 	for _, fr := range f.fronts {
 		figures := fr.Source.GuardStats()
-		age = max(age, figures.EndpointListAge/1000)
+		age = max(age, figures.EndpointListAge.Seconds())
 		if figures.EndpointLeaseExpired {
 			lapsed = 1
 		}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -232,11 +232,11 @@
 	front := &platform.Front{X: x, Site: c.Deployment, Gate: door}
 	joint := &frontSeam{front: "platform", relay: c.Name, requests: x, clock: clock, platform: front, deployment: c.Deployment, discovery: lister}
 	all.join(joint)
-	askWithin := 0.0
+	pollWithin := time.Duration(0)
 	if c.Deployment.Settings.MustSubscribe {
-		askWithin = relay.Millis(c.Deployment.Settings.Rules.PollWithin)
+		pollWithin = c.Deployment.Settings.Rules.PollWithin
 	}
-	x.LeaseEndpointList(askWithin)
+	x.LeaseEndpointList(pollWithin)
 	x.UpdateEndpoints(decide.Cached, c.CachedList.Endpoints)
 	if inherited && !lister.Pushed { // in an upgrade this relay starts alone: it need not wait for its turn
 		lister.Watch()
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -80,7 +80,7 @@
 func (w *town) list() {
 	var all []relay.Endpoint
 	for i, s := range w.servers {
-		all = append(all, relay.Endpoint{ID: s.ID, Address: s.Address, Mode: w.modes[i], StartedAt: w.since[i], Load: -1})
+		all = append(all, relay.Endpoint{ID: s.ID, Address: s.Address, Mode: w.modes[i], StartedAt: relay.FromUnixMillis(w.since[i]), Load: -1})
 	}
 	w.x.UpdateEndpoints(decide.Snapshot, all)
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -41,12 +41,12 @@
 			began := time.Now()
 			for range each {
 				s.wire.tries = s.wire.tries[:0]
-				call := s.c.table.Open(OpenRequest{Timeout: 1000}, &side{})
+				call := s.c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
 				for len(s.wire.tries) == 0 {
 					if state, _ := call.State(); state == Ended {
 						break
 					}
-					s.clock.SetMillis(s.clock.NowMillis() + 5)
+					s.clock.Set(s.clock.Now() + 5*time.Millisecond)
 					s.c.Step()
 				}
 				if call.Attach(0, &side{}) && call.BeginWrite(0) && call.Establish(0) != nil {
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -1,5 +1,3 @@
-// Package relay is a relay's core, which knows no wire: the clock, the list of servers, the state of every request, and the loop
-// that feeds the decision module.
 package relay
 
 import (
@@ -8,17 +6,17 @@
 	"time"
 )
 
-// clockStart is what a new clock reads. It lies well above 0, which in discovery's list means "long ago".
-const clockStart = 3600 * 1000
+// clockStart is what a new clock reads. It lies well above 0, which stands for "long ago".
+const clockStart = time.Hour
 
-// Clock is the program's only source of time: milliseconds since an arbitrary origin. A clock made by
-// NewSetClock stands still until a test sets it.
+// Clock is the program's only source of time: instants are durations since an arbitrary origin, on the
+// monotonic clock. A clock made by NewManualClock stands still until a test sets it. It is safe for use by
+// many goroutines.
 type Clock struct {
-	origin    time.Time
+	origin    time.Time // the clock of the day when the clock was made
 	manual    bool
-	manualNow atomic.Uint64 // bits of the time of a clock that tests set
-	// stepped: bits of how far the clock of the day of such a clock is off.
-	wallStep atomic.Uint64
+	manualNow atomic.Int64 // a manual clock's instant
+	wallStep  atomic.Int64 // how far the clock of the day is off where the clock is manual
 }
 
 // NewClock returns a clock that runs.
@@ -27,82 +25,109 @@
 // NewManualClock returns a clock that stands still.
 func NewManualClock() *Clock {
 	c := &Clock{origin: time.Unix(1_000_000_000, 0), manual: true}
-	c.SetMillis(clockStart)
+	c.Set(clockStart)
 	return c
 }
 
-// SetMillis moves a clock made by NewSetClock.
-func (c *Clock) SetMillis(ms float64) { c.manualNow.Store(math.Float64bits(ms)) }
+// Set moves a clock made by NewManualClock to an instant.
+func (c *Clock) Set(now time.Duration) { c.manualNow.Store(int64(now)) }
 
-// Now is the time since an arbitrary origin, on the monotonic clock.
+// SetMillis moves a clock made by NewManualClock to an instant in milliseconds.
+func (c *Clock) SetMillis(ms float64) { c.Set(Duration(ms)) }
+
+// Now returns the time since an arbitrary origin, on the monotonic clock.
 func (c *Clock) Now() time.Duration {
 	if c.manual {
-		return Duration(c.NowMillis())
+		return time.Duration(c.manualNow.Load())
 	}
-	return clockStart*time.Millisecond + c.elapsed()
+	return clockStart + c.elapsed()
 }
 
-// NowMillis is Now in milliseconds.
-func (c *Clock) NowMillis() float64 {
-	if c.manual {
-		return math.Float64frombits(c.manualNow.Load())
-	}
-	return clockStart + float64(c.elapsed().Nanoseconds())/1e6
-}
+// NowMillis returns Now in milliseconds.
+func (c *Clock) NowMillis() float64 { return Millis(c.Now()) }
 
-// FromUnixMillis turns the Unix time in milliseconds of something that has happened into this clock's; 0 stays 0, for long ago. The clock of
-// the day may have been stepped since the process started, here alone or on all machines. So it goes by both readings, that of the
-// start and that of now, and takes the later time: what has just happened is never taken for old, and nothing lies ahead.
-func (c *Clock) FromUnixMillis(ms float64) float64 {
-	if ms == 0 {
+// FromWall turns the moment of the day at which something has happened into this clock's instant; the zero
+// time stays 0, for long ago. The clock of the day may have been stepped since the process started, here alone
+// or on all machines. So it goes by both readings, that of the start and that of now, and takes the later
+// instant: what has just happened is never taken for old, and nothing lies ahead.
+func (c *Clock) FromWall(at time.Time) time.Duration {
+	if at.IsZero() {
 		return 0
 	}
-	now := c.NowMillis()
-	byStart := clockStart + ms - float64(c.origin.UnixNano())/1e6
-	byDay := now + ms - c.wallMillis()
+	now := c.Now()
+	byStart := clockStart + at.Sub(c.origin.Round(0))
+	byDay := now + at.Sub(c.wall().Round(0))
 	return min(max(byStart, byDay), now)
 }
 
-// wallMillis is the clock of the wallMillis now, as Unix time in milliseconds.
-func (c *Clock) wallMillis() float64 {
+// wall returns the clock of the day.
+func (c *Clock) wall() time.Time {
 	if c.manual {
-		return c.UnixMillis(c.NowMillis()) + math.Float64frombits(c.wallStep.Load())
+		return c.Wall(c.Now()).Add(time.Duration(c.wallStep.Load()))
 	}
-	return float64(wallNow().UnixNano()) / 1e6
+	return wallNow()
 }
 
-// StepWallClock steps the clock of the day of a clock made by NewSetClock, by ms from where it would be.
-func (c *Clock) StepWallClock(ms float64) { c.wallStep.Store(math.Float64bits(ms)) }
+// StepWallClock sets by how much the clock of the day is off where the clock was made by NewManualClock.
+func (c *Clock) StepWallClock(by time.Duration) { c.wallStep.Store(int64(by)) }
 
-// UnixMillis turns this clock's time into UnixMillis time in milliseconds, by the one origin that was read at the start: it
-// does not step with the clock of the day.
+// Wall turns an instant of this clock into the time of the day, by the one origin that was read at the start:
+// it does not step with the clock of the day.
+func (c *Clock) Wall(at time.Duration) time.Time { return c.origin.Round(0).Add(at - clockStart) }
+
+// UnixMillis is Wall in milliseconds, of an instant and as Unix time.
 func (c *Clock) UnixMillis(ms float64) float64 {
-	return ms - clockStart + float64(c.origin.UnixNano())/1e6
+	return ms - Millis(clockStart) + float64(c.origin.UnixNano())/1e6
 }
 
-// WallDeadline is the network deadline that falls at an instant of this clock.
+// WallDeadline returns the network deadline that falls at an instant of this clock.
 func (c *Clock) WallDeadline(at time.Duration) time.Time { return time.Now().Add(at - c.Now()) }
 
-// WallDeadlineMillis is when a network deadline falls that lies at ms on this clock.
+// WallDeadlineMillis is WallDeadline for an instant in milliseconds.
 func (c *Clock) WallDeadlineMillis(ms float64) time.Time {
 	return time.Now().Add(Duration(ms - c.NowMillis()))
 }
 
-// Duration is the one place where milliseconds become a time.Duration. It rounds to whole microseconds,
-// in which the module's figures are stated, and bounds what is out of all reason.
+// After returns a channel that gets the time once d has passed.
+func (c *Clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
+
+// AfterMillis is After for a time in milliseconds.
+func (c *Clock) AfterMillis(ms float64) <-chan time.Time { return time.After(Duration(ms)) }
+
+// maxMicroseconds bounds what Duration turns over: some 31 years.
+const maxMicroseconds = 1e15
+
+// Duration turns milliseconds of a codec or a setting into a time.Duration. It rounds to whole microseconds,
+// in which the decision module's figures are stated, and bounds what is out of all reason.
 func Duration(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
-	if math.Abs(us) > 1e15 {
-		us = math.Copysign(1e15, us)
+	if math.Abs(us) > maxMicroseconds {
+		us = math.Copysign(maxMicroseconds, us)
 	}
 	return time.Duration(us) * time.Microsecond
 }
 
-// Millis is the way back from the module's durations.
+// addTo returns the instant that lies d after at, the last one that there is if that is out of range.
+func addTo(at, d time.Duration) time.Duration {
+	if d > 0 && at > math.MaxInt64-d {
+		return math.MaxInt64
+	}
+	return at + d
+}
+
+// Millis turns a time.Duration into milliseconds, for a codec or a log line.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// AfterMillis sends once ms have passed.
-func (c *Clock) AfterMillis(ms float64) <-chan time.Time { return time.After(Duration(ms)) }
+// maxUnixMillis bounds what FromUnixMillis turns over, so that a time.Duration holds all differences: the years
+// 1843 to 2096.
+const maxUnixMillis = 4e12
 
-// After sends once the time has passed.
-func (c *Clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
+// FromUnixMillis turns Unix time in milliseconds, as codecs have it, into a time; 0 becomes the zero time, for
+// long ago.
+func FromUnixMillis(ms float64) time.Time {
+	if ms == 0 {
+		return time.Time{}
+	}
+	whole, part := math.Modf(min(max(ms, -maxUnixMillis), maxUnixMillis))
+	return time.UnixMilli(int64(whole)).Add(time.Duration(part * float64(time.Millisecond)))
+}
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"testing"
+	"time"
 
 	"capersail/decide"
 )
@@ -10,28 +11,28 @@
 // A server that has just started is cold, and one that has run since before the relay is not made young again, however the clock of
 // the day was stepped: on this machine alone, or on all of them.
 func TestStartsThroughStepsOfTheDay(t *testing.T) {
-	const hour, age = 3600_000.0, 700.0 // age: of a server's start when the list tells of it
-	for _, step := range []float64{0, hour, -hour, 2000, -2000} {
+	const age = 700 * time.Millisecond // age: of a server's start when the list tells of it
+	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		for _, everywhere := range []bool{false, true} {
 			clock := NewManualClock()
 			x := NewRequestTable(&Deployment{}, clock, nil)
-			day := func() float64 { return clock.UnixMillis(clock.NowMillis()) }
-			old := Endpoint{ID: "old", Mode: decide.Ready, StartedAt: day() - 60_000}
+			day := func() time.Time { return clock.Wall(clock.Now()) }
+			old := Endpoint{ID: "old", Mode: decide.Ready, StartedAt: day().Add(-time.Minute)}
 			x.UpdateEndpoints(decide.Cached, []Endpoint{old})
 			before := x.endpoints.byID["old"].startedAt
-			clock.SetMillis(clock.NowMillis() + 20_000)
+			clock.Set(clock.Now() + 20*time.Second)
 			clock.StepWallClock(step)
-			told := day() - age
+			told := day().Add(-age)
 			if everywhere {
-				told += step
+				told = told.Add(step)
 			}
 			x.UpdateEndpoints(decide.Snapshot, []Endpoint{old, {ID: "new", Mode: decide.Ready, StartedAt: told}})
 			if got := x.endpoints.byID["old"].startedAt; got != before {
-				t.Errorf("step %v, everywhere %v: the old server's start moved by %v ms", step, everywhere, got-before)
+				t.Errorf("step %v, everywhere %v: the old server's start moved by %v", step, everywhere, got-before)
 			}
-			since := clock.NowMillis() - x.endpoints.byID["new"].startedAt
-			if since < 0 || since > age+1 || step == 0 && math.Abs(since-age) > 1 {
-				t.Errorf("step %v, everywhere %v: a server that started %v ms ago counts as %v ms old", step, everywhere, age, since)
+			since := clock.Now() - x.endpoints.byID["new"].startedAt
+			if since < 0 || since > age+time.Millisecond || step == 0 && (since-age).Abs() > time.Millisecond {
+				t.Errorf("step %v, everywhere %v: a server that started %v ago counts as %v old", step, everywhere, age, since)
 			}
 		}
 	}
@@ -41,12 +42,23 @@
 func TestClock(t *testing.T) {
 	c := NewManualClock()
 	now := float64(c.origin.UnixMilli())
-	if got := c.FromUnixMillis(now - 250); got != clockStart-250 {
+	if got := c.FromWall(FromUnixMillis(now - 250)); got != clockStart-250*time.Millisecond {
 		t.Errorf("started 250 ms ago: %v", got)
 	}
-	if got := c.FromUnixMillis(0); got != 0 {
+	if got := c.FromWall(FromUnixMillis(0)); got != 0 {
 		t.Errorf("long ago: %v", got)
 	}
+	for _, ms := range []float64{1e300, -1e300} {
+		if got := c.FromWall(FromUnixMillis(ms)); got > c.Now() || ms < 0 && got > 0 || ms > 0 && got != c.Now() {
+			t.Errorf("a start at %v ms counts as %v", ms, got)
+		}
+	}
+	if got := FromUnixMillis(1764745200000.9997).UnixMilli(); got != 1764745200000 {
+		t.Errorf("a start within a millisecond is told as %d", got)
+	}
+	if got := addTo(time.Hour, math.MaxInt64-time.Minute); got != math.MaxInt64 {
+		t.Errorf("an instant out of range: %v", got)
+	}
 	if got := Duration(1.2346); got != 1235000 {
 		t.Errorf("1.2346 ms: %v", got)
 	}
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -1,6 +1,8 @@
 package relay
 
 import (
+	"time"
+
 	"capersail/decide"
 	"capersail/internal/guard"
 	"capersail/internal/observe/recorder"
@@ -100,7 +102,7 @@
 
 // GuardStats are what operators see of the guard, since the process started.
 type GuardStats struct {
-	EndpointListAge      float64 // ms since discovery was last heard, 0 where the list is not held on a lease
+	EndpointListAge      time.Duration // since discovery was last heard, 0 where the list is not held on a lease
 	EndpointLeaseExpired bool
 	Denials              map[string]uint64 // by what stood in the way
 	Rejections           map[string]uint64 // by the module's reason
@@ -112,7 +114,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
-	f := GuardStats{EndpointListAge: Millis(t.endpointLease.Age(now)), EndpointLeaseExpired: !t.endpointLease.Valid(now),
+	f := GuardStats{EndpointListAge: t.endpointLease.Age(now), EndpointLeaseExpired: !t.endpointLease.Valid(now),
 		Denials: map[string]uint64{}, Rejections: map[string]uint64{}, Violations: map[string]uint64{}}
 	for _, why := range guard.Denials() {
 		f.Denials[why.String()] = t.Denials.Count(why)
@@ -132,6 +134,6 @@
 	t.counters.countAnswer(class, Rejected)
 	t.mu.Unlock()
 	if t.Recorder != nil {
-		t.Recorder.Put(&recorder.Record{At: t.Clock.NowMillis(), Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit})
+		t.Recorder.Put(&recorder.Record{At: Millis(t.Clock.Now()), Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit})
 	}
 }
--- a/internal/relay/decisions.go
+++ b/internal/relay/decisions.go
@@ -1,6 +1,8 @@
 package relay
 
 import (
+	"time"
+
 	"capersail/decide"
 	"capersail/internal/guard"
 	"capersail/internal/observe/recorder"
@@ -9,7 +11,7 @@
 // This file carries out what the decision module wants of calls.
 
 // startAttempt does what the module wants: one more attempt. What the rules forbid is never sent.
-func (t *RequestTable) startAttempt(id decide.RequestID, to decide.ServerID, timeout float64, pool []decide.PooledServer) {
+func (t *RequestTable) startAttempt(id decide.RequestID, to decide.ServerID, timeout time.Duration, pool []decide.PooledServer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[id]
@@ -83,7 +85,7 @@
 	if r.state == Established && !r.migrating {
 		r.migrating = true
 		if r.table.Recorder != nil {
-			r.table.Recorder.Put(&recorder.Record{At: r.table.Clock.NowMillis(), Kind: recorder.ClientMigrated, Request: uint64(r.ID), Server: int32(r.attempt.Server.Number), Initiator: by})
+			r.table.Recorder.Put(&recorder.Record{At: Millis(r.table.Clock.Now()), Kind: recorder.ClientMigrated, Request: uint64(r.ID), Server: int32(r.attempt.Server.Number), Initiator: by})
 		}
 		r.serverConn.Wake()
 	}
--- a/internal/relay/endpoint_lease.go
+++ b/internal/relay/endpoint_lease.go
@@ -1,14 +1,18 @@
 package relay
 
-import "capersail/internal/guard"
+import (
+	"time"
+
+	"capersail/internal/guard"
+)
 
 // LeaseEndpointList puts the list of servers on a lease, which Heard renews: once it has lapsed nothing new is sent until discovery is
-// heard again. askWithin is the settings' time for asking, 0 where lists are pushed.
-func (t *RequestTable) LeaseEndpointList(askWithin float64) {
+// heard again. pollWithin is the settings' time for asking, 0 where lists are pushed.
+func (t *RequestTable) LeaseEndpointList(pollWithin time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.endpointLease = guard.NewEndpointLease(t.Clock.Now(), Duration(askWithin))
-	t.leased, t.checkedAt = true, t.Clock.NowMillis()
+	t.endpointLease = guard.NewEndpointLease(t.Clock.Now(), pollWithin)
+	t.leased, t.checkedAt = true, t.Clock.Now()
 	t.checkEndpointLease()
 }
 
@@ -16,7 +20,7 @@
 	// processStoppedAfter is how long nothing runs here before the process counts as having been stopped: the core loop looks each sweepEvery.
 	processStoppedAfter = 4 * sweepInterval
 	// ignoreReadsFor is how long after that lines may come that were written meanwhile.
-	ignoreReadsFor = 200.0
+	ignoreReadsFor = 200 * time.Millisecond
 )
 
 // RenewEndpointLease says that discovery has said something on a call that stands, and that what it said before has been taken in. What is read
@@ -24,22 +28,22 @@
 func (t *RequestTable) RenewEndpointLease() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.Clock.NowMillis()
+	now := t.Clock.Now()
 	if t.noticeProcessStop(now); now < t.ignoreReadsUntil {
 		return
 	}
-	age := Millis(t.endpointLease.Age(t.Clock.Now()))
-	t.endpointLease.Renew(t.Clock.Now())
+	age := t.endpointLease.Age(now)
+	t.endpointLease.Renew(now)
 	if t.endpoints.leaseExpired {
-		t.Log.Info().Float64("list_age_ms", age).Msg("the list of servers is confirmed again")
+		t.Log.Info().Float64("list_age_ms", Millis(age)).Msg("the list of servers is confirmed again")
 	}
 	t.checkEndpointLease()
 }
 
 // noticeProcessStop notices that the process has been stopped. The caller holds the lock.
-func (t *RequestTable) noticeProcessStop(now float64) {
+func (t *RequestTable) noticeProcessStop(now time.Duration) {
 	if t.leased && now-t.checkedAt > processStoppedAfter {
-		t.Log.Warn().Float64("stopped_ms", now-t.checkedAt).Msg("this process has been stopped")
+		t.Log.Warn().Float64("stopped_ms", Millis(now-t.checkedAt)).Msg("this process has been stopped")
 		t.ignoreReadsUntil = now + ignoreReadsFor
 	}
 	t.checkedAt = now
--- a/internal/relay/endpoint_lease_test.go
+++ b/internal/relay/endpoint_lease_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"capersail/decide"
 	"capersail/internal/guard"
@@ -11,20 +12,20 @@
 func TestOldLinesConfirmNothing(t *testing.T) {
 	clock := NewManualClock()
 	x := NewRequestTable(&Deployment{}, clock, nil)
-	x.LeaseEndpointList(10_000)
+	x.LeaseEndpointList(10 * time.Second)
 	x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "s", Address: "127.0.0.1:1", Mode: decide.Ready}})
-	pass := func(ms float64, stopped bool) {
-		end := clock.NowMillis() + ms
-		for !stopped && clock.NowMillis()+sweepInterval < end {
-			clock.SetMillis(clock.NowMillis() + sweepInterval)
+	pass := func(d time.Duration, stopped bool) {
+		end := clock.Now() + d
+		for !stopped && clock.Now()+sweepInterval < end {
+			clock.Set(clock.Now() + sweepInterval)
 			x.sweepSilentServers()
 		}
-		clock.SetMillis(end)
+		clock.Set(end)
 	}
 	x.RenewEndpointLease()
-	pass(2000, false)
+	pass(2000*time.Millisecond, false)
 	x.RenewEndpointLease()
-	pass(7000, true)
+	pass(7000*time.Millisecond, true)
 	x.RenewEndpointLease() // a line that has waited, read before anything else runs
 	if x.ServerReady("s") && !x.GuardStats().EndpointLeaseExpired {
 		t.Error("an old line read before the core looks confirms the list")
@@ -34,16 +35,16 @@
 	if x.ServerReady("s") || !x.GuardStats().EndpointLeaseExpired {
 		t.Error("an old line read after the core looks confirms the list")
 	}
-	pass(2000, false)
+	pass(2000*time.Millisecond, false)
 	x.RenewEndpointLease()
 	if !x.ServerReady("s") || x.GuardStats().EndpointLeaseExpired {
 		t.Error("a line of now does not confirm the list")
 	}
-	pass(5700, false)
+	pass(5700*time.Millisecond, false)
 	if !x.ServerReady("s") {
 		t.Error("the list lapses before its time")
 	}
-	pass(500, false)
+	pass(500*time.Millisecond, false)
 	x.sweepSilentServers()
 	if x.ServerReady("s") || !x.GuardStats().EndpointLeaseExpired {
 		t.Error("the list does not lapse")
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -1,6 +1,10 @@
 package relay
 
-import "capersail/decide"
+import (
+	"time"
+
+	"capersail/decide"
+)
 
 // Endpoint is one line of the list of servers, in names.
 type Endpoint struct {
@@ -9,9 +13,9 @@
 	Zone           string
 	Cell           int32
 	Mode           decide.EndpointState
-	StartedAt      float64 // Unix time in milliseconds, 0 for long ago
-	Load           float64 // load over capacity that the list itself tells, negative if it does not
-	SupportsResume bool    // it takes streams up where they stopped
+	StartedAt      time.Time // the zero time for long ago
+	Load           float64   // load over capacity that the list itself tells, negative if it does not
+	SupportsResume bool      // it takes streams up where they stopped
 }
 
 // Server is one server as the server side needs it.
@@ -25,17 +29,17 @@
 	listedMode      decide.EndpointState // as the list has it
 	ejectedManually bool                 // out by hand
 	// unreadyAt is when mode was last seen to leave Ready, on the relay's clock.
-	unreadyAt    float64
-	delayNotedAt float64 // when the module was last told of a slow message there
-	current      *Server // the roster's own, of which an attempt holds a copy
+	unreadyAt    time.Duration
+	delayNotedAt time.Duration // when the module was last told of a slow message there
+	current      *Server       // the roster's own, of which an attempt holds a copy
 
-	startedUnix   float64 // Unix ms, as the list has it
-	startedAt     float64 // the same on the relay's clock, as of when the list first had it
+	startedWall   time.Time     // as the list has it
+	startedAt     time.Duration // the same on the relay's clock, as of when the list first had it
 	zone          string
 	cell          int32
 	recorded      bool // the tap knows mode and start
 	recordedMode  decide.EndpointState
-	recordedStart float64
+	recordedStart time.Time
 }
 
 // endpointList turns names into the module's numbers and holds the newest list. The Exchange guards it.
@@ -73,8 +77,8 @@
 			l.servers = append(l.servers, s)
 		}
 		s.listedMode, s.Load, s.SupportsResume, s.zone, s.cell = e.Mode, e.Load, e.SupportsResume, e.Zone, e.Cell
-		if s.startedUnix != e.StartedAt {
-			s.startedUnix, s.startedAt = e.StartedAt, l.clock.FromUnixMillis(e.StartedAt)
+		if !s.startedWall.Equal(e.StartedAt) {
+			s.startedWall, s.startedAt = e.StartedAt, l.clock.FromWall(e.StartedAt)
 		}
 		l.setMode(s)
 		if e.Address != "" { // an entry that says Gone may come without one
@@ -88,7 +92,7 @@
 // setMode sets the mode that the module is told from what is known of a server: a ready one drains that is out by hand, or
 // stands on a list that has lapsed. It tells whether the mode has changed.
 func (l *endpointList) setMode(s *Server) (changed bool) {
-	now, mode := l.clock.NowMillis(), s.operatorMode()
+	now, mode := l.clock.Now(), s.operatorMode()
 	if mode == decide.Ready && l.leaseExpired {
 		mode = decide.Draining
 	}
@@ -122,5 +126,5 @@
 // entry is the server as the module is told of it.
 func (l *endpointList) entry(s *Server) decide.Endpoint {
 	return decide.Endpoint{Server: s.Number, State: s.mode, Zone: l.deployment.Zones[s.zone], Cell: s.cell, RendezvousKey: ServerKey(s.ID),
-		StartedAt: Duration(s.startedAt)}
+		StartedAt: s.startedAt.Round(time.Microsecond)}
 }
--- a/internal/relay/event_loop.go
+++ b/internal/relay/event_loop.go
@@ -22,16 +22,16 @@
 }
 
 const (
-	sweepInterval = 250.0
+	sweepInterval = 250 * time.Millisecond
 	// backstopDelay is how long after a request's deadline the backstop answers it. The rules allow 20 ms
 	// and 50 ms more on sockets; the module's own answer takes a tick or two.
-	backstopDelay = 20.0
+	backstopDelay = 20 * time.Millisecond
 )
 
 // FleetView is what this relay knows of the others. What Hold returns stands until Release: whoever changes it waits, so
 // that no decision is made by a share that this relay has said it no longer takes. Neither may block for long.
 type FleetView interface {
-	LockStatus(now float64) decide.FleetStatus
+	LockStatus(now time.Duration) decide.FleetStatus
 	UnlockStatus()
 }
 
@@ -44,8 +44,8 @@
 	log        zerolog.Logger
 	timers     timers
 	actions    []decide.Action
-	sweptAt    float64
-	tick       float64
+	sweptAt    time.Duration
+	tick       time.Duration
 	candidates []decide.PooledServer // of the placement under way, for the tap
 	// Fleet is nil where the relays do not know each other. It is set before Run.
 	FleetView FleetView
@@ -56,7 +56,7 @@
 // NewEventLoop returns the loop of a relay that has just started.
 func NewEventLoop(table *RequestTable, seed uint64, lister Discovery, log zerolog.Logger) *EventLoop {
 	return &EventLoop{table: table, balancer: decide.New(table.deployment.Settings, seed), dialer: table.dialer, discovery: lister, log: log,
-		tick: Millis(table.deployment.Settings.Tick), candidates: make([]decide.PooledServer, 0, recorder.MaxCandidates+1)}
+		tick: table.deployment.Settings.Tick, candidates: make([]decide.PooledServer, 0, recorder.MaxCandidates+1)}
 }
 
 // Run feeds the module until the context ends. It handles what has come in at most once a tick, as the
@@ -64,24 +64,24 @@
 func (l *EventLoop) Run(ctx context.Context) {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
-	for last := l.table.Clock.NowMillis(); ; {
+	for last := l.table.Clock.Now(); ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.table.ready:
 		case <-wait.C:
 		}
-		if early := last + l.tick - l.table.Clock.NowMillis(); early > 0 {
-			time.Sleep(Duration(early))
+		if early := last + l.tick - l.table.Clock.Now(); early > 0 {
+			time.Sleep(early)
 		}
-		last = l.table.Clock.NowMillis()
-		wait.Reset(Duration(l.Step()))
+		last = l.table.Clock.Now()
+		wait.Reset(l.Step())
 	}
 }
 
 // Step handles everything that has come in or is due now, and returns how long until the next timer.
-func (l *EventLoop) Step() float64 {
-	now := l.table.Clock.NowMillis()
+func (l *EventLoop) Step() time.Duration {
+	now := l.table.Clock.Now()
 	l.table.mu.Lock()
 	batch := l.table.inbox
 	l.table.inbox = nil
@@ -102,7 +102,7 @@
 			continue
 		}
 		if r, ok := ev.(decide.Request); ok {
-			l.timers.set(timer{dueAt: now + Millis(r.TimeLeft) + backstopDelay, request: r.ID})
+			l.timers.set(timer{dueAt: addTo(now, r.TimeLeft+backstopDelay), request: r.ID})
 		}
 		l.handle(now, ev)
 	}
@@ -131,14 +131,14 @@
 
 // handle lets the module act. A panic there must not take every open connection down with it: the
 // request it was about gets its answer from the backstop.
-func (l *EventLoop) handle(now float64, ev decide.Event) {
+func (l *EventLoop) handle(now time.Duration, ev decide.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			l.log.Error().Str("event", fmt.Sprintf("%T", ev)).Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).
 				Msg("the decision module panicked")
 		}
 	}()
-	l.actions = l.balancer.Handle(Duration(now), ev, l.actions[:0])
+	l.actions = l.balancer.Handle(now.Round(time.Microsecond), ev, l.actions[:0])
 	for _, act := range l.actions {
 		l.perform(act)
 	}
@@ -151,11 +151,11 @@
 			l.candidates = l.balancer.ProbePool(l.candidates[:0])
 		}
 		if l.SharedProbing != nil {
-			l.stepScheduler(l.table.Clock.NowMillis(), probing.LocalPlacement{ServerKey: l.serverKey(a.Server), Delta: 1})
+			l.stepScheduler(l.table.Clock.Now(), probing.LocalPlacement{ServerKey: l.serverKey(a.Server), Delta: 1})
 		}
-		l.table.startAttempt(a.ID, a.Server, Millis(a.Timeout), l.candidates)
+		l.table.startAttempt(a.ID, a.Server, a.Timeout, l.candidates)
 	case decide.Reject:
-		l.table.answer(a.ID, Answer{Kind: Rejected, RetryAfter: Millis(a.RetryAfter), reason: a.Reason, decidedBy: recorder.Module})
+		l.table.answer(a.ID, Answer{Kind: Rejected, RetryAfter: a.RetryAfter, reason: a.Reason, decidedBy: recorder.Module})
 	case decide.Fail:
 		l.table.answer(a.ID, Answer{Kind: Failed, reason: a.Reason, decidedBy: recorder.Module})
 	case decide.Migrate:
@@ -165,7 +165,7 @@
 	case decide.Probe:
 		l.probe(a.Server)
 	case decide.Timer:
-		l.timers.set(timer{dueAt: l.table.Clock.NowMillis() + Millis(a.After), token: a.Token})
+		l.timers.set(timer{dueAt: addTo(l.table.Clock.Now(), a.After), token: a.Token})
 	case decide.Subscribe:
 		l.discovery.Watch()
 	case decide.FetchSnapshot:
@@ -181,14 +181,14 @@
 	l.table.mu.Lock()
 	s := *l.table.endpoints.servers[id]
 	l.table.mu.Unlock()
-	began := l.table.Clock.NowMillis()
+	began := l.table.Clock.Now()
 	l.dialer.Probe(s, func(status decide.Status, report decide.LoadReport) {
 		l.table.mu.Lock()
 		defer l.table.mu.Unlock()
 		if l.table.Recorder != nil {
-			now := l.table.Clock.NowMillis()
+			now := l.table.Clock.Now()
 			l.table.recordProbe(now, id, status, now-began, report)
 		}
-		l.table.post(decide.ProbeResult{Server: id, Status: status, Latency: Duration(l.table.Clock.NowMillis() - began), Report: report})
+		l.table.post(decide.ProbeResult{Server: id, Status: status, Latency: (l.table.Clock.Now() - began).Round(time.Microsecond), Report: report})
 	})
 }
--- a/internal/relay/event_loop_test.go
+++ b/internal/relay/event_loop_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"github.com/rs/zerolog"
 
@@ -28,9 +29,9 @@
 }
 
 // advance lets time pass in ticks.
-func advance(c *EventLoop, clock *Clock, ms float64) {
-	for end := clock.NowMillis() + ms; clock.NowMillis() < end; {
-		clock.SetMillis(clock.NowMillis() + 5)
+func advance(c *EventLoop, clock *Clock, d time.Duration) {
+	for end := clock.Now() + d; clock.Now() < end; {
+		clock.Set(clock.Now() + 5*time.Millisecond)
 		c.Step()
 	}
 }
@@ -38,8 +39,8 @@
 func TestCorePlacesAfterAProbe(t *testing.T) {
 	c, wire, clock := bench(t)
 	client := &side{}
-	call := c.table.Open(OpenRequest{Timeout: 1000}, client)
-	advance(c, clock, 20)
+	call := c.table.Open(OpenRequest{Timeout: time.Second}, client)
+	advance(c, clock, 20*time.Millisecond)
 	if len(wire.tries) != 1 || wire.probes != 1 {
 		t.Fatalf("%d tries, %d probes", len(wire.tries), wire.probes)
 	}
@@ -47,7 +48,7 @@
 	if !call.BeginWrite(0) || call.Establish(0) == nil {
 		t.Fatal("the attempt may not go on")
 	}
-	advance(c, clock, 5000)
+	advance(c, clock, 5000*time.Millisecond)
 	if state, _ := call.State(); state != Established {
 		t.Fatalf("state %v", state)
 	}
@@ -57,8 +58,8 @@
 func TestCoreRefusesAtOnce(t *testing.T) {
 	c, wire, clock := bench(t)
 	c.table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", Mode: decide.Removed}})
-	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
-	advance(c, clock, 10)
+	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
+	advance(c, clock, 10*time.Millisecond)
 	if state, a := call.State(); state != Ended || a.Kind != Rejected || len(wire.tries) != 0 {
 		t.Fatalf("state %v, answer %+v, %d tries", state, a, len(wire.tries))
 	}
@@ -67,12 +68,12 @@
 // The backstop: an attempt whose end is never told must not leave its client without an answer.
 func TestCoreAnswersByTheDeadline(t *testing.T) {
 	c, _, clock := bench(t)
-	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
-	advance(c, clock, 1000)
+	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
+	advance(c, clock, 1000*time.Millisecond)
 	if state, _ := call.State(); state == Ended {
 		t.Fatal("answered too early")
 	}
-	advance(c, clock, backstopDelay+5)
+	advance(c, clock, backstopDelay+5*time.Millisecond)
 	if state, a := call.State(); state != Ended || a.Kind != Failed {
 		t.Fatalf("state %v, answer %+v", state, a)
 	}
@@ -81,9 +82,9 @@
 // A module that panics on one event goes on with the next.
 func TestCoreOutlivesAPanic(t *testing.T) {
 	c, _, clock := bench(t)
-	c.handle(clock.NowMillis(), decide.Opened{Server: -1})
-	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
-	advance(c, clock, 20)
+	c.handle(clock.Now(), decide.Opened{Server: -1})
+	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
+	advance(c, clock, 20*time.Millisecond)
 	if state, _ := call.State(); state != Attempting {
 		t.Fatalf("state %v", state)
 	}
@@ -92,23 +93,23 @@
 // A line that nothing comes back for tells of a silent server; at 7 s the connection would be lost.
 func TestCoreMovesOffASilentServer(t *testing.T) {
 	c, _, clock := bench(t)
-	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
-	advance(c, clock, 20)
+	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
+	advance(c, clock, 20*time.Millisecond)
 	remote := &side{}
 	call.Attach(0, remote)
 	call.BeginWrite(0)
 	call.Establish(0)
 	for range 3 { // lines that come back at once
 		call.LineSent()
-		advance(c, clock, 5)
+		advance(c, clock, 5*time.Millisecond)
 		call.LineReceived()
-		advance(c, clock, 2000)
+		advance(c, clock, 2000*time.Millisecond)
 	}
 	if moving, _ := call.Migrating(); moving {
 		t.Fatal("moved off a sound server")
 	}
 	call.LineSent()
-	advance(c, clock, silentAfter+sweepInterval+5)
+	advance(c, clock, silentAfter+sweepInterval+5*time.Millisecond)
 	if moving, silent := call.Migrating(); !moving || !silent || remote.woken == 0 {
 		t.Fatalf("moving %v, silent %v, woken %d times", moving, silent, remote.woken)
 	}
--- a/internal/relay/guarding.go
+++ b/internal/relay/guarding.go
@@ -15,7 +15,7 @@
 		Attempts:        r.attempts,
 		MaxAttempts:     r.table.deployment.Settings.MaxAttempts,
 		MayHaveRun:      r.mayHaveRun,
-		MayHaveRunAt:    Duration(r.mayHaveRunAt),
+		MayHaveRunAt:    r.mayHaveRunAt,
 		MayHaveRunOn:    r.mayHaveRunOn,
 		Idempotency:     class.Idempotency,
 		DedupScope:      class.DedupScope,
@@ -73,7 +73,7 @@
 		return
 	}
 	now, s := r.table.Clock.Now(), r.attempt.currentServer()
-	if r.table.endpointLease.MayBreakDrainRule(now) || s.mode != decide.Ready && now-Duration(s.unreadyAt) > guard.DrainGrace {
+	if r.table.endpointLease.MayBreakDrainRule(now) || s.mode != decide.Ready && now-s.unreadyAt > guard.DrainGrace {
 		r.recordViolation(guard.NothingNewAfterDrain, s)
 	}
 }
--- a/internal/relay/operations_test.go
+++ b/internal/relay/operations_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"capersail/decide"
 )
@@ -25,12 +26,12 @@
 	clock, wire := NewManualClock(), &side{}
 	x := NewRequestTable(&Deployment{Settings: decide.Settings{Classes: []decide.ClassInfo{{}}}}, clock, wire)
 	x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
-	up, client := x.Open(OpenRequest{Timeout: 1000}, &side{}), &side{}
+	up, client := x.Open(OpenRequest{Timeout: time.Second}, &side{}), &side{}
 	x.startAttempt(up.ID, 0, 0, nil)
 	up.Attach(0, client)
 	up.BeginWrite(0)
 	up.Establish(0)
-	held := x.Open(OpenRequest{Timeout: 1000}, &side{})
+	held := x.Open(OpenRequest{Timeout: time.Second}, &side{})
 	x.startAttempt(held.ID, 0, 0, nil)
 	held.Attach(0, &side{})
 
@@ -71,16 +72,16 @@
 	clock, wire := NewManualClock(), &side{}
 	x := NewRequestTable(&Deployment{Settings: decide.Settings{Classes: []decide.ClassInfo{{}, {}}}}, clock, wire)
 	x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}})
-	a := x.Open(OpenRequest{Class: 1, Timeout: 1000}, &side{})
+	a := x.Open(OpenRequest{Class: 1, Timeout: time.Second}, &side{})
 	x.startAttempt(a.ID, 0, 0, nil)
 	a.Attach(0, &side{})
 	a.BeginWrite(0)
 	a.Establish(0)
-	b := x.Open(OpenRequest{Timeout: 1000}, &side{})
+	b := x.Open(OpenRequest{Timeout: time.Second}, &side{})
 	x.answer(b.ID, Answer{Kind: Rejected})
 	x.answer(b.ID, Answer{Kind: Failed})
 	x.RecordConnLimitRejection(0)
-	c := x.Open(OpenRequest{Timeout: 1000}, &side{})
+	c := x.Open(OpenRequest{Timeout: time.Second}, &side{})
 	x.answer(c.ID, Answer{Kind: Failed})
 	got := x.ClassCounts()
 	if got[0] != (ClassCounts{Rejected: 2, Failed: 1}) || got[1] != (ClassCounts{Established: 1, Attempts: 1}) {
@@ -93,7 +94,7 @@
 	if x.Accepting() || !x.Draining() {
 		t.Error("a drain by hand accepts")
 	}
-	if d := x.Open(OpenRequest{Timeout: 1000}, &side{}); d.state != Ended || d.answer.Kind != Rejected {
+	if d := x.Open(OpenRequest{Timeout: time.Second}, &side{}); d.state != Ended || d.answer.Kind != Rejected {
 		t.Errorf("in a drain a request is %v, %v", d.state, d.answer.Kind)
 	}
 	x.SetDraining(false)
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -1,6 +1,8 @@
 package relay
 
 import (
+	"time"
+
 	"capersail/decide"
 	"capersail/internal/guard"
 	"capersail/internal/observe/recorder"
@@ -35,7 +37,7 @@
 }
 
 // LoseOwnership says that the claim may be lost: the call is ended politely, and nothing goes out for it any more.
-func (r *Request) LoseOwnership(after float64) {
+func (r *Request) LoseOwnership(after time.Duration) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	r.ownershipLost = true
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -1,6 +1,8 @@
 package relay
 
 import (
+	"time"
+
 	"capersail/decide"
 	"capersail/internal/guard"
 	"capersail/internal/observe/recorder"
@@ -32,7 +34,7 @@
 // Answer is the final answer to a call that never came up.
 type Answer struct {
 	Kind       AnswerKind
-	RetryAfter float64 // with Refused, 0 for no advice
+	RetryAfter time.Duration // with Refused, 0 for no advice
 	Cause      decide.Status
 	Note       string // with Failed, what the front may tell the client of the reason
 	reason     decide.RejectReason
@@ -47,7 +49,7 @@
 	Key       uint64
 	Group     uint64
 	Hint      float64
-	Timeout   float64 // milliseconds that the client will wait
+	Timeout   time.Duration // how long the client will wait
 	Returned  bool
 	Ownership OwnershipLease // nil for none
 	Payload   any            // what the front's two sides share; nothing here looks at it
@@ -64,16 +66,16 @@
 	settled    chan struct{} // closed once the call is up or ended
 	finished   chan struct{} // closed once both sides are done with it
 	answer     Answer
-	deadline   float64
+	deadline   time.Duration
 	resumed    bool // it was open at its server before this relay started
 
 	attempt         Attempt
 	attempts        int
-	attemptInFlight bool    // an attempt is out: its end has not been told
-	mayHaveWritten  bool    // its first byte may have been written
-	mayHaveRun      bool    // some attempt ended without proof that it never ran
-	wroteAt         float64 // when the latest attempt's first byte was let go
-	mayHaveRunAt    float64 // the same of the first attempt that may have run
+	attemptInFlight bool          // an attempt is out: its end has not been told
+	mayHaveWritten  bool          // its first byte may have been written
+	mayHaveRun      bool          // some attempt ended without proof that it never ran
+	wroteAt         time.Duration // when the latest attempt's first byte was let go
+	mayHaveRunAt    time.Duration // the same of the first attempt that may have run
 	mayHaveRunOn    guard.Location
 	canceled        bool
 	migrating       bool
@@ -82,7 +84,7 @@
 	serverClosed    bool // its server has ended the connection, before the client did
 	wasEstablished  bool
 	serverConn      ServerConn
-	unansweredSince float64 // when the oldest line went to the server that nothing came back for, 0 if none
+	unansweredSince time.Duration // when the oldest line went to the server that nothing came back for, 0 if none
 }
 
 // nameTaken tells whether another call has the name.
@@ -91,21 +93,21 @@
 func (r *Request) decisionRequest() decide.Request {
 	left := r.Timeout
 	if r.Ownership != nil { // the wait for the claim is over, and the client's patience has gone on
-		left = max(0, r.deadline-r.table.Clock.NowMillis())
+		left = max(0, r.deadline-r.table.Clock.Now())
 	}
-	return decide.Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, TimeLeft: Duration(left), LoadHint: r.Hint,
+	return decide.Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, TimeLeft: left.Round(time.Microsecond), LoadHint: r.Hint,
 		Group: r.Group, Returning: r.Returned}
 }
 
 // startAttempt starts an attempt. The caller holds the lock.
-func (r *Request) startAttempt(s *Server, timeout float64) {
-	now := r.table.Clock.NowMillis()
+func (r *Request) startAttempt(s *Server, timeout time.Duration) {
+	now := r.table.Clock.Now()
 	if r.attemptInFlight {
 		r.recordViolation(guard.NoDuplicateAttempt, s)
 	}
 	until := r.deadline
 	if timeout != 0 {
-		until = min(until, now+timeout)
+		until = min(until, addTo(now, timeout))
 	}
 	r.attempt = Attempt{Number: r.attempts, Server: *s, StartedAt: now, Deadline: until, ClientDeadline: r.deadline}
 	r.attempt.Server.current = s
@@ -119,7 +121,7 @@
 	if guard.MayAnswer(r.state == Ended, r.state == Established) != guard.Allowed {
 		return
 	}
-	if a.Kind != NoAnswer && r.table.Clock.NowMillis() > r.deadline+Millis(guard.AnswerSlack) {
+	if a.Kind != NoAnswer && r.table.Clock.Now()-r.deadline > guard.AnswerSlack {
 		r.recordViolation(guard.AnswerInTime, nil)
 	}
 	if a.Cause == decide.OK { // then what the last attempt met
--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"capersail/decide"
 )
@@ -19,8 +20,8 @@
 	mayRun   bool
 	moving   bool
 	to       int
-	deadline float64
-	until    float64
+	deadline time.Duration
+	until    time.Duration
 	outcomes int
 	name     string
 	begun    bool
@@ -58,7 +59,7 @@
 		leaving := false
 		for ; len(steps) >= 3; steps = steps[3:] {
 			op, who, arg := steps[0]%21, int(steps[1]%4), int(steps[2])
-			m, now := calls[who], clock.NowMillis()
+			m, now := calls[who], clock.Now()
 			if m == nil && op != 0 && op != 9 && op != 10 && op != 13 {
 				continue
 			}
@@ -66,12 +67,12 @@
 			switch op {
 			case 0:
 				if m == nil {
-					m = &model{client: &side{}, deadline: now + 1000, name: []string{"", "a", "b"}[arg%3]}
+					m = &model{client: &side{}, deadline: now + time.Second, name: []string{"", "a", "b"}[arg%3]}
 					double := false
 					for _, o := range calls {
 						double = double || m.name != "" && o.name == m.name && !o.over()
 					}
-					ask := OpenRequest{Name: m.name, Class: decide.Class(who % 2), Timeout: 1000}
+					ask := OpenRequest{Name: m.name, Class: decide.Class(who % 2), Timeout: time.Second}
 					if arg >= 128 {
 						m.claim, m.state = &claimed{}, AwaitingOwnership
 						ask.Ownership = m.claim
@@ -85,7 +86,7 @@
 				}
 			case 1:
 				tries := len(wire.tries)
-				x.startAttempt(m.call.ID, decide.ServerID(arg%2), float64(arg), nil)
+				x.startAttempt(m.call.ID, decide.ServerID(arg%2), time.Duration(arg)*time.Millisecond, nil)
 				allowed := m.state == Queued && !m.out && m.sends < 3 && !(m.mayRun && who%2 == 1)
 				if allowed != (len(wire.tries) == tries+1) {
 					t.Fatalf("send in %+v: tried %v", m, !allowed)
@@ -94,7 +95,7 @@
 					m.state, m.out, m.attached, m.canceled, m.begun, m.to = Attempting, true, false, false, false, arg%2
 					m.sends++
 					if m.until = m.deadline; arg != 0 {
-						m.until = min(m.until, now+float64(arg))
+						m.until = min(m.until, now+time.Duration(arg)*time.Millisecond)
 					}
 				}
 			case 2:
@@ -153,7 +154,7 @@
 				modes[who%2] = decide.EndpointState(arg % 3)
 				list()
 			case 10:
-				clock.SetMillis(now + float64(arg*4))
+				clock.Set(now + time.Duration(arg*4)*time.Millisecond)
 			case 11:
 				x.cancelAttempt(m.call.ID, m.sends-1)
 				m.canceled = m.canceled || m.state == Attempting
@@ -186,7 +187,7 @@
 					m.state, m.answer = Ended, Failed
 				}
 			case 18:
-				m.call.LoseOwnership(100)
+				m.call.LoseOwnership(100 * time.Millisecond)
 				m.moving = m.moving || m.state == Established
 				if m.state != Established && m.state != Ended {
 					if m.answer = Rejected; who%2 == 1 && (m.mayRun || m.out && m.begun) {
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"github.com/rs/zerolog"
 
@@ -30,7 +31,7 @@
 	endpoints     endpointList
 	endpointLease guard.EndpointLease // of the list of servers; the zero one never lapses
 	// lookedAt is when this process last looked at its list, wakesUntil until when it may read what came while it was stopped.
-	checkedAt, ignoreReadsUntil float64
+	checkedAt, ignoreReadsUntil time.Duration
 	leased                      bool // the list is held on a lease, by the platform's rules
 	requests                    map[decide.RequestID]*Request
 	requestsByName              map[string]*Request // the calls that have names
@@ -103,7 +104,7 @@
 
 // shutdownRejection is the answer of a relay that is leaving: come again at once, to another.
 func (t *RequestTable) shutdownRejection() Answer {
-	return Answer{Kind: Rejected, RetryAfter: 50 + 100*rand.Float64(), decidedBy: recorder.Shutdown}
+	return Answer{Kind: Rejected, RetryAfter: Duration(50 + 100*rand.Float64()), decidedBy: recorder.Shutdown}
 }
 
 // Resume takes on a connection that was open at a server before this relay started. The module hears of it
@@ -140,7 +141,7 @@
 	t.lastID++
 	t.arrived.Add(1)
 	r := &Request{OpenRequest: a, ID: t.lastID, table: t, clientConn: client, settled: make(chan struct{}),
-		finished: make(chan struct{}), deadline: t.Clock.NowMillis() + a.Timeout}
+		finished: make(chan struct{}), deadline: addTo(t.Clock.Now(), a.Timeout)}
 	t.requests[r.ID] = r
 	if a.Name != "" && t.requestsByName[a.Name] == nil {
 		t.requestsByName[a.Name] = r
--- a/internal/relay/request_table_test.go
+++ b/internal/relay/request_table_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"capersail/decide"
 )
@@ -11,26 +12,26 @@
 func TestNoRepeatAfterItsWindow(t *testing.T) {
 	for name, c := range map[string]struct {
 		first decide.Status
-		dial  float64 // ms until the second connection is up
+		dial  time.Duration // until the second connection is up
 		want  bool
 	}{
-		"inside":         {decide.Reset, 99, true},
-		"over":           {decide.Reset, 101, false},
-		"none has run":   {decide.AtCapacity, 101, true},
-		"none has begun": {decide.ConnectFailed, 101, true},
+		"inside":         {decide.Reset, 99 * time.Millisecond, true},
+		"over":           {decide.Reset, 101 * time.Millisecond, false},
+		"none has run":   {decide.AtCapacity, 101 * time.Millisecond, true},
+		"none has begun": {decide.ConnectFailed, 101 * time.Millisecond, true},
 	} {
 		clock, wire := NewManualClock(), &side{}
 		x := NewRequestTable(&Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{Idempotency: decide.IdempotentWithKey, DedupWindow: Duration(100)}}}}, clock, wire)
 		x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
-		call := x.Open(OpenRequest{Timeout: 5000}, &side{})
+		call := x.Open(OpenRequest{Timeout: 5 * time.Second}, &side{})
 		x.startAttempt(call.ID, 0, 0, nil)
-		clock.SetMillis(clock.NowMillis() + 1000) // its own dial counts for nothing
+		clock.Set(clock.Now() + time.Second) // its own dial counts for nothing
 		if !call.Attach(0, &side{}) || !call.BeginWrite(0) {
 			t.Fatal("the first attempt is not let go")
 		}
 		call.EndAttempt(0, c.first, decide.NoLoadReport)
 		x.startAttempt(call.ID, 1, 0, nil)
-		clock.SetMillis(clock.NowMillis() + c.dial)
+		clock.Set(clock.Now() + c.dial)
 		if got := call.Attach(1, &side{}) && call.BeginWrite(1); got != c.want {
 			t.Errorf("%s: let go %v", name, got)
 		}
@@ -42,7 +43,7 @@
 	for _, allowed := range []bool{false, true} {
 		x := NewRequestTable(&Deployment{Settings: decide.Settings{RetryAfter: allowed, Classes: []decide.ClassInfo{{}}}}, NewManualClock(), &side{})
 		x.BeginShutdown()
-		if _, a := x.Open(OpenRequest{Timeout: 500}, &side{}).State(); a.Kind != Rejected || (a.RetryAfter > 0) != allowed {
+		if _, a := x.Open(OpenRequest{Timeout: 500 * time.Millisecond}, &side{}).State(); a.Kind != Rejected || (a.RetryAfter > 0) != allowed {
 			t.Errorf("allowed %v: %+v", allowed, a)
 		}
 	}
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -1,6 +1,8 @@
 package relay
 
 import (
+	"time"
+
 	"capersail/decide"
 	"capersail/internal/guard"
 	"capersail/internal/observe/recorder"
@@ -28,12 +30,12 @@
 	defer r.table.mu.Unlock()
 	waiting := r.state == Attempting && r.attempt.Number == no && !r.canceled
 	s := r.attempt.currentServer()
-	denial := guard.MayWrite(r.table.Clock.Now(), Duration(r.attempt.Deadline), r.guardFacts(waiting), s.guardStatus(), &r.table.endpointLease, waiting && r.clientConn.HasUnread())
+	denial := guard.MayWrite(r.table.Clock.Now(), r.attempt.Deadline, r.guardFacts(waiting), s.guardStatus(), &r.table.endpointLease, waiting && r.clientConn.HasUnread())
 	if denial != guard.Allowed {
 		r.recordDenial(denial, s)
 		return false
 	}
-	r.mayHaveWritten, r.wroteAt = true, r.table.Clock.NowMillis()
+	r.mayHaveWritten, r.wroteAt = true, r.table.Clock.Now()
 	r.table.counters.increment(r.table.counters.attempts, r.Class)
 	return true
 }
@@ -90,11 +92,11 @@
 		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.attempt.Server.Number})
 	} else {
 		r.table.post(decide.Opened{ID: r.ID, Attempt: no, Server: r.attempt.Server.Number,
-			SetupLatency: Duration(r.table.Clock.NowMillis() - r.attempt.StartedAt)})
+			SetupLatency: (r.table.Clock.Now() - r.attempt.StartedAt).Round(time.Microsecond)})
 	}
 	if r.table.Recorder != nil {
-		r.table.Recorder.Put(&recorder.Record{At: r.table.Clock.NowMillis(), Kind: recorder.ConnectionUp, Request: uint64(r.ID), Server: int32(r.attempt.Server.Number),
-			Elapsed: r.table.Clock.NowMillis() - r.attempt.StartedAt, Attempt: uint8(min(no, 255))})
+		r.table.Recorder.Put(&recorder.Record{At: Millis(r.table.Clock.Now()), Kind: recorder.ConnectionUp, Request: uint64(r.ID), Server: int32(r.attempt.Server.Number),
+			Elapsed: Millis(r.table.Clock.Now() - r.attempt.StartedAt), Attempt: uint8(min(no, 255))})
 	}
 	if r.table.rejecting() {
 		r.migrate(recorder.Shutdown)
@@ -149,7 +151,7 @@
 		r.answer.Cause = status
 	}
 	r.table.post(decide.Outcome{ID: r.ID, Attempt: no, Server: r.attempt.Server.Number, Status: status, Report: report,
-		Elapsed: Duration(r.table.Clock.NowMillis() - r.attempt.StartedAt), Closed: r.state == Ended})
+		Elapsed: (r.table.Clock.Now() - r.attempt.StartedAt).Round(time.Microsecond), Closed: r.state == Ended})
 	r.removeIfDone()
 }
 
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -3,6 +3,7 @@
 import (
 	"hash/fnv"
 	"sync/atomic"
+	"time"
 
 	"capersail/decide"
 	"capersail/internal/fleet/probing"
@@ -19,9 +20,9 @@
 }
 
 const (
-	participantsInterval = 100.0 // ms between two checks of who takes part
-	stepInterval         = 25.0  // ms between two steps of the scheduler
-	reportInterval       = 1000.0
+	participantsInterval = 100 * time.Millisecond // between two checks of who takes part
+	stepInterval         = 25 * time.Millisecond  // between two steps of the scheduler
+	reportInterval       = time.Second
 	maxQueuedEvents      = 256 // batches of peers' readings that wait for the core loop; more are dropped
 )
 
@@ -33,9 +34,9 @@
 	actions               []probing.Action
 	outbox                []probing.Action // what is to be sent once the fleet is released
 	participantsStamp     uint64           // of the participants and the list that the scheduler has
-	steppedAt             float64
-	participantsCheckedAt float64
-	reportedAt            float64
+	steppedAt             time.Duration
+	participantsCheckedAt time.Duration
+	reportedAt            time.Duration
 	assignmentPending     bool // a table is being made
 	serverIDs             map[uint64]string
 	queued                atomic.Int64
@@ -85,7 +86,7 @@
 
 // updateParticipants checks who takes part and which servers there are. A table of 1,000 relays and 5,000 servers takes 0.2 s, so it is
 // made beside the loop.
-func (s *SharedProbing) updateParticipants(now float64) {
+func (s *SharedProbing) updateParticipants(now time.Duration) {
 	if s.assignmentPending || now < s.participantsCheckedAt+participantsInterval {
 		return
 	}
@@ -127,6 +128,14 @@
 	return h.Sum64() | 1
 }
 
+// unixMillis turns a server's start into Unix time in milliseconds, 0 for long ago, as relays tell each other.
+func unixMillis(at time.Time) int64 {
+	if at.IsZero() {
+		return 0
+	}
+	return at.UnixMilli()
+}
+
 // readyServers are the servers that new connections may go to.
 func (t *RequestTable) readyServers() (out []probing.Server, ids map[uint64]string) {
 	t.mu.Lock()
@@ -135,7 +144,7 @@
 	for _, s := range t.endpoints.servers {
 		if s.mode == decide.Ready {
 			key := ServerKey(s.ID)
-			out = append(out, probing.Server{Key: key, Zone: s.zone, Started: int64(s.startedUnix)})
+			out = append(out, probing.Server{Key: key, Zone: s.zone, Started: unixMillis(s.startedWall)})
 			ids[key] = s.ID
 		}
 	}
@@ -143,7 +152,7 @@
 }
 
 // routeProbingEvent gives the scheduler what of the inbox is its own, and tells whether the module is to have it too.
-func (l *EventLoop) routeProbingEvent(now float64, ev decide.Event) (modules bool) {
+func (l *EventLoop) routeProbingEvent(now time.Duration, ev decide.Event) (modules bool) {
 	switch e := ev.(type) {
 	case peerEvent:
 		l.SharedProbing.queued.Add(-1)
@@ -171,9 +180,9 @@
 }
 
 // stepScheduler lets the scheduler act. What goes to peers waits until the fleet is released.
-func (l *EventLoop) stepScheduler(now float64, ev probing.Event) {
+func (l *EventLoop) stepScheduler(now time.Duration, ev probing.Event) {
 	s := l.SharedProbing
-	s.actions = s.scheduler.Handle(now, ev, s.actions[:0])
+	s.actions = s.scheduler.Handle(Millis(now), ev, s.actions[:0])
 	for _, a := range s.actions {
 		switch a := a.(type) {
 		case probing.Probe:
@@ -184,7 +193,7 @@
 			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
 				load := a.Reading.LoadReport
 				if l.table.Recorder != nil {
-					l.table.recordPeerReading(id, a.Age, max(load.Load, load.Busy))
+					l.table.recordPeerReading(id, Duration(a.Age), max(load.Load, load.Busy))
 				}
 				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age),
 					Report: decide.LoadReport{Load: load.Load, InFlight: load.Inflight, ErrorsPerSecond: load.Errors, CPUUtilization: load.Busy}})
@@ -213,7 +222,7 @@
 }
 
 // stepSchedulerIfDue lets the scheduler see whose turn it is, and returns how long until the next step.
-func (l *EventLoop) stepSchedulerIfDue(now float64) float64 {
+func (l *EventLoop) stepSchedulerIfDue(now time.Duration) time.Duration {
 	s := l.SharedProbing
 	if now >= s.steppedAt+stepInterval {
 		s.steppedAt = now
@@ -222,7 +231,7 @@
 	}
 	if now >= s.reportedAt+reportInterval {
 		s.reportedAt = now
-		r := s.scheduler.Report(now)
+		r := s.scheduler.Report(Millis(now))
 		for i := range r.Servers {
 			r.Servers[i].ID = s.serverIDs[r.Servers[i].ServerKey]
 		}
--- a/internal/relay/sides.go
+++ b/internal/relay/sides.go
@@ -1,6 +1,10 @@
 package relay
 
-import "capersail/decide"
+import (
+	"time"
+
+	"capersail/decide"
+)
 
 // OwnershipLease is a call's right to be served by this relay, where a stream may be at one relay only. Its methods
 // must not block.
@@ -35,9 +39,9 @@
 type Attempt struct {
 	Number         int
 	Server         Server
-	StartedAt      float64
-	Deadline       float64 // when the relay stops waiting
-	ClientDeadline float64 // when the client does
+	StartedAt      time.Duration
+	Deadline       time.Duration // when the relay stops waiting
+	ClientDeadline time.Duration // when the client does
 }
 
 // ServerDialer is the server side as the core sees it. Neither method may block.
--- a/internal/relay/silent_servers.go
+++ b/internal/relay/silent_servers.go
@@ -1,6 +1,8 @@
 package relay
 
 import (
+	"time"
+
 	"capersail/decide"
 	"capersail/internal/observe/recorder"
 )
@@ -8,8 +10,8 @@
 // This file finds connections whose server brings nothing back.
 
 const (
-	slowMessageAfter = 500.0  // an unanswered line is told to the module as a slow message after this
-	silentAfter      = 4500.0 // and its connection is taken for silent: at 7 s it would be lost
+	slowMessageAfter = 500 * time.Millisecond  // an unanswered line is told to the module as a slow message after this
+	silentAfter      = 4500 * time.Millisecond // and its connection is taken for silent: at 7 s it would be lost
 )
 
 // LineSent says that a line went to the server; see Heard.
@@ -17,7 +19,7 @@
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	if r.unansweredSince == 0 {
-		r.unansweredSince = r.table.Clock.NowMillis()
+		r.unansweredSince = r.table.Clock.Now()
 	}
 }
 
@@ -28,25 +30,25 @@
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	if r.unansweredSince != 0 {
-		r.noteDelay(r.table.Clock.NowMillis() - r.unansweredSince)
+		r.noteDelay(r.table.Clock.Now() - r.unansweredSince)
 		r.unansweredSince = 0
 	}
 }
 
-func (r *Request) noteDelay(delay float64) {
+func (r *Request) noteDelay(delay time.Duration) {
 	least := slowMessageAfter
 	for _, class := range r.table.deployment.Settings.Classes {
 		if class.MessageLatencyObjective > 0 {
-			least = min(least, Millis(class.MessageLatencyObjective)/3)
+			least = min(least, class.MessageLatencyObjective/3)
 		}
 	}
-	now, s := r.table.Clock.NowMillis(), r.attempt.currentServer()
-	if delay > least && now-s.delayNotedAt >= 1000 {
+	now, s := r.table.Clock.Now(), r.attempt.currentServer()
+	if delay > least && now-s.delayNotedAt >= time.Second {
 		s.delayNotedAt = now
 		if r.table.Recorder != nil {
-			r.table.Recorder.Put(&recorder.Record{At: now, Kind: recorder.MessageDelayed, Request: uint64(r.ID), Server: int32(s.Number), Elapsed: delay})
+			r.table.Recorder.Put(&recorder.Record{At: Millis(now), Kind: recorder.MessageDelayed, Request: uint64(r.ID), Server: int32(s.Number), Elapsed: Millis(delay)})
 		}
-		r.table.post(decide.MessageDelay{ID: r.ID, Server: s.Number, Delay: Duration(delay)})
+		r.table.post(decide.MessageDelay{ID: r.ID, Server: s.Number, Delay: delay.Round(time.Microsecond)})
 	}
 }
 
@@ -55,9 +57,9 @@
 func (t *RequestTable) sweepSilentServers() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.noticeProcessStop(t.Clock.NowMillis())
+	t.noticeProcessStop(t.Clock.Now())
 	t.checkEndpointLease()
-	now := t.Clock.NowMillis()
+	now := t.Clock.Now()
 	for _, r := range t.requests {
 		if r.state != Established || r.unansweredSince == 0 || now-r.unansweredSince < slowMessageAfter {
 			continue
--- a/internal/relay/silent_servers_test.go
+++ b/internal/relay/silent_servers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"capersail/internal/observe/recorder"
 )
@@ -11,8 +12,8 @@
 	c, _, clock := bench(t)
 	c.table.deployment.Settings.Classes[0].MessageLatencyObjective = 0
 	c.table.Recorder = recorder.New(100)
-	call := c.table.Open(OpenRequest{Timeout: 1000}, &side{})
-	advance(c, clock, 20)
+	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
+	advance(c, clock, 20*time.Millisecond)
 	call.Attach(0, &side{})
 	call.BeginWrite(0)
 	call.Establish(0)
@@ -26,15 +27,15 @@
 	}
 	for range 3 {
 		call.LineSent()
-		advance(c, clock, 5)
+		advance(c, clock, 5*time.Millisecond)
 		call.LineReceived()
-		advance(c, clock, 2000)
+		advance(c, clock, 2000*time.Millisecond)
 	}
 	if n := slow(); n > 0 {
 		t.Errorf("%d messages of 5 ms are told as slow", n)
 	}
 	call.LineSent()
-	advance(c, clock, slowMessageAfter+sweepInterval+5)
+	advance(c, clock, slowMessageAfter+sweepInterval+5*time.Millisecond)
 	if slow() == 0 {
 		t.Error("a line that nothing came back for is not told")
 	}
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -2,13 +2,14 @@
 
 import (
 	"container/heap"
+	"time"
 
 	"capersail/decide"
 )
 
 // timer is a moment at which the module wants an alarm, or the backstop looks at a request.
 type timer struct {
-	dueAt   float64
+	dueAt   time.Duration
 	order   uint64 // those due at once go off in the order they were set
 	token   uint64
 	request decide.RequestID
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -67,7 +67,7 @@
 }
 
 func (r *testRelay) open(st *Stream) *relay.Request {
-	return r.table.Open(relay.OpenRequest{Ownership: st, Timeout: 30_000}, nobody{})
+	return r.table.Open(relay.OpenRequest{Ownership: st, Timeout: 30 * time.Second}, nobody{})
 }
 
 // newStreams makes n streams and gives them back; it returns their tokens.
@@ -136,7 +136,7 @@
 		t.Fatalf("state %v", state)
 	}
 	second := b.resumeStreams(t, tokens)[0]
-	if _, answer := second.State(); answer.Kind != relay.Rejected || answer.RetryAfter <= 0 || answer.RetryAfter > 4000 {
+	if _, answer := second.State(); answer.Kind != relay.Rejected || answer.RetryAfter <= 0 || answer.RetryAfter > 4*time.Second {
 		t.Errorf("%+v", answer)
 	}
 	first.ClientClosed(relay.GracefulClose)
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -176,7 +176,7 @@
 func (s *Service) rejected(a ownership.Rejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
-	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: a.RetryAfter}
+	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: relay.Duration(a.RetryAfter)}
 	switch a.Reason {
 	case ownership.ErrAlreadyOwned:
 		s.count(&s.stats.AlreadyOwned)
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -108,7 +108,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.call = c
-	st.acquire(min(st.service.AcquireTimeout, c.Timeout))
+	st.acquire(min(st.service.AcquireTimeout, relay.Millis(c.Timeout)))
 }
 
 // acquire posts a Want. The caller holds the lock.
@@ -192,7 +192,7 @@
 	}
 	st.mu.Unlock()
 	st.ownershipLost.Store(true)
-	c.LoseOwnership(500 * (1 + rand.Float64()))
+	c.LoseOwnership(relay.Duration(500 * (1 + rand.Float64())))
 }
 
 // MayForward tells whether a line may still be passed on. It is asked before each: a process that slept past the
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -100,7 +100,7 @@
 
 func parseEndpoint(e *fastjson.Value) (relay.Endpoint, error) {
 	l := relay.Endpoint{ID: string(e.GetStringBytes("instanceId")), Address: string(e.GetStringBytes("hostPort")),
-		Zone: string(e.GetStringBytes("zone")), Cell: int32(e.GetInt("cell")), StartedAt: e.GetFloat64("startedAtMs"),
+		Zone: string(e.GetStringBytes("zone")), Cell: int32(e.GetInt("cell")), StartedAt: relay.FromUnixMillis(e.GetFloat64("startedAtMs")),
 		SupportsResume: e.GetBool("resumes")}
 	if l.ID == "" {
 		return l, fmt.Errorf("instanceId is missing")
--- a/internal/wire/gossip/gossip.go
+++ b/internal/wire/gossip/gossip.go
@@ -286,10 +286,10 @@
 }
 
 // LockStatus returns what the module is to reckon with at the moment, by the caller's clock, and keeps it so until Release.
-func (n *Node) LockStatus(now float64) decide.FleetStatus {
+func (n *Node) LockStatus(now time.Duration) decide.FleetStatus {
 	n.mu.Lock()
 	own := n.now()
-	return relay.ToFleetStatus(now, own, n.membership.Estimate(own), n.zoneNumber)
+	return relay.ToFleetStatus(relay.Millis(now), own, n.membership.Estimate(own), n.zoneNumber)
 }
 
 // UnlockStatus ends a Hold.
--- a/internal/wire/platform/client.go
+++ b/internal/wire/platform/client.go
@@ -132,7 +132,7 @@
 	if longest := relay.Millis(f.Site.Settings.Classes[class].Deadline); longest > 0 && o.at == "" {
 		left = min(left, longest) // no client of the class waits for longer, whatever it says
 	}
-	ask := relay.OpenRequest{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.hint, Timeout: left,
+	ask := relay.OpenRequest{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.hint, Timeout: relay.Duration(left),
 		Returned: o.returned, Payload: o}
 	if o.resume != "" {
 		st, err := f.stream(o)
@@ -187,7 +187,7 @@
 	_, a := call.State()
 	switch {
 	case a.Kind == relay.Rejected && a.RetryAfter > 0:
-		e.Forward(fmt.Appendf(nil, "BUSY %d\r\n", int(math.Ceil(a.RetryAfter))))
+		e.Forward(fmt.Appendf(nil, "BUSY %d\r\n", int(math.Ceil(relay.Millis(a.RetryAfter)))))
 	case a.Kind == relay.Rejected:
 		e.Forward([]byte("BUSY\r\n"))
 	case a.Kind == relay.Failed && a.Note != "":
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -87,7 +87,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		call := x.Open(relay.OpenRequest{Name: "a1", Timeout: 500, Payload: o}, e)
+		call := x.Open(relay.OpenRequest{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}, e)
 		<-call.Settled()
 		if n := len(servers[0].Firsts); n > 0 {
 			t.Errorf("%s: %d first lines were sent", name, n)
--- a/internal/wire/platform/server.go
+++ b/internal/wire/platform/server.go
@@ -45,7 +45,7 @@
 		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
-	within := a.Deadline - s.Clock.NowMillis()
+	within := relay.Millis(a.Deadline - s.Clock.Now())
 	if s.ConnectTimeout > 0 {
 		within = min(within, s.ConnectTimeout)
 	}
@@ -71,20 +71,20 @@
 // converse sends the first line and follows the connection to its end, for PROTOCOL's table.
 func (s *Servers) converse(c *relay.Request, a relay.Attempt, e *splice.Half) (decide.Status, decide.LoadReport) {
 	more, told := tell(c, a)
-	if e.Forward(c.Payload.(*opening).line(a.Deadline-s.Clock.NowMillis(), more)) != nil {
+	if e.Forward(c.Payload.(*opening).line(relay.Millis(a.Deadline-s.Clock.Now()), more)) != nil {
 		return decide.ConnectFailed, decide.NoLoadReport
 	}
 	c.FirstLineWritten(a.Number)
 	in := newLines(e.Conn)
 	for {
-		e.SetReadUntil(a.Deadline)
+		e.SetReadUntil(relay.Millis(a.Deadline))
 		line, err := in.next()
 		if splice.TimedOut(err) {
 			e.ClearWake() // before the looks below: a wake that comes after them must not be lost
 			if e.Closed() {
 				return decide.Cancelled, decide.NoLoadReport
 			}
-			if s.Clock.NowMillis() < a.Deadline { // its server has begun to drain: what was sent in time goes on
+			if s.Clock.Now() < a.Deadline { // its server has begun to drain: what was sent in time goes on
 				continue
 			}
 			return decide.TimedOut, decide.NoLoadReport
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -3,10 +3,10 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math"
 	"os"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/rs/zerolog"
 	"github.com/valyala/fastjson"
@@ -43,7 +43,7 @@
 func (w *wires) turn() {
 	for c, a := range w.out {
 		switch {
-		case a.Server.ID == "c" && w.clock.NowMillis() < a.Deadline:
+		case a.Server.ID == "c" && w.clock.Now() < a.Deadline:
 		case !c.Attach(a.Number, deaf{}) || !c.BeginWrite(a.Number):
 			delete(w.out, c)
 			c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
@@ -116,17 +116,17 @@
 		core := relay.NewEventLoop(x, 3, w, zerolog.New(&log))
 		var list []relay.Endpoint
 		for _, id := range []string{"a", "b", "c"} {
-			list = append(list, relay.Endpoint{ID: id, Address: "127.0.0.1:1", Zone: "hall-a", Mode: decide.Ready, StartedAt: clock.UnixMillis(clock.NowMillis() - 500)})
+			list = append(list, relay.Endpoint{ID: id, Address: "127.0.0.1:1", Zone: "hall-a", Mode: decide.Ready, StartedAt: clock.Wall(clock.Now() - 500*time.Millisecond)})
 		}
 		x.UpdateEndpoints(decide.Cached, list)
-		calls := map[*relay.Request]float64{}
+		calls := map[*relay.Request]time.Duration{}
 		for i := range 24 {
 			if len(site.Settings.Classes) == 0 {
 				return // refused at start (TestBadConfiguration)
 			}
-			left := []float64{0.5, 20, 90, 500}[i%4]
+			left := relay.Duration([]float64{0.5, 20, 90, 500}[i%4])
 			ask := relay.OpenRequest{Class: decide.Class(i % len(site.Settings.Classes)), Tenant: decide.Tenant(i%3 - 1), Group: uint64(i % 3), Timeout: left, Returned: i%5 == 0}
-			calls[x.Open(ask, deaf{})] = clock.NowMillis() + left
+			calls[x.Open(ask, deaf{})] = clock.Now() + left
 		}
 		for steps := 0; len(calls) > 0; steps++ {
 			next := core.Step()
@@ -134,16 +134,16 @@
 			for c, deadline := range calls {
 				if state, _ := c.State(); state == relay.Established || state == relay.Ended {
 					delete(calls, c)
-				} else if clock.NowMillis() > deadline+50 {
-					t.Errorf("%s: no answer %.0f ms after the deadline", what, clock.NowMillis()-deadline)
+				} else if clock.Now() > deadline+50*time.Millisecond {
+					t.Errorf("%s: no answer %v after the deadline", what, clock.Now()-deadline)
 					return
 				}
 			}
-			if steps > 20_000 || math.IsNaN(next) {
-				t.Errorf("%s: the loop does not come to rest: next in %v ms", what, next)
+			if steps > 20_000 || next < 0 {
+				t.Errorf("%s: the loop does not come to rest: next in %v", what, next)
 				return
 			}
-			clock.SetMillis(clock.NowMillis() + max(min(next, 5), 0.05))
+			clock.Set(clock.Now() + max(min(next, 5*time.Millisecond), 50*time.Microsecond))
 		}
 		if text := log.String(); strings.Contains(text, "panic") {
 			t.Errorf("%s: %.300s", what, text)
--- a/internal/wire/xmpp/client.go
+++ b/internal/wire/xmpp/client.go
@@ -49,7 +49,7 @@
 		st.finish("resource-constraint", retryAfter(500))
 	default:
 		e.SetReadUntil(0)
-		call = f.X.Open(relay.OpenRequest{Class: host.Class, Tenant: host.Tenant, Key: host.Key, Timeout: host.Left, Payload: st}, clientEnd{e, st})
+		call = f.X.Open(relay.OpenRequest{Class: host.Class, Tenant: host.Tenant, Key: host.Key, Timeout: relay.Duration(host.Left), Payload: st}, clientEnd{e, st})
 		f.follow(call, st, r)
 	}
 	p.ReleaseRequest()
@@ -163,7 +163,7 @@
 func (f *Front) answer(st *stream, a relay.Answer) {
 	switch a.Kind {
 	case relay.Rejected:
-		st.finish("resource-constraint", retryAfter(a.RetryAfter))
+		st.finish("resource-constraint", retryAfter(relay.Millis(a.RetryAfter)))
 	case relay.Failed:
 		switch {
 		case st.why() != "":
--- a/internal/wire/xmpp/server.go
+++ b/internal/wire/xmpp/server.go
@@ -34,7 +34,7 @@
 		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
-	conn, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-s.Clock.NowMillis(), s.ConnectTimeout))
+	conn, err := splice.Dial(ctx, a.Server.Address, min(relay.Millis(a.Deadline-s.Clock.Now()), s.ConnectTimeout))
 	if err != nil {
 		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
@@ -93,11 +93,11 @@
 	if at.e.Forward(append([]byte("<?xml version='1.0'?>"), at.st.open.raw...)) != nil {
 		return decide.ConnectFailed
 	}
-	open, status := at.expect(opened, "stream:stream", at.a.Deadline)
+	open, status := at.expect(opened, "stream:stream", relay.Millis(at.a.Deadline))
 	if status != decide.OK {
 		return status
 	}
-	features, status := at.expect(element, "stream:features", at.a.Deadline)
+	features, status := at.expect(element, "stream:features", relay.Millis(at.a.Deadline))
 	if status != decide.OK {
 		return status
 	}
@@ -153,7 +153,7 @@
 				return decide.Reset
 			}
 		}
-		it, err := at.next(at.a.ClientDeadline)
+		it, err := at.next(relay.Millis(at.a.ClientDeadline))
 		switch {
 		case err == errWoken && at.e.Closed():
 			return decide.Cancelled
--- a/internal/wire/zookeeper/zookeeper.go
+++ b/internal/wire/zookeeper/zookeeper.go
@@ -370,7 +370,7 @@
 		return relay.Endpoint{}, fmt.Errorf("data: %w", err)
 	}
 	l := relay.Endpoint{ID: name, Address: string(v.GetStringBytes("address")), Zone: string(v.GetStringBytes("zone")),
-		Cell: int32(v.GetInt("cell")), StartedAt: v.GetFloat64("startedAtMs"), Load: -1}
+		Cell: int32(v.GetInt("cell")), StartedAt: relay.FromUnixMillis(v.GetFloat64("startedAtMs")), Load: -1}
 	if load := v.Get("load"); load != nil {
 		l.Load = max(load.GetFloat64(), 0)
 	}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -112,7 +112,7 @@
 	if at, ok := ctx.Deadline(); ok {
 		left = min(left, relay.Millis(time.Until(at)))
 	}
-	call := d.x.Open(relay.OpenRequest{Tenant: decide.NoTenant, Timeout: max(left, 1)}, waiter{})
+	call := d.x.Open(relay.OpenRequest{Tenant: decide.NoTenant, Timeout: relay.Duration(max(left, 1))}, waiter{})
 	select {
 	case <-call.Settled():
 	case <-ctx.Done():
@@ -124,7 +124,7 @@
 	}
 	_, a := call.State()
 	if a.Kind == relay.Rejected {
-		return nil, &RefusedError{RetryAfter: relay.Duration(a.RetryAfter)}
+		return nil, &RefusedError{RetryAfter: a.RetryAfter}
 	}
 	return nil, errors.New("no server could be reached")
 }
@@ -140,7 +140,7 @@
 		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
-	raw, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-d.clock.NowMillis(), d.cfg.ConnectMs))
+	raw, err := splice.Dial(ctx, a.Server.Address, min(relay.Millis(a.Deadline-d.clock.Now()), d.cfg.ConnectMs))
 	if err != nil {
 		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
