--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -46,8 +46,8 @@
 	f.Add([]byte{0, 0, 128, 6, 0, 0, 16, 0, 0, 0, 1, 128, 17, 1, 0, 0, 2, 128, 13, 0, 0, 16, 2, 0})    // left, refused, leaving
 	f.Add([]byte{0, 1, 129, 16, 1, 0, 1, 1, 0, 2, 1, 0, 3, 1, 0, 18, 1, 0, 4, 1, 0, 5, 1, 3})          // lapsed while it may run
 	f.Add([]byte{0, 0, 128, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 19, 0, 0, 5, 0, 6})                   // the server's no
-	f.Add([]byte("\x8700*00+000")) // no attempt at a server that drains
-	f.Add([]byte("*10+10B10210"))     // a rejection of what may have run fails
+	f.Add([]byte("\x8700*00+000"))                                                                     // no attempt at a server that drains
+	f.Add([]byte("*10+10B10210"))                                                                      // a rejection of what may have run fails
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		clock, wire := NewManualClock(), &side{}
 		site := &Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{}, {Idempotency: decide.NonIdempotent}}}}
