--- a/internal/guard/denial.go
+++ b/internal/guard/denial.go
@@ -25,7 +25,8 @@
 	MayHaveRun
 	// DedupWindowOver: servers no longer recognize a retry by its idempotency key.
 	DedupWindowOver
-	// OutsideDedupScope: the server does not share idempotency keys with the one that may have run the request.
+	// OutsideDedupScope: the server does not share idempotency keys with the one that may have run the
+	// request.
 	OutsideDedupScope
 	// RelayShuttingDown: the relay shuts down, or is drained by an operator.
 	RelayShuttingDown
--- a/internal/guard/endpoint_lease.go
+++ b/internal/guard/endpoint_lease.go
@@ -55,8 +55,8 @@
 	// CallFailed: it was reset, answered with an error, or given up. That shows nothing, as others may be
 	// served.
 	CallFailed DiscoveryLoss = iota
-	// ConnectionRefused: discovery does not serve. It tells nobody anything, and its news counts anew from its
-	// return on.
+	// ConnectionRefused: discovery does not serve. It tells nobody anything, and its news counts anew from
+	// its return on.
 	ConnectionRefused
 	// WatchSilent: the watch stood, and brought no line any more.
 	WatchSilent
@@ -103,10 +103,12 @@
 type EndpointLease struct {
 	pollWithin time.Duration // the settings' time for a poll, 0 where lists are pushed
 
-	heardAt          time.Duration // when discovery last said something, or the process started
-	refusedAt        time.Duration // when it last refused a connection, or never
-	watchEndedAt     time.Duration // of the watch that it was heard on; forever while that stands or is silent
-	addressChangedAt time.Duration // when the relay first followed it elsewhere since it was heard, or forever
+	heardAt   time.Duration // when discovery last said something, or the process started
+	refusedAt time.Duration // when it last refused a connection, or never
+	// watchEndedAt is when the watch ended that it was heard on, forever while that stands or is silent.
+	watchEndedAt time.Duration
+	// addressChangedAt is when the relay first followed discovery elsewhere since it was heard, or forever.
+	addressChangedAt time.Duration
 
 	answered       bool // discovery has said something since the start
 	watching       bool // a watch is open, as far as can be told
@@ -173,7 +175,8 @@
 func (l *EndpointLease) pushedValidUntil(t leaseTerms) time.Duration {
 	end := l.heardAt
 	if l.answered {
-		end = min(end+t.sinceHeard, l.watchEndedAt+t.sinceWatchEnded, l.addressChangedAt+t.sinceAddressChanged)
+		end = min(end+t.sinceHeard, l.watchEndedAt+t.sinceWatchEnded)
+		end = min(end, l.addressChangedAt+t.sinceAddressChanged)
 	}
 	return max(end, l.refusedAt+t.sinceWatchEnded)
 }
--- a/internal/guard/endpoint_lease_test.go
+++ b/internal/guard/endpoint_lease_test.go
@@ -8,6 +8,9 @@
 
 const ms = time.Millisecond
 
+// steps are what happens to a lease.
+type steps []func(*EndpointLease)
+
 // renewed renews a lease at each of some instants.
 func renewed(at ...time.Duration) func(*EndpointLease) {
 	return func(l *EndpointLease) {
@@ -30,54 +33,54 @@
 	for _, c := range []struct {
 		name       string
 		pollWithin time.Duration
-		steps      []func(*EndpointLease)
+		steps      steps
 		until      time.Duration
 		margin     time.Duration // from the expiry until the rule on drains may be broken
 	}{
 		{"not polled yet", poll, nil, start, polledMargin},
 		{"pushed, silent from the start", pushed, nil, start, polledMargin},
-		{"first call failed", poll, []func(*EndpointLease){lost(2000*ms, CallFailed)}, start, polledMargin},
-		{"first call refused", poll, []func(*EndpointLease){lost(2000*ms, ConnectionRefused)},
+		{"first call failed", poll, steps{lost(2000*ms, CallFailed)}, start, polledMargin},
+		{"first call refused", poll, steps{lost(2000*ms, ConnectionRefused)},
 			2000*ms + endpointLeaseTerm, polledMargin},
-		{"on a watch", poll, []func(*EndpointLease){renewed(2000*ms, 4000*ms)},
+		{"on a watch", poll, steps{renewed(2000*ms, 4000*ms)},
 			4000*ms + endpointLeaseTerm, polledMargin},
-		{"the watch ended", poll, []func(*EndpointLease){renewed(2000*ms, 4000*ms), lost(5000*ms, CallFailed)},
+		{"the watch ended", poll, steps{renewed(2000*ms, 4000*ms), lost(5000*ms, CallFailed)},
 			4000*ms + endpointLeaseTerm, polledMargin},
-		{"down since", poll, []func(*EndpointLease){renewed(2000 * ms), lost(5000*ms, ConnectionRefused)},
+		{"down since", poll, steps{renewed(2000 * ms), lost(5000*ms, ConnectionRefused)},
 			5000*ms + endpointLeaseTerm, polledMargin},
 		{"heard again", poll,
-			[]func(*EndpointLease){renewed(2000 * ms), lost(5000*ms, ConnectionRefused), renewed(9000 * ms)},
+			steps{renewed(2000 * ms), lost(5000*ms, ConnectionRefused), renewed(9000 * ms)},
 			9000*ms + endpointLeaseTerm, polledMargin},
 		{"settings give less without a watch", 1000 * ms,
-			[]func(*EndpointLease){renewed(2000 * ms), lost(2500*ms, CallFailed)},
+			steps{renewed(2000 * ms), lost(2500*ms, CallFailed)},
 			2000*ms + failedCallFactor*1000*ms, polledMargin},
-		{"pushed, on a watch", pushed, []func(*EndpointLease){renewed(2000*ms, 4000*ms)},
+		{"pushed, on a watch", pushed, steps{renewed(2000*ms, 4000*ms)},
 			4000*ms + endpointLeaseTerm, polledMargin},
 		{"pushed, fallen silent", pushed,
-			[]func(*EndpointLease){renewed(4000 * ms), lost(7000*ms, WatchSilent), lost(9000*ms, CallFailed)},
+			steps{renewed(4000 * ms), lost(7000*ms, WatchSilent), lost(9000*ms, CallFailed)},
 			4000*ms + endpointLeaseTerm, polledMargin},
 		{"pushed, the watch ended", pushed,
-			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, CallFailed), lost(5100*ms, CallFailed)},
+			steps{renewed(4000 * ms), lost(5000*ms, CallFailed), lost(5100*ms, CallFailed)},
 			5000*ms + watchEndedTerm, watchEndedMargin},
 		{"pushed, and was opened again", pushed,
-			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, CallFailed), renewed(5100 * ms)},
+			steps{renewed(4000 * ms), lost(5000*ms, CallFailed), renewed(5100 * ms)},
 			5100*ms + endpointLeaseTerm, polledMargin},
 		{"pushed, and the agent is down", pushed,
-			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, CallFailed), lost(9000*ms, ConnectionRefused)},
+			steps{renewed(4000 * ms), lost(5000*ms, CallFailed), lost(9000*ms, ConnectionRefused)},
 			9000*ms + watchEndedTerm, watchEndedMargin},
 		{"pushed, the agent was down and hangs", pushed,
-			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, ConnectionRefused), lost(9000*ms, CallFailed)},
+			steps{renewed(4000 * ms), lost(5000*ms, ConnectionRefused), lost(9000*ms, CallFailed)},
 			5000*ms + watchEndedTerm, watchEndedMargin},
 		{"pushed, another agent", pushed,
-			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, AddressChanged), lost(6000*ms, AddressChanged)},
+			steps{renewed(4000 * ms), lost(5000*ms, AddressChanged), lost(6000*ms, AddressChanged)},
 			5000*ms + addressChangedTerm, addressChangedMargin},
 		{"pushed, another agent late in the silence", pushed,
-			[]func(*EndpointLease){renewed(4000 * ms), lost(8000*ms, AddressChanged)},
+			steps{renewed(4000 * ms), lost(8000*ms, AddressChanged)},
 			4000*ms + endpointLeaseTerm, polledMargin},
 		{"pushed, another agent after the watch had ended", pushed,
-			[]func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, CallFailed), lost(5050*ms, AddressChanged)},
+			steps{renewed(4000 * ms), lost(5000*ms, CallFailed), lost(5050*ms, AddressChanged)},
 			5000*ms + watchEndedTerm, watchEndedMargin},
-		{"polled, another address", poll, []func(*EndpointLease){renewed(4000 * ms), lost(5000*ms, AddressChanged)},
+		{"polled, another address", poll, steps{renewed(4000 * ms), lost(5000*ms, AddressChanged)},
 			4000*ms + endpointLeaseTerm, polledMargin},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/relay/client_side.go
+++ b/internal/relay/client_side.go
@@ -5,55 +5,63 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file holds the client side's methods of a call.
+// This file holds the client side's methods of a request.
 
-// Settled is closed once the call is up or ended.
+// Settled returns a channel that is closed once the request is established or ended.
 func (r *Request) Settled() <-chan struct{} { return r.settled }
 
-// Finished is closed once neither side has anything to do with the call any more.
+// Finished returns a channel that is closed once neither side has anything to do with the request any more.
 func (r *Request) Finished() <-chan struct{} { return r.finished }
 
-// FailOnClientError fails a call whose client has broken the protocol while it waited for its answer. It is false, and
-// nothing has happened, if the call has its answer or is up.
+// State returns where the request stands, with the final answer if it ended without being established.
+func (r *Request) State() (State, Answer) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	return r.state, r.answer
+}
+
+// ServerConn returns the server side's end of an established request, else nil.
+func (r *Request) ServerConn() ServerConn {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if r.state != Established {
+		return nil
+	}
+	return r.attempt.conn
+}
+
+// FailOnClientError fails a request whose client has broken the protocol while it waited for its answer. It
+// is false, and nothing has happened, if the request has its answer or is established.
 func (r *Request) FailOnClientError() bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	return r.failWithNote("")
 }
 
+// failWithNote fails a request that is neither established nor ended, else it is false. The caller holds
+// the lock.
 func (r *Request) failWithNote(note string) bool {
 	if r.state == Established || r.state == Ended {
 		return false
 	}
-	if !r.resumed && r.state != AwaitingOwnership { // else the module does not know it
-		r.table.post(decide.ClientGone{ID: r.ID})
-	}
+	r.withdrawFromDecision()
 	r.answerFinally(Answer{Kind: Failed, Note: note})
 	return true
 }
 
-// MigrateClient sends a client away whose call is up.
-func (r *Request) MigrateClient() {
-	r.table.mu.Lock()
-	defer r.table.mu.Unlock()
-	r.migrate(recorder.Client)
-}
-
-// State is where the call stands, with the final answer if it ended without coming up.
-func (r *Request) State() (State, Answer) {
-	r.table.mu.Lock()
-	defer r.table.mu.Unlock()
-	return r.state, r.answer
+// withdrawFromDecision tells the decision module that a request which is not established is over, if it
+// knows it. The caller holds the lock.
+func (r *Request) withdrawFromDecision() {
+	if !r.resumed && r.state != AwaitingOwnership {
+		r.table.post(decide.ClientGone{ID: r.ID})
+	}
 }
 
-// ServerConn is the server side's end of a call that is up, else nil.
-func (r *Request) ServerConn() ServerConn {
+// MigrateClient sends the client of an established request to another server.
+func (r *Request) MigrateClient() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.state != Established {
-		return nil
-	}
-	return r.serverConn
+	r.migrate(recorder.Client)
 }
 
 // ClientClosed says that the client has ended its side. The server's side is ended in the same way.
@@ -62,15 +70,14 @@
 	defer r.table.mu.Unlock()
 	switch r.state {
 	case Queued, Attempting, AwaitingOwnership:
-		if !r.resumed && r.state != AwaitingOwnership {
-			r.table.post(decide.ClientGone{ID: r.ID})
-		}
+		r.withdrawFromDecision()
 		r.answerFinally(Answer{Kind: NoAnswer})
 	case Established:
-		if !r.serverClosed { // else the server ended it, and this is only the client's side of that
+		// A server that ended it has the client close too: that is not the client's doing.
+		if !r.established.serverClosed {
 			r.table.post(decide.ClientGone{ID: r.ID})
 		}
 		r.state = Ended
-		r.serverConn.Close(how)
+		r.attempt.conn.Close(how)
 	}
 }
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -47,9 +47,9 @@
 func (c *Clock) NowMillis() float64 { return Millis(c.Now()) }
 
 // FromWall turns the moment of the day at which something has happened into this clock's instant; the zero
-// time stays 0, for long ago. The clock of the day may have been stepped since the process started, here alone
-// or on all machines. So it goes by both readings, that of the start and that of now, and takes the later
-// instant: what has just happened is never taken for old, and nothing lies ahead.
+// time stays 0, for long ago. The clock of the day may have been stepped since the process started, here
+// alone or on all machines. So it goes by both readings, that of the start and that of now, and takes the
+// later instant: what has just happened is never taken for old, and nothing lies ahead.
 func (c *Clock) FromWall(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
@@ -118,12 +118,12 @@
 // Millis turns a time.Duration into milliseconds, for a codec or a log line.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// maxUnixMillis bounds what FromUnixMillis turns over, so that a time.Duration holds all differences: the years
-// 1843 to 2096.
+// maxUnixMillis bounds what FromUnixMillis turns over, so that a time.Duration holds all differences: the
+// years 1843 to 2096.
 const maxUnixMillis = 4e12
 
-// FromUnixMillis turns Unix time in milliseconds, as codecs have it, into a time; 0 becomes the zero time, for
-// long ago.
+// FromUnixMillis turns Unix time in milliseconds, as codecs have it, into a time; 0 becomes the zero time,
+// for long ago.
 func FromUnixMillis(ms float64) time.Time {
 	if ms == 0 {
 		return time.Time{}
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -8,38 +8,42 @@
 	"capersail/decide"
 )
 
-// A server that has just started is cold, and one that has run since before the relay is not made young again, however the clock of
-// the day was stepped: on this machine alone, or on all of them.
+// A server that has just started is in slow start, and one that has run since before the relay is not made
+// young again, however the clock of the day was stepped: on this machine alone, or on all of them.
 func TestStartsThroughStepsOfTheDay(t *testing.T) {
-	const age = 700 * time.Millisecond // age: of a server's start when the list tells of it
+	const age = 700 * time.Millisecond // of a server's start when the list tells of it
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		for _, everywhere := range []bool{false, true} {
 			clock := NewManualClock()
-			x := NewRequestTable(&Deployment{}, clock, nil)
+			table := NewRequestTable(&Deployment{}, clock, nil)
 			day := func() time.Time { return clock.Wall(clock.Now()) }
 			old := Endpoint{ID: "old", Mode: decide.Ready, StartedAt: day().Add(-time.Minute)}
-			x.UpdateEndpoints(decide.Cached, []Endpoint{old})
-			before := x.endpoints.byID["old"].startedAt
+			table.UpdateEndpoints(decide.Cached, []Endpoint{old})
+			before := table.endpoints.byID["old"].startedAt
 			clock.Set(clock.Now() + 20*time.Second)
 			clock.StepWallClock(step)
 			told := day().Add(-age)
 			if everywhere {
 				told = told.Add(step)
 			}
-			x.UpdateEndpoints(decide.Snapshot, []Endpoint{old, {ID: "new", Mode: decide.Ready, StartedAt: told}})
-			if got := x.endpoints.byID["old"].startedAt; got != before {
-				t.Errorf("step %v, everywhere %v: the old server's start moved by %v", step, everywhere, got-before)
+			young := Endpoint{ID: "new", Mode: decide.Ready, StartedAt: told}
+			table.UpdateEndpoints(decide.Snapshot, []Endpoint{old, young})
+			if got := table.endpoints.byID["old"].startedAt; got != before {
+				t.Errorf("step %v, everywhere %v: the old server's start moved by %v",
+					step, everywhere, got-before)
 			}
-			since := clock.Now() - x.endpoints.byID["new"].startedAt
-			if since < 0 || since > age+time.Millisecond || step == 0 && (since-age).Abs() > time.Millisecond {
-				t.Errorf("step %v, everywhere %v: a server that started %v ago counts as %v old", step, everywhere, age, since)
+			since := clock.Now() - table.endpoints.byID["new"].startedAt
+			const slack = time.Millisecond
+			if since < 0 || since > age+slack || step == 0 && (since-age).Abs() > slack {
+				t.Errorf("step %v, everywhere %v: a server that started %v ago counts as %v old",
+					step, everywhere, age, since)
 			}
 		}
 	}
 }
 
-// What starts before this program did is told on the module's clock, and long ago stays long ago.
-func TestClock(t *testing.T) {
+// What started before this program did is told on the relay's clock, and long ago stays long ago.
+func TestFromWall(t *testing.T) {
 	c := NewManualClock()
 	now := float64(c.origin.UnixMilli())
 	if got := c.FromWall(FromUnixMillis(now - 250)); got != clockStart-250*time.Millisecond {
@@ -48,18 +52,22 @@
 	if got := c.FromWall(FromUnixMillis(0)); got != 0 {
 		t.Errorf("long ago: %v", got)
 	}
-	for _, ms := range []float64{1e300, -1e300} {
-		if got := c.FromWall(FromUnixMillis(ms)); got > c.Now() || ms < 0 && got > 0 || ms > 0 && got != c.Now() {
-			t.Errorf("a start at %v ms counts as %v", ms, got)
-		}
+	if got := c.FromWall(FromUnixMillis(1e300)); got != c.Now() {
+		t.Errorf("a start beyond all range ahead counts as %v", got)
+	}
+	if got := c.FromWall(FromUnixMillis(-1e300)); got > 0 {
+		t.Errorf("a start beyond all range ago counts as %v", got)
 	}
 	if got := FromUnixMillis(1764745200000.9997).UnixMilli(); got != 1764745200000 {
 		t.Errorf("a start within a millisecond is told as %d", got)
 	}
-	if got := addTo(time.Hour, math.MaxInt64-time.Minute); got != math.MaxInt64 {
-		t.Errorf("an instant out of range: %v", got)
-	}
+}
+
+func TestDurationRoundsAndIsBounded(t *testing.T) {
 	if got := Duration(1.2346); got != 1235000 {
 		t.Errorf("1.2346 ms: %v", got)
 	}
+	if got := addTo(time.Hour, math.MaxInt64-time.Minute); got != math.MaxInt64 {
+		t.Errorf("an instant out of range: %v", got)
+	}
 }
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -5,42 +5,44 @@
 
 	"capersail/decide"
 	"capersail/internal/guard"
-	"capersail/internal/observe/recorder"
 )
 
 // ClassCounts are the figures of one class since the process started.
 type ClassCounts struct {
-	Established uint64 // connections brought up
-	Rejected    uint64 // refused: trying again is harmless
-	Failed      uint64 // failed
-	Attempts    uint64 // attempts whose first byte went to a server: counted as Begin lets it go
+	Established uint64 // connections
+	Rejected    uint64 // requests whose client was told that a retry is harmless
+	Failed      uint64 // requests
+	Attempts    uint64 // attempts whose first byte BeginWrite let go
 }
 
-// requestCounters are the counters, by class. The Exchange's lock guards them.
+// requestCounters count what became of requests. The table's lock guards them.
 type requestCounters struct {
-	established, rejected, failed, attempts []uint64
-	rejections                              [decide.MayHaveRun + 1]uint64 // by the module's reason
+	byClass    []ClassCounts
+	rejections [decide.MayHaveRun + 1]uint64 // final answers of the decision module, by its reason
 }
 
-func newRequestCounters(classes int) requestCounters {
-	return requestCounters{established: make([]uint64, classes), rejected: make([]uint64, classes), failed: make([]uint64, classes),
-		attempts: make([]uint64, classes)}
-}
-
-// increment adds one to a counter of a class. The caller holds the lock.
-func (f *requestCounters) increment(counter []uint64, class decide.Class) {
-	if class >= 0 && int(class) < len(counter) {
-		counter[class]++
+// of returns the counters of a class; what is counted for one that is none goes nowhere.
+func (c *requestCounters) of(class decide.Class) *ClassCounts {
+	if class < 0 || int(class) >= len(c.byClass) {
+		return &ClassCounts{}
 	}
+	return &c.byClass[class]
 }
 
-// countAnswer adds a final answer. The caller holds the lock.
-func (f *requestCounters) countAnswer(class decide.Class, kind AnswerKind) {
+// countAnswer counts a final answer.
+func (c *requestCounters) countAnswer(class decide.Class, kind AnswerKind) {
 	switch kind {
 	case Rejected:
-		f.increment(f.rejected, class)
+		c.of(class).Rejected++
 	case Failed:
-		f.increment(f.failed, class)
+		c.of(class).Failed++
+	}
+}
+
+// countReason counts a final answer of the decision module that is no server's.
+func (c *requestCounters) countReason(reason decide.RejectReason) {
+	if reason != decide.NoReason && int(reason) < len(c.rejections) {
+		c.rejections[reason]++
 	}
 }
 
@@ -48,20 +50,15 @@
 func (t *RequestTable) ClassCounts() []ClassCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]ClassCounts, len(t.counters.established))
-	for i := range out {
-		out[i] = ClassCounts{Established: t.counters.established[i], Rejected: t.counters.rejected[i], Failed: t.counters.failed[i],
-			Attempts: t.counters.attempts[i]}
-	}
-	return out
+	return append([]ClassCounts{}, t.counters.byClass...)
 }
 
-// OpenRequests is how many connections the relay has taken and not ended: those that asked and have no final answer,
-// and those that are up.
+// OpenRequests returns how many connections the relay has taken and not ended: those without a final
+// answer, and those that are established.
 func (t *RequestTable) OpenRequests() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range t.requests {
+	for _, r := range t.requests.byID {
 		if r.state != Ended {
 			n++
 		}
@@ -69,44 +66,44 @@
 	return n
 }
 
-// Arrivals is how many requests have come since the process started.
+// Arrivals returns how many requests have come since the process started.
 func (t *RequestTable) Arrivals() uint64 { return t.arrived.Load() }
 
-// EndpointCounts is what the relay knows of the tile servers in the list.
+// EndpointCounts is what the relay knows of the servers in the endpoint list.
 type EndpointCounts struct {
-	Listed          int // in the list, ready or draining
-	EjectedManually int // of those, out by hand
-	Ejected         int // of those that are ready, the ones the module avoids by its own choice
-	// Withheld are those that the list calls ready and the guard keeps from what is new.
-	Withheld int
+	Listed          int // ready or draining
+	EjectedManually int // of those, by an operator
+	Ejected         int // of those that are ready, by the decision module
+	Withheld        int // of those that are listed as ready, by the guard: the list's lease has expired
 }
 
-// EndpointCounts counts the servers in the list.
-func (t *RequestTable) EndpointCounts() (counts EndpointCounts) {
+// EndpointCounts counts the servers in the endpoint list.
+func (t *RequestTable) EndpointCounts() EndpointCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	counts.Ejected = int(t.ejectedCount.Load())
+	counts := EndpointCounts{Ejected: int(t.ejectedCount.Load())}
 	for _, s := range t.endpoints.servers {
-		if s.listedMode != decide.Removed {
-			counts.Listed++
-			switch {
-			case s.ejectedManually:
-				counts.EjectedManually++
-			case s.listedMode == decide.Ready && s.mode != decide.Ready:
-				counts.Withheld++
-			}
+		if s.listedMode == decide.Removed {
+			continue
+		}
+		counts.Listed++
+		switch {
+		case s.ejectedManually:
+			counts.EjectedManually++
+		case s.listedMode == decide.Ready && s.mode != decide.Ready:
+			counts.Withheld++
 		}
 	}
 	return counts
 }
 
-// GuardStats are what operators see of the guard, since the process started.
+// GuardStats is what operators see of the guard, since the process started.
 type GuardStats struct {
-	EndpointListAge      time.Duration // since discovery was last heard, 0 where the list is not held on a lease
+	EndpointListAge      time.Duration // since discovery was last heard, 0 where the list is on no lease
 	EndpointLeaseExpired bool
 	Denials              map[string]uint64 // by what stood in the way
-	Rejections           map[string]uint64 // by the module's reason
-	Violations           map[string]uint64 // by rule
+	Rejections           map[string]uint64 // by the decision module's reason
+	Violations           map[string]uint64 // by invariant
 }
 
 // GuardStats returns the figures of the guard.
@@ -114,26 +111,32 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
-	f := GuardStats{EndpointListAge: t.endpointLease.Age(now), EndpointLeaseExpired: !t.endpointLease.Valid(now),
-		Denials: map[string]uint64{}, Rejections: map[string]uint64{}, Violations: map[string]uint64{}}
-	for _, why := range guard.Denials() {
-		f.Denials[why.String()] = t.Denials.Count(why)
+	stats := GuardStats{
+		EndpointListAge:      t.lease.Age(now),
+		EndpointLeaseExpired: !t.lease.Valid(now),
+		Denials:              map[string]uint64{},
+		Rejections:           map[string]uint64{},
+		Violations:           map[string]uint64{},
+	}
+	for _, denial := range guard.Denials() {
+		stats.Denials[denial.String()] = t.Denials.Count(denial)
 	}
-	for _, rule := range guard.Invariants() {
-		f.Violations[rule.String()] = t.Violations.Count(rule)
+	for _, invariant := range guard.Invariants() {
+		stats.Violations[invariant.String()] = t.Violations.Count(invariant)
 	}
-	for why, n := range t.counters.rejections {
-		f.Rejections[decide.RejectReason(why).String()] = n
+	for reason, n := range t.counters.rejections {
+		stats.Rejections[decide.RejectReason(reason).String()] = n
 	}
-	return f
+	return stats
 }
 
-// RecordConnLimitRejection tells that the door refused a client of the class for want of descriptors.
+// RecordConnLimitRejection counts and records that a client of the class was rejected for want of
+// descriptors, before it became a request.
 func (t *RequestTable) RecordConnLimitRejection(class decide.Class) {
 	t.mu.Lock()
 	t.counters.countAnswer(class, Rejected)
 	t.mu.Unlock()
 	if t.Recorder != nil {
-		t.Recorder.Put(&recorder.Record{At: Millis(t.Clock.Now()), Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit})
+		t.recordConnLimitRejection()
 	}
 }
--- a/internal/relay/decisions.go
+++ b/internal/relay/decisions.go
@@ -1,69 +1,71 @@
 package relay
 
 import (
-	"time"
-
 	"capersail/decide"
 	"capersail/internal/guard"
 	"capersail/internal/observe/recorder"
 )
 
-// This file carries out what the decision module wants of calls.
+// This file carries out what the decision module wants of requests. The event loop alone calls it.
 
-// startAttempt does what the module wants: one more attempt. What the rules forbid is never sent.
-func (t *RequestTable) startAttempt(id decide.RequestID, to decide.ServerID, timeout time.Duration, pool []decide.PooledServer) {
+// startAttempt starts the next attempt of a request, if the guard permits it. If not, the decision module
+// is told that the attempt is superseded. candidates are what it could have chosen from, for the recorder.
+func (t *RequestTable) startAttempt(f decide.Forward, candidates []decide.PooledServer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.requests[id]
-	if denial := t.mayAttempt(r, to); denial != guard.Allowed {
-		t.post(decide.Outcome{ID: id, Server: to, Status: decide.Superseded, Closed: r == nil || r.state != Queued, Report: decide.NoLoadReport})
+	r, s := t.requests.byID[f.ID], t.endpoints.byNumber(f.Server)
+	if !t.permitAttempt(r, s) {
+		t.post(decide.Outcome{
+			ID:     f.ID,
+			Server: f.Server,
+			Status: decide.Superseded,
+			Closed: r == nil || r.state != Queued,
+			Report: decide.NoLoadReport,
+		})
 		return
 	}
-	r.startAttempt(t.endpoints.servers[to], timeout)
+	r.startAttempt(s, f.Timeout)
 	if t.Recorder != nil {
-		r.recordPlacement(pool)
+		r.recordPlacement(candidates)
 	}
 }
 
-// mayAttempt tells whether an attempt of a call that the module wants may be started. The caller holds the lock.
-func (t *RequestTable) mayAttempt(r *Request, to decide.ServerID) guard.Denial {
+// permitAttempt asks the guard for an attempt and records its denial. A request that is nil is over. The
+// caller holds the lock.
+func (t *RequestTable) permitAttempt(r *Request, s *Server) bool {
 	if r == nil {
-		return guard.NotWaiting
-	}
-	var s *Server
-	if to >= 0 && int(to) < len(t.endpoints.servers) {
-		s = t.endpoints.servers[to]
+		return false
 	}
-	denial := guard.MayAttempt(t.Clock.Now(), r.guardFacts(r.state == Queued), s.guardStatus(), &t.endpointLease)
+	denial := r.mayAttempt(s)
 	if denial != guard.Allowed {
 		r.recordDenial(denial, s)
 	}
-	return denial
+	return denial == guard.Allowed
 }
 
-// answer gives a request the module's final answer. It comes too late for one that is up or ended.
+// answer gives a request the decision module's final answer. It comes too late for one that is established
+// or ended.
 func (t *RequestTable) answer(id decide.RequestID, a Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.requests[id]
+	r := t.requests.byID[id]
 	if r == nil || guard.MayAnswer(r.state == Ended, r.state == Established) != guard.Allowed {
 		return
 	}
-	if a.Kind == Rejected && guard.MayReject(r.guardFacts(true)) != guard.Allowed {
+	if a.Kind == Rejected && !r.mayReject() {
 		r.recordViolation(guard.RejectOnlyIfHarmless, nil)
 		a.Kind = Failed
 	}
-	if a.reason != decide.NoReason && a.reason <= decide.MayHaveRun {
-		t.counters.rejections[a.reason]++
-	}
+	t.counters.countReason(a.reason)
 	r.answerFinally(a)
 }
 
-// failOverdue is the backstop behind the module: a request that has no answer well after its deadline fails.
-func (t *RequestTable) failOverdue(id decide.RequestID) (late bool) {
+// failOverdue is the backstop behind the decision module: a request that has no answer well after its
+// deadline fails. It tells whether there was one.
+func (t *RequestTable) failOverdue(id decide.RequestID) (overdue bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.requests[id]
+	r := t.requests.byID[id]
 	if r == nil || r.state == Established || r.state == Ended {
 		return false
 	}
@@ -72,33 +74,47 @@
 	return true
 }
 
-// migrate asks the server side to send a client away politely.
+// migrate has the server side send a client to another server.
 func (t *RequestTable) migrate(id decide.RequestID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.requests[id]; r != nil {
+	if r := t.requests.byID[id]; r != nil {
 		r.migrate(recorder.Module)
 	}
 }
 
-func (r *Request) migrate(by recorder.Initiator) {
-	if r.state == Established && !r.migrating {
-		r.migrating = true
-		if r.table.Recorder != nil {
-			r.table.Recorder.Put(&recorder.Record{At: Millis(r.table.Clock.Now()), Kind: recorder.ClientMigrated, Request: uint64(r.ID), Server: int32(r.attempt.Server.Number), Initiator: by})
-		}
-		r.serverConn.Wake()
+// cancelAttempt ends the wait for an attempt.
+func (t *RequestTable) cancelAttempt(id decide.RequestID, attempt int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.requests.byID[id]
+	if r == nil || r.state != Attempting || r.attempt.Number != attempt {
+		return
+	}
+	r.attempt.canceled = true
+	if r.attempt.conn != nil {
+		r.attempt.conn.Close(GracefulClose)
 	}
 }
 
-// cancelAttempt stops the wait for an attempt.
-func (t *RequestTable) cancelAttempt(id decide.RequestID, no int) {
+// probe asks a server for its load, for the decision module.
+func (t *RequestTable) probe(id decide.ServerID) {
 	t.mu.Lock()
-	defer t.mu.Unlock()
-	if r := t.requests[id]; r != nil && r.state == Attempting && r.attempt.Number == no {
-		r.canceled = true
-		if r.serverConn != nil {
-			r.serverConn.Close(GracefulClose)
+	s := *t.endpoints.servers[id]
+	t.mu.Unlock()
+	began := t.Clock.Now()
+	t.dialer.Probe(s, func(status decide.Status, report decide.LoadReport) {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		result := decide.ProbeResult{
+			Server:  id,
+			Status:  status,
+			Latency: (t.Clock.Now() - began).Round(decisionPrecision),
+			Report:  report,
 		}
-	}
+		if t.Recorder != nil {
+			t.recordProbe(result)
+		}
+		t.post(result)
+	})
 }
--- a/internal/relay/deployment.go
+++ b/internal/relay/deployment.go
@@ -6,7 +6,8 @@
 	"capersail/decide"
 )
 
-// Deployment is what a relay is configured with: the module's settings, and the numbers that stand for names.
+// Deployment is what a relay is configured with: the decision module's settings, and the numbers that stand
+// for names.
 type Deployment struct {
 	Settings  decide.Settings
 	Classes   map[string]decide.Class
@@ -15,7 +16,7 @@
 	LoadField string // the report field that tells load over capacity
 }
 
-// ServerKey is the number that stands for a server's id at every relay.
+// ServerKey returns the number that stands for a server's id at every relay.
 func ServerKey(id string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(id))
--- a/internal/relay/doubles_test.go
+++ b/internal/relay/doubles_test.go
@@ -1,33 +1,49 @@
 package relay
 
-import "capersail/decide"
+import (
+	"testing"
+	"time"
 
-// side stands for both wires: it notes what the Exchange asks of it.
-type side struct {
-	tries  []Attempt
-	probes int
-	closed int
-	woken  int
-	gone   bool // the client's end has come, and nobody has read it
+	"github.com/rs/zerolog"
+
+	"capersail/decide"
+)
+
+// fakeSide stands for both wires: it notes what the table asks of it.
+type fakeSide struct {
+	attempts []Attempt
+	probes   int
+	closed   int
+	woken    int
+	gone     bool // the client's end has come, and nobody has read it
 }
 
-func (s *side) StartAttempt(_ *Request, a Attempt) { s.tries = append(s.tries, a) }
-func (s *side) Probe(_ Server, done func(decide.Status, decide.LoadReport)) {
+func (s *fakeSide) StartAttempt(_ *Request, a Attempt) { s.attempts = append(s.attempts, a) }
+
+func (s *fakeSide) Probe(_ Server, done func(decide.Status, decide.LoadReport)) {
 	s.probes++
 	done(decide.OK, decide.LoadReport{Load: 0.1, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1})
 }
-func (s *side) Forward([]byte) error { return nil }
-func (s *side) Close(CloseKind)      { s.closed++ }
-func (s *side) Wake()                { s.woken++ }
-func (s *side) HasUnread() bool      { return s.gone }
 
-// claimed stands for what may give a call its claim.
-type claimed struct{ begun, released int }
+func (s *fakeSide) Forward([]byte) error { return nil }
+func (s *fakeSide) Close(CloseKind)      { s.closed++ }
+func (s *fakeSide) Wake()                { s.woken++ }
+func (s *fakeSide) HasUnread() bool      { return s.gone }
+
+// fakeLease stands for an ownership lease that is never answered by itself.
+type fakeLease struct{ acquired, released int }
 
-func (c *claimed) MustWait() bool   { return true }
-func (c *claimed) Acquire(*Request) { c.begun++ }
-func (c *claimed) Release()         { c.released++ }
+func (l *fakeLease) MustWait() bool   { return true }
+func (l *fakeLease) Acquire(*Request) { l.acquired++ }
+func (l *fakeLease) Release()         { l.released++ }
 
+// fakeDiscovery brings no list.
+type fakeDiscovery struct{ watches int }
+
+func (d *fakeDiscovery) Watch() { d.watches++ }
+func (d *fakeDiscovery) Fetch() {}
+
+// isClosed tells whether a channel is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -36,3 +52,90 @@
 		return false
 	}
 }
+
+// readyEndpoints is a list of servers that are ready.
+func readyEndpoints(ids ...string) (list []Endpoint) {
+	for _, id := range ids {
+		list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1", Mode: decide.Ready})
+	}
+	return list
+}
+
+// newTestTable returns a table of some classes on a clock that stands still, with its server side.
+func newTestTable(s decide.Settings, classes ...decide.ClassInfo) (*RequestTable, *fakeSide) {
+	s.Classes = classes
+	dialer := &fakeSide{}
+	return NewRequestTable(&Deployment{Settings: s}, NewManualClock(), dialer), dialer
+}
+
+// open opens a request whose client waits for a second.
+func open(table *RequestTable, class decide.Class) *Request {
+	return table.Open(OpenRequest{Class: class, Timeout: time.Second}, &fakeSide{})
+}
+
+// startFirst starts the first attempt of a request at a server, as the decision module wants it.
+func startFirst(table *RequestTable, r *Request, to decide.ServerID) {
+	table.startAttempt(decide.Forward{ID: r.ID, Server: to}, nil)
+}
+
+// establish carries the first attempt of a request through and returns the server side's end.
+func establish(r *Request) *fakeSide {
+	conn := &fakeSide{}
+	r.Attach(0, conn)
+	r.BeginWrite(0)
+	r.Establish(0)
+	return conn
+}
+
+// testSettings are those of a relay whose decision module probes one zone.
+func testSettings() decide.Settings {
+	return decide.Settings{
+		Relays:        1,
+		Zones:         1,
+		MaxAttempts:   2,
+		Probes:        true,
+		RetryAfter:    true,
+		MustSubscribe: true,
+		MaxRetryAfter: time.Second,
+		Tick:          5 * time.Millisecond,
+	}
+}
+
+// loopTest is an event loop on a clock that stands still.
+type loopTest struct {
+	*EventLoop
+	dialer *fakeSide
+	clock  *Clock
+}
+
+// newLoopTest returns an event loop with one server, of whose list nothing has been confirmed.
+func newLoopTest(t *testing.T) loopTest {
+	t.Helper()
+	table, dialer := newTestTable(testSettings(), decide.ClassInfo{
+		LatencyObjective:        300 * time.Millisecond,
+		Deadline:                time.Second,
+		MessageLatencyObjective: 50 * time.Millisecond,
+	})
+	table.UpdateEndpoints(decide.Cached, readyEndpoints("a"))
+	loop := NewEventLoop(table, 7, &fakeDiscovery{}, zerolog.Nop())
+	loop.Step()
+	return loopTest{EventLoop: loop, dialer: dialer, clock: table.Clock}
+}
+
+// advance lets time pass in ticks.
+func (l loopTest) advance(d time.Duration) {
+	for end := l.clock.Now() + d; l.clock.Now() < end; {
+		l.clock.Set(l.clock.Now() + 5*time.Millisecond)
+		l.Step()
+	}
+}
+
+// exchangeLines has a server answer three lines after 5 ms each, 2 s apart.
+func (l loopTest) exchangeLines(r *Request) {
+	for range 3 {
+		r.LineSent()
+		l.advance(5 * time.Millisecond)
+		r.LineReceived()
+		l.advance(2 * time.Second)
+	}
+}
--- a/internal/relay/endpoint_lease_test.go
+++ b/internal/relay/endpoint_lease_test.go
@@ -8,52 +8,54 @@
 	"capersail/internal/guard"
 )
 
-// A process that was stopped wakes over lines that discovery wrote long ago: they confirm nothing. The first line after that does.
-func TestOldLinesConfirmNothing(t *testing.T) {
+// A process that was stopped wakes over lines that discovery wrote long ago: they confirm nothing. The
+// first line after that does.
+func TestLinesReadAfterAStopConfirmNothing(t *testing.T) {
 	clock := NewManualClock()
-	x := NewRequestTable(&Deployment{}, clock, nil)
-	x.LeaseEndpointList(10 * time.Second)
-	x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "s", Address: "127.0.0.1:1", Mode: decide.Ready}})
+	table := NewRequestTable(&Deployment{}, clock, nil)
+	table.LeaseEndpointList(10 * time.Second)
+	table.UpdateEndpoints(decide.Snapshot, readyEndpoints("s"))
 	pass := func(d time.Duration, stopped bool) {
 		end := clock.Now() + d
 		for !stopped && clock.Now()+sweepInterval < end {
 			clock.Set(clock.Now() + sweepInterval)
-			x.sweepSilentServers()
+			table.sweep()
 		}
 		clock.Set(end)
 	}
-	x.RenewEndpointLease()
-	pass(2000*time.Millisecond, false)
-	x.RenewEndpointLease()
-	pass(7000*time.Millisecond, true)
-	x.RenewEndpointLease() // a line that has waited, read before anything else runs
-	if x.ServerReady("s") && !x.GuardStats().EndpointLeaseExpired {
-		t.Error("an old line read before the core looks confirms the list")
-	}
-	x.sweepSilentServers()
-	x.RenewEndpointLease() // and one after
-	if x.ServerReady("s") || !x.GuardStats().EndpointLeaseExpired {
-		t.Error("an old line read after the core looks confirms the list")
-	}
-	pass(2000*time.Millisecond, false)
-	x.RenewEndpointLease()
-	if !x.ServerReady("s") || x.GuardStats().EndpointLeaseExpired {
+	expired := func() bool { return table.GuardStats().EndpointLeaseExpired }
+	table.RenewEndpointLease()
+	pass(2*time.Second, false)
+	table.RenewEndpointLease()
+	pass(7*time.Second, true)
+	table.RenewEndpointLease() // a line that has waited, read before anything else runs
+	if table.ServerReady("s") && !expired() {
+		t.Error("an old line that is read before the event loop looks confirms the list")
+	}
+	table.sweep()
+	table.RenewEndpointLease() // and one after
+	if table.ServerReady("s") || !expired() {
+		t.Error("an old line that is read after the event loop looks confirms the list")
+	}
+	pass(2*time.Second, false)
+	table.RenewEndpointLease()
+	if !table.ServerReady("s") || expired() {
 		t.Error("a line of now does not confirm the list")
 	}
 	pass(5700*time.Millisecond, false)
-	if !x.ServerReady("s") {
-		t.Error("the list lapses before its time")
+	if !table.ServerReady("s") {
+		t.Error("the lease expires before its time")
 	}
 	pass(500*time.Millisecond, false)
-	x.sweepSilentServers()
-	if x.ServerReady("s") || !x.GuardStats().EndpointLeaseExpired {
-		t.Error("the list does not lapse")
+	table.sweep()
+	if table.ServerReady("s") || !expired() {
+		t.Error("the lease does not expire")
 	}
-	if c := x.EndpointCounts(); c.Listed != 1 || c.Withheld != 1 {
-		t.Errorf("of one server on a lapsed list %d are listed and %d withheld", c.Listed, c.Withheld)
+	if c := table.EndpointCounts(); c.Listed != 1 || c.Withheld != 1 {
+		t.Errorf("of one server on an expired list %d are listed and %d withheld", c.Listed, c.Withheld)
 	}
-	x.RecordDiscoveryLoss(guard.ConnectionRefused)
-	if !x.ServerReady("s") {
+	table.RecordDiscoveryLoss(guard.ConnectionRefused)
+	if !table.ServerReady("s") {
 		t.Error("a discovery that refuses connections leaves no list in force")
 	}
 }
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -6,7 +6,7 @@
 	"capersail/decide"
 )
 
-// Endpoint is one line of the list of servers, in names.
+// Endpoint is one line of the endpoint list, in names.
 type Endpoint struct {
 	ID             string
 	Address        string
@@ -18,93 +18,161 @@
 	SupportsResume bool      // it takes streams up where they stopped
 }
 
-// Server is one server as the server side needs it.
+// Server is one server that an endpoint list has named. What is not exported is the table's, under its lock.
 type Server struct {
-	Number          decide.ServerID
-	ID              string
-	Address         string
-	Load            float64 // as the list told it last, negative if it does not
-	SupportsResume  bool
-	mode            decide.EndpointState // as the module is told: a server out by hand, or of a list that has lapsed, drains
+	Number         decide.ServerID // for this relay's life
+	ID             string
+	Address        string
+	Load           float64 // as the list told it last, negative if it does not
+	SupportsResume bool
+
+	zone        string
+	cell        int32
+	startedWall time.Time     // as the list has it
+	startedAt   time.Duration // the same on the relay's clock, as of when the list first had it
+
 	listedMode      decide.EndpointState // as the list has it
-	ejectedManually bool                 // out by hand
-	// unreadyAt is when mode was last seen to leave Ready, on the relay's clock.
-	unreadyAt    time.Duration
-	delayNotedAt time.Duration // when the module was last told of a slow message there
-	current      *Server       // the roster's own, of which an attempt holds a copy
-
-	startedWall   time.Time     // as the list has it
-	startedAt     time.Duration // the same on the relay's clock, as of when the list first had it
-	zone          string
-	cell          int32
-	recorded      bool // the tap knows mode and start
-	recordedMode  decide.EndpointState
-	recordedStart time.Time
-}
-
-// endpointList turns names into the module's numbers and holds the newest list. The Exchange guards it.
+	ejectedManually bool                 // by an operator
+	// mode is what the decision module is told: a ready server that is ejected manually, or whose list's
+	// lease has expired, drains.
+	mode      decide.EndpointState
+	unreadyAt time.Duration // when mode was last seen to leave Ready
+
+	delayNotedAt time.Duration // when the decision module was last told of a slow message there
+	recorded     recordedEndpoint
+	current      *Server // the endpoint list's own, of which an attempt holds a copy
+}
+
+// recordedEndpoint is what the event recorder was last told of a server.
+type recordedEndpoint struct {
+	known     bool
+	mode      decide.EndpointState
+	startedAt time.Time
+}
+
+// endpointList holds the newest endpoint list and gives servers their numbers. The table's lock guards it.
 type endpointList struct {
-	deployment      *Deployment
-	clock           *Clock
-	byID            map[string]*Server
-	servers         []*Server       // by number; a server keeps its number for this relay's life
-	ejectedManually map[string]bool // the ids of servers that are out by hand
-	leaseExpired    bool            // the list cannot be confirmed, and nothing new is sent by it
-	complete        bool            // a whole list has come from discovery, or one with entries from the configuration
+	deployment *Deployment
+	clock      *Clock
+	byID       map[string]*Server
+	servers    []*Server // by number; none is ever dropped
+	ejectedIDs map[string]bool
+	// leaseExpired: the list has not been confirmed for too long, and nothing new is sent by it.
+	leaseExpired bool
+	// complete: a snapshot has come from discovery, or a list with entries from the configuration.
+	complete bool
 }
 
-// apply writes a list into the roster and returns it in the module's numbers.
+// apply takes in a list and returns it in the decision module's numbers. Whoever is not in a snapshot is
+// removed.
 func (l *endpointList) apply(kind decide.WatchKind, list []Endpoint) decide.WatchEvent {
-	if kind != decide.Delta && kind != decide.WatchFailed { // who is not in a whole list is gone
-		listed := map[string]bool{}
-		for _, e := range list {
-			listed[e.ID] = true
-		}
-		for _, s := range l.servers {
-			if !listed[s.ID] {
-				s.listedMode = decide.Removed
-				l.setMode(s)
-			}
-		}
+	if kind != decide.Delta && kind != decide.WatchFailed {
+		l.removeOthers(list)
 	}
-	m := decide.WatchEvent{Kind: kind}
 	l.complete = l.complete || kind == decide.Snapshot || kind == decide.Cached && len(list) > 0
+	event := decide.WatchEvent{Kind: kind}
 	for _, e := range list {
 		s := l.byID[e.ID]
 		if s == nil {
-			s = &Server{Number: decide.ServerID(len(l.servers)), ID: e.ID, ejectedManually: l.ejectedManually[e.ID]}
-			l.byID[e.ID] = s
-			l.servers = append(l.servers, s)
+			s = l.add(e.ID)
 		}
-		s.listedMode, s.Load, s.SupportsResume, s.zone, s.cell = e.Mode, e.Load, e.SupportsResume, e.Zone, e.Cell
-		if !s.startedWall.Equal(e.StartedAt) {
-			s.startedWall, s.startedAt = e.StartedAt, l.clock.FromWall(e.StartedAt)
+		l.update(s, e)
+		event.Endpoints = append(event.Endpoints, l.entry(s))
+	}
+	return event
+}
+
+// byNumber returns a server by its number, nil if no list has named it.
+func (l *endpointList) byNumber(n decide.ServerID) *Server {
+	if n < 0 || int(n) >= len(l.servers) {
+		return nil
+	}
+	return l.servers[n]
+}
+
+// removeOthers removes the servers that a snapshot does not list.
+func (l *endpointList) removeOthers(snapshot []Endpoint) {
+	listed := map[string]bool{}
+	for _, e := range snapshot {
+		listed[e.ID] = true
+	}
+	for _, s := range l.servers {
+		if !listed[s.ID] {
+			s.listedMode = decide.Removed
+			l.setMode(s)
 		}
+	}
+}
+
+// add gives a new server its number.
+func (l *endpointList) add(id string) *Server {
+	s := &Server{Number: decide.ServerID(len(l.servers)), ID: id, ejectedManually: l.ejectedIDs[id]}
+	l.byID[id] = s
+	l.servers = append(l.servers, s)
+	return s
+}
+
+// update takes in what a list says of a server.
+func (l *endpointList) update(s *Server, e Endpoint) {
+	s.listedMode = e.Mode
+	s.Load = e.Load
+	s.SupportsResume = e.SupportsResume
+	s.zone = e.Zone
+	s.cell = e.Cell
+	if !s.startedWall.Equal(e.StartedAt) {
+		s.startedWall = e.StartedAt
+		s.startedAt = l.clock.FromWall(e.StartedAt)
+	}
+	if e.Address != "" { // an entry that removes a server may come without one
+		s.Address = e.Address
+	}
+	l.setMode(s)
+}
+
+// setEjected sets the servers that are ejected manually, all of them, and returns what that changes for the
+// decision module.
+func (l *endpointList) setEjected(ids map[string]bool) decide.WatchEvent {
+	l.ejectedIDs = ids
+	event := decide.WatchEvent{Kind: decide.LocalDelta}
+	for _, s := range l.servers {
+		if s.ejectedManually == ids[s.ID] {
+			continue
+		}
+		s.ejectedManually = ids[s.ID]
 		l.setMode(s)
-		if e.Address != "" { // an entry that says Gone may come without one
-			s.Address = e.Address
+		event.Endpoints = append(event.Endpoints, l.entry(s))
+	}
+	return event
+}
+
+// refreshModes sets the mode of every server as of now, and returns what that changes for the decision
+// module.
+func (l *endpointList) refreshModes() decide.WatchEvent {
+	event := decide.WatchEvent{Kind: decide.LocalDelta}
+	for _, s := range l.servers {
+		if l.setMode(s) {
+			event.Endpoints = append(event.Endpoints, l.entry(s))
 		}
-		m.Endpoints = append(m.Endpoints, l.entry(s))
 	}
-	return m
+	return event
 }
 
-// setMode sets the mode that the module is told from what is known of a server: a ready one drains that is out by hand, or
-// stands on a list that has lapsed. It tells whether the mode has changed.
+// setMode sets the mode that the decision module is told, from all that is known of a server. It tells
+// whether the mode has changed.
 func (l *endpointList) setMode(s *Server) (changed bool) {
-	now, mode := l.clock.Now(), s.operatorMode()
+	mode := s.operatorMode()
 	if mode == decide.Ready && l.leaseExpired {
 		mode = decide.Draining
 	}
 	if s.mode == decide.Ready && mode != decide.Ready {
-		s.unreadyAt = now
+		s.unreadyAt = l.clock.Now()
 	}
 	changed = s.mode != mode
 	s.mode = mode
 	return changed
 }
 
-// operatorMode is the server's mode as operators see it: by the list, or out by hand.
+// operatorMode returns the server's mode as operators see it: by the list and their own ejections.
 func (s *Server) operatorMode() decide.EndpointState {
 	if s.ejectedManually && s.listedMode == decide.Ready {
 		return decide.Draining
@@ -112,19 +180,74 @@
 	return s.listedMode
 }
 
-// refreshModes sets the mode of every server as of now, and returns what that changes for the module.
-func (l *endpointList) refreshModes() decide.WatchEvent {
-	m := decide.WatchEvent{Kind: decide.LocalDelta}
-	for _, s := range l.servers {
-		if l.setMode(s) {
-			m.Endpoints = append(m.Endpoints, l.entry(s))
+// entry returns the server as the decision module is told of it.
+func (l *endpointList) entry(s *Server) decide.Endpoint {
+	return decide.Endpoint{
+		Server:        s.Number,
+		State:         s.mode,
+		Zone:          l.deployment.Zones[s.zone],
+		Cell:          s.cell,
+		RendezvousKey: ServerKey(s.ID),
+		StartedAt:     s.startedAt.Round(decisionPrecision),
+	}
+}
+
+// UpdateEndpoints takes in a list or a watch event: at once for the check before an attempt's first byte,
+// and in turn for the decision module.
+func (t *RequestTable) UpdateEndpoints(kind decide.WatchKind, list []Endpoint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.post(t.endpoints.apply(kind, list))
+	if t.Recorder != nil {
+		t.recordWatchEvent(kind)
+	}
+	// Whoever has a connection to a server that drains now may want to know.
+	for _, r := range t.requests.byID {
+		if r.attempt.inFlight && r.attempt.conn != nil && r.attempt.currentServer().mode != decide.Ready {
+			r.attempt.conn.Wake()
 		}
 	}
-	return m
 }
 
-// entry is the server as the module is told of it.
-func (l *endpointList) entry(s *Server) decide.Endpoint {
-	return decide.Endpoint{Server: s.Number, State: s.mode, Zone: l.deployment.Zones[s.zone], Cell: s.cell, RendezvousKey: ServerKey(s.ID),
-		StartedAt: s.startedAt.Round(time.Microsecond)}
+// Server returns what is known of a server by its id; false if no list has named it.
+func (t *RequestTable) Server(id string) (Server, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.endpoints.byID[id]; s != nil {
+		return *s, true
+	}
+	return Server{}, false
+}
+
+// ServerReady tells whether something new may go to a server, by the newest list.
+func (t *RequestTable) ServerReady(id string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.endpoints.byID[id]
+	return s != nil && s.mode == decide.Ready
+}
+
+// EverListed tells whether any list has named a server of that id.
+func (t *RequestTable) EverListed(id string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.endpoints.byID[id] != nil
+}
+
+// HasEndpointList tells whether the relay has a list to go by: a snapshot from discovery, or one with
+// entries from its configuration.
+func (t *RequestTable) HasEndpointList() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.endpoints.complete
+}
+
+// ServerIDs appends the ids of the servers from a number on, in the order of their numbers.
+func (t *RequestTable) ServerIDs(from int, out []string) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, s := range t.endpoints.servers[min(from, len(t.endpoints.servers)):] {
+		out = append(out, s.ID)
+	}
+	return out
 }
--- a/internal/relay/event_loop.go
+++ b/internal/relay/event_loop.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"container/heap"
 	"context"
 	"fmt"
 	"runtime/debug"
@@ -14,90 +13,117 @@
 	"capersail/internal/observe/recorder"
 )
 
-// Discovery is where the list of servers comes from. Neither method may block. Each is answered by one
-// call of Exchange.Members, of the kind Failed if it could not be done; a watch goes on bringing changes.
+// Discovery is where endpoint lists come from. Neither method may block. Each is answered by one call of
+// RequestTable.UpdateEndpoints, of the kind WatchFailed if it could not be done; a watch goes on bringing
+// changes.
 type Discovery interface {
 	Watch()
 	Fetch()
 }
 
-const (
-	sweepInterval = 250 * time.Millisecond
-	// backstopDelay is how long after a request's deadline the backstop answers it. The rules allow 20 ms
-	// and 50 ms more on sockets; the module's own answer takes a tick or two.
-	backstopDelay = 20 * time.Millisecond
-)
-
-// FleetView is what this relay knows of the others. What Hold returns stands until Release: whoever changes it waits, so
-// that no decision is made by a share that this relay has said it no longer takes. Neither may block for long.
+// FleetView is what this relay knows of the others. The status that LockStatus returns stands until
+// UnlockStatus: whoever changes it waits, so that no decision is made by a share that this relay has said
+// it no longer takes. Neither method may block for long. now is the event loop's instant.
 type FleetView interface {
 	LockStatus(now time.Duration) decide.FleetStatus
 	UnlockStatus()
 }
 
-// EventLoop is the loop that alone owns the Balancer, its timers and the actions it wants.
+const (
+	// sweepInterval is how often the event loop looks for silent servers and at the endpoint list's lease,
+	// and how long it waits at most.
+	sweepInterval = 250 * time.Millisecond
+	// backstopDelay is how long after a request's deadline the backstop answers it. The rules allow 20 ms,
+	// and 50 ms more on sockets; the decision module's own answer takes a tick or two.
+	backstopDelay = 20 * time.Millisecond
+	// decisionPrecision is what instants and durations are rounded to for the decision module.
+	decisionPrecision = time.Microsecond
+)
+
+// EventLoop feeds the decision module with what has come in and is due, and carries out its actions. It
+// alone owns the module and its timers. One goroutine calls Run, or Step.
 type EventLoop struct {
+	// FleetView is nil where the relays do not know each other. It is set before Run.
+	FleetView FleetView
+	// SharedProbing is nil where this relay probes servers for itself. It is set before Run, and with
+	// FleetView only.
+	SharedProbing *SharedProbing
+
 	table      *RequestTable
 	balancer   *decide.Balancer
-	dialer     ServerDialer
 	discovery  Discovery
 	log        zerolog.Logger
-	timers     timers
-	actions    []decide.Action
+	timers     timerQueue
+	tick       time.Duration // least time between two steps
 	sweptAt    time.Duration
-	tick       time.Duration
-	candidates []decide.PooledServer // of the placement under way, for the tap
-	// Fleet is nil where the relays do not know each other. It is set before Run.
-	FleetView FleetView
-	// Shared is nil where this relay looks at servers for itself. It is set before Run, and with Fleet only.
-	SharedProbing *SharedProbing
+	actions    []decide.Action       // scratch of handle
+	candidates []decide.PooledServer // scratch of perform: of the placement under way
 }
 
-// NewEventLoop returns the loop of a relay that has just started.
-func NewEventLoop(table *RequestTable, seed uint64, lister Discovery, log zerolog.Logger) *EventLoop {
-	return &EventLoop{table: table, balancer: decide.New(table.deployment.Settings, seed), dialer: table.dialer, discovery: lister, log: log,
-		tick: table.deployment.Settings.Tick, candidates: make([]decide.PooledServer, 0, recorder.MaxCandidates+1)}
+// NewEventLoop returns the event loop of a relay that has just started. seed is the decision module's.
+func NewEventLoop(table *RequestTable, seed uint64, discovery Discovery, log zerolog.Logger) *EventLoop {
+	settings := table.deployment.Settings
+	return &EventLoop{
+		table:      table,
+		balancer:   decide.New(settings, seed),
+		discovery:  discovery,
+		log:        log,
+		tick:       settings.Tick,
+		candidates: make([]decide.PooledServer, 0, recorder.MaxCandidates+1),
+	}
 }
 
-// Run feeds the module until the context ends. It handles what has come in at most once a tick, as the
-// module expects it.
+// Run steps until the context ends: when something has come in, at most once a tick, as the decision module
+// expects it, and when a timer is due.
 func (l *EventLoop) Run(ctx context.Context) {
-	wait := time.NewTimer(0)
-	defer wait.Stop()
+	due := time.NewTimer(0)
+	defer due.Stop()
 	for last := l.table.Clock.Now(); ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.table.ready:
-		case <-wait.C:
+		case <-l.table.inboxReady:
+		case <-due.C:
 		}
 		if early := last + l.tick - l.table.Clock.Now(); early > 0 {
 			time.Sleep(early)
 		}
 		last = l.table.Clock.Now()
-		wait.Reset(l.Step())
+		due.Reset(l.Step())
 	}
 }
 
-// Step handles everything that has come in or is due now, and returns how long until the next timer.
+// Step handles everything that has come in or is due now, and returns how long until the next step at the
+// latest.
 func (l *EventLoop) Step() time.Duration {
 	now := l.table.Clock.Now()
-	l.table.mu.Lock()
-	batch := l.table.inbox
-	l.table.inbox = nil
-	l.table.mu.Unlock()
+	events := l.table.takeInbox()
 	if l.SharedProbing != nil {
 		l.SharedProbing.updateParticipants(now)
-		defer l.SharedProbing.sendOutbox() // once the fleet is released
+		defer l.SharedProbing.sendOutbox() // once the fleet's status is unlocked
 	}
 	if l.FleetView != nil {
-		f := l.FleetView.LockStatus(now)
-		f.SharesReadings = l.SharedProbing != nil && l.SharedProbing.scheduler.HasPeers()
-		f.SharesPlacements = f.SharesPlacements && f.SharesReadings
-		l.handle(now, f)
+		l.handle(now, l.lockFleetStatus(now))
 		defer l.FleetView.UnlockStatus()
 	}
-	for _, ev := range batch {
+	l.handleEvents(now, events)
+	l.fireTimers(now)
+	l.sweepIfDue(now)
+	return l.untilNextStep(now)
+}
+
+// lockFleetStatus returns what this relay knows of the others, which stands until UnlockStatus.
+func (l *EventLoop) lockFleetStatus(now time.Duration) decide.FleetStatus {
+	status := l.FleetView.LockStatus(now)
+	status.SharesReadings = l.SharedProbing != nil && l.SharedProbing.scheduler.HasPeers()
+	status.SharesPlacements = status.SharesPlacements && status.SharesReadings
+	return status
+}
+
+// handleEvents gives the decision module what has come in, less what is the probe scheduler's, and sets the
+// backstop behind each request.
+func (l *EventLoop) handleEvents(now time.Duration, events []decide.Event) {
+	for _, ev := range events {
 		if l.SharedProbing != nil && !l.routeProbingEvent(now, ev) {
 			continue
 		}
@@ -106,56 +132,75 @@
 		}
 		l.handle(now, ev)
 	}
-	for len(l.timers.entries) > 0 && l.timers.entries[0].dueAt <= now {
-		due := heap.Pop(&l.timers).(timer)
-		if due.request == 0 {
+}
+
+// fireTimers handles the timers that are due.
+func (l *EventLoop) fireTimers(now time.Duration) {
+	for {
+		due, ok := l.timers.takeDue(now)
+		switch {
+		case !ok:
+			return
+		case due.request == 0:
 			l.handle(now, decide.TimerFired{Token: due.token})
-		} else if l.table.failOverdue(due.request) {
-			l.log.Error().Uint64("request", uint64(due.request)).Msg("no answer by the deadline; failed")
+		case l.table.failOverdue(due.request):
+			l.log.Error().Uint64("request", uint64(due.request)).
+				Msg("no answer by the deadline, failed by the backstop: a fault of this program, report it")
 		}
 	}
-	if now-l.sweptAt >= sweepInterval {
-		l.sweptAt = now
-		l.table.sweepSilentServers()
-		l.table.ejectedCount.Store(int64(l.balancer.EjectedCount()))
+}
+
+// sweepIfDue sweeps the request table each sweepInterval.
+func (l *EventLoop) sweepIfDue(now time.Duration) {
+	if now-l.sweptAt < sweepInterval {
+		return
 	}
+	l.sweptAt = now
+	l.table.sweep()
+	l.table.ejectedCount.Store(int64(l.balancer.EjectedCount()))
+}
+
+// untilNextStep steps the probe scheduler if it is due, and returns how long until the next step.
+func (l *EventLoop) untilNextStep(now time.Duration) time.Duration {
 	next := sweepInterval
 	if l.SharedProbing != nil {
 		next = min(next, l.stepSchedulerIfDue(now))
 	}
-	if len(l.timers.entries) > 0 {
-		next = min(next, l.timers.entries[0].dueAt-now)
+	if at, ok := l.timers.nextAt(); ok {
+		next = min(next, at-now)
 	}
 	return max(next, 0)
 }
 
-// handle lets the module act. A panic there must not take every open connection down with it: the
-// request it was about gets its answer from the backstop.
+// handle gives the decision module one event and carries out its actions. A panic there must not take every
+// open connection down with it: the request that it was about gets its answer from the backstop.
 func (l *EventLoop) handle(now time.Duration, ev decide.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			l.log.Error().Str("event", fmt.Sprintf("%T", ev)).Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).
-				Msg("the decision module panicked")
+			l.log.Error().Str("event", fmt.Sprintf("%T", ev)).
+				Str("panic", fmt.Sprint(p)).
+				Bytes("stack", debug.Stack()).
+				Msg("decision module panicked; the backstop answers its request: report it with the stack")
 		}
 	}()
-	l.actions = l.balancer.Handle(now.Round(time.Microsecond), ev, l.actions[:0])
-	for _, act := range l.actions {
-		l.perform(act)
+	l.actions = l.balancer.Handle(now.Round(decisionPrecision), ev, l.actions[:0])
+	for _, action := range l.actions {
+		l.perform(action)
 	}
 }
 
-func (l *EventLoop) perform(act decide.Action) {
-	switch a := act.(type) {
+// perform carries out one action of the decision module.
+func (l *EventLoop) perform(action decide.Action) {
+	switch a := action.(type) {
 	case decide.Forward:
-		if l.table.Recorder != nil {
-			l.candidates = l.balancer.ProbePool(l.candidates[:0])
-		}
-		if l.SharedProbing != nil {
-			l.stepScheduler(l.table.Clock.Now(), probing.LocalPlacement{ServerKey: l.serverKey(a.Server), Delta: 1})
-		}
-		l.table.startAttempt(a.ID, a.Server, a.Timeout, l.candidates)
+		l.forward(a)
 	case decide.Reject:
-		l.table.answer(a.ID, Answer{Kind: Rejected, RetryAfter: a.RetryAfter, reason: a.Reason, decidedBy: recorder.Module})
+		l.table.answer(a.ID, Answer{
+			Kind:       Rejected,
+			RetryAfter: a.RetryAfter,
+			reason:     a.Reason,
+			decidedBy:  recorder.Module,
+		})
 	case decide.Fail:
 		l.table.answer(a.ID, Answer{Kind: Failed, reason: a.Reason, decidedBy: recorder.Module})
 	case decide.Migrate:
@@ -163,7 +208,7 @@
 	case decide.CancelAttempt:
 		l.table.cancelAttempt(a.ID, a.Attempt)
 	case decide.Probe:
-		l.probe(a.Server)
+		l.table.probe(a.Server)
 	case decide.Timer:
 		l.timers.set(timer{dueAt: addTo(l.table.Clock.Now(), a.After), token: a.Token})
 	case decide.Subscribe:
@@ -172,23 +217,20 @@
 		l.discovery.Fetch()
 	case decide.Log:
 		l.log.Info().Msg(a.Text)
-	default: // no kept connections but those of probes, and no peers: nothing to do
-		l.log.Warn().Str("action", fmt.Sprintf("%T", act)).Msg("action ignored")
+	default: // no idle connections but those of probes, and no messages to peers: nothing to do
+		l.log.Warn().Str("action", fmt.Sprintf("%T", action)).
+			Msg("unknown action of the decision module ignored: a fault of this program, report it")
 	}
 }
 
-func (l *EventLoop) probe(id decide.ServerID) {
-	l.table.mu.Lock()
-	s := *l.table.endpoints.servers[id]
-	l.table.mu.Unlock()
-	began := l.table.Clock.Now()
-	l.dialer.Probe(s, func(status decide.Status, report decide.LoadReport) {
-		l.table.mu.Lock()
-		defer l.table.mu.Unlock()
-		if l.table.Recorder != nil {
-			now := l.table.Clock.Now()
-			l.table.recordProbe(now, id, status, now-began, report)
-		}
-		l.table.post(decide.ProbeResult{Server: id, Status: status, Latency: (l.table.Clock.Now() - began).Round(time.Microsecond), Report: report})
-	})
+// forward starts an attempt, and tells the probe scheduler of it.
+func (l *EventLoop) forward(f decide.Forward) {
+	if l.table.Recorder != nil {
+		l.candidates = l.balancer.ProbePool(l.candidates[:0])
+	}
+	if l.SharedProbing != nil {
+		placed := probing.LocalPlacement{ServerKey: l.table.serverKey(f.Server), Delta: 1}
+		l.stepScheduler(l.table.Clock.Now(), placed)
+	}
+	l.table.startAttempt(f, l.candidates)
 }
--- a/internal/relay/event_loop_test.go
+++ b/internal/relay/event_loop_test.go
@@ -4,113 +4,81 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"capersail/decide"
 )
 
-type noList struct{ watches int }
-
-func (n *noList) Watch() { n.watches++ }
-func (n *noList) Fetch() {}
-
-// bench is a core on a clock that stands still.
-func bench(t *testing.T) (*EventLoop, *side, *Clock) {
-	t.Helper()
-	clock, wire := NewManualClock(), &side{}
-	site := &Deployment{Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, RetryAfter: true, MustSubscribe: true,
-		MaxRetryAfter: Duration(1000), Tick: Duration(5),
-		Classes: []decide.ClassInfo{{LatencyObjective: Duration(300), Deadline: Duration(1000), MessageLatencyObjective: Duration(50)}}}}
-	x := NewRequestTable(site, clock, wire)
-	x.UpdateEndpoints(decide.Cached, []Endpoint{{ID: "a", Address: "127.0.0.1:1", Mode: decide.Ready}})
-	c := NewEventLoop(x, 7, &noList{}, zerolog.Nop())
-	c.Step()
-	return c, wire, clock
-}
-
-// advance lets time pass in ticks.
-func advance(c *EventLoop, clock *Clock, d time.Duration) {
-	for end := clock.Now() + d; clock.Now() < end; {
-		clock.Set(clock.Now() + 5*time.Millisecond)
-		c.Step()
+func TestARequestIsPlacedAfterAProbe(t *testing.T) {
+	l := newLoopTest(t)
+	r := open(l.table, 0)
+	l.advance(20 * time.Millisecond)
+	if len(l.dialer.attempts) != 1 || l.dialer.probes != 1 {
+		t.Fatalf("%d attempts, %d probes", len(l.dialer.attempts), l.dialer.probes)
 	}
-}
-
-func TestCorePlacesAfterAProbe(t *testing.T) {
-	c, wire, clock := bench(t)
-	client := &side{}
-	call := c.table.Open(OpenRequest{Timeout: time.Second}, client)
-	advance(c, clock, 20*time.Millisecond)
-	if len(wire.tries) != 1 || wire.probes != 1 {
-		t.Fatalf("%d tries, %d probes", len(wire.tries), wire.probes)
-	}
-	call.Attach(0, &side{})
-	if !call.BeginWrite(0) || call.Establish(0) == nil {
+	r.Attach(0, &fakeSide{})
+	if !r.BeginWrite(0) || r.Establish(0) == nil {
 		t.Fatal("the attempt may not go on")
 	}
-	advance(c, clock, 5000*time.Millisecond)
-	if state, _ := call.State(); state != Established {
+	l.advance(5 * time.Second)
+	if state, _ := r.State(); state != Established {
 		t.Fatalf("state %v", state)
 	}
 }
 
-// A request the module gave up on is answered at once, with a time to come again, not near its deadline.
-func TestCoreRefusesAtOnce(t *testing.T) {
-	c, wire, clock := bench(t)
-	c.table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", Mode: decide.Removed}})
-	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
-	advance(c, clock, 10*time.Millisecond)
-	if state, a := call.State(); state != Ended || a.Kind != Rejected || len(wire.tries) != 0 {
-		t.Fatalf("state %v, answer %+v, %d tries", state, a, len(wire.tries))
+// A request that the decision module gives up on is answered at once, not near its deadline.
+func TestARequestWithoutAServerIsRejectedAtOnce(t *testing.T) {
+	l := newLoopTest(t)
+	l.table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", Mode: decide.Removed}})
+	r := open(l.table, 0)
+	l.advance(10 * time.Millisecond)
+	if state, a := r.State(); state != Ended || a.Kind != Rejected || len(l.dialer.attempts) != 0 {
+		t.Fatalf("state %v, answer %+v, %d attempts", state, a, len(l.dialer.attempts))
 	}
 }
 
-// The backstop: an attempt whose end is never told must not leave its client without an answer.
-func TestCoreAnswersByTheDeadline(t *testing.T) {
-	c, _, clock := bench(t)
-	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
-	advance(c, clock, 1000*time.Millisecond)
-	if state, _ := call.State(); state == Ended {
+// An attempt whose end is never reported must not leave its client without an answer.
+func TestTheBackstopAnswersByTheDeadline(t *testing.T) {
+	l := newLoopTest(t)
+	r := open(l.table, 0)
+	l.advance(time.Second)
+	if state, _ := r.State(); state == Ended {
 		t.Fatal("answered too early")
 	}
-	advance(c, clock, backstopDelay+5*time.Millisecond)
-	if state, a := call.State(); state != Ended || a.Kind != Failed {
+	l.advance(backstopDelay + 5*time.Millisecond)
+	if state, a := r.State(); state != Ended || a.Kind != Failed {
 		t.Fatalf("state %v, answer %+v", state, a)
 	}
 }
 
-// A module that panics on one event goes on with the next.
-func TestCoreOutlivesAPanic(t *testing.T) {
-	c, _, clock := bench(t)
-	c.handle(clock.Now(), decide.Opened{Server: -1})
-	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
-	advance(c, clock, 20*time.Millisecond)
-	if state, _ := call.State(); state != Attempting {
+// A decision module that panics on one event goes on with the next.
+func TestTheEventLoopOutlivesAPanic(t *testing.T) {
+	l := newLoopTest(t)
+	l.handle(l.clock.Now(), decide.Opened{Server: -1})
+	r := open(l.table, 0)
+	l.advance(20 * time.Millisecond)
+	if state, _ := r.State(); state != Attempting {
 		t.Fatalf("state %v", state)
 	}
 }
 
-// A line that nothing comes back for tells of a silent server; at 7 s the connection would be lost.
-func TestCoreMovesOffASilentServer(t *testing.T) {
-	c, _, clock := bench(t)
-	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
-	advance(c, clock, 20*time.Millisecond)
-	remote := &side{}
-	call.Attach(0, remote)
-	call.BeginWrite(0)
-	call.Establish(0)
-	for range 3 { // lines that come back at once
-		call.LineSent()
-		advance(c, clock, 5*time.Millisecond)
-		call.LineReceived()
-		advance(c, clock, 2000*time.Millisecond)
+func TestTimersFireInOrder(t *testing.T) {
+	var q timerQueue
+	for i, at := range []time.Duration{3, 1, 2, 1} {
+		q.set(timer{dueAt: at, token: uint64(i)})
+	}
+	if at, ok := q.nextAt(); !ok || at != 1 {
+		t.Errorf("next at %v, %v", at, ok)
+	}
+	if _, ok := q.takeDue(0); ok {
+		t.Error("a timer fires before its instant")
+	}
+	var fired []uint64
+	for due, ok := q.takeDue(3); ok; due, ok = q.takeDue(3) {
+		fired = append(fired, due.token)
 	}
-	if moving, _ := call.Migrating(); moving {
-		t.Fatal("moved off a sound server")
+	if len(fired) != 4 || fired[0] != 1 || fired[1] != 3 || fired[2] != 2 || fired[3] != 0 {
+		t.Errorf("fired %v", fired)
 	}
-	call.LineSent()
-	advance(c, clock, silentAfter+sweepInterval+5*time.Millisecond)
-	if moving, silent := call.Migrating(); !moving || !silent || remote.woken == 0 {
-		t.Fatalf("moving %v, silent %v, woken %d times", moving, silent, remote.woken)
+	if _, ok := q.nextAt(); ok {
+		t.Error("an empty queue has a next timer")
 	}
 }
--- a/internal/relay/fleet_status.go
+++ b/internal/relay/fleet_status.go
@@ -8,27 +8,48 @@
 	"capersail/internal/fleet/probing"
 )
 
-// ToFleetStatus is what the module is to reckon with: now is the module's time, own the membership.Node's. Summed says whether so little comes
-// to the fleet that relays tell each other what they send; it holds where they share readings only.
+// ToFleetStatus turns a fleet's estimate into what the decision module reckons with. now and own are the
+// same instant, in milliseconds: now on the decision module's clock, own on the membership.Node's, of which
+// the estimate is.
 //
-// Zone gives the module's number of a zone's name, false for one that no server or relay here has; it may be nil where the fleet has no
-// cells, and all is far then. A near zone without a number has no server to budget for.
-func ToFleetStatus(now, own float64, r membership.FleetEstimate, zone func(name string) (decide.Zone, bool)) decide.FleetStatus {
-	f := decide.FleetStatus{Relays: r.Relays, BudgetShare: r.BudgetShare, PeerRequestRate: r.OtherRequestRate, PeerConnections: r.OtherConnections, PeerMigrationRate: r.DrainRate}
-	f.SharesPlacements = r.OtherRequestRate >= 0 && r.OtherRequestRate+r.OwnRequestRate <= probing.MaxPlacementRate
-	if r.Plan > 0 {
-		f.FarBudgetShare, f.NearZones = r.FarBudgetShare, []decide.Zone{}
-		for _, name := range r.NearZones {
-			if zone == nil {
-				break
-			}
-			if number, known := zone(name); known {
-				f.NearZones = append(f.NearZones, number)
-			}
-		}
+// SharesPlacements says whether so little comes to the fleet that relays can tell each other what they
+// send; it holds where they share readings only.
+//
+// zoneNumber gives the number of a zone's name, false for one that no server or relay here has; it may be
+// nil where the fleet has no cells, and all is far then. A near zone without a number has no server to
+// budget for.
+func ToFleetStatus(
+	now, own float64, e membership.FleetEstimate, zoneNumber func(name string) (decide.Zone, bool),
+) decide.FleetStatus {
+	status := decide.FleetStatus{
+		Relays:            e.Relays,
+		BudgetShare:       e.BudgetShare,
+		PeerRequestRate:   e.OtherRequestRate,
+		PeerConnections:   e.OtherConnections,
+		PeerMigrationRate: e.DrainRate,
+		SharesPlacements: e.OtherRequestRate >= 0 &&
+			e.OtherRequestRate+e.OwnRequestRate <= probing.MaxPlacementRate,
+	}
+	if e.Plan > 0 {
+		status.FarBudgetShare = e.FarBudgetShare
+		status.NearZones = zoneNumbers(e.NearZones, zoneNumber)
+	}
+	if !math.IsInf(e.ShareValidUntil, 1) {
+		status.BudgetUntil = Duration(now + e.ShareValidUntil - own)
 	}
-	if !math.IsInf(r.ShareValidUntil, 1) {
-		f.BudgetUntil = Duration(now + r.ShareValidUntil - own)
+	return status
+}
+
+// zoneNumbers returns the numbers of those zones that have one, never nil.
+func zoneNumbers(names []string, zoneNumber func(name string) (decide.Zone, bool)) []decide.Zone {
+	numbers := []decide.Zone{}
+	if zoneNumber == nil {
+		return numbers
+	}
+	for _, name := range names {
+		if number, known := zoneNumber(name); known {
+			numbers = append(numbers, number)
+		}
 	}
-	return f
+	return numbers
 }
--- a/internal/relay/guarding.go
+++ b/internal/relay/guarding.go
@@ -5,18 +5,22 @@
 	"capersail/internal/guard"
 )
 
-// guardFacts is what the guard is told of a call. The caller holds the lock.
+// This file hands the guard the facts of the moment, and counts and logs what it denies. Callers hold the
+// table's lock.
+
+// guardFacts returns the facts about a request.
 func (r *Request) guardFacts(waiting bool) guard.Request {
-	class := &r.table.deployment.Settings.Classes[r.Class]
+	settings := &r.table.deployment.Settings
+	class := &settings.Classes[r.Class]
 	return guard.Request{
 		Waiting:         waiting,
-		AttemptInFlight: r.attemptInFlight,
-		MayHaveWritten:  r.mayHaveWritten,
+		AttemptInFlight: r.attempt.inFlight,
+		MayHaveWritten:  r.attempt.mayHaveWritten,
 		Attempts:        r.attempts,
-		MaxAttempts:     r.table.deployment.Settings.MaxAttempts,
-		MayHaveRun:      r.mayHaveRun,
-		MayHaveRunAt:    r.mayHaveRunAt,
-		MayHaveRunOn:    r.mayHaveRunOn,
+		MaxAttempts:     settings.MaxAttempts,
+		MayHaveRun:      r.mayHaveRun.happened,
+		MayHaveRunAt:    r.mayHaveRun.at,
+		MayHaveRunOn:    r.mayHaveRun.on,
 		Idempotency:     class.Idempotency,
 		DedupScope:      class.DedupScope,
 		DedupWindow:     class.DedupWindow,
@@ -25,7 +29,7 @@
 	}
 }
 
-// guardStatus is a server as the guard is told of it, by the newest list.
+// guardStatus returns what the newest endpoint list says of a server, nil for one that no list has named.
 func (s *Server) guardStatus() guard.ServerStatus {
 	if s == nil {
 		return guard.ServerStatus{}
@@ -33,13 +37,33 @@
 	return guard.ServerStatus{EverListed: true, Ready: s.mode == decide.Ready, Location: s.location()}
 }
 
+// location returns where a server is.
 func (s *Server) location() guard.Location { return guard.Location{Zone: s.zone, Cell: s.cell} }
 
-// recordDenial notes that something was not done for a call. The caller holds the lock.
-func (r *Request) recordDenial(why guard.Denial, s *Server) {
-	r.table.Denials.Add(why)
+// mayAttempt tells whether an attempt of a request at a server may be started; nil is a server that no list
+// has named.
+func (r *Request) mayAttempt(s *Server) guard.Denial {
+	facts, lease := r.guardFacts(r.state == Queued), &r.table.lease.EndpointLease
+	return guard.MayAttempt(r.table.Clock.Now(), facts, s.guardStatus(), lease)
+}
+
+// mayWrite tells whether the first byte of an attempt may be written.
+func (r *Request) mayWrite(attempt int) guard.Denial {
+	waiting := r.inSetUp(attempt)
+	clientGone := waiting && r.clientConn.HasUnread()
+	facts, lease := r.guardFacts(waiting), &r.table.lease.EndpointLease
+	server := r.attempt.currentServer().guardStatus()
+	return guard.MayWrite(r.table.Clock.Now(), r.attempt.Deadline, facts, server, lease, clientGone)
+}
+
+// mayReject tells whether a request may be rejected, which promises that a retry is harmless.
+func (r *Request) mayReject() bool { return guard.MayReject(r.guardFacts(true)) == guard.Allowed }
+
+// recordDenial counts and logs that something was not done for a request.
+func (r *Request) recordDenial(denial guard.Denial, s *Server) {
+	r.table.Denials.Add(denial)
 	event := r.table.Log.Debug()
-	if why == guard.EndpointLeaseExpired || why == guard.OwnershipLost {
+	if denial == guard.EndpointLeaseExpired || denial == guard.OwnershipLost {
 		event = r.table.Log.Info()
 	}
 	if !event.Enabled() {
@@ -48,32 +72,43 @@
 	if s != nil {
 		event = event.Str("server", s.ID)
 	}
-	event.Uint64("request", uint64(r.ID)).Str("id", r.Name).Int("attempt", r.attempts).Stringer("why", why).Msg("not sent")
+	event.Uint64("request", uint64(r.ID)).
+		Str("id", r.Name).
+		Int("attempt", r.attempts).
+		Stringer("reason", denial).
+		Msg("denied by the guard")
 }
 
-// recordViolation counts and logs what was done against a rule: a fault of this program. The caller holds the lock.
-func (r *Request) recordViolation(rule guard.Invariant, s *Server) {
-	r.table.Violations.Add(rule)
+// recordViolation counts and logs what was done against an invariant: a fault of this program.
+func (r *Request) recordViolation(invariant guard.Invariant, s *Server) {
+	r.table.Violations.Add(invariant)
 	event := r.table.Log.Error()
 	if s != nil {
 		event = event.Str("server", s.ID).Str("zone", s.zone)
 	}
-	now := r.table.Clock.Now()
-	event.Stringer("rule", rule).Uint64("request", uint64(r.ID)).Str("id", r.Name).Int("attempt", r.attempt.Number).
-		Float64("list_age_ms", Millis(r.table.endpointLease.Age(now))).
-		Float64("lapsed_ms", Millis(now-r.table.endpointLease.ValidUntil())).Msg("a rule is broken")
+	now, lease := r.table.Clock.Now(), &r.table.lease
+	if lease.Enabled() {
+		event = event.Float64("list_age_ms", Millis(lease.Age(now))).
+			Float64("expired_ms", Millis(now-lease.ValidUntil()))
+	}
+	event.Stringer("invariant", invariant).
+		Uint64("request", uint64(r.ID)).
+		Str("id", r.Name).
+		Int("attempt", r.attempt.Number).
+		Msg("invariant violated: a fault of this program, report it with this line")
 }
 
-// FirstLineWritten says that the whole first line of an attempt has been written. It checks once more, after the act, what Begin was asked
-// before it.
-func (r *Request) FirstLineWritten(no int) {
+// FirstLineWritten says that the whole first line of an attempt has been written. It checks once more,
+// after the act, what BeginWrite checked before it.
+func (r *Request) FirstLineWritten(attempt int) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.attempt.Number != no || r.resumed {
+	if r.attempt.Number != attempt || r.resumed {
 		return
 	}
 	now, s := r.table.Clock.Now(), r.attempt.currentServer()
-	if r.table.endpointLease.MayBreakDrainRule(now) || s.mode != decide.Ready && now-s.unreadyAt > guard.DrainGrace {
+	pastGrace := s.mode != decide.Ready && now-s.unreadyAt > guard.DrainGrace
+	if pastGrace || r.table.lease.MayBreakDrainRule(now) {
 		r.recordViolation(guard.NothingNewAfterDrain, s)
 	}
 }
--- a/internal/relay/operations.go
+++ b/internal/relay/operations.go
@@ -1,66 +1,51 @@
 package relay
 
-import (
-	"capersail/decide"
-	"capersail/internal/observe/recorder"
-)
+import "capersail/internal/observe/recorder"
 
-// SetDraining starts or ends a drain by hand: while it lasts the relay is not ready, refuses what comes with a time
-// to come again, and moves a call that comes up at once. The calls that are up are moved by MoveSome.
+// This file holds what operators ask of a relay: a drain, and servers to be ejected manually.
+
+// SetDraining starts or ends an operator's drain: while it lasts the relay is not ready, rejects new
+// requests with a Retry-After, and migrates a client as soon as its request is established. MigrateSome
+// migrates those that are established already.
 func (t *RequestTable) SetDraining(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.drainedManually = on
 }
 
-// Accepting tells whether the relay takes new clients: it is neither draining nor leaving.
-func (t *RequestTable) Accepting() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return !t.rejecting()
-}
-
-// Draining tells whether a drain by hand is on.
+// Draining tells whether an operator's drain is on.
 func (t *RequestTable) Draining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.drainedManually
 }
 
-// rejecting tells whether what comes is to be refused. The caller holds the lock.
-func (t *RequestTable) rejecting() bool { return t.shuttingDown || t.drainedManually }
-
-// ShuttingDown tells whether the relay is on its way out for good.
-func (t *RequestTable) ShuttingDown() bool {
+// Accepting tells whether the relay takes new clients: it is neither drained nor shutting down.
+func (t *RequestTable) Accepting() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.shuttingDown
+	return !t.rejecting()
 }
 
-// SetManualEjections takes the servers that are out by hand, all of them. To the module a server that is out is one that drains,
-// so it gets nothing new, and the check before a send's first byte holds for it as for a drain; whoever is up
-// there is moved, since the server is to restart. A server that comes back is listed as the list has it.
-func (t *RequestTable) SetManualEjections(out map[string]bool) {
+// rejecting tells whether new requests are to be rejected. The caller holds the lock.
+func (t *RequestTable) rejecting() bool { return t.shuttingDown || t.drainedManually }
+
+// SetManualEjections takes the ids of the servers that are ejected manually, all of them. To the decision
+// module such a server drains, so it gets nothing new, and the check before an attempt's first byte holds
+// for it as for a drain; established clients there are migrated, since the server is to restart. A server
+// that is not ejected any more counts as the endpoint list has it.
+func (t *RequestTable) SetManualEjections(ids map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := decide.WatchEvent{Kind: decide.LocalDelta}
-	t.endpoints.ejectedManually = out
-	for _, s := range t.endpoints.servers {
-		if s.ejectedManually == out[s.ID] {
-			continue
-		}
-		s.ejectedManually = out[s.ID]
-		t.endpoints.setMode(s)
-		m.Endpoints = append(m.Endpoints, t.endpoints.entry(s))
-	}
-	if len(m.Endpoints) == 0 {
+	event := t.endpoints.setEjected(ids)
+	if len(event.Endpoints) == 0 {
 		return
 	}
-	t.post(m)
+	t.post(event)
 	if t.Recorder != nil {
-		t.recordEndpointList(decide.Delta)
+		t.recordEndpointChanges()
 	}
-	for _, r := range t.requests {
+	for _, r := range t.requests.byID {
 		s := r.attempt.currentServer()
 		if s == nil || !s.ejectedManually {
 			continue
@@ -68,8 +53,8 @@
 		switch {
 		case r.state == Established:
 			r.migrate(recorder.Operator)
-		case r.attemptInFlight && r.serverConn != nil:
-			r.serverConn.Wake()
+		case r.attempt.inFlight && r.attempt.conn != nil:
+			r.attempt.conn.Wake()
 		}
 	}
 }
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -8,10 +8,11 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file holds the methods by which a claim tells a call whether this relay may serve its stream.
+// This file holds the methods by which an ownership lease tells a request whether this relay may serve its
+// stream.
 
-// OwnershipAcquired says that the stream is this relay's: the call goes to the module, as any that comes back. It is
-// false if it waits for that no more.
+// OwnershipAcquired says that the stream is this relay's: the request goes to the decision module, as any
+// that comes back. It is false if the request waits for that no more.
 func (r *Request) OwnershipAcquired() bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -27,7 +28,7 @@
 	return true
 }
 
-// OwnershipDenied says that it is not.
+// OwnershipDenied says that the stream is not this relay's, with the answer for the client.
 func (r *Request) OwnershipDenied(a Answer) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -36,21 +37,22 @@
 	}
 }
 
-// LoseOwnership says that the claim may be lost: the call is ended politely, and nothing goes out for it any more.
-func (r *Request) LoseOwnership(after time.Duration) {
+// LoseOwnership says that the lease may be lost: nothing is sent for the request any more. One that has no
+// answer gets it, with the Retry-After where it is rejected; the client of an established one is migrated.
+func (r *Request) LoseOwnership(retryAfter time.Duration) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	r.ownershipLost = true
 	switch r.state {
 	case Queued, Attempting:
-		a := Answer{Kind: Rejected, RetryAfter: after}
-		if guard.MayReject(r.guardFacts(true)) != guard.Allowed {
+		a := Answer{Kind: Rejected, RetryAfter: retryAfter}
+		if !r.mayReject() {
 			a = Answer{Kind: Failed}
 		}
 		r.table.post(decide.ClientGone{ID: r.ID})
 		r.answerFinally(r.table.applyRetryAfterSetting(a))
 	case AwaitingOwnership:
-		r.answerFinally(r.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: after}))
+		r.answerFinally(r.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: retryAfter}))
 	case Established:
 		r.migrate(recorder.OwnershipLost)
 	}
--- /dev/null
+++ b/internal/relay/probe_scheduling.go
@@ -0,0 +1,112 @@
+package relay
+
+import (
+	"time"
+
+	"capersail/decide"
+	"capersail/internal/fleet/probing"
+)
+
+// This file holds the event loop's part of shared probing: it stands between the scheduler, which has float64
+// milliseconds, and the decision module.
+
+// routeProbingEvent gives the scheduler what of the inbox concerns it, and tells whether the decision
+// module is to have it too.
+func (l *EventLoop) routeProbingEvent(now time.Duration, ev decide.Event) (forDecision bool) {
+	switch e := ev.(type) {
+	case peerEvent:
+		l.SharedProbing.queued.Add(-1)
+		l.stepScheduler(now, e.event)
+		return false
+	case participantsEvent:
+		l.SharedProbing.assignmentPending = false
+		l.SharedProbing.serverIDs = e.serverIDs
+		l.stepScheduler(now, e.ParticipantsChanged)
+		return false
+	case decide.Outcome:
+		l.stepScheduler(now, probing.LocalPlacement{ServerKey: l.table.serverKey(e.Server), Delta: -1})
+	case decide.ProbeResult:
+		if e.Status == decide.OK {
+			key, report := l.table.serverKey(e.Server), toPeerReport(e.Report)
+			l.stepScheduler(now, probing.OwnReading{ServerKey: key, LoadReport: report})
+		}
+	}
+	return true
+}
+
+// stepSchedulerIfDue lets the scheduler see whose turn it is, makes the report anew, and returns how long
+// until the next step.
+func (l *EventLoop) stepSchedulerIfDue(now time.Duration) time.Duration {
+	s := l.SharedProbing
+	if now >= s.steppedAt+stepInterval {
+		s.steppedAt = now
+		s.applyCorroborationFault()
+		l.stepScheduler(now, probing.Tick{})
+	}
+	if now >= s.reportedAt+reportInterval {
+		s.reportedAt = now
+		r := s.scheduler.Report(Millis(now))
+		for i := range r.Servers {
+			r.Servers[i].ID = s.serverIDs[r.Servers[i].ServerKey]
+		}
+		s.report.Store(&r)
+	}
+	return max(s.steppedAt+stepInterval-now, 0)
+}
+
+// stepScheduler lets the scheduler act. What goes to peers waits until the fleet's status is unlocked.
+func (l *EventLoop) stepScheduler(now time.Duration, ev probing.Event) {
+	s := l.SharedProbing
+	s.actions = s.scheduler.Handle(Millis(now), ev, s.actions[:0])
+	for _, action := range s.actions {
+		switch a := action.(type) {
+		case probing.Probe:
+			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
+				l.table.probe(id)
+			}
+		case probing.UseReading:
+			l.useReading(now, a)
+		case probing.PeerPlacement:
+			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
+				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.Delta})
+			}
+		case probing.Quarantine:
+			s.onQuarantine(a.Name)
+		default:
+			s.outbox = append(s.outbox, a)
+		}
+	}
+}
+
+// useReading gives the decision module another relay's reading.
+func (l *EventLoop) useReading(now time.Duration, u probing.UseReading) {
+	id, ok := l.table.readyServer(l.SharedProbing.serverIDs[u.ServerKey])
+	if !ok {
+		return
+	}
+	age, report := Duration(u.Age), u.Reading.LoadReport
+	if l.table.Recorder != nil {
+		l.table.recordPeerReading(id, age, max(report.Load, report.Busy))
+	}
+	l.handle(now, decide.GossipReading{Server: id, Age: age, Report: fromPeerReport(report)})
+}
+
+// toPeerReport turns a load report into the form that relays tell each other.
+func toPeerReport(r decide.LoadReport) probing.LoadReport {
+	return probing.LoadReport{
+		Load:     r.Load,
+		Inflight: r.InFlight,
+		Errors:   r.ErrorsPerSecond,
+		Busy:     r.CPUUtilization,
+	}
+}
+
+// fromPeerReport turns a load report that another relay has told into the decision module's.
+func fromPeerReport(r probing.LoadReport) decide.LoadReport {
+	return decide.LoadReport{
+		Load:            r.Load,
+		InFlight:        r.Inflight,
+		ErrorsPerSecond: r.Errors,
+		CPUUtilization:  r.Busy,
+	}
+}
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -1,34 +1,96 @@
 package relay
 
 import (
+	"math"
 	"time"
 
 	"capersail/decide"
 	"capersail/internal/observe/recorder"
 )
 
-// This file makes records for the tap. Callers hold the Exchange's lock and have looked that there is a tap.
+// This file makes records for the event recorder, which has milliseconds. Callers hold the table's lock and
+// have looked that there is a recorder.
 
-// recordEndpointList tells what a list has changed.
-func (t *RequestTable) recordEndpointList(kind decide.WatchKind) {
-	now := t.Clock.Now()
-	if kind == decide.WatchFailed {
-		t.Recorder.Put(&recorder.Record{At: Millis(now), Kind: recorder.EndpointListUnreachable, Server: -1})
+// recordWatchEvent records what a list or a watch event has changed.
+func (t *RequestTable) recordWatchEvent(kind decide.WatchKind) {
+	if kind != decide.WatchFailed {
+		t.recordEndpointChanges()
 		return
 	}
+	t.Recorder.Put(&recorder.Record{
+		At:     t.Clock.NowMillis(),
+		Kind:   recorder.EndpointListUnreachable,
+		Server: -1,
+	})
+}
+
+// recordEndpointChanges records every server whose mode or start has changed since the last record.
+func (t *RequestTable) recordEndpointChanges() {
+	now := t.Clock.NowMillis()
 	for _, s := range t.endpoints.servers {
 		mode := s.operatorMode()
-		if mode == s.recordedMode && s.startedWall.Equal(s.recordedStart) && s.recorded {
+		last := s.recorded
+		if last.known && last.mode == mode && last.startedAt.Equal(s.startedWall) {
 			continue
 		}
-		s.recorded, s.recordedMode, s.recordedStart = true, mode, s.startedWall
-		t.Recorder.Put(&recorder.Record{At: Millis(now), Kind: recorder.EndpointChanged, Server: int32(s.Number), Mode: mode, StartedAt: Millis(s.startedAt), Load: -1})
+		s.recorded = recordedEndpoint{known: true, mode: mode, startedAt: s.startedWall}
+		t.Recorder.Put(&recorder.Record{
+			At:        now,
+			Kind:      recorder.EndpointChanged,
+			Server:    int32(s.Number),
+			Mode:      mode,
+			StartedAt: Millis(s.startedAt),
+			Load:      -1,
+		})
 	}
 }
 
-// recordAnswer tells a final answer.
+// recordConnLimitRejection records that a client was rejected for want of descriptors.
+func (t *RequestTable) recordConnLimitRejection() {
+	t.Recorder.Put(&recorder.Record{
+		At:        t.Clock.NowMillis(),
+		Kind:      recorder.RequestRejected,
+		Server:    -1,
+		Initiator: recorder.DescriptorLimit,
+	})
+}
+
+// recordProbe records a probe's end.
+func (t *RequestTable) recordProbe(p decide.ProbeResult) {
+	t.Recorder.Put(&recorder.Record{
+		At:      t.Clock.NowMillis(),
+		Kind:    recorder.ProbeEnded,
+		Server:  int32(p.Server),
+		Status:  p.Status,
+		Elapsed: Millis(p.Latency),
+		Load:    float32(p.Report.Load),
+		Queue:   float32(p.Report.InFlight),
+		Errors:  float32(p.Report.ErrorsPerSecond),
+	})
+}
+
+// recordPeerReading records that another relay's reading was used.
+func (t *RequestTable) recordPeerReading(s decide.ServerID, age time.Duration, load float64) {
+	t.Recorder.Put(&recorder.Record{
+		At:      Millis(t.Clock.Now() - age),
+		Kind:    recorder.PeerReading,
+		Server:  int32(s),
+		Elapsed: Millis(age),
+		Load:    float32(load),
+	})
+}
+
+// recordAnswer records a final answer, but of a client that left before it.
 func (r *Request) recordAnswer(a Answer) {
-	rec := recorder.Record{At: Millis(r.table.Clock.Now()), Kind: recorder.RequestRejected, Request: uint64(r.ID), Server: -1, Status: a.Cause, Reason: a.reason, Initiator: a.decidedBy}
+	rec := recorder.Record{
+		At:        r.table.Clock.NowMillis(),
+		Kind:      recorder.RequestRejected,
+		Request:   uint64(r.ID),
+		Server:    -1,
+		Status:    a.Cause,
+		Reason:    a.reason,
+		Initiator: a.decidedBy,
+	}
 	switch a.Kind {
 	case NoAnswer:
 		return
@@ -41,49 +103,94 @@
 	r.table.Recorder.Put(&rec)
 }
 
-// recordPlacement tells an attempt, and what else the module could have chosen.
-func (r *Request) recordPlacement(pool []decide.PooledServer) {
-	rec := recorder.Record{At: Millis(r.attempt.StartedAt), Kind: recorder.AttemptStarted, Request: uint64(r.ID), Server: int32(r.attempt.Server.Number),
-		Attempt: uint8(min(r.attempt.Number, 255)), Load: -1}
-	for _, v := range pool {
-		if v.Server == r.attempt.Server.Number {
-			rec.Load = float32(v.EstimatedLoad)
-		} else if rec.PoolSize < recorder.MaxCandidates {
-			rec.Pool[rec.PoolSize] = recorder.Candidate{Server: int32(v.Server), Load: float32(v.EstimatedLoad), AgeMs: float32(Millis(v.ReadingAge)), WarmingUp: v.InSlowStart}
+// recordPlacement records an attempt, and what else the decision module could have chosen.
+func (r *Request) recordPlacement(candidates []decide.PooledServer) {
+	rec := r.recordOfAttempt(recorder.AttemptStarted, r.attempt.StartedAt)
+	rec.Load = -1
+	for _, c := range candidates {
+		switch {
+		case c.Server == r.attempt.Server.Number:
+			rec.Load = float32(c.EstimatedLoad)
+		case rec.PoolSize < recorder.MaxCandidates:
+			rec.Pool[rec.PoolSize] = recorder.Candidate{
+				Server:    int32(c.Server),
+				Load:      float32(c.EstimatedLoad),
+				AgeMs:     float32(Millis(c.ReadingAge)),
+				WarmingUp: c.InSlowStart,
+			}
 			rec.PoolSize++
 		}
 	}
 	r.table.Recorder.Put(&rec)
 }
 
-// recordAttemptEnd tells how an attempt ended, and who ended it: to the module a client that has left and a server that
-// sends its clients away look alike.
+// recordEstablished records that a request is established.
+func (r *Request) recordEstablished() {
+	now := r.table.Clock.Now()
+	rec := r.recordOfAttempt(recorder.ConnectionUp, now)
+	rec.Elapsed = Millis(now - r.attempt.StartedAt)
+	r.table.Recorder.Put(&rec)
+}
+
+// recordMigration records that a client is to be sent to another server.
+func (r *Request) recordMigration(by recorder.Initiator) {
+	r.table.Recorder.Put(&recorder.Record{
+		At:        r.table.Clock.NowMillis(),
+		Kind:      recorder.ClientMigrated,
+		Request:   uint64(r.ID),
+		Server:    int32(r.attempt.Server.Number),
+		Initiator: by,
+	})
+}
+
+// recordMessageDelay records a slow message.
+func (r *Request) recordMessageDelay(now, delay time.Duration) {
+	r.table.Recorder.Put(&recorder.Record{
+		At:      Millis(now),
+		Kind:    recorder.MessageDelayed,
+		Request: uint64(r.ID),
+		Server:  int32(r.attempt.Server.Number),
+		Elapsed: Millis(delay),
+	})
+}
+
+// recordAttemptEnd records how an attempt ended, and who ended it: to the decision module a client that has
+// left and a server that sends its clients away look alike.
 func (r *Request) recordAttemptEnd(status decide.Status, report decide.LoadReport) {
 	now := r.table.Clock.Now()
-	rec := recorder.Record{At: Millis(now), Kind: recorder.AttemptEnded, Request: uint64(r.ID), Server: int32(r.attempt.Server.Number), Status: status,
-		Elapsed: Millis(now - r.attempt.StartedAt), Attempt: uint8(min(r.attempt.Number, 255)), Load: float32(report.Load), Queue: float32(report.InFlight),
-		Errors: float32(report.ErrorsPerSecond), Initiator: recorder.Server}
-	rec.WasConnected = r.wasEstablished
-	switch {
-	case r.serverSilent:
-		rec.Initiator = recorder.ServerSilent
-	case r.migrating:
-		rec.Initiator = recorder.Module
-	case r.state == Ended && !r.serverClosed:
-		rec.Initiator = recorder.Client
-	case r.canceled:
-		rec.Initiator = recorder.Module
-	}
+	rec := r.recordOfAttempt(recorder.AttemptEnded, now)
+	rec.Status = status
+	rec.Elapsed = Millis(now - r.attempt.StartedAt)
+	rec.Load = float32(report.Load)
+	rec.Queue = float32(report.InFlight)
+	rec.Errors = float32(report.ErrorsPerSecond)
+	rec.Initiator = r.endedBy()
+	rec.WasConnected = r.established.reached
 	r.table.Recorder.Put(&rec)
 }
 
-// recordProbe tells a probe's end.
-func (t *RequestTable) recordProbe(at time.Duration, s decide.ServerID, status decide.Status, took time.Duration, report decide.LoadReport) {
-	t.Recorder.Put(&recorder.Record{At: Millis(at), Kind: recorder.ProbeEnded, Server: int32(s), Status: status, Elapsed: Millis(took), Load: float32(report.Load),
-		Queue: float32(report.InFlight), Errors: float32(report.ErrorsPerSecond)})
+// endedBy returns who ended the latest attempt.
+func (r *Request) endedBy() recorder.Initiator {
+	switch {
+	case r.established.serverSilent:
+		return recorder.ServerSilent
+	case r.established.migrating:
+		return recorder.Module
+	case r.state == Ended && !r.established.serverClosed:
+		return recorder.Client
+	case r.attempt.canceled:
+		return recorder.Module
+	}
+	return recorder.Server
 }
 
-// recordPeerReading tells that a reading of another relay is gone by.
-func (t *RequestTable) recordPeerReading(s decide.ServerID, age time.Duration, load float64) {
-	t.Recorder.Put(&recorder.Record{At: Millis(t.Clock.Now() - age), Kind: recorder.PeerReading, Server: int32(s), Elapsed: Millis(age), Load: float32(load)})
+// recordOfAttempt returns a record of the latest attempt.
+func (r *Request) recordOfAttempt(kind recorder.Kind, at time.Duration) recorder.Record {
+	return recorder.Record{
+		At:      Millis(at),
+		Kind:    kind,
+		Request: uint64(r.ID),
+		Server:  int32(r.attempt.Server.Number),
+		Attempt: uint8(min(r.attempt.Number, math.MaxUint8)),
+	}
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -8,115 +8,138 @@
 	"capersail/internal/observe/recorder"
 )
 
-// State is where a call stands.
-type State uint8
-
-// The states of a call. Held and Trying alternate, once for each attempt; Up and Ended are never left for
-// an earlier one. Claiming comes before all others, and only for calls that go on.
-const (
-	Queued            State = iota // no attempt is out; the module has it
-	Attempting                     // one attempt is out
-	Established                    // it belongs to a server
-	Ended                          // answered, or its client has left
-	AwaitingOwnership              // a stream that goes on waits to be this relay's; the module does not know it yet
-)
-
-// AnswerKind is what a client is told that is not served.
-type AnswerKind uint8
-
-// The answers.
-const (
-	NoAnswer AnswerKind = iota // none, or the client left before it
-	Rejected
-	Failed
-)
-
-// Answer is the final answer to a call that never came up.
-type Answer struct {
-	Kind       AnswerKind
-	RetryAfter time.Duration // with Refused, 0 for no advice
-	Cause      decide.Status
-	Note       string // with Failed, what the front may tell the client of the reason
-	reason     decide.RejectReason
-	decidedBy  recorder.Initiator
-}
-
-// OpenRequest is what a client wants, in the module's numbers.
+// OpenRequest is what a client asks for, in the numbers that the deployment gives to names.
 type OpenRequest struct {
 	Name      string // by which servers know the request, "" if they do not
 	Class     decide.Class
 	Tenant    decide.Tenant
-	Key       uint64
-	Group     uint64
-	Hint      float64
-	Timeout   time.Duration // how long the client will wait
-	Returned  bool
+	Key       uint64         // 0 for none
+	Group     uint64         // connections of one group share work, 0 for none
+	Hint      float64        // the usual load, 0 if it is not known
+	Timeout   time.Duration  // how long the client will wait for its answer
+	Returned  bool           // the client comes back after a break or a migration, or retries
 	Ownership OwnershipLease // nil for none
 	Payload   any            // what the front's two sides share; nothing here looks at it
 }
 
-// Request is one request. Its fields are the Exchange's; both sides use its methods.
+// Answer is the final answer to a request that was never established.
+type Answer struct {
+	Kind       AnswerKind
+	RetryAfter time.Duration // with Rejected, 0 for no advice
+	Cause      decide.Status // how its last attempt ended
+	Note       string        // with Failed, what the front may tell the client of the reason
+
+	reason    decide.RejectReason
+	decidedBy recorder.Initiator
+}
+
+// Request is one request, from its arrival until both sides are done with it. Its fields are the table's,
+// under the table's lock; both sides use its methods, which are safe for use by many goroutines.
 type Request struct {
 	OpenRequest
 	ID decide.RequestID
 
 	table      *RequestTable
 	clientConn ClientConn
-	state      State
-	settled    chan struct{} // closed once the call is up or ended
-	finished   chan struct{} // closed once both sides are done with it
-	answer     Answer
-	deadline   time.Duration
-	resumed    bool // it was open at its server before this relay started
-
-	attempt         Attempt
-	attempts        int
-	attemptInFlight bool          // an attempt is out: its end has not been told
-	mayHaveWritten  bool          // its first byte may have been written
-	mayHaveRun      bool          // some attempt ended without proof that it never ran
-	wroteAt         time.Duration // when the latest attempt's first byte was let go
-	mayHaveRunAt    time.Duration // the same of the first attempt that may have run
-	mayHaveRunOn    guard.Location
-	canceled        bool
-	migrating       bool
-	serverSilent    bool
-	ownershipLost   bool // its claim may be lost
-	serverClosed    bool // its server has ended the connection, before the client did
-	wasEstablished  bool
-	serverConn      ServerConn
-	unansweredSince time.Duration // when the oldest line went to the server that nothing came back for, 0 if none
+	deadline   time.Duration // until when the client waits
+	resumed    bool          // it was open at its server before this relay started
+
+	state         State
+	answer        Answer
+	settled       chan struct{} // closed once the request is established or ended
+	finished      chan struct{} // closed once both sides are done with it
+	ownershipLost bool          // its ownership lease may be lost
+
+	attempts    int // started so far
+	attempt     latestAttempt
+	mayHaveRun  possibleRun
+	established connectionState
+}
+
+// latestAttempt is the attempt of a request that was started last, in flight or not.
+type latestAttempt struct {
+	Attempt
+	inFlight       bool          // the server side has not reported its end
+	mayHaveWritten bool          // its first byte may have been written
+	wroteAt        time.Duration // when the first byte of the latest attempt that wrote one was let go
+	canceled       bool          // it is wanted no more
+	conn           ServerConn    // nil until the server side has attached it
 }
 
-// nameTaken tells whether another call has the name.
-func (r *Request) nameTaken() bool { return r.Name != "" && r.table.requestsByName[r.Name] != r }
+// possibleRun is the first attempt of a request that ended without proof that it never ran.
+type possibleRun struct {
+	happened bool
+	at       time.Duration // when its first byte was let go
+	on       guard.Location
+}
 
+// connectionState is what a request is in once it is established.
+type connectionState struct {
+	reached         bool          // it has been established, even if it has ended since
+	migrating       bool          // the client is to be sent to another server
+	serverSilent    bool          // because its server brings nothing back
+	serverClosed    bool          // the server ended the connection, before the client did
+	unansweredSince time.Duration // when the oldest line without an answer went to the server, 0 if none
+}
+
+// inSetUp tells whether an attempt is still wanted and not yet established. The caller holds the lock.
+func (r *Request) inSetUp(attempt int) bool {
+	return r.state == Attempting && r.attempt.Number == attempt && !r.attempt.canceled
+}
+
+// nameTaken tells whether another request has the name. The caller holds the lock.
+func (r *Request) nameTaken() bool {
+	return r.Name != "" && r.table.requests.byName[r.Name] != r
+}
+
+// decisionRequest returns the request as the decision module gets it. The caller holds the lock.
 func (r *Request) decisionRequest() decide.Request {
 	left := r.Timeout
-	if r.Ownership != nil { // the wait for the claim is over, and the client's patience has gone on
+	if r.Ownership != nil { // it has waited for its lease, and the client's patience has gone on
 		left = max(0, r.deadline-r.table.Clock.Now())
 	}
-	return decide.Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, TimeLeft: left.Round(time.Microsecond), LoadHint: r.Hint,
-		Group: r.Group, Returning: r.Returned}
+	return decide.Request{
+		ID:        r.ID,
+		Class:     r.Class,
+		Tenant:    r.Tenant,
+		Key:       r.Key,
+		TimeLeft:  left.Round(decisionPrecision),
+		LoadHint:  r.Hint,
+		Group:     r.Group,
+		Returning: r.Returned,
+	}
 }
 
-// startAttempt starts an attempt. The caller holds the lock.
+// startAttempt starts an attempt at a server, which is given up after timeout; 0 is the client's deadline
+// alone. The caller holds the lock.
 func (r *Request) startAttempt(s *Server, timeout time.Duration) {
 	now := r.table.Clock.Now()
-	if r.attemptInFlight {
+	if r.attempt.inFlight {
 		r.recordViolation(guard.NoDuplicateAttempt, s)
 	}
-	until := r.deadline
+	deadline := r.deadline
 	if timeout != 0 {
-		until = min(until, addTo(now, timeout))
+		deadline = min(deadline, addTo(now, timeout))
+	}
+	server := *s
+	server.current = s
+	r.state = Attempting
+	r.attempt = latestAttempt{
+		Attempt: Attempt{
+			Number:         r.attempts,
+			Server:         server,
+			StartedAt:      now,
+			Deadline:       deadline,
+			ClientDeadline: r.deadline,
+		},
+		inFlight: true,
+		wroteAt:  r.attempt.wroteAt,
 	}
-	r.attempt = Attempt{Number: r.attempts, Server: *s, StartedAt: now, Deadline: until, ClientDeadline: r.deadline}
-	r.attempt.Server.current = s
-	r.state, r.attemptInFlight, r.mayHaveWritten, r.canceled, r.serverConn = Attempting, true, false, false, nil
 	r.attempts++
-	r.table.dialer.StartAttempt(r, r.attempt)
+	r.table.dialer.StartAttempt(r, r.attempt.Attempt)
 }
 
-// answerFinally gives a call that is not up its final answer, once. The caller holds the lock.
+// answerFinally gives a request that is not established its final answer, once. The caller holds the lock.
 func (r *Request) answerFinally(a Answer) {
 	if guard.MayAnswer(r.state == Ended, r.state == Established) != guard.Allowed {
 		return
@@ -124,32 +147,43 @@
 	if a.Kind != NoAnswer && r.table.Clock.Now()-r.deadline > guard.AnswerSlack {
 		r.recordViolation(guard.AnswerInTime, nil)
 	}
-	if a.Cause == decide.OK { // then what the last attempt met
+	if a.Cause == decide.OK { // then what its last attempt met
 		a.Cause = r.answer.Cause
 	}
-	r.state, r.answer = Ended, a
+	r.state = Ended
+	r.answer = a
 	close(r.settled)
 	r.table.counters.countAnswer(r.Class, a.Kind)
 	if r.table.Recorder != nil {
 		r.recordAnswer(a)
 	}
-	if r.attemptInFlight && r.serverConn != nil {
-		r.serverConn.Close(GracefulClose)
+	if r.attempt.inFlight && r.attempt.conn != nil {
+		r.attempt.conn.Close(GracefulClose)
 	}
 	r.removeIfDone()
 	r.clientConn.Wake()
 }
 
-// removeIfDone forgets a call that is over on both sides.
+// removeIfDone forgets a request that both sides are done with. The caller holds the lock.
 func (r *Request) removeIfDone() {
-	if r.state == Ended && !r.attemptInFlight && r.table.requests[r.ID] == r {
-		delete(r.table.requests, r.ID)
-		if !r.nameTaken() {
-			delete(r.table.requestsByName, r.Name)
-		}
-		close(r.finished)
-		if r.Ownership != nil { // and never before: an attempt that is out holds the claim
-			r.Ownership.Release()
-		}
+	if r.state != Ended || r.attempt.inFlight || !r.table.requests.remove(r) {
+		return
+	}
+	close(r.finished)
+	if r.Ownership != nil { // never before: an attempt in flight holds the lease
+		r.Ownership.Release()
+	}
+}
+
+// migrate has the server side send the client of an established request to another server, once. The caller
+// holds the lock.
+func (r *Request) migrate(by recorder.Initiator) {
+	if r.state != Established || r.established.migrating {
+		return
+	}
+	r.established.migrating = true
+	if r.table.Recorder != nil {
+		r.recordMigration(by)
 	}
+	r.attempt.conn.Wake()
 }
--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -7,237 +7,385 @@
 	"capersail/decide"
 )
 
-// model is what a request's state machine is meant to be: plain values, no locks, no channels.
-type model struct {
-	call     *Request
-	client   *side
+// requestModel is what a request's states are meant to be: plain values, no locks, no channels. Its client
+// waits for a second.
+type requestModel struct {
+	request       *Request
+	client        *fakeSide
+	lease         *fakeLease // nil for none
+	name          string     // "" from when another request has it
+	nonIdempotent bool
+	deadline      time.Duration
+
 	state    State
 	answer   AnswerKind
-	sends    int
-	out      bool
-	attached bool
-	canceled bool
+	attempts int
 	mayRun   bool
 	moving   bool
-	to       int
-	deadline time.Duration
-	until    time.Duration
-	outcomes int
-	name     string
-	begun    bool
-	claim    *claimed
+	outcomes int // that the decision module is owed
+
+	// Of the latest attempt.
+	server          int
+	attemptDeadline time.Duration
+	inFlight        bool
+	attached        bool
+	canceled        bool
+	begun           bool
 }
 
 // over tells whether neither side has anything to do with the request any more.
-func (m *model) over() bool { return m.state == Ended && !m.out }
-
-// FuzzExchange plays random steps to a few requests and checks every one against the model: one final
-// answer, never two attempts out, nothing written to a server that drains, one outcome for each attempt.
-func FuzzExchange(f *testing.F) {
-	f.Add([]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 7, 0, 0, 5, 0, 0})          // up, moved, over
-	f.Add([]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 9, 0, 1, 3, 0, 0, 5, 0, 7, 1, 0, 1, 2, 0, 0}) // drains during the dial
-	f.Add([]byte{0, 0, 0, 1, 0, 0, 6, 0, 0, 5, 0, 0, 8, 0, 1, 8, 0, 0})                   // client leaves mid-set-up
-	f.Add([]byte{0, 1, 1, 1, 1, 0, 2, 1, 0, 3, 1, 0, 5, 1, 3, 1, 1, 1, 8, 1, 1})          // unsafe and lost: no second send
-	f.Add([]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 11, 0, 0, 3, 0, 0, 5, 0, 0, 10, 0, 9, 12, 0, 0, 13, 0, 0, 0, 2, 0})
-	f.Add([]byte{0, 0, 1, 1, 0, 0, 0, 1, 1, 14, 0, 0, 0, 2, 1, 5, 0, 0, 0, 3, 1}) // a name that stands, is spoilt, is free
-	f.Add([]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 14, 0, 0, 15, 0, 0, 5, 0, 0})
-	f.Add([]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 20, 0, 0, 3, 0, 0, 5, 0, 7, 1, 0, 1, 2, 0, 0, 3, 0, 0})    // its client has gone, unread
-	f.Add([]byte{0, 0, 128, 1, 0, 0, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 18, 0, 0, 5, 0, 0}) // claimed, up, lapsed
-	f.Add([]byte{0, 0, 128, 6, 0, 0, 16, 0, 0, 0, 1, 128, 17, 1, 0, 0, 2, 128, 13, 0, 0, 16, 2, 0})    // left, refused, leaving
-	f.Add([]byte{0, 1, 129, 16, 1, 0, 1, 1, 0, 2, 1, 0, 3, 1, 0, 18, 1, 0, 4, 1, 0, 5, 1, 3})          // lapsed while it may run
-	f.Add([]byte{0, 0, 128, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 19, 0, 0, 5, 0, 6})                   // the server's no
-	f.Add([]byte("\x8700*00+000"))                                                                     // no attempt at a server that drains
-	f.Add([]byte("*10+10B10210"))                                                                      // a rejection of what may have run fails
-	f.Fuzz(func(t *testing.T, steps []byte) {
-		clock, wire := NewManualClock(), &side{}
-		site := &Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{}, {Idempotency: decide.NonIdempotent}}}}
-		x := NewRequestTable(site, clock, wire)
-		modes := []decide.EndpointState{decide.Ready, decide.Ready}
-		list := func() {
-			x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: modes[0]}, {ID: "b", Mode: modes[1]}})
+func (m *requestModel) over() bool { return m.state == Ended && !m.inFlight }
+
+// inSetUp tells whether the latest attempt is wanted and not established.
+func (m *requestModel) inSetUp() bool { return m.state == Attempting && !m.canceled }
+
+// answered tells whether the request needs no answer any more.
+func (m *requestModel) answered() bool { return m.state == Established || m.state == Ended }
+
+// mayReject tells whether a rejection would be true: a retry is harmless.
+func (m *requestModel) mayReject() bool {
+	return !m.nonIdempotent || !m.mayRun && !(m.inFlight && m.begun)
+}
+
+// end is the final answer, if the request needs one.
+func (m *requestModel) end(kind AnswerKind) {
+	if !m.answered() {
+		m.state, m.answer = Ended, kind
+	}
+}
+
+// modelTest plays steps to a table and to the models of its requests, of two servers and two classes, the
+// second not idempotent.
+type modelTest struct {
+	*testing.T
+	table        *RequestTable
+	clock        *Clock
+	dialer       *fakeSide
+	modes        [2]decide.EndpointState
+	models       map[int]*requestModel
+	shuttingDown bool
+}
+
+// steps are what may happen, by the number that a seed has for it.
+var steps = [...]func(w *modelTest, m *requestModel, who, arg int){
+	0:  (*modelTest).open,
+	1:  (*modelTest).startAttempt,
+	2:  (*modelTest).attach,
+	3:  (*modelTest).beginWrite,
+	4:  (*modelTest).establish,
+	5:  (*modelTest).endAttempt,
+	6:  (*modelTest).closeClient,
+	7:  (*modelTest).migrate,
+	8:  (*modelTest).decisionAnswers,
+	9:  (*modelTest).listServers,
+	10: (*modelTest).passTime,
+	11: (*modelTest).cancelAttempt,
+	12: (*modelTest).backstopFails,
+	13: (*modelTest).beginShutdown,
+	14: (*modelTest).failOnClientError,
+	15: (*modelTest).migrateClient,
+	16: (*modelTest).acquireOwnership,
+	17: (*modelTest).denyOwnership,
+	18: (*modelTest).loseOwnership,
+	19: (*modelTest).failByServer,
+	20: (*modelTest).leaveUnread,
+}
+
+// needsNoRequest tells whether a step is about no request, or a new one.
+func needsNoRequest(step int) bool { return step == 0 || step == 9 || step == 10 || step == 13 }
+
+func (w *modelTest) open(m *requestModel, who, arg int) {
+	if m != nil {
+		return
+	}
+	m = &requestModel{
+		client:        &fakeSide{},
+		deadline:      w.clock.Now() + time.Second,
+		name:          []string{"", "a", "b"}[arg%3],
+		nonIdempotent: who%2 == 1,
+	}
+	nameTaken := false
+	for _, other := range w.models {
+		nameTaken = nameTaken || m.name != "" && other.name == m.name && !other.over()
+	}
+	o := OpenRequest{Name: m.name, Class: decide.Class(who % 2), Timeout: time.Second}
+	if arg >= 128 {
+		m.lease, m.state = &fakeLease{}, AwaitingOwnership
+		o.Ownership = m.lease
+	}
+	m.request = w.table.Open(o, m.client)
+	w.models[who] = m
+	switch {
+	case nameTaken:
+		m.state, m.answer, m.name = Ended, Failed, ""
+	case w.shuttingDown:
+		m.state, m.answer = Ended, Rejected
+	}
+}
+
+func (w *modelTest) startAttempt(m *requestModel, _, arg int) {
+	before, timeout := len(w.dialer.attempts), time.Duration(arg)*time.Millisecond
+	forward := decide.Forward{ID: m.request.ID, Server: decide.ServerID(arg % 2), Timeout: timeout}
+	w.table.startAttempt(forward, nil)
+	ready := w.modes[arg%2] == decide.Ready
+	allowed := m.state == Queued && !m.inFlight && ready && m.attempts < 3 && !(m.mayRun && m.nonIdempotent)
+	if allowed != (len(w.dialer.attempts) == before+1) {
+		w.Fatalf("attempt in %+v: started %v", m, !allowed)
+	}
+	if !allowed {
+		return
+	}
+	m.state, m.server = Attempting, arg%2
+	m.inFlight, m.attached, m.canceled, m.begun = true, false, false, false
+	m.attempts++
+	m.attemptDeadline = m.deadline
+	if arg != 0 {
+		m.attemptDeadline = min(m.deadline, w.clock.Now()+timeout)
+	}
+}
+
+func (w *modelTest) attach(m *requestModel, _, _ int) {
+	if got := m.request.Attach(m.attempts-1, &fakeSide{}); got != m.inSetUp() {
+		w.Fatalf("attach in %+v: %v", m, got)
+	}
+	m.attached = m.attached || m.inSetUp()
+}
+
+func (w *modelTest) beginWrite(m *requestModel, _, _ int) {
+	inTime := w.clock.Now() < m.attemptDeadline
+	want := m.inSetUp() && w.modes[m.server] == decide.Ready && inTime && !m.client.gone
+	if got := m.request.BeginWrite(m.attempts - 1); got != want {
+		w.Fatalf("begin in %+v: %v", m, got)
+	}
+	m.begun = m.begun || want
+}
+
+func (w *modelTest) establish(m *requestModel, _, _ int) {
+	if !m.attached && m.inSetUp() { // no side says so before it has attached
+		return
+	}
+	if got := m.request.Establish(m.attempts-1) != nil; got != m.inSetUp() {
+		w.Fatalf("establish in %+v: %v", m, got)
+	}
+	if m.inSetUp() {
+		m.state, m.moving = Established, w.shuttingDown
+	}
+}
+
+func (w *modelTest) endAttempt(m *requestModel, _, arg int) {
+	status := decide.Status(arg % 8)
+	m.request.EndAttempt(m.attempts-1, status, decide.NoLoadReport)
+	if !m.inFlight {
+		return
+	}
+	m.inFlight = false
+	m.outcomes++
+	m.mayRun = m.mayRun || !status.NeverRan()
+	switch m.state {
+	case Attempting:
+		m.state = Queued
+	case Established:
+		m.state = Ended
+	}
+}
+
+func (w *modelTest) closeClient(m *requestModel, _, arg int) {
+	m.request.ClientClosed(CloseKind(arg % 2))
+	m.state = Ended
+}
+
+func (w *modelTest) leaveUnread(m *requestModel, _, _ int) { m.client.gone = true }
+
+func (w *modelTest) migrate(m *requestModel, _, _ int) {
+	w.table.migrate(m.request.ID)
+	m.moving = m.moving || m.state == Established
+}
+
+func (w *modelTest) migrateClient(m *requestModel, _, _ int) {
+	m.request.MigrateClient()
+	m.moving = m.moving || m.state == Established
+}
+
+func (w *modelTest) decisionAnswers(m *requestModel, _, arg int) {
+	kind := Rejected + AnswerKind(arg%2)
+	w.table.answer(m.request.ID, Answer{Kind: kind})
+	if kind == Rejected && !m.mayReject() {
+		kind = Failed
+	}
+	m.end(kind)
+}
+
+func (w *modelTest) backstopFails(m *requestModel, _, _ int) {
+	w.table.failOverdue(m.request.ID)
+	m.end(Failed)
+}
+
+func (w *modelTest) listServers(_ *requestModel, who, arg int) {
+	w.modes[who%2] = decide.EndpointState(arg % 3)
+	w.updateEndpoints()
+}
+
+func (w *modelTest) updateEndpoints() {
+	list := []Endpoint{{ID: "a", Mode: w.modes[0]}, {ID: "b", Mode: w.modes[1]}}
+	w.table.UpdateEndpoints(decide.Snapshot, list)
+}
+
+func (w *modelTest) passTime(_ *requestModel, _, arg int) {
+	w.clock.Set(w.clock.Now() + time.Duration(arg*4)*time.Millisecond)
+}
+
+func (w *modelTest) cancelAttempt(m *requestModel, _, _ int) {
+	w.table.cancelAttempt(m.request.ID, m.attempts-1)
+	m.canceled = m.canceled || m.state == Attempting
+}
+
+func (w *modelTest) beginShutdown(_ *requestModel, _, _ int) {
+	w.table.BeginShutdown()
+	w.shuttingDown = true
+}
+
+func (w *modelTest) failOnClientError(m *requestModel, _, _ int) {
+	if got := m.request.FailOnClientError(); got != !m.answered() {
+		w.Fatalf("client error in %+v: %v", m, got)
+	}
+	m.end(Failed)
+}
+
+func (w *modelTest) failByServer(m *requestModel, _, _ int) {
+	m.request.FailByServer(m.attempts-1, "no")
+	if m.state == Attempting {
+		m.end(Failed)
+	}
+}
+
+func (w *modelTest) acquireOwnership(m *requestModel, _, _ int) {
+	want := m.state == AwaitingOwnership && !w.shuttingDown
+	if got := m.request.OwnershipAcquired(); got != want {
+		w.Fatalf("ownership acquired in %+v: %v", m, got)
+	}
+	switch {
+	case want:
+		m.state = Queued
+	case m.state == AwaitingOwnership:
+		m.end(Rejected)
+	}
+}
+
+func (w *modelTest) denyOwnership(m *requestModel, _, _ int) {
+	m.request.OwnershipDenied(Answer{Kind: Failed})
+	if m.state == AwaitingOwnership {
+		m.end(Failed)
+	}
+}
+
+func (w *modelTest) loseOwnership(m *requestModel, _, _ int) {
+	m.request.LoseOwnership(100 * time.Millisecond)
+	m.moving = m.moving || m.state == Established
+	kind := Rejected
+	if !m.mayReject() {
+		kind = Failed
+	}
+	m.end(kind)
+}
+
+// check compares every request with its model, and counts the outcomes that the decision module was told.
+func (w *modelTest) check(step int) {
+	outcomes := map[decide.RequestID]int{}
+	for _, ev := range w.table.inbox {
+		if o, ok := ev.(decide.Outcome); ok && o.Status != decide.Superseded {
+			outcomes[o.ID]++
+		}
+	}
+	for who, m := range w.models {
+		r := m.request
+		state, answer := r.State()
+		if state != m.state || answer.Kind != m.answer || r.attempt.inFlight != m.inFlight {
+			w.Fatalf("after step %d: request %d is %v %+v, in flight %v; want %+v",
+				step, who, state, answer, r.attempt.inFlight, m)
+		}
+		if l := m.lease; l != nil && ((l.released == 1) != m.over() || l.released > l.acquired+1) {
+			w.Fatalf("request %d in %v: lease acquired %d times, released %d times",
+				who, m.state, l.acquired, l.released)
+		}
+		if m.state == AwaitingOwnership && m.inFlight {
+			w.Fatalf("request %d has an attempt in flight before its lease is acquired", who)
+		}
+		if migrating, _ := r.Migrating(); migrating != m.moving {
+			w.Fatalf("request %d: migrating %v", who, migrating)
+		}
+		if m.answered() != isClosed(r.Settled()) {
+			w.Fatalf("request %d in %v: settled is wrong", who, m.state)
+		}
+		if outcomes[r.ID] > m.outcomes {
+			w.Fatalf("request %d: %d outcomes told of %d", who, outcomes[r.ID], m.outcomes)
 		}
-		list()
-		calls := map[int]*model{}
-		leaving := false
-		for ; len(steps) >= 3; steps = steps[3:] {
-			op, who, arg := steps[0]%21, int(steps[1]%4), int(steps[2])
-			m, now := calls[who], clock.Now()
-			if m == nil && op != 0 && op != 9 && op != 10 && op != 13 {
+		if _, kept := w.table.requests.byID[r.ID]; kept == m.over() || isClosed(r.Finished()) != m.over() {
+			w.Fatalf("request %d in %v is kept: %v", who, m.state, kept)
+		}
+	}
+}
+
+// requestSeeds are what FuzzRequestsAgainstModel begins with, three bytes a step: what, to which request,
+// with what.
+var requestSeeds = []struct {
+	name  string
+	steps []byte
+}{
+	{"established, migrated, over",
+		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 7, 0, 0, 5, 0, 0}},
+	{"the server drains during the dial",
+		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 9, 0, 1, 3, 0, 0, 5, 0, 7, 1, 0, 1, 2, 0, 0}},
+	{"the client leaves in set-up",
+		[]byte{0, 0, 0, 1, 0, 0, 6, 0, 0, 5, 0, 0, 8, 0, 1, 8, 0, 0}},
+	{"not idempotent and lost: no second attempt",
+		[]byte{0, 1, 1, 1, 1, 0, 2, 1, 0, 3, 1, 0, 5, 1, 3, 1, 1, 1, 8, 1, 1}},
+	{"canceled, overdue, a shutdown",
+		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 11, 0, 0, 3, 0, 0, 5, 0, 0, 10, 0, 9, 12, 0, 0, 13, 0, 0, 0, 2, 0}},
+	{"a name that is taken, fails, is free",
+		[]byte{0, 0, 1, 1, 0, 0, 0, 1, 1, 14, 0, 0, 0, 2, 1, 5, 0, 0, 0, 3, 1}},
+	{"a client's error once established",
+		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 14, 0, 0, 15, 0, 0, 5, 0, 0}},
+	{"the client has gone, unread",
+		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 20, 0, 0, 3, 0, 0, 5, 0, 7, 1, 0, 1, 2, 0, 0, 3, 0, 0}},
+	{"ownership acquired, established, lost",
+		[]byte{0, 0, 128, 1, 0, 0, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 18, 0, 0, 5, 0, 0}},
+	{"the client left, ownership denied, a shutdown",
+		[]byte{0, 0, 128, 6, 0, 0, 16, 0, 0, 0, 1, 128, 17, 1, 0, 0, 2, 128, 13, 0, 0, 16, 2, 0}},
+	{"ownership lost while it may run",
+		[]byte{0, 1, 129, 16, 1, 0, 1, 1, 0, 2, 1, 0, 3, 1, 0, 18, 1, 0, 4, 1, 0, 5, 1, 3}},
+	{"failed by the server",
+		[]byte{0, 0, 128, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 19, 0, 0, 5, 0, 6}},
+	{"no attempt at a server that drains", []byte("\x8700*00+000")},
+	{"a rejection of what may have run fails", []byte("*10+10B10210")},
+}
+
+// FuzzRequestsAgainstModel plays random steps to a few requests and checks every one against its model: one
+// final answer, never two attempts in flight, nothing written to a server that drains, one outcome for each
+// attempt.
+func FuzzRequestsAgainstModel(f *testing.F) {
+	for _, seed := range requestSeeds {
+		f.Add(seed.steps)
+	}
+	f.Fuzz(func(t *testing.T, input []byte) {
+		class := decide.ClassInfo{Idempotency: decide.NonIdempotent}
+		table, dialer := newTestTable(decide.Settings{MaxAttempts: 3}, decide.ClassInfo{}, class)
+		w := &modelTest{
+			T:      t,
+			table:  table,
+			clock:  table.Clock,
+			dialer: dialer,
+			modes:  [2]decide.EndpointState{decide.Ready, decide.Ready},
+			models: map[int]*requestModel{},
+		}
+		w.updateEndpoints()
+		for ; len(input) >= 3; input = input[3:] {
+			step, who, arg := int(input[0])%len(steps), int(input[1]%4), int(input[2])
+			m := w.models[who]
+			if m == nil && !needsNoRequest(step) {
 				continue
 			}
-			live := m != nil && m.state == Attempting && !m.canceled
-			switch op {
-			case 0:
-				if m == nil {
-					m = &model{client: &side{}, deadline: now + time.Second, name: []string{"", "a", "b"}[arg%3]}
-					double := false
-					for _, o := range calls {
-						double = double || m.name != "" && o.name == m.name && !o.over()
-					}
-					ask := OpenRequest{Name: m.name, Class: decide.Class(who % 2), Timeout: time.Second}
-					if arg >= 128 {
-						m.claim, m.state = &claimed{}, AwaitingOwnership
-						ask.Ownership = m.claim
-					}
-					m.call = x.Open(ask, m.client)
-					if calls[who] = m; double {
-						m.state, m.answer, m.name = Ended, Failed, ""
-					} else if leaving {
-						m.state, m.answer = Ended, Rejected
-					}
-				}
-			case 1:
-				tries := len(wire.tries)
-				x.startAttempt(m.call.ID, decide.ServerID(arg%2), time.Duration(arg)*time.Millisecond, nil)
-				ready := modes[arg%2] == decide.Ready
-				allowed := m.state == Queued && !m.out && ready && m.sends < 3 && !(m.mayRun && who%2 == 1)
-				if allowed != (len(wire.tries) == tries+1) {
-					t.Fatalf("send in %+v: tried %v", m, !allowed)
-				}
-				if allowed {
-					m.state, m.out, m.attached, m.canceled, m.begun, m.to = Attempting, true, false, false, false, arg%2
-					m.sends++
-					if m.until = m.deadline; arg != 0 {
-						m.until = min(m.until, now+time.Duration(arg)*time.Millisecond)
-					}
-				}
-			case 2:
-				if got := m.call.Attach(m.sends-1, &side{}); got != live {
-					t.Fatalf("attach in %+v: %v", m, got)
-				}
-				m.attached = m.attached || live
-			case 3:
-				if got, want := m.call.BeginWrite(m.sends-1), live && modes[m.to] == decide.Ready && now < m.until && !m.client.gone; got != want {
-					t.Fatalf("begin in %+v: %v", m, got)
-				} else {
-					m.begun = m.begun || want
-				}
-			case 4:
-				if !m.attached && live { // no side says up before it has attached
-					continue
-				}
-				if got := m.call.Establish(m.sends-1) != nil; got != live {
-					t.Fatalf("up in %+v: %v", m, got)
-				}
-				if live {
-					m.state, m.moving = Established, leaving
-				}
-			case 5:
-				m.call.EndAttempt(m.sends-1, decide.Status(arg%8), decide.NoLoadReport)
-				if m.out {
-					m.outcomes++
-					m.out = false
-					status := decide.Status(arg % 8)
-					m.mayRun = m.mayRun || !status.NeverRan()
-					switch m.state {
-					case Attempting:
-						m.state = Queued
-					case Established:
-						m.state = Ended
-					}
-				}
-			case 6:
-				m.call.ClientClosed(CloseKind(arg % 2))
-				m.state = Ended
-			case 7:
-				x.migrate(m.call.ID)
-				m.moving = m.moving || m.state == Established
-			case 8, 12:
-				kind := Rejected + AnswerKind(arg%2)
-				if op == 12 {
-					kind = Failed
-					x.failOverdue(m.call.ID)
-				} else {
-					x.answer(m.call.ID, Answer{Kind: kind})
-				}
-				if kind == Rejected && who%2 == 1 && (m.mayRun || m.out && m.begun) {
-					kind = Failed
-				}
-				if m.state != Established && m.state != Ended {
-					m.state, m.answer = Ended, kind
-				}
-			case 9:
-				modes[who%2] = decide.EndpointState(arg % 3)
-				list()
-			case 10:
-				clock.Set(now + time.Duration(arg*4)*time.Millisecond)
-			case 11:
-				x.cancelAttempt(m.call.ID, m.sends-1)
-				m.canceled = m.canceled || m.state == Attempting
-			case 13:
-				x.BeginShutdown()
-				leaving = true
-			case 14:
-				want := m.state != Established && m.state != Ended
-				if got := m.call.FailOnClientError(); got != want {
-					t.Fatalf("spoil in %+v: %v", m, got)
-				}
-				if want {
-					m.state, m.answer = Ended, Failed
-				}
-			case 15:
-				m.call.MigrateClient()
-				m.moving = m.moving || m.state == Established
-			case 16:
-				want := m.state == AwaitingOwnership && !leaving
-				if got := m.call.OwnershipAcquired(); got != want {
-					t.Fatalf("claimed in %+v: %v", m, got)
-				}
-				if want {
-					m.state = Queued
-				} else if m.state == AwaitingOwnership {
-					m.state, m.answer = Ended, Rejected
-				}
-			case 17:
-				if m.call.OwnershipDenied(Answer{Kind: Failed}); m.state == AwaitingOwnership {
-					m.state, m.answer = Ended, Failed
-				}
-			case 18:
-				m.call.LoseOwnership(100 * time.Millisecond)
-				m.moving = m.moving || m.state == Established
-				if m.state != Established && m.state != Ended {
-					if m.answer = Rejected; who%2 == 1 && (m.mayRun || m.out && m.begun) {
-						m.answer = Failed
-					}
-					m.state = Ended
-				}
-			case 20:
-				m.client.gone = true
-			case 19:
-				if m.call.FailByServer(m.sends-1, "no"); m.state == Attempting {
-					m.state, m.answer = Ended, Failed
-				}
-			}
-			outcomes := map[decide.RequestID]int{}
-			for _, ev := range x.inbox {
-				if o, ok := ev.(decide.Outcome); ok && o.Status != decide.Superseded {
-					outcomes[o.ID]++
-				}
-			}
-			for who, m := range calls {
-				state, answer := m.call.State()
-				if state != m.state || answer.Kind != m.answer || m.call.attemptInFlight != m.out {
-					t.Fatalf("after step %d: request %d is %v %+v, out %v; want %+v", op, who, state, answer, m.call.attemptInFlight, m)
-				}
-				if c := m.claim; c != nil && (c.released == 1) != m.over() || c != nil && c.released > c.begun+1 {
-					t.Fatalf("request %d in %v: claim asked for %d times, released %d times", who, m.state, c.begun, c.released)
-				}
-				if m.state == AwaitingOwnership && m.out {
-					t.Fatalf("request %d has an attempt out before its claim is won", who)
-				}
-				if moving, _ := m.call.Migrating(); moving != m.moving {
-					t.Fatalf("request %d: moving %v", who, moving)
-				}
-				if (m.state == Established || m.state == Ended) != isClosed(m.call.Settled()) {
-					t.Fatalf("request %d in %v: settled is wrong", who, m.state)
-				}
-				if outcomes[m.call.ID] > m.outcomes {
-					t.Fatalf("request %d: %d outcomes told of %d", who, outcomes[m.call.ID], m.outcomes)
-				}
-				if _, kept := x.requests[m.call.ID]; kept == m.over() || isClosed(m.call.Finished()) != m.over() {
-					t.Fatalf("request %d in %v is kept: %v", who, m.state, kept)
-				}
-			}
+			steps[step](w, m, who, arg)
+			w.check(step)
 		}
 	})
 }
--- a/internal/relay/request_table_test.go
+++ b/internal/relay/request_table_test.go
@@ -7,12 +7,14 @@
 	"capersail/decide"
 )
 
-// A repeat is let go only within the window of repeats, from when the first attempt that may have run was let go: the module
-// reckons by when it wanted a send, and a dial can take up the rest. What never ran opens no window.
-func TestNoRepeatAfterItsWindow(t *testing.T) {
+// A retry is let go only within the window of its key, from when the first attempt that may have run was
+// let go: the decision module reckons by when it wanted an attempt, and a dial can take up the rest. What
+// never ran opens no window.
+func TestNoRetryAfterTheDedupWindow(t *testing.T) {
+	class := decide.ClassInfo{Idempotency: decide.IdempotentWithKey, DedupWindow: 100 * time.Millisecond}
 	for name, c := range map[string]struct {
 		first decide.Status
-		dial  time.Duration // until the second connection is up
+		dial  time.Duration // until the second connection stands
 		want  bool
 	}{
 		"inside":         {decide.Reset, 99 * time.Millisecond, true},
@@ -20,31 +22,48 @@
 		"none has run":   {decide.AtCapacity, 101 * time.Millisecond, true},
 		"none has begun": {decide.ConnectFailed, 101 * time.Millisecond, true},
 	} {
-		clock, wire := NewManualClock(), &side{}
-		x := NewRequestTable(&Deployment{Settings: decide.Settings{MaxAttempts: 3, Classes: []decide.ClassInfo{{Idempotency: decide.IdempotentWithKey, DedupWindow: Duration(100)}}}}, clock, wire)
-		x.UpdateEndpoints(decide.Snapshot, []Endpoint{{ID: "a", Mode: decide.Ready}, {ID: "b", Mode: decide.Ready}})
-		call := x.Open(OpenRequest{Timeout: 5 * time.Second}, &side{})
-		x.startAttempt(call.ID, 0, 0, nil)
-		clock.Set(clock.Now() + time.Second) // its own dial counts for nothing
-		if !call.Attach(0, &side{}) || !call.BeginWrite(0) {
-			t.Fatal("the first attempt is not let go")
-		}
-		call.EndAttempt(0, c.first, decide.NoLoadReport)
-		x.startAttempt(call.ID, 1, 0, nil)
-		clock.Set(clock.Now() + c.dial)
-		if got := call.Attach(1, &side{}) && call.BeginWrite(1); got != c.want {
-			t.Errorf("%s: let go %v", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			table, _ := newTestTable(decide.Settings{MaxAttempts: 3}, class)
+			clock := table.Clock
+			table.UpdateEndpoints(decide.Snapshot, readyEndpoints("a", "b"))
+			r := table.Open(OpenRequest{Timeout: 5 * time.Second}, &fakeSide{})
+			startFirst(table, r, 0)
+			clock.Set(clock.Now() + time.Second) // its own dial counts for nothing
+			if !r.Attach(0, &fakeSide{}) || !r.BeginWrite(0) {
+				t.Fatal("the first attempt is not let go")
+			}
+			r.EndAttempt(0, c.first, decide.NoLoadReport)
+			table.startAttempt(decide.Forward{ID: r.ID, Server: 1}, nil)
+			clock.Set(clock.Now() + c.dial)
+			if got := r.Attach(1, &fakeSide{}) && r.BeginWrite(1); got != c.want {
+				t.Errorf("let go %v", got)
+			}
+		})
 	}
 }
 
-// A relay that leaves tells a time to come again only where the settings allow one.
-func TestLeavingTellsNoTimeWhereNoneIsAllowed(t *testing.T) {
+// A relay that shuts down tells a Retry-After only where the settings allow one.
+func TestNoRetryAfterWhereTheSettingsAllowNone(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
-		x := NewRequestTable(&Deployment{Settings: decide.Settings{RetryAfter: allowed, Classes: []decide.ClassInfo{{}}}}, NewManualClock(), &side{})
-		x.BeginShutdown()
-		if _, a := x.Open(OpenRequest{Timeout: 500 * time.Millisecond}, &side{}).State(); a.Kind != Rejected || (a.RetryAfter > 0) != allowed {
+		table, _ := newTestTable(decide.Settings{RetryAfter: allowed}, decide.ClassInfo{})
+		table.BeginShutdown()
+		_, a := table.Open(OpenRequest{Timeout: 500 * time.Millisecond}, &fakeSide{}).State()
+		if a.Kind != Rejected || (a.RetryAfter > 0) != allowed {
 			t.Errorf("allowed %v: %+v", allowed, a)
 		}
 	}
 }
+
+func TestEveryEnumerationHasNames(t *testing.T) {
+	for state, name := range stateNames {
+		if name == "" || State(state).String() != name {
+			t.Errorf("state %d is called %q", state, name)
+		}
+	}
+	if s := State(len(stateNames)).String(); s != "unknown" {
+		t.Errorf("a value that is no state is called %q", s)
+	}
+	if Rejected.String() != "rejected" || AbortiveClose.String() != "abortive" {
+		t.Errorf("called %v and %v", Rejected, AbortiveClose)
+	}
+}
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -1,51 +1,49 @@
 package relay
 
 import (
-	"time"
-
 	"capersail/decide"
 	"capersail/internal/guard"
 	"capersail/internal/observe/recorder"
 )
 
-// This file holds the server side's methods of a call. Each names the attempt that it speaks for.
+// This file holds the server side's methods of a request. Each names the attempt that it speaks for, by its
+// number.
 
-// Attach makes the attempt's end known, before it dials. It is false if the attempt is wanted no more.
-func (r *Request) Attach(no int, conn ServerConn) bool {
+// Attach makes the attempt's connection known, before it is dialled. It is false if the attempt is wanted
+// no more.
+func (r *Request) Attach(attempt int, conn ServerConn) bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.state != Attempting || r.attempt.Number != no || r.canceled {
+	if !r.inSetUp(attempt) {
 		return false
 	}
-	r.serverConn = conn
+	r.attempt.conn = conn
 	return true
 }
 
-// BeginWrite is asked just before the attempt's first byte is written. It is false if the server has begun to
-// drain meanwhile (rule 3: half a second after the news nothing new may go there, and a dial can take that
-// long), if the attempt is wanted no more, if the client has gone (its side may have had no time to read that), or if
-// the time in which servers know a repeated request again is over: then nothing may be written.
-func (r *Request) BeginWrite(no int) bool {
+// BeginWrite is asked just before the attempt's first byte is written. It is false, and nothing may be
+// written, if the guard denies it: a dial takes time, and meanwhile the server may have begun to drain, the
+// client may have gone, the attempt may have been canceled, or the time in which servers recognize a retry
+// may be over.
+func (r *Request) BeginWrite(attempt int) bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	waiting := r.state == Attempting && r.attempt.Number == no && !r.canceled
-	s := r.attempt.currentServer()
-	denial := guard.MayWrite(r.table.Clock.Now(), r.attempt.Deadline, r.guardFacts(waiting), s.guardStatus(), &r.table.endpointLease, waiting && r.clientConn.HasUnread())
-	if denial != guard.Allowed {
-		r.recordDenial(denial, s)
+	if denial := r.mayWrite(attempt); denial != guard.Allowed {
+		r.recordDenial(denial, r.attempt.currentServer())
 		return false
 	}
-	r.mayHaveWritten, r.wroteAt = true, r.table.Clock.Now()
-	r.table.counters.increment(r.table.counters.attempts, r.Class)
+	r.attempt.mayHaveWritten = true
+	r.attempt.wroteAt = r.table.Clock.Now()
+	r.table.counters.of(r.Class).Attempts++
 	return true
 }
 
-// HandshakeClient is the client's end for a front whose set-up is a conversation, once the attempt has begun; nil
-// if the attempt is wanted no more.
-func (r *Request) HandshakeClient(no int) ClientConn {
+// HandshakeClient returns the client's end for a front whose set-up is a conversation, once the attempt has
+// begun; nil if the attempt is wanted no more.
+func (r *Request) HandshakeClient(attempt int) ClientConn {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.state != Attempting || r.attempt.Number != no || r.canceled {
+	if !r.inSetUp(attempt) {
 		return nil
 	}
 	return r.clientConn
@@ -55,17 +53,17 @@
 func (r *Request) WakeServerSide() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.serverConn != nil && r.attemptInFlight {
-		r.serverConn.Wake()
+	if r.attempt.conn != nil && r.attempt.inFlight {
+		r.attempt.conn.Wake()
 	}
 }
 
-// FailByServer gives the call its final answer from the server's side: the server will never take it, and no other
-// server would. The attempt is to be ended as usual.
-func (r *Request) FailByServer(no int, note string) {
+// FailByServer gives the request its final answer from the server's side: the server will never take it,
+// and no other server would. The attempt is to be ended as usual.
+func (r *Request) FailByServer(attempt int, note string) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.state == Attempting && r.attempt.Number == no {
+	if r.state == Attempting && r.attempt.Number == attempt {
 		r.failWithNote(note)
 	}
 }
@@ -77,26 +75,21 @@
 	return r.attempt.currentServer().mode != decide.Ready
 }
 
-// Establish says that the server has taken the connection. It returns the client's end, or nil if the client
-// has left meanwhile; then the attempt is to be ended.
-func (r *Request) Establish(no int) ClientConn {
+// Establish says that the server has taken the connection. It returns the client's end, or nil if the
+// attempt is wanted no more; then it is to be ended.
+func (r *Request) Establish(attempt int) ClientConn {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.state != Attempting || r.attempt.Number != no || r.canceled {
+	if !r.inSetUp(attempt) {
 		return nil
 	}
-	r.state, r.wasEstablished = Established, true
+	r.state = Established
+	r.established.reached = true
 	close(r.settled)
-	r.table.counters.increment(r.table.counters.established, r.Class)
-	if r.resumed {
-		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.attempt.Server.Number})
-	} else {
-		r.table.post(decide.Opened{ID: r.ID, Attempt: no, Server: r.attempt.Server.Number,
-			SetupLatency: (r.table.Clock.Now() - r.attempt.StartedAt).Round(time.Microsecond)})
-	}
+	r.table.counters.of(r.Class).Established++
+	r.postEstablished()
 	if r.table.Recorder != nil {
-		r.table.Recorder.Put(&recorder.Record{At: Millis(r.table.Clock.Now()), Kind: recorder.ConnectionUp, Request: uint64(r.ID), Server: int32(r.attempt.Server.Number),
-			Elapsed: Millis(r.table.Clock.Now() - r.attempt.StartedAt), Attempt: uint8(min(no, 255))})
+		r.recordEstablished()
 	}
 	if r.table.rejecting() {
 		r.migrate(recorder.Shutdown)
@@ -104,38 +97,63 @@
 	return r.clientConn
 }
 
-// ServerClosed says that the server has ended its connection. It comes before the client's is closed: that makes the
-// client's goroutine say that the client has left, and the one to blame would be the wrong one.
+// postEstablished tells the decision module that a request is established, and of one that was resumed all
+// else too. The caller holds the lock.
+func (r *Request) postEstablished() {
+	if r.resumed {
+		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.attempt.Server.Number})
+		return
+	}
+	r.table.post(decide.Opened{
+		ID:           r.ID,
+		Attempt:      r.attempt.Number,
+		Server:       r.attempt.Server.Number,
+		SetupLatency: (r.table.Clock.Now() - r.attempt.StartedAt).Round(decisionPrecision),
+	})
+}
+
+// ServerClosed says that the server has ended its connection. It comes before the client's is closed: that
+// makes the client's goroutine say that the client has left, and the one to blame would be the wrong one.
 func (r *Request) ServerClosed() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	r.serverClosed = r.state == Established
+	r.established.serverClosed = r.state == Established
 }
 
-// Migrating tells whether the client is to be sent away, and whether that is because the server is silent.
-func (r *Request) Migrating() (moving, silent bool) {
+// Migrating tells whether the client is to be sent to another server, and whether that is because its
+// server is silent.
+func (r *Request) Migrating() (migrating, serverSilent bool) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	return r.migrating, r.serverSilent
+	return r.established.migrating, r.established.serverSilent
 }
 
-// EndAttempt ends the attempt, exactly once, after its connection has been closed. Before the call is up it goes
-// back to the module; after that it is the end of the call.
-func (r *Request) EndAttempt(no int, status decide.Status, report decide.LoadReport) {
+// ReportLoad says that the server has told the connection's load, in microseconds of work a second.
+func (r *Request) ReportLoad(load float64) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if !r.attemptInFlight || r.attempt.Number != no {
+	r.table.post(decide.ConnectionLoad{ID: r.ID, Server: r.attempt.Server.Number, Load: load / 1e6})
+}
+
+// EndAttempt ends the attempt, exactly once, after its connection has been closed. A request that was not
+// established goes back to the decision module; for one that was, it is the end.
+func (r *Request) EndAttempt(attempt int, status decide.Status, report decide.LoadReport) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if !r.attempt.inFlight || r.attempt.Number != attempt {
 		return
 	}
-	r.attemptInFlight = false
+	r.attempt.inFlight = false
 	if r.table.Recorder != nil {
 		r.recordAttemptEnd(status, report)
 	}
-	if (r.canceled || r.state == Ended) && !status.NeverRan() { // whatever else it met, it was called off
+	// Whatever else it met, one that was called off counts as that.
+	if (r.attempt.canceled || r.state == Ended) && !status.NeverRan() {
 		status = decide.Cancelled
 	}
-	if !r.mayHaveRun && !status.NeverRan() {
-		r.mayHaveRun, r.mayHaveRunAt, r.mayHaveRunOn = true, r.wroteAt, r.attempt.currentServer().location()
+	if !r.mayHaveRun.happened && !status.NeverRan() {
+		on := r.attempt.currentServer().location()
+		r.mayHaveRun = possibleRun{happened: true, at: r.attempt.wroteAt, on: on}
 	}
 	switch r.state {
 	case Attempting:
@@ -143,21 +161,26 @@
 	case Established:
 		r.state = Ended
 	}
-	if r.resumed && r.state == Queued { // the module does not know it yet
+	if r.resumed && r.state == Queued { // the decision module does not know it yet
 		r.answerFinally(Answer{Kind: Failed, Cause: status})
 		return
 	}
 	if r.state == Queued {
 		r.answer.Cause = status
 	}
-	r.table.post(decide.Outcome{ID: r.ID, Attempt: no, Server: r.attempt.Server.Number, Status: status, Report: report,
-		Elapsed: (r.table.Clock.Now() - r.attempt.StartedAt).Round(time.Microsecond), Closed: r.state == Ended})
+	r.postOutcome(status, report)
 	r.removeIfDone()
 }
 
-// ReportLoad says that the server has told the connection's load, in microseconds of work a second.
-func (r *Request) ReportLoad(x float64) {
-	r.table.mu.Lock()
-	defer r.table.mu.Unlock()
-	r.table.post(decide.ConnectionLoad{ID: r.ID, Server: r.attempt.Server.Number, Load: x / 1e6})
+// postOutcome tells the decision module how the latest attempt ended. The caller holds the lock.
+func (r *Request) postOutcome(status decide.Status, report decide.LoadReport) {
+	r.table.post(decide.Outcome{
+		ID:      r.ID,
+		Attempt: r.attempt.Number,
+		Server:  r.attempt.Server.Number,
+		Status:  status,
+		Elapsed: (r.table.Clock.Now() - r.attempt.StartedAt).Round(decisionPrecision),
+		Closed:  r.state == Ended,
+		Report:  report,
+	})
 }
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -9,9 +9,11 @@
 	"capersail/internal/fleet/probing"
 )
 
-// Peers is the other relays, as those who probe servers by turns need them. None of its methods may block.
+// Peers is the other relays, as those who probe servers for each other need them. None of its methods may
+// block.
 type Peers interface {
-	// Participants are who takes part, this relay too, and this relay's incarnation; nobody before any view is agreed.
+	// Participants returns who takes part, this relay too, and this relay's incarnation; nobody before any
+	// view is agreed.
 	Participants() (relays []probing.Relay, incarnation uint64)
 	// SendReadings passes readings on to one of them.
 	SendReadings(to string, readings []probing.Reading)
@@ -20,36 +22,53 @@
 }
 
 const (
-	participantsInterval = 100 * time.Millisecond // between two checks of who takes part
-	stepInterval         = 25 * time.Millisecond  // between two steps of the scheduler
-	reportInterval       = time.Second
-	maxQueuedEvents      = 256 // batches of peers' readings that wait for the core loop; more are dropped
+	// participantsInterval is how often it is checked who takes part.
+	participantsInterval = 100 * time.Millisecond
+	// stepInterval is how often the scheduler looks whose turn it is to probe.
+	stepInterval = 25 * time.Millisecond
+	// reportInterval is how often Report is made anew.
+	reportInterval = time.Second
+	// maxQueuedEvents bounds the batches of peers' readings that wait for the event loop; more are dropped.
+	maxQueuedEvents = 256
 )
 
-// SharedProbing lets a relay probe servers by turns with its peers. It is the core loop's; other goroutines call Hear and Report.
+// SharedProbing lets a relay and its peers probe servers for each other, by assignment. It is the event
+// loop's; other goroutines call Receive and Report only.
 type SharedProbing struct {
-	peers                 Peers
-	table                 *RequestTable
-	scheduler             *probing.Scheduler
-	actions               []probing.Action
-	outbox                []probing.Action // what is to be sent once the fleet is released
-	participantsStamp     uint64           // of the participants and the list that the scheduler has
-	steppedAt             time.Duration
+	peers        Peers
+	table        *RequestTable
+	scheduler    *probing.Scheduler
+	onQuarantine func(name string)
+
+	queued atomic.Int64 // batches of peers' readings in the inbox
+	report atomic.Pointer[probing.Report]
+
+	actions   []probing.Action  // scratch of stepScheduler
+	outbox    []probing.Action  // what is to be sent once the fleet's status is unlocked
+	serverIDs map[uint64]string // by ServerKey
+
+	participantsStamp     uint64 // of the participants and the servers that the scheduler has
+	assignmentPending     bool   // an assignment is being made
 	participantsCheckedAt time.Duration
+	steppedAt             time.Duration
 	reportedAt            time.Duration
-	assignmentPending     bool // a table is being made
-	serverIDs             map[uint64]string
-	queued                atomic.Int64
-	report                atomic.Pointer[probing.Report]
-	onQuarantine          func(name string)
 }
 
-// NewSharedProbing returns what is to be put into a Core and told to the peers. onQuarantine is told when a relay's readings are left out.
-func NewSharedProbing(table *RequestTable, relay string, seed uint64, peers Peers, onQuarantine func(name string)) *SharedProbing {
-	return &SharedProbing{peers: peers, table: table, scheduler: probing.New(relay, seed), onQuarantine: onQuarantine, serverIDs: map[uint64]string{}}
+// NewSharedProbing returns what is to be put into an EventLoop and told to the peers. onQuarantine is
+// called when a relay's readings are left out.
+func NewSharedProbing(
+	table *RequestTable, relay string, seed uint64, peers Peers, onQuarantine func(name string),
+) *SharedProbing {
+	return &SharedProbing{
+		peers:        peers,
+		table:        table,
+		scheduler:    probing.New(relay, seed),
+		onQuarantine: onQuarantine,
+		serverIDs:    map[uint64]string{},
+	}
 }
 
-// The core loop's inbox has the module's events; these two are the loop's own, on their way through it.
+// The inbox has the decision module's events; these two are the event loop's own, on their way through it.
 type (
 	peerEvent struct {
 		decide.PeerMessage
@@ -62,7 +81,7 @@
 	}
 )
 
-// Receive takes what a peer has passed on: a probing.ReadingsReceived or PlacementsReceived.
+// Receive takes what a peer has passed on: probing.ReadingsReceived or probing.PlacementsReceived.
 func (s *SharedProbing) Receive(ev probing.Event) {
 	if s.queued.Add(1) > maxQueuedEvents {
 		s.queued.Add(-1)
@@ -73,7 +92,8 @@
 	s.table.post(peerEvent{event: ev})
 }
 
-// Report is what was known within the last second; false before anything was.
+// Report returns what was known within the last reportInterval; false before anything was, or of a nil
+// SharedProbing.
 func (s *SharedProbing) Report() (probing.Report, bool) {
 	if s == nil {
 		return probing.Report{}, false
@@ -84,8 +104,9 @@
 	return probing.Report{}, false
 }
 
-// updateParticipants checks who takes part and which servers there are. A table of 1,000 relays and 5,000 servers takes 0.2 s, so it is
-// made beside the loop.
+// updateParticipants checks who takes part and which servers there are. The assignment of a large fleet
+// takes longer than a tick, so it is made beside the event loop, one at a time; it comes back through the
+// inbox.
 func (s *SharedProbing) updateParticipants(now time.Duration) {
 	if s.assignmentPending || now < s.participantsCheckedAt+participantsInterval {
 		return
@@ -99,14 +120,19 @@
 	}
 	s.participantsStamp, s.assignmentPending = stamp, true
 	go func() {
-		table := probing.Assign(relays, servers)
+		changed := probing.ParticipantsChanged{
+			Relays:      relays,
+			Incarnation: incarnation,
+			Servers:     servers,
+			Assignment:  probing.Assign(relays, servers),
+		}
 		s.table.mu.Lock()
 		defer s.table.mu.Unlock()
-		s.table.post(participantsEvent{ParticipantsChanged: probing.ParticipantsChanged{Relays: relays, Incarnation: incarnation, Servers: servers, Assignment: table}, serverIDs: ids})
+		s.table.post(participantsEvent{ParticipantsChanged: changed, serverIDs: ids})
 	}()
 }
 
-// fingerprint tells one set of participants and servers from another.
+// fingerprint tells one set of participants and servers from another. It is never 0.
 func fingerprint(relays []probing.Relay, incarnation uint64, servers []probing.Server) uint64 {
 	h := fnv.New64a()
 	number := func(n uint64) {
@@ -128,7 +154,8 @@
 	return h.Sum64() | 1
 }
 
-// unixMillis turns a server's start into Unix time in milliseconds, 0 for long ago, as relays tell each other.
+// unixMillis turns a server's start into Unix time in milliseconds, 0 for long ago, as relays tell each
+// other.
 func unixMillis(at time.Time) int64 {
 	if at.IsZero() {
 		return 0
@@ -136,81 +163,23 @@
 	return at.UnixMilli()
 }
 
-// readyServers are the servers that new connections may go to.
-func (t *RequestTable) readyServers() (out []probing.Server, ids map[uint64]string) {
+// readyServers returns the servers that new connections may go to, and their ids by ServerKey.
+func (t *RequestTable) readyServers() (servers []probing.Server, ids map[uint64]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ids = make(map[uint64]string, len(t.endpoints.servers))
 	for _, s := range t.endpoints.servers {
-		if s.mode == decide.Ready {
-			key := ServerKey(s.ID)
-			out = append(out, probing.Server{Key: key, Zone: s.zone, Started: unixMillis(s.startedWall)})
-			ids[key] = s.ID
-		}
-	}
-	return out, ids
-}
-
-// routeProbingEvent gives the scheduler what of the inbox is its own, and tells whether the module is to have it too.
-func (l *EventLoop) routeProbingEvent(now time.Duration, ev decide.Event) (modules bool) {
-	switch e := ev.(type) {
-	case peerEvent:
-		l.SharedProbing.queued.Add(-1)
-		l.stepScheduler(now, e.event)
-		return false
-	case participantsEvent:
-		l.SharedProbing.assignmentPending, l.SharedProbing.serverIDs = false, e.serverIDs
-		l.stepScheduler(now, e.ParticipantsChanged)
-		return false
-	case decide.Outcome:
-		l.stepScheduler(now, probing.LocalPlacement{ServerKey: l.serverKey(e.Server), Delta: -1})
-	case decide.ProbeResult:
-		if e.Status == decide.OK {
-			load := probing.LoadReport{Load: e.Report.Load, Inflight: e.Report.InFlight, Errors: e.Report.ErrorsPerSecond, Busy: e.Report.CPUUtilization}
-			l.stepScheduler(now, probing.OwnReading{ServerKey: l.serverKey(e.Server), LoadReport: load})
+		if s.mode != decide.Ready {
+			continue
 		}
+		key := ServerKey(s.ID)
+		servers = append(servers, probing.Server{Key: key, Zone: s.zone, Started: unixMillis(s.startedWall)})
+		ids[key] = s.ID
 	}
-	return true
+	return servers, ids
 }
 
-func (l *EventLoop) serverKey(id decide.ServerID) uint64 {
-	l.table.mu.Lock()
-	defer l.table.mu.Unlock()
-	return ServerKey(l.table.endpoints.servers[id].ID)
-}
-
-// stepScheduler lets the scheduler act. What goes to peers waits until the fleet is released.
-func (l *EventLoop) stepScheduler(now time.Duration, ev probing.Event) {
-	s := l.SharedProbing
-	s.actions = s.scheduler.Handle(Millis(now), ev, s.actions[:0])
-	for _, a := range s.actions {
-		switch a := a.(type) {
-		case probing.Probe:
-			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				l.probe(id)
-			}
-		case probing.UseReading:
-			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				load := a.Reading.LoadReport
-				if l.table.Recorder != nil {
-					l.table.recordPeerReading(id, Duration(a.Age), max(load.Load, load.Busy))
-				}
-				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age),
-					Report: decide.LoadReport{Load: load.Load, InFlight: load.Inflight, ErrorsPerSecond: load.Errors, CPUUtilization: load.Busy}})
-			}
-		case probing.PeerPlacement:
-			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.Delta})
-			}
-		case probing.Quarantine:
-			s.onQuarantine(a.Name)
-		default:
-			s.outbox = append(s.outbox, a)
-		}
-	}
-}
-
-// readyServer is a server's number, while it is listed and ready.
+// readyServer returns a server's number, while it is listed and ready.
 func (t *RequestTable) readyServer(id string) (decide.ServerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -221,33 +190,21 @@
 	return s.Number, true
 }
 
-// stepSchedulerIfDue lets the scheduler see whose turn it is, and returns how long until the next step.
-func (l *EventLoop) stepSchedulerIfDue(now time.Duration) time.Duration {
-	s := l.SharedProbing
-	if now >= s.steppedAt+stepInterval {
-		s.steppedAt = now
-		s.applyCorroborationFault()
-		l.stepScheduler(now, probing.Tick{})
-	}
-	if now >= s.reportedAt+reportInterval {
-		s.reportedAt = now
-		r := s.scheduler.Report(Millis(now))
-		for i := range r.Servers {
-			r.Servers[i].ID = s.serverIDs[r.Servers[i].ServerKey]
-		}
-		s.report.Store(&r)
-	}
-	return max(s.steppedAt+stepInterval-now, 0)
+// serverKey returns the ServerKey of a server by its number.
+func (t *RequestTable) serverKey(id decide.ServerID) uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return ServerKey(t.endpoints.servers[id].ID)
 }
 
 // sendOutbox passes on what the scheduler wants passed on.
 func (s *SharedProbing) sendOutbox() {
-	for _, a := range s.outbox {
-		switch t := a.(type) {
+	for _, action := range s.outbox {
+		switch a := action.(type) {
 		case probing.SendReadings:
-			s.peers.SendReadings(t.To, t.Readings)
+			s.peers.SendReadings(a.To, a.Readings)
 		case probing.SendPlacements:
-			s.peers.SendPlacements(t.To, t.Rows)
+			s.peers.SendPlacements(a.To, a.Rows)
 		}
 	}
 	s.outbox = s.outbox[:0]
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -1,40 +1,44 @@
 package relay
 
-import (
-	"capersail/internal/guard"
-	"capersail/internal/observe/recorder"
-)
+import "capersail/internal/observe/recorder"
 
-// This file holds what a relay does with its calls as it leaves.
-
-// BeginShutdown makes the relay leave: what comes is refused, what comes up is moved at once.
+// BeginShutdown begins a graceful shutdown, for good: new requests are rejected, and a client is migrated
+// as soon as its request is established.
 func (t *RequestTable) BeginShutdown() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.shuttingDown = true
 }
 
-// MigrateSome moves up to n open calls and returns how many calls there still are.
+// ShuttingDown tells whether a graceful shutdown has begun.
+func (t *RequestTable) ShuttingDown() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.shuttingDown
+}
+
+// MigrateSome migrates up to n established clients and returns how many requests some side is not done with.
 func (t *RequestTable) MigrateSome(n int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range t.requests {
-		if n > 0 && r.state == Established && !r.migrating {
+	for _, r := range t.requests.byID {
+		if n > 0 && r.state == Established && !r.established.migrating {
 			r.migrate(recorder.Shutdown)
 			n--
 		}
 	}
-	return len(t.requests)
+	return len(t.requests.byID)
 }
 
-// AnswerAllPending gives every call that has none its final answer, at the end of a relay's life. A refusal says
-// that trying again is harmless, so it is no answer to what may have run and must not run twice.
+// AnswerAllPending gives every request that has none its final answer, at the end of a relay's life. A
+// rejection promises that a retry is harmless, so it is no answer to what may have run and must not run
+// twice: that fails.
 func (t *RequestTable) AnswerAllPending() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range t.requests {
+	for _, r := range t.requests.byID {
 		kind := Rejected
-		if guard.MayReject(r.guardFacts(true)) != guard.Allowed {
+		if !r.mayReject() {
 			kind = Failed
 		}
 		r.answerFinally(Answer{Kind: kind, decidedBy: recorder.Shutdown})
--- a/internal/relay/silent_servers.go
+++ b/internal/relay/silent_servers.go
@@ -7,66 +7,83 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file finds connections whose server brings nothing back.
+// This file follows how long servers take to answer lines, and finds those that bring nothing back.
 
 const (
-	slowMessageAfter = 500 * time.Millisecond  // an unanswered line is told to the module as a slow message after this
-	silentAfter      = 4500 * time.Millisecond // and its connection is taken for silent: at 7 s it would be lost
+	// slowMessageAfter is when an unanswered line counts as a slow message where no class has an objective.
+	slowMessageAfter = 500 * time.Millisecond
+	// silentAfter is when the server of an unanswered line counts as silent: at 7 s its connection would be
+	// lost.
+	silentAfter = 4500 * time.Millisecond
+	// delayNoteInterval is how often at most the decision module is told of slow messages at one server.
+	delayNoteInterval = time.Second
 )
 
-// LineSent says that a line went to the server; see Heard.
+// LineSent says that a line went to the server; see LineReceived.
 func (r *Request) LineSent() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.unansweredSince == 0 {
-		r.unansweredSince = r.table.Clock.Now()
+	if r.established.unansweredSince == 0 {
+		r.established.unansweredSince = r.table.Clock.Now()
 	}
 }
 
-// LineReceived says that a line came back from the server. What the oldest unanswered line waited for it is the
-// time a message takes there now; the module is told when that is over a third of the shortest aim (where no
-// class has one, over lateAfter), and at most once a second for each server.
+// LineReceived says that a line came back from the server. What the oldest unanswered line waited for it is
+// the time that a message takes there now.
 func (r *Request) LineReceived() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.unansweredSince != 0 {
-		r.noteDelay(r.table.Clock.Now() - r.unansweredSince)
-		r.unansweredSince = 0
+	if r.established.unansweredSince != 0 {
+		r.noteMessageDelay(r.table.Clock.Now() - r.established.unansweredSince)
+		r.established.unansweredSince = 0
 	}
 }
 
-func (r *Request) noteDelay(delay time.Duration) {
-	least := slowMessageAfter
-	for _, class := range r.table.deployment.Settings.Classes {
-		if class.MessageLatencyObjective > 0 {
-			least = min(least, class.MessageLatencyObjective/3)
-		}
-	}
+// noteMessageDelay tells the decision module of a message that took, or takes already, over a third of the
+// shortest objective. The caller holds the lock.
+func (r *Request) noteMessageDelay(delay time.Duration) {
 	now, s := r.table.Clock.Now(), r.attempt.currentServer()
-	if delay > least && now-s.delayNotedAt >= time.Second {
-		s.delayNotedAt = now
-		if r.table.Recorder != nil {
-			r.table.Recorder.Put(&recorder.Record{At: Millis(now), Kind: recorder.MessageDelayed, Request: uint64(r.ID), Server: int32(s.Number), Elapsed: Millis(delay)})
+	if delay <= r.table.deployment.slowMessageThreshold() || now-s.delayNotedAt < delayNoteInterval {
+		return
+	}
+	s.delayNotedAt = now
+	if r.table.Recorder != nil {
+		r.recordMessageDelay(now, delay)
+	}
+	r.table.post(decide.MessageDelay{ID: r.ID, Server: s.Number, Delay: delay.Round(decisionPrecision)})
+}
+
+// slowMessageThreshold returns what a message may take that is not slow: a third of the shortest objective.
+func (d *Deployment) slowMessageThreshold() time.Duration {
+	threshold := slowMessageAfter
+	for _, class := range d.Settings.Classes {
+		if class.MessageLatencyObjective > 0 {
+			threshold = min(threshold, class.MessageLatencyObjective/3)
 		}
-		r.table.post(decide.MessageDelay{ID: r.ID, Server: s.Number, Delay: delay.Round(time.Microsecond)})
 	}
+	return threshold
 }
 
-// sweepSilentServers looks for connections whose server brings nothing back. TCP says nothing when a machine vanishes,
-// so the lines that came without an answer are all there is to go by.
-func (t *RequestTable) sweepSilentServers() {
+// sweep looks for connections whose server brings nothing back. TCP says nothing when a machine vanishes,
+// so the lines without an answer are all there is to go by. It also notices that the process was stopped,
+// and that the lease of the endpoint list has expired.
+func (t *RequestTable) sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.noticeProcessStop(t.Clock.Now())
-	t.checkEndpointLease()
 	now := t.Clock.Now()
-	for _, r := range t.requests {
-		if r.state != Established || r.unansweredSince == 0 || now-r.unansweredSince < slowMessageAfter {
+	t.noticeProcessStop(now)
+	t.checkEndpointLease()
+	for _, r := range t.requests.byID {
+		if r.state != Established || r.established.unansweredSince == 0 {
+			continue
+		}
+		waited := now - r.established.unansweredSince
+		if waited < slowMessageAfter {
 			continue
 		}
-		r.noteDelay(now - r.unansweredSince)
-		if now-r.unansweredSince >= silentAfter {
-			r.serverSilent = true
+		r.noteMessageDelay(waited)
+		if waited >= silentAfter {
+			r.established.serverSilent = true
 			r.migrate(recorder.ServerSilent)
 		}
 	}
--- a/internal/relay/silent_servers_test.go
+++ b/internal/relay/silent_servers_test.go
@@ -7,36 +7,47 @@
 	"capersail/internal/observe/recorder"
 )
 
-// Where no class has an aim for messages, one that comes back soon is not told as slow, and one that nothing comes back for is.
-func TestSlowMessagesWithoutAnAim(t *testing.T) {
-	c, _, clock := bench(t)
-	c.table.deployment.Settings.Classes[0].MessageLatencyObjective = 0
-	c.table.Recorder = recorder.New(100)
-	call := c.table.Open(OpenRequest{Timeout: time.Second}, &side{})
-	advance(c, clock, 20*time.Millisecond)
-	call.Attach(0, &side{})
-	call.BeginWrite(0)
-	call.Establish(0)
+// A line that nothing comes back for tells of a silent server; at 7 s the connection would be lost.
+func TestAClientIsMigratedOffASilentServer(t *testing.T) {
+	l := newLoopTest(t)
+	r := open(l.table, 0)
+	l.advance(20 * time.Millisecond)
+	server := establish(r)
+	l.exchangeLines(r)
+	if migrating, _ := r.Migrating(); migrating {
+		t.Fatal("migrated off a sound server")
+	}
+	r.LineSent()
+	l.advance(silentAfter + sweepInterval + 5*time.Millisecond)
+	if migrating, silent := r.Migrating(); !migrating || !silent || server.woken == 0 {
+		t.Fatalf("migrating %v, silent %v, woken %d times", migrating, silent, server.woken)
+	}
+}
+
+// Where no class has an objective for messages, one that comes back soon is not slow, and one that nothing
+// comes back for is.
+func TestSlowMessagesWithoutAnObjective(t *testing.T) {
+	l := newLoopTest(t)
+	l.table.deployment.Settings.Classes[0].MessageLatencyObjective = 0
+	l.table.Recorder = recorder.New(100)
+	r := open(l.table, 0)
+	l.advance(20 * time.Millisecond)
+	establish(r)
 	slow := func() (n int) {
-		for _, r := range c.table.Recorder.TakeAll(nil) {
-			if r.Kind == recorder.MessageDelayed {
+		for _, rec := range l.table.Recorder.TakeAll(nil) {
+			if rec.Kind == recorder.MessageDelayed {
 				n++
 			}
 		}
 		return n
 	}
-	for range 3 {
-		call.LineSent()
-		advance(c, clock, 5*time.Millisecond)
-		call.LineReceived()
-		advance(c, clock, 2000*time.Millisecond)
-	}
+	l.exchangeLines(r)
 	if n := slow(); n > 0 {
-		t.Errorf("%d messages of 5 ms are told as slow", n)
+		t.Errorf("%d messages of 5 ms count as slow", n)
 	}
-	call.LineSent()
-	advance(c, clock, slowMessageAfter+sweepInterval+5*time.Millisecond)
+	r.LineSent()
+	l.advance(slowMessageAfter + sweepInterval + 5*time.Millisecond)
 	if slow() == 0 {
-		t.Error("a line that nothing came back for is not told")
+		t.Error("a line that nothing came back for does not count as slow")
 	}
 }
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -7,34 +7,59 @@
 	"capersail/decide"
 )
 
-// timer is a moment at which the module wants an alarm, or the backstop looks at a request.
+// timer is an instant at which the decision module wants to be woken, or the backstop looks at a request.
 type timer struct {
 	dueAt   time.Duration
-	order   uint64 // those due at once go off in the order they were set
-	token   uint64
-	request decide.RequestID
+	order   uint64           // those due at once fire in the order in which they were set
+	token   uint64           // of the decision module
+	request decide.RequestID // for the backstop, 0 if the timer is the decision module's
 }
 
-type timers struct {
-	entries   []timer
+// timerQueue fires timers in the order of their instants.
+type timerQueue struct {
+	heap      timerHeap
 	lastOrder uint64
 }
 
-func (t *timers) Len() int { return len(t.entries) }
-func (t *timers) Less(i, j int) bool {
-	a, b := t.entries[i], t.entries[j]
-	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.order < b.order
+// set adds a timer.
+func (q *timerQueue) set(t timer) {
+	q.lastOrder++
+	t.order = q.lastOrder
+	heap.Push(&q.heap, t)
 }
-func (t *timers) Swap(i, j int) { t.entries[i], t.entries[j] = t.entries[j], t.entries[i] }
-func (t *timers) Push(x any)    { t.entries = append(t.entries, x.(timer)) }
-func (t *timers) Pop() any {
-	last := t.entries[len(t.entries)-1]
-	t.entries = t.entries[:len(t.entries)-1]
-	return last
+
+// takeDue removes the first timer and returns it, false if none is due.
+func (q *timerQueue) takeDue(now time.Duration) (timer, bool) {
+	if len(q.heap) == 0 || q.heap[0].dueAt > now {
+		return timer{}, false
+	}
+	return heap.Pop(&q.heap).(timer), true
 }
 
-func (t *timers) set(x timer) {
-	t.lastOrder++
-	x.order = t.lastOrder
-	heap.Push(t, x)
+// nextAt returns when the first timer is due, false if there is none.
+func (q *timerQueue) nextAt() (time.Duration, bool) {
+	if len(q.heap) == 0 {
+		return 0, false
+	}
+	return q.heap[0].dueAt, true
+}
+
+// timerHeap is a heap.Interface.
+type timerHeap []timer
+
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool {
+	a, b := h[i], h[j]
+	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.order < b.order
+}
+
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+
+func (h *timerHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
 }
