--- a/internal/testing/cluster/soak_test.go
+++ b/internal/testing/cluster/soak_test.go
@@ -338,7 +338,7 @@
 		t.Error(text)
 	}
 	for _, r := range s.Relays {
-		if text := r.Log(); strings.Contains(text, "a rule is broken") || strings.Contains(text, "panic") {
+		if text := r.Log(); strings.Contains(text, "invariant violated") || strings.Contains(text, "panic") {
 			t.Errorf("%s counts a violation of its own", r.Name)
 		}
 	}
