--- a/internal/lifecycle/timeline.go
+++ b/internal/lifecycle/timeline.go
@@ -83,7 +83,8 @@
 				stores = append(stores, one)
 				c.Store = one
 			}
-			w := watch.New(c, s.requests, log)
+			w := watch.New(c, s.requests, s.clock, log)
+			s.requests.Recorder = w.Recorder
 			watchers = append(watchers, w)
 			s.changeListeners = append(s.changeListeners, func(m membership.Changed) { w.Note(m.Name, m.State, m.Cause) })
 		},
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -26,7 +26,8 @@
 	const servers = 200
 	clock := relay.NewManualClock()
 	x := relay.NewRequestTable(&relay.Deployment{}, clock, nil)
-	w := New(Config{Buffer: 1 << 15, Limits: timeline.DefaultLimits(), Most: servers}, x, zerolog.Nop())
+	w := New(Config{Buffer: 1 << 15, Limits: timeline.DefaultLimits(), Most: servers}, x, clock, zerolog.Nop())
+	x.Recorder = w.Recorder
 	var list []relay.Endpoint
 	for i := range servers {
 		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Mode: decide.Ready})
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -17,7 +17,6 @@
 	"capersail/internal/observe/recorder"
 	"capersail/internal/observe/report"
 	"capersail/internal/observe/timeline"
-	"capersail/internal/relay"
 	"capersail/internal/store"
 )
 
@@ -29,6 +28,21 @@
 	followers  = 16
 )
 
+// ServerNames tells the ids of the servers that records name by number; a relay.RequestTable does.
+type ServerNames interface {
+	// ServerIDs appends the ids of the servers from a number on, in the order of their numbers.
+	ServerIDs(from int, out []string) []string
+}
+
+// Clock is the clock of the records, in milliseconds; a relay.Clock is one.
+type Clock interface {
+	NowMillis() float64
+	// UnixMillis turns an instant of the clock into Unix time.
+	UnixMillis(ms float64) float64
+	// AfterMillis returns a channel that gets the time once ms have passed.
+	AfterMillis(ms float64) <-chan time.Time
+}
+
 // Config says what is kept.
 type Config struct {
 	Relay  string
@@ -41,8 +55,12 @@
 // Watcher is one relay's.
 type Watcher struct {
 	Config
-	x   *relay.RequestTable
-	log zerolog.Logger
+	// Recorder takes what happens. It is handed to the front before that is used.
+	Recorder *recorder.Recorder
+
+	servers ServerNames
+	clock   Clock
+	log     zerolog.Logger
 
 	mu      sync.Mutex
 	book    *timeline.Timelines
@@ -58,11 +76,19 @@
 	changes []anomaly.Change
 }
 
-// New returns a Watcher of an Exchange, which it gives a tap. It is called before the Exchange is used.
-func New(c Config, x *relay.RequestTable, log zerolog.Logger) *Watcher {
-	w := &Watcher{Config: c, x: x, log: log, book: timeline.New(c.Limits), depart: anomaly.New(c.Most),
-		rows: map[string]*timeline.Interval{}, follow: map[chan anomaly.Event]bool{}}
-	x.Recorder = recorder.New(c.Buffer)
+// New returns a Watcher of one front, with a Recorder for it.
+func New(c Config, servers ServerNames, clock Clock, log zerolog.Logger) *Watcher {
+	w := &Watcher{
+		Config:   c,
+		Recorder: recorder.New(c.Buffer),
+		servers:  servers,
+		clock:    clock,
+		log:      log,
+		book:     timeline.New(c.Limits),
+		depart:   anomaly.New(c.Most),
+		rows:     map[string]*timeline.Interval{},
+		follow:   map[chan anomaly.Event]bool{},
+	}
 	if c.Store != nil {
 		w.book.Sink = timeline.Sink{StateChanged: w.band, IntervalComplete: w.step}
 	}
@@ -77,8 +103,8 @@
 			w.Fold()
 			w.Rest()
 			return
-		case <-w.x.Recorder.Ready():
-		case <-w.x.Clock.AfterMillis(lookEvery):
+		case <-w.Recorder.Ready():
+		case <-w.clock.AfterMillis(lookEvery):
 		}
 		w.Fold()
 	}
@@ -88,24 +114,24 @@
 func (w *Watcher) Fold() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	records := w.x.Recorder.TakeAll(w.spare)
+	records := w.Recorder.TakeAll(w.spare)
 	for i := range records {
 		r := &records[i]
 		w.take(r)
 	}
 	w.spare = records[:0]
-	w.tick(w.x.Clock.UnixMillis(w.x.Clock.NowMillis()))
+	w.tick(w.clock.UnixMillis(w.clock.NowMillis()))
 }
 
 func (w *Watcher) take(r *recorder.Record) {
-	r.At = w.x.Clock.UnixMillis(r.At)
+	r.At = w.clock.UnixMillis(r.At)
 	if r.StartedAt > 0 {
-		r.StartedAt = w.x.Clock.UnixMillis(r.StartedAt)
+		r.StartedAt = w.clock.UnixMillis(r.StartedAt)
 	}
 	name := timeline.FleetName
 	if r.Server >= 0 {
 		if int(r.Server) >= len(w.names) {
-			w.names = w.x.ServerIDs(len(w.names), w.names)
+			w.names = w.servers.ServerIDs(len(w.names), w.names)
 		}
 		name = w.names[r.Server]
 	}
@@ -178,7 +204,7 @@
 func (w *Watcher) Note(relay, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.x.Clock.UnixMillis(w.x.Clock.NowMillis())
+	at := w.clock.UnixMillis(w.clock.NowMillis())
 	what := "relay " + relay + ": " + state
 	if relay == "" {
 		what = "this relay: " + state
@@ -263,7 +289,7 @@
 func (w *Watcher) Report(q report.Query) *report.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := w.x.Clock.UnixMillis(w.x.Clock.NowMillis())
+	now := w.clock.UnixMillis(w.clock.NowMillis())
 	r := &report.Report{Relay: w.Relay, At: now, Dropped: w.dropped, Evicted: w.book.Evicted}
 	if w.Store != nil {
 		if err := w.Store.WriteError(); err != nil {
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -53,7 +53,8 @@
 		ConnectTimeout: relay.Duration(300), Rules: decide.Rules{SlowStartWindow: relay.Duration(3000), SlowStartCapacity: 0.36, OverloadFactor: 4,
 			OverloadWindow: relay.Duration(1500)}, Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(800), Deadline: relay.Duration(3000)}}}}
 	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock, ConnectTimeout: 300, LoadKey: "x0", Keep: 64})
-	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), Most: 100, Store: s}, x, zerolog.Nop())}
+	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), Most: 100, Store: s}, x, clock, zerolog.Nop())}
+	x.Recorder = w.w.Recorder
 	for i := range servers {
 		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", feed, ledger)
 		if err != nil {
