--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"sync/atomic"
 	"time"
 
 	"capersail/decide"
@@ -15,8 +16,10 @@
 	Attempts    uint64 // attempts whose first byte BeginWrite let go
 }
 
-// requestCounters count what became of requests. The table's lock guards them.
+// requestCounters count what became of requests. The table's lock guards what is not atomic.
 type requestCounters struct {
+	arrived    atomic.Uint64 // requests since the process started
+	ejected    atomic.Int64  // servers that the decision module ejects, as of the last sweep
 	byClass    []ClassCounts
 	rejections [decide.MayHaveRun + 1]uint64 // final answers of the decision module, by its reason
 }
@@ -67,7 +70,7 @@
 }
 
 // Arrivals returns how many requests have come since the process started.
-func (t *RequestTable) Arrivals() uint64 { return t.arrived.Load() }
+func (t *RequestTable) Arrivals() uint64 { return t.counters.arrived.Load() }
 
 // EndpointCounts is what the relay knows of the servers in the endpoint list.
 type EndpointCounts struct {
@@ -81,7 +84,7 @@
 func (t *RequestTable) EndpointCounts() EndpointCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	counts := EndpointCounts{Ejected: int(t.ejectedCount.Load())}
+	counts := EndpointCounts{Ejected: int(t.counters.ejected.Load())}
 	for _, s := range t.endpoints.servers {
 		if s.listedMode == decide.Removed {
 			continue
--- a/internal/relay/endpoint_lease.go
+++ b/internal/relay/endpoint_lease.go
@@ -48,7 +48,7 @@
 	t.lease.Renew(now)
 	if t.endpoints.leaseExpired {
 		t.Log.Info().Float64("list_age_ms", Millis(age)).
-			Msg("endpoint list lease renewed; requests are sent again")
+			Msg("endpoint list lease renewed; new requests are sent")
 	}
 	t.checkEndpointLease()
 }
--- a/internal/relay/event_loop.go
+++ b/internal/relay/event_loop.go
@@ -82,7 +82,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.table.inboxReady:
+		case <-l.table.inbox.ready:
 		case <-due.C:
 		}
 		if early := last + l.tick - l.table.Clock.Now(); early > 0 {
@@ -157,7 +157,7 @@
 	}
 	l.sweptAt = now
 	l.table.sweep()
-	l.table.ejectedCount.Store(int64(l.balancer.EjectedCount()))
+	l.table.counters.ejected.Store(int64(l.balancer.EjectedCount()))
 }
 
 // untilNextStep steps the probe scheduler if it is due, and returns how long until the next step.
@@ -223,7 +223,8 @@
 	}
 }
 
-// forward starts an attempt, and tells the probe scheduler of it.
+// forward starts an attempt, and tells the probe scheduler of it. That wants nothing done about a
+// placement, so the actions that are being carried out stay whole.
 func (l *EventLoop) forward(f decide.Forward) {
 	if l.table.Recorder != nil {
 		l.candidates = l.balancer.ProbePool(l.candidates[:0])
--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -291,7 +291,7 @@
 // check compares every request with its model, and counts the outcomes that the decision module was told.
 func (w *modelTest) check(step int) {
 	outcomes := map[decide.RequestID]int{}
-	for _, ev := range w.table.inbox {
+	for _, ev := range w.table.inbox.events {
 		if o, ok := ev.(decide.Outcome); ok && o.Status != decide.Superseded {
 			outcomes[o.ID]++
 		}
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -3,7 +3,6 @@
 import (
 	"math/rand/v2"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -31,19 +30,21 @@
 
 	deployment *Deployment
 	dialer     ServerDialer
-	inboxReady chan struct{} // holds one token while the inbox has something
-
-	arrived      atomic.Uint64 // requests since the process started
-	ejectedCount atomic.Int64  // servers that the decision module ejects, as of the last sweep
 
 	mu              sync.Mutex // guards all that follows, and every request
 	requests        requestIndex
 	endpoints       endpointList
 	lease           endpointLeaseWatch
 	counters        requestCounters
-	inbox           []decide.Event // what the event loop has not taken yet
-	shuttingDown    bool           // at SIGTERM, for good
-	drainedManually bool           // by an operator, until the drain is ended
+	inbox           inbox
+	shuttingDown    bool // at SIGTERM, for good
+	drainedManually bool // by an operator, until the drain is ended
+}
+
+// inbox is what the event loop has not taken yet.
+type inbox struct {
+	events []decide.Event
+	ready  chan struct{} // holds one token while there are events
 }
 
 // requestIndex holds the requests that some side is not done with.
@@ -81,7 +82,7 @@
 		Clock:      clock,
 		deployment: deployment,
 		dialer:     dialer,
-		inboxReady: make(chan struct{}, 1),
+		inbox:      inbox{ready: make(chan struct{}, 1)},
 		requests: requestIndex{
 			byID:   map[decide.RequestID]*Request{},
 			byName: map[string]*Request{},
@@ -93,9 +94,9 @@
 
 // post queues an event for the decision module. The caller holds the lock.
 func (t *RequestTable) post(ev decide.Event) {
-	t.inbox = append(t.inbox, ev)
+	t.inbox.events = append(t.inbox.events, ev)
 	select {
-	case t.inboxReady <- struct{}{}:
+	case t.inbox.ready <- struct{}{}:
 	default:
 	}
 }
@@ -104,8 +105,8 @@
 func (t *RequestTable) takeInbox() []decide.Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	events := t.inbox
-	t.inbox = nil
+	events := t.inbox.events
+	t.inbox.events = nil
 	return events
 }
 
@@ -162,7 +163,7 @@
 
 // register keeps a request from its arrival on. The caller holds the lock.
 func (t *RequestTable) register(o OpenRequest, client ClientConn) *Request {
-	t.arrived.Add(1)
+	t.counters.arrived.Add(1)
 	r := &Request{
 		OpenRequest: o,
 		table:       t,
