--- a/internal/testing/doccheck/names_test.go
+++ b/internal/testing/doccheck/names_test.go
@@ -20,6 +20,7 @@
 	codeSpan   = regexp.MustCompile("`[^`\n]+`")
 	qualified  = regexp.MustCompile(`\b([a-z][a-z0-9]*)\.([A-Z]\w*)(?:\.(\w+))?`)
 	memberOf   = regexp.MustCompile(`(?:^|[^.\w-])([A-Z]\w*)\.([A-Za-z]\w*)`)
+	testName   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
 	treePath   = regexp.MustCompile(`\b(?:internal|decide|cmd|docs|deploy|examples|plugin)/[\w./-]*\w`)
 	fileEnding = regexp.MustCompile(`^(md|txt|toml|json|go|sh|log|svg)$`)
 )
@@ -29,6 +30,7 @@
 	packages map[string]map[string]bool // package-level names by package
 	members  map[string]map[string]bool // fields and methods by type, whatever its package
 	imported map[string]bool            // names of packages of other modules and of the standard library
+	tests    map[string]bool            // tests, fuzz tests and benchmarks
 }
 
 // TestPagesNameWhatTheCodeDeclares guards against pages that go on naming packages, types and files that are gone.
@@ -86,6 +88,11 @@
 		}
 	}
 	for _, span := range codeSpan.FindAllString(line, -1) {
+		for _, name := range testName.FindAllString(span, -1) {
+			if !d.tests[name] {
+				found = append(found, name+": no such test")
+			}
+		}
 		for _, match := range memberOf.FindAllStringSubmatch(span, -1) {
 			if fileEnding.MatchString(match[2]) || d.imported[match[1]] {
 				continue
@@ -109,6 +116,7 @@
 		packages: map[string]map[string]bool{},
 		members:  map[string]map[string]bool{},
 		imported: map[string]bool{},
+		tests:    map[string]bool{},
 	}
 	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -158,6 +166,7 @@
 
 func (d declarations) addFunc(pkg string, decl *ast.FuncDecl) {
 	if decl.Recv == nil {
+		d.tests[decl.Name.Name] = testName.MatchString(decl.Name.Name)
 		d.packages[pkg][decl.Name.Name] = true
 		return
 	}
