--- a/internal/observe/chart/chart.go
+++ b/internal/observe/chart/chart.go
@@ -20,173 +20,265 @@
 	"capersail/internal/observe/timeline"
 )
 
-// MostPanels bounds a picture.
-const MostPanels = 24
+// MaxPanels bounds a picture.
+const MaxPanels = 24
 
 // ErrEmpty says that there is nothing to draw.
 var ErrEmpty = errors.New("nothing to draw: no steps in the time asked for")
 
-var bandColors = map[string]color.Color{
-	"listed": color.RGBA{200, 200, 200, 255}, "warming": color.RGBA{250, 200, 90, 255}, "warm": color.RGBA{120, 190, 120, 255},
-	"draining": color.RGBA{120, 150, 220, 255}, "gone": color.RGBA{90, 90, 90, 255}, "silent": color.RGBA{160, 60, 160, 255},
+var stateColors = map[string]color.Color{
+	"listed":   color.RGBA{200, 200, 200, 255},
+	"warming":  color.RGBA{250, 200, 90, 255},
+	"warm":     color.RGBA{120, 190, 120, 255},
+	"draining": color.RGBA{120, 150, 220, 255},
+	"gone":     color.RGBA{90, 90, 90, 255},
+	"silent":   color.RGBA{160, 60, 160, 255},
 	"left out": color.RGBA{210, 70, 60, 255},
 }
 
+var (
+	loadColor      = color.RGBA{30, 60, 140, 255}
+	placementColor = color.RGBA{60, 140, 60, 255}
+	faultColor     = color.RGBA{200, 30, 30, 255}
+	eventColor     = color.NRGBA{255, 60, 60, 60}
+)
+
+// Where things lie on a panel's axis of load.
+const (
+	stateLow   = -0.35 // the strip of states, under the load
+	stateHigh  = -0.05
+	placementY = 0.02
+	// Parts of the highest load that is drawn.
+	faultHeight = 0.9
+	eventHeight = 1.1
+	panelHeight = 1.15
+)
+
 const (
-	low  = -0.35 // where the strip of states lies under the load
-	high = -0.05
+	pictureWidth = 26 * vg.Centimeter
+	rowHeight    = 4.2 * vg.Centimeter
 )
 
-// Write draws a report as "png" or "svg".
+// Write draws a report as "png" or "svg". The error is ErrEmpty where nothing happened in the time asked for.
 func Write(w io.Writer, r *report.Report, format string) error {
-	from, to := math.Inf(1), math.Inf(-1)
-	var servers []report.Server
-	for _, s := range r.Servers {
-		if s.Name == timeline.FleetName || len(s.Steps)+len(s.Bands) == 0 {
-			continue
-		}
-		for _, x := range s.Steps {
-			from, to = min(from, x.From), max(to, x.From+x.Width)
-		}
-		servers = append(servers, s)
-	}
-	if len(servers) == 0 || to <= from {
+	servers, axes := drawnServers(r)
+	if len(servers) == 0 || axes.to <= axes.from {
 		return ErrEmpty
 	}
-	left := max(0, len(servers)-MostPanels)
-	servers = servers[:len(servers)-left]
+	omitted := max(0, len(servers)-MaxPanels)
+	servers = servers[:len(servers)-omitted]
+	axes.highestLoad = highestLoad(servers)
 	plots := make([][]*plot.Plot, len(servers))
-	top := 1.0
-	for _, s := range servers {
-		for _, x := range s.Steps {
-			top = max(top, float64(x.Load[2]))
-		}
-	}
 	for i, s := range servers {
-		p, err := panel(s, from, to, top)
+		p, err := drawPanel(s, axes)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.Name, err)
 		}
-		if i == 0 && left > 0 {
-			p.Title.Text = fmt.Sprintf("%s   (%d more servers are not drawn)", p.Title.Text, left)
+		if i == 0 && omitted > 0 {
+			p.Title.Text = fmt.Sprintf("%s   (%d more servers are not drawn)", p.Title.Text, omitted)
 		}
 		plots[i] = []*plot.Plot{p}
 	}
-	width, height := 26*vg.Centimeter, vg.Length(len(servers))*4.2*vg.Centimeter
-	tiles := draw.Tiles{Rows: len(servers), Cols: 1, PadTop: 3, PadBottom: 3, PadLeft: 6, PadRight: 12, PadY: 6}
+	return encode(w, plots, format)
+}
+
+// axes are the bounds that all panels of a picture share.
+type axes struct {
+	from, to    float64 // Unix time in milliseconds
+	highestLoad float64 // 1 at least
+}
+
+// drawnServers are the servers that have something to draw, and the time that their intervals span.
+func drawnServers(r *report.Report) (servers []report.Server, a axes) {
+	a.from, a.to = math.Inf(1), math.Inf(-1)
+	for _, s := range r.Servers {
+		if s.Name == timeline.FleetName || len(s.Steps)+len(s.Bands) == 0 {
+			continue
+		}
+		for _, interval := range s.Steps {
+			a.from = min(a.from, interval.From)
+			a.to = max(a.to, interval.From+interval.Width)
+		}
+		servers = append(servers, s)
+	}
+	return servers, a
+}
+
+func highestLoad(servers []report.Server) float64 {
+	highest := 1.0
+	for _, s := range servers {
+		for _, interval := range s.Steps {
+			highest = max(highest, float64(interval.Load[2]))
+		}
+	}
+	return highest
+}
+
+func encode(w io.Writer, plots [][]*plot.Plot, format string) error {
+	height := vg.Length(len(plots)) * rowHeight
 	switch format {
 	case "png":
-		c := vgimg.New(width, height)
-		render(plots, tiles, draw.New(c))
+		c := vgimg.New(pictureWidth, height)
+		render(plots, draw.New(c))
 		_, err := vgimg.PngCanvas{Canvas: c}.WriteTo(w)
 		return err
 	case "svg":
-		c := vgsvg.New(width, height)
-		render(plots, tiles, draw.New(c))
+		c := vgsvg.New(pictureWidth, height)
+		render(plots, draw.New(c))
 		_, err := c.WriteTo(w)
 		return err
 	}
 	return fmt.Errorf("format %q is neither png nor svg", format)
 }
 
-func render(plots [][]*plot.Plot, tiles draw.Tiles, c draw.Canvas) {
+func render(plots [][]*plot.Plot, c draw.Canvas) {
+	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadTop: 3, PadBottom: 3, PadLeft: 6, PadRight: 12, PadY: 6}
 	for i, row := range plot.Align(plots, tiles, c) {
 		plots[i][0].Draw(row[0])
 	}
 }
 
-// seconds is a time on the axis.
+// seconds is a time on the axis, from Unix milliseconds.
 func seconds(ms float64) float64 { return ms / 1000 }
 
-// panel draws one server: load as a line, states as a strip under it, placements, faults and departures as marks.
-func panel(s report.Server, from, to, top float64) (*plot.Plot, error) {
+// drawPanel draws one server: load as a line, states as a strip under it, placements, faults and events as marks.
+func drawPanel(s report.Server, a axes) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name
 	p.Title.TextStyle.Font.Size = 10
 	p.X.Tick.Marker = plot.TimeTicks{Format: "15:04:05"}
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = seconds(from), seconds(to), low-0.05, top*1.15
+	p.X.Min, p.X.Max = seconds(a.from), seconds(a.to)
+	p.Y.Min, p.Y.Max = stateLow-0.05, a.highestLoad*panelHeight
 	p.Y.Label.Text = "load"
-	for _, b := range s.Bands {
-		end := b.To
-		if end == 0 {
-			end = to
-		}
-		if err := box(p, max(b.From, from), min(end, to), low, high, bandColors[b.Name]); err != nil {
-			return nil, err
+	if err := drawStates(p, s, a); err != nil {
+		return nil, err
+	}
+	if err := drawEvents(p, s, a); err != nil {
+		return nil, err
+	}
+	if err := drawLoad(p, s); err != nil {
+		return nil, err
+	}
+	return p, drawMarks(p, s, a)
+}
+
+func drawStates(p *plot.Plot, s report.Server, a axes) error {
+	for _, state := range s.Bands {
+		area := a.box(state.From, state.To, stateLow, stateHigh)
+		if err := area.draw(p, stateColors[state.Name]); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+func drawEvents(p *plot.Plot, s report.Server, a axes) error {
 	for _, e := range s.Events {
-		end := e.To
-		if end == 0 {
-			end = to
-		}
-		if err := box(p, max(e.From, from), min(end, to), 0, top*1.1, color.NRGBA{255, 60, 60, 60}); err != nil {
-			return nil, err
+		area := a.box(e.From, e.To, 0, a.highestLoad*eventHeight)
+		if err := area.draw(p, eventColor); err != nil {
+			return err
 		}
-		l, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: seconds(max(e.From, from)), Y: top}}, Labels: []string{e.Name}})
+		at := plotter.XYs{{X: seconds(area.from), Y: a.highestLoad}}
+		label, err := plotter.NewLabels(plotter.XYLabels{XYs: at, Labels: []string{e.Name}})
 		if err != nil {
-			return nil, err
-		}
-		p.Add(l)
-	}
-	var load []plotter.XYs // in pieces: where nothing was read nothing is drawn
-	var placed, faulty plotter.XYs
-	readTo := 0.0
-	most := 1.0
-	for _, x := range s.Steps {
-		most = max(most, float64(x.Placements)/x.Width)
-	}
-	for _, x := range s.Steps {
-		mid := seconds(x.From + x.Width/2)
-		if x.Readings > 0 {
-			if len(load) == 0 || x.From-readTo > 2*x.Width {
-				load = append(load, nil)
-			}
-			n := len(load) - 1
-			load[n], readTo = append(load[n], plotter.XY{X: mid, Y: float64(x.Load[1])}), x.From+x.Width
-		}
-		if x.Placements > 0 {
-			placed = append(placed, plotter.XY{X: mid, Y: 0.02})
-		}
-		if report.Faults(x) > 0 {
-			faulty = append(faulty, plotter.XY{X: mid, Y: top * 0.9})
+			return err
 		}
+		p.Add(label)
 	}
-	for _, piece := range load {
+	return nil
+}
+
+// drawLoad draws the mean load in pieces: where nothing was read nothing is drawn.
+func drawLoad(p *plot.Plot, s report.Server) error {
+	for _, piece := range loadPieces(s) {
 		line, err := plotter.NewLine(piece)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		line.Color, line.Width = color.RGBA{30, 60, 140, 255}, 1.2
+		line.Color = loadColor
+		line.Width = 1.2
 		p.Add(line)
 	}
-	for _, marks := range []struct {
-		at    plotter.XYs
-		shape draw.GlyphDrawer
-		tint  color.Color
-	}{{placed, draw.PlusGlyph{}, color.RGBA{60, 140, 60, 255}}, {faulty, draw.CrossGlyph{}, color.RGBA{200, 30, 30, 255}}} {
-		if len(marks.at) == 0 {
+	return nil
+}
+
+// loadPieces are the runs of intervals with readings, apart where more than two intervals between them have none.
+func loadPieces(s report.Server) (pieces []plotter.XYs) {
+	readTo := 0.0
+	for _, interval := range s.Steps {
+		if interval.Readings == 0 {
 			continue
 		}
-		dots, err := plotter.NewScatter(marks.at)
-		if err != nil {
-			return nil, err
+		if len(pieces) == 0 || interval.From-readTo > 2*interval.Width {
+			pieces = append(pieces, nil)
+		}
+		last := len(pieces) - 1
+		pieces[last] = append(pieces[last], plotter.XY{X: middle(interval), Y: float64(interval.Load[1])})
+		readTo = interval.From + interval.Width
+	}
+	return pieces
+}
+
+func middle(interval timeline.Interval) float64 { return seconds(interval.From + interval.Width/2) }
+
+// drawMarks marks the intervals that had placements, and those that had faults.
+func drawMarks(p *plot.Plot, s report.Server, a axes) error {
+	var placements, faults plotter.XYs
+	for _, interval := range s.Steps {
+		if interval.Placements > 0 {
+			placements = append(placements, plotter.XY{X: middle(interval), Y: placementY})
+		}
+		if report.Faults(interval) > 0 {
+			faults = append(faults, plotter.XY{X: middle(interval), Y: a.highestLoad * faultHeight})
 		}
-		dots.GlyphStyle = draw.GlyphStyle{Color: marks.tint, Radius: 2.2, Shape: marks.shape}
-		p.Add(dots)
 	}
-	return p, nil
+	if err := scatter(p, placements, draw.PlusGlyph{}, placementColor); err != nil {
+		return err
+	}
+	return scatter(p, faults, draw.CrossGlyph{}, faultColor)
+}
+
+func scatter(p *plot.Plot, at plotter.XYs, shape draw.GlyphDrawer, tint color.Color) error {
+	if len(at) == 0 {
+		return nil
+	}
+	dots, err := plotter.NewScatter(at)
+	if err != nil {
+		return err
+	}
+	dots.GlyphStyle = draw.GlyphStyle{Color: tint, Radius: 2.2, Shape: shape}
+	p.Add(dots)
+	return nil
+}
+
+// box is an area of a panel: from and to in Unix milliseconds, low and high in load.
+type box struct{ from, to, low, high float64 }
+
+// box is the part of an area that lies within the picture's time; to is 0 for what has not ended.
+func (a axes) box(from, to, low, high float64) box {
+	if to == 0 {
+		to = a.to
+	}
+	return box{max(from, a.from), min(to, a.to), low, high}
 }
 
-func box(p *plot.Plot, from, to, y0, y1 float64, tint color.Color) error {
-	if to <= from || tint == nil {
+func (b box) draw(p *plot.Plot, tint color.Color) error {
+	if b.to <= b.from || tint == nil {
 		return nil
 	}
-	b, err := plotter.NewPolygon(plotter.XYs{{X: seconds(from), Y: y0}, {X: seconds(to), Y: y0}, {X: seconds(to), Y: y1}, {X: seconds(from), Y: y1}})
+	left, right := seconds(b.from), seconds(b.to)
+	polygon, err := plotter.NewPolygon(plotter.XYs{
+		{X: left, Y: b.low},
+		{X: right, Y: b.low},
+		{X: right, Y: b.high},
+		{X: left, Y: b.high},
+	})
 	if err != nil {
 		return err
 	}
-	b.Color, b.LineStyle.Width, b.LineStyle.Color = tint, 0, color.Transparent
-	p.Add(b)
+	polygon.Color = tint
+	polygon.LineStyle.Width = 0
+	polygon.LineStyle.Color = color.Transparent
+	p.Add(polygon)
 	return nil
 }
