--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -7,8 +7,10 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // federation is a fleet of several cells on one set clock. Each cell has its own net, as world has it; between cells go only claims to
@@ -27,6 +29,7 @@
 	zone   string   // where
 	change func(*Node)
 	made   int // cells so far, for their names
+	trace  *trace
 }
 
 type cellWorld struct {
@@ -71,12 +74,16 @@
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *cellWorld {
 	w := newWorld(relays, relays, f.seed*1000+uint64(len(f.cells)))
 	w.now, w.change = f.now, f.change
-	pace := Timing{LeaseDuration: []float64{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)], StatusInterval: CellTiming.StatusInterval}
+	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)], StatusInterval: CellTiming.StatusInterval}
 	for _, n := range w.nodes {
 		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
 		n.zero -= f.now * n.rate
 	}
 	w.loss, w.twice = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
+	if f.trace != nil {
+		w.trace = f.trace
+		w.spreadClocks()
+	}
 	c := &cellWorld{w, name, region}
 	f.cells = append(f.cells, c)
 	return c
@@ -323,7 +330,17 @@
 
 // drawnCells plays one schedule of faults and plans.
 func drawnCells(regions, zones, relays int, flat bool, seed uint64, steps int, change func(*Node)) *federation {
-	f := &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{}, plans: map[uint64]*cellplan.Plan{}, zones: []string{"nobody's"}, change: change}
+	f := newFederation(seed, change)
+	f.play(regions, zones, relays, flat, steps)
+	return f
+}
+
+func newFederation(seed uint64, change func(*Node)) *federation {
+	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{}, plans: map[uint64]*cellplan.Plan{},
+		zones: []string{"nobody's"}, change: change}
+}
+
+func (f *federation) play(regions, zones, relays int, flat bool, steps int) {
 	f.found(regions, zones, relays, flat)
 	f.run(6000 * f.rng.Float64())
 	for range steps {
@@ -334,7 +351,6 @@
 			f.run(6000 * f.rng.Float64())
 		}
 	}
-	return f
 }
 
 // fault is one step of a schedule.
@@ -364,10 +380,10 @@
 // until all leases have run out.
 func (f *federation) deafenOne(c *cellWorld, i int) {
 	c.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
-	f.run(WaitOut + 5000*f.rng.Float64())
+	f.run(duration.Millis(WaitOut) + 5000*f.rng.Float64())
 	c.strike = true
 	c.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
-	f.run(2 * WaitOut)
+	f.run(2 * duration.Millis(WaitOut))
 	c.strike = false
 	for _, n := range c.nodes {
 		n.deaf = false
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -2,12 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
-	"sort"
 	"sync"
 	"sync/atomic"
 
@@ -20,7 +17,7 @@
 
 const (
 	// adminSockets are the descriptors the second address may hold; the clients have them less.
-	adminSockets = admin.MostConnections
+	adminSockets = admin.MaxConnections
 	// ejectionPollInterval is how often the bans that another process of the relay may have changed are read, in ms. A ban
 	// binds 500 ms after its yes: this leaves four looks and the time to tell the module.
 	ejectionPollInterval = 100.0
@@ -90,146 +87,3 @@
 	}
 	return true
 }
-
-// Drain starts or ends a drain by hand. Calling it twice the same way does nothing more.
-func (o *adminTarget) Drain(on bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	switch {
-	case on && o.stopMigration == nil:
-		o.stopMigration = make(chan struct{})
-		for _, r := range o.fronts {
-			r.requests.SetDraining(true)
-		}
-		go o.migrateConnections(o.stopMigration)
-	case !on && o.stopMigration != nil:
-		close(o.stopMigration)
-		o.stopMigration = nil
-		for _, r := range o.fronts {
-			r.requests.SetDraining(false)
-		}
-	}
-}
-
-// migrateConnections moves every open connection of a drain, evenly from drainHold to drainBy, unless the drain ends first.
-func (o *adminTarget) migrateConnections(stop <-chan struct{}) {
-	if len(o.fronts) == 0 {
-		return
-	}
-	clock := o.fronts[0].requests.Clock
-	began := clock.NowMillis()
-	all := make([]int, len(o.fronts))
-	for i, r := range o.fronts {
-		all[i] = r.requests.MigrateSome(0)
-	}
-	for {
-		select {
-		case <-stop:
-			return
-		case <-clock.AfterMillis(migrationInterval):
-		}
-		since, left := clock.NowMillis()-began, 0
-		for i, r := range o.fronts {
-			n := r.requests.MigrateSome(0) - keptDuringDrain(all[i], since)
-			left += r.requests.MigrateSome(n)
-		}
-		if since >= migrationDeadline && left == 0 {
-			return // what comes up from now on is moved at once
-		}
-	}
-}
-
-// keptDuringDrain is how many of all connections a drain by hand still keeps at some point.
-func keptDuringDrain(all int, since float64) int {
-	return fractionOf(all, (migrationDeadline-since)/(migrationDeadline-migrationDelay))
-}
-
-// Down takes a tile server out by hand. The ban is kept, and the module told, before the yes.
-func (o *adminTarget) Down(id string) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	changed, err := o.ejections.Eject(o.now(), id, o.knowsServer(id))
-	if err != nil || !changed {
-		return err
-	}
-	if err := os.WriteFile(filepath.Join(o.ejectionsDir, manualeject.FileName(id)), nil, 0o600); err != nil {
-		o.ejections.Readmit(id, true)
-		return fmt.Errorf("the ban cannot be kept: %w", err)
-	}
-	o.applyEjections()
-	return nil
-}
-
-// Up lets a tile server serve again.
-func (o *adminTarget) Up(id string) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	since, _ := o.ejections.EjectedFor(o.now(), id)
-	changed, err := o.ejections.Readmit(id, o.knowsServer(id))
-	if err != nil || !changed {
-		return err
-	}
-	o.log.Info().Str("server", id).Float64("out_ms", since).Msg("tile server back")
-	if err := os.Remove(filepath.Join(o.ejectionsDir, manualeject.FileName(id))); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		o.ejections.Eject(o.now(), id, true)
-		return fmt.Errorf("the ban cannot be ended: %w", err)
-	}
-	o.applyEjections()
-	return nil
-}
-
-// now is the relay's time, in ms.
-func (o *adminTarget) now() float64 { return o.fronts[0].requests.Clock.NowMillis() }
-
-// knowsServer tells whether any front has ever had the server in its list. The caller holds the lock.
-func (o *adminTarget) knowsServer(id string) bool {
-	for _, r := range o.fronts {
-		if r.requests.EverListed(id) {
-			return true
-		}
-	}
-	return false
-}
-
-// applyEjections tells every front the bans. The caller holds the lock.
-func (o *adminTarget) applyEjections() {
-	out := o.ejections.Set()
-	for _, r := range o.fronts {
-		r.requests.SetManualEjections(out)
-	}
-}
-
-// followEjections reads the kept bans every lookEvery until ctx ends: another process of the relay may have changed them.
-func (o *adminTarget) followEjections(ctx context.Context) {
-	clock := o.fronts[0].requests.Clock
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-clock.AfterMillis(ejectionPollInterval):
-		}
-		o.reloadEjections()
-	}
-}
-
-// reloadEjections reads the kept bans, and tells the fronts if they have changed.
-func (o *adminTarget) reloadEjections() {
-	o.mu.Lock() // before the folder is read: a ban of this process's own must not be undone by an older look
-	defer o.mu.Unlock()
-	entries, err := os.ReadDir(o.ejectionsDir)
-	if err != nil {
-		o.log.Error().Err(err).Msg("the bans kept cannot be read; those known stay")
-		return
-	}
-	var ids []string
-	for _, e := range entries {
-		if id, ok := manualeject.IDFromFileName(e.Name()); ok {
-			ids = append(ids, id)
-		}
-	}
-	sort.Strings(ids)
-	if o.ejections.Replace(o.now(), ids) {
-		o.log.Info().Strs("out", ids).Msg("tile servers out by hand")
-		o.applyEjections()
-	}
-}
--- a/internal/relay/fleet_status.go
+++ b/internal/relay/fleet_status.go
@@ -1,15 +1,16 @@
 package relay
 
 import (
-	"math"
+	"time"
 
 	"capersail/decide"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
 )
 
 // ToFleetStatus turns a fleet's estimate into what the decision module reckons with. now and own are the
-// same instant, in milliseconds: now on the decision module's clock, own on the membership.Node's, of which
+// same instant: now on the decision module's clock, own on the membership.Node's, of which
 // the estimate is.
 //
 // SharesPlacements says whether so little comes to the fleet that relays can tell each other what they
@@ -19,7 +20,7 @@
 // nil where the fleet has no cells, and all is far then. A near zone without a number has no server to
 // budget for.
 func ToFleetStatus(
-	now, own float64, e membership.FleetEstimate, zoneNumber func(name string) (decide.Zone, bool),
+	now, own time.Duration, e membership.FleetEstimate, zoneNumber func(name string) (decide.Zone, bool),
 ) decide.FleetStatus {
 	status := decide.FleetStatus{
 		Relays:            e.Relays,
@@ -34,8 +35,8 @@
 		status.FarBudgetShare = e.FarBudgetShare
 		status.NearZones = zoneNumbers(e.NearZones, zoneNumber)
 	}
-	if !math.IsInf(e.ShareValidUntil, 1) {
-		status.BudgetUntil = Duration(now + e.ShareValidUntil - own)
+	if e.ShareValidUntil != duration.Forever {
+		status.BudgetUntil = (now + e.ShareValidUntil - own).Round(decisionPrecision)
 	}
 	return status
 }
--- a/internal/relay/fleet_status_test.go
+++ b/internal/relay/fleet_status_test.go
@@ -1,11 +1,11 @@
 package relay
 
 import (
-	"math"
 	"slices"
 	"testing"
 
 	"capersail/decide"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 )
 
@@ -20,7 +20,7 @@
 	estimate := membership.FleetEstimate{
 		BudgetShare:     0.3,
 		FarBudgetShare:  0.02,
-		ShareValidUntil: math.Inf(1),
+		ShareValidUntil: duration.Forever,
 		NearZones:       []string{"a", "unknown here", "b"},
 		Plan:            4,
 	}
@@ -32,7 +32,7 @@
 	if got := ToFleetStatus(0, 0, estimate, nil); got.NearZones == nil || len(got.NearZones) > 0 {
 		t.Errorf("in a cell with no numbers all is far, not %+v", got)
 	}
-	flat := membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.3, ShareValidUntil: math.Inf(1)}
+	flat := membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.3, ShareValidUntil: duration.Forever}
 	if got := ToFleetStatus(0, 0, flat, nil); got.NearZones != nil || got.BudgetShare != 0.3 {
 		t.Errorf("without cells: %+v", got)
 	}
--- a/internal/relay/probe_scheduling.go
+++ b/internal/relay/probe_scheduling.go
@@ -7,8 +7,8 @@
 	"capersail/internal/fleet/probing"
 )
 
-// This file holds the event loop's part of shared probing: it stands between the scheduler, which has float64
-// milliseconds, and the decision module.
+// This file holds the event loop's part of shared probing: it stands between the scheduler and the decision
+// module.
 
 // routeProbingEvent gives the scheduler what of the inbox concerns it, and tells whether the decision
 // module is to have it too.
@@ -45,7 +45,7 @@
 	}
 	if now >= s.reportedAt+reportInterval {
 		s.reportedAt = now
-		r := s.scheduler.Report(Millis(now))
+		r := s.scheduler.Report(now)
 		for i := range r.Servers {
 			r.Servers[i].ID = s.serverIDs[r.Servers[i].ServerKey]
 		}
@@ -57,7 +57,7 @@
 // stepScheduler lets the scheduler act. What goes to peers waits until the fleet's status is unlocked.
 func (l *EventLoop) stepScheduler(now time.Duration, ev probing.Event) {
 	s := l.SharedProbing
-	s.actions = s.scheduler.Handle(Millis(now), ev, s.actions[:0])
+	s.actions = s.scheduler.Handle(now, ev, s.actions[:0])
 	for _, action := range s.actions {
 		switch a := action.(type) {
 		case probing.Probe:
@@ -68,7 +68,7 @@
 			l.useReading(now, a)
 		case probing.PeerPlacement:
 			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				l.handle(now, decide.GossipReading{Server: id, Age: Duration(a.Age), PlacementDelta: a.Delta})
+				l.handle(now, decide.GossipReading{Server: id, Age: a.Age.Round(decisionPrecision), PlacementDelta: a.Delta})
 			}
 		case probing.Quarantine:
 			s.onQuarantine(a.Name)
@@ -84,7 +84,7 @@
 	if !ok {
 		return
 	}
-	age, report := Duration(u.Age), u.Reading.LoadReport
+	age, report := u.Age.Round(decisionPrecision), u.Reading.LoadReport
 	if l.table.Recorder != nil {
 		l.table.recordPeerReading(id, age, max(report.Load, report.Busy))
 	}
