--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -8,8 +8,10 @@
 	"os"
 	"path/filepath"
 	"sort"
+	"time"
 
 	"capersail/internal/manualeject"
+	"capersail/internal/relay"
 )
 
 // Eject takes a tile server out by hand. The ban is kept, and the module told, before the yes.
@@ -37,7 +39,7 @@
 	if err != nil || !changed {
 		return err
 	}
-	o.log.Info().Str("server", id).Float64("out_ms", since).Msg("tile server back")
+	o.log.Info().Str("server", id).Float64("out_ms", relay.Millis(since)).Msg("tile server back")
 	if err := os.Remove(filepath.Join(o.ejectionsDir, manualeject.FileName(id))); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		o.ejections.Eject(o.now(), id, true)
 		return fmt.Errorf("the ban cannot be ended: %w", err)
@@ -46,8 +48,8 @@
 	return nil
 }
 
-// now is the relay's time, in ms.
-func (o *adminTarget) now() float64 { return o.fronts[0].requests.Clock.NowMillis() }
+// now returns the instant on the relay's clock.
+func (o *adminTarget) now() time.Duration { return o.fronts[0].requests.Clock.Now() }
 
 // knowsServer tells whether any front has ever had the server in its list. The caller holds the lock.
 func (o *adminTarget) knowsServer(id string) bool {
