--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -12,7 +12,7 @@
 	AttemptInFlight bool // the end of an attempt has not been reported
 	MayHaveWritten  bool // the first byte of that attempt may have been written
 	Attempts        int  // started so far
-	MaxAttempts     int  // 0 for any number
+	MaxAttempts     int  // the settings' bound, 0 for none; decide plans fewer (retry.go)
 
 	MayHaveRun   bool          // an attempt has ended without proof that it never ran
 	MayHaveRunAt time.Duration // when that attempt may have begun to run
@@ -114,13 +114,8 @@
 // recognizesRetry tells whether the server shares idempotency keys with the one that may have run the
 // request.
 func recognizesRetry(r Request, to ServerStatus) bool {
-	switch r.DedupScope {
-	case decide.ScopeZone:
-		return to.Location.Zone == r.MayHaveRunOn.Zone
-	case decide.ScopeCell:
-		return to.Location.Cell == r.MayHaveRunOn.Cell
-	}
-	return true
+	ran, next := r.MayHaveRunOn, to.Location
+	return r.DedupScope.Covers(next.Zone == ran.Zone, next.Cell == ran.Cell)
 }
 
 // MayReject tells whether a request may be rejected, which promises the client that a retry is harmless. A
@@ -131,7 +126,7 @@
 		return Allowed
 	case r.AttemptInFlight && r.MayHaveWritten:
 		return MayHaveRun
-	case r.MayHaveRun && (r.Idempotency == decide.NonIdempotent || r.DedupScope != decide.ScopeAll):
+	case r.MayHaveRun && !r.Idempotency.RepeatIsHarmless(r.DedupScope):
 		return MayHaveRun
 	}
 	return Allowed
