--- a/internal/guard/endpoint_lease.go
+++ b/internal/guard/endpoint_lease.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// The endpoint list is held on a lease. News from discovery counts as told 6 s after it was made, whether or
-// not it arrived, and DrainGrace later nothing new may go to a server that it takes away. A relay that does
-// not hear from discovery cannot know of such news, so it acts on its list only for so long that none can
-// count against it, in ms:
+// The endpoint list is held on a lease. News from discovery counts as notified 6 s after it was made,
+// whether or not it arrived, and DrainGrace later nothing new may go to a server that it takes away. A
+// relay that does not hear from discovery cannot know of such news, so it acts on its list only for so long
+// that none can count against it, in ms:
 //
-//	told at the latest                                   6000
+//	notified at the latest                               6000
 //	+ grace of the rule on drains                         500
 //	- from a change to its writing on a sound watch       300
 //	- held up between the check and the first byte        150
@@ -18,25 +18,25 @@
 //	= endpointLeaseTerm                                  5800
 //
 // Where lists are pushed, by an agent of the relay's own, two sentences of the protocol page give earlier
-// times. What the agent has counts as told whether or not a watch is open, so the end of a watch leaves the
-// grace less the margins; and it counts as told 4 s after the SIGHUP that names the agent. Only a watch that
-// has fallen silent has the 6 s. An agent that refuses connections is down and learns nothing.
+// times. What the agent has counts as notified whether or not a watch is open, so the end of a watch leaves
+// the grace less the margins; and it counts as notified 4 s after the SIGHUP that names the agent. Only a
+// watch that has fallen silent has the 6 s. An agent that refuses connections is down and learns nothing.
 //
 //	                                        watch ended    another agent
-//	told                                              0             4000
+//	notified                                          0             4000
 //	+ grace of the rule on drains                   500              500
 //	- held up between the check and the first byte  150              150
 //	- left over                                      50              250
 //	= watchEndedTerm, addressChangedTerm            300             4100
 const (
-	toldWithin         = 6000 * time.Millisecond
-	toldAfterMove      = 4000 * time.Millisecond
+	notifiedWithin     = 6000 * time.Millisecond
+	notifiedAfterMove  = 4000 * time.Millisecond
 	endpointLeaseTerm  = 5800 * time.Millisecond
 	watchEndedTerm     = 300 * time.Millisecond
 	addressChangedTerm = 4100 * time.Millisecond
 	// violationMargin is how long after its end the lease may still be overstepped before the rule on drains
 	// can be broken.
-	violationMargin = toldWithin + DrainGrace - endpointLeaseTerm
+	violationMargin = notifiedWithin + DrainGrace - endpointLeaseTerm
 	// failedCallFactor is by how much longer than pollWithin a relay is held to its list after a failed call.
 	failedCallFactor = 4
 )
@@ -91,9 +91,9 @@
 	}
 	// pushedViolationLimits are when the rule on drains can be broken.
 	pushedViolationLimits = leaseTerms{
-		sinceHeard:          toldWithin + DrainGrace,
+		sinceHeard:          notifiedWithin + DrainGrace,
 		sinceWatchEnded:     DrainGrace,
-		sinceAddressChanged: toldAfterMove + DrainGrace,
+		sinceAddressChanged: notifiedAfterMove + DrainGrace,
 	}
 )
 
@@ -188,7 +188,7 @@
 func (l *EndpointLease) Valid(now time.Duration) bool { return !l.enabled || now < l.ValidUntil() }
 
 // MayBreakDrainRule tells whether what is sent by the list now may break the rule on drains: news that was
-// never heard may count as told, and the grace for it be over.
+// never heard may count as notified, and the grace for it be over.
 func (l *EndpointLease) MayBreakDrainRule(now time.Duration) bool {
 	if l.enabled && l.pushed() && l.answered {
 		return now >= l.pushedValidUntil(pushedViolationLimits)
--- a/internal/guard/endpoint_lease_test.go
+++ b/internal/guard/endpoint_lease_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Whenever discovery falls silent and a call fails, a list that is acted on was heard less than the told time
-// and the grace ago, less the margins.
+// Whenever discovery falls silent and a call fails, a list that is acted on was heard less than the
+// notification time and the grace ago, less the margins.
 func TestNoListIsActedOnThatMayBeOverruled(t *testing.T) {
 	for silence := time.Duration(0); silence < 9000*ms; silence += 50 * ms {
 		l := NewEndpointLease(0, 10_000*ms)
--- a/internal/relay/decisions.go
+++ b/internal/relay/decisions.go
@@ -9,7 +9,8 @@
 // This file carries out what the decision module wants of requests. The event loop alone calls it.
 
 // startAttempt starts the next attempt of a request, if the guard permits it. If not, the decision module
-// is told that the attempt is superseded. candidates are what it could have chosen from, for the recorder.
+// is notified that the attempt is superseded. candidates are what it could have chosen from, for the
+// recorder.
 func (t *RequestTable) startAttempt(f decide.Forward, candidates []decide.PooledServer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -23,7 +23,7 @@
 	Number         decide.ServerID // for this relay's life
 	ID             string
 	Address        string
-	Load           float64 // as the list told it last, negative if it does not
+	Load           float64 // as the list had it last, negative if it does not
 	SupportsResume bool
 
 	zone        string
@@ -33,17 +33,17 @@
 
 	listedMode      decide.EndpointState // as the list has it
 	ejectedManually bool                 // by an operator
-	// mode is what the decision module is told: a ready server that is ejected manually, or whose list's
-	// lease has expired, drains.
+	// mode is what the decision module is notified of: a ready server that is ejected manually, or whose
+	// list's lease has expired, drains.
 	mode      decide.EndpointState
 	unreadyAt time.Duration // when mode was last seen to leave Ready
 
-	delayNotedAt time.Duration // when the decision module was last told of a slow message there
+	delayNotedAt time.Duration // when the decision module was last notified of a slow message there
 	recorded     recordedEndpoint
 	current      *Server // the endpoint list's own, of which an attempt holds a copy
 }
 
-// recordedEndpoint is what the event recorder was last told of a server.
+// recordedEndpoint is what the event recorder last had of a server.
 type recordedEndpoint struct {
 	known     bool
 	mode      decide.EndpointState
@@ -157,7 +157,7 @@
 	return event
 }
 
-// setMode sets the mode that the decision module is told, from all that is known of a server. It tells
+// setMode sets the mode that the decision module is notified of, from all that is known of a server. It tells
 // whether the mode has changed.
 func (l *endpointList) setMode(s *Server) (changed bool) {
 	mode := s.operatorMode()
@@ -180,7 +180,7 @@
 	return s.listedMode
 }
 
-// entry returns the server as the decision module is told of it.
+// entry returns the server as the decision module gets it.
 func (l *endpointList) entry(s *Server) decide.Endpoint {
 	return decide.Endpoint{
 		Server:        s.Number,
--- a/internal/relay/operations_test.go
+++ b/internal/relay/operations_test.go
@@ -7,8 +7,9 @@
 	"capersail/decide"
 )
 
-// toldModes takes the inbox and returns what the decision module was last told in it of each server.
-func toldModes(table *RequestTable) map[decide.ServerID]decide.EndpointState {
+// notifiedModes takes the inbox and returns what the decision module was last notified of in it of each
+// server.
+func notifiedModes(table *RequestTable) map[decide.ServerID]decide.EndpointState {
 	modes := map[decide.ServerID]decide.EndpointState{}
 	for _, ev := range table.takeInbox() {
 		if w, ok := ev.(decide.WatchEvent); ok {
@@ -34,8 +35,8 @@
 
 	table.takeInbox()
 	table.SetManualEjections(map[string]bool{"a": true})
-	if m := toldModes(table); m[0] != decide.Draining || len(m) != 1 {
-		t.Errorf("told %v", m)
+	if m := notifiedModes(table); m[0] != decide.Draining || len(m) != 1 {
+		t.Errorf("notified of %v", m)
 	}
 	if attempting.BeginWrite(0) {
 		t.Error("an attempt to a manually ejected server may write")
@@ -44,21 +45,21 @@
 		t.Error("a client at a manually ejected server is not migrated")
 	}
 	table.UpdateEndpoints(decide.Snapshot, readyEndpoints("a", "b", "c"))
-	if m := toldModes(table); m[0] != decide.Draining || m[1] != decide.Ready {
+	if m := notifiedModes(table); m[0] != decide.Draining || m[1] != decide.Ready {
 		t.Errorf("a new list undoes the ejection: %v", m)
 	}
 	if c := table.EndpointCounts(); c.Listed != 3 || c.EjectedManually != 1 {
 		t.Errorf("counts %+v", c)
 	}
 	table.SetManualEjections(nil)
-	if m := toldModes(table); m[0] != decide.Ready || len(m) != 1 {
-		t.Errorf("restored: told %v", m)
+	if m := notifiedModes(table); m[0] != decide.Ready || len(m) != 1 {
+		t.Errorf("restored: notified of %v", m)
 	}
 	table.SetManualEjections(map[string]bool{"d": true}) // not listed yet: ejected from its first list on
 	table.takeInbox()
 	table.UpdateEndpoints(decide.Delta, readyEndpoints("d"))
-	if m := toldModes(table); m[3] != decide.Draining {
-		t.Errorf("a server listed after its ejection: told %v", m)
+	if m := notifiedModes(table); m[3] != decide.Draining {
+		t.Errorf("a server listed after its ejection: notified of %v", m)
 	}
 }
 
--- a/internal/relay/probe_scheduling.go
+++ b/internal/relay/probe_scheduling.go
@@ -68,7 +68,8 @@
 			l.useReading(now, a)
 		case probing.PeerPlacement:
 			if id, ok := l.table.readyServer(s.serverIDs[a.ServerKey]); ok {
-				l.handle(now, decide.GossipReading{Server: id, Age: a.Age.Round(decisionPrecision), PlacementDelta: a.Delta})
+				age := a.Age.Round(decisionPrecision)
+				l.handle(now, decide.GossipReading{Server: id, Age: age, PlacementDelta: a.Delta})
 			}
 		case probing.Quarantine:
 			s.onQuarantine(a.Name)
--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -288,7 +288,8 @@
 	m.end(kind)
 }
 
-// check compares every request with its model, and counts the outcomes that the decision module was told.
+// check compares every request with its model, and counts the outcomes that the decision module was
+// notified of.
 func (w *modelTest) check(step int) {
 	outcomes := map[decide.RequestID]int{}
 	for _, ev := range w.table.inbox.events {
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -54,8 +54,8 @@
 	reportedAt            time.Duration
 }
 
-// NewSharedProbing returns what is to be put into an EventLoop and told to the peers. onQuarantine is
-// called when a relay's readings are left out.
+// NewSharedProbing returns what is to be put into an EventLoop and to Receive what peers send.
+// onQuarantine is called when a relay's readings are left out.
 func NewSharedProbing(
 	table *RequestTable, relay string, seed uint64, peers Peers, onQuarantine func(name string),
 ) *SharedProbing {
--- a/internal/relay/silent_servers.go
+++ b/internal/relay/silent_servers.go
@@ -15,7 +15,7 @@
 	// silentAfter is when the server of an unanswered line counts as silent: at 7 s its connection would be
 	// lost.
 	silentAfter = 4500 * time.Millisecond
-	// delayNoteInterval is how often at most the decision module is told of slow messages at one server.
+	// delayNoteInterval is how often at most the decision module is notified of slow messages at one server.
 	delayNoteInterval = time.Second
 )
 
