--- a/internal/fleet/membership/allocation.go
+++ b/internal/fleet/membership/allocation.go
@@ -42,6 +42,19 @@
 	return a.Plan
 }
 
+// leaseMillis is the time of a lease in ms, 0 for the flat fleet's.
+func (a *Allocation) leaseMillis() uint32 {
+	if a == nil {
+		return 0
+	}
+	return a.LeaseMillis
+}
+
+// isBy tells whether an Allocation is by a plan.
+func (a *Allocation) isBy(plan *cellplan.Plan) bool {
+	return plan != nil && plan.Number == a.Plan && plan.Hash() == a.PlanHash
+}
+
 // successor is the only plan that may be entered next. A plan that was skipped would be taken by the others for entered, though the
 // cell might hold more than its part by it.
 func (a *Allocation) successor() uint64 {
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -97,7 +97,7 @@
 	if math.Abs(e.BudgetShare*3-float64(near)/float64(Whole)) > 1e-9 || math.Abs(e.FarBudgetShare*3-float64(far)/float64(Whole)) > 1e-9 || e.NearZones[0] != "east-1" {
 		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.BudgetShare, e.FarBudgetShare)
 	}
-	own := node.k.peers[name(1)].Status.RequestRate + node.k.peers[name(2)].Status.RequestRate
+	own := node.k.peers.byName[name(1)].Status.RequestRate + node.k.peers.byName[name(2)].Status.RequestRate
 	node.k.Handle(now, OtherCells{Relays: 40, RequestRate: 100, OpenConnections: 7, DrainRate: 2, Known: true}, nil)
 	if e = node.k.Estimate(now); e.Relays != 43 || e.OtherRequestRate != own+100 || e.OtherConnections != 7 || e.DrainRate != 2 {
 		t.Errorf("with the others: %+v", e)
--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -534,7 +534,7 @@
 				if next == nil {
 					next = f.plan
 				}
-				if _, named := next.Find(c.name); named && next != n.k.cfg.Plan {
+				if _, named := next.Find(c.name); named && next != n.k.plans.file {
 					n.cfg.Plan = next
 					c.feed(i, PlanChanged{Plan: next})
 				}
@@ -557,7 +557,7 @@
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
 		if a := c.nodes[0].k.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
-			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.cfg.Plan.Number, f.plan.Number, c.nodes[0].k.PlanPending())
+			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.plans.file.Number, f.plan.Number, c.nodes[0].k.PlanPending())
 		}
 	}
 	return nil
@@ -630,14 +630,14 @@
 func TestCellsNeedTheirProtections(t *testing.T) {
 	t.Parallel()
 	for what, without := range map[string]func(*Node){
-		"the lesser of two plans": func(n *Node) { n.jointPlans = false },
-		"waiting for all cells":   func(n *Node) { n.awaitsCells = false },
-		"waiting for older views": func(n *Node) { n.awaitsEarlierViews = false },
-		"the rule of versions":    func(n *Node) { n.checksVersions = false },
-		"the sequence of plans":   func(n *Node) { n.inSequence = false },
-		"the joint view":          func(n *Node) { n.jointViews = false },
-		"the grace":               func(n *Node) { n.safetyMargin = 0 },
-		"the wait for the effect": func(n *Node) { n.maxEffectDelay = 0 },
+		"the lesser of two plans": func(n *Node) { n.safeguards.jointPlans = false },
+		"waiting for all cells":   func(n *Node) { n.safeguards.awaitsCells = false },
+		"waiting for older views": func(n *Node) { n.safeguards.awaitsEarlierViews = false },
+		"the rule of versions":    func(n *Node) { n.safeguards.checksVersions = false },
+		"the sequence of plans":   func(n *Node) { n.safeguards.inSequence = false },
+		"the joint view":          func(n *Node) { n.safeguards.jointViews = false },
+		"the grace":               func(n *Node) { n.safeguards.safetyMargin = 0 },
+		"the wait for the effect": func(n *Node) { n.safeguards.maxEffectDelay = 0 },
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -24,7 +24,7 @@
 // Estimate returns the FleetEstimate of the moment. The share is to be asked for, or held against Until, right before each use.
 func (n *Node) Estimate(now time.Duration) FleetEstimate {
 	now = max(now, n.now)
-	r := FleetEstimate{Phase: n.phase, Epoch: n.view.Epoch, Relays: max(n.cfg.ConfiguredRelays, 1), OtherRequestRate: -1, OwnRequestRate: n.local.RequestRate, OtherConnections: -1}
+	r := FleetEstimate{Phase: n.phases.phase, Epoch: n.view.Epoch, Relays: max(n.cfg.ConfiguredRelays, 1), OtherRequestRate: -1, OwnRequestRate: n.local.RequestRate, OtherConnections: -1}
 	r.BudgetShare, r.ShareValidUntil, r.ShareReason = n.budgetShare(now)
 	r.FarBudgetShare = r.BudgetShare
 	if a := n.view.Allocation; a != nil {
@@ -40,8 +40,8 @@
 			continue
 		}
 		r.Relays++
-		p := n.peers[s.Name]
-		if s.Name == n.cfg.Name || p == nil || p.StatusAt < 0 || p.Health != Alive && p.Health != Suspected && n.phase != PhaseCutOff {
+		p := n.peers.byName[s.Name]
+		if s.Name == n.cfg.Name || p == nil || p.StatusAt < 0 || p.Health != Alive && p.Health != Suspected && n.phases.phase != PhaseCutOff {
 			continue
 		}
 		if p.Status.Lifecycle == Serving {
@@ -50,7 +50,7 @@
 		r.OtherConnections += p.Status.OpenConnections
 	}
 	r.Relays = max(r.Relays, 1)
-	for _, p := range n.sortedPeers {
+	for _, p := range n.peers.sorted {
 		if p.Status.Lifecycle >= Draining && now-p.StatusAt < drainStatusValidFor {
 			r.DrainRate += p.Status.DrainRate
 		}
@@ -63,7 +63,7 @@
 
 // addOtherCells adds what the other cells do, as last heard.
 func (n *Node) addOtherCells(r *FleetEstimate) {
-	if o := n.otherCells; o.Known {
+	if o := n.plans.otherCells; o.Known {
 		r.Relays, r.OtherRequestRate, r.OtherConnections, r.DrainRate = r.Relays+o.Relays, r.OtherRequestRate+o.RequestRate, r.OtherConnections+o.OpenConnections, r.DrainRate+o.DrainRate
 		return
 	}
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -75,8 +75,10 @@
 	ChangePlan // State tells which plan is entered, or open
 )
 
+var changeTexts = [...]string{ChangeView: "view", ChangePhase: "phase", ChangePeer: "peer", ChangePlan: "plan"}
+
 func (c ChangeKind) String() string {
-	return [...]string{"view", "phase", "peer", "plan"}[min(c, ChangePlan)]
+	return textOf(changeTexts[:], uint8(c))
 }
 
 // Action is something a Node wants done, in the order in which it is given: what follows a Save that failed must
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -29,52 +29,88 @@
 	WaitOut = leaseMillis * (1 + MaxClockDrift) * time.Millisecond
 )
 
-// releaseSlot hands this relay's place over to the fleet, once a majority that can make a view is heard. From the moment
-// it is on disk the relay takes nothing but what a view grants.
+// lease is this relay's right to act by its share of the view held, renewed by half of the voters.
+//
+// Invariants: validUntil never falls; it rises only to what half of the voters held have renewed, counted from when they were asked.
+type lease struct {
+	renewalSentAt map[string]time.Duration // by voter: when the newest renewal that it answered was sent
+	validUntil    time.Duration            // before this the share may be taken
+	nextRenewalAt time.Duration
+}
+
+// noteRenewal notes that a voter has answered a renewal that was sent at a time.
+func (l *lease) noteRenewal(voter string, sentAt time.Duration) {
+	l.renewalSentAt[voter] = max(l.renewalSentAt[voter], sentAt)
+}
+
+// extend works out until when half of a view's voters have renewed the lease, each for a time from when it was asked.
+func (l *lease) extend(view *View, validFor time.Duration) {
+	sent := make([]time.Duration, 0, MaxVoters)
+	for _, v := range view.Voters {
+		if at, ok := l.renewalSentAt[v]; ok {
+			sent = append(sent, at)
+		}
+	}
+	need := view.half()
+	if len(sent) < need {
+		return
+	}
+	slices.SortFunc(sent, func(a, b time.Duration) int { return cmp.Compare(b, a) })
+	l.validUntil = max(l.validUntil, sent[need-1]+validFor)
+}
+
+// valid tells whether the share may be taken.
+func (l *lease) valid(now time.Duration) bool { return now < l.validUntil }
+
+// releaseSlot gives this relay's slot to the fleet, once a majority that can make a view is heard. From the moment that is on disk the
+// relay takes nothing but what a view grants.
 func (n *Node) releaseSlot() {
 	if n.record.SlotReleased || n.storageFailed || n.local.Lifecycle == Leaving {
 		return
 	}
-	ready := false
-	if n.view.Epoch == 0 {
-		ready = n.votersAlive() >= n.view.majority()
-		for _, p := range n.sorted() { // or the fleet is older than this relay
-			ready = ready || p.Health == Alive && p.StatusAt >= 0 && p.Status.Epoch > 0
-		}
-	} else {
-		ready = n.votersAlive() >= n.view.majority()
-	}
-	if ready {
-		n.record.SlotReleased, n.slotReleasedAt = true, n.now
-		n.saveRecord()
-		n.publish(true)
+	if n.votersAlive() < n.view.majority() && !n.joinsOlderFleet() {
+		return
 	}
+	n.record.SlotReleased, n.slot.releasedAt = true, n.now
+	n.saveRecord()
+	n.publish(true)
 }
 
-// renewLease asks the voters for another while.
+// joinsOlderFleet tells whether this relay holds no view yet, and a peer does.
+func (n *Node) joinsOlderFleet() bool {
+	holdsView := func(p *Peer) bool { return p.Health == Alive && p.hasStatus() && p.Status.Epoch > 0 }
+	return n.view.Epoch == 0 && slices.ContainsFunc(n.peers.sorted, holdsView)
+}
+
+// renewLease asks the voters to renew the lease, where that is due.
 func (n *Node) renewLease() {
-	if n.view.Epoch == 0 || !n.view.Member(n.cfg.Name).In || n.now < n.nextRenewalAt || n.storageFailed {
+	if n.view.Epoch == 0 || !n.view.Member(n.cfg.Name).In || n.now < n.lease.nextRenewalAt || n.storageFailed {
 		return
 	}
-	n.nextRenewalAt = n.now + duration.Scale(RenewInterval, n.leaseScale())
+	n.lease.nextRenewalAt = n.now + duration.Scale(RenewInterval, n.leaseScale())
+	renew := Message{Kind: Renew, Epoch: n.view.Epoch, SentAtMillis: duration.Millis(n.now), Plan: n.view.Allocation.plan()}
 	for _, v := range n.view.Voters {
-		n.send(v, Message{Kind: Renew, Epoch: n.view.Epoch, SentAtMillis: duration.Millis(n.now), Plan: n.view.Allocation.plan()})
+		n.send(v, renew)
 	}
 }
 
-// extendLease works out until when the share may be taken.
-func (n *Node) extendLease() {
-	sent := make([]time.Duration, 0, MaxVoters)
-	for _, v := range n.view.Voters {
-		if at, ok := n.renewalSentAt[v]; ok {
-			sent = append(sent, at)
-		}
-	}
-	if need := n.view.half(); len(sent) >= need {
-		slices.SortFunc(sent, func(a, b time.Duration) int { return cmp.Compare(b, a) })
-		validFor := duration.Scale(n.leaseDuration, n.leaseScale()*(1-MaxClockDrift)) - n.safetyMargin
-		n.leaseValidUntil = max(n.leaseValidUntil, sent[need-1]+validFor)
+// leaseScale is how much longer leases are in this chain than in a flat fleet.
+func (n *Node) leaseScale() float64 {
+	if a := n.view.Allocation; a != nil && a.LeaseMillis > 0 {
+		return float64(a.LeaseMillis) / leaseMillis
 	}
+	return 1
+}
+
+// leaseValidFor is how long a renewal may be relied on, from when it was asked for.
+func (n *Node) leaseValidFor() time.Duration {
+	byOwnClock := duration.Scale(n.safeguards.leaseDuration, n.leaseScale()*(1-MaxClockDrift))
+	return byOwnClock - n.safeguards.safetyMargin
+}
+
+// earlierViewsExpireAfter is how long after a view's adoption nobody acts by an earlier one any more.
+func (n *Node) earlierViewsExpireAfter() time.Duration {
+	return duration.Scale(n.safeguards.waitOut, n.leaseScale())
 }
 
 // BudgetShare is what this relay may take of a budget right now; where there are cells, of that of a server in its near zones.
@@ -88,7 +124,7 @@
 func (n *Node) budgetShare(now time.Duration) (share float64, until time.Duration, why string) {
 	seat := n.view.Member(n.cfg.Name)
 	switch {
-	case !(n.record.SlotReleased && n.releasesSlots) && slices.Contains(n.view.UnreleasedSlots, n.cfg.BootstrapSlot):
+	case !(n.record.SlotReleased && n.safeguards.releasesSlots) && slices.Contains(n.view.UnreleasedSlots, n.slot.number):
 		return float64(n.view.slotShare()) / float64(Whole), duration.Forever, "its place's, by the settings' number"
 	case !n.record.SlotReleased:
 		return 0, duration.Forever, "none: it has no place, and no view grants it any"
@@ -96,8 +132,8 @@
 		return 0, duration.Forever, "none: it has handed its place over and is in no view yet"
 	case n.local.Lifecycle == Leaving:
 		return 0, duration.Forever, "none: it leaves"
-	case now >= n.leaseValidUntil:
+	case !n.lease.valid(now):
 		return 0, duration.Forever, "none: its grant has run out"
 	}
-	return float64(seat.BudgetShare) / float64(Whole), n.leaseValidUntil, "granted in the view"
+	return float64(seat.BudgetShare) / float64(Whole), n.lease.validUntil, "granted in the view"
 }
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -20,6 +20,24 @@
 	View           *View  `cbor:"6,keyasint,omitempty"` // the newest that is known to be chosen; nil for view 0
 }
 
+// promise notes that nothing by a lower ballot is accepted any more; it tells whether the ballot is not too low itself.
+func (r *Record) promise(b Ballot) bool {
+	if b.less(r.Promised) {
+		return false
+	}
+	r.Promised = b
+	return true
+}
+
+// accept notes a view that is accepted by a ballot, and tells whether the ballot is not too low.
+func (r *Record) accept(b Ballot, view *View) bool {
+	if !r.promise(b) {
+		return false
+	}
+	r.AcceptedBallot, r.Accepted = b, view
+	return true
+}
+
 // Kind is the kind of a message between two relays.
 type Kind uint8
 
--- a/internal/fleet/membership/model_test.go
+++ b/internal/fleet/membership/model_test.go
@@ -97,7 +97,7 @@
 		cfg.Plan, n.disk = nil, oldRecord(n.disk)
 	}
 	n.k, n.told, n.continued = New(n.clock(w.now), cfg, n.disk), nil, 0
-	n.k.checksVersions = !n.old
+	n.k.safeguards.checksVersions = !n.old
 	if w.change != nil {
 		w.change(n.k)
 	}
@@ -598,12 +598,12 @@
 // Each protection taken out is found out by the same schedules.
 func TestSharesNeedTheirProtections(t *testing.T) {
 	for what, without := range map[string]func(*Node){
-		"the joint view": func(k *Node) { k.jointViews = false },
-		"the wait":       func(k *Node) { k.waitOut = 300 * time.Millisecond },
-		"the grant":      func(k *Node) { k.leaseDuration = time.Minute },
-		"the grace":      func(k *Node) { k.safetyMargin = 0 },
-		"the effect":     func(k *Node) { k.maxEffectDelay = 0 },
-		"the pledge":     func(k *Node) { k.releasesSlots = false },
+		"the joint view": func(k *Node) { k.safeguards.jointViews = false },
+		"the wait":       func(k *Node) { k.safeguards.waitOut = 300 * time.Millisecond },
+		"the grant":      func(k *Node) { k.safeguards.leaseDuration = time.Minute },
+		"the grace":      func(k *Node) { k.safeguards.safetyMargin = 0 },
+		"the effect":     func(k *Node) { k.safeguards.maxEffectDelay = 0 },
+		"the pledge":     func(k *Node) { k.safeguards.releasesSlots = false },
 	} {
 		found := uint64(0)
 		for seed := uint64(1); seed < 3000 && found == 0; seed++ {
@@ -638,15 +638,15 @@
 func (n *Node) clone() *Node {
 	c := *n
 	c.rng, c.actions = rand.New(rand.NewPCG(n.cfg.Seed, 3)), nil
-	c.peers, c.sortedPeers, c.renewalSentAt = map[string]*Peer{}, nil, maps.Clone(n.renewalSentAt)
-	for name, p := range n.peers {
-		q := *p
-		*c.peerEntry(name) = q
+	c.peers = peerTable{self: n.peers.self, byName: map[string]*Peer{}}
+	c.lease.renewalSentAt = maps.Clone(n.lease.renewalSentAt)
+	for name, p := range n.peers.byName {
+		*c.peers.entry(name, n.now) = *p
 	}
-	if n.proposal != nil {
-		t := *n.proposal
-		t.promises, t.acceptances = maps.Clone(t.promises), maps.Clone(t.acceptances)
-		c.proposal = &t
+	if n.voting.proposal != nil {
+		p := *n.voting.proposal
+		p.promises, p.acceptances = maps.Clone(p.promises), maps.Clone(p.acceptances)
+		c.voting.proposal = &p
 	}
 	return &c
 }
@@ -716,7 +716,7 @@
 	visit(func(c *little) { // the first is killed and back
 		n := c.nodes[0]
 		n.k = New(c.now, n.cfg, n.disk)
-		n.k.jointViews = c.nodes[1].k.jointViews
+		n.k.safeguards.jointViews = c.nodes[1].k.safeguards.jointViews
 		n.k.Start(c.now, nil)
 		n.disk = n.k.record
 		for i := range c.nodes[1:] {
@@ -740,7 +740,7 @@
 	}
 	l := &little{now: duration.FromMillis(w.now), nodes: w.nodes}
 	for _, n := range l.nodes {
-		n.k.jointViews = joint
+		n.k.safeguards.jointViews = joint
 	}
 	return l
 }
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -23,7 +23,7 @@
 // unavailableMembers are the members that this relay takes for gone: failed, or leaving by their own word.
 func (n *Node) unavailableMembers() (names []string) {
 	for _, s := range n.view.Entries {
-		p := n.peers[s.Name]
+		p := n.peers.byName[s.Name]
 		if !s.In || s.Name == n.cfg.Name || p == nil {
 			continue
 		}
@@ -65,7 +65,7 @@
 		changed = changed || in && idle != v.Member(name).Idle
 	}
 	names := append([]string{n.cfg.Name}, v.MemberNames()...)
-	for _, p := range n.sorted() {
+	for _, p := range n.peers.sorted {
 		if p.Health == Alive && n.sameChain(p) {
 			names = append(names, p.Name)
 		}
@@ -73,7 +73,7 @@
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
 		d := n.status()
-		if p := n.peers[name]; name != n.cfg.Name {
+		if p := n.peers.byName[name]; name != n.cfg.Name {
 			if d = (Status{BootstrapSlot: -1}); p != nil && p.StatusAt >= 0 {
 				d = p.Status
 			} else if s := v.Member(name); s.In { // a member that has not said a word in this relay's life
@@ -99,7 +99,7 @@
 func (n *Node) noteLowered(w *viewRequest) {
 	all := true
 	for _, s := range n.view.Entries {
-		p := n.peers[s.Name]
+		p := n.peers.byName[s.Name]
 		switch {
 		case s.Name == n.cfg.Name && n.hasTakenEffect(n.viewAdoptedAt), s.OutstandingLimit <= s.BudgetShare,
 			p != nil && p.StatusAt >= 0 && p.Status.Epoch >= n.view.Epoch && n.hasTakenEffect(p.EpochSince):
@@ -108,22 +108,22 @@
 			all = false
 		}
 	}
-	w.earlierViewsExpired = all || n.now >= n.viewAdoptedAt+n.earlierViewsExpireAfter() || !n.jointViews
-	w.ignoreLimits = !n.jointViews
+	w.earlierViewsExpired = all || n.now >= n.viewAdoptedAt+n.earlierViewsExpireAfter() || !n.safeguards.jointViews
+	w.ignoreLimits = !n.safeguards.jointViews
 }
 
 // hasTakenEffect tells whether all that a relay did by its share before since has taken effect. Since is when it is known to have
 // stopped, by this relay's clock.
 func (n *Node) hasTakenEffect(since time.Duration) bool {
-	return n.now >= since+duration.Scale(n.maxEffectDelay, 1+MaxClockDrift)
+	return n.now >= since+duration.Scale(n.safeguards.maxEffectDelay, 1+MaxClockDrift)
 }
 
 // slotReleasedAtOf is when a relay that has handed its place over was first known to have.
 func (n *Node) slotReleasedAtOf(name string) time.Duration {
-	if p := n.peers[name]; name != n.cfg.Name && p != nil {
+	if p := n.peers.byName[name]; name != n.cfg.Name && p != nil {
 		return p.SlotReleasedAt
 	}
-	return n.slotReleasedAt
+	return n.slot.releasedAt
 }
 
 // improves tells whether the next view would bring a share nearer to its target, or let an outstanding limit go.
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -26,83 +26,77 @@
 	Timing           Timing
 }
 
-// Node is one relay's part in the fleet. It is not safe for concurrent use.
+// Node is one relay's part in the fleet: it routes events to its parts and keeps the order of what they want done. It is not safe for
+// concurrent use.
+//
+// Invariants: what a Save keeps is emitted before anything that follows from it; the record's view is the one held, or nil for view 0;
+// now never goes back.
 type Node struct {
-	cfg           Config
-	rng           *rand.Rand
+	cfg       Config
+	rng       *rand.Rand
+	startedAt time.Duration
+	now       time.Duration // of the event that is handled
+	actions   []Action      // of that event, so far
+
 	record        Record
-	view          *View // record.View, or view 0
-	viewHash      uint64
-	local         LocalState
-	peers         map[string]*Peer
-	sortedPeers   []*Peer // all of them but this relay, by name
-	storageFailed bool    // its record cannot be kept
-	// What keeps the shares' sum, as tests take it out to see that they would find out.
-	jointViews, releasesSlots    bool
-	leaseDuration, waitOut       time.Duration
-	safetyMargin, maxEffectDelay time.Duration
-	// And what keeps the sum over all cells.
-	jointPlans, awaitsCells, awaitsEarlierViews, inSequence, checksVersions bool
-
-	bootstrappedByPlan bool           // view 0 has no places: the chain is, or is to be, founded by a plan
-	otherCells         OtherCells     // what the other cells do
-	activatedPlan      uint64         // the newest plan that all its cells are known to have entered
-	joinedPlan         uint64         // the newest that nobody in this cell acts by an earlier one of
-	planAdoptedAt      time.Duration  // when a view of the present plan was first held in this life
-	previousPlan       *cellplan.Plan // the plan that the file had before, while the view is by it
-
-	startedAt      time.Duration
-	now            time.Duration
-	actions        []Action
-	viewAdoptedAt  time.Duration // when the view was adopted in this life
-	slotReleasedAt time.Duration // when the relay handed its place over in this life, or this life began
-
-	renewalSentAt     map[string]time.Duration // by voter: when the newest renewal that it answered was sent
-	leaseValidUntil   time.Duration            // until when the share may be taken
-	nextRenewalAt     time.Duration
-	proposal          *proposal
-	highestRound      uint64        // the highest met
-	nextProposalAt    time.Duration // not before this
-	changeWantedSince time.Duration // negative: nothing is to change
-	viewAcceptedAt    time.Duration // since when a view is accepted here and not chosen, negative if none is
-	agreedAt          time.Duration
-	phase             Phase
-	nextStatusAt      time.Duration
-	nextCatchUpAt     time.Duration // not before this is a view asked for
-	lastStatus        Status
-	statusSeq         uint64        // of the statuses
-	refreshListAt     time.Duration // from when on a newer list at a peer is asked for
+	storageFailed bool // the record cannot be kept: nothing may be promised any more
+	chain
+	local      LocalState
+	slot       slot
+	peers      peerTable
+	voting     voting
+	lease      lease
+	plans      planState
+	phases     phaseState
+	publisher  statusPublisher
+	freshness  freshness
+	safeguards safeguards
+}
+
+// slot is this relay's place in view 0. Until it is released the relay takes its part of the whole by the settings' number alone; from
+// then on it takes only what a view grants.
+type slot struct {
+	number     int           // negative: the chain has none for it
+	releasedAt time.Duration // in this life, or when this life began
 }
 
 // New returns the Node of a relay that starts. rec is what was kept, the zero Record for none; the first action
 // of the first event keeps it with the next incarnation.
 func New(now time.Duration, cfg Config, rec Record) *Node {
 	cfg.BootstrapSize = max(cfg.BootstrapSize, 1)
+	cfg.Timing = cfg.Timing.withFlatDefaults()
 	n := &Node{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d656d626572)), record: rec, peers: map[string]*Peer{},
-		jointViews: true, releasesSlots: true, leaseDuration: LeaseDuration, waitOut: WaitOut, safetyMargin: LeaseSafetyMargin, maxEffectDelay: MaxEffectDelay,
-		jointPlans: true, awaitsCells: true, awaitsEarlierViews: true, inSequence: true, checksVersions: true, planAdoptedAt: now,
-		startedAt: now, now: now, viewAdoptedAt: now, slotReleasedAt: now,
-		renewalSentAt: map[string]time.Duration{}, leaseValidUntil: duration.Never,
-		changeWantedSince: -1, viewAcceptedAt: -1, agreedAt: -1,
+		cfg:        cfg,
+		rng:        rand.New(rand.NewPCG(cfg.Seed, 0x6d656d626572)),
+		startedAt:  now,
+		now:        now,
+		record:     rec,
+		chain:      chain{view: rec.View, viewAdoptedAt: now},
+		slot:       slot{number: cfg.BootstrapSlot, releasedAt: now},
+		peers:      peerTable{self: cfg.Name, byName: map[string]*Peer{}},
+		voting:     voting{changeWantedSince: -1, viewAcceptedAt: -1},
+		lease:      lease{renewalSentAt: map[string]time.Duration{}, validUntil: duration.Never},
+		plans:      planState{file: cfg.Plan, cell: cfg.Cell, adoptedAt: now},
+		phases:     phaseState{agreedAt: -1},
+		safeguards: allSafeguards(),
+	}
+	n.record.Incarnation++
+	if rec.Accepted != nil {
+		n.voting.viewAcceptedAt = now
 	}
-	if n.view = rec.View; n.view == nil {
+	if n.view == nil {
 		n.view = bootstrapView(cfg.BootstrapSize)
-		if n.bootstrappedByPlan = cfg.Plan != nil; n.bootstrappedByPlan {
+		if cfg.Plan != nil {
+			n.plans.bootstrapped = true
 			n.view.UnreleasedSlots = nil
 		}
 	}
-	n.cfg.Timing = cfg.Timing.withFlatDefaults()
+	n.viewHash = n.view.Hash()
 	if a := n.view.Allocation; a != nil && a.Activated {
-		n.activatedPlan = a.Plan
-	}
-	if n.cfg.BootstrapSlot >= n.view.BootstrapSize {
-		n.cfg.BootstrapSlot = -1
+		n.plans.activated = a.Plan
 	}
-	n.viewHash = n.view.Hash()
-	n.record.Incarnation++
-	if rec.Accepted != nil {
-		n.viewAcceptedAt = now
+	if n.slot.number >= n.view.BootstrapSize {
+		n.slot.number = -1
 	}
 	return n
 }
@@ -130,13 +124,13 @@
 	case LocalState:
 		n.local = e
 	case RecordNotSaved:
-		n.storageFailed, n.proposal = true, nil
+		n.storageFailed, n.voting.proposal = true, nil
 	case PlanChanged:
-		n.onPlanChanged(e)
+		n.plans.change(e, n.view.Allocation)
 	case PlanActivated:
 		n.onPlanActivated(e)
 	case OtherCells:
-		n.otherCells = e
+		n.plans.otherCells = e
 		return n.actions
 	}
 	switch e := ev.(type) {
@@ -152,10 +146,10 @@
 // Next is when a Tick is due at the latest.
 func (n *Node) Next() time.Duration {
 	next := n.now + 100*time.Millisecond
-	if n.leaseValidUntil > n.now {
-		next = min(next, n.leaseValidUntil)
+	if n.lease.validUntil > n.now {
+		next = min(next, n.lease.validUntil)
 	}
-	return min(next, max(n.nextRenewalAt, n.now+10*time.Millisecond))
+	return min(next, max(n.lease.nextRenewalAt, n.now+10*time.Millisecond))
 }
 
 // runDueTasks is what time brings.
@@ -179,7 +173,7 @@
 }
 
 func (n *Node) send(to string, m Message) {
-	m.From, m.BootstrapSlot = n.record.Incarnation, n.cfg.BootstrapSlot
+	m.From, m.BootstrapSlot = n.record.Incarnation, n.slot.number
 	if to == n.cfg.Name {
 		n.onMessage(to, m)
 		return
@@ -197,7 +191,7 @@
 func (n *Node) View() *View { return n.view }
 
 // Phase returns how far it is agreed.
-func (n *Node) Phase() Phase { return n.phase }
+func (n *Node) Phase() Phase { return n.phases.phase }
 
 // AgreedAt is when the view was last agreed or settling, negative for never.
-func (n *Node) AgreedAt() time.Duration { return n.agreedAt }
+func (n *Node) AgreedAt() time.Duration { return n.phases.agreedAt }
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-const (
-	startupWait = 1500 * time.Millisecond // a relay that has heard nobody for so long is alone
-)
+// startupWait is how long a relay waits to hear of others before it says that it is alone.
+const startupWait = 1500 * time.Millisecond
 
 // Phase is how far a relay's view is agreed.
 type Phase uint8
@@ -18,41 +17,63 @@
 	PhaseCutOff
 )
 
+var phaseTexts = [...]string{
+	PhaseStarting: "starting", PhaseAlone: "alone", PhaseAgreed: "agreed", PhaseSettling: "settling", PhaseCutOff: "cut off",
+}
+
 func (p Phase) String() string {
-	return [...]string{"starting", "alone", "agreed", "settling", "cut off"}[min(p, PhaseCutOff)]
+	return textOf(phaseTexts[:], uint8(p))
 }
 
-// updatePhase names the phase, for people and for what is reckoned with.
+// phaseState is the phase last named, and when the fleet was last agreed.
+type phaseState struct {
+	phase    Phase
+	agreedAt time.Duration // negative for never
+}
+
+// updatePhase names the phase, for people and for what the relay reckons with.
 func (n *Node) updatePhase() {
-	was, cause := n.phase, ""
-	heard := false
-	for _, p := range n.sortedPeers {
-		heard = heard || p.Health == Alive
+	phase, cause := n.currentPhase()
+	if phase == PhaseAgreed || phase == PhaseSettling {
+		n.phases.agreedAt = n.now
 	}
-	switch seat := n.view.Member(n.cfg.Name); {
-	case n.view.Epoch == 0 && !heard && n.now < n.startedAt+startupWait:
-		n.phase, cause = PhaseStarting, "nobody is heard yet"
-	case n.view.Epoch == 0 && !heard:
-		n.phase, cause = PhaseAlone, "nobody is heard"
-	case n.view.Epoch == 0:
-		n.phase, cause = PhaseStarting, "no view is agreed yet"
-	case !seat.In && n.votersAlive() >= n.view.majority():
-		n.phase, cause = PhaseStarting, "not in the view"
-	case seat.In && n.now >= n.leaseValidUntil && n.now < n.viewAdoptedAt+startupWait && n.votersAlive() >= n.view.majority():
-		n.phase, cause = PhaseSettling, "its grant is awaited"
-	case n.votersAlive() < n.view.majority():
-		n.phase, cause = PhaseCutOff, "too few voters are heard"
-	case seat.In && n.now >= n.leaseValidUntil:
-		n.phase, cause = PhaseCutOff, "too few voters renew the grant"
-	case n.view.Settled():
-		n.phase, cause = PhaseAgreed, "every share is at its target"
-	default:
-		n.phase, cause = PhaseSettling, "a share waits for others to shrink"
+	if phase == n.phases.phase {
+		return
 	}
-	if n.phase == PhaseAgreed || n.phase == PhaseSettling {
-		n.agreedAt = n.now
+	n.phases.phase = phase
+	n.emit(Changed{Kind: ChangePhase, State: phase.String(), Cause: cause})
+}
+
+// currentPhase is the phase of the moment, and why.
+func (n *Node) currentPhase() (phase Phase, cause string) {
+	if n.view.Epoch == 0 {
+		return n.phaseBeforeViews()
+	}
+	quorum := n.votersAlive() >= n.view.majority()
+	member := n.view.Member(n.cfg.Name).In
+	expired := n.now >= n.lease.validUntil
+	switch {
+	case !member && quorum:
+		return PhaseStarting, "not in the view"
+	case member && expired && n.now < n.viewAdoptedAt+startupWait && quorum:
+		return PhaseSettling, "its grant is awaited"
+	case !quorum:
+		return PhaseCutOff, "too few voters are heard"
+	case member && expired:
+		return PhaseCutOff, "too few voters renew the grant"
+	case n.view.Settled():
+		return PhaseAgreed, "every share is at its target"
 	}
-	if n.phase != was {
-		n.emit(Changed{Kind: ChangePhase, State: n.phase.String(), Cause: cause})
+	return PhaseSettling, "a share waits for others to shrink"
+}
+
+// phaseBeforeViews is the phase while no view is agreed.
+func (n *Node) phaseBeforeViews() (phase Phase, cause string) {
+	switch {
+	case n.peers.anyAlive():
+		return PhaseStarting, "no view is agreed yet"
+	case n.now < n.startedAt+startupWait:
+		return PhaseStarting, "nobody is heard yet"
 	}
+	return PhaseAlone, "nobody is heard"
 }
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -44,12 +44,12 @@
 // cellReport returns nil without cells.
 func (n *Node) cellReport(r FleetEstimate) *CellReport {
 	a := n.view.Allocation
-	if a == nil && n.cfg.Plan == nil {
+	if a == nil && n.plans.file == nil {
 		return nil
 	}
-	c := &CellReport{Name: n.cfg.Cell, Pending: n.PlanPending().String(), FarBudgetShare: r.FarBudgetShare}
-	if n.cfg.Plan != nil {
-		c.FilePlan = n.cfg.Plan.Number
+	c := &CellReport{Name: n.plans.cell, Pending: n.PlanPending().String(), FarBudgetShare: r.FarBudgetShare}
+	if n.plans.file != nil {
+		c.FilePlan = n.plans.file.Number
 	}
 	if a != nil {
 		c.Plan, c.PlanHash, c.Activated, c.NearZones = a.Plan, strconv.FormatUint(a.PlanHash, 16), a.Activated, a.NearZones
@@ -81,8 +81,8 @@
 	r := n.Estimate(now)
 	out := Report{Relay: n.cfg.Name, Phase: r.Phase.String(), Epoch: r.Epoch, Hash: strconv.FormatUint(n.viewHash, 16), AgreedMs: -1, Relays: r.Relays,
 		BudgetShare: r.BudgetShare, ShareReason: r.ShareReason, OtherRequestRate: r.OtherRequestRate, UnreleasedSlots: len(n.view.UnreleasedSlots), Cell: n.cellReport(r)}
-	if n.agreedAt >= 0 {
-		out.AgreedMs = duration.Millis(now - n.agreedAt)
+	if n.phases.agreedAt >= 0 {
+		out.AgreedMs = duration.Millis(now - n.phases.agreedAt)
 	}
 	row := func(name, state, how string, since time.Duration, d Status) {
 		s := n.view.Member(name)
@@ -92,7 +92,7 @@
 			SinceMs: duration.Millis(since), Source: how, Epoch: d.Epoch, Incarnation: d.Incarnation, RequestRate: d.RequestRate, OpenConnections: d.OpenConnections})
 	}
 	row(n.cfg.Name, "here", "itself", now-n.startedAt, n.status())
-	for _, p := range n.sortedPeers {
+	for _, p := range n.peers.sorted {
 		how := "failure detection"
 		switch {
 		case p.StatusAt < 0:
@@ -103,7 +103,7 @@
 		row(p.Name, p.Health.String(), how, now-p.HealthSince, p.Status)
 	}
 	for _, s := range n.view.Entries {
-		if n.peers[s.Name] == nil && s.Name != n.cfg.Name {
+		if n.peers.byName[s.Name] == nil && s.Name != n.cfg.Name {
 			row(s.Name, Unknown.String(), "the view", now-n.startedAt, Status{BootstrapSlot: -1})
 		}
 	}
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -7,8 +7,12 @@
 )
 
 const (
-	drainStatusInterval = 500 * time.Millisecond  // a relay that sends its clients away says so as often
-	drainStatusValidFor = 1500 * time.Millisecond // and is believed for so long
+	// drainStatusInterval is how often a relay that sends its clients away says so.
+	drainStatusInterval = 500 * time.Millisecond
+	// drainStatusValidFor is how long it is believed.
+	drainStatusValidFor = 1500 * time.Millisecond
+	// statusIntervalPerPeer is by how much the time between two statuses grows with each peer.
+	statusIntervalPerPeer = 50 * time.Millisecond
 )
 
 // Lifecycle is what a relay says it does.
@@ -22,8 +26,10 @@
 	Leaving                   // it takes nothing any more and will go
 )
 
+var lifecycleTexts = [...]string{Starting: "starting", Serving: "serving", Draining: "draining", Leaving: "leaving"}
+
 func (d Lifecycle) String() string {
-	return [...]string{"starting", "serving", "draining", "leaving"}[min(d, Leaving)]
+	return textOf(lifecycleTexts[:], uint8(d))
 }
 
 // Status is what a relay tells all others of itself. Fields that a reader does not know are skipped, those that a
@@ -53,39 +59,91 @@
 	StatusVersionCells = 2
 )
 
+// newerThan tells whether a status is of a later process of its relay, or a later one of the same: one that was overtaken on its way, or
+// has come before, is not.
+func (s Status) newerThan(old Status) bool {
+	if s.Incarnation != old.Incarnation {
+		return s.Incarnation > old.Incarnation
+	}
+	return s.Seq > old.Seq
+}
+
+// sameState tells whether two statuses differ at most in figures.
+func (s Status) sameState(old Status) bool {
+	return s.Incarnation == old.Incarnation && s.Version == old.Version && s.Lifecycle == old.Lifecycle &&
+		s.Epoch == old.Epoch && s.SlotReleased == old.SlotReleased && s.ActivatedPlan == old.ActivatedPlan &&
+		s.EndpointListGeneration == old.EndpointListGeneration
+}
+
+// statusPublisher keeps the pace of this relay's statuses.
+type statusPublisher struct {
+	last   Status // that was published
+	seq    uint64 // of it
+	nextAt time.Duration
+}
+
+// publishBy brings the next status forward.
+func (p *statusPublisher) publishBy(at time.Duration) { p.nextAt = min(p.nextAt, at) }
+
 // status is what this relay tells of itself.
 func (n *Node) status() Status {
 	return Status{
-		Version: n.statusVersion(), Incarnation: n.record.Incarnation, ActivatedPlan: n.statusActivatedPlan(),
-		Lifecycle: n.local.Lifecycle, Zone: n.local.Zone, RequestRate: n.local.RequestRate, OpenConnections: n.local.OpenConnections, EndpointListGeneration: n.local.EndpointListGeneration, DrainRate: n.local.DrainRate,
-		Epoch: n.view.Epoch, Hash: n.viewHash,
-		BootstrapSize: n.view.BootstrapSize, BootstrapSlot: n.cfg.BootstrapSlot, SlotReleased: n.record.SlotReleased,
+		Version:                n.statusVersion(),
+		Incarnation:            n.record.Incarnation,
+		Lifecycle:              n.local.Lifecycle,
+		Zone:                   n.local.Zone,
+		RequestRate:            n.local.RequestRate,
+		OpenConnections:        n.local.OpenConnections,
+		EndpointListGeneration: n.local.EndpointListGeneration,
+		Epoch:                  n.view.Epoch,
+		Hash:                   n.viewHash,
+		BootstrapSize:          n.view.BootstrapSize,
+		BootstrapSlot:          n.slot.number,
+		SlotReleased:           n.record.SlotReleased,
+		DrainRate:              n.local.DrainRate,
+		ActivatedPlan:          n.statusActivatedPlan(),
+	}
+}
+
+// statusVersion is that of the statuses that this relay tells: an older program than 2 knows of no Allocation.
+func (n *Node) statusVersion() int {
+	if n.plans.file != nil || n.view.Allocation != nil {
+		return StatusVersionCells
+	}
+	return StatusVersion
+}
+
+// statusActivatedPlan is what a status tells of activated plans; nothing without cells.
+func (n *Node) statusActivatedPlan() uint64 {
+	if n.view.Allocation == nil {
+		return 0
 	}
+	return n.plans.activated
 }
 
 // statusInterval is the time between two statuses: it grows with the fleet, so that what a relay gets does not. In a cell it is drawn
 // anew each time, from half to one and a half of the pace: all relays tell a new view at once, and would else go on telling at once.
 func (n *Node) statusInterval() time.Duration {
-	every := max(n.cfg.Timing.StatusInterval, 50*time.Millisecond*time.Duration(len(n.peers)))
+	interval := max(n.cfg.Timing.StatusInterval, statusIntervalPerPeer*time.Duration(len(n.peers.byName)))
 	if n.view.Allocation != nil {
-		every = duration.Scale(every, 0.5+n.rng.Float64())
+		interval = duration.Scale(interval, 0.5+n.rng.Float64())
 	}
-	return every
+	return interval
 }
 
-// publish publishes the status: at once where the state, the list, the view or HandedOver is new, else now and then.
-func (n *Node) publish(now bool) {
-	d, t := n.status(), n.lastStatus
-	now = now || d.Lifecycle != t.Lifecycle || d.EndpointListGeneration != t.EndpointListGeneration || (d.DrainRate > 0) != (t.DrainRate > 0) ||
-		d.Epoch != t.Epoch || d.SlotReleased != t.SlotReleased || d.Version != t.Version || d.ActivatedPlan != t.ActivatedPlan
-	if !now && n.now < n.nextStatusAt {
+// publish publishes the status: at once where that is asked for or its state is new, else where it is due.
+func (n *Node) publish(atOnce bool) {
+	status, last := n.status(), n.publisher.last
+	drainChanged := (status.DrainRate > 0) != (last.DrainRate > 0)
+	if !atOnce && !drainChanged && status.sameState(last) && n.now < n.publisher.nextAt {
 		return
 	}
-	n.statusSeq++
-	d.Seq = n.statusSeq
-	n.lastStatus, n.nextStatusAt = d, n.now+n.statusInterval()
-	if d.DrainRate > 0 {
-		n.nextStatusAt = n.now + drainStatusInterval
+	n.publisher.seq++
+	status.Seq = n.publisher.seq
+	n.publisher.last = status
+	n.publisher.nextAt = n.now + n.statusInterval()
+	if status.DrainRate > 0 {
+		n.publisher.nextAt = n.now + drainStatusInterval
 	}
-	n.emit(Publish{d})
+	n.emit(Publish{status})
 }
