--- a/internal/fleet/membership/acceptor.go
+++ b/internal/fleet/membership/acceptor.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// onVoterRequest answers as a voter. Whoever is behind is told the view; whoever is ahead is asked for it by a Reject.
+// onVoterRequest answers as a voter. Whoever is behind is told the view; whoever is ahead is asked for it
+// by a Reject.
 func (n *Node) onVoterRequest(from string, m Message) {
 	switch {
 	case n.storageFailed:
@@ -70,10 +71,12 @@
 	}
 }
 
-// answerRenew renews a member's lease, unless the next view may be chosen already: no lease of an old view may be renewed after that.
+// answerRenew renews a member's lease, unless the next view may be chosen already: no lease of an old
+// view may be renewed after that.
 func (n *Node) answerRenew(from string, m Message) {
 	plan, checks := n.view.Allocation.plan(), n.safeguards.checksVersions
-	if m.Plan < plan && checks { // the asker's program knows of no Allocation, and would take its share of the whole
+	// the asker's program knows of no Allocation, and would take its share of the whole
+	if m.Plan < plan && checks {
 		n.send(from, Message{Kind: Learn, View: n.view})
 		return
 	}
--- a/internal/fleet/membership/allocation.go
+++ b/internal/fleet/membership/allocation.go
@@ -8,30 +8,30 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// Allocation is the part of every budget that a cell's relays divide among themselves, by a numbered plan. It is in the view, so that
-// a relay acts by it whatever its file says. docs/design/cells.md has the rules and why the sum over all cells is never over one.
-// It is never changed once made.
+// Allocation is the part of every budget that a cell's relays divide among themselves, by a numbered
+// plan. It is in the view, so that a relay acts by it whatever its file says. docs/design/cells.md has
+// the rules and why the sum over all cells is never over one. It is never changed once made.
 type Allocation struct {
 	Plan     uint64 `cbor:"1,keyasint"`
 	PlanHash uint64 `cbor:"2,keyasint"`
-	// Open says that every cell had entered the plan: the parts are the plan's in full. While it is not, they are the lesser of this
-	// plan's and those before.
+	// Activated says that every cell had joined the plan: the parts are the plan's in full. While it is not,
+	// they are the lesser of this plan's and those before.
 	Activated bool   `cbor:"3,keyasint,omitempty"`
 	Near      uint64 `cbor:"4,keyasint,omitempty"` // of Whole, for servers in NearZones
 	Far       uint64 `cbor:"5,keyasint,omitempty"` // of Whole, for all others; never over Near
 	// NearZones and Cells are in order. Cells are all that may hold a part by this plan or by the one before.
 	NearZones []string `cbor:"6,keyasint,omitempty"`
 	Cells     []string `cbor:"7,keyasint,omitempty"`
-	// LeaseFor is the time of a lease in ms, 0 for the constant of that name. It is the same in all views of a chain: what a holder
-	// trusts and what the others wait must be one number.
+	// LeaseMillis is the time of a lease in ms, 0 for LeaseDuration. It is the same in all views of
+	// a chain: what a holder trusts and what the others wait must be one number.
 	LeaseMillis uint32 `cbor:"8,keyasint,omitempty"`
-	// Founded says that the cell was founded by this plan, which is not the first: it has come from no earlier one, and cannot know
-	// which cells hold a part by that.
+	// Bootstrapped says that the cell was bootstrapped by this plan, which is not the first: it has come from no
+	// earlier one, and cannot know which cells hold a part by that.
 	Bootstrapped bool `cbor:"9,keyasint,omitempty"`
 }
 
-// FirstJoinedPlan is the plan that a chain without an Allocation enters. Plan 1 is for fleets that are founded in cells: a cell that is
-// founded under it is open at once.
+// FirstJoinedPlan is the plan that a chain without an Allocation joins. Plan 1 is for fleets that are
+// bootstrapped in cells: a cell that is bootstrapped under it is activated at once.
 const FirstJoinedPlan = 2
 
 // plan is the number of the plan acted by, 0 for none.
@@ -55,8 +55,8 @@
 	return plan != nil && plan.Number == a.Plan && plan.Hash() == a.PlanHash
 }
 
-// successor is the only plan that may be entered next. A plan that was skipped would be taken by the others for entered, though the
-// cell might hold more than its part by it.
+// successor is the only plan that may be joined next. A plan that was skipped would be taken by the
+// others for joined, though the cell might hold more than its part by it.
 func (a *Allocation) successor() uint64 {
 	if a == nil {
 		return FirstJoinedPlan
@@ -72,10 +72,10 @@
 	return a.Cells
 }
 
-// bootstrapAllocation is that of the first view of a cell. Under plan 1 nothing can have come before; under a later one the cell
-// holds nothing until the plan is open.
-func bootstrapAllocation(plan *cellplan.Plan, cell string, leaseFor uint32) *Allocation {
-	a := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Cells: plan.Names(), LeaseMillis: leaseFor}
+// bootstrapAllocation is that of the first view of a cell. Under plan 1 nothing can have come before; under a
+// later one the cell holds nothing until the plan is activated.
+func bootstrapAllocation(plan *cellplan.Plan, cell string, leaseMillis uint32) *Allocation {
+	a := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Cells: plan.Names(), LeaseMillis: leaseMillis}
 	if plan.Number == 1 {
 		return a.activated(plan, cell)
 	}
@@ -83,21 +83,25 @@
 	return a
 }
 
-// joined is the Allocation by which a cell enters a plan: of each part the lesser of what it held and what it is to hold.
+// joined is the Allocation by which a cell joins a plan: of each part the lesser of what it held and
+// what it is to hold.
 func (a *Allocation) joined(plan *cellplan.Plan, cell string) *Allocation {
 	near, far, zones := plan.Parts(cell)
-	next := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Near: near, Far: far, NearZones: zones, Cells: plan.Names()}
+	next := &Allocation{
+		Plan: plan.Number, PlanHash: plan.Hash(), Near: near, Far: far, NearZones: zones, Cells: plan.Names(),
+	}
 	if a == nil {
 		return next
 	}
 	next.LeaseMillis = a.LeaseMillis
 	next.Near, next.Far = min(near, a.Near), min(far, a.Far)
-	next.NearZones = slices.DeleteFunc(slices.Clone(zones), func(zone string) bool { return !slices.Contains(a.NearZones, zone) })
+	wasFar := func(zone string) bool { return !slices.Contains(a.NearZones, zone) }
+	next.NearZones = slices.DeleteFunc(slices.Clone(zones), wasFar)
 	next.Cells = slices.Compact(slices.Sorted(slices.Values(append(plan.Names(), a.Cells...))))
 	return next
 }
 
-// activated is the Allocation by which a cell that has entered a plan takes its parts in full.
+// activated is the Allocation by which a cell that has joined a plan takes its parts in full.
 func (a *Allocation) activated(plan *cellplan.Plan, cell string) *Allocation {
 	next := *a
 	next.Activated = true
@@ -117,7 +121,9 @@
 	if a == nil || b == nil {
 		return a == b
 	}
-	return a.Plan == b.Plan && a.PlanHash == b.PlanHash && a.Activated == b.Activated && a.Near == b.Near && a.Far == b.Far && a.LeaseMillis == b.LeaseMillis && a.Bootstrapped == b.Bootstrapped &&
+	return a.Plan == b.Plan && a.PlanHash == b.PlanHash &&
+		a.Activated == b.Activated && a.Bootstrapped == b.Bootstrapped &&
+		a.Near == b.Near && a.Far == b.Far && a.LeaseMillis == b.LeaseMillis &&
 		slices.Equal(a.NearZones, b.NearZones) && slices.Equal(a.Cells, b.Cells)
 }
 
@@ -145,13 +151,14 @@
 	return a.Far
 }
 
-// budgetShares are what a relay with a share of its cell's part may take of the budgets of near and of far servers.
+// budgetShares are what a relay with a share of its cell's part may take of the budgets of near and of
+// far servers.
 func (a *Allocation) budgetShares(share float64) (near, far float64) {
 	if a == nil {
 		return share, share
 	}
 	of := func(part uint64) float64 {
-		return float64(portion(uint64(share*float64(Whole)), part)) / float64(Whole)
+		return fraction(portion(uint64(share*float64(Whole)), part))
 	}
 	return of(a.Near), of(a.Far)
 }
@@ -176,8 +183,8 @@
 	maxZones       = 256
 	maxCells       = 2 * cellplan.MaxCells
 	maxNameBytes   = 256
-	minLeaseMillis = 1000   // ms
-	maxLeaseMillis = 60_000 // ms
+	minLeaseMillis = 1000
+	maxLeaseMillis = 60_000
 )
 
 // valid tells whether an Allocation that came from elsewhere could be.
@@ -185,14 +192,22 @@
 	if a == nil {
 		return true
 	}
-	ordered := func(names []string) bool {
-		for i, name := range names {
-			if name == "" || len(name) > maxNameBytes || i > 0 && names[i-1] >= name {
-				return false
-			}
+	if a.LeaseMillis != 0 && (a.LeaseMillis < minLeaseMillis || a.LeaseMillis > maxLeaseMillis) {
+		return false
+	}
+	return a.Plan > 0 && a.Near >= a.Far && a.Near <= Whole &&
+		validNames(a.NearZones, maxZones) && validNames(a.Cells, maxCells)
+}
+
+// validNames tells whether names could be those of zones or cells: up to so many, in order, none twice.
+func validNames(names []string, most int) bool {
+	if len(names) > most {
+		return false
+	}
+	for i, name := range names {
+		if name == "" || len(name) > maxNameBytes || i > 0 && names[i-1] >= name {
+			return false
 		}
-		return true
 	}
-	return a.Plan > 0 && a.Near >= a.Far && a.Near <= Whole && len(a.NearZones) <= maxZones && len(a.Cells) <= maxCells &&
-		ordered(a.NearZones) && ordered(a.Cells) && (a.LeaseMillis == 0 || a.LeaseMillis >= minLeaseMillis && a.LeaseMillis <= maxLeaseMillis)
+	return true
 }
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// A cell enters a plan with the lesser parts of both and only those zones near that are near by both, and is open with the plan's own.
+// A cell enters a plan with the lesser parts of both and only those zones near that are near by both, and
+// is open with the plan's own.
 func TestEnterWithTheLesserParts(t *testing.T) {
 	before, after := twoCells(2, 3, 1), twoCells(3, 1, 3)
 	held := (&Allocation{Plan: 1, LeaseMillis: 8000}).activated(before, "east")
@@ -83,7 +84,8 @@
 	return w
 }
 
-// Until other cells are heard the settings' number of relays holds; then their figures are added to the cell's own.
+// Until other cells are heard the settings' number of relays holds; then their figures are added to the
+// cell's own.
 func TestEstimateAddsOtherCells(t *testing.T) {
 	w := celled(t)
 	node := w.nodes[0]
@@ -104,7 +106,8 @@
 	}
 }
 
-// A relay of the cell that is put back to an older program is granted nothing, leaves the view, and comes back in with a newer one.
+// A relay of the cell that is put back to an older program is granted nothing, leaves the view, and comes
+// back in with a newer one.
 func TestOlderProgramTakesNothingInACell(t *testing.T) {
 	w := celled(t)
 	old := w.nodes[2]
@@ -129,7 +132,8 @@
 	}
 }
 
-// A file that goes on to plan 3 while plan 2 is not open yet doesn't stop the cell: it opens 2 by the table it had, then enters 3.
+// A file that goes on to plan 3 while plan 2 is not open yet doesn't stop the cell: it opens 2 by the
+// table it had, then enters 3.
 func TestPlanReplacedBeforeItIsOpen(t *testing.T) {
 	w := celled(t)
 	for _, number := range []uint64{2, 3} {
--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -13,8 +13,8 @@
 	"capersail/internal/fleet/duration"
 )
 
-// federation is a fleet of several cells on one set clock. Each cell has its own net, as world has it; between cells go only claims to
-// have entered plans, late, doubled, out of order, or lost.
+// federation is a fleet of several cells on one set clock. Each cell has its own net, as world has it;
+// between cells go only claims to have entered plans, late, doubled, out of order, or lost.
 type federation struct {
 	rng    *rand.Rand
 	now    float64
@@ -254,7 +254,8 @@
 	live := []int{}
 	for _, c := range f.plan.Cells {
 		if c.Relays == 0 {
-			if !f.opened() { // only then may it be left out: a cell that is founded by the next plan couldn't know of it
+			// only then may it be left out: a cell that is founded by the next plan couldn't know of it
+			if !f.opened() {
 				next.Cells = append(next.Cells, c)
 			}
 			continue
@@ -358,7 +359,8 @@
 	i := f.rng.IntN(len(c.nodes))
 	switch x := f.rng.IntN(16); {
 	case x < 2: // the operators write a plan, and some relays are told at once
-		if f.plan.Number == 1 && !f.founded() { // a cell whose first view is by plan 2 waits for one that has come from plan 1
+		// a cell whose first view is by plan 2 waits for one that has come from plan 1
+		if f.plan.Number == 1 && !f.founded() {
 			return
 		}
 		f.write(f.drawnPlan())
@@ -376,8 +378,8 @@
 	}
 }
 
-// deafenOne lets a relay drain and come back, so that the shares of the others in its cell shrink, and one of them hear nothing of that
-// until all leases have run out.
+// deafenOne lets a relay drain and come back, so that the shares of the others in its cell shrink, and
+// one of them hear nothing of that until all leases have run out.
 func (f *federation) deafenOne(c *cellWorld, i int) {
 	c.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
 	f.run(duration.Millis(WaitOut) + 5000*f.rng.Float64())
@@ -449,8 +451,9 @@
 	}
 }
 
-// mayBeOld tells whether a relay may come back by a program from before cells: it is of a flat fleet that holds no plan yet, and of
-// its relays most run the newest. What is not promised where more go back, docs/design/cells.md says.
+// mayBeOld tells whether a relay may come back by a program from before cells: it is of a flat fleet that
+// holds no plan yet, and of its relays most run the newest. What is not promised where more go back,
+// docs/design/cells.md says.
 func (c *cellWorld) mayBeOld(i int) bool {
 	newest := 0
 	for j, n := range c.nodes {
@@ -464,7 +467,8 @@
 	return newest >= 3
 }
 
-// oldDisk is what a relay kept some time ago, if it has voted on nothing since. Of every relay a copy is kept now and then.
+// oldDisk is what a relay kept some time ago, if it has voted on nothing since. Of every relay a copy is
+// kept now and then.
 func (c *cellWorld) oldDisk(i int) (Record, bool) {
 	n := c.nodes[i]
 	if n.copied == nil || votesSomewhere(c.nodes, n.cfg.Name) {
@@ -504,7 +508,8 @@
 	}
 }
 
-// heal ends all faults, gives every cell the plans that it has not entered one by one, and waits until the newest is open everywhere.
+// heal ends all faults, gives every cell the plans that it has not entered one by one, and waits until
+// the newest is open everywhere.
 func (f *federation) heal() error {
 	clear(f.cut)
 	for _, c := range f.cells {
@@ -524,7 +529,8 @@
 	}
 	f.newCells(3)
 	var err error
-	for range 30 + 15*len(f.plans) { // 2 s each; every plan waits until leases of 8 s have run out, and for claims of which a fifth is lost
+	// 2 s each; every plan waits until leases of 8 s have run out, and for claims of which a fifth is lost
+	for range 30 + 15*len(f.plans) {
 		for _, c := range f.cells {
 			for i, n := range c.nodes {
 				next := f.plans[n.k.View().Allocation.successor()]
@@ -607,7 +613,8 @@
 	each(t, count, func(seed uint64) error { return playMany(from + seed).healed() })
 }
 
-// The promise over all cells: in no zone do all relays together take more than the whole, whatever plans follow on each other.
+// The promise over all cells: in no zone do all relays together take more than the whole, whatever plans
+// follow on each other.
 func TestCellsNeverExceedOne(t *testing.T) {
 	t.Parallel()
 	from, count := seeds(t, 150)
@@ -642,7 +649,8 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			first := uint64(0)
-			if what == "the grace" { // found at 135: the seeds before have been played, and cost most of the test's time
+			// found at 135: the seeds before have been played, and cost most of the test's time
+			if what == "the grace" {
 				first = 120
 			}
 			for seed := first; seed < 1500; seed++ {
--- a/internal/fleet/membership/chain.go
+++ b/internal/fleet/membership/chain.go
@@ -4,15 +4,16 @@
 
 // chain is the newest view that this relay knows to be chosen.
 //
-// Invariants: the epoch never falls; the view is the record's, or view 0 if that has none; viewHash is its Hash.
+// Invariants: the epoch never falls; the view is the record's, or view 0 if that has none; viewHash is
+// its Hash.
 type chain struct {
 	view          *View
 	viewHash      uint64
 	viewAdoptedAt time.Duration // in this life, or when this life began
 }
 
-// adoptView takes up a view that is chosen. One that is no newer is left alone, but for the one held with the Allocation that an older
-// program has dropped.
+// adoptView takes up a view that is chosen. One that is no newer is left alone, but for the one held with
+// the Allocation that an older program has dropped.
 func (n *Node) adoptView(v *View) {
 	if n.restoresAllocation(v) {
 		n.holdView(v)
@@ -27,7 +28,8 @@
 	n.adoptAllocation(v.Allocation)
 	n.holdView(v)
 	n.viewAdoptedAt = n.now
-	if n.slot.number >= v.BootstrapSize { // a chain that was bootstrapped with fewer: this relay has none of its slots
+	// a chain that was bootstrapped with fewer: this relay has none of its slots
+	if n.slot.number >= v.BootstrapSize {
 		n.slot.number = -1
 	}
 	n.record.Accepted, n.record.AcceptedBallot = nil, Ballot{}
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -2,7 +2,7 @@
 
 import "capersail/internal/fleet/cellplan"
 
-// Event is something a Node is told.
+// Event is something that a Node has to take in.
 type Event interface{ event() }
 
 type (
@@ -21,7 +21,7 @@
 		From string
 		Message
 	}
-	// LocalState is what this relay does now.
+	// LocalState is what this relay does now; see the Status's fields of the same names.
 	LocalState struct {
 		Lifecycle              Lifecycle
 		Zone                   string
@@ -30,23 +30,23 @@
 		EndpointListGeneration int64
 		DrainRate              float64
 	}
-	// RecordNotSaved says that a Record could not be kept: nothing that followed from it has been done, and the relay must
-	// promise nothing any more.
+	// RecordNotSaved says that a Record could not be kept: nothing that followed from it has been done, and
+	// the relay must promise nothing any more.
 	RecordNotSaved struct{}
-	// PlanChanged says that the file has another plan. It has passed its Check and names this relay's cell, which a relay of a flat
-	// fleet learns with its first plan and which never changes after that.
+	// PlanChanged says that the file has another plan. It has passed its Check and names this relay's cell,
+	// which a relay of a flat fleet learns with its first plan and which never changes after that.
 	PlanChanged struct {
 		Plan *cellplan.Plan
 		Cell string
 	}
-	// PlanActivated says that every cell is known to have entered a plan, by the table of this hash, and to act by no earlier one. It
-	// is heeded only while the view's plan is the same: say it again with each directory.
+	// PlanActivated says that every cell is known to have joined a plan, by the table of this hash. It counts
+	// only while the view's plan is the same: say it again with each directory.
 	PlanActivated struct{ Plan, Hash uint64 }
 	// OtherCells is what all other cells together do, by their last word.
 	OtherCells struct {
 		Relays          int
 		RequestRate     float64 // requests a second that come to them
-		OpenConnections int     // connections
+		OpenConnections int
 		DrainRate       float64 // connections a second that they send away
 		Known           bool    // false until something was heard
 	}
@@ -72,17 +72,17 @@
 	ChangeView ChangeKind = iota
 	ChangePhase
 	ChangePeer
-	ChangePlan // State tells which plan is entered, or open
+	ChangePlan // State tells which plan is adopted or activated
 )
 
-var changeTexts = [...]string{ChangeView: "view", ChangePhase: "phase", ChangePeer: "peer", ChangePlan: "plan"}
-
-func (c ChangeKind) String() string {
-	return textOf(changeTexts[:], uint8(c))
+var changeTexts = [...]string{
+	ChangeView: "view", ChangePhase: "phase", ChangePeer: "peer", ChangePlan: "plan",
 }
 
-// Action is something a Node wants done, in the order in which it is given: what follows a Save that failed must
-// not be done.
+func (c ChangeKind) String() string { return textOf(changeTexts[:], uint8(c)) }
+
+// Action is something a Node wants done, in the order in which it is given: what follows a Save that
+// failed must not be done.
 type Action interface{ action() }
 
 type (
@@ -102,7 +102,7 @@
 		State string
 		Cause string
 	}
-	// RefreshEndpointList wants the list of servers asked for out of turn: a peer has a newer one.
+	// RefreshEndpointList wants the endpoint list polled out of turn: a peer has a newer one.
 	RefreshEndpointList struct{ Generation int64 }
 )
 
--- a/internal/fleet/membership/flat_test.go
+++ b/internal/fleet/membership/flat_test.go
@@ -14,8 +14,8 @@
 		{Name: "r1", In: true, BudgetShare: Whole / 4, OutstandingLimit: Whole / 5}, {Name: "r2", In: true, Idle: true}, {Name: "r3", OutstandingLimit: Whole / 8}}}
 }
 
-// What a relay of a fleet without cells says and keeps is to the byte what it was before there were cells, so that programs from before
-// and after may run in one fleet.
+// What a relay of a fleet without cells says and keeps is to the byte what it was before there were
+// cells, so that programs from before and after may run in one fleet.
 func TestFlatBytesAreAsBeforeCells(t *testing.T) {
 	view := flatView()
 	if got, want := view.Hash(), uint64(17517558683486390685); got != want {
--- a/internal/fleet/membership/freshness.go
+++ b/internal/fleet/membership/freshness.go
@@ -6,7 +6,8 @@
 	"capersail/internal/fleet/duration"
 )
 
-// staleListGrace is how long a peer may have a newer endpoint list before this relay polls for it out of turn.
+// staleListGrace is how long a peer may have a newer endpoint list before this relay polls for it out of
+// turn.
 const staleListGrace = 2 * time.Second
 
 // freshness keeps the pace of asking for what peers are known to have newer.
@@ -15,8 +16,8 @@
 	refreshListAt time.Duration // from when on a newer endpoint list at a peer is polled for
 }
 
-// refreshEndpointList wants the endpoint list polled out of turn once a peer has had a newer one for a while: a watch event reaches all
-// within moments, unless this relay's watch has gone silent.
+// refreshEndpointList wants the endpoint list polled out of turn once a peer has had a newer one for a
+// while: a watch event reaches all within moments, unless this relay's watch has gone silent.
 func (n *Node) refreshEndpointList() {
 	newest := int64(0)
 	for _, p := range n.peers.sorted {
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -8,12 +8,13 @@
 	"capersail/internal/fleet/duration"
 )
 
-// The margin. A voter that has accepted the next view renews nobody in the one before, so that no lease of an old
-// view is renewed after the new one is chosen. Whoever holds the lease stops in time by its own clock:
+// The margin. A voter that has accepted the next view renews nobody in the one before, so that no lease
+// of an old view is renewed after the new one is chosen. Whoever holds the lease stops in time by its own
+// clock:
 //
 //	valid until       = when the renewal was sent + LeaseDuration*(1-MaxClockDrift) - LeaseSafetyMargin
 //	a limit waits     = LeaseDuration*(1+MaxClockDrift) from the new view's adoption
-//	LeaseSafetyMargin = MaxEffectDelay (from a look at the share to the end of what is done by it) + 250 ms (to spare)
+//	LeaseSafetyMargin = MaxEffectDelay + 250 ms to spare
 const (
 	// LeaseDuration is that of a flat fleet; an Allocation may have another.
 	LeaseDuration = leaseMillis * time.Millisecond
@@ -31,7 +32,8 @@
 
 // lease is this relay's right to act by its share of the view held, renewed by half of the voters.
 //
-// Invariants: validUntil never falls; it rises only to what half of the voters held have renewed, counted from when they were asked.
+// Invariants: validUntil never falls; it rises only to what half of the voters held have renewed, counted
+// from when they were asked.
 type lease struct {
 	renewalSentAt map[string]time.Duration // by voter: when the newest renewal that it answered was sent
 	validUntil    time.Duration            // before this the share may be taken
@@ -43,7 +45,8 @@
 	l.renewalSentAt[voter] = max(l.renewalSentAt[voter], sentAt)
 }
 
-// extend works out until when half of a view's voters have renewed the lease, each for a time from when it was asked.
+// extend works out until when half of a view's voters have renewed the lease, each for a time from when
+// it was asked.
 func (l *lease) extend(view *View, validFor time.Duration) {
 	sent := make([]time.Duration, 0, MaxVoters)
 	for _, v := range view.Voters {
@@ -62,8 +65,8 @@
 // valid tells whether the share may be taken.
 func (l *lease) valid(now time.Duration) bool { return now < l.validUntil }
 
-// releaseSlot gives this relay's slot to the fleet, once a majority that can make a view is heard. From the moment that is on disk the
-// relay takes nothing but what a view grants.
+// releaseSlot gives this relay's slot to the fleet, once a majority that can make a view is heard. From
+// the moment that is on disk the relay takes nothing but what a view grants.
 func (n *Node) releaseSlot() {
 	if n.record.SlotReleased || n.storageFailed || n.local.Lifecycle == Leaving {
 		return
@@ -88,7 +91,10 @@
 		return
 	}
 	n.lease.nextRenewalAt = n.now + duration.Scale(RenewInterval, n.leaseScale())
-	renew := Message{Kind: Renew, Epoch: n.view.Epoch, SentAtMillis: duration.Millis(n.now), Plan: n.view.Allocation.plan()}
+	renew := Message{
+		Kind: Renew, Epoch: n.view.Epoch, Plan: n.view.Allocation.plan(),
+		SentAtMillis: duration.Millis(n.now),
+	}
 	for _, v := range n.view.Voters {
 		n.send(v, renew)
 	}
@@ -113,27 +119,30 @@
 	return duration.Scale(n.safeguards.waitOut, n.leaseScale())
 }
 
-// BudgetShare is what this relay may take of a budget right now; where there are cells, of that of a server in its near zones.
+// BudgetShare is what this relay may take of a budget right now; where there are cells, of that of a
+// server in its near zones.
 func (n *Node) BudgetShare(now time.Duration) float64 {
 	share, _, _ := n.budgetShare(max(now, n.now))
 	near, _ := n.view.Allocation.budgetShares(share)
 	return near
 }
 
-// budgetShare is what this relay may take now of its cell's part, or of the whole without cells, until when, and why.
-func (n *Node) budgetShare(now time.Duration) (share float64, until time.Duration, why string) {
-	seat := n.view.Member(n.cfg.Name)
+// budgetShare is what this relay may take now of its cell's part, or of the whole without cells, until
+// when, and why.
+func (n *Node) budgetShare(now time.Duration) (share float64, until time.Duration, reason string) {
+	member := n.view.Member(n.cfg.Name)
+	released := n.record.SlotReleased && n.safeguards.releasesSlots
 	switch {
-	case !(n.record.SlotReleased && n.safeguards.releasesSlots) && slices.Contains(n.view.UnreleasedSlots, n.slot.number):
-		return float64(n.view.slotShare()) / float64(Whole), duration.Forever, "its place's, by the settings' number"
+	case !released && slices.Contains(n.view.UnreleasedSlots, n.slot.number):
+		return fraction(n.view.slotShare()), duration.Forever, "its slot's, by the configured number of relays"
 	case !n.record.SlotReleased:
-		return 0, duration.Forever, "none: it has no place, and no view grants it any"
-	case !seat.In:
-		return 0, duration.Forever, "none: it has handed its place over and is in no view yet"
+		return 0, duration.Forever, "none: it has no slot, and no view grants it a share"
+	case !member.In:
+		return 0, duration.Forever, "none: it has released its slot and is in no view yet"
 	case n.local.Lifecycle == Leaving:
-		return 0, duration.Forever, "none: it leaves"
+		return 0, duration.Forever, "none: it is leaving"
 	case !n.lease.valid(now):
-		return 0, duration.Forever, "none: its grant has run out"
+		return 0, duration.Forever, "none: its lease has expired"
 	}
-	return float64(seat.BudgetShare) / float64(Whole), n.lease.validUntil, "granted in the view"
+	return fraction(member.BudgetShare), n.lease.validUntil, "granted in the view"
 }
--- a/internal/fleet/membership/leftout_test.go
+++ b/internal/fleet/membership/leftout_test.go
@@ -7,8 +7,9 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// A plan that names only cells that are founded by it must not open while a cell that it leaves out holds its part by the plan before.
-// The cells that it names can't know of that one, so they wait for word of one that has come from the plan before.
+// A plan that names only cells that are founded by it must not open while a cell that it leaves out holds
+// its part by the plan before. The cells that it names can't know of that one, so they wait for word of
+// one that has come from the plan before.
 func TestPlanThatLeavesOutAHolder(t *testing.T) {
 	f := &federation{rng: rand.New(rand.NewPCG(1, 7)), cut: map[[2]string]bool{}, plans: map[uint64]*cellplan.Plan{}, zones: []string{"nobody's"}}
 	f.found(1, 1, 3, false)
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -11,6 +11,8 @@
 }
 
 // Record is what has to be on disk before anything that follows from it is said or done.
+//
+// Invariants: Promised is no lower than AcceptedBallot; Accepted is of the epoch after View's.
 type Record struct {
 	Incarnation    uint64 `cbor:"1,keyasint"`
 	SlotReleased   bool   `cbor:"2,keyasint"`
@@ -20,7 +22,8 @@
 	View           *View  `cbor:"6,keyasint,omitempty"` // the newest that is known to be chosen; nil for view 0
 }
 
-// promise notes that nothing by a lower ballot is accepted any more; it tells whether the ballot is not too low itself.
+// promise notes that nothing by a lower ballot is accepted any more; it tells whether the ballot is not
+// too low itself.
 func (r *Record) promise(b Ballot) bool {
 	if b.less(r.Promised) {
 		return false
@@ -43,17 +46,26 @@
 
 // The messages.
 const (
-	Renew    Kind = iota + 1 // a member asks a voter to renew its lease in Epoch; At is the asker's own time
-	Renewed                  // At as it was asked
-	Prepare                  // may I propose what follows Epoch, by Ballot?
-	Promise                  // yes; By and View are what was accepted, Gone whom the voter takes for gone
-	Accept                   // accept View by Ballot
-	Accepted                 // it is, on disk
-	Learn                    // View is chosen
-	Reject                   // a higher Ballot is promised, or Epoch is what the answerer holds
+	// Renew asks a voter to renew the sender's lease in Epoch; SentAtMillis is by the sender's clock.
+	Renew Kind = iota + 1
+	// Renewed is the voter's yes, with SentAtMillis as it came.
+	Renewed
+	// Prepare asks whether the sender may propose by Ballot what follows Epoch.
+	Prepare
+	// Promise is the voter's yes: AcceptedBallot and View are what it has accepted, Unavailable the members
+	// that it takes for gone.
+	Promise
+	// Accept asks a voter to accept View by Ballot.
+	Accept
+	// Accepted says that it has, on disk.
+	Accepted
+	// Learn says that View is chosen.
+	Learn
+	// Reject says that a higher Ballot is promised, or that the sender holds Epoch.
+	Reject
 )
 
-// Message is what one relay's Node says to another's.
+// Message is what one relay's Node says to another's. It is encoded as it stands.
 type Message struct {
 	Kind           Kind     `cbor:"1,keyasint"`
 	Epoch          uint64   `cbor:"2,keyasint"`
--- a/internal/fleet/membership/model_test.go
+++ b/internal/fleet/membership/model_test.go
@@ -16,8 +16,9 @@
 	"capersail/internal/fleet/duration"
 )
 
-// world is a fleet in memory: Nodes on one set clock, each with a clock of its own that runs fast or slow, and a
-// network that loses, delays, doubles and cuts. Nothing in it is left to chance but by its seed.
+// world is a fleet in memory: Nodes on one set clock, each with a clock of its own that runs fast or
+// slow, and a network that loses, delays, doubles and cuts. Nothing in it is left to chance but by its
+// seed.
 type world struct {
 	rng    *rand.Rand
 	now    float64
@@ -58,8 +59,8 @@
 	copied    *Record           // its disk some time ago
 }
 
-// look is a look at a share of a cell's parts, or of the whole, by the world's clock. What is done by it may take effect up to
-// EffectWithin later.
+// look is a look at a share of a cell's parts, or of the whole, by the world's clock. What is done by it
+// may take effect up to EffectWithin later.
 type look struct {
 	at, share float64
 	parts     *Allocation
@@ -132,8 +133,8 @@
 	}
 }
 
-// deafen lets nothing come any more to one relay that holds an earlier view than the newest, if that is what is to happen. The
-// others take it for alive still, so nothing but time lets its limit go.
+// deafen lets nothing come any more to one relay that holds an earlier view than the newest, if that is
+// what is to happen. The others take it for alive still, so nothing but time lets its limit go.
 func (w *world) deafen(first int) {
 	if !w.strike || w.epoch < 2 {
 		return
@@ -200,8 +201,9 @@
 	}
 }
 
-// check is the promise: each relay looks at its share at every moment, and what it does by a look counts for EffectWithin from then
-// on, also where it is stopped or killed meanwhile. A share changes with an event, or lapses.
+// check is the promise: each relay looks at its share at every moment, and what it does by a look counts
+// for EffectWithin from then on, also where it is stopped or killed meanwhile. A share changes with an
+// event, or lapses.
 func (w *world) check() {
 	sum := 0.0
 	for _, n := range w.nodes {
@@ -215,8 +217,8 @@
 	}
 }
 
-// looked takes down a look. Of several only those are kept that may count most at some later moment: by one Allocation their shares
-// fall.
+// looked takes down a look. Of several only those are kept that may count most at some later moment: by
+// one Allocation their shares fall.
 func (n *node) looked(now float64) {
 	last := len(n.looks) - 1
 	if last >= 0 && n.looks[last].parts == n.parts && n.looks[last].share == n.share {
@@ -260,8 +262,8 @@
 	}
 }
 
-// detect stands for the failure detector: whoever is cut off both ways, down or stopped for failAfter is failed, by
-// each relay's own sight. It may be wrong, and late, as the real one may.
+// detect stands for the failure detector: whoever is cut off both ways, down or stopped for failAfter is
+// failed, by each relay's own sight. It may be wrong, and late, as the real one may.
 const failAfter = 2000.0
 
 func (w *world) detect() {
@@ -390,8 +392,8 @@
 	}
 }
 
-// A relay whose list of servers stays behind a peer's asks discovery once, and again only much later; one that is behind
-// for a moment, as all are while word of a change spreads, does not.
+// A relay whose list of servers stays behind a peer's asks discovery once, and again only much later; one
+// that is behind for a moment, as all are while word of a change spreads, does not.
 func TestListBehindIsAskedFor(t *testing.T) {
 	k := New(0, Config{Name: "me", BootstrapSize: 3, ConfiguredRelays: 3}, Record{})
 	asked := func(from, to time.Duration, list int64) (n int) {
@@ -415,8 +417,8 @@
 	}
 }
 
-// deafenOne lets a relay drain and come back, so that the others' shares shrink, and one of them hear nothing of that until all leases
-// have run out.
+// deafenOne lets a relay drain and come back, so that the others' shares shrink, and one of them hear
+// nothing of that until all leases have run out.
 func (w *world) deafenOne(i int) {
 	clear(w.cut)
 	w.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
@@ -500,7 +502,9 @@
 			if x.up && !x.stopped {
 				w.feed(i, LocalState{Lifecycle: []Lifecycle{Serving, Draining, Leaving}[w.rng.IntN(3)], RequestRate: 10, EndpointListGeneration: 1})
 			}
-		case 10: // a relay comes to serve, and at the moment of the view that shrinks the others' shares one of them goes deaf
+		// a relay comes to serve, and at the moment of the view that shrinks the others' shares one of them
+		// goes deaf
+		case 10:
 			if x.up && !x.stopped {
 				w.deafenOne(i)
 			}
@@ -538,11 +542,12 @@
 	return w.agreed()
 }
 
-// long tells whether the long schedules are asked for; docs/measurements/members.md has their command and result.
+// long tells whether the long schedules are asked for; docs/measurements/members.md has their command and
+// result.
 func long() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
-// each runs a schedule for each seed on all cores, and reports the first seeds that fail. A slice of the long schedules ends before
-// the test's deadline, and says how many were played.
+// each runs a schedule for each seed on all cores, and reports the first seeds that fail. A slice of the
+// long schedules ends before the test's deadline, and says how many were played.
 func each(t *testing.T, seeds int, play func(seed uint64) error) {
 	deadline, ends := t.Deadline()
 	var next atomic.Uint64
@@ -573,7 +578,8 @@
 // spareTime is how long before a test's deadline no schedule is begun any more.
 const spareTime = 25 * time.Second
 
-// The promise, over drawn schedules: a few relays in many, fifty in some. After each the faults end, and all agree.
+// The promise, over drawn schedules: a few relays in many, fifty in some. After each the faults end, and
+// all agree.
 func TestSharesNeverExceedOne(t *testing.T) {
 	few, fifty := 600, 12
 	if long() {
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -11,24 +11,21 @@
 type viewRequest struct {
 	members       []string // in the order of names
 	idle          map[string]bool
-	releasedSlots []int // that members hand over
+	releasedSlots []int // by relays that come into the view
 	allocation    *Allocation
-	// quiet: nobody can act by an earlier view than this any more.
+	// earlierViewsExpired: nobody can act by an earlier view than the one held any more.
 	earlierViewsExpired bool
-	// released are those who are known to take no more than their share of this view.
-	lowered      map[string]bool
-	ignoreLimits bool // in tests only: whoever is gone takes nothing, as if it knew
+	// lowered are those who are known to take no more than their share of the view held.
+	lowered map[string]bool
+	// ignoreLimits, in tests only: whoever is out of the view takes nothing, as if it knew.
+	ignoreLimits bool
 }
 
 // unavailableMembers are the members that this relay takes for gone: failed, or leaving by their own word.
 func (n *Node) unavailableMembers() (names []string) {
-	for _, s := range n.view.Entries {
-		p := n.peers.byName[s.Name]
-		if !s.In || s.Name == n.cfg.Name || p == nil {
-			continue
-		}
-		if p.Health == Failed || p.Health == Left || p.Status.Lifecycle == Leaving && p.StatusAt >= 0 {
-			names = append(names, s.Name)
+	for _, m := range n.view.Entries {
+		if m.In && m.Name != n.cfg.Name && n.peers.byName[m.Name].isUnavailable() {
+			names = append(names, m.Name)
 		}
 	}
 	if n.local.Lifecycle == Leaving && n.view.Member(n.cfg.Name).In {
@@ -37,83 +34,126 @@
 	return names
 }
 
-// nextViewRequest is what the next view is to be made of, if gone are gone; changed says whether it differs from the one held.
-func (n *Node) nextViewRequest(gone func(name string) bool) (w viewRequest, changed bool) {
-	v := n.view
-	w.idle, w.lowered = map[string]bool{}, map[string]bool{}
-	take := func(name string, d Status) {
-		_, seated := v.find(name)
-		in := v.Member(name).In
-		switch {
-		case in && (gone(name) || d.Incarnation > 0 && v.Allocation != nil && !n.isEligible(d)):
-			changed = true
-			return
-		case !in && (!d.SlotReleased || d.Lifecycle == Leaving || gone(name) || !n.isEligible(d)):
-			return
-		case !in:
-			if !seated && slices.Contains(v.UnreleasedSlots, d.BootstrapSlot) && d.BootstrapSize == v.BootstrapSize {
-				if !n.hasTakenEffect(n.slotReleasedAtOf(name)) { // what it took of its place may take effect still
-					return
-				}
-				w.releasedSlots = append(w.releasedSlots, d.BootstrapSlot)
+// nextViewRequest is what the next view is to be made of, if some members are unavailable; changed says
+// whether it differs from the view held.
+func (n *Node) nextViewRequest(unavailable func(name string) bool) (request viewRequest, changed bool) {
+	request = viewRequest{idle: map[string]bool{}, lowered: map[string]bool{}}
+	for _, name := range n.candidates() {
+		status := n.candidateStatus(name)
+		was := n.view.Member(name)
+		if was.In {
+			if unavailable(name) || n.isOutdatedMember(status) {
+				changed = true
+				continue
+			}
+		} else {
+			if unavailable(name) || !n.mayJoin(name, status) {
+				continue
+			}
+			if n.releasesSlotByJoining(name, status) {
+				request.releasedSlots = append(request.releasedSlots, status.BootstrapSlot)
 			}
 			changed = true
 		}
-		w.members = append(w.members, name)
-		idle := d.Lifecycle == Draining
-		w.idle[name] = idle
-		changed = changed || in && idle != v.Member(name).Idle
+		idle := status.Lifecycle == Draining
+		request.members = append(request.members, name)
+		request.idle[name] = idle
+		changed = changed || was.In && idle != was.Idle
 	}
-	names := append([]string{n.cfg.Name}, v.MemberNames()...)
+	n.noteLowered(&request)
+	if len(request.members) == 0 {
+		return request, false
+	}
+	request.allocation, _ = n.nextAllocation()
+	changed = changed || !request.allocation.equal(n.view.Allocation)
+	improvable := request.earlierViewsExpired && !n.view.Settled()
+	return request, changed || improvable && n.view.improves(request)
+}
+
+// candidates are those who may be in the next view, in the order of names: this relay, the members, and the
+// peers that are alive and of this chain.
+func (n *Node) candidates() []string {
+	names := append([]string{n.cfg.Name}, n.view.MemberNames()...)
 	for _, p := range n.peers.sorted {
 		if p.Health == Alive && n.sameChain(p) {
 			names = append(names, p.Name)
 		}
 	}
 	slices.Sort(names)
-	for _, name := range slices.Compact(names) {
-		d := n.status()
-		if p := n.peers.byName[name]; name != n.cfg.Name {
-			if d = (Status{BootstrapSlot: -1}); p != nil && p.StatusAt >= 0 {
-				d = p.Status
-			} else if s := v.Member(name); s.In { // a member that has not said a word in this relay's life
-				d.SlotReleased = true
-				if s.Idle {
-					d.Lifecycle = Draining
-				}
-			}
+	return slices.Compact(names)
+}
+
+// candidateStatus is what is known of a candidate. Of a member that has not said a word in this relay's
+// life the view tells enough.
+func (n *Node) candidateStatus(name string) Status {
+	if name == n.cfg.Name {
+		return n.status()
+	}
+	if p := n.peers.byName[name]; p.hasStatus() {
+		return p.Status
+	}
+	status := Status{BootstrapSlot: -1}
+	if m := n.view.Member(name); m.In {
+		status.SlotReleased = true
+		if m.Idle {
+			status.Lifecycle = Draining
 		}
-		take(name, d)
 	}
-	n.noteLowered(&w)
-	if len(w.members) == 0 {
-		return w, false
+	return status
+}
+
+// isOutdatedMember tells whether a member of a cell's view has come back by a program that knows no plans.
+func (n *Node) isOutdatedMember(s Status) bool {
+	return s.Incarnation > 0 && n.view.Allocation != nil && !n.isEligible(s)
+}
+
+// mayJoin tells whether a relay that is in no view may come into the next: it has released its slot, and
+// what it took of that can take no effect any more.
+func (n *Node) mayJoin(name string, s Status) bool {
+	if !s.SlotReleased || s.Lifecycle == Leaving || !n.isEligible(s) {
+		return false
 	}
-	w.allocation, _ = n.nextAllocation()
-	changed = changed || !w.allocation.equal(v.Allocation)
-	return w, changed || w.earlierViewsExpired && !v.Settled() && v.improves(w)
+	return !n.releasesSlotByJoining(name, s) || n.hasTakenEffect(n.slotReleasedAtOf(name))
 }
 
-// noteLowered notes who is known to act by no earlier view than the one held. A status that says so is good for ever,
-// as what is held is on disk.
-func (n *Node) noteLowered(w *viewRequest) {
+// releasesSlotByJoining tells whether a relay that comes into the view brings the slot that it has released.
+func (n *Node) releasesSlotByJoining(name string, s Status) bool {
+	_, known := n.view.find(name)
+	sameChain := s.BootstrapSize == n.view.BootstrapSize
+	return !known && sameChain && slices.Contains(n.view.UnreleasedSlots, s.BootstrapSlot)
+}
+
+// noteLowered notes who is known to act by no earlier view than the one held. A status that says so is
+// good for ever, as what is held is on disk.
+func (n *Node) noteLowered(request *viewRequest) {
 	all := true
-	for _, s := range n.view.Entries {
-		p := n.peers.byName[s.Name]
-		switch {
-		case s.Name == n.cfg.Name && n.hasTakenEffect(n.viewAdoptedAt), s.OutstandingLimit <= s.BudgetShare,
-			p != nil && p.StatusAt >= 0 && p.Status.Epoch >= n.view.Epoch && n.hasTakenEffect(p.EpochSince):
-			w.lowered[s.Name] = true
-		default:
+	for _, m := range n.view.Entries {
+		if n.isLowered(m) {
+			request.lowered[m.Name] = true
+		} else {
 			all = false
 		}
 	}
-	w.earlierViewsExpired = all || n.now >= n.viewAdoptedAt+n.earlierViewsExpireAfter() || !n.safeguards.jointViews
-	w.ignoreLimits = !n.safeguards.jointViews
+	joint := n.safeguards.jointViews
+	expired := n.now >= n.viewAdoptedAt+n.earlierViewsExpireAfter()
+	request.earlierViewsExpired = all || expired || !joint
+	request.ignoreLimits = !joint
 }
 
-// hasTakenEffect tells whether all that a relay did by its share before since has taken effect. Since is when it is known to have
-// stopped, by this relay's clock.
+// isLowered tells whether a relay is known to take no more than its share of the view held.
+func (n *Node) isLowered(m Member) bool {
+	if m.OutstandingLimit <= m.BudgetShare {
+		return true
+	}
+	if m.Name == n.cfg.Name && n.hasTakenEffect(n.viewAdoptedAt) {
+		return true
+	}
+	p := n.peers.byName[m.Name]
+	return p.hasStatus() && p.Status.Epoch >= n.view.Epoch && n.hasTakenEffect(p.EpochSince)
+}
+
+// hasTakenEffect tells whether all that a relay did by its share before since has taken effect. Since is
+// when it is known to have stopped, by this relay's clock.
 func (n *Node) hasTakenEffect(since time.Duration) bool {
 	return n.now >= since+duration.Scale(n.safeguards.maxEffectDelay, 1+MaxClockDrift)
 }
@@ -126,7 +166,8 @@
 	return n.slot.releasedAt
 }
 
-// improves tells whether the next view would bring a share nearer to its target, or let an outstanding limit go.
+// improves tells whether the next view would bring a share nearer to its target, or let an outstanding
+// limit go.
 func (v *View) improves(w viewRequest) bool {
 	n := v.next(w)
 	for _, s := range n.Entries {
@@ -137,51 +178,66 @@
 	return len(n.Entries) < len(v.Entries)
 }
 
-// next makes the view that follows. The sum of maximum() over all entries and of the places kept stays within Whole: what
-// any relay may take by this view or an earlier one is its outstanding limit there, and shares beyond these limits are
-// given only from what no limit holds.
-func (v *View) next(w viewRequest) *View {
-	n := &View{Epoch: v.Epoch + 1, BootstrapSize: v.BootstrapSize, Allocation: w.allocation}
-	n.UnreleasedSlots = slices.DeleteFunc(slices.Clone(v.UnreleasedSlots), func(p int) bool { return slices.Contains(w.releasedSlots, p) })
-	for _, s := range v.Entries {
-		bound := s.maxShare()
-		if w.earlierViewsExpired || w.lowered[s.Name] {
-			bound = s.BudgetShare
-		}
-		in := slices.Contains(w.members, s.Name)
-		if w.ignoreLimits && !in {
-			bound = 0
-		}
-		if in || bound > 0 {
-			n.Entries = append(n.Entries, Member{Name: s.Name, In: in, OutstandingLimit: bound, Idle: w.idle[s.Name]})
+// next makes the view that follows. The sum of maxShare over all entries and of the slots not released stays
+// within Whole: what any relay may take by this view or an earlier one is its outstanding limit there, and
+// shares beyond these limits are given only from what no limit holds.
+func (v *View) next(request viewRequest) *View {
+	released := func(slot int) bool { return slices.Contains(request.releasedSlots, slot) }
+	n := &View{
+		Epoch:           v.Epoch + 1,
+		BootstrapSize:   v.BootstrapSize,
+		Allocation:      request.allocation,
+		UnreleasedSlots: slices.DeleteFunc(slices.Clone(v.UnreleasedSlots), released),
+		Voters:          nextVoters(v.Voters, request.members),
+	}
+	for _, m := range v.Entries {
+		in, limit := slices.Contains(request.members, m.Name), v.limitAfter(m, request)
+		if in || limit > 0 {
+			next := Member{Name: m.Name, In: in, OutstandingLimit: limit, Idle: request.idle[m.Name]}
+			n.Entries = append(n.Entries, next)
 		}
 	}
-	for _, name := range w.members {
-		if i, ok := n.find(name); !ok {
-			n.Entries = slices.Insert(n.Entries, i, Member{Name: name, In: true, Idle: w.idle[name]})
+	for _, name := range request.members {
+		if i, known := n.find(name); !known {
+			n.Entries = slices.Insert(n.Entries, i, Member{Name: name, In: true, Idle: request.idle[name]})
 		}
 	}
-	due, free := n.targetShare(), Whole-n.unreleasedShare()
-	for i := range n.Entries {
-		free -= n.Entries[i].OutstandingLimit
+	n.divide()
+	return n
+}
+
+// limitAfter is the most that a relay may take by this view or an earlier one, once the next is adopted.
+func (v *View) limitAfter(m Member, request viewRequest) uint64 {
+	switch {
+	case request.ignoreLimits && !slices.Contains(request.members, m.Name):
+		return 0
+	case request.earlierViewsExpired || request.lowered[m.Name]:
+		return m.BudgetShare
+	}
+	return m.maxShare()
+}
+
+// divide gives each member that serves its share: up to its outstanding limit at once, beyond that from
+// what no limit holds.
+func (v *View) divide() {
+	target, free := v.targetShare(), Whole-v.unreleasedShare()
+	for _, m := range v.Entries {
+		free -= m.OutstandingLimit
 	}
-	for i := range n.Entries {
-		s := &n.Entries[i]
-		if !s.In || s.Idle {
+	for i := range v.Entries {
+		m := &v.Entries[i]
+		if !m.In || m.Idle {
 			continue
 		}
-		s.BudgetShare = min(due, s.OutstandingLimit)
-		if grow := min(due-s.BudgetShare, free); grow > 0 {
-			s.BudgetShare += grow
-			free -= grow
-		}
+		m.BudgetShare = min(target, m.OutstandingLimit)
+		grow := min(target-m.BudgetShare, free)
+		m.BudgetShare += grow
+		free -= grow
 	}
-	n.Voters = voters(v.Voters, w.members)
-	return n
 }
 
-// voters keeps the voters that stay and fills up: an odd number, but both of two.
-func voters(old, members []string) (out []string) {
+// nextVoters keeps the voters that stay and fills up: an odd number, but both of two.
+func nextVoters(old, members []string) (out []string) {
 	n := min(len(members), MaxVoters)
 	if n > 2 && n%2 == 0 {
 		n--
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -1,9 +1,3 @@
-// Package membership decides who is in the fleet and what share of a fleet-wide budget each relay may take. A Node is
-// one relay's part in that: it is fed events, takes time as an argument, returns actions, and does no I/O. Views are
-// chosen by Paxos among a few voters, and shares are held under leases.
-// docs/design/members.md has the promise, the reasons and the proof's outline.
-//
-// All times are durations since an arbitrary origin of one relay's monotonic clock; no two relays' clocks are ever compared.
 package membership
 
 import (
@@ -17,20 +11,20 @@
 // Config is what a Node is told at its start.
 type Config struct {
 	Name             string
-	BootstrapSlot    int // this relay's number, from 0
-	BootstrapSize    int // how many places view 0 has
-	ConfiguredRelays int // the settings' number, reckoned with before any agreement
+	BootstrapSlot    int // this relay's place in view 0, from 0
+	BootstrapSize    int // how many slots view 0 has
+	ConfiguredRelays int // how many relays there are by the settings; counts before any agreement
 	Seed             uint64
 	Cell             string         // the name of this relay's cell, "" without cells
 	Plan             *cellplan.Plan // the file's; nil without cells. It has passed its Check and names Cell
 	Timing           Timing
 }
 
-// Node is one relay's part in the fleet: it routes events to its parts and keeps the order of what they want done. It is not safe for
-// concurrent use.
+// Node is one relay's part in the fleet: it routes events to its parts and keeps the order of what they
+// want done. It is not safe for concurrent use.
 //
-// Invariants: what a Save keeps is emitted before anything that follows from it; the record's view is the one held, or nil for view 0;
-// now never goes back.
+// Invariants: what a Save keeps is emitted before anything that follows from it; the record's view is the
+// one held, or nil for view 0; now never goes back.
 type Node struct {
 	cfg       Config
 	rng       *rand.Rand
@@ -53,15 +47,15 @@
 	safeguards safeguards
 }
 
-// slot is this relay's place in view 0. Until it is released the relay takes its part of the whole by the settings' number alone; from
-// then on it takes only what a view grants.
+// slot is this relay's place in view 0. Until it is released the relay takes its part of the whole by the
+// configured number of relays alone; from then on it takes only what a view grants.
 type slot struct {
 	number     int           // negative: the chain has none for it
 	releasedAt time.Duration // in this life, or when this life began
 }
 
-// New returns the Node of a relay that starts. rec is what was kept, the zero Record for none; the first action
-// of the first event keeps it with the next incarnation.
+// New returns the Node of a relay that starts. rec is what was kept, the zero Record for none; the first
+// action of the first event keeps it with the next incarnation.
 func New(now time.Duration, cfg Config, rec Record) *Node {
 	cfg.BootstrapSize = max(cfg.BootstrapSize, 1)
 	cfg.Timing = cfg.Timing.withFlatDefaults()
@@ -121,10 +115,14 @@
 		}
 	case MessageReceived:
 		n.onMessage(e.From, e.Message)
+		if e.Kind == Renew || e.Kind == Renewed { // most of what comes, and nothing but the lease hangs on it
+			return n.actions
+		}
 	case LocalState:
 		n.local = e
 	case RecordNotSaved:
-		n.storageFailed, n.voting.proposal = true, nil
+		n.storageFailed = true
+		n.voting.proposal = nil
 	case PlanChanged:
 		n.plans.change(e, n.view.Allocation)
 	case PlanActivated:
@@ -133,26 +131,25 @@
 		n.plans.otherCells = e
 		return n.actions
 	}
-	switch e := ev.(type) {
-	case MessageReceived:
-		if e.Kind == Renew || e.Kind == Renewed { // most of what comes, and nothing but the lease hangs on it
-			return n.actions
-		}
-	}
 	n.runDueTasks()
 	return n.actions
 }
 
+const (
+	maxTickInterval = 100 * time.Millisecond
+	minTickInterval = 10 * time.Millisecond
+)
+
 // Next is when a Tick is due at the latest.
 func (n *Node) Next() time.Duration {
-	next := n.now + 100*time.Millisecond
-	if n.lease.validUntil > n.now {
+	next := n.now + maxTickInterval
+	if n.lease.valid(n.now) {
 		next = min(next, n.lease.validUntil)
 	}
-	return min(next, max(n.lease.nextRenewalAt, n.now+10*time.Millisecond))
+	return min(next, max(n.lease.nextRenewalAt, n.now+minTickInterval))
 }
 
-// runDueTasks is what time brings.
+// runDueTasks does what time, or what has just come, has made due.
 func (n *Node) runDueTasks() {
 	n.noteJoinedPlan()
 	n.catchUp()
@@ -164,14 +161,17 @@
 	n.refreshEndpointList()
 }
 
+// emit adds an action to those of the event that is handled.
 func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
+// saveRecord wants the record kept; nothing once that has failed.
 func (n *Node) saveRecord() {
 	if !n.storageFailed {
 		n.emit(Save{n.record})
 	}
 }
 
+// send sends a message; one to this relay itself is taken in at once.
 func (n *Node) send(to string, m Message) {
 	m.From, m.BootstrapSlot = n.record.Incarnation, n.slot.number
 	if to == n.cfg.Name {
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -37,14 +37,15 @@
 	HealthSince time.Duration
 	Status      Status
 	StatusAt    time.Duration // when the status came, negative for never
-	// EpochSince is since when its statuses have named their epoch, SlotReleasedAt since when they have said what they say of its slot.
+	// EpochSince is since when its statuses have named their epoch, SlotReleasedAt since when they have said
+	// what they say of its slot.
 	EpochSince, SlotReleasedAt time.Duration
 }
 
 // peerTable is what is known of the other relays.
 //
-// Invariants: sorted has every relay of byName but this one, in the order of names, so that a Node with the same past does the same;
-// entries are never removed.
+// Invariants: sorted has every relay of byName but this one, in the order of names, so that a Node with
+// the same past does the same; entries are never removed.
 type peerTable struct {
 	self   string
 	byName map[string]*Peer
@@ -66,7 +67,8 @@
 	return p
 }
 
-// isAlive tells whether a relay counts as there: this one does, and one that is suspected, as it may yet refute that.
+// isAlive tells whether a relay counts as there: this one does, and one that is suspected, as it may yet
+// refute that.
 func (t *peerTable) isAlive(name string) bool {
 	if name == t.self {
 		return true
@@ -83,6 +85,14 @@
 // hasStatus tells whether a status of the peer has come.
 func (p *Peer) hasStatus() bool { return p != nil && p.StatusAt >= 0 }
 
+// isUnavailable tells whether the peer is failed, or leaves by its own word.
+func (p *Peer) isUnavailable() bool {
+	if p == nil {
+		return false
+	}
+	return p.Health == Failed || p.Health == Left || p.hasStatus() && p.Status.Lifecycle == Leaving
+}
+
 // Peers returns what is known of all others, in the order of names.
 func (n *Node) Peers() []Peer {
 	out := make([]Peer, len(n.peers.sorted))
@@ -125,7 +135,7 @@
 	case status.Incarnation > p.Status.Incarnation:
 		n.emit(Changed{Kind: ChangePeer, Name: p.Name, State: "back", Cause: "a higher incarnation"})
 	case status.Lifecycle != p.Status.Lifecycle:
-		n.emit(Changed{Kind: ChangePeer, Name: p.Name, State: status.Lifecycle.String(), Cause: "its digest"})
+		n.emit(Changed{Kind: ChangePeer, Name: p.Name, State: status.Lifecycle.String(), Cause: "its status"})
 	}
 }
 
@@ -143,7 +153,8 @@
 	return changed
 }
 
-// sameChain tells whether a peer's status is of this relay's chain: view 0 is the same to those who bootstrap alike.
+// sameChain tells whether a peer's status is of this relay's chain: view 0 is the same to those who
+// bootstrap alike.
 func (n *Node) sameChain(p *Peer) bool {
 	return p.hasStatus() && (p.Status.Epoch > 0 || p.Status.BootstrapSize == n.view.BootstrapSize)
 }
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -18,7 +18,11 @@
 )
 
 var phaseTexts = [...]string{
-	PhaseStarting: "starting", PhaseAlone: "alone", PhaseAgreed: "agreed", PhaseSettling: "settling", PhaseCutOff: "cut off",
+	PhaseStarting: "starting",
+	PhaseAlone:    "alone",
+	PhaseAgreed:   "agreed",
+	PhaseSettling: "settling",
+	PhaseCutOff:   "cut off",
 }
 
 func (p Phase) String() string {
@@ -56,11 +60,11 @@
 	case !member && quorum:
 		return PhaseStarting, "not in the view"
 	case member && expired && n.now < n.viewAdoptedAt+startupWait && quorum:
-		return PhaseSettling, "its grant is awaited"
+		return PhaseSettling, "its lease is awaited"
 	case !quorum:
-		return PhaseCutOff, "too few voters are heard"
+		return PhaseCutOff, "too few voters are alive"
 	case member && expired:
-		return PhaseCutOff, "too few voters renew the grant"
+		return PhaseCutOff, "too few voters renew the lease"
 	case n.view.Settled():
 		return PhaseAgreed, "every share is at its target"
 	}
@@ -73,7 +77,7 @@
 	case n.peers.anyAlive():
 		return PhaseStarting, "no view is agreed yet"
 	case n.now < n.startedAt+startupWait:
-		return PhaseStarting, "nobody is heard yet"
+		return PhaseStarting, "no peer is alive yet"
 	}
-	return PhaseAlone, "nobody is heard"
+	return PhaseAlone, "no peer is alive"
 }
--- a/internal/fleet/membership/plan.go
+++ b/internal/fleet/membership/plan.go
@@ -78,7 +78,8 @@
 	return n.plans.activated >= plan || !n.safeguards.awaitsCells
 }
 
-// isValidSuccessor tells whether an Allocation that is proposed may follow on the one held, as far as this voter can know.
+// isValidSuccessor tells whether an Allocation that is proposed may follow on the one held, as far as
+// this voter can know.
 func (n *Node) isValidSuccessor(next *Allocation) bool {
 	current := n.view.Allocation
 	switch {
@@ -110,7 +111,8 @@
 // isValidActivation tells whether an Allocation by the plan of the view held may activate that.
 func (n *Node) isValidActivation(next *Allocation) bool {
 	current := n.view.Allocation
-	if !next.Activated || current.Activated || next.PlanHash != current.PlanHash || !n.allCellsJoined(next.Plan) {
+	activates := next.Activated && !current.Activated && next.PlanHash == current.PlanHash
+	if !activates || !n.allCellsJoined(next.Plan) {
 		return false
 	}
 	table := n.plans.table(current)
@@ -130,7 +132,8 @@
 	return !slices.ContainsFunc(current.holders(n.plans.cell), leftOut)
 }
 
-// onPlanActivated takes in that all cells have joined the plan of the view. Word of a plan with another table is not of this one.
+// onPlanActivated takes in that all cells have joined the plan of the view. Word of a plan with another
+// table is not of this one.
 func (n *Node) onPlanActivated(e PlanActivated) {
 	if a := n.view.Allocation; a != nil && e.Plan == a.Plan && e.Hash == a.PlanHash {
 		n.plans.noteActivated(e.Plan)
@@ -144,7 +147,8 @@
 	}
 }
 
-// AdoptedPlan is the plan of the view held, 0 for none, and whether nobody in the cell can act by an earlier one any more.
+// AdoptedPlan is the plan of the view held, 0 for none, and whether nobody in the cell can act by an
+// earlier one any more.
 func (n *Node) AdoptedPlan() (plan uint64, joined bool) {
 	if n.view.Allocation == nil {
 		return 0, false
@@ -153,8 +157,8 @@
 	return n.view.Allocation.Plan, expired || !n.safeguards.awaitsEarlierViews
 }
 
-// JoinedPlan is the newest plan of which this relay knows, in this life, that nobody in the cell acts by an earlier one; 0 for none.
-// Once true it stays true, so it may come late, doubled or out of order.
+// JoinedPlan is the newest plan of which this relay knows, in this life, that nobody in the cell acts by
+// an earlier one; 0 for none. Once true it stays true, so it may come late, doubled or out of order.
 func (n *Node) JoinedPlan() uint64 { return n.plans.joined }
 
 // ActivatedPlan is the newest plan that all its cells are known to have joined, 0 for none.
@@ -181,13 +185,15 @@
 	n.emit(Changed{Kind: ChangePlan, State: next.summary()})
 }
 
-// restoresAllocation tells whether a view is the one held, which an older program has kept without its Allocation.
+// restoresAllocation tells whether a view is the one held, which an older program has kept without its
+// Allocation.
 func (n *Node) restoresAllocation(v *View) bool {
 	return v != nil && v.Epoch > 0 && v.Epoch == n.view.Epoch &&
 		n.plans.file != nil && v.Allocation != nil && n.view.Allocation == nil
 }
 
-// bootstrapLeaseMillis is the time of a lease in the chain that this relay bootstraps, 0 for the flat fleet's.
+// bootstrapLeaseMillis is the time of a lease in the chain that this relay bootstraps, 0 for the flat
+// fleet's.
 func (n *Node) bootstrapLeaseMillis() uint32 {
 	if n.cfg.Timing.LeaseDuration == LeaseDuration {
 		return 0
@@ -195,7 +201,8 @@
 	return uint32(n.cfg.Timing.LeaseDuration / time.Millisecond)
 }
 
-// isEligible tells whether a relay that tells such a status may be taken into a view: in a cell its program has to know plans.
+// isEligible tells whether a relay that tells such a status may be taken into a view: in a cell its
+// program has to know plans.
 func (n *Node) isEligible(s Status) bool {
 	inCell := n.plans.bootstrapped || n.view.Allocation != nil
 	return !inCell || s.Version >= StatusVersionCells || !n.safeguards.checksVersions
--- a/internal/fleet/membership/planstate.go
+++ b/internal/fleet/membership/planstate.go
@@ -6,10 +6,12 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// planState is what a relay of a cell knows of its plans, beside the Allocation of the view held. A plan is adopted when the view has it,
-// joined when nobody in the cell acts by an earlier one, and activated when every cell has joined it.
+// planState is what a relay of a cell knows of its plans, beside the Allocation of the view held. A plan
+// is adopted when the view has it, joined when nobody in the cell acts by an earlier one, and activated
+// when every cell has joined it.
 //
-// Invariants: joined and activated never fall; activated counts only for the plan, and the table, of the view held.
+// Invariants: joined and activated never fall; activated counts only for the plan, and the table, of the
+// view held.
 type planState struct {
 	file         *cellplan.Plan // the file's; nil without cells
 	cell         string         // the name of this relay's cell, "" without cells
@@ -34,7 +36,8 @@
 	return nil
 }
 
-// change takes in the file's plan. The one before is kept while the view is by it: it may have to be activated still.
+// change takes in the file's plan. The one before is kept while the view is by it: it may have to be
+// activated still.
 func (s *planState) change(e PlanChanged, current *Allocation) {
 	if e.Plan == nil {
 		return
@@ -59,15 +62,17 @@
 
 // The reasons.
 const (
-	PlanActive        PlanPendingReason = iota // nothing is waited for
-	PendingCells                               // it is adopted; not all cells are known to have joined it
-	PendingTable                               // all cells have joined the view's plan, and this relay's file has another
-	PendingSequence                            // the file's plan is not the one that follows: a number was skipped
-	PendingActivation                          // the plan before is not activated yet
-	PendingUpgrade                             // a member has not told a status of version 2
-	PendingSlots                               // a slot of view 0 is its owner's still
-	PendingCellNames                           // the file's plan does not name all cells that hold a part
-	PendingView                                // no view is agreed yet
+	PlanActive   PlanPendingReason = iota // nothing is waited for
+	PendingCells                          // it is adopted; not all cells are known to have joined it
+	// all cells have joined the view's plan, and this relay's file has another
+	PendingTable
+	// the file's plan is not the one that follows: a number was skipped
+	PendingSequence
+	PendingActivation // the plan before is not activated yet
+	PendingUpgrade    // a member has not told a status of version 2
+	PendingSlots      // a slot of view 0 is its owner's still
+	PendingCellNames  // the file's plan does not name all cells that hold a part
+	PendingView       // no view is agreed yet
 )
 
 var planPendingTexts = [...]string{
--- a/internal/fleet/membership/proposer.go
+++ b/internal/fleet/membership/proposer.go
@@ -61,7 +61,8 @@
 	return wait
 }
 
-// sendToVoters sends a proposal's message to all voters, as long as it stands: this relay's own answer may end it.
+// sendToVoters sends a proposal's message to all voters, as long as it stands: this relay's own answer
+// may end it.
 func (n *Node) sendToVoters(m Message) {
 	view, p := n.view, n.voting.proposal
 	for _, v := range view.Voters {
@@ -94,7 +95,8 @@
 	}
 }
 
-// proposeView asks the voters to accept a view: what may have been chosen already, or else what this relay wants.
+// proposeView asks the voters to accept a view: what may have been chosen already, or else what this
+// relay wants.
 func (n *Node) proposeView(p *proposal) {
 	if p.proposed = p.highestAccepted; p.proposed == nil {
 		request, changed := n.nextViewRequest(p.reportsUnavailable)
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -17,11 +17,11 @@
 	Epoch            uint64            `json:"epoch"`
 	Hash             string            `json:"hash"`
 	AgreedMs         float64           `json:"agreed_ms"` // since the view was agreed last, negative for never
-	Relays           int               `json:"relays"`    // reckoned with
+	Relays           int               `json:"relays"`    // that this relay reckons with
 	BudgetShare      float64           `json:"share"`     // of a budget of the fleet
 	ShareReason      string            `json:"why"`
 	OtherRequestRate float64           `json:"others_per_s"` // requests at the others, negative if not known
-	UnreleasedSlots  int               `json:"unclaimed"`    // places that their owners keep
+	UnreleasedSlots  int               `json:"unclaimed"`    // slots that their owners keep
 	Members          []MemberReport    `json:"members"`
 	Dropped          map[string]uint64 `json:"dropped"` // packets, by reason
 	Cell             *CellReport       `json:"cell,omitempty"`
@@ -41,19 +41,20 @@
 	Pending        string   `json:"waits"`
 }
 
-// cellReport returns nil without cells.
-func (n *Node) cellReport(r FleetEstimate) *CellReport {
+// cellReport is what the relay knows of its plan; nil without cells.
+func (n *Node) cellReport(e FleetEstimate) *CellReport {
 	a := n.view.Allocation
 	if a == nil && n.plans.file == nil {
 		return nil
 	}
-	c := &CellReport{Name: n.plans.cell, Pending: n.PlanPending().String(), FarBudgetShare: r.FarBudgetShare}
+	c := &CellReport{Name: n.plans.cell, Pending: n.PlanPending().String(), FarBudgetShare: e.FarBudgetShare}
 	if n.plans.file != nil {
 		c.FilePlan = n.plans.file.Number
 	}
 	if a != nil {
-		c.Plan, c.PlanHash, c.Activated, c.NearZones = a.Plan, strconv.FormatUint(a.PlanHash, 16), a.Activated, a.NearZones
-		c.Near, c.Far = float64(a.Near)/float64(Whole), float64(a.Far)/float64(Whole)
+		c.Plan, c.PlanHash = a.Plan, strconv.FormatUint(a.PlanHash, 16)
+		c.Activated, c.NearZones = a.Activated, a.NearZones
+		c.Near, c.Far = fraction(a.Near), fraction(a.Far)
 	}
 	return c
 }
@@ -78,35 +79,67 @@
 
 // Report tells what the Node knows. Site and Dropped are its driver's to fill in.
 func (n *Node) Report(now time.Duration) Report {
-	r := n.Estimate(now)
-	out := Report{Relay: n.cfg.Name, Phase: r.Phase.String(), Epoch: r.Epoch, Hash: strconv.FormatUint(n.viewHash, 16), AgreedMs: -1, Relays: r.Relays,
-		BudgetShare: r.BudgetShare, ShareReason: r.ShareReason, OtherRequestRate: r.OtherRequestRate, UnreleasedSlots: len(n.view.UnreleasedSlots), Cell: n.cellReport(r)}
-	if n.phases.agreedAt >= 0 {
-		out.AgreedMs = duration.Millis(now - n.phases.agreedAt)
+	e := n.Estimate(now)
+	report := Report{
+		Relay:            n.cfg.Name,
+		Phase:            e.Phase.String(),
+		Epoch:            e.Epoch,
+		Hash:             strconv.FormatUint(n.viewHash, 16),
+		AgreedMs:         -1,
+		Relays:           e.Relays,
+		BudgetShare:      e.BudgetShare,
+		ShareReason:      e.ShareReason,
+		OtherRequestRate: e.OtherRequestRate,
+		UnreleasedSlots:  len(n.view.UnreleasedSlots),
+		Cell:             n.cellReport(e),
 	}
-	row := func(name, state, how string, since time.Duration, d Status) {
-		s := n.view.Member(name)
-		out.Members = append(out.Members, MemberReport{Name: name, State: state, Lifecycle: d.Lifecycle.String(), Zone: d.Zone, Member: s.In,
-			Voter:       slices.Contains(n.view.Voters, n.voterName(name, d.BootstrapSlot)),
-			BudgetShare: float64(s.BudgetShare) / float64(Whole), OutstandingLimit: float64(s.OutstandingLimit) / float64(Whole),
-			SinceMs: duration.Millis(since), Source: how, Epoch: d.Epoch, Incarnation: d.Incarnation, RequestRate: d.RequestRate, OpenConnections: d.OpenConnections})
+	if n.phases.agreedAt >= 0 {
+		report.AgreedMs = duration.Millis(now - n.phases.agreedAt)
 	}
-	row(n.cfg.Name, "here", "itself", now-n.startedAt, n.status())
+	own := n.memberReport(n.cfg.Name, n.status())
+	own.State, own.Source, own.SinceMs = "here", "itself", duration.Millis(now-n.startedAt)
+	report.Members = append(report.Members, own)
 	for _, p := range n.peers.sorted {
-		how := "failure detection"
-		switch {
-		case p.StatusAt < 0:
-			how += ", no digest yet"
-		case p.Health == Unknown:
-			how = "its digest, passed on"
-		}
-		row(p.Name, p.Health.String(), how, now-p.HealthSince, p.Status)
+		row := n.memberReport(p.Name, p.Status)
+		row.State, row.Source, row.SinceMs = p.Health.String(), p.source(), duration.Millis(now-p.HealthSince)
+		report.Members = append(report.Members, row)
 	}
-	for _, s := range n.view.Entries {
-		if n.peers.byName[s.Name] == nil && s.Name != n.cfg.Name {
-			row(s.Name, Unknown.String(), "the view", now-n.startedAt, Status{BootstrapSlot: -1})
+	for _, m := range n.view.Entries {
+		if n.peers.byName[m.Name] == nil && m.Name != n.cfg.Name {
+			row := n.memberReport(m.Name, Status{BootstrapSlot: -1})
+			row.State, row.Source, row.SinceMs = Unknown.String(), "the view", duration.Millis(now-n.startedAt)
+			report.Members = append(report.Members, row)
 		}
 	}
-	slices.SortFunc(out.Members, func(a, b MemberReport) int { return strings.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(report.Members, func(a, b MemberReport) int { return strings.Compare(a.Name, b.Name) })
+	return report
+}
+
+// memberReport is a relay's row, by the view held and its status.
+func (n *Node) memberReport(name string, status Status) MemberReport {
+	m := n.view.Member(name)
+	return MemberReport{
+		Name:             name,
+		Lifecycle:        status.Lifecycle.String(),
+		Zone:             status.Zone,
+		Member:           m.In,
+		Voter:            slices.Contains(n.view.Voters, n.voterName(name, status.BootstrapSlot)),
+		BudgetShare:      fraction(m.BudgetShare),
+		OutstandingLimit: fraction(m.OutstandingLimit),
+		Epoch:            status.Epoch,
+		Incarnation:      status.Incarnation,
+		RequestRate:      status.RequestRate,
+		OpenConnections:  status.OpenConnections,
+	}
+}
+
+// source is how this relay knows of a peer.
+func (p *Peer) source() string {
+	switch {
+	case !p.hasStatus():
+		return "failure detection, no status yet"
+	case p.Health == Unknown:
+		return "its status, by gossip"
+	}
+	return "failure detection"
 }
--- a/internal/fleet/membership/safeguards.go
+++ b/internal/fleet/membership/safeguards.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// safeguards are what keeps the sum of the shares at one or below. They are always on; tests take one out at a time to see that the
-// drawn schedules find out.
+// safeguards are what keeps the sum of the shares at one or below. They are always on; tests take one out
+// at a time to see that the drawn schedules find out.
 type safeguards struct {
 	// jointViews: shares grow only by what no earlier view lets anybody take any more.
 	jointViews bool
@@ -32,7 +32,8 @@
 func allSafeguards() safeguards {
 	return safeguards{
 		jointViews: true, releasesSlots: true,
-		leaseDuration: LeaseDuration, waitOut: WaitOut, safetyMargin: LeaseSafetyMargin, maxEffectDelay: MaxEffectDelay,
+		leaseDuration: LeaseDuration, waitOut: WaitOut,
+		safetyMargin: LeaseSafetyMargin, maxEffectDelay: MaxEffectDelay,
 		jointPlans: true, awaitsCells: true, awaitsEarlierViews: true, inSequence: true, checksVersions: true,
 	}
 }
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -26,14 +26,16 @@
 	Leaving                   // it takes nothing any more and will go
 )
 
-var lifecycleTexts = [...]string{Starting: "starting", Serving: "serving", Draining: "draining", Leaving: "leaving"}
+var lifecycleTexts = [...]string{
+	Starting: "starting", Serving: "serving", Draining: "draining", Leaving: "leaving",
+}
 
 func (d Lifecycle) String() string {
 	return textOf(lifecycleTexts[:], uint8(d))
 }
 
-// Status is what a relay tells all others of itself. Fields that a reader does not know are skipped, those that a
-// writer did not know are zero.
+// Status is what a relay tells all others of itself. Fields that a reader does not know are skipped,
+// those that a writer did not know are zero.
 type Status struct {
 	Version                int       `cbor:"1,keyasint"`
 	Incarnation            uint64    `cbor:"2,keyasint"` // of the process: rises with each start
@@ -45,22 +47,24 @@
 	Epoch                  uint64    `cbor:"8,keyasint"` // of the view that it holds, on its disk
 	Hash                   uint64    `cbor:"9,keyasint"` // of that view
 	BootstrapSize          int       `cbor:"10,keyasint"`
-	BootstrapSlot          int       `cbor:"11,keyasint"`           // from 0; negative for none
-	SlotReleased           bool      `cbor:"12,keyasint"`           // its place is the fleet's to divide
-	Seq                    uint64    `cbor:"13,keyasint"`           // rises with each status of an incarnation
-	DrainRate              float64   `cbor:"14,keyasint,omitempty"` // connections a second that it sends away, in a drain or as it leaves
-	ActivatedPlan          uint64    `cbor:"15,keyasint,omitempty"` // the newest plan that all its cells are known to have entered
+	BootstrapSlot          int       `cbor:"11,keyasint"` // from 0; negative for none
+	SlotReleased           bool      `cbor:"12,keyasint"` // its slot is the fleet's to divide
+	Seq                    uint64    `cbor:"13,keyasint"` // rises with each status of an incarnation
+	// DrainRate is the connections a second that it sends away, in a drain or as it leaves.
+	DrainRate float64 `cbor:"14,keyasint,omitempty"`
+	// ActivatedPlan is the newest plan that all its cells are known to have joined.
+	ActivatedPlan uint64 `cbor:"15,keyasint,omitempty"`
 }
 
-// The versions that this program writes: StatusVersionCells where a plan of cells is configured or acted by. Older programs don't know
-// of plans.
+// The versions that this program writes: StatusVersionCells where a plan of cells is configured or acted
+// by. Older programs don't know of plans.
 const (
 	StatusVersion      = 1
 	StatusVersionCells = 2
 )
 
-// newerThan tells whether a status is of a later process of its relay, or a later one of the same: one that was overtaken on its way, or
-// has come before, is not.
+// newerThan tells whether a status is of a later process of its relay, or a later one of the same: one
+// that was overtaken on its way, or has come before, is not.
 func (s Status) newerThan(old Status) bool {
 	if s.Incarnation != old.Incarnation {
 		return s.Incarnation > old.Incarnation
@@ -105,7 +109,8 @@
 	}
 }
 
-// statusVersion is that of the statuses that this relay tells: an older program than 2 knows of no Allocation.
+// statusVersion is that of the statuses that this relay tells: an older program than 2 knows of no
+// Allocation.
 func (n *Node) statusVersion() int {
 	if n.plans.file != nil || n.view.Allocation != nil {
 		return StatusVersionCells
@@ -121,8 +126,9 @@
 	return n.plans.activated
 }
 
-// statusInterval is the time between two statuses: it grows with the fleet, so that what a relay gets does not. In a cell it is drawn
-// anew each time, from half to one and a half of the pace: all relays tell a new view at once, and would else go on telling at once.
+// statusInterval is the time between two statuses: it grows with the fleet, so that what a relay gets
+// does not. In a cell it is drawn anew each time, from half to one and a half of the pace: all relays
+// tell a new view at once, and would else go on telling at once.
 func (n *Node) statusInterval() time.Duration {
 	interval := max(n.cfg.Timing.StatusInterval, statusIntervalPerPeer*time.Duration(len(n.peers.byName)))
 	if n.view.Allocation != nil {
--- a/internal/fleet/membership/timing.go
+++ b/internal/fleet/membership/timing.go
@@ -4,10 +4,11 @@
 
 // Timing is how often a relay says what it says again. The zero Timing is the flat fleet's.
 type Timing struct {
-	// LeaseFor is for the founding of a cell: the chain keeps it in its views, and all its relays act by that. Renewals come
-	// LeaseFor/4 apart.
-	LeaseDuration  time.Duration
-	StatusInterval time.Duration // at least so long between two statuses without news
+	// LeaseDuration is for the bootstrap of a cell: the chain keeps it in its views, and all its relays act by
+	// that. Renewals come a quarter of it apart.
+	LeaseDuration time.Duration
+	// StatusInterval is the least time between two statuses that differ in figures only.
+	StatusInterval time.Duration
 }
 
 // withFlatDefaults fills in what is not set.
@@ -21,8 +22,8 @@
 	return p
 }
 
-// CellTiming is the pace inside a cell.
+// CellTiming is the timing inside a cell.
 var CellTiming = Timing{LeaseDuration: 8 * time.Second, StatusInterval: 10 * time.Second}
 
-// flatStatusInterval of the flat fleet.
+// flatStatusInterval is the StatusInterval of the flat fleet.
 const flatStatusInterval = time.Second
--- a/internal/fleet/membership/trace_test.go
+++ b/internal/fleet/membership/trace_test.go
@@ -13,8 +13,8 @@
 
 var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
 
-// trace is a hash over all actions of all relays of a schedule, in their order. Times on a clock are left out, as their
-// representation may change; that they are the same shows in when actions come.
+// trace is a hash over all actions of all relays of a schedule, in their order. Times on a clock are left
+// out, as their representation may change; that they are the same shows in when actions come.
 type trace struct {
 	hash  hash.Hash64
 	count int
@@ -54,8 +54,9 @@
 	return v.Hash()
 }
 
-// spreadClocks gives each relay's clock a rate drawn at random, and Ticks a moment of their own: of clocks that run at the very bounds
-// many timers end at the moment of an event, and whether they have ended then is a matter of rounding.
+// spreadClocks gives each relay's clock a rate drawn at random, and Ticks a moment of their own: of
+// clocks that run at the very bounds many timers end at the moment of an event, and whether they have
+// ended then is a matter of rounding.
 func (w *world) spreadClocks() {
 	w.early = 9.7
 	for _, n := range w.nodes {
@@ -63,8 +64,9 @@
 	}
 }
 
-// Over drawn schedules of faults every relay does the same, in the same order and with the same random draws, as it did when
-// testdata/trace.txt was written: a change that is meant to change no behaviour changes none.
+// Over drawn schedules of faults every relay does the same, in the same order and with the same random
+// draws, as it did when testdata/trace.txt was written: a change that is meant to change no behaviour
+// changes none.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var got strings.Builder
 	line := func(what string, seed uint64, tr *trace) {
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"hash/fnv"
 	"slices"
 	"strconv"
@@ -13,18 +14,21 @@
 
 const wholeBits = 40
 
-// MaxVoters is how many members of a view vote at most: three of seven may fail at once, and a renewal costs each
-// member seven packets, however large the fleet.
+// MaxVoters is how many members of a view vote at most: three of seven may fail at once, and a renewal
+// costs each member seven packets, however large the fleet.
 const MaxVoters = 7
 
 // Member is one relay in a view.
 type Member struct {
 	Name string `cbor:"1,keyasint"`
-	In   bool   `cbor:"2,keyasint,omitempty"` // a member; else it has gone, and only its outstanding limit is left
-	// Share is what it takes by this view; OutstandingLimit the most that it may take by any view that may still be acted on.
+	// In says that it is a member; else it has gone, and only its outstanding limit is left.
+	In bool `cbor:"2,keyasint,omitempty"`
+	// BudgetShare is what it takes by this view, OutstandingLimit the most that it may take by any view that may
+	// still be acted on; both of Whole.
 	BudgetShare      uint64 `cbor:"3,keyasint,omitempty"`
 	OutstandingLimit uint64 `cbor:"4,keyasint,omitempty"`
-	Idle             bool   `cbor:"5,keyasint,omitempty"` // it drains by hand: a member that is due no share
+	// Idle says that it drains by hand: a member that is due no share.
+	Idle bool `cbor:"5,keyasint,omitempty"`
 }
 
 // maxShare is what the relay may take, whichever of the views it acts on.
@@ -32,33 +36,37 @@
 
 // View is one link of the chain of views. It is never changed once made.
 type View struct {
-	Epoch           uint64   `cbor:"1,keyasint"`
-	BootstrapSize   int      `cbor:"2,keyasint"`           // places of view 0
-	UnreleasedSlots []int    `cbor:"3,keyasint,omitempty"` // places that their relays have not handed over: each is its owner's
+	Epoch         uint64 `cbor:"1,keyasint"`
+	BootstrapSize int    `cbor:"2,keyasint"` // slots of view 0
+	// UnreleasedSlots are the slots that their relays have not released: the share of each is its owner's.
+	UnreleasedSlots []int    `cbor:"3,keyasint,omitempty"`
 	Entries         []Member `cbor:"4,keyasint,omitempty"` // in the order of names
 	Voters          []string `cbor:"5,keyasint"`
 	// Allocation is the part of the budgets that the shares divide; nil for the whole.
 	Allocation *Allocation `cbor:"6,keyasint,omitempty"`
 }
 
-// bootstrapView is view 0: places only. Its voters are named by place.
-func bootstrapView(founders int) *View {
-	v := &View{BootstrapSize: founders}
-	for i := range founders {
-		v.UnreleasedSlots = append(v.UnreleasedSlots, i)
-		if i < MaxVoters {
-			v.Voters = append(v.Voters, slotVoterName(i))
+// bootstrapView is view 0: slots only. Its voters are named by slot.
+func bootstrapView(size int) *View {
+	v := &View{BootstrapSize: size}
+	for slot := range size {
+		v.UnreleasedSlots = append(v.UnreleasedSlots, slot)
+		if slot < MaxVoters {
+			v.Voters = append(v.Voters, slotVoterName(slot))
 		}
 	}
 	return v
 }
 
 // slotVoterName is how a voter of view 0 is called; no relay has such a name.
-func slotVoterName(place int) string { return "\x00" + strconv.Itoa(place) }
+func slotVoterName(slot int) string { return "\x00" + strconv.Itoa(slot) }
 
-// slotShare is the share of a place.
+// slotShare is the share of a slot.
 func (v *View) slotShare() uint64 { return Whole / uint64(v.BootstrapSize) }
 
+// fraction is an amount in units of Whole as a part of it, 0 to 1.
+func fraction(amount uint64) float64 { return float64(amount) / float64(Whole) }
+
 // Member returns a relay's entry; the zero one if it has none.
 func (v *View) Member(name string) Member {
 	if i, ok := v.find(name); ok {
@@ -68,7 +76,8 @@
 }
 
 func (v *View) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(v.Entries, name, func(s Member, n string) int { return strings.Compare(s.Name, n) })
+	byName := func(m Member, name string) int { return strings.Compare(m.Name, name) }
+	return slices.BinarySearchFunc(v.Entries, name, byName)
 }
 
 // MemberNames are the names of the view's members, in order.
@@ -94,11 +103,11 @@
 // majority of the voters choose the next view.
 func (v *View) majority() int { return len(v.Voters)/2 + 1 }
 
-// half of the voters, rounded up, renew a lease: they and a majority have one in common, and both halves of a fleet
-// that is cut in two go on with what they have.
+// half of the voters, rounded up, renew a lease: they and a majority have one in common, and both halves
+// of a fleet that is cut in two go on with what they have.
 func (v *View) half() int { return (len(v.Voters) + 1) / 2 }
 
-// unreleasedShare is what the places' owners keep.
+// unreleasedShare is what the owners of unreleased slots keep.
 func (v *View) unreleasedShare() uint64 { return v.slotShare() * uint64(len(v.UnreleasedSlots)) }
 
 // targetShare is the share that each member that serves is due.
@@ -123,14 +132,18 @@
 // Hash tells two views of one epoch apart.
 func (v *View) Hash() uint64 {
 	h := fnv.New64a()
-	put := func(s string) { h.Write([]byte(s)); h.Write([]byte{0}) }
+	put := func(s string) {
+		h.Write([]byte(s))
+		h.Write([]byte{0})
+	}
 	put(strconv.FormatUint(v.Epoch, 10))
 	for _, p := range v.UnreleasedSlots {
 		put(strconv.Itoa(p))
 	}
 	for _, s := range v.Entries {
 		put(s.Name)
-		put(strconv.FormatBool(s.In) + strconv.FormatUint(s.BudgetShare, 10) + " " + strconv.FormatUint(s.OutstandingLimit, 10))
+		shares := strconv.FormatUint(s.BudgetShare, 10) + " " + strconv.FormatUint(s.OutstandingLimit, 10)
+		put(strconv.FormatBool(s.In) + shares)
 	}
 	for _, n := range v.Voters {
 		put(n)
@@ -167,38 +180,76 @@
 	return append(b, byte('0'+n%10))
 }
 
-// Check tells what of a view that came from elsewhere could not be.
+// maxEntries bounds a view that comes from elsewhere.
+const maxEntries = 1 << 16
+
+// ErrInvalidView is what Check finds of a view that no relay can have made.
+var ErrInvalidView = errors.New("invalid view")
+
+// Check tells what of a view that came from elsewhere could not be: an ErrInvalidView with its reason.
 func (v *View) Check() error {
-	if v.Epoch == 0 || v.BootstrapSize < 1 || v.BootstrapSize > maxEntries || len(v.Voters) == 0 || len(v.Voters) > MaxVoters ||
-		len(v.Entries) > maxEntries || len(v.UnreleasedSlots) > v.BootstrapSize {
-		return errBadView
+	if reason := v.problem(); reason != "" {
+		return fmt.Errorf("%w: %s", ErrInvalidView, reason)
 	}
-	if !v.Allocation.valid() || v.Allocation != nil && len(v.UnreleasedSlots) > 0 {
-		return errBadView
+	return nil
+}
+
+// problem is what is wrong with a view, "" if nothing is.
+func (v *View) problem() string {
+	switch {
+	case v.Epoch == 0:
+		return "no epoch"
+	case v.BootstrapSize < 1 || v.BootstrapSize > maxEntries:
+		return "bootstrap size out of bounds"
+	case len(v.Entries) > maxEntries:
+		return "too many entries"
+	case !v.Allocation.valid():
+		return "invalid allocation"
+	case v.Allocation != nil && len(v.UnreleasedSlots) > 0:
+		return "an allocation beside unreleased slots"
+	case !v.validSlots():
+		return "invalid unreleased slots"
+	case !v.validEntries():
+		return "invalid entries, or shares over the whole"
+	case !v.validVoters():
+		return "invalid voters"
+	}
+	return ""
+}
+
+// validSlots tells whether the unreleased slots are of view 0, in order, none twice.
+func (v *View) validSlots() bool {
+	for i, slot := range v.UnreleasedSlots {
+		if slot < 0 || slot >= v.BootstrapSize || i > 0 && v.UnreleasedSlots[i-1] >= slot {
+			return false
+		}
 	}
+	return true
+}
+
+// validEntries tells whether the entries are in order, and what all relays may take is within Whole.
+func (v *View) validEntries() bool {
 	sum := v.unreleasedShare()
-	for i, s := range v.Entries {
-		if s.maxShare() > Whole || i > 0 && v.Entries[i-1].Name >= s.Name || s.Name == "" {
-			return errBadView
+	for i, m := range v.Entries {
+		if m.Name == "" || i > 0 && v.Entries[i-1].Name >= m.Name || m.maxShare() > Whole {
+			return false
 		}
-		if sum += s.maxShare(); sum > Whole {
-			return errBadView
+		if sum += m.maxShare(); sum > Whole {
+			return false
 		}
 	}
+	return true
+}
+
+// validVoters tells whether the voters are members, none twice, and not too many.
+func (v *View) validVoters() bool {
+	if len(v.Voters) == 0 || len(v.Voters) > MaxVoters {
+		return false
+	}
 	for i, name := range v.Voters {
 		if !v.Member(name).In || slices.Contains(v.Voters[:i], name) {
-			return errBadView
-		}
-	}
-	for i, p := range v.UnreleasedSlots {
-		if p < 0 || p >= v.BootstrapSize || i > 0 && v.UnreleasedSlots[i-1] >= p {
-			return errBadView
+			return false
 		}
 	}
-	return nil
+	return true
 }
-
-// maxEntries bounds a view.
-const maxEntries = 1 << 16
-
-var errBadView = errors.New("a view that cannot be: its shares, seats or voters make no sense")
--- a/internal/fleet/membership/voting.go
+++ b/internal/fleet/membership/voting.go
@@ -19,8 +19,9 @@
 
 // voting is what a voter remembers of the choice of the next view, beside what its record has.
 //
-// Invariants: there is at most one proposal, by a ballot higher than all that this relay has promised or met; it is for the view that
-// follows the one held, and ends when a view is adopted. viewAcceptedAt is negative if and only if the record has no accepted view.
+// Invariants: there is at most one proposal, by a ballot higher than all that this relay has promised or
+// met; it is for the view that follows the one held, and ends when a view is adopted. viewAcceptedAt is
+// negative if and only if the record has no accepted view.
 type voting struct {
 	proposal          *proposal     // this relay's own, nil for none
 	highestRound      uint64        // the highest met
@@ -85,8 +86,8 @@
 	v.viewAcceptedAt = -1
 }
 
-// addPromise counts a voter's promise. What it has accepted binds the proposal if it is by the highest ballot; of two by the same ballot
-// the one with an Allocation, as an older program drops that.
+// addPromise counts a voter's promise. What it has accepted binds the proposal if it is by the highest
+// ballot; of two by the same ballot the one with an Allocation, as an older program drops that.
 func (p *proposal) addPromise(voter string, m Message) {
 	p.promises[voter] = m.Unavailable
 	if m.View == nil {
@@ -98,8 +99,8 @@
 	}
 }
 
-// reportsUnavailable tells whether most of the voters that have promised take a member for unavailable: one relay's broken link puts
-// nobody out.
+// reportsUnavailable tells whether most of the voters that have promised take a member for unavailable:
+// one relay's broken link puts nobody out.
 func (p *proposal) reportsUnavailable(name string) bool {
 	count := 0
 	for _, unavailable := range p.promises {
