--- a/internal/fleet/cells/coordinator.go
+++ b/internal/fleet/cells/coordinator.go
@@ -1,12 +1,10 @@
 package cells
 
 import (
-	"math/rand/v2"
 	"slices"
 	"time"
 
 	"capersail/internal/fleet/cellplan"
-	"capersail/internal/fleet/duration"
 )
 
 // maxCells bounds the other cells that are kept: those of the file's plan and those of the view's.
@@ -20,42 +18,33 @@
 }
 
 // Coordinator is one relay's part in what cells know of each other. It is not safe for concurrent use.
+//
+// Invariants: remotes has just the other cells that a plan in force names, cellNames their names in order; only the
+// representative sends summaries and publishes directories; activatedPlan never falls.
 type Coordinator struct {
-	cfg        Config
-	plan       cellplan.Plan
-	local      LocalCell
-	localKnown bool // a LocalCell has been told
-	remotes    map[string]*remote
-	cellNames  []string // the names of the other cells, sorted
-
-	representative        string // of this cell, "" for none
-	representing          bool
-	representingSince     time.Duration
-	otherRepresentative   string // another relay of this cell that speaks too
-	otherRepresentativeAt time.Duration
-	summarySeq            uint64 // of summaries
-	pace                  pacer
-	nextLostCheckAt       time.Duration // for cells that have become unheard
-
-	directory        Directory     // the newest of this cell
-	directoryAt      time.Duration // when it came or was published, negative for never
-	directorySeen    []sequenceMark
-	directorySeq     uint64
-	nextDirectoryAt  time.Duration
-	directoryDirty   bool            // something in it has changed
-	inheritedRegions []RegionFigures // of the directory before this relay spoke
-	activatedPlan    uint64
-	drops            DropCounters
+	cfg             Config
+	plan            cellplan.Plan // the file's
+	local           LocalCell
+	localKnown      bool // a LocalCell has come
+	remotes         map[string]*remote
+	cellNames       []string
+	election        election
+	pace            pacer
+	summarySeq      uint64
+	nextLostCheckAt time.Duration
+	directory       directoryState
+	activatedPlan   uint64 // 0 for none
+	drops           DropCounters
 }
 
 // New returns a Coordinator that knows only its plan, which has to have passed Check.
 func New(now time.Duration, cfg Config) *Coordinator {
-	c := &Coordinator{cfg: cfg, remotes: map[string]*remote{}, directoryAt: -1}
+	c := &Coordinator{cfg: cfg, remotes: map[string]*remote{}, directory: directoryState{at: -1}}
 	c.setPlan(now, cfg.Plan)
 	return c
 }
 
-// Handle takes one event in and appends what is to be done.
+// Handle takes one event in and appends what is to be done to out.
 func (c *Coordinator) Handle(now time.Duration, ev Event, out []Action) []Action {
 	switch ev := ev.(type) {
 	case LocalCell:
@@ -68,7 +57,7 @@
 		c.setPlan(now, ev.Plan)
 		out = c.checkActivation(out)
 	}
-	if !c.representing {
+	if !c.election.representing {
 		return out
 	}
 	out = c.checkLost(now, out)
@@ -79,56 +68,23 @@
 // setLocal takes in what is known of this relay's own cell.
 func (c *Coordinator) setLocal(now time.Duration, l LocalCell, out []Action) []Action {
 	before := c.local
-	cellsChanged := !slices.Equal(before.Cells, l.Cells)
 	c.local = l
-	if cellsChanged {
+	if !slices.Equal(before.Cells, l.Cells) {
 		c.retainNamedCells(now)
 	}
-	changed := !c.localKnown || before.Members != l.Members || before.Epoch != l.Epoch || before.Plan != l.Plan || before.JoinedPlan != l.JoinedPlan
+	changed := !c.localKnown || !l.sameState(before)
 	c.localKnown = true
-	spoke := c.representing
+	represented := c.election.representing
 	out = c.electRepresentative(now, out)
-	if spoke && changed {
+	if represented && changed {
 		c.expedite(now)
 	}
 	return c.checkActivation(out)
 }
 
-// electRepresentative makes the first voter that is alive the speaker.
-func (c *Coordinator) electRepresentative(now time.Duration, out []Action) []Action {
-	speaker := ""
-	for _, v := range c.local.Voters {
-		if v.Alive || v.Name == c.cfg.Name {
-			speaker = v.Name
-			break
-		}
-	}
-	if speaker == c.representative {
-		return out
-	}
-	c.representative = speaker
-	speaking := speaker == c.cfg.Name
-	if speaking && !c.representing {
-		c.becomeRepresentative(now)
-	}
-	c.representing = speaking
-	return append(out, Changed{Kind: RepresentativeChanged, Cell: c.cfg.Cell, Representative: speaker})
-}
-
-// becomeRepresentative makes this relay the speaker: it starts in turn after its own cell's name, and tells all soon.
-func (c *Coordinator) becomeRepresentative(now time.Duration) {
-	c.representingSince = now
-	c.inheritedRegions = c.directory.Regions
-	c.directoryDirty = true
-	c.nextDirectoryAt = now
-	for _, r := range c.remotes {
-		r.sentTo = ""
-	}
-	draw := rand.New(rand.NewPCG(c.cfg.Seed, c.cfg.Incarnation))
-	c.pace.position, _ = slices.BinarySearch(c.cellNames, c.cfg.Cell)
-	c.pace.position += len(c.cellNames) - 1 // sendNext goes one on
-	c.pace.nextSummaryAt = now + duration.Scale(c.summaryInterval(), draw.Float64())
-	c.expedite(now)
+// sameState tells whether two LocalCells differ at most in what other cells need not know at once.
+func (l LocalCell) sameState(old LocalCell) bool {
+	return l.Members == old.Members && l.Epoch == old.Epoch && l.Plan == old.Plan && l.JoinedPlan == old.JoinedPlan
 }
 
 // setPlan takes in the file's plan.
@@ -137,26 +93,22 @@
 	c.retainNamedCells(now)
 }
 
-// retainNamedCells keeps the other cells that a plan in force names, and forgets all others. Of a view that names more cells than can be
-// none is kept, so that its plan is never opened here.
+// retainNamedCells keeps the other cells that a plan in force names, and forgets all others. Of a view that names more
+// cells than can be none is kept, so that its plan is never activated here.
 func (c *Coordinator) retainNamedCells(now time.Duration) {
-	named := map[string]bool{}
 	names := c.plan.Names()
 	if len(c.local.Cells) <= cellplan.MaxCells {
 		names = append(names, c.local.Cells...)
 	}
-	for _, name := range names {
-		if name != c.cfg.Cell {
-			named[name] = true
-		}
-	}
+	names = slices.DeleteFunc(names, func(name string) bool { return name == c.cfg.Cell })
+	slices.Sort(names)
+	c.cellNames = slices.Compact(names)
 	for name := range c.remotes {
-		if !named[name] {
+		if _, named := slices.BinarySearch(c.cellNames, name); !named {
 			delete(c.remotes, name)
 		}
 	}
-	c.cellNames = c.cellNames[:0]
-	for name := range named {
+	for _, name := range c.cellNames {
 		r := c.remotes[name]
 		if r == nil {
 			r = &remote{name: name, summaryAt: -1, rotatedAt: now}
@@ -165,11 +117,9 @@
 		if cell, ok := c.plan.Find(name); ok {
 			r.region, r.weight, r.planContacts = cell.Region, cell.Relays, cell.Contacts
 		}
-		c.cellNames = append(c.cellNames, name)
 	}
-	slices.Sort(c.cellNames)
 	c.pace.expeditedLeft = min(c.pace.expeditedLeft, len(c.cellNames))
-	c.directoryDirty = true
+	c.directory.dirty = true
 }
 
 // receiveSummary takes in a summary.
@@ -184,9 +134,9 @@
 		return out
 	}
 	if to := c.forwardTarget(now); to != "" && !s.Forwarded {
-		passed := s
-		passed.Forwarded = true
-		out = append(out, ForwardSummary{To: to, Summary: passed})
+		forwarded := s
+		forwarded.Forwarded = true
+		out = append(out, ForwardSummary{To: to, Summary: forwarded})
 	}
 	r.notePlans(s)
 	out = c.checkMismatch(r, s, out)
@@ -194,28 +144,16 @@
 	return c.updateFigures(now, r, s, out)
 }
 
-// forwardTarget is a relay of this cell that a summary is to be forwarded to: the speaker or, where two believe that they are, the
-// other one; "" for none.
-func (c *Coordinator) forwardTarget(now time.Duration) string {
-	if !c.representing {
-		return c.representative
-	}
-	if c.otherRepresentative != "" && now-c.otherRepresentativeAt <= UnknownAfterRounds*directoryInterval {
-		return c.otherRepresentative
-	}
-	return ""
-}
-
 // updateFigures takes a summary's figures for the cell's, if it is the newest.
 func (c *Coordinator) updateFigures(now time.Duration, r *remote, s Summary, out []Action) []Action {
-	unheard := r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
-	older := s.Epoch < r.summary.Epoch && !unheard // of a part of the cell that is behind
-	if !r.acceptSummary(now, s, unheard) || older {
+	unknown := c.isUnknown(now, r)
+	ofLaggards := s.Epoch < r.summary.Epoch && !unknown // of a part of the cell that is behind
+	if !r.acceptSummary(now, s, unknown) || ofLaggards {
 		c.drops.Stale++
 		return out
 	}
 	before := r.summary
-	first := r.summaryAt < 0
+	returned := r.summaryAt < 0 || r.lost
 	r.summary, r.summaryAt, r.contact = s, now, 0
 	if r.announceRepresentative(now, contactRotationRounds*c.round()) {
 		out = append(out, Changed{Kind: RepresentativeChanged, Cell: r.name, Representative: s.Representative})
@@ -223,23 +161,25 @@
 	if _, ok := c.plan.Find(r.name); !ok {
 		r.region = s.Region
 	}
-	if first || r.lost || before.Members != s.Members || before.Serving != s.Serving {
-		c.directoryDirty = true
+	if returned || before.Members != s.Members || before.Serving != s.Serving {
+		c.directory.dirty = true
 	}
-	if c.representing && len(s.Contacts) > 0 && r.sentTo != "" && r.sentTo != s.Contacts[0] {
-		r.expedited = true // it has another speaker, which may know nothing yet
-	}
-	if c.representing && r.lost {
-		c.expedite(now)
+	if c.election.representing {
+		if r.sentElsewhere(s) {
+			r.expedited = true // its representative is another now, which may know nothing yet
+		}
+		if r.lost {
+			c.expedite(now)
+		}
 	}
-	if first || r.lost {
+	if returned {
 		r.lost = false
 		out = append(out, Changed{Kind: CellKnown, Cell: r.name, Representative: s.Representative})
 	}
 	return out
 }
 
-// checkLost tells of cells that have become unheard.
+// checkLost tells of cells that have become unknown.
 func (c *Coordinator) checkLost(now time.Duration, out []Action) []Action {
 	if now < c.nextLostCheckAt {
 		return out
@@ -248,10 +188,10 @@
 	limit := UnknownAfterRounds * c.round()
 	for _, name := range c.cellNames {
 		r := c.remotes[name]
-		since := max(r.summaryAt, c.representingSince)
+		since := max(r.summaryAt, c.election.since)
 		if !r.lost && now-since > limit {
 			r.lost = true
-			c.directoryDirty = true
+			c.directory.dirty = true
 			out = append(out, Changed{Kind: CellLost, Cell: name})
 		}
 	}
@@ -262,16 +202,32 @@
 func (c *Coordinator) summary() Summary {
 	l := c.local
 	own, _ := c.plan.Find(c.cfg.Cell)
-	s := Summary{Cell: c.cfg.Cell, Region: own.Region, Representative: c.cfg.Name, Incarnation: c.cfg.Incarnation, Seq: c.summarySeq, Epoch: l.Epoch,
-		Plan: l.Plan, PlanHash: l.PlanHash, JoinedPlan: l.JoinedPlan, Bootstrapped: l.Bootstrapped, Members: l.Members, Serving: min(l.Serving, l.Members), RequestRate: l.RequestRate, OpenConnections: l.OpenConnections, DrainRate: l.DrainRate}
+	s := Summary{
+		Cell:            c.cfg.Cell,
+		Region:          own.Region,
+		Representative:  c.cfg.Name,
+		Incarnation:     c.cfg.Incarnation,
+		Seq:             c.summarySeq,
+		Epoch:           l.Epoch,
+		Plan:            l.Plan,
+		PlanHash:        l.PlanHash,
+		JoinedPlan:      l.JoinedPlan,
+		Bootstrapped:    l.Bootstrapped,
+		Members:         l.Members,
+		Serving:         min(l.Serving, l.Members),
+		RequestRate:     l.RequestRate,
+		OpenConnections: l.OpenConnections,
+		DrainRate:       l.DrainRate,
+	}
 	for _, v := range l.Voters { // this relay is the first that is alive
 		if (v.Alive || v.Name == c.cfg.Name) && v.Address != "" && len(s.Contacts) < MaxContacts {
 			s.Contacts = append(s.Contacts, v.Address)
 		}
 	}
-	room := maxDepartedBytes
+	left := maxDepartedBytes
 	for _, name := range l.Departed {
-		if room -= len(name) + 2; room < 0 || len(s.Departed) == MaxDeparted {
+		left -= len(name) + 2
+		if left < 0 || len(s.Departed) == MaxDeparted {
 			break
 		}
 		s.Departed = append(s.Departed, name)
--- a/internal/fleet/cells/directory.go
+++ b/internal/fleet/cells/directory.go
@@ -9,11 +9,39 @@
 )
 
 const (
-	directoryInterval    = 5 * time.Second
-	minDirectoryInterval = 2 * time.Second // at least, after a change: 2.5 times the rest's
-	otherRegions         = "\x7e"          // the row in which regions beyond MostRegions are summed; sorts after every usual name
+	// directoryInterval is the time between two directories.
+	directoryInterval = 5 * time.Second
+	// minDirectoryInterval is the least, after a change: 2.5 times the packets of the rest.
+	minDirectoryInterval = 2 * time.Second
+	// otherRegions is the row in which regions beyond MaxRegions are summed; it sorts after every usual name.
+	otherRegions = "\x7e"
 )
 
+// directoryState is the newest directory of this cell, this relay's own where it represents the cell, and the pace of
+// publishing it.
+type directoryState struct {
+	newest    Directory
+	at        time.Duration // when it came or was published, negative for never
+	seen      sequenceMarks // of those that came
+	seq       uint64        // of this relay's own
+	nextAt    time.Duration
+	dirty     bool            // something in it has changed since it was published
+	inherited []RegionFigures // of the directory before this relay represented the cell
+}
+
+// due is when the next directory may go.
+func (d *directoryState) due() time.Duration {
+	if d.dirty {
+		return d.nextAt - directoryInterval + minDirectoryInterval
+	}
+	return d.nextAt
+}
+
+// isSilent tells whether no directory has come for long.
+func (d *directoryState) isSilent(now time.Duration) bool {
+	return d.at < 0 || now-d.at > UnknownAfterRounds*directoryInterval
+}
+
 // Figures are sums over the other cells.
 type Figures struct {
 	Relays, Serving int
@@ -22,14 +50,9 @@
 	DrainRate       float64
 }
 
-// Others are the other cells' figures by what this relay knows: the speaker by the summaries, any other by the speaker's directory, and
-// before there is one by the plan.
+// Others are the other cells' figures by what this relay knows: see knownRegions.
 func (c *Coordinator) Others(now time.Duration) (sum Figures) {
-	rows := c.directory.Regions
-	if c.directoryAt < 0 || c.representing {
-		rows = c.regionRows(now)
-	}
-	for _, r := range rows {
+	for _, r := range c.knownRegions(now) {
 		sum.Relays += r.Relays
 		sum.Serving += r.Serving
 		sum.RequestRate += r.RequestRate
@@ -39,30 +62,29 @@
 	return sum
 }
 
-// regionRows sums the summaries by region. A cell that was never heard is reckoned with by the plan; where there is one, and the directory
-// before this relay spoke tells more of its region, with that.
+// knownRegions are the other cells' figures by region: the representative's by the summaries, any other relay's by the
+// representative's directory, and before there is one by the plan.
+func (c *Coordinator) knownRegions(now time.Duration) []RegionFigures {
+	if c.directory.at < 0 || c.election.representing {
+		return c.regionRows(now)
+	}
+	return c.directory.newest.Regions
+}
+
+// regionRows sums the summaries by region. A cell that was never heard counts by the plan; where there is one, and the
+// directory before this relay represented its cell tells more of the region, the region counts by that.
 func (c *Coordinator) regionRows(now time.Duration) []RegionFigures {
 	regions := map[string]*RegionFigures{}
-	unknown := map[string]bool{}
+	incomplete := map[string]bool{}
 	for _, name := range c.cellNames {
 		r := c.remotes[name]
-		row := regions[r.region]
-		if row == nil {
-			row = &RegionFigures{Name: r.region}
-			regions[r.region] = row
+		if regions[r.region] == nil {
+			regions[r.region] = &RegionFigures{Name: r.region}
 		}
-		row.Cells++
 		if r.summaryAt < 0 {
-			unknown[r.region] = true
-			row.Relays += r.weight
-			row.Serving += r.weight
-			continue
+			incomplete[r.region] = true
 		}
-		if !c.isUnknown(now, r) {
-			row.Known++
-		}
-		s := r.summary
-		row.add(RegionFigures{Relays: s.Members, Serving: s.Serving, RequestRate: s.RequestRate, OpenConnections: s.OpenConnections, DrainRate: s.DrainRate})
+		regions[r.region].add(c.cellFigures(now, r))
 	}
 	rows := make([]RegionFigures, 0, len(regions))
 	for _, row := range regions {
@@ -70,13 +92,29 @@
 	}
 	slices.SortFunc(rows, func(a, b RegionFigures) int { return cmp.Compare(a.Name, b.Name) })
 	for i := range rows {
-		if unknown[rows[i].Name] {
-			rows[i].atLeast(c.inheritedRegions)
+		if incomplete[rows[i].Name] {
+			rows[i].atLeast(c.directory.inherited)
 		}
 	}
 	return foldRegions(rows)
 }
 
+// cellFigures are one other cell's: its last, or those of the plan.
+func (c *Coordinator) cellFigures(now time.Duration, r *remote) RegionFigures {
+	if r.summaryAt < 0 {
+		return RegionFigures{Cells: 1, Relays: r.weight, Serving: r.weight}
+	}
+	s := r.summary
+	figures := RegionFigures{
+		Cells: 1, Relays: s.Members, Serving: s.Serving,
+		RequestRate: s.RequestRate, OpenConnections: s.OpenConnections, DrainRate: s.DrainRate,
+	}
+	if !c.isUnknown(now, r) {
+		figures.Known = 1
+	}
+	return figures
+}
+
 // isUnknown tells whether nothing has been heard of a cell for long.
 func (c *Coordinator) isUnknown(now time.Duration, r *remote) bool {
 	return r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
@@ -118,67 +156,63 @@
 	return append(rows[:MaxRegions-1], last)
 }
 
-// informed tells whether a speaker has heard of all cells, or has had the time to.
+// informed tells whether a representative has heard of all cells, or has had the time to.
 func (c *Coordinator) informed(now time.Duration) bool {
-	if now-c.representingSince >= duration.Scale(c.round(), informedAfterRounds) {
+	if now-c.election.since >= duration.Scale(c.round(), informedAfterRounds) {
 		return true
 	}
-	return !slices.ContainsFunc(c.cellNames, func(name string) bool { return c.isUnknown(now, c.remotes[name]) })
-}
-
-// directoryDue is when the next directory may go.
-func (c *Coordinator) directoryDue() time.Duration {
-	due := c.nextDirectoryAt
-	if c.directoryDirty {
-		due = min(due, c.nextDirectoryAt-directoryInterval+minDirectoryInterval)
-	}
-	return due
+	unknown := func(name string) bool { return c.isUnknown(now, c.remotes[name]) }
+	return !slices.ContainsFunc(c.cellNames, unknown)
 }
 
+// publishDirectoryDue publishes the directory, if it is due and tells enough.
 func (c *Coordinator) publishDirectoryDue(now time.Duration, out []Action) []Action {
-	if now < c.directoryDue() {
+	d := &c.directory
+	if now < d.due() {
 		return out
 	}
-	if !c.informed(now) {
-		c.nextDirectoryAt = now + directoryInterval // looked at again after the gap, as it is dirty
+	d.nextAt = now + directoryInterval
+	if !c.informed(now) { // checked again after minDirectoryInterval, as it is dirty
 		return out
 	}
-	c.directorySeq++
-	c.directory = Directory{Cell: c.cfg.Cell, Representative: c.cfg.Name, Incarnation: c.cfg.Incarnation, Seq: c.directorySeq, Epoch: c.local.Epoch,
-		ActivatedPlan: c.activatedPlan, Regions: c.regionRows(now)}
-	c.directoryAt = now
-	c.directoryDirty = false
-	c.nextDirectoryAt = now + directoryInterval
-	return append(out, PublishDirectory{c.directory})
+	d.seq++
+	d.newest = Directory{
+		Cell:           c.cfg.Cell,
+		Representative: c.cfg.Name,
+		Incarnation:    c.cfg.Incarnation,
+		Seq:            d.seq,
+		Epoch:          c.local.Epoch,
+		ActivatedPlan:  c.activatedPlan,
+		Regions:        c.regionRows(now),
+	}
+	d.at = now
+	d.dirty = false
+	return append(out, PublishDirectory{d.newest})
 }
 
-// receiveDirectory takes in a directory of this cell's speaker. That a plan is open counts whenever it comes.
-func (c *Coordinator) receiveDirectory(now time.Duration, d Directory, out []Action) []Action {
-	if d.Check() != nil || d.Cell != c.cfg.Cell {
+// receiveDirectory takes in a directory of this cell's representative. That a plan is activated counts whenever it
+// comes.
+func (c *Coordinator) receiveDirectory(now time.Duration, received Directory, out []Action) []Action {
+	if received.Check() != nil || received.Cell != c.cfg.Cell {
 		c.drops.Malformed++
 		return out
 	}
-	if d.Representative == c.cfg.Name {
+	if received.Representative == c.cfg.Name {
 		return out
 	}
-	out = c.activatePlan(d.ActivatedPlan, out)
-	said := sequenceMark{d.Representative, d.Incarnation, d.Seq, now}
-	silent := c.directoryAt < 0 || now-c.directoryAt > UnknownAfterRounds*directoryInterval
-	i := slices.IndexFunc(c.directorySeen, func(m sequenceMark) bool { return m.representative == d.Representative })
-	if i >= 0 && !c.directorySeen[i].less(said) && !silent || d.Epoch < c.directory.Epoch && !silent {
+	out = c.activatePlan(received.ActivatedPlan, out)
+	d := &c.directory
+	mark := sequenceMark{received.Representative, received.Incarnation, received.Seq, now}
+	newer := d.seen.isNewer(mark) && received.Epoch >= d.newest.Epoch
+	if !newer && !d.isSilent(now) {
 		c.drops.Stale++
 		return out
 	}
-	if i >= 0 {
-		c.directorySeen = slices.Delete(c.directorySeen, i, i+1)
-	} else if len(c.directorySeen) == maxRepresentatives {
-		c.directorySeen = slices.Delete(c.directorySeen, 0, 1)
-	}
-	c.directorySeen = append(c.directorySeen, said)
-	if c.representing {
-		c.otherRepresentative, c.otherRepresentativeAt = d.Representative, now
+	d.seen.note(mark)
+	if c.election.representing {
+		c.election.other, c.election.otherAt = received.Representative, now
 		return out
 	}
-	c.directory, c.directoryAt = d, now
+	d.newest, d.at = received, now
 	return out
 }
--- a/internal/fleet/cells/evidence.go
+++ b/internal/fleet/cells/evidence.go
@@ -53,7 +53,7 @@
 		return out
 	}
 	c.activatedPlan = plan
-	c.directoryDirty = true
+	c.directory.dirty = true
 	return append(out, Changed{Kind: PlanActivated, Cell: c.cfg.Cell, Plan: plan})
 }
 
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -292,7 +292,7 @@
 		}
 		for _, r := range other.relays {
 			holds := func(row RegionFigures) bool { return row.Name == g.region && row.Relays == want }
-			if r.up && !slices.ContainsFunc(r.coordinator.directory.Regions, holds) {
+			if r.up && !slices.ContainsFunc(r.coordinator.directory.newest.Regions, holds) {
 				return false
 			}
 		}
@@ -325,7 +325,7 @@
 			want[i].add(RegionFigures{Cells: 1, Known: 1, Relays: g.members(), Serving: g.members()})
 		}
 	}
-	rows := r.coordinator.directory.Regions
+	rows := r.coordinator.directory.newest.Regions
 	want = slices.DeleteFunc(want, func(row RegionFigures) bool { return row.Cells == 0 })
 	return slices.EqualFunc(want, rows, func(a, b RegionFigures) bool {
 		return a.Name == b.Name && a.Cells == b.Cells && a.Known == b.Known && a.Relays == b.Relays && a.Serving == b.Serving
--- a/internal/fleet/cells/remote.go
+++ b/internal/fleet/cells/remote.go
@@ -5,10 +5,8 @@
 	"time"
 )
 
-const (
-	maxRepresentatives = 4 // whose numbers are remembered of a cell
-	maxPlanJoins       = 4 // of a cell, to have entered a plan
-)
+// maxPlanJoins is how many of a cell's words to have joined a plan are remembered.
+const maxPlanJoins = 4
 
 // remote is what is known of another cell.
 type remote struct {
@@ -17,34 +15,22 @@
 	weight       int // its relays by the plan
 	planContacts []string
 
-	summaryAt time.Duration // when summary came, negative for never
-	lost      bool
-	summary   Summary        // the newest
-	seen      []sequenceMark // of its speakers, the one heard last at the end
-	lastStale sequenceMark   // the last number that was too old; see accept
+	summary   Summary       // the newest
+	summaryAt time.Duration // when it came, negative for never
+	lost      bool          // people were told that nothing comes any more
+	seen      sequenceMarks
+	lastStale sequenceMark // the last that was not newer; see acceptSummary
 
 	joinedThrough uint64 // it has been through all plans up to this one
 	planJoins     []planJoin
-	mismatch      bool
+	mismatch      bool // people were told that it has another table
 
 	contact                 int // index in addresses()
 	rotatedAt               time.Duration
-	sentTo                  string // the last address, "" for none since this relay speaks
+	sentTo                  string // the last address, "" for none since this relay represents its cell
 	expedited               bool   // its summary is due out of turn
-	sentEarly               bool   // it was told out of turn since its last turn
-	announcedRepresentative string // the speaker that people were told of
-}
-
-// sequenceMark is the highest number heard of a speaker.
-type sequenceMark struct {
-	representative string
-	incarnation    uint64
-	seq            uint64
-	receivedAt     time.Duration // when it was heard
-}
-
-func (m sequenceMark) less(o sequenceMark) bool {
-	return m.incarnation < o.incarnation || m.incarnation == o.incarnation && m.seq < o.seq
+	sentEarly               bool   // it got one out of turn since its last turn
+	announcedRepresentative string // that people were told of
 }
 
 // planJoin is a cell's word that nobody there acts by an earlier plan than this one, and the table that it has under the number.
@@ -64,48 +50,50 @@
 	return all
 }
 
-// address is where the next summary goes, "" if there is nowhere. Another contact is tried when nothing has been heard for two
-// rounds, and then each round; each time, while nothing has been heard since this relay speaks: the cell doesn't know its address yet.
-func (r *remote) address(now, round, speakingSince time.Duration) string {
+// sentElsewhere tells whether the last summary went to another address than that of a summary's sender.
+func (r *remote) sentElsewhere(s Summary) bool {
+	return len(s.Contacts) > 0 && r.sentTo != "" && r.sentTo != s.Contacts[0]
+}
+
+// address is where the next summary goes, "" if there is nowhere. Another contact is taken when nothing has been heard
+// for two rounds, and then each round; each time, while nothing has been heard since this relay represents its cell: the
+// other cell doesn't know its address yet.
+func (r *remote) address(now, round, representingSince time.Duration) string {
 	all := r.addresses()
 	if len(all) == 0 {
 		return ""
 	}
 	silent := now-r.summaryAt > contactRotationRounds*round && now-r.rotatedAt >= round
-	if silent || r.summaryAt < speakingSince && r.sentTo != "" {
+	unanswered := r.summaryAt < representingSince && r.sentTo != ""
+	if silent || unanswered {
 		r.contact++
 		r.rotatedAt = now
 	}
 	return all[r.contact%len(all)]
 }
 
-// acceptSummary tells whether a summary is newer than what is known of its speaker, and notes it. A speaker that has lost its numbers
-// would never be newer: once nothing has been heard of the cell for a while, a speaker whose old numbers rise is taken as it is.
-func (r *remote) acceptSummary(now time.Duration, s Summary, unheard bool) bool {
-	said := sequenceMark{s.Representative, s.Incarnation, s.Seq, now}
-	i := slices.IndexFunc(r.seen, func(m sequenceMark) bool { return m.representative == s.Representative })
-	if i >= 0 && !r.seen[i].less(said) {
-		rises := r.lastStale.representative == s.Representative && r.lastStale.less(said)
-		r.lastStale = said
-		if !unheard || !rises {
+// acceptSummary tells whether a summary is newer than what is known of its representative, and notes it. A
+// representative that has lost its numbers would never be newer: once the cell is unknown, one whose old numbers rise is
+// taken as it is.
+func (r *remote) acceptSummary(now time.Duration, s Summary, unknown bool) bool {
+	mark := sequenceMark{s.Representative, s.Incarnation, s.Seq, now}
+	if !r.seen.isNewer(mark) {
+		rises := r.lastStale.representative == s.Representative && r.lastStale.less(mark)
+		r.lastStale = mark
+		if !unknown || !rises {
 			return false
 		}
 	}
-	if i >= 0 {
-		r.seen = slices.Delete(r.seen, i, i+1)
-	} else if len(r.seen) == maxRepresentatives {
-		r.seen = slices.Delete(r.seen, 0, 1)
-	}
-	r.seen = append(r.seen, said)
+	r.seen.note(mark)
 	r.lastStale = sequenceMark{}
 	return true
 }
 
-// announceRepresentative tells whether the cell is to be told as having another speaker: the one told before has been silent for a while. Two that
-// speak at once would be told each time.
+// announceRepresentative tells whether people are to be told that the cell has another representative: the one announced
+// before has been silent for a while. Two that represent it at once would be announced each time.
 func (r *remote) announceRepresentative(now, silence time.Duration) bool {
-	speaker := r.summary.Representative
-	if speaker == r.announcedRepresentative {
+	current := r.summary.Representative
+	if current == r.announcedRepresentative {
 		return false
 	}
 	heardLately := func(m sequenceMark) bool {
@@ -115,12 +103,12 @@
 		return false
 	}
 	first := r.announcedRepresentative == ""
-	r.announcedRepresentative = speaker
+	r.announcedRepresentative = current
 	return !first
 }
 
-// notePlans keeps what a summary tells of plans entered. It is true whenever it comes, so that also an old summary counts, and nothing
-// takes it back. A cell enters a plan only after the one before has been opened, by all cells with one table, so that whoever is in
+// notePlans keeps what a summary tells of plans joined. It is true whenever it comes, so that also an old summary counts, and nothing
+// takes it back. A cell joins a plan only after the one before has been activated, by all cells with one table, so that whoever is in
 // a later plan has been through the earlier ones.
 func (r *remote) notePlans(s Summary) {
 	if s.JoinedPlan == 0 {
@@ -131,20 +119,21 @@
 		return
 	}
 	r.joinedThrough = max(r.joinedThrough, s.JoinedPlan-1)
-	said := planJoin{s.JoinedPlan, s.PlanHash, s.Bootstrapped}
-	r.planJoins = slices.DeleteFunc(r.planJoins, func(c planJoin) bool { return c.plan <= r.joinedThrough })
-	if said.plan <= r.joinedThrough || slices.Contains(r.planJoins, said) {
+	join := planJoin{s.JoinedPlan, s.PlanHash, s.Bootstrapped}
+	r.planJoins = slices.DeleteFunc(r.planJoins, func(j planJoin) bool { return j.plan <= r.joinedThrough })
+	if join.plan <= r.joinedThrough || slices.Contains(r.planJoins, join) {
 		return
 	}
 	if len(r.planJoins) == maxPlanJoins {
 		r.planJoins = slices.Delete(r.planJoins, 0, 1)
 	}
-	r.planJoins = append(r.planJoins, said)
+	r.planJoins = append(r.planJoins, join)
 }
 
 // joined tells whether the cell is known to have joined a plan with this table.
 func (r *remote) joined(plan, hash uint64) bool {
-	return r.joinedThrough >= plan || slices.ContainsFunc(r.planJoins, func(c planJoin) bool { return c.plan == plan && c.hash == hash })
+	byTable := func(j planJoin) bool { return j.plan == plan && j.hash == hash }
+	return r.joinedThrough >= plan || slices.ContainsFunc(r.planJoins, byTable)
 }
 
 // continued tells whether the cell is known to have come into a plan with this table from the plan before.
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -54,16 +54,22 @@
 // Report tells what the Coordinator knows.
 func (c *Coordinator) Report(now time.Duration) Report {
 	own, _ := c.plan.Find(c.cfg.Cell)
-	report := Report{Cell: c.cfg.Cell, Region: own.Region, Representative: c.representative, Plan: c.local.Plan, PlanHash: hex(c.local.PlanHash), JoinedPlan: c.local.JoinedPlan,
-		ActivatedPlan: c.activatedPlan, FilePlan: c.plan.Number, DirectoryMs: -1, Dropped: c.drops}
-	rows := c.directory.Regions
-	if c.directoryAt < 0 || c.representing {
-		rows = c.regionRows(now)
+	report := Report{
+		Cell:           c.cfg.Cell,
+		Region:         own.Region,
+		Representative: c.election.representative,
+		Plan:           c.local.Plan,
+		PlanHash:       hex(c.local.PlanHash),
+		JoinedPlan:     c.local.JoinedPlan,
+		ActivatedPlan:  c.activatedPlan,
+		FilePlan:       c.plan.Number,
+		DirectoryMs:    -1,
+		Dropped:        c.drops,
 	}
-	if c.directoryAt >= 0 {
-		report.DirectoryMs = duration.Millis(now - c.directoryAt)
+	if c.directory.at >= 0 {
+		report.DirectoryMs = duration.Millis(now - c.directory.at)
 	}
-	for _, row := range rows {
+	for _, row := range c.knownRegions(now) {
 		report.Regions = append(report.Regions, RegionReport{RegionFigures: row})
 	}
 	report.addCell(own.Region, c.ownReport())
@@ -92,14 +98,44 @@
 
 func (c *Coordinator) ownReport() CellReport {
 	l := c.local
-	return CellReport{Name: c.cfg.Cell, Own: true, Known: true, Representative: c.representative, Epoch: l.Epoch, Plan: l.Plan, PlanHash: hex(l.PlanHash), JoinedPlan: l.JoinedPlan,
-		Relays: l.Members, Serving: l.Serving, RequestRate: l.RequestRate, OpenConnections: l.OpenConnections, DrainRate: l.DrainRate, Departed: l.Departed}
+	return CellReport{
+		Name:            c.cfg.Cell,
+		Own:             true,
+		Known:           true,
+		Representative:  c.election.representative,
+		Epoch:           l.Epoch,
+		Plan:            l.Plan,
+		PlanHash:        hex(l.PlanHash),
+		JoinedPlan:      l.JoinedPlan,
+		Relays:          l.Members,
+		Serving:         l.Serving,
+		RequestRate:     l.RequestRate,
+		OpenConnections: l.OpenConnections,
+		DrainRate:       l.DrainRate,
+		Departed:        l.Departed,
+	}
 }
 
 func (c *Coordinator) cellReport(now time.Duration, r *remote) CellReport {
 	s := r.summary
-	report := CellReport{Name: r.name, Known: !c.isUnknown(now, r), AgeMs: -1, Representative: s.Representative, Epoch: s.Epoch, Plan: s.Plan, PlanHash: hex(s.PlanHash),
-		Mismatch: r.mismatch, JoinedPlan: s.JoinedPlan, Relays: s.Members, Serving: s.Serving, RequestRate: s.RequestRate, OpenConnections: s.OpenConnections, DrainRate: s.DrainRate, Departed: s.Departed, Contact: r.sentTo}
+	report := CellReport{
+		Name:            r.name,
+		Known:           !c.isUnknown(now, r),
+		AgeMs:           -1,
+		Representative:  s.Representative,
+		Epoch:           s.Epoch,
+		Plan:            s.Plan,
+		PlanHash:        hex(s.PlanHash),
+		Mismatch:        r.mismatch,
+		JoinedPlan:      s.JoinedPlan,
+		Relays:          s.Members,
+		Serving:         s.Serving,
+		RequestRate:     s.RequestRate,
+		OpenConnections: s.OpenConnections,
+		DrainRate:       s.DrainRate,
+		Departed:        s.Departed,
+		Contact:         r.sentTo,
+	}
 	if r.summaryAt >= 0 {
 		report.AgeMs = duration.Millis(now - r.summaryAt)
 	}
--- a/internal/fleet/cells/rounds.go
+++ b/internal/fleet/cells/rounds.go
@@ -100,7 +100,7 @@
 
 func (c *Coordinator) sendSummaryTo(now time.Duration, r *remote, out []Action) []Action {
 	r.expedited = false
-	r.sentTo = r.address(now, c.round(), c.representingSince)
+	r.sentTo = r.address(now, c.round(), c.election.since)
 	if r.sentTo == "" {
 		return out
 	}
@@ -110,10 +110,10 @@
 
 // Next is when the Coordinator wants a Tick; duration.Forever for not before the next event.
 func (c *Coordinator) Next() time.Duration {
-	if !c.representing {
+	if !c.election.representing {
 		return duration.Forever
 	}
-	next := c.directoryDue()
+	next := c.directory.due()
 	if len(c.cellNames) > 0 {
 		next = min(next, c.pace.nextSummaryAt)
 	}
--- a/internal/fleet/cells/speaker_test.go
+++ b/internal/fleet/cells/speaker_test.go
@@ -24,7 +24,7 @@
 	g.relays[1].believes = func(r *relay) bool { return r != first }
 	n.tell(g)
 	n.pass(20 * second)
-	if !g.relays[0].coordinator.representing || !g.relays[1].coordinator.representing {
+	if !g.relays[0].coordinator.election.representing || !g.relays[1].coordinator.election.representing {
 		t.Fatal("there are no two speakers")
 	}
 	told := n.changes[RepresentativeChanged]
@@ -32,7 +32,7 @@
 		n.pass(10 * second)
 		if !n.agreed() {
 			for _, r := range n.byName {
-				t.Log(n.now, r.name, n.informed(r), r.coordinator.representing, r.coordinator.otherRepresentative, r.coordinator.directory)
+				t.Log(n.now, r.name, n.informed(r), r.coordinator.election.representing, r.coordinator.election.other, r.coordinator.directory.newest)
 			}
 			t.Fatal("two speakers break the agreement")
 		}
@@ -161,7 +161,7 @@
 			t.Fatalf("the new speaker reckons with %+v, before with %+v", got, before)
 		}
 	}
-	row := n.cells[0].relays[2].coordinator.directory.Regions[1]
+	row := n.cells[0].relays[2].coordinator.directory.newest.Regions[1]
 	if row.Known != 0 || row.Relays != 32 || row.RequestRate != 3200 {
 		t.Errorf("the cut off region is told as %+v", row)
 	}
@@ -176,7 +176,7 @@
 	for range 300 {
 		n.pass(second / 10)
 		if !n.informed(g.relays[1]) || !n.informed(g.relays[2]) {
-			t.Fatalf("told to its cell: %+v", g.relays[2].coordinator.directory)
+			t.Fatalf("told to its cell: %+v", g.relays[2].coordinator.directory.newest)
 		}
 	}
 }
@@ -255,8 +255,8 @@
 		c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: fmt.Sprint("s", i), Incarnation: 1, Seq: 1}}, nil)
 	}
 	r := c.remotes["b"]
-	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins || len(c.directorySeen) > maxRepresentatives || c.drops.Unknown != 5000 {
-		t.Error(len(c.remotes), len(r.seen), len(r.planJoins), len(c.directorySeen), c.drops)
+	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins || len(c.directory.seen) > maxRepresentatives || c.drops.Unknown != 5000 {
+		t.Error(len(c.remotes), len(r.seen), len(r.planJoins), len(c.directory.seen), c.drops)
 	}
 	c.Handle(0, PlanChanged{cellplan.Plan{Number: 2, Cells: plan.Cells[:2]}}, nil)
 	if len(c.remotes) != 1 || c.remotes["b"] != r {
