--- a/internal/fleet/cells/coordinator.go
+++ b/internal/fleet/cells/coordinator.go
@@ -19,8 +19,8 @@
 
 // Coordinator is one relay's part in what cells know of each other. It is not safe for concurrent use.
 //
-// Invariants: remotes has just the other cells that a plan in force names, cellNames their names in order; only the
-// representative sends summaries and publishes directories; activatedPlan never falls.
+// Invariants: remotes has just the other cells that a plan in force names, cellNames their names in
+// order; only the representative sends summaries and publishes directories; activatedPlan never falls.
 type Coordinator struct {
 	cfg             Config
 	plan            cellplan.Plan // the file's
@@ -84,7 +84,8 @@
 
 // sameState tells whether two LocalCells differ at most in what other cells need not know at once.
 func (l LocalCell) sameState(old LocalCell) bool {
-	return l.Members == old.Members && l.Epoch == old.Epoch && l.Plan == old.Plan && l.JoinedPlan == old.JoinedPlan
+	return l.Members == old.Members && l.Epoch == old.Epoch &&
+		l.Plan == old.Plan && l.JoinedPlan == old.JoinedPlan
 }
 
 // setPlan takes in the file's plan.
@@ -93,8 +94,8 @@
 	c.retainNamedCells(now)
 }
 
-// retainNamedCells keeps the other cells that a plan in force names, and forgets all others. Of a view that names more
-// cells than can be none is kept, so that its plan is never activated here.
+// retainNamedCells keeps the other cells that a plan in force names, and forgets all others. Of a view
+// that names more cells than can be none is kept, so that its plan is never activated here.
 func (c *Coordinator) retainNamedCells(now time.Duration) {
 	names := c.plan.Names()
 	if len(c.local.Cells) <= cellplan.MaxCells {
--- a/internal/fleet/cells/directory.go
+++ b/internal/fleet/cells/directory.go
@@ -17,8 +17,8 @@
 	otherRegions = "\x7e"
 )
 
-// directoryState is the newest directory of this cell, this relay's own where it represents the cell, and the pace of
-// publishing it.
+// directoryState is the newest directory of this cell, this relay's own where it represents the cell, and
+// the pace of publishing it.
 type directoryState struct {
 	newest    Directory
 	at        time.Duration // when it came or was published, negative for never
@@ -62,8 +62,8 @@
 	return sum
 }
 
-// knownRegions are the other cells' figures by region: the representative's by the summaries, any other relay's by the
-// representative's directory, and before there is one by the plan.
+// knownRegions are the other cells' figures by region: the representative's by the summaries, any other
+// relay's by the representative's directory, and before there is one by the plan.
 func (c *Coordinator) knownRegions(now time.Duration) []RegionFigures {
 	if c.directory.at < 0 || c.election.representing {
 		return c.regionRows(now)
@@ -71,8 +71,9 @@
 	return c.directory.newest.Regions
 }
 
-// regionRows sums the summaries by region. A cell that was never heard counts by the plan; where there is one, and the
-// directory before this relay represented its cell tells more of the region, the region counts by that.
+// regionRows sums the summaries by region. A cell that was never heard counts by the plan; where there is
+// one, and the directory before this relay represented its cell tells more of the region, the region
+// counts by that.
 func (c *Coordinator) regionRows(now time.Duration) []RegionFigures {
 	regions := map[string]*RegionFigures{}
 	incomplete := map[string]bool{}
@@ -190,8 +191,8 @@
 	return append(out, PublishDirectory{d.newest})
 }
 
-// receiveDirectory takes in a directory of this cell's representative. That a plan is activated counts whenever it
-// comes.
+// receiveDirectory takes in a directory of this cell's representative. That a plan is activated counts
+// whenever it comes.
 func (c *Coordinator) receiveDirectory(now time.Duration, received Directory, out []Action) []Action {
 	if received.Check() != nil || received.Cell != c.cfg.Cell {
 		c.drops.Malformed++
--- a/internal/fleet/cells/election.go
+++ b/internal/fleet/cells/election.go
@@ -8,8 +8,8 @@
 	"capersail/internal/fleet/duration"
 )
 
-// election is who represents this cell: the first voter that is alive, by each relay's own belief. Two may believe that
-// they are it for a while, which costs packets and nothing else.
+// election is who represents this cell: the first voter that is alive, by each relay's own belief. Two
+// may believe that they are it for a while, which costs packets and nothing else.
 type election struct {
 	representative string        // "" for none
 	representing   bool          // this relay is it
@@ -37,8 +37,8 @@
 	return append(out, Changed{Kind: RepresentativeChanged, Cell: c.cfg.Cell, Representative: elected})
 }
 
-// becomeRepresentative makes this relay the representative: it starts in turn after its own cell's name, and tells all
-// soon.
+// becomeRepresentative makes this relay the representative: it starts in turn after its own cell's name,
+// and tells all soon.
 func (c *Coordinator) becomeRepresentative(now time.Duration) {
 	c.election.since = now
 	c.directory.inherited = c.directory.newest.Regions
@@ -54,8 +54,8 @@
 	c.expedite(now)
 }
 
-// forwardTarget is a relay of this cell that a summary is to be forwarded to: the representative or, where two believe
-// that they are it, the other one; "" for none.
+// forwardTarget is a relay of this cell that a summary is to be forwarded to: the representative or,
+// where two believe that they are it, the other one; "" for none.
 func (c *Coordinator) forwardTarget(now time.Duration) string {
 	e := c.election
 	if !e.representing {
--- a/internal/fleet/cells/evidence.go
+++ b/internal/fleet/cells/evidence.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// ActivatedPlan is the newest plan that every cell is known to have entered, by this relay or one that has told it; 0 for none. It never
-// falls.
+// ActivatedPlan is the newest plan that every cell is known to have joined, by this relay or one that has
+// told it; 0 for none. It never falls.
 func (c *Coordinator) ActivatedPlan() uint64 { return c.activatedPlan }
 
-// requiredCells are the cells that must have entered the view's plan before it is open; nil if they are not known.
+// requiredCells are the cells that must have joined the view's plan before it is activated; nil if they
+// are not known.
 func (c *Coordinator) requiredCells() []string {
 	if len(c.local.Cells) > 0 {
 		return c.local.Cells
@@ -17,7 +18,7 @@
 	return nil
 }
 
-// checkActivation looks whether every cell has entered this cell's plan.
+// checkActivation activates this cell's plan once every cell has joined it.
 func (c *Coordinator) checkActivation(out []Action) []Action {
 	l := c.local
 	if l.Plan == 0 || l.JoinedPlan < l.Plan || c.activatedPlan >= l.Plan {
@@ -37,17 +38,18 @@
 	return c.activatePlan(l.Plan, out)
 }
 
-// anyCellContinued tells whether some cell has come into this cell's plan from the one before. Only such a cell knows who held a part by that,
-// and has entered none that leaves one out: cells that are all founded by a plan never open it.
+// anyCellContinued tells whether some cell has come into this cell's plan from the one before. Only such
+// a cell knows who held a part by that, and has joined none that leaves one out: cells that are all
+// bootstrapped by a plan never activate it.
 func (c *Coordinator) anyCellContinued(names []string) bool {
-	came := func(name string) bool {
+	hasContinued := func(name string) bool {
 		r := c.remotes[name]
 		return r != nil && r.continued(c.local.Plan, c.local.PlanHash)
 	}
-	return !c.local.Bootstrapped || slices.ContainsFunc(names, came)
+	return !c.local.Bootstrapped || slices.ContainsFunc(names, hasContinued)
 }
 
-// activatePlan notes that a plan is activatePlan.
+// activatePlan notes that a plan is activated.
 func (c *Coordinator) activatePlan(plan uint64, out []Action) []Action {
 	if plan <= c.activatedPlan {
 		return out
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -8,16 +8,16 @@
 	"capersail/internal/fleet/duration"
 )
 
-// enter makes a cell's view hold a plan, and say so as entered later.
+// enter makes a cell's view hold a plan, and say so as joined later.
 func (n *network) enter(g *group, plan cellplan.Plan) {
 	g.plan, g.hash, g.names = plan.Number, plan.Hash(), plan.Names()
 	g.epoch++
 	n.after(15*second, func() { g.entered = plan.Number })
 }
 
-// A plan is opened nowhere before every cell has entered it, and everywhere soon after, while packets are lost, doubled, held up and
-// told again, and one cell is cut off for a while.
-func TestPlanOpensAfterAllHaveEntered(t *testing.T) {
+// A plan is opened nowhere before every cell has joined it, and everywhere soon after, while packets are
+// lost, doubled, held up and told again, and one cell is cut off for a while.
+func TestPlanActivatesAfterAllHaveJoined(t *testing.T) {
 	for seed := range uint64(4) {
 		n := fleetOf(t, seed, []int{2, 2}, 2, 3)
 		n.loss, n.double = 0.05, 0.2
@@ -82,7 +82,8 @@
 	return count
 }
 
-// Word of a plan entered is never taken back by an old or doubled summary, and never made from one of another table.
+// Word of a plan joined is never taken back by an old or doubled summary, and never made from one of
+// another table.
 func TestEvidenceIsMonotone(t *testing.T) {
 	c, plan := one(t)
 	entered := func(number, hash uint64) LocalCell {
@@ -137,9 +138,9 @@
 	}
 }
 
-// A cell that is missing from the file's plan, but not from the view's, is waited for; and nobody opens a plan that this cell hasn't
-// entered itself.
-func TestOpeningGoesByTheView(t *testing.T) {
+// A cell that is missing from the file's plan, but not from the view's, is waited for; and nobody opens a
+// plan that this cell hasn't joined itself.
+func TestActivationGoesByTheView(t *testing.T) {
 	c, plan := one(t)
 	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: append(plan.Names(), "gone"), JoinedPlan: 1}
 	c.Handle(0, l, nil)
@@ -164,7 +165,7 @@
 	}
 }
 
-// A cell that has entered a later plan has been through the one before, also when old word of it comes after.
+// A cell that has joined a later plan has been through the one before, also when old word of it comes after.
 func TestLaterPlanCounts(t *testing.T) {
 	c, plan := one(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2}, nil)
@@ -182,7 +183,7 @@
 }
 
 // A view that names more cells than are kept is never opened.
-func TestTooManyCellsNeverOpen(t *testing.T) {
+func TestTooManyCellsNeverActivate(t *testing.T) {
 	c, plan := one(t)
 	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2}
 	for i := range cellplan.MaxCells {
@@ -197,9 +198,9 @@
 	}
 }
 
-// A plan that only cells founded by it have entered is not open: none of them knows who held a part by the plan before. Once one is
-// heard that has come from there, it is.
-func TestFoundedCellsAloneNeverOpen(t *testing.T) {
+// A plan that only cells founded by it have joined is not open: none of them knows who held a part by
+// the plan before. Once one is heard that has come from there, it is.
+func TestBootstrappedCellsAloneNeverActivate(t *testing.T) {
 	c, plan := one(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2, Bootstrapped: true}, nil)
 	for _, name := range plan.Names() {
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -13,8 +13,9 @@
 // deathKnownWithin is how long after a cell's view has changed every other cell may take to know it.
 const deathKnownWithin = 20 * second
 
-// A death is known in all other cells within 20 s of its cell's view, also where it is the speaker's and a packet in a hundred is
-// lost. A cell that has lost its speaker has a whole directory again within three rounds.
+// A death is known in all other cells within 20 s of its cell's view, also where it is the
+// representative's and a packet in a hundred is lost. A cell that has lost its representative has a whole
+// directory again within three rounds.
 func TestDeathElsewhereIsKnown(t *testing.T) {
 	slowest, whole, deaths := time.Duration(0), time.Duration(0), 0
 	for seed := range uint64(6) {
@@ -46,8 +47,8 @@
 	t.Logf("%d deaths: known in every other cell after %.1f s at most, all directories whole after %.1f s", deaths, slowest.Seconds(), whole.Seconds())
 }
 
-// A region that was cut off for ten minutes, both ways or one way, is agreed with everywhere within 20 s, and no speaker sends more
-// than three times of what it does at rest in any second.
+// A region that was cut off for ten minutes, both ways or one way, is agreed with everywhere within 20 s,
+// and no representative sends more than three times of what it does at rest in any second.
 func TestRegionComesBack(t *testing.T) {
 	in := func(r *relay) bool { return r.group.region == "region-0" }
 	for name, cut := range map[string]func(from, to *relay) bool{
@@ -98,7 +99,7 @@
 	}
 }
 
-// fresh tells whether every speaker has heard of every cell since a moment.
+// fresh tells whether every representative has heard of every cell since a moment.
 func (n *network) fresh(since time.Duration) bool {
 	for _, g := range n.cells {
 		for _, r := range g.speaker().coordinator.remotes {
@@ -110,7 +111,7 @@
 	return true
 }
 
-// A speaker's packets a second hardly grow with the number of cells.
+// A representative's packets a second hardly grow with the number of cells.
 func TestPaceByNumberOfCells(t *testing.T) {
 	rates := map[int]float64{}
 	for _, c := range []struct {
@@ -132,7 +133,7 @@
 }
 
 // What goes between cells and inside one fits its packet, with long names and large numbers.
-func TestSizes(t *testing.T) {
+func TestMessagesFitTheirPackets(t *testing.T) {
 	plan := cellplan.Plan{Number: 1234}
 	for region := range 5 {
 		for i := range 7 {
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -8,8 +8,9 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// FuzzCoordinator hands a Coordinator events drawn from bytes, sane and not, at times that also go back: it never panics, keeps no more
-// than what a plan in force names, sends one summary at a time, and what is open never falls.
+// FuzzCoordinator hands a Coordinator events drawn from bytes, sane and not, at times that also go back:
+// it never panics, keeps no more than what a plan in force names, sends one summary at a time, and what
+// is open never falls.
 func FuzzCoordinator(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte("\x00\x01\x02\x03\x10\x20\x30\x40\x04\x04\x04\x04\x01\x01\x01\x01\x02\x07\xff\x00"))
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -16,8 +16,8 @@
 
 const second = time.Second
 
-// network is a simulated network of cells on a set clock: packets between relays are delayed, lost, doubled and so reordered, and
-// cut where a test says so.
+// network is a simulated network of cells on a set clock: packets between relays are delayed, lost,
+// doubled and so reordered, and cut where a test says so.
 type network struct {
 	t         *testing.T
 	now       time.Duration
@@ -83,7 +83,8 @@
 	return last
 }
 
-// fleetOf makes cells in regions of the given numbers of zones, perZone in each zone, with so many relays simulated.
+// fleetOf makes cells in regions of the given numbers of zones, perZone in each zone, with so many relays
+// simulated.
 func fleetOf(t *testing.T, seed uint64, zones []int, perZone, relays int) *network {
 	n := &network{t: t, draw: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{}, byAddress: map[string]*relay{}, changes: map[Change]int{}}
 	n.plan.Number = 1
@@ -149,8 +150,8 @@
 // pass lets time pass.
 func (n *network) pass(span time.Duration) { n.until(span, func() bool { return false }) }
 
-// until lets time pass until something holds, and returns how long that took; duration.Forever if it didn't within the limit. It looks every
-// tenth of a second.
+// until lets time pass until something holds, and returns how long that took; duration.Forever if it
+// didn't within the limit. It looks every tenth of a second.
 func (n *network) until(limit time.Duration, holds func() bool) time.Duration {
 	from := n.now
 	look := n.now
@@ -278,7 +279,8 @@
 	n.tell(r.group)
 }
 
-// known tells whether every relay of the other cells has a directory with the true number of relays in a cell's region.
+// known tells whether every relay of the other cells has a directory with the true number of relays in a
+// cell's region.
 func (n *network) known(g *group) bool {
 	for _, other := range n.cells {
 		if other == g {
@@ -300,7 +302,8 @@
 	return true
 }
 
-// agreed tells whether every relay has a directory with all other cells heard and their true numbers of relays.
+// agreed tells whether every relay has a directory with all other cells heard and their true numbers of
+// relays.
 func (n *network) agreed() bool {
 	for _, g := range n.cells {
 		for _, r := range g.relays {
--- a/internal/fleet/cells/remote.go
+++ b/internal/fleet/cells/remote.go
@@ -33,7 +33,8 @@
 	announcedRepresentative string // that people were told of
 }
 
-// planJoin is a cell's word that nobody there acts by an earlier plan than this one, and the table that it has under the number.
+// planJoin is a cell's word that nobody there acts by an earlier plan than this one, and the table that
+// it has under the number.
 type planJoin struct {
 	plan, hash   uint64
 	bootstrapped bool // by the plan: the cell has come from no earlier one
@@ -55,9 +56,9 @@
 	return len(s.Contacts) > 0 && r.sentTo != "" && r.sentTo != s.Contacts[0]
 }
 
-// address is where the next summary goes, "" if there is nowhere. Another contact is taken when nothing has been heard
-// for two rounds, and then each round; each time, while nothing has been heard since this relay represents its cell: the
-// other cell doesn't know its address yet.
+// address is where the next summary goes, "" if there is nowhere. Another contact is taken when nothing
+// has been heard for two rounds, and then each round; each time, while nothing has been heard since this
+// relay represents its cell: the other cell doesn't know its address yet.
 func (r *remote) address(now, round, representingSince time.Duration) string {
 	all := r.addresses()
 	if len(all) == 0 {
@@ -72,9 +73,9 @@
 	return all[r.contact%len(all)]
 }
 
-// acceptSummary tells whether a summary is newer than what is known of its representative, and notes it. A
-// representative that has lost its numbers would never be newer: once the cell is unknown, one whose old numbers rise is
-// taken as it is.
+// acceptSummary tells whether a summary is newer than what is known of its representative, and notes it.
+// A representative that has lost its numbers would never be newer: once the cell is unknown, one whose
+// old numbers rise is taken as it is.
 func (r *remote) acceptSummary(now time.Duration, s Summary, unknown bool) bool {
 	mark := sequenceMark{s.Representative, s.Incarnation, s.Seq, now}
 	if !r.seen.isNewer(mark) {
@@ -89,8 +90,9 @@
 	return true
 }
 
-// announceRepresentative tells whether people are to be told that the cell has another representative: the one announced
-// before has been silent for a while. Two that represent it at once would be announced each time.
+// announceRepresentative tells whether people are to be told that the cell has another representative:
+// the one announced before has been silent for a while. Two that represent it at once would be announced
+// each time.
 func (r *remote) announceRepresentative(now, silence time.Duration) bool {
 	current := r.summary.Representative
 	if current == r.announcedRepresentative {
@@ -107,9 +109,10 @@
 	return !first
 }
 
-// notePlans keeps what a summary tells of plans joined. It is true whenever it comes, so that also an old summary counts, and nothing
-// takes it back. A cell joins a plan only after the one before has been activated, by all cells with one table, so that whoever is in
-// a later plan has been through the earlier ones.
+// notePlans keeps what a summary tells of plans joined. It is true whenever it comes, so that also an old
+// summary counts, and nothing takes it back. A cell joins a plan only after the one before has been
+// activated, by all cells with one table, so that whoever is in a later plan has been through the earlier
+// ones.
 func (r *remote) notePlans(s Summary) {
 	if s.JoinedPlan == 0 {
 		return
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -18,7 +18,7 @@
 	JoinedPlan     uint64 `json:"entered"`
 	ActivatedPlan  uint64 `json:"opened"`
 	FilePlan       uint64 `json:"file_plan"`
-	// DirectoryMs is the age of the speaker's directory, negative if there is none.
+	// DirectoryMs is the age of the representative's directory, negative if there is none.
 	DirectoryMs float64        `json:"directory_ms"`
 	Regions     []RegionReport `json:"regions"`
 	Dropped     DropCounters   `json:"dropped"`
@@ -30,7 +30,8 @@
 	Rows []CellReport `json:"rows"`
 }
 
-// CellReport is one cell in a Report. At a relay that is no speaker most are known by their region's figures only.
+// CellReport is one cell in a Report. At a relay that is no representative most are known by their region's
+// figures only.
 type CellReport struct {
 	Name            string   `json:"cell"`
 	Own             bool     `json:"own,omitempty"`
--- a/internal/fleet/cells/speaker_test.go
+++ b/internal/fleet/cells/representative_test.go
@@ -14,8 +14,9 @@
 // small is three cells in two regions.
 var small = []int{2, 1}
 
-// Two relays that both believe to speak do no harm: all stay agreed, nobody is told of a change again and again.
-func TestTwoSpeakersAtOnce(t *testing.T) {
+// Two relays that both believe to speak do no harm: all stay agreed, nobody is told of a change again and
+// again.
+func TestTwoRepresentativesAtOnceAgree(t *testing.T) {
 	n := fleetOf(t, 3, small, 1, 3)
 	n.loss, n.double = 0.05, 0.1
 	n.pass(60 * second)
@@ -42,8 +43,8 @@
 	}
 }
 
-// A speaker that comes back with numbers lower than it has told is taken again, but no old packet is.
-func TestSpeakerWithOldNumbers(t *testing.T) {
+// A representative that comes back with numbers lower than it has told is taken again, but no old packet is.
+func TestRepresentativeWithOldNumbersIsHeardAgain(t *testing.T) {
 	n := fleetOf(t, 4, small, 1, 1)
 	n.pass(60 * second)
 	g := n.cells[0]
@@ -60,7 +61,7 @@
 	}
 }
 
-func TestOldPacketsAreNotFresh(t *testing.T) {
+func TestOldPacketsDoNotMakeACellKnown(t *testing.T) {
 	c, plan := one(t)
 	said := heardFrom(plan, "b", 5)
 	c.Handle(0, SummaryReceived{Summary: said}, nil)
@@ -74,7 +75,7 @@
 	if c.drops.Stale != 3 {
 		t.Error(c.drops)
 	}
-	// Nor does one that comes long after, nor its double: only a speaker that goes on telling.
+	// Nor does one that comes long after, nor its double: only a representative that goes on telling.
 	late := 1000 * second
 	for range 3 {
 		c.Handle(late, SummaryReceived{Summary: heardFrom(plan, "b", 2)}, nil)
@@ -89,7 +90,7 @@
 }
 
 // What a part of a cell with an older view tells doesn't replace what the newer one does.
-func TestOlderViewOfACell(t *testing.T) {
+func TestSummaryOfAnOlderViewIsStale(t *testing.T) {
 	c, plan := one(t)
 	newer, older := heardFrom(plan, "b", 5), heardFrom(plan, "b", 9)
 	newer.Epoch, older.Epoch, older.Representative, older.Members, older.Serving = 8, 7, "b-2", 2, 2
@@ -105,8 +106,9 @@
 	}
 }
 
-// A relay that is no speaker forwards a summary to the one that is, and one that was forwarded to nobody.
-func TestForwardOnce(t *testing.T) {
+// A relay that is no representative forwards a summary to the one that is, and one that was forwarded to
+// nobody.
+func TestSummaryIsForwardedOnce(t *testing.T) {
 	c, plan := one(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-0", Alive: true}, {Name: "a-1", Alive: true}}, Members: 2}, nil)
 	out := c.Handle(second, SummaryReceived{Summary: heardFrom(plan, "b", 1)}, nil)
@@ -124,7 +126,7 @@
 }
 
 // When a cell's contact is dead, another is tried until one answers.
-func TestContactsRotate(t *testing.T) {
+func TestSilentContactsRotate(t *testing.T) {
 	n := fleetOf(t, 8, small, 1, 4)
 	n.pass(60 * second)
 	g := n.cells[1]
@@ -135,7 +137,8 @@
 		n.kill(r)
 	}
 	n.pass(100 * second)
-	n.cut = func(from, to *relay) bool { return isolated(from) && !isolated(to) } // only its own contacts can tell
+	// only its own contacts can tell
+	n.cut = func(from, to *relay) bool { return isolated(from) && !isolated(to) }
 	heal := n.now
 	took := n.until(300*second, func() bool {
 		return !slices.ContainsFunc(n.cells, func(o *group) bool { return o != g && g.relays[3].coordinator.remotes[o.name].summaryAt < heal })
@@ -146,8 +149,8 @@
 	}
 }
 
-// A new speaker doesn't forget the figures of a cell that it has never heard itself.
-func TestNewSpeakerInherits(t *testing.T) {
+// A new representative doesn't forget the figures of a cell that it has never heard itself.
+func TestNewRepresentativeInheritsFigures(t *testing.T) {
 	n := fleetOf(t, 9, small, 1, 3)
 	n.pass(60 * second)
 	cutOff := n.cells[2]
@@ -167,8 +170,8 @@
 	}
 }
 
-// A new speaker tells nothing of the other cells before it has heard of them.
-func TestNewSpeakerHearsFirst(t *testing.T) {
+// A new representative tells nothing of the other cells before it has heard of them.
+func TestNewRepresentativeHearsBeforeItPublishes(t *testing.T) {
 	n := fleetOf(t, 12, small, 1, 3)
 	n.pass(60 * second)
 	g := n.cells[0]
@@ -181,7 +184,7 @@
 	}
 }
 
-// A speaker that was stopped for a while doesn't make up for what it has missed.
+// A representative that was stopped for a while doesn't make up for what it has missed.
 func TestNoBurstAfterAPause(t *testing.T) {
 	n := fleetOf(t, 10, large, 2, 1)
 	n.pass(60 * second)
@@ -201,7 +204,7 @@
 }
 
 // A change soon after another is told in a quick round of its own, once a round has passed since the last.
-func TestChangeAfterAChange(t *testing.T) {
+func TestSecondChangeIsExpeditedAfterARound(t *testing.T) {
 	n := fleetOf(t, 11, large, 2, 1)
 	n.pass(60 * second)
 	g := n.cells[0]
@@ -222,8 +225,9 @@
 	}
 }
 
-// A new speaker tries another contact of a cell each time until it hears of it: it may have taken over at the same time.
-func TestNewSpeakerTriesEachContact(t *testing.T) {
+// A new representative tries another contact of a cell each time until it hears of it: it may have taken
+// over at the same time.
+func TestNewRepresentativeTriesEachContact(t *testing.T) {
 	plan := cellplan.Plan{Number: 1, Cells: []cellplan.Cell{
 		{Name: "a", Region: "r", Zone: "z", Relays: 3, Contacts: []string{"10.0.0.1:1"}},
 		{Name: "b", Region: "r", Zone: "z", Relays: 3, Contacts: []string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}}}}
@@ -265,7 +269,7 @@
 }
 
 // What can't be is not taken.
-func TestChecks(t *testing.T) {
+func TestChecksRejectWhatCannotBe(t *testing.T) {
 	_, plan := one(t)
 	for i, change := range []func(s *Summary){
 		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Representative = "" }, func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
@@ -311,7 +315,7 @@
 	return New(0, Config{Name: "a-1", Cell: "a", Incarnation: 1, Plan: plan}), plan
 }
 
-// heardFrom is a summary of a cell that has entered the plan.
+// heardFrom is a summary of a cell that has joined the plan.
 func heardFrom(plan cellplan.Plan, cell string, seq uint64) Summary {
 	return Summary{Cell: cell, Region: "r", Representative: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3, Plan: plan.Number, PlanHash: plan.Hash(), JoinedPlan: plan.Number,
 		Members: 32, Serving: 30, RequestRate: 100, OpenConnections: 1000}
--- a/internal/fleet/cells/rounds.go
+++ b/internal/fleet/cells/rounds.go
@@ -6,30 +6,39 @@
 	"capersail/internal/fleet/duration"
 )
 
-// The pace between cells.
 const (
-	minRound              = 5 * time.Second
-	roundPerCell          = 300 * time.Millisecond // a round gets longer with the fleet, so that a speaker's packets a second don't grow
-	minExpeditedRound     = 2 * time.Second
-	expeditedPart         = 0.4 // of a round, for a quick one: 2.5 times the packets a second, for one round
+	// minRound is the shortest round. A round gets longer by roundPerCell, so that a representative's
+	// packets a second don't grow with the fleet.
+	minRound     = 5 * time.Second
+	roundPerCell = 300 * time.Millisecond
+	// expeditedPart of a round is an expedited one, at least minExpeditedRound: 2.5 times the packets a
+	// second, once.
+	expeditedPart     = 0.4
+	minExpeditedRound = 2 * time.Second
+	// contactRotationRounds without a word let a cell's next contact be taken.
 	contactRotationRounds = 2
-	lostCheckInterval     = time.Second // for cells that have become unheard
-	// UnknownAfterRounds without a word make a cell unheard.
-	UnknownAfterRounds  = 3
-	informedAfterRounds = 1.2 // a new speaker has heard of all that can be heard
+	// UnknownAfterRounds without a word make a cell unknown.
+	UnknownAfterRounds = 3
+	// lostCheckInterval is the time between two checks for cells that have become unknown.
+	lostCheckInterval = time.Second
+	// informedAfterRounds a new representative has heard of all that can be heard.
+	informedAfterRounds = 1.2
 )
 
 // pacer spreads summaries evenly over a round: one cell at a time, in turn.
+//
+// Invariants: of two summaries at most one is out of turn, so that the round goes on; an expedited round
+// begins at most once in the time of a round.
 type pacer struct {
-	nextSummaryAt  time.Duration // when the next summary goes
-	position       int           // whose turn it is
-	expeditedLeft  int           // so many summaries are left of a quick round
-	nextExpediteAt time.Duration // no other quick round before
+	nextSummaryAt  time.Duration
+	position       int           // in the names of the cells: whose turn it was last
+	expeditedLeft  int           // so many summaries are left of an expedited round
+	nextExpediteAt time.Duration // no other expedited round before this
 	expediteAgain  bool          // one is due then
 	outOfTurn      bool          // the last summary was
 }
 
-// Round is how long it takes a speaker to tell each other cell once, by the number of all cells.
+// Round is how long it takes a representative to tell each other cell once, by the number of all cells.
 func Round(cells int) time.Duration { return max(minRound, roundPerCell*time.Duration(cells)) }
 
 func (c *Coordinator) round() time.Duration { return Round(len(c.cellNames) + 1) }
@@ -44,7 +53,8 @@
 	return (round + cells - 1) / cells // rounded up: a cell's next turn comes no sooner than a round later
 }
 
-// expedite starts a quick round, at most one in the time of a round: what comes sooner after is told in the ordinary round first.
+// expedite starts an expedited round, at most one in the time of a round: what comes sooner after is told
+// in the ordinary round first.
 func (c *Coordinator) expedite(now time.Duration) {
 	if now < c.pace.nextExpediteAt {
 		c.pace.expediteAgain = true
@@ -65,14 +75,17 @@
 		c.expedite(now)
 	}
 	out = c.sendNextSummary(now, out)
-	if c.pace.nextSummaryAt += c.summaryInterval(); c.pace.nextSummaryAt <= now {
+	c.pace.nextSummaryAt += c.summaryInterval()
+	if c.pace.nextSummaryAt <= now {
 		c.pace.nextSummaryAt = now + c.summaryInterval()
 	}
 	return out
 }
 
+// sendNextSummary sends to a cell out of turn, if one is waiting and the last was in turn, else to the
+// next in turn.
 func (c *Coordinator) sendNextSummary(now time.Duration, out []Action) []Action {
-	c.pace.outOfTurn = !c.pace.outOfTurn // at most every other one, so that the round goes on
+	c.pace.outOfTurn = !c.pace.outOfTurn
 	for _, name := range c.cellNames {
 		if r := c.remotes[name]; r.expedited && c.pace.outOfTurn {
 			r.sentEarly = true
@@ -83,7 +96,8 @@
 	return c.sendSummaryTo(now, c.nextInTurn(), out)
 }
 
-// nextInTurn is the cell whose turn it is. One that was told out of turn is passed over once, so that a round takes no longer.
+// nextInTurn is the cell whose turn it is. One that was told out of turn is passed over once, so that a
+// round takes no longer.
 func (c *Coordinator) nextInTurn() *remote {
 	for {
 		if c.pace.expeditedLeft > 0 {
--- a/internal/fleet/cells/summary.go
+++ b/internal/fleet/cells/summary.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"net/netip"
+	"slices"
 	"strings"
 
 	"capersail/internal/fleet/cellplan"
@@ -20,12 +21,13 @@
 	maxRate          = 1e9 // requests or connections a second
 )
 
-// Summary is what a speaker tells other cells of its own. Fields that a reader doesn't know are skipped.
+// Summary is what a representative tells other cells of its own. Fields that a reader doesn't know are
+// skipped.
 type Summary struct {
 	Cell            string   `cbor:"1,keyasint"`
 	Region          string   `cbor:"2,keyasint,omitempty"`
 	Representative  string   `cbor:"3,keyasint"`
-	Incarnation     uint64   `cbor:"4,keyasint"` // of the speaker
+	Incarnation     uint64   `cbor:"4,keyasint"` // of the representative
 	Seq             uint64   `cbor:"5,keyasint"` // rises with each summary of an incarnation
 	Epoch           uint64   `cbor:"6,keyasint,omitempty"`
 	Plan            uint64   `cbor:"7,keyasint,omitempty"` // of the cell's view
@@ -36,21 +38,23 @@
 	RequestRate     float64  `cbor:"12,keyasint,omitempty"`
 	OpenConnections int      `cbor:"13,keyasint,omitempty"`
 	DrainRate       float64  `cbor:"14,keyasint,omitempty"`
-	Contacts        []string `cbor:"15,keyasint,omitempty"` // the speaker first
+	Contacts        []string `cbor:"15,keyasint,omitempty"` // the representative first
 	Departed        []string `cbor:"16,keyasint,omitempty"` // relays that went in the last 20 s
-	Forwarded       bool     `cbor:"17,keyasint,omitempty"` // by a relay that is no speaker, to the one that is; never twice
-	Bootstrapped    bool     `cbor:"18,keyasint,omitempty"` // by Plan: the cell has come from no earlier one
+	// by a relay that is no representative, to the one that is; never twice
+	Forwarded    bool `cbor:"17,keyasint,omitempty"`
+	Bootstrapped bool `cbor:"18,keyasint,omitempty"` // by Plan: the cell has come from no earlier one
 }
 
-// Directory is what a speaker tells its own cell of all others.
+// Directory is what a representative tells its own cell of all others.
 type Directory struct {
-	Cell           string          `cbor:"1,keyasint"`
-	Representative string          `cbor:"2,keyasint"`
-	Incarnation    uint64          `cbor:"3,keyasint"`
-	Seq            uint64          `cbor:"4,keyasint"`
-	Epoch          uint64          `cbor:"5,keyasint,omitempty"`
-	ActivatedPlan  uint64          `cbor:"6,keyasint,omitempty"` // the newest plan that every cell is known to have entered
-	Regions        []RegionFigures `cbor:"7,keyasint,omitempty"` // without this cell's own figures
+	Cell           string `cbor:"1,keyasint"`
+	Representative string `cbor:"2,keyasint"`
+	Incarnation    uint64 `cbor:"3,keyasint"`
+	Seq            uint64 `cbor:"4,keyasint"`
+	Epoch          uint64 `cbor:"5,keyasint,omitempty"`
+	// the newest plan that every cell is known to have joined
+	ActivatedPlan uint64          `cbor:"6,keyasint,omitempty"`
+	Regions       []RegionFigures `cbor:"7,keyasint,omitempty"` // without this cell's own figures
 }
 
 // RegionFigures are sums over the other cells of a region; those of a cell that is not heard are its last.
@@ -65,65 +69,81 @@
 	DrainRate       float64 `cbor:"8,keyasint,omitempty" json:"sent_per_s"`
 }
 
+// What Check finds of a summary or a directory that nobody can have sent.
 var (
-	errSummary   = errors.New("a summary that cannot be: its names, sizes or numbers make no sense")
-	errDirectory = errors.New("a directory that cannot be: its names, sizes or numbers make no sense")
+	ErrInvalidSummary   = errors.New("invalid summary: its names, sizes or numbers cannot be")
+	ErrInvalidDirectory = errors.New("invalid directory: its names, sizes or numbers cannot be")
 )
 
-// Check tells whether a summary that came from elsewhere could be true.
+// Check tells whether a summary that came from elsewhere could be true; if not it returns ErrInvalidSummary.
 func (s Summary) Check() error {
-	good := validCellName(s.Cell) && (s.Region == "" || validCellName(s.Region)) && validName(s.Representative) && s.Incarnation > 0 && s.Seq > 0 &&
-		s.Plan <= cellplan.MaxPlanNumber && s.JoinedPlan <= s.Plan &&
-		validFigures(s.Members, s.Serving, s.OpenConnections, s.RequestRate, s.DrainRate) &&
-		len(s.Contacts) <= MaxContacts && len(s.Departed) <= MaxDeparted
-	if !good {
-		return errSummary
-	}
-	for _, contact := range s.Contacts {
-		if !validAddress(contact) {
-			return errSummary
-		}
-	}
-	for _, name := range s.Departed {
-		if !validName(name) {
-			return errSummary
-		}
+	invalidAddress := func(address string) bool { return !validAddress(address) }
+	invalidName := func(name string) bool { return !validName(name) }
+	switch {
+	case !validCellName(s.Cell) || s.Region != "" && !validCellName(s.Region),
+		!validName(s.Representative) || s.Incarnation == 0 || s.Seq == 0,
+		s.Plan > cellplan.MaxPlanNumber || s.JoinedPlan > s.Plan,
+		!validFigures(s.Members, s.Serving, s.OpenConnections, s.RequestRate, s.DrainRate),
+		len(s.Contacts) > MaxContacts || slices.ContainsFunc(s.Contacts, invalidAddress),
+		len(s.Departed) > MaxDeparted || slices.ContainsFunc(s.Departed, invalidName):
+		return ErrInvalidSummary
 	}
 	return nil
 }
 
-// Check tells whether a directory that came from elsewhere could be true.
+// Check tells whether a directory that came from elsewhere could be true; if not it returns
+// ErrInvalidDirectory.
 func (d Directory) Check() error {
-	if !validCellName(d.Cell) || !validName(d.Representative) || d.Incarnation == 0 || d.Seq == 0 || d.ActivatedPlan > cellplan.MaxPlanNumber || len(d.Regions) > MaxRegions {
-		return errDirectory
+	switch {
+	case !validCellName(d.Cell),
+		!validName(d.Representative) || d.Incarnation == 0 || d.Seq == 0,
+		d.ActivatedPlan > cellplan.MaxPlanNumber,
+		len(d.Regions) > MaxRegions:
+		return ErrInvalidDirectory
 	}
 	cells := 0
 	for i, r := range d.Regions {
-		good := (r.Name == "" || validCellName(r.Name)) && r.Known >= 0 && r.Known <= r.Cells && r.Cells <= maxCells &&
-			validFigures(r.Relays, r.Serving, r.OpenConnections, r.RequestRate, r.DrainRate) && (i == 0 || d.Regions[i-1].Name < r.Name || r.Name == otherRegions)
-		if !good {
-			return errDirectory
+		inOrder := i == 0 || d.Regions[i-1].Name < r.Name || r.Name == otherRegions
+		if !r.valid() || !inOrder {
+			return ErrInvalidDirectory
 		}
 		cells += r.Cells
 	}
 	if cells > maxCells {
-		return errDirectory
+		return ErrInvalidDirectory
 	}
 	return nil
 }
 
-func validFigures(relays, serving, held int, rate, sent float64) bool {
-	return relays >= 0 && relays <= maxRelays*maxCells && serving >= 0 && serving <= relays && held >= 0 && held <= maxConnections &&
-		rate >= 0 && rate < maxRate && sent >= 0 && sent < maxRate // false for what is no number
+// valid tells whether a region's row could be true by itself.
+func (r RegionFigures) valid() bool {
+	return (r.Name == "" || validCellName(r.Name)) &&
+		r.Known >= 0 && r.Known <= r.Cells && r.Cells <= maxCells &&
+		validFigures(r.Relays, r.Serving, r.OpenConnections, r.RequestRate, r.DrainRate)
 }
 
+func validFigures(relays, serving, openConnections int, requestRate, drainRate float64) bool {
+	return relays >= 0 && relays <= maxRelays*maxCells && serving >= 0 && serving <= relays &&
+		openConnections >= 0 && openConnections <= maxConnections &&
+		validRate(requestRate) && validRate(drainRate)
+}
+
+// validRate is false for what is no number, too.
+func validRate(rate float64) bool { return rate >= 0 && rate < maxRate }
+
 func validCellName(name string) bool { return len(name) <= cellplan.MaxNameBytes && validName(name) }
 
+// validName tells whether a relay may have a name: it prints, and has a length that packets have room for.
 func validName(name string) bool {
-	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd })
+	unprintable := func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd }
+	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, unprintable)
 }
 
+// validAddress tells whether packets can be sent to an address.
 func validAddress(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
-	return err == nil && parsed.Port() != 0 && !parsed.Addr().IsUnspecified() && !parsed.Addr().IsMulticast() && parsed.Addr().Zone() == ""
+	if err != nil || parsed.Port() == 0 || parsed.Addr().Zone() != "" {
+		return false
+	}
+	return !parsed.Addr().IsUnspecified() && !parsed.Addr().IsMulticast()
 }
--- a/internal/fleet/cells/trace_test.go
+++ b/internal/fleet/cells/trace_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Over drawn deaths, losses and cuts every relay does the same, in the same order, as it did when testdata/trace.txt was written: a
-// change that is meant to change no behaviour changes none.
+// Over drawn deaths, losses and cuts every relay does the same, in the same order, as it did when
+// testdata/trace.txt was written: a change that is meant to change no behaviour changes none.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var got strings.Builder
 	for seed := range uint64(40) {
--- a/internal/fleet/cells/types.go
+++ b/internal/fleet/cells/types.go
@@ -1,13 +1,10 @@
-// Package cells lets the cells of a fleet know of each other. In each cell one relay, the speaker, sends a Summary of its cell to one
-// contact of each other cell, at a steady pace, and tells its own cell in a Directory what it has heard. What goes between cells is
-// evidence and never authority: no relay takes more of a budget because a speaker says so, but only because every cell is known to
-// have entered the numbered plan that gives it more. A speaker that dies, is doubled or comes back with old numbers can delay that
-// and nothing else.
-//
-// The Coordinator decides and does no I/O; times are durations since an arbitrary origin of its driver's clock.
 package cells
 
-import "capersail/internal/fleet/cellplan"
+import (
+	"strconv"
+
+	"capersail/internal/fleet/cellplan"
+)
 
 // Config is what a Coordinator is told at its start.
 type Config struct {
@@ -25,11 +22,12 @@
 	Alive   bool   // as this relay believes; itself always
 }
 
-// Event is something a Coordinator is told.
+// Event is something that a Coordinator has to take in.
 type Event interface{ event() }
 
 type (
-	// LocalCell is what this relay knows of its own cell; told on each change, and about once a second for the figures.
+	// LocalCell is what this relay knows of its own cell; told on each change, and about once a second for
+	// the figures.
 	LocalCell struct {
 		Voters   []Voter // of the view, in its order
 		Members  int     // of the view
@@ -37,9 +35,11 @@
 		Epoch    uint64  // of the view
 		Plan     uint64  // of the view's Allocation, 0 for none
 		PlanHash uint64
-		Cells    []string // of the view's Allocation: all that must have entered Plan before it is open; nil to go by the file's
-		// Entered is the newest plan that nobody in the cell acts by an earlier one of: the view's, once that view is so old that
-		// every grant by an older one has run out. Never over Plan.
+		// of the view's Allocation: all that must have joined Plan before it is activated; nil to go by the
+		// file's
+		Cells []string
+		// JoinedPlan is the newest plan that nobody in the cell acts by an earlier one of: the view's, once
+		// that view is so old that every lease by an older one has expired. Never over Plan.
 		JoinedPlan      uint64
 		Bootstrapped    bool    // by Plan, and has come from no earlier one
 		RequestRate     float64 // requests a second at its relays
@@ -47,7 +47,8 @@
 		DrainRate       float64 // connections a second that they send away
 		Departed        []string
 	}
-	// SummaryReceived is a summary that came from another cell, or from a relay of this cell that has forwarded it.
+	// SummaryReceived is a summary that came from another cell, or from a relay of this cell that has
+	// forwarded it.
 	SummaryReceived struct {
 		From    string
 		Summary Summary
@@ -79,9 +80,9 @@
 		Cell    string // of the receiver
 		Summary Summary
 	}
-	// ForwardSummary sends a summary on to the speaker of this cell.
+	// ForwardSummary forwards a summary to the representative of this cell.
 	ForwardSummary struct {
-		To      string // the speaker's name
+		To      string // the representative's name
 		Summary Summary
 	}
 	// PublishDirectory tells all relays of this cell.
@@ -91,7 +92,7 @@
 		Kind           Change
 		Cell           string
 		Representative string // of the cell, where that has changed
-		Plan           uint64 // that is opened or told with another table
+		Plan           uint64 // that is activated, or told with another table
 	}
 )
 
@@ -105,13 +106,27 @@
 
 // The changes.
 const (
-	RepresentativeChanged Change = iota + 1 // a cell has another speaker
-	CellLost                                // nothing has been heard of a cell for UnheardRounds rounds; its last figures stand
-	CellKnown                               // a cell is heard for the first time, or again
-	PlanMismatch                            // a cell has another table under the number of this cell's plan: its word is not counted
-	PlanActivated                           // every cell is known to have entered the plan
+	RepresentativeChanged Change = iota + 1 // a cell has another representative
+	// nothing has been heard of a cell for UnknownAfterRounds rounds; its last figures stand
+	CellLost
+	CellKnown // a cell is heard for the first time, or again
+	// a cell has another table under the number of this cell's plan: what it says of the plan does not count
+	PlanMismatch
+	PlanActivated // every cell is known to have joined the plan
 )
 
+// changeTexts are the changes as log lines have them.
+var changeTexts = [...]string{
+	RepresentativeChanged: "speaker changed",
+	CellLost:              "cell lost",
+	CellKnown:             "cell heard",
+	PlanMismatch:          "plan mismatch",
+	PlanActivated:         "plan opened",
+}
+
 func (c Change) String() string {
-	return [...]string{"", "speaker changed", "cell lost", "cell heard", "plan mismatch", "plan opened"}[min(c, PlanActivated)]
+	if int(c) < len(changeTexts) {
+		return changeTexts[c]
+	}
+	return "unknown " + strconv.Itoa(int(c))
 }
