--- a/internal/fleet/cellplan/check.go
+++ b/internal/fleet/cellplan/check.go
@@ -10,15 +10,17 @@
 
 // Bounds of a plan.
 const (
-	MaxCells          = 256
-	MaxRelays         = 64      // of a cell with a region; 16 to 18 keep to 8 KB a second each (docs/measurements/capacity.md)
+	MaxCells = 256
+	// MaxRelays is of a cell with a region. What each costs is in docs/measurements/capacity.md.
+	MaxRelays         = 64
 	MaxSpanningRelays = 4096    // relays of a cell that spans all regions
 	MaxContacts       = 16      // of a cell
 	MaxNameBytes      = 64      // bytes of a cell's, region's or zone's name
 	MaxPlanNumber     = 1 << 62 // of a plan; fits the signed integers of the file
 )
 
-// Problem is something in a plan that cannot be, and the key in the file where it stands, from the plan's table on.
+// Problem is something in a plan that cannot be, and the key in the file where it stands, from the plan's
+// table on.
 type Problem struct {
 	Key   string // as "cells[3].relays", from 0
 	Cause string
@@ -26,7 +28,8 @@
 
 func (e *Problem) Error() string { return e.Key + ": " + e.Cause }
 
-// Check returns every problem of the plan, each a *Problem, joined in the order of the file; nil if it can be used.
+// Check returns every problem of the plan, each a *Problem, joined in the order of the file; nil if it
+// can be used.
 func (p Plan) Check() error {
 	c := checker{plan: p, names: map[string]int{}, regions: map[string]string{}}
 	c.checkNumbers()
@@ -47,10 +50,12 @@
 	problems []error
 }
 
+// add notes a problem at a key.
 func (c *checker) add(key, format string, args ...any) {
 	c.problems = append(c.problems, &Problem{Key: key, Cause: fmt.Sprintf(format, args...)})
 }
 
+// checkNumbers checks the plan's own fields, and that there is something to divide.
 func (c *checker) checkNumbers() {
 	p := c.plan
 	if p.Number < 1 || p.Number > MaxPlanNumber {
@@ -74,29 +79,44 @@
 	}
 }
 
+// checkCell checks one cell.
 func (c *checker) checkCell(i int, cell Cell) {
-	key := func(field string) string { return fmt.Sprintf("cells[%d].%s", i, field) }
-	if cause := nameProblem(cell.Name); cause != "" {
-		c.add(key("name"), "%s", cause)
-	} else if before, taken := c.names[cell.Name]; taken {
-		c.add(key("name"), "%q is also the name of cells[%d]", cell.Name, before)
-	} else {
-		c.names[cell.Name] = i
-	}
+	c.checkName(i, cell)
 	c.checkLocation(i, cell)
 	most := MaxRelays
 	if cell.Spanning() {
 		most = MaxSpanningRelays
 	}
 	if cell.Relays < 0 || cell.Relays > most {
-		c.add(key("relays"), "%d relays in cell %q; from 0 to %d can be", cell.Relays, cell.Name, most)
+		c.add(cellKey(i, "relays"), "%d relays in cell %q; from 0 to %d can be", cell.Relays, cell.Name, most)
+	}
+	c.checkContacts(i, cell)
+}
+
+// cellKey is where a field of a cell stands in the file.
+func cellKey(i int, field string) string { return fmt.Sprintf("cells[%d].%s", i, field) }
+
+// checkName checks that a cell's name is one, and no other's.
+func (c *checker) checkName(i int, cell Cell) {
+	if cause := nameProblem(cell.Name); cause != "" {
+		c.add(cellKey(i, "name"), "%s", cause)
+		return
+	}
+	if before, taken := c.names[cell.Name]; taken {
+		c.add(cellKey(i, "name"), "%q is also the name of cells[%d]", cell.Name, before)
+		return
 	}
+	c.names[cell.Name] = i
+}
+
+// checkContacts checks that other cells can reach the cell.
+func (c *checker) checkContacts(i int, cell Cell) {
 	if len(cell.Contacts) > MaxContacts {
-		c.add(key("contacts"), "%d contacts; at most %d", len(cell.Contacts), MaxContacts)
+		c.add(cellKey(i, "contacts"), "%d contacts; at most %d", len(cell.Contacts), MaxContacts)
 		return
 	}
 	if len(cell.Contacts) == 0 && cell.Relays > 0 && len(c.plan.Cells) > 1 {
-		c.add(key("contacts"), "none: no other cell could reach %q", cell.Name)
+		c.add(cellKey(i, "contacts"), "none: no other cell could reach %q", cell.Name)
 	}
 	for j, contact := range cell.Contacts {
 		if cause := contactProblem(contact); cause != "" {
@@ -107,23 +127,22 @@
 
 // checkLocation checks where a cell stands: in a region and one of its zones, or nowhere.
 func (c *checker) checkLocation(i int, cell Cell) {
-	key := func(field string) string { return fmt.Sprintf("cells[%d].%s", i, field) }
 	if cell.Spanning() {
 		if cell.Zone != "" {
-			c.add(key("region"), "empty, but zone is %q; a cell that spans all regions has neither", cell.Zone)
+			c.add(cellKey(i, "region"), "empty, but zone is %q; a cell that spans all regions has neither", cell.Zone)
 		}
 		return
 	}
 	if cause := nameProblem(cell.Region); cause != "" {
-		c.add(key("region"), "%s", cause)
+		c.add(cellKey(i, "region"), "%s", cause)
 		return
 	}
 	if cause := nameProblem(cell.Zone); cause != "" {
-		c.add(key("zone"), "%s", cause)
+		c.add(cellKey(i, "zone"), "%s", cause)
 		return
 	}
 	if region, known := c.regions[cell.Zone]; known && region != cell.Region {
-		c.add(key("zone"), "%q is in region %q and in %q", cell.Zone, region, cell.Region)
+		c.add(cellKey(i, "zone"), "%q is in region %q and in %q", cell.Zone, region, cell.Region)
 		return
 	}
 	c.regions[cell.Zone] = cell.Region
@@ -135,14 +154,16 @@
 	summed := map[string]bool{}
 	for i, cell := range c.plan.Cells {
 		if parts[i].near < parts[i].far {
-			c.add(fmt.Sprintf("cells[%d]", i), "%q would hold less near (%d) than far (%d)", cell.Name, parts[i].near, parts[i].far)
+			c.add(fmt.Sprintf("cells[%d]", i),
+				"%q would hold less near (%d) than far (%d)", cell.Name, parts[i].near, parts[i].far)
 		}
 		if summed[cell.Zone] {
 			continue
 		}
 		summed[cell.Zone] = true
 		if total := sum(parts, cell.Zone); total > Whole {
-			c.add(fmt.Sprintf("cells[%d].zone", i), "the cells would hold %d of %d of a server in %q", total, Whole, cell.Zone)
+			c.add(fmt.Sprintf("cells[%d].zone", i),
+				"the cells would hold %d of %d of a server in %q", total, Whole, cell.Zone)
 		}
 	}
 }
--- a/internal/fleet/cellplan/plan.go
+++ b/internal/fleet/cellplan/plan.go
@@ -1,6 +1,8 @@
-// Package cellplan is the table by which the cells of a fleet divide its budgets. A cell is a group of relays that agree among
-// themselves on their shares; what the cell as a whole may take is written in a numbered plan in the operators' file. The package
-// is pure: it checks plans and does their sums, in whole units so that no rounding can take the sum over one.
+// Package cellplan is the table by which the cells of a fleet divide its budgets. A cell is a group of
+// relays that agree among themselves on their shares; what the cell as a whole may take is written in a
+// numbered plan in the operators' file. The package checks plans and does their sums, in whole units so
+// that no rounding can take the sum over one. It keeps no state and does no I/O; internal/lifecycle reads
+// plans, internal/fleet/membership acts by them.
 package cellplan
 
 import (
@@ -13,31 +15,35 @@
 	"strings"
 )
 
-// Whole is a fleet-wide budget in the units that parts are counted in; the same as member.Whole.
+// Whole is a fleet-wide budget in the units that parts are counted in.
 const Whole uint64 = 1 << 40
 
 // DefaultHomeShare is the home share of a plan that names none.
 const DefaultHomeShare = 0.9
 
-// Plan divides every budget among cells. For a server in a zone of some region, HomeShare of its budget is divided by weight among
-// the cells of that region, and the rest by weight among all cells with a region. Of a server in a zone where no region's cell
-// stands only that rest is divided.
+// Plan divides every budget among cells. For a server in a zone of some region, HomeShare of its budget
+// is divided by weight among the cells of that region, and the rest by weight among all cells with a
+// region. Of a server in a zone where no region's cell stands only that rest is divided.
 type Plan struct {
-	Number    uint64  `toml:"number"`     // from 1, higher with each change of names, regions, zones, weights or home share
-	HomeShare float64 `toml:"home_share"` // over 0, at most 1; 0 for DefaultHomeShare
+	// Number is from 1, and higher with each change of names, regions, zones, weights or home share.
+	Number uint64 `toml:"number"`
+	// HomeShare is over 0 and at most 1; 0 for DefaultHomeShare.
+	HomeShare float64 `toml:"home_share"`
 	Cells     []Cell  `toml:"cells"`
 }
 
 // Cell is one cell of a plan.
 type Cell struct {
 	Name string `toml:"name"`
-	// Region and Zone say where its relays stand. A cell with neither spans all regions, as a flat fleet does while it is moved into
-	// cells: it takes its weight's part of every budget, and the other cells divide what is left.
+	// Region and Zone say where its relays stand. A cell with neither spans all regions, as a flat fleet
+	// does while it is moved into cells: it takes its weight's part of every budget, and the other cells
+	// divide what is left.
 	Region string `toml:"region"`
 	Zone   string `toml:"zone"`
-	// Relays is how many relays the cell is founded with, and its weight; 0 for a cell that is going away.
+	// Relays is how many relays the cell is bootstrapped with, and its weight; 0 for a cell that is going away.
 	Relays int `toml:"relays"`
-	// Contacts are where its relays are first heard, "ip:port". They are not part of the Hash: no part follows from them.
+	// Contacts are where its relays can be reached at first, "ip:port". They are not part of the Hash: no
+	// part follows from them.
 	Contacts []string `toml:"contacts"`
 }
 
@@ -75,8 +81,9 @@
 	return zones
 }
 
-// Parts is what a cell may take of the budget of a server: near where the server's zone is one of nearZones, far elsewhere. Near is
-// never less than far. All are zero for a cell that the plan doesn't name. The plan must have passed Check.
+// Parts is what a cell may take of the budget of a server: near where the server's zone is one of
+// nearZones, far elsewhere. Near is never less than far. All are zero for a cell that the plan doesn't
+// name. The plan must have passed Check.
 func (p Plan) Parts(name string) (near, far uint64, nearZones []string) {
 	cell, ok := p.Find(name)
 	if !ok {
@@ -95,21 +102,22 @@
 	zones     []string
 }
 
+// part is what a cell may take, by the weights around it.
 func (p Plan) part(cell Cell, weights weights) part {
 	weight := uint64(cell.Relays)
 	switch {
 	case weights.all == 0:
 		return part{}
 	case cell.Spanning():
-		everywhere := portion(Whole, weight, weights.all)
+		everywhere := Portion(Whole, weight, weights.all)
 		return part{near: everywhere, far: everywhere}
 	case weight == 0:
 		return part{zones: weights.zones}
 	}
-	rest := portion(Whole, weights.regional, weights.all)
-	home := portion(rest, p.homeUnits(), Whole)
-	far := portion(rest-home, weight, weights.regional)
-	return part{near: portion(home, weight, weights.inRegion) + far, far: far, zones: weights.zones}
+	rest := Portion(Whole, weights.regional, weights.all)
+	home := Portion(rest, p.homeUnits(), Whole)
+	far := Portion(rest-home, weight, weights.regional)
+	return part{near: Portion(home, weight, weights.inRegion) + far, far: far, zones: weights.zones}
 }
 
 // parts are those of all cells, in the order of the plan.
@@ -127,6 +135,7 @@
 	return parts
 }
 
+// sum is what all parts together are of the budget of a server in a zone.
 func sum(parts []part, zone string) (total uint64) {
 	for _, part := range parts {
 		if slices.Contains(part.zones, zone) {
@@ -138,8 +147,8 @@
 	return total
 }
 
-// Hash tells two different tables apart that have been given one number by mistake. The order of the cells, and their contacts, do
-// not matter.
+// Hash tells two different tables apart that have been given one number by mistake. The order of the
+// cells, and their contacts, do not matter.
 func (p Plan) Hash() uint64 {
 	h := fnv.New64a()
 	put := func(s string) {
@@ -148,7 +157,8 @@
 	}
 	put(strconv.FormatUint(p.Number, 10))
 	put(strconv.FormatUint(p.homeUnits(), 10))
-	cells := slices.SortedFunc(slices.Values(p.Cells), func(a, b Cell) int { return cmp.Compare(a.Name, b.Name) })
+	byName := func(a, b Cell) int { return cmp.Compare(a.Name, b.Name) }
+	cells := slices.SortedFunc(slices.Values(p.Cells), byName)
 	for _, c := range cells {
 		put(c.Name)
 		put(c.Region)
@@ -158,8 +168,9 @@
 	return h.Sum64()
 }
 
-// CheckSuccessor tells whether the plan may follow on one, or two, by which the current cells hold parts: it has to name them all,
-// those that are to go with no relays, because a cell that is not named is never waited for. The error is a *MissingCells.
+// CheckSuccessor tells whether the plan may follow on one, or two, by which the current cells hold parts:
+// it has to name them all, those that are to go with no relays, because a cell that is not named is never
+// waited for. The error is a *MissingCells.
 func (p Plan) CheckSuccessor(current []string) error {
 	var missing []string
 	for _, name := range current {
@@ -181,16 +192,19 @@
 }
 
 func (e *MissingCells) Error() string {
-	return "plan " + strconv.FormatUint(e.Plan, 10) + " doesn't name cells that hold a part: " + strings.Join(e.Cells, ", ") +
+	return "plan " + strconv.FormatUint(e.Plan, 10) +
+		" doesn't name cells that hold a part: " + strings.Join(e.Cells, ", ") +
 		" (name those that go away with relays = 0)"
 }
 
-// weights are sums over cells: of all, of those that have a region, and of those of one region, which stand in zones.
+// weights are sums over cells: of all, of those that have a region, and of those of one region, which
+// stand in zones.
 type weights struct {
 	all, regional, inRegion uint64
 	zones                   []string
 }
 
+// weigh sums the weights around a region.
 func (p Plan) weigh(region string) (w weights) {
 	for _, c := range p.Cells {
 		weight := uint64(c.Relays)
@@ -216,8 +230,8 @@
 	return uint64(math.Floor(share * float64(Whole)))
 }
 
-// portion is amount*part/of, rounded down. Part must not be over of, and of not 0.
-func portion(amount, part, of uint64) uint64 {
+// Portion is amount*part/of, rounded down. Part must not be over of, and of not 0.
+func Portion(amount, part, of uint64) uint64 {
 	high, low := bits.Mul64(amount, part)
 	quotient, _ := bits.Div64(high, low, of)
 	return quotient
--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -18,7 +18,7 @@
 	return Plan{Number: 1, Cells: []Cell{cell("a1", "a", "a-1", 30), cell("a2", "a", "a-2", 10), cell("b1", "b", "b-1", 40)}}
 }
 
-func TestParts(t *testing.T) {
+func TestPartsOfCells(t *testing.T) {
 	moving := Plan{Number: 2, HomeShare: 0.8, Cells: []Cell{cell("flat", "", "", 300), cell("a1", "a", "a-1", 30), cell("b1", "b", "b-1", 30), cell("gone", "b", "b-2", 0)}}
 	for _, c := range []struct {
 		plan      Plan
@@ -42,13 +42,13 @@
 }
 
 // Every problem is told, each with its key.
-func TestCheck(t *testing.T) {
+func TestCheckTellsEveryProblem(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(p *Plan)
 		keys   string
 	}{
-		{"good", func(p *Plan) {}, ""},
+		{"good", func(*Plan) {}, ""},
 		{"a cell alone needs no contacts", func(p *Plan) { p.Cells = p.Cells[:1]; p.Cells[0].Contacts = nil }, ""},
 		{"a flat fleet is moved", func(p *Plan) { p.Cells = append(p.Cells, cell("flat", "", "", 300)) }, ""},
 		{"no number", func(p *Plan) { p.Number = 0 }, "number"},
@@ -109,7 +109,7 @@
 	return keys
 }
 
-func TestHash(t *testing.T) {
+func TestHashTellsTablesApart(t *testing.T) {
 	base := three().Hash()
 	same := three()
 	slices.Reverse(same.Cells)
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestCheckSuccessor(t *testing.T) {
+func TestSuccessorNamesAllHolders(t *testing.T) {
 	p := three()
 	if err := p.CheckSuccessor([]string{"a1", "b1"}); err != nil {
 		t.Error(err)
--- a/internal/fleet/membership/allocation.go
+++ b/internal/fleet/membership/allocation.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"math/bits"
 	"slices"
 	"strconv"
 
@@ -158,7 +157,7 @@
 		return share, share
 	}
 	of := func(part uint64) float64 {
-		return fraction(portion(uint64(share*float64(Whole)), part))
+		return fraction(cellplan.Portion(uint64(share*float64(Whole)), part, Whole))
 	}
 	return of(a.Near), of(a.Far)
 }
@@ -172,12 +171,6 @@
 	return "plan " + strconv.FormatUint(a.Plan, 10) + state
 }
 
-// portion is a share of a part, both of Whole, rounded down.
-func portion(share, part uint64) uint64 {
-	high, low := bits.Mul64(share, part)
-	return high<<(64-wholeBits) | low>>wholeBits
-}
-
 // Bounds of an Allocation that comes from elsewhere.
 const (
 	maxZones       = 256
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -7,12 +7,12 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"capersail/internal/fleet/cellplan"
 )
 
 // Whole is a fleet-wide budget, in the units that shares are counted in: whole numbers add up without error.
-const Whole uint64 = 1 << wholeBits
-
-const wholeBits = 40
+const Whole = cellplan.Whole
 
 // MaxVoters is how many members of a view vote at most: three of seven may fail at once, and a renewal
 // costs each member seven packets, however large the fleet.
--- a/internal/fleet/membership/world_test.go
+++ b/internal/fleet/membership/world_test.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"capersail/internal/fleet/cellplan"
 	"capersail/internal/fleet/duration"
 )
 
@@ -234,7 +235,7 @@
 // countedIn is the most that may take effect now at servers of a zone, in units of Whole.
 func (n *node) countedIn(zone string) (units uint64) {
 	for _, l := range n.looks {
-		units = max(units, portion(uint64(l.share*float64(Whole)), l.parts.part(zone)))
+		units = max(units, cellplan.Portion(uint64(l.share*float64(Whole)), l.parts.part(zone), Whole))
 	}
 	return units
 }
