--- a/internal/fleet/probing/assign.go
+++ b/internal/fleet/probing/assign.go
@@ -1,6 +1,3 @@
-// Package probing decides what each of many relays does of what all need only once: who probes which server, and whose
-// readings are believed. It is fed events, takes time as an argument, returns actions, and does no I/O. docs/design/fleet.md
-// has the reasons.
 package probing
 
 import (
@@ -21,11 +18,12 @@
 	Started int64 // when its process started, Unix ms; 0 for long ago
 }
 
-// ProbersPerServer is how many relays probe each server: three, so that one that tells nonsense is outvoted by two.
+// ProbersPerServer is how many relays probe each server: three, so that one that tells nonsense is
+// outvoted by two.
 const ProbersPerServer = 3
 
-// assignmentSlack is how much more than the mean a relay may be given to probe, as a part of the mean. With none, whoever comes
-// last gets what is left over, and one relay more or less moves much.
+// assignmentSlack is how much more than the mean a relay may be given to probe, as a part of the mean.
+// With none, whoever comes last gets what is left over, and one relay more or less moves much.
 const assignmentSlack = 0.25
 
 // Assignment says who probes which server.
@@ -34,13 +32,13 @@
 	probers [][]int32 // by server, as given: the relays that probe it, in the order in which they were chosen
 }
 
-// Assign gives each server Probers relays, or all where there are fewer. Each server takes the relays that rank highest in
-// an order of its own (rendezvous hashing), those of its zone first, but none that has its fill: so the relays' parts are
-// even, and one relay or server more or less changes few others. Whoever is given the same lists gets the same table,
-// whatever the order they come in.
+// Assign gives each server ProbersPerServer relays, or all where there are fewer. Each server takes the
+// relays that rank highest in an order of its own (rendezvous hashing), those of its zone first, but none
+// that has its fill: so the relays' parts are even, and one relay or server more or less changes few
+// others. Whoever is given the same lists gets the same Assignment, whatever the order they come in.
 //
-// At least one prober is of another zone where there is one: a zone that is cut off is seen by those outside as what it
-// is, and two of three are near, where a look costs no crossing.
+// At least one prober is of another zone where there is one: a zone that is cut off is seen by those
+// outside as what it is, and two of three are near, where a probe costs no crossing.
 func Assign(relays []Relay, servers []Server) *Assignment {
 	relays = slices.Clone(relays)
 	slices.SortFunc(relays, func(a, b Relay) int { return cmp.Compare(a.Name, b.Name) })
@@ -53,49 +51,67 @@
 	if each == 0 {
 		return t
 	}
-	seeds := make([]uint64, len(relays))
+	mean := float64(each*len(servers)) / float64(len(relays))
+	a := assigner{
+		relays:   relays,
+		seeds:    make([]uint64, len(relays)),
+		assigned: make([]int32, len(relays)),
+		most:     max(int32(mean*(1+assignmentSlack)+0.999), 1),
+		each:     each,
+	}
 	for i, r := range relays {
-		seeds[i] = hashName(r.Name)
+		a.seeds[i] = hashName(r.Name)
 	}
 	order := make([]int, len(servers))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(mixBits(servers[a].Key), mixBits(servers[b].Key)) })
-	mean := float64(each*len(servers)) / float64(len(relays))
-	fill := max(int32(mean*(1+assignmentSlack)+0.999), 1)
-	taken := make([]int32, len(relays))
+	byMixedKey := func(a, b int) int { return cmp.Compare(mixBits(servers[a].Key), mixBits(servers[b].Key)) }
+	slices.SortFunc(order, byMixedKey)
 	for _, s := range order {
-		t.probers[s] = chooseProbers(servers[s], relays, seeds, taken, fill, each)
+		t.probers[s] = a.chooseProbers(servers[s])
 	}
 	return t
 }
 
-// chooseProbers picks a server's probers: up to each-1 of its zone, the rest of others, what is short from anywhere; all with room
-// first. The last resort, a relay that has its fill, is needed only where rounding leaves no room elsewhere.
-func chooseProbers(s Server, relays []Relay, seeds []uint64, taken []int32, fill int32, each int) []int32 {
-	picked := make([]int32, 0, each)
-	pick := func(want int, ok func(i int) bool) {
-		for len(picked) < want {
-			best, top := int32(-1), uint64(0)
-			for i := range relays {
-				if rank := mixBits(seeds[i] ^ s.Key); (best < 0 || rank > top) && ok(i) && !slices.Contains(picked, int32(i)) {
-					best, top = int32(i), rank
-				}
-			}
-			if best < 0 {
-				return
+// assigner is an Assignment in the making.
+type assigner struct {
+	relays   []Relay
+	seeds    []uint64 // by relay: the hash of its name
+	assigned []int32  // by relay: servers so far
+	most     int32    // servers that a relay is to be given
+	each     int      // probers of a server
+}
+
+// chooseProbers picks a server's probers: up to each-1 of its zone, the rest of others, what is short
+// from anywhere; all of relays that have capacity first. The last resort, a relay that has none, is
+// needed only where rounding leaves none elsewhere.
+func (a *assigner) chooseProbers(s Server) []int32 {
+	picked := make([]int32, 0, a.each)
+	near := func(i int) bool { return a.relays[i].Zone == s.Zone }
+	hasCapacity := func(i int) bool { return a.assigned[i] < a.most }
+	picked = a.pick(picked, max(a.each-1, 1), s, func(i int) bool { return near(i) && hasCapacity(i) })
+	picked = a.pick(picked, a.each, s, func(i int) bool { return !near(i) && hasCapacity(i) })
+	picked = a.pick(picked, a.each, s, hasCapacity)
+	return a.pick(picked, a.each, s, func(int) bool { return true })
+}
+
+// pick adds the relays that rank highest for a server among those that are eligible, until there are so many.
+func (a *assigner) pick(picked []int32, want int, s Server, eligible func(i int) bool) []int32 {
+	for len(picked) < want {
+		best, top := int32(-1), uint64(0)
+		for i := range a.relays {
+			rank := mixBits(a.seeds[i] ^ s.Key)
+			if (best < 0 || rank > top) && eligible(i) && !slices.Contains(picked, int32(i)) {
+				best, top = int32(i), rank
 			}
-			taken[best]++
-			picked = append(picked, best)
 		}
+		if best < 0 {
+			break
+		}
+		a.assigned[best]++
+		picked = append(picked, best)
 	}
-	near := func(i int) bool { return relays[i].Zone == s.Zone }
-	room := func(i int) bool { return taken[i] < fill }
-	pick(max(each-1, 1), func(i int) bool { return near(i) && room(i) })
-	pick(each, func(i int) bool { return !near(i) && room(i) })
-	pick(each, room)
-	pick(each, func(int) bool { return true })
 	return picked
 }
 
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// fleet is so many relays and servers, evenly over zones.
 func fleet(relays, servers, zones int) (rs []Relay, ss []Server) {
 	for i := range relays {
 		rs = append(rs, Relay{fmt.Sprintf("r%d", i), fmt.Sprintf("z%d", i%zones)})
@@ -51,8 +52,8 @@
 	}
 }
 
-// At any number of relays and servers each server has as many probers as any other, and no relay much more to probe
-// than the mean; zones of any sizes.
+// At any number of relays and servers each server has as many probers as any other, and no relay much
+// more to probe than the mean; zones of any sizes.
 func TestAssignIsFair(t *testing.T) {
 	for _, size := range [][3]int{{1, 3, 1}, {2, 3, 1}, {3, 5000, 3}, {9, 12, 3}, {300, 90, 3}, {1000, 3, 3}, {1000, 5000, 5}} {
 		rs, ss := fleet(size[0], size[1], size[2])
--- /dev/null
+++ b/internal/fleet/probing/drops.go
@@ -0,0 +1,30 @@
+package probing
+
+// DropReason is why a reading or a placement that a peer has passed on is left out; "" for one that is
+// not. The texts are those of reports and metrics.
+type DropReason string
+
+// The reasons.
+const (
+	TooOld           DropReason = "too old"
+	Impossible       DropReason = "impossible"
+	UnknownOrigin    DropReason = "unknown server or relay"
+	OtherIncarnation DropReason = "another process of the server"
+	Quarantined      DropReason = "of a doubted relay"
+	Uncorroborated   DropReason = "not borne out"
+	NoLoad           DropReason = "without a load"
+)
+
+// counters are of all time, for people.
+type counters struct {
+	probes   uint64 // made by turns
+	received uint64 // readings of others that were new here
+	dropped  map[DropReason]uint64
+}
+
+// drop counts what was left out, if it was.
+func (c *counters) drop(reason DropReason, count int) {
+	if reason != "" {
+		c.dropped[reason] += uint64(count)
+	}
+}
--- a/internal/fleet/probing/event.go
+++ b/internal/fleet/probing/event.go
@@ -1,10 +1,11 @@
 package probing
 
-// Event is something a Scheduler is told.
+// Event is something that a Scheduler has to take in.
 type Event interface{ event() }
 
 type (
-	// ParticipantsChanged is who takes part, in a view; Table is Assign's of it and of the Servers told last.
+	// ParticipantsChanged is who takes part, in a view, and which servers there are; Assignment is Assign's
+	// of both.
 	ParticipantsChanged struct {
 		Relays      []Relay
 		Incarnation uint64 // this relay's incarnation
@@ -34,9 +35,9 @@
 type Action interface{ action() }
 
 type (
-	// Probe wants a server read; the answer comes as a Read.
+	// Probe wants a server probed; the answer comes as an OwnReading.
 	Probe struct{ ServerKey uint64 }
-	// UseReading is a reading to decide by.
+	// UseReading is a reading for the module to decide by.
 	UseReading struct{ Reading }
 	// SendReadings passes readings on.
 	SendReadings struct {
--- a/internal/fleet/probing/placements.go
+++ b/internal/fleet/probing/placements.go
@@ -1,18 +1,22 @@
 package probing
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
-// Placements are summed and not guessed: each relay tells what it has sent to which server since its last round, less what has
-// ended there, all others hear it as they hear readings, and each adds what is younger than its reading of that server. Without
-// the ends, connections of 2 s made servers that stood at half of their load look full. Only so many a second fit
-// the rounds; a fleet to which more come goes on guessing by the sum of arrivals, whose spread is small there.
+// Placements are summed and not guessed: each relay tells what it has sent to which server since its last
+// round, less what has ended there, all others get it as they get readings, and each adds what is younger
+// than its reading of that server. The ends count too, or servers would look fuller than they are by all
+// connections shorter than a reading's age. Only so many a second fit the rounds; a fleet to which more
+// come goes on guessing by the sum of arrivals, whose spread is small there.
 const (
-	// MaxPlacementRate is up to how many requests a second of the whole fleet placements are told. A relay then sends some
-	// 9 times as many rows, of 20 bytes or so, each second.
+	// MaxPlacementRate is up to how many requests a second of the whole fleet placements are told.
 	MaxPlacementRate = 200.0
 	// MaxPlacementsPerRound is how many rows a round carries.
 	MaxPlacementsPerRound = 48
-	maxPlacementDelta     = 1000
+	// maxPlacementDelta bounds a row, in connections.
+	maxPlacementDelta = 1000
 )
 
 // PlacementDelta is what one relay has sent to one server in one round, less what has ended there.
@@ -26,7 +30,8 @@
 }
 
 type (
-	// LocalPlacement says that this relay has sent so many connections to a server; negative, that so many have ended there.
+	// LocalPlacement says that this relay has sent so many connections to a server; negative, that so many
+	// have ended there.
 	LocalPlacement struct {
 		ServerKey uint64
 		Delta     int
@@ -50,22 +55,30 @@
 func (PeerPlacement) action()     {}
 func (SendPlacements) action()    {}
 
-// gossipedPlacement is one that is to be passed on.
+// gossipedPlacement is one that is passed on still.
 type gossipedPlacement struct {
 	PlacementDelta
 	placedAt time.Duration
-	rounds   int
+	rounds   int // that have carried it
+}
+
+// placements are what this relay passes on of placements, its own and others'.
+type placements struct {
+	pending  map[uint64]int // connections sent to servers since the last round, less those that ended
+	gossiped []gossipedPlacement
+	seq      uint64 // of the newest of its own
 }
 
 // notePlacement gathers this relay's own until its next round.
 func (sc *Scheduler) notePlacement(e LocalPlacement) {
 	if sc.HasPeers() && sc.servers[e.ServerKey] != nil {
-		sc.pendingPlacements[e.ServerKey] += e.Delta
+		sc.placements.pending[e.ServerKey] += e.Delta
 	}
 }
 
-// acceptPlacement takes in a row that a peer has passed on. It returns why it is left out.
-func (sc *Scheduler) acceptPlacement(p PlacementDelta) string {
+// acceptPlacement takes in a row that a peer has passed on. It returns why it is left out, "" if it is
+// not, or was known.
+func (sc *Scheduler) acceptPlacement(p PlacementDelta) DropReason {
 	o := sc.relays[p.Origin]
 	switch {
 	case p.Origin == sc.self:
@@ -76,43 +89,52 @@
 		return Impossible
 	case p.Age > MaxReadingAge:
 		return TooOld
-	case sc.now < o.quarantinedUntil:
+	case sc.isQuarantined(p.Origin):
 		return Quarantined
 	case !o.placementDedup.Accept(p.Incarnation, p.Seq):
 		return ""
 	}
-	sc.gossipedPlacements = append(sc.gossipedPlacements, gossipedPlacement{p, sc.now - p.Age, 0})
+	sc.placements.gossiped = append(sc.placements.gossiped, gossipedPlacement{p, sc.now - p.Age, 0})
 	sc.emit(PeerPlacement{p})
 	return ""
 }
 
-// placementBatch returns what a round passes on: this relay's own first, then what has been passed on least.
+// placementBatch returns what a round passes on: this relay's own first, then the newest that have not
+// gone round yet.
 func (sc *Scheduler) placementBatch() []PlacementDelta {
-	for _, s := range sc.serverList {
-		if n := min(max(sc.pendingPlacements[s.Key], -maxPlacementDelta), maxPlacementDelta); n != 0 {
-			sc.placementSeq++
-			own := PlacementDelta{ServerKey: s.Key, Origin: sc.self, Incarnation: sc.incarnation, Seq: sc.placementSeq, Delta: n}
-			sc.gossipedPlacements = append(sc.gossipedPlacements, gossipedPlacement{own, sc.now, 0})
+	sc.gossipOwnPlacements()
+	p := &sc.placements
+	var batch []PlacementDelta
+	for i := len(p.gossiped) - 1; i >= 0; i-- { // the newest first
+		g := &p.gossiped[i]
+		age := sc.now - g.placedAt
+		if age > MaxReadingAge/2 || g.rounds >= maxGossipRounds || len(batch) >= MaxPlacementsPerRound {
+			g.rounds = maxGossipRounds
+			continue
 		}
+		g.rounds++
+		row := g.PlacementDelta
+		row.Age = age
+		batch = append(batch, row)
 	}
-	clear(sc.pendingPlacements)
-	keep, batch := sc.gossipedPlacements[:0], []PlacementDelta(nil)
-	for i := len(sc.gossipedPlacements) - 1; i >= 0; i-- { // the newest first
-		r := &sc.gossipedPlacements[i]
-		if sc.now-r.placedAt > MaxReadingAge/2 || r.rounds >= maxGossipRounds || len(batch) >= MaxPlacementsPerRound {
-			r.rounds = maxGossipRounds
+	done := func(g gossipedPlacement) bool { return g.rounds >= maxGossipRounds }
+	p.gossiped = slices.DeleteFunc(p.gossiped, done)
+	return batch
+}
+
+// gossipOwnPlacements adds what this relay has sent since the last round to what is passed on.
+func (sc *Scheduler) gossipOwnPlacements() {
+	p := &sc.placements
+	for _, s := range sc.serverList {
+		delta := min(max(p.pending[s.Key], -maxPlacementDelta), maxPlacementDelta)
+		if delta == 0 {
 			continue
 		}
-		r.rounds++
-		p := r.PlacementDelta
-		p.Age = sc.now - r.placedAt
-		batch = append(batch, p)
-	}
-	for _, r := range sc.gossipedPlacements {
-		if r.rounds < maxGossipRounds {
-			keep = append(keep, r)
+		p.seq++
+		own := PlacementDelta{
+			ServerKey: s.Key, Origin: sc.self, Incarnation: sc.incarnation, Seq: p.seq, Delta: delta,
 		}
+		p.gossiped = append(p.gossiped, gossipedPlacement{own, sc.now, 0})
 	}
-	sc.gossipedPlacements = keep
-	return batch
+	clear(p.pending)
 }
--- a/internal/fleet/probing/placements_test.go
+++ b/internal/fleet/probing/placements_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// What each relay sends to a server comes to every other once, though packets are lost and come by many ways; what makes no
-// sense is left out for its reason.
+// What each relay sends to a server comes to every other once, though packets are lost and come by many
+// ways; what makes no sense is left out for its reason.
 func TestPlacementsAreSummed(t *testing.T) {
 	rs, ss := fleet(9, 12, 3)
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -82,7 +82,7 @@
 	}
 	good := PlacementDelta{ServerKey: ss[0].Key, Origin: "r1", Incarnation: 1, Seq: 9000, Delta: 1}
 	for _, c := range []struct {
-		why    string
+		why    DropReason
 		change func(p *PlacementDelta)
 	}{
 		{UnknownOrigin, func(p *PlacementDelta) { p.Origin = "stranger" }},
@@ -94,8 +94,8 @@
 	} {
 		p, k := good, keepers[0]
 		c.change(&p)
-		if before := k.dropCounts[c.why]; len(k.Handle(9*time.Second, PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 || k.dropCounts[c.why] != before+1 {
-			t.Errorf("%s: %v", c.why, k.dropCounts)
+		if before := k.counters.dropped[c.why]; len(k.Handle(9*time.Second, PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 || k.counters.dropped[c.why] != before+1 {
+			t.Errorf("%s: %v", c.why, k.counters.dropped)
 		}
 	}
 }
--- a/internal/fleet/probing/report.go
+++ b/internal/fleet/probing/report.go
@@ -9,7 +9,7 @@
 
 // Report is what is known of the probes, for people.
 type Report struct {
-	Relays      int               `json:"relays"` // that share, this one too
+	Relays      int               `json:"relays"` // that take part, this one too
 	Probes      uint64            `json:"looks"`  // made by turns
 	Received    uint64            `json:"taken"`  // readings of others that were new here
 	Quarantined []string          `json:"doubted"`
@@ -22,7 +22,7 @@
 	ServerKey uint64  `json:"spot"`
 	ID        string  `json:"id"` // its driver's to fill in
 	Zone      string  `json:"zone"`
-	Assigned  bool    `json:"mine"` // this relay is one of its lookers
+	Assigned  bool    `json:"mine"` // this relay is one of its probers
 	Rank      int     `json:"rank"` // its place among them
 	Load      float64 `json:"load"` // as believed, negative for unknown
 	AgeMs     float64 `json:"age_ms"`
@@ -31,27 +31,40 @@
 
 // Report tells what the Scheduler knows.
 func (sc *Scheduler) Report(now time.Duration) Report {
-	out := Report{Relays: len(sc.peerNames) + 1, Probes: sc.probeCount, Received: sc.receivedReadings, Dropped: map[string]uint64{}}
-	for why, n := range sc.dropCounts {
-		out.Dropped[why] = n
+	report := Report{
+		Relays:   len(sc.peerNames) + 1,
+		Probes:   sc.counters.probes,
+		Received: sc.counters.received,
+		Dropped:  map[string]uint64{},
+	}
+	for reason, count := range sc.counters.dropped {
+		report.Dropped[string(reason)] = count
 	}
 	for name, o := range sc.relays {
 		if now < o.quarantinedUntil {
-			out.Quarantined = append(out.Quarantined, name)
+			report.Quarantined = append(report.Quarantined, name)
 		}
 	}
-	slices.Sort(out.Quarantined)
+	slices.Sort(report.Quarantined)
 	for _, s := range sc.serverList {
-		row := ServerReport{ServerKey: s.Key, Zone: s.Zone, Assigned: s.rank >= 0, Rank: s.rank, Load: -1, AgeMs: -1, Origin: s.usedOrigin}
-		if s.usedReadAt != duration.Never {
-			row.AgeMs = duration.Millis(now - s.usedReadAt)
-		}
-		for _, h := range s.newestByOrigin {
-			if h.Origin == s.usedOrigin {
-				row.Load = placementLoad(h.Reading)
-			}
+		report.Servers = append(report.Servers, s.report(now))
+	}
+	return report
+}
+
+// report is a server's row.
+func (s *server) report(now time.Duration) ServerReport {
+	row := ServerReport{
+		ServerKey: s.Key, Zone: s.Zone, Assigned: s.rank >= 0, Rank: s.rank,
+		Load: -1, AgeMs: -1, Origin: s.usedOrigin,
+	}
+	if s.usedReadAt != duration.Never {
+		row.AgeMs = duration.Millis(now - s.usedReadAt)
+	}
+	for _, kept := range s.newestByOrigin {
+		if kept.Origin == s.usedOrigin {
+			row.Load = placementLoad(kept.Reading)
 		}
-		out.Servers = append(out.Servers, row)
 	}
-	return out
+	return row
 }
--- a/internal/fleet/probing/scheduler.go
+++ b/internal/fleet/probing/scheduler.go
@@ -12,51 +12,54 @@
 // server is what is known of one.
 type server struct {
 	Server
-	index          int
 	rank           int // this relay's among the probers, negative if it is none
 	probedAt       time.Duration
 	newestByOrigin []*keptReading // one of each origin, the youngest first
-	usedReadAt     time.Duration  // when the reading believed last was taken
-	usedOrigin     string         // and whose it was
+	usedReadAt     time.Duration  // when the reading that the module decides by was made
+	usedOrigin     string         // and whose it is
 }
 
-// origin is what is known of a relay's readings.
+// origin is what is known of a relay as one that passes readings on.
 type origin struct {
 	incarnation      uint64
 	clockOffset      time.Duration // own clock less the origin's, by its quickest message
 	clockOffsetAt    time.Duration // when that came
 	clockKnown       bool          // a message has come in this incarnation
-	placementDedup   DedupWindow   // of its placements
-	strikes          float64
-	quarantinedUntil time.Duration // quarantined until then
+	placementDedup   DedupWindow
+	strikes          float64 // contradicted readings, less half of the corroborated ones
+	quarantinedUntil time.Duration
 }
 
 // Scheduler is one relay's part in probing servers by turns. It is not safe for concurrent use.
+//
+// Invariants: relays has just the others that take part, peerNames their names; servers and serverList
+// have the same servers; now never goes back.
 type Scheduler struct {
-	self               string
-	rng                *rand.Rand
-	incarnation        uint64
-	servers            map[uint64]*server
-	serverList         []*server
-	relays             map[string]*origin
-	peerNames          []string // of the others
-	nextGossipAt       time.Duration
-	pendingPlacements  map[uint64]int      // connections sent to servers since the last round, less those that ended
-	gossipedPlacements []gossipedPlacement // placements that are still passed on
-	placementSeq       uint64
-	skipCorroboration  bool // in tests only: all that is told is believed
-	dropCounts         map[string]uint64
-	probeCount         uint64
-	receivedReadings   uint64
-	actions            []Action
-	now                time.Duration
+	self         string
+	incarnation  uint64
+	rng          *rand.Rand
+	now          time.Duration // of the event that is handled
+	actions      []Action      // of that event, so far
+	servers      map[uint64]*server
+	serverList   []*server
+	relays       map[string]*origin
+	peerNames    []string
+	nextGossipAt time.Duration
+	placements   placements
+	counters     counters
+	// skipCorroboration, in tests only: all that is told is believed.
+	skipCorroboration bool
 }
 
 // New returns the Scheduler of a relay that starts.
-func New(me string, seed uint64) *Scheduler {
+func New(self string, seed uint64) *Scheduler {
 	return &Scheduler{
-		self: me, rng: rand.New(rand.NewPCG(seed, 0x737562736574)),
-		servers: map[uint64]*server{}, relays: map[string]*origin{}, pendingPlacements: map[uint64]int{}, dropCounts: map[string]uint64{},
+		self:       self,
+		rng:        rand.New(rand.NewPCG(seed, 0x737562736574)),
+		servers:    map[uint64]*server{},
+		relays:     map[string]*origin{},
+		placements: placements{pending: map[uint64]int{}},
+		counters:   counters{dropped: map[DropReason]uint64{}},
 	}
 }
 
@@ -72,22 +75,12 @@
 	case OwnReading:
 		sc.noteOwnReading(e)
 	case ReadingsReceived:
-		if sc.relays[e.From] == nil {
-			sc.dropCounts[UnknownOrigin] += uint64(len(e.Readings))
-			break
-		}
-		for _, r := range e.Readings {
-			if why := sc.acceptReading(r); why != "" {
-				sc.dropCounts[why]++
-			}
-		}
+		sc.acceptReadings(e)
 	case LocalPlacement:
 		sc.notePlacement(e)
 	case PlacementsReceived:
 		for _, p := range e.Rows {
-			if why := sc.acceptPlacement(p); why != "" {
-				sc.dropCounts[why]++
-			}
+			sc.counters.drop(sc.acceptPlacement(p), 1)
 		}
 	case Tick:
 		if sc.HasPeers() {
@@ -100,7 +93,19 @@
 
 func (sc *Scheduler) emit(a Action) { sc.actions = append(sc.actions, a) }
 
-// updateParticipants takes up who takes part and which servers there are. What is known of a server lives on while its process does.
+// acceptReadings takes in what a peer has passed on.
+func (sc *Scheduler) acceptReadings(e ReadingsReceived) {
+	if sc.relays[e.From] == nil {
+		sc.counters.drop(UnknownOrigin, len(e.Readings))
+		return
+	}
+	for _, r := range e.Readings {
+		sc.counters.drop(sc.acceptReading(r), 1)
+	}
+}
+
+// updateParticipants takes up who takes part and which servers there are. What is known of a server lives
+// on while its process does.
 func (sc *Scheduler) updateParticipants(e ParticipantsChanged) {
 	sc.incarnation = e.Incarnation
 	relays := map[string]*origin{}
@@ -119,84 +124,102 @@
 	sc.relays = relays
 	old := sc.servers
 	sc.servers, sc.serverList = make(map[uint64]*server, len(e.Servers)), sc.serverList[:0]
-	for i, s := range e.Servers {
-		n := old[s.Key]
-		if n == nil || n.Started != s.Started {
-			n = &server{probedAt: duration.Never, usedReadAt: duration.Never}
+	for i, described := range e.Servers {
+		s := old[described.Key]
+		if s == nil || s.Started != described.Started {
+			s = &server{probedAt: duration.Never, usedReadAt: duration.Never}
 		}
-		n.Server, n.index, n.rank = s, i, e.Assignment.rank(i, sc.self)
-		sc.servers[s.Key] = n
-		sc.serverList = append(sc.serverList, n)
+		s.Server, s.rank = described, e.Assignment.rank(i, sc.self)
+		sc.servers[s.Key] = s
+		sc.serverList = append(sc.serverList, s)
 	}
 }
 
-// noteOwnReading notes this relay's own reading: it is believed by whoever wanted it, and passed on. A report that tells no load, as a
-// server's first may, is none: it contradicted those that came after it, and honest relays were quarantined for it.
+// noteOwnReading notes this relay's own reading: it is believed by whoever wanted it, and passed on. A
+// report that tells no load, as a server's first may, is none: it would contradict those that come after
+// it.
 func (sc *Scheduler) noteOwnReading(e OwnReading) {
 	s := sc.servers[e.ServerKey]
 	if s == nil {
 		return
 	}
-	if s.probedAt = sc.now; max(e.LoadReport.Load, e.Busy) < 0 {
+	s.probedAt = sc.now
+	if max(e.LoadReport.Load, e.Busy) < 0 {
 		return
 	}
-	own := Reading{ServerKey: s.Key, Started: s.Started, Origin: sc.self, Incarnation: sc.incarnation, ReadAt: sc.now, LoadReport: e.LoadReport}
+	own := Reading{
+		ServerKey: s.Key, Started: s.Started, Origin: sc.self, Incarnation: sc.incarnation,
+		ReadAt: sc.now, LoadReport: e.LoadReport,
+	}
 	s.keepNewest(&keptReading{Reading: own, readAt: sc.now})
 	s.usedReadAt, s.usedOrigin = sc.now, sc.self
 }
 
-// probeDue probes the servers whose turn it is. Probers take turns without a word about it: each waits until the newest
-// reading is so old, those of a lower rank a little longer, and probes again no sooner than after ProbeInterval.
+// probeDue probes the servers whose turn it is.
 func (sc *Scheduler) probeDue() {
 	for _, s := range sc.serverList {
-		if s.rank < 0 || sc.now < s.probedAt+ProbeInterval {
-			continue
-		}
-		newest := duration.Never
-		for _, h := range s.newestByOrigin {
-			newest = max(newest, h.readAt)
-		}
-		if sc.now >= newest+TurnInterval+GossipInterval*time.Duration(s.rank) || sc.now >= s.probedAt+2*ProbeInterval {
+		if s.isProbeDue(sc.now) {
 			s.probedAt = sc.now
-			sc.probeCount++
+			sc.counters.probes++
 			sc.emit(Probe{ServerKey: s.Key})
 		}
 	}
 }
 
-// gossip passes the newest readings on to some peers drawn at random.
+// isProbeDue tells whether it is this relay's turn to probe a server. Probers take turns without a word
+// about it: each waits until the newest reading is so old, those of a lower rank a little longer, and
+// probes again no sooner than after ProbeInterval.
+func (s *server) isProbeDue(now time.Duration) bool {
+	if s.rank < 0 || now < s.probedAt+ProbeInterval {
+		return false
+	}
+	newest := duration.Never
+	for _, kept := range s.newestByOrigin {
+		newest = max(newest, kept.readAt)
+	}
+	turn := newest + TurnInterval + GossipInterval*time.Duration(s.rank)
+	return now >= turn || now >= s.probedAt+2*ProbeInterval
+}
+
+// gossip passes the newest readings and placements on to some peers drawn at random.
 func (sc *Scheduler) gossip() {
 	if sc.now < sc.nextGossipAt {
 		return
 	}
 	sc.nextGossipAt = sc.now + duration.Scale(GossipInterval, 0.9+0.2*sc.rng.Float64())
-	var news []*keptReading
-	for _, s := range sc.serverList {
-		for _, h := range s.newestByOrigin {
-			if h.rounds < maxGossipRounds && sc.now-h.readAt < MaxReadingAge {
-				news = append(news, h)
-			}
-		}
-	}
-	slices.SortStableFunc(news, func(a, b *keptReading) int {
-		return cmp.Or(cmp.Compare(a.rounds, b.rounds), cmp.Compare(b.readAt, a.readAt))
-	})
-	news = news[:min(len(news), MaxReadingsPerRound)]
-	batch := make([]Reading, len(news))
-	for i, h := range news {
-		h.rounds++
-		batch[i] = h.Reading
-		batch[i].Age = sc.now - h.readAt
-	}
-	rows := sc.placementBatch()
+	readings, rows := sc.readingBatch(), sc.placementBatch()
 	for i := range min(GossipFanout, len(sc.peerNames)) {
 		j := i + sc.rng.IntN(len(sc.peerNames)-i)
 		sc.peerNames[i], sc.peerNames[j] = sc.peerNames[j], sc.peerNames[i]
-		if len(batch) > 0 {
-			sc.emit(SendReadings{To: sc.peerNames[i], Readings: batch})
+		if len(readings) > 0 {
+			sc.emit(SendReadings{To: sc.peerNames[i], Readings: readings})
 		}
 		if len(rows) > 0 {
 			sc.emit(SendPlacements{To: sc.peerNames[i], Rows: rows})
 		}
 	}
 }
+
+// readingBatch is what a round passes on of readings: those that the fewest rounds have carried, the
+// youngest first.
+func (sc *Scheduler) readingBatch() []Reading {
+	var fresh []*keptReading
+	for _, s := range sc.serverList {
+		for _, kept := range s.newestByOrigin {
+			if kept.rounds < maxGossipRounds && sc.now-kept.readAt < MaxReadingAge {
+				fresh = append(fresh, kept)
+			}
+		}
+	}
+	slices.SortStableFunc(fresh, func(a, b *keptReading) int {
+		return cmp.Or(cmp.Compare(a.rounds, b.rounds), cmp.Compare(b.readAt, a.readAt))
+	})
+	fresh = fresh[:min(len(fresh), MaxReadingsPerRound)]
+	batch := make([]Reading, len(fresh))
+	for i, kept := range fresh {
+		kept.rounds++
+		batch[i] = kept.Reading
+		batch[i].Age = sc.now - kept.readAt
+	}
+	return batch
+}
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -179,9 +179,10 @@
 	return most
 }
 
-// Looks grow with servers and not with relays: at most two a second a server in the mean of 6 s, while every relay has a
-// usable reading of every server nearly always, at 1 and 10% loss and clocks up to 5% off.
-func TestLooksDoNotGrowWithRelays(t *testing.T) {
+// Looks grow with servers and not with relays: at most two a second a server in the mean of 6 s, while
+// every relay has a usable reading of every server nearly always, at 1 and 10% loss and clocks up to 5%
+// off.
+func TestProbesDoNotGrowWithRelays(t *testing.T) {
 	for _, relays := range []int{2, 9, 30, 300} {
 		for _, loss := range []float64{0.01, 0.1}[relays/300:] {
 			c := newCrowd(uint64(relays), relays, 30)
@@ -205,8 +206,8 @@
 	}
 }
 
-// One relay that tells that all servers are empty, or full, moves nobody's belief beyond what readings may differ by, and is
-// quarantined. With what is told taken for true, the same check finds it out.
+// One relay that tells that all servers are empty, or full, moves nobody's belief beyond what readings
+// may differ by, and is quarantined. With what is told taken for true, the same check finds it out.
 func TestOneLiarMovesNobody(t *testing.T) {
 	for _, lie := range []float64{0, 3} {
 		for _, trust := range []bool{false, true} {
@@ -238,12 +239,12 @@
 }
 
 // What readings are left out, each for its reason.
-func TestReadingsLeftOut(t *testing.T) {
+func TestImplausibleReadingsAreLeftOut(t *testing.T) {
 	rs, ss := fleet(4, 1, 1)
 	ss[0].Started = 50
 	good := Reading{ServerKey: ss[0].Key, Started: 50, Origin: "r1", Incarnation: 1, ReadAt: 100 * time.Millisecond, Age: 10 * time.Millisecond, LoadReport: LoadReport{0.5, -1, -1, -1}}
 	for _, c := range []struct {
-		why    string
+		why    DropReason
 		change func(r *Reading)
 	}{
 		{Uncorroborated, func(*Reading) {}},
@@ -261,15 +262,15 @@
 		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
 		r := good
 		c.change(&r)
-		if acts := k.Handle(time.Second, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 || k.dropCounts[c.why] != 1 {
-			t.Errorf("%s: %v, %v", c.why, acts, k.dropCounts)
+		if acts := k.Handle(time.Second, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 || k.counters.dropped[c.why] != 1 {
+			t.Errorf("%s: %v, %v", c.why, acts, k.counters.dropped)
 		}
 	}
 	k := New("r0", 1)
 	k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
 	hear := func(now time.Duration, r Reading) string {
 		acts := k.Handle(now, ReadingsReceived{"r2", []Reading{r}}, nil)
-		return fmt.Sprintf("%d %v", len(acts), k.dropCounts)
+		return fmt.Sprintf("%d %v", len(acts), k.counters.dropped)
 	}
 	second := good
 	second.Origin, second.LoadReport.Load = "r2", 0.55
@@ -277,7 +278,8 @@
 	if got := hear(time.Second, second); got != "1 map[not borne out:1]" {
 		t.Errorf("one that is borne out: %s", got)
 	}
-	// A packet that was under way for 5 s says that its reading is 10 ms old; what came before tells that it is not.
+	// A packet that was under way for 5 s says that its reading is 10 ms old; what came before tells that it
+	// is not.
 	late := good
 	late.ReadAt, late.Age = 200*time.Millisecond, 10*time.Millisecond
 	if got := hear(6100*time.Millisecond, late); got != "0 map[not borne out:1 too old:1]" {
@@ -285,9 +287,9 @@
 	}
 }
 
-// A step of a server's load is taken for true once a second relay has seen it, and whoever saw it first is not quarantined for
-// that, however often it happens.
-func TestStepIsBelieved(t *testing.T) {
+// A step of a server's load is taken for true once a second relay has seen it, and whoever saw it first
+// is not quarantined for that, however often it happens.
+func TestLoadStepIsBelievedWithoutQuarantine(t *testing.T) {
 	for _, drift := range []float64{-0.05, 0, 0.05} { // of one relay's clock, against all others
 		c := newCrowd(5, 9, 6)
 		for i := range c.rate {
@@ -310,7 +312,7 @@
 						t.Errorf("r%d believes %.2f of a server that stands at %.2f", i, row.Load, c.loads[row.ServerKey])
 					}
 				}
-				if left := r.Dropped[TooOld]; left > r.Received/50 {
+				if left := r.Dropped[string(TooOld)]; left > r.Received/50 {
 					t.Errorf("clocks %v apart: r%d left %d readings out as too old, took %d", 2*drift, i, left, r.Received)
 				}
 			}
--- a/internal/fleet/probing/trace_test.go
+++ b/internal/fleet/probing/trace_test.go
@@ -13,8 +13,8 @@
 
 var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
 
-// trace is a hash over all actions of all relays, in their order. Times on a clock are left out, as their representation may change;
-// that they are the same shows in when actions come.
+// trace is a hash over all actions of all relays, in their order. Times on a clock are left out, as their
+// representation may change; that they are the same shows in when actions come.
 type trace struct {
 	hash  stdhash.Hash64
 	count int
@@ -63,8 +63,9 @@
 	}
 }
 
-// Over drawn loads, losses, lies and deaths every relay does the same, in the same order and with the same random draws, as it did
-// when testdata/trace.txt was written: a change that is meant to change no behaviour changes none.
+// Over drawn loads, losses, lies and deaths every relay does the same, in the same order and with the
+// same random draws, as it did when testdata/trace.txt was written: a change that is meant to change no
+// behaviour changes none.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var got strings.Builder
 	for seed := range uint64(40) {
--- a/internal/fleet/probing/window.go
+++ b/internal/fleet/probing/window.go
@@ -1,17 +1,18 @@
 package probing
 
-// DedupWindow remembers which numbers of a sender have come: all up to 64 below the highest. The zero DedupWindow is ready.
+// DedupWindow remembers which numbers of a sender have come: all up to 64 below the highest. The zero
+// DedupWindow is ready.
 type DedupWindow struct {
 	incarnation, high, seen uint64
 }
 
 // Accept tells whether a number of a sender's incarnation is new, and notes it.
-func (w *DedupWindow) Accept(life, seq uint64) bool {
+func (w *DedupWindow) Accept(incarnation, seq uint64) bool {
 	switch {
-	case life < w.incarnation:
+	case incarnation < w.incarnation:
 		return false
-	case life > w.incarnation:
-		*w = DedupWindow{incarnation: life}
+	case incarnation > w.incarnation:
+		*w = DedupWindow{incarnation: incarnation}
 	}
 	switch {
 	case seq > w.high:
