--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -15,11 +15,14 @@
 }
 
 func three() Plan {
-	return Plan{Number: 1, Cells: []Cell{cell("a1", "a", "a-1", 30), cell("a2", "a", "a-2", 10), cell("b1", "b", "b-1", 40)}}
+	return Plan{Number: 1, Cells: []Cell{cell("a1", "a", "a-1", 30), cell("a2", "a", "a-2", 10),
+		cell("b1", "b", "b-1", 40)}}
 }
 
 func TestPartsOfCells(t *testing.T) {
-	moving := Plan{Number: 2, HomeShare: 0.8, Cells: []Cell{cell("flat", "", "", 300), cell("a1", "a", "a-1", 30), cell("b1", "b", "b-1", 30), cell("gone", "b", "b-2", 0)}}
+	moving := Plan{Number: 2, HomeShare: 0.8,
+		Cells: []Cell{cell("flat", "", "", 300), cell("a1", "a", "a-1", 30), cell("b1", "b", "b-1", 30),
+			cell("gone", "b", "b-2", 0)}}
 	for _, c := range []struct {
 		plan      Plan
 		cell      string
@@ -35,8 +38,10 @@
 		{moving, "gone", 0, 0, "b-1 b-2"},
 	} {
 		near, far, zones := c.plan.Parts(c.cell)
-		if math.Abs(float64(near)/float64(Whole)-c.near) > 1e-9 || math.Abs(float64(far)/float64(Whole)-c.far) > 1e-9 || strings.Join(zones, " ") != c.zones {
-			t.Errorf("%s: near %.4f far %.4f in %q; want %.4f %.4f in %q", c.cell, float64(near)/float64(Whole), float64(far)/float64(Whole), zones, c.near, c.far, c.zones)
+		if math.Abs(float64(near)/float64(Whole)-c.near) > 1e-9 ||
+			math.Abs(float64(far)/float64(Whole)-c.far) > 1e-9 || strings.Join(zones, " ") != c.zones {
+			t.Errorf("%s: near %.4f far %.4f in %q; want %.4f %.4f in %q", c.cell, float64(near)/float64(Whole),
+				float64(far)/float64(Whole), zones, c.near, c.far, c.zones)
 		}
 	}
 }
@@ -76,10 +81,14 @@
 		{"zone in two regions", func(p *Plan) { p.Cells[2].Zone = "a-1" }, "cells[2].zone"},
 		{"relays below 0", func(p *Plan) { p.Cells[0].Relays = -1 }, "cells[0].relays"},
 		{"too many relays", func(p *Plan) { p.Cells[0].Relays = 65 }, "cells[0].relays"},
-		{"too many relays of a flat cell", func(p *Plan) { p.Cells = append(p.Cells, cell("flat", "", "", 4097)) }, "cells[3].relays"},
+		{"too many relays of a flat cell", func(p *Plan) {
+			p.Cells = append(p.Cells,
+				cell("flat", "", "", 4097))
+		}, "cells[3].relays"},
 		{"no contacts", func(p *Plan) { p.Cells[0].Contacts = nil }, "cells[0].contacts"},
 		{"too many contacts", func(p *Plan) { p.Cells[0].Contacts = make([]string, 17) }, "cells[0].contacts"},
-		{"host name", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1:1", "relay-1:7946"} }, "cells[0].contacts[1]"},
+		{"host name", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1:1", "relay-1:7946"} },
+			"cells[0].contacts[1]"},
 		{"no port", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1"} }, "cells[0].contacts[0]"},
 		{"port 0", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1:0"} }, "cells[0].contacts[0]"},
 		{"no address", func(p *Plan) { p.Cells[0].Contacts = []string{"0.0.0.0:7946"} }, "cells[0].contacts[0]"},
@@ -120,7 +129,8 @@
 	}
 	for i, change := range []func(p *Plan){
 		func(p *Plan) { p.Number++ }, func(p *Plan) { p.HomeShare = 0.5 }, func(p *Plan) { p.Cells = p.Cells[1:] },
-		func(p *Plan) { p.Cells[0].Name = "x" }, func(p *Plan) { p.Cells[0].Region = "b" }, func(p *Plan) { p.Cells[0].Zone = "a-2" },
+		func(p *Plan) { p.Cells[0].Name = "x" }, func(p *Plan) { p.Cells[0].Region = "b" },
+		func(p *Plan) { p.Cells[0].Zone = "a-2" },
 		func(p *Plan) { p.Cells[0].Relays++ },
 	} {
 		p := three()
@@ -137,7 +147,8 @@
 		t.Error(err)
 	}
 	var missing *MissingCells
-	if err := p.CheckSuccessor([]string{"z", "a1", "c1", "z"}); !errors.As(err, &missing) || strings.Join(missing.Cells, " ") != "c1 z" {
+	if err := p.CheckSuccessor([]string{"z", "a1", "c1", "z"}); !errors.As(err, &missing) ||
+		strings.Join(missing.Cells, " ") != "c1 z" {
 		t.Error(err)
 	}
 }
@@ -181,7 +192,8 @@
 	lowest := draw.IntN(2)
 	for i := range 1 + draw.IntN(MaxCells-1) {
 		region := fmt.Sprint("r", draw.IntN(6))
-		p.Cells = append(p.Cells, cell(fmt.Sprint("c", i), region, fmt.Sprint(region, "-", draw.IntN(4)), lowest+draw.IntN(MaxRelays+1-lowest)))
+		p.Cells = append(p.Cells, cell(fmt.Sprint("c", i), region, fmt.Sprint(region, "-", draw.IntN(4)),
+			lowest+draw.IntN(MaxRelays+1-lowest)))
 	}
 	if draw.IntN(3) == 0 {
 		p.Cells = append(p.Cells, cell("flat", "", "", 1+draw.IntN(1100)))
--- a/internal/fleet/cells/directory.go
+++ b/internal/fleet/cells/directory.go
@@ -71,9 +71,9 @@
 	return c.directory.newest.Regions
 }
 
-// regionRows sums the summaries by region. A cell that was never heard counts by the plan; where there is
-// one, and the directory before this relay represented its cell tells more of the region, the region
-// counts by that.
+// regionRows sums the summaries by region. A cell that never sent a summary counts by the plan; where
+// there is one, and the directory before this relay represented its cell tells more of the region, the
+// region counts by that.
 func (c *Coordinator) regionRows(now time.Duration) []RegionFigures {
 	regions := map[string]*RegionFigures{}
 	incomplete := map[string]bool{}
@@ -116,7 +116,7 @@
 	return figures
 }
 
-// isUnknown tells whether nothing has been heard of a cell for long.
+// isUnknown tells whether no summary of a cell has come for long.
 func (c *Coordinator) isUnknown(now time.Duration, r *remote) bool {
 	return r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
 }
@@ -157,7 +157,7 @@
 	return append(rows[:MaxRegions-1], last)
 }
 
-// informed tells whether a representative has heard of all cells, or has had the time to.
+// informed tells whether a representative has a summary of all cells, or has had the time to get them.
 func (c *Coordinator) informed(now time.Duration) bool {
 	if now-c.election.since >= duration.Scale(c.round(), informedAfterRounds) {
 		return true
--- a/internal/fleet/cells/evidence.go
+++ b/internal/fleet/cells/evidence.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// ActivatedPlan is the newest plan that every cell is known to have joined, by this relay or one that has
-// told it; 0 for none. It never falls.
+// ActivatedPlan is the newest plan that every cell is known to have joined, by this relay or another; 0
+// for none. It never falls.
 func (c *Coordinator) ActivatedPlan() uint64 { return c.activatedPlan }
 
 // requiredCells are the cells that must have joined the view's plan before it is activated; nil if they
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -87,7 +87,8 @@
 func TestEvidenceIsMonotone(t *testing.T) {
 	c, plan := one(t)
 	entered := func(number, hash uint64) LocalCell {
-		return LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: number, PlanHash: hash, Cells: plan.Names(), JoinedPlan: number}
+		return LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: number, PlanHash: hash,
+			Cells: plan.Names(), JoinedPlan: number}
 	}
 	before := plan
 	before.Number = 1
@@ -132,7 +133,8 @@
 		t.Fatal("an overtaken packet's word is true too, but it isn't counted")
 	}
 	c.Handle(0, entered(3, 77), nil)
-	c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: "a-0", Incarnation: 1, Seq: 1, ActivatedPlan: 1}}, nil)
+	c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: "a-0", Incarnation: 1,
+		Seq: 1, ActivatedPlan: 1}}, nil)
 	if c.ActivatedPlan() != 2 {
 		t.Error("what was open is taken back")
 	}
@@ -142,7 +144,8 @@
 // plan that this cell hasn't joined itself.
 func TestActivationGoesByTheView(t *testing.T) {
 	c, plan := one(t)
-	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: append(plan.Names(), "gone"), JoinedPlan: 1}
+	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
+		Cells: append(plan.Names(), "gone"), JoinedPlan: 1}
 	c.Handle(0, l, nil)
 	for _, name := range []string{"b", "c"} {
 		c.Handle(0, SummaryReceived{Summary: heardFrom(plan, name, 1)}, nil)
@@ -168,7 +171,8 @@
 // A cell that has joined a later plan has been through the one before, also when old word of it comes after.
 func TestLaterPlanCounts(t *testing.T) {
 	c, plan := one(t)
-	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2}, nil)
+	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
+		Cells: plan.Names(), JoinedPlan: 2}, nil)
 	later, old := plan, plan
 	later.Number, old.Number = 4, 1
 	c.Handle(0, SummaryReceived{Summary: heardFrom(later, "b", 1)}, nil)
@@ -185,7 +189,8 @@
 // A view that names more cells than are kept is never opened.
 func TestTooManyCellsNeverActivate(t *testing.T) {
 	c, plan := one(t)
-	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2}
+	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
+		Cells: plan.Names(), JoinedPlan: 2}
 	for i := range cellplan.MaxCells {
 		l.Cells = append(l.Cells, fmt.Sprint("x", i))
 	}
@@ -202,7 +207,8 @@
 // the plan before. Once one is heard that has come from there, it is.
 func TestBootstrappedCellsAloneNeverActivate(t *testing.T) {
 	c, plan := one(t)
-	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(), Cells: plan.Names(), JoinedPlan: 2, Bootstrapped: true}, nil)
+	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
+		Cells: plan.Names(), JoinedPlan: 2, Bootstrapped: true}, nil)
 	for _, name := range plan.Names() {
 		s := heardFrom(plan, name, 1)
 		s.Bootstrapped = true
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -40,11 +40,13 @@
 			all := took + n.until(60*second, n.agreed)
 			slowest, whole = max(slowest, took), max(whole, all)
 			if took > deathKnownWithin || all > 3*Round(len(n.cells)) {
-				t.Errorf("seed %d: the death of %s is known after %.1f s, all directories are whole after %.1f s", seed, victim.name, took.Seconds(), all.Seconds())
+				t.Errorf("seed %d: the death of %s is known after %.1f s, all directories are whole after %.1f s",
+					seed, victim.name, took.Seconds(), all.Seconds())
 			}
 		}
 	}
-	t.Logf("%d deaths: known in every other cell after %.1f s at most, all directories whole after %.1f s", deaths, slowest.Seconds(), whole.Seconds())
+	t.Logf("%d deaths: known in every other cell after %.1f s at most, all directories whole after %.1f s",
+		deaths, slowest.Seconds(), whole.Seconds())
 }
 
 // A region that was cut off for ten minutes, both ways or one way, is agreed with everywhere within 20 s,
@@ -124,10 +126,12 @@
 		n.pass(100 * second)
 		sent := during(n.cells[0].sent, from, n.now)
 		rates[len(n.cells)] = float64(sent) / 100
-		t.Logf("%d cells: %.2f packets a second of a speaker, at most %d in one; a round takes %.1f s", len(n.cells), rates[len(n.cells)],
+		t.Logf("%d cells: %.2f packets a second of a speaker, at most %d in one; a round takes %.1f s",
+			len(n.cells), rates[len(n.cells)],
 			busiest(n.cells[0].sent, from, n.now), Round(len(n.cells)).Seconds())
 	}
-	if most := float64(second) / float64(roundPerCell); rates[10] > 2 || rates[34] > most*1.01 || rates[128] > most*1.01 {
+	if most := float64(second) / float64(roundPerCell); rates[10] > 2 || rates[34] > most*1.01 ||
+		rates[128] > most*1.01 {
 		t.Error(rates)
 	}
 }
@@ -138,17 +142,20 @@
 	for region := range 5 {
 		for i := range 7 {
 			name := fmt.Sprintf("eu-north-%d-hall-%c-%d", region, 'a'+i/2, i%2)
-			plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: fmt.Sprintf("eu-north-%d", region), Zone: name, Relays: 64, Contacts: []string{"100.100.100.100:17946"}})
+			plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: fmt.Sprintf("eu-north-%d", region),
+				Zone: name, Relays: 64, Contacts: []string{"100.100.100.100:17946"}})
 		}
 	}
 	if err := plan.Check(); err != nil {
 		t.Fatal(err)
 	}
 	c := New(0, Config{Name: "relay-eu-north-0-001", Cell: plan.Cells[0].Name, Incarnation: 1 << 40, Plan: plan})
-	l := LocalCell{Members: 64, Serving: 64, Epoch: 1 << 30, Plan: 1234, JoinedPlan: 1234, PlanHash: plan.Hash(), RequestRate: 12345.678, OpenConnections: 123456789, DrainRate: 123.456}
+	l := LocalCell{Members: 64, Serving: 64, Epoch: 1 << 30, Plan: 1234, JoinedPlan: 1234,
+		PlanHash: plan.Hash(), RequestRate: 12345.678, OpenConnections: 123456789, DrainRate: 123.456}
 	for i := range 7 {
 		name := fmt.Sprintf("relay-eu-north-0-%03d", i+1)
-		l.Voters = append(l.Voters, Voter{Name: name, Address: fmt.Sprintf("100.100.100.%d:17946", 100+i), Alive: true})
+		l.Voters = append(l.Voters, Voter{Name: name, Address: fmt.Sprintf("100.100.100.%d:17946", 100+i),
+			Alive: true})
 	}
 	for i := range 64 {
 		l.Departed = append(l.Departed, fmt.Sprintf("relay-eu-north-0-%03d", i+1))
@@ -161,19 +168,23 @@
 	}
 	for i, cell := range plan.Cells[1:] {
 		other := summary
-		other.Cell, other.Region, other.Representative, other.Seq = cell.Name, cell.Region, fmt.Sprintf("%s-%d", cell.Name, i), 1
+		other.Cell, other.Region, other.Representative, other.Seq = cell.Name, cell.Region,
+			fmt.Sprintf("%s-%d", cell.Name, i), 1
 		c.Handle(second, SummaryReceived{Summary: other}, nil)
 	}
 	rows := c.regionRows(second)
-	directory := Directory{Cell: c.cfg.Cell, Representative: c.cfg.Name, Incarnation: 1 << 40, Seq: 1 << 40, Epoch: 1 << 30, ActivatedPlan: 1234, Regions: rows}
+	directory := Directory{Cell: c.cfg.Cell, Representative: c.cfg.Name, Incarnation: 1 << 40, Seq: 1 << 40,
+		Epoch: 1 << 30, ActivatedPlan: 1234, Regions: rows}
 	if err := directory.Check(); err != nil || len(rows) != 5 || rows[1].Relays != 7*64 {
 		t.Fatal(err, rows)
 	}
-	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes", len(summary.Departed), size(t, summary), len(rows), size(t, directory))
+	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes", len(summary.Departed),
+		size(t, summary), len(rows), size(t, directory))
 	if size(t, summary) > 400 || size(t, directory) > 600 {
 		t.Error("too large")
 	}
-	if len(summary.Contacts) != MaxContacts || len(summary.Departed) < 4 || strings.Join(summary.Contacts, " ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
+	if len(summary.Contacts) != MaxContacts || len(summary.Departed) < 4 ||
+		strings.Join(summary.Contacts, " ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
 		t.Error(summary)
 	}
 }
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -56,13 +56,17 @@
 // drawnEvent makes an event of four bytes.
 func drawnEvent(text []byte) Event {
 	kind, a, b := text[0], int(text[1]), int(text[2])
-	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9), Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
-		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a, Serving: b, Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
+	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9),
+		Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
+		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a, Serving: b,
+		Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
 	switch kind % 6 {
 	case 0:
-		l := LocalCell{Members: a, Serving: b, Epoch: uint64(a % 3), Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 6), RequestRate: float64(a)}
+		l := LocalCell{Members: a, Serving: b, Epoch: uint64(a % 3), Plan: uint64(b % 6),
+			PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 6), RequestRate: float64(a)}
 		for i := range a % 4 {
-			l.Voters = append(l.Voters, Voter{Name: fmt.Sprintf("relay-%d", i), Address: fmt.Sprintf("10.0.0.%d:2", i+1), Alive: b>>i&1 == 1})
+			l.Voters = append(l.Voters, Voter{Name: fmt.Sprintf("relay-%d", i),
+				Address: fmt.Sprintf("10.0.0.%d:2", i+1), Alive: b>>i&1 == 1})
 		}
 		for i := range b % 17 {
 			l.Cells = append(l.Cells, fmt.Sprintf("cell-%d", i))
@@ -71,8 +75,11 @@
 	case 1, 2:
 		return SummaryReceived{From: summary.Representative, Summary: summary}
 	case 3:
-		return DirectoryReceived{From: summary.Representative, Directory: Directory{Cell: "cell-0", Representative: summary.Representative, Incarnation: summary.Incarnation, Seq: summary.Seq,
-			Epoch: summary.Epoch, ActivatedPlan: uint64(b % 4), Regions: []RegionFigures{{Name: "region-0", Cells: a, Known: b, Relays: a, Serving: b}}}}
+		return DirectoryReceived{From: summary.Representative,
+			Directory: Directory{Cell: "cell-0", Representative: summary.Representative,
+				Incarnation: summary.Incarnation, Seq: summary.Seq,
+				Epoch: summary.Epoch, ActivatedPlan: uint64(b % 4),
+				Regions: []RegionFigures{{Name: "region-0", Cells: a, Known: b, Relays: a, Serving: b}}}}
 	case 4:
 		return PlanChanged{drawnPlan(1+a%16, uint64(1+b%6))}
 	}
@@ -84,7 +91,8 @@
 	plan := cellplan.Plan{Number: number}
 	for i := range cells {
 		region := fmt.Sprintf("region-%d", i%3)
-		plan.Cells = append(plan.Cells, cellplan.Cell{Name: fmt.Sprintf("cell-%d", i), Region: region, Zone: region, Relays: 1 + i, Contacts: []string{fmt.Sprintf("10.0.1.%d:1", i+1)}})
+		plan.Cells = append(plan.Cells, cellplan.Cell{Name: fmt.Sprintf("cell-%d", i), Region: region,
+			Zone: region, Relays: 1 + i, Contacts: []string{fmt.Sprintf("10.0.1.%d:1", i+1)}})
 	}
 	return plan
 }
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -86,7 +86,8 @@
 // fleetOf makes cells in regions of the given numbers of zones, perZone in each zone, with so many relays
 // simulated.
 func fleetOf(t *testing.T, seed uint64, zones []int, perZone, relays int) *network {
-	n := &network{t: t, draw: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{}, byAddress: map[string]*relay{}, changes: map[Change]int{}}
+	n := &network{t: t, draw: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{},
+		byAddress: map[string]*relay{}, changes: map[Change]int{}}
 	n.plan.Number = 1
 	for region, count := range zones {
 		for zone := range count {
@@ -116,10 +117,12 @@
 func (n *network) addCell(region, zone, i, relays int) {
 	g := &group{region: fmt.Sprintf("region-%d", region), epoch: 3, padding: 32 - relays}
 	g.name = fmt.Sprintf("region-%d-%c-%d", region, 'a'+zone, i)
-	cell := cellplan.Cell{Name: g.name, Region: g.region, Zone: fmt.Sprintf("region-%d-%c", region, 'a'+zone), Relays: 32}
+	cell := cellplan.Cell{Name: g.name, Region: g.region, Zone: fmt.Sprintf("region-%d-%c", region, 'a'+zone),
+		Relays: 32}
 	for j := range relays {
 		address := fmt.Sprintf("10.%d.%d.%d:7946", len(n.cells), zone, j+1)
-		r := &relay{group: g, name: fmt.Sprintf("%s-relay-%02d", g.name, j), address: address, believes: func(r *relay) bool { return r.up }}
+		r := &relay{group: g, name: fmt.Sprintf("%s-relay-%02d", g.name, j), address: address,
+			believes: func(r *relay) bool { return r.up }}
 		g.relays = append(g.relays, r)
 		n.byName[r.name], n.byAddress[address] = r, r
 		cell.Contacts = append(cell.Contacts, address)
@@ -132,7 +135,8 @@
 func (n *network) start(r *relay) {
 	r.incarnation++
 	r.up, r.wake = true, -1
-	r.coordinator = New(n.now, Config{Name: r.name, Cell: r.group.name, Incarnation: r.incarnation, Plan: n.plan, Seed: n.draw.Uint64()})
+	r.coordinator = New(n.now, Config{Name: r.name, Cell: r.group.name, Incarnation: r.incarnation,
+		Plan: n.plan, Seed: n.draw.Uint64()})
 }
 
 func (n *network) after(delay time.Duration, do func()) {
@@ -177,7 +181,8 @@
 // local is what a relay knows of its cell.
 func (n *network) local(r *relay) LocalCell {
 	g := r.group
-	l := LocalCell{Members: g.members(), Serving: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash, Cells: g.names, JoinedPlan: g.entered,
+	l := LocalCell{Members: g.members(), Serving: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash,
+		Cells: g.names, JoinedPlan: g.entered,
 		RequestRate: 100 * float64(g.members()), OpenConnections: 1000 * g.members()}
 	for _, other := range g.relays {
 		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address, Alive: r.believes(other)})
@@ -247,7 +252,8 @@
 		n.sizes.directory = max(n.sizes.directory, size(n.t, a.Directory))
 		for _, other := range r.group.relays {
 			if other != r { // gossip passes it on several times, so that hardly any is lost
-				n.after(100*time.Millisecond+duration.Scale(400*time.Millisecond, n.draw.Float64()), func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
+				n.after(100*time.Millisecond+duration.Scale(400*time.Millisecond, n.draw.Float64()),
+					func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
 			}
 		}
 	case Changed:
@@ -268,7 +274,8 @@
 		if n.draw.Float64() < n.loss || n.cut != nil && n.cut(from, to) {
 			continue
 		}
-		n.after(10*time.Millisecond+duration.Scale(140*time.Millisecond, n.draw.Float64()), func() { n.handle(to, ev) })
+		n.after(10*time.Millisecond+duration.Scale(140*time.Millisecond, n.draw.Float64()),
+			func() { n.handle(to, ev) })
 	}
 }
 
@@ -331,7 +338,8 @@
 	rows := r.coordinator.directory.newest.Regions
 	want = slices.DeleteFunc(want, func(row RegionFigures) bool { return row.Cells == 0 })
 	return slices.EqualFunc(want, rows, func(a, b RegionFigures) bool {
-		return a.Name == b.Name && a.Cells == b.Cells && a.Known == b.Known && a.Relays == b.Relays && a.Serving == b.Serving
+		return a.Name == b.Name && a.Cells == b.Cells && a.Known == b.Known && a.Relays == b.Relays &&
+			a.Serving == b.Serving
 	})
 }
 
--- a/internal/fleet/cells/remote.go
+++ b/internal/fleet/cells/remote.go
@@ -17,20 +17,20 @@
 
 	summary   Summary       // the newest
 	summaryAt time.Duration // when it came, negative for never
-	lost      bool          // people were told that nothing comes any more
+	lost      bool          // it was reported as lost
 	seen      sequenceMarks
 	lastStale sequenceMark // the last that was not newer; see acceptSummary
 
 	joinedThrough uint64 // it has been through all plans up to this one
 	planJoins     []planJoin
-	mismatch      bool // people were told that it has another table
+	mismatch      bool // it was reported as having another table
 
 	contact                 int // index in addresses()
 	rotatedAt               time.Duration
 	sentTo                  string // the last address, "" for none since this relay represents its cell
 	expedited               bool   // its summary is due out of turn
 	sentEarly               bool   // it got one out of turn since its last turn
-	announcedRepresentative string // that people were told of
+	announcedRepresentative string // that was reported last
 }
 
 // planJoin is a cell's word that nobody there acts by an earlier plan than this one, and the table that
@@ -40,7 +40,7 @@
 	bootstrapped bool // by the plan: the cell has come from no earlier one
 }
 
-// addresses are where the cell may be reached: what it told itself before what the plan says.
+// addresses are where the cell may be reached: what it says itself before what the plan says.
 func (r *remote) addresses() []string {
 	all := slices.Clone(r.summary.Contacts)
 	for _, address := range r.planContacts {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// announceRepresentative tells whether people are to be told that the cell has another representative:
+// announceRepresentative tells whether it is to be reported that the cell has another representative:
 // the one announced before has been silent for a while. Two that represent it at once would be announced
 // each time.
 func (r *remote) announceRepresentative(now, silence time.Duration) bool {
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -8,7 +8,7 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Report is what is known of the cells at one relay, for people.
+// Report is what is known of the cells at one relay, for operators.
 type Report struct {
 	Cell           string `json:"cell"`
 	Region         string `json:"region"`
--- a/internal/fleet/cells/representative_test.go
+++ b/internal/fleet/cells/representative_test.go
@@ -33,7 +33,8 @@
 		n.pass(10 * second)
 		if !n.agreed() {
 			for _, r := range n.byName {
-				t.Log(n.now, r.name, n.informed(r), r.coordinator.election.representing, r.coordinator.election.other, r.coordinator.directory.newest)
+				t.Log(n.now, r.name, n.informed(r), r.coordinator.election.representing, r.coordinator.election.other,
+					r.coordinator.directory.newest)
 			}
 			t.Fatal("two speakers break the agreement")
 		}
@@ -110,7 +111,8 @@
 // nobody.
 func TestSummaryIsForwardedOnce(t *testing.T) {
 	c, plan := one(t)
-	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-0", Alive: true}, {Name: "a-1", Alive: true}}, Members: 2}, nil)
+	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-0", Alive: true}, {Name: "a-1", Alive: true}},
+		Members: 2}, nil)
 	out := c.Handle(second, SummaryReceived{Summary: heardFrom(plan, "b", 1)}, nil)
 	i := slices.IndexFunc(out, func(a Action) bool { _, is := a.(ForwardSummary); return is })
 	if i < 0 || out[i].(ForwardSummary).To != "a-0" || !out[i].(ForwardSummary).Summary.Forwarded {
@@ -141,7 +143,10 @@
 	n.cut = func(from, to *relay) bool { return isolated(from) && !isolated(to) }
 	heal := n.now
 	took := n.until(300*second, func() bool {
-		return !slices.ContainsFunc(n.cells, func(o *group) bool { return o != g && g.relays[3].coordinator.remotes[o.name].summaryAt < heal })
+		return !slices.ContainsFunc(n.cells, func(o *group) bool {
+			return o != g &&
+				g.relays[3].coordinator.remotes[o.name].summaryAt < heal
+		})
 	})
 	t.Logf("three of four contacts dead: all heard after %.1f s", took.Seconds())
 	if took > 5*Round(3) {
@@ -230,7 +235,8 @@
 func TestNewRepresentativeTriesEachContact(t *testing.T) {
 	plan := cellplan.Plan{Number: 1, Cells: []cellplan.Cell{
 		{Name: "a", Region: "r", Zone: "z", Relays: 3, Contacts: []string{"10.0.0.1:1"}},
-		{Name: "b", Region: "r", Zone: "z", Relays: 3, Contacts: []string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}}}}
+		{Name: "b", Region: "r", Zone: "z", Relays: 3,
+			Contacts: []string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}}}}
 	c := New(0, Config{Name: "a-1", Cell: "a", Incarnation: 1, Plan: plan})
 	out := c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 3}, nil)
 	tried := map[string]bool{}
@@ -256,10 +262,12 @@
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
 		s.Cell, s.Representative, s.Plan, s.JoinedPlan, s.PlanHash = "b", fmt.Sprint("s", i), 7, 7, uint64(i)
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
-		c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: fmt.Sprint("s", i), Incarnation: 1, Seq: 1}}, nil)
+		c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: fmt.Sprint("s", i),
+			Incarnation: 1, Seq: 1}}, nil)
 	}
 	r := c.remotes["b"]
-	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins || len(c.directory.seen) > maxRepresentatives || c.drops.Unknown != 5000 {
+	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins ||
+		len(c.directory.seen) > maxRepresentatives || c.drops.Unknown != 5000 {
 		t.Error(len(c.remotes), len(r.seen), len(r.planJoins), len(c.directory.seen), c.drops)
 	}
 	c.Handle(0, PlanChanged{cellplan.Plan{Number: 2, Cells: plan.Cells[:2]}}, nil)
@@ -272,10 +280,14 @@
 func TestChecksRejectWhatCannotBe(t *testing.T) {
 	_, plan := one(t)
 	for i, change := range []func(s *Summary){
-		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Representative = "" }, func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
-		func(s *Summary) { s.JoinedPlan = s.Plan + 1 }, func(s *Summary) { s.Members = -1 }, func(s *Summary) { s.Serving = s.Members + 1 },
-		func(s *Summary) { s.RequestRate = math.NaN() }, func(s *Summary) { s.RequestRate = math.Inf(1) }, func(s *Summary) { s.DrainRate = -1 }, func(s *Summary) { s.OpenConnections = -1 },
-		func(s *Summary) { s.Contacts = []string{"relay:1"} }, func(s *Summary) { s.Contacts = make([]string, 4) }, func(s *Summary) { s.Departed = make([]string, 9) },
+		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Representative = "" },
+		func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
+		func(s *Summary) { s.JoinedPlan = s.Plan + 1 }, func(s *Summary) { s.Members = -1 },
+		func(s *Summary) { s.Serving = s.Members + 1 },
+		func(s *Summary) { s.RequestRate = math.NaN() }, func(s *Summary) { s.RequestRate = math.Inf(1) },
+		func(s *Summary) { s.DrainRate = -1 }, func(s *Summary) { s.OpenConnections = -1 },
+		func(s *Summary) { s.Contacts = []string{"relay:1"} },
+		func(s *Summary) { s.Contacts = make([]string, 4) }, func(s *Summary) { s.Departed = make([]string, 9) },
 		func(s *Summary) { s.Departed = []string{"a\nb"} },
 	} {
 		s := heardFrom(plan, "b", 1)
@@ -288,11 +300,14 @@
 		}
 	}
 	for i, change := range []func(d *Directory){
-		func(d *Directory) { d.Cell = "" }, func(d *Directory) { d.Seq = 0 }, func(d *Directory) { d.Regions[0].RequestRate = math.NaN() },
+		func(d *Directory) { d.Cell = "" }, func(d *Directory) { d.Seq = 0 },
+		func(d *Directory) { d.Regions[0].RequestRate = math.NaN() },
 		func(d *Directory) { d.Regions[0].Known = 3 }, func(d *Directory) { d.Regions = make([]RegionFigures, 17) },
-		func(d *Directory) { d.Regions[1].Name = "r" }, func(d *Directory) { d.Regions[0].Cells = 1 << 20 }, func(d *Directory) { d.ActivatedPlan = math.MaxUint64 },
+		func(d *Directory) { d.Regions[1].Name = "r" }, func(d *Directory) { d.Regions[0].Cells = 1 << 20 },
+		func(d *Directory) { d.ActivatedPlan = math.MaxUint64 },
 	} {
-		d := Directory{Cell: "a", Representative: "a-0", Incarnation: 1, Seq: 1, Regions: []RegionFigures{{Name: "r", Cells: 2, Known: 1}, {Name: "s"}}}
+		d := Directory{Cell: "a", Representative: "a-0", Incarnation: 1, Seq: 1,
+			Regions: []RegionFigures{{Name: "r", Cells: 2, Known: 1}, {Name: "s"}}}
 		if d.Check() != nil {
 			t.Fatal(d.Check())
 		}
@@ -307,7 +322,8 @@
 func one(t *testing.T) (*Coordinator, cellplan.Plan) {
 	plan := cellplan.Plan{Number: 2}
 	for i, name := range []string{"a", "b", "c"} {
-		plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: "r", Zone: "z", Relays: 32, Contacts: []string{fmt.Sprintf("10.0.0.%d:1", i+1)}})
+		plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: "r", Zone: "z", Relays: 32,
+			Contacts: []string{fmt.Sprintf("10.0.0.%d:1", i+1)}})
 	}
 	if err := plan.Check(); err != nil {
 		t.Fatal(err)
@@ -317,6 +333,7 @@
 
 // heardFrom is a summary of a cell that has joined the plan.
 func heardFrom(plan cellplan.Plan, cell string, seq uint64) Summary {
-	return Summary{Cell: cell, Region: "r", Representative: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3, Plan: plan.Number, PlanHash: plan.Hash(), JoinedPlan: plan.Number,
+	return Summary{Cell: cell, Region: "r", Representative: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3,
+		Plan: plan.Number, PlanHash: plan.Hash(), JoinedPlan: plan.Number,
 		Members: 32, Serving: 30, RequestRate: 100, OpenConnections: 1000}
 }
--- a/internal/fleet/cells/rounds.go
+++ b/internal/fleet/cells/rounds.go
@@ -21,7 +21,7 @@
 	UnknownAfterRounds = 3
 	// lostCheckInterval is the time between two checks for cells that have become unknown.
 	lostCheckInterval = time.Second
-	// informedAfterRounds a new representative has heard of all that can be heard.
+	// informedAfterRounds a new representative has the summaries of all cells that can be reached.
 	informedAfterRounds = 1.2
 )
 
@@ -53,7 +53,7 @@
 	return (round + cells - 1) / cells // rounded up: a cell's next turn comes no sooner than a round later
 }
 
-// expedite starts an expedited round, at most one in the time of a round: what comes sooner after is told
+// expedite starts an expedited round, at most one in the time of a round: what comes sooner after is sent
 // in the ordinary round first.
 func (c *Coordinator) expedite(now time.Duration) {
 	if now < c.pace.nextExpediteAt {
@@ -96,7 +96,7 @@
 	return c.sendSummaryTo(now, c.nextInTurn(), out)
 }
 
-// nextInTurn is the cell whose turn it is. One that was told out of turn is passed over once, so that a
+// nextInTurn is the cell whose turn it is. One that was sent to out of turn is passed over once, so that a
 // round takes no longer.
 func (c *Coordinator) nextInTurn() *remote {
 	for {
--- a/internal/fleet/cells/summary.go
+++ b/internal/fleet/cells/summary.go
@@ -57,7 +57,7 @@
 	Regions       []RegionFigures `cbor:"7,keyasint,omitempty"` // without this cell's own figures
 }
 
-// RegionFigures are sums over the other cells of a region; those of a cell that is not heard are its last.
+// RegionFigures are sums over the other cells of a region; those of a cell that is unknown are its last.
 type RegionFigures struct {
 	Name            string  `cbor:"1,keyasint,omitempty" json:"region"` // "" for cells that span all
 	Cells           int     `cbor:"2,keyasint,omitempty" json:"cells"`
--- a/internal/fleet/cells/trace_test.go
+++ b/internal/fleet/cells/trace_test.go
@@ -13,7 +13,8 @@
 	"capersail/internal/fleet/duration"
 )
 
-var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
+var updateTrace = flag.Bool("update-trace", false,
+	"write testdata/trace.txt anew, after a change of behaviour that is meant")
 
 // trace is a hash over all actions of all relays, in their order.
 type trace struct {
--- a/internal/fleet/cells/types.go
+++ b/internal/fleet/cells/types.go
@@ -6,7 +6,7 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// Config is what a Coordinator is told at its start.
+// Config is what a Coordinator is configured with.
 type Config struct {
 	Name        string // of this relay
 	Cell        string // of its cell
@@ -26,7 +26,7 @@
 type Event interface{ event() }
 
 type (
-	// LocalCell is what this relay knows of its own cell; told on each change, and about once a second for
+	// LocalCell is what this relay knows of its own cell; it comes on each change, and about once a second for
 	// the figures.
 	LocalCell struct {
 		Voters   []Voter // of the view, in its order
@@ -87,12 +87,12 @@
 	}
 	// PublishDirectory tells all relays of this cell.
 	PublishDirectory struct{ Directory Directory }
-	// Changed is for people and figures.
+	// Changed is for the log and metrics.
 	Changed struct {
 		Kind           Change
 		Cell           string
 		Representative string // of the cell, where that has changed
-		Plan           uint64 // that is activated, or told with another table
+		Plan           uint64 // that is activated, or has another table
 	}
 )
 
@@ -107,9 +107,9 @@
 // The changes.
 const (
 	RepresentativeChanged Change = iota + 1 // a cell has another representative
-	// nothing has been heard of a cell for UnknownAfterRounds rounds; its last figures stand
+	// no summary of a cell has come for UnknownAfterRounds rounds; its last figures stand
 	CellLost
-	CellKnown // a cell is heard for the first time, or again
+	CellKnown // a summary of a cell has come for the first time, or again
 	// a cell has another table under the number of this cell's plan: what it says of the plan does not count
 	PlanMismatch
 	PlanActivated // every cell is known to have joined the plan
--- a/internal/fleet/duration/duration_test.go
+++ b/internal/fleet/duration/duration_test.go
@@ -36,7 +36,8 @@
 			t.Errorf("%d came back as %d", d, got)
 		}
 	}
-	if high, low := FromMillis(math.MaxFloat64), FromMillis(-math.MaxFloat64); high != 1<<60 || low != -1<<60 || high+high < high {
+	if high, low := FromMillis(math.MaxFloat64), FromMillis(-math.MaxFloat64); high != 1<<60 ||
+		low != -1<<60 || high+high < high {
 		t.Errorf("out of bounds: %d and %d", high, low)
 	}
 }
--- a/internal/fleet/membership/acceptor.go
+++ b/internal/fleet/membership/acceptor.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// onVoterRequest answers as a voter. Whoever is behind is told the view; whoever is ahead is asked for it
+// onVoterRequest answers as a voter. Whoever is behind is sent the view; whoever is ahead is asked for it
 // by a Reject.
 func (n *Node) onVoterRequest(from string, m Message) {
 	switch {
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -56,16 +56,20 @@
 	held.Plan = before.Number
 	entered := held.joined(after, "east")
 	near, far, _ := after.Parts("east")
-	if entered.Activated || entered.Plan != 3 || entered.Near != min(near, held.Near) || entered.Far != min(far, held.Far) || entered.LeaseMillis != 8000 {
+	if entered.Activated || entered.Plan != 3 || entered.Near != min(near, held.Near) ||
+		entered.Far != min(far, held.Far) || entered.LeaseMillis != 8000 {
 		t.Errorf("entered as %+v, holding %+v", entered, held)
 	}
-	if opened := entered.activated(after, "east"); !opened.Activated || opened.Near != near || opened.Far != far || len(opened.Cells) != 2 {
+	if opened := entered.activated(after, "east"); !opened.Activated || opened.Near != near ||
+		opened.Far != far || len(opened.Cells) != 2 {
 		t.Errorf("opened as %+v", opened)
 	}
-	if flat := (*Allocation)(nil).joined(twoCells(2, 3, 1), "east"); flat.Plan != 2 || flat.Near >= Whole || flat.Activated {
+	if flat := (*Allocation)(nil).joined(twoCells(2, 3, 1), "east"); flat.Plan != 2 || flat.Near >= Whole ||
+		flat.Activated {
 		t.Errorf("a flat fleet enters as %+v", flat)
 	}
-	if founded := bootstrapAllocation(twoCells(2, 3, 1), "east", 0); founded.Activated || founded.Near > 0 || founded.Far > 0 {
+	if founded := bootstrapAllocation(twoCells(2, 3, 1), "east", 0); founded.Activated || founded.Near > 0 ||
+		founded.Far > 0 {
 		t.Errorf("a cell that is founded by plan 2 holds %+v", founded)
 	}
 }
@@ -96,12 +100,16 @@
 		t.Errorf("with no word of the others: %+v", e)
 	}
 	near, far, _ := twoCells(1, 3, 1).Parts("east")
-	if math.Abs(e.BudgetShare*3-float64(near)/float64(Whole)) > 1e-9 || math.Abs(e.FarBudgetShare*3-float64(far)/float64(Whole)) > 1e-9 || e.NearZones[0] != "east-1" {
-		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.BudgetShare, e.FarBudgetShare)
+	if math.Abs(e.BudgetShare*3-float64(near)/float64(Whole)) > 1e-9 ||
+		math.Abs(e.FarBudgetShare*3-float64(far)/float64(Whole)) > 1e-9 || e.NearZones[0] != "east-1" {
+		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.BudgetShare,
+			e.FarBudgetShare)
 	}
 	own := node.k.peers.byName[name(1)].Status.RequestRate + node.k.peers.byName[name(2)].Status.RequestRate
-	node.k.Handle(now, OtherCells{Relays: 40, RequestRate: 100, OpenConnections: 7, DrainRate: 2, Known: true}, nil)
-	if e = node.k.Estimate(now); e.Relays != 43 || e.OtherRequestRate != own+100 || e.OtherConnections != 7 || e.DrainRate != 2 {
+	node.k.Handle(now, OtherCells{Relays: 40, RequestRate: 100, OpenConnections: 7, DrainRate: 2,
+		Known: true}, nil)
+	if e = node.k.Estimate(now); e.Relays != 43 || e.OtherRequestRate != own+100 || e.OtherConnections != 7 ||
+		e.DrainRate != 2 {
 		t.Errorf("with the others: %+v", e)
 	}
 }
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -48,7 +48,7 @@
 		RequestRate     float64 // requests a second that come to them
 		OpenConnections int
 		DrainRate       float64 // connections a second that they send away
-		Known           bool    // false until something was heard
+		Known           bool    // false until a summary or directory has come
 	}
 	// Tick says that time has passed; see Next.
 	Tick struct{}
@@ -95,7 +95,7 @@
 	}
 	// Publish tells all peers this relay's status.
 	Publish struct{ Status Status }
-	// Changed is for people: the view, the phase or a peer's state has changed.
+	// Changed is for the log: the view, the phase or a peer's state has changed.
 	Changed struct {
 		Kind  ChangeKind
 		Name  string // the peer
--- a/internal/fleet/membership/federation_faults_test.go
+++ b/internal/fleet/membership/federation_faults_test.go
@@ -49,14 +49,16 @@
 }
 
 // drawnCells plays one schedule of faults and plans.
-func drawnCells(regions, zones, relays int, flat bool, seed uint64, steps int, change func(*Node)) *federation {
+func drawnCells(regions, zones, relays int, flat bool, seed uint64, steps int,
+	change func(*Node)) *federation {
 	f := newFederation(seed, change)
 	f.play(regions, zones, relays, flat, steps)
 	return f
 }
 
 func newFederation(seed uint64, change func(*Node)) *federation {
-	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{}, plans: map[uint64]*cellplan.Plan{},
+	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{},
+		plans: map[uint64]*cellplan.Plan{},
 		zones: []string{"nobody's"}, change: change}
 }
 
@@ -176,7 +178,8 @@
 func (c *cellWorld) mayBeOld(i int) bool {
 	newest := 0
 	for j, n := range c.nodes {
-		if v := n.disk.View; v == nil || v.Allocation != nil || n.disk.Accepted != nil && n.disk.Accepted.Allocation != nil {
+		if v := n.disk.View; v == nil || v.Allocation != nil || n.disk.Accepted != nil &&
+			n.disk.Accepted.Allocation != nil {
 			return false
 		}
 		if n.up && !n.old && j != i && !n.stopped {
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -71,7 +71,8 @@
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *cellWorld {
 	w := newWorld(relays, relays, f.seed*1000+uint64(len(f.cells)))
 	w.now, w.change = f.now, f.change
-	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)], StatusInterval: CellTiming.StatusInterval}
+	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)],
+		StatusInterval: CellTiming.StatusInterval}
 	for _, n := range w.nodes {
 		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
 		n.zero -= f.now * n.rate
@@ -143,7 +144,8 @@
 			}
 			for to, other := range f.cells {
 				if other != c {
-					f.claims = append(f.claims, claim{f.late(), c.name, plan, a.PlanHash, to, f.rng.IntN(len(other.nodes)), a.Bootstrapped})
+					f.claims = append(f.claims, claim{f.late(), c.name, plan, a.PlanHash, to,
+						f.rng.IntN(len(other.nodes)), a.Bootstrapped})
 				}
 			}
 		}
@@ -237,7 +239,8 @@
 func (f *federation) opened() bool {
 	for _, c := range f.cells {
 		for _, n := range c.nodes {
-			if a := n.disk.View; a != nil && a.Allocation != nil && a.Allocation.Activated && a.Allocation.Plan >= f.plan.Number {
+			if a := n.disk.View; a != nil && a.Allocation != nil && a.Allocation.Activated &&
+				a.Allocation.Plan >= f.plan.Number {
 				return true
 			}
 		}
@@ -251,12 +254,14 @@
 	if flat {
 		f.addCell("flat", "", relays+2, nil)
 		plan.Number = 2
-		plan.Cells = append(plan.Cells, cellplan.Cell{Name: "flat", Relays: relays, Contacts: []string{"127.0.0.1:1"}})
+		plan.Cells = append(plan.Cells, cellplan.Cell{Name: "flat", Relays: relays,
+			Contacts: []string{"127.0.0.1:1"}})
 	}
 	for z := range zones {
 		region := []string{"east", "west", "north", "south", "mid"}[z%regions]
 		name := fmt.Sprintf("%s-%d", region, z)
-		plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: region, Zone: name, Relays: 1 + f.rng.IntN(8), Contacts: []string{"127.0.0.1:1"}})
+		plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: region, Zone: name,
+			Relays: 1 + f.rng.IntN(8), Contacts: []string{"127.0.0.1:1"}})
 	}
 	f.write(plan)
 	if !flat {
@@ -344,7 +349,8 @@
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
 		if a := c.nodes[0].k.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
-			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.plans.file.Number, f.plan.Number, c.nodes[0].k.PlanPending())
+			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.plans.file.Number,
+				f.plan.Number, c.nodes[0].k.PlanPending())
 		}
 	}
 	return nil
@@ -358,7 +364,8 @@
 	for _, c := range f.cells {
 		for _, n := range c.nodes {
 			if n.k != nil {
-				fmt.Fprintf(&state, "\n%s %s up %v old %v share %.3f epoch %d %+v", c.name, n.cfg.Name, n.up, n.old, n.share, n.k.View().Epoch, n.k.View().Allocation)
+				fmt.Fprintf(&state, "\n%s %s up %v old %v share %.3f epoch %d %+v", c.name, n.cfg.Name, n.up, n.old,
+					n.share, n.k.View().Epoch, n.k.View().Allocation)
 			}
 		}
 	}
--- a/internal/fleet/membership/flat_test.go
+++ b/internal/fleet/membership/flat_test.go
@@ -10,8 +10,10 @@
 
 // flatView is a view of a fleet without cells, with something in every field.
 func flatView() *View {
-	return &View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{4}, Voters: []string{"r1", "r2"}, Entries: []Member{
-		{Name: "r1", In: true, BudgetShare: Whole / 4, OutstandingLimit: Whole / 5}, {Name: "r2", In: true, Idle: true}, {Name: "r3", OutstandingLimit: Whole / 8}}}
+	return &View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{4}, Voters: []string{"r1", "r2"},
+		Entries: []Member{
+			{Name: "r1", In: true, BudgetShare: Whole / 4, OutstandingLimit: Whole / 5},
+			{Name: "r2", In: true, Idle: true}, {Name: "r3", OutstandingLimit: Whole / 8}}}
 }
 
 // What a relay of a fleet without cells says and keeps is to the byte what it was before there were
@@ -21,9 +23,12 @@
 	if got, want := view.Hash(), uint64(17517558683486390685); got != want {
 		t.Errorf("the hash is %d, and was %d", got, want)
 	}
-	node := New(time.Second, Config{Name: "r1", BootstrapSlot: 0, BootstrapSize: 5, ConfiguredRelays: 5, Seed: 1}, Record{Incarnation: 2, SlotReleased: true, View: view})
+	node := New(time.Second, Config{Name: "r1", BootstrapSlot: 0, BootstrapSize: 5, ConfiguredRelays: 5,
+		Seed: 1}, Record{Incarnation: 2, SlotReleased: true, View: view})
 	var status Status
-	for _, action := range node.Handle(2*time.Second, LocalState{Lifecycle: Serving, Zone: "z1", RequestRate: 12.5, OpenConnections: 3, EndpointListGeneration: 9}, nil) {
+	for _, action := range node.Handle(2*time.Second,
+		LocalState{Lifecycle: Serving, Zone: "z1", RequestRate: 12.5, OpenConnections: 3,
+			EndpointListGeneration: 9}, nil) {
 		if published, ok := action.(Publish); ok {
 			status = published.Status
 		}
@@ -32,10 +37,13 @@
 		value any
 		want  string
 	}{
-		"view":    {view, "a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b00000020000000000582627231627232"},
-		"status":  {status, "ad01010203030104627a3105fb4029000000000000060307090807091bf31adecf8544099d0a050b000cf50d01"},
-		"record":  {Record{Incarnation: 3, SlotReleased: true, Promised: Ballot{4, "r2"}, AcceptedBallot: Ballot{4, "r2"}, Accepted: view, View: view}, "a6010302f503a201040262723204a201040262723205a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b0000002000000000058262723162723206a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b00000020000000000582627231627232"},
-		"renewal": {Message{Kind: Renew, Epoch: 7, SentAtMillis: 1234.5, From: 3, BootstrapSlot: 0}, "a70101020703fb40934a000000000005a20100026006a20100026009030a00"},
+		"view":   {view, "a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b00000020000000000582627231627232"},
+		"status": {status, "ad01010203030104627a3105fb4029000000000000060307090807091bf31adecf8544099d0a050b000cf50d01"},
+		"record": {Record{Incarnation: 3, SlotReleased: true, Promised: Ballot{4, "r2"},
+			AcceptedBallot: Ballot{4, "r2"}, Accepted: view, View: view},
+			"a6010302f503a201040262723204a201040262723205a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b0000002000000000058262723162723206a5010702050381040483a40162723102f5031b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b00000020000000000582627231627232"},
+		"renewal": {Message{Kind: Renew, Epoch: 7, SentAtMillis: 1234.5, From: 3, BootstrapSlot: 0},
+			"a70101020703fb40934a000000000005a20100026006a20100026009030a00"},
 	} {
 		got, err := cbor.Marshal(c.value)
 		if err != nil {
--- a/internal/fleet/membership/formation_test.go
+++ b/internal/fleet/membership/formation_test.go
@@ -58,11 +58,14 @@
 		return count
 	}
 	n.Handle(0, PeerHealth{"peer", Alive}, nil)
-	n.Handle(0, StatusReceived{"peer", Status{Incarnation: 1, Seq: 1, BootstrapSize: 3, BootstrapSlot: 1, EndpointListGeneration: 5}}, nil)
-	if n := asked(100*time.Millisecond, 1500*time.Millisecond, 4) + asked(1500*time.Millisecond, 4*time.Second, 5); n != 0 {
+	n.Handle(0, StatusReceived{"peer", Status{Incarnation: 1, Seq: 1, BootstrapSize: 3, BootstrapSlot: 1,
+		EndpointListGeneration: 5}}, nil)
+	if n := asked(100*time.Millisecond, 1500*time.Millisecond, 4) + asked(1500*time.Millisecond,
+		4*time.Second, 5); n != 0 {
 		t.Errorf("asked %d times, for a moment's lag", n)
 	}
-	n.Handle(4*time.Second, StatusReceived{"peer", Status{Incarnation: 1, Seq: 2, BootstrapSize: 3, BootstrapSlot: 1, EndpointListGeneration: 9}}, nil)
+	n.Handle(4*time.Second, StatusReceived{"peer",
+		Status{Incarnation: 1, Seq: 2, BootstrapSize: 3, BootstrapSlot: 1, EndpointListGeneration: 9}}, nil)
 	if n := asked(4*time.Second, 10*time.Second, 5); n != 1 {
 		t.Errorf("asked %d times in 6 s behind", n)
 	}
--- a/internal/fleet/membership/freshness.go
+++ b/internal/fleet/membership/freshness.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// catchUp asks the peer that holds the newest view for it, if nobody has told this relay of it.
+// catchUp asks the peer that holds the newest view for it, if nobody has sent it.
 func (n *Node) catchUp() {
 	if n.now < n.freshness.nextCatchUpAt {
 		return
--- a/internal/fleet/membership/interleaving_test.go
+++ b/internal/fleet/membership/interleaving_test.go
@@ -150,7 +150,8 @@
 		l.feed(1, PeerHealth{name(2), Failed})
 		return l
 	}
-	for what, l := range map[string]*little{"founding": small(false, true), "cut off": cutOff(true), "agreed": small(true, true)} {
+	for what, l := range map[string]*little{"founding": small(false, true), "cut off": cutOff(true),
+		"agreed": small(true, true)} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			played, most := l.explore(depth)
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -65,7 +65,7 @@
 // valid tells whether the share may be taken.
 func (l *lease) valid(now time.Duration) bool { return now < l.validUntil }
 
-// releaseSlot gives this relay's slot to the fleet, once a majority that can make a view is heard. From
+// releaseSlot gives this relay's slot to the fleet, once a majority that can make a view is alive. From
 // the moment that is on disk the relay takes nothing but what a view grants.
 func (n *Node) releaseSlot() {
 	if n.record.SlotReleased || n.storageFailed || n.local.Lifecycle == Leaving {
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -8,7 +8,7 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Config is what a Node is told at its start.
+// Config is what a Node is configured with.
 type Config struct {
 	Name             string
 	BootstrapSlot    int // this relay's place in view 0, from 0
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newPeerStatusDelay is how soon a status follows once a new peer is heard.
+// newPeerStatusDelay is how soon a status follows once a new peer is alive.
 const newPeerStatusDelay = 100 * time.Millisecond
 
 // Health is what the failure detection knows of a peer.
@@ -109,7 +109,7 @@
 		return
 	}
 	p.Health, p.HealthSince = e.Health, n.now
-	if e.Health == Alive { // a peer that is new here has not heard this relay either
+	if e.Health == Alive { // a peer that is new here knows no status of this relay either
 		n.publisher.publishBy(n.now + newPeerStatusDelay)
 	}
 	n.emit(Changed{Kind: ChangePeer, Name: e.Name, State: e.Health.String(), Cause: "failure detection"})
--- a/internal/fleet/membership/peers_test.go
+++ b/internal/fleet/membership/peers_test.go
@@ -60,7 +60,8 @@
 	}
 	released := figures
 	released.SlotReleased = true
-	if !p.takeStatus(released, 3*time.Second) || p.SlotReleasedAt != 3*time.Second || p.EpochSince != time.Second {
+	if !p.takeStatus(released, 3*time.Second) || p.SlotReleasedAt != 3*time.Second ||
+		p.EpochSince != time.Second {
 		t.Errorf("its slot released: %+v", p)
 	}
 }
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -35,7 +35,7 @@
 	agreedAt time.Duration // negative for never
 }
 
-// updatePhase names the phase, for people and for what the relay reckons with.
+// updatePhase names the phase, for the log and for what the relay does by it.
 func (n *Node) updatePhase() {
 	phase, cause := n.currentPhase()
 	if phase == PhaseAgreed || phase == PhaseSettling {
--- a/internal/fleet/membership/plan.go
+++ b/internal/fleet/membership/plan.go
@@ -132,8 +132,8 @@
 	return !slices.ContainsFunc(current.holders(n.plans.cell), leftOut)
 }
 
-// onPlanActivated takes in that all cells have joined the plan of the view. Word of a plan with another
-// table is not of this one.
+// onPlanActivated takes in that all cells have joined the plan of the view. For a plan with another table it
+// does not count.
 func (n *Node) onPlanActivated(e PlanActivated) {
 	if a := n.view.Allocation; a != nil && e.Plan == a.Plan && e.Hash == a.PlanHash {
 		n.plans.noteActivated(e.Plan)
--- a/internal/fleet/membership/planstate.go
+++ b/internal/fleet/membership/planstate.go
@@ -69,7 +69,7 @@
 	// the file's plan is not the one that follows: a number was skipped
 	PendingSequence
 	PendingActivation // the plan before is not activated yet
-	PendingUpgrade    // a member has not told a status of version 2
+	PendingUpgrade    // a member has published no status of version 2
 	PendingSlots      // a slot of view 0 is its owner's still
 	PendingCellNames  // the file's plan does not name all cells that hold a part
 	PendingView       // no view is agreed yet
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -9,7 +9,7 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Report is what is known of the fleet at one relay, for people.
+// Report is what is known of the fleet at one relay, for operators.
 type Report struct {
 	Relay            string            `json:"relay"`
 	Site             string            `json:"site"`
--- a/internal/fleet/membership/schedules_test.go
+++ b/internal/fleet/membership/schedules_test.go
@@ -93,7 +93,8 @@
 			clear(w.cut)
 		case 9:
 			if x.up && !x.stopped {
-				w.feed(i, LocalState{Lifecycle: []Lifecycle{Serving, Draining, Leaving}[w.rng.IntN(3)], RequestRate: 10, EndpointListGeneration: 1})
+				w.feed(i, LocalState{Lifecycle: []Lifecycle{Serving, Draining, Leaving}[w.rng.IntN(3)],
+					RequestRate: 10, EndpointListGeneration: 1})
 			}
 		// a relay comes to serve, and at the moment of the view that shrinks the others' shares one of them
 		// goes deaf
--- a/internal/fleet/membership/trace_test.go
+++ b/internal/fleet/membership/trace_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
+var updateTrace = flag.Bool("update-trace", false,
+	"write testdata/trace.txt anew, after a change of behaviour that is meant")
 
 // trace is a hash over all actions of all relays of a schedule, in their order. Times on a clock are left
 // out, as their representation may change; that they are the same shows in when actions come.
@@ -33,12 +34,15 @@
 	switch a := a.(type) {
 	case Save:
 		r := a.Record
-		put("save", r.Incarnation, r.SlotReleased, r.Promised, r.AcceptedBallot, viewHash(r.Accepted), viewHash(r.View))
+		put("save", r.Incarnation, r.SlotReleased, r.Promised, r.AcceptedBallot, viewHash(r.Accepted),
+			viewHash(r.View))
 	case Send:
-		put("send", a.To, uint8(a.Kind), a.Epoch, a.Message.To, a.Ballot, a.AcceptedBallot, viewHash(a.View), a.Unavailable, a.From, a.BootstrapSlot, a.Plan)
+		put("send", a.To, uint8(a.Kind), a.Epoch, a.Message.To, a.Ballot, a.AcceptedBallot, viewHash(a.View),
+			a.Unavailable, a.From, a.BootstrapSlot, a.Plan)
 	case Publish:
 		s := a.Status
-		put("publish", s.Version, s.Incarnation, uint8(s.Lifecycle), s.Zone, s.RequestRate, s.OpenConnections, s.EndpointListGeneration, s.Epoch, s.Hash)
+		put("publish", s.Version, s.Incarnation, uint8(s.Lifecycle), s.Zone, s.RequestRate, s.OpenConnections,
+			s.EndpointListGeneration, s.Epoch, s.Hash)
 		put(s.BootstrapSize, s.BootstrapSlot, s.SlotReleased, s.Seq, s.DrainRate, s.ActivatedPlan)
 	case Changed:
 		put("changed", uint8(a.Kind), a.Name)
--- a/internal/fleet/membership/voting_test.go
+++ b/internal/fleet/membership/voting_test.go
@@ -15,12 +15,16 @@
 		promises []Message
 		want     *View
 	}{
-		"nothing accepted":        {[]Message{{}, {}}, nil},
-		"one":                     {[]Message{{}, {View: plain, AcceptedBallot: low}}, plain},
-		"a higher one later":      {[]Message{{View: plain, AcceptedBallot: low}, {View: celled, AcceptedBallot: high}}, celled},
-		"a lower one later":       {[]Message{{View: celled, AcceptedBallot: high}, {View: plain, AcceptedBallot: low}}, celled},
-		"with its Allocation":     {[]Message{{View: plain, AcceptedBallot: low}, {View: celled, AcceptedBallot: low}}, celled},
-		"its Allocation is first": {[]Message{{View: celled, AcceptedBallot: low}, {View: plain, AcceptedBallot: low}}, celled},
+		"nothing accepted": {[]Message{{}, {}}, nil},
+		"one":              {[]Message{{}, {View: plain, AcceptedBallot: low}}, plain},
+		"a higher one later": {[]Message{{View: plain, AcceptedBallot: low},
+			{View: celled, AcceptedBallot: high}}, celled},
+		"a lower one later": {[]Message{{View: celled, AcceptedBallot: high},
+			{View: plain, AcceptedBallot: low}}, celled},
+		"with its Allocation": {[]Message{{View: plain, AcceptedBallot: low},
+			{View: celled, AcceptedBallot: low}}, celled},
+		"its Allocation is first": {[]Message{{View: celled, AcceptedBallot: low},
+			{View: plain, AcceptedBallot: low}}, celled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var v voting
@@ -42,7 +46,8 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	v := voting{changeWantedSince: -1, viewAcceptedAt: -1}
 	first := v.start("me", Ballot{Round: 4}, time.Second)
-	if first.ballot != (Ballot{5, "me"}) || v.timedOut(time.Second+ballotTimeout-1) || !v.timedOut(time.Second+ballotTimeout) {
+	if first.ballot != (Ballot{5, "me"}) || v.timedOut(time.Second+ballotTimeout-1) ||
+		!v.timedOut(time.Second+ballotTimeout) {
 		t.Errorf("the first proposal is %+v", first)
 	}
 	v.abandon(time.Second, rng)
@@ -56,7 +61,8 @@
 	v.noteChangeWanted(true, 3*time.Second)
 	v.noteChangeWanted(true, 4*time.Second)
 	v.viewAcceptedAt = 3 * time.Second
-	if v.changeWantedSince != 3*time.Second || v.takeoverDue(3*time.Second) || !v.takeoverDue(3*time.Second+acceptedTimeout) {
+	if v.changeWantedSince != 3*time.Second || v.takeoverDue(3*time.Second) ||
+		!v.takeoverDue(3*time.Second+acceptedTimeout) {
 		t.Errorf("wanted and accepted: %+v", v)
 	}
 	if v.viewAdopted(); v.proposal != nil || v.changeWantedSince >= 0 || v.takeoverDue(time.Hour) {
@@ -69,7 +75,8 @@
 func TestRecordKeepsToItsPromise(t *testing.T) {
 	var r Record
 	view := &View{Epoch: 1}
-	if !r.promise(Ballot{2, "b"}) || r.promise(Ballot{2, "a"}) || r.accept(Ballot{1, "z"}, view) || r.Accepted != nil {
+	if !r.promise(Ballot{2, "b"}) || r.promise(Ballot{2, "a"}) || r.accept(Ballot{1, "z"}, view) ||
+		r.Accepted != nil {
 		t.Errorf("a lower ballot counted: %+v", r)
 	}
 	if !r.accept(Ballot{2, "b"}, view) || r.Accepted != view || r.AcceptedBallot != r.Promised {
--- a/internal/fleet/membership/world_test.go
+++ b/internal/fleet/membership/world_test.go
@@ -75,7 +75,8 @@
 		if seed%2 == 0 { // as far apart as may be
 			rate = 1 + MaxClockDrift*float64(2*w.rng.IntN(2)-1)
 		}
-		w.nodes = append(w.nodes, &node{cfg: Config{Name: name(i), BootstrapSlot: i, BootstrapSize: founders, ConfiguredRelays: founders, Seed: seed + uint64(i)},
+		w.nodes = append(w.nodes, &node{cfg: Config{Name: name(i), BootstrapSlot: i, BootstrapSize: founders,
+			ConfiguredRelays: founders, Seed: seed + uint64(i)},
 			rate: rate, zero: 1000 * w.rng.Float64()})
 	}
 	return w
@@ -86,7 +87,8 @@
 
 func (w *world) start(i int) {
 	n := w.nodes[i]
-	n.up, n.stopped, n.leaving, n.queue, n.words, n.lost = true, false, false, nil, map[int]Health{}, map[int]float64{}
+	n.up, n.stopped, n.leaving, n.queue, n.words, n.lost = true, false, false, nil, map[int]Health{},
+		map[int]float64{}
 	cfg := n.cfg
 	if n.old {
 		cfg.Plan, n.disk = nil, oldRecord(n.disk)
@@ -347,7 +349,8 @@
 			ref = v
 		}
 		if v.Hash() != ref.Hash() || len(v.MemberNames()) != up || !v.Settled() || n.k.Phase() != PhaseAgreed {
-			return fmt.Errorf("%s: %s, %s, %d members, settled %v; %d are up", n.cfg.Name, n.k.Phase(), v.summary(), len(v.MemberNames()), v.Settled(), up)
+			return fmt.Errorf("%s: %s, %s, %d members, settled %v; %d are up", n.cfg.Name, n.k.Phase(), v.summary(),
+				len(v.MemberNames()), v.Settled(), up)
 		}
 	}
 	return nil
--- a/internal/fleet/probing/assign.go
+++ b/internal/fleet/probing/assign.go
@@ -18,7 +18,7 @@
 	Started int64 // when its process started, Unix ms; 0 for long ago
 }
 
-// ProbersPerServer is how many relays probe each server: three, so that one that tells nonsense is
+// ProbersPerServer is how many relays probe each server: three, so that one that reports nonsense is
 // outvoted by two.
 const ProbersPerServer = 3
 
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -55,7 +55,8 @@
 // At any number of relays and servers each server has as many probers as any other, and no relay much
 // more to probe than the mean; zones of any sizes.
 func TestAssignIsFair(t *testing.T) {
-	for _, size := range [][3]int{{1, 3, 1}, {2, 3, 1}, {3, 5000, 3}, {9, 12, 3}, {300, 90, 3}, {1000, 3, 3}, {1000, 5000, 5}} {
+	for _, size := range [][3]int{{1, 3, 1}, {2, 3, 1}, {3, 5000, 3}, {9, 12, 3}, {300, 90, 3}, {1000, 3, 3},
+		{1000, 5000, 5}} {
 		rs, ss := fleet(size[0], size[1], size[2])
 		check(t, rs, ss, Assign(rs, ss))
 	}
@@ -116,7 +117,8 @@
 		// What was probed by the one that goes must move, and about as much again may.
 		fair := ProbersPerServer * size[1] / size[0]
 		if n := moved(Assign(rs[1:], ss), ss, rs[0].Name); n > 3*fair+6 {
-			t.Errorf("%v: without one relay %d looks move that were others', of %d; its own are %d", size, n, ProbersPerServer*size[1], fair)
+			t.Errorf("%v: without one relay %d looks move that were others', of %d; its own are %d", size, n,
+				ProbersPerServer*size[1], fair)
 		}
 		if n := moved(Assign(rs, ss[:len(ss)-1]), ss[:len(ss)-1], ""); n > 3*ProbersPerServer+6 {
 			t.Errorf("%v: without one server %d looks move, of %d", size, n, ProbersPerServer*size[1])
--- a/internal/fleet/probing/corroborate.go
+++ b/internal/fleet/probing/corroborate.go
@@ -112,7 +112,7 @@
 
 // corroborate says which reading to decide by now that one has come: that itself where another origin
 // agrees with it, else the median of the newest three, else none. One relay alone is believed by nobody,
-// so one that tells nonsense can neither empty nor flood a server.
+// so one that reports nonsense can neither empty nor flood a server.
 func (sc *Scheduler) corroborate(s *server, kept *keptReading) *keptReading {
 	if sc.skipCorroboration {
 		return kept
@@ -145,7 +145,7 @@
 
 // checkOrigins compares readings that have one of another origin on either side in time, and no more than
 // a step of a load can come between: where those two agree with each other and not with it, its origin
-// has told nonsense. A reading that only older ones contradict counts for nothing: it may be the first to
+// has reported nonsense. A reading that only older ones contradict counts for nothing: it may be the first to
 // see a load change.
 func (sc *Scheduler) checkOrigins(s *server) {
 	for i := 1; i < len(s.newestByOrigin)-1; i++ { // the youngest come first
--- a/internal/fleet/probing/drops.go
+++ b/internal/fleet/probing/drops.go
@@ -15,7 +15,7 @@
 	NoLoad           DropReason = "without a load"
 )
 
-// counters are of all time, for people.
+// counters are since the start, for reports and metrics.
 type counters struct {
 	probes   uint64 // made by turns
 	received uint64 // readings of others that were new here
--- a/internal/fleet/probing/event.go
+++ b/internal/fleet/probing/event.go
@@ -44,7 +44,7 @@
 		To       string
 		Readings []Reading
 	}
-	// Quarantine is for people: a relay's readings are left out for a while.
+	// Quarantine is for the log: a relay's readings are left out for a while.
 	Quarantine struct{ Name string }
 )
 
--- a/internal/fleet/probing/placements_test.go
+++ b/internal/fleet/probing/placements_test.go
@@ -51,7 +51,8 @@
 				}
 			case SendPlacements:
 				if to := at[a.To]; rng.Float64() > 0.1 {
-					act(to, now, keepers[to].Handle(now+5*time.Millisecond, PlacementsReceived{From: rs[i].Name, Rows: a.Rows}, nil))
+					act(to, now, keepers[to].Handle(now+5*time.Millisecond,
+						PlacementsReceived{From: rs[i].Name, Rows: a.Rows}, nil))
 				}
 			}
 		}
@@ -94,7 +95,9 @@
 	} {
 		p, k := good, keepers[0]
 		c.change(&p)
-		if before := k.counters.dropped[c.why]; len(k.Handle(9*time.Second, PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 || k.counters.dropped[c.why] != before+1 {
+		if before := k.counters.dropped[c.why]; len(k.Handle(9*time.Second,
+			PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 ||
+			k.counters.dropped[c.why] != before+1 {
 			t.Errorf("%s: %v", c.why, k.counters.dropped)
 		}
 	}
--- a/internal/fleet/probing/reading.go
+++ b/internal/fleet/probing/reading.go
@@ -12,7 +12,7 @@
 	// TurnInterval is how old a server's newest reading is when the next prober's turn comes.
 	TurnInterval = ProbeInterval / ProbersPerServer
 	// MaxReadingAge is how old a reading may be: a report is renewed within 1.4 s and read within 0.5 s of
-	// its turn, and word of it takes up to five rounds of GossipInterval.
+	// its turn, and gossip takes up to five rounds of GossipInterval.
 	MaxReadingAge = 2 * time.Second
 	// corroborationSpan is how far apart in time readings may judge each other.
 	corroborationSpan = MaxReadingAge + TurnInterval
--- a/internal/fleet/probing/report.go
+++ b/internal/fleet/probing/report.go
@@ -7,7 +7,7 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Report is what is known of the probes, for people.
+// Report is what is known of the probes, for operators.
 type Report struct {
 	Relays      int               `json:"relays"` // that take part, this one too
 	Probes      uint64            `json:"looks"`  // made by turns
--- a/internal/fleet/probing/scheduler.go
+++ b/internal/fleet/probing/scheduler.go
@@ -47,7 +47,7 @@
 	nextGossipAt time.Duration
 	placements   placements
 	counters     counters
-	// skipCorroboration, in tests only: all that is told is believed.
+	// skipCorroboration, in tests only: all that is received is believed.
 	skipCorroboration bool
 }
 
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -45,7 +45,9 @@
 
 func newCrowd(seed uint64, relays, servers int) *crowd {
 	rs, ss := fleet(relays, servers, 3)
-	c := &crowd{rng: rand.New(rand.NewPCG(seed, 7)), rs: rs, ss: ss, down: map[int]bool{}, loads: map[uint64]float64{}, lies: map[int]float64{}, looks: map[uint64][]float64{}, past: map[uint64][]float64{}}
+	c := &crowd{rng: rand.New(rand.NewPCG(seed, 7)), rs: rs, ss: ss, down: map[int]bool{},
+		loads: map[uint64]float64{}, lies: map[int]float64{}, looks: map[uint64][]float64{},
+		past: map[uint64][]float64{}}
 	for i := range rs {
 		c.keepers = append(c.keepers, New(rs[i].Name, seed+uint64(i)))
 		c.rate = append(c.rate, 0.95+0.1*c.rng.Float64())
@@ -93,9 +95,11 @@
 			if l.at > c.now {
 				c.mail = append(c.mail, l)
 			} else if l.rows != nil && !c.down[l.to] {
-				c.act(l.to, c.keepers[l.to].Handle(c.own(l.to), PlacementsReceived{From: c.rs[l.from].Name, Rows: l.rows}, nil))
+				c.act(l.to, c.keepers[l.to].Handle(c.own(l.to),
+					PlacementsReceived{From: c.rs[l.from].Name, Rows: l.rows}, nil))
 			} else if !c.down[l.to] {
-				c.act(l.to, c.keepers[l.to].Handle(c.own(l.to), ReadingsReceived{From: c.rs[l.from].Name, Readings: l.readings}, nil))
+				c.act(l.to, c.keepers[l.to].Handle(c.own(l.to),
+					ReadingsReceived{From: c.rs[l.from].Name, Readings: l.readings}, nil))
 			}
 		}
 		for i, k := range c.keepers {
@@ -132,7 +136,8 @@
 			if !lies {
 				load = c.loads[a.ServerKey] * (1 + 0.05*c.rng.NormFloat64())
 			}
-			c.keepers[i].Handle(c.own(i), OwnReading{ServerKey: a.ServerKey, LoadReport: LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1}}, nil)
+			c.keepers[i].Handle(c.own(i), OwnReading{ServerKey: a.ServerKey,
+				LoadReport: LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1}}, nil)
 			c.believed(i, a.ServerKey, c.now, load)
 		case SendReadings:
 			for to, r := range c.rs {
@@ -242,7 +247,8 @@
 func TestImplausibleReadingsAreLeftOut(t *testing.T) {
 	rs, ss := fleet(4, 1, 1)
 	ss[0].Started = 50
-	good := Reading{ServerKey: ss[0].Key, Started: 50, Origin: "r1", Incarnation: 1, ReadAt: 100 * time.Millisecond, Age: 10 * time.Millisecond, LoadReport: LoadReport{0.5, -1, -1, -1}}
+	good := Reading{ServerKey: ss[0].Key, Started: 50, Origin: "r1", Incarnation: 1,
+		ReadAt: 100 * time.Millisecond, Age: 10 * time.Millisecond, LoadReport: LoadReport{0.5, -1, -1, -1}}
 	for _, c := range []struct {
 		why    DropReason
 		change func(r *Reading)
@@ -262,7 +268,8 @@
 		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
 		r := good
 		c.change(&r)
-		if acts := k.Handle(time.Second, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 || k.counters.dropped[c.why] != 1 {
+		if acts := k.Handle(time.Second, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 ||
+			k.counters.dropped[c.why] != 1 {
 			t.Errorf("%s: %v, %v", c.why, acts, k.counters.dropped)
 		}
 	}
--- a/internal/fleet/probing/seam_faults.go
+++ b/internal/fleet/probing/seam_faults.go
@@ -2,6 +2,6 @@
 
 package probing
 
-// DisableCorroboration makes the Scheduler believe all that it is told, as tests do to see that they
+// DisableCorroboration makes the Scheduler believe all that it receives, as tests do to see that they
 // would find out.
 func (sc *Scheduler) DisableCorroboration(out bool) { sc.skipCorroboration = out }
--- a/internal/fleet/probing/trace_test.go
+++ b/internal/fleet/probing/trace_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
+var updateTrace = flag.Bool("update-trace", false,
+	"write testdata/trace.txt anew, after a change of behaviour that is meant")
 
 // trace is a hash over all actions of all relays, in their order. Times on a clock are left out, as their
 // representation may change; that they are the same shows in when actions come.
@@ -59,7 +60,8 @@
 func (c *crowd) place(relay int) {
 	if c.rng.IntN(4) == 0 {
 		s := c.ss[c.rng.IntN(len(c.ss))]
-		c.act(relay, c.keepers[relay].Handle(c.own(relay), LocalPlacement{ServerKey: s.Key, Delta: 1 - 2*c.rng.IntN(2)}, nil))
+		c.act(relay, c.keepers[relay].Handle(c.own(relay),
+			LocalPlacement{ServerKey: s.Key, Delta: 1 - 2*c.rng.IntN(2)}, nil))
 	}
 }
 
