--- a/internal/simulation/model/client.go
+++ b/internal/simulation/model/client.go
@@ -10,7 +10,7 @@
 
 type client struct {
 	req      decide.Request
-	openedAt time.Duration // first try
+	openedAt time.Duration // first attempt
 	relay    *Relay
 	server   *Server
 	attempt  int
@@ -30,7 +30,8 @@
 // newClient is a new client.
 func (f *Fleet) newClient() {
 	c := &client{openedAt: f.Now}
-	c.req = decide.Request{Class: 0, Tenant: decide.Tenant(f.rng.IntN(2)), Key: f.rng.Uint64() | 1, TimeLeft: 2 * time.Second,
+	c.req = decide.Request{
+		Class: 0, Tenant: decide.Tenant(f.rng.IntN(2)), Key: f.rng.Uint64() | 1, TimeLeft: 2 * time.Second,
 		Group: 1 + uint64(math.Pow(f.rng.Float64(), 1.5)*float64(f.groups))}
 	f.openRequest(c)
 }
@@ -45,7 +46,8 @@
 	})
 }
 
-// OpenAll puts connections on the first servers as they stood before the fleet's day, evenly through all relays.
+// OpenAll puts connections on the first servers as they stood before the fleet's day, evenly through all
+// relays.
 func (f *Fleet) OpenAll(n, servers int) {
 	for i := range n {
 		group := 1 + f.rng.IntN(f.groups) // each on two servers
@@ -135,7 +137,9 @@
 
 // closeConnection ends a connection and lets its relay know how.
 func (f *Fleet) closeConnection(c *client, status decide.Status) {
-	outcome := decide.Outcome{ID: c.req.ID, Server: c.server.Server, Status: status, Closed: true, Report: decide.NoLoadReport}
+	outcome := decide.Outcome{
+		ID: c.req.ID, Server: c.server.Server, Status: status, Closed: true, Report: decide.NoLoadReport,
+	}
 	f.deliverLater(c.relay, 0, outcome)
 	f.disconnect(c)
 }
--- a/internal/simulation/model/cold_test.go
+++ b/internal/simulation/model/cold_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// The sum of what all relays send to a cold server stays within its budget whatever their number, also where most of them have just
-// been restarted in the middle of a release and their clients come again: each relay draws its part, and the draws add up by chance
-// only. The spread is over seeds; beyond N two roots of N and two are put down to chance, and none of these plays uses them up.
+// The sum of what all relays send to a cold server stays within its budget whatever their number, also
+// where most of them have just been restarted in the middle of a release and their clients come again:
+// each relay draws its part, and the draws add up by chance only. The spread is over seeds; beyond N two
+// roots of N and two are put down to chance, and none of these plays uses them up.
 func TestColdBudgetByNumberOfRelays(t *testing.T) {
 	sizes := []int{1, 3, 20, 30}
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
@@ -21,7 +22,8 @@
 				var spent []float64
 				sends, allowed := 0, 0
 				for seed := range uint64(12) {
-					f := fleet(t, Config{Seed: seed, Relays: relays, Servers: 12, Connections: conns, Utilisation: 0.45, GroupWork: groups})
+					f := fleet(t, Config{Seed: seed, Relays: relays, Servers: 12, Connections: conns, Utilisation: 0.45,
+						GroupWork: groups})
 					f.Begin()
 					f.Advance(9 * time.Second)
 					for i := range 6 {
@@ -51,7 +53,8 @@
 				t.Logf("%3d relays, %d connections, groups %v: of what makes a cold server fall %.2f in half of the plays, %.2f at most; %d of %d new ones in use",
 					relays, conns, groups, spent[len(spent)/2], spent[len(spent)-1], sends, allowed)
 				if spent[len(spent)-1] > 1 || sends*2 < allowed {
-					t.Errorf("%d relays, %d connections, groups %v: %.2f of it; %d of %d in use", relays, conns, groups, spent[len(spent)-1], sends, allowed)
+					t.Errorf("%d relays, %d connections, groups %v: %.2f of it; %d of %d in use", relays, conns, groups,
+						spent[len(spent)-1], sends, allowed)
 				}
 			}
 		}
--- a/internal/simulation/model/figures_test.go
+++ b/internal/simulation/model/figures_test.go
@@ -10,14 +10,15 @@
 	"capersail/internal/testing/cluster"
 )
 
-// What relays send to servers between two readings is summed where they tell it. Where it is guessed, servers are overdriven
-// while six in ten are replaced, and loads lie further apart in the calm.
+// What relays send to servers between two readings is summed where they tell it. Where it is guessed,
+// servers are overdriven while six in ten are replaced, and loads lie further apart in the calm.
 func TestPlacementsAreSummedNotGuessed(t *testing.T) {
 	var load, hot, worst [2]float64 // guessed, summed
 	const seeds = 3
 	for seed := range uint64(seeds) {
 		for i, guess := range []bool{true, false} {
-			f := fleet(t, Config{Seed: seed, Relays: 60, Servers: 12, Connections: 1200, Utilisation: 0.6, Peering: true, GuessPlacements: guess})
+			f := fleet(t, Config{Seed: seed, Relays: 60, Servers: 12, Connections: 1200, Utilisation: 0.6,
+				Peering: true, GuessPlacements: guess})
 			f.Begin()
 			f.settle(t, 20*time.Second, "at first")
 			f.Advance(5 * time.Second)
@@ -41,7 +42,8 @@
 	}
 }
 
-// Probes a second at a server by the number of relays, with talk and without. With talk they grow with servers only.
+// Probes a second at a server by the number of relays, with talk and without. With talk they grow with
+// servers only.
 func TestProbesByRelays(t *testing.T) {
 	sizes := []int{10, 30, 100}
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
@@ -68,8 +70,10 @@
 		}
 	}
 	if path := os.Getenv("CAPERSAIL_CHART"); path != "" {
-		if err := cluster.Paint(path, cluster.Panel{Title: "Probes a second at a server: 30 servers, 75 requests a second in all", X: "relays", Y: "probes a second", LogX: true,
-			Names: []string{"looks by turns", "each for itself (as it stood)"}, Lines: lines}); err != nil {
+		if err := cluster.Paint(path,
+			cluster.Panel{Title: "Probes a second at a server: 30 servers, 75 requests a second in all",
+				X: "relays", Y: "probes a second", LogX: true,
+				Names: []string{"looks by turns", "each for itself (as it stood)"}, Lines: lines}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/simulation/model/many_test.go
+++ b/internal/simulation/model/many_test.go
@@ -25,7 +25,8 @@
 			ref = r.View()
 		}
 		if r.Phase() != membership.PhaseAgreed || r.View().Hash() != ref.Hash() {
-			return fmt.Errorf("%s is %s in epoch %d, %s holds epoch %d", r.Name, r.Phase(), r.View().Epoch, f.Relays[0].Name, ref.Epoch)
+			return fmt.Errorf("%s is %s in epoch %d, %s holds epoch %d", r.Name, r.Phase(), r.View().Epoch,
+				f.Relays[0].Name, ref.Epoch)
 		}
 	}
 	if n := len(ref.MemberNames()); n != up {
@@ -48,8 +49,8 @@
 	}
 }
 
-// spread is the most that a server got of what came in a stretch, over its fair part of what all servers can do, and the
-// most probes a second at one.
+// spread is the most that a server got of what came in a stretch, over its fair part of what all servers
+// can do, and the most probes a second at one.
 func (f *Fleet) spread(over time.Duration) (most, probes float64) {
 	placed, probed := make([]int, len(f.Servers)), make([]int, len(f.Servers))
 	for i, s := range f.Servers {
@@ -101,7 +102,8 @@
 	"six in ten servers replaced within 7 s": func(f *Fleet) {
 		old := slices.Clone(f.Servers)
 		for i, s := range old[:len(old)*6/10] {
-			f.After(time.Duration(i)*7*time.Second/time.Duration(len(old)*6/10), func() { f.Replace(s, 3*time.Second) })
+			f.After(time.Duration(i)*7*time.Second/time.Duration(len(old)*6/10),
+				func() { f.Replace(s, 3*time.Second) })
 		}
 		f.Advance(12 * time.Second)
 	},
@@ -149,14 +151,16 @@
 	},
 }
 
-// A fleet of relays that know each other, through every hard case: the shares of a budget never add up to more than one, no
-// cold server gets what makes it fall over, no server stands idle for 2 s while clients are refused for want of room, and
-// afterwards all agree again, placements are even over the servers' capacity, and looks grow with servers.
+// A fleet of relays that know each other, through every hard case: the shares of a budget never add up to
+// more than one, no cold server gets what makes it fall over, no server stands idle for 2 s while clients
+// are refused for want of room, and afterwards all agree again, placements are even over the servers'
+// capacity, and looks grow with servers.
 func TestManyRelaysAddUpInTheModel(t *testing.T) {
 	for _, what := range slices.Sorted(maps.Keys(troubles)) {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			f := fleet(t, Config{Seed: 7, Relays: size(), Servers: 15, Connections: 3000, Utilisation: 0.5, Peering: true, Loss: 0.01})
+			f := fleet(t, Config{Seed: 7, Relays: size(), Servers: 15, Connections: 3000, Utilisation: 0.5,
+				Peering: true, Loss: 0.01})
 			for i, s := range f.Servers {
 				s.Capacity = []float64{1, 0.8, 1.2}[i/3%3]
 			}
@@ -179,7 +183,8 @@
 			if probes > 2.3 {
 				t.Errorf("one server was probed %.2f times a second", probes)
 			}
-			if f.Tally.MaxBudgetShares > 1+1e-9 || f.Tally.SlowStartOverrun > 1 || f.Tally.LongestIdle > 2*time.Second || f.Tally.LatestDrainSend > 500*ms {
+			if f.Tally.MaxBudgetShares > 1+1e-9 || f.Tally.SlowStartOverrun > 1 ||
+				f.Tally.LongestIdle > 2*time.Second || f.Tally.LatestDrainSend > 500*ms {
 				t.Errorf("%v", &f.Tally)
 			}
 		})
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -1,8 +1,3 @@
-// Package model is a fleet on a set clock in one goroutine: many relays, each with the real decision module and, where
-// they know each other, the real deciders of membership and of probing, before servers, clients, a discovery service and a
-// network that are modelled. Everything is drawn from one seed. It counts what all relays did together, which no relay sees.
-//
-// What is modelled, and what is left out, is in docs/design/fleet.md.
 package model
 
 import (
@@ -48,7 +43,7 @@
 	Tally   Tally
 	// FrontAllows, if set, says whether the front sends a relay a client.
 	FrontAllows func(*Relay) bool
-	// Fatal is told of what must never happen.
+	// Fatal is called with what must never happen.
 	Fatal func(what string)
 
 	cfg            Config
@@ -67,7 +62,8 @@
 	tables         map[string]*probing.Assignment
 }
 
-// New returns a fleet that has not started. Loads are such that its Connections use the servers up to the Utilisation.
+// New returns a fleet that has not started. Loads are such that its Connections use the servers up to the
+// Utilisation.
 func New(cfg Config) *Fleet {
 	f := &Fleet{
 		cfg: cfg, Now: startTime, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
@@ -83,10 +79,15 @@
 	f.settings = decide.Settings{
 		Relays: cfg.Relays, Zones: 3, MaxAttempts: 6, Probes: true, RetryAfter: true, MaxRetryAfter: 1500 * ms,
 		ConnectTimeout: 150 * ms, Tick: 5 * ms, GroupAffinity: cfg.GroupWork, MustSubscribe: true,
-		Classes: []decide.ClassInfo{{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, MessageLatencyObjective: 50 * ms}},
+		Classes: []decide.ClassInfo{{
+			LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, MessageLatencyObjective: 50 * ms,
+		}},
 		Tenants: []decide.TenantInfo{{ServiceShare: 0.5}, {ServiceShare: 0.5}},
-		Rules:   decide.Rules{PollWithin: 10 * time.Second, SlowStartCapacity: 0.36, SlowStartWindow: 8 * time.Second, OverloadFactor: 4, OverloadWindow: 1500 * ms},
-		Prices:  decide.Prices{CrossZone: 0.03, Probe: 0.002, Move: 0.02},
+		Rules: decide.Rules{
+			PollWithin: 10 * time.Second, SlowStartCapacity: 0.36, SlowStartWindow: 8 * time.Second,
+			OverloadFactor: 4, OverloadWindow: 1500 * ms,
+		},
+		Prices: decide.Prices{CrossZone: 0.03, Probe: 0.002, Move: 0.02},
 	}
 	for i := range f.settings.Tenants {
 		f.settings.Tenants[i].ConnectionQuota = float64(cfg.Connections) / cfg.Utilisation * quotaPart / 2
@@ -97,14 +98,15 @@
 	for i := range cfg.Servers {
 		f.AddServer(decide.Zone(i%3), 0)
 	}
-	f.network = network{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2))} // the network's draws leave the others' alone
+	f.network = network{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2))}
 	for range cfg.Relays {
 		f.AddRelay()
 	}
 	return f
 }
 
-// Begin starts all relays with the list as it is, opens the connections that stood before and lets new ones come.
+// Begin starts all relays with the list as it is, opens the connections that stood before and lets new
+// ones come.
 func (f *Fleet) Begin() {
 	f.After(0, f.runInterval)
 	for _, r := range f.Relays {
@@ -114,7 +116,8 @@
 	f.Arrivals(float64(f.cfg.Connections)/f.meanLifetime.Seconds(), f.Now+time.Hour)
 }
 
-// BeginIdle starts time only: relays, connections and clients are the caller's to bring, connections last for good.
+// BeginIdle starts time only: relays, connections and clients are the caller's to bring, connections last
+// for good.
 func (f *Fleet) BeginIdle() {
 	f.After(0, f.runInterval)
 	f.meanLifetime = time.Hour
--- a/internal/simulation/model/model_test.go
+++ b/internal/simulation/model/model_test.go
@@ -16,12 +16,14 @@
 
 // vast is 80 relays before 12 servers, each with knowledge of its own only.
 func vast(t testing.TB, seed uint64, conns int, part float64) *Fleet {
-	return fleet(t, Config{Seed: seed, Relays: 80, Servers: 12, Connections: conns, Utilisation: part, GroupWork: true})
+	return fleet(t, Config{Seed: seed, Relays: 80, Servers: 12, Connections: conns, Utilisation: part,
+		GroupWork: true})
 }
 
-// All relays start at once while discovery can work through their calls in no less than 6 s, and most of them
-// are killed and start again with the list that they had. Calls that are given up take discovery's time too: relays
-// that all called within 1.25 s, and again within 0.5 s, 1 s, 2 s, kept each other from the list for 10 s.
+// All relays start at once while discovery can work through their calls in no less than 6 s, and most of
+// them are killed and start again with the list that they had. Calls that are given up take discovery's
+// time too: relays that all called within 1.25 s, and again within 0.5 s, 1 s, 2 s, kept each other from
+// the list for 10 s.
 func TestVastCallsDiscoveryInTurns(t *testing.T) {
 	for seed := range uint64(4) {
 		f := vast(t, seed, 60, 0.4)
@@ -85,9 +87,10 @@
 	}
 }
 
-// On the days that operators fear 80 relays together send no cold server more than makes it fall over, leave few of
-// the new ones idle, and send nothing to a server 500 ms after word that it drains. What makes one fall over is more than
-// N + 3 roots of N + 3 in the time that the settings name, N being what they allow; a tenth of it is left to spare.
+// On the days that operators fear 80 relays together send no cold server more than makes it fall over,
+// leave few of the new ones idle, and send nothing to a server 500 ms after word that it drains. What
+// makes one fall over is more than N + 3 roots of N + 3 in the time that the settings name, N being what
+// they allow; a tenth of it is left to spare.
 func TestVastHardDays(t *testing.T) {
 	some := func(f *Fleet, n int) {
 		for i := range n {
@@ -139,14 +142,15 @@
 			}
 		}
 	}
-	t.Logf("a cold server got %.2f of what makes it fall over, at most; %d of %d new ones idle", most, idle, fresh)
+	t.Logf("a cold server got %.2f of what makes it fall over, at most; %d of %d new ones idle", most, idle,
+		fresh)
 	if most > 0.9 || idle*3 > fresh {
 		t.Errorf("%.2f of what makes a cold server fall over; %d of %d new ones idle", most, idle, fresh)
 	}
 }
 
-// drainOf plays a drain by hand of one of two relays and returns how many requests came to the other meanwhile, and how
-// many of those it refused for want of room.
+// drainOf plays a drain by hand of one of two relays and returns how many requests came to the other
+// meanwhile, and how many of those it refused for want of room.
 func drainOf(t *testing.T, c Config) (asks, refused int, hot float64) {
 	f := fleet(t, c)
 	drains := false
@@ -162,8 +166,8 @@
 	return f.Tally.Counts["asks"] - asks, f.Tally.Counts["refused: no room"] - refused, f.Tally.OverloadedPart()
 }
 
-// While a relay drains, the other takes what comes to both, and takes nobody else to see as much: it used to refuse
-// its peer's clients in bursts, for want of room that nobody else was taking.
+// While a relay drains, the other takes what comes to both, and takes nobody else to see as much: it used
+// to refuse its peer's clients in bursts, for want of room that nobody else was taking.
 func TestDrainingPeerLeavesRoom(t *testing.T) {
 	for _, day := range []struct {
 		servers, conns int
@@ -174,7 +178,8 @@
 		const seeds = 12
 		for seed := range uint64(seeds) {
 			for i, talks := range []bool{false, true} {
-				a, r, h := drainOf(t, Config{Seed: seed, Relays: 2, Servers: day.servers, Connections: day.conns, Utilisation: day.part, GroupWork: true, Peering: talks})
+				a, r, h := drainOf(t, Config{Seed: seed, Relays: 2, Servers: day.servers, Connections: day.conns,
+					Utilisation: day.part, GroupWork: true, Peering: talks})
 				asks[i], refused[i], hot[i] = asks[i]+a, refused[i]+r, hot[i]+h/seeds
 			}
 		}
--- a/internal/simulation/model/network.go
+++ b/internal/simulation/model/network.go
@@ -5,21 +5,23 @@
 	"time"
 
 	"capersail/decide"
+	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
-	"capersail/internal/relay"
 )
 
-// The network between relays: how late packets and findings are. Packets that are lost are the Config's.
+// The network between relays: how late packets and findings are at most. Packets that are lost are the
+// Config's.
 const (
-	maxPacketDelay       = 20.0 // ms that a packet takes at most
-	maxStatusDelay       = 600.0
-	minFailureDelay      = 2000.0 // ms until a relay that is not heard is taken for failed; measured on processes: 2.3 to 2.9 s
-	maxFailureDelay      = 2900.0
-	maxJoinDelay         = 700.0
-	schedulerInterval    = 25 * ms // as the core loop looks whose turn it is
+	maxPacketDelay       = 20 * ms
+	maxStatusDelay       = 600 * ms
+	minFailureDelay      = 2000 * ms // until a relay that is gone is taken for failed
+	maxFailureDelay      = 2900 * ms
+	maxJoinDelay         = 700 * ms
+	schedulerInterval    = 25 * ms // between two steps of a scheduler, as the event loop has them
 	participantsInterval = 100 * ms
 )
 
+// network is what lies between the relays. It draws for itself, so that the other draws stay the same.
 type network struct {
 	cfg       Config
 	rng       *rand.Rand
@@ -30,18 +32,25 @@
 	return n.partition != nil && n.partition[a.index] != n.partition[b.index]
 }
 
-func (n *network) delay(most float64) time.Duration {
-	return relay.Duration(1 + n.rng.Float64()*most)
+// delay draws how late something is.
+func (n *network) delay(most time.Duration) time.Duration {
+	return n.between(ms, ms+most)
 }
 
-// Partition cuts the relays into parts that do not hear each other; nil ends it. Clients and servers stay in reach.
+// between draws a time, in whole microseconds.
+func (n *network) between(least, most time.Duration) time.Duration {
+	return (least + duration.Scale(most-least, n.rng.Float64())).Round(time.Microsecond)
+}
+
+// Partition cuts the relays into parts that do not reach each other; nil ends it. Clients and servers stay
+// in reach.
 func (f *Fleet) Partition(parts []int) {
 	f.network.partition = parts
 	f.detectFailures(nil)
 }
 
-// PartitionZone keeps all relays of other zones from a zone's servers and its relays from all others' servers, and the relays
-// apart; negative ends it.
+// PartitionZone keeps all relays of other zones from a zone's servers and its relays from all others'
+// servers, and the relays apart; negative ends it.
 func (f *Fleet) PartitionZone(zone decide.Zone) {
 	var parts []int
 	for _, r := range f.Relays {
@@ -56,7 +65,7 @@
 }
 
 // sendLater brings something to a relay, unless it is lost, cut off or there is nobody any more.
-func (f *Fleet) sendLater(from, to *Relay, most float64, do func()) {
+func (f *Fleet) sendLater(from, to *Relay, most time.Duration, do func()) {
 	if to == nil || !to.up || f.network.partitioned(from, to) || f.network.rng.Float64() < f.cfg.Loss {
 		return
 	}
@@ -68,8 +77,8 @@
 	})
 }
 
-// detectFailures lets the failure detectors find out who is in reach now, of all relays or of one that has just started or
-// ended: each notices a while later, unless it is over by then.
+// detectFailures lets the failure detectors find out who is in reach now, of all relays or of one that
+// has just started or ended: each notices a while later, unless it is over by then.
 func (f *Fleet) detectFailures(of *Relay) {
 	if !f.cfg.Peering {
 		return
@@ -94,15 +103,16 @@
 	}
 	want, after := membership.Alive, f.network.delay(maxJoinDelay)
 	if !o.up || f.network.partitioned(r, o) {
-		want, after = membership.Failed, relay.Duration(minFailureDelay+f.network.rng.Float64()*(maxFailureDelay-minFailureDelay))
+		want, after = membership.Failed, f.network.between(minFailureDelay, maxFailureDelay)
 	}
 	if r.health[o] == want || want == membership.Failed && r.health[o] == membership.Unknown {
 		return
 	}
-	life, lives := r.incarnation, o.incarnation
+	own, others := r.incarnation, o.incarnation
 	f.After(after, func() {
-		there := o.up && !f.network.partitioned(r, o)
-		if r.up && r.incarnation == life && o.incarnation == lives && there == (want == membership.Alive) && r.health[o] != want {
+		sameLives := r.up && r.incarnation == own && o.incarnation == others
+		reachable := o.up && !f.network.partitioned(r, o)
+		if sameLives && reachable == (want == membership.Alive) && r.health[o] != want {
 			r.health[o] = want
 			f.stepNode(r, membership.PeerHealth{Name: o.Name, Health: want})
 		}
--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -20,7 +20,7 @@
 	scheduler     *probing.Scheduler
 	meter         membership.Meter
 	health        map[*Relay]membership.Health
-	schedulerView *membership.View // that looks has, and of which list
+	schedulerView *membership.View // that the scheduler has, and the change of the list
 	schedulerList int
 }
 
@@ -30,10 +30,8 @@
 // View is the view that it holds.
 func (r *Relay) View() *membership.View { return r.node.View() }
 
-// ProbingReport is what it knows of probes by turns.
-func (r *Relay) ProbingReport() probing.Report { return r.scheduler.Report(r.localTime()) }
-
-// localTime is the time on the relay's clock for membership and probing, which began at another moment than the others'.
+// localTime is the time on the relay's clock for membership and probing, which began at another moment
+// than the others'.
 func (r *Relay) localTime() time.Duration {
 	return duration.Scale(r.fleet.Now, r.clockRate) + 10*time.Second*time.Duration(r.index%7)
 }
@@ -42,48 +40,59 @@
 func (r *Relay) startPeering() {
 	f, life := r.fleet, r.incarnation
 	seed := f.cfg.Seed + uint64(r.index)
-	config := membership.Config{Name: r.Name, BootstrapSlot: r.index, BootstrapSize: f.cfg.Relays, ConfiguredRelays: f.cfg.Relays, Seed: seed}
+	config := membership.Config{
+		Name:             r.Name,
+		BootstrapSlot:    r.index,
+		BootstrapSize:    f.cfg.Relays,
+		ConfiguredRelays: f.cfg.Relays,
+		Seed:             seed,
+	}
 	r.node = membership.New(r.localTime(), config, r.record)
 	r.scheduler = probing.New(r.Name, seed)
 	r.meter, r.health, r.schedulerView = membership.Meter{}, map[*Relay]membership.Health{}, nil
 	f.carryOutNode(r, r.node.Start(r.localTime(), nil))
-	var tick, turn func()
-	var metered, partied time.Duration
-	tick = func() {
-		if !r.up || r.incarnation != life {
-			return
-		}
-		if f.Now >= metered+membership.MeterInterval {
-			metered = f.Now
-			doing := membership.Serving
-			if r.draining {
-				doing = membership.Draining
-			}
-			own := r.meter.LocalState(r.localTime(), doing, r.arrived, r.connections)
-			own.EndpointListGeneration = 1
-			f.stepNode(r, own)
-		}
-		f.stepNode(r, membership.Tick{})
-		f.After(max(duration.Scale(r.node.Next()-r.localTime(), 1/r.clockRate).Round(time.Microsecond), ms), tick)
+	f.After(f.network.delay(maxPacketDelay), func() { f.runMembership(r, life, 0) })
+	f.After(f.network.delay(schedulerInterval), func() { f.runScheduler(r, life, 0) })
+	f.detectFailures(r)
+}
+
+// runMembership lets a relay's membership see the time, now and when it wants to next, while this life of
+// the relay lasts. meteredAt is when the relay last measured what it does.
+func (f *Fleet) runMembership(r *Relay, life int, meteredAt time.Duration) {
+	if !r.up || r.incarnation != life {
+		return
 	}
-	turn = func() {
-		if !r.up || r.incarnation != life {
-			return
+	if f.Now >= meteredAt+membership.MeterInterval {
+		meteredAt = f.Now
+		lifecycle := membership.Serving
+		if r.draining {
+			lifecycle = membership.Draining
 		}
-		if f.Now >= partied+participantsInterval {
-			partied = f.Now
-			r.updateParticipants()
-		}
-		f.stepScheduler(r, probing.Tick{})
-		f.After(schedulerInterval, turn)
+		local := r.meter.LocalState(r.localTime(), lifecycle, r.arrived, r.connections)
+		local.EndpointListGeneration = 1
+		f.stepNode(r, local)
 	}
-	f.After(f.network.delay(20), tick)
-	f.After(f.network.delay(25), turn)
-	f.detectFailures(r)
+	f.stepNode(r, membership.Tick{})
+	next := duration.Scale(r.node.Next()-r.localTime(), 1/r.clockRate).Round(time.Microsecond)
+	f.After(max(next, ms), func() { f.runMembership(r, life, meteredAt) })
 }
 
-// updateParticipants gives the scheduler the members of the view and the servers of the list, when either has changed. As
-// many relays have the same ones, a table is made once.
+// runScheduler lets a relay's scheduler see the time, as the event loop does. checkedAt is when the relay
+// last checked who takes part.
+func (f *Fleet) runScheduler(r *Relay, life int, checkedAt time.Duration) {
+	if !r.up || r.incarnation != life {
+		return
+	}
+	if f.Now >= checkedAt+participantsInterval {
+		checkedAt = f.Now
+		r.updateParticipants()
+	}
+	f.stepScheduler(r, probing.Tick{})
+	f.After(schedulerInterval, func() { f.runScheduler(r, life, checkedAt) })
+}
+
+// updateParticipants gives the scheduler the members of the view and the servers of the list, when either
+// has changed. As many relays have the same ones, a table is made once.
 func (r *Relay) updateParticipants() {
 	view := r.node.View()
 	if view == r.schedulerView && r.listChanges == r.schedulerList {
@@ -100,7 +109,8 @@
 	stamp := fmt.Sprint(view.Hash(), ":")
 	for _, e := range r.list {
 		if e.State == decide.Ready {
-			servers = append(servers, probing.Server{Key: e.RendezvousKey, Zone: strconv.Itoa(int(e.Zone)), Started: int64(e.StartedAt)})
+			zone, started := strconv.Itoa(int(e.Zone)), int64(e.StartedAt)
+			servers = append(servers, probing.Server{Key: e.RendezvousKey, Zone: zone, Started: started})
 			stamp += fmt.Sprint(e.Server, "/", int64(e.StartedAt), " ")
 		}
 	}
@@ -112,7 +122,9 @@
 		table = probing.Assign(relays, servers)
 		r.fleet.tables[stamp] = table
 	}
-	r.fleet.stepScheduler(r, probing.ParticipantsChanged{Relays: relays, Incarnation: uint64(r.incarnation), Servers: servers, Assignment: table})
+	r.fleet.stepScheduler(r, probing.ParticipantsChanged{
+		Relays: relays, Incarnation: uint64(r.incarnation), Servers: servers, Assignment: table,
+	})
 }
 
 // stepScheduler hands an event to a relay's scheduler and does what it wants.
@@ -126,28 +138,41 @@
 			}
 		case probing.UseReading:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: a.Age.Round(time.Microsecond),
-					Report: decide.LoadReport{Load: a.Reading.LoadReport.Load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, nil))
+				report := decide.LoadReport{
+					Load: a.Reading.LoadReport.Load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1,
+				}
+				f.shareReading(r, decide.GossipReading{Server: s.Server, Age: a.Age, Report: report})
 			}
 		case probing.PeerPlacement:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.carryOut(r, r.balancer.Handle(f.Now, decide.GossipReading{Server: s.Server, Age: a.Age.Round(time.Microsecond), PlacementDelta: a.Delta}, nil))
+				f.shareReading(r, decide.GossipReading{Server: s.Server, Age: a.Age, PlacementDelta: a.Delta})
 			}
 		case probing.SendPlacements:
 			f.count("tells of placements")
-			to, rows := f.relayByName(a.To), slices.Clone(a.Rows)
-			f.sendLater(r, to, maxPacketDelay, func() { f.stepScheduler(to, probing.PlacementsReceived{From: r.Name, Rows: rows}) })
+			rows := slices.Clone(a.Rows)
+			f.gossip(r, a.To, probing.PlacementsReceived{From: r.Name, Rows: rows})
 		case probing.Quarantine:
 			f.count("doubts of " + a.Name)
 		case probing.SendReadings:
 			f.count("tells")
-			to := f.relayByName(a.To)
-			batch := slices.Clone(a.Readings)
-			f.sendLater(r, to, maxPacketDelay, func() { f.stepScheduler(to, probing.ReadingsReceived{From: r.Name, Readings: batch}) })
+			readings := slices.Clone(a.Readings)
+			f.gossip(r, a.To, probing.ReadingsReceived{From: r.Name, Readings: readings})
 		}
 	}
 }
 
+// shareReading gives a relay's module what a peer has read or placed.
+func (f *Fleet) shareReading(r *Relay, reading decide.GossipReading) {
+	reading.Age = reading.Age.Round(time.Microsecond) // in which the module's figures are stated
+	f.carryOut(r, r.balancer.Handle(f.Now, reading, nil))
+}
+
+// gossip brings an event to another relay's scheduler.
+func (f *Fleet) gossip(from *Relay, name string, ev probing.Event) {
+	to := f.relayByName(name)
+	f.sendLater(from, to, maxPacketDelay, func() { f.stepScheduler(to, ev) })
+}
+
 // relayNumber is a relay's by its name.
 func relayNumber(name string) int {
 	n, err := strconv.Atoi(name[1:])
@@ -164,18 +189,21 @@
 	f.carryOutNode(r, r.node.Handle(r.localTime(), ev, nil))
 }
 
-func (f *Fleet) carryOutNode(r *Relay, acts []membership.Action) {
-	for _, a := range acts {
+// carryOutNode does what a relay's membership wants.
+func (f *Fleet) carryOutNode(r *Relay, actions []membership.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Save:
 			r.record = a.Record
 		case membership.Send:
 			to := f.relayByName(a.To)
-			f.sendLater(r, to, maxPacketDelay, func() { f.stepNode(to, membership.MessageReceived{From: r.Name, Message: a.Message}) })
+			received := membership.MessageReceived{From: r.Name, Message: a.Message}
+			f.sendLater(r, to, maxPacketDelay, func() { f.stepNode(to, received) })
 		case membership.Publish:
+			received := membership.StatusReceived{Name: r.Name, Status: a.Status}
 			for _, to := range f.Relays {
 				if to != r {
-					f.sendLater(r, to, maxStatusDelay, func() { f.stepNode(to, membership.StatusReceived{Name: r.Name, Status: a.Status}) })
+					f.sendLater(r, to, maxStatusDelay, func() { f.stepNode(to, received) })
 				}
 			}
 		}
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -9,8 +9,8 @@
 	"capersail/internal/relay"
 )
 
-// Relay is one relay: the module, and where relays know each other the deciders of membership and probing, as its core loop
-// has them.
+// Relay is one relay: the module, and where relays know each other the deciders of membership and
+// probing, as its core loop has them.
 type Relay struct {
 	Name   string
 	Zone   decide.Zone
@@ -23,7 +23,7 @@
 	balancer     *decide.Balancer
 	up           bool
 	incarnation  int               // it was started so many times; what was meant for an earlier life is dropped
-	drainKnownAt []time.Duration   // when it was told that a server takes nothing new, -1 if it does
+	drainKnownAt []time.Duration   // by server: when it got to know that it drains, -1 if it does not
 	list         []decide.Endpoint // its list of servers
 	listChanges  int               // changes of it
 	watches      bool
@@ -47,7 +47,9 @@
 func (f *Fleet) Start(r *Relay, known []decide.Endpoint) {
 	set := f.settings
 	set.RelayIndex, set.Zone = r.index, r.Zone
-	r.up, r.watches, r.draining, r.drainKnownAt, r.list, r.arrived, r.connections = true, false, false, nil, nil, 0, 0
+	r.up, r.watches, r.draining = true, false, false
+	r.drainKnownAt, r.list = nil, nil
+	r.arrived, r.connections = 0, 0
 	r.incarnation++
 	r.balancer = decide.New(set, uint64(f.Now)+uint64(r.index))
 	if f.cfg.Peering {
@@ -56,12 +58,6 @@
 	f.deliverList(r, decide.Cached, known)
 }
 
-// Up tells whether it runs.
-func (r *Relay) Up() bool { return r.up }
-
-// Connections is how many connections it holds.
-func (r *Relay) Connections() int { return r.connections }
-
 // Kill ends a relay with all that it holds; its clients come again.
 func (f *Fleet) Kill(r *Relay) {
 	r.up = false
@@ -85,37 +81,64 @@
 		return
 	}
 	if f.cfg.Peering {
-		own := r.localTime()
-		word := relay.ToFleetStatus(f.Now, own, r.node.Estimate(own), nil)
-		word.SharesReadings = r.scheduler.HasPeers()
-		word.SharesPlacements = word.SharesPlacements && word.SharesReadings && !f.cfg.GuessPlacements
-		f.carryOut(r, r.balancer.Handle(f.Now, word, nil))
-		if o, ok := ev.(decide.Outcome); ok && !f.cfg.GuessPlacements {
-			f.stepScheduler(r, probing.LocalPlacement{ServerKey: f.Servers[o.Server].RendezvousKey, Delta: -1})
+		f.deliverFleetStatus(r)
+		f.shareEvent(r, ev)
+	}
+	f.carryOut(r, r.balancer.Handle(f.Now, ev, nil))
+}
+
+// deliverFleetStatus gives a relay's module what its membership knows of the fleet.
+func (f *Fleet) deliverFleetStatus(r *Relay) {
+	own := r.localTime()
+	status := relay.ToFleetStatus(f.Now, own, r.node.Estimate(own), nil)
+	status.SharesReadings = r.scheduler.HasPeers()
+	status.SharesPlacements = status.SharesPlacements && status.SharesReadings && !f.cfg.GuessPlacements
+	f.carryOut(r, r.balancer.Handle(f.Now, status, nil))
+}
+
+// shareEvent gives a relay's scheduler what of an event its peers are to know.
+func (f *Fleet) shareEvent(r *Relay, ev decide.Event) {
+	switch e := ev.(type) {
+	case decide.Outcome:
+		f.sharePlacement(r, e.Server, -1)
+	case decide.ProbeResult:
+		if e.Status != decide.OK {
+			return
 		}
-		if p, ok := ev.(decide.ProbeResult); ok && p.Status == decide.OK {
-			load := p.Report.Load
-			if r.Lies != nil {
-				load = *r.Lies
-			}
-			f.stepScheduler(r, probing.OwnReading{ServerKey: f.Servers[p.Server].RendezvousKey, LoadReport: probing.LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1}})
+		load := e.Report.Load
+		if r.Lies != nil {
+			load = *r.Lies
 		}
+		f.stepScheduler(r, probing.OwnReading{
+			ServerKey:  f.Servers[e.Server].RendezvousKey,
+			LoadReport: probing.LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1},
+		})
+	}
+}
+
+// sharePlacement lets a relay's peers know that it has sent a connection to a server, or that one has
+// ended there.
+func (f *Fleet) sharePlacement(r *Relay, id decide.ServerID, delta int) {
+	if f.cfg.Peering && !f.cfg.GuessPlacements {
+		f.stepScheduler(r, probing.LocalPlacement{ServerKey: f.Servers[id].RendezvousKey, Delta: delta})
 	}
-	f.carryOut(r, r.balancer.Handle(f.Now, ev, nil))
 }
 
+// deliverLater passes an event on after a while, if the relay still lives the same life.
 func (f *Fleet) deliverLater(r *Relay, d time.Duration, ev decide.Event) {
 	life := r.incarnation
 	f.After(d, func() { f.deliver(r, life, ev) })
 }
 
+// deliverList gives a relay the endpoint list, or what has changed in it.
 func (f *Fleet) deliverList(r *Relay, kind decide.WatchKind, list []decide.Endpoint) {
 	for _, e := range list {
 		for int(e.Server) >= len(r.drainKnownAt) {
 			r.drainKnownAt = append(r.drainKnownAt, -1)
 			r.list = append(r.list, decide.Endpoint{})
 		}
-		if r.list[e.Server] = e; e.State == decide.Ready {
+		r.list[e.Server] = e
+		if e.State == decide.Ready {
 			r.drainKnownAt[e.Server] = -1
 		} else if r.drainKnownAt[e.Server] < 0 {
 			r.drainKnownAt[e.Server] = f.Now
@@ -125,8 +148,9 @@
 	f.deliver(r, r.incarnation, decide.WatchEvent{Kind: kind, Endpoints: list})
 }
 
-func (f *Fleet) carryOut(r *Relay, acts []decide.Action) {
-	for _, a := range acts {
+// carryOut does what a relay's module wants.
+func (f *Fleet) carryOut(r *Relay, actions []decide.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case decide.Timer:
 			f.deliverLater(r, a.After, decide.TimerFired{Token: a.Token})
@@ -135,9 +159,7 @@
 		case decide.Probe:
 			f.probe(r, f.Servers[a.Server])
 		case decide.Forward:
-			if f.cfg.Peering && !f.cfg.GuessPlacements {
-				f.stepScheduler(r, probing.LocalPlacement{ServerKey: f.Servers[a.Server].RendezvousKey, Delta: 1})
-			}
+			f.sharePlacement(r, a.Server, 1)
 			f.send(r, a)
 		case decide.Migrate:
 			f.count("moves")
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -7,13 +7,16 @@
 	"capersail/decide"
 )
 
+// setupLatency is how long a connection takes to open.
+const setupLatency = 20 * ms
+
 // State is how a server fares.
 type State uint8
 
 // The states.
 const (
 	Healthy State = iota
-	Dead          // refuses connections
+	Dead          // rejects connections
 	Silent        // answers nothing
 	Failing       // answers with errors
 )
@@ -50,18 +53,34 @@
 	return n >= s.MaxConnections
 }
 
-// AddServer adds a server, started at a time or long ago. Nobody is told.
+// rendezvousFactor spreads the servers' keys; rendezvousInverse is its inverse modulo 1<<64.
+const (
+	rendezvousFactor  = 0x9e3779b97f4a7c15
+	rendezvousInverse = 0xf1de83e19937733d
+)
+
+// AddServer adds a server, started at a time or long ago. No relay is notified.
 func (f *Fleet) AddServer(zone decide.Zone, since time.Duration) *Server {
 	id := decide.ServerID(len(f.Servers))
-	s := &Server{Endpoint: decide.Endpoint{Server: id, State: decide.Ready, Zone: zone, Cell: int32(zone), RendezvousKey: (uint64(id) + 1) * 0x9e3779b97f4a7c15, StartedAt: since},
-		Capacity: 1, born: f.Now, connections: map[*client]bool{}, probeConnections: map[*Relay]time.Duration{}, idleSince: f.Now}
+	s := &Server{
+		Endpoint: decide.Endpoint{
+			Server: id, State: decide.Ready, Zone: zone, Cell: int32(zone),
+			RendezvousKey: (uint64(id) + 1) * rendezvousFactor, StartedAt: since,
+		},
+		Capacity:         1,
+		born:             f.Now,
+		connections:      map[*client]bool{},
+		probeConnections: map[*Relay]time.Duration{},
+		idleSince:        f.Now,
+	}
 	f.Servers = append(f.Servers, s)
 	f.discovery.list = append(f.discovery.list, s.Endpoint)
 	return s
 }
 
-func (f *Fleet) serverByKey(spot uint64) *Server {
-	i := int(spot*0xf1de83e19937733d) - 1 // the inverse of the factor that AddServer makes keys with
+// serverByKey is the server of a key, nil for none.
+func (f *Fleet) serverByKey(key uint64) *Server {
+	i := int(key*rendezvousInverse) - 1
 	if i < 0 || i >= len(f.Servers) {
 		return nil
 	}
@@ -88,7 +107,7 @@
 // FailWithErrors makes a server answer all with errors.
 func (f *Fleet) FailWithErrors(s *Server) { s.state = Failing }
 
-// Replace drains a server, brings a cold one in its zone, and stops the old one.
+// Replace drains a server, brings one in slow start in its zone, and stops the old one.
 func (f *Fleet) Replace(s *Server, drain time.Duration) {
 	f.Announce(s, decide.Draining)
 	for _, c := range f.sortedClients() { // it asks its clients to leave, one by one
@@ -104,10 +123,12 @@
 }
 
 func (f *Fleet) slowStartFactor(s *Server) float64 {
-	if cold := f.Now - s.StartedAt; s.StartedAt > 0 && cold < f.settings.Rules.SlowStartWindow {
-		return f.settings.Rules.SlowStartCapacity + (1-f.settings.Rules.SlowStartCapacity)*float64(cold)/float64(f.settings.Rules.SlowStartWindow)
+	rules := f.settings.Rules
+	age := f.Now - s.StartedAt
+	if s.StartedAt == 0 || age >= rules.SlowStartWindow {
+		return 1
 	}
-	return 1
+	return rules.SlowStartCapacity + (1-rules.SlowStartCapacity)*float64(age)/float64(rules.SlowStartWindow)
 }
 
 // Utilisation is what is asked of a server now, over what it can do now.
@@ -168,7 +189,10 @@
 	over := func(took time.Duration, how decide.Status) {
 		f.count(how.String())
 		c.server = nil
-		f.deliverLater(r, took, decide.Outcome{ID: a.ID, Attempt: c.attempt, Server: s.Server, Status: how, Elapsed: took, Report: decide.NoLoadReport})
+		f.deliverLater(r, took, decide.Outcome{
+			ID: a.ID, Attempt: c.attempt, Server: s.Server,
+			Status: how, Elapsed: took, Report: decide.NoLoadReport,
+		})
 	}
 	switch {
 	case s.state == Dead:
@@ -189,6 +213,8 @@
 		f.noteSlowStartSend(s)
 		c.endsAt = f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime))
 		f.Tally.Waits = append(f.Tally.Waits, f.Now-c.openedAt)
-		f.deliverLater(r, 20*ms, decide.Opened{ID: a.ID, Attempt: c.attempt, Server: s.Server, SetupLatency: 20 * ms})
+		f.deliverLater(r, setupLatency, decide.Opened{
+			ID: a.ID, Attempt: c.attempt, Server: s.Server, SetupLatency: setupLatency,
+		})
 	}
 }
--- a/internal/simulation/model/tally.go
+++ b/internal/simulation/model/tally.go
@@ -12,14 +12,15 @@
 // Tally is what all relays did together.
 type Tally struct {
 	Counts           map[string]int
-	SlowStartOverrun float64         // most that a cold server was sent, as a part of what makes it fall over
-	LatestDrainSend  time.Duration   // longest after word of a drain that something new was sent
+	SlowStartOverrun float64         // most that a server in slow start was sent, as a part of what overloads it
+	LatestDrainSend  time.Duration   // longest after a drain was known that something new was sent
 	Served           time.Duration   // connection time in all
 	Overloaded       time.Duration   // and on servers asked for more than they can do
-	Waits            []time.Duration // from a client's first try to its connection
+	Waits            []time.Duration // from a client's first attempt to its connection
 	DiscoveryCalls   []time.Duration // when discovery was called
 	MaxBudgetShares  float64         // the greatest sum of the relays' shares of a budget
-	LongestIdle      time.Duration   // longest that a server held nothing while clients were refused for want of room
+	// longest that a server held nothing while clients were rejected for want of capacity
+	LongestIdle time.Duration
 }
 
 // MaxCallRate is the greatest number of calls to discovery in any second.
@@ -42,11 +43,13 @@
 }
 
 func (t *Tally) String() string {
-	return fmt.Sprintf("counts %v; overrun %.2f; late send %s; hot %.3f; idle %s; shares %.3f", t.Counts, t.SlowStartOverrun, t.LatestDrainSend, t.OverloadedPart(), t.LongestIdle, t.MaxBudgetShares)
+	return fmt.Sprintf("counts %v; overrun %.2f; late send %s; hot %.3f; idle %s; shares %.3f",
+		t.Counts, t.SlowStartOverrun, t.LatestDrainSend, t.OverloadedPart(), t.LongestIdle, t.MaxBudgetShares)
 }
 
-// noteSlowStartSend counts what a cold server is sent, as the operators' stricter acceptance has the rule: within a window, against
-// a multiple of what fills it over its warm-up, with two roots and two put down to chance.
+// noteSlowStartSend counts what a server in slow start is sent, as the operators' stricter acceptance has the
+// rule: within a window, against a multiple of what fills it over its warm-up, with two roots and two put
+// down to chance.
 func (f *Fleet) noteSlowStartSend(s *Server) {
 	rules := f.settings.Rules
 	cold := f.Now - s.StartedAt
@@ -54,13 +57,15 @@
 		return
 	}
 	s.recentSends = append(s.recentSends, f.Now)
-	s.recentSends = slices.DeleteFunc(s.recentSends, func(at time.Duration) bool { return f.Now-at > rules.OverloadWindow })
-	room := rules.OverloadFactor * f.slowStartFactor(s) * rules.OverloadWindow.Seconds() / (f.connectionLoad * rules.SlowStartWindow.Seconds())
-	room += 2*math.Sqrt(room) + 2
-	f.Tally.SlowStartOverrun = max(f.Tally.SlowStartOverrun, float64(len(s.recentSends))/room)
+	past := func(at time.Duration) bool { return f.Now-at > rules.OverloadWindow }
+	s.recentSends = slices.DeleteFunc(s.recentSends, past)
+	window, warmUp := rules.OverloadWindow.Seconds(), rules.SlowStartWindow.Seconds()
+	allowed := rules.OverloadFactor * f.slowStartFactor(s) * window / (f.connectionLoad * warmUp)
+	allowed += 2*math.Sqrt(allowed) + 2
+	f.Tally.SlowStartOverrun = max(f.Tally.SlowStartOverrun, float64(len(s.recentSends))/allowed)
 }
 
-// noteRejection counts a refusal, and how long servers have stood idle that could have taken it.
+// noteRejection counts a rejection, and how long servers have stood idle that could have taken it.
 func (f *Fleet) noteRejection(why decide.RejectReason) {
 	f.count("refused: " + why.String())
 	for _, s := range f.Servers {
--- a/internal/simulation/network/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -37,7 +37,8 @@
 	return e.WriteToAddress(b, memberlist.Address{Addr: to})
 }
 
-// WriteToAddress is memberlist's. A packet that is lost on its way has been sent, and is counted at its sender.
+// WriteToAddress is memberlist's. A packet that is lost on its way has been sent, and is counted at its
+// sender.
 func (e *endpoint) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	now := time.Now()
 	n := e.network
@@ -80,7 +81,8 @@
 	return e.DialAddressTimeout(memberlist.Address{Addr: to}, timeout)
 }
 
-// DialAddressTimeout is memberlist's. A process that is not there refuses at once, one behind a cut does not answer.
+// DialAddressTimeout is memberlist's. A process that is not there rejects at once, one behind a cut does
+// not answer.
 func (e *endpoint) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	n := e.network
 	peer, reachable := n.route(e, to.Addr)
--- a/internal/simulation/network/meter.go
+++ b/internal/simulation/network/meter.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// What a packet and a connection cost beside their payload on an IPv4 network, so that budgets for a wire can be held against
-// what a relay writes: IP and UDP headers; and for a connection its set-up, end and acknowledgements at each of its two ends.
+// What a packet and a connection cost beside their payload on an IPv4 network, so that budgets for a wire
+// can be held against what a relay writes: IP and UDP headers; and for a connection its set-up, end and
+// acknowledgements at each of its two ends.
 const (
 	PacketHeader     = 28
 	ConnectionHeader = 320
@@ -55,7 +56,8 @@
 	Seconds []Sample // whole ones only
 }
 
-// Percentile is the value that the given part of all whole seconds stay at or below, by a measure of a Sample.
+// Percentile is the value that the given part of all whole seconds stay at or below, by a measure of a
+// Sample.
 func (r Record) Percentile(part float64, of func(Sample) int) int {
 	if len(r.Seconds) == 0 {
 		return 0
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -1,6 +1,7 @@
-// Package network is a simulated network in memory for tests of many relays in one process. It carries memberlist's packets
-// and streams between endpoints that have a place, with delay, loss and partitions, and counts what goes in and out of each
-// endpoint, by the second. It uses nothing but package time, so that it runs in the virtual time of testing/synctest too.
+// Package network is a simulated network in memory for tests of many relays in one process. It carries
+// memberlist's packets and streams between endpoints that have a place, with delay, loss and partitions,
+// and counts what goes in and out of each endpoint, by the second. It uses nothing but package time, so
+// that it runs in the virtual time of testing/synctest too.
 package network
 
 import (
@@ -24,9 +25,6 @@
 // Selector tells whether an endpoint is meant.
 type Selector func(address string, place Place) bool
 
-// Everybody selects all endpoints.
-func Everybody(string, Place) bool { return true }
-
 // InRegion selects a region's endpoints.
 func InRegion(region string) Selector {
 	return func(_ string, p Place) bool { return p.Region == region }
@@ -40,23 +38,24 @@
 	return func(address string, p Place) bool { return !other(address, p) }
 }
 
-// Config is what a Network is told.
+// Config is what a Network is configured with.
 type Config struct {
 	// Place tells where an address stands; nil for one place.
 	Place func(address string) Place
 	// Delay is how long a packet takes one way; nil for none.
 	Delay func(from, to Place) time.Duration
-	// Inspect sees each packet that is sent, lost or not, before it is copied; nil for nobody. It must not keep or change it.
+	// Inspect sees each packet that is sent, lost or not, before it is copied; nil for nobody. It must not
+	// keep or change it.
 	Inspect func(from string, packet []byte)
-	// InspectStream sees how much is written to a stream at a time, and how the first message on it began (nil while only a
-	// label was written); nil for nobody.
+	// InspectStream sees how much is written to a stream at a time, and how the first message on it began
+	// (nil while only a label was written); nil for nobody.
 	InspectStream func(from string, opening []byte, written int)
 }
 
 // Network is the simulated network. It is safe for use by many goroutines.
 type Network struct {
 	cfg     Config
-	loss    atomic.Uint64 // in parts of lossWhole
+	loss    atomic.Uint64 // in parts of lossScale
 	started atomic.Int64  // of the recording, Unix ns; 0 for none
 	delayed delayQueue
 
@@ -84,7 +83,13 @@
 
 // New returns a network without endpoints.
 func New(c Config) *Network {
-	n := &Network{cfg: c, endpoints: map[string]*endpoint{}, meters: map[string]*meter{}, down: map[string]bool{}, cuts: map[string]cut{}}
+	n := &Network{
+		cfg:       c,
+		endpoints: map[string]*endpoint{},
+		meters:    map[string]*meter{},
+		down:      map[string]bool{},
+		cuts:      map[string]cut{},
+	}
 	n.delayed.slots = map[int64]*slot{}
 	return n
 }
@@ -96,7 +101,13 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &endpoint{network: n, address: address, from: from, packets: make(chan *memberlist.Packet, packetQueueSize), streams: make(chan net.Conn, streamQueueSize)}
+	e := &endpoint{
+		network: n,
+		address: address,
+		from:    from,
+		packets: make(chan *memberlist.Packet, packetQueueSize),
+		streams: make(chan net.Conn, streamQueueSize),
+	}
 	if n.cfg.Place != nil {
 		e.place = n.cfg.Place(address)
 	}
@@ -116,8 +127,8 @@
 // SetLoss sets which part of all packets is lost, 0 to 1.
 func (n *Network) SetLoss(part float64) { n.loss.Store(uint64(part * lossScale)) }
 
-// SetDown takes an endpoint off the network, as if its process had died, or brings it back: its packets are lost, connections to it
-// are refused.
+// SetDown takes an endpoint off the network, as if its process had died, or brings it back: its packets
+// are lost, connections to it are rejected.
 func (n *Network) SetDown(address string, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,7 +139,8 @@
 	}
 }
 
-// Cut stops packets and new connections from some endpoints to others, one way, until Heal is called with the same name.
+// Cut stops packets and new connections from some endpoints to others, one way, until Heal is called with
+// the same name.
 func (n *Network) Cut(name string, from, to Selector) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -153,7 +165,8 @@
 // Overflowed is how many packets came to endpoints that had no room: their processes are too slow.
 func (n *Network) Overflowed() uint64 { return n.overflowed.Load() }
 
-// route finds the endpoint at an address; reachable is false where nothing comes through to it from the sender.
+// route finds the endpoint at an address; reachable is false where nothing comes through to it from the
+// sender.
 func (n *Network) route(from *endpoint, to string) (peer *endpoint, reachable bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/simulation/network/simnet_test.go
+++ b/internal/simulation/network/network_test.go
@@ -131,8 +131,8 @@
 	})
 }
 
-// Bytes and messages are counted by the second, both ways, in packets and in streams; and an endpoint that is started again goes on
-// with its address's figures.
+// Bytes and messages are counted by the second, both ways, in packets and in streams; and an endpoint
+// that is started again goes on with its address's figures.
 func TestRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var opening atomic.Value
@@ -172,7 +172,8 @@
 				t.Errorf("second %d: %+v, want %+v", i, s, want[i])
 			}
 		}
-		if in := all[1].Total; in.BytesIn != 8 || in.PacketsIn != 2 || in.StreamIn != 8 || in.WireIn() != 16+2*PacketHeader {
+		if in := all[1].Total; in.BytesIn != 8 || in.PacketsIn != 2 || in.StreamIn != 8 ||
+			in.WireIn() != 16+2*PacketHeader {
 			t.Errorf("in: %+v", in)
 		}
 		if all[0].Percentile(1, Sample.Out) != 8 || all[0].Percentile(0.5, Sample.Out) != 5 {
