--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Every problem is told, each with its key.
+// Every problem is reported, each with its key.
 func TestCheckTellsEveryProblem(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -12,11 +12,11 @@
 func (n *network) enter(g *group, plan cellplan.Plan) {
 	g.plan, g.hash, g.names = plan.Number, plan.Hash(), plan.Names()
 	g.epoch++
-	n.after(15*second, func() { g.entered = plan.Number })
+	n.after(15*second, func() { g.joinedPlan = plan.Number })
 }
 
-// A plan is opened nowhere before every cell has joined it, and everywhere soon after, while packets are
-// lost, doubled, held up and told again, and one cell is cut off for a while.
+// A plan is activated nowhere before every cell has joined it, and everywhere soon after, while packets are
+// lost, doubled, held up and sent again, and one cell is cut off for a while.
 func TestPlanActivatesAfterAllHaveJoined(t *testing.T) {
 	for seed := range uint64(4) {
 		n := fleetOf(t, seed, []int{2, 2}, 2, 3)
@@ -27,7 +27,7 @@
 		n.check = func() {
 			all := true
 			for _, g := range n.cells {
-				all = all && g.entered >= next.Number
+				all = all && g.joinedPlan >= next.Number
 			}
 			for _, r := range n.byName {
 				early = early || !all && r.coordinator.ActivatedPlan() >= next.Number
@@ -41,7 +41,7 @@
 				n.after(duration.Scale(30*second, n.draw.Float64()), func() { n.enter(g, next) })
 			}
 			n.pass(50 * second)
-			n.kill(n.cells[0].speaker())
+			n.kill(n.cells[0].representative())
 			n.pass(10 * second)
 			if open := n.openAt(number); open != 0 {
 				t.Fatalf("seed %d: %d relays hold plan %d for open while a cell is cut off", seed, open, number)
@@ -59,7 +59,7 @@
 			}
 		}
 		if early {
-			t.Errorf("seed %d: a plan was opened before all cells had entered it", seed)
+			t.Errorf("seed %d: a plan was activated before all cells had joined it", seed)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 // another table.
 func TestEvidenceIsMonotone(t *testing.T) {
 	c, plan := one(t)
-	entered := func(number, hash uint64) LocalCell {
+	joined := func(number, hash uint64) LocalCell {
 		return LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: number, PlanHash: hash,
 			Cells: plan.Names(), JoinedPlan: number}
 	}
@@ -101,10 +101,10 @@
 	other := plan
 	other.HomeShare = 0.5
 	c.Handle(0, SummaryReceived{Summary: heardFrom(other, "b", 4)}, nil)
-	c.Handle(0, entered(2, plan.Hash()), nil)
+	c.Handle(0, joined(2, plan.Hash()), nil)
 	c.Handle(0, SummaryReceived{Summary: old}, nil)
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("open without a word of cell c")
+		t.Fatal("activated though nothing came from cell c")
 	}
 	wrong := heardFrom(other, "c", 1)
 	out := c.Handle(0, SummaryReceived{Summary: wrong}, nil)
@@ -120,7 +120,7 @@
 		}
 	}
 	if mismatches != 1 {
-		t.Error("the mismatch is told", mismatches, "times")
+		t.Error("the mismatch is reported", mismatches, "times")
 	}
 	waiting := heardFrom(plan, "c", 3) // it holds the plan, but somebody may still act by the one before
 	waiting.JoinedPlan = 1
@@ -130,9 +130,9 @@
 	}
 	c.Handle(0, SummaryReceived{Summary: heardFrom(plan, "c", 2)}, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Fatal("an overtaken packet's word is true too, but it isn't counted")
+		t.Fatal("what an overtaken packet says is true too, but it isn't counted")
 	}
-	c.Handle(0, entered(3, 77), nil)
+	c.Handle(0, joined(3, 77), nil)
 	c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: "a-0", Incarnation: 1,
 		Seq: 1, ActivatedPlan: 1}}, nil)
 	if c.ActivatedPlan() != 2 {
@@ -159,16 +159,16 @@
 	c.Handle(0, l, nil)
 	c.Handle(0, SummaryReceived{Summary: heardFrom(plan, "gone", 1)}, nil)
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("open though this cell hasn't entered the plan")
+		t.Fatal("activated though this cell hasn't joined the plan")
 	}
 	l.JoinedPlan = 2
 	c.Handle(0, l, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Error("not open though all have entered")
+		t.Error("not activated though all have joined")
 	}
 }
 
-// A cell that has joined a later plan has been through the one before, also when old word of it comes after.
+// A cell that has joined a later plan has been through the one before, also when an old summary comes after.
 func TestLaterPlanCounts(t *testing.T) {
 	c, plan := one(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
@@ -182,11 +182,11 @@
 	}
 	c.Handle(0, SummaryReceived{Summary: heardFrom(plan, "c", 1)}, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Error("old word takes back that a cell is past the plan")
+		t.Error("an old summary takes back that a cell is past the plan")
 	}
 }
 
-// A view that names more cells than are kept is never opened.
+// A view that names more cells than are kept is never activated.
 func TestTooManyCellsNeverActivate(t *testing.T) {
 	c, plan := one(t)
 	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
@@ -199,12 +199,12 @@
 		c.Handle(0, SummaryReceived{Summary: heardFrom(plan, name, 1)}, nil)
 	}
 	if c.ActivatedPlan() != 0 || len(c.remotes) != 2 {
-		t.Error("opened", c.ActivatedPlan(), "with", len(c.remotes), "cells kept")
+		t.Error("activated", c.ActivatedPlan(), "with", len(c.remotes), "cells kept")
 	}
 }
 
-// A plan that only cells founded by it have joined is not open: none of them knows who held a part by
-// the plan before. Once one is heard that has come from there, it is.
+// A plan that only cells bootstrapped by it have joined is not activated: none of them knows who held a
+// part by the plan before. Once one is known that has come from there, it is.
 func TestBootstrappedCellsAloneNeverActivate(t *testing.T) {
 	c, plan := one(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
@@ -219,6 +219,6 @@
 	}
 	c.Handle(0, SummaryReceived{Summary: heardFrom(plan, "b", 2)}, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Error("not open though one has come from the plan before, and all have entered")
+		t.Error("not activated though one has come from the plan before, and all have joined")
 	}
 }
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -27,7 +27,7 @@
 		for i := range 10 {
 			g := n.cells[n.draw.IntN(len(n.cells))]
 			n.pass(duration.Scale(15*second, n.draw.Float64()))
-			victim := g.speaker()
+			victim := g.representative()
 			if i%2 == 1 {
 				victim = g.relays[len(g.relays)-1]
 			}
@@ -36,7 +36,7 @@
 			}
 			n.kill(victim)
 			deaths++
-			took := n.until(60*second, func() bool { return n.known(g) })
+			took := n.until(60*second, func() bool { return n.knownEverywhere(g) })
 			all := took + n.until(60*second, n.agreed)
 			slowest, whole = max(slowest, took), max(whole, all)
 			if took > deathKnownWithin || all > 3*Round(len(n.cells)) {
@@ -72,8 +72,8 @@
 	n.pass(120 * second)
 	n.cut = cut
 	n.pass(10 * second)
-	n.kill(n.cells[0].speaker())
-	n.kill(n.cells[20].speaker())
+	n.kill(n.cells[0].representative())
+	n.kill(n.cells[20].representative())
 	n.pass(590 * second)
 	if n.agreed() || n.changes[CellLost] == 0 {
 		t.Fatal("the cut isn't seen")
@@ -89,9 +89,9 @@
 		after := busiest(g.sent, heal, n.now)
 		most = max(most, float64(after)/float64(max(calm, 1)))
 		packets = max(packets, after)
-		directories = max(directories, busiest(g.gossiped, heal, n.now))
+		directories = max(directories, busiest(g.published, heal, n.now))
 	}
-	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; a speaker's busiest second %d packets and %d directories, %.2f of its busiest at rest",
+	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; a representative's busiest second %d packets and %d directories, %.2f of its busiest at rest",
 		took.Seconds(), fresh.Seconds(), packets, directories, most)
 	if took+fresh > 20*second {
 		t.Errorf("agreed after %.1f s, fresh %.1f s later", took.Seconds(), fresh.Seconds())
@@ -101,10 +101,10 @@
 	}
 }
 
-// fresh tells whether every representative has heard of every cell since a moment.
+// fresh tells whether every representative has a summary of every cell since a moment.
 func (n *network) fresh(since time.Duration) bool {
 	for _, g := range n.cells {
-		for _, r := range g.speaker().coordinator.remotes {
+		for _, r := range g.representative().coordinator.remotes {
 			if r.summaryAt < since {
 				return false
 			}
@@ -126,7 +126,7 @@
 		n.pass(100 * second)
 		sent := during(n.cells[0].sent, from, n.now)
 		rates[len(n.cells)] = float64(sent) / 100
-		t.Logf("%d cells: %.2f packets a second of a speaker, at most %d in one; a round takes %.1f s",
+		t.Logf("%d cells: %.2f packets a second of a representative, at most %d in one; a round takes %.1f s",
 			len(n.cells), rates[len(n.cells)],
 			busiest(n.cells[0].sent, from, n.now), Round(len(n.cells)).Seconds())
 	}
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -23,7 +23,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		plan := drawnPlan(3, 2)
 		c := New(0, Config{Name: "relay-0", Cell: "cell-0", Incarnation: 1, Plan: plan})
-		now, opened := time.Duration(0), uint64(0)
+		now, activated := time.Duration(0), uint64(0)
 		for ; len(text) >= 4; text = text[4:] {
 			now += (time.Duration(text[3]) - 40) * 100 * time.Millisecond
 			sent := 0
@@ -40,10 +40,11 @@
 			}
 			c.Report(now)
 			c.Others(now)
-			if sent > 1 || len(c.remotes) > 16+16 || len(c.cellNames) != len(c.remotes) || c.ActivatedPlan() < opened {
-				t.Fatal(sent, len(c.remotes), len(c.cellNames), c.ActivatedPlan(), opened)
+			if sent > 1 || len(c.remotes) > 16+16 || len(c.cellNames) != len(c.remotes) ||
+				c.ActivatedPlan() < activated {
+				t.Fatal(sent, len(c.remotes), len(c.cellNames), c.ActivatedPlan(), activated)
 			}
-			opened = c.ActivatedPlan()
+			activated = c.ActivatedPlan()
 			for _, r := range c.remotes {
 				if len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins {
 					t.Fatal("memory of a cell grows")
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -39,17 +39,17 @@
 
 // group is a cell with what its view says.
 type group struct {
-	name    string
-	region  string
-	relays  []*relay
-	padding int // members that aren't simulated
-	epoch   uint64
-	plan    uint64
-	hash    uint64
-	entered uint64
-	names   []string // of the view's Allocation
-
-	sent, gossiped []time.Duration // when its relays sent summaries to other cells, and directories
+	name       string
+	region     string
+	relays     []*relay
+	padding    int // members that aren't simulated
+	epoch      uint64
+	plan       uint64
+	hash       uint64
+	joinedPlan uint64
+	names      []string // of the view's Allocation
+
+	sent, published []time.Duration // when its relays sent summaries to other cells, and directories
 }
 
 type relay struct {
@@ -100,15 +100,15 @@
 		t.Fatal(err)
 	}
 	for _, g := range n.cells {
-		g.plan, g.entered, g.hash, g.names = 1, 1, n.plan.Hash(), n.plan.Names()
+		g.plan, g.joinedPlan, g.hash, g.names = 1, 1, n.plan.Hash(), n.plan.Names()
 		for _, r := range g.relays {
 			n.start(r)
 		}
-		n.tell(g)
+		n.updateCell(g)
 	}
 	n.every(second, func() {
 		for _, g := range n.cells {
-			n.tell(g)
+			n.updateCell(g)
 		}
 	})
 	return n
@@ -155,10 +155,10 @@
 func (n *network) pass(span time.Duration) { n.until(span, func() bool { return false }) }
 
 // until lets time pass until something holds, and returns how long that took; duration.Forever if it
-// didn't within the limit. It looks every tenth of a second.
+// didn't within the limit. It checks every tenth of a second.
 func (n *network) until(limit time.Duration, holds func() bool) time.Duration {
 	from := n.now
-	look := n.now
+	nextCheck := n.now
 	for len(n.events) > 0 && n.events[0].at <= from+limit {
 		e := heap.Pop(&n.events).(event)
 		n.now = e.at
@@ -166,10 +166,10 @@
 		if n.check != nil {
 			n.check()
 		}
-		if n.now < look {
+		if n.now < nextCheck {
 			continue
 		}
-		look = n.now + second/10
+		nextCheck = n.now + second/10
 		if holds() {
 			return n.now - from
 		}
@@ -182,7 +182,7 @@
 func (n *network) local(r *relay) LocalCell {
 	g := r.group
 	l := LocalCell{Members: g.members(), Serving: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash,
-		Cells: g.names, JoinedPlan: g.entered,
+		Cells: g.names, JoinedPlan: g.joinedPlan,
 		RequestRate: 100 * float64(g.members()), OpenConnections: 1000 * g.members()}
 	for _, other := range g.relays {
 		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address, Alive: r.believes(other)})
@@ -199,7 +199,7 @@
 	return count + g.padding
 }
 
-func (g *group) speaker() *relay {
+func (g *group) representative() *relay {
 	for _, r := range g.relays {
 		if r.up {
 			return r
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// tell tells the relays of a cell how it is.
-func (n *network) tell(g *group) {
+// updateCell tells the relays of a cell how it is.
+func (n *network) updateCell(g *group) {
 	for _, r := range g.relays {
 		n.handle(r, n.local(r))
 	}
@@ -248,7 +248,7 @@
 	case ForwardSummary:
 		n.packet(r, n.byName[a.To], SummaryReceived{From: r.name, Summary: a.Summary})
 	case PublishDirectory:
-		r.group.gossiped = append(r.group.gossiped, n.now)
+		r.group.published = append(r.group.published, n.now)
 		n.sizes.directory = max(n.sizes.directory, size(n.t, a.Directory))
 		for _, other := range r.group.relays {
 			if other != r { // gossip passes it on several times, so that hardly any is lost
@@ -283,12 +283,12 @@
 func (n *network) kill(r *relay) {
 	r.up = false
 	r.group.epoch++
-	n.tell(r.group)
+	n.updateCell(r.group)
 }
 
-// known tells whether every relay of the other cells has a directory with the true number of relays in a
-// cell's region.
-func (n *network) known(g *group) bool {
+// knownEverywhere tells whether every relay of the other cells has a directory with the true number of
+// relays in a cell's region.
+func (n *network) knownEverywhere(g *group) bool {
 	for _, other := range n.cells {
 		if other == g {
 			continue
@@ -309,7 +309,7 @@
 	return true
 }
 
-// agreed tells whether every relay has a directory with all other cells heard and their true numbers of
+// agreed tells whether every relay has a directory with all other cells known and their true numbers of
 // relays.
 func (n *network) agreed() bool {
 	for _, g := range n.cells {
--- a/internal/fleet/cells/representative_test.go
+++ b/internal/fleet/cells/representative_test.go
@@ -14,8 +14,8 @@
 // small is three cells in two regions.
 var small = []int{2, 1}
 
-// Two relays that both believe to speak do no harm: all stay agreed, nobody is told of a change again and
-// again.
+// Two relays that both believe to represent their cell do no harm: all stay agreed, no change is reported
+// again and again.
 func TestTwoRepresentativesAtOnceAgree(t *testing.T) {
 	n := fleetOf(t, 3, small, 1, 3)
 	n.loss, n.double = 0.05, 0.1
@@ -23,12 +23,12 @@
 	g := n.cells[0]
 	first := g.relays[0]
 	g.relays[1].believes = func(r *relay) bool { return r != first }
-	n.tell(g)
+	n.updateCell(g)
 	n.pass(20 * second)
 	if !g.relays[0].coordinator.election.representing || !g.relays[1].coordinator.election.representing {
 		t.Fatal("there are no two speakers")
 	}
-	told := n.changes[RepresentativeChanged]
+	reported := n.changes[RepresentativeChanged]
 	for range 30 {
 		n.pass(10 * second)
 		if !n.agreed() {
@@ -39,12 +39,12 @@
 			t.Fatal("two speakers break the agreement")
 		}
 	}
-	if more := n.changes[RepresentativeChanged] - told; more > 0 || n.changes[CellLost] > 0 {
-		t.Errorf("%d changes of speaker and %d lost cells told in 300 s", more, n.changes[CellLost])
+	if more := n.changes[RepresentativeChanged] - reported; more > 0 || n.changes[CellLost] > 0 {
+		t.Errorf("%d changes of representative and %d lost cells reported in 300 s", more, n.changes[CellLost])
 	}
 }
 
-// A representative that comes back with numbers lower than it has told is taken again, but no old packet is.
+// A representative that comes back with numbers lower than it has sent is taken again, but no old packet is.
 func TestRepresentativeWithOldNumbersIsHeardAgain(t *testing.T) {
 	n := fleetOf(t, 4, small, 1, 1)
 	n.pass(60 * second)
@@ -56,7 +56,7 @@
 	}
 	g.relays[0].incarnation = 0 // its next process is its first once more
 	n.start(g.relays[0])
-	n.tell(g)
+	n.updateCell(g)
 	if took := n.until(60*second, n.agreed); took > 25*second {
 		t.Errorf("taken again after %.1f s", took.Seconds())
 	}
@@ -86,7 +86,7 @@
 	}
 	c.Handle(late, SummaryReceived{Summary: heardFrom(plan, "b", 3)}, nil)
 	if c.remotes["b"].summaryAt != late {
-		t.Error("a speaker that has lost its numbers is never heard again")
+		t.Error("a representative that has lost its numbers is never taken again")
 	}
 }
 
@@ -103,7 +103,7 @@
 	older.Seq++
 	c.Handle(100*second, SummaryReceived{Summary: older}, nil)
 	if c.remotes["b"].summary.Members != 2 {
-		t.Error("a cell whose newer part is gone is never heard again")
+		t.Error("a cell whose newer part is gone is never taken again")
 	}
 }
 
@@ -148,13 +148,13 @@
 				g.relays[3].coordinator.remotes[o.name].summaryAt < heal
 		})
 	})
-	t.Logf("three of four contacts dead: all heard after %.1f s", took.Seconds())
+	t.Logf("three of four contacts dead: all known after %.1f s", took.Seconds())
 	if took > 5*Round(3) {
 		t.Errorf("after %.1f s", took.Seconds())
 	}
 }
 
-// A new representative doesn't forget the figures of a cell that it has never heard itself.
+// A new representative doesn't forget the figures of a cell of which it never had a summary.
 func TestNewRepresentativeInheritsFigures(t *testing.T) {
 	n := fleetOf(t, 9, small, 1, 3)
 	n.pass(60 * second)
@@ -166,16 +166,16 @@
 	for range 60 {
 		n.pass(second)
 		if got := n.cells[0].relays[1].coordinator.Others(n.now); got != before {
-			t.Fatalf("the new speaker reckons with %+v, before with %+v", got, before)
+			t.Fatalf("the new representative counts %+v, before with %+v", got, before)
 		}
 	}
 	row := n.cells[0].relays[2].coordinator.directory.newest.Regions[1]
 	if row.Known != 0 || row.Relays != 32 || row.RequestRate != 3200 {
-		t.Errorf("the cut off region is told as %+v", row)
+		t.Errorf("the cut off region is published as %+v", row)
 	}
 }
 
-// A new representative tells nothing of the other cells before it has heard of them.
+// A new representative tells nothing of the other cells before it knows of them.
 func TestNewRepresentativeHearsBeforeItPublishes(t *testing.T) {
 	n := fleetOf(t, 12, small, 1, 3)
 	n.pass(60 * second)
@@ -184,7 +184,7 @@
 	for range 300 {
 		n.pass(second / 10)
 		if !n.informed(g.relays[1]) || !n.informed(g.relays[2]) {
-			t.Fatalf("told to its cell: %+v", g.relays[2].coordinator.directory.newest)
+			t.Fatalf("published to its cell: %+v", g.relays[2].coordinator.directory.newest)
 		}
 	}
 }
@@ -208,7 +208,8 @@
 	}
 }
 
-// A change soon after another is told in a quick round of its own, once a round has passed since the last.
+// A change soon after another is sent in an expedited round of its own, once a round has passed since the
+// last.
 func TestSecondChangeIsExpeditedAfterARound(t *testing.T) {
 	n := fleetOf(t, 11, large, 2, 1)
 	n.pass(60 * second)
@@ -216,10 +217,10 @@
 	round := Round(len(n.cells))
 	from := n.now
 	g.epoch++
-	n.tell(g)
+	n.updateCell(g)
 	n.pass(second)
 	g.epoch++
-	n.tell(g)
+	n.updateCell(g)
 	n.pass(3 * round)
 	for i, want := range []int{33, 33, 0} { // a quick round, the second, and none more
 		start := from + time.Duration(i)*round
@@ -230,7 +231,7 @@
 	}
 }
 
-// A new representative tries another contact of a cell each time until it hears of it: it may have taken
+// A new representative tries another contact of a cell each time until it answers: it may have taken
 // over at the same time.
 func TestNewRepresentativeTriesEachContact(t *testing.T) {
 	plan := cellplan.Plan{Number: 1, Cells: []cellplan.Cell{
@@ -318,7 +319,7 @@
 	}
 }
 
-// one is a relay of cell a that is told nothing yet, beside cells b and c.
+// one is a relay of cell a that knows nothing yet, beside cells b and c.
 func one(t *testing.T) (*Coordinator, cellplan.Plan) {
 	plan := cellplan.Plan{Number: 2}
 	for i, name := range []string{"a", "b", "c"} {
--- a/internal/fleet/cells/trace_test.go
+++ b/internal/fleet/cells/trace_test.go
@@ -63,7 +63,7 @@
 				n.kill(r)
 			default:
 				n.start(r)
-				n.tell(g)
+				n.updateCell(g)
 			}
 		}
 		n.pass(30 * second)
--- a/internal/fleet/duration/duration_test.go
+++ b/internal/fleet/duration/duration_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Scale rounds to the nearest nanosecond and keeps to what a Duration holds: an overflow would put an instant before all others in place
-// of after them.
+// Scale rounds to the nearest nanosecond and keeps to what a Duration holds: an overflow would put an
+// instant before all others in place of after them.
 func TestScaleRoundsAndSaturates(t *testing.T) {
 	for _, c := range []struct {
 		d      time.Duration
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -48,34 +48,34 @@
 	}
 }
 
-// A cell enters a plan with the lesser parts of both and only those zones near that are near by both, and
-// is open with the plan's own.
+// A cell joins a plan with the lesser parts of both and only those zones near that are near by both, and
+// is activated with the plan's own.
 func TestJoinTakesTheLesserParts(t *testing.T) {
 	before, after := twoCells(2, 3, 1), twoCells(3, 1, 3)
 	held := (&Allocation{Plan: 1, LeaseMillis: 8000}).activated(before, "east")
 	held.Plan = before.Number
-	entered := held.joined(after, "east")
+	joined := held.joined(after, "east")
 	near, far, _ := after.Parts("east")
-	if entered.Activated || entered.Plan != 3 || entered.Near != min(near, held.Near) ||
-		entered.Far != min(far, held.Far) || entered.LeaseMillis != 8000 {
-		t.Errorf("entered as %+v, holding %+v", entered, held)
+	if joined.Activated || joined.Plan != 3 || joined.Near != min(near, held.Near) ||
+		joined.Far != min(far, held.Far) || joined.LeaseMillis != 8000 {
+		t.Errorf("joined as %+v, holding %+v", joined, held)
 	}
-	if opened := entered.activated(after, "east"); !opened.Activated || opened.Near != near ||
-		opened.Far != far || len(opened.Cells) != 2 {
-		t.Errorf("opened as %+v", opened)
+	if activated := joined.activated(after, "east"); !activated.Activated || activated.Near != near ||
+		activated.Far != far || len(activated.Cells) != 2 {
+		t.Errorf("activated as %+v", activated)
 	}
 	if flat := (*Allocation)(nil).joined(twoCells(2, 3, 1), "east"); flat.Plan != 2 || flat.Near >= Whole ||
 		flat.Activated {
 		t.Errorf("a flat fleet enters as %+v", flat)
 	}
-	if founded := bootstrapAllocation(twoCells(2, 3, 1), "east", 0); founded.Activated || founded.Near > 0 ||
-		founded.Far > 0 {
-		t.Errorf("a cell that is founded by plan 2 holds %+v", founded)
+	if first := bootstrapAllocation(twoCells(2, 3, 1), "east", 0); first.Activated || first.Near > 0 ||
+		first.Far > 0 {
+		t.Errorf("a cell that is bootstrapped by plan 2 holds %+v", first)
 	}
 }
 
-// celled returns a cell of three that has agreed under plan 1.
-func celled(t *testing.T) *world {
+// cellUnderPlanOne returns a cell of three that has agreed under plan 1.
+func cellUnderPlanOne(t *testing.T) *world {
 	w := newWorld(3, 3, 11)
 	for i, n := range w.nodes {
 		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = "east", twoCells(1, 3, 1), CellTiming
@@ -88,16 +88,16 @@
 	return w
 }
 
-// Until other cells are heard the settings' number of relays holds; then their figures are added to the
+// Until other cells are known the configured number of relays holds; then their figures are added to the
 // cell's own.
 func TestEstimateAddsOtherCells(t *testing.T) {
-	w := celled(t)
+	w := cellUnderPlanOne(t)
 	node := w.nodes[0]
 	now := node.clock(w.now)
-	node.k.cfg.ConfiguredRelays = 9
-	e := node.k.Estimate(now)
+	node.subject.cfg.ConfiguredRelays = 9
+	e := node.subject.Estimate(now)
 	if e.Relays != 9 || e.OtherRequestRate != -1 || e.OtherConnections != -1 || e.Plan != 1 || !e.PlanActivated {
-		t.Errorf("with no word of the others: %+v", e)
+		t.Errorf("with nothing known of the others: %+v", e)
 	}
 	near, far, _ := twoCells(1, 3, 1).Parts("east")
 	if math.Abs(e.BudgetShare*3-float64(near)/float64(Whole)) > 1e-9 ||
@@ -105,10 +105,11 @@
 		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.BudgetShare,
 			e.FarBudgetShare)
 	}
-	own := node.k.peers.byName[name(1)].Status.RequestRate + node.k.peers.byName[name(2)].Status.RequestRate
-	node.k.Handle(now, OtherCells{Relays: 40, RequestRate: 100, OpenConnections: 7, DrainRate: 2,
+	own := node.subject.peers.byName[name(1)].Status.RequestRate + node.subject.peers.byName[name(2)].Status.RequestRate
+	node.subject.Handle(now, OtherCells{Relays: 40, RequestRate: 100, OpenConnections: 7, DrainRate: 2,
 		Known: true}, nil)
-	if e = node.k.Estimate(now); e.Relays != 43 || e.OtherRequestRate != own+100 || e.OtherConnections != 7 ||
+	if e = node.subject.Estimate(now); e.Relays != 43 || e.OtherRequestRate != own+100 ||
+		e.OtherConnections != 7 ||
 		e.DrainRate != 2 {
 		t.Errorf("with the others: %+v", e)
 	}
@@ -117,22 +118,22 @@
 // A relay of the cell that is put back to an older program is granted nothing, leaves the view, and comes
 // back in with a newer one.
 func TestOlderProgramTakesNothingInACell(t *testing.T) {
-	w := celled(t)
+	w := cellUnderPlanOne(t)
 	old := w.nodes[2]
 	w.kill(2)
-	old.old = true
+	old.olderProgram = true
 	w.start(2)
 	for range 400 {
 		w.run(100)
-		if share := old.k.BudgetShare(old.clock(w.now)); share > 0 {
+		if share := old.subject.BudgetShare(old.clock(w.now)); share > 0 {
 			t.Fatalf("an older program takes %v of the whole", share)
 		}
 	}
-	if w.nodes[0].k.View().Member(name(2)).In {
+	if w.nodes[0].subject.View().Member(name(2)).In {
 		t.Error("it is still in the view")
 	}
 	w.kill(2)
-	old.old = false
+	old.olderProgram = false
 	w.start(2)
 	w.run(30_000)
 	if err := w.agreed(); err != nil {
@@ -140,25 +141,25 @@
 	}
 }
 
-// A file that goes on to plan 3 while plan 2 is not open yet doesn't stop the cell: it opens 2 by the
+// A file that goes on to plan 3 while plan 2 is not activated yet doesn't stop the cell: it opens 2 by the
 // table it had, then enters 3.
 func TestPlanReplacedBeforeItIsActivated(t *testing.T) {
-	w := celled(t)
+	w := cellUnderPlanOne(t)
 	for _, number := range []uint64{2, 3} {
 		for i := range w.nodes {
 			w.feed(i, PlanChanged{Plan: twoCells(number, 1, int(number))})
 		}
 		w.run(12_000)
 	}
-	a := w.nodes[0].k.View().Allocation
-	if wait := w.nodes[0].k.PlanPending(); a.Plan != 2 || a.Activated || wait != PendingActivation {
+	a := w.nodes[0].subject.View().Allocation
+	if wait := w.nodes[0].subject.PlanPending(); a.Plan != 2 || a.Activated || wait != PendingActivation {
 		t.Fatalf("%+v, %s", a, wait)
 	}
 	w.feed(0, PlanActivated{Plan: 2, Hash: a.PlanHash})
 	seen := map[string]bool{}
 	for range 300 {
 		w.run(10)
-		seen[w.nodes[0].k.View().Allocation.summary()] = true
+		seen[w.nodes[0].subject.View().Allocation.summary()] = true
 	}
 	if !seen["plan 2 open"] || !seen["plan 3 entered"] {
 		t.Errorf("went through %v", seen)
@@ -167,31 +168,31 @@
 
 // Word that a plan is open counts for the view's own plan and table only.
 func TestActivationOfAnotherTableDoesNotCount(t *testing.T) {
-	w := celled(t)
+	w := cellUnderPlanOne(t)
 	for i := range w.nodes {
 		w.feed(i, PlanChanged{Plan: twoCells(2, 1, 1)})
 	}
 	w.run(2000)
-	a := w.nodes[0].k.View().Allocation
+	a := w.nodes[0].subject.View().Allocation
 	if a.Plan != 2 || a.Activated {
-		t.Fatalf("entered %+v", a)
+		t.Fatalf("adopted %+v", a)
 	}
-	if plan, quiet := w.nodes[0].k.AdoptedPlan(); plan != 2 || quiet {
-		t.Errorf("entered %d, quiet %v right away", plan, quiet)
+	if plan, quiet := w.nodes[0].subject.AdoptedPlan(); plan != 2 || quiet {
+		t.Errorf("adopted %d, joined %v right away", plan, quiet)
 	}
 	w.run(10_000)
-	if got := w.nodes[0].k.JoinedPlan(); got != 2 {
-		t.Errorf("quiet in %d after 10 s", got)
+	if got := w.nodes[0].subject.JoinedPlan(); got != 2 {
+		t.Errorf("joined %d after 10 s", got)
 	}
 	w.feed(0, PlanActivated{Plan: 2, Hash: a.PlanHash + 1})
 	w.feed(0, PlanActivated{Plan: 3, Hash: a.PlanHash})
 	w.run(2000)
-	if w.nodes[0].k.View().Allocation.Activated || w.nodes[0].k.PlanPending() != PendingCells {
-		t.Errorf("open by another table: %s", w.nodes[0].k.PlanPending())
+	if w.nodes[0].subject.View().Allocation.Activated || w.nodes[0].subject.PlanPending() != PendingCells {
+		t.Errorf("open by another table: %s", w.nodes[0].subject.PlanPending())
 	}
 	w.feed(1, PlanActivated{Plan: 2, Hash: a.PlanHash})
 	w.run(3000)
-	if got := w.nodes[2].k.View().Allocation; !got.Activated || w.nodes[2].k.ActivatedPlan() != 2 {
+	if got := w.nodes[2].subject.View().Allocation; !got.Activated || w.nodes[2].subject.ActivatedPlan() != 2 {
 		t.Errorf("not open: %+v", got)
 	}
 }
--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -8,7 +8,7 @@
 func TestManyCellsNeverExceedOne(t *testing.T) {
 	t.Parallel()
 	from, count := seeds(t, 3)
-	each(t, count, func(seed uint64) error { return playMany(from + seed).healed() })
+	forEachSeed(t, count, func(seed uint64) error { return playMany(from + seed).healed() })
 }
 
 // The promise over all cells: in no zone do all relays together take more than the whole, whatever plans
@@ -16,7 +16,7 @@
 func TestCellsNeverExceedOne(t *testing.T) {
 	t.Parallel()
 	from, count := seeds(t, 150)
-	each(t, count, func(seed uint64) error { return playSmall(from+seed, nil).healed() })
+	forEachSeed(t, count, func(seed uint64) error { return playSmall(from+seed, nil).healed() })
 }
 
 // Each protection taken out is found out by the same schedules.
@@ -40,8 +40,8 @@
 				first = 120
 			}
 			for seed := first; seed < 1500; seed++ {
-				if f := playSmall(seed, without); f.sum > Whole {
-					t.Logf("without %s all cells take %.3f at seed %d", what, float64(f.sum)/float64(Whole), seed)
+				if f := playSmall(seed, without); f.maxSum > Whole {
+					t.Logf("without %s all cells take %.3f at seed %d", what, float64(f.maxSum)/float64(Whole), seed)
 					return
 				}
 			}
--- a/internal/fleet/membership/federation_faults_test.go
+++ b/internal/fleet/membership/federation_faults_test.go
@@ -17,8 +17,8 @@
 	live := []int{}
 	for _, c := range f.plan.Cells {
 		if c.Relays == 0 {
-			// only then may it be left out: a cell that is founded by the next plan couldn't know of it
-			if !f.opened() {
+			// only then may it be left out: a cell that is bootstrapped by the next plan couldn't know of it
+			if !f.anyActivated() {
 				next.Cells = append(next.Cells, c)
 			}
 			continue
@@ -36,8 +36,8 @@
 	case 1: // one splits
 		if len(f.cells) < 6 || len(f.cells) < len(live)+2 {
 			part := next.Cells[i]
-			f.made++
-			part.Name = fmt.Sprintf("c%d", f.made)
+			f.cellsMade++
+			part.Name = fmt.Sprintf("c%d", f.cellsMade)
 			if part.Region == "" {
 				part.Region, part.Zone = "east", "east-0"
 			}
@@ -57,13 +57,13 @@
 }
 
 func newFederation(seed uint64, change func(*Node)) *federation {
-	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{},
+	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, partitioned: map[[2]string]bool{},
 		plans: map[uint64]*cellplan.Plan{},
-		zones: []string{"nobody's"}, change: change}
+		zones: []string{"nobody's"}, withoutSafeguard: change}
 }
 
 func (f *federation) play(regions, zones, relays int, flat bool, steps int) {
-	f.found(regions, zones, relays, flat)
+	f.bootstrap(regions, zones, relays, flat)
 	f.run(6000 * f.rng.Float64())
 	for range steps {
 		f.fault(f.cells[f.rng.IntN(len(f.cells))], relays)
@@ -79,20 +79,20 @@
 func (f *federation) fault(c *cellWorld, relays int) {
 	i := f.rng.IntN(len(c.nodes))
 	switch x := f.rng.IntN(16); {
-	case x < 2: // the operators write a plan, and some relays are told at once
+	case x < 2: // the operators write a plan, and some relays get it at once
 		// a cell whose first view is by plan 2 waits for one that has come from plan 1
-		if f.plan.Number == 1 && !f.founded() {
+		if f.plan.Number == 1 && !f.allBootstrapped() {
 			return
 		}
-		f.write(f.drawnPlan())
-		f.push(0.5)
+		f.publishPlan(f.drawnPlan())
+		f.distributePlan(0.5)
 		f.newCells(relays)
-	case x < 6: // more are told
-		f.push(0.7)
+	case x < 6: // more get it
+		f.distributePlan(0.7)
 		f.newCells(relays)
 	case x < 11:
 		f.faultOfRelay(c, i, x-6)
-	case x == 11: // a relay hears nothing of the next view
+	case x == 11: // a relay gets nothing of the next view
 		f.deafenOne(c, i)
 	default:
 		f.faultOfNet(c, x-12)
@@ -100,14 +100,14 @@
 }
 
 // deafenOne lets a relay drain and come back, so that the shares of the others in its cell shrink, and
-// one of them hear nothing of that until all leases have run out.
+// one of them get nothing of that until all leases have run out.
 func (f *federation) deafenOne(c *cellWorld, i int) {
 	c.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
 	f.run(duration.Millis(WaitOut) + 5000*f.rng.Float64())
-	c.strike = true
+	c.deafenNext = true
 	c.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
 	f.run(2 * duration.Millis(WaitOut))
-	c.strike = false
+	c.deafenNext = false
 	for _, n := range c.nodes {
 		n.deaf = false
 	}
@@ -120,7 +120,7 @@
 		c.kill(i)
 	case 1, 2: // back, by the same program, an older or the newest
 		c.kill(i)
-		n.old = f.rng.IntN(3) == 0 && c.mayBeOld(i)
+		n.olderProgram = f.rng.IntN(3) == 0 && c.mayBeOld(i)
 		c.start(i)
 	case 3: // a relay that doesn't vote comes back with an old disk
 		if old, ok := c.oldDisk(i); ok {
@@ -140,7 +140,7 @@
 	case 0: // relays that were stopped go on
 		for j, n := range c.nodes {
 			if n.up && n.stopped {
-				c.wake(j)
+				c.resume(j)
 			}
 		}
 	case 1: // a cell's net is cut in two
@@ -150,21 +150,21 @@
 		}
 		for a := range of {
 			for b := range of {
-				c.cut[[2]int{a, b}] = of[a] != of[b]
+				c.partitioned[[2]int{a, b}] = of[a] != of[b]
 			}
 		}
-	case 2: // a region hears nothing, or nothing is heard of it, or both
+	case 2: // nothing reaches a region, or nothing comes out of it, or both
 		way := f.rng.IntN(3)
 		for _, other := range f.cells {
 			if other.region != c.region {
-				f.cut[[2]string{c.region, other.region}] = way != 0
-				f.cut[[2]string{other.region, c.region}] = way != 1
+				f.partitioned[[2]string{c.region, other.region}] = way != 0
+				f.partitioned[[2]string{other.region, c.region}] = way != 1
 			}
 		}
 	case 3:
-		clear(f.cut)
+		clear(f.partitioned)
 		for _, c := range f.cells {
-			clear(c.cut)
+			clear(c.partitioned)
 			for _, n := range c.nodes {
 				n.deaf = false
 			}
@@ -182,7 +182,7 @@
 			n.disk.Accepted.Allocation != nil {
 			return false
 		}
-		if n.up && !n.old && j != i && !n.stopped {
+		if n.up && !n.olderProgram && j != i && !n.stopped {
 			newest++
 		}
 	}
@@ -213,8 +213,8 @@
 	return false
 }
 
-// push tells some of the relays the newest plan.
-func (f *federation) push(part float64) {
+// distributePlan tells some of the relays the newest plan.
+func (f *federation) distributePlan(part float64) {
 	for _, c := range f.cells {
 		if _, named := f.plan.Find(c.name); !named {
 			continue
@@ -222,7 +222,7 @@
 		for i, n := range c.nodes {
 			if f.rng.Float64() < part {
 				n.cfg.Plan = f.plan
-				if !n.old {
+				if !n.olderProgram {
 					c.feed(i, PlanChanged{Plan: f.plan})
 				}
 			}
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -11,22 +11,22 @@
 )
 
 // federation is a fleet of several cells on one set clock. Each cell has its own net, as world has it;
-// between cells go only claims to have entered plans, late, doubled, out of order, or lost.
+// between cells go only claims to have joined plans, late, doubled, out of order, or lost.
 type federation struct {
-	rng    *rand.Rand
-	now    float64
-	seed   uint64
-	cells  []*cellWorld
-	claims []claim
-	cut    map[[2]string]bool // from one region to another: no claims go
-	plan   *cellplan.Plan     // the newest that the operators have written
-	plans  map[uint64]*cellplan.Plan
-	zones  []string // of all plans so far, and one where nobody stands
-	sum    uint64   // the greatest sum met in a zone
-	zone   string   // where
-	change func(*Node)
-	made   int // cells so far, for their names
-	trace  *trace
+	rng              *rand.Rand
+	now              float64
+	seed             uint64
+	cells            []*cellWorld
+	claims           []joinClaim
+	partitioned      map[[2]string]bool // from one region to another: no claims go
+	plan             *cellplan.Plan     // the newest that the operators have written
+	plans            map[uint64]*cellplan.Plan
+	zones            []string // of all plans so far, and one where nobody stands
+	maxSum           uint64   // the greatest sum met in a zone
+	maxSumZone       string   // where
+	withoutSafeguard func(*Node)
+	cellsMade        int // cells so far, for their names
+	trace            *trace
 }
 
 type cellWorld struct {
@@ -34,14 +34,14 @@
 	name, region string
 }
 
-// claim is a cell's word that it has entered a plan, on its way to one relay of another cell.
-type claim struct {
-	at       float64
-	from     string
-	plan     uint64
-	hash     uint64
-	cell, to int
-	founded  bool // the cell was founded by the plan
+// joinClaim is what a cell says of a plan that it has joined, on its way to one relay of another cell.
+type joinClaim struct {
+	at           float64
+	from         string
+	plan         uint64
+	hash         uint64
+	cell, to     int
+	bootstrapped bool // the cell was bootstrapped by the plan
 }
 
 // withoutAllocation is an event as a program from before cells reads it.
@@ -70,14 +70,14 @@
 // addCell makes a cell of relays that don't run yet. Without a plan it is a flat fleet.
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *cellWorld {
 	w := newWorld(relays, relays, f.seed*1000+uint64(len(f.cells)))
-	w.now, w.change = f.now, f.change
+	w.now, w.withoutSafeguard = f.now, f.withoutSafeguard
 	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)],
 		StatusInterval: CellTiming.StatusInterval}
 	for _, n := range w.nodes {
 		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
-		n.zero -= f.now * n.rate
+		n.clockOffset -= f.now * n.clockRate
 	}
-	w.loss, w.twice = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
+	w.loss, w.duplication = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
 	if f.trace != nil {
 		w.trace = f.trace
 		w.spreadClocks()
@@ -87,8 +87,8 @@
 	return c
 }
 
-// write makes a plan the newest.
-func (f *federation) write(plan cellplan.Plan) {
+// publishPlan makes a plan the newest.
+func (f *federation) publishPlan(plan cellplan.Plan) {
 	if err := plan.Check(); err != nil {
 		panic(err)
 	}
@@ -110,7 +110,7 @@
 		}
 		f.deliver()
 		if int(f.now)%500 == 0 {
-			f.tell()
+			f.sendClaims()
 		}
 		f.check()
 	}
@@ -121,30 +121,30 @@
 		sum := uint64(0)
 		for _, c := range f.cells {
 			for _, n := range c.nodes {
-				sum += n.countedIn(zone)
+				sum += n.countedUnitsIn(zone)
 			}
 		}
-		if sum > f.sum {
-			f.sum, f.zone = sum, zone
+		if sum > f.maxSum {
+			f.maxSum, f.maxSumZone = sum, zone
 		}
 	}
 }
 
-// tell lets some relays, speakers or not, claim what they know of their own cell.
-func (f *federation) tell() {
+// sendClaims lets some relays, speakers or not, claim what they know of their own cell.
+func (f *federation) sendClaims() {
 	for _, c := range f.cells {
 		for i, n := range c.nodes {
 			if !n.up || n.stopped || f.rng.IntN(3) > 0 {
 				continue
 			}
-			f.conclude(c, i)
-			plan, a := n.k.JoinedPlan(), n.k.View().Allocation
+			f.activateIfJoined(c, i)
+			plan, a := n.subject.JoinedPlan(), n.subject.View().Allocation
 			if plan == 0 || a == nil || a.Plan != plan {
 				continue
 			}
 			for to, other := range f.cells {
 				if other != c {
-					f.claims = append(f.claims, claim{f.late(), c.name, plan, a.PlanHash, to,
+					f.claims = append(f.claims, joinClaim{f.deliveryTime(), c.name, plan, a.PlanHash, to,
 						f.rng.IntN(len(other.nodes)), a.Bootstrapped})
 				}
 			}
@@ -152,8 +152,8 @@
 	}
 }
 
-// late is when a claim that is sent now comes.
-func (f *federation) late() float64 {
+// deliveryTime is when a claim that is sent now comes.
+func (f *federation) deliveryTime() float64 {
 	if f.rng.IntN(20) == 0 {
 		return f.now + 30_000*f.rng.Float64()
 	}
@@ -169,15 +169,15 @@
 			continue
 		}
 		to := f.cells[c.cell]
-		if f.cut[[2]string{f.regionOf(c.from), to.region}] || f.rng.Float64() < 0.2 {
+		if f.partitioned[[2]string{f.regionOf(c.from), to.region}] || f.rng.Float64() < 0.2 {
 			continue
 		}
 		if f.rng.IntN(10) == 0 {
 			again := c
-			again.at = f.late()
+			again.at = f.deliveryTime()
 			kept = append(kept, again)
 		}
-		f.hear(to, c)
+		f.receiveClaim(to, c)
 	}
 	f.claims = kept
 }
@@ -191,31 +191,32 @@
 	return ""
 }
 
-// hear lets a relay take a claim in. One for another table under the number is not counted.
-func (f *federation) hear(to *cellWorld, c claim) {
+// receiveClaim lets a relay take a claim in. One for another table under the number is not counted.
+func (f *federation) receiveClaim(to *cellWorld, c joinClaim) {
 	n := to.nodes[c.to]
-	if plan := f.plans[c.plan]; !n.up || n.stopped || n.old || plan == nil || plan.Hash() != c.hash {
+	if plan := f.plans[c.plan]; !n.up || n.stopped || n.olderProgram || plan == nil || plan.Hash() != c.hash {
 		return
 	}
-	if n.told == nil {
-		n.told = map[string]uint64{}
+	if n.joinedPlans == nil {
+		n.joinedPlans = map[string]uint64{}
 	}
-	n.told[c.from] = max(n.told[c.from], c.plan)
-	if !c.founded {
+	n.joinedPlans[c.from] = max(n.joinedPlans[c.from], c.plan)
+	if !c.bootstrapped {
 		n.continued = max(n.continued, c.plan)
 	}
-	f.conclude(to, c.to)
+	f.activateIfJoined(to, c.to)
 }
 
-// conclude lets a relay tell its Node that every cell has entered the view's plan, if it has heard so.
-func (f *federation) conclude(c *cellWorld, i int) {
+// activateIfJoined lets a relay tell its Node that every cell has joined the view's plan, if all claims
+// have come.
+func (f *federation) activateIfJoined(c *cellWorld, i int) {
 	n := c.nodes[i]
-	a := n.k.View().Allocation
-	if n.old || a == nil || a.Activated || n.k.JoinedPlan() < a.Plan {
+	a := n.subject.View().Allocation
+	if n.olderProgram || a == nil || a.Activated || n.subject.JoinedPlan() < a.Plan {
 		return
 	}
 	for _, cell := range a.Cells {
-		if cell != c.name && n.told[cell] < a.Plan {
+		if cell != c.name && n.joinedPlans[cell] < a.Plan {
 			return
 		}
 	}
@@ -225,8 +226,8 @@
 	c.feed(i, PlanActivated{Plan: a.Plan, Hash: a.PlanHash})
 }
 
-// founded tells whether every cell has a view, as operators see it.
-func (f *federation) founded() bool {
+// allBootstrapped tells whether every cell has a view, as operators see it.
+func (f *federation) allBootstrapped() bool {
 	for _, c := range f.cells {
 		if !slices.ContainsFunc(c.nodes, func(n *node) bool { return n.disk.View != nil }) {
 			return false
@@ -235,8 +236,8 @@
 	return true
 }
 
-// opened tells whether the newest plan is open anywhere, as operators see it.
-func (f *federation) opened() bool {
+// anyActivated tells whether the newest plan is open anywhere, as operators see it.
+func (f *federation) anyActivated() bool {
 	for _, c := range f.cells {
 		for _, n := range c.nodes {
 			if a := n.disk.View; a != nil && a.Allocation != nil && a.Allocation.Activated &&
@@ -248,8 +249,8 @@
 	return false
 }
 
-// found makes the first plan and its cells; half of the fleets are flat at first.
-func (f *federation) found(regions, zones, relays int, flat bool) {
+// bootstrap makes the first plan and its cells; half of the fleets are flat at first.
+func (f *federation) bootstrap(regions, zones, relays int, flat bool) {
 	plan := cellplan.Plan{Number: 1, HomeShare: 0.9}
 	if flat {
 		f.addCell("flat", "", relays+2, nil)
@@ -263,7 +264,7 @@
 		plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: region, Zone: name,
 			Relays: 1 + f.rng.IntN(8), Contacts: []string{"127.0.0.1:1"}})
 	}
-	f.write(plan)
+	f.publishPlan(plan)
 	if !flat {
 		for _, c := range plan.Cells {
 			f.addCell(c.Name, c.Region, relays, f.plan)
@@ -275,7 +276,7 @@
 	for _, c := range f.cells {
 		for i, n := range c.nodes {
 			if !n.up {
-				n.old = c.name == "flat" && f.rng.IntN(6) == 0
+				n.olderProgram = c.name == "flat" && f.rng.IntN(6) == 0
 				c.start(i)
 			}
 		}
@@ -294,21 +295,21 @@
 	}
 }
 
-// heal ends all faults, gives every cell the plans that it has not entered one by one, and waits until
+// heal ends all faults, gives every cell the plans that it has not joined one by one, and waits until
 // the newest is open everywhere.
 func (f *federation) heal() error {
-	clear(f.cut)
+	clear(f.partitioned)
 	for _, c := range f.cells {
-		clear(c.cut)
-		c.loss, c.twice = 0, 0
+		clear(c.partitioned)
+		c.loss, c.duplication = 0, 0
 		for i, n := range c.nodes {
 			n.deaf = false
 			if n.stopped {
-				c.wake(i)
+				c.resume(i)
 			}
-			if !n.up || n.old || n.k.local.Lifecycle != Serving {
+			if !n.up || n.olderProgram || n.subject.local.Lifecycle != Serving {
 				c.kill(i)
-				n.old = false
+				n.olderProgram = false
 				c.start(i)
 			}
 		}
@@ -319,28 +320,28 @@
 	for range 30 + 15*len(f.plans) {
 		for _, c := range f.cells {
 			for i, n := range c.nodes {
-				next := f.plans[n.k.View().Allocation.successor()]
-				if a := n.k.View().Allocation; a != nil && !a.Activated {
+				next := f.plans[n.subject.View().Allocation.successor()]
+				if a := n.subject.View().Allocation; a != nil && !a.Activated {
 					next = f.plans[a.Plan]
 				}
 				if next == nil {
 					next = f.plan
 				}
-				if _, named := next.Find(c.name); named && next != n.k.plans.file {
+				if _, named := next.Find(c.name); named && next != n.subject.plans.file {
 					n.cfg.Plan = next
 					c.feed(i, PlanChanged{Plan: next})
 				}
 			}
 		}
 		f.run(2000)
-		if err = f.allOpen(); err == nil {
+		if err = f.allActivated(); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func (f *federation) allOpen() error {
+func (f *federation) allActivated() error {
 	for _, c := range f.cells {
 		if cell, named := f.plan.Find(c.name); !named || cell.Relays == 0 {
 			continue
@@ -348,28 +349,30 @@
 		if err := c.agreed(); err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
-		if a := c.nodes[0].k.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
-			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.plans.file.Number,
-				f.plan.Number, c.nodes[0].k.PlanPending())
+		if a := c.nodes[0].subject.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
+			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].subject.plans.file.Number,
+				f.plan.Number, c.nodes[0].subject.PlanPending())
 		}
 	}
 	return nil
 }
 
 func (f *federation) exceeds() error {
-	if f.sum <= Whole {
+	if f.maxSum <= Whole {
 		return nil
 	}
 	var state strings.Builder
 	for _, c := range f.cells {
 		for _, n := range c.nodes {
-			if n.k != nil {
-				fmt.Fprintf(&state, "\n%s %s up %v old %v share %.3f epoch %d %+v", c.name, n.cfg.Name, n.up, n.old,
-					n.share, n.k.View().Epoch, n.k.View().Allocation)
+			if n.subject != nil {
+				fmt.Fprintf(&state, "\n%s %s up %v old %v share %.3f epoch %d %+v", c.name, n.cfg.Name, n.up,
+					n.olderProgram,
+					n.share, n.subject.View().Epoch, n.subject.View().Allocation)
 			}
 		}
 	}
-	return fmt.Errorf("in zone %s all cells took %.6f%s", f.zone, float64(f.sum)/float64(Whole), state.String())
+	return fmt.Errorf("in zone %s all cells took %.6f%s", f.maxSumZone, float64(f.maxSum)/float64(Whole),
+		state.String())
 }
 
 // healed ends the faults, and tells whether the promise was kept and the newest plan is open.
--- a/internal/fleet/membership/formation_test.go
+++ b/internal/fleet/membership/formation_test.go
@@ -22,7 +22,7 @@
 	w.kill(3)
 	w.run(failAfter*1.5 + 2000)
 	for _, n := range w.nodes {
-		if n.up && n.k.View().Member(name(3)).In {
+		if n.up && n.subject.View().Member(name(3)).In {
 			t.Errorf("%s still has the killed one in its view", n.cfg.Name)
 		}
 	}
@@ -30,7 +30,7 @@
 	if err := w.agreed(); err != nil {
 		t.Fatal(err)
 	}
-	if got := w.nodes[0].k.Estimate(w.nodes[0].clock(w.now)).BudgetShare; math.Abs(got-1.0/6) > 1e-6 {
+	if got := w.nodes[0].subject.Estimate(w.nodes[0].clock(w.now)).BudgetShare; math.Abs(got-1.0/6) > 1e-6 {
 		t.Errorf("a share of six is %v", got)
 	}
 	w.start(3)
@@ -38,13 +38,13 @@
 	if err := w.agreed(); err != nil {
 		t.Fatal(err)
 	}
-	if w.sum > 1 {
-		t.Errorf("the shares added up to %v", w.sum)
+	if w.maxSum > 1 {
+		t.Errorf("the shares added up to %v", w.maxSum)
 	}
 }
 
 // A relay whose endpoint list stays behind a peer's asks discovery once, and again only much later; one
-// that is behind for a moment, as all are while word of a change spreads, does not.
+// that is behind for a moment, as all are while a change spreads, does not.
 func TestStaleEndpointListIsRefreshedOnce(t *testing.T) {
 	n := New(0, Config{Name: "me", BootstrapSize: 3, ConfiguredRelays: 3}, Record{})
 	asked := func(from, to time.Duration, list int64) (count int) {
--- a/internal/fleet/membership/interleaving_test.go
+++ b/internal/fleet/membership/interleaving_test.go
@@ -11,18 +11,18 @@
 	"capersail/internal/fleet/duration"
 )
 
-// little is a world whose every step is chosen: which packet arrives next, or that time passes.
-type little struct {
+// interleaving is a world whose every step is chosen: which packet arrives next, or that time passes.
+type interleaving struct {
 	now   time.Duration
 	nodes []*node
 	wires []packet
 }
 
-func (l *little) clone() *little {
-	c := &little{now: l.now, wires: slices.Clone(l.wires)}
+func (l *interleaving) clone() *interleaving {
+	c := &interleaving{now: l.now, wires: slices.Clone(l.wires)}
 	for _, n := range l.nodes {
 		m := *n
-		m.k = n.k.clone()
+		m.subject = n.subject.clone()
 		c.nodes = append(c.nodes, &m)
 	}
 	return c
@@ -44,9 +44,9 @@
 	return &c
 }
 
-func (l *little) feed(i int, ev Event) {
+func (l *interleaving) feed(i int, ev Event) {
 	n := l.nodes[i]
-	for _, a := range n.k.Handle(l.now, ev, nil) {
+	for _, a := range n.subject.Handle(l.now, ev, nil) {
 		switch a := a.(type) {
 		case Save:
 			n.disk = a.Record
@@ -66,20 +66,20 @@
 	}
 }
 
-func (l *little) sum() (sum float64) {
+func (l *interleaving) sum() (sum float64) {
 	for _, n := range l.nodes {
-		sum += n.k.Estimate(l.now).BudgetShare
+		sum += n.subject.Estimate(l.now).BudgetShare
 	}
 	return sum
 }
 
 // explore plays every sequence of so many steps and returns how many there were and the greatest sum met.
-func (l *little) explore(depth int) (played int, most float64) {
+func (l *interleaving) explore(depth int) (played int, most float64) {
 	most = l.sum()
 	if depth == 0 {
 		return 1, most
 	}
-	visit := func(step func(*little)) {
+	visit := func(step func(*interleaving)) {
 		if most > 1+1e-9 { // that is enough
 			return
 		}
@@ -92,26 +92,26 @@
 	for i, p := range l.wires {
 		if id := fmt.Sprintf("%+v", p); !met[id] { // two packets alike make one step
 			met[id] = true
-			visit(func(c *little) {
+			visit(func(c *interleaving) {
 				c.wires = slices.Delete(c.wires, i, i+1)
 				c.feed(p.to, p.ev)
 			})
 		}
 	}
 	for _, wait := range []time.Duration{450 * time.Millisecond, WaitOut + 10*time.Millisecond} {
-		visit(func(c *little) {
+		visit(func(c *interleaving) {
 			c.now += wait
 			for i := range c.nodes {
 				c.feed(i, Tick{})
 			}
 		})
 	}
-	visit(func(c *little) { // the first is killed and back
+	visit(func(c *interleaving) { // the first is killed and back
 		n := c.nodes[0]
-		n.k = New(c.now, n.cfg, n.disk)
-		n.k.safeguards.jointViews = c.nodes[1].k.safeguards.jointViews
-		n.k.Start(c.now, nil)
-		n.disk = n.k.record
+		n.subject = New(c.now, n.cfg, n.disk)
+		n.subject.safeguards.jointViews = c.nodes[1].subject.safeguards.jointViews
+		n.subject.Start(c.now, nil)
+		n.disk = n.subject.record
 		for i := range c.nodes[1:] {
 			c.feed(0, PeerHealth{c.nodes[i+1].cfg.Name, Alive})
 		}
@@ -119,11 +119,11 @@
 	return played, most
 }
 
-// small returns a world of three that have agreed, or of three that have just met.
-func small(agreed, joint bool) *little {
+// smallInterleaving returns a world of three that have agreed, or of three that have just met.
+func smallInterleaving(agreed, joint bool) *interleaving {
 	w := newWorld(3, 3, 5)
 	for i, n := range w.nodes {
-		n.rate, n.zero = 1, 0
+		n.clockRate, n.clockOffset = 1, 0
 		w.start(i)
 	}
 	if agreed {
@@ -131,9 +131,9 @@
 	} else {
 		w.run(50)
 	}
-	l := &little{now: duration.FromMillis(w.now), nodes: w.nodes}
+	l := &interleaving{now: duration.FromMillis(w.now), nodes: w.nodes}
 	for _, n := range l.nodes {
-		n.k.safeguards.jointViews = joint
+		n.subject.safeguards.jointViews = joint
 	}
 	return l
 }
@@ -141,17 +141,18 @@
 // Every interleaving of three relays to a depth: packets in any order or never, time, a kill and a restart.
 func TestEveryInterleaving(t *testing.T) {
 	depth := 5
-	if long() {
+	if longSchedules() {
 		depth = 6
 	}
-	cutOff := func(joint bool) *little { // the third is taken for gone, and its lease is good still
-		l := small(true, joint)
+	cutOff := func(joint bool) *interleaving { // the third is taken for gone, and its lease is good still
+		l := smallInterleaving(true, joint)
 		l.feed(0, PeerHealth{name(2), Failed})
 		l.feed(1, PeerHealth{name(2), Failed})
 		return l
 	}
-	for what, l := range map[string]*little{"founding": small(false, true), "cut off": cutOff(true),
-		"agreed": small(true, true)} {
+	for what, l := range map[string]*interleaving{"bootstrapping": smallInterleaving(false, true),
+		"cut off": cutOff(true),
+		"agreed":  smallInterleaving(true, true)} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			played, most := l.explore(depth)
--- a/internal/fleet/membership/leftout_test.go
+++ b/internal/fleet/membership/leftout_test.go
@@ -7,17 +7,17 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// A plan that names only cells that are founded by it must not open while a cell that it leaves out holds
-// its part by the plan before. The cells that it names can't know of that one, so they wait for word of
-// one that has come from the plan before.
+// A plan that names only cells that are bootstrapped by it must not be activated while a cell that it
+// leaves out holds its part by the plan before. The cells that it names can't know of that one, so they
+// wait for one that has come from the plan before.
 func TestPlanThatLeavesOutAHolder(t *testing.T) {
-	f := &federation{rng: rand.New(rand.NewPCG(1, 7)), cut: map[[2]string]bool{},
+	f := &federation{rng: rand.New(rand.NewPCG(1, 7)), partitioned: map[[2]string]bool{},
 		plans: map[uint64]*cellplan.Plan{}, zones: []string{"nobody's"}}
-	f.found(1, 1, 3, false)
+	f.bootstrap(1, 1, 3, false)
 	f.run(20_000)
 	founded := cellplan.Cell{Name: "founded", Region: "east", Zone: "east-0", Relays: 3,
 		Contacts: []string{"127.0.0.1:1"}}
-	f.write(cellplan.Plan{Number: 2, HomeShare: 0.9, Cells: []cellplan.Cell{founded}})
+	f.publishPlan(cellplan.Plan{Number: 2, HomeShare: 0.9, Cells: []cellplan.Cell{founded}})
 	f.newCells(3)
 	f.run(60_000)
 	if err := f.exceeds(); err != nil {
--- a/internal/fleet/membership/schedules_test.go
+++ b/internal/fleet/membership/schedules_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// deafenOne lets a relay drain and come back, so that the others' shares shrink, and one of them hear
+// deafenOne lets a relay drain and come back, so that the others' shares shrink, and one of them get
 // nothing of that until all leases have run out.
 func (w *world) deafenOne(i int) {
-	clear(w.cut)
+	clear(w.partitioned)
 	w.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
 	w.run(6000 + 1000*w.rng.Float64())
-	w.strike = true
+	w.deafenNext = true
 	w.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
 	w.run(6000)
-	w.strike = false
+	w.deafenNext = false
 	for _, n := range w.nodes {
 		n.deaf = false
 	}
@@ -34,26 +34,26 @@
 	}
 	for a := range n {
 		for b := range n {
-			w.cut[[2]int{a, b}] = of[a] != of[b]
+			w.partitioned[[2]int{a, b}] = of[a] != of[b]
 		}
 	}
 }
 
-// drawn plays one schedule of faults.
-func drawn(n, founders int, seed uint64, steps int, change func(*Node)) *world {
-	founders = min(founders, n)
-	w := newWorld(n, founders, seed)
-	w.change = change
-	w.play(founders, seed, steps)
+// drawnSchedule plays one schedule of faults.
+func drawnSchedule(n, bootstrapSize int, seed uint64, steps int, change func(*Node)) *world {
+	bootstrapSize = min(bootstrapSize, n)
+	w := newWorld(n, bootstrapSize, seed)
+	w.withoutSafeguard = change
+	w.play(bootstrapSize, seed, steps)
 	return w
 }
 
 // play plays one schedule of faults.
-func (w *world) play(founders int, seed uint64, steps int) {
+func (w *world) play(bootstrapSize int, seed uint64, steps int) {
 	n := len(w.nodes)
-	w.loss, w.twice = 0.2*w.rng.Float64()*float64(seed%2), 0.1*float64(seed%3)/2
+	w.loss, w.duplication = 0.2*w.rng.Float64()*float64(seed%2), 0.1*float64(seed%3)/2
 	for i := range n {
-		if i < founders || w.rng.IntN(2) == 0 {
+		if i < bootstrapSize || w.rng.IntN(2) == 0 {
 			w.start(i)
 		}
 		if w.rng.IntN(3) == 0 {
@@ -81,16 +81,16 @@
 			}
 		case 5:
 			if x.up && x.stopped {
-				w.wake(i)
+				w.resume(i)
 			}
 		case 6: // a partition: each to one of two or three
 			w.partition()
 		case 7: // one way
 			for range 1 + n/3 {
-				w.cut[[2]int{i, w.rng.IntN(n)}] = true
+				w.partitioned[[2]int{i, w.rng.IntN(n)}] = true
 			}
 		case 8:
-			clear(w.cut)
+			clear(w.partitioned)
 		case 9:
 			if x.up && !x.stopped {
 				w.feed(i, LocalState{Lifecycle: []Lifecycle{Serving, Draining, Leaving}[w.rng.IntN(3)],
@@ -113,16 +113,16 @@
 
 // heal ends all faults and waits for agreement.
 func (w *world) heal(within float64) error {
-	clear(w.cut)
-	w.loss, w.twice = 0, 0
+	clear(w.partitioned)
+	w.loss, w.duplication = 0, 0
 	for i, n := range w.nodes {
 		switch {
 		case !n.up:
 			w.start(i)
 		case n.stopped:
-			w.wake(i)
+			w.resume(i)
 		}
-		if n.k.local.Lifecycle != Serving { // who has said that it leaves goes, and comes back
+		if n.subject.local.Lifecycle != Serving { // who has said that it leaves goes, and comes back
 			w.kill(i)
 			w.start(i)
 		}
@@ -136,13 +136,13 @@
 	return w.agreed()
 }
 
-// long tells whether the long schedules are asked for; docs/measurements/members.md has their command and
-// result.
-func long() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
+// longSchedules tells whether the longSchedules schedules are asked for; docs/measurements/members.md has
+// their command and result.
+func longSchedules() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
-// each runs a schedule for each seed on all cores, and reports the first seeds that fail. A slice of the
-// long schedules ends before the test's deadline, and says how many were played.
-func each(t *testing.T, seeds int, play func(seed uint64) error) {
+// forEachSeed runs a schedule for forEachSeed seed on all cores, and reports the first seeds that fail. A
+// slice of the long schedules ends before the test's deadline, and says how many were played.
+func forEachSeed(t *testing.T, seeds int, play func(seed uint64) error) {
 	deadline, ends := t.Deadline()
 	var next atomic.Uint64
 	var bad atomic.Int32
@@ -152,7 +152,7 @@
 		all.Go(func() {
 			for bad.Load() < 3 {
 				seed := next.Add(1) - 1
-				if seed >= uint64(seeds) || long() && ends && time.Until(deadline) < spareTime {
+				if seed >= uint64(seeds) || longSchedules() && ends && time.Until(deadline) < spareTime {
 					return
 				}
 				if err := play(seed); err != nil {
@@ -176,23 +176,23 @@
 // all agree.
 func TestSharesNeverExceedOne(t *testing.T) {
 	few, fifty := 600, 12
-	if long() {
+	if longSchedules() {
 		few, fifty = 100_000, 10_000
 	}
-	play := func(n, founders, steps int, heal float64) func(uint64) error {
+	play := func(n, bootstrapSize, steps int, heal float64) func(uint64) error {
 		return func(seed uint64) error {
-			w := drawn(n+int(seed%4), founders+int(seed%3), seed, steps, nil)
+			w := drawnSchedule(n+int(seed%4), bootstrapSize+int(seed%3), seed, steps, nil)
 			if err := w.heal(heal); err != nil {
 				return fmt.Errorf("after the heal: %w", err)
 			}
-			if w.sum > 1 {
-				return fmt.Errorf("the shares of %d relays added up to %v", len(w.nodes), w.sum)
+			if w.maxSum > 1 {
+				return fmt.Errorf("the shares of %d relays added up to %v", len(w.nodes), w.maxSum)
 			}
 			return nil
 		}
 	}
-	t.Run("few", func(t *testing.T) { each(t, few, play(3, 2, 30, 25000)) })
-	t.Run("fifty", func(t *testing.T) { each(t, fifty, play(50, 20, 12, 40000)) })
+	t.Run("few", func(t *testing.T) { forEachSeed(t, few, play(3, 2, 30, 25000)) })
+	t.Run("fifty", func(t *testing.T) { forEachSeed(t, fifty, play(50, 20, 12, 40000)) })
 }
 
 // Each protection taken out is found out by the same schedules.
@@ -207,7 +207,7 @@
 	} {
 		found := uint64(0)
 		for seed := uint64(1); seed < 3000 && found == 0; seed++ {
-			if drawn(3+int(seed%4), 2+int(seed%3), seed, 30, without).sum > 1+1e-9 {
+			if drawnSchedule(3+int(seed%4), 2+int(seed%3), seed, 30, without).maxSum > 1+1e-9 {
 				found = seed
 			}
 		}
--- a/internal/fleet/membership/slot_test.go
+++ b/internal/fleet/membership/slot_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A relay that joins a chain founded with fewer places than its number says that it has none: a status
+// A relay that joins a chain bootstrapped with fewer slots than its number says that it has none: a status
 // with a place that the chain does not have would be taken for nonsense.
 func TestSlotBeyondTheChainIsNone(t *testing.T) {
 	n := New(0, Config{Name: "r3", BootstrapSlot: 3, BootstrapSize: 4, ConfiguredRelays: 4}, Record{})
@@ -18,10 +18,10 @@
 	for _, a := range n.Handle(time.Millisecond,
 		MessageReceived{From: "r0", Message: Message{Kind: Learn, View: view, From: 1}}, nil) {
 		if p, ok := a.(Publish); ok && p.Status.Epoch == 1 && p.Status.BootstrapSlot != -1 {
-			t.Errorf("founders %d, place %d", p.Status.BootstrapSize, p.Status.BootstrapSlot)
+			t.Errorf("size %d, slot %d", p.Status.BootstrapSize, p.Status.BootstrapSlot)
 		}
 	}
 	if n.View().Epoch != 1 || n.status().BootstrapSlot != -1 {
-		t.Errorf("epoch %d, place %d", n.View().Epoch, n.status().BootstrapSlot)
+		t.Errorf("epoch %d, slot %d", n.View().Epoch, n.status().BootstrapSlot)
 	}
 }
--- a/internal/fleet/membership/trace_test.go
+++ b/internal/fleet/membership/trace_test.go
@@ -62,9 +62,9 @@
 // clocks that run at the very bounds many timers end at the moment of an event, and whether they have
 // ended then is a matter of rounding.
 func (w *world) spreadClocks() {
-	w.early = 9.7
+	w.tickLead = 9.7
 	for _, n := range w.nodes {
-		n.rate = 1 + MaxClockDrift*(2*w.rng.Float64()-1)
+		n.clockRate = 1 + MaxClockDrift*(2*w.rng.Float64()-1)
 	}
 }
 
--- a/internal/fleet/membership/voting_test.go
+++ b/internal/fleet/membership/voting_test.go
@@ -9,7 +9,7 @@
 // A proposal takes what was accepted by the highest ballot; of two by the same ballot the one that has
 // kept its Allocation. Any other could undo what is chosen.
 func TestProposalTakesTheHighestAccepted(t *testing.T) {
-	plain, celled := &View{Epoch: 2}, &View{Epoch: 2, Allocation: &Allocation{Plan: 2}}
+	plain, withAllocation := &View{Epoch: 2}, &View{Epoch: 2, Allocation: &Allocation{Plan: 2}}
 	low, high := Ballot{1, "a"}, Ballot{2, "a"}
 	for name, c := range map[string]struct {
 		promises []Message
@@ -18,13 +18,13 @@
 		"nothing accepted": {[]Message{{}, {}}, nil},
 		"one":              {[]Message{{}, {View: plain, AcceptedBallot: low}}, plain},
 		"a higher one later": {[]Message{{View: plain, AcceptedBallot: low},
-			{View: celled, AcceptedBallot: high}}, celled},
-		"a lower one later": {[]Message{{View: celled, AcceptedBallot: high},
-			{View: plain, AcceptedBallot: low}}, celled},
+			{View: withAllocation, AcceptedBallot: high}}, withAllocation},
+		"a lower one later": {[]Message{{View: withAllocation, AcceptedBallot: high},
+			{View: plain, AcceptedBallot: low}}, withAllocation},
 		"with its Allocation": {[]Message{{View: plain, AcceptedBallot: low},
-			{View: celled, AcceptedBallot: low}}, celled},
-		"its Allocation is first": {[]Message{{View: celled, AcceptedBallot: low},
-			{View: plain, AcceptedBallot: low}}, celled},
+			{View: withAllocation, AcceptedBallot: low}}, withAllocation},
+		"its Allocation is first": {[]Message{{View: withAllocation, AcceptedBallot: low},
+			{View: plain, AcceptedBallot: low}}, withAllocation},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var v voting
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -37,17 +37,17 @@
 				near++
 			}
 			if slices.Contains(of[:j], name) {
-				t.Errorf("%d relays, %d servers: %s looks at a server twice: %v", len(rs), len(ss), name, of)
+				t.Errorf("%d relays, %d servers: %s probes a server twice: %v", len(rs), len(ss), name, of)
 			}
 		}
 		if len(of) != each {
-			t.Errorf("%d relays, %d servers: %d look at a server, wanted %d", len(rs), len(ss), len(of), each)
+			t.Errorf("%d relays, %d servers: %d probe a server, wanted %d", len(rs), len(ss), len(of), each)
 		}
 	}
 	mean := float64(each*len(ss)) / float64(len(rs))
 	for name, n := range parts {
 		if float64(n) > math.Ceil(mean*(1+assignmentSlack)+0.001)+1 {
-			t.Errorf("%d relays, %d servers: %s looks at %d, the mean is %.1f", len(rs), len(ss), name, n, mean)
+			t.Errorf("%d relays, %d servers: %s probes %d, the mean is %.1f", len(rs), len(ss), name, n, mean)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 		other := Assign(rapid.Permutation(rs).Draw(r, "order"), ss)
 		for i := range ss {
 			if !slices.Equal(table.Probers(i), other.Probers(i)) {
-				r.Errorf("the order of names changes who looks at a server: %v, %v", table.Probers(i), other.Probers(i))
+				r.Errorf("the order of names changes who probes a server: %v, %v", table.Probers(i), other.Probers(i))
 			}
 		}
 	})
@@ -117,11 +117,11 @@
 		// What was probed by the one that goes must move, and about as much again may.
 		fair := ProbersPerServer * size[1] / size[0]
 		if n := moved(Assign(rs[1:], ss), ss, rs[0].Name); n > 3*fair+6 {
-			t.Errorf("%v: without one relay %d looks move that were others', of %d; its own are %d", size, n,
+			t.Errorf("%v: without one relay %d assignments move that were others', of %d; its own are %d", size, n,
 				ProbersPerServer*size[1], fair)
 		}
 		if n := moved(Assign(rs, ss[:len(ss)-1]), ss[:len(ss)-1], ""); n > 3*ProbersPerServer+6 {
-			t.Errorf("%v: without one server %d looks move, of %d", size, n, ProbersPerServer*size[1])
+			t.Errorf("%v: without one server %d assignments move, of %d", size, n, ProbersPerServer*size[1])
 		}
 	}
 }
--- a/internal/fleet/probing/placements_test.go
+++ b/internal/fleet/probing/placements_test.go
@@ -30,15 +30,16 @@
 	rs, ss := fleet(9, 12, 3)
 	rng := rand.New(rand.NewPCG(3, 3))
 	table := Assign(rs, ss)
-	keepers, sent, got := make([]*Scheduler, len(rs)), make([]int, len(ss)), make([][]int, len(rs))
+	schedulers, sent, got := make([]*Scheduler, len(rs)), make([]int, len(ss)), make([][]int, len(rs))
 	index := map[uint64]int{}
 	for i, s := range ss {
 		index[s.Key] = i
 	}
-	at, told := map[string]int{}, 0
+	at, shared := map[string]int{}, 0
 	for i, r := range rs {
-		keepers[i], got[i], at[r.Name] = New(r.Name, uint64(i)), make([]int, len(ss)), i
-		keepers[i].Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: table}, nil)
+		schedulers[i], got[i], at[r.Name] = New(r.Name, uint64(i)), make([]int, len(ss)), i
+		schedulers[i].Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: table},
+			nil)
 	}
 	var act func(i int, now time.Duration, acts []Action)
 	act = func(i int, now time.Duration, acts []Action) {
@@ -47,18 +48,18 @@
 			case PeerPlacement:
 				got[i][index[a.ServerKey]] += a.Delta
 				if a.Age > time.Second {
-					t.Errorf("word of a placement is %v old", a.Age)
+					t.Errorf("a placement is %v old", a.Age)
 				}
 			case SendPlacements:
 				if to := at[a.To]; rng.Float64() > 0.1 {
-					act(to, now, keepers[to].Handle(now+5*time.Millisecond,
+					act(to, now, schedulers[to].Handle(now+5*time.Millisecond,
 						PlacementsReceived{From: rs[i].Name, Rows: a.Rows}, nil))
 				}
 			}
 		}
 	}
 	for now := time.Second; now < 9*time.Second; now += 25 * time.Millisecond {
-		for i, k := range keepers {
+		for i, k := range schedulers {
 			if now < 7*time.Second && rng.Float64() < 0.3 { // 100 a second of all
 				s, n := rng.IntN(len(ss)), 1
 				if rng.Float64() < 0.4 { // as many ends, nearly
@@ -66,20 +67,20 @@
 				}
 				sent[s] += n
 				got[i][s] += n
-				told++
+				shared++
 				k.Handle(now, LocalPlacement{ServerKey: ss[s].Key, Delta: n}, nil)
 			}
 			act(i, now, k.Handle(now, Tick{}, nil))
 		}
 	}
-	missed, all := 0, told*len(rs)
+	missed, all := 0, shared*len(rs)
 	for i := range rs {
 		for s, n := range got[i] {
 			missed += max(sent[s]-n, n-sent[s])
 		}
 	}
 	if missed*200 > all {
-		t.Errorf("%d of %d were not heard of", missed, all)
+		t.Errorf("%d of %d did not arrive", missed, all)
 	}
 	good := PlacementDelta{ServerKey: ss[0].Key, Origin: "r1", Incarnation: 1, Seq: 9000, Delta: 1}
 	for _, c := range []struct {
@@ -93,7 +94,7 @@
 		{Impossible, func(p *PlacementDelta) { p.Age = math.MinInt64 }},
 		{TooOld, func(p *PlacementDelta) { p.Age = MaxReadingAge + 1 }},
 	} {
-		p, k := good, keepers[0]
+		p, k := good, schedulers[0]
 		c.change(&p)
 		if before := k.counters.dropped[c.why]; len(k.Handle(9*time.Second,
 			PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 ||
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -10,31 +10,32 @@
 	"capersail/internal/fleet/duration"
 )
 
-// crowd is many Schedulers on a set clock, with a net that loses and delays, and servers whose loads wander.
-type crowd struct {
-	rng     *rand.Rand
-	now     float64
-	rs      []Relay
-	ss      []Server
-	keepers []*Scheduler
-	rate    []float64 // of each relay's clock
-	down    map[int]bool
-	mail    []letter
-	loads   map[uint64]float64
-	lies    map[int]float64 // a relay that tells this load of every server
-	loss    float64
-	cut     func(a, b int) bool
-	looks   map[uint64][]float64
-	worst   float64 // greatest age at which something was believed
-	wrong   float64 // greatest difference of what was believed to what the server had then or since
-	gaps    int     // moments at which a relay had no usable reading of a server, over all
-	seen    int
-	believe [][]float64 // by relay and server: when the reading believed was taken
-	past    map[uint64][]float64
-	trace   *trace // of all actions; nil for none
+// simulatedFleet is many Schedulers on a set clock, with a net that loses and delays, and servers whose
+// loads wander.
+type simulatedFleet struct {
+	rng            *rand.Rand
+	now            float64
+	relays         []Relay
+	servers        []Server
+	schedulers     []*Scheduler
+	clockRate      []float64 // of each relay's clock
+	down           map[int]bool
+	inTransit      []packet
+	loads          map[uint64]float64
+	falseLoad      map[int]float64 // a relay that tells this load of every server
+	loss           float64
+	cut            func(a, b int) bool
+	probeTimes     map[uint64][]float64
+	maxUsedAge     float64 // greatest age at which something was believed
+	maxError       float64 // greatest difference of what was believed to what the server had then or since
+	momentsWithout int     // moments at which a relay had no usable reading of a server, over all
+	moments        int
+	usedAt         [][]float64 // by relay and server: when the reading believed was taken
+	loadHistory    map[uint64][]float64
+	trace          *trace // of all actions; nil for none
 }
 
-type letter struct {
+type packet struct {
 	at       float64
 	from, to int
 	readings []Reading
@@ -43,15 +44,15 @@
 
 const step = 25.0
 
-func newCrowd(seed uint64, relays, servers int) *crowd {
+func newSimulatedFleet(seed uint64, relays, servers int) *simulatedFleet {
 	rs, ss := fleet(relays, servers, 3)
-	c := &crowd{rng: rand.New(rand.NewPCG(seed, 7)), rs: rs, ss: ss, down: map[int]bool{},
-		loads: map[uint64]float64{}, lies: map[int]float64{}, looks: map[uint64][]float64{},
-		past: map[uint64][]float64{}}
+	c := &simulatedFleet{rng: rand.New(rand.NewPCG(seed, 7)), relays: rs, servers: ss, down: map[int]bool{},
+		loads: map[uint64]float64{}, falseLoad: map[int]float64{}, probeTimes: map[uint64][]float64{},
+		loadHistory: map[uint64][]float64{}}
 	for i := range rs {
-		c.keepers = append(c.keepers, New(rs[i].Name, seed+uint64(i)))
-		c.rate = append(c.rate, 0.95+0.1*c.rng.Float64())
-		c.believe = append(c.believe, make([]float64, servers))
+		c.schedulers = append(c.schedulers, New(rs[i].Name, seed+uint64(i)))
+		c.clockRate = append(c.clockRate, 0.95+0.1*c.rng.Float64())
+		c.usedAt = append(c.usedAt, make([]float64, servers))
 	}
 	for _, s := range ss {
 		c.loads[s.Key] = c.rng.Float64()
@@ -61,116 +62,118 @@
 }
 
 // view hands all that run the view of just them.
-func (c *crowd) view() {
+func (c *simulatedFleet) view() {
 	var up []Relay
-	for i, r := range c.rs {
+	for i, r := range c.relays {
 		if !c.down[i] {
 			up = append(up, r)
 		}
 	}
-	table := Assign(up, c.ss)
-	for i, k := range c.keepers {
-		k.Handle(c.own(i), ParticipantsChanged{Relays: up, Incarnation: 1, Servers: c.ss, Assignment: table}, nil)
+	table := Assign(up, c.servers)
+	for i, k := range c.schedulers {
+		k.Handle(c.localTime(i), ParticipantsChanged{Relays: up, Incarnation: 1, Servers: c.servers,
+			Assignment: table}, nil)
 	}
 }
 
-// own is the time on a relay's clock, which began at another moment than the others'.
-func (c *crowd) own(i int) time.Duration {
-	return duration.FromMillis(c.now*c.rate[i] + 1e4*float64(i%7))
+// localTime is the time on a relay's clock, which began at another moment than the others'.
+func (c *simulatedFleet) localTime(i int) time.Duration {
+	return duration.FromMillis(c.now*c.clockRate[i] + 1e4*float64(i%7))
 }
 
-func (c *crowd) run(ms float64) {
+func (c *simulatedFleet) run(ms float64) {
 	spots := map[uint64]int{}
-	for i, s := range c.ss {
+	for i, s := range c.servers {
 		spots[s.Key] = i
 	}
 	for end := c.now + ms; c.now < end; c.now += step {
-		for _, s := range c.ss {
+		for _, s := range c.servers {
 			c.loads[s.Key] = math.Abs(c.loads[s.Key] + 0.01*c.rng.NormFloat64())
-			c.past[s.Key] = append(c.past[s.Key], c.loads[s.Key])
+			c.loadHistory[s.Key] = append(c.loadHistory[s.Key], c.loads[s.Key])
 		}
-		due := c.mail
-		c.mail = nil
+		due := c.inTransit
+		c.inTransit = nil
 		for _, l := range due {
 			if l.at > c.now {
-				c.mail = append(c.mail, l)
+				c.inTransit = append(c.inTransit, l)
 			} else if l.rows != nil && !c.down[l.to] {
-				c.act(l.to, c.keepers[l.to].Handle(c.own(l.to),
-					PlacementsReceived{From: c.rs[l.from].Name, Rows: l.rows}, nil))
+				c.carryOut(l.to, c.schedulers[l.to].Handle(c.localTime(l.to),
+					PlacementsReceived{From: c.relays[l.from].Name, Rows: l.rows}, nil))
 			} else if !c.down[l.to] {
-				c.act(l.to, c.keepers[l.to].Handle(c.own(l.to),
-					ReadingsReceived{From: c.rs[l.from].Name, Readings: l.readings}, nil))
+				c.carryOut(l.to, c.schedulers[l.to].Handle(c.localTime(l.to),
+					ReadingsReceived{From: c.relays[l.from].Name, Readings: l.readings}, nil))
 			}
 		}
-		for i, k := range c.keepers {
+		for i, k := range c.schedulers {
 			if c.down[i] {
 				continue
 			}
 			if c.trace != nil {
 				c.place(i)
 			}
-			c.act(i, k.Handle(c.own(i), Tick{}, nil))
-			for j := range c.ss {
-				c.seen++
-				if c.now-c.believe[i][j] > duration.Millis(MaxReadingAge) {
-					c.gaps++
+			c.carryOut(i, k.Handle(c.localTime(i), Tick{}, nil))
+			for j := range c.servers {
+				c.moments++
+				if c.now-c.usedAt[i][j] > duration.Millis(MaxReadingAge) {
+					c.momentsWithout++
 				}
 			}
 		}
 	}
 }
 
-func (c *crowd) act(i int, acts []Action) {
+func (c *simulatedFleet) carryOut(i int, acts []Action) {
 	for _, a := range acts {
 		c.trace.add(i, a)
 		switch a := a.(type) {
 		case SendPlacements:
-			for to, r := range c.rs {
+			for to, r := range c.relays {
 				if r.Name == a.To && c.rng.Float64() >= c.loss {
-					c.mail = append(c.mail, letter{c.now + 1 + 20*c.rng.Float64(), i, to, nil, a.Rows})
+					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, nil, a.Rows})
 				}
 			}
 		case Probe:
-			c.looks[a.ServerKey] = append(c.looks[a.ServerKey], c.now)
-			load, lies := c.lies[i]
+			c.probeTimes[a.ServerKey] = append(c.probeTimes[a.ServerKey], c.now)
+			load, lies := c.falseLoad[i]
 			if !lies {
 				load = c.loads[a.ServerKey] * (1 + 0.05*c.rng.NormFloat64())
 			}
-			c.keepers[i].Handle(c.own(i), OwnReading{ServerKey: a.ServerKey,
+			c.schedulers[i].Handle(c.localTime(i), OwnReading{ServerKey: a.ServerKey,
 				LoadReport: LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1}}, nil)
-			c.believed(i, a.ServerKey, c.now, load)
+			c.noteUsed(i, a.ServerKey, c.now, load)
 		case SendReadings:
-			for to, r := range c.rs {
+			for to, r := range c.relays {
 				if r.Name == a.To && c.rng.Float64() >= c.loss && (c.cut == nil || !c.cut(i, to)) {
-					c.mail = append(c.mail, letter{c.now + 1 + 20*c.rng.Float64(), i, to, a.Readings, nil})
+					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, a.Readings, nil})
 				}
 			}
 		case UseReading:
-			c.worst = max(c.worst, duration.Millis(a.Age))
-			c.believed(i, a.ServerKey, c.now-duration.Millis(a.Age)/c.rate[i], placementLoad(a.Reading))
+			c.maxUsedAge = max(c.maxUsedAge, duration.Millis(a.Age))
+			c.noteUsed(i, a.ServerKey, c.now-duration.Millis(a.Age)/c.clockRate[i], placementLoad(a.Reading))
 		}
 	}
 }
 
-func (c *crowd) believed(i int, spot uint64, taken, load float64) {
-	for j, s := range c.ss {
+func (c *simulatedFleet) noteUsed(i int, spot uint64, taken, load float64) {
+	for j, s := range c.servers {
 		if s.Key == spot {
-			c.believe[i][j] = max(c.believe[i][j], taken)
+			c.usedAt[i][j] = max(c.usedAt[i][j], taken)
 		}
 	}
-	if _, lies := c.lies[i]; lies {
+	if _, lies := c.falseLoad[i]; lies {
 		return
 	}
 	off := math.Inf(1)
-	for _, x := range c.past[spot][max(0, len(c.past[spot])-int(2*duration.Millis(MaxReadingAge)/step)):] {
+	for _, x := range c.loadHistory[spot][max(0,
+		len(c.loadHistory[spot])-int(2*duration.Millis(MaxReadingAge)/step)):] {
 		off = min(off, math.Abs(load-x))
 	}
-	c.wrong = max(c.wrong, off)
+	c.maxError = max(c.maxError, off)
 }
 
-// most is the greatest number of probes of a server in any second since a moment.
-func (c *crowd) most(since, over float64) (most float64) {
-	for _, at := range c.looks {
+// maxProbeRate is the greatest number of probes of a server in any second since a moment.
+func (c *simulatedFleet) maxProbeRate(since, over float64) (most float64) {
+	for _, at := range c.probeTimes {
 		for i, t := range at {
 			n := 0
 			for _, u := range at[i:] {
@@ -190,54 +193,54 @@
 func TestProbesDoNotGrowWithRelays(t *testing.T) {
 	for _, relays := range []int{2, 9, 30, 300} {
 		for _, loss := range []float64{0.01, 0.1}[relays/300:] {
-			c := newCrowd(uint64(relays), relays, 30)
+			c := newSimulatedFleet(uint64(relays), relays, 30)
 			c.loss = loss
 			c.run(3000)
 			from := c.now
-			c.gaps, c.seen = 0, 0
+			c.momentsWithout, c.moments = 0, 0
 			c.run(6000)
-			missing := float64(c.gaps) / float64(c.seen)
-			t.Logf("%d relays, %.0f%% lost: at most %.2f looks a second at a server, %.4f without a reading, ages up to %.0f ms", relays, 100*loss, c.most(from, 6000), missing, c.worst)
-			if most := c.most(from, 5900); most > 2.2 { // clocks run up to 5% fast
-				t.Errorf("%d relays: %.2f looks a second at one server", relays, most)
+			missing := float64(c.momentsWithout) / float64(c.moments)
+			t.Logf("%d relays, %.0f%% lost: at most %.2f probes a second at a server, %.4f without a reading, ages up to %.0f ms", relays, 100*loss, c.maxProbeRate(from, 6000), missing, c.maxUsedAge)
+			if most := c.maxProbeRate(from, 5900); most > 2.2 { // clocks run up to 5% fast
+				t.Errorf("%d relays: %.2f probes a second at one server", relays, most)
 			}
 			if relays > 2 && missing > 0.01 {
 				t.Errorf("%d relays, %.0f%% lost: without a reading %.3f of the time", relays, 100*loss, missing)
 			}
-			if c.worst > duration.Millis(MaxReadingAge) {
-				t.Errorf("believed at an age of %.0f ms", c.worst)
+			if c.maxUsedAge > duration.Millis(MaxReadingAge) {
+				t.Errorf("believed at an age of %.0f ms", c.maxUsedAge)
 			}
 		}
 	}
 }
 
 // One relay that tells that all servers are empty, or full, moves nobody's belief beyond what readings
-// may differ by, and is quarantined. With what is told taken for true, the same check finds it out.
+// may differ by, and is quarantined. With all that is received taken for true, the same check finds it out.
 func TestOneLiarMovesNobody(t *testing.T) {
 	for _, lie := range []float64{0, 3} {
 		for _, trust := range []bool{false, true} {
-			c := newCrowd(11, 9, 12)
-			for _, s := range c.ss {
+			c := newSimulatedFleet(11, 9, 12)
+			for _, s := range c.servers {
 				c.loads[s.Key] = 1 + 0.2*c.rng.Float64()
 			}
-			for _, k := range c.keepers {
+			for _, k := range c.schedulers {
 				k.skipCorroboration = trust
 			}
-			c.lies[4] = lie
+			c.falseLoad[4] = lie
 			c.run(12_000)
-			if fooled := c.wrong > 2*(AgreeAbsolute+AgreeRelative); fooled != trust {
-				t.Errorf("lie %v, all believed %v: believed what was %.2f off", lie, trust, c.wrong)
+			if misled := c.maxError > 2*(AgreeAbsolute+AgreeRelative); misled != trust {
+				t.Errorf("lie %v, all believed %v: believed what was %.2f off", lie, trust, c.maxError)
 			}
-			doubted := 0
-			for i, k := range c.keepers {
-				if d := k.Report(c.own(i)).Quarantined; len(d) == 1 && d[0] == "r4" {
-					doubted++
+			quarantined := 0
+			for i, k := range c.schedulers {
+				if d := k.Report(c.localTime(i)).Quarantined; len(d) == 1 && d[0] == "r4" {
+					quarantined++
 				} else if len(d) > 0 && i != 4 {
-					t.Errorf("r%d doubts %v", i, d)
+					t.Errorf("r%d quarantines %v", i, d)
 				}
 			}
-			if !trust && doubted < 7 {
-				t.Errorf("lie %v: %d of 8 doubt it", lie, doubted)
+			if !trust && quarantined < 7 {
+				t.Errorf("lie %v: %d of 8 quarantine it", lie, quarantined)
 			}
 		}
 	}
@@ -275,21 +278,21 @@
 	}
 	k := New("r0", 1)
 	k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
-	hear := func(now time.Duration, r Reading) string {
+	receive := func(now time.Duration, r Reading) string {
 		acts := k.Handle(now, ReadingsReceived{"r2", []Reading{r}}, nil)
 		return fmt.Sprintf("%d %v", len(acts), k.counters.dropped)
 	}
 	second := good
 	second.Origin, second.LoadReport.Load = "r2", 0.55
-	hear(time.Second, good)
-	if got := hear(time.Second, second); got != "1 map[not borne out:1]" {
+	receive(time.Second, good)
+	if got := receive(time.Second, second); got != "1 map[not borne out:1]" {
 		t.Errorf("one that is borne out: %s", got)
 	}
 	// A packet that was under way for 5 s says that its reading is 10 ms old; what came before tells that it
 	// is not.
 	late := good
 	late.ReadAt, late.Age = 200*time.Millisecond, 10*time.Millisecond
-	if got := hear(6100*time.Millisecond, late); got != "0 map[not borne out:1 too old:1]" {
+	if got := receive(6100*time.Millisecond, late); got != "0 map[not borne out:1 too old:1]" {
 		t.Errorf("one that was under way for 5 s: %s", got)
 	}
 }
@@ -298,21 +301,21 @@
 // is not quarantined for that, however often it happens.
 func TestLoadStepIsBelievedWithoutQuarantine(t *testing.T) {
 	for _, drift := range []float64{-0.05, 0, 0.05} { // of one relay's clock, against all others
-		c := newCrowd(5, 9, 6)
-		for i := range c.rate {
-			c.rate[i] = 1 - drift
+		c := newSimulatedFleet(5, 9, 6)
+		for i := range c.clockRate {
+			c.clockRate[i] = 1 - drift
 		}
-		c.rate[3] = 1 + drift
+		c.clockRate[3] = 1 + drift
 		c.run(4000)
 		for i := range 10 {
 			for s := range c.loads {
 				c.loads[s] = float64(1 + 2*(i%2))
 			}
 			c.run(2300)
-			for i, k := range c.keepers {
-				r := k.Report(c.own(i))
+			for i, k := range c.schedulers {
+				r := k.Report(c.localTime(i))
 				if len(r.Quarantined) > 0 {
-					t.Fatalf("r%d doubts %v", i, r.Quarantined)
+					t.Fatalf("r%d quarantines %v", i, r.Quarantined)
 				}
 				for _, row := range r.Servers {
 					if math.Abs(row.Load-c.loads[row.ServerKey]) > 0.6 {
--- a/internal/fleet/probing/trace_test.go
+++ b/internal/fleet/probing/trace_test.go
@@ -57,10 +57,10 @@
 }
 
 // place lets a relay send to a server now and then, or something end there.
-func (c *crowd) place(relay int) {
+func (c *simulatedFleet) place(relay int) {
 	if c.rng.IntN(4) == 0 {
-		s := c.ss[c.rng.IntN(len(c.ss))]
-		c.act(relay, c.keepers[relay].Handle(c.own(relay),
+		s := c.servers[c.rng.IntN(len(c.servers))]
+		c.carryOut(relay, c.schedulers[relay].Handle(c.localTime(relay),
 			LocalPlacement{ServerKey: s.Key, Delta: 1 - 2*c.rng.IntN(2)}, nil))
 	}
 }
@@ -71,18 +71,18 @@
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var got strings.Builder
 	for seed := range uint64(40) {
-		c := newCrowd(seed, 2+int(seed%11), 1+int(seed%17))
+		c := newSimulatedFleet(seed, 2+int(seed%11), 1+int(seed%17))
 		c.trace = newTrace()
 		c.loss = 0.1 * float64(seed%3)
 		if seed%4 == 0 {
-			c.lies[0] = 3
+			c.falseLoad[0] = 3
 		}
 		c.run(4000)
 		c.down[1] = true
 		c.view()
 		c.run(1500)
 		c.down[1] = false
-		c.ss[0].Started++
+		c.servers[0].Started++
 		c.view()
 		c.run(4000)
 		fmt.Fprintf(&got, "probing %d %d %016x\n", seed, c.trace.count, c.trace.hash.Sum64())
