--- a/internal/fleet/cells/trace_test.go
+++ b/internal/fleet/cells/trace_test.go
@@ -13,7 +13,8 @@
 	"capersail/internal/fleet/duration"
 )
 
-var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
+var updateTrace = flag.Bool("update-trace", false,
+	"write testdata/trace.txt anew, after a change of behaviour that is meant")
 
 // trace is a hash over all actions of all relays, in their order.
 type trace struct {
@@ -42,8 +43,8 @@
 	}
 }
 
-// Over drawn deaths, losses and cuts every relay does the same, in the same order, as it did when testdata/trace.txt was written: a
-// change that is meant to change no behaviour changes none.
+// Over drawn deaths, losses and cuts every relay does the same, in the same order, as it did when
+// testdata/trace.txt was written: a change that is meant to change no behaviour changes none.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var got strings.Builder
 	for seed := range uint64(40) {
@@ -62,7 +63,7 @@
 				n.kill(r)
 			default:
 				n.start(r)
-				n.tell(g)
+				n.updateCell(g)
 			}
 		}
 		n.pass(30 * second)
--- a/internal/fleet/membership/trace_test.go
+++ b/internal/fleet/membership/trace_test.go
@@ -11,10 +11,11 @@
 	"testing"
 )
 
-var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
+var updateTrace = flag.Bool("update-trace", false,
+	"write testdata/trace.txt anew, after a change of behaviour that is meant")
 
-// trace is a hash over all actions of all relays of a schedule, in their order. Times on a clock are left out, as their
-// representation may change; that they are the same shows in when actions come.
+// trace is a hash over all actions of all relays of a schedule, in their order. Times on a clock are left
+// out, as their representation may change; that they are the same shows in when actions come.
 type trace struct {
 	hash  hash.Hash64
 	count int
@@ -33,12 +34,15 @@
 	switch a := a.(type) {
 	case Save:
 		r := a.Record
-		put("save", r.Incarnation, r.SlotReleased, r.Promised, r.AcceptedBallot, viewHash(r.Accepted), viewHash(r.View))
+		put("save", r.Incarnation, r.SlotReleased, r.Promised, r.AcceptedBallot, viewHash(r.Accepted),
+			viewHash(r.View))
 	case Send:
-		put("send", a.To, uint8(a.Kind), a.Epoch, a.Message.To, a.Ballot, a.AcceptedBallot, viewHash(a.View), a.Unavailable, a.From, a.BootstrapSlot, a.Plan)
+		put("send", a.To, uint8(a.Kind), a.Epoch, a.Message.To, a.Ballot, a.AcceptedBallot, viewHash(a.View),
+			a.Unavailable, a.From, a.BootstrapSlot, a.Plan)
 	case Publish:
 		s := a.Status
-		put("publish", s.Version, s.Incarnation, uint8(s.Lifecycle), s.Zone, s.RequestRate, s.OpenConnections, s.EndpointListGeneration, s.Epoch, s.Hash)
+		put("publish", s.Version, s.Incarnation, uint8(s.Lifecycle), s.Zone, s.RequestRate, s.OpenConnections,
+			s.EndpointListGeneration, s.Epoch, s.Hash)
 		put(s.BootstrapSize, s.BootstrapSlot, s.SlotReleased, s.Seq, s.DrainRate, s.ActivatedPlan)
 	case Changed:
 		put("changed", uint8(a.Kind), a.Name)
@@ -54,17 +58,19 @@
 	return v.Hash()
 }
 
-// spreadClocks gives each relay's clock a rate drawn at random, and Ticks a moment of their own: of clocks that run at the very bounds
-// many timers end at the moment of an event, and whether they have ended then is a matter of rounding.
+// spreadClocks gives each relay's clock a rate drawn at random, and Ticks a moment of their own: of
+// clocks that run at the very bounds many timers end at the moment of an event, and whether they have
+// ended then is a matter of rounding.
 func (w *world) spreadClocks() {
-	w.early = 9.7
+	w.tickLead = 9.7
 	for _, n := range w.nodes {
-		n.rate = 1 + MaxClockDrift*(2*w.rng.Float64()-1)
+		n.clockRate = 1 + MaxClockDrift*(2*w.rng.Float64()-1)
 	}
 }
 
-// Over drawn schedules of faults every relay does the same, in the same order and with the same random draws, as it did when
-// testdata/trace.txt was written: a change that is meant to change no behaviour changes none.
+// Over drawn schedules of faults every relay does the same, in the same order and with the same random
+// draws, as it did when testdata/trace.txt was written: a change that is meant to change no behaviour
+// changes none.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var got strings.Builder
 	line := func(what string, seed uint64, tr *trace) {
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// fleet is so many relays and servers, evenly over zones.
 func fleet(relays, servers, zones int) (rs []Relay, ss []Server) {
 	for i := range relays {
 		rs = append(rs, Relay{fmt.Sprintf("r%d", i), fmt.Sprintf("z%d", i%zones)})
@@ -36,25 +37,26 @@
 				near++
 			}
 			if slices.Contains(of[:j], name) {
-				t.Errorf("%d relays, %d servers: %s looks at a server twice: %v", len(rs), len(ss), name, of)
+				t.Errorf("%d relays, %d servers: %s probes a server twice: %v", len(rs), len(ss), name, of)
 			}
 		}
 		if len(of) != each {
-			t.Errorf("%d relays, %d servers: %d look at a server, wanted %d", len(rs), len(ss), len(of), each)
+			t.Errorf("%d relays, %d servers: %d probe a server, wanted %d", len(rs), len(ss), len(of), each)
 		}
 	}
 	mean := float64(each*len(ss)) / float64(len(rs))
 	for name, n := range parts {
 		if float64(n) > math.Ceil(mean*(1+assignmentSlack)+0.001)+1 {
-			t.Errorf("%d relays, %d servers: %s looks at %d, the mean is %.1f", len(rs), len(ss), name, n, mean)
+			t.Errorf("%d relays, %d servers: %s probes %d, the mean is %.1f", len(rs), len(ss), name, n, mean)
 		}
 	}
 }
 
-// At any number of relays and servers each server has as many probers as any other, and no relay much more to probe
-// than the mean; zones of any sizes.
+// At any number of relays and servers each server has as many probers as any other, and no relay much
+// more to probe than the mean; zones of any sizes.
 func TestAssignIsFair(t *testing.T) {
-	for _, size := range [][3]int{{1, 3, 1}, {2, 3, 1}, {3, 5000, 3}, {9, 12, 3}, {300, 90, 3}, {1000, 3, 3}, {1000, 5000, 5}} {
+	for _, size := range [][3]int{{1, 3, 1}, {2, 3, 1}, {3, 5000, 3}, {9, 12, 3}, {300, 90, 3}, {1000, 3, 3},
+		{1000, 5000, 5}} {
 		rs, ss := fleet(size[0], size[1], size[2])
 		check(t, rs, ss, Assign(rs, ss))
 	}
@@ -71,7 +73,7 @@
 		other := Assign(rapid.Permutation(rs).Draw(r, "order"), ss)
 		for i := range ss {
 			if !slices.Equal(table.Probers(i), other.Probers(i)) {
-				r.Errorf("the order of names changes who looks at a server: %v, %v", table.Probers(i), other.Probers(i))
+				r.Errorf("the order of names changes who probes a server: %v, %v", table.Probers(i), other.Probers(i))
 			}
 		}
 	})
@@ -115,10 +117,11 @@
 		// What was probed by the one that goes must move, and about as much again may.
 		fair := ProbersPerServer * size[1] / size[0]
 		if n := moved(Assign(rs[1:], ss), ss, rs[0].Name); n > 3*fair+6 {
-			t.Errorf("%v: without one relay %d looks move that were others', of %d; its own are %d", size, n, ProbersPerServer*size[1], fair)
+			t.Errorf("%v: without one relay %d assignments move that were others', of %d; its own are %d", size, n,
+				ProbersPerServer*size[1], fair)
 		}
 		if n := moved(Assign(rs, ss[:len(ss)-1]), ss[:len(ss)-1], ""); n > 3*ProbersPerServer+6 {
-			t.Errorf("%v: without one server %d looks move, of %d", size, n, ProbersPerServer*size[1])
+			t.Errorf("%v: without one server %d assignments move, of %d", size, n, ProbersPerServer*size[1])
 		}
 	}
 }
--- a/internal/fleet/probing/trace_test.go
+++ b/internal/fleet/probing/trace_test.go
@@ -11,10 +11,11 @@
 	"testing"
 )
 
-var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew, after a change of behaviour that is meant")
+var updateTrace = flag.Bool("update-trace", false,
+	"write testdata/trace.txt anew, after a change of behaviour that is meant")
 
-// trace is a hash over all actions of all relays, in their order. Times on a clock are left out, as their representation may change;
-// that they are the same shows in when actions come.
+// trace is a hash over all actions of all relays, in their order. Times on a clock are left out, as their
+// representation may change; that they are the same shows in when actions come.
 type trace struct {
 	hash  stdhash.Hash64
 	count int
@@ -56,30 +57,32 @@
 }
 
 // place lets a relay send to a server now and then, or something end there.
-func (c *crowd) place(relay int) {
+func (c *simulatedFleet) place(relay int) {
 	if c.rng.IntN(4) == 0 {
-		s := c.ss[c.rng.IntN(len(c.ss))]
-		c.act(relay, c.keepers[relay].Handle(c.own(relay), LocalPlacement{ServerKey: s.Key, Delta: 1 - 2*c.rng.IntN(2)}, nil))
+		s := c.servers[c.rng.IntN(len(c.servers))]
+		c.carryOut(relay, c.schedulers[relay].Handle(c.localTime(relay),
+			LocalPlacement{ServerKey: s.Key, Delta: 1 - 2*c.rng.IntN(2)}, nil))
 	}
 }
 
-// Over drawn loads, losses, lies and deaths every relay does the same, in the same order and with the same random draws, as it did
-// when testdata/trace.txt was written: a change that is meant to change no behaviour changes none.
+// Over drawn loads, losses, lies and deaths every relay does the same, in the same order and with the
+// same random draws, as it did when testdata/trace.txt was written: a change that is meant to change no
+// behaviour changes none.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var got strings.Builder
 	for seed := range uint64(40) {
-		c := newCrowd(seed, 2+int(seed%11), 1+int(seed%17))
+		c := newSimulatedFleet(seed, 2+int(seed%11), 1+int(seed%17))
 		c.trace = newTrace()
 		c.loss = 0.1 * float64(seed%3)
 		if seed%4 == 0 {
-			c.lies[0] = 3
+			c.falseLoad[0] = 3
 		}
 		c.run(4000)
 		c.down[1] = true
 		c.view()
 		c.run(1500)
 		c.down[1] = false
-		c.ss[0].Started++
+		c.servers[0].Started++
 		c.view()
 		c.run(4000)
 		fmt.Fprintf(&got, "probing %d %d %016x\n", seed, c.trace.count, c.trace.hash.Sum64())
