--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -124,7 +124,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.request = r
-	st.acquire(min(st.service.AcquireTimeout, relay.Duration(r.Timeout)))
+	st.acquire(min(st.service.AcquireTimeout, r.Timeout))
 }
 
 // acquire asks for the ownership under a new handle. The caller holds the lock.
@@ -221,7 +221,7 @@
 	}
 	st.ownershipLost.Store(true)
 	wait := float64(minRetryAfterLoss) * (1 + rand.Float64())
-	r.LoseOwnership(relay.Millis(time.Duration(wait)))
+	r.LoseOwnership(time.Duration(wait))
 }
 
 // acquireAnew releases the handle and asks under another. The caller holds the lock.
