--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -13,8 +13,9 @@
 // deathKnownWithin is how long after a cell's view has changed every other cell may take to know it.
 const deathKnownWithin = 20 * second
 
-// A death is known in all other cells within 20 s of its cell's view, also where it is the speaker's and a packet in a hundred is
-// lost. A cell that has lost its speaker has a whole directory again within three rounds.
+// A death is known in all other cells within 20 s of its cell's view, also where it is the
+// representative's and a packet in a hundred is lost. A cell that has lost its representative has a whole
+// directory again within three rounds.
 func TestDeathElsewhereIsKnown(t *testing.T) {
 	slowest, whole, deaths := time.Duration(0), time.Duration(0), 0
 	for seed := range uint64(6) {
@@ -26,7 +27,7 @@
 		for i := range 10 {
 			g := n.cells[n.draw.IntN(len(n.cells))]
 			n.pass(duration.Scale(15*second, n.draw.Float64()))
-			victim := g.speaker()
+			victim := g.representative()
 			if i%2 == 1 {
 				victim = g.relays[len(g.relays)-1]
 			}
@@ -35,19 +36,21 @@
 			}
 			n.kill(victim)
 			deaths++
-			took := n.until(60*second, func() bool { return n.known(g) })
+			took := n.until(60*second, func() bool { return n.knownEverywhere(g) })
 			all := took + n.until(60*second, n.agreed)
 			slowest, whole = max(slowest, took), max(whole, all)
 			if took > deathKnownWithin || all > 3*Round(len(n.cells)) {
-				t.Errorf("seed %d: the death of %s is known after %.1f s, all directories are whole after %.1f s", seed, victim.name, took.Seconds(), all.Seconds())
+				t.Errorf("seed %d: the death of %s is known after %.1f s, all directories are whole after %.1f s",
+					seed, victim.name, took.Seconds(), all.Seconds())
 			}
 		}
 	}
-	t.Logf("%d deaths: known in every other cell after %.1f s at most, all directories whole after %.1f s", deaths, slowest.Seconds(), whole.Seconds())
+	t.Logf("%d deaths: known in every other cell after %.1f s at most, all directories whole after %.1f s",
+		deaths, slowest.Seconds(), whole.Seconds())
 }
 
-// A region that was cut off for ten minutes, both ways or one way, is agreed with everywhere within 20 s, and no speaker sends more
-// than three times of what it does at rest in any second.
+// A region that was cut off for ten minutes, both ways or one way, is agreed with everywhere within 20 s,
+// and no representative sends more than three times of what it does at rest in any second.
 func TestRegionComesBack(t *testing.T) {
 	in := func(r *relay) bool { return r.group.region == "region-0" }
 	for name, cut := range map[string]func(from, to *relay) bool{
@@ -69,8 +72,8 @@
 	n.pass(120 * second)
 	n.cut = cut
 	n.pass(10 * second)
-	n.kill(n.cells[0].speaker())
-	n.kill(n.cells[20].speaker())
+	n.kill(n.cells[0].representative())
+	n.kill(n.cells[20].representative())
 	n.pass(590 * second)
 	if n.agreed() || n.changes[CellLost] == 0 {
 		t.Fatal("the cut isn't seen")
@@ -86,9 +89,9 @@
 		after := busiest(g.sent, heal, n.now)
 		most = max(most, float64(after)/float64(max(calm, 1)))
 		packets = max(packets, after)
-		directories = max(directories, busiest(g.gossiped, heal, n.now))
+		directories = max(directories, busiest(g.published, heal, n.now))
 	}
-	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; a speaker's busiest second %d packets and %d directories, %.2f of its busiest at rest",
+	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; a representative's busiest second %d packets and %d directories, %.2f of its busiest at rest",
 		took.Seconds(), fresh.Seconds(), packets, directories, most)
 	if took+fresh > 20*second {
 		t.Errorf("agreed after %.1f s, fresh %.1f s later", took.Seconds(), fresh.Seconds())
@@ -98,10 +101,10 @@
 	}
 }
 
-// fresh tells whether every speaker has heard of every cell since a moment.
+// fresh tells whether every representative has a summary of every cell since a moment.
 func (n *network) fresh(since time.Duration) bool {
 	for _, g := range n.cells {
-		for _, r := range g.speaker().coordinator.remotes {
+		for _, r := range g.representative().coordinator.remotes {
 			if r.summaryAt < since {
 				return false
 			}
@@ -110,7 +113,7 @@
 	return true
 }
 
-// A speaker's packets a second hardly grow with the number of cells.
+// A representative's packets a second hardly grow with the number of cells.
 func TestPaceByNumberOfCells(t *testing.T) {
 	rates := map[int]float64{}
 	for _, c := range []struct {
@@ -123,31 +126,36 @@
 		n.pass(100 * second)
 		sent := during(n.cells[0].sent, from, n.now)
 		rates[len(n.cells)] = float64(sent) / 100
-		t.Logf("%d cells: %.2f packets a second of a speaker, at most %d in one; a round takes %.1f s", len(n.cells), rates[len(n.cells)],
+		t.Logf("%d cells: %.2f packets a second of a representative, at most %d in one; a round takes %.1f s",
+			len(n.cells), rates[len(n.cells)],
 			busiest(n.cells[0].sent, from, n.now), Round(len(n.cells)).Seconds())
 	}
-	if most := float64(second) / float64(roundPerCell); rates[10] > 2 || rates[34] > most*1.01 || rates[128] > most*1.01 {
+	if most := float64(second) / float64(roundPerCell); rates[10] > 2 || rates[34] > most*1.01 ||
+		rates[128] > most*1.01 {
 		t.Error(rates)
 	}
 }
 
 // What goes between cells and inside one fits its packet, with long names and large numbers.
-func TestSizes(t *testing.T) {
+func TestMessagesFitTheirPackets(t *testing.T) {
 	plan := cellplan.Plan{Number: 1234}
 	for region := range 5 {
 		for i := range 7 {
 			name := fmt.Sprintf("eu-north-%d-hall-%c-%d", region, 'a'+i/2, i%2)
-			plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: fmt.Sprintf("eu-north-%d", region), Zone: name, Relays: 64, Contacts: []string{"100.100.100.100:17946"}})
+			plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: fmt.Sprintf("eu-north-%d", region),
+				Zone: name, Relays: 64, Contacts: []string{"100.100.100.100:17946"}})
 		}
 	}
 	if err := plan.Check(); err != nil {
 		t.Fatal(err)
 	}
 	c := New(0, Config{Name: "relay-eu-north-0-001", Cell: plan.Cells[0].Name, Incarnation: 1 << 40, Plan: plan})
-	l := LocalCell{Members: 64, Serving: 64, Epoch: 1 << 30, Plan: 1234, JoinedPlan: 1234, PlanHash: plan.Hash(), RequestRate: 12345.678, OpenConnections: 123456789, DrainRate: 123.456}
+	l := LocalCell{Members: 64, Serving: 64, Epoch: 1 << 30, Plan: 1234, JoinedPlan: 1234,
+		PlanHash: plan.Hash(), RequestRate: 12345.678, OpenConnections: 123456789, DrainRate: 123.456}
 	for i := range 7 {
 		name := fmt.Sprintf("relay-eu-north-0-%03d", i+1)
-		l.Voters = append(l.Voters, Voter{Name: name, Address: fmt.Sprintf("100.100.100.%d:17946", 100+i), Alive: true})
+		l.Voters = append(l.Voters, Voter{Name: name, Address: fmt.Sprintf("100.100.100.%d:17946", 100+i),
+			Alive: true})
 	}
 	for i := range 64 {
 		l.Departed = append(l.Departed, fmt.Sprintf("relay-eu-north-0-%03d", i+1))
@@ -160,19 +168,23 @@
 	}
 	for i, cell := range plan.Cells[1:] {
 		other := summary
-		other.Cell, other.Region, other.Representative, other.Seq = cell.Name, cell.Region, fmt.Sprintf("%s-%d", cell.Name, i), 1
+		other.Cell, other.Region, other.Representative, other.Seq = cell.Name, cell.Region,
+			fmt.Sprintf("%s-%d", cell.Name, i), 1
 		c.Handle(second, SummaryReceived{Summary: other}, nil)
 	}
 	rows := c.regionRows(second)
-	directory := Directory{Cell: c.cfg.Cell, Representative: c.cfg.Name, Incarnation: 1 << 40, Seq: 1 << 40, Epoch: 1 << 30, ActivatedPlan: 1234, Regions: rows}
+	directory := Directory{Cell: c.cfg.Cell, Representative: c.cfg.Name, Incarnation: 1 << 40, Seq: 1 << 40,
+		Epoch: 1 << 30, ActivatedPlan: 1234, Regions: rows}
 	if err := directory.Check(); err != nil || len(rows) != 5 || rows[1].Relays != 7*64 {
 		t.Fatal(err, rows)
 	}
-	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes", len(summary.Departed), size(t, summary), len(rows), size(t, directory))
+	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes", len(summary.Departed),
+		size(t, summary), len(rows), size(t, directory))
 	if size(t, summary) > 400 || size(t, directory) > 600 {
 		t.Error("too large")
 	}
-	if len(summary.Contacts) != MaxContacts || len(summary.Departed) < 4 || strings.Join(summary.Contacts, " ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
+	if len(summary.Contacts) != MaxContacts || len(summary.Departed) < 4 ||
+		strings.Join(summary.Contacts, " ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
 		t.Error(summary)
 	}
 }
