--- a/internal/lifecycle/resume.go
+++ b/internal/lifecycle/resume.go
@@ -12,6 +12,7 @@
 	"github.com/rs/zerolog"
 
 	"capersail/internal/ownership"
+	"capersail/internal/relay"
 	"capersail/internal/resume"
 	"capersail/internal/token"
 )
@@ -54,8 +55,9 @@
 		bad = "servers: at least one is wanted"
 	case !strings.HasPrefix(t.Path, "/") || t.Path == "/" || strings.HasSuffix(t.Path, "/") || strings.Contains(t.Path, "//"):
 		bad = fmt.Sprintf("path: %q is not a path from / on without a / at its end", t.Path)
-	case !(t.SessionMs >= ownership.MinSessionTimeout && t.SessionMs <= 120_000):
-		bad = fmt.Sprintf("session_ms: from %v to 120000; claims are trusted for 0.95 of it less %v", ownership.MinSessionTimeout, ownership.ExpiryMargin)
+	case !(t.SessionMs >= relay.Millis(ownership.MinSessionTimeout) && t.SessionMs <= 120_000):
+		bad = fmt.Sprintf("session_ms: from %v to 120000; claims are trusted for 0.95 of it less %v",
+			relay.Millis(ownership.MinSessionTimeout), relay.Millis(ownership.ExpiryMargin))
 	case !(t.LifeMs >= 10_000 && t.LifeMs <= 7*86_400_000):
 		bad = "token_life_ms: from 10000 to 604800000 (a week)"
 	case !(t.RenewMs >= 200 && t.RenewMs <= t.LifeMs/2):
--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -1,96 +1,111 @@
 package ownership
 
-func (k *Lease) acquire(w Acquire) {
-	e := k.streams[w.Stream]
+// acquire takes a caller's wish for a stream. An entry without a caller is one whose holder is being deleted
+// or checked: the new caller waits for that.
+func (l *Lease) acquire(a Acquire) {
+	e := l.streams[a.Stream]
 	switch {
-	case w.FencingToken != 0 && !k.canAcquire():
-		k.emit(Rejected{w.Handle, ErrServiceUnreachable, k.retryAfter(ErrServiceUnreachable)})
+	case a.FencingToken != 0 && !l.canAcquire():
+		l.emit(Rejected{a.Handle, ErrServiceUnreachable, l.retryAfter(ErrServiceUnreachable)})
 		return
-	case e != nil && e.handle != 0, e != nil && (e.phase == expired || e.phase == sessionLost):
-		k.emit(Rejected{w.Handle, ErrAlreadyOwned, k.retryAfter(ErrAlreadyOwned)})
+	case e != nil && e.taken():
+		l.emit(Rejected{a.Handle, ErrAlreadyOwned, l.retryAfter(ErrAlreadyOwned)})
 		return
 	case e == nil:
-		e = &entry{stream: w.Stream, phase: waitingForService}
-		k.streams[w.Stream] = e
-	}
-	// An entry without a caller is one whose node is being deleted or looked at: the new caller waits for that.
-	e.handle, e.answered, e.fencingToken, e.deadline, e.expiresUnixMs, e.createSent = w.Handle, false, w.FencingToken, w.Deadline, w.ExpiresUnixMs, false
-	k.byHandle[w.Handle] = e
-	if w.FencingToken != 0 {
-		k.undecided[w.Handle] = e
+		e = &entry{stream: a.Stream, phase: waitingForService}
+		l.streams[a.Stream] = e
 	}
+	l.attachCaller(e, a)
 	e.callerReplaced = e.phase == acquiring
 	if e.phase == waitingForService {
-		k.startAcquisition(e)
+		l.startAcquisition(e)
 	}
 }
 
-// startAcquisition takes on a stream that nothing is out for.
-func (k *Lease) startAcquisition(e *entry) {
+// taken tells whether the stream has a caller, or one that is still ending it.
+func (e *entry) taken() bool {
+	return e.handle != 0 || e.phase == expired || e.phase == sessionLost
+}
+
+// startAcquisition begins to acquire a stream that no request is under way for. A new stream is created; one
+// that is resumed has its record read first.
+func (l *Lease) startAcquisition(e *entry) {
 	switch {
-	case !k.canAcquire():
+	case !l.canAcquire():
 		e.phase = waitingForService
 	case e.fencingToken == 0 && !e.createSent:
 		e.createSent = true
 		e.record = Record{FencingToken: 1, ExpiresUnixMs: e.expiresUnixMs}
-		k.enterPhase(e, acquiring, CreateAndAcquire, e.record)
+		l.enterPhase(e, acquiring, CreateAndAcquire, e.record)
 	default:
-		k.enterPhase(e, readingRecord, ReadRecord, Record{})
+		l.enterPhase(e, readingRecord, ReadRecord, Record{})
 	}
 }
 
-func (k *Lease) recordRead(e *entry, r Reply) {
+// recordRead goes on with an acquisition once the stream's record is known: it is rejected by the fencing
+// token of the client's token, or asks for the holder.
+func (l *Lease) recordRead(e *entry, r Reply) {
+	isNew := e.fencingToken == 0
 	switch {
 	case e.handle == 0:
-		k.removeEntry(e)
-	case r.Code == NoReply && e.fencingToken == 0:
+		l.removeEntry(e)
+	case r.Code == NoReply && isNew:
 		e.phase = waitingForService
-	case r.Code == NoReply || r.Code == ServiceError:
-		k.rejectAndRemove(e, ErrServiceUnreachable)
-	case r.Code == NotFound && e.fencingToken == 0:
+	case r.Code == NoReply, r.Code == ServiceError:
+		l.rejectAndRemove(e, ErrServiceUnreachable)
+	case r.Code == NotFound && isNew:
 		e.createSent = false
-		k.startAcquisition(e)
+		l.startAcquisition(e)
 	case r.Code == NotFound:
-		k.rejectAndRemove(e, ErrUnknownStream)
-	case e.fencingToken != 0 && e.fencingToken < r.Record.MinFencingToken:
-		k.rejectAndRemove(e, ErrStaleToken)
+		l.rejectAndRemove(e, ErrUnknownStream)
+	case !isNew && e.fencingToken < r.Record.MinFencingToken:
+		l.rejectAndRemove(e, ErrStaleToken)
 	case e.fencingToken > r.Record.FencingToken:
-		k.rejectAndRemove(e, ErrUnknownStream)
+		l.rejectAndRemove(e, ErrUnknownStream)
 	default:
 		e.version = r.Version
-		next := r.Record
-		next.FencingToken++
-		next.ExpiresUnixMs = max(next.ExpiresUnixMs, e.expiresUnixMs)
-		e.record = next
-		k.enterPhase(e, acquiring, UpdateAndAcquire, next)
+		e.record = r.Record
+		e.record.FencingToken++
+		e.record.ExpiresUnixMs = max(e.record.ExpiresUnixMs, e.expiresUnixMs)
+		l.enterPhase(e, acquiring, UpdateAndAcquire, e.record)
 	}
 }
 
-func (k *Lease) acquisitionReplied(e *entry, r Reply) {
-	orphan := e.handle == 0 || e.callerReplaced
+// acquisitionReplied ends an acquisition, or cleans up after one that nobody wants any more.
+func (l *Lease) acquisitionReplied(e *entry, r Reply) {
+	orphaned := e.handle == 0 || e.callerReplaced
 	e.callerReplaced = false
 	switch {
-	case r.Code == NoReply || r.Code == ServiceError:
+	case r.Code == NoReply, r.Code == ServiceError:
 		e.phase = uncertain
-	case r.Code != OK && orphan:
-		k.holderGone(e)
-	case r.Code != OK && e.fencingToken == 0: // a new stream's record stands, by an answer that was lost
-		k.startAcquisition(e)
+	case r.Code != OK && orphaned:
+		l.holderGone(e)
+	case r.Code != OK && e.fencingToken == 0: // a new stream's record exists, by a reply that was lost
+		l.startAcquisition(e)
 	case r.Code == NotFound:
-		k.rejectAndRemove(e, ErrUnknownStream)
+		l.rejectAndRemove(e, ErrUnknownStream)
 	case r.Code != OK:
-		k.rejectAndRemove(e, ErrAlreadyOwned)
-	case orphan:
-		k.enterPhase(e, deletingHolder, DeleteHolder, Record{})
-	case !k.canAcquire(): // an answer that took too long proves nothing of now
+		l.rejectAndRemove(e, ErrAlreadyOwned)
+	case orphaned:
+		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+	case !l.canAcquire(): // a reply that took too long proves nothing about now
 		if e.fencingToken != 0 {
-			k.reject(e, e.handle, ErrTimedOut)
+			l.reject(e, ErrTimedOut)
 		}
-		k.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
 	default:
-		e.phase, e.version, e.answered, e.versionUnknown, e.updateID = owned, r.Version, true, false, 0
-		e.desired = e.record
-		delete(k.undecided, e.handle)
-		k.emit(Acquired{e.handle, e.record.FencingToken})
+		l.own(e, r.Version)
 	}
 }
+
+// own gives the caller the stream, whose holder this session has created.
+func (l *Lease) own(e *entry, version int32) {
+	e.phase = owned
+	e.version = version
+	e.versionUnknown = false
+	e.updateID = 0
+	e.desired = e.record
+	e.answered = true
+	delete(l.undecided, e.handle)
+	l.emit(Acquired{Handle: e.handle, FencingToken: e.record.FencingToken})
+}
--- a/internal/ownership/entry.go
+++ b/internal/ownership/entry.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"capersail/internal/token"
 )
@@ -10,65 +11,89 @@
 type phase uint8
 
 const (
-	waitingForService phase = iota // a new stream, for the service to be reachable
-	readingRecord                  // Read is out
-	acquiring                      // Make or Take is out
-	uncertain                      // the holder may exist and be ours: to be looked at once connected
-	checkingHolder                 // Look is out
-	owned                          // ours
-	expired                        // may be lost; its caller is ending it
-	sessionLost                    // surely lost; its caller is ending it
-	deletingHolder                 // Delete is out
+	waitingForService phase = iota // a new stream, until the service can be asked
+	readingRecord                  // ReadRecord is under way
+	acquiring                      // CreateAndAcquire or UpdateAndAcquire is under way
+	uncertain                      // the holder may exist and be ours: it is checked once connected
+	checkingHolder                 // CheckHolder is under way
+	owned                          // the caller may serve it
+	expired                        // may be lost; the caller is ending it
+	sessionLost                    // surely lost; the caller is ending it
+	deletingHolder                 // DeleteHolder is under way
 )
 
+// entry is one stream at this relay.
 type entry struct {
-	stream         token.StreamID
-	phase          phase
-	handle         uint64 // of the caller, 0 if there is none any more
-	releasing      uint64 // of the caller that waits to hear that it is released
-	answered       bool   // the caller has its Won or Refused
-	fencingToken   uint64 // generation of the caller's token
-	deadline       float64
-	expiresUnixMs  int64
-	createSent     bool // a new stream's Make was sent: its record may exist
-	callerReplaced bool // the Take that is out was for an earlier caller, whose token was another
-	requestID      uint64
-	version        int32
-	record         Record
+	stream    token.StreamID
+	phase     phase
+	requestID uint64 // that the phase waits for
 
-	updateID       uint64 // the Read or Raise that moves the record's floor and end, 0 if none is out
-	desired        Record // what the record is to become, if it differs
-	updateSent     Record // what the Raise that is out makes of it
-	versionUnknown bool   // the version is not known: read it first
+	callerState
+	callerReplaced bool   // the acquisition under way was for an earlier caller, whose token was another
+	releasing      uint64 // handle of the caller that waits for Released, 0 for none
+
+	record         Record // as the service has it, or will once the acquisition under way is done
+	version        int32  // of the record
+	versionUnknown bool   // a reply to an update is missing: it is read before the next
+
+	desired    Record // what an owned stream's record is to become
+	updateSent Record // what the UpdateRecord under way makes of it
+	updateID   uint64 // of the ReadRecord or UpdateRecord that leads to it, 0 if none is under way
+}
+
+// callerState is who wants or has an entry's stream.
+type callerState struct {
+	handle        uint64 // 0 for nobody
+	answered      bool   // with Acquired
+	fencingToken  uint64 // of its client's token, 0 for a new stream
+	deadline      time.Duration
+	expiresUnixMs int64 // for the record
+	createSent    bool  // a new stream's CreateAndAcquire was sent: its record may exist
 }
 
-// detachCaller separates an entry from its caller.
-func (k *Lease) detachCaller(e *entry) {
-	delete(k.byHandle, e.handle)
-	delete(k.undecided, e.handle)
+// attachCaller makes the entry one of a new caller's.
+func (l *Lease) attachCaller(e *entry, a Acquire) {
+	e.callerState = callerState{
+		handle:        a.Handle,
+		fencingToken:  a.FencingToken,
+		deadline:      a.Deadline,
+		expiresUnixMs: a.ExpiresUnixMs,
+	}
+	l.byHandle[a.Handle] = e
+	if a.FencingToken != 0 {
+		l.undecided[a.Handle] = e
+	}
+}
+
+// detachCaller separates an entry from its caller, whose token and times stand for what is still under way.
+func (l *Lease) detachCaller(e *entry) {
+	delete(l.byHandle, e.handle)
+	delete(l.undecided, e.handle)
 	e.handle, e.answered = 0, false
 }
 
-func (k *Lease) removeEntry(e *entry) {
-	if k.streams[e.stream] == e {
-		delete(k.streams, e.stream)
+// removeEntry forgets a stream.
+func (l *Lease) removeEntry(e *entry) {
+	if l.streams[e.stream] == e {
+		delete(l.streams, e.stream)
 	}
 	if e.handle != 0 {
-		k.detachCaller(e)
+		l.detachCaller(e)
 	}
 }
 
-func anyEntry(*entry) bool { return true }
-
-// entriesWhere lists the entries that are wanted in one order, so that a Keeper with the same past does the same.
-func (k *Lease) entriesWhere(wanted func(*entry) bool) (all []*entry) {
-	for _, e := range k.streams {
+// entriesWhere lists entries by stream id, so that a Lease with the same past does the same.
+func (l *Lease) entriesWhere(wanted func(*entry) bool) (all []*entry) {
+	for _, e := range l.streams {
 		if wanted(e) {
 			all = append(all, e)
 		}
 	}
-	slices.SortFunc(all, func(a, b *entry) int {
-		return slices.Compare(a.stream[:], b.stream[:])
-	})
+	slices.SortFunc(all, func(a, b *entry) int { return slices.Compare(a.stream[:], b.stream[:]) })
 	return all
 }
+
+// sortedEntries lists all entries by stream id.
+func (l *Lease) sortedEntries() []*entry {
+	return l.entriesWhere(func(*entry) bool { return true })
+}
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -1,53 +1,67 @@
-// Package ownership decides which relay may serve a stream now. A Keeper is one relay's part in that: it is fed
-// events, takes time as an argument, returns actions, and does no I/O. What it asks of a claim service is
-// what ZooKeeper gives: exclusive creation, ephemeral nodes that go with their session, versions, and several
-// of these in one transaction. docs/design/resume.md has the reasons.
-//
-// All times are milliseconds of one relay's clock; no two relays' clocks are ever compared.
 package ownership
 
 import (
 	"math/rand/v2"
+	"time"
 
 	"capersail/internal/token"
 )
 
-// Lease is one relay's claims. It is not safe for concurrent use.
+// Lease is one relay's ownership of streams, all under the lease of one session with the service. It is a
+// state machine: events in, actions out. It is not safe for concurrent use.
+//
+// Its invariants, which the model test checks against an adversary:
+//
+//   - One owner: Acquired is emitted only for a holder that this session created, and only before ValidUntil.
+//     Every owned stream has LeaseExpired at ValidUntil, ExpiryMargin before another relay can acquire it.
+//   - Fencing: the token of each acquisition of a stream is higher than that of the one before, and a
+//     client's token below the record's MinFencingToken is never acquired with.
+//   - One answer: each Acquire has one Acquired or one Rejected, and nothing after a Release but Released.
+//   - Own nodes only: a holder is deleted only if this session owns it. One that may be this session's,
+//     because a reply is missing, is checked before anything else is done with its stream.
+//   - Bounded memory: an entry lives while it has a caller, a request under way, or a holder to clean up.
 type Lease struct {
-	rng           *rand.Rand
+	rng *rand.Rand
+
 	streams       map[token.StreamID]*entry
-	byHandle      map[uint64]*entry
-	pending       map[uint64]*entry
-	undecided     map[uint64]*entry // the callers whose patience can end
+	byHandle      map[uint64]*entry // entries with a caller, by its handle
+	undecided     map[uint64]*entry // those whose caller is to be rejected at its deadline
+	pending       map[uint64]*entry // by the id of a request that is under way
 	lastRequestID uint64
 
-	margin         float64 // Grace, but for the test that a shorter one is found out
-	sessionID      int64
-	sessionTimeout float64
-	renewedAt      float64
+	margin         time.Duration // ExpiryMargin; less in the test that the model finds such a fault
+	sessionID      int64         // 0 without a session
+	sessionTimeout time.Duration
+	renewedAt      time.Duration // when the newest request that was answered was sent
 	connected      bool
-	now            float64
-	actions        []Action
+
+	now     time.Duration // of the event that is handled
+	actions []Action      // that it has led to
 }
 
-// New returns a Keeper without a session.
+// New returns a Lease without a session. The seed is that of the retry times.
 func New(seed uint64) *Lease {
-	return &Lease{margin: ExpiryMargin, rng: rand.New(rand.NewPCG(seed, 0x636c61696d)), streams: map[token.StreamID]*entry{},
-		byHandle: map[uint64]*entry{}, pending: map[uint64]*entry{},
-		undecided: map[uint64]*entry{}}
+	return &Lease{
+		rng:       rand.New(rand.NewPCG(seed, 0x636c61696d)),
+		streams:   map[token.StreamID]*entry{},
+		byHandle:  map[uint64]*entry{},
+		undecided: map[uint64]*entry{},
+		pending:   map[uint64]*entry{},
+		margin:    ExpiryMargin,
+	}
 }
 
-// ValidUntil is when the claims are no longer to be trusted; 0 if there are none to trust.
-func (k *Lease) ValidUntil() float64 {
-	if k.sessionID == 0 {
+// ValidUntil is the instant from which on the lease is not trusted; 0 without a session.
+func (l *Lease) ValidUntil() time.Duration {
+	if l.sessionID == 0 {
 		return 0
 	}
-	return k.renewedAt + k.sessionTimeout*(1-MaxClockDrift) - k.margin
+	return l.renewedAt + l.sessionTimeout - l.sessionTimeout/ClockDriftDivisor - l.margin
 }
 
-// OwnedCount is how many streams are this relay's now, and Streams how many it knows of in any state.
-func (k *Lease) OwnedCount() (n int) {
-	for _, e := range k.streams {
+// OwnedCount is how many streams this relay owns now.
+func (l *Lease) OwnedCount() (n int) {
+	for _, e := range l.streams {
 		if e.phase == owned {
 			n++
 		}
@@ -55,126 +69,108 @@
 	return n
 }
 
-// StreamCount is how many streams the Keeper knows of in any state.
-func (k *Lease) StreamCount() int { return len(k.streams) }
+// StreamCount is how many streams the Lease has an entry of, in any phase.
+func (l *Lease) StreamCount() int { return len(l.streams) }
 
-// NextTick is when a Tick is due at the latest: when the claims lapse or a caller's patience ends.
-func (k *Lease) NextTick() float64 {
-	next := k.now + 250
-	if u := k.ValidUntil(); u > k.now {
-		next = min(next, u)
+// NextTick is the instant at which a Tick is due at the latest: the lease expires, or a caller's deadline
+// passes.
+func (l *Lease) NextTick() time.Duration {
+	next := l.now + tickInterval
+	if until := l.ValidUntil(); until > l.now {
+		next = min(next, until)
 	}
-	for _, e := range k.undecided {
-		if e.deadline > k.now {
+	for _, e := range l.undecided {
+		if e.deadline > l.now {
 			next = min(next, e.deadline)
 		}
 	}
 	return next
 }
 
-// Handle takes one event and appends what is to be done about it to out.
-func (k *Lease) Handle(now float64, ev Event, out []Action) []Action {
-	k.now, k.actions = now, out
-	// A clock that jumped, or a process that slept: what has lapsed meanwhile lapses before anything else, but
-	// news of the session itself is older than the sleep and is taken first.
-	switch e := ev.(type) {
-	case Renewed:
-		k.renewedAt = max(k.renewedAt, e.SentAt)
-	case SessionConnected:
-		if e.SessionID == k.sessionID {
-			k.renewedAt = max(k.renewedAt, e.SentAt)
-		}
-	}
-	k.expireLease()
+// Handle takes one event at an instant and appends what is to be done about it to out.
+func (l *Lease) Handle(now time.Duration, ev Event, out []Action) []Action {
+	l.now, l.actions = now, out
+	// After a clock jump, or a sleep of the process, the lease expires before the event has its effect. News
+	// of the session are older than that sleep and are taken first.
+	l.renew(ev)
+	l.expireLease()
 	switch e := ev.(type) {
 	case Acquire:
-		k.acquire(e)
+		l.acquire(e)
 	case Release:
-		k.release(e.Handle)
+		l.release(e.Handle)
 	case ExtendRecord:
-		k.extendRecord(e)
+		l.extendRecord(e)
 	case SessionConnected:
-		k.sessionConnected(e)
+		l.sessionConnected(e)
 	case SessionDisconnected:
-		k.connected = false
+		l.connected = false
 	case SessionExpired:
-		k.endSession()
+		l.endSession()
 	case Reply:
-		k.handleReply(e)
+		l.handleReply(e)
 	case Tick:
-		k.tick()
+		l.tick()
 	}
-	return k.actions
+	return l.actions
 }
 
-// canAcquire tells whether a claim that is won now could be trusted.
-func (k *Lease) canAcquire() bool { return k.connected && k.now < k.ValidUntil() }
+// canAcquire tells whether a stream that is acquired now could be served.
+func (l *Lease) canAcquire() bool { return l.connected && l.now < l.ValidUntil() }
 
-func (k *Lease) emit(a Action) { k.actions = append(k.actions, a) }
+func (l *Lease) emit(a Action) { l.actions = append(l.actions, a) }
 
-// sendRequest asks the service for something about an entry's stream.
-func (k *Lease) sendRequest(e *entry, kind RequestKind, r Record) uint64 {
-	k.lastRequestID++
-	k.pending[k.lastRequestID] = e
-	k.emit(Request{ID: k.lastRequestID, Kind: kind, Stream: e.stream, Version: e.version, Record: r})
-	return k.lastRequestID
+// sendRequest asks the service for something about an entry's stream, and returns the request's id.
+func (l *Lease) sendRequest(e *entry, kind RequestKind, r Record) uint64 {
+	l.lastRequestID++
+	l.pending[l.lastRequestID] = e
+	l.emit(Request{ID: l.lastRequestID, Kind: kind, Stream: e.stream, Version: e.version, Record: r})
+	return l.lastRequestID
 }
 
-// enterPhase sends the request of an entry's next phase.
-func (k *Lease) enterPhase(e *entry, p phase, kind RequestKind, r Record) {
+// enterPhase puts an entry into a phase and sends the request that the phase waits for.
+func (l *Lease) enterPhase(e *entry, p phase, kind RequestKind, r Record) {
 	e.phase = p
-	e.requestID = k.sendRequest(e, kind, r)
+	e.requestID = l.sendRequest(e, kind, r)
 }
 
-// tick answers callers whose patience is over, and goes on with what had to wait.
-func (k *Lease) tick() {
-	over := func(e *entry) bool { return k.undecided[e.handle] == e && k.now >= e.deadline }
-	waits := func(e *entry) bool { return e.phase == waitingForService && k.canAcquire() }
-	unsaid := func(e *entry) bool { return e.phase == uncertain && k.connected } // the service had refused to say
-	for _, e := range k.entriesWhere(func(e *entry) bool { return over(e) || waits(e) || unsaid(e) }) {
-		switch {
-		case over(e):
-			k.reject(e, e.handle, ErrTimedOut)
-		case waits(e):
-			k.startAcquisition(e)
-		case unsaid(e):
-			k.enterPhase(e, checkingHolder, CheckHolder, Record{})
-		}
-	}
-}
-
-func (k *Lease) handleReply(r Reply) {
-	e := k.pending[r.RequestID]
+// handleReply takes a request's reply to what waits for it. One that nothing waits for any more is ignored.
+func (l *Lease) handleReply(r Reply) {
+	e := l.pending[r.RequestID]
 	if e == nil {
 		return
 	}
-	delete(k.pending, r.RequestID)
-	if r.RequestID == e.updateID {
-		k.recordUpdated(e, r)
-		return
+	delete(l.pending, r.RequestID)
+	switch {
+	case r.RequestID == e.updateID:
+		l.recordUpdated(e, r)
+	case r.RequestID != e.requestID:
+	case e.phase == readingRecord:
+		l.recordRead(e, r)
+	case e.phase == acquiring:
+		l.acquisitionReplied(e, r)
+	case e.phase == checkingHolder:
+		l.holderChecked(e, r)
+	case e.phase == deletingHolder:
+		l.holderDeleted(e, r)
 	}
-	if r.RequestID != e.requestID {
-		return
-	}
-	switch e.phase {
-	case readingRecord:
-		k.recordRead(e, r)
-	case acquiring:
-		k.acquisitionReplied(e, r)
-	case checkingHolder:
+}
+
+// tick rejects callers whose deadline has passed, and goes on with what had to wait.
+func (l *Lease) tick() {
+	late := func(e *entry) bool { return l.undecided[e.handle] == e && l.now >= e.deadline }
+	waits := func(e *entry) bool { return e.phase == waitingForService && l.canAcquire() }
+	// The service failed to say who owns the holder.
+	unchecked := func(e *entry) bool { return e.phase == uncertain && l.connected }
+	due := l.entriesWhere(func(e *entry) bool { return late(e) || waits(e) || unchecked(e) })
+	for _, e := range due {
 		switch {
-		case r.Code == OK && r.OwnerSession == k.sessionID:
-			k.enterPhase(e, deletingHolder, DeleteHolder, Record{})
-		case r.Code == OK || r.Code == NotFound:
-			k.holderGone(e)
-		default:
-			e.phase = uncertain
-		}
-	case deletingHolder:
-		if r.Code == OK || r.Code == NotFound {
-			k.holderGone(e)
-		} else {
-			e.phase = uncertain
+		case late(e):
+			l.reject(e, ErrTimedOut)
+		case waits(e):
+			l.startAcquisition(e)
+		case unchecked(e):
+			l.enterPhase(e, checkingHolder, CheckHolder, Record{})
 		}
 	}
 }
--- a/internal/ownership/model_adversary_test.go
+++ b/internal/ownership/model_adversary_test.go
@@ -1,32 +1,35 @@
 package ownership
 
-// wake ends a relay's sleep. What it slept past the end of its trust passes no line again, as it looks at the
-// clock before each; its connections to servers stand until it has ended them.
-func (w *world) wake(i int) {
-	r := w.relays[i]
-	r.paused = false
-	for _, c := range r.callers {
-		c.sleptPastLease = c.sleptPastLease || c.owned && w.local(r) >= r.lease.ValidUntil()
-	}
-	w.deliver(i, Tick{})
-}
+import "time"
+
+const (
+	modelStep    = 50 * time.Millisecond  // in which time passes
+	modelTick    = 250 * time.Millisecond // between two ticks of a relay
+	modelEnding  = 950 * time.Millisecond // for which a stuck client holds up the end of a stream
+	modelStarved = 8 * time.Second
+)
+
+// upTo draws a duration.
+func (w *world) upTo(most time.Duration) time.Duration { return scale(most, w.rng.Float64()) }
 
+// disconnect cuts a relay's connection. What was under way may still be done; no reply comes.
 func (w *world) disconnect(i int) {
 	r := w.relays[i]
 	if !r.connected {
 		return
 	}
-	for n := w.rng.IntN(len(r.wire) + 1); n > 0; n-- { // what was under way may still be done; nobody hears of it
+	for n := w.rng.IntN(len(r.wire) + 1); n > 0; n-- {
 		w.serve(i)
 	}
 	wire := r.wire
 	r.connected, r.wire = false, nil
 	for _, f := range wire {
-		w.deliver(i, Reply{RequestID: f.ask.ID, Code: NoReply})
+		w.deliver(i, Reply{RequestID: f.request.ID, Code: NoReply})
 	}
 	w.deliver(i, SessionDisconnected{})
 }
 
+// connect takes up a relay's session, or begins another if that has expired.
 func (w *world) connect(i int) {
 	r := w.relays[i]
 	if r.connected {
@@ -42,7 +45,7 @@
 	}
 	w.svc.heard[r.session] = w.svc.now
 	r.connected = true
-	w.deliver(i, SessionConnected{r.session, modelSessionMs, w.local(r)})
+	w.deliver(i, SessionConnected{r.session, modelSession, w.local(r)})
 }
 
 // serve lets the service do a relay's next request.
@@ -56,10 +59,10 @@
 			return // it would close the connection
 		}
 		w.svc.heard[r.session] = w.svc.now
-		if f.ask.ID != 0 {
-			f.r = w.svc.do(r.session, f.ask)
-			if f.r.Code > ServiceError {
-				w.fail("relay %d deletes another's holder: %+v", i, f.ask)
+		if f.request.ID != 0 {
+			f.reply = w.svc.do(r.session, f.request)
+			if f.reply.Code == holderOfAnother {
+				w.fail("relay %d deletes another's holder: %+v", i, f.request)
 			}
 		}
 		f.done = true
@@ -67,7 +70,7 @@
 	}
 }
 
-// deliverReply lets a relay have its next answer.
+// deliverReply lets a relay have its next reply.
 func (w *world) deliverReply(i int) {
 	r := w.relays[i]
 	if len(r.wire) == 0 || !r.wire[0].done {
@@ -75,54 +78,70 @@
 	}
 	f := r.wire[0]
 	r.wire = r.wire[1:]
-	w.deliver(i, Renewed{f.sent})
-	if f.ask.ID != 0 {
-		w.deliver(i, f.r)
+	w.deliver(i, Renewed{f.sentAt})
+	if f.request.ID != 0 {
+		w.deliver(i, f.reply)
 	}
 }
 
+// wake ends a relay's sleep. What it slept past the end of its lease forwards no line again, as it looks at
+// the clock before each; its connections to servers stand until it has ended them.
+func (w *world) wake(i int) {
+	r := w.relays[i]
+	r.paused = false
+	for _, c := range r.callers {
+		c.sleptPastLease = c.sleptPastLease || c.owned && w.local(r) >= r.lease.ValidUntil()
+	}
+	w.deliver(i, Tick{})
+}
+
 // pass lets time go by in steps in which every relay that is awake looks at its clock and its callers.
-func (w *world) pass(ms float64) {
-	for end := w.svc.now + ms; w.svc.now < end; {
-		w.svc.now += min(50, end-w.svc.now)
+func (w *world) pass(d time.Duration) {
+	for end := w.svc.now + d; w.svc.now < end; {
+		w.svc.now += min(modelStep, end-w.svc.now)
 		w.svc.expire()
 		w.checkSingleOwner()
 		for i, r := range w.relays {
-			if r.paused {
-				continue
-			}
-			if r.connected {
-				if _, stands := w.svc.heard[r.session]; !stands {
-					w.disconnect(i)
-				}
-			}
-			w.releaseExpired(i, false)
-			if w.local(r)-r.ticked >= 250 {
-				r.ticked = w.local(r)
-				w.deliver(i, Tick{})
-				if r.connected && len(r.wire) < 20 {
-					r.wire = append(r.wire, &inFlight{sent: r.ticked}) // a ping
-				}
+			if !r.paused {
+				w.awake(i)
 			}
 		}
 	}
 }
 
-// releaseExpired ends callers that have lapsed: all, or those that a stuck client may hold up no longer.
-func (w *world) releaseExpired(i int, all bool) {
+// awake is what a relay does as time passes.
+func (w *world) awake(i int) {
+	r := w.relays[i]
+	if _, stands := w.svc.heard[r.session]; r.connected && !stands {
+		w.disconnect(i)
+	}
+	w.releaseExpired(i)
+	if w.local(r)-r.tickedAt < modelTick {
+		return
+	}
+	r.tickedAt = w.local(r)
+	w.deliver(i, Tick{})
+	if r.connected && len(r.wire) < 20 {
+		r.wire = append(r.wire, &inFlight{sentAt: r.tickedAt}) // a ping
+	}
+}
+
+// releaseExpired ends callers whose lease has expired, once a stuck client may hold them up no longer.
+func (w *world) releaseExpired(i int) {
 	r := w.relays[i]
 	for _, c := range r.sorted() {
-		if c.expiredAt != 0 && (all || w.local(r)-c.expiredAt >= 950) {
+		if c.expiredAt != 0 && w.local(r)-c.expiredAt >= modelEnding {
 			w.release(i, c)
 		}
 	}
 }
 
+// step is one move of the adversary.
 func (w *world) step() {
 	i := w.rng.IntN(len(w.relays))
 	r, s := w.relays[i], w.rng.IntN(len(w.streams))
 	if r.paused && w.rng.IntN(8) != 0 {
-		w.pass(w.rng.Float64() * 300)
+		w.pass(w.upTo(300 * time.Millisecond))
 		return
 	}
 	if r.paused {
@@ -141,39 +160,22 @@
 			r.paused = true
 		}
 	case 4:
-		w.pass(w.rng.Float64() * 400 / float64(w.calm))
+		w.pass(w.upTo(400 * time.Millisecond / time.Duration(w.calm)))
 	case 6:
 		if w.rng.IntN(10*w.calm) == 0 {
-			w.pass(w.rng.Float64() * 8000)
+			w.pass(w.upTo(8 * time.Second))
 		}
 		if w.rng.IntN(4*w.calm) == 0 {
 			w.starve(i, s)
 		}
-	case 7, 8, 9: // any token ever given is shown anywhere, and forged generations are too
-		if known := w.tokens[s]; len(known) > 0 {
-			w.acquire(i, s, known[max(0, len(known)-1-w.rng.IntN(3))]+uint64(w.rng.IntN(12)/11))
-		} else if len(r.callers) == 0 {
-			fresh := true
-			for _, o := range w.relays {
-				for _, c := range o.callers {
-					fresh = fresh && c.stream != s
-				}
-			}
-			if fresh && w.svc.nodes[w.streams[s]] == nil { // no two relays make the same id
-				w.acquire(i, s, 0)
-			}
-		}
+	case 7, 8, 9:
+		w.open(i, s)
 	case 5, 10: // a caller is done, or its client has left before it was answered
-		for _, c := range r.sorted() {
-			w.release(i, c)
-			break
+		if all := r.sorted(); len(all) > 0 {
+			w.release(i, all[0])
 		}
 	case 11, 12:
-		for _, c := range r.sorted() {
-			if c.owned && c.expiredAt == 0 {
-				w.deliver(i, ExtendRecord{c.handle, w.rng.IntN(2) == 0, 1<<40 + int64(w.rng.IntN(3))})
-			}
-		}
+		w.extend(i)
 	case 13, 14, 15, 16:
 		w.serve(i)
 	default:
@@ -181,12 +183,45 @@
 	}
 }
 
-// starve answers one relay nothing for longer than its session, while another is served at once and keeps trying
-// to win what the first holds: the moment between the one's end and the other's beginning is looked for.
+// open begins a stream that no relay knows, or shows one of the newest tokens, now and then with a fencing
+// token that was never given.
+func (w *world) open(i, s int) {
+	if known := w.tokens[s]; len(known) > 0 {
+		newest := len(known) - 1
+		shown := known[max(0, newest-w.rng.IntN(3))]
+		forged := uint64(w.rng.IntN(12) / 11)
+		w.acquire(i, s, shown+forged)
+		return
+	}
+	fresh := w.svc.nodes[w.streams[s]] == nil
+	for _, o := range w.relays {
+		for _, c := range o.callers {
+			fresh = fresh && c.stream != s // no two relays make the same id
+		}
+	}
+	if fresh && len(w.relays[i].callers) == 0 {
+		w.acquire(i, s, 0)
+	}
+}
+
+// extend moves the ends of all records of a relay's owned streams; the client may have confirmed its token.
+func (w *world) extend(i int) {
+	for _, c := range w.relays[i].sorted() {
+		if c.owned && c.expiredAt == 0 {
+			delivered := w.rng.IntN(2) == 0
+			expires := 1<<40 + int64(w.rng.IntN(3))
+			w.deliver(i, ExtendRecord{c.handle, delivered, expires})
+		}
+	}
+}
+
+// starve answers one relay nothing for longer than its session, while another is served at once and keeps
+// trying to acquire what the first owns: it looks for the moment between the one's end and the other's
+// beginning.
 func (w *world) starve(starved, s int) {
 	i := (starved + 1) % len(w.relays)
 	r := w.relays[i]
-	for end := w.svc.now + 8000; w.svc.now < end && !r.paused; {
+	for end := w.svc.now + modelStarved; w.svc.now < end && !r.paused; {
 		w.connect(i)
 		for range 4 {
 			w.serve(i)
@@ -195,14 +230,14 @@
 		if known := w.tokens[s]; len(known) > 0 && len(r.callers) == 0 {
 			w.acquire(i, s, known[len(known)-1])
 		}
-		w.pass(50)
+		w.pass(modelStep)
 	}
 }
 
-// runWithoutFaults ends all faults.
-func (w *world) runWithoutFaults(ms float64) {
-	for range int(ms / 50) {
-		w.pass(50)
+// runWithoutFaults ends all faults for a while.
+func (w *world) runWithoutFaults(d time.Duration) {
+	for range d / modelStep {
+		w.pass(modelStep)
 		for i, r := range w.relays {
 			if r.paused {
 				w.wake(i)
--- a/internal/ownership/model_service_test.go
+++ b/internal/ownership/model_service_test.go
@@ -1,69 +1,76 @@
 package ownership
 
 import (
+	"time"
+
 	"capersail/internal/token"
 )
 
-const modelSessionMs = 6000.0
+const modelSession = 6000 * time.Millisecond
 
-type node struct {
-	record  Record
-	version int32
-	owner   int64 // of the holder, 0 if there is none
-}
+// holderOfAnother is the reply code of a DeleteHolder that would take another relay's ownership away.
+const holderOfAnother = ServiceError + 1
 
+// service is the model's ownership service.
 type service struct {
 	nodes    map[token.StreamID]*node
-	heard    map[int64]float64 // sessions, by when they were last heard of
+	heard    map[int64]time.Duration // by session: when something last came
 	sessions int64
-	now      float64
+	now      time.Duration
+}
+
+// node is a record and its holder.
+type node struct {
+	record  Record
+	version int32
+	owner   int64 // session of the holder, 0 if there is none
 }
 
-// expire ends sessions that were silent for their time-out, and deletes their holders.
+// expire ends sessions that were silent for their timeout, and deletes their holders.
 func (s *service) expire() {
 	for id, at := range s.heard {
-		if s.now-at >= modelSessionMs {
-			delete(s.heard, id)
-			for _, n := range s.nodes {
-				if n.owner == id {
-					n.owner = 0
-				}
+		if s.now-at < modelSession {
+			continue
+		}
+		delete(s.heard, id)
+		for _, n := range s.nodes {
+			if n.owner == id {
+				n.owner = 0
 			}
 		}
 	}
 }
 
-func (s *service) do(session int64, a Request) Reply {
-	r := Reply{RequestID: a.ID}
-	n := s.nodes[a.Stream]
+// do does one request of a session.
+func (s *service) do(session int64, q Request) Reply {
+	r := Reply{RequestID: q.ID}
+	n := s.nodes[q.Stream]
 	switch {
-	case a.Kind == CreateAndAcquire && n != nil:
+	case q.Kind == CreateAndAcquire && n != nil:
 		r.Code = AlreadyExists
-	case a.Kind == CreateAndAcquire:
-		s.nodes[a.Stream] = &node{record: a.Record, owner: session}
+	case q.Kind == CreateAndAcquire:
+		s.nodes[q.Stream] = &node{record: q.Record, owner: session}
 	case n == nil:
 		r.Code = NotFound
-	case a.Kind == ReadRecord:
+	case q.Kind == ReadRecord:
 		r.Record, r.Version = n.record, n.version
-	case a.Kind == UpdateAndAcquire && n.owner != 0:
+	case q.Kind == UpdateAndAcquire && n.owner != 0:
 		r.Code = AlreadyExists
-	case (a.Kind == UpdateAndAcquire || a.Kind == UpdateRecord) && n.version != a.Version:
+	case (q.Kind == UpdateAndAcquire || q.Kind == UpdateRecord) && n.version != q.Version:
 		r.Code = VersionMismatch
-	case a.Kind == UpdateAndAcquire || a.Kind == UpdateRecord:
+	case q.Kind == UpdateAndAcquire || q.Kind == UpdateRecord:
 		n.version++
-		n.record, r.Version = a.Record, n.version
-		if a.Kind == UpdateAndAcquire {
+		n.record, r.Version = q.Record, n.version
+		if q.Kind == UpdateAndAcquire {
 			n.owner = session
 		}
 	case n.owner == 0:
 		r.Code = NotFound
-	case a.Kind == CheckHolder:
+	case q.Kind == CheckHolder:
 		r.OwnerSession = n.owner
-	case a.Kind == DeleteHolder:
-		if n.owner != session { // a Keeper must never take another's claim away
-			r.Code = ServiceError + 1
-			return r
-		}
+	case q.Kind == DeleteHolder && n.owner != session:
+		r.Code = holderOfAnother
+	case q.Kind == DeleteHolder:
 		n.owner = 0
 	}
 	return r
--- a/internal/ownership/model_world_test.go
+++ b/internal/ownership/model_world_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"strings"
+	"time"
 
 	"capersail/internal/token"
 )
@@ -14,21 +15,23 @@
 	handle         uint64
 	stream         int
 	shownToken     uint64
-	askedAt        float64
+	askedAt        time.Duration
 	answers        int
 	owned          bool
-	sleptPastLease bool // slept past the end of its trust
+	sleptPastLease bool // its relay slept past the end of the lease
 	fencingToken   uint64
-	expiredAt      float64 // local time, 0 if not
+	expiredAt      time.Duration // local time, 0 if the lease has not expired
 }
 
+// inFlight is a request on its way, or its reply on the way back. A ping has the id 0.
 type inFlight struct {
-	ask  Request
-	sent float64
-	r    Reply
-	done bool
+	request Request
+	sentAt  time.Duration
+	reply   Reply
+	done    bool
 }
 
+// relay is one relay of the model, with a clock that runs at its own rate.
 type relay struct {
 	lease     *Lease
 	rate      float64
@@ -37,19 +40,29 @@
 	session   int64
 	wire      []*inFlight // in order; the service has answered the done ones
 	callers   map[uint64]*caller
-	ticked    float64
+	tickedAt  time.Duration
 }
 
-// The model: a claim service with sessions, two or three relays whose clocks run at different rates, and an
-// adversary that delays, cuts, pauses and repeats. It knows nothing of how a Keeper works.
+// sorted lists the callers by handle.
+func (r *relay) sorted() (all []*caller) {
+	for h := uint64(1); len(all) < len(r.callers); h++ {
+		if c := r.callers[h]; c != nil {
+			all = append(all, c)
+		}
+	}
+	return all
+}
+
+// world is the model: an ownership service with sessions, two or three relays whose clocks run at different
+// rates, and an adversary that delays, cuts, pauses and repeats. It knows nothing of how a Lease works.
 type world struct {
 	rng          *rand.Rand
 	calm         int // how much rarer faults are
 	svc          *service
 	relays       []*relay
 	streams      []token.StreamID
-	tokens       [][]uint64 // generations of all tokens ever given, by stream
-	highest      []uint64   // generation won last
+	tokens       [][]uint64 // by stream: the fencing tokens of all tokens ever given
+	highest      []uint64   // by stream: the newest owner's fencing token
 	handles      uint64
 	trace        []string
 	acquisitions int
@@ -57,16 +70,26 @@
 }
 
 func newWorld(seed uint64, relays, streams int) *world {
-	w := &world{calm: 1 + int(seed/6%4)*3, rng: rand.New(rand.NewPCG(seed, 1)), rejected: map[RejectReason]int{},
-		svc: &service{nodes: map[token.StreamID]*node{}, heard: map[int64]float64{}}}
+	w := &world{
+		rng:      rand.New(rand.NewPCG(seed, 1)),
+		calm:     1 + int(seed/6%4)*3,
+		svc:      &service{nodes: map[token.StreamID]*node{}, heard: map[int64]time.Duration{}},
+		streams:  make([]token.StreamID, streams),
+		tokens:   make([][]uint64, streams),
+		highest:  make([]uint64, streams),
+		rejected: map[RejectReason]int{},
+	}
 	for i := range relays {
-		w.relays = append(w.relays, &relay{lease: New(seed + uint64(i)), rate: 0.976 + 0.048*w.rng.Float64(), callers: map[uint64]*caller{}})
+		rate := 0.976 + 0.048*w.rng.Float64()
+		w.relays = append(w.relays, &relay{
+			lease:   New(seed + uint64(i)),
+			rate:    rate,
+			callers: map[uint64]*caller{},
+		})
 	}
-	w.streams = make([]token.StreamID, streams)
 	for i := range w.streams {
 		w.streams[i][0] = byte(i + 1)
 	}
-	w.tokens, w.highest = make([][]uint64, streams), make([]uint64, streams)
 	return w
 }
 
@@ -74,7 +97,8 @@
 type violation string
 
 func (w *world) fail(format string, args ...any) {
-	panic(violation(fmt.Sprintf(format, args...) + "\n" + strings.Join(w.trace[max(0, len(w.trace)-60):], "\n")))
+	last := w.trace[max(0, len(w.trace)-60):]
+	panic(violation(fmt.Sprintf(format, args...) + "\n" + strings.Join(last, "\n")))
 }
 
 // findViolation plays a world and returns what was found.
@@ -88,49 +112,31 @@
 	return nil
 }
 
-func (w *world) local(r *relay) float64 { return 1000 + w.svc.now*r.rate }
+// local is a relay's clock.
+func (w *world) local(r *relay) time.Duration { return time.Second + scale(w.svc.now, r.rate) }
 
+// deliver lets a relay's Lease take an event, does its actions and checks them.
 func (w *world) deliver(i int, ev Event) {
 	r := w.relays[i]
-	w.trace = append(w.trace, fmt.Sprintf("%.0f relay %d %T%+v", w.svc.now, i, ev, ev))
+	w.trace = append(w.trace, fmt.Sprintf("%d relay %d %T%+v", w.svc.now.Milliseconds(), i, ev, ev))
 	now := w.local(r)
 	for _, act := range r.lease.Handle(now, ev, nil) {
 		w.trace = append(w.trace, fmt.Sprintf("    %T%+v", act, act))
 		switch a := act.(type) {
 		case Request:
 			if !r.connected {
-				w.fail("asks without a connection: %+v", a)
+				w.fail("a request without a connection: %+v", a)
 			}
-			r.wire = append(r.wire, &inFlight{ask: a, sent: now})
+			r.wire = append(r.wire, &inFlight{request: a, sentAt: now})
 		case Acquired:
-			c := r.callers[a.Handle]
-			if c.answers++; c.answers > 1 {
-				w.fail("two answers for %+v", c)
-			}
-			c.owned, c.fencingToken = true, a.FencingToken
-			if a.FencingToken <= w.highest[c.stream] {
-				w.fail("generation %d won after %d", a.FencingToken, w.highest[c.stream])
-			}
-			if n := w.svc.nodes[w.streams[c.stream]]; c.shownToken != 0 && c.shownToken < n.record.MinFencingToken {
-				w.fail("a token of %d won below the floor %d", c.shownToken, n.record.MinFencingToken)
-			}
-			w.highest[c.stream] = a.FencingToken
-			w.tokens[c.stream] = append(w.tokens[c.stream], a.FencingToken)
-			w.acquisitions++
+			w.acquired(r.callers[a.Handle], a)
 		case Rejected:
-			c := r.callers[a.Handle]
-			if c.answers++; c.answers > 1 {
-				w.fail("two answers for %+v", c)
-			}
-			if (a.Reason == ErrAlreadyOwned || a.Reason == ErrServiceUnreachable || a.Reason == ErrTimedOut) != (a.RetryAfter > 0) || a.RetryAfter > modelSessionMs {
-				w.fail("refused with %+v", a)
-			}
-			w.rejected[a.Reason]++
+			w.checkRejected(r.callers[a.Handle], a)
 			delete(r.callers, a.Handle)
 		case LeaseExpired:
 			c := r.callers[a.Handle]
 			if c == nil || c.answers != 1 || c.expiredAt != 0 {
-				w.fail("lapsed: %+v", c)
+				w.fail("lease expired: %+v", c)
 			}
 			c.expiredAt = now
 		}
@@ -138,8 +144,39 @@
 	w.checkSingleOwner()
 }
 
+// acquired checks that a caller is answered once, that fencing tokens rise, and that no stale token acquires.
+func (w *world) acquired(c *caller, a Acquired) {
+	if c.answers++; c.answers > 1 {
+		w.fail("two answers for %+v", c)
+	}
+	c.owned, c.fencingToken = true, a.FencingToken
+	if a.FencingToken <= w.highest[c.stream] {
+		w.fail("fencing token %d acquired after %d", a.FencingToken, w.highest[c.stream])
+	}
+	stored := w.svc.nodes[w.streams[c.stream]].record
+	if c.shownToken != 0 && c.shownToken < stored.MinFencingToken {
+		w.fail("a token of %d acquired below the minimum %d", c.shownToken, stored.MinFencingToken)
+	}
+	w.highest[c.stream] = a.FencingToken
+	w.tokens[c.stream] = append(w.tokens[c.stream], a.FencingToken)
+	w.acquisitions++
+}
+
+// checkRejected checks that a caller is answered once, and told to retry where that can help, within a
+// session.
+func (w *world) checkRejected(c *caller, a Rejected) {
+	if c.answers++; c.answers > 1 {
+		w.fail("two answers for %+v", c)
+	}
+	retryable := a.Reason == ErrAlreadyOwned || a.Reason == ErrServiceUnreachable || a.Reason == ErrTimedOut
+	if retryable != (a.RetryAfter > 0) || a.RetryAfter > modelSession {
+		w.fail("rejected with %+v", a)
+	}
+	w.rejected[a.Reason]++
+}
+
 // serving tells whether a caller may be served at this instant. A relay that is asleep counts until what it
-// passed on last, just before the end of its trust, has surely been written.
+// forwarded last, just before its lease expired, has surely been written.
 func (w *world) serving(r *relay, c *caller) bool {
 	if !c.owned || c.sleptPastLease {
 		return false
@@ -149,35 +186,33 @@
 
 func (w *world) checkSingleOwner() {
 	for s := range w.streams {
-		var who []int
+		var owners []int
 		for i, r := range w.relays {
 			for _, c := range r.callers {
 				if c.stream == s && w.serving(r, c) {
-					who = append(who, i)
+					owners = append(owners, i)
 				}
 			}
 		}
-		if len(who) > 1 {
-			w.fail("stream %d is served by %v", s, who)
+		if len(owners) > 1 {
+			w.fail("stream %d is served by %v", s, owners)
 		}
 	}
 }
 
-func (r *relay) sorted() (all []*caller) {
-	for h := uint64(1); len(all) < len(r.callers); h++ {
-		if c := r.callers[h]; c != nil {
-			all = append(all, c)
-		}
-	}
-	return all
-}
-
-func (w *world) acquire(i, s int, gen uint64) *caller {
+// acquire lets a relay's caller ask for a stream.
+func (w *world) acquire(i, s int, shownToken uint64) *caller {
 	w.handles++
 	r := w.relays[i]
-	c := &caller{handle: w.handles, stream: s, shownToken: gen, askedAt: w.svc.now}
+	c := &caller{handle: w.handles, stream: s, shownToken: shownToken, askedAt: w.svc.now}
 	r.callers[c.handle] = c
-	w.deliver(i, Acquire{Handle: c.handle, Stream: w.streams[s], FencingToken: gen, Deadline: w.local(r) + 500, ExpiresUnixMs: 1 << 40})
+	w.deliver(i, Acquire{
+		Handle:        c.handle,
+		Stream:        w.streams[s],
+		FencingToken:  shownToken,
+		Deadline:      w.local(r) + 500*time.Millisecond,
+		ExpiresUnixMs: 1 << 40,
+	})
 	return c
 }
 
--- a/internal/ownership/release.go
+++ b/internal/ownership/release.go
@@ -1,38 +1,60 @@
 package ownership
 
-func (k *Lease) release(handle uint64) {
-	e := k.byHandle[handle]
+// release separates a caller from its stream, and deletes the holder if the stream was acquired.
+func (l *Lease) release(handle uint64) {
+	e := l.byHandle[handle]
 	if e == nil {
-		k.emit(Released{handle})
+		l.emit(Released{handle})
 		return
 	}
-	p := e.phase
-	k.detachCaller(e)
-	switch p {
+	l.detachCaller(e)
+	switch e.phase {
 	case waitingForService, sessionLost:
-		k.removeEntry(e)
-		k.emit(Released{handle})
+		l.removeEntry(e)
+		l.emit(Released{handle})
 	case owned, expired:
 		e.releasing = handle
-		if k.connected {
-			k.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+		if l.connected {
+			l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
 		} else {
 			e.phase = uncertain
 		}
-	default: // a request is out: its answer will find no caller
-		k.emit(Released{handle})
+	default: // the reply to the request under way finds no caller
+		l.emit(Released{handle})
 	}
 }
 
-// holderGone is for an entry whose node is surely not there: whoever waits goes on, else it is forgotten.
-func (k *Lease) holderGone(e *entry) {
+// holderChecked goes on once it is known whether this session owns the holder.
+func (l *Lease) holderChecked(e *entry, r Reply) {
+	switch {
+	case r.Code == OK && r.OwnerSession == l.sessionID:
+		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+	case r.Code == OK, r.Code == NotFound:
+		l.holderGone(e)
+	default:
+		e.phase = uncertain
+	}
+}
+
+// holderDeleted goes on once the holder is deleted, or may not be.
+func (l *Lease) holderDeleted(e *entry, r Reply) {
+	if r.Code == OK || r.Code == NotFound {
+		l.holderGone(e)
+	} else {
+		e.phase = uncertain
+	}
+}
+
+// holderGone is for an entry for which this session surely has no holder: a caller that waits acquires the
+// stream, else the stream is forgotten.
+func (l *Lease) holderGone(e *entry) {
 	if e.releasing != 0 {
-		k.emit(Released{e.releasing})
+		l.emit(Released{e.releasing})
 		e.releasing = 0
 	}
 	if e.handle == 0 {
-		k.removeEntry(e)
+		l.removeEntry(e)
 		return
 	}
-	k.startAcquisition(e)
+	l.startAcquisition(e)
 }
--- a/internal/ownership/session.go
+++ b/internal/ownership/session.go
@@ -1,54 +1,66 @@
 package ownership
 
-// sessionConnected takes up a session. With a new one nothing of the old stands; with the same one what is in doubt is
-// looked at first.
-func (k *Lease) sessionConnected(c SessionConnected) {
-	if c.SessionID != k.sessionID {
-		k.endSession()
+// renew notes when the session was last proven to stand.
+func (l *Lease) renew(ev Event) {
+	switch e := ev.(type) {
+	case Renewed:
+		l.renewedAt = max(l.renewedAt, e.SentAt)
+	case SessionConnected:
+		if e.SessionID == l.sessionID {
+			l.renewedAt = max(l.renewedAt, e.SentAt)
+		}
+	}
+}
+
+// sessionConnected takes up a session. Nothing of an earlier session is left in a new one; in the same one,
+// holders that may be ours are checked first.
+func (l *Lease) sessionConnected(c SessionConnected) {
+	if c.SessionID != l.sessionID {
+		l.endSession()
 	}
-	if k.sessionID == 0 {
-		k.renewedAt = c.SentAt
+	if l.sessionID == 0 {
+		l.renewedAt = c.SentAt
 	}
-	k.sessionID, k.sessionTimeout, k.connected = c.SessionID, c.Timeout, true
-	for _, e := range k.entriesWhere(anyEntry) {
+	l.sessionID, l.sessionTimeout, l.connected = c.SessionID, c.Timeout, true
+	for _, e := range l.sortedEntries() {
 		switch e.phase {
 		case uncertain:
-			k.enterPhase(e, checkingHolder, CheckHolder, Record{})
+			l.enterPhase(e, checkingHolder, CheckHolder, Record{})
 		case waitingForService:
-			k.startAcquisition(e)
+			l.startAcquisition(e)
 		case owned:
-			k.updateRecord(e)
+			l.updateRecord(e)
 		}
 	}
 }
 
-// expireLease ends the trust in all claims whose time is over.
-func (k *Lease) expireLease() {
-	if k.sessionID == 0 || k.now < k.ValidUntil() {
+// expireLease ends the trust in all owned streams once ValidUntil has come.
+func (l *Lease) expireLease() {
+	if l.sessionID == 0 || l.now < l.ValidUntil() {
 		return
 	}
-	for _, e := range k.entriesWhere(anyEntry) {
+	for _, e := range l.sortedEntries() {
 		if e.phase == owned {
 			e.phase = expired
-			k.emit(LeaseExpired{e.handle})
+			l.emit(LeaseExpired{e.handle})
 		}
 	}
 }
 
-// endSession forgets the session. Its nodes are gone, or were never made.
-func (k *Lease) endSession() {
-	k.sessionID, k.connected = 0, false
-	for _, e := range k.entriesWhere(anyEntry) {
+// endSession forgets the session. Its holders are gone, or were never created.
+func (l *Lease) endSession() {
+	l.sessionID, l.connected = 0, false
+	for _, e := range l.sortedEntries() {
 		switch e.phase {
 		case owned:
 			e.phase = sessionLost
-			k.emit(LeaseExpired{e.handle})
+			l.emit(LeaseExpired{e.handle})
 		case expired:
 			e.phase = sessionLost
 		case sessionLost, waitingForService:
 		default:
-			delete(k.pending, e.requestID) // an answer that still comes is the old session's
-			k.holderGone(e)
+			delete(l.pending, e.requestID) // a reply that still comes is the old session's
+			l.holderGone(e)
 		}
 	}
 }
--- a/internal/ownership/stored_test.go
+++ b/internal/ownership/stored_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"os"
 	"strings"
 	"testing"
@@ -14,12 +15,16 @@
 	{FencingToken: 1, ExpiresUnixMs: 1_800_000_000_000},
 	{FencingToken: 7, MinFencingToken: 6, ExpiresUnixMs: 1_800_003_602_000},
 	{FencingToken: 1<<64 - 1, MinFencingToken: 1<<64 - 2, ExpiresUnixMs: 1<<63 - 1},
-	{FencingToken: 0x0102030405060708, MinFencingToken: 0x1112131415161718, ExpiresUnixMs: 0x2122232425262728},
+	{
+		FencingToken:    0x0102030405060708,
+		MinFencingToken: 0x1112131415161718,
+		ExpiresUnixMs:   0x2122232425262728,
+	},
 	{FencingToken: 2, MinFencingToken: 1, ExpiresUnixMs: -1},
 }
 
-// Records that an earlier version left at the ownership service are read to the same values, and written to the same
-// bytes: relays of both versions share them while a fleet is replaced.
+// Records that an earlier version left at the ownership service are read to the same values, and written to
+// the same bytes: relays of both versions share them while a fleet is replaced.
 func TestStoredRecordsStayReadable(t *testing.T) {
 	text, err := os.ReadFile("testdata/records.hex")
 	if err != nil {
@@ -34,8 +39,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, ok := ParseRecord(stored); !ok || got != storedRecords[i] {
-			t.Errorf("record %d: read as %+v, %v, want %+v", i, got, ok, storedRecords[i])
+		if got, err := ParseRecord(stored); err != nil || got != storedRecords[i] {
+			t.Errorf("record %d: read as %+v, %v, want %+v", i, got, err, storedRecords[i])
 		}
 		if written := storedRecords[i].Marshal(); !bytes.Equal(written, stored) {
 			t.Errorf("record %d: written as %x, want %x", i, written, stored)
@@ -55,8 +60,8 @@
 		"a byte too many":  append(bytes.Clone(good), 0),
 		"the version only": good[:1],
 	} {
-		if r, ok := ParseRecord(stored); ok {
-			t.Errorf("%s: read as %+v", name, r)
+		if r, err := ParseRecord(stored); !errors.Is(err, ErrRecordFormat) {
+			t.Errorf("%s: read as %+v, %v", name, r, err)
 		}
 	}
 }
--- a/internal/ownership/update.go
+++ b/internal/ownership/update.go
@@ -1,49 +1,61 @@
 package ownership
 
-func (k *Lease) extendRecord(c ExtendRecord) {
-	e := k.byHandle[c.Handle]
+// extendRecord notes what an owned stream's record is to become.
+func (l *Lease) extendRecord(x ExtendRecord) {
+	e := l.byHandle[x.Handle]
 	if e == nil || e.phase != owned {
 		return
 	}
-	if c.TokenDelivered {
+	e.desired.FencingToken = e.record.FencingToken
+	if x.TokenDelivered {
 		e.desired.MinFencingToken = e.record.FencingToken
 	}
-	e.desired.FencingToken, e.desired.ExpiresUnixMs = e.record.FencingToken, max(e.desired.ExpiresUnixMs, c.ExpiresUnixMs)
-	k.updateRecord(e)
+	e.desired.ExpiresUnixMs = max(e.desired.ExpiresUnixMs, x.ExpiresUnixMs)
+	l.updateRecord(e)
 }
 
-// updateRecord writes the record anew if it is to change. The relay that holds a stream is the only one that writes
-// its record, so the version is known unless an answer was lost.
-func (k *Lease) updateRecord(e *entry) {
+// updateRecord writes the record if it is to change. The relay that owns a stream is the only one that writes
+// its record, so the version is known unless a reply is missing.
+func (l *Lease) updateRecord(e *entry) {
+	underWay := e.updateID != 0
 	switch {
-	case e.updateID != 0 || e.phase != owned || !k.connected || e.desired == e.record:
+	case underWay || e.phase != owned || !l.connected || e.desired == e.record:
 	case e.versionUnknown:
-		e.updateID = k.sendRequest(e, ReadRecord, Record{})
+		e.updateID = l.sendRequest(e, ReadRecord, Record{})
 	default:
 		e.updateSent = e.desired
-		e.updateID = k.sendRequest(e, UpdateRecord, e.updateSent)
+		e.updateID = l.sendRequest(e, UpdateRecord, e.updateSent)
 	}
 }
 
-func (k *Lease) recordUpdated(e *entry, r Reply) {
-	wasRead := e.versionUnknown
+// recordUpdated takes the reply to a read or an update of an owned stream's record.
+func (l *Lease) recordUpdated(e *entry, r Reply) {
 	e.updateID = 0
 	if e.phase != owned {
 		return
 	}
-	switch {
-	case r.Code == OK && wasRead:
-		e.versionUnknown, e.version, e.record = false, r.Version, r.Record
-		e.desired.MinFencingToken = max(e.desired.MinFencingToken, r.Record.MinFencingToken)
-	case r.Code == OK:
-		e.version, e.record = r.Version, e.updateSent
-	case r.Code == NoReply, r.Code == VersionMismatch:
+	switch r.Code {
+	case OK:
+		l.recordKnown(e, r)
+	case NoReply:
+		e.versionUnknown = true // sessionConnected goes on
+		return
+	case VersionMismatch:
 		e.versionUnknown = true
-		if !k.connected || r.Code == NoReply {
-			return // once connected
-		}
 	default:
-		return // tried again with the next Confirm
+		return // the next ExtendRecord goes on
+	}
+	l.updateRecord(e)
+}
+
+// recordKnown takes the record from the reply to its read, or as the update has made it.
+func (l *Lease) recordKnown(e *entry, r Reply) {
+	e.version = r.Version
+	if !e.versionUnknown {
+		e.record = e.updateSent
+		return
 	}
-	k.updateRecord(e)
+	e.versionUnknown = false
+	e.record = r.Record
+	e.desired.MinFencingToken = max(e.desired.MinFencingToken, r.Record.MinFencingToken)
 }
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -139,7 +139,7 @@
 				s.handleEvent(ev)
 			}
 		}
-		wait.Reset(relay.Duration(max(1, s.lease.NextTick()-s.Clock.NowMillis())))
+		wait.Reset(max(time.Millisecond, s.lease.NextTick()-s.Clock.Now()))
 	}
 }
 
@@ -148,8 +148,8 @@
 
 // handleEvent lets the Keeper act. Only Run calls it, so answers reach calls in the order in which they were decided.
 func (s *Service) handleEvent(ev ownership.Event) {
-	s.actions = s.lease.Handle(s.Clock.NowMillis(), ev, s.actions[:0])
-	s.validUntil.Store(math.Float64bits(s.lease.ValidUntil()))
+	s.actions = s.lease.Handle(s.Clock.Now(), ev, s.actions[:0])
+	s.validUntil.Store(math.Float64bits(relay.Millis(s.lease.ValidUntil())))
 	for _, act := range s.actions {
 		switch a := act.(type) {
 		case ownership.Request:
@@ -176,7 +176,7 @@
 func (s *Service) rejected(a ownership.Rejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
-	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: relay.Duration(a.RetryAfter)}
+	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: a.RetryAfter}
 	switch a.Reason {
 	case ownership.ErrAlreadyOwned:
 		s.count(&s.stats.AlreadyOwned)
@@ -218,8 +218,8 @@
 			r.Code = ownership.ServiceError
 		}
 		if a.Kind == ownership.ReadRecord && r.Code == ownership.OK {
-			var ok bool
-			if r.Record, ok = ownership.ParseRecord(z.Data); !ok {
+			var err error
+			if r.Record, err = ownership.ParseRecord(z.Data); err != nil {
 				s.Log.Warn().Str("node", record).Msg("a record of another version; not used")
 				r.Code = ownership.ServiceError
 			}
@@ -258,7 +258,7 @@
 			}
 		})
 	}
-	s.enqueue(ownership.SessionConnected{SessionID: session, Timeout: granted, SentAt: sentAt})
+	s.enqueue(ownership.SessionConnected{SessionID: session, Timeout: relay.Duration(granted), SentAt: relay.Duration(sentAt)})
 }
 
 func (e *sessionEvents) Disconnected() { (*Service)(e).enqueue(ownership.SessionDisconnected{}) }
@@ -269,7 +269,7 @@
 }
 
 func (e *sessionEvents) Answered(sentAt float64) {
-	(*Service)(e).enqueue(ownership.Renewed{SentAt: sentAt})
+	(*Service)(e).enqueue(ownership.Renewed{SentAt: relay.Duration(sentAt)})
 }
 
 // ancestors lists a path and those above it, the topmost first.
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -118,7 +118,7 @@
 	}
 	st.handle = st.service.nextHandle()
 	st.recordExpiresUnixMs = st.service.unixNow() + int64(2*st.service.TokenLifetime+st.service.MaxClockSkew)
-	w := ownership.Acquire{Handle: st.handle, Stream: st.ID, FencingToken: st.shownToken, Deadline: st.service.Clock.NowMillis() + within, ExpiresUnixMs: st.recordExpiresUnixMs}
+	w := ownership.Acquire{Handle: st.handle, Stream: st.ID, FencingToken: st.shownToken, Deadline: st.service.Clock.Now() + relay.Duration(within), ExpiresUnixMs: st.recordExpiresUnixMs}
 	st.service.enqueue(func() {
 		st.service.streams[w.Handle] = st
 		st.service.handleEvent(w)
@@ -266,7 +266,7 @@
 		return 0
 	}
 	st.leaseSentAt = now
-	return max(1, st.service.ValidUntil()-now+ownership.ExpiryMargin/2)
+	return max(1, st.service.ValidUntil()-now+relay.Millis(ownership.ExpiryMargin)/2)
 }
 
 // IssueToken seals a token for now; "" if there is none to give.
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -38,8 +38,8 @@
 		case room <- struct{}{}:
 		}
 		s.session.Get(record, func(a zookeeper.Answer) {
-			r, ok := ownership.ParseRecord(a.Data)
-			if a.Code != zookeeper.OK || !ok || float64(s.unixNow()-r.ExpiresUnixMs) <= s.MaxClockSkew {
+			r, err := ownership.ParseRecord(a.Data)
+			if a.Code != zookeeper.OK || err != nil || float64(s.unixNow()-r.ExpiresUnixMs) <= s.MaxClockSkew {
 				<-room
 				return
 			}
