--- a/internal/ownership/action.go
+++ b/internal/ownership/action.go
@@ -65,6 +65,7 @@
 	UpdateRecord:     "update record",
 }
 
+// String names the kind.
 func (k RequestKind) String() string { return nameOf(requestKindNames[:], int(k), "request kind") }
 
 // ReplyCode is how a request to the service ended.
@@ -89,6 +90,7 @@
 	ServiceError:    "service error",
 }
 
+// String names the code.
 func (c ReplyCode) String() string { return nameOf(replyCodeNames[:], int(c), "reply code") }
 
 // nameOf is a value's name in its type's table, and the number of one that is not there.
