--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -297,7 +297,7 @@
 	fmt.Fprintf(c, "GOT %s\r\n", words[1])
 
 	f.zk.Cut() // a session taken up again costs nothing
-	f.wait("connected again", func() bool { return f.said("claim service: connected") >= 2 })
+	f.wait("connected again", func() bool { return f.said("ownership service connected") >= 2 })
 	for range 3 {
 		c.until(t, "SCAN")
 	}
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -166,7 +166,7 @@
 	defer f.mu.Unlock()
 	n := 0
 	for _, l := range f.logs {
-		if strings.Contains(l, "claim service: connected") {
+		if strings.Contains(l, "ownership service connected") {
 			n++
 		}
 	}
--- a/internal/lifecycle/resume.go
+++ b/internal/lifecycle/resume.go
@@ -7,6 +7,7 @@
 	"net"
 	"os"
 	"strings"
+	"time"
 
 	"github.com/BurntSushi/toml"
 	"github.com/rs/zerolog"
@@ -106,9 +107,9 @@
 	return io.ReadAll(io.LimitReader(f, token.MaxKeyFileSize))
 }
 
-// ownershipCloseTimeout is how long the end of the session with the claim service is waited for, in ms; it ends by itself
+// ownershipCloseTimeout is how long the end of the session with the ownership service is waited for; it ends by itself
 // too, but later.
-const ownershipCloseTimeout = 150.0
+const ownershipCloseTimeout = 150 * time.Millisecond
 
 // resumePart is moving with a token as a part.
 func resumePart(path string, c *Config, log zerolog.Logger) (*part, error) {
@@ -149,9 +150,19 @@
 	}, nil
 }
 
-func (t *ResumeConfig) serviceConfig(relay string) resume.Config {
-	return resume.Config{Relay: relay, Servers: t.Servers, Path: t.Path, SessionTimeout: t.SessionMs, AcquireTimeout: t.ClaimMs,
-		TokenLifetime: t.LifeMs, TokenRenewInterval: t.RenewMs, MaxClockSkew: t.SkewMs, SweepInterval: t.SweepMs, AllServersResume: t.EveryServer}
+func (t *ResumeConfig) serviceConfig(name string) resume.Config {
+	return resume.Config{
+		Relay:              name,
+		Servers:            t.Servers,
+		Path:               t.Path,
+		SessionTimeout:     relay.Duration(t.SessionMs),
+		AcquireTimeout:     relay.Duration(t.ClaimMs),
+		TokenLifetime:      relay.Duration(t.LifeMs),
+		TokenRenewInterval: relay.Duration(t.RenewMs),
+		MaxClockSkew:       relay.Duration(t.SkewMs),
+		SweepInterval:      relay.Duration(t.SweepMs),
+		AllServersResume:   t.EveryServer,
+	}
 }
 
 // restartOnly is what of the file a reload does not take in.
--- /dev/null
+++ b/internal/resume/harness_test.go
@@ -0,0 +1,139 @@
+package resume
+
+import (
+	"bytes"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"capersail/decide"
+	"capersail/internal/relay"
+	"capersail/internal/testing/fake"
+	"capersail/internal/token"
+)
+
+// nobody is both sides of every request: it takes all and says nothing.
+type nobody struct{}
+
+func (nobody) StartAttempt(*relay.Request, relay.Attempt)                 {}
+func (nobody) Probe(relay.Server, func(decide.Status, decide.LoadReport)) {}
+func (nobody) Forward([]byte) error                                       { return nil }
+func (nobody) Close(relay.CloseKind)                                      {}
+func (nobody) HasUnread() bool                                            { return false }
+func (nobody) Wake()                                                      {}
+
+// testRelay is a Service with a request table, without sockets but for the ownership service's.
+type testRelay struct {
+	table   *relay.RequestTable
+	service *Service
+}
+
+// newRelay returns a relay that is connected to the ownership service, until the test ends.
+func newRelay(t testing.TB, zk *fake.ZooKeeper) *testRelay {
+	t.Helper()
+	keys, err := token.NewKeyRing([]token.Key{{ID: "a", Secret: bytes.Repeat([]byte{1}, 32)}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	clock := relay.NewClock()
+	deployment := &relay.Deployment{
+		Settings: decide.Settings{RetryAfter: true, Classes: []decide.ClassInfo{{}}},
+	}
+	c := Config{
+		Relay:              "n",
+		Servers:            []string{zk.Address},
+		Path:               "/a/streams",
+		SessionTimeout:     4 * time.Second,
+		AcquireTimeout:     20 * time.Second,
+		TokenLifetime:      time.Minute,
+		TokenRenewInterval: time.Second,
+		MaxClockSkew:       time.Second,
+	}
+	r := &testRelay{
+		table:   relay.NewRequestTable(deployment, clock, nobody{}),
+		service: New(c, keys, clock, zerolog.Nop()),
+	}
+	go r.service.Run(t.Context())
+	eventually(t, "connected", func() bool { return r.service.ValidUntil() > clock.Now() })
+	return r
+}
+
+// eventually waits for a condition, for a minute at most.
+func eventually(t testing.TB, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(200 * time.Microsecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%s: never", what)
+		}
+	}
+}
+
+func newOwnershipService(t testing.TB) *fake.ZooKeeper {
+	t.Helper()
+	zk, err := fake.NewZooKeeper("/")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(zk.Close)
+	return zk
+}
+
+// setWallClock sets the relay's wall clock to a Unix time in ms, at which it stands.
+func (r *testRelay) setWallClock(unixMs int64) {
+	r.service.wallNow = func() time.Time { return time.UnixMilli(unixMs) }
+}
+
+// open opens a request for a stream.
+func (r *testRelay) open(st *Stream) *relay.Request {
+	return r.table.Open(relay.OpenRequest{Ownership: st, Timeout: 30 * time.Second}, nobody{})
+}
+
+// newStreams makes n streams and gives them back; it returns their tokens.
+func (r *testRelay) newStreams(t testing.TB, n int) (tokens []string) {
+	t.Helper()
+	var requests []*relay.Request
+	var streams []*Stream
+	for range n {
+		st := r.service.NewStream(StreamRequest{Class: "m"})
+		streams = append(streams, st)
+		requests = append(requests, r.open(st))
+	}
+	eventually(t, "acquired", func() bool { return r.service.Stats().Acquired >= uint64(n) })
+	for i, st := range streams {
+		tokens = append(tokens, st.IssueToken())
+		requests[i].ClientClosed(relay.GracefulClose)
+	}
+	for _, st := range streams {
+		<-st.released
+	}
+	return tokens
+}
+
+// startResuming opens requests with tokens, all at once.
+func (r *testRelay) startResuming(t testing.TB, tokens []string) (requests []*relay.Request) {
+	t.Helper()
+	for _, text := range tokens {
+		st, note, err := r.service.ResumeStream(text, StreamRequest{Class: "m"})
+		if err != nil {
+			t.Fatal(note, err)
+		}
+		requests = append(requests, r.open(st))
+	}
+	return requests
+}
+
+// resumeStreams opens requests with tokens, and waits until each has its ownership or its answer.
+func (r *testRelay) resumeStreams(t testing.TB, tokens []string) []*relay.Request {
+	t.Helper()
+	requests := r.startResuming(t, tokens)
+	for _, q := range requests {
+		eventually(t, "an answer", func() bool { return stateOf(q) != relay.AwaitingOwnership })
+	}
+	return requests
+}
+
+func stateOf(q *relay.Request) relay.State {
+	state, _ := q.State()
+	return state
+}
--- a/internal/resume/issue.go
+++ b/internal/resume/issue.go
@@ -1,67 +1,111 @@
 package resume
 
 import (
+	"time"
+
 	"capersail/internal/ownership"
 	"capersail/internal/token"
 )
 
-// TokenDue tells whether a token is to be given out now: the first of a generation at once, then with each Renew
-// in which the position has moved, and before the one that the client has is too old.
+// issuedToken is what is remembered of the token that the client was given last.
+type issuedToken struct {
+	at           time.Duration
+	position     uint64
+	fencingToken uint64 // 0 for none yet
+}
+
+// recordSlackDivisor: a record's end is moved once it has fallen behind by a token's lifetime over this.
+const recordSlackDivisor = 4
+
+// TokenDue tells whether a token is to be given out now: the first of an ownership at once, then with each
+// TokenRenewInterval in which the position has moved, and before the one that the client has is too old.
 func (st *Stream) TokenDue() bool {
-	gen := st.fencingToken.Load()
-	if gen == 0 {
+	owned := st.fencingToken.Load()
+	if owned == 0 {
 		return false
 	}
-	age := st.service.Clock.NowMillis() - st.issuedAt
-	return st.issuedFencingToken != gen || age >= st.service.TokenRenewInterval && st.issuedPosition != st.position.Load() || age >= st.service.TokenLifetime/2
+	if st.issued.fencingToken != owned {
+		return true
+	}
+	age := st.service.Clock.Now() - st.issued.at
+	moved := st.issued.position != st.position.Load()
+	return age >= st.service.TokenRenewInterval && moved || age >= st.service.TokenLifetime/2
 }
 
-// NextCheck is when Due and Lease are to be asked again at the latest.
-func (st *Stream) NextCheck() float64 {
-	now := st.service.Clock.NowMillis()
-	next := now + st.service.TokenRenewInterval
-	if st.issuedFencingToken != 0 {
-		next = max(now+1, st.issuedAt+min(st.service.TokenRenewInterval, st.service.TokenLifetime/2))
+// NextCheck is the instant at which TokenDue and ServerLease are to be asked again at the latest.
+func (st *Stream) NextCheck() time.Duration {
+	s := st.service
+	now := s.Clock.Now()
+	next := now + s.TokenRenewInterval
+	if st.issued.fencingToken != 0 {
+		due := st.issued.at + min(s.TokenRenewInterval, s.TokenLifetime/2)
+		next = max(now+time.Millisecond, due)
 	}
-	if st.serverLeased && st.fencingToken.Load() != 0 {
-		next = min(next, st.leaseSentAt+st.service.SessionTimeout*leaseRenewFraction)
+	if st.serverLease.supported && st.fencingToken.Load() != 0 {
+		next = min(next, st.serverLease.sentAt+s.leaseRenewInterval())
 	}
 	return next
 }
 
-// IssueToken seals a token for now; "" if there is none to give.
+// IssueToken seals a token of now for the client; "" if there is none to give.
 func (st *Stream) IssueToken() string {
-	gen := st.fencingToken.Load()
-	if gen == 0 || st.ownershipLost.Load() {
+	owned := st.fencingToken.Load()
+	if owned == 0 || st.ownershipLost.Load() {
 		return ""
 	}
-	now, wall, pos := st.service.Clock.NowMillis(), st.service.unixNow(), st.position.Load()
-	text, err := st.service.keys.Load().Seal(&token.Token{Stream: st.ID, FencingToken: gen, Class: st.Class, Tenant: st.Tenant,
-		Key: st.Key, Group: st.Group, Position: pos, Server: st.serverName, Relay: st.service.Relay, IssuedUnixMs: wall,
-		ExpiresUnixMs: wall + int64(st.service.TokenLifetime)})
-	st.issuedAt, st.issuedPosition, st.issuedFencingToken = now, pos, gen
+	s := st.service
+	now, wallNow, position := s.Clock.Now(), s.wallNow(), st.position.Load()
+	text, err := s.keys.Load().Seal(&token.Token{
+		Stream:        st.ID,
+		FencingToken:  owned,
+		Class:         st.Class,
+		Tenant:        st.Tenant,
+		Key:           st.Key,
+		Group:         st.Group,
+		Position:      position,
+		Server:        st.serverName,
+		Relay:         s.Relay,
+		IssuedUnixMs:  wallNow.UnixMilli(),
+		ExpiresUnixMs: wallNow.Add(s.TokenLifetime).UnixMilli(),
+	})
+	st.issued = issuedToken{at: now, position: position, fencingToken: owned}
 	if err != nil {
-		st.service.Log.Error().Err(err).Str("class", st.Class).Str("tenant", st.Tenant).Msg("no token can be sealed")
+		s.Log.Error().Err(err).Str("class", st.Class).Str("tenant", st.Tenant).
+			Msg("token not sealed; the stream cannot be resumed")
 		return ""
 	}
 	st.tokenIssued.Store(true)
+	st.extendRecord()
+	return text
+}
+
+// extendRecord moves the record's end with the tokens that are given out.
+func (st *Stream) extendRecord() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if end := wall + int64(2*st.service.TokenLifetime+st.service.MaxClockSkew); float64(end-st.recordExpiresUnixMs) > st.service.TokenLifetime/4 && !st.ended {
-		st.recordExpiresUnixMs = end
-		st.service.enqueue(ownership.ExtendRecord{Handle: st.handle, ExpiresUnixMs: end})
+	end := st.recordEnd()
+	slack := st.service.TokenLifetime / recordSlackDivisor
+	if st.ended || end-st.recordExpiresUnixMs <= slack.Milliseconds() {
+		return
 	}
-	return text
+	st.recordExpiresUnixMs = end
+	st.service.enqueue(ownership.ExtendRecord{Handle: st.handle, ExpiresUnixMs: end})
 }
 
-// ConfirmToken says that the client has the token of a generation: earlier ones are worth nothing from then on.
-func (st *Stream) ConfirmToken(generation uint64) {
-	gen := st.fencingToken.Load()
+// ConfirmToken says that the client has the token of an ownership: those of earlier ones are stale from then
+// on.
+func (st *Stream) ConfirmToken(fencingToken uint64) {
+	owned := st.fencingToken.Load()
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if generation != gen || gen == 0 || st.deliveredToken == gen || st.ended || !st.tokenIssued.Load() {
+	current := owned != 0 && fencingToken == owned && st.tokenIssued.Load()
+	if !current || st.deliveredToken == owned || st.ended {
 		return
 	}
-	st.deliveredToken = gen
-	st.service.enqueue(ownership.ExtendRecord{Handle: st.handle, TokenDelivered: true, ExpiresUnixMs: st.recordExpiresUnixMs})
+	st.deliveredToken = owned
+	st.service.enqueue(ownership.ExtendRecord{
+		Handle:         st.handle,
+		TokenDelivered: true,
+		ExpiresUnixMs:  st.recordExpiresUnixMs,
+	})
 }
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -8,77 +8,102 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// sendRequest puts a Keeper's request to the claim service.
-func (s *Service) sendRequest(a ownership.Request) {
-	record := s.Path + "/" + a.Stream.String()
-	holder := record + "/holder"
-	done := func(z zookeeper.Answer) {
-		r := ownership.Reply{RequestID: a.ID, Version: z.Stat.Version, OwnerSession: z.Stat.Owner}
-		switch z.Code {
-		case zookeeper.OK:
-		case zookeeper.NoNode:
-			r.Code = ownership.NotFound
-		case zookeeper.NodeExists:
-			r.Code = ownership.AlreadyExists
-		case zookeeper.BadVersion:
-			r.Code = ownership.VersionMismatch
-		case zookeeper.Lost:
-			r.Code = ownership.NoReply
-		default:
-			s.Log.Warn().Int32("code", int32(z.Code)).Str("node", record).Msg("claim service refuses a request")
-			r.Code = ownership.ServiceError
-		}
-		if a.Kind == ownership.ReadRecord && r.Code == ownership.OK {
-			var err error
-			if r.Record, err = ownership.ParseRecord(z.Data); err != nil {
-				s.Log.Warn().Str("node", record).Msg("a record of another version; not used")
-				r.Code = ownership.ServiceError
-			}
-		}
-		s.enqueue(r)
-	}
-	switch a.Kind {
+// recordPath is the node of a stream's record, and holderPath the ephemeral node of its owner below it.
+func (s *Service) recordPath(stream string) string { return s.Path + "/" + stream }
+
+func holderPath(record string) string { return record + "/holder" }
+
+// replyCodes are the codes that package ownership tells apart.
+var replyCodes = map[zookeeper.Code]ownership.ReplyCode{
+	zookeeper.OK:         ownership.OK,
+	zookeeper.NoNode:     ownership.NotFound,
+	zookeeper.NodeExists: ownership.AlreadyExists,
+	zookeeper.BadVersion: ownership.VersionMismatch,
+	zookeeper.Lost:       ownership.NoReply,
+}
+
+// sendRequest puts the Lease's request to the ownership service; the reply becomes an event.
+func (s *Service) sendRequest(q ownership.Request) {
+	record := s.recordPath(q.Stream.String())
+	holder := holderPath(record)
+	done := func(a zookeeper.Answer) { s.enqueue(s.reply(q, record, a)) }
+	switch q.Kind {
 	case ownership.ReadRecord:
 		s.session.Get(record, done)
 	case ownership.CreateAndAcquire:
-		s.session.Multi([]zookeeper.Step{zookeeper.CreateStep(record, a.Record.Marshal(), false),
-			zookeeper.CreateStep(holder, []byte(s.Relay), true)}, done)
+		s.session.Multi([]zookeeper.Step{
+			zookeeper.CreateStep(record, q.Record.Marshal(), false),
+			zookeeper.CreateStep(holder, []byte(s.Relay), true),
+		}, done)
 	case ownership.UpdateAndAcquire:
-		s.session.Multi([]zookeeper.Step{zookeeper.SetStep(record, a.Record.Marshal(), a.Version),
-			zookeeper.CreateStep(holder, []byte(s.Relay), true)}, done)
+		s.session.Multi([]zookeeper.Step{
+			zookeeper.SetStep(record, q.Record.Marshal(), q.Version),
+			zookeeper.CreateStep(holder, []byte(s.Relay), true),
+		}, done)
 	case ownership.CheckHolder:
 		s.session.Sync(holder, func(zookeeper.Answer) {})
 		s.session.Exists(holder, done)
 	case ownership.DeleteHolder:
 		s.session.Delete(holder, -1, done)
 	case ownership.UpdateRecord:
-		s.session.Set(record, a.Record.Marshal(), a.Version, done)
+		s.session.Set(record, q.Record.Marshal(), q.Version, done)
 	}
 }
 
+// reply is the Lease's reply to a request. A record that cannot be read is an error of the service's.
+func (s *Service) reply(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
+	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.Owner}
+	code, known := replyCodes[a.Code]
+	if !known {
+		s.Log.Warn().Int32("code", int32(a.Code)).Str("node", node).
+			Msg("ownership service rejected a request")
+		code = ownership.ServiceError
+	}
+	if q.Kind == ownership.ReadRecord && code == ownership.OK {
+		var err error
+		if r.Record, err = ownership.ParseRecord(a.Data); err != nil {
+			s.Log.Warn().Err(err).Str("node", node).Msg("ownership record ignored")
+			code = ownership.ServiceError
+		}
+	}
+	r.Code = code
+	return r
+}
+
 // sessionEvents is the Service as its session sees it.
 type sessionEvents Service
 
+// Connected makes the path on which records lie, if need be, and notifies the Lease.
 func (e *sessionEvents) Connected(session int64, granted, sentAt float64) {
 	s := (*Service)(e)
-	s.Log.Info().Float64("session_ms", granted).Msg("claim service: connected")
-	for i, p := range ancestors(s.Path) { // made by whoever comes first
+	s.Log.Info().Float64("session_ms", granted).Msg("ownership service connected")
+	for i, p := range ancestors(s.Path) { // created by whoever comes first
 		s.session.Create(p, nil, false, func(a zookeeper.Answer) {
-			if a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.Lost && i == 0 {
-				s.Log.Error().Int32("code", int32(a.Code)).Str("path", p).Msg("claim service: the path cannot be made")
+			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.Lost
+			if failed && i == 0 {
+				s.Log.Error().Int32("code", int32(a.Code)).Str("path", p).
+					Msg("ownership service rejected the path of the records; check its rights")
 			}
 		})
 	}
-	s.enqueue(ownership.SessionConnected{SessionID: session, Timeout: relay.Duration(granted), SentAt: relay.Duration(sentAt)})
+	s.enqueue(ownership.SessionConnected{
+		SessionID: session,
+		Timeout:   relay.Duration(granted),
+		SentAt:    relay.Duration(sentAt),
+	})
 }
 
+// Disconnected notifies the Lease that no replies come.
 func (e *sessionEvents) Disconnected() { (*Service)(e).enqueue(ownership.SessionDisconnected{}) }
 
+// Expired notifies the Lease that the session is gone.
 func (e *sessionEvents) Expired() {
-	(*Service)(e).Log.Warn().Msg("claim service: session expired")
-	(*Service)(e).enqueue(ownership.SessionExpired{})
+	s := (*Service)(e)
+	s.Log.Warn().Msg("ownership service session expired; streams with tokens are migrated")
+	s.enqueue(ownership.SessionExpired{})
 }
 
+// Answered notifies the Lease that something sent at that time was answered.
 func (e *sessionEvents) Answered(sentAt float64) {
 	(*Service)(e).enqueue(ownership.Renewed{SentAt: relay.Duration(sentAt)})
 }
--- a/internal/resume/server_lease.go
+++ b/internal/resume/server_lease.go
@@ -1,32 +1,50 @@
 package resume
 
 import (
+	"time"
+
 	"capersail/internal/ownership"
-	"capersail/internal/relay"
 )
 
-// leaseRenewFraction of a session is how often a server hears that it may go on.
-const leaseRenewFraction = 1.0 / 8
+// serverLease is what a stream's server is told of how long it may serve on without hearing from this relay.
+type serverLease struct {
+	supported bool          // the server takes leases
+	sentAt    time.Duration // of the last one
+}
+
+// leasesPerSession: a server's lease is renewed so often in a session.
+const leasesPerSession = 8
+
+func (s *Service) leaseRenewInterval() time.Duration { return s.SessionTimeout / leasesPerSession }
+
+// serverLeaseMargin is by how much a server's lease outlasts this relay's, so that the client is told to
+// migrate before its server ends the stream. The other half of the margin is for the lease's way to the
+// server.
+const serverLeaseMargin = ownership.ExpiryMargin / 2
+
+// minServerLease is the shortest lease, as 0 stands for none.
+const minServerLease = time.Millisecond
 
-// BeginAttempt begins an attempt at a server, which is told leases or not. It returns the first lease, 0 for none: a
-// new stream has no token out that another relay could be shown.
-func (st *Stream) BeginAttempt(leased bool) float64 {
-	st.serverLeased, st.leaseSentAt = leased, 0
+// BeginAttempt begins an attempt at a server, which takes leases or not. It returns the first lease, 0 for
+// none: a new stream has no token out that another relay could be shown.
+func (st *Stream) BeginAttempt(supported bool) time.Duration {
+	st.serverLease = serverLease{supported: supported}
 	if st.shownToken == 0 {
 		return 0
 	}
 	return st.ServerLease()
 }
 
-// ServerLease is for how long the server may serve on without hearing of us, in ms; 0 if it need not be told now.
-// Without it a relay that is stopped would leave its server serving while the next relay's does too. What the
-// lease is longer than our trust by half of ownership.Grace, so that the client is told to move before its server
-// ends the stream; the other half is for the lease's way to the server.
-func (st *Stream) ServerLease() float64 {
-	now := st.service.Clock.NowMillis()
-	if !st.serverLeased || st.fencingToken.Load() == 0 || now-st.leaseSentAt < st.service.SessionTimeout*leaseRenewFraction {
+// ServerLease is for how long the server may serve on without hearing from this relay; 0 if it need not be
+// told now. Without it, a relay that is stopped would leave its server serving while the next relay's does
+// too.
+func (st *Stream) ServerLease() time.Duration {
+	s := st.service
+	now := s.Clock.Now()
+	due := now-st.serverLease.sentAt >= s.leaseRenewInterval()
+	if !st.serverLease.supported || st.fencingToken.Load() == 0 || !due {
 		return 0
 	}
-	st.leaseSentAt = now
-	return max(1, st.service.ValidUntil()-now+relay.Millis(ownership.ExpiryMargin)/2)
+	st.serverLease.sentAt = now
+	return max(minServerLease, s.ValidUntil()-now+serverLeaseMargin)
 }
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -1,11 +1,7 @@
-// Package resume is the driver round tokens and claims for one relay: it feeds the ownership.Keeper with what the
-// session with the claim service says, does what the Keeper asks, and tells calls whether their streams are
-// theirs. It knows no front's wire. docs/design/resume.md has the reasons, docs/RESUME.md the platform's lines.
 package resume
 
 import (
 	"context"
-	"math"
 	"math/rand/v2"
 	"path"
 	"sync"
@@ -20,60 +16,72 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// Config is what a Service is told. Times are in milliseconds.
+// Config is what a Service is set to.
 type Config struct {
-	Relay              string   // this relay's name, for the holder's node and for tokens
-	Servers            []string // the claim service
-	Path               string   // under which it keeps a node for each stream
-	SessionTimeout     float64
-	AcquireTimeout     float64 // a claim that is not won by then is refused
-	TokenLifetime      float64
-	TokenRenewInterval float64 // a client has its position in its token at least so often
-	MaxClockSkew       float64 // by which relays' clocks of the day may differ
-	SweepInterval      float64 // records without a good token are looked for so often, 0 for never
-	AllServersResume   bool    // every server takes streams up, whatever the list says
+	Relay              string   // this relay's name, for holder nodes and tokens
+	Servers            []string // addresses of the ownership service
+	Path               string   // under which the service keeps a node for each stream
+	SessionTimeout     time.Duration
+	AcquireTimeout     time.Duration // a stream that is not acquired by then is rejected
+	TokenLifetime      time.Duration
+	TokenRenewInterval time.Duration // a client has its position in a token at least so often
+	MaxClockSkew       time.Duration // by which relays' wall clocks may differ
+	SweepInterval      time.Duration // between two searches for records without a valid token; 0 for none
+	AllServersResume   bool          // every server takes streams up, whatever the endpoint list says
 }
 
-// Stats are counters since the start, for the log and for tests.
+// Stats count since the start: streams acquired, rejected by reason and expired, and records swept.
 type Stats struct {
 	Acquired, AlreadyOwned, StaleToken, UnknownStream, ServiceUnreachable, TimedOut, Expired, Swept uint64
 }
 
-// Service is one relay's. Its methods never block, but for Run and Close.
+// Service is one relay's. Its methods never block, but for Run, Sweep and Close.
 type Service struct {
 	Config
-	Clock   *relay.Clock
-	Log     zerolog.Logger
-	unixNow func() int64 // Unix ms
+	Clock *relay.Clock
+	Log   zerolog.Logger
 
+	wallNow    func() time.Time
 	keys       atomic.Pointer[token.KeyRing]
-	validUntil atomic.Uint64 // bits of when claims are no longer to be trusted
+	validUntil atomic.Int64 // the lease's, as a time.Duration
 	session    *zookeeper.Session
-	lease      *ownership.Lease // of Run alone
-	streams    map[uint64]*Stream
-	actions    []ownership.Action
+
+	// Run's goroutine alone uses these.
+	lease   *ownership.Lease
+	streams map[uint64]*Stream // by handle
+	actions []ownership.Action
+
+	wake chan struct{} // holds a token while the inbox is not empty
 
 	mu         sync.Mutex
 	inbox      []any // ownership.Event, or a func for Run
-	wake       chan struct{}
 	lastHandle uint64
 	stats      Stats
 }
 
 // New returns a Service that Run begins.
-func New(c Config, ring *token.KeyRing, clock *relay.Clock, log zerolog.Logger) *Service {
-	s := &Service{Config: c, Clock: clock, Log: log, lease: ownership.New(rand.Uint64()), streams: map[uint64]*Stream{},
-		wake: make(chan struct{}, 1), unixNow: func() int64 { return time.Now().UnixMilli() }}
+func New(c Config, keys *token.KeyRing, clock *relay.Clock, log zerolog.Logger) *Service {
+	s := &Service{
+		Config:  c,
+		Clock:   clock,
+		Log:     log,
+		wallNow: time.Now,
+		lease:   ownership.New(rand.Uint64()),
+		streams: map[uint64]*Stream{},
+		wake:    make(chan struct{}, 1),
+	}
 	s.Path = path.Clean(c.Path)
-	s.keys.Store(ring)
-	s.session = zookeeper.NewSession(c.Servers, c.SessionTimeout, clock, (*sessionEvents)(s), log)
+	s.keys.Store(keys)
+	timeout := relay.Millis(c.SessionTimeout)
+	s.session = zookeeper.NewSession(c.Servers, timeout, clock, (*sessionEvents)(s), log)
 	return s
 }
 
-// SetKeys takes a new ring of keys: its first seals at once, and what it lacks opens nothing any more.
-func (s *Service) SetKeys(r *token.KeyRing) { s.keys.Store(r) }
+// SetKeys replaces the key ring: its first key seals from now on, and tokens of keys that it lacks are
+// rejected.
+func (s *Service) SetKeys(keys *token.KeyRing) { s.keys.Store(keys) }
 
-// SetServers follows other addresses of the claim service.
+// SetServers replaces the addresses of the ownership service.
 func (s *Service) SetServers(servers []string) { s.session.Move(servers) }
 
 // Stats returns the counters.
@@ -83,17 +91,17 @@
 	return s.stats
 }
 
-func (s *Service) count(n *uint64) {
+func (s *Service) count(counter *uint64) {
 	s.mu.Lock()
-	*n++
+	*counter++
 	s.mu.Unlock()
 }
 
-// ValidUntil is when this relay's claims are no longer to be trusted. It falls behind the clock while the claim
-// service answers nothing, and while this process sleeps.
-func (s *Service) ValidUntil() float64 { return math.Float64frombits(s.validUntil.Load()) }
+// ValidUntil is the instant from which on this relay's ownership is not trusted. It falls behind the clock
+// while the ownership service answers nothing, and while this process sleeps.
+func (s *Service) ValidUntil() time.Duration { return time.Duration(s.validUntil.Load()) }
 
-// enqueue queues an event for Run.
+// enqueue leaves an event, or a function, to Run.
 func (s *Service) enqueue(ev any) {
 	s.mu.Lock()
 	s.inbox = append(s.inbox, ev)
@@ -104,6 +112,15 @@
 	}
 }
 
+func (s *Service) takeInbox() []any {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	batch := s.inbox
+	s.inbox = nil
+	return batch
+}
+
+// nextHandle is a handle that was never used.
 func (s *Service) nextHandle() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,27 +128,23 @@
 	return s.lastHandle
 }
 
-// Run keeps the session and the claims until the context ends.
+// Run keeps the session and the ownership until the context ends, and with it the goroutines that it starts.
 func (s *Service) Run(ctx context.Context) {
 	go s.session.Run(ctx)
 	if s.SweepInterval > 0 {
 		go s.sweepLoop(ctx)
 	}
-	wait := time.NewTimer(0)
-	defer wait.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.wake:
-		case <-wait.C:
+		case <-timer.C:
 			s.handleEvent(ownership.Tick{})
 		}
-		s.mu.Lock()
-		batch := s.inbox
-		s.inbox = nil
-		s.mu.Unlock()
-		for _, ev := range batch {
+		for _, ev := range s.takeInbox() {
 			switch ev := ev.(type) {
 			case func():
 				ev()
@@ -139,17 +152,18 @@
 				s.handleEvent(ev)
 			}
 		}
-		wait.Reset(max(time.Millisecond, s.lease.NextTick()-s.Clock.Now()))
+		timer.Reset(max(time.Millisecond, s.lease.NextTick()-s.Clock.Now()))
 	}
 }
 
-// Close gives all claims back at once, at the end of a relay's life, and waits for that no longer than within.
-func (s *Service) Close(within float64) { s.session.Close(within) }
+// Close ends the session, and with it all ownership at once, at the end of a relay's life. It waits no longer
+// than within for that. A second call does nothing more.
+func (s *Service) Close(within time.Duration) { s.session.Close(relay.Millis(within)) }
 
-// handleEvent lets the Keeper act. Only Run calls it, so answers reach calls in the order in which they were decided.
+// handleEvent lets the Lease act. Only Run's goroutine calls it, so streams hear of decisions in their order.
 func (s *Service) handleEvent(ev ownership.Event) {
 	s.actions = s.lease.Handle(s.Clock.Now(), ev, s.actions[:0])
-	s.validUntil.Store(math.Float64bits(relay.Millis(s.lease.ValidUntil())))
+	s.validUntil.Store(int64(s.lease.ValidUntil()))
 	for _, act := range s.actions {
 		switch a := act.(type) {
 		case ownership.Request:
@@ -173,6 +187,7 @@
 	}
 }
 
+// rejected answers a stream whose acquisition was rejected.
 func (s *Service) rejected(a ownership.Rejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
--- a/internal/resume/stored_test.go
+++ b/internal/resume/stored_test.go
@@ -62,14 +62,14 @@
 	st := r.service.NewStream(StreamRequest{Class: "m", Tenant: "acme", Key: 5, Group: 6})
 	st.ID = id
 	call := r.open(st)
-	eventually(t, "claimed", func() bool { return st.fencingToken.Load() == 1 })
+	eventually(t, "acquired", func() bool { return st.fencingToken.Load() == 1 })
 	return st, call
 }
 
 // writeStored lets a relay write the nodes and tokens of testdata.
-func (r *testRelay) writeStored(t *testing.T, now func() int64) (tokens map[string]string) {
+func (r *testRelay) writeStored(t *testing.T) (tokens map[string]string) {
 	t.Helper()
-	r.service.unixNow = now
+	r.setWallClock(storedWall)
 	tokens = map[string]string{}
 	fresh, call := r.begin(t, storedFresh)
 	tokens["fresh-1"] = fresh.IssueToken()
@@ -87,7 +87,7 @@
 		t.Fatal(note, err)
 	}
 	call = r.open(second)
-	eventually(t, "claimed again", func() bool { return second.fencingToken.Load() == 2 })
+	eventually(t, "acquired again", func() bool { return second.fencingToken.Load() == 2 })
 	tokens["twice-2"] = second.IssueToken()
 	second.ConfirmToken(2)
 	call.ClientClosed(relay.GracefulClose)
@@ -98,13 +98,13 @@
 	return tokens
 }
 
-// The nodes that a relay writes have the paths and the bytes of an earlier version's: relays of both share them
-// while a fleet is replaced.
+// The nodes that a relay writes have the paths and the bytes of an earlier version's: relays of both share
+// them while a fleet is replaced.
 func TestNodesAreWrittenAsBefore(t *testing.T) {
 	want := storedLines(t, "nodes.txt")
 	zk := newOwnershipService(t)
-	r := newRelay(t, zk, nil)
-	r.writeStored(t, func() int64 { return storedWall })
+	r := newRelay(t, zk)
+	r.writeStored(t)
 	paths := zk.Nodes("/a/streams/")
 	slices.Sort(paths)
 	if stored := slices.Sorted(maps.Keys(want)); !slices.Equal(paths, stored) {
@@ -115,11 +115,12 @@
 	}
 }
 
-// Streams whose records and tokens an earlier version wrote go on, and those tokens that it had made worthless stay so.
+// Streams whose records and tokens an earlier version wrote go on, and those tokens that it had made
+// worthless stay so.
 func TestStoredStreamsGoOn(t *testing.T) {
 	zk := newOwnershipService(t)
-	r := newRelay(t, zk, nil)
-	r.service.unixNow = func() int64 { return storedWall }
+	r := newRelay(t, zk)
+	r.setWallClock(storedWall)
 	for p, data := range storedLines(t, "nodes.txt") {
 		if strings.HasSuffix(p, "/holder") {
 			continue // it went with its session
@@ -157,7 +158,7 @@
 				t.Errorf("stream %v from %d, want %v from %d", st.ID, st.FirstScan, c.stream, c.from)
 			}
 			call := r.open(st)
-			eventually(t, "an answer", func() bool { state, _ := call.State(); return state != relay.AwaitingOwnership })
+			eventually(t, "an answer", func() bool { return stateOf(call) != relay.AwaitingOwnership })
 			state, answer := call.State()
 			switch {
 			case c.generation == 0:
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -5,28 +5,34 @@
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"capersail/internal/ownership"
 	"capersail/internal/relay"
 	"capersail/internal/token"
 )
 
-// What a client may be told of why its stream cannot go on. All are final: the client begins anew.
+// What a client may be told of why its stream cannot go on. All are final: the client begins a new stream.
+// The words are the platform's.
 const (
 	NoteInvalidToken    = "token"    // not a token, or sealed by no key of ours
 	NoteExpired         = "expired"  // its time is over
 	NoteMismatch        = "mismatch" // of another class, tenant, key or group
 	NoteStaleToken      = "behind"   // a later token is known to have arrived
-	NoteUnknownStream   = "unknown"  // the claim service has no such stream
+	NoteUnknownStream   = "unknown"  // the ownership service has no such stream
 	NoteInvalidPosition = "position" // not a position, or one from before the stream
 	NotePositionAhead   = "ahead"    // a position that the server has not come to
 )
 
-// releaseTimeout is how long an end waits for its claim to be another's to win, in milliseconds: without that
-// the client could be at the next relay first, and be told to come again.
-const releaseTimeout = 150.0
+// releaseTimeout is how long an end waits for its stream to be another relay's to acquire: without that the
+// client could be at the next relay first, and be rejected there.
+const releaseTimeout = 150 * time.Millisecond
 
-// StreamRequest is what a client asks for: the request that its token must be of, and the last scan that it has.
+// minRetryAfterLoss: a client whose stream's ownership was lost retries after 1 to 2 times as much.
+const minRetryAfterLoss = 500 * time.Millisecond
+
+// StreamRequest is what a client asks for: the request that its token must be of, and the last scan that it
+// has.
 type StreamRequest struct {
 	Class, Tenant string
 	Key, Group    uint64
@@ -34,98 +40,121 @@
 	HasPosition   bool
 }
 
-// Stream is a stream's claim at this relay, and its way to tokens. It implements relay.Claim. One goroutine,
-// that which passes lines to the client, calls Passed, Due and Token.
+// Stream is a stream at this relay: its ownership, its server's lease and its client's tokens. It implements
+// relay.OwnershipLease. One goroutine, that which forwards lines to the client, calls SetPosition, TokenDue,
+// NextCheck, BeginAttempt, ServerLease and IssueToken.
 type Stream struct {
 	StreamRequest
 	ID        token.StreamID
 	FirstScan uint64 // the first scan wanted, 0 for whatever comes
 
-	service            *Service
-	shownToken         uint64 // generation of the token shown, 0 for a new stream
-	released           chan struct{}
-	releaseOnce        sync.Once
-	position           atomic.Uint64
-	tokenIssued        atomic.Bool // a token was given out: the stream may be at another relay one day
-	ownershipLost      atomic.Bool
-	fencingToken       atomic.Uint64 // 0 until the claim is won
-	serverName         string        // for tokens
-	issuedAt           float64
-	issuedPosition     uint64
-	issuedFencingToken uint64
-	serverLeased       bool // its server is told how long it may serve without hearing of us
-	leaseSentAt        float64
+	service       *Service
+	shownToken    uint64        // fencing token of the token shown, 0 for a new stream
+	fencingToken  atomic.Uint64 // of this ownership, 0 until it is acquired
+	ownershipLost atomic.Bool
+	tokenIssued   atomic.Bool // a token was given out: the stream may be at another relay one day
+	position      atomic.Uint64
+	released      chan struct{}
+	releaseOnce   sync.Once
+
+	serverName  string // for tokens
+	issued      issuedToken
+	serverLease serverLease
 
 	mu                  sync.Mutex
-	call                *relay.Request
-	handle              uint64
+	request             *relay.Request
+	handle              uint64 // of the acquisition, 0 for none
 	ended               bool
-	deliveredToken      uint64 // generation whose token the client has confirmed
-	recordExpiresUnixMs int64  // of the record, as this relay last asked for
+	deliveredToken      uint64 // fencing token of the token that the client has confirmed
+	recordExpiresUnixMs int64  // as this relay last asked for
 }
 
-// NewStream is a new stream. It is served whether or not the claim service can be asked; its token follows.
-func (s *Service) NewStream(a StreamRequest) *Stream {
-	st := &Stream{StreamRequest: a, ID: token.NewStreamID(), service: s, released: make(chan struct{})}
-	if a.HasPosition {
-		st.FirstScan = a.Position + 1
-		st.position.Store(a.Position)
+// NewStream is a new stream. It is served whether or not the ownership service can be reached; its token
+// follows.
+func (s *Service) NewStream(r StreamRequest) *Stream {
+	st := &Stream{StreamRequest: r, ID: token.NewStreamID(), service: s, released: make(chan struct{})}
+	if r.HasPosition {
+		st.FirstScan = r.Position + 1
+		st.position.Store(r.Position)
 	}
 	return st
 }
 
-// ResumeStream is a stream that goes on. The error says why it cannot, and the note what the client is told.
-func (s *Service) ResumeStream(text string, a StreamRequest) (st *Stream, note string, err error) {
+// ResumeStream is a stream that goes on by a token. The error says why it cannot, and the note what the
+// client is told.
+func (s *Service) ResumeStream(text string, r StreamRequest) (st *Stream, note string, err error) {
 	t, err := s.keys.Load().Open(text)
 	if err != nil {
 		return nil, NoteInvalidToken, err
 	}
 	if t.FencingToken == 0 { // inside it stands for a new stream, which nothing is checked for
-		return nil, NoteInvalidToken, errors.New("of generation 0")
+		return nil, NoteInvalidToken, errors.New("token without a fencing token")
 	}
-	if err := t.Check(a.Class, a.Tenant, a.Key, a.Group, s.unixNow(), int64(s.MaxClockSkew)); err != nil {
-		if errors.Is(err, token.ErrExpired) {
-			return nil, NoteExpired, err
-		}
+	err = t.Check(r.Class, r.Tenant, r.Key, r.Group, s.wallNow().UnixMilli(), s.MaxClockSkew.Milliseconds())
+	switch {
+	case errors.Is(err, token.ErrExpired):
+		return nil, NoteExpired, err
+	case err != nil:
 		return nil, NoteMismatch, err
 	}
-	if !a.HasPosition { // what the relay that gave it had passed on
-		a.Position = t.Position
+	if !r.HasPosition { // what the relay that gave it had forwarded
+		r.Position = t.Position
 	}
-	if a.Position == 1<<64-1 {
+	if r.Position == 1<<64-1 {
 		return nil, NoteInvalidPosition, errors.New("no scan can follow that position")
 	}
-	st = &Stream{StreamRequest: a, ID: t.Stream, FirstScan: a.Position + 1, service: s, shownToken: t.FencingToken, released: make(chan struct{})}
-	st.position.Store(a.Position)
+	st = &Stream{
+		StreamRequest: r,
+		ID:            t.Stream,
+		FirstScan:     r.Position + 1,
+		service:       s,
+		shownToken:    t.FencingToken,
+		released:      make(chan struct{}),
+	}
+	st.position.Store(r.Position)
 	return st, "", nil
 }
 
-// MustWait tells whether the call waits for the claim: only a stream that some other relay may have does.
+// MustWait tells whether the request waits for its ownership: only a stream that another relay may have does.
 func (st *Stream) MustWait() bool { return st.shownToken != 0 }
 
-// Acquire asks for the claim.
-func (st *Stream) Acquire(c *relay.Request) {
+// Acquire asks for the ownership.
+func (st *Stream) Acquire(r *relay.Request) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.call = c
-	st.acquire(min(st.service.AcquireTimeout, relay.Millis(c.Timeout)))
+	st.request = r
+	st.acquire(min(st.service.AcquireTimeout, r.Timeout))
 }
 
-// acquire posts a Want. The caller holds the lock.
-func (st *Stream) acquire(within float64) {
+// acquire asks for the ownership under a new handle. The caller holds the lock.
+func (st *Stream) acquire(within time.Duration) {
 	if st.ended {
 		return
 	}
-	st.handle = st.service.nextHandle()
-	st.recordExpiresUnixMs = st.service.unixNow() + int64(2*st.service.TokenLifetime+st.service.MaxClockSkew)
-	w := ownership.Acquire{Handle: st.handle, Stream: st.ID, FencingToken: st.shownToken, Deadline: st.service.Clock.Now() + relay.Duration(within), ExpiresUnixMs: st.recordExpiresUnixMs}
-	st.service.enqueue(func() {
-		st.service.streams[w.Handle] = st
-		st.service.handleEvent(w)
+	s := st.service
+	st.handle = s.nextHandle()
+	st.recordExpiresUnixMs = st.recordEnd()
+	a := ownership.Acquire{
+		Handle:        st.handle,
+		Stream:        st.ID,
+		FencingToken:  st.shownToken,
+		Deadline:      s.Clock.Now() + within,
+		ExpiresUnixMs: st.recordExpiresUnixMs,
+	}
+	s.enqueue(func() {
+		s.streams[a.Handle] = st
+		s.handleEvent(a)
 	})
 }
 
-// Release gives the claim back.
+// recordEnd is when a record may go that is written now: no token that is given out in a lifetime from now on
+// is valid then.
+func (st *Stream) recordEnd() int64 {
+	s := st.service
+	return s.wallNow().Add(2*s.TokenLifetime + s.MaxClockSkew).UnixMilli()
+}
+
+// Release gives the ownership back. A second call does nothing more.
 func (st *Stream) Release() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -140,78 +169,88 @@
 	st.service.enqueue(ownership.Release{Handle: st.handle})
 }
 
-// markReleased says that the claim is another's to win, or that there never was one.
+// markReleased says that another relay can acquire the stream, or that this one never had.
 func (st *Stream) markReleased() { st.releaseOnce.Do(func() { close(st.released) }) }
 
-// ReleaseAndWait gives the claim back before the client is told to go, and waits for that for a moment. The
-// stream's connection to its server must be closed.
+// ReleaseAndWait gives the ownership back before the client is sent away, and waits for that for at most
+// releaseTimeout. The stream's connection to its server must be closed.
 func (st *Stream) ReleaseAndWait() {
 	st.Release()
 	select {
 	case <-st.released:
-	case <-st.service.Clock.AfterMillis(releaseTimeout):
+	case <-st.service.Clock.After(releaseTimeout):
 	}
 }
 
-// The Service's methods; Run's goroutine calls them.
-
-func (st *Stream) acquired(generation uint64) {
-	st.fencingToken.Store(generation)
+// acquired takes the Service's word that the stream is this relay's. Run's goroutine calls it, as the next
+// two.
+func (st *Stream) acquired(fencingToken uint64) {
+	st.fencingToken.Store(fencingToken)
 	st.mu.Lock()
-	c := st.call
+	r := st.request
 	st.mu.Unlock()
 	if st.shownToken != 0 {
-		c.OwnershipAcquired()
+		r.OwnershipAcquired()
 	} else {
-		c.WakeServerSide() // its token can be given out
+		r.WakeServerSide() // its token can be given out
 	}
 }
 
+// rejected takes the Service's word that the stream is not this relay's.
 func (st *Stream) rejected(a relay.Answer) {
 	st.mu.Lock()
-	c := st.call
+	r := st.request
 	st.handle = 0
 	st.mu.Unlock()
-	c.OwnershipDenied(a)
+	r.OwnershipDenied(a)
 }
 
+// leaseExpired takes the Service's word that the ownership may be lost: the stream ends here. A stream of
+// which no token is out cannot be another relay's; it is served on and acquired anew.
 func (st *Stream) leaseExpired() {
 	st.mu.Lock()
-	c := st.call
-	if st.shownToken == 0 && !st.tokenIssued.Load() && !st.ended {
-		// No token is out, so no other relay can have it: it is served on, and claimed anew.
-		old := st.handle
-		st.fencingToken.Store(0)
-		st.service.enqueue(func() {
-			delete(st.service.streams, old)
-			st.service.handleEvent(ownership.Release{Handle: old})
-		})
-		st.acquire(st.service.AcquireTimeout)
-		st.mu.Unlock()
-		return
+	r := st.request
+	again := st.shownToken == 0 && !st.tokenIssued.Load() && !st.ended
+	if again {
+		st.acquireAnew()
 	}
 	st.mu.Unlock()
+	if again {
+		return
+	}
 	st.ownershipLost.Store(true)
-	c.LoseOwnership(relay.Duration(500 * (1 + rand.Float64())))
+	wait := float64(minRetryAfterLoss) * (1 + rand.Float64())
+	r.LoseOwnership(time.Duration(wait))
+}
+
+// acquireAnew releases the handle and asks under another. The caller holds the lock.
+func (st *Stream) acquireAnew() {
+	s, old := st.service, st.handle
+	st.fencingToken.Store(0)
+	s.enqueue(func() {
+		delete(s.streams, old)
+		s.handleEvent(ownership.Release{Handle: old})
+	})
+	st.acquire(s.AcquireTimeout)
 }
 
-// MayForward tells whether a line may still be passed on. It is asked before each: a process that slept past the
-// end of its claims must not pass what it had read before.
+// MayForward tells whether a line may still be forwarded. It is asked before each: a process that slept past
+// the end of its lease must not forward what it had read before.
 func (st *Stream) MayForward() bool {
 	if !st.tokenIssued.Load() && st.shownToken == 0 {
 		return true
 	}
-	return !st.ownershipLost.Load() && st.service.Clock.NowMillis() < st.service.ValidUntil()
+	return !st.ownershipLost.Load() && st.service.Clock.Now() < st.service.ValidUntil()
 }
 
-// AllServersResume tells whether every server takes streams up, whatever the list says.
+// AllServersResume tells whether every server takes streams up, whatever the endpoint list says.
 func (st *Stream) AllServersResume() bool { return st.service.AllServersResume }
 
-// FencingToken is what a server is told. A new stream's first service is 1, whether or not it is claimed yet.
+// FencingToken is what a server is told. A new stream's first is 1, whether or not it is acquired yet.
 func (st *Stream) FencingToken() uint64 { return max(1, st.fencingToken.Load()) }
 
-// SetServer says which server has it.
-func (st *Stream) SetServer(server string) { st.serverName = server }
+// SetServer says which server serves it.
+func (st *Stream) SetServer(id string) { st.serverName = id }
 
 // SetPosition says that a scan has gone to the client.
 func (st *Stream) SetPosition(scan uint64) { st.position.Store(scan) }
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -3,61 +3,70 @@
 import (
 	"context"
 	"math/rand/v2"
+	"time"
 
 	"capersail/internal/ownership"
-	"capersail/internal/relay"
 	"capersail/internal/wire/zookeeper"
 )
 
-// sweepConcurrency is how many records a sweep reads at once; claims wait behind them for no longer.
+// sweepConcurrency is how many records a sweep reads at once; acquisitions wait behind them for no longer.
 const sweepConcurrency = 64
 
-// sweepLoop removes records whose last token has expired, each relay at times of its own.
+// sweepLoop removes records whose last token has expired, each relay at times of its own, until the context
+// ends.
 func (s *Service) sweepLoop(ctx context.Context) {
 	for {
+		wait := time.Duration(float64(s.SweepInterval) * (0.5 + rand.Float64()))
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.Clock.AfterMillis(s.SweepInterval * (0.5 + rand.Float64())):
+		case <-s.Clock.After(wait):
 			s.Sweep(ctx)
 		}
 	}
 }
 
-// Sweep looks at every record once. Removing asks for the version that was read, so a stream taken on
-// meanwhile stays, and one that is held cannot be removed, as it has a child.
+// Sweep looks at every record once, and returns when the last answer has come, the context has ended, or none
+// comes for a session's timeout.
 func (s *Service) Sweep(ctx context.Context) {
 	names := make(chan []string, 1)
 	s.session.Children(s.Path, func(a zookeeper.Answer) { names <- a.Children })
-	room := make(chan struct{}, sweepConcurrency)
+	slots := make(chan struct{}, sweepConcurrency)
 	for _, name := range <-names {
-		record := s.Path + "/" + name
 		select {
 		case <-ctx.Done():
 			return
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		}
-		s.session.Get(record, func(a zookeeper.Answer) {
-			r, err := ownership.ParseRecord(a.Data)
-			if a.Code != zookeeper.OK || err != nil || float64(s.unixNow()-r.ExpiresUnixMs) <= s.MaxClockSkew {
-				<-room
-				return
-			}
-			s.session.Delete(record, a.Stat.Version, func(a zookeeper.Answer) {
-				if a.Code == zookeeper.OK {
-					s.count(&s.stats.Swept)
-				}
-				<-room
-			})
-		})
+		s.sweepRecord(s.recordPath(name), func() { <-slots })
 	}
 	for range sweepConcurrency { // the last answers
 		select {
 		case <-ctx.Done():
 			return
-		case room <- struct{}{}:
-		case <-s.Clock.AfterMillis(relay.Millis(relay.Duration(s.SessionTimeout))):
+		case slots <- struct{}{}:
+		case <-s.Clock.After(s.SessionTimeout):
 			return
 		}
 	}
 }
+
+// sweepRecord removes a record if no valid token of its stream is left, and calls done. It removes the
+// version that it read, so a stream that is acquired meanwhile stays; one that is owned cannot be removed, as
+// it has a child.
+func (s *Service) sweepRecord(record string, done func()) {
+	s.session.Get(record, func(a zookeeper.Answer) {
+		r, err := ownership.ParseRecord(a.Data)
+		expiredMs := s.wallNow().UnixMilli() - r.ExpiresUnixMs
+		if a.Code != zookeeper.OK || err != nil || expiredMs <= s.MaxClockSkew.Milliseconds() {
+			done()
+			return
+		}
+		s.session.Delete(record, a.Stat.Version, func(a zookeeper.Answer) {
+			if a.Code == zookeeper.OK {
+				s.count(&s.stats.Swept)
+			}
+			done()
+		})
+	})
+}
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -50,7 +50,7 @@
 	}
 	more = fmt.Sprintf(",s=%s,gen=%d,from=%d", st.ID, st.FencingToken(), st.FirstScan)
 	if lease > 0 {
-		more += fmt.Sprintf(",lease=%d", int(lease))
+		more += fmt.Sprintf(",lease=%d", lease.Milliseconds())
 	}
 	return more, true
 }
@@ -61,8 +61,8 @@
 	if st == nil {
 		return
 	}
-	if ms := st.ServerLease(); ms > 0 {
-		e.Forward(fmt.Appendf(nil, "KEEP %d\r\n", int(ms))) // if that fails, the reader meets the same break
+	if lease := st.ServerLease(); lease > 0 {
+		e.Forward(fmt.Appendf(nil, "KEEP %d\r\n", lease.Milliseconds())) // if that fails, the reader meets the same break
 	}
 }
 
@@ -124,7 +124,7 @@
 	if st == nil {
 		return 0
 	}
-	return st.NextCheck()
+	return relay.Millis(st.NextCheck())
 }
 
 // got takes the client's word that it has a token. It is the relay's line: no server reads it.
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -100,10 +100,10 @@
 		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
 	x := relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, Keep: 4})
 	x.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{{ID: "s", Address: flood(b), Mode: decide.Ready, SupportsResume: true}})
-	service := resume.New(resume.Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a", SessionTimeout: 8000, AcquireTimeout: 500,
-		TokenLifetime: 60_000, TokenRenewInterval: 5000}, ring, clock, zerolog.Nop())
+	service := resume.New(resume.Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a", SessionTimeout: 8 * time.Second, AcquireTimeout: 500 * time.Millisecond,
+		TokenLifetime: time.Minute, TokenRenewInterval: 5 * time.Second}, ring, clock, zerolog.Nop())
 	go service.Run(b.Context())
-	for service.ValidUntil() < clock.NowMillis() {
+	for service.ValidUntil() < clock.Now() {
 		time.Sleep(time.Millisecond)
 	}
 	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(b.Context())
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -243,7 +243,7 @@
 		if ctx.Err() != nil || closing {
 			return
 		}
-		s.Log.Warn().Err(err).Msg("claim service: connection ended")
+		s.Log.Warn().Err(err).Msg("ownership service connection ended")
 		if s.Clock.NowMillis()-began > mostPause || errors.Is(err, errExpired) {
 			pause = firstPause
 		}
