--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -157,7 +157,7 @@
 }
 
 // Close ends the session, and with it all ownership at once, at the end of a relay's life. It waits no longer
-// than within for that. A second call does nothing more.
+// than within for that, and is called once.
 func (s *Service) Close(within time.Duration) { s.session.Close(relay.Millis(within)) }
 
 // handleEvent lets the Lease act. Only Run's goroutine calls it, so streams hear of decisions in their order.
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Sweep looks at every record once, and returns when the last answer has come, the context has ended, or none
-// comes for a session's timeout.
+// Sweep looks at every record once. It returns when the last answer has come, no answer has come for a
+// session's timeout, or the context has ended.
 func (s *Service) Sweep(ctx context.Context) {
 	names := make(chan []string, 1)
 	s.session.Children(s.Path, func(a zookeeper.Answer) { names <- a.Children })
