--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -90,7 +90,8 @@
 	if t.FencingToken == 0 { // inside it stands for a new stream, which nothing is checked for
 		return nil, NoteInvalidToken, errors.New("token without a fencing token")
 	}
-	err = t.Check(r.Class, r.Tenant, r.Key, r.Group, s.wallNow().UnixMilli(), s.MaxClockSkew.Milliseconds())
+	bound := token.Binding{Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group}
+	err = t.Check(bound, s.wallNow(), s.MaxClockSkew)
 	switch {
 	case errors.Is(err, token.ErrExpired):
 		return nil, NoteExpired, err
--- a/internal/token/keyfile.go
+++ b/internal/token/keyfile.go
@@ -2,21 +2,25 @@
 
 import (
 	"encoding/base64"
+	"errors"
 	"fmt"
 	"io/fs"
 
 	"github.com/BurntSushi/toml"
 )
 
-// MaxKeyFileSize bounds a key file.
+// MaxKeyFileSize bounds a key file, in bytes.
 const MaxKeyFileSize = 64 << 10
 
-// CheckKeyFileMode refuses a key file that others than its owner can read or write.
+// forbiddenKeyFileMode are the permission bits that a key file must not have.
+const forbiddenKeyFileMode fs.FileMode = 0o077
+
+// CheckKeyFileMode rejects a key file that others than its owner can read or write.
 func CheckKeyFileMode(info fs.FileInfo) error {
 	switch {
 	case !info.Mode().IsRegular():
 		return fmt.Errorf("not a regular file (%s)", info.Mode())
-	case info.Mode().Perm()&0o077 != 0:
+	case info.Mode().Perm()&forbiddenKeyFileMode != 0:
 		return fmt.Errorf("mode %04o lets others at the keys; 0600 is wanted", info.Mode().Perm())
 	case info.Size() > MaxKeyFileSize:
 		return fmt.Errorf("%d bytes; at most %d are wanted", info.Size(), MaxKeyFileSize)
@@ -24,21 +28,25 @@
 	return nil
 }
 
-// ParseKeyFile reads a key file: [[key]] tables with id and secret, 32 bytes as standard base64. The first seals.
-// Errors name the key and never show a secret.
+// keyFile is a key file's content.
+type keyFile struct {
+	Key []struct {
+		ID     string `toml:"id"`
+		Secret string `toml:"secret"`
+	} `toml:"key"`
+}
+
+// ParseKeyFile reads a key file: [[key]] tables with id and secret, 32 bytes as standard base64. The first
+// seals. Errors name the key and never show a secret.
 func ParseKeyFile(text []byte) (*KeyRing, error) {
-	var file struct {
-		Key []struct {
-			ID     string `toml:"id"`
-			Secret string `toml:"secret"`
-		} `toml:"key"`
-	}
+	var file keyFile
 	meta, err := toml.Decode(string(text), &file)
 	if err != nil {
-		if p, ok := err.(toml.ParseError); ok { // its text shows the line, and with it perhaps a secret
+		var p toml.ParseError
+		if errors.As(err, &p) { // its own text shows the line, and with it perhaps a secret
 			return nil, fmt.Errorf("line %d: not TOML", p.Position.Line)
 		}
-		return nil, fmt.Errorf("key: a table with id and secret, both text, is wanted")
+		return nil, errors.New("key: a table with id and secret, both text, is wanted")
 	}
 	for _, key := range meta.Undecoded() {
 		return nil, fmt.Errorf("%s: unknown key", key)
--- a/internal/token/stored_test.go
+++ b/internal/token/stored_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// storedTokens are the tokens of testdata/tokens.txt, which the version of 2026-12-03 sealed, line by line: the first
-// two under the first key of testdata/keys.toml, the third under its second.
+// storedTokens are the tokens of testdata/tokens.txt, which the version of 2026-12-03 sealed, line by line:
+// the first two under the first key of testdata/keys.toml, the third under its second.
 var storedTokens = []Token{
 	{
 		Stream:       StreamID{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 255},
@@ -61,8 +61,8 @@
 	return r
 }
 
-// Tokens that an earlier version gave out open to the same values, and with the same nonce the same text is sealed:
-// clients keep them over an upgrade of the relays.
+// Tokens that an earlier version gave out open to the same values, and with the same nonce the same text is
+// sealed: clients keep them over an upgrade of the relays.
 func TestStoredTokensStayReadable(t *testing.T) {
 	text, err := os.ReadFile("testdata/tokens.txt")
 	if err != nil {
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -4,11 +4,10 @@
 	"bytes"
 	"encoding/base64"
 	"errors"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 )
 
 func key(id string, fill byte) Key { return Key{id, bytes.Repeat([]byte{fill}, 32)} }
@@ -22,11 +21,25 @@
 	return r
 }
 
+// sample is a token with fields as large as they get.
 func sample() *Token {
-	return &Token{Stream: NewStreamID(), FencingToken: 7, Class: "map-stream", Tenant: "agri-souss", Key: 1<<64 - 1, Group: 1<<64 - 1,
-		Position: 1<<64 - 1, Server: "s-5be2a07c", Relay: "n3", IssuedUnixMs: 1_800_000_000_000, ExpiresUnixMs: 1_800_000_600_000}
+	return &Token{
+		Stream:        NewStreamID(),
+		FencingToken:  7,
+		Class:         "map-stream",
+		Tenant:        "agri-souss",
+		Key:           1<<64 - 1,
+		Group:         1<<64 - 1,
+		Position:      1<<64 - 1,
+		Server:        "s-5be2a07c",
+		Relay:         "n3",
+		IssuedUnixMs:  1_800_000_000_000,
+		ExpiresUnixMs: 1_800_000_600_000,
+	}
 }
 
+// What was sealed opens as it was, under its own ring and one with a newer key; no nonce is used twice; and
+// names of machines are cut rather than make a token too long.
 func TestSealedTokenOpensUnchanged(t *testing.T) {
 	old, next := ring(t, key("a", 1)), ring(t, key("b", 2), key("a", 1))
 	want := sample()
@@ -58,6 +71,7 @@
 
 const base64url = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 
+// A text that no relay of ours sealed is rejected, with the reason that tells an operator why.
 func TestForeignTextIsRejected(t *testing.T) {
 	r := ring(t, key("a", 1))
 	text, _ := r.Seal(sample())
@@ -79,7 +93,7 @@
 		{"by a key taken out", removed, ErrUnknownKey},
 		{"by another key of that id", sameID, ErrForged},
 		{"a line end inside", text[:30] + "\n" + text[30:], ErrMalformed},
-		{"60 MB", "cs1.a." + strings.Repeat("A", 60<<20), ErrMalformed},
+		{"60 MB, of which nothing is decoded", "cs1.a." + strings.Repeat("A", 60<<20), ErrMalformed},
 	} {
 		if _, err := r.Open(c.in); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
@@ -87,68 +101,38 @@
 	}
 }
 
+// A token is good for its own request and its own time only, within the skew of wall clocks.
 func TestTokenIsBoundToItsRequest(t *testing.T) {
 	k := sample()
+	own := k.Binding()
+	other := func(change func(b *Binding)) Binding {
+		b := own
+		change(&b)
+		return b
+	}
 	at := k.IssuedUnixMs + 1000
 	for _, c := range []struct {
-		name          string
-		class, tenant string
-		key, group    uint64
-		now           int64
-		want          error
+		name    string
+		request Binding
+		now     int64
+		want    error
 	}{
-		{"as given", k.Class, k.Tenant, k.Key, k.Group, at, nil},
-		{"another class", "zoom", k.Tenant, k.Key, k.Group, at, ErrMismatch},
-		{"another tenant", k.Class, "surf", k.Key, k.Group, at, ErrMismatch},
-		{"another key", k.Class, k.Tenant, 1, k.Group, at, ErrMismatch},
-		{"another group", k.Class, k.Tenant, k.Key, 1, at, ErrMismatch},
-		{"late within the skew", k.Class, k.Tenant, k.Key, k.Group, k.ExpiresUnixMs + 900, nil},
-		{"expired", k.Class, k.Tenant, k.Key, k.Group, k.ExpiresUnixMs + 1001, ErrExpired},
-		{"from the future", k.Class, k.Tenant, k.Key, k.Group, k.IssuedUnixMs - 1001, ErrExpired},
+		{"as given", own, at, nil},
+		{"another class", other(func(b *Binding) { b.Class = "zoom" }), at, ErrMismatch},
+		{"another tenant", other(func(b *Binding) { b.Tenant = "surf" }), at, ErrMismatch},
+		{"another key", other(func(b *Binding) { b.Key = 1 }), at, ErrMismatch},
+		{"another group", other(func(b *Binding) { b.Group = 1 }), at, ErrMismatch},
+		{"late within the skew", own, k.ExpiresUnixMs + 900, nil},
+		{"expired", own, k.ExpiresUnixMs + 1001, ErrExpired},
+		{"from the future", own, k.IssuedUnixMs - 1001, ErrExpired},
 	} {
-		if err := k.Check(c.class, c.tenant, c.key, c.group, c.now, 1000); !errors.Is(err, c.want) || c.want == nil && err != nil {
+		err := k.Check(c.request, time.UnixMilli(c.now), time.Second)
+		if !errors.Is(err, c.want) || c.want == nil && err != nil {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-func TestKeyFileErrorsNameTheKeyOnly(t *testing.T) {
-	secret := base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{5}, 32))
-	for _, c := range []struct{ name, text, want string }{
-		{"good", "[[key]]\nid='a'\nsecret='" + secret + "'\n", ""},
-		{"none", "", "key: at least one"},
-		{"short", "[[key]]\nid='a'\nsecret='AAAA'", "key 1 (a): secret: 3 bytes"},
-		{"no base64", "[[key]]\nid='a'\nsecret='hush!'", "key 1 (a): secret: not base64"},
-		{"twice", strings.Repeat("[[key]]\nid='a'\nsecret='"+secret+"'\n", 2), `key 2: id: "a" stands twice`},
-		{"bad id", "[[key]]\nid='a.b'\nsecret='" + secret + "'", "key 1: id: "},
-		{"unknown", "sele='a'\n[[key]]\nid='a'\nsecret='" + secret + "'", "sele: unknown key"},
-		{"not TOML", "[[key]]\nid='a'\nsecret=hush!", "line 3: not TOML"},
-		{"a number", "[[key]]\nid='a'\nsecret=77", "key: a table"},
-	} {
-		_, err := ParseKeyFile([]byte(c.text))
-		if got := ""; err != nil {
-			got = err.Error()
-			if !strings.HasPrefix(got, c.want) || c.want == "" || strings.Contains(got, "hush") {
-				t.Errorf("%s: %q", c.name, got)
-			}
-		} else if c.want != "" {
-			t.Errorf("%s: taken", c.name)
-		}
-	}
-	path := filepath.Join(t.TempDir(), "keys")
-	for mode, ok := range map[os.FileMode]bool{0o600: true, 0o400: true, 0o640: false, 0o604: false} {
-		os.WriteFile(path, nil, 0o600)
-		os.Chmod(path, mode)
-		info, err := os.Stat(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := CheckKeyFileMode(info); (err == nil) != ok {
-			t.Errorf("mode %o: %v", mode, err)
-		}
-	}
-}
-
 // A token cut anywhere opens nowhere.
 func TestTruncatedTokenIsRejected(t *testing.T) {
 	r := ring(t, key("a", 1))
@@ -160,7 +144,7 @@
 	}
 }
 
-// FuzzOpen: no text makes Open panic, and what opens is what was sealed: one text for each token.
+// FuzzOpen: no text makes Open panic, and what opens is what was sealed, one text for each token.
 func FuzzOpen(f *testing.F) {
 	r := ring(f, key("a", 1), key("b", 2))
 	text, _ := r.Seal(sample())
@@ -174,7 +158,8 @@
 	})
 }
 
-// FuzzForeignBody: a body that was sealed with the right key but is not what relays write is refused, not half read.
+// FuzzForeignBody: a body that was sealed with the right key but is not what relays write is refused, not
+// half read.
 func FuzzForeignBody(f *testing.F) {
 	r := ring(f, key("a", 1))
 	f.Add([]byte{0xa1, 0x02, 0x07})
