--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -5,56 +5,95 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
+	"io"
 	"os"
+	"time"
 
 	bolt "go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
+// lockTimeout is how long another process may keep the file's lock before it is ErrInUse.
+const lockTimeout = 200 * time.Millisecond
+
 var (
 	metaBucket = []byte("meta")
 	versionKey = []byte("version")
 )
 
+// openFile opens the database, and marks the file with FormatVersion unless it is read only.
 func openFile(path string, readOnly bool) (*bolt.DB, error) {
 	if err := checkComplete(path); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
-	switch {
-	case errors.Is(err, bolterrors.ErrTimeout):
-		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
-	case errors.Is(err, bolterrors.ErrInvalid) || errors.Is(err, bolterrors.ErrChecksum) || errors.Is(err, bolterrors.ErrVersionMismatch):
-		return nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
-	case err != nil:
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	check := func(tx *bolt.Tx) error {
-		if b := tx.Bucket(metaBucket); b != nil {
-			if v := b.Get(versionKey); len(v) == 1 && v[0] > FormatVersion {
-				return fmt.Errorf("%s: %w (%d; this is %d)", path, ErrNewer, v[0], FormatVersion)
-			}
-		}
-		return nil
+	options := &bolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType}
+	db, err := bolt.Open(path, 0o600, options)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, openError(err))
 	}
-	if err = db.View(check); err == nil && !readOnly {
-		err = db.Update(func(tx *bolt.Tx) error {
-			b, err := tx.CreateBucketIfNotExists(metaBucket)
-			if err != nil {
-				return err
-			}
-			return b.Put(versionKey, []byte{FormatVersion})
-		})
+	err = checkVersion(db)
+	if err == nil && !readOnly {
+		err = markVersion(db)
 	}
 	if err != nil {
 		db.Close()
-		return nil, err
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return db, nil
 }
 
-// checkComplete tells whether a file has all pages that its newest valid meta page counts. bbolt would map it all the same,
-// and the first look at a page that is not there ends the process.
+// openError is an error of the database's in this package's terms.
+func openError(err error) error {
+	switch {
+	case errors.Is(err, bolterrors.ErrTimeout):
+		return ErrInUse
+	case errors.Is(err, bolterrors.ErrInvalid),
+		errors.Is(err, bolterrors.ErrChecksum),
+		errors.Is(err, bolterrors.ErrVersionMismatch):
+		return fmt.Errorf("%w: %w", ErrDamaged, err)
+	}
+	return err
+}
+
+func checkVersion(db *bolt.DB) error {
+	return db.View(func(tx *bolt.Tx) error {
+		b := tx.Bucket(metaBucket)
+		if b == nil {
+			return nil
+		}
+		if v := b.Get(versionKey); len(v) == 1 && v[0] > FormatVersion {
+			return fmt.Errorf("%w (%d; this is %d)", ErrNewer, v[0], FormatVersion)
+		}
+		return nil
+	})
+}
+
+func markVersion(db *bolt.DB) error {
+	return db.Update(func(tx *bolt.Tx) error {
+		b, err := tx.CreateBucketIfNotExists(metaBucket)
+		if err != nil {
+			return err
+		}
+		return b.Put(versionKey, []byte{FormatVersion})
+	})
+}
+
+// A meta page of bbolt's: 16 bytes of page header, then magic, version, page size, flags (4 bytes each), root
+// (16), freelist, pages, transaction and checksum (8 each). The first two pages of a file are meta pages.
+const (
+	metaLen        = 80
+	metaSummedFrom = 16
+	metaPageSizeAt = 24
+	metaPagesAt    = 56
+	metaTxAt       = 64
+	metaSumAt      = 72
+
+	minPageSize = 512
+	maxPageSize = 1 << 16
+)
+
+// checkComplete returns ErrDamaged for a file that lacks pages which its newest valid meta page counts. bbolt
+// would map it all the same, and the first look at a page that is not there ends the process.
 func checkComplete(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -67,35 +106,40 @@
 	if err != nil || info.Size() == 0 {
 		return err
 	}
-	// A meta page: 16 bytes of page header, then magic, version, page size, flags (4 each), root (16), freelist,
-	// pages, transaction and checksum (8 each).
-	head := make([]byte, 80)
-	if _, err := f.ReadAt(head, 0); err != nil {
+	first, err := readMeta(f, 0)
+	if err != nil {
 		return fmt.Errorf("%w: %d bytes", ErrDamaged, info.Size())
 	}
-	size := int64(binary.LittleEndian.Uint32(head[24:]))
-	if size < 512 || size > 1<<16 {
-		size = int64(os.Getpagesize())
+	pageSize := int64(binary.LittleEndian.Uint32(first[metaPageSizeAt:]))
+	if pageSize < minPageSize || pageSize > maxPageSize {
+		pageSize = int64(os.Getpagesize())
 	}
-	pages, newest := uint64(0), uint64(0)
-	for i := range int64(2) {
-		m := make([]byte, 80)
-		if _, err := f.ReadAt(m, i*size); err != nil {
-			return fmt.Errorf("%w: %d bytes", ErrDamaged, info.Size())
-		}
-		if tx := binary.LittleEndian.Uint64(m[64:]); binary.LittleEndian.Uint64(m[72:]) == metaChecksum(m[16:72]) && tx >= newest {
-			newest, pages = tx, binary.LittleEndian.Uint64(m[56:])
+	second, err := readMeta(f, pageSize)
+	if err != nil {
+		return fmt.Errorf("%w: %d bytes", ErrDamaged, info.Size())
+	}
+	pages, newestTx := uint64(0), uint64(0)
+	for _, meta := range [][]byte{first, second} {
+		tx := binary.LittleEndian.Uint64(meta[metaTxAt:])
+		if validMeta(meta) && tx >= newestTx {
+			newestTx, pages = tx, binary.LittleEndian.Uint64(meta[metaPagesAt:])
 		}
 	}
-	if int64(pages)*size > info.Size() {
-		return fmt.Errorf("%w: %d pages, and room for %d", ErrDamaged, pages, info.Size()/size)
+	if int64(pages)*pageSize > info.Size() {
+		return fmt.Errorf("%w: %d pages, and room for %d", ErrDamaged, pages, info.Size()/pageSize)
 	}
 	return nil
 }
 
-// metaChecksum is what bbolt's meta pages are checked by.
-func metaChecksum(p []byte) uint64 {
+func readMeta(f io.ReaderAt, at int64) ([]byte, error) {
+	meta := make([]byte, metaLen)
+	_, err := f.ReadAt(meta, at)
+	return meta, err
+}
+
+// validMeta tells whether a meta page has the checksum that bbolt gives it.
+func validMeta(meta []byte) bool {
 	h := fnv.New64a()
-	h.Write(p)
-	return h.Sum64()
+	h.Write(meta[metaSummedFrom:metaSumAt])
+	return binary.LittleEndian.Uint64(meta[metaSumAt:]) == h.Sum64()
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,15 +1,8 @@
-// Package store keeps rows that outlive a process, on an embedded database (bbolt). Whoever appends never waits for
-// a disk: one goroutine writes what has come, in one transaction a second. A disk that is full, read-only or missing
-// is said once and tried again; meanwhile rows wait in a bounded queue, and what finds no room is counted.
-//
-// After kill -9 at most the last second is lost. A transaction is there whole or not at all.
 package store
 
 import (
-	"bytes"
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"sync"
 	"time"
 
@@ -17,31 +10,25 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// FormatVersion is what this program writes. A file of a higher one is refused.
+// FormatVersion is what this program writes. A file of a higher one is rejected.
 const FormatVersion = 1
 
-const (
-	writeInterval  = time.Second
-	reopenInterval = 5 * time.Second
-	lockTimeout    = 200 * time.Millisecond
-	// evictionDivisor of the rows goes when the file is over its bound.
-	evictionDivisor = 10
-	// maxRemovedPerTx rows are removed in one transaction, so that it stays short.
-	maxRemovedPerTx = 20_000
-)
+// defaultQueue is Options.MaxQueue where that is 0.
+const defaultQueue = 65536
 
 // Why a file cannot be used.
 var (
 	ErrNewer   = errors.New("written by a newer version")
 	ErrInUse   = errors.New("in use by another process")
 	ErrDamaged = errors.New("damaged")
+	ErrNotOpen = errors.New("not open")
 )
 
 // Options bound a store.
 type Options struct {
-	MaxBytes int64         // of the file; the oldest rows go beyond it
-	MaxAge   time.Duration // of rows, by their own times against the newest
-	MaxQueue int           // rows that wait to be written
+	MaxBytes int64         // of the file; the oldest rows go beyond it; 0 for no bound
+	MaxAge   time.Duration // of rows, by their own times against the newest; 0 for no bound
+	MaxQueue int           // rows that wait to be written; 0 for 65536
 	ReadOnly bool
 }
 
@@ -49,29 +36,30 @@
 type row struct {
 	bucket string
 	key    []byte
-	value  []byte // nil removes
+	value  []byte
 }
 
-// Store is one file. Append, Put and Remove never block.
+// Store is one file. Append, DroppedRows and WriteError never wait for the disk.
 type Store struct {
 	Options
 	path string
 	log  zerolog.Logger
 
-	mu            sync.Mutex
-	db            *bolt.DB // nil while there is no file
-	queue         []row
-	dropped       uint64
-	writeErr      error
-	newestMs      int64
-	flushRequests chan chan struct{}
+	flushRequests chan chan struct{} // each is closed once the queue was written, or could not be
+
+	mu       sync.Mutex
+	db       *bolt.DB // nil while there is no file
+	queue    []row
+	dropped  uint64 // rows that found no room
+	writeErr error
+	newestMs int64 // time of the newest row that was appended
 }
 
-// Open opens or makes a file. The error names it. ErrNewer and ErrDamaged want a person; after any error a Store
-// that is Run goes on trying.
+// Open opens or makes a file. The error names it; ErrNewer and ErrDamaged want a person. The Store is
+// returned with an error too: one that is Run goes on trying.
 func Open(path string, o Options, log zerolog.Logger) (*Store, error) {
 	if o.MaxQueue == 0 {
-		o.MaxQueue = 65536
+		o.MaxQueue = defaultQueue
 	}
 	s := &Store{Options: o, path: path, log: log, flushRequests: make(chan chan struct{})}
 	return s, s.open()
@@ -79,36 +67,49 @@
 
 func (s *Store) open() error {
 	db, err := openFile(s.path, s.ReadOnly)
-	if err != nil {
-		s.mu.Lock()
-		s.writeErr = err
-		s.mu.Unlock()
-		return err
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.writeErr = err
+	if err == nil {
+		s.db = db
 	}
+	return err
+}
+
+// database is the open file; nil while there is none.
+func (s *Store) database() *bolt.DB {
 	s.mu.Lock()
-	s.db, s.writeErr = db, nil
-	s.mu.Unlock()
-	return nil
+	defer s.mu.Unlock()
+	return s.db
 }
 
-func rowKey(at int64, id string) []byte {
-	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(id)), uint64(at)), id...)
+// Close closes a file that is not Run. A second call does nothing more.
+func (s *Store) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.db != nil {
+		s.db.Close()
+		s.db = nil
+	}
 }
 
-// Append queues a row with a time in ms. One with the same bucket, time and id is written over.
-func (s *Store) Append(bucket string, at int64, id string, value []byte) {
-	s.enqueue(row{bucket, rowKey(at, id), value}, at)
+// rowKey orders the rows of a bucket by time, then by id.
+func rowKey(atMs int64, id string) []byte {
+	key := make([]byte, 0, 8+len(id))
+	key = binary.BigEndian.AppendUint64(key, uint64(atMs))
+	return append(key, id...)
 }
 
-// Put queues a value that is state, not history: it has no age.
-func (s *Store) Put(bucket, id string, value []byte) {
-	s.enqueue(row{"=" + bucket, []byte(id), value}, 0)
+// Append queues a row with a time in ms. One with the same bucket, time and id is written over.
+func (s *Store) Append(bucket string, atMs int64, id string, value []byte) {
+	s.enqueue(row{bucket, rowKey(atMs, id), value}, atMs)
 }
 
-func (s *Store) enqueue(r row, at int64) {
+// enqueue drops the oldest row that waits if there is no room.
+func (s *Store) enqueue(r row, atMs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.newestMs = max(s.newestMs, at)
+	s.newestMs = max(s.newestMs, atMs)
 	if len(s.queue) >= s.MaxQueue {
 		s.queue = append(s.queue[:0], s.queue[1:]...)
 		s.dropped++
@@ -116,7 +117,7 @@
 	s.queue = append(s.queue, r)
 }
 
-// DroppedRows is how many rows found no room, and Failing why rows cannot be written now.
+// DroppedRows is how many rows found no room since the start.
 func (s *Store) DroppedRows() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,36 +130,3 @@
 	defer s.mu.Unlock()
 	return s.writeErr
 }
-
-func (s *Store) database() *bolt.DB {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.db
-}
-
-func (s *Store) closeFile() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.db != nil {
-		s.db.Close()
-		s.db = nil
-	}
-}
-
-// Close closes a file that is not Run.
-func (s *Store) Close() { s.closeFile() }
-
-// Get reads a value that was Put; nil if there is none.
-func (s *Store) Get(bucket, id string) (value []byte, err error) {
-	db := s.database()
-	if db == nil {
-		return nil, fmt.Errorf("%s: not open", s.path)
-	}
-	err = db.View(func(tx *bolt.Tx) error {
-		if b := tx.Bucket([]byte("=" + bucket)); b != nil {
-			value = bytes.Clone(b.Get([]byte(id)))
-		}
-		return nil
-	})
-	return value, err
-}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,6 +15,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
+// countRows counts the rows of a bucket that are written.
 func countRows(t *testing.T, s *Store, bucket string) (n int) {
 	t.Helper()
 	if err := s.Scan(bucket, 0, 1<<60, func(int64, string, []byte) bool { n++; return true }); err != nil {
@@ -23,6 +24,7 @@
 	return n
 }
 
+// openStore opens a store that nobody runs, until the test ends.
 func openStore(t *testing.T, path string, o Options) *Store {
 	t.Helper()
 	s, err := Open(path, o, zerolog.Nop())
@@ -33,6 +35,7 @@
 	return s
 }
 
+// Rows are read in order of time, then of id; one with the same time and id is written over.
 func TestRowsAreReadInOrderOfTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s := openStore(t, path, Options{})
@@ -58,8 +61,8 @@
 	}
 }
 
-// What was written is there after a torn write: the file as any prefix of the last transaction leaves it, data pages
-// first, then the meta page, opens with all rows of the transaction before it, or of both.
+// What was written is there after a torn write: the file as any prefix of the last transaction leaves it,
+// data pages first, then the meta page, opens with all rows of the transaction before it, or of both.
 func TestTornWriteLosesNoEarlierTransaction(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.db")
@@ -113,6 +116,8 @@
 	}
 }
 
+// A file that another process has, that is damaged or of a newer version is rejected with a reason that tells
+// them apart.
 func TestUnusableFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.db")
@@ -121,7 +126,8 @@
 		s.Append("rows", int64(i), "a", bytes.Repeat([]byte{1}, 100))
 	}
 	s.writeQueue()
-	if _, err := Open(path, Options{}, zerolog.Nop()); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), path) {
+	_, err := Open(path, Options{}, zerolog.Nop())
+	if !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), path) {
 		t.Errorf("a second daemon: %v", err)
 	}
 	s.Close()
@@ -143,14 +149,16 @@
 	}
 	os.WriteFile(path, good, 0o600)
 	db, _ := bolt.Open(path, 0o600, nil)
-	db.Update(func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put(versionKey, []byte{FormatVersion + 1}) })
+	db.Update(func(tx *bolt.Tx) error {
+		return tx.Bucket(metaBucket).Put(versionKey, []byte{FormatVersion + 1})
+	})
 	db.Close()
 	if _, err := Open(path, Options{}, zerolog.Nop()); !errors.Is(err, ErrNewer) {
 		t.Errorf("of a newer version: %v", err)
 	}
 }
 
-// No disk, then one: rows wait, are bounded, and are written when there is a file.
+// No disk, then one: rows wait in a bounded queue, and are written once there is a file.
 func TestRowsWaitForADisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
 	s, err := Open(filepath.Join(dir, "s.db"), Options{MaxQueue: 10}, zerolog.Nop())
@@ -175,8 +183,10 @@
 	}
 }
 
+// Rows over the age go, and the oldest where the file is over its size; state has no age.
 func TestAgeAndSizeAreBounded(t *testing.T) {
-	s := openStore(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxAge: 500 * time.Millisecond, MaxQueue: 1 << 20})
+	byAge := Options{MaxAge: 500 * time.Millisecond, MaxQueue: 1 << 20}
+	s := openStore(t, filepath.Join(t.TempDir(), "s.db"), byAge)
 	for i := range 2000 {
 		s.Append("rows", int64(i), "a", nil)
 	}
@@ -205,7 +215,7 @@
 	}
 }
 
-// Run writes what is left at its end.
+// Run writes what is left at its end, so that a graceful shutdown loses no row.
 func TestRunWritesTheRestAtItsEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, err := Open(path, Options{}, zerolog.Nop())
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -30,8 +30,8 @@
 	"bands": {`1800000000500 "a\x00b" "\x00\x01\xff"`, `4611686018427387903 "last" "x"`},
 }
 
-// A store that an earlier version wrote is read to the same rows and values, by a daemon and by a command that only
-// reads, and goes on being written.
+// A store that an earlier version wrote is read to the same rows and values, by a daemon and by a command
+// that only reads, and goes on being written.
 func TestStoredFileStaysReadable(t *testing.T) {
 	for _, o := range []Options{{}, {ReadOnly: true}} {
 		t.Run(fmt.Sprint("read only ", o.ReadOnly), func(t *testing.T) {
