--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -1,8 +1,8 @@
 package ownership
 
-// acquire takes a caller's wish for a stream. An entry without a caller is one whose holder is being deleted
-// or checked: the new caller waits for that.
-func (l *Lease) acquire(a Acquire) {
+// handleAcquire takes a caller's wish for a stream. An entry without a caller is one whose holder is being
+// deleted or checked: the new caller waits for that.
+func (l *Lease) handleAcquire(a Acquire) {
 	e := l.streams[a.Stream]
 	switch {
 	case a.FencingToken != 0 && !l.canAcquire():
@@ -42,9 +42,9 @@
 	}
 }
 
-// recordRead goes on with an acquisition once the stream's record is known: it is rejected by the fencing
-// token of the client's token, or asks for the holder.
-func (l *Lease) recordRead(e *entry, r Reply) {
+// handleReadReply goes on with an acquisition once the stream's record is known: it is rejected by the
+// fencing token of the client's token, or asks for the holder.
+func (l *Lease) handleReadReply(e *entry, r Reply) {
 	isNew := e.fencingToken == 0
 	switch {
 	case e.handle == 0:
@@ -71,15 +71,15 @@
 	}
 }
 
-// acquisitionReplied ends an acquisition, or cleans up after one that nobody wants any more.
-func (l *Lease) acquisitionReplied(e *entry, r Reply) {
+// handleAcquireReply ends an acquisition, or cleans up after one that nobody wants any more.
+func (l *Lease) handleAcquireReply(e *entry, r Reply) {
 	orphaned := e.handle == 0 || e.callerReplaced
 	e.callerReplaced = false
 	switch {
 	case r.Code == NoReply, r.Code == ServiceError:
 		e.phase = uncertain
 	case r.Code != OK && orphaned:
-		l.holderGone(e)
+		l.continueWithoutHolder(e)
 	case r.Code != OK && e.fencingToken == 0: // a new stream's record exists, by a reply that was lost
 		l.startAcquisition(e)
 	case r.Code == NotFound:
@@ -94,12 +94,12 @@
 		}
 		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
 	default:
-		l.own(e, r.Version)
+		l.grantOwnership(e, r.Version)
 	}
 }
 
-// own gives the caller the stream, whose holder this session has created.
-func (l *Lease) own(e *entry, version int32) {
+// grantOwnership gives the caller the stream, whose holder this session has created.
+func (l *Lease) grantOwnership(e *entry, version int32) {
 	e.phase = owned
 	e.version = version
 	e.versionUnknown = false
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -96,13 +96,13 @@
 	l.expireLease()
 	switch e := ev.(type) {
 	case Acquire:
-		l.acquire(e)
+		l.handleAcquire(e)
 	case Release:
-		l.release(e.Handle)
+		l.handleRelease(e.Handle)
 	case ExtendRecord:
-		l.extendRecord(e)
+		l.handleExtendRecord(e)
 	case SessionConnected:
-		l.sessionConnected(e)
+		l.handleSessionConnected(e)
 	case SessionDisconnected:
 		l.connected = false
 	case SessionExpired:
@@ -110,7 +110,7 @@
 	case Reply:
 		l.handleReply(e)
 	case Tick:
-		l.tick()
+		l.handleTick()
 	}
 	return l.actions
 }
@@ -143,21 +143,21 @@
 	delete(l.pending, r.RequestID)
 	switch {
 	case r.RequestID == e.updateID:
-		l.recordUpdated(e, r)
+		l.handleUpdateReply(e, r)
 	case r.RequestID != e.requestID:
 	case e.phase == readingRecord:
-		l.recordRead(e, r)
+		l.handleReadReply(e, r)
 	case e.phase == acquiring:
-		l.acquisitionReplied(e, r)
+		l.handleAcquireReply(e, r)
 	case e.phase == checkingHolder:
-		l.holderChecked(e, r)
+		l.handleCheckReply(e, r)
 	case e.phase == deletingHolder:
-		l.holderDeleted(e, r)
+		l.handleDeleteReply(e, r)
 	}
 }
 
-// tick rejects callers whose deadline has passed, and goes on with what had to wait.
-func (l *Lease) tick() {
+// handleTick rejects callers whose deadline has passed, and goes on with what had to wait.
+func (l *Lease) handleTick() {
 	late := func(e *entry) bool { return l.undecided[e.handle] == e && l.now >= e.deadline }
 	waits := func(e *entry) bool { return e.phase == waitingForService && l.canAcquire() }
 	// The service failed to say who owns the holder.
--- a/internal/ownership/release.go
+++ b/internal/ownership/release.go
@@ -1,7 +1,7 @@
 package ownership
 
-// release separates a caller from its stream, and deletes the holder if the stream was acquired.
-func (l *Lease) release(handle uint64) {
+// handleRelease separates a caller from its stream, and deletes the holder if the stream was acquired.
+func (l *Lease) handleRelease(handle uint64) {
 	e := l.byHandle[handle]
 	if e == nil {
 		l.emit(Released{handle})
@@ -24,30 +24,30 @@
 	}
 }
 
-// holderChecked goes on once it is known whether this session owns the holder.
-func (l *Lease) holderChecked(e *entry, r Reply) {
+// handleCheckReply goes on once it is known whether this session owns the holder.
+func (l *Lease) handleCheckReply(e *entry, r Reply) {
 	switch {
 	case r.Code == OK && r.OwnerSession == l.sessionID:
 		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
 	case r.Code == OK, r.Code == NotFound:
-		l.holderGone(e)
+		l.continueWithoutHolder(e)
 	default:
 		e.phase = uncertain
 	}
 }
 
-// holderDeleted goes on once the holder is deleted, or may not be.
-func (l *Lease) holderDeleted(e *entry, r Reply) {
+// handleDeleteReply goes on once the holder is deleted, or may not be.
+func (l *Lease) handleDeleteReply(e *entry, r Reply) {
 	if r.Code == OK || r.Code == NotFound {
-		l.holderGone(e)
+		l.continueWithoutHolder(e)
 	} else {
 		e.phase = uncertain
 	}
 }
 
-// holderGone is for an entry for which this session surely has no holder: a caller that waits acquires the
-// stream, else the stream is forgotten.
-func (l *Lease) holderGone(e *entry) {
+// continueWithoutHolder is for an entry for which this session surely has no holder: a caller that waits
+// acquires the stream, else the stream is forgotten.
+func (l *Lease) continueWithoutHolder(e *entry) {
 	if e.releasing != 0 {
 		l.emit(Released{e.releasing})
 		e.releasing = 0
--- a/internal/ownership/session.go
+++ b/internal/ownership/session.go
@@ -12,9 +12,9 @@
 	}
 }
 
-// sessionConnected takes up a session. Nothing of an earlier session is left in a new one; in the same one,
-// holders that may be ours are checked first.
-func (l *Lease) sessionConnected(c SessionConnected) {
+// handleSessionConnected takes up a session. Nothing of an earlier session is left in a new one; in the same
+// one, holders that may be ours are checked first.
+func (l *Lease) handleSessionConnected(c SessionConnected) {
 	if c.SessionID != l.sessionID {
 		l.endSession()
 	}
@@ -60,7 +60,7 @@
 		case sessionLost, waitingForService:
 		default:
 			delete(l.pending, e.requestID) // a reply that still comes is the old session's
-			l.holderGone(e)
+			l.continueWithoutHolder(e)
 		}
 	}
 }
--- a/internal/ownership/update.go
+++ b/internal/ownership/update.go
@@ -1,7 +1,7 @@
 package ownership
 
-// extendRecord notes what an owned stream's record is to become.
-func (l *Lease) extendRecord(x ExtendRecord) {
+// handleExtendRecord notes what an owned stream's record is to become.
+func (l *Lease) handleExtendRecord(x ExtendRecord) {
 	e := l.byHandle[x.Handle]
 	if e == nil || e.phase != owned {
 		return
@@ -28,17 +28,17 @@
 	}
 }
 
-// recordUpdated takes the reply to a read or an update of an owned stream's record.
-func (l *Lease) recordUpdated(e *entry, r Reply) {
+// handleUpdateReply takes the reply to a read or an update of an owned stream's record.
+func (l *Lease) handleUpdateReply(e *entry, r Reply) {
 	e.updateID = 0
 	if e.phase != owned {
 		return
 	}
 	switch r.Code {
 	case OK:
-		l.recordKnown(e, r)
+		l.adoptRecord(e, r)
 	case NoReply:
-		e.versionUnknown = true // sessionConnected goes on
+		e.versionUnknown = true // handleSessionConnected goes on
 		return
 	case VersionMismatch:
 		e.versionUnknown = true
@@ -48,8 +48,8 @@
 	l.updateRecord(e)
 }
 
-// recordKnown takes the record from the reply to its read, or as the update has made it.
-func (l *Lease) recordKnown(e *entry, r Reply) {
+// adoptRecord takes the record from the reply to its read, or as the update has made it.
+func (l *Lease) adoptRecord(e *entry, r Reply) {
 	e.version = r.Version
 	if !e.versionUnknown {
 		e.record = e.updateSent
--- a/internal/resume/harness_test.go
+++ b/internal/resume/harness_test.go
@@ -114,9 +114,9 @@
 func (r *testRelay) startResuming(t testing.TB, tokens []string) (requests []*relay.Request) {
 	t.Helper()
 	for _, text := range tokens {
-		st, note, err := r.service.ResumeStream(text, StreamRequest{Class: "m"})
+		st, err := r.service.ResumeStream(text, StreamRequest{Class: "m"})
 		if err != nil {
-			t.Fatal(note, err)
+			t.Fatal(err)
 		}
 		requests = append(requests, r.open(st))
 	}
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -26,7 +26,7 @@
 func (s *Service) sendRequest(q ownership.Request) {
 	record := s.recordPath(q.Stream.String())
 	holder := holderPath(record)
-	done := func(a zookeeper.Answer) { s.enqueue(s.reply(q, record, a)) }
+	done := func(a zookeeper.Answer) { s.enqueue(s.replyOf(q, record, a)) }
 	switch q.Kind {
 	case ownership.ReadRecord:
 		s.session.Get(record, done)
@@ -50,8 +50,8 @@
 	}
 }
 
-// reply is the Lease's reply to a request. A record that cannot be read is an error of the service's.
-func (s *Service) reply(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
+// replyOf is the Lease's replyOf to a request. A record that cannot be read is an error of the service's.
+func (s *Service) replyOf(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
 	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.Owner}
 	code, known := replyCodes[a.Code]
 	if !known {
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -91,7 +91,7 @@
 	return s.stats
 }
 
-func (s *Service) count(counter *uint64) {
+func (s *Service) increment(counter *uint64) {
 	s.mu.Lock()
 	*counter++
 	s.mu.Unlock()
@@ -169,14 +169,14 @@
 		case ownership.Request:
 			s.sendRequest(a)
 		case ownership.Acquired:
-			s.count(&s.stats.Acquired)
-			s.streams[a.Handle].acquired(a.FencingToken)
+			s.increment(&s.stats.Acquired)
+			s.streams[a.Handle].handleAcquired(a.FencingToken)
 		case ownership.Rejected:
-			s.rejected(a)
+			s.handleRejected(a)
 		case ownership.LeaseExpired:
-			s.count(&s.stats.Expired)
+			s.increment(&s.stats.Expired)
 			if st := s.streams[a.Handle]; st != nil {
-				st.leaseExpired()
+				st.handleLeaseExpired()
 			}
 		case ownership.Released:
 			if st := s.streams[a.Handle]; st != nil {
@@ -187,27 +187,27 @@
 	}
 }
 
-// rejected answers a stream whose acquisition was rejected.
-func (s *Service) rejected(a ownership.Rejected) {
+// handleRejected answers a stream whose acquisition was handleRejected.
+func (s *Service) handleRejected(a ownership.Rejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
 	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: a.RetryAfter}
 	switch a.Reason {
 	case ownership.ErrAlreadyOwned:
-		s.count(&s.stats.AlreadyOwned)
+		s.increment(&s.stats.AlreadyOwned)
 	case ownership.ErrStaleToken:
-		s.count(&s.stats.StaleToken)
+		s.increment(&s.stats.StaleToken)
 		answer = relay.Answer{Kind: relay.Failed, Note: NoteStaleToken}
 	case ownership.ErrUnknownStream:
-		s.count(&s.stats.UnknownStream)
+		s.increment(&s.stats.UnknownStream)
 		answer = relay.Answer{Kind: relay.Failed, Note: NoteUnknownStream}
 	case ownership.ErrServiceUnreachable:
-		s.count(&s.stats.ServiceUnreachable)
+		s.increment(&s.stats.ServiceUnreachable)
 	case ownership.ErrTimedOut:
-		s.count(&s.stats.TimedOut)
+		s.increment(&s.stats.TimedOut)
 	}
 	if st != nil {
 		st.markReleased()
-		st.rejected(answer)
+		st.handleRejected(answer)
 	}
 }
--- a/internal/resume/stored_test.go
+++ b/internal/resume/stored_test.go
@@ -82,9 +82,9 @@
 	first.ConfirmToken(1)
 	call.ClientClosed(relay.GracefulClose)
 	<-first.released
-	second, note, err := r.service.ResumeStream(tokens["twice-1"], first.StreamRequest)
+	second, err := r.service.ResumeStream(tokens["twice-1"], first.StreamRequest)
 	if err != nil {
-		t.Fatal(note, err)
+		t.Fatal(err)
 	}
 	call = r.open(second)
 	eventually(t, "acquired again", func() bool { return second.fencingToken.Load() == 2 })
@@ -138,11 +138,11 @@
 	tokens := storedLines(t, "tokens.txt")
 	request := StreamRequest{Class: "m", Tenant: "acme", Key: 5, Group: 6}
 	for _, c := range []struct {
-		token      string
-		stream     token.StreamID
-		generation uint64 // of the service that it begins, 0 if it is final
-		from       uint64
-		note       string
+		token        string
+		stream       token.StreamID
+		fencingToken uint64 // of the ownership that it begins, 0 if it is final
+		from         uint64
+		note         string
 	}{
 		{"fresh-1", storedFresh, 2, 1, ""},
 		{"twice-1", storedTwice, 0, 42, NoteStaleToken},
@@ -150,9 +150,9 @@
 		{"served-1", storedServed, 2, 1, ""},
 	} {
 		t.Run(c.token, func(t *testing.T) {
-			st, note, err := r.service.ResumeStream(tokens[c.token], request)
+			st, err := r.service.ResumeStream(tokens[c.token], request)
 			if err != nil {
-				t.Fatal(note, err)
+				t.Fatal(err)
 			}
 			if st.ID != c.stream || st.FirstScan != c.from {
 				t.Errorf("stream %v from %d, want %v from %d", st.ID, st.FirstScan, c.stream, c.from)
@@ -161,12 +161,12 @@
 			eventually(t, "an answer", func() bool { return stateOf(call) != relay.AwaitingOwnership })
 			state, answer := call.State()
 			switch {
-			case c.generation == 0:
+			case c.fencingToken == 0:
 				if state != relay.Ended || answer.Kind != relay.Failed || answer.Note != c.note {
 					t.Errorf("state %v, %+v", state, answer)
 				}
-			case state != relay.Queued || st.FencingToken() != c.generation:
-				t.Errorf("state %v, generation %d, want %d", state, st.FencingToken(), c.generation)
+			case state != relay.Queued || st.FencingToken() != c.fencingToken:
+				t.Errorf("state %v, fencing token %d, want %d", state, st.FencingToken(), c.fencingToken)
 			}
 		})
 	}
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -24,6 +24,11 @@
 	NotePositionAhead   = "ahead"    // a position that the server has not come to
 )
 
+var (
+	errNoFencingToken = errors.New("token without a fencing token")
+	errLastPosition   = errors.New("no scan can follow that position")
+)
+
 // releaseTimeout is how long an end waits for its stream to be another relay's to acquire: without that the
 // client could be at the next relay first, and be rejected there.
 const releaseTimeout = 150 * time.Millisecond
@@ -61,12 +66,17 @@
 	issued      issuedToken
 	serverLease serverLease
 
-	mu                  sync.Mutex
+	mu          sync.Mutex
+	acquisition // guarded by mu
+}
+
+// acquisition is a stream's part in its ownership, at one handle after the other.
+type acquisition struct {
 	request             *relay.Request
-	handle              uint64 // of the acquisition, 0 for none
-	ended               bool
+	handle              uint64 // 0 for none
+	ended               bool   // the request is done with the stream
 	deliveredToken      uint64 // fencing token of the token that the client has confirmed
-	recordExpiresUnixMs int64  // as this relay last asked for
+	recordExpiresUnixMs int64  // as this relay last requested
 }
 
 // NewStream is a new stream. It is served whether or not the ownership service can be reached; its token
@@ -80,31 +90,42 @@
 	return st
 }
 
-// ResumeStream is a stream that goes on by a token. The error says why it cannot, and the note what the
-// client is told.
-func (s *Service) ResumeStream(text string, r StreamRequest) (st *Stream, note string, err error) {
+// RejectError says why a stream cannot be resumed.
+type RejectError struct {
+	Note string // what the client is told, one of the notes
+	Err  error
+}
+
+// Error is what Err says.
+func (e *RejectError) Error() string { return e.Err.Error() }
+
+// Unwrap returns Err.
+func (e *RejectError) Unwrap() error { return e.Err }
+
+// ResumeStream is a stream that goes on by a token. An error is a *RejectError.
+func (s *Service) ResumeStream(text string, r StreamRequest) (*Stream, error) {
 	t, err := s.keys.Load().Open(text)
 	if err != nil {
-		return nil, NoteInvalidToken, err
+		return nil, &RejectError{NoteInvalidToken, err}
 	}
 	if t.FencingToken == 0 { // inside it stands for a new stream, which nothing is checked for
-		return nil, NoteInvalidToken, errors.New("token without a fencing token")
+		return nil, &RejectError{NoteInvalidToken, errNoFencingToken}
 	}
 	bound := token.Binding{Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group}
 	err = t.Check(bound, s.wallNow(), s.MaxClockSkew)
 	switch {
 	case errors.Is(err, token.ErrExpired):
-		return nil, NoteExpired, err
+		return nil, &RejectError{NoteExpired, err}
 	case err != nil:
-		return nil, NoteMismatch, err
+		return nil, &RejectError{NoteMismatch, err}
 	}
 	if !r.HasPosition { // what the relay that gave it had forwarded
 		r.Position = t.Position
 	}
 	if r.Position == 1<<64-1 {
-		return nil, NoteInvalidPosition, errors.New("no scan can follow that position")
+		return nil, &RejectError{NoteInvalidPosition, errLastPosition}
 	}
-	st = &Stream{
+	st := &Stream{
 		StreamRequest: r,
 		ID:            t.Stream,
 		FirstScan:     r.Position + 1,
@@ -113,7 +134,7 @@
 		released:      make(chan struct{}),
 	}
 	st.position.Store(r.Position)
-	return st, "", nil
+	return st, nil
 }
 
 // MustWait tells whether the request waits for its ownership: only a stream that another relay may have does.
@@ -183,9 +204,9 @@
 	}
 }
 
-// acquired takes the Service's word that the stream is this relay's. Run's goroutine calls it, as the next
-// two.
-func (st *Stream) acquired(fencingToken uint64) {
+// handleAcquired takes the Service's word that the stream is this relay's. Run's goroutine calls it, as the
+// next two.
+func (st *Stream) handleAcquired(fencingToken uint64) {
 	st.fencingToken.Store(fencingToken)
 	st.mu.Lock()
 	r := st.request
@@ -197,8 +218,8 @@
 	}
 }
 
-// rejected takes the Service's word that the stream is not this relay's.
-func (st *Stream) rejected(a relay.Answer) {
+// handleRejected takes the Service's word that the stream is not this relay's.
+func (st *Stream) handleRejected(a relay.Answer) {
 	st.mu.Lock()
 	r := st.request
 	st.handle = 0
@@ -206,17 +227,17 @@
 	r.OwnershipDenied(a)
 }
 
-// leaseExpired takes the Service's word that the ownership may be lost: the stream ends here. A stream of
-// which no token is out cannot be another relay's; it is served on and acquired anew.
-func (st *Stream) leaseExpired() {
+// handleLeaseExpired takes the Service's word that the ownership may be lost: the stream ends here. A stream
+// of which no token is out cannot be another relay's; it is served on and acquired anew.
+func (st *Stream) handleLeaseExpired() {
 	st.mu.Lock()
 	r := st.request
-	again := st.shownToken == 0 && !st.tokenIssued.Load() && !st.ended
-	if again {
+	onlyHere := st.shownToken == 0 && !st.tokenIssued.Load() && !st.ended
+	if onlyHere {
 		st.acquireAnew()
 	}
 	st.mu.Unlock()
-	if again {
+	if onlyHere {
 		return
 	}
 	st.ownershipLost.Store(true)
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -122,7 +122,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.writeErr != nil {
-		s.log.Info().Str("store", s.path).Uint64("dropped", s.dropped).Msg("store written again")
+		s.log.Info().Str("store", s.path).Uint64("dropped", s.dropped).Msg("store write recovered")
 	}
 	s.writeErr = nil
 }
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -27,11 +28,12 @@
 	if o.resume == "new" {
 		return f.Resume.NewStream(asked), nil
 	}
-	st, note, err := f.Resume.ResumeStream(o.resume, asked)
-	if err != nil {
-		return nil, &refusal{note, err}
+	st, err := f.Resume.ResumeStream(o.resume, asked)
+	var rejected *resume.RejectError
+	if errors.As(err, &rejected) {
+		return nil, &refusal{rejected.Note, rejected.Err}
 	}
-	return st, nil
+	return st, err
 }
 
 // unwilling is what a server's refusal to go on means to the client.
