--- /dev/null
+++ b/internal/observe/anomaly/recent.go
@@ -0,0 +1,60 @@
+package anomaly
+
+import (
+	"slices"
+	"time"
+)
+
+// recentKept is how many times a recent remembers.
+const recentKept = 16
+
+// recent remembers when things happened last, the newest last.
+type recent []time.Duration
+
+func (r *recent) add(at time.Duration) { *r = appendBounded(*r, at, recentKept) }
+
+// countSince counts what happened after an instant.
+func (r recent) countSince(at time.Duration) (n int) {
+	for i := len(r) - 1; i >= 0 && r[i] > at; i-- {
+		n++
+	}
+	return n
+}
+
+// first is when the first of the last n things happened.
+func (r recent) first(n int) time.Duration { return r[len(r)-n] }
+
+// last is when it happened last; 0 for never.
+func (r recent) last() time.Duration {
+	if len(r) == 0 {
+		return 0
+	}
+	return r[len(r)-1]
+}
+
+// appendBounded appends to a list that holds so many at most; the oldest makes room.
+func appendBounded[T any](list []T, x T, most int) []T {
+	if len(list) == most {
+		list = append(list[:0], list[1:]...)
+	}
+	return append(list, x)
+}
+
+// medianOfSorted is the median of what is in order already; 0 of nothing.
+func medianOfSorted[T any](sorted []T) (m T) {
+	if len(sorted) == 0 {
+		return m
+	}
+	return sorted[len(sorted)/2]
+}
+
+// lowerQuartile is what a quarter of the times stay under: a machine that was short of time for a while must
+// not make lateness usual.
+func lowerQuartile(times []time.Duration) time.Duration {
+	if len(times) == 0 {
+		return 0
+	}
+	return slices.Sorted(slices.Values(times))[len(times)/4]
+}
+
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/observe/recorder/record.go
+++ b/internal/observe/recorder/record.go
@@ -1,6 +1,9 @@
 package recorder
 
 import (
+	"fmt"
+	"time"
+
 	"capersail/decide"
 )
 
@@ -9,75 +12,113 @@
 
 // The kinds.
 const (
-	EndpointChanged         Kind = iota + 1 // the list says something new of a server
-	EndpointListUnreachable                 // the list is out of reach
+	EndpointChanged         Kind = iota + 1 // the endpoint list says something new of a server
+	EndpointListUnreachable                 // discovery does not answer
 	ProbeEnded                              // a probe has ended
 	AttemptStarted                          // an attempt goes out
 	ConnectionUp                            // an attempt's connection stands
 	AttemptEnded                            // an attempt, or the connection that came of it, has ended
-	ClientMigrated                          // a client is sent away
-	RequestRejected                         // a request is refused
+	ClientMigrated                          // a client is sent to another relay or server
+	RequestRejected                         // a request is rejected
 	RequestFailed                           // a request fails
 	MessageDelayed                          // a message took long
-	PeerReading                             // a reading of another relay is gone by: Took is its age
-	RecordsDropped                          // records were dropped here
+	PeerReading                             // another relay's load report is used: Elapsed is its age
+	RecordsDropped                          // records found no room here
 )
 
-func (k Kind) String() string {
-	return [...]string{"", "list", "no list", "probe", "place", "up", "end", "move", "refuse", "fail", "delay", "told", "dropped"}[min(k, RecordsDropped)]
+var kindNames = [...]string{
+	0:                       "",
+	EndpointChanged:         "list",
+	EndpointListUnreachable: "no list",
+	ProbeEnded:              "probe",
+	AttemptStarted:          "place",
+	ConnectionUp:            "up",
+	AttemptEnded:            "end",
+	ClientMigrated:          "move",
+	RequestRejected:         "refuse",
+	RequestFailed:           "fail",
+	MessageDelayed:          "delay",
+	PeerReading:             "told",
+	RecordsDropped:          "dropped",
 }
 
-// Initiator says who ended a connection or caused a move.
+// String names the kind as it is shown.
+func (k Kind) String() string { return nameOf(kindNames[:], uint8(k), "kind") }
+
+// Initiator says who ended a connection, caused a migration, or rejected a request.
 type Initiator uint8
 
-// Who.
+// The initiators.
 const (
 	Nobody          Initiator = iota
 	Server                    // the server
 	Client                    // the client
 	Module                    // the decision module
-	Shutdown                  // this relay leaves
+	Shutdown                  // this relay shuts down
 	ServerSilent              // its server brings nothing back
-	OwnershipLost             // its claim may be lost
-	DescriptorLimit           // the bound on descriptors
-	Backstop                  // the backstop behind the module
-	Operator                  // by hand: a drain, or a server taken out
+	OwnershipLost             // the stream's ownership may be lost
+	DescriptorLimit           // the connection limiter
+	Backstop                  // the relay's own deadline, behind the module's
+	Operator                  // by hand: a drain, or a server ejected
 )
 
-func (b Initiator) String() string {
-	return [...]string{"", "server", "client", "module", "leaving", "silence", "claim", "door", "late", "operator"}[min(b, Operator)]
+var initiatorNames = [...]string{
+	Nobody:          "",
+	Server:          "server",
+	Client:          "client",
+	Module:          "module",
+	Shutdown:        "leaving",
+	ServerSilent:    "silence",
+	OwnershipLost:   "claim",
+	DescriptorLimit: "door",
+	Backstop:        "late",
+	Operator:        "operator",
+}
+
+// String names the initiator as it is shown.
+func (i Initiator) String() string { return nameOf(initiatorNames[:], uint8(i), "initiator") }
+
+// nameOf is a value's name in its type's table, and the number of one that is not there.
+func nameOf(names []string, value uint8, what string) string {
+	if int(value) < len(names) {
+		return names[value]
+	}
+	return fmt.Sprintf("unknown %s %d", what, value)
 }
 
-// Candidate is one other server that a placement could have gone to.
+// Candidate is another server that a placement could have gone to.
 type Candidate struct {
-	Server    int32
-	Load      float32
-	AgeMs     float32
+	Server    int32   // its number
+	Load      float32 // as estimated
+	AgeMs     float32 // of the reading behind it
 	WarmingUp bool
 }
 
-// MaxCandidates is how many of a placement's pool are kept.
+// MaxCandidates is how many of a placement's candidates are kept.
 const MaxCandidates = 4
 
-// Record is one thing that happened. Fields that its kind has no use for are zero; loads that were not told are
-// negative.
+// Record is one thing that happened. Fields that its kind has no use for are zero; loads that are not known
+// are negative.
 type Record struct {
-	At           float64 // milliseconds of the relay's clock
-	Request      uint64
-	Elapsed      float64 // ms: of a set-up, a probe, a message
-	StartedAt    float64 // with List: when the server says it started, on the relay's clock, 0 for long ago
-	Server       int32   // number in the relay's roster, -1 for none
-	Count        uint32  // with Dropped
-	Load         float32
-	Queue        float32
-	Errors       float32
-	Kind         Kind
-	Status       decide.Status
-	Mode         decide.EndpointState
-	Reason       decide.RejectReason
-	Initiator    Initiator
+	At        time.Duration // on the relay's monotonic clock
+	Elapsed   time.Duration // of a set-up, a probe, a message, a reading's age
+	StartedAt time.Duration // EndpointChanged: when the server says it started, 0 for long ago
+
+	Request   uint64
+	Server    int32 // its number, -1 for none
+	Kind      Kind
+	Status    decide.Status
+	Mode      decide.EndpointState
+	Reason    decide.RejectReason
+	Initiator Initiator
+
+	Load   float32
+	Queue  float32
+	Errors float32 // a second
+	Count  uint32  // RecordsDropped
+
 	Attempt      uint8 // from 0
-	WasConnected bool  // with End: the connection stood
+	WasConnected bool  // AttemptEnded: the connection stood
 	PoolSize     uint8 // how many of Pool are set
 	Pool         [MaxCandidates]Candidate
 }
--- a/internal/observe/recorder/recorder.go
+++ b/internal/observe/recorder/recorder.go
@@ -1,9 +1,12 @@
-// Package recorder takes records of what a relay is told and decides, for whoever looks at them later. To put one
-// never blocks and allocates nothing; what finds no room is dropped and counted.
+// Package recorder takes records of what a relay learns and decides, for whoever reads them later.
+//
+// It owns the records' form and the buffer between the relay, which puts them, and package observe/watch,
+// which takes them. To put one never blocks and allocates nothing; what finds no room is dropped and counted.
 package recorder
 
 import (
 	"sync"
+	"time"
 )
 
 // Recorder is a bounded buffer of records, for many writers and one reader.
@@ -11,50 +14,54 @@
 	mu        sync.Mutex
 	records   []Record
 	dropped   uint32
-	droppedAt float64
+	droppedAt time.Duration // the newest of them
 	ready     chan struct{}
 }
 
-// New returns a Tap that keeps so many records until they are taken.
+// New returns a Recorder that keeps so many records until they are taken.
 func New(capacity int) *Recorder {
-	return &Recorder{records: make([]Record, 0, capacity), ready: make(chan struct{}, 1)}
+	return &Recorder{
+		records: make([]Record, 0, capacity),
+		ready:   make(chan struct{}, 1),
+	}
 }
 
-// Put adds a record.
-func (t *Recorder) Put(r *Record) {
-	t.mu.Lock()
-	if len(t.records) < cap(t.records) {
-		t.records = append(t.records, *r)
+// Put adds a copy of a record.
+func (r *Recorder) Put(x *Record) {
+	r.mu.Lock()
+	if len(r.records) < cap(r.records) {
+		r.records = append(r.records, *x)
 	} else {
-		t.dropped++
-		t.droppedAt = r.At
+		r.dropped++
+		r.droppedAt = x.At
+	}
+	halfFull := len(r.records) == cap(r.records)/2
+	r.mu.Unlock()
+	if !halfFull { // the reader looks by itself now and then; waking it is for a burst
+		return
 	}
-	full := len(t.records) == cap(t.records)/2
-	t.mu.Unlock()
-	if full { // the reader looks by itself now and then; this is for a burst
-		select {
-		case t.ready <- struct{}{}:
-		default:
-		}
+	select {
+	case r.ready <- struct{}{}:
+	default:
 	}
 }
 
-// Ready gets a token when half of the room is taken.
-func (t *Recorder) Ready() <-chan struct{} { return t.ready }
+// Ready receives a value when half of the room is taken.
+func (r *Recorder) Ready() <-chan struct{} { return r.ready }
 
-// TakeAll returns all records put since the last call, with one of the kind Dropped at the end if there was no room
+// TakeAll returns all records put since the last call, with a RecordsDropped at the end if there was no room
 // for some. spare, a slice from an earlier call or nil, takes the buffer's place.
-func (t *Recorder) TakeAll(spare []Record) []Record {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	got := t.records
-	if cap(spare) < cap(got)-1 {
-		spare = make([]Record, 0, cap(got))
+func (r *Recorder) TakeAll(spare []Record) []Record {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	taken := r.records
+	if cap(spare) < cap(taken)-1 {
+		spare = make([]Record, 0, cap(taken))
 	}
-	t.records = spare[:0]
-	if t.dropped > 0 {
-		got = append(got, Record{At: t.droppedAt, Kind: RecordsDropped, Server: -1, Count: t.dropped})
-		t.dropped = 0
+	r.records = spare[:0]
+	if r.dropped > 0 {
+		taken = append(taken, Record{At: r.droppedAt, Kind: RecordsDropped, Server: -1, Count: r.dropped})
+		r.dropped = 0
 	}
-	return got
+	return taken
 }
--- a/internal/observe/recorder/recorder_test.go
+++ b/internal/observe/recorder/recorder_test.go
@@ -3,16 +3,17 @@
 import (
 	"sync"
 	"testing"
+	"time"
 )
 
 // A burst of 100,000 records from many writers: what has room is kept, the rest is counted, nobody waits.
-func TestBurst(t *testing.T) {
+func TestBurstIsBoundedAndCounted(t *testing.T) {
 	x := New(4096)
 	var all sync.WaitGroup
 	for w := range 10 {
 		all.Go(func() {
 			for i := range 10_000 {
-				x.Put(&Record{At: float64(i), Kind: AttemptStarted, Server: int32(w)})
+				x.Put(&Record{At: time.Duration(i), Kind: AttemptStarted, Server: int32(w)})
 			}
 		})
 	}
@@ -23,7 +24,8 @@
 		t.Error("the reader was not woken")
 	}
 	got := x.TakeAll(nil)
-	if last := got[len(got)-1]; len(got) != 4097 || last.Kind != RecordsDropped || last.Count != 100_000-4096 {
+	last := got[len(got)-1]
+	if len(got) != 4097 || last.Kind != RecordsDropped || last.Count != 100_000-4096 {
 		t.Errorf("%d records, the last %+v", len(got), last)
 	}
 	x.Put(&Record{Kind: ConnectionUp})
@@ -33,7 +35,7 @@
 }
 
 // A reader while others write: no record is lost or read twice.
-func TestTakeWhileWriting(t *testing.T) {
+func TestNoRecordIsLostOrReadTwice(t *testing.T) {
 	x := New(1 << 16)
 	done := make(chan struct{})
 	go func() {
@@ -62,6 +64,7 @@
 	}
 }
 
+// BenchmarkRecord is what it costs a relay to put a record.
 func BenchmarkRecord(b *testing.B) {
 	x := New(1 << 14)
 	var spare []Record
--- a/internal/observe/timeline/apply.go
+++ b/internal/observe/timeline/apply.go
@@ -2,130 +2,158 @@
 
 import (
 	"fmt"
+	"time"
 
 	"capersail/decide"
 	"capersail/internal/observe/recorder"
 )
 
-// Apply takes one record; name is its server's.
-func (b *Timelines) Apply(name string, r *recorder.Record) {
-	b.now = max(b.now, r.At)
+// faultsToNotice is how many faults in a row change a server's state.
+const faultsToNotice = 2
+
+// Apply takes one record to its server's timeline; name is that server's. A record of no server is the
+// fleet's.
+func (t *Timelines) Apply(name string, r *recorder.Record) {
+	t.now = max(t.now, r.At)
 	if r.Server < 0 {
 		name = FleetName
 	}
-	l := b.server(name)
-	s := b.newestInterval(l, r.At)
+	s := t.server(name)
+	i := t.intervalAt(s, r.At)
 	switch r.Kind {
 	case recorder.EndpointChanged:
-		b.applyEndpoint(l, r)
+		t.applyEndpoint(s, r)
 	case recorder.ProbeEnded:
-		s.Probes++
-		if r.Status == decide.OK && r.Load >= 0 {
-			addLoadSample(s, r.Load)
-		}
-		b.applyProbe(l, s, r)
-	case recorder.PeerReading: // evidence of the load; that it answers is for this relay's own eyes
-		if s.PeerReadings++; r.Load >= 0 {
-			addLoadSample(s, r.Load)
+		t.applyProbe(s, i, r)
+	case recorder.PeerReading: // evidence of the load; that the server answers is for this relay's own eyes
+		i.PeerReadings++
+		if r.Load >= 0 {
+			i.addLoad(r.Load)
 		}
 	case recorder.AttemptStarted:
-		s.Placements++
+		i.Placements++
 		if r.Attempt > 0 {
-			s.Retries++
+			i.Retries++
 		}
-		l.openConnections++
+		s.openConnections++
 	case recorder.ConnectionUp:
-		s.Connections++
-		l.setups.RecordValue(max(1, int64(r.Elapsed*1000)))
-		b.recovered(l, r.At, "a connection stands")
+		i.Connections++
+		s.setups.RecordValue(max(1, r.Elapsed.Microseconds()))
+		t.noteRecovery(s, r.At, "a connection stands")
 	case recorder.AttemptEnded:
-		l.openConnections = max(0, l.openConnections-1)
+		s.openConnections = max(0, s.openConnections-1)
 		if r.Initiator == recorder.Server {
-			s.Ends[min(r.Status, decide.Superseded)]++
-			b.applyServerEnd(l, r)
+			i.Ends[min(r.Status, decide.Superseded)]++
+			t.applyServerEnd(s, r)
 		}
 	case recorder.ClientMigrated:
-		s.Migrations++
+		i.Migrations++
 	case recorder.RequestRejected, recorder.RequestFailed:
-		s.Rejections++
-		s.RejectReasons.add(r)
-		if l.Name != FleetName {
-			fleet := b.newestInterval(b.server(FleetName), r.At)
-			fleet.Rejections++
-			fleet.RejectReasons.add(r)
-		}
+		t.applyRejection(s, i, r)
 	case recorder.MessageDelayed:
-		s.SlowestMessage = max(s.SlowestMessage, float32(r.Elapsed))
+		i.SlowestMessage = max(i.SlowestMessage, float32(millis(r.Elapsed)))
 	case recorder.RecordsDropped:
-		s.Dropped += r.Count
+		i.Dropped += r.Count
+	}
+	i.OpenConnections = s.openConnections
+}
+
+// applyRejection counts a rejection or a failure, by its reason, on its server's timeline and the fleet's.
+func (t *Timelines) applyRejection(s *ServerTimeline, i *Interval, r *recorder.Record) {
+	i.Rejections++
+	i.RejectReasons.add(r)
+	if s.Name == FleetName {
+		return
 	}
-	s.OpenConnections = l.openConnections
+	fleet := t.intervalAt(t.server(FleetName), r.At)
+	fleet.Rejections++
+	fleet.RejectReasons.add(r)
 }
 
-func (b *Timelines) applyEndpoint(l *ServerTimeline, r *recorder.Record) {
-	l.mode = r.Mode
+// applyEndpoint takes what the endpoint list says. A server that comes, comes back or has started anew begins
+// without a past.
+func (t *Timelines) applyEndpoint(s *ServerTimeline, r *recorder.Record) {
+	s.mode = r.Mode
 	switch r.Mode {
 	case decide.Draining:
-		b.enterState(l, r.At, Draining, "list")
+		t.enterState(s, r.At, Draining, "list")
+		return
 	case decide.Removed:
-		b.enterState(l, r.At, Gone, "list")
+		t.enterState(s, r.At, Gone, "list")
+		return
+	}
+	state := s.State()
+	if r.StartedAt == s.startedAt && state != 0 && state != Gone && state != Draining {
+		return
+	}
+	s.startedAt = r.StartedAt
+	s.missedProbes, s.failuresInARow = 0, 0
+	switch age := r.At - r.StartedAt; {
+	case t.inSlowStart(s, r.At):
+		t.enterState(s, r.At, Warming, fmt.Sprintf("list: started %.1f s ago", age.Seconds()))
+	case s.probeAnswered:
+		t.enterState(s, r.At, Warm, "list")
 	default:
-		if r.StartedAt != l.startedAt || l.state() == Gone || l.state() == 0 || l.state() == Draining {
-			l.startedAt, l.missedProbes, l.failuresInARow = r.StartedAt, 0, 0
-			switch {
-			case r.StartedAt > 0 && r.At-r.StartedAt < b.SlowStart:
-				b.enterState(l, r.At, Warming, fmt.Sprintf("list: started %.1f s ago", (r.At-r.StartedAt)/1000))
-			case l.probeAnswered:
-				b.enterState(l, r.At, Warm, "list")
-			default:
-				b.enterState(l, r.At, Listed, "list")
-			}
-		}
+		t.enterState(s, r.At, Listed, "list")
 	}
 }
 
-func (b *Timelines) applyProbe(l *ServerTimeline, s *Interval, r *recorder.Record) {
+// inSlowStart tells whether a server has started less than SlowStart ago.
+func (t *Timelines) inSlowStart(s *ServerTimeline, at time.Duration) bool {
+	return s.startedAt > 0 && at-s.startedAt < t.SlowStart
+}
+
+// applyProbe takes the end of a probe.
+func (t *Timelines) applyProbe(s *ServerTimeline, i *Interval, r *recorder.Record) {
+	i.Probes++
 	switch r.Status {
 	case decide.OK:
-		l.probeAnswered = true
-		b.recovered(l, r.At, "a probe was answered")
+		if r.Load >= 0 {
+			i.addLoad(r.Load)
+		}
+		s.probeAnswered = true
+		t.noteRecovery(s, r.At, "a probe was answered")
 	case decide.TimedOut:
-		s.ProbesLost++
-		if l.missedProbes++; l.missedProbes >= 2 && l.mode == decide.Ready {
-			b.enterState(l, r.At, Unresponsive, fmt.Sprintf("%d probes without an answer", l.missedProbes))
+		i.ProbesLost++
+		s.missedProbes++
+		if s.missedProbes >= faultsToNotice && s.mode == decide.Ready {
+			t.enterState(s, r.At, Unresponsive, fmt.Sprintf("%d probes without an answer", s.missedProbes))
 		}
 	case decide.ConnectFailed, decide.Reset:
-		s.ProbesLost++
-		if l.failuresInARow++; l.mode == decide.Ready && l.failuresInARow >= 2 {
-			b.enterState(l, r.At, Ejected, "probes: "+r.Status.String())
-		}
+		i.ProbesLost++
+		t.countFailure(s, r.At, "probes: "+r.Status.String())
 	case decide.Errored:
-		s.ProbesLost++
-		if l.failuresInARow++; l.mode == decide.Ready && l.failuresInARow >= 2 {
-			b.enterState(l, r.At, Ejected, "probes are answered with errors")
-		}
+		i.ProbesLost++
+		t.countFailure(s, r.At, "probes are answered with errors")
 	}
 }
 
-// applyServerEnd looks at a connection or an attempt that the server applyServerEnd.
-func (b *Timelines) applyServerEnd(l *ServerTimeline, r *recorder.Record) {
-	switch r.Status {
-	case decide.ConnectFailed, decide.Errored:
-		if l.failuresInARow++; l.failuresInARow >= 2 && l.mode == decide.Ready {
-			b.enterState(l, r.At, Ejected, "connections: "+r.Status.String())
-		}
+// applyServerEnd takes the end of a connection or an attempt that the server ended.
+func (t *Timelines) applyServerEnd(s *ServerTimeline, r *recorder.Record) {
+	if r.Status == decide.ConnectFailed || r.Status == decide.Errored {
+		t.countFailure(s, r.At, "connections: "+r.Status.String())
+	}
+}
+
+// countFailure counts a connection or a probe that failed; several in a row eject a server that should be
+// ready.
+func (t *Timelines) countFailure(s *ServerTimeline, at time.Duration, cause string) {
+	s.failuresInARow++
+	if s.failuresInARow >= faultsToNotice && s.mode == decide.Ready {
+		t.enterState(s, at, Ejected, cause)
 	}
 }
 
-// recovered ends a state that was a fault.
-func (b *Timelines) recovered(l *ServerTimeline, at float64, cause string) {
-	l.missedProbes, l.failuresInARow = 0, 0
-	if s := l.state(); s != Unresponsive && s != Ejected && s != Listed {
+// noteRecovery ends a state that was a fault, or one in which nothing was known.
+func (t *Timelines) noteRecovery(s *ServerTimeline, at time.Duration, cause string) {
+	s.missedProbes, s.failuresInARow = 0, 0
+	state := s.State()
+	if state != Unresponsive && state != Ejected && state != Listed {
 		return
 	}
-	if l.mode == decide.Ready && l.startedAt > 0 && at-l.startedAt < b.SlowStart {
-		b.enterState(l, at, Warming, "back: "+cause)
+	if s.mode == decide.Ready && t.inSlowStart(s, at) {
+		t.enterState(s, at, Warming, "back: "+cause)
 		return
 	}
-	b.enterState(l, at, Warm, cause)
+	t.enterState(s, at, Warm, cause)
 }
--- a/internal/observe/timeline/interval.go
+++ b/internal/observe/timeline/interval.go
@@ -2,41 +2,44 @@
 
 import (
 	"math"
+	"time"
 
 	"capersail/decide"
 	"capersail/internal/observe/recorder"
 )
 
-// Interval is what happened in a stretch of time.
+// Interval is what happened in a stretch of time. It is a row: its times are in milliseconds, From as Unix
+// time. Rejections count at the server that the last attempt met and at the fleet, Dropped records at the
+// fleet.
 type Interval struct {
 	From            float64      `cbor:"1,keyasint" json:"from"`
-	Width           float64      `cbor:"2,keyasint" json:"width"` // ms; coarser for old ones
+	Width           float64      `cbor:"2,keyasint" json:"width"` // coarser for old ones
 	Placements      uint32       `cbor:"3,keyasint,omitempty" json:"places"`
 	Retries         uint32       `cbor:"4,keyasint,omitempty" json:"retries"`
 	Connections     uint32       `cbor:"5,keyasint,omitempty" json:"ups"`
 	Migrations      uint32       `cbor:"6,keyasint,omitempty" json:"moves"`
-	Rejections      uint32       `cbor:"7,keyasint,omitempty" json:"refusals"` // after an attempt there, or of the fleet
-	Ends            [8]uint32    `cbor:"8,keyasint" json:"ends"`               // by decide.Status, ends by clients and by us left out
+	Rejections      uint32       `cbor:"7,keyasint,omitempty" json:"refusals"` // and failures
+	Ends            [8]uint32    `cbor:"8,keyasint" json:"ends"`               // by the server; index: status
 	Probes          uint32       `cbor:"9,keyasint,omitempty" json:"probes"`
 	ProbesLost      uint32       `cbor:"10,keyasint,omitempty" json:"probes_lost"`
-	OpenConnections int32        `cbor:"11,keyasint,omitempty" json:"held"` // connections at its end
-	Load            [3]float32   `cbor:"12,keyasint" json:"load"`           // least, mean, most; negative for none
+	OpenConnections int32        `cbor:"11,keyasint,omitempty" json:"held"` // at its end
+	Load            [3]float32   `cbor:"12,keyasint" json:"load"`           // min, mean, max; -1 for none
 	Readings        uint32       `cbor:"13,keyasint,omitempty" json:"readings"`
 	Setup           [3]float32   `cbor:"14,keyasint" json:"setup_ms"` // median, 99 %, most
 	SlowestMessage  float32      `cbor:"15,keyasint,omitempty" json:"message_ms"`
-	Dropped         uint32       `cbor:"16,keyasint,omitempty" json:"dropped"` // records that were not folded, on the fleet's line
-	Merged          bool         `cbor:"17,keyasint,omitempty" json:"merged"`  // quantiles are the worst of what was merged
-	PeerReadings    uint32       `cbor:"18,keyasint,omitempty" json:"told"`    // readings of other relays that were gone by
+	Dropped         uint32       `cbor:"16,keyasint,omitempty" json:"dropped"` // records
+	Merged          bool         `cbor:"17,keyasint,omitempty" json:"merged"`  // Setup has the worst
+	PeerReadings    uint32       `cbor:"18,keyasint,omitempty" json:"told"`    // of other relays
 	RejectReasons   RejectCounts `cbor:"19,keyasint" json:"refusals_by_reason"`
 }
 
-// RejectCounts counts refusals and failures by what stood in the way.
+// RejectCounts counts rejections and failures by their reason.
 type RejectCounts struct {
-	Module [decide.MayHaveRun + 1]uint32 `cbor:"1,keyasint" json:"module"` // by decide.Why; none by NoReason
-	Relay  [recorder.Operator + 1]uint32 `cbor:"2,keyasint" json:"relay"`  // what the module did not refuse, by who did
+	Module [decide.MayHaveRun + 1]uint32 `cbor:"1,keyasint" json:"module"` // by the module's reason
+	Relay  [recorder.Operator + 1]uint32 `cbor:"2,keyasint" json:"relay"`  // without one, by who decided
 }
 
-// add counts the reason of one record of a refusal or a failure.
+// add counts the reason of one record of a rejection or a failure.
 func (c *RejectCounts) add(r *recorder.Record) {
 	if r.Reason != decide.NoReason {
 		c.Module[min(r.Reason, decide.MayHaveRun)]++
@@ -45,122 +48,170 @@
 	}
 }
 
-// merge adds the counts of another stretch of time.
+// merge adds the counts of another interval.
 func (c *RejectCounts) merge(other *RejectCounts) {
-	for why, n := range other.Module {
-		c.Module[why] += n
+	for reason, n := range other.Module {
+		c.Module[reason] += n
 	}
 	for by, n := range other.Relay {
 		c.Relay[by] += n
 	}
 }
 
-// newestInterval finds the newest newestInterval of a line at a time, and closes the one before.
-func (b *Timelines) newestInterval(l *ServerTimeline, at float64) *Interval {
-	from := math.Floor(at/b.IntervalWidths[0]) * b.IntervalWidths[0]
-	t := l.Tiers[0]
-	if n := len(t); n > 0 && t[n-1].From >= from {
-		return &t[n-1]
-	}
-	b.completeNewest(l)
-	l.Tiers[0] = append(l.Tiers[0], Interval{From: from, Width: b.IntervalWidths[0], OpenConnections: l.openConnections, Load: [3]float32{-1, -1, -1}})
-	l.newestReported = false
-	b.mergeOldest(l)
-	t = l.Tiers[0]
-	return &t[len(t)-1]
+// addLoad counts a load report.
+func (i *Interval) addLoad(load float32) {
+	if i.Readings == 0 {
+		i.Load = [3]float32{load, load, load}
+	} else {
+		n := float32(i.Readings)
+		i.Load = [3]float32{min(i.Load[0], load), (i.Load[1]*n + load) / (n + 1), max(i.Load[2], load)}
+	}
+	i.Readings++
+}
+
+// completeAfter is how long after its end an interval is complete: records are applied a moment after they
+// were made.
+const completeAfter = 300 * time.Millisecond
+
+// intervalAt finds a server's newest interval for an instant, and completes the one before. An instant from
+// before the newest interval counts in it.
+func (t *Timelines) intervalAt(s *ServerTimeline, at time.Duration) *Interval {
+	width := millis(t.IntervalWidths[0])
+	from := floorTo(t.unixMs(at), width)
+	if tier := s.Tiers[0]; len(tier) > 0 && tier[len(tier)-1].From >= from {
+		return &tier[len(tier)-1]
+	}
+	t.completeNewest(s)
+	s.Tiers[0] = append(s.Tiers[0], Interval{
+		From:            from,
+		Width:           width,
+		OpenConnections: s.openConnections,
+		Load:            [3]float32{-1, -1, -1},
+	})
+	s.newestReported = false
+	t.mergeOldest(s)
+	tier := s.Tiers[0]
+	return &tier[len(tier)-1]
+}
+
+// newestIsOver tells whether no record of a server's newest interval can come any more.
+func (t *Timelines) newestIsOver(s *ServerTimeline, now time.Duration) bool {
+	tier := s.Tiers[0]
+	if len(tier) == 0 {
+		return false
+	}
+	end := tier[len(tier)-1].From + millis(t.IntervalWidths[0])
+	return t.unixMs(now) >= end+millis(completeAfter)
 }
 
-// completeNewest completes the newest step.
-func (b *Timelines) completeNewest(l *ServerTimeline) {
-	t := l.Tiers[0]
-	if len(t) == 0 || l.newestReported {
+// completeNewest completes a server's newest interval and gives it to the sink, once.
+func (t *Timelines) completeNewest(s *ServerTimeline) {
+	tier := s.Tiers[0]
+	if len(tier) == 0 || s.newestReported {
 		return
 	}
-	l.newestReported = true
-	s := &t[len(t)-1]
-	s.OpenConnections = l.openConnections
-	if l.setups.TotalCount() > 0 {
-		s.Setup = [3]float32{micros(l.setups.ValueAtQuantile(50)), micros(l.setups.ValueAtQuantile(99)), micros(l.setups.Max())}
-		l.setups.Reset()
+	s.newestReported = true
+	i := &tier[len(tier)-1]
+	i.OpenConnections = s.openConnections
+	if s.setups.TotalCount() > 0 {
+		i.Setup = [3]float32{
+			microsToMillis(s.setups.ValueAtQuantile(50)),
+			microsToMillis(s.setups.ValueAtQuantile(99)),
+			microsToMillis(s.setups.Max()),
+		}
+		s.setups.Reset()
 	}
-	if b.Sink.IntervalComplete != nil {
-		b.Sink.IntervalComplete(l.Name, *s)
+	if t.Sink.IntervalComplete != nil {
+		t.Sink.IntervalComplete(s.Name, *i)
 	}
 }
 
-// CompleteAll completes all steps, at the end.
-func (b *Timelines) CompleteAll() {
-	for _, l := range b.servers {
-		b.completeNewest(l)
+// CompleteAll completes all intervals, at the end.
+func (t *Timelines) CompleteAll() {
+	for _, s := range t.servers {
+		t.completeNewest(s)
 	}
 }
 
-// completeAfter is how long after its end a step is complete: records are folded a moment after they were made.
-const completeAfter = 300.0
-
-func micros(us int64) float32 { return float32(us) / 1000 }
-
-// mergeOldest merges the oldest steps of a tier that is full into the next tier's.
-func (b *Timelines) mergeOldest(l *ServerTimeline) {
-	for i := range l.Tiers {
-		for len(l.Tiers[i]) > b.IntervalsKept[i] {
-			old := l.Tiers[i][0]
-			l.Tiers[i] = append(l.Tiers[i][:0], l.Tiers[i][1:]...)
-			if i+1 == len(l.Tiers) {
-				l.DiscardedBefore = max(l.DiscardedBefore, old.From+old.Width)
+// mergeOldest merges the oldest intervals of a tier that is full into the next tier's; the last tier's are
+// discarded.
+func (t *Timelines) mergeOldest(s *ServerTimeline) {
+	for n := range s.Tiers {
+		for len(s.Tiers[n]) > t.IntervalsKept[n] {
+			old := s.Tiers[n][0]
+			s.Tiers[n] = append(s.Tiers[n][:0], s.Tiers[n][1:]...)
+			if n+1 == len(s.Tiers) {
+				s.DiscardedBefore = max(s.DiscardedBefore, old.From+old.Width)
 				continue
 			}
-			from := math.Floor(old.From/b.IntervalWidths[i+1]) * b.IntervalWidths[i+1]
-			if n := len(l.Tiers[i+1]); n > 0 && l.Tiers[i+1][n-1].From == from {
-				l.Tiers[i+1][n-1] = Merge(l.Tiers[i+1][n-1], old)
-			} else {
-				old.From, old.Width, old.Merged = from, b.IntervalWidths[i+1], true
-				l.Tiers[i+1] = append(l.Tiers[i+1], old)
-			}
+			s.Tiers[n+1] = mergeInto(s.Tiers[n+1], old, millis(t.IntervalWidths[n+1]))
 		}
 	}
 }
 
-// Merge adds a later step to an earlier one. Quantiles become the worst of both, and the result says so.
+// mergeInto adds an interval to the last of a tier's, or begins another.
+func mergeInto(tier []Interval, old Interval, width float64) []Interval {
+	from := floorTo(old.From, width)
+	if n := len(tier); n > 0 && tier[n-1].From == from {
+		tier[n-1] = Merge(tier[n-1], old)
+		return tier
+	}
+	old.From, old.Width, old.Merged = from, width, true
+	return append(tier, old)
+}
+
+// Merge adds a later interval to an earlier one. Quantiles become the worst of both, and the result says so.
 func Merge(a, b Interval) Interval {
-	a.Placements, a.Retries, a.Connections, a.Migrations = a.Placements+b.Placements, a.Retries+b.Retries, a.Connections+b.Connections, a.Migrations+b.Migrations
-	a.Rejections, a.Probes, a.ProbesLost, a.Dropped = a.Rejections+b.Rejections, a.Probes+b.Probes, a.ProbesLost+b.ProbesLost, a.Dropped+b.Dropped
+	a.Placements += b.Placements
+	a.Retries += b.Retries
+	a.Connections += b.Connections
+	a.Migrations += b.Migrations
+	a.Rejections += b.Rejections
+	a.Probes += b.Probes
+	a.ProbesLost += b.ProbesLost
+	a.Dropped += b.Dropped
 	a.PeerReadings += b.PeerReadings
 	a.RejectReasons.merge(&b.RejectReasons)
 	for i := range a.Ends {
 		a.Ends[i] += b.Ends[i]
 	}
 	a.OpenConnections = b.OpenConnections
-	switch {
-	case b.Readings == 0:
-	case a.Readings == 0:
-		a.Load, a.Readings = b.Load, b.Readings
-	default:
-		n, m := float32(a.Readings), float32(b.Readings)
-		a.Load = [3]float32{min(a.Load[0], b.Load[0]), (a.Load[1]*n + b.Load[1]*m) / (n + m), max(a.Load[2], b.Load[2])}
-		a.Readings += b.Readings
-	}
+	a.mergeLoad(&b)
 	for i := range a.Setup {
 		a.Setup[i] = max(a.Setup[i], b.Setup[i])
 	}
-	a.SlowestMessage, a.Merged = max(a.SlowestMessage, b.SlowestMessage), true
+	a.SlowestMessage = max(a.SlowestMessage, b.SlowestMessage)
+	a.Merged = true
 	return a
 }
 
-// Intervals lists a line's steps in order of time, the coarse ones first.
-func (l *ServerTimeline) Intervals() (all []Interval) {
-	for i := len(l.Tiers) - 1; i >= 0; i-- {
-		all = append(all, l.Tiers[i]...)
+// mergeLoad adds the load reports of another interval.
+func (i *Interval) mergeLoad(o *Interval) {
+	switch {
+	case o.Readings == 0:
+	case i.Readings == 0:
+		i.Load, i.Readings = o.Load, o.Readings
+	default:
+		n, m := float32(i.Readings), float32(o.Readings)
+		i.Load = [3]float32{
+			min(i.Load[0], o.Load[0]),
+			(i.Load[1]*n + o.Load[1]*m) / (n + m),
+			max(i.Load[2], o.Load[2]),
+		}
+		i.Readings += o.Readings
 	}
-	return all
 }
 
-func addLoadSample(s *Interval, load float32) {
-	if s.Readings == 0 {
-		s.Load = [3]float32{load, load, load}
-	} else {
-		n := float32(s.Readings)
-		s.Load = [3]float32{min(s.Load[0], load), (s.Load[1]*n + load) / (n + 1), max(s.Load[2], load)}
+// Intervals lists a server's intervals in order of time, the coarse ones first.
+func (s *ServerTimeline) Intervals() (all []Interval) {
+	for n := len(s.Tiers) - 1; n >= 0; n-- {
+		all = append(all, s.Tiers[n]...)
 	}
-	s.Readings++
+	return all
 }
+
+func floorTo(x, width float64) float64 { return math.Floor(x/width) * width }
+
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+func microsToMillis(us int64) float32 { return float32(us) / 1000 }
--- a/internal/observe/timeline/state.go
+++ b/internal/observe/timeline/state.go
@@ -1,24 +1,45 @@
 package timeline
 
+import (
+	"fmt"
+	"time"
+)
+
 // State is what a server is in, as this relay saw it.
 type State uint8
 
-// The states.
+// The states. 0 is a server of which nothing is known.
 const (
-	Listed       State = iota + 1 // ready by the list, nothing read yet
-	Warming                       // just started
+	Listed       State = iota + 1 // ready by the endpoint list, nothing heard from it yet
+	Warming                       // in slow start
 	Warm                          // in use
-	Draining                      // wants nothing new, by the list
-	Gone                          // by the list
+	Draining                      // takes nothing new, by the endpoint list
+	Gone                          // removed from the endpoint list
 	Unresponsive                  // answers nothing, without a reset
-	Ejected                       // refuses connections or errs: nothing is sent there
+	Ejected                       // refuses connections or fails: nothing is sent there
 )
 
-var stateNames = [...]string{"", "listed", "warming", "warm", "draining", "gone", "silent", "left out"}
+// stateNames are what is stored and shown.
+var stateNames = [...]string{
+	0:            "",
+	Listed:       "listed",
+	Warming:      "warming",
+	Warm:         "warm",
+	Draining:     "draining",
+	Gone:         "gone",
+	Unresponsive: "silent",
+	Ejected:      "left out",
+}
 
-func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
+// String names the state as it is shown.
+func (s State) String() string {
+	if int(s) < len(stateNames) {
+		return stateNames[s]
+	}
+	return fmt.Sprintf("unknown state %d", uint8(s))
+}
 
-// StatePeriod is a state from then to then.
+// StatePeriod is a state from one instant to another. It is a row: its times are Unix times in milliseconds.
 type StatePeriod struct {
 	State State   `cbor:"1,keyasint" json:"-"`
 	Name  string  `cbor:"-" json:"state"`
@@ -27,27 +48,37 @@
 	Cause string  `cbor:"4,keyasint" json:"cause"`
 }
 
-// State is what the line's server is in now; 0 if nothing is known.
-func (l *ServerTimeline) State() State { return l.state() }
+// State is what the server is in now; 0 if nothing is known.
+func (s *ServerTimeline) State() State {
+	if len(s.States) == 0 {
+		return 0
+	}
+	return s.States[len(s.States)-1].State
+}
 
-// enterState begins a band, unless the state is the same.
-func (b *Timelines) enterState(l *ServerTimeline, at float64, s State, cause string) {
-	if l.state() == s {
+// enterState begins a period, unless the server is in the state already.
+func (t *Timelines) enterState(s *ServerTimeline, at time.Duration, state State, cause string) {
+	if s.State() == state {
 		return
 	}
-	if n := len(l.States); n > 0 {
-		l.States[n-1].To = at
-		if b.Sink.StateChanged != nil {
-			b.Sink.StateChanged(l.Name, l.States[n-1])
-		}
+	from := t.unixMs(at)
+	if n := len(s.States); n > 0 {
+		s.States[n-1].To = from
+		t.stateChanged(s, s.States[n-1])
 	}
-	if len(l.States) == b.MaxStatePeriods {
-		l.DiscardedBefore = max(l.DiscardedBefore, l.States[0].To)
-		l.States = append(l.States[:0], l.States[1:]...)
+	if len(s.States) == t.MaxStatePeriods {
+		s.DiscardedBefore = max(s.DiscardedBefore, s.States[0].To)
+		s.States = append(s.States[:0], s.States[1:]...)
 	}
-	l.States = append(l.States, StatePeriod{State: s, Name: s.String(), From: at, Cause: cause})
-	l.StateChanges++
-	if b.Sink.StateChanged != nil {
-		b.Sink.StateChanged(l.Name, l.States[len(l.States)-1])
+	period := StatePeriod{State: state, Name: state.String(), From: from, Cause: cause}
+	s.States = append(s.States, period)
+	s.stateSince = at
+	s.StateChanges++
+	t.stateChanged(s, period)
+}
+
+func (t *Timelines) stateChanged(s *ServerTimeline, p StatePeriod) {
+	if t.Sink.StateChanged != nil {
+		t.Sink.StateChanged(s.Name, p)
 	}
 }
--- a/internal/observe/timeline/timeline_test.go
+++ b/internal/observe/timeline/timeline_test.go
@@ -4,127 +4,186 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
+	"time"
 
 	"capersail/decide"
 	"capersail/internal/observe/recorder"
 )
 
-func states(l *ServerTimeline) (all []string) {
-	for _, b := range l.States {
-		all = append(all, b.State.String())
+// began is when the tests' records begin; the wall clock of the tests reads the same as the records'.
+const began = 1000 * time.Second
+
+func newTimelines(l Limits) *Timelines { return New(l, time.Unix(0, 0).Add) }
+
+// applyAll applies records of a server, each so long after the one before.
+func applyAll(t *Timelines, name string, step time.Duration, records []recorder.Record) {
+	for i, r := range records {
+		r.At = began + time.Duration(i)*step
+		t.Apply(name, &r)
 	}
-	return all
 }
 
-// The states of a server, record by record.
-func TestStates(t *testing.T) {
-	list := func(m decide.EndpointState, since float64) recorder.Record {
-		return recorder.Record{Kind: recorder.EndpointChanged, Mode: m, StartedAt: since}
-	}
-	probe := func(s decide.Status) recorder.Record {
-		return recorder.Record{Kind: recorder.ProbeEnded, Status: s, Load: 0.2}
-	}
-	end := func(s decide.Status) recorder.Record {
-		return recorder.Record{Kind: recorder.AttemptEnded, Status: s, Initiator: recorder.Server}
-	}
+// endpointAt, probeOf and endOf are the records that change a server's state.
+func endpointAt(mode decide.EndpointState, startedAt time.Duration) recorder.Record {
+	return recorder.Record{Kind: recorder.EndpointChanged, Mode: mode, StartedAt: startedAt}
+}
+
+func probeOf(s decide.Status) recorder.Record {
+	return recorder.Record{Kind: recorder.ProbeEnded, Status: s, Load: 0.2}
+}
+
+func endOf(s decide.Status) recorder.Record {
+	return recorder.Record{Kind: recorder.AttemptEnded, Status: s, Initiator: recorder.Server}
+}
+
+// A server's records lead through its states, and to no other: an operator reads them as what happened.
+func TestRecordsLeadThroughStates(t *testing.T) {
+	ready, draining := endpointAt(decide.Ready, 0), endpointAt(decide.Draining, 0)
+	removed := endpointAt(decide.Removed, 0)
+	restarted := endpointAt(decide.Ready, began)
+	answered, lost := probeOf(decide.OK), probeOf(decide.TimedOut)
+	refused := endOf(decide.ConnectFailed)
 	for _, c := range []struct {
 		name    string
 		records []recorder.Record
 		want    string
 	}{
-		{"as usual", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Draining, 0), list(decide.Removed, 0)}, "[listed warm draining gone]"},
-		{"a cold start", []recorder.Record{list(decide.Ready, 1e6)}, "[warming]"},
-		{"one probe lost is nothing", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), probe(decide.TimedOut), probe(decide.OK)}, "[listed warm]"},
-		{"silent and back", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), probe(decide.TimedOut), probe(decide.TimedOut), probe(decide.OK)}, "[listed warm silent warm]"},
-		{"dead and back", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), end(decide.ConnectFailed), end(decide.ConnectFailed), probe(decide.OK)}, "[listed warm left out warm]"},
-		{"replaced under its id", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Ready, 1e6)}, "[listed warm warming]"},
-		{"silent while it drains is its drain", []recorder.Record{list(decide.Ready, 0), probe(decide.OK), list(decide.Draining, 0), probe(decide.TimedOut), probe(decide.TimedOut)}, "[listed warm draining]"},
-		{"the same again is no band", []recorder.Record{list(decide.Ready, 0), list(decide.Ready, 0), probe(decide.OK), probe(decide.OK)}, "[listed warm]"},
+		{
+			"as usual",
+			[]recorder.Record{ready, answered, draining, removed},
+			"[listed warm draining gone]",
+		},
+		{
+			"a slow start",
+			[]recorder.Record{restarted},
+			"[warming]",
+		},
+		{
+			"one probe lost is nothing",
+			[]recorder.Record{ready, answered, lost, answered},
+			"[listed warm]",
+		},
+		{
+			"silent and back",
+			[]recorder.Record{ready, answered, lost, lost, answered},
+			"[listed warm silent warm]",
+		},
+		{
+			"dead and back",
+			[]recorder.Record{ready, answered, refused, refused, answered},
+			"[listed warm left out warm]",
+		},
+		{
+			"replaced under its id",
+			[]recorder.Record{ready, answered, restarted},
+			"[listed warm warming]",
+		},
+		{
+			"silent while it drains is its drain",
+			[]recorder.Record{ready, answered, draining, lost, lost},
+			"[listed warm draining]",
+		},
+		{
+			"the same again is no period",
+			[]recorder.Record{ready, ready, answered, answered},
+			"[listed warm]",
+		},
 	} {
-		b := New(DefaultLimits())
-		for i, r := range c.records {
-			r.At = 1e6 + float64(i)*500
-			b.Apply("s", &r)
+		b := newTimelines(DefaultLimits())
+		applyAll(b, "s", 500*time.Millisecond, c.records)
+		var states []string
+		for _, p := range b.Server("s").States {
+			states = append(states, p.State.String())
 		}
-		if got := fmt.Sprint(states(b.Server("s"))); got != c.want {
+		if got := fmt.Sprint(states); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
-	b := New(DefaultLimits())
-	r := recorder.Record{At: 1e6, Kind: recorder.EndpointChanged, Mode: decide.Ready, StartedAt: 1e6 - 2000}
+}
+
+// Slow start ends with its time, counted from the server's start.
+func TestSlowStartEnds(t *testing.T) {
+	b := newTimelines(DefaultLimits())
+	r := endpointAt(decide.Ready, began-2*time.Second)
+	r.At = began
 	b.Apply("s", &r)
-	if b.Tick(1e6 + 7900); b.Server("s").State() != Warming {
+	b.Tick(began + 7900*time.Millisecond)
+	if b.Server("s").State() != Warming {
 		t.Error("warm too soon")
 	}
-	if b.Tick(1e6 + 8000); b.Server("s").State() != Warm {
+	b.Tick(began + 8*time.Second)
+	if b.Server("s").State() != Warm {
 		t.Error("it never warms up")
 	}
 }
 
-// Thinning keeps every count, and says what is kept no more. The model is plain sums.
-func TestThinning(t *testing.T) {
+// Merging old intervals keeps every count, and says what is not kept any more. The model is plain sums.
+func TestMergingKeepsEveryCount(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		limits := DefaultLimits()
 		limits.IntervalsKept = []int{5, 4, 3}
-		b := New(limits)
+		b := newTimelines(limits)
 		var stored Interval
-		b.Sink.IntervalComplete = func(_ string, s Interval) { stored = Merge(stored, s) }
-		var at []float64
-		now := 1e6
+		b.Sink.IntervalComplete = func(_ string, i Interval) { stored = Merge(stored, i) }
+		var placedAt []time.Duration
+		now := began
 		for range 3000 {
-			now += rng.ExpFloat64() * 400
+			now += time.Duration(rng.ExpFloat64() * float64(400*time.Millisecond))
 			r := recorder.Record{At: now, Kind: recorder.AttemptStarted}
 			b.Apply("s", &r)
-			at = append(at, now)
+			placedAt = append(placedAt, now)
 		}
-		l := b.Server("s")
+		s := b.Server("s")
 		kept, last := uint32(0), 0.0
-		for _, s := range l.Intervals() {
-			if s.From < last {
-				t.Fatalf("seed %d: steps are out of turn: %v after %v", seed, s.From, last)
+		for _, i := range s.Intervals() {
+			if i.From < last {
+				t.Fatalf("seed %d: intervals are out of order: %v after %v", seed, i.From, last)
 			}
-			kept, last = kept+s.Placements, s.From
-			if s.Width != 1000 && !s.Merged {
-				t.Errorf("a merged step does not say so: %+v", s)
+			kept, last = kept+i.Placements, i.From
+			if i.Width != 1000 && !i.Merged {
+				t.Errorf("a merged interval does not say so: %+v", i)
 			}
 		}
 		want := uint32(0)
-		for _, x := range at {
-			if x >= l.DiscardedBefore {
+		for _, at := range placedAt {
+			if millis(at) >= s.DiscardedBefore {
 				want++
 			}
 		}
-		if kept != want || l.DiscardedBefore == 0 {
-			t.Errorf("seed %d: %d of %d placements since %v", seed, kept, want, l.DiscardedBefore)
+		if kept != want || s.DiscardedBefore == 0 {
+			t.Errorf("seed %d: %d of %d placements since %v", seed, kept, want, s.DiscardedBefore)
 		}
-		b.completeNewest(l)
+		b.completeNewest(s)
 		if stored.Placements != 3000 {
-			t.Errorf("the sink was told of %d", stored.Placements)
+			t.Errorf("the sink was given %d", stored.Placements)
 		}
-		if n := len(l.Tiers[0]) + len(l.Tiers[1]) + len(l.Tiers[2]); n > 12 {
-			t.Errorf("%d steps are kept", n)
+		if n := len(s.Tiers[0]) + len(s.Tiers[1]) + len(s.Tiers[2]); n > 12 {
+			t.Errorf("%d intervals are kept", n)
 		}
 	}
 }
 
-// Ids that come and go by thousands: lines are bounded, those that are gone make room first, and it is counted.
-func TestManyLines(t *testing.T) {
+// Ids that come and go by thousands: timelines are bounded, those that are gone make room first, and it is
+// counted.
+func TestManyServersAreBounded(t *testing.T) {
 	limits := DefaultLimits()
 	limits.MaxServers = 20
-	b := New(limits)
-	for i := range 10 { // these stay
-		r := recorder.Record{At: 1e6, Kind: recorder.EndpointChanged, Mode: decide.Ready}
+	b := newTimelines(limits)
+	for i := range 10 {
+		r := endpointAt(decide.Ready, 0)
+		r.At = began
 		b.Apply(fmt.Sprint("stays", i), &r)
 	}
 	for i := range 5000 {
-		r := recorder.Record{At: 1e6 + float64(i), Kind: recorder.EndpointChanged, Mode: decide.Ready}
+		r := endpointAt(decide.Ready, 0)
+		r.At = began + time.Duration(i)*time.Millisecond
 		b.Apply(fmt.Sprint("id", i), &r)
 		r.Mode = decide.Removed
 		b.Apply(fmt.Sprint("id", i), &r)
 	}
 	if n := len(b.Names()); n != 20 || b.Evicted != 5010-20 {
-		t.Errorf("%d lines, %d evicted", n, b.Evicted)
+		t.Errorf("%d timelines, %d evicted", n, b.Evicted)
 	}
 	for i := range 10 {
 		if b.Server(fmt.Sprint("stays", i)) == nil {
@@ -133,57 +192,71 @@
 	}
 }
 
-// Load, set-ups and faults of a step.
-func TestStep(t *testing.T) {
-	b := New(DefaultLimits())
-	for i, r := range []recorder.Record{
+// An interval has the load, the set-up times, the counts and the ends of its records.
+func TestIntervalCountsItsRecords(t *testing.T) {
+	b := newTimelines(DefaultLimits())
+	applyAll(b, "s", time.Millisecond, []recorder.Record{
 		{Kind: recorder.EndpointChanged, Mode: decide.Ready},
-		{Kind: recorder.ProbeEnded, Load: 0.2}, {Kind: recorder.PeerReading, Load: 0.6}, {Kind: recorder.ProbeEnded, Load: -1}, {Kind: recorder.ProbeEnded, Status: decide.TimedOut},
-		{Kind: recorder.AttemptStarted}, {Kind: recorder.ConnectionUp, Elapsed: 5}, {Kind: recorder.AttemptStarted, Attempt: 1}, {Kind: recorder.ConnectionUp, Elapsed: 100},
-		{Kind: recorder.AttemptEnded, Initiator: recorder.Client, Status: decide.Cancelled}, {Kind: recorder.AttemptEnded, Initiator: recorder.Server, Status: decide.Reset},
-		{Kind: recorder.RequestRejected, Reason: decide.NoCapacity}, {Kind: recorder.MessageDelayed, Elapsed: 70}, {Kind: recorder.ClientMigrated},
-	} {
-		r.At = 1e6 + float64(i)
-		b.Apply("s", &r)
-	}
-	l := b.Server("s")
-	b.completeNewest(l)
-	s := l.Intervals()[0]
-	if s.Load != [3]float32{0.2, 0.4, 0.6} || s.Placements != 2 || s.Retries != 1 || s.Probes != 3 || s.PeerReadings != 1 || s.ProbesLost != 1 || s.OpenConnections != 0 ||
-		s.Ends[decide.Reset] != 1 || s.Ends[decide.Cancelled] != 0 || s.SlowestMessage != 70 || s.Migrations != 1 || s.Rejections != 1 ||
-		s.Setup[0] < 4.9 || s.Setup[0] > 5.1 || s.Setup[2] < 99 || s.Setup[2] > 101 {
-		t.Errorf("%+v", s)
+		{Kind: recorder.ProbeEnded, Load: 0.2},
+		{Kind: recorder.PeerReading, Load: 0.6},
+		{Kind: recorder.ProbeEnded, Load: -1},
+		{Kind: recorder.ProbeEnded, Status: decide.TimedOut},
+		{Kind: recorder.AttemptStarted},
+		{Kind: recorder.ConnectionUp, Elapsed: 5 * time.Millisecond},
+		{Kind: recorder.AttemptStarted, Attempt: 1},
+		{Kind: recorder.ConnectionUp, Elapsed: 100 * time.Millisecond},
+		{Kind: recorder.AttemptEnded, Initiator: recorder.Client, Status: decide.Cancelled},
+		{Kind: recorder.AttemptEnded, Initiator: recorder.Server, Status: decide.Reset},
+		{Kind: recorder.RequestRejected, Reason: decide.NoCapacity},
+		{Kind: recorder.MessageDelayed, Elapsed: 70 * time.Millisecond},
+		{Kind: recorder.ClientMigrated},
+	})
+	s := b.Server("s")
+	b.completeNewest(s)
+	i := s.Intervals()[0]
+	if i.Load != [3]float32{0.2, 0.4, 0.6} || i.Placements != 2 || i.Retries != 1 || i.Probes != 3 ||
+		i.PeerReadings != 1 || i.ProbesLost != 1 || i.OpenConnections != 0 ||
+		i.Ends[decide.Reset] != 1 || i.Ends[decide.Cancelled] != 0 ||
+		i.SlowestMessage != 70 || i.Migrations != 1 || i.Rejections != 1 ||
+		i.Setup[0] < 4.9 || i.Setup[0] > 5.1 || i.Setup[2] < 99 || i.Setup[2] > 101 {
+		t.Errorf("%+v", i)
 	}
 }
 
-// Refusals are counted by reason, on the line of the server that the last attempt met and on the fleet's; merging keeps each count.
-func TestRefusalsByReason(t *testing.T) {
-	b := New(DefaultLimits())
-	for i, r := range []recorder.Record{
+// Rejections are counted by reason, on the timeline of the server that the last attempt met and on the
+// fleet's; merging keeps each count.
+func TestRejectionsAreCountedByReason(t *testing.T) {
+	b := newTimelines(DefaultLimits())
+	applyAll(b, "s", 700*time.Millisecond, []recorder.Record{ // over several intervals
 		{Kind: recorder.RequestRejected, Server: -1, Reason: decide.NoCapacity, Initiator: recorder.Module},
 		{Kind: recorder.RequestRejected, Server: -1, Reason: decide.NoCapacity, Initiator: recorder.Module},
 		{Kind: recorder.RequestRejected, Server: -1, Reason: decide.NoServer, Initiator: recorder.Module},
 		{Kind: recorder.RequestRejected, Server: -1, Initiator: recorder.DescriptorLimit},
-		{Kind: recorder.RequestRejected, Server: 0, Reason: decide.AttemptsExhausted, Initiator: recorder.Module},
-		{Kind: recorder.RequestFailed, Server: 0, Reason: decide.MayHaveRun, Initiator: recorder.Module},
-	} {
-		r.At = 1e6 + float64(i)*700 // over several steps
-		b.Apply("s", &r)
-	}
+		{Kind: recorder.RequestRejected, Reason: decide.AttemptsExhausted, Initiator: recorder.Module},
+		{Kind: recorder.RequestFailed, Reason: decide.MayHaveRun, Initiator: recorder.Module},
+	})
 	sum := func(name string) (all Interval) {
-		for _, s := range b.Server(name).Intervals() {
-			all = Merge(all, s)
+		for _, i := range b.Server(name).Intervals() {
+			all = Merge(all, i)
 		}
 		return all
 	}
 	var onServer, ofFleet RejectCounts
 	onServer.Module[decide.AttemptsExhausted], onServer.Module[decide.MayHaveRun] = 1, 1
 	ofFleet.Module = onServer.Module
-	ofFleet.Module[decide.NoCapacity], ofFleet.Module[decide.NoServer], ofFleet.Relay[recorder.DescriptorLimit] = 2, 1, 1
-	if s := sum("s"); s.Rejections != 2 || s.RejectReasons != onServer {
-		t.Errorf("the server's: %d, %+v", s.Rejections, s.RejectReasons)
+	ofFleet.Module[decide.NoCapacity], ofFleet.Module[decide.NoServer] = 2, 1
+	ofFleet.Relay[recorder.DescriptorLimit] = 1
+	if i := sum("s"); i.Rejections != 2 || i.RejectReasons != onServer {
+		t.Errorf("the server's: %d, %+v", i.Rejections, i.RejectReasons)
+	}
+	if i := sum(FleetName); i.Rejections != 6 || i.RejectReasons != ofFleet {
+		t.Errorf("the fleet's: %d, %+v", i.Rejections, i.RejectReasons)
 	}
-	if s := sum(FleetName); s.Rejections != 6 || s.RejectReasons != ofFleet {
-		t.Errorf("the fleet's: %d, %+v", s.Rejections, s.RejectReasons)
+}
+
+// A state that is not one of ours, from a store of another version, says so.
+func TestUnknownStateSaysSo(t *testing.T) {
+	if got := State(99).String(); got != "unknown state 99" {
+		t.Error(got)
 	}
 }
--- a/internal/observe/timeline/timelines.go
+++ b/internal/observe/timeline/timelines.go
@@ -1,10 +1,8 @@
-// Package timeline folds the recorder's records into a line for each server: what state it was in, what it reported,
-// what went wrong with it, and what the relay decided about it. It does no I/O and has no clock: times are
-// milliseconds of the clock that the records carry.
 package timeline
 
 import (
 	"slices"
+	"time"
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
@@ -13,123 +11,159 @@
 
 // Limits bound what is kept in memory.
 type Limits struct {
-	IntervalWidths  []float64 // of steps, rising multiples; older steps are merged into the next
-	IntervalsKept   []int     // steps of each width
-	MaxStatePeriods int       // of one line
+	IntervalWidths  []time.Duration // the finest first, each a multiple of the one before: a tier each
+	IntervalsKept   []int           // of each width; older ones are merged into the next tier
+	MaxStatePeriods int             // of one server
 	MaxServers      int
-	SlowStart       float64 // ms in which a server that has started counts as warming
+	SlowStart       time.Duration // for which a server that has started counts as warming
 }
 
-// DefaultLimits limits: about 40 KB a server.
+// DefaultLimits keep two minutes by the second, half an hour by ten and two hours by the minute: about 40 KB
+// a server.
 func DefaultLimits() Limits {
-	return Limits{IntervalWidths: []float64{1000, 10_000, 60_000}, IntervalsKept: []int{120, 180, 120}, MaxStatePeriods: 64, MaxServers: 512, SlowStart: 10_000}
+	return Limits{
+		IntervalWidths:  []time.Duration{time.Second, 10 * time.Second, time.Minute},
+		IntervalsKept:   []int{120, 180, 120},
+		MaxStatePeriods: 64,
+		MaxServers:      512,
+		SlowStart:       10 * time.Second,
+	}
 }
 
-// FleetName is the name of the line of what concerns no single server.
+// FleetName is the name of the timeline of what concerns no single server.
 const FleetName = ""
 
-// ServerTimeline is one server's.
+// Set-up times are kept in a histogram of microseconds, from 1 µs to 2 minutes.
+const (
+	maxSetupMicros = 120_000_000
+	setupDigits    = 2
+)
+
+// ServerTimeline is one server's, or the fleet's.
 type ServerTimeline struct {
 	Name            string
 	States          []StatePeriod
 	Tiers           [][]Interval // the finest first, each in order of time
-	DiscardedBefore float64      // what was before is kept no more, 0 if nothing
-	StateChanges    int          // bands so far, with those forgotten
+	DiscardedBefore float64      // Unix ms; what was before is not kept, 0 if all is
+	StateChanges    int          // periods so far, with those discarded
 
+	endpoint
+	health
 	openConnections int32
-	startedAt       float64
-	mode            decide.EndpointState
-	missedProbes    int // probes without an answer in a row
-	failuresInARow  int // connections that failed in a row
-	probeAnswered   bool
-	setups          *hdr.Histogram // of the newest step
-	newestReported  bool           // the newest step has been told to the sink
-	touchedAt       float64
+	setups          *hdr.Histogram // of the newest interval
+	newestReported  bool           // the newest interval was given to the sink
+	touchedAt       time.Duration
+	stateSince      time.Duration
+}
+
+// endpoint is what the endpoint list says of a server.
+type endpoint struct {
+	mode      decide.EndpointState
+	startedAt time.Duration // 0 for long ago
+}
+
+// health is what probes and connections say of a server.
+type health struct {
+	missedProbes   int // in a row
+	failuresInARow int // connections and probes
+	probeAnswered  bool
 }
 
-// Sink is told what a Line closes, for a store. Both may be nil.
+// OpenConnections is how many connections this relay has there.
+func (s *ServerTimeline) OpenConnections() int { return int(s.openConnections) }
+
+// Sink takes what a timeline completes, for a store. Either may be nil.
 type Sink struct {
-	StateChanged     func(line string, b StatePeriod) // begun, or ended where To is set
-	IntervalComplete func(line string, s Interval)    // complete
+	StateChanged     func(server string, p StatePeriod) // begun, or ended where To is set
+	IntervalComplete func(server string, i Interval)
 }
 
-// Timelines is all lines.
+// Timelines are those of all servers and of the fleet. They are not safe for concurrent use.
 type Timelines struct {
 	Limits
 	Sink    Sink
+	Evicted int // servers that had to make room
+
+	wall    func(time.Duration) time.Time
 	servers map[string]*ServerTimeline
-	Evicted int // lines that had to make room
-	now     float64
+	now     time.Duration // of the newest record or tick
+}
+
+// New returns Timelines without servers. Wall turns an instant of the records' clock into the wall clock's.
+func New(l Limits, wall func(time.Duration) time.Time) *Timelines {
+	return &Timelines{Limits: l, wall: wall, servers: map[string]*ServerTimeline{}}
 }
 
-// New returns a Book without lines.
-func New(l Limits) *Timelines { return &Timelines{Limits: l, servers: map[string]*ServerTimeline{}} }
+// unixMs is an instant as rows have it.
+func (t *Timelines) unixMs(at time.Duration) float64 { return float64(t.wall(at).UnixNano()) / 1e6 }
 
-// Server finds a line; nil if there is none.
-func (b *Timelines) Server(name string) *ServerTimeline { return b.servers[name] }
+// Server finds a server's timeline; nil if there is none.
+func (t *Timelines) Server(name string) *ServerTimeline { return t.servers[name] }
 
-// Names lists the lines in order.
-func (b *Timelines) Names() []string {
-	names := make([]string, 0, len(b.servers))
-	for name := range b.servers {
+// Names lists the servers in order; FleetName among them if anything concerned the fleet.
+func (t *Timelines) Names() []string {
+	names := make([]string, 0, len(t.servers))
+	for name := range t.servers {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// server finds or begins a server. The server that has been gone for the longest makes room, or else the one that
-// nothing was heard of for the longest.
-func (b *Timelines) server(name string) *ServerTimeline {
-	l := b.servers[name]
-	if l == nil {
-		if len(b.servers) >= b.MaxServers {
-			b.evict()
+// server finds or begins a timeline. Another one makes room if there are too many.
+func (t *Timelines) server(name string) *ServerTimeline {
+	s := t.servers[name]
+	if s == nil {
+		if len(t.servers) >= t.MaxServers {
+			t.evictServer()
 		}
-		l = &ServerTimeline{Name: name, Tiers: make([][]Interval, len(b.IntervalWidths)), setups: hdr.New(1, 120_000_000, 2)}
-		b.servers[name] = l
+		s = &ServerTimeline{
+			Name:   name,
+			Tiers:  make([][]Interval, len(t.IntervalWidths)),
+			setups: hdr.New(1, maxSetupMicros, setupDigits),
+		}
+		t.servers[name] = s
 	}
-	l.touchedAt = b.now
-	return l
+	s.touchedAt = t.now
+	return s
 }
 
-func (b *Timelines) evict() {
-	var oldest *ServerTimeline
-	for _, l := range b.servers {
-		if l.Name == FleetName {
-			continue
-		}
-		if gone := l.state() == Gone; oldest == nil || gone && oldest.state() != Gone ||
-			gone == (oldest.state() == Gone) && (l.touchedAt < oldest.touchedAt || l.touchedAt == oldest.touchedAt && l.Name < oldest.Name) {
-			oldest = l
+// evictServer forgets the server that is gone and was not heard of for the longest, or else any that was not
+// heard of for the longest. The fleet's timeline stays.
+func (t *Timelines) evictServer() {
+	var first *ServerTimeline
+	for _, s := range t.servers {
+		if s.Name != FleetName && (first == nil || s.evictedBefore(first)) {
+			first = s
 		}
 	}
-	if oldest != nil {
-		b.completeNewest(oldest)
-		delete(b.servers, oldest.Name)
-		b.Evicted++
+	if first != nil {
+		t.completeNewest(first)
+		delete(t.servers, first.Name)
+		t.Evicted++
 	}
 }
 
-func (l *ServerTimeline) state() State {
-	if len(l.States) == 0 {
-		return 0
+// evictedBefore tells whether s makes room before o does.
+func (s *ServerTimeline) evictedBefore(o *ServerTimeline) bool {
+	switch gone, otherGone := s.State() == Gone, o.State() == Gone; {
+	case gone != otherGone:
+		return gone
+	case s.touchedAt != o.touchedAt:
+		return s.touchedAt < o.touchedAt
 	}
-	return l.States[len(l.States)-1].State
+	return s.Name < o.Name
 }
 
-// OpenConnections is how many connections this relay holds there.
-func (l *ServerTimeline) OpenConnections() int { return int(l.openConnections) }
-
-// Tick lets time pass: servers that have been started long enough are warm.
-func (b *Timelines) Tick(now float64) {
-	b.now = max(b.now, now)
-	for _, l := range b.servers {
-		if t := l.Tiers[0]; len(t) > 0 && now >= t[len(t)-1].From+b.IntervalWidths[0]+completeAfter {
-			b.completeNewest(l)
+// Tick lets time pass: intervals are completed, and servers whose slow start is over are warm.
+func (t *Timelines) Tick(now time.Duration) {
+	t.now = max(t.now, now)
+	for _, s := range t.servers {
+		if t.newestIsOver(s, now) {
+			t.completeNewest(s)
 		}
-		if l.state() == Warming && now-l.startedAt >= b.SlowStart {
-			b.enterState(l, max(l.startedAt+b.SlowStart, l.States[len(l.States)-1].From), Warm, "warmed up")
+		if s.State() == Warming && now-s.startedAt >= t.SlowStart {
+			t.enterState(s, max(s.startedAt+t.SlowStart, s.stateSince), Warm, "warmed up")
 		}
 	}
 }
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -37,20 +37,39 @@
 	runtime.ReadMemStats(&before)
 	x.UpdateEndpoints(decide.Snapshot, list)
 	w.Fold()
-	now, n := clock.NowMillis(), 0
+	now, n := clock.Now(), 0
 	for b.Loop() { // a second of each server's life: three connections and a probe
 		for i := range servers {
 			for k := range 3 {
-				at := now + float64(k)*300
-				x.Recorder.Put(&recorder.Record{At: at, Kind: recorder.AttemptStarted, Server: int32(i)})
-				x.Recorder.Put(&recorder.Record{At: at + 3, Kind: recorder.ConnectionUp, Server: int32(i), Elapsed: 3})
-				x.Recorder.Put(&recorder.Record{At: at + 200, Kind: recorder.AttemptEnded, Server: int32(i), Initiator: recorder.Client, Status: decide.Cancelled, WasConnected: true})
+				at, setup := now+time.Duration(k)*300*time.Millisecond, 3*time.Millisecond
+				server := int32(i)
+				x.Recorder.Put(&recorder.Record{At: at, Kind: recorder.AttemptStarted, Server: server})
+				x.Recorder.Put(&recorder.Record{
+					At:      at + setup,
+					Kind:    recorder.ConnectionUp,
+					Server:  server,
+					Elapsed: setup,
+				})
+				x.Recorder.Put(&recorder.Record{
+					At:           at + 200*time.Millisecond,
+					Kind:         recorder.AttemptEnded,
+					Server:       server,
+					Initiator:    recorder.Client,
+					Status:       decide.Cancelled,
+					WasConnected: true,
+				})
 			}
-			x.Recorder.Put(&recorder.Record{At: now, Kind: recorder.ProbeEnded, Server: int32(i), Load: 0.4, Elapsed: 0.4})
+			x.Recorder.Put(&recorder.Record{
+				At:      now,
+				Kind:    recorder.ProbeEnded,
+				Server:  int32(i),
+				Load:    0.4,
+				Elapsed: 400 * time.Microsecond,
+			})
 		}
 		n += servers * 10
-		now += 1000
-		clock.SetMillis(now)
+		now += time.Second
+		clock.SetMillis(relay.Millis(now))
 		w.Fold()
 	}
 	runtime.GC()
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	lookEvery  = 100.0    // ms between two looks at the tap
-	rowWidth   = 10_000.0 // ms of a row of steps in the store; the newest is written over each second
+	lookEvery  = 100 * time.Millisecond // between two looks at the recorder
+	rowWidth   = 10_000.0               // ms of a row of steps in the store; the newest is written over each second
 	rowEvery   = 1000.0
 	eventsKept = 2048
 	followers  = 16
@@ -34,13 +34,13 @@
 	ServerIDs(from int, out []string) []string
 }
 
-// Clock is the clock of the records, in milliseconds; a relay.Clock is one.
+// Clock is the clock of the records; a relay.Clock is one.
 type Clock interface {
-	NowMillis() float64
-	// UnixMillis turns an instant of the clock into Unix time.
-	UnixMillis(ms float64) float64
-	// AfterMillis returns a channel that gets the time once ms have passed.
-	AfterMillis(ms float64) <-chan time.Time
+	Now() time.Duration
+	// Wall turns an instant of the clock into the wall clock's.
+	Wall(at time.Duration) time.Time
+	// After returns a channel that gets the time once d has passed.
+	After(d time.Duration) <-chan time.Time
 }
 
 // Config says what is kept.
@@ -84,8 +84,8 @@
 		servers:  servers,
 		clock:    clock,
 		log:      log,
-		book:     timeline.New(c.Limits),
-		depart:   anomaly.New(c.Most),
+		book:     timeline.New(c.Limits, clock.Wall),
+		depart:   anomaly.New(c.Most, clock.Wall),
 		rows:     map[string]*timeline.Interval{},
 		follow:   map[chan anomaly.Event]bool{},
 	}
@@ -95,6 +95,11 @@
 	return w
 }
 
+// unixMs is an instant as rows and reports have it.
+func (w *Watcher) unixMs(at time.Duration) float64 {
+	return float64(w.clock.Wall(at).UnixNano()) / 1e6
+}
+
 // Run folds until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for {
@@ -104,7 +109,7 @@
 			w.Rest()
 			return
 		case <-w.Recorder.Ready():
-		case <-w.clock.AfterMillis(lookEvery):
+		case <-w.clock.After(lookEvery):
 		}
 		w.Fold()
 	}
@@ -120,14 +125,10 @@
 		w.take(r)
 	}
 	w.spare = records[:0]
-	w.tick(w.clock.UnixMillis(w.clock.NowMillis()))
+	w.tick(w.clock.Now())
 }
 
 func (w *Watcher) take(r *recorder.Record) {
-	r.At = w.clock.UnixMillis(r.At)
-	if r.StartedAt > 0 {
-		r.StartedAt = w.clock.UnixMillis(r.StartedAt)
-	}
 	name := timeline.FleetName
 	if r.Server >= 0 {
 		if int(r.Server) >= len(w.names) {
@@ -145,16 +146,17 @@
 }
 
 // look lets departures be looked for at a time.
-func (w *Watcher) look(at float64) {
+func (w *Watcher) look(at time.Duration) {
 	w.changes = w.depart.Tick(at, w.changes[:0])
 	for _, c := range w.changes {
 		w.changed(c.Event)
 	}
 }
 
-func (w *Watcher) tick(now float64) {
-	w.book.Tick(now)
-	w.look(now)
+func (w *Watcher) tick(at time.Duration) {
+	w.book.Tick(at)
+	w.look(at)
+	now := w.unixMs(at)
 	if w.Store != nil && now-w.written >= rowEvery {
 		w.written = now
 		for name, row := range w.rows {
@@ -204,7 +206,7 @@
 func (w *Watcher) Note(relay, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.clock.UnixMillis(w.clock.NowMillis())
+	at := w.unixMs(w.clock.Now())
 	what := "relay " + relay + ": " + state
 	if relay == "" {
 		what = "this relay: " + state
@@ -289,7 +291,7 @@
 func (w *Watcher) Report(q report.Query) *report.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := w.clock.UnixMillis(w.clock.NowMillis())
+	now := w.unixMs(w.clock.Now())
 	r := &report.Report{Relay: w.Relay, At: now, Dropped: w.dropped, Evicted: w.book.Evicted}
 	if w.Store != nil {
 		if err := w.Store.WriteError(); err != nil {
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -18,7 +18,7 @@
 		return
 	}
 	t.Recorder.Put(&recorder.Record{
-		At:     t.Clock.NowMillis(),
+		At:     t.Clock.Now(),
 		Kind:   recorder.EndpointListUnreachable,
 		Server: -1,
 	})
@@ -26,7 +26,7 @@
 
 // recordEndpointChanges records every server whose mode or start has changed since the last record.
 func (t *RequestTable) recordEndpointChanges() {
-	now := t.Clock.NowMillis()
+	now := t.Clock.Now()
 	for _, s := range t.endpoints.servers {
 		mode := s.operatorMode()
 		last := s.recorded
@@ -39,7 +39,7 @@
 			Kind:      recorder.EndpointChanged,
 			Server:    int32(s.Number),
 			Mode:      mode,
-			StartedAt: Millis(s.startedAt),
+			StartedAt: s.startedAt,
 			Load:      -1,
 		})
 	}
@@ -48,7 +48,7 @@
 // recordConnLimitRejection records that a client was rejected for want of descriptors.
 func (t *RequestTable) recordConnLimitRejection() {
 	t.Recorder.Put(&recorder.Record{
-		At:        t.Clock.NowMillis(),
+		At:        t.Clock.Now(),
 		Kind:      recorder.RequestRejected,
 		Server:    -1,
 		Initiator: recorder.DescriptorLimit,
@@ -58,11 +58,11 @@
 // recordProbe records a probe's end.
 func (t *RequestTable) recordProbe(p decide.ProbeResult) {
 	t.Recorder.Put(&recorder.Record{
-		At:      t.Clock.NowMillis(),
+		At:      t.Clock.Now(),
 		Kind:    recorder.ProbeEnded,
 		Server:  int32(p.Server),
 		Status:  p.Status,
-		Elapsed: Millis(p.Latency),
+		Elapsed: p.Latency,
 		Load:    float32(p.Report.Load),
 		Queue:   float32(p.Report.InFlight),
 		Errors:  float32(p.Report.ErrorsPerSecond),
@@ -72,10 +72,10 @@
 // recordPeerReading records that another relay's reading was used.
 func (t *RequestTable) recordPeerReading(s decide.ServerID, age time.Duration, load float64) {
 	t.Recorder.Put(&recorder.Record{
-		At:      Millis(t.Clock.Now() - age),
+		At:      t.Clock.Now() - age,
 		Kind:    recorder.PeerReading,
 		Server:  int32(s),
-		Elapsed: Millis(age),
+		Elapsed: age,
 		Load:    float32(load),
 	})
 }
@@ -83,7 +83,7 @@
 // recordAnswer records a final answer, but of a client that left before it.
 func (r *Request) recordAnswer(a Answer) {
 	rec := recorder.Record{
-		At:        r.table.Clock.NowMillis(),
+		At:        r.table.Clock.Now(),
 		Kind:      recorder.RequestRejected,
 		Request:   uint64(r.ID),
 		Server:    -1,
@@ -128,14 +128,14 @@
 func (r *Request) recordEstablished() {
 	now := r.table.Clock.Now()
 	rec := r.recordOfAttempt(recorder.ConnectionUp, now)
-	rec.Elapsed = Millis(now - r.attempt.StartedAt)
+	rec.Elapsed = now - r.attempt.StartedAt
 	r.table.Recorder.Put(&rec)
 }
 
 // recordMigration records that a client is to be sent to another server.
 func (r *Request) recordMigration(by recorder.Initiator) {
 	r.table.Recorder.Put(&recorder.Record{
-		At:        r.table.Clock.NowMillis(),
+		At:        r.table.Clock.Now(),
 		Kind:      recorder.ClientMigrated,
 		Request:   uint64(r.ID),
 		Server:    int32(r.attempt.Server.Number),
@@ -146,11 +146,11 @@
 // recordMessageDelay records a slow message.
 func (r *Request) recordMessageDelay(now, delay time.Duration) {
 	r.table.Recorder.Put(&recorder.Record{
-		At:      Millis(now),
+		At:      now,
 		Kind:    recorder.MessageDelayed,
 		Request: uint64(r.ID),
 		Server:  int32(r.attempt.Server.Number),
-		Elapsed: Millis(delay),
+		Elapsed: delay,
 	})
 }
 
@@ -160,7 +160,7 @@
 	now := r.table.Clock.Now()
 	rec := r.recordOfAttempt(recorder.AttemptEnded, now)
 	rec.Status = status
-	rec.Elapsed = Millis(now - r.attempt.StartedAt)
+	rec.Elapsed = now - r.attempt.StartedAt
 	rec.Load = float32(report.Load)
 	rec.Queue = float32(report.InFlight)
 	rec.Errors = float32(report.ErrorsPerSecond)
@@ -187,7 +187,7 @@
 // recordOfAttempt returns a record of the latest attempt.
 func (r *Request) recordOfAttempt(kind recorder.Kind, at time.Duration) recorder.Record {
 	return recorder.Record{
-		At:      Millis(at),
+		At:      at,
 		Kind:    kind,
 		Request: uint64(r.ID),
 		Server:  int32(r.attempt.Server.Number),
