--- a/internal/observe/anomaly/server.go
+++ b/internal/observe/anomaly/server.go
@@ -14,7 +14,7 @@
 	restartWindow = 2 * time.Minute // a relay that ejects the server may try it again late
 
 	minLateReply    = 60 * time.Millisecond // a probe's reply is never late under this
-	lateReplyFactor = 5.0                   // and late beyond this multiple of what is usual
+	lateReplyFactor = 5.0                   // and late beyond this multiple of what is typical
 	repliesKept     = 2 * recentKept
 )
 
@@ -162,7 +162,7 @@
 	s.report.load, s.report.at = load, r.At
 }
 
-// observeLateness tells a late reply from what is usual, which follows those in time only.
+// observeLateness tells a late reply from what is typical, which follows those in time only.
 func (s *serverState) observeLateness(r *recorder.Record, same bool) {
 	p := &s.replies
 	if len(p.elapsed) >= frozenReadsMin && r.Elapsed > p.lateness() {
@@ -181,8 +181,8 @@
 
 // lateness is the time beyond which a reply is late.
 func (p *probeReplies) lateness() time.Duration {
-	usual := float64(lowerQuartile(p.elapsed))
-	return max(minLateReply, time.Duration(lateReplyFactor*usual))
+	typical := float64(lowerQuartile(p.elapsed))
+	return max(minLateReply, time.Duration(lateReplyFactor*typical))
 }
 
 // noteBreak notes a connection that broke or was refused: several at once are a crash.
--- a/internal/observe/anomaly/setup.go
+++ b/internal/observe/anomaly/setup.go
@@ -20,7 +20,7 @@
 	minLogSetup    = 0.1 // ms; shorter ones count as this
 )
 
-// setupTimes are a server's set-up times: the newest, and what is usual for it.
+// setupTimes are a server's set-up times: the newest, and what is typical for it.
 type setupTimes struct {
 	samples []setupSample
 	latest  time.Duration // median of the last seconds as of this tick, 0 if there are too few
@@ -43,7 +43,7 @@
 	}
 }
 
-// past is what is usual for the server.
+// past is what is typical for the server.
 func (t *setupTimes) past() time.Duration {
 	return time.Duration(math.Exp(t.pastLog) * float64(time.Millisecond))
 }
@@ -70,7 +70,7 @@
 	return t.count >= pastSamplesMin && muchSlower(t.latest, t.past())
 }
 
-// muchSlower tells whether a set-up time is far over a usual one.
-func muchSlower(elapsed, usual time.Duration) bool {
-	return millis(elapsed) > slowFactor*millis(usual) && elapsed > usual+slowBy
+// muchSlower tells whether a set-up time is far over a typical one.
+func muchSlower(elapsed, typical time.Duration) bool {
+	return millis(elapsed) > slowFactor*millis(typical) && elapsed > typical+slowBy
 }
--- a/internal/ownership/model_world_test.go
+++ b/internal/ownership/model_world_test.go
@@ -31,8 +31,8 @@
 	done    bool
 }
 
-// relay is one relay of the model, with a clock that runs at its own rate.
-type relay struct {
+// modelRelay is one relay of the model, with a clock that runs at its own rate.
+type modelRelay struct {
 	lease     *Lease
 	rate      float64
 	paused    bool
@@ -44,7 +44,7 @@
 }
 
 // sorted lists the callers by handle.
-func (r *relay) sorted() (all []*caller) {
+func (r *modelRelay) sorted() (all []*caller) {
 	for h := uint64(1); len(all) < len(r.callers); h++ {
 		if c := r.callers[h]; c != nil {
 			all = append(all, c)
@@ -59,7 +59,7 @@
 	rng          *rand.Rand
 	calm         int // how much rarer faults are
 	svc          *service
-	relays       []*relay
+	relays       []*modelRelay
 	streams      []token.StreamID
 	tokens       [][]uint64 // by stream: the fencing tokens of all tokens ever given
 	highest      []uint64   // by stream: the newest owner's fencing token
@@ -81,7 +81,7 @@
 	}
 	for i := range relays {
 		rate := 0.976 + 0.048*w.rng.Float64()
-		w.relays = append(w.relays, &relay{
+		w.relays = append(w.relays, &modelRelay{
 			lease:   New(seed + uint64(i)),
 			rate:    rate,
 			callers: map[uint64]*caller{},
@@ -113,7 +113,7 @@
 }
 
 // local is a relay's clock.
-func (w *world) local(r *relay) time.Duration { return time.Second + scale(w.svc.now, r.rate) }
+func (w *world) local(r *modelRelay) time.Duration { return time.Second + scale(w.svc.now, r.rate) }
 
 // deliver lets a relay's Lease take an event, does its actions and checks them.
 func (w *world) deliver(i int, ev Event) {
@@ -177,7 +177,7 @@
 
 // serving tells whether a caller may be served at this instant. A relay that is asleep counts until what it
 // forwarded last, just before its lease expired, has surely been written.
-func (w *world) serving(r *relay, c *caller) bool {
+func (w *world) serving(r *modelRelay, c *caller) bool {
 	if !c.owned || c.sleptPastLease {
 		return false
 	}
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -34,6 +34,7 @@
 	return id
 }
 
+// String writes the id in hex, as node paths and servers have it.
 func (id StreamID) String() string { return fmt.Sprintf("%x", id[:]) }
 
 // Token is what is sealed. Class and Tenant are names, as numbers differ between configurations.
