--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// handleRejected answers a stream whose acquisition was handleRejected.
+// handleRejected answers a stream whose acquisition was rejected.
 func (s *Service) handleRejected(a ownership.Rejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
