--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// replyOf is the service's answer as the Lease takes it. A record that cannot be read is an error of the service's.
+// replyOf is the service's answer as the Lease takes it. A record that cannot be read is an error of the
+// service's.
 func (s *Service) replyOf(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
 	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.Owner}
 	code, known := replyCodes[a.Code]
