--- a/cmd/capersail/main_test.go
+++ b/cmd/capersail/main_test.go
@@ -206,7 +206,7 @@
 			t.Fatal(err)
 		}
 		for line := range said {
-			if strings.HasPrefix(line, "reloaded") || strings.HasPrefix(line, "the new configuration") {
+			if strings.HasPrefix(line, "reloaded") || strings.HasPrefix(line, "new configuration rejected") {
 				if !strings.Contains(line, want) {
 					t.Errorf("%.40q: %q, want %q", text, line, want)
 				}
@@ -235,7 +235,7 @@
 	c.ask(t, "M 1 still here", "M")
 	cmd.Process.Signal(syscall.SIGTERM)
 	for line := range said {
-		if strings.HasPrefix(line, "leaving") {
+		if strings.HasPrefix(line, "draining") {
 			cmd.Process.Signal(syscall.SIGHUP)
 			break
 		}
--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -101,7 +101,7 @@
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	for line := range said {
-		if strings.HasPrefix(line, "leaving") {
+		if strings.HasPrefix(line, "draining") {
 			cmd.Process.Signal(syscall.SIGTERM)
 			break
 		}
--- a/cmd/capersail/ops_test.go
+++ b/cmd/capersail/ops_test.go
@@ -264,7 +264,7 @@
 	cmd, _, said := startCmd(t, cmd)
 	defer cmd.Process.Kill()
 	for line := range said {
-		if strings.HasPrefix(line, "second address") {
+		if strings.HasPrefix(line, "admin address serving") {
 			break
 		}
 	}
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -15,73 +15,75 @@
 	"capersail/internal/manualeject"
 )
 
-const (
-	// adminSockets are the descriptors the second address may hold; the clients have them less.
-	adminSockets = admin.MostConnections
-	// ejectionPollInterval is how often the bans that another process of the relay may have changed are read, in ms. A ban
-	// binds 500 ms after its yes: this leaves four looks and the time to tell the module.
-	ejectionPollInterval = 100.0
-	// migrationDelay is how long a drain by hand keeps its connections before it moves them, in ms: new connections
-	// come for 0.2 s after the first no to PING, and those that come up are moved at once.
-	migrationDelay = 300.0
-	// migrationDeadline is when the last of them is moved; at 4 s a connection still held breaks the rule on lost ones.
-	migrationDeadline = 2500.0
-	// ejectionsFolder is where bans are kept in $TMPDIR, which the processes of one relay share in an upgrade.
-	ejectionsFolder = "capersail-bans"
-)
+// adminSockets are the descriptors that the admin address may hold; the clients have them less.
+const adminSockets = admin.MostConnections
 
-// adminTarget is the relay as its operators' second address sees it: every front, the bans, the drain by hand.
+// adminTarget is the relay as its operators' admin address sees it: every front, the ejections and the drain
+// by hand.
 type adminTarget struct {
 	fronts       []*runningFront
 	serving      atomic.Bool
-	ejectionsDir string // where bans are kept
+	ejectionsDir string // where ejections are kept
 	log          zerolog.Logger
 
 	mu            sync.Mutex
 	ejections     manualeject.Ejections
-	stopMigration chan struct{} // closed to end the drain that moves connections; nil when there is none
+	stopMigration chan struct{} // closed to end the drain that migrates connections; nil when there is none
 }
 
-// startAdmin serves the second address until ctx ends. The bans kept in $TMPDIR by a process that this one
-// replaces hold from the start.
-func startAdmin(ctx context.Context, address string, relays []*runningFront, fronts []admin.Front, more []prometheus.Collector, log zerolog.Logger) (*adminTarget, error) {
-	o := &adminTarget{fronts: relays, ejectionsDir: filepath.Join(os.TempDir(), ejectionsFolder), log: log}
+// startAdmin serves the admin address until ctx ends. The ejections kept in $TMPDIR by a process that this
+// one replaces hold from the start.
+func startAdmin(
+	ctx context.Context, address string, fronts []*runningFront, sources []admin.Front,
+	more []prometheus.Collector, log zerolog.Logger,
+) (*adminTarget, error) {
+	o := &adminTarget{fronts: fronts, ejectionsDir: filepath.Join(os.TempDir(), ejectionsFolder), log: log}
 	if err := os.MkdirAll(o.ejectionsDir, 0o700); err != nil {
-		return nil, fmt.Errorf("admin: the bans cannot be kept: %w", err)
+		return nil, fmt.Errorf("admin: ejections cannot be kept: %w", err)
 	}
 	o.reloadEjections()
-	figures := prometheus.NewRegistry()
-	for _, c := range append([]prometheus.Collector{admin.NewFigures(fronts...)}, more...) {
-		if err := figures.Register(c); err != nil {
-			return nil, fmt.Errorf("admin: %w", err)
-		}
+	registry, err := newRegistry(sources, more)
+	if err != nil {
+		return nil, fmt.Errorf("admin: %w", err)
 	}
-	s, err := admin.Listen(address, o, figures, log)
+	server, err := admin.Listen(address, o, registry, log)
 	if err != nil {
 		return nil, err
 	}
-	// Before anybody else can change the bans: from here on they are read under the lock only.
-	log.Info().Str("admin", s.Addr().String()).Strs("out", o.ejections.IDs()).Msg("second address")
+	// Before anybody else can change the ejections: from here on they are read under the lock only.
+	log.Info().
+		Str("admin", server.Addr().String()).
+		Strs("out", o.ejections.IDs()).
+		Msg("admin address serving")
 	go func() {
-		if err := s.Serve(); err != nil {
-			log.Error().Err(err).Msg("the second address has stopped")
+		if err := server.Serve(); err != nil {
+			log.Error().Err(err).
+				Msg("admin address stopped, clients are served on: restart the relay to have it back")
 		}
 	}()
-	go func() {
-		<-ctx.Done()
-		s.Close()
-	}()
+	context.AfterFunc(ctx, func() { server.Close() })
 	go o.followEjections(ctx)
 	return o, nil
 }
 
-// Ready: the front serves, has a list of servers, and neither drains nor leaves.
+// newRegistry registers the metrics of the fronts and of the parts.
+func newRegistry(sources []admin.Front, more []prometheus.Collector) (*prometheus.Registry, error) {
+	registry := prometheus.NewRegistry()
+	for _, collector := range append([]prometheus.Collector{admin.NewFigures(sources...)}, more...) {
+		if err := registry.Register(collector); err != nil {
+			return nil, err
+		}
+	}
+	return registry, nil
+}
+
+// Ready tells whether the relay serves, has an endpoint list, and neither drains nor shuts down.
 func (o *adminTarget) Ready() bool {
 	if !o.serving.Load() {
 		return false
 	}
-	for _, r := range o.fronts {
-		if !r.requests.Accepting() || !r.requests.HasEndpointList() {
+	for _, front := range o.fronts {
+		if !front.requests.Accepting() || !front.requests.HasEndpointList() {
 			return false
 		}
 	}
--- a/internal/lifecycle/cells.go
+++ b/internal/lifecycle/cells.go
@@ -13,7 +13,8 @@
 	"capersail/internal/wire/gossip"
 )
 
-// cellSettings are the keys of the members' file that divide a fleet into cells. All of them are off without [plan].
+// cellSettings are the keys of the members' file that divide a fleet into cells. All of them are off without
+// [plan].
 type cellSettings struct {
 	// Cell is this relay's own cell, one of the plan's.
 	Cell string `toml:"cell"`
@@ -32,22 +33,27 @@
 	return cell
 }
 
-// inRegion tells whether the relay is of a cell of a region. Else it goes by the flat fleet's rules, on the wire and on disk, also where
-// a plan gives the flat fleet a part.
+// inRegion tells whether the relay is of a cell of a region. Else it goes by the flat fleet's rules, on the
+// wire and on disk, also where a plan gives the flat fleet a part.
 func (m *MembersConfig) inRegion() bool { return m.Plan != nil && !m.ownCell().Spanning() }
 
 // checkCells finds what is wrong with the cells of a file.
-func (m *MembersConfig) checkCells(f *configProblems) {
+func (m *MembersConfig) checkCells(problems *configProblems) {
 	if m.Plan == nil {
-		f.addIf(m.Cell != "", "cell: %q is named, but there is no [plan]", m.Cell)
-		f.addIf(m.Place != nil, "place: only a relay of a cell has one, and there is no [plan]")
+		problems.addIf(m.Cell != "", "cell", "%q is named, but there is no [plan]", m.Cell)
+		problems.addIf(m.Place != nil, "place", "only a relay of a cell has one, and there is no [plan]")
 		return
 	}
-	for _, problem := range joinedErrors(m.Plan.Check()) {
-		f.addIf(true, "plan.%v", problem)
+	for _, err := range joinedErrors(m.Plan.Check()) {
+		key := "plan"
+		var problem *cellplan.Problem
+		if errors.As(err, &problem) {
+			key, err = "plan."+problem.Key, errors.New(problem.Cause)
+		}
+		problems.add(key, err)
 	}
-	m.checkFirstPlan(f)
-	m.checkOwnCell(f)
+	m.checkFirstPlan(problems)
+	m.checkOwnCell(problems)
 }
 
 // joinedErrors are the errors that one error joins.
@@ -62,36 +68,48 @@
 	return []error{err}
 }
 
-// checkFirstPlan finds what plan 1 can't have: its cells take their parts at once, as nobody can have held any before.
-func (m *MembersConfig) checkFirstPlan(f *configProblems) {
+// planKey is the key of a cell's value.
+func planKey(cell int, key string) string { return fmt.Sprintf("plan.cells[%d].%s", cell, key) }
+
+// checkFirstPlan finds what plan 1 can't have: its cells take their parts at once, as nobody can have held
+// any before.
+func (m *MembersConfig) checkFirstPlan(problems *configProblems) {
 	if m.Plan.Number != 1 {
 		return
 	}
-	for i, c := range m.Plan.Cells {
-		f.addIf(c.Spanning(), "plan.cells[%d].region: not set; a plan with a flat fleet in it has a number from 2 up", i)
-		f.addIf(c.Relays == 0, "plan.cells[%d].relays: none, and by plan 1 there is nothing that a cell could hand over", i)
+	for i, cell := range m.Plan.Cells {
+		problems.addIf(cell.Spanning(), planKey(i, "region"),
+			"not set; a plan with a flat fleet in it has a number from 2 up")
+		problems.addIf(cell.Relays == 0, planKey(i, "relays"),
+			"none, and by plan 1 there is nothing that a cell could hand over")
 	}
 }
 
 // checkOwnCell finds what is wrong with this relay's part in the plan.
-func (m *MembersConfig) checkOwnCell(f *configProblems) {
+func (m *MembersConfig) checkOwnCell(problems *configProblems) {
 	if m.Cell == "" {
-		f.addIf(true, "cell: not set, but there is a [plan]: the name of this relay's cell is wanted")
+		problems.addIf(true, "cell",
+			"not set, but there is a [plan]: the name of this relay's cell is wanted")
 		return
 	}
 	_, known := m.Plan.Find(m.Cell)
-	f.addIf(!known, "cell: %q is none of the plan's", m.Cell)
-	f.addIf(strings.ContainsRune(m.Cell, filepath.Separator), "cell: %q has a %c, and the state file is called after it", m.Cell, filepath.Separator)
+	problems.addIf(!known, "cell", "%q is none of the plan's", m.Cell)
+	problems.addIf(strings.ContainsRune(m.Cell, filepath.Separator), "cell",
+		"%q has a %c, and the state file is called after it", m.Cell, filepath.Separator)
 	switch {
 	case m.Place != nil:
-		f.addIf(*m.Place < 0 || *m.Place > maxFounders, "place: %d is not from 0 to %d", *m.Place, maxFounders)
+		problems.addIf(*m.Place < 0 || *m.Place > maxFounders, "place",
+			"%d is not from 0 to %d", *m.Place, maxFounders)
 	case known:
-		f.addIf(m.inRegion(), "place: not set; this relay's number within cell %q is wanted, from 0", m.Cell)
+		problems.addIf(m.inRegion(), "place",
+			"not set; this relay's number within cell %q is wanted, from 0", m.Cell)
 	}
-	f.addIf(m.Founders != 0 && known && m.inRegion(), "founders: in a cell the plan's relays found it; leave it out")
+	problems.addIf(m.Founders != 0 && known && m.inRegion(), "founders",
+		"in a cell the plan's relays found it; leave it out")
 }
 
-// configureCell makes a flat relay's node one of its cell. A cell with a region has its own seeds, record, places and pace.
+// configureCell makes a flat relay's node one of its cell. A cell with a region has its own seeds, record,
+// places and pace.
 func (m *MembersConfig) configureCell(g *gossip.Config) {
 	cell := m.ownCell()
 	g.Cell, g.Plan = m.Cell, m.Plan
@@ -110,36 +128,39 @@
 // zoneNames are the names of the settings' zones.
 func zoneNames(c *Config) []string { return slices.Sorted(maps.Keys(c.Deployment.Zones)) }
 
-// checkZones finds a zone of the plan that the settings don't know.
+// checkZones finds a zone of the plan that the settings don't know. The error is a *ConfigError.
 func (m *MembersConfig) checkZones(known []string) error {
 	if m.Plan == nil {
 		return nil
 	}
 	for i, c := range m.Plan.Cells {
 		if c.Zone != "" && !slices.Contains(known, c.Zone) {
-			return fmt.Errorf("plan.cells[%d].zone: %q is none of the settings' zones", i, c.Zone)
+			return keyError(planKey(i, "zone"), "%q is none of the settings' zones", c.Zone)
 		}
 	}
 	return nil
 }
 
-// checkReload tells why a file can't follow another one while the relay runs.
+// checkReload tells why a file can't follow another one while the relay runs. The error is a *ConfigError.
 func (m *MembersConfig) checkReload(next *MembersConfig) error {
 	switch {
 	case m.Plan == nil && next.Plan == nil:
 		return nil
 	case next.Plan == nil:
-		return errors.New("plan: it can't be taken out while the relay runs")
+		return keyError("plan", "it can't be taken out while the relay runs")
 	case m.Plan == nil && next.inRegion():
-		return fmt.Errorf("cell: %q has a region; a relay of a flat fleet takes such a cell by a restart", next.Cell)
+		return keyError("cell",
+			"%q has a region; a relay of a flat fleet takes such a cell by a restart", next.Cell)
 	case m.Plan == nil:
 		return nil
 	case m.Cell != next.Cell || m.inRegion() != next.inRegion():
-		return errors.New("cell: a relay changes its cell by a restart")
+		return keyError("cell", "a relay changes its cell by a restart")
 	case next.Plan.Number < m.Plan.Number:
-		return fmt.Errorf("plan.number: %d is below %d, which this relay has", next.Plan.Number, m.Plan.Number)
+		return keyError("plan.number",
+			"%d is below %d, which this relay has", next.Plan.Number, m.Plan.Number)
 	case next.Plan.Number == m.Plan.Number && next.Plan.Hash() != m.Plan.Hash():
-		return fmt.Errorf("plan.number: %d is the number of the plan that this relay has, but the plan differs", next.Plan.Number)
+		return keyError("plan.number",
+			"%d is the number of the plan that this relay has, but the plan differs", next.Plan.Number)
 	}
 	return nil
 }
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -48,7 +48,7 @@
 }
 
 // A good plan is read; a file without one has no cell.
-func TestReadPlan(t *testing.T) {
+func TestMembersFileWithAPlanIsRead(t *testing.T) {
 	m, err := readMembersText(t, goodCells)
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 }
 
 // In a cell the plan's contacts stand in for seeds, and the state file is the cell's own.
-func TestNodeOfACell(t *testing.T) {
+func TestRelayOfACellGoesByItsPlan(t *testing.T) {
 	m, err := readMembersText(t, strings.Replace(goodCells, `seeds = ["127.0.0.1:7946"]`, ``, 1))
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.Cell != "eu-a-1" || g.InitialPlace != 3 || g.Founders != 60 || g.State != "/var/lib/capersail/members.eu-a-1" || g.Pace != membership.CellTiming ||
+	if g.Cell != "eu-a-1" || g.InitialPlace != 3 || g.Founders != 60 ||
+		g.State != "/var/lib/capersail/members.eu-a-1" || g.Pace != membership.CellTiming ||
 		!slices.Equal(g.Seeds, m.Plan.Cells[0].Contacts) || len(g.Zones) != 2 {
 		t.Errorf("%+v", g)
 	}
@@ -87,7 +88,7 @@
 }
 
 // Each mistake in a plan is one line that names its key.
-func TestReadBadPlan(t *testing.T) {
+func TestPlanProblemsNameTheirKeys(t *testing.T) {
 	for want, change := range map[string][2]string{
 		`cell: not set, but there is a [plan]`:                           {`cell = "eu-a-1"`, ``},
 		`cell: "eu-a-2" is none of the plan's`:                           {`cell = "eu-a-1"`, `cell = "eu-a-2"`},
@@ -136,7 +137,7 @@
 }
 
 // The file that is shipped can be read, as it stands and with its plan taken in.
-func TestShippedMembersFile(t *testing.T) {
+func TestShippedMembersFileIsRead(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/members.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +155,7 @@
 }
 
 // A zone that the settings do not know is told with its key.
-func TestPlanZones(t *testing.T) {
+func TestUnknownZoneOfAPlanNamesItsKey(t *testing.T) {
 	m, err := readMembersText(t, goodCells)
 	if err != nil {
 		t.Fatal(err)
@@ -168,8 +169,9 @@
 	}
 }
 
-// A reload takes in contacts, a first plan for a flat fleet, and a plan with a higher number; nothing else of the plan.
-func TestPlanReload(t *testing.T) {
+// A reload takes in contacts, a first plan for a flat fleet, and a plan with a higher number; nothing else of
+// the plan.
+func TestReloadTakesInOnlyWhatCanChange(t *testing.T) {
 	change := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(goodCells) }
 	flatPlan := change(`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `place = 3`, ``)
 	for what, one := range map[string]struct{ old, next, want string }{
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -1,8 +1,7 @@
-// Package lifecycle reads the configuration, starts the parts of a relay, follows signals, and stops it.
 package lifecycle
 
 import (
-	"fmt"
+	"errors"
 	"net"
 	"os"
 	"strconv"
@@ -15,71 +14,137 @@
 	"capersail/internal/wire/simulator"
 )
 
-// Config is what a relay is told at its start.
+// Config is the platform's configuration of a relay.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	// Admin is the operators' second address, "" where it is off: `admin` of the file, or $LB_ADMIN.
+	// Admin is the operators' admin address, "" where it is off: `admin` of the file, or $LB_ADMIN.
 	Admin string
-	// FD is the descriptor of a listening socket that the platform holds for the clients' address and hands to
-	// every process of the relay ($LB_FD), or -1 where the relay binds the address itself.
-	FD           int
-	Seed         uint64
-	MemoryMB     int
-	Sockets      int
-	CachedList   *discovery.EndpointList
-	Deployment   *relay.Deployment
+	// FD is the descriptor of a listening socket that the platform holds for the clients' address and hands
+	// to every process of the relay ($LB_FD), or -1 where the relay binds the address itself.
+	FD         int
+	Seed       uint64
+	MemoryMB   int // 0 for no limit
+	Sockets    int // 0 for no limit
+	CachedList *discovery.EndpointList
+	Deployment *relay.Deployment
+
 	settingsText string // as the file has them, to tell whether a new file changes them
 }
 
-// ReadConfig reads the platform's configuration: the file that LB_CONFIG names, and the variables that
-// stand in for keys it lacks. An error names the key.
+// ReadConfig reads the platform's configuration: the file that LB_CONFIG names, and the variables that stand
+// in for keys it lacks. An error is a *ConfigError.
 func ReadConfig(getenv func(string) string, log zerolog.Logger) (*Config, error) {
-	path := getenv("LB_CONFIG")
+	object, err := readPlatformFile(getenv("LB_CONFIG"))
+	if err != nil {
+		return nil, err
+	}
+	text := func(key, variable string) string {
+		if s := string(object.GetStringBytes(key)); s != "" {
+			return s
+		}
+		return getenv(variable)
+	}
+	c := &Config{
+		Name:      text("name", "LB_NAME"),
+		Listen:    text("listen", "LB_LISTEN"),
+		Discovery: text("discovery", "LB_DISCOVERY"),
+		Admin:     text("admin", "LB_ADMIN"),
+		MemoryMB:  object.GetInt("limits", "memory_mb"),
+		Sockets:   object.GetInt("limits", "sockets"),
+	}
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
+	}
+	if c.FD, err = readDescriptor(getenv("LB_FD")); err != nil {
+		return nil, err
+	}
+	if c.Seed, err = readSeed(string(object.GetStringBytes("seed"))); err != nil {
+		return nil, err
+	}
+	if err := c.checkLimits(object); err != nil {
+		return nil, err
+	}
+	if err := c.readSettings(object.Get("settings")); err != nil {
+		return nil, err
+	}
+	if c.CachedList, err = readCachedList(object.Get("known"), log); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// readPlatformFile reads the file that LB_CONFIG names.
+func readPlatformFile(path string) (*fastjson.Value, error) {
 	if path == "" {
-		return nil, fmt.Errorf("LB_CONFIG: not set; it names the configuration file")
+		return nil, keyError("LB_CONFIG", "not set; it names the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("LB_CONFIG: %w", err)
+		return nil, keyError("LB_CONFIG", "%w", err)
 	}
-	v, err := fastjson.ParseBytes(text)
+	object, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return nil, fmt.Errorf("LB_CONFIG: %s: %w", path, err)
+		return nil, keyError("LB_CONFIG", "%s: %w", path, err)
 	}
-	if v.Type() != fastjson.TypeObject {
-		return nil, fmt.Errorf("LB_CONFIG: %s: an object is wanted", path)
+	if object.Type() != fastjson.TypeObject {
+		return nil, keyError("LB_CONFIG", "%s: an object is wanted", path)
 	}
-	read := func(key, variable string) string {
-		if s := string(v.GetStringBytes(key)); s != "" {
-			return s
-		}
-		return getenv(variable)
-	}
-	c := &Config{Name: read("name", "LB_NAME"), Listen: read("listen", "LB_LISTEN"), Discovery: read("discovery", "LB_DISCOVERY"),
-		Admin: read("admin", "LB_ADMIN"), FD: -1, MemoryMB: v.GetInt("limits", "memory_mb"), Sockets: v.GetInt("limits", "sockets")}
-	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"admin", c.Admin}} {
-		if a.value == "" && a.key == "admin" {
-			continue // off
+	return object, nil
+}
+
+// checkAddresses finds an address that is no host and port. The admin address may be off.
+func (c *Config) checkAddresses() error {
+	for _, a := range []struct {
+		key, value string
+		optional   bool
+	}{
+		{key: "listen", value: c.Listen},
+		{key: "discovery", value: c.Discovery},
+		{key: "admin", value: c.Admin, optional: true},
+	} {
+		if a.optional && a.value == "" {
+			continue
 		}
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.key, err)
+			return keyError(a.key, "%w", err)
 		}
 	}
-	if fd := getenv("LB_FD"); fd != "" {
-		if c.FD, err = strconv.Atoi(fd); err != nil || c.FD < 0 {
-			return nil, fmt.Errorf("LB_FD: %q is not a descriptor", fd)
-		}
+	return nil
+}
+
+// readDescriptor reads LB_FD, -1 where it is not set.
+func readDescriptor(text string) (int, error) {
+	if text == "" {
+		return -1, nil
 	}
-	if seed := string(v.GetStringBytes("seed")); seed != "" {
-		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", seed)
-		}
+	fd, err := strconv.Atoi(text)
+	if err != nil || fd < 0 {
+		return -1, keyError("LB_FD", "%q is not a descriptor", text)
 	}
+	return fd, nil
+}
+
+// readSeed reads a hexadecimal number, 0 where there is none.
+func readSeed(text string) (uint64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return 0, keyError("seed", "%q is not a hexadecimal number of 64 bits", text)
+	}
+	return seed, nil
+}
+
+// checkLimits finds a limit that is no number from 0 on, and one on descriptors that is too low to serve
+// with.
+func (c *Config) checkLimits(object *fastjson.Value) error {
 	for _, key := range []string{"cores", "memory_mb", "sockets"} {
-		if limit := v.Get("limits", key); limit != nil && (limit.Type() != fastjson.TypeNumber || limit.GetFloat64() < 0) {
-			return nil, fmt.Errorf("limits.%s: %s is not a number from 0 on", key, limit)
+		limit := object.Get("limits", key)
+		if limit != nil && (limit.Type() != fastjson.TypeNumber || limit.GetFloat64() < 0) {
+			return keyError("limits."+key, "%s is not a number from 0 on", limit)
 		}
 	}
 	least := minSockets
@@ -87,22 +152,37 @@
 		least += adminSockets
 	}
 	if c.Sockets > 0 && c.Sockets < least {
-		return nil, fmt.Errorf("limits.sockets: %d are too few: %d at least are wanted", c.Sockets, least)
+		return keyError("limits.sockets", "%d are too few: %d at least are wanted", c.Sockets, least)
 	}
-	settings := v.Get("settings")
+	return nil
+}
+
+var (
+	errNoObject  = errors.New("an object is wanted")
+	errNoClasses = errors.New("at least one class is wanted")
+)
+
+// readSettings turns the settings into the deployment.
+func (c *Config) readSettings(settings *fastjson.Value) error {
 	if settings == nil || settings.Type() != fastjson.TypeObject {
-		return nil, fmt.Errorf("settings: an object is wanted")
+		return &ConfigError{Key: "settings", Err: errNoObject}
 	}
 	if len(settings.GetArray("classes")) == 0 {
-		return nil, fmt.Errorf("settings.classes: at least one class is wanted")
+		return &ConfigError{Key: "settings.classes", Err: errNoClasses}
 	}
 	c.settingsText = settings.String()
 	c.Deployment = simulator.DecodeSettings(settings)
-	c.CachedList = &discovery.EndpointList{}
-	if known := v.Get("known"); known != nil {
-		if c.CachedList, err = discovery.ParseList(known.String(), log); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
+	return nil
+}
+
+// readCachedList reads the endpoint list that the platform held last; an empty one where there is none.
+func readCachedList(known *fastjson.Value, log zerolog.Logger) (*discovery.EndpointList, error) {
+	if known == nil {
+		return &discovery.EndpointList{}, nil
 	}
-	return c, nil
+	list, err := discovery.ParseList(known.String(), log)
+	if err != nil {
+		return nil, &ConfigError{Key: "known", Err: err}
+	}
+	return list, nil
 }
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -1,5 +1,16 @@
 package lifecycle
 
+import "time"
+
+const (
+	// migrationDelay is how long a drain by hand keeps its connections before it migrates them: new
+	// connections come for 0.2 s after the first no to PING, and those that come up are migrated at once.
+	migrationDelay = 300 * time.Millisecond
+	// migrationDeadline is when the last of them is migrated; at 4 s a connection still open breaks the rule
+	// on lost ones.
+	migrationDeadline = 2500 * time.Millisecond
+)
+
 // Drain starts or ends a drain by hand. Calling it twice the same way does nothing more.
 func (o *adminTarget) Drain(on bool) {
 	o.mu.Lock()
@@ -7,48 +18,49 @@
 	switch {
 	case on && o.stopMigration == nil:
 		o.stopMigration = make(chan struct{})
-		for _, r := range o.fronts {
-			r.requests.SetDraining(true)
+		for _, front := range o.fronts {
+			front.requests.SetDraining(true)
 		}
 		go o.migrateConnections(o.stopMigration)
 	case !on && o.stopMigration != nil:
 		close(o.stopMigration)
 		o.stopMigration = nil
-		for _, r := range o.fronts {
-			r.requests.SetDraining(false)
+		for _, front := range o.fronts {
+			front.requests.SetDraining(false)
 		}
 	}
 }
 
-// migrateConnections moves every open connection of a drain, evenly from drainHold to drainBy, unless the drain ends first.
+// migrateConnections migrates every open connection of a drain, evenly from migrationDelay to
+// migrationDeadline, unless the drain ends first.
 func (o *adminTarget) migrateConnections(stop <-chan struct{}) {
 	if len(o.fronts) == 0 {
 		return
 	}
 	clock := o.fronts[0].requests.Clock
-	began := clock.NowMillis()
+	began := clock.Now()
 	all := make([]int, len(o.fronts))
-	for i, r := range o.fronts {
-		all[i] = r.requests.MigrateSome(0)
+	for i, front := range o.fronts {
+		all[i] = front.requests.MigrateSome(0)
 	}
 	for {
 		select {
 		case <-stop:
 			return
-		case <-clock.AfterMillis(migrationInterval):
+		case <-clock.After(migrationInterval):
 		}
-		since, left := clock.NowMillis()-began, 0
-		for i, r := range o.fronts {
-			n := r.requests.MigrateSome(0) - keptDuringDrain(all[i], since)
-			left += r.requests.MigrateSome(n)
+		since, left := clock.Now()-began, 0
+		for i, front := range o.fronts {
+			surplus := front.requests.MigrateSome(0) - keptDuringDrain(all[i], since)
+			left += front.requests.MigrateSome(surplus)
 		}
 		if since >= migrationDeadline && left == 0 {
-			return // what comes up from now on is moved at once
+			return // what comes up from now on is migrated at once
 		}
 	}
 }
 
-// keptDuringDrain is how many of all connections a drain by hand still keeps at some point.
-func keptDuringDrain(all int, since float64) int {
-	return fractionOf(all, (migrationDeadline-since)/(migrationDeadline-migrationDelay))
+// keptDuringDrain is how many of all connections a drain by hand still keeps at a time since its begin.
+func keptDuringDrain(all int, since time.Duration) int {
+	return fractionOf(all, float64(migrationDeadline-since)/float64(migrationDeadline-migrationDelay))
 }
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -8,96 +8,116 @@
 	"os"
 	"path/filepath"
 	"sort"
+	"time"
 
 	"capersail/internal/manualeject"
 )
 
-// Down takes a tile server out by hand. The ban is kept, and the module told, before the yes.
+const (
+	// ejectionPollInterval is how often the ejections that another process of the relay may have changed are
+	// read. An ejection binds 500 ms after its yes: this leaves four readings and the time to tell the
+	// decision module.
+	ejectionPollInterval = 100 * time.Millisecond
+	// ejectionsFolder is where ejections are kept in $TMPDIR, which the processes of one relay share in an
+	// upgrade.
+	ejectionsFolder = "capersail-bans"
+)
+
+// Down ejects a server by hand. The ejection is kept, and the decision module told, before it returns.
 func (o *adminTarget) Down(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	changed, err := o.ejections.Eject(o.now(), id, o.knowsServer(id))
+	changed, err := o.ejections.Eject(o.nowMillis(), id, o.knowsServer(id))
 	if err != nil || !changed {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(o.ejectionsDir, manualeject.FileName(id)), nil, 0o600); err != nil {
+	if err := os.WriteFile(o.ejectionFile(id), nil, 0o600); err != nil {
 		o.ejections.Readmit(id, true)
-		return fmt.Errorf("the ban cannot be kept: %w", err)
+		return fmt.Errorf("ejection cannot be kept: %w", err)
 	}
 	o.applyEjections()
 	return nil
 }
 
-// Up lets a tile server serve again.
+// Up readmits a server that was ejected by hand.
 func (o *adminTarget) Up(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	since, _ := o.ejections.EjectedFor(o.now(), id)
+	ejectedFor, _ := o.ejections.EjectedFor(o.nowMillis(), id)
 	changed, err := o.ejections.Readmit(id, o.knowsServer(id))
 	if err != nil || !changed {
 		return err
 	}
-	o.log.Info().Str("server", id).Float64("out_ms", since).Msg("tile server back")
-	if err := os.Remove(filepath.Join(o.ejectionsDir, manualeject.FileName(id))); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		o.ejections.Eject(o.now(), id, true)
-		return fmt.Errorf("the ban cannot be ended: %w", err)
+	o.log.Info().Str("server", id).Float64("out_ms", ejectedFor).Msg("server readmitted by hand")
+	if err := os.Remove(o.ejectionFile(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		o.ejections.Eject(o.nowMillis(), id, true)
+		return fmt.Errorf("ejection cannot be ended: %w", err)
 	}
 	o.applyEjections()
 	return nil
 }
 
-// now is the relay's time, in ms.
-func (o *adminTarget) now() float64 { return o.fronts[0].requests.Clock.NowMillis() }
+// ejectionFile is where a server's ejection is kept.
+func (o *adminTarget) ejectionFile(id string) string {
+	return filepath.Join(o.ejectionsDir, manualeject.FileName(id))
+}
 
-// knowsServer tells whether any front has ever had the server in its list. The caller holds the lock.
+// nowMillis is the relay's time.
+func (o *adminTarget) nowMillis() float64 { return o.fronts[0].requests.Clock.NowMillis() }
+
+// knowsServer tells whether any front has ever had the server in its endpoint list. The caller holds the
+// lock.
 func (o *adminTarget) knowsServer(id string) bool {
-	for _, r := range o.fronts {
-		if r.requests.EverListed(id) {
+	for _, front := range o.fronts {
+		if front.requests.EverListed(id) {
 			return true
 		}
 	}
 	return false
 }
 
-// applyEjections tells every front the bans. The caller holds the lock.
+// applyEjections hands the ejections to every front. The caller holds the lock.
 func (o *adminTarget) applyEjections() {
-	out := o.ejections.Set()
-	for _, r := range o.fronts {
-		r.requests.SetManualEjections(out)
+	ejected := o.ejections.Set()
+	for _, front := range o.fronts {
+		front.requests.SetManualEjections(ejected)
 	}
 }
 
-// followEjections reads the kept bans every lookEvery until ctx ends: another process of the relay may have changed them.
+// followEjections reads the kept ejections every ejectionPollInterval until ctx ends: another process of the
+// relay may have changed them.
 func (o *adminTarget) followEjections(ctx context.Context) {
 	clock := o.fronts[0].requests.Clock
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-clock.AfterMillis(ejectionPollInterval):
+		case <-clock.After(ejectionPollInterval):
 		}
 		o.reloadEjections()
 	}
 }
 
-// reloadEjections reads the kept bans, and tells the fronts if they have changed.
+// reloadEjections reads the kept ejections, and tells the fronts if they have changed.
 func (o *adminTarget) reloadEjections() {
-	o.mu.Lock() // before the folder is read: a ban of this process's own must not be undone by an older look
+	// Before the folder is read: an ejection of this process's own must not be undone by an older reading.
+	o.mu.Lock()
 	defer o.mu.Unlock()
 	entries, err := os.ReadDir(o.ejectionsDir)
 	if err != nil {
-		o.log.Error().Err(err).Msg("the bans kept cannot be read; those known stay")
+		o.log.Error().Err(err).
+			Msg("kept ejections cannot be read, those known stay in force: mend the folder in $TMPDIR")
 		return
 	}
 	var ids []string
-	for _, e := range entries {
-		if id, ok := manualeject.IDFromFileName(e.Name()); ok {
+	for _, entry := range entries {
+		if id, ok := manualeject.IDFromFileName(entry.Name()); ok {
 			ids = append(ids, id)
 		}
 	}
 	sort.Strings(ids)
-	if o.ejections.Replace(o.now(), ids) {
-		o.log.Info().Strs("out", ids).Msg("tile servers out by hand")
+	if o.ejections.Replace(o.nowMillis(), ids) {
+		o.log.Info().Strs("out", ids).Msg("servers ejected by hand")
 		o.applyEjections()
 	}
 }
--- a/internal/lifecycle/listen.go
+++ b/internal/lifecycle/listen.go
@@ -9,8 +9,8 @@
 // listen returns the listener for the clients' address, and whether it was inherited.
 //
 // Where the platform holds the socket ($LB_FD), binding the address again would fail with "address already in
-// use": every process of the relay, the old and the new one of an upgrade, serves on the same socket and its one
-// queue of connections. The listener takes a copy of the descriptor, and the one handed over is closed.
+// use": every process of the relay, the old and the new one of an upgrade, serves on the same socket and its
+// one queue of connections. The listener takes a copy of the descriptor, and the one handed over is closed.
 func listen(c *Config) (net.Listener, bool, error) {
 	if c.FD < 0 {
 		l, err := net.Listen("tcp", c.Listen)
--- a/internal/lifecycle/members_config.go
+++ b/internal/lifecycle/members_config.go
@@ -7,7 +7,8 @@
 	"strconv"
 )
 
-// MembersConfig is the operator's file for relays that know each other; deploy/members.toml says what each key means.
+// MembersConfig is the operator's file for relays that know each other; deploy/members.toml says what each
+// key means.
 type MembersConfig struct {
 	Site        string   `toml:"site"`
 	Bind        string   `toml:"bind"`
@@ -24,61 +25,86 @@
 	keys [][]byte
 }
 
-// maxFounders bounds the places of a fleet; so many relays are far beyond what gossip is made for.
-const maxFounders = 10_000
+const (
+	// maxFounders bounds the places of a fleet; so many relays are far beyond what gossip is made for.
+	maxFounders   = 10_000
+	maxSiteBytes  = 100
+	maxSocketPath = 100 // bytes
+)
 
-// ReadMembersConfig reads the file and the keys that it names. The error has every problem, each with its key.
+// ReadMembersConfig reads the file and the keys that it names. The error joins a *ConfigError for each
+// problem.
 func ReadMembersConfig(path string) (*MembersConfig, error) {
 	m := &MembersConfig{ShareProbes: true}
-	f, err := decodeFile(path, m)
+	problems, err := decodeFile(path, m)
 	if err != nil {
 		return nil, err
 	}
-	bad := f.addIf
-	bad(m.Site == "" || len(m.Site) > 100, "site: from 1 to 100 bytes; relays of other sites are never merged with")
+	problems.addIf(m.Site == "" || len(m.Site) > maxSiteBytes, "site",
+		"from 1 to %d bytes; relays of other sites are never merged with", maxSiteBytes)
+	m.checkAddresses(problems)
+	problems.addIf(!filepath.IsAbs(m.State), "state", "%q is not a path from / on", m.State)
+	checkSocket(problems, m.Socket)
+	problems.addIf(m.Founders < 0 || m.Founders > maxFounders, "founders",
+		"from 1 to %d, or 0 for the settings' number", maxFounders)
+	if m.Keys != "" {
+		var err error
+		m.keys, err = readGossipKeys(m.Keys)
+		problems.add("keys", err)
+	}
+	m.checkCells(problems)
+	return m, problems.err()
+}
+
+// checkAddresses finds what is wrong with the addresses of this relay and of the seeds.
+func (m *MembersConfig) checkAddresses(problems *configProblems) {
 	host, err := checkAddress(m.Bind)
-	bad(err != nil, "bind: %v", err)
+	problems.add("bind", err)
 	if err == nil {
-		bad(m.Keys == "" && !net.ParseIP(host).IsLoopback(), "bind: %s is not a loopback address, and without keys no other is allowed", host)
-		bad(net.ParseIP(host).IsUnspecified() && m.Advertise == "", "tell: has to be set where bind is no one address that others can reach")
+		ip := net.ParseIP(host)
+		problems.addIf(m.Keys == "" && !ip.IsLoopback(), "bind",
+			"%s is not a loopback address, and without keys no other is allowed", host)
+		problems.addIf(ip.IsUnspecified() && m.Advertise == "", "tell",
+			"has to be set where bind is no one address that others can reach")
 	}
 	if m.Advertise != "" {
 		_, err := checkAddress(m.Advertise)
-		bad(err != nil, "tell: %v", err)
-	}
-	bad(len(m.Seeds) == 0 && !m.inRegion(), "seeds: at least one is wanted")
-	for i, s := range m.Seeds {
-		_, err := checkAddress(s)
-		bad(err != nil, "seeds: entry %d: %v", i+1, err)
+		problems.add("tell", err)
 	}
-	bad(!filepath.IsAbs(m.State), "state: %q is not a path from / on", m.State)
-	bad(m.Socket != "" && !filepath.IsAbs(m.Socket), "socket: %q is not a path from / on", m.Socket)
-	bad(len(m.Socket) > 100, "socket: over 100 bytes; the kernel takes no more")
-	bad(m.Founders < 0 || m.Founders > maxFounders, "founders: from 1 to %d, or 0 for the settings' number", maxFounders)
-	if m.Keys != "" {
-		var err error
-		m.keys, err = readGossipKeys(m.Keys)
-		bad(err != nil, "keys: %v", err)
+	problems.addIf(len(m.Seeds) == 0 && !m.inRegion(), "seeds", "at least one is wanted")
+	for i, seed := range m.Seeds {
+		if _, err := checkAddress(seed); err != nil {
+			problems.add("seeds", fmt.Errorf("entry %d: %w", i+1, err))
+		}
 	}
-	m.checkCells(f)
-	return m, f.err()
 }
 
-// checkAddress checks host:port, the host an IP checkAddress: there is no name lookup in the way of a relay that starts.
-func checkAddress(s string) (host string, err error) {
-	host, port, err := net.SplitHostPort(s)
-	switch n, bad := strconv.Atoi(port); {
-	case err != nil:
+// checkSocket finds what is wrong with the path of a control socket; "" is none.
+func checkSocket(problems *configProblems, path string) {
+	problems.addIf(path != "" && !filepath.IsAbs(path), "socket", "%q is not a path from / on", path)
+	problems.addIf(len(path) > maxSocketPath, "socket",
+		"over %d bytes; the kernel takes no more", maxSocketPath)
+}
+
+// checkAddress checks host:port, the host an IP address: there is no name lookup in the way of a relay that
+// starts.
+func checkAddress(address string) (host string, err error) {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil {
 		return "", err
-	case net.ParseIP(host) == nil:
-		return "", fmt.Errorf("%q: %q is not an IP address", s, host)
-	case bad != nil || n < 1 || n > 65535:
-		return "", fmt.Errorf("%q: the port is not from 1 to 65535", s)
+	}
+	if net.ParseIP(host) == nil {
+		return "", fmt.Errorf("%q: %q is not an IP address", address, host)
+	}
+	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 {
+		return "", fmt.Errorf("%q: the port is not from 1 to 65535", address)
 	}
 	return host, nil
 }
 
 // restartOnly is what of the file a reload does not take in.
 func (m *MembersConfig) restartOnly() string {
-	return fmt.Sprint(m.Site, m.Bind, m.Advertise, m.Seeds, m.State, m.Socket, m.Zone, m.Founders, m.ShareProbes)
+	return fmt.Sprint(
+		m.Site, m.Bind, m.Advertise, m.Seeds, m.State, m.Socket,
+		m.Zone, m.Founders, m.ShareProbes)
 }
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -16,7 +16,83 @@
 	"capersail/internal/wire/gossip"
 )
 
-// lifecycleState is what a relay tells the others that it does.
+// membersPart is relays that know each other. It joins the platform's front only.
+type membersPart struct {
+	path     string
+	platform *Config
+	config   *MembersConfig
+	gossip   gossip.Config
+	log      zerolog.Logger
+
+	node    *gossip.Node
+	sharing *relay.SharedProbing // nil where each relay probes servers for itself
+	joinErr error
+	control *control.Server    // nil without a socket
+	end     context.CancelFunc // ends the node; nil before start
+}
+
+func newMembersPart(path string, platform *Config, log zerolog.Logger) (part, error) {
+	if platform == nil {
+		return nil, errNeedsPlatform(path, "relays of the platform's front know each other")
+	}
+	config, err := ReadMembersConfig(path)
+	if err != nil {
+		return nil, err
+	}
+	log = log.With().Str("part", "members").Logger()
+	node, err := config.gossipConfig(platform, log)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return &membersPart{path: path, platform: platform, config: config, gossip: node, log: log}, nil
+}
+
+func (p *membersPart) name() string { return "members" }
+
+func (p *membersPart) join(front *frontSeam) {
+	if front.platform == nil {
+		return
+	}
+	c := &p.gossip
+	c.Clock = front.clock
+	c.RefreshEndpoints = front.discovery.RestartWatch
+	c.OnChange = front.notifyChange
+	c.LocalActivity = func() gossip.LocalActivity {
+		return gossip.LocalActivity{
+			Lifecycle:    front.lifecycleState(),
+			Arrivals:     front.requests.Arrivals(),
+			OpenRequests: front.requests.OpenRequests(),
+			ListVersion:  front.discovery.ListVersion(),
+		}
+	}
+	if p.config.ShareProbes {
+		c.OnProbingEvent = func(event probing.Event) { p.sharing.Receive(event) }
+	}
+	p.node, p.joinErr = gossip.New(*c)
+	if p.joinErr != nil {
+		return
+	}
+	front.fleet = p.node
+	if p.config.ShareProbes {
+		quarantined := func(name string) { p.quarantined(front, name) }
+		p.sharing = relay.NewSharedProbing(front.requests, c.Name, c.Seed, p.node, quarantined)
+		front.probeSharing = p.sharing
+	}
+}
+
+// quarantined says that a member's readings are left out.
+func (p *membersPart) quarantined(front *frontSeam, name string) {
+	p.log.Warn().Str("member", name).
+		Msg("member quarantined, its load reports are left out for 30 s: two others contradict them")
+	front.notifyChange(membership.Changed{
+		Kind:  membership.ChangePeer,
+		Name:  name,
+		State: "doubted",
+		Cause: "two others contradict its readings",
+	})
+}
+
+// lifecycleState is what a relay says of itself to the others.
 func (s *frontSeam) lifecycleState() membership.Lifecycle {
 	switch {
 	case s.requests.ShuttingDown():
@@ -29,124 +105,121 @@
 	return membership.Serving
 }
 
-// membersPart is relays that know each other as a part.
-func membersPart(path string, c *Config, log zerolog.Logger) (*part, error) {
-	if c == nil {
-		return nil, fmt.Errorf("%s: LB_CONFIG is not set: only relays of the platform's front know each other", path)
+// start runs the node in a context of its own: it is there until the fronts have left.
+func (p *membersPart) start(context.Context) error {
+	if p.joinErr != nil {
+		return p.joinErr
+	}
+	if p.config.Socket != "" {
+		room := control.Room{Fleet: p.node, Looks: p.sharing.Report, Cells: p.node.Cells}
+		var err error
+		if p.control, err = control.Listen(p.config.Socket, room, p.log); err != nil {
+			return &ConfigError{File: p.path, Key: "socket", Err: err}
+		}
 	}
-	m, err := ReadMembersConfig(path)
+	ctx, end := context.WithCancel(context.Background())
+	p.end = end
+	go p.node.Run(ctx)
+	return nil
+}
+
+func (p *membersPart) metrics() []prometheus.Collector {
+	return []prometheus.Collector{p.node.Collector(), newProbingMetrics(p.sharing.Report)}
+}
+
+func (p *membersPart) reload() (apply func(), err error) {
+	next, err := ReadMembersConfig(p.path)
 	if err != nil {
 		return nil, err
 	}
-	log = log.With().Str("part", "members").Logger()
-	conf, err := m.gossipConfig(c, log)
+	if (len(next.keys) > 0) != (len(p.config.keys) > 0) {
+		return nil, &ConfigError{File: p.path, Key: "keys", Err: errSealingFixed}
+	}
+	err = errors.Join(p.config.checkReload(next), next.checkZones(zoneNames(p.platform)))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("%s: %w", p.path, err)
 	}
-	var node *gossip.Node
-	var door *control.Server
-	var shared *relay.SharedProbing
-	ctx, end := context.WithCancel(context.Background()) // of its own: it is there until the fronts have left
-	started := false
-	p := &part{name: "members"}
-	p.join = func(s *frontSeam) {
-		if s.platform == nil {
-			return
-		}
-		conf.Clock, conf.RefreshEndpoints = s.clock, s.discovery.RestartWatch
-		conf.LocalActivity = func() gossip.LocalActivity {
-			return gossip.LocalActivity{Lifecycle: s.lifecycleState(), Arrivals: s.requests.Arrivals(), OpenRequests: s.requests.OpenRequests(), ListVersion: s.discovery.ListVersion()}
-		}
-		conf.OnChange = s.notifyChange
-		if m.ShareProbes {
-			conf.OnProbingEvent = func(ev probing.Event) { shared.Receive(ev) }
-		}
-		if node, err = gossip.New(conf); err == nil {
-			s.fleet = node
-			if m.ShareProbes {
-				shared = relay.NewSharedProbing(s.requests, conf.Name, conf.Seed, node, func(name string) {
-					log.Warn().Str("member", name).Msg("its readings of servers are left out for 30 s: two others contradict them")
-					s.notifyChange(membership.Changed{Kind: membership.ChangePeer, Name: name, State: "doubted", Cause: "two others contradict its readings"})
-				})
-				s.probeSharing = shared
-			}
+	return func() { p.apply(next) }, nil
+}
+
+var errSealingFixed = errors.New("sealing cannot be switched on or off while the relay runs")
+
+// apply takes a checked file in.
+func (p *membersPart) apply(next *MembersConfig) {
+	if len(next.keys) > 0 {
+		if err := p.node.SetKeys(next.keys); err != nil {
+			p.log.Error().Err(err).
+				Msg("gossip keys not rotated, the old ones stay in force: mend the file, send SIGHUP")
 		}
 	}
-	p.start = func(context.Context) error {
-		if err != nil {
-			return err
-		}
-		if m.Socket != "" {
-			if door, err = control.Listen(m.Socket, control.Room{Fleet: node, Looks: shared.Report, Cells: node.Cells}, log); err != nil {
-				return fmt.Errorf("%s: socket: %w", path, err)
-			}
-		}
-		started = true
-		go node.Run(ctx)
-		return nil
-	}
-	p.reload = func() (func(), error) {
-		n, err := ReadMembersConfig(path)
-		if err != nil {
-			return nil, err
-		}
-		if (len(n.keys) > 0) != (len(m.keys) > 0) {
-			return nil, fmt.Errorf("%s: keys: sealing cannot be switched on or off while the relay runs", path)
-		}
-		if err := errors.Join(m.checkReload(n), n.checkZones(zoneNames(c))); err != nil {
-			return nil, fmt.Errorf("%s: %w", path, err)
-		}
-		return func() {
-			if len(n.keys) > 0 {
-				if err := node.SetKeys(n.keys); err != nil {
-					log.Error().Err(err).Msg("the keys stay as they were")
-				}
-			}
-			if n.Plan != nil {
-				node.SetPlan(n.Cell, *n.Plan)
-				m.cellSettings = n.cellSettings
-			}
-			log.Info().Int("keys", len(n.keys)).Bool("needs_restart", n.restartOnly() != m.restartOnly()).Msg("reloaded members")
-		}, nil
-	}
-	p.leave = func() { node.Leave() }
-	p.metrics = func() prometheus.Collector { return collectors{node.Collector(), newProbingMetrics(shared.Report)} }
-	p.stop = func() {
-		if door != nil {
-			door.Close()
-			os.Remove(m.Socket)
-		}
-		if end(); started {
-			node.Wait()
-		}
+	if next.Plan != nil {
+		p.node.SetPlan(next.Cell, *next.Plan)
+		p.config.cellSettings = next.cellSettings
 	}
-	return p, nil
+	p.log.Info().
+		Int("keys", len(next.keys)).
+		Bool("needs_restart", next.restartOnly() != p.config.restartOnly()).
+		Msg("reloaded members")
 }
 
-// gossipConfig is what the file and the settings make of a relay.
-func (m *MembersConfig) gossipConfig(c *Config, log zerolog.Logger) (gossip.Config, error) {
-	set := c.Deployment.Settings
-	g := gossip.Config{Name: c.Name, Site: m.Site, Zone: m.Zone, Bind: m.Bind, Advertise: m.Advertise, Seeds: m.Seeds, Keys: m.keys, State: m.State,
-		InitialPlace: set.RelayIndex, Founders: m.Founders, Relays: max(set.Relays, 1), Seed: c.Seed, Log: log}
-	if g.Founders == 0 {
-		g.Founders = g.Relays
-	}
-	if g.Zone == "" {
-		for name, z := range c.Deployment.Zones {
-			if z == set.Zone {
-				g.Zone = name
-			}
-		}
+func (p *membersPart) leave() { p.node.Leave() }
+
+func (p *membersPart) stop() {
+	if p.control != nil {
+		p.control.Close()
+		os.Remove(p.config.Socket)
+	}
+	if p.end != nil {
+		p.end()
+		p.node.Wait()
+	}
+}
+
+// gossipConfig is what the file and the settings make of a relay. An error is a *ConfigError without a file.
+func (m *MembersConfig) gossipConfig(platform *Config, log zerolog.Logger) (gossip.Config, error) {
+	settings := platform.Deployment.Settings
+	relays := max(settings.Relays, 1)
+	c := gossip.Config{
+		Name:         platform.Name,
+		Site:         m.Site,
+		Zone:         m.Zone,
+		Zones:        platform.Deployment.Zones,
+		Bind:         m.Bind,
+		Advertise:    m.Advertise,
+		Seeds:        m.Seeds,
+		Keys:         m.keys,
+		State:        m.State,
+		InitialPlace: settings.RelayIndex,
+		Founders:     m.Founders,
+		Relays:       relays,
+		Seed:         platform.Seed,
+		Log:          log,
+	}
+	if c.Founders == 0 {
+		c.Founders = relays
+	}
+	if c.Zone == "" {
+		c.Zone = zoneName(platform)
 	}
 	if m.Plan != nil {
-		if err := m.checkZones(zoneNames(c)); err != nil {
-			return g, err
+		if err := m.checkZones(zoneNames(platform)); err != nil {
+			return c, err
 		}
-		m.configureCell(&g)
+		m.configureCell(&c)
 	}
-	g.Zones = c.Deployment.Zones
 	if !gossip.ValidName(c.Name) {
-		return g, fmt.Errorf("name: %q of the platform's file cannot be a member's: 1 to 128 bytes that print are wanted", c.Name)
+		return c, keyError("name",
+			"%q of the platform's file cannot be a member's: 1 to 128 bytes that print are wanted", c.Name)
+	}
+	return c, nil
+}
+
+// zoneName is the name of the relay's own zone by the settings, "" if they give none.
+func zoneName(platform *Config) (own string) {
+	for name, zone := range platform.Deployment.Zones {
+		if zone == platform.Deployment.Settings.Zone {
+			own = name
+		}
 	}
-	return g, nil
+	return own
 }
--- a/internal/lifecycle/members_test.go
+++ b/internal/lifecycle/members_test.go
@@ -1,6 +1,7 @@
 package lifecycle
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -15,7 +16,7 @@
 `
 
 // Each mistake in the file of members is one line that names its key, and all of them are found at once.
-func TestReadMembers(t *testing.T) {
+func TestMembersFileProblemsNameTheirKeys(t *testing.T) {
 	dir := t.TempDir()
 	keys := func(text string, mode os.FileMode) string {
 		path := filepath.Join(dir, strings.ReplaceAll(t.Name(), "/", "-")+".keys")
@@ -36,7 +37,8 @@
 		t.Errorf("%+v, %v", m, err)
 	}
 	one, two := "AAAAAAAAAAAAAAAAAAAAAA==", "AQAAAAAAAAAAAAAAAAAAAA=="
-	if m, err := read(goodMembers + `keys = "` + keys("# seals\n"+one+"\n\n"+two+"\n", 0o600) + `"`); err != nil || len(m.keys) != 2 {
+	withKeys := goodMembers + `keys = "` + keys("# seals\n"+one+"\n\n"+two+"\n", 0o600) + `"`
+	if m, err := read(withKeys); err != nil || len(m.keys) != 2 {
 		t.Errorf("%+v, %v", m, err)
 	}
 	for want, change := range map[string][2]string{
@@ -64,15 +66,25 @@
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	for want, text := range map[string]string{"line 2: not base64": one + "\n???\n", "line 1: 3 bytes": "AAAA\n", "line 2: the key is there twice": one + "\n" + one, "no key": "# none\n"} {
-		path := keys(text, 0o600)
-		if _, err := readGossipKeys(path); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), one) {
+	for want, text := range map[string]string{
+		"line 2: not base64":             one + "\n???\n",
+		"line 1: 3 bytes":                "AAAA\n",
+		"line 2: the key is there twice": one + "\n" + one,
+		"no key":                         "# none\n",
+	} {
+		_, err := readGossipKeys(keys(text, 0o600))
+		if !strings.Contains(errText(err), want) || strings.Contains(errText(err), one) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	if _, err := read("founders = -1\nsite = \"\"\nbind = \"x\"\n"); strings.Count(errText(err), "\n") != 4 {
+	_, err := read("founders = -1\nsite = \"\"\nbind = \"x\"\n")
+	if strings.Count(errText(err), "\n") != 4 {
 		t.Errorf("not all mistakes at once: %v", err)
 	}
+	var problem *ConfigError
+	if !errors.As(err, &problem) || problem.Key != "site" || filepath.Base(problem.File) != "members.toml" {
+		t.Errorf("the first problem is no ConfigError with its file and key: %+v", problem)
+	}
 }
 
 func errText(err error) string {
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -13,16 +13,39 @@
 	"capersail/internal/wire/platform"
 )
 
-// part is a subsystem beside the fronts, with a file of its own. What it has no use for is nil.
-type part struct {
-	name   string
-	join   func(s *frontSeam)               // to each front, before it serves
-	start  func(ctx context.Context) error  // once all fronts are joined
-	reload func() (apply func(), err error) // reads and checks first; nothing has changed if it fails
-	leave  func()                           // after the fronts have left
-	stop   func()                           // at the very end
-	// figures are shown on the second address, where that is on.
-	metrics func() prometheus.Collector
+// part is a subsystem beside the fronts, with an operator's file of its own. Its settings are read and
+// checked before there is a part at all (readParts). The methods are called in the order in which they stand,
+// each once; reload any number of times between start and leave.
+type part interface {
+	// name is for the log and for errors.
+	name() string
+	// join adds the part to a front, before that serves.
+	join(front *frontSeam)
+	// start begins the part's work, once all fronts are joined. What it starts ends in stop, whatever becomes
+	// of ctx.
+	start(ctx context.Context) error
+	// metrics are shown on the admin address, where that is on.
+	metrics() []prometheus.Collector
+	// reload reads the file again and checks it. Nothing has changed before apply is called, or if it fails;
+	// a nil apply stands for a part that cannot change while the relay runs.
+	reload() (apply func(), err error)
+	// leave follows the shutdown of the fronts.
+	leave()
+	// stop ends the part, at the very end; also one that was never started.
+	stop()
+}
+
+// noPart is what a part has in common that only joins and starts, to be embedded.
+type noPart struct{}
+
+func (noPart) metrics() []prometheus.Collector { return nil }
+func (noPart) reload() (func(), error)         { return nil, nil }
+func (noPart) leave()                          {}
+func (noPart) stop()                           {}
+
+// errNeedsPlatform is a part's file without the platform's front, which alone does such a thing.
+func errNeedsPlatform(path, only string) error {
+	return fmt.Errorf("%s: LB_CONFIG is not set: only %s", path, only)
 }
 
 // frontSeam is a front as a part may join it.
@@ -31,48 +54,37 @@
 	relay           string // the relay's name
 	requests        *relay.RequestTable
 	clock           *relay.Clock
-	platform        *platform.Front // nil for other fronts
-	deployment      *relay.Deployment
+	platform        *platform.Front      // nil for other fronts
 	discovery       *discovery.Client    // nil for other fronts
 	fleet           relay.FleetView      // a part's to set; nil where relays do not know each other
-	probeSharing    *relay.SharedProbing // the same; nil where each looks at servers for itself
+	probeSharing    *relay.SharedProbing // the same; nil where each probes servers for itself
 	changeListeners []func(membership.Changed)
 }
 
-// notifyChange tells the parts that asked for it of a change in the fleet.
-func (s *frontSeam) notifyChange(c membership.Changed) {
-	for _, f := range s.changeListeners {
-		f(c)
+// notifyChange hands a change in the fleet to the parts that listen.
+func (s *frontSeam) notifyChange(change membership.Changed) {
+	for _, listen := range s.changeListeners {
+		listen(change)
 	}
 }
 
 // partList is the parts that are on.
-type partList []*part
-
-// metrics are those of all parts.
-func (all partList) metrics() (out []prometheus.Collector) {
-	for _, p := range all {
-		if p.metrics != nil {
-			out = append(out, p.metrics())
-		}
-	}
-	return out
-}
+type partList []part
 
-// readParts reads the files of all readParts that are on. It is the one place where the readParts are listed.
+// readParts reads the files of all parts that are on. It is the one place where the parts are listed.
 func readParts(from Sources, c *Config, log zerolog.Logger) (all partList, err error) {
-	for _, p := range []struct {
+	for _, kind := range []struct {
 		file string
-		read func(path string, c *Config, log zerolog.Logger) (*part, error)
+		read func(path string, c *Config, log zerolog.Logger) (part, error)
 	}{
-		{from.Resume, resumePart},
-		{from.Timeline, timelinePart},
-		{from.Members, membersPart},
+		{from.Resume, newResumePart},
+		{from.Timeline, newTimelinePart},
+		{from.Members, newMembersPart},
 	} {
-		if p.file == "" {
+		if kind.file == "" {
 			continue
 		}
-		one, err := p.read(p.file, c, log)
+		one, err := kind.read(kind.file, c, log)
 		if err != nil {
 			return nil, err
 		}
@@ -81,51 +93,50 @@
 	return all, nil
 }
 
-func (all partList) join(s *frontSeam) {
+func (all partList) join(front *frontSeam) {
 	for _, p := range all {
-		if p.join != nil {
-			p.join(s)
-		}
+		p.join(front)
 	}
 }
 
+// start starts the parts in their order, up to the first that fails.
 func (all partList) start(ctx context.Context) error {
 	for _, p := range all {
-		if p.start != nil {
-			if err := p.start(ctx); err != nil {
-				return fmt.Errorf("%s: %w", p.name, err)
-			}
+		if err := p.start(ctx); err != nil {
+			return fmt.Errorf("%s: %w", p.name(), err)
 		}
 	}
 	return nil
 }
 
+func (all partList) metrics() (out []prometheus.Collector) {
+	for _, p := range all {
+		out = append(out, p.metrics()...)
+	}
+	return out
+}
+
+// reload has each part take its file in; a file that cannot be used changes nothing for its part.
 func (all partList) reload(log zerolog.Logger) {
 	for _, p := range all {
-		if p.reload == nil {
-			continue
-		}
 		apply, err := p.reload()
-		if err != nil {
-			log.Error().Err(err).Str("part", p.name).Msg("the new configuration cannot be used; the old one stays in force")
-			continue
+		switch {
+		case err != nil:
+			log.Error().Err(err).Str("part", p.name()).Msg(configRejected)
+		case apply != nil:
+			apply()
 		}
-		apply()
 	}
 }
 
 func (all partList) leave() {
 	for _, p := range all {
-		if p.leave != nil {
-			p.leave()
-		}
+		p.leave()
 	}
 }
 
 func (all partList) stop() {
 	for _, p := range all {
-		if p.stop != nil {
-			p.stop()
-		}
+		p.stop()
 	}
 }
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -13,52 +13,106 @@
 	"capersail/internal/wire/platform"
 )
 
-// startPlatform starts the platform's front.
-func startPlatform(ctx context.Context, from Sources, c *Config, all partList, log zerolog.Logger) (*runningFront, error) {
-	// The simulator's note of slow messages has no line on the sockets: under a load of 1.3 the clients' own
-	// lines still come back within 0.3 ms. The module is to know that a reading is all it will get.
+// startPlatform starts the platform's front with an event loop and a client of discovery of its own, which
+// end with ctx.
+func startPlatform(
+	ctx context.Context, from Sources, c *Config, parts partList, log zerolog.Logger,
+) (*runningFront, error) {
+	// The simulator's note of slow messages has no line on the sockets: the decision module is to know that a
+	// load report is all it will get.
 	c.Deployment.Settings.ReportsMessageDelay = false
+	settings := c.Deployment.Settings
 	clock := relay.NewClock()
-	servers := &platform.Servers{Clock: clock, ConnectTimeout: relay.Millis(c.Deployment.Settings.ConnectTimeout), LoadKey: c.Deployment.LoadField, Keep: probeSockets}
-	x := relay.NewRequestTable(c.Deployment, clock, servers)
-	x.Log = log.Sample(&zerolog.BurstSampler{Burst: rejectionLogBurst, Period: time.Second})
-	lister := discovery.NewClient(c.Discovery, x, log)
-	lister.Pushed = !c.Deployment.Settings.MustSubscribe
-	l, inherited, err := listen(c)
+	requests := newPlatformRequests(c, clock, log)
+	endpoints := discovery.NewClient(c.Discovery, requests, log)
+	endpoints.Pushed = !settings.MustSubscribe
+	listener, inherited, err := listen(c)
 	if err != nil {
 		return nil, err
 	}
-	door := connlimit.New(clock, connectionCapacity(c.Sockets, c.Admin != ""), log)
-	front := &platform.Front{X: x, Site: c.Deployment, Gate: door}
-	joint := &frontSeam{front: "platform", relay: c.Name, requests: x, clock: clock, platform: front, deployment: c.Deployment, discovery: lister}
-	all.join(joint)
-	askWithin := 0.0
-	if c.Deployment.Settings.MustSubscribe {
-		askWithin = relay.Millis(c.Deployment.Settings.Rules.PollWithin)
+	limiter := connlimit.New(clock, connectionCapacity(c.Sockets, c.Admin != ""), log)
+	front := &platform.Front{X: requests, Site: c.Deployment, Gate: limiter}
+	seam := &frontSeam{
+		front:     "platform",
+		relay:     c.Name,
+		requests:  requests,
+		clock:     clock,
+		platform:  front,
+		discovery: endpoints,
 	}
-	x.LeaseEndpointList(askWithin)
-	x.UpdateEndpoints(decide.Cached, c.CachedList.Endpoints)
-	if inherited && !lister.Pushed { // in an upgrade this relay starts alone: it need not wait for its turn
-		lister.Watch()
+	parts.join(seam)
+	leaseEndpoints(requests, c)
+	if inherited && !endpoints.Pushed {
+		endpoints.Watch() // in an upgrade this relay starts alone: it need not wait for its turn
 	}
-	go lister.Run(ctx, c.CachedList.Version)
-	core := relay.NewEventLoop(x, c.Seed, lister, log)
-	core.FleetView, core.SharedProbing = joint.fleet, joint.probeSharing
-	go core.Run(ctx)
-	r := &runningFront{requests: x, listener: l, inherited: inherited, limiter: door, serveFailed: make(chan error, 1), longestDeadline: longestDeadline(c.Deployment)}
-	r.reload = func() error {
-		n, err := ReadConfig(from.Getenv, log)
-		if err != nil {
-			return err
-		}
-		lister.SetAddress(n.Discovery)
-		applyRuntimeLimits(n)
-		door.SetDescriptorLimit(connectionCapacity(n.Sockets, c.Admin != ""))
-		log.Info().Str("discovery", n.Discovery).Int("memory_mb", n.MemoryMB).Int("sockets", n.Sockets).
-			Bool("needs_restart", n.Name != c.Name || n.Listen != c.Listen || n.settingsText != c.settingsText).Msg("reloaded")
-		return nil
+	go endpoints.Run(ctx, c.CachedList.Version)
+	loop := relay.NewEventLoop(requests, c.Seed, endpoints, log)
+	loop.FleetView, loop.SharedProbing = seam.fleet, seam.probeSharing
+	go loop.Run(ctx)
+	r := &runningFront{
+		requests:        requests,
+		listener:        listener,
+		inherited:       inherited,
+		limiter:         limiter,
+		serveFailed:     make(chan error, 1),
+		longestDeadline: longestDeadline(c.Deployment),
 	}
-	go func() { r.serveFailed <- front.Serve(l) }()
-	log.Info().Str("name", c.Name).Str("listen", l.Addr().String()).Bool("inherited", inherited).Int("servers", len(c.CachedList.Endpoints)).Msg("serving")
+	r.reload = func() error { return reloadPlatform(from, c, endpoints, limiter, log) }
+	go func() { r.serveFailed <- front.Serve(listener) }()
+	log.Info().
+		Str("name", c.Name).
+		Str("listen", listener.Addr().String()).
+		Bool("inherited", inherited).
+		Int("servers", len(c.CachedList.Endpoints)).
+		Msg("serving")
 	return r, nil
 }
+
+// newPlatformRequests makes the request table with the side that opens connections to servers.
+func newPlatformRequests(c *Config, clock *relay.Clock, log zerolog.Logger) *relay.RequestTable {
+	servers := &platform.Servers{
+		Clock:          clock,
+		ConnectTimeout: relay.Millis(c.Deployment.Settings.ConnectTimeout),
+		LoadKey:        c.Deployment.LoadField,
+		Keep:           probeSockets,
+	}
+	requests := relay.NewRequestTable(c.Deployment, clock, servers)
+	requests.Log = log.Sample(&zerolog.BurstSampler{Burst: rejectionLogBurst, Period: time.Second})
+	return requests
+}
+
+// leaseEndpoints begins the lease of the endpoint list, and takes in the list held last.
+func leaseEndpoints(requests *relay.RequestTable, c *Config) {
+	pollWithin := 0.0
+	if c.Deployment.Settings.MustSubscribe {
+		pollWithin = relay.Millis(c.Deployment.Settings.Rules.PollWithin)
+	}
+	requests.LeaseEndpointList(pollWithin)
+	requests.UpdateEndpoints(decide.Cached, c.CachedList.Endpoints)
+}
+
+// reloadPlatform takes in what of the file can change while the relay runs: discovery's address and the
+// limits.
+func reloadPlatform(
+	from Sources, c *Config, endpoints *discovery.Client, limiter *connlimit.Limiter, log zerolog.Logger,
+) error {
+	next, err := ReadConfig(from.Getenv, log)
+	if err != nil {
+		return err
+	}
+	endpoints.SetAddress(next.Discovery)
+	applyRuntimeLimits(next)
+	limiter.SetDescriptorLimit(connectionCapacity(next.Sockets, c.Admin != ""))
+	log.Info().
+		Str("discovery", next.Discovery).
+		Int("memory_mb", next.MemoryMB).
+		Int("sockets", next.Sockets).
+		Bool("needs_restart", c.needsRestart(next)).
+		Msg("reloaded")
+	return nil
+}
+
+// needsRestart tells whether a file has values that a reload does not take in.
+func (c *Config) needsRestart(next *Config) bool {
+	return next.Name != c.Name || next.Listen != c.Listen || next.settingsText != c.settingsText
+}
--- a/internal/lifecycle/probing_metrics.go
+++ b/internal/lifecycle/probing_metrics.go
@@ -6,13 +6,14 @@
 	"capersail/internal/fleet/probing"
 )
 
-// probingMetrics is the collector of what is known of looks at servers by turns. Each is read when it is asked for.
+// probingMetrics is the collector of what is known of probes that relays share: each server has its probers,
+// who gossip their readings. Each metric is read when it is asked for.
 //
 //	relay_looks_relays                 gauge    that share readings, this one too; 1 for nobody else
-//	relay_looks_total                  counter  looks at servers by turns
+//	relay_looks_total                  counter  probes made for all
 //	relay_looks_taken_total            counter  readings of others that were new here
 //	relay_looks_left_out_total{reason} counter  readings of others that were left out
-//	relay_looks_doubted                gauge    relays whose readings are left out
+//	relay_looks_doubted                gauge    quarantined relays, whose readings are left out
 type probingMetrics struct {
 	report                                      func() (probing.Report, bool)
 	relays, probes, taken, dropped, quarantined *prometheus.Desc
@@ -23,11 +24,13 @@
 		return prometheus.NewDesc("relay_looks"+name, help, labels, nil)
 	}
 	return &probingMetrics{report: report,
-		relays:      d("_relays", "Relays that share readings, this one too."),
-		probes:      d("_total", "Looks at servers by turns."),
-		taken:       d("_taken_total", "Readings of other relays that were new here."),
-		dropped:     d("_left_out_total", "Readings of other relays that were left out, by reason.", "reason"),
-		quarantined: d("_doubted", "Relays whose readings are left out, as two others contradict them."),
+		relays: d("_relays", "Relays that share readings, this one too."),
+		probes: d("_total", "Probes of servers made for all relays."),
+		taken:  d("_taken_total", "Readings of other relays that were new here."),
+		dropped: d("_left_out_total",
+			"Readings of other relays that were left out, by reason.", "reason"),
+		quarantined: d("_doubted",
+			"Quarantined relays, whose readings are left out as two others contradict them."),
 	}
 }
 
@@ -58,20 +61,3 @@
 	}
 	gauge(f.quarantined, float64(len(r.Quarantined)))
 }
-
-// collectors are several as one.
-type collectors []prometheus.Collector
-
-// Describe is the collector's.
-func (all collectors) Describe(ch chan<- *prometheus.Desc) {
-	for _, c := range all {
-		c.Describe(ch)
-	}
-}
-
-// Collect is the collector's.
-func (all collectors) Collect(ch chan<- prometheus.Metric) {
-	for _, c := range all {
-		c.Collect(ch)
-	}
-}
--- a/internal/lifecycle/resume_part.go
+++ b/internal/lifecycle/resume_part.go
@@ -2,57 +2,80 @@
 
 import (
 	"context"
-	"fmt"
 
 	"github.com/rs/zerolog"
 
 	"capersail/internal/resume"
 )
 
-// ownershipCloseTimeout is how long the end of the session with the claim service is waited for, in ms; it ends by itself
-// too, but later.
+// ownershipCloseTimeout is how long the end of the session with the ownership service is waited for, in ms;
+// it ends by itself too, but later.
 const ownershipCloseTimeout = 150.0
 
-// resumePart is moving with a token as a part.
-func resumePart(path string, c *Config, log zerolog.Logger) (*part, error) {
-	if c == nil {
-		return nil, fmt.Errorf("%s: LB_CONFIG is not set: only the platform's front moves with a token", path)
+// resumePart is moving with a token. It joins the platform's front only.
+type resumePart struct {
+	noPart
+	path    string
+	config  *ResumeConfig
+	log     zerolog.Logger
+	service *resume.Service
+}
+
+func newResumePart(path string, platform *Config, log zerolog.Logger) (part, error) {
+	if platform == nil {
+		return nil, errNeedsPlatform(path, "the platform's front moves with a token")
 	}
-	t, err := ReadResumeConfig(path)
+	config, err := ReadResumeConfig(path)
 	if err != nil {
 		return nil, err
 	}
-	log = log.With().Str("part", "resume").Logger()
-	var service *resume.Service
-	return &part{
-		name: "resume",
-		join: func(s *frontSeam) {
-			if s.platform != nil {
-				service = resume.New(t.serviceConfig(s.relay), t.keyRing, s.clock, log)
-				s.platform.Resume = service
-			}
-		},
-		start: func(ctx context.Context) error {
-			go service.Run(ctx)
-			return nil
-		},
-		reload: func() (func(), error) {
-			n, err := ReadResumeConfig(path)
-			if err != nil {
-				return nil, err
-			}
-			return func() {
-				service.SetKeys(n.keyRing)
-				service.SetServers(n.Servers)
-				log.Info().Str("sealing", n.keyRing.SealingKeyID()).Strs("claims", n.Servers).
-					Bool("needs_restart", n.restartOnly() != t.restartOnly()).Msg("reloaded resume")
-			}, nil
-		},
-		leave: func() { service.Close(ownershipCloseTimeout) },
+	return &resumePart{path: path, config: config, log: log.With().Str("part", "resume").Logger()}, nil
+}
+
+func (p *resumePart) name() string { return "resume" }
+
+func (p *resumePart) join(front *frontSeam) {
+	if front.platform == nil {
+		return
+	}
+	p.service = resume.New(p.config.serviceConfig(front.relay), p.config.keyRing, front.clock, p.log)
+	front.platform.Resume = p.service
+}
+
+func (p *resumePart) start(ctx context.Context) error {
+	go p.service.Run(ctx)
+	return nil
+}
+
+func (p *resumePart) reload() (apply func(), err error) {
+	next, err := ReadResumeConfig(p.path)
+	if err != nil {
+		return nil, err
+	}
+	return func() {
+		p.service.SetKeys(next.keyRing)
+		p.service.SetServers(next.Servers)
+		p.log.Info().
+			Str("sealing", next.keyRing.SealingKeyID()).
+			Strs("claims", next.Servers).
+			Bool("needs_restart", next.restartOnly() != p.config.restartOnly()).
+			Msg("reloaded resume")
 	}, nil
 }
 
-func (t *ResumeConfig) serviceConfig(relay string) resume.Config {
-	return resume.Config{Relay: relay, Servers: t.Servers, Path: t.Path, SessionTimeout: t.SessionMs, AcquireTimeout: t.ClaimMs,
-		TokenLifetime: t.LifeMs, TokenRenewInterval: t.RenewMs, MaxClockSkew: t.SkewMs, SweepInterval: t.SweepMs, AllServersResume: t.EveryServer}
+func (p *resumePart) leave() { p.service.Close(ownershipCloseTimeout) }
+
+func (c *ResumeConfig) serviceConfig(relay string) resume.Config {
+	return resume.Config{
+		Relay:              relay,
+		Servers:            c.Servers,
+		Path:               c.Path,
+		SessionTimeout:     c.SessionMs,
+		AcquireTimeout:     c.AcquireMs,
+		TokenLifetime:      c.TokenLifetimeMs,
+		TokenRenewInterval: c.TokenRenewMs,
+		MaxClockSkew:       c.MaxClockSkewMs,
+		SweepInterval:      c.SweepEveryMs,
+		AllServersResume:   c.AllServersResume,
+	}
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -12,121 +12,166 @@
 	"capersail/internal/admin"
 )
 
+// configRejected is logged for a file that SIGHUP has found unusable.
+const configRejected = "new configuration rejected, the old one stays in force: " +
+	"mend the file and send SIGHUP again"
+
 // Sources say where the configuration comes from.
 type Sources struct {
-	Getenv   func(string) string // for LB_CONFIG, which names the platform's file, and what stands in for its keys
-	XMPP     string              // the operator's file for the XMPP front; off if empty
-	Resume   string              // the operator's file for moving with a token; off if empty
-	Timeline string              // the operator's file for time lines; off if empty
-	Members  string              // the operator's file for relays that know each other; off if empty
+	// Getenv is asked for LB_CONFIG, which names the platform's file, and for what stands in for its keys.
+	Getenv func(string) string
+
+	// The operators' files; what has none is off.
+
+	XMPP     string // the XMPP front
+	Resume   string // moving with a token
+	Timeline string // time lines of servers
+	Members  string // relays that know each other
 }
 
-// Run serves until SIGTERM or SIGINT, then moves everyone, answers what is held, and returns. At SIGHUP
-// it reads its files again. Either of the two fronts may be absent.
+// Run serves until SIGTERM or SIGINT, then migrates everyone, answers pending requests, and returns. At
+// SIGHUP it reads its files again. Either of the two fronts may be absent. An error is a *ConfigError, a part
+// or a front that cannot start, or a listener that has failed.
 func Run(ctx context.Context, from Sources, signals <-chan os.Signal, log zerolog.Logger) error {
-	var c *Config
-	var o *XMPPConfig
-	var err error
-	if from.XMPP != "" {
-		if o, err = ReadXMPPConfig(from.XMPP); err != nil {
-			return err
-		}
-	}
-	if from.XMPP == "" || from.Getenv("LB_CONFIG") != "" {
-		if c, err = ReadConfig(from.Getenv, log); err != nil {
-			return err
-		}
-	}
-	all, err := readParts(from, c, log)
-	if err != nil {
+	p := &process{from: from, log: log, serveFailed: make(chan error, 2)}
+	if err := p.readConfigs(); err != nil {
 		return err
 	}
-	applyRuntimeLimits(c)
+	applyRuntimeLimits(p.platform)
 	ctx, stop := context.WithCancel(ctx)
-	defer all.stop()
+	defer p.parts.stop()
 	defer stop()
+	if err := p.start(ctx); err != nil {
+		return err
+	}
+	if err := p.followSignals(ctx, signals); err != nil {
+		return err
+	}
+	p.shutDown(signals)
+	return nil
+}
 
-	var relays []*runningFront
-	failed := make(chan error, 2)
-	add := func(r *runningFront, err error) error {
-		if err != nil {
+// process is the relay's process: its configuration, fronts and parts.
+type process struct {
+	from     Sources
+	log      zerolog.Logger
+	platform *Config     // nil without the platform's front
+	xmpp     *XMPPConfig // nil without the XMPP front
+	parts    partList
+
+	fronts      []*runningFront
+	serveFailed chan error // has the error that ended a front's listener
+}
+
+// readConfigs reads and checks all files.
+func (p *process) readConfigs() (err error) {
+	if p.from.XMPP != "" {
+		if p.xmpp, err = ReadXMPPConfig(p.from.XMPP); err != nil {
 			return err
 		}
-		relays = append(relays, r)
-		go func() { failed <- <-r.serveFailed }()
-		return nil
 	}
-	if c != nil {
-		if err := add(startPlatform(ctx, from, c, all, log)); err != nil {
+	if p.from.XMPP == "" || p.from.Getenv("LB_CONFIG") != "" {
+		if p.platform, err = ReadConfig(p.from.Getenv, p.log); err != nil {
 			return err
 		}
 	}
-	if o != nil {
-		if err := add(startXMPP(ctx, from, o, all, log)); err != nil {
-			return fmt.Errorf("xmpp: %w", err)
+	p.parts, err = readParts(p.from, p.platform, p.log)
+	return err
+}
+
+// start starts the fronts, joined by the parts, then the parts, then the admin address.
+func (p *process) start(ctx context.Context) error {
+	if p.platform != nil {
+		front, err := startPlatform(ctx, p.from, p.platform, p.parts, p.log)
+		if err != nil {
+			return err
 		}
+		p.add(front)
 	}
-	if err := all.start(ctx); err != nil {
-		return err
-	}
-	if c != nil && c.Admin != "" {
-		o, err := startAdmin(ctx, c.Admin, relays, []admin.Front{{Source: relays[0].requests, Classes: classNames(c.Deployment)}}, all.metrics(), log)
+	if p.xmpp != nil {
+		front, err := startXMPP(ctx, p.from, p.xmpp, p.parts, p.log)
 		if err != nil {
-			return err
+			return fmt.Errorf("xmpp: %w", err)
 		}
-		o.serving.Store(true)
+		p.add(front)
 	}
-	if err := waitForShutdown(ctx, relays, all, signals, failed, log); err != nil {
+	if err := p.parts.start(ctx); err != nil {
 		return err
 	}
-	left := make(chan struct{})
-	go func() {
-		var fronts sync.WaitGroup
-		for _, r := range relays {
-			fronts.Go(func() {
-				if r.inherited { // the successor accepts from the same queue: nothing that comes is turned back
-					// Not waited for: where whoever else holds the socket has made it blocking, an accept in
-					// progress holds the close until a connection comes.
-					go r.listener.Close()
-				}
-				shutDownFront(r)
-				r.listener.Close()
-			})
-		}
-		fronts.Wait()
-		all.leave()
-		close(left)
-	}()
-	for {
-		select {
-		case s := <-signals:
-			log.Info().Str("signal", s.String()).Msg("leaving already; ignored")
-		case <-left:
-			log.Info().Msg("done")
-			return nil
-		}
+	if p.platform == nil || p.platform.Admin == "" {
+		return nil
 	}
+	sources := []admin.Front{{Source: p.fronts[0].requests, Classes: classNames(p.platform.Deployment)}}
+	target, err := startAdmin(ctx, p.platform.Admin, p.fronts, sources, p.parts.metrics(), p.log)
+	if err != nil {
+		return err
+	}
+	target.serving.Store(true)
+	return nil
+}
+
+func (p *process) add(front *runningFront) {
+	p.fronts = append(p.fronts, front)
+	go func() { p.serveFailed <- <-front.serveFailed }()
 }
 
-// waitForShutdown follows signals until it is time to leave. A file that cannot be used changes nothing.
-func waitForShutdown(ctx context.Context, relays []*runningFront, all partList, signals <-chan os.Signal, failed <-chan error, log zerolog.Logger) error {
+// followSignals reloads at SIGHUP, until it is time to shut down. A file that cannot be used changes nothing.
+// The error is that of a listener that has failed.
+func (p *process) followSignals(ctx context.Context, signals <-chan os.Signal) error {
 	for {
 		select {
 		case s := <-signals:
 			if s != syscall.SIGHUP {
-				log.Info().Str("signal", s.String()).Msg("leaving")
+				p.log.Info().Str("signal", s.String()).Msg("draining: graceful shutdown began")
 				return nil
 			}
-			for _, r := range relays {
-				if err := r.reload(); err != nil {
-					log.Error().Err(err).Msg("the new configuration cannot be used; the old one stays in force")
-				}
-			}
-			all.reload(log)
+			p.reload()
 		case <-ctx.Done():
 			return nil
-		case err := <-failed:
+		case err := <-p.serveFailed:
 			return fmt.Errorf("accept: %w", err)
 		}
 	}
 }
+
+// reload has every front and part read its file again.
+func (p *process) reload() {
+	for _, front := range p.fronts {
+		if err := front.reload(); err != nil {
+			p.log.Error().Err(err).Msg(configRejected)
+		}
+	}
+	p.parts.reload(p.log)
+}
+
+// shutDown drains every front, then has the parts leave. Signals that come meanwhile change nothing.
+func (p *process) shutDown(signals <-chan os.Signal) {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		var fronts sync.WaitGroup
+		for _, front := range p.fronts {
+			fronts.Go(func() {
+				if front.inherited {
+					// The successor accepts from the same queue: nothing that comes is rejected. Not waited
+					// for: where whoever else holds the socket has made it blocking, an accept in progress
+					// holds the close until a connection comes.
+					go front.listener.Close()
+				}
+				shutDownFront(front)
+				front.listener.Close()
+			})
+		}
+		fronts.Wait()
+		p.parts.leave()
+	}()
+	for {
+		select {
+		case s := <-signals:
+			p.log.Info().Str("signal", s.String()).Msg("already draining, signal ignored")
+		case <-done:
+			p.log.Info().Msg("graceful shutdown complete")
+			return
+		}
+	}
+}
--- a/internal/lifecycle/secrets.go
+++ b/internal/lifecycle/secrets.go
@@ -12,8 +12,8 @@
 	"capersail/internal/token"
 )
 
-// readGossipKeys reads the keys that seal packets: one a line as base64, 16, 24 or 32 bytes, the first seals. Errors never
-// show a secret.
+// readGossipKeys reads the keys that seal packets: one a line as base64, 16, 24 or 32 bytes, the first seals.
+// Errors never show a secret.
 func readGossipKeys(path string) (keys [][]byte, err error) {
 	text, err := readSecretFile(path)
 	if err != nil {
--- a/internal/lifecycle/leave_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -17,7 +17,8 @@
 	"capersail/internal/wire/platform"
 )
 
-// starved hands out connections that nobody reads before they are let go, as on a relay with no processor time.
+// starved hands out connections that nobody reads before they are let go, as on a relay with no processor
+// time.
 type starved struct {
 	net.Listener
 	let chan struct{}
@@ -41,9 +42,10 @@
 	return c.TCPConn.Read(p)
 }
 
-// A leave ends when every connection has been closed from this side, in order. Requests that have come and that nobody has read when
-// it has nothing else to do are answered, and who rests gets a clean end: the process would go over unread bytes, and reset them.
-func TestLeaveAnswersWhatHasCome(t *testing.T) {
+// A shutdown ends when every connection has been closed from this side, in order. Requests that have come and
+// that nobody has read when it has nothing else to do are answered, and who rests gets a clean end: the
+// process would go over unread bytes, and reset them.
+func TestShutdownAnswersWhatHasCome(t *testing.T) {
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
 		Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(10_000)}}}}
@@ -73,7 +75,7 @@
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		shutDownFront(&runningFront{requests: x, listener: l, limiter: door, longestDeadline: 10_000})
+		shutDownFront(&runningFront{requests: x, listener: l, limiter: door, longestDeadline: 10 * time.Second})
 	}()
 	for { // until it has nothing to do but wait for these
 		c, err := net.Dial("tcp", inner.Addr().String())
--- a/internal/lifecycle/timeline_config.go
+++ b/internal/lifecycle/timeline_config.go
@@ -17,22 +17,20 @@
 	Servers    int    `toml:"servers"`
 }
 
-// ReadTimelineConfig reads the file. The error has every problem, each with its key.
+// ReadTimelineConfig reads the file. The error joins a *ConfigError for each problem.
 func ReadTimelineConfig(path string) (*TimelineConfig, error) {
 	t := &TimelineConfig{StoreMB: 256, StoreHours: 72, Buffer: 8192, Servers: 512}
-	f, err := decodeFile(path, t)
+	problems, err := decodeFile(path, t)
 	if err != nil {
 		return nil, err
 	}
-	bad := f.addIf
-	bad(t.Socket != "" && !filepath.IsAbs(t.Socket), "socket: %q is not a path from / on", t.Socket)
-	bad(len(t.Socket) > 100, "socket: over 100 bytes; the kernel takes no more")
-	bad(t.Store != "" && !filepath.IsAbs(t.Store), "store: %q is not a path from / on", t.Store)
-	bad(t.StoreMB < 4 || t.StoreMB > 1<<20, "store_mb: from 4 to 1048576")
-	bad(t.StoreHours < 1 || t.StoreHours > 24*366, "store_hours: from 1 to 8784")
-	bad(t.Buffer < 64 || t.Buffer > 1<<20, "buffer: from 64 to 1048576 records")
-	bad(t.Servers < 1 || t.Servers > 100_000, "servers: from 1 to 100000")
-	return t, f.err()
+	checkSocket(problems, t.Socket)
+	problems.addIf(t.Store != "" && !filepath.IsAbs(t.Store), "store", "%q is not a path from / on", t.Store)
+	problems.addIf(t.StoreMB < 4 || t.StoreMB > 1<<20, "store_mb", "from 4 to 1048576")
+	problems.addIf(t.StoreHours < 1 || t.StoreHours > 24*366, "store_hours", "from 1 to 8784")
+	problems.addIf(t.Buffer < 64 || t.Buffer > 1<<20, "buffer", "from 64 to 1048576 records")
+	problems.addIf(t.Servers < 1 || t.Servers > 100_000, "servers", "from 1 to 100000")
+	return t, problems.err()
 }
 
 // options bound the store.
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"os"
 	"sync"
 
@@ -15,79 +14,102 @@
 	"capersail/internal/store"
 )
 
-// timelinePart is time lines as a part.
-func timelinePart(path string, _ *Config, log zerolog.Logger) (*part, error) {
-	t, err := ReadTimelineConfig(path)
+// timelinePart is the servers' time lines. It joins every front.
+type timelinePart struct {
+	noPart
+	path   string
+	config *TimelineConfig
+	log    zerolog.Logger
+
+	watchers []*watch.Watcher // one a front
+	stores   []*store.Store   // one a front, none without a store
+	control  *control.Server  // nil without a socket
+	running  sync.WaitGroup
+	end      context.CancelFunc // ends the watchers and stores; nil before start
+}
+
+func newTimelinePart(path string, _ *Config, log zerolog.Logger) (part, error) {
+	config, err := ReadTimelineConfig(path)
 	if err != nil {
 		return nil, err
 	}
-	log = log.With().Str("part", "timeline").Logger()
-	var watchers []*watch.Watcher
-	var stores []*store.Store
-	var door *control.Server
-	var running sync.WaitGroup
-	started := false
-	ctx, end := context.WithCancel(context.Background()) // of their own: what comes last is folded and written too
-	return &part{
-		name: "timeline",
-		join: func(s *frontSeam) {
-			c := watch.Config{Relay: s.relay, Buffer: t.Buffer, Limits: timeline.DefaultLimits(), Most: t.Servers}
-			c.Limits.MaxServers = t.Servers
-			if s.platform == nil {
-				c.Relay = s.front
-			}
-			if t.Store != "" {
-				file := t.Store
-				if len(stores) > 0 { // each front has servers of its own
-					file += "." + s.front
-				}
-				one, err := store.Open(file, t.options(), log)
-				if err != nil { // time lines are no reason not to serve
-					log.Error().Err(err).Msg("store cannot be opened; going on in memory")
-				}
-				stores = append(stores, one)
-				c.Store = one
-			}
-			w := watch.New(c, s.requests, log)
-			watchers = append(watchers, w)
-			s.changeListeners = append(s.changeListeners, func(m membership.Changed) { w.Note(m.Name, m.State, m.Cause) })
-		},
-		start: func(context.Context) error {
-			started = true
-			for _, s := range stores {
-				running.Go(func() { s.Run(ctx) })
-			}
-			var folding sync.WaitGroup
-			for _, w := range watchers {
-				folding.Go(func() { w.Run(ctx) })
-			}
-			running.Go(folding.Wait)
-			if t.Socket == "" {
-				return nil
-			}
-			if door, err = control.Listen(t.Socket, control.Room{Watchers: watchers}, log); err != nil {
-				return fmt.Errorf("%s: socket: %w", path, err)
-			}
-			return nil
-		},
-		stop: func() {
-			if !started {
-				end()
-				return
-			}
-			if door != nil {
-				door.Close()
-				os.Remove(t.Socket)
-			}
-			for _, w := range watchers {
-				w.Fold()
-				w.Rest()
-			}
-			for _, s := range stores {
-				s.Flush()
-			}
-			end()
-			running.Wait()
-		},
-	}, nil
+	return &timelinePart{path: path, config: config, log: log.With().Str("part", "timeline").Logger()}, nil
+}
+
+func (p *timelinePart) name() string { return "timeline" }
+
+func (p *timelinePart) join(front *frontSeam) {
+	c := watch.Config{
+		Relay:  front.relay,
+		Buffer: p.config.Buffer,
+		Limits: timeline.DefaultLimits(),
+		Most:   p.config.Servers,
+	}
+	c.Limits.MaxServers = p.config.Servers
+	if front.platform == nil {
+		c.Relay = front.front
+	}
+	if p.config.Store != "" {
+		c.Store = p.openStore(front)
+	}
+	watcher := watch.New(c, front.requests, p.log)
+	p.watchers = append(p.watchers, watcher)
+	front.changeListeners = append(front.changeListeners, func(change membership.Changed) {
+		watcher.Note(change.Name, change.State, change.Cause)
+	})
+}
+
+// openStore opens a front's store: each front has servers of its own, and a file for them. One that cannot be
+// opened is no reason not to serve.
+func (p *timelinePart) openStore(front *frontSeam) *store.Store {
+	file := p.config.Store
+	if len(p.stores) > 0 {
+		file += "." + front.front
+	}
+	opened, err := store.Open(file, p.config.options(), p.log)
+	if err != nil {
+		p.log.Error().Err(err).Msg("store cannot be opened; going on in memory")
+	}
+	p.stores = append(p.stores, opened)
+	return opened
+}
+
+// start runs watchers and stores in a context of their own: what comes last is folded and written too.
+func (p *timelinePart) start(context.Context) error {
+	ctx, end := context.WithCancel(context.Background())
+	p.end = end
+	for _, s := range p.stores {
+		p.running.Go(func() { s.Run(ctx) })
+	}
+	for _, w := range p.watchers {
+		p.running.Go(func() { w.Run(ctx) })
+	}
+	if p.config.Socket == "" {
+		return nil
+	}
+	var err error
+	p.control, err = control.Listen(p.config.Socket, control.Room{Watchers: p.watchers}, p.log)
+	if err != nil {
+		return &ConfigError{File: p.path, Key: "socket", Err: err}
+	}
+	return nil
+}
+
+func (p *timelinePart) stop() {
+	if p.end == nil {
+		return
+	}
+	if p.control != nil {
+		p.control.Close()
+		os.Remove(p.config.Socket)
+	}
+	for _, w := range p.watchers {
+		w.Fold()
+		w.Rest()
+	}
+	for _, s := range p.stores {
+		s.Flush()
+	}
+	p.end()
+	p.running.Wait()
 }
--- a/internal/lifecycle/xmpp_config.go
+++ b/internal/lifecycle/xmpp_config.go
@@ -4,93 +4,99 @@
 	"fmt"
 	"net"
 	"strings"
-
-	"github.com/BurntSushi/toml"
 )
 
 // XMPPConfig is the operator's file for the XMPP front.
 type XMPPConfig struct {
-	Listen      string `toml:"listen"`
-	Certificate string `toml:"certificate"`
-	Key         string `toml:"key"`
-	Plaintext   bool   `toml:"plaintext"`
-	Sockets     int    `toml:"sockets"`
-	Zone        string `toml:"zone"`
-	Zones       []string
-	Me          int     `toml:"me"`
-	Relays      int     `toml:"relays"`
-	SilentMs    float64 `toml:"silent_ms"`
-	ConnectMs   float64 `toml:"connect_ms"`
-	MaxRetryMs  float64 `toml:"max_retry_after_ms"`
-	ZooKeeper   struct {
-		Servers   []string
-		Path      string
-		SessionMs float64 `toml:"session_ms"`
-	}
-	Class []struct {
-		Name       string
-		SetupMs    float64 `toml:"setup_ms"`
-		DeadlineMs float64 `toml:"deadline_ms"`
-		Worth      float64
-	}
-	Host []struct {
-		To, Class, Tenant, Key string
-	}
+	Listen          string        `toml:"listen"`
+	Certificate     string        `toml:"certificate"`
+	Key             string        `toml:"key"`
+	Plaintext       bool          `toml:"plaintext"`
+	Sockets         int           `toml:"sockets"`
+	Zone            string        `toml:"zone"`
+	Zones           []string      `toml:"zones"`
+	RelayIndex      int           `toml:"me"`
+	Relays          int           `toml:"relays"`
+	SilenceMs       float64       `toml:"silent_ms"`
+	ConnectMs       float64       `toml:"connect_ms"`
+	MaxRetryAfterMs float64       `toml:"max_retry_after_ms"`
+	ZooKeeper       xmppZooKeeper `toml:"zookeeper"`
+	Class           []xmppClass   `toml:"class"`
+	Host            []xmppHost    `toml:"host"`
+}
+
+// xmppZooKeeper says where the endpoint list is.
+type xmppZooKeeper struct {
+	Servers   []string `toml:"servers"`
+	Path      string   `toml:"path"`
+	SessionMs float64  `toml:"session_ms"`
+}
+
+// xmppClass is a class of streams.
+type xmppClass struct {
+	Name           string  `toml:"name"`
+	SetupMs        float64 `toml:"setup_ms"`
+	DeadlineMs     float64 `toml:"deadline_ms"`
+	PriorityWeight float64 `toml:"worth"`
 }
 
-// ReadXMPPConfig reads the operator's file. An error names the key.
+// xmppHost says of whom the streams to a host name are.
+type xmppHost struct {
+	To     string `toml:"to"`
+	Class  string `toml:"class"`
+	Tenant string `toml:"tenant"`
+	Key    string `toml:"key"` // of the rendezvous order, "" for the name
+}
+
+// ReadXMPPConfig reads the operator's file. An error is a *ConfigError for the first problem.
 func ReadXMPPConfig(path string) (*XMPPConfig, error) {
-	o := &XMPPConfig{Relays: 1, SilentMs: 5000, ConnectMs: 1000, MaxRetryMs: 5000, Sockets: 1024}
-	meta, err := toml.DecodeFile(path, o)
+	c := &XMPPConfig{Relays: 1, SilenceMs: 5000, ConnectMs: 1000, MaxRetryAfterMs: 5000, Sockets: 1024}
+	problems, err := decodeFile(path, c)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	for _, key := range meta.Undecoded() {
-		return nil, fmt.Errorf("%s: %s: unknown key", path, key)
-	}
-	classes := map[string]bool{}
-	for _, c := range o.Class {
-		if c.Name == "" || !(c.SetupMs > 0) || !(c.DeadlineMs >= c.SetupMs) {
-			return nil, fmt.Errorf("%s: class: name, setup_ms and a deadline_ms no shorter are wanted", path)
-		}
-		classes[c.Name] = true
+		return nil, err
 	}
-	for _, h := range o.Host {
-		if h.To == "" || !classes[h.Class] {
-			return nil, fmt.Errorf("%s: host.class: %q of host %q is no class of this file", path, h.Class, h.To)
-		}
+	c.check(problems)
+	if err := problems.first(); err != nil {
+		return nil, err
 	}
-	bad := ""
-	_, _, address := net.SplitHostPort(o.Listen)
-	switch {
-	case address != nil:
-		bad = "listen: " + address.Error()
-	case o.Certificate == "" && !o.Plaintext:
-		bad = "certificate: not set, and plaintext is not allowed"
-	case (o.Certificate == "") != (o.Key == ""):
-		bad = "key: certificate and key go together"
-	case len(o.ZooKeeper.Servers) == 0:
-		bad = "zookeeper.servers: at least one is wanted"
-	case !strings.HasPrefix(o.ZooKeeper.Path, "/"):
-		bad = "zookeeper.path: a path from / on is wanted"
-	case !(o.ZooKeeper.SessionMs >= 100):
-		bad = "zookeeper.session_ms: 100 at least"
-	case len(o.Host) == 0:
-		bad = "host: at least one is wanted"
-	case !(o.SilentMs >= 100 && o.SilentMs <= 7000):
-		bad = "silent_ms: from 100 to 7000"
-	case !(o.ConnectMs > 0):
-		bad = "connect_ms: more than 0"
-	case o.Sockets < minSockets:
-		bad = fmt.Sprintf("sockets: %d at least", minSockets)
+	return c, nil
+}
+
+// check finds what is wrong with the values. What is no number fails each comparison, so ranges are asked
+// for, not their outside.
+func (c *XMPPConfig) check(problems *configProblems) {
+	c.checkClasses(problems)
+	_, _, err := net.SplitHostPort(c.Listen)
+	problems.add("listen", err)
+	problems.addIf(c.Certificate == "" && !c.Plaintext, "certificate",
+		"not set, and plaintext is not allowed")
+	problems.addIf((c.Certificate == "") != (c.Key == ""), "key", "certificate and key go together")
+	problems.addIf(len(c.ZooKeeper.Servers) == 0, "zookeeper.servers", "at least one is wanted")
+	problems.addIf(!strings.HasPrefix(c.ZooKeeper.Path, "/"), "zookeeper.path", "a path from / on is wanted")
+	problems.addIf(!(c.ZooKeeper.SessionMs >= 100), "zookeeper.session_ms", "100 at least")
+	problems.addIf(len(c.Host) == 0, "host", "at least one is wanted")
+	problems.addIf(!(c.SilenceMs >= 100 && c.SilenceMs <= 7000), "silent_ms", "from 100 to 7000")
+	problems.addIf(!(c.ConnectMs > 0), "connect_ms", "more than 0")
+	problems.addIf(c.Sockets < minSockets, "sockets", "%d at least", minSockets)
+}
+
+// checkClasses finds what is wrong with the classes, and hosts that name none of them.
+func (c *XMPPConfig) checkClasses(problems *configProblems) {
+	known := map[string]bool{}
+	for _, class := range c.Class {
+		good := class.Name != "" && class.SetupMs > 0 && class.DeadlineMs >= class.SetupMs
+		problems.addIf(!good, "class", "name, setup_ms and a deadline_ms no shorter are wanted")
+		known[class.Name] = true
 	}
-	if bad != "" {
-		return nil, fmt.Errorf("%s: %s", path, bad)
+	for _, host := range c.Host {
+		problems.addIf(host.To == "" || !known[host.Class], "host.class",
+			"%q of host %q is no class of this file", host.Class, host.To)
 	}
-	return o, nil
 }
 
 // restartOnly is what of the file a reload does not take in: the module's settings and the address.
-func (o *XMPPConfig) restartOnly() string {
-	return fmt.Sprint(o.Listen, o.Zone, o.Zones, o.Me, o.Relays, o.SilentMs, o.ConnectMs, o.MaxRetryMs, o.Class, o.Host)
+func (c *XMPPConfig) restartOnly() string {
+	return fmt.Sprint(
+		c.Listen, c.Zone, c.Zones, c.RelayIndex, c.Relays, c.SilenceMs, c.ConnectMs, c.MaxRetryAfterMs,
+		c.Class, c.Host)
 }
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"time"
 
 	"github.com/rs/zerolog"
 
@@ -16,102 +17,167 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// startXMPP starts the XMPP front with a core of its own.
-func startXMPP(ctx context.Context, from Sources, o *XMPPConfig, all partList, log zerolog.Logger) (*runningFront, error) {
-	site, hosts := o.Deployment()
-	secure, err := o.tlsConfig()
+const (
+	// xmppMaxAttempts bounds the attempts of one set-up; only one that has sent no SASL bytes is made again.
+	xmppMaxAttempts = 2
+	// xmppTick is the granularity of the decision module's timers.
+	xmppTick = 5 * time.Millisecond
+)
+
+// startXMPP starts the XMPP front with an event loop and a client of ZooKeeper of its own, which end with
+// ctx.
+func startXMPP(
+	ctx context.Context, from Sources, c *XMPPConfig, parts partList, log zerolog.Logger,
+) (*runningFront, error) {
+	deployment, hosts := c.Deployment()
+	secure, err := c.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
 	clock := relay.NewClock()
-	servers := &xmpp.Servers{Clock: clock, ConnectTimeout: o.ConnectMs, ProbeTo: o.Host[0].To, Silent: o.SilentMs, Log: log}
-	x := relay.NewRequestTable(site, clock, servers)
-	all.join(&frontSeam{front: "xmpp", relay: "xmpp", requests: x, clock: clock})
-	lister := zookeeper.NewClient(o.ensemble(), x, log)
-	x.UpdateEndpoints(decide.Cached, nil)
-	lister.Watch() // there is no cached list to begin with
-	l, err := net.Listen("tcp", o.Listen)
+	servers := &xmpp.Servers{
+		Clock:          clock,
+		ConnectTimeout: c.ConnectMs,
+		ProbeTo:        c.Host[0].To,
+		Silent:         c.SilenceMs,
+		Log:            log,
+	}
+	requests := relay.NewRequestTable(deployment, clock, servers)
+	parts.join(&frontSeam{front: "xmpp", relay: "xmpp", requests: requests, clock: clock})
+	endpoints := zookeeper.NewClient(c.ensemble(), requests, log)
+	requests.UpdateEndpoints(decide.Cached, nil)
+	endpoints.Watch() // there is no cached list to begin with
+	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	door := connlimit.New(clock, connectionCapacity(o.Sockets, false), log)
-	front := &xmpp.Front{X: x, Hosts: hosts, Gate: door}
+	limiter := connlimit.New(clock, connectionCapacity(c.Sockets, false), log)
+	front := &xmpp.Front{X: requests, Hosts: hosts, Gate: limiter}
 	front.TLS.Store(secure)
-	go lister.Run(ctx)
-	go relay.NewEventLoop(x, rand.Uint64(), lister, log).Run(ctx)
-	r := &runningFront{requests: x, listener: l, limiter: door, serveFailed: make(chan error, 1), longestDeadline: longestDeadline(site)}
-	r.reload = func() error {
-		n, err := ReadXMPPConfig(from.XMPP)
-		if err != nil {
-			return err
-		}
-		secure, err := n.tlsConfig()
-		if err != nil {
-			return fmt.Errorf("%s: %w", from.XMPP, err)
-		}
-		lister.Move(n.ensemble())
-		front.TLS.Store(secure)
-		door.SetDescriptorLimit(connectionCapacity(n.Sockets, false))
-		log.Info().Strs("zookeeper", n.ZooKeeper.Servers).Bool("needs_restart", n.restartOnly() != o.restartOnly()).Msg("reloaded XMPP")
-		return nil
-	}
-	go func() { r.serveFailed <- front.Serve(l) }()
-	log.Info().Str("listen", l.Addr().String()).Msg("serving XMPP")
+	go endpoints.Run(ctx)
+	go relay.NewEventLoop(requests, rand.Uint64(), endpoints, log).Run(ctx)
+	r := &runningFront{
+		requests:        requests,
+		listener:        listener,
+		limiter:         limiter,
+		serveFailed:     make(chan error, 1),
+		longestDeadline: longestDeadline(deployment),
+	}
+	r.reload = func() error { return reloadXMPP(from.XMPP, c, front, endpoints, limiter, log) }
+	go func() { r.serveFailed <- front.Serve(listener) }()
+	log.Info().Str("listen", listener.Addr().String()).Msg("serving XMPP")
 	return r, nil
 }
 
-// Deployment turns the file into the module's settings. Every class is Unsafe there: once a client's SASL bytes
-// have reached a server a lost set-up is final.
-func (o *XMPPConfig) Deployment() (*relay.Deployment, map[string]xmpp.Host) {
-	site := &relay.Deployment{Classes: map[string]decide.Class{}, Tenants: map[string]decide.Tenant{}, Zones: map[string]decide.Zone{}}
-	for i, z := range o.Zones {
-		site.Zones[z] = decide.Zone(i)
-	}
-	site.Settings = decide.Settings{RelayIndex: o.Me, Relays: o.Relays, Zone: site.Zones[o.Zone], Zones: len(o.Zones), MaxAttempts: 2,
-		Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(o.MaxRetryMs), ConnectTimeout: relay.Duration(o.ConnectMs),
-		Tick: relay.Duration(5), MustSubscribe: true, Rules: decide.Rules{PollWithin: relay.Duration(o.ZooKeeper.SessionMs)}}
-	deadlines := map[string]float64{}
-	for i, c := range o.Class {
-		site.Classes[c.Name] = decide.Class(i)
-		deadlines[c.Name] = c.DeadlineMs
-		site.Settings.Classes = append(site.Settings.Classes, decide.ClassInfo{LatencyObjective: relay.Duration(c.SetupMs),
-			Deadline: relay.Duration(c.DeadlineMs), Idempotency: decide.NonIdempotent, PriorityWeight: c.Worth})
+// reloadXMPP takes in what of the file can change while the relay runs: the certificate, ZooKeeper's
+// addresses, the limit.
+func reloadXMPP(
+	path string, c *XMPPConfig, front *xmpp.Front, endpoints *zookeeper.Client, limiter *connlimit.Limiter,
+	log zerolog.Logger,
+) error {
+	next, err := ReadXMPPConfig(path)
+	if err != nil {
+		return err
+	}
+	secure, err := next.tlsConfig()
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	endpoints.Move(next.ensemble())
+	front.TLS.Store(secure)
+	limiter.SetDescriptorLimit(connectionCapacity(next.Sockets, false))
+	log.Info().
+		Strs("zookeeper", next.ZooKeeper.Servers).
+		Bool("needs_restart", next.restartOnly() != c.restartOnly()).
+		Msg("reloaded XMPP")
+	return nil
+}
+
+// Deployment turns the file into the decision module's settings, and the hosts by name. Every class is
+// non-idempotent there: once a client's SASL bytes have reached a server a lost set-up is final.
+func (c *XMPPConfig) Deployment() (*relay.Deployment, map[string]xmpp.Host) {
+	deployment := &relay.Deployment{
+		Classes: map[string]decide.Class{},
+		Tenants: map[string]decide.Tenant{},
+		Zones:   map[string]decide.Zone{},
+	}
+	for i, zone := range c.Zones {
+		deployment.Zones[zone] = decide.Zone(i)
+	}
+	deployment.Settings = decide.Settings{
+		RelayIndex:     c.RelayIndex,
+		Relays:         c.Relays,
+		Zone:           deployment.Zones[c.Zone],
+		Zones:          len(c.Zones),
+		MaxAttempts:    xmppMaxAttempts,
+		Probes:         true,
+		RetryAfter:     true,
+		MaxRetryAfter:  relay.Duration(c.MaxRetryAfterMs),
+		ConnectTimeout: relay.Duration(c.ConnectMs),
+		Tick:           xmppTick,
+		MustSubscribe:  true,
+		Rules:          decide.Rules{PollWithin: relay.Duration(c.ZooKeeper.SessionMs)},
+	}
+	deadlines := map[string]float64{} // by class, in ms
+	for i, class := range c.Class {
+		deployment.Classes[class.Name] = decide.Class(i)
+		deadlines[class.Name] = class.DeadlineMs
+		deployment.Settings.Classes = append(deployment.Settings.Classes, decide.ClassInfo{
+			LatencyObjective: relay.Duration(class.SetupMs),
+			Deadline:         relay.Duration(class.DeadlineMs),
+			Idempotency:      decide.NonIdempotent,
+			PriorityWeight:   class.PriorityWeight,
+		})
 	}
 	hosts := map[string]xmpp.Host{}
-	for _, h := range o.Host {
-		tenant, known := site.Tenants[h.Tenant]
-		switch {
-		case h.Tenant == "":
-			tenant = decide.NoTenant
-		case !known:
-			tenant = decide.Tenant(len(site.Settings.Tenants))
-			site.Tenants[h.Tenant] = tenant
-			site.Settings.Tenants = append(site.Settings.Tenants, decide.TenantInfo{})
-		}
-		key := h.Key
+	for _, host := range c.Host {
+		key := host.Key
 		if key == "" {
-			key = h.To
+			key = host.To
+		}
+		hosts[host.To] = xmpp.Host{
+			Class:  deployment.Classes[host.Class],
+			Tenant: tenantNumber(deployment, host.Tenant),
+			Key:    relay.ServerKey(key),
+			Left:   deadlines[host.Class],
 		}
-		hosts[h.To] = xmpp.Host{Class: site.Classes[h.Class], Tenant: tenant, Key: relay.ServerKey(key), Left: deadlines[h.Class]}
 	}
-	for i := range site.Settings.Tenants {
-		site.Settings.Tenants[i].ServiceShare = 1 / float64(len(site.Settings.Tenants))
+	for i := range deployment.Settings.Tenants {
+		deployment.Settings.Tenants[i].ServiceShare = 1 / float64(len(deployment.Settings.Tenants))
 	}
-	return site, hosts
+	return deployment, hosts
 }
 
-func (o *XMPPConfig) ensemble() zookeeper.Ensemble {
-	return zookeeper.Ensemble{Addresses: o.ZooKeeper.Servers, Path: o.ZooKeeper.Path, Session: o.ZooKeeper.SessionMs}
+// tenantNumber numbers a tenant, the first time that it is named; "" is none.
+func tenantNumber(deployment *relay.Deployment, name string) decide.Tenant {
+	if name == "" {
+		return decide.NoTenant
+	}
+	tenant, known := deployment.Tenants[name]
+	if !known {
+		tenant = decide.Tenant(len(deployment.Settings.Tenants))
+		deployment.Tenants[name] = tenant
+		deployment.Settings.Tenants = append(deployment.Settings.Tenants, decide.TenantInfo{})
+	}
+	return tenant
+}
+
+func (c *XMPPConfig) ensemble() zookeeper.Ensemble {
+	return zookeeper.Ensemble{
+		Addresses: c.ZooKeeper.Servers,
+		Path:      c.ZooKeeper.Path,
+		Session:   c.ZooKeeper.SessionMs,
+	}
 }
 
 // tlsConfig loads what STARTTLS needs; nil only where plaintext is allowed.
-func (o *XMPPConfig) tlsConfig() (*tls.Config, error) {
-	if o.Certificate == "" {
+func (c *XMPPConfig) tlsConfig() (*tls.Config, error) {
+	if c.Certificate == "" {
 		return nil, nil
 	}
-	pair, err := tls.LoadX509KeyPair(o.Certificate, o.Key)
+	pair, err := tls.LoadX509KeyPair(c.Certificate, c.Key)
 	if err != nil {
-		return nil, fmt.Errorf("certificate: %w", err)
+		return nil, &ConfigError{Key: "certificate", Err: err}
 	}
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
--- a/internal/lifecycle/xmpp_test.go
+++ b/internal/lifecycle/xmpp_test.go
@@ -417,8 +417,9 @@
 	b.server("n3", "")
 }
 
-// A reload follows another service of ephemeral nodes: the streams that stand live on, new ones go to its servers, and
-// what it does not list is gone. A file that cannot be used changes nothing, and the error names its key.
+// A reload follows another service of ephemeral nodes: the streams that stand live on, new ones go to its
+// servers, and what it does not list is gone. A file that cannot be used changes nothing, and the error names
+// its key.
 func TestXMPPReload(t *testing.T) {
 	b := newXMPPBench(t, "plaintext = true")
 	b.server("n1", "")
