--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -7,8 +7,10 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/fleet/duration"
 )
 
 // federation is a fleet of several cells on one set clock. Each cell has its own net, as world has it; between cells go only claims to
@@ -27,6 +29,7 @@
 	zone   string   // where
 	change func(*Node)
 	made   int // cells so far, for their names
+	trace  *trace
 }
 
 type cellWorld struct {
@@ -71,12 +74,16 @@
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *cellWorld {
 	w := newWorld(relays, relays, f.seed*1000+uint64(len(f.cells)))
 	w.now, w.change = f.now, f.change
-	pace := Timing{LeaseDuration: []float64{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)], StatusInterval: CellTiming.StatusInterval}
+	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)], StatusInterval: CellTiming.StatusInterval}
 	for _, n := range w.nodes {
 		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
 		n.zero -= f.now * n.rate
 	}
 	w.loss, w.twice = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
+	if f.trace != nil {
+		w.trace = f.trace
+		w.spreadClocks()
+	}
 	c := &cellWorld{w, name, region}
 	f.cells = append(f.cells, c)
 	return c
@@ -323,7 +330,17 @@
 
 // drawnCells plays one schedule of faults and plans.
 func drawnCells(regions, zones, relays int, flat bool, seed uint64, steps int, change func(*Node)) *federation {
-	f := &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{}, plans: map[uint64]*cellplan.Plan{}, zones: []string{"nobody's"}, change: change}
+	f := newFederation(seed, change)
+	f.play(regions, zones, relays, flat, steps)
+	return f
+}
+
+func newFederation(seed uint64, change func(*Node)) *federation {
+	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, cut: map[[2]string]bool{}, plans: map[uint64]*cellplan.Plan{},
+		zones: []string{"nobody's"}, change: change}
+}
+
+func (f *federation) play(regions, zones, relays int, flat bool, steps int) {
 	f.found(regions, zones, relays, flat)
 	f.run(6000 * f.rng.Float64())
 	for range steps {
@@ -334,7 +351,6 @@
 			f.run(6000 * f.rng.Float64())
 		}
 	}
-	return f
 }
 
 // fault is one step of a schedule.
@@ -364,10 +380,10 @@
 // until all leases have run out.
 func (f *federation) deafenOne(c *cellWorld, i int) {
 	c.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
-	f.run(WaitOut + 5000*f.rng.Float64())
+	f.run(duration.Millis(WaitOut) + 5000*f.rng.Float64())
 	c.strike = true
 	c.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
-	f.run(2 * WaitOut)
+	f.run(2 * duration.Millis(WaitOut))
 	c.strike = false
 	for _, n := range c.nodes {
 		n.deaf = false
@@ -518,7 +534,7 @@
 				if next == nil {
 					next = f.plan
 				}
-				if _, named := next.Find(c.name); named && next != n.k.cfg.Plan {
+				if _, named := next.Find(c.name); named && next != n.k.plans.file {
 					n.cfg.Plan = next
 					c.feed(i, PlanChanged{Plan: next})
 				}
@@ -541,7 +557,7 @@
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
 		if a := c.nodes[0].k.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
-			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.cfg.Plan.Number, f.plan.Number, c.nodes[0].k.PlanPending())
+			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].k.plans.file.Number, f.plan.Number, c.nodes[0].k.PlanPending())
 		}
 	}
 	return nil
@@ -614,14 +630,14 @@
 func TestCellsNeedTheirProtections(t *testing.T) {
 	t.Parallel()
 	for what, without := range map[string]func(*Node){
-		"the lesser of two plans": func(n *Node) { n.jointPlans = false },
-		"waiting for all cells":   func(n *Node) { n.awaitsCells = false },
-		"waiting for older views": func(n *Node) { n.awaitsEarlierViews = false },
-		"the rule of versions":    func(n *Node) { n.checksVersions = false },
-		"the sequence of plans":   func(n *Node) { n.inSequence = false },
-		"the joint view":          func(n *Node) { n.jointViews = false },
-		"the grace":               func(n *Node) { n.safetyMargin = 0 },
-		"the wait for the effect": func(n *Node) { n.maxEffectDelay = 0 },
+		"the lesser of two plans": func(n *Node) { n.safeguards.jointPlans = false },
+		"waiting for all cells":   func(n *Node) { n.safeguards.awaitsCells = false },
+		"waiting for older views": func(n *Node) { n.safeguards.awaitsEarlierViews = false },
+		"the rule of versions":    func(n *Node) { n.safeguards.checksVersions = false },
+		"the sequence of plans":   func(n *Node) { n.safeguards.inSequence = false },
+		"the joint view":          func(n *Node) { n.safeguards.jointViews = false },
+		"the grace":               func(n *Node) { n.safeguards.safetyMargin = 0 },
+		"the wait for the effect": func(n *Node) { n.safeguards.maxEffectDelay = 0 },
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -4,6 +4,9 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
+
+	"capersail/internal/fleet/duration"
 )
 
 // Report is what is known of the fleet at one relay, for people.
@@ -41,12 +44,12 @@
 // cellReport returns nil without cells.
 func (n *Node) cellReport(r FleetEstimate) *CellReport {
 	a := n.view.Allocation
-	if a == nil && n.cfg.Plan == nil {
+	if a == nil && n.plans.file == nil {
 		return nil
 	}
-	c := &CellReport{Name: n.cfg.Cell, Pending: n.PlanPending().String(), FarBudgetShare: r.FarBudgetShare}
-	if n.cfg.Plan != nil {
-		c.FilePlan = n.cfg.Plan.Number
+	c := &CellReport{Name: n.plans.cell, Pending: n.PlanPending().String(), FarBudgetShare: r.FarBudgetShare}
+	if n.plans.file != nil {
+		c.FilePlan = n.plans.file.Number
 	}
 	if a != nil {
 		c.Plan, c.PlanHash, c.Activated, c.NearZones = a.Plan, strconv.FormatUint(a.PlanHash, 16), a.Activated, a.NearZones
@@ -74,22 +77,22 @@
 }
 
 // Report tells what the Node knows. Site and Dropped are its driver's to fill in.
-func (n *Node) Report(now float64) Report {
+func (n *Node) Report(now time.Duration) Report {
 	r := n.Estimate(now)
 	out := Report{Relay: n.cfg.Name, Phase: r.Phase.String(), Epoch: r.Epoch, Hash: strconv.FormatUint(n.viewHash, 16), AgreedMs: -1, Relays: r.Relays,
 		BudgetShare: r.BudgetShare, ShareReason: r.ShareReason, OtherRequestRate: r.OtherRequestRate, UnreleasedSlots: len(n.view.UnreleasedSlots), Cell: n.cellReport(r)}
-	if n.agreedAt >= 0 {
-		out.AgreedMs = now - n.agreedAt
+	if n.phases.agreedAt >= 0 {
+		out.AgreedMs = duration.Millis(now - n.phases.agreedAt)
 	}
-	row := func(name, state, how string, since float64, d Status) {
+	row := func(name, state, how string, since time.Duration, d Status) {
 		s := n.view.Member(name)
 		out.Members = append(out.Members, MemberReport{Name: name, State: state, Lifecycle: d.Lifecycle.String(), Zone: d.Zone, Member: s.In,
 			Voter:       slices.Contains(n.view.Voters, n.voterName(name, d.BootstrapSlot)),
 			BudgetShare: float64(s.BudgetShare) / float64(Whole), OutstandingLimit: float64(s.OutstandingLimit) / float64(Whole),
-			SinceMs: since, Source: how, Epoch: d.Epoch, Incarnation: d.Incarnation, RequestRate: d.RequestRate, OpenConnections: d.OpenConnections})
+			SinceMs: duration.Millis(since), Source: how, Epoch: d.Epoch, Incarnation: d.Incarnation, RequestRate: d.RequestRate, OpenConnections: d.OpenConnections})
 	}
 	row(n.cfg.Name, "here", "itself", now-n.startedAt, n.status())
-	for _, p := range n.sortedPeers {
+	for _, p := range n.peers.sorted {
 		how := "failure detection"
 		switch {
 		case p.StatusAt < 0:
@@ -100,7 +103,7 @@
 		row(p.Name, p.Health.String(), how, now-p.HealthSince, p.Status)
 	}
 	for _, s := range n.view.Entries {
-		if n.peers[s.Name] == nil && s.Name != n.cfg.Name {
+		if n.peers.byName[s.Name] == nil && s.Name != n.cfg.Name {
 			row(s.Name, Unknown.String(), "the view", now-n.startedAt, Status{BootstrapSlot: -1})
 		}
 	}
