--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -16,7 +16,7 @@
 )
 
 // adminSockets are the descriptors that the admin address may hold; the clients have them less.
-const adminSockets = admin.MostConnections
+const adminSockets = admin.MaxConnections
 
 // adminTarget is the relay as its operators' admin address sees it: every front, the ejections and the drain
 // by hand.
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -23,8 +23,8 @@
 	ejectionsFolder = "capersail-bans"
 )
 
-// Down ejects a server by hand. The ejection is kept, and the decision module told, before it returns.
-func (o *adminTarget) Down(id string) error {
+// Eject ejects a server by hand. The ejection is kept, and the decision module told, before it returns.
+func (o *adminTarget) Eject(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	changed, err := o.ejections.Eject(o.nowMillis(), id, o.knowsServer(id))
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Up readmits a server that was ejected by hand.
-func (o *adminTarget) Up(id string) error {
+// Readmit readmits a server that was ejected by hand.
+func (o *adminTarget) Readmit(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	ejectedFor, _ := o.ejections.EjectedFor(o.nowMillis(), id)
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -111,9 +111,9 @@
 		return p.joinErr
 	}
 	if p.config.Socket != "" {
-		room := control.Room{Fleet: p.node, Looks: p.sharing.Report, Cells: p.node.Cells}
+		sources := control.Sources{Fleet: p.node, Probing: p.sharing.Report, Cells: p.node.Cells}
 		var err error
-		if p.control, err = control.Listen(p.config.Socket, room, p.log); err != nil {
+		if p.control, err = control.Listen(p.config.Socket, sources, p.log); err != nil {
 			return &ConfigError{File: p.path, Key: "socket", Err: err}
 		}
 	}
--- a/internal/lifecycle/resume_config.go
+++ b/internal/lifecycle/resume_config.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"capersail/internal/ownership"
+	"capersail/internal/relay"
 	"capersail/internal/token"
 )
 
@@ -59,11 +60,8 @@
 		_, _, err := net.SplitHostPort(address)
 		problems.add("servers", err)
 	}
-	const (
-		minSession = ownership.MinSessionTimeout
-		margin     = ownership.ExpiryMargin
-		week       = 7 * 86_400_000
-	)
+	const week = 7 * 86_400_000
+	minSession, margin := relay.Millis(ownership.MinSessionTimeout), relay.Millis(ownership.ExpiryMargin)
 	problems.addIf(len(c.Servers) == 0, "servers", "at least one is wanted")
 	problems.addIf(!cleanPath(c.Path), "path", "%q is not a path from / on without a / at its end", c.Path)
 	problems.addIf(!(c.SessionMs >= minSession && c.SessionMs <= 120_000), "session_ms",
--- a/internal/lifecycle/resume_part.go
+++ b/internal/lifecycle/resume_part.go
@@ -2,15 +2,17 @@
 
 import (
 	"context"
+	"time"
 
 	"github.com/rs/zerolog"
 
+	"capersail/internal/relay"
 	"capersail/internal/resume"
 )
 
-// ownershipCloseTimeout is how long the end of the session with the ownership service is waited for, in ms;
-// it ends by itself too, but later.
-const ownershipCloseTimeout = 150.0
+// ownershipCloseTimeout is how long the end of the session with the ownership service is waited for; it ends
+// by itself too, but later.
+const ownershipCloseTimeout = 150 * time.Millisecond
 
 // resumePart is moving with a token. It joins the platform's front only.
 type resumePart struct {
@@ -65,17 +67,17 @@
 
 func (p *resumePart) leave() { p.service.Close(ownershipCloseTimeout) }
 
-func (c *ResumeConfig) serviceConfig(relay string) resume.Config {
+func (c *ResumeConfig) serviceConfig(name string) resume.Config {
 	return resume.Config{
-		Relay:              relay,
+		Relay:              name,
 		Servers:            c.Servers,
 		Path:               c.Path,
-		SessionTimeout:     c.SessionMs,
-		AcquireTimeout:     c.AcquireMs,
-		TokenLifetime:      c.TokenLifetimeMs,
-		TokenRenewInterval: c.TokenRenewMs,
-		MaxClockSkew:       c.MaxClockSkewMs,
-		SweepInterval:      c.SweepEveryMs,
+		SessionTimeout:     relay.Duration(c.SessionMs),
+		AcquireTimeout:     relay.Duration(c.AcquireMs),
+		TokenLifetime:      relay.Duration(c.TokenLifetimeMs),
+		TokenRenewInterval: relay.Duration(c.TokenRenewMs),
+		MaxClockSkew:       relay.Duration(c.MaxClockSkewMs),
+		SweepInterval:      relay.Duration(c.SweepEveryMs),
 		AllServersResume:   c.AllServersResume,
 	}
 }
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -88,7 +88,7 @@
 		return nil
 	}
 	var err error
-	p.control, err = control.Listen(p.config.Socket, control.Room{Watchers: p.watchers}, p.log)
+	p.control, err = control.Listen(p.config.Socket, control.Sources{Watchers: p.watchers}, p.log)
 	if err != nil {
 		return &ConfigError{File: p.path, Key: "socket", Err: err}
 	}
