--- a/internal/wire/gossip/cellfigures.go
+++ b/internal/wire/gossip/cell_metrics.go
@@ -1,6 +1,8 @@
 package gossip
 
-import "github.com/prometheus/client_golang/prometheus"
+import (
+	"github.com/prometheus/client_golang/prometheus"
+)
 
 // cellMetrics are what is shown of cells; nothing in a flat fleet without a plan. At a relay that doesn't speak for its cell those of
 // other cells are the speaker's, some seconds old.
--- a/internal/wire/gossip/figures.go
+++ b/internal/wire/gossip/metrics.go
@@ -6,23 +6,6 @@
 	"capersail/internal/fleet/membership"
 )
 
-// Report is what this relay knows of the fleet.
-func (n *Node) Report() membership.Report {
-	n.mu.Lock()
-	r := n.membership.Report(n.now())
-	n.mu.Unlock()
-	r.Site, r.Dropped = n.cfg.Site, map[string]uint64{}
-	for i := range n.dropped.total {
-		if c := n.dropped.total[i].Load(); c > 0 {
-			r.Dropped[dropReasonNames[i]] = c
-		}
-	}
-	return r
-}
-
-// Traffic is what has gone out and come in, in bytes of packets.
-func (n *Node) Traffic() (out, in uint64) { return n.traffic.bytesOut.Load(), n.traffic.bytesIn.Load() }
-
 // fleetCollector is the collector of what this relay knows of the others. Each is read when it is asked for.
 //
 //	relay_members{state}                 gauge    relays by state, this one as "here"
--- a/internal/wire/gossip/gossip.go
+++ b/internal/wire/gossip/node.go
@@ -6,8 +6,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"log"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,11 +14,9 @@
 	"github.com/rs/zerolog"
 
 	"capersail/decide"
-	"capersail/internal/fleet/cellplan"
 	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
-	"capersail/internal/relay"
 )
 
 const (
@@ -39,46 +35,6 @@
 	otherCellRetryInterval = time.Minute
 )
 
-// LocalActivity is what this relay does now, as whoever starts the Node knows it. It must not block.
-type LocalActivity struct {
-	Lifecycle    membership.Lifecycle
-	Arrivals     uint64 // since the process started
-	OpenRequests int
-	ListVersion  int64
-}
-
-// Config is what a Node is told.
-type Config struct {
-	Name         string
-	Site         string // relays of other sites are never merged with
-	Zone         string
-	Bind         string // host:port, for UDP and TCP
-	Advertise    string // host:port that others are told, "" for Bind
-	Seeds        []string
-	Keys         [][]byte // the first seals; none binds loopback only
-	State        string   // the file that the membership.Node's record is kept in
-	InitialPlace int
-	// Founders is how many places view 0 has, Relays the settings' number.
-	Founders, Relays int
-	Seed             uint64
-	Clock            *relay.Clock
-	LocalActivity    func() LocalActivity
-	RefreshEndpoints func()                   // asks for the list of servers out of turn
-	OnChange         func(membership.Changed) // is told of each change; nil for nobody
-	// Received is told of what a peer passes on of servers, a probing.ReadingsReceived or PlacementsReceived; nil for
-	// nobody. It must not block.
-	OnProbingEvent func(ev probing.Event)
-	// Transport makes what carries packets and streams from and to a host and port; nil for UDP and TCP sockets.
-	Transport func(host string, port int, log *log.Logger) (memberlist.NodeAwareTransport, error)
-	// Cell is this relay's cell and Plan divides the fleet's budgets among all of them; "" and nil for a flat fleet.
-	Cell string
-	Plan *cellplan.Plan
-	Pace membership.Timing // within the cell; the zero Pace is a flat fleet's
-	// Zones are the settings' zones by name, by which the plan's are known to the module.
-	Zones map[string]decide.Zone
-	Log   zerolog.Logger
-}
-
 // Node is one relay among the others.
 type Node struct {
 	cfg           Config
@@ -285,45 +241,5 @@
 	}
 }
 
-// LockStatus returns what the module is to reckon with at the moment, by the caller's clock, and keeps it so until Release.
-func (n *Node) LockStatus(now float64) decide.FleetStatus {
-	n.mu.Lock()
-	own := n.now()
-	return relay.ToFleetStatus(duration.FromMillis(now), own, n.membership.Estimate(own), n.zoneNumber)
-}
-
-// UnlockStatus ends a Hold.
-func (n *Node) UnlockStatus() { n.mu.Unlock() }
-
-// Estimate is what this relay reckons with now.
-func (n *Node) Estimate() membership.FleetEstimate {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.membership.Estimate(n.now())
-}
-
-// SetKeys rotates the keys while the Node runs: the first seals from now on, all open.
-func (n *Node) SetKeys(keys [][]byte) error {
-	if n.keyring == nil || len(keys) == 0 {
-		return errors.New("sealing cannot be switched on or off while the relay runs")
-	}
-	for _, k := range keys {
-		if err := n.keyring.AddKey(k); err != nil {
-			return err
-		}
-	}
-	if err := n.keyring.UseKey(keys[0]); err != nil {
-		return err
-	}
-	for _, k := range n.keyring.GetKeys() {
-		if !slices.ContainsFunc(keys, func(o []byte) bool { return string(o) == string(k) }) {
-			if err := n.keyring.RemoveKey(k); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
 // Wait waits for the end of Run.
 func (n *Node) Wait() { <-n.stopped }
