--- a/internal/lifecycle/cells.go
+++ b/internal/lifecycle/cells.go
@@ -19,7 +19,7 @@
 	// Cell is this relay's own cell, one of the plan's.
 	Cell string `toml:"cell"`
 	// Place is this relay's number within its cell, from 0; nil for the settings' `me`.
-	Place *int `toml:"place"`
+	BootstrapSlot *int `toml:"place"`
 	// Plan divides the fleet's budgets among the cells; nil for a flat fleet.
 	Plan *cellplan.Plan `toml:"plan"`
 }
@@ -41,7 +41,7 @@
 func (m *MembersConfig) checkCells(problems *configProblems) {
 	if m.Plan == nil {
 		problems.addIf(m.Cell != "", "cell", "%q is named, but there is no [plan]", m.Cell)
-		problems.addIf(m.Place != nil, "place", "only a relay of a cell has one, and there is no [plan]")
+		problems.addIf(m.BootstrapSlot != nil, "place", "only a relay of a cell has one, and there is no [plan]")
 		return
 	}
 	for _, err := range joinedErrors(m.Plan.Check()) {
@@ -97,14 +97,14 @@
 	problems.addIf(strings.ContainsRune(m.Cell, filepath.Separator), "cell",
 		"%q has a %c, and the state file is called after it", m.Cell, filepath.Separator)
 	switch {
-	case m.Place != nil:
-		problems.addIf(*m.Place < 0 || *m.Place > maxFounders, "place",
-			"%d is not from 0 to %d", *m.Place, maxFounders)
+	case m.BootstrapSlot != nil:
+		problems.addIf(*m.BootstrapSlot < 0 || *m.BootstrapSlot > maxBootstrapSize, "place",
+			"%d is not from 0 to %d", *m.BootstrapSlot, maxBootstrapSize)
 	case known:
 		problems.addIf(m.inRegion(), "place",
 			"not set; this relay's number within cell %q is wanted, from 0", m.Cell)
 	}
-	problems.addIf(m.Founders != 0 && known && m.inRegion(), "founders",
+	problems.addIf(m.BootstrapSize != 0 && known && m.inRegion(), "founders",
 		"in a cell the plan's relays found it; leave it out")
 }
 
@@ -113,16 +113,16 @@
 func (m *MembersConfig) configureCell(g *gossip.Config) {
 	cell := m.ownCell()
 	g.Cell, g.Plan = m.Cell, m.Plan
-	if m.Place != nil {
-		g.InitialPlace = *m.Place
+	if m.BootstrapSlot != nil {
+		g.BootstrapSlot = *m.BootstrapSlot
 	}
 	if cell.Spanning() {
 		return
 	}
 	g.Seeds = cell.Contacts
-	g.Founders = max(cell.Relays, 1)
+	g.BootstrapSize = max(cell.Relays, 1)
 	g.State += "." + m.Cell
-	g.Pace = membership.CellTiming
+	g.Timing = membership.CellTiming
 }
 
 // zoneNames are the names of the settings' zones.
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -53,14 +53,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Cell != "eu-a-1" || *m.Place != 3 || m.Plan.Number != 1 || len(m.Plan.Cells) != 2 || m.Plan.Cells[1].Relays != 40 {
+	if m.Cell != "eu-a-1" || *m.BootstrapSlot != 3 || m.Plan.Number != 1 || len(m.Plan.Cells) != 2 || m.Plan.Cells[1].Relays != 40 {
 		t.Errorf("%+v, %+v", m, m.Plan)
 	}
 	if m, err := readMembersText(t, goodMembers); err != nil || m.Plan != nil || m.Cell != "" {
 		t.Errorf("%+v, %v", m, err)
 	}
 	flat := strings.NewReplacer(`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `relays = 60`, `relays = 300`, `place = 3`, ``).Replace(goodCells)
-	if m, err := readMembersText(t, flat); err != nil || m.inRegion() || m.Place != nil {
+	if m, err := readMembersText(t, flat); err != nil || m.inRegion() || m.BootstrapSlot != nil {
 		t.Errorf("%+v, %v", m, err)
 	}
 }
@@ -76,8 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.Cell != "eu-a-1" || g.InitialPlace != 3 || g.Founders != 60 ||
-		g.State != "/var/lib/capersail/members.eu-a-1" || g.Pace != membership.CellTiming ||
+	if g.Cell != "eu-a-1" || g.BootstrapSlot != 3 || g.BootstrapSize != 60 ||
+		g.State != "/var/lib/capersail/members.eu-a-1" || g.Timing != membership.CellTiming ||
 		!slices.Equal(g.Seeds, m.Plan.Cells[0].Contacts) || len(g.Zones) != 2 {
 		t.Errorf("%+v", g)
 	}
--- a/internal/lifecycle/members_config.go
+++ b/internal/lifecycle/members_config.go
@@ -10,26 +10,26 @@
 // MembersConfig is the operator's file for relays that know each other; deploy/members.toml says what each
 // key means.
 type MembersConfig struct {
-	Site        string   `toml:"site"`
-	Bind        string   `toml:"bind"`
-	Advertise   string   `toml:"tell"`
-	Seeds       []string `toml:"seeds"`
-	Keys        string   `toml:"keys"`
-	State       string   `toml:"state"`
-	Socket      string   `toml:"socket"`
-	Zone        string   `toml:"zone"`
-	Founders    int      `toml:"founders"`
-	ShareProbes bool     `toml:"looks"`
+	Site          string   `toml:"site"`
+	Bind          string   `toml:"bind"`
+	Advertise     string   `toml:"tell"`
+	Seeds         []string `toml:"seeds"`
+	Keys          string   `toml:"keys"`
+	State         string   `toml:"state"`
+	Socket        string   `toml:"socket"`
+	Zone          string   `toml:"zone"`
+	BootstrapSize int      `toml:"founders"`
+	ShareProbes   bool     `toml:"looks"`
 	cellSettings
 
 	keys [][]byte
 }
 
 const (
-	// maxFounders bounds the places of a fleet; so many relays are far beyond what gossip is made for.
-	maxFounders   = 10_000
-	maxSiteBytes  = 100
-	maxSocketPath = 100 // bytes
+	// maxBootstrapSize bounds the places of a fleet; so many relays are far beyond what gossip is made for.
+	maxBootstrapSize = 10_000
+	maxSiteBytes     = 100
+	maxSocketPath    = 100 // bytes
 )
 
 // ReadMembersConfig reads the file and the keys that it names. The error joins a *ConfigError for each
@@ -45,8 +45,8 @@
 	m.checkAddresses(problems)
 	problems.addIf(!filepath.IsAbs(m.State), "state", "%q is not a path from / on", m.State)
 	checkSocket(problems, m.Socket)
-	problems.addIf(m.Founders < 0 || m.Founders > maxFounders, "founders",
-		"from 1 to %d, or 0 for the settings' number", maxFounders)
+	problems.addIf(m.BootstrapSize < 0 || m.BootstrapSize > maxBootstrapSize, "founders",
+		"from 1 to %d, or 0 for the settings' number", maxBootstrapSize)
 	if m.Keys != "" {
 		var err error
 		m.keys, err = readGossipKeys(m.Keys)
@@ -106,5 +106,5 @@
 func (m *MembersConfig) restartOnly() string {
 	return fmt.Sprint(
 		m.Site, m.Bind, m.Advertise, m.Seeds, m.State, m.Socket,
-		m.Zone, m.Founders, m.ShareProbes)
+		m.Zone, m.BootstrapSize, m.ShareProbes)
 }
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -76,7 +76,7 @@
 	if p.config.ShareProbes {
 		quarantined := func(name string) { p.quarantined(front, name) }
 		p.sharing = relay.NewSharedProbing(front.requests, c.Name, c.Seed, p.node, quarantined)
-		front.probeSharing = p.sharing
+		front.sharedProbing = p.sharing
 	}
 }
 
@@ -180,23 +180,23 @@
 	settings := platform.Deployment.Settings
 	relays := max(settings.Relays, 1)
 	c := gossip.Config{
-		Name:         platform.Name,
-		Site:         m.Site,
-		Zone:         m.Zone,
-		Zones:        platform.Deployment.Zones,
-		Bind:         m.Bind,
-		Advertise:    m.Advertise,
-		Seeds:        m.Seeds,
-		Keys:         m.keys,
-		State:        m.State,
-		InitialPlace: settings.RelayIndex,
-		Founders:     m.Founders,
-		Relays:       relays,
-		Seed:         platform.Seed,
-		Log:          log,
-	}
-	if c.Founders == 0 {
-		c.Founders = relays
+		Name:             platform.Name,
+		Site:             m.Site,
+		Zone:             m.Zone,
+		Zones:            platform.Deployment.Zones,
+		Bind:             m.Bind,
+		Advertise:        m.Advertise,
+		Seeds:            m.Seeds,
+		Keys:             m.keys,
+		State:            m.State,
+		BootstrapSlot:    settings.RelayIndex,
+		BootstrapSize:    m.BootstrapSize,
+		ConfiguredRelays: relays,
+		Seed:             platform.Seed,
+		Log:              log,
+	}
+	if c.BootstrapSize == 0 {
+		c.BootstrapSize = relays
 	}
 	if c.Zone == "" {
 		c.Zone = zoneName(platform)
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -57,7 +57,7 @@
 	platform        *platform.Front      // nil for other fronts
 	discovery       *discovery.Client    // nil for other fronts
 	fleet           relay.FleetView      // a part's to set; nil where relays do not know each other
-	probeSharing    *relay.SharedProbing // the same; nil where each probes servers for itself
+	sharedProbing   *relay.SharedProbing // the same; nil where each probes servers for itself
 	changeListeners []func(membership.Changed)
 }
 
--- a/internal/simulation/scale/cells.go
+++ b/internal/simulation/scale/cells.go
@@ -50,11 +50,11 @@
 // enter gives a relay its part in the plan.
 func (p *planned) enter(c *gossip.Config, cell string, i int) {
 	members := p.members[cell]
-	c.Cell, c.Plan, c.Pace, c.Zones = cell, &p.plan, membership.CellTiming, p.zones
-	c.Founders, c.Seeds = len(members), nil
+	c.Cell, c.Plan, c.Timing, c.Zones = cell, &p.plan, membership.CellTiming, p.zones
+	c.BootstrapSize, c.Seeds = len(members), nil
 	for place, member := range members {
 		if member == i {
-			c.InitialPlace = place
+			c.BootstrapSlot = place
 		}
 		if place < contacts {
 			c.Seeds = append(c.Seeds, Address(member))
--- a/internal/simulation/scale/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -84,8 +84,8 @@
 func (f *Fleet) StartRelay(i int) error {
 	r := f.relays[i]
 	began := time.Now()
-	c := gossip.Config{Name: Name(i), Site: "hollow", Zone: r.Place.Zone, Bind: r.Address, State: filepath.Join(f.cfg.Dir, Name(i)), Keys: f.cfg.Keys, InitialPlace: i,
-		Founders: f.cfg.Relays, Relays: f.cfg.Relays, Seed: uint64(i), Clock: relay.NewClock(), Transport: f.Network.Transport, Log: zerolog.Nop()}
+	c := gossip.Config{Name: Name(i), Site: "hollow", Zone: r.Place.Zone, Bind: r.Address, State: filepath.Join(f.cfg.Dir, Name(i)), Keys: f.cfg.Keys, BootstrapSlot: i,
+		BootstrapSize: f.cfg.Relays, ConfiguredRelays: f.cfg.Relays, Seed: uint64(i), Clock: relay.NewClock(), Transport: f.Network.Transport, Log: zerolog.Nop()}
 	for s := range min(seeds, f.cfg.Relays) {
 		c.Seeds = append(c.Seeds, Address(s*f.cfg.Relays/min(seeds, f.cfg.Relays)))
 	}
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -32,7 +32,7 @@
 // lonelyIn is a Node of a cell that doesn't run.
 func lonelyIn(t *testing.T, cell string, plan *cellplan.Plan) *Node {
 	t.Helper()
-	n, err := New(Config{Name: "me", Site: "s", State: filepath.Join(t.TempDir(), "state"), Founders: 3, Relays: 3, Clock: relay.NewClock(), Log: zerolog.Nop(),
+	n, err := New(Config{Name: "me", Site: "s", State: filepath.Join(t.TempDir(), "state"), BootstrapSize: 3, ConfiguredRelays: 3, Clock: relay.NewClock(), Log: zerolog.Nop(),
 		Cell: cell, Plan: plan})
 	if err != nil {
 		t.Fatal(err)
@@ -55,8 +55,8 @@
 	})
 	for i := range 6 {
 		c := Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: []string{address(0), address(3), address(4)}, State: filepath.Join(dir, fmt.Sprint(i)),
-			InitialPlace: i % 3, Founders: 3, Relays: 6, Seed: uint64(i), Clock: relay.NewClock(), Transport: network.Transport, Log: zerolog.Nop(),
-			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: twoCells().Cells[i/3].Name, Plan: twoCells(), Pace: membership.CellTiming}
+			BootstrapSlot: i % 3, BootstrapSize: 3, ConfiguredRelays: 6, Seed: uint64(i), Clock: relay.NewClock(), Transport: network.Transport, Log: zerolog.Nop(),
+			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: twoCells().Cells[i/3].Name, Plan: twoCells(), Timing: membership.CellTiming}
 		node, err := New(c)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/wire/gossip/config.go
+++ b/internal/wire/gossip/config.go
@@ -23,31 +23,31 @@
 
 // Config is what a Node is told.
 type Config struct {
-	Name         string
-	Site         string // relays of other sites are never merged with
-	Zone         string
-	Bind         string // host:port, for UDP and TCP
-	Advertise    string // host:port that others are told, "" for Bind
-	Seeds        []string
-	Keys         [][]byte // the first seals; none binds loopback only
-	State        string   // the file that the membership.Node's record is kept in
-	InitialPlace int
+	Name          string
+	Site          string // relays of other sites are never merged with
+	Zone          string
+	Bind          string // host:port, for UDP and TCP
+	Advertise     string // host:port that others are told, "" for Bind
+	Seeds         []string
+	Keys          [][]byte // the first seals; none binds loopback only
+	State         string   // the file that the membership.Node's record is kept in
+	BootstrapSlot int
 	// Founders is how many places view 0 has, Relays the settings' number.
-	Founders, Relays int
-	Seed             uint64
-	Clock            *relay.Clock
-	LocalActivity    func() LocalActivity
-	RefreshEndpoints func()                   // asks for the list of servers out of turn
-	OnChange         func(membership.Changed) // is told of each change; nil for nobody
+	BootstrapSize, ConfiguredRelays int
+	Seed                            uint64
+	Clock                           *relay.Clock
+	LocalActivity                   func() LocalActivity
+	RefreshEndpoints                func()                   // asks for the list of servers out of turn
+	OnChange                        func(membership.Changed) // is told of each change; nil for nobody
 	// Received is told of what a peer passes on of servers, a probing.ReadingsReceived or PlacementsReceived; nil for
 	// nobody. It must not block.
 	OnProbingEvent func(ev probing.Event)
 	// Transport makes what carries packets and streams from and to a host and port; nil for UDP and TCP sockets.
 	Transport func(host string, port int, log *log.Logger) (memberlist.NodeAwareTransport, error)
 	// Cell is this relay's cell and Plan divides the fleet's budgets among all of them; "" and nil for a flat fleet.
-	Cell string
-	Plan *cellplan.Plan
-	Pace membership.Timing // within the cell; the zero Pace is a flat fleet's
+	Cell   string
+	Plan   *cellplan.Plan
+	Timing membership.Timing // within the cell; the zero Pace is a flat fleet's
 	// Zones are the settings' zones by name, by which the plan's are known to the module.
 	Zones map[string]decide.Zone
 	Log   zerolog.Logger
--- a/internal/wire/gossip/faultpoint.go
+++ b/internal/wire/gossip/faultpoint.go
@@ -17,8 +17,8 @@
 // recordHistory is where tests take down what the relay reckons with; this program does not.
 func (n *Node) recordHistory() {}
 
-// adjustPace is where tests have a cell go faster; this program goes by its pace.
-func (n *Node) adjustPace(p membership.Timing) membership.Timing { return p }
+// adjustTiming is where tests have a cell go faster; this program goes by its pace.
+func (n *Node) adjustTiming(p membership.Timing) membership.Timing { return p }
 
 // cellTime is the Coordinator's clock by the Node's, and nodeTime the other way round; tests let it run faster.
 func (n *Node) cellTime(now time.Duration) time.Duration { return now }
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// adjustPace makes the leases of a cell as short as the rules say.
-func (n *Node) adjustPace(p membership.Timing) membership.Timing {
+// adjustTiming makes the leases of a cell as short as the rules say.
+func (n *Node) adjustTiming(p membership.Timing) membership.Timing {
 	if ms := faultpoint.Present().LeaseMs; ms > 0 && p != (membership.Timing{}) {
 		p.StatusInterval = duration.Scale(p.StatusInterval, ms/duration.Millis(p.LeaseDuration))
 		p.LeaseDuration = duration.FromMillis(ms)
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -57,7 +57,7 @@
 	})
 	for i := range n {
 		name := fmt.Sprintf("r%03d", i)
-		c := Config{Name: name, Site: "site", Bind: address(i), Seeds: []string{address(0), address(1)}, State: filepath.Join(dir, name), InitialPlace: i, Founders: n, Relays: n,
+		c := Config{Name: name, Site: "site", Bind: address(i), Seeds: []string{address(0), address(1)}, State: filepath.Join(dir, name), BootstrapSlot: i, BootstrapSize: n, ConfiguredRelays: n,
 			Seed: uint64(i), Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Transport: network.Transport, Log: zerolog.Nop()}
 		if notice != nil {
 			c.OnChange = func(ch membership.Changed) { notice(name, ch) }
@@ -208,7 +208,7 @@
 // lone is a Node that has not been started, for what it takes in.
 func lone(t *testing.T) *Node {
 	t.Helper()
-	n, err := New(Config{Name: "me", Site: "s", State: filepath.Join(t.TempDir(), "state"), Founders: 3, Relays: 3, Clock: relay.NewClock(), Log: zerolog.Nop()})
+	n, err := New(Config{Name: "me", Site: "s", State: filepath.Join(t.TempDir(), "state"), BootstrapSize: 3, ConfiguredRelays: 3, Clock: relay.NewClock(), Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -364,7 +364,7 @@
 	read("s", "me", "version 2")
 
 	var said bytes.Buffer
-	n, err := New(Config{Name: "me", Site: "s", State: path, Founders: 4, Relays: 4, Clock: relay.NewClock(), Log: zerolog.New(&said)})
+	n, err := New(Config{Name: "me", Site: "s", State: path, BootstrapSize: 4, ConfiguredRelays: 4, Clock: relay.NewClock(), Log: zerolog.New(&said)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -372,7 +372,7 @@
 		t.Errorf("a record that cannot be read: %+v, said %q", r, said.String())
 	}
 	said.Reset()
-	n, err = New(Config{Name: "me", Site: "s", State: filepath.Join(dir, "gone", "state"), Founders: 4, Relays: 4, Clock: relay.NewClock(), Log: zerolog.New(&said)})
+	n, err = New(Config{Name: "me", Site: "s", State: filepath.Join(dir, "gone", "state"), BootstrapSize: 4, ConfiguredRelays: 4, Clock: relay.NewClock(), Log: zerolog.New(&said)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -409,7 +409,7 @@
 	network := network.New(network.Config{})
 	state := filepath.Join(t.TempDir(), "state")
 	start := func(at int) (*Node, func()) {
-		n, err := New(Config{Name: "r0", Site: "s", Bind: address(at), Seeds: []string{address(0)}, State: state, Founders: 1, Relays: 1, Clock: relay.NewClock(),
+		n, err := New(Config{Name: "r0", Site: "s", Bind: address(at), Seeds: []string{address(0)}, State: state, BootstrapSize: 1, ConfiguredRelays: 1, Clock: relay.NewClock(),
 			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
@@ -443,7 +443,7 @@
 	var all []*Node
 	for i := range 3 {
 		n, err := New(Config{Name: fmt.Sprint("r", i), Site: "s", Bind: address(i), Seeds: []string{address(0)}, Keys: [][]byte{one}, State: filepath.Join(t.TempDir(), "state"),
-			InitialPlace: i, Founders: 3, Relays: 3, Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.New(io.Discard)})
+			BootstrapSlot: i, BootstrapSize: 3, ConfiguredRelays: 3, Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.New(io.Discard)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/gossip/moves_test.go
+++ b/internal/wire/gossip/moves_test.go
@@ -19,9 +19,9 @@
 func startIn(t *testing.T, network *network.Network, dir, cell string, i int, seeds ...string) (*Node, func()) {
 	t.Helper()
 	node, err := New(Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: seeds,
-		State: filepath.Join(dir, fmt.Sprintf("%s-%d", cell, i)), InitialPlace: -1, Founders: 3, Relays: 6, Seed: uint64(i),
+		State: filepath.Join(dir, fmt.Sprintf("%s-%d", cell, i)), BootstrapSlot: -1, BootstrapSize: 3, ConfiguredRelays: 6, Seed: uint64(i),
 		Clock: relay.NewClock(), Transport: network.Transport, Log: zerolog.Nop(),
-		LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: cell, Plan: twoCells(), Pace: membership.CellTiming})
+		LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: cell, Plan: twoCells(), Timing: membership.CellTiming})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/gossip/node.go
+++ b/internal/wire/gossip/node.go
@@ -107,7 +107,7 @@
 func (n *Node) openRecord() {
 	c := n.cfg
 	d, rec, err := openRecordFile(c.State, c.Site, n.cell, c.Name)
-	place := c.InitialPlace
+	place := c.BootstrapSlot
 	switch {
 	case errors.Is(err, errRecordInUse):
 		place, d.inUse = -1, true
@@ -125,8 +125,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.record = d
-	n.membership = membership.New(n.now(), membership.Config{Name: c.Name, BootstrapSlot: place, BootstrapSize: c.Founders, ConfiguredRelays: c.Relays, Seed: c.Seed,
-		Cell: c.Cell, Plan: c.Plan, Timing: n.adjustPace(c.Pace)}, rec)
+	n.membership = membership.New(n.now(), membership.Config{Name: c.Name, BootstrapSlot: place, BootstrapSize: c.BootstrapSize, ConfiguredRelays: c.ConfiguredRelays, Seed: c.Seed,
+		Cell: c.Cell, Plan: c.Plan, Timing: n.adjustTiming(c.Timing)}, rec)
 	if err != nil {
 		n.membership.Handle(n.now(), membership.RecordNotSaved{}, nil)
 	}
