--- a/internal/wire/gossip/cell_log.go
+++ b/internal/wire/gossip/cell_log.go
@@ -7,52 +7,63 @@
 	"capersail/internal/fleet/cells"
 )
 
-// logCellChange tells people of a change among cells, with its cause.
-func (n *Node) logCellChange(l *cellLink, c cells.Changed) {
-	cause := ""
-	switch {
-	case c.Kind == cells.RepresentativeChanged && c.Cell == l.cell:
-		cause = n.representativeCause(l, c.Representative)
-		l.representative = c.Representative
-	case c.Kind == cells.RepresentativeChanged:
-		cause = "its summary"
-	case c.Kind == cells.CellLost:
-		cause = fmt.Sprintf("nothing heard for %d rounds", cells.UnknownAfterRounds)
-	case c.Kind == cells.CellKnown:
-		cause = "a summary"
-	case c.Kind == cells.PlanMismatch:
-		cause = "its table differs from this cell's; what it says of the plan is not counted"
-	case c.Kind == cells.PlanActivated:
-		cause = "every cell has entered it"
+// logCellChange says what has changed among cells, with its cause.
+func (n *Node) logCellChange(link *cellLink, change cells.Changed) {
+	cause := n.cellChangeCause(link, change)
+	if change.Kind == cells.RepresentativeChanged && change.Cell == link.cell {
+		link.representative = change.Representative
 	}
 	event := n.log.Info()
-	if c.Kind == cells.PlanMismatch {
+	message := "cell changed"
+	if change.Kind == cells.PlanMismatch {
 		event = n.log.Warn()
+		message = "cell has another plan under the same number: give both cells the same file"
 	}
-	event = event.Str("what", c.Kind.String()).Str("cell", c.Cell)
-	if c.Representative != "" {
-		event = event.Str("speaker", c.Representative)
+	event = event.Str("what", change.Kind.String()).Str("cell", change.Cell)
+	if change.Representative != "" {
+		event = event.Str("speaker", change.Representative)
 	}
-	if c.Plan > 0 {
-		event = event.Uint64("plan", c.Plan)
+	if change.Plan > 0 {
+		event = event.Uint64("plan", change.Plan)
 	}
-	event.Str("cause", cause).Msg("cells")
+	event.Str("cause", cause).Msg(message)
 }
 
-// representativeCause is why another relay speaks for this cell.
-func (n *Node) representativeCause(l *cellLink, speaker string) string {
-	before := l.representative
+// cellChangeCause is why a cell has changed.
+func (n *Node) cellChangeCause(link *cellLink, change cells.Changed) string {
+	switch change.Kind {
+	case cells.RepresentativeChanged:
+		if change.Cell == link.cell {
+			return n.representativeCause(link, change.Representative)
+		}
+		return "its summary"
+	case cells.CellLost:
+		return fmt.Sprintf("no summary for %d rounds", cells.UnknownAfterRounds)
+	case cells.CellKnown:
+		return "a summary"
+	case cells.PlanMismatch:
+		return "its table differs from this cell's; what it says of the plan is not counted"
+	case cells.PlanActivated:
+		return "every cell has joined it"
+	}
+	return ""
+}
+
+// representativeCause is why another relay is this cell's representative.
+func (n *Node) representativeCause(link *cellLink, next string) string {
+	before := link.representative
 	if before == "" {
 		return "it is the first voter that is alive"
 	}
 	if before == n.cfg.Name {
-		return speaker + " comes before this relay among the voters"
+		return next + " comes before this relay among the voters"
 	}
-	if gone, ok := l.departed[before]; ok {
+	if gone, ok := link.departed[before]; ok {
 		return before + " has " + gone.state
 	}
-	if !slices.ContainsFunc(l.lastReport.Voters, func(v cells.Voter) bool { return v.Name == before }) {
+	votes := func(voter cells.Voter) bool { return voter.Name == before }
+	if !slices.ContainsFunc(link.lastReport.Voters, votes) {
 		return before + " votes no more"
 	}
-	return speaker + " comes before " + before + " among the voters"
+	return next + " comes before " + before + " among the voters"
 }
--- a/internal/wire/gossip/cell_messages.go
+++ b/internal/wire/gossip/cell_messages.go
@@ -8,112 +8,109 @@
 )
 
 // sendSummary sends a summary to an address of another cell, as one packet.
-func (n *Node) sendSummary(l *cellLink, a cells.SendSummary) {
-	list := n.list.Load()
+func (n *Node) sendSummary(link *cellLink, a cells.SendSummary) {
+	list := n.mesh.list.Load()
 	if list == nil {
 		return
 	}
-	text, err := encodeEnvelope(n.cfg.Name, a.Summary.Incarnation, n.seq.Add(1), kindSummary, a.Summary)
+	text, err := encodeEnvelope(n.cfg.Name, a.Summary.Incarnation, n.mesh.seq.Add(1), kindSummary, a.Summary)
 	if err != nil {
-		n.log.Error().Err(err).Msg("members: a summary cannot be written")
+		n.log.Error().Err(err).Msg("cell's summary cannot be encoded, not sent: report it with its error")
 		return
 	}
-	l.bytesOut.Add(uint64(len(text)))
+	link.bytesOut.Add(uint64(len(text)))
 	if err := list.SendToAddress(memberlist.Address{Addr: a.Address}, text); err != nil {
 		n.dropped.count(dropUnsent, err.Error())
 	}
 }
 
 // publishDirectory tells this cell of all others.
-func (n *Node) publishDirectory(l *cellLink, d cells.Directory) {
-	text, err := n.encodeForCell(d.Incarnation, n.seq.Add(1), kindDirectory, d)
+func (n *Node) publishDirectory(link *cellLink, directory cells.Directory) {
+	text, err := n.encodeForCell(directory.Incarnation, n.mesh.seq.Add(1), kindDirectory, directory)
 	if err != nil {
-		n.log.Error().Err(err).Msg("members: the directory cannot be written")
+		n.log.Error().Err(err).Msg("cells' directory cannot be encoded, not sent: report it with its error")
 		return
 	}
-	l.bytesOut.Add(uint64(len(text)))
-	n.queue.QueueBroadcast(&directoryBroadcast{text})
+	link.bytesOut.Add(uint64(len(text)))
+	n.mesh.broadcasts.QueueBroadcast(&directoryBroadcast{text})
 }
 
-// directoryBroadcast is a directory on its way round the cell; a newer one takes its place, whoever speaks.
+// directoryBroadcast is a directory on its way round the cell; a newer one takes its place, whoever is the
+// representative.
 type directoryBroadcast struct{ text []byte }
 
 // Name is no relay's: those print.
 func (b *directoryBroadcast) Name() string { return "\x00directory" }
 
-func (b *directoryBroadcast) Invalidates(o memberlist.Broadcast) bool {
-	_, ok := o.(*directoryBroadcast)
+// Invalidates is memberlist's: whether it takes the other one's place.
+func (b *directoryBroadcast) Invalidates(other memberlist.Broadcast) bool {
+	_, ok := other.(*directoryBroadcast)
 	return ok
 }
 
+// Message is memberlist's.
 func (b *directoryBroadcast) Message() []byte { return b.text }
 
+// Finished is memberlist's.
 func (b *directoryBroadcast) Finished() {}
 
-// receiveFromCell takes in a summary or a directory. forward says that a directory is to be passed on.
-func (n *Node) receiveFromCell(e envelope, text []byte, forward bool) {
-	l := n.cells.Load()
-	if l == nil {
+// directoryMark orders the directories of a representative.
+type directoryMark struct{ incarnation, seq uint64 }
+
+func (m directoryMark) before(o directoryMark) bool {
+	return m.incarnation < o.incarnation || m.incarnation == o.incarnation && m.seq < o.seq
+}
+
+// receiveFromCells takes in a summary or a directory. forward says that a directory is to be passed on.
+func (n *Node) receiveFromCells(e envelope, text []byte, forward bool) {
+	link := n.cells.Load()
+	if link == nil {
 		n.dropped.count(dropUnknown, "of cells, and there is no plan here")
 		return
 	}
-	l.bytesIn.Add(uint64(len(text)))
+	link.bytesIn.Add(uint64(len(text)))
 	if e.Kind == kindDirectory {
-		var d cells.Directory
-		if err := cbor.Unmarshal(e.Body, &d); err != nil || d.Check() != nil || d.Representative != e.From || d.Incarnation != e.Incarnation {
-			n.dropped.count(dropMalformed, "a directory that makes no sense")
-			return
-		}
-		if !n.noteDirectory(l, d) {
-			return // gossip brings each several times
-		}
-		if forward {
-			n.queue.QueueBroadcast(&directoryBroadcast{text})
-		}
-		n.enqueueCellEvent(l, cells.DirectoryReceived{From: e.From, Directory: d})
-		return
+		n.receiveDirectory(link, e, text, forward)
+	} else {
+		n.receiveSummary(link, e)
 	}
-	var s cells.Summary
-	if err := cbor.Unmarshal(e.Body, &s); err != nil || s.Check() != nil || !s.Forwarded && (s.Representative != e.From || s.Incarnation != e.Incarnation) {
-		n.dropped.count(dropMalformed, "a summary that makes no sense")
+}
+
+// receiveDirectory hands a directory on that is newer than the one known.
+func (n *Node) receiveDirectory(link *cellLink, e envelope, text []byte, forward bool) {
+	var d cells.Directory
+	err := cbor.Unmarshal(e.Body, &d)
+	if err != nil || d.Check() != nil || d.Representative != e.From || d.Incarnation != e.Incarnation {
+		n.dropped.count(dropMalformed, "malformed directory")
 		return
 	}
-	sender := e
-	if !s.Forwarded { // a relay that has changed its cell counts anew
-		sender.From = s.Cell + "\x00" + e.From
+	if !n.peers.noteDirectory(d.Representative, directoryMark{d.Incarnation, d.Seq}) {
+		return // gossip brings each several times
 	}
-	if !n.isFirstDelivery(sender) {
-		n.dropped.count(dropReplayed, e.From)
-		return
+	if forward {
+		n.mesh.broadcasts.QueueBroadcast(&directoryBroadcast{text})
 	}
-	n.enqueueCellEvent(l, cells.SummaryReceived{From: e.From, Summary: s})
+	n.enqueueCellEvent(link, cells.DirectoryReceived{From: e.From, Directory: d})
 }
 
-// directoryMark orders the directories of a speaker.
-type directoryMark struct{ incarnation, seq uint64 }
-
-func (m directoryMark) before(o directoryMark) bool {
-	return m.incarnation < o.incarnation || m.incarnation == o.incarnation && m.seq < o.seq
-}
-
-// noteDirectory notes a directory, and tells whether it is newer than all of its speaker's.
-func (n *Node) noteDirectory(l *cellLink, d cells.Directory) bool {
-	n.peers.Lock()
-	defer n.peers.Unlock()
-	mark := directoryMark{d.Incarnation, d.Seq}
-	old, known := l.newestDirectories[d.Representative]
-	if known && !old.before(mark) || !known && len(l.newestDirectories) >= maxPeers {
-		return false
+// receiveSummary hands a summary on that has not come before: from its representative, or as a relay of this
+// cell has forwarded it.
+func (n *Node) receiveSummary(link *cellLink, e envelope) {
+	var s cells.Summary
+	err := cbor.Unmarshal(e.Body, &s)
+	fromOther := !s.Forwarded
+	own := s.Representative == e.From && s.Incarnation == e.Incarnation
+	if err != nil || s.Check() != nil || fromOther && !own {
+		n.dropped.count(dropMalformed, "malformed summary")
+		return
 	}
-	l.newestDirectories[d.Representative] = mark
-	return true
-}
-
-// enqueueCellEvent queues an event. When there is no room it is dropped: all that is said is said again.
-func (n *Node) enqueueCellEvent(l *cellLink, ev cells.Event) {
-	select {
-	case l.inbox <- ev:
-	default:
-		n.dropped.count(dropOverflow, "")
+	sender := e.From
+	if fromOther { // a relay that has changed its cell counts anew
+		sender = s.Cell + "\x00" + e.From
+	}
+	if !n.peers.isFirstDelivery(sender, e.Incarnation, e.Seq) {
+		n.dropped.count(dropReplayed, e.From)
+		return
 	}
+	n.enqueueCellEvent(link, cells.SummaryReceived{From: e.From, Summary: s})
 }
--- a/internal/wire/gossip/cell_metrics.go
+++ b/internal/wire/gossip/cell_metrics.go
@@ -4,23 +4,26 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// cellMetrics are what is shown of cells; nothing in a flat fleet without a plan. At a relay that doesn't speak for its cell those of
-// other cells are the speaker's, some seconds old.
+// cellMetrics are the metrics of cells; none in a flat fleet without a plan. At a relay that isn't its cell's
+// representative those of other cells are the representative's, some seconds old.
 //
 //	relay_cells{region,state}          gauge    other cells: heard, or unheard for three rounds
 //	relay_cells_relays{region}         gauge    relays in them
 //	relay_cells_plan                   gauge    number of the plan that this relay's cell goes by
 //	relay_cells_file_plan              gauge    and of the file's
 //	relay_cells_entered                gauge    newest plan that nobody in the cell acts by an earlier one of
-//	relay_cells_opened                 gauge    newest plan that every cell has entered
-//	relay_cells_speaker                gauge    1 at the relay that speaks for its cell
-//	relay_cells_mismatched             gauge    other cells with another table under the plan's number, at the speaker
+//	relay_cells_opened                 gauge    newest plan that every cell has joined
+//	relay_cells_speaker                gauge    1 at the relay that is its cell's representative
+//	relay_cells_mismatched             gauge    other cells with another plan of its number
 //	relay_cells_far_share              gauge    this relay's part of a budget outside its region, 0 to 1
-//	relay_cells_directory_seconds      gauge    since the speaker's directory came, -1 for never
+//	relay_cells_directory_seconds      gauge    since the representative's directory came, -1 for never
 //	relay_cells_bytes_total{way}       counter  bytes of summaries and directories, out and in
 //	relay_cells_dropped_total{reason}  counter  summaries and directories dropped
 type cellMetrics struct {
-	cells, relays, plan, filePlan, joined, activated, representative, mismatched, farShare, directory, bytes, dropped *prometheus.Desc
+	cells, relays                        *prometheus.Desc
+	plan, filePlan, joined, activated    *prometheus.Desc
+	representative, mismatched, farShare *prometheus.Desc
+	directory, bytes, dropped            *prometheus.Desc
 }
 
 func newCellMetrics() cellMetrics {
@@ -28,23 +31,26 @@
 		return prometheus.NewDesc("relay_cells"+name, help, labels, nil)
 	}
 	return cellMetrics{
-		cells:          d("", "Other cells, by region and whether they are heard.", "region", "state"),
+		cells:          d("", "Other cells, by region and whether their summaries come.", "region", "state"),
 		relays:         d("_relays", "Relays in other cells.", "region"),
 		plan:           d("_plan", "Number of the plan that the cell goes by."),
 		filePlan:       d("_file_plan", "Number of the file's plan."),
 		joined:         d("_entered", "Newest plan that nobody in the cell acts by an earlier one of."),
-		activated:      d("_opened", "Newest plan that every cell is known to have entered."),
-		representative: d("_speaker", "1 where this relay speaks for its cell."),
+		activated:      d("_opened", "Newest plan that every cell is known to have joined."),
+		representative: d("_speaker", "1 where this relay is its cell's representative."),
 		mismatched:     d("_mismatched", "Other cells that have another table under the plan's number."),
 		farShare:       d("_far_share", "This relay's share of a budget outside its region."),
-		directory:      d("_directory_seconds", "Since the speaker's directory came, -1 for never."),
+		directory:      d("_directory_seconds", "Since the representative's directory came, -1 for never."),
 		bytes:          d("_bytes_total", "Bytes of summaries and directories.", "way"),
 		dropped:        d("_dropped_total", "Summaries and directories dropped, by reason.", "reason"),
 	}
 }
 
 func (f cellMetrics) describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{f.cells, f.relays, f.plan, f.filePlan, f.joined, f.activated, f.representative, f.mismatched, f.farShare, f.directory, f.bytes, f.dropped} {
+	for _, d := range []*prometheus.Desc{
+		f.cells, f.relays, f.plan, f.filePlan, f.joined, f.activated,
+		f.representative, f.mismatched, f.farShare, f.directory, f.bytes, f.dropped,
+	} {
 		ch <- d
 	}
 }
@@ -78,18 +84,10 @@
 	gauge(f.filePlan, float64(r.FilePlan))
 	gauge(f.joined, float64(r.JoinedPlan))
 	gauge(f.activated, float64(r.ActivatedPlan))
-	speaks := 0.0
-	if r.Representative == n.cfg.Name {
-		speaks = 1
-	}
-	gauge(f.representative, speaks)
+	gauge(f.representative, oneIf(r.Representative == n.cfg.Name))
 	gauge(f.mismatched, mismatched)
 	gauge(f.farShare, n.Estimate().FarBudgetShare)
-	age := -1.0
-	if r.DirectoryMs >= 0 {
-		age = r.DirectoryMs / 1000
-	}
-	gauge(f.directory, age)
+	gauge(f.directory, seconds(r.DirectoryMs))
 	out, in := n.CellTraffic()
 	count(f.bytes, out, "out")
 	count(f.bytes, in, "in")
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -11,29 +11,26 @@
 )
 
 const (
-	cellGossipInterval = 200 * time.Millisecond // memberlist's rounds of gossip within a cell
-	// cellPushPullInterval is the time between two exchanges of whole states within a cell. Each fills a second with more than 8 KB at both sides,
-	// and a relay begins and answers one in this time on average: in fewer than one second of a hundred.
-	cellPushPullInterval = 5 * time.Minute
-	cellReportInterval   = time.Second      // between two tellings of the cell's figures
-	departureRetention   = 20 * time.Second // for which relays that went are named to other cells
-	cellInboxSize        = 512              // summaries and directories that wait
+	// cellReportInterval is the time between two reports of this cell's figures to the Coordinator.
+	cellReportInterval = time.Second
+	// departureRetention is how long relays that went are named to other cells.
+	departureRetention = 20 * time.Second
+	// cellInboxSize bounds the summaries and directories that wait.
+	cellInboxSize = 512
 )
 
-// cellLink is a Node's part in what cells know of each other. There is none in a flat fleet without a plan: its methods do nothing on
-// nil. All but the inbox and the counts are used by Run only, or under the Node's lock.
+// cellLink is a Node's part in what cells know of each other. There is none in a flat fleet without a plan:
+// its methods do nothing on nil. All but the inbox and the counts are used by Run only, or under the Node's
+// lock.
 type cellLink struct {
 	cell           string // by the plan, also where the wire has none
 	coordinator    *cells.Coordinator
 	inbox          chan cells.Event
-	lastReport     cells.LocalCell // as told last
-	nextReportAt   time.Duration   // when it is to be told again
-	othersKnown    bool            // figures of other cells have come
-	departed       map[string]departure
-	representative string // of this cell
-
-	// seen are the newest directories by speaker, under the lock of the Node's peers.
-	newestDirectories map[string]directoryMark
+	lastReport     cells.LocalCell // as the Coordinator heard it last
+	nextReportAt   time.Duration
+	othersKnown    bool                 // figures of other cells have come
+	departed       map[string]departure // by relay
+	representative string               // of this cell
 
 	bytesOut, bytesIn atomic.Uint64 // of summaries and directories, before memberlist's own framing
 }
@@ -66,23 +63,34 @@
 }
 
 // applyPlan takes in a plan that a reload has brought.
-func (n *Node) applyPlan(u planUpdate) {
-	n.handle(membership.PlanChanged{Plan: &u.plan, Cell: u.cell})
+func (n *Node) applyPlan(update planUpdate) {
+	n.handle(membership.PlanChanged{Plan: &update.plan, Cell: update.cell})
 	if n.cells.Load() == nil {
-		n.startCells(u.cell, u.plan)
+		n.startCells(update.cell, update.plan)
 		return
 	}
-	n.handleCellEvent(cells.PlanChanged{Plan: u.plan})
+	n.handleCellEvent(cells.PlanChanged{Plan: update.plan})
 }
 
 // startCells begins to take part in what cells know of each other.
 func (n *Node) startCells(cell string, plan cellplan.Plan) {
 	n.mu.Lock()
-	c := cells.Config{Name: n.cfg.Name, Cell: cell, Incarnation: n.membership.Incarnation(), Plan: plan, Seed: n.cfg.Seed}
-	l := &cellLink{cell: cell, coordinator: cells.New(n.cellTime(n.now()), c), inbox: make(chan cells.Event, cellInboxSize), departed: map[string]departure{},
-		newestDirectories: map[string]directoryMark{}, nextReportAt: n.now()}
+	config := cells.Config{
+		Name:        n.cfg.Name,
+		Cell:        cell,
+		Incarnation: n.membership.Incarnation(),
+		Plan:        plan,
+		Seed:        n.cfg.Seed,
+	}
+	link := &cellLink{
+		cell:         cell,
+		coordinator:  cells.New(n.cellTime(n.now()), config),
+		inbox:        make(chan cells.Event, cellInboxSize),
+		departed:     map[string]departure{},
+		nextReportAt: n.now(),
+	}
 	n.mu.Unlock()
-	n.cells.Store(l)
+	n.cells.Store(link)
 }
 
 // events is the inbox, nil where there are no cells.
@@ -93,71 +101,123 @@
 	return l.inbox
 }
 
+// enqueueCellEvent queues an event. When there is no room it is dropped: all that is said is said again.
+func (n *Node) enqueueCellEvent(link *cellLink, event cells.Event) {
+	select {
+	case link.inbox <- event:
+	default:
+		n.dropped.count(dropOverflow, "")
+	}
+}
+
 // nextCellTick is when tickCells is due.
 func (n *Node) nextCellTick() time.Duration {
-	l := n.cells.Load()
-	if l == nil {
+	link := n.cells.Load()
+	if link == nil {
 		return duration.Forever
 	}
-	return min(l.nextReportAt, n.nodeTime(l.coordinator.Next()))
+	return min(link.nextReportAt, n.nodeTime(link.coordinator.Next()))
 }
 
-// noteMembershipChange notes a change in the membership, which is told without waiting for the next round of figures.
-func (l *cellLink) noteMembershipChange(c membership.Changed, now time.Duration) {
+// noteMembershipChange notes a change in the membership, which is reported without waiting for the next round
+// of figures.
+func (l *cellLink) noteMembershipChange(change membership.Changed, now time.Duration) {
 	if l == nil {
 		return
 	}
 	l.nextReportAt = now
-	if c.Kind != membership.ChangePeer {
+	if change.Kind != membership.ChangePeer {
 		return
 	}
-	if c.State == membership.Failed.String() || c.State == membership.Left.String() {
-		l.departed[c.Name] = departure{now, c.State}
+	if change.State == membership.Failed.String() || change.State == membership.Left.String() {
+		l.departed[change.Name] = departure{now, change.State}
 	} else {
-		delete(l.departed, c.Name)
+		delete(l.departed, change.Name)
 	}
 }
 
-// tickCells tells the Coordinator of this cell where that is due, and lets time pass for it.
+// tickCells reports this cell to the Coordinator where that is due, and lets time pass for it.
 func (n *Node) tickCells() {
-	l, now := n.cells.Load(), n.now()
-	if l == nil || now < n.nextCellTick() {
+	link, now := n.cells.Load(), n.now()
+	if link == nil || now < n.nextCellTick() {
 		return
 	}
-	if now < l.nextReportAt {
+	if now < link.nextReportAt {
 		n.handleCellEvent(cells.Tick{})
 		return
 	}
-	l.nextReportAt = now + cellReportInterval
-	if local, ok := n.localCell(l, now); ok {
-		l.lastReport = local
-		n.handleCellEvent(local)
-		n.updateOtherCells(l)
+	link.nextReportAt = now + cellReportInterval
+	local, known := n.localCell(link, now)
+	if !known {
+		return
+	}
+	link.lastReport = local
+	n.handleCellEvent(local)
+	n.updateOtherCells(link)
+}
+
+// updateOtherCells hands what is known of the other cells to the membership.Node.
+func (n *Node) updateOtherCells(link *cellLink) {
+	n.mu.Lock()
+	others := link.coordinator.Others(n.cellTime(n.now()))
+	activated := link.coordinator.ActivatedPlan()
+	allocation := n.membership.View().Allocation
+	n.mu.Unlock()
+	n.handle(membership.OtherCells{
+		Relays:          others.Relays,
+		RequestRate:     others.RequestRate,
+		OpenConnections: others.OpenConnections,
+		DrainRate:       others.DrainRate,
+		Known:           link.othersKnown,
+	})
+	if allocation != nil && !allocation.Activated && activated >= allocation.Plan {
+		n.handle(membership.PlanActivated{Plan: allocation.Plan, Hash: allocation.PlanHash})
 	}
 }
 
 // handleCellEvent lets the Coordinator act, then carries out what it wants.
-func (n *Node) handleCellEvent(ev cells.Event) {
+func (n *Node) handleCellEvent(event cells.Event) {
 	defer n.recordHistory()
-	l := n.cells.Load()
-	if _, ok := ev.(cells.DirectoryReceived); ok {
-		l.othersKnown = true
+	link := n.cells.Load()
+	if _, ok := event.(cells.DirectoryReceived); ok {
+		link.othersKnown = true
 	}
 	n.mu.Lock()
-	acts := l.coordinator.Handle(n.cellTime(n.now()), ev, nil)
+	actions := link.coordinator.Handle(n.cellTime(n.now()), event, nil)
 	n.mu.Unlock()
-	for _, a := range acts {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch a := action.(type) {
 		case cells.SendSummary:
-			n.sendSummary(l, a)
+			n.sendSummary(link, a)
 		case cells.ForwardSummary:
 			n.sendTo(a.To, kindSummary, a.Summary)
 		case cells.PublishDirectory:
-			l.othersKnown = true
-			n.publishDirectory(l, a.Directory)
+			link.othersKnown = true
+			n.publishDirectory(link, a.Directory)
 		case cells.Changed:
-			n.logCellChange(l, a)
-			l.nextReportAt = n.now() // the membership is told of the other cells, and of a plan that is open
+			n.logCellChange(link, a)
+			// The membership.Node hears of the other cells, and of a plan that is activated.
+			link.nextReportAt = n.now()
 		}
 	}
 }
+
+// Cells reports what is known of the cells; nothing in a flat fleet without a plan.
+func (n *Node) Cells() (cells.Report, bool) {
+	link := n.cells.Load()
+	if link == nil {
+		return cells.Report{}, false
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return link.coordinator.Report(n.cellTime(n.now())), true
+}
+
+// CellTraffic is how many bytes of summaries and directories have gone out and come in.
+func (n *Node) CellTraffic() (out, in uint64) {
+	link := n.cells.Load()
+	if link == nil {
+		return 0, 0
+	}
+	return link.bytesOut.Load(), link.bytesIn.Load()
+}
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -43,7 +43,7 @@
 
 // Two cells whose seeds name relays of both stay apart, and each hears of the other by summaries.
 func TestCellsAreNotMerged(t *testing.T) {
-	network := network.New(network.Config{})
+	simnet := network.New(network.Config{})
 	ctx, stop := context.WithCancel(context.Background())
 	dir := t.TempDir()
 	var all []*Node
@@ -55,7 +55,7 @@
 	})
 	for i := range 6 {
 		c := Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: []string{address(0), address(3), address(4)}, State: filepath.Join(dir, fmt.Sprint(i)),
-			BootstrapSlot: i % 3, BootstrapSize: 3, ConfiguredRelays: 6, Seed: uint64(i), Clock: relay.NewClock(), Transport: network.Transport, Log: zerolog.Nop(),
+			BootstrapSlot: i % 3, BootstrapSize: 3, ConfiguredRelays: 6, Seed: uint64(i), Clock: relay.NewClock(), Transport: simnet.Transport, Log: zerolog.Nop(),
 			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: twoCells().Cells[i/3].Name, Plan: twoCells(), Timing: membership.CellTiming}
 		node, err := New(c)
 		if err != nil {
@@ -64,12 +64,12 @@
 		all = append(all, node)
 		go node.Run(ctx)
 	}
-	heard := func(n *Node) (cells int) {
+	heard := func(n *Node) (count int) {
 		r, _ := n.Cells()
 		for _, region := range r.Regions {
-			cells += region.Known
+			count += region.Known
 		}
-		return cells
+		return count
 	}
 	await(t, time.Minute, "two views of three, and each hears of the other", func() bool {
 		for _, n := range all {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Envelopes of one cell are nothing to relays of another or of a flat fleet; summaries are, where there is a plan; a flat fleet's
-// envelopes and metadata are what they were before there were cells.
+// Envelopes of one cell are nothing to relays of another or of a flat fleet; summaries are, where there is a
+// plan; a flat fleet's envelopes and metadata are what they were before there were cells.
 func TestEnvelopesOfCells(t *testing.T) {
 	flat, east, west := lonelyIn(t, "", nil), lonelyIn(t, "east-1", twoCells()), lonelyIn(t, "west-1", twoCells())
 	east.startCells("east-1", *twoCells())
@@ -175,8 +175,8 @@
 	return text
 }
 
-// A relay of another cell, or of a flat fleet, is no peer of a cell's, nor the other way round; a flat fleet that a plan gives a part
-// takes relays without a plan.
+// A relay of another cell, or of a flat fleet, is no peer of a cell's, nor the other way round; a flat fleet
+// that a plan gives a part takes relays without a plan.
 func TestRelaysOfOtherCellsAreRefused(t *testing.T) {
 	moved := &cellplan.Plan{Number: 2, Cells: append([]cellplan.Cell{{Name: "flat", Relays: 3, Contacts: []string{address(6)}}}, twoCells().Cells...)}
 	for cell, nodes := range map[string][]*Node{
@@ -196,7 +196,8 @@
 	}
 }
 
-// A record of another cell is refused in one line that names both; a flat fleet's file is what it was before there were cells.
+// A record of another cell is refused in one line that names both; a flat fleet's file is what it was before
+// there were cells.
 func TestRecordOfAnotherCell(t *testing.T) {
 	dir := t.TempDir()
 	for _, kept := range []string{"", "east-1"} {
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -15,8 +15,9 @@
 	"capersail/internal/fleet/probing"
 )
 
-// The files under testdata/stored and testdata/wire were written by the program of 2026-12-03, before its names and types were
-// changed. They are never written anew: what has changed in them is what an upgrade would lose.
+// The files under testdata/stored and testdata/wire were written by the program of 2026-12-03, before its
+// names and types were changed. They are never written anew: what has changed in them is what an upgrade
+// would lose.
 
 func agreedView() *membership.View {
 	return &membership.View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{3, 4}, Voters: []string{"r1", "r2"}, Entries: []membership.Member{
@@ -47,8 +48,8 @@
 	return v
 }
 
-// A member's record that the older program has kept is read to the same values, and kept again as the same bytes: what a relay has
-// promised before an upgrade holds after it, and after the way back.
+// A member's record that the older program has kept is read to the same values, and kept again as the same
+// bytes: what a relay has promised before an upgrade holds after it, and after the way back.
 func TestRecordsOfTheOlderProgramAreReadAndKept(t *testing.T) {
 	for name, c := range map[string]struct {
 		cell string
@@ -134,8 +135,8 @@
 	return value
 }
 
-// What the older program sent is read to the same values, and sent again as the same bytes: the two run beside each other in one
-// fleet during an upgrade.
+// What the older program sent is read to the same values, and sent again as the same bytes: the two run
+// beside each other in one fleet during an upgrade.
 func TestPacketsOfTheOlderProgramAreReadAndSent(t *testing.T) {
 	message := decodeBody[membership.Message]
 	status := decodeBody[membership.Status]
--- a/internal/wire/gossip/config.go
+++ b/internal/wire/gossip/config.go
@@ -13,48 +13,56 @@
 	"capersail/internal/relay"
 )
 
-// LocalActivity is what this relay does now, as whoever starts the Node knows it. It must not block.
+// LocalActivity is what this relay does now, as whoever starts the Node knows it.
 type LocalActivity struct {
 	Lifecycle    membership.Lifecycle
-	Arrivals     uint64 // since the process started
+	Arrivals     uint64 // requests since the process started
 	OpenRequests int
-	ListVersion  int64
+	ListVersion  int64 // of the endpoint list held
 }
 
-// Config is what a Node is told.
+// Config is what a Node is made from.
 type Config struct {
-	Name          string
-	Site          string // relays of other sites are never merged with
-	Zone          string
-	Bind          string // host:port, for UDP and TCP
-	Advertise     string // host:port that others are told, "" for Bind
-	Seeds         []string
-	Keys          [][]byte // the first seals; none binds loopback only
-	State         string   // the file that the membership.Node's record is kept in
-	BootstrapSlot int
-	// Founders is how many places view 0 has, Relays the settings' number.
-	BootstrapSize, ConfiguredRelays int
-	Seed                            uint64
-	Clock                           *relay.Clock
-	LocalActivity                   func() LocalActivity
-	RefreshEndpoints                func()                   // asks for the list of servers out of turn
-	OnChange                        func(membership.Changed) // is told of each change; nil for nobody
-	// Received is told of what a peer passes on of servers, a probing.ReadingsReceived or PlacementsReceived; nil for
-	// nobody. It must not block.
-	OnProbingEvent func(ev probing.Event)
-	// Transport makes what carries packets and streams from and to a host and port; nil for UDP and TCP sockets.
+	Name  string
+	Site  string // relays of other sites are never merged with
+	Zone  string
+	Seed  uint64
+	Clock *relay.Clock
+	Log   zerolog.Logger
+
+	Bind      string // host:port, for UDP and TCP
+	Advertise string // host:port that others are told, "" for Bind
+	Seeds     []string
+	Keys      [][]byte // the first seals; none binds loopback only
+	// Transport makes what carries packets and streams from and to a host and port; nil for UDP and TCP
+	// sockets.
 	Transport func(host string, port int, log *log.Logger) (memberlist.NodeAwareTransport, error)
-	// Cell is this relay's cell and Plan divides the fleet's budgets among all of them; "" and nil for a flat fleet.
+
+	State            string // the file that the membership.Node's record is kept in
+	BootstrapSlot    int
+	BootstrapSize    int // slots of view 0
+	ConfiguredRelays int // by the settings
+	// Cell is this relay's cell and Plan divides the fleet's budgets among all of them; "" and nil for a flat
+	// fleet.
 	Cell   string
 	Plan   *cellplan.Plan
-	Timing membership.Timing // within the cell; the zero Pace is a flat fleet's
-	// Zones are the settings' zones by name, by which the plan's are known to the module.
+	Timing membership.Timing // within the cell; the zero Timing is a flat fleet's
+	// Zones are the settings' zones by name, by which the plan's are known to the decision module.
 	Zones map[string]decide.Zone
-	Log   zerolog.Logger
+
+	// LocalActivity is asked for what the relay does. Neither it nor the functions below may block.
+	LocalActivity func() LocalActivity
+	// RefreshEndpoints polls for the endpoint list out of turn; nil for nobody.
+	RefreshEndpoints func()
+	// OnChange is called for each change of the fleet; nil for nobody.
+	OnChange func(membership.Changed)
+	// OnProbingEvent is called for what a peer passes on of servers, a probing.ReadingsReceived or
+	// PlacementsReceived; nil for nobody.
+	OnProbingEvent func(event probing.Event)
 }
 
-// wireCell is the cell's name on the wire and on disk. A flat fleet has none, also where a plan gives it a part: its relays go on
-// hearing those that have no plan yet.
+// wireCell is the cell's name on the wire and on disk. A flat fleet has none, also where a plan gives it a
+// part: its relays go on hearing those that have no plan yet.
 func (c *Config) wireCell() string {
 	if c.Plan == nil {
 		return ""
@@ -65,7 +73,7 @@
 	return c.Cell
 }
 
-// zoneNumber finds the module's number of a zone that a plan names.
+// zoneNumber finds the decision module's number of a zone that a plan names.
 func (c *Config) zoneNumber(name string) (decide.Zone, bool) {
 	number, known := c.Zones[name]
 	return number, known
--- a/internal/wire/gossip/delegate.go
+++ b/internal/wire/gossip/delegate.go
@@ -11,12 +11,14 @@
 	"capersail/internal/fleet/membership"
 )
 
-// This file is the Node as memberlist calls it.
+// errInvalidName refuses a relay whose name ValidName refuses.
+var errInvalidName = errors.New("invalid name of a relay")
 
 // delegate is the Node as memberlist sees it. Its methods must not block.
 type delegate Node
 
-// NodeMeta is memberlist's: the relay's cell, nothing in a flat fleet. Statuses are carried apart, at a rate of their own.
+// NodeMeta is memberlist's: the relay's cell, nothing in a flat fleet. Statuses are carried apart, at a rate
+// of their own.
 func (d *delegate) NodeMeta(int) []byte {
 	if d.cell == "" {
 		return nil
@@ -29,18 +31,12 @@
 
 // GetBroadcasts is memberlist's.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.queue.GetBroadcasts(overhead, limit)
+	return d.mesh.broadcasts.GetBroadcasts(overhead, limit)
 }
 
 // LocalState is memberlist's: all statuses known, for a relay that joins or has missed some.
 func (d *delegate) LocalState(bool) []byte {
-	d.peers.Lock()
-	defer d.peers.Unlock()
-	all := make([][]byte, 0, len(d.peers.digests))
-	for _, text := range d.peers.digests {
-		all = append(all, text)
-	}
-	text, err := cbor.Marshal(all)
+	text, err := cbor.Marshal(d.peers.allStatuses())
 	if err != nil {
 		return nil
 	}
@@ -48,55 +44,44 @@
 }
 
 // MergeRemoteState is memberlist's.
-func (d *delegate) MergeRemoteState(b []byte, _ bool) {
+func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	var all [][]byte
-	if err := cbor.Unmarshal(b, &all); err != nil || len(all) > maxPeers {
-		d.dropped.count(dropMalformed, "a state that makes no sense")
+	if err := cbor.Unmarshal(text, &all); err != nil || len(all) > maxPeers {
+		d.dropped.count(dropMalformed, "malformed state")
 		return
 	}
-	for _, text := range all {
-		(*Node)(d).receive(text, false)
+	for _, status := range all {
+		(*Node)(d).receive(status, false)
 	}
 }
 
-func (d *delegate) notePeer(m *memberlist.Node, w membership.Health) {
-	c := *m
-	d.peers.Lock()
-	if d.peers.nodes[m.Name] != nil || len(d.peers.nodes) < maxPeers {
-		d.peers.nodes[m.Name] = &c
-	}
-	if w == membership.Left { // it is not missed
-		delete(d.peers.nodes, m.Name)
-	}
-	if d.peers.nodes[m.Name] != nil && w == membership.Alive {
-		d.peers.there[m.Name] = true
-	} else {
-		delete(d.peers.there, m.Name)
-	}
-	d.peers.Unlock()
-	(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: w})
+// noteHealth notes what memberlist says of a relay, and has the membership.Node hear of it.
+func (d *delegate) noteHealth(m *memberlist.Node, health membership.Health) {
+	d.peers.noteHealth(*m, health)
+	(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: health})
 }
 
 // NotifyJoin is memberlist's.
-func (d *delegate) NotifyJoin(m *memberlist.Node) { d.notePeer(m, membership.Alive) }
+func (d *delegate) NotifyJoin(m *memberlist.Node) { d.noteHealth(m, membership.Alive) }
 
 // NotifyUpdate is memberlist's.
-func (d *delegate) NotifyUpdate(m *memberlist.Node) { d.notePeer(m, membership.Alive) }
+func (d *delegate) NotifyUpdate(m *memberlist.Node) { d.noteHealth(m, membership.Alive) }
 
 // NotifyLeave is memberlist's, for one that failed and for one that said so.
 func (d *delegate) NotifyLeave(m *memberlist.Node) {
 	if m.State == memberlist.StateLeft {
-		d.notePeer(m, membership.Left)
+		d.noteHealth(m, membership.Left)
 	} else {
-		d.notePeer(m, membership.Failed)
+		d.noteHealth(m, membership.Failed)
 	}
 }
 
-// NotifyAlive is memberlist's: a name that nobody could have is no peer, and neither is a relay of another cell.
+// NotifyAlive is memberlist's: a name that nobody could have is no peer, and neither is a relay of another
+// cell.
 func (d *delegate) NotifyAlive(m *memberlist.Node) error {
 	if !ValidName(m.Name) {
-		d.dropped.count(dropMalformed, "a name that makes no sense")
-		return errors.New("bad name")
+		d.dropped.count(dropMalformed, errInvalidName.Error())
+		return errInvalidName
 	}
 	if !(*Node)(d).sameCell(m) {
 		d.dropped.count(dropForeign, m.Name+": "+errOtherCell.Error())
--- a/internal/wire/gossip/drop_counters.go
+++ b/internal/wire/gossip/drop_counters.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"fmt"
 	"log"
 	"strings"
 	"sync"
@@ -10,13 +11,13 @@
 	"github.com/rs/zerolog"
 )
 
-// dropReason is why something that came was dropped.
+// dropReason is why something that came, or was to be sent, was dropped.
 type dropReason uint8
 
 const (
 	dropMalformed dropReason = iota // nothing that a relay sends
 	dropUnsealed                    // not sealed with a key of this fleet
-	dropForeign                     // of another site
+	dropForeign                     // of another site or cell
 	dropReplayed                    // it had come before
 	dropUnknown                     // of a later version
 	dropOverflow                    // more than could be taken in
@@ -26,12 +27,35 @@
 	dropReasonCount
 )
 
-var dropReasonNames = [dropReasonCount]string{"malformed", "unsealed", "foreign", "replayed", "unknown", "overrun", "conflict", "unsent", "other"}
+// dropReasonNames are the reasons as metrics and reports have them.
+var dropReasonNames = [dropReasonCount]string{
+	dropMalformed: "malformed",
+	dropUnsealed:  "unsealed",
+	dropForeign:   "foreign",
+	dropReplayed:  "replayed",
+	dropUnknown:   "unknown",
+	dropOverflow:  "overrun",
+	dropConflict:  "conflict",
+	dropUnsent:    "unsent",
+	dropOther:     "other",
+}
 
-// dropLogInterval bounds the log: one line a reason in such a time.
-const dropLogInterval = time.Minute
+// String is the reason as metrics and reports have it.
+func (r dropReason) String() string {
+	if r >= dropReasonCount {
+		return fmt.Sprintf("dropReason(%d)", uint8(r))
+	}
+	return dropReasonNames[r]
+}
 
-// dropCounters counts what was dropped, by reason.
+const (
+	// dropLogInterval bounds the log: one line a reason in such a time.
+	dropLogInterval = time.Minute
+	// maxDropDetail bounds what a line says of what was dropped, in bytes.
+	maxDropDetail = 200
+)
+
+// dropCounters counts what was dropped, by reason, and logs some of it.
 type dropCounters struct {
 	log   zerolog.Logger
 	total [dropReasonCount]atomic.Uint64
@@ -40,23 +64,46 @@
 	loggedAt [dropReasonCount]time.Time
 }
 
-func newDropCounters(log zerolog.Logger) *dropCounters { return &dropCounters{log: log} }
+func newDropCounters(logger zerolog.Logger) *dropCounters { return &dropCounters{log: logger} }
 
-func (d *dropCounters) count(r dropReason, what string) {
-	n := d.total[r].Add(1)
+// count counts one drop; detail says more of it in the log.
+func (d *dropCounters) count(reason dropReason, detail string) {
+	total := d.total[reason].Add(1)
+	if !d.logDue(reason) {
+		return
+	}
+	if len(detail) > maxDropDetail {
+		detail = detail[:maxDropDetail]
+	}
+	d.log.Warn().Str("reason", reason.String()).Uint64("so_far", total).Str("what", detail).
+		Msg("gossip dropped: docs/operate/members.md says what each reason asks for")
+}
+
+// logDue tells whether a line for the reason is due, and notes that it is written.
+func (d *dropCounters) logDue(reason dropReason) bool {
 	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := time.Now()
-	say := now.Sub(d.loggedAt[r]) >= dropLogInterval
-	if say {
-		d.loggedAt[r] = now
-	}
-	d.mu.Unlock()
-	if say {
-		if len(what) > 200 {
-			what = what[:200]
-		}
-		d.log.Warn().Str("reason", dropReasonNames[r]).Uint64("so_far", n).Str("what", what).Msg("members: dropped")
+	if now.Sub(d.loggedAt[reason]) < dropLogInterval {
+		return false
 	}
+	d.loggedAt[reason] = now
+	return true
+}
+
+// memberlistDrops says by which words memberlist's log tells of a packet that it drops; the first that fits
+// counts.
+var memberlistDrops = []struct {
+	reason dropReason
+	words  []string
+}{
+	{dropForeign, []string{"unacceptable label", "label header"}},
+	{dropUnsealed, []string{"ecrypt"}},
+	{dropMalformed, []string{
+		"invalid checksum", "ecode", "not supported", "missing message type", "truncated", "decompress",
+		"invalid msgType", "unexpected node", "ailed to receive", "remote state",
+	}},
+	{dropOverflow, []string{"queue full", "Too many pending"}},
 }
 
 // logger is memberlist's log: what it says of packets that it drops is counted, the rest is for debugging.
@@ -65,26 +112,14 @@
 // Write takes one line of memberlist's.
 func (d *dropCounters) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
-	has := func(parts ...string) bool {
-		for _, p := range parts {
-			if strings.Contains(text, p) {
-				return true
+	for _, drop := range memberlistDrops {
+		for _, words := range drop.words {
+			if strings.Contains(text, words) {
+				d.count(drop.reason, text)
+				return len(line), nil
 			}
 		}
-		return false
-	}
-	switch {
-	case has("unacceptable label", "label header"):
-		d.count(dropForeign, text)
-	case has("ecrypt"):
-		d.count(dropUnsealed, text)
-	case has("invalid checksum", "ecode", "not supported", "missing message type", "truncated", "decompress", "invalid msgType", "unexpected node", "ailed to receive",
-		"remote state"):
-		d.count(dropMalformed, text)
-	case has("queue full", "Too many pending"):
-		d.count(dropOverflow, text)
-	default:
-		d.log.Debug().Str("memberlist", text).Msg("members")
 	}
+	d.log.Debug().Str("memberlist", text).Msg("memberlist")
 	return len(line), nil
 }
--- a/internal/wire/gossip/envelope.go
+++ b/internal/wire/gossip/envelope.go
@@ -10,18 +10,18 @@
 	"capersail/internal/fleet/membership"
 )
 
-// envelopeKind says what an envelope holds.
+// envelopeKind says what the body of an envelope is.
 type envelopeKind uint8
 
 const (
 	kindStatus     envelopeKind = 1
 	kindMessage    envelopeKind = 2
-	kindReadings   envelopeKind = 3 // readings of servers; an older version counts it as unknown
-	kindPlacements envelopeKind = 4 // what relays have sent to servers; the same
+	kindReadings   envelopeKind = 3 // load reports of servers; an older version counts it as unknown
+	kindPlacements envelopeKind = 4 // what relays have placed on servers; the same
 )
 
-// envelope is what goes over the wire. A status's Seq is the status's own, so that whoever passes it on changes
-// nothing; a message's rises with each, so that one that comes twice is told.
+// envelope is what goes over the wire. A status's Seq is the status's own, so that whoever passes it on
+// changes nothing; a message's rises with each, so that one that comes twice is known.
 type envelope struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint8
@@ -34,40 +34,70 @@
 
 const (
 	envelopeVersion = 1
-	maxNameBytes    = 128
+	// maxEnvelopeBytes bounds an envelope that is taken in.
+	maxEnvelopeBytes = 1 << 18
+	maxNameBytes     = 128
 )
 
-func encodeEnvelope(from string, incarnation, seq uint64, k envelopeKind, body any) ([]byte, error) {
+var (
+	errOversized     = errors.New("oversized envelope")
+	errNoEnvelope    = errors.New("no envelope")
+	errBadHeadFields = errors.New("malformed envelope")
+)
+
+func encodeEnvelope(from string, incarnation, seq uint64, kind envelopeKind, body any) ([]byte, error) {
 	text, err := cbor.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	return cbor.Marshal(envelope{Version: envelopeVersion, From: from, Incarnation: incarnation, Seq: seq, Kind: k, Body: text})
+	return cbor.Marshal(envelope{
+		Version:     envelopeVersion,
+		From:        from,
+		Incarnation: incarnation,
+		Seq:         seq,
+		Kind:        kind,
+		Body:        text,
+	})
 }
 
-// decodeEnvelope reads an envelope. A later version may hold more, after these fields; what it changes has to be another kind.
+// decodeEnvelope reads an envelope. A later version may hold more, after these fields; what it changes has to
+// be another kind.
 func decodeEnvelope(text []byte) (e envelope, err error) {
 	if len(text) > maxEnvelopeBytes {
-		return e, errors.New("oversized")
+		return e, errOversized
 	}
 	if err := cbor.Unmarshal(text, &e); err != nil {
-		return e, errors.New("no envelope")
+		return e, errNoEnvelope
 	}
 	if e.Version < 1 || !ValidName(e.From) || e.Incarnation == 0 {
-		return e, errors.New("an envelope that makes no sense")
+		return e, errBadHeadFields
 	}
 	return e, nil
 }
 
-// ValidName tells whether a relay may have the name.
-func ValidName(s string) bool {
-	return s != "" && len(s) <= maxNameBytes && !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd })
+// olderThan tells whether another envelope of the same relay is newer.
+func (e envelope) olderThan(other envelope) bool {
+	return e.Incarnation < other.Incarnation || e.Incarnation == other.Incarnation && e.Seq < other.Seq
+}
+
+// ValidName tells whether a relay may have the name: 1 to 128 bytes that print.
+func ValidName(name string) bool {
+	unprintable := func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd }
+	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, unprintable)
 }
 
+const (
+	maxValidRate  = 1e9     // requests a second
+	maxValidSlots = 1 << 20 // of a fleet
+)
+
 // validStatus tells whether a status could be true.
-func validStatus(d membership.Status) bool {
-	return d.Version >= 1 && d.RequestRate >= 0 && !math.IsNaN(d.RequestRate) && d.RequestRate < 1e9 && d.OpenConnections >= 0 && d.DrainRate >= 0 && d.DrainRate < 1e9 && d.BootstrapSize >= 1 && d.BootstrapSize <= 1<<20 &&
-		d.BootstrapSlot < d.BootstrapSize && len(d.Zone) <= maxNameBytes
+func validStatus(s membership.Status) bool {
+	rateValid := s.RequestRate >= 0 && !math.IsNaN(s.RequestRate) && s.RequestRate < maxValidRate
+	drainValid := s.DrainRate >= 0 && s.DrainRate < maxValidRate
+	slotValid := s.BootstrapSize >= 1 && s.BootstrapSize <= maxValidSlots && s.BootstrapSlot < s.BootstrapSize
+	return s.Version >= 1 && rateValid && drainValid && slotValid &&
+		s.OpenConnections >= 0 && len(s.Zone) <= maxNameBytes
 }
 
 // validMessage tells whether a message could have been sent by a membership.Node.
@@ -75,9 +105,8 @@
 	if math.IsNaN(m.SentAtMillis) || math.IsInf(m.SentAtMillis, 0) || len(m.Unavailable) > maxPeers {
 		return false
 	}
-	v := m.View
-	if v == nil {
+	if m.View == nil {
 		return m.Kind != membership.Learn && m.Kind != membership.Accept
 	}
-	return v.Check() == nil
+	return m.View.Check() == nil
 }
--- a/internal/wire/gossip/faultpoint.go
+++ b/internal/wire/gossip/faultpoint.go
@@ -20,7 +20,8 @@
 // adjustTiming is where tests have a cell go faster; this program goes by its pace.
 func (n *Node) adjustTiming(p membership.Timing) membership.Timing { return p }
 
-// cellTime is the Coordinator's clock by the Node's, and nodeTime the other way round; tests let it run faster.
+// cellTime is the Coordinator's clock by the Node's, and nodeTime the other way round; tests let it run
+// faster.
 func (n *Node) cellTime(now time.Duration) time.Duration { return now }
 func (n *Node) nodeTime(at time.Duration) time.Duration  { return at }
 
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -60,52 +60,74 @@
 // lastRecorded is what the last line of the history said.
 var lastRecorded faultpoint.Noted
 
-// recordHistory takes down what the relay reckons with, as it changes.
+// recordHistory takes down what the relay takes the fleet for, as it changes.
 func (n *Node) recordHistory() {
 	if !faultpoint.On() {
 		return
 	}
+	line := n.historyLine()
+	sameUntil := math.Abs(line.Until-lastRecorded.Until) < 1
+	if sameFacts(line, lastRecorded) && sameUntil && line.T < lastRecorded.T+1000 {
+		return
+	}
+	lastRecorded = line
+	faultpoint.Note(line)
+}
+
+// historyLine is what the relay takes the fleet for now.
+func (n *Node) historyLine() faultpoint.Noted {
 	n.mu.Lock()
+	defer n.mu.Unlock()
 	if faultpoint.Present().NoJoint {
 		n.membership.DisableJointViews()
 	}
-	now, v := n.now(), n.membership.View()
-	r := n.membership.Estimate(now)
-	t := faultpoint.Now()
-	line := faultpoint.Noted{Name: n.cfg.Name, Incarnation: n.membership.Incarnation(), Epoch: r.Epoch, Hash: n.membership.Hash(), Phase: r.Phase.String(),
-		Settled: v.Settled(), Share: r.BudgetShare, Relays: r.Relays}
-	if r.ShareValidUntil != duration.Forever {
-		line.Until = t + duration.Millis(r.ShareValidUntil-now)/faultpoint.Rate()
-	}
-	n.noteCells(&line, r, v)
+	now, view := n.now(), n.membership.View()
+	estimate := n.membership.Estimate(now)
+	line := faultpoint.Noted{
+		T:           faultpoint.Now(),
+		Name:        n.cfg.Name,
+		Incarnation: n.membership.Incarnation(),
+		Epoch:       estimate.Epoch,
+		Hash:        n.membership.Hash(),
+		Phase:       estimate.Phase.String(),
+		Settled:     view.Settled(),
+		Share:       estimate.BudgetShare,
+		Relays:      estimate.Relays,
+	}
+	if estimate.ShareValidUntil != duration.Forever {
+		line.Until = line.T + duration.Millis(estimate.ShareValidUntil-now)/faultpoint.Rate()
+	}
+	n.noteCells(&line, estimate, view)
 	if line.Epoch != lastRecorded.Epoch || line.Hash != lastRecorded.Hash {
-		line.Members = v.MemberNames()
+		line.Members = view.MemberNames()
 	} else {
 		line.Members = lastRecorded.Members
 	}
-	n.mu.Unlock()
-	same := line.Epoch == lastRecorded.Epoch && line.Hash == lastRecorded.Hash && line.Phase == lastRecorded.Phase && line.Share == lastRecorded.Share && line.Relays == lastRecorded.Relays &&
-		line.Far == lastRecorded.Far && slices.Equal(line.Zones, lastRecorded.Zones) && line.Plan == lastRecorded.Plan && line.Open == lastRecorded.Open && line.Speaker == lastRecorded.Speaker && line.CellsHeard == lastRecorded.CellsHeard
-	if same && math.Abs(line.Until-lastRecorded.Until) < 1 && t < lastRecorded.T+1000 {
-		return
-	}
-	line.T = t
-	lastRecorded = line
-	faultpoint.Note(line)
+	return line
+}
+
+// sameFacts tells whether two lines say the same, but for times.
+func sameFacts(a, b faultpoint.Noted) bool {
+	sameView := a.Epoch == b.Epoch && a.Hash == b.Hash && a.Phase == b.Phase
+	sameShare := a.Share == b.Share && a.Far == b.Far && a.Relays == b.Relays
+	samePlan := a.Plan == b.Plan && a.Open == b.Open
+	sameCells := a.Speaker == b.Speaker && a.CellsHeard == b.CellsHeard
+	return sameView && sameShare && slices.Equal(a.Zones, b.Zones) && samePlan && sameCells
 }
 
-// noteCells takes down what the relay knows of its cell and of the others.
-func (n *Node) noteCells(line *faultpoint.Noted, r membership.FleetEstimate, v *membership.View) {
-	line.Far, line.Zones, line.Plan, line.Open = r.FarBudgetShare, r.NearZones, r.Plan, r.PlanActivated
-	if v.Allocation == nil {
-		line.Far, line.Zones = r.BudgetShare, nil
+// noteCells takes down what the relay knows of its cell and of the others. The caller holds the lock.
+func (n *Node) noteCells(line *faultpoint.Noted, estimate membership.FleetEstimate, view *membership.View) {
+	line.Far, line.Zones = estimate.FarBudgetShare, estimate.NearZones
+	line.Plan, line.Open = estimate.Plan, estimate.PlanActivated
+	if view.Allocation == nil {
+		line.Far, line.Zones = estimate.BudgetShare, nil
 	}
-	l := n.cells.Load()
-	if l == nil {
+	link := n.cells.Load()
+	if link == nil {
 		return
 	}
-	line.Cell, line.Speaker = l.cell, l.representative
-	for _, region := range l.coordinator.Report(n.cellTime(n.now())).Regions {
+	line.Cell, line.Speaker = link.cell, link.representative
+	for _, region := range link.coordinator.Report(n.cellTime(n.now())).Regions {
 		line.CellsHeard += region.Known
 	}
 }
@@ -140,7 +162,8 @@
 	return readings
 }
 
-// adjustStatus makes a status one of an earlier version, which lacks what is not needed, or of a later one, which has more.
+// adjustStatus makes a status one of an earlier version, which lacks what is not needed, or of a later one,
+// which has more.
 func (n *Node) adjustStatus(d membership.Status) any {
 	version := faultpoint.Present().Digest
 	if version == 0 {
@@ -157,6 +180,8 @@
 		}
 		return fields
 	}
-	fields[1], fields[60], fields[61] = membership.StatusVersion+1, "of a later version", map[string]int{"more": 1}
+	fields[1] = membership.StatusVersion + 1
+	fields[60] = "of a later version"
+	fields[61] = map[string]int{"more": 1}
 	return fields
 }
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -27,7 +27,8 @@
 	"capersail/internal/testing/cluster"
 )
 
-// TestMain looks for goroutines that outlive the tests. memberlist's own probes under way end by their deadlines.
+// TestMain looks for goroutines that outlive the tests. memberlist's own probes under way end by their
+// deadlines.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	for until := time.Now().Add(10 * time.Second); code == 0; {
@@ -44,7 +45,7 @@
 }
 
 // fleet starts n Nodes on a simulated network, in lots, and ends them with the test.
-func fleet(t *testing.T, network *network.Network, n int, notice func(at string, c membership.Changed)) []*Node {
+func fleet(t *testing.T, simnet *network.Network, n int, notice func(at string, c membership.Changed)) []*Node {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	var all []*Node
@@ -58,7 +59,7 @@
 	for i := range n {
 		name := fmt.Sprintf("r%03d", i)
 		c := Config{Name: name, Site: "site", Bind: address(i), Seeds: []string{address(0), address(1)}, State: filepath.Join(dir, name), BootstrapSlot: i, BootstrapSize: n, ConfiguredRelays: n,
-			Seed: uint64(i), Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Transport: network.Transport, Log: zerolog.Nop()}
+			Seed: uint64(i), Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Transport: simnet.Transport, Log: zerolog.Nop()}
 		if notice != nil {
 			c.OnChange = func(ch membership.Changed) { notice(name, ch) }
 		}
@@ -95,14 +96,14 @@
 // cost is what one size of fleet costs each of its relays.
 type cost struct{ formed, bytes, cpuMs, told, back, heapMB float64 }
 
-// measure plays a fleet of n on a net that loses a packet in a hundred: how long until it agrees, what it costs, how soon
-// a dead one is out of all views and one that is back is in them. Where one relay takes another for dead that is not, no view
-// may follow: most voters have to say so.
+// measure plays a fleet of n on a net that loses a packet in a hundred: how long until it agrees, what it
+// costs, how soon a dead one is out of all views and one that is back is in them. Where one relay takes
+// another for dead that is not, no view may follow: most voters have to say so.
 func measure(t *testing.T, n int, watch time.Duration) (c cost) {
-	network := network.New(network.Config{})
+	simnet := network.New(network.Config{})
 	var failed, views atomic.Int64
 	var quiet atomic.Bool
-	all := fleet(t, network, n, func(_ string, c membership.Changed) {
+	all := fleet(t, simnet, n, func(_ string, c membership.Changed) {
 		switch {
 		case !quiet.Load():
 		case c.Kind == membership.ChangePeer && c.State == "failed":
@@ -122,8 +123,8 @@
 		}
 	}
 	c.formed = await(t, 2*time.Minute, "one view", everybody(n, nil)).Seconds()
-	// Nobody has come or gone once all have held one view, with every share at its target, for 3 s: shares grow by views that
-	// follow the first, and word of a relay that was slow to start may still be under way.
+	// Nobody has come or gone once all have held one view, with every share at its target, for 3 s: shares
+	// grow by views that follow the first, and word of a relay that was slow to start may still be under way.
 	epoch, since := uint64(0), time.Now()
 	await(t, time.Minute, "one view of all, and no other for 3 s", func() bool {
 		for _, node := range all {
@@ -134,20 +135,20 @@
 		}
 		return time.Since(since) > 3*time.Second
 	})
-	network.SetLoss(0.01)
+	simnet.SetLoss(0.01)
 	quiet.Store(true)
-	network.Record()
+	simnet.Record()
 	cpuAt, began := cpu(), time.Now()
 	time.Sleep(watch)
 	took := time.Since(began).Seconds()
 	quiet.Store(false)
-	c.bytes, c.cpuMs = sentIn(network)/took/float64(n), (cpu()-cpuAt)*1000/took/float64(n)
+	c.bytes, c.cpuMs = sentIn(simnet)/took/float64(n), (cpu()-cpuAt)*1000/took/float64(n)
 	if views.Load() > 0 {
 		t.Errorf("%d views changed while nobody came or went", views.Load())
 	}
-	network.SetDown(all[n/2].cfg.Bind, true)
+	simnet.SetDown(all[n/2].cfg.Bind, true)
 	c.told = await(t, time.Minute, "out", everybody(n-1, all[n/2])).Seconds()
-	network.SetDown(all[n/2].cfg.Bind, false)
+	simnet.SetDown(all[n/2].cfg.Bind, false)
 	c.back = await(t, time.Minute, "in", everybody(n, nil)).Seconds()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
@@ -192,11 +193,11 @@
 }
 
 // sentIn is how many bytes of packets all endpoints have sent since the recording began.
-func sentIn(network *network.Network) (bytes float64) {
-	for _, r := range network.Recorded() {
-		bytes += float64(r.Total.BytesOut)
+func sentIn(simnet *network.Network) (sent float64) {
+	for _, r := range simnet.Recorded() {
+		sent += float64(r.Total.BytesOut)
 	}
-	return bytes
+	return sent
 }
 
 func cpu() float64 {
@@ -220,8 +221,9 @@
 	return membership.Status{Version: 1, Incarnation: 4, Lifecycle: membership.Serving, RequestRate: 2, BootstrapSize: 3, BootstrapSlot: 1, SlotReleased: true, Seq: 7}
 }
 
-// What cannot be is dropped and counted by its reason, and the same message twice is taken once; a digest of a later
-// version, with fields that nobody knows here, and one of an earlier one, with fields missing, are taken.
+// What cannot be is dropped and counted by its reason, and the same message twice is taken once; a digest of
+// a later version, with fields that nobody knows here, and one of an earlier one, with fields missing, are
+// taken.
 func TestWhatIsDropped(t *testing.T) {
 	n := lone(t)
 	sealed := func(k envelopeKind, inc, seq uint64, body any) []byte {
@@ -294,7 +296,8 @@
 	}
 }
 
-// Readings and placements come through as they were told; those of origins that their packet does not name are dropped.
+// Readings and placements come through as they were told; those of origins that their packet does not name
+// are dropped.
 func TestTalkComesThrough(t *testing.T) {
 	n := lone(t)
 	var got []probing.Event
@@ -302,7 +305,7 @@
 	rows := []probing.PlacementDelta{{ServerKey: 1 << 63, Origin: "a", Incarnation: 3, Seq: 4, Delta: 2, Age: 17 * time.Millisecond}, {ServerKey: 5, Origin: "b", Incarnation: 1, Seq: 9, Delta: -3, Age: 0}}
 	readings := []probing.Reading{{ServerKey: 7, Started: 50, Origin: "a", Incarnation: 3, ReadAt: 1234 * time.Millisecond, Age: 20 * time.Millisecond, LoadReport: probing.LoadReport{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25}}}
 	bad := encodePlacements(rows)
-	bad.Rows[1].By = 2
+	bad.Rows[1].Origin = 2
 	for i, c := range []struct {
 		k    envelopeKind
 		body any
@@ -322,8 +325,8 @@
 	}
 }
 
-// A record that is torn, of another relay, of another site, of a later version, or that cannot be kept, leads to no
-// promise: the relay says so once and reckons by the settings' number.
+// A record that is torn, of another relay, of another site, of a later version, or that cannot be kept, leads
+// to no promise: the relay says so once and reckons by the settings' number.
 func TestDiskTrouble(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state")
@@ -393,7 +396,7 @@
 	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
 	n.handle(membership.StatusReceived{Name: "peer", Status: membership.Status{Version: 1, Incarnation: 1, Epoch: 3, BootstrapSize: 3, BootstrapSlot: 1, SlotReleased: true, Seq: 1}})
 	n.peers.Lock()
-	told := n.peers.digests["me"]
+	told := n.peers.statuses["me"]
 	n.peers.Unlock()
 	if e, err := decodeEnvelope(told); err == nil {
 		var d membership.Status
@@ -403,14 +406,14 @@
 	}
 }
 
-// In an upgrade two processes of one relay run for a while: the second takes no share and says nothing to anybody until
-// the first has left, then goes on with what that one promised.
+// In an upgrade two processes of one relay run for a while: the second takes no share and says nothing to
+// anybody until the first has left, then goes on with what that one promised.
 func TestTwoProcessesOfOneRelay(t *testing.T) {
-	network := network.New(network.Config{})
+	simnet := network.New(network.Config{})
 	state := filepath.Join(t.TempDir(), "state")
 	start := func(at int) (*Node, func()) {
 		n, err := New(Config{Name: "r0", Site: "s", Bind: address(at), Seeds: []string{address(0)}, State: state, BootstrapSize: 1, ConfiguredRelays: 1, Clock: relay.NewClock(),
-			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.Nop()})
+			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: simnet.Transport, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -437,13 +440,13 @@
 
 // Keys are rotated while relays run, one after the other, and nobody is lost.
 func TestKeysAreRotated(t *testing.T) {
-	network := network.New(network.Config{})
+	simnet := network.New(network.Config{})
 	one, two := bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
 	ctx, stop := context.WithCancel(context.Background())
 	var all []*Node
 	for i := range 3 {
 		n, err := New(Config{Name: fmt.Sprint("r", i), Site: "s", Bind: address(i), Seeds: []string{address(0)}, Keys: [][]byte{one}, State: filepath.Join(t.TempDir(), "state"),
-			BootstrapSlot: i, BootstrapSize: 3, ConfiguredRelays: 3, Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: network.Transport, Log: zerolog.New(io.Discard)})
+			BootstrapSlot: i, BootstrapSize: 3, ConfiguredRelays: 3, Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: simnet.Transport, Log: zerolog.New(io.Discard)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/gossip/join.go
+++ b/internal/wire/gossip/join.go
@@ -9,105 +9,119 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// This file joins a relay to the others by memberlist, and keeps it joined.
+const (
+	// bindRetryInterval is the time between two attempts at a port that is taken.
+	bindRetryInterval = 5 * time.Second
+	// rejoinInterval is the mean time between two looks for a relay that is missing.
+	rejoinInterval = 700 * time.Millisecond
+	// seedJoinPeriod is how many such looks there are to one that asks the seeds too.
+	seedJoinPeriod = 5
+	leaveTimeout   = 400 * time.Millisecond
+)
 
-// Leave says that this relay goes, and waits a moment for the word to spread. The relay takes no share from here on.
+// Leave says that this relay goes, and waits a moment for that to spread. The relay takes no budget share
+// from here on.
 func (n *Node) Leave() {
-	if l := n.list.Load(); l != nil {
-		if err := l.Leave(leaveTimeout); err != nil {
-			n.log.Info().Err(err).Msg("not all peers may have heard that this relay leaves")
+	if list := n.mesh.list.Load(); list != nil {
+		if err := list.Leave(leaveTimeout); err != nil {
+			n.log.Info().Err(err).Msg("peers may not have heard that this relay leaves")
 		}
 	}
 }
 
 // relayCount is how many relays there are, for how often a status is passed on.
 func (n *Node) relayCount() int {
-	if l := n.list.Load(); l != nil {
-		return max(l.NumMembers(), 1)
+	if list := n.mesh.list.Load(); list != nil {
+		return max(list.NumMembers(), 1)
 	}
 	return 1
 }
 
-// runMemberlist brings memberlist up, and joins it to the others, until the context ends.
+// runMemberlist brings memberlist up, and keeps it joined to the others, until the context ends.
 func (n *Node) runMemberlist(ctx context.Context) {
-	var list *memberlist.Memberlist
-	for said := false; list == nil; {
-		var err error
-		if list, err = n.createMemberlist(); err == nil {
-			break
+	list := n.listen(ctx)
+	if list == nil {
+		return
+	}
+	n.mesh.list.Store(list)
+	n.log.Info().Str("bind", n.cfg.Bind).Bool("sealed", n.mesh.keyring != nil).Msg("gossip listening")
+	defer func() {
+		if err := list.Shutdown(); err != nil {
+			n.log.Info().Err(err).Msg("gossip ended with an error")
+		}
+	}()
+	n.keepJoined(ctx, list)
+}
+
+// listen brings memberlist up, again and again while its port is taken; nil if the context ends before that.
+func (n *Node) listen(ctx context.Context) *memberlist.Memberlist {
+	for logged := false; ; logged = true {
+		list, err := n.createMemberlist()
+		if err == nil {
+			return list
 		}
-		if !said {
-			n.log.Error().Err(err).Str("bind", n.cfg.Bind).Msg("members: cannot listen; serving alone and trying again")
-			said = true
+		if !logged {
+			n.log.Error().Err(err).Str("bind", n.cfg.Bind).
+				Msg("gossip cannot listen, serving alone and retrying: free the port or change bind")
 		}
 		select {
 		case <-ctx.Done():
-			return
+			return nil
 		case <-time.After(bindRetryInterval):
 		}
 	}
-	n.list.Store(list)
-	n.log.Info().Str("bind", n.cfg.Bind).Bool("sealed", n.keyring != nil).Msg("members: listening")
-	defer func() {
-		if err := list.Shutdown(); err != nil {
-			n.log.Info().Err(err).Msg("members: end")
-		}
-	}()
-	said := false
+}
+
+// keepJoined joins relays that are missing, until the context ends.
+func (n *Node) keepJoined(ctx context.Context, list *memberlist.Memberlist) {
+	logged := false
 	for round := 0; ; round++ {
 		if target := n.nextJoinTarget(list, round); target != "" {
-			_, err := list.Join([]string{target})
-			if err != nil && strings.Contains(err.Error(), errOtherCell.Error()) {
-				n.peers.Lock()
-				n.peers.elsewhere[target] = time.Now()
-				n.peers.Unlock()
-			}
-			if err != nil && !said && list.NumMembers() == 1 {
-				said = true
-				n.log.Warn().Str("error", strings.Join(strings.Fields(err.Error()), " ")).Str("seed", target).Msg("members: seed out of reach; serving alone and trying again")
+			err := n.join(list, target)
+			if err != nil && !logged && list.NumMembers() == 1 {
+				logged = true
+				n.log.Warn().Str("error", strings.Join(strings.Fields(err.Error()), " ")).Str("seed", target).
+					Msg("seed out of reach, serving alone and retrying: check seeds, keys and the network")
 			}
 		}
+		pause := rejoinInterval/2 + time.Duration(rand.Int64N(int64(rejoinInterval)))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rejoinInterval/2 + time.Duration(rand.Int64N(int64(rejoinInterval)))):
+		case <-time.After(pause):
 		}
 	}
 }
 
-// nextJoinTarget is an address to join: that of a relay that was there and is not, or a seed that nobody answers at. After a
-// cut both sides have given each other up, and only a new join heals that. Where a relay of another cell has answered, a while passes
-// before it is tried again: a join costs both sides all they know.
-func (n *Node) nextJoinTarget(list *memberlist.Memberlist, round int) string {
-	there := map[string]bool{}
-	n.peers.Lock()
-	for address, at := range n.peers.elsewhere {
-		there[address] = time.Since(at) < otherCellRetryInterval
-	}
-	there[n.cfg.Bind], there[n.cfg.Advertise] = true, true
-	for name := range n.peers.there {
-		there[n.peers.nodes[name].Address()] = true
+// join joins the relay at an address, and notes if that is one of another cell.
+func (n *Node) join(list *memberlist.Memberlist, address string) error {
+	_, err := list.Join([]string{address})
+	if err != nil && strings.Contains(err.Error(), errOtherCell.Error()) { // memberlist wraps no errors
+		n.peers.noteOtherCell(address)
 	}
-	n.peers.Unlock()
-	var lost []string
+	return err
+}
+
+// nextJoinTarget is an address to join: that of a relay that was there and is not, or a seed that nobody
+// answers at. After a partition both sides have given each other up, and only a new join heals that. Where a
+// relay of another cell has answered, a while passes before it is tried again: a join costs both sides all
+// they know.
+func (n *Node) nextJoinTarget(list *memberlist.Memberlist, round int) string {
+	settled := n.peers.settledAddresses()
+	settled[n.cfg.Bind], settled[n.cfg.Advertise] = true, true
+	var missing []string
 	if list.NumMembers() == 1 || round%seedJoinPeriod == 0 {
-		for _, s := range n.cfg.Seeds {
-			if !there[s] {
-				lost = append(lost, s)
+		for _, seed := range n.cfg.Seeds {
+			if !settled[seed] {
+				missing = append(missing, seed)
 			}
 		}
 	}
-	if len(lost) == 0 {
-		n.peers.Lock()
-		for name, m := range n.peers.nodes {
-			if !n.peers.there[name] && !there[m.Address()] {
-				lost = append(lost, m.Address())
-			}
-		}
-		n.peers.Unlock()
+	if len(missing) == 0 {
+		missing = n.peers.missingAddresses(settled)
 	}
-	if len(lost) == 0 {
+	if len(missing) == 0 {
 		return ""
 	}
-	return lost[rand.IntN(len(lost))]
+	return missing[rand.IntN(len(missing))]
 }
--- a/internal/wire/gossip/local_cell.go
+++ b/internal/wire/gossip/local_cell.go
@@ -9,7 +9,7 @@
 )
 
 // localCell is what this relay knows of its own cell; nothing before there is a view.
-func (n *Node) localCell(l *cellLink, now time.Duration) (local cells.LocalCell, ok bool) {
+func (n *Node) localCell(link *cellLink, now time.Duration) (local cells.LocalCell, known bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	view := n.membership.View()
@@ -17,41 +17,70 @@
 		return local, false
 	}
 	peers := map[string]membership.Peer{}
-	for _, p := range n.membership.Peers() {
-		peers[p.Name] = p
+	for _, peer := range n.membership.Peers() {
+		peers[peer.Name] = peer
+	}
+	local = cells.LocalCell{
+		Epoch:           view.Epoch,
+		JoinedPlan:      n.membership.JoinedPlan(),
+		RequestRate:     n.lastLocal.RequestRate,
+		OpenConnections: n.lastLocal.OpenConnections,
+		DrainRate:       n.lastLocal.DrainRate,
 	}
-	local = cells.LocalCell{Epoch: view.Epoch, JoinedPlan: n.membership.JoinedPlan(), RequestRate: n.local.RequestRate, OpenConnections: n.local.OpenConnections, DrainRate: n.local.DrainRate}
 	if a := view.Allocation; a != nil {
-		local.Plan, local.PlanHash, local.Cells, local.Bootstrapped = a.Plan, a.PlanHash, a.Cells, a.Bootstrapped
+		local.Plan, local.PlanHash = a.Plan, a.PlanHash
+		local.Cells, local.Bootstrapped = a.Cells, a.Bootstrapped
 	}
 	for _, name := range view.MemberNames() {
-		local.Members++
-		p := peers[name]
-		if name == n.cfg.Name && n.local.Lifecycle == membership.Serving || name != n.cfg.Name && p.Status.Lifecycle == membership.Serving {
+		n.addMember(&local, name, peers[name])
+	}
+	for _, name := range view.Voters {
+		local.Voters = append(local.Voters, cells.Voter{
+			Name:    name,
+			Address: n.address(name),
+			Alive:   name == n.cfg.Name || countsAsAlive(peers[name].Health),
+		})
+	}
+	local.Departed = link.recentDepartures(now)
+	return local, true
+}
+
+// addMember adds a member to the figures of its cell; this relay's own are in them already.
+func (n *Node) addMember(local *cells.LocalCell, name string, peer membership.Peer) {
+	local.Members++
+	if name == n.cfg.Name {
+		if n.lastLocal.Lifecycle == membership.Serving {
 			local.Serving++
 		}
-		if name != n.cfg.Name && alive(p.Health) {
-			local.RequestRate += p.Status.RequestRate
-			local.OpenConnections += p.Status.OpenConnections
-			local.DrainRate += p.Status.DrainRate
-		}
+		return
 	}
-	for _, name := range view.Voters {
-		local.Voters = append(local.Voters, cells.Voter{Name: name, Address: n.address(name), Alive: name == n.cfg.Name || alive(peers[name].Health)})
+	if peer.Status.Lifecycle == membership.Serving {
+		local.Serving++
 	}
-	for name, d := range l.departed {
-		if now-d.at > departureRetention {
+	if countsAsAlive(peer.Health) {
+		local.RequestRate += peer.Status.RequestRate
+		local.OpenConnections += peer.Status.OpenConnections
+		local.DrainRate += peer.Status.DrainRate
+	}
+}
+
+// recentDepartures are the relays that went a while ago at most, by name. Older ones are forgotten.
+func (l *cellLink) recentDepartures(now time.Duration) (names []string) {
+	for name, departed := range l.departed {
+		if now-departed.at > departureRetention {
 			delete(l.departed, name)
 			continue
 		}
-		local.Departed = append(local.Departed, name)
+		names = append(names, name)
 	}
-	slices.Sort(local.Departed)
-	return local, true
+	slices.Sort(names)
+	return names
 }
 
-// alive tells whether a relay counts as there: a suspicion may yet be refuted.
-func alive(h membership.Health) bool { return h == membership.Alive || h == membership.Suspected }
+// countsAsAlive tells whether a relay counts as there: a suspicion may yet be refuted.
+func countsAsAlive(health membership.Health) bool {
+	return health == membership.Alive || health == membership.Suspected
+}
 
 // address is where a relay of this cell is heard, "" if that isn't known.
 func (n *Node) address(name string) string {
@@ -61,23 +90,8 @@
 		}
 		return n.cfg.Bind
 	}
-	n.peers.Lock()
-	defer n.peers.Unlock()
-	if m := n.peers.nodes[name]; m != nil {
-		return m.Address()
+	if node := n.peers.node(name); node != nil {
+		return node.Address()
 	}
 	return ""
 }
-
-// updateOtherCells hands on what is known of the other cells.
-func (n *Node) updateOtherCells(l *cellLink) {
-	n.mu.Lock()
-	others := l.coordinator.Others(n.cellTime(n.now()))
-	opened := l.coordinator.ActivatedPlan()
-	allocation := n.membership.View().Allocation
-	n.mu.Unlock()
-	n.handle(membership.OtherCells{Relays: others.Relays, RequestRate: others.RequestRate, OpenConnections: others.OpenConnections, DrainRate: others.DrainRate, Known: l.othersKnown})
-	if allocation != nil && !allocation.Activated && opened >= allocation.Plan {
-		n.handle(membership.PlanActivated{Plan: allocation.Plan, Hash: allocation.PlanHash})
-	}
-}
--- a/internal/wire/gossip/memberlist.go
+++ b/internal/wire/gossip/memberlist.go
@@ -9,14 +9,20 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// createMemberlist starts memberlist on its transport. The times suit relays of one site: a relay that has died is failed after
-// about 2 s, one that loses a fifth of its packets is not.
+const (
+	// cellGossipInterval is the time between memberlist's rounds of gossip within a cell.
+	cellGossipInterval = 200 * time.Millisecond
+	// cellPushPullInterval is the time between two exchanges of complete states within a cell. Each fills a
+	// second with more than 8 KB at both sides, and a relay begins and answers one in this time on average:
+	// in fewer than one second of a hundred.
+	cellPushPullInterval = 5 * time.Minute
+	// statusRetransmitMult is how often a status is passed on, times log10 of the relays.
+	statusRetransmitMult = 3
+)
+
+// createMemberlist starts memberlist on its transport.
 func (n *Node) createMemberlist() (*memberlist.Memberlist, error) {
-	host, text, err := net.SplitHostPort(n.cfg.Bind)
-	if err != nil {
-		return nil, err
-	}
-	port, err := strconv.Atoi(text)
+	host, port, err := splitAddress(n.cfg.Bind)
 	if err != nil {
 		return nil, err
 	}
@@ -26,32 +32,54 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Name, c.Label, c.Keyring = n.cfg.Name, n.cfg.Site, n.keyring
-	c.Transport = n.injectFaults(countTraffic(transport, n.traffic))
+	c.Name, c.Label, c.Keyring = n.cfg.Name, n.cfg.Site, n.mesh.keyring
+	c.Transport = n.injectFaults(countTraffic(transport, n.mesh.traffic))
 	c.BindAddr, c.BindPort = host, port
 	c.AdvertiseAddr, c.AdvertisePort = host, port
 	if n.cfg.Advertise != "" {
-		told, port, _ := net.SplitHostPort(n.cfg.Advertise)
-		c.AdvertiseAddr = told
-		c.AdvertisePort, _ = strconv.Atoi(port)
+		c.AdvertiseAddr, c.AdvertisePort, _ = splitAddress(n.cfg.Advertise)
 	}
+	n.setPace(c)
+	d := (*delegate)(n)
+	c.Delegate, c.Events, c.Alive, c.Conflict, c.Merge = d, d, d, d, d
+	list, err := memberlist.Create(c)
+	if err != nil {
+		return nil, errors.Join(err, c.Transport.Shutdown())
+	}
+	return list, nil
+}
+
+// splitAddress splits host:port.
+func splitAddress(address string) (host string, port int, err error) {
+	host, text, err := net.SplitHostPort(address)
+	if err != nil {
+		return "", 0, err
+	}
+	port, err = strconv.Atoi(text)
+	return host, port, err
+}
+
+// setPace sets memberlist's times. They suit relays of one site: a relay that has died is failed after about
+// 2 s, one that loses a fifth of its packets is not.
+func (n *Node) setPace(c *memberlist.Config) {
 	c.TCPTimeout = time.Second
-	c.ProbeInterval, c.ProbeTimeout, c.IndirectChecks = 500*time.Millisecond, 200*time.Millisecond, 3
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = 3, 2
+	c.ProbeInterval = 500 * time.Millisecond
+	c.ProbeTimeout = 200 * time.Millisecond
+	c.IndirectChecks = 3
+	c.SuspicionMult = 3
+	c.SuspicionMaxTimeoutMult = 2
 	c.AwarenessMaxMultiplier = 3
-	// Each relay passes word on RetransmitMult*log10(n+1) times, rounded up, to one drawn at random: of 300 relays 300*e^-9
-	// = 0.04 miss a word passed on 9 times by all, as a refutation is, and take the suspect for dead; 300*e^-12 = 0.002 at 4.
-	c.RetransmitMult, c.GossipInterval, c.GossipNodes = 4, 100*time.Millisecond, 3
-	c.PushPullInterval, c.GossipToTheDeadTime = 15*time.Second, 15*time.Second
+	// Each relay passes a message on RetransmitMult*log10(n+1) times, rounded up, to one drawn at random: of
+	// 300 relays 300*e^-9 = 0.04 miss one that is passed on 9 times by all, as a refutation is, and take the
+	// suspect for dead; 300*e^-12 = 0.002 at 4.
+	c.RetransmitMult = 4
+	c.GossipInterval = 100 * time.Millisecond
+	c.GossipNodes = 3
+	c.PushPullInterval = 15 * time.Second
+	c.GossipToTheDeadTime = 15 * time.Second
 	if n.cell != "" {
 		c.GossipInterval, c.PushPullInterval = cellGossipInterval, cellPushPullInterval
 	}
 	c.DeadNodeReclaimTime = time.Second
 	c.EnableCompression = false
-	c.Delegate, c.Events, c.Alive, c.Conflict, c.Merge = (*delegate)(n), (*delegate)(n), (*delegate)(n), (*delegate)(n), (*delegate)(n)
-	list, err := memberlist.Create(c)
-	if err != nil {
-		return nil, errors.Join(err, c.Transport.Shutdown())
-	}
-	return list, nil
 }
--- a/internal/wire/gossip/metrics.go
+++ b/internal/wire/gossip/metrics.go
@@ -27,7 +27,8 @@
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("relay_members"+name, help, labels, nil)
 	}
-	return &fleetCollector{node: n,
+	return &fleetCollector{
+		node:    n,
 		members: d("", "Relays known, by state.", "state"),
 		inView:  d("_in_view", "Members of the view."),
 		epoch:   d("_epoch", "Epoch of the view."),
@@ -42,7 +43,9 @@
 
 // Describe is the collector's.
 func (f *fleetCollector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{f.members, f.inView, f.epoch, f.phase, f.agreed, f.share, f.dropped, f.bytes} {
+	for _, d := range []*prometheus.Desc{
+		f.members, f.inView, f.epoch, f.phase, f.agreed, f.share, f.dropped, f.bytes,
+	} {
 		ch <- d
 	}
 	f.cells.describe(ch)
@@ -50,40 +53,51 @@
 
 // Collect is the collector's.
 func (f *fleetCollector) Collect(ch chan<- prometheus.Metric) {
-	r := f.node.Report()
+	report := f.node.Report()
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	states, in := map[string]float64{"here": 0, "alive": 0, "failed": 0, "left": 0, "unheard": 0}, 0.0
-	for _, m := range r.Members {
+	count := func(d *prometheus.Desc, v uint64, label string) {
+		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), label)
+	}
+	states, members := map[string]float64{"here": 0, "alive": 0, "failed": 0, "left": 0, "unheard": 0}, 0.0
+	for _, m := range report.Members {
 		states[m.State]++
 		if m.Member {
-			in++
+			members++
 		}
 	}
-	for s, v := range states {
-		gauge(f.members, v, s)
-	}
-	gauge(f.inView, in)
-	gauge(f.epoch, float64(r.Epoch))
-	for p := membership.PhaseStarting; p <= membership.PhaseCutOff; p++ {
-		on := 0.0
-		if p.String() == r.Phase {
-			on = 1
-		}
-		gauge(f.phase, on, p.String())
+	for state, relays := range states {
+		gauge(f.members, relays, state)
 	}
-	agreed := -1.0
-	if r.AgreedMs >= 0 {
-		agreed = r.AgreedMs / 1000
+	gauge(f.inView, members)
+	gauge(f.epoch, float64(report.Epoch))
+	for phase := membership.PhaseStarting; phase <= membership.PhaseCutOff; phase++ {
+		gauge(f.phase, oneIf(phase.String() == report.Phase), phase.String())
 	}
-	gauge(f.agreed, agreed)
-	gauge(f.share, r.BudgetShare)
-	for i := range f.node.dropped.total {
-		ch <- prometheus.MustNewConstMetric(f.dropped, prometheus.CounterValue, float64(f.node.dropped.total[i].Load()), dropReasonNames[i])
+	gauge(f.agreed, seconds(report.AgreedMs))
+	gauge(f.share, report.BudgetShare)
+	for reason := range dropReasonCount {
+		count(f.dropped, f.node.dropped.total[reason].Load(), reason.String())
 	}
-	out, back := f.node.Traffic()
-	ch <- prometheus.MustNewConstMetric(f.bytes, prometheus.CounterValue, float64(out), "out")
-	ch <- prometheus.MustNewConstMetric(f.bytes, prometheus.CounterValue, float64(back), "in")
+	out, in := f.node.Traffic()
+	count(f.bytes, out, "out")
+	count(f.bytes, in, "in")
 	f.cells.collect(ch, f.node)
 }
+
+// oneIf is a gauge of what is or isn't.
+func oneIf(on bool) float64 {
+	if on {
+		return 1
+	}
+	return 0
+}
+
+// seconds is an age in ms as a gauge has it: -1 for never.
+func seconds(ms float64) float64 {
+	if ms < 0 {
+		return -1
+	}
+	return ms / 1000
+}
--- a/internal/wire/gossip/node.go
+++ b/internal/wire/gossip/node.go
@@ -1,5 +1,3 @@
-// Package gossip is the driver round internal/fleet/membership: it lets relays hear of each other by hashicorp/memberlist,
-// carries what their Nodes say, and keeps what a membership.Node wants kept. It decides nothing.
 package gossip
 
 import (
@@ -13,120 +11,126 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/rs/zerolog"
 
-	"capersail/decide"
 	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
-	"capersail/internal/fleet/probing"
 )
 
 const (
-	bindRetryInterval = 5 * time.Second // a taken port is tried again
+	// lockRetryInterval is the time between two attempts at a record that another process of the relay has.
 	lockRetryInterval = 200 * time.Millisecond
-	rejoinInterval    = 700 * time.Millisecond
-	seedJoinPeriod    = 5 // so many rejoins, the last of which goes to a seed
-	inboxSize         = 4096
-	maxReliableSends  = 32   // messages over packet size under way at once
-	maxPacketBytes    = 1100 // bytes of a message that goes as one packet; more goes over TCP
-	maxPeers          = 4096 // names known at once
-	maxEnvelopeBytes  = 1 << 18
-	leaveTimeout      = 400 * time.Millisecond
-	// otherCellRetryInterval is the time between two joins to an address where another cell's relay has answered, unless the relay that was
-	// there is heard of in this cell again.
-	otherCellRetryInterval = time.Minute
+	// inboxSize bounds the membership events that wait for Run.
+	inboxSize = 4096
 )
 
 // Node is one relay among the others.
 type Node struct {
-	cfg           Config
-	log           zerolog.Logger
-	record        *recordFile
-	keyring       *memberlist.Keyring
-	queue         *memberlist.TransmitLimitedQueue
-	inbox         chan membership.Event
-	dropped       *dropCounters
-	traffic       *traffic
-	batches       chan outgoingBatch // readings on their way out
-	planUpdates   chan planUpdate    // plans that a reload has brought
-	reliableSends chan struct{}      // a token for each message over TCP under way
+	cfg    Config
+	log    zerolog.Logger
+	record *recordFile
+
+	mesh    mesh
+	peers   *peerTable
+	dropped *dropCounters
+
+	inbox       chan membership.Event
+	batches     chan outgoingBatch // readings on their way out
+	planUpdates chan planUpdate    // plans that a reload has brought
+	stopped     chan struct{}      // closed at the end of Run
 
-	mu         sync.Mutex // held for each step of the membership.Node, and by Hold while decisions are made
+	// mu is held for each step of the membership.Node, and by LockStatus while decisions are made.
+	mu         sync.Mutex
 	membership *membership.Node
 
-	cell       string  // as the wire and the disk have it: "" in a flat fleet, also one that a plan gives a part
-	key        cellKey // of cell
-	cells      atomic.Pointer[cellLink]
-	zoneNumber func(name string) (decide.Zone, bool) // the module's number of a zone
-
-	list    atomic.Pointer[memberlist.Memberlist]
-	seq     atomic.Uint64
-	stopped chan struct{}
-
-	peers struct {
-		sync.Mutex
-		nodes map[string]*memberlist.Node // by name, copies as last heard of: memberlist writes to its own
-		there map[string]bool             // those of them that are alive
-		// elsewhere are addresses where a relay of another cell has answered, and when that was.
-		elsewhere map[string]time.Time
-		digests   map[string][]byte // by name, as they came
-		replays   map[string]*probing.DedupWindow
-	}
+	cell  string  // as the wire and the disk have it: "" in a flat fleet, also one that a plan gives a part
+	key   cellKey // of cell
+	cells atomic.Pointer[cellLink]
+
+	meter     membership.Meter      // only Run uses it
+	lastLocal membership.LocalState // as the membership.Node heard it last
+}
 
-	meter membership.Meter
-	local membership.LocalState // as told last
+// mesh is this relay's part of memberlist, and what goes out by it.
+type mesh struct {
+	list          atomic.Pointer[memberlist.Memberlist] // nil until it listens
+	broadcasts    *memberlist.TransmitLimitedQueue
+	keyring       *memberlist.Keyring // nil where packets are not sealed
+	traffic       *traffic
+	seq           atomic.Uint64 // of the envelopes of this incarnation, but for statuses
+	reliableSends chan struct{} // a token for each message over TCP under way
 }
 
-// New reads the record and returns a Node that does not run yet. A record that cannot be read or kept is no reason
-// not to serve: the relay then promises nothing, and goes on by the settings' number.
+// New reads the record and returns a Node that does not run yet. A record that cannot be read or kept is no
+// reason not to serve: the relay then promises nothing, and goes on by the settings' number. The error is one
+// of the keys.
 func New(c Config) (*Node, error) {
 	if c.Transport == nil {
 		c.Transport = socketTransport
 	}
-	n := &Node{cfg: c, log: c.Log, inbox: make(chan membership.Event, inboxSize), batches: make(chan outgoingBatch, batchQueueSize), planUpdates: make(chan planUpdate, 1), dropped: newDropCounters(c.Log), traffic: &traffic{},
-		reliableSends: make(chan struct{}, maxReliableSends), stopped: make(chan struct{})}
-	n.peers.nodes, n.peers.there = map[string]*memberlist.Node{}, map[string]bool{}
-	n.peers.digests, n.peers.replays = map[string][]byte{}, map[string]*probing.DedupWindow{}
-	n.peers.elsewhere = map[string]time.Time{}
-	n.cell = c.wireCell()
+	n := &Node{
+		cfg:         c,
+		log:         c.Log,
+		peers:       newPeerTable(),
+		dropped:     newDropCounters(c.Log),
+		inbox:       make(chan membership.Event, inboxSize),
+		batches:     make(chan outgoingBatch, batchQueueSize),
+		planUpdates: make(chan planUpdate, 1),
+		stopped:     make(chan struct{}),
+		cell:        c.wireCell(),
+	}
 	n.key = keyOfCell(n.cell)
-	n.zoneNumber = n.cfg.zoneNumber
-	n.queue = &memberlist.TransmitLimitedQueue{NumNodes: n.relayCount, RetransmitMult: 3}
+	n.mesh.traffic = &traffic{}
+	n.mesh.reliableSends = make(chan struct{}, maxReliableSends)
+	n.mesh.broadcasts = &memberlist.TransmitLimitedQueue{
+		NumNodes:       n.relayCount,
+		RetransmitMult: statusRetransmitMult,
+	}
 	if len(c.Keys) > 0 {
-		ring, err := memberlist.NewKeyring(c.Keys, c.Keys[0])
+		keyring, err := memberlist.NewKeyring(c.Keys, c.Keys[0])
 		if err != nil {
 			return nil, fmt.Errorf("keys: %w", err)
 		}
-		n.keyring = ring
+		n.mesh.keyring = keyring
 	}
 	n.openRecord()
 	return n, nil
 }
 
-// openRecord reads the record and makes the membership.Node; it says so of the disk if another process of the relay has the record
-// still. Whoever cannot read what it may have promised takes no share; whoever has no record, and can keep none, goes on by the
-// settings' number and promises nothing.
+// openRecord reads the record and makes the membership.Node; it marks the record as in use if another process
+// of the relay has it still. Whoever cannot read what it may have promised takes no budget share; whoever has
+// no record, and can keep none, goes on by the settings' number and promises nothing.
 func (n *Node) openRecord() {
 	c := n.cfg
-	d, rec, err := openRecordFile(c.State, c.Site, n.cell, c.Name)
-	place := c.BootstrapSlot
+	file, record, err := openRecordFile(c.State, c.Site, n.cell, c.Name)
+	slot := c.BootstrapSlot
 	switch {
 	case errors.Is(err, errRecordInUse):
-		place, d.inUse = -1, true
+		slot, file.inUse = -1, true
 		if n.record != nil {
-			n.record = d
+			n.record = file
 			return
 		}
-		n.log.Info().Err(err).Msg("members: waiting for it; no share until then")
+		n.log.Info().Err(err).Msg("record in use by this relay's other process, no budget share till it ends")
 	case errors.Is(err, errRecordUnusable):
-		place = -1
-		n.log.Error().Err(err).Msg("what the relay has promised cannot be known; it takes no part in choices and no share")
+		slot = -1
+		n.log.Error().Err(err).
+			Msg("record cannot be read, no votes and no budget share: restore the state file and restart")
 	case err != nil:
-		n.log.Error().Err(err).Msg("what the relay has promised cannot be kept; it takes no part in choices and no share but its own")
+		n.log.Error().Err(err).
+			Msg("record cannot be kept, no votes, the configured budget share: mend its folder, restart")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.record = d
-	n.membership = membership.New(n.now(), membership.Config{Name: c.Name, BootstrapSlot: place, BootstrapSize: c.BootstrapSize, ConfiguredRelays: c.ConfiguredRelays, Seed: c.Seed,
-		Cell: c.Cell, Plan: c.Plan, Timing: n.adjustTiming(c.Timing)}, rec)
+	n.record = file
+	n.membership = membership.New(n.now(), membership.Config{
+		Name:             c.Name,
+		BootstrapSlot:    slot,
+		BootstrapSize:    c.BootstrapSize,
+		ConfiguredRelays: c.ConfiguredRelays,
+		Seed:             c.Seed,
+		Cell:             c.Cell,
+		Plan:             c.Plan,
+		Timing:           n.adjustTiming(c.Timing),
+	}, record)
 	if err != nil {
 		n.membership.Handle(n.now(), membership.RecordNotSaved{}, nil)
 	}
@@ -135,105 +139,121 @@
 // Run takes part until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.stopped)
-	for n.record.inUse {
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(lockRetryInterval):
-		}
-		n.openRecord()
+	if !n.awaitRecord(ctx) {
+		return
 	}
-	var all sync.WaitGroup
-	all.Go(func() { n.runMemberlist(ctx) })
+	var gossiping sync.WaitGroup
+	gossiping.Go(func() { n.runMemberlist(ctx) })
 	n.mu.Lock()
-	acts := n.membership.Start(n.now(), nil)
+	actions := n.membership.Start(n.now(), nil)
 	n.mu.Unlock()
-	n.execute(acts)
+	n.execute(actions)
 	if n.cfg.Plan != nil {
 		n.startCells(n.cfg.Cell, *n.cfg.Plan)
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for looked := duration.Never; ; {
+	for meteredAt := duration.Never; ; {
 		select {
 		case <-ctx.Done():
-			all.Wait()
+			gossiping.Wait()
 			n.record.close()
 			return
-		case ev := <-n.inbox:
-			n.handle(ev)
-		case w := <-n.batches:
-			n.sendBatch(w)
+		case event := <-n.inbox:
+			n.handle(event)
+		case batch := <-n.batches:
+			n.sendBatch(batch)
 			continue
 		case update := <-n.planUpdates:
 			n.applyPlan(update)
-		case ev := <-n.cells.Load().events():
-			n.handleCellEvent(ev)
+		case event := <-n.cells.Load().events():
+			n.handleCellEvent(event)
 		case <-timer.C:
 			n.handle(membership.Tick{})
 		}
-		if now := n.now(); now >= looked+membership.MeterInterval {
-			looked = now
+		if now := n.now(); now >= meteredAt+membership.MeterInterval {
+			meteredAt = now
 			n.handle(n.localState(now))
 		}
 		n.tickCells()
-		n.mu.Lock()
-		next := min(n.membership.Next(), n.nextCellTick())
-		n.mu.Unlock()
-		timer.Reset(max(min(next, looked+membership.MeterInterval)-n.now(), time.Millisecond))
+		next := min(n.nextTick(), meteredAt+membership.MeterInterval)
+		timer.Reset(max(next-n.now(), time.Millisecond))
 	}
 }
 
+// awaitRecord waits until no other process of the relay has the record; false if the context ends before
+// that.
+func (n *Node) awaitRecord(ctx context.Context) bool {
+	for n.record.inUse {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(lockRetryInterval):
+		}
+		n.openRecord()
+	}
+	return true
+}
+
+// nextTick is when either decider wants to be told of the time.
+func (n *Node) nextTick() time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return min(n.membership.Next(), n.nextCellTick())
+}
+
+// Wait waits for the end of Run.
+func (n *Node) Wait() { <-n.stopped }
+
 func (n *Node) now() time.Duration { return n.cfg.Clock.Now() }
 
-// localState is what this relay does.
+// localState meters what this relay does.
 func (n *Node) localState(now time.Duration) membership.LocalState {
-	s := n.cfg.LocalActivity()
-	own := n.meter.LocalState(now, s.Lifecycle, s.Arrivals, s.OpenRequests)
-	own.Zone, own.EndpointListGeneration = n.cfg.Zone, s.ListVersion
-	n.local = own
-	return own
+	activity := n.cfg.LocalActivity()
+	local := n.meter.LocalState(now, activity.Lifecycle, activity.Arrivals, activity.OpenRequests)
+	local.Zone, local.EndpointListGeneration = n.cfg.Zone, activity.ListVersion
+	n.lastLocal = local
+	return local
 }
 
 // enqueueEvent queues an event. When there is no room it is dropped: all that is said is said again.
-func (n *Node) enqueueEvent(ev membership.Event) {
+func (n *Node) enqueueEvent(event membership.Event) {
 	select {
-	case n.inbox <- ev:
+	case n.inbox <- event:
 	default:
 		n.dropped.count(dropOverflow, "")
 	}
 }
 
 // handle lets the membership.Node act, then carries out what it wants, in order.
-func (n *Node) handle(ev membership.Event) {
+func (n *Node) handle(event membership.Event) {
 	n.mu.Lock()
-	acts := n.membership.Handle(n.now(), ev, nil)
+	actions := n.membership.Handle(n.now(), event, nil)
 	n.mu.Unlock()
 	n.recordHistory()
-	n.execute(acts)
+	n.execute(actions)
 }
 
-func (n *Node) execute(acts []membership.Action) {
-	for _, a := range acts {
-		switch a := a.(type) {
+// execute carries out actions. What follows from a record that could not be kept is not done.
+func (n *Node) execute(actions []membership.Action) {
+	for _, action := range actions {
+		switch a := action.(type) {
 		case membership.Save:
 			if err := n.record.save(a.Record); err != nil {
-				n.log.Error().Err(err).Msg("what the relay has promised cannot be kept; it takes no part in choices any more")
+				n.log.Error().Err(err).
+					Msg("record cannot be kept, no votes any more: mend its folder and restart")
 				n.handle(membership.RecordNotSaved{})
-				return // what follows from it is not done
+				return
 			}
 		case membership.Send:
 			n.send(a.To, a.Message)
 		case membership.Publish:
 			n.publish(a.Status)
 		case membership.Changed:
-			n.cells.Load().noteMembershipChange(a, n.now())
-			n.log.Info().Str("what", a.Kind.String()).Str("member", a.Name).Str("state", a.State).Str("cause", a.Cause).Msg("fleet")
-			if n.cfg.OnChange != nil {
-				n.cfg.OnChange(a)
-			}
+			n.noteChange(a)
 		case membership.RefreshEndpointList:
-			n.log.Info().Int64("generation", a.Generation).Msg("a peer has a newer list of servers; asking discovery")
+			n.log.Info().Int64("generation", a.Generation).
+				Msg("peer has a newer endpoint list, polling discovery")
 			if n.cfg.RefreshEndpoints != nil {
 				n.cfg.RefreshEndpoints()
 			}
@@ -241,5 +261,16 @@
 	}
 }
 
-// Wait waits for the end of Run.
-func (n *Node) Wait() { <-n.stopped }
+// noteChange says what has changed in the fleet.
+func (n *Node) noteChange(change membership.Changed) {
+	n.cells.Load().noteMembershipChange(change, n.now())
+	n.log.Info().
+		Str("what", change.Kind.String()).
+		Str("member", change.Name).
+		Str("state", change.State).
+		Str("cause", change.Cause).
+		Msg("fleet changed")
+	if n.cfg.OnChange != nil {
+		n.cfg.OnChange(change)
+	}
+}
--- a/internal/wire/gossip/probing.go
+++ b/internal/wire/gossip/probing.go
@@ -4,6 +4,9 @@
 	"capersail/internal/fleet/probing"
 )
 
+// batchQueueSize bounds the batches that wait to be sent; more are dropped, as newer ones follow.
+const batchQueueSize = 64
+
 // outgoingBatch is readings, or rows of placements, on their way to a peer.
 type outgoingBatch struct {
 	to       string
@@ -11,21 +14,22 @@
 	rows     []probing.PlacementDelta
 }
 
-// Participants are the relays that take part in looking at servers by turns: the members of the view held, with the zones that they tell.
-func (n *Node) Participants() (relays []probing.Relay, life uint64) {
+// Participants are the relays that share the probing of servers: the members of the view held, with the zones
+// that they tell. Nobody before there is a view that has this relay in it.
+func (n *Node) Participants() (relays []probing.Relay, incarnation uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	v := n.membership.View()
-	if v.Epoch == 0 || !v.Member(n.cfg.Name).In {
+	view := n.membership.View()
+	if view.Epoch == 0 || !view.Member(n.cfg.Name).In {
 		return nil, n.membership.Incarnation()
 	}
 	zones := map[string]string{n.cfg.Name: n.cfg.Zone}
-	for _, p := range n.membership.Peers() {
-		if p.Name != n.cfg.Name {
-			zones[p.Name] = p.Status.Zone
+	for _, peer := range n.membership.Peers() {
+		if peer.Name != n.cfg.Name {
+			zones[peer.Name] = peer.Status.Zone
 		}
 	}
-	for _, name := range v.MemberNames() {
+	for _, name := range view.MemberNames() {
 		relays = append(relays, probing.Relay{Name: name, Zone: zones[name]})
 	}
 	return relays, n.membership.Incarnation()
@@ -41,23 +45,22 @@
 	n.enqueueBatch(outgoingBatch{to: to, rows: rows})
 }
 
-func (n *Node) enqueueBatch(w outgoingBatch) {
+func (n *Node) enqueueBatch(batch outgoingBatch) {
 	select {
-	case n.batches <- w:
+	case n.batches <- batch:
 	default:
 		n.dropped.count(dropOverflow, "")
 	}
 }
 
 // sendBatch sends readings and placements, in packets of a size.
-func (n *Node) sendBatch(w outgoingBatch) {
-	if len(w.rows) > 0 {
-		n.sendTo(w.to, kindPlacements, encodePlacements(w.rows))
+func (n *Node) sendBatch(batch outgoingBatch) {
+	if len(batch.rows) > 0 {
+		n.sendTo(batch.to, kindPlacements, encodePlacements(batch.rows))
 	}
-	for len(w.readings) > 0 {
-		some := w.readings[:min(len(w.readings), maxReadingsPerPacket)]
-		w.readings = w.readings[len(some):]
-		some = n.falsifyReadings(some)
-		n.sendTo(w.to, kindReadings, encodeReadings(some))
+	for left := batch.readings; len(left) > 0; {
+		some := left[:min(len(left), maxReadingsPerPacket)]
+		left = left[len(some):]
+		n.sendTo(batch.to, kindReadings, encodeReadings(n.falsifyReadings(some)))
 	}
 }
--- a/internal/wire/gossip/probing_wire.go
+++ b/internal/wire/gossip/probing_wire.go
@@ -12,15 +12,22 @@
 )
 
 const (
-	batchQueueSize       = 64 // batches that wait to be sent; more are dropped, as newer ones follow
-	maxReadingsPerPacket = 20 // readings in one packet: up to 45 bytes each, and the names of their origins
+	// maxReadingsPerPacket bounds a packet of readings: up to 45 bytes each, and the names of their origins.
+	maxReadingsPerPacket = 20
+	// maxReadingsReceived and maxPlacementsReceived bound what is taken in of one packet, of a later version
+	// too.
+	maxReadingsReceived   = 4 * maxReadingsPerPacket
+	maxPlacementsReceived = 2 * probing.MaxPlacementsPerRound
 )
 
-// wireReadings is a packet of readings. Origins are named once, and readings point at them.
-type wireReadings struct {
-	_        struct{} `cbor:",toarray"`
-	Names    []string
-	Readings []wireReading
+// errMalformedBatch is a packet of readings or placements that no relay sends.
+var errMalformedBatch = errors.New("malformed readings or placements")
+
+// wireBatch is a packet of rows. Their origins are named once, and rows point at them.
+type wireBatch[Row any] struct {
+	_     struct{} `cbor:",toarray"`
+	Names []string
+	Rows  []Row
 }
 
 // wireReading is one reading: times in whole ms, figures in thousandths, negative for one that did not come.
@@ -28,129 +35,171 @@
 	_                            struct{} `cbor:",toarray"`
 	ServerKey                    uint64
 	Started                      int64
-	By                           int
+	Origin                       int // index of its name
 	Incarnation                  uint64
-	At                           int64
+	ReadAt                       int64
 	Age                          int64
-	Load, Inflight, Errors, Busy int64
-}
-
-// wirePlacements is a packet of placements.
-type wirePlacements struct {
-	_     struct{} `cbor:",toarray"`
-	Names []string
-	Rows  []wirePlacement
+	Load, InFlight, Errors, Busy int64
 }
 
+// wirePlacement is one row of placements, its age in whole ms.
 type wirePlacement struct {
 	_           struct{} `cbor:",toarray"`
 	ServerKey   uint64
-	By          int
+	Origin      int // index of its name
 	Incarnation uint64
 	Seq         uint64
-	N           int
+	Delta       int
 	Age         int64
 }
 
-// toThousandths is a figure in thousandths, -1 for none.
-func toThousandths(x float64) int64 {
-	if x < 0 || math.IsNaN(x) {
-		return -1
+// decodeBatch is what an envelope of readings or placements says. The error is errMalformedBatch.
+func decodeBatch(e envelope) (probing.Event, error) {
+	if e.Kind == kindPlacements {
+		rows, err := decodePlacements(e.Body)
+		return probing.PlacementsReceived{From: e.From, Rows: rows}, err
 	}
-	return int64(math.Round(min(x, 1e9) * 1000))
+	readings, err := decodeReadings(e.Body)
+	return probing.ReadingsReceived{From: e.From, Readings: readings}, err
 }
 
-// nameTable gives each name a number.
-type nameTable struct {
-	list []string
-	at   map[string]int
+func encodeReadings(readings []probing.Reading) wireBatch[wireReading] {
+	return encodeRows(readings, func(r probing.Reading, names *nameTable) wireReading {
+		return wireReading{
+			ServerKey:   r.ServerKey,
+			Started:     r.Started,
+			Origin:      names.index(r.Origin),
+			Incarnation: r.Incarnation,
+			ReadAt:      int64(r.ReadAt / time.Millisecond),
+			Age:         int64(r.Age / time.Millisecond),
+			Load:        toThousandths(r.LoadReport.Load),
+			InFlight:    toThousandths(r.Inflight),
+			Errors:      toThousandths(r.Errors),
+			Busy:        toThousandths(r.Busy),
+		}
+	})
 }
 
-func (n *nameTable) index(name string) int {
-	by, known := n.at[name]
-	if !known {
-		by = len(n.list)
-		if n.at == nil {
-			n.at = map[string]int{}
+func decodeReadings(body []byte) ([]probing.Reading, error) {
+	decode := func(r wireReading, names []string) (probing.Reading, error) {
+		origin, err := originName(names, r.Origin)
+		if err != nil || r.Age < 0 {
+			return probing.Reading{}, errMalformedBatch
 		}
-		n.at[name] = by
-		n.list = append(n.list, name)
+		return probing.Reading{
+			ServerKey:   r.ServerKey,
+			Started:     r.Started,
+			Origin:      origin,
+			Incarnation: r.Incarnation,
+			ReadAt:      duration.FromMillis(float64(r.ReadAt)),
+			Age:         duration.FromMillis(float64(r.Age)),
+			LoadReport: probing.LoadReport{
+				Load:     fromThousandths(r.Load),
+				Inflight: fromThousandths(r.InFlight),
+				Errors:   fromThousandths(r.Errors),
+				Busy:     fromThousandths(r.Busy),
+			},
+		}, nil
 	}
-	return by
+	return decodeRows(body, maxReadingsReceived, decode)
 }
 
-// originName is the name that a number in a packet stands for.
-func originName(list []string, by int) (string, error) {
-	if by < 0 || by >= len(list) || !ValidName(list[by]) {
-		return "", errMalformedBatch
-	}
-	return list[by], nil
+func encodePlacements(rows []probing.PlacementDelta) wireBatch[wirePlacement] {
+	return encodeRows(rows, func(r probing.PlacementDelta, names *nameTable) wirePlacement {
+		return wirePlacement{
+			ServerKey:   r.ServerKey,
+			Origin:      names.index(r.Origin),
+			Incarnation: r.Incarnation,
+			Seq:         r.Seq,
+			Delta:       r.Delta,
+			Age:         int64(r.Age / time.Millisecond),
+		}
+	})
 }
 
-// decodeBatch is what an envelope of readings or placements says.
-func decodeBatch(e envelope) (probing.Event, error) {
-	if e.Kind == kindPlacements {
-		rows, err := decodePlacements(e.Body)
-		return probing.PlacementsReceived{From: e.From, Rows: rows}, err
+func decodePlacements(body []byte) ([]probing.PlacementDelta, error) {
+	decode := func(r wirePlacement, names []string) (probing.PlacementDelta, error) {
+		origin, err := originName(names, r.Origin)
+		return probing.PlacementDelta{
+			ServerKey:   r.ServerKey,
+			Origin:      origin,
+			Incarnation: r.Incarnation,
+			Seq:         r.Seq,
+			Delta:       r.Delta,
+			Age:         duration.FromMillis(float64(r.Age)),
+		}, err
 	}
-	readings, err := decodeReadings(e.Body)
-	return probing.ReadingsReceived{From: e.From, Readings: readings}, err
+	return decodeRows(body, maxPlacementsReceived, decode)
 }
 
-func encodePlacements(rows []probing.PlacementDelta) (w wirePlacements) {
-	var all nameTable
-	for _, r := range rows {
-		w.Rows = append(w.Rows, wirePlacement{ServerKey: r.ServerKey, By: all.index(r.Origin), Incarnation: r.Incarnation, Seq: r.Seq, N: r.Delta, Age: int64(r.Age / time.Millisecond)})
+// encodeRows makes a packet of what it is given, a row each.
+func encodeRows[Item, Row any](items []Item, encode func(Item, *nameTable) Row) (w wireBatch[Row]) {
+	var names nameTable
+	for _, item := range items {
+		w.Rows = append(w.Rows, encode(item, &names))
 	}
-	w.Names = all.list
+	w.Names = names.list
 	return w
 }
 
-func decodePlacements(body []byte) (out []probing.PlacementDelta, err error) {
-	var w wirePlacements
-	if err := cbor.Unmarshal(body, &w); err != nil || len(w.Rows) > 2*probing.MaxPlacementsPerRound {
+// decodeRows reads a packet of at most so many rows. One bad row makes the packet malformed.
+func decodeRows[Row, Item any](
+	body []byte, most int, decode func(row Row, names []string) (Item, error),
+) (items []Item, err error) {
+	var w wireBatch[Row]
+	if err := cbor.Unmarshal(body, &w); err != nil || len(w.Rows) > most {
 		return nil, errMalformedBatch
 	}
-	for _, r := range w.Rows {
-		by, err := originName(w.Names, r.By)
+	for _, row := range w.Rows {
+		item, err := decode(row, w.Names)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, probing.PlacementDelta{ServerKey: r.ServerKey, Origin: by, Incarnation: r.Incarnation, Seq: r.Seq, Delta: r.N, Age: duration.FromMillis(float64(r.Age))})
+		items = append(items, item)
 	}
-	return out, nil
+	return items, nil
 }
 
-func encodeReadings(readings []probing.Reading) (w wireReadings) {
-	var all nameTable
-	for _, r := range readings {
-		w.Readings = append(w.Readings, wireReading{ServerKey: r.ServerKey, Started: r.Started, By: all.index(r.Origin), Incarnation: r.Incarnation, At: int64(r.ReadAt / time.Millisecond), Age: int64(r.Age / time.Millisecond),
-			Load: toThousandths(r.LoadReport.Load), Inflight: toThousandths(r.Inflight), Errors: toThousandths(r.Errors), Busy: toThousandths(r.Busy)})
-	}
-	w.Names = all.list
-	return w
+// nameTable gives each name a number, in the order of first mention.
+type nameTable struct {
+	list    []string
+	numbers map[string]int
 }
 
-var errMalformedBatch = errors.New("readings that make no sense")
+func (t *nameTable) index(name string) int {
+	number, known := t.numbers[name]
+	if known {
+		return number
+	}
+	if t.numbers == nil {
+		t.numbers = map[string]int{}
+	}
+	number = len(t.list)
+	t.numbers[name] = number
+	t.list = append(t.list, name)
+	return number
+}
 
-func decodeReadings(body []byte) (out []probing.Reading, err error) {
-	var w wireReadings
-	if err := cbor.Unmarshal(body, &w); err != nil || len(w.Readings) > 4*maxReadingsPerPacket {
-		return nil, errMalformedBatch
+// originName is the name that a number in a packet stands for.
+func originName(names []string, number int) (string, error) {
+	if number < 0 || number >= len(names) || !ValidName(names[number]) {
+		return "", errMalformedBatch
 	}
-	part := func(x int64) float64 {
-		if x < 0 {
-			return -1
-		}
-		return float64(x) / 1000
+	return names[number], nil
+}
+
+// toThousandths is a figure in thousandths, -1 for none.
+func toThousandths(x float64) int64 {
+	if x < 0 || math.IsNaN(x) {
+		return -1
 	}
-	for _, r := range w.Readings {
-		by, err := originName(w.Names, r.By)
-		if err != nil || r.Age < 0 {
-			return nil, errMalformedBatch
-		}
-		out = append(out, probing.Reading{ServerKey: r.ServerKey, Started: r.Started, Origin: by, Incarnation: r.Incarnation, ReadAt: duration.FromMillis(float64(r.At)), Age: duration.FromMillis(float64(r.Age)),
-			LoadReport: probing.LoadReport{Load: part(r.Load), Inflight: part(r.Inflight), Errors: part(r.Errors), Busy: part(r.Busy)}})
+	return int64(math.Round(min(x, 1e9) * 1000))
+}
+
+// fromThousandths is the way back, -1 for none.
+func fromThousandths(x int64) float64 {
+	if x < 0 {
+		return -1
 	}
-	return out, nil
+	return float64(x) / 1000
 }
--- a/internal/wire/gossip/record_file.go
+++ b/internal/wire/gossip/record_file.go
@@ -15,8 +15,8 @@
 	"capersail/internal/fleet/membership"
 )
 
-// recordFile keeps a membership.Node's record in one file, written anew each time: to a second file, synced, then renamed. A lock
-// on a file beside it keeps a second process of the relay from promising things too.
+// recordFile keeps a membership.Node's record in one file, written anew each time: to a second file, synced,
+// then renamed. A lock on a file beside it keeps a second process of the relay from promising things too.
 type recordFile struct {
 	path, site, cell, name string
 	lock                   *os.File
@@ -41,11 +41,12 @@
 // errRecordInUse says that another process of the relay runs: in an upgrade, until it has left.
 var errRecordInUse = errors.New("another process of this relay has it")
 
-// errRecordUnusable says that there is a record, of which nothing can be known: what the relay has promised, perhaps.
+// errRecordUnusable says that there is a record, of which nothing can be known: what the relay has promised,
+// perhaps.
 var errRecordUnusable = errors.New("it cannot be used")
 
-// openRecordFile reads the record; a file that is not there is that of a relay's first start. With an error the disk is
-// one on which nothing can be kept.
+// openRecordFile reads the record; a file that is not there is that of a relay's first start. With an error
+// the file is one in which nothing can be kept.
 func openRecordFile(path, site, cell, name string) (*recordFile, membership.Record, error) {
 	var rec membership.Record
 	fail := func(err error) (*recordFile, membership.Record, error) {
@@ -91,7 +92,8 @@
 	case k.Site != d.site || k.Name != d.name:
 		return rec, fmt.Errorf("%s: of %s at %s, not of %s at %s", d.path, k.Name, k.Site, d.name, d.site)
 	case k.Cell != d.cell:
-		return rec, fmt.Errorf("%s: of cell %q, not of cell %q; each cell has a record of its own", d.path, k.Cell, d.cell)
+		return rec, fmt.Errorf("%s: of cell %q, not of cell %q; each cell has a record of its own",
+			d.path, k.Cell, d.cell)
 	case crc32.ChecksumIEEE(k.Record) != k.Sum:
 		return rec, fmt.Errorf("%s: its sum does not fit", d.path)
 	}
@@ -117,7 +119,14 @@
 	if err != nil {
 		return err
 	}
-	text, err := cbor.Marshal(storedRecord{Version: recordVersion, Site: d.site, Cell: d.cell, Name: d.name, Sum: crc32.ChecksumIEEE(body), Record: body})
+	text, err := cbor.Marshal(storedRecord{
+		Version: recordVersion,
+		Site:    d.site,
+		Cell:    d.cell,
+		Name:    d.name,
+		Sum:     crc32.ChecksumIEEE(body),
+		Record:  body,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/wire/gossip/send.go
+++ b/internal/wire/gossip/send.go
@@ -6,42 +6,50 @@
 	"capersail/internal/fleet/membership"
 )
 
-// This file sends what a membership.Node says, and takes in what peers say.
+const (
+	// maxPacketBytes bounds a message that goes as one packet; a larger one goes over TCP.
+	maxPacketBytes = 1100
+	// maxReliableSends bounds the messages over TCP under way at once.
+	maxReliableSends = 32
+)
 
 // send carries a membership.Node's message to a peer.
-func (n *Node) send(to string, m membership.Message) { n.sendTo(to, kindMessage, m) }
+func (n *Node) send(to string, message membership.Message) { n.sendTo(to, kindMessage, message) }
 
-// sendTo carries a message to a peer: as one packet, or over TCP where it is too large for that.
-func (n *Node) sendTo(to string, k envelopeKind, m any) {
-	list := n.list.Load()
-	n.peers.Lock()
-	node := n.peers.nodes[to]
-	n.peers.Unlock()
+// sendTo carries a body to a peer: as one packet, or over TCP where it is too large for that. A peer that is
+// not known gets nothing.
+func (n *Node) sendTo(to string, kind envelopeKind, body any) {
+	list, node := n.mesh.list.Load(), n.peers.node(to)
 	if list == nil || node == nil {
 		return
 	}
 	n.mu.Lock()
 	incarnation := n.membership.Incarnation()
 	n.mu.Unlock()
-	text, err := n.encodeForCell(incarnation, n.seq.Add(1), k, m)
+	text, err := n.encodeForCell(incarnation, n.mesh.seq.Add(1), kind, body)
 	if err != nil {
-		n.log.Error().Err(err).Msg("members: a message cannot be written")
+		n.log.Error().Err(err).Msg("gossip message cannot be encoded, not sent: report it with its error")
 		return
 	}
-	if len(text) <= maxPacketBytes {
-		if err := list.SendBestEffort(node, text); err != nil {
-			n.dropped.count(dropUnsent, err.Error())
-		}
+	if len(text) > maxPacketBytes {
+		n.sendReliably(list, node, text)
 		return
 	}
+	if err := list.SendBestEffort(node, text); err != nil {
+		n.dropped.count(dropUnsent, err.Error())
+	}
+}
+
+// sendReliably carries a message over TCP, without waiting for it.
+func (n *Node) sendReliably(list *memberlist.Memberlist, node *memberlist.Node, text []byte) {
 	select {
-	case n.reliableSends <- struct{}{}:
+	case n.mesh.reliableSends <- struct{}{}:
 	default:
 		n.dropped.count(dropUnsent, "too many large messages under way")
 		return
 	}
 	go func() {
-		defer func() { <-n.reliableSends }()
+		defer func() { <-n.mesh.reliableSends }()
 		if err := list.SendReliable(node, text); err != nil {
 			n.dropped.count(dropUnsent, err.Error())
 		}
@@ -49,16 +57,14 @@
 }
 
 // publish tells this relay's status to all.
-func (n *Node) publish(d membership.Status) {
-	text, err := n.encodeForCell(d.Incarnation, d.Seq, kindStatus, n.adjustStatus(d))
+func (n *Node) publish(status membership.Status) {
+	text, err := n.encodeForCell(status.Incarnation, status.Seq, kindStatus, n.adjustStatus(status))
 	if err != nil {
-		n.log.Error().Err(err).Msg("members: the digest cannot be written")
+		n.log.Error().Err(err).Msg("status cannot be encoded, not published: report it with its error")
 		return
 	}
-	n.peers.Lock()
-	n.peers.digests[n.cfg.Name] = text
-	n.peers.Unlock()
-	n.queue.QueueBroadcast(&statusBroadcast{n.cfg.Name, text})
+	n.peers.setStatus(n.cfg.Name, text)
+	n.mesh.broadcasts.QueueBroadcast(&statusBroadcast{n.cfg.Name, text})
 }
 
 // statusBroadcast is a status on its way round; a newer one of the same relay takes its place.
@@ -67,13 +73,17 @@
 	text []byte
 }
 
+// Name is the relay's.
 func (b *statusBroadcast) Name() string { return b.name }
 
-func (b *statusBroadcast) Invalidates(o memberlist.Broadcast) bool {
-	p, ok := o.(*statusBroadcast)
-	return ok && p.name == b.name
+// Invalidates is memberlist's: whether it takes the other one's place.
+func (b *statusBroadcast) Invalidates(other memberlist.Broadcast) bool {
+	o, ok := other.(*statusBroadcast)
+	return ok && o.name == b.name
 }
 
+// Message is memberlist's.
 func (b *statusBroadcast) Message() []byte { return b.text }
 
+// Finished is memberlist's.
 func (b *statusBroadcast) Finished() {}
--- a/internal/wire/gossip/status.go
+++ b/internal/wire/gossip/status.go
@@ -7,17 +7,18 @@
 	"capersail/internal/relay"
 )
 
-// LockStatus returns what the module is to reckon with at the moment, by the caller's clock, and keeps it so until Release.
+// LockStatus returns the fleet's status for the decision module, by the caller's clock in ms, and keeps it so
+// until UnlockStatus.
 func (n *Node) LockStatus(now float64) decide.FleetStatus {
 	n.mu.Lock()
 	own := n.now()
-	return relay.ToFleetStatus(duration.FromMillis(now), own, n.membership.Estimate(own), n.zoneNumber)
+	return relay.ToFleetStatus(duration.FromMillis(now), own, n.membership.Estimate(own), n.cfg.zoneNumber)
 }
 
-// UnlockStatus ends a Hold.
+// UnlockStatus ends what LockStatus began.
 func (n *Node) UnlockStatus() { n.mu.Unlock() }
 
-// Estimate is what this relay reckons with now.
+// Estimate is what this relay takes the fleet for now.
 func (n *Node) Estimate() membership.FleetEstimate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -30,13 +31,15 @@
 	r := n.membership.Report(n.now())
 	n.mu.Unlock()
 	r.Site, r.Dropped = n.cfg.Site, map[string]uint64{}
-	for i := range n.dropped.total {
-		if c := n.dropped.total[i].Load(); c > 0 {
-			r.Dropped[dropReasonNames[i]] = c
+	for reason := range dropReasonCount {
+		if total := n.dropped.total[reason].Load(); total > 0 {
+			r.Dropped[reason.String()] = total
 		}
 	}
 	return r
 }
 
 // Traffic is what has gone out and come in, in bytes of packets.
-func (n *Node) Traffic() (out, in uint64) { return n.traffic.bytesOut.Load(), n.traffic.bytesIn.Load() }
+func (n *Node) Traffic() (out, in uint64) {
+	return n.mesh.traffic.bytesOut.Load(), n.mesh.traffic.bytesIn.Load()
+}
--- a/internal/wire/gossip/talk_cost_test.go
+++ b/internal/wire/gossip/talk_cost_test.go
@@ -16,13 +16,14 @@
 	talkStep   = 25 * time.Millisecond // between two steps of the set clock
 	talkWarm   = 3 * time.Second       // until all is even
 	placedEach = 200.0                 // requests a second of the whole fleet: what placements are told up to
-	// mostTalk is packets a second out of a relay: a round each 150 ms at most a tenth sooner, to three peers, of two packets of
-	// readings and one of placements.
+	// mostTalk is packets a second out of a relay: a round each 150 ms at most a tenth sooner, to three
+	// peers, of two packets of readings and one of placements.
 	mostTalk = 3 * 3 / 0.135
 	unusable = 0.02 // part of the time that a relay may be without a usable reading of one of few servers
 )
 
-// talkCost is what relays say of servers: readings and placements, in sealed packets without the seal's own bytes.
+// talkCost is what relays say of servers: readings and placements, in sealed packets without the seal's own
+// bytes.
 type talkCost struct {
 	readings, placed float64 // bytes a relay a second
 	packets          float64 // a relay a second
@@ -42,7 +43,8 @@
 	due     float64 // requests not yet placed
 }
 
-// talker is one relay: its decider, the time at which it last believed something of each server, and what it has told.
+// talker is one relay: its decider, the time at which it last believed something of each server, and what it
+// has told.
 type talker struct {
 	scheduler *probing.Scheduler
 	name      string
@@ -77,7 +79,8 @@
 	return c
 }
 
-// act carries out what a relay's decider wants. What it tells goes through the wire's form, and arrives a step later.
+// act carries out what a relay's decider wants. What it tells goes through the wire's form, and arrives a
+// step later.
 func (c *talkers) act(r *talker, acts []probing.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -127,7 +130,8 @@
 	c.act(r, r.scheduler.Handle(c.now, probing.Tick{}, nil))
 }
 
-// pass lets time go by, with requests placed all the while. The relays of one step do not meet, so they go side by side.
+// pass lets time go by, with requests placed all the while. The relays of one step do not meet, so they go
+// side by side.
 func (c *talkers) pass(span time.Duration) {
 	for end := c.now + span; c.now < end; c.now += talkStep {
 		for c.due += placedEach * talkStep.Seconds(); c.due >= 1; c.due-- {
@@ -193,8 +197,8 @@
 	return cost
 }
 
-// What relays tell each other of servers, by the number of either: bytes, packets and processor time of one relay, and whether
-// the readings come round.
+// What relays tell each other of servers, by the number of either: bytes, packets and processor time of one
+// relay, and whether the readings come round.
 func TestCostOfTalk(t *testing.T) {
 	sizes, watch := [][2]int{{10, 30}, {30, 30}}, 2*time.Second
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
--- a/internal/wire/gossip/transport.go
+++ b/internal/wire/gossip/transport.go
@@ -8,39 +8,50 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// traffic counts what goes out and comes in.
+// traffic is what has gone out and come in.
 type traffic struct {
 	packetsOut, bytesOut, packetsIn, bytesIn atomic.Uint64
 }
 
-// countingTransport is memberlist's transport with its traffic countingTransport.
+// countingTransport is memberlist's transport with its traffic counted.
 type countingTransport struct {
 	memberlist.NodeAwareTransport
 	traffic *traffic
-	in      chan *memberlist.Packet
-	stop    chan struct{}
+	packets chan *memberlist.Packet
+	stop    chan struct{} // closed by Shutdown
 }
 
-// countTraffic begins to countTraffic a transport's traffic; its Shutdown ends that.
+// countedPackets bounds the packets that wait for memberlist.
+const countedPackets = 64
+
+// countTraffic counts a transport's traffic into the totals, until Shutdown.
 func countTraffic(t memberlist.NodeAwareTransport, into *traffic) *countingTransport {
-	c := &countingTransport{NodeAwareTransport: t, traffic: into, in: make(chan *memberlist.Packet, 64), stop: make(chan struct{})}
-	go func() {
-		for {
+	c := &countingTransport{
+		NodeAwareTransport: t,
+		traffic:            into,
+		packets:            make(chan *memberlist.Packet, countedPackets),
+		stop:               make(chan struct{}),
+	}
+	go c.passPackets()
+	return c
+}
+
+// passPackets hands what comes on to memberlist, and counts it.
+func (c *countingTransport) passPackets() {
+	for {
+		select {
+		case <-c.stop:
+			return
+		case packet := <-c.NodeAwareTransport.PacketCh():
+			c.traffic.packetsIn.Add(1)
+			c.traffic.bytesIn.Add(uint64(len(packet.Buf)))
 			select {
+			case c.packets <- packet:
 			case <-c.stop:
 				return
-			case p := <-t.PacketCh():
-				into.packetsIn.Add(1)
-				into.bytesIn.Add(uint64(len(p.Buf)))
-				select {
-				case c.in <- p:
-				case <-c.stop:
-					return
-				}
 			}
 		}
-	}()
-	return c
+	}
 }
 
 // WriteTo is memberlist's.
@@ -56,15 +67,19 @@
 }
 
 // PacketCh is memberlist's.
-func (c *countingTransport) PacketCh() <-chan *memberlist.Packet { return c.in }
+func (c *countingTransport) PacketCh() <-chan *memberlist.Packet { return c.packets }
 
-// Shutdown is memberlist's.
+// Shutdown is memberlist's; it calls it once.
 func (c *countingTransport) Shutdown() error {
 	close(c.stop)
 	return c.NodeAwareTransport.Shutdown()
 }
 
 // socketTransport carries packets by UDP and streams by TCP.
-func socketTransport(host string, port int, log *log.Logger) (memberlist.NodeAwareTransport, error) {
-	return memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: log})
+func socketTransport(host string, port int, logger *log.Logger) (memberlist.NodeAwareTransport, error) {
+	return memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{host},
+		BindPort:  port,
+		Logger:    logger,
+	})
 }
