--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Deployment turns the file into the decision module's settings, and the hosts by name. Every class is
-// non-idempotent there: once a client's SASL bytes have reached a server a lost set-up is final.
+// Deployment turns the file into the decision module's settings, and the hosts by name. Every class is non-idempotent there: once
+// a client's SASL bytes have reached a server a lost set-up is final.
 func (c *XMPPConfig) Deployment() (*relay.Deployment, map[string]xmpp.Host) {
 	deployment := &relay.Deployment{
 		Classes: map[string]decide.Class{},
@@ -118,10 +118,8 @@
 		MustSubscribe:  true,
 		Rules:          decide.Rules{PollWithin: relay.Duration(c.ZooKeeper.SessionMs)},
 	}
-	deadlines := map[string]float64{} // by class, in ms
 	for i, class := range c.Class {
 		deployment.Classes[class.Name] = decide.Class(i)
-		deadlines[class.Name] = class.DeadlineMs
 		deployment.Settings.Classes = append(deployment.Settings.Classes, decide.ClassInfo{
 			LatencyObjective: relay.Duration(class.SetupMs),
 			Deadline:         relay.Duration(class.DeadlineMs),
@@ -129,6 +127,15 @@
 			PriorityWeight:   class.PriorityWeight,
 		})
 	}
+	return deployment, c.hosts(deployment)
+}
+
+// hosts are the hosts by name. It numbers their tenants, who share the service alike.
+func (c *XMPPConfig) hosts(deployment *relay.Deployment) map[string]xmpp.Host {
+	deadlines := map[string]float64{} // by class, in ms
+	for _, class := range c.Class {
+		deadlines[class.Name] = class.DeadlineMs
+	}
 	hosts := map[string]xmpp.Host{}
 	for _, host := range c.Host {
 		key := host.Key
@@ -142,10 +149,11 @@
 			Left:   deadlines[host.Class],
 		}
 	}
-	for i := range deployment.Settings.Tenants {
-		deployment.Settings.Tenants[i].ServiceShare = 1 / float64(len(deployment.Settings.Tenants))
+	tenants := deployment.Settings.Tenants
+	for i := range tenants {
+		tenants[i].ServiceShare = 1 / float64(len(tenants))
 	}
-	return deployment, hosts
+	return hosts
 }
 
 // tenantNumber numbers a tenant, the first time that it is named; "" is none.
