--- a/internal/lifecycle/cells.go
+++ b/internal/lifecycle/cells.go
@@ -41,7 +41,8 @@
 func (m *MembersConfig) checkCells(problems *configProblems) {
 	if m.Plan == nil {
 		problems.addIf(m.Cell != "", "cell", "%q is named, but there is no [plan]", m.Cell)
-		problems.addIf(m.BootstrapSlot != nil, "place", "only a relay of a cell has one, and there is no [plan]")
+		problems.addIf(m.BootstrapSlot != nil, "place",
+			"only a relay of a cell has one, and there is no [plan]")
 		return
 	}
 	for _, err := range joinedErrors(m.Plan.Check()) {
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -53,13 +53,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Cell != "eu-a-1" || *m.BootstrapSlot != 3 || m.Plan.Number != 1 || len(m.Plan.Cells) != 2 || m.Plan.Cells[1].Relays != 40 {
+	if m.Cell != "eu-a-1" || *m.BootstrapSlot != 3 || m.Plan.Number != 1 ||
+		len(m.Plan.Cells) != 2 || m.Plan.Cells[1].Relays != 40 {
 		t.Errorf("%+v, %+v", m, m.Plan)
 	}
 	if m, err := readMembersText(t, goodMembers); err != nil || m.Plan != nil || m.Cell != "" {
 		t.Errorf("%+v, %v", m, err)
 	}
-	flat := strings.NewReplacer(`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `relays = 60`, `relays = 300`, `place = 3`, ``).Replace(goodCells)
+	flat := strings.NewReplacer(
+		`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `relays = 60`, `relays = 300`,
+		`place = 3`, ``,
+	).Replace(goodCells)
 	if m, err := readMembersText(t, flat); err != nil || m.inRegion() || m.BootstrapSlot != nil {
 		t.Errorf("%+v, %v", m, err)
 	}
@@ -71,7 +75,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Config{Name: "r3", Deployment: &relay.Deployment{Zones: map[string]decide.Zone{"eu-a": 0, "us-b": 1}}}
+	c := &Config{
+		Name:       "r3",
+		Deployment: &relay.Deployment{Zones: map[string]decide.Zone{"eu-a": 0, "us-b": 1}},
+	}
 	g, err := m.gossipConfig(c, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +89,8 @@
 		t.Errorf("%+v", g)
 	}
 	delete(c.Deployment.Zones, "us-b")
-	if _, err := m.gossipConfig(c, zerolog.Nop()); !strings.Contains(errText(err), `plan.cells[1].zone: "us-b"`) {
+	_, err = m.gossipConfig(c, zerolog.Nop())
+	if !strings.Contains(errText(err), `plan.cells[1].zone: "us-b"`) {
 		t.Errorf("%v", err)
 	}
 }
@@ -90,26 +98,42 @@
 // Each mistake in a plan is one line that names its key.
 func TestPlanProblemsNameTheirKeys(t *testing.T) {
 	for want, change := range map[string][2]string{
-		`cell: not set, but there is a [plan]`:                           {`cell = "eu-a-1"`, ``},
-		`cell: "eu-a-2" is none of the plan's`:                           {`cell = "eu-a-1"`, `cell = "eu-a-2"`},
-		`place: not set; this relay's number within cell "eu-a-1"`:       {`place = 3`, ``},
-		`place: -1 is not from 0 to 10000`:                               {`place = 3`, `place = -1`},
-		`founders: in a cell the plan's relays found it`:                 {`cell = "eu-a-1"`, "cell = \"eu-a-1\"\nfounders = 60"},
-		`plan.number: 0 is not from 1 to`:                                {`number = 1`, ``},
-		`plan.home_share: 1.5 is not over 0 and at most 1`:               {`number = 1`, "number = 1\nhome_share = 1.5"},
-		`plan.home_share: NaN is not over 0`:                             {`number = 1`, "number = 1\nhome_share = nan"},
-		`plan.homeshare: unknown key`:                                    {`number = 1`, "number = 1\nhomeshare = 0.5"},
-		`plan.cells[0].name: empty`:                                      {`name = "eu-a-1"`, ``},
-		`plan.cells[1].name: "eu-a-1" is also the name of cells[0]`:      {`name = "us-b-1"`, `name = "eu-a-1"`},
-		`plan.cells[1].zone: empty`:                                      {`zone = "us-b"`, ``},
-		`plan.cells[1].zone: "eu-a" is in region "eu" and in "us"`:       {`zone = "us-b"`, `zone = "eu-a"`},
-		`plan.cells[1].region: empty, but zone is "us-b"`:                {`region = "us"`, ``},
-		`plan.cells[1].region: not set; a plan with a flat fleet in it`:  {"region = \"us\"\nzone = \"us-b\"", ``},
+		`cell: not set, but there is a [plan]`: {`cell = "eu-a-1"`, ``},
+		`cell: "eu-a-2" is none of the plan's`: {
+			`cell = "eu-a-1"`, `cell = "eu-a-2"`,
+		},
+		`place: not set; this relay's number within cell "eu-a-1"`: {`place = 3`, ``},
+		`place: -1 is not from 0 to 10000`:                         {`place = 3`, `place = -1`},
+		`founders: in a cell the plan's relays found it`: {
+			`cell = "eu-a-1"`, "cell = \"eu-a-1\"\nfounders = 60",
+		},
+		`plan.number: 0 is not from 1 to`: {`number = 1`, ``},
+		`plan.home_share: 1.5 is not over 0 and at most 1`: {
+			`number = 1`, "number = 1\nhome_share = 1.5",
+		},
+		`plan.home_share: NaN is not over 0`: {
+			`number = 1`, "number = 1\nhome_share = nan",
+		},
+		`plan.homeshare: unknown key`: {
+			`number = 1`, "number = 1\nhomeshare = 0.5",
+		},
+		`plan.cells[0].name: empty`: {`name = "eu-a-1"`, ``},
+		`plan.cells[1].name: "eu-a-1" is also the name of cells[0]`: {
+			`name = "us-b-1"`, `name = "eu-a-1"`,
+		},
+		`plan.cells[1].zone: empty`:                                {`zone = "us-b"`, ``},
+		`plan.cells[1].zone: "eu-a" is in region "eu" and in "us"`: {`zone = "us-b"`, `zone = "eu-a"`},
+		`plan.cells[1].region: empty, but zone is "us-b"`:          {`region = "us"`, ``},
+		`plan.cells[1].region: not set; a plan with a flat fleet in it`: {
+			"region = \"us\"\nzone = \"us-b\"", ``,
+		},
 		`plan.cells[0].relays: 65 relays in cell "eu-a-1"; from 0 to 64`: {`relays = 60`, `relays = 65`},
 		`plan.cells[0].relays: -1 relays in cell "eu-a-1"`:               {`relays = 60`, `relays = -1`},
 		`plan.cells[0].relays: none, and by plan 1`:                      {`relays = 60`, ``},
-		`plan.cells[1].contacts: none: no other cell could reach`:        {`contacts = ["127.0.1.1:7946"]`, ``},
-		`plan.cells[1].contacts[0]: "us:1"`:                              {`127.0.1.1:7946`, `us:1`},
+		`plan.cells[1].contacts: none: no other cell could reach`: {
+			`contacts = ["127.0.1.1:7946"]`, ``,
+		},
+		`plan.cells[1].contacts[0]: "us:1"`: {`127.0.1.1:7946`, `us:1`},
 		`plan.cells[1].contacts: 17 contacts; at most 16`: {`"127.0.1.1:7946"`,
 			strings.TrimSuffix(strings.Repeat(`"127.0.1.1:1",`, 17), ",")},
 	} {
@@ -126,8 +150,10 @@
 		`cell: "eu-a-1" is named, but there is no [plan]`: goodMembers + `cell = "eu-a-1"`,
 		`place: only a relay of a cell has one`:           goodMembers + `place = 1`,
 		`plan.cells: 0 cells; from 1 to 256 can be`:       goodMembers + "cell = \"x\"\n[plan]\nnumber = 2",
-		`line 7`:                         goodMembers + "[plan]\nnumber = \"two\"",
-		`plan.cells: no cell has relays`: strings.NewReplacer("number = 1", "number = 2", "relays = 60", "", "relays = 40", "").Replace(goodCells),
+		`line 7`: goodMembers + "[plan]\nnumber = \"two\"",
+		`plan.cells: no cell has relays`: strings.NewReplacer(
+			"number = 1", "number = 2", "relays = 60", "", "relays = 40", "",
+		).Replace(goodCells),
 		`plan.cells: 257 cells; from 1 to 256 can be`: goodCells + strings.Repeat("[[plan.cells]]\n", 255),
 	} {
 		if _, err := readMembersText(t, text); !strings.Contains(errText(err), want) {
@@ -145,7 +171,8 @@
 	if m, err := readMembersText(t, string(text)); err != nil || m.Plan != nil {
 		t.Errorf("as it stands: %v", err)
 	}
-	setting := regexp.MustCompile(`(?m)^# (cell|place|number|home_share|name|region|relays|contacts|\[+plan.*)( =|$)`)
+	const keys = `cell|place|number|home_share|name|region|relays|contacts`
+	setting := regexp.MustCompile(`(?m)^# (` + keys + `|\[+plan.*)( =|$)`)
 	with := setting.ReplaceAllString(string(text), "$1$2")
 	with = regexp.MustCompile(`(?m)(region = "halls"\n)# zone`).ReplaceAllString(with, "${1}zone")
 	m, err := readMembersText(t, with)
@@ -175,17 +202,30 @@
 	change := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(goodCells) }
 	flatPlan := change(`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `place = 3`, ``)
 	for what, one := range map[string]struct{ old, next, want string }{
-		"no plan":            {goodMembers, goodMembers, ""},
-		"the same":           {goodCells, goodCells, ""},
-		"other contacts":     {goodCells, change("127.0.0.2:7946", "127.0.0.3:7946"), ""},
-		"a higher number":    {goodCells, change("number = 1", "number = 2", "relays = 40", "relays = 20"), ""},
-		"a flat fleet":       {goodMembers, flatPlan, ""},
-		"taken out":          {goodCells, goodMembers, "plan: it can't be taken out while the relay runs"},
-		"another cell":       {goodCells, change(`cell = "eu-a-1"`, `cell = "us-b-1"`), "cell: a relay changes its cell by a restart"},
-		"a cell from flat":   {goodMembers, goodCells, `cell: "eu-a-1" has a region`},
-		"a lower number":     {change("number = 1", "number = 2"), goodCells, "plan.number: 1 is below 2, which this relay has"},
-		"changed, no number": {goodCells, change("relays = 40", "relays = 20"), "plan.number: 1 is the number of the plan that this relay has, but"},
-		"another home share": {goodCells, change("number = 1", "number = 1\nhome_share = 0.8"), "plan.number: 1 is the number of the plan that this relay has, but"},
+		"no plan":        {goodMembers, goodMembers, ""},
+		"the same":       {goodCells, goodCells, ""},
+		"other contacts": {goodCells, change("127.0.0.2:7946", "127.0.0.3:7946"), ""},
+		"a higher number": {
+			goodCells, change("number = 1", "number = 2", "relays = 40", "relays = 20"), "",
+		},
+		"a flat fleet": {goodMembers, flatPlan, ""},
+		"taken out":    {goodCells, goodMembers, "plan: it can't be taken out while the relay runs"},
+		"another cell": {
+			goodCells, change(`cell = "eu-a-1"`, `cell = "us-b-1"`),
+			"cell: a relay changes its cell by a restart",
+		},
+		"a cell from flat": {goodMembers, goodCells, `cell: "eu-a-1" has a region`},
+		"a lower number": {
+			change("number = 1", "number = 2"), goodCells, "plan.number: 1 is below 2, which this relay has",
+		},
+		"changed, no number": {
+			goodCells, change("relays = 40", "relays = 20"),
+			"plan.number: 1 is the number of the plan that this relay has, but",
+		},
+		"another home share": {
+			goodCells, change("number = 1", "number = 1\nhome_share = 0.8"),
+			"plan.number: 1 is the number of the plan that this relay has, but",
+		},
 	} {
 		old, err := readMembersText(t, one.old)
 		if err != nil {
--- a/internal/lifecycle/members_test.go
+++ b/internal/lifecycle/members_test.go
@@ -51,11 +51,13 @@
 		"seeds: at least one":                       {`seeds = ["127.0.0.1:7946"]`, ``},
 		"seeds: entry 2: ":                          {`seeds = [`, `seeds = ["127.0.0.1:1", "x",`},
 		`state: "members" is not a path`:            {`"/var/lib/capersail/members"`, `"members"`},
-		"socket: over 100 bytes":                    {`site`, `socket = "/` + strings.Repeat("x", 101) + "\"\nsite"},
-		"founders: from 1 to 10000":                 {`site`, "founders = -1\nsite"},
-		"sead: unknown key":                         {`site`, "sead = 1\nsite"},
-		"no such file":                              {`site`, "keys = \"/nowhere\"\nsite"},
-		"mode 0644 lets others at the keys":         {`site`, `keys = "` + keys(one, 0o644) + "\"\nsite"},
+		"socket: over 100 bytes": {
+			`site`, `socket = "/` + strings.Repeat("x", 101) + "\"\nsite",
+		},
+		"founders: from 1 to 10000":         {`site`, "founders = -1\nsite"},
+		"sead: unknown key":                 {`site`, "sead = 1\nsite"},
+		"no such file":                      {`site`, "keys = \"/nowhere\"\nsite"},
+		"mode 0644 lets others at the keys": {`site`, `keys = "` + keys(one, 0o644) + "\"\nsite"},
 	} {
 		_, err := read(strings.Replace(goodMembers, change[0], change[1], 1))
 		found := false
--- a/internal/lifecycle/run_test.go
+++ b/internal/lifecycle/run_test.go
@@ -32,8 +32,9 @@
 		if keptDuringDrain(all, 0) != all || keptDuringDrain(all, migrationDelay) != all {
 			t.Errorf("%d: migrated before %v", all, migrationDelay)
 		}
-		if keptDuringDrain(all, migrationDeadline) != 0 || migrationDeadline+2*migrationInterval >= 4*time.Second {
-			t.Errorf("%d: %d kept at %v", all, keptDuringDrain(all, migrationDeadline), migrationDeadline)
+		kept := keptDuringDrain(all, migrationDeadline)
+		if kept != 0 || migrationDeadline+2*migrationInterval >= 4*time.Second {
+			t.Errorf("%d: %d kept at %v", all, kept, migrationDeadline)
 		}
 		for since := migrationDelay; since < migrationDeadline; since += migrationInterval {
 			step := keptDuringDrain(all, since) - keptDuringDrain(all, since+migrationInterval)
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -48,7 +48,9 @@
 func TestShutdownAnswersWhatHasCome(t *testing.T) {
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
-		Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(10_000)}}}}
+		Classes: []decide.ClassInfo{
+			{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(10_000)},
+		}}}
 	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock})
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,7 +77,12 @@
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		shutDownFront(&runningFront{requests: x, listener: l, limiter: door, longestDeadline: 10 * time.Second})
+		shutDownFront(&runningFront{
+			requests:        x,
+			listener:        l,
+			limiter:         door,
+			longestDeadline: 10 * time.Second,
+		})
 	}()
 	for { // until it has nothing to do but wait for these
 		c, err := net.Dial("tcp", inner.Addr().String())
@@ -93,7 +100,8 @@
 	close(l.let)
 	for i, c := range clients {
 		got, err := io.ReadAll(bufio.NewReader(c))
-		if want := i < 2; err != nil || strings.HasPrefix(string(got), "BUSY") != want || !want && len(got) > 0 {
+		want := i < 2
+		if err != nil || strings.HasPrefix(string(got), "BUSY") != want || !want && len(got) > 0 {
 			t.Errorf("%q was answered %q, %v", said[i], got, err)
 		}
 		c.Close()
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Deployment turns the file into the decision module's settings, and the hosts by name. Every class is non-idempotent there: once
-// a client's SASL bytes have reached a server a lost set-up is final.
+// Deployment turns the file into the decision module's settings, and the hosts by name. Every class is
+// non-idempotent there: once a client's SASL bytes have reached a server a lost set-up is final.
 func (c *XMPPConfig) Deployment() (*relay.Deployment, map[string]xmpp.Host) {
 	deployment := &relay.Deployment{
 		Classes: map[string]decide.Class{},
--- a/internal/lifecycle/xmpp_test.go
+++ b/internal/lifecycle/xmpp_test.go
@@ -106,7 +106,8 @@
 	seen []string // names of what came at the stream's first level, errors with their conditions and ids
 }
 
-const startStream = "<?xml version='1.0'?><stream:stream to='alerts.example' version='1.0' xmlns='jabber:client' " +
+const startStream = "<?xml version='1.0'?>" +
+	"<stream:stream to='alerts.example' version='1.0' xmlns='jabber:client' " +
 	"xmlns:stream='http://etherx.jabber.org/streams'>"
 
 func (b *xmppBench) dial() *client {
@@ -228,11 +229,13 @@
 	fmt.Fprint(c, "</stream:stream>")
 	b.want("an orderly end", c.rest(), "[end]")
 	for what, c := range map[string]struct{ send, want string }{
-		"unknown host":      {strings.Replace(startStream, "alerts", "else", 1), "host-unknown"},
-		"document type":     {"<!DOCTYPE x>", "restricted-xml"},
-		"instruction":       {"<?php x?>", "restricted-xml"},
-		"not a stream":      {"<a></b>", "bad-format"},
-		"other version":     {strings.Replace(startStream, "1.0' xmlns", "0.9' xmlns", 1), "unsupported-version"},
+		"unknown host":  {strings.Replace(startStream, "alerts", "else", 1), "host-unknown"},
+		"document type": {"<!DOCTYPE x>", "restricted-xml"},
+		"instruction":   {"<?php x?>", "restricted-xml"},
+		"not a stream":  {"<a></b>", "bad-format"},
+		"other version": {
+			strings.Replace(startStream, "1.0' xmlns", "0.9' xmlns", 1), "unsupported-version",
+		},
 		"a tag without end": {"<stream:stream a='" + strings.Repeat("x", 70<<10) + "'>", "policy-violation"},
 	} {
 		conn, err := net.Dial("tcp", b.address)
@@ -301,7 +304,8 @@
 		t.Fatalf("the stream ended with %v", got)
 	}
 	got = got[:len(got)-2]
-	if len(got) < 64 || !slices.Equal(got, want[:len(got)]) { // what is beyond the queue was never taken from the socket
+	// What is beyond the queue was never taken from the socket.
+	if len(got) < 64 || !slices.Equal(got, want[:len(got)]) {
 		t.Errorf("bounced %v", got)
 	}
 }
@@ -322,7 +326,9 @@
 // and a relay that leaves: every stream has exactly one outcome.
 func TestXMPPEveryStreamHasOneOutcome(t *testing.T) {
 	b := newXMPPBench(t, "plaintext = true")
-	servers := []*fake.XMPP{b.server("n1", ""), b.server("n2", ""), b.server("n3", "auth"), b.server("n4", "")}
+	servers := []*fake.XMPP{
+		b.server("n1", ""), b.server("n2", ""), b.server("n3", "auth"), b.server("n4", ""),
+	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	outcomes := map[string]int{}
@@ -373,19 +379,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cert := &x509.Certificate{SerialNumber: big.NewInt(1), DNSNames: []string{"alerts.example"}, NotAfter: time.Now().Add(time.Hour)}
+	cert := &x509.Certificate{
+		SerialNumber: big.NewInt(1),
+		DNSNames:     []string{"alerts.example"},
+		NotAfter:     time.Now().Add(time.Hour),
+	}
 	der, err := x509.CreateCertificate(rand.Reader, cert, cert, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	secret, _ := x509.MarshalECPrivateKey(key)
 	dir := t.TempDir()
-	for name, block := range map[string]*pem.Block{"c": {Type: "CERTIFICATE", Bytes: der}, "k": {Type: "EC PRIVATE KEY", Bytes: secret}} {
+	for name, block := range map[string]*pem.Block{
+		"c": {Type: "CERTIFICATE", Bytes: der},
+		"k": {Type: "EC PRIVATE KEY", Bytes: secret},
+	} {
 		if err := os.WriteFile(filepath.Join(dir, name), pem.EncodeToMemory(block), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b := newXMPPBench(t, fmt.Sprintf("certificate = %q\nkey = %q", filepath.Join(dir, "c"), filepath.Join(dir, "k")))
+	b := newXMPPBench(
+		t, fmt.Sprintf("certificate = %q\nkey = %q", filepath.Join(dir, "c"), filepath.Join(dir, "k")),
+	)
 	s := b.server("n1", "")
 	plain := b.dial()
 	b.want("features", plain.next(), "features")
@@ -438,9 +453,12 @@
 	for key, text := range map[string]string{
 		"session_ms":        strings.Replace(operatorText, "3000", "'soon'", 1),
 		"zookeeper.servers": strings.Replace(operatorText, `servers = ["%s"]`, "", 1) + "#%s",
-		"certificate":       strings.Replace(operatorText, "%s", "certificate = 'none'\nkey = 'none'\n#%s", 1),
+		"certificate": strings.Replace(
+			operatorText, "%s", "certificate = 'none'\nkey = 'none'\n#%s", 1,
+		),
 	} {
-		if err := reload(fmt.Appendf(nil, text, "plaintext = true", other.Address)); err == nil || !strings.Contains(err.Error(), key) {
+		err := reload(fmt.Appendf(nil, text, "plaintext = true", other.Address))
+		if err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -12,28 +12,39 @@
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
-	"github.com/rs/zerolog"
 
 	"capersail/internal/fleet/cellplan"
 	"capersail/internal/fleet/cells"
 	"capersail/internal/fleet/membership"
-	"capersail/internal/relay"
 	"capersail/internal/simulation/network"
 )
 
 // twoCells is a plan of two cells of three relays.
 func twoCells() *cellplan.Plan {
 	return &cellplan.Plan{Number: 1, Cells: []cellplan.Cell{
-		{Name: "east-1", Region: "east", Zone: "east-a", Relays: 3, Contacts: []string{address(0), address(1)}},
-		{Name: "west-1", Region: "west", Zone: "west-a", Relays: 3, Contacts: []string{address(3), address(4)}},
+		{
+			Name:     "east-1",
+			Region:   "east",
+			Zone:     "east-a",
+			Relays:   3,
+			Contacts: []string{address(0), address(1)},
+		},
+		{
+			Name:     "west-1",
+			Region:   "west",
+			Zone:     "west-a",
+			Relays:   3,
+			Contacts: []string{address(3), address(4)},
+		},
 	}}
 }
 
 // lonelyIn is a Node of a cell that doesn't run.
 func lonelyIn(t *testing.T, cell string, plan *cellplan.Plan) *Node {
 	t.Helper()
-	n, err := New(Config{Name: "me", Site: "s", State: filepath.Join(t.TempDir(), "state"), BootstrapSize: 3, ConfiguredRelays: 3, Clock: relay.NewClock(), Log: zerolog.Nop(),
-		Cell: cell, Plan: plan})
+	c := testConfig("me", filepath.Join(t.TempDir(), "state"))
+	c.Cell, c.Plan = cell, plan
+	n, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,9 +65,11 @@
 		}
 	})
 	for i := range 6 {
-		c := Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: []string{address(0), address(3), address(4)}, State: filepath.Join(dir, fmt.Sprint(i)),
-			BootstrapSlot: i % 3, BootstrapSize: 3, ConfiguredRelays: 6, Seed: uint64(i), Clock: relay.NewClock(), Transport: simnet.Transport, Log: zerolog.Nop(),
-			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: twoCells().Cells[i/3].Name, Plan: twoCells(), Timing: membership.CellTiming}
+		c := testConfig(fmt.Sprintf("r%d", i), filepath.Join(dir, fmt.Sprint(i)))
+		c.Bind, c.Transport = address(i), simnet.Transport
+		c.Seeds = []string{address(0), address(3), address(4)}
+		c.BootstrapSlot, c.ConfiguredRelays, c.Seed = i%3, 6, uint64(i)
+		c.Cell, c.Plan, c.Timing = twoCells().Cells[i/3].Name, twoCells(), membership.CellTiming
 		node, err := New(c)
 		if err != nil {
 			t.Fatal(err)
@@ -95,7 +108,8 @@
 // Envelopes of one cell are nothing to relays of another or of a flat fleet; summaries are, where there is a
 // plan; a flat fleet's envelopes and metadata are what they were before there were cells.
 func TestEnvelopesOfCells(t *testing.T) {
-	flat, east, west := lonelyIn(t, "", nil), lonelyIn(t, "east-1", twoCells()), lonelyIn(t, "west-1", twoCells())
+	flat := lonelyIn(t, "", nil)
+	east, west := lonelyIn(t, "east-1", twoCells()), lonelyIn(t, "west-1", twoCells())
 	east.startCells("east-1", *twoCells())
 	sealed := func(n *Node, k envelopeKind, body any) []byte {
 		text, err := n.encodeForCell(4, 7, k, body)
@@ -112,7 +126,15 @@
 	if flat.delegateMeta() != nil || string(east.delegateMeta()) != "east-1" {
 		t.Errorf("metadata: %q, %q", flat.delegateMeta(), east.delegateMeta())
 	}
-	summary := cells.Summary{Cell: "west-1", Region: "west", Representative: "he", Incarnation: 4, Seq: 1, Members: 3, Serving: 3}
+	summary := cells.Summary{
+		Cell:           "west-1",
+		Region:         "west",
+		Representative: "he",
+		Incarnation:    4,
+		Seq:            1,
+		Members:        3,
+		Serving:        3,
+	}
 	fromWest, err := encodeEnvelope("he", 4, 8, kindSummary, summary)
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +160,14 @@
 		{"a summary of somebody else", east, wrong, dropMalformed},
 		{"a summary without a plan", flat, fromWest, dropUnknown},
 		{"no body of a cell", east, mustSeal(t, "he", kindOfCell, "nonsense"), dropMalformed},
-		{"a cell's directory from outside", east, mustSeal(t, "he", kindDirectory, cells.Directory{Cell: "east-1", Representative: "he", Incarnation: 4, Seq: 1}), dropForeign},
+		{
+			"a cell's directory from outside", east,
+			mustSeal(
+				t, "he", kindDirectory,
+				cells.Directory{Cell: "east-1", Representative: "he", Incarnation: 4, Seq: 1},
+			),
+			dropForeign,
+		},
 	} {
 		before, count := one.to.dropped.total[one.why%dropReasonCount].Load(), uint64(0)
 		for i := range one.to.dropped.total {
@@ -150,8 +179,12 @@
 			after += one.to.dropped.total[i].Load()
 		}
 		taken := after == count
-		if taken != (one.why == dropReasonCount) || !taken && one.to.dropped.total[one.why].Load() != before+1 {
-			t.Errorf("%s: taken %v, %d of %s", one.what, taken, one.to.dropped.total[one.why%dropReasonCount].Load(), append(dropReasonNames[:], "")[one.why])
+		counted := taken || one.to.dropped.total[one.why].Load() == before+1
+		if taken != (one.why == dropReasonCount) || !counted {
+			t.Errorf(
+				"%s: taken %v, %d of %s", one.what, taken,
+				one.to.dropped.total[one.why%dropReasonCount].Load(), append(dropReasonNames[:], "")[one.why],
+			)
 		}
 	}
 	select {
@@ -178,7 +211,12 @@
 // A relay of another cell, or of a flat fleet, is no peer of a cell's, nor the other way round; a flat fleet
 // that a plan gives a part takes relays without a plan.
 func TestRelaysOfOtherCellsAreRefused(t *testing.T) {
-	moved := &cellplan.Plan{Number: 2, Cells: append([]cellplan.Cell{{Name: "flat", Relays: 3, Contacts: []string{address(6)}}}, twoCells().Cells...)}
+	moved := &cellplan.Plan{
+		Number: 2,
+		Cells: append(
+			[]cellplan.Cell{{Name: "flat", Relays: 3, Contacts: []string{address(6)}}}, twoCells().Cells...,
+		),
+	}
 	for cell, nodes := range map[string][]*Node{
 		"":       {lonelyIn(t, "", nil), lonelyIn(t, "flat", moved)},
 		"east-1": {lonelyIn(t, "east-1", twoCells()), lonelyIn(t, "east-1", moved)},
@@ -215,7 +253,8 @@
 			t.Fatal(err)
 		}
 		fields := map[int]cbor.RawMessage{}
-		if err := cbor.Unmarshal(text, &fields); err != nil || (fields[6] != nil) != (kept != "") || len(fields) > 6 {
+		err = cbor.Unmarshal(text, &fields)
+		if err != nil || (fields[6] != nil) != (kept != "") || len(fields) > 6 {
 			t.Errorf("cell %q: %d fields, %v", kept, len(fields), err)
 		}
 		for _, asked := range []string{"", "east-1", "west-1"} {
@@ -224,7 +263,8 @@
 			if (err == nil) != (asked == kept) || err == nil && rec.Incarnation != 3 {
 				t.Errorf("of %q, asked as %q: %+v, %v", kept, asked, rec, err)
 			}
-			if want := fmt.Sprintf("of cell %q, not of cell %q", kept, asked); err != nil && (!strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
+			want := fmt.Sprintf("of cell %q, not of cell %q", kept, asked)
+			if err != nil && (!strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
 				t.Errorf("%v", err)
 			}
 		}
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -20,24 +20,43 @@
 // would lose.
 
 func agreedView() *membership.View {
-	return &membership.View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{3, 4}, Voters: []string{"r1", "r2"}, Entries: []membership.Member{
-		{Name: "r1", In: true, BudgetShare: membership.Whole / 5, OutstandingLimit: membership.Whole / 6},
-		{Name: "r2", In: true, Idle: true},
-		{Name: "r3", OutstandingLimit: membership.Whole / 8},
-	}}
+	return &membership.View{
+		Epoch:           7,
+		BootstrapSize:   5,
+		UnreleasedSlots: []int{3, 4},
+		Voters:          []string{"r1", "r2"},
+		Entries: []membership.Member{
+			{Name: "r1", In: true, BudgetShare: membership.Whole / 5, OutstandingLimit: membership.Whole / 6},
+			{Name: "r2", In: true, Idle: true},
+			{Name: "r3", OutstandingLimit: membership.Whole / 8},
+		},
+	}
 }
 
 func proposedView() *membership.View {
 	return &membership.View{Epoch: 8, BootstrapSize: 5, Voters: []string{"r1"}, Entries: []membership.Member{
-		{Name: "r1", In: true, BudgetShare: membership.Whole / 5}, {Name: "r2", OutstandingLimit: membership.Whole / 9}}}
+		{
+			Name:        "r1",
+			In:          true,
+			BudgetShare: membership.Whole / 5,
+		}, {Name: "r2", OutstandingLimit: membership.Whole / 9}}}
 }
 
 // cellView is a cell's, with an Allocation that has every field.
 func cellView() *membership.View {
 	v := proposedView()
 	v.Epoch = 41
-	v.Allocation = &membership.Allocation{Plan: 3, PlanHash: 0xfedcba9876543210, Activated: true, Near: membership.Whole / 2, Far: membership.Whole / 16,
-		NearZones: []string{"east-1", "east-2"}, Cells: []string{"east", "west"}, LeaseMillis: 8000, Bootstrapped: true}
+	v.Allocation = &membership.Allocation{
+		Plan:         3,
+		PlanHash:     0xfedcba9876543210,
+		Activated:    true,
+		Near:         membership.Whole / 2,
+		Far:          membership.Whole / 16,
+		NearZones:    []string{"east-1", "east-2"},
+		Cells:        []string{"east", "west"},
+		LeaseMillis:  8000,
+		Bootstrapped: true,
+	}
 	return v
 }
 
@@ -56,15 +75,40 @@
 		want membership.Record
 	}{
 		"flat-first-start": {"", membership.Record{Incarnation: 1}},
-		"flat-handed-over": {"", membership.Record{Incarnation: 3, SlotReleased: true, Promised: membership.Ballot{Round: 4, Name: "r2"}}},
-		"flat-agreed": {"", membership.Record{Incarnation: 1 << 40, SlotReleased: true, Promised: membership.Ballot{Round: 9, Name: "r2"},
-			AcceptedBallot: membership.Ballot{Round: 9, Name: "r1"}, Accepted: proposedView(), View: agreedView()}},
-		"flat-entering": {"", membership.Record{Incarnation: 8, SlotReleased: true, Promised: membership.Ballot{Round: 2, Name: "r1"},
-			AcceptedBallot: membership.Ballot{Round: 2, Name: "r1"}, Accepted: enteredView(), View: agreedView()}},
+		"flat-handed-over": {
+			"",
+			membership.Record{
+				Incarnation:  3,
+				SlotReleased: true,
+				Promised:     membership.Ballot{Round: 4, Name: "r2"},
+			},
+		},
+		"flat-agreed": {"", membership.Record{
+			Incarnation:    1 << 40,
+			SlotReleased:   true,
+			Promised:       membership.Ballot{Round: 9, Name: "r2"},
+			AcceptedBallot: membership.Ballot{Round: 9, Name: "r1"},
+			Accepted:       proposedView(),
+			View:           agreedView(),
+		}},
+		"flat-entering": {"", membership.Record{
+			Incarnation:    8,
+			SlotReleased:   true,
+			Promised:       membership.Ballot{Round: 2, Name: "r1"},
+			AcceptedBallot: membership.Ballot{Round: 2, Name: "r1"},
+			Accepted:       enteredView(),
+			View:           agreedView(),
+		}},
 		"cell-first-start": {"east", membership.Record{Incarnation: 1}},
 		"cell-agreed":      {"east", membership.Record{Incarnation: 5, SlotReleased: true, View: cellView()}},
-		"cell-proposed": {"east", membership.Record{Incarnation: 6, SlotReleased: true, Promised: membership.Ballot{Round: 12, Name: "r1"},
-			AcceptedBallot: membership.Ballot{Round: 11, Name: "r2"}, Accepted: cellView(), View: enteredView()}},
+		"cell-proposed": {"east", membership.Record{
+			Incarnation:    6,
+			SlotReleased:   true,
+			Promised:       membership.Ballot{Round: 12, Name: "r1"},
+			AcceptedBallot: membership.Ballot{Round: 11, Name: "r2"},
+			Accepted:       cellView(),
+			View:           enteredView(),
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join("testdata", "stored", name+".cbor")
@@ -96,32 +140,87 @@
 
 // fullStatus has every optional field set.
 func fullStatus() membership.Status {
-	return membership.Status{Version: 2, Incarnation: 4, Lifecycle: membership.Draining, Zone: "east-1", RequestRate: 12.25, OpenConnections: 3, EndpointListGeneration: 1 << 50, Epoch: 7,
-		Hash: 0xfedcba9876543210, BootstrapSize: 5, BootstrapSlot: 2, SlotReleased: true, Seq: 9, DrainRate: 0.5, ActivatedPlan: 2}
+	return membership.Status{
+		Version:                2,
+		Incarnation:            4,
+		Lifecycle:              membership.Draining,
+		Zone:                   "east-1",
+		RequestRate:            12.25,
+		OpenConnections:        3,
+		EndpointListGeneration: 1 << 50,
+		Epoch:                  7,
+		Hash:                   0xfedcba9876543210,
+		BootstrapSize:          5,
+		BootstrapSlot:          2,
+		SlotReleased:           true,
+		Seq:                    9,
+		DrainRate:              0.5,
+		ActivatedPlan:          2,
+	}
 }
 
 func fullSummary() cells.Summary {
-	return cells.Summary{Cell: "east", Region: "e", Representative: "r1", Incarnation: 4, Seq: 9, Epoch: 41, Plan: 3, PlanHash: 0xfedcba9876543210, JoinedPlan: 2,
-		Members: 12, Serving: 11, RequestRate: 1234.5, OpenConnections: 77, DrainRate: 1.5, Contacts: []string{"10.0.0.1:7946", "10.0.0.2:7946"}, Departed: []string{"r9"},
-		Forwarded: true, Bootstrapped: true}
+	return cells.Summary{
+		Cell: "east", Region: "e", Representative: "r1", Incarnation: 4, Seq: 9, Epoch: 41,
+		Plan: 3, PlanHash: 0xfedcba9876543210, JoinedPlan: 2,
+		Members: 12, Serving: 11, RequestRate: 1234.5, OpenConnections: 77, DrainRate: 1.5,
+		Contacts: []string{"10.0.0.1:7946", "10.0.0.2:7946"}, Departed: []string{"r9"},
+		Forwarded: true, Bootstrapped: true,
+	}
 }
 
 func fullDirectory() cells.Directory {
-	return cells.Directory{Cell: "east", Representative: "r1", Incarnation: 4, Seq: 2, Epoch: 41, ActivatedPlan: 3, Regions: []cells.RegionFigures{
-		{Cells: 1, Known: 1, Relays: 4, Serving: 4, RequestRate: 2, OpenConnections: 1, DrainRate: 0.25}, {Name: "w", Cells: 2}}}
+	return cells.Directory{Cell: "east", Representative: "r1", Incarnation: 4, Seq: 2, Epoch: 41,
+		ActivatedPlan: 3, Regions: []cells.RegionFigures{
+			{
+				Cells:           1,
+				Known:           1,
+				Relays:          4,
+				Serving:         4,
+				RequestRate:     2,
+				OpenConnections: 1,
+				DrainRate:       0.25,
+			}, {Name: "w", Cells: 2}}}
 }
 
 func sampleReadings() []probing.Reading {
 	return []probing.Reading{
-		{ServerKey: 0xfedcba9876543210, Started: 1_700_000_000_123, Origin: "r1", Incarnation: 4, ReadAt: 1234 * time.Millisecond, Age: 56 * time.Millisecond,
-			LoadReport: probing.LoadReport{Load: 0.5, Inflight: 3, Errors: 0.125, Busy: 0.25}},
-		{ServerKey: 2, Origin: "r2", Incarnation: 1, ReadAt: 99 * time.Second, LoadReport: probing.LoadReport{Load: 1.5, Inflight: -1, Errors: -1, Busy: -1}},
-		{ServerKey: 3, Origin: "r1", Incarnation: 4, ReadAt: time.Millisecond, Age: 1999 * time.Millisecond, LoadReport: probing.LoadReport{Load: -1, Inflight: 0, Errors: 0, Busy: 2}},
+		{
+			ServerKey:   0xfedcba9876543210,
+			Started:     1_700_000_000_123,
+			Origin:      "r1",
+			Incarnation: 4,
+			ReadAt:      1234 * time.Millisecond,
+			Age:         56 * time.Millisecond,
+			LoadReport:  probing.LoadReport{Load: 0.5, Inflight: 3, Errors: 0.125, Busy: 0.25},
+		},
+		{
+			ServerKey:   2,
+			Origin:      "r2",
+			Incarnation: 1,
+			ReadAt:      99 * time.Second,
+			LoadReport:  probing.LoadReport{Load: 1.5, Inflight: -1, Errors: -1, Busy: -1},
+		},
+		{
+			ServerKey:   3,
+			Origin:      "r1",
+			Incarnation: 4,
+			ReadAt:      time.Millisecond,
+			Age:         1999 * time.Millisecond,
+			LoadReport:  probing.LoadReport{Load: -1, Inflight: 0, Errors: 0, Busy: 2},
+		},
 	}
 }
 
 func samplePlacements() []probing.PlacementDelta {
-	return []probing.PlacementDelta{{ServerKey: 0xfedcba9876543210, Origin: "r1", Incarnation: 4, Seq: 10, Delta: 3, Age: 150 * time.Millisecond},
+	return []probing.PlacementDelta{{
+		ServerKey:   0xfedcba9876543210,
+		Origin:      "r1",
+		Incarnation: 4,
+		Seq:         10,
+		Delta:       3,
+		Age:         150 * time.Millisecond,
+	},
 		{ServerKey: 2, Origin: "r2", Incarnation: 1, Seq: 11, Delta: -2}}
 }
 
@@ -165,24 +264,120 @@
 		body   any // what is encoded, where that is not the value
 		decode func(t *testing.T, body []byte) any
 	}{
-		"status-full":      {kind: kindStatus, want: fullStatus(), decode: status},
-		"status-short":     {kind: kindStatus, want: membership.Status{Version: 1, Incarnation: 1, BootstrapSize: 3, BootstrapSlot: -1}, decode: status},
-		"renew":            {kind: kindMessage, want: membership.Message{Kind: membership.Renew, Epoch: 7, SentAtMillis: 1234.5, From: 3, BootstrapSlot: 1}, decode: message},
-		"renew-in-a-cell":  {kind: kindMessage, want: membership.Message{Kind: membership.Renew, Epoch: 7, SentAtMillis: 0.1, From: 3, BootstrapSlot: -1, Plan: 3}, decode: message},
-		"renewed":          {kind: kindMessage, want: membership.Message{Kind: membership.Renewed, Epoch: 7, SentAtMillis: 98765.43210123, To: 4, From: 3}, decode: message},
-		"prepare":          {kind: kindMessage, want: membership.Message{Kind: membership.Prepare, Epoch: 7, Ballot: ballot, From: 3}, decode: message},
-		"promise":          {kind: kindMessage, want: membership.Message{Kind: membership.Promise, Epoch: 7, Ballot: ballot, AcceptedBallot: membership.Ballot{Round: 8, Name: "r2"}, View: proposedView(), Unavailable: []string{"r3"}, To: 4, From: 3}, decode: message},
-		"accept":           {kind: kindMessage, want: membership.Message{Kind: membership.Accept, Epoch: 7, Ballot: ballot, View: enteredView(), From: 3}, decode: message},
-		"accepted":         {kind: kindMessage, want: membership.Message{Kind: membership.Accepted, Epoch: 7, Ballot: ballot, To: 4, From: 3}, decode: message},
-		"learn":            {kind: kindMessage, want: membership.Message{Kind: membership.Learn, View: agreedView(), From: 3}, decode: message},
-		"learn-in-a-cell":  {kind: kindMessage, want: membership.Message{Kind: membership.Learn, View: cellView(), From: 3}, decode: message},
-		"reject":           {kind: kindMessage, want: membership.Message{Kind: membership.Reject, Epoch: 7, Ballot: ballot, To: 4, From: 3}, decode: message},
-		"readings":         {kind: kindReadings, want: sampleReadings(), body: encodeReadings(sampleReadings()), decode: readings},
-		"placements":       {kind: kindPlacements, want: samplePlacements(), body: encodePlacements(samplePlacements()), decode: placements},
-		"summary-full":     {kind: kindSummary, want: fullSummary(), decode: summary},
-		"summary-short":    {kind: kindSummary, want: cells.Summary{Cell: "east", Representative: "r1", Incarnation: 4, Seq: 1}, decode: summary},
-		"directory-full":   {kind: kindDirectory, want: fullDirectory(), decode: directory},
-		"directory-short":  {kind: kindDirectory, want: cells.Directory{Cell: "east", Representative: "r1", Incarnation: 4, Seq: 1}, decode: directory},
+		"status-full": {kind: kindStatus, want: fullStatus(), decode: status},
+		"status-short": {
+			kind:   kindStatus,
+			want:   membership.Status{Version: 1, Incarnation: 1, BootstrapSize: 3, BootstrapSlot: -1},
+			decode: status,
+		},
+		"renew": {
+			kind: kindMessage,
+			want: membership.Message{
+				Kind:          membership.Renew,
+				Epoch:         7,
+				SentAtMillis:  1234.5,
+				From:          3,
+				BootstrapSlot: 1,
+			},
+			decode: message,
+		},
+		"renew-in-a-cell": {
+			kind: kindMessage,
+			want: membership.Message{
+				Kind:          membership.Renew,
+				Epoch:         7,
+				SentAtMillis:  0.1,
+				From:          3,
+				BootstrapSlot: -1,
+				Plan:          3,
+			},
+			decode: message,
+		},
+		"renewed": {
+			kind: kindMessage,
+			want: membership.Message{
+				Kind:         membership.Renewed,
+				Epoch:        7,
+				SentAtMillis: 98765.43210123,
+				To:           4,
+				From:         3,
+			},
+			decode: message,
+		},
+		"prepare": {
+			kind:   kindMessage,
+			want:   membership.Message{Kind: membership.Prepare, Epoch: 7, Ballot: ballot, From: 3},
+			decode: message,
+		},
+		"promise": {
+			kind: kindMessage,
+			want: membership.Message{
+				Kind:           membership.Promise,
+				Epoch:          7,
+				Ballot:         ballot,
+				AcceptedBallot: membership.Ballot{Round: 8, Name: "r2"},
+				View:           proposedView(),
+				Unavailable:    []string{"r3"},
+				To:             4,
+				From:           3,
+			},
+			decode: message,
+		},
+		"accept": {
+			kind: kindMessage,
+			want: membership.Message{
+				Kind:   membership.Accept,
+				Epoch:  7,
+				Ballot: ballot,
+				View:   enteredView(),
+				From:   3,
+			},
+			decode: message,
+		},
+		"accepted": {
+			kind:   kindMessage,
+			want:   membership.Message{Kind: membership.Accepted, Epoch: 7, Ballot: ballot, To: 4, From: 3},
+			decode: message,
+		},
+		"learn": {
+			kind:   kindMessage,
+			want:   membership.Message{Kind: membership.Learn, View: agreedView(), From: 3},
+			decode: message,
+		},
+		"learn-in-a-cell": {
+			kind:   kindMessage,
+			want:   membership.Message{Kind: membership.Learn, View: cellView(), From: 3},
+			decode: message,
+		},
+		"reject": {
+			kind:   kindMessage,
+			want:   membership.Message{Kind: membership.Reject, Epoch: 7, Ballot: ballot, To: 4, From: 3},
+			decode: message,
+		},
+		"readings": {
+			kind:   kindReadings,
+			want:   sampleReadings(),
+			body:   encodeReadings(sampleReadings()),
+			decode: readings,
+		},
+		"placements": {
+			kind:   kindPlacements,
+			want:   samplePlacements(),
+			body:   encodePlacements(samplePlacements()),
+			decode: placements,
+		},
+		"summary-full": {kind: kindSummary, want: fullSummary(), decode: summary},
+		"summary-short": {
+			kind:   kindSummary,
+			want:   cells.Summary{Cell: "east", Representative: "r1", Incarnation: 4, Seq: 1},
+			decode: summary,
+		},
+		"directory-full": {kind: kindDirectory, want: fullDirectory(), decode: directory},
+		"directory-short": {
+			kind:   kindDirectory,
+			want:   cells.Directory{Cell: "east", Representative: "r1", Incarnation: 4, Seq: 1},
+			decode: directory,
+		},
 		"status-of-a-cell": {kind: kindOfCell, want: fullStatus(), decode: status},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -3,8 +3,8 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -22,7 +22,6 @@
 
 	"capersail/internal/fleet/membership"
 	"capersail/internal/fleet/probing"
-	"capersail/internal/relay"
 	"capersail/internal/simulation/network"
 	"capersail/internal/testing/cluster"
 )
@@ -45,11 +44,14 @@
 }
 
 // fleet starts n Nodes on a simulated network, in lots, and ends them with the test.
-func fleet(t *testing.T, simnet *network.Network, n int, notice func(at string, c membership.Changed)) []*Node {
+func fleet(
+	t *testing.T, simnet *network.Network, n int, notice func(at string, c membership.Changed),
+) []*Node {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	var all []*Node
-	dir := t.TempDir() // before the end of the Nodes is put off: what is put off last is done first, and they write to it
+	// Made before the Nodes' end is put off: what is put off last is done first, and they write to it.
+	dir := t.TempDir()
 	t.Cleanup(func() {
 		stop()
 		for _, node := range all {
@@ -58,8 +60,11 @@
 	})
 	for i := range n {
 		name := fmt.Sprintf("r%03d", i)
-		c := Config{Name: name, Site: "site", Bind: address(i), Seeds: []string{address(0), address(1)}, State: filepath.Join(dir, name), BootstrapSlot: i, BootstrapSize: n, ConfiguredRelays: n,
-			Seed: uint64(i), Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Transport: simnet.Transport, Log: zerolog.Nop()}
+		c := testConfig(name, filepath.Join(dir, name))
+		c.Bind, c.Transport = address(i), simnet.Transport
+		c.Seeds = []string{address(0), address(1)}
+		c.BootstrapSlot, c.BootstrapSize, c.ConfiguredRelays = i, n, n
+		c.Seed = uint64(i)
 		if notice != nil {
 			c.OnChange = func(ch membership.Changed) { notice(name, ch) }
 		}
@@ -128,7 +133,8 @@
 	epoch, since := uint64(0), time.Now()
 	await(t, time.Minute, "one view of all, and no other for 3 s", func() bool {
 		for _, node := range all {
-			if r := node.Estimate(); r.Phase != membership.PhaseAgreed || r.Epoch != epoch || inView(node) != n {
+			r := node.Estimate()
+			if r.Phase != membership.PhaseAgreed || r.Epoch != epoch || inView(node) != n {
 				epoch, since = all[0].Estimate().Epoch, time.Now()
 				return false
 			}
@@ -153,14 +159,18 @@
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	c.heapMB = float64(mem.HeapAlloc) / 1e6 / float64(n)
-	t.Logf("%d relays hold one view after %.1f s; at 1%% loss over %.0f s (%.1f relay-hours): %.0f bytes of packets and %.2f ms of CPU a relay a second, %d false alarms at single relays, %d views changed by them; "+
-		"a dead one is out of all views after %.1f s, one that is back is in them after %.1f s; heap %.2f MB a relay", n, c.formed, took, took*float64(n)/3600,
-		c.bytes, c.cpuMs, failed.Load(), views.Load(), c.told, c.back, c.heapMB)
+	t.Logf("%d relays hold one view after %.1f s; at 1%% loss over %.0f s (%.1f relay-hours): "+
+		"%.0f bytes of packets and %.2f ms of CPU a relay a second, "+
+		"%d false alarms at single relays, %d views changed by them; "+
+		"a dead one is out of all views after %.1f s, one that is back is in them after %.1f s; "+
+		"heap %.2f MB a relay",
+		n, c.formed, took, took*float64(n)/3600, c.bytes, c.cpuMs,
+		failed.Load(), views.Load(), c.told, c.back, c.heapMB)
 	return c
 }
 
 // Many members in memory. The long run has 300 for 10 minutes; docs/measurements/members.md has its figures.
-func TestManyMembers(t *testing.T) {
+func TestManyMembersAgree(t *testing.T) {
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
 		measure(t, 300, 10*time.Minute)
 	} else {
@@ -174,8 +184,21 @@
 	if path == "" { // one small fleet, to see that the chart is drawn
 		path, sizes, watch = filepath.Join(t.TempDir(), "members.svg"), []int{10}, time.Second
 	}
-	panels := []cluster.Panel{{Title: "What each relay sends and computes", X: "relays", LogX: true, Names: []string{"KB of packets a second", "ms of CPU a second"}, Lines: make([]plotter.XYs, 2)},
-		{Title: "How soon all views have it", X: "relays", Y: "s", LogX: true, Names: []string{"a dead one is out", "one that is back is in", "one view after the start of all"}, Lines: make([]plotter.XYs, 3)}}
+	panels := []cluster.Panel{{
+		Title: "What each relay sends and computes",
+		X:     "relays",
+		LogX:  true,
+		Names: []string{"KB of packets a second", "ms of CPU a second"},
+		Lines: make([]plotter.XYs, 2),
+	},
+		{
+			Title: "How soon all views have it",
+			X:     "relays",
+			Y:     "s",
+			LogX:  true,
+			Names: []string{"a dead one is out", "one that is back is in", "one view after the start of all"},
+			Lines: make([]plotter.XYs, 3),
+		}}
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := measure(t, n, watch)
@@ -209,7 +232,7 @@
 // lone is a Node that has not been started, for what it takes in.
 func lone(t *testing.T) *Node {
 	t.Helper()
-	n, err := New(Config{Name: "me", Site: "s", State: filepath.Join(t.TempDir(), "state"), BootstrapSize: 3, ConfiguredRelays: 3, Clock: relay.NewClock(), Log: zerolog.Nop()})
+	n, err := New(testConfig("me", filepath.Join(t.TempDir(), "state")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,13 +241,22 @@
 }
 
 func good7() membership.Status {
-	return membership.Status{Version: 1, Incarnation: 4, Lifecycle: membership.Serving, RequestRate: 2, BootstrapSize: 3, BootstrapSlot: 1, SlotReleased: true, Seq: 7}
+	return membership.Status{
+		Version:       1,
+		Incarnation:   4,
+		Lifecycle:     membership.Serving,
+		RequestRate:   2,
+		BootstrapSize: 3,
+		BootstrapSlot: 1,
+		SlotReleased:  true,
+		Seq:           7,
+	}
 }
 
-// What cannot be is dropped and counted by its reason, and the same message twice is taken once; a digest of
+// What cannot be is dropped and counted by its reason, and the same message twice is taken once; a status of
 // a later version, with fields that nobody knows here, and one of an earlier one, with fields missing, are
 // taken.
-func TestWhatIsDropped(t *testing.T) {
+func TestMalformedAndReplayedEnvelopesAreCounted(t *testing.T) {
 	n := lone(t)
 	sealed := func(k envelopeKind, inc, seq uint64, body any) []byte {
 		text, err := encodeEnvelope("peer", inc, seq, k, body)
@@ -233,10 +265,21 @@
 		}
 		return text
 	}
-	renew := sealed(kindMessage, 4, 9, membership.Message{Kind: membership.Renew, Epoch: 1, From: 4, BootstrapSlot: 1})
+	renew := sealed(
+		kindMessage, 4, 9, membership.Message{Kind: membership.Renew, Epoch: 1, From: 4, BootstrapSlot: 1},
+	)
 	nan := good7()
 	nan.RequestRate = -1
-	huge := membership.Message{Kind: membership.Learn, From: 4, View: &membership.View{Epoch: 1, BootstrapSize: 3, Voters: []string{"x"}, Entries: []membership.Member{{Name: "x", In: true, BudgetShare: 1 << 63}}}}
+	huge := membership.Message{
+		Kind: membership.Learn,
+		From: 4,
+		View: &membership.View{
+			Epoch:         1,
+			BootstrapSize: 3,
+			Voters:        []string{"x"},
+			Entries:       []membership.Member{{Name: "x", In: true, BudgetShare: 1 << 63}},
+		},
+	}
 	for what, c := range map[string]struct {
 		text []byte
 		r    dropReason
@@ -245,21 +288,29 @@
 		"nothing":                        {nil, dropMalformed},
 		"oversized":                      {bytes.Repeat([]byte{0x80}, maxEnvelopeBytes+1), dropMalformed},
 		"cut":                            {renew[:len(renew)/2], dropMalformed},
-		"a digest that cannot be":        {sealed(kindStatus, 4, 7, nan), dropMalformed},
-		"a digest of another's number":   {sealed(kindStatus, 4, 8, good7()), dropMalformed},
+		"a status that cannot be":        {sealed(kindStatus, 4, 7, nan), dropMalformed},
+		"a status of another's number":   {sealed(kindStatus, 4, 8, good7()), dropMalformed},
 		"a view whose shares are absurd": {sealed(kindMessage, 4, 10, huge), dropMalformed},
-		"a choice without a view":        {sealed(kindMessage, 4, 11, membership.Message{Kind: membership.Learn, From: 4}), dropMalformed},
-		"a kind of a later version":      {sealed(77, 4, 12, 1), dropUnknown},
+		"a choice without a view": {
+			sealed(kindMessage, 4, 11, membership.Message{Kind: membership.Learn, From: 4}), dropMalformed,
+		},
+		"a kind of a later version": {sealed(77, 4, 12, 1), dropUnknown},
 	} {
 		before := n.dropped.total[c.r].Load()
 		if n.receive(c.text, true); n.dropped.total[c.r].Load() != before+1 || len(n.inbox) != 0 {
-			t.Errorf("%s: dropped as %s %d times, %d events", what, dropReasonNames[c.r], n.dropped.total[c.r].Load()-before, len(n.inbox))
+			t.Errorf(
+				"%s: dropped as %s %d times, %d events", what, dropReasonNames[c.r],
+				n.dropped.total[c.r].Load()-before, len(n.inbox),
+			)
 		}
 	}
 	n.receive(renew, true)
 	n.receive(renew, true)
 	if len(n.inbox) != 1 || n.dropped.total[dropReplayed].Load() != 1 {
-		t.Errorf("a message that came twice: %d events, %d replays", len(n.inbox), n.dropped.total[dropReplayed].Load())
+		t.Errorf(
+			"a message that came twice: %d events, %d replays", len(n.inbox),
+			n.dropped.total[dropReplayed].Load(),
+		)
 	}
 	<-n.inbox
 	fields := map[int]any{}
@@ -280,16 +331,20 @@
 			t.Errorf("%s of the digest: %d events", v.what, len(n.inbox))
 			continue
 		}
-		if d := (<-n.inbox).(membership.StatusReceived).Status; d.Lifecycle != membership.Serving || !d.SlotReleased {
-			t.Errorf("%s of the digest: %+v", v.what, d)
+		d := (<-n.inbox).(membership.StatusReceived).Status
+		if d.Lifecycle != membership.Serving || !d.SlotReleased {
+			t.Errorf("%s of the status: %+v", v.what, d)
 		}
 	}
 }
 
-// A digest stays small, whatever it says.
-func TestDigestIsSmall(t *testing.T) {
+// A status stays small, whatever it says.
+func TestStatusStaysSmall(t *testing.T) {
 	d := good7()
-	d.Zone, d.Incarnation, d.RequestRate, d.OpenConnections, d.EndpointListGeneration, d.Epoch, d.Hash, d.Seq, d.DrainRate = strings.Repeat("z", 20), 1<<40, 12345.67, 1<<20, 1<<60, 1<<40, 1<<63, 1<<40, 999.9
+	d.Zone = strings.Repeat("z", 20)
+	d.Incarnation, d.Epoch, d.Hash, d.Seq = 1<<40, 1<<40, 1<<63, 1<<40
+	d.RequestRate, d.DrainRate = 12345.67, 999.9
+	d.OpenConnections, d.EndpointListGeneration = 1<<20, 1<<60
 	text, err := encodeEnvelope(strings.Repeat("n", 40), d.Incarnation, d.Seq, kindStatus, d)
 	if err != nil || len(text) > 250 {
 		t.Errorf("%d bytes, %v", len(text), err)
@@ -298,18 +353,34 @@
 
 // Readings and placements come through as they were told; those of origins that their packet does not name
 // are dropped.
-func TestTalkComesThrough(t *testing.T) {
+func TestReadingsAndPlacementsComeThrough(t *testing.T) {
 	n := lone(t)
 	var got []probing.Event
 	n.cfg.OnProbingEvent = func(ev probing.Event) { got = append(got, ev) }
-	rows := []probing.PlacementDelta{{ServerKey: 1 << 63, Origin: "a", Incarnation: 3, Seq: 4, Delta: 2, Age: 17 * time.Millisecond}, {ServerKey: 5, Origin: "b", Incarnation: 1, Seq: 9, Delta: -3, Age: 0}}
-	readings := []probing.Reading{{ServerKey: 7, Started: 50, Origin: "a", Incarnation: 3, ReadAt: 1234 * time.Millisecond, Age: 20 * time.Millisecond, LoadReport: probing.LoadReport{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25}}}
+	rows := []probing.PlacementDelta{
+		{ServerKey: 1 << 63, Origin: "a", Incarnation: 3, Seq: 4, Delta: 2, Age: 17 * time.Millisecond},
+		{ServerKey: 5, Origin: "b", Incarnation: 1, Seq: 9, Delta: -3, Age: 0},
+	}
+	readings := []probing.Reading{
+		{
+			ServerKey:   7,
+			Started:     50,
+			Origin:      "a",
+			Incarnation: 3,
+			ReadAt:      1234 * time.Millisecond,
+			Age:         20 * time.Millisecond,
+			LoadReport:  probing.LoadReport{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25},
+		},
+	}
 	bad := encodePlacements(rows)
 	bad.Rows[1].Origin = 2
 	for i, c := range []struct {
 		k    envelopeKind
 		body any
-	}{{kindPlacements, encodePlacements(rows)}, {kindReadings, encodeReadings(readings)}, {kindPlacements, bad}} {
+	}{
+		{kindPlacements, encodePlacements(rows)}, {kindReadings, encodeReadings(readings)},
+		{kindPlacements, bad},
+	} {
 		text, err := encodeEnvelope("peer", 4, uint64(i+1), c.k, c.body)
 		if err != nil {
 			t.Fatal(err)
@@ -317,17 +388,24 @@
 		n.receive(text, true)
 		n.receive(text, true) // a replay
 	}
-	if want := []probing.Event{probing.PlacementsReceived{From: "peer", Rows: rows}, probing.ReadingsReceived{From: "peer", Readings: readings}}; !reflect.DeepEqual(got, want) {
+	want := []probing.Event{
+		probing.PlacementsReceived{From: "peer", Rows: rows},
+		probing.ReadingsReceived{From: "peer", Readings: readings},
+	}
+	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
 	}
 	if n.dropped.total[dropMalformed].Load() != 2 || n.dropped.total[dropReplayed].Load() != 2 {
-		t.Errorf("%d malformed, %d replayed", n.dropped.total[dropMalformed].Load(), n.dropped.total[dropReplayed].Load())
+		t.Errorf(
+			"%d malformed, %d replayed", n.dropped.total[dropMalformed].Load(),
+			n.dropped.total[dropReplayed].Load(),
+		)
 	}
 }
 
 // A record that is torn, of another relay, of another site, of a later version, or that cannot be kept, leads
 // to no promise: the relay says so once and reckons by the settings' number.
-func TestDiskTrouble(t *testing.T) {
+func TestUnusableRecordTakesNoShare(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state")
 	d, _, err := openRecordFile(path, "s", "", "me")
@@ -337,7 +415,8 @@
 	if err := d.save(membership.Record{Incarnation: 7, SlotReleased: true}); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := openRecordFile(path, "s", "", "me"); err == nil || !strings.Contains(err.Error(), "another process") {
+	_, _, err = openRecordFile(path, "s", "", "me")
+	if !errors.Is(err, errRecordInUse) || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("a second process: %v", err)
 	}
 	d.close()
@@ -346,7 +425,10 @@
 		t.Helper()
 		d, rec, err := openRecordFile(path, site, "", name)
 		d.close()
-		if want == "" && (err != nil || rec.Incarnation != 7) || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
+		switch {
+		case want == "" && (err != nil || rec.Incarnation != 7):
+			t.Errorf("%v, %+v", err, rec)
+		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 			t.Errorf("%v, %+v; want %q", err, rec, want)
 		}
 	}
@@ -367,7 +449,9 @@
 	read("s", "me", "version 2")
 
 	var said bytes.Buffer
-	n, err := New(Config{Name: "me", Site: "s", State: path, BootstrapSize: 4, ConfiguredRelays: 4, Clock: relay.NewClock(), Log: zerolog.New(&said)})
+	c := testConfig("me", path)
+	c.BootstrapSize, c.ConfiguredRelays, c.Log = 4, 4, zerolog.New(&said)
+	n, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -375,7 +459,8 @@
 		t.Errorf("a record that cannot be read: %+v, said %q", r, said.String())
 	}
 	said.Reset()
-	n, err = New(Config{Name: "me", Site: "s", State: filepath.Join(dir, "gone", "state"), BootstrapSize: 4, ConfiguredRelays: 4, Clock: relay.NewClock(), Log: zerolog.New(&said)})
+	c.State = filepath.Join(dir, "gone", "state")
+	n, err = New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -383,18 +468,40 @@
 		t.Errorf("no record, and none can be kept: %+v, said %q", r, said.String())
 	}
 	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
-	n.handle(membership.StatusReceived{Name: "peer", Status: membership.Status{Version: 1, Incarnation: 1, Epoch: 3, BootstrapSize: 4, BootstrapSlot: 1, SlotReleased: true, Seq: 1}})
+	n.handle(membership.StatusReceived{
+		Name: "peer",
+		Status: membership.Status{
+			Version:       1,
+			Incarnation:   1,
+			Epoch:         3,
+			BootstrapSize: 4,
+			BootstrapSlot: 1,
+			SlotReleased:  true,
+			Seq:           1,
+		},
+	})
 	if r := n.Estimate(); r.BudgetShare != 0.25 {
 		t.Errorf("without a record it pledged: %+v", r)
 	}
 }
 
 // A disk that fails in the middle of a life: what follows from what could not be kept is not done.
-func TestDiskFailsLater(t *testing.T) {
+func TestRecordThatCannotBeKeptEndsVoting(t *testing.T) {
 	n := lone(t)
 	n.record.path = filepath.Join(t.TempDir(), "gone", "state")
 	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
-	n.handle(membership.StatusReceived{Name: "peer", Status: membership.Status{Version: 1, Incarnation: 1, Epoch: 3, BootstrapSize: 3, BootstrapSlot: 1, SlotReleased: true, Seq: 1}})
+	n.handle(membership.StatusReceived{
+		Name: "peer",
+		Status: membership.Status{
+			Version:       1,
+			Incarnation:   1,
+			Epoch:         3,
+			BootstrapSize: 3,
+			BootstrapSlot: 1,
+			SlotReleased:  true,
+			Seq:           1,
+		},
+	})
 	n.peers.Lock()
 	told := n.peers.statuses["me"]
 	n.peers.Unlock()
@@ -408,12 +515,14 @@
 
 // In an upgrade two processes of one relay run for a while: the second takes no share and says nothing to
 // anybody until the first has left, then goes on with what that one promised.
-func TestTwoProcessesOfOneRelay(t *testing.T) {
+func TestSecondProcessWaitsForTheRecord(t *testing.T) {
 	simnet := network.New(network.Config{})
 	state := filepath.Join(t.TempDir(), "state")
 	start := func(at int) (*Node, func()) {
-		n, err := New(Config{Name: "r0", Site: "s", Bind: address(at), Seeds: []string{address(0)}, State: state, BootstrapSize: 1, ConfiguredRelays: 1, Clock: relay.NewClock(),
-			LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: simnet.Transport, Log: zerolog.Nop()})
+		c := testConfig("r0", state)
+		c.Bind, c.Transport, c.Seeds = address(at), simnet.Transport, []string{address(0)}
+		c.BootstrapSize, c.ConfiguredRelays = 1, 1
+		n, err := New(c)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -422,7 +531,10 @@
 		return n, func() { stop(); n.Wait() }
 	}
 	first, end := start(0)
-	await(t, 30*time.Second, "a view", func() bool { return inView(first) == 1 && first.Estimate().BudgetShare == 1 })
+	await(
+		t, 30*time.Second, "a view",
+		func() bool { return inView(first) == 1 && first.Estimate().BudgetShare == 1 },
+	)
 	second, endSecond := start(1)
 	defer endSecond()
 	for range 20 {
@@ -439,14 +551,16 @@
 }
 
 // Keys are rotated while relays run, one after the other, and nobody is lost.
-func TestKeysAreRotated(t *testing.T) {
+func TestKeyRotationLosesNobody(t *testing.T) {
 	simnet := network.New(network.Config{})
 	one, two := bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
 	ctx, stop := context.WithCancel(context.Background())
 	var all []*Node
 	for i := range 3 {
-		n, err := New(Config{Name: fmt.Sprint("r", i), Site: "s", Bind: address(i), Seeds: []string{address(0)}, Keys: [][]byte{one}, State: filepath.Join(t.TempDir(), "state"),
-			BootstrapSlot: i, BootstrapSize: 3, ConfiguredRelays: 3, Clock: relay.NewClock(), LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving} }, Transport: simnet.Transport, Log: zerolog.New(io.Discard)})
+		c := testConfig(fmt.Sprint("r", i), filepath.Join(t.TempDir(), "state"))
+		c.Bind, c.Transport, c.Seeds = address(i), simnet.Transport, []string{address(0)}
+		c.Keys, c.BootstrapSlot = [][]byte{one}, i
+		n, err := New(c)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/gossip/moves_test.go
+++ b/internal/wire/gossip/moves_test.go
@@ -8,21 +8,21 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"capersail/internal/fleet/membership"
-	"capersail/internal/relay"
 	"capersail/internal/simulation/network"
 )
 
 // startIn starts relay number i in a cell of twoCells and returns it with what has it leave and waits for its
 // end.
-func startIn(t *testing.T, simnet *network.Network, dir, cell string, i int, seeds ...string) (*Node, func()) {
+func startIn(
+	t *testing.T, simnet *network.Network, dir, cell string, i int, seeds ...string,
+) (*Node, func()) {
 	t.Helper()
-	node, err := New(Config{Name: fmt.Sprintf("r%d", i), Site: "site", Bind: address(i), Seeds: seeds,
-		State: filepath.Join(dir, fmt.Sprintf("%s-%d", cell, i)), BootstrapSlot: -1, BootstrapSize: 3, ConfiguredRelays: 6, Seed: uint64(i),
-		Clock: relay.NewClock(), Transport: simnet.Transport, Log: zerolog.Nop(),
-		LocalActivity: func() LocalActivity { return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1} }, Cell: cell, Plan: twoCells(), Timing: membership.CellTiming})
+	c := testConfig(fmt.Sprintf("r%d", i), filepath.Join(dir, fmt.Sprintf("%s-%d", cell, i)))
+	c.Bind, c.Transport, c.Seeds = address(i), simnet.Transport, seeds
+	c.BootstrapSlot, c.ConfiguredRelays, c.Seed = -1, 6, uint64(i)
+	c.Cell, c.Plan, c.Timing = cell, twoCells(), membership.CellTiming
+	node, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,15 +52,27 @@
 	r0, _ := startIn(t, simnet, dir, "east-1", 0)
 	r3, _ := startIn(t, simnet, dir, "east-1", 3, address(0))
 	_, stopEast := startIn(t, simnet, dir, "east-1", 2, address(0))
-	await(t, 10*time.Second, "all are there", func() bool { return r0.counts("r2") && r0.counts("r3") && r3.counts("r2") })
+	await(
+		t, 10*time.Second, "all are there",
+		func() bool { return r0.counts("r2") && r0.counts("r3") && r3.counts("r2") },
+	)
 	stopEast()
 	_, stopWest := startIn(t, simnet, dir, "west-1", 2)
-	await(t, 20*time.Second, "the one that moved is missed", func() bool { return !r0.counts("r2") && !r3.counts("r2") })
+	await(
+		t, 20*time.Second, "the one that moved is missed",
+		func() bool { return !r0.counts("r2") && !r3.counts("r2") },
+	)
 	time.Sleep(5 * rejoinInterval) // its address has been tried, and a relay of the other cell has answered
 	stopWest()
 	r1, _ := startIn(t, simnet, dir, "east-1", 1, address(0))
-	await(t, 10*time.Second, "a new relay is there", func() bool { return r1.counts("r0") && r1.counts("r3") && r0.counts("r1") && r3.counts("r1") })
+	await(
+		t, 10*time.Second, "a new relay is there",
+		func() bool { return r1.counts("r0") && r1.counts("r3") && r0.counts("r1") && r3.counts("r1") },
+	)
 	startIn(t, simnet, dir, "east-1", 2, address(1))
-	await(t, 10*time.Second, "the new relay counts the one that is back", func() bool { return r1.counts("r2") })
+	await(
+		t, 10*time.Second, "the new relay counts the one that is back",
+		func() bool { return r1.counts("r2") },
+	)
 	await(t, 10*time.Second, "so do the others", func() bool { return r0.counts("r2") && r3.counts("r2") })
 }
--- a/internal/wire/gossip/talk_cost_test.go
+++ b/internal/wire/gossip/talk_cost_test.go
@@ -62,11 +62,25 @@
 }
 
 func newTalkers(relays, servers int) *talkers {
-	c := &talkers{rng: rand.New(rand.NewPCG(uint64(relays), uint64(servers))), number: map[string]int{}, column: map[uint64]int{}}
+	c := &talkers{
+		rng:    rand.New(rand.NewPCG(uint64(relays), uint64(servers))),
+		number: map[string]int{},
+		column: map[uint64]int{},
+	}
 	for i := range relays {
 		name := fmt.Sprint("relay-", i)
-		c.relays, c.number[name] = append(c.relays, probing.Relay{Name: name, Zone: fmt.Sprint("zone-", i%17)}), i
-		c.all = append(c.all, &talker{scheduler: probing.New(name, uint64(i)), name: name, rng: rand.New(rand.NewPCG(uint64(i), 3)), at: make([]time.Duration, servers)})
+		c.relays, c.number[name] = append(
+			c.relays, probing.Relay{Name: name, Zone: fmt.Sprint("zone-", i%17)},
+		), i
+		c.all = append(
+			c.all,
+			&talker{
+				scheduler: probing.New(name, uint64(i)),
+				name:      name,
+				rng:       rand.New(rand.NewPCG(uint64(i), 3)),
+				at:        make([]time.Duration, servers),
+			},
+		)
 	}
 	for i := range servers {
 		s := probing.Server{Key: c.rng.Uint64(), Zone: fmt.Sprint("zone-", i%17), Started: 1.8e12}
@@ -74,7 +88,19 @@
 	}
 	table := probing.Assign(c.relays, c.servers)
 	for _, r := range c.all {
-		c.act(r, r.scheduler.Handle(c.now, probing.ParticipantsChanged{Relays: c.relays, Incarnation: 1 << 40, Servers: c.servers, Assignment: table}, nil))
+		c.act(
+			r,
+			r.scheduler.Handle(
+				c.now,
+				probing.ParticipantsChanged{
+					Relays:      c.relays,
+					Incarnation: 1 << 40,
+					Servers:     c.servers,
+					Assignment:  table,
+				},
+				nil,
+			),
+		)
 	}
 	return c
 }
@@ -86,7 +112,14 @@
 		switch a := a.(type) {
 		case probing.Probe:
 			load := 0.5 + 0.02*r.rng.NormFloat64()
-			r.scheduler.Handle(c.now, probing.OwnReading{ServerKey: a.ServerKey, LoadReport: probing.LoadReport{Load: load, Inflight: 12, Errors: -1, Busy: -1}}, nil)
+			r.scheduler.Handle(
+				c.now,
+				probing.OwnReading{
+					ServerKey:  a.ServerKey,
+					LoadReport: probing.LoadReport{Load: load, Inflight: 12, Errors: -1, Busy: -1},
+				},
+				nil,
+			)
 			r.at[c.column[a.ServerKey]] = c.now
 		case probing.UseReading:
 			r.at[c.column[a.ServerKey]] = c.now - a.Age
@@ -136,7 +169,9 @@
 	for end := c.now + span; c.now < end; c.now += talkStep {
 		for c.due += placedEach * talkStep.Seconds(); c.due >= 1; c.due-- {
 			s := c.servers[c.rng.IntN(len(c.servers))]
-			c.all[c.rng.IntN(len(c.all))].scheduler.Handle(c.now, probing.LocalPlacement{ServerKey: s.Key, Delta: 1}, nil)
+			c.all[c.rng.IntN(len(c.all))].scheduler.Handle(
+				c.now, probing.LocalPlacement{ServerKey: s.Key, Delta: 1}, nil,
+			)
 		}
 		var wait sync.WaitGroup
 		workers := runtime.GOMAXPROCS(0)
@@ -161,7 +196,9 @@
 // told is what all relays have told so far: bytes of readings and of placements, and packets.
 func (c *talkers) told() (readings, placed, packets float64) {
 	for _, r := range c.all {
-		readings, placed, packets = readings+float64(r.readings), placed+float64(r.placed), packets+float64(r.packets)
+		readings += float64(r.readings)
+		placed += float64(r.placed)
+		packets += float64(r.packets)
 	}
 	return readings, placed, packets
 }
@@ -193,7 +230,9 @@
 	each := float64(relays) * watch.Seconds()
 	cost.processor = (cpu() - began) / each
 	readings2, placed2, packets2 := c.told()
-	cost.readings, cost.placed, cost.packets = (readings2-readings)/each, (placed2-placed)/each, (packets2-packets)/each
+	cost.readings = (readings2 - readings) / each
+	cost.placed = (placed2 - placed) / each
+	cost.packets = (packets2 - packets) / each
 	return cost
 }
 
@@ -202,12 +241,16 @@
 func TestCostOfTalk(t *testing.T) {
 	sizes, watch := [][2]int{{10, 30}, {30, 30}}, 2*time.Second
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
-		sizes = [][2]int{{10, 90}, {30, 90}, {100, 90}, {300, 90}, {600, 90}, {1100, 90}, {300, 10}, {300, 30}, {300, 330}, {300, 1000}, {1100, 330}, {64, 20}, {64, 90}, {64, 330}}
+		sizes = [][2]int{
+			{10, 90}, {30, 90}, {100, 90}, {300, 90}, {600, 90}, {1100, 90}, {300, 10}, {300, 30}, {300, 330},
+			{300, 1000}, {1100, 330}, {64, 20}, {64, 90}, {64, 330},
+		}
 	}
 	for _, size := range sizes {
 		t.Run(fmt.Sprintf("relays=%d/servers=%d", size[0], size[1]), func(t *testing.T) {
 			c := measureTalk(size[0], size[1], watch)
-			t.Logf("%.0f bytes of readings, %.0f of placements, %.1f packets a relay a second; %.2f ms of processor time a relay a second; without a usable reading %.4f of the time",
+			t.Logf("%.0f bytes of readings, %.0f of placements, %.1f packets a relay a second; "+
+				"%.2f ms of processor time a relay a second; without a usable reading %.4f of the time",
 				c.readings, c.placed, c.packets, c.processor*1000, c.without)
 			if c.packets > mostTalk {
 				t.Errorf("%.1f packets a second out of a relay", c.packets)
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -53,7 +53,10 @@
 			c.Establish(a.Number)
 		default:
 			delete(w.out, c)
-			c.EndAttempt(a.Number, map[string]decide.Status{"b": decide.Reset, "c": decide.TimedOut}[a.Server.ID], decide.NoLoadReport)
+			c.EndAttempt(
+				a.Number, map[string]decide.Status{"b": decide.Reset, "c": decide.TimedOut}[a.Server.ID],
+				decide.NoLoadReport,
+			)
 		}
 	}
 }
@@ -138,7 +141,16 @@
 		core := relay.NewEventLoop(x, 3, w, zerolog.New(&log))
 		var list []relay.Endpoint
 		for _, id := range []string{"a", "b", "c"} {
-			list = append(list, relay.Endpoint{ID: id, Address: "127.0.0.1:1", Zone: "hall-a", Mode: decide.Ready, StartedAt: clock.UnixMillis(clock.NowMillis() - 500)})
+			list = append(
+				list,
+				relay.Endpoint{
+					ID:        id,
+					Address:   "127.0.0.1:1",
+					Zone:      "hall-a",
+					Mode:      decide.Ready,
+					StartedAt: clock.UnixMillis(clock.NowMillis() - 500),
+				},
+			)
 		}
 		x.UpdateEndpoints(decide.Cached, list)
 		calls := map[*relay.Request]float64{}
@@ -147,7 +159,13 @@
 				return // refused at start (TestBadConfiguration)
 			}
 			left := []float64{0.5, 20, 90, 500}[i%4]
-			ask := relay.OpenRequest{Class: decide.Class(i % len(site.Settings.Classes)), Tenant: decide.Tenant(i%3 - 1), Group: uint64(i % 3), Timeout: left, Returned: i%5 == 0}
+			ask := relay.OpenRequest{
+				Class:    decide.Class(i % len(site.Settings.Classes)),
+				Tenant:   decide.Tenant(i%3 - 1),
+				Group:    uint64(i % 3),
+				Timeout:  left,
+				Returned: i%5 == 0,
+			}
 			calls[x.Open(ask, deaf{})] = clock.NowMillis() + left
 		}
 		for steps := 0; len(calls) > 0; steps++ {
