--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -337,7 +337,7 @@
 		to = 1<<62 - 1
 	}
 	var bad error
-	err := s.Scan(bucketSteps, from, to, func(at int64, id string, v []byte) bool {
+	err := s.Scan(bucketSteps, from, to, func(_ int64, id string, v []byte) bool {
 		if q.Wants(id) {
 			var step timeline.Interval
 			if bad = cbor.Unmarshal(v, &step); bad != nil {
@@ -350,7 +350,7 @@
 		return true
 	})
 	if err == nil {
-		err = s.Scan(bucketBands, 0, to, func(at int64, id string, v []byte) bool {
+		err = s.Scan(bucketBands, 0, to, func(_ int64, id string, v []byte) bool {
 			if q.Wants(id) {
 				var b timeline.StatePeriod
 				if bad = cbor.Unmarshal(v, &b); bad != nil {
@@ -369,7 +369,7 @@
 	}
 	var events []anomaly.Event
 	if err == nil {
-		err = s.Scan(bucketEvents, 0, to, func(at int64, id string, v []byte) bool {
+		err = s.Scan(bucketEvents, 0, to, func(_ int64, _ string, v []byte) bool {
 			var e anomaly.Event
 			if bad = cbor.Unmarshal(v, &e); bad != nil {
 				return false
