--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -32,9 +32,6 @@
 // Set moves a clock made by NewManualClock to an instant.
 func (c *Clock) Set(now time.Duration) { c.manualNow.Store(int64(now)) }
 
-// SetMillis moves a clock made by NewManualClock to an instant in milliseconds.
-func (c *Clock) SetMillis(ms float64) { c.Set(Duration(ms)) }
-
 // Now returns the time since an arbitrary origin, on the monotonic clock.
 func (c *Clock) Now() time.Duration {
 	if c.manual {
@@ -75,11 +72,6 @@
 // it does not step with the clock of the day.
 func (c *Clock) Wall(at time.Duration) time.Time { return c.origin.Round(0).Add(at - clockStart) }
 
-// UnixMillis is Wall in milliseconds, of an instant and as Unix time.
-func (c *Clock) UnixMillis(ms float64) float64 {
-	return ms - Millis(clockStart) + float64(c.origin.UnixNano())/1e6
-}
-
 // WallDeadline returns the network deadline that falls at an instant of this clock.
 func (c *Clock) WallDeadline(at time.Duration) time.Time { return time.Now().Add(at - c.Now()) }
 
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -8,7 +8,7 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file makes records for the event recorder, which has milliseconds. Callers hold the table's lock and
+// This file makes records for the event recorder. Callers hold the table's lock and
 // have looked that there is a recorder.
 
 // recordWatchEvent records what a list or a watch event has changed.
--- a/internal/wire/splice/half_test.go
+++ b/internal/wire/splice/half_test.go
@@ -95,7 +95,7 @@
 	if got, err := io.ReadAll(peer); err != nil || string(got) != "BUSY\r\n" { // up to the half-close, after which it lingers
 		t.Errorf("%q, %v", got, err)
 	}
-	e.Clock.SetMillis(e.Clock.NowMillis() - 60_000)
+	e.Clock.Set(e.Clock.Now() - time.Minute)
 	peer.Write(make([]byte, lingerBytes))
 	for e.HasUnread() { // until all that it reads of a flood has been read
 		time.Sleep(time.Millisecond)
