--- a/internal/testing/doccheck/names_test.go
+++ b/internal/testing/doccheck/names_test.go
@@ -87,12 +87,12 @@
 			found = append(found, match[0]+": that type has no such member")
 		}
 	}
-	for _, span := range codeSpan.FindAllString(line, -1) {
-		for _, name := range testName.FindAllString(span, -1) {
-			if !d.tests[name] {
-				found = append(found, name+": no such test")
-			}
+	for _, name := range testName.FindAllString(line, -1) {
+		if !d.tests[name] {
+			found = append(found, name+": no such test")
 		}
+	}
+	for _, span := range codeSpan.FindAllString(line, -1) {
 		for _, match := range memberOf.FindAllStringSubmatch(span, -1) {
 			if fileEnding.MatchString(match[2]) || d.imported[match[1]] {
 				continue
