--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -12,6 +12,7 @@
 
 	"capersail/internal/fleet/cellplan"
 	"capersail/internal/fleet/duration"
+	"capersail/internal/testing/trace"
 )
 
 const second = time.Second
@@ -34,7 +35,7 @@
 	changes   map[Change]int
 	check     func() // after each event; nil for nothing
 	sizes     struct{ summary, directory int }
-	trace     *trace // of all actions; nil for none
+	trace     *trace.Trace // of all actions; nil for none
 }
 
 // group is a cell with what its view says.
@@ -239,7 +240,7 @@
 }
 
 func (n *network) do(r *relay, a Action) {
-	n.trace.add(r, a)
+	record(n.trace, r, a)
 	switch a := a.(type) {
 	case SendSummary:
 		r.group.sent = append(r.group.sent, n.now)
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"capersail/internal/fleet/cellplan"
+	"capersail/internal/testing/trace"
 )
 
 // federation is a fleet of several cells on one set clock. Each cell has its own net, as world has it;
@@ -26,7 +27,7 @@
 	maxSumZone       string   // where
 	withoutSafeguard func(*Node)
 	cellsMade        int // cells so far, for their names
-	trace            *trace
+	trace            *trace.Trace
 }
 
 type cellWorld struct {
--- a/internal/fleet/membership/world_test.go
+++ b/internal/fleet/membership/world_test.go
@@ -8,6 +8,7 @@
 
 	"capersail/internal/fleet/cellplan"
 	"capersail/internal/fleet/duration"
+	"capersail/internal/testing/trace"
 )
 
 // world is a fleet in memory: Nodes on one set clock, each with a clock of its own that runs fast or
@@ -27,8 +28,8 @@
 	epoch            uint64      // the highest that anybody has held
 	// one that does not hold the next view when the first adopts it gets nothing any more
 	deafenNext bool
-	tickLead   float64 // how long before Next a Tick may come, in ms
-	trace      *trace  // of all actions; nil for none
+	tickLead   float64      // how long before Next a Tick may come, in ms
+	trace      *trace.Trace // of all actions; nil for none
 }
 
 type node struct {
@@ -169,7 +170,7 @@
 
 func (w *world) carryOut(i int, acts []Action) {
 	for _, a := range acts {
-		w.trace.add(i, w.nodes[i].share, a)
+		record(w.trace, i, w.nodes[i].share, a)
 		switch a := a.(type) {
 		case Save:
 			w.nodes[i].disk = a.Record
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"capersail/internal/fleet/duration"
+	"capersail/internal/testing/trace"
 )
 
 // simulatedFleet is many Schedulers on a set clock, with a net that loses and delays, and servers whose
@@ -32,7 +33,7 @@
 	moments        int
 	usedAt         [][]float64 // by relay and server: when the reading believed was taken
 	loadHistory    map[uint64][]float64
-	trace          *trace // of all actions; nil for none
+	trace          *trace.Trace // of all actions; nil for none
 }
 
 type packet struct {
@@ -124,7 +125,7 @@
 
 func (c *simulatedFleet) carryOut(i int, acts []Action) {
 	for _, a := range acts {
-		c.trace.add(i, a)
+		record(c.trace, i, a)
 		switch a := a.(type) {
 		case SendPlacements:
 			for to, r := range c.relays {
