--- /dev/null
+++ b/internal/ownership/release.go
@@ -0,0 +1,60 @@
+package ownership
+
+// release separates a caller from its stream, and deletes the holder if the stream was acquired.
+func (l *Lease) release(handle uint64) {
+	e := l.byHandle[handle]
+	if e == nil {
+		l.emit(Released{handle})
+		return
+	}
+	l.detachCaller(e)
+	switch e.phase {
+	case waitingForService, sessionLost:
+		l.removeEntry(e)
+		l.emit(Released{handle})
+	case owned, expired:
+		e.releasing = handle
+		if l.connected {
+			l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+		} else {
+			e.phase = uncertain
+		}
+	default: // the reply to the request under way finds no caller
+		l.emit(Released{handle})
+	}
+}
+
+// holderChecked goes on once it is known whether this session owns the holder.
+func (l *Lease) holderChecked(e *entry, r Reply) {
+	switch {
+	case r.Code == OK && r.OwnerSession == l.sessionID:
+		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+	case r.Code == OK, r.Code == NotFound:
+		l.holderGone(e)
+	default:
+		e.phase = uncertain
+	}
+}
+
+// holderDeleted goes on once the holder is deleted, or may not be.
+func (l *Lease) holderDeleted(e *entry, r Reply) {
+	if r.Code == OK || r.Code == NotFound {
+		l.holderGone(e)
+	} else {
+		e.phase = uncertain
+	}
+}
+
+// holderGone is for an entry for which this session surely has no holder: a caller that waits acquires the
+// stream, else the stream is forgotten.
+func (l *Lease) holderGone(e *entry) {
+	if e.releasing != 0 {
+		l.emit(Released{e.releasing})
+		e.releasing = 0
+	}
+	if e.handle == 0 {
+		l.removeEntry(e)
+		return
+	}
+	l.startAcquisition(e)
+}
--- a/internal/relay/client_side.go
+++ b/internal/relay/client_side.go
@@ -5,81 +5,79 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file holds the client side's methods of a call.
+// This file holds the client side's methods of a request.
 
-// Settled is closed once the call is up or ended.
-func (c *Request) Settled() <-chan struct{} { return c.settled }
+// Settled returns a channel that is closed once the request is established or ended.
+func (r *Request) Settled() <-chan struct{} { return r.settled }
 
-// Finished is closed once neither side has anything to do with the call any more.
-func (c *Request) Finished() <-chan struct{} { return c.finished }
+// Finished returns a channel that is closed once neither side has anything to do with the request any more.
+func (r *Request) Finished() <-chan struct{} { return r.finished }
 
-// FailOnClientError fails a call whose client has broken the protocol while it waited for its answer. It is false, and
-// nothing has happened, if the call has its answer or is up.
-func (c *Request) FailOnClientError() bool {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	return c.failWithNote("")
+// State returns where the request stands, with the final answer if it ended without being established.
+func (r *Request) State() (State, Answer) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	return r.state, r.answer
 }
 
-func (c *Request) failWithNote(note string) bool {
-	if c.state == Established || c.state == Ended {
-		return false
-	}
-	if !c.resumed && c.state != AwaitingOwnership { // else the module does not know it
-		c.table.post(decide.ClientGone{ID: c.ID})
+// ServerConn returns the server side's end of an established request, else nil.
+func (r *Request) ServerConn() ServerConn {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if r.state != Established {
+		return nil
 	}
-	c.answerFinally(Answer{Kind: Failed, Note: note})
-	return true
+	return r.attempt.conn
 }
 
-// MigrateClient sends a client away whose call is up.
-func (c *Request) MigrateClient() {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	c.migrate(recorder.Client)
+// FailOnClientError fails a request whose client has broken the protocol while it waited for its answer. It
+// is false, and nothing has happened, if the request has its answer or is established.
+func (r *Request) FailOnClientError() bool {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	return r.failWithNote("")
 }
 
-// State is where the call stands, with the final answer if it ended without coming up.
-func (c *Request) State() (State, Answer) {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	return c.state, c.answer
+// failWithNote fails a request that is neither established nor ended, else it is false. The caller holds
+// the lock.
+func (r *Request) failWithNote(note string) bool {
+	if r.state == Established || r.state == Ended {
+		return false
+	}
+	r.withdrawFromDecision()
+	r.answerFinally(Answer{Kind: Failed, Note: note})
+	return true
 }
 
-// ServerConn is the server side's end of a call that is up, else nil.
-func (c *Request) ServerConn() ServerConn {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.state != Established {
-		return nil
+// withdrawFromDecision tells the decision module that a request which is not established is over, if it
+// knows it. The caller holds the lock.
+func (r *Request) withdrawFromDecision() {
+	if !r.resumed && r.state != AwaitingOwnership {
+		r.table.post(decide.ClientGone{ID: r.ID})
 	}
-	return c.serverConn
+}
+
+// MigrateClient sends the client of an established request to another server.
+func (r *Request) MigrateClient() {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	r.migrate(recorder.Client)
 }
 
 // ClientClosed says that the client has ended its side. The server's side is ended in the same way.
-func (c *Request) ClientClosed(how CloseKind) {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	switch c.state {
+func (r *Request) ClientClosed(how CloseKind) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	switch r.state {
 	case Queued, Attempting, AwaitingOwnership:
-		if !c.resumed && c.state != AwaitingOwnership {
-			c.table.post(decide.ClientGone{ID: c.ID})
-		}
-		c.answerFinally(Answer{Kind: NoAnswer})
+		r.withdrawFromDecision()
+		r.answerFinally(Answer{Kind: NoAnswer})
 	case Established:
-		if !c.serverClosed { // else the server ended it, and this is only the client's side of that
-			c.table.post(decide.ClientGone{ID: c.ID})
+		// A server that ended it has the client close too: that is not the client's doing.
+		if !r.established.serverClosed {
+			r.table.post(decide.ClientGone{ID: r.ID})
 		}
-		c.state = Ended
-		c.serverConn.Close(how)
-	}
-}
-
-// LineSent says that a line went to the server; see Heard.
-func (c *Request) LineSent() {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.unansweredSince == 0 {
-		c.unansweredSince = c.table.Clock.NowMillis()
+		r.state = Ended
+		r.attempt.conn.Close(how)
 	}
 }
--- /dev/null
+++ b/internal/relay/decisions.go
@@ -0,0 +1,120 @@
+package relay
+
+import (
+	"capersail/decide"
+	"capersail/internal/guard"
+	"capersail/internal/observe/recorder"
+)
+
+// This file carries out what the decision module wants of requests. The event loop alone calls it.
+
+// startAttempt starts the next attempt of a request, if the guard permits it. If not, the decision module
+// is told that the attempt is superseded. candidates are what it could have chosen from, for the recorder.
+func (t *RequestTable) startAttempt(f decide.Forward, candidates []decide.PooledServer) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r, s := t.requests.byID[f.ID], t.endpoints.byNumber(f.Server)
+	if !t.permitAttempt(r, s) {
+		t.post(decide.Outcome{
+			ID:     f.ID,
+			Server: f.Server,
+			Status: decide.Superseded,
+			Closed: r == nil || r.state != Queued,
+			Report: decide.NoLoadReport,
+		})
+		return
+	}
+	r.startAttempt(s, f.Timeout)
+	if t.Recorder != nil {
+		r.recordPlacement(candidates)
+	}
+}
+
+// permitAttempt asks the guard for an attempt and records its denial. A request that is nil is over. The
+// caller holds the lock.
+func (t *RequestTable) permitAttempt(r *Request, s *Server) bool {
+	if r == nil {
+		return false
+	}
+	denial := r.mayAttempt(s)
+	if denial != guard.Allowed {
+		r.recordDenial(denial, s)
+	}
+	return denial == guard.Allowed
+}
+
+// answer gives a request the decision module's final answer. It comes too late for one that is established
+// or ended.
+func (t *RequestTable) answer(id decide.RequestID, a Answer) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.requests.byID[id]
+	if r == nil || guard.MayAnswer(r.state == Ended, r.state == Established) != guard.Allowed {
+		return
+	}
+	if a.Kind == Rejected && !r.mayReject() {
+		r.recordViolation(guard.RejectOnlyIfHarmless, nil)
+		a.Kind = Failed
+	}
+	t.counters.countReason(a.reason)
+	r.answerFinally(a)
+}
+
+// failOverdue is the backstop behind the decision module: a request that has no answer well after its
+// deadline fails. It tells whether there was one.
+func (t *RequestTable) failOverdue(id decide.RequestID) (overdue bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.requests.byID[id]
+	if r == nil || r.state == Established || r.state == Ended {
+		return false
+	}
+	t.post(decide.ClientGone{ID: id})
+	r.answerFinally(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.Backstop})
+	return true
+}
+
+// migrate has the server side send a client to another server.
+func (t *RequestTable) migrate(id decide.RequestID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r := t.requests.byID[id]; r != nil {
+		r.migrate(recorder.Module)
+	}
+}
+
+// cancelAttempt ends the wait for an attempt.
+func (t *RequestTable) cancelAttempt(id decide.RequestID, attempt int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.requests.byID[id]
+	if r == nil || r.state != Attempting || r.attempt.Number != attempt {
+		return
+	}
+	r.attempt.canceled = true
+	if r.attempt.conn != nil {
+		r.attempt.conn.Close(GracefulClose)
+	}
+}
+
+// probe asks a server for its load, for the decision module.
+func (t *RequestTable) probe(id decide.ServerID) {
+	t.mu.Lock()
+	s := *t.endpoints.servers[id]
+	t.mu.Unlock()
+	began := t.Clock.Now()
+	t.dialer.Probe(s, func(status decide.Status, report decide.LoadReport) {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		result := decide.ProbeResult{
+			Server:  id,
+			Status:  status,
+			Latency: (t.Clock.Now() - began).Round(decisionPrecision),
+			Report:  report,
+		}
+		if t.Recorder != nil {
+			t.recordProbe(result)
+		}
+		t.post(result)
+	})
+}
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -6,185 +6,181 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file holds the server side's methods of a call. Each names the attempt that it speaks for.
+// This file holds the server side's methods of a request. Each names the attempt that it speaks for, by its
+// number.
 
-// Attach makes the attempt's end known, before it dials. It is false if the attempt is wanted no more.
-func (c *Request) Attach(no int, r ServerConn) bool {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.state != Attempting || c.attempt.Number != no || c.canceled {
+// Attach makes the attempt's connection known, before it is dialled. It is false if the attempt is wanted
+// no more.
+func (r *Request) Attach(attempt int, conn ServerConn) bool {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if !r.inSetUp(attempt) {
 		return false
 	}
-	c.serverConn = r
+	r.attempt.conn = conn
 	return true
 }
 
-// BeginWrite is asked just before the attempt's first byte is written. It is false if the server has begun to
-// drain meanwhile (rule 3: half a second after the news nothing new may go there, and a dial can take that
-// long), if the attempt is wanted no more, if the client has gone (its side may have had no time to read that), or if
-// the time in which servers know a repeated request again is over: then nothing may be written.
-func (c *Request) BeginWrite(no int) bool {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	waiting := c.state == Attempting && c.attempt.Number == no && !c.canceled
-	s := c.attempt.currentServer()
-	denial := guard.MayWrite(c.table.Clock.NowMillis(), c.attempt.Deadline, c.guardFacts(waiting), s.guardStatus(), &c.table.endpointLease, waiting && c.clientConn.HasUnread())
-	if denial != guard.Allowed {
-		c.recordDenial(denial, s)
+// BeginWrite is asked just before the attempt's first byte is written. It is false, and nothing may be
+// written, if the guard denies it: a dial takes time, and meanwhile the server may have begun to drain, the
+// client may have gone, the attempt may have been canceled, or the time in which servers recognize a retry
+// may be over.
+func (r *Request) BeginWrite(attempt int) bool {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if denial := r.mayWrite(attempt); denial != guard.Allowed {
+		r.recordDenial(denial, r.attempt.currentServer())
 		return false
 	}
-	c.mayHaveWritten, c.wroteAt = true, c.table.Clock.NowMillis()
-	c.table.counters.increment(c.table.counters.attempts, c.Class)
+	r.attempt.mayHaveWritten = true
+	r.attempt.wroteAt = r.table.Clock.Now()
+	r.table.counters.of(r.Class).Attempts++
 	return true
 }
 
-// HandshakeClient is the client's end for a front whose set-up is a conversation, once the attempt has begun; nil
-// if the attempt is wanted no more.
-func (c *Request) HandshakeClient(no int) ClientConn {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.state != Attempting || c.attempt.Number != no || c.canceled {
+// HandshakeClient returns the client's end for a front whose set-up is a conversation, once the attempt has
+// begun; nil if the attempt is wanted no more.
+func (r *Request) HandshakeClient(attempt int) ClientConn {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if !r.inSetUp(attempt) {
 		return nil
 	}
-	return c.clientConn
+	return r.clientConn
 }
 
 // WakeServerSide wakes the server side, for which the client side has left something in what they share.
-func (c *Request) WakeServerSide() {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.serverConn != nil && c.attemptInFlight {
-		c.serverConn.Wake()
+func (r *Request) WakeServerSide() {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if r.attempt.conn != nil && r.attempt.inFlight {
+		r.attempt.conn.Wake()
 	}
 }
 
-// FailByServer gives the call its final answer from the server's side: the server will never take it, and no other
-// server would. The attempt is to be ended as usual.
-func (c *Request) FailByServer(no int, note string) {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.state == Attempting && c.attempt.Number == no {
-		c.failWithNote(note)
+// FailByServer gives the request its final answer from the server's side: the server will never take it,
+// and no other server would. The attempt is to be ended as usual.
+func (r *Request) FailByServer(attempt int, note string) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if r.state == Attempting && r.attempt.Number == attempt {
+		r.failWithNote(note)
 	}
 }
 
 // ServerDraining tells whether the attempt's server has begun to drain.
-func (c *Request) ServerDraining() bool {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	return c.attempt.currentServer().mode != decide.Ready
+func (r *Request) ServerDraining() bool {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	return r.attempt.currentServer().mode != decide.Ready
 }
 
-// Establish says that the server has taken the connection. It returns the client's end, or nil if the client
-// has left meanwhile; then the attempt is to be ended.
-func (c *Request) Establish(no int) ClientConn {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.state != Attempting || c.attempt.Number != no || c.canceled {
+// Establish says that the server has taken the connection. It returns the client's end, or nil if the
+// attempt is wanted no more; then it is to be ended.
+func (r *Request) Establish(attempt int) ClientConn {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if !r.inSetUp(attempt) {
 		return nil
 	}
-	c.state, c.wasEstablished = Established, true
-	close(c.settled)
-	c.table.counters.increment(c.table.counters.established, c.Class)
-	if c.resumed {
-		c.table.post(decide.Inherited{Request: c.decisionRequest(), Server: c.attempt.Server.Number})
-	} else {
-		c.table.post(decide.Opened{ID: c.ID, Attempt: no, Server: c.attempt.Server.Number,
-			SetupLatency: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt)})
+	r.state = Established
+	r.established.reached = true
+	close(r.settled)
+	r.table.counters.of(r.Class).Established++
+	r.postEstablished()
+	if r.table.Recorder != nil {
+		r.recordEstablished()
 	}
-	if c.table.Recorder != nil {
-		c.table.Recorder.Put(&recorder.Record{At: c.table.Clock.NowMillis(), Kind: recorder.ConnectionUp, Request: uint64(c.ID), Server: int32(c.attempt.Server.Number),
-			Elapsed: c.table.Clock.NowMillis() - c.attempt.StartedAt, Attempt: uint8(min(no, 255))})
+	if r.table.rejecting() {
+		r.migrate(recorder.Shutdown)
 	}
-	if c.table.rejecting() {
-		c.migrate(recorder.Shutdown)
+	return r.clientConn
+}
+
+// postEstablished tells the decision module that a request is established, and of one that was resumed all
+// else too. The caller holds the lock.
+func (r *Request) postEstablished() {
+	if r.resumed {
+		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.attempt.Server.Number})
+		return
 	}
-	return c.clientConn
+	r.table.post(decide.Opened{
+		ID:           r.ID,
+		Attempt:      r.attempt.Number,
+		Server:       r.attempt.Server.Number,
+		SetupLatency: (r.table.Clock.Now() - r.attempt.StartedAt).Round(decisionPrecision),
+	})
 }
 
-// ServerClosed says that the server has ended its connection. It comes before the client's is closed: that makes the
-// client's goroutine say that the client has left, and the one to blame would be the wrong one.
-func (c *Request) ServerClosed() {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	c.serverClosed = c.state == Established
+// ServerClosed says that the server has ended its connection. It comes before the client's is closed: that
+// makes the client's goroutine say that the client has left, and the one to blame would be the wrong one.
+func (r *Request) ServerClosed() {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	r.established.serverClosed = r.state == Established
 }
 
-// Migrating tells whether the client is to be sent away, and whether that is because the server is silent.
-func (c *Request) Migrating() (moving, silent bool) {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	return c.migrating, c.serverSilent
+// Migrating tells whether the client is to be sent to another server, and whether that is because its
+// server is silent.
+func (r *Request) Migrating() (migrating, serverSilent bool) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	return r.established.migrating, r.established.serverSilent
 }
 
-// EndAttempt ends the attempt, exactly once, after its connection has been closed. Before the call is up it goes
-// back to the module; after that it is the end of the call.
-func (c *Request) EndAttempt(no int, status decide.Status, report decide.LoadReport) {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if !c.attemptInFlight || c.attempt.Number != no {
+// ReportLoad says that the server has told the connection's load, in microseconds of work a second.
+func (r *Request) ReportLoad(load float64) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	r.table.post(decide.ConnectionLoad{ID: r.ID, Server: r.attempt.Server.Number, Load: load / 1e6})
+}
+
+// EndAttempt ends the attempt, exactly once, after its connection has been closed. A request that was not
+// established goes back to the decision module; for one that was, it is the end.
+func (r *Request) EndAttempt(attempt int, status decide.Status, report decide.LoadReport) {
+	r.table.mu.Lock()
+	defer r.table.mu.Unlock()
+	if !r.attempt.inFlight || r.attempt.Number != attempt {
 		return
 	}
-	c.attemptInFlight = false
-	if c.table.Recorder != nil {
-		c.recordAttemptEnd(status, report)
+	r.attempt.inFlight = false
+	if r.table.Recorder != nil {
+		r.recordAttemptEnd(status, report)
 	}
-	if (c.canceled || c.state == Ended) && !status.NeverRan() { // whatever else it met, it was called off
+	// Whatever else it met, one that was called off counts as that.
+	if (r.attempt.canceled || r.state == Ended) && !status.NeverRan() {
 		status = decide.Cancelled
 	}
-	if !c.mayHaveRun && !status.NeverRan() {
-		c.mayHaveRun, c.mayHaveRunAt, c.mayHaveRunOn = true, c.wroteAt, c.attempt.currentServer().location()
+	if !r.mayHaveRun.happened && !status.NeverRan() {
+		on := r.attempt.currentServer().location()
+		r.mayHaveRun = possibleRun{happened: true, at: r.attempt.wroteAt, on: on}
 	}
-	switch c.state {
+	switch r.state {
 	case Attempting:
-		c.state = Queued
+		r.state = Queued
 	case Established:
-		c.state = Ended
+		r.state = Ended
 	}
-	if c.resumed && c.state == Queued { // the module does not know it yet
-		c.answerFinally(Answer{Kind: Failed, Cause: status})
+	if r.resumed && r.state == Queued { // the decision module does not know it yet
+		r.answerFinally(Answer{Kind: Failed, Cause: status})
 		return
 	}
-	if c.state == Queued {
-		c.answer.Cause = status
+	if r.state == Queued {
+		r.answer.Cause = status
 	}
-	c.table.post(decide.Outcome{ID: c.ID, Attempt: no, Server: c.attempt.Server.Number, Status: status, Report: report,
-		Elapsed: Duration(c.table.Clock.NowMillis() - c.attempt.StartedAt), Closed: c.state == Ended})
-	c.removeIfDone()
+	r.postOutcome(status, report)
+	r.removeIfDone()
 }
 
-// LineReceived says that a line came back from the server. What the oldest unanswered line waited for it is the
-// time a message takes there now; the module is told when that is over a third of the shortest aim (where no
-// class has one, over lateAfter), and at most once a second for each server.
-func (c *Request) LineReceived() {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	if c.unansweredSince != 0 {
-		c.noteDelay(c.table.Clock.NowMillis() - c.unansweredSince)
-		c.unansweredSince = 0
-	}
-}
-
-func (c *Request) noteDelay(delay float64) {
-	least := slowMessageAfter
-	for _, class := range c.table.deployment.Settings.Classes {
-		if class.MessageLatencyObjective > 0 {
-			least = min(least, Millis(class.MessageLatencyObjective)/3)
-		}
-	}
-	now, s := c.table.Clock.NowMillis(), c.attempt.currentServer()
-	if delay > least && now-s.delayNotedAt >= 1000 {
-		s.delayNotedAt = now
-		if c.table.Recorder != nil {
-			c.table.Recorder.Put(&recorder.Record{At: now, Kind: recorder.MessageDelayed, Request: uint64(c.ID), Server: int32(s.Number), Elapsed: delay})
-		}
-		c.table.post(decide.MessageDelay{ID: c.ID, Server: s.Number, Delay: Duration(delay)})
-	}
-}
-
-// ReportLoad says that the server has told the connection's load, in microseconds of work a second.
-func (c *Request) ReportLoad(x float64) {
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	c.table.post(decide.ConnectionLoad{ID: c.ID, Server: c.attempt.Server.Number, Load: x / 1e6})
+// postOutcome tells the decision module how the latest attempt ended. The caller holds the lock.
+func (r *Request) postOutcome(status decide.Status, report decide.LoadReport) {
+	r.table.post(decide.Outcome{
+		ID:      r.ID,
+		Attempt: r.attempt.Number,
+		Server:  r.attempt.Server.Number,
+		Status:  status,
+		Elapsed: (r.table.Clock.Now() - r.attempt.StartedAt).Round(decisionPrecision),
+		Closed:  r.state == Ended,
+		Report:  report,
+	})
 }
--- /dev/null
+++ b/internal/wire/connlimit/permit.go
@@ -0,0 +1,100 @@
+package connlimit
+
+import (
+	"container/list"
+
+	"capersail/internal/wire/splice"
+)
+
+// Permit is one client's connection, as its Limiter counts it. The goroutine that serves the connection calls its methods.
+type Permit struct {
+	Half         *splice.Half
+	RequestUntil float64 // when the client must have brought its request, in milliseconds of the limiter's clock
+
+	// The limiter's lock guards what follows.
+	limiter        *Limiter
+	idleElement    *list.Element // among the limiter's idlePermits
+	clientCounted  bool          // the client's descriptor is counted
+	requestCounted bool          // and counts as a request's
+	evicted        bool          // the connection has been told to close
+	serverCounted  bool          // the descriptor of its connection to a server is counted
+}
+
+// AcquireRequest takes the second descriptor that a request needs; false if requests hold all they may. From then on
+// the connection is not evicted, even if it had been told to close.
+func (p *Permit) AcquireRequest() bool {
+	l := p.limiter
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.requestDescriptors+requestCost > l.requestLimit() {
+		return false
+	}
+	l.descriptorsHeld++
+	l.requestDescriptors += requestCost
+	p.requestCounted = true
+	p.serverCounted = true
+	l.idlePermits.Remove(p.idleElement)
+	p.cancelEviction()
+	for l.descriptorsHeld-l.evicting > l.descriptorLimit && l.idlePermits.Len() > 0 {
+		l.evictOldestIdle()
+	}
+	return true
+}
+
+// ReleaseRequest says that the client has its answer, or its end: only the close is still to come.
+func (p *Permit) ReleaseRequest() {
+	p.limiter.mu.Lock()
+	defer p.limiter.mu.Unlock()
+	p.returnToIdle()
+}
+
+// ReleaseClient says that the client's connection is closed; that to its server may last a little longer.
+func (p *Permit) ReleaseClient() {
+	p.limiter.mu.Lock()
+	defer p.limiter.mu.Unlock()
+	p.releaseClient()
+}
+
+// release takes everything out of the count that is still in it.
+func (p *Permit) release() {
+	p.limiter.mu.Lock()
+	defer p.limiter.mu.Unlock()
+	p.releaseClient()
+	if p.serverCounted {
+		p.serverCounted = false
+		p.limiter.descriptorsHeld--
+		p.limiter.requestDescriptors--
+	}
+}
+
+// releaseClient takes the client's own descriptor out of the count. The caller holds the lock.
+func (p *Permit) releaseClient() {
+	p.returnToIdle()
+	if !p.clientCounted {
+		return
+	}
+	p.clientCounted = false
+	p.limiter.descriptorsHeld--
+	p.cancelEviction()
+	p.limiter.idlePermits.Remove(p.idleElement)
+}
+
+// cancelEviction takes the connection out of those that have been told to close. The caller holds the lock.
+func (p *Permit) cancelEviction() {
+	if !p.evicted {
+		return
+	}
+	p.evicted = false
+	p.limiter.evicting--
+	p.limiter.evictionDone.Signal()
+}
+
+// returnToIdle puts a request's connection among the idle. The caller holds the lock.
+func (p *Permit) returnToIdle() {
+	if !p.requestCounted {
+		return
+	}
+	p.requestCounted = false
+	p.limiter.requestDescriptors--
+	p.idleElement = p.limiter.idlePermits.PushBack(p)
+}
--- /dev/null
+++ b/internal/wire/splice/half.go
@@ -0,0 +1,172 @@
+// Package splice is one TCP or TLS connection as the two sides of a request share it: the goroutine that reads it, the other
+// side's goroutine, which writes and ends it, and the event loop, which wakes it. It knows no protocol.
+package splice
+
+import (
+	"crypto/tls"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"capersail/internal/relay"
+)
+
+// WriteTimeout bounds every write, in milliseconds: a peer that takes nothing for so long has its connection ended.
+const WriteTimeout = 1000.0
+
+const (
+	// lingerFor is how long, in milliseconds, a connection that was closed cleanly waits for its peer's end. A close over
+	// unread bytes makes the kernel send a reset, which can overtake and destroy the last line written.
+	lingerFor = 500.0
+	// lingerBytes bounds what is read and discarded meanwhile: a client that sends at full speed costs processor time.
+	lingerBytes = 256 << 10
+)
+
+// Half is one of the two connections of a request. Its methods may be called by several goroutines; only one of them reads.
+// A wake is sticky: reads return at once until ClearWake. A write never waits longer than WriteTimeout.
+// Once closed, a Half stays closed.
+type Half struct {
+	mu     sync.Mutex
+	Conn   net.Conn // nil while it is dialled
+	Clock  *relay.Clock
+	Stop   func() // ends the dial, if there is one
+	woken  bool
+	closed bool
+	// closeNowSignal is closed by CloseNow; nil until somebody waits for it.
+	closeNowSignal chan struct{}
+	closingNow     bool
+}
+
+// Attach sets the connection once it is dialled. It tells whether the Half is still open.
+func (e *Half) Attach(conn net.Conn) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.Conn = conn
+	return !e.closed
+}
+
+// SetReadUntil sets when a read returns at the latest, in milliseconds of the clock; 0 is never. It has no effect after a wake.
+func (e *Half) SetReadUntil(at float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	switch {
+	case e.woken || e.closed:
+	case at == 0:
+		e.Conn.SetReadDeadline(time.Time{})
+	default:
+		e.Conn.SetReadDeadline(e.Clock.WallDeadlineMillis(at))
+	}
+}
+
+// Closed tells whether Close was called: by the request's other side, or because the attempt is cancelled.
+func (e *Half) Closed() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.closed
+}
+
+// ClearWake lets reads wait again after a Wake.
+func (e *Half) ClearWake() {
+	e.mu.Lock()
+	e.woken = false
+	e.mu.Unlock()
+}
+
+// Wake makes the goroutine that reads the connection look at its request.
+func (e *Half) Wake() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.woken = true
+	if e.Conn != nil && !e.closed {
+		e.Conn.SetReadDeadline(time.Unix(1, 0))
+	}
+}
+
+// CloseNow makes the goroutine that reads the connection close it without any wait, even one for the peer's end.
+func (e *Half) CloseNow() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.closingNow {
+		return
+	}
+	e.woken, e.closingNow = true, true
+	close(e.closeNowChannel())
+	if e.Conn != nil {
+		e.Conn.SetDeadline(time.Unix(1, 0))
+	}
+}
+
+// ClosingNow tells whether Hurry was called.
+func (e *Half) ClosingNow() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.closingNow
+}
+
+// closeNowChannel is the channel that CloseNow closes. The caller holds the lock.
+func (e *Half) closeNowChannel() chan struct{} {
+	if e.closeNowSignal == nil {
+		e.closeNowSignal = make(chan struct{})
+	}
+	return e.closeNowSignal
+}
+
+// Forward writes to the connection.
+func (e *Half) Forward(p []byte) error {
+	e.Conn.SetWriteDeadline(e.Clock.WallDeadlineMillis(e.Clock.NowMillis() + WriteTimeout))
+	_, err := e.Conn.Write(p)
+	return err
+}
+
+// Close ends the connection: cleanly, with a bounded wait for the peer's end, or with a reset. It is idempotent. The
+// goroutine that reads the connection releases the descriptor.
+func (e *Half) Close(how relay.CloseKind) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.closed {
+		return
+	}
+	e.closed = true
+	if e.Stop != nil {
+		e.Stop()
+	}
+	half, ok := e.Conn.(interface{ CloseWrite() error }) // TCP and TLS have it
+	switch {
+	case e.Conn == nil:
+	case ok && how == relay.GracefulClose:
+		half.CloseWrite()
+		if !e.closingNow {
+			e.Conn.SetReadDeadline(e.Clock.WallDeadlineMillis(e.Clock.NowMillis() + lingerFor))
+		}
+	default:
+		raw := e.Conn
+		if t, ok := raw.(*tls.Conn); ok {
+			raw = t.NetConn()
+		}
+		if tcp, ok := raw.(*net.TCPConn); ok {
+			tcp.SetLinger(0)
+		}
+		raw.Close()
+	}
+}
+
+// CloseAndDiscard closes cleanly, discards what still comes until the peer's end, the bounded wait or CloseNow, and releases the
+// descriptor. A peer that goes on sending is left to its full buffers until then, so that it can read the last line first.
+func (e *Half) CloseAndDiscard() {
+	began := e.Clock.NowMillis()
+	e.Close(relay.GracefulClose)
+	if n, err := io.Copy(io.Discard, io.LimitReader(e.Conn, lingerBytes)); n == lingerBytes && err == nil {
+		e.mu.Lock()
+		hurried := e.closeNowChannel()
+		e.mu.Unlock()
+		select {
+		case <-e.Clock.AfterMillis(began + lingerFor - e.Clock.NowMillis()):
+		case <-hurried:
+		}
+	}
+	if e.ClosingNow() { // a close over unread bytes would send a reset, which may overtake the last line
+		e.ReadPending()
+	}
+	e.Conn.Close()
+}
