--- a/internal/fleet/cellplan/check.go
+++ b/internal/fleet/cellplan/check.go
@@ -26,6 +26,7 @@
 	Cause string
 }
 
+// Error is the key and the cause.
 func (e *Problem) Error() string { return e.Key + ": " + e.Cause }
 
 // Check returns every problem of the plan, each a *Problem, joined in the order of the file; nil if it
@@ -129,7 +130,8 @@
 func (c *checker) checkLocation(i int, cell Cell) {
 	if cell.Spanning() {
 		if cell.Zone != "" {
-			c.add(cellKey(i, "region"), "empty, but zone is %q; a cell that spans all regions has neither", cell.Zone)
+			c.add(cellKey(i, "region"), "empty, but zone is %q; a cell that spans all regions has neither",
+				cell.Zone)
 		}
 		return
 	}
@@ -161,9 +163,9 @@
 			continue
 		}
 		summed[cell.Zone] = true
-		if total := sum(parts, cell.Zone); total > Whole {
+		if total := sum(parts, cell.Zone); total > FullBudget {
 			c.add(fmt.Sprintf("cells[%d].zone", i),
-				"the cells would hold %d of %d of a server in %q", total, Whole, cell.Zone)
+				"the cells would hold %d of %d of a server in %q", total, FullBudget, cell.Zone)
 		}
 	}
 }
--- a/internal/fleet/cellplan/plan.go
+++ b/internal/fleet/cellplan/plan.go
@@ -15,8 +15,8 @@
 	"strings"
 )
 
-// Whole is a fleet-wide budget in the units that parts are counted in.
-const Whole uint64 = 1 << 40
+// FullBudget is a fleet-wide budget in the units that parts are counted in.
+const FullBudget uint64 = 1 << 40
 
 // DefaultHomeShare is the home share of a plan that names none.
 const DefaultHomeShare = 0.9
@@ -40,7 +40,8 @@
 	// divide what is left.
 	Region string `toml:"region"`
 	Zone   string `toml:"zone"`
-	// Relays is how many relays the cell is bootstrapped with, and its weight; 0 for a cell that is going away.
+	// Relays is how many relays the cell is bootstrapped with, and its weight; 0 for a cell that is going
+	// away.
 	Relays int `toml:"relays"`
 	// Contacts are where its relays can be reached at first, "ip:port". They are not part of the Hash: no
 	// part follows from them.
@@ -93,7 +94,7 @@
 	return part.near, part.far, part.zones
 }
 
-// Sum is what all cells together may take of the budget of a server in a zone; never over Whole.
+// Sum is what all cells together may take of the budget of a server in a zone; never over FullBudget.
 func (p Plan) Sum(zone string) uint64 { return sum(p.parts(), zone) }
 
 // part is what one cell may take: near in its zones, far elsewhere.
@@ -109,13 +110,13 @@
 	case weights.all == 0:
 		return part{}
 	case cell.Spanning():
-		everywhere := Portion(Whole, weight, weights.all)
+		everywhere := Portion(FullBudget, weight, weights.all)
 		return part{near: everywhere, far: everywhere}
 	case weight == 0:
 		return part{zones: weights.zones}
 	}
-	rest := Portion(Whole, weights.regional, weights.all)
-	home := Portion(rest, p.homeUnits(), Whole)
+	rest := Portion(FullBudget, weights.regional, weights.all)
+	home := Portion(rest, p.homeUnits(), FullBudget)
 	far := Portion(rest-home, weight, weights.regional)
 	return part{near: Portion(home, weight, weights.inRegion) + far, far: far, zones: weights.zones}
 }
@@ -191,6 +192,7 @@
 	Cells []string
 }
 
+// Error names the plan and the cells.
 func (e *MissingCells) Error() string {
 	return "plan " + strconv.FormatUint(e.Plan, 10) +
 		" doesn't name cells that hold a part: " + strings.Join(e.Cells, ", ") +
@@ -221,13 +223,13 @@
 	return w
 }
 
-// homeUnits is the home share in units of Whole.
+// homeUnits is the home share in units of FullBudget.
 func (p Plan) homeUnits() uint64 {
 	share := p.HomeShare
 	if share == 0 {
 		share = DefaultHomeShare
 	}
-	return uint64(math.Floor(share * float64(Whole)))
+	return uint64(math.Floor(share * float64(FullBudget)))
 }
 
 // Portion is amount*part/of, rounded down. Part must not be over of, and of not 0.
--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -38,10 +38,11 @@
 		{moving, "gone", 0, 0, "b-1 b-2"},
 	} {
 		near, far, zones := c.plan.Parts(c.cell)
-		if math.Abs(float64(near)/float64(Whole)-c.near) > 1e-9 ||
-			math.Abs(float64(far)/float64(Whole)-c.far) > 1e-9 || strings.Join(zones, " ") != c.zones {
-			t.Errorf("%s: near %.4f far %.4f in %q; want %.4f %.4f in %q", c.cell, float64(near)/float64(Whole),
-				float64(far)/float64(Whole), zones, c.near, c.far, c.zones)
+		if math.Abs(float64(near)/float64(FullBudget)-c.near) > 1e-9 ||
+			math.Abs(float64(far)/float64(FullBudget)-c.far) > 1e-9 || strings.Join(zones, " ") != c.zones {
+			t.Errorf("%s: near %.4f far %.4f in %q; want %.4f %.4f in %q", c.cell,
+				float64(near)/float64(FullBudget),
+				float64(far)/float64(FullBudget), zones, c.near, c.far, c.zones)
 		}
 	}
 }
@@ -54,7 +55,8 @@
 		keys   string
 	}{
 		{"good", func(*Plan) {}, ""},
-		{"a cell alone needs no contacts", func(p *Plan) { p.Cells = p.Cells[:1]; p.Cells[0].Contacts = nil }, ""},
+		{"a cell alone needs no contacts",
+			func(p *Plan) { p.Cells = p.Cells[:1]; p.Cells[0].Contacts = nil }, ""},
 		{"a flat fleet is moved", func(p *Plan) { p.Cells = append(p.Cells, cell("flat", "", "", 300)) }, ""},
 		{"no number", func(p *Plan) { p.Number = 0 }, "number"},
 		{"number too high", func(p *Plan) { p.Number = 1 << 63 }, "number"},
@@ -86,12 +88,14 @@
 				cell("flat", "", "", 4097))
 		}, "cells[3].relays"},
 		{"no contacts", func(p *Plan) { p.Cells[0].Contacts = nil }, "cells[0].contacts"},
-		{"too many contacts", func(p *Plan) { p.Cells[0].Contacts = make([]string, 17) }, "cells[0].contacts"},
+		{"too many contacts", func(p *Plan) { p.Cells[0].Contacts = make([]string, 17) },
+			"cells[0].contacts"},
 		{"host name", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1:1", "relay-1:7946"} },
 			"cells[0].contacts[1]"},
 		{"no port", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1"} }, "cells[0].contacts[0]"},
 		{"port 0", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1:0"} }, "cells[0].contacts[0]"},
-		{"no address", func(p *Plan) { p.Cells[0].Contacts = []string{"0.0.0.0:7946"} }, "cells[0].contacts[0]"},
+		{"no address", func(p *Plan) { p.Cells[0].Contacts = []string{"0.0.0.0:7946"} },
+			"cells[0].contacts[0]"},
 		{"all of them", func(p *Plan) { p.Number = 0; p.HomeShare = 2; p.Cells[0].Relays = -1; p.Cells[2].Name = "a1" },
 			"number home_share cells[0].relays cells[2].name"},
 	} {
@@ -128,7 +132,8 @@
 		t.Error("the order, the contacts or a default that is written out change the hash")
 	}
 	for i, change := range []func(p *Plan){
-		func(p *Plan) { p.Number++ }, func(p *Plan) { p.HomeShare = 0.5 }, func(p *Plan) { p.Cells = p.Cells[1:] },
+		func(p *Plan) { p.Number++ }, func(p *Plan) { p.HomeShare = 0.5 },
+		func(p *Plan) { p.Cells = p.Cells[1:] },
 		func(p *Plan) { p.Cells[0].Name = "x" }, func(p *Plan) { p.Cells[0].Region = "b" },
 		func(p *Plan) { p.Cells[0].Zone = "a-2" },
 		func(p *Plan) { p.Cells[0].Relays++ },
@@ -155,7 +160,7 @@
 
 // For no zone do the cells hold more than the whole, and nearly all of it where somebody is near.
 func TestSumsOfDrawnPlans(t *testing.T) {
-	least, most := Whole, uint64(0)
+	least, most := FullBudget, uint64(0)
 	for seed := range uint64(500) {
 		draw := rand.New(rand.NewPCG(seed, 7))
 		p := drawn(draw)
@@ -173,18 +178,19 @@
 		}
 		for zone := range zones {
 			sum := p.Sum(zone)
-			if most = max(most, sum); sum > Whole {
-				t.Fatalf("seed %d: %d of %d in %q", seed, sum, Whole, zone)
+			if most = max(most, sum); sum > FullBudget {
+				t.Fatalf("seed %d: %d of %d in %q", seed, sum, FullBudget, zone)
 			}
 			if !positive || zone == "elsewhere" || zone == "" {
 				continue
 			}
-			if least = min(least, sum); float64(sum) < 0.97*float64(Whole) {
-				t.Fatalf("seed %d: only %.3f in %q", seed, float64(sum)/float64(Whole), zone)
+			if least = min(least, sum); float64(sum) < 0.97*float64(FullBudget) {
+				t.Fatalf("seed %d: only %.3f in %q", seed, float64(sum)/float64(FullBudget), zone)
 			}
 		}
 	}
-	t.Logf("from %.9f to %.9f of the whole", float64(least)/float64(Whole), float64(most)/float64(Whole))
+	t.Logf("from %.9f to %.9f of the whole", float64(least)/float64(FullBudget),
+		float64(most)/float64(FullBudget))
 }
 
 func drawn(draw *rand.Rand) Plan {
--- a/internal/fleet/cells/coordinator.go
+++ b/internal/fleet/cells/coordinator.go
@@ -157,7 +157,8 @@
 	returned := r.summaryAt < 0 || r.lost
 	r.summary, r.summaryAt, r.contact = s, now, 0
 	if r.announceRepresentative(now, contactRotationRounds*c.round()) {
-		out = append(out, Changed{Kind: RepresentativeChanged, Cell: r.name, Representative: s.Representative})
+		out = append(out, Changed{Kind: RepresentativeChanged, Cell: r.name,
+			Representative: s.Representative})
 	}
 	if _, ok := c.plan.Find(r.name); !ok {
 		r.region = s.Region
--- a/internal/fleet/cells/directory.go
+++ b/internal/fleet/cells/directory.go
@@ -121,6 +121,7 @@
 	return r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
 }
 
+// add adds other figures of the same region.
 func (r *RegionFigures) add(o RegionFigures) {
 	r.Cells += o.Cells
 	r.Known += o.Known
--- a/internal/fleet/cells/evidence.go
+++ b/internal/fleet/cells/evidence.go
@@ -66,7 +66,8 @@
 	}
 	differs := s.PlanHash != c.local.PlanHash
 	if differs && !r.mismatch {
-		out = append(out, Changed{Kind: PlanMismatch, Cell: r.name, Representative: s.Representative, Plan: s.Plan})
+		out = append(out, Changed{Kind: PlanMismatch, Cell: r.name, Representative: s.Representative,
+			Plan: s.Plan})
 	}
 	r.mismatch = differs
 	return out
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -44,7 +44,8 @@
 			n.kill(n.cells[0].representative())
 			n.pass(10 * second)
 			if open := n.openAt(number); open != 0 {
-				t.Fatalf("seed %d: %d relays hold plan %d for open while a cell is cut off", seed, open, number)
+				t.Fatalf("seed %d: %d relays hold plan %d for open while a cell is cut off", seed, open,
+					number)
 			}
 			n.cut = nil
 			took := n.until(60*second, func() bool { return n.openAt(number) == n.up() })
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -142,14 +142,16 @@
 	for region := range 5 {
 		for i := range 7 {
 			name := fmt.Sprintf("eu-north-%d-hall-%c-%d", region, 'a'+i/2, i%2)
-			plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: fmt.Sprintf("eu-north-%d", region),
-				Zone: name, Relays: 64, Contacts: []string{"100.100.100.100:17946"}})
+			plan.Cells = append(plan.Cells, cellplan.Cell{Name: name,
+				Region: fmt.Sprintf("eu-north-%d", region),
+				Zone:   name, Relays: 64, Contacts: []string{"100.100.100.100:17946"}})
 		}
 	}
 	if err := plan.Check(); err != nil {
 		t.Fatal(err)
 	}
-	c := New(0, Config{Name: "relay-eu-north-0-001", Cell: plan.Cells[0].Name, Incarnation: 1 << 40, Plan: plan})
+	c := New(0, Config{Name: "relay-eu-north-0-001", Cell: plan.Cells[0].Name, Incarnation: 1 << 40,
+		Plan: plan})
 	l := LocalCell{Members: 64, Serving: 64, Epoch: 1 << 30, Plan: 1234, JoinedPlan: 1234,
 		PlanHash: plan.Hash(), RequestRate: 12345.678, OpenConnections: 123456789, DrainRate: 123.456}
 	for i := range 7 {
@@ -184,7 +186,8 @@
 		t.Error("too large")
 	}
 	if len(summary.Contacts) != MaxContacts || len(summary.Departed) < 4 ||
-		strings.Join(summary.Contacts, " ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
+		strings.Join(summary.Contacts,
+			" ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
 		t.Error(summary)
 	}
 }
--- a/internal/fleet/cells/marks.go
+++ b/internal/fleet/cells/marks.go
@@ -24,6 +24,7 @@
 // sequenceMarks are those of a cell's representatives, the one received last at the end.
 type sequenceMarks []sequenceMark
 
+// find is where a representative's mark is, negative for none.
 func (s sequenceMarks) find(representative string) int {
 	return slices.IndexFunc(s, func(m sequenceMark) bool { return m.representative == representative })
 }
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -97,6 +97,7 @@
 	r.Regions[i].Rows = append(r.Regions[i].Rows, cell)
 }
 
+// ownReport is this cell's row.
 func (c *Coordinator) ownReport() CellReport {
 	l := c.local
 	return CellReport{
@@ -117,6 +118,7 @@
 	}
 }
 
+// cellReport is another cell's row.
 func (c *Coordinator) cellReport(now time.Duration, r *remote) CellReport {
 	s := r.summary
 	report := CellReport{
--- a/internal/fleet/cells/representative_test.go
+++ b/internal/fleet/cells/representative_test.go
@@ -33,14 +33,16 @@
 		n.pass(10 * second)
 		if !n.agreed() {
 			for _, r := range n.byName {
-				t.Log(n.now, r.name, n.informed(r), r.coordinator.election.representing, r.coordinator.election.other,
+				t.Log(n.now, r.name, n.informed(r), r.coordinator.election.representing,
+					r.coordinator.election.other,
 					r.coordinator.directory.newest)
 			}
 			t.Fatal("two speakers break the agreement")
 		}
 	}
 	if more := n.changes[RepresentativeChanged] - reported; more > 0 || n.changes[CellLost] > 0 {
-		t.Errorf("%d changes of representative and %d lost cells reported in 300 s", more, n.changes[CellLost])
+		t.Errorf("%d changes of representative and %d lost cells reported in 300 s", more,
+			n.changes[CellLost])
 	}
 }
 
@@ -288,7 +290,8 @@
 		func(s *Summary) { s.RequestRate = math.NaN() }, func(s *Summary) { s.RequestRate = math.Inf(1) },
 		func(s *Summary) { s.DrainRate = -1 }, func(s *Summary) { s.OpenConnections = -1 },
 		func(s *Summary) { s.Contacts = []string{"relay:1"} },
-		func(s *Summary) { s.Contacts = make([]string, 4) }, func(s *Summary) { s.Departed = make([]string, 9) },
+		func(s *Summary) { s.Contacts = make([]string, 4) },
+		func(s *Summary) { s.Departed = make([]string, 9) },
 		func(s *Summary) { s.Departed = []string{"a\nb"} },
 	} {
 		s := heardFrom(plan, "b", 1)
@@ -303,7 +306,8 @@
 	for i, change := range []func(d *Directory){
 		func(d *Directory) { d.Cell = "" }, func(d *Directory) { d.Seq = 0 },
 		func(d *Directory) { d.Regions[0].RequestRate = math.NaN() },
-		func(d *Directory) { d.Regions[0].Known = 3 }, func(d *Directory) { d.Regions = make([]RegionFigures, 17) },
+		func(d *Directory) { d.Regions[0].Known = 3 },
+		func(d *Directory) { d.Regions = make([]RegionFigures, 17) },
 		func(d *Directory) { d.Regions[1].Name = "r" }, func(d *Directory) { d.Regions[0].Cells = 1 << 20 },
 		func(d *Directory) { d.ActivatedPlan = math.MaxUint64 },
 	} {
--- a/internal/fleet/cells/rounds.go
+++ b/internal/fleet/cells/rounds.go
@@ -112,6 +112,7 @@
 	}
 }
 
+// sendSummaryTo sends a summary to a cell, if there is an address for it.
 func (c *Coordinator) sendSummaryTo(now time.Duration, r *remote, out []Action) []Action {
 	r.expedited = false
 	r.sentTo = r.address(now, c.round(), c.election.since)
--- a/internal/fleet/cells/summary.go
+++ b/internal/fleet/cells/summary.go
@@ -40,7 +40,7 @@
 	DrainRate       float64  `cbor:"14,keyasint,omitempty"`
 	Contacts        []string `cbor:"15,keyasint,omitempty"` // the representative first
 	Departed        []string `cbor:"16,keyasint,omitempty"` // relays that went in the last 20 s
-	// by a relay that is no representative, to the one that is; never twice
+	// Forwarded says that a relay that is no representative has sent it on to the one that is; never twice.
 	Forwarded    bool `cbor:"17,keyasint,omitempty"`
 	Bootstrapped bool `cbor:"18,keyasint,omitempty"` // by Plan: the cell has come from no earlier one
 }
@@ -52,7 +52,7 @@
 	Incarnation    uint64 `cbor:"3,keyasint"`
 	Seq            uint64 `cbor:"4,keyasint"`
 	Epoch          uint64 `cbor:"5,keyasint,omitempty"`
-	// the newest plan that every cell is known to have joined
+	// ActivatedPlan is the newest plan that every cell is known to have joined.
 	ActivatedPlan uint64          `cbor:"6,keyasint,omitempty"`
 	Regions       []RegionFigures `cbor:"7,keyasint,omitempty"` // without this cell's own figures
 }
@@ -122,6 +122,7 @@
 		validFigures(r.Relays, r.Serving, r.OpenConnections, r.RequestRate, r.DrainRate)
 }
 
+// validFigures tells whether a cell's or region's figures could be true.
 func validFigures(relays, serving, openConnections int, requestRate, drainRate float64) bool {
 	return relays >= 0 && relays <= maxRelays*maxCells && serving >= 0 && serving <= relays &&
 		openConnections >= 0 && openConnections <= maxConnections &&
--- a/internal/fleet/cells/types.go
+++ b/internal/fleet/cells/types.go
@@ -26,8 +26,8 @@
 type Event interface{ event() }
 
 type (
-	// LocalCell is what this relay knows of its own cell; it comes on each change, and about once a second for
-	// the figures.
+	// LocalCell is what this relay knows of its own cell; it comes on each change, and about once a
+	// second for the figures.
 	LocalCell struct {
 		Voters   []Voter // of the view, in its order
 		Members  int     // of the view
@@ -107,10 +107,10 @@
 // The changes.
 const (
 	RepresentativeChanged Change = iota + 1 // a cell has another representative
-	// no summary of a cell has come for UnknownAfterRounds rounds; its last figures stand
+	// CellLost: no summary of a cell has come for UnknownAfterRounds rounds; its last figures stand.
 	CellLost
 	CellKnown // a summary of a cell has come for the first time, or again
-	// a cell has another table under the number of this cell's plan: what it says of the plan does not count
+	// PlanMismatch: a cell has another table under the number of this cell's plan, and does not count.
 	PlanMismatch
 	PlanActivated // every cell is known to have joined the plan
 )
@@ -124,6 +124,7 @@
 	PlanActivated:         "plan opened",
 }
 
+// String is the text of logs and reports.
 func (c Change) String() string {
 	if int(c) < len(changeTexts) {
 		return changeTexts[c]
--- a/internal/fleet/duration/duration.go
+++ b/internal/fleet/duration/duration.go
@@ -1,5 +1,5 @@
-// Package duration has the arithmetic of time that the fleet's deciders share: durations times a factor, and milliseconds at the edge
-// to messages and reports.
+// Package duration has the arithmetic of time that the fleet's deciders share: durations times a factor,
+// and milliseconds at the edge to messages and reports.
 package duration
 
 import (
@@ -13,7 +13,8 @@
 // Forever is an instant after all others.
 const Forever = time.Duration(math.MaxInt64)
 
-// Scale multiplies a duration by a factor, to the nearest nanosecond; what a Duration cannot hold becomes Never or Forever.
+// Scale multiplies a duration by a factor, to the nearest nanosecond; what a Duration cannot hold becomes
+// Never or Forever.
 func Scale(d time.Duration, factor float64) time.Duration {
 	scaled := math.Round(float64(d) * factor)
 	switch {
@@ -28,7 +29,8 @@
 // Millis is a duration in milliseconds, as messages and reports have it.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// FromMillis is the way back from Millis, to the nearest nanosecond. What is out of all reason is cut to 36 years, so that sums of a few don't overflow.
+// FromMillis is the way back from Millis, to the nearest nanosecond. What is out of all reason is cut to
+// 36 years, so that sums of a few don't overflow.
 func FromMillis(ms float64) time.Duration {
 	const most = 1 << 60
 	return time.Duration(math.Round(min(max(ms*float64(time.Millisecond), -most), most)))
--- a/internal/fleet/membership/acceptor.go
+++ b/internal/fleet/membership/acceptor.go
@@ -113,6 +113,7 @@
 	n.send(from, Message{Kind: Accepted, Epoch: m.Epoch, Ballot: m.Ballot, To: m.From})
 }
 
+// rejectBallot answers that a higher ballot is promised.
 func (n *Node) rejectBallot(from string, m Message) {
 	n.send(from, Message{Kind: Reject, Epoch: m.Epoch, Ballot: n.record.Promised, To: m.From})
 }
--- a/internal/fleet/membership/allocation.go
+++ b/internal/fleet/membership/allocation.go
@@ -16,16 +16,16 @@
 	// Activated says that every cell had joined the plan: the parts are the plan's in full. While it is not,
 	// they are the lesser of this plan's and those before.
 	Activated bool   `cbor:"3,keyasint,omitempty"`
-	Near      uint64 `cbor:"4,keyasint,omitempty"` // of Whole, for servers in NearZones
-	Far       uint64 `cbor:"5,keyasint,omitempty"` // of Whole, for all others; never over Near
+	Near      uint64 `cbor:"4,keyasint,omitempty"` // of FullBudget, for servers in NearZones
+	Far       uint64 `cbor:"5,keyasint,omitempty"` // of FullBudget, for all others; never over Near
 	// NearZones and Cells are in order. Cells are all that may hold a part by this plan or by the one before.
 	NearZones []string `cbor:"6,keyasint,omitempty"`
 	Cells     []string `cbor:"7,keyasint,omitempty"`
 	// LeaseMillis is the time of a lease in ms, 0 for LeaseDuration. It is the same in all views of
 	// a chain: what a holder trusts and what the others wait must be one number.
 	LeaseMillis uint32 `cbor:"8,keyasint,omitempty"`
-	// Bootstrapped says that the cell was bootstrapped by this plan, which is not the first: it has come from no
-	// earlier one, and cannot know which cells hold a part by that.
+	// Bootstrapped says that the cell was bootstrapped by this plan, which is not the first: it has come
+	// from no earlier one, and cannot know which cells hold a part by that.
 	Bootstrapped bool `cbor:"9,keyasint,omitempty"`
 }
 
@@ -143,7 +143,7 @@
 func (a *Allocation) part(zone string) uint64 {
 	switch {
 	case a == nil:
-		return Whole
+		return FullBudget
 	case slices.Contains(a.NearZones, zone):
 		return a.Near
 	}
@@ -157,7 +157,7 @@
 		return share, share
 	}
 	of := func(part uint64) float64 {
-		return fraction(cellplan.Portion(uint64(share*float64(Whole)), part, Whole))
+		return fraction(cellplan.Portion(uint64(share*float64(FullBudget)), part, FullBudget))
 	}
 	return of(a.Near), of(a.Far)
 }
@@ -188,7 +188,7 @@
 	if a.LeaseMillis != 0 && (a.LeaseMillis < minLeaseMillis || a.LeaseMillis > maxLeaseMillis) {
 		return false
 	}
-	return a.Plan > 0 && a.Near >= a.Far && a.Near <= Whole &&
+	return a.Plan > 0 && a.Near >= a.Far && a.Near <= FullBudget &&
 		validNames(a.NearZones, maxZones) && validNames(a.Cells, maxCells)
 }
 
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -24,7 +24,7 @@
 		"as it is":              {func(*Allocation) {}, true},
 		"no plan":               {func(a *Allocation) { a.Plan = 0 }, false},
 		"near under far":        {func(a *Allocation) { a.Near, a.Far = 1, 2 }, false},
-		"over the whole":        {func(a *Allocation) { a.Near = Whole + 1 }, false},
+		"over the whole":        {func(a *Allocation) { a.Near = FullBudget + 1 }, false},
 		"zones out of order":    {func(a *Allocation) { a.NearZones = []string{"b", "a"} }, false},
 		"a zone twice":          {func(a *Allocation) { a.NearZones = []string{"a", "a"} }, false},
 		"a cell with no name":   {func(a *Allocation) { a.Cells = []string{""} }, false},
@@ -64,7 +64,8 @@
 		activated.Far != far || len(activated.Cells) != 2 {
 		t.Errorf("activated as %+v", activated)
 	}
-	if flat := (*Allocation)(nil).joined(twoCells(2, 3, 1), "east"); flat.Plan != 2 || flat.Near >= Whole ||
+	if flat := (*Allocation)(nil).joined(twoCells(2, 3, 1), "east"); flat.Plan != 2 ||
+		flat.Near >= FullBudget ||
 		flat.Activated {
 		t.Errorf("a flat fleet enters as %+v", flat)
 	}
@@ -96,12 +97,13 @@
 	now := node.clock(w.now)
 	node.subject.cfg.ConfiguredRelays = 9
 	e := node.subject.Estimate(now)
-	if e.Relays != 9 || e.OtherRequestRate != -1 || e.OtherConnections != -1 || e.Plan != 1 || !e.PlanActivated {
+	if e.Relays != 9 || e.OtherRequestRate != -1 || e.OtherConnections != -1 || e.Plan != 1 ||
+		!e.PlanActivated {
 		t.Errorf("with nothing known of the others: %+v", e)
 	}
 	near, far, _ := twoCells(1, 3, 1).Parts("east")
-	if math.Abs(e.BudgetShare*3-float64(near)/float64(Whole)) > 1e-9 ||
-		math.Abs(e.FarBudgetShare*3-float64(far)/float64(Whole)) > 1e-9 || e.NearZones[0] != "east-1" {
+	if math.Abs(e.BudgetShare*3-float64(near)/float64(FullBudget)) > 1e-9 ||
+		math.Abs(e.FarBudgetShare*3-float64(far)/float64(FullBudget)) > 1e-9 || e.NearZones[0] != "east-1" {
 		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.BudgetShare,
 			e.FarBudgetShare)
 	}
@@ -192,7 +194,8 @@
 	}
 	w.feed(1, PlanActivated{Plan: 2, Hash: a.PlanHash})
 	w.run(3000)
-	if got := w.nodes[2].subject.View().Allocation; !got.Activated || w.nodes[2].subject.ActivatedPlan() != 2 {
+	if got := w.nodes[2].subject.View().Allocation; !got.Activated ||
+		w.nodes[2].subject.ActivatedPlan() != 2 {
 		t.Errorf("not open: %+v", got)
 	}
 }
--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -40,8 +40,9 @@
 				first = 120
 			}
 			for seed := first; seed < 1500; seed++ {
-				if f := playSmall(seed, without); f.maxSum > Whole {
-					t.Logf("without %s all cells take %.3f at seed %d", what, float64(f.maxSum)/float64(Whole), seed)
+				if f := playSmall(seed, without); f.maxSum > FullBudget {
+					t.Logf("without %s all cells take %.3f at seed %d", what,
+						float64(f.maxSum)/float64(FullBudget), seed)
 					return
 				}
 			}
--- a/internal/fleet/membership/chain.go
+++ b/internal/fleet/membership/chain.go
@@ -40,6 +40,7 @@
 	n.publish(true)
 }
 
+// holdView makes a view the one held, in the record too.
 func (n *Node) holdView(v *View) {
 	n.view, n.record.View, n.viewHash = v, v, v.Hash()
 }
--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -7,10 +7,11 @@
 	Phase  Phase
 	Epoch  uint64 // of the view held
 	Relays int    // that are there, this one too
-	// BudgetShare is this relay's part of a fleet-wide budget, 0 to 1; where there are cells, of the budget of
-	// a server in NearZones.
+	// BudgetShare is this relay's part of a fleet-wide budget, 0 to 1; where there are cells, of the
+	// budget of a server in NearZones.
 	BudgetShare float64
-	// FarBudgetShare is its part of the budget of a server outside NearZones. Without cells it is BudgetShare.
+	// FarBudgetShare is its part of the budget of a server outside NearZones. Without cells it is
+	// BudgetShare.
 	FarBudgetShare float64
 	NearZones      []string // nil without cells: everywhere
 	// ShareValidUntil is when the shares expire unless they are renewed; duration.Forever if they need no
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -79,6 +79,7 @@
 	ChangeView: "view", ChangePhase: "phase", ChangePeer: "peer", ChangePlan: "plan",
 }
 
+// String is the text of logs and reports.
 func (c ChangeKind) String() string { return textOf(changeTexts[:], uint8(c)) }
 
 // Action is something a Node wants done, in the order in which it is given: what follows a Save that
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -287,7 +287,8 @@
 // newCells starts those that the newest plan names and that are not there yet, under that plan.
 func (f *federation) newCells(relays int) {
 	for _, c := range f.plan.Cells {
-		if c.Relays > 0 && !slices.ContainsFunc(f.cells, func(w *cellWorld) bool { return w.name == c.Name }) {
+		if c.Relays > 0 && !slices.ContainsFunc(f.cells,
+			func(w *cellWorld) bool { return w.name == c.Name }) {
 			w := f.addCell(c.Name, c.Region, relays, f.plan)
 			for i := range w.nodes {
 				w.start(i)
@@ -351,7 +352,8 @@
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
 		if a := c.nodes[0].subject.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
-			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a, c.nodes[0].subject.plans.file.Number,
+			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a,
+				c.nodes[0].subject.plans.file.Number,
 				f.plan.Number, c.nodes[0].subject.PlanPending())
 		}
 	}
@@ -359,7 +361,7 @@
 }
 
 func (f *federation) exceeds() error {
-	if f.maxSum <= Whole {
+	if f.maxSum <= FullBudget {
 		return nil
 	}
 	var state strings.Builder
@@ -372,7 +374,7 @@
 			}
 		}
 	}
-	return fmt.Errorf("in zone %s all cells took %.6f%s", f.maxSumZone, float64(f.maxSum)/float64(Whole),
+	return fmt.Errorf("in zone %s all cells took %.6f%s", f.maxSumZone, float64(f.maxSum)/float64(FullBudget),
 		state.String())
 }
 
--- a/internal/fleet/membership/flat_test.go
+++ b/internal/fleet/membership/flat_test.go
@@ -12,8 +12,8 @@
 func flatView() *View {
 	return &View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{4}, Voters: []string{"r1", "r2"},
 		Entries: []Member{
-			{Name: "r1", In: true, BudgetShare: Whole / 4, OutstandingLimit: Whole / 5},
-			{Name: "r2", In: true, Idle: true}, {Name: "r3", OutstandingLimit: Whole / 8}}}
+			{Name: "r1", In: true, BudgetShare: FullBudget / 4, OutstandingLimit: FullBudget / 5},
+			{Name: "r2", In: true, Idle: true}, {Name: "r3", OutstandingLimit: FullBudget / 8}}}
 }
 
 // What a relay of a fleet without cells says and keeps is to the byte what it was before there were
--- a/internal/fleet/membership/formation_test.go
+++ b/internal/fleet/membership/formation_test.go
@@ -49,7 +49,8 @@
 	n := New(0, Config{Name: "me", BootstrapSize: 3, ConfiguredRelays: 3}, Record{})
 	asked := func(from, to time.Duration, list int64) (count int) {
 		for now := from; now < to; now += 100 * time.Millisecond {
-			for _, a := range n.Handle(now, LocalState{Lifecycle: Serving, EndpointListGeneration: list}, nil) {
+			for _, a := range n.Handle(now, LocalState{Lifecycle: Serving, EndpointListGeneration: list},
+				nil) {
 				if _, ok := a.(RefreshEndpointList); ok {
 					count++
 				}
--- a/internal/fleet/membership/interleaving_test.go
+++ b/internal/fleet/membership/interleaving_test.go
@@ -53,13 +53,15 @@
 		case Send:
 			for j, m := range l.nodes {
 				if m.cfg.Name == a.To {
-					l.wires = append(l.wires, packet{0, i, j, MessageReceived{From: n.cfg.Name, Message: a.Message}})
+					l.wires = append(l.wires, packet{0, i, j,
+						MessageReceived{From: n.cfg.Name, Message: a.Message}})
 				}
 			}
 		case Publish:
 			for j := range l.nodes {
 				if j != i {
-					l.wires = append(l.wires, packet{0, i, j, StatusReceived{Name: n.cfg.Name, Status: a.Status}})
+					l.wires = append(l.wires, packet{0, i, j,
+						StatusReceived{Name: n.cfg.Name, Status: a.Status}})
 				}
 			}
 		}
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -87,7 +87,8 @@
 
 // renewLease asks the voters to renew the lease, where that is due.
 func (n *Node) renewLease() {
-	if n.view.Epoch == 0 || !n.view.Member(n.cfg.Name).In || n.now < n.lease.nextRenewalAt || n.storageFailed {
+	if n.view.Epoch == 0 || !n.view.Member(n.cfg.Name).In || n.now < n.lease.nextRenewalAt ||
+		n.storageFailed {
 		return
 	}
 	n.lease.nextRenewalAt = n.now + duration.Scale(RenewInterval, n.leaseScale())
@@ -134,7 +135,8 @@
 	released := n.record.SlotReleased && n.safeguards.releasesSlots
 	switch {
 	case !released && slices.Contains(n.view.UnreleasedSlots, n.slot.number):
-		return fraction(n.view.slotShare()), duration.Forever, "its slot's, by the configured number of relays"
+		return fraction(n.view.slotShare()), duration.Forever,
+			"its slot's, by the configured number of relays"
 	case !n.record.SlotReleased:
 		return 0, duration.Forever, "none: it has no slot, and no view grants it a share"
 	case !member.In:
--- a/internal/fleet/membership/lease_test.go
+++ b/internal/fleet/membership/lease_test.go
@@ -31,7 +31,8 @@
 			t.Errorf("valid after %d voters", len(l.renewalSentAt))
 		}
 		if step.want > 0 && (!l.valid(step.want-1) || l.valid(step.want)) {
-			t.Errorf("after %s at %v valid until %v, want %v", step.voter, step.sentAt, l.validUntil, step.want)
+			t.Errorf("after %s at %v valid until %v, want %v", step.voter, step.sentAt, l.validUntil,
+				step.want)
 		}
 	}
 }
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -6,6 +6,7 @@
 	Name  string `cbor:"2,keyasint"`
 }
 
+// less tells whether a ballot is lower than another.
 func (b Ballot) less(c Ballot) bool {
 	return b.Round < c.Round || b.Round == c.Round && b.Name < c.Name
 }
@@ -19,7 +20,8 @@
 	Promised       Ballot `cbor:"3,keyasint"`
 	AcceptedBallot Ballot `cbor:"4,keyasint"`
 	Accepted       *View  `cbor:"5,keyasint,omitempty"` // the view after the one held
-	View           *View  `cbor:"6,keyasint,omitempty"` // the newest that is known to be chosen; nil for view 0
+	// View is the newest that is known to be chosen; nil for view 0.
+	View *View `cbor:"6,keyasint,omitempty"`
 }
 
 // promise notes that nothing by a lower ballot is accepted any more; it tells whether the ballot is not
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -178,9 +178,9 @@
 	return len(n.Entries) < len(v.Entries)
 }
 
-// next makes the view that follows. The sum of maxShare over all entries and of the slots not released stays
-// within Whole: what any relay may take by this view or an earlier one is its outstanding limit there, and
-// shares beyond these limits are given only from what no limit holds.
+// next makes the view that follows. The sum of maxShare over all entries and of the slots not released
+// stays within FullBudget: what any relay may take by this view or an earlier one is its outstanding
+// limit there, and shares beyond these limits are given only from what no limit holds.
 func (v *View) next(request viewRequest) *View {
 	released := func(slot int) bool { return slices.Contains(request.releasedSlots, slot) }
 	n := &View{
@@ -220,7 +220,7 @@
 // divide gives each member that serves its share: up to its outstanding limit at once, beyond that from
 // what no limit holds.
 func (v *View) divide() {
-	target, free := v.targetShare(), Whole-v.unreleasedShare()
+	target, free := v.targetShare(), FullBudget-v.unreleasedShare()
 	for _, m := range v.Entries {
 		free -= m.OutstandingLimit
 	}
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -26,6 +26,7 @@
 	Unknown: "unheard", Alive: "alive", Suspected: "suspected", Failed: "failed", Left: "left",
 }
 
+// String is the text of logs and reports.
 func (h Health) String() string {
 	return textOf(healthTexts[:], uint8(h))
 }
--- a/internal/fleet/membership/peers_test.go
+++ b/internal/fleet/membership/peers_test.go
@@ -17,7 +17,8 @@
 			t.Errorf("%s has two entries, or a status: %+v", p.Name, p)
 		}
 	}
-	inOrder := slices.IsSortedFunc(table.sorted, func(a, b *Peer) int { return strings.Compare(a.Name, b.Name) })
+	inOrder := slices.IsSortedFunc(table.sorted,
+		func(a, b *Peer) int { return strings.Compare(a.Name, b.Name) })
 	if len(table.sorted) != 19 || !inOrder || slices.Contains(table.sorted, table.byName[name(5)]) {
 		t.Errorf("%d peers, in order %v", len(table.sorted), inOrder)
 	}
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -25,6 +25,7 @@
 	PhaseCutOff:   "cut off",
 }
 
+// String is the text of logs and reports.
 func (p Phase) String() string {
 	return textOf(phaseTexts[:], uint8(p))
 }
--- a/internal/fleet/membership/planstate.go
+++ b/internal/fleet/membership/planstate.go
@@ -87,4 +87,5 @@
 	PendingView:       "no view is agreed",
 }
 
+// String is the text of logs and reports.
 func (r PlanPendingReason) String() string { return textOf(planPendingTexts[:], uint8(r)) }
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -11,14 +11,15 @@
 
 // Report is what is known of the fleet at one relay, for operators.
 type Report struct {
-	Relay            string            `json:"relay"`
-	Site             string            `json:"site"`
-	Phase            string            `json:"phase"`
-	Epoch            uint64            `json:"epoch"`
-	Hash             string            `json:"hash"`
-	AgreedMs         float64           `json:"agreed_ms"` // since the view was agreed last, negative for never
-	Relays           int               `json:"relays"`    // that this relay reckons with
-	BudgetShare      float64           `json:"share"`     // of a budget of the fleet
+	Relay string `json:"relay"`
+	Site  string `json:"site"`
+	Phase string `json:"phase"`
+	Epoch uint64 `json:"epoch"`
+	Hash  string `json:"hash"`
+	// AgreedMs is since the view was agreed last, negative for never.
+	AgreedMs         float64           `json:"agreed_ms"`
+	Relays           int               `json:"relays"` // that this relay reckons with
+	BudgetShare      float64           `json:"share"`  // of a budget of the fleet
 	ShareReason      string            `json:"why"`
 	OtherRequestRate float64           `json:"others_per_s"` // requests at the others, negative if not known
 	UnreleasedSlots  int               `json:"unclaimed"`    // slots that their owners keep
@@ -107,7 +108,8 @@
 	for _, m := range n.view.Entries {
 		if n.peers.byName[m.Name] == nil && m.Name != n.cfg.Name {
 			row := n.memberReport(m.Name, Status{BootstrapSlot: -1})
-			row.State, row.Source, row.SinceMs = Unknown.String(), "the view", duration.Millis(now-n.startedAt)
+			row.State, row.Source, row.SinceMs = Unknown.String(), "the view",
+				duration.Millis(now-n.startedAt)
 			report.Members = append(report.Members, row)
 		}
 	}
--- a/internal/fleet/membership/safeguards.go
+++ b/internal/fleet/membership/safeguards.go
@@ -29,6 +29,7 @@
 	checksVersions bool
 }
 
+// allSafeguards are those of every Node outside of tests.
 func allSafeguards() safeguards {
 	return safeguards{
 		jointViews: true, releasesSlots: true,
--- a/internal/fleet/membership/slot_test.go
+++ b/internal/fleet/membership/slot_test.go
@@ -11,7 +11,7 @@
 	n := New(0, Config{Name: "r3", BootstrapSlot: 3, BootstrapSize: 4, ConfiguredRelays: 4}, Record{})
 	n.Start(0, nil)
 	view := &View{Epoch: 1, BootstrapSize: 2, Voters: []string{"r0"},
-		Entries: []Member{{Name: "r0", In: true, BudgetShare: Whole}}}
+		Entries: []Member{{Name: "r0", In: true, BudgetShare: FullBudget}}}
 	if err := view.Check(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -30,6 +30,7 @@
 	Starting: "starting", Serving: "serving", Draining: "draining", Leaving: "leaving",
 }
 
+// String is the text of logs and reports.
 func (d Lifecycle) String() string {
 	return textOf(lifecycleTexts[:], uint8(d))
 }
--- a/internal/fleet/membership/timing.go
+++ b/internal/fleet/membership/timing.go
@@ -4,8 +4,8 @@
 
 // Timing is how often a relay says what it says again. The zero Timing is the flat fleet's.
 type Timing struct {
-	// LeaseDuration is for the bootstrap of a cell: the chain keeps it in its views, and all its relays act by
-	// that. Renewals come a quarter of it apart.
+	// LeaseDuration is for the bootstrap of a cell: the chain keeps it in its views, and all its relays
+	// act by that. Renewals come a quarter of it apart.
 	LeaseDuration time.Duration
 	// StatusInterval is the least time between two statuses that differ in figures only.
 	StatusInterval time.Duration
--- a/internal/fleet/membership/trace_test.go
+++ b/internal/fleet/membership/trace_test.go
@@ -6,8 +6,8 @@
 	"capersail/internal/testing/trace"
 )
 
-// record takes an action down, with the share that its relay has at that moment. Times on a clock are left out, as their
-// representation may change; that they are the same shows in when actions come.
+// record takes an action down, with the share that its relay has at that moment. Times on a clock are
+// left out, as their representation may change; that they are the same shows in when actions come.
 func record(t *trace.Trace, relay int, share float64, a Action) {
 	t.Action(relay, share)
 	switch a := a.(type) {
@@ -16,11 +16,13 @@
 		t.Put("save", r.Incarnation, r.SlotReleased, r.Promised, r.AcceptedBallot, viewHash(r.Accepted),
 			viewHash(r.View))
 	case Send:
-		t.Put("send", a.To, uint8(a.Kind), a.Epoch, a.Message.To, a.Ballot, a.AcceptedBallot, viewHash(a.View),
+		t.Put("send", a.To, uint8(a.Kind), a.Epoch, a.Message.To, a.Ballot, a.AcceptedBallot,
+			viewHash(a.View),
 			a.Unavailable, a.From, a.BootstrapSlot, a.Plan)
 	case Publish:
 		s := a.Status
-		t.Put("publish", s.Version, s.Incarnation, uint8(s.Lifecycle), s.Zone, s.RequestRate, s.OpenConnections,
+		t.Put("publish", s.Version, s.Incarnation, uint8(s.Lifecycle), s.Zone, s.RequestRate,
+			s.OpenConnections,
 			s.EndpointListGeneration, s.Epoch, s.Hash)
 		t.Put(s.BootstrapSize, s.BootstrapSlot, s.SlotReleased, s.Seq, s.DrainRate, s.ActivatedPlan)
 	case Changed:
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -11,8 +11,9 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// Whole is a fleet-wide budget, in the units that shares are counted in: whole numbers add up without error.
-const Whole = cellplan.Whole
+// FullBudget is a fleet-wide budget, in the units that shares are counted in: whole numbers add up
+// without error.
+const FullBudget = cellplan.FullBudget
 
 // MaxVoters is how many members of a view vote at most: three of seven may fail at once, and a renewal
 // costs each member seven packets, however large the fleet.
@@ -23,8 +24,8 @@
 	Name string `cbor:"1,keyasint"`
 	// In says that it is a member; else it has gone, and only its outstanding limit is left.
 	In bool `cbor:"2,keyasint,omitempty"`
-	// BudgetShare is what it takes by this view, OutstandingLimit the most that it may take by any view that may
-	// still be acted on; both of Whole.
+	// BudgetShare is what it takes by this view, OutstandingLimit the most that it may take by any view
+	// that may still be acted on; both of FullBudget.
 	BudgetShare      uint64 `cbor:"3,keyasint,omitempty"`
 	OutstandingLimit uint64 `cbor:"4,keyasint,omitempty"`
 	// Idle says that it drains by hand: a member that is due no share.
@@ -62,10 +63,10 @@
 func slotVoterName(slot int) string { return "\x00" + strconv.Itoa(slot) }
 
 // slotShare is the share of a slot.
-func (v *View) slotShare() uint64 { return Whole / uint64(v.BootstrapSize) }
+func (v *View) slotShare() uint64 { return FullBudget / uint64(v.BootstrapSize) }
 
-// fraction is an amount in units of Whole as a part of it, 0 to 1.
-func fraction(amount uint64) float64 { return float64(amount) / float64(Whole) }
+// fraction is an amount in units of FullBudget as a part of it, 0 to 1.
+func fraction(amount uint64) float64 { return float64(amount) / float64(FullBudget) }
 
 // Member returns a relay's entry; the zero one if it has none.
 func (v *View) Member(name string) Member {
@@ -75,6 +76,7 @@
 	return Member{}
 }
 
+// find is where a relay's entry is, or would be.
 func (v *View) find(name string) (int, bool) {
 	byName := func(m Member, name string) int { return strings.Compare(m.Name, name) }
 	return slices.BinarySearchFunc(v.Entries, name, byName)
@@ -112,7 +114,7 @@
 
 // targetShare is the share that each member that serves is due.
 func (v *View) targetShare() uint64 {
-	return (Whole - v.unreleasedShare()) / uint64(max(v.Serving(), 1))
+	return (FullBudget - v.unreleasedShare()) / uint64(max(v.Serving(), 1))
 }
 
 // Settled tells whether every share is at its target.
@@ -173,6 +175,7 @@
 	return string(b)
 }
 
+// appendUint appends a number's digits.
 func appendUint(b []byte, n uint64) []byte {
 	if n >= 10 {
 		b = appendUint(b, n/10)
@@ -227,14 +230,14 @@
 	return true
 }
 
-// validEntries tells whether the entries are in order, and what all relays may take is within Whole.
+// validEntries tells whether the entries are in order, and what all relays may take is within FullBudget.
 func (v *View) validEntries() bool {
 	sum := v.unreleasedShare()
 	for i, m := range v.Entries {
-		if m.Name == "" || i > 0 && v.Entries[i-1].Name >= m.Name || m.maxShare() > Whole {
+		if m.Name == "" || i > 0 && v.Entries[i-1].Name >= m.Name || m.maxShare() > FullBudget {
 			return false
 		}
-		if sum += m.maxShare(); sum > Whole {
+		if sum += m.maxShare(); sum > FullBudget {
 			return false
 		}
 	}
--- a/internal/fleet/membership/world_test.go
+++ b/internal/fleet/membership/world_test.go
@@ -72,13 +72,15 @@
 func name(i int) string { return fmt.Sprintf("r%02d", i) }
 
 func newWorld(n, bootstrapSize int, seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), partitioned: map[[2]int]bool{}, maxDelay: 20, tickLead: 10}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), partitioned: map[[2]int]bool{}, maxDelay: 20,
+		tickLead: 10}
 	for i := range n {
 		rate := 1 + MaxClockDrift*(2*w.rng.Float64()-1)
 		if seed%2 == 0 { // as far apart as may be
 			rate = 1 + MaxClockDrift*float64(2*w.rng.IntN(2)-1)
 		}
-		w.nodes = append(w.nodes, &node{cfg: Config{Name: name(i), BootstrapSlot: i, BootstrapSize: bootstrapSize,
+		w.nodes = append(w.nodes, &node{cfg: Config{Name: name(i), BootstrapSlot: i,
+			BootstrapSize:    bootstrapSize,
 			ConfiguredRelays: bootstrapSize, Seed: seed + uint64(i)},
 			clockRate: rate, clockOffset: 1000 * w.rng.Float64()})
 	}
@@ -243,10 +245,11 @@
 	return share
 }
 
-// countedUnitsIn is the most that may take effect now at servers of a zone, in units of Whole.
+// countedUnitsIn is the most that may take effect now at servers of a zone, in units of FullBudget.
 func (n *node) countedUnitsIn(zone string) (units uint64) {
 	for _, l := range n.uses {
-		units = max(units, cellplan.Portion(uint64(l.share*float64(Whole)), l.allocation.part(zone), Whole))
+		units = max(units, cellplan.Portion(uint64(l.share*float64(FullBudget)), l.allocation.part(zone),
+			FullBudget))
 	}
 	return units
 }
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -73,7 +73,8 @@
 		other := Assign(rapid.Permutation(rs).Draw(r, "order"), ss)
 		for i := range ss {
 			if !slices.Equal(table.Probers(i), other.Probers(i)) {
-				r.Errorf("the order of names changes who probes a server: %v, %v", table.Probers(i), other.Probers(i))
+				r.Errorf("the order of names changes who probes a server: %v, %v", table.Probers(i),
+					other.Probers(i))
 			}
 		}
 	})
@@ -117,7 +118,8 @@
 		// What was probed by the one that goes must move, and about as much again may.
 		fair := ProbersPerServer * size[1] / size[0]
 		if n := moved(Assign(rs[1:], ss), ss, rs[0].Name); n > 3*fair+6 {
-			t.Errorf("%v: without one relay %d assignments move that were others', of %d; its own are %d", size, n,
+			t.Errorf("%v: without one relay %d assignments move that were others', of %d; its own are %d",
+				size, n,
 				ProbersPerServer*size[1], fair)
 		}
 		if n := moved(Assign(rs, ss[:len(ss)-1]), ss[:len(ss)-1], ""); n > 3*ProbersPerServer+6 {
--- a/internal/fleet/probing/placements_test.go
+++ b/internal/fleet/probing/placements_test.go
@@ -38,7 +38,8 @@
 	at, shared := map[string]int{}, 0
 	for i, r := range rs {
 		schedulers[i], got[i], at[r.Name] = New(r.Name, uint64(i)), make([]int, len(ss)), i
-		schedulers[i].Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: table},
+		schedulers[i].Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss,
+			Assignment: table},
 			nil)
 	}
 	var act func(i int, now time.Duration, acts []Action)
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -130,7 +130,8 @@
 		case SendPlacements:
 			for to, r := range c.relays {
 				if r.Name == a.To && c.rng.Float64() >= c.loss {
-					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, nil, a.Rows})
+					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, nil,
+						a.Rows})
 				}
 			}
 		case Probe:
@@ -145,7 +146,8 @@
 		case SendReadings:
 			for to, r := range c.relays {
 				if r.Name == a.To && c.rng.Float64() >= c.loss && (c.cut == nil || !c.cut(i, to)) {
-					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, a.Readings, nil})
+					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to,
+						a.Readings, nil})
 				}
 			}
 		case UseReading:
@@ -206,7 +208,8 @@
 				t.Errorf("%d relays: %.2f probes a second at one server", relays, most)
 			}
 			if relays > 2 && missing > 0.01 {
-				t.Errorf("%d relays, %.0f%% lost: without a reading %.3f of the time", relays, 100*loss, missing)
+				t.Errorf("%d relays, %.0f%% lost: without a reading %.3f of the time", relays, 100*loss,
+					missing)
 			}
 			if c.maxUsedAge > duration.Millis(MaxReadingAge) {
 				t.Errorf("believed at an age of %.0f ms", c.maxUsedAge)
@@ -269,7 +272,8 @@
 		{UnknownOrigin, func(r *Reading) { r.ServerKey++ }},
 	} {
 		k := New("r0", 1)
-		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
+		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss,
+			Assignment: Assign(rs, ss)}, nil)
 		r := good
 		c.change(&r)
 		if acts := k.Handle(time.Second, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 ||
@@ -320,11 +324,13 @@
 				}
 				for _, row := range r.Servers {
 					if math.Abs(row.Load-c.loads[row.ServerKey]) > 0.6 {
-						t.Errorf("r%d believes %.2f of a server that stands at %.2f", i, row.Load, c.loads[row.ServerKey])
+						t.Errorf("r%d believes %.2f of a server that stands at %.2f", i, row.Load,
+							c.loads[row.ServerKey])
 					}
 				}
 				if left := r.Dropped[string(TooOld)]; left > r.Received/50 {
-					t.Errorf("clocks %v apart: r%d left %d readings out as too old, took %d", 2*drift, i, left, r.Received)
+					t.Errorf("clocks %v apart: r%d left %d readings out as too old, took %d", 2*drift, i,
+						left, r.Received)
 				}
 			}
 		}
--- a/internal/fleet/probing/trace_test.go
+++ b/internal/fleet/probing/trace_test.go
@@ -6,8 +6,8 @@
 	"capersail/internal/testing/trace"
 )
 
-// record takes an action down. Times on a clock are left out, as their representation may change; that they are the same
-// shows in when actions come.
+// record takes an action down. Times on a clock are left out, as their representation may change; that
+// they are the same shows in when actions come.
 func record(t *trace.Trace, relay int, a Action) {
 	t.Action(relay)
 	reading := func(r Reading) { t.Put(r.ServerKey, r.Started, r.Origin, r.Incarnation, r.LoadReport) }
--- a/internal/simulation/model/client.go
+++ b/internal/simulation/model/client.go
@@ -57,8 +57,10 @@
 		}
 		r, s := f.Relays[i%len(f.Relays)], f.Servers[at]
 		f.lastID++
-		c := &client{relay: r, server: s, endsAt: f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)),
-			req: decide.Request{ID: f.lastID, Key: f.rng.Uint64() | 1, TimeLeft: time.Hour, Group: uint64(group)}}
+		c := &client{relay: r, server: s,
+			endsAt: f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)),
+			req: decide.Request{ID: f.lastID, Key: f.rng.Uint64() | 1, TimeLeft: time.Hour,
+				Group: uint64(group)}}
 		f.requests[c.req.ID], s.connections[c], s.idleSince = c, true, -1
 		r.connections++
 		f.deliver(r, r.incarnation, decide.Inherited{Request: c.req, Server: s.Server})
@@ -66,6 +68,7 @@
 	}
 }
 
+// openRequest brings a client to a relay that is up, now or as soon as there is one.
 func (f *Fleet) openRequest(c *client) {
 	r := f.pickRelay()
 	if r == nil {
--- a/internal/simulation/model/cold_test.go
+++ b/internal/simulation/model/cold_test.go
@@ -22,12 +22,16 @@
 				var spent []float64
 				sends, allowed := 0, 0
 				for seed := range uint64(12) {
-					f := fleet(t, Config{Seed: seed, Relays: relays, Servers: 12, Connections: conns, Utilisation: 0.45,
-						GroupWork: groups})
+					f := fleet(t, Config{Seed: seed, Relays: relays, Servers: 12, Connections: conns,
+						Utilisation: 0.45,
+						GroupWork:   groups})
 					f.Begin()
 					f.Advance(9 * time.Second)
 					for i := range 6 {
-						f.After(time.Duration(i)*time.Second, func() { f.Replace(f.Servers[i], 3*time.Second) })
+						f.After(time.Duration(i)*time.Second, func() {
+							f.Replace(f.Servers[i],
+								3*time.Second)
+						})
 					}
 					f.Advance(4500 * ms) // two are replaced, and cold
 					most := f.Relays[:(relays*7+9)/10]
@@ -53,7 +57,8 @@
 				t.Logf("%3d relays, %d connections, groups %v: of what makes a cold server fall %.2f in half of the plays, %.2f at most; %d of %d new ones in use",
 					relays, conns, groups, spent[len(spent)/2], spent[len(spent)-1], sends, allowed)
 				if spent[len(spent)-1] > 1 || sends*2 < allowed {
-					t.Errorf("%d relays, %d connections, groups %v: %.2f of it; %d of %d in use", relays, conns, groups,
+					t.Errorf("%d relays, %d connections, groups %v: %.2f of it; %d of %d in use", relays,
+						conns, groups,
 						spent[len(spent)-1], sends, allowed)
 				}
 			}
--- a/internal/simulation/model/discovery.go
+++ b/internal/simulation/model/discovery.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// pollDiscovery queues a relay's call to discovery, which answers with the list in its turn or fails.
 func (f *Fleet) pollDiscovery(r *Relay) {
 	f.count("calls")
 	f.Tally.DiscoveryCalls = append(f.Tally.DiscoveryCalls, f.Now)
--- a/internal/simulation/model/figures_test.go
+++ b/internal/simulation/model/figures_test.go
@@ -53,7 +53,8 @@
 	for _, n := range sizes {
 		var each [2]float64
 		for i, talk := range []bool{true, false} {
-			f := fleet(t, Config{Seed: 3, Relays: n, Servers: 30, Connections: 3000, Utilisation: 0.5, Peering: talk})
+			f := fleet(t, Config{Seed: 3, Relays: n, Servers: 30, Connections: 3000, Utilisation: 0.5,
+				Peering: talk})
 			f.Begin()
 			if talk {
 				f.settle(t, 30*time.Second, "at first")
@@ -73,7 +74,8 @@
 		if err := cluster.Paint(path,
 			cluster.Panel{Title: "Probes a second at a server: 30 servers, 75 requests a second in all",
 				X: "relays", Y: "probes a second", LogX: true,
-				Names: []string{"looks by turns", "each for itself (as it stood)"}, Lines: lines}); err != nil {
+				Names: []string{"looks by turns", "each for itself (as it stood)"},
+				Lines: lines}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/simulation/model/many_test.go
+++ b/internal/simulation/model/many_test.go
@@ -177,7 +177,8 @@
 			load := f.fullest()
 			t.Logf(what+": afterwards %.2f of its fair part of what came to one server, %.2f of the mean load on one, %.2f probes a second at one; %d refused for want of room meanwhile; %v",
 				most, load, probes, through, &f.Tally)
-			if what == "calm" && most > 1.25 || load > 1.25 { // after a fault the ones that stand emptier get more
+			// after a fault the ones that stand emptier get more
+			if what == "calm" && most > 1.25 || load > 1.25 {
 				t.Errorf("one server got %.2f of its fair part, and stands at %.2f of the mean", most, load)
 			}
 			if probes > 2.3 {
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -14,7 +14,8 @@
 	loadInterval   = 100 * ms // loads are noted this often
 	reportInterval = 800 * ms // and reported this often
 	reportDelay    = 300 * ms // this late
-	// quotaPart is the part of all servers' capacity that the tenants' quotas add up to, as platforms have it.
+	// quotaPart is the part of all servers' capacity that the tenants' quotas add up to, as platforms
+	// have it.
 	quotaPart = 0.8
 	startTime = time.Hour // long ago is the beginning of the clock
 )
@@ -77,10 +78,12 @@
 		Fatal:          func(what string) { panic(what) },
 	}
 	f.settings = decide.Settings{
-		Relays: cfg.Relays, Zones: 3, MaxAttempts: 6, Probes: true, RetryAfter: true, MaxRetryAfter: 1500 * ms,
+		Relays: cfg.Relays, Zones: 3, MaxAttempts: 6, Probes: true, RetryAfter: true,
+		MaxRetryAfter:  1500 * ms,
 		ConnectTimeout: 150 * ms, Tick: 5 * ms, GroupAffinity: cfg.GroupWork, MustSubscribe: true,
 		Classes: []decide.ClassInfo{{
-			LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, MessageLatencyObjective: 50 * ms,
+			LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 1,
+			MessageLatencyObjective: 50 * ms,
 		}},
 		Tenants: []decide.TenantInfo{{ServiceShare: 0.5}, {ServiceShare: 0.5}},
 		Rules: decide.Rules{
--- a/internal/simulation/model/model_test.go
+++ b/internal/simulation/model/model_test.go
@@ -163,7 +163,8 @@
 	asks, refused = f.Tally.Counts["asks"], f.Tally.Counts["refused: no room"]
 	f.Tally.Overloaded, f.Tally.Served = 0, 0
 	f.Advance(6 * time.Second)
-	return f.Tally.Counts["asks"] - asks, f.Tally.Counts["refused: no room"] - refused, f.Tally.OverloadedPart()
+	return f.Tally.Counts["asks"] - asks, f.Tally.Counts["refused: no room"] - refused,
+		f.Tally.OverloadedPart()
 }
 
 // While a relay drains, the other takes what comes to both, and takes nobody else to see as much: it used
@@ -178,7 +179,8 @@
 		const seeds = 12
 		for seed := range uint64(seeds) {
 			for i, talks := range []bool{false, true} {
-				a, r, h := drainOf(t, Config{Seed: seed, Relays: 2, Servers: day.servers, Connections: day.conns,
+				a, r, h := drainOf(t, Config{Seed: seed, Relays: 2, Servers: day.servers,
+					Connections: day.conns,
 					Utilisation: day.part, GroupWork: true, Peering: talks})
 				asks[i], refused[i], hot[i] = asks[i]+a, refused[i]+r, hot[i]+h/seeds
 			}
--- a/internal/simulation/model/network.go
+++ b/internal/simulation/model/network.go
@@ -28,6 +28,7 @@
 	partition []int // of each relay; nil while nobody is cut off
 }
 
+// partitioned tells whether two relays are kept apart.
 func (n *network) partitioned(a, b *Relay) bool {
 	return n.partition != nil && n.partition[a.index] != n.partition[b.index]
 }
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -18,11 +18,12 @@
 	// Lies, if set, is what it tells of every server's load instead of what it read.
 	Lies *float64
 
-	fleet        *Fleet
-	index        int
-	balancer     *decide.Balancer
-	up           bool
-	incarnation  int               // it was started so many times; what was meant for an earlier life is dropped
+	fleet    *Fleet
+	index    int
+	balancer *decide.Balancer
+	up       bool
+	// it was started so many times; what was meant for an earlier life is dropped
+	incarnation  int
 	drainKnownAt []time.Duration   // by server: when it got to know that it drains, -1 if it does not
 	list         []decide.Endpoint // its list of servers
 	listChanges  int               // changes of it
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -40,6 +40,7 @@
 // Connections is how many connections it holds.
 func (s *Server) Connections() int { return len(s.connections) }
 
+// full tells whether a server holds as many connections as it can, probes' connections too.
 func (s *Server) full(now time.Duration) bool {
 	if s.MaxConnections == 0 {
 		return false
@@ -122,6 +123,7 @@
 	})
 }
 
+// slowStartFactor is the part of its capacity that a server has, by how long it has run.
 func (f *Fleet) slowStartFactor(s *Server) float64 {
 	rules := f.settings.Rules
 	age := f.Now - s.StartedAt
@@ -175,6 +177,7 @@
 	f.deliverLater(r, ev.Latency, ev)
 }
 
+// send carries an attempt out at its server.
 func (f *Fleet) send(r *Relay, a decide.Forward) {
 	f.count("sends")
 	s, c := f.Servers[a.Server], f.requests[a.ID]
--- a/internal/simulation/model/tally.go
+++ b/internal/simulation/model/tally.go
@@ -11,8 +11,9 @@
 
 // Tally is what all relays did together.
 type Tally struct {
-	Counts           map[string]int
-	SlowStartOverrun float64         // most that a server in slow start was sent, as a part of what overloads it
+	Counts map[string]int
+	// most that a server in slow start was sent, as a part of what overloads it
+	SlowStartOverrun float64
 	LatestDrainSend  time.Duration   // longest after a drain was known that something new was sent
 	Served           time.Duration   // connection time in all
 	Overloaded       time.Duration   // and on servers asked for more than they can do
@@ -42,6 +43,7 @@
 	return t.Overloaded.Seconds() / max(t.Served.Seconds(), 1e-9)
 }
 
+// String is the Tally in a line.
 func (t *Tally) String() string {
 	return fmt.Sprintf("counts %v; overrun %.2f; late send %s; hot %.3f; idle %s; shares %.3f",
 		t.Counts, t.SlowStartOverrun, t.LatestDrainSend, t.OverloadedPart(), t.LongestIdle, t.MaxBudgetShares)
--- a/internal/simulation/network/delayed.go
+++ b/internal/simulation/network/delayed.go
@@ -26,6 +26,7 @@
 	slots map[int64]*slot
 }
 
+// add queues a packet that is due after a delay.
 func (d *delayQueue) add(now time.Time, delay time.Duration, packet delivery) {
 	key := now.Add(delay+slotWidth-1).UnixNano() / int64(slotWidth)
 	d.mu.Lock()
@@ -39,6 +40,7 @@
 	s.due = append(s.due, packet)
 }
 
+// deliver hands over all packets of a slot.
 func (d *delayQueue) deliver(key int64) {
 	d.mu.Lock()
 	s := d.slots[key]
--- a/internal/simulation/network/meter.go
+++ b/internal/simulation/network/meter.go
@@ -81,6 +81,7 @@
 	seconds []Sample
 }
 
+// packet counts a packet that goes out or comes in.
 func (m *meter) packet(now time.Time, out, in int) {
 	s := Sample{BytesOut: out, BytesIn: in}
 	if out > 0 {
@@ -91,12 +92,14 @@
 	m.count(now, s)
 }
 
+// stream counts bytes of a stream.
 func (m *meter) stream(now time.Time, out, in int) {
 	m.count(now, Sample{StreamOut: out, StreamIn: in})
 }
 
 func (m *meter) connection(now time.Time) { m.count(now, Sample{Connections: 1}) }
 
+// count adds to the recording that runs, if one does.
 func (m *meter) count(now time.Time, s Sample) {
 	started := m.network.started.Load()
 	if started == 0 {
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -182,11 +182,13 @@
 	return peer, true
 }
 
+// lost draws whether a packet is lost.
 func (n *Network) lost() bool {
 	loss := n.loss.Load()
 	return loss > 0 && rand.Uint64N(lossScale) < loss
 }
 
+// delay is how long a packet takes from one endpoint to another.
 func (n *Network) delay(from, to *endpoint) time.Duration {
 	if n.cfg.Delay == nil {
 		return 0
--- a/internal/simulation/network/network_test.go
+++ b/internal/simulation/network/network_test.go
@@ -101,7 +101,8 @@
 		n.Heal("both")
 		n.SetDown(there, true)
 		passes("down", false, false)
-		if _, err := from.DialAddressTimeout(memberlist.Address{Addr: there}, time.Second); err != ErrRefused {
+		if _, err := from.DialAddressTimeout(memberlist.Address{Addr: there},
+			time.Second); err != ErrRefused {
 			t.Errorf("a connection to a dead process: %v", err)
 		}
 		n.SetDown(there, false)
@@ -163,7 +164,8 @@
 		send(t, from, "123", there)
 		time.Sleep(time.Second)
 		all := n.Recorded()
-		want := []Sample{{PacketsOut: 1, BytesOut: 5}, {Connections: 1, StreamOut: 8}, {PacketsOut: 1, BytesOut: 3}}
+		want := []Sample{{PacketsOut: 1, BytesOut: 5}, {Connections: 1, StreamOut: 8},
+			{PacketsOut: 1, BytesOut: 3}}
 		if len(all) != 2 || len(all[0].Seconds) != len(want) {
 			t.Fatalf("%+v", all)
 		}
@@ -177,7 +179,8 @@
 			t.Errorf("in: %+v", in)
 		}
 		if all[0].Percentile(1, Sample.Out) != 8 || all[0].Percentile(0.5, Sample.Out) != 5 {
-			t.Errorf("percentiles %d and %d", all[0].Percentile(1, Sample.Out), all[0].Percentile(0.5, Sample.Out))
+			t.Errorf("percentiles %d and %d", all[0].Percentile(1, Sample.Out),
+				all[0].Percentile(0.5, Sample.Out))
 		}
 		if opening.Load() != "a stream" {
 			t.Errorf("opening %q", opening.Load())
--- a/internal/testing/trace/trace.go
+++ b/internal/testing/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace holds what deciders do in drawn schedules against what they did when a file was recorded, so that a change
-// that is meant to change no behaviour is seen to change none. It serves tests only.
+// Package trace holds what deciders do in drawn schedules against what they did when a file was recorded,
+// so that a change that is meant to change no behaviour is seen to change none. It serves tests only.
 package trace
 
 import (
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-var update = flag.Bool("update-trace", false, "record testdata/trace.txt anew, after a change of behaviour that is meant")
+var update = flag.Bool("update-trace", false,
+	"record testdata/trace.txt anew, after a change of behaviour that is meant")
 
 // Trace is a hash over actions, in their order. Its methods do nothing on nil.
 type Trace struct {
@@ -48,7 +49,8 @@
 	fmt.Fprintf(&r.lines, "%s %d %d %016x\n", kind, seed, t.actions, t.hash.Sum64())
 }
 
-// Compare fails the test if the traces are not those of testdata/trace.txt. With -update-trace it writes that file.
+// Compare fails the test if the traces are not those of testdata/trace.txt. With -update-trace it writes
+// that file.
 func (r *Recording) Compare(t *testing.T) {
 	t.Helper()
 	file := filepath.Join("testdata", "trace.txt")
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -20,22 +20,22 @@
 
 func agreedView() *membership.View {
 	return &membership.View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{3, 4}, Voters: []string{"r1", "r2"}, Entries: []membership.Member{
-		{Name: "r1", In: true, BudgetShare: membership.Whole / 5, OutstandingLimit: membership.Whole / 6},
+		{Name: "r1", In: true, BudgetShare: membership.FullBudget / 5, OutstandingLimit: membership.FullBudget / 6},
 		{Name: "r2", In: true, Idle: true},
-		{Name: "r3", OutstandingLimit: membership.Whole / 8},
+		{Name: "r3", OutstandingLimit: membership.FullBudget / 8},
 	}}
 }
 
 func proposedView() *membership.View {
 	return &membership.View{Epoch: 8, BootstrapSize: 5, Voters: []string{"r1"}, Entries: []membership.Member{
-		{Name: "r1", In: true, BudgetShare: membership.Whole / 5}, {Name: "r2", OutstandingLimit: membership.Whole / 9}}}
+		{Name: "r1", In: true, BudgetShare: membership.FullBudget / 5}, {Name: "r2", OutstandingLimit: membership.FullBudget / 9}}}
 }
 
 // cellView is a cell's, with an Allocation that has every field.
 func cellView() *membership.View {
 	v := proposedView()
 	v.Epoch = 41
-	v.Allocation = &membership.Allocation{Plan: 3, PlanHash: 0xfedcba9876543210, Activated: true, Near: membership.Whole / 2, Far: membership.Whole / 16,
+	v.Allocation = &membership.Allocation{Plan: 3, PlanHash: 0xfedcba9876543210, Activated: true, Near: membership.FullBudget / 2, Far: membership.FullBudget / 16,
 		NearZones: []string{"east-1", "east-2"}, Cells: []string{"east", "west"}, LeaseMillis: 8000, Bootstrapped: true}
 	return v
 }
