--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"capersail/internal/fleet/duration"
+	"capersail/internal/testing/trace"
 )
 
 // simulatedFleet is many Schedulers on a set clock, with a net that loses and delays, and servers whose
@@ -32,7 +33,7 @@
 	moments        int
 	usedAt         [][]float64 // by relay and server: when the reading believed was taken
 	loadHistory    map[uint64][]float64
-	trace          *trace // of all actions; nil for none
+	trace          *trace.Trace // of all actions; nil for none
 }
 
 type packet struct {
@@ -124,12 +125,13 @@
 
 func (c *simulatedFleet) carryOut(i int, acts []Action) {
 	for _, a := range acts {
-		c.trace.add(i, a)
+		record(c.trace, i, a)
 		switch a := a.(type) {
 		case SendPlacements:
 			for to, r := range c.relays {
 				if r.Name == a.To && c.rng.Float64() >= c.loss {
-					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, nil, a.Rows})
+					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, nil,
+						a.Rows})
 				}
 			}
 		case Probe:
@@ -144,7 +146,8 @@
 		case SendReadings:
 			for to, r := range c.relays {
 				if r.Name == a.To && c.rng.Float64() >= c.loss && (c.cut == nil || !c.cut(i, to)) {
-					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, a.Readings, nil})
+					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to,
+						a.Readings, nil})
 				}
 			}
 		case UseReading:
@@ -205,7 +208,8 @@
 				t.Errorf("%d relays: %.2f probes a second at one server", relays, most)
 			}
 			if relays > 2 && missing > 0.01 {
-				t.Errorf("%d relays, %.0f%% lost: without a reading %.3f of the time", relays, 100*loss, missing)
+				t.Errorf("%d relays, %.0f%% lost: without a reading %.3f of the time", relays, 100*loss,
+					missing)
 			}
 			if c.maxUsedAge > duration.Millis(MaxReadingAge) {
 				t.Errorf("believed at an age of %.0f ms", c.maxUsedAge)
@@ -268,7 +272,8 @@
 		{UnknownOrigin, func(r *Reading) { r.ServerKey++ }},
 	} {
 		k := New("r0", 1)
-		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss, Assignment: Assign(rs, ss)}, nil)
+		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss,
+			Assignment: Assign(rs, ss)}, nil)
 		r := good
 		c.change(&r)
 		if acts := k.Handle(time.Second, ReadingsReceived{"r2", []Reading{r}}, nil); len(acts) > 0 ||
@@ -319,11 +324,13 @@
 				}
 				for _, row := range r.Servers {
 					if math.Abs(row.Load-c.loads[row.ServerKey]) > 0.6 {
-						t.Errorf("r%d believes %.2f of a server that stands at %.2f", i, row.Load, c.loads[row.ServerKey])
+						t.Errorf("r%d believes %.2f of a server that stands at %.2f", i, row.Load,
+							c.loads[row.ServerKey])
 					}
 				}
 				if left := r.Dropped[string(TooOld)]; left > r.Received/50 {
-					t.Errorf("clocks %v apart: r%d left %d readings out as too old, took %d", 2*drift, i, left, r.Received)
+					t.Errorf("clocks %v apart: r%d left %d readings out as too old, took %d", 2*drift, i,
+						left, r.Received)
 				}
 			}
 		}
