--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -16,8 +16,8 @@
 
 const second = time.Second
 
-// network is a simulated network of cells on a set clock: packets between relays are delayed, lost, doubled and so reordered, and
-// cut where a test says so.
+// network is a simulated network of cells on a set clock: packets between relays are delayed, lost,
+// doubled and so reordered, and cut where a test says so.
 type network struct {
 	t         *testing.T
 	now       time.Duration
@@ -39,17 +39,17 @@
 
 // group is a cell with what its view says.
 type group struct {
-	name    string
-	region  string
-	relays  []*relay
-	padding int // members that aren't simulated
-	epoch   uint64
-	plan    uint64
-	hash    uint64
-	entered uint64
-	names   []string // of the view's Allocation
-
-	sent, gossiped []time.Duration // when its relays sent summaries to other cells, and directories
+	name       string
+	region     string
+	relays     []*relay
+	padding    int // members that aren't simulated
+	epoch      uint64
+	plan       uint64
+	hash       uint64
+	joinedPlan uint64
+	names      []string // of the view's Allocation
+
+	sent, published []time.Duration // when its relays sent summaries to other cells, and directories
 }
 
 type relay struct {
@@ -83,9 +83,11 @@
 	return last
 }
 
-// fleetOf makes cells in regions of the given numbers of zones, perZone in each zone, with so many relays simulated.
+// fleetOf makes cells in regions of the given numbers of zones, perZone in each zone, with so many relays
+// simulated.
 func fleetOf(t *testing.T, seed uint64, zones []int, perZone, relays int) *network {
-	n := &network{t: t, draw: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{}, byAddress: map[string]*relay{}, changes: map[Change]int{}}
+	n := &network{t: t, draw: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{},
+		byAddress: map[string]*relay{}, changes: map[Change]int{}}
 	n.plan.Number = 1
 	for region, count := range zones {
 		for zone := range count {
@@ -98,15 +100,15 @@
 		t.Fatal(err)
 	}
 	for _, g := range n.cells {
-		g.plan, g.entered, g.hash, g.names = 1, 1, n.plan.Hash(), n.plan.Names()
+		g.plan, g.joinedPlan, g.hash, g.names = 1, 1, n.plan.Hash(), n.plan.Names()
 		for _, r := range g.relays {
 			n.start(r)
 		}
-		n.tell(g)
+		n.updateCell(g)
 	}
 	n.every(second, func() {
 		for _, g := range n.cells {
-			n.tell(g)
+			n.updateCell(g)
 		}
 	})
 	return n
@@ -115,10 +117,12 @@
 func (n *network) addCell(region, zone, i, relays int) {
 	g := &group{region: fmt.Sprintf("region-%d", region), epoch: 3, padding: 32 - relays}
 	g.name = fmt.Sprintf("region-%d-%c-%d", region, 'a'+zone, i)
-	cell := cellplan.Cell{Name: g.name, Region: g.region, Zone: fmt.Sprintf("region-%d-%c", region, 'a'+zone), Relays: 32}
+	cell := cellplan.Cell{Name: g.name, Region: g.region, Zone: fmt.Sprintf("region-%d-%c", region, 'a'+zone),
+		Relays: 32}
 	for j := range relays {
 		address := fmt.Sprintf("10.%d.%d.%d:7946", len(n.cells), zone, j+1)
-		r := &relay{group: g, name: fmt.Sprintf("%s-relay-%02d", g.name, j), address: address, believes: func(r *relay) bool { return r.up }}
+		r := &relay{group: g, name: fmt.Sprintf("%s-relay-%02d", g.name, j), address: address,
+			believes: func(r *relay) bool { return r.up }}
 		g.relays = append(g.relays, r)
 		n.byName[r.name], n.byAddress[address] = r, r
 		cell.Contacts = append(cell.Contacts, address)
@@ -131,7 +135,8 @@
 func (n *network) start(r *relay) {
 	r.incarnation++
 	r.up, r.wake = true, -1
-	r.coordinator = New(n.now, Config{Name: r.name, Cell: r.group.name, Incarnation: r.incarnation, Plan: n.plan, Seed: n.draw.Uint64()})
+	r.coordinator = New(n.now, Config{Name: r.name, Cell: r.group.name, Incarnation: r.incarnation,
+		Plan: n.plan, Seed: n.draw.Uint64()})
 }
 
 func (n *network) after(delay time.Duration, do func()) {
@@ -149,11 +154,11 @@
 // pass lets time pass.
 func (n *network) pass(span time.Duration) { n.until(span, func() bool { return false }) }
 
-// until lets time pass until something holds, and returns how long that took; duration.Forever if it didn't within the limit. It looks every
-// tenth of a second.
+// until lets time pass until something holds, and returns how long that took; duration.Forever if it
+// didn't within the limit. It checks every tenth of a second.
 func (n *network) until(limit time.Duration, holds func() bool) time.Duration {
 	from := n.now
-	look := n.now
+	nextCheck := n.now
 	for len(n.events) > 0 && n.events[0].at <= from+limit {
 		e := heap.Pop(&n.events).(event)
 		n.now = e.at
@@ -161,10 +166,10 @@
 		if n.check != nil {
 			n.check()
 		}
-		if n.now < look {
+		if n.now < nextCheck {
 			continue
 		}
-		look = n.now + second/10
+		nextCheck = n.now + second/10
 		if holds() {
 			return n.now - from
 		}
@@ -176,7 +181,8 @@
 // local is what a relay knows of its cell.
 func (n *network) local(r *relay) LocalCell {
 	g := r.group
-	l := LocalCell{Members: g.members(), Serving: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash, Cells: g.names, JoinedPlan: g.entered,
+	l := LocalCell{Members: g.members(), Serving: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash,
+		Cells: g.names, JoinedPlan: g.joinedPlan,
 		RequestRate: 100 * float64(g.members()), OpenConnections: 1000 * g.members()}
 	for _, other := range g.relays {
 		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address, Alive: r.believes(other)})
@@ -193,7 +199,7 @@
 	return count + g.padding
 }
 
-func (g *group) speaker() *relay {
+func (g *group) representative() *relay {
 	for _, r := range g.relays {
 		if r.up {
 			return r
@@ -202,8 +208,8 @@
 	return nil
 }
 
-// tell tells the relays of a cell how it is.
-func (n *network) tell(g *group) {
+// updateCell tells the relays of a cell how it is.
+func (n *network) updateCell(g *group) {
 	for _, r := range g.relays {
 		n.handle(r, n.local(r))
 	}
@@ -242,11 +248,12 @@
 	case ForwardSummary:
 		n.packet(r, n.byName[a.To], SummaryReceived{From: r.name, Summary: a.Summary})
 	case PublishDirectory:
-		r.group.gossiped = append(r.group.gossiped, n.now)
+		r.group.published = append(r.group.published, n.now)
 		n.sizes.directory = max(n.sizes.directory, size(n.t, a.Directory))
 		for _, other := range r.group.relays {
 			if other != r { // gossip passes it on several times, so that hardly any is lost
-				n.after(100*time.Millisecond+duration.Scale(400*time.Millisecond, n.draw.Float64()), func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
+				n.after(100*time.Millisecond+duration.Scale(400*time.Millisecond, n.draw.Float64()),
+					func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
 			}
 		}
 	case Changed:
@@ -267,7 +274,8 @@
 		if n.draw.Float64() < n.loss || n.cut != nil && n.cut(from, to) {
 			continue
 		}
-		n.after(10*time.Millisecond+duration.Scale(140*time.Millisecond, n.draw.Float64()), func() { n.handle(to, ev) })
+		n.after(10*time.Millisecond+duration.Scale(140*time.Millisecond, n.draw.Float64()),
+			func() { n.handle(to, ev) })
 	}
 }
 
@@ -275,11 +283,12 @@
 func (n *network) kill(r *relay) {
 	r.up = false
 	r.group.epoch++
-	n.tell(r.group)
+	n.updateCell(r.group)
 }
 
-// known tells whether every relay of the other cells has a directory with the true number of relays in a cell's region.
-func (n *network) known(g *group) bool {
+// knownEverywhere tells whether every relay of the other cells has a directory with the true number of
+// relays in a cell's region.
+func (n *network) knownEverywhere(g *group) bool {
 	for _, other := range n.cells {
 		if other == g {
 			continue
@@ -292,7 +301,7 @@
 		}
 		for _, r := range other.relays {
 			holds := func(row RegionFigures) bool { return row.Name == g.region && row.Relays == want }
-			if r.up && !slices.ContainsFunc(r.coordinator.directory.Regions, holds) {
+			if r.up && !slices.ContainsFunc(r.coordinator.directory.newest.Regions, holds) {
 				return false
 			}
 		}
@@ -300,7 +309,8 @@
 	return true
 }
 
-// agreed tells whether every relay has a directory with all other cells heard and their true numbers of relays.
+// agreed tells whether every relay has a directory with all other cells known and their true numbers of
+// relays.
 func (n *network) agreed() bool {
 	for _, g := range n.cells {
 		for _, r := range g.relays {
@@ -325,10 +335,11 @@
 			want[i].add(RegionFigures{Cells: 1, Known: 1, Relays: g.members(), Serving: g.members()})
 		}
 	}
-	rows := r.coordinator.directory.Regions
+	rows := r.coordinator.directory.newest.Regions
 	want = slices.DeleteFunc(want, func(row RegionFigures) bool { return row.Cells == 0 })
 	return slices.EqualFunc(want, rows, func(a, b RegionFigures) bool {
-		return a.Name == b.Name && a.Cells == b.Cells && a.Known == b.Known && a.Relays == b.Relays && a.Serving == b.Serving
+		return a.Name == b.Name && a.Cells == b.Cells && a.Known == b.Known && a.Relays == b.Relays &&
+			a.Serving == b.Serving
 	})
 }
 
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"capersail/internal/manualeject"
+	"capersail/internal/relay"
 )
 
 const (
@@ -27,7 +28,7 @@
 func (o *adminTarget) Eject(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	changed, err := o.ejections.Eject(o.nowMillis(), id, o.knowsServer(id))
+	changed, err := o.ejections.Eject(o.now(), id, o.knowsServer(id))
 	if err != nil || !changed {
 		return err
 	}
@@ -43,14 +44,14 @@
 func (o *adminTarget) Readmit(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	ejectedFor, _ := o.ejections.EjectedFor(o.nowMillis(), id)
+	ejectedFor, _ := o.ejections.EjectedFor(o.now(), id)
 	changed, err := o.ejections.Readmit(id, o.knowsServer(id))
 	if err != nil || !changed {
 		return err
 	}
-	o.log.Info().Str("server", id).Float64("out_ms", ejectedFor).Msg("server readmitted by hand")
+	o.log.Info().Str("server", id).Float64("out_ms", relay.Millis(ejectedFor)).Msg("server readmitted by hand")
 	if err := os.Remove(o.ejectionFile(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		o.ejections.Eject(o.nowMillis(), id, true)
+		o.ejections.Eject(o.now(), id, true)
 		return fmt.Errorf("ejection cannot be ended: %w", err)
 	}
 	o.applyEjections()
@@ -62,8 +63,8 @@
 	return filepath.Join(o.ejectionsDir, manualeject.FileName(id))
 }
 
-// nowMillis is the relay's time.
-func (o *adminTarget) nowMillis() float64 { return o.fronts[0].requests.Clock.NowMillis() }
+// now is the instant on the relay's clock.
+func (o *adminTarget) now() time.Duration { return o.fronts[0].requests.Clock.Now() }
 
 // knowsServer tells whether any front has ever had the server in its endpoint list. The caller holds the
 // lock.
@@ -116,7 +117,7 @@
 		}
 	}
 	sort.Strings(ids)
-	if o.ejections.Replace(o.nowMillis(), ids) {
+	if o.ejections.Replace(o.now(), ids) {
 		o.log.Info().Strs("out", ids).Msg("servers ejected by hand")
 		o.applyEjections()
 	}
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -83,9 +83,9 @@
 
 // leaseEndpoints begins the lease of the endpoint list, and takes in the list held last.
 func leaseEndpoints(requests *relay.RequestTable, c *Config) {
-	pollWithin := 0.0
+	pollWithin := time.Duration(0)
 	if c.Deployment.Settings.MustSubscribe {
-		pollWithin = relay.Millis(c.Deployment.Settings.Rules.PollWithin)
+		pollWithin = c.Deployment.Settings.Rules.PollWithin
 	}
 	requests.LeaseEndpointList(pollWithin)
 	requests.UpdateEndpoints(decide.Cached, c.CachedList.Endpoints)
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -52,7 +52,8 @@
 	if p.config.Store != "" {
 		c.Store = p.openStore(front)
 	}
-	watcher := watch.New(c, front.requests, p.log)
+	watcher := watch.New(c, front.requests, front.clock, p.log)
+	front.requests.Recorder = watcher.Recorder
 	p.watchers = append(p.watchers, watcher)
 	front.changeListeners = append(front.changeListeners, func(change membership.Changed) {
 		watcher.Note(change.Name, change.State, change.Cause)
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -17,18 +17,32 @@
 	"capersail/internal/observe/recorder"
 	"capersail/internal/observe/report"
 	"capersail/internal/observe/timeline"
-	"capersail/internal/relay"
 	"capersail/internal/store"
 )
 
 const (
-	lookEvery  = 100.0    // ms between two looks at the tap
-	rowWidth   = 10_000.0 // ms of a row of steps in the store; the newest is written over each second
+	lookEvery  = 100 * time.Millisecond // between two looks at the recorder
+	rowWidth   = 10_000.0               // ms of a row of steps in the store; the newest is written over each second
 	rowEvery   = 1000.0
 	eventsKept = 2048
 	followers  = 16
 )
 
+// ServerNames tells the ids of the servers that records name by number; a relay.RequestTable does.
+type ServerNames interface {
+	// ServerIDs appends the ids of the servers from a number on, in the order of their numbers.
+	ServerIDs(from int, out []string) []string
+}
+
+// Clock is the clock of the records; a relay.Clock is one.
+type Clock interface {
+	Now() time.Duration
+	// Wall turns an instant of the clock into the wall clock's.
+	Wall(at time.Duration) time.Time
+	// After returns a channel that gets the time once d has passed.
+	After(d time.Duration) <-chan time.Time
+}
+
 // Config says what is kept.
 type Config struct {
 	Relay  string
@@ -41,8 +55,12 @@
 // Watcher is one relay's.
 type Watcher struct {
 	Config
-	x   *relay.RequestTable
-	log zerolog.Logger
+	// Recorder takes what happens. It is handed to the front before that is used.
+	Recorder *recorder.Recorder
+
+	servers ServerNames
+	clock   Clock
+	log     zerolog.Logger
 
 	mu      sync.Mutex
 	book    *timeline.Timelines
@@ -58,17 +76,30 @@
 	changes []anomaly.Change
 }
 
-// New returns a Watcher of an Exchange, which it gives a tap. It is called before the Exchange is used.
-func New(c Config, x *relay.RequestTable, log zerolog.Logger) *Watcher {
-	w := &Watcher{Config: c, x: x, log: log, book: timeline.New(c.Limits), depart: anomaly.New(c.Most),
-		rows: map[string]*timeline.Interval{}, follow: map[chan anomaly.Event]bool{}}
-	x.Recorder = recorder.New(c.Buffer)
+// New returns a Watcher of one front, with a Recorder for it.
+func New(c Config, servers ServerNames, clock Clock, log zerolog.Logger) *Watcher {
+	w := &Watcher{
+		Config:   c,
+		Recorder: recorder.New(c.Buffer),
+		servers:  servers,
+		clock:    clock,
+		log:      log,
+		book:     timeline.New(c.Limits, clock.Wall),
+		depart:   anomaly.New(c.Most, clock.Wall),
+		rows:     map[string]*timeline.Interval{},
+		follow:   map[chan anomaly.Event]bool{},
+	}
 	if c.Store != nil {
 		w.book.Sink = timeline.Sink{StateChanged: w.band, IntervalComplete: w.step}
 	}
 	return w
 }
 
+// unixMs is an instant as rows and reports have it.
+func (w *Watcher) unixMs(at time.Duration) float64 {
+	return float64(w.clock.Wall(at).UnixNano()) / 1e6
+}
+
 // Run folds until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for {
@@ -77,8 +108,8 @@
 			w.Fold()
 			w.Rest()
 			return
-		case <-w.x.Recorder.Ready():
-		case <-w.x.Clock.AfterMillis(lookEvery):
+		case <-w.Recorder.Ready():
+		case <-w.clock.After(lookEvery):
 		}
 		w.Fold()
 	}
@@ -88,24 +119,20 @@
 func (w *Watcher) Fold() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	records := w.x.Recorder.TakeAll(w.spare)
+	records := w.Recorder.TakeAll(w.spare)
 	for i := range records {
 		r := &records[i]
 		w.take(r)
 	}
 	w.spare = records[:0]
-	w.tick(w.x.Clock.UnixMillis(w.x.Clock.NowMillis()))
+	w.tick(w.clock.Now())
 }
 
 func (w *Watcher) take(r *recorder.Record) {
-	r.At = w.x.Clock.UnixMillis(r.At)
-	if r.StartedAt > 0 {
-		r.StartedAt = w.x.Clock.UnixMillis(r.StartedAt)
-	}
 	name := timeline.FleetName
 	if r.Server >= 0 {
 		if int(r.Server) >= len(w.names) {
-			w.names = w.x.ServerIDs(len(w.names), w.names)
+			w.names = w.servers.ServerIDs(len(w.names), w.names)
 		}
 		name = w.names[r.Server]
 	}
@@ -119,16 +146,17 @@
 }
 
 // look lets departures be looked for at a time.
-func (w *Watcher) look(at float64) {
+func (w *Watcher) look(at time.Duration) {
 	w.changes = w.depart.Tick(at, w.changes[:0])
 	for _, c := range w.changes {
 		w.changed(c.Event)
 	}
 }
 
-func (w *Watcher) tick(now float64) {
-	w.book.Tick(now)
-	w.look(now)
+func (w *Watcher) tick(at time.Duration) {
+	w.book.Tick(at)
+	w.look(at)
+	now := w.unixMs(at)
 	if w.Store != nil && now-w.written >= rowEvery {
 		w.written = now
 		for name, row := range w.rows {
@@ -175,12 +203,12 @@
 }
 
 // Note puts word of another relay on the list of events: what it is now, and how that is known.
-func (w *Watcher) Note(member, state, cause string) {
+func (w *Watcher) Note(relay, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.x.Clock.UnixMillis(w.x.Clock.NowMillis())
-	what := "relay " + member + ": " + state
-	if member == "" {
+	at := w.unixMs(w.clock.Now())
+	what := "relay " + relay + ": " + state
+	if relay == "" {
 		what = "this relay: " + state
 	}
 	if cause != "" {
@@ -263,7 +291,7 @@
 func (w *Watcher) Report(q report.Query) *report.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := w.x.Clock.UnixMillis(w.x.Clock.NowMillis())
+	now := w.unixMs(w.clock.Now())
 	r := &report.Report{Relay: w.Relay, At: now, Dropped: w.dropped, Evicted: w.book.Evicted}
 	if w.Store != nil {
 		if err := w.Store.WriteError(); err != nil {
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -38,7 +38,7 @@
 	}
 	second := b.resumeStreams(t, tokens)[0]
 	_, answer := second.State()
-	if answer.Kind != relay.Rejected || answer.RetryAfter <= 0 || answer.RetryAfter > 4000 {
+	if answer.Kind != relay.Rejected || answer.RetryAfter <= 0 || answer.RetryAfter > 4*time.Second {
 		t.Errorf("%+v", answer)
 	}
 	first.ClientClosed(relay.GracefulClose)
--- a/internal/wire/gossip/status.go
+++ b/internal/wire/gossip/status.go
@@ -1,18 +1,19 @@
 package gossip
 
 import (
+	"time"
+
 	"capersail/decide"
-	"capersail/internal/fleet/duration"
 	"capersail/internal/fleet/membership"
 	"capersail/internal/relay"
 )
 
-// LockStatus returns the fleet's status for the decision module, by the caller's clock in ms, and keeps it so
+// LockStatus returns the fleet's status for the decision module, by the caller's clock, and keeps it so
 // until UnlockStatus.
-func (n *Node) LockStatus(now float64) decide.FleetStatus {
+func (n *Node) LockStatus(now time.Duration) decide.FleetStatus {
 	n.mu.Lock()
 	own := n.now()
-	return relay.ToFleetStatus(duration.FromMillis(now), own, n.membership.Estimate(own), n.cfg.zoneNumber)
+	return relay.ToFleetStatus(now, own, n.membership.Estimate(own), n.cfg.zoneNumber)
 }
 
 // UnlockStatus ends what LockStatus began.
