--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -49,7 +49,10 @@
 	if err != nil || !changed {
 		return err
 	}
-	o.log.Info().Str("server", id).Float64("out_ms", relay.Millis(ejectedFor)).Msg("server readmitted by hand")
+	o.log.Info().
+		Str("server", id).
+		Float64("out_ms", relay.Millis(ejectedFor)).
+		Msg("server readmitted by hand")
 	if err := os.Remove(o.ejectionFile(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		o.ejections.Eject(o.now(), id, true)
 		return fmt.Errorf("ejection cannot be ended: %w", err)
