--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -72,7 +72,7 @@
 func newPlatformRequests(c *Config, clock *relay.Clock, log zerolog.Logger) *relay.RequestTable {
 	servers := &platform.Servers{
 		Clock:          clock,
-		ConnectTimeout: relay.Millis(c.Deployment.Settings.ConnectTimeout),
+		ConnectTimeout: c.Deployment.Settings.ConnectTimeout,
 		LoadKey:        c.Deployment.LoadField,
 		Keep:           probeSockets,
 	}
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -37,9 +37,9 @@
 	clock := relay.NewClock()
 	servers := &xmpp.Servers{
 		Clock:          clock,
-		ConnectTimeout: c.ConnectMs,
+		ConnectTimeout: relay.Duration(c.ConnectMs),
 		ProbeTo:        c.Host[0].To,
-		Silent:         c.SilenceMs,
+		Silent:         relay.Duration(c.SilenceMs),
 		Log:            log,
 	}
 	requests := relay.NewRequestTable(deployment, clock, servers)
@@ -146,7 +146,7 @@
 			Class:  deployment.Classes[host.Class],
 			Tenant: tenantNumber(deployment, host.Tenant),
 			Key:    relay.ServerKey(key),
-			Left:   deadlines[host.Class],
+			Left:   relay.Duration(deadlines[host.Class]),
 		}
 	}
 	tenants := deployment.Settings.Tenants
@@ -174,7 +174,7 @@
 	return zookeeper.Ensemble{
 		Addresses: c.ZooKeeper.Servers,
 		Path:      c.ZooKeeper.Path,
-		Session:   c.ZooKeeper.SessionMs,
+		Session:   relay.Duration(c.ZooKeeper.SessionMs),
 	}
 }
 
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -69,7 +69,7 @@
 		}
 		n += servers * 10
 		now += time.Second
-		clock.SetMillis(relay.Millis(now))
+		clock.Set(now)
 		w.Fold()
 	}
 	runtime.GC()
--- a/internal/ownership/margin_test.go
+++ b/internal/ownership/margin_test.go
@@ -3,14 +3,13 @@
 import (
 	"testing"
 
-	"capersail/internal/relay"
 	"capersail/internal/wire/splice"
 )
 
 // The margin has room for one write to a stuck client. Were a write to take longer, two relays could serve
 // one stream.
 func TestMarginCoversAWriteToAStuckClient(t *testing.T) {
-	if write := relay.Duration(splice.WriteTimeout); write > stuckWrite {
+	if write := splice.WriteTimeout; write > stuckWrite {
 		t.Errorf("a write takes up to %v, the margin has %v for it", write, stuckWrite)
 	}
 	if sum := stuckWrite + tickInterval + spare; sum != ExpiryMargin {
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -32,9 +32,6 @@
 // Set moves a clock made by NewManualClock to an instant.
 func (c *Clock) Set(now time.Duration) { c.manualNow.Store(int64(now)) }
 
-// SetMillis moves a clock made by NewManualClock to an instant in milliseconds.
-func (c *Clock) SetMillis(ms float64) { c.Set(Duration(ms)) }
-
 // Now returns the time since an arbitrary origin, on the monotonic clock.
 func (c *Clock) Now() time.Duration {
 	if c.manual {
@@ -43,9 +40,6 @@
 	return clockStart + c.elapsed()
 }
 
-// NowMillis returns Now in milliseconds.
-func (c *Clock) NowMillis() float64 { return Millis(c.Now()) }
-
 // FromWall turns the moment of the day at which something has happened into this clock's instant; the zero
 // time stays 0, for long ago. The clock of the day may have been stepped since the process started, here
 // alone or on all machines. So it goes by both readings, that of the start and that of now, and takes the
@@ -75,25 +69,12 @@
 // it does not step with the clock of the day.
 func (c *Clock) Wall(at time.Duration) time.Time { return c.origin.Round(0).Add(at - clockStart) }
 
-// UnixMillis is Wall in milliseconds, of an instant and as Unix time.
-func (c *Clock) UnixMillis(ms float64) float64 {
-	return ms - Millis(clockStart) + float64(c.origin.UnixNano())/1e6
-}
-
 // WallDeadline returns the network deadline that falls at an instant of this clock.
 func (c *Clock) WallDeadline(at time.Duration) time.Time { return time.Now().Add(at - c.Now()) }
 
-// WallDeadlineMillis is WallDeadline for an instant in milliseconds.
-func (c *Clock) WallDeadlineMillis(ms float64) time.Time {
-	return time.Now().Add(Duration(ms - c.NowMillis()))
-}
-
 // After returns a channel that gets the time once d has passed.
 func (c *Clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// AfterMillis is After for a time in milliseconds.
-func (c *Clock) AfterMillis(ms float64) <-chan time.Time { return time.After(Duration(ms)) }
-
 // maxMicroseconds bounds what Duration turns over: some 31 years.
 const maxMicroseconds = 1e15
 
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -2,6 +2,7 @@
 
 import (
 	"path"
+	"time"
 
 	"capersail/internal/ownership"
 	"capersail/internal/relay"
@@ -75,9 +76,9 @@
 type sessionEvents Service
 
 // Connected makes the path on which records lie, if need be, and notifies the Lease.
-func (e *sessionEvents) Connected(session int64, granted, sentAt float64) {
+func (e *sessionEvents) Connected(session int64, granted, sentAt time.Duration) {
 	s := (*Service)(e)
-	s.Log.Info().Float64("session_ms", granted).Msg("ownership service connected")
+	s.Log.Info().Float64("session_ms", relay.Millis(granted)).Msg("ownership service connected")
 	for i, p := range ancestors(s.Path) { // created by whoever comes first
 		s.session.Create(p, nil, false, func(a zookeeper.Answer) {
 			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.Lost
@@ -89,8 +90,8 @@
 	}
 	s.enqueue(ownership.SessionConnected{
 		SessionID: session,
-		Timeout:   relay.Duration(granted),
-		SentAt:    relay.Duration(sentAt),
+		Timeout:   granted,
+		SentAt:    sentAt,
 	})
 }
 
@@ -105,8 +106,8 @@
 }
 
 // Answered notifies the Lease that something sent at that time was answered.
-func (e *sessionEvents) Answered(sentAt float64) {
-	(*Service)(e).enqueue(ownership.Renewed{SentAt: relay.Duration(sentAt)})
+func (e *sessionEvents) Answered(sentAt time.Duration) {
+	(*Service)(e).enqueue(ownership.Renewed{SentAt: sentAt})
 }
 
 // ancestors lists a path and those above it, the topmost first.
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -72,8 +72,7 @@
 	}
 	s.Path = path.Clean(c.Path)
 	s.keys.Store(keys)
-	timeout := relay.Millis(c.SessionTimeout)
-	s.session = zookeeper.NewSession(c.Servers, timeout, clock, (*sessionEvents)(s), log)
+	s.session = zookeeper.NewSession(c.Servers, c.SessionTimeout, clock, (*sessionEvents)(s), log)
 	return s
 }
 
@@ -158,7 +157,7 @@
 
 // Close ends the session, and with it all ownership at once, at the end of a relay's life. It waits no longer
 // than within for that, and is called once.
-func (s *Service) Close(within time.Duration) { s.session.Close(relay.Millis(within)) }
+func (s *Service) Close(within time.Duration) { s.session.Close(within) }
 
 // handleEvent lets the Lease act. Only Run's goroutine calls it, so streams hear of decisions in their order.
 func (s *Service) handleEvent(ev ownership.Event) {
--- a/internal/wire/connlimit/limiter.go
+++ b/internal/wire/connlimit/limiter.go
@@ -1,6 +1,6 @@
 // Package connlimit bounds what clients may take of this relay: descriptors, time without a request, kernel
-// buffers and log lines. Both fronts take their connections from it. It never closes a connection itself: only the
-// goroutine that reads one can tell whether its last line has come.
+// buffers and log lines. Both fronts take their connections from it. It never closes a connection itself:
+// only the goroutine that reads one can tell whether its last line has come.
 package connlimit
 
 import (
@@ -18,14 +18,14 @@
 )
 
 const (
-	// RequestWithin is how long after its acceptance a connection without a request is closed, in milliseconds.
-	// What the client sends meanwhile does not renew it: one that says nothing useful is owed a close within 3 s.
-	RequestWithin = 2000.0
-	// socketBufferBytes bounds the kernel's buffer of a client's connection, each way. Left to itself it grows to
-	// megabytes for a client that sends without end, hundreds of times over.
+	// RequestWithin is how long after its acceptance a connection without a request is closed. What the
+	// client sends meanwhile does not renew it: one that says nothing useful is owed a close within 3 s.
+	RequestWithin = 2 * time.Second
+	// socketBufferBytes bounds the kernel's buffer of a client's connection, each way. Left to itself it
+	// grows to megabytes for a client that sends without end, hundreds of times over.
 	socketBufferBytes = 32 << 10
-	// idleReserveFraction of the descriptors is kept for connections without a request and for those that are being
-	// rejected. They evict one another, the oldest first.
+	// idleReserveFraction of the descriptors is kept for connections without a request and for those that are
+	// being rejected. They evict one another, the oldest first.
 	idleReserveFraction = 1.0 / 8
 	minIdleReserve      = 8
 	// MaxEvicting bounds the connections that have been told to close and have not yet; beyond it nothing is
@@ -39,9 +39,10 @@
 	requestCost = 2
 )
 
-// Limiter counts the descriptors that clients hold, with those of their connections to servers. Invariants, under mu:
-// descriptorsHeld - evicting never exceeds descriptorLimit by more than the connection just accepted, and
-// requestDescriptors leaves the idle reserve free. Its methods may be called by several goroutines.
+// Limiter counts the descriptors that clients hold, with those of their connections to servers. Invariants,
+// under mu: descriptorsHeld - evicting never exceeds descriptorLimit by more than the connection just
+// accepted, and requestDescriptors leaves the idle reserve free. Its methods may be called by several
+// goroutines.
 type Limiter struct {
 	Clock *relay.Clock
 	// Log is for clients' faults. It is sampled, as a client must not write the log at full speed.
@@ -73,8 +74,8 @@
 	l.descriptorLimit = descriptorLimit
 }
 
-// Serve accepts until the listener is closed, which is no error, and gives each connection to serve in a goroutine of
-// its own. The permit is released when serve returns.
+// Serve accepts until the listener is closed, which is no error, and gives each connection to serve in a
+// goroutine of its own. The permit is released when serve returns.
 func (l *Limiter) Serve(listener net.Listener, serve func(*Permit)) error {
 	for {
 		l.awaitEvictions()
@@ -125,7 +126,7 @@
 	}
 	permit := &Permit{
 		Half:          &splice.Half{Conn: conn, Clock: l.Clock},
-		RequestUntil:  l.Clock.NowMillis() + RequestWithin,
+		RequestUntil:  l.Clock.Now() + RequestWithin,
 		limiter:       l,
 		clientCounted: true,
 	}
@@ -137,8 +138,9 @@
 	return permit
 }
 
-// evictOldestIdle tells the oldest idle connection to close, if there is one. Its own goroutine closes it: closed from
-// here, over a line that nobody had read, the client would get a reset. The caller holds the lock.
+// evictOldestIdle tells the oldest idle connection to close, if there is one. Its own goroutine closes it:
+// closed from here, over a line that nobody had read, the client would get a reset. The caller holds the
+// lock.
 func (l *Limiter) evictOldestIdle() {
 	oldest := l.idlePermits.Front()
 	if oldest == nil {
@@ -157,8 +159,8 @@
 	return l.descriptorLimit - reserve
 }
 
-// Drain closes every connection that has no request, now and from now on; one that brings a request first is served.
-// It is for a relay that shuts down.
+// Drain closes every connection that has no request, now and from now on; one that brings a request first is
+// served. It is for a relay that shuts down.
 func (l *Limiter) Drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/connlimit/limiter_test.go
+++ b/internal/wire/connlimit/limiter_test.go
@@ -29,9 +29,10 @@
 func (c *conn) Close() error                { c.closed = true; return nil }
 func (c *conn) SetDeadline(time.Time) error { return nil }
 
-// FuzzGate plays random steps to the passes of a small gate and checks its counts against a model: what is held
-// stays within the room but for those that are making way, the oldest idle connection makes way, and a request's never does.
-// The gate itself closes none: only the goroutine that reads a connection can tell whether its last line has come.
+// FuzzGate plays random steps to the passes of a small gate and checks its counts against a model: what is
+// held stays within the room but for those that are making way, the oldest idle connection makes way, and a
+// request's never does. The gate itself closes none: only the goroutine that reads a connection can tell
+// whether its last line has come.
 func FuzzGate(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 1, 0, 1, 1, 0, 0, 2, 0, 3, 0, 4, 0, 0, 0})
 	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 9, 1, 10, 4, 9, 0, 0, 0, 0})
--- a/internal/wire/connlimit/permit.go
+++ b/internal/wire/connlimit/permit.go
@@ -2,14 +2,17 @@
 
 import (
 	"container/list"
+	"time"
 
 	"capersail/internal/wire/splice"
 )
 
-// Permit is one client's connection, as its Limiter counts it. The goroutine that serves the connection calls its methods.
+// Permit is one client's connection, as its Limiter counts it. The goroutine that serves the connection calls
+// its methods.
 type Permit struct {
-	Half         *splice.Half
-	RequestUntil float64 // when the client must have brought its request, in milliseconds of the limiter's clock
+	Half *splice.Half
+	// RequestUntil is the instant of the limiter's clock by which the client must have brought its request.
+	RequestUntil time.Duration
 
 	// The limiter's lock guards what follows.
 	limiter        *Limiter
@@ -20,8 +23,8 @@
 	serverCounted  bool          // the descriptor of its connection to a server is counted
 }
 
-// AcquireRequest takes the second descriptor that a request needs; false if requests hold all they may. From then on
-// the connection is not evicted, even if it had been told to close.
+// AcquireRequest takes the second descriptor that a request needs; false if requests hold all they may. From
+// then on the connection is not evicted, even if it had been told to close.
 func (p *Permit) AcquireRequest() bool {
 	l := p.limiter
 	l.mu.Lock()
--- a/internal/wire/platform/client.go
+++ b/internal/wire/platform/client.go
@@ -129,10 +129,10 @@
 		tenant = decide.NoTenant
 	}
 	left := o.left
-	if longest := relay.Millis(f.Site.Settings.Classes[class].Deadline); longest > 0 && o.at == "" {
+	if longest := f.Site.Settings.Classes[class].Deadline; longest > 0 && o.at == "" {
 		left = min(left, longest) // no client of the class waits for longer, whatever it says
 	}
-	ask := relay.OpenRequest{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.hint, Timeout: relay.Duration(left),
+	ask := relay.OpenRequest{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.hint, Timeout: left,
 		Returned: o.returned, Payload: o}
 	if o.resume != "" {
 		st, err := f.stream(o)
--- a/internal/wire/platform/line.go
+++ b/internal/wire/platform/line.go
@@ -11,6 +11,7 @@
 	"net"
 	"strconv"
 	"strings"
+	"time"
 
 	"capersail/decide"
 	"capersail/internal/relay"
@@ -93,7 +94,8 @@
 	before, after string // the line around the figure of d
 	class, tenant string
 	key, group    uint64
-	hint, left    float64
+	hint          float64
+	left          time.Duration // the client's wait, in whole microseconds
 	returned      bool
 	at            string // the server that held the connection before the run
 	resume        string // a token, or "new"; "" if the client does not ask to go on one day
@@ -173,10 +175,11 @@
 			o.tenant = value
 		case "d":
 			o.before, o.after = text[:at+2], text[at+len(field):]
-			if o.left, err = strconv.ParseFloat(value, 64); err != nil || strings.Trim(value, "0123456789.") != "" ||
-				!(o.left > 0 && o.left < 1e9) {
+			left, err := strconv.ParseFloat(value, 64)
+			if err != nil || strings.Trim(value, "0123456789.") != "" || !(left > 0 && left < 1e9) {
 				return nil, fmt.Errorf("d=%q is not a time to wait", value)
 			}
+			o.left = relay.Duration(left)
 		case "g":
 			o.group = number(value)
 		case "h":
@@ -202,14 +205,14 @@
 }
 
 // resumeWithin is how long a connection from before the run may take to come up.
-const resumeWithin = 40_000.0
+const resumeWithin = 40 * time.Second
 
-// line is the opening as it goes on to a server that is given left milliseconds, with what more it is told.
-func (o *opening) line(left float64, more string) []byte {
+// line is the opening as it goes on to a server that is given left, with what more it is told.
+func (o *opening) line(left time.Duration, more string) []byte {
 	if !strings.HasSuffix(o.before, "d=") {
 		return []byte(o.before + more + "\r\n")
 	}
-	return []byte(o.before + strconv.Itoa(max(1, int(left))) + o.after + more + "\r\n")
+	return []byte(o.before + strconv.FormatInt(max(1, left.Milliseconds()), 10) + o.after + more + "\r\n")
 }
 
 // number reads the hexadecimal figures of keys and groups; any other text stands for a number too.
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -28,7 +28,7 @@
 // ending the connection first and reading it after. One that is not whole by then gets a clean end, not a reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
 	for name, end := range map[string]func(*connlimit.Permit){
-		"its time is up":      func(p *connlimit.Permit) { p.RequestUntil = 1 },
+		"its time is up":      func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
 		"its place is wanted": func(p *connlimit.Permit) { p.Half.CloseNow() },
 		"the relay leaves":    func(p *connlimit.Permit) { p.Half.Wake() },
 	} {
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -40,7 +40,7 @@
 		o, err := parseOpening([]byte(c.in + "\r\n"))
 		got := ""
 		if err == nil {
-			got = string(o.line(70, ""))
+			got = string(o.line(70*time.Millisecond, ""))
 		}
 		if got != c.out {
 			t.Errorf("%s: %q, %v", c.name, got, err)
@@ -57,9 +57,9 @@
 		if err != nil {
 			return
 		}
-		again, err := parseOpening(o.line(70, ""))
-		if err != nil || again.class != o.class || again.at != o.at || o.at == "" && again.left != 70 {
-			t.Errorf("%q goes on as %q: %v", line, o.line(70, ""), err)
+		again, err := parseOpening(o.line(70*time.Millisecond, ""))
+		if err != nil || again.class != o.class || again.at != o.at || o.at == "" && again.left != 70*time.Millisecond {
+			t.Errorf("%q goes on as %q: %v", line, o.line(70*time.Millisecond, ""), err)
 		}
 	})
 }
@@ -110,7 +110,7 @@
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
 		MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(900), Tick: relay.Duration(5),
 		ConnectTimeout: relay.Duration(1000), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(600)}}}}
-	x = relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, LoadKey: "x0", Keep: 4})
+	x = relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: time.Second, LoadKey: "x0", Keep: 4})
 	var list []relay.Endpoint
 	for i, answer := range answers {
 		s, err := fake.NewTileServer("127.0.0.1:0", answer)
@@ -291,7 +291,7 @@
 	var all []*client
 	for _, say := range []string{"", "PING\r\n", "half a li"} {
 		c := connect(t, address)
-		c.SetDeadline(time.Now().Add(4 * connlimit.RequestWithin * time.Millisecond))
+		c.SetDeadline(time.Now().Add(4 * connlimit.RequestWithin))
 		fmt.Fprint(c, say)
 		all = append(all, c)
 	}
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"strconv"
 	"strings"
+	"time"
 
 	"capersail/internal/relay"
 	"capersail/internal/resume"
@@ -122,11 +123,11 @@
 }
 
 // nextLook is when the goroutine that passes lines looks at its stream at the latest; 0 is never.
-func nextLook(st *resume.Stream) float64 {
+func nextLook(st *resume.Stream) time.Duration {
 	if st == nil {
 		return 0
 	}
-	return relay.Millis(st.NextCheck())
+	return st.NextCheck()
 }
 
 // got takes the client's word that it has a token. It is the relay's line: no server reads it.
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -44,7 +44,7 @@
 			}
 			continue
 		}
-		if got := strings.TrimSpace(string(o.line(70, ""))); got != c.out || o.resume != c.token || o.resume != "" && o.position != c.position || c.fails != "" {
+		if got := strings.TrimSpace(string(o.line(70*time.Millisecond, ""))); got != c.out || o.resume != c.token || o.resume != "" && o.position != c.position || c.fails != "" {
 			t.Errorf("%s: %q, token %q, position %d", c.name, got, o.resume, o.position)
 		}
 	}
@@ -98,7 +98,7 @@
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2,
 		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: 1000, Keep: 4})
+	x := relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: time.Second, Keep: 4})
 	x.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{{ID: "s", Address: flood(b), Mode: decide.Ready, SupportsResume: true}})
 	service := resume.New(resume.Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a", SessionTimeout: 8 * time.Second, AcquireTimeout: 500 * time.Millisecond,
 		TokenLifetime: time.Minute, TokenRenewInterval: 5 * time.Second}, ring, clock, zerolog.Nop())
--- a/internal/wire/platform/server.go
+++ b/internal/wire/platform/server.go
@@ -16,16 +16,16 @@
 
 const (
 	// probeWithin is how long a probe's answer is waited for. It tells a silent machine from a slow one.
-	probeWithin = 200.0
+	probeWithin = 200 * time.Millisecond
 	// keptFor is how long a connection for probes is kept unused. Servers that a deploy has replaced are probed
 	// no more, and each would hold a descriptor for good.
-	keptFor = 10_000.0
+	keptFor = 10 * time.Second
 )
 
 // Servers is the server side: it dials, passes lines back, classifies how attempts end, and probes.
 type Servers struct {
 	Clock          *relay.Clock
-	ConnectTimeout float64
+	ConnectTimeout time.Duration
 	LoadKey        string
 	Keep           int64 // how many connections may be kept for probes
 
@@ -45,7 +45,7 @@
 		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
-	within := relay.Millis(a.Deadline - s.Clock.Now())
+	within := a.Deadline - s.Clock.Now()
 	if s.ConnectTimeout > 0 {
 		within = min(within, s.ConnectTimeout)
 	}
@@ -71,13 +71,13 @@
 // converse sends the first line and follows the connection to its end, for PROTOCOL's table.
 func (s *Servers) converse(c *relay.Request, a relay.Attempt, e *splice.Half) (decide.Status, decide.LoadReport) {
 	more, told := tell(c, a)
-	if e.Forward(c.Payload.(*opening).line(relay.Millis(a.Deadline-s.Clock.Now()), more)) != nil {
+	if e.Forward(c.Payload.(*opening).line(a.Deadline-s.Clock.Now(), more)) != nil {
 		return decide.ConnectFailed, decide.NoLoadReport
 	}
 	c.FirstLineWritten(a.Number)
 	in := newLines(e.Conn)
 	for {
-		e.SetReadUntil(relay.Millis(a.Deadline))
+		e.SetReadUntil(a.Deadline)
 		line, err := in.next()
 		if splice.TimedOut(err) {
 			e.ClearWake() // before the looks below: a wake that comes after them must not be lost
@@ -252,7 +252,7 @@
 		if k.address != p.address {
 			s.drop(&k)
 		}
-		until := s.Clock.NowMillis() + probeWithin
+		until := s.Clock.Now() + probeWithin
 		old := k.conn != nil
 		status, load, err := s.ask(&k, p.address, until)
 		if err != nil && old && !splice.TimedOut(err) { // it was closed while idle: that says nothing of the server
@@ -261,7 +261,7 @@
 		if s.kept.Load() > s.Keep {
 			s.drop(&k)
 		}
-		idle = s.Clock.AfterMillis(keptFor)
+		idle = s.Clock.After(keptFor)
 		p.done(status, load)
 	}
 }
@@ -282,16 +282,16 @@
 }
 
 // ask puts one question. After any error the connection is dropped.
-func (s *Servers) ask(k *kept, address string, until float64) (decide.Status, decide.LoadReport, error) {
+func (s *Servers) ask(k *kept, address string, until time.Duration) (decide.Status, decide.LoadReport, error) {
 	if k.conn == nil {
-		conn, err := splice.Dial(context.Background(), address, until-s.Clock.NowMillis())
+		conn, err := splice.Dial(context.Background(), address, until-s.Clock.Now())
 		if err != nil {
 			return splice.ProbeStatus(err), decide.NoLoadReport, err
 		}
 		*k = kept{conn, newLines(conn), address}
 		s.kept.Add(1)
 	}
-	k.conn.SetDeadline(s.Clock.WallDeadlineMillis(until))
+	k.conn.SetDeadline(s.Clock.WallDeadline(until))
 	_, err := k.conn.Write([]byte("STATS\r\n"))
 	var line []byte
 	if err == nil {
--- a/internal/wire/splice/descriptor.go
+++ b/internal/wire/splice/descriptor.go
@@ -10,8 +10,9 @@
 // pendingBytes is the length of the longest line.
 const pendingBytes = 4096
 
-// ReadPending returns what has come and not been read, up to pendingBytes, without a wait. A read whose deadline has passed
-// looks at nothing: a last line that came before a close would be discarded unseen. Every later read returns at once.
+// ReadPending returns what has come and not been read, up to pendingBytes, without a wait. A read whose
+// deadline has passed looks at nothing: a last line that came before a close would be discarded unseen. Every
+// later read returns at once.
 func (e *Half) ReadPending() []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -27,7 +28,8 @@
 // PeerClosed tells, without a wait, whether the peer's end is the next thing to read.
 func (e *Half) PeerClosed() bool { return e.peek() == 0 }
 
-// peek returns how many bytes can be read at once (1 for any), 0 at the peer's end, and a negative number if nothing has come.
+// peek returns how many bytes can be read at once (1 for any), 0 at the peer's end, and a negative number if
+// nothing has come.
 func (e *Half) peek() int {
 	p := make([]byte, 1)
 	return e.controlDescriptor(func(fd int) (int, error) {
@@ -39,8 +41,8 @@
 	})
 }
 
-// controlDescriptor makes one call on the connection's descriptor, which must not wait, again after EINTR. It returns a
-// negative number where the call failed or there is no descriptor.
+// controlDescriptor makes one call on the connection's descriptor, which must not wait, again after EINTR. It
+// returns a negative number where the call failed or there is no descriptor.
 func (e *Half) controlDescriptor(call func(fd int) (int, error)) int {
 	conn := e.Conn
 	if t, ok := conn.(*tls.Conn); ok {
--- a/internal/wire/splice/dial.go
+++ b/internal/wire/splice/dial.go
@@ -7,12 +7,14 @@
 	"net"
 	"os"
 	"syscall"
+	"time"
 
 	"capersail/decide"
 	"capersail/internal/relay"
 )
 
-// localErrors are what a dial fails with for want of something on this machine: a descriptor, memory, a route.
+// localErrors are what a dial fails with for want of something on this machine: a descriptor, memory, a
+// route.
 var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
@@ -20,8 +22,8 @@
 	syscall.EPERM,
 }
 
-// DialStatus is the outcome of an attempt whose dial failed. A failure of this machine says nothing of the server: taken for
-// the server's it would eject a healthy one.
+// DialStatus is the outcome of an attempt whose dial failed. A failure of this machine says nothing of the
+// server: taken for the server's it would eject a healthy one.
 func DialStatus(err error) decide.Status {
 	for _, errno := range localErrors {
 		if errors.Is(err, errno) {
@@ -31,7 +33,8 @@
 	return decide.ConnectFailed
 }
 
-// ProbeStatus is DialStatus for a probe, which tells a server that does not answer from one that refuses.
+// ProbeStatus is DialStatus for a health check, which tells a server that does not answer from one that
+// refuses the connection.
 func ProbeStatus(err error) decide.Status {
 	var slow net.Error
 	if errors.As(err, &slow) && slow.Timeout() {
@@ -51,12 +54,17 @@
 // TimedOut tells whether a deadline or a Wake cut a read short.
 func TimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// Dial connects within so many milliseconds, 1 at least. TCP keep-alive stays off: the protocols have their own.
-func Dial(ctx context.Context, addr string, within float64) (net.Conn, error) {
-	if err := reach(ctx, addr, within); err != nil {
+// minDialTimeout is what a dial gets at least, however near its deadline is.
+const minDialTimeout = time.Millisecond
+
+// Dial connects within a timeout, of minDialTimeout at least. TCP keep-alive stays off: the protocols have
+// their own. Its error is the network's, for DialStatus and ProbeStatus.
+func Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+	timeout = max(timeout, minDialTimeout)
+	if err := reach(ctx, addr, timeout); err != nil {
 		return nil, err
 	}
-	d := net.Dialer{Timeout: relay.Duration(max(within, 1)), KeepAlive: -1}
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
--- a/internal/wire/splice/faultpoint_faults.go
+++ b/internal/wire/splice/faultpoint_faults.go
@@ -10,19 +10,18 @@
 	"syscall"
 	"time"
 
-	"capersail/internal/relay"
 	"capersail/internal/testing/faultpoint"
 )
 
-// reach waits in vain for a server that the rules keep out of reach.
-func reach(ctx context.Context, addr string, within float64) error {
+// reach waits in vain, until the timeout, for a server that the rules keep out of reach.
+func reach(ctx context.Context, addr string, timeout time.Duration) error {
 	if faultpoint.Reaches(addr) {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(relay.Duration(max(within, 1))):
+	case <-time.After(timeout):
 		return os.ErrDeadlineExceeded
 	}
 }
@@ -30,7 +29,8 @@
 // through wraps a connection that the rules may cut.
 func through(conn net.Conn, addr string) net.Conn { return &cuttable{Conn: conn, addr: addr} }
 
-// cuttable says nothing while its other side is out of reach, and is reset when it is back, as what was lost is lost.
+// cuttable transfers nothing while its other side is out of reach, and is reset once it is back: what was
+// lost is lost.
 type cuttable struct {
 	net.Conn
 	addr string
--- a/internal/wire/splice/half.go
+++ b/internal/wire/splice/half.go
@@ -1,5 +1,6 @@
-// Package splice is one TCP or TLS connection as the two sides of a request share it: the goroutine that reads it, the other
-// side's goroutine, which writes and ends it, and the event loop, which wakes it. It knows no protocol.
+// Package splice is one TCP or TLS connection as the two sides of a request share it: the goroutine that
+// reads it, the other side's goroutine, which writes and ends it, and the event loop, which wakes it. It
+// knows no protocol.
 package splice
 
 import (
@@ -12,20 +13,21 @@
 	"capersail/internal/relay"
 )
 
-// WriteTimeout bounds every write, in milliseconds: a peer that takes nothing for so long has its connection ended.
-const WriteTimeout = 1000.0
+// WriteTimeout bounds every write: a peer that takes nothing for so long has its connection ended.
+const WriteTimeout = time.Second
 
 const (
-	// lingerFor is how long, in milliseconds, a connection that was closed cleanly waits for its peer's end. A close over
-	// unread bytes makes the kernel send a reset, which can overtake and destroy the last line written.
-	lingerFor = 500.0
-	// lingerBytes bounds what is read and discarded meanwhile: a client that sends at full speed costs processor time.
+	// lingerFor is how long a connection that was closed cleanly waits for its peer's end. A close over unread
+	// bytes makes the kernel send a reset, which can overtake and destroy the last line written.
+	lingerFor = 500 * time.Millisecond
+	// lingerBytes bounds what is read and discarded meanwhile: a client that sends at full speed costs
+	// processor time.
 	lingerBytes = 256 << 10
 )
 
-// Half is one of the two connections of a request. Its methods may be called by several goroutines; only one of them reads.
-// A wake is sticky: reads return at once until ClearWake. A write never waits longer than WriteTimeout.
-// Once closed, a Half stays closed.
+// Half is one of the two connections of a request. Its methods may be called by several goroutines; only one
+// of them reads. A wake is sticky: reads return at once until ClearWake. A write never waits longer than
+// WriteTimeout. Once closed, a Half stays closed.
 type Half struct {
 	mu     sync.Mutex
 	Conn   net.Conn // nil while it is dialled
@@ -46,8 +48,9 @@
 	return !e.closed
 }
 
-// SetReadUntil sets when a read returns at the latest, in milliseconds of the clock; 0 is never. It has no effect after a wake.
-func (e *Half) SetReadUntil(at float64) {
+// SetReadUntil sets at which instant of the clock a read returns at the latest; 0 is never. It has no effect
+// after a wake.
+func (e *Half) SetReadUntil(at time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -55,7 +58,7 @@
 	case at == 0:
 		e.Conn.SetReadDeadline(time.Time{})
 	default:
-		e.Conn.SetReadDeadline(e.Clock.WallDeadlineMillis(at))
+		e.Conn.SetReadDeadline(e.Clock.WallDeadline(at))
 	}
 }
 
@@ -83,7 +86,8 @@
 	}
 }
 
-// CloseNow makes the goroutine that reads the connection close it without any wait, even one for the peer's end.
+// CloseNow makes the goroutine that reads the connection close it without any wait, even one for the peer's
+// end.
 func (e *Half) CloseNow() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -97,7 +101,7 @@
 	}
 }
 
-// ClosingNow tells whether Hurry was called.
+// ClosingNow tells whether CloseNow was called.
 func (e *Half) ClosingNow() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,15 +116,15 @@
 	return e.closeNowSignal
 }
 
-// Forward writes to the connection.
+// Forward writes to the connection. Its error is the network's.
 func (e *Half) Forward(p []byte) error {
-	e.Conn.SetWriteDeadline(e.Clock.WallDeadlineMillis(e.Clock.NowMillis() + WriteTimeout))
+	e.Conn.SetWriteDeadline(e.Clock.WallDeadline(e.Clock.Now() + WriteTimeout))
 	_, err := e.Conn.Write(p)
 	return err
 }
 
-// Close ends the connection: cleanly, with a bounded wait for the peer's end, or with a reset. It is idempotent. The
-// goroutine that reads the connection releases the descriptor.
+// Close ends the connection: cleanly, with a bounded wait for the peer's end, or with a reset. It is
+// idempotent. The goroutine that reads the connection releases the descriptor.
 func (e *Half) Close(how relay.CloseKind) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -137,7 +141,7 @@
 	case ok && how == relay.GracefulClose:
 		half.CloseWrite()
 		if !e.closingNow {
-			e.Conn.SetReadDeadline(e.Clock.WallDeadlineMillis(e.Clock.NowMillis() + lingerFor))
+			e.Conn.SetReadDeadline(e.Clock.WallDeadline(e.Clock.Now() + lingerFor))
 		}
 	default:
 		raw := e.Conn
@@ -151,18 +155,19 @@
 	}
 }
 
-// CloseAndDiscard closes cleanly, discards what still comes until the peer's end, the bounded wait or CloseNow, and releases the
-// descriptor. A peer that goes on sending is left to its full buffers until then, so that it can read the last line first.
+// CloseAndDiscard closes cleanly, discards what still comes until the peer's end, the bounded wait or
+// CloseNow, and releases the descriptor. A peer that goes on sending is left to its full buffers until then,
+// so that it can read the last line first.
 func (e *Half) CloseAndDiscard() {
-	began := e.Clock.NowMillis()
+	began := e.Clock.Now()
 	e.Close(relay.GracefulClose)
 	if n, err := io.Copy(io.Discard, io.LimitReader(e.Conn, lingerBytes)); n == lingerBytes && err == nil {
 		e.mu.Lock()
-		hurried := e.closeNowChannel()
+		closeNow := e.closeNowChannel()
 		e.mu.Unlock()
 		select {
-		case <-e.Clock.AfterMillis(began + lingerFor - e.Clock.NowMillis()):
-		case <-hurried:
+		case <-e.Clock.After(began + lingerFor - e.Clock.Now()):
+		case <-closeNow:
 		}
 	}
 	if e.ClosingNow() { // a close over unread bytes would send a reset, which may overtake the last line
--- a/internal/wire/splice/half_test.go
+++ b/internal/wire/splice/half_test.go
@@ -12,7 +12,7 @@
 	"capersail/internal/relay"
 )
 
-// pair is two ends of one TCP connection.
+// newPair returns the two ends of one TCP connection.
 func pair(t *testing.T) (*Half, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,8 @@
 	}
 }
 
-// What has come and nobody has read is seen without a wait, whatever the read deadline, and is not consumed by a look.
+// What has come and nobody has read is seen without a wait, whatever the read deadline, and is not consumed
+// by a look.
 func TestPending(t *testing.T) {
 	for name, c := range map[string]struct {
 		does  func(peer *net.TCPConn)
@@ -67,12 +68,13 @@
 	}
 }
 
-// A read whose deadline has passed does not look, so what came before it would be lost: Take returns it.
+// A read whose deadline has passed does not look, so what came before it would be lost: ReadPending returns
+// it.
 func TestTakeAfterTheDeadline(t *testing.T) {
 	e, peer := pair(t)
 	peer.Write([]byte("line\r\n"))
 	await(t, e)
-	e.SetReadUntil(e.Clock.NowMillis() - 1)
+	e.SetReadUntil(e.Clock.Now() - time.Millisecond)
 	if n, err := e.Conn.Read(make([]byte, 9)); n != 0 || !TimedOut(err) {
 		t.Fatalf("the premise: %d, %v", n, err)
 	}
@@ -84,18 +86,19 @@
 	}
 }
 
-// Hurry ends a linger behind a peer that sends without end, and the last line written arrives. The clock goes back by a minute once
-// the linger has begun, so without Hurry it would last as long.
+// CloseNow ends a linger behind a peer that sends without end, and the last line written arrives. The clock
+// goes back by a minute once the linger has begun, so without CloseNow it would last as long.
 func TestHurryEndsALinger(t *testing.T) {
 	e, peer := pair(t)
 	e.Clock = relay.NewManualClock()
 	e.Forward([]byte("BUSY\r\n"))
 	done := make(chan struct{})
 	go func() { defer close(done); e.CloseAndDiscard() }()
-	if got, err := io.ReadAll(peer); err != nil || string(got) != "BUSY\r\n" { // up to the half-close, after which it lingers
+	// Up to the half-close, after which it lingers.
+	if got, err := io.ReadAll(peer); err != nil || string(got) != "BUSY\r\n" {
 		t.Errorf("%q, %v", got, err)
 	}
-	e.Clock.SetMillis(e.Clock.NowMillis() - 60_000)
+	e.Clock.Set(e.Clock.Now() - time.Minute)
 	peer.Write(make([]byte, lingerBytes))
 	for e.HasUnread() { // until all that it reads of a flood has been read
 		time.Sleep(time.Millisecond)
@@ -109,16 +112,18 @@
 	}
 }
 
-// What this machine is short of for a moment, or its own missing route, says nothing of the server: taken for its failure it would
-// leave all servers out at once, as cold ones.
+// What this machine is short of for a moment, or its own missing route, says nothing of the server: taken for
+// its failure it would eject all servers at once.
 func TestUndialled(t *testing.T) {
 	for err, want := range map[error]decide.Status{
-		syscall.EMFILE: decide.Superseded, syscall.ENFILE: decide.Superseded, syscall.ENOBUFS: decide.Superseded, syscall.ENOMEM: decide.Superseded,
-		syscall.EADDRNOTAVAIL: decide.Superseded, syscall.EAGAIN: decide.Superseded, syscall.EPERM: decide.Superseded, syscall.ENETUNREACH: decide.Superseded,
-		syscall.ENETDOWN: decide.Superseded,
+		syscall.EMFILE: decide.Superseded, syscall.ENFILE: decide.Superseded,
+		syscall.ENOBUFS: decide.Superseded, syscall.ENOMEM: decide.Superseded,
+		syscall.EADDRNOTAVAIL: decide.Superseded, syscall.EAGAIN: decide.Superseded,
+		syscall.EPERM:       decide.Superseded,
+		syscall.ENETUNREACH: decide.Superseded, syscall.ENETDOWN: decide.Superseded,
 
-		syscall.ECONNREFUSED: decide.ConnectFailed, syscall.EHOSTUNREACH: decide.ConnectFailed, syscall.ECONNRESET: decide.ConnectFailed,
-		syscall.ETIMEDOUT: decide.ConnectFailed,
+		syscall.ECONNREFUSED: decide.ConnectFailed, syscall.EHOSTUNREACH: decide.ConnectFailed,
+		syscall.ECONNRESET: decide.ConnectFailed, syscall.ETIMEDOUT: decide.ConnectFailed,
 	} {
 		dial := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 		if got := DialStatus(dial); got != want {
--- a/internal/wire/xmpp/client.go
+++ b/internal/wire/xmpp/client.go
@@ -8,6 +8,7 @@
 	"math"
 	"net"
 	"sync/atomic"
+	"time"
 
 	"capersail/decide"
 	"capersail/internal/relay"
@@ -15,12 +16,15 @@
 	"capersail/internal/wire/splice"
 )
 
+// connLimitRetryAfter is when a client comes again that the limit on connections has rejected.
+const connLimitRetryAfter = 500 * time.Millisecond
+
 // Host is what the operator's file says of one `to`.
 type Host struct {
 	Class  decide.Class
 	Tenant decide.Tenant
 	Key    uint64
-	Left   float64 // milliseconds until a stream must be up
+	Left   time.Duration // until a stream must be up
 }
 
 // Front is the client side.
@@ -46,10 +50,10 @@
 		f.Gate.Log.Warn().Err(err).Str("to", st.to).Msg("stream refused before it was placed")
 	case !p.AcquireRequest():
 		f.X.RecordConnLimitRejection(host.Class)
-		st.finish("resource-constraint", retryAfter(500))
+		st.finish("resource-constraint", retryAfter(connLimitRetryAfter))
 	default:
 		e.SetReadUntil(0)
-		call = f.X.Open(relay.OpenRequest{Class: host.Class, Tenant: host.Tenant, Key: host.Key, Timeout: relay.Duration(host.Left), Payload: st}, clientEnd{e, st})
+		call = f.X.Open(relay.OpenRequest{Class: host.Class, Tenant: host.Tenant, Key: host.Key, Timeout: host.Left, Payload: st}, clientEnd{e, st})
 		f.follow(call, st, r)
 	}
 	p.ReleaseRequest()
@@ -62,7 +66,7 @@
 
 // header takes the client's start tag, after STARTTLS where there is a certificate; all of it by a time that
 // no step renews.
-func (f *Front) header(e *splice.Half, st *stream, until float64) (*reader, Host, error) {
+func (f *Front) header(e *splice.Half, st *stream, until time.Duration) (*reader, Host, error) {
 	r := newReader(e.Conn)
 	host, err := f.start(st, r)
 	config := f.TLS.Load()
@@ -80,7 +84,7 @@
 		return r, host, err
 	}
 	secure := tls.Server(e.Conn, config)
-	ctx, stop := context.WithTimeout(context.Background(), relay.Duration(until-f.X.Clock.NowMillis()))
+	ctx, stop := context.WithTimeout(context.Background(), until-f.X.Clock.Now())
 	defer stop()
 	if err := secure.HandshakeContext(ctx); err != nil {
 		return r, host, fmt.Errorf("TLS: %w", err)
@@ -163,7 +167,7 @@
 func (f *Front) answer(st *stream, a relay.Answer) {
 	switch a.Kind {
 	case relay.Rejected:
-		st.finish("resource-constraint", retryAfter(relay.Millis(a.RetryAfter)))
+		st.finish("resource-constraint", retryAfter(a.RetryAfter))
 	case relay.Failed:
 		switch {
 		case st.why() != "":
@@ -183,6 +187,6 @@
 }
 
 // retryAfter is the child of a refusal that tells the client when to come again.
-func retryAfter(ms float64) string {
-	return fmt.Sprintf("<retry-after xmlns='%s' ms='%d'/>", retryNS, int(math.Ceil(ms)))
+func retryAfter(d time.Duration) string {
+	return fmt.Sprintf("<retry-after xmlns='%s' ms='%d'/>", retryNS, int(math.Ceil(relay.Millis(d))))
 }
--- a/internal/wire/xmpp/server.go
+++ b/internal/wire/xmpp/server.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"strings"
+	"time"
 
 	"github.com/rs/zerolog"
 
@@ -17,9 +18,9 @@
 // notices silence.
 type Servers struct {
 	Clock          *relay.Clock
-	ConnectTimeout float64
-	ProbeTo        string  // the host that a probe's stream names
-	Silent         float64 // a server that has confirmed nothing for so long is given up
+	ConnectTimeout time.Duration
+	ProbeTo        string        // the host that a probe's stream names
+	Silent         time.Duration // a server that has confirmed nothing for so long is given up
 	Log            zerolog.Logger
 }
 
@@ -34,7 +35,7 @@
 		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
-	conn, err := splice.Dial(ctx, a.Server.Address, min(relay.Millis(a.Deadline-s.Clock.Now()), s.ConnectTimeout))
+	conn, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-s.Clock.Now(), s.ConnectTimeout))
 	if err != nil {
 		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
@@ -65,9 +66,9 @@
 	st *stream
 	r  *reader
 
-	unconfirmed []item  // written to the server, which has not shown yet that it took them
-	since       float64 // when the oldest of them was written, or the server was last heard after it
-	pingAfter   int     // how many of them stood before the ping that is out; 0 if none is
+	unconfirmed []item        // written to the server, which has not shown yet that it took them
+	since       time.Duration // when the oldest of them was written, or the server was last heard after it
+	pingAfter   int           // how many of them stood before the ping that is out; 0 if none is
 	pings       int
 }
 
@@ -75,12 +76,12 @@
 var errWoken = errors.New("woken")
 
 // next reads the server's next item, until a time; 0 is never.
-func (at *attempt) next(until float64) (item, error) {
+func (at *attempt) next(until time.Duration) (item, error) {
 	at.e.SetReadUntil(until)
 	it, err := at.r.next()
 	if splice.TimedOut(err) {
 		at.e.ClearWake()
-		if until == 0 || at.s.Clock.NowMillis() < until || at.e.Closed() {
+		if until == 0 || at.s.Clock.Now() < until || at.e.Closed() {
 			return it, errWoken
 		}
 	}
@@ -93,11 +94,11 @@
 	if at.e.Forward(append([]byte("<?xml version='1.0'?>"), at.st.open.raw...)) != nil {
 		return decide.ConnectFailed
 	}
-	open, status := at.expect(opened, "stream:stream", relay.Millis(at.a.Deadline))
+	open, status := at.expect(opened, "stream:stream", at.a.Deadline)
 	if status != decide.OK {
 		return status
 	}
-	features, status := at.expect(element, "stream:features", relay.Millis(at.a.Deadline))
+	features, status := at.expect(element, "stream:features", at.a.Deadline)
 	if status != decide.OK {
 		return status
 	}
@@ -111,7 +112,7 @@
 }
 
 // expect reads one item before SASL.
-func (at *attempt) expect(k kind, name string, until float64) (item, decide.Status) {
+func (at *attempt) expect(k kind, name string, until time.Duration) (item, decide.Status) {
 	for {
 		it, err := at.next(until)
 		switch {
@@ -153,7 +154,7 @@
 				return decide.Reset
 			}
 		}
-		it, err := at.next(relay.Millis(at.a.ClientDeadline))
+		it, err := at.next(at.a.ClientDeadline)
 		switch {
 		case err == errWoken && at.e.Closed():
 			return decide.Cancelled
@@ -203,7 +204,7 @@
 			return decide.Cancelled
 		case err == errWoken:
 		case splice.TimedOut(err):
-			if at.s.Clock.NowMillis()-at.since >= at.s.Silent {
+			if at.s.Clock.Now()-at.since >= at.s.Silent {
 				return at.lost("connection-timeout", decide.Reset)
 			}
 			if at.ping() != nil {
@@ -218,7 +219,7 @@
 			at.st.write(it.raw)
 			return at.lost("", decide.Cancelled)
 		default:
-			at.since = at.s.Clock.NowMillis()
+			at.since = at.s.Clock.Now()
 			if at.pong(it) {
 				continue
 			}
@@ -233,7 +234,7 @@
 // unconfirmed, it stays queued; all does without that.
 func (at *attempt) flush(all bool) error {
 	for {
-		now := at.s.Clock.NowMillis()
+		now := at.s.Clock.Now()
 		if late := at.pingAfter > 0 && now-at.since >= at.s.Silent*2/5; !all && (late || len(at.unconfirmed) >= maxQueue || size(at.unconfirmed) >= maxBytes) {
 			return nil
 		}
@@ -259,7 +260,7 @@
 }
 
 // wakeAt is when the server's silence is to be looked at.
-func (at *attempt) wakeAt() float64 {
+func (at *attempt) wakeAt() time.Duration {
 	switch {
 	case len(at.unconfirmed) == 0:
 		return 0
@@ -350,7 +351,7 @@
 		return splice.ProbeStatus(err), report
 	}
 	defer conn.Close()
-	conn.SetDeadline(s.Clock.WallDeadlineMillis(s.Clock.NowMillis() + s.ConnectTimeout))
+	conn.SetDeadline(s.Clock.WallDeadline(s.Clock.Now() + s.ConnectTimeout))
 	fmt.Fprintf(conn, "<?xml version='1.0'?><stream:stream to='%s' version='1.0' xmlns='jabber:client' xmlns:stream='%s'>",
 		escape(s.ProbeTo), streamsNS)
 	it, err := newReader(conn).next()
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"math/rand/v2"
 	"sync"
+	"time"
 
 	"github.com/rs/zerolog"
 
@@ -15,15 +16,16 @@
 )
 
 const (
-	// pingPart of a session's time-out is how long it may go without a request. A claim is trusted by what was
-	// answered last, so pings come more often than a session needs to live.
-	pingPart = 1.0 / 6
-	// silentPart of it is how long a service may be silent before another address is tried.
-	silentPart = 1.0 / 2
+	// pingDivisor: a session's time-out divided by it is how long it may go without a request. Ownership is
+	// trusted by what was answered last, so pings come more often than a session needs to live.
+	pingDivisor = 6
+	// silenceDivisor: and by this, how long a service may be silent before another address is tried.
+	silenceDivisor = 2
 	// batchBytes of requests are written at once at most.
 	batchBytes = 64 << 10
-	firstPause = 50.0 // before the next address is tried, doubling, each with jitter
-	mostPause  = 1000.0
+	// minReconnectBackoff is the pause before the next address is tried. It doubles, each with jitter.
+	minReconnectBackoff = 50 * time.Millisecond
+	maxReconnectBackoff = time.Second
 )
 
 // Code is how a request ended: 0, an error of the service's (negative), or Lost.
@@ -57,19 +59,19 @@
 // Events is told what happens to a session, in order and from one goroutine, as answers are.
 type Events interface {
 	// Connected: a session stands, a new one or one taken up again, by a request sent at sentAt.
-	Connected(session int64, granted, sentAt float64)
+	Connected(session int64, granted, sentAt time.Duration)
 	// Disconnected: every request without an answer has been answered Lost.
 	Disconnected()
 	// Expired: the service has forgotten the session.
 	Expired()
 	// Answered: something sent at sentAt was answered.
-	Answered(sentAt float64)
+	Answered(sentAt time.Duration)
 }
 
 // Session keeps one session with a service, over connections to any of its addresses. Requests are pipelined:
 // they are written together, without waiting for one another's answers, and answered in their order.
 type Session struct {
-	Timeout float64 // wanted, in milliseconds
+	Timeout time.Duration // the session time-out to ask for
 	Clock   *relay.Clock
 	Log     zerolog.Logger
 	Events  Events
@@ -81,7 +83,7 @@
 	open      bool // requests are taken
 	unsent    []request
 	pending   []request
-	pings     []float64 // when those without an answer were sent
+	pings     []time.Duration // when those without an answer were sent
 	kick      chan struct{}
 	xid       int32
 	closing   bool
@@ -94,12 +96,12 @@
 	op     int32
 	body   record
 	xid    int32
-	sentAt float64
+	sentAt time.Duration
 	done   func(Answer)
 }
 
 // NewSession returns a session that Run begins.
-func NewSession(addresses []string, timeout float64, clock *relay.Clock, events Events, log zerolog.Logger) *Session {
+func NewSession(addresses []string, timeout time.Duration, clock *relay.Clock, events Events, log zerolog.Logger) *Session {
 	return &Session{Timeout: timeout, Clock: clock, Log: log, Events: events, addresses: addresses,
 		next: rand.IntN(max(1, len(addresses))), kick: make(chan struct{}, 1)}
 }
@@ -215,7 +217,7 @@
 
 // Close ends the session at the service, and with it its ephemeral nodes, and waits for that no longer than
 // within. Without it they stay until the session's time-out.
-func (s *Session) Close(within float64) {
+func (s *Session) Close(within time.Duration) {
 	done := make(chan struct{})
 	s.do(opClose, nil, func(Answer) { close(done) })
 	s.mu.Lock()
@@ -223,14 +225,14 @@
 	s.mu.Unlock()
 	select {
 	case <-done:
-	case <-s.Clock.AfterMillis(within):
+	case <-s.Clock.After(within):
 	}
 }
 
 // Run keeps the session until the context ends.
 func (s *Session) Run(ctx context.Context) {
-	for pause := firstPause; ctx.Err() == nil; {
-		began := s.Clock.NowMillis()
+	for pause := minReconnectBackoff; ctx.Err() == nil; {
+		began := s.Clock.Now()
 		err := s.connection(ctx)
 		s.lose()
 		if errors.Is(err, errExpired) {
@@ -244,14 +246,14 @@
 			return
 		}
 		s.Log.Warn().Err(err).Msg("ownership service connection ended")
-		if s.Clock.NowMillis()-began > mostPause || errors.Is(err, errExpired) {
-			pause = firstPause
+		if s.Clock.Now()-began > maxReconnectBackoff || errors.Is(err, errExpired) {
+			pause = minReconnectBackoff
 		}
 		select {
 		case <-ctx.Done():
-		case <-s.Clock.AfterMillis(pause * (0.5 + rand.Float64())):
+		case <-s.Clock.After(time.Duration(float64(pause) * (0.5 + rand.Float64()))):
 		}
-		pause = min(2*pause, mostPause)
+		pause = min(2*pause, maxReconnectBackoff)
 	}
 }
 
@@ -291,7 +293,7 @@
 	n := &conn{Conn: raw, r: bufio.NewReaderSize(raw, batchBytes), clock: s.Clock}
 	wanted := s.hello
 	wanted.timeout = s.Timeout
-	sentAt := s.Clock.NowMillis()
+	sentAt := s.Clock.Now()
 	h, err := n.shake(wanted)
 	if err != nil {
 		return err
@@ -302,7 +304,7 @@
 	s.mu.Unlock()
 	s.Events.Connected(h.id, h.timeout, sentAt)
 	written := make(chan error, 1)
-	go func() { written <- s.write(ctx, n, h.timeout*pingPart) }()
+	go func() { written <- s.write(ctx, n, h.timeout/pingDivisor) }()
 	err = s.read(n)
 	s.mu.Lock()
 	s.hangUp()
@@ -315,11 +317,11 @@
 }
 
 // write sends what is queued, all of it together, and a ping when nothing was sent for a while.
-func (s *Session) write(ctx context.Context, n *conn, pingEvery float64) error {
-	last := s.Clock.NowMillis()
+func (s *Session) write(ctx context.Context, n *conn, pingEvery time.Duration) error {
+	last := s.Clock.Now()
 	for {
 		s.mu.Lock()
-		now, out, sent := s.Clock.NowMillis(), record{}, 0
+		now, out, sent := s.Clock.Now(), record{}, 0
 		for ; sent < len(s.unsent) && len(out) < batchBytes; sent++ {
 			r := s.unsent[sent]
 			s.xid++
@@ -336,7 +338,7 @@
 		s.mu.Unlock()
 		if len(out) > 0 {
 			last = now
-			n.SetWriteDeadline(s.Clock.WallDeadlineMillis(now + s.Timeout/3))
+			n.SetWriteDeadline(s.Clock.WallDeadline(now + s.Timeout/3))
 			if _, err := n.Write(out); err != nil {
 				n.Close()
 				return fmt.Errorf("write: %w", err)
@@ -349,7 +351,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-s.kick:
-		case <-s.Clock.AfterMillis(max(1, last+pingEvery-s.Clock.NowMillis())):
+		case <-s.Clock.After(max(time.Millisecond, last+pingEvery-s.Clock.Now())):
 		}
 	}
 }
@@ -357,7 +359,7 @@
 // read takes answers and events until the connection ends.
 func (s *Session) read(n *conn) error {
 	for {
-		p, err := n.frame(s.Clock.NowMillis() + s.hello.timeout*silentPart)
+		p, err := n.frame(s.Clock.Now() + s.hello.timeout/silenceDivisor)
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -26,15 +26,15 @@
 	w.what = append(w.what, fmt.Sprintf(format, args...))
 }
 
-func (w *watcher) Connected(session int64, granted, _ float64) {
+func (w *watcher) Connected(session int64, granted, _ time.Duration) {
 	w.mu.Lock()
 	w.sessions = append(w.sessions, session)
 	w.mu.Unlock()
-	w.add("connected for %v ms", granted)
+	w.add("connected for %v ms", granted.Milliseconds())
 }
-func (w *watcher) Disconnected()    { w.add("disconnected") }
-func (w *watcher) Expired()         { w.add("expired") }
-func (w *watcher) Answered(float64) {}
+func (w *watcher) Disconnected()          { w.add("disconnected") }
+func (w *watcher) Expired()               { w.add("expired") }
+func (w *watcher) Answered(time.Duration) {}
 
 func (w *watcher) wait(t *testing.T, want string, times int) {
 	t.Helper()
@@ -64,7 +64,7 @@
 	}
 	t.Cleanup(zk.Close)
 	w := &watcher{}
-	s := NewSession([]string{zk.Address}, 1000, relay.NewClock(), w, zerolog.Nop())
+	s := NewSession([]string{zk.Address}, time.Second, relay.NewClock(), w, zerolog.Nop())
 	go s.Run(t.Context())
 	w.wait(t, "connected for 1000 ms", 1)
 	return zk, s, w
@@ -114,7 +114,7 @@
 			t.Errorf("%d, %s: %+v, want code %d", i, k.name, a, k.want)
 		}
 	}
-	s.Close(1000)
+	s.Close(time.Second)
 	if left := zk.Nodes("/a/x"); !slices.Equal(left, []string{"/a/x"}) {
 		t.Errorf("after the session's end: %q", left)
 	}
--- a/internal/wire/zookeeper/wire.go
+++ b/internal/wire/zookeeper/wire.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"fmt"
 	"io"
+	"time"
 )
 
 // record writes fields one after the other; reader takes them apart.
@@ -46,15 +47,15 @@
 	return r.take(int(n))
 }
 
-func (n *conn) send(b record, within float64) error {
-	n.SetWriteDeadline(n.clock.WallDeadlineMillis(n.clock.NowMillis() + within))
+func (n *conn) send(b record, within time.Duration) error {
+	n.SetWriteDeadline(n.clock.WallDeadline(n.clock.Now() + within))
 	_, err := n.Write(append(record{}.i32(int32(len(b))), b...))
 	return err
 }
 
 // frame reads one frame. A read that a deadline cuts short before its first byte loses nothing.
-func (n *conn) frame(until float64) ([]byte, error) {
-	n.SetReadDeadline(n.clock.WallDeadlineMillis(until))
+func (n *conn) frame(until time.Duration) ([]byte, error) {
+	n.SetReadDeadline(n.clock.WallDeadline(until))
 	if _, err := n.r.Peek(4); err != nil {
 		return nil, err
 	}
@@ -74,7 +75,7 @@
 	id      int64 // 0 for a new session
 	secret  []byte
 	zxid    int64
-	timeout float64 // milliseconds: wanted, then granted
+	timeout time.Duration // wanted, then granted; whole milliseconds on the wire
 }
 
 // shake begins or takes up a session on a new connection. errExpired if the service knows it no more.
@@ -83,11 +84,11 @@
 		h.secret = make([]byte, 16)
 	}
 	within := h.timeout / 3
-	err := n.send(record{}.i32(0).i64(h.zxid).i32(int32(h.timeout)).i64(h.id).bytes(h.secret).flag(false), within)
+	err := n.send(record{}.i32(0).i64(h.zxid).i32(int32(h.timeout.Milliseconds())).i64(h.id).bytes(h.secret).flag(false), within)
 	if err != nil {
 		return h, fmt.Errorf("connect request: %w", err)
 	}
-	p, err := n.frame(n.clock.NowMillis() + within)
+	p, err := n.frame(n.clock.Now() + within)
 	if err != nil {
 		return h, fmt.Errorf("connect response: %w", err)
 	}
@@ -97,6 +98,7 @@
 	if r.bad || granted <= 0 || id == 0 {
 		return h, errExpired
 	}
-	h.timeout, h.id, h.secret = float64(granted), id, append([]byte(nil), pass...)
+	h.timeout = time.Duration(granted) * time.Millisecond
+	h.id, h.secret = id, append([]byte(nil), pass...)
 	return h, nil
 }
--- a/internal/wire/zookeeper/zookeeper.go
+++ b/internal/wire/zookeeper/zookeeper.go
@@ -11,6 +11,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"time"
 
 	"github.com/rs/zerolog"
 	"github.com/valyala/fastjson"
@@ -52,7 +53,7 @@
 type Ensemble struct {
 	Addresses []string
 	Path      string
-	Session   float64 // wanted session time-out in milliseconds
+	Session   time.Duration // the session time-out to ask for
 }
 
 func (e Ensemble) same(o Ensemble) bool {
@@ -78,7 +79,7 @@
 	zxid    int64
 	next    int // which address to try
 	nodes   map[string]relay.Endpoint
-	granted float64
+	granted time.Duration // the session time-out
 }
 
 // NewClient returns a client of a service.
@@ -175,7 +176,7 @@
 }
 
 // ask sends a request for a path with its watch and returns the xid.
-func (n *conn) ask(op int32, path string, within float64) (int32, error) {
+func (n *conn) ask(op int32, path string, within time.Duration) (int32, error) {
 	n.xid++
 	return n.xid, n.send(record{}.i32(n.xid).i32(op).bytes([]byte(path)).flag(true), within)
 }
@@ -210,10 +211,10 @@
 	if n.list, err = n.ask(opGetChildren, c.Path, c.granted/3); err != nil {
 		return err
 	}
-	heard := n.clock.NowMillis()
+	heard := n.clock.Now()
 	for {
-		p, err := n.frame(n.clock.NowMillis() + c.granted/3)
-		if splice.TimedOut(err) && n.clock.NowMillis()-heard < c.granted*2/3 {
+		p, err := n.frame(n.clock.Now() + c.granted/3)
+		if splice.TimedOut(err) && n.clock.Now()-heard < c.granted*2/3 {
 			if err := n.send(record{}.i32(xidPing).i32(opPing), c.granted/3); err != nil {
 				return fmt.Errorf("ping: %w", err)
 			}
@@ -222,7 +223,7 @@
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		heard = n.clock.NowMillis()
+		heard = n.clock.Now()
 		if err := c.reply(n, &reader{p: p}); err != nil {
 			return err
 		}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -84,7 +84,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	d := &Dialer{clock: relay.NewClock(), cfg: cfg, stop: stop}
 	d.x = relay.NewRequestTable(site, d.clock, d)
-	lister := zookeeper.NewClient(zookeeper.Ensemble{Addresses: cfg.ZooKeeper, Path: cfg.Path, Session: cfg.SessionMs}, d.x, log)
+	lister := zookeeper.NewClient(zookeeper.Ensemble{Addresses: cfg.ZooKeeper, Path: cfg.Path, Session: relay.Duration(cfg.SessionMs)}, d.x, log)
 	d.x.UpdateEndpoints(decide.Cached, nil)
 	lister.Watch()
 	go lister.Run(ctx)
@@ -108,11 +108,11 @@
 
 // Dial is for grpc.WithContextDialer. The target is not looked at: the core knows where the servers are.
 func (d *Dialer) Dial(ctx context.Context, _ string) (net.Conn, error) {
-	left := d.cfg.DialMs
+	left := relay.Duration(d.cfg.DialMs)
 	if at, ok := ctx.Deadline(); ok {
-		left = min(left, relay.Millis(time.Until(at)))
+		left = min(left, time.Until(at))
 	}
-	call := d.x.Open(relay.OpenRequest{Tenant: decide.NoTenant, Timeout: relay.Duration(max(left, 1))}, waiter{})
+	call := d.x.Open(relay.OpenRequest{Tenant: decide.NoTenant, Timeout: max(left, time.Millisecond)}, waiter{})
 	select {
 	case <-call.Settled():
 	case <-ctx.Done():
@@ -140,7 +140,7 @@
 		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
-	raw, err := splice.Dial(ctx, a.Server.Address, min(relay.Millis(a.Deadline-d.clock.Now()), d.cfg.ConnectMs))
+	raw, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-d.clock.Now(), relay.Duration(d.cfg.ConnectMs)))
 	if err != nil {
 		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
@@ -160,7 +160,7 @@
 	go func() {
 		report, status := decide.NoLoadReport, decide.OK
 		report.Load = to.Load
-		raw, err := splice.Dial(context.Background(), to.Address, d.cfg.ConnectMs)
+		raw, err := splice.Dial(context.Background(), to.Address, relay.Duration(d.cfg.ConnectMs))
 		if err == nil {
 			raw.Close()
 		} else {
