--- a/internal/wire/splice/dial.go
+++ b/internal/wire/splice/dial.go
@@ -61,7 +61,7 @@
 // their own. Its error is the network's, for DialStatus and ProbeStatus.
 func Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	timeout = max(timeout, minDialTimeout)
-	if err := reach(ctx, addr, timeout); err != nil {
+	if err := awaitReachable(ctx, addr, timeout); err != nil {
 		return nil, err
 	}
 	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
@@ -69,5 +69,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return through(conn, addr), nil
+	return makeCuttable(conn, addr), nil
 }
--- a/internal/wire/splice/faultpoint.go
+++ b/internal/wire/splice/faultpoint.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// reach is where tests keep servers out of reach; this program does not.
-func reach(context.Context, string, time.Duration) error { return nil }
+// awaitReachable is where tests keep servers out of reach; this program does not.
+func awaitReachable(context.Context, string, time.Duration) error { return nil }
 
-// through is where tests cut connections; this program does not.
-func through(conn net.Conn, _ string) net.Conn { return conn }
+// makeCuttable is where tests cut connections; this program does not.
+func makeCuttable(conn net.Conn, _ string) net.Conn { return conn }
--- a/internal/wire/splice/faultpoint_faults.go
+++ b/internal/wire/splice/faultpoint_faults.go
@@ -13,8 +13,8 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// reach waits in vain, until the timeout, for a server that the rules keep out of reach.
-func reach(ctx context.Context, addr string, timeout time.Duration) error {
+// awaitReachable waits in vain, until the timeout, for a server that the rules keep out of reach.
+func awaitReachable(ctx context.Context, addr string, timeout time.Duration) error {
 	if faultpoint.Reaches(addr) {
 		return nil
 	}
@@ -26,8 +26,8 @@
 	}
 }
 
-// through wraps a connection that the rules may cut.
-func through(conn net.Conn, addr string) net.Conn { return &cuttable{Conn: conn, addr: addr} }
+// makeCuttable wraps a connection that the rules may cut.
+func makeCuttable(conn net.Conn, addr string) net.Conn { return &cuttable{Conn: conn, addr: addr} }
 
 // cuttable transfers nothing while its other side is out of reach, and is reset once it is back: what was
 // lost is lost.
--- a/internal/wire/splice/half_test.go
+++ b/internal/wire/splice/half_test.go
@@ -13,7 +13,7 @@
 )
 
 // newPair returns the two ends of one TCP connection.
-func pair(t *testing.T) (*Half, *net.TCPConn) {
+func newPair(t *testing.T) (*Half, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,8 +32,8 @@
 	return &Half{Conn: own, Clock: relay.NewClock()}, peer.(*net.TCPConn)
 }
 
-// await waits until something has come, which loopback brings in its own time.
-func await(t *testing.T, e *Half) {
+// awaitUnread waits until something has come, which loopback brings in its own time.
+func awaitUnread(t *testing.T, e *Half) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -44,7 +44,7 @@
 
 // What has come and nobody has read is seen without a wait, whatever the read deadline, and is not consumed
 // by a look.
-func TestPending(t *testing.T) {
+func TestUnreadIsSeenAndNotConsumed(t *testing.T) {
 	for name, c := range map[string]struct {
 		does  func(peer *net.TCPConn)
 		ended bool
@@ -55,13 +55,13 @@
 		"a reset":           {func(p *net.TCPConn) { p.SetLinger(0); p.Close() }, true},
 		"bytes, then a end": {func(p *net.TCPConn) { p.Write([]byte("x")); p.Close() }, false},
 	} {
-		e, peer := pair(t)
+		e, peer := newPair(t)
 		if e.HasUnread() || e.PeerClosed() {
 			t.Errorf("%s: before it", name)
 		}
 		c.does(peer)
 		e.Wake()
-		await(t, e)
+		awaitUnread(t, e)
 		if !e.HasUnread() || e.PeerClosed() != c.ended {
 			t.Errorf("%s: pending %v, ended %v", name, e.HasUnread(), e.PeerClosed())
 		}
@@ -70,10 +70,10 @@
 
 // A read whose deadline has passed does not look, so what came before it would be lost: ReadPending returns
 // it.
-func TestTakeAfterTheDeadline(t *testing.T) {
-	e, peer := pair(t)
+func TestReadPendingAfterTheDeadline(t *testing.T) {
+	e, peer := newPair(t)
 	peer.Write([]byte("line\r\n"))
-	await(t, e)
+	awaitUnread(t, e)
 	e.SetReadUntil(e.Clock.Now() - time.Millisecond)
 	if n, err := e.Conn.Read(make([]byte, 9)); n != 0 || !TimedOut(err) {
 		t.Fatalf("the premise: %d, %v", n, err)
@@ -88,8 +88,8 @@
 
 // CloseNow ends a linger behind a peer that sends without end, and the last line written arrives. The clock
 // goes back by a minute once the linger has begun, so without CloseNow it would last as long.
-func TestHurryEndsALinger(t *testing.T) {
-	e, peer := pair(t)
+func TestCloseNowEndsALinger(t *testing.T) {
+	e, peer := newPair(t)
 	e.Clock = relay.NewManualClock()
 	e.Forward([]byte("BUSY\r\n"))
 	done := make(chan struct{})
@@ -114,7 +114,7 @@
 
 // What this machine is short of for a moment, or its own missing route, says nothing of the server: taken for
 // its failure it would eject all servers at once.
-func TestUndialled(t *testing.T) {
+func TestDialStatusSparesTheServerForLocalErrors(t *testing.T) {
 	for err, want := range map[error]decide.Status{
 		syscall.EMFILE: decide.Superseded, syscall.ENFILE: decide.Superseded,
 		syscall.ENOBUFS: decide.Superseded, syscall.ENOMEM: decide.Superseded,
