--- a/internal/testing/cluster/soak_test.go
+++ b/internal/testing/cluster/soak_test.go
@@ -20,232 +20,254 @@
 )
 
 const (
-	soakRelays  = 24
-	soakTargets = 10
-	soakRate    = 150.0 // requests a second
-	soakFor     = 22 * time.Second
-	soakWindow  = 1200 // ms in which targets know a repeat of the guarded class again
-	soakFaults  = 9    // faults that go on beside each other
-	soakPushed  = 3    // lists are pushed on each of so many seeds
+	soakRelays    = 24
+	soakServers   = 10
+	soakRate      = 150.0 // requests a second
+	soakFor       = 22 * time.Second
+	soakFaults    = 9 // faults that go on beside each other
+	soakPushEvery = 3 // lists are pushed on each of so many seeds
+	// soakDedupWindow is for how long servers recognize a repeat of the class guarded.
+	soakDedupWindow = 1200 * time.Millisecond
 )
 
-// soakClasses have every effect. The seed draws which a request is of.
+// soakClasses have every idempotency, as soakIdempotency says. The seed draws which a request is of.
 var soakClasses = []map[string]any{
 	{"name": "free", "semantics": "free", "aimMs": 400, "deadlineMs": 2000, "worth": 3},
-	{"name": "guarded", "semantics": "guarded", "group": "all", "windowMs": soakWindow, "aimMs": 400, "deadlineMs": 2000, "worth": 3},
+	{
+		"name": "guarded", "semantics": "guarded", "group": "all", "windowMs": soakDedupWindow.Milliseconds(),
+		"aimMs": 400, "deadlineMs": 2000, "worth": 3,
+	},
 	{"name": "once", "semantics": "single_shot", "aimMs": 400, "deadlineMs": 2000, "worth": 3},
 }
 
+var soakIdempotency = []decide.Idempotency{decide.Idempotent, decide.IdempotentWithKey, decide.NonIdempotent}
+
 // soak is one run: a fleet, its clients and the faults, drawn from a seed.
 type soak struct {
 	*Cluster
-	pushed  bool // lists come from an agent of each relay's own
-	judge   *Judge
-	proxies []*Proxy
-	targets []*Target
-	serves  []atomic.Bool // whether clients may come to a relay
-	busy    []atomic.Bool // a fault of the relay's process is on
-	away    []atomic.Bool // a target is off the list
-	seen    sync.Map      // how many faults of each kind there were
-	control sync.Mutex    // of the Ground, which is not safe for use by many
+	clusterMu sync.Mutex // Cluster is not safe for concurrent use
+
+	pushedLists bool // lists come from an agent of each relay's own
+	judge       *Judge
+	proxies     []*Proxy // by relay: before discovery
+	servers     []*FaultyServer
+
+	serving      []atomic.Bool // by relay: clients may connect
+	processFault []atomic.Bool // by relay: a fault of its process goes on
+	removed      []atomic.Bool // by server: it is off the list
+	faultCounts  sync.Map      // by kind: a *atomic.Int64
 }
 
+// newSoak starts the fleet of a seed.
 func newSoak(t *testing.T, seed uint64) *soak {
+	t.Helper()
 	settings := map[string]any{"classes": soakClasses, "balancers": 300}
-	pushed := seed%soakPushed == 0
+	pushed := seed%soakPushEvery == 0
 	if pushed {
 		settings["discovery"] = "push"
 	}
-	g := lay(t, Plan{Relays: soakRelays, Alone: true, Settings: settings}, 0)
-	s := &soak{Cluster: g, pushed: pushed, judge: NewJudge(soakWindow), serves: make([]atomic.Bool, soakRelays), busy: make([]atomic.Bool, soakRelays),
-		away: make([]atomic.Bool, soakTargets)}
-	for i := range soakTargets {
-		target, err := NewTarget(fmt.Sprintf("s%d", i))
+	fleet := newCluster(t, Layout{Relays: soakRelays, WithoutMembers: true, Settings: settings}, 0)
+	s := &soak{
+		Cluster:      fleet,
+		pushedLists:  pushed,
+		judge:        NewJudge(soakDedupWindow),
+		serving:      make([]atomic.Bool, soakRelays),
+		processFault: make([]atomic.Bool, soakRelays),
+		removed:      make([]atomic.Bool, soakServers),
+	}
+	for i := range soakServers {
+		server, err := NewFaultyServer(fmt.Sprintf("s%d", i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(target.Close)
-		s.targets = append(s.targets, target)
-		g.Discovery.Set(target.ID, target.Address, "Ready")
+		t.Cleanup(server.Close)
+		s.servers = append(s.servers, server)
+		fleet.Discovery.Set(server.ID, server.Address, "Ready")
 	}
-	known := map[string]any{"generation": 1, "reset": true, "instances": readyTargets(s.targets)}
+	known := map[string]any{"generation": 1, "reset": true, "instances": readyServers(s.servers)}
 	for i := range soakRelays { // each process starts with this list, however old it is by then
-		if err := g.Reconfigure(i, map[string]any{"known": known}); err != nil {
+		if err := fleet.Reconfigure(i, map[string]any{"known": known}); err != nil {
 			t.Fatal(err)
 		}
-		s.proxies = append(s.proxies, before(t, g, i))
-		s.start(t, i)
+		s.proxies = append(s.proxies, proxyDiscovery(t, fleet, i))
+		s.startRelay(t, i)
 	}
 	return s
 }
 
-// readyTargets is the list of the targets as all of them are ready.
-func readyTargets(targets []*Target) (all []json.RawMessage) {
-	for _, target := range targets {
-		all = append(all, json.RawMessage(fake.Entry(target.ID, target.Address, "Ready")))
+// readyServers returns the endpoint list's entries while all servers are ready.
+func readyServers(servers []*FaultyServer) (all []json.RawMessage) {
+	for _, server := range servers {
+		all = append(all, json.RawMessage(fake.Entry(server.ID, server.Address, "Ready")))
 	}
 	return all
 }
 
-// start starts a relay's process and lets clients come once it answers.
-func (s *soak) start(t *testing.T, i int) {
-	s.control.Lock()
+// startRelay starts a relay's process and lets clients come once it answers.
+func (s *soak) startRelay(t *testing.T, i int) {
+	s.clusterMu.Lock()
 	err := s.Start(i)
-	s.control.Unlock()
+	s.clusterMu.Unlock()
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	heard := func() {}
-	if !s.pushed { // its first call has its turn; a watch of its own agent is opened at once
-		heard = s.judge.Deaf(i)
+	if !s.pushedLists { // its first poll has an offset; a watch of its own agent is opened at once
+		heard = s.judge.DiscoveryLost(i)
 	}
 	for range 100 {
 		if conn, err := net.DialTimeout("tcp", s.Relays[i].Listen, time.Second); err == nil {
 			conn.Close()
 			break
 		}
-		wait(20)
+		time.Sleep(20 * time.Millisecond)
 	}
-	s.serves[i].Store(true)
+	s.serving[i].Store(true)
 	time.AfterFunc(10*time.Second, heard)
 }
 
-// count notes a fault.
-func (s *soak) count(kind string) {
-	n, _ := s.seen.LoadOrStore(kind, new(atomic.Int64))
+// countFault counts a fault of a kind.
+func (s *soak) countFault(kind string) {
+	n, _ := s.faultCounts.LoadOrStore(kind, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
 }
 
-// fault plays one fault to its end.
-func (s *soak) fault(t *testing.T, rng *rand.Rand) {
-	ms := func(from, to float64) float64 { return from + (to-from)*rng.Float64() }
-	relay, target := rng.IntN(soakRelays), rng.IntN(soakTargets)
+// drawTime draws a time between two.
+func drawTime(rng *rand.Rand, from, to time.Duration) time.Duration {
+	return from + time.Duration(float64(to-from)*rng.Float64())
+}
+
+// playFault plays one fault to its end.
+func (s *soak) playFault(t *testing.T, rng *rand.Rand) {
+	t.Helper()
+	draw := func(from, to time.Duration) time.Duration { return drawTime(rng, from, to) }
+	relay, server := rng.IntN(soakRelays), rng.IntN(soakServers)
 	switch rng.IntN(11) {
 	case 0, 1, 2:
-		s.deafen(relay, []ProxyMode{Silent, Trickle, Down, Broken, Hung}[rng.IntN(5)], ms(500, 9000))
+		mode := []ProxyMode{Silent, Trickle, Down, Broken, Hung}[rng.IntN(5)]
+		s.disturbDiscovery(relay, mode, draw(500*time.Millisecond, 9*time.Second))
 	case 3, 4, 5:
-		s.remove(target, []string{"Gone", "Terminating"}[rng.IntN(2)], ms(500, 15_000))
+		lifecycle := []string{"Gone", "Terminating"}[rng.IntN(2)]
+		s.removeServer(server, lifecycle, draw(500*time.Millisecond, 15*time.Second))
 	case 6:
-		s.count("target fails")
-		s.targets[target].Set(TargetMode(1 + rng.IntN(int(targets)-1)))
-		wait(ms(300, 4000))
-		s.targets[target].Set(Takes)
+		s.countFault("server fails")
+		s.servers[server].SetMode(ServerMode(1 + rng.IntN(int(serverModes)-1)))
+		time.Sleep(draw(300*time.Millisecond, 4*time.Second))
+		s.servers[server].SetMode(Accept)
 	case 7, 10:
-		s.restart(t, relay, rng.IntN(2) == 0, ms(0, 1000))
+		force := rng.IntN(2) == 0
+		s.restartRelay(t, relay, force, draw(0, time.Second))
 	case 8:
-		s.hold(relay, ms(50, 140))
+		s.pauseRelay(relay, draw(50*time.Millisecond, 140*time.Millisecond))
 	case 9:
-		s.count("reload")
-		s.control.Lock()
-		s.Hup(relay)
-		s.control.Unlock()
-		wait(ms(0, 500))
+		s.countFault("reload")
+		s.clusterMu.Lock()
+		s.Reload(relay)
+		s.clusterMu.Unlock()
+		time.Sleep(draw(0, 500*time.Millisecond))
 	}
 }
 
-// disturbed tells the judge that a relay may not hear discovery, and returns what ends that. What a relay's own agent has counts as told
-// unless the watch is silent: a break does not excuse it.
-func (s *soak) disturbed(relay int, mode ProxyMode) (end func()) {
-	if s.pushed && (mode == Down || mode == Broken || mode == Hung) {
+// discoveryLost records that a relay may not be notified by discovery, and returns what ends that. A relay
+// counts as notified of what its own agent has unless the watch is silent: a break does not excuse it.
+func (s *soak) discoveryLost(relay int, mode ProxyMode) (end func()) {
+	if s.pushedLists && (mode == Down || mode == Broken || mode == Hung) {
 		return func() {}
 	}
-	return s.judge.Deaf(relay)
+	return s.judge.DiscoveryLost(relay)
 }
 
-// deafen disturbs a relay's way to discovery. Its next call may be late by what calls that hang and a back-off take.
-func (s *soak) deafen(relay int, mode ProxyMode, ms float64) {
-	s.count("deaf")
-	heard := s.disturbed(relay, mode)
-	s.proxies[relay].Set(mode)
-	wait(ms)
-	s.proxies[relay].Set(Pass)
+// disturbDiscovery disturbs a relay's connections to discovery for a time. Its next poll may be late by what
+// polls that hang and a backoff take.
+func (s *soak) disturbDiscovery(relay int, mode ProxyMode, length time.Duration) {
+	s.countFault("discovery disturbed")
+	heard := s.discoveryLost(relay, mode)
+	s.proxies[relay].SetMode(mode)
+	time.Sleep(length)
+	s.proxies[relay].SetMode(Pass)
 	time.AfterFunc(14*time.Second, heard)
 }
 
-// remove takes a target off the list for a while; one that is gone has died.
-func (s *soak) remove(i int, lifecycle string, ms float64) {
-	if s.away[i].Swap(true) {
+// removeServer takes a server off the endpoint list for a time; one that is gone has died.
+func (s *soak) removeServer(i int, lifecycle string, length time.Duration) {
+	if s.removed[i].Swap(true) {
 		return
 	}
-	defer s.away[i].Store(false)
-	s.count(lifecycle)
-	target := s.targets[i]
-	s.Discovery.Set(target.ID, target.Address, lifecycle)
-	back := s.judge.Leaves(target.ID)
+	defer s.removed[i].Store(false)
+	s.countFault(lifecycle)
+	server := s.servers[i]
+	s.Discovery.Set(server.ID, server.Address, lifecycle)
+	back := s.judge.RecordAbsence(server.ID)
 	if lifecycle == "Gone" {
-		target.Reset()
+		server.Reset()
 	}
-	wait(ms)
+	time.Sleep(length)
 	back()
-	s.Discovery.Set(target.ID, target.Address, "Ready")
+	s.Discovery.Set(server.ID, server.Address, "Ready")
 }
 
-// restart ends a relay's process, by force or in order, and starts it anew.
-func (s *soak) restart(t *testing.T, i int, force bool, pause float64) {
-	if s.busy[i].Swap(true) {
+// restartRelay ends a relay's process, by force or gracefully, and starts it again after a pause.
+func (s *soak) restartRelay(t *testing.T, i int, force bool, pause time.Duration) {
+	t.Helper()
+	if s.processFault[i].Swap(true) {
 		return
 	}
-	defer s.busy[i].Store(false)
-	s.serves[i].Store(false)
+	defer s.processFault[i].Store(false)
+	s.serving[i].Store(false)
 	if force {
-		s.count("kill")
-		dead := s.judge.Dead(i)
-		s.control.Lock()
+		s.countFault("kill")
+		dead := s.judge.ProcessDown(i)
+		s.clusterMu.Lock()
 		s.Kill(i)
-		s.control.Unlock()
+		s.clusterMu.Unlock()
 		time.AfterFunc(200*time.Millisecond, dead)
 	} else {
-		s.count("leave")
+		s.countFault("leave")
 		s.Term(i)
 	}
-	wait(pause)
-	s.start(t, i)
+	time.Sleep(pause)
+	s.startRelay(t, i)
 }
 
-// hold stops a relay's process for as long as one may be held up.
-func (s *soak) hold(i int, ms float64) {
-	if s.busy[i].Swap(true) {
+// pauseRelay stops a relay's process for a time, no longer than a process may be held up.
+func (s *soak) pauseRelay(i int, length time.Duration) {
+	if s.processFault[i].Swap(true) {
 		return
 	}
-	defer s.busy[i].Store(false)
-	s.count("held up")
+	defer s.processFault[i].Store(false)
+	s.countFault("held up")
 	s.Stop(i)
-	wait(ms)
+	time.Sleep(length)
 	s.Cont(i)
 }
 
-// client sends one request and tells the judge what became of it.
-func (s *soak) client(ctx context.Context, n int, rng *rand.Rand) {
+// sendRequest sends one request and records what became of it.
+func (s *soak) sendRequest(ctx context.Context, n int, rng *rand.Rand) {
 	relay := rng.IntN(soakRelays)
-	if !s.serves[relay].Load() {
+	if !s.serving[relay].Load() {
 		return
 	}
 	class := rng.IntN(len(soakClasses))
-	r := Request{ID: fmt.Sprintf("q%d", n), Relay: relay, Effect: []decide.Idempotency{decide.Idempotent, decide.IdempotentWithKey, decide.NonIdempotent}[class]}
-	defer func() { s.judge.Asked(r) }()
+	r := Request{ID: fmt.Sprintf("q%d", n), Relay: relay, Idempotency: soakIdempotency[class]}
+	defer func() { s.judge.RecordRequest(r) }()
 	conn, err := net.DialTimeout("tcp", s.Relays[relay].Listen, time.Second)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	line := fmt.Sprintf("OPEN %s %x c=%s,t=acme,d=%.0f\r\n", r.ID, rng.Uint64(), soakClasses[class]["name"], clientPatience)
-	if rng.IntN(4) == 0 { // in pieces
-		cut := rng.IntN(len(line))
-		fmt.Fprint(conn, line[:cut])
-		wait(60 * rng.Float64())
-		line = line[cut:]
-	}
-	if _, err := fmt.Fprint(conn, line); err != nil {
+	line := fmt.Sprintf("OPEN %s %x c=%s,t=acme,d=%d\r\n",
+		r.ID, rng.Uint64(), soakClasses[class]["name"], requestDeadline.Milliseconds())
+	if !writeInPieces(conn, line, rng) {
 		return
 	}
 	r.Sent = Now()
-	patience := clientPatience + 2000
+	waitLimit := requestDeadline + 2*time.Second
 	leaves := rng.IntN(8) == 0
 	if leaves {
-		patience = 400 * rng.Float64()
+		waitLimit = drawTime(rng, 0, 400*time.Millisecond)
 	}
-	conn.SetReadDeadline(time.Now().Add(time.Duration(patience * float64(time.Millisecond))))
+	conn.SetReadDeadline(time.Now().Add(waitLimit))
 	in := bufio.NewReader(conn)
 	answer, err := in.ReadString('\n')
 	r.Answered = Now()
@@ -255,35 +277,47 @@
 		return
 	}
 	if r.Answer == "UP" {
-		conn.SetReadDeadline(time.Now().Add(time.Duration((200 + 1500*rng.Float64()) * float64(time.Millisecond))))
+		conn.SetReadDeadline(time.Now().Add(drawTime(rng, 200*time.Millisecond, 1700*time.Millisecond)))
 		for err == nil && ctx.Err() == nil {
 			_, err = in.ReadString('\n')
 		}
 	}
 }
 
-// load brings requests until the context ends, and waits for the last of them.
-func (s *soak) load(ctx context.Context, seed uint64) {
+// writeInPieces writes a line, one in four with a pause within it, and reports whether all of it was written.
+func writeInPieces(conn net.Conn, line string, rng *rand.Rand) bool {
+	if rng.IntN(4) == 0 {
+		cut := rng.IntN(len(line))
+		fmt.Fprint(conn, line[:cut])
+		time.Sleep(drawTime(rng, 0, 60*time.Millisecond))
+		line = line[cut:]
+	}
+	_, err := fmt.Fprint(conn, line)
+	return err == nil
+}
+
+// sendLoad sends requests until the context ends, and waits for the last of them.
+func (s *soak) sendLoad(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	for n := 0; ctx.Err() == nil; n++ {
-		wait(rng.ExpFloat64() / soakRate * 1000)
+		time.Sleep(time.Duration(rng.ExpFloat64() / soakRate * float64(time.Second)))
 		own := rand.New(rand.NewPCG(seed, uint64(n)+2))
-		clients.Go(func() { s.client(ctx, n, own) })
+		clients.Go(func() { s.sendRequest(ctx, n, own) })
 	}
 }
 
-// play lets faults overlap until the context ends.
-func (s *soak) play(ctx context.Context, t *testing.T, seed uint64) {
+// playFaults plays faults, soakFaults at a time, until the context ends.
+func (s *soak) playFaults(ctx context.Context, t *testing.T, seed uint64) {
 	var faults sync.WaitGroup
 	defer faults.Wait()
 	for i := range soakFaults {
 		rng := rand.New(rand.NewPCG(seed, 1<<32+uint64(i)))
 		faults.Go(func() {
 			for ctx.Err() == nil {
-				wait(500 * rng.Float64())
-				s.fault(t, rng)
+				time.Sleep(drawTime(rng, 0, 500*time.Millisecond))
+				s.playFault(t, rng)
 			}
 		})
 	}
@@ -306,30 +340,32 @@
 	return first, n
 }
 
-// A few dozen processes under faults that are drawn from a seed and overlap: discovery that falls silent, trickles, is down, hangs or breaks
-// off, and on each third seed pushes its lists; servers that leave, die, come back, hang or fail; relays that are killed, leave, are held up or reload; clients that leave.
-// Whatever comes together, no rule is broken by what clients and servers saw, and none by the relays' own count.
+// A few dozen processes under faults that are drawn from a seed and overlap: discovery that falls silent,
+// trickles, is down, hangs or breaks off, and on each third seed pushes its lists; servers that leave, die,
+// come back, hang or fail; relays that are killed, leave, are held up or reload; clients that leave. Whatever
+// comes together, no rule is broken by what clients and servers saw, and none by the relays' own count.
 func TestSoak(t *testing.T) {
 	first, n := soakSeeds(t)
 	for seed := first; seed < first+n; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soakOnce(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
-func soakOnce(t *testing.T, seed uint64) {
+func runSoak(t *testing.T, seed uint64) {
+	t.Helper()
 	s := newSoak(t, seed)
-	wait(5000) // the relays' first calls are spread
+	time.Sleep(5 * time.Second) // the relays' first polls are spread
 	ctx, stop := context.WithTimeout(t.Context(), soakFor)
 	defer stop()
 	var all sync.WaitGroup
-	all.Go(func() { s.load(ctx, seed) })
-	all.Go(func() { s.play(ctx, t, seed) })
+	all.Go(func() { s.sendLoad(ctx, seed) })
+	all.Go(func() { s.playFaults(ctx, t, seed) })
 	all.Wait()
 	var arrivals []Arrival
-	for _, target := range s.targets {
-		arrivals = append(arrivals, target.Arrivals()...)
+	for _, server := range s.servers {
+		arrivals = append(arrivals, server.Arrivals()...)
 	}
-	broken := s.judge.Verdict(arrivals)
+	broken := s.judge.Violations(arrivals)
 	for i, text := range broken {
 		if i == 12 {
 			t.Errorf("and %d more", len(broken)-i)
@@ -343,7 +379,7 @@
 		}
 	}
 	faults := 0
-	s.seen.Range(func(kind, n any) bool {
+	s.faultCounts.Range(func(kind, n any) bool {
 		faults += int(n.(*atomic.Int64).Load())
 		t.Logf("%s: %d", kind, n.(*atomic.Int64).Load())
 		return true
--- a/internal/testing/fake/xmpp.go
+++ b/internal/testing/fake/xmpp.go
@@ -7,48 +7,49 @@
 	"sync"
 )
 
-// XMPP is a server that takes any PLAIN authentication and counts what it is sent. Its parser is
-// encoding/xml, so the program's own is checked against another.
+// XMPP is a server that accepts any PLAIN authentication and echoes stanzas. Its parser is encoding/xml, so
+// the program's own is checked against another.
 type XMPP struct {
 	Address string
-	// Hold says where a connection stops answering: "header", "auth" or "" for never.
-	Hold string
-	// Arrived gets a word at each stage: "header", "auth", "up", and "message ID" for each stanza.
-	Arrived chan string
+	// HoldAt is the stage at which a connection is answered no more: "header", "auth" or "" for none.
+	HoldAt string
+	// Stages gets a word at each stage: "header", "auth", "up", and "message ID" for each stanza.
+	Stages chan string
 
 	acceptor acceptor
 
-	mu    sync.Mutex
-	quiet bool
+	mu     sync.Mutex
+	silent bool
 }
 
-// NewXMPP starts a server on loopback.
+// NewXMPP starts a server on loopback that runs until Kill. It fails if there is no port to listen on.
 func NewXMPP(hold string) (*XMPP, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &XMPP{Address: l.Addr().String(), Hold: hold, Arrived: make(chan string, 4096)}
+	s := &XMPP{Address: l.Addr().String(), HoldAt: hold, Stages: make(chan string, 4096)}
 	s.acceptor.start(l, s.serve)
 	return s, nil
 }
 
-// Kill ends the server as a process that dies does: connections are reset, new ones refused.
+// Kill ends the server as a process that dies does: connections are reset, new ones refused. It may be called
+// again.
 func (s *XMPP) Kill() {
 	s.acceptor.reset()
 }
 
-// Silence makes the server say nothing more, on connections that stay open.
-func (s *XMPP) Silence() {
+// SetSilent makes the server answer nothing more, on connections that stay open.
+func (s *XMPP) SetSilent() {
 	s.mu.Lock()
-	s.quiet = true
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	s.silent = true
 }
 
-func (s *XMPP) say(c net.Conn, format string, args ...any) {
+func (s *XMPP) send(c net.Conn, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.quiet {
+	if !s.silent {
 		fmt.Fprintf(c, format, args...)
 	}
 }
@@ -65,7 +66,7 @@
 			return
 		}
 		if end, ok := t.(xml.EndElement); ok && end.Name.Local == "stream" {
-			s.say(c, "</stream:stream>")
+			s.send(c, "</stream:stream>")
 			return
 		}
 		start, ok := t.(xml.StartElement)
@@ -74,38 +75,49 @@
 		}
 		switch start.Name.Local {
 		case "stream":
-			switch {
-			case authed:
-				s.say(c, "%s<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>", header)
-				s.Arrived <- "up"
-			case s.Hold == "header":
-				s.Arrived <- "header"
-			default:
-				s.say(c, "%s<stream:features><starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"+
-					"<mechanisms xmlns='urn:ietf:params:xml:ns:xmpp-sasl'><mechanism>PLAIN</mechanism></mechanisms></stream:features>", header)
-				s.Arrived <- "header"
-			}
+			s.greet(c, authed)
 		case "auth":
 			d.Skip()
-			s.Arrived <- "auth"
-			if s.Hold != "auth" {
-				s.say(c, "<success xmlns='urn:ietf:params:xml:ns:xmpp-sasl'/>")
+			s.Stages <- "auth"
+			if s.HoldAt != "auth" {
+				s.send(c, "<success xmlns='urn:ietf:params:xml:ns:xmpp-sasl'/>")
 				d, authed = xml.NewDecoder(c), true
 			}
 		default:
-			id := ""
-			for _, a := range start.Attr {
-				if a.Name.Local == "id" {
-					id = a.Value
-				}
-			}
 			d.Skip()
-			if start.Name.Local == "iq" {
-				s.say(c, "<iq type='result' id='%s'/>", id)
-			} else {
-				s.Arrived <- start.Name.Local + " " + id
-				s.say(c, "<%s id='%s'><body>&lt;echo&gt;<![CDATA[</message>]]></body></%[1]s>", start.Name.Local, id)
-			}
+			s.answerStanza(c, start)
+		}
+	}
+}
+
+// greet answers a stream header.
+func (s *XMPP) greet(c net.Conn, authed bool) {
+	switch {
+	case authed:
+		s.send(c, "%s<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>", header)
+		s.Stages <- "up"
+	case s.HoldAt == "header":
+		s.Stages <- "header"
+	default:
+		s.send(c, "%s<stream:features><starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"+
+			"<mechanisms xmlns='urn:ietf:params:xml:ns:xmpp-sasl'><mechanism>PLAIN</mechanism></mechanisms>"+
+			"</stream:features>", header)
+		s.Stages <- "header"
+	}
+}
+
+// answerStanza answers an iq with a result, and any other stanza with an echo.
+func (s *XMPP) answerStanza(c net.Conn, start xml.StartElement) {
+	id := ""
+	for _, a := range start.Attr {
+		if a.Name.Local == "id" {
+			id = a.Value
 		}
 	}
+	if start.Name.Local == "iq" {
+		s.send(c, "<iq type='result' id='%s'/>", id)
+		return
+	}
+	s.Stages <- start.Name.Local + " " + id
+	s.send(c, "<%s id='%s'><body>&lt;echo&gt;<![CDATA[</message>]]></body></%[1]s>", start.Name.Local, id)
 }
--- /dev/null
+++ b/internal/testing/fake/zkconn.go
@@ -0,0 +1,146 @@
+package fake
+
+import (
+	"encoding/binary"
+	"io"
+	"net"
+	"time"
+)
+
+// zkConn is one client's connection. Its fields but out belong to the service and are under its lock.
+type zkConn struct {
+	net.Conn
+	session         *zkSession
+	out             chan zkReply
+	watchesChildren bool            // of the root
+	watchedData     map[string]bool // by path
+	heldAnswers     []zkReply       // by the fault HoldAnswers
+}
+
+// zkReply is a frame to be sent at an instant, at once if that has passed.
+type zkReply struct {
+	frame  []byte
+	sendAt time.Time
+}
+
+// serve answers a connection's requests until it ends. The goroutine that writes ends with it.
+func (z *ZooKeeper) serve(c *zkConn) {
+	defer c.Close()
+	hello, err := c.read()
+	if err != nil || len(hello) < 28 {
+		return
+	}
+	if !z.connect(c, hello) {
+		return
+	}
+	go c.write()
+	defer close(c.out)
+	defer z.disconnect(c)
+	for {
+		p, err := c.read()
+		if err != nil || len(p) < 8 || !z.answer(c, p) {
+			return
+		}
+	}
+}
+
+// connect begins a session or resumes one, and answers the handshake; the answer to a session that is not
+// known has a timeout of 0. It returns false if the connection is to end.
+func (z *ZooKeeper) connect(c *zkConn, hello []byte) bool {
+	id := int64(binary.BigEndian.Uint64(hello[16:]))
+	timeout := int(binary.BigEndian.Uint32(hello[12:]))
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	for z.faults.frozen {
+		z.thawed.Wait()
+	}
+	if z.faults.unreachable {
+		return false
+	}
+	s := z.sessions[id]
+	if id == 0 {
+		z.lastID++
+		s = &zkSession{id: z.lastID}
+		z.sessions[s.id] = s
+	}
+	if s == nil {
+		timeout = 0
+		s = &zkSession{conn: c}
+	} else if s.conn != nil {
+		s.conn.Close()
+	}
+	s.conn = c
+	s.timeout = time.Duration(timeout) * time.Millisecond
+	s.heardAt = time.Now()
+	c.session = s
+	c.queue(zkWriter{}.ints(0, timeout).long(s.id).text("0123456789abcdef"), time.Time{})
+	return true
+}
+
+// disconnect leaves the session without a connection, unless it has another by now.
+func (z *ZooKeeper) disconnect(c *zkConn) {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	if c.session.conn == c {
+		c.session.conn = nil
+	}
+}
+
+// write sends what is queued, each frame when its time has come, until the queue is closed.
+func (c *zkConn) write() {
+	for r := range c.out {
+		time.Sleep(time.Until(r.sendAt))
+		if _, err := c.Write(r.frame); err != nil {
+			c.Close()
+		}
+	}
+}
+
+// queue has a frame sent, and ends the connection if too many wait.
+func (c *zkConn) queue(b []byte, at time.Time) {
+	select {
+	case c.out <- zkReply{zkWriter{}.ints(len(b)).raw(b), at}:
+	default:
+		c.Close()
+	}
+}
+
+func (c *zkConn) queueEvent(kind int, node string) {
+	c.queue(zkWriter{}.ints(-1).long(-1).ints(0, kind, connected).text(node), time.Time{})
+}
+
+func (c *zkConn) read() ([]byte, error) {
+	var head [4]byte
+	if _, err := io.ReadFull(c, head[:]); err != nil {
+		return nil, err
+	}
+	p := make([]byte, binary.BigEndian.Uint32(head[:]))
+	_, err := io.ReadFull(c, p)
+	return p, err
+}
+
+// connected is the state of a session that each event says.
+const connected = 3
+
+// The kinds of a watch's event.
+const (
+	watchDeleted  = 2
+	watchData     = 3
+	watchChildren = 4
+)
+
+// notifyWatches notifies the watches of a path, and ends them.
+func (z *ZooKeeper) notifyWatches(p string, kind int) {
+	for _, s := range z.sessions {
+		c := s.conn
+		switch {
+		case c == nil:
+		case kind == watchChildren && p == z.root && c.watchesChildren:
+			c.watchesChildren = false
+			c.queueEvent(kind, p)
+		case kind != watchChildren && c.watchedData[p]:
+			delete(c.watchedData, p)
+			c.queueEvent(kind, p)
+		}
+	}
+}
