--- a/internal/wire/connlimit/limiter_test.go
+++ b/internal/wire/connlimit/limiter_test.go
@@ -16,9 +16,123 @@
 	permit  *Permit
 	conn    *conn
 	client  bool // its descriptor is held
-	request bool // and may not be taken away
-	evicted bool // and is to make descriptorLimit
-	server  bool
+	request bool // it may not be evicted
+	evicted bool // it has been told to close
+	server  bool // the descriptor of its connection to a server is held
+}
+
+// limiterModel is what a Limiter is meant to count.
+type limiterModel struct {
+	all      []*modelPermit
+	idle     []*modelPermit // the oldest first
+	held     int            // descriptors
+	requests int            // descriptors of requests
+	evicted  int            // connections that have been told to close
+}
+
+const modelDescriptorLimit = 12
+
+func (m *limiterModel) removeIdle(v *modelPermit) {
+	m.idle = slices.DeleteFunc(m.idle, func(o *modelPermit) bool { return o == v })
+}
+
+func (m *limiterModel) cancelEviction(v *modelPermit) {
+	if v.evicted {
+		v.evicted = false
+		m.evicted--
+	}
+}
+
+func (m *limiterModel) evictOldest() {
+	v := m.idle[0]
+	m.removeIdle(v)
+	v.evicted = true
+	m.evicted++
+}
+
+func (m *limiterModel) admit(limiter *Limiter) {
+	if m.held-m.evicted >= modelDescriptorLimit && len(m.idle) > 0 {
+		m.evictOldest()
+	}
+	c := &conn{}
+	v := &modelPermit{permit: limiter.admitConnection(c), conn: c, client: true}
+	m.all = append(m.all, v)
+	m.idle = append(m.idle, v)
+	m.held++
+}
+
+func (m *limiterModel) acquireRequest(t *testing.T, v *modelPermit) {
+	t.Helper()
+	if v.request || v.server || !v.client { // a connection asks once, and before it is closed
+		return
+	}
+	may := m.requests+2 <= modelDescriptorLimit-minIdleReserve
+	if got := v.permit.AcquireRequest(); got != may {
+		t.Fatalf("request admitted: %v with %d descriptors of requests, %+v", got, m.requests, v)
+	}
+	if !may {
+		return
+	}
+	v.request, v.server = true, true
+	m.held++
+	m.requests += 2
+	m.removeIdle(v)
+	m.cancelEviction(v)
+	for m.held-m.evicted > modelDescriptorLimit && len(m.idle) > 0 {
+		m.evictOldest()
+	}
+}
+
+func (m *limiterModel) releaseRequest(v *modelPermit) {
+	v.permit.ReleaseRequest()
+	if v.request {
+		v.request = false
+		m.requests--
+		m.idle = append(m.idle, v)
+	}
+}
+
+func (m *limiterModel) releaseClient(v *modelPermit) {
+	if v.request {
+		v.request = false
+		m.requests--
+	}
+	if v.client {
+		v.client = false
+		m.held--
+		m.removeIdle(v)
+		m.cancelEviction(v)
+	}
+}
+
+func (m *limiterModel) releaseAll(v *modelPermit) {
+	v.permit.release()
+	m.releaseClient(v)
+	if v.server {
+		v.server = false
+		m.held--
+		m.requests--
+	}
+}
+
+// compare checks the limiter's counts, and each permit, against the model.
+func (m *limiterModel) compare(t *testing.T, limiter *Limiter) {
+	t.Helper()
+	got := [...]int{
+		limiter.descriptorsHeld, limiter.requestDescriptors, limiter.idlePermits.Len(), limiter.evicting,
+	}
+	if want := [...]int{m.held, m.requests, len(m.idle), m.evicted}; got != want {
+		t.Fatalf("held, of requests, idle, told to close: %d, want %d", got, want)
+	}
+	if m.held-m.evicted > modelDescriptorLimit+1 {
+		t.Fatalf("%d held of %d, %d of them told to close", m.held, modelDescriptorLimit, m.evicted)
+	}
+	for i, v := range m.all {
+		differs := v.client != v.permit.clientCounted || v.evicted != v.permit.evicted
+		if differs || v.evicted && !v.permit.Half.ClosingNow() || v.conn.closed {
+			t.Fatalf("permit %d: %+v, closed %v", i, v, v.conn.closed)
+		}
+	}
 }
 
 type conn struct {
@@ -29,110 +143,41 @@
 func (c *conn) Close() error                { c.closed = true; return nil }
 func (c *conn) SetDeadline(time.Time) error { return nil }
 
-// FuzzLimiterAgainstModel plays random steps to the passes of a small gate and checks its counts against a model: what is
-// held stays within the descriptorLimit but for those that are making way, the oldest idle connection makes way, and a
-// request's never does. The gate itself closes none: only the goroutine that reads a connection can tell
-// whether its last line has come.
+// FuzzLimiterAgainstModel plays random steps to the permits of a small limiter and checks its counts against a
+// model: what is held stays within the limit but for those that have been told to close, the oldest idle
+// connection is evicted, and a request's never is. The limiter itself closes none: only the goroutine that
+// reads a connection can tell whether its last line has come.
 func FuzzLimiterAgainstModel(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 1, 0, 1, 1, 0, 0, 2, 0, 3, 0, 4, 0, 0, 0})
-	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 9, 1, 10, 4, 9, 0, 0, 0, 0})
+	f.Add(append(make([]byte, 22), 1, 9, 1, 10, 4, 9, 0, 0, 0, 0))
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		const descriptorLimit = 12
-		limiter := New(relay.NewManualClock(), descriptorLimit, zerolog.Nop())
-		var all []*modelPermit
-		var idle []*modelPermit
-		held, requests, evicted := 0, 0, 0
-		removeIdle := func(v *modelPermit) { idle = slices.DeleteFunc(idle, func(o *modelPermit) bool { return o == v }) }
-		cancelEviction := func(v *modelPermit) {
-			if v.evicted {
-				v.evicted = false
-				evicted--
-			}
-		}
-		releaseClient := func(v *modelPermit) {
-			if v.request {
-				v.request = false
-				requests--
-			}
-			if v.client {
-				v.client = false
-				held--
-				removeIdle(v)
-				cancelEviction(v)
-			}
-		}
-		evictOldest := func() {
-			v := idle[0]
-			removeIdle(v)
-			v.evicted = true
-			evicted++
-		}
+		limiter := New(relay.NewManualClock(), modelDescriptorLimit, zerolog.Nop())
+		m := &limiterModel{}
 		for ; len(steps) >= 2; steps = steps[2:] {
-			if steps[0]%5 == 0 {
-				if held-evicted >= descriptorLimit && len(idle) > 0 {
-					evictOldest()
-				}
-				c := &conn{}
-				v := &modelPermit{permit: limiter.admitConnection(c), conn: c, client: true}
-				all, idle = append(all, v), append(idle, v)
-				held++
-			} else if len(all) > 0 {
-				v := all[int(steps[1])%len(all)]
-				switch steps[0] % 5 {
-				case 1:
-					if v.request || v.server || !v.client { // a connection asks once, and before it is closed
-						continue
-					}
-					may := requests+2 <= descriptorLimit-minIdleReserve
-					if got := v.permit.AcquireRequest(); got != may {
-						t.Fatalf("ask: %v with %d requests of %+v", got, requests, v)
-					}
-					if may {
-						v.request, v.server = true, true
-						held, requests = held+1, requests+2
-						removeIdle(v)
-						cancelEviction(v)
-						for held-evicted > descriptorLimit && len(idle) > 0 {
-							evictOldest()
-						}
-					}
-				case 2:
-					v.permit.ReleaseRequest()
-					if v.request {
-						v.request = false
-						requests--
-						idle = append(idle, v)
-					}
-				case 3:
-					v.permit.ReleaseRequest()
-					if v.request {
-						v.request = false
-						requests--
-						idle = append(idle, v)
-					}
-					v.permit.ReleaseClient()
-					releaseClient(v)
-				case 4:
-					v.permit.release()
-					releaseClient(v)
-					if v.server {
-						v.server = false
-						held, requests = held-1, requests-1
-					}
-				}
-			}
-			if limiter.descriptorsHeld != held || limiter.requestDescriptors != requests || limiter.idlePermits.Len() != len(idle) || limiter.evicting != evicted {
-				t.Fatalf("held %d, requests %d, idle %d, making way %d; want %d, %d, %d, %d", limiter.descriptorsHeld, limiter.requestDescriptors, limiter.idlePermits.Len(), limiter.evicting, held, requests,
-					len(idle), evicted)
-			}
-			if held-evicted > descriptorLimit+1 {
-				t.Fatalf("%d held of %d, %d of them make way", held, descriptorLimit, evicted)
-			}
-			for i, v := range all {
-				if v.client != v.permit.clientCounted || v.evicted != v.permit.evicted || v.evicted && !v.permit.Half.ClosingNow() || v.conn.closed {
-					t.Fatalf("modelPermit %d: %+v, closed %v", i, v, v.conn.closed)
-				}
+			switch {
+			case steps[0]%5 == 0:
+				m.admit(limiter)
+			case len(m.all) > 0:
+				m.step(t, steps[0]%5, m.all[int(steps[1])%len(m.all)])
 			}
+			m.compare(t, limiter)
 		}
 	})
 }
+
+// step does one thing to one permit.
+func (m *limiterModel) step(t *testing.T, kind byte, v *modelPermit) {
+	t.Helper()
+	switch kind {
+	case 1:
+		m.acquireRequest(t, v)
+	case 2:
+		m.releaseRequest(v)
+	case 3:
+		m.releaseRequest(v)
+		v.permit.ReleaseClient()
+		m.releaseClient(v)
+	case 4:
+		m.releaseAll(v)
+	}
+}
