--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -54,7 +54,7 @@
 	relay           string // the relay's name
 	requests        *relay.RequestTable
 	clock           *relay.Clock
-	platform        *platform.Front      // nil for other fronts
+	platform        *platform.Frontend   // nil for other fronts
 	discovery       *discovery.Client    // nil for other fronts
 	fleet           relay.FleetView      // a part's to set; nil where relays do not know each other
 	sharedProbing   *relay.SharedProbing // the same; nil where each probes servers for itself
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	limiter := connlimit.New(clock, connectionCapacity(c.Sockets, c.Admin != ""), log)
-	front := &platform.Front{X: requests, Site: c.Deployment, Gate: limiter}
+	front := &platform.Frontend{Requests: requests, Deployment: c.Deployment, Limiter: limiter}
 	seam := &frontSeam{
 		front:     "platform",
 		relay:     c.Name,
@@ -70,11 +70,11 @@
 
 // newPlatformRequests makes the request table with the side that opens connections to servers.
 func newPlatformRequests(c *Config, clock *relay.Clock, log zerolog.Logger) *relay.RequestTable {
-	servers := &platform.Servers{
-		Clock:          clock,
-		ConnectTimeout: c.Deployment.Settings.ConnectTimeout,
-		LoadKey:        c.Deployment.LoadField,
-		Keep:           probeSockets,
+	servers := &platform.ServerDialer{
+		Clock:             clock,
+		ConnectTimeout:    c.Deployment.Settings.ConnectTimeout,
+		LoadField:         c.Deployment.LoadField,
+		MaxIdleProbeConns: probeSockets,
 	}
 	requests := relay.NewRequestTable(c.Deployment, clock, servers)
 	requests.Log = log.Sample(&zerolog.BurstSampler{Burst: rejectionLogBurst, Period: time.Second})
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -51,14 +51,14 @@
 		Classes: []decide.ClassInfo{
 			{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(10_000)},
 		}}}
-	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock})
+	x := relay.NewRequestTable(site, clock, &platform.ServerDialer{Clock: clock})
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &starved{inner, make(chan struct{})}
 	door := connlimit.New(clock, 24, zerolog.Nop())
-	go (&platform.Front{X: x, Site: site, Gate: door}).Serve(l)
+	go (&platform.Frontend{Requests: x, Deployment: site, Limiter: door}).Serve(l)
 	var clients []net.Conn
 	said := []string{"OPEN a0 0f c=m,d=500\r\n", "OPEN a1 0f c=m,d=500\r\n", "OPEN a2 0f c=m,d=5", ""}
 	for _, text := range said {
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -52,7 +52,7 @@
 		MaxAttempts: 4, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(200), Tick: relay.Duration(5),
 		ConnectTimeout: relay.Duration(300), Rules: decide.Rules{SlowStartWindow: relay.Duration(3000), SlowStartCapacity: 0.36, OverloadFactor: 4,
 			OverloadWindow: relay.Duration(1500)}, Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(800), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock, ConnectTimeout: 300 * time.Millisecond, LoadKey: "x0", Keep: 64})
+	x := relay.NewRequestTable(site, clock, &platform.ServerDialer{Clock: clock, ConnectTimeout: 300 * time.Millisecond, LoadField: "x0", MaxIdleProbeConns: 64})
 	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), Most: 100, Store: s}, x, clock, zerolog.Nop())}
 	x.Recorder = w.w.Recorder
 	for i := range servers {
@@ -72,7 +72,7 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	w.relay = l.Addr().String()
-	go (&platform.Front{X: x, Site: site, Gate: connlimit.New(clock, 4096, zerolog.Nop())}).Serve(l)
+	go (&platform.Frontend{Requests: x, Deployment: site, Limiter: connlimit.New(clock, 4096, zerolog.Nop())}).Serve(l)
 	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
 	go w.w.Run(t.Context())
 	return w
--- a/internal/wire/platform/client.go
+++ b/internal/wire/platform/client.go
@@ -13,29 +13,29 @@
 	"capersail/internal/wire/splice"
 )
 
-// maxPings is how many pings a connection may begin with. Each costs an answer.
-const maxPings = 16
+// maxPingsPerClient is how many pings a connection may begin with. Each costs an answer.
+const maxPingsPerClient = 16
 
-// Front is the client side: it speaks with each client in a goroutine of its own.
-type Front struct {
-	X    *relay.RequestTable
-	Site *relay.Deployment
-	Gate *connlimit.Limiter
+// Frontend is the client side: it speaks with each client in a goroutine of its own.
+type Frontend struct {
+	Requests   *relay.RequestTable
+	Deployment *relay.Deployment
+	Limiter    *connlimit.Limiter
 	// Resume lets streams go on elsewhere; nil where that is off.
 	Resume *resume.Service
 }
 
 // Serve accepts until the listener is closed.
-func (f *Front) Serve(l net.Listener) error { return f.Gate.Serve(l, f.serve) }
+func (f *Frontend) Serve(l net.Listener) error { return f.Limiter.Serve(l, f.serveClient) }
 
-// serve speaks with one client until its connection is closed, and that to its server too.
-func (f *Front) serve(p *connlimit.Permit) {
+// serveClient speaks with one client until its connection is closed, and that to its server too.
+func (f *Frontend) serveClient(p *connlimit.Permit) {
 	e := p.Half
-	in := newLines(e.Conn)
+	in := newLineReader(e.Conn)
 	e.SetReadUntil(p.RequestUntil)
-	call := f.first(p, e, in)
+	call := f.acceptRequest(p, e, in)
 	if call != nil {
-		f.follow(call, e, in)
+		f.forwardFromClient(call, e, in)
 	}
 	p.ReleaseRequest()
 	e.CloseAndDiscard()
@@ -45,23 +45,23 @@
 	}
 }
 
-// first takes a connection up to its request. Nil means that it has its answer, or that none is due: it said
+// acceptRequest takes a connection up to its request. Nil means that it has its answer, or that none is due: it said
 // nothing in time, or had to make room for others.
-func (f *Front) first(p *connlimit.Permit, e *splice.Half, in *lines) *relay.Request {
+func (f *Frontend) acceptRequest(p *connlimit.Permit, e *splice.Half, in *lineReader) *relay.Request {
 	last := false // what has come is all that counts: its time is up, its place is wanted, or the relay leaves
-	for range maxPings {
-		line, err := in.next()
+	for range maxPingsPerClient {
+		line, err := in.readLine()
 		if splice.TimedOut(err) && !last {
 			last = true
-			in.feed(e.ReadPending())
-			line, err = in.next()
+			in.prepend(e.ReadPending())
+			line, err = in.readLine()
 		}
-		if err != nil && !errors.Is(err, errTooLong) {
+		if err != nil && !errors.Is(err, errLineTooLong) {
 			return nil
 		}
-		if first, _ := word(line); err == nil && first == "PING" {
+		if first, _ := splitFirstWord(line); err == nil && first == "PING" {
 			answer := "PONG\r\n"
-			if f.X.Draining() { // by hand: the front is to send no one new. Not so when leaving: in an upgrade the
+			if f.Requests.Draining() { // by hand: the front is to send no one new. Not so when leaving: in an upgrade the
 				// front's kept connection may be this process's, while the one that follows it serves the socket
 				answer = "BUSY\r\n"
 			}
@@ -70,36 +70,36 @@
 			}
 			continue
 		}
-		ask, at, err := f.ask(line, err)
-		if err == nil && in.r.Buffered() > 0 {
-			err = errUnasked
+		ask, at, err := f.openRequest(line, err)
+		if err == nil && in.buffered.Buffered() > 0 {
+			err = errUnexpectedLine
 		}
 		if err != nil {
-			f.refuse(e, line, err)
+			f.rejectLine(e, line, err)
 			return nil
 		}
 		if !p.AcquireRequest() { // the bound on descriptors: better a no at once than an accept that fails
-			f.X.RecordConnLimitRejection(ask.Class)
+			f.Requests.RecordConnLimitRejection(ask.Class)
 			e.Forward([]byte("BUSY 500\r\n"))
 			return nil
 		}
 		e.SetReadUntil(0)
 		if at != "" {
-			return f.X.Resume(ask, at, e)
+			return f.Requests.Resume(ask, at, e)
 		}
-		return f.X.Open(ask, e)
+		return f.Requests.Open(ask, e)
 	}
 	return nil
 }
 
-// errUnasked: a client waits for the answer to its first line. What comes before that is nobody's to read,
+// errUnexpectedLine: a client waits for the answer to its first line. What comes before that is nobody's to read,
 // and passed on it would be another request's line to the server.
-var errUnasked = errors.New("lines before the answer")
+var errUnexpectedLine = errors.New("lines before the answer")
 
-// refuse answers what cannot be read.
-func (f *Front) refuse(e *splice.Half, line []byte, err error) {
-	f.Gate.Log.Warn().Err(err).Bytes("line", line[:min(len(line), 80)]).Msg("bad client; failed")
-	var r *refusal
+// rejectLine answers what cannot be read.
+func (f *Frontend) rejectLine(e *splice.Half, line []byte, err error) {
+	f.Limiter.Log.Warn().Err(err).Bytes("line", line[:min(len(line), 80)]).Msg("bad client; failed")
+	var r *resumeError
 	if errors.As(err, &r) {
 		e.Forward([]byte("ERR resume " + r.note + "\r\n"))
 		return
@@ -107,63 +107,63 @@
 	e.Forward([]byte("ERR bad request\r\n"))
 }
 
-// ask puts a first line into the module's numbers.
-func (f *Front) ask(line []byte, err error) (relay.OpenRequest, string, error) {
+// openRequest puts a first line into the module's numbers.
+func (f *Frontend) openRequest(line []byte, err error) (relay.OpenRequest, string, error) {
 	if err != nil {
 		return relay.OpenRequest{}, "", err
 	}
 	parse := parseOpening
 	if f.Resume != nil {
-		parse = parseResuming
+		parse = parseResumableOpening
 	}
 	o, err := parse(line)
 	if err != nil {
 		return relay.OpenRequest{}, "", err
 	}
-	class, ok := f.Site.Classes[o.class]
+	class, ok := f.Deployment.Classes[o.class]
 	if !ok {
 		return relay.OpenRequest{}, "", fmt.Errorf("unknown class %q", o.class)
 	}
-	tenant, ok := f.Site.Tenants[o.tenant]
+	tenant, ok := f.Deployment.Tenants[o.tenant]
 	if !ok {
 		tenant = decide.NoTenant
 	}
-	left := o.left
-	if longest := f.Site.Settings.Classes[class].Deadline; longest > 0 && o.at == "" {
+	left := o.clientWait
+	if longest := f.Deployment.Settings.Classes[class].Deadline; longest > 0 && o.previousServer == "" {
 		left = min(left, longest) // no client of the class waits for longer, whatever it says
 	}
-	ask := relay.OpenRequest{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.hint, Timeout: left,
+	ask := relay.OpenRequest{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.loadHint, Timeout: left,
 		Returned: o.returned, Payload: o}
-	if o.resume != "" {
-		st, err := f.stream(o)
+	if o.resumeToken != "" {
+		st, err := f.openStream(o)
 		if err != nil {
 			return relay.OpenRequest{}, "", err
 		}
 		ask.Ownership, ask.Returned = st, ask.Returned || st.MustWait()
 	}
-	return ask, o.at, nil
+	return ask, o.previousServer, nil
 }
 
-// follow reads the client until its end. Before the call is up a wake means an answer; after that the
+// forwardFromClient reads the client until its end. Before the call is up a wake means an answer; after that the
 // server side writes to the client, and this goroutine only passes on what the client sends.
-func (f *Front) follow(call *relay.Request, e *splice.Half, in *lines) {
+func (f *Frontend) forwardFromClient(call *relay.Request, e *splice.Half, in *lineReader) {
 	st := streamOf(call)
 	for {
-		line, err := in.next()
+		line, err := in.readLine()
 		switch {
-		case st != nil && err == nil && got(st, line): // the relay's own line, whenever it comes
+		case st != nil && err == nil && confirmToken(st, line): // the relay's own line, whenever it comes
 		case len(line) > 0 && call.FailOnClientError():
-			f.refuse(e, line, errUnasked)
+			f.rejectLine(e, line, errUnexpectedLine)
 			return
-		case errors.Is(err, errTooLong): // no part of it goes on, and the server is no worse for its client
-			f.Gate.Log.Warn().Err(err).Msg("bad client; moved")
+		case errors.Is(err, errLineTooLong): // no part of it goes on, and the server is no worse for its client
+			f.Limiter.Log.Warn().Err(err).Msg("bad client; moved")
 			call.MigrateClient()
 			<-call.Finished()
 			return
 		case len(line) > 0:
 			remote := call.ServerConn()
 			if remote == nil {
-				f.answer(call, e)
+				f.writeAnswer(call, e)
 				return
 			}
 			call.LineSent()
@@ -171,7 +171,7 @@
 		case splice.TimedOut(err):
 			e.ClearWake()
 			if state, _ := call.State(); state == relay.Ended || e.Closed() { // answered, or ended by its server
-				f.answer(call, e)
+				f.writeAnswer(call, e)
 				return
 			}
 			e.SetReadUntil(0)
@@ -182,8 +182,8 @@
 	}
 }
 
-// answer writes the final answer of a call that did not come up.
-func (f *Front) answer(call *relay.Request, e *splice.Half) {
+// writeAnswer writes the final writeAnswer of a call that did not come up.
+func (f *Frontend) writeAnswer(call *relay.Request, e *splice.Half) {
 	_, a := call.State()
 	switch {
 	case a.Kind == relay.Rejected && a.RetryAfter > 0:
--- a/internal/wire/platform/line.go
+++ b/internal/wire/platform/line.go
@@ -18,55 +18,57 @@
 	"capersail/internal/resume"
 )
 
-// maxLine is the longest line the protocol knows, its end included.
-const maxLine = 4096
+// maxLineBytes is the longest line the protocol knows, its end included.
+const maxLineBytes = 4096
 
-var errTooLong = errors.New("line over 4 KiB")
+var errLineTooLong = errors.New("line over 4 KiB")
 
-// lines reads lines from a connection. A read that a deadline cuts short loses nothing.
-type lines struct {
-	conn  net.Conn
-	r     *bufio.Reader
-	carry []byte
+// lineReader reads lineReader from a connection. A read that a deadline cuts short loses nothing.
+type lineReader struct {
+	conn     net.Conn
+	buffered *bufio.Reader
+	partial  []byte
 }
 
-func newLines(conn net.Conn) *lines { return &lines{conn: conn, r: bufio.NewReaderSize(conn, maxLine)} }
+func newLineReader(conn net.Conn) *lineReader {
+	return &lineReader{conn: conn, buffered: bufio.NewReaderSize(conn, maxLineBytes)}
+}
 
-// feed puts bytes that were read past the lines in front of what comes next. All that was buffered has been returned.
-func (l *lines) feed(p []byte) {
+// prepend puts bytes that were read past the lines in front of what comes next. All that was buffered has been returned.
+func (l *lineReader) prepend(p []byte) {
 	if len(p) > 0 {
-		l.r = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(p), l.conn), maxLine)
+		l.buffered = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(p), l.conn), maxLineBytes)
 	}
 }
 
-// next returns the next line, its end included, valid until the next call. With errTooLong it returns the
+// readLine returns the readLine line, its end included, valid until the readLine call. With errTooLong it returns the
 // part of a longer one that has come so far; the rest follows as if it were a line.
-func (l *lines) next() ([]byte, error) {
-	part, err := l.r.ReadSlice('\n')
+func (l *lineReader) readLine() ([]byte, error) {
+	part, err := l.buffered.ReadSlice('\n')
 	switch {
-	case err == nil && len(l.carry) == 0:
+	case err == nil && len(l.partial) == 0:
 		return part, nil
 	case err == nil:
-		line := append(l.carry, part...)
-		l.carry = l.carry[:0]
+		line := append(l.partial, part...)
+		l.partial = l.partial[:0]
 		return line, nil
-	case errors.Is(err, bufio.ErrBufferFull) || len(l.carry)+len(part) > maxLine:
-		line := append(l.carry, part...)
-		l.carry = l.carry[:0]
-		return line, errTooLong
+	case errors.Is(err, bufio.ErrBufferFull) || len(l.partial)+len(part) > maxLineBytes:
+		line := append(l.partial, part...)
+		l.partial = l.partial[:0]
+		return line, errLineTooLong
 	}
-	l.carry = append(l.carry, part...)
+	l.partial = append(l.partial, part...)
 	return nil, err
 }
 
-// word splits a line into its first word and the rest, without its end.
-func word(line []byte) (first, rest string) {
+// splitFirstWord splits a line into its first splitFirstWord and the rest, without its end.
+func splitFirstWord(line []byte) (first, rest string) {
 	first, rest, _ = strings.Cut(string(bytes.TrimRight(line, "\r\n")), " ")
 	return first, rest
 }
 
-// report reads a load report, `x0=0.61,qps=33`. loadKey names the field that tells load over capacity.
-func report(text, loadKey string) decide.LoadReport {
+// parseLoadReport reads a load parseLoadReport, `x0=0.61,qps=33`. loadKey names the field that tells load over capacity.
+func parseLoadReport(text, loadKey string) decide.LoadReport {
 	r := decide.NoLoadReport
 	for _, field := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -90,21 +92,21 @@
 
 // opening is a client's first line, taken apart. Its text goes on to the server unchanged but for d.
 type opening struct {
-	id            string
-	before, after string // the line around the figure of d
-	class, tenant string
-	key, group    uint64
-	hint          float64
-	left          time.Duration // the client's wait, in whole microseconds
-	returned      bool
-	at            string // the server that held the connection before the run
-	resume        string // a token, or "new"; "" if the client does not ask to go on one day
-	position      uint64
-	hasPosition   bool
+	id                    string
+	beforeWait, afterWait string // the line around the figure of d
+	class, tenant         string
+	key, group            uint64
+	loadHint              float64
+	clientWait            time.Duration // the client's wait, in whole microseconds
+	returned              bool
+	previousServer        string // the server that held the connection before the run
+	resumeToken           string // a token, or "new"; "" if the client does not ask to go on one day
+	position              uint64
+	hasPosition           bool
 }
 
-// parseResuming reads a first line where tokens are on. Their two fields are the relay's own, and do not go on.
-func parseResuming(line []byte) (*opening, error) {
+// parseResumableOpening reads a first line where tokens are on. Their two fields are the relay's own, and do not go on.
+func parseResumableOpening(line []byte) (*opening, error) {
 	text := strings.TrimRight(string(line), "\r\n")
 	at := strings.LastIndexByte(text, ' ') + 1
 	var rest []string
@@ -123,12 +125,12 @@
 	if err != nil || token == "" {
 		return o, err
 	}
-	if o.resume = token; o.at != "" {
+	if o.resumeToken = token; o.previousServer != "" {
 		return nil, fmt.Errorf("resume and at exclude one another")
 	}
 	if position != "" {
 		if o.position, err = strconv.ParseUint(position, 10, 64); err != nil || o.position > maxPosition {
-			return nil, &refusal{resume.NoteInvalidPosition, fmt.Errorf("pos=%q is not the number of a scan", position)}
+			return nil, &resumeError{resume.NoteInvalidPosition, fmt.Errorf("pos=%q is not the number of a scan", position)}
 		}
 		o.hasPosition = true
 	}
@@ -138,14 +140,14 @@
 // maxPosition is the last scan that can be asked for: servers count in 63 bits.
 const maxPosition = 1<<63 - 2
 
-// refusal is an error of which the client is told the kind.
-type refusal struct {
+// resumeError is an error of which the client is told the kind.
+type resumeError struct {
 	note string
 	err  error
 }
 
-func (r *refusal) Error() string { return r.note + ": " + r.err.Error() }
-func (r *refusal) Unwrap() error { return r.err }
+func (r *resumeError) Error() string { return r.note + ": " + r.err.Error() }
+func (r *resumeError) Unwrap() error { return r.err }
 
 // parseOpening reads `OPEN id key name=value,...`. Whatever is not of that form is never sent on: a server
 // would answer SYNTAX.
@@ -160,7 +162,7 @@
 			return nil, fmt.Errorf("control character")
 		}
 	}
-	o := &opening{id: parts[1], key: number(parts[2])}
+	o := &opening{id: parts[1], key: parseKey(parts[2])}
 	at := len(text) - len(parts[3])
 	for _, field := range strings.Split(parts[3], ",") {
 		name, value, ok := strings.Cut(field, "=")
@@ -174,49 +176,49 @@
 		case "t":
 			o.tenant = value
 		case "d":
-			o.before, o.after = text[:at+2], text[at+len(field):]
+			o.beforeWait, o.afterWait = text[:at+2], text[at+len(field):]
 			left, err := strconv.ParseFloat(value, 64)
 			if err != nil || strings.Trim(value, "0123456789.") != "" || !(left > 0 && left < 1e9) {
 				return nil, fmt.Errorf("d=%q is not a time to wait", value)
 			}
-			o.left = relay.Duration(left)
+			o.clientWait = relay.Duration(left)
 		case "g":
-			o.group = number(value)
+			o.group = parseKey(value)
 		case "h":
-			if o.hint, err = strconv.ParseFloat(value, 64); err != nil || !(o.hint >= 0 && o.hint < 1e12) {
+			if o.loadHint, err = strconv.ParseFloat(value, 64); err != nil || !(o.loadHint >= 0 && o.loadHint < 1e12) {
 				return nil, fmt.Errorf("h=%q is not a load", value)
 			}
 		case "r", "again":
 			o.returned = o.returned || value != "0"
 		case "at":
-			o.at = value
+			o.previousServer = value
 		}
 		at += len(field) + 1
 	}
 	switch {
 	case o.class == "":
 		return nil, fmt.Errorf("c is missing")
-	case o.before == "" && o.at == "":
+	case o.beforeWait == "" && o.previousServer == "":
 		return nil, fmt.Errorf("d is missing")
-	case o.before == "": // a connection from before the run may wait as long as the rules let it
-		o.before, o.left = text, resumeWithin
+	case o.beforeWait == "": // a connection from before the run may wait as long as the rules let it
+		o.beforeWait, o.clientWait = text, previousServerTimeout
 	}
 	return o, nil
 }
 
-// resumeWithin is how long a connection from before the run may take to come up.
-const resumeWithin = 40 * time.Second
+// previousServerTimeout is how long a connection from before the run may take to come up.
+const previousServerTimeout = 40 * time.Second
 
-// line is the opening as it goes on to a server that is given left, with what more it is told.
-func (o *opening) line(left time.Duration, more string) []byte {
-	if !strings.HasSuffix(o.before, "d=") {
-		return []byte(o.before + more + "\r\n")
+// encode is the opening as it goes on to a server that is given left, with what more it is told.
+func (o *opening) encode(left time.Duration, more string) []byte {
+	if !strings.HasSuffix(o.beforeWait, "d=") {
+		return []byte(o.beforeWait + more + "\r\n")
 	}
-	return []byte(o.before + strconv.FormatInt(max(1, left.Milliseconds()), 10) + o.after + more + "\r\n")
+	return []byte(o.beforeWait + strconv.FormatInt(max(1, left.Milliseconds()), 10) + o.afterWait + more + "\r\n")
 }
 
-// number reads the hexadecimal figures of keys and groups; any other text stands for a number too.
-func number(text string) uint64 {
+// parseKey reads the hexadecimal figures of keys and groups; any other text stands for a parseKey too.
+func parseKey(text string) uint64 {
 	if x, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return x
 	}
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -14,8 +14,8 @@
 	"capersail/internal/wire/splice"
 )
 
-// awaitPending waits until a peer's bytes or end have come, which loopback brings in its own time.
-func awaitPending(t *testing.T, e *splice.Half) {
+// awaitUnread waits until a peer's bytes or end have come, which loopback brings in its own time.
+func awaitUnread(t *testing.T, e *splice.Half) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -32,21 +32,21 @@
 		"its place is wanted": func(p *connlimit.Permit) { p.Half.CloseNow() },
 		"the relay leaves":    func(p *connlimit.Permit) { p.Half.Wake() },
 	} {
-		for line, want := range map[string]string{open + "\r\n": "UP a1", "PING\r\n": "PONG", open: "end", "": "end"} {
-			_, x, _ := serve(t, "UP")
+		for line, want := range map[string]string{openingLine + "\r\n": "UP a1", "PING\r\n": "PONG", openingLine: "end", "": "end"} {
+			_, x, _ := startRelay(t, "UP")
 			site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Classes: []decide.ClassInfo{{}}}}
-			f := &Front{X: x, Site: site, Gate: connlimit.New(x.Clock, 24, zerolog.Nop())}
+			f := &Frontend{Requests: x, Deployment: site, Limiter: connlimit.New(x.Clock, 24, zerolog.Nop())}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.Close() })
-			go f.Gate.Serve(l, func(p *connlimit.Permit) {
+			go f.Limiter.Serve(l, func(p *connlimit.Permit) {
 				if line != "" {
-					awaitPending(t, p.Half)
+					awaitUnread(t, p.Half)
 				}
 				end(p)
-				f.serve(p)
+				f.serveClient(p)
 			})
 			c := connect(t, l.Addr().String())
 			fmt.Fprint(c, line)
@@ -58,14 +58,14 @@
 }
 
 // Nothing is sent for a client that has gone, though its side has had no time to read that: here nobody ever reads it.
-func TestNothingIsSentForWhoHasGone(t *testing.T) {
+func TestNothingIsForwardedForAClosedClient(t *testing.T) {
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"a close":      func(c *net.TCPConn) { c.Close() },
 		"a half-close": func(c *net.TCPConn) { c.CloseWrite() },
 		"a reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		"more lines":   func(c *net.TCPConn) { fmt.Fprint(c, "M 1\r\n"); c.Close() },
 	} {
-		_, x, servers := serve(t, "UP")
+		_, x, servers := startRelay(t, "UP")
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -82,8 +82,8 @@
 		t.Cleanup(func() { own.Close() })
 		e := &splice.Half{Conn: own, Clock: x.Clock}
 		leave(client.(*net.TCPConn))
-		awaitPending(t, e)
-		o, err := parseOpening([]byte(open))
+		awaitUnread(t, e)
+		o, err := parseOpening([]byte(openingLine))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -18,7 +18,7 @@
 	"capersail/internal/wire/connlimit"
 )
 
-func TestOpening(t *testing.T) {
+func TestOpeningIsForwardedUnchangedButForItsWait(t *testing.T) {
 	cases := []struct {
 		name, in, out string // what goes on with 70 ms left; "" if nothing may
 	}{
@@ -40,7 +40,7 @@
 		o, err := parseOpening([]byte(c.in + "\r\n"))
 		got := ""
 		if err == nil {
-			got = string(o.line(70*time.Millisecond, ""))
+			got = string(o.encode(70*time.Millisecond, ""))
 		}
 		if got != c.out {
 			t.Errorf("%s: %q, %v", c.name, got, err)
@@ -49,7 +49,7 @@
 }
 
 // Whatever a client sends, what goes on is its own line but for d.
-func FuzzOpening(f *testing.F) {
+func FuzzOpeningIsForwardedUnchangedButForItsWait(f *testing.F) {
 	f.Add("OPEN a1 0f c=m,t=x,d=2000,g=5c")
 	f.Add("OPEN a1 0f c=m,d=1,d=2")
 	f.Fuzz(func(t *testing.T, line string) {
@@ -57,17 +57,17 @@
 		if err != nil {
 			return
 		}
-		again, err := parseOpening(o.line(70*time.Millisecond, ""))
-		if err != nil || again.class != o.class || again.at != o.at || o.at == "" && again.left != 70*time.Millisecond {
-			t.Errorf("%q goes on as %q: %v", line, o.line(70*time.Millisecond, ""), err)
+		again, err := parseOpening(o.encode(70*time.Millisecond, ""))
+		if err != nil || again.class != o.class || again.previousServer != o.previousServer || o.previousServer == "" && again.clientWait != 70*time.Millisecond {
+			t.Errorf("%q goes on as %q: %v", line, o.encode(70*time.Millisecond, ""), err)
 		}
 	})
 }
 
 // A read that a deadline cuts short loses nothing, and a line over 4 KiB comes in parts.
-func TestLines(t *testing.T) {
+func TestCutReadsLoseNothing(t *testing.T) {
 	a, b := net.Pipe()
-	in := newLines(a)
+	in := newLineReader(a)
 	long := strings.Repeat("x", 5000)
 	step := make(chan bool)
 	go func() {
@@ -77,19 +77,19 @@
 		b.Close()
 	}()
 	a.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-	if line, err := in.next(); err == nil || len(line) != 0 {
+	if line, err := in.readLine(); err == nil || len(line) != 0 {
 		t.Fatalf("%q, %v", line, err)
 	}
 	a.SetReadDeadline(time.Time{})
 	close(step)
-	if line, err := in.next(); string(line) != "half a line\r\n" || err != nil {
+	if line, err := in.readLine(); string(line) != "half a line\r\n" || err != nil {
 		t.Fatalf("%q, %v", line, err)
 	}
 	got := ""
 	for {
-		line, err := in.next()
+		line, err := in.readLine()
 		got += string(line)
-		if err != nil && !errors.Is(err, errTooLong) {
+		if err != nil && !errors.Is(err, errLineTooLong) {
 			break
 		}
 	}
@@ -98,19 +98,19 @@
 	}
 }
 
-type noList struct{}
+type noDiscovery struct{}
 
-func (noList) Watch() {}
-func (noList) Fetch() {}
+func (noDiscovery) Watch() {}
+func (noDiscovery) Fetch() {}
 
-// serve starts both sides with servers that answer as told, by the id of each.
-func serve(t *testing.T, answers ...string) (address string, x *relay.RequestTable, servers []*fake.TileServer) {
+// startRelay starts both sides with servers that answer as told, by the id of each.
+func startRelay(t *testing.T, answers ...string) (address string, x *relay.RequestTable, servers []*fake.TileServer) {
 	t.Helper()
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
 		MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(900), Tick: relay.Duration(5),
 		ConnectTimeout: relay.Duration(1000), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(600)}}}}
-	x = relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: time.Second, LoadKey: "x0", Keep: 4})
+	x = relay.NewRequestTable(site, clock, &ServerDialer{Clock: clock, ConnectTimeout: time.Second, LoadField: "x0", MaxIdleProbeConns: 4})
 	var list []relay.Endpoint
 	for i, answer := range answers {
 		s, err := fake.NewTileServer("127.0.0.1:0", answer)
@@ -127,8 +127,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	go (&Front{X: x, Site: site, Gate: connlimit.New(clock, 24, zerolog.Nop())}).Serve(l)
-	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
+	go (&Frontend{Requests: x, Deployment: site, Limiter: connlimit.New(clock, 24, zerolog.Nop())}).Serve(l)
+	go relay.NewEventLoop(x, 7, noDiscovery{}, zerolog.Nop()).Run(t.Context())
 	return l.Addr().String(), x, servers
 }
 
@@ -137,7 +137,7 @@
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, address, line string) *client {
+func openConnection(t *testing.T, address, line string) *client {
 	t.Helper()
 	c := connect(t, address)
 	fmt.Fprint(c, line+"\r\n")
@@ -167,25 +167,25 @@
 	return "broken"
 }
 
-const open = "OPEN a1 0f c=m,d=500"
+const openingLine = "OPEN a1 0f c=m,d=500"
 
 // PROTOCOL's table: what a server does, and what the client is told of it.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct{ name, answer, line, want string }{
-		{"up", "UP", open, "UP a1"},
-		{"turned away", "BUSY", open, "BUSY"},
-		{"error", "ERR", open, "BUSY"},
-		{"ended without an answer", "-", open, "BUSY"},
-		{"silent", "", open, "BUSY"},
+		{"up", "UP", openingLine, "UP a1"},
+		{"turned away", "BUSY", openingLine, "BUSY"},
+		{"error", "ERR", openingLine, "BUSY"},
+		{"ended without an answer", "-", openingLine, "BUSY"},
+		{"silent", "", openingLine, "BUSY"},
 		{"ping", "UP", "PING", "PONG"},
 		{"unknown class", "UP", "OPEN a1 0f c=z,d=500", "ERR bad request"},
 		{"bad first line", "UP", "GET / HTTP/1.1", "ERR bad request"},
-		{"a first line over 4 KiB", "UP", open + ",x=" + strings.Repeat("x", 5000), "ERR bad request"},
+		{"a first line over 4 KiB", "UP", openingLine + ",x=" + strings.Repeat("x", 5000), "ERR bad request"},
 		{"a connection from before the run", "UP", "OPEN a1 0f c=m,at=s0", "UP a1"},
 		{"one whose server is unknown", "UP", "OPEN a1 0f c=m,at=s9", "ERR"},
 	} {
-		address, _, servers := serve(t, c.answer)
-		got, _, _ := strings.Cut(dial(t, address, c.line).next(), " ")
+		address, _, servers := startRelay(t, c.answer)
+		got, _, _ := strings.Cut(openConnection(t, address, c.line).next(), " ")
 		want, _, _ := strings.Cut(c.want, " ")
 		if got != want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
@@ -197,9 +197,9 @@
 }
 
 // Once up, lines pass both ways unchanged; MOVE stands between two of them, and both sides are closed.
-func TestMoveBetweenLines(t *testing.T) {
-	address, x, servers := serve(t, "UP")
-	c := dial(t, address, open)
+func TestMigrationFallsBetweenLines(t *testing.T) {
+	address, x, servers := startRelay(t, "UP")
+	c := openConnection(t, address, openingLine)
 	if got := c.next(); got != "UP a1" {
 		t.Fatal(got)
 	}
@@ -223,15 +223,15 @@
 }
 
 // A server's end reaches the client in the same way: after its last line, or as a break.
-func TestServerEnds(t *testing.T) {
-	address, _, servers := serve(t, "UP")
-	c := dial(t, address, open)
+func TestServerCloseReachesTheClient(t *testing.T) {
+	address, _, servers := startRelay(t, "UP")
+	c := openConnection(t, address, openingLine)
 	c.next()
 	servers[0].Say("BYE x0=0.5", true)
 	if a, b := c.next(), c.next(); a != "BYE x0=0.5" || b != "end" {
 		t.Errorf("%q, %q", a, b)
 	}
-	c = dial(t, address, strings.Replace(open, "a1", "a2", 1)) // the first may still hold its name
+	c = openConnection(t, address, strings.Replace(openingLine, "a1", "a2", 1)) // the first may still hold its name
 	if got := c.next(); got != "UP a2" {
 		t.Fatal(got)
 	}
@@ -242,9 +242,9 @@
 }
 
 // A client that leaves in the middle of its set-up takes its attempt along.
-func TestClientLeavesMidSetUp(t *testing.T) {
-	address, x, servers := serve(t, "")
-	c := dial(t, address, open)
+func TestClientCloseEndsItsAttempt(t *testing.T) {
+	address, x, servers := startRelay(t, "")
+	c := openConnection(t, address, openingLine)
 	<-servers[0].Firsts
 	c.Close()
 	for i := 0; x.MigrateSome(0) > 0; i++ {
@@ -255,13 +255,13 @@
 	}
 }
 
-// named is a first line with an id of its own.
-func named(id string) string { return strings.Replace(open, "a1", id, 1) }
+// openingWithID is a first line with an id of its own.
+func openingWithID(id string) string { return strings.Replace(openingLine, "a1", id, 1) }
 
 // Beyond the bound on descriptors a client is told so at once. Those that say nothing take no part of it:
 // they make room for whoever comes, and the connections that have asked stay.
-func TestCrowded(t *testing.T) {
-	address, _, _ := serve(t, "UP")
+func TestRequestsBeyondTheDescriptorLimitAreRejected(t *testing.T) {
+	address, _, _ := startRelay(t, "UP")
 	var kept []*client
 	for i := range 9 {
 		for range 30 {
@@ -271,7 +271,7 @@
 		if i == 8 {
 			want = "BUSY"
 		}
-		c := dial(t, address, named(fmt.Sprint("c", i)))
+		c := openConnection(t, address, openingWithID(fmt.Sprint("c", i)))
 		if got, _, _ := strings.Cut(c.next(), " "); got != want {
 			t.Errorf("client %d: %q", i, got)
 		}
@@ -286,8 +286,8 @@
 }
 
 // A connection that brings no request is closed well within the 3 s it is owed that; pings do not renew it.
-func TestSilentClients(t *testing.T) {
-	address, _, _ := serve(t, "UP")
+func TestConnectionsWithoutARequestAreClosed(t *testing.T) {
+	address, _, _ := startRelay(t, "UP")
 	var all []*client
 	for _, say := range []string{"", "PING\r\n", "half a li"} {
 		c := connect(t, address)
@@ -307,17 +307,17 @@
 }
 
 // What a client may not do is answered ERR, whatever else waits on the connection, and never reaches a server.
-func TestBadClients(t *testing.T) {
+func TestMalformedLinesAreNeverForwarded(t *testing.T) {
 	for name, lines := range map[string]string{
-		"a good line behind what cannot be read": "frob\r\n" + open,
-		"hundreds at once":                       strings.Repeat(open+"\r\n", 300),
-		"a line before the answer":               open + "\r\nM 1",
+		"a good line behind what cannot be read": "frob\r\n" + openingLine,
+		"hundreds at once":                       strings.Repeat(openingLine+"\r\n", 300),
+		"a line before the answer":               openingLine + "\r\nM 1",
 		"a line without end":                     strings.Repeat("k", 8<<20),
 		"a wait that is no number":               "OPEN a1 0f c=m,d=0x10",
 		"pings, then garbage":                    "PING\r\nfrob",
 	} {
-		address, _, servers := serve(t, "UP")
-		c := dial(t, address, "PING")
+		address, _, servers := startRelay(t, "UP")
+		c := openConnection(t, address, "PING")
 		c.next()
 		go fmt.Fprint(c, lines+"\r\n")
 		got := c.next()
@@ -328,8 +328,8 @@
 			t.Errorf("%s: %.40q, %d first lines sent on", name, got, len(servers[0].Firsts))
 		}
 	}
-	address, _, servers := serve(t, "")
-	c := dial(t, address, open)
+	address, _, servers := startRelay(t, "")
+	c := openConnection(t, address, openingLine)
 	<-servers[0].Firsts
 	fmt.Fprint(c, "M 1 while its attempt is out\r\n")
 	if got := c.next(); got != "ERR bad request" {
@@ -338,14 +338,14 @@
 }
 
 // An id is one client's while its request stands: to the server another would be a second attempt at it.
-func TestIDOfAnother(t *testing.T) {
-	address, x, servers := serve(t, "UP")
-	c := dial(t, address, open)
+func TestOneRequestPerID(t *testing.T) {
+	address, x, servers := startRelay(t, "UP")
+	c := openConnection(t, address, openingLine)
 	if got := c.next(); got != "UP a1" {
 		t.Fatal(got)
 	}
-	for _, line := range []string{open, "OPEN a1 0f c=m,at=s0"} {
-		if got := dial(t, address, line).next(); got != "ERR" {
+	for _, line := range []string{openingLine, "OPEN a1 0f c=m,at=s0"} {
+		if got := openConnection(t, address, line).next(); got != "ERR" {
 			t.Errorf("%s: %q", line, got)
 		}
 	}
@@ -357,15 +357,15 @@
 	for x.MigrateSome(0) > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if got := dial(t, address, open).next(); got != "UP a1" {
+	if got := openConnection(t, address, openingLine).next(); got != "UP a1" {
 		t.Errorf("once it is free: %q", got)
 	}
 }
 
 // No part of an overlong line goes on to the server of a connection that is up; its client is sent away.
-func TestOverlongLineWhenUp(t *testing.T) {
-	address, _, _ := serve(t, "UP")
-	c := dial(t, address, open)
+func TestOverlongLineMigratesAnEstablishedClient(t *testing.T) {
+	address, _, _ := startRelay(t, "UP")
+	c := openConnection(t, address, openingLine)
 	c.next()
 	go fmt.Fprint(c, strings.Repeat("k", 4<<20))
 	if got := c.next(); got != "MOVE" {
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -22,26 +22,26 @@
 	return st
 }
 
-// stream is what an opening asks for.
-func (f *Front) stream(o *opening) (*resume.Stream, error) {
+// openStream is what an opening asks for.
+func (f *Frontend) openStream(o *opening) (*resume.Stream, error) {
 	asked := resume.StreamRequest{Class: o.class, Tenant: o.tenant, Key: o.key, Group: o.group, Position: o.position,
 		HasPosition: o.hasPosition}
-	if o.resume == "new" {
+	if o.resumeToken == "new" {
 		return f.Resume.NewStream(asked), nil
 	}
-	st, err := f.Resume.ResumeStream(o.resume, asked)
+	st, err := f.Resume.ResumeStream(o.resumeToken, asked)
 	var rejected *resume.RejectError
 	if errors.As(err, &rejected) {
-		return nil, &refusal{rejected.Note, rejected.Err}
+		return nil, &resumeError{rejected.Note, rejected.Err}
 	}
 	return st, err
 }
 
-// unwilling is what a server's refusal to go on means to the client.
-var unwilling = map[string]string{"STALE": resume.NoteStaleToken, "AHEAD": resume.NotePositionAhead}
+// resumeRejections is what a server's refusal to go on means to the client.
+var resumeRejections = map[string]string{"STALE": resume.NoteStaleToken, "AHEAD": resume.NotePositionAhead}
 
-// tell is what a server that takes streams up is told beyond the client's line.
-func tell(c *relay.Request, a relay.Attempt) (more string, told bool) {
+// encodeResumeFields is what a server that takes streams up is told beyond the client's line.
+func encodeResumeFields(c *relay.Request, a relay.Attempt) (more string, told bool) {
 	st := streamOf(c)
 	if st == nil {
 		return "", false
@@ -58,9 +58,9 @@
 	return more, true
 }
 
-// keep tells the server how long it may serve on, if that is due. It comes before a stream's first token: from
+// renewServerLease tells the server how long it may serve on, if that is due. It comes before a stream's first token: from
 // then on another relay may be shown one.
-func keep(e *splice.Half, st *resume.Stream) {
+func renewServerLease(e *splice.Half, st *resume.Stream) {
 	if st == nil {
 		return
 	}
@@ -69,8 +69,8 @@
 	}
 }
 
-// begin is the server's UP, with what the client is to know beyond it: a gap, and its token.
-func begin(e *splice.Half, st *resume.Stream, a relay.Attempt, up []byte) []byte {
+// encodeEstablished is the server's UP, with what the client is to know beyond it: a gap, and its token.
+func encodeEstablished(e *splice.Half, st *resume.Stream, a relay.Attempt, up []byte) []byte {
 	out := append([]byte(nil), up...)
 	first, stated := uint64(0), false
 	for _, field := range strings.Fields(string(up)) {
@@ -89,7 +89,7 @@
 		st.SetPosition(first - 1)
 	}
 	st.SetServer(a.Server.ID)
-	keep(e, st)
+	renewServerLease(e, st)
 	return append(out, tokenLine(st)...)
 }
 
@@ -105,8 +105,8 @@
 	return fmt.Appendf(nil, "TOKEN %d %s\r\n", st.FencingToken(), text)
 }
 
-// passed notes a line that went to the client. It returns the stream if a token is due after it.
-func passed(st *resume.Stream, line []byte) *resume.Stream {
+// recordForwardedLine notes a line that went to the client. It returns the stream if a token is due after it.
+func recordForwardedLine(st *resume.Stream, line []byte) *resume.Stream {
 	if rest, ok := bytes.CutPrefix(line, []byte("SCAN ")); ok {
 		n, digits := uint64(0), 0
 		for ; digits < len(rest) && digits < 19 && rest[digits] >= '0' && rest[digits] <= '9'; digits++ {
@@ -122,16 +122,16 @@
 	return st
 }
 
-// nextLook is when the goroutine that passes lines looks at its stream at the latest; 0 is never.
-func nextLook(st *resume.Stream) time.Duration {
+// nextStreamCheck is when the goroutine that passes lines looks at its stream at the latest; 0 is never.
+func nextStreamCheck(st *resume.Stream) time.Duration {
 	if st == nil {
 		return 0
 	}
 	return st.NextCheck()
 }
 
-// got takes the client's word that it has a token. It is the relay's line: no server reads it.
-func got(st *resume.Stream, line []byte) bool {
+// confirmToken takes the client's word that it has a token. It is the relay's line: no server reads it.
+func confirmToken(st *resume.Stream, line []byte) bool {
 	rest, ok := bytes.CutPrefix(line, []byte("GOT "))
 	if !ok {
 		return false
@@ -142,8 +142,8 @@
 	return true
 }
 
-// part ends a stream at its server, and only then lets it be another relay's.
-func part(e *splice.Half, st *resume.Stream) {
+// releaseStream ends a stream at its server, and only then lets it be another relay's.
+func releaseStream(e *splice.Half, st *resume.Stream) {
 	if st != nil {
 		e.Close(relay.GracefulClose)
 		e.Conn.Close()
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -20,7 +20,7 @@
 )
 
 // What a first line turns into where tokens are on: the relay's two fields never go on.
-func TestParseResuming(t *testing.T) {
+func TestResumeFieldsAreNotForwarded(t *testing.T) {
 	for _, c := range []struct {
 		name, in, out, token string
 		position             uint64
@@ -37,21 +37,21 @@
 		{"with at", "OPEN a 0f c=m,resume=k,at=s", "", "", 0, "exclude"},
 		{"no fields", "OPEN a 0f", "", "", 0, "form"},
 	} {
-		o, err := parseResuming([]byte(c.in + "\r\n"))
+		o, err := parseResumableOpening([]byte(c.in + "\r\n"))
 		if err != nil {
 			if c.fails == "" || !strings.Contains(err.Error(), c.fails) {
 				t.Errorf("%s: %v", c.name, err)
 			}
 			continue
 		}
-		if got := strings.TrimSpace(string(o.line(70*time.Millisecond, ""))); got != c.out || o.resume != c.token || o.resume != "" && o.position != c.position || c.fails != "" {
-			t.Errorf("%s: %q, token %q, position %d", c.name, got, o.resume, o.position)
+		if got := strings.TrimSpace(string(o.encode(70*time.Millisecond, ""))); got != c.out || o.resumeToken != c.token || o.resumeToken != "" && o.position != c.position || c.fails != "" {
+			t.Errorf("%s: %q, token %q, position %d", c.name, got, o.resumeToken, o.position)
 		}
 	}
 }
 
-// flood is a server that says UP and then scans as fast as they are taken.
-func flood(b *testing.B) string {
+// newScanFlood is a server that says UP and then scans as fast as they are taken.
+func newScanFlood(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,15 +98,15 @@
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2,
 		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewRequestTable(site, clock, &Servers{Clock: clock, ConnectTimeout: time.Second, Keep: 4})
-	x.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{{ID: "s", Address: flood(b), Mode: decide.Ready, SupportsResume: true}})
+	x := relay.NewRequestTable(site, clock, &ServerDialer{Clock: clock, ConnectTimeout: time.Second, MaxIdleProbeConns: 4})
+	x.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{{ID: "s", Address: newScanFlood(b), Mode: decide.Ready, SupportsResume: true}})
 	service := resume.New(resume.Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a", SessionTimeout: 8 * time.Second, AcquireTimeout: 500 * time.Millisecond,
 		TokenLifetime: time.Minute, TokenRenewInterval: 5 * time.Second}, ring, clock, zerolog.Nop())
 	go service.Run(b.Context())
 	for service.ValidUntil() < clock.Now() {
 		time.Sleep(time.Millisecond)
 	}
-	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(b.Context())
+	go relay.NewEventLoop(x, 7, noDiscovery{}, zerolog.Nop()).Run(b.Context())
 	kinds := []struct {
 		name, more string
 		on         bool
@@ -119,7 +119,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			f := &Front{X: x, Site: site, Gate: connlimit.New(clock, 64, zerolog.Nop())}
+			f := &Frontend{Requests: x, Deployment: site, Limiter: connlimit.New(clock, 64, zerolog.Nop())}
 			if k.on {
 				f.Resume = service
 			}
