--- a/internal/wire/connlimit/permit.go
+++ b/internal/wire/connlimit/permit.go
@@ -4,6 +4,7 @@
 	"container/list"
 	"time"
 
+	"capersail/internal/relay"
 	"capersail/internal/wire/splice"
 )
 
@@ -101,3 +102,14 @@
 	p.limiter.requestDescriptors--
 	p.idleElement = p.limiter.idlePermits.PushBack(p)
 }
+
+// CloseAndRelease closes the client's connection cleanly and gives its descriptors back. It waits until the
+// request's connection to a server is closed too; nil is for a client that brought no request.
+func (p *Permit) CloseAndRelease(request *relay.Request) {
+	p.ReleaseRequest()
+	p.Half.CloseAndDiscard()
+	p.ReleaseClient()
+	if request != nil {
+		<-request.Finished()
+	}
+}
--- a/internal/wire/platform/frontend.go
+++ b/internal/wire/platform/frontend.go
@@ -37,12 +37,7 @@
 	if call != nil {
 		f.forwardFromClient(call, e, in)
 	}
-	p.ReleaseRequest()
-	e.CloseAndDiscard()
-	p.ReleaseClient()
-	if call != nil {
-		<-call.Finished()
-	}
+	p.CloseAndRelease(call)
 }
 
 // acceptRequest takes a connection up to its request. Nil means that it has its answer, or that none is due: it said
--- a/internal/wire/platform/server_dialer.go
+++ b/internal/wire/platform/server_dialer.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"context"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -29,34 +28,10 @@
 func (s *ServerDialer) StartAttempt(c *relay.Request, a relay.Attempt) { go s.runAttempt(c, a) }
 
 func (s *ServerDialer) runAttempt(c *relay.Request, a relay.Attempt) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	e := &splice.Half{Clock: s.Clock, Stop: stop}
-	if !c.Attach(a.Number, e) {
-		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
-		return
-	}
-	within := a.Deadline - s.Clock.Now()
-	if s.ConnectTimeout > 0 {
-		within = min(within, s.ConnectTimeout)
-	}
-	conn, err := splice.Dial(ctx, a.Server.Address, within)
-	if err != nil {
-		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
-		return
-	}
-	defer conn.Close()
-	if !e.Attach(conn) || !c.BeginWrite(a.Number) {
-		conn.Close() // the server is to see the end before the module hears of it and may send elsewhere
-		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
-		return
-	}
-	status, load := s.awaitAnswer(c, a, e)
-	// Before the outcome is told: a timed-out attempt that still stands while the next one is sent is a
-	// second copy.
-	e.Close(relay.GracefulClose)
-	conn.Close()
-	c.EndAttempt(a.Number, status, load)
+	attempt := &splice.Attempt{Attempt: a, Request: c}
+	attempt.Run(s.Clock, s.ConnectTimeout, func() (decide.Status, decide.LoadReport) {
+		return s.awaitAnswer(c, a, attempt.Half)
+	})
 }
 
 // awaitAnswer sends the first line and follows the connection to its end, for PROTOCOL's table.
--- a/internal/wire/xmpp/client.go
+++ b/internal/wire/xmpp/client.go
@@ -56,12 +56,7 @@
 		call = f.X.Open(relay.OpenRequest{Class: host.Class, Tenant: host.Tenant, Key: host.Key, Timeout: host.Left, Payload: st}, clientEnd{e, st})
 		f.follow(call, st, r)
 	}
-	p.ReleaseRequest()
-	e.CloseAndDiscard()
-	p.ReleaseClient()
-	if call != nil {
-		<-call.Finished()
-	}
+	p.CloseAndRelease(call)
 }
 
 // header takes the client's start tag, after STARTTLS where there is a certificate; all of it by a time that
--- a/internal/wire/xmpp/server.go
+++ b/internal/wire/xmpp/server.go
@@ -28,35 +28,21 @@
 func (s *Servers) StartAttempt(c *relay.Request, a relay.Attempt) { go s.try(c, a) }
 
 func (s *Servers) try(c *relay.Request, a relay.Attempt) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	e := &splice.Half{Clock: s.Clock, Stop: stop}
-	if !c.Attach(a.Number, e) {
-		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
-		return
-	}
-	conn, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-s.Clock.Now(), s.ConnectTimeout))
-	if err != nil {
-		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
-		return
-	}
-	defer conn.Close()
-	if !e.Attach(conn) || !c.BeginWrite(a.Number) {
-		conn.Close()
-		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
-		return
-	}
 	st := c.Payload.(*stream)
-	at := &attempt{s: s, c: c, a: a, e: e, st: st, r: newReader(conn)}
-	status := at.setUp()
-	e.Close(relay.GracefulClose)
-	conn.Close()
-	c.EndAttempt(a.Number, status, decide.NoLoadReport)
-	if state, _ := c.State(); state == relay.Ended {
+	attempted := &splice.Attempt{Attempt: a, Request: c}
+	// The timeout is never 0, which would be none.
+	conversed := attempted.Run(s.Clock, max(s.ConnectTimeout, minConnectTimeout), func() (decide.Status, decide.LoadReport) {
+		at := &attempt{s: s, c: c, a: a, e: attempted.Half, st: st, r: newReader(attempted.Half.Conn)}
+		return at.setUp(), decide.NoLoadReport
+	})
+	if state, _ := c.State(); conversed && state == relay.Ended {
 		st.leave()
 	}
 }
 
+// minConnectTimeout is what a dial gets at least, however little the operator's file allows it.
+const minConnectTimeout = time.Millisecond
+
 // attempt is one connection to a server.
 type attempt struct {
 	s  *Servers
