--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	p.say("\nits time line:\n")
-	if err := all.Show(p.Out, 60); err != nil {
+	if err := all.WriteDrawing(p.Out, 60); err != nil {
 		return err
 	}
 	if picture != "" {
--- a/internal/command/demo_test.go
+++ b/internal/command/demo_test.go
@@ -29,7 +29,7 @@
 		}
 		placed, fleet = 0, timeline.Interval{}
 		for _, s := range r.Servers {
-			for _, step := range s.Steps {
+			for _, step := range s.Intervals {
 				placed += step.Placements
 				if s.Name == timeline.FleetName {
 					fleet = timeline.Merge(fleet, step)
@@ -38,9 +38,9 @@
 		}
 		refused = fleet.Rejections
 	}
-	t.Logf("placed %d, refused %d:%s", placed, refused, report.Refused(fleet))
+	t.Logf("placed %d, refused %d:%s", placed, refused, report.RejectionsByReason(fleet))
 	if refused*20 >= placed {
-		t.Errorf("placed %d, refused %d:%s", placed, refused, report.Refused(fleet))
+		t.Errorf("placed %d, refused %d:%s", placed, refused, report.RejectionsByReason(fleet))
 	}
 	leave()
 	if err := site.stop(); err != nil {
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -56,13 +56,13 @@
 		}}
 	}
 	width := 60
-	list := show("list", "One line a server", cobra.NoArgs, func(w io.Writer, r *report.Report) error { return r.List(w) })
+	list := show("list", "One line a server", cobra.NoArgs, func(w io.Writer, r *report.Report) error { return r.WriteList(w) })
 	line := show("show [SERVER...]", "A line drawn in the terminal", cobra.ArbitraryArgs,
-		func(w io.Writer, r *report.Report) error { return r.Show(w, width) })
+		func(w io.Writer, r *report.Report) error { return r.WriteDrawing(w, width) })
 	line.Flags().IntVar(&width, "width", width, "characters for the load")
 	events := show("events [SERVER...]", "Departures from usual ways", cobra.ArbitraryArgs, func(w io.Writer, r *report.Report) error {
 		for _, e := range r.Events() {
-			fmt.Fprintln(w, report.EventLine(e))
+			fmt.Fprintln(w, report.FormatEvent(e))
 		}
 		return nil
 	})
@@ -89,9 +89,9 @@
 			var write func(io.Writer, *report.Report) error
 			switch format {
 			case "json", "jsonl":
-				write = func(w io.Writer, r *report.Report) error { return r.JSON(w) }
+				write = func(w io.Writer, r *report.Report) error { return r.WriteJSON(w) }
 			case "csv":
-				write = func(w io.Writer, r *report.Report) error { return r.CSV(w) }
+				write = func(w io.Writer, r *report.Report) error { return r.WriteCSV(w) }
 			case "png", "svg":
 				write = func(w io.Writer, r *report.Report) error { return chart.Write(w, r, format) }
 			default:
@@ -215,14 +215,14 @@
 	err = control.Follow(s.socket, q, func(all []*report.Report) {
 		for _, r := range all {
 			for _, e := range r.Events() {
-				fmt.Fprintln(w, report.EventLine(e))
+				fmt.Fprintln(w, report.FormatEvent(e))
 			}
 		}
 	}, func(e anomaly.Event) bool {
-		if !q.Wants(e.Server) {
+		if !q.Includes(e.Server) {
 			return true
 		}
-		_, err := fmt.Fprintln(w, report.EventLine(e))
+		_, err := fmt.Fprintln(w, report.FormatEvent(e))
 		return err == nil
 	})
 	return exit{NoAnswer, err}
--- a/internal/command/watch.go
+++ b/internal/command/watch.go
@@ -109,11 +109,11 @@
 	case m.deep && m.at < len(lines):
 		one := *m.report
 		one.Servers = lines[m.at : m.at+1]
-		one.Show(&b, max(20, m.width-50))
+		one.WriteDrawing(&b, max(20, m.width-50))
 	default:
-		fmt.Fprintf(&b, "%s  %s\n", m.report.Relay, report.Clock(m.report.At))
+		fmt.Fprintf(&b, "%s  %s\n", m.report.Relay, report.FormatClock(m.report.At))
 		var table bytes.Buffer
-		m.report.List(&table)
+		m.report.WriteList(&table)
 		rows := strings.Split(strings.TrimRight(table.String(), "\n"), "\n")
 		room := max(3, m.height-12)
 		first := max(0, min(m.at-room/2, len(rows)-1-room))
@@ -131,7 +131,7 @@
 		events := m.report.Events()
 		fmt.Fprintln(&b, "\nevents")
 		for _, e := range events[max(0, len(events)-6):] {
-			fmt.Fprintln(&b, "  "+report.EventLine(e))
+			fmt.Fprintln(&b, "  "+report.FormatEvent(e))
 		}
 	}
 	if m.err != nil {
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -40,10 +40,10 @@
 
 func (p *timelinePart) join(front *frontSeam) {
 	c := watch.Config{
-		Relay:  front.relay,
-		Buffer: p.config.Buffer,
-		Limits: timeline.DefaultLimits(),
-		Most:   p.config.Servers,
+		Relay:      front.relay,
+		Buffer:     p.config.Buffer,
+		Limits:     timeline.DefaultLimits(),
+		MaxServers: p.config.Servers,
 	}
 	c.Limits.MaxServers = p.config.Servers
 	if front.platform == nil {
@@ -56,7 +56,7 @@
 	front.requests.Recorder = watcher.Recorder
 	p.watchers = append(p.watchers, watcher)
 	front.changeListeners = append(front.changeListeners, func(change membership.Changed) {
-		watcher.Note(change.Name, change.State, change.Cause)
+		watcher.RelayChanged(change.Name, change.State, change.Cause)
 	})
 }
 
@@ -106,7 +106,7 @@
 	}
 	for _, w := range p.watchers {
 		w.Fold()
-		w.Rest()
+		w.WriteOpenRows()
 	}
 	for _, s := range p.stores {
 		s.Flush()
--- a/internal/observe/chart/chart.go
+++ b/internal/observe/chart/chart.go
@@ -92,10 +92,10 @@
 func drawnServers(r *report.Report) (servers []report.Server, a axes) {
 	a.from, a.to = math.Inf(1), math.Inf(-1)
 	for _, s := range r.Servers {
-		if s.Name == timeline.FleetName || len(s.Steps)+len(s.Bands) == 0 {
+		if s.Name == timeline.FleetName || len(s.Intervals)+len(s.States) == 0 {
 			continue
 		}
-		for _, interval := range s.Steps {
+		for _, interval := range s.Intervals {
 			a.from = min(a.from, interval.From)
 			a.to = max(a.to, interval.From+interval.Width)
 		}
@@ -107,7 +107,7 @@
 func highestLoad(servers []report.Server) float64 {
 	highest := 1.0
 	for _, s := range servers {
-		for _, interval := range s.Steps {
+		for _, interval := range s.Intervals {
 			highest = max(highest, float64(interval.Load[2]))
 		}
 	}
@@ -163,7 +163,7 @@
 }
 
 func drawStates(p *plot.Plot, s report.Server, a axes) error {
-	for _, state := range s.Bands {
+	for _, state := range s.States {
 		area := a.box(state.From, state.To, stateLow, stateHigh)
 		if err := area.draw(p, stateColors[state.Name]); err != nil {
 			return err
@@ -205,7 +205,7 @@
 // loadPieces are the runs of intervals with readings, apart where more than two intervals between them have none.
 func loadPieces(s report.Server) (pieces []plotter.XYs) {
 	readTo := 0.0
-	for _, interval := range s.Steps {
+	for _, interval := range s.Intervals {
 		if interval.Readings == 0 {
 			continue
 		}
@@ -224,11 +224,11 @@
 // drawMarks marks the intervals that had placements, and those that had faults.
 func drawMarks(p *plot.Plot, s report.Server, a axes) error {
 	var placements, faults plotter.XYs
-	for _, interval := range s.Steps {
+	for _, interval := range s.Intervals {
 		if interval.Placements > 0 {
 			placements = append(placements, plotter.XY{X: middle(interval), Y: placementY})
 		}
-		if report.Faults(interval) > 0 {
+		if report.CountFaults(interval) > 0 {
 			faults = append(faults, plotter.XY{X: middle(interval), Y: a.highestLoad * faultHeight})
 		}
 	}
--- a/internal/observe/report/report.go
+++ b/internal/observe/report/report.go
@@ -27,20 +27,20 @@
 	Follow  bool     `json:"follow,omitempty"` // events as they come, after those that there are
 }
 
-// Wants tells whether a line is asked for. The fleet's always is.
-func (q Query) Wants(name string) bool {
+// Includes tells whether a line is asked for. The fleet's always is.
+func (q Query) Includes(name string) bool {
 	return name == timeline.FleetName || len(q.Servers) == 0 || slices.Contains(q.Servers, name)
 }
 
 // Server is one line.
 type Server struct {
-	Name      string                 `json:"server"`
-	State     string                 `json:"state"`
-	Held      int                    `json:"held"`
-	Bands     []timeline.StatePeriod `json:"bands"`
-	Steps     []timeline.Interval    `json:"steps"`
-	Events    []anomaly.Event        `json:"events"`
-	Forgotten float64                `json:"forgotten,omitempty"` // what was before is kept no more
+	Name            string                 `json:"server"`
+	State           string                 `json:"state"`
+	OpenConnections int                    `json:"held"`
+	States          []timeline.StatePeriod `json:"bands"`
+	Intervals       []timeline.Interval    `json:"steps"`
+	Events          []anomaly.Event        `json:"events"`
+	DiscardedBefore float64                `json:"forgotten,omitempty"` // what was before is kept no more
 }
 
 // Report is an answer.
@@ -56,7 +56,7 @@
 // AddEvents puts events on their lines.
 func (r *Report) AddEvents(events []anomaly.Event, q Query) {
 	for _, e := range events {
-		if !q.Wants(e.Server) {
+		if !q.Includes(e.Server) {
 			continue
 		}
 		i := slices.IndexFunc(r.Servers, func(s Server) bool { return s.Name == e.Server })
@@ -69,8 +69,8 @@
 	slices.SortFunc(r.Servers, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Cut drops what lies outside of the time asked for.
-func (r *Report) Cut(q Query) {
+// Restrict drops what lies outside of the time asked for.
+func (r *Report) Restrict(q Query) {
 	to := q.To
 	if to == 0 {
 		to = 1e18
@@ -78,8 +78,8 @@
 	outside := func(from, end float64) bool { return from > to || end != 0 && end < q.From }
 	for i := range r.Servers {
 		s := &r.Servers[i]
-		s.Bands = slices.DeleteFunc(s.Bands, func(b timeline.StatePeriod) bool { return outside(b.From, b.To) })
-		s.Steps = slices.DeleteFunc(s.Steps, func(x timeline.Interval) bool { return outside(x.From, x.From+x.Width) })
+		s.States = slices.DeleteFunc(s.States, func(b timeline.StatePeriod) bool { return outside(b.From, b.To) })
+		s.Intervals = slices.DeleteFunc(s.Intervals, func(x timeline.Interval) bool { return outside(x.From, x.From+x.Width) })
 		s.Events = slices.DeleteFunc(s.Events, func(e anomaly.Event) bool { return outside(e.From, e.To) })
 	}
 }
@@ -93,35 +93,35 @@
 	return all
 }
 
-// Clock writes a time of the day in UTC.
-func Clock(ms float64) string {
+// FormatClock writes a time of the day in UTC.
+func FormatClock(ms float64) string {
 	if ms == 0 {
 		return "..."
 	}
 	return time.UnixMilli(int64(ms)).UTC().Format("15:04:05.000")
 }
 
-func who(name string) string {
+func displayName(name string) string {
 	if name == timeline.FleetName {
 		return "(fleet)"
 	}
 	return name
 }
 
-// EventLine writes an event on one line.
-func EventLine(e anomaly.Event) string {
-	return fmt.Sprintf("%s - %-12s  %-14s  %-17s  %.0f %%  %s", Clock(e.From), Clock(e.To), who(e.Server), e.Name, 100*e.Confidence, e.Evidence)
+// FormatEvent writes an event on one line.
+func FormatEvent(e anomaly.Event) string {
+	return fmt.Sprintf("%s - %-12s  %-14s  %-17s  %.0f %%  %s", FormatClock(e.From), FormatClock(e.To), displayName(e.Server), e.Name, 100*e.Confidence, e.Evidence)
 }
 
-// List writes one line a server.
-func (r *Report) List(w io.Writer) error {
+// WriteList writes one line a server.
+func (r *Report) WriteList(w io.Writer) error {
 	fmt.Fprintf(w, "%-20s %-9s %5s %6s %7s %7s %6s  %s\n", "server", "state", "held", "load", "placed", "faults", "moved", "departures now")
 	for _, s := range r.Servers {
 		if s.Name == timeline.FleetName {
 			continue
 		}
-		load, t := "-", total(s.Steps)
-		for _, x := range s.Steps {
+		load, t := "-", sumIntervals(s.Intervals)
+		for _, x := range s.Intervals {
 			if x.Readings > 0 {
 				load = fmt.Sprintf("%.2f", x.Load[1])
 			}
@@ -132,7 +132,7 @@
 				now = append(now, e.Name)
 			}
 		}
-		fmt.Fprintf(w, "%-20s %-9s %5d %6s %7d %7d %6d  %s\n", s.Name, s.State, s.Held, load, t.Placements, Faults(t), t.Migrations, strings.Join(now, ", "))
+		fmt.Fprintf(w, "%-20s %-9s %5d %6s %7d %7d %6d  %s\n", s.Name, s.State, s.OpenConnections, load, t.Placements, CountFaults(t), t.Migrations, strings.Join(now, ", "))
 	}
 	return r.trailer(w)
 }
@@ -149,15 +149,15 @@
 	return err
 }
 
-func total(steps []timeline.Interval) (t timeline.Interval) {
+func sumIntervals(steps []timeline.Interval) (t timeline.Interval) {
 	for _, s := range steps {
 		t = timeline.Merge(t, s)
 	}
 	return t
 }
 
-// Faults are the ends that a server is to blame for.
-func Faults(s timeline.Interval) (n uint32) {
+// CountFaults are the ends that a server is to blame for.
+func CountFaults(s timeline.Interval) (n uint32) {
 	for status, count := range s.Ends {
 		if st := decide.Status(status); st != decide.OK && st != decide.Superseded && st != decide.Cancelled {
 			n += count
@@ -166,8 +166,8 @@
 	return n
 }
 
-// Refused tells a step's refusals and failures by reason, each with its count.
-func Refused(s timeline.Interval) string {
+// RejectionsByReason tells a step's refusals and failures by reason, each with its count.
+func RejectionsByReason(s timeline.Interval) string {
 	var text strings.Builder
 	known := uint32(0)
 	tell := func(reason string, n uint32) {
@@ -188,38 +188,38 @@
 	return text.String()
 }
 
-const bars = " .:-=+*#%@"
+const loadMarks = " .:-=+*#%@"
 
-// Show draws each line: its bands, its load as a row of characters, counts and events.
-func (r *Report) Show(w io.Writer, width int) error {
+// WriteDrawing draws each line: its bands, its load as a row of characters, counts and events.
+func (r *Report) WriteDrawing(w io.Writer, width int) error {
 	for _, s := range r.Servers {
-		if s.Name == timeline.FleetName && len(s.Events) == 0 && total(s.Steps).Rejections == 0 {
+		if s.Name == timeline.FleetName && len(s.Events) == 0 && sumIntervals(s.Intervals).Rejections == 0 {
 			continue
 		}
-		fmt.Fprintf(w, "%s  %s\n", who(s.Name), s.State)
-		if s.Forgotten > 0 {
-			fmt.Fprintf(w, "  kept from %s on\n", Clock(s.Forgotten))
+		fmt.Fprintf(w, "%s  %s\n", displayName(s.Name), s.State)
+		if s.DiscardedBefore > 0 {
+			fmt.Fprintf(w, "  kept from %s on\n", FormatClock(s.DiscardedBefore))
 		}
-		for _, b := range s.Bands {
-			fmt.Fprintf(w, "  %s - %-12s  %-9s  %s\n", Clock(b.From), Clock(b.To), b.Name, b.Cause)
+		for _, b := range s.States {
+			fmt.Fprintf(w, "  %s - %-12s  %-9s  %s\n", FormatClock(b.From), FormatClock(b.To), b.Name, b.Cause)
 		}
-		if n := len(s.Steps); n > 0 {
-			from, to := s.Steps[0].From, s.Steps[n-1].From+s.Steps[n-1].Width
+		if n := len(s.Intervals); n > 0 {
+			from, to := s.Intervals[0].From, s.Intervals[n-1].From+s.Intervals[n-1].Width
 			row := []byte(strings.Repeat(" ", width))
-			for _, x := range s.Steps {
+			for _, x := range s.Intervals {
 				if x.Readings == 0 {
 					continue
 				}
-				mark := bars[min(len(bars)-1, 1+int(x.Load[1]*float32(len(bars)-2)))]
+				mark := loadMarks[min(len(loadMarks)-1, 1+int(x.Load[1]*float32(len(loadMarks)-2)))]
 				for i := int((x.From - from) / (to - from) * float64(width)); i <= int((x.From+x.Width-from)/(to-from)*float64(width)) && i < width; i++ {
 					row[i] = mark
 				}
 			}
-			t := total(s.Steps)
-			fmt.Fprintf(w, "  load %s|%s|%s  (. idle, @ full)\n", Clock(from), row, Clock(to))
+			t := sumIntervals(s.Intervals)
+			fmt.Fprintf(w, "  load %s|%s|%s  (. idle, @ full)\n", FormatClock(from), row, FormatClock(to))
 			fmt.Fprintf(w, "  placed %d, retries %d, up %d, moved %d, refused %d, probes %d (%d lost), told by others %d; set-up 99 %% %.1f ms at worst\n", t.Placements,
 				t.Retries, t.Connections, t.Migrations, t.Rejections, t.Probes, t.ProbesLost, t.PeerReadings, t.Setup[1])
-			if f := Faults(t); f > 0 {
+			if f := CountFaults(t); f > 0 {
 				fmt.Fprintf(w, "  faults:")
 				for status, n := range t.Ends {
 					if n > 0 {
@@ -229,22 +229,22 @@
 				fmt.Fprintln(w)
 			}
 			if t.Rejections > 0 {
-				fmt.Fprintf(w, "  refused:%s\n", Refused(t))
+				fmt.Fprintf(w, "  refused:%s\n", RejectionsByReason(t))
 			}
 		}
 		for _, e := range s.Events {
-			fmt.Fprintf(w, "  ! %s\n", EventLine(e))
+			fmt.Fprintf(w, "  ! %s\n", FormatEvent(e))
 		}
 		fmt.Fprintln(w)
 	}
 	return r.trailer(w)
 }
 
-// JSON writes one line for each band, step and event.
-func (r *Report) JSON(w io.Writer) error {
+// WriteJSON writes one line for each band, step and event.
+func (r *Report) WriteJSON(w io.Writer) error {
 	out := json.NewEncoder(w)
 	for _, s := range r.Servers {
-		for _, b := range s.Bands {
+		for _, b := range s.States {
 			if err := out.Encode(struct {
 				Server string `json:"server"`
 				Kind   string `json:"kind"`
@@ -253,7 +253,7 @@
 				return err
 			}
 		}
-		for _, x := range s.Steps {
+		for _, x := range s.Intervals {
 			if err := out.Encode(struct {
 				Server string `json:"server"`
 				Kind   string `json:"kind"`
@@ -274,18 +274,18 @@
 	return nil
 }
 
-// CSV writes the steps as a table.
-func (r *Report) CSV(w io.Writer) error {
+// WriteCSV writes the steps as a table.
+func (r *Report) WriteCSV(w io.Writer) error {
 	out := csv.NewWriter(w)
 	out.Write([]string{"server", "from_ms", "width_ms", "held", "places", "retries", "ups", "moves", "refusals", "faults", "probes", "probes_lost",
 		"load_least", "load_mean", "load_most", "setup_p50_ms", "setup_p99_ms", "message_ms", "told", "refusals_by_reason"})
 	f := func(x float32) string { return strconv.FormatFloat(float64(x), 'g', 5, 32) }
 	u := func(x uint32) string { return strconv.FormatUint(uint64(x), 10) }
 	for _, s := range r.Servers {
-		for _, x := range s.Steps {
+		for _, x := range s.Intervals {
 			out.Write([]string{s.Name, strconv.FormatFloat(x.From, 'f', 0, 64), strconv.FormatFloat(x.Width, 'f', 0, 64),
-				strconv.Itoa(int(x.OpenConnections)), u(x.Placements), u(x.Retries), u(x.Connections), u(x.Migrations), u(x.Rejections), u(Faults(x)), u(x.Probes), u(x.ProbesLost),
-				f(x.Load[0]), f(x.Load[1]), f(x.Load[2]), f(x.Setup[0]), f(x.Setup[1]), f(x.SlowestMessage), u(x.PeerReadings), strings.TrimSpace(Refused(x))})
+				strconv.Itoa(int(x.OpenConnections)), u(x.Placements), u(x.Retries), u(x.Connections), u(x.Migrations), u(x.Rejections), u(CountFaults(x)), u(x.Probes), u(x.ProbesLost),
+				f(x.Load[0]), f(x.Load[1]), f(x.Load[2]), f(x.Setup[0]), f(x.Setup[1]), f(x.SlowestMessage), u(x.PeerReadings), strings.TrimSpace(RejectionsByReason(x))})
 		}
 	}
 	out.Flush()
--- a/internal/observe/report/report_test.go
+++ b/internal/observe/report/report_test.go
@@ -14,12 +14,12 @@
 	step := timeline.Interval{From: 1e6, Width: 1000, Rejections: 10}
 	step.RejectReasons.Module[decide.NoCapacity], step.RejectReasons.Module[decide.RetryBudgetExhausted] = 4, 2
 	step.RejectReasons.Relay[recorder.DescriptorLimit] = 1
-	r := Report{Servers: []Server{{Name: timeline.FleetName, Steps: []timeline.Interval{step}}}}
+	r := Report{Servers: []Server{{Name: timeline.FleetName, Intervals: []timeline.Interval{step}}}}
 	var shown, table strings.Builder
-	if err := r.Show(&shown, 60); err != nil {
+	if err := r.WriteDrawing(&shown, 60); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.CSV(&table); err != nil {
+	if err := r.WriteCSV(&table); err != nil {
 		t.Fatal(err)
 	}
 	const want = "no room 4 no retry tokens 2 door 1 not told 3"
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -26,7 +26,7 @@
 	const servers = 200
 	clock := relay.NewManualClock()
 	x := relay.NewRequestTable(&relay.Deployment{}, clock, nil)
-	w := New(Config{Buffer: 1 << 15, Limits: timeline.DefaultLimits(), Most: servers}, x, clock, zerolog.Nop())
+	w := New(Config{Buffer: 1 << 15, Limits: timeline.DefaultLimits(), MaxServers: servers}, x, clock, zerolog.Nop())
 	x.Recorder = w.Recorder
 	var list []relay.Endpoint
 	for i := range servers {
@@ -94,7 +94,7 @@
 		at := 1.8e12 + float64(r)*rowWidth
 		for i := range servers {
 			text, _ := cbor.Marshal(timeline.Interval{From: at, Width: rowWidth, Placements: 3, Connections: 3, Probes: 8, Readings: 8, Load: [3]float32{0.1, 0.4, 0.7}, Setup: [3]float32{3, 9, 12}})
-			s.Append(bucketSteps, int64(at), fmt.Sprint("s-", i), text)
+			s.Append(bucketIntervals, int64(at), fmt.Sprint("s-", i), text)
 		}
 		if r%300 == 299 {
 			s.Flush()
--- a/internal/observe/watch/watch.go
+++ b/internal/observe/watch/watch.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	lookEvery  = 100 * time.Millisecond // between two looks at the recorder
-	rowWidth   = 10_000.0               // ms of a row of steps in the store; the newest is written over each second
-	rowEvery   = 1000.0
-	eventsKept = 2048
-	followers  = 16
+	foldEvery     = 100 * time.Millisecond // between two looks at the recorder
+	rowWidth      = 10_000.0               // ms of a row of steps in the store; the newest is written over each second
+	rowWriteEvery = 1000.0
+	maxEvents     = 2048
+	maxFollowers  = 16
 )
 
 // ServerNames tells the ids of the servers that records name by number; a relay.RequestTable does.
@@ -45,11 +45,11 @@
 
 // Config says what is kept.
 type Config struct {
-	Relay  string
-	Buffer int // records that wait to be folded
-	Limits timeline.Limits
-	Most   int          // servers that departures are looked for at
-	Store  *store.Store // nil for none
+	Relay      string
+	Buffer     int // records that wait to be folded
+	Limits     timeline.Limits
+	MaxServers int          // servers that departures are looked for at
+	Store      *store.Store // nil for none
 }
 
 // Watcher is one relay's.
@@ -62,35 +62,35 @@
 	clock   Clock
 	log     zerolog.Logger
 
-	mu      sync.Mutex
-	book    *timeline.Timelines
-	depart  *anomaly.Detector
-	names   []string
-	events  []anomaly.Event // ended ones and those that last, by their beginnings
-	dropped uint64
-	folded  uint64
-	rows    map[string]*timeline.Interval // the open row of each line
-	written float64
-	follow  map[chan anomaly.Event]bool
-	spare   []recorder.Record
-	changes []anomaly.Change
+	mu             sync.Mutex
+	timelines      *timeline.Timelines
+	detector       *anomaly.Detector
+	serverNames    []string
+	events         []anomaly.Event // ended ones and those that last, by their beginnings
+	recordsDropped uint64
+	recordsFolded  uint64
+	openRows       map[string]*timeline.Interval // the open row of each line
+	rowsWrittenAt  float64
+	followers      map[chan anomaly.Event]bool
+	spareRecords   []recorder.Record
+	changes        []anomaly.Change
 }
 
 // New returns a Watcher of one front, with a Recorder for it.
 func New(c Config, servers ServerNames, clock Clock, log zerolog.Logger) *Watcher {
 	w := &Watcher{
-		Config:   c,
-		Recorder: recorder.New(c.Buffer),
-		servers:  servers,
-		clock:    clock,
-		log:      log,
-		book:     timeline.New(c.Limits, clock.Wall),
-		depart:   anomaly.New(c.Most, clock.Wall),
-		rows:     map[string]*timeline.Interval{},
-		follow:   map[chan anomaly.Event]bool{},
+		Config:    c,
+		Recorder:  recorder.New(c.Buffer),
+		servers:   servers,
+		clock:     clock,
+		log:       log,
+		timelines: timeline.New(c.Limits, clock.Wall),
+		detector:  anomaly.New(c.MaxServers, clock.Wall),
+		openRows:  map[string]*timeline.Interval{},
+		followers: map[chan anomaly.Event]bool{},
 	}
 	if c.Store != nil {
-		w.book.Sink = timeline.Sink{StateChanged: w.band, IntervalComplete: w.step}
+		w.timelines.Sink = timeline.Sink{StateChanged: w.statePeriodChanged, IntervalComplete: w.addToRow}
 	}
 	return w
 }
@@ -106,10 +106,10 @@
 		select {
 		case <-ctx.Done():
 			w.Fold()
-			w.Rest()
+			w.WriteOpenRows()
 			return
 		case <-w.Recorder.Ready():
-		case <-w.clock.After(lookEvery):
+		case <-w.clock.After(foldEvery):
 		}
 		w.Fold()
 	}
@@ -119,57 +119,57 @@
 func (w *Watcher) Fold() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	records := w.Recorder.TakeAll(w.spare)
+	records := w.Recorder.TakeAll(w.spareRecords)
 	for i := range records {
 		r := &records[i]
-		w.take(r)
+		w.applyRecord(r)
 	}
-	w.spare = records[:0]
+	w.spareRecords = records[:0]
 	w.tick(w.clock.Now())
 }
 
-func (w *Watcher) take(r *recorder.Record) {
+func (w *Watcher) applyRecord(r *recorder.Record) {
 	name := timeline.FleetName
 	if r.Server >= 0 {
-		if int(r.Server) >= len(w.names) {
-			w.names = w.servers.ServerIDs(len(w.names), w.names)
+		if int(r.Server) >= len(w.serverNames) {
+			w.serverNames = w.servers.ServerIDs(len(w.serverNames), w.serverNames)
 		}
-		name = w.names[r.Server]
+		name = w.serverNames[r.Server]
 	}
-	w.folded++
+	w.recordsFolded++
 	if r.Kind == recorder.RecordsDropped {
-		w.dropped += uint64(r.Count)
+		w.recordsDropped += uint64(r.Count)
 	}
-	w.book.Apply(name, r)
-	w.depart.Observe(name, r)
-	w.look(r.At)
+	w.timelines.Apply(name, r)
+	w.detector.Observe(name, r)
+	w.detectAnomalies(r.At)
 }
 
-// look lets departures be looked for at a time.
-func (w *Watcher) look(at time.Duration) {
-	w.changes = w.depart.Tick(at, w.changes[:0])
+// detectAnomalies lets departures be looked for at a time.
+func (w *Watcher) detectAnomalies(at time.Duration) {
+	w.changes = w.detector.Tick(at, w.changes[:0])
 	for _, c := range w.changes {
-		w.changed(c.Event)
+		w.eventChanged(c.Event)
 	}
 }
 
 func (w *Watcher) tick(at time.Duration) {
-	w.book.Tick(at)
-	w.look(at)
+	w.timelines.Tick(at)
+	w.detectAnomalies(at)
 	now := w.unixMs(at)
-	if w.Store != nil && now-w.written >= rowEvery {
-		w.written = now
-		for name, row := range w.rows {
-			w.put(name, row)
-			if now-row.From > rowWidth+rowEvery {
-				delete(w.rows, name)
+	if w.Store != nil && now-w.rowsWrittenAt >= rowWriteEvery {
+		w.rowsWrittenAt = now
+		for name, row := range w.openRows {
+			w.writeRow(name, row)
+			if now-row.From > rowWidth+rowWriteEvery {
+				delete(w.openRows, name)
 			}
 		}
 	}
 }
 
-// changed notes an event that has begun or ended.
-func (w *Watcher) changed(e anomaly.Event) {
+// eventChanged notes an event that has begun or ended.
+func (w *Watcher) eventChanged(e anomaly.Event) {
 	line := w.log.Info().Str("server", e.Server).Str("event", e.Name).Str("evidence", e.Evidence)
 	switch {
 	case e.Kind == anomaly.RelayChanged: // whoever heard of it has a line for it
@@ -184,26 +184,26 @@
 	if i >= 0 {
 		w.events[i] = e
 	} else {
-		if len(w.events) == eventsKept {
+		if len(w.events) == maxEvents {
 			w.events = append(w.events[:0], w.events[1:]...)
 		}
 		w.events = append(w.events, e)
 	}
 	if w.Store != nil {
-		w.append(bucketEvents, int64(e.From), e.Name+"\x00"+e.Server, e)
+		w.appendToStore(bucketEvents, int64(e.From), e.Name+"\x00"+e.Server, e)
 	}
-	for c := range w.follow {
+	for c := range w.followers {
 		select {
 		case c <- e:
 		default: // it reads too slowly: it is told of no more
-			delete(w.follow, c)
+			delete(w.followers, c)
 			close(c)
 		}
 	}
 }
 
-// Note puts word of another relay on the list of events: what it is now, and how that is known.
-func (w *Watcher) Note(relay, state, cause string) {
+// RelayChanged puts word of another relay on the list of events: what it is now, and how that is known.
+func (w *Watcher) RelayChanged(relay, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := w.unixMs(w.clock.Now())
@@ -214,17 +214,17 @@
 	if cause != "" {
 		what += " (" + cause + ")"
 	}
-	w.changed(anomaly.Event{Kind: anomaly.RelayChanged, Name: anomaly.RelayChanged.String(), From: at, To: at, Evidence: what, Confidence: 1})
+	w.eventChanged(anomaly.Event{Kind: anomaly.RelayChanged, Name: anomaly.RelayChanged.String(), From: at, To: at, Evidence: what, Confidence: 1})
 }
 
 // The store's buckets.
 const (
-	bucketBands  = "bands"
-	bucketSteps  = "steps"
-	bucketEvents = "events"
+	bucketStatePeriods = "bands"
+	bucketIntervals    = "steps"
+	bucketEvents       = "events"
 )
 
-func (w *Watcher) append(bucket string, at int64, id string, v any) {
+func (w *Watcher) appendToStore(bucket string, at int64, id string, v any) {
 	text, err := cbor.Marshal(v)
 	if err != nil {
 		w.log.Error().Err(err).Msg("row cannot be written")
@@ -233,39 +233,39 @@
 	w.Store.Append(bucket, at, id, text)
 }
 
-func (w *Watcher) band(line string, b timeline.StatePeriod) {
-	w.append(bucketBands, int64(b.From), line, b)
+func (w *Watcher) statePeriodChanged(line string, b timeline.StatePeriod) {
+	w.appendToStore(bucketStatePeriods, int64(b.From), line, b)
 }
 
-// step adds a step of the finest width to the line's open row.
-func (w *Watcher) step(line string, s timeline.Interval) {
+// addToRow adds a addToRow of the finest width to the line's open row.
+func (w *Watcher) addToRow(line string, s timeline.Interval) {
 	from := float64(int64(s.From/rowWidth)) * rowWidth
-	row := w.rows[line]
+	row := w.openRows[line]
 	if row != nil && row.From != from {
-		w.put(line, row)
+		w.writeRow(line, row)
 		row = nil
 	}
 	if row == nil {
 		s.From, s.Width = from, rowWidth
-		w.rows[line] = &s
+		w.openRows[line] = &s
 		return
 	}
 	merged := timeline.Merge(*row, s)
 	*row = merged
 }
 
-func (w *Watcher) put(line string, row *timeline.Interval) {
-	w.append(bucketSteps, int64(row.From), line, row)
+func (w *Watcher) writeRow(line string, row *timeline.Interval) {
+	w.appendToStore(bucketIntervals, int64(row.From), line, row)
 }
 
-// Rest writes what is open to the store's queue.
-func (w *Watcher) Rest() {
+// WriteOpenRows writes what is open to the store's queue.
+func (w *Watcher) WriteOpenRows() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.Store != nil {
-		w.book.CompleteAll()
-		for name, row := range w.rows {
-			w.put(name, row)
+		w.timelines.CompleteAll()
+		for name, row := range w.openRows {
+			w.writeRow(name, row)
 		}
 	}
 }
@@ -275,15 +275,15 @@
 func (w *Watcher) Follow() (events <-chan anomaly.Event, stop func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.follow) >= followers {
+	if len(w.followers) >= maxFollowers {
 		return nil, func() {}
 	}
 	c := make(chan anomaly.Event, 256)
-	w.follow[c] = true
+	w.followers[c] = true
 	return c, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		delete(w.follow, c)
+		delete(w.followers, c)
 	}
 }
 
@@ -292,23 +292,23 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.unixMs(w.clock.Now())
-	r := &report.Report{Relay: w.Relay, At: now, Dropped: w.dropped, Evicted: w.book.Evicted}
+	r := &report.Report{Relay: w.Relay, At: now, Dropped: w.recordsDropped, Evicted: w.timelines.Evicted}
 	if w.Store != nil {
 		if err := w.Store.WriteError(); err != nil {
 			r.Store = err.Error()
 		}
 		r.Dropped += w.Store.DroppedRows()
 	}
-	for _, name := range w.book.Names() {
-		if !q.Wants(name) {
+	for _, name := range w.timelines.Names() {
+		if !q.Includes(name) {
 			continue
 		}
-		l := w.book.Server(name)
-		r.Servers = append(r.Servers, report.Server{Name: name, State: l.State().String(), Held: l.OpenConnections(),
-			Bands: slices.Clone(l.States), Steps: l.Intervals(), Forgotten: l.DiscardedBefore})
+		l := w.timelines.Server(name)
+		r.Servers = append(r.Servers, report.Server{Name: name, State: l.State().String(), OpenConnections: l.OpenConnections(),
+			States: slices.Clone(l.States), Intervals: l.Intervals(), DiscardedBefore: l.DiscardedBefore})
 	}
 	events := slices.Clone(w.events)
-	for _, c := range w.depart.Active() { // with the evidence that there is now
+	for _, c := range w.detector.Active() { // with the evidence that there is now
 		for i, e := range events {
 			if e.Server == c.Server && e.Kind == c.Kind && e.From == c.From {
 				events[i] = c
@@ -316,7 +316,7 @@
 		}
 	}
 	r.AddEvents(events, q)
-	r.Cut(q)
+	r.Restrict(q)
 	return r
 }
 
@@ -337,31 +337,31 @@
 		to = 1<<62 - 1
 	}
 	var bad error
-	err := s.Scan(bucketSteps, from, to, func(_ int64, id string, v []byte) bool {
-		if q.Wants(id) {
+	err := s.Scan(bucketIntervals, from, to, func(_ int64, id string, v []byte) bool {
+		if q.Includes(id) {
 			var step timeline.Interval
 			if bad = cbor.Unmarshal(v, &step); bad != nil {
 				return false
 			}
 			l := line(id)
-			l.Steps = append(l.Steps, step)
+			l.Intervals = append(l.Intervals, step)
 			r.At = step.From + step.Width
 		}
 		return true
 	})
 	if err == nil {
-		err = s.Scan(bucketBands, 0, to, func(_ int64, id string, v []byte) bool {
-			if q.Wants(id) {
+		err = s.Scan(bucketStatePeriods, 0, to, func(_ int64, id string, v []byte) bool {
+			if q.Includes(id) {
 				var b timeline.StatePeriod
 				if bad = cbor.Unmarshal(v, &b); bad != nil {
 					return false
 				}
 				b.Name = b.State.String()
 				l := line(id)
-				if n := len(l.Bands); n > 0 && l.Bands[n-1].To == 0 { // the daemon ended before it could say
-					l.Bands[n-1].To = b.From
+				if n := len(l.States); n > 0 && l.States[n-1].To == 0 { // the daemon ended before it could say
+					l.States[n-1].To = b.From
 				}
-				l.Bands = append(l.Bands, b)
+				l.States = append(l.States, b)
 				l.State = b.Name
 			}
 			return true
@@ -386,7 +386,7 @@
 		r.Servers = append(r.Servers, *lines[name])
 	}
 	r.AddEvents(events, q)
-	r.Cut(q)
+	r.Restrict(q)
 	return r, nil
 }
 
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -26,13 +26,13 @@
 	"capersail/internal/wire/platform"
 )
 
-type noList struct{}
+type noDiscovery struct{}
 
-func (noList) Watch() {}
-func (noList) Fetch() {}
+func (noDiscovery) Watch() {}
+func (noDiscovery) Fetch() {}
 
-// town is a relay in this process, with servers and clients on loopback.
-type town struct {
+// deploymentUnderTest is a relay in this process, with servers and clients on loopback.
+type deploymentUnderTest struct {
 	t       testing.TB
 	x       *relay.RequestTable
 	w       *Watcher
@@ -42,7 +42,7 @@
 	relay   string
 }
 
-func newTown(t testing.TB, servers int, s *store.Store) *town {
+func newDeployment(t testing.TB, servers int, s *store.Store) *deploymentUnderTest {
 	t.Helper()
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
@@ -53,7 +53,7 @@
 		ConnectTimeout: relay.Duration(300), Rules: decide.Rules{SlowStartWindow: relay.Duration(3000), SlowStartCapacity: 0.36, OverloadFactor: 4,
 			OverloadWindow: relay.Duration(1500)}, Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(800), Deadline: relay.Duration(3000)}}}}
 	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock, ConnectTimeout: 300, LoadKey: "x0", Keep: 64})
-	w := &town{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), Most: 100, Store: s}, x, clock, zerolog.Nop())}
+	w := &deploymentUnderTest{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), MaxServers: 100, Store: s}, x, clock, zerolog.Nop())}
 	x.Recorder = w.w.Recorder
 	for i := range servers {
 		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", feed, ledger)
@@ -73,12 +73,12 @@
 	t.Cleanup(func() { l.Close() })
 	w.relay = l.Addr().String()
 	go (&platform.Front{X: x, Site: site, Gate: connlimit.New(clock, 4096, zerolog.Nop())}).Serve(l)
-	go relay.NewEventLoop(x, 7, noList{}, zerolog.Nop()).Run(t.Context())
+	go relay.NewEventLoop(x, 7, noDiscovery{}, zerolog.Nop()).Run(t.Context())
 	go w.w.Run(t.Context())
 	return w
 }
 
-func (w *town) list() {
+func (w *deploymentUnderTest) list() {
 	var all []relay.Endpoint
 	for i, s := range w.servers {
 		all = append(all, relay.Endpoint{ID: s.ID, Address: s.Address, Mode: w.modes[i], StartedAt: relay.FromUnixMillis(w.since[i]), Load: -1})
@@ -86,13 +86,13 @@
 	w.x.UpdateEndpoints(decide.Snapshot, all)
 }
 
-func (w *town) mode(i int, m decide.EndpointState) {
+func (w *deploymentUnderTest) mode(i int, m decide.EndpointState) {
 	w.modes[i] = m
 	w.list()
 }
 
 // clients come and go until the test ends.
-func (w *town) clients(n int) {
+func (w *deploymentUnderTest) clients(n int) {
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	w.t.Cleanup(func() { stop(); all.Wait() })
@@ -110,7 +110,7 @@
 }
 
 // event finds an event that has begun.
-func (w *town) event(server string, k anomaly.Kind) *anomaly.Event {
+func (w *deploymentUnderTest) event(server string, k anomaly.Kind) *anomaly.Event {
 	for _, s := range w.w.Report(report.Query{}).Servers {
 		for _, e := range s.Events {
 			if e.Server == server && e.Kind == k {
@@ -121,13 +121,13 @@
 	return nil
 }
 
-func (w *town) wait(what string, ok func() bool) {
+func (w *deploymentUnderTest) wait(what string, ok func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(120 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			r := w.w.Report(report.Query{})
 			for _, e := range r.Events() {
-				w.t.Log(report.EventLine(e))
+				w.t.Log(report.FormatEvent(e))
 			}
 			w.t.Fatalf("%s: never", what)
 		}
@@ -140,7 +140,7 @@
 	if os.Getenv("CAPERSAIL_LONG") == "" {
 		t.Skip("a long measurement: CAPERSAIL_LONG=1. In CI anomaly.TestEveryKind plays the same faults in a time of its own")
 	}
-	w := newTown(t, 14, nil)
+	w := newDeployment(t, 14, nil)
 	w.clients(200)
 	began := time.Now()
 	// A relay of this rate probes a server each few seconds. Those that have a past first get the faults that want one.
@@ -174,7 +174,7 @@
 		w.wait(fmt.Sprint(w.servers[i].ID, " ", s), func() bool {
 			w.w.mu.Lock()
 			defer w.w.mu.Unlock()
-			for _, b := range w.w.book.Server(w.servers[i].ID).States {
+			for _, b := range w.w.timelines.Server(w.servers[i].ID).States {
 				if b.State == s {
 					return true
 				}
@@ -214,7 +214,7 @@
 		w.wait(name+" holds connections", func() bool {
 			w.w.mu.Lock()
 			defer w.w.mu.Unlock()
-			return w.w.book.Server(name).OpenConnections() >= 3
+			return w.w.timelines.Server(name).OpenConnections() >= 3
 		})
 	}
 	holds(w.servers[8].ID)
@@ -259,7 +259,7 @@
 			continue
 		}
 		if !expected[k] && !follows[k] && !clocked[e.Kind] {
-			t.Errorf("did not happen: %s", report.EventLine(e))
+			t.Errorf("did not happen: %s", report.FormatEvent(e))
 		}
 	}
 	if r := w.w.Report(report.Query{}); r.Dropped != 0 {
@@ -269,7 +269,7 @@
 }
 
 func sum(s report.Server) (t timeline.Interval) {
-	for _, x := range s.Steps {
+	for _, x := range s.Intervals {
 		t = timeline.Merge(t, x)
 	}
 	return t
@@ -285,14 +285,14 @@
 	ctx, stop := context.WithCancel(t.Context())
 	closed := make(chan struct{})
 	go func() { s.Run(ctx); close(closed) }()
-	w := newTown(t, 4, s)
+	w := newDeployment(t, 4, s)
 	w.clients(20)
 	w.servers[0].Silence(true)
 	w.wait("silent", func() bool { return w.event("s0", anomaly.Unresponsive) != nil })
 	w.servers[0].Silence(false)
 	w.wait("and it ends", func() bool { return w.event("s0", anomaly.Unresponsive).To != 0 })
 	live := w.w.Report(report.Query{})
-	w.w.Rest()
+	w.w.WriteOpenRows()
 	s.Flush()
 	stop()
 	<-closed
@@ -318,8 +318,8 @@
 			if a, b := sum(l), sum(k); a.Placements > b.Placements || a.Probes > b.Probes || b.Placements == 0 {
 				t.Errorf("%s: %d placements and %d probes live, %d and %d kept", l.Name, a.Placements, a.Probes, b.Placements, b.Probes)
 			}
-			if len(k.Bands) < len(l.Bands) || !reflect.DeepEqual(k.Bands[:len(l.Bands)], l.Bands) {
-				t.Errorf("%s: bands %+v, kept %+v", l.Name, l.Bands, k.Bands)
+			if len(k.States) < len(l.States) || !reflect.DeepEqual(k.States[:len(l.States)], l.States) {
+				t.Errorf("%s: bands %+v, kept %+v", l.Name, l.States, k.States)
 			}
 			if len(l.Events) != len(k.Events) {
 				t.Errorf("%s: %d events, kept %d", l.Name, len(l.Events), len(k.Events))
