--- /dev/null
+++ b/internal/observe/watch/event_log.go
@@ -0,0 +1,110 @@
+package watch
+
+import (
+	"slices"
+
+	"github.com/rs/zerolog"
+
+	"capersail/internal/observe/anomaly"
+)
+
+const (
+	maxEvents      = 2048 // kept in memory
+	maxFollowers   = 16
+	followerBuffer = 256 // events that a follower may be behind
+)
+
+// eventLog keeps the newest events and hands each one on: to the log, the store and the followers. Its owner
+// locks.
+type eventLog struct {
+	events    []anomaly.Event // ended ones and those that last, by their beginnings
+	followers map[chan anomaly.Event]bool
+	rows      *rowWriter // nil without a store
+	log       zerolog.Logger
+}
+
+func newEventLog(rows *rowWriter, log zerolog.Logger) *eventLog {
+	return &eventLog{
+		followers: map[chan anomaly.Event]bool{},
+		rows:      rows,
+		log:       log,
+	}
+}
+
+// record takes an event that has begun or ended.
+func (l *eventLog) record(e anomaly.Event) {
+	l.logChange(e)
+	l.keep(e)
+	if l.rows != nil {
+		l.rows.writeEvent(e)
+	}
+	l.notifyFollowers(e)
+}
+
+func (l *eventLog) logChange(e anomaly.Event) {
+	if e.Kind == anomaly.RelayChanged { // whoever detects that has a line for it
+		return
+	}
+	line := l.log.Info().Str("server", e.Server).Str("event", e.Name).Str("evidence", e.Evidence)
+	if e.To != 0 {
+		line.Msg("departure ended")
+		return
+	}
+	line.Float64("confidence", e.Confidence).Msg("departure")
+}
+
+// keep replaces the event's beginning by its end, or adds it; the oldest makes room.
+func (l *eventLog) keep(e anomaly.Event) {
+	i := slices.IndexFunc(l.events, func(o anomaly.Event) bool { return sameEvent(o, e) })
+	if i >= 0 {
+		l.events[i] = e
+		return
+	}
+	if len(l.events) == maxEvents {
+		l.events = append(l.events[:0], l.events[1:]...)
+	}
+	l.events = append(l.events, e)
+}
+
+func sameEvent(a, b anomaly.Event) bool {
+	return a.Server == b.Server && a.Kind == b.Kind && a.From == b.From
+}
+
+// notifyFollowers never blocks: a follower whose buffer is full is closed.
+func (l *eventLog) notifyFollowers(e anomaly.Event) {
+	for follower := range l.followers {
+		select {
+		case follower <- e:
+		default:
+			delete(l.followers, follower)
+			close(follower)
+		}
+	}
+}
+
+// addFollower returns nil if there are too many.
+func (l *eventLog) addFollower() chan anomaly.Event {
+	if len(l.followers) >= maxFollowers {
+		return nil
+	}
+	follower := make(chan anomaly.Event, followerBuffer)
+	l.followers[follower] = true
+	return follower
+}
+
+func (l *eventLog) removeFollower(follower chan anomaly.Event) {
+	delete(l.followers, follower)
+}
+
+// withCurrent returns a copy of the events, those that last with the evidence that there is now.
+func (l *eventLog) withCurrent(active []anomaly.Event) []anomaly.Event {
+	events := slices.Clone(l.events)
+	for _, current := range active {
+		for i, e := range events {
+			if sameEvent(e, current) {
+				events[i] = current
+			}
+		}
+	}
+	return events
+}
--- /dev/null
+++ b/internal/observe/watch/query.go
@@ -0,0 +1,45 @@
+package watch
+
+import (
+	"slices"
+
+	"capersail/internal/observe/report"
+)
+
+// Report answers a query from memory.
+func (w *Watcher) Report(q report.Query) *report.Report {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	r := &report.Report{
+		Relay:   w.Relay,
+		At:      w.unixMs(w.clock.Now()),
+		Dropped: w.recordsDropped,
+		Evicted: w.timelines.Evicted,
+	}
+	if w.Store != nil {
+		if err := w.Store.WriteError(); err != nil {
+			r.Store = err.Error()
+		}
+		r.Dropped += w.Store.DroppedRows()
+	}
+	for _, name := range w.timelines.Names() {
+		if q.Includes(name) {
+			r.Servers = append(r.Servers, w.reportServer(name))
+		}
+	}
+	r.AddEvents(w.events.withCurrent(w.detector.Active()), q)
+	r.Restrict(q)
+	return r
+}
+
+func (w *Watcher) reportServer(name string) report.Server {
+	server := w.timelines.Server(name)
+	return report.Server{
+		Name:            name,
+		State:           server.State().String(),
+		OpenConnections: server.OpenConnections(),
+		States:          slices.Clone(server.States),
+		Intervals:       server.Intervals(),
+		DiscardedBefore: server.DiscardedBefore,
+	}
+}
--- a/internal/observe/watch/stored_test.go
+++ b/internal/observe/watch/stored_test.go
@@ -32,13 +32,14 @@
 	ctx, stop := context.WithCancel(t.Context())
 	closed := make(chan struct{})
 	go func() { s.Run(ctx); close(closed) }()
-	w := &Watcher{Config: Config{Store: s}, log: zerolog.Nop(), openRows: map[string]*timeline.Interval{}}
+	rows := newRowWriter(s, zerolog.Nop())
+	events := newEventLog(rows, zerolog.Nop())
 	for state := timeline.Listed; state <= timeline.Ejected; state++ {
 		from := storedAt + 1000*float64(state)
 		b := timeline.StatePeriod{State: state, From: from, Cause: fmt.Sprint("cause ", state)}
-		w.statePeriodChanged("s1", b)
+		rows.writeState("s1", b)
 		if b.To = from + 1000; state < timeline.Ejected {
-			w.statePeriodChanged("s1", b)
+			rows.writeState("s1", b)
 		}
 	}
 	full := timeline.Interval{
@@ -52,14 +53,14 @@
 	for i := range full.RejectReasons.Relay {
 		full.RejectReasons.Relay[i] = uint32(200 + i)
 	}
-	w.addToRow("s1", full)
+	rows.addInterval("s1", full)
 	full.From += 2000
-	w.addToRow("s1", full) // into the same row
+	rows.addInterval("s1", full) // into the same row
 	full.From += 20_000
-	w.addToRow("s1", full) // into the next
-	w.addToRow(timeline.FleetName, timeline.Interval{From: storedAt, Width: 1000, Load: [3]float32{-1, -1, -1}})
+	rows.addInterval("s1", full) // into the next
+	rows.addInterval(timeline.FleetName, timeline.Interval{From: storedAt, Width: 1000, Load: [3]float32{-1, -1, -1}})
 	for _, line := range []string{"s1", timeline.FleetName} {
-		w.writeRow(line, w.openRows[line])
+		rows.writeIntervalRow(line, rows.openRows[line])
 	}
 	for kind := anomaly.Kind(0); kind <= anomaly.RelayChanged; kind++ {
 		from := storedAt + 100*float64(kind)
@@ -67,10 +68,10 @@
 		if kind == anomaly.EndpointListUnreachable || kind == anomaly.RelayChanged {
 			e.Server = ""
 		}
-		w.eventChanged(e)
+		events.record(e)
 		if kind != anomaly.SlowSetup { // this one lasts
 			e.To, e.Confidence, e.Evidence = from+50, 1, "over"
-			w.eventChanged(e)
+			events.record(e)
 		}
 	}
 	stop()
--- /dev/null
+++ b/internal/observe/watch/watcher.go
@@ -0,0 +1,202 @@
+package watch
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"capersail/internal/observe/anomaly"
+	"capersail/internal/observe/recorder"
+	"capersail/internal/observe/timeline"
+	"capersail/internal/store"
+)
+
+// foldEvery is the longest time between two folds.
+const foldEvery = 100 * time.Millisecond
+
+// ServerNames tells the ids of the servers that records name by number; a relay.RequestTable does.
+type ServerNames interface {
+	// ServerIDs appends the ids of the servers from a number on, in the order of their numbers.
+	ServerIDs(from int, out []string) []string
+}
+
+// Clock is the clock of the records; a relay.Clock is one.
+type Clock interface {
+	// Now is the time since an arbitrary origin.
+	Now() time.Duration
+	// Wall turns an instant of the clock into the wall clock's.
+	Wall(at time.Duration) time.Time
+	// After returns a channel that gets the time once d has passed.
+	After(d time.Duration) <-chan time.Time
+}
+
+// Config says what is kept.
+type Config struct {
+	Relay      string          // its name in reports
+	Buffer     int             // records that may wait to be folded
+	Limits     timeline.Limits // of the timelines in memory
+	MaxServers int             // servers that anomalies are looked for at
+	Store      *store.Store    // nil for none
+}
+
+// Watcher is one front's timelines, anomaly detection and rows. Its methods may be called from any goroutine.
+type Watcher struct {
+	Config
+	// Recorder takes what happens. It is handed to the front before that is used.
+	Recorder *recorder.Recorder
+
+	servers ServerNames
+	clock   Clock
+
+	mu             sync.Mutex // guards what follows
+	timelines      *timeline.Timelines
+	detector       *anomaly.Detector
+	events         *eventLog
+	rows           *rowWriter // nil without a store
+	serverNames    []string   // by the numbers that records have
+	recordsDropped uint64
+	spareRecords   []recorder.Record
+	changes        []anomaly.Change
+}
+
+// New returns a Watcher of one front, with a Recorder for it.
+func New(c Config, servers ServerNames, clock Clock, log zerolog.Logger) *Watcher {
+	w := &Watcher{
+		Config:    c,
+		Recorder:  recorder.New(c.Buffer),
+		servers:   servers,
+		clock:     clock,
+		timelines: timeline.New(c.Limits, clock.Wall),
+		detector:  anomaly.New(c.MaxServers, clock.Wall),
+	}
+	if c.Store != nil {
+		w.rows = newRowWriter(c.Store, log)
+		w.timelines.Sink = timeline.Sink{
+			StateChanged:     w.rows.writeState,
+			IntervalComplete: w.rows.addInterval,
+		}
+	}
+	w.events = newEventLog(w.rows, log)
+	return w
+}
+
+// unixMs is an instant as rows and reports have it.
+func (w *Watcher) unixMs(at time.Duration) float64 {
+	return float64(w.clock.Wall(at).UnixNano()) / 1e6
+}
+
+// Run folds records until the context ends, then once more, and writes the open rows.
+func (w *Watcher) Run(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			w.Fold()
+			w.WriteOpenRows()
+			return
+		case <-w.Recorder.Ready():
+		case <-w.clock.After(foldEvery):
+		}
+		w.Fold()
+	}
+}
+
+// Fold applies the records that the recorder has.
+func (w *Watcher) Fold() {
+	w.mu.Lock() // before TakeAll: the shutdown folds beside Run, and the spare slice may be in one hand only
+	defer w.mu.Unlock()
+	records := w.Recorder.TakeAll(w.spareRecords)
+	for i := range records {
+		w.applyRecord(&records[i])
+	}
+	w.spareRecords = records[:0]
+	w.tick(w.clock.Now())
+}
+
+func (w *Watcher) applyRecord(r *recorder.Record) {
+	name := w.serverName(r.Server)
+	if r.Kind == recorder.RecordsDropped {
+		w.recordsDropped += uint64(r.Count)
+	}
+	w.timelines.Apply(name, r)
+	w.detector.Observe(name, r)
+	w.detectAnomalies(r.At)
+}
+
+// serverName is the id of the server that records name by a number, the fleet's where that is negative.
+func (w *Watcher) serverName(number int32) string {
+	if number < 0 {
+		return timeline.FleetName
+	}
+	if int(number) >= len(w.serverNames) {
+		w.serverNames = w.servers.ServerIDs(len(w.serverNames), w.serverNames)
+	}
+	return w.serverNames[number]
+}
+
+// detectAnomalies records the events that have begun or ended by an instant.
+func (w *Watcher) detectAnomalies(at time.Duration) {
+	w.changes = w.detector.Tick(at, w.changes[:0])
+	for _, change := range w.changes {
+		w.events.record(change.Event)
+	}
+}
+
+func (w *Watcher) tick(at time.Duration) {
+	w.timelines.Tick(at)
+	w.detectAnomalies(at)
+	if w.rows != nil {
+		w.rows.writeEverySecond(w.unixMs(at))
+	}
+}
+
+// RelayChanged puts a change of another relay on the list of events: what it is now, and how that is known. The
+// name is empty for this relay.
+func (w *Watcher) RelayChanged(relay, state, cause string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	what := "relay " + relay + ": " + state
+	if relay == "" {
+		what = "this relay: " + state
+	}
+	if cause != "" {
+		what += " (" + cause + ")"
+	}
+	at := w.unixMs(w.clock.Now())
+	w.events.record(anomaly.Event{
+		Kind:       anomaly.RelayChanged,
+		Name:       anomaly.RelayChanged.String(),
+		From:       at,
+		To:         at,
+		Evidence:   what,
+		Confidence: 1,
+	})
+}
+
+// WriteOpenRows puts the rows that are not complete into the store's queue.
+func (w *Watcher) WriteOpenRows() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.rows == nil {
+		return
+	}
+	w.timelines.CompleteAll()
+	w.rows.writeAll()
+}
+
+// Follow returns a channel of events as they begin and end. It is closed when its reader is too slow; nil if there
+// are too many. Call stop at the end; a second call does nothing.
+func (w *Watcher) Follow() (events <-chan anomaly.Event, stop func()) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	follower := w.events.addFollower()
+	if follower == nil {
+		return nil, func() {}
+	}
+	return follower, func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.events.removeFollower(follower)
+	}
+}
