--- a/internal/observe/watch/event_log.go
+++ b/internal/observe/watch/event_log.go
@@ -47,10 +47,10 @@
 	}
 	line := l.log.Info().Str("server", e.Server).Str("event", e.Name).Str("evidence", e.Evidence)
 	if e.To != 0 {
-		line.Msg("departure ended")
+		line.Msg("anomaly ended")
 		return
 	}
-	line.Float64("confidence", e.Confidence).Msg("departure")
+	line.Float64("confidence", e.Confidence).Msg("anomaly began")
 }
 
 // keep replaces the event's beginning by its end, or adds it; the oldest makes room.
--- a/internal/observe/watch/row_writer.go
+++ b/internal/observe/watch/row_writer.go
@@ -93,7 +93,7 @@
 	text, err := cbor.Marshal(row)
 	if err != nil {
 		r.log.Error().Err(err).Str("bucket", bucket).
-			Msg("row cannot be written")
+			Msg("timeline row cannot be encoded, not stored: report it with its error")
 		return
 	}
 	r.store.Append(bucket, at, id, text)
