--- /dev/null
+++ b/internal/observe/report/counts.go
@@ -0,0 +1,52 @@
+package report
+
+import (
+	"fmt"
+	"strings"
+
+	"capersail/decide"
+	"capersail/internal/observe/recorder"
+	"capersail/internal/observe/timeline"
+)
+
+func sumIntervals(intervals []timeline.Interval) (sum timeline.Interval) {
+	for _, interval := range intervals {
+		sum = timeline.Merge(sum, interval)
+	}
+	return sum
+}
+
+// CountFaults counts the ends of attempts that a server is to blame for.
+func CountFaults(interval timeline.Interval) (n uint32) {
+	for i, count := range interval.Ends {
+		switch decide.Status(i) {
+		case decide.OK, decide.Superseded, decide.Cancelled:
+		default:
+			n += count
+		}
+	}
+	return n
+}
+
+// RejectionsByReason lists an interval's rejections and failures by reason, each with its count.
+func RejectionsByReason(interval timeline.Interval) string {
+	var text strings.Builder
+	known := uint32(0)
+	add := func(reason string, n uint32) {
+		if n > 0 {
+			fmt.Fprintf(&text, " %s %d", reason, n)
+			known += n
+		}
+	}
+	for reason, n := range interval.RejectReasons.Module {
+		add(decide.RejectReason(reason).String(), n)
+	}
+	for i, n := range interval.RejectReasons.Relay[recorder.Nobody+1:] {
+		initiator := recorder.Nobody + 1 + recorder.Initiator(i)
+		add(initiator.String(), n)
+	}
+	if interval.Rejections > known { // also those of a store that was written before reasons were kept
+		add("not told", interval.Rejections-known)
+	}
+	return text.String()
+}
