--- a/internal/observe/report/report_test.go
+++ b/internal/observe/report/report_test.go
@@ -9,8 +9,8 @@
 	"capersail/internal/observe/timeline"
 )
 
-// The fleet's line tells refusals by reason; those of an old store, which has no reasons, are told as such.
-func TestShowTellsReasons(t *testing.T) {
+// The fleet's timeline shows rejections by reason; those of an old store, which has no reasons, are counted too.
+func TestRejectionsAreShownByReason(t *testing.T) {
 	step := timeline.Interval{From: 1e6, Width: 1000, Rejections: 10}
 	step.RejectReasons.Module[decide.NoCapacity], step.RejectReasons.Module[decide.RetryBudgetExhausted] = 4, 2
 	step.RejectReasons.Relay[recorder.DescriptorLimit] = 1
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	const want = "no room 4 no retry tokens 2 door 1 not told 3"
-	if !strings.Contains(shown.String(), "refused: "+want+"\n") || !strings.Contains(table.String(), want) {
+	if !strings.Contains(shown.String(), "rejected: "+want+"\n") || !strings.Contains(table.String(), want) {
 		t.Errorf("%s%s", &shown, &table)
 	}
 }
--- a/internal/observe/report/text.go
+++ b/internal/observe/report/text.go
@@ -38,8 +38,8 @@
 // WriteList writes one line a server. It returns the error of writing.
 func (r *Report) WriteList(out io.Writer) error {
 	w := &errorWriter{out: out}
-	w.printf("%-20s %-9s %5s %6s %7s %7s %6s  %s\n",
-		"server", "state", "held", "load", "placed", "faults", "moved", "departures now")
+	w.printf("%-20s %-9s %5s %6s %7s %7s %8s  %s\n",
+		"server", "state", "open", "load", "placed", "faults", "migrated", "anomalies now")
 	for _, s := range r.Servers {
 		if s.Name != timeline.FleetName {
 			s.writeRow(w)
@@ -51,7 +51,7 @@
 
 func (s *Server) writeRow(w *errorWriter) {
 	sum := sumIntervals(s.Intervals)
-	w.printf("%-20s %-9s %5d %6s %7d %7d %6d  %s\n",
+	w.printf("%-20s %-9s %5d %6s %7d %7d %8d  %s\n",
 		s.Name, s.State, s.OpenConnections, s.latestLoad(), sum.Placements, CountFaults(sum), sum.Migrations,
 		strings.Join(s.activeEvents(), ", "))
 }
@@ -79,7 +79,7 @@
 // writeOmissions says what is not shown.
 func (r *Report) writeOmissions(w *errorWriter) {
 	if r.Dropped > 0 || r.Evicted > 0 {
-		w.printf("not kept: %d records, %d lines\n", r.Dropped, r.Evicted)
+		w.printf("not kept: %d records, %d timelines\n", r.Dropped, r.Evicted)
 	}
 	if r.Store != "" {
 		w.printf("the store cannot be written: %s\n", r.Store)
@@ -139,8 +139,8 @@
 }
 
 func writeCounts(w *errorWriter, sum timeline.Interval) {
-	w.printf("  placed %d, retries %d, up %d, moved %d, refused %d, probes %d (%d lost), told by others %d; "+
-		"set-up 99 %% %.1f ms at worst\n",
+	w.printf("  placed %d, retries %d, connected %d, migrated %d, rejected %d, probes %d (%d lost), "+
+		"load reports by gossip %d; set-up 99 %% %.1f ms at worst\n",
 		sum.Placements, sum.Retries, sum.Connections, sum.Migrations, sum.Rejections, sum.Probes, sum.ProbesLost,
 		sum.PeerReadings, sum.Setup[1])
 	if CountFaults(sum) > 0 {
@@ -153,7 +153,7 @@
 		w.printf("\n")
 	}
 	if sum.Rejections > 0 {
-		w.printf("  refused:%s\n", RejectionsByReason(sum))
+		w.printf("  rejected:%s\n", RejectionsByReason(sum))
 	}
 }
 
