--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -115,7 +115,7 @@
 func (s *Server) drainHandler(on bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		s.relay.Drain(on)
-		s.log.Info().Bool("draining", on).Msg("manual drain")
+		s.log.Info().Bool("draining", on).Msg("manual drain changed")
 		fmt.Fprintln(w, "ok")
 	}
 }
@@ -128,7 +128,8 @@
 		case errors.Is(err, ErrNeverListed):
 			http.Error(w, err.Error(), http.StatusNotFound)
 		case err != nil:
-			s.log.Error().Err(err).Str("server", id).Msg("manual ejection cannot be stored; nothing has changed")
+			s.log.Error().Err(err).Str("server", id).
+				Msg("manual ejection cannot be stored, nothing has changed: mend the folder in $TMPDIR")
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 		default:
 			call := strings.TrimPrefix(r.URL.Path, "/ops/tile-servers/")
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -49,7 +49,7 @@
 	if err != nil || !changed {
 		return err
 	}
-	o.log.Info().Str("server", id).Float64("out_ms", relay.Millis(ejectedFor)).Msg("server readmitted by hand")
+	o.log.Info().Str("server", id).Float64("out_ms", relay.Millis(ejectedFor)).Msg("manual ejection ended, server readmitted")
 	if err := os.Remove(o.ejectionFile(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		o.ejections.Eject(o.now(), id, true)
 		return fmt.Errorf("ejection cannot be ended: %w", err)
@@ -107,7 +107,7 @@
 	entries, err := os.ReadDir(o.ejectionsDir)
 	if err != nil {
 		o.log.Error().Err(err).
-			Msg("kept ejections cannot be read, those known stay in force: mend the folder in $TMPDIR")
+			Msg("manual ejections cannot be read, those known stay in force: mend the folder in $TMPDIR")
 		return
 	}
 	var ids []string
@@ -118,7 +118,7 @@
 	}
 	sort.Strings(ids)
 	if o.ejections.Replace(o.now(), ids) {
-		o.log.Info().Strs("out", ids).Msg("servers ejected by hand")
+		o.log.Info().Strs("out", ids).Msg("manual ejections changed")
 		o.applyEjections()
 	}
 }
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -69,7 +69,8 @@
 	}
 	opened, err := store.Open(file, p.config.options(), p.log)
 	if err != nil {
-		p.log.Error().Err(err).Msg("store cannot be opened; going on in memory")
+		p.log.Error().Err(err).
+			Msg("store cannot be opened, timelines are kept in memory only: mend the file and restart")
 	}
 	p.stores = append(p.stores, opened)
 	return opened
--- a/internal/relay/endpoint_lease.go
+++ b/internal/relay/endpoint_lease.go
@@ -48,7 +48,7 @@
 	t.lease.Renew(now)
 	if t.endpoints.leaseExpired {
 		t.Log.Info().Float64("list_age_ms", Millis(age)).
-			Msg("endpoint list lease renewed; new requests are sent")
+			Msg("endpoint list lease renewed, new requests are forwarded")
 	}
 	t.checkEndpointLease()
 }
@@ -65,7 +65,7 @@
 func (t *RequestTable) noticeProcessStop(now time.Duration) {
 	if stopped := now - t.lease.checkedAt; t.lease.Enabled() && stopped > processStoppedAfter {
 		t.Log.Warn().Float64("stopped_ms", Millis(stopped)).
-			Msg("process was stopped; discovery is heard anew: look for a pause or overload of the machine")
+			Msg("process was stopped, discovery has to answer anew: look for a pause or overload of the machine")
 		t.lease.ignoreReadsUntil = now + ignoreReadsFor
 	}
 	t.lease.checkedAt = now
@@ -78,7 +78,7 @@
 	expired := !t.lease.Valid(now)
 	if expired && !t.endpoints.leaseExpired {
 		t.Log.Warn().Float64("list_age_ms", Millis(t.lease.Age(now))).
-			Msg("endpoint list lease expired; new requests are rejected until discovery is heard: check it")
+			Msg("endpoint list lease expired, new requests are rejected until discovery answers: check it")
 	}
 	t.endpoints.leaseExpired = expired
 	if event := t.endpoints.refreshModes(); len(event.Endpoints) > 0 {
--- a/internal/relay/event_loop.go
+++ b/internal/relay/event_loop.go
@@ -180,7 +180,7 @@
 			l.log.Error().Str("event", fmt.Sprintf("%T", ev)).
 				Str("panic", fmt.Sprint(p)).
 				Bytes("stack", debug.Stack()).
-				Msg("decision module panicked; the backstop answers its request: report it with the stack")
+				Msg("decision module panicked, the backstop answers its request: report it with the stack")
 		}
 	}()
 	l.actions = l.balancer.Handle(now.Round(decisionPrecision), ev, l.actions[:0])
--- a/internal/resume/issue.go
+++ b/internal/resume/issue.go
@@ -71,7 +71,7 @@
 	st.issued = issuedToken{at: now, position: position, fencingToken: owned}
 	if err != nil {
 		s.Log.Error().Err(err).Str("class", st.Class).Str("tenant", st.Tenant).
-			Msg("token not sealed; the stream cannot be resumed")
+			Msg("token not sealed, the stream cannot be resumed: shorten the names of its class and tenant")
 		return ""
 	}
 	st.tokenIssued.Store(true)
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -57,13 +57,14 @@
 	code, known := replyCodes[a.Code]
 	if !known {
 		s.Log.Warn().Int32("code", int32(a.Code)).Str("node", node).
-			Msg("ownership service rejected a request")
+			Msg("ownership service rejected a request, it is retried: look its code up in ZooKeeper's pages")
 		code = ownership.ServiceError
 	}
 	if q.Kind == ownership.ReadRecord && code == ownership.OK {
 		var err error
 		if r.Record, err = ownership.ParseRecord(a.Data); err != nil {
-			s.Log.Warn().Err(err).Str("node", node).Msg("ownership record ignored")
+			s.Log.Warn().Err(err).Str("node", node).
+				Msg("ownership record ignored: a newer relay may write the same path")
 			code = ownership.ServiceError
 		}
 	}
@@ -83,7 +84,7 @@
 			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.Lost
 			if failed && i == 0 {
 				s.Log.Error().Int32("code", int32(a.Code)).Str("path", p).
-					Msg("ownership service rejected the path of the records; check its rights")
+					Msg("ownership service rejected the path of the records, no stream gets a token: check its rights")
 			}
 		})
 	}
@@ -100,7 +101,8 @@
 // Expired notifies the Lease that the session is gone.
 func (e *sessionEvents) Expired() {
 	s := (*Service)(e)
-	s.Log.Warn().Msg("ownership service session expired; streams with tokens are migrated")
+	s.Log.Warn().
+		Msg("ownership service session expired, streams with tokens are migrated: check it and this machine")
 	s.enqueue(ownership.SessionExpired{})
 }
 
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -113,7 +113,8 @@
 	before := s.writeErr
 	s.writeErr = fmt.Errorf("%s: %w", s.path, err)
 	if before == nil {
-		s.log.Error().Err(s.writeErr).Msg("store write failed; rows are kept in memory and retried")
+		s.log.Error().Err(s.writeErr).
+			Msg("store write failed, rows are kept in memory and retried: check the disk")
 	}
 }
 
--- a/internal/wire/connlimit/limiter.go
+++ b/internal/wire/connlimit/limiter.go
@@ -110,7 +110,8 @@
 
 // recoverFromAccept has one idle connection give its descriptor up: none is left, whatever the count says.
 func (l *Limiter) recoverFromAccept(err error) {
-	l.Log.Warn().Err(err).Msg("accept failed; evicting the oldest idle connection")
+	l.Log.Warn().Err(err).
+		Msg("accept failed, the oldest idle connection is evicted: compare limits.sockets with ulimit -n")
 	l.mu.Lock()
 	l.evictOldestIdle()
 	l.mu.Unlock()
--- a/internal/wire/gossip/join.go
+++ b/internal/wire/gossip/join.go
@@ -24,7 +24,7 @@
 func (n *Node) Leave() {
 	if list := n.mesh.list.Load(); list != nil {
 		if err := list.Leave(leaveTimeout); err != nil {
-			n.log.Info().Err(err).Msg("peers may not have heard that this relay leaves")
+			n.log.Info().Err(err).Msg("peers may not be notified of the graceful shutdown")
 		}
 	}
 }
