--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -52,7 +52,7 @@
 	o.log.Info().
 		Str("server", id).
 		Float64("out_ms", relay.Millis(ejectedFor)).
-		Msg("server readmitted by hand")
+		Msg("manual ejection ended, server readmitted")
 	if err := os.Remove(o.ejectionFile(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		o.ejections.Eject(o.now(), id, true)
 		return fmt.Errorf("ejection cannot be ended: %w", err)
@@ -110,7 +110,7 @@
 	entries, err := os.ReadDir(o.ejectionsDir)
 	if err != nil {
 		o.log.Error().Err(err).
-			Msg("kept ejections cannot be read, those known stay in force: mend the folder in $TMPDIR")
+			Msg("manual ejections cannot be read, those known stay in force: mend the folder in $TMPDIR")
 		return
 	}
 	var ids []string
@@ -121,7 +121,7 @@
 	}
 	sort.Strings(ids)
 	if o.ejections.Replace(o.now(), ids) {
-		o.log.Info().Strs("out", ids).Msg("servers ejected by hand")
+		o.log.Info().Strs("out", ids).Msg("manual ejections changed")
 		o.applyEjections()
 	}
 }
