--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -8,8 +8,9 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// FuzzCoordinator hands a Coordinator events drawn from bytes, sane and not, at times that also go back: it never panics, keeps no more
-// than what a plan in force names, sends one summary at a time, and what is open never falls.
+// FuzzCoordinator hands a Coordinator events drawn from bytes, sane and not, at times that also go back:
+// it never panics, keeps no more than what a plan in force names, sends one summary at a time, and what
+// is open never falls.
 func FuzzCoordinator(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte("\x00\x01\x02\x03\x10\x20\x30\x40\x04\x04\x04\x04\x01\x01\x01\x01\x02\x07\xff\x00"))
@@ -22,7 +23,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		plan := drawnPlan(3, 2)
 		c := New(0, Config{Name: "relay-0", Cell: "cell-0", Incarnation: 1, Plan: plan})
-		now, opened := time.Duration(0), uint64(0)
+		now, activated := time.Duration(0), uint64(0)
 		for ; len(text) >= 4; text = text[4:] {
 			now += (time.Duration(text[3]) - 40) * 100 * time.Millisecond
 			sent := 0
@@ -39,10 +40,11 @@
 			}
 			c.Report(now)
 			c.Others(now)
-			if sent > 1 || len(c.remotes) > 16+16 || len(c.cellNames) != len(c.remotes) || c.ActivatedPlan() < opened {
-				t.Fatal(sent, len(c.remotes), len(c.cellNames), c.ActivatedPlan(), opened)
+			if sent > 1 || len(c.remotes) > 16+16 || len(c.cellNames) != len(c.remotes) ||
+				c.ActivatedPlan() < activated {
+				t.Fatal(sent, len(c.remotes), len(c.cellNames), c.ActivatedPlan(), activated)
 			}
-			opened = c.ActivatedPlan()
+			activated = c.ActivatedPlan()
 			for _, r := range c.remotes {
 				if len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins {
 					t.Fatal("memory of a cell grows")
@@ -55,13 +57,17 @@
 // drawnEvent makes an event of four bytes.
 func drawnEvent(text []byte) Event {
 	kind, a, b := text[0], int(text[1]), int(text[2])
-	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9), Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
-		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a, Serving: b, Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
+	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9),
+		Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
+		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a, Serving: b,
+		Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
 	switch kind % 6 {
 	case 0:
-		l := LocalCell{Members: a, Serving: b, Epoch: uint64(a % 3), Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 6), RequestRate: float64(a)}
+		l := LocalCell{Members: a, Serving: b, Epoch: uint64(a % 3), Plan: uint64(b % 6),
+			PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 6), RequestRate: float64(a)}
 		for i := range a % 4 {
-			l.Voters = append(l.Voters, Voter{Name: fmt.Sprintf("relay-%d", i), Address: fmt.Sprintf("10.0.0.%d:2", i+1), Alive: b>>i&1 == 1})
+			l.Voters = append(l.Voters, Voter{Name: fmt.Sprintf("relay-%d", i),
+				Address: fmt.Sprintf("10.0.0.%d:2", i+1), Alive: b>>i&1 == 1})
 		}
 		for i := range b % 17 {
 			l.Cells = append(l.Cells, fmt.Sprintf("cell-%d", i))
@@ -70,8 +76,11 @@
 	case 1, 2:
 		return SummaryReceived{From: summary.Representative, Summary: summary}
 	case 3:
-		return DirectoryReceived{From: summary.Representative, Directory: Directory{Cell: "cell-0", Representative: summary.Representative, Incarnation: summary.Incarnation, Seq: summary.Seq,
-			Epoch: summary.Epoch, ActivatedPlan: uint64(b % 4), Regions: []RegionFigures{{Name: "region-0", Cells: a, Known: b, Relays: a, Serving: b}}}}
+		return DirectoryReceived{From: summary.Representative,
+			Directory: Directory{Cell: "cell-0", Representative: summary.Representative,
+				Incarnation: summary.Incarnation, Seq: summary.Seq,
+				Epoch: summary.Epoch, ActivatedPlan: uint64(b % 4),
+				Regions: []RegionFigures{{Name: "region-0", Cells: a, Known: b, Relays: a, Serving: b}}}}
 	case 4:
 		return PlanChanged{drawnPlan(1+a%16, uint64(1+b%6))}
 	}
@@ -83,7 +92,8 @@
 	plan := cellplan.Plan{Number: number}
 	for i := range cells {
 		region := fmt.Sprintf("region-%d", i%3)
-		plan.Cells = append(plan.Cells, cellplan.Cell{Name: fmt.Sprintf("cell-%d", i), Region: region, Zone: region, Relays: 1 + i, Contacts: []string{fmt.Sprintf("10.0.1.%d:1", i+1)}})
+		plan.Cells = append(plan.Cells, cellplan.Cell{Name: fmt.Sprintf("cell-%d", i), Region: region,
+			Zone: region, Relays: 1 + i, Contacts: []string{fmt.Sprintf("10.0.1.%d:1", i+1)}})
 	}
 	return plan
 }
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -8,7 +8,7 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Report is what is known of the cells at one relay, for people.
+// Report is what is known of the cells at one relay, for operators.
 type Report struct {
 	Cell           string `json:"cell"`
 	Region         string `json:"region"`
@@ -18,7 +18,7 @@
 	JoinedPlan     uint64 `json:"entered"`
 	ActivatedPlan  uint64 `json:"opened"`
 	FilePlan       uint64 `json:"file_plan"`
-	// DirectoryMs is the age of the speaker's directory, negative if there is none.
+	// DirectoryMs is the age of the representative's directory, negative if there is none.
 	DirectoryMs float64        `json:"directory_ms"`
 	Regions     []RegionReport `json:"regions"`
 	Dropped     DropCounters   `json:"dropped"`
@@ -30,7 +30,8 @@
 	Rows []CellReport `json:"rows"`
 }
 
-// CellReport is one cell in a Report. At a relay that is no speaker most are known by their region's figures only.
+// CellReport is one cell in a Report. At a relay that is no representative most are known by their region's
+// figures only.
 type CellReport struct {
 	Name            string   `json:"cell"`
 	Own             bool     `json:"own,omitempty"`
@@ -54,16 +55,22 @@
 // Report tells what the Coordinator knows.
 func (c *Coordinator) Report(now time.Duration) Report {
 	own, _ := c.plan.Find(c.cfg.Cell)
-	report := Report{Cell: c.cfg.Cell, Region: own.Region, Representative: c.representative, Plan: c.local.Plan, PlanHash: hex(c.local.PlanHash), JoinedPlan: c.local.JoinedPlan,
-		ActivatedPlan: c.activatedPlan, FilePlan: c.plan.Number, DirectoryMs: -1, Dropped: c.drops}
-	rows := c.directory.Regions
-	if c.directoryAt < 0 || c.representing {
-		rows = c.regionRows(now)
+	report := Report{
+		Cell:           c.cfg.Cell,
+		Region:         own.Region,
+		Representative: c.election.representative,
+		Plan:           c.local.Plan,
+		PlanHash:       hex(c.local.PlanHash),
+		JoinedPlan:     c.local.JoinedPlan,
+		ActivatedPlan:  c.activatedPlan,
+		FilePlan:       c.plan.Number,
+		DirectoryMs:    -1,
+		Dropped:        c.drops,
 	}
-	if c.directoryAt >= 0 {
-		report.DirectoryMs = duration.Millis(now - c.directoryAt)
+	if c.directory.at >= 0 {
+		report.DirectoryMs = duration.Millis(now - c.directory.at)
 	}
-	for _, row := range rows {
+	for _, row := range c.knownRegions(now) {
 		report.Regions = append(report.Regions, RegionReport{RegionFigures: row})
 	}
 	report.addCell(own.Region, c.ownReport())
@@ -90,16 +97,48 @@
 	r.Regions[i].Rows = append(r.Regions[i].Rows, cell)
 }
 
+// ownReport is this cell's row.
 func (c *Coordinator) ownReport() CellReport {
 	l := c.local
-	return CellReport{Name: c.cfg.Cell, Own: true, Known: true, Representative: c.representative, Epoch: l.Epoch, Plan: l.Plan, PlanHash: hex(l.PlanHash), JoinedPlan: l.JoinedPlan,
-		Relays: l.Members, Serving: l.Serving, RequestRate: l.RequestRate, OpenConnections: l.OpenConnections, DrainRate: l.DrainRate, Departed: l.Departed}
+	return CellReport{
+		Name:            c.cfg.Cell,
+		Own:             true,
+		Known:           true,
+		Representative:  c.election.representative,
+		Epoch:           l.Epoch,
+		Plan:            l.Plan,
+		PlanHash:        hex(l.PlanHash),
+		JoinedPlan:      l.JoinedPlan,
+		Relays:          l.Members,
+		Serving:         l.Serving,
+		RequestRate:     l.RequestRate,
+		OpenConnections: l.OpenConnections,
+		DrainRate:       l.DrainRate,
+		Departed:        l.Departed,
+	}
 }
 
+// cellReport is another cell's row.
 func (c *Coordinator) cellReport(now time.Duration, r *remote) CellReport {
 	s := r.summary
-	report := CellReport{Name: r.name, Known: !c.isUnknown(now, r), AgeMs: -1, Representative: s.Representative, Epoch: s.Epoch, Plan: s.Plan, PlanHash: hex(s.PlanHash),
-		Mismatch: r.mismatch, JoinedPlan: s.JoinedPlan, Relays: s.Members, Serving: s.Serving, RequestRate: s.RequestRate, OpenConnections: s.OpenConnections, DrainRate: s.DrainRate, Departed: s.Departed, Contact: r.sentTo}
+	report := CellReport{
+		Name:            r.name,
+		Known:           !c.isUnknown(now, r),
+		AgeMs:           -1,
+		Representative:  s.Representative,
+		Epoch:           s.Epoch,
+		Plan:            s.Plan,
+		PlanHash:        hex(s.PlanHash),
+		Mismatch:        r.mismatch,
+		JoinedPlan:      s.JoinedPlan,
+		Relays:          s.Members,
+		Serving:         s.Serving,
+		RequestRate:     s.RequestRate,
+		OpenConnections: s.OpenConnections,
+		DrainRate:       s.DrainRate,
+		Departed:        s.Departed,
+		Contact:         r.sentTo,
+	}
 	if r.summaryAt >= 0 {
 		report.AgeMs = duration.Millis(now - r.summaryAt)
 	}
--- a/internal/fleet/cells/speaker_test.go
+++ b/internal/fleet/cells/representative_test.go
@@ -14,36 +14,40 @@
 // small is three cells in two regions.
 var small = []int{2, 1}
 
-// Two relays that both believe to speak do no harm: all stay agreed, nobody is told of a change again and again.
-func TestTwoSpeakersAtOnce(t *testing.T) {
+// Two relays that both believe to represent their cell do no harm: all stay agreed, no change is reported
+// again and again.
+func TestTwoRepresentativesAtOnceAgree(t *testing.T) {
 	n := fleetOf(t, 3, small, 1, 3)
 	n.loss, n.double = 0.05, 0.1
 	n.pass(60 * second)
 	g := n.cells[0]
 	first := g.relays[0]
 	g.relays[1].believes = func(r *relay) bool { return r != first }
-	n.tell(g)
+	n.updateCell(g)
 	n.pass(20 * second)
-	if !g.relays[0].coordinator.representing || !g.relays[1].coordinator.representing {
+	if !g.relays[0].coordinator.election.representing || !g.relays[1].coordinator.election.representing {
 		t.Fatal("there are no two speakers")
 	}
-	told := n.changes[RepresentativeChanged]
+	reported := n.changes[RepresentativeChanged]
 	for range 30 {
 		n.pass(10 * second)
 		if !n.agreed() {
 			for _, r := range n.byName {
-				t.Log(n.now, r.name, n.informed(r), r.coordinator.representing, r.coordinator.otherRepresentative, r.coordinator.directory)
+				t.Log(n.now, r.name, n.informed(r), r.coordinator.election.representing,
+					r.coordinator.election.other,
+					r.coordinator.directory.newest)
 			}
 			t.Fatal("two speakers break the agreement")
 		}
 	}
-	if more := n.changes[RepresentativeChanged] - told; more > 0 || n.changes[CellLost] > 0 {
-		t.Errorf("%d changes of speaker and %d lost cells told in 300 s", more, n.changes[CellLost])
+	if more := n.changes[RepresentativeChanged] - reported; more > 0 || n.changes[CellLost] > 0 {
+		t.Errorf("%d changes of representative and %d lost cells reported in 300 s", more,
+			n.changes[CellLost])
 	}
 }
 
-// A speaker that comes back with numbers lower than it has told is taken again, but no old packet is.
-func TestSpeakerWithOldNumbers(t *testing.T) {
+// A representative that comes back with numbers lower than it has sent is taken again, but no old packet is.
+func TestRepresentativeWithOldNumbersIsHeardAgain(t *testing.T) {
 	n := fleetOf(t, 4, small, 1, 1)
 	n.pass(60 * second)
 	g := n.cells[0]
@@ -54,13 +58,13 @@
 	}
 	g.relays[0].incarnation = 0 // its next process is its first once more
 	n.start(g.relays[0])
-	n.tell(g)
+	n.updateCell(g)
 	if took := n.until(60*second, n.agreed); took > 25*second {
 		t.Errorf("taken again after %.1f s", took.Seconds())
 	}
 }
 
-func TestOldPacketsAreNotFresh(t *testing.T) {
+func TestOldPacketsDoNotMakeACellKnown(t *testing.T) {
 	c, plan := one(t)
 	said := heardFrom(plan, "b", 5)
 	c.Handle(0, SummaryReceived{Summary: said}, nil)
@@ -74,7 +78,7 @@
 	if c.drops.Stale != 3 {
 		t.Error(c.drops)
 	}
-	// Nor does one that comes long after, nor its double: only a speaker that goes on telling.
+	// Nor does one that comes long after, nor its double: only a representative that goes on telling.
 	late := 1000 * second
 	for range 3 {
 		c.Handle(late, SummaryReceived{Summary: heardFrom(plan, "b", 2)}, nil)
@@ -84,12 +88,12 @@
 	}
 	c.Handle(late, SummaryReceived{Summary: heardFrom(plan, "b", 3)}, nil)
 	if c.remotes["b"].summaryAt != late {
-		t.Error("a speaker that has lost its numbers is never heard again")
+		t.Error("a representative that has lost its numbers is never taken again")
 	}
 }
 
 // What a part of a cell with an older view tells doesn't replace what the newer one does.
-func TestOlderViewOfACell(t *testing.T) {
+func TestSummaryOfAnOlderViewIsStale(t *testing.T) {
 	c, plan := one(t)
 	newer, older := heardFrom(plan, "b", 5), heardFrom(plan, "b", 9)
 	newer.Epoch, older.Epoch, older.Representative, older.Members, older.Serving = 8, 7, "b-2", 2, 2
@@ -101,14 +105,16 @@
 	older.Seq++
 	c.Handle(100*second, SummaryReceived{Summary: older}, nil)
 	if c.remotes["b"].summary.Members != 2 {
-		t.Error("a cell whose newer part is gone is never heard again")
+		t.Error("a cell whose newer part is gone is never taken again")
 	}
 }
 
-// A relay that is no speaker forwards a summary to the one that is, and one that was forwarded to nobody.
-func TestForwardOnce(t *testing.T) {
+// A relay that is no representative forwards a summary to the one that is, and one that was forwarded to
+// nobody.
+func TestSummaryIsForwardedOnce(t *testing.T) {
 	c, plan := one(t)
-	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-0", Alive: true}, {Name: "a-1", Alive: true}}, Members: 2}, nil)
+	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-0", Alive: true}, {Name: "a-1", Alive: true}},
+		Members: 2}, nil)
 	out := c.Handle(second, SummaryReceived{Summary: heardFrom(plan, "b", 1)}, nil)
 	i := slices.IndexFunc(out, func(a Action) bool { _, is := a.(ForwardSummary); return is })
 	if i < 0 || out[i].(ForwardSummary).To != "a-0" || !out[i].(ForwardSummary).Summary.Forwarded {
@@ -124,7 +130,7 @@
 }
 
 // When a cell's contact is dead, another is tried until one answers.
-func TestContactsRotate(t *testing.T) {
+func TestSilentContactsRotate(t *testing.T) {
 	n := fleetOf(t, 8, small, 1, 4)
 	n.pass(60 * second)
 	g := n.cells[1]
@@ -135,19 +141,23 @@
 		n.kill(r)
 	}
 	n.pass(100 * second)
-	n.cut = func(from, to *relay) bool { return isolated(from) && !isolated(to) } // only its own contacts can tell
+	// only its own contacts can tell
+	n.cut = func(from, to *relay) bool { return isolated(from) && !isolated(to) }
 	heal := n.now
 	took := n.until(300*second, func() bool {
-		return !slices.ContainsFunc(n.cells, func(o *group) bool { return o != g && g.relays[3].coordinator.remotes[o.name].summaryAt < heal })
+		return !slices.ContainsFunc(n.cells, func(o *group) bool {
+			return o != g &&
+				g.relays[3].coordinator.remotes[o.name].summaryAt < heal
+		})
 	})
-	t.Logf("three of four contacts dead: all heard after %.1f s", took.Seconds())
+	t.Logf("three of four contacts dead: all known after %.1f s", took.Seconds())
 	if took > 5*Round(3) {
 		t.Errorf("after %.1f s", took.Seconds())
 	}
 }
 
-// A new speaker doesn't forget the figures of a cell that it has never heard itself.
-func TestNewSpeakerInherits(t *testing.T) {
+// A new representative doesn't forget the figures of a cell of which it never had a summary.
+func TestNewRepresentativeInheritsFigures(t *testing.T) {
 	n := fleetOf(t, 9, small, 1, 3)
 	n.pass(60 * second)
 	cutOff := n.cells[2]
@@ -158,17 +168,17 @@
 	for range 60 {
 		n.pass(second)
 		if got := n.cells[0].relays[1].coordinator.Others(n.now); got != before {
-			t.Fatalf("the new speaker reckons with %+v, before with %+v", got, before)
+			t.Fatalf("the new representative counts %+v, before with %+v", got, before)
 		}
 	}
-	row := n.cells[0].relays[2].coordinator.directory.Regions[1]
+	row := n.cells[0].relays[2].coordinator.directory.newest.Regions[1]
 	if row.Known != 0 || row.Relays != 32 || row.RequestRate != 3200 {
-		t.Errorf("the cut off region is told as %+v", row)
+		t.Errorf("the cut off region is published as %+v", row)
 	}
 }
 
-// A new speaker tells nothing of the other cells before it has heard of them.
-func TestNewSpeakerHearsFirst(t *testing.T) {
+// A new representative tells nothing of the other cells before it knows of them.
+func TestNewRepresentativeHearsBeforeItPublishes(t *testing.T) {
 	n := fleetOf(t, 12, small, 1, 3)
 	n.pass(60 * second)
 	g := n.cells[0]
@@ -176,12 +186,12 @@
 	for range 300 {
 		n.pass(second / 10)
 		if !n.informed(g.relays[1]) || !n.informed(g.relays[2]) {
-			t.Fatalf("told to its cell: %+v", g.relays[2].coordinator.directory)
+			t.Fatalf("published to its cell: %+v", g.relays[2].coordinator.directory.newest)
 		}
 	}
 }
 
-// A speaker that was stopped for a while doesn't make up for what it has missed.
+// A representative that was stopped for a while doesn't make up for what it has missed.
 func TestNoBurstAfterAPause(t *testing.T) {
 	n := fleetOf(t, 10, large, 2, 1)
 	n.pass(60 * second)
@@ -200,18 +210,19 @@
 	}
 }
 
-// A change soon after another is told in a quick round of its own, once a round has passed since the last.
-func TestChangeAfterAChange(t *testing.T) {
+// A change soon after another is sent in an expedited round of its own, once a round has passed since the
+// last.
+func TestSecondChangeIsExpeditedAfterARound(t *testing.T) {
 	n := fleetOf(t, 11, large, 2, 1)
 	n.pass(60 * second)
 	g := n.cells[0]
 	round := Round(len(n.cells))
 	from := n.now
 	g.epoch++
-	n.tell(g)
+	n.updateCell(g)
 	n.pass(second)
 	g.epoch++
-	n.tell(g)
+	n.updateCell(g)
 	n.pass(3 * round)
 	for i, want := range []int{33, 33, 0} { // a quick round, the second, and none more
 		start := from + time.Duration(i)*round
@@ -222,11 +233,13 @@
 	}
 }
 
-// A new speaker tries another contact of a cell each time until it hears of it: it may have taken over at the same time.
-func TestNewSpeakerTriesEachContact(t *testing.T) {
+// A new representative tries another contact of a cell each time until it answers: it may have taken
+// over at the same time.
+func TestNewRepresentativeTriesEachContact(t *testing.T) {
 	plan := cellplan.Plan{Number: 1, Cells: []cellplan.Cell{
 		{Name: "a", Region: "r", Zone: "z", Relays: 3, Contacts: []string{"10.0.0.1:1"}},
-		{Name: "b", Region: "r", Zone: "z", Relays: 3, Contacts: []string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}}}}
+		{Name: "b", Region: "r", Zone: "z", Relays: 3,
+			Contacts: []string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}}}}
 	c := New(0, Config{Name: "a-1", Cell: "a", Incarnation: 1, Plan: plan})
 	out := c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 3}, nil)
 	tried := map[string]bool{}
@@ -252,11 +265,13 @@
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
 		s.Cell, s.Representative, s.Plan, s.JoinedPlan, s.PlanHash = "b", fmt.Sprint("s", i), 7, 7, uint64(i)
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
-		c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: fmt.Sprint("s", i), Incarnation: 1, Seq: 1}}, nil)
+		c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: fmt.Sprint("s", i),
+			Incarnation: 1, Seq: 1}}, nil)
 	}
 	r := c.remotes["b"]
-	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins || len(c.directorySeen) > maxRepresentatives || c.drops.Unknown != 5000 {
-		t.Error(len(c.remotes), len(r.seen), len(r.planJoins), len(c.directorySeen), c.drops)
+	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins ||
+		len(c.directory.seen) > maxRepresentatives || c.drops.Unknown != 5000 {
+		t.Error(len(c.remotes), len(r.seen), len(r.planJoins), len(c.directory.seen), c.drops)
 	}
 	c.Handle(0, PlanChanged{cellplan.Plan{Number: 2, Cells: plan.Cells[:2]}}, nil)
 	if len(c.remotes) != 1 || c.remotes["b"] != r {
@@ -265,13 +280,18 @@
 }
 
 // What can't be is not taken.
-func TestChecks(t *testing.T) {
+func TestChecksRejectWhatCannotBe(t *testing.T) {
 	_, plan := one(t)
 	for i, change := range []func(s *Summary){
-		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Representative = "" }, func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
-		func(s *Summary) { s.JoinedPlan = s.Plan + 1 }, func(s *Summary) { s.Members = -1 }, func(s *Summary) { s.Serving = s.Members + 1 },
-		func(s *Summary) { s.RequestRate = math.NaN() }, func(s *Summary) { s.RequestRate = math.Inf(1) }, func(s *Summary) { s.DrainRate = -1 }, func(s *Summary) { s.OpenConnections = -1 },
-		func(s *Summary) { s.Contacts = []string{"relay:1"} }, func(s *Summary) { s.Contacts = make([]string, 4) }, func(s *Summary) { s.Departed = make([]string, 9) },
+		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Representative = "" },
+		func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
+		func(s *Summary) { s.JoinedPlan = s.Plan + 1 }, func(s *Summary) { s.Members = -1 },
+		func(s *Summary) { s.Serving = s.Members + 1 },
+		func(s *Summary) { s.RequestRate = math.NaN() }, func(s *Summary) { s.RequestRate = math.Inf(1) },
+		func(s *Summary) { s.DrainRate = -1 }, func(s *Summary) { s.OpenConnections = -1 },
+		func(s *Summary) { s.Contacts = []string{"relay:1"} },
+		func(s *Summary) { s.Contacts = make([]string, 4) },
+		func(s *Summary) { s.Departed = make([]string, 9) },
 		func(s *Summary) { s.Departed = []string{"a\nb"} },
 	} {
 		s := heardFrom(plan, "b", 1)
@@ -284,11 +304,15 @@
 		}
 	}
 	for i, change := range []func(d *Directory){
-		func(d *Directory) { d.Cell = "" }, func(d *Directory) { d.Seq = 0 }, func(d *Directory) { d.Regions[0].RequestRate = math.NaN() },
-		func(d *Directory) { d.Regions[0].Known = 3 }, func(d *Directory) { d.Regions = make([]RegionFigures, 17) },
-		func(d *Directory) { d.Regions[1].Name = "r" }, func(d *Directory) { d.Regions[0].Cells = 1 << 20 }, func(d *Directory) { d.ActivatedPlan = math.MaxUint64 },
+		func(d *Directory) { d.Cell = "" }, func(d *Directory) { d.Seq = 0 },
+		func(d *Directory) { d.Regions[0].RequestRate = math.NaN() },
+		func(d *Directory) { d.Regions[0].Known = 3 },
+		func(d *Directory) { d.Regions = make([]RegionFigures, 17) },
+		func(d *Directory) { d.Regions[1].Name = "r" }, func(d *Directory) { d.Regions[0].Cells = 1 << 20 },
+		func(d *Directory) { d.ActivatedPlan = math.MaxUint64 },
 	} {
-		d := Directory{Cell: "a", Representative: "a-0", Incarnation: 1, Seq: 1, Regions: []RegionFigures{{Name: "r", Cells: 2, Known: 1}, {Name: "s"}}}
+		d := Directory{Cell: "a", Representative: "a-0", Incarnation: 1, Seq: 1,
+			Regions: []RegionFigures{{Name: "r", Cells: 2, Known: 1}, {Name: "s"}}}
 		if d.Check() != nil {
 			t.Fatal(d.Check())
 		}
@@ -299,11 +323,12 @@
 	}
 }
 
-// one is a relay of cell a that is told nothing yet, beside cells b and c.
+// one is a relay of cell a that knows nothing yet, beside cells b and c.
 func one(t *testing.T) (*Coordinator, cellplan.Plan) {
 	plan := cellplan.Plan{Number: 2}
 	for i, name := range []string{"a", "b", "c"} {
-		plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: "r", Zone: "z", Relays: 32, Contacts: []string{fmt.Sprintf("10.0.0.%d:1", i+1)}})
+		plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: "r", Zone: "z", Relays: 32,
+			Contacts: []string{fmt.Sprintf("10.0.0.%d:1", i+1)}})
 	}
 	if err := plan.Check(); err != nil {
 		t.Fatal(err)
@@ -311,8 +336,9 @@
 	return New(0, Config{Name: "a-1", Cell: "a", Incarnation: 1, Plan: plan}), plan
 }
 
-// heardFrom is a summary of a cell that has entered the plan.
+// heardFrom is a summary of a cell that has joined the plan.
 func heardFrom(plan cellplan.Plan, cell string, seq uint64) Summary {
-	return Summary{Cell: cell, Region: "r", Representative: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3, Plan: plan.Number, PlanHash: plan.Hash(), JoinedPlan: plan.Number,
+	return Summary{Cell: cell, Region: "r", Representative: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3,
+		Plan: plan.Number, PlanHash: plan.Hash(), JoinedPlan: plan.Number,
 		Members: 32, Serving: 30, RequestRate: 100, OpenConnections: 1000}
 }
--- a/internal/lifecycle/leave_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -17,7 +17,8 @@
 	"capersail/internal/wire/platform"
 )
 
-// starved hands out connections that nobody reads before they are let go, as on a relay with no processor time.
+// starved hands out connections that nobody reads before they are let go, as on a relay with no processor
+// time.
 type starved struct {
 	net.Listener
 	let chan struct{}
@@ -41,20 +42,23 @@
 	return c.TCPConn.Read(p)
 }
 
-// A leave ends when every connection has been closed from this side, in order. Requests that have come and that nobody has read when
-// it has nothing else to do are answered, and who rests gets a clean end: the process would go over unread bytes, and reset them.
-func TestLeaveAnswersWhatHasCome(t *testing.T) {
+// A shutdown ends when every connection has been closed from this side, in order. Requests that have come and
+// that nobody has read when it has nothing else to do are answered, and who rests gets a clean end: the
+// process would go over unread bytes, and reset them.
+func TestShutdownAnswersWhatHasCome(t *testing.T) {
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
-		Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(10_000)}}}}
-	x := relay.NewRequestTable(site, clock, &platform.Servers{Clock: clock})
+		Classes: []decide.ClassInfo{
+			{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(10_000)},
+		}}}
+	x := relay.NewRequestTable(site, clock, &platform.ServerDialer{Clock: clock})
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &starved{inner, make(chan struct{})}
 	door := connlimit.New(clock, 24, zerolog.Nop())
-	go (&platform.Front{X: x, Site: site, Gate: door}).Serve(l)
+	go (&platform.Frontend{Requests: x, Deployment: site, Limiter: door}).Serve(l)
 	var clients []net.Conn
 	said := []string{"OPEN a0 0f c=m,d=500\r\n", "OPEN a1 0f c=m,d=500\r\n", "OPEN a2 0f c=m,d=5", ""}
 	for _, text := range said {
@@ -73,7 +77,12 @@
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		shutDownFront(&runningFront{requests: x, listener: l, limiter: door, longestDeadline: 10_000})
+		shutDownFront(&runningFront{
+			requests:        x,
+			listener:        l,
+			limiter:         door,
+			longestDeadline: 10 * time.Second,
+		})
 	}()
 	for { // until it has nothing to do but wait for these
 		c, err := net.Dial("tcp", inner.Addr().String())
@@ -91,7 +100,8 @@
 	close(l.let)
 	for i, c := range clients {
 		got, err := io.ReadAll(bufio.NewReader(c))
-		if want := i < 2; err != nil || strings.HasPrefix(string(got), "BUSY") != want || !want && len(got) > 0 {
+		want := i < 2
+		if err != nil || strings.HasPrefix(string(got), "BUSY") != want || !want && len(got) > 0 {
 			t.Errorf("%q was answered %q, %v", said[i], got, err)
 		}
 		c.Close()
--- a/internal/resume/harness_test.go
+++ b/internal/resume/harness_test.go
@@ -86,7 +86,7 @@
 
 // open opens a request for a stream.
 func (r *testRelay) open(st *Stream) *relay.Request {
-	return r.table.Open(relay.OpenRequest{Ownership: st, Timeout: 30_000}, nobody{})
+	return r.table.Open(relay.OpenRequest{Ownership: st, Timeout: 30 * time.Second}, nobody{})
 }
 
 // newStreams makes n streams and gives them back; it returns their tokens.
@@ -114,9 +114,9 @@
 func (r *testRelay) startResuming(t testing.TB, tokens []string) (requests []*relay.Request) {
 	t.Helper()
 	for _, text := range tokens {
-		st, note, err := r.service.ResumeStream(text, StreamRequest{Class: "m"})
+		st, err := r.service.ResumeStream(text, StreamRequest{Class: "m"})
 		if err != nil {
-			t.Fatal(note, err)
+			t.Fatal(err)
 		}
 		requests = append(requests, r.open(st))
 	}
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -2,6 +2,7 @@
 
 import (
 	"path"
+	"time"
 
 	"capersail/internal/ownership"
 	"capersail/internal/relay"
@@ -26,7 +27,7 @@
 func (s *Service) sendRequest(q ownership.Request) {
 	record := s.recordPath(q.Stream.String())
 	holder := holderPath(record)
-	done := func(a zookeeper.Answer) { s.enqueue(s.reply(q, record, a)) }
+	done := func(a zookeeper.Answer) { s.enqueue(s.replyOf(q, record, a)) }
 	switch q.Kind {
 	case ownership.ReadRecord:
 		s.session.Get(record, done)
@@ -50,19 +51,21 @@
 	}
 }
 
-// reply is the Lease's reply to a request. A record that cannot be read is an error of the service's.
-func (s *Service) reply(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
+// replyOf is the service's answer as the Lease takes it. A record that cannot be read is an error of the
+// service's.
+func (s *Service) replyOf(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
 	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.Owner}
 	code, known := replyCodes[a.Code]
 	if !known {
 		s.Log.Warn().Int32("code", int32(a.Code)).Str("node", node).
-			Msg("ownership service rejected a request")
+			Msg("ownership service rejected a request, it is retried: look its code up in ZooKeeper's pages")
 		code = ownership.ServiceError
 	}
 	if q.Kind == ownership.ReadRecord && code == ownership.OK {
 		var err error
 		if r.Record, err = ownership.ParseRecord(a.Data); err != nil {
-			s.Log.Warn().Err(err).Str("node", node).Msg("ownership record ignored")
+			s.Log.Warn().Err(err).Str("node", node).
+				Msg("ownership record ignored: a newer relay may write the same path")
 			code = ownership.ServiceError
 		}
 	}
@@ -74,22 +77,22 @@
 type sessionEvents Service
 
 // Connected makes the path on which records lie, if need be, and notifies the Lease.
-func (e *sessionEvents) Connected(session int64, granted, sentAt float64) {
+func (e *sessionEvents) Connected(session int64, granted, sentAt time.Duration) {
 	s := (*Service)(e)
-	s.Log.Info().Float64("session_ms", granted).Msg("ownership service connected")
+	s.Log.Info().Float64("session_ms", relay.Millis(granted)).Msg("ownership service connected")
 	for i, p := range ancestors(s.Path) { // created by whoever comes first
 		s.session.Create(p, nil, false, func(a zookeeper.Answer) {
 			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.Lost
 			if failed && i == 0 {
 				s.Log.Error().Int32("code", int32(a.Code)).Str("path", p).
-					Msg("ownership service rejected the path of the records; check its rights")
+					Msg("ownership service rejected the path of the records, no stream gets a token: check its rights")
 			}
 		})
 	}
 	s.enqueue(ownership.SessionConnected{
 		SessionID: session,
-		Timeout:   relay.Duration(granted),
-		SentAt:    relay.Duration(sentAt),
+		Timeout:   granted,
+		SentAt:    sentAt,
 	})
 }
 
@@ -99,13 +102,14 @@
 // Expired notifies the Lease that the session is gone.
 func (e *sessionEvents) Expired() {
 	s := (*Service)(e)
-	s.Log.Warn().Msg("ownership service session expired; streams with tokens are migrated")
+	s.Log.Warn().
+		Msg("ownership service session expired, streams with tokens are migrated: check it and this machine")
 	s.enqueue(ownership.SessionExpired{})
 }
 
 // Answered notifies the Lease that something sent at that time was answered.
-func (e *sessionEvents) Answered(sentAt float64) {
-	(*Service)(e).enqueue(ownership.Renewed{SentAt: relay.Duration(sentAt)})
+func (e *sessionEvents) Answered(sentAt time.Duration) {
+	(*Service)(e).enqueue(ownership.Renewed{SentAt: sentAt})
 }
 
 // ancestors lists a path and those above it, the topmost first.
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -72,8 +72,7 @@
 	}
 	s.Path = path.Clean(c.Path)
 	s.keys.Store(keys)
-	timeout := relay.Millis(c.SessionTimeout)
-	s.session = zookeeper.NewSession(c.Servers, timeout, clock, (*sessionEvents)(s), log)
+	s.session = zookeeper.NewSession(c.Servers, c.SessionTimeout, clock, (*sessionEvents)(s), log)
 	return s
 }
 
@@ -91,7 +90,7 @@
 	return s.stats
 }
 
-func (s *Service) count(counter *uint64) {
+func (s *Service) increment(counter *uint64) {
 	s.mu.Lock()
 	*counter++
 	s.mu.Unlock()
@@ -158,7 +157,7 @@
 
 // Close ends the session, and with it all ownership at once, at the end of a relay's life. It waits no longer
 // than within for that, and is called once.
-func (s *Service) Close(within time.Duration) { s.session.Close(relay.Millis(within)) }
+func (s *Service) Close(within time.Duration) { s.session.Close(within) }
 
 // handleEvent lets the Lease act. Only Run's goroutine calls it, so streams hear of decisions in their order.
 func (s *Service) handleEvent(ev ownership.Event) {
@@ -169,14 +168,14 @@
 		case ownership.Request:
 			s.sendRequest(a)
 		case ownership.Acquired:
-			s.count(&s.stats.Acquired)
-			s.streams[a.Handle].acquired(a.FencingToken)
+			s.increment(&s.stats.Acquired)
+			s.streams[a.Handle].handleAcquired(a.FencingToken)
 		case ownership.Rejected:
-			s.rejected(a)
+			s.handleRejected(a)
 		case ownership.LeaseExpired:
-			s.count(&s.stats.Expired)
+			s.increment(&s.stats.Expired)
 			if st := s.streams[a.Handle]; st != nil {
-				st.leaseExpired()
+				st.handleLeaseExpired()
 			}
 		case ownership.Released:
 			if st := s.streams[a.Handle]; st != nil {
@@ -187,27 +186,27 @@
 	}
 }
 
-// rejected answers a stream whose acquisition was rejected.
-func (s *Service) rejected(a ownership.Rejected) {
+// handleRejected answers a stream whose acquisition was rejected.
+func (s *Service) handleRejected(a ownership.Rejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
-	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: relay.Millis(a.RetryAfter)}
+	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: a.RetryAfter}
 	switch a.Reason {
 	case ownership.ErrAlreadyOwned:
-		s.count(&s.stats.AlreadyOwned)
+		s.increment(&s.stats.AlreadyOwned)
 	case ownership.ErrStaleToken:
-		s.count(&s.stats.StaleToken)
+		s.increment(&s.stats.StaleToken)
 		answer = relay.Answer{Kind: relay.Failed, Note: NoteStaleToken}
 	case ownership.ErrUnknownStream:
-		s.count(&s.stats.UnknownStream)
+		s.increment(&s.stats.UnknownStream)
 		answer = relay.Answer{Kind: relay.Failed, Note: NoteUnknownStream}
 	case ownership.ErrServiceUnreachable:
-		s.count(&s.stats.ServiceUnreachable)
+		s.increment(&s.stats.ServiceUnreachable)
 	case ownership.ErrTimedOut:
-		s.count(&s.stats.TimedOut)
+		s.increment(&s.stats.TimedOut)
 	}
 	if st != nil {
 		st.markReleased()
-		st.rejected(answer)
+		st.handleRejected(answer)
 	}
 }
--- a/internal/simulation/scale/celllayout.go
+++ b/internal/simulation/scale/celllayout.go
@@ -62,13 +62,13 @@
 	members := p.members[cell]
 	c.Cell = cell
 	c.Plan = &p.plan
-	c.Pace = membership.CellTiming
+	c.Timing = membership.CellTiming
 	c.Zones = p.zones
-	c.Founders = len(members)
+	c.BootstrapSize = len(members)
 	c.Seeds = nil
 	for place, member := range members {
 		if member == i {
-			c.InitialPlace = place
+			c.BootstrapSlot = place
 		}
 		if place < contactsPerCell {
 			c.Seeds = append(c.Seeds, Address(member))
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -113,7 +113,8 @@
 	before := s.writeErr
 	s.writeErr = fmt.Errorf("%s: %w", s.path, err)
 	if before == nil {
-		s.log.Error().Err(s.writeErr).Msg("store write failed; rows are kept in memory and retried")
+		s.log.Error().Err(s.writeErr).
+			Msg("store write failed, rows are kept in memory and retried: check the disk")
 	}
 }
 
@@ -122,7 +123,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.writeErr != nil {
-		s.log.Info().Str("store", s.path).Uint64("dropped", s.dropped).Msg("store written again")
+		s.log.Info().Str("store", s.path).Uint64("dropped", s.dropped).Msg("store write recovered")
 	}
 	s.writeErr = nil
 }
--- a/internal/wire/connlimit/limiter_test.go
+++ b/internal/wire/connlimit/limiter_test.go
@@ -11,14 +11,128 @@
 	"capersail/internal/relay"
 )
 
-// visitor is what a pass is meant to be.
-type visitor struct {
-	pass   *Permit
-	conn   *conn
-	client bool // its descriptor is held
-	asked  bool // and may not be taken away
-	wanted bool // and is to make room
-	server bool
+// modelPermit is what a permit is meant to be.
+type modelPermit struct {
+	permit  *Permit
+	conn    *conn
+	client  bool // its descriptor is held
+	request bool // it may not be evicted
+	evicted bool // it has been told to close
+	server  bool // the descriptor of its connection to a server is held
+}
+
+// limiterModel is what a Limiter is meant to count.
+type limiterModel struct {
+	all      []*modelPermit
+	idle     []*modelPermit // the oldest first
+	held     int            // descriptors
+	requests int            // descriptors of requests
+	evicted  int            // connections that have been told to close
+}
+
+const modelDescriptorLimit = 12
+
+func (m *limiterModel) removeIdle(v *modelPermit) {
+	m.idle = slices.DeleteFunc(m.idle, func(o *modelPermit) bool { return o == v })
+}
+
+func (m *limiterModel) cancelEviction(v *modelPermit) {
+	if v.evicted {
+		v.evicted = false
+		m.evicted--
+	}
+}
+
+func (m *limiterModel) evictOldest() {
+	v := m.idle[0]
+	m.removeIdle(v)
+	v.evicted = true
+	m.evicted++
+}
+
+func (m *limiterModel) admit(limiter *Limiter) {
+	if m.held-m.evicted >= modelDescriptorLimit && len(m.idle) > 0 {
+		m.evictOldest()
+	}
+	c := &conn{}
+	v := &modelPermit{permit: limiter.admitConnection(c), conn: c, client: true}
+	m.all = append(m.all, v)
+	m.idle = append(m.idle, v)
+	m.held++
+}
+
+func (m *limiterModel) acquireRequest(t *testing.T, v *modelPermit) {
+	t.Helper()
+	if v.request || v.server || !v.client { // a connection asks once, and before it is closed
+		return
+	}
+	may := m.requests+2 <= modelDescriptorLimit-minIdleReserve
+	if got := v.permit.AcquireRequest(); got != may {
+		t.Fatalf("request admitted: %v with %d descriptors of requests, %+v", got, m.requests, v)
+	}
+	if !may {
+		return
+	}
+	v.request, v.server = true, true
+	m.held++
+	m.requests += 2
+	m.removeIdle(v)
+	m.cancelEviction(v)
+	for m.held-m.evicted > modelDescriptorLimit && len(m.idle) > 0 {
+		m.evictOldest()
+	}
+}
+
+func (m *limiterModel) releaseRequest(v *modelPermit) {
+	v.permit.ReleaseRequest()
+	if v.request {
+		v.request = false
+		m.requests--
+		m.idle = append(m.idle, v)
+	}
+}
+
+func (m *limiterModel) releaseClient(v *modelPermit) {
+	if v.request {
+		v.request = false
+		m.requests--
+	}
+	if v.client {
+		v.client = false
+		m.held--
+		m.removeIdle(v)
+		m.cancelEviction(v)
+	}
+}
+
+func (m *limiterModel) releaseAll(v *modelPermit) {
+	v.permit.release()
+	m.releaseClient(v)
+	if v.server {
+		v.server = false
+		m.held--
+		m.requests--
+	}
+}
+
+// compare checks the limiter's counts, and each permit, against the model.
+func (m *limiterModel) compare(t *testing.T, limiter *Limiter) {
+	t.Helper()
+	got := [...]int{
+		limiter.descriptorsHeld, limiter.requestDescriptors, limiter.idlePermits.Len(), limiter.evicting,
+	}
+	if want := [...]int{m.held, m.requests, len(m.idle), m.evicted}; got != want {
+		t.Fatalf("held, of requests, idle, told to close: %d, want %d", got, want)
+	}
+	if m.held-m.evicted > modelDescriptorLimit+1 {
+		t.Fatalf("%d held of %d, %d of them told to close", m.held, modelDescriptorLimit, m.evicted)
+	}
+	for i, v := range m.all {
+		differs := v.client != v.permit.clientCounted || v.evicted != v.permit.evicted
+		if differs || v.evicted && !v.permit.Half.ClosingNow() || v.conn.closed {
+			t.Fatalf("permit %d: %+v, closed %v", i, v, v.conn.closed)
+		}
+	}
 }
 
 type conn struct {
@@ -29,109 +143,41 @@
 func (c *conn) Close() error                { c.closed = true; return nil }
 func (c *conn) SetDeadline(time.Time) error { return nil }
 
-// FuzzGate plays random steps to the passes of a small gate and checks its counts against a model: what is held
-// stays within the room but for those that are making way, the oldest idle connection makes way, and a request's never does.
-// The gate itself closes none: only the goroutine that reads a connection can tell whether its last line has come.
-func FuzzGate(f *testing.F) {
+// FuzzLimiterAgainstModel plays random steps to the permits of a small limiter and checks its counts against a
+// model: what is held stays within the limit but for those that have been told to close, the oldest idle
+// connection is evicted, and a request's never is. The limiter itself closes none: only the goroutine that
+// reads a connection can tell whether its last line has come.
+func FuzzLimiterAgainstModel(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 1, 0, 1, 1, 0, 0, 2, 0, 3, 0, 4, 0, 0, 0})
-	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 9, 1, 10, 4, 9, 0, 0, 0, 0})
+	f.Add(append(make([]byte, 22), 1, 9, 1, 10, 4, 9, 0, 0, 0, 0))
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		const room = 12
-		g := New(relay.NewManualClock(), room, zerolog.Nop())
-		var all []*visitor
-		var idle []*visitor
-		held, placed, wanted := 0, 0, 0
-		out := func(v *visitor) { idle = slices.DeleteFunc(idle, func(o *visitor) bool { return o == v }) }
-		stay := func(v *visitor) {
-			if v.wanted {
-				v.wanted = false
-				wanted--
-			}
-		}
-		free := func(v *visitor) {
-			if v.asked {
-				v.asked = false
-				placed--
-			}
-			if v.client {
-				v.client = false
-				held--
-				out(v)
-				stay(v)
-			}
-		}
-		want := func() {
-			v := idle[0]
-			out(v)
-			v.wanted = true
-			wanted++
-		}
+		limiter := New(relay.NewManualClock(), modelDescriptorLimit, zerolog.Nop())
+		m := &limiterModel{}
 		for ; len(steps) >= 2; steps = steps[2:] {
-			if steps[0]%5 == 0 {
-				if held-wanted >= room && len(idle) > 0 {
-					want()
-				}
-				c := &conn{}
-				v := &visitor{pass: g.admitConnection(c), conn: c, client: true}
-				all, idle = append(all, v), append(idle, v)
-				held++
-			} else if len(all) > 0 {
-				v := all[int(steps[1])%len(all)]
-				switch steps[0] % 5 {
-				case 1:
-					if v.asked || v.server || !v.client { // a connection asks once, and before it is closed
-						continue
-					}
-					may := placed+2 <= room-minIdleReserve
-					if got := v.pass.AcquireRequest(); got != may {
-						t.Fatalf("ask: %v with %d placed of %+v", got, placed, v)
-					}
-					if may {
-						v.asked, v.server = true, true
-						held, placed = held+1, placed+2
-						out(v)
-						stay(v)
-						for held-wanted > room && len(idle) > 0 {
-							want()
-						}
-					}
-				case 2:
-					v.pass.ReleaseRequest()
-					if v.asked {
-						v.asked = false
-						placed--
-						idle = append(idle, v)
-					}
-				case 3:
-					v.pass.ReleaseRequest()
-					if v.asked {
-						v.asked = false
-						placed--
-						idle = append(idle, v)
-					}
-					v.pass.ReleaseClient()
-					free(v)
-				case 4:
-					v.pass.release()
-					free(v)
-					if v.server {
-						v.server = false
-						held, placed = held-1, placed-1
-					}
-				}
-			}
-			if g.descriptorsHeld != held || g.requestDescriptors != placed || g.idlePermits.Len() != len(idle) || g.evicting != wanted {
-				t.Fatalf("held %d, placed %d, idle %d, making way %d; want %d, %d, %d, %d", g.descriptorsHeld, g.requestDescriptors, g.idlePermits.Len(), g.evicting, held, placed,
-					len(idle), wanted)
-			}
-			if held-wanted > room+1 {
-				t.Fatalf("%d held of %d, %d of them make way", held, room, wanted)
-			}
-			for i, v := range all {
-				if v.client != v.pass.clientCounted || v.wanted != v.pass.evicted || v.wanted && !v.pass.Half.ClosingNow() || v.conn.closed {
-					t.Fatalf("visitor %d: %+v, closed %v", i, v, v.conn.closed)
-				}
+			switch {
+			case steps[0]%5 == 0:
+				m.admit(limiter)
+			case len(m.all) > 0:
+				m.step(t, steps[0]%5, m.all[int(steps[1])%len(m.all)])
 			}
+			m.compare(t, limiter)
 		}
 	})
 }
+
+// step does one thing to one permit.
+func (m *limiterModel) step(t *testing.T, kind byte, v *modelPermit) {
+	t.Helper()
+	switch kind {
+	case 1:
+		m.acquireRequest(t, v)
+	case 2:
+		m.releaseRequest(v)
+	case 3:
+		m.releaseRequest(v)
+		v.permit.ReleaseClient()
+		m.releaseClient(v)
+	case 4:
+		m.releaseAll(v)
+	}
+}
