--- a/internal/relay/clock_faults.go
+++ b/internal/relay/clock_faults.go
@@ -9,10 +9,10 @@
 )
 
 // started is what the faulty clock showed when the process began.
-var started = faultpoint.Shown()
+var started = faultpoint.SkewedNow()
 
 // elapsed is how long ago the process began, by a clock that may run fast or slow.
-func (c *Clock) elapsed() time.Duration { return faultpoint.Shown() - started }
+func (c *Clock) elapsed() time.Duration { return faultpoint.SkewedNow() - started }
 
 // wallNow is the clock of the day, which may be off.
-func wallNow() time.Time { return time.Now().Add(faultpoint.Step()) }
+func wallNow() time.Time { return time.Now().Add(faultpoint.WallClockStep()) }
--- a/internal/relay/corroboration_faults.go
+++ b/internal/relay/corroboration_faults.go
@@ -6,5 +6,5 @@
 
 // applyCorroborationFault takes out the weighing of what peers tell, where the rules say so.
 func (s *SharedProbing) applyCorroborationFault() {
-	s.scheduler.DisableCorroboration(faultpoint.Present().Gullible)
+	s.scheduler.DisableCorroboration(faultpoint.CurrentRules().NoCorroboration)
 }
--- a/internal/testing/cluster/agreement.go
+++ b/internal/testing/cluster/agreement.go
@@ -53,8 +53,8 @@
 }
 
 // checkAgreement fails unless the named relays hold one view of just them.
-func checkAgreement(latest map[string]faultpoint.Noted, names []string, settled bool) error {
-	var first faultpoint.Noted
+func checkAgreement(latest map[string]faultpoint.HistoryLine, names []string, settled bool) error {
+	var first faultpoint.HistoryLine
 	for _, name := range names {
 		n, ok := latest[name]
 		if !ok {
@@ -63,7 +63,7 @@
 		if first.Name == "" {
 			first = n
 		}
-		if n.Epoch != first.Epoch || n.Hash != first.Hash {
+		if n.Epoch != first.Epoch || n.ViewHash != first.ViewHash {
 			return fmt.Errorf("%s holds epoch %d of %v, %s epoch %d of %v",
 				name, n.Epoch, n.Members, first.Name, first.Epoch, first.Members)
 		}
@@ -94,9 +94,9 @@
 			return fmt.Errorf("cell %s: %w", c.Name, err)
 		}
 		for _, name := range names {
-			if n := latest[name]; n.Plan != number || !n.Open {
+			if n := latest[name]; n.Plan != number || !n.PlanActivated {
 				return fmt.Errorf("cell %s: %s has joined plan %d, activated %v; %d is wanted",
-					c.Name, name, n.Plan, n.Open, number)
+					c.Name, name, n.Plan, n.PlanActivated, number)
 			}
 		}
 	}
@@ -110,8 +110,8 @@
 		return err
 	}
 	for _, r := range fleet.Relays {
-		if n := latest[r.Name]; r.running && n.CellsHeard != want {
-			return fmt.Errorf("%s knows of %d other cells, not of %d", r.Name, n.CellsHeard, want)
+		if n := latest[r.Name]; r.running && n.KnownCells != want {
+			return fmt.Errorf("%s knows of %d other cells, not of %d", r.Name, n.KnownCells, want)
 		}
 	}
 	return nil
--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -98,7 +98,7 @@
 	for _, zone := range zones {
 		sum := 0.0
 		for _, n := range latest {
-			sum += n.Taken(zone, n.T)
+			sum += n.Taken(zone, n.AtMillis)
 		}
 		if math.Abs(sum-1) > 0.001 {
 			t.Errorf("the relays take %v of the budgets in %s", sum, zone)
@@ -139,7 +139,7 @@
 			if i < 4 {
 				want = 0
 			}
-			if n := latest[r.Name].CellsHeard; n != want {
+			if n := latest[r.Name].KnownCells; n != want {
 				return fmt.Errorf("%s knows of %d other cells", r.Name, n)
 			}
 		}
@@ -202,7 +202,7 @@
 		if !r.Running() {
 			continue
 		}
-		name := latest[r.Name].Speaker
+		name := latest[r.Name].Representative
 		if name == "" || name == not || agreed != "" && name != agreed {
 			return 0, fmt.Errorf("%s has %q for its representative", r.Name, name)
 		}
--- a/internal/testing/cluster/cluster.go
+++ b/internal/testing/cluster/cluster.go
@@ -46,7 +46,7 @@
 	cutServers map[int][]string // by relay: the addresses of servers that it cannot reach
 
 	mu     sync.Mutex
-	events []faultpoint.Noted // what was done to processes
+	events []faultpoint.HistoryLine // what was done to processes
 }
 
 // New lays a cluster out and writes its files; no process runs yet. example is the path of the configuration
--- a/internal/testing/cluster/faults.go
+++ b/internal/testing/cluster/faults.go
@@ -56,11 +56,11 @@
 	clear(fleet.cutServers)
 	for i, r := range fleet.Relays {
 		r.faults = faultpoint.Rules{
-			Seed:     r.faults.Seed,
-			Rate:     r.faults.Rate,
-			StepMs:   r.faults.StepMs,
-			LeaseMs:  r.faults.LeaseMs,
-			CellRate: r.faults.CellRate,
+			Seed:            r.faults.Seed,
+			ClockRate:       r.faults.ClockRate,
+			WallClockStepMs: r.faults.WallClockStepMs,
+			LeaseMs:         r.faults.LeaseMs,
+			CellRate:        r.faults.CellRate,
 		}
 		fleet.Cont(i)
 	}
--- a/internal/testing/cluster/history.go
+++ b/internal/testing/cluster/history.go
@@ -18,13 +18,13 @@
 func (fleet *Cluster) recordEvent(i int, event string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	line := faultpoint.Noted{T: millis(Now()), Name: fleet.Relays[i].Name, Event: event}
+	line := faultpoint.HistoryLine{AtMillis: millis(Now()), Name: fleet.Relays[i].Name, Event: event}
 	fleet.events = append(fleet.events, line)
 }
 
 // History returns the lines of all processes and the cluster's own events, in the order of their times. It
 // fails if a process's file cannot be read.
-func (fleet *Cluster) History() ([]faultpoint.Noted, error) {
+func (fleet *Cluster) History() ([]faultpoint.HistoryLine, error) {
 	fleet.mu.Lock()
 	all := slices.Clone(fleet.events)
 	fleet.mu.Unlock()
@@ -35,12 +35,12 @@
 		}
 		all = append(all, lines...)
 	}
-	slices.SortStableFunc(all, func(a, b faultpoint.Noted) int { return cmp.Compare(a.T, b.T) })
+	slices.SortStableFunc(all, func(a, b faultpoint.HistoryLine) int { return cmp.Compare(a.AtMillis, b.AtMillis) })
 	return all, nil
 }
 
 // readHistory returns what the relay's processes have noted, nothing before the first has started.
-func (r *Relay) readHistory() (all []faultpoint.Noted, err error) {
+func (r *Relay) readHistory() (all []faultpoint.HistoryLine, err error) {
 	f, err := os.Open(r.path("history"))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -50,7 +50,7 @@
 	}
 	defer f.Close()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
-		var n faultpoint.Noted
+		var n faultpoint.HistoryLine
 		if json.Unmarshal(lines.Bytes(), &n) == nil { // the last line of a killed process may be torn
 			all = append(all, n)
 		}
@@ -59,9 +59,9 @@
 }
 
 // Latest returns the newest line of each relay that runs, by name.
-func (fleet *Cluster) Latest() (map[string]faultpoint.Noted, error) {
+func (fleet *Cluster) Latest() (map[string]faultpoint.HistoryLine, error) {
 	all, err := fleet.History()
-	latest := map[string]faultpoint.Noted{}
+	latest := map[string]faultpoint.HistoryLine{}
 	for _, n := range all {
 		switch n.Event {
 		case "start", "kill":
@@ -75,18 +75,18 @@
 
 // FormatHistory returns the lines of the time before an instant, for a failure's report. Times are in ms
 // after it.
-func FormatHistory(all []faultpoint.Noted, at, before time.Duration) string {
+func FormatHistory(all []faultpoint.HistoryLine, at, before time.Duration) string {
 	var b strings.Builder
 	for _, n := range all {
-		since := n.T - millis(at)
+		since := n.AtMillis - millis(at)
 		if since <= -millis(before) || since > 1 {
 			continue
 		}
 		fmt.Fprintf(&b, "%9.1f %s %s%s epoch %d share %.4f", since, n.Name, n.Event, n.Phase, n.Epoch, n.Share)
 		if n.Plan > 0 {
-			fmt.Fprintf(&b, " in %v, %.4f elsewhere, by plan %d, activated %v,", n.Zones, n.Far, n.Plan, n.Open)
+			fmt.Fprintf(&b, " in %v, %.4f elsewhere, by plan %d, activated %v,", n.Zones, n.FarShare, n.Plan, n.PlanActivated)
 		}
-		fmt.Fprintf(&b, " until %+.0f %v\n", n.Until-n.T, n.Members)
+		fmt.Fprintf(&b, " until %+.0f %v\n", n.UntilMillis-n.AtMillis, n.Members)
 	}
 	return b.String()
 }
--- a/internal/testing/cluster/loadreports_test.go
+++ b/internal/testing/cluster/loadreports_test.go
@@ -176,13 +176,13 @@
 	},
 	"six in twelve replaced": (*sharedLoad).replaceServers,
 	"a liar: all empty": func(m *sharedLoad) {
-		m.cluster.ChangeFaults(4, func(r *faultpoint.Rules) { r.Lies = true })
+		m.cluster.ChangeFaults(4, func(r *faultpoint.Rules) { r.FalseReports = true })
 		m.watchFor(5 * time.Second)
 	},
 	"a liar: all full": func(m *sharedLoad) {
 		m.cluster.ChangeFaults(4, func(r *faultpoint.Rules) {
-			r.Lies = true
-			r.Lie = 3
+			r.FalseReports = true
+			r.FalseLoad = 3
 		})
 		m.watchFor(5 * time.Second)
 	},
@@ -319,8 +319,8 @@
 	for _, gullible := range []bool{false, true} {
 		t.Run(fmt.Sprint(gullible), func(t *testing.T) {
 			t.Parallel()
-			m := newSharedLoad(t, Layout{}, func(r *faultpoint.Rules) { r.Gullible = gullible })
-			m.cluster.ChangeFaults(4, func(r *faultpoint.Rules) { r.Lies = true })
+			m := newSharedLoad(t, Layout{}, func(r *faultpoint.Rules) { r.NoCorroboration = gullible })
+			m.cluster.ChangeFaults(4, func(r *faultpoint.Rules) { r.FalseReports = true })
 			believed := ""
 			for until := Now() + 6*time.Second; Now() < until && believed == ""; m.watchFor(200 * time.Millisecond) {
 				believed = m.reportOfLiar()
--- a/internal/testing/cluster/membership_test.go
+++ b/internal/testing/cluster/membership_test.go
@@ -102,7 +102,7 @@
 	for i := range fleet.Relays {
 		fleet.Play([]Step{{Do: "rate", Who: i, Value: []float64{0.95, 1.05, 1}[i%3]}})
 	}
-	fleet.ChangeFaults(6, func(r *faultpoint.Rules) { r.StepMs = millis(time.Hour) })
+	fleet.ChangeFaults(6, func(r *faultpoint.Rules) { r.WallClockStepMs = millis(time.Hour) })
 	fleet.Kill(6)
 	fleet.Start(6)
 	splitFor6s(0, 0, 0, 0, 1, 1, 1)(t, fleet)
@@ -124,7 +124,7 @@
 func mixDigests(t *testing.T, fleet *Cluster) {
 	t.Helper()
 	for i := range fleet.Relays {
-		fleet.ChangeFaults(i, func(r *faultpoint.Rules) { r.Digest = []int{0, -1, 1}[i%3] })
+		fleet.ChangeFaults(i, func(r *faultpoint.Rules) { r.DigestVersion = []int{0, -1, 1}[i%3] })
 	}
 	fleet.Kill(1)
 	time.Sleep(500 * time.Millisecond)
@@ -173,7 +173,7 @@
 		t.Error(err)
 	}
 	for _, h := range history {
-		if h.T > millis(since) && h.Event == "" && len(h.Members) < len(fleet.Relays) {
+		if h.AtMillis > millis(since) && h.Event == "" && len(h.Members) < len(fleet.Relays) {
 			t.Errorf("%s held a view of %v: a relay was removed falsely", h.Name, h.Members)
 			return
 		}
--- a/internal/testing/cluster/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -35,7 +35,7 @@
 		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Loss = s.Value })
 	},
 	"twice": func(fleet *Cluster, s Step) error {
-		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Twice = s.Value })
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Duplicates = s.Value })
 	},
 	"delay": func(fleet *Cluster, s Step) error {
 		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.DelayMs = s.Value })
@@ -44,7 +44,7 @@
 		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
 	},
 	"rate": func(fleet *Cluster, s Step) error {
-		return fleet.ChangeFaults(s.Who, func(r *faultpoint.Rules) { r.Rate = s.Value })
+		return fleet.ChangeFaults(s.Who, func(r *faultpoint.Rules) { r.ClockRate = s.Value })
 	},
 	"heal": func(fleet *Cluster, _ Step) error { return fleet.Heal() },
 }
--- a/internal/testing/cluster/shares.go
+++ b/internal/testing/cluster/shares.go
@@ -11,8 +11,8 @@
 // instant of a history, and that instant. A relay takes its share from its line on until its next line, until
 // the share expires, or until its process has ended; a relay in a cell takes a near share in some zones and a
 // far one in all others.
-func PeakShareSum(all []faultpoint.Noted) (peak float64, at time.Duration) {
-	latest := map[string]faultpoint.Noted{}
+func PeakShareSum(all []faultpoint.HistoryLine) (peak float64, at time.Duration) {
+	latest := map[string]faultpoint.HistoryLine{}
 	zones := zonesOf(all)
 	for _, n := range all {
 		switch n.Event {
@@ -24,11 +24,11 @@
 		for _, zone := range zones {
 			sum := 0.0
 			for _, line := range latest {
-				sum += line.Taken(zone, n.T)
+				sum += line.Taken(zone, n.AtMillis)
 			}
 			if sum > peak {
 				peak = sum
-				at = fromMillis(n.T)
+				at = fromMillis(n.AtMillis)
 			}
 		}
 	}
@@ -36,7 +36,7 @@
 }
 
 // zonesOf returns the zones that a history names, and "" for one that is near to no cell.
-func zonesOf(all []faultpoint.Noted) []string {
+func zonesOf(all []faultpoint.HistoryLine) []string {
 	zones := []string{""}
 	for _, n := range all {
 		for _, zone := range n.Zones {
@@ -50,20 +50,20 @@
 
 // LowestNearShare returns the lowest near share that a relay had at any instant between two: by its last line
 // before the first, and by its lines until the second. A share that expired meanwhile counts as 0.
-func LowestNearShare(all []faultpoint.Noted, name string, from, to time.Duration) float64 {
+func LowestNearShare(all []faultpoint.HistoryLine, name string, from, to time.Duration) float64 {
 	lowest, until := -1.0, 0.0
 	for _, n := range all {
-		if n.Name != name || n.Event != "" || n.T > millis(to) {
+		if n.Name != name || n.Event != "" || n.AtMillis > millis(to) {
 			continue
 		}
-		if n.T <= millis(from) {
-			lowest, until = n.Share, n.Until
+		if n.AtMillis <= millis(from) {
+			lowest, until = n.Share, n.UntilMillis
 			continue
 		}
-		if until > 0 && until < n.T {
+		if until > 0 && until < n.AtMillis {
 			return 0
 		}
-		lowest, until = min(lowest, n.Share), n.Until
+		lowest, until = min(lowest, n.Share), n.UntilMillis
 	}
 	if until > 0 && until < millis(to) {
 		return 0
--- a/internal/testing/cluster/slowstart_test.go
+++ b/internal/testing/cluster/slowstart_test.go
@@ -103,12 +103,12 @@
 func TestSharesNeedTheJointViewOverProcesses(t *testing.T) {
 	fleet := newCluster(t, Layout{Relays: 5, Unprotected: true}, 0)
 	for i := range fleet.Relays {
-		fleet.ChangeFaults(i, func(r *faultpoint.Rules) { r.NoJoint = true })
+		fleet.ChangeFaults(i, func(r *faultpoint.Rules) { r.NoJointViews = true })
 		fleet.Start(i)
 	}
 	await(t, waitLimit()+10*time.Second, "at first", fleet.checkSettled)
 	// Relay 0's lease lasts a little longer than the others think.
-	fleet.ChangeFaults(0, func(r *faultpoint.Rules) { r.Rate = 0.95 })
+	fleet.ChangeFaults(0, func(r *faultpoint.Rules) { r.ClockRate = 0.95 })
 	peakSum := func() float64 {
 		all, err := fleet.History()
 		if err != nil {
--- a/internal/testing/faultpoint/clock.go
+++ b/internal/testing/faultpoint/clock.go
@@ -17,8 +17,8 @@
 	rate        float64
 }
 
-// Now returns the machine's monotonic clock in ms, as Noted.T has it.
-func Now() float64 {
+// NowMillis returns the machine's monotonic clock in ms, as Noted.T has it.
+func NowMillis() float64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) != nil {
 		return 0
@@ -26,7 +26,7 @@
 	return float64(t.Sec)*1000 + float64(t.Nsec)/1e6
 }
 
-func monotonic() time.Duration { return time.Duration(Now() * float64(time.Millisecond)) }
+func monotonic() time.Duration { return time.Duration(NowMillis() * float64(time.Millisecond)) }
 
 // setRate changes the rate from now on; 0 and less stand for 1.
 func setRate(rate float64) {
@@ -50,21 +50,21 @@
 	return clock.shown + time.Duration(float64(now-clock.real)*clock.rate)
 }
 
-// Shown returns a monotonic clock that runs at the rate of the rules.
-func Shown() time.Duration {
+// SkewedNow returns a monotonic clock that runs at the rate of the rules.
+func SkewedNow() time.Duration {
 	clock.Lock()
 	defer clock.Unlock()
 	return shownAt(monotonic())
 }
 
-// Rate returns that of the clock Shown.
-func Rate() float64 {
+// ClockRate returns that of the clock Shown.
+func ClockRate() float64 {
 	clock.Lock()
 	defer clock.Unlock()
 	return clock.rate
 }
 
-// Step returns by how much the clock of the day is ahead.
-func Step() time.Duration {
-	return time.Duration(rules.Load().StepMs * float64(time.Millisecond))
+// WallClockStep returns by how much the clock of the day is ahead.
+func WallClockStep() time.Duration {
+	return time.Duration(rules.Load().WallClockStepMs * float64(time.Millisecond))
 }
--- a/internal/testing/faultpoint/network.go
+++ b/internal/testing/faultpoint/network.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Reaches reports whether a connection to an address can be made: both ways have to be open.
-func Reaches(address string) bool {
+// CanConnect reports whether a connection to an address can be made: both ways have to be open.
+func CanConnect(address string) bool {
 	r := rules.Load()
 	return !slices.Contains(r.Cut, address) && !slices.Contains(r.CutFrom, address)
 }
 
-// Packet draws what becomes of a packet to an address: it returns the delays after which copies of it are to
+// DrawPacketDelays draws what becomes of a packet to an address: it returns the delays after which copies of it are to
 // be sent, none if it is lost.
-func Packet(address string) (delays []time.Duration) {
+func DrawPacketDelays(address string) (delays []time.Duration) {
 	r := rules.Load()
 	if slices.Contains(r.Cut, address) {
 		return nil
 	}
 	random.Lock()
 	defer random.Unlock()
-	for again := true; again; again = random.Float64() < r.Twice {
+	for again := true; again; again = random.Float64() < r.Duplicates {
 		if random.Float64() < r.Loss {
 			continue
 		}
--- a/internal/testing/faultpoint/process.go
+++ b/internal/testing/faultpoint/process.go
@@ -75,18 +75,18 @@
 		random.Unlock()
 	}
 	r.last = string(text)
-	setRate(next.Rate)
+	setRate(next.ClockRate)
 	rules.Store(&next)
 }
 
-// Present returns the rules in force, which are not to be changed.
-func Present() *Rules { return rules.Load() }
+// CurrentRules returns the rules in force, which are not to be changed.
+func CurrentRules() *Rules { return rules.Load() }
 
-// On reports whether a history is kept.
-func On() bool { return history != nil }
+// Recording reports whether a history is kept.
+func Recording() bool { return history != nil }
 
-// Note appends a line to the process's history, if one is kept.
-func Note(line any) {
+// Record appends a line to the process's history, if one is kept.
+func Record(line any) {
 	if history == nil {
 		return
 	}
--- a/internal/testing/faultpoint/rules.go
+++ b/internal/testing/faultpoint/rules.go
@@ -5,24 +5,24 @@
 	Seed uint64 `json:"seed"` // of what is drawn, by the first Rules of a process
 
 	// Of packets and connections.
-	Cut     []string `json:"cut"`      // addresses that nothing is sent to
-	CutFrom []string `json:"cut_from"` // addresses that nothing is received from
-	Loss    float64  `json:"loss"`     // part of the packets that are lost
-	Twice   float64  `json:"twice"`    // part of the packets that are sent once more
-	DelayMs float64  `json:"delay_ms"` // each packet takes up to so long, so that they overtake each other
-	Late    float64  `json:"late"`     // part of the packets that take LateMs more
-	LateMs  float64  `json:"late_ms"`
+	Cut        []string `json:"cut"`      // addresses that nothing is sent to
+	CutFrom    []string `json:"cut_from"` // addresses that nothing is received from
+	Loss       float64  `json:"loss"`     // part of the packets that are lost
+	Duplicates float64  `json:"twice"`    // part of the packets that are sent once more
+	DelayMs    float64  `json:"delay_ms"` // each packet takes up to so long, so that they overtake each other
+	Late       float64  `json:"late"`     // part of the packets that take LateMs more
+	LateMs     float64  `json:"late_ms"`
 
 	// Of clocks.
-	Rate     float64 `json:"rate"`      // of the monotonic clock; 0 for 1
-	StepMs   float64 `json:"step_ms"`   // by which the clock of the day is ahead from the start
-	LeaseMs  float64 `json:"lease_ms"`  // of the lease of a cell that is founded; 0 for the program's
-	CellRate float64 `json:"cell_rate"` // of the clock between cells, constant over a process; 1 if less
+	ClockRate       float64 `json:"rate"`      // of the monotonic clock; 0 for 1
+	WallClockStepMs float64 `json:"step_ms"`   // by which the clock of the day is ahead from the start
+	LeaseMs         float64 `json:"lease_ms"`  // of the lease of a cell that is founded; 0 for the program's
+	CellRate        float64 `json:"cell_rate"` // of the clock between cells, constant over a process; 1 if less
 
 	// Of what is said and believed.
-	NoJoint  bool    `json:"no_joint"` // views follow each other without a joint one: a protection taken out
-	Lies     bool    `json:"lies"`     // load reports that the relay shares have the load Lie
-	Lie      float64 `json:"lie"`
-	Gullible bool    `json:"gullible"` // shared load reports need no corroboration: a protection taken out
-	Digest   int     `json:"digest"`   // digests have an earlier version if negative, a later one if positive
+	NoJointViews    bool    `json:"no_joint"` // views follow each other without a joint one: a protection taken out
+	FalseReports    bool    `json:"lies"`     // load reports that the relay shares have the load Lie
+	FalseLoad       float64 `json:"lie"`
+	NoCorroboration bool    `json:"gullible"` // shared load reports need no corroboration: a protection taken out
+	DigestVersion   int     `json:"digest"`   // digests have an earlier version if negative, a later one if positive
 }
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -33,7 +33,7 @@
 // WriteToAddress is memberlist's.
 func (f *faultyTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	text := append([]byte(nil), b...)
-	for _, after := range faultpoint.Packet(to.Addr) {
+	for _, after := range faultpoint.DrawPacketDelays(to.Addr) {
 		if after <= 0 {
 			f.countingTransport.WriteToAddress(text, to)
 			continue
@@ -50,7 +50,7 @@
 
 // DialAddressTimeout is memberlist's.
 func (f *faultyTransport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
-	if !faultpoint.Reaches(to.Addr) {
+	if !faultpoint.CanConnect(to.Addr) {
 		time.Sleep(min(within, 300*time.Millisecond))
 		return nil, errors.New("i/o timeout")
 	}
@@ -58,47 +58,47 @@
 }
 
 // lastRecorded is what the last line of the history said.
-var lastRecorded faultpoint.Noted
+var lastRecorded faultpoint.HistoryLine
 
 // recordHistory takes down what the relay takes the fleet for, as it changes.
 func (n *Node) recordHistory() {
-	if !faultpoint.On() {
+	if !faultpoint.Recording() {
 		return
 	}
 	line := n.historyLine()
-	sameUntil := math.Abs(line.Until-lastRecorded.Until) < 1
-	if sameFacts(line, lastRecorded) && sameUntil && line.T < lastRecorded.T+1000 {
+	sameUntil := math.Abs(line.UntilMillis-lastRecorded.UntilMillis) < 1
+	if sameFacts(line, lastRecorded) && sameUntil && line.AtMillis < lastRecorded.AtMillis+1000 {
 		return
 	}
 	lastRecorded = line
-	faultpoint.Note(line)
+	faultpoint.Record(line)
 }
 
 // historyLine is what the relay takes the fleet for now.
-func (n *Node) historyLine() faultpoint.Noted {
+func (n *Node) historyLine() faultpoint.HistoryLine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if faultpoint.Present().NoJoint {
+	if faultpoint.CurrentRules().NoJointViews {
 		n.membership.DisableJointViews()
 	}
 	now, view := n.now(), n.membership.View()
 	estimate := n.membership.Estimate(now)
-	line := faultpoint.Noted{
-		T:           faultpoint.Now(),
+	line := faultpoint.HistoryLine{
+		AtMillis:    faultpoint.NowMillis(),
 		Name:        n.cfg.Name,
 		Incarnation: n.membership.Incarnation(),
 		Epoch:       estimate.Epoch,
-		Hash:        n.membership.Hash(),
+		ViewHash:    n.membership.Hash(),
 		Phase:       estimate.Phase.String(),
 		Settled:     view.Settled(),
 		Share:       estimate.BudgetShare,
 		Relays:      estimate.Relays,
 	}
 	if estimate.ShareValidUntil != duration.Forever {
-		line.Until = line.T + duration.Millis(estimate.ShareValidUntil-now)/faultpoint.Rate()
+		line.UntilMillis = line.AtMillis + duration.Millis(estimate.ShareValidUntil-now)/faultpoint.ClockRate()
 	}
 	n.noteCells(&line, estimate, view)
-	if line.Epoch != lastRecorded.Epoch || line.Hash != lastRecorded.Hash {
+	if line.Epoch != lastRecorded.Epoch || line.ViewHash != lastRecorded.ViewHash {
 		line.Members = view.MemberNames()
 	} else {
 		line.Members = lastRecorded.Members
@@ -107,34 +107,34 @@
 }
 
 // sameFacts tells whether two lines say the same, but for times.
-func sameFacts(a, b faultpoint.Noted) bool {
-	sameView := a.Epoch == b.Epoch && a.Hash == b.Hash && a.Phase == b.Phase
-	sameShare := a.Share == b.Share && a.Far == b.Far && a.Relays == b.Relays
-	samePlan := a.Plan == b.Plan && a.Open == b.Open
-	sameCells := a.Speaker == b.Speaker && a.CellsHeard == b.CellsHeard
+func sameFacts(a, b faultpoint.HistoryLine) bool {
+	sameView := a.Epoch == b.Epoch && a.ViewHash == b.ViewHash && a.Phase == b.Phase
+	sameShare := a.Share == b.Share && a.FarShare == b.FarShare && a.Relays == b.Relays
+	samePlan := a.Plan == b.Plan && a.PlanActivated == b.PlanActivated
+	sameCells := a.Representative == b.Representative && a.KnownCells == b.KnownCells
 	return sameView && sameShare && slices.Equal(a.Zones, b.Zones) && samePlan && sameCells
 }
 
 // noteCells takes down what the relay knows of its cell and of the others. The caller holds the lock.
-func (n *Node) noteCells(line *faultpoint.Noted, estimate membership.FleetEstimate, view *membership.View) {
-	line.Far, line.Zones = estimate.FarBudgetShare, estimate.NearZones
-	line.Plan, line.Open = estimate.Plan, estimate.PlanActivated
+func (n *Node) noteCells(line *faultpoint.HistoryLine, estimate membership.FleetEstimate, view *membership.View) {
+	line.FarShare, line.Zones = estimate.FarBudgetShare, estimate.NearZones
+	line.Plan, line.PlanActivated = estimate.Plan, estimate.PlanActivated
 	if view.Allocation == nil {
-		line.Far, line.Zones = estimate.BudgetShare, nil
+		line.FarShare, line.Zones = estimate.BudgetShare, nil
 	}
 	link := n.cells.Load()
 	if link == nil {
 		return
 	}
-	line.Cell, line.Speaker = link.cell, link.representative
+	line.Cell, line.Representative = link.cell, link.representative
 	for _, region := range link.coordinator.Report(n.cellTime(n.now())).Regions {
-		line.CellsHeard += region.Known
+		line.KnownCells += region.Known
 	}
 }
 
 // adjustTiming makes the leases of a cell as short as the rules say.
 func (n *Node) adjustTiming(p membership.Timing) membership.Timing {
-	if ms := faultpoint.Present().LeaseMs; ms > 0 && p != (membership.Timing{}) {
+	if ms := faultpoint.CurrentRules().LeaseMs; ms > 0 && p != (membership.Timing{}) {
 		p.StatusInterval = duration.Scale(p.StatusInterval, ms/duration.Millis(p.LeaseDuration))
 		p.LeaseDuration = duration.FromMillis(ms)
 	}
@@ -142,21 +142,21 @@
 }
 
 // cellClockRate is how much faster the clock between cells runs than the relay's.
-func cellClockRate() float64 { return max(faultpoint.Present().CellRate, 1) }
+func cellClockRate() float64 { return max(faultpoint.CurrentRules().CellRate, 1) }
 
 func (n *Node) cellTime(now time.Duration) time.Duration { return duration.Scale(now, cellClockRate()) }
 func (n *Node) nodeTime(at time.Duration) time.Duration  { return duration.Scale(at, 1/cellClockRate()) }
 
 // falsifyReadings makes the readings that this relay made itself into what the rules say.
 func (n *Node) falsifyReadings(readings []probing.Reading) []probing.Reading {
-	r := faultpoint.Present()
-	if !r.Lies {
+	r := faultpoint.CurrentRules()
+	if !r.FalseReports {
 		return readings
 	}
 	readings = slices.Clone(readings)
 	for i := range readings {
 		if readings[i].Origin == n.cfg.Name {
-			readings[i].LoadReport = probing.LoadReport{Load: r.Lie, Inflight: -1, Errors: -1, Busy: -1}
+			readings[i].LoadReport = probing.LoadReport{Load: r.FalseLoad, Inflight: -1, Errors: -1, Busy: -1}
 		}
 	}
 	return readings
@@ -165,7 +165,7 @@
 // adjustStatus makes a status one of an earlier version, which lacks what is not needed, or of a later one,
 // which has more.
 func (n *Node) adjustStatus(d membership.Status) any {
-	version := faultpoint.Present().Digest
+	version := faultpoint.CurrentRules().DigestVersion
 	if version == 0 {
 		return d
 	}
--- a/internal/wire/splice/faultpoint_faults.go
+++ b/internal/wire/splice/faultpoint_faults.go
@@ -15,7 +15,7 @@
 
 // awaitReachable waits in vain, until the timeout, for a server that the rules keep out of reach.
 func awaitReachable(ctx context.Context, addr string, timeout time.Duration) error {
-	if faultpoint.Reaches(addr) {
+	if faultpoint.CanConnect(addr) {
 		return nil
 	}
 	select {
@@ -38,7 +38,7 @@
 }
 
 func (c *cuttable) cut() bool {
-	if !faultpoint.Reaches(c.addr) {
+	if !faultpoint.CanConnect(c.addr) {
 		c.lost.Store(true)
 		return true
 	}
