--- a/internal/testing/cluster/history.go
+++ b/internal/testing/cluster/history.go
@@ -35,7 +35,9 @@
 		}
 		all = append(all, lines...)
 	}
-	slices.SortStableFunc(all, func(a, b faultpoint.HistoryLine) int { return cmp.Compare(a.AtMillis, b.AtMillis) })
+	slices.SortStableFunc(all, func(a, b faultpoint.HistoryLine) int {
+		return cmp.Compare(a.AtMillis, b.AtMillis)
+	})
 	return all, nil
 }
 
@@ -84,7 +86,8 @@
 		}
 		fmt.Fprintf(&b, "%9.1f %s %s%s epoch %d share %.4f", since, n.Name, n.Event, n.Phase, n.Epoch, n.Share)
 		if n.Plan > 0 {
-			fmt.Fprintf(&b, " in %v, %.4f elsewhere, by plan %d, activated %v,", n.Zones, n.FarShare, n.Plan, n.PlanActivated)
+			fmt.Fprintf(&b, " in %v, %.4f elsewhere, by plan %d, activated %v,",
+				n.Zones, n.FarShare, n.Plan, n.PlanActivated)
 		}
 		fmt.Fprintf(&b, " until %+.0f %v\n", n.UntilMillis-n.AtMillis, n.Members)
 	}
--- a/internal/testing/cluster/shares_test.go
+++ b/internal/testing/cluster/shares_test.go
@@ -44,7 +44,14 @@
 // 0.
 func TestLowestNearShare(t *testing.T) {
 	line := func(at, share, until float64) faultpoint.HistoryLine {
-		return faultpoint.HistoryLine{AtMillis: at, Name: "a", Share: share, UntilMillis: until, Zones: []string{"x"}, Plan: 1}
+		return faultpoint.HistoryLine{
+			AtMillis:    at,
+			Name:        "a",
+			Share:       share,
+			UntilMillis: until,
+			Zones:       []string{"x"},
+			Plan:        1,
+		}
 	}
 	for name, c := range map[string]struct {
 		all  []faultpoint.HistoryLine
--- a/internal/testing/faultpoint/doc.go
+++ b/internal/testing/faultpoint/doc.go
@@ -3,7 +3,7 @@
 // program has none.
 //
 // The file that CAPERSAIL_FAULTS names holds the Rules, read again when it changes; CAPERSAIL_HISTORY names a
-// file to which the process appends a Noted for each change of what it goes by. The test cluster
+// file to which the process appends a HistoryLine for each change of what it goes by. The test cluster
 // (internal/testing/cluster) writes the one and reads the other. The package never decides by itself: without
 // the two files nothing is different.
 package faultpoint
--- a/internal/testing/faultpoint/history.go
+++ b/internal/testing/faultpoint/history.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// HistoryLine is a line of the history: what a relay goes by from T on, or an event of its process.
+// HistoryLine is a line of the history: what a relay goes by from AtMillis on, or an event of its process.
 type HistoryLine struct {
-	AtMillis    float64  `json:"t"` // ms of the machine's monotonic clock, the same in all processes
+	AtMillis    float64  `json:"t"` // by the machine's monotonic clock, the same in all processes
 	Name        string   `json:"name"`
 	Incarnation uint64   `json:"inc"`
 	Epoch       uint64   `json:"epoch"`
@@ -14,7 +14,7 @@
 	Share       float64  `json:"share"` // of budgets in the zones that are near
 	FarShare    float64  `json:"far"`   // of budgets elsewhere
 	Zones       []string `json:"zones"` // that are near; nil for all
-	UntilMillis float64  `json:"until"` // when the shares expire, as T; 0 for never
+	UntilMillis float64  `json:"until"` // when the shares expire, as AtMillis; 0 for never
 	Relays      int      `json:"relays"`
 	Members     []string `json:"members"` // of the view
 
@@ -26,12 +26,13 @@
 	PlanActivated  bool   `json:"open,omitempty"`
 	KnownCells     int    `json:"cells_heard,omitempty"`
 
-	// Event is what the test cluster did to the process: kill, start, stop or cont. T and Name are set beside
-	// it, and nothing else.
+	// Event is what the test cluster did to the process: kill, start, stop or cont. AtMillis and Name are set
+	// beside it, and nothing else.
 	Event string `json:"event,omitempty"`
 }
 
-// Taken returns the share that the relay may take, at an instant as T, of the budget of a server in a zone.
+// Taken returns the share that the relay may take, at an instant as AtMillis, of the budget of a server in a
+// zone.
 func (n HistoryLine) Taken(zone string, at float64) float64 {
 	switch {
 	case n.UntilMillis > 0 && at >= n.UntilMillis:
--- a/internal/testing/faultpoint/network.go
+++ b/internal/testing/faultpoint/network.go
@@ -13,8 +13,8 @@
 	return !slices.Contains(r.Cut, address) && !slices.Contains(r.CutFrom, address)
 }
 
-// DrawPacketDelays draws what becomes of a packet to an address: it returns the delays after which copies of it are to
-// be sent, none if it is lost.
+// DrawPacketDelays draws what becomes of a packet to an address: it returns the delays after which copies of
+// it are to be sent, none if it is lost.
 func DrawPacketDelays(address string) (delays []time.Duration) {
 	r := rules.Load()
 	if slices.Contains(r.Cut, address) {
--- a/internal/testing/faultpoint/rules.go
+++ b/internal/testing/faultpoint/rules.go
@@ -20,9 +20,9 @@
 	CellRate        float64 `json:"cell_rate"` // of the clock between cells, constant over a process; 1 if less
 
 	// Of what is said and believed.
-	NoJointViews    bool    `json:"no_joint"` // views follow each other without a joint one: a protection taken out
-	FalseReports    bool    `json:"lies"`     // load reports that the relay shares have the load Lie
+	NoJointViews    bool    `json:"no_joint"` // views change without a joint one: a protection taken out
+	FalseReports    bool    `json:"lies"`     // load reports that the relay shares have the load FalseLoad
 	FalseLoad       float64 `json:"lie"`
-	NoCorroboration bool    `json:"gullible"` // shared load reports need no corroboration: a protection taken out
-	DigestVersion   int     `json:"digest"`   // digests have an earlier version if negative, a later one if positive
+	NoCorroboration bool    `json:"gullible"` // shared load reports are believed: a protection taken out
+	DigestVersion   int     `json:"digest"`   // digests are of an earlier version if negative, a later if positive
 }
