--- a/internal/wire/connlimit/limiter_test.go
+++ b/internal/wire/connlimit/limiter_test.go
@@ -143,8 +143,8 @@
 func (c *conn) Close() error                { c.closed = true; return nil }
 func (c *conn) SetDeadline(time.Time) error { return nil }
 
-// FuzzLimiterAgainstModel plays random steps to the permits of a small limiter and checks its counts against a
-// model: what is held stays within the limit but for those that have been told to close, the oldest idle
+// FuzzLimiterAgainstModel plays random steps to the permits of a small limiter and checks its counts against
+// a model: what is held stays within the limit but for those that have been told to close, the oldest idle
 // connection is evicted, and a request's never is. The limiter itself closes none: only the goroutine that
 // reads a connection can tell whether its last line has come.
 func FuzzLimiterAgainstModel(f *testing.F) {
--- a/internal/wire/platform/frontend.go
+++ b/internal/wire/platform/frontend.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"math"
 	"net"
 
 	"capersail/decide"
@@ -13,8 +12,21 @@
 	"capersail/internal/wire/splice"
 )
 
-// maxPingsPerClient is how many pings a connection may begin with. Each costs an answer.
-const maxPingsPerClient = 16
+const (
+	// maxPingsPerClient is how many pings a connection may begin with. Each costs an answer.
+	maxPingsPerClient = 16
+	// loggedLineBytes is how much of a malformed line the log is given.
+	loggedLineBytes = 80
+)
+
+// errUnexpectedLine: a client waits for the answer to its first line. What comes before that is nobody's to
+// read, and forwarded it would be another request's line to the server.
+var errUnexpectedLine = errors.New("lines before the answer")
+
+// unknownClassError names a class that the deployment does not have.
+type unknownClassError struct{ class string }
+
+func (e *unknownClassError) Error() string { return fmt.Sprintf("unknown class %q", e.class) }
 
 // Frontend is the client side: it speaks with each client in a goroutine of its own.
 type Frontend struct {
@@ -25,87 +37,104 @@
 	Resume *resume.Service
 }
 
-// Serve accepts until the listener is closed.
+// Serve accepts until the listener is closed, which is no error. A goroutine serves each connection, and ends
+// with it.
 func (f *Frontend) Serve(l net.Listener) error { return f.Limiter.Serve(l, f.serveClient) }
 
 // serveClient speaks with one client until its connection is closed, and that to its server too.
-func (f *Frontend) serveClient(p *connlimit.Permit) {
-	e := p.Half
-	in := newLineReader(e.Conn)
-	e.SetReadUntil(p.RequestUntil)
-	call := f.acceptRequest(p, e, in)
-	if call != nil {
-		f.forwardFromClient(call, e, in)
-	}
-	p.CloseAndRelease(call)
+func (f *Frontend) serveClient(permit *connlimit.Permit) {
+	lines := newLineReader(permit.Half.Conn)
+	permit.Half.SetReadUntil(permit.RequestUntil)
+	request := f.acceptRequest(permit, lines)
+	if request != nil {
+		f.forwardFromClient(request, permit.Half, lines)
+	}
+	permit.CloseAndRelease(request)
 }
 
-// acceptRequest takes a connection up to its request. Nil means that it has its answer, or that none is due: it said
-// nothing in time, or had to make room for others.
-func (f *Frontend) acceptRequest(p *connlimit.Permit, e *splice.Half, in *lineReader) *relay.Request {
-	last := false // what has come is all that counts: its time is up, its place is wanted, or the relay leaves
+// acceptRequest takes a connection up to its request. Nil means that it has its answer, or that none is due:
+// it brought nothing in time, or was evicted.
+func (f *Frontend) acceptRequest(permit *connlimit.Permit, lines *lineReader) *relay.Request {
+	half := permit.Half
+	// Once cut off, only what has come counts: the time is up, the connection is evicted or the relay shuts
+	// down.
+	cutOff := false
 	for range maxPingsPerClient {
-		line, err := in.readLine()
-		if splice.TimedOut(err) && !last {
-			last = true
-			in.prepend(e.ReadPending())
-			line, err = in.readLine()
+		line, err := lines.readLine()
+		if splice.TimedOut(err) && !cutOff {
+			cutOff = true
+			lines.prepend(half.ReadPending())
+			line, err = lines.readLine()
 		}
 		if err != nil && !errors.Is(err, errLineTooLong) {
 			return nil
 		}
-		if first, _ := splitFirstWord(line); err == nil && first == "PING" {
-			answer := "PONG\r\n"
-			if f.Requests.Draining() { // by hand: the front is to send no one new. Not so when leaving: in an upgrade the
-				// front's kept connection may be this process's, while the one that follows it serves the socket
-				answer = "BUSY\r\n"
-			}
-			if e.Forward([]byte(answer)) != nil {
-				return nil
-			}
-			continue
-		}
-		ask, at, err := f.openRequest(line, err)
-		if err == nil && in.buffered.Buffered() > 0 {
-			err = errUnexpectedLine
+		if first, _ := splitFirstWord(line); err != nil || first != wordPing {
+			return f.openFromLine(permit, lines, line, err)
 		}
-		if err != nil {
-			f.rejectLine(e, line, err)
+		if half.Forward(f.pingAnswer()) != nil {
 			return nil
 		}
-		if !p.AcquireRequest() { // the bound on descriptors: better a no at once than an accept that fails
-			f.Requests.RecordConnLimitRejection(ask.Class)
-			e.Forward([]byte("BUSY 500\r\n"))
-			return nil
-		}
-		e.SetReadUntil(0)
-		if at != "" {
-			return f.Requests.Resume(ask, at, e)
-		}
-		return f.Requests.Open(ask, e)
 	}
 	return nil
 }
 
-// errUnexpectedLine: a client waits for the answer to its first line. What comes before that is nobody's to read,
-// and passed on it would be another request's line to the server.
-var errUnexpectedLine = errors.New("lines before the answer")
+// pingAnswer answers a health check. A relay that is drained by hand is to be sent no one new. One that shuts
+// down still answers as healthy: in an upgrade the connection of whoever checks may be this process's, while
+// its successor serves the socket.
+func (f *Frontend) pingAnswer() []byte {
+	if f.Requests.Draining() {
+		return encodeLine(wordRejected)
+	}
+	return encodeLine(wordPong)
+}
+
+// openFromLine opens the request of a client's first line, which may be too long. It returns nil once it has
+// answered a line that opens none.
+func (f *Frontend) openFromLine(
+	permit *connlimit.Permit, lines *lineReader, line []byte, lineErr error,
+) *relay.Request {
+	half := permit.Half
+	open, previousServer, err := f.parseRequest(line, lineErr)
+	if err == nil && lines.buffered.Buffered() > 0 {
+		err = errUnexpectedLine
+	}
+	if err != nil {
+		f.rejectLine(half, line, err)
+		return nil
+	}
+	if !permit.AcquireRequest() { // better a rejection at once than an accept that fails
+		f.Requests.RecordConnLimitRejection(open.Class)
+		half.Forward(encodeRejected(connLimitRetryAfter))
+		return nil
+	}
+	half.SetReadUntil(0)
+	if previousServer != "" {
+		return f.Requests.Resume(open, previousServer, half)
+	}
+	return f.Requests.Open(open, half)
+}
 
-// rejectLine answers what cannot be read.
-func (f *Frontend) rejectLine(e *splice.Half, line []byte, err error) {
-	f.Limiter.Log.Warn().Err(err).Bytes("line", line[:min(len(line), 80)]).Msg("bad client; failed")
-	var r *resumeError
-	if errors.As(err, &r) {
-		e.Forward([]byte("ERR resume " + r.note + "\r\n"))
+// rejectLine answers a line that cannot be read, or may not come now.
+func (f *Frontend) rejectLine(half *splice.Half, line []byte, err error) {
+	f.Limiter.Log.Warn().
+		Err(err).
+		Bytes("line", line[:min(len(line), loggedLineBytes)]).
+		Msg("malformed client line; request failed")
+	var cannotResume *resumeError
+	if errors.As(err, &cannotResume) {
+		half.Forward(encodeResumeFailed(cannotResume.note))
 		return
 	}
-	e.Forward([]byte("ERR bad request\r\n"))
+	half.Forward(encodeLine(wordFailed, "bad", "request"))
 }
 
-// openRequest puts a first line into the module's numbers.
-func (f *Frontend) openRequest(line []byte, err error) (relay.OpenRequest, string, error) {
-	if err != nil {
-		return relay.OpenRequest{}, "", err
+// parseRequest puts a first line into the decision module's numbers. It returns the server that held the
+// connection before the run too, "" for a new request. Its errors are those of the line, an unknownClassError
+// or a resumeError.
+func (f *Frontend) parseRequest(line []byte, lineErr error) (relay.OpenRequest, string, error) {
+	if lineErr != nil {
+		return relay.OpenRequest{}, "", lineErr
 	}
 	parse := parseOpening
 	if f.Resume != nil {
@@ -115,79 +144,88 @@
 	if err != nil {
 		return relay.OpenRequest{}, "", err
 	}
-	class, ok := f.Deployment.Classes[o.class]
-	if !ok {
-		return relay.OpenRequest{}, "", fmt.Errorf("unknown class %q", o.class)
+	class, known := f.Deployment.Classes[o.class]
+	if !known {
+		return relay.OpenRequest{}, "", &unknownClassError{o.class}
 	}
-	tenant, ok := f.Deployment.Tenants[o.tenant]
-	if !ok {
+	tenant, known := f.Deployment.Tenants[o.tenant]
+	if !known {
 		tenant = decide.NoTenant
 	}
-	left := o.clientWait
+	timeout := o.clientWait
 	if longest := f.Deployment.Settings.Classes[class].Deadline; longest > 0 && o.previousServer == "" {
-		left = min(left, longest) // no client of the class waits for longer, whatever it says
+		timeout = min(timeout, longest) // no client of the class waits for longer, whatever it says
+	}
+	open := relay.OpenRequest{
+		Name:     o.id,
+		Class:    class,
+		Tenant:   tenant,
+		Key:      o.key,
+		Group:    o.group,
+		Hint:     o.loadHint,
+		Timeout:  timeout,
+		Returned: o.returned,
+		Payload:  o,
 	}
-	ask := relay.OpenRequest{Name: o.id, Class: class, Tenant: tenant, Key: o.key, Group: o.group, Hint: o.loadHint, Timeout: left,
-		Returned: o.returned, Payload: o}
 	if o.resumeToken != "" {
-		st, err := f.openStream(o)
+		stream, err := f.openStream(o)
 		if err != nil {
 			return relay.OpenRequest{}, "", err
 		}
-		ask.Ownership, ask.Returned = st, ask.Returned || st.MustWait()
+		open.Ownership = stream
+		open.Returned = open.Returned || stream.MustWait()
 	}
-	return ask, o.previousServer, nil
+	return open, o.previousServer, nil
 }
 
-// forwardFromClient reads the client until its end. Before the call is up a wake means an answer; after that the
-// server side writes to the client, and this goroutine only passes on what the client sends.
-func (f *Frontend) forwardFromClient(call *relay.Request, e *splice.Half, in *lineReader) {
-	st := streamOf(call)
+// forwardFromClient reads the client until its end. Before the request is established a wake means an answer;
+// after that the server side writes to the client, and this goroutine only forwards what the client sends.
+func (f *Frontend) forwardFromClient(request *relay.Request, half *splice.Half, lines *lineReader) {
+	stream := streamOf(request)
 	for {
-		line, err := in.readLine()
+		line, err := lines.readLine()
 		switch {
-		case st != nil && err == nil && confirmToken(st, line): // the relay's own line, whenever it comes
-		case len(line) > 0 && call.FailOnClientError():
-			f.rejectLine(e, line, errUnexpectedLine)
+		case stream != nil && err == nil && confirmToken(stream, line): // the relay's line, whenever it comes
+		case len(line) > 0 && request.FailOnClientError():
+			f.rejectLine(half, line, errUnexpectedLine)
 			return
-		case errors.Is(err, errLineTooLong): // no part of it goes on, and the server is no worse for its client
-			f.Limiter.Log.Warn().Err(err).Msg("bad client; moved")
-			call.MigrateClient()
-			<-call.Finished()
+		case errors.Is(err, errLineTooLong): // no part of it is forwarded: its server is not at fault
+			f.Limiter.Log.Warn().Err(err).Msg("overlong client line; client migrated")
+			request.MigrateClient()
+			<-request.Finished()
 			return
 		case len(line) > 0:
-			remote := call.ServerConn()
-			if remote == nil {
-				f.writeAnswer(call, e)
+			server := request.ServerConn()
+			if server == nil {
+				writeAnswer(request, half)
 				return
 			}
-			call.LineSent()
-			remote.Forward(line) // if that fails, the server side meets the same break and ends both
+			request.LineSent()
+			server.Forward(line) // if that fails, the server side meets the same break and ends both
 		case splice.TimedOut(err):
-			e.ClearWake()
-			if state, _ := call.State(); state == relay.Ended || e.Closed() { // answered, or ended by its server
-				f.writeAnswer(call, e)
+			half.ClearWake()
+			if state, _ := request.State(); state == relay.Ended || half.Closed() {
+				writeAnswer(request, half)
 				return
 			}
-			e.SetReadUntil(0)
+			half.SetReadUntil(0)
 		default:
-			call.ClientClosed(splice.EndingOf(err))
+			request.ClientClosed(splice.EndingOf(err))
 			return
 		}
 	}
 }
 
-// writeAnswer writes the final writeAnswer of a call that did not come up.
-func (f *Frontend) writeAnswer(call *relay.Request, e *splice.Half) {
-	_, a := call.State()
-	switch {
-	case a.Kind == relay.Rejected && a.RetryAfter > 0:
-		e.Forward(fmt.Appendf(nil, "BUSY %d\r\n", int(math.Ceil(relay.Millis(a.RetryAfter)))))
-	case a.Kind == relay.Rejected:
-		e.Forward([]byte("BUSY\r\n"))
-	case a.Kind == relay.Failed && a.Note != "":
-		e.Forward([]byte("ERR resume " + a.Note + "\r\n"))
-	case a.Kind == relay.Failed:
-		e.Forward([]byte("ERR\r\n"))
+// writeAnswer writes the final answer of a request that was not established; nothing if it was.
+func writeAnswer(request *relay.Request, half *splice.Half) {
+	switch _, answer := request.State(); answer.Kind {
+	case relay.Rejected:
+		half.Forward(encodeRejected(answer.RetryAfter))
+	case relay.Failed:
+		if answer.Note != "" {
+			half.Forward(encodeResumeFailed(answer.Note))
+			return
+		}
+		half.Forward(encodeLine(wordFailed))
 	}
 }
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// A request that has come when its connection is to be ended, and that nobody has read yet, is served: the bad order is made by
-// ending the connection first and reading it after. One that is not whole by then gets a clean end, not a reset.
+// A request that has come when its connection is to be ended, and that nobody has read yet, is served: the
+// bad order is made by ending the connection first and reading it after. One that is not whole by then gets a
+// clean end, not a reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
 	for name, end := range map[string]func(*connlimit.Permit){
 		"its time is up":      func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
@@ -57,7 +58,8 @@
 	}
 }
 
-// Nothing is sent for a client that has gone, though its side has had no time to read that: here nobody ever reads it.
+// Nothing is sent for a client that has gone, though its side has had no time to read that: here nobody ever
+// reads it.
 func TestNothingIsForwardedForAClosedClient(t *testing.T) {
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"a close":      func(c *net.TCPConn) { c.Close() },
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -306,7 +306,8 @@
 	}
 }
 
-// What a client may not do is answered ERR, whatever else waits on the connection, and never reaches a server.
+// What a client may not do is answered ERR, whatever else waits on the connection, and never reaches a
+// server.
 func TestMalformedLinesAreNeverForwarded(t *testing.T) {
 	for name, lines := range map[string]string{
 		"a good line behind what cannot be read": "frob\r\n" + openingLine,
--- a/internal/wire/platform/probe.go
+++ b/internal/wire/platform/probe.go
@@ -13,110 +13,121 @@
 const (
 	// probeTimeout is how long a probe's answer is waited for. It tells a silent machine from a slow one.
 	probeTimeout = 200 * time.Millisecond
-	// idleProbeConnLifetime is how long a connection for probes is kept unused. Servers that a deploy has replaced are probed
-	// no more, and each would hold a descriptor for good.
+	// idleProbeConnLifetime is how long an unused connection for probes stays open. Servers that a deploy has
+	// replaced are probed no more, and each would hold a descriptor for good.
 	idleProbeConnLifetime = 10 * time.Second
+	// probeQueueLength: the decision module never has more probes of one server under way.
+	probeQueueLength = 4
 )
 
-// probeRequest is one question for a prober.
+// probeRequest is one probe that a server's goroutine is to make.
 type probeRequest struct {
 	address string
 	done    func(decide.Status, decide.LoadReport)
 }
 
-// Probe asks a server for its load, on a connection that is kept from one probe to the next.
-func (s *ServerDialer) Probe(to relay.Server, done func(decide.Status, decide.LoadReport)) {
+// Probe asks a server for its load, on a connection that is reused from one probe to the next. It does not
+// block; done is called once. Each server that was ever probed keeps one goroutine.
+func (s *ServerDialer) Probe(server relay.Server, done func(decide.Status, decide.LoadReport)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.probeQueues == nil {
 		s.probeQueues = map[decide.ServerID]chan probeRequest{}
 	}
-	ask := s.probeQueues[to.Number]
-	if ask == nil {
-		ask = make(chan probeRequest, 4)
-		s.probeQueues[to.Number] = ask
-		go s.probeLoop(ask)
+	queue := s.probeQueues[server.Number]
+	if queue == nil {
+		queue = make(chan probeRequest, probeQueueLength)
+		s.probeQueues[server.Number] = queue
+		go s.probeLoop(queue)
 	}
 	select {
-	case ask <- probeRequest{to.Address, done}:
-	default: // the module never asks again so soon; if it does, nothing was sent
+	case queue <- probeRequest{server.Address, done}:
+	default: // nothing was sent
 		go done(decide.Superseded, decide.NoLoadReport)
 	}
 }
 
-// probeLoop owns the kept connection to one server.
-func (s *ServerDialer) probeLoop(asks <-chan probeRequest) {
-	var k probeConn
+// probeLoop owns the connection for probes of one server.
+func (s *ServerDialer) probeLoop(queue <-chan probeRequest) {
+	var conn probeConn
 	var idle <-chan time.Time
 	for {
-		var p probeRequest
 		select {
-		case p = <-asks:
+		case probe := <-queue:
+			status, report := s.probe(&conn, probe.address)
+			idle = s.Clock.After(idleProbeConnLifetime)
+			probe.done(status, report)
 		case <-idle:
-			s.closeProbeConn(&k)
-			continue
+			s.closeProbeConn(&conn)
 		}
-		if k.address != p.address {
-			s.closeProbeConn(&k)
-		}
-		until := s.Clock.Now() + probeTimeout
-		old := k.conn != nil
-		status, load, err := s.probeOnce(&k, p.address, until)
-		if err != nil && old && !splice.TimedOut(err) { // it was closed while idle: that says nothing of the server
-			status, load, _ = s.probeOnce(&k, p.address, until)
-		}
-		if s.idleProbeConns.Load() > s.MaxIdleProbeConns {
-			s.closeProbeConn(&k)
-		}
-		idle = s.Clock.After(idleProbeConnLifetime)
-		p.done(status, load)
 	}
 }
 
-// probeConn is a connection probeConn for probes.
+// probe makes one probe, once more if the connection turns out to have been closed while it was idle: that
+// says nothing of the server.
+func (s *ServerDialer) probe(conn *probeConn, address string) (decide.Status, decide.LoadReport) {
+	if conn.address != address {
+		s.closeProbeConn(conn)
+	}
+	deadline := s.Clock.Now() + probeTimeout
+	reused := conn.conn != nil
+	status, report, err := s.probeOnce(conn, address, deadline)
+	if err != nil && reused && !splice.TimedOut(err) {
+		status, report, _ = s.probeOnce(conn, address, deadline)
+	}
+	if s.idleProbeConns.Load() > s.MaxIdleProbeConns {
+		s.closeProbeConn(conn)
+	}
+	return status, report
+}
+
+// probeConn is a connection for probes; the zero value is none.
 type probeConn struct {
 	conn    net.Conn
 	lines   *lineReader
 	address string
 }
 
-func (s *ServerDialer) closeProbeConn(k *probeConn) {
-	if k.conn != nil {
-		k.conn.Close()
+func (s *ServerDialer) closeProbeConn(c *probeConn) {
+	if c.conn != nil {
+		c.conn.Close()
 		s.idleProbeConns.Add(-1)
 	}
-	k.conn = nil
+	c.conn = nil
 }
 
-// probeOnce puts one question. After any error the connection is dropped.
-func (s *ServerDialer) probeOnce(k *probeConn, address string, until time.Duration) (decide.Status, decide.LoadReport, error) {
-	if k.conn == nil {
-		conn, err := splice.Dial(context.Background(), address, until-s.Clock.Now())
+// probeOnce asks for one load report, until an instant of the clock. After any error, which is the network's,
+// the connection is closed.
+func (s *ServerDialer) probeOnce(
+	c *probeConn, address string, deadline time.Duration,
+) (decide.Status, decide.LoadReport, error) {
+	if c.conn == nil {
+		conn, err := splice.Dial(context.Background(), address, deadline-s.Clock.Now())
 		if err != nil {
 			return splice.ProbeStatus(err), decide.NoLoadReport, err
 		}
-		*k = probeConn{conn, newLineReader(conn), address}
+		*c = probeConn{conn, newLineReader(conn), address}
 		s.idleProbeConns.Add(1)
 	}
-	k.conn.SetDeadline(s.Clock.WallDeadline(until))
-	_, err := k.conn.Write([]byte("STATS\r\n"))
+	c.conn.SetDeadline(s.Clock.WallDeadline(deadline))
+	_, err := c.conn.Write(encodeLine(wordProbe))
 	var line []byte
 	if err == nil {
-		line, err = k.lines.readLine()
+		line, err = c.lines.readLine()
 	}
 	if err != nil {
-		s.closeProbeConn(k)
+		s.closeProbeConn(c)
 		if splice.TimedOut(err) {
 			return decide.TimedOut, decide.NoLoadReport, err
 		}
 		return decide.Reset, decide.NoLoadReport, err
 	}
 	switch first, rest := splitFirstWord(line); first {
-	case "PONG":
+	case wordPong:
 		return decide.OK, parseLoadReport(rest, s.LoadField), nil
-	case "BUSY":
+	case wordRejected:
 		return decide.AtCapacity, decide.NoLoadReport, nil
-	case "NO":
+	case wordNoReport:
 		return decide.Superseded, decide.NoLoadReport, nil
 	}
 	return decide.Errored, decide.NoLoadReport, nil
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -13,140 +13,165 @@
 	"capersail/internal/wire/splice"
 )
 
-// The lines of the extension (docs/RESUME.md). All of this file is for calls that have a stream; the others
-// meet a nil once and nothing more.
+// The lines of the extension (docs/RESUME.md). All of this file is for requests that have a stream; the
+// others meet a nil once and nothing more.
 
-// streamOf is the call's stream, nil if its client did not ask for one.
-func streamOf(c *relay.Request) *resume.Stream {
-	st, _ := c.Ownership.(*resume.Stream)
-	return st
+// streamOf returns the request's stream, nil if its client did not ask for one.
+func streamOf(request *relay.Request) *resume.Stream {
+	stream, _ := request.Ownership.(*resume.Stream)
+	return stream
 }
 
-// openStream is what an opening asks for.
+// openStream returns the stream that an opening asks for. A token that is rejected is a resumeError.
 func (f *Frontend) openStream(o *opening) (*resume.Stream, error) {
-	asked := resume.StreamRequest{Class: o.class, Tenant: o.tenant, Key: o.key, Group: o.group, Position: o.position,
-		HasPosition: o.hasPosition}
-	if o.resumeToken == "new" {
-		return f.Resume.NewStream(asked), nil
-	}
-	st, err := f.Resume.ResumeStream(o.resumeToken, asked)
+	request := resume.StreamRequest{
+		Class:       o.class,
+		Tenant:      o.tenant,
+		Key:         o.key,
+		Group:       o.group,
+		Position:    o.position,
+		HasPosition: o.hasPosition,
+	}
+	if o.resumeToken == newStreamToken {
+		return f.Resume.NewStream(request), nil
+	}
+	stream, err := f.Resume.ResumeStream(o.resumeToken, request)
 	var rejected *resume.RejectError
 	if errors.As(err, &rejected) {
-		return nil, &resumeError{rejected.Note, rejected.Err}
+		return nil, &resumeError{note: rejected.Note, err: rejected.Err}
 	}
-	return st, err
+	return stream, err
 }
 
-// resumeRejections is what a server's refusal to go on means to the client.
-var resumeRejections = map[string]string{"STALE": resume.NoteStaleToken, "AHEAD": resume.NotePositionAhead}
+// resumeRejections is what a server's answer that it cannot resume means to the client.
+var resumeRejections = map[string]string{
+	wordStaleToken: resume.NoteStaleToken,
+	wordAhead:      resume.NotePositionAhead,
+}
 
-// encodeResumeFields is what a server that takes streams up is told beyond the client's line.
-func encodeResumeFields(c *relay.Request, a relay.Attempt) (more string, told bool) {
-	st := streamOf(c)
-	if st == nil {
+// encodeResumeFields makes what a server that resumes streams is sent beyond the client's line. It returns
+// whether this server is such a one.
+func encodeResumeFields(request *relay.Request, a relay.Attempt) (fields string, resumable bool) {
+	stream := streamOf(request)
+	if stream == nil {
 		return "", false
 	}
-	told = a.Server.SupportsResume || st.AllServersResume()
-	lease := st.BeginAttempt(told)
-	if !told {
+	resumable = a.Server.SupportsResume || stream.AllServersResume()
+	lease := stream.BeginAttempt(resumable)
+	if !resumable {
 		return "", false
 	}
-	more = fmt.Sprintf(",s=%s,gen=%d,from=%d", st.ID, st.FencingToken(), st.FirstScan)
+	fields = fmt.Sprintf(",s=%s,gen=%d,from=%d", stream.ID, stream.FencingToken(), stream.FirstScan)
 	if lease > 0 {
-		more += fmt.Sprintf(",lease=%d", lease.Milliseconds())
+		fields += fmt.Sprintf(",lease=%d", lease.Milliseconds())
 	}
-	return more, true
+	return fields, true
 }
 
-// renewServerLease tells the server how long it may serve on, if that is due. It comes before a stream's first token: from
-// then on another relay may be shown one.
-func renewServerLease(e *splice.Half, st *resume.Stream) {
-	if st == nil {
+// renewServerLease tells the server how long it may serve on, if that is due. It comes before a stream's
+// first token: from then on another relay may be shown one.
+func renewServerLease(server *splice.Half, stream *resume.Stream) {
+	if stream == nil {
 		return
 	}
-	if lease := st.ServerLease(); lease > 0 {
-		e.Forward(fmt.Appendf(nil, "KEEP %d\r\n", lease.Milliseconds())) // if that fails, the reader meets the same break
+	if lease := stream.ServerLease(); lease > 0 {
+		// If that fails, the goroutine that reads the server meets the same break.
+		server.Forward(encodeLine(wordServerLease, strconv.FormatInt(lease.Milliseconds(), 10)))
 	}
 }
 
-// encodeEstablished is the server's UP, with what the client is to know beyond it: a gap, and its token.
-func encodeEstablished(e *splice.Half, st *resume.Stream, a relay.Attempt, up []byte) []byte {
-	out := append([]byte(nil), up...)
-	first, stated := uint64(0), false
-	for _, field := range strings.Fields(string(up)) {
+// encodeEstablished makes the server's answer with what the client is to know beyond it: a gap, and its
+// token.
+func encodeEstablished(server *splice.Half, stream *resume.Stream, serverName string, answer []byte) []byte {
+	out := append([]byte(nil), answer...)
+	first, stated := parseFirstScan(answer)
+	switch {
+	case stated && stream.FirstScan != 0 && first > stream.FirstScan:
+		out = fmt.Appendf(out, "%s %d %d\r\n", wordGap, stream.FirstScan, first-1)
+	case !stated && stream.FirstScan != 0: // its server does not number scans, or does not go back
+		out = fmt.Appendf(out, "%s %d -\r\n", wordGap, stream.FirstScan)
+	}
+	if stated {
+		stream.SetPosition(first - 1)
+	}
+	stream.SetServer(serverName)
+	renewServerLease(server, stream)
+	return append(out, encodeToken(stream)...)
+}
+
+// parseFirstScan returns the scan with which a server says that it begins.
+func parseFirstScan(answer []byte) (first uint64, stated bool) {
+	for _, field := range strings.Fields(string(answer)) {
 		if text, ok := strings.CutPrefix(field, "from="); ok {
 			x, err := strconv.ParseUint(text, 10, 64)
 			first, stated = x, err == nil && x > 0 && x <= maxPosition
 		}
 	}
-	switch {
-	case stated && st.FirstScan != 0 && first > st.FirstScan:
-		out = fmt.Appendf(out, "GAP %d %d\r\n", st.FirstScan, first-1)
-	case !stated && st.FirstScan != 0: // its server does not number scans, or does not go back
-		out = fmt.Appendf(out, "GAP %d -\r\n", st.FirstScan)
-	}
-	if stated {
-		st.SetPosition(first - 1)
-	}
-	st.SetServer(a.Server.ID)
-	renewServerLease(e, st)
-	return append(out, tokenLine(st)...)
+	return first, stated
 }
 
-// tokenLine is the line that gives a token; empty if there is none to give, or no stream.
-func tokenLine(st *resume.Stream) []byte {
-	if st == nil {
+// encodeToken makes the line that gives a token; empty if there is none to give, or no stream.
+func encodeToken(stream *resume.Stream) []byte {
+	if stream == nil {
 		return nil
 	}
-	text := st.IssueToken()
+	text := stream.IssueToken()
 	if text == "" {
 		return nil
 	}
-	return fmt.Appendf(nil, "TOKEN %d %s\r\n", st.FencingToken(), text)
+	return encodeLine(wordToken, strconv.FormatUint(stream.FencingToken(), 10), text)
 }
 
-// recordForwardedLine notes a line that went to the client. It returns the stream if a token is due after it.
-func recordForwardedLine(st *resume.Stream, line []byte) *resume.Stream {
-	if rest, ok := bytes.CutPrefix(line, []byte("SCAN ")); ok {
-		n, digits := uint64(0), 0
-		for ; digits < len(rest) && digits < 19 && rest[digits] >= '0' && rest[digits] <= '9'; digits++ {
-			n = n*10 + uint64(rest[digits]-'0')
-		}
-		if digits > 0 && n <= maxPosition {
-			st.SetPosition(n)
-		}
+// maxPositionDigits bounds what is read of a scan's number, which fits a uint64.
+const maxPositionDigits = 19
+
+var scanPrefix = []byte(wordScan + " ")
+
+// recordPosition notes the scan that went to the client, if a line is one.
+func recordPosition(stream *resume.Stream, line []byte) {
+	rest, ok := bytes.CutPrefix(line, scanPrefix)
+	if !ok {
+		return
 	}
-	if !st.TokenDue() {
-		return nil
+	rest = rest[:min(len(rest), maxPositionDigits)]
+	position, digits := uint64(0), 0
+	for ; digits < len(rest) && rest[digits] >= '0' && rest[digits] <= '9'; digits++ {
+		position = position*10 + uint64(rest[digits]-'0')
+	}
+	if digits > 0 && position <= maxPosition {
+		stream.SetPosition(position)
 	}
-	return st
 }
 
-// nextStreamCheck is when the goroutine that passes lines looks at its stream at the latest; 0 is never.
-func nextStreamCheck(st *resume.Stream) time.Duration {
-	if st == nil {
+// nextStreamCheck is the instant at which the goroutine that forwards lines checks its stream at the latest;
+// 0 is never.
+func nextStreamCheck(stream *resume.Stream) time.Duration {
+	if stream == nil {
 		return 0
 	}
-	return st.NextCheck()
+	return stream.NextCheck()
 }
 
-// confirmToken takes the client's word that it has a token. It is the relay's line: no server reads it.
-func confirmToken(st *resume.Stream, line []byte) bool {
-	rest, ok := bytes.CutPrefix(line, []byte("GOT "))
+var confirmPrefix = []byte(wordConfirmToken + " ")
+
+// confirmToken takes the client's line that says it has a token, and returns whether the line is one: no
+// server reads it.
+func confirmToken(stream *resume.Stream, line []byte) bool {
+	rest, ok := bytes.CutPrefix(line, confirmPrefix)
 	if !ok {
 		return false
 	}
 	if n, err := strconv.ParseUint(string(bytes.TrimRight(rest, "\r\n")), 10, 64); err == nil {
-		st.ConfirmToken(n)
+		stream.ConfirmToken(n)
 	}
 	return true
 }
 
-// releaseStream ends a stream at its server, and only then lets it be another relay's.
-func releaseStream(e *splice.Half, st *resume.Stream) {
-	if st != nil {
-		e.Close(relay.GracefulClose)
-		e.Conn.Close()
-		st.ReleaseAndWait()
+// releaseStream ends a stream at its server, and only then lets another relay acquire it.
+func releaseStream(server *splice.Half, stream *resume.Stream) {
+	if stream != nil {
+		server.Close(relay.GracefulClose)
+		server.Conn.Close()
+		stream.ReleaseAndWait()
 	}
 }
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -86,8 +86,8 @@
 	return l.Addr().String()
 }
 
-// BenchmarkLines: lines a second to one client, with the extension off, on but not asked for, and with a token.
-// Run it several times; the kinds take turns.
+// BenchmarkLines: lines a second to one client, with the extension off, on but not asked for, and with a
+// token. Run it several times; the kinds take turns.
 func BenchmarkLines(b *testing.B) {
 	zk, err := fake.NewZooKeeper("/")
 	if err != nil {
--- a/internal/wire/platform/server_dialer.go
+++ b/internal/wire/platform/server_dialer.go
@@ -12,167 +12,229 @@
 	"capersail/internal/wire/splice"
 )
 
-// ServerDialer is the server side: it dials, passes lines back, classifies how attempts end, and probes.
+// ServerDialer is the server side: it dials, forwards lines to clients, classifies how attempts end, and
+// probes. It implements relay.ServerDialer.
 type ServerDialer struct {
 	Clock             *relay.Clock
-	ConnectTimeout    time.Duration
-	LoadField         string
-	MaxIdleProbeConns int64 // how many connections may be kept for probes
+	ConnectTimeout    time.Duration // of a dial, beside the attempt's deadline; 0 for none
+	LoadField         string        // of a load report, the one that tells load over capacity
+	MaxIdleProbeConns int64
 
 	mu             sync.Mutex
-	probeQueues    map[decide.ServerID]chan probeRequest
-	idleProbeConns atomic.Int64 // connections kept for probes
+	probeQueues    map[decide.ServerID]chan probeRequest // guarded by mu
+	idleProbeConns atomic.Int64
 }
 
-// StartAttempt makes one attempt in a goroutine of its own.
-func (s *ServerDialer) StartAttempt(c *relay.Request, a relay.Attempt) { go s.runAttempt(c, a) }
+// StartAttempt makes one attempt in a goroutine of its own, which ends with it.
+func (s *ServerDialer) StartAttempt(request *relay.Request, a relay.Attempt) {
+	go s.runAttempt(request, a)
+}
+
+func (s *ServerDialer) runAttempt(request *relay.Request, a relay.Attempt) {
+	made := &attempt{Attempt: splice.Attempt{Attempt: a, Request: request}, dialer: s}
+	made.Run(s.Clock, s.ConnectTimeout, made.converse)
+}
 
-func (s *ServerDialer) runAttempt(c *relay.Request, a relay.Attempt) {
-	attempt := &splice.Attempt{Attempt: a, Request: c}
-	attempt.Run(s.Clock, s.ConnectTimeout, func() (decide.Status, decide.LoadReport) {
-		return s.awaitAnswer(c, a, attempt.Half)
-	})
+// attempt is one connection to a server, for a request.
+type attempt struct {
+	splice.Attempt
+	dialer *ServerDialer
+	lines  *lineReader
 }
 
-// awaitAnswer sends the first line and follows the connection to its end, for PROTOCOL's table.
-func (s *ServerDialer) awaitAnswer(c *relay.Request, a relay.Attempt, e *splice.Half) (decide.Status, decide.LoadReport) {
-	more, told := encodeResumeFields(c, a)
-	if e.Forward(c.Payload.(*opening).encode(a.Deadline-s.Clock.Now(), more)) != nil {
+// converse sends the first line and follows the connection to its end. What each of the server's lines means
+// is PROTOCOL's table.
+func (a *attempt) converse() (decide.Status, decide.LoadReport) {
+	resumeFields, resumable := encodeResumeFields(a.Request, a.Attempt.Attempt)
+	clientWait := a.Deadline - a.dialer.Clock.Now()
+	line := a.Request.Payload.(*opening).encode(clientWait, resumeFields)
+	if a.Half.Forward(line) != nil {
 		return decide.ConnectFailed, decide.NoLoadReport
 	}
-	c.FirstLineWritten(a.Number)
-	in := newLineReader(e.Conn)
-	for {
-		e.SetReadUntil(a.Deadline)
-		line, err := in.readLine()
-		if splice.TimedOut(err) {
-			e.ClearWake() // before the looks below: a wake that comes after them must not be lost
-			if e.Closed() {
-				return decide.Cancelled, decide.NoLoadReport
-			}
-			if s.Clock.Now() < a.Deadline { // its server has begun to drain: what was sent in time goes on
-				continue
-			}
-			return decide.TimedOut, decide.NoLoadReport
+	a.Request.FirstLineWritten(a.Number)
+	a.lines = newLineReader(a.Half.Conn)
+	answer, status := a.awaitAnswer()
+	if status != decide.OK {
+		return status, decide.NoLoadReport
+	}
+	loadField := a.dialer.LoadField
+	switch first, rest := splitFirstWord(answer); first {
+	case wordEstablished:
+		return a.forwardToClient(answer)
+	case wordStaleToken, wordAhead:
+		if !resumable {
+			return decide.Errored, decide.NoLoadReport
 		}
-		if err != nil {
-			return decide.Reset, decide.NoLoadReport
+		a.Request.FailByServer(a.Number, resumeRejections[first])
+		return decide.Cancelled, decide.NoLoadReport
+	case wordRejected:
+		return decide.AtCapacity, parseLoadReport(rest, loadField)
+	case wordClosing:
+		return decide.OK, parseLoadReport(rest, loadField)
+	case wordMigrate:
+		return decide.Cancelled, decide.NoLoadReport
+	default:
+		return decide.Errored, parseLoadReport(rest, loadField)
+	}
+}
+
+// awaitAnswer reads the server's first line. A status other than OK says why there is none.
+func (a *attempt) awaitAnswer() ([]byte, decide.Status) {
+	for {
+		a.Half.SetReadUntil(a.Deadline)
+		line, err := a.lines.readLine()
+		switch {
+		case err == nil:
+			return line, decide.OK
+		case !splice.TimedOut(err):
+			return nil, decide.Reset
 		}
-		switch first, rest := splitFirstWord(line); first {
-		case "UP":
-			return s.forwardToClient(c, a, e, in, line)
-		case "STALE", "AHEAD":
-			if !told {
-				return decide.Errored, decide.NoLoadReport
-			}
-			c.FailByServer(a.Number, resumeRejections[first])
-			return decide.Cancelled, decide.NoLoadReport
-		case "BUSY":
-			return decide.AtCapacity, parseLoadReport(rest, s.LoadField)
-		case "BYE":
-			return decide.OK, parseLoadReport(rest, s.LoadField)
-		case "MOVE":
-			return decide.Cancelled, decide.NoLoadReport
-		default:
-			return decide.Errored, parseLoadReport(rest, s.LoadField)
+		a.Half.ClearWake() // before the checks below: a wake that comes after them must not be lost
+		switch {
+		case a.Half.Closed():
+			return nil, decide.Cancelled
+		case a.dialer.Clock.Now() >= a.Deadline:
+			return nil, decide.TimedOut
 		}
+		// The server has begun to drain: what was sent in time goes on.
 	}
 }
 
-// forwardToClient passes lines from the server to the client until one side ends, or the client is to be moved.
-// It alone writes to a client whose call is up, so MOVE always stands between two lines.
-func (s *ServerDialer) forwardToClient(c *relay.Request, a relay.Attempt, e *splice.Half, in *lineReader, line []byte) (decide.Status, decide.LoadReport) {
-	client := c.Establish(a.Number)
+// forwardToClient forwards lines from the server to the client until one side ends, or the client is
+// migrated.
+func (a *attempt) forwardToClient(established []byte) (decide.Status, decide.LoadReport) {
+	client := a.Request.Establish(a.Number)
 	if client == nil {
 		return decide.Cancelled, decide.NoLoadReport
 	}
-	st := streamOf(c)
-	if st != nil {
-		line = encodeEstablished(e, st, a, line)
+	d := &downstream{attempt: a, client: client, stream: streamOf(a.Request), checkDue: true}
+	d.closeStatus, d.closeReport = decide.Reset, decide.NoLoadReport
+	if d.stream != nil {
+		established = encodeEstablished(a.Half, d.stream, a.Server.ID, established)
 	}
-	status, load, within, looked := decide.Reset, decide.NoLoadReport, false, false
+	return d.run(established)
+}
+
+// downstream carries an established request's lines from its server to its client. It alone writes to that
+// client, so whatever it adds stands between two lines.
+type downstream struct {
+	*attempt
+	client      relay.ClientConn
+	stream      *resume.Stream // nil if the client asked for no token
+	closeStatus decide.Status  // what the server's close would mean now
+	closeReport decide.LoadReport
+	midLine     bool // what was read last was a part of a line over 4 KiB
+	checkDue    bool // the stream's lease and read deadline are to be renewed
+}
+
+func (d *downstream) run(line []byte) (decide.Status, decide.LoadReport) {
 	for {
-		if !looked {
-			renewServerLease(e, st)
-			e.SetReadUntil(nextStreamCheck(st))
-			looked = true
-		}
-		if st != nil && !st.MayForward() {
-			return s.migrateClient(c, e, client, st, within, load)
-		}
-		if err := client.Forward(line); err != nil {
-			releaseStream(e, st)
-			client.Close(relay.AbortiveClose) // a client that takes nothing for a second has left
-			return decide.Cancelled, load
+		d.checkStream()
+		if !d.mayForward() {
+			return d.migrate()
 		}
-		if st != nil && !within && recordForwardedLine(st, line) != nil {
-			renewServerLease(e, st)
-			client.Forward(tokenLine(st))
-			looked = false
+		if d.client.Forward(line) != nil { // a client that takes nothing for so long has left
+			releaseStream(d.Half, d.stream)
+			d.client.Close(relay.AbortiveClose)
+			return decide.Cancelled, d.closeReport
 		}
+		d.recordForwarded(line)
 		var err error
-		if line, err = in.readLine(); len(line) > 0 {
-			if !within {
-				status, load = s.inspectServerLine(c, line)
-				if st != nil && status == decide.Cancelled { // its server sends it away
-					return s.migrateClient(c, e, client, st, false, load)
-				}
+		line, err = d.lines.readLine()
+		switch {
+		case len(line) > 0:
+			if d.inspect(line) {
+				return d.migrate()
 			}
-			within = line[len(line)-1] != '\n' // the rest of a line over 4 KiB is no line of its own
-			continue
-		}
-		if splice.TimedOut(err) {
-			e.ClearWake()
-			if e.Closed() { // the client has left, and the server took its time to end too
-				return decide.Cancelled, load
+		case splice.TimedOut(err):
+			d.Half.ClearWake()
+			if d.Half.Closed() { // the client has left, and the server took its time to end too
+				return decide.Cancelled, d.closeReport
 			}
-			if moving, _ := c.Migrating(); moving {
-				return s.migrateClient(c, e, client, st, within, load)
+			if migrating, _ := d.Request.Migrating(); migrating {
+				return d.migrate()
 			}
-			line, looked = nil, false
-			continue
-		}
-		if st != nil && !st.MayForward() { // its server's lease has ended before we looked
-			return s.migrateClient(c, e, client, st, within, load)
+			d.checkDue = true
+		case !d.mayForward(): // the server's lease expired before this side had a look
+			return d.migrate()
+		default:
+			d.Request.ServerClosed()
+			releaseStream(d.Half, d.stream)
+			d.client.Close(splice.EndingOf(err))
+			return d.closeStatus, d.closeReport
 		}
-		c.ServerClosed()
-		releaseStream(e, st)
-		client.Close(splice.EndingOf(err))
-		return status, load
 	}
 }
 
-// migrateClient sends the client away. A stream that may go on elsewhere is ended at its server and given back first:
-// the client may be at the next relay within a millisecond.
-func (s *ServerDialer) migrateClient(c *relay.Request, e *splice.Half, client relay.ClientConn, st *resume.Stream, within bool,
-	load decide.LoadReport) (decide.Status, decide.LoadReport) {
-	releaseStream(e, st)
-	status := decide.Cancelled
-	if _, silent := c.Migrating(); silent {
-		status = decide.Reset
+// checkStream renews the server's lease and the instant of the next check, if that is due.
+func (d *downstream) checkStream() {
+	if !d.checkDue {
+		return
 	}
-	if within {
-		client.Close(relay.AbortiveClose)
-		return decide.Cancelled, load
+	d.checkDue = false
+	renewServerLease(d.Half, d.stream)
+	d.Half.SetReadUntil(nextStreamCheck(d.stream))
+}
+
+func (d *downstream) mayForward() bool { return d.stream == nil || d.stream.MayForward() }
+
+// recordForwarded gives the client a token if one is due after a line.
+func (d *downstream) recordForwarded(line []byte) {
+	if d.stream == nil || d.midLine {
+		return
 	}
-	client.Forward(append(tokenLine(st), "MOVE\r\n"...))
-	client.Close(relay.GracefulClose)
-	return status, load
+	recordPosition(d.stream, line)
+	if !d.stream.TokenDue() {
+		return
+	}
+	renewServerLease(d.Half, d.stream)
+	d.client.Forward(encodeToken(d.stream))
+	d.checkDue = true
 }
 
-// inspectServerLine looks at a line on its way to the client. It returns what the connection's end would mean now.
-func (s *ServerDialer) inspectServerLine(c *relay.Request, line []byte) (decide.Status, decide.LoadReport) {
+// inspect looks at what is to be forwarded. It returns whether the server sends away a client that can
+// resume.
+func (d *downstream) inspect(line []byte) (serverMigrates bool) {
+	if !d.midLine {
+		d.closeStatus, d.closeReport = d.inspectLine(line)
+		if d.stream != nil && d.closeStatus == decide.Cancelled {
+			return true
+		}
+	}
+	d.midLine = line[len(line)-1] != '\n'
+	return false
+}
+
+// inspectLine returns what the server's close would mean after a line.
+func (d *downstream) inspectLine(line []byte) (decide.Status, decide.LoadReport) {
 	switch first, rest := splitFirstWord(line); first {
-	case "LOAD":
-		if x, err := strconv.ParseFloat(rest, 64); err == nil && x >= 0 {
-			c.ReportLoad(x)
+	case wordLoad:
+		if load, err := strconv.ParseFloat(rest, 64); err == nil && load >= 0 {
+			d.Request.ReportLoad(load)
 		}
-	case "BYE":
-		return decide.OK, parseLoadReport(rest, s.LoadField)
-	case "MOVE":
+	case wordClosing:
+		return decide.OK, parseLoadReport(rest, d.dialer.LoadField)
+	case wordMigrate:
 		return decide.Cancelled, decide.NoLoadReport
 	default:
-		c.LineReceived()
+		d.Request.LineReceived()
 	}
 	return decide.Reset, decide.NoLoadReport
 }
+
+// migrate sends the client away. A stream that may go on elsewhere is ended at its server and released first:
+// the client may be at the next relay within a millisecond.
+func (d *downstream) migrate() (decide.Status, decide.LoadReport) {
+	releaseStream(d.Half, d.stream)
+	if d.midLine { // nothing can be said within a line
+		d.client.Close(relay.AbortiveClose)
+		return decide.Cancelled, d.closeReport
+	}
+	status := decide.Cancelled
+	if _, serverSilent := d.Request.Migrating(); serverSilent {
+		status = decide.Reset
+	}
+	d.client.Forward(append(encodeToken(d.stream), encodeLine(wordMigrate)...))
+	d.client.Close(relay.GracefulClose)
+	return status, d.closeReport
+}
--- a/internal/wire/splice/attempt.go
+++ b/internal/wire/splice/attempt.go
@@ -15,8 +15,8 @@
 	Half    *Half // the connection to the server
 }
 
-// Run dials the attempt's server, lets converse speak on the connection until the attempt is over, and ends the
-// attempt, exactly once. connectTimeout bounds the dial beside the attempt's deadline; 0 is no bound. Run
+// Run dials the attempt's server, lets converse speak on the connection until the attempt is over, and ends
+// the attempt, exactly once. connectTimeout bounds the dial beside the attempt's deadline; 0 is no bound. Run
 // returns whether converse was called.
 func (a *Attempt) Run(
 	clock *relay.Clock, connectTimeout time.Duration, converse func() (decide.Status, decide.LoadReport),
