--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -29,19 +29,23 @@
 // clean end, not a reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
 	for name, end := range map[string]func(*connlimit.Permit){
-		"its time is up":      func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
-		"its place is wanted": func(p *connlimit.Permit) { p.Half.CloseNow() },
-		"the relay leaves":    func(p *connlimit.Permit) { p.Half.Wake() },
+		"its time is up":       func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
+		"it is evicted":        func(p *connlimit.Permit) { p.Half.CloseNow() },
+		"the relay shuts down": func(p *connlimit.Permit) { p.Half.Wake() },
 	} {
-		for line, want := range map[string]string{openingLine + "\r\n": "UP a1", "PING\r\n": "PONG", openingLine: "end", "": "end"} {
-			_, x, _ := startRelay(t, "UP")
-			site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Classes: []decide.ClassInfo{{}}}}
-			f := &Frontend{Requests: x, Deployment: site, Limiter: connlimit.New(x.Clock, 24, zerolog.Nop())}
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
+		for line, want := range map[string]string{
+			openingLine + "\r\n": "UP a1",
+			"PING\r\n":           "PONG",
+			openingLine:          "end",
+			"":                   "end",
+		} {
+			_, requests, _ := startRelay(t, "UP")
+			f := &Frontend{
+				Requests:   requests,
+				Deployment: newDeployment(decide.ClassInfo{}),
+				Limiter:    connlimit.New(requests.Clock, 24, zerolog.Nop()),
 			}
-			t.Cleanup(func() { l.Close() })
+			l := listen(t)
 			go f.Limiter.Serve(l, func(p *connlimit.Permit) {
 				if line != "" {
 					awaitUnread(t, p.Half)
@@ -67,12 +71,8 @@
 		"a reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		"more lines":   func(c *net.TCPConn) { fmt.Fprint(c, "M 1\r\n"); c.Close() },
 	} {
-		_, x, servers := startRelay(t, "UP")
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { l.Close() })
+		_, requests, servers := startRelay(t, "UP")
+		l := listen(t)
 		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -82,17 +82,17 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { own.Close() })
-		e := &splice.Half{Conn: own, Clock: x.Clock}
+		e := &splice.Half{Conn: own, Clock: requests.Clock}
 		leave(client.(*net.TCPConn))
 		awaitUnread(t, e)
 		o, err := parseOpening([]byte(openingLine))
 		if err != nil {
 			t.Fatal(err)
 		}
-		call := x.Open(relay.OpenRequest{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}, e)
-		<-call.Settled()
+		request := requests.Open(relay.OpenRequest{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}, e)
+		<-request.Settled()
 		if n := len(servers[0].Firsts); n > 0 {
-			t.Errorf("%s: %d first lines were sent", name, n)
+			t.Errorf("%s: %d first lines were forwarded", name, n)
 		}
 	}
 }
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -20,11 +20,12 @@
 
 func TestOpeningIsForwardedUnchangedButForItsWait(t *testing.T) {
 	cases := []struct {
-		name, in, out string // what goes on with 70 ms left; "" if nothing may
+		name, in, out string // what is forwarded with 70 ms left; "" if nothing may be
 	}{
 		{"as clients send it", "OPEN a1 0f c=m,t=x,d=2000,g=5c", "OPEN a1 0f c=m,t=x,d=70,g=5c\r\n"},
 		{"d at the end", "OPEN a1 0f c=m,d=2000", "OPEN a1 0f c=m,d=70\r\n"},
-		{"unknown fields stay", "OPEN a1 0f c=m,d=9,q=z,again=1,h=2.5", "OPEN a1 0f c=m,d=70,q=z,again=1,h=2.5\r\n"},
+		{"unknown fields stay", "OPEN a1 0f c=m,d=9,q=z,again=1,h=2.5",
+			"OPEN a1 0f c=m,d=70,q=z,again=1,h=2.5\r\n"},
 		{"from before the run", "OPEN a1 0f c=m,at=s-1", "OPEN a1 0f c=m,at=s-1\r\n"},
 		{"no class", "OPEN a1 0f d=2000", ""},
 		{"no wait", "OPEN a1 0f c=m", ""},
@@ -48,7 +49,7 @@
 	}
 }
 
-// Whatever a client sends, what goes on is its own line but for d.
+// Whatever a client sends, what is forwarded is its own line but for d.
 func FuzzOpeningIsForwardedUnchangedButForItsWait(f *testing.F) {
 	f.Add("OPEN a1 0f c=m,t=x,d=2000,g=5c")
 	f.Add("OPEN a1 0f c=m,d=1,d=2")
@@ -58,8 +59,9 @@
 			return
 		}
 		again, err := parseOpening(o.encode(70*time.Millisecond, ""))
-		if err != nil || again.class != o.class || again.previousServer != o.previousServer || o.previousServer == "" && again.clientWait != 70*time.Millisecond {
-			t.Errorf("%q goes on as %q: %v", line, o.encode(70*time.Millisecond, ""), err)
+		differs := err != nil || again.class != o.class || again.previousServer != o.previousServer
+		if differs || o.previousServer == "" && again.clientWait != 70*time.Millisecond {
+			t.Errorf("%q is forwarded as %q: %v", line, o.encode(70*time.Millisecond, ""), err)
 		}
 	})
 }
@@ -103,14 +105,52 @@
 func (noDiscovery) Watch() {}
 func (noDiscovery) Fetch() {}
 
+// newDeployment is one of a single relay and the one class m.
+func newDeployment(class decide.ClassInfo) *relay.Deployment {
+	return &relay.Deployment{
+		Classes: map[string]decide.Class{"m": 0},
+		Settings: decide.Settings{
+			Relays:      1,
+			Zones:       1,
+			MaxAttempts: 2,
+			Tick:        5 * time.Millisecond,
+			Classes:     []decide.ClassInfo{class},
+		},
+	}
+}
+
+// listen listens on a port of this machine until the test ends.
+func listen(t testing.TB) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l
+}
+
 // startRelay starts both sides with servers that answer as told, by the id of each.
-func startRelay(t *testing.T, answers ...string) (address string, x *relay.RequestTable, servers []*fake.TileServer) {
+func startRelay(
+	t *testing.T, answers ...string,
+) (address string, requests *relay.RequestTable, servers []*fake.TileServer) {
 	t.Helper()
 	clock := relay.NewClock()
-	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
-		MaxAttempts: 2, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(900), Tick: relay.Duration(5),
-		ConnectTimeout: relay.Duration(1000), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(600)}}}}
-	x = relay.NewRequestTable(site, clock, &ServerDialer{Clock: clock, ConnectTimeout: time.Second, LoadField: "x0", MaxIdleProbeConns: 4})
+	deployment := newDeployment(decide.ClassInfo{
+		LatencyObjective: 300 * time.Millisecond,
+		Deadline:         600 * time.Millisecond,
+	})
+	deployment.LoadField = "x0"
+	deployment.Settings.Probes = true
+	deployment.Settings.RetryAfter = true
+	deployment.Settings.MaxRetryAfter = 900 * time.Millisecond
+	deployment.Settings.ConnectTimeout = time.Second
+	requests = relay.NewRequestTable(deployment, clock, &ServerDialer{
+		Clock:             clock,
+		ConnectTimeout:    time.Second,
+		LoadField:         "x0",
+		MaxIdleProbeConns: 4,
+	})
 	var list []relay.Endpoint
 	for i, answer := range answers {
 		s, err := fake.NewTileServer("127.0.0.1:0", answer)
@@ -121,15 +161,12 @@
 		servers = append(servers, s)
 		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Address: s.Address, Mode: decide.Ready})
 	}
-	x.UpdateEndpoints(decide.Snapshot, list)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	go (&Frontend{Requests: x, Deployment: site, Limiter: connlimit.New(clock, 24, zerolog.Nop())}).Serve(l)
-	go relay.NewEventLoop(x, 7, noDiscovery{}, zerolog.Nop()).Run(t.Context())
-	return l.Addr().String(), x, servers
+	requests.UpdateEndpoints(decide.Snapshot, list)
+	l := listen(t)
+	limiter := connlimit.New(clock, 24, zerolog.Nop())
+	go (&Frontend{Requests: requests, Deployment: deployment, Limiter: limiter}).Serve(l)
+	go relay.NewEventLoop(requests, 7, noDiscovery{}, zerolog.Nop()).Run(t.Context())
+	return l.Addr().String(), requests, servers
 }
 
 type client struct {
@@ -173,7 +210,7 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct{ name, answer, line, want string }{
 		{"up", "UP", openingLine, "UP a1"},
-		{"turned away", "BUSY", openingLine, "BUSY"},
+		{"rejected", "BUSY", openingLine, "BUSY"},
 		{"error", "ERR", openingLine, "BUSY"},
 		{"ended without an answer", "-", openingLine, "BUSY"},
 		{"silent", "", openingLine, "BUSY"},
@@ -198,7 +235,7 @@
 
 // Once up, lines pass both ways unchanged; MOVE stands between two of them, and both sides are closed.
 func TestMigrationFallsBetweenLines(t *testing.T) {
-	address, x, servers := startRelay(t, "UP")
+	address, requests, servers := startRelay(t, "UP")
 	c := openConnection(t, address, openingLine)
 	if got := c.next(); got != "UP a1" {
 		t.Fatal(got)
@@ -212,7 +249,7 @@
 		t.Fatal(got)
 	}
 	fmt.Fprint(c, "M 2 unread when the move comes\r\n")
-	x.MigrateSome(1)
+	requests.MigrateSome(1)
 	got := c.next()
 	for strings.HasPrefix(got, "M ") {
 		got = c.next()
@@ -231,7 +268,7 @@
 	if a, b := c.next(), c.next(); a != "BYE x0=0.5" || b != "end" {
 		t.Errorf("%q, %q", a, b)
 	}
-	c = openConnection(t, address, strings.Replace(openingLine, "a1", "a2", 1)) // the first may still hold its name
+	c = openConnection(t, address, openingWithID("a2")) // the first may still hold its name
 	if got := c.next(); got != "UP a2" {
 		t.Fatal(got)
 	}
@@ -243,11 +280,11 @@
 
 // A client that leaves in the middle of its set-up takes its attempt along.
 func TestClientCloseEndsItsAttempt(t *testing.T) {
-	address, x, servers := startRelay(t, "")
+	address, requests, servers := startRelay(t, "")
 	c := openConnection(t, address, openingLine)
 	<-servers[0].Firsts
 	c.Close()
-	for i := 0; x.MigrateSome(0) > 0; i++ {
+	for i := 0; requests.MigrateSome(0) > 0; i++ {
 		if i > 1000 {
 			t.Fatal("the call is kept")
 		}
@@ -326,7 +363,7 @@
 			got = c.next()
 		}
 		if got != "ERR bad request" || len(servers[0].Firsts) > 0 {
-			t.Errorf("%s: %.40q, %d first lines sent on", name, got, len(servers[0].Firsts))
+			t.Errorf("%s: %.40q, %d first lines forwarded", name, got, len(servers[0].Firsts))
 		}
 	}
 	address, _, servers := startRelay(t, "")
@@ -340,7 +377,7 @@
 
 // An id is one client's while its request stands: to the server another would be a second attempt at it.
 func TestOneRequestPerID(t *testing.T) {
-	address, x, servers := startRelay(t, "UP")
+	address, requests, servers := startRelay(t, "UP")
 	c := openConnection(t, address, openingLine)
 	if got := c.next(); got != "UP a1" {
 		t.Fatal(got)
@@ -355,7 +392,7 @@
 		t.Errorf("the first client got %q; %d first lines", got, len(servers[0].Firsts))
 	}
 	c.Close()
-	for x.MigrateSome(0) > 0 {
+	for requests.MigrateSome(0) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if got := openConnection(t, address, openingLine).next(); got != "UP a1" {
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -19,7 +19,7 @@
 	"capersail/internal/wire/connlimit"
 )
 
-// What a first line turns into where tokens are on: the relay's two fields never go on.
+// What a first line turns into where tokens are on: the relay's two fields are never forwarded.
 func TestResumeFieldsAreNotForwarded(t *testing.T) {
 	for _, c := range []struct {
 		name, in, out, token string
@@ -44,7 +44,9 @@
 			}
 			continue
 		}
-		if got := strings.TrimSpace(string(o.encode(70*time.Millisecond, ""))); got != c.out || o.resumeToken != c.token || o.resumeToken != "" && o.position != c.position || c.fails != "" {
+		got := strings.TrimSpace(string(o.encode(70*time.Millisecond, "")))
+		wrongPosition := o.resumeToken != "" && o.position != c.position
+		if got != c.out || o.resumeToken != c.token || wrongPosition || c.fails != "" {
 			t.Errorf("%s: %q, token %q, position %d", c.name, got, o.resumeToken, o.position)
 		}
 	}
@@ -53,11 +55,7 @@
 // newScanFlood is a server that says UP and then scans as fast as they are taken.
 func newScanFlood(b *testing.B) string {
 	b.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() { l.Close() })
+	l := listen(b)
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -96,17 +94,26 @@
 	b.Cleanup(zk.Close)
 	ring, _ := token.NewKeyRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
 	clock := relay.NewClock()
-	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Relays: 1, Zones: 1, MaxAttempts: 2,
-		Tick: relay.Duration(5), Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(3000)}}}}
-	x := relay.NewRequestTable(site, clock, &ServerDialer{Clock: clock, ConnectTimeout: time.Second, MaxIdleProbeConns: 4})
-	x.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{{ID: "s", Address: newScanFlood(b), Mode: decide.Ready, SupportsResume: true}})
-	service := resume.New(resume.Config{Relay: "n", Servers: []string{zk.Address}, Path: "/a", SessionTimeout: 8 * time.Second, AcquireTimeout: 500 * time.Millisecond,
-		TokenLifetime: time.Minute, TokenRenewInterval: 5 * time.Second}, ring, clock, zerolog.Nop())
+	deployment := newDeployment(decide.ClassInfo{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second})
+	dialer := &ServerDialer{Clock: clock, ConnectTimeout: time.Second, MaxIdleProbeConns: 4}
+	requests := relay.NewRequestTable(deployment, clock, dialer)
+	requests.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{
+		{ID: "s", Address: newScanFlood(b), Mode: decide.Ready, SupportsResume: true},
+	})
+	service := resume.New(resume.Config{
+		Relay:              "n",
+		Servers:            []string{zk.Address},
+		Path:               "/a",
+		SessionTimeout:     8 * time.Second,
+		AcquireTimeout:     500 * time.Millisecond,
+		TokenLifetime:      time.Minute,
+		TokenRenewInterval: 5 * time.Second,
+	}, ring, clock, zerolog.Nop())
 	go service.Run(b.Context())
 	for service.ValidUntil() < clock.Now() {
 		time.Sleep(time.Millisecond)
 	}
-	go relay.NewEventLoop(x, 7, noDiscovery{}, zerolog.Nop()).Run(b.Context())
+	go relay.NewEventLoop(requests, 7, noDiscovery{}, zerolog.Nop()).Run(b.Context())
 	kinds := []struct {
 		name, more string
 		on         bool
@@ -119,7 +126,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			f := &Frontend{Requests: x, Deployment: site, Limiter: connlimit.New(clock, 64, zerolog.Nop())}
+			f := &Frontend{Requests: requests, Deployment: deployment, Limiter: connlimit.New(clock, 64, zerolog.Nop())}
 			if k.on {
 				f.Resume = service
 			}
