--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -35,11 +35,11 @@
 		return nil, err
 	}
 	clock := relay.NewClock()
-	servers := &xmpp.Servers{
+	servers := &xmpp.ServerDialer{
 		Clock:          clock,
 		ConnectTimeout: relay.Duration(c.ConnectMs),
-		ProbeTo:        c.Host[0].To,
-		Silent:         relay.Duration(c.SilenceMs),
+		ProbeHost:      c.Host[0].To,
+		SilenceTimeout: relay.Duration(c.SilenceMs),
 		Log:            log,
 	}
 	requests := relay.NewRequestTable(deployment, clock, servers)
@@ -52,7 +52,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	limiter := connlimit.New(clock, connectionCapacity(c.Sockets, false), log)
-	front := &xmpp.Front{X: requests, Hosts: hosts, Gate: limiter}
+	front := &xmpp.Frontend{Requests: requests, Hosts: hosts, Limiter: limiter}
 	front.TLS.Store(secure)
 	go endpoints.Run(ctx)
 	go relay.NewEventLoop(requests, rand.Uint64(), endpoints, log).Run(ctx)
@@ -72,7 +72,7 @@
 // reloadXMPP takes in what of the file can change while the relay runs: the certificate, ZooKeeper's
 // addresses, the limit.
 func reloadXMPP(
-	path string, c *XMPPConfig, front *xmpp.Front, endpoints *zookeeper.Client, limiter *connlimit.Limiter,
+	path string, c *XMPPConfig, front *xmpp.Frontend, endpoints *zookeeper.Client, limiter *connlimit.Limiter,
 	log zerolog.Logger,
 ) error {
 	next, err := ReadXMPPConfig(path)
@@ -143,10 +143,10 @@
 			key = host.To
 		}
 		hosts[host.To] = xmpp.Host{
-			Class:  deployment.Classes[host.Class],
-			Tenant: tenantNumber(deployment, host.Tenant),
-			Key:    relay.ServerKey(key),
-			Left:   relay.Duration(deadlines[host.Class]),
+			Class:        deployment.Classes[host.Class],
+			Tenant:       tenantNumber(deployment, host.Tenant),
+			Key:          relay.ServerKey(key),
+			SetupTimeout: relay.Duration(deadlines[host.Class]),
 		}
 	}
 	tenants := deployment.Settings.Tenants
--- a/internal/wire/xmpp/scan.go
+++ b/internal/wire/xmpp/scan.go
@@ -9,28 +9,28 @@
 
 // The bounds on what one peer may make the relay hold.
 const (
-	maxDepth = 32
-	maxItem  = 64 << 10
+	maxDepth     = 32
+	maxItemBytes = 64 << 10
 )
 
 // A scan that fails is answered with the stream error that RFC 6120 names for it.
 var (
 	errNotWellFormed = errors.New("not-well-formed")
 	errRestricted    = errors.New("restricted-xml")
-	errTooBig        = errors.New("policy-violation")
+	errTooLarge      = errors.New("policy-violation")
 )
 
-type kind uint8
+type itemKind uint8
 
 const (
-	opened  kind = iota // a stream's start tag
-	element             // a whole element of the stream's first level
-	closed              // the stream's end tag
+	streamHeader      itemKind = iota // a stream's start tag
+	firstLevelElement                 // a whole element of the stream's first level
+	streamEnd                         // the stream's end tag
 )
 
 // item is one thing that a stream brings: its text as it came, and its outermost tag taken apart.
 type item struct {
-	kind  kind
+	kind  itemKind
 	raw   []byte
 	name  string
 	attrs map[string]string
@@ -39,15 +39,15 @@
 // scanner cuts a stream into items. It takes bytes as they come, so a read may end anywhere. It refuses
 // what RFC 6120 restricts: document types, processing instructions, comments, entities of one's own.
 type scanner struct {
-	buf   []byte // the item that is being read
-	tag   int    // where its latest tag begins
-	mode  scanMode
-	quote byte
-	ent   int // where an entity begins
-	stack []string
-	begun bool // something has come: an XML declaration is allowed no more
-	again bool // the stream has been restarted, as it is once after SASL
-	head  item // the outermost tag of the item
+	item        []byte // the item that is being read
+	tagStart    int    // where its latest tag begins
+	mode        scanMode
+	quote       byte
+	entityStart int // where an entity begins
+	openTags    []string
+	started     bool // something has come: an XML declaration is allowed no more
+	restarted   bool // the stream has been restarted, as it is once after SASL
+	outermost   item // the outermost tag of the item
 }
 
 type scanMode uint8
@@ -62,7 +62,7 @@
 // feed takes bytes and returns the items that they complete.
 func (s *scanner) feed(p []byte) (items []item, err error) {
 	for _, c := range p {
-		it, err := s.byte(c)
+		it, err := s.scanByte(c)
 		if err != nil {
 			return items, err
 		}
@@ -73,55 +73,55 @@
 	return items, nil
 }
 
-func (s *scanner) byte(c byte) (*item, error) {
+func (s *scanner) scanByte(c byte) (*item, error) {
 	if c < ' ' && c != '\t' && c != '\n' && c != '\r' {
 		return nil, errNotWellFormed
 	}
-	if s.mode == inText && len(s.stack) < 2 && c != '<' { // between items only blanks may stand
+	if s.mode == inText && len(s.openTags) < 2 && c != '<' { // between items only blanks may stand
 		if c == ' ' || c == '\t' || c == '\n' || c == '\r' {
 			return nil, nil
 		}
 		return nil, errNotWellFormed
 	}
-	if len(s.buf) >= maxItem {
-		return nil, errTooBig
+	if len(s.item) >= maxItemBytes {
+		return nil, errTooLarge
 	}
-	s.buf = append(s.buf, c)
+	s.item = append(s.item, c)
 	switch s.mode {
 	case inText:
 		switch c {
 		case '<':
-			s.mode, s.tag = inTag, len(s.buf)-1
+			s.mode, s.tagStart = inTag, len(s.item)-1
 		case '&':
-			s.mode, s.ent = inEntity, len(s.buf)
+			s.mode, s.entityStart = inEntity, len(s.item)
 		}
 	case inEntity:
 		if c == ';' {
-			name := string(s.buf[s.ent : len(s.buf)-1])
+			name := string(s.item[s.entityStart : len(s.item)-1])
 			if !strings.HasPrefix(name, "#") && !strings.Contains(" amp lt gt quot apos ", " "+name+" ") || name == "" {
 				return nil, errRestricted
 			}
 			s.mode = inText
-		} else if len(s.buf)-s.ent > 8 || c == '<' {
+		} else if len(s.item)-s.entityStart > 8 || c == '<' {
 			return nil, errNotWellFormed
 		}
 	case inData:
-		if c == '>' && strings.HasSuffix(string(s.buf[s.tag:]), "]]>") {
+		if c == '>' && strings.HasSuffix(string(s.item[s.tagStart:]), "]]>") {
 			s.mode = inText
 		}
 	case inTag:
-		return s.inside(c)
+		return s.scanTag(c)
 	}
 	return nil, nil
 }
 
-// inside takes a byte of a tag.
-func (s *scanner) inside(c byte) (*item, error) {
-	tag := s.buf[s.tag:]
+// scanTag takes a byte of a tag.
+func (s *scanner) scanTag(c byte) (*item, error) {
+	tag := s.item[s.tagStart:]
 	const data = "<![CDATA["
 	switch {
 	case len(tag) >= 2 && tag[1] == '!':
-		if len(s.stack) < 2 || len(tag) > len(data) || data[:len(tag)] != string(tag) {
+		if len(s.openTags) < 2 || len(tag) > len(data) || data[:len(tag)] != string(tag) {
 			return nil, errRestricted // a document type or a comment
 		}
 		if len(tag) == len(data) {
@@ -129,15 +129,15 @@
 		}
 		return nil, nil
 	case len(tag) >= 2 && tag[1] == '?':
-		restart := len(s.stack) == 1 && s.tag == 0 && !s.again
-		if s.begun && !restart || len(tag) > 5 && string(tag[:5]) != "<?xml" || len(tag) > 256 {
+		restart := len(s.openTags) == 1 && s.tagStart == 0 && !s.restarted
+		if s.started && !restart || len(tag) > 5 && string(tag[:5]) != "<?xml" || len(tag) > 256 {
 			return nil, errRestricted
 		}
 		if c == '>' {
 			if len(tag) < 7 || tag[len(tag)-2] != '?' {
 				return nil, errRestricted
 			}
-			s.begun, s.mode, s.buf = true, inText, s.buf[:0]
+			s.started, s.mode, s.item = true, inText, s.item[:0]
 		}
 		return nil, nil
 	case s.quote != 0:
@@ -156,67 +156,67 @@
 	case c != '>':
 		return nil, nil
 	}
-	s.begun, s.mode = true, inText
-	return s.close(string(tag[1 : len(tag)-1]))
+	s.started, s.mode = true, inText
+	return s.endTag(string(tag[1 : len(tag)-1]))
 }
 
-// close takes a whole tag, without its brackets.
-func (s *scanner) close(tag string) (*item, error) {
+// endTag takes a whole tag, without its brackets.
+func (s *scanner) endTag(tag string) (*item, error) {
 	if name, end := strings.CutPrefix(tag, "/"); end {
 		name = strings.TrimRight(name, " \t\r\n")
-		if len(s.stack) == 0 || s.stack[len(s.stack)-1] != name {
+		if len(s.openTags) == 0 || s.openTags[len(s.openTags)-1] != name {
 			return nil, errNotWellFormed
 		}
-		s.stack = s.stack[:len(s.stack)-1]
-		switch len(s.stack) {
+		s.openTags = s.openTags[:len(s.openTags)-1]
+		switch len(s.openTags) {
 		case 0:
-			s.head = item{kind: closed, name: name}
-			return s.done(), nil
+			s.outermost = item{kind: streamEnd, name: name}
+			return s.takeItem(), nil
 		case 1:
-			return s.done(), nil
+			return s.takeItem(), nil
 		}
 		return nil, nil
 	}
 	text, empty := strings.CutSuffix(tag, "/")
-	name, attrs, err := attributes(text)
+	name, attrs, err := parseTag(text)
 	if err != nil {
 		return nil, err
 	}
-	if len(s.stack) < 2 {
-		s.head = item{kind: element, name: name, attrs: attrs}
+	if len(s.openTags) < 2 {
+		s.outermost = item{kind: firstLevelElement, name: name, attrs: attrs}
 	}
-	if name == "stream:stream" && len(s.stack) == 1 && !s.again && !empty {
-		s.again, s.stack = true, s.stack[:0]
+	if name == "stream:stream" && len(s.openTags) == 1 && !s.restarted && !empty {
+		s.restarted, s.openTags = true, s.openTags[:0]
 	}
 	if empty {
-		switch len(s.stack) {
+		switch len(s.openTags) {
 		case 0:
 			return nil, errNotWellFormed
 		case 1:
-			return s.done(), nil
+			return s.takeItem(), nil
 		}
 		return nil, nil
 	}
-	if len(s.stack) >= maxDepth {
-		return nil, errTooBig
+	if len(s.openTags) >= maxDepth {
+		return nil, errTooLarge
 	}
-	s.stack = append(s.stack, name)
-	if len(s.stack) == 1 {
-		s.head.kind = opened
-		return s.done(), nil
+	s.openTags = append(s.openTags, name)
+	if len(s.openTags) == 1 {
+		s.outermost.kind = streamHeader
+		return s.takeItem(), nil
 	}
 	return nil, nil
 }
 
-func (s *scanner) done() *item {
-	it := s.head
-	it.raw = append([]byte(nil), s.buf...)
-	s.buf = s.buf[:0]
+func (s *scanner) takeItem() *item {
+	it := s.outermost
+	it.raw = append([]byte(nil), s.item...)
+	s.item = s.item[:0]
 	return &it
 }
 
-// attributes takes a start tag apart.
-func attributes(tag string) (name string, attrs map[string]string, err error) {
+// parseTag takes a start tag apart.
+func parseTag(tag string) (name string, attrs map[string]string, err error) {
 	const blanks = " \t\r\n"
 	name = tag
 	if i := strings.IndexAny(tag, blanks); i >= 0 {
--- a/internal/wire/xmpp/scan_test.go
+++ b/internal/wire/xmpp/scan_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzScanner checks that where reads end makes no difference, and that the bounds hold.
-func FuzzScanner(f *testing.F) {
+// FuzzItemsDoNotDependOnReads checks that where reads end makes no difference, and that the bounds hold.
+func FuzzItemsDoNotDependOnReads(f *testing.F) {
 	const start = "<?xml version='1.0'?><stream:stream to='a'>"
 	f.Add([]byte(start + "<message id='1'><body>a&lt;<![CDATA[</x>]]></body></message></stream:stream>"))
 	f.Add([]byte(start + "<auth/>" + start + "<iq type=\"get\"/>"))
@@ -26,8 +26,8 @@
 		if fmt.Sprint(all, err) != fmt.Sprint(each, eachErr) {
 			t.Errorf("at once %v %v, byte by byte %v %v", all, err, each, eachErr)
 		}
-		if len(whole.buf) > maxItem || len(whole.stack) > maxDepth {
-			t.Errorf("%d bytes, depth %d", len(whole.buf), len(whole.stack))
+		if len(whole.item) > maxItemBytes || len(whole.openTags) > maxDepth {
+			t.Errorf("%d bytes, depth %d", len(whole.item), len(whole.openTags))
 		}
 	})
 }
--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	streamsNS = "http://etherx.jabber.org/streams"
-	errorsNS  = "urn:ietf:params:xml:ns:xmpp-streams"
-	retryNS   = "urn:capersail:retry"
-	tlsNS     = "urn:ietf:params:xml:ns:xmpp-tls"
+	streamsNamespace = "http://etherx.jabber.org/streams"
+	errorsNamespace  = "urn:ietf:params:xml:ns:xmpp-streams"
+	retryNamespace   = "urn:capersail:retry"
+	tlsNamespace     = "urn:ietf:params:xml:ns:xmpp-tls"
 
-	maxQueue = 64        // items that wait for the server, or that it has not confirmed
-	maxBytes = 128 << 10 // and bytes of each: a few big stanzas are as much as many small ones
+	maxQueuedItems = 64        // items that wait for the server, or that it has not confirmed
+	maxQueuedBytes = 128 << 10 // and bytes of each: a few big stanzas are as much as many small ones
 )
 
 // stream is what the two sides of one call share: the client's writing end and the queue of what the
 // client sends. The server side alone takes from the queue, so no item is ever sent twice.
 type stream struct {
-	client *splice.Half
-	open   item   // the client's start tag
-	to     string // the host it asked for
+	client       *splice.Half
+	clientHeader item   // the client's start tag
+	host         string // the host it asked for
 
-	mu       sync.Mutex
-	room     *sync.Cond
-	queue    []item
-	bytes    int // of the queue
-	over     bool
-	header   bool   // the client has a start tag
-	final    bool   // and its one outcome
-	reason   string // the stream error to end with, where the answer's kind is not enough
-	features string // as the client was given them, "" if it was not
+	mu          sync.Mutex
+	changed     *sync.Cond
+	queue       []item
+	queuedBytes int // of the queue
+	ended       bool
+	headerSent  bool   // the client has a start tag
+	outcomeSent bool   // and its one outcome
+	condition   string // the stream error to end with, where the answer's kind is not enough
+	features    string // as the client was given them, "" if it was not
 }
 
 func newStream(e *splice.Half) *stream {
 	st := &stream{client: e}
-	st.room = sync.NewCond(&st.mu)
+	st.changed = sync.NewCond(&st.mu)
 	return st
 }
 
@@ -51,14 +51,14 @@
 func (st *stream) push(it item) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for (len(st.queue) >= maxQueue || st.bytes >= maxBytes) && !st.over {
-		st.room.Wait()
+	for (len(st.queue) >= maxQueuedItems || st.queuedBytes >= maxQueuedBytes) && !st.ended {
+		st.changed.Wait()
 	}
-	if st.over {
+	if st.ended {
 		return false
 	}
 	st.queue = append(st.queue, it)
-	st.bytes += len(it.raw)
+	st.queuedBytes += len(it.raw)
 	return true
 }
 
@@ -70,17 +70,17 @@
 	}
 	it := st.queue[0]
 	st.queue = st.queue[1:]
-	st.bytes -= len(it.raw)
-	st.room.Signal()
+	st.queuedBytes -= len(it.raw)
+	st.changed.Signal()
 	return it, true
 }
 
-// because names the stream error that an outcome still to be told means. The first reason stays.
-func (st *stream) because(condition string) {
+// setCondition names the stream error that an outcome still to be told means. The first reason stays.
+func (st *stream) setCondition(condition string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.reason == "" {
-		st.reason = condition
+	if st.condition == "" {
+		st.condition = condition
 	}
 }
 
@@ -88,78 +88,78 @@
 func (st *stream) write(p []byte) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.final {
+	if st.outcomeSent {
 		return net.ErrClosed
 	}
-	st.header = true
+	st.headerSent = true
 	return st.client.Forward(p)
 }
 
-// greet gives the client a server's start tag and features, once. A retry's must be the same: the client
+// sendFeatures gives the client a server's start tag and features, once. A retry's must be the same: the client
 // has chosen its mechanism by the first.
-func (st *stream) greet(open, features string) bool {
+func (st *stream) sendFeatures(open, features string) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.features != "" {
 		return st.features == features
 	}
-	st.features, st.header = features, true
-	return !st.final && st.client.Forward([]byte("<?xml version='1.0'?>"+open+features)) == nil
+	st.features, st.headerSent = features, true
+	return !st.outcomeSent && st.client.Forward([]byte("<?xml version='1.0'?>"+open+features)) == nil
 }
 
-// finish gives the client its one outcome: the end of the stream, after a stream error if one is named.
-func (st *stream) finish(condition, more string) {
+// sendOutcome gives the client its one outcome: the end of the stream, after a stream error if one is named.
+func (st *stream) sendOutcome(condition, more string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.final {
+	if st.outcomeSent {
 		return
 	}
-	st.final, st.over = true, true
-	st.room.Broadcast()
+	st.outcomeSent, st.ended = true, true
+	st.changed.Broadcast()
 	var b strings.Builder
-	if !st.header {
-		fmt.Fprintf(&b, "<?xml version='1.0'?>%s", startTag(st.to))
+	if !st.headerSent {
+		fmt.Fprintf(&b, "<?xml version='1.0'?>%s", encodeHeader(st.host))
 	}
 	if condition != "" {
-		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", condition, errorsNS, more)
+		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", condition, errorsNamespace, more)
 	}
 	b.WriteString("</stream:stream>")
 	st.client.Forward([]byte(b.String()))
 }
 
-// wait returns once the call is over.
-func (st *stream) wait() {
+// awaitEnd returns once the call is over.
+func (st *stream) awaitEnd() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for !st.over {
-		st.room.Wait()
+	for !st.ended {
+		st.changed.Wait()
 	}
 }
 
-// leave frees whoever waits.
-func (st *stream) leave() {
+// markEnded frees whoever waits.
+func (st *stream) markEnded() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.over = true
-	st.room.Broadcast()
+	st.ended = true
+	st.changed.Broadcast()
 }
 
-// startTag is the relay's own, where no server's has come.
-func startTag(from string) string {
+// encodeHeader is the relay's own, where no server's has come.
+func encodeHeader(from string) string {
 	id := make([]byte, 8)
 	rand.Read(id)
 	return fmt.Sprintf("<stream:stream from='%s' id='%s' version='1.0' xml:lang='en' xmlns='jabber:client' xmlns:stream='%s'>",
-		escape(from), hex.EncodeToString(id), streamsNS)
+		escape(from), hex.EncodeToString(id), streamsNamespace)
 }
 
 // escape makes text that stood in one kind of quotes fit for single ones. It was scanned before, so what
 // other escapes it holds stay as they are.
 func escape(text string) string { return strings.NewReplacer("'", "&apos;", "<", "&lt;").Replace(text) }
 
-// bounce is the error that answers a stanza which no server will take, or "" where none may be sent: an
+// encodeBounce is the error that answers a stanza which no server will take, or "" where none may be sent: an
 // error is never answered, nor a reply.
-func bounce(it item) string {
-	if it.kind != element || it.attrs["type"] == "error" || it.attrs["type"] == "result" {
+func encodeBounce(it item) string {
+	if it.kind != firstLevelElement || it.attrs["type"] == "error" || it.attrs["type"] == "result" {
 		return ""
 	}
 	if it.name != "message" && it.name != "presence" && it.name != "iq" {
@@ -176,24 +176,26 @@
 	return b.String()
 }
 
-// reader reads items from a connection. A read that a deadline cuts short loses nothing.
-type reader struct {
-	conn  net.Conn
-	scan  scanner
-	items []item
-	buf   []byte
-	err   error // of the scanner; it comes after the items before it
+// itemReader reads items from a connection. A read that a deadline cuts short loses nothing.
+type itemReader struct {
+	conn    net.Conn
+	scanner scanner
+	items   []item
+	buf     []byte
+	err     error // of the scanner; it comes after the items before it
 }
 
-func newReader(conn net.Conn) *reader { return &reader{conn: conn, buf: make([]byte, 4096)} }
+func newItemReader(conn net.Conn) *itemReader {
+	return &itemReader{conn: conn, buf: make([]byte, 4096)}
+}
 
-func (r *reader) next() (item, error) {
+func (r *itemReader) readItem() (item, error) {
 	for len(r.items) == 0 {
 		if r.err != nil {
 			return item{}, r.err
 		}
 		n, err := r.conn.Read(r.buf)
-		r.items, r.err = r.scan.feed(r.buf[:n])
+		r.items, r.err = r.scanner.feed(r.buf[:n])
 		if err != nil && len(r.items) == 0 && r.err == nil {
 			return item{}, err
 		}
@@ -203,26 +205,30 @@
 	return it, nil
 }
 
-// idle tells whether everything that was read has been taken, as before a TLS handshake it must be.
-func (r *reader) idle() bool { return len(r.items) == 0 && len(r.scan.buf) == 0 && r.err == nil }
+// drained tells whether everything that was read has been taken, as before a TLS handshake it must be.
+func (r *itemReader) drained() bool {
+	return len(r.items) == 0 && len(r.scanner.item) == 0 && r.err == nil
+}
 
-// ours tells the scanner's refusals from a broken connection.
-func ours(err error) bool { return err == errNotWellFormed || err == errRestricted || err == errTooBig }
+// isScanError tells the scanner's refusals from a broken connection.
+func isScanError(err error) bool {
+	return err == errNotWellFormed || err == errRestricted || err == errTooLarge
+}
 
-// clientEnd is the client's end as the Exchange knows it. Its wake says that the call is over, which a
+// clientHalf is the client's end as the Exchange knows it. Its wake says that the call is over, which a
 // client side that waits for room in the queue must hear too.
-type clientEnd struct {
+type clientHalf struct {
 	*splice.Half
-	st *stream
+	stream *stream
 }
 
 // Wake frees the client side to write the answer.
-func (c clientEnd) Wake() {
-	c.st.leave()
+func (c clientHalf) Wake() {
+	c.stream.markEnded()
 	c.Half.Wake()
 }
 
 // HasUnread is the client's end only: it may say something at any time.
-func (c clientEnd) HasUnread() bool { return c.Half.PeerClosed() }
+func (c clientHalf) HasUnread() bool { return c.Half.PeerClosed() }
 
-var _ relay.ClientConn = clientEnd{}
+var _ relay.ClientConn = clientHalf{}
