--- a/internal/wire/xmpp/client.go
+++ b/internal/wire/xmpp/frontend.go
@@ -5,7 +5,6 @@
 	"crypto/tls"
 	"errors"
 	"fmt"
-	"math"
 	"net"
 	"sync/atomic"
 	"time"
@@ -174,14 +173,3 @@
 		}
 	}
 }
-
-func (st *stream) streamCondition() string {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.condition
-}
-
-// encodeRetryAfter is the child of a refusal that tells the client when to come again.
-func encodeRetryAfter(d time.Duration) string {
-	return fmt.Sprintf("<retry-after xmlns='%s' ms='%d'/>", retryNamespace, int(math.Ceil(relay.Millis(d))))
-}
--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -1,8 +1,6 @@
 package xmpp
 
 import (
-	"crypto/rand"
-	"encoding/hex"
 	"fmt"
 	"net"
 	"strings"
@@ -12,6 +10,12 @@
 	"capersail/internal/wire/splice"
 )
 
+func (st *stream) streamCondition() string {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.condition
+}
+
 const (
 	streamsNamespace = "http://etherx.jabber.org/streams"
 	errorsNamespace  = "urn:ietf:params:xml:ns:xmpp-streams"
@@ -144,77 +148,6 @@
 	st.changed.Broadcast()
 }
 
-// encodeHeader is the relay's own, where no server's has come.
-func encodeHeader(from string) string {
-	id := make([]byte, 8)
-	rand.Read(id)
-	return fmt.Sprintf("<stream:stream from='%s' id='%s' version='1.0' xml:lang='en' xmlns='jabber:client' xmlns:stream='%s'>",
-		escape(from), hex.EncodeToString(id), streamsNamespace)
-}
-
-// escape makes text that stood in one kind of quotes fit for single ones. It was scanned before, so what
-// other escapes it holds stay as they are.
-func escape(text string) string { return strings.NewReplacer("'", "&apos;", "<", "&lt;").Replace(text) }
-
-// encodeBounce is the error that answers a stanza which no server will take, or "" where none may be sent: an
-// error is never answered, nor a reply.
-func encodeBounce(it item) string {
-	if it.kind != firstLevelElement || it.attrs["type"] == "error" || it.attrs["type"] == "result" {
-		return ""
-	}
-	if it.name != "message" && it.name != "presence" && it.name != "iq" {
-		return ""
-	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "<%s type='error'", it.name)
-	for _, a := range [][2]string{{"id", "id"}, {"from", "to"}, {"to", "from"}} {
-		if v := it.attrs[a[1]]; v != "" {
-			fmt.Fprintf(&b, " %s='%s'", a[0], escape(v))
-		}
-	}
-	fmt.Fprintf(&b, "><error type='wait'><remote-server-timeout xmlns='urn:ietf:params:xml:ns:xmpp-stanzas'/></error></%s>", it.name)
-	return b.String()
-}
-
-// itemReader reads items from a connection. A read that a deadline cuts short loses nothing.
-type itemReader struct {
-	conn    net.Conn
-	scanner scanner
-	items   []item
-	buf     []byte
-	err     error // of the scanner; it comes after the items before it
-}
-
-func newItemReader(conn net.Conn) *itemReader {
-	return &itemReader{conn: conn, buf: make([]byte, 4096)}
-}
-
-func (r *itemReader) readItem() (item, error) {
-	for len(r.items) == 0 {
-		if r.err != nil {
-			return item{}, r.err
-		}
-		n, err := r.conn.Read(r.buf)
-		r.items, r.err = r.scanner.feed(r.buf[:n])
-		if err != nil && len(r.items) == 0 && r.err == nil {
-			return item{}, err
-		}
-	}
-	it := r.items[0]
-	r.items = r.items[1:]
-	return it, nil
-}
-
-// drained tells whether everything that was read has been taken, as before a TLS handshake it must be.
-func (r *itemReader) drained() bool {
-	return len(r.items) == 0 && len(r.scanner.item) == 0 && r.err == nil
-}
-
-// isScanError tells the scanner's refusals from a broken connection.
-func isScanError(err error) bool {
-	return err == errNotWellFormed || err == errRestricted || err == errTooLarge
-}
-
 // clientHalf is the client's end as the Exchange knows it. Its wake says that the call is over, which a
 // client side that waits for room in the queue must hear too.
 type clientHalf struct {
