--- a/internal/wire/xmpp/encode.go
+++ b/internal/wire/xmpp/encode.go
@@ -11,25 +11,48 @@
 	"capersail/internal/relay"
 )
 
-// encodeRetryAfter is the child of a refusal that tells the client when to come again.
-func encodeRetryAfter(d time.Duration) string {
-	return fmt.Sprintf("<retry-after xmlns='%s' ms='%d'/>", retryNamespace, int(math.Ceil(relay.Millis(d))))
-}
+const (
+	clientNamespace  = "jabber:client"
+	errorsNamespace  = "urn:ietf:params:xml:ns:xmpp-streams"
+	retryNamespace   = "urn:capersail:retry"
+	stanzasNamespace = "urn:ietf:params:xml:ns:xmpp-stanzas"
+	streamsNamespace = "http://etherx.jabber.org/streams"
+	tlsNamespace     = "urn:ietf:params:xml:ns:xmpp-tls"
+
+	xmlDeclaration = "<?xml version='1.0'?>"
+	streamEndTag   = "</stream:stream>"
+	proceedTLS     = "<proceed xmlns='" + tlsNamespace + "'/>"
+	requireTLS     = "<stream:features><starttls xmlns='" + tlsNamespace +
+		"'><required/></starttls></stream:features>"
+)
 
-// encodeHeader is the relay's own, where no server's has come.
+// encodeHeader makes the relay's own start tag, where no server's has come.
 func encodeHeader(from string) string {
 	id := make([]byte, 8)
 	rand.Read(id)
-	return fmt.Sprintf("<stream:stream from='%s' id='%s' version='1.0' xml:lang='en' xmlns='jabber:client' xmlns:stream='%s'>",
-		escape(from), hex.EncodeToString(id), streamsNamespace)
+	return fmt.Sprintf(
+		"<stream:stream from='%s' id='%s' version='1.0' xml:lang='en' xmlns='%s' xmlns:stream='%s'>",
+		escape(from), hex.EncodeToString(id), clientNamespace, streamsNamespace)
+}
+
+// encodeClientHeader makes the start tag of a stream that the relay opens itself.
+func encodeClientHeader(to string) string {
+	return fmt.Sprintf("<stream:stream to='%s' version='1.0' xmlns='%s' xmlns:stream='%s'>",
+		escape(to), clientNamespace, streamsNamespace)
+}
+
+// encodeRetryAfter makes the child of a rejection that tells the client when to retry.
+func encodeRetryAfter(retryAfter time.Duration) string {
+	ms := int(math.Ceil(relay.Millis(retryAfter)))
+	return fmt.Sprintf("<retry-after xmlns='%s' ms='%d'/>", retryNamespace, ms)
 }
 
 // escape makes text that stood in one kind of quotes fit for single ones. It was scanned before, so what
 // other escapes it holds stay as they are.
 func escape(text string) string { return strings.NewReplacer("'", "&apos;", "<", "&lt;").Replace(text) }
 
-// encodeBounce is the error that answers a stanza which no server will take, or "" where none may be sent: an
-// error is never answered, nor a reply.
+// encodeBounce makes the error that answers a stanza which no server will take, or "" where none may be sent:
+// an error is never answered, nor a reply.
 func encodeBounce(it item) string {
 	if it.kind != firstLevelElement || it.attrs["type"] == "error" || it.attrs["type"] == "result" {
 		return ""
@@ -44,6 +67,24 @@
 			fmt.Fprintf(&b, " %s='%s'", a[0], escape(v))
 		}
 	}
-	fmt.Fprintf(&b, "><error type='wait'><remote-server-timeout xmlns='urn:ietf:params:xml:ns:xmpp-stanzas'/></error></%s>", it.name)
+	fmt.Fprintf(&b, "><error type='wait'><remote-server-timeout xmlns='%s'/></error></%s>",
+		stanzasNamespace, it.name)
 	return b.String()
 }
+
+// stripStartTLS takes the server's own offer of STARTTLS out of its features: the relay has ended TLS, or the
+// operator's file says that there is none.
+func stripStartTLS(features string) string {
+	i := strings.Index(features, "<starttls")
+	if i < 0 {
+		return features
+	}
+	rest := features[i:]
+	if j := strings.Index(rest, ">"); j > 0 && rest[j-1] == '/' {
+		return features[:i] + rest[j+1:]
+	}
+	if j := strings.Index(rest, "</starttls>"); j >= 0 {
+		return features[:i] + rest[j+len("</starttls>"):]
+	}
+	return features
+}
--- a/internal/wire/xmpp/frontend.go
+++ b/internal/wire/xmpp/frontend.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/tls"
-	"errors"
 	"fmt"
 	"net"
 	"sync/atomic"
@@ -18,158 +17,173 @@
 // connLimitRetryAfter is when a client comes again that the limit on connections has rejected.
 const connLimitRetryAfter = 500 * time.Millisecond
 
-// Host is what the operator's file says of one `to`.
+// Host is what the operator's file says of one host that clients name.
 type Host struct {
 	Class        decide.Class
 	Tenant       decide.Tenant
 	Key          uint64
-	SetupTimeout time.Duration // until a stream must be up
+	SetupTimeout time.Duration // until a stream must be established
 }
 
-// Frontend is the client side.
+// Frontend is the client side: it speaks with each client in a goroutine of its own.
 type Frontend struct {
 	Requests *relay.RequestTable
 	Hosts    map[string]Host
-	TLS      atomic.Pointer[tls.Config] // for new connections; nil only where the operator's file allows plaintext
 	Limiter  *connlimit.Limiter
+	// TLS is for new connections; nil only where the operator's file allows plaintext.
+	TLS atomic.Pointer[tls.Config]
 }
 
-// Serve accepts until the listener is closed.
+// Serve accepts until the listener is closed, which is no error. A goroutine serves each connection, and ends
+// with it.
 func (f *Frontend) Serve(l net.Listener) error { return f.Limiter.Serve(l, f.serveClient) }
 
 // serveClient speaks with one client until its connection is closed, and that to its server too.
-func (f *Frontend) serveClient(p *connlimit.Permit) {
-	e := p.Half
-	st := newStream(e)
-	e.SetReadUntil(p.RequestUntil)
-	r, host, err := f.negotiate(e, st, p.RequestUntil)
-	var call *relay.Request
+func (f *Frontend) serveClient(permit *connlimit.Permit) {
+	half := permit.Half
+	st := newStream(half)
+	half.SetReadUntil(permit.RequestUntil)
+	reader, host, err := f.negotiate(st, permit.RequestUntil)
+	var request *relay.Request
 	switch {
 	case err != nil:
-		f.Limiter.Log.Warn().Err(err).Str("to", st.host).Msg("stream refused before it was placed")
-	case !p.AcquireRequest():
+		f.Limiter.Log.Warn().Err(err).Str("to", st.host).Msg("client stream rejected before a request was opened")
+	case !permit.AcquireRequest():
 		f.Requests.RecordConnLimitRejection(host.Class)
-		st.sendOutcome("resource-constraint", encodeRetryAfter(connLimitRetryAfter))
+		st.sendOutcome(resourceConstraint, encodeRetryAfter(connLimitRetryAfter))
 	default:
-		e.SetReadUntil(0)
-		call = f.Requests.Open(relay.OpenRequest{Class: host.Class, Tenant: host.Tenant, Key: host.Key, Timeout: host.SetupTimeout, Payload: st}, clientHalf{e, st})
-		f.forwardFromClient(call, st, r)
+		half.SetReadUntil(0)
+		request = f.Requests.Open(relay.OpenRequest{
+			Class:   host.Class,
+			Tenant:  host.Tenant,
+			Key:     host.Key,
+			Timeout: host.SetupTimeout,
+			Payload: st,
+		}, clientHalf{half, st})
+		f.forwardFromClient(request, st, reader)
 	}
-	p.CloseAndRelease(call)
+	permit.CloseAndRelease(request)
 }
 
-// negotiate takes the client's start tag, after STARTTLS where there is a certificate; all of it by a time that
-// no step renews.
-func (f *Frontend) negotiate(e *splice.Half, st *stream, until time.Duration) (*itemReader, Host, error) {
-	r := newItemReader(e.Conn)
-	host, err := f.readHeader(st, r)
+// negotiate takes the client's start tag, after STARTTLS where there is a certificate; all of it until an
+// instant that no step renews. Its errors are a streamError and those of the connection.
+func (f *Frontend) negotiate(st *stream, until time.Duration) (*itemReader, Host, error) {
+	reader := newItemReader(st.client.Conn)
+	host, err := f.readHeader(st, reader)
 	config := f.TLS.Load()
 	if err != nil || config == nil {
-		return r, host, err
+		return reader, host, err
 	}
-	st.write([]byte("<?xml version='1.0'?>" + encodeHeader(st.host) +
-		"<stream:features><starttls xmlns='" + tlsNamespace + "'><required/></starttls></stream:features>"))
-	it, err := r.readItem()
-	if err != nil || it.name != "starttls" || !r.drained() { // bytes before the handshake are nobody's
-		st.sendOutcome("policy-violation", "")
-		return r, host, fmt.Errorf("no STARTTLS but %q: %w", it.name, err)
+	st.write([]byte(xmlDeclaration + encodeHeader(st.host) + requireTLS))
+	it, err := reader.readItem()
+	if err != nil || it.name != "starttls" || !reader.drained() { // bytes before the handshake are nobody's
+		st.sendOutcome(policyViolation, "")
+		return reader, host, fmt.Errorf("no STARTTLS but %q: %w", it.name, err)
 	}
-	if err := st.write([]byte("<proceed xmlns='" + tlsNamespace + "'/>")); err != nil {
-		return r, host, err
+	if err := st.write([]byte(proceedTLS)); err != nil {
+		return reader, host, err
 	}
-	secure := tls.Server(e.Conn, config)
+	secure := tls.Server(st.client.Conn, config)
 	ctx, stop := context.WithTimeout(context.Background(), until-f.Requests.Clock.Now())
 	defer stop()
 	if err := secure.HandshakeContext(ctx); err != nil {
-		return r, host, fmt.Errorf("TLS: %w", err)
+		return reader, host, fmt.Errorf("TLS: %w", err)
 	}
-	e.Attach(secure)
+	st.client.Attach(secure)
 	st.headerSent = false // the client begins a new stream, and is owed a new start tag
-	e.SetReadUntil(until)
-	r = newItemReader(secure)
-	host, err = f.readHeader(st, r)
-	return r, host, err
+	st.client.SetReadUntil(until)
+	reader = newItemReader(secure)
+	host, err = f.readHeader(st, reader)
+	return reader, host, err
 }
 
-// readHeader takes one readHeader tag and finds its host.
-func (f *Frontend) readHeader(st *stream, r *itemReader) (Host, error) {
-	it, err := r.readItem()
-	condition := ""
+// readHeader takes one start tag and finds its host.
+func (f *Frontend) readHeader(st *stream, reader *itemReader) (Host, error) {
+	it, err := reader.readItem()
+	wrong := noCondition
 	switch {
-	case err != nil && isScanError(err):
-		condition = err.Error()
 	case err != nil:
-		return Host{}, err
+		if wrong = conditionOf(err); wrong == noCondition {
+			return Host{}, err
+		}
 	case it.kind != streamHeader || it.name != "stream:stream":
-		condition = "bad-format"
-	case it.attrs["xmlns:stream"] != streamsNamespace || it.attrs["xmlns"] != "jabber:client":
-		condition = "invalid-namespace"
+		wrong = badFormat
+	case it.attrs["xmlns:stream"] != streamsNamespace || it.attrs["xmlns"] != clientNamespace:
+		wrong = invalidNamespace
 	case it.attrs["version"] != "1.0":
-		condition = "unsupported-version"
+		wrong = unsupportedVersion
 	}
 	st.clientHeader, st.host = it, it.attrs["to"]
 	host, known := f.Hosts[st.host]
-	if condition == "" && !known {
-		condition = "host-unknown"
+	if wrong == noCondition && !known {
+		wrong = hostUnknown
 	}
-	if condition != "" {
-		st.sendOutcome(condition, "")
-		return host, errors.New(condition)
+	if wrong != noCondition {
+		st.sendOutcome(wrong, "")
+		return host, &streamError{wrong}
 	}
 	return host, nil
 }
 
 // forwardFromClient reads the client until its end, and queues what it sends for the server side.
-func (f *Frontend) forwardFromClient(call *relay.Request, st *stream, r *itemReader) {
+func (f *Frontend) forwardFromClient(request *relay.Request, st *stream, reader *itemReader) {
 	defer st.markEnded()
 	for {
-		it, err := r.readItem()
+		it, err := reader.readItem()
 		switch {
 		case err == nil:
 			if !st.push(it) {
-				_, answer := call.State()
-				f.writeAnswer(st, answer)
+				_, answer := request.State()
+				writeAnswer(st, answer)
 				return
 			}
-			call.WakeServerSide()
+			request.WakeServerSide()
 		case splice.TimedOut(err):
 			st.client.ClearWake()
-			if state, answer := call.State(); state == relay.Ended || st.client.Closed() {
-				f.writeAnswer(st, answer)
+			if state, answer := request.State(); state == relay.Ended || st.client.Closed() {
+				writeAnswer(st, answer)
 				return
 			}
 			st.client.SetReadUntil(0)
-		case isScanError(err):
-			f.Limiter.Log.Warn().Err(err).Str("to", st.host).Msg("stream ended for what its client sent")
-			st.sendOutcome(err.Error(), "")
-			call.ClientClosed(relay.GracefulClose)
+		case conditionOf(err) != noCondition:
+			f.Limiter.Log.Warn().Err(err).Str("to", st.host).Msg("malformed client stanza; stream ended")
+			st.sendOutcome(conditionOf(err), "")
+			request.ClientClosed(relay.GracefulClose)
 			return
 		default:
-			// A client that ends its connection in order may have stanzas in the queue: they go out first.
-			state, _ := call.State()
-			if splice.EndingOf(err) == relay.GracefulClose && state == relay.Established && st.push(item{kind: streamEnd, raw: []byte("</stream:stream>")}) {
-				call.WakeServerSide()
-				st.awaitEnd()
-			}
-			call.ClientClosed(splice.EndingOf(err))
+			forwardClientClose(request, st, splice.EndingOf(err))
 			return
 		}
 	}
 }
 
-// writeAnswer tells the client the final writeAnswer of a stream that did not come up.
-func (f *Frontend) writeAnswer(st *stream, a relay.Answer) {
-	switch a.Kind {
+// forwardClientClose ends the request of a client that has closed its connection. After a graceful close
+// there may be stanzas in the queue: they are forwarded first.
+func forwardClientClose(request *relay.Request, st *stream, how relay.CloseKind) {
+	state, _ := request.State()
+	if how == relay.GracefulClose && state == relay.Established {
+		if st.push(item{kind: streamEnd, raw: []byte(streamEndTag)}) {
+			request.WakeServerSide()
+			st.awaitEnd()
+		}
+	}
+	request.ClientClosed(how)
+}
+
+// writeAnswer writes the final answer of a stream that was not established; nothing if it was.
+func writeAnswer(st *stream, answer relay.Answer) {
+	switch answer.Kind {
 	case relay.Rejected:
-		st.sendOutcome("resource-constraint", encodeRetryAfter(a.RetryAfter))
+		st.sendOutcome(resourceConstraint, encodeRetryAfter(answer.RetryAfter))
 	case relay.Failed:
+		set := st.streamCondition()
 		switch {
-		case st.streamCondition() != "":
-			st.sendOutcome(st.streamCondition(), "")
-		case a.Cause == decide.TimedOut:
-			st.sendOutcome("connection-timeout", "")
+		case set != noCondition:
+			st.sendOutcome(set, "")
+		case answer.Cause == decide.TimedOut:
+			st.sendOutcome(connectionTimeout, "")
 		default:
-			st.sendOutcome("remote-connection-failed", "")
+			st.sendOutcome(remoteConnectionFailed, "")
 		}
 	}
 }
--- a/internal/wire/xmpp/handshake.go
+++ b/internal/wire/xmpp/handshake.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"strings"
 	"time"
 
 	"capersail/decide"
@@ -10,14 +9,12 @@
 	"capersail/internal/wire/splice"
 )
 
-// attempt is one connection to a server.
+// attempt is one connection to a server, for a request.
 type attempt struct {
+	splice.Attempt
 	dialer *ServerDialer
-	c      *relay.Request
-	a      relay.Attempt
-	e      *splice.Half
 	stream *stream
-	r      *itemReader
+	reader *itemReader
 
 	unconfirmed     []item        // written to the server, which has not shown yet that it took them
 	lastConfirmedAt time.Duration // when the oldest of them was written, or the server was last heard after it
@@ -25,56 +22,65 @@
 	pingsSent       int
 }
 
-// errWoken says that the call has something new: an item in its queue, a move, or a drain.
+// converse speaks with the server until the attempt is over. Load reports come from the server's own node.
+func (a *attempt) converse() (decide.Status, decide.LoadReport) {
+	a.reader = newItemReader(a.Half.Conn)
+	return a.setUp(), decide.NoLoadReport
+}
+
+// errWoken says that the request has something new: an item in its queue, a migration, or a drain.
 var errWoken = errors.New("woken")
 
-// readItem reads the server's readItem item, until a time; 0 is never.
-func (at *attempt) readItem(until time.Duration) (item, error) {
-	at.e.SetReadUntil(until)
-	it, err := at.r.readItem()
+// readItem reads the server's next item, until an instant; 0 is never. Its errors are errWoken and those of
+// itemReader.readItem.
+func (a *attempt) readItem(until time.Duration) (item, error) {
+	a.Half.SetReadUntil(until)
+	it, err := a.reader.readItem()
 	if splice.TimedOut(err) {
-		at.e.ClearWake()
-		if until == 0 || at.dialer.Clock.Now() < until || at.e.Closed() {
+		a.Half.ClearWake()
+		if until == 0 || a.dialer.Clock.Now() < until || a.Half.Closed() {
 			return it, errWoken
 		}
 	}
 	return it, err
 }
 
-// setUp carries the stream to the features after SASL. Until the client's SASL bytes go out nothing has
-// run: whatever happens, the attempt may be made again elsewhere, and is told as one that never connected.
-func (at *attempt) setUp() decide.Status {
-	if at.e.Forward(append([]byte("<?xml version='1.0'?>"), at.stream.clientHeader.raw...)) != nil {
+// setUp carries the stream to the features after SASL. Until the client's SASL bytes go out nothing has run:
+// whatever happens, the attempt may be made again elsewhere, and is reported as one that never connected.
+func (a *attempt) setUp() decide.Status {
+	if a.Half.Forward(append([]byte(xmlDeclaration), a.stream.clientHeader.raw...)) != nil {
 		return decide.ConnectFailed
 	}
-	open, status := at.readExpected(streamHeader, "stream:stream", at.a.Deadline)
+	header, status := a.readExpected(streamHeader, "stream:stream")
 	if status != decide.OK {
 		return status
 	}
-	features, status := at.readExpected(firstLevelElement, "stream:features", at.a.Deadline)
+	features, status := a.readExpected(firstLevelElement, "stream:features")
 	if status != decide.OK {
 		return status
 	}
-	if at.c.HandshakeClient(at.a.Number) == nil {
+	if a.Request.HandshakeClient(a.Number) == nil {
 		return decide.Cancelled
 	}
-	if !at.stream.sendFeatures(string(open.raw), stripStartTLS(string(features.raw))) {
+	if !a.stream.sendFeatures(string(header.raw), stripStartTLS(string(features.raw))) {
 		return decide.ConnectFailed
 	}
-	return at.forwardSASL()
+	sasl := saslExchange{attempt: a}
+	return sasl.run()
 }
 
-// readExpected reads one item before SASL.
-func (at *attempt) readExpected(k itemKind, name string, until time.Duration) (item, decide.Status) {
+// readExpected reads one item before SASL, until the attempt's deadline.
+func (a *attempt) readExpected(kind itemKind, name string) (item, decide.Status) {
 	for {
-		it, err := at.readItem(until)
+		it, err := a.readItem(a.Deadline)
+		woken := errors.Is(err, errWoken)
 		switch {
-		case err == errWoken && at.e.Closed():
+		case woken && a.Half.Closed():
 			return it, decide.Cancelled
-		case err == errWoken && at.c.ServerDraining():
+		case woken && a.Request.ServerDraining():
 			return it, decide.Superseded
-		case err == errWoken:
-		case err != nil || it.kind != k || it.name != name:
+		case woken:
+		case err != nil || it.kind != kind || it.name != name:
 			return it, decide.ConnectFailed
 		default:
 			return it, decide.OK
@@ -82,77 +88,88 @@
 	}
 }
 
-// forwardSASL passes SASL both ways, until the features of the restarted stream.
-func (at *attempt) forwardSASL() decide.Status {
-	sent, passed, again := false, false, false
+// saslExchange forwards SASL both ways, until the features of the restarted stream.
+type saslExchange struct {
+	*attempt
+	forwarded bool // something of the client's went to the server
+	succeeded bool
+	restarted bool // the server's stream
+}
+
+func (s *saslExchange) run() decide.Status {
 	for {
-		// A server that has begun to drain gets nothing new. Before SASL the attempt is simply not made; a
-		// stream in the middle of it cannot be taken elsewhere, and its client is told to come again.
-		if at.c.ServerDraining() {
-			if !sent {
+		// A server that has begun to drain gets nothing new. Before SASL the attempt is simply not made; a stream
+		// in the middle of it cannot be taken elsewhere, and its client is told to come again.
+		if s.Request.ServerDraining() {
+			if !s.forwarded {
 				return decide.Superseded
 			}
-			at.stream.setCondition("reset")
+			s.stream.setCondition(resetCondition)
 			return decide.Cancelled
 		}
-		for it, ok := at.stream.pop(); ok; it, ok = at.stream.pop() {
-			if it.kind == streamEnd {
-				at.e.Forward(it.raw)
-				at.stream.sendOutcome("", "")
-				at.c.ClientClosed(relay.GracefulClose)
+		if status, over := s.forwardFromClient(); over {
+			return status
+		}
+		it, err := s.readItem(s.ClientDeadline)
+		if errors.Is(err, errWoken) {
+			if s.Half.Closed() {
 				return decide.Cancelled
 			}
-			sent = true
-			if at.e.Forward(it.raw) != nil {
-				return decide.Reset
-			}
-		}
-		it, err := at.readItem(at.a.ClientDeadline)
-		switch {
-		case err == errWoken && at.e.Closed():
-			return decide.Cancelled
-		case err == errWoken:
 			continue
-		case splice.TimedOut(err) && !sent: // the client was given features and did nothing: no server's fault
-			at.stream.setCondition("connection-timeout")
-			return decide.Cancelled
-		case splice.TimedOut(err):
-			return decide.TimedOut
-		case err != nil && !sent:
-			return decide.ConnectFailed
-		case err != nil || it.kind == streamEnd:
-			return decide.Reset
 		}
-		if it.name == "stream:features" && again {
-			if at.c.Establish(at.a.Number) == nil {
-				return decide.Cancelled
-			}
-			if at.stream.write(it.raw) != nil {
-				return decide.Cancelled
-			}
-			return at.forwardStanzas()
+		if err != nil || it.kind == streamEnd {
+			return s.failed(err)
+		}
+		if it.name == "stream:features" && s.restarted {
+			return s.establish(it)
 		}
-		passed = passed || it.name == "success"
-		again = again || passed && it.kind == streamHeader
-		if at.stream.write(it.raw) != nil {
+		s.succeeded = s.succeeded || it.name == "success"
+		s.restarted = s.restarted || s.succeeded && it.kind == streamHeader
+		if s.stream.write(it.raw) != nil {
 			return decide.Cancelled
 		}
 	}
 }
 
-// stripStartTLS takes the server's own offer of STARTTLS out of its features: the relay has ended TLS, or the
-// operator's file says that there is none.
-func stripStartTLS(features string) string {
-	i := strings.Index(features, "<starttls")
-	if i < 0 {
-		return features
+// forwardFromClient forwards what the client has queued. It returns whether the attempt is over.
+func (s *saslExchange) forwardFromClient() (status decide.Status, over bool) {
+	for it, ok := s.stream.pop(); ok; it, ok = s.stream.pop() {
+		if it.kind == streamEnd {
+			s.Half.Forward(it.raw)
+			s.stream.sendOutcome(noCondition, "")
+			s.Request.ClientClosed(relay.GracefulClose)
+			return decide.Cancelled, true
+		}
+		s.forwarded = true
+		if s.Half.Forward(it.raw) != nil {
+			return decide.Reset, true
+		}
 	}
-	rest := features[i:]
-	if j := strings.Index(rest, ">"); j > 0 && rest[j-1] == '/' {
-		return features[:i] + rest[j+1:]
+	return decide.OK, false
+}
+
+// failed is the status of an exchange that ended with an error, or with the server's end tag if that is nil.
+func (s *saslExchange) failed(err error) decide.Status {
+	switch {
+	case splice.TimedOut(err) && !s.forwarded: // the client did nothing with the features: no server's fault
+		s.stream.setCondition(connectionTimeout)
+		return decide.Cancelled
+	case splice.TimedOut(err):
+		return decide.TimedOut
+	case err != nil && !s.forwarded:
+		return decide.ConnectFailed
+	default:
+		return decide.Reset
+	}
+}
+
+// establish hands the stream over to stanzas with the features after SASL.
+func (s *saslExchange) establish(features item) decide.Status {
+	if s.Request.Establish(s.Number) == nil {
+		return decide.Cancelled
 	}
-	if j := strings.Index(rest, "</starttls>"); j >= 0 {
-		return features[:i] + rest[j+len("</starttls>"):]
+	if s.stream.write(features.raw) != nil {
+		return decide.Cancelled
 	}
-	return features
+	return s.forwardStanzas()
 }
--- a/internal/wire/xmpp/scanner.go
+++ b/internal/wire/xmpp/scanner.go
@@ -1,23 +1,25 @@
 package xmpp
 
-import (
-	"errors"
-	"strings"
-)
+import "strings"
 
 // The bounds on what one peer may make the relay hold.
 const (
-	maxDepth     = 32
-	maxItemBytes = 64 << 10
+	maxDepth            = 32
+	maxItemBytes        = 64 << 10
+	maxEntityBytes      = 8
+	maxDeclarationBytes = 256
 )
 
-// A scan that fails is answered with the stream error that RFC 6120 names for it.
-var (
-	errNotWellFormed = errors.New("not-well-formed")
-	errRestricted    = errors.New("restricted-xml")
-	errTooLarge      = errors.New("policy-violation")
+const (
+	blanks              = " \t\r\n"
+	cdataStart          = "<![CDATA["
+	cdataEnd            = "]]>"
+	declaration         = "<?xml"
+	ownEntities         = " amp lt gt quot apos " // those that XML itself defines
+	minDeclarationBytes = len("<?xml?>")
 )
 
+// itemKind says what an item is.
 type itemKind uint8
 
 const (
@@ -34,20 +36,21 @@
 	attrs map[string]string
 }
 
-// scanner cuts a stream into items. It takes bytes as they come, so a read may end anywhere. It refuses
-// what RFC 6120 restricts: document types, processing instructions, comments, entities of one's own.
+// scanner cuts a stream into items. It takes bytes as they come, so a read may end anywhere. It rejects what
+// RFC 6120 restricts: document types, processing instructions, comments, entities of one's own.
 type scanner struct {
 	item        []byte // the item that is being read
 	tagStart    int    // where its latest tag begins
 	mode        scanMode
-	quote       byte
-	entityStart int // where an entity begins
+	quote       byte // that an attribute's value began with, 0 outside of values
+	entityStart int  // where an entity begins
 	openTags    []string
 	started     bool // something has come: an XML declaration is allowed no more
 	restarted   bool // the stream has been restarted, as it is once after SASL
 	outermost   item // the outermost tag of the item
 }
 
+// scanMode says what the scanner is within.
 type scanMode uint8
 
 const (
@@ -57,7 +60,8 @@
 	inEntity
 )
 
-// feed takes bytes and returns the items that they complete.
+// feed takes bytes and returns the items that they complete. Its error is a streamError; nothing may be fed
+// after it.
 func (s *scanner) feed(p []byte) (items []item, err error) {
 	for _, c := range p {
 		it, err := s.scanByte(c)
@@ -71,12 +75,13 @@
 	return items, nil
 }
 
+// scanByte takes one byte and returns the item that it completes, if it does.
 func (s *scanner) scanByte(c byte) (*item, error) {
-	if c < ' ' && c != '\t' && c != '\n' && c != '\r' {
+	if c < ' ' && !isBlank(c) {
 		return nil, errNotWellFormed
 	}
 	if s.mode == inText && len(s.openTags) < 2 && c != '<' { // between items only blanks may stand
-		if c == ' ' || c == '\t' || c == '\n' || c == '\r' {
+		if isBlank(c) {
 			return nil, nil
 		}
 		return nil, errNotWellFormed
@@ -94,17 +99,9 @@
 			s.mode, s.entityStart = inEntity, len(s.item)
 		}
 	case inEntity:
-		if c == ';' {
-			name := string(s.item[s.entityStart : len(s.item)-1])
-			if !strings.HasPrefix(name, "#") && !strings.Contains(" amp lt gt quot apos ", " "+name+" ") || name == "" {
-				return nil, errRestricted
-			}
-			s.mode = inText
-		} else if len(s.item)-s.entityStart > 8 || c == '<' {
-			return nil, errNotWellFormed
-		}
+		return nil, s.scanEntity(c)
 	case inData:
-		if c == '>' && strings.HasSuffix(string(s.item[s.tagStart:]), "]]>") {
+		if c == '>' && strings.HasSuffix(string(s.item[s.tagStart:]), cdataEnd) {
 			s.mode = inText
 		}
 	case inTag:
@@ -113,31 +110,33 @@
 	return nil, nil
 }
 
+func isBlank(c byte) bool { return strings.IndexByte(blanks, c) >= 0 }
+
+// scanEntity takes a byte of an entity.
+func (s *scanner) scanEntity(c byte) error {
+	if c != ';' {
+		if len(s.item)-s.entityStart > maxEntityBytes || c == '<' {
+			return errNotWellFormed
+		}
+		return nil
+	}
+	name := string(s.item[s.entityStart : len(s.item)-1])
+	known := strings.HasPrefix(name, "#") || strings.Contains(ownEntities, " "+name+" ")
+	if !known || name == "" {
+		return errRestricted
+	}
+	s.mode = inText
+	return nil
+}
+
 // scanTag takes a byte of a tag.
 func (s *scanner) scanTag(c byte) (*item, error) {
 	tag := s.item[s.tagStart:]
-	const data = "<![CDATA["
 	switch {
 	case len(tag) >= 2 && tag[1] == '!':
-		if len(s.openTags) < 2 || len(tag) > len(data) || data[:len(tag)] != string(tag) {
-			return nil, errRestricted // a document type or a comment
-		}
-		if len(tag) == len(data) {
-			s.mode = inData
-		}
-		return nil, nil
+		return nil, s.scanMarkup(tag)
 	case len(tag) >= 2 && tag[1] == '?':
-		restart := len(s.openTags) == 1 && s.tagStart == 0 && !s.restarted
-		if s.started && !restart || len(tag) > 5 && string(tag[:5]) != "<?xml" || len(tag) > 256 {
-			return nil, errRestricted
-		}
-		if c == '>' {
-			if len(tag) < 7 || tag[len(tag)-2] != '?' {
-				return nil, errRestricted
-			}
-			s.started, s.mode, s.item = true, inText, s.item[:0]
-		}
-		return nil, nil
+		return nil, s.scanDeclaration(tag, c)
 	case s.quote != 0:
 		if c == '<' {
 			return nil, errNotWellFormed
@@ -155,26 +154,61 @@
 		return nil, nil
 	}
 	s.started, s.mode = true, inText
-	return s.endTag(string(tag[1 : len(tag)-1]))
+	return s.takeTag(string(tag[1 : len(tag)-1]))
 }
 
-// endTag takes a whole tag, without its brackets.
-func (s *scanner) endTag(tag string) (*item, error) {
+// scanMarkup takes the begin of a CDATA section. Document types and comments are restricted.
+func (s *scanner) scanMarkup(tag []byte) error {
+	if len(s.openTags) < 2 || len(tag) > len(cdataStart) || cdataStart[:len(tag)] != string(tag) {
+		return errRestricted
+	}
+	if len(tag) == len(cdataStart) {
+		s.mode = inData
+	}
+	return nil
+}
+
+// scanDeclaration takes a byte of an XML declaration, as it may stand before a stream and before its restart.
+func (s *scanner) scanDeclaration(tag []byte, c byte) error {
+	restart := len(s.openTags) == 1 && s.tagStart == 0 && !s.restarted
+	other := len(tag) > len(declaration) && string(tag[:len(declaration)]) != declaration
+	if s.started && !restart || other || len(tag) > maxDeclarationBytes {
+		return errRestricted
+	}
+	if c != '>' {
+		return nil
+	}
+	if len(tag) < minDeclarationBytes || tag[len(tag)-2] != '?' {
+		return errRestricted
+	}
+	s.started, s.mode, s.item = true, inText, s.item[:0]
+	return nil
+}
+
+// takeTag takes a complete tag, without its brackets, and returns the item that it completes, if it does.
+func (s *scanner) takeTag(tag string) (*item, error) {
 	if name, end := strings.CutPrefix(tag, "/"); end {
-		name = strings.TrimRight(name, " \t\r\n")
-		if len(s.openTags) == 0 || s.openTags[len(s.openTags)-1] != name {
-			return nil, errNotWellFormed
-		}
-		s.openTags = s.openTags[:len(s.openTags)-1]
-		switch len(s.openTags) {
-		case 0:
-			s.outermost = item{kind: streamEnd, name: name}
-			return s.takeItem(), nil
-		case 1:
-			return s.takeItem(), nil
-		}
-		return nil, nil
+		return s.takeEndTag(strings.TrimRight(name, blanks))
+	}
+	return s.takeStartTag(tag)
+}
+
+func (s *scanner) takeEndTag(name string) (*item, error) {
+	if len(s.openTags) == 0 || s.openTags[len(s.openTags)-1] != name {
+		return nil, errNotWellFormed
 	}
+	s.openTags = s.openTags[:len(s.openTags)-1]
+	switch len(s.openTags) {
+	case 0:
+		s.outermost = item{kind: streamEnd, name: name}
+		return s.takeItem(), nil
+	case 1:
+		return s.takeItem(), nil
+	}
+	return nil, nil
+}
+
+func (s *scanner) takeStartTag(tag string) (*item, error) {
 	text, empty := strings.CutSuffix(tag, "/")
 	name, attrs, err := parseTag(text)
 	if err != nil {
@@ -206,6 +240,7 @@
 	return nil, nil
 }
 
+// takeItem returns the item that has just been completed.
 func (s *scanner) takeItem() *item {
 	it := s.outermost
 	it.raw = append([]byte(nil), s.item...)
@@ -215,7 +250,6 @@
 
 // parseTag takes a start tag apart.
 func parseTag(tag string) (name string, attrs map[string]string, err error) {
-	const blanks = " \t\r\n"
 	name = tag
 	if i := strings.IndexAny(tag, blanks); i >= 0 {
 		name, tag = tag[:i], tag[i:]
@@ -229,7 +263,8 @@
 	for tag = strings.Trim(tag, blanks); tag != ""; tag = strings.TrimLeft(tag, blanks) {
 		key, rest, ok := strings.Cut(tag, "=")
 		key, rest = strings.TrimRight(key, blanks), strings.TrimLeft(rest, blanks)
-		if !ok || key == "" || strings.ContainsAny(key, blanks+"'\"") || rest == "" || rest[0] != '"' && rest[0] != '\'' {
+		quoted := rest != "" && (rest[0] == '"' || rest[0] == '\'')
+		if !ok || key == "" || strings.ContainsAny(key, blanks+"'\"") || !quoted {
 			return "", nil, errNotWellFormed
 		}
 		end := strings.IndexByte(rest[1:], rest[0])
--- a/internal/wire/xmpp/server_dialer.go
+++ b/internal/wire/xmpp/server_dialer.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -12,51 +11,49 @@
 	"capersail/internal/wire/splice"
 )
 
+// minConnectTimeout is what a dial gets at least, however little the operator's file allows it.
+const minConnectTimeout = time.Millisecond
+
 // ServerDialer is the server side: it dials, carries set-up and stanzas, classifies how attempts end, and
-// notices silence.
+// notices silence. It implements relay.ServerDialer.
 type ServerDialer struct {
 	Clock          *relay.Clock
-	ConnectTimeout time.Duration
+	ConnectTimeout time.Duration // of a dial, beside the attempt's deadline, and of a probe
 	ProbeHost      string        // the host that a probe's stream names
 	SilenceTimeout time.Duration // a server that has confirmed nothing for so long is given up
 	Log            zerolog.Logger
 }
 
-// StartAttempt makes one attempt in a goroutine of its own.
-func (s *ServerDialer) StartAttempt(c *relay.Request, a relay.Attempt) { go s.runAttempt(c, a) }
+// StartAttempt makes one attempt in a goroutine of its own, which ends with it.
+func (s *ServerDialer) StartAttempt(request *relay.Request, a relay.Attempt) {
+	go s.runAttempt(request, a)
+}
 
-func (s *ServerDialer) runAttempt(c *relay.Request, a relay.Attempt) {
-	st := c.Payload.(*stream)
-	attempted := &splice.Attempt{Attempt: a, Request: c}
-	// The timeout is never 0, which would be none.
-	conversed := attempted.Run(s.Clock, max(s.ConnectTimeout, minConnectTimeout), func() (decide.Status, decide.LoadReport) {
-		at := &attempt{dialer: s, c: c, a: a, e: attempted.Half, stream: st, r: newItemReader(attempted.Half.Conn)}
-		return at.setUp(), decide.NoLoadReport
-	})
-	if state, _ := c.State(); conversed && state == relay.Ended {
+func (s *ServerDialer) runAttempt(request *relay.Request, a relay.Attempt) {
+	st := request.Payload.(*stream)
+	made := &attempt{Attempt: splice.Attempt{Attempt: a, Request: request}, dialer: s, stream: st}
+	conversed := made.Run(s.Clock, max(s.ConnectTimeout, minConnectTimeout), made.converse)
+	if state, _ := request.State(); conversed && state == relay.Ended {
 		st.markEnded()
 	}
 }
 
-// minConnectTimeout is what a dial gets at least, however little the operator's file allows it.
-const minConnectTimeout = time.Millisecond
-
-// Probe opens a stream and waits for the server's start tag. Load comes from the server's own node.
-func (s *ServerDialer) Probe(to relay.Server, done func(decide.Status, decide.LoadReport)) {
-	go func() { done(s.probe(to)) }()
+// Probe opens a stream and waits for the server's start tag. It does not block; done is called once. Load
+// comes from the server's own node.
+func (s *ServerDialer) Probe(server relay.Server, done func(decide.Status, decide.LoadReport)) {
+	go func() { done(s.probe(server)) }()
 }
 
-func (s *ServerDialer) probe(to relay.Server) (decide.Status, decide.LoadReport) {
+func (s *ServerDialer) probe(server relay.Server) (decide.Status, decide.LoadReport) {
 	report := decide.NoLoadReport
-	report.Load = to.Load
-	conn, err := splice.Dial(context.Background(), to.Address, s.ConnectTimeout)
+	report.Load = server.Load
+	conn, err := splice.Dial(context.Background(), server.Address, s.ConnectTimeout)
 	if err != nil {
 		return splice.ProbeStatus(err), report
 	}
 	defer conn.Close()
 	conn.SetDeadline(s.Clock.WallDeadline(s.Clock.Now() + s.ConnectTimeout))
-	fmt.Fprintf(conn, "<?xml version='1.0'?><stream:stream to='%s' version='1.0' xmlns='jabber:client' xmlns:stream='%s'>",
-		escape(s.ProbeHost), streamsNamespace)
+	conn.Write([]byte(xmlDeclaration + encodeClientHeader(s.ProbeHost))) // the read meets the same error
 	it, err := newItemReader(conn).readItem()
 	switch {
 	case splice.TimedOut(err):
@@ -64,6 +61,6 @@
 	case err != nil || it.kind != streamHeader:
 		return decide.Reset, report
 	}
-	conn.Write([]byte("</stream:stream>"))
+	conn.Write([]byte(streamEndTag))
 	return decide.OK, report
 }
--- a/internal/wire/xmpp/stanzas.go
+++ b/internal/wire/xmpp/stanzas.go
@@ -1,6 +1,7 @@
 package xmpp
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -9,71 +10,84 @@
 	"capersail/internal/wire/splice"
 )
 
-// forwardStanzas passes stanzas until one side ends or the client is to be moved. It alone writes to both ends, so
-// whatever it adds stands between two stanzas.
-func (at *attempt) forwardStanzas() decide.Status {
+// A server that confirms nothing is sent a ping after a fifth of the silence that it is given up for, and is
+// forwarded no more once the ping is out at two fifths.
+const (
+	pingAfterParts      = 1
+	pingOverdueParts    = 2
+	silenceTimeoutParts = 5
+)
+
+// forwardStanzas forwards stanzas until one side ends or the client is migrated. It alone writes to both
+// ends, so whatever it adds stands between two stanzas.
+func (a *attempt) forwardStanzas() decide.Status {
 	for {
-		if err := at.forwardQueue(false); err != nil {
-			return at.endStream("remote-connection-failed", decide.Reset)
+		if a.forwardQueue(false) != nil {
+			return a.endStream(remoteConnectionFailed, decide.Reset)
 		}
-		it, err := at.readItem(at.nextSilenceCheck())
-		if moving, silent := at.c.Migrating(); moving {
-			return at.migrate(silent)
+		it, err := a.readItem(a.nextSilenceCheck())
+		if migrating, serverSilent := a.Request.Migrating(); migrating {
+			return a.migrate(serverSilent)
 		}
+		woken := errors.Is(err, errWoken)
 		switch {
-		case err == errWoken && at.e.Closed():
-			at.e.Forward([]byte("</stream:stream>"))
+		case woken && a.Half.Closed():
+			a.Half.Forward([]byte(streamEndTag))
 			return decide.Cancelled
-		case err == errWoken:
+		case woken:
 		case splice.TimedOut(err):
-			if at.dialer.Clock.Now()-at.lastConfirmedAt >= at.dialer.SilenceTimeout {
-				return at.endStream("connection-timeout", decide.Reset)
+			if a.dialer.Clock.Now()-a.lastConfirmedAt >= a.dialer.SilenceTimeout {
+				return a.endStream(connectionTimeout, decide.Reset)
 			}
-			if at.sendPing() != nil {
-				return at.endStream("remote-connection-failed", decide.Reset)
+			if a.sendPing() != nil {
+				return a.endStream(remoteConnectionFailed, decide.Reset)
 			}
 		case err != nil:
-			return at.endStream("remote-connection-failed", decide.Reset)
+			return a.endStream(remoteConnectionFailed, decide.Reset)
 		case it.kind == streamEnd:
-			at.e.Forward([]byte("</stream:stream>"))
-			return at.endStream("", decide.OK)
+			a.Half.Forward([]byte(streamEndTag))
+			return a.endStream(noCondition, decide.OK)
 		case it.name == "stream:error":
-			at.stream.write(it.raw)
-			return at.endStream("", decide.Cancelled)
+			a.stream.write(it.raw)
+			return a.endStream(noCondition, decide.Cancelled)
 		default:
-			at.lastConfirmedAt = at.dialer.Clock.Now()
-			if at.takePong(it) {
-				continue
-			}
-			if at.stream.write(it.raw) != nil {
+			a.lastConfirmedAt = a.dialer.Clock.Now()
+			if !a.takePong(it) && a.stream.write(it.raw) != nil {
 				return decide.Cancelled
 			}
 		}
 	}
 }
 
-// forwardQueue writes what the client has queued. While a ping is out and late, and while too much is
-// unconfirmed, it stays queued; all does without that.
-func (at *attempt) forwardQueue(all bool) error {
+// forwardQueue forwards what the client has queued. While a ping is out and late, and while too much is
+// unconfirmed, it stays queued; all forwards regardless. Its error is the connection's.
+func (a *attempt) forwardQueue(all bool) error {
 	for {
-		now := at.dialer.Clock.Now()
-		if late := at.pingCovers > 0 && now-at.lastConfirmedAt >= at.dialer.SilenceTimeout*2/5; !all && (late || len(at.unconfirmed) >= maxQueuedItems || totalBytes(at.unconfirmed) >= maxQueuedBytes) {
+		now := a.dialer.Clock.Now()
+		if !all && a.mustHold(now) {
 			return nil
 		}
-		it, ok := at.stream.pop()
+		it, ok := a.stream.pop()
 		if !ok {
 			return nil
 		}
-		if len(at.unconfirmed) == 0 {
-			at.lastConfirmedAt = now
+		if len(a.unconfirmed) == 0 {
+			a.lastConfirmedAt = now
 		}
-		at.unconfirmed = append(at.unconfirmed, it)
-		if err := at.e.Forward(it.raw); err != nil { // a part of a stanza is none: what was cut off is bounced too
+		a.unconfirmed = append(a.unconfirmed, it)
+		if err := a.Half.Forward(it.raw); err != nil { // a part of a stanza is none: it is bounced too
 			return err
 		}
 	}
 }
 
+// mustHold tells whether the server has to confirm something before it is forwarded more.
+func (a *attempt) mustHold(now time.Duration) bool {
+	overdue := a.dialer.SilenceTimeout * pingOverdueParts / silenceTimeoutParts
+	pingLate := a.pingCovers > 0 && now-a.lastConfirmedAt >= overdue
+	return pingLate || len(a.unconfirmed) >= maxQueuedItems || totalBytes(a.unconfirmed) >= maxQueuedBytes
+}
+
 func totalBytes(items []item) (n int) {
 	for _, it := range items {
 		n += len(it.raw)
@@ -81,64 +95,69 @@
 	return n
 }
 
-// nextSilenceCheck is when the server's silence is to be looked at.
-func (at *attempt) nextSilenceCheck() time.Duration {
+// nextSilenceCheck is the instant at which the server's silence is to be looked at; 0 is never.
+func (a *attempt) nextSilenceCheck() time.Duration {
 	switch {
-	case len(at.unconfirmed) == 0:
+	case len(a.unconfirmed) == 0:
 		return 0
-	case at.pingCovers > 0:
-		return at.lastConfirmedAt + at.dialer.SilenceTimeout
+	case a.pingCovers > 0:
+		return a.lastConfirmedAt + a.dialer.SilenceTimeout
 	default:
-		return at.lastConfirmedAt + at.dialer.SilenceTimeout/5
+		return a.lastConfirmedAt + a.dialer.SilenceTimeout*pingAfterParts/silenceTimeoutParts
 	}
 }
 
-// sendPing asks the server for a sign of life (XEP-0199). Stanzas are taken in order, so its answer confirms all
-// that went before it.
-func (at *attempt) sendPing() error {
-	at.pingsSent++
-	at.pingCovers = len(at.unconfirmed)
-	return at.e.Forward(fmt.Appendf(nil, "<iq type='get' id='capersail-%d-%d'><ping xmlns='urn:xmpp:ping'/></iq>", at.c.ID, at.pingsSent))
+// sendPing asks the server for a sign of life (XEP-0199). Stanzas are taken in order, so its answer confirms
+// all that went before it. Its error is the connection's.
+func (a *attempt) sendPing() error {
+	a.pingsSent++
+	a.pingCovers = len(a.unconfirmed)
+	ping := fmt.Sprintf("<iq type='get' id='%s'><ping xmlns='urn:xmpp:ping'/></iq>", a.pingID())
+	return a.Half.Forward([]byte(ping))
 }
 
-// takePong takes the answer to our own ping; an error is as good as a result.
-func (at *attempt) takePong(it item) bool {
-	if it.name != "iq" || at.pingCovers == 0 || it.attrs["id"] != fmt.Sprintf("capersail-%d-%d", at.c.ID, at.pingsSent) {
+// pingID is the id of the ping that was sent last.
+func (a *attempt) pingID() string { return fmt.Sprintf("capersail-%d-%d", a.Request.ID, a.pingsSent) }
+
+// takePong takes the answer to the relay's own ping, and returns whether the item is one; an error is as good
+// as a result.
+func (a *attempt) takePong(it item) bool {
+	if it.name != "iq" || a.pingCovers == 0 || it.attrs["id"] != a.pingID() {
 		return false
 	}
-	at.unconfirmed, at.pingCovers = at.unconfirmed[at.pingCovers:], 0
+	a.unconfirmed, a.pingCovers = a.unconfirmed[a.pingCovers:], 0
 	return true
 }
 
-// endStream ends a stream whose server is gone, silent or done. What the server has not confirmed, and what is
-// still queued, comes back to the client as errors: never endStream without a word, never sent twice.
-func (at *attempt) endStream(condition string, status decide.Status) decide.Status {
-	at.c.ServerClosed() // before the client is told: its goroutine then says that it has left
-	back := at.unconfirmed
-	if status == decide.OK || status == decide.Cancelled { // it ended its stream in order, after what it had read
+// endStream ends a stream whose server is gone, silent or done. What the server has not confirmed, and what
+// is still queued, comes back to the client as errors: never lost without a word, never sent twice.
+func (a *attempt) endStream(c condition, status decide.Status) decide.Status {
+	a.Request.ServerClosed() // before the client is told: its goroutine then says that it has left
+	back := a.unconfirmed
+	if status == decide.OK || status == decide.Cancelled { // it ended its stream after what it had read
 		back = nil
 	}
-	for it, ok := at.stream.pop(); ok; it, ok = at.stream.pop() {
+	for it, ok := a.stream.pop(); ok; it, ok = a.stream.pop() {
 		if it.kind == streamEnd {
-			condition = ""
+			c = noCondition
 		}
 		back = append(back, it)
 	}
 	for _, it := range back {
 		if text := encodeBounce(it); text != "" {
-			at.stream.write([]byte(text))
+			a.stream.write([]byte(text))
 		}
 	}
-	at.stream.sendOutcome(condition, "")
-	at.stream.client.Close(relay.GracefulClose)
+	a.stream.sendOutcome(c, "")
+	a.stream.client.Close(relay.GracefulClose)
 	return status
 }
 
 // migrate sends the client away, after what it has sent so far.
-func (at *attempt) migrate(silent bool) decide.Status {
-	if silent || at.pingCovers > 0 || at.forwardQueue(true) != nil {
-		return at.endStream("reset", decide.Reset)
+func (a *attempt) migrate(serverSilent bool) decide.Status {
+	if serverSilent || a.pingCovers > 0 || a.forwardQueue(true) != nil {
+		return a.endStream(resetCondition, decide.Reset)
 	}
-	at.e.Forward([]byte("</stream:stream>"))
-	return at.endStream("reset", decide.Cancelled)
+	a.Half.Forward([]byte(streamEndTag))
+	return a.endStream(resetCondition, decide.Cancelled)
 }
--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -10,48 +10,44 @@
 	"capersail/internal/wire/splice"
 )
 
-func (st *stream) streamCondition() string {
+// streamCondition returns the condition to end with, noCondition if none was set.
+func (st *stream) streamCondition() condition {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.condition
 }
 
 const (
-	streamsNamespace = "http://etherx.jabber.org/streams"
-	errorsNamespace  = "urn:ietf:params:xml:ns:xmpp-streams"
-	retryNamespace   = "urn:capersail:retry"
-	tlsNamespace     = "urn:ietf:params:xml:ns:xmpp-tls"
-
-	maxQueuedItems = 64        // items that wait for the server, or that it has not confirmed
-	maxQueuedBytes = 128 << 10 // and bytes of each: a few big stanzas are as much as many small ones
+	maxQueuedItems = 64        // that wait for the server, or that it has not confirmed
+	maxQueuedBytes = 128 << 10 // of each: a few big stanzas are as much as many small ones
 )
 
-// stream is what the two sides of one call share: the client's writing end and the queue of what the
+// stream is what the two sides of one request share: the client's writing end and the queue of what the
 // client sends. The server side alone takes from the queue, so no item is ever sent twice.
 type stream struct {
 	client       *splice.Half
 	clientHeader item   // the client's start tag
 	host         string // the host it asked for
 
-	mu          sync.Mutex
-	changed     *sync.Cond
+	mu          sync.Mutex // guards what follows
+	changed     *sync.Cond // signalled as the queue shrinks or the stream ends
 	queue       []item
-	queuedBytes int // of the queue
+	queuedBytes int
 	ended       bool
-	headerSent  bool   // the client has a start tag
-	outcomeSent bool   // and its one outcome
-	condition   string // the stream error to end with, where the answer's kind is not enough
-	features    string // as the client was given them, "" if it was not
+	headerSent  bool      // the client has a start tag
+	outcomeSent bool      // the client has its one outcome
+	condition   condition // to end with, where the answer's kind is not enough
+	features    string    // as the client was sent them, "" if it was not
 }
 
-func newStream(e *splice.Half) *stream {
-	st := &stream{client: e}
+func newStream(client *splice.Half) *stream {
+	st := &stream{client: client}
 	st.changed = sync.NewCond(&st.mu)
 	return st
 }
 
 // push queues an item from the client, and waits while the queue is full: the client's own socket then
-// holds the rest. It is false once the call is over.
+// holds the rest. It is false once the stream has ended.
 func (st *stream) push(it item) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -66,6 +62,7 @@
 	return true
 }
 
+// pop takes the oldest item of the queue, if there is one.
 func (st *stream) pop() (item, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -79,12 +76,12 @@
 	return it, true
 }
 
-// setCondition names the stream error that an outcome still to be told means. The first reason stays.
-func (st *stream) setCondition(condition string) {
+// setCondition sets the condition of an outcome that is still to be sent. The first stays.
+func (st *stream) setCondition(c condition) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.condition == "" {
-		st.condition = condition
+	if st.condition == noCondition {
+		st.condition = c
 	}
 }
 
@@ -99,20 +96,21 @@
 	return st.client.Forward(p)
 }
 
-// sendFeatures gives the client a server's start tag and features, once. A retry's must be the same: the client
-// has chosen its mechanism by the first.
-func (st *stream) sendFeatures(open, features string) bool {
+// sendFeatures sends the client a server's start tag and features, once. A retry's must be the same, or it
+// returns false: the client has chosen its mechanism by the first.
+func (st *stream) sendFeatures(header, features string) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.features != "" {
 		return st.features == features
 	}
 	st.features, st.headerSent = features, true
-	return !st.outcomeSent && st.client.Forward([]byte("<?xml version='1.0'?>"+open+features)) == nil
+	return !st.outcomeSent && st.client.Forward([]byte(xmlDeclaration+header+features)) == nil
 }
 
-// sendOutcome gives the client its one outcome: the end of the stream, after a stream error if one is named.
-func (st *stream) sendOutcome(condition, more string) {
+// sendOutcome sends the client its one outcome: the end of the stream, after a stream error, with a child
+// more, if there is a condition.
+func (st *stream) sendOutcome(c condition, more string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.outcomeSent {
@@ -122,16 +120,16 @@
 	st.changed.Broadcast()
 	var b strings.Builder
 	if !st.headerSent {
-		fmt.Fprintf(&b, "<?xml version='1.0'?>%s", encodeHeader(st.host))
+		b.WriteString(xmlDeclaration + encodeHeader(st.host))
 	}
-	if condition != "" {
-		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", condition, errorsNamespace, more)
+	if c != noCondition {
+		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", c, errorsNamespace, more)
 	}
-	b.WriteString("</stream:stream>")
+	b.WriteString(streamEndTag)
 	st.client.Forward([]byte(b.String()))
 }
 
-// awaitEnd returns once the call is over.
+// awaitEnd returns once the stream has ended.
 func (st *stream) awaitEnd() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -140,7 +138,7 @@
 	}
 }
 
-// markEnded frees whoever waits.
+// markEnded ends the stream for whoever waits.
 func (st *stream) markEnded() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -148,20 +146,20 @@
 	st.changed.Broadcast()
 }
 
-// clientHalf is the client's end as the Exchange knows it. Its wake says that the call is over, which a
-// client side that waits for room in the queue must hear too.
+// clientHalf is the client's end as the request table knows it. Its wake says that the request is over, which
+// a client side that waits for space in the queue must be notified of too.
 type clientHalf struct {
 	*splice.Half
 	stream *stream
 }
 
-// Wake frees the client side to write the answer.
+// Wake lets the client side write the answer.
 func (c clientHalf) Wake() {
 	c.stream.markEnded()
 	c.Half.Wake()
 }
 
-// HasUnread is the client's end only: it may say something at any time.
+// HasUnread tells of the client's end only: it may send something at any time.
 func (c clientHalf) HasUnread() bool { return c.Half.PeerClosed() }
 
 var _ relay.ClientConn = clientHalf{}
