--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	endpoints.Move(next.ensemble())
+	endpoints.SetEnsemble(next.ensemble())
 	front.TLS.Store(secure)
 	limiter.SetDescriptorLimit(connectionCapacity(next.Sockets, false))
 	log.Info().
@@ -172,9 +172,9 @@
 
 func (c *XMPPConfig) ensemble() zookeeper.Ensemble {
 	return zookeeper.Ensemble{
-		Addresses: c.ZooKeeper.Servers,
-		Path:      c.ZooKeeper.Path,
-		Session:   relay.Duration(c.ZooKeeper.SessionMs),
+		Addresses:      c.ZooKeeper.Servers,
+		Path:           c.ZooKeeper.Path,
+		SessionTimeout: relay.Duration(c.ZooKeeper.SessionMs),
 	}
 }
 
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -16,11 +16,11 @@
 
 // replyCodes are the codes that package ownership tells apart.
 var replyCodes = map[zookeeper.Code]ownership.ReplyCode{
-	zookeeper.OK:         ownership.OK,
-	zookeeper.NoNode:     ownership.NotFound,
-	zookeeper.NodeExists: ownership.AlreadyExists,
-	zookeeper.BadVersion: ownership.VersionMismatch,
-	zookeeper.Lost:       ownership.NoReply,
+	zookeeper.OK:             ownership.OK,
+	zookeeper.NoNode:         ownership.NotFound,
+	zookeeper.NodeExists:     ownership.AlreadyExists,
+	zookeeper.BadVersion:     ownership.VersionMismatch,
+	zookeeper.ConnectionLoss: ownership.NoReply,
 }
 
 // sendRequest puts the Lease's request to the ownership service; the reply becomes an event.
@@ -81,7 +81,7 @@
 	s.Log.Info().Float64("session_ms", relay.Millis(granted)).Msg("ownership service connected")
 	for i, p := range ancestors(s.Path) { // created by whoever comes first
 		s.session.Create(p, nil, false, func(a zookeeper.Answer) {
-			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.Lost
+			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.ConnectionLoss
 			if failed && i == 0 {
 				s.Log.Error().Int32("code", int32(a.Code)).Str("path", p).
 					Msg("ownership service rejected the path of the records; check its rights")
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -81,7 +81,7 @@
 func (s *Service) SetKeys(keys *token.KeyRing) { s.keys.Store(keys) }
 
 // SetServers replaces the addresses of the ownership service.
-func (s *Service) SetServers(servers []string) { s.session.Move(servers) }
+func (s *Service) SetServers(servers []string) { s.session.SetAddresses(servers) }
 
 // Stats returns the counters.
 func (s *Service) Stats() Stats {
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -33,12 +33,12 @@
 
 // The codes that callers tell apart.
 const (
-	OK         Code = 0
-	NoNode     Code = errNoNode
-	BadVersion Code = errBadVersion
-	NodeExists Code = errNodeExists
-	NotEmpty   Code = errNotEmpty
-	Lost       Code = 1 // no answer came: it may have been done, or may not
+	OK             Code = 0
+	NoNode         Code = codeNoNode
+	BadVersion     Code = codeBadVersion
+	NodeExists     Code = codeNodeExists
+	NotEmpty       Code = codeNotEmpty
+	ConnectionLoss Code = 1 // no answer came: it may have been done, or may not
 )
 
 // Stat is what of a node's state is used here.
@@ -76,25 +76,25 @@
 	Log     zerolog.Logger
 	Events  Events
 
-	mu        sync.Mutex
-	addresses []string
-	next      int
-	hangUp    context.CancelFunc
-	open      bool // requests are taken
-	unsent    []request
-	pending   []request
-	pings     []time.Duration // when those without an answer were sent
-	kick      chan struct{}
-	xid       int32
-	closing   bool
+	mu          sync.Mutex
+	addresses   []string
+	nextAddress int
+	closeConn   context.CancelFunc
+	connected   bool // requests are taken
+	unsent      []request
+	pending     []request
+	pingsSentAt []time.Duration // when those without an answer were sent
+	writerWake  chan struct{}
+	lastXid     int32
+	closing     bool
 
-	hello hello // of Run alone
+	state sessionState // of Run alone
 }
 
 // request is one request, encoded but for its xid.
 type request struct {
 	op     int32
-	body   record
+	body   encoder
 	xid    int32
 	sentAt time.Duration
 	done   func(Answer)
@@ -103,123 +103,123 @@
 // NewSession returns a session that Run begins.
 func NewSession(addresses []string, timeout time.Duration, clock *relay.Clock, events Events, log zerolog.Logger) *Session {
 	return &Session{Timeout: timeout, Clock: clock, Log: log, Events: events, addresses: addresses,
-		next: rand.IntN(max(1, len(addresses))), kick: make(chan struct{}, 1)}
+		nextAddress: rand.IntN(max(1, len(addresses))), writerWake: make(chan struct{}, 1)}
 }
 
-// Move follows another list of addresses. The connection that is open is ended; the session goes on if the
+// SetAddresses follows another list of addresses. The connection that is open is ended; the session goes on if the
 // addresses are the same service's.
-func (s *Session) Move(addresses []string) {
+func (s *Session) SetAddresses(addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addresses = addresses
-	if s.hangUp != nil {
-		s.hangUp()
+	if s.closeConn != nil {
+		s.closeConn()
 	}
 }
 
-// do queues a request; done is called once. It never blocks.
-func (s *Session) do(op int32, body record, done func(Answer)) {
+// enqueue queues a request; done is called once. It never blocks.
+func (s *Session) enqueue(op int32, body encoder, done func(Answer)) {
 	s.mu.Lock()
-	if !s.open || s.closing && op != opClose {
+	if !s.connected || s.closing && op != opClose {
 		s.mu.Unlock()
-		go done(Answer{Code: Lost})
+		go done(Answer{Code: ConnectionLoss})
 		return
 	}
 	s.unsent = append(s.unsent, request{op: op, body: body, done: done})
 	s.mu.Unlock()
-	s.poke()
+	s.wakeWriter()
 }
 
-func (s *Session) poke() {
+func (s *Session) wakeWriter() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.writerWake <- struct{}{}:
 	default:
 	}
 }
 
 // Get reads a node's data.
 func (s *Session) Get(path string, done func(Answer)) {
-	s.do(opGetData, record{}.bytes([]byte(path)).flag(false), done)
+	s.enqueue(opGetData, encoder{}.bytes([]byte(path)).flag(false), done)
 }
 
 // Exists reads a node's state.
 func (s *Session) Exists(path string, done func(Answer)) {
-	s.do(opExists, record{}.bytes([]byte(path)).flag(false), done)
+	s.enqueue(opExists, encoder{}.bytes([]byte(path)).flag(false), done)
 }
 
 // Sync makes what is read after it no older than the moment at which the service takes it.
 func (s *Session) Sync(path string, done func(Answer)) {
-	s.do(opSync, record{}.bytes([]byte(path)), done)
+	s.enqueue(opSync, encoder{}.bytes([]byte(path)), done)
 }
 
 // Children lists a node's children.
 func (s *Session) Children(path string, done func(Answer)) {
-	s.do(opGetChildren, record{}.bytes([]byte(path)).flag(false), done)
+	s.enqueue(opGetChildren, encoder{}.bytes([]byte(path)).flag(false), done)
 }
 
 // Create makes a node: exclusively, as every create is. An ephemeral one goes with the session.
 func (s *Session) Create(path string, data []byte, ephemeral bool, done func(Answer)) {
-	s.do(opCreate, create(path, data, ephemeral), done)
+	s.enqueue(opCreate, encodeCreate(path, data, ephemeral), done)
 }
 
 // Set writes a node's data if it has the version; -1 is any.
 func (s *Session) Set(path string, data []byte, version int32, done func(Answer)) {
-	s.do(opSetData, set(path, data, version), done)
+	s.enqueue(opSetData, encodeSet(path, data, version), done)
 }
 
 // Delete removes a node if it has the version; -1 is any.
 func (s *Session) Delete(path string, version int32, done func(Answer)) {
-	s.do(opDelete, record{}.bytes([]byte(path)).i32(version), done)
+	s.enqueue(opDelete, encoder{}.bytes([]byte(path)).i32(version), done)
 }
 
 // Step is one part of a transaction.
 type Step struct {
 	op   int32
-	body record
+	body encoder
 }
 
 // CreateStep is Create in a transaction.
 func CreateStep(path string, data []byte, ephemeral bool) Step {
-	return Step{opCreate, create(path, data, ephemeral)}
+	return Step{opCreate, encodeCreate(path, data, ephemeral)}
 }
 
 // SetStep is Set in a transaction.
 func SetStep(path string, data []byte, version int32) Step {
-	return Step{opSetData, set(path, data, version)}
+	return Step{opSetData, encodeSet(path, data, version)}
 }
 
 // CheckStep fails a transaction unless the node has the version.
 func CheckStep(path string, version int32) Step {
-	return Step{opCheck, record{}.bytes([]byte(path)).i32(version)}
+	return Step{opCheck, encoder{}.bytes([]byte(path)).i32(version)}
 }
 
 // Multi does all steps or none. The answer's code is that of the first step that cannot be done, its Stat
 // that of the last SetStep.
 func (s *Session) Multi(steps []Step, done func(Answer)) {
-	body := record{}
+	body := encoder{}
 	for _, step := range steps {
 		body = append(body.i32(step.op).flag(false).i32(-1), step.body...)
 	}
-	s.do(opMulti, body.i32(-1).flag(true).i32(-1), done)
+	s.enqueue(opMulti, body.i32(-1).flag(true).i32(-1), done)
 }
 
-func create(path string, data []byte, ephemeral bool) record {
-	b := record{}.bytes([]byte(path)).bytes(data).i32(1).i32(31).bytes([]byte("world")).bytes([]byte("anyone"))
+func encodeCreate(path string, data []byte, ephemeral bool) encoder {
+	b := encoder{}.bytes([]byte(path)).bytes(data).i32(1).i32(31).bytes([]byte("world")).bytes([]byte("anyone"))
 	if ephemeral {
 		return b.i32(1)
 	}
 	return b.i32(0)
 }
 
-func set(path string, data []byte, version int32) record {
-	return record{}.bytes([]byte(path)).bytes(data).i32(version)
+func encodeSet(path string, data []byte, version int32) encoder {
+	return encoder{}.bytes([]byte(path)).bytes(data).i32(version)
 }
 
 // Close ends the session at the service, and with it its ephemeral nodes, and waits for that no longer than
 // within. Without it they stay until the session's time-out.
 func (s *Session) Close(within time.Duration) {
 	done := make(chan struct{})
-	s.do(opClose, nil, func(Answer) { close(done) })
+	s.enqueue(opClose, nil, func(Answer) { close(done) })
 	s.mu.Lock()
 	s.closing = true
 	s.mu.Unlock()
@@ -233,10 +233,10 @@
 func (s *Session) Run(ctx context.Context) {
 	for pause := minReconnectBackoff; ctx.Err() == nil; {
 		began := s.Clock.Now()
-		err := s.connection(ctx)
-		s.lose()
+		err := s.runConnection(ctx)
+		s.failOutstanding()
 		if errors.Is(err, errExpired) {
-			s.hello = hello{}
+			s.state = sessionState{}
 			s.Events.Expired()
 		}
 		s.mu.Lock()
@@ -257,32 +257,32 @@
 	}
 }
 
-// lose answers everything that has none.
-func (s *Session) lose() {
+// failOutstanding answers everything that has none.
+func (s *Session) failOutstanding() {
 	s.mu.Lock()
-	was := s.open
+	was := s.connected
 	lost := append(s.pending, s.unsent...)
-	s.open, s.pending, s.unsent, s.pings = false, nil, nil, nil
+	s.connected, s.pending, s.unsent, s.pingsSentAt = false, nil, nil, nil
 	s.mu.Unlock()
 	for _, r := range lost {
-		r.done(Answer{Code: Lost})
+		r.done(Answer{Code: ConnectionLoss})
 	}
 	if was {
 		s.Events.Disconnected()
 	}
 }
 
-// connection holds one connection to its end.
-func (s *Session) connection(ctx context.Context) error {
+// runConnection holds one runConnection to its end.
+func (s *Session) runConnection(ctx context.Context) error {
 	s.mu.Lock()
-	ctx, s.hangUp = context.WithCancel(ctx)
-	defer s.hangUp()
+	ctx, s.closeConn = context.WithCancel(ctx)
+	defer s.closeConn()
 	if len(s.addresses) == 0 {
 		s.mu.Unlock()
 		return errors.New("no address")
 	}
-	address := s.addresses[s.next%len(s.addresses)]
-	s.next++
+	address := s.addresses[s.nextAddress%len(s.addresses)]
+	s.nextAddress++
 	s.mu.Unlock()
 	raw, err := splice.Dial(ctx, address, s.Timeout/6)
 	if err != nil {
@@ -290,24 +290,24 @@
 	}
 	defer raw.Close()
 	context.AfterFunc(ctx, func() { raw.Close() })
-	n := &conn{Conn: raw, r: bufio.NewReaderSize(raw, batchBytes), clock: s.Clock}
-	wanted := s.hello
+	n := &conn{Conn: raw, buffered: bufio.NewReaderSize(raw, batchBytes), clock: s.Clock}
+	wanted := s.state
 	wanted.timeout = s.Timeout
 	sentAt := s.Clock.Now()
-	h, err := n.shake(wanted)
+	h, err := n.handshake(wanted)
 	if err != nil {
 		return err
 	}
-	s.hello = h
+	s.state = h
 	s.mu.Lock()
-	s.open, s.xid = true, 0
+	s.connected, s.lastXid = true, 0
 	s.mu.Unlock()
-	s.Events.Connected(h.id, h.timeout, sentAt)
+	s.Events.Connected(h.sessionID, h.timeout, sentAt)
 	written := make(chan error, 1)
-	go func() { written <- s.write(ctx, n, h.timeout/pingDivisor) }()
-	err = s.read(n)
+	go func() { written <- s.writeLoop(ctx, n, h.timeout/pingDivisor) }()
+	err = s.readLoop(n)
 	s.mu.Lock()
-	s.hangUp()
+	s.closeConn()
 	s.mu.Unlock()
 	raw.Close()
 	if werr := <-written; werr != nil && ctx.Err() == nil {
@@ -316,16 +316,16 @@
 	return err
 }
 
-// write sends what is queued, all of it together, and a ping when nothing was sent for a while.
-func (s *Session) write(ctx context.Context, n *conn, pingEvery time.Duration) error {
+// writeLoop sends what is queued, all of it together, and a ping when nothing was sent for a while.
+func (s *Session) writeLoop(ctx context.Context, n *conn, pingEvery time.Duration) error {
 	last := s.Clock.Now()
 	for {
 		s.mu.Lock()
-		now, out, sent := s.Clock.Now(), record{}, 0
+		now, out, sent := s.Clock.Now(), encoder{}, 0
 		for ; sent < len(s.unsent) && len(out) < batchBytes; sent++ {
 			r := s.unsent[sent]
-			s.xid++
-			r.xid, r.sentAt = s.xid, now
+			s.lastXid++
+			r.xid, r.sentAt = s.lastXid, now
 			out = append(out.i32(int32(len(r.body)+8)).i32(r.xid).i32(r.op), r.body...)
 			s.pending = append(s.pending, r)
 		}
@@ -333,7 +333,7 @@
 		more := len(s.unsent) > 0
 		if len(out) == 0 && now-last >= pingEvery {
 			out = out.i32(8).i32(xidPing).i32(opPing)
-			s.pings = append(s.pings, now)
+			s.pingsSentAt = append(s.pingsSentAt, now)
 		}
 		s.mu.Unlock()
 		if len(out) > 0 {
@@ -350,26 +350,26 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.kick:
+		case <-s.writerWake:
 		case <-s.Clock.After(max(time.Millisecond, last+pingEvery-s.Clock.Now())):
 		}
 	}
 }
 
-// read takes answers and events until the connection ends.
-func (s *Session) read(n *conn) error {
+// readLoop takes answers and events until the connection ends.
+func (s *Session) readLoop(n *conn) error {
 	for {
-		p, err := n.frame(s.Clock.Now() + s.hello.timeout/silenceDivisor)
+		p, err := n.readFrame(s.Clock.Now() + s.state.timeout/silenceDivisor)
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		r := &reader{p: p}
+		r := &decoder{rest: p}
 		xid, zxid, code := r.i32(), r.i64(), Code(r.i32())
 		if zxid > 0 {
-			s.hello.zxid = zxid
+			s.state.lastZxid = zxid
 		}
 		switch {
-		case r.bad:
+		case r.truncated:
 			return errors.New("answer cut off")
 		case xid == xidEvent:
 			if r.i32(); r.i32() == stateExpired {
@@ -378,12 +378,12 @@
 			continue
 		case xid == xidPing:
 			s.mu.Lock()
-			if len(s.pings) == 0 {
+			if len(s.pingsSentAt) == 0 {
 				s.mu.Unlock()
 				return errors.New("answer to a ping that was not sent")
 			}
-			at := s.pings[0]
-			s.pings = s.pings[1:]
+			at := s.pingsSentAt[0]
+			s.pingsSentAt = s.pingsSentAt[1:]
 			s.mu.Unlock()
 			s.Events.Answered(at)
 			continue
@@ -398,9 +398,9 @@
 		s.pending = s.pending[1:]
 		s.mu.Unlock()
 		s.Events.Answered(q.sentAt)
-		a := answer(q.op, code, r)
-		if r.bad {
-			q.done(Answer{Code: Lost})
+		a := decodeAnswer(q.op, code, r)
+		if r.truncated {
+			q.done(Answer{Code: ConnectionLoss})
 			return fmt.Errorf("answer to request %d cut off", xid)
 		}
 		q.done(a)
@@ -410,8 +410,8 @@
 	}
 }
 
-// answer reads what comes after an answer's header.
-func answer(op int32, code Code, r *reader) Answer {
+// decodeAnswer reads what comes after an decodeAnswer's header.
+func decodeAnswer(op int32, code Code, r *decoder) Answer {
 	a := Answer{Code: code}
 	if code != OK {
 		return a
@@ -419,41 +419,41 @@
 	switch op {
 	case opGetData:
 		a.Data = append([]byte(nil), r.bytes()...)
-		a.Stat = stat(r)
+		a.Stat = decodeStat(r)
 	case opExists, opSetData:
-		a.Stat = stat(r)
+		a.Stat = decodeStat(r)
 	case opGetChildren:
-		for i := r.i32(); i > 0 && !r.bad; i-- {
+		for i := r.i32(); i > 0 && !r.truncated; i-- {
 			a.Children = append(a.Children, string(r.bytes()))
 		}
 	case opMulti:
-		a = multi(r)
+		a = decodeMulti(r)
 	}
 	return a
 }
 
-// multi reads the results of a transaction. Of one that failed all results are errors: 0 before the step that
+// decodeMulti reads the results of a transaction. Of one that failed all results are errors: 0 before the step that
 // cannot be done, its code, and errUndone after it.
-func multi(r *reader) (a Answer) {
+func decodeMulti(r *decoder) (a Answer) {
 	for {
 		kind, last := r.i32(), r.take(1)[0] == 1
 		r.i32()
 		switch {
-		case r.bad || last:
+		case r.truncated || last:
 			return a
 		case kind == -1:
-			if code := Code(r.i32()); code != OK && code != errUndone && a.Code == OK {
+			if code := Code(r.i32()); code != OK && code != codeRuntimeInconsistency && a.Code == OK {
 				a.Code = code
 			}
 		case kind == opCreate:
 			r.bytes()
 		case kind == opSetData:
-			a.Stat = stat(r)
+			a.Stat = decodeStat(r)
 		}
 	}
 }
 
-func stat(r *reader) (s Stat) {
+func decodeStat(r *decoder) (s Stat) {
 	r.take(32)
 	s.Version = r.i32()
 	r.take(8)
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -13,30 +13,30 @@
 	"capersail/internal/testing/fake"
 )
 
-// watcher notes what happens to a session.
-type watcher struct {
+// eventLog notes what happens to a session.
+type eventLog struct {
 	mu       sync.Mutex
 	what     []string
 	sessions []int64
 }
 
-func (w *watcher) add(format string, args ...any) {
+func (w *eventLog) add(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.what = append(w.what, fmt.Sprintf(format, args...))
 }
 
-func (w *watcher) Connected(session int64, granted, _ time.Duration) {
+func (w *eventLog) Connected(session int64, granted, _ time.Duration) {
 	w.mu.Lock()
 	w.sessions = append(w.sessions, session)
 	w.mu.Unlock()
 	w.add("connected for %v ms", granted.Milliseconds())
 }
-func (w *watcher) Disconnected()          { w.add("disconnected") }
-func (w *watcher) Expired()               { w.add("expired") }
-func (w *watcher) Answered(time.Duration) {}
+func (w *eventLog) Disconnected()          { w.add("disconnected") }
+func (w *eventLog) Expired()               { w.add("expired") }
+func (w *eventLog) Answered(time.Duration) {}
 
-func (w *watcher) wait(t *testing.T, want string, times int) {
+func (w *eventLog) wait(t *testing.T, want string, times int) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		w.mu.Lock()
@@ -56,29 +56,29 @@
 	}
 }
 
-func open(t *testing.T) (*fake.ZooKeeper, *Session, *watcher) {
+func startSession(t *testing.T) (*fake.ZooKeeper, *Session, *eventLog) {
 	t.Helper()
 	zk, err := fake.NewZooKeeper("/a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(zk.Close)
-	w := &watcher{}
+	w := &eventLog{}
 	s := NewSession([]string{zk.Address}, time.Second, relay.NewClock(), w, zerolog.Nop())
 	go s.Run(t.Context())
 	w.wait(t, "connected for 1000 ms", 1)
 	return zk, s, w
 }
 
-// now waits for an answer.
-func now(f func(done func(Answer))) Answer {
+// await waits for an answer.
+func await(f func(done func(Answer))) Answer {
 	c := make(chan Answer, 1)
 	f(func(a Answer) { c <- a })
 	return <-c
 }
 
 func TestRequests(t *testing.T) {
-	zk, s, _ := open(t)
+	zk, s, _ := startSession(t)
 	var id int64
 	for i, k := range []struct {
 		name string
@@ -110,7 +110,7 @@
 		}, OK, func(a Answer) bool { return a.Stat.Version == 2 }},
 		{"delete", func(f func(Answer)) { s.Delete("/a/z", -1, f) }, OK, nil},
 	} {
-		if a := now(k.do); a.Code != k.want || k.more != nil && !k.more(a) {
+		if a := await(k.do); a.Code != k.want || k.more != nil && !k.more(a) {
 			t.Errorf("%d, %s: %+v, want code %d", i, k.name, a, k.want)
 		}
 	}
@@ -122,13 +122,13 @@
 
 // A session outlives its connection and its address; what was out when it broke is answered Lost; a forgotten
 // one is told.
-func TestSessionIsKept(t *testing.T) {
-	zk, s, w := open(t)
+func TestSessionSurvivesItsConnection(t *testing.T) {
+	zk, s, w := startSession(t)
 	second, err := zk.Also()
 	if err != nil {
 		t.Fatal(err)
 	}
-	now(func(f func(Answer)) { s.Create("/a/mine", nil, true, f) })
+	await(func(f func(Answer)) { s.Create("/a/mine", nil, true, f) })
 	s.mu.Lock()
 	s.addresses = append(s.addresses, second)
 	s.mu.Unlock()
@@ -138,7 +138,7 @@
 		t.Errorf("sessions %v, %q", w.sessions, zk.Nodes("/a"))
 	}
 	zk.Swallow(1)
-	if a := now(func(f func(Answer)) { s.Multi([]Step{CreateStep("/a/lost", nil, true)}, f) }); a.Code != Lost {
+	if a := await(func(f func(Answer)) { s.Multi([]Step{CreateStep("/a/lost", nil, true)}, f) }); a.Code != ConnectionLoss {
 		t.Errorf("an answer that never came: %+v", a)
 	}
 	if len(zk.Nodes("/a/lost")) != 1 {
@@ -151,19 +151,19 @@
 	if w.sessions[3] == w.sessions[2] {
 		t.Error("a forgotten session was taken up")
 	}
-	s.Move([]string{second}) // as at a reload
+	s.SetAddresses([]string{second}) // as at a reload
 	w.wait(t, "connected for 1000 ms", 5)
 	zk.Freeze(true) // silence ends a connection, too, and everything out is answered
-	if a := now(func(f func(Answer)) { s.Get("/a", f) }); a.Code != Lost {
+	if a := await(func(f func(Answer)) { s.Get("/a", f) }); a.Code != ConnectionLoss {
 		t.Errorf("from a frozen service: %+v", a)
 	}
 	zk.Freeze(false)
 }
 
-// FuzzAnswer: no frame makes the reader panic, or read without end.
-func FuzzAnswer(f *testing.F) {
+// FuzzNoFrameMakesTheDecoderPanic: no frame makes the reader panic, or read without end.
+func FuzzNoFrameMakesTheDecoderPanic(f *testing.F) {
 	f.Add(int32(opMulti), []byte{0, 0, 0, 5, 0, 0, 0, 0, 0})
 	f.Add(int32(opGetChildren), []byte{0x7f, 0xff, 0xff, 0xff, 0, 0, 0, 1, 'x'})
 	f.Add(int32(opGetData), make([]byte, 80))
-	f.Fuzz(func(_ *testing.T, op int32, p []byte) { answer(op, OK, &reader{p: p}) })
+	f.Fuzz(func(_ *testing.T, op int32, p []byte) { decodeAnswer(op, OK, &decoder{rest: p}) })
 }
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -84,7 +84,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	d := &Dialer{clock: relay.NewClock(), cfg: cfg, stop: stop}
 	d.x = relay.NewRequestTable(site, d.clock, d)
-	lister := zookeeper.NewClient(zookeeper.Ensemble{Addresses: cfg.ZooKeeper, Path: cfg.Path, Session: relay.Duration(cfg.SessionMs)}, d.x, log)
+	lister := zookeeper.NewClient(zookeeper.Ensemble{Addresses: cfg.ZooKeeper, Path: cfg.Path, SessionTimeout: relay.Duration(cfg.SessionMs)}, d.x, log)
 	d.x.UpdateEndpoints(decide.Cached, nil)
 	lister.Watch()
 	go lister.Run(ctx)
