--- a/internal/wire/zookeeper/wire.go
+++ b/internal/wire/zookeeper/conn.go
@@ -1,51 +1,16 @@
 package zookeeper
 
 import (
+	"bufio"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
+	"net"
 	"time"
-)
-
-// encoder writes fields one after the other; reader takes them apart.
-type encoder []byte
 
-func (b encoder) i32(x int32) encoder { return binary.BigEndian.AppendUint32(b, uint32(x)) }
-func (b encoder) i64(x int64) encoder { return binary.BigEndian.AppendUint64(b, uint64(x)) }
-func (b encoder) bytes(p []byte) encoder {
-	return append(b.i32(int32(len(p))), p...)
-}
-func (b encoder) flag(x bool) encoder {
-	if x {
-		return append(b, 1)
-	}
-	return append(b, 0)
-}
-
-// decoder reads fields; the first that is cut off spoils the rest.
-type decoder struct {
-	rest      []byte
-	truncated bool
-}
-
-func (r *decoder) take(n int) []byte {
-	if n < 0 || n > len(r.rest) {
-		r.truncated, r.rest = true, nil
-		return make([]byte, 8)
-	}
-	p := r.rest[:n]
-	r.rest = r.rest[n:]
-	return p
-}
-func (r *decoder) i32() int32 { return int32(binary.BigEndian.Uint32(r.take(4))) }
-func (r *decoder) i64() int64 { return int64(binary.BigEndian.Uint64(r.take(8))) }
-func (r *decoder) bytes() []byte {
-	n := r.i32()
-	if n == -1 || r.truncated { // null
-		return nil
-	}
-	return r.take(int(n))
-}
+	"capersail/internal/relay"
+)
 
 func (n *conn) writeFrame(b encoder, within time.Duration) error {
 	n.SetWriteDeadline(n.clock.WallDeadline(n.clock.Now() + within))
@@ -102,3 +67,24 @@
 	h.sessionID, h.password = id, append([]byte(nil), pass...)
 	return h, nil
 }
+
+// errExpired says that the service has forgotten the session, and with it every watch.
+var errExpired = errors.New("session expired")
+
+// conn is one connection of the session, and what the list has asked for on it.
+type conn struct {
+	net.Conn
+	buffered        *bufio.Reader
+	clock           *relay.Clock
+	lastXid         int32
+	nodeByXid       map[int32]string // data asked for and not answered, by xid
+	childrenXid     int32            // xid of the children asked for, 0 if none
+	childrenChanged bool             // they have changed meanwhile
+	snapshotDue     bool             // the whole list has not been told yet
+}
+
+// sendWatch sends a request for a path with its watch and returns the xid.
+func (n *conn) sendWatch(op int32, path string, within time.Duration) (int32, error) {
+	n.lastXid++
+	return n.lastXid, n.writeFrame(encoder{}.i32(n.lastXid).i32(op).bytes([]byte(path)).flag(true), within)
+}
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -1,10 +1,8 @@
 package zookeeper
 
 import (
-	"bufio"
 	"context"
 	"errors"
-	"fmt"
 	"math/rand/v2"
 	"sync"
 	"time"
@@ -12,7 +10,6 @@
 	"github.com/rs/zerolog"
 
 	"capersail/internal/relay"
-	"capersail/internal/wire/splice"
 )
 
 const (
@@ -28,34 +25,6 @@
 	maxReconnectBackoff = time.Second
 )
 
-// Code is how a request ended: 0, an error of the service's (negative), or Lost.
-type Code int32
-
-// The codes that callers tell apart.
-const (
-	OK             Code = 0
-	NoNode         Code = codeNoNode
-	BadVersion     Code = codeBadVersion
-	NodeExists     Code = codeNodeExists
-	NotEmpty       Code = codeNotEmpty
-	ConnectionLoss Code = 1 // no answer came: it may have been done, or may not
-)
-
-// Stat is what of a node's state is used here.
-type Stat struct {
-	Version  int32
-	Owner    int64 // the session of an ephemeral node, 0 of others
-	Children int32
-}
-
-// Answer is the answer to one request.
-type Answer struct {
-	Code     Code
-	Stat     Stat
-	Data     []byte
-	Children []string
-}
-
 // Events is told what happens to a session, in order and from one goroutine, as answers are.
 type Events interface {
 	// Connected: a session stands, a new one or one taken up again, by a request sent at sentAt.
@@ -137,84 +106,6 @@
 	}
 }
 
-// Get reads a node's data.
-func (s *Session) Get(path string, done func(Answer)) {
-	s.enqueue(opGetData, encoder{}.bytes([]byte(path)).flag(false), done)
-}
-
-// Exists reads a node's state.
-func (s *Session) Exists(path string, done func(Answer)) {
-	s.enqueue(opExists, encoder{}.bytes([]byte(path)).flag(false), done)
-}
-
-// Sync makes what is read after it no older than the moment at which the service takes it.
-func (s *Session) Sync(path string, done func(Answer)) {
-	s.enqueue(opSync, encoder{}.bytes([]byte(path)), done)
-}
-
-// Children lists a node's children.
-func (s *Session) Children(path string, done func(Answer)) {
-	s.enqueue(opGetChildren, encoder{}.bytes([]byte(path)).flag(false), done)
-}
-
-// Create makes a node: exclusively, as every create is. An ephemeral one goes with the session.
-func (s *Session) Create(path string, data []byte, ephemeral bool, done func(Answer)) {
-	s.enqueue(opCreate, encodeCreate(path, data, ephemeral), done)
-}
-
-// Set writes a node's data if it has the version; -1 is any.
-func (s *Session) Set(path string, data []byte, version int32, done func(Answer)) {
-	s.enqueue(opSetData, encodeSet(path, data, version), done)
-}
-
-// Delete removes a node if it has the version; -1 is any.
-func (s *Session) Delete(path string, version int32, done func(Answer)) {
-	s.enqueue(opDelete, encoder{}.bytes([]byte(path)).i32(version), done)
-}
-
-// Step is one part of a transaction.
-type Step struct {
-	op   int32
-	body encoder
-}
-
-// CreateStep is Create in a transaction.
-func CreateStep(path string, data []byte, ephemeral bool) Step {
-	return Step{opCreate, encodeCreate(path, data, ephemeral)}
-}
-
-// SetStep is Set in a transaction.
-func SetStep(path string, data []byte, version int32) Step {
-	return Step{opSetData, encodeSet(path, data, version)}
-}
-
-// CheckStep fails a transaction unless the node has the version.
-func CheckStep(path string, version int32) Step {
-	return Step{opCheck, encoder{}.bytes([]byte(path)).i32(version)}
-}
-
-// Multi does all steps or none. The answer's code is that of the first step that cannot be done, its Stat
-// that of the last SetStep.
-func (s *Session) Multi(steps []Step, done func(Answer)) {
-	body := encoder{}
-	for _, step := range steps {
-		body = append(body.i32(step.op).flag(false).i32(-1), step.body...)
-	}
-	s.enqueue(opMulti, body.i32(-1).flag(true).i32(-1), done)
-}
-
-func encodeCreate(path string, data []byte, ephemeral bool) encoder {
-	b := encoder{}.bytes([]byte(path)).bytes(data).i32(1).i32(31).bytes([]byte("world")).bytes([]byte("anyone"))
-	if ephemeral {
-		return b.i32(1)
-	}
-	return b.i32(0)
-}
-
-func encodeSet(path string, data []byte, version int32) encoder {
-	return encoder{}.bytes([]byte(path)).bytes(data).i32(version)
-}
-
 // Close ends the session at the service, and with it its ephemeral nodes, and waits for that no longer than
 // within. Without it they stay until the session's time-out.
 func (s *Session) Close(within time.Duration) {
@@ -271,195 +162,3 @@
 		s.Events.Disconnected()
 	}
 }
-
-// runConnection holds one runConnection to its end.
-func (s *Session) runConnection(ctx context.Context) error {
-	s.mu.Lock()
-	ctx, s.closeConn = context.WithCancel(ctx)
-	defer s.closeConn()
-	if len(s.addresses) == 0 {
-		s.mu.Unlock()
-		return errors.New("no address")
-	}
-	address := s.addresses[s.nextAddress%len(s.addresses)]
-	s.nextAddress++
-	s.mu.Unlock()
-	raw, err := splice.Dial(ctx, address, s.Timeout/6)
-	if err != nil {
-		return fmt.Errorf("dial: %w", err)
-	}
-	defer raw.Close()
-	context.AfterFunc(ctx, func() { raw.Close() })
-	n := &conn{Conn: raw, buffered: bufio.NewReaderSize(raw, batchBytes), clock: s.Clock}
-	wanted := s.state
-	wanted.timeout = s.Timeout
-	sentAt := s.Clock.Now()
-	h, err := n.handshake(wanted)
-	if err != nil {
-		return err
-	}
-	s.state = h
-	s.mu.Lock()
-	s.connected, s.lastXid = true, 0
-	s.mu.Unlock()
-	s.Events.Connected(h.sessionID, h.timeout, sentAt)
-	written := make(chan error, 1)
-	go func() { written <- s.writeLoop(ctx, n, h.timeout/pingDivisor) }()
-	err = s.readLoop(n)
-	s.mu.Lock()
-	s.closeConn()
-	s.mu.Unlock()
-	raw.Close()
-	if werr := <-written; werr != nil && ctx.Err() == nil {
-		err = werr
-	}
-	return err
-}
-
-// writeLoop sends what is queued, all of it together, and a ping when nothing was sent for a while.
-func (s *Session) writeLoop(ctx context.Context, n *conn, pingEvery time.Duration) error {
-	last := s.Clock.Now()
-	for {
-		s.mu.Lock()
-		now, out, sent := s.Clock.Now(), encoder{}, 0
-		for ; sent < len(s.unsent) && len(out) < batchBytes; sent++ {
-			r := s.unsent[sent]
-			s.lastXid++
-			r.xid, r.sentAt = s.lastXid, now
-			out = append(out.i32(int32(len(r.body)+8)).i32(r.xid).i32(r.op), r.body...)
-			s.pending = append(s.pending, r)
-		}
-		s.unsent = s.unsent[sent:]
-		more := len(s.unsent) > 0
-		if len(out) == 0 && now-last >= pingEvery {
-			out = out.i32(8).i32(xidPing).i32(opPing)
-			s.pingsSentAt = append(s.pingsSentAt, now)
-		}
-		s.mu.Unlock()
-		if len(out) > 0 {
-			last = now
-			n.SetWriteDeadline(s.Clock.WallDeadline(now + s.Timeout/3))
-			if _, err := n.Write(out); err != nil {
-				n.Close()
-				return fmt.Errorf("write: %w", err)
-			}
-		}
-		if more {
-			continue
-		}
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-s.writerWake:
-		case <-s.Clock.After(max(time.Millisecond, last+pingEvery-s.Clock.Now())):
-		}
-	}
-}
-
-// readLoop takes answers and events until the connection ends.
-func (s *Session) readLoop(n *conn) error {
-	for {
-		p, err := n.readFrame(s.Clock.Now() + s.state.timeout/silenceDivisor)
-		if err != nil {
-			return fmt.Errorf("read: %w", err)
-		}
-		r := &decoder{rest: p}
-		xid, zxid, code := r.i32(), r.i64(), Code(r.i32())
-		if zxid > 0 {
-			s.state.lastZxid = zxid
-		}
-		switch {
-		case r.truncated:
-			return errors.New("answer cut off")
-		case xid == xidEvent:
-			if r.i32(); r.i32() == stateExpired {
-				return errExpired
-			}
-			continue
-		case xid == xidPing:
-			s.mu.Lock()
-			if len(s.pingsSentAt) == 0 {
-				s.mu.Unlock()
-				return errors.New("answer to a ping that was not sent")
-			}
-			at := s.pingsSentAt[0]
-			s.pingsSentAt = s.pingsSentAt[1:]
-			s.mu.Unlock()
-			s.Events.Answered(at)
-			continue
-		}
-		s.mu.Lock()
-		if len(s.pending) == 0 || s.pending[0].xid != xid {
-			s.mu.Unlock()
-			return fmt.Errorf("answer to request %d out of turn", xid)
-		}
-		q := s.pending[0]
-		s.pending[0] = request{}
-		s.pending = s.pending[1:]
-		s.mu.Unlock()
-		s.Events.Answered(q.sentAt)
-		a := decodeAnswer(q.op, code, r)
-		if r.truncated {
-			q.done(Answer{Code: ConnectionLoss})
-			return fmt.Errorf("answer to request %d cut off", xid)
-		}
-		q.done(a)
-		if q.op == opClose {
-			return errors.New("session closed")
-		}
-	}
-}
-
-// decodeAnswer reads what comes after an decodeAnswer's header.
-func decodeAnswer(op int32, code Code, r *decoder) Answer {
-	a := Answer{Code: code}
-	if code != OK {
-		return a
-	}
-	switch op {
-	case opGetData:
-		a.Data = append([]byte(nil), r.bytes()...)
-		a.Stat = decodeStat(r)
-	case opExists, opSetData:
-		a.Stat = decodeStat(r)
-	case opGetChildren:
-		for i := r.i32(); i > 0 && !r.truncated; i-- {
-			a.Children = append(a.Children, string(r.bytes()))
-		}
-	case opMulti:
-		a = decodeMulti(r)
-	}
-	return a
-}
-
-// decodeMulti reads the results of a transaction. Of one that failed all results are errors: 0 before the step that
-// cannot be done, its code, and errUndone after it.
-func decodeMulti(r *decoder) (a Answer) {
-	for {
-		kind, last := r.i32(), r.take(1)[0] == 1
-		r.i32()
-		switch {
-		case r.truncated || last:
-			return a
-		case kind == -1:
-			if code := Code(r.i32()); code != OK && code != codeRuntimeInconsistency && a.Code == OK {
-				a.Code = code
-			}
-		case kind == opCreate:
-			r.bytes()
-		case kind == opSetData:
-			a.Stat = decodeStat(r)
-		}
-	}
-}
-
-func decodeStat(r *decoder) (s Stat) {
-	r.take(32)
-	s.Version = r.i32()
-	r.take(8)
-	s.Owner = r.i64()
-	r.i32()
-	s.Children = r.i32()
-	r.take(8)
-	return s
-}
