--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -1,8 +1,6 @@
 package xmpp
 
 import (
-	"crypto/rand"
-	"encoding/hex"
 	"fmt"
 	"net"
 	"strings"
@@ -12,56 +10,59 @@
 	"capersail/internal/wire/splice"
 )
 
-const (
-	streamsNS = "http://etherx.jabber.org/streams"
-	errorsNS  = "urn:ietf:params:xml:ns:xmpp-streams"
-	retryNS   = "urn:capersail:retry"
-	tlsNS     = "urn:ietf:params:xml:ns:xmpp-tls"
+// streamCondition returns the condition to end with, noCondition if none was set.
+func (st *stream) streamCondition() condition {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.condition
+}
 
-	maxQueue = 64        // items that wait for the server, or that it has not confirmed
-	maxBytes = 128 << 10 // and bytes of each: a few big stanzas are as much as many small ones
+const (
+	maxQueuedItems = 64        // that wait for the server, or that it has not confirmed
+	maxQueuedBytes = 128 << 10 // of each: a few big stanzas are as much as many small ones
 )
 
-// stream is what the two sides of one call share: the client's writing end and the queue of what the
+// stream is what the two sides of one request share: the client's writing end and the queue of what the
 // client sends. The server side alone takes from the queue, so no item is ever sent twice.
 type stream struct {
-	client *splice.Half
-	open   item   // the client's start tag
-	to     string // the host it asked for
-
-	mu       sync.Mutex
-	room     *sync.Cond
-	queue    []item
-	bytes    int // of the queue
-	over     bool
-	header   bool   // the client has a start tag
-	final    bool   // and its one outcome
-	reason   string // the stream error to end with, where the answer's kind is not enough
-	features string // as the client was given them, "" if it was not
-}
-
-func newStream(e *splice.Half) *stream {
-	st := &stream{client: e}
-	st.room = sync.NewCond(&st.mu)
+	client       *splice.Half
+	clientHeader item   // the client's start tag
+	host         string // the host it asked for
+
+	mu          sync.Mutex // guards what follows
+	changed     *sync.Cond // signalled as the queue shrinks or the stream ends
+	queue       []item
+	queuedBytes int
+	ended       bool
+	headerSent  bool      // the client has a start tag
+	outcomeSent bool      // the client has its one outcome
+	condition   condition // to end with, where the answer's kind is not enough
+	features    string    // as the client was sent them, "" if it was not
+}
+
+func newStream(client *splice.Half) *stream {
+	st := &stream{client: client}
+	st.changed = sync.NewCond(&st.mu)
 	return st
 }
 
 // push queues an item from the client, and waits while the queue is full: the client's own socket then
-// holds the rest. It is false once the call is over.
+// holds the rest. It is false once the stream has ended.
 func (st *stream) push(it item) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for (len(st.queue) >= maxQueue || st.bytes >= maxBytes) && !st.over {
-		st.room.Wait()
+	for (len(st.queue) >= maxQueuedItems || st.queuedBytes >= maxQueuedBytes) && !st.ended {
+		st.changed.Wait()
 	}
-	if st.over {
+	if st.ended {
 		return false
 	}
 	st.queue = append(st.queue, it)
-	st.bytes += len(it.raw)
+	st.queuedBytes += len(it.raw)
 	return true
 }
 
+// pop takes the oldest item of the queue, if there is one.
 func (st *stream) pop() (item, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -70,17 +71,17 @@
 	}
 	it := st.queue[0]
 	st.queue = st.queue[1:]
-	st.bytes -= len(it.raw)
-	st.room.Signal()
+	st.queuedBytes -= len(it.raw)
+	st.changed.Signal()
 	return it, true
 }
 
-// because names the stream error that an outcome still to be told means. The first reason stays.
-func (st *stream) because(condition string) {
+// setCondition sets the condition of an outcome that is still to be sent. The first stays.
+func (st *stream) setCondition(c condition) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.reason == "" {
-		st.reason = condition
+	if st.condition == noCondition {
+		st.condition = c
 	}
 }
 
@@ -88,141 +89,77 @@
 func (st *stream) write(p []byte) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.final {
+	if st.outcomeSent {
 		return net.ErrClosed
 	}
-	st.header = true
+	st.headerSent = true
 	return st.client.Forward(p)
 }
 
-// greet gives the client a server's start tag and features, once. A retry's must be the same: the client
-// has chosen its mechanism by the first.
-func (st *stream) greet(open, features string) bool {
+// sendFeatures sends the client a server's start tag and features, once. A retry's must be the same, or it
+// returns false: the client has chosen its mechanism by the first.
+func (st *stream) sendFeatures(header, features string) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.features != "" {
 		return st.features == features
 	}
-	st.features, st.header = features, true
-	return !st.final && st.client.Forward([]byte("<?xml version='1.0'?>"+open+features)) == nil
+	st.features, st.headerSent = features, true
+	return !st.outcomeSent && st.client.Forward([]byte(xmlDeclaration+header+features)) == nil
 }
 
-// finish gives the client its one outcome: the end of the stream, after a stream error if one is named.
-func (st *stream) finish(condition, more string) {
+// sendOutcome sends the client its one outcome: the end of the stream, after a stream error, with a child
+// more, if there is a condition.
+func (st *stream) sendOutcome(c condition, more string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.final {
+	if st.outcomeSent {
 		return
 	}
-	st.final, st.over = true, true
-	st.room.Broadcast()
+	st.outcomeSent, st.ended = true, true
+	st.changed.Broadcast()
 	var b strings.Builder
-	if !st.header {
-		fmt.Fprintf(&b, "<?xml version='1.0'?>%s", startTag(st.to))
+	if !st.headerSent {
+		b.WriteString(xmlDeclaration + encodeHeader(st.host))
 	}
-	if condition != "" {
-		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", condition, errorsNS, more)
+	if c != noCondition {
+		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", c, errorsNamespace, more)
 	}
-	b.WriteString("</stream:stream>")
+	b.WriteString(streamEndTag)
 	st.client.Forward([]byte(b.String()))
 }
 
-// wait returns once the call is over.
-func (st *stream) wait() {
+// awaitEnd returns once the stream has ended.
+func (st *stream) awaitEnd() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for !st.over {
-		st.room.Wait()
+	for !st.ended {
+		st.changed.Wait()
 	}
 }
 
-// leave frees whoever waits.
-func (st *stream) leave() {
+// markEnded ends the stream for whoever waits.
+func (st *stream) markEnded() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.over = true
-	st.room.Broadcast()
-}
-
-// startTag is the relay's own, where no server's has come.
-func startTag(from string) string {
-	id := make([]byte, 8)
-	rand.Read(id)
-	return fmt.Sprintf("<stream:stream from='%s' id='%s' version='1.0' xml:lang='en' xmlns='jabber:client' xmlns:stream='%s'>",
-		escape(from), hex.EncodeToString(id), streamsNS)
+	st.ended = true
+	st.changed.Broadcast()
 }
 
-// escape makes text that stood in one kind of quotes fit for single ones. It was scanned before, so what
-// other escapes it holds stay as they are.
-func escape(text string) string { return strings.NewReplacer("'", "&apos;", "<", "&lt;").Replace(text) }
-
-// bounce is the error that answers a stanza which no server will take, or "" where none may be sent: an
-// error is never answered, nor a reply.
-func bounce(it item) string {
-	if it.kind != element || it.attrs["type"] == "error" || it.attrs["type"] == "result" {
-		return ""
-	}
-	if it.name != "message" && it.name != "presence" && it.name != "iq" {
-		return ""
-	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "<%s type='error'", it.name)
-	for _, a := range [][2]string{{"id", "id"}, {"from", "to"}, {"to", "from"}} {
-		if v := it.attrs[a[1]]; v != "" {
-			fmt.Fprintf(&b, " %s='%s'", a[0], escape(v))
-		}
-	}
-	fmt.Fprintf(&b, "><error type='wait'><remote-server-timeout xmlns='urn:ietf:params:xml:ns:xmpp-stanzas'/></error></%s>", it.name)
-	return b.String()
-}
-
-// reader reads items from a connection. A read that a deadline cuts short loses nothing.
-type reader struct {
-	conn  net.Conn
-	scan  scanner
-	items []item
-	buf   []byte
-	err   error // of the scanner; it comes after the items before it
-}
-
-func newReader(conn net.Conn) *reader { return &reader{conn: conn, buf: make([]byte, 4096)} }
-
-func (r *reader) next() (item, error) {
-	for len(r.items) == 0 {
-		if r.err != nil {
-			return item{}, r.err
-		}
-		n, err := r.conn.Read(r.buf)
-		r.items, r.err = r.scan.feed(r.buf[:n])
-		if err != nil && len(r.items) == 0 && r.err == nil {
-			return item{}, err
-		}
-	}
-	it := r.items[0]
-	r.items = r.items[1:]
-	return it, nil
-}
-
-// idle tells whether everything that was read has been taken, as before a TLS handshake it must be.
-func (r *reader) idle() bool { return len(r.items) == 0 && len(r.scan.buf) == 0 && r.err == nil }
-
-// ours tells the scanner's refusals from a broken connection.
-func ours(err error) bool { return err == errNotWellFormed || err == errRestricted || err == errTooBig }
-
-// clientEnd is the client's end as the Exchange knows it. Its wake says that the call is over, which a
-// client side that waits for room in the queue must hear too.
-type clientEnd struct {
+// clientHalf is the client's end as the request table knows it. Its wake says that the request is over, which
+// a client side that waits for space in the queue must be notified of too.
+type clientHalf struct {
 	*splice.Half
-	st *stream
+	stream *stream
 }
 
-// Wake frees the client side to write the answer.
-func (c clientEnd) Wake() {
-	c.st.leave()
+// Wake lets the client side write the answer.
+func (c clientHalf) Wake() {
+	c.stream.markEnded()
 	c.Half.Wake()
 }
 
-// HasUnread is the client's end only: it may say something at any time.
-func (c clientEnd) HasUnread() bool { return c.Half.PeerClosed() }
+// HasUnread tells of the client's end only: it may send something at any time.
+func (c clientHalf) HasUnread() bool { return c.Half.PeerClosed() }
 
-var _ relay.ClientConn = clientEnd{}
+var _ relay.ClientConn = clientHalf{}
