--- a/internal/wire/gossip/cell_log.go
+++ b/internal/wire/gossip/cell_log.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 
+	"github.com/rs/zerolog"
+
 	"capersail/internal/fleet/cells"
 )
 
@@ -13,20 +15,22 @@
 	if change.Kind == cells.RepresentativeChanged && change.Cell == link.cell {
 		link.representative = change.Representative
 	}
-	event := n.log.Info()
-	message := "cell changed"
-	if change.Kind == cells.PlanMismatch {
-		event = n.log.Warn()
-		message = "cell has another plan under the same number: give both cells the same file"
-	}
-	event = event.Str("what", change.Kind.String()).Str("cell", change.Cell)
-	if change.Representative != "" {
-		event = event.Str("speaker", change.Representative)
+	facts := func(event *zerolog.Event) {
+		event.Str("what", change.Kind.String()).Str("cell", change.Cell)
+		if change.Representative != "" {
+			event.Str("speaker", change.Representative)
+		}
+		if change.Plan > 0 {
+			event.Uint64("plan", change.Plan)
+		}
+		event.Str("cause", cause)
 	}
-	if change.Plan > 0 {
-		event = event.Uint64("plan", change.Plan)
+	if change.Kind == cells.PlanMismatch {
+		n.log.Warn().Func(facts).
+			Msg("cell has another plan under the same number: give both cells the same file")
+		return
 	}
-	event.Str("cause", cause).Msg(message)
+	n.log.Info().Func(facts).Msg("cell changed")
 }
 
 // cellChangeCause is why a cell has changed.
