--- a/examples/resume/main.go
+++ b/examples/resume/main.go
@@ -1,4 +1,4 @@
-// Command resume shows a stream that moves with its token: two relays, three servers and a claim service on
+// Command resume shows a stream that migrates with its token: two relays, three servers and an ownership service on
 // loopback, and one client that watches numbered scans while a server drains and its relay is killed.
 package main
 
@@ -20,7 +20,7 @@
 
 func main() {
 	relay := flag.String("relay", "bin/capersail", "the relay's `program`")
-	every := flag.Duration("every", 4*time.Second, "time between two troubles")
+	every := flag.Duration("every", 4*time.Second, "time between two faults")
 	flag.Parse()
 	if err := run(*relay, *every); err != nil {
 		fmt.Fprintln(os.Stderr, "resume:", err)
@@ -113,7 +113,7 @@
 	servers[id].SendAway(2)
 	time.Sleep(every)
 
-	fmt.Println("the relay is killed with -9; the client goes to the other, where its claim still stands for a while")
+	fmt.Println("the relay is killed with -9; the client goes to the other, where its ownership lease still holds for a while")
 	relay.Store(1)
 	relays[0].Process.Kill()
 	time.Sleep(every + 6*time.Second)
