--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -70,7 +70,7 @@
 	opened, err := store.Open(file, p.config.options(), p.log)
 	if err != nil {
 		p.log.Error().Err(err).
-			Msg("store cannot be opened, timelines are kept in memory only: mend the file and restart")
+			Msg("store cannot be opened, timelines stay in memory and it is retried: mend the file")
 	}
 	p.stores = append(p.stores, opened)
 	return opened
