--- a/decide/actions.go
+++ b/decide/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RejectReason says why a request got no server. It is told to people; nothing is decided by it.
+// RejectReason says why a request got no server. It is for metrics and time lines; nothing is decided by it.
 type RejectReason uint8
 
 // The reasons.
@@ -57,7 +57,7 @@
 		ID     RequestID
 		Reason RejectReason
 	}
-	// Migrate ends an open connection politely; its client comes again.
+	// Migrate ends an open connection gracefully; its client reconnects.
 	Migrate struct{ ID RequestID }
 	// Probe asks a server for its load.
 	Probe struct{ Server ServerID }
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -25,8 +25,8 @@
 	hadUsableList           bool // some list has had a server to use
 }
 
-// recordPollFailure puts the next poll off. In large fleets the base of the backoff stays near the time of
-// their turns, up to a bound: news goes before turns.
+// recordPollFailure puts the next poll off. In large fleets the base of the backoff stays near pollSpread, up
+// to a bound: to get watch events soon matters more than to spread the polls.
 func (p *discoveryPolling) recordPollFailure() {
 	p.consecutivePollFailures++
 	least := max(p.settings.Tick*minPollBackoffTicks, min(p.pollSpread(), pollRetryInterval*3/2))
@@ -34,8 +34,8 @@
 	p.setTimer(timerDiscovery, 0, wait)
 }
 
-// recordAnswer notes a list. Any from discovery is an answer; a cached one has the first poll made in this
-// relay's turn, by a fixed offset, as all relays may have started at once.
+// recordAnswer notes a list. Any from discovery is an answer; a cached one has the first poll made
+// at this relay's phase offset within pollSpread, as all relays may have started at once.
 func (p *discoveryPolling) recordAnswer(kind WatchKind) {
 	switch {
 	case kind == Delta || kind == Snapshot:
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -78,9 +78,9 @@
 	d.emit(Forward{ID: r.ID, Server: to, Timeout: d.timeouts.setupTimeout(r)})
 }
 
-// tryOtherZone has a request look elsewhere, once, where its own zone is lost or so loaded that to cross
-// costs less; the first reading from there will do. It returns whether the request waits for it, or is
-// decided.
+// tryOtherZone has servers of another zone probed for a request, once, where its own zone is lost or so
+// loaded that to cross costs less; the first reading from there will do. It returns whether the request waits
+// for it, or is decided.
 func (d *dispatcher) tryOtherZone(r *request, cost float64) bool {
 	settings := &d.settings
 	if r.triedOtherZone || !settings.Probes || settings.Zones <= 1 || cost <= settings.Prices.CrossZone {
@@ -96,8 +96,8 @@
 	return true
 }
 
-// widenSubset has a request of a group whose subset is full look at as many more servers of its order,
-// once. It returns whether the request goes on so.
+// widenSubset has as many more servers of its group's rendezvous order probed for a request whose subset is
+// full, once. It returns whether the request goes on so.
 func (d *dispatcher) widenSubset(r *request) bool {
 	if r.Group == 0 || r.subsetWidened > 0 {
 		return false
@@ -109,8 +109,8 @@
 }
 
 // awaitFirstList holds a request of a relay that has just started until its first endpoint list has a
-// server to use, once and for half of the time that is left; false if there is nothing to wait for. A relay
-// that starts alone is not kept waiting for the turns of a fleet: the first poll is made sooner.
+// server to use, once and for half of the time that is left; false if there is nothing to wait for. The
+// first poll is made sooner for it: a relay that starts alone need not wait for its phase offset.
 func (d *dispatcher) awaitFirstList(r *request) bool {
 	if r.awaitedFirstList || !d.polling.awaitsFirstList() {
 		return false
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -16,7 +16,7 @@
 //
 // It has no clock, no goroutine, no lock and no I/O, and learns no name of a server. All chance comes from
 // the seed: the same settings, seed and events bring the same actions (TestGoldenActions). It plans by
-// what it was told last; internal/guard enforces rules 2 and 3 and the bound on attempts right before an
+// the events handled so far; internal/guard enforces rules 2 and 3 and the bound on attempts right before an
 // act, by what is known then. Both go by the same predicates: Status.NeverRan, DedupScope.Covers,
 // Idempotency.RepeatIsHarmless.
 //
@@ -26,7 +26,7 @@
 //	environment.go    settings, time, random draws and actions, for all parts; timers
 //	settings.go       settings, and what replaces those that make no sense
 //	idempotency.go    what a repeat of a request does (rule 2)
-//	events.go         what a Balancer is told
+//	events.go         what a Balancer is notified of
 //	actions.go        what a Balancer wants done, and the reasons of rejections
 //	view.go           what those see who watch
 //
@@ -52,5 +52,7 @@
 //	rebalance.go      migration of open connections off overloaded or silent servers
 //
 // A new rule gets a file and a type of its own, with the parts that it reads as fields; New puts it
-// together. TestGoldenActions breaks first when a decision changes.
+// together. A new reason to eject a server is a method of outlierRule (outlier.go), called from
+// probes.go, balancer.go or a rule of its own. TestGoldenActions breaks first when a decision changes, and
+// TestFilesAreOnTheMap when a new file is not listed above.
 package decide
--- a/decide/events.go
+++ b/decide/events.go
@@ -84,23 +84,23 @@
 // NoLoadReport is the report of a server that gave none.
 var NoLoadReport = LoadReport{Load: -1, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}
 
-// Event is something that a Balancer is told. The types that implement it are all in this file.
+// Event is something that a Balancer is notified of. The types that implement it are all in this file.
 type Event interface{ event() }
 
 type (
-	// WatchEvent is news of the endpoint list.
+	// WatchEvent is a new endpoint list, a change of it, or the failure of a poll.
 	WatchEvent struct {
 		Kind      WatchKind
 		Endpoints []Endpoint // read only during the call
 	}
-	// Request is a new request; it is owed one final answer.
+	// Request is a new request; it gets one final answer.
 	Request struct {
 		ID        RequestID
 		Class     Class
 		Tenant    Tenant
 		Key       uint64        // idempotency key, 0 if none
 		TimeLeft  time.Duration // of its client's deadline
-		LoadHint  float64       // usual load, in seconds of work a second, 0 if not told
+		LoadHint  float64       // usual load, in seconds of work a second, 0 if not known
 		Group     uint64        // connections of one group share work, 0 if none
 		Returning bool          // the client comes back after a break or a migration, or retries
 		Flow      bool          // packets of an open connection reach this relay now
--- a/decide/load.go
+++ b/decide/load.go
@@ -29,9 +29,9 @@
 type reading struct {
 	load                     float64         // asked of the server, over its capacity
 	at                       time.Duration   // when it was taken, -1 if it may not be used
-	loadGuessed              bool            // no load report told it
+	loadGuessed              bool            // load comes from no load report
 	unreportedPlacements     []time.Duration // when, own placements that the reading may not count yet
-	unreportedPeerPlacements []time.Duration // the same of other relays', where they tell
+	unreportedPeerPlacements []time.Duration // the same of other relays', where they share placements
 	unreportedCloses         []time.Duration // the same of connections that are gone
 	messagesLateUntil        time.Duration   // a message was late there: it counts as full until then
 }
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// maxCandidates is how many readings a placement looks at: among so many drawn at random is one of the
+	// maxCandidates is how many readings a placement compares: among so many drawn at random is one of the
 	// best 3%.
 	maxCandidates = 128
 	// sharedCandidates is the same where all relays have the same readings: the server that reads least would
@@ -80,7 +80,7 @@
 	return p.admission.expectedArrivals() * p.load.loadPerConnection() / listed
 }
 
-// candidateLimit is how many readings a placement looks at.
+// candidateLimit is how many readings a placement compares.
 func (p *placement) candidateLimit() int {
 	if p.fleet.status.SharesReadings {
 		return sharedCandidates
--- a/decide/probes.go
+++ b/decide/probes.go
@@ -10,7 +10,7 @@
 	readingFreshFor = time.Second
 	// firstProbeRoundTrip is what a probe is taken to need before one has been answered.
 	firstProbeRoundTrip = time.Second
-	// prunePause is how long a large pool may keep readings that have become too old: to look at all of it
+	// prunePause is how long a large pool may keep readings that have become too old: to go through all of it
 	// for each request would cost more than all else.
 	prunePause = readingFreshFor / 16
 	// delayNoteInterval is the time within which the next late message is reported, as long as they are late.
@@ -141,8 +141,8 @@
 	}
 }
 
-// recordGossip takes in what another relay read, evidence with an age, or what it placed. It is no word of a
-// server that failed this relay.
+// recordGossip takes in what another relay read, a reading with an age, or what it placed. A reading does not
+// take back a server that this relay has ejected.
 func (p *probePool) recordGossip(e GossipReading) {
 	s, takenAt := p.endpoints.stateOf(e.Server), p.now-e.Age
 	if e.PlacementDelta != 0 {
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -5,7 +5,7 @@
 
 // quota reckons what a connection adds to a server's load by what the tenants may hold together.
 type quota struct {
-	totalConnections float64 // of all tenants within their quotas, 0 if not told
+	totalConnections float64 // of all tenants within their quotas, 0 if the settings have none
 	maxListed        int     // servers listed at once so far: a quota does not shrink with a crash
 }
 
@@ -17,7 +17,8 @@
 	return q
 }
 
-// loadPerConnection is what a connection adds, as a part of a server's capacity, 0 where no quotas are told.
+// loadPerConnection is what a connection adds, as a part of a server's capacity, 0 where the settings have
+// no quotas.
 func (q *quota) loadPerConnection(listed int) float64 {
 	q.maxListed = max(q.maxListed, listed)
 	if q.totalConnections == 0 {
--- a/decide/rebalance.go
+++ b/decide/rebalance.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// loadWatchInterval is the time within which a server that holds own connections is looked at again. The
+	// loadWatchInterval is the time within which a server that holds own connections is checked again. The
 	// timer runs after half of it and, by the relay's phase, up to a quarter more.
 	loadWatchInterval = 2 * time.Second
-	// watchedLoad is the load, 0 to 1, of the pool or of a server beyond which they are looked at.
+	// watchedLoad is the load, 0 to 1, of the pool or of a server beyond which they are checked.
 	watchedLoad = 0.5
 	// rebalanceTriggerLoad is the load beyond which a server is overloaded.
 	rebalanceTriggerLoad = 0.85
@@ -29,7 +29,7 @@
 	loadWatchScheduled bool
 }
 
-// scheduleLoadWatch keeps the timer for looking at the servers that hold own connections.
+// scheduleLoadWatch sets the timer of watchLoad, while there are own connections.
 func (b *rebalancer) scheduleLoadWatch() {
 	if b.loadWatchScheduled || b.requests.ownConnections == 0 {
 		return
@@ -39,7 +39,7 @@
 	b.setTimer(timerLoadWatch, 0, loadWatchInterval/2+offset)
 }
 
-// watchLoad looks at the servers that hold own connections.
+// watchLoad checks the load of the servers that hold own connections.
 func (b *rebalancer) watchLoad() {
 	b.loadWatchScheduled = false
 	for i := range b.endpoints.servers {
@@ -56,7 +56,7 @@
 	b.scheduleLoadWatch()
 }
 
-// recordProbeResult looks at the server of a probe's result, if it holds own connections. One that answers
+// recordProbeResult checks the server of a probe's result, if it holds own connections. One that answers
 // with an error still serves them.
 func (b *rebalancer) recordProbeResult(e ProbeResult) {
 	s := b.endpoints.stateOf(e.Server)
@@ -79,7 +79,7 @@
 
 // rebalanceServer judges a server that holds own connections, and has its excess migrate. All relays that
 // see it overloaded migrate only their part of the excess, drawn at random; off a silent one each goes
-// after its own look. A relay that holds few connections reads few servers: it has others probed first.
+// after its own probe. A relay that holds few connections reads few servers: it has others probed first.
 func (b *rebalancer) rebalanceServer(id ServerID, s *serverState) {
 	if s.health.unansweredProbes > 0 && !s.health.silent() {
 		b.pool.sendProbe(id)
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -23,18 +23,18 @@
 // ClassInfo describes a class of requests.
 type ClassInfo struct {
 	LatencyObjective        time.Duration // a connection set up within this is on time
-	Deadline                time.Duration // the client's patience over all its attempts
+	Deadline                time.Duration // how long the client waits, over all attempts
 	Idempotency             Idempotency
 	DedupScope              DedupScope    // for IdempotentWithKey
 	DedupWindow             time.Duration // for IdempotentWithKey: how long a key is remembered
 	PriorityWeight          float64       // what one request counts in the result
-	MessageLatencyObjective time.Duration // for one message on an open connection, 0 if not told
+	MessageLatencyObjective time.Duration // for one message on an open connection, 0 for none
 }
 
 // TenantInfo describes a tenant.
 type TenantInfo struct {
 	ServiceShare    float64 // its part of the service, 0 to 1
-	ConnectionQuota float64 // open connections over all relays that are within its share, 0 if not told
+	ConnectionQuota float64 // open connections over all relays that are within its share, 0 for none
 }
 
 // Prices are points taken off the result for each unit.
@@ -53,7 +53,7 @@
 	OverloadWindow    time.Duration // over so long a time, a server falls over
 }
 
-// Settings are all that a Balancer is told at its start.
+// Settings are all that a Balancer knows at its start.
 type Settings struct {
 	RelayIndex int  // this relay's number, from 0
 	Relays     int  // how many relays there are
@@ -66,7 +66,7 @@
 
 	MaxAttempts         int  // a bound: retry.go plans no more than the first and one retry
 	Probes              bool // servers answer probes
-	RetryAfter          bool // clients are told when to come again
+	RetryAfter          bool // rejections tell the client when to retry
 	MaxRetryAfter       time.Duration
 	ConnectTimeout      time.Duration // least time for a set-up
 	Tick                time.Duration // least time between two batches of events
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -70,8 +70,8 @@
 }
 
 // drawSlowStartBudget draws whether this relay may send a server in slow start one more: its share of what
-// all relays may send together, spread over how often it comes upon that server now. Chances do not add up,
-// so a surge keeps within it.
+// all relays may send together, spread over how often that server is a candidate here now. Chances do not
+// add up, so a surge keeps within it.
 func (b *slowStartBudget) drawSlowStartBudget(s *serverState) bool {
 	rules := &b.settings.Rules
 	perSecond := b.fleetBudget(s) * b.fleet.budgetShare(b.now, s.Zone)
@@ -86,7 +86,7 @@
 	if !drawn {
 		return false
 	}
-	// A surge is known too late by its rate: what was sent counts too. An earlier life may have sent as well.
+	// A surge shows too late in its rate: what was sent counts too. So may this relay's earlier process have.
 	window := min(rules.OverloadWindow, b.uptime())
 	sent := s.slowStart.recentAttemptCount(b.now, rules.OverloadWindow)
 	return sent < 1+perSecond*window.Seconds()
@@ -97,7 +97,7 @@
 // in slow start falls over beyond Rules.OverloadFactor times its present part of that.
 func (b *slowStartBudget) fleetBudget(s *serverState) float64 {
 	perConnection := b.load.loadPerConnection()
-	if perConnection == 0 { // nobody tells: a server that holds the mean is taken for full
+	if perConnection == 0 { // not known: a server that holds the mean is taken for full
 		listed := float64(b.endpoints.listedCount())
 		connections := b.fleet.fleetConnections(b.requests.ownConnections)
 		perConnection = admissionLoadLimit * listed / max(connections, listed)
