--- a/internal/guard/endpoint_lease.go
+++ b/internal/guard/endpoint_lease.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The endpoint list is held on a lease. News from discovery counts as notified 6 s after it was made,
-// whether or not it arrived, and DrainGrace later nothing new may go to a server that it takes away. A
-// relay that does not hear from discovery cannot know of such news, so it acts on its list only for so long
-// that none can count against it, in ms:
+// The endpoint list is held on a lease. A change at discovery counts as notified 6 s after it was made,
+// whether or not its watch event arrived, and DrainGrace later nothing new may go to a server that it takes
+// away. A relay that gets nothing from discovery cannot know of such a change, so it acts on its list only for
+// so long that none can count against it, in ms:
 //
 //	notified at the latest                               6000
 //	+ grace of the rule on drains                         500
@@ -55,8 +55,8 @@
 	// CallFailed: it was reset, answered with an error, or given up. That shows nothing, as others may be
 	// served.
 	CallFailed DiscoveryLoss = iota
-	// ConnectionRefused: discovery does not serve. It tells nobody anything, and its news counts anew from
-	// its return on.
+	// ConnectionRefused: discovery does not serve. It notifies nobody, and the time within which a change
+	// counts as notified begins anew when it is back.
 	ConnectionRefused
 	// WatchSilent: the watch stood, and brought no line any more.
 	WatchSilent
@@ -111,7 +111,7 @@
 	addressChangedAt time.Duration
 
 	answered       bool // discovery has said something since the start
-	watching       bool // a watch is open, as far as can be told
+	watching       bool // a watch is open, as far as is known
 	lastCallFailed bool
 	enabled        bool
 }
@@ -187,8 +187,8 @@
 // Valid tells whether the list may be acted on now.
 func (l *EndpointLease) Valid(now time.Duration) bool { return !l.enabled || now < l.ValidUntil() }
 
-// MayBreakDrainRule tells whether what is sent by the list now may break the rule on drains: news that was
-// never heard may count as notified, and the grace for it be over.
+// MayBreakDrainRule tells whether what is sent by the list now may break the rule on drains: a change
+// whose watch event never came may count as notified, and its DrainGrace be over.
 func (l *EndpointLease) MayBreakDrainRule(now time.Duration) bool {
 	if l.enabled && l.pushed() && l.answered {
 		return now >= l.pushedValidUntil(pushedViolationLimits)
--- a/internal/guard/invariants.go
+++ b/internal/guard/invariants.go
@@ -10,8 +10,8 @@
 
 // The invariants.
 const (
-	// NothingNewAfterDrain: nothing new goes to a server later than DrainGrace after the news that it drains
-	// or is gone, and nothing by an endpoint list whose lease has long expired.
+	// NothingNewAfterDrain: nothing new goes to a server later than DrainGrace after the watch event by which
+	// it drains or is gone, and nothing by an endpoint list whose lease has long expired.
 	NothingNewAfterDrain Invariant = iota
 	// NoDuplicateAttempt: a request has one attempt in flight, and does not run again where it must not.
 	NoDuplicateAttempt
@@ -44,7 +44,8 @@
 }
 
 const (
-	// DrainGrace is how long after the news that a server drains or is gone something new may still go there.
+	// DrainGrace is how long after a relay is notified that a server drains or is gone the rules still allow
+	// something new there. It only bounds violations: MayWrite denies from the watch event on.
 	DrainGrace = 500 * time.Millisecond
 	// AnswerSlack is how long after a request's deadline its answer may come: 20 ms by the rules, and 50 ms
 	// more on sockets.
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -11,7 +11,7 @@
 // ClassCounts are the figures of one class since the process started.
 type ClassCounts struct {
 	Established uint64 // connections
-	Rejected    uint64 // requests whose client was told that a retry is harmless
+	Rejected    uint64 // requests whose client was promised that a retry is harmless
 	Failed      uint64 // requests
 	Attempts    uint64 // attempts whose first byte BeginWrite let go
 }
--- a/internal/relay/endpoint_lease.go
+++ b/internal/relay/endpoint_lease.go
@@ -8,7 +8,7 @@
 
 const (
 	// processStoppedAfter is how long nothing runs here before the process counts as having been stopped:
-	// the event loop looks each sweepInterval.
+	// the event loop checks each sweepInterval.
 	processStoppedAfter = 4 * sweepInterval
 	// ignoreReadsFor is how long after that lines may come that were written meanwhile.
 	ignoreReadsFor = 200 * time.Millisecond
@@ -18,7 +18,7 @@
 // running. The zero one never expires.
 type endpointLeaseWatch struct {
 	guard.EndpointLease
-	checkedAt        time.Duration // when this process last looked at the lease
+	checkedAt        time.Duration // when this process last checked the lease
 	ignoreReadsUntil time.Duration // until when it may read what came while it was stopped
 }
 
--- a/internal/relay/enums.go
+++ b/internal/relay/enums.go
@@ -30,7 +30,7 @@
 // String returns the state's name, "unknown" for a value that is none.
 func (s State) String() string { return nameOf(stateNames, uint8(s)) }
 
-// AnswerKind is what a client that is not served is told.
+// AnswerKind is what a client that is not served gets.
 type AnswerKind uint8
 
 // The answers.
--- a/internal/relay/fleet_status.go
+++ b/internal/relay/fleet_status.go
@@ -9,7 +9,7 @@
 	"capersail/internal/fleet/probing"
 )
 
-// ToFleetStatus turns a fleet's estimate into what the decision module reckons with. now and own are the
+// ToFleetStatus turns a fleet's estimate into what the decision module gets. now and own are the
 // same instant: now on the decision module's clock, own on the membership.Node's, of which
 // the estimate is.
 //
--- a/internal/relay/guarding.go
+++ b/internal/relay/guarding.go
@@ -98,7 +98,7 @@
 		Msg("invariant violated: a fault of this program, report it with this line")
 }
 
-// FirstLineWritten says that the whole first line of an attempt has been written. It checks once more,
+// FirstLineWritten says that the complete first line of an attempt has been written. It checks once more,
 // after the act, what BeginWrite checked before it.
 func (r *Request) FirstLineWritten(attempt int) {
 	r.table.mu.Lock()
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -12,7 +12,7 @@
 // stream.
 
 // OwnershipAcquired says that the stream is this relay's: the request goes to the decision module, as any
-// that comes back. It is false if the request waits for that no more.
+// that comes back. It is false if the request no longer waits for that.
 func (r *Request) OwnershipAcquired() bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
--- a/internal/relay/probe_scheduling.go
+++ b/internal/relay/probe_scheduling.go
@@ -92,7 +92,7 @@
 	l.handle(now, decide.GossipReading{Server: id, Age: age, Report: fromPeerReport(report)})
 }
 
-// toPeerReport turns a load report into the form that relays tell each other.
+// toPeerReport turns a load report into the form that relays send each other.
 func toPeerReport(r decide.LoadReport) probing.LoadReport {
 	return probing.LoadReport{
 		Load:     r.Load,
@@ -102,7 +102,7 @@
 	}
 }
 
-// fromPeerReport turns a load report that another relay has told into the decision module's.
+// fromPeerReport turns a load report from another relay into the decision module's.
 func fromPeerReport(r probing.LoadReport) decide.LoadReport {
 	return decide.LoadReport{
 		Load:            r.Load,
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -19,7 +19,7 @@
 	Timeout   time.Duration  // how long the client will wait for its answer
 	Returned  bool           // the client comes back after a break or a migration, or retries
 	Ownership OwnershipLease // nil for none
-	Payload   any            // what the front's two sides share; nothing here looks at it
+	Payload   any            // what the front's two sides share; nothing here reads it
 }
 
 // Answer is the final answer to a request that was never established.
@@ -62,7 +62,7 @@
 	inFlight       bool          // the server side has not reported its end
 	mayHaveWritten bool          // its first byte may have been written
 	wroteAt        time.Duration // when the first byte of the latest attempt that wrote one was let go
-	canceled       bool          // it is wanted no more
+	canceled       bool          // it is no longer wanted
 	conn           ServerConn    // nil until the server side has attached it
 }
 
@@ -95,7 +95,7 @@
 // decisionRequest returns the request as the decision module gets it. The caller holds the lock.
 func (r *Request) decisionRequest() decide.Request {
 	left := r.Timeout
-	if r.Ownership != nil { // it has waited for its lease, and the client's patience has gone on
+	if r.Ownership != nil { // it has waited for its lease, while the client's deadline came nearer
 		left = max(0, r.deadline-r.table.Clock.Now())
 	}
 	return decide.Request{
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -176,8 +176,7 @@
 	return r
 }
 
-// A relay that shuts down or is drained has its clients come again soon, to another relay, and not all at
-// once.
+// A relay that shuts down or is drained has its clients retry soon, at another relay, and not all at once.
 const (
 	shutdownRetryAfter  = 50 * time.Millisecond
 	shutdownRetrySpread = 100 * time.Millisecond
@@ -192,7 +191,7 @@
 	}
 }
 
-// applyRetryAfterSetting takes the Retry-After out of an answer where clients are not told any.
+// applyRetryAfterSetting takes the Retry-After out of an answer where Settings.RetryAfter is off.
 func (t *RequestTable) applyRetryAfterSetting(a Answer) Answer {
 	if !t.deployment.Settings.RetryAfter {
 		a.RetryAfter = 0
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -9,8 +9,8 @@
 // This file holds the server side's methods of a request. Each names the attempt that it speaks for, by its
 // number.
 
-// Attach makes the attempt's connection known, before it is dialled. It is false if the attempt is wanted
-// no more.
+// Attach makes the attempt's connection known, before it is dialled. It is false if the attempt is no
+// longer wanted.
 func (r *Request) Attach(attempt int, conn ServerConn) bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -39,7 +39,7 @@
 }
 
 // HandshakeClient returns the client's end for a front whose set-up is a conversation, once the attempt has
-// begun; nil if the attempt is wanted no more.
+// begun; nil if the attempt is no longer wanted.
 func (r *Request) HandshakeClient(attempt int) ClientConn {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -76,7 +76,7 @@
 }
 
 // Establish says that the server has taken the connection. It returns the client's end, or nil if the
-// attempt is wanted no more; then it is to be ended.
+// attempt is no longer wanted; then it is to be ended.
 func (r *Request) Establish(attempt int) ClientConn {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -128,7 +128,7 @@
 	return r.established.migrating, r.established.serverSilent
 }
 
-// ReportLoad says that the server has told the connection's load, in microseconds of work a second.
+// ReportLoad says that the server has reported the connection's load, in microseconds of work a second.
 func (r *Request) ReportLoad(load float64) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -24,7 +24,7 @@
 const (
 	// participantsInterval is how often it is checked who takes part.
 	participantsInterval = 100 * time.Millisecond
-	// stepInterval is how often the scheduler looks whose turn it is to probe.
+	// stepInterval is how often the scheduler checks which probes are due.
 	stepInterval = 25 * time.Millisecond
 	// reportInterval is how often Report is made anew.
 	reportInterval = time.Second
@@ -154,8 +154,8 @@
 	return h.Sum64() | 1
 }
 
-// unixMillis turns a server's start into Unix time in milliseconds, 0 for long ago, as relays tell each
-// other.
+// unixMillis turns a server's start into Unix time in milliseconds, 0 for long ago, as relays send it to
+// each other.
 func unixMillis(at time.Time) int64 {
 	if at.IsZero() {
 		return 0
--- a/internal/relay/silent_servers.go
+++ b/internal/relay/silent_servers.go
@@ -7,7 +7,7 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file follows how long servers take to answer lines, and finds those that bring nothing back.
+// This file follows how long servers take to answer lines, and finds silent ones: those that send nothing back.
 
 const (
 	// slowMessageAfter is when an unanswered line counts as a slow message where no class has an objective.
@@ -64,8 +64,8 @@
 	return threshold
 }
 
-// sweep looks for connections whose server brings nothing back. TCP says nothing when a machine vanishes,
-// so the lines without an answer are all there is to go by. It also notices that the process was stopped,
+// sweep finds connections whose server sends nothing back. TCP reports nothing when a machine vanishes, so
+// the lines without an answer are all there is to go by. It also notices that the process was stopped,
 // and that the lease of the endpoint list has expired.
 func (t *RequestTable) sweep() {
 	t.mu.Lock()
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -7,7 +7,7 @@
 	"capersail/decide"
 )
 
-// timer is an instant at which the decision module wants to be woken, or the backstop looks at a request.
+// timer is an instant at which the decision module wants to be woken, or the backstop checks a request.
 type timer struct {
 	dueAt   time.Duration
 	order   uint64           // those due at once fire in the order in which they were set
