--- a/internal/fleet/membership/acceptor.go
+++ b/internal/fleet/membership/acceptor.go
@@ -35,7 +35,7 @@
 	n.lease.extend(n.view, n.leaseValidFor())
 }
 
-// onReject tells whoever is behind the view, and gives up a proposal whose ballot is too low.
+// onReject sends the view to a peer that is behind it, and gives up a proposal whose ballot is too low.
 func (n *Node) onReject(from string, m Message) {
 	if m.Epoch < n.view.Epoch {
 		n.send(from, Message{Kind: Learn, View: n.view})
@@ -75,7 +75,7 @@
 // view may be renewed after that.
 func (n *Node) answerRenew(from string, m Message) {
 	plan, checks := n.view.Allocation.plan(), n.safeguards.checksVersions
-	// the asker's program knows of no Allocation, and would take its share of the whole
+	// the asker's program knows of no Allocation, and would take its share of the full budget
 	if m.Plan < plan && checks {
 		n.send(from, Message{Kind: Learn, View: n.view})
 		return
--- a/internal/fleet/membership/chain.go
+++ b/internal/fleet/membership/chain.go
@@ -9,7 +9,7 @@
 type chain struct {
 	view          *View
 	viewHash      uint64
-	viewAdoptedAt time.Duration // in this life, or when this life began
+	viewAdoptedAt time.Duration // by this process, or when it started
 }
 
 // adoptView takes up a view that is chosen. One that is no newer is left alone, but for the one held with
--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -3,7 +3,7 @@
 // A Node is one relay's part in that. It owns the view that the relay holds, its votes on the next one,
 // the lease by which it acts on its share, what it knows of its peers, and in a fleet of cells its part
 // in joining and activating plans. Views are chosen by Paxos among a few voters (proposer.go,
-// acceptor.go, voting.go), each giving shares that with all earlier views add up to the whole at most
+// acceptor.go, voting.go), each giving shares that with all earlier views add up to the full budget at most
 // (nextview.go), and shares are held under leases (lease.go). What keeps the sum is listed in
 // safeguards.go; docs/design/members.md has the promise, the reasons and the proof's outline,
 // docs/design/cells.md those of cells.
--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// addOtherCells adds what the other cells do, by their last word. Until there is any the configured
+// addOtherCells adds what the other cells do, by their last summaries. Until there is any the configured
 // number of relays holds, and nothing is known of what they do.
 func (n *Node) addOtherCells(e *FleetEstimate) {
 	others := n.plans.otherCells
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -2,7 +2,7 @@
 
 import "capersail/internal/fleet/cellplan"
 
-// Event is something that a Node has to take in.
+// Event is something that a Node is notified of.
 type Event interface{ event() }
 
 type (
@@ -42,7 +42,7 @@
 	// PlanActivated says that every cell is known to have joined a plan, by the table of this hash. It counts
 	// only while the view's plan is the same: say it again with each directory.
 	PlanActivated struct{ Plan, Hash uint64 }
-	// OtherCells is what all other cells together do, by their last word.
+	// OtherCells is what all other cells together do, by their last summaries.
 	OtherCells struct {
 		Relays          int
 		RequestRate     float64 // requests a second that come to them
@@ -94,7 +94,7 @@
 		To string
 		Message
 	}
-	// Publish tells all peers this relay's status.
+	// Publish sends this relay's status to all peers.
 	Publish struct{ Status Status }
 	// Changed is for the log: the view, the phase or a peer's state has changed.
 	Changed struct {
@@ -103,7 +103,7 @@
 		State string
 		Cause string
 	}
-	// RefreshEndpointList wants the endpoint list polled out of turn: a peer has a newer one.
+	// RefreshEndpointList wants the endpoint list polled at once: a peer has a newer one.
 	RefreshEndpointList struct{ Generation int64 }
 )
 
--- a/internal/fleet/membership/freshness.go
+++ b/internal/fleet/membership/freshness.go
@@ -6,9 +6,12 @@
 	"capersail/internal/fleet/duration"
 )
 
-// staleListGrace is how long a peer may have a newer endpoint list before this relay polls for it out of
-// turn.
-const staleListGrace = 2 * time.Second
+const (
+	// staleListGrace is how long a peer may have a newer endpoint list before this relay polls for it at once.
+	staleListGrace = 2 * time.Second
+	// catchUpInterval is the least time between two requests for a newer view.
+	catchUpInterval = 400 * time.Millisecond
+)
 
 // freshness keeps the pace of asking for what peers are known to have newer.
 type freshness struct {
@@ -16,7 +19,7 @@
 	refreshListAt time.Duration // from when on a newer endpoint list at a peer is polled for
 }
 
-// refreshEndpointList wants the endpoint list polled out of turn once a peer has had a newer one for a
+// refreshEndpointList wants the endpoint list polled at once when a peer has had a newer one for a
 // while: a watch event reaches all within moments, unless this relay's watch has gone silent.
 func (n *Node) refreshEndpointList() {
 	newest := int64(0)
@@ -50,7 +53,7 @@
 		}
 	}
 	if ahead != nil {
-		n.freshness.nextCatchUpAt = n.now + proposerTurn
+		n.freshness.nextCatchUpAt = n.now + catchUpInterval
 		n.send(ahead.Name, Message{Kind: Reject, Epoch: n.view.Epoch})
 	}
 }
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -22,7 +22,7 @@
 	// MaxClockDrift is by how much a relay's clock may run fast or slow, as a part of the time.
 	MaxClockDrift     = 1.0 / 20
 	LeaseSafetyMargin = MaxEffectDelay + 250*time.Millisecond
-	// MaxEffectDelay is the longest from a look at the share to the end of what is done by it.
+	// MaxEffectDelay is the longest from a read of the share to the end of what is done by it.
 	MaxEffectDelay = 250 * time.Millisecond
 	// RenewInterval leaves three attempts in the time that a lease is valid.
 	RenewInterval = time.Second
@@ -65,7 +65,7 @@
 // valid tells whether the share may be taken.
 func (l *lease) valid(now time.Duration) bool { return now < l.validUntil }
 
-// releaseSlot gives this relay's slot to the fleet, once a majority that can make a view is alive. From
+// releaseSlot releases this relay's slot, once a majority that can make a view is alive. From
 // the moment that is on disk the relay takes nothing but what a view grants.
 func (n *Node) releaseSlot() {
 	if n.record.SlotReleased || n.storageFailed || n.local.Lifecycle == Leaving {
@@ -128,7 +128,7 @@
 	return near
 }
 
-// budgetShare is what this relay may take now of its cell's part, or of the whole without cells, until
+// budgetShare is what this relay may take now of its cell's part, or of the full budget without cells, until
 // when, and why.
 func (n *Node) budgetShare(now time.Duration) (share float64, until time.Duration, reason string) {
 	member := n.view.Member(n.cfg.Name)
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -15,13 +15,13 @@
 	allocation    *Allocation
 	// earlierViewsExpired: nobody can act by an earlier view than the one held any more.
 	earlierViewsExpired bool
-	// lowered are those who are known to take no more than their share of the view held.
-	lowered map[string]bool
+	// withinShare has the relays that are known to take no more than their share of the view held.
+	withinShare map[string]bool
 	// ignoreLimits, in tests only: whoever is out of the view takes nothing, as if it knew.
 	ignoreLimits bool
 }
 
-// unavailableMembers are the members that this relay takes for gone: failed, or leaving by their own word.
+// unavailableMembers are the members that have failed, as far as this relay knows, or whose status says Leaving.
 func (n *Node) unavailableMembers() (names []string) {
 	for _, m := range n.view.Entries {
 		if m.In && m.Name != n.cfg.Name && n.peers.byName[m.Name].isUnavailable() {
@@ -37,7 +37,7 @@
 // nextViewRequest is what the next view is to be made of, if some members are unavailable; changed says
 // whether it differs from the view held.
 func (n *Node) nextViewRequest(unavailable func(name string) bool) (request viewRequest, changed bool) {
-	request = viewRequest{idle: map[string]bool{}, lowered: map[string]bool{}}
+	request = viewRequest{idle: map[string]bool{}, withinShare: map[string]bool{}}
 	for _, name := range n.candidates() {
 		status := n.candidateStatus(name)
 		was := n.view.Member(name)
@@ -60,7 +60,7 @@
 		request.idle[name] = idle
 		changed = changed || was.In && idle != was.Idle
 	}
-	n.noteLowered(&request)
+	n.noteWithinShare(&request)
 	if len(request.members) == 0 {
 		return request, false
 	}
@@ -83,8 +83,8 @@
 	return slices.Compact(names)
 }
 
-// candidateStatus is what is known of a candidate. Of a member that has not said a word in this relay's
-// life the view tells enough.
+// candidateStatus is what is known of a candidate. Of a member without a status since this process started
+// the view has enough.
 func (n *Node) candidateStatus(name string) Status {
 	if name == n.cfg.Name {
 		return n.status()
@@ -123,13 +123,13 @@
 	return !known && sameChain && slices.Contains(n.view.UnreleasedSlots, s.BootstrapSlot)
 }
 
-// noteLowered notes who is known to act by no earlier view than the one held. A status that says so is
+// noteWithinShare notes who is known to act by no earlier view than the one held. A status that says so is
 // good for ever, as what is held is on disk.
-func (n *Node) noteLowered(request *viewRequest) {
+func (n *Node) noteWithinShare(request *viewRequest) {
 	all := true
 	for _, m := range n.view.Entries {
-		if n.isLowered(m) {
-			request.lowered[m.Name] = true
+		if n.isWithinShare(m) {
+			request.withinShare[m.Name] = true
 		} else {
 			all = false
 		}
@@ -140,8 +140,8 @@
 	request.ignoreLimits = !joint
 }
 
-// isLowered tells whether a relay is known to take no more than its share of the view held.
-func (n *Node) isLowered(m Member) bool {
+// isWithinShare tells whether a relay is known to take no more than its share of the view held.
+func (n *Node) isWithinShare(m Member) bool {
 	if m.OutstandingLimit <= m.BudgetShare {
 		return true
 	}
@@ -158,7 +158,7 @@
 	return n.now >= since+duration.Scale(n.safeguards.maxEffectDelay, 1+MaxClockDrift)
 }
 
-// slotReleasedAtOf is when a relay that has handed its place over was first known to have.
+// slotReleasedAtOf is when a relay that has released its slot was first known to have.
 func (n *Node) slotReleasedAtOf(name string) time.Duration {
 	if p := n.peers.byName[name]; name != n.cfg.Name && p != nil {
 		return p.SlotReleasedAt
@@ -211,7 +211,7 @@
 	switch {
 	case request.ignoreLimits && !slices.Contains(request.members, m.Name):
 		return 0
-	case request.earlierViewsExpired || request.lowered[m.Name]:
+	case request.earlierViewsExpired || request.withinShare[m.Name]:
 		return m.BudgetShare
 	}
 	return m.maxShare()
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -11,7 +11,7 @@
 // Config is what a Node is configured with.
 type Config struct {
 	Name             string
-	BootstrapSlot    int // this relay's place in view 0, from 0
+	BootstrapSlot    int // this relay's slot in view 0, from 0
 	BootstrapSize    int // how many slots view 0 has
 	ConfiguredRelays int // how many relays there are by the settings; counts before any agreement
 	Seed             uint64
@@ -47,11 +47,11 @@
 	safeguards safeguards
 }
 
-// slot is this relay's place in view 0. Until it is released the relay takes its part of the whole by the
-// configured number of relays alone; from then on it takes only what a view grants.
+// slot is this relay's slot in view 0. Until it is released the relay takes its part of the full budget by
+// the configured number of relays alone; from then on it takes only what a view grants.
 type slot struct {
 	number     int           // negative: the chain has none for it
-	releasedAt time.Duration // in this life, or when this life began
+	releasedAt time.Duration // by this process, or when it started
 }
 
 // New returns the Node of a relay that starts. rec is what was kept, the zero Record for none; the first
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -86,7 +86,7 @@
 // hasStatus tells whether a status of the peer has come.
 func (p *Peer) hasStatus() bool { return p != nil && p.StatusAt >= 0 }
 
-// isUnavailable tells whether the peer is failed, or leaves by its own word.
+// isUnavailable tells whether the peer has failed or left, or its status says Leaving.
 func (p *Peer) isUnavailable() bool {
 	if p == nil {
 		return false
--- a/internal/fleet/membership/planstate.go
+++ b/internal/fleet/membership/planstate.go
@@ -17,13 +17,13 @@
 	cell         string         // the name of this relay's cell, "" without cells
 	previous     *cellplan.Plan // that the file had before, while the view is by it
 	bootstrapped bool           // view 0 has no slots: the chain is, or is to be, bootstrapped by a plan
-	adoptedAt    time.Duration  // when a view of the present plan was first held in this life
-	joined       uint64         // the newest plan joined that this relay knows of in this life, 0 for none
+	adoptedAt    time.Duration  // when this process first held a view of the present plan
+	joined       uint64         // the newest plan joined that this process knows of, 0 for none
 	activated    uint64         // the newest plan activated that this relay knows of, 0 for none
-	otherCells   OtherCells     // what the other cells do, by their last word
+	otherCells   OtherCells     // what the other cells do, by their last summaries
 }
 
-// table is the plan that an Allocation is by, if the file has it, or has had it in this life.
+// table is the plan that an Allocation is by, if the file has it, or has had it since this process started.
 func (s *planState) table(a *Allocation) *cellplan.Plan {
 	if a == nil {
 		return nil
@@ -62,17 +62,15 @@
 
 // The reasons.
 const (
-	PlanActive   PlanPendingReason = iota // nothing is waited for
-	PendingCells                          // it is adopted; not all cells are known to have joined it
-	// all cells have joined the view's plan, and this relay's file has another
-	PendingTable
-	// the file's plan is not the one that follows: a number was skipped
-	PendingSequence
-	PendingActivation // the plan before is not activated yet
-	PendingUpgrade    // a member has published no status of version 2
-	PendingSlots      // a slot of view 0 is its owner's still
-	PendingCellNames  // the file's plan does not name all cells that hold a part
-	PendingView       // no view is agreed yet
+	PlanActive        PlanPendingReason = iota // nothing is waited for
+	PendingCells                               // it is adopted; not all cells are known to have joined it
+	PendingTable                               // all cells have joined the view's plan; the file has another
+	PendingSequence                            // the file's plan skips a number
+	PendingActivation                          // the plan before is not activated yet
+	PendingUpgrade                             // a member has published no status of version 2
+	PendingSlots                               // a slot of view 0 is not released
+	PendingCellNames                           // the file's plan does not name all cells that hold a part
+	PendingView                                // no view is agreed yet
 )
 
 var planPendingTexts = [...]string{
--- a/internal/fleet/membership/proposer.go
+++ b/internal/fleet/membership/proposer.go
@@ -55,7 +55,7 @@
 			break
 		}
 		if name != "" && n.peers.isAlive(name) {
-			wait += proposerTurn
+			wait += proposerStagger
 		}
 	}
 	return wait
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -22,7 +22,7 @@
 const (
 	Starting Lifecycle = iota // it has no list of servers yet
 	Serving                   // it takes clients
-	Draining                  // it is drained by hand
+	Draining                  // it is drained manually
 	Leaving                   // it takes nothing any more and will go
 )
 
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -11,7 +11,7 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// FullBudget is a fleet-wide budget, in the units that shares are counted in: whole numbers add up
+// FullBudget is a fleet-wide budget, in the units that shares are counted in: integers add up
 // without error.
 const FullBudget = cellplan.FullBudget
 
@@ -28,7 +28,7 @@
 	// that may still be acted on; both of FullBudget.
 	BudgetShare      uint64 `cbor:"3,keyasint,omitempty"`
 	OutstandingLimit uint64 `cbor:"4,keyasint,omitempty"`
-	// Idle says that it drains by hand: a member that is due no share.
+	// Idle says that it is drained manually: a member that is due no share.
 	Idle bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -43,7 +43,7 @@
 	UnreleasedSlots []int    `cbor:"3,keyasint,omitempty"`
 	Entries         []Member `cbor:"4,keyasint,omitempty"` // in the order of names
 	Voters          []string `cbor:"5,keyasint"`
-	// Allocation is the part of the budgets that the shares divide; nil for the whole.
+	// Allocation is the part of the budgets that the shares divide; nil for all of FullBudget.
 	Allocation *Allocation `cbor:"6,keyasint,omitempty"`
 }
 
@@ -213,7 +213,7 @@
 	case !v.validSlots():
 		return "invalid unreleased slots"
 	case !v.validEntries():
-		return "invalid entries, or shares over the whole"
+		return "invalid entries, or shares over the full budget"
 	case !v.validVoters():
 		return "invalid voters"
 	}
--- a/internal/fleet/membership/voting.go
+++ b/internal/fleet/membership/voting.go
@@ -11,9 +11,9 @@
 const (
 	// ballotTimeout is how long a ballot may take to find a majority.
 	ballotTimeout = 500 * time.Millisecond
-	// proposerTurn is the time between two voters' turns to propose.
-	proposerTurn = 400 * time.Millisecond
-	// acceptedTimeout is after how long an accepted view whose choice nobody tells is taken up.
+	// proposerStagger is by how much each voter waits longer than the one before it, before it proposes.
+	proposerStagger = 400 * time.Millisecond
+	// acceptedTimeout is after how long an accepted view is proposed anew, if nobody has said that it is chosen.
 	acceptedTimeout = 600 * time.Millisecond
 )
 
@@ -56,7 +56,7 @@
 // abandon ends the proposal; another may follow after a while drawn at random.
 func (v *voting) abandon(now time.Duration, rng *rand.Rand) {
 	v.proposal = nil
-	v.nextProposalAt = now + duration.Scale(proposerTurn, 0.25+rng.Float64())
+	v.nextProposalAt = now + duration.Scale(proposerStagger, 0.25+rng.Float64())
 }
 
 // timedOut tells whether the proposal has found no majority in time.
--- a/internal/fleet/membership/voting_test.go
+++ b/internal/fleet/membership/voting_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("the first proposal is %+v", first)
 	}
 	v.abandon(time.Second, rng)
-	if v.proposal != nil || v.timedOut(time.Hour) || v.nextProposalAt < time.Second+proposerTurn/4 {
+	if v.proposal != nil || v.timedOut(time.Hour) || v.nextProposalAt < time.Second+proposerStagger/4 {
 		t.Errorf("after giving up: %+v", v)
 	}
 	v.highestRound = 9
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -90,8 +90,8 @@
 // Handle takes one event at an instant and appends what is to be done about it to out.
 func (l *Lease) Handle(now time.Duration, ev Event, out []Action) []Action {
 	l.now, l.actions = now, out
-	// After a clock jump, or a sleep of the process, the lease expires before the event has its effect. News
-	// of the session are older than that sleep and are taken first.
+	// After a clock jump, or a sleep of the process, the lease expires before the event has its effect.
+	// Renewed and SessionConnected are of before that sleep and are taken first.
 	l.renew(ev)
 	l.expireLease()
 	switch e := ev.(type) {
