--- a/internal/testing/expectedfail/judge.go
+++ b/internal/testing/expectedfail/judge.go
@@ -22,7 +22,8 @@
 }
 
 // judge reads the events of go test -json, prints the output of what is not passed over, and returns what is
-// wrong: it is nil if exactly the listed tests have failed. It fails if the events cannot be read.
+// wrong: it is nil if exactly the listed tests have failed, less intermittent ones that passed. The output of a
+// listed test that failed is printed, so that its trace is kept. It fails if the events cannot be read.
 func judge(events io.Reader, list []expected, out io.Writer) (wrong []string, err error) {
 	runs, wrong, err := readRuns(events, out)
 	if err != nil {
@@ -33,14 +34,16 @@
 		wrong = append(wrong, r.judge(pkg, list, actions, out)...)
 	}
 	for i, e := range list {
-		switch actions[i] {
-		case "fail":
+		switch action := actions[i]; {
+		case action == "fail":
 			fmt.Fprintf(out, "KNOWN RED, passed over: %s %s: %s (%s)\n", e.pkg, e.test, e.cause, e.issue)
-		case "":
+		case action == "":
 			wrong = append(wrong, fmt.Sprintf("%s %s is listed and does not exist", e.pkg, e.test))
+		case action == "pass" && e.intermittent:
+			fmt.Fprintf(out, "KNOWN RED, passed in this run: %s %s: %s (%s)\n", e.pkg, e.test, e.cause, e.issue)
 		default:
 			wrong = append(wrong, fmt.Sprintf("%s %s is listed and ended in %s: take it off the list",
-				e.pkg, e.test, actions[i]))
+				e.pkg, e.test, action))
 		}
 	}
 	slices.Sort(wrong)
@@ -88,7 +91,10 @@
 		switch {
 		case i >= 0:
 			actions[i] = action
-			listedFailed = listedFailed || action == "fail"
+			if action == "fail" {
+				listedFailed = true
+				fmt.Fprint(out, r.output[test])
+			}
 		case action == "fail" && !r.isCovered(list, pkg, test):
 			wrong = append(wrong, fmt.Sprintf("%s %s failed", pkg, test))
 			fmt.Fprint(out, r.output[test])
--- a/internal/testing/expectedfail/list.go
+++ b/internal/testing/expectedfail/list.go
@@ -8,14 +8,18 @@
 // maxExpected is how many tests may be listed: a longer list is a habit, not an exception.
 const maxExpected = 3
 
+// intermittentMark begins the cause of a test that does not fail in every run.
+const intermittentMark = "sometimes: "
+
 // expected is one line of the list: a test that fails for a real fault.
 type expected struct {
 	pkg, test    string
 	cause, issue string
+	intermittent bool // it may pass as well: a run that passes is no sign that the fault is gone
 }
 
 // parse reads the list: `PACKAGE TEST | cause | issue` on each line, the package as a path from the project's
-// root. Empty lines are passed over. It fails on any other line, and on a list that is too long.
+// root. A cause that begins with "sometimes: " is one of a test that may pass as well. Empty lines are passed over. It fails on any other line, and on a list that is too long.
 func parse(text string) (list []expected, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
@@ -43,7 +47,13 @@
 	if len(name) != 2 || cause == "" || issue == "" {
 		return expected{}, false
 	}
-	return expected{name[0], name[1], cause, issue}, true
+	return expected{
+		pkg:          name[0],
+		test:         name[1],
+		cause:        cause,
+		issue:        issue,
+		intermittent: strings.HasPrefix(cause, intermittentMark),
+	}, true
 }
 
 // isIn reports whether the test's package is the one of a full import path.
