--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -14,8 +14,9 @@
 	"capersail/internal/testing/fake"
 )
 
-// Idle clients take all the descriptors that a relay has while discovery is down: it goes on serving by the list that it has, makes
-// room for whoever asks, and follows discovery when that returns. The machine holds the process to 64 descriptors.
+// Idle clients take all the descriptors that a relay has while discovery is down: it goes on serving by the
+// list that it has, makes room for whoever asks, and follows discovery when that returns. The machine holds
+// the process to 64 descriptors.
 func TestFullOfIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	address := freeAddress(t) // discovery's, where nobody is yet
 	s1, err := fake.NewEchoServer("127.0.0.1:0", "UP")
@@ -81,8 +82,8 @@
 	}
 }
 
-// SIGTERM in the middle of a drain by hand, and a second one on top of it: who is open is moved, who rests or has sent half a line has
-// a clean end, and the program exits in order.
+// SIGTERM in the middle of a drain by hand, and a second one on top of it: who is open is moved, who rests or
+// has sent half a line has a clean end, and the program exits in order.
 func TestTermBesideADrain(t *testing.T) {
 	d, _ := stage(t, "s1")
 	admin := freeAddress(t)
@@ -125,7 +126,8 @@
 	}
 }
 
-// Signals are caught before other packages are initialized, which takes milliseconds: until then a SIGHUP ends the process.
+// Signals are caught before other packages are initialized, which takes milliseconds: until then a SIGHUP
+// ends the process.
 func TestSignalsAreCaughtFirst(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^$")
 	cmd.Env = append(os.Environ(), "GODEBUG=inittrace=1")
--- a/cmd/capersail/ops_test.go
+++ b/cmd/capersail/ops_test.go
@@ -50,8 +50,8 @@
 	raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), true) })
 }
 
-// platformSocket is a listening socket held as the platform holds it, and a configuration for relays on it that
-// know one server.
+// platformSocket is a listening socket held as the platform holds it, and a configuration for relays on it
+// that know one server.
 func platformSocket(t *testing.T) (*net.TCPListener, string) {
 	t.Helper()
 	d, _ := stage(t, "s1")
@@ -66,8 +66,8 @@
 	})
 }
 
-// An upgrade: two processes serve one socket; at SIGTERM the old one moves its clients and stops accepting, and
-// not one connection that comes meanwhile is turned back.
+// An upgrade: two processes serve one socket; at SIGTERM the old one moves its clients and stops accepting,
+// and not one connection that comes meanwhile is turned back.
 func TestUpgradeOnInheritedSocket(t *testing.T) {
 	l, config := platformSocket(t)
 	old, _, _ := inherit(t, config, l)
@@ -123,7 +123,8 @@
 	return res.StatusCode, string(body)
 }
 
-// awaitReady waits until the second address answers readiness with yes; it listens just after the clients' address.
+// awaitReady waits until the second address answers readiness with yes; it listens just after the clients'
+// address.
 func awaitReady(t *testing.T, address string) {
 	t.Helper()
 	for i := 0; ; i++ {
@@ -150,7 +151,8 @@
 	return l.Addr().String()
 }
 
-// The second address: readiness, a drain by hand and its end, a tile server out by hand and back, the figures.
+// The second address: readiness, a drain by hand and its end, a tile server out by hand and back, the
+// figures.
 func TestSecondAddress(t *testing.T) {
 	d, s := stage(t, "s1")
 	ops := "http://" + freeAddress(t)
@@ -216,8 +218,8 @@
 	}
 }
 
-// Both processes of an upgrade keep one set of bans: a ban made at either holds at the other, and over the end
-// of the one that made it.
+// Both processes of an upgrade keep one set of bans: a ban made at either holds at the other, and over the
+// end of the one that made it.
 func TestBansHoldOverUpgrade(t *testing.T) {
 	l, config := platformSocket(t)
 	shared := "TMPDIR=" + t.TempDir()
@@ -252,8 +254,8 @@
 	dial(t, l.Addr().String()).ask(t, strings.Replace(open, "9b1f", "back", 1), "UP")
 }
 
-// Readiness waits for a list of servers: without one in the configuration, and with discovery out of reach, the
-// process serves but says no.
+// Readiness waits for a list of servers: without one in the configuration, and with discovery out of reach,
+// the process serves but says no.
 func TestNotReadyWithoutList(t *testing.T) {
 	ops := freeAddress(t)
 	cmd := program(t, configure(t, func(c map[string]any) {
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -22,9 +22,9 @@
 	return float64(all[min(len(all)-1, int(q*float64(len(all))))].Microseconds()) / 1000
 }
 
-// BenchmarkGap measures the gap on the screen, from the last scan before an end to the first after it, and the scans
-// lost, for viewers with and without a token side by side: servers drain in turn, one is killed, a relay leaves
-// and another is killed.
+// BenchmarkGap measures the gap on the screen, from the last scan before an end to the first after it, and
+// the scans lost, for viewers with and without a token side by side: servers drain in turn, one is killed, a
+// relay leaves and another is killed.
 func BenchmarkGap(b *testing.B) {
 	for b.Loop() {
 		f := newFleet(b, 6, "")
@@ -71,8 +71,9 @@
 	}
 }
 
-// BenchmarkMassResume kills a relay with 2,000 streams, at the moment at which half of the servers are replaced by
-// cold successors: how long until all are served by the other relay, and how far cold servers are strained.
+// BenchmarkMassResume kills a relay with 2,000 streams, at the moment at which half of the servers are
+// replaced by cold successors: how long until all are served by the other relay, and how far cold servers are
+// strained.
 func BenchmarkMassResume(b *testing.B) {
 	const streams = 2000
 	for b.Loop() {
--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -33,8 +33,8 @@
 	return strings.TrimSpace(line), c
 }
 
-// comeAgain shows a token until it is served, as a client does that follows the times it is told. Each of them
-// must lie within the session.
+// comeAgain shows a token until it is served, as a client does that follows the times it is told. Each of
+// them must lie within the session.
 func (f *fleet) comeAgain(at, name, text, more string) (c *client, refusals int) {
 	f.t.Helper()
 	for n := range 100 {
@@ -182,8 +182,8 @@
 	return strconv.Itoa(x + n)
 }
 
-// Keys: a new one seals at once after SIGHUP, an old one opens until it is taken out, and a file that others can
-// read changes nothing.
+// Keys: a new one seals at once after SIGHUP, an old one opens until it is taken out, and a file that others
+// can read changes nothing.
 func TestKeyRotation(t *testing.T) {
 	f := newFleet(t, 1, "")
 	at := f.start(0, 1)
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -210,8 +210,8 @@
 }
 
 // Streams of numbered scans through a rolling drain of all servers, a kill, a silence, a relay that is killed
-// and one that leaves: nothing is lost or out of turn, never do two servers serve one stream, and each opening
-// gets one answer.
+// and one that leaves: nothing is lost or out of turn, never do two servers serve one stream, and each
+// opening gets one answer.
 func TestMovedStreamsLoseNothing(t *testing.T) {
 	const streams = 200
 	f := newFleet(t, 6, "")
--- a/cmd/capersail/timeline_test.go
+++ b/cmd/capersail/timeline_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The program with time lines: it answers on its socket, and after kill -9 its store has what was more than a second
-// old. A second daemon on the same file serves all the same.
+// The program with time lines: it answers on its socket, and after kill -9 its store has what was more than a
+// second old. A second daemon on the same file serves all the same.
 func TestTimelineOutlivesAKill(t *testing.T) {
 	d, s := stage(t, "s1")
 	dir := t.TempDir()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// callTimeout bounds a complete call and the writing of its answer: operators are owed every answer within 1 s, beside
-	// callers that hold a connection for 4 s without a complete call.
+	// callTimeout bounds a complete call and the writing of its answer: operators are owed every answer
+	// within 1 s, beside callers that hold a connection for 4 s without a complete call.
 	callTimeout = time.Second
-	// MaxConnections bounds the connections that are open at once. Beyond it the oldest one that has not sent a complete
-	// call is closed: a crowd of silent callers then evicts only each other.
+	// MaxConnections bounds the connections that are open at once. Beyond it the oldest one that has not sent
+	// a complete call is closed: a crowd of silent callers then evicts only each other.
 	MaxConnections = 32
 )
 
@@ -34,8 +34,8 @@
 	Ready() bool
 	// Drain starts or ends a manual drain.
 	Drain(on bool)
-	// Eject ejects a server by hand, Readmit ends that. Either fails with ErrNeverListed for an id that was never listed; the
-	// change is stored before they return.
+	// Eject ejects a server by hand, Readmit ends that. Either fails with ErrNeverListed for an id that was
+	// never listed; the change is stored before they return.
 	Eject(id string) error
 	Readmit(id string) error
 }
@@ -58,7 +58,8 @@
 	s := &Server{relay: relay, log: log, listener: bounded}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", s.handleReadiness)
-	mux.Handle("GET /ops/stats", promhttp.HandlerFor(figures, promhttp.HandlerOpts{ErrorHandling: promhttp.ContinueOnError}))
+	metrics := promhttp.HandlerFor(figures, promhttp.HandlerOpts{ErrorHandling: promhttp.ContinueOnError})
+	mux.Handle("GET /ops/stats", metrics)
 	mux.HandleFunc("POST /ops/tile-servers/down/{id}", s.ejectionHandler(relay.Eject))
 	mux.HandleFunc("POST /ops/tile-servers/up/{id}", s.ejectionHandler(relay.Readmit))
 	mux.HandleFunc("POST /ops/drain/start", s.drainHandler(true))
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// A crowd of callers that hold their connections without a whole call keeps nobody else out, and each of them is
-// let go after a second at most.
+// A crowd of callers that hold their connections without a whole call keeps nobody else out, and each of them
+// is let go after a second at most.
 func TestCrowd(t *testing.T) {
 	base, _, s := serveOn(t)
 	address := strings.TrimPrefix(base, "http://")
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -20,8 +20,9 @@
 	Classes []string
 }
 
-// Figures is the Prometheus collector of the relay's metrics. Each is read from the fronts when it is collected: there is no
-// goroutine and no timer. It maps the terms of the code to the metric names that operators use:
+// Figures is the Prometheus collector of the relay's metrics. Each is read from the fronts when it is
+// collected: there is no goroutine and no timer. It maps the terms of the code to the metric names that
+// operators use:
 //
 //	relay_answered{group}   counter  requests established, by class
 //	relay_deferred{group}   counter  requests rejected: a retry is harmless
@@ -31,7 +32,7 @@
 //	relay_cluster_size      gauge    servers in the endpoint list
 //	relay_cluster_unhealthy gauge    of those, the ones ejected, by hand or as outliers
 //	relay_list_age_seconds  gauge    since discovery was last heard, the longest of all fronts
-//	relay_list_lapsed       gauge    1 while an endpoint list's lease has expired, and nothing new is forwarded by it
+//	relay_list_lapsed       gauge    1 while an endpoint list's lease has expired
 //	relay_denied{why}       counter  attempts and requests that the guard denied, by reason
 //	relay_refusals{why}     counter  requests that the decision module rejected or failed, by reason
 //	relay_violations{rule}  counter  invariants violated: each is a fault of this program
@@ -52,19 +53,20 @@
 		return prometheus.NewDesc(name, help, []string{label}, nil)
 	}
 	one := func(name, help string) *prometheus.Desc { return prometheus.NewDesc(name, help, nil, nil) }
-	return &Figures{fronts: fronts,
-		answered:         byClass("relay_answered", "Connections brought up, by class, since the process started."),
-		deferred:         byClass("relay_deferred", "Connections refused with a time to come again, by class."),
-		errored:          byClass("relay_errored", "Connections failed, by class."),
-		sends:            byClass("relay_sends", "Attempts whose first line went whole to a tile server, by class."),
-		current:          one("relay_current", "Connections taken and not ended."),
-		clusterSize:      one("relay_cluster_size", "Tile servers in the list."),
-		clusterUnhealthy: one("relay_cluster_unhealthy", "Listed tile servers the relay avoids now, by hand or by choice."),
+	return &Figures{
+		fronts:           fronts,
+		answered:         byClass("relay_answered", "Requests established, by class, since the process started."),
+		deferred:         byClass("relay_deferred", "Requests rejected: a retry is harmless, by class."),
+		errored:          byClass("relay_errored", "Requests failed, by class."),
+		sends:            byClass("relay_sends", "Attempts whose first line was written to a server, by class."),
+		current:          one("relay_current", "Requests accepted and not ended."),
+		clusterSize:      one("relay_cluster_size", "Servers in the endpoint list."),
+		clusterUnhealthy: one("relay_cluster_unhealthy", "Listed servers that are ejected, manually or as outliers."),
 		listAge:          one("relay_list_age_seconds", "Seconds since discovery was last heard."),
-		listLapsed:       one("relay_list_lapsed", "1 while the list of servers cannot be confirmed and nothing new is sent by it."),
-		denied:           by("relay_denied", "What was not sent or started, by what stood in the way.", "why"),
-		refusals:         by("relay_refusals", "Final answers of the decision module that are no server's, by the reason.", "why"),
-		violations:       by("relay_violations", "What was done against a rule; each is a fault of the program.", "rule"),
+		listLapsed:       one("relay_list_lapsed", "1 while the endpoint list's lease has expired."),
+		denied:           by("relay_denied", "Attempts and requests that the guard denied, by reason.", "why"),
+		refusals:         by("relay_refusals", "Requests rejected or failed by the decision module, by reason.", "why"),
+		violations:       by("relay_violations", "Invariants violated; each is a fault of the program.", "rule"),
 	}
 }
 
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -7,11 +7,12 @@
 	"sync"
 )
 
-// arrivalsFactor times the limit is how long the queue of arrivals grows before those that are closed or have called leave it.
+// arrivalsFactor times the limit is how long the queue of arrivals grows before those that are closed or have
+// called leave it.
 const arrivalsFactor = 4
 
-// boundedListener holds at most limit connections. When a new one would be one too many, the oldest that has not yet sent
-// a complete call is closed.
+// boundedListener holds at most limit connections. When a new one would be one too many, the oldest that has
+// not yet sent a complete call is closed.
 type boundedListener struct {
 	net.Listener
 	limit int
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -27,14 +27,15 @@
 	return got, err
 }
 
-// AskFleet asks a running relay what it knows of the others, and of the fleet's cells: nil where there are none.
+// AskFleet asks a running relay what it knows of the others, and of the fleet's cells: nil where there are
+// none.
 func AskFleet(path string) (*membership.Report, *cells.Report, error) {
 	got, err := askFleet(path, question{Fleet: true})
 	return got.Fleet, got.Cells, err
 }
 
-// AskLooks asks a running relay what it knows of the others, and of the looks at servers by turns: nil where it takes part
-// in none.
+// AskLooks asks a running relay what it knows of the others, and of the looks at servers by turns: nil where
+// it takes part in none.
 func AskLooks(path string) (*membership.Report, *probing.Report, error) {
 	got, err := askFleet(path, question{Fleet: true, Looks: true})
 	return got.Fleet, got.Looks, err
--- a/internal/control/fields_test.go
+++ b/internal/control/fields_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRepliesKeepTheirFields guards against a renamed field that would change what operators' scripts read from the socket and
-// from the command line's JSON.
+// TestRepliesKeepTheirFields guards against a renamed field that would change what operators' scripts read
+// from the socket and from the command line's JSON.
 func TestRepliesKeepTheirFields(t *testing.T) {
 	want, err := os.ReadFile("testdata/fields.txt")
 	if err != nil {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -55,8 +55,8 @@
 	conns map[net.Conn]bool
 }
 
-// Listen begins to answer on the socket at path. A socket that a dead daemon has left is replaced; where another daemon
-// answers, the error is ErrInUse.
+// Listen begins to answer on the socket at path. A socket that a dead daemon has left is replaced; where
+// another daemon answers, the error is ErrInUse.
 func Listen(path string, sources Sources, log zerolog.Logger) (*Server, error) {
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
@@ -173,8 +173,8 @@
 	return r
 }
 
-// follow sends a report and then events until the caller ends. It follows before it reports: what begins meanwhile is sent
-// twice rather than not at all.
+// follow sends a report and then events until the caller ends. It follows before it reports: what begins
+// meanwhile is sent twice rather than not at all.
 func (s *Server) follow(q question, conn net.Conn, in *bufio.Reader, out replyWriter) {
 	var events []<-chan anomaly.Event
 	for _, w := range s.sources.Watchers {
@@ -208,8 +208,8 @@
 	}
 }
 
-// mergeEvents passes the events of several channels into one, by a goroutine each that ends with its channel or once ended is
-// closed.
+// mergeEvents passes the events of several channels into one, by a goroutine each that ends with its channel
+// or once ended is closed.
 func mergeEvents(events []<-chan anomaly.Event, ended <-chan struct{}) <-chan anomaly.Event {
 	merged := make(chan anomaly.Event)
 	for _, c := range events {
--- a/internal/manualeject/ejections.go
+++ b/internal/manualeject/ejections.go
@@ -1,10 +1,10 @@
 // Package manualeject keeps which servers operators have ejected by hand, and decides what a call of theirs
-// changes. Its rules: a call about an id that was never listed fails; repeated calls are one; one call ends an
-// ejection, whatever the endpoint list says meanwhile; and an ejection outlasts the process.
+// changes. Its rules: a call about an id that was never listed fails; repeated calls are one; one call ends
+// an ejection, whatever the endpoint list says meanwhile; and an ejection outlasts the process.
 //
 // internal/lifecycle drives it: it answers the operators' calls, keeps each ejection as a file that a process
-// which replaces this one finds, and tells the request tables. This package does no I/O, keeps no clock and has
-// no lock.
+// which replaces this one finds, and tells the request tables. This package does no I/O, keeps no clock and
+// has no lock.
 package manualeject
 
 import (
@@ -25,8 +25,8 @@
 	ejectedAt map[string]time.Duration // by id
 }
 
-// Eject ejects a server. It tells whether that changed anything: an ejection that stands keeps its instant. It
-// fails with ErrNeverListed if the server was never listed.
+// Eject ejects a server. It tells whether that changed anything: an ejection that stands keeps its instant.
+// It fails with ErrNeverListed if the server was never listed.
 func (e *Ejections) Eject(now time.Duration, id string, everListed bool) (changed bool, err error) {
 	if !everListed {
 		return false, ErrNeverListed
@@ -41,8 +41,8 @@
 	return true, nil
 }
 
-// Readmit ends the ejection of a server. It tells whether that changed anything. It fails with ErrNeverListed if
-// the server was never listed and is not ejected.
+// Readmit ends the ejection of a server. It tells whether that changed anything. It fails with ErrNeverListed
+// if the server was never listed and is not ejected.
 func (e *Ejections) Readmit(id string, everListed bool) (changed bool, err error) {
 	_, ejected := e.ejectedAt[id]
 	if !ejected && !everListed {
@@ -90,8 +90,8 @@
 // filePrefix begins the name of each file that keeps an ejection. Processes of other versions read it.
 const filePrefix = "out-"
 
-// FileName returns the name of the file that keeps an ejection. Any id, whatever bytes it has, is one plain file
-// name.
+// FileName returns the name of the file that keeps an ejection. Any id, whatever bytes it has, is one plain
+// file name.
 func FileName(id string) string { return filePrefix + hex.EncodeToString([]byte(id)) }
 
 // IDFromFileName returns the id of a name that FileName made, false for any other name.
--- a/internal/manualeject/stored_test.go
+++ b/internal/manualeject/stored_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// storedBans are the files of testdata/bans, which the version of 2026-12-03 wrote, and the ids that they stand for.
+// storedBans are the files of testdata/bans, which the version of 2026-12-03 wrote, and the ids that they
+// stand for.
 var storedBans = map[string]string{
 	"out-":                             "",
 	"out-732d3562653261303763":         "s-5be2a07c",
@@ -16,8 +17,8 @@
 	"out-c3bcff00":                     "\u00fc\xff\x00",
 }
 
-// The files by which an earlier version kept bans are read to the same ids, and are named the same: a process that
-// replaces another finds its bans, and the one replaced those of its successor.
+// The files by which an earlier version kept bans are read to the same ids, and are named the same: a process
+// that replaces another finds its bans, and the one replaced those of its successor.
 func TestStoredBansStayReadable(t *testing.T) {
 	entries, err := os.ReadDir("testdata/bans")
 	if err != nil {
--- a/internal/observe/chart/chart.go
+++ b/internal/observe/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws time lines: one panel a server, all on one axis of time. It stands by itself, since what draws
-// is large, and a relay that serves has no use for it.
+// Package chart draws time lines: one panel a server, all on one axis of time. It stands by itself, since
+// what draws is large, and a relay that serves has no use for it.
 package chart
 
 import (
@@ -141,7 +141,8 @@
 // seconds is a time on the axis, from Unix milliseconds.
 func seconds(ms float64) float64 { return ms / 1000 }
 
-// drawPanel draws one server: load as a line, states as a strip under it, placements, faults and events as marks.
+// drawPanel draws one server: load as a line, states as a strip under it, placements, faults and events as
+// marks.
 func drawPanel(s report.Server, a axes) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name
@@ -202,7 +203,8 @@
 	return nil
 }
 
-// loadPieces are the runs of intervals with readings, apart where more than two intervals between them have none.
+// loadPieces are the runs of intervals with readings, apart where more than two intervals between them have
+// none.
 func loadPieces(s report.Server) (pieces []plotter.XYs) {
 	readTo := 0.0
 	for _, interval := range s.Intervals {
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,6 +1,6 @@
 // Package signals catches the signals that the program follows. It does so as the package is initialized, and
-// imports next to nothing, so that it comes before almost all other packages: a SIGHUP that is sent to a process
-// that has just started must not end it. internal/lifecycle reads them.
+// imports next to nothing, so that it comes before almost all other packages: a SIGHUP that is sent to a
+// process that has just started must not end it. internal/lifecycle reads them.
 package signals
 
 import (
@@ -21,6 +21,6 @@
 	return signals
 }
 
-// Caught returns the channel of the signals since the process started, the same one at each call. They are caught
-// until the process ends: a SIGHUP on its way then must not make the program's exit a failure.
+// Caught returns the channel of the signals since the process started, the same one at each call. They are
+// caught until the process ends: a SIGHUP on its way then must not make the program's exit a failure.
 func Caught() <-chan os.Signal { return caught }
--- a/internal/testing/doccheck/names_test.go
+++ b/internal/testing/doccheck/names_test.go
@@ -33,7 +33,8 @@
 	tests    map[string]bool            // tests, fuzz tests and benchmarks
 }
 
-// TestPagesNameWhatTheCodeDeclares guards against pages that go on naming packages, types and files that are gone.
+// TestPagesNameWhatTheCodeDeclares guards against pages that go on naming packages, types and files that are
+// gone.
 func TestPagesNameWhatTheCodeDeclares(t *testing.T) {
 	declared := readDeclarations(t)
 	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
