--- a/internal/wire/zookeeper/answers.go
+++ b/internal/wire/zookeeper/answers.go
@@ -1,6 +1,6 @@
 package zookeeper
 
-// Code is how a request ended: 0, an error of the service's (negative), or Lost.
+// Code is how a request ended: 0, an error of the service's (negative), or ConnectionLoss.
 type Code int32
 
 // The codes that callers tell apart.
@@ -28,56 +28,56 @@
 	Children []string
 }
 
-// decodeAnswer reads what comes after an decodeAnswer's header.
-func decodeAnswer(op int32, code Code, r *decoder) Answer {
+// decodeAnswer reads what comes after an answer's header. What is truncated is for the caller to see.
+func decodeAnswer(op int32, code Code, d *decoder) Answer {
 	a := Answer{Code: code}
 	if code != OK {
 		return a
 	}
 	switch op {
 	case opGetData:
-		a.Data = append([]byte(nil), r.bytes()...)
-		a.Stat = decodeStat(r)
+		a.Data = append([]byte(nil), d.bytes()...)
+		a.Stat = decodeStat(d)
 	case opExists, opSetData:
-		a.Stat = decodeStat(r)
+		a.Stat = decodeStat(d)
 	case opGetChildren:
-		for i := r.i32(); i > 0 && !r.truncated; i-- {
-			a.Children = append(a.Children, string(r.bytes()))
+		for i := d.i32(); i > 0 && !d.truncated; i-- {
+			a.Children = append(a.Children, string(d.bytes()))
 		}
 	case opMulti:
-		a = decodeMulti(r)
+		a = decodeMulti(d)
 	}
 	return a
 }
 
-// decodeMulti reads the results of a transaction. Of one that failed all results are errors: 0 before the step that
-// cannot be done, its code, and errUndone after it.
-func decodeMulti(r *decoder) (a Answer) {
+// decodeMulti reads the results of a transaction. Of one that failed all results are errors: 0 before the
+// step that cannot be done, its code, and codeRuntimeInconsistency after it.
+func decodeMulti(d *decoder) (a Answer) {
 	for {
-		kind, last := r.i32(), r.take(1)[0] == 1
-		r.i32()
+		kind, last := d.i32(), d.flag()
+		d.i32() // the code, again
 		switch {
-		case r.truncated || last:
+		case d.truncated || last:
 			return a
-		case kind == -1:
-			if code := Code(r.i32()); code != OK && code != codeRuntimeInconsistency && a.Code == OK {
+		case kind == opMultiError:
+			if code := Code(d.i32()); code != OK && code != codeRuntimeInconsistency && a.Code == OK {
 				a.Code = code
 			}
 		case kind == opCreate:
-			r.bytes()
+			d.bytes()
 		case kind == opSetData:
-			a.Stat = decodeStat(r)
+			a.Stat = decodeStat(d)
 		}
 	}
 }
 
-func decodeStat(r *decoder) (s Stat) {
-	r.take(32)
-	s.Version = r.i32()
-	r.take(8)
-	s.Owner = r.i64()
-	r.i32()
-	s.Children = r.i32()
-	r.take(8)
+func decodeStat(d *decoder) (s Stat) {
+	d.skip(32) // czxid, mzxid, ctime, mtime
+	s.Version = d.i32()
+	d.skip(8) // cversion, aversion
+	s.Owner = d.i64()
+	d.skip(4) // data length
+	s.Children = d.i32()
+	d.skip(8) // pzxid
 	return s
 }
--- a/internal/wire/zookeeper/codec.go
+++ b/internal/wire/zookeeper/codec.go
@@ -2,16 +2,63 @@
 
 import (
 	"encoding/binary"
+	"errors"
 )
 
-// encoder writes fields one after the other; reader takes them apart.
+// errTruncated says that a frame ended before its fields did.
+var errTruncated = errors.New("frame truncated")
+
+// The operations of ZooKeeper's client protocol that are used here.
+const (
+	opCreate      = 1
+	opDelete      = 2
+	opExists      = 3
+	opGetData     = 4
+	opSetData     = 5
+	opGetChildren = 8
+	opSync        = 9
+	opPing        = 11
+	opCheck       = 13
+	opMulti       = 14
+	opClose       = -11
+	opMultiError  = -1 // of a result, and of the header that ends a transaction
+)
+
+// The xids of what is no answer to a numbered request.
+const (
+	xidEvent = -1
+	xidPing  = -2
+)
+
+// The protocol's error codes.
+const (
+	codeNoNode               = -101
+	codeBadVersion           = -103
+	codeNodeExists           = -110
+	codeNotEmpty             = -111
+	codeRuntimeInconsistency = -2 // of the steps of a transaction that were not come to
+)
+
+// The states and kinds of events.
+const (
+	stateExpired     = -112
+	eventNodeDeleted = 2
+	eventDataChanged = 3
+)
+
+// maxFrameBytes is the longest frame that is read.
+const maxFrameBytes = 4 << 20
+
+// requestHeaderBytes is the length of an xid and an operation.
+const requestHeaderBytes = 8
+
+// encoder writes fields one after the other.
 type encoder []byte
 
-func (b encoder) i32(x int32) encoder { return binary.BigEndian.AppendUint32(b, uint32(x)) }
-func (b encoder) i64(x int64) encoder { return binary.BigEndian.AppendUint64(b, uint64(x)) }
-func (b encoder) bytes(p []byte) encoder {
-	return append(b.i32(int32(len(p))), p...)
-}
+func (b encoder) i32(x int32) encoder    { return binary.BigEndian.AppendUint32(b, uint32(x)) }
+func (b encoder) i64(x int64) encoder    { return binary.BigEndian.AppendUint64(b, uint64(x)) }
+func (b encoder) bytes(p []byte) encoder { return append(b.i32(int32(len(p))), p...) }
+
 func (b encoder) flag(x bool) encoder {
 	if x {
 		return append(b, 1)
@@ -19,52 +66,34 @@
 	return append(b, 0)
 }
 
-// decoder reads fields; the first that is cut off spoils the rest.
+// decoder takes fields apart. After the first that is truncated, all are zero.
 type decoder struct {
 	rest      []byte
 	truncated bool
 }
 
-func (r *decoder) take(n int) []byte {
-	if n < 0 || n > len(r.rest) {
-		r.truncated, r.rest = true, nil
-		return make([]byte, 8)
+// longestField is the most that callers take of a field without looking at truncated first.
+const longestField = 8
+
+func (d *decoder) take(n int) []byte {
+	if n < 0 || n > len(d.rest) {
+		d.truncated, d.rest = true, nil
+		return make([]byte, longestField)
 	}
-	p := r.rest[:n]
-	r.rest = r.rest[n:]
+	p := d.rest[:n]
+	d.rest = d.rest[n:]
 	return p
 }
-func (r *decoder) i32() int32 { return int32(binary.BigEndian.Uint32(r.take(4))) }
-func (r *decoder) i64() int64 { return int64(binary.BigEndian.Uint64(r.take(8))) }
-func (r *decoder) bytes() []byte {
-	n := r.i32()
-	if n == -1 || r.truncated { // null
+
+func (d *decoder) i32() int32 { return int32(binary.BigEndian.Uint32(d.take(4))) }
+func (d *decoder) i64() int64 { return int64(binary.BigEndian.Uint64(d.take(8))) }
+func (d *decoder) flag() bool { return d.take(1)[0] == 1 }
+func (d *decoder) skip(n int) { d.take(n) }
+
+func (d *decoder) bytes() []byte {
+	n := d.i32()
+	if n == -1 || d.truncated { // null
 		return nil
 	}
-	return r.take(int(n))
+	return d.take(int(n))
 }
-
-// The figures of ZooKeeper's client protocol that are used here.
-const (
-	opCreate                 = 1
-	opDelete                 = 2
-	opExists                 = 3
-	opGetData                = 4
-	opSetData                = 5
-	opGetChildren            = 8
-	opSync                   = 9
-	opPing                   = 11
-	opCheck                  = 13
-	opMulti                  = 14
-	opClose                  = -11
-	xidEvent                 = -1
-	xidPing                  = -2
-	codeNoNode               = -101
-	codeBadVersion           = -103
-	codeNodeExists           = -110
-	codeNotEmpty             = -111
-	codeRuntimeInconsistency = -2 // of what a transaction did not come to
-	stateExpired             = -112
-
-	maxFrameBytes = 4 << 20
-)
--- a/internal/wire/zookeeper/conn.go
+++ b/internal/wire/zookeeper/conn.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -10,31 +11,64 @@
 	"time"
 
 	"capersail/internal/relay"
+	"capersail/internal/wire/splice"
 )
 
-func (n *conn) writeFrame(b encoder, within time.Duration) error {
-	n.SetWriteDeadline(n.clock.WallDeadline(n.clock.Now() + within))
+// errExpired says that the service has forgotten the session, and with it every watch.
+var errExpired = errors.New("session expired")
+
+// conn is one connection of a session.
+type conn struct {
+	net.Conn
+	buffered *bufio.Reader
+	clock    *relay.Clock
+}
+
+// dialConn connects, and closes the connection when the context ends.
+func dialConn(
+	ctx context.Context, address string, timeout time.Duration, clock *relay.Clock, bufferBytes int,
+) (*conn, error) {
+	raw, err := splice.Dial(ctx, address, timeout)
+	if err != nil {
+		return nil, fmt.Errorf("dial: %w", err)
+	}
+	context.AfterFunc(ctx, func() { raw.Close() })
+	return &conn{Conn: raw, buffered: bufio.NewReaderSize(raw, bufferBytes), clock: clock}, nil
+}
+
+// writeFrame writes one frame. Its error is the connection's.
+func (n *conn) writeFrame(b encoder, timeout time.Duration) error {
+	n.SetWriteDeadline(n.clock.WallDeadline(n.clock.Now() + timeout))
 	_, err := n.Write(append(encoder{}.i32(int32(len(b))), b...))
 	return err
 }
 
-// readFrame reads one readFrame. A read that a deadline cuts short before its first byte loses nothing.
+// readFrame reads one frame, until an instant of the clock. A read that a deadline cuts short before its
+// first byte loses nothing. Its errors are the connection's, and that of a frame of no sensible length.
 func (n *conn) readFrame(until time.Duration) ([]byte, error) {
+	const headBytes = 4
 	n.SetReadDeadline(n.clock.WallDeadline(until))
-	if _, err := n.buffered.Peek(4); err != nil {
+	head, err := n.buffered.Peek(headBytes)
+	if err != nil {
 		return nil, err
 	}
-	head, _ := n.buffered.Peek(4)
 	size := int32(binary.BigEndian.Uint32(head))
 	if size < 0 || size > maxFrameBytes {
 		return nil, fmt.Errorf("frame of %d bytes", size)
 	}
-	n.buffered.Discard(4)
+	n.buffered.Discard(headBytes)
 	p := make([]byte, size)
-	_, err := io.ReadFull(n.buffered, p)
+	_, err = io.ReadFull(n.buffered, p)
 	return p, err
 }
 
+const (
+	// handshakeDivisor: a session's time-out divided by it is how long each part of a handshake may take.
+	handshakeDivisor = 3
+	passwordBytes    = 16
+	protocolVersion  = 0
+)
+
 // sessionState is what either side says of a session when a connection begins.
 type sessionState struct {
 	sessionID int64 // 0 for a new session
@@ -43,48 +77,37 @@
 	timeout   time.Duration // wanted, then granted; whole milliseconds on the wire
 }
 
-// handshake begins or takes up a session on a new connection. errExpired if the service knows it no more.
-func (n *conn) handshake(h sessionState) (sessionState, error) {
-	if h.password == nil {
-		h.password = make([]byte, 16)
+// handshake begins or takes up a session on a new connection, and returns it as it was granted. Its errors
+// are errExpired, if the service knows the session no more, and the connection's.
+func (n *conn) handshake(state sessionState) (sessionState, error) {
+	if state.password == nil {
+		state.password = make([]byte, passwordBytes)
 	}
-	within := h.timeout / 3
-	err := n.writeFrame(encoder{}.i32(0).i64(h.lastZxid).i32(int32(h.timeout.Milliseconds())).i64(h.sessionID).bytes(h.password).flag(false), within)
-	if err != nil {
-		return h, fmt.Errorf("connect request: %w", err)
+	timeout := state.timeout / handshakeDivisor
+	request := encoder{}.
+		i32(protocolVersion).
+		i64(state.lastZxid).
+		i32(int32(state.timeout.Milliseconds())).
+		i64(state.sessionID).
+		bytes(state.password).
+		flag(false)
+	if err := n.writeFrame(request, timeout); err != nil {
+		return state, fmt.Errorf("connect request: %w", err)
 	}
-	p, err := n.readFrame(n.clock.Now() + within)
+	p, err := n.readFrame(n.clock.Now() + timeout)
 	if err != nil {
-		return h, fmt.Errorf("connect response: %w", err)
+		return state, fmt.Errorf("connect response: %w", err)
 	}
-	r := &decoder{rest: p}
-	r.i32()
-	granted, id, pass := r.i32(), r.i64(), r.bytes()
-	if r.truncated || granted <= 0 || id == 0 {
-		return h, errExpired
+	d := &decoder{rest: p}
+	d.i32() // the version
+	granted := d.i32()
+	id := d.i64()
+	password := d.bytes()
+	if d.truncated || granted <= 0 || id == 0 {
+		return state, errExpired
 	}
-	h.timeout = time.Duration(granted) * time.Millisecond
-	h.sessionID, h.password = id, append([]byte(nil), pass...)
-	return h, nil
-}
-
-// errExpired says that the service has forgotten the session, and with it every watch.
-var errExpired = errors.New("session expired")
-
-// conn is one connection of the session, and what the list has asked for on it.
-type conn struct {
-	net.Conn
-	buffered        *bufio.Reader
-	clock           *relay.Clock
-	lastXid         int32
-	nodeByXid       map[int32]string // data asked for and not answered, by xid
-	childrenXid     int32            // xid of the children asked for, 0 if none
-	childrenChanged bool             // they have changed meanwhile
-	snapshotDue     bool             // the whole list has not been told yet
-}
-
-// sendWatch sends a request for a path with its watch and returns the xid.
-func (n *conn) sendWatch(op int32, path string, within time.Duration) (int32, error) {
-	n.lastXid++
-	return n.lastXid, n.writeFrame(encoder{}.i32(n.lastXid).i32(op).bytes([]byte(path)).flag(true), within)
+	state.timeout = time.Duration(granted) * time.Millisecond
+	state.sessionID = id
+	state.password = append([]byte(nil), password...)
+	return state, nil
 }
--- a/internal/wire/zookeeper/nodes.go
+++ b/internal/wire/zookeeper/nodes.go
@@ -1,7 +1,6 @@
 package zookeeper
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -12,161 +11,135 @@
 	"capersail/internal/relay"
 )
 
-// handleFrame takes one frame: an event, or the answer to a request.
-func (c *Client) handleFrame(n *conn, r *decoder) error {
-	xid, zxid, code := r.i32(), r.i64(), r.i32()
-	if zxid > 0 {
-		c.lastZxid = zxid
-	}
-	switch {
-	case xid == xidPing:
-	case xid == xidEvent:
-		kind, state, path := r.i32(), r.i32(), string(r.bytes())
-		if state == stateExpired {
-			return errExpired
-		}
-		return c.handleEvent(n, kind, path)
-	case xid == n.childrenXid:
-		if code != 0 && code != codeNoNode {
-			return fmt.Errorf("children of %s: error %d", c.Path, code)
-		}
-		n.childrenXid = 0
-		return c.handleChildren(n, r, code)
-	default:
-		name, ok := n.nodeByXid[xid]
-		if !ok {
-			return fmt.Errorf("answer to unknown request %d", xid)
-		}
-		delete(n.nodeByXid, xid)
-		c.handleNodeData(n, name, r, code)
-	}
-	if r.truncated {
-		return errors.New("frame cut off")
-	}
-	return nil
-}
-
 // handleEvent asks again for what a watch says has changed; a watch fires once, and asking sets it again.
-func (c *Client) handleEvent(n *conn, kind int32, path string) (err error) {
-	const deleted, dataChanged = 2, 3
+func (c *Client) handleEvent(n *watchConn, kind int32, path string) (err error) {
+	name := strings.TrimPrefix(path, c.Path+"/")
 	switch {
 	case path == c.Path && n.childrenXid != 0:
 		n.childrenChanged = true
 	case path == c.Path:
-		n.childrenXid, err = n.sendWatch(opGetChildren, c.Path, c.sessionTimeout/3)
-	case kind == dataChanged:
-		err = c.fetchNode(n, strings.TrimPrefix(path, c.Path+"/"))
-	case kind == deleted:
-		c.removeNode(strings.TrimPrefix(path, c.Path+"/"))
+		n.childrenXid, err = n.sendWatch(opGetChildren, c.Path)
+	case kind == eventDataChanged:
+		err = c.fetchNode(n, name)
+	case kind == eventNodeDeleted:
+		c.removeNode(name)
 	}
 	return err
 }
 
-func (c *Client) fetchNode(n *conn, name string) error {
-	xid, err := n.sendWatch(opGetData, c.Path+"/"+name, c.sessionTimeout/3)
+func (c *Client) fetchNode(n *watchConn, name string) error {
+	xid, err := n.sendWatch(opGetData, c.Path+"/"+name)
 	n.nodeByXid[xid] = name
 	return err
 }
 
-// handleChildren compares the handleChildren with those known. On a new connection all data is read again.
-func (c *Client) handleChildren(n *conn, r *decoder, code int32) error {
-	here := map[string]bool{}
-	if code == 0 {
-		count := r.i32()
-		for i := int32(0); i < count && !r.truncated; i++ {
-			here[string(r.bytes())] = true
-		}
-		if r.truncated {
-			return errors.New("list of children cut off")
-		}
+// handleChildren compares the children with those known. On a new connection all data is read again.
+func (c *Client) handleChildren(n *watchConn, d *decoder, code int32) error {
+	present, err := readChildren(d, code)
+	if err != nil {
+		return err
 	}
-	if n.snapshotDue { // who is not there any more is missing from the whole list told below
+	if n.snapshotDue { // who is not there any more is missing from the snapshot published below
 		c.nodes = map[string]relay.Endpoint{}
 	}
 	for name := range c.nodes {
-		if !here[name] {
+		if !present[name] {
 			c.removeNode(name)
 		}
 	}
-	for name := range here {
-		if _, known := c.nodes[name]; !known {
-			if err := c.fetchNode(n, name); err != nil {
-				return err
-			}
+	for name := range present {
+		if _, known := c.nodes[name]; known {
+			continue
+		}
+		if err := c.fetchNode(n, name); err != nil {
+			return err
 		}
 	}
 	c.publishSnapshot(n)
 	if n.childrenChanged {
 		n.childrenChanged = false
-		var err error
-		n.childrenXid, err = n.sendWatch(opGetChildren, c.Path, c.sessionTimeout/3)
-		return err
+		n.childrenXid, err = n.sendWatch(opGetChildren, c.Path)
 	}
-	return nil
+	return err
 }
 
-// publishSnapshot tells the publishSnapshot list once all data of a new connection is there.
-func (c *Client) publishSnapshot(n *conn) {
+// publishSnapshot publishes the complete endpoint list once all data of a new connection is there.
+func (c *Client) publishSnapshot(n *watchConn) {
 	if !n.snapshotDue || len(n.nodeByXid) > 0 {
 		return
 	}
 	n.snapshotDue = false
 	list := make([]relay.Endpoint, 0, len(c.nodes))
-	for _, l := range c.nodes {
-		list = append(list, l)
+	for _, endpoint := range c.nodes {
+		list = append(list, endpoint)
 	}
 	c.Requests.UpdateEndpoints(decide.Snapshot, list)
 }
 
-// removeNode drops a node. An ephemeral node vanishes with its server's session.
+// removeNode publishes that a node is gone. An ephemeral node vanishes with its server's session.
 func (c *Client) removeNode(name string) {
-	if l, known := c.nodes[name]; known {
-		delete(c.nodes, name)
-		l.Mode = decide.Removed
-		c.Requests.UpdateEndpoints(decide.Delta, []relay.Endpoint{l})
+	endpoint, known := c.nodes[name]
+	if !known {
+		return
 	}
+	delete(c.nodes, name)
+	endpoint.Mode = decide.Removed
+	c.Requests.UpdateEndpoints(decide.Delta, []relay.Endpoint{endpoint})
 }
 
-// handleNodeData takes one node's handleNodeData. Data that makes no sense is logged, and its server is not used.
-func (c *Client) handleNodeData(n *conn, name string, r *decoder, code int32) {
+// handleNodeData takes one node's data. A server whose data makes no sense is not used.
+func (c *Client) handleNodeData(n *watchConn, name string, d *decoder, code int32) {
 	defer c.publishSnapshot(n)
 	if code == codeNoNode {
 		c.removeNode(name)
 		return
 	}
-	l, err := parseNode(name, r.bytes())
-	if code != 0 || err != nil {
-		c.Log.Warn().Err(err).Int32("code", code).Str("node", name).Msg("bad node; skipped")
+	endpoint, err := parseNode(name, d.bytes())
+	if code != int32(OK) || err != nil {
+		c.Log.Warn().
+			Err(err).
+			Int32("code", code).
+			Str("node", name).
+			Msg("malformed endpoint node; server not used until its node is rewritten")
 		c.removeNode(name)
 		return
 	}
-	c.nodes[name] = l
+	c.nodes[name] = endpoint
 	if !n.snapshotDue {
-		c.Requests.UpdateEndpoints(decide.Delta, []relay.Endpoint{l})
+		c.Requests.UpdateEndpoints(decide.Delta, []relay.Endpoint{endpoint})
 	}
 }
 
-// parseNode reads a parseNode's JSON.
+// unknownLoad stands for a load that a node does not state.
+const unknownLoad = -1
+
+// parseNode reads a node's JSON.
 func parseNode(name string, data []byte) (relay.Endpoint, error) {
 	v, err := fastjson.ParseBytes(data)
 	if err != nil {
 		return relay.Endpoint{}, fmt.Errorf("data: %w", err)
 	}
-	l := relay.Endpoint{ID: name, Address: string(v.GetStringBytes("address")), Zone: string(v.GetStringBytes("zone")),
-		Cell: int32(v.GetInt("cell")), StartedAt: relay.FromUnixMillis(v.GetFloat64("startedAtMs")), Load: -1}
+	endpoint := relay.Endpoint{
+		ID:        name,
+		Address:   string(v.GetStringBytes("address")),
+		Zone:      string(v.GetStringBytes("zone")),
+		Cell:      int32(v.GetInt("cell")),
+		StartedAt: relay.FromUnixMillis(v.GetFloat64("startedAtMs")),
+		Load:      unknownLoad,
+	}
 	if load := v.Get("load"); load != nil {
-		l.Load = max(load.GetFloat64(), 0)
+		endpoint.Load = max(load.GetFloat64(), 0)
 	}
 	switch mode := string(v.GetStringBytes("lifecycle")); mode {
 	case "Ready", "":
-		l.Mode = decide.Ready
+		endpoint.Mode = decide.Ready
 	case "Terminating":
-		l.Mode = decide.Draining
+		endpoint.Mode = decide.Draining
 	default:
-		return l, fmt.Errorf("lifecycle %q", mode)
+		return endpoint, fmt.Errorf("lifecycle %q", mode)
 	}
-	if _, _, err := net.SplitHostPort(l.Address); err != nil {
-		return l, fmt.Errorf("address: %w", err)
+	if _, _, err := net.SplitHostPort(endpoint.Address); err != nil {
+		return endpoint, fmt.Errorf("address: %w", err)
 	}
-	return l, nil
+	return endpoint, nil
 }
--- a/internal/wire/zookeeper/requests.go
+++ b/internal/wire/zookeeper/requests.go
@@ -1,5 +1,7 @@
 package zookeeper
 
+// Each request is answered by a call of done, once: with the service's code, or ConnectionLoss.
+
 // Get reads a node's data.
 func (s *Session) Get(path string, done func(Answer)) {
 	s.enqueue(opGetData, encoder{}.bytes([]byte(path)).flag(false), done)
@@ -63,15 +65,22 @@
 	for _, step := range steps {
 		body = append(body.i32(step.op).flag(false).i32(-1), step.body...)
 	}
-	s.enqueue(opMulti, body.i32(-1).flag(true).i32(-1), done)
+	s.enqueue(opMulti, body.i32(opMultiError).flag(true).i32(-1), done)
 }
 
 func encodeCreate(path string, data []byte, ephemeral bool) encoder {
-	b := encoder{}.bytes([]byte(path)).bytes(data).i32(1).i32(31).bytes([]byte("world")).bytes([]byte("anyone"))
+	const (
+		accessRules    = 1
+		allPermissions = 31
+		persistentFlag = 0
+		ephemeralFlag  = 1
+	)
+	b := encoder{}.bytes([]byte(path)).bytes(data)
+	b = b.i32(accessRules).i32(allPermissions).bytes([]byte("world")).bytes([]byte("anyone"))
 	if ephemeral {
-		return b.i32(1)
+		return b.i32(ephemeralFlag)
 	}
-	return b.i32(0)
+	return b.i32(persistentFlag)
 }
 
 func encodeSet(path string, data []byte, version int32) encoder {
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -13,23 +13,27 @@
 )
 
 const (
-	// pingDivisor: a session's time-out divided by it is how long it may go without a request. Ownership is
-	// trusted by what was answered last, so pings come more often than a session needs to live.
+	// A session's time-out divided by pingDivisor is how long it may go without a request. Ownership is trusted
+	// by what was answered last, so pings come more often than a session needs to live.
 	pingDivisor = 6
-	// silenceDivisor: and by this, how long a service may be silent before another address is tried.
+	// Divided by silenceDivisor, how long a service may be silent before another address is tried.
 	silenceDivisor = 2
+	// Divided by dialDivisor and writeDivisor, how long a dial and a write may take.
+	dialDivisor  = 6
+	writeDivisor = 3
 	// batchBytes of requests are written at once at most.
 	batchBytes = 64 << 10
 	// minReconnectBackoff is the pause before the next address is tried. It doubles, each with jitter.
 	minReconnectBackoff = 50 * time.Millisecond
 	maxReconnectBackoff = time.Second
+	minReconnectJitter  = 0.5 // of a pause; the most is one more
 )
 
-// Events is told what happens to a session, in order and from one goroutine, as answers are.
+// Events is notified of what happens to a session, in order and from one goroutine, as answers are.
 type Events interface {
 	// Connected: a session stands, a new one or one taken up again, by a request sent at sentAt.
 	Connected(session int64, granted, sentAt time.Duration)
-	// Disconnected: every request without an answer has been answered Lost.
+	// Disconnected: every request without an answer has been answered ConnectionLoss.
 	Disconnected()
 	// Expired: the service has forgotten the session.
 	Expired()
@@ -45,19 +49,19 @@
 	Log     zerolog.Logger
 	Events  Events
 
-	mu          sync.Mutex
+	writerWake chan struct{} // holds a token while there may be something to write
+	state      sessionState  // of Run alone
+
+	mu          sync.Mutex // guards what follows
 	addresses   []string
 	nextAddress int
-	closeConn   context.CancelFunc
-	connected   bool // requests are taken
+	closeConn   context.CancelFunc // ends the connection that is open
+	connected   bool               // requests are taken
+	closing     bool
 	unsent      []request
-	pending     []request
-	pingsSentAt []time.Duration // when those without an answer were sent
-	writerWake  chan struct{}
+	pending     []request       // written, without an answer, the oldest first
+	pingsSentAt []time.Duration // of those without an answer, the oldest first
 	lastXid     int32
-	closing     bool
-
-	state sessionState // of Run alone
 }
 
 // request is one request, encoded but for its xid.
@@ -70,13 +74,22 @@
 }
 
 // NewSession returns a session that Run begins.
-func NewSession(addresses []string, timeout time.Duration, clock *relay.Clock, events Events, log zerolog.Logger) *Session {
-	return &Session{Timeout: timeout, Clock: clock, Log: log, Events: events, addresses: addresses,
-		nextAddress: rand.IntN(max(1, len(addresses))), writerWake: make(chan struct{}, 1)}
+func NewSession(
+	addresses []string, timeout time.Duration, clock *relay.Clock, events Events, log zerolog.Logger,
+) *Session {
+	return &Session{
+		Timeout:     timeout,
+		Clock:       clock,
+		Log:         log,
+		Events:      events,
+		addresses:   addresses,
+		nextAddress: rand.IntN(max(1, len(addresses))),
+		writerWake:  make(chan struct{}, 1),
+	}
 }
 
-// SetAddresses follows another list of addresses. The connection that is open is ended; the session goes on if the
-// addresses are the same service's.
+// SetAddresses follows another list of addresses. The connection that is open is closed; the session goes on
+// if the addresses are the same service's.
 func (s *Session) SetAddresses(addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +99,8 @@
 	}
 }
 
-// enqueue queues a request; done is called once. It never blocks.
+// enqueue queues a request; done is called once, with ConnectionLoss where there is no answer. It never
+// blocks.
 func (s *Session) enqueue(op int32, body encoder, done func(Answer)) {
 	s.mu.Lock()
 	if !s.connected || s.closing && op != opClose {
@@ -106,9 +120,9 @@
 	}
 }
 
-// Close ends the session at the service, and with it its ephemeral nodes, and waits for that no longer than
-// within. Without it they stay until the session's time-out.
-func (s *Session) Close(within time.Duration) {
+// Close ends the session at the service, and with it its ephemeral nodes, and waits for that no longer than a
+// timeout. Without it they stay until the session's time-out. It is called once.
+func (s *Session) Close(timeout time.Duration) {
 	done := make(chan struct{})
 	s.enqueue(opClose, nil, func(Answer) { close(done) })
 	s.mu.Lock()
@@ -116,14 +130,14 @@
 	s.mu.Unlock()
 	select {
 	case <-done:
-	case <-s.Clock.After(within):
+	case <-s.Clock.After(timeout):
 	}
 }
 
-// Run keeps the session until the context ends.
+// Run keeps the session until the context ends, or Close has ended it.
 func (s *Session) Run(ctx context.Context) {
 	for pause := minReconnectBackoff; ctx.Err() == nil; {
-		began := s.Clock.Now()
+		startedAt := s.Clock.Now()
 		err := s.runConnection(ctx)
 		s.failOutstanding()
 		if errors.Is(err, errExpired) {
@@ -137,28 +151,29 @@
 			return
 		}
 		s.Log.Warn().Err(err).Msg("ownership service connection ended")
-		if s.Clock.Now()-began > maxReconnectBackoff || errors.Is(err, errExpired) {
+		if s.Clock.Now()-startedAt > maxReconnectBackoff || errors.Is(err, errExpired) {
 			pause = minReconnectBackoff
 		}
+		jitter := minReconnectJitter + rand.Float64()
 		select {
 		case <-ctx.Done():
-		case <-s.Clock.After(time.Duration(float64(pause) * (0.5 + rand.Float64()))):
+		case <-s.Clock.After(time.Duration(float64(pause) * jitter)):
 		}
 		pause = min(2*pause, maxReconnectBackoff)
 	}
 }
 
-// failOutstanding answers everything that has none.
+// failOutstanding answers everything that has no answer with ConnectionLoss.
 func (s *Session) failOutstanding() {
 	s.mu.Lock()
-	was := s.connected
-	lost := append(s.pending, s.unsent...)
+	wasConnected := s.connected
+	outstanding := append(s.pending, s.unsent...)
 	s.connected, s.pending, s.unsent, s.pingsSentAt = false, nil, nil, nil
 	s.mu.Unlock()
-	for _, r := range lost {
+	for _, r := range outstanding {
 		r.done(Answer{Code: ConnectionLoss})
 	}
-	if was {
+	if wasConnected {
 		s.Events.Disconnected()
 	}
 }
--- a/internal/wire/zookeeper/session_conn.go
+++ b/internal/wire/zookeeper/session_conn.go
@@ -1,83 +1,75 @@
 package zookeeper
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
 	"time"
+)
 
-	"capersail/internal/wire/splice"
+var (
+	errNoAddress      = errors.New("no address of the service")
+	errSessionClosed  = errors.New("session closed")
+	errUnexpectedPing = errors.New("answer to a ping that was not sent")
 )
 
-// runConnection holds one runConnection to its end.
+// orderError says that an answer came that no request is due for.
+type orderError struct{ xid int32 }
+
+func (e *orderError) Error() string { return fmt.Sprintf("answer to request %d out of turn", e.xid) }
+
+// runConnection holds one connection to its end, and returns why it ended.
 func (s *Session) runConnection(ctx context.Context) error {
 	s.mu.Lock()
 	ctx, s.closeConn = context.WithCancel(ctx)
 	defer s.closeConn()
 	if len(s.addresses) == 0 {
 		s.mu.Unlock()
-		return errors.New("no address")
+		return errNoAddress
 	}
 	address := s.addresses[s.nextAddress%len(s.addresses)]
 	s.nextAddress++
 	s.mu.Unlock()
-	raw, err := splice.Dial(ctx, address, s.Timeout/6)
+	n, err := dialConn(ctx, address, s.Timeout/dialDivisor, s.Clock, batchBytes)
 	if err != nil {
-		return fmt.Errorf("dial: %w", err)
+		return err
 	}
-	defer raw.Close()
-	context.AfterFunc(ctx, func() { raw.Close() })
-	n := &conn{Conn: raw, buffered: bufio.NewReaderSize(raw, batchBytes), clock: s.Clock}
+	defer n.Close()
 	wanted := s.state
 	wanted.timeout = s.Timeout
 	sentAt := s.Clock.Now()
-	h, err := n.handshake(wanted)
+	granted, err := n.handshake(wanted)
 	if err != nil {
 		return err
 	}
-	s.state = h
+	s.state = granted
 	s.mu.Lock()
 	s.connected, s.lastXid = true, 0
 	s.mu.Unlock()
-	s.Events.Connected(h.sessionID, h.timeout, sentAt)
+	s.Events.Connected(granted.sessionID, granted.timeout, sentAt)
 	written := make(chan error, 1)
-	go func() { written <- s.writeLoop(ctx, n, h.timeout/pingDivisor) }()
+	go func() { written <- s.writeLoop(ctx, n, granted.timeout/pingDivisor) }()
 	err = s.readLoop(n)
 	s.mu.Lock()
 	s.closeConn()
 	s.mu.Unlock()
-	raw.Close()
-	if werr := <-written; werr != nil && ctx.Err() == nil {
-		err = werr
+	n.Close()
+	if writeErr := <-written; writeErr != nil && ctx.Err() == nil {
+		err = writeErr
 	}
 	return err
 }
 
-// writeLoop sends what is queued, all of it together, and a ping when nothing was sent for a while.
-func (s *Session) writeLoop(ctx context.Context, n *conn, pingEvery time.Duration) error {
-	last := s.Clock.Now()
+// writeLoop writes what is queued, all of it together, and a ping when nothing was written for an interval.
+// It ends with the context, or with the connection's error.
+func (s *Session) writeLoop(ctx context.Context, n *conn, pingInterval time.Duration) error {
+	lastWriteAt := s.Clock.Now()
 	for {
-		s.mu.Lock()
-		now, out, sent := s.Clock.Now(), encoder{}, 0
-		for ; sent < len(s.unsent) && len(out) < batchBytes; sent++ {
-			r := s.unsent[sent]
-			s.lastXid++
-			r.xid, r.sentAt = s.lastXid, now
-			out = append(out.i32(int32(len(r.body)+8)).i32(r.xid).i32(r.op), r.body...)
-			s.pending = append(s.pending, r)
-		}
-		s.unsent = s.unsent[sent:]
-		more := len(s.unsent) > 0
-		if len(out) == 0 && now-last >= pingEvery {
-			out = out.i32(8).i32(xidPing).i32(opPing)
-			s.pingsSentAt = append(s.pingsSentAt, now)
-		}
-		s.mu.Unlock()
-		if len(out) > 0 {
-			last = now
-			n.SetWriteDeadline(s.Clock.WallDeadline(now + s.Timeout/3))
-			if _, err := n.Write(out); err != nil {
+		batch, now, more := s.takeBatch(lastWriteAt + pingInterval)
+		if len(batch) > 0 {
+			lastWriteAt = now
+			n.SetWriteDeadline(s.Clock.WallDeadline(now + s.Timeout/writeDivisor))
+			if _, err := n.Write(batch); err != nil {
 				n.Close()
 				return fmt.Errorf("write: %w", err)
 			}
@@ -89,61 +81,100 @@
 		case <-ctx.Done():
 			return nil
 		case <-s.writerWake:
-		case <-s.Clock.After(max(time.Millisecond, last+pingEvery-s.Clock.Now())):
+		case <-s.Clock.After(max(time.Millisecond, lastWriteAt+pingInterval-s.Clock.Now())):
 		}
 	}
 }
 
-// readLoop takes answers and events until the connection ends.
+// takeBatch moves queued requests to those that wait for their answers. It returns them encoded, or a ping if
+// there are none and it is due, and whether more are queued.
+func (s *Session) takeBatch(pingDueAt time.Duration) (batch encoder, now time.Duration, more bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now = s.Clock.Now()
+	taken := 0
+	for ; taken < len(s.unsent) && len(batch) < batchBytes; taken++ {
+		r := s.unsent[taken]
+		s.lastXid++
+		r.xid, r.sentAt = s.lastXid, now
+		batch = batch.i32(int32(len(r.body) + requestHeaderBytes)).i32(r.xid).i32(r.op)
+		batch = append(batch, r.body...)
+		s.pending = append(s.pending, r)
+	}
+	s.unsent = s.unsent[taken:]
+	if len(batch) == 0 && now >= pingDueAt {
+		batch = batch.i32(requestHeaderBytes).i32(xidPing).i32(opPing)
+		s.pingsSentAt = append(s.pingsSentAt, now)
+	}
+	return batch, now, len(s.unsent) > 0
+}
+
+// readLoop takes answers and events until the connection ends, and returns why.
 func (s *Session) readLoop(n *conn) error {
 	for {
 		p, err := n.readFrame(s.Clock.Now() + s.state.timeout/silenceDivisor)
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		r := &decoder{rest: p}
-		xid, zxid, code := r.i32(), r.i64(), Code(r.i32())
-		if zxid > 0 {
-			s.state.lastZxid = zxid
+		if err := s.handleFrame(&decoder{rest: p}); err != nil {
+			return err
 		}
-		switch {
-		case r.truncated:
-			return errors.New("answer cut off")
-		case xid == xidEvent:
-			if r.i32(); r.i32() == stateExpired {
-				return errExpired
-			}
-			continue
-		case xid == xidPing:
-			s.mu.Lock()
-			if len(s.pingsSentAt) == 0 {
-				s.mu.Unlock()
-				return errors.New("answer to a ping that was not sent")
-			}
-			at := s.pingsSentAt[0]
-			s.pingsSentAt = s.pingsSentAt[1:]
-			s.mu.Unlock()
-			s.Events.Answered(at)
-			continue
-		}
-		s.mu.Lock()
-		if len(s.pending) == 0 || s.pending[0].xid != xid {
-			s.mu.Unlock()
-			return fmt.Errorf("answer to request %d out of turn", xid)
+	}
+}
+
+// handleFrame takes one frame: an event, or the answer to a ping or a request.
+func (s *Session) handleFrame(d *decoder) error {
+	xid, zxid, code := d.i32(), d.i64(), Code(d.i32())
+	if zxid > 0 {
+		s.state.lastZxid = zxid
+	}
+	switch {
+	case d.truncated:
+		return errTruncated
+	case xid == xidEvent:
+		d.i32() // the kind
+		if d.i32() == stateExpired {
+			return errExpired
 		}
-		q := s.pending[0]
-		s.pending[0] = request{}
-		s.pending = s.pending[1:]
+		return nil
+	case xid == xidPing:
+		return s.handlePingAnswer()
+	}
+	return s.handleAnswer(xid, code, d)
+}
+
+func (s *Session) handlePingAnswer() error {
+	s.mu.Lock()
+	if len(s.pingsSentAt) == 0 {
 		s.mu.Unlock()
-		s.Events.Answered(q.sentAt)
-		a := decodeAnswer(q.op, code, r)
-		if r.truncated {
-			q.done(Answer{Code: ConnectionLoss})
-			return fmt.Errorf("answer to request %d cut off", xid)
-		}
-		q.done(a)
-		if q.op == opClose {
-			return errors.New("session closed")
-		}
+		return errUnexpectedPing
+	}
+	sentAt := s.pingsSentAt[0]
+	s.pingsSentAt = s.pingsSentAt[1:]
+	s.mu.Unlock()
+	s.Events.Answered(sentAt)
+	return nil
+}
+
+func (s *Session) handleAnswer(xid int32, code Code, d *decoder) error {
+	s.mu.Lock()
+	if len(s.pending) == 0 || s.pending[0].xid != xid {
+		s.mu.Unlock()
+		return &orderError{xid}
+	}
+	r := s.pending[0]
+	s.pending[0] = request{} // so that its body can be freed
+	s.pending = s.pending[1:]
+	s.mu.Unlock()
+	s.Events.Answered(r.sentAt)
+	answer := decodeAnswer(r.op, code, d)
+	if d.truncated {
+		r.done(Answer{Code: ConnectionLoss})
+		return fmt.Errorf("answer to request %d: %w", xid, errTruncated)
+	}
+	r.done(answer)
+	if r.op == opClose {
+		return errSessionClosed
 	}
+	return nil
 }
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -13,7 +13,7 @@
 	"capersail/internal/testing/fake"
 )
 
-// eventLog notes what happens to a session.
+// eventLog records what happens to a session.
 type eventLog struct {
 	mu       sync.Mutex
 	what     []string
@@ -70,7 +70,7 @@
 	return zk, s, w
 }
 
-// await waits for an answer.
+// await makes a request and waits for its answer.
 func await(f func(done func(Answer))) Answer {
 	c := make(chan Answer, 1)
 	f(func(a Answer) { c <- a })
@@ -79,29 +79,38 @@
 
 func TestRequests(t *testing.T) {
 	zk, s, _ := startSession(t)
-	var id int64
 	for i, k := range []struct {
 		name string
 		do   func(func(Answer))
 		want Code
-		more func(Answer) bool
+		also func(Answer) bool // what else is to hold, if anything
 	}{
 		{"create", func(f func(Answer)) { s.Create("/a/x", []byte("1"), false, f) }, OK, nil},
 		{"again", func(f func(Answer)) { s.Create("/a/x", []byte("2"), false, f) }, NodeExists, nil},
 		{"without a parent", func(f func(Answer)) { s.Create("/b/x", nil, false, f) }, NoNode, nil},
-		{"get", func(f func(Answer)) { s.Get("/a/x", f) }, OK, func(a Answer) bool { return string(a.Data) == "1" && a.Stat.Version == 0 }},
+		{"get", func(f func(Answer)) { s.Get("/a/x", f) }, OK, func(a Answer) bool {
+			return string(a.Data) == "1" && a.Stat.Version == 0
+		}},
 		{"get what is not there", func(f func(Answer)) { s.Get("/a/y", f) }, NoNode, nil},
-		{"set", func(f func(Answer)) { s.Set("/a/x", []byte("3"), 0, f) }, OK, func(a Answer) bool { return a.Stat.Version == 1 }},
+		{"set", func(f func(Answer)) { s.Set("/a/x", []byte("3"), 0, f) }, OK, func(a Answer) bool {
+			return a.Stat.Version == 1
+		}},
 		{"set an old version", func(f func(Answer)) { s.Set("/a/x", []byte("4"), 0, f) }, BadVersion, nil},
 		{"a child of its own", func(f func(Answer)) { s.Create("/a/x/holder", nil, true, f) }, OK, nil},
-		{"exists", func(f func(Answer)) { s.Exists("/a/x/holder", f) }, OK, func(a Answer) bool { id = a.Stat.Owner; return id != 0 }},
+		{"exists", func(f func(Answer)) { s.Exists("/a/x/holder", f) }, OK, func(a Answer) bool {
+			return a.Stat.Owner != 0
+		}},
 		{"delete with a child", func(f func(Answer)) { s.Delete("/a/x", -1, f) }, NotEmpty, nil},
-		{"children", func(f func(Answer)) { s.Children("/a/x", f) }, OK, func(a Answer) bool { return slices.Equal(a.Children, []string{"holder"}) }},
+		{"children", func(f func(Answer)) { s.Children("/a/x", f) }, OK, func(a Answer) bool {
+			return slices.Equal(a.Children, []string{"holder"})
+		}},
 		{"sync", func(f func(Answer)) { s.Sync("/a/x", f) }, OK, nil},
 		{"all or nothing: nothing", func(f func(Answer)) {
 			s.Multi([]Step{SetStep("/a/x", []byte("5"), 1), CreateStep("/a/x/holder", nil, true)}, f)
 		}, NodeExists, nil},
-		{"and nothing was done", func(f func(Answer)) { s.Get("/a/x", f) }, OK, func(a Answer) bool { return string(a.Data) == "3" && a.Stat.Version == 1 }},
+		{"and nothing was done", func(f func(Answer)) { s.Get("/a/x", f) }, OK, func(a Answer) bool {
+			return string(a.Data) == "3" && a.Stat.Version == 1
+		}},
 		{"the first fails", func(f func(Answer)) {
 			s.Multi([]Step{CheckStep("/a/x", 7), CreateStep("/a/z", nil, false)}, f)
 		}, BadVersion, nil},
@@ -110,7 +119,7 @@
 		}, OK, func(a Answer) bool { return a.Stat.Version == 2 }},
 		{"delete", func(f func(Answer)) { s.Delete("/a/z", -1, f) }, OK, nil},
 	} {
-		if a := await(k.do); a.Code != k.want || k.more != nil && !k.more(a) {
+		if a := await(k.do); a.Code != k.want || k.also != nil && !k.also(a) {
 			t.Errorf("%d, %s: %+v, want code %d", i, k.name, a, k.want)
 		}
 	}
@@ -120,8 +129,8 @@
 	}
 }
 
-// A session outlives its connection and its address; what was out when it broke is answered Lost; a forgotten
-// one is told.
+// A session outlives its connection and its address; what was outstanding when it broke is answered
+// ConnectionLoss; the expiry of a session is notified.
 func TestSessionSurvivesItsConnection(t *testing.T) {
 	zk, s, w := startSession(t)
 	second, err := zk.Also()
@@ -138,8 +147,9 @@
 		t.Errorf("sessions %v, %q", w.sessions, zk.Nodes("/a"))
 	}
 	zk.Swallow(1)
-	if a := await(func(f func(Answer)) { s.Multi([]Step{CreateStep("/a/lost", nil, true)}, f) }); a.Code != ConnectionLoss {
-		t.Errorf("an answer that never came: %+v", a)
+	swallowed := await(func(f func(Answer)) { s.Multi([]Step{CreateStep("/a/lost", nil, true)}, f) })
+	if swallowed.Code != ConnectionLoss {
+		t.Errorf("an answer that never came: %+v", swallowed)
 	}
 	if len(zk.Nodes("/a/lost")) != 1 {
 		t.Error("and yet it was done")
