--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -43,10 +43,10 @@
 
 // Dialer places connections. It is safe for use by many goroutines.
 type Dialer struct {
-	x     *relay.RequestTable
-	clock *relay.Clock
-	cfg   Config
-	stop  context.CancelFunc
+	requests *relay.RequestTable
+	clock    *relay.Clock
+	config   Config
+	stop     context.CancelFunc
 }
 
 // RefusedError says that no server takes the connection now.
@@ -82,45 +82,45 @@
 	}
 	site.Settings.Zone = site.Zones[cfg.Zone]
 	ctx, stop := context.WithCancel(context.Background())
-	d := &Dialer{clock: relay.NewClock(), cfg: cfg, stop: stop}
-	d.x = relay.NewRequestTable(site, d.clock, d)
-	lister := zookeeper.NewClient(zookeeper.Ensemble{Addresses: cfg.ZooKeeper, Path: cfg.Path, SessionTimeout: relay.Duration(cfg.SessionMs)}, d.x, log)
-	d.x.UpdateEndpoints(decide.Cached, nil)
+	d := &Dialer{clock: relay.NewClock(), config: cfg, stop: stop}
+	d.requests = relay.NewRequestTable(site, d.clock, d)
+	lister := zookeeper.NewClient(zookeeper.Ensemble{Addresses: cfg.ZooKeeper, Path: cfg.Path, SessionTimeout: relay.Duration(cfg.SessionMs)}, d.requests, log)
+	d.requests.UpdateEndpoints(decide.Cached, nil)
 	lister.Watch()
 	go lister.Run(ctx)
-	go relay.NewEventLoop(d.x, rand.Uint64(), lister, log).Run(ctx)
+	go relay.NewEventLoop(d.requests, rand.Uint64(), lister, log).Run(ctx)
 	return d, nil
 }
 
 // Close ends the core. Open connections go on; dials fail.
 func (d *Dialer) Close() {
-	d.x.BeginShutdown()
+	d.requests.BeginShutdown()
 	d.stop()
 }
 
-// waiter is the client side's end of a dial. It learns the end from the call itself.
-type waiter struct{}
+// dialWaiter is the client side's end of a dial. It learns the end from the call itself.
+type dialWaiter struct{}
 
-func (waiter) Forward([]byte) error  { return nil }
-func (waiter) Close(relay.CloseKind) {}
-func (waiter) Wake()                 {}
-func (waiter) HasUnread() bool       { return false }
+func (dialWaiter) Forward([]byte) error  { return nil }
+func (dialWaiter) Close(relay.CloseKind) {}
+func (dialWaiter) Wake()                 {}
+func (dialWaiter) HasUnread() bool       { return false }
 
 // Dial is for grpc.WithContextDialer. The target is not looked at: the core knows where the servers are.
 func (d *Dialer) Dial(ctx context.Context, _ string) (net.Conn, error) {
-	left := relay.Duration(d.cfg.DialMs)
+	left := relay.Duration(d.config.DialMs)
 	if at, ok := ctx.Deadline(); ok {
 		left = min(left, time.Until(at))
 	}
-	call := d.x.Open(relay.OpenRequest{Tenant: decide.NoTenant, Timeout: max(left, time.Millisecond)}, waiter{})
+	call := d.requests.Open(relay.OpenRequest{Tenant: decide.NoTenant, Timeout: max(left, time.Millisecond)}, dialWaiter{})
 	select {
 	case <-call.Settled():
 	case <-ctx.Done():
 		call.ClientClosed(relay.AbortiveClose)
 		return nil, ctx.Err()
 	}
-	if r, ok := call.ServerConn().(remote); ok {
-		return r.conn, nil
+	if r, ok := call.ServerConn().(serverConn); ok {
+		return r.placedConn, nil
 	}
 	_, a := call.State()
 	if a.Kind == relay.Rejected {
@@ -130,17 +130,17 @@
 }
 
 // StartAttempt makes one attempt; it is part of the core's server side.
-func (d *Dialer) StartAttempt(c *relay.Request, a relay.Attempt) { go d.try(c, a) }
+func (d *Dialer) StartAttempt(c *relay.Request, a relay.Attempt) { go d.runAttempt(c, a) }
 
-func (d *Dialer) try(c *relay.Request, a relay.Attempt) {
+func (d *Dialer) runAttempt(c *relay.Request, a relay.Attempt) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	placed := &conn{d: d, call: c, no: a.Number, stop: stop, first: true}
-	if !c.Attach(a.Number, remote{placed}) {
+	placed := &placedConn{dialer: d, request: c, attempt: a.Number, stop: stop, settingsDue: true}
+	if !c.Attach(a.Number, serverConn{placed}) {
 		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
-	raw, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-d.clock.Now(), relay.Duration(d.cfg.ConnectMs)))
+	raw, err := splice.Dial(ctx, a.Server.Address, min(a.Deadline-d.clock.Now(), relay.Duration(d.config.ConnectMs)))
 	if err != nil {
 		c.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
@@ -151,7 +151,7 @@
 		c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return
 	}
-	placed.ready()
+	placed.markEstablished()
 }
 
 // Probe asks whether a server takes connections; it is part of the core's server side. Load comes from the
@@ -160,7 +160,7 @@
 	go func() {
 		report, status := decide.NoLoadReport, decide.OK
 		report.Load = to.Load
-		raw, err := splice.Dial(context.Background(), to.Address, relay.Duration(d.cfg.ConnectMs))
+		raw, err := splice.Dial(context.Background(), to.Address, relay.Duration(d.config.ConnectMs))
 		if err == nil {
 			raw.Close()
 		} else {
@@ -170,99 +170,99 @@
 	}()
 }
 
-// preface is what an HTTP/2 client writes first. Behind TLS it cannot be seen.
-var preface = []byte("PRI * HTTP/2.0\r\n")
+// clientPreface is what an HTTP/2 client writes first. Behind TLS it cannot be seen.
+var clientPreface = []byte("PRI * HTTP/2.0\r\n")
 
-// goAway is the frame with which an HTTP/2 server ends a connection in order: no new streams, those there
+// goAwayFrame is the frame with which an HTTP/2 server ends a connection in order: no new streams, those there
 // are go on.
-var goAway = []byte{0, 0, 8, 7, 0, 0, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0, 0, 0, 0}
+var goAwayFrame = []byte{0, 0, 8, 7, 0, 0, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0, 0, 0, 0}
 
-// conn is a placed connection. It follows the server's frames, so that it can put a GOAWAY between two of
+// placedConn is a placed connection. It follows the server's frames, so that it can put a GOAWAY between two of
 // them when the server begins to drain: gRPC then ends it after the calls in flight.
-type conn struct {
+type placedConn struct {
 	net.Conn
-	d    *Dialer
-	call *relay.Request
-	no   int
-	stop func()
+	dialer  *Dialer
+	request *relay.Request
+	attempt int
+	stop    func()
 
-	mu     sync.Mutex
-	up     bool // the client side has it, or may
-	ended  bool
-	woken  bool
-	leave  bool // a GOAWAY is to be put in
-	said   bool
-	plain  bool // HTTP/2 without TLS
-	wrote  bool
-	lost   bool // the server ended it
-	timer  *time.Timer
-	first  bool   // no frame has come yet: the first must be the server's own settings
-	head   []byte // of the frame that is being read
-	body   int    // bytes of it still to come
-	inject []byte
+	mu            sync.Mutex
+	established   bool // the client side has it, or may
+	ended         bool
+	woken         bool
+	draining      bool // a GOAWAY is to be put in
+	goAwaySent    bool
+	plaintext     bool // HTTP/2 without TLS
+	prefaceSeen   bool
+	serverClosed  bool // the server ended it
+	drainTimer    *time.Timer
+	settingsDue   bool   // no frame has come yet: the first must be the server's own settings
+	frameHeader   []byte // of the frame that is being read
+	frameBodyLeft int    // bytes of it still to come
+	injected      []byte
 }
 
-// remote is a placed connection as the core knows it, which calls it with its own lock held.
-type remote struct{ *conn }
+// serverConn is a placed connection as the core knows it, which calls it with its own lock held.
+type serverConn struct{ *placedConn }
 
 // Forward is never used: gRPC writes by itself.
-func (r remote) Forward(p []byte) error {
-	_, err := r.conn.Write(p)
+func (r serverConn) Forward(p []byte) error {
+	_, err := r.placedConn.Write(p)
 	return err
 }
 
 // Close ends the dial or the connection; gRPC meets the end and tells the core.
-func (r remote) Close(relay.CloseKind) {
+func (r serverConn) Close(relay.CloseKind) {
 	r.stop()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.up {
-		go r.conn.Close()
+	if r.established {
+		go r.placedConn.Close()
 	}
 }
 
 // Wake makes the connection look at its call.
-func (r remote) Wake() { r.wake() }
+func (r serverConn) Wake() { r.checkDrain() }
 
-// ready takes up a wake that came during the dial.
-func (c *conn) ready() {
+// markEstablished takes up a wake that came during the dial.
+func (c *placedConn) markEstablished() {
 	c.mu.Lock()
-	c.up = true
+	c.established = true
 	woken := c.woken
 	c.mu.Unlock()
-	if state, _ := c.call.State(); state == relay.Ended { // the dial's caller left just now
+	if state, _ := c.request.State(); state == relay.Ended { // the dial's caller left just now
 		c.Close()
 	}
 	if woken {
-		c.wake()
+		c.checkDrain()
 	}
 }
 
-// wake looks whether the connection is to end, and lets a pending read put the GOAWAY in.
-func (c *conn) wake() {
+// checkDrain looks whether the connection is to end, and lets a pending read put the GOAWAY in.
+func (c *placedConn) checkDrain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.woken = true
-	if !c.up || c.ended || c.leave {
+	if !c.established || c.ended || c.draining {
 		return
 	}
 	go func() { // the core that wakes holds its lock
-		if moving, _ := c.call.Migrating(); !moving && !c.call.ServerDraining() {
+		if moving, _ := c.request.Migrating(); !moving && !c.request.ServerDraining() {
 			return
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.ended || c.leave {
+		if c.ended || c.draining {
 			return
 		}
-		c.leave = true
-		c.timer = time.AfterFunc(relay.Duration(c.d.cfg.DrainMs), func() { c.Conn.Close() })
+		c.draining = true
+		c.drainTimer = time.AfterFunc(relay.Duration(c.dialer.config.DrainMs), func() { c.Conn.Close() })
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}()
 }
 
 // Close ends the connection for gRPC and tells the core, once.
-func (c *conn) Close() error {
+func (c *placedConn) Close() error {
 	c.mu.Lock()
 	if c.ended {
 		c.mu.Unlock()
@@ -271,56 +271,56 @@
 	c.ended = true
 	status := decide.OK
 	switch {
-	case c.leave:
+	case c.draining:
 		status = decide.Cancelled
-	case c.lost:
+	case c.serverClosed:
 		status = decide.Reset
 	}
-	if c.timer != nil {
-		c.timer.Stop()
+	if c.drainTimer != nil {
+		c.drainTimer.Stop()
 	}
 	c.mu.Unlock()
 	err := c.Conn.Close()
-	c.call.EndAttempt(c.no, status, decide.NoLoadReport)
+	c.request.EndAttempt(c.attempt, status, decide.NoLoadReport)
 	return err
 }
 
-func (c *conn) Read(p []byte) (int, error) {
+func (c *placedConn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
 	for {
 		c.mu.Lock()
-		between := c.plain && !c.first && c.body == 0 && len(c.head) == 0
-		if c.leave && !c.said && between {
-			c.said, c.inject = true, goAway
+		between := c.plaintext && !c.settingsDue && c.frameBodyLeft == 0 && len(c.frameHeader) == 0
+		if c.draining && !c.goAwaySent && between {
+			c.goAwaySent, c.injected = true, goAwayFrame
 		}
-		if c.leave && (c.said || !c.plain) {
+		if c.draining && (c.goAwaySent || !c.plaintext) {
 			c.Conn.SetReadDeadline(time.Time{})
 		}
-		if len(c.inject) > 0 {
-			n := copy(p, c.inject)
-			c.inject = c.inject[n:]
+		if len(c.injected) > 0 {
+			n := copy(p, c.injected)
+			c.injected = c.injected[n:]
 			c.mu.Unlock()
 			return n, nil
 		}
 		want := len(p)
-		if c.plain { // reads end where a frame's header or body does
-			if c.body > 0 {
-				want = min(want, c.body)
+		if c.plaintext { // reads end where a frame's header or body does
+			if c.frameBodyLeft > 0 {
+				want = min(want, c.frameBodyLeft)
 			} else {
-				want = min(want, 9-len(c.head))
+				want = min(want, 9-len(c.frameHeader))
 			}
 		}
-		if c.leave && !between { // the wake's deadline has done its work: the frame's rest is waited for
+		if c.draining && !between { // the wake's deadline has done its work: the frame's rest is waited for
 			c.Conn.SetReadDeadline(time.Time{})
 		}
 		c.mu.Unlock()
 		n, err := c.Conn.Read(p[:want])
 		c.mu.Lock()
-		c.follow(p[:n])
-		woken := errors.Is(err, os.ErrDeadlineExceeded) && c.leave && n == 0
-		c.lost = c.lost || err != nil && !woken
+		c.trackFrames(p[:n])
+		woken := errors.Is(err, os.ErrDeadlineExceeded) && c.draining && n == 0
+		c.serverClosed = c.serverClosed || err != nil && !woken
 		c.mu.Unlock()
 		if !woken {
 			return n, err
@@ -328,24 +328,24 @@
 	}
 }
 
-// follow keeps count of the server's frames.
-func (c *conn) follow(p []byte) {
-	if !c.plain || len(p) == 0 {
+// trackFrames keeps count of the server's frames.
+func (c *placedConn) trackFrames(p []byte) {
+	if !c.plaintext || len(p) == 0 {
 		return
 	}
-	if c.body > 0 {
-		c.body -= len(p)
-	} else if c.head = append(c.head, p...); len(c.head) == 9 {
-		c.body = int(binary.BigEndian.Uint32(append([]byte{0}, c.head[:3]...)))
-		c.head = c.head[:0]
+	if c.frameBodyLeft > 0 {
+		c.frameBodyLeft -= len(p)
+	} else if c.frameHeader = append(c.frameHeader, p...); len(c.frameHeader) == 9 {
+		c.frameBodyLeft = int(binary.BigEndian.Uint32(append([]byte{0}, c.frameHeader[:3]...)))
+		c.frameHeader = c.frameHeader[:0]
 	}
-	c.first = c.first && (c.body > 0 || len(c.head) > 0)
+	c.settingsDue = c.settingsDue && (c.frameBodyLeft > 0 || len(c.frameHeader) > 0)
 }
 
-func (c *conn) Write(p []byte) (int, error) {
+func (c *placedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if !c.wrote && len(p) > 0 {
-		c.wrote, c.plain = true, bytes.HasPrefix(p, preface[:min(len(p), len(preface))])
+	if !c.prefaceSeen && len(p) > 0 {
+		c.prefaceSeen, c.plaintext = true, bytes.HasPrefix(p, clientPreface[:min(len(p), len(clientPreface))])
 	}
 	c.mu.Unlock()
 	return c.Conn.Write(p)
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -43,14 +43,14 @@
 	return s
 }
 
-type bench struct {
-	t  *testing.T
-	zk *fake.ZooKeeper
-	d  *Dialer
+type harness struct {
+	t      *testing.T
+	zk     *fake.ZooKeeper
+	dialer *Dialer
 	pb.HealthClient
 }
 
-func newBench(t *testing.T, drain float64) *bench {
+func newHarness(t *testing.T, drain float64) *harness {
 	zk, err := fake.NewZooKeeper("/rpc")
 	if err != nil {
 		t.Fatal(err)
@@ -66,14 +66,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	return &bench{t, zk, d, pb.NewHealthClient(conn)}
+	return &harness{t, zk, d, pb.NewHealthClient(conn)}
 }
 
-func (b *bench) node(name string, s *server, lifecycle string) {
+func (b *harness) setNode(name string, s *server, lifecycle string) {
 	b.zk.Set(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q}`, s.address, lifecycle))
 }
 
-func (b *bench) call() {
+func (b *harness) call() {
 	b.t.Helper()
 	ctx, stop := context.WithTimeout(b.t.Context(), 30*time.Second)
 	defer stop()
@@ -82,8 +82,8 @@
 	}
 }
 
-// stream begins a call that stays in flight and returns its receiving end.
-func (b *bench) stream() (func() error, context.CancelFunc) {
+// openStream begins a call that stays in flight and returns its receiving end.
+func (b *harness) openStream() (func() error, context.CancelFunc) {
 	b.t.Helper()
 	ctx, stop := context.WithTimeout(b.t.Context(), 30*time.Second)
 	w, err := b.Watch(ctx, &pb.HealthCheckRequest{})
@@ -96,15 +96,15 @@
 	return func() error { _, err := w.Recv(); return err }, stop
 }
 
-// until repeats calls until a server is met.
-func (b *bench) until(s *server) {
+// callUntilReached repeats calls callUntilReached a server is met.
+func (b *harness) callUntilReached(s *server) {
 	b.t.Helper()
-	b.untilLosing(s, 0)
+	b.callUntilReachedLosing(s, 0)
 }
 
-// untilLosing is until, where up to lost calls may fail as Unavailable: those that were written to a server
+// callUntilReachedLosing is until, where up to lost calls may fail as Unavailable: those that were written to a server
 // as it died, which gRPC does not send again, since they may have run.
-func (b *bench) untilLosing(s *server, lost int) {
+func (b *harness) callUntilReachedLosing(s *server, lost int) {
 	b.t.Helper()
 	for i, before := 0, s.calls.Load(); s.calls.Load() == before; i++ {
 		if i > 3000 {
@@ -124,16 +124,16 @@
 }
 
 // A drain lets the call in flight go on, brings new ones elsewhere, and ends the connection after it.
-func TestDrain(t *testing.T) {
-	b := newBench(t, 20_000)
+func TestDrainLetsCallsInFlightEnd(t *testing.T) {
+	b := newHarness(t, 20_000)
 	one, two := newServer(t), newServer(t)
-	b.node("one", one, "Ready")
+	b.setNode("one", one, "Ready")
 	b.call()
-	recv, stop := b.stream()
+	recv, stop := b.openStream()
 	defer stop()
-	b.node("two", two, "Ready")
-	b.node("one", one, "Terminating")
-	b.until(two)
+	b.setNode("two", two, "Ready")
+	b.setNode("one", one, "Terminating")
+	b.callUntilReached(two)
 	before := one.calls.Load()
 	for range 20 {
 		b.call()
@@ -149,9 +149,9 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	stop()
-	for i := 0; b.d.x.MigrateSome(0) != 1; i++ {
+	for i := 0; b.dialer.requests.MigrateSome(0) != 1; i++ {
 		if i > 3000 {
-			t.Fatalf("%d connections are kept", b.d.x.MigrateSome(0))
+			t.Fatalf("%d connections are kept", b.dialer.requests.MigrateSome(0))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -159,33 +159,33 @@
 
 // The wait for calls in flight is bounded.
 func TestDrainIsBounded(t *testing.T) {
-	b := newBench(t, 100)
+	b := newHarness(t, 100)
 	one, two := newServer(t), newServer(t)
-	b.node("one", one, "Ready")
-	recv, stop := b.stream()
+	b.setNode("one", one, "Ready")
+	recv, stop := b.openStream()
 	defer stop()
-	b.node("two", two, "Ready")
-	b.node("one", one, "Terminating")
+	b.setNode("two", two, "Ready")
+	b.setNode("one", one, "Terminating")
 	if err := recv(); status.Code(err) != codes.Unavailable {
 		t.Errorf("the call in flight ended with %v", err)
 	}
-	b.until(two)
+	b.callUntilReached(two)
 }
 
 // A server that dies is left by gRPC through the core.
-func TestKilled(t *testing.T) {
-	b := newBench(t, 1000)
+func TestKilledServerIsReplaced(t *testing.T) {
+	b := newHarness(t, 1000)
 	one, two := newServer(t), newServer(t)
-	b.node("one", one, "Ready")
+	b.setNode("one", one, "Ready")
 	b.call()
-	b.node("two", two, "Ready")
+	b.setNode("two", two, "Ready")
 	one.Stop()
-	b.untilLosing(two, 1)
+	b.callUntilReachedLosing(two, 1)
 }
 
-func TestRefused(t *testing.T) {
-	b := newBench(t, 1000)
-	_, err := b.d.Dial(t.Context(), "")
+func TestDialWithoutServersIsRejected(t *testing.T) {
+	b := newHarness(t, 1000)
+	_, err := b.dialer.Dial(t.Context(), "")
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
 		t.Fatalf("without a server: %v", err)
