--- a/internal/wire/discovery/client.go
+++ b/internal/wire/discovery/client.go
@@ -139,18 +139,18 @@
 // Run carries polls out, one after the other, until the context ends. version is that of the list held.
 func (c *Client) Run(ctx context.Context, version int64) {
 	watch, again := c.Pushed, c.Pushed
-	for moved := false; ; moved = c.target.restartPending() {
-		if !moved && !again {
+	for restarting := false; ; restarting = c.target.restartPending() {
+		if !restarting && !again {
 			select {
 			case <-ctx.Done():
 				return
 			case <-c.target.restart:
-				moved = true
+				restarting = true
 			case watch = <-c.polls:
 			}
 		}
 		call, address, restarted := c.target.beginCall(ctx)
-		watch = watch || moved || restarted
+		watch = watch || restarting || restarted
 		err := c.poll(call, address, watch, &version)
 		c.target.endCall()
 		if ctx.Err() != nil {
@@ -196,7 +196,7 @@
 // poll makes the calls that one poll stands for. At another address too a watch is opened after the version
 // held, in one call: all relays' discovery is one service, and one that cannot tell what changed after that
 // version sends the complete list (protocol). A complete list and then a watch would be two calls, the first
-// a dear one for a service that a whole fleet moves to.
+// a costly one for a service that all relays of a fleet begin to call.
 func (c *Client) poll(ctx context.Context, address string, watch bool, version *int64) error {
 	if watch && *version != unknownVersion {
 		err := c.streamLists(ctx, address, watchPath(*version), version)
--- a/internal/wire/discovery/confirm.go
+++ b/internal/wire/discovery/confirm.go
@@ -1,9 +1,9 @@
 package discovery
 
 // listConfirmation holds back a complete list that takes back what is known: one without any server, or of an
-// older version than the one held from the same address. It may be true, as a service may have begun anew, or
-// a copy that lags behind may have responded, or one that has not read its servers yet. So another call is
-// made at once, and what two in a row say is taken in.
+// older version than the one held from the same address. A service that has begun anew sends such a list
+// rightly; a replica that lags behind, or has not read its servers yet, does not. So another call is made at
+// once, and what two in a row say is taken in.
 type listConfirmation struct {
 	address string // that the list held came from
 	pending bool   // one was held back, and no list has been taken in since
--- a/internal/wire/discovery/log.go
+++ b/internal/wire/discovery/log.go
@@ -10,8 +10,8 @@
 // maxLoggedServers bounds the servers that the log line of a list names.
 const maxLoggedServers = 16
 
-// logCall writes how one call began to be answered, or why it was not. A call that was given up, as another
-// one has been answered or the client follows discovery elsewhere, has nothing to tell.
+// logCall logs how one call began to be answered, or why it was not. A call that was given up, as another one
+// has been answered or the client follows discovery elsewhere, is not logged.
 func (c *Client) logCall(ctx context.Context, r *response, path string) {
 	if ctx.Err() != nil {
 		return
@@ -28,7 +28,7 @@
 		Msg("discovery call")
 }
 
-// logList writes that a list is taken in, with the servers that it takes away.
+// logList logs that a list is taken in, with the servers that it drains or removes.
 func (c *Client) logList(r *response, list *EndpointList, held int64) {
 	var draining, gone []string
 	for _, endpoint := range list.Endpoints {
--- a/internal/wire/discovery/target.go
+++ b/internal/wire/discovery/target.go
@@ -8,29 +8,29 @@
 	"capersail/internal/guard"
 )
 
-// target is the address that calls go to, and the call that is out. It may be moved by any goroutine; only
-// Run begins calls.
+// target is the address that calls go to, and the call that is out. Any goroutine may change it; only Run
+// begins calls.
 type target struct {
 	restart chan struct{} // holds one token while a restart of the call waits to be taken up
 
-	mu         sync.Mutex
-	address    string
-	moved      bool               // the address has changed since the last call began
-	cancelCall context.CancelFunc // ends the call that is out; nil before the first
+	mu             sync.Mutex
+	address        string
+	addressChanged bool               // since the last call began
+	cancelCall     context.CancelFunc // ends the call that is out; nil before the first
 }
 
 func newTarget(address string) target {
 	return target{address: address, restart: make(chan struct{}, 1)}
 }
 
-// set moves the target, and restarts the call if that is another address.
+// set changes the address, and restarts the call if that is another one.
 func (t *target) set(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if address == t.address {
 		return
 	}
-	t.address, t.moved = address, true
+	t.address, t.addressChanged = address, true
 	t.restartLocked()
 }
 
@@ -59,7 +59,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	call, t.cancelCall = context.WithCancel(ctx)
-	t.moved = false
+	t.addressChanged = false
 	select {
 	case <-t.restart:
 		restarted = true
@@ -76,7 +76,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case t.moved:
+	case t.addressChanged:
 		return guard.AddressChanged
 	case errors.Is(err, errConnectionRefused):
 		return guard.ConnectionRefused
