--- a/internal/wire/gossip/cell_envelope.go
+++ b/internal/wire/gossip/cell_envelope.go
@@ -13,7 +13,7 @@
 const (
 	// kindSummary is another cell's, from its representative; also as a relay of this cell has forwarded it.
 	kindSummary envelopeKind = 5
-	// kindDirectory is what a cell's representative tells its own cell of all cells.
+	// kindDirectory is what a cell's representative sends its own cell of all cells.
 	kindDirectory envelopeKind = 6
 	// kindOfCell holds an envelope's kind and body for relays of one cell only.
 	kindOfCell envelopeKind = 64
@@ -86,7 +86,7 @@
 	return dropMalformed
 }
 
-// sameCell tells whether a relay is of this relay's cell, by what it says of itself.
+// sameCell tells whether a relay is of this relay's cell, by its metadata.
 func (n *Node) sameCell(m *memberlist.Node) bool { return string(m.Meta) == n.cell }
 
 // NotifyMerge is memberlist's, before a relay that joins, or is joined, is merged with: one relay of another
--- a/internal/wire/gossip/cell_log.go
+++ b/internal/wire/gossip/cell_log.go
@@ -63,7 +63,7 @@
 	}
 	votes := func(voter cells.Voter) bool { return voter.Name == before }
 	if !slices.ContainsFunc(link.lastReport.Voters, votes) {
-		return before + " votes no more"
+		return before + " is no longer a voter"
 	}
 	return next + " comes before " + before + " among the voters"
 }
--- a/internal/wire/gossip/cell_messages.go
+++ b/internal/wire/gossip/cell_messages.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// publishDirectory tells this cell of all others.
+// publishDirectory broadcasts a directory of all cells to this cell.
 func (n *Node) publishDirectory(link *cellLink, directory cells.Directory) {
 	text, err := n.encodeForCell(directory.Incarnation, n.mesh.seq.Add(1), kindDirectory, directory)
 	if err != nil {
@@ -35,14 +35,14 @@
 	n.mesh.broadcasts.QueueBroadcast(&directoryBroadcast{text})
 }
 
-// directoryBroadcast is a directory on its way round the cell; a newer one takes its place, whoever is the
+// directoryBroadcast is a directory that is broadcast in the cell; a newer one replaces it, whoever is the
 // representative.
 type directoryBroadcast struct{ text []byte }
 
-// Name is no relay's: those print.
+// Name is memberlist's; it is no valid name of a relay, as those have printable bytes only.
 func (b *directoryBroadcast) Name() string { return "\x00directory" }
 
-// Invalidates is memberlist's: whether it takes the other one's place.
+// Invalidates is memberlist's: whether it replaces the other one.
 func (b *directoryBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	_, ok := other.(*directoryBroadcast)
 	return ok
--- a/internal/wire/gossip/config.go
+++ b/internal/wire/gossip/config.go
@@ -31,7 +31,7 @@
 	Log   zerolog.Logger
 
 	Bind      string // host:port, for UDP and TCP
-	Advertise string // host:port that others are told, "" for Bind
+	Advertise string // host:port that others connect to, "" for Bind
 	Seeds     []string
 	Keys      [][]byte // the first seals; none binds loopback only
 	// Transport makes what carries packets and streams from and to a host and port; nil for UDP and TCP
@@ -52,7 +52,7 @@
 
 	// LocalActivity is asked for what the relay does. Neither it nor the functions below may block.
 	LocalActivity func() LocalActivity
-	// RefreshEndpoints polls for the endpoint list out of turn; nil for nobody.
+	// RefreshEndpoints polls for the endpoint list at once; nil for nobody.
 	RefreshEndpoints func()
 	// OnChange is called for each change of the fleet; nil for nobody.
 	OnChange func(membership.Changed)
--- a/internal/wire/gossip/join.go
+++ b/internal/wire/gossip/join.go
@@ -12,9 +12,9 @@
 const (
 	// bindRetryInterval is the time between two attempts at a port that is taken.
 	bindRetryInterval = 5 * time.Second
-	// rejoinInterval is the mean time between two looks for a relay that is missing.
+	// rejoinInterval is the mean time between two rounds in which a missing relay is joined.
 	rejoinInterval = 700 * time.Millisecond
-	// seedJoinPeriod is how many such looks there are to one that asks the seeds too.
+	// seedJoinPeriod is how many such rounds there are to one in which the seeds are joined too.
 	seedJoinPeriod = 5
 	leaveTimeout   = 400 * time.Millisecond
 )
--- a/internal/wire/gossip/node.go
+++ b/internal/wire/gossip/node.go
@@ -195,7 +195,7 @@
 	return true
 }
 
-// nextTick is when either decider wants to be told of the time.
+// nextTick is when the membership.Node or the cells.Coordinator has a Tick due.
 func (n *Node) nextTick() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -216,7 +216,7 @@
 	return local
 }
 
-// enqueueEvent queues an event. When there is no room it is dropped: all that is said is said again.
+// enqueueEvent queues an event. When there is no room it is dropped: all is sent again.
 func (n *Node) enqueueEvent(event membership.Event) {
 	select {
 	case n.inbox <- event:
--- a/internal/wire/gossip/peers.go
+++ b/internal/wire/gossip/peers.go
@@ -18,8 +18,8 @@
 	otherCellRetryInterval = time.Minute
 )
 
-// peerTable is what memberlist and envelopes have told of the other relays. Its lock is held for a look-up
-// only, as memberlist's calls must not wait for the deciders.
+// peerTable is what is known of the other relays by memberlist and envelopes. Its lock is held for a look-up
+// only, as memberlist's calls must not wait for the membership.Node.
 type peerTable struct {
 	sync.Mutex
 	// nodes are the relays by name, copies as last heard of: memberlist writes to its own. One that has left
--- a/internal/wire/gossip/send.go
+++ b/internal/wire/gossip/send.go
@@ -67,7 +67,7 @@
 	n.mesh.broadcasts.QueueBroadcast(&statusBroadcast{n.cfg.Name, text})
 }
 
-// statusBroadcast is a status on its way round; a newer one of the same relay takes its place.
+// statusBroadcast is a status that is broadcast; a newer one of the same relay replaces it.
 type statusBroadcast struct {
 	name string
 	text []byte
@@ -76,7 +76,7 @@
 // Name is the relay's.
 func (b *statusBroadcast) Name() string { return b.name }
 
-// Invalidates is memberlist's: whether it takes the other one's place.
+// Invalidates is memberlist's: whether it replaces the other one.
 func (b *statusBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(*statusBroadcast)
 	return ok && o.name == b.name
