--- a/internal/resume/doc.go
+++ b/internal/resume/doc.go
@@ -3,7 +3,7 @@
 //
 // A Service owns one relay's part: the session with the ownership service, the ownership.Lease that it feeds,
 // the key ring of the tokens, and the streams that this relay has or asks for. A Stream is one of them: the
-// relay.Request's ownership, what its server is told of fencing token and lease, and when the client is given
+// relay.Request's ownership, the fencing token and lease that its server gets, and when the client is given
 // its next token.
 //
 // The fronts call it (wire/platform writes its lines), package lifecycle starts, reloads and closes it. It
--- a/internal/resume/server_lease.go
+++ b/internal/resume/server_lease.go
@@ -6,7 +6,7 @@
 	"capersail/internal/ownership"
 )
 
-// serverLease is what a stream's server is told of how long it may serve on without hearing from this relay.
+// serverLease is the lease of a stream's server: how long it may serve on without hearing from this relay.
 type serverLease struct {
 	supported bool          // the server takes leases
 	sentAt    time.Duration // of the last one
@@ -17,8 +17,8 @@
 
 func (s *Service) leaseRenewInterval() time.Duration { return s.SessionTimeout / leasesPerSession }
 
-// serverLeaseMargin is by how much a server's lease outlasts this relay's, so that the client is told to
-// migrate before its server ends the stream. The other half of the margin is for the lease's way to the
+// serverLeaseMargin is by how much a server's lease outlasts this relay's, so that the client is migrated
+// before its server ends the stream. The other half of the margin is for the lease's way to the
 // server.
 const serverLeaseMargin = ownership.ExpiryMargin / 2
 
@@ -35,8 +35,8 @@
 	return st.ServerLease()
 }
 
-// ServerLease is for how long the server may serve on without hearing from this relay; 0 if it need not be
-// told now. Without it, a relay that is stopped would leave its server serving while the next relay's does
+// ServerLease is for how long the server may serve on without hearing from this relay; 0 if no lease
+// is due now. Without it, a relay that is stopped would leave its server serving while the next relay's does
 // too.
 func (st *Stream) ServerLease() time.Duration {
 	s := st.service
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// Close ends the session, and with it all ownership at once, at the end of a relay's life. It waits no longer
-// than within for that, and is called once.
+// Close ends the session, and with it all ownership at once, as the process ends. It waits no longer than
+// within for that, and is called once.
 func (s *Service) Close(within time.Duration) { s.session.Close(within) }
 
 // handleEvent lets the Lease act. Only Run's goroutine calls it, so streams hear of decisions in their order.
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -12,8 +12,8 @@
 	"capersail/internal/token"
 )
 
-// What a client may be told of why its stream cannot go on. All are final: the client begins a new stream.
-// The words are the platform's.
+// The notes that say to a client why its stream cannot go on. All are final: the client begins a new stream.
+// Their texts are the platform's.
 const (
 	NoteInvalidToken    = "token"    // not a token, or sealed by no key of ours
 	NoteExpired         = "expired"  // its time is over
@@ -92,7 +92,7 @@
 
 // RejectError says why a stream cannot be resumed.
 type RejectError struct {
-	Note string // what the client is told, one of the notes
+	Note string // for the client, one of the notes
 	Err  error
 }
 
@@ -204,8 +204,8 @@
 	}
 }
 
-// handleAcquired takes the Service's word that the stream is this relay's. Run's goroutine calls it, as the
-// next two.
+// handleAcquired is called when the stream has become this relay's. Run's goroutine calls it, as the next
+// two.
 func (st *Stream) handleAcquired(fencingToken uint64) {
 	st.fencingToken.Store(fencingToken)
 	st.mu.Lock()
@@ -218,7 +218,7 @@
 	}
 }
 
-// handleRejected takes the Service's word that the stream is not this relay's.
+// handleRejected is called when the stream has not become this relay's.
 func (st *Stream) handleRejected(a relay.Answer) {
 	st.mu.Lock()
 	r := st.request
@@ -227,7 +227,7 @@
 	r.OwnershipDenied(a)
 }
 
-// handleLeaseExpired takes the Service's word that the ownership may be lost: the stream ends here. A stream
+// handleLeaseExpired is called when the ownership may be lost: the stream ends here. A stream
 // of which no token is out cannot be another relay's; it is served on and acquired anew.
 func (st *Stream) handleLeaseExpired() {
 	st.mu.Lock()
@@ -268,7 +268,7 @@
 // AllServersResume tells whether every server takes streams up, whatever the endpoint list says.
 func (st *Stream) AllServersResume() bool { return st.service.AllServersResume }
 
-// FencingToken is what a server is told. A new stream's first is 1, whether or not it is acquired yet.
+// FencingToken is the fencing token that a server gets. A new stream's first is 1, whether or not it is acquired yet.
 func (st *Stream) FencingToken() uint64 { return max(1, st.fencingToken.Load()) }
 
 // SetServer says which server serves it.
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Sweep looks at every record once. It returns when the last answer has come, no answer has come for a
+// Sweep checks every record once. It returns when the last answer has come, no answer has come for a
 // session's timeout, or the context has ended.
 func (s *Service) Sweep(ctx context.Context) {
 	names := make(chan []string, 1)
