--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -18,8 +18,8 @@
 // adminSockets are the descriptors that the admin address may hold; the clients have them less.
 const adminSockets = admin.MaxConnections
 
-// adminTarget is the relay as its operators' admin address sees it: every front, the ejections and the drain
-// by hand.
+// adminTarget is the relay as its operators' admin address sees it: every front, the manual ejections and
+// the manual drain.
 type adminTarget struct {
 	fronts       []*runningFront
 	serving      atomic.Bool
--- a/internal/lifecycle/cells.go
+++ b/internal/lifecycle/cells.go
@@ -18,7 +18,7 @@
 type cellSettings struct {
 	// Cell is this relay's own cell, one of the plan's.
 	Cell string `toml:"cell"`
-	// Place is this relay's number within its cell, from 0; nil for the settings' `me`.
+	// BootstrapSlot is this relay's number within its cell, from 0; nil for the settings' `me`.
 	BootstrapSlot *int `toml:"place"`
 	// Plan divides the fleet's budgets among the cells; nil for a flat fleet.
 	Plan *cellplan.Plan `toml:"plan"`
@@ -110,7 +110,7 @@
 }
 
 // configureCell makes a flat relay's node one of its cell. A cell with a region has its own seeds, record,
-// places and pace.
+// slots and timing.
 func (m *MembersConfig) configureCell(g *gossip.Config) {
 	cell := m.ownCell()
 	g.Cell, g.Plan = m.Cell, m.Plan
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -2,7 +2,7 @@
 //
 // It owns the files' settings and their checks (a [ConfigError] names file and key), the order in which
 // fronts and parts start and end, the graceful shutdown, and what the operators' admin address can do: a
-// drain and ejections by hand. The command package calls [Run]; the commands that check files call the Read
+// manual drain and manual ejections. The command package calls [Run]; the commands that check files call the Read
 // functions.
 //
 // Everything beside the fronts is a part (part.go): its settings and their check, then join, start, reload,
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// migrationDelay is how long a drain by hand keeps its connections before it migrates them: new
-	// connections come for 0.2 s after the first no to PING, and those that come up are migrated at once.
+	// migrationDelay is how long a manual drain keeps its connections before it migrates them: new connections
+	// come for 0.2 s after the first PING that is answered as not ready, and are migrated at once.
 	migrationDelay = 300 * time.Millisecond
 	// migrationDeadline is when the last of them is migrated; at 4 s a connection still open breaks the rule
 	// on lost ones.
 	migrationDeadline = 2500 * time.Millisecond
 )
 
-// Drain starts or ends a drain by hand. Calling it twice the same way does nothing more.
+// Drain starts or ends a manual drain. Calling it twice the same way does nothing more.
 func (o *adminTarget) Drain(on bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// keptDuringDrain is how many of all connections a drain by hand still keeps at a time since its begin.
+// keptDuringDrain is how many of all connections a manual drain still keeps, by the time since its begin.
 func keptDuringDrain(all int, since time.Duration) int {
 	return fractionOf(all, float64(migrationDeadline-since)/float64(migrationDeadline-migrationDelay))
 }
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -16,15 +16,15 @@
 
 const (
 	// ejectionPollInterval is how often the ejections that another process of the relay may have changed are
-	// read. An ejection binds 500 ms after its yes: this leaves four readings and the time to tell the
-	// decision module.
+	// read. An ejection must be in force 500 ms after its call is answered: this leaves four readings
+	// and the time for the decision module to act.
 	ejectionPollInterval = 100 * time.Millisecond
 	// ejectionsFolder is where ejections are kept in $TMPDIR, which the processes of one relay share in an
 	// upgrade.
 	ejectionsFolder = "capersail-bans"
 )
 
-// Eject ejects a server by hand. The ejection is kept, and the decision module told, before it returns.
+// Eject ejects a server manually. The ejection is stored, and the decision module notified, before it returns.
 func (o *adminTarget) Eject(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Readmit readmits a server that was ejected by hand.
+// Readmit readmits a server that was ejected manually.
 func (o *adminTarget) Readmit(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// reloadEjections reads the kept ejections, and tells the fronts if they have changed.
+// reloadEjections reads the stored ejections, and hands them to the fronts if they have changed.
 func (o *adminTarget) reloadEjections() {
 	// Before the folder is read: an ejection of this process's own must not be undone by an older reading.
 	o.mu.Lock()
--- a/internal/lifecycle/front.go
+++ b/internal/lifecycle/front.go
@@ -19,7 +19,7 @@
 	probeSockets = 16
 	// minSockets is what a configuration has to allow, and adminSockets more with an admin address.
 	minSockets = 64
-	// unlimitedSockets stands where no limit is told.
+	// unlimitedSockets is the number of descriptors where no limit is set.
 	unlimitedSockets = 1 << 20
 )
 
--- a/internal/lifecycle/members_config.go
+++ b/internal/lifecycle/members_config.go
@@ -26,7 +26,7 @@
 }
 
 const (
-	// maxBootstrapSize bounds the places of a fleet; so many relays are far beyond what gossip is made for.
+	// maxBootstrapSize bounds the slots of a fleet; so many relays are far beyond what gossip is made for.
 	maxBootstrapSize = 10_000
 	maxSiteBytes     = 100
 	maxSocketPath    = 100 // bytes
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -43,7 +43,7 @@
 	parts.join(seam)
 	leaseEndpoints(requests, c)
 	if inherited && !endpoints.Pushed {
-		endpoints.Watch() // in an upgrade this relay starts alone: it need not wait for its turn
+		endpoints.Watch() // in an upgrade this relay starts alone: it need not wait for its phase offset
 	}
 	go endpoints.Run(ctx, c.CachedList.Version)
 	loop := relay.NewEventLoop(requests, c.Seed, endpoints, log)
@@ -59,13 +59,18 @@
 	}
 	r.reload = func() error { return reloadPlatform(from, c, endpoints, limiter, log) }
 	go func() { r.serveFailed <- front.Serve(listener) }()
+	logServing(c, r, log)
+	return r, nil
+}
+
+// logServing logs that the platform's front serves.
+func logServing(c *Config, r *runningFront, log zerolog.Logger) {
 	log.Info().
 		Str("name", c.Name).
-		Str("listen", listener.Addr().String()).
-		Bool("inherited", inherited).
+		Str("listen", r.listener.Addr().String()).
+		Bool("inherited", r.inherited).
 		Int("servers", len(c.CachedList.Endpoints)).
 		Msg("serving")
-	return r, nil
 }
 
 // newPlatformRequests makes the request table with the side that opens connections to servers.
--- a/internal/lifecycle/resume_config.go
+++ b/internal/lifecycle/resume_config.go
@@ -65,7 +65,7 @@
 	problems.addIf(len(c.Servers) == 0, "servers", "at least one is wanted")
 	problems.addIf(!cleanPath(c.Path), "path", "%q is not a path from / on without a / at its end", c.Path)
 	problems.addIf(!(c.SessionMs >= minSession && c.SessionMs <= 120_000), "session_ms",
-		"from %v to 120000; claims are trusted for 0.95 of it less %v", minSession, margin)
+		"from %v to 120000; ownership is trusted for 0.95 of it less %v", minSession, margin)
 	problems.addIf(!(c.TokenLifetimeMs >= 10_000 && c.TokenLifetimeMs <= week), "token_life_ms",
 		"from 10000 to %d (a week)", week)
 	problems.addIf(!(c.TokenRenewMs >= 200 && c.TokenRenewMs <= c.TokenLifetimeMs/2), "renew_ms",
