--- a/examples/resume/main.go
+++ b/examples/resume/main.go
@@ -63,7 +63,7 @@
 		}
 		s.First = func(line string) {
 			at.Store(s.ID)
-			fmt.Printf("  %s was told: ...%s\n", s.ID, line[max(0, len(line)-100):])
+			fmt.Printf("  %s received: ...%s\n", s.ID, line[max(0, len(line)-100):])
 		}
 		servers[s.ID] = s
 		list.Set(s.ID, s.Address, "Ready")
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -20,8 +20,8 @@
 	"capersail/internal/store"
 )
 
-// BenchmarkFold is what it costs to fold a record into its line and to look for departures, over 200 servers, and the
-// memory that their lines hold.
+// BenchmarkFold is what it costs to fold a record into its timeline and to detect anomalies, over 200 servers, and the
+// memory that their timelines take.
 func BenchmarkFold(b *testing.B) {
 	const servers = 200
 	clock := relay.NewManualClock()
