--- a/internal/command/cells.go
+++ b/internal/command/cells.go
@@ -44,7 +44,7 @@
 	if err := tab.Flush(); err != nil {
 		return err
 	}
-	showCounts(w, "dropped of cells:", nonzero(map[string]uint64{"malformed": known.Dropped.Malformed, "unknown cell": known.Dropped.Unknown, "stale": known.Dropped.Stale}))
+	showCounts(w, "dropped of cells:", dropZeros(map[string]uint64{"malformed": known.Dropped.Malformed, "unknown cell": known.Dropped.Unknown, "stale": known.Dropped.Stale}))
 	return nil
 }
 
@@ -108,7 +108,7 @@
 	return relay
 }
 
-func nonzero(counts map[string]uint64) map[string]uint64 {
+func dropZeros(counts map[string]uint64) map[string]uint64 {
 	for why, n := range counts {
 		if n == 0 {
 			delete(counts, why)
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-func (p *Program) client() *cobra.Command {
+func (p *Program) clientCommand() *cobra.Command {
 	var script string
 	var within time.Duration
 	c := &cobra.Command{
@@ -22,7 +22,7 @@
 
 A script has one step a line: "> TEXT" sends TEXT, "< WORD" waits for a line whose first word is WORD, "wait 1s"
 pauses; lines that begin with # are left out.`,
-		Args: arguments(cobra.ExactArgs(1)),
+		Args: checkArguments(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error {
 			conn, err := net.Dial("tcp", args[0])
 			if err != nil {
@@ -30,13 +30,13 @@
 			}
 			defer conn.Close()
 			if script == "" {
-				return p.talk(conn)
+				return p.runInteractive(conn)
 			}
 			text, err := os.ReadFile(script)
 			if err != nil {
 				return err
 			}
-			return p.play(conn, script, string(text), within)
+			return p.playScript(conn, script, string(text), within)
 		},
 	}
 	c.Flags().StringVar(&script, "script", "", "`file` to play")
@@ -44,7 +44,7 @@
 	return c
 }
 
-func (p *Program) talk(conn net.Conn) error {
+func (p *Program) runInteractive(conn net.Conn) error {
 	go func() {
 		for lines := bufio.NewScanner(p.In); lines.Scan(); {
 			if _, err := fmt.Fprintf(conn, "%s\r\n", lines.Text()); err != nil {
@@ -57,7 +57,7 @@
 	return err
 }
 
-func (p *Program) play(conn net.Conn, name, text string, within time.Duration) error {
+func (p *Program) playScript(conn net.Conn, name, text string, within time.Duration) error {
 	in := bufio.NewReader(conn)
 	for i, step := range strings.Split(text, "\n") {
 		step = strings.TrimSpace(step)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -22,13 +22,13 @@
 	NoAnswer = 3 // no relay answers, and no store has what is asked for
 )
 
-// exit is an error with its exit code.
-type exit struct {
+// exitError is an error with its exitError code.
+type exitError struct {
 	code int
 	error
 }
 
-func (e exit) Unwrap() error { return e.error }
+func (e exitError) Unwrap() error { return e.error }
 
 // Program is where a command runs.
 type Program struct {
@@ -40,8 +40,8 @@
 
 // Main runs a command line and returns the exit code.
 func Main(args []string, p *Program) int {
-	root := p.root()
-	root.SetArgs(dashes(args))
+	root := p.rootCommand()
+	root.SetArgs(doubleDashes(args))
 	root.SetIn(p.In)
 	root.SetOut(p.Out)
 	root.SetErr(p.Err)
@@ -52,15 +52,15 @@
 	for _, line := range strings.Split(strings.TrimSpace(err.Error()), "\n") {
 		fmt.Fprintln(p.Err, "capersail:", line)
 	}
-	var e exit
+	var e exitError
 	if errors.As(err, &e) {
 		return e.code
 	}
 	return Failed
 }
 
-// dashes lets flags of the first versions be written with one dash still.
-func dashes(args []string) []string {
+// doubleDashes lets flags of the first versions be written with one dash still.
+func doubleDashes(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
 		if out[i] = a; strings.HasPrefix(a, "-xmpp") || strings.HasPrefix(a, "-resume") {
@@ -70,25 +70,25 @@
 	return out
 }
 
-func usage(err error) error {
+func usageError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return exit{Usage, err}
+	return exitError{Usage, err}
 }
 
-// arguments makes a wrong number of arguments a matter of usage.
-func arguments(check cobra.PositionalArgs) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, args []string) error { return usage(check(cmd, args)) }
+// checkArguments makes a wrong number of checkArguments a matter of usage.
+func checkArguments(check cobra.PositionalArgs) cobra.PositionalArgs {
+	return func(cmd *cobra.Command, args []string) error { return usageError(check(cmd, args)) }
 }
 
-func (p *Program) root() *cobra.Command {
+func (p *Program) rootCommand() *cobra.Command {
 	var from lifecycle.Sources
 	var level, format string
 	serve := func(cmd *cobra.Command, _ []string) error {
 		l, err := zerolog.ParseLevel(level)
 		if err != nil {
-			return usage(fmt.Errorf("log-level: %q is no level", level))
+			return usageError(fmt.Errorf("log-level: %q is no level", level))
 		}
 		var out io.Writer = p.Err
 		switch format {
@@ -96,7 +96,7 @@
 		case "text":
 			out = zerolog.ConsoleWriter{Out: p.Err, NoColor: true, TimeFormat: "15:04:05.000"}
 		default:
-			return usage(fmt.Errorf("log-format: %q is neither json nor text", format))
+			return usageError(fmt.Errorf("log-format: %q is neither json nor text", format))
 		}
 		from.Getenv = p.Getenv
 		return lifecycle.Run(cmd.Context(), from, p.Signals, zerolog.New(out).Level(l).With().Timestamp().Logger())
@@ -114,24 +114,24 @@
 		Use:           "capersail",
 		Short:         "A relay for long-lived connections",
 		Long:          "A relay for long-lived connections. Without a command it serves, as LB_CONFIG and the flags say.",
-		Args:          arguments(cobra.NoArgs),
+		Args:          checkArguments(cobra.NoArgs),
 		RunE:          serve,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	})
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(
-		flags(&cobra.Command{Use: "serve", Short: "Serve, as LB_CONFIG and the flags say", Args: arguments(cobra.NoArgs), RunE: serve}),
-		p.demo(), p.config(), p.timeline(), p.members(), p.fleet(), p.client(),
-		&cobra.Command{Use: "version", Short: "Print the version", Args: arguments(cobra.NoArgs), Run: func(_ *cobra.Command, _ []string) {
-			fmt.Fprintln(p.Out, "capersail", version())
+		flags(&cobra.Command{Use: "serve", Short: "Serve, as LB_CONFIG and the flags say", Args: checkArguments(cobra.NoArgs), RunE: serve}),
+		p.demoCommand(), p.configCommand(), p.timelineCommand(), p.membersCommand(), p.fleetCommand(), p.clientCommand(),
+		&cobra.Command{Use: "version", Short: "Print the version", Args: checkArguments(cobra.NoArgs), Run: func(_ *cobra.Command, _ []string) {
+			fmt.Fprintln(p.Out, "capersail", versionText())
 		}},
 	)
 	return root
 }
 
-// version is what the build says of itself.
-func version() string {
+// versionText is what the build says of itself.
+func versionText() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -14,16 +14,16 @@
 	"capersail/internal/lifecycle"
 )
 
-func (p *Program) config() *cobra.Command {
+func (p *Program) configCommand() *cobra.Command {
 	c := &cobra.Command{Use: "config", Short: "Look at configuration files"}
 	c.AddCommand(&cobra.Command{
 		Use:   "check FILE...",
 		Short: "Check files of any kind; each problem is a line that names the file and the key",
-		Args:  arguments(cobra.MinimumNArgs(1)),
+		Args:  checkArguments(cobra.MinimumNArgs(1)),
 		RunE: func(_ *cobra.Command, files []string) error {
 			var all []error
 			for _, f := range files {
-				kind, err := p.check(f)
+				kind, err := p.checkFile(f)
 				if err != nil {
 					all = append(all, err)
 					continue
@@ -36,8 +36,8 @@
 	return c
 }
 
-// check reads a file as what its keys say it is.
-func (p *Program) check(path string) (kind string, err error) {
+// checkFile reads a file as what its keys say it is.
+func (p *Program) checkFile(path string) (kind string, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -13,11 +13,11 @@
 	"capersail/internal/observe/report"
 )
 
-func (p *Program) demo() *cobra.Command {
+func (p *Program) demoCommand() *cobra.Command {
 	var every time.Duration
 	var picture, keep string
 	c := &cobra.Command{Use: "demo", Short: "Run it all on loopback: discovery, servers, a relay, clients, a drain, a kill; then show the time line",
-		Args: arguments(cobra.NoArgs), RunE: func(cmd *cobra.Command, _ []string) error {
+		Args: checkArguments(cobra.NoArgs), RunE: func(cmd *cobra.Command, _ []string) error {
 			return p.runDemo(cmd.Context(), every, picture, keep)
 		}}
 	c.Flags().DurationVar(&every, "every", 5*time.Second, "time between two things that happen")
@@ -44,59 +44,59 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	site, err := startDemo(ctx, dir, keep)
+	site, err := startDemoDeployment(ctx, dir, keep)
 	if err != nil {
 		return err
 	}
-	defer site.kill()
-	p.say("a relay at %s, discovery, five servers, forty clients that watch scans and come back again and again", site.address)
-	leave := site.crowd(ctx)
+	defer site.killServers()
+	p.printLine("a relay at %s, discovery, five servers, forty clients that watch scans and come back again and again", site.address)
+	leave := site.startClients(ctx)
 	defer leave()
-	p.troubles(ctx, site, every)
+	p.disturbServers(ctx, site, every)
 	all, err := site.report()
 	if err != nil {
 		return err
 	}
-	p.say("\nits time line:\n")
+	p.printLine("\nits time line:\n")
 	if err := all.WriteDrawing(p.Out, 60); err != nil {
 		return err
 	}
 	if picture != "" {
-		if err := draw(all, picture); err != nil {
+		if err := drawReport(all, picture); err != nil {
 			return err
 		}
-		p.say("drawn into %s", picture)
+		p.printLine("drawn into %s", picture)
 	}
 	leave()
 	return site.stop()
 }
 
-func (p *Program) say(format string, args ...any) { fmt.Fprintf(p.Out, format+"\n", args...) }
+func (p *Program) printLine(format string, args ...any) { fmt.Fprintf(p.Out, format+"\n", args...) }
 
-// troubles has one server drain, one die and one fall silent, in turn.
-func (p *Program) troubles(ctx context.Context, site *demoSite, every time.Duration) {
+// disturbServers has one server drain, one die and one fall silent, in turn.
+func (p *Program) disturbServers(ctx context.Context, site *demoDeployment, every time.Duration) {
 	drained, killed, silent := site.servers[0], site.servers[1], site.servers[2]
 	pause(ctx, every)
-	p.say("server-0 drains: the list says so, and it sends its clients away")
-	site.list.Set(drained.ID, drained.Address, "Terminating")
+	p.printLine("server-0 drains: the list says so, and it sends its clients away")
+	site.discovery.Set(drained.ID, drained.Address, "Terminating")
 	drained.SetRejecting(true)
 	for drained.MigrateOneIn(3) > 0 && ctx.Err() == nil {
 		pause(ctx, every/20)
 	}
 	pause(ctx, every)
-	p.say("server-1 is killed; the list does not know yet")
+	p.printLine("server-1 is killed; the list does not know yet")
 	killed.Kill()
 	pause(ctx, every)
-	p.say("server-2 falls silent, without a reset")
+	p.printLine("server-2 falls silent, without a reset")
 	silent.SetSilent(true)
 	pause(ctx, 2*every)
 	silent.SetSilent(false)
-	site.list.Set(killed.ID, killed.Address, "Gone")
+	site.discovery.Set(killed.ID, killed.Address, "Gone")
 	pause(ctx, every)
 }
 
-// draw draws a time line into a file.
-func draw(r report.Report, path string) error {
+// drawReport draws a time line into a file.
+func drawReport(r report.Report, path string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/internal/command/demo_site.go
+++ b/internal/command/demo_deployment.go
@@ -35,37 +35,37 @@
 	demoCapacity = 24 // connections that fill a server
 )
 
-// demoSite is all that the demo runs on loopback.
-type demoSite struct {
-	address string // the relay's
-	socket  string // where its time line is asked for
-	list    *fake.Discovery
-	servers []*fake.ScanServer
-	signals chan os.Signal
-	ended   chan error
+// demoDeployment is all that the demo runs on loopback.
+type demoDeployment struct {
+	address   string // the relay's
+	socket    string // where its time line is asked for
+	discovery *fake.Discovery
+	servers   []*fake.ScanServer
+	signals   chan os.Signal
+	ended     chan error
 }
 
-// startDemo starts discovery, servers and a relay whose files are in dir. They run until the context ends.
-func startDemo(ctx context.Context, dir, keep string) (*demoSite, error) {
-	d := &demoSite{socket: filepath.Join(dir, "control.sock"), signals: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	if err := d.serve(ctx); err != nil {
-		d.kill()
+// startDemoDeployment starts discovery, servers and a relay whose files are in dir. They run until the context ends.
+func startDemoDeployment(ctx context.Context, dir, keep string) (*demoDeployment, error) {
+	d := &demoDeployment{socket: filepath.Join(dir, "control.sock"), signals: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	if err := d.startServers(ctx); err != nil {
+		d.killServers()
 		return nil, err
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		d.kill()
+		d.killServers()
 		return nil, err
 	}
 	d.address = l.Addr().String()
 	l.Close()
 	config, lines := filepath.Join(dir, "config.json"), filepath.Join(dir, "timeline.toml")
 	for name, text := range map[string]string{
-		config: fmt.Sprintf(demoConfig, d.address, d.list.Address),
+		config: fmt.Sprintf(demoConfig, d.address, d.discovery.Address),
 		lines:  fmt.Sprintf("socket = %q\nstore = %q\n", d.socket, keep),
 	} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			d.kill()
+			d.killServers()
 			return nil, err
 		}
 	}
@@ -78,15 +78,15 @@
 	go func() {
 		d.ended <- lifecycle.Run(ctx, lifecycle.Sources{Getenv: getenv, Timeline: lines}, d.signals, zerolog.Nop())
 	}()
-	if err := d.ready(ctx); err != nil {
-		d.kill()
+	if err := d.awaitReady(ctx); err != nil {
+		d.killServers()
 		return nil, err
 	}
 	return d, nil
 }
 
-// ready waits until the relay takes clients and tells its time line.
-func (d *demoSite) ready(ctx context.Context) error {
+// awaitReady waits until the relay takes clients and tells its time line.
+func (d *demoDeployment) awaitReady(ctx context.Context) error {
 	for {
 		conn, err := net.Dial("tcp", d.address)
 		if err == nil {
@@ -105,9 +105,9 @@
 	}
 }
 
-// serve starts discovery and the servers.
-func (d *demoSite) serve(ctx context.Context) (err error) {
-	if d.list, err = fake.NewDiscovery("127.0.0.1:0"); err != nil {
+// startServers starts discovery and the servers.
+func (d *demoDeployment) startServers(ctx context.Context) (err error) {
+	if d.discovery, err = fake.NewDiscovery("127.0.0.1:0"); err != nil {
 		return err
 	}
 	feed, ledger := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done()), fake.NewLedger()
@@ -118,13 +118,13 @@
 		}
 		s.Capacity = demoCapacity
 		d.servers = append(d.servers, s)
-		d.list.Set(s.ID, s.Address, "Ready")
+		d.discovery.Set(s.ID, s.Address, "Ready")
 	}
 	return nil
 }
 
-// crowd lets the clients come, each of which watches for some seconds and comes back. What it returns sends them away.
-func (d *demoSite) crowd(ctx context.Context) (leave func()) {
+// startClients lets the clients come, each of which watches for some seconds and comes back. What it returns sends them away.
+func (d *demoDeployment) startClients(ctx context.Context) (leave func()) {
 	watching, stop := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	for i := range demoClients {
@@ -145,7 +145,7 @@
 }
 
 // report asks the relay for its time line.
-func (d *demoSite) report() (report.Report, error) {
+func (d *demoDeployment) report() (report.Report, error) {
 	all, err := control.Ask(d.socket, report.Query{})
 	if err != nil {
 		return report.Report{}, err
@@ -157,13 +157,13 @@
 }
 
 // stop ends the relay in order.
-func (d *demoSite) stop() error {
+func (d *demoDeployment) stop() error {
 	d.signals <- syscall.SIGTERM
 	return <-d.ended
 }
 
-// kill ends the servers.
-func (d *demoSite) kill() {
+// killServers ends the servers.
+func (d *demoDeployment) killServers() {
 	for _, s := range d.servers {
 		s.Kill()
 	}
--- a/internal/command/demo_test.go
+++ b/internal/command/demo_test.go
@@ -12,12 +12,12 @@
 // until each client has come twice, so the clock has no part in the verdict.
 func TestQuietDemoRefusesFew(t *testing.T) {
 	ctx := t.Context()
-	site, err := startDemo(ctx, t.TempDir(), "")
+	site, err := startDemoDeployment(ctx, t.TempDir(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer site.kill()
-	leave := site.crowd(ctx)
+	defer site.killServers()
+	leave := site.startClients(ctx)
 	defer leave()
 	var placed, refused uint32
 	var fleet timeline.Interval
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -13,13 +13,13 @@
 	"capersail/internal/fleet/probing"
 )
 
-// fleet is the command that asks a relay for its part of what all relays do together.
-func (p *Program) fleet() *cobra.Command {
+// fleetCommand is the command that asks a relay for its part of what all relays do together.
+func (p *Program) fleetCommand() *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "A relay's part of what all relays do together",
 		Long: "A relay's part of what all relays do together: which servers it looks at for all and why, whose readings it goes by, and\n" +
 			"what share of a budget it takes. The relay is asked on its socket, named by --config (its file for members) or --socket."}
-	where := memberSocket(c)
-	c.AddCommand(&cobra.Command{Use: "show", Short: "Every server: who looks at it, whose reading counts, how old it is", Args: arguments(cobra.NoArgs),
+	where := addSocketFlags(c)
+	c.AddCommand(&cobra.Command{Use: "show", Short: "Every server: who looks at it, whose reading counts, how old it is", Args: checkArguments(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			path, err := where()
 			if err != nil {
@@ -27,7 +27,7 @@
 			}
 			fleet, looks, err := control.AskLooks(path)
 			if err != nil {
-				return exit{NoAnswer, err}
+				return exitError{NoAnswer, err}
 			}
 			return showFleet(p.Out, fleet, looks)
 		}})
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -19,13 +19,13 @@
 	"capersail/internal/fleet/membership"
 )
 
-// members are the commands that ask a relay what it knows of the others.
-func (p *Program) members() *cobra.Command {
+// membersCommand are the commands that ask a relay what it knows of the others.
+func (p *Program) membersCommand() *cobra.Command {
 	var every time.Duration
 	c := &cobra.Command{Use: "members", Short: "What a relay knows of the others",
 		Long: "What a relay knows of the others: who is there, how far they agree, and what share this relay takes. The relay is\n" +
 			"asked on its socket, named by --config (the file that the relay has as --members) or by --socket."}
-	where := memberSocket(c)
+	where := addSocketFlags(c)
 	ask := func() (*membership.Report, *cells.Report, error) {
 		path, err := where()
 		if err != nil {
@@ -33,11 +33,11 @@
 		}
 		r, known, err := control.AskFleet(path)
 		if err != nil {
-			return nil, nil, exit{NoAnswer, err}
+			return nil, nil, exitError{NoAnswer, err}
 		}
 		return r, known, nil
 	}
-	list := &cobra.Command{Use: "list", Short: "Every relay of its cell: its state, since when, how it is known, its share; then regions and cells", Args: arguments(cobra.NoArgs),
+	list := &cobra.Command{Use: "list", Short: "Every relay of its cell: its state, since when, how it is known, its share; then regions and cells", Args: checkArguments(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			r, known, err := ask()
 			if err != nil {
@@ -45,7 +45,7 @@
 			}
 			return errors.Join(showMembers(p.Out, r), showCells(p.Out, r, known))
 		}}
-	watch := &cobra.Command{Use: "watch", Short: "A line for each change, until interrupted", Args: arguments(cobra.NoArgs),
+	watch := &cobra.Command{Use: "watch", Short: "A line for each change, until interrupted", Args: checkArguments(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -72,8 +72,8 @@
 	return c
 }
 
-// memberSocket gives a command the flags that say which relay is asked, and returns what finds its socket.
-func memberSocket(c *cobra.Command) func() (string, error) {
+// addSocketFlags gives a command the flags that say which relay is asked, and returns what finds its socket.
+func addSocketFlags(c *cobra.Command) func() (string, error) {
 	var socket, config string
 	c.PersistentFlags().StringVar(&config, "config", "", "the relay's `file` for members")
 	c.PersistentFlags().StringVar(&socket, "socket", "", "`path` of a running relay's socket")
@@ -82,7 +82,7 @@
 		case socket != "":
 			return socket, nil
 		case config == "":
-			return "", usage(fmt.Errorf("--config or --socket is wanted"))
+			return "", usageError(fmt.Errorf("--config or --socket is wanted"))
 		}
 		var file struct{ Socket string }
 		if _, err := toml.DecodeFile(config, &file); err != nil {
--- a/internal/command/watch.go
+++ b/internal/command/screen.go
@@ -15,13 +15,13 @@
 	"capersail/internal/observe/timeline"
 )
 
-func (p *Program) watch(s *source) *cobra.Command {
+func (p *Program) watchCommand(s *reportSource) *cobra.Command {
 	return &cobra.Command{Use: "watch [SERVER...]", Short: "The fleet as it goes: a terminal interface, or events through a pipe",
-		Args: arguments(cobra.ArbitraryArgs), RunE: func(_ *cobra.Command, servers []string) error {
+		Args: checkArguments(cobra.ArbitraryArgs), RunE: func(_ *cobra.Command, servers []string) error {
 			if f, ok := p.Out.(*os.File); !ok || !isatty.IsTerminal(f.Fd()) {
 				return s.follow(p.Out, servers)
 			}
-			if _, err := s.read(servers); err != nil { // one plain line rather than an empty screen
+			if _, err := s.readReports(servers); err != nil { // one plain line rather than an empty screen
 				return err
 			}
 			_, err := tea.NewProgram(screen{source: s, servers: servers, width: 100, height: 30}, tea.WithAltScreen()).Run()
@@ -31,65 +31,67 @@
 
 // screen is the terminal interface: the fleet, one server of it in depth, and events.
 type screen struct {
-	source        *source
+	source        *reportSource
 	servers       []string
 	width, height int
-	at            int  // which server is chosen
-	deep          bool // shown in depth
+	selected      int  // which server is chosen
+	detailed      bool // shown in depth
 	report        *report.Report
 	err           error
 }
 
-type fresh struct {
+type reportMsg struct {
 	report *report.Report
 	err    error
 }
 
-type again time.Time
+type reloadMsg time.Time
 
-func (m screen) load() tea.Msg {
-	all, err := m.source.read(m.servers)
+func (m screen) loadReport() tea.Msg {
+	all, err := m.source.readReports(m.servers)
 	if err != nil {
-		return fresh{err: err}
+		return reportMsg{err: err}
 	}
-	return fresh{report: all[0]}
+	return reportMsg{report: all[0]}
 }
 
-func wait() tea.Cmd { return tea.Tick(time.Second, func(t time.Time) tea.Msg { return again(t) }) }
+func scheduleReload() tea.Cmd {
+	return tea.Tick(time.Second, func(t time.Time) tea.Msg { return reloadMsg(t) })
+}
 
 // Init is bubbletea's.
-func (m screen) Init() tea.Cmd { return m.load }
+func (m screen) Init() tea.Cmd { return m.loadReport }
 
 // Update is bubbletea's.
 func (m screen) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
 		m.width, m.height = msg.Width, msg.Height
-	case fresh:
+	case reportMsg:
 		if m.err = msg.err; msg.report != nil {
 			m.report = msg.report
 		}
-		return m, wait()
-	case again:
-		return m, m.load
+		return m, scheduleReload()
+	case reloadMsg:
+		return m, m.loadReport
 	case tea.KeyMsg:
 		switch msg.String() {
 		case "q", "ctrl+c":
 			return m, tea.Quit
 		case "up", "k":
-			m.at = max(0, m.at-1)
+			m.selected = max(0, m.selected-1)
 		case "down", "j":
-			m.at = min(max(0, len(m.lines())-1), m.at+1)
+			m.selected = min(max(0, len(m.serverLines())-1), m.selected+1)
 		case "enter", "right", "l":
-			m.deep = true
+			m.detailed = true
 		case "esc", "left", "h":
-			m.deep = false
+			m.detailed = false
 		}
 	}
 	return m, nil
 }
 
-func (m screen) lines() (all []report.Server) {
+func (m screen) serverLines() (all []report.Server) {
 	if m.report != nil {
 		for _, s := range m.report.Servers {
 			if s.Name != timeline.FleetName {
@@ -103,12 +105,12 @@
 // View is bubbletea's.
 func (m screen) View() string {
 	var b bytes.Buffer
-	switch lines := m.lines(); {
+	switch lines := m.serverLines(); {
 	case m.report == nil:
 		fmt.Fprintln(&b, "asking ...")
-	case m.deep && m.at < len(lines):
+	case m.detailed && m.selected < len(lines):
 		one := *m.report
-		one.Servers = lines[m.at : m.at+1]
+		one.Servers = lines[m.selected : m.selected+1]
 		one.WriteDrawing(&b, max(20, m.width-50))
 	default:
 		fmt.Fprintf(&b, "%s  %s\n", m.report.Relay, report.FormatClock(m.report.At))
@@ -116,13 +118,13 @@
 		m.report.WriteList(&table)
 		rows := strings.Split(strings.TrimRight(table.String(), "\n"), "\n")
 		room := max(3, m.height-12)
-		first := max(0, min(m.at-room/2, len(rows)-1-room))
+		first := max(0, min(m.selected-room/2, len(rows)-1-room))
 		for i, row := range rows {
 			switch {
 			case i == 0:
 				fmt.Fprintln(&b, "  "+row)
 			case i-1 < first || i-1 >= first+room:
-			case i-1 == m.at:
+			case i-1 == m.selected:
 				fmt.Fprintln(&b, "> "+row)
 			default:
 				fmt.Fprintln(&b, "  "+row)
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -22,15 +22,15 @@
 	"capersail/internal/store"
 )
 
-// source is where time lines are read.
-type source struct {
+// reportSource is where time lines are read.
+type reportSource struct {
 	config, socket, store string
 	since                 time.Duration
 	from, to              string
 }
 
-func (p *Program) timeline() *cobra.Command {
-	var s source
+func (p *Program) timelineCommand() *cobra.Command {
+	var s reportSource
 	c := &cobra.Command{Use: "timeline", Short: "What servers did, and what was decided about them",
 		Long: `What servers did, and what was decided about them. A running relay is asked on its socket; if none answers, its
 store is read. Both are named by --config (the file that the relay has as --timeline), or by --socket and --store.`}
@@ -42,8 +42,8 @@
 	c.PersistentFlags().StringVar(&s.to, "to", "", "only up to this `time`")
 
 	show := func(use, short string, args cobra.PositionalArgs, f func(io.Writer, *report.Report) error) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: arguments(args), RunE: func(_ *cobra.Command, servers []string) error {
-			all, err := s.read(servers)
+		return &cobra.Command{Use: use, Short: short, Args: checkArguments(args), RunE: func(_ *cobra.Command, servers []string) error {
+			all, err := s.readReports(servers)
 			if err != nil {
 				return err
 			}
@@ -75,13 +75,13 @@
 		}
 		return s.follow(p.Out, servers)
 	}
-	c.AddCommand(list, line, events, p.watch(&s), p.export(&s))
+	c.AddCommand(list, line, events, p.watchCommand(&s), p.exportCommand(&s))
 	return c
 }
 
-func (p *Program) export(s *source) *cobra.Command {
+func (p *Program) exportCommand(s *reportSource) *cobra.Command {
 	var format, out string
-	c := &cobra.Command{Use: "export [SERVER...]", Short: "Write JSON lines, CSV, or a picture (PNG, SVG)", Args: arguments(cobra.ArbitraryArgs),
+	c := &cobra.Command{Use: "export [SERVER...]", Short: "Write JSON lines, CSV, or a picture (PNG, SVG)", Args: checkArguments(cobra.ArbitraryArgs),
 		RunE: func(_ *cobra.Command, servers []string) error {
 			if format == "" {
 				format = strings.TrimPrefix(filepath.Ext(out), ".")
@@ -95,9 +95,9 @@
 			case "png", "svg":
 				write = func(w io.Writer, r *report.Report) error { return chart.Write(w, r, format) }
 			default:
-				return usage(fmt.Errorf("format: %q is none of json, csv, png, svg", format))
+				return usageError(fmt.Errorf("format: %q is none of json, csv, png, svg", format))
 			}
-			all, err := s.read(servers)
+			all, err := s.readReports(servers)
 			if err != nil {
 				return err
 			}
@@ -120,8 +120,8 @@
 	return c
 }
 
-// paths fills in what the configuration names.
-func (s *source) paths() error {
+// resolve fills in what the configuration names.
+func (s *reportSource) resolve() error {
 	if s.config != "" {
 		t, err := lifecycle.ReadTimelineConfig(s.config)
 		if err != nil {
@@ -135,12 +135,12 @@
 		}
 	}
 	if s.socket == "" && s.store == "" {
-		return usage(errors.New("one of --config, --socket and --store is wanted"))
+		return usageError(errors.New("one of --config, --socket and --store is wanted"))
 	}
 	return nil
 }
 
-func moment(name, text string) (float64, error) {
+func parseTime(name, text string) (float64, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -149,17 +149,17 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, usage(fmt.Errorf("%s: %q is neither a time like 2026-12-01T04:30:00Z nor Unix ms", name, text))
+		return 0, usageError(fmt.Errorf("%s: %q is neither a time like 2026-12-01T04:30:00Z nor Unix ms", name, text))
 	}
 	return float64(t.UnixMilli()), nil
 }
 
-func (s *source) query(servers []string) (q report.Query, err error) {
+func (s *reportSource) query(servers []string) (q report.Query, err error) {
 	q.Servers = servers
-	if q.From, err = moment("from", s.from); err != nil {
+	if q.From, err = parseTime("from", s.from); err != nil {
 		return q, err
 	}
-	if q.To, err = moment("to", s.to); err != nil {
+	if q.To, err = parseTime("to", s.to); err != nil {
 		return q, err
 	}
 	if s.since > 0 {
@@ -168,9 +168,9 @@
 	return q, nil
 }
 
-// read asks the relay, and reads the store if none answers.
-func (s *source) read(servers []string) ([]*report.Report, error) {
-	if err := s.paths(); err != nil {
+// readReports asks the relay, and reads the store if none answers.
+func (s *reportSource) readReports(servers []string) ([]*report.Report, error) {
+	if err := s.resolve(); err != nil {
 		return nil, err
 	}
 	q, err := s.query(servers)
@@ -186,14 +186,14 @@
 		first = err
 	}
 	if s.store == "" {
-		return nil, exit{NoAnswer, first}
+		return nil, exitError{NoAnswer, first}
 	}
 	if _, err := os.Stat(s.store); err != nil {
-		return nil, exit{NoAnswer, err}
+		return nil, exitError{NoAnswer, err}
 	}
 	db, err := store.Open(s.store, store.Options{ReadOnly: true}, zerolog.Nop())
 	if err != nil {
-		return nil, exit{NoAnswer, err}
+		return nil, exitError{NoAnswer, err}
 	}
 	defer db.Close()
 	r, err := watch.FromStore(db, q)
@@ -204,8 +204,8 @@
 }
 
 // follow prints events as they come, those that there are first.
-func (s *source) follow(w io.Writer, servers []string) error {
-	if err := s.paths(); err != nil {
+func (s *reportSource) follow(w io.Writer, servers []string) error {
+	if err := s.resolve(); err != nil {
 		return err
 	}
 	q, err := s.query(servers)
@@ -225,5 +225,5 @@
 		_, err := fmt.Fprintln(w, report.FormatEvent(e))
 		return err == nil
 	})
-	return exit{NoAnswer, err}
+	return exitError{NoAnswer, err}
 }
--- a/internal/testing/faultpoint/clock.go
+++ b/internal/testing/faultpoint/clock.go
@@ -17,7 +17,7 @@
 	rate        float64
 }
 
-// NowMillis returns the machine's monotonic clock in ms, as Noted.T has it.
+// NowMillis returns the machine's monotonic clock in ms, as HistoryLine.AtMillis has it.
 func NowMillis() float64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) != nil {
