--- a/internal/command/cells.go
+++ b/internal/command/cells.go
@@ -11,29 +11,23 @@
 	"capersail/internal/fleet/membership"
 )
 
-// showCells shows a line for each region and each cell that the relay has heard of itself; nothing without cells.
+// showCells prints a row for each region, and for each cell that the relay knows of by itself; nothing
+// without cells.
 func showCells(w io.Writer, r *membership.Report, known *cells.Report) error {
 	if known == nil {
 		return nil
 	}
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, cellHeadline(r, known))
-	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(tab, "OTHER CELLS OF\tCELLS\tHEARD\tRELAYS\tSERVING\tPER S\tHELD\tSENT AWAY PER S")
-	for _, region := range known.Regions {
-		if region.Cells == 0 { // the relay's own cell only
-			continue
-		}
-		fmt.Fprintf(tab, "%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.1f\n", regionName(region.Name), region.Cells, region.Known, region.Relays, region.Serving, region.RequestRate,
-			region.OpenConnections, region.DrainRate)
-	}
-	if err := tab.Flush(); err != nil {
+	if err := showRegions(w, known); err != nil {
 		return err
 	}
 	if known.Representative != r.Relay {
 		fmt.Fprintf(w, "cells one by one are known at the speaker, %s\n", orNobody(known.Representative))
 	}
-	fmt.Fprintln(tab, "CELL\tREGION\tSTATE\tAGE\tSPEAKER\tPLAN\tENTERED\tEPOCH\tRELAYS\tSERVING\tPER S\tHELD\tGONE")
+	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(tab,
+		"CELL\tREGION\tSTATE\tAGE\tSPEAKER\tPLAN\tENTERED\tEPOCH\tRELAYS\tSERVING\tPER S\tHELD\tGONE")
 	for _, region := range known.Regions {
 		for _, c := range region.Rows {
 			if known.Representative == r.Relay || c.Own {
@@ -44,26 +38,53 @@
 	if err := tab.Flush(); err != nil {
 		return err
 	}
-	showCounts(w, "dropped of cells:", dropZeros(map[string]uint64{"malformed": known.Dropped.Malformed, "unknown cell": known.Dropped.Unknown, "stale": known.Dropped.Stale}))
+	showCounts(w, "dropped of cells:", dropZeros(map[string]uint64{
+		"malformed":    known.Dropped.Malformed,
+		"unknown cell": known.Dropped.Unknown,
+		"stale":        known.Dropped.Stale,
+	}))
 	return nil
 }
 
+// showRegions prints a row for each region with other cells.
+func showRegions(w io.Writer, known *cells.Report) error {
+	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(tab, "OTHER CELLS OF\tCELLS\tHEARD\tRELAYS\tSERVING\tPER S\tHELD\tSENT AWAY PER S")
+	for _, region := range known.Regions {
+		if region.Cells == 0 { // the relay's own cell only
+			continue
+		}
+		fmt.Fprintf(tab, "%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.1f\n",
+			regionName(region.Name), region.Cells, region.Known, region.Relays, region.Serving,
+			region.RequestRate, region.OpenConnections, region.DrainRate)
+	}
+	return tab.Flush()
+}
+
+// ago returns a time in ms, rounded for reading.
+func ago(ms float64) time.Duration {
+	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond)
+}
+
+// showCell prints the row of one cell.
 func showCell(w io.Writer, region string, c cells.CellReport) {
 	age := "-"
 	if !c.Own && c.AgeMs >= 0 {
-		age = (time.Duration(c.AgeMs) * time.Millisecond).Round(100 * time.Millisecond).String()
+		age = ago(float64(c.AgeMs)).String()
 	}
 	plan := fmt.Sprint(c.Plan)
 	if c.Mismatch {
 		plan += " (another table)"
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%s\n", c.Name, regionName(region), cellState(c), age, orNobody(c.Representative), plan, c.JoinedPlan, c.Epoch,
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%s\n",
+		c.Name, regionName(region), cellState(c), age, orNobody(c.Representative), plan, c.JoinedPlan, c.Epoch,
 		c.Relays, c.Serving, c.RequestRate, c.OpenConnections, strings.Join(c.Departed, " "))
 }
 
-// cellHeadline is what the relay knows of its own cell's plan, in a line.
+// cellHeadline returns what the relay knows of its own cell's plan, in a line.
 func cellHeadline(r *membership.Report, known *cells.Report) string {
-	line := fmt.Sprintf("cell %s of %s: speaker %s, plan %d", known.Cell, regionName(known.Region), orNobody(known.Representative), known.Plan)
+	line := fmt.Sprintf("cell %s of %s: speaker %s, plan %d",
+		known.Cell, regionName(known.Region), orNobody(known.Representative), known.Plan)
 	if known.FilePlan != known.Plan {
 		line += fmt.Sprintf(" (the file has %d)", known.FilePlan)
 	}
@@ -77,7 +98,7 @@
 		}
 	}
 	if known.DirectoryMs >= 0 {
-		line += fmt.Sprintf(", other cells told %s ago", (time.Duration(known.DirectoryMs) * time.Millisecond).Round(100*time.Millisecond))
+		line += fmt.Sprintf(", other cells told %s ago", ago(float64(known.DirectoryMs)))
 	}
 	return line
 }
@@ -108,16 +129,17 @@
 	return relay
 }
 
+// dropZeros deletes the counts that are 0, and returns the others.
 func dropZeros(counts map[string]uint64) map[string]uint64 {
-	for why, n := range counts {
+	for reason, n := range counts {
 		if n == 0 {
-			delete(counts, why)
+			delete(counts, reason)
 		}
 	}
 	return counts
 }
 
-// cellChanges are the differences between two answers of a relay as to cells, a line each.
+// cellChanges returns the differences between two answers of a relay as to cells, a line each.
 func cellChanges(old, now *cells.Report) (lines []string) {
 	if now == nil {
 		return nil
@@ -128,8 +150,9 @@
 	if old.Representative != now.Representative {
 		lines = append(lines, fmt.Sprintf("cell %s: speaker %s", now.Cell, orNobody(now.Representative)))
 	}
-	if old.Plan != now.Plan || old.JoinedPlan != now.JoinedPlan || old.ActivatedPlan != now.ActivatedPlan || old.FilePlan != now.FilePlan {
-		lines = append(lines, fmt.Sprintf("cell %s: plan %d, entered %d, open %d, the file has %d", now.Cell, now.Plan, now.JoinedPlan, now.ActivatedPlan, now.FilePlan))
+	if planChanged(old, now) {
+		lines = append(lines, fmt.Sprintf("cell %s: plan %d, entered %d, open %d, the file has %d",
+			now.Cell, now.Plan, now.JoinedPlan, now.ActivatedPlan, now.FilePlan))
 	}
 	regions := map[string]cells.RegionReport{}
 	before := map[string]cells.CellReport{}
@@ -141,15 +164,27 @@
 	}
 	for _, region := range now.Regions {
 		if was := regions[region.Name]; was.Cells != region.Cells || was.Known != region.Known {
-			lines = append(lines, fmt.Sprintf("region %s: %d of %d other cells heard", regionName(region.Name), region.Known, region.Cells))
+			lines = append(lines, fmt.Sprintf("region %s: %d of %d other cells heard",
+				regionName(region.Name), region.Known, region.Cells))
 		}
 		for _, c := range region.Rows {
 			was, known := before[c.Name]
-			if c.Own || known && was.Representative == c.Representative && was.Plan == c.Plan && was.JoinedPlan == c.JoinedPlan && cellState(was) == cellState(c) {
+			if c.Own || known && !cellChanged(was, c) {
 				continue
 			}
-			lines = append(lines, fmt.Sprintf("cell %s: %s, speaker %s, plan %d, entered %d", c.Name, cellState(c), orNobody(c.Representative), c.Plan, c.JoinedPlan))
+			lines = append(lines, fmt.Sprintf("cell %s: %s, speaker %s, plan %d, entered %d",
+				c.Name, cellState(c), orNobody(c.Representative), c.Plan, c.JoinedPlan))
 		}
 	}
 	return lines
 }
+
+func planChanged(old, now *cells.Report) bool {
+	return old.Plan != now.Plan || old.FilePlan != now.FilePlan ||
+		old.JoinedPlan != now.JoinedPlan || old.ActivatedPlan != now.ActivatedPlan
+}
+
+func cellChanged(was, now cells.CellReport) bool {
+	return was.Representative != now.Representative || was.Plan != now.Plan ||
+		was.JoinedPlan != now.JoinedPlan || cellState(was) != cellState(now)
+}
--- a/internal/command/cells_test.go
+++ b/internal/command/cells_test.go
@@ -9,49 +9,88 @@
 )
 
 // knownCells is what a relay of cell eu-a-1 knows of a fleet of four cells.
-func knownCells(speaker string) *cells.Report {
-	return &cells.Report{Cell: "eu-a-1", Region: "eu", Representative: speaker, Plan: 4, JoinedPlan: 4, ActivatedPlan: 3, FilePlan: 5, DirectoryMs: 2100, Regions: []cells.RegionReport{
-		{RegionFigures: cells.RegionFigures{Name: "eu", Cells: 1, Known: 1, Relays: 60, Serving: 59, RequestRate: 12.5, OpenConnections: 900}, Rows: []cells.CellReport{
-			{Name: "eu-a-1", Own: true, Known: true, Representative: speaker, Plan: 4, JoinedPlan: 4, Relays: 60},
-			{Name: "eu-b-1", Known: true, AgeMs: 1200, Representative: "r70", Plan: 4, JoinedPlan: 4, Relays: 60}}},
-		{RegionFigures: cells.RegionFigures{Name: "us", Cells: 2, Known: 1, Relays: 120, Serving: 120}, Rows: []cells.CellReport{
-			{Name: "us-a-1", AgeMs: 20_000, Representative: "r130", Plan: 3, JoinedPlan: 3, Relays: 60, Departed: []string{"r140"}},
-			{Name: "us-b-1", Known: true, AgeMs: 300, Representative: "r190", Plan: 4, PlanHash: "ab", Mismatch: true, JoinedPlan: 4, Relays: 60}}},
-	}}
+func knownCells(representative string) *cells.Report {
+	eu := cells.RegionReport{
+		RegionFigures: cells.RegionFigures{
+			Name: "eu", Cells: 1, Known: 1, Relays: 60, Serving: 59, RequestRate: 12.5, OpenConnections: 900,
+		},
+		Rows: []cells.CellReport{
+			{
+				Name: "eu-a-1", Own: true, Known: true, Representative: representative,
+				Plan: 4, JoinedPlan: 4, Relays: 60,
+			},
+			{
+				Name: "eu-b-1", Known: true, AgeMs: 1200, Representative: "r70",
+				Plan: 4, JoinedPlan: 4, Relays: 60,
+			},
+		},
+	}
+	us := cells.RegionReport{
+		RegionFigures: cells.RegionFigures{Name: "us", Cells: 2, Known: 1, Relays: 120, Serving: 120},
+		Rows: []cells.CellReport{
+			{
+				Name: "us-a-1", AgeMs: 20_000, Representative: "r130",
+				Plan: 3, JoinedPlan: 3, Relays: 60, Departed: []string{"r140"},
+			},
+			{
+				Name: "us-b-1", Known: true, AgeMs: 300, Representative: "r190",
+				Plan: 4, PlanHash: "ab", Mismatch: true, JoinedPlan: 4, Relays: 60,
+			},
+		},
+	}
+	return &cells.Report{
+		Cell:           "eu-a-1",
+		Region:         "eu",
+		Representative: representative,
+		Plan:           4,
+		JoinedPlan:     4,
+		ActivatedPlan:  3,
+		FilePlan:       5,
+		DirectoryMs:    2100,
+		Regions:        []cells.RegionReport{eu, us},
+	}
 }
 
-// The list has a line for each region, and at the speaker one for each cell; elsewhere it says whom to ask.
+// The list has a line for each region, and at the representative one for each cell; elsewhere it says whom to
+// ask.
 func TestShowCells(t *testing.T) {
-	for _, one := range []struct {
+	for _, c := range []struct {
 		relay string
 		lines []string
 		not   string
 	}{
-		{"r3", []string{
-			"cell eu-a-1 of eu: speaker r3, plan 4 (the file has 5), entered 4, open 3, near 0.2500, far 0.0100 of a budget, waits: not all cells have entered it, other cells told 2.1s ago",
-			"eu 1 1 60 59 12.5 900 0.0", "us 2 1 120 120 0.0 0 0.0",
-			"eu-a-1 eu here - r3 4 4 0 60 0 0.0 0", "eu-b-1 eu heard 1.2s r70 4 4 0 60 0 0.0 0",
-			"us-a-1 us lost 20s r130 3 3 0 60 0 0.0 0 r140", "us-b-1 us heard 300ms r190 4 (another table) 4 0 60 0 0.0 0"}, "one by one"},
-		{"r9", []string{"cells one by one are known at the speaker, r3", "us 2 1 120 120 0.0 0 0.0", "eu-a-1 eu here - r3 4 4 0 60 0 0.0 0"}, "us-a-1"},
+		{
+			relay: "r3",
+			lines: []string{
+				"cell eu-a-1 of eu: speaker r3, plan 4 (the file has 5), entered 4, open 3, " +
+					"near 0.2500, far 0.0100 of a budget, waits: not all cells have entered it, other cells told 2.1s ago",
+				"eu 1 1 60 59 12.5 900 0.0",
+				"us 2 1 120 120 0.0 0 0.0",
+				"eu-a-1 eu here - r3 4 4 0 60 0 0.0 0",
+				"eu-b-1 eu heard 1.2s r70 4 4 0 60 0 0.0 0",
+				"us-a-1 us lost 20s r130 3 3 0 60 0 0.0 0 r140",
+				"us-b-1 us heard 300ms r190 4 (another table) 4 0 60 0 0.0 0",
+			},
+			not: "one by one",
+		},
+		{
+			relay: "r9",
+			lines: []string{
+				"cells one by one are known at the speaker, r3",
+				"us 2 1 120 120 0.0 0 0.0",
+				"eu-a-1 eu here - r3 4 4 0 60 0 0.0 0",
+			},
+			not: "us-a-1",
+		},
 	} {
-		var shown strings.Builder
-		waits := membership.PendingCells.String()
-		r := &membership.Report{Relay: one.relay, Cell: &membership.CellReport{Plan: 4, Near: 0.25, Far: 0.01, Pending: waits}}
-		if err := showCells(&shown, r, knownCells("r3")); err != nil {
-			t.Fatal(err)
-		}
-		var lines []string
-		for line := range strings.Lines(shown.String()) {
-			lines = append(lines, strings.Join(strings.Fields(line), " "))
-		}
-		text := strings.Join(lines, "\n") + "\n"
-		for _, want := range one.lines {
+		text := shownCells(t, c.relay)
+		for _, want := range c.lines {
 			if !strings.Contains(text, "\n"+want+"\n") {
-				t.Errorf("at %s no line %q in\n%s", one.relay, want, text)
+				t.Errorf("at %s no line %q in\n%s", c.relay, want, text)
 			}
 		}
-		if strings.Contains(text, one.not) {
-			t.Errorf("at %s %q is in\n%s", one.relay, one.not, text)
+		if strings.Contains(text, c.not) {
+			t.Errorf("at %s %q is in\n%s", c.relay, c.not, text)
 		}
 	}
 	var nothing strings.Builder
@@ -60,19 +99,41 @@
 	}
 }
 
-// Changes are told once, each on a line.
+// shownCells returns what a relay shows of cells, with single spaces.
+func shownCells(t *testing.T, relay string) string {
+	t.Helper()
+	var shown strings.Builder
+	waits := membership.PendingCells.String()
+	own := &membership.CellReport{Plan: 4, Near: 0.25, Far: 0.01, Pending: waits}
+	if err := showCells(&shown, &membership.Report{Relay: relay, Cell: own}, knownCells("r3")); err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	for line := range strings.Lines(shown.String()) {
+		b.WriteString(strings.Join(strings.Fields(line), " ") + "\n")
+	}
+	return b.String()
+}
+
+// Each change is one line, once.
 func TestCellChanges(t *testing.T) {
 	now := knownCells("r3")
 	if got := cellChanges(now, knownCells("r3")); len(got) > 0 {
 		t.Errorf("nothing has changed, but %q", got)
 	}
-	now.Representative, now.ActivatedPlan = "r5", 4
+	now.Representative = "r5"
+	now.ActivatedPlan = 4
 	now.Regions[1].Known = 2
 	now.Regions[1].Rows[0].Known = true
 	now.Regions[0].Rows[1].Representative = "r71"
 	got := strings.Join(cellChanges(knownCells("r3"), now), "\n")
-	want := "cell eu-a-1: speaker r5\ncell eu-a-1: plan 4, entered 4, open 4, the file has 5\ncell eu-b-1: heard, speaker r71, plan 4, entered 4\n" +
-		"region us: 2 of 2 other cells heard\ncell us-a-1: heard, speaker r130, plan 3, entered 3"
+	want := strings.Join([]string{
+		"cell eu-a-1: speaker r5",
+		"cell eu-a-1: plan 4, entered 4, open 4, the file has 5",
+		"cell eu-b-1: heard, speaker r71, plan 4, entered 4",
+		"region us: 2 of 2 other cells heard",
+		"cell us-a-1: heard, speaker r130, plan 3, entered 3",
+	}, "\n")
 	if got != want {
 		t.Errorf("%s", got)
 	}
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -20,8 +20,8 @@
 		Short: "Open a connection and speak by hand, or play a script",
 		Long: `Open a connection and speak by hand: what is typed goes out line by line, what comes back is printed.
 
-A script has one step a line: "> TEXT" sends TEXT, "< WORD" waits for a line whose first word is WORD, "wait 1s"
-pauses; lines that begin with # are left out.`,
+A script has one step a line: "> TEXT" sends TEXT, "< WORD" waits for a line whose first word is WORD,
+"wait 1s" pauses; lines that begin with # are left out.`,
 		Args: checkArguments(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error {
 			conn, err := net.Dial("tcp", args[0])
@@ -44,6 +44,7 @@
 	return c
 }
 
+// runInteractive sends what is typed, line by line, and prints what comes back until the other side closes.
 func (p *Program) runInteractive(conn net.Conn) error {
 	go func() {
 		for lines := bufio.NewScanner(p.In); lines.Scan(); {
@@ -57,40 +58,52 @@
 	return err
 }
 
+// playScript plays a script's steps. An error names the script and the line.
 func (p *Program) playScript(conn net.Conn, name, text string, within time.Duration) error {
 	in := bufio.NewReader(conn)
 	for i, step := range strings.Split(text, "\n") {
-		step = strings.TrimSpace(step)
-		word, rest, _ := strings.Cut(step, " ")
-		switch {
-		case step == "" || word[0] == '#':
-		case word == ">":
-			fmt.Fprintln(p.Out, step)
-			if _, err := fmt.Fprintf(conn, "%s\r\n", rest); err != nil {
-				return fmt.Errorf("%s:%d: %w", name, i+1, err)
-			}
-		case word == "wait":
-			d, err := time.ParseDuration(rest)
-			if err != nil {
-				return fmt.Errorf("%s:%d: %w", name, i+1, err)
-			}
-			time.Sleep(d)
-		case word == "<":
-			conn.SetReadDeadline(time.Now().Add(within))
-			for {
-				line, err := in.ReadString('\n')
-				if err != nil {
-					return fmt.Errorf("%s:%d: waiting for %s: %w", name, i+1, rest, err)
-				}
-				line = strings.TrimSpace(line)
-				fmt.Fprintln(p.Out, "<", line)
-				if first, _, _ := strings.Cut(line, " "); first == rest {
-					break
-				}
-			}
-		default:
-			return fmt.Errorf("%s:%d: %q is no step: >, < or wait", name, i+1, word)
+		if err := p.playStep(conn, in, strings.TrimSpace(step), within); err != nil {
+			return fmt.Errorf("%s:%d: %w", name, i+1, err)
 		}
 	}
 	return nil
 }
+
+// playStep plays one step of a script.
+func (p *Program) playStep(conn net.Conn, in *bufio.Reader, step string, within time.Duration) error {
+	word, rest, _ := strings.Cut(step, " ")
+	switch {
+	case step == "" || word[0] == '#':
+		return nil
+	case word == ">":
+		fmt.Fprintln(p.Out, step)
+		_, err := fmt.Fprintf(conn, "%s\r\n", rest)
+		return err
+	case word == "wait":
+		d, err := time.ParseDuration(rest)
+		if err != nil {
+			return err
+		}
+		time.Sleep(d)
+		return nil
+	case word == "<":
+		conn.SetReadDeadline(time.Now().Add(within))
+		return p.awaitWord(in, rest)
+	}
+	return fmt.Errorf("%q is no step: >, < or wait", word)
+}
+
+// awaitWord prints lines up to the first that begins with a word.
+func (p *Program) awaitWord(in *bufio.Reader, word string) error {
+	for {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return fmt.Errorf("waiting for %s: %w", word, err)
+		}
+		line = strings.TrimSpace(line)
+		fmt.Fprintln(p.Out, "<", line)
+		if first, _, _ := strings.Cut(line, " "); first == word {
+			return nil
+		}
+	}
+}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,3 @@
-// Package command is the command line. Errors are one line on standard error; the exit code says what kind it is.
 package command
 
 import (
@@ -15,14 +14,14 @@
 	"capersail/internal/lifecycle"
 )
 
-// The exit codes.
+// The exit codes, 0 aside.
 const (
 	Failed   = 1 // a configuration that cannot be used, or what was to be done could not be
 	Usage    = 2 // the command line
 	NoAnswer = 3 // no relay answers, and no store has what is asked for
 )
 
-// exitError is an error with its exitError code.
+// exitError is an error with its exit code.
 type exitError struct {
 	code int
 	error
@@ -30,12 +29,12 @@
 
 func (e exitError) Unwrap() error { return e.error }
 
-// Program is where a command runs.
+// Program is what a command has of the process that it runs in.
 type Program struct {
 	In       io.Reader
 	Out, Err io.Writer
 	Getenv   func(string) string
-	Signals  <-chan os.Signal
+	Signals  <-chan os.Signal // that end the relay, or have it reload
 }
 
 // Main runs a command line and returns the exit code.
@@ -59,17 +58,19 @@
 	return Failed
 }
 
-// doubleDashes lets flags of the first versions be written with one dash still.
+// doubleDashes returns arguments in which flags of the first versions, written with one dash, have two.
 func doubleDashes(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
-		if out[i] = a; strings.HasPrefix(a, "-xmpp") || strings.HasPrefix(a, "-resume") {
+		out[i] = a
+		if strings.HasPrefix(a, "-xmpp") || strings.HasPrefix(a, "-resume") {
 			out[i] = "-" + a
 		}
 	}
 	return out
 }
 
+// usageError returns an error of the command line, nil for nil.
 func usageError(err error) error {
 	if err == nil {
 		return nil
@@ -77,60 +78,88 @@
 	return exitError{Usage, err}
 }
 
-// checkArguments makes a wrong number of checkArguments a matter of usage.
+// checkArguments has what a check of arguments says be an error of the command line.
 func checkArguments(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error { return usageError(check(cmd, args)) }
 }
 
+// rootCommand returns the program's command, which serves, with all others below it.
 func (p *Program) rootCommand() *cobra.Command {
-	var from lifecycle.Sources
-	var level, format string
-	serve := func(cmd *cobra.Command, _ []string) error {
-		l, err := zerolog.ParseLevel(level)
-		if err != nil {
-			return usageError(fmt.Errorf("log-level: %q is no level", level))
-		}
-		var out io.Writer = p.Err
-		switch format {
-		case "json":
-		case "text":
-			out = zerolog.ConsoleWriter{Out: p.Err, NoColor: true, TimeFormat: "15:04:05.000"}
-		default:
-			return usageError(fmt.Errorf("log-format: %q is neither json nor text", format))
-		}
-		from.Getenv = p.Getenv
-		return lifecycle.Run(cmd.Context(), from, p.Signals, zerolog.New(out).Level(l).With().Timestamp().Logger())
-	}
-	flags := func(c *cobra.Command) *cobra.Command {
-		c.Flags().StringVar(&from.XMPP, "xmpp", "", "operator's `file` for the XMPP front; off without it")
-		c.Flags().StringVar(&from.Resume, "resume", "", "operator's `file` for moving with a token; off without it")
-		c.Flags().StringVar(&from.Timeline, "timeline", "", "operator's `file` for time lines; off without it")
-		c.Flags().StringVar(&from.Members, "members", "", "operator's `file` for relays that know each other; off without it")
-		c.Flags().StringVar(&level, "log-level", "info", "least `level` that is logged: debug, info, warn, error")
-		c.Flags().StringVar(&format, "log-format", "json", "json or text")
-		return c
-	}
-	root := flags(&cobra.Command{
-		Use:           "capersail",
-		Short:         "A relay for long-lived connections",
-		Long:          "A relay for long-lived connections. Without a command it serves, as LB_CONFIG and the flags say.",
-		Args:          checkArguments(cobra.NoArgs),
-		RunE:          serve,
-		SilenceUsage:  true,
-		SilenceErrors: true,
-	})
+	root := p.serveCommand("capersail", "A relay for long-lived connections")
+	root.Long = root.Short + ". Without a command it serves, as LB_CONFIG and the flags say."
+	root.SilenceUsage = true
+	root.SilenceErrors = true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(
-		flags(&cobra.Command{Use: "serve", Short: "Serve, as LB_CONFIG and the flags say", Args: checkArguments(cobra.NoArgs), RunE: serve}),
-		p.demoCommand(), p.configCommand(), p.timelineCommand(), p.membersCommand(), p.fleetCommand(), p.clientCommand(),
-		&cobra.Command{Use: "version", Short: "Print the version", Args: checkArguments(cobra.NoArgs), Run: func(_ *cobra.Command, _ []string) {
-			fmt.Fprintln(p.Out, "capersail", versionText())
-		}},
+		p.serveCommand("serve", "Serve, as LB_CONFIG and the flags say"),
+		p.demoCommand(),
+		p.configCommand(),
+		p.timelineCommand(),
+		p.membersCommand(),
+		p.fleetCommand(),
+		p.clientCommand(),
+		p.versionCommand(),
 	)
 	return root
 }
 
-// versionText is what the build says of itself.
+// serveCommand returns a command that runs the relay.
+func (p *Program) serveCommand(use, short string) *cobra.Command {
+	var sources lifecycle.Sources
+	var level, format string
+	c := &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  checkArguments(cobra.NoArgs),
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			log, err := p.logger(level, format)
+			if err != nil {
+				return err
+			}
+			sources.Getenv = p.Getenv
+			return lifecycle.Run(cmd.Context(), sources, p.Signals, log)
+		},
+	}
+	flags := c.Flags()
+	flags.StringVar(&sources.XMPP, "xmpp", "", "operator's `file` for the XMPP front; off without it")
+	flags.StringVar(&sources.Resume, "resume", "", "operator's `file` for resume tokens; off without it")
+	flags.StringVar(&sources.Timeline, "timeline", "", "operator's `file` for time lines; off without it")
+	flags.StringVar(&sources.Members, "members", "",
+		"operator's `file` for relays that know each other; off without it")
+	flags.StringVar(&level, "log-level", "info", "least `level` that is logged: debug, info, warn, error")
+	flags.StringVar(&format, "log-format", "json", "json or text")
+	return c
+}
+
+// logger returns the relay's log on standard error.
+func (p *Program) logger(level, format string) (zerolog.Logger, error) {
+	l, err := zerolog.ParseLevel(level)
+	if err != nil {
+		return zerolog.Nop(), usageError(fmt.Errorf("log-level: %q is no level", level))
+	}
+	out := p.Err
+	switch format {
+	case "json":
+	case "text":
+		out = zerolog.ConsoleWriter{Out: p.Err, NoColor: true, TimeFormat: "15:04:05.000"}
+	default:
+		return zerolog.Nop(), usageError(fmt.Errorf("log-format: %q is neither json nor text", format))
+	}
+	return zerolog.New(out).Level(l).With().Timestamp().Logger(), nil
+}
+
+func (p *Program) versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  checkArguments(cobra.NoArgs),
+		Run: func(*cobra.Command, []string) {
+			fmt.Fprintln(p.Out, "capersail", versionText())
+		},
+	}
+}
+
+// versionText returns what the build says of itself.
 func versionText() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -22,7 +22,8 @@
 // run runs a command line.
 func run(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
-	code = Main(args, &Program{In: strings.NewReader(""), Out: &o, Err: &e, Getenv: func(string) string { return "" }})
+	getenv := func(string) string { return "" }
+	code = Main(args, &Program{In: strings.NewReader(""), Out: &o, Err: &e, Getenv: getenv})
 	return code, o.String(), e.String()
 }
 
@@ -46,11 +47,29 @@
 		add("bands", began, server, timeline.StatePeriod{State: timeline.Warm, From: began, Cause: "list"})
 		for i := range 30 {
 			at := began + float64(i)*10_000
-			add("steps", at, server, timeline.Interval{From: at, Width: 10_000, Placements: 3, Connections: 3, Readings: 8, Load: [3]float32{0.1, 0.4, 0.7}})
+			add("steps", at, server, timeline.Interval{
+				From:        at,
+				Width:       10_000,
+				Placements:  3,
+				Connections: 3,
+				Readings:    8,
+				Load:        [3]float32{0.1, 0.4, 0.7},
+			})
 		}
 	}
-	add("bands", began+100_000, "s-2", timeline.StatePeriod{State: timeline.Unresponsive, From: began + 100_000, Cause: "2 probes without an answer"})
-	add("events", began+100_000, "silent\x00s-2", anomaly.Event{Server: "s-2", Kind: anomaly.Unresponsive, From: began + 100_000, To: began + 130_000, Evidence: "2 probes", Confidence: 0.75})
+	add("bands", began+100_000, "s-2", timeline.StatePeriod{
+		State: timeline.Unresponsive,
+		From:  began + 100_000,
+		Cause: "2 probes without an answer",
+	})
+	add("events", began+100_000, "silent\x00s-2", anomaly.Event{
+		Server:     "s-2",
+		Kind:       anomaly.Unresponsive,
+		From:       began + 100_000,
+		To:         began + 130_000,
+		Evidence:   "2 probes",
+		Confidence: 0.75,
+	})
 	ctx := t.Context()
 	go s.Run(ctx)
 	s.Flush()
@@ -58,6 +77,7 @@
 	return path
 }
 
+// The exit code says what kind an error is, and its text is one line.
 func TestExitCodes(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
 	for _, c := range []struct {
@@ -77,12 +97,21 @@
 		{"nowhere to ask", []string{"timeline", "list"}, Usage, "one of --config"},
 		{"nobody answers", []string{"timeline", "list", "--socket", missing}, NoAnswer, "no relay answers"},
 		{"no store", []string{"timeline", "list", "--store", missing}, NoAnswer, missing},
-		{"a time that is none", []string{"timeline", "list", "--store", missing, "--from", "noon"}, Usage, "from: "},
-		{"a format that is none", []string{"timeline", "export", "--store", missing, "--format", "gif"}, Usage, "format: "},
+		{
+			"a time that is none",
+			[]string{"timeline", "list", "--store", missing, "--from", "noon"},
+			Usage, "from: ",
+		},
+		{
+			"a format that is none",
+			[]string{"timeline", "export", "--store", missing, "--format", "gif"},
+			Usage, "format: ",
+		},
 		{"nobody listens", []string{"client", "127.0.0.1:1"}, Failed, "connection refused"},
 	} {
 		code, _, errs := run(c.args...)
-		if code != c.code || !strings.Contains(errs, c.says) || code != 0 && (strings.Count(errs, "\n") != 1 || !strings.HasPrefix(errs, "capersail: ")) {
+		oneLine := strings.Count(errs, "\n") == 1 && strings.HasPrefix(errs, "capersail: ")
+		if code != c.code || !strings.Contains(errs, c.says) || code != 0 && !oneLine {
 			t.Errorf("%s: exit %d, %q", c.name, code, errs)
 		}
 	}
@@ -128,11 +157,13 @@
 	if img, err := png.Decode(f); err != nil || img.Bounds().Dx() < 600 || img.Bounds().Dy() < 200 {
 		t.Errorf("%v, %v", img, err)
 	}
-	if code, _, errs := run("timeline", "--store", path, "export", "--from", "2030-01-01T00:00:00Z", "-o", file); code != Failed || !strings.Contains(errs, "nothing to draw") {
+	code, _, errs := run("timeline", "--store", path, "export", "--from", "2030-01-01T00:00:00Z", "-o", file)
+	if code != Failed || !strings.Contains(errs, "nothing to draw") {
 		t.Errorf("an empty picture: %d, %q", code, errs)
 	}
 }
 
+// Each problem of a file is named with the file and the key.
 func TestConfigCheck(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -150,15 +181,18 @@
 	if code != Failed {
 		t.Errorf("exit %d", code)
 	}
-	if code, out, errs := run("config", "check", "../../examples/config.json", "../../deploy/timeline.toml", "../../deploy/xmpp.toml"); code != 0 ||
-		strings.Count(out, "good") != 3 {
+	code, out, errs := run("config", "check",
+		"../../examples/config.json", "../../deploy/timeline.toml", "../../deploy/xmpp.toml")
+	if code != 0 || strings.Count(out, "good") != 3 {
 		t.Errorf("%d, %q, %q", code, out, errs)
 	}
-	if code, _, errs := run("config", "check", write("x.toml", "nothing = 1\n")); code != Failed || !strings.Contains(errs, "no key says what it is for") {
+	code, _, errs = run("config", "check", write("x.toml", "nothing = 1\n"))
+	if code != Failed || !strings.Contains(errs, "no key says what it is for") {
 		t.Errorf("%d, %q", code, errs)
 	}
 }
 
+// A script sends and waits as its steps say, and an error names the step.
 func TestClientScript(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -182,16 +216,18 @@
 	}()
 	script := filepath.Join(t.TempDir(), "s")
 	os.WriteFile(script, []byte("# greets\n> PING\n< PONG\n"), 0o600)
-	if code, out, errs := run("client", l.Addr().String(), "--script", script); code != 0 || out != "> PING\n< NOISE\n< PONG 7\n" {
+	code, out, errs := run("client", l.Addr().String(), "--script", script)
+	if code != 0 || out != "> PING\n< NOISE\n< PONG 7\n" {
 		t.Errorf("%d, %q, %q", code, out, errs)
 	}
 	os.WriteFile(script, []byte("> PING\n< NEVER\n"), 0o600)
-	if code, _, errs := run("client", l.Addr().String(), "--script", script, "--within", "50ms"); code != Failed || !strings.Contains(errs, script+":2: waiting for NEVER") {
+	code, _, errs = run("client", l.Addr().String(), "--script", script, "--within", "50ms")
+	if code != Failed || !strings.Contains(errs, script+":2: waiting for NEVER") {
 		t.Errorf("%d, %q", code, errs)
 	}
 }
 
-// A reader that hangs on the socket is hung up on, others are answered, and the socket is its owner's only.
+// A reader that hangs on the socket is disconnected, others are answered, and the socket is its owner's only.
 func TestControlSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	s, err := control.Listen(path, control.Sources{}, zerolog.Nop())
@@ -206,13 +242,14 @@
 		t.Error("two daemons on one socket")
 	}
 	var hanging []net.Conn
-	for range 40 { // more than there is room for; they say nothing
+	for range 40 { // more than are served at once; they send nothing
 		if conn, err := net.Dial("unix", path); err == nil {
 			hanging = append(hanging, conn)
 		}
 	}
 	ok := false
-	for end := time.Now().Add(30 * time.Second); !ok && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	end := time.Now().Add(30 * time.Second)
+	for ; !ok && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		code, _, _ := run("timeline", "list", "--socket", path)
 		ok = code == 0
 	}
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 
 	"github.com/BurntSushi/toml"
@@ -21,50 +22,39 @@
 		Short: "Check files of any kind; each problem is a line that names the file and the key",
 		Args:  checkArguments(cobra.MinimumNArgs(1)),
 		RunE: func(_ *cobra.Command, files []string) error {
-			var all []error
+			var errs []error
 			for _, f := range files {
 				kind, err := p.checkFile(f)
 				if err != nil {
-					all = append(all, err)
+					errs = append(errs, err)
 					continue
 				}
 				fmt.Fprintf(p.Out, "%s: good (%s)\n", f, kind)
 			}
-			return errors.Join(all...)
+			return errors.Join(errs...)
 		},
 	})
 	return c
 }
 
-// checkFile reads a file as what its keys say it is.
+// checkFile reads a file as what its form and its keys say it is, and returns its kind.
 func (p *Program) checkFile(path string) (kind string, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
 	}
 	if strings.HasPrefix(strings.TrimSpace(string(text)), "{") || filepath.Ext(path) == ".json" {
-		getenv := func(key string) string {
-			if key == "LB_CONFIG" {
-				return path
-			}
-			return p.Getenv(key)
-		}
-		if _, err = lifecycle.ReadConfig(getenv, zerolog.Nop()); err != nil && !strings.Contains(err.Error(), path) {
-			err = fmt.Errorf("%s: %w", path, err)
-		}
-		return "platform", err
+		return "platform", p.checkPlatformFile(path)
 	}
 	var keys map[string]any
 	if _, err := toml.Decode(string(text), &keys); err != nil {
 		return "", fmt.Errorf("%s: %w", path, err)
 	}
 	has := func(names ...string) bool {
-		for _, n := range names {
-			if _, ok := keys[n]; ok {
-				return true
-			}
-		}
-		return false
+		return slices.ContainsFunc(names, func(name string) bool {
+			_, ok := keys[name]
+			return ok
+		})
 	}
 	switch {
 	case has("zookeeper", "host", "class"):
@@ -80,5 +70,21 @@
 		_, err = lifecycle.ReadTimelineConfig(path)
 		return "timeline", err
 	}
-	return "", fmt.Errorf("%s: no key says what it is for: zookeeper, host and class are of the XMPP front, site, seeds and founders of members, keys of moving with a token, socket and store of time lines", path)
+	return "", fmt.Errorf("%s: no key says what it is for: zookeeper, host and class are of the XMPP front, "+
+		"site, seeds and founders of members, keys of resume tokens, socket and store of time lines", path)
+}
+
+// checkPlatformFile reads a file as the relay reads the one that LB_CONFIG names. An error names the file.
+func (p *Program) checkPlatformFile(path string) error {
+	getenv := func(key string) string {
+		if key == "LB_CONFIG" {
+			return path
+		}
+		return p.Getenv(key)
+	}
+	_, err := lifecycle.ReadConfig(getenv, zerolog.Nop())
+	if err != nil && !strings.Contains(err.Error(), path) {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return err
 }
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -16,17 +16,23 @@
 func (p *Program) demoCommand() *cobra.Command {
 	var every time.Duration
 	var picture, keep string
-	c := &cobra.Command{Use: "demo", Short: "Run it all on loopback: discovery, servers, a relay, clients, a drain, a kill; then show the time line",
-		Args: checkArguments(cobra.NoArgs), RunE: func(cmd *cobra.Command, _ []string) error {
+	c := &cobra.Command{
+		Use: "demo",
+		Short: "Run it all on loopback: discovery, servers, a relay, clients, a drain, a kill; " +
+			"then show the time line",
+		Args: checkArguments(cobra.NoArgs),
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			return p.runDemo(cmd.Context(), every, picture, keep)
-		}}
+		},
+	}
 	c.Flags().DurationVar(&every, "every", 5*time.Second, "time between two things that happen")
 	c.Flags().StringVar(&picture, "picture", "", "also draw the time line into this `file`, PNG or SVG")
-	c.Flags().StringVar(&keep, "store", "", "keep the time line in this `file`, for `capersail timeline --store`")
+	c.Flags().StringVar(&keep, "store", "",
+		"keep the time line in this `file`, for `capersail timeline --store`")
 	return c
 }
 
-// runDemo runs the demo. The relay in it is the whole one, started as the program starts it.
+// runDemo runs the demo. Its relay is the complete one, started as the program starts it.
 func (p *Program) runDemo(ctx context.Context, every time.Duration, picture, keep string) error {
 	if ctx == nil {
 		ctx = context.Background()
@@ -44,16 +50,17 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	site, err := startDemoDeployment(ctx, dir, keep)
+	deployment, err := startDemoDeployment(ctx, dir, keep)
 	if err != nil {
 		return err
 	}
-	defer site.killServers()
-	p.printLine("a relay at %s, discovery, five servers, forty clients that watch scans and come back again and again", site.address)
-	leave := site.startClients(ctx)
+	defer deployment.killServers()
+	p.printLine("a relay at %s, discovery, five servers, forty clients that watch scans "+
+		"and come back again and again", deployment.address)
+	leave := deployment.startClients(ctx)
 	defer leave()
-	p.disturbServers(ctx, site, every)
-	all, err := site.report()
+	p.disturbServers(ctx, deployment, every)
+	all, err := deployment.report()
 	if err != nil {
 		return err
 	}
@@ -68,17 +75,21 @@
 		p.printLine("drawn into %s", picture)
 	}
 	leave()
-	return site.stop()
+	return deployment.stop()
 }
 
-func (p *Program) printLine(format string, args ...any) { fmt.Fprintf(p.Out, format+"\n", args...) }
+func (p *Program) printLine(format string, args ...any) {
+	fmt.Fprintf(p.Out, format+"\n", args...)
+}
 
-// disturbServers has one server drain, one die and one fall silent, in turn.
-func (p *Program) disturbServers(ctx context.Context, site *demoDeployment, every time.Duration) {
-	drained, killed, silent := site.servers[0], site.servers[1], site.servers[2]
+// disturbServers drains one server, kills one and has one fall silent, in turn.
+func (p *Program) disturbServers(ctx context.Context, deployment *demoDeployment, every time.Duration) {
+	drained := deployment.servers[0]
+	killed := deployment.servers[1]
+	silent := deployment.servers[2]
 	pause(ctx, every)
 	p.printLine("server-0 drains: the list says so, and it sends its clients away")
-	site.discovery.Set(drained.ID, drained.Address, "Terminating")
+	deployment.discovery.Set(drained.ID, drained.Address, "Terminating")
 	drained.SetRejecting(true)
 	for drained.MigrateOneIn(3) > 0 && ctx.Err() == nil {
 		pause(ctx, every/20)
@@ -91,11 +102,11 @@
 	silent.SetSilent(true)
 	pause(ctx, 2*every)
 	silent.SetSilent(false)
-	site.discovery.Set(killed.ID, killed.Address, "Gone")
+	deployment.discovery.Set(killed.ID, killed.Address, "Gone")
 	pause(ctx, every)
 }
 
-// drawReport draws a time line into a file.
+// drawReport draws a time line into a file, PNG or SVG by its name.
 func drawReport(r report.Report, path string) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -108,7 +119,7 @@
 	return f.Close()
 }
 
-// pause waits, but not longer than the context lasts.
+// pause waits for a time, or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/command/demo_deployment.go
+++ b/internal/command/demo_deployment.go
@@ -20,12 +20,16 @@
 )
 
 const demoConfig = `{"name": "demo", "listen": %q, "discovery": %q, "seed": "8c1f30d27a5be964",
-  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"generation": 0, "reset": true, "instances": []},
-  "settings": {"areas": ["hall-a"], "zone": "hall-a", "balancers": 1, "me": 0, "quantumMs": 5, "discovery": "ask",
+  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+  "known": {"generation": 0, "reset": true, "instances": []},
+  "settings": {
+    "areas": ["hall-a"], "zone": "hall-a", "balancers": 1, "me": 0, "quantumMs": 5, "discovery": "ask",
     "classes": [{"name": "map-stream", "semantics": "free", "aimMs": 800, "deadlineMs": 3200, "worth": 3}],
     "realms": [{"name": "acme", "portion": 1.0}],
-    "limits": {"connectTimeoutMs": 150, "maxRetryAfterMs": 1500, "mostTries": 6, "probes": true, "retryAfter": true},
-    "rules": {"askWithinMs": 10000, "coldMs": 8600, "fallMultiple": 4, "overloadForMs": 1500, "startCapacity": 0.36},
+    "limits": {
+      "connectTimeoutMs": 150, "maxRetryAfterMs": 1500, "mostTries": 6, "probes": true, "retryAfter": true},
+    "rules": {
+      "askWithinMs": 10000, "coldMs": 8600, "fallMultiple": 4, "overloadForMs": 1500, "startCapacity": 0.36},
     "specifics": {"reportX0": "load asked of the server over what it can do"}}}`
 
 // The demo's size.
@@ -38,36 +42,47 @@
 // demoDeployment is all that the demo runs on loopback.
 type demoDeployment struct {
 	address   string // the relay's
-	socket    string // where its time line is asked for
+	socket    string // of the relay's time line
 	discovery *fake.Discovery
 	servers   []*fake.ScanServer
-	signals   chan os.Signal
-	ended     chan error
+	signals   chan os.Signal // to the relay
+	ended     chan error     // gets the relay's end
 }
 
-// startDemoDeployment starts discovery, servers and a relay whose files are in dir. They run until the context ends.
+// startDemoDeployment starts discovery, servers and a relay whose files are in dir. They run until the
+// context ends, or stop and killServers. keep is the path of the time line's store, "" for none.
 func startDemoDeployment(ctx context.Context, dir, keep string) (*demoDeployment, error) {
-	d := &demoDeployment{socket: filepath.Join(dir, "control.sock"), signals: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	if err := d.startServers(ctx); err != nil {
+	d := &demoDeployment{
+		socket:  filepath.Join(dir, "control.sock"),
+		signals: make(chan os.Signal, 1),
+		ended:   make(chan error, 1),
+	}
+	if err := d.start(ctx, dir, keep); err != nil {
 		d.killServers()
 		return nil, err
 	}
+	return d, nil
+}
+
+func (d *demoDeployment) start(ctx context.Context, dir, keep string) error {
+	if err := d.startServers(ctx); err != nil {
+		return err
+	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		d.killServers()
-		return nil, err
+		return err
 	}
 	d.address = l.Addr().String()
 	l.Close()
-	config, lines := filepath.Join(dir, "config.json"), filepath.Join(dir, "timeline.toml")
-	for name, text := range map[string]string{
-		config: fmt.Sprintf(demoConfig, d.address, d.discovery.Address),
-		lines:  fmt.Sprintf("socket = %q\nstore = %q\n", d.socket, keep),
-	} {
-		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			d.killServers()
-			return nil, err
-		}
+	config := filepath.Join(dir, "config.json")
+	text := fmt.Sprintf(demoConfig, d.address, d.discovery.Address)
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		return err
+	}
+	timeline := filepath.Join(dir, "timeline.toml")
+	text = fmt.Sprintf("socket = %q\nstore = %q\n", d.socket, keep)
+	if err := os.WriteFile(timeline, []byte(text), 0o600); err != nil {
+		return err
 	}
 	getenv := func(key string) string {
 		if key == "LB_CONFIG" {
@@ -76,16 +91,14 @@
 		return ""
 	}
 	go func() {
-		d.ended <- lifecycle.Run(ctx, lifecycle.Sources{Getenv: getenv, Timeline: lines}, d.signals, zerolog.Nop())
+		sources := lifecycle.Sources{Getenv: getenv, Timeline: timeline}
+		d.ended <- lifecycle.Run(ctx, sources, d.signals, zerolog.Nop())
 	}()
-	if err := d.awaitReady(ctx); err != nil {
-		d.killServers()
-		return nil, err
-	}
-	return d, nil
+	return d.awaitReady(ctx)
 }
 
-// awaitReady waits until the relay takes clients and tells its time line.
+// awaitReady waits until the relay accepts clients and answers with its time line. It fails if the relay or
+// the context ends.
 func (d *demoDeployment) awaitReady(ctx context.Context) error {
 	for {
 		conn, err := net.Dial("tcp", d.address)
@@ -107,10 +120,12 @@
 
 // startServers starts discovery and the servers.
 func (d *demoDeployment) startServers(ctx context.Context) (err error) {
-	if d.discovery, err = fake.NewDiscovery("127.0.0.1:0"); err != nil {
+	d.discovery, err = fake.NewDiscovery("127.0.0.1:0")
+	if err != nil {
 		return err
 	}
-	feed, ledger := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done()), fake.NewLedger()
+	feed := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done())
+	ledger := fake.NewLedger()
 	for i := range demoServers {
 		s, err := fake.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, ledger)
 		if err != nil {
@@ -123,18 +138,15 @@
 	return nil
 }
 
-// startClients lets the clients come, each of which watches for some seconds and comes back. What it returns sends them away.
+// startClients starts the clients, each of which watches for some seconds and comes back. What it returns
+// ends them.
 func (d *demoDeployment) startClients(ctx context.Context) (leave func()) {
 	watching, stop := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	for i := range demoClients {
 		clients.Go(func() {
 			for n := 0; watching.Err() == nil; n++ {
-				v := &fake.Viewer{Name: fmt.Sprintf("c%d.%d", i, n), OpenFields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), WaitLimit: 3 * time.Second,
-					SendEvery: time.Second, RelayAddress: func() string { return d.address }}
-				one, done := context.WithTimeout(watching, time.Duration(2000+137*((i*7+n*11)%40))*time.Millisecond)
-				v.Run(one)
-				done()
+				d.watchOnce(watching, i, n)
 			}
 		})
 	}
@@ -144,7 +156,22 @@
 	}
 }
 
-// report asks the relay for its time line.
+// watchOnce is the n-th visit of client i, 2 to 7.3 s long.
+func (d *demoDeployment) watchOnce(ctx context.Context, i, n int) {
+	length := time.Duration(2000+137*((i*7+n*11)%40)) * time.Millisecond
+	ctx, done := context.WithTimeout(ctx, length)
+	defer done()
+	v := &fake.Viewer{
+		Name:         fmt.Sprintf("c%d.%d", i, n),
+		OpenFields:   fmt.Sprintf("%x c=map-stream,t=acme", i+1),
+		WaitLimit:    3 * time.Second,
+		SendEvery:    time.Second,
+		RelayAddress: func() string { return d.address },
+	}
+	v.Run(ctx)
+}
+
+// report returns the relay's time line.
 func (d *demoDeployment) report() (report.Report, error) {
 	all, err := control.Ask(d.socket, report.Query{})
 	if err != nil {
@@ -156,13 +183,13 @@
 	return *all[0], nil
 }
 
-// stop ends the relay in order.
+// stop shuts the relay down gracefully, and returns its error.
 func (d *demoDeployment) stop() error {
 	d.signals <- syscall.SIGTERM
 	return <-d.ended
 }
 
-// killServers ends the servers.
+// killServers ends the servers at once. It may be called again.
 func (d *demoDeployment) killServers() {
 	for _, s := range d.servers {
 		s.Kill()
--- a/internal/command/demo_test.go
+++ b/internal/command/demo_test.go
@@ -8,22 +8,22 @@
 	"capersail/internal/observe/timeline"
 )
 
-// The demo's first phase is quiet: five servers, at a third of their load, refuse fewer than one request in twenty. It lasts
-// until each client has come twice, so the clock has no part in the verdict.
+// The demo's first phase is quiet: five servers, at a third of their load, reject fewer than one request in
+// twenty. It lasts until each client has come twice, so the clock has no part in the verdict.
 func TestQuietDemoRefusesFew(t *testing.T) {
 	ctx := t.Context()
-	site, err := startDemoDeployment(ctx, t.TempDir(), "")
+	deployment, err := startDemoDeployment(ctx, t.TempDir(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer site.killServers()
-	leave := site.startClients(ctx)
+	defer deployment.killServers()
+	leave := deployment.startClients(ctx)
 	defer leave()
-	var placed, refused uint32
+	var placed, rejected uint32
 	var fleet timeline.Interval
-	for placed+refused < 2*demoClients {
+	for placed+rejected < 2*demoClients {
 		pause(ctx, 200*time.Millisecond)
-		r, err := site.report()
+		r, err := deployment.report()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,14 +36,14 @@
 				}
 			}
 		}
-		refused = fleet.Rejections
+		rejected = fleet.Rejections
 	}
-	t.Logf("placed %d, refused %d:%s", placed, refused, report.RejectionsByReason(fleet))
-	if refused*20 >= placed {
-		t.Errorf("placed %d, refused %d:%s", placed, refused, report.RejectionsByReason(fleet))
+	t.Logf("placed %d, rejected %d:%s", placed, rejected, report.RejectionsByReason(fleet))
+	if rejected*20 >= placed {
+		t.Errorf("placed %d, rejected %d:%s", placed, rejected, report.RejectionsByReason(fleet))
 	}
 	leave()
-	if err := site.stop(); err != nil {
+	if err := deployment.stop(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -13,49 +13,60 @@
 	"capersail/internal/fleet/probing"
 )
 
-// fleetCommand is the command that asks a relay for its part of what all relays do together.
+// fleetCommand returns the command that asks a relay for its part of what all relays do together.
 func (p *Program) fleetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "A relay's part of what all relays do together",
-		Long: "A relay's part of what all relays do together: which servers it looks at for all and why, whose readings it goes by, and\n" +
-			"what share of a budget it takes. The relay is asked on its socket, named by --config (its file for members) or --socket."}
-	where := addSocketFlags(c)
-	c.AddCommand(&cobra.Command{Use: "show", Short: "Every server: who looks at it, whose reading counts, how old it is", Args: checkArguments(cobra.NoArgs),
+	c := &cobra.Command{
+		Use:   "fleet",
+		Short: "A relay's part of what all relays do together",
+		Long: `A relay's part of what all relays do together: which servers it probes for all and why, whose load
+reports it goes by, and what share of a budget it takes. The relay is asked on its socket, named by --config
+(its file for members) or --socket.`,
+	}
+	socket := addSocketFlags(c)
+	c.AddCommand(&cobra.Command{
+		Use:   "show",
+		Short: "Every server: who probes it, whose load report counts, how old it is",
+		Args:  checkArguments(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
-			path, err := where()
+			path, err := socket()
 			if err != nil {
 				return err
 			}
-			fleet, looks, err := control.AskLooks(path)
+			fleet, probed, err := control.AskLooks(path)
 			if err != nil {
 				return exitError{NoAnswer, err}
 			}
-			return showFleet(p.Out, fleet, looks)
-		}})
+			return showFleet(p.Out, fleet, probed)
+		},
+	})
 	return c
 }
 
-func showFleet(w io.Writer, fleet *membership.Report, looks *probing.Report) error {
+// showFleet prints a row for each server.
+func showFleet(w io.Writer, fleet *membership.Report, probed *probing.Report) error {
 	fmt.Fprintln(w, headline(fleet))
-	if looks == nil || looks.Relays < 2 {
+	if probed == nil || probed.Relays < 2 {
 		fmt.Fprintln(w, "it looks at servers for itself: nobody shares readings with it")
 		return nil
 	}
 	mine := 0
-	for _, s := range looks.Servers {
+	for _, s := range probed.Servers {
 		if s.Assigned {
 			mine++
 		}
 	}
-	fmt.Fprintf(w, "it looks at %d of %d servers for %d relays: %d looks by turns, %d readings of others taken in\n", mine, len(looks.Servers), looks.Relays, looks.Probes, looks.Received)
-	if len(looks.Quarantined) > 0 {
-		fmt.Fprintln(w, "left out, as two others contradict them:", strings.Join(looks.Quarantined, " "))
+	fmt.Fprintf(w, "it looks at %d of %d servers for %d relays: "+
+		"%d looks by turns, %d readings of others taken in\n",
+		mine, len(probed.Servers), probed.Relays, probed.Probes, probed.Received)
+	if len(probed.Quarantined) > 0 {
+		fmt.Fprintln(w, "left out, as two others contradict them:", strings.Join(probed.Quarantined, " "))
 	}
 	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tab, "SERVER\tZONE\tLOOKED AT\tLOAD\tAGE MS\tREAD BY")
-	for _, s := range looks.Servers {
+	for _, s := range probed.Servers {
 		own := "by others"
 		if s.Assigned {
-			own = fmt.Sprintf("by this relay, turn %d of %d", s.Rank+1, min(probing.ProbersPerServer, looks.Relays))
+			own = fmt.Sprintf("by this relay, turn %d of %d", s.Rank+1, min(probing.ProbersPerServer, probed.Relays))
 		}
 		by := s.Origin
 		if by == "" {
@@ -66,6 +77,6 @@
 	if err := tab.Flush(); err != nil {
 		return err
 	}
-	showCounts(w, "readings left out:", looks.Dropped)
+	showCounts(w, "readings left out:", probed.Dropped)
 	return nil
 }
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -1,6 +1,7 @@
 package command
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -19,15 +20,18 @@
 	"capersail/internal/fleet/membership"
 )
 
-// membersCommand are the commands that ask a relay what it knows of the others.
+// membersCommand returns the commands that ask a relay what it knows of the others.
 func (p *Program) membersCommand() *cobra.Command {
-	var every time.Duration
-	c := &cobra.Command{Use: "members", Short: "What a relay knows of the others",
-		Long: "What a relay knows of the others: who is there, how far they agree, and what share this relay takes. The relay is\n" +
-			"asked on its socket, named by --config (the file that the relay has as --members) or by --socket."}
-	where := addSocketFlags(c)
+	c := &cobra.Command{
+		Use:   "members",
+		Short: "What a relay knows of the others",
+		Long: `What a relay knows of the others: who is there, how far they agree, and what share this relay takes.
+The relay is asked on its socket, named by --config (the file that the relay has as --members) or by
+--socket.`,
+	}
+	socket := addSocketFlags(c)
 	ask := func() (*membership.Report, *cells.Report, error) {
-		path, err := where()
+		path, err := socket()
 		if err != nil {
 			return nil, nil, err
 		}
@@ -37,42 +41,60 @@
 		}
 		return r, known, nil
 	}
-	list := &cobra.Command{Use: "list", Short: "Every relay of its cell: its state, since when, how it is known, its share; then regions and cells", Args: checkArguments(cobra.NoArgs),
+	list := &cobra.Command{
+		Use:   "list",
+		Short: "Every relay of its cell: its state, since when, how it is known, its share; then regions and cells",
+		Args:  checkArguments(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			r, known, err := ask()
 			if err != nil {
 				return err
 			}
 			return errors.Join(showMembers(p.Out, r), showCells(p.Out, r, known))
-		}}
-	watch := &cobra.Command{Use: "watch", Short: "A line for each change, until interrupted", Args: checkArguments(cobra.NoArgs),
+		},
+	}
+	var every time.Duration
+	watch := &cobra.Command{
+		Use:   "watch",
+		Short: "A line for each change, until interrupted",
+		Args:  checkArguments(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			var last *membership.Report
-			var lastCells *cells.Report
-			for {
-				r, known, err := ask()
-				if err != nil {
-					return err
-				}
-				for _, line := range append(memberChanges(last, r), cellChanges(lastCells, known)...) {
-					fmt.Fprintln(p.Out, time.Now().Format("15:04:05.000"), line)
-				}
-				last, lastCells = r, known
-				select {
-				case <-ctx.Done():
-					return nil
-				case <-time.After(every):
-				}
-			}
-		}}
+			return p.watchMembers(ctx, ask, every)
+		},
+	}
 	watch.Flags().DurationVar(&every, "every", 500*time.Millisecond, "how often the relay is asked")
 	c.AddCommand(list, watch)
 	return c
 }
 
-// addSocketFlags gives a command the flags that say which relay is asked, and returns what finds its socket.
+// watchMembers prints a line for each change of a relay's answers until the context ends, or none comes.
+func (p *Program) watchMembers(
+	ctx context.Context, ask func() (*membership.Report, *cells.Report, error), every time.Duration,
+) error {
+	var last *membership.Report
+	var lastCells *cells.Report
+	for {
+		r, known, err := ask()
+		if err != nil {
+			return err
+		}
+		for _, line := range append(memberChanges(last, r), cellChanges(lastCells, known)...) {
+			fmt.Fprintln(p.Out, time.Now().Format("15:04:05.000"), line)
+		}
+		last = r
+		lastCells = known
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(every):
+		}
+	}
+}
+
+// addSocketFlags gives a command the flags that say which relay is asked, and returns a function that finds
+// the path of its socket.
 func addSocketFlags(c *cobra.Command) func() (string, error) {
 	var socket, config string
 	c.PersistentFlags().StringVar(&config, "config", "", "the relay's `file` for members")
@@ -95,7 +117,7 @@
 	}
 }
 
-// headline is a relay's own state in a line.
+// headline returns a relay's own state in a line.
 func headline(r *membership.Report) string {
 	line := fmt.Sprintf("%s at %s: %s, epoch %d", r.Relay, r.Site, r.Phase, r.Epoch)
 	if r.Epoch > 0 {
@@ -108,13 +130,15 @@
 	return line
 }
 
+// showMembers prints a row for each relay.
 func showMembers(w io.Writer, r *membership.Report) error {
 	fmt.Fprintln(w, headline(r))
 	if r.AgreedMs > 2000 {
 		fmt.Fprintf(w, "agreed last %s ago\n", (time.Duration(r.AgreedMs) * time.Millisecond).Round(time.Second))
 	}
 	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(tab, "RELAY\tSTATE\tSINCE\tDOES\tZONE\tVIEW\tSHARE\tMAY TAKE\tEPOCH\tSTARTS\tPER S\tHELD\tKNOWN BY")
+	fmt.Fprintln(tab,
+		"RELAY\tSTATE\tSINCE\tDOES\tZONE\tVIEW\tSHARE\tMAY TAKE\tEPOCH\tSTARTS\tPER S\tHELD\tKNOWN BY")
 	for _, m := range r.Members {
 		view := "-"
 		if m.Member {
@@ -123,8 +147,10 @@
 		if m.Voter {
 			view += ", voter"
 		}
-		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%s\t%s\t%.4f\t%.4f\t%d\t%d\t%.1f\t%d\t%s\n", m.Name, m.State, (time.Duration(m.SinceMs) * time.Millisecond).Round(100*time.Millisecond),
-			m.Lifecycle, m.Zone, view, m.BudgetShare, max(m.BudgetShare, m.OutstandingLimit), m.Epoch, m.Incarnation, m.RequestRate, m.OpenConnections, m.Source)
+		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%s\t%s\t%.4f\t%.4f\t%d\t%d\t%.1f\t%d\t%s\n",
+			m.Name, m.State, ago(float64(m.SinceMs)), m.Lifecycle, m.Zone, view,
+			m.BudgetShare, max(m.BudgetShare, m.OutstandingLimit), m.Epoch, m.Incarnation,
+			m.RequestRate, m.OpenConnections, m.Source)
 	}
 	if err := tab.Flush(); err != nil {
 		return err
@@ -133,20 +159,20 @@
 	return nil
 }
 
-// showCounts is a line of what was left out, by reason; none where nothing was.
+// showCounts prints a line of what was left out, by reason; none where nothing was.
 func showCounts(w io.Writer, what string, counts map[string]uint64) {
 	if len(counts) == 0 {
 		return
 	}
 	var all []string
-	for why, n := range counts {
-		all = append(all, fmt.Sprintf("%s %d", why, n))
+	for reason, n := range counts {
+		all = append(all, fmt.Sprintf("%s %d", reason, n))
 	}
 	sort.Strings(all)
 	fmt.Fprintln(w, what, strings.Join(all, ", "))
 }
 
-// memberChanges are the differences between two answers of a relay, a line each.
+// memberChanges returns the differences between two answers of a relay, a line each.
 func memberChanges(old, now *membership.Report) (lines []string) {
 	if old == nil || old.Phase != now.Phase || old.Epoch != now.Epoch || old.BudgetShare != now.BudgetShare {
 		lines = append(lines, headline(now))
@@ -160,7 +186,7 @@
 	for _, m := range now.Members {
 		was, known := before[m.Name]
 		delete(before, m.Name)
-		if known && was.State == m.State && was.Lifecycle == m.Lifecycle && was.Member == m.Member && was.Incarnation == m.Incarnation {
+		if known && !memberChanged(was, m) {
 			continue
 		}
 		line := fmt.Sprintf("%s: %s, %s", m.Name, m.State, m.Lifecycle)
@@ -174,3 +200,8 @@
 	}
 	return lines
 }
+
+func memberChanged(was, now membership.MemberReport) bool {
+	return was.State != now.State || was.Lifecycle != now.Lifecycle || was.Member != now.Member ||
+		was.Incarnation != now.Incarnation
+}
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -22,80 +22,109 @@
 	"capersail/internal/store"
 )
 
-// reportSource is where time lines are read.
+// reportSource says where reports of time lines are read, and which part of them.
 type reportSource struct {
 	config, socket, store string
 	since                 time.Duration
 	from, to              string
 }
 
+// timelineCommand returns the commands that read time lines.
 func (p *Program) timelineCommand() *cobra.Command {
 	var s reportSource
-	c := &cobra.Command{Use: "timeline", Short: "What servers did, and what was decided about them",
-		Long: `What servers did, and what was decided about them. A running relay is asked on its socket; if none answers, its
-store is read. Both are named by --config (the file that the relay has as --timeline), or by --socket and --store.`}
-	c.PersistentFlags().StringVar(&s.config, "config", "", "the relay's `file` for time lines")
-	c.PersistentFlags().StringVar(&s.socket, "socket", "", "`path` of a running relay's socket")
-	c.PersistentFlags().StringVar(&s.store, "store", "", "`path` of a store")
-	c.PersistentFlags().DurationVar(&s.since, "since", 0, "only the last so long, such as 90m")
-	c.PersistentFlags().StringVar(&s.from, "from", "", "only from this `time` on: 2026-12-01T04:30:00Z, or Unix ms")
-	c.PersistentFlags().StringVar(&s.to, "to", "", "only up to this `time`")
-
-	show := func(use, short string, args cobra.PositionalArgs, f func(io.Writer, *report.Report) error) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: checkArguments(args), RunE: func(_ *cobra.Command, servers []string) error {
-			all, err := s.readReports(servers)
-			if err != nil {
-				return err
-			}
-			for _, r := range all {
-				if err := f(p.Out, r); err != nil {
-					return err
-				}
-			}
-			return nil
-		}}
+	c := &cobra.Command{
+		Use:   "timeline",
+		Short: "What servers did, and what was decided about them",
+		Long: `What servers did, and what was decided about them. A running relay is asked on its socket; if none
+answers, its store is read. Both are named by --config (the file that the relay has as --timeline), or by
+--socket and --store.`,
+	}
+	flags := c.PersistentFlags()
+	flags.StringVar(&s.config, "config", "", "the relay's `file` for time lines")
+	flags.StringVar(&s.socket, "socket", "", "`path` of a running relay's socket")
+	flags.StringVar(&s.store, "store", "", "`path` of a store")
+	flags.DurationVar(&s.since, "since", 0, "only the last so long, such as 90m")
+	flags.StringVar(&s.from, "from", "", "only from this `time` on: 2026-12-01T04:30:00Z, or Unix ms")
+	flags.StringVar(&s.to, "to", "", "only up to this `time`")
+	list := &cobra.Command{
+		Use:   "list",
+		Short: "One line a server",
+		Args:  checkArguments(cobra.NoArgs),
+		RunE: func(*cobra.Command, []string) error {
+			return s.eachReport(nil, func(r *report.Report) error { return r.WriteList(p.Out) })
+		},
 	}
+	c.AddCommand(list, p.showCommand(&s), p.eventsCommand(&s), p.watchCommand(&s), p.exportCommand(&s))
+	return c
+}
+
+func (p *Program) showCommand(s *reportSource) *cobra.Command {
 	width := 60
-	list := show("list", "One line a server", cobra.NoArgs, func(w io.Writer, r *report.Report) error { return r.WriteList(w) })
-	line := show("show [SERVER...]", "A line drawn in the terminal", cobra.ArbitraryArgs,
-		func(w io.Writer, r *report.Report) error { return r.WriteDrawing(w, width) })
-	line.Flags().IntVar(&width, "width", width, "characters for the load")
-	events := show("events [SERVER...]", "Departures from usual ways", cobra.ArbitraryArgs, func(w io.Writer, r *report.Report) error {
-		for _, e := range r.Events() {
-			fmt.Fprintln(w, report.FormatEvent(e))
-		}
-		return nil
-	})
+	c := &cobra.Command{
+		Use:   "show [SERVER...]",
+		Short: "A line drawn in the terminal",
+		Args:  checkArguments(cobra.ArbitraryArgs),
+		RunE: func(_ *cobra.Command, servers []string) error {
+			return s.eachReport(servers, func(r *report.Report) error { return r.WriteDrawing(p.Out, width) })
+		},
+	}
+	c.Flags().IntVar(&width, "width", width, "characters for the load")
+	return c
+}
+
+func (p *Program) eventsCommand(s *reportSource) *cobra.Command {
 	var follow bool
-	events.Flags().BoolVarP(&follow, "follow", "f", false, "go on with events as they come")
-	once := events.RunE
-	events.RunE = func(cmd *cobra.Command, servers []string) error {
-		if !follow {
-			return once(cmd, servers)
-		}
-		return s.follow(p.Out, servers)
+	c := &cobra.Command{
+		Use:   "events [SERVER...]",
+		Short: "Anomalies of servers",
+		Args:  checkArguments(cobra.ArbitraryArgs),
+		RunE: func(_ *cobra.Command, servers []string) error {
+			if follow {
+				return s.follow(p.Out, servers)
+			}
+			return s.eachReport(servers, func(r *report.Report) error {
+				printEvents(p.Out, r)
+				return nil
+			})
+		},
 	}
-	c.AddCommand(list, line, events, p.watchCommand(&s), p.exportCommand(&s))
+	c.Flags().BoolVarP(&follow, "follow", "f", false, "go on with events as they come")
 	return c
 }
 
+func printEvents(w io.Writer, r *report.Report) {
+	for _, e := range r.Events() {
+		fmt.Fprintln(w, report.FormatEvent(e))
+	}
+}
+
+// eachReport calls f with each report of servers, all servers if none is named.
+func (s *reportSource) eachReport(servers []string, f func(*report.Report) error) error {
+	all, err := s.readReports(servers)
+	if err != nil {
+		return err
+	}
+	for _, r := range all {
+		if err := f(r); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 func (p *Program) exportCommand(s *reportSource) *cobra.Command {
 	var format, out string
-	c := &cobra.Command{Use: "export [SERVER...]", Short: "Write JSON lines, CSV, or a picture (PNG, SVG)", Args: checkArguments(cobra.ArbitraryArgs),
+	c := &cobra.Command{
+		Use:   "export [SERVER...]",
+		Short: "Write JSON lines, CSV, or a picture (PNG, SVG)",
+		Args:  checkArguments(cobra.ArbitraryArgs),
 		RunE: func(_ *cobra.Command, servers []string) error {
 			if format == "" {
 				format = strings.TrimPrefix(filepath.Ext(out), ".")
 			}
-			var write func(io.Writer, *report.Report) error
-			switch format {
-			case "json", "jsonl":
-				write = func(w io.Writer, r *report.Report) error { return r.WriteJSON(w) }
-			case "csv":
-				write = func(w io.Writer, r *report.Report) error { return r.WriteCSV(w) }
-			case "png", "svg":
-				write = func(w io.Writer, r *report.Report) error { return chart.Write(w, r, format) }
-			default:
-				return usageError(fmt.Errorf("format: %q is none of json, csv, png, svg", format))
+			write, err := reportWriter(format)
+			if err != nil {
+				return err
 			}
 			all, err := s.readReports(servers)
 			if err != nil {
@@ -104,23 +133,43 @@
 			if out == "" || out == "-" {
 				return write(p.Out, all[0])
 			}
-			f, err := os.Create(out)
-			if err != nil {
-				return err
-			}
-			if err := write(f, all[0]); err != nil {
-				f.Close()
-				os.Remove(out)
-				return err
-			}
-			return f.Close()
-		}}
+			return writeReport(out, all[0], write)
+		},
+	}
 	c.Flags().StringVar(&format, "format", "", "json, csv, png or svg; else by the output's name")
 	c.Flags().StringVarP(&out, "output", "o", "", "`file`; standard output without it")
 	return c
 }
 
-// resolve fills in what the configuration names.
+// reportWriter returns what writes a report in a format. It fails for a format that there is not.
+func reportWriter(format string) (func(io.Writer, *report.Report) error, error) {
+	switch format {
+	case "json", "jsonl":
+		return func(w io.Writer, r *report.Report) error { return r.WriteJSON(w) }, nil
+	case "csv":
+		return func(w io.Writer, r *report.Report) error { return r.WriteCSV(w) }, nil
+	case "png", "svg":
+		return func(w io.Writer, r *report.Report) error { return chart.Write(w, r, format) }, nil
+	}
+	return nil, usageError(fmt.Errorf("format: %q is none of json, csv, png, svg", format))
+}
+
+// writeReport writes a report to a file, and leaves none if that fails.
+func writeReport(path string, r *report.Report, write func(io.Writer, *report.Report) error) error {
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	if err := write(f, r); err != nil {
+		f.Close()
+		os.Remove(path)
+		return err
+	}
+	return f.Close()
+}
+
+// resolve takes socket and store from the configuration where they are not named. It fails if neither is
+// known.
 func (s *reportSource) resolve() error {
 	if s.config != "" {
 		t, err := lifecycle.ReadTimelineConfig(s.config)
@@ -140,6 +189,7 @@
 	return nil
 }
 
+// parseTime reads a time, as RFC 3339 or in Unix ms, and returns it in Unix ms; 0 for "". name is the flag's.
 func parseTime(name, text string) (float64, error) {
 	if text == "" {
 		return 0, nil
@@ -149,11 +199,13 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, usageError(fmt.Errorf("%s: %q is neither a time like 2026-12-01T04:30:00Z nor Unix ms", name, text))
+		err := fmt.Errorf("%s: %q is neither a time like 2026-12-01T04:30:00Z nor Unix ms", name, text)
+		return 0, usageError(err)
 	}
 	return float64(t.UnixMilli()), nil
 }
 
+// query returns what is asked for by the flags.
 func (s *reportSource) query(servers []string) (q report.Query, err error) {
 	q.Servers = servers
 	if q.From, err = parseTime("from", s.from); err != nil {
@@ -177,16 +229,16 @@
 	if err != nil {
 		return nil, err
 	}
-	var first error
+	var noAnswer error
 	if s.socket != "" {
 		all, err := control.Ask(s.socket, q)
 		if err == nil {
 			return all, nil
 		}
-		first = err
+		noAnswer = err
 	}
 	if s.store == "" {
-		return nil, exitError{NoAnswer, first}
+		return nil, exitError{NoAnswer, noAnswer}
 	}
 	if _, err := os.Stat(s.store); err != nil {
 		return nil, exitError{NoAnswer, err}
@@ -203,7 +255,7 @@
 	return []*report.Report{r}, nil
 }
 
-// follow prints events as they come, those that there are first.
+// follow prints the events that there are, and further ones as they come.
 func (s *reportSource) follow(w io.Writer, servers []string) error {
 	if err := s.resolve(); err != nil {
 		return err
