--- a/examples/resume/main.go
+++ b/examples/resume/main.go
@@ -1,5 +1,6 @@
-// Command resume shows a stream that moves with its token: two relays, three servers and a claim service on
-// loopback, and one client that watches numbered scans while a server drains and its relay is killed.
+// Command resume shows a stream that moves with its resume token: two relays, three servers and an ownership
+// service on loopback, and one client that watches numbered scans while a server drains and its relay is
+// killed.
 package main
 
 import (
@@ -12,6 +13,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"sync/atomic"
 	"time"
 
@@ -20,7 +22,7 @@
 
 func main() {
 	relay := flag.String("relay", "bin/capersail", "the relay's `program`")
-	every := flag.Duration("every", 4*time.Second, "time between two troubles")
+	every := flag.Duration("every", 4*time.Second, "time between two disturbances")
 	flag.Parse()
 	if err := run(*relay, *every); err != nil {
 		fmt.Fprintln(os.Stderr, "resume:", err)
@@ -29,12 +31,29 @@
 }
 
 const config = `{"name": %q, "listen": %q, "discovery": %q, "seed": "8c1f30d27a5be964",
-  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"generation": 0, "reset": true, "instances": []},
-  "settings": {"areas": ["hall-a"], "zone": "hall-a", "balancers": 2, "me": %d, "quantumMs": 5, "discovery": "ask",
+  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+  "known": {"generation": 0, "reset": true, "instances": []},
+  "settings": {
+    "areas": ["hall-a"], "zone": "hall-a", "balancers": 2, "me": %d, "quantumMs": 5, "discovery": "ask",
     "classes": [{"name": "map-stream", "semantics": "free", "aimMs": 800, "deadlineMs": 3200, "worth": 3}],
     "realms": [{"name": "acme", "portion": 1.0}],
-    "limits": {"connectTimeoutMs": 150, "maxRetryAfterMs": 1500, "mostTries": 6, "probes": true, "retryAfter": true},
-    "rules": {"askWithinMs": 10000, "coldMs": 8600, "fallMultiple": 4, "overloadForMs": 1500, "startCapacity": 0.36}}}`
+    "limits": {
+      "connectTimeoutMs": 150, "maxRetryAfterMs": 1500, "mostTries": 6, "probes": true, "retryAfter": true},
+    "rules": {
+      "askWithinMs": 10000, "coldMs": 8600, "fallMultiple": 4, "overloadForMs": 1500,
+      "startCapacity": 0.36}}}`
+
+// deployment is what the example runs on loopback.
+type deployment struct {
+	dir       string // for the relays' files
+	program   string // of the relays
+	discovery *fake.Discovery
+	ledger    *fake.Ledger
+	servers   map[string]*fake.ScanServer
+	serving   atomic.Value // the ID of the server that has the stream
+	relays    []*exec.Cmd
+	addresses []string // of the relays
+}
 
 func run(program string, every time.Duration) error {
 	ctx, stop := context.WithCancel(context.Background())
@@ -44,98 +63,129 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	zk, err := fake.NewZooKeeper("/")
-	if err != nil {
+	d := &deployment{dir: dir, program: program}
+	if err := d.startServers(ctx); err != nil {
+		return err
+	}
+	if err := d.startRelays(ctx); err != nil {
 		return err
 	}
-	list, err := fake.NewDiscovery("127.0.0.1:0")
+	d.play(ctx, every)
+	return nil
+}
+
+// startServers starts discovery and three servers of one feed of scans.
+func (d *deployment) startServers(ctx context.Context) (err error) {
+	d.discovery, err = fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	list.ExtraFields = `,"resumes":true`
-	feed, ledger := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done()), fake.NewLedger()
-	servers := map[string]*fake.ScanServer{}
-	var at atomic.Value // the server that has the stream
+	d.discovery.ExtraFields = `,"resumes":true`
+	feed := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done())
+	d.ledger = fake.NewLedger()
+	d.servers = map[string]*fake.ScanServer{}
 	for i := range 3 {
-		s, err := fake.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, ledger)
+		s, err := fake.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, d.ledger)
 		if err != nil {
 			return err
 		}
 		s.OnFirstLine = func(line string) {
-			at.Store(s.ID)
-			fmt.Printf("  %s was told: ...%s\n", s.ID, line[max(0, len(line)-100):])
+			d.serving.Store(s.ID)
+			fmt.Printf("  %s was sent: ...%s\n", s.ID, line[max(0, len(line)-100):])
 		}
-		servers[s.ID] = s
-		list.Set(s.ID, s.Address, "Ready")
+		d.servers[s.ID] = s
+		d.discovery.Set(s.ID, s.Address, "Ready")
 	}
-	secret := make([]byte, 32)
-	rand.Read(secret)
-	keys, file := filepath.Join(dir, "keys.toml"), filepath.Join(dir, "resume.toml")
-	texts := map[string]string{
-		keys: fmt.Sprintf("[[key]]\nid = \"demo\"\nsecret = %q\n", base64.StdEncoding.EncodeToString(secret)),
-		file: fmt.Sprintf("servers = [%q]\npath = \"/demo/streams\"\nsession_ms = 4000\nkeys = %q\nrenew_ms = 1000\n", zk.Address, keys),
-	}
-	for name, text := range texts {
-		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			return err
-		}
+	return nil
+}
+
+// startRelays starts two relays that share an ownership service and keys. They end with the context.
+func (d *deployment) startRelays(ctx context.Context) error {
+	resumeFile, err := d.writeResumeFile()
+	if err != nil {
+		return err
 	}
-	var relays []*exec.Cmd
-	var addresses []string
 	for i := range 2 {
-		address, err := free()
+		address, err := freeAddress()
 		if err != nil {
 			return err
 		}
-		path := filepath.Join(dir, fmt.Sprint("relay-", i, ".json"))
-		if err := os.WriteFile(path, fmt.Appendf(nil, config, fmt.Sprint("relay-", i), address, list.Address, i), 0o600); err != nil {
+		name := fmt.Sprint("relay-", i)
+		path := filepath.Join(d.dir, name+".json")
+		text := fmt.Appendf(nil, config, name, address, d.discovery.Address, i)
+		if err := os.WriteFile(path, text, 0o600); err != nil {
 			return err
 		}
-		cmd := exec.CommandContext(ctx, program, "-resume", file)
+		cmd := exec.CommandContext(ctx, d.program, "-resume", resumeFile)
 		cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
 		if err := cmd.Start(); err != nil {
 			return fmt.Errorf("%w; `go build -o bin/ ./cmd/...` builds it", err)
 		}
-		relays, addresses = append(relays, cmd), append(addresses, address)
+		d.relays = append(d.relays, cmd)
+		d.addresses = append(d.addresses, address)
+	}
+	return nil
+}
+
+// writeResumeFile starts the ownership service and writes the operator's file that names it, whose path it
+// returns.
+func (d *deployment) writeResumeFile() (string, error) {
+	zk, err := fake.NewZooKeeper("/")
+	if err != nil {
+		return "", err
+	}
+	secret := make([]byte, 32)
+	rand.Read(secret)
+	keys := filepath.Join(d.dir, "keys.toml")
+	text := fmt.Sprintf("[[key]]\nid = \"demo\"\nsecret = %q\n", base64.StdEncoding.EncodeToString(secret))
+	if err := os.WriteFile(keys, []byte(text), 0o600); err != nil {
+		return "", err
+	}
+	file := filepath.Join(d.dir, "resume.toml")
+	text = fmt.Sprintf("servers = [%q]\nkeys = %q\n", zk.Address, keys) +
+		"path = \"/demo/streams\"\nsession_ms = 4000\nrenew_ms = 1000\n"
+	return file, os.WriteFile(file, []byte(text), 0o600)
+}
+
+// play runs a client through a drain and a relay's death, and prints what it saw.
+func (d *deployment) play(ctx context.Context, every time.Duration) {
+	var relay atomic.Int32 // that the client connects to
+	v := &fake.Viewer{
+		Name:         "demo",
+		OpenFields:   "7f3a c=map-stream,t=acme",
+		WaitLimit:    3 * time.Second,
+		UseTokens:    true,
+		SendEvery:    time.Second,
+		RelayAddress: func() string { return d.addresses[relay.Load()] },
+		OnEvent:      func(text string) { fmt.Println("  client:", text) },
 	}
-	var relay atomic.Int32
-	v := &fake.Viewer{Name: "demo", OpenFields: "7f3a c=map-stream,t=acme", WaitLimit: 3 * time.Second, UseTokens: true,
-		SendEvery: time.Second, RelayAddress: func() string { return addresses[relay.Load()] }}
-	v.OnEvent = func(text string) { fmt.Println("  client:", text) }
 	go v.Run(ctx)
 	fmt.Println("two relays, three servers, one stream of scans, one each 100 ms")
 	time.Sleep(every)
 
-	id := at.Load().(string)
+	id := d.serving.Load().(string)
 	fmt.Printf("%s drains and sends its clients away\n", id)
-	list.Set(id, servers[id].Address, "Terminating")
-	servers[id].SetRejecting(true)
-	servers[id].MigrateOneIn(2)
+	d.discovery.Set(id, d.servers[id].Address, "Terminating")
+	d.servers[id].SetRejecting(true)
+	d.servers[id].MigrateOneIn(2)
 	time.Sleep(every)
 
-	fmt.Println("the relay is killed with -9; the client goes to the other, where its claim still stands for a while")
+	fmt.Println("the relay is killed with -9; the client goes to the other, which waits for its lease")
 	relay.Store(1)
-	relays[0].Process.Kill()
+	d.relays[0].Process.Kill()
 	time.Sleep(every + 6*time.Second)
 
 	t := v.Tally()
-	fmt.Printf("%d scans up to number %d: %d lost, %d out of turn; longest gap %v\n", t.Scans, t.LastScan, t.Lost, t.Disorder,
-		longest(t.Gaps).Round(time.Millisecond))
-	for _, bad := range ledger.Violations() {
-		fmt.Println("must not happen:", bad)
-	}
-	return nil
-}
-
-func longest(all []time.Duration) (most time.Duration) {
-	for _, d := range all {
-		most = max(most, d)
+	longestGap := slices.Max(append(t.Gaps, 0))
+	fmt.Printf("%d scans up to number %d: %d lost, %d out of turn; longest gap %v\n",
+		t.Scans, t.LastScan, t.Lost, t.Disorder, longestGap.Round(time.Millisecond))
+	for _, violation := range d.ledger.Violations() {
+		fmt.Println("must not happen:", violation)
 	}
-	return most
 }
 
-// free finds an address that nobody listens on.
-func free() (string, error) {
+// freeAddress returns an address that nobody listens on.
+func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
