--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -14,11 +14,12 @@
 	"capersail/internal/testing/fake"
 )
 
-// Idle clients take all the descriptors that a relay has while discovery is down: it goes on serving by the list that it has, makes
-// room for whoever asks, and follows discovery when that returns. The machine holds the process to 64 descriptors.
+// Idle clients take all the descriptors that a relay has while discovery is down: it goes on serving by the
+// list that it has, makes room for whoever asks, and follows discovery when that returns. The machine holds
+// the process to 64 descriptors.
 func TestFullOfIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	address := freeAddress(t) // discovery's, where nobody is yet
-	s1, err := fake.NewTileServer("127.0.0.1:0", "UP")
+	s1, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +58,7 @@
 		}
 		idle(20)
 	}
-	s2, err := fake.NewTileServer("127.0.0.1:0", "UP")
+	s2, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +68,7 @@
 		t.Fatal(err)
 	}
 	d.Set("s2", s2.Address, "Ready") // and s1 is gone
-	for i, until := 100, time.Now().Add(20*time.Second); len(s2.Firsts) == 0; i++ {
+	for i, until := 100, time.Now().Add(20*time.Second); len(s2.FirstLines) == 0; i++ {
 		idle(10)
 		ask(i)
 		if time.Now().After(until) {
@@ -81,14 +82,14 @@
 	}
 }
 
-// SIGTERM in the middle of a drain by hand, and a second one on top of it: who is open is moved, who rests or has sent half a line has
-// a clean end, and the program exits in order.
+// SIGTERM in the middle of a drain by hand, and a second one on top of it: who is open is moved, who rests or
+// has sent half a line has a clean end, and the program exits in order.
 func TestTermBesideADrain(t *testing.T) {
 	d, _ := stage(t, "s1")
 	admin := freeAddress(t)
 	cmd, relay, said := start(t, configure(t, func(c map[string]any) {
 		c["listen"], c["discovery"], c["admin"] = "127.0.0.1:0", d.Address, admin
-		c["known"] = json.RawMessage(d.Whole())
+		c["known"] = json.RawMessage(d.Snapshot())
 	}))
 	open1 := dial(t, relay)
 	open1.ask(t, open, "UP")
@@ -125,7 +126,8 @@
 	}
 }
 
-// Signals are caught before other packages are initialized, which takes milliseconds: until then a SIGHUP ends the process.
+// Signals are caught before other packages are initialized, which takes milliseconds: until then a SIGHUP
+// ends the process.
 func TestSignalsAreCaughtFirst(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^$")
 	cmd.Env = append(os.Environ(), "GODEBUG=inittrace=1")
--- a/internal/fleet/membership/chain.go
+++ b/internal/fleet/membership/chain.go
@@ -9,7 +9,7 @@
 type chain struct {
 	view          *View
 	viewHash      uint64
-	viewAdoptedAt time.Duration // in this life, or when this life began
+	viewAdoptedAt time.Duration // by this process, or when it started
 }
 
 // adoptView takes up a view that is chosen. One that is no newer is left alone, but for the one held with
@@ -40,6 +40,7 @@
 	n.publish(true)
 }
 
+// holdView makes a view the one held, in the record too.
 func (n *Node) holdView(v *View) {
 	n.view, n.record.View, n.viewHash = v, v, v.Hash()
 }
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -22,7 +22,7 @@
 const (
 	Starting Lifecycle = iota // it has no list of servers yet
 	Serving                   // it takes clients
-	Draining                  // it is drained by hand
+	Draining                  // it is drained manually
 	Leaving                   // it takes nothing any more and will go
 )
 
@@ -30,6 +30,7 @@
 	Starting: "starting", Serving: "serving", Draining: "draining", Leaving: "leaving",
 }
 
+// String is the text of logs and reports.
 func (d Lifecycle) String() string {
 	return textOf(lifecycleTexts[:], uint8(d))
 }
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -2,6 +2,7 @@
 
 import (
 	"path"
+	"time"
 
 	"capersail/internal/ownership"
 	"capersail/internal/relay"
@@ -15,11 +16,11 @@
 
 // replyCodes are the codes that package ownership tells apart.
 var replyCodes = map[zookeeper.Code]ownership.ReplyCode{
-	zookeeper.OK:         ownership.OK,
-	zookeeper.NoNode:     ownership.NotFound,
-	zookeeper.NodeExists: ownership.AlreadyExists,
-	zookeeper.BadVersion: ownership.VersionMismatch,
-	zookeeper.Lost:       ownership.NoReply,
+	zookeeper.OK:             ownership.OK,
+	zookeeper.NoNode:         ownership.NotFound,
+	zookeeper.NodeExists:     ownership.AlreadyExists,
+	zookeeper.BadVersion:     ownership.VersionMismatch,
+	zookeeper.ConnectionLoss: ownership.NoReply,
 }
 
 // sendRequest puts the Lease's request to the ownership service; the reply becomes an event.
@@ -76,12 +77,12 @@
 type sessionEvents Service
 
 // Connected makes the path on which records lie, if need be, and notifies the Lease.
-func (e *sessionEvents) Connected(session int64, granted, sentAt float64) {
+func (e *sessionEvents) Connected(session int64, granted, sentAt time.Duration) {
 	s := (*Service)(e)
-	s.Log.Info().Float64("session_ms", granted).Msg("ownership service connected")
+	s.Log.Info().Float64("session_ms", relay.Millis(granted)).Msg("ownership service connected")
 	for i, p := range ancestors(s.Path) { // created by whoever comes first
 		s.session.Create(p, nil, false, func(a zookeeper.Answer) {
-			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.Lost
+			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.ConnectionLoss
 			if failed && i == 0 {
 				s.Log.Error().Int32("code", int32(a.Code)).Str("path", p).
 					Msg("ownership service rejected the path of the records, no stream gets a token: check its rights")
@@ -90,8 +91,8 @@
 	}
 	s.enqueue(ownership.SessionConnected{
 		SessionID: session,
-		Timeout:   relay.Duration(granted),
-		SentAt:    relay.Duration(sentAt),
+		Timeout:   granted,
+		SentAt:    sentAt,
 	})
 }
 
@@ -107,8 +108,8 @@
 }
 
 // Answered notifies the Lease that something sent at that time was answered.
-func (e *sessionEvents) Answered(sentAt float64) {
-	(*Service)(e).enqueue(ownership.Renewed{SentAt: relay.Duration(sentAt)})
+func (e *sessionEvents) Answered(sentAt time.Duration) {
+	(*Service)(e).enqueue(ownership.Renewed{SentAt: sentAt})
 }
 
 // ancestors lists a path and those above it, the topmost first.
--- /dev/null
+++ b/internal/simulation/scale/traffic.go
@@ -0,0 +1,159 @@
+package scale
+
+import (
+	"encoding/binary"
+	"fmt"
+	"sync/atomic"
+)
+
+// Kind is what a message or a part of a packet is for.
+type Kind int
+
+// The kinds of traffic. Framing is labels, checksums and the lengths of messages that share a packet.
+const (
+	Probes          Kind = iota // memberlist's pings and their answers
+	Liveness                    // who is alive, suspected or dead
+	Statuses                    // relays' own statuses
+	Leases                      // renewals of leases
+	Consensus                   // ballots and views
+	LoadReports                 // of servers
+	Placements                  // connections placed on servers
+	CellSummaries               // between cells
+	CellDirectories             // of all cells, from a cell's representative to its own relays
+	Framing
+	PushPull // streams: the whole state, both ways
+	Views    // streams: views too large for a packet
+	Others
+	kindCount
+)
+
+// kindNames are as the pages with measurements have them.
+var kindNames = [kindCount]string{
+	Probes:          "probes",
+	Liveness:        "liveness",
+	Statuses:        "statuses",
+	Leases:          "leases",
+	Consensus:       "choices",
+	LoadReports:     "readings",
+	Placements:      "placements",
+	CellSummaries:   "summaries",
+	CellDirectories: "directories",
+	Framing:         "framing",
+	PushPull:        "push-pull (streams)",
+	Views:           "views (streams)",
+	Others:          "others",
+}
+
+func (k Kind) String() string {
+	if k < 0 || k >= kindCount {
+		return fmt.Sprintf("kind %d", int(k))
+	}
+	return kindNames[k]
+}
+
+// Traffic is what was sent, by kind.
+type Traffic [kindCount]struct{ Messages, Bytes uint64 }
+
+// since returns what was sent after an earlier Traffic.
+func (t Traffic) since(before Traffic) Traffic {
+	for k := range t {
+		t[k].Messages -= before[k].Messages
+		t[k].Bytes -= before[k].Bytes
+	}
+	return t
+}
+
+// trafficCounter counts what is sent. It is safe for concurrent use.
+type trafficCounter [kindCount]struct{ messages, bytes atomic.Uint64 }
+
+func (t *trafficCounter) add(k Kind, bytes int) {
+	t[k].messages.Add(1)
+	t[k].bytes.Add(uint64(bytes))
+}
+
+func (t *trafficCounter) snapshot() (out Traffic) {
+	for k := range t {
+		out[k].Messages = t[k].messages.Load()
+		out[k].Bytes = t[k].bytes.Load()
+	}
+	return out
+}
+
+// memberlist's message types, and the length of its checksum.
+const (
+	typePing       = 0
+	typeIndirect   = 1
+	typeAck        = 2
+	typeSuspect    = 3
+	typeDead       = 5
+	typePushPull   = 6
+	typeCompound   = 7
+	typeUser       = 8
+	typeNack       = 11
+	typeChecksum   = 12
+	typeLabel      = 244
+	checksumLength = 5
+)
+
+// countPacket counts a countPacket that is not sealed; a sealed one counts as Others.
+func (t *trafficCounter) countPacket(_ string, b []byte) {
+	size := len(b)
+	if len(b) > 2 && b[0] == typeLabel {
+		b = b[min(2+int(b[1]), len(b)):]
+	}
+	if len(b) > checksumLength && b[0] == typeChecksum {
+		b = b[checksumLength:]
+	}
+	if len(b) < 2 || b[0] != typeCompound {
+		t.countMessage(b)
+		t[Framing].bytes.Add(uint64(size - len(b)))
+		return
+	}
+	parts, counted := int(b[1]), 0
+	lengths := b[2:]
+	if len(lengths) < 2*parts {
+		t.add(Others, size)
+		return
+	}
+	rest := lengths[2*parts:]
+	for i := range parts {
+		length := min(int(binary.BigEndian.Uint16(lengths[2*i:])), len(rest))
+		t.countMessage(rest[:length])
+		rest = rest[length:]
+		counted += length
+	}
+	t[Framing].bytes.Add(uint64(size - counted))
+}
+
+// countMessage counts one of memberlist's messages.
+func (t *trafficCounter) countMessage(b []byte) {
+	if len(b) == 0 {
+		return
+	}
+	switch b[0] {
+	case typePing, typeIndirect, typeAck, typeNack:
+		t.add(Probes, len(b))
+	case typeUser:
+		t.add(envelopeKind(b[1:]), len(b))
+	default:
+		if b[0] >= typeSuspect && b[0] <= typeDead {
+			t.add(Liveness, len(b))
+		} else {
+			t.add(Others, len(b))
+		}
+	}
+}
+
+// countStream counts what is written to a countStream.
+func (t *trafficCounter) countStream(_ string, opening []byte, written int) {
+	switch {
+	case len(opening) == 0:
+		t[Framing].bytes.Add(uint64(written))
+	case opening[0] == typePushPull:
+		t.add(PushPull, written)
+	case opening[0] == typeUser:
+		t.add(Views, written)
+	default:
+		t.add(Probes, written)
+	}
+}
--- a/internal/testing/cluster/proxy.go
+++ b/internal/testing/cluster/proxy.go
@@ -10,19 +10,21 @@
 // ProxyMode is what a Proxy does with connections.
 type ProxyMode uint8
 
-// The modes. A connection that has been through Silent, Hung or Trickle is reset when the mode goes back to Pass, since what it lost is lost.
+// The modes. A connection that has been through Silent, Hung or Trickle is reset when the mode goes back to
+// Pass, since what it lost is lost.
 const (
 	Pass    ProxyMode = iota
 	Silent            // connections stay open and new ones are accepted, but nothing passes either way
-	Trickle           // what stands gets a byte each trickleEvery; new connections are silent
+	Trickle           // open connections get a byte each trickleEvery; new ones are silent
 	Down              // connections are reset, and new ones are answered 503 at once
 	Broken            // connections are reset, new ones as soon as they have asked
 	Hung              // connections are reset, new ones are accepted and get no answer
 )
 
+// trickleEvery is the time of one byte in Trickle.
 const trickleEvery = 300 * time.Millisecond
 
-// Proxy stands between a process and an address that it connects to, and fails as it is told.
+// Proxy forwards connections to an address, and fails by its mode.
 type Proxy struct {
 	Address string
 
@@ -30,14 +32,14 @@
 	listener net.Listener
 	mu       sync.Mutex
 	mode     ProxyMode
-	changed  chan struct{} // closed as the mode changes
+	changed  chan struct{} // closed when the mode changes
 	open     map[*proxied]struct{}
 }
 
 // proxied is one connection through a Proxy.
 type proxied struct {
 	client, server net.Conn
-	tainted        bool // something was held back
+	tainted        bool // bytes were held back
 }
 
 func (p *proxied) reset() {
@@ -49,19 +51,25 @@
 	}
 }
 
-// NewProxy starts a proxy before an address.
+// NewProxy starts a proxy on loopback that forwards to target until Close.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{Address: l.Addr().String(), target: target, listener: l, changed: make(chan struct{}), open: map[*proxied]struct{}{}}
+	p := &Proxy{
+		Address:  l.Addr().String(),
+		target:   target,
+		listener: l,
+		changed:  make(chan struct{}),
+		open:     map[*proxied]struct{}{},
+	}
 	go p.serve()
 	return p, nil
 }
 
-// Set changes the mode, for the connections that stand too.
-func (p *Proxy) Set(mode ProxyMode) {
+// SetMode changes the mode, for open connections too.
+func (p *Proxy) SetMode(mode ProxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.open {
@@ -77,10 +85,10 @@
 	p.changed = make(chan struct{})
 }
 
-// Close ends the proxy and its connections.
+// Close ends the proxy and its connections. It may be called again.
 func (p *Proxy) Close() {
 	p.listener.Close()
-	p.Set(Broken)
+	p.SetMode(Broken)
 }
 
 func (p *Proxy) state() (ProxyMode, <-chan struct{}) {
@@ -95,12 +103,12 @@
 		if err != nil {
 			return
 		}
-		go p.carry(conn)
+		go p.forward(conn)
 	}
 }
 
-// enter counts a connection in, in the present mode.
-func (p *Proxy) enter(c *proxied) ProxyMode {
+// add registers a connection and returns the mode that it begins in.
+func (p *Proxy) add(c *proxied) ProxyMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[c] = struct{}{}
@@ -108,22 +116,22 @@
 	return p.mode
 }
 
-func (p *Proxy) leave(c *proxied) {
+func (p *Proxy) remove(c *proxied) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.open, c)
 }
 
-func (p *Proxy) carry(conn net.Conn) {
+func (p *Proxy) forward(conn net.Conn) {
 	defer conn.Close()
 	c := &proxied{client: conn}
-	switch p.enter(c) {
+	switch p.add(c) {
 	case Down, Broken:
-		p.turnAway(conn)
-		p.leave(c)
+		p.reject(conn)
+		p.remove(c)
 		return
 	}
-	defer p.leave(c)
+	defer p.remove(c)
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
@@ -133,13 +141,19 @@
 	c.server = server
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go func() { p.copy(server, conn); done <- struct{}{} }()
-	go func() { p.copy(conn, server); done <- struct{}{} }()
+	go func() {
+		p.copy(server, conn)
+		done <- struct{}{}
+	}()
+	go func() {
+		p.copy(conn, server)
+		done <- struct{}{}
+	}()
 	<-done
 }
 
-// turnAway answers a call as a discovery that is down.
-func (p *Proxy) turnAway(conn net.Conn) {
+// reject answers a request with 503 in the mode Down, and resets the connection in any other.
+func (p *Proxy) reject(conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(time.Second))
 	conn.Read(make([]byte, 4096))
 	if mode, _ := p.state(); mode == Down {
@@ -151,7 +165,7 @@
 	}
 }
 
-// copy passes bytes on one way as the mode has it.
+// copy forwards bytes one way as the mode has it, until either side ends.
 func (p *Proxy) copy(to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -173,10 +187,19 @@
 			part = part[size:]
 		}
 		if err != nil {
-			for mode, changed := p.state(); mode == Silent || mode == Hung; mode, changed = p.state() { // an end does not come through either
-				<-changed
-			}
+			p.waitWhileHeld() // an end does not come through either
+			return
+		}
+	}
+}
+
+// waitWhileHeld blocks while the mode lets nothing through.
+func (p *Proxy) waitWhileHeld() {
+	for {
+		mode, changed := p.state()
+		if mode != Silent && mode != Hung {
 			return
 		}
+		<-changed
 	}
 }
--- a/internal/testing/cluster/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -11,62 +11,77 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// Step is one thing that a schedule does.
+// Step is one step of a schedule. It is kept in files as JSON.
 type Step struct {
-	AfterMs float64 `json:"after_ms"` // since the step before
-	Do      string  `json:"do"`       // one of the names in the table below
-	Who     int     `json:"who,omitempty"`
-	To      int     `json:"to,omitempty"`
+	AfterMs float64 `json:"after_ms"`        // since the step before
+	Do      string  `json:"do"`              // the name of one of the actions
+	Who     int     `json:"who,omitempty"`   // the relay's number
+	To      int     `json:"to,omitempty"`    // with cut: the other relay's number
 	Parts   []int   `json:"parts,omitempty"` // with split: each relay's part
-	Value   float64 `json:"value,omitempty"`
+	Value   float64 `json:"value,omitempty"` // the action's part, time in ms or rate
 }
 
-// doings are what a step can do.
-var doings = map[string]func(g *Cluster, s Step) error{
-	"start": func(g *Cluster, s Step) error { return g.Start(s.Who) },
-	"kill":  func(g *Cluster, s Step) error { g.Kill(s.Who); return nil },
-	"term":  func(g *Cluster, s Step) error { g.Term(s.Who); return nil },
-	"stop":  func(g *Cluster, s Step) error { g.Stop(s.Who); return nil },
-	"cont":  func(g *Cluster, s Step) error { g.Cont(s.Who); return nil },
-	"split": func(g *Cluster, s Step) error { g.Split(s.Parts); return g.Apply() },
-	"cut":   func(g *Cluster, s Step) error { g.Cut(s.Who, s.To, true); return g.Apply() },
-	"join":  func(g *Cluster, _ Step) error { clear(g.cut); return g.Apply() },
-	"loss":  func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Loss = s.Value }) },
-	"twice": func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.Twice = s.Value }) },
-	"delay": func(g *Cluster, s Step) error { return g.all(func(r *faultpoint.Rules) { r.DelayMs = s.Value }) },
-	"late": func(g *Cluster, s Step) error {
-		return g.all(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
+// actions are what a step can do, by name.
+var actions = map[string]func(fleet *Cluster, s Step) error{
+	"start": func(fleet *Cluster, s Step) error { return fleet.Start(s.Who) },
+	"kill":  func(fleet *Cluster, s Step) error { fleet.Kill(s.Who); return nil },
+	"term":  func(fleet *Cluster, s Step) error { fleet.Term(s.Who); return nil },
+	"stop":  func(fleet *Cluster, s Step) error { fleet.Stop(s.Who); return nil },
+	"cont":  func(fleet *Cluster, s Step) error { fleet.Cont(s.Who); return nil },
+	"split": func(fleet *Cluster, s Step) error { fleet.Split(s.Parts); return fleet.ApplyCuts() },
+	"cut":   func(fleet *Cluster, s Step) error { fleet.Cut(s.Who, s.To, true); return fleet.ApplyCuts() },
+	"join":  func(fleet *Cluster, _ Step) error { clear(fleet.cuts); return fleet.ApplyCuts() },
+	"loss": func(fleet *Cluster, s Step) error {
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Loss = s.Value })
 	},
-	"rate": func(g *Cluster, s Step) error { return g.Rule(s.Who, func(r *faultpoint.Rules) { r.Rate = s.Value }) },
-	"heal": func(g *Cluster, _ Step) error { return g.Heal() },
+	"twice": func(fleet *Cluster, s Step) error {
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Duplicates = s.Value })
+	},
+	"delay": func(fleet *Cluster, s Step) error {
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.DelayMs = s.Value })
+	},
+	"late": func(fleet *Cluster, s Step) error {
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
+	},
+	"rate": func(fleet *Cluster, s Step) error {
+		return fleet.ChangeFaults(s.Who, func(r *faultpoint.Rules) { r.ClockRate = s.Value })
+	},
+	"heal": func(fleet *Cluster, _ Step) error { return fleet.Heal() },
 }
 
-func (g *Cluster) all(change func(*faultpoint.Rules)) error {
-	for i := range g.Relays {
-		if err := g.Rule(i, change); err != nil {
+// changeAllFaults changes every relay's faults.
+func (fleet *Cluster) changeAllFaults(change func(*faultpoint.Rules)) error {
+	for i := range fleet.Relays {
+		if err := fleet.ChangeFaults(i, change); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Play carries a schedule out.
-func (g *Cluster) Play(all []Step) error {
-	for _, s := range all {
-		time.Sleep(time.Duration(s.AfterMs * float64(time.Millisecond)))
-		do, ok := doings[s.Do]
-		if !ok || s.Who < 0 || s.Who >= len(g.Relays) || s.To < 0 || s.To >= len(g.Relays) || s.Do == "split" && len(s.Parts) != len(g.Relays) {
-			return fmt.Errorf("a schedule's step that cannot be: %+v", s)
+// Play carries a schedule out. It fails at the first step that cannot be done.
+func (fleet *Cluster) Play(schedule []Step) error {
+	for _, s := range schedule {
+		time.Sleep(fromMillis(s.AfterMs))
+		act, ok := actions[s.Do]
+		if !ok || !s.fits(len(fleet.Relays)) {
+			return fmt.Errorf("schedule: step is impossible with %d relays: %+v", len(fleet.Relays), s)
 		}
-		if err := do(g, s); err != nil {
+		if err := act(fleet, s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Draw draws a schedule of faults for n relays that run.
-func Draw(seed uint64, n, steps int) (all []Step) {
+// fits reports whether a step speaks of relays that a cluster of n has.
+func (s Step) fits(n int) bool {
+	has := func(relay int) bool { return relay >= 0 && relay < n }
+	return has(s.Who) && has(s.To) && (s.Do != "split" || len(s.Parts) == n)
+}
+
+// DrawSchedule draws a schedule of faults for n relays that run: the same for the same arguments.
+func DrawSchedule(seed uint64, n, steps int) (all []Step) {
 	rng := rand.New(rand.NewPCG(seed, 0x67726f756e64))
 	for i := range n { // the clocks first: they differ all the while
 		all = append(all, Step{Do: "rate", Who: i, Value: 1 + 0.05*(2*rng.Float64()-1)})
@@ -105,8 +120,8 @@
 	return all
 }
 
-// Write keeps a schedule in a file, from which Read takes it to be played again.
-func Write(path string, all []Step) error {
+// WriteSchedule writes a schedule to a file, for ReadSchedule.
+func WriteSchedule(path string, all []Step) error {
 	text, err := json.MarshalIndent(all, "", " ")
 	if err != nil {
 		return err
@@ -114,14 +129,14 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// Read reads a schedule.
-func Read(path string) (all []Step, err error) {
+// ReadSchedule reads a schedule from a file. It fails if the file has a step of no known action.
+func ReadSchedule(path string) (all []Step, err error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
 		err = json.Unmarshal(text, &all)
 	}
-	if err == nil && slices.ContainsFunc(all, func(s Step) bool { return doings[s.Do] == nil }) {
-		err = fmt.Errorf("%s: a step that does nothing known", path)
+	if err == nil && slices.ContainsFunc(all, func(s Step) bool { return actions[s.Do] == nil }) {
+		err = fmt.Errorf("schedule %s: a step has no known action", path)
 	}
 	return all, err
 }
--- /dev/null
+++ b/internal/testing/fake/discovery.go
@@ -0,0 +1,127 @@
+package fake
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+)
+
+// Discovery is the platform's discovery service: the endpoint list, as a snapshot or watched.
+type Discovery struct {
+	Address     string
+	ExtraFields string // added to each endpoint that is set from now on, as JSON with a comma before it
+
+	mu         sync.Mutex
+	generation int
+	entries    map[string]string // by id: the endpoint's JSON
+	watches    []chan string     // one an open watch, for its events
+}
+
+// NewDiscovery starts discovery, which runs for as long as the process does. It fails if the address cannot
+// be listened on.
+func NewDiscovery(address string) (*Discovery, error) {
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	d := &Discovery{Address: l.Addr().String(), generation: 1, entries: map[string]string{}}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go d.serve(c)
+		}
+	}()
+	return d, nil
+}
+
+// Entry returns one endpoint of the list as JSON.
+func Entry(id, address, lifecycle string) string {
+	const form = `{"instanceId":%q,"hostPort":%q,"zone":"hall-a","lifecycle":%q,"startedAtMs":0}`
+	return fmt.Sprintf(form, id, address, lifecycle)
+}
+
+// Set adds or changes one endpoint and notifies every watch.
+func (d *Discovery) Set(id, address, lifecycle string) {
+	d.SetStarted(id, address, lifecycle, time.Time{})
+}
+
+// SetStarted is Set for a server that started at a time; the zero time stands for long ago.
+func (d *Discovery) SetStarted(id, address, lifecycle string, at time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.generation++
+	entry := Entry(id, address, lifecycle)
+	if !at.IsZero() {
+		entry = strings.Replace(entry, `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, at.UnixMilli()), 1)
+	}
+	d.entries[id] = strings.TrimSuffix(entry, "}") + d.ExtraFields + "}"
+	for _, w := range d.watches {
+		w <- d.message(false, d.entries[id])
+	}
+}
+
+// message returns a watch event, or a snapshot if complete is set. The caller holds the lock.
+func (d *Discovery) message(complete bool, entries string) string {
+	return fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[%s]}\n", d.generation, complete, entries)
+}
+
+// Snapshot returns the complete endpoint list as JSON.
+func (d *Discovery) Snapshot() string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var all []string
+	for _, e := range d.entries {
+		all = append(all, e)
+	}
+	return d.message(true, strings.Join(all, ","))
+}
+
+func (d *Discovery) removeWatch(w chan string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watches = slices.DeleteFunc(d.watches, func(c chan string) bool { return c == w })
+}
+
+func (d *Discovery) serve(c net.Conn) {
+	defer c.Close()
+	in := bufio.NewReader(c)
+	first, err := in.ReadString('\n')
+	for line := first; err == nil && strings.TrimSpace(line) != ""; {
+		line, err = in.ReadString('\n')
+	}
+	snapshot := d.Snapshot()
+	if !strings.Contains(first, "watch=1") {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(snapshot), snapshot)
+		return
+	}
+	changes := make(chan string, 64)
+	d.mu.Lock()
+	d.watches = append(d.watches, changes)
+	d.mu.Unlock()
+	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(snapshot), snapshot)
+	d.stream(c, changes)
+}
+
+// stream sends a watch its events, and an empty line while nothing changes, until its connection fails.
+func (d *Discovery) stream(c net.Conn, changes chan string) {
+	defer d.removeWatch(changes)
+	idle := time.NewTicker(2 * time.Second)
+	defer idle.Stop()
+	for {
+		text := "\n"
+		select {
+		case text = <-changes:
+		case <-idle.C:
+		}
+		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/testing/fake/scanstream.go
@@ -0,0 +1,182 @@
+package fake
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// opening is what a first line asks for.
+type opening struct {
+	id         string
+	stream     string // "" on a line without one
+	generation uint64 // the stream's fencing token
+	from       uint64 // the first scan wanted, 0 for the next one
+	lease      uint64 // how long the stream may be served without a renewal, in ms; 0 for ever
+}
+
+func parseOpening(text string) opening {
+	parts := strings.Split(text, " ")
+	o := opening{id: parts[1]}
+	for field := range strings.SplitSeq(parts[len(parts)-1], ",") {
+		switch name, value, _ := strings.Cut(field, "="); name {
+		case "s":
+			o.stream = value
+		case "gen":
+			o.generation, _ = strconv.ParseUint(value, 10, 64)
+		case "from":
+			o.from, _ = strconv.ParseUint(value, 10, 64)
+		case "lease":
+			o.lease, _ = strconv.ParseUint(value, 10, 64)
+		}
+	}
+	return o
+}
+
+// firstScan returns the number of the first scan to send: the one asked for, or the oldest that is kept.
+func (o opening) firstScan(newest, keep uint64) uint64 {
+	from := o.from
+	if from == 0 {
+		from = newest + 1
+	}
+	oldest := newest - min(newest, keep) + 1
+	return max(from, 1, oldest)
+}
+
+// open answers a first line and serves its stream until that ends.
+func (s *ScanServer) open(c *net.TCPConn, in *bufio.Reader, text string) {
+	if s.OnFirstLine != nil {
+		s.OnFirstLine(text)
+	}
+	s.waitWhileSilent()
+	if s.isKilled() {
+		return
+	}
+	o := parseOpening(text)
+	newest := s.Feed.Newest()
+	rejecting, fence, faults := s.noteOpening(o)
+	time.Sleep(faults.UpDelay)
+	switch {
+	case faults.AnswerError:
+		fmt.Fprint(c, "ERR\r\n")
+		return
+	case rejecting:
+		fmt.Fprint(c, "BUSY\r\n")
+		return
+	case o.stream != "" && o.generation < fence:
+		fmt.Fprintf(c, "STALE %d\r\n", fence)
+		return
+	case o.from > newest+1:
+		fmt.Fprintf(c, "AHEAD %d\r\n", newest)
+		return
+	}
+	s.mu.Lock()
+	s.connections[c] = true
+	s.measureLoad()
+	s.mu.Unlock()
+	stream := &scanStream{
+		opening:     o,
+		server:      s,
+		conn:        c,
+		in:          in,
+		clientEnded: make(chan struct{}),
+	}
+	stream.serve(o.firstScan(newest, s.Feed.Keep))
+}
+
+// noteOpening counts a first line and raises its stream's fence. It returns the fence from before, and the
+// faults now.
+func (s *ScanServer) noteOpening(o opening) (rejecting bool, fence uint64, faults ServerFaults) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.openings++
+	fence = s.fences[o.stream]
+	if o.stream != "" && o.generation > fence {
+		s.fences[o.stream] = o.generation
+	}
+	return s.rejecting, fence, s.faults
+}
+
+// scanStream is one stream that is served.
+type scanStream struct {
+	opening
+	server      *ScanServer
+	conn        *net.TCPConn
+	in          *bufio.Reader
+	clientEnded chan struct{} // closed once the client's side has ended
+	leaseTimer  *time.Timer   // ends the stream when its lease does
+
+	writeMu sync.Mutex
+}
+
+// serve answers the first line and sends scans until either side ends.
+func (t *scanStream) serve(from uint64) {
+	if t.stream == "" {
+		fmt.Fprintf(t.conn, "UP %s\r\n", t.id)
+	} else {
+		t.server.Ledger.beginService(t.stream, t.server.ID, t.generation, t.conn)
+		defer t.server.Ledger.endService(t.stream, t.conn)
+		fmt.Fprintf(t.conn, "UP %s from=%d\r\n", t.id, from)
+	}
+	// The server ends a leased stream by itself, since a relay that does not renew in time may be stopped.
+	t.leaseTimer = time.AfterFunc(time.Hour, func() {
+		t.server.Ledger.endService(t.stream, t.conn)
+		t.conn.Close()
+	})
+	defer t.leaseTimer.Stop()
+	if t.lease > 0 {
+		t.leaseTimer.Reset(time.Duration(t.lease) * time.Millisecond)
+	}
+	go t.echo()
+	t.sendScans(from)
+}
+
+// echo returns the client's lines and renews the lease, until the client's side ends.
+func (t *scanStream) echo() {
+	defer close(t.clientEnded)
+	defer t.server.Feed.more.Broadcast()
+	for {
+		line, err := t.in.ReadString('\n')
+		t.server.waitWhileSilent()
+		if err != nil {
+			return
+		}
+		if text, ok := strings.CutPrefix(strings.TrimSpace(line), "KEEP "); ok && t.stream != "" {
+			ms, _ := strconv.Atoi(text)
+			t.leaseTimer.Reset(time.Duration(ms) * time.Millisecond)
+			continue
+		}
+		if err := t.write(line); err != nil {
+			return
+		}
+	}
+}
+
+// sendScans sends each scan from the given one on.
+func (t *scanStream) sendScans(from uint64) {
+	for next := from; ; next++ {
+		if !t.server.Feed.await(next, t.clientEnded) {
+			return
+		}
+		t.server.waitWhileSilent()
+		select {
+		case <-t.clientEnded:
+			return
+		default:
+		}
+		if err := t.write(fmt.Sprintf("SCAN %d %016x\r\n", next, next*0x9e3779b97f4a7c15)); err != nil {
+			return
+		}
+	}
+}
+
+func (t *scanStream) write(text string) error {
+	t.writeMu.Lock()
+	defer t.writeMu.Unlock()
+	_, err := fmt.Fprint(t.conn, text)
+	return err
+}
--- a/internal/wire/connlimit/permit.go
+++ b/internal/wire/connlimit/permit.go
@@ -2,14 +2,18 @@
 
 import (
 	"container/list"
+	"time"
 
+	"capersail/internal/relay"
 	"capersail/internal/wire/splice"
 )
 
-// Permit is one client's connection, as its Limiter counts it. The goroutine that serves the connection calls its methods.
+// Permit is one client's connection, as its Limiter counts it. The goroutine that serves the connection calls
+// its methods.
 type Permit struct {
-	Half         *splice.Half
-	RequestUntil float64 // when the client must have brought its request, in milliseconds of the limiter's clock
+	Half *splice.Half
+	// RequestUntil is the instant of the limiter's clock by which the client must have brought its request.
+	RequestUntil time.Duration
 
 	// The limiter's lock guards what follows.
 	limiter        *Limiter
@@ -20,8 +24,8 @@
 	serverCounted  bool          // the descriptor of its connection to a server is counted
 }
 
-// AcquireRequest takes the second descriptor that a request needs; false if requests hold all they may. From then on
-// the connection is not evicted, even if it had been told to close.
+// AcquireRequest takes the second descriptor that a request needs; false if requests hold all they may. From
+// then on the connection is not evicted, even if it had been told to close.
 func (p *Permit) AcquireRequest() bool {
 	l := p.limiter
 	l.mu.Lock()
@@ -98,3 +102,14 @@
 	p.limiter.requestDescriptors--
 	p.idleElement = p.limiter.idlePermits.PushBack(p)
 }
+
+// CloseAndRelease closes the client's connection cleanly and gives its descriptors back. It waits until the
+// request's connection to a server is closed too; nil is for a client that brought no request.
+func (p *Permit) CloseAndRelease(request *relay.Request) {
+	p.ReleaseRequest()
+	p.Half.CloseAndDiscard()
+	p.ReleaseClient()
+	if request != nil {
+		<-request.Finished()
+	}
+}
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -26,9 +26,9 @@
 		UnreleasedSlots: []int{3, 4},
 		Voters:          []string{"r1", "r2"},
 		Entries: []membership.Member{
-			{Name: "r1", In: true, BudgetShare: membership.Whole / 5, OutstandingLimit: membership.Whole / 6},
+			{Name: "r1", In: true, BudgetShare: membership.FullBudget / 5, OutstandingLimit: membership.FullBudget / 6},
 			{Name: "r2", In: true, Idle: true},
-			{Name: "r3", OutstandingLimit: membership.Whole / 8},
+			{Name: "r3", OutstandingLimit: membership.FullBudget / 8},
 		},
 	}
 }
@@ -38,8 +38,8 @@
 		{
 			Name:        "r1",
 			In:          true,
-			BudgetShare: membership.Whole / 5,
-		}, {Name: "r2", OutstandingLimit: membership.Whole / 9}}}
+			BudgetShare: membership.FullBudget / 5,
+		}, {Name: "r2", OutstandingLimit: membership.FullBudget / 9}}}
 }
 
 // cellView is a cell's, with an Allocation that has every field.
@@ -50,8 +50,8 @@
 		Plan:         3,
 		PlanHash:     0xfedcba9876543210,
 		Activated:    true,
-		Near:         membership.Whole / 2,
-		Far:          membership.Whole / 16,
+		Near:         membership.FullBudget / 2,
+		Far:          membership.FullBudget / 16,
 		NearZones:    []string{"east-1", "east-2"},
 		Cells:        []string{"east", "west"},
 		LeaseMillis:  8000,
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -14,8 +14,8 @@
 	"capersail/internal/wire/splice"
 )
 
-// awaitPending waits until a peer's bytes or end have come, which loopback brings in its own time.
-func awaitPending(t *testing.T, e *splice.Half) {
+// awaitUnread waits until a peer's bytes or end have come, which loopback brings in its own time.
+func awaitUnread(t *testing.T, e *splice.Half) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -24,29 +24,34 @@
 	}
 }
 
-// A request that has come when its connection is to be ended, and that nobody has read yet, is served: the bad order is made by
-// ending the connection first and reading it after. One that is not whole by then gets a clean end, not a reset.
+// A request that has come when its connection is to be ended, and that nobody has read yet, is served: the
+// bad order is made by ending the connection first and reading it after. One that is not whole by then gets a
+// clean end, not a reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
 	for name, end := range map[string]func(*connlimit.Permit){
-		"its time is up":      func(p *connlimit.Permit) { p.RequestUntil = 1 },
-		"its place is wanted": func(p *connlimit.Permit) { p.Half.CloseNow() },
-		"the relay leaves":    func(p *connlimit.Permit) { p.Half.Wake() },
+		"its time is up":       func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
+		"it is evicted":        func(p *connlimit.Permit) { p.Half.CloseNow() },
+		"the relay shuts down": func(p *connlimit.Permit) { p.Half.Wake() },
 	} {
-		for line, want := range map[string]string{open + "\r\n": "UP a1", "PING\r\n": "PONG", open: "end", "": "end"} {
-			_, x, _ := serve(t, "UP")
-			site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{Classes: []decide.ClassInfo{{}}}}
-			f := &Front{X: x, Site: site, Gate: connlimit.New(x.Clock, 24, zerolog.Nop())}
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
+		for line, want := range map[string]string{
+			openingLine + "\r\n": "UP a1",
+			"PING\r\n":           "PONG",
+			openingLine:          "end",
+			"":                   "end",
+		} {
+			_, requests, _ := startRelay(t, "UP")
+			f := &Frontend{
+				Requests:   requests,
+				Deployment: newDeployment(decide.ClassInfo{}),
+				Limiter:    connlimit.New(requests.Clock, 24, zerolog.Nop()),
 			}
-			t.Cleanup(func() { l.Close() })
-			go f.Gate.Serve(l, func(p *connlimit.Permit) {
+			l := listen(t)
+			go f.Limiter.Serve(l, func(p *connlimit.Permit) {
 				if line != "" {
-					awaitPending(t, p.Half)
+					awaitUnread(t, p.Half)
 				}
 				end(p)
-				f.serve(p)
+				f.serveClient(p)
 			})
 			c := connect(t, l.Addr().String())
 			fmt.Fprint(c, line)
@@ -57,20 +62,17 @@
 	}
 }
 
-// Nothing is sent for a client that has gone, though its side has had no time to read that: here nobody ever reads it.
-func TestNothingIsSentForWhoHasGone(t *testing.T) {
+// Nothing is sent for a client that has gone, though its side has had no time to read that: here nobody ever
+// reads it.
+func TestNothingIsForwardedForAClosedClient(t *testing.T) {
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"a close":      func(c *net.TCPConn) { c.Close() },
 		"a half-close": func(c *net.TCPConn) { c.CloseWrite() },
 		"a reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		"more lines":   func(c *net.TCPConn) { fmt.Fprint(c, "M 1\r\n"); c.Close() },
 	} {
-		_, x, servers := serve(t, "UP")
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { l.Close() })
+		_, requests, servers := startRelay(t, "UP")
+		l := listen(t)
 		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -80,17 +82,17 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { own.Close() })
-		e := &splice.Half{Conn: own, Clock: x.Clock}
+		e := &splice.Half{Conn: own, Clock: requests.Clock}
 		leave(client.(*net.TCPConn))
-		awaitPending(t, e)
-		o, err := parseOpening([]byte(open))
+		awaitUnread(t, e)
+		o, err := parseOpening([]byte(openingLine))
 		if err != nil {
 			t.Fatal(err)
 		}
-		call := x.Open(relay.OpenRequest{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}, e)
-		<-call.Settled()
-		if n := len(servers[0].Firsts); n > 0 {
-			t.Errorf("%s: %d first lines were sent", name, n)
+		request := requests.Open(relay.OpenRequest{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}, e)
+		<-request.Settled()
+		if n := len(servers[0].FirstLines); n > 0 {
+			t.Errorf("%s: %d first lines were forwarded", name, n)
 		}
 	}
 }
