--- a/internal/observe/report/report.go
+++ b/internal/observe/report/report.go
@@ -1,5 +1,5 @@
-// Package report shows timelines: as text, JSON lines and CSV; package chart draws them. What it shows is a Report,
-// whether it came from a running relay or from a store.
+// Package report shows timelines: as text, JSON lines and CSV; package chart draws them. What it shows is a
+// Report, whether it came from a running relay or from a store.
 package report
 
 import (
--- a/internal/observe/report/report_test.go
+++ b/internal/observe/report/report_test.go
@@ -9,7 +9,8 @@
 	"capersail/internal/observe/timeline"
 )
 
-// The fleet's timeline shows rejections by reason; those of an old store, which has no reasons, are counted too.
+// The fleet's timeline shows rejections by reason; those of an old store, which has no reasons, are counted
+// too.
 func TestRejectionsAreShownByReason(t *testing.T) {
 	step := timeline.Interval{From: 1e6, Width: 1000, Rejections: 10}
 	step.RejectReasons.Module[decide.NoCapacity], step.RejectReasons.Module[decide.RetryBudgetExhausted] = 4, 2
--- a/internal/observe/report/text.go
+++ b/internal/observe/report/text.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// WriteDrawing draws each timeline: its states, its load as a row of so many characters, counts and events. It
-// returns the error of writing.
+// WriteDrawing draws each timeline: its states, its load as a row of so many characters, counts and events.
+// It returns the error of writing.
 func (r *Report) WriteDrawing(out io.Writer, width int) error {
 	w := &errorWriter{out: out}
 	for _, s := range r.Servers {
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -20,13 +20,14 @@
 	"capersail/internal/store"
 )
 
-// BenchmarkFold is what it costs to fold a record into its timeline and to detect anomalies, over 200 servers, and the
-// memory that their timelines take.
+// BenchmarkFold is what it costs to fold a record into its timeline and to detect anomalies, over 200
+// servers, and the memory that their timelines take.
 func BenchmarkFold(b *testing.B) {
 	const servers = 200
 	clock := relay.NewManualClock()
 	x := relay.NewRequestTable(&relay.Deployment{}, clock, nil)
-	w := New(Config{Buffer: 1 << 15, Limits: timeline.DefaultLimits(), MaxServers: servers}, x, clock, zerolog.Nop())
+	config := Config{Buffer: 1 << 15, Limits: timeline.DefaultLimits(), MaxServers: servers}
+	w := New(config, x, clock, zerolog.Nop())
 	x.Recorder = w.Recorder
 	var list []relay.Endpoint
 	for i := range servers {
@@ -79,7 +80,8 @@
 	runtime.KeepAlive(w)
 }
 
-// BenchmarkQuery reads 24 h of 200 servers from a store, as the daemon would have written them, and one server of them.
+// BenchmarkQuery reads 24 h of 200 servers from a store, as the relay would have written them, and one server
+// of them.
 func BenchmarkQuery(b *testing.B) {
 	const servers, rows = 200, 24 * 360
 	path := filepath.Join(b.TempDir(), "t.db")
@@ -93,7 +95,16 @@
 	for r := range rows {
 		at := 1.8e12 + float64(r)*rowWidth
 		for i := range servers {
-			text, _ := cbor.Marshal(timeline.Interval{From: at, Width: rowWidth, Placements: 3, Connections: 3, Probes: 8, Readings: 8, Load: [3]float32{0.1, 0.4, 0.7}, Setup: [3]float32{3, 9, 12}})
+			text, _ := cbor.Marshal(timeline.Interval{
+				From:        at,
+				Width:       rowWidth,
+				Placements:  3,
+				Connections: 3,
+				Probes:      8,
+				Readings:    8,
+				Load:        [3]float32{0.1, 0.4, 0.7},
+				Setup:       [3]float32{3, 9, 12},
+			})
 			s.Append(bucketIntervals, int64(at), fmt.Sprint("s-", i), text)
 		}
 		if r%300 == 299 {
--- a/internal/observe/watch/read_store.go
+++ b/internal/observe/watch/read_store.go
@@ -17,8 +17,8 @@
 // noUpperBound is later than any row, Unix ms.
 const noUpperBound = 1<<62 - 1
 
-// FromStore answers a query from a store, of a daemon that need not run. It fails if the store cannot be read or
-// a row cannot be decoded.
+// FromStore answers a query from a store, of a daemon that need not run. It fails if the store cannot be read
+// or a row cannot be decoded.
 func FromStore(s *store.Store, q report.Query) (*report.Report, error) {
 	reader := storeReader{
 		store:   s,
--- a/internal/observe/watch/row_writer.go
+++ b/internal/observe/watch/row_writer.go
@@ -22,8 +22,8 @@
 	rowWriteEvery = 1000.0   // the open rows are written over so often
 )
 
-// rowWriter puts rows into the store's queue. Intervals of the finest width are merged into rows of rowWidth, of
-// which each server's newest is open. Its owner locks.
+// rowWriter puts rows into the store's queue. Intervals of the finest width are merged into rows of rowWidth,
+// of which each server's newest is open. Its owner locks.
 type rowWriter struct {
 	store     *store.Store
 	openRows  map[string]*timeline.Interval // by server
@@ -64,8 +64,8 @@
 	*row = merged
 }
 
-// writeEverySecond writes the open rows where rowWriteEvery has passed, and lets go of those that take nothing
-// more.
+// writeEverySecond writes the open rows where rowWriteEvery has passed, and lets go of those that take
+// nothing more.
 func (r *rowWriter) writeEverySecond(now float64) {
 	if now-r.writtenAt < rowWriteEvery {
 		return
--- a/internal/observe/watch/stored_test.go
+++ b/internal/observe/watch/stored_test.go
@@ -21,8 +21,8 @@
 
 const storedAt = 1_800_000_000_000.0
 
-// writeStored writes the rows of testdata/timeline.db, which the version of 2026-12-03 wrote: every state, every
-// kind of event, and a step without a field that is zero.
+// writeStored writes the rows of testdata/timeline.db, which the version of 2026-12-03 wrote: every state,
+// every kind of event, and a step without a field that is zero.
 func writeStored(t *testing.T, path string) {
 	t.Helper()
 	s, err := store.Open(path, store.Options{}, zerolog.Nop())
@@ -43,9 +43,24 @@
 		}
 	}
 	full := timeline.Interval{
-		From: storedAt, Width: 1000, Placements: 2, Retries: 3, Connections: 4, Migrations: 5, Rejections: 6,
-		Ends: [8]uint32{1, 2, 3, 4, 5, 6, 7, 8}, Probes: 9, ProbesLost: 10, OpenConnections: 11, Load: [3]float32{0.25, 0.5, 0.75},
-		Readings: 12, Setup: [3]float32{1.5, 2.5, 3.5}, SlowestMessage: 4.5, Dropped: 13, Merged: true, PeerReadings: 14,
+		From:            storedAt,
+		Width:           1000,
+		Placements:      2,
+		Retries:         3,
+		Connections:     4,
+		Migrations:      5,
+		Rejections:      6,
+		Ends:            [8]uint32{1, 2, 3, 4, 5, 6, 7, 8},
+		Probes:          9,
+		ProbesLost:      10,
+		OpenConnections: 11,
+		Load:            [3]float32{0.25, 0.5, 0.75},
+		Readings:        12,
+		Setup:           [3]float32{1.5, 2.5, 3.5},
+		SlowestMessage:  4.5,
+		Dropped:         13,
+		Merged:          true,
+		PeerReadings:    14,
 	}
 	for i := range full.RejectReasons.Module {
 		full.RejectReasons.Module[i] = uint32(100 + i)
@@ -58,13 +73,21 @@
 	rows.addInterval("s1", full) // into the same row
 	full.From += 20_000
 	rows.addInterval("s1", full) // into the next
-	rows.addInterval(timeline.FleetName, timeline.Interval{From: storedAt, Width: 1000, Load: [3]float32{-1, -1, -1}})
+	noLoad := [3]float32{-1, -1, -1}
+	rows.addInterval(timeline.FleetName, timeline.Interval{From: storedAt, Width: 1000, Load: noLoad})
 	for _, line := range []string{"s1", timeline.FleetName} {
 		rows.writeIntervalRow(line, rows.openRows[line])
 	}
 	for kind := anomaly.Kind(0); kind <= anomaly.RelayChanged; kind++ {
 		from := storedAt + 100*float64(kind)
-		e := anomaly.Event{Server: "s1", Kind: kind, Name: kind.String(), From: from, Evidence: "seen", Confidence: 0.5}
+		e := anomaly.Event{
+			Server:     "s1",
+			Kind:       kind,
+			Name:       kind.String(),
+			From:       from,
+			Evidence:   "seen",
+			Confidence: 0.5,
+		}
 		if kind == anomaly.EndpointListUnreachable || kind == anomaly.RelayChanged {
 			e.Server = ""
 		}
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -48,17 +48,38 @@
 	t.Cleanup(func() { close(stop) })
 	feed, ledger := fake.NewFeed(1000, 50*time.Millisecond, stop), fake.NewLedger()
 	clock := relay.NewClock()
-	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, LoadField: "x0", Settings: decide.Settings{Relays: 1, Zones: 1,
-		MaxAttempts: 4, Probes: true, RetryAfter: true, MaxRetryAfter: relay.Duration(200), Tick: relay.Duration(5),
-		ConnectTimeout: relay.Duration(300), Rules: decide.Rules{SlowStartWindow: relay.Duration(3000), SlowStartCapacity: 0.36, OverloadFactor: 4,
-			OverloadWindow: relay.Duration(1500)}, Classes: []decide.ClassInfo{{LatencyObjective: relay.Duration(800), Deadline: relay.Duration(3000)}}}}
+	site := &relay.Deployment{
+		Classes:   map[string]decide.Class{"m": 0},
+		LoadField: "x0",
+		Settings: decide.Settings{
+			Relays:         1,
+			Zones:          1,
+			MaxAttempts:    4,
+			Probes:         true,
+			RetryAfter:     true,
+			MaxRetryAfter:  relay.Duration(200),
+			Tick:           relay.Duration(5),
+			ConnectTimeout: relay.Duration(300),
+			Rules: decide.Rules{
+				SlowStartWindow:   relay.Duration(3000),
+				SlowStartCapacity: 0.36,
+				OverloadFactor:    4,
+				OverloadWindow:    relay.Duration(1500),
+			},
+			Classes: []decide.ClassInfo{{
+				LatencyObjective: relay.Duration(800),
+				Deadline:         relay.Duration(3000),
+			}},
+		},
+	}
 	x := relay.NewRequestTable(site, clock, &platform.ServerDialer{
 		Clock:             clock,
 		ConnectTimeout:    300 * time.Millisecond,
 		LoadField:         "x0",
 		MaxIdleProbeConns: 64,
 	})
-	w := &deploymentUnderTest{t: t, x: x, w: New(Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), MaxServers: 100, Store: s}, x, clock, zerolog.Nop())}
+	config := Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), MaxServers: 100, Store: s}
+	w := &deploymentUnderTest{t: t, x: x, w: New(config, x, clock, zerolog.Nop())}
 	x.Recorder = w.w.Recorder
 	for i := range servers {
 		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", feed, ledger)
@@ -77,7 +98,12 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	w.relay = l.Addr().String()
-	go (&platform.Frontend{Requests: x, Deployment: site, Limiter: connlimit.New(clock, 4096, zerolog.Nop())}).Serve(l)
+	frontend := &platform.Frontend{
+		Requests:   x,
+		Deployment: site,
+		Limiter:    connlimit.New(clock, 4096, zerolog.Nop()),
+	}
+	go frontend.Serve(l)
 	go relay.NewEventLoop(x, 7, noDiscovery{}, zerolog.Nop()).Run(t.Context())
 	go w.w.Run(t.Context())
 	return w
@@ -86,7 +112,13 @@
 func (w *deploymentUnderTest) list() {
 	var all []relay.Endpoint
 	for i, s := range w.servers {
-		all = append(all, relay.Endpoint{ID: s.ID, Address: s.Address, Mode: w.modes[i], StartedAt: relay.FromUnixMillis(w.since[i]), Load: -1})
+		all = append(all, relay.Endpoint{
+			ID:        s.ID,
+			Address:   s.Address,
+			Mode:      w.modes[i],
+			StartedAt: relay.FromUnixMillis(w.since[i]),
+			Load:      -1,
+		})
 	}
 	w.x.UpdateEndpoints(decide.Snapshot, all)
 }
@@ -104,9 +136,15 @@
 	for i := range n {
 		all.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
-				v := &fake.Viewer{Name: fmt.Sprintf("c%d.%d", i, k), OpenFields: fmt.Sprintf("%x c=m", i+1), WaitLimit: 3 * time.Second,
-					SendEvery: 700 * time.Millisecond, RelayAddress: func() string { return w.relay }}
-				one, done := context.WithTimeout(ctx, time.Duration(400+150*((i*7+k*11)%40))*time.Millisecond)
+				v := &fake.Viewer{
+					Name:         fmt.Sprintf("c%d.%d", i, k),
+					OpenFields:   fmt.Sprintf("%x c=m", i+1),
+					WaitLimit:    3 * time.Second,
+					SendEvery:    700 * time.Millisecond,
+					RelayAddress: func() string { return w.relay },
+				}
+				stay := time.Duration(400+150*((i*7+k*11)%40)) * time.Millisecond
+				one, done := context.WithTimeout(ctx, stay)
 				v.Run(one)
 				done()
 			}
@@ -139,16 +177,18 @@
 	}
 }
 
-// Scripted faults at servers behind a relay, on sockets, several at once: each is on the right line, by its event
-// or its state, and no line has one that did not happen there.
+// Scripted faults at servers behind a relay, on sockets, several at once: each is on the right timeline, by
+// its event or its state, and no timeline has one that did not happen there.
 func TestEveryFaultOnItsTimeLine(t *testing.T) {
 	if os.Getenv("CAPERSAIL_LONG") == "" {
-		t.Skip("a long measurement: CAPERSAIL_LONG=1. In CI anomaly.TestEveryKind plays the same faults in a time of its own")
+		t.Skip("a long measurement: CAPERSAIL_LONG=1. In CI anomaly.TestEveryKindIsFoundAlone " +
+			"plays the same faults in a time of its own")
 	}
 	w := newDeployment(t, 14, nil)
 	w.clients(200)
 	began := time.Now()
-	// A relay of this rate probes a server each few seconds. Those that have a past first get the faults that want one.
+	// A relay of this rate probes a server each few seconds. Those that have a past first get the faults that
+	// need one.
 	ups := map[string]uint32{}
 	w.wait("a past for enough servers", func() bool {
 		known := 0
@@ -161,7 +201,9 @@
 		}
 		return known >= 8
 	})
-	slices.SortStableFunc(w.servers, func(a, b *fake.ScanServer) int { return cmp.Compare(ups[b.ID], ups[a.ID]) })
+	slices.SortStableFunc(w.servers, func(a, b *fake.ScanServer) int {
+		return cmp.Compare(ups[b.ID], ups[a.ID])
+	})
 	type want struct {
 		server string
 		kind   anomaly.Kind
@@ -254,10 +296,15 @@
 	s.Capacity = 40
 	expect(12, anomaly.UnannouncedRestart)
 
-	// What a machine that is short of time makes of itself is not a fault of the script: these two are about time.
+	// What a machine that is short of time makes of itself is not a fault of the script: these two are about
+	// time.
 	clocked := map[anomaly.Kind]bool{anomaly.SlowSetup: true, anomaly.LateProbeReplies: true}
 	// What follows from a fault at the same server.
-	follows := map[want]bool{{w.servers[3].ID, anomaly.UnevenLoad}: true, {w.servers[7].ID, anomaly.UnevenLoad}: true, {w.servers[0].ID, anomaly.UnannouncedRestart}: true}
+	follows := map[want]bool{
+		{w.servers[3].ID, anomaly.UnevenLoad}:         true,
+		{w.servers[7].ID, anomaly.UnevenLoad}:         true,
+		{w.servers[0].ID, anomaly.UnannouncedRestart}: true,
+	}
 	for _, e := range w.w.Report(report.Query{}).Events() {
 		k := want{e.Server, e.Kind}
 		if e.From < faults { // when all clients came at once
@@ -270,7 +317,8 @@
 	if r := w.w.Report(report.Query{}); r.Dropped != 0 {
 		t.Errorf("%d records were dropped", r.Dropped)
 	}
-	t.Logf("%d kinds of event and 5 of state on 14 servers in %.0f s", len(expected), time.Since(began).Seconds())
+	t.Logf("%d kinds of event and 5 of state on 14 servers in %.0f s",
+		len(expected), time.Since(began).Seconds())
 }
 
 func sum(s report.Server) (t timeline.Interval) {
@@ -321,7 +369,8 @@
 			}
 			found = true
 			if a, b := sum(l), sum(k); a.Placements > b.Placements || a.Probes > b.Probes || b.Placements == 0 {
-				t.Errorf("%s: %d placements and %d probes live, %d and %d kept", l.Name, a.Placements, a.Probes, b.Placements, b.Probes)
+				t.Errorf("%s: %d placements and %d probes live, %d and %d kept",
+					l.Name, a.Placements, a.Probes, b.Placements, b.Probes)
 			}
 			if len(k.States) < len(l.States) || !reflect.DeepEqual(k.States[:len(l.States)], l.States) {
 				t.Errorf("%s: bands %+v, kept %+v", l.Name, l.States, k.States)
--- a/internal/observe/watch/watcher.go
+++ b/internal/observe/watch/watcher.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// RelayChanged puts a change of another relay on the list of events: what it is now, and how that is known. The
-// name is empty for this relay.
+// RelayChanged puts a change of another relay on the list of events: what it is now, and how that is known.
+// The name is empty for this relay.
 func (w *Watcher) RelayChanged(relay, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -185,8 +185,8 @@
 	w.rows.writeAll()
 }
 
-// Follow returns a channel of events as they begin and end. It is closed when its reader is too slow; nil if there
-// are too many. Call stop at the end; a second call does nothing.
+// Follow returns a channel of events as they begin and end. It is closed when its reader is too slow; nil if
+// there are too many. Call stop at the end; a second call does nothing.
 func (w *Watcher) Follow() (events <-chan anomaly.Event, stop func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
