--- a/decide/admission.go
+++ b/decide/admission.go
@@ -5,7 +5,8 @@
 // admissionLoadLimit is the load, 0 to 1, beyond which no server is given more: near it most is served.
 const admissionLoadLimit = 0.75
 
-// admission decides whether there is room for one more, so that load is shed before a server is overloaded.
+// admission decides whether a server has capacity for one more connection, so that load is shed before it is
+// overloaded.
 type admission struct {
 	*environment
 	endpoints *endpointSet
@@ -15,9 +16,9 @@
 	fleet     *fleetView
 }
 
-// drawAdmission draws whether the best server found has room for one more. All relays find the few that
-// have room at the same time and none sees the others' placements until the next load report; so each takes
-// no more of what comes to it than fills that room if the others do as it does.
+// drawAdmission draws whether the best server found has capacity for one more. All relays find the few that
+// have some left at the same time and none sees the others' placements until the next load report; so each
+// takes no more of what comes to it than fills that capacity if the others do as it does.
 func (a *admission) drawAdmission(s *serverState) bool {
 	if !s.reading.usable() {
 		return true
@@ -27,18 +28,19 @@
 		return s.reading.load < admissionLoadLimit
 	}
 	demand := a.rng.Float64() * a.expectedArrivals() * perConnection
-	return demand < (admissionLoadLimit-a.load.estimatedLoad(s))*a.serversWithRoom()
+	return demand < (admissionLoadLimit-a.load.estimatedLoad(s))*a.serversWithCapacity()
 }
 
-// serversWithRoom is how many of the listed servers have room, by the part of the pool that has.
-func (a *admission) serversWithRoom() float64 {
-	withRoom, looked := 0, min(len(a.pool.pool), maxCandidates)
-	for _, id := range a.pool.pool[:looked] {
+// serversWithCapacity is how many of the listed servers are below admissionLoadLimit, by the part of the pool
+// that is.
+func (a *admission) serversWithCapacity() float64 {
+	below, sampled := 0, min(len(a.pool.pool), maxCandidates)
+	for _, id := range a.pool.pool[:sampled] {
 		if a.load.estimatedLoad(&a.endpoints.servers[id]) < admissionLoadLimit {
-			withRoom++
+			below++
 		}
 	}
-	return float64(withRoom) / float64(looked) * float64(a.endpoints.listedCount())
+	return float64(below) / float64(sampled) * float64(a.endpoints.listedCount())
 }
 
 // expectedArrivals is how many requests come to all relays while no reading tells of them.
@@ -46,8 +48,8 @@
 	return a.fleet.fleetRequestRate(a.arrivals.requestRate()) * a.unreportedWindow().Seconds()
 }
 
-// unreportedWindow is the time of which neither readings nor, where other relays tell what they place, their
-// gossip speaks yet: for gossip a round, and its way through the fleet.
+// unreportedWindow is how far back placements may be missing from what is known here: by load reports, or
+// where relays share placements by gossip, which takes a round and its way through the fleet.
 func (a *admission) unreportedWindow() time.Duration {
 	if a.fleet.status.SharesPlacements {
 		return loadReportDelay / 2
--- a/decide/arrivals.go
+++ b/decide/arrivals.go
@@ -22,7 +22,7 @@
 
 // requestRate is how many requests a second come here now: those of the last overload window, and one that
 // counts for the time in which one comes at this relay's usual rate. Where a relay gets a request in ten
-// seconds, the one that it just got would else stand for as many as the window has room for.
+// seconds, the one that it just got would else stand for as many as fit the window.
 func (a *arrivalRate) requestRate() float64 {
 	a.fade()
 	window := a.settings.Rules.OverloadWindow.Seconds()
--- a/decide/environment.go
+++ b/decide/environment.go
@@ -11,7 +11,7 @@
 
 const (
 	timerRequest   timerKind = iota // a queued request's probes or its backoff are due; id: the request's
-	timerLoadWatch                  // the servers that hold own connections are to be looked at
+	timerLoadWatch                  // the servers that hold own connections are to be checked
 	timerDiscovery                  // discovery is to be polled; id: firstPollTimer or 0
 	timerMigrate                    // probes for a better place are due; id: the server whose excess migrates
 	timerKinds
--- a/decide/load.go
+++ b/decide/load.go
@@ -21,7 +21,7 @@
 	// slowProbeFactor is how many times the usual a probe takes at a server where work is piled up.
 	slowProbeFactor = 4
 	// guessedLoadLimit is the most that a server without a load report is guessed at, 0 to 1: one that has
-	// room, but is not a better place to migrate to.
+	// capacity, but is not a better place to migrate to.
 	guessedLoadLimit = rebalanceTargetLoad
 )
 
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -28,7 +28,7 @@
 	probesAwaited    int           // results of probes that it still waits for
 	triedOtherZone   bool          // it has had another zone probed
 	awaitedFirstList bool          // it has waited for the first endpoint list
-	subsetWidened    int           // 1 once it has looked beyond its group's subset
+	subsetWidened    int           // 1 once its group's subset has been widened for it
 	mayHaveRunOn     ServerID      // not idempotent: server of the first attempt that may have run, or -1
 	mayHaveRunAt     time.Duration // when that attempt was sent
 }
