--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -13,10 +13,10 @@
 // monotonic clock. A clock made by NewManualClock stands still until a test sets it. It is safe for use by
 // many goroutines.
 type Clock struct {
-	origin    time.Time // the clock of the day when the clock was made
+	origin    time.Time // the wall clock when the clock was made
 	manual    bool
 	manualNow atomic.Int64 // a manual clock's instant
-	wallStep  atomic.Int64 // how far the clock of the day is off where the clock is manual
+	wallStep  atomic.Int64 // how far the wall clock is off where the clock is manual
 }
 
 // NewClock returns a clock that runs.
@@ -40,8 +40,8 @@
 	return clockStart + c.elapsed()
 }
 
-// FromWall turns the moment of the day at which something has happened into this clock's instant; the zero
-// time stays 0, for long ago. The clock of the day may have been stepped since the process started, here
+// FromWall turns the wall time at which something has happened into this clock's instant; the zero time
+// stays 0, for long ago. The wall clock may have been stepped since the process started, here
 // alone or on all machines. So it goes by both readings, that of the start and that of now, and takes the
 // later instant: what has just happened is never taken for old, and nothing lies ahead.
 func (c *Clock) FromWall(at time.Time) time.Duration {
@@ -54,7 +54,7 @@
 	return min(max(byStart, byDay), now)
 }
 
-// wall returns the clock of the day.
+// wall returns the wall clock's time.
 func (c *Clock) wall() time.Time {
 	if c.manual {
 		return c.Wall(c.Now()).Add(time.Duration(c.wallStep.Load()))
@@ -62,11 +62,11 @@
 	return wallNow()
 }
 
-// StepWallClock sets by how much the clock of the day is off where the clock was made by NewManualClock.
+// StepWallClock sets by how much the wall clock is off where the clock was made by NewManualClock.
 func (c *Clock) StepWallClock(by time.Duration) { c.wallStep.Store(int64(by)) }
 
-// Wall turns an instant of this clock into the time of the day, by the one origin that was read at the start:
-// it does not step with the clock of the day.
+// Wall turns an instant of this clock into wall time, by the one origin that was read at the start: it does
+// not step with the wall clock.
 func (c *Clock) Wall(at time.Duration) time.Time { return c.origin.Round(0).Add(at - clockStart) }
 
 // WallDeadline returns the network deadline that falls at an instant of this clock.
--- a/internal/relay/clock_faults.go
+++ b/internal/relay/clock_faults.go
@@ -14,5 +14,5 @@
 // elapsed is how long ago the process began, by a clock that may run fast or slow.
 func (c *Clock) elapsed() time.Duration { return faultpoint.Shown() - started }
 
-// wallNow is the clock of the day, which may be off.
+// wallNow returns the wall clock's time, which a fault point may have stepped.
 func wallNow() time.Time { return time.Now().Add(faultpoint.Step()) }
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -8,8 +8,8 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file makes records for the event recorder. Callers hold the table's lock and
-// have looked that there is a recorder.
+// This file makes records for the event recorder. Callers hold the table's lock and have checked that there
+// is a recorder.
 
 // recordWatchEvent records what a list or a watch event has changed.
 func (t *RequestTable) recordWatchEvent(kind decide.WatchKind) {
