--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -24,7 +24,7 @@
 	// The operators' files; what has none is off.
 
 	XMPP     string // the XMPP front
-	Resume   string // moving with a token
+	Resume   string // streams with tokens, which can be resumed
 	Timeline string // time lines of servers
 	Members  string // relays that know each other
 }
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -101,7 +101,7 @@
 	return l.inbox
 }
 
-// enqueueCellEvent queues an event. When there is no room it is dropped: all is sent again.
+// enqueueCellEvent queues an event. When the inbox is full it is dropped: all is sent again.
 func (n *Node) enqueueCellEvent(link *cellLink, event cells.Event) {
 	select {
 	case link.inbox <- event:
--- a/internal/wire/gossip/memberlist.go
+++ b/internal/wire/gossip/memberlist.go
@@ -39,7 +39,7 @@
 	if n.cfg.Advertise != "" {
 		c.AdvertiseAddr, c.AdvertisePort, _ = splitAddress(n.cfg.Advertise)
 	}
-	n.setPace(c)
+	n.setTimings(c)
 	d := (*delegate)(n)
 	c.Delegate, c.Events, c.Alive, c.Conflict, c.Merge = d, d, d, d, d
 	list, err := memberlist.Create(c)
@@ -59,9 +59,9 @@
 	return host, port, err
 }
 
-// setPace sets memberlist's times. They suit relays of one site: a relay that has died is failed after about
+// setTimings sets memberlist's intervals and timeouts. They suit relays of one site: a relay that has died is failed after about
 // 2 s, one that loses a fifth of its packets is not.
-func (n *Node) setPace(c *memberlist.Config) {
+func (n *Node) setTimings(c *memberlist.Config) {
 	c.TCPTimeout = time.Second
 	c.ProbeInterval = 500 * time.Millisecond
 	c.ProbeTimeout = 200 * time.Millisecond
--- a/internal/wire/gossip/node.go
+++ b/internal/wire/gossip/node.go
@@ -216,7 +216,7 @@
 	return local
 }
 
-// enqueueEvent queues an event. When there is no room it is dropped: all is sent again.
+// enqueueEvent queues an event. When the inbox is full it is dropped: all is sent again.
 func (n *Node) enqueueEvent(event membership.Event) {
 	select {
 	case n.inbox <- event:
--- a/internal/wire/gossip/probing.go
+++ b/internal/wire/gossip/probing.go
@@ -15,7 +15,7 @@
 }
 
 // Participants are the relays that share the probing of servers: the members of the view held, with the zones
-// that they tell. Nobody before there is a view that has this relay in it.
+// that their statuses have. Nobody before there is a view that has this relay in it.
 func (n *Node) Participants() (relays []probing.Relay, incarnation uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/wire/gossip/send.go
+++ b/internal/wire/gossip/send.go
@@ -56,7 +56,7 @@
 	}()
 }
 
-// publish tells this relay's status to all.
+// publish broadcasts this relay's status.
 func (n *Node) publish(status membership.Status) {
 	text, err := n.encodeForCell(status.Incarnation, status.Seq, kindStatus, n.adjustStatus(status))
 	if err != nil {
