--- a/decide/quota.go
+++ b/decide/quota.go
@@ -3,7 +3,7 @@
 // quotaCapacityShare is the part of all servers' capacity that the tenants' quotas add up to, 0 to 1.
 const quotaCapacityShare = 0.8
 
-// quota reckons what a connection adds to a server's load by what the tenants may hold together.
+// quota estimates what a connection adds to a server's load by what the tenants may hold together.
 type quota struct {
 	totalConnections float64 // of all tenants within their quotas, 0 if the settings have none
 	maxListed        int     // servers listed at once so far: a quota does not shrink with a crash
--- a/decide/rebalance.go
+++ b/decide/rebalance.go
@@ -77,7 +77,7 @@
 	return s.reading.load == 0 || s.reading.loadGuessed || b.load.estimatedLoad(s) > watchedLoad
 }
 
-// rebalanceServer judges a server that holds own connections, and has its excess migrate. All relays that
+// rebalanceServer checks a server that holds own connections, and has its excess migrate. All relays that
 // see it overloaded migrate only their part of the excess, drawn at random; off a silent one each goes
 // after its own probe. A relay that holds few connections reads few servers: it has others probed first.
 func (b *rebalancer) rebalanceServer(id ServerID, s *serverState) {
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// startupWait is how long a relay waits to hear of others before it says that it is alone.
+// startupWait is how long a relay waits for an alive peer before its phase is PhaseAlone.
 const startupWait = 1500 * time.Millisecond
 
 // Phase is how far a relay's view is agreed.
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -18,7 +18,7 @@
 	Hash  string `json:"hash"`
 	// AgreedMs is since the view was agreed last, negative for never.
 	AgreedMs         float64           `json:"agreed_ms"`
-	Relays           int               `json:"relays"` // that this relay reckons with
+	Relays           int               `json:"relays"` // in the fleet, as this relay counts them
 	BudgetShare      float64           `json:"share"`  // of a budget of the fleet
 	ShareReason      string            `json:"why"`
 	OtherRequestRate float64           `json:"others_per_s"` // requests at the others, negative if not known
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -141,7 +141,7 @@
 }
 
 // Resume takes on a connection that was open at a server before this relay started. The decision module
-// hears of it once it is established again.
+// is notified once it is established again.
 func (t *RequestTable) Resume(o OpenRequest, server string, client ClientConn) *Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -113,7 +113,7 @@
 }
 
 // ServerClosed says that the server has ended its connection. It comes before the client's is closed: that
-// makes the client's goroutine say that the client has left, and the one to blame would be the wrong one.
+// makes the client's goroutine say that the client has left, and the close would be recorded as the client's.
 func (r *Request) ServerClosed() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
--- a/internal/wire/discovery/client.go
+++ b/internal/wire/discovery/client.go
@@ -66,7 +66,7 @@
 // call.
 type Client struct {
 	// Pushed says that lists come from an agent of this relay's own: the client watches from the start and
-	// for good, and the decision module neither asks for that nor hears of failures. It is set before Run.
+	// for good, and the decision module neither asks for that nor is notified of failures. It is set before Run.
 	Pushed bool
 
 	clock        *relay.Clock
@@ -99,12 +99,12 @@
 }
 
 // SetAddress follows discovery to another address at once. The call that is out is ended, and the decision
-// module does not hear of it: nothing has failed, and a backoff would delay watch events that count as
+// module is not notified: nothing has failed, and a backoff would delay watch events that count as
 // notified 4 s later.
 func (c *Client) SetAddress(address string) { c.target.set(address) }
 
 // RestartWatch ends the call that is out and watches anew at once: the watch that stands may have gone silent
-// unnoticed. The decision module does not hear of it, as nothing has failed.
+// unnoticed. The decision module is not notified, as nothing has failed.
 func (c *Client) RestartWatch() { c.target.restartCall() }
 
 // ListVersion is the version of the newest list taken in, 0 before the first.
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -196,7 +196,7 @@
 			n.publishDirectory(link, a.Directory)
 		case cells.Changed:
 			n.logCellChange(link, a)
-			// The membership.Node hears of the other cells, and of a plan that is activated.
+			// At the next report the membership.Node is notified of the other cells, and of a plan activated.
 			link.nextReportAt = n.now()
 		}
 	}
--- a/internal/wire/gossip/delegate.go
+++ b/internal/wire/gossip/delegate.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// noteHealth notes what memberlist says of a relay, and has the membership.Node hear of it.
+// noteHealth notes what memberlist says of a relay, and notifies the membership.Node.
 func (d *delegate) noteHealth(m *memberlist.Node, health membership.Health) {
 	d.peers.noteHealth(*m, health)
 	(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: health})
--- a/internal/wire/gossip/faultpoint.go
+++ b/internal/wire/gossip/faultpoint.go
@@ -14,7 +14,7 @@
 // injectFaults is where tests put faults between relays; this program has none.
 func (n *Node) injectFaults(t *countingTransport) memberlist.NodeAwareTransport { return t }
 
-// recordHistory is where tests take down what the relay reckons with; this program does not.
+// recordHistory is where tests record the relay's estimate of the fleet; this program does not.
 func (n *Node) recordHistory() {}
 
 // adjustTiming is where tests have a cell go faster; this program goes by its pace.
