--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -101,7 +101,7 @@
 	return l.inbox
 }
 
-// enqueueCellEvent queues an event. When there is no room it is dropped: all is sent again.
+// enqueueCellEvent queues an event. When the inbox is full it is dropped: all is sent again.
 func (n *Node) enqueueCellEvent(link *cellLink, event cells.Event) {
 	select {
 	case link.inbox <- event:
@@ -196,7 +196,7 @@
 			n.publishDirectory(link, a.Directory)
 		case cells.Changed:
 			n.logCellChange(link, a)
-			// The membership.Node hears of the other cells, and of a plan that is activated.
+			// At the next report the membership.Node is notified of the other cells, and of a plan activated.
 			link.nextReportAt = n.now()
 		}
 	}
