--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -28,15 +28,17 @@
 }
 
 func newServer(t *testing.T) *server {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &server{address: l.Addr().String()}
-	s.Server = grpc.NewServer(grpc.UnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, h grpc.UnaryHandler) (any, error) {
+	count := func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, h grpc.UnaryHandler) (any, error) {
 		s.calls.Add(1)
 		return h(ctx, req)
-	}))
+	}
+	s.Server = grpc.NewServer(grpc.UnaryInterceptor(count))
 	pb.RegisterHealthServer(s.Server, health.NewServer())
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
@@ -50,18 +52,25 @@
 	pb.HealthClient
 }
 
-func newHarness(t *testing.T, drain float64) *harness {
+func newHarness(t *testing.T, drainMs float64) *harness {
+	t.Helper()
 	zk, err := fake.NewZooKeeper("/rpc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := New(Config{ZooKeeper: []string{zk.Address}, Path: "/rpc", SessionMs: 3000, DrainMs: drain}, zerolog.Nop())
+	d, err := New(Config{
+		ZooKeeper: []string{zk.Address},
+		Path:      "/rpc",
+		SessionMs: 3000,
+		DrainMs:   drainMs,
+	}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
 	conn, err := grpc.NewClient("passthrough:///rpc", grpc.WithContextDialer(d.Dial),
-		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.WaitForReady(true)))
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.WaitForReady(true)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,8 +111,8 @@
 	b.callUntilReachedLosing(s, 0)
 }
 
-// callUntilReachedLosing is until, where up to lost calls may fail as Unavailable: those that were written to a server
-// as it died, which gRPC does not send again, since they may have run.
+// callUntilReachedLosing is until, where up to lost calls may fail as Unavailable: those that were written to
+// a server as it died, which gRPC does not send again, since they may have run.
 func (b *harness) callUntilReachedLosing(s *server, lost int) {
 	b.t.Helper()
 	for i, before := 0, s.calls.Load(); s.calls.Load() == before; i++ {
@@ -172,7 +181,7 @@
 	b.callUntilReached(two)
 }
 
-// A server that dies is left by gRPC through the core.
+// gRPC dials again through the core once a server has died.
 func TestKilledServerIsReplaced(t *testing.T) {
 	b := newHarness(t, 1000)
 	one, two := newServer(t), newServer(t)
@@ -190,7 +199,7 @@
 	if !errors.As(err, &refused) {
 		t.Fatalf("without a server: %v", err)
 	}
-	if _, err := New(Config{}, zerolog.Nop()); err == nil {
-		t.Error("a configuration without addresses is taken")
+	if _, err := New(Config{}, zerolog.Nop()); !errors.Is(err, ErrNoServers) {
+		t.Errorf("a configuration without addresses: %v", err)
 	}
 }
