--- a/internal/wire/connlimit/limiter.go
+++ b/internal/wire/connlimit/limiter.go
@@ -18,6 +18,8 @@
 )
 
 const (
+	// RetryAfter is when a client comes again whose request the limit has rejected.
+	RetryAfter = 500 * time.Millisecond
 	// RequestWithin is how long after its acceptance a connection without a request is closed. What the
 	// client sends meanwhile does not renew it: one that says nothing useful is owed a close within 3 s.
 	RequestWithin = 2 * time.Second
@@ -28,7 +30,7 @@
 	// being rejected. They evict one another, the oldest first.
 	idleReserveFraction = 1.0 / 8
 	minIdleReserve      = 8
-	// MaxEvicting bounds the connections that have been told to close and have not yet; beyond it nothing is
+	// MaxEvicting bounds the evicted connections that have not closed yet; beyond it nothing is
 	// accepted. Each takes no longer than its goroutine takes to look once at what has come.
 	MaxEvicting = 8
 	// logLinesPerSecond bounds the log lines that clients' faults may cause.
@@ -53,7 +55,7 @@
 	descriptorsHeld    int
 	requestDescriptors int       // of those held, the ones of requests
 	idlePermits        list.List // of *Permit without a request, or with their answer; the oldest first
-	evicting           int       // of those held, the ones that have been told to close
+	evicting           int       // of those held, the ones of evicted connections
 	evictionDone       sync.Cond // signalled as evicting falls
 	draining           bool      // connections that bring no request now are closed
 }
--- a/internal/wire/connlimit/permit.go
+++ b/internal/wire/connlimit/permit.go
@@ -20,12 +20,12 @@
 	idleElement    *list.Element // among the limiter's idlePermits
 	clientCounted  bool          // the client's descriptor is counted
 	requestCounted bool          // and counts as a request's
-	evicted        bool          // the connection has been told to close
+	evicted        bool          // the connection is to close
 	serverCounted  bool          // the descriptor of its connection to a server is counted
 }
 
 // AcquireRequest takes the second descriptor that a request needs; false if requests hold all they may. From
-// then on the connection is not evicted, even if it had been told to close.
+// then on the connection is not evicted, even if it was to be.
 func (p *Permit) AcquireRequest() bool {
 	l := p.limiter
 	l.mu.Lock()
@@ -83,7 +83,7 @@
 	p.limiter.idlePermits.Remove(p.idleElement)
 }
 
-// cancelEviction takes the connection out of those that have been told to close. The caller holds the lock.
+// cancelEviction takes the connection out of those that are evicted. The caller holds the lock.
 func (p *Permit) cancelEviction() {
 	if !p.evicted {
 		return
--- a/internal/wire/platform/frontend.go
+++ b/internal/wire/platform/frontend.go
@@ -105,7 +105,7 @@
 	}
 	if !permit.AcquireRequest() { // better a rejection at once than an accept that fails
 		f.Requests.RecordConnLimitRejection(open.Class)
-		half.Forward(encodeRejected(connLimitRetryAfter))
+		half.Forward(encodeRejected(connlimit.RetryAfter))
 		return nil
 	}
 	half.SetReadUntil(0)
--- a/internal/wire/platform/wire.go
+++ b/internal/wire/platform/wire.go
@@ -34,9 +34,6 @@
 	wordAhead        = "AHEAD" // the server has not come to the position
 )
 
-// connLimitRetryAfter is when a client comes again that the limit on connections has rejected.
-const connLimitRetryAfter = 500 * time.Millisecond
-
 // splitFirstWord splits a line into its first word and the rest, without its end.
 func splitFirstWord(line []byte) (first, rest string) {
 	first, rest, _ = strings.Cut(string(bytes.TrimRight(line, "\r\n")), " ")
--- a/internal/wire/xmpp/frontend.go
+++ b/internal/wire/xmpp/frontend.go
@@ -14,9 +14,6 @@
 	"capersail/internal/wire/splice"
 )
 
-// connLimitRetryAfter is when a client comes again that the limit on connections has rejected.
-const connLimitRetryAfter = 500 * time.Millisecond
-
 // Host is what the operator's file says of one host that clients name.
 type Host struct {
 	Class        decide.Class
@@ -50,7 +47,7 @@
 		f.Limiter.Log.Warn().Err(err).Str("to", st.host).Msg("client stream rejected before a request was opened")
 	case !permit.AcquireRequest():
 		f.Requests.RecordConnLimitRejection(host.Class)
-		st.sendOutcome(resourceConstraint, encodeRetryAfter(connLimitRetryAfter))
+		st.sendOutcome(resourceConstraint, encodeRetryAfter(connlimit.RetryAfter))
 	default:
 		half.SetReadUntil(0)
 		request = f.Requests.Open(relay.OpenRequest{
--- a/internal/wire/xmpp/handshake.go
+++ b/internal/wire/xmpp/handshake.go
@@ -99,7 +99,7 @@
 func (s *saslExchange) run() decide.Status {
 	for {
 		// A server that has begun to drain gets nothing new. Before SASL the attempt is simply not made; a stream
-		// in the middle of it cannot be taken elsewhere, and its client is told to come again.
+		// in the middle of it cannot be taken elsewhere, and its client is to open it again.
 		if s.Request.ServerDraining() {
 			if !s.forwarded {
 				return decide.Superseded
--- a/internal/wire/xmpp/server_dialer.go
+++ b/internal/wire/xmpp/server_dialer.go
@@ -20,7 +20,7 @@
 	Clock          *relay.Clock
 	ConnectTimeout time.Duration // of a dial, beside the attempt's deadline, and of a probe
 	ProbeHost      string        // the host that a probe's stream names
-	SilenceTimeout time.Duration // a server that has confirmed nothing for so long is given up
+	SilenceTimeout time.Duration // a server that has confirmed nothing for so long is lost
 	Log            zerolog.Logger
 }
 
--- a/internal/wire/xmpp/stanzas.go
+++ b/internal/wire/xmpp/stanzas.go
@@ -132,7 +132,7 @@
 // endStream ends a stream whose server is gone, silent or done. What the server has not confirmed, and what
 // is still queued, comes back to the client as errors: never lost without a word, never sent twice.
 func (a *attempt) endStream(c condition, status decide.Status) decide.Status {
-	a.Request.ServerClosed() // before the client is told: its goroutine then says that it has left
+	a.Request.ServerClosed() // before the client sees the end: its goroutine then reports that it has left
 	back := a.unconfirmed
 	if status == decide.OK || status == decide.Cancelled { // it ended its stream after what it had read
 		back = nil
--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// write sends whole items to the client; after its outcome nothing more.
+// write sends complete items to the client; after its outcome nothing more.
 func (st *stream) write(p []byte) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -31,7 +31,7 @@
 
 // Events is notified of what happens to a session, in order and from one goroutine, as answers are.
 type Events interface {
-	// Connected: a session stands, a new one or one taken up again, by a request sent at sentAt.
+	// Connected: a session, new or resumed, was granted its time-out by a request sent at sentAt.
 	Connected(session int64, granted, sentAt time.Duration)
 	// Disconnected: every request without an answer has been answered ConnectionLoss.
 	Disconnected()
