--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -94,7 +94,8 @@
 	b.Cleanup(zk.Close)
 	ring, _ := token.NewKeyRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
 	clock := relay.NewClock()
-	deployment := newDeployment(decide.ClassInfo{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second})
+	class := decide.ClassInfo{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second}
+	deployment := newDeployment(class)
 	dialer := &ServerDialer{Clock: clock, ConnectTimeout: time.Second, MaxIdleProbeConns: 4}
 	requests := relay.NewRequestTable(deployment, clock, dialer)
 	requests.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{
@@ -126,7 +127,8 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			f := &Frontend{Requests: requests, Deployment: deployment, Limiter: connlimit.New(clock, 64, zerolog.Nop())}
+			limiter := connlimit.New(clock, 64, zerolog.Nop())
+			f := &Frontend{Requests: requests, Deployment: deployment, Limiter: limiter}
 			if k.on {
 				f.Resume = service
 			}
--- a/internal/wire/splice/faultpoint_faults.go
+++ b/internal/wire/splice/faultpoint_faults.go
@@ -45,6 +45,7 @@
 	return false
 }
 
+// Read returns nothing while the other side is out of reach.
 func (c *cuttable) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -58,6 +59,7 @@
 	}
 }
 
+// Write loses what is written while the other side is out of reach.
 func (c *cuttable) Write(b []byte) (int, error) {
 	switch {
 	case c.cut():
--- a/internal/wire/splice/half.go
+++ b/internal/wire/splice/half.go
@@ -17,8 +17,8 @@
 const WriteTimeout = time.Second
 
 const (
-	// lingerFor is how long a connection that was closed cleanly waits for its peer's end. A close over unread
-	// bytes makes the kernel send a reset, which can overtake and destroy the last line written.
+	// lingerFor is how long a connection that was closed cleanly waits for its peer's end. A close over
+	// unread bytes makes the kernel send a reset, which can overtake and destroy the last line written.
 	lingerFor = 500 * time.Millisecond
 	// lingerBytes bounds what is read and discarded meanwhile: a client that sends at full speed costs
 	// processor time.
--- a/internal/wire/xmpp/frontend.go
+++ b/internal/wire/xmpp/frontend.go
@@ -44,7 +44,10 @@
 	var request *relay.Request
 	switch {
 	case err != nil:
-		f.Limiter.Log.Warn().Err(err).Str("to", st.host).Msg("client stream rejected before a request was opened")
+		f.Limiter.Log.Warn().
+			Err(err).
+			Str("to", st.host).
+			Msg("client stream rejected before a request was opened")
 	case !permit.AcquireRequest():
 		f.Requests.RecordConnLimitRejection(host.Class)
 		st.sendOutcome(resourceConstraint, encodeRetryAfter(connlimit.RetryAfter))
--- a/internal/wire/xmpp/handshake.go
+++ b/internal/wire/xmpp/handshake.go
@@ -17,7 +17,7 @@
 	reader *itemReader
 
 	unconfirmed     []item        // written to the server, which has not shown yet that it took them
-	lastConfirmedAt time.Duration // when the oldest of them was written, or the server was last heard after it
+	lastConfirmedAt time.Duration // of the oldest: when it was written, or the server sent something since
 	pingCovers      int           // how many of them stood before the ping that is out; 0 if none is
 	pingsSent       int
 }
@@ -98,8 +98,8 @@
 
 func (s *saslExchange) run() decide.Status {
 	for {
-		// A server that has begun to drain gets nothing new. Before SASL the attempt is simply not made; a stream
-		// in the middle of it cannot be taken elsewhere, and its client is to open it again.
+		// A server that has begun to drain gets nothing new. Before SASL the attempt is simply not made; a
+		// stream in the middle of it cannot be taken elsewhere, and its client is to open it again.
 		if s.Request.ServerDraining() {
 			if !s.forwarded {
 				return decide.Superseded
--- a/internal/wire/zookeeper/client.go
+++ b/internal/wire/zookeeper/client.go
@@ -133,10 +133,10 @@
 		case <-c.watchWanted:
 		default:
 		}
-		if errors.Is(err, errExpired) { // the next watch begins a new session and reads the complete list again
+		if errors.Is(err, errExpired) { // the next watch begins a new session
 			c.state.sessionID, c.state.password = 0, nil
 		}
-		c.Log.Info().Err(err).Msg("endpoint watch ended; polling again with backoff")
+		c.Log.Info().Err(err).Msg("endpoint watch ended; polling with backoff")
 		c.Requests.UpdateEndpoints(decide.WatchFailed, nil)
 	}
 }
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// A session's time-out divided by pingDivisor is how long it may go without a request. Ownership is trusted
-	// by what was answered last, so pings come more often than a session needs to live.
+	// A session's time-out divided by pingDivisor is how long it may go without a request. Ownership is
+	// trusted by what was answered last, so pings come more often than a session needs to live.
 	pingDivisor = 6
 	// Divided by silenceDivisor, how long a service may be silent before another address is tried.
 	silenceDivisor = 2
@@ -58,6 +58,11 @@
 	closeConn   context.CancelFunc // ends the connection that is open
 	connected   bool               // requests are taken
 	closing     bool
+	outstanding
+}
+
+// outstanding is what a connection owes answers to.
+type outstanding struct {
 	unsent      []request
 	pending     []request       // written, without an answer, the oldest first
 	pingsSentAt []time.Duration // of those without an answer, the oldest first
@@ -167,10 +172,10 @@
 func (s *Session) failOutstanding() {
 	s.mu.Lock()
 	wasConnected := s.connected
-	outstanding := append(s.pending, s.unsent...)
+	unanswered := append(s.pending, s.unsent...)
 	s.connected, s.pending, s.unsent, s.pingsSentAt = false, nil, nil, nil
 	s.mu.Unlock()
-	for _, r := range outstanding {
+	for _, r := range unanswered {
 		r.done(Answer{Code: ConnectionLoss})
 	}
 	if wasConnected {
--- a/internal/wire/zookeeper/watch.go
+++ b/internal/wire/zookeeper/watch.go
@@ -56,7 +56,12 @@
 		return nil, err
 	}
 	c.state = granted
-	return &watchConn{conn: n, timeout: granted.timeout, nodeByXid: map[int32]string{}, snapshotDue: true}, nil
+	return &watchConn{
+		conn:        n,
+		timeout:     granted.timeout,
+		nodeByXid:   map[int32]string{},
+		snapshotDue: true,
+	}, nil
 }
 
 // watchPath holds one connection: it reads the complete list, then every change, and pings. It returns why
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -36,6 +36,7 @@
 // RefusedError says that the dial was rejected: no server takes the connection now.
 type RefusedError struct{ RetryAfter time.Duration }
 
+// Error names the time to wait.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("rejected: retry after %v", e.RetryAfter)
 }
