--- a/decide/rejection.go
+++ b/decide/rejection.go
@@ -9,17 +9,17 @@
 
 // rejectRequest rejects a request, with a Retry-After that grows with the failures of its key here. Where a
 // rejection, which says that a new attempt does no harm, could hide an effect, it fails the request.
-func (j *rejectionRule) rejectRequest(r *request, reason RejectReason) {
-	class := j.class(r)
-	failures := j.keyFailures.recordFailure(r.Key)
-	j.requests.endRequest(r)
+func (rule *rejectionRule) rejectRequest(r *request, reason RejectReason) {
+	class := rule.class(r)
+	failures := rule.keyFailures.recordFailure(r.Key)
+	rule.requests.endRequest(r)
 	if r.mayHaveRunOn >= 0 && !class.Idempotency.RepeatIsHarmless(class.DedupScope) {
-		j.emit(Fail{ID: r.ID, Reason: reason})
+		rule.emit(Fail{ID: r.ID, Reason: reason})
 		return
 	}
-	wait := j.jitteredBackoff(class.LatencyObjective/2, failures, j.settings.MaxRetryAfter)
-	if !j.settings.RetryAfter {
+	wait := rule.jitteredBackoff(class.LatencyObjective/2, failures, rule.settings.MaxRetryAfter)
+	if !rule.settings.RetryAfter {
 		wait = 0
 	}
-	j.emit(Reject{ID: r.ID, RetryAfter: wait, Reason: reason})
+	rule.emit(Reject{ID: r.ID, RetryAfter: wait, Reason: reason})
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -48,22 +48,22 @@
 // retryOrReject gives a request whose attempt failed its one retry after a backoff, or its final answer. A
 // retry is stopped by the class (rule 2), the clock, the number of attempts or the tenant's budget, in this
 // order. The backoff starts from a quarter of the latency objective and leaves most of the time that is left.
-func (t *retryRule) retryOrReject(r *request) {
-	left := r.deadline - t.now
-	wait := t.jitteredBackoff(t.class(r).LatencyObjective/4, r.attempts-1, left/4)
+func (rule *retryRule) retryOrReject(r *request) {
+	left := r.deadline - rule.now
+	wait := rule.jitteredBackoff(rule.class(r).LatencyObjective/4, r.attempts-1, left/4)
 	switch {
-	case r.mayHaveRunOn >= 0 && t.class(r).Idempotency == NonIdempotent:
-		t.rejections.rejectRequest(r, MayHaveRun)
-	case left < minRetryTicks*t.settings.Tick:
-		t.rejections.rejectRequest(r, DeadlineNear)
-	case r.attempts >= min(plannedAttempts, t.settings.MaxAttempts):
-		t.rejections.rejectRequest(r, AttemptsExhausted)
-	case !t.budget.has(r.Tenant):
-		t.rejections.rejectRequest(r, RetryBudgetExhausted)
+	case r.mayHaveRunOn >= 0 && rule.class(r).Idempotency == NonIdempotent:
+		rule.rejections.rejectRequest(r, MayHaveRun)
+	case left < minRetryTicks*rule.settings.Tick:
+		rule.rejections.rejectRequest(r, DeadlineNear)
+	case r.attempts >= min(plannedAttempts, rule.settings.MaxAttempts):
+		rule.rejections.rejectRequest(r, AttemptsExhausted)
+	case !rule.budget.has(r.Tenant):
+		rule.rejections.rejectRequest(r, RetryBudgetExhausted)
 	default:
-		t.budget.spend(r.Tenant)
-		r.phase, r.wakeAt = phaseBackoff, t.now+wait
-		t.setTimer(timerRequest, uint64(r.ID), wait)
+		rule.budget.spend(r.Tenant)
+		r.phase, r.wakeAt = phaseBackoff, rule.now+wait
+		rule.setTimer(timerRequest, uint64(r.ID), wait)
 	}
 }
 
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -31,8 +31,8 @@
 }
 
 // String is the text of logs and reports.
-func (d Lifecycle) String() string {
-	return textOf(lifecycleTexts[:], uint8(d))
+func (l Lifecycle) String() string {
+	return textOf(lifecycleTexts[:], uint8(l))
 }
 
 // Status is what a relay tells all others of itself. Fields that a reader does not know are skipped,
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -33,7 +33,7 @@
 }
 
 // maxShare is what the relay may take, whichever of the views it acts on.
-func (s Member) maxShare() uint64 { return max(s.BudgetShare, s.OutstandingLimit) }
+func (m Member) maxShare() uint64 { return max(m.BudgetShare, m.OutstandingLimit) }
 
 // View is one link of the chain of views. It is never changed once made.
 type View struct {
