--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -54,10 +54,10 @@
 	relay           string // the relay's name
 	requests        *relay.RequestTable
 	clock           *relay.Clock
-	platform        *platform.Frontend   // nil for other fronts
-	discovery       *discovery.Client    // nil for other fronts
-	fleet           relay.FleetView      // a part's to set; nil where relays do not know each other
-	sharedProbing   *relay.SharedProbing // the same; nil where each probes servers for itself
+	platform        *platform.Frontend      // nil for other fronts
+	discovery       *discovery.Client       // nil for other fronts
+	fleet           relay.FleetStatusSource // a part's to set; nil where relays do not know each other
+	sharedProbing   *relay.SharedProbing    // the same; nil where each probes servers for itself
 	changeListeners []func(membership.Changed)
 }
 
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -47,7 +47,7 @@
 	}
 	go endpoints.Run(ctx, c.CachedList.Version)
 	loop := relay.NewEventLoop(requests, c.Seed, endpoints, log)
-	loop.FleetView, loop.SharedProbing = seam.fleet, seam.sharedProbing
+	loop.FleetStatus, loop.SharedProbing = seam.fleet, seam.sharedProbing
 	go loop.Run(ctx)
 	r := &runningFront{
 		requests:        requests,
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -31,7 +31,7 @@
 	x.Recorder = w.Recorder
 	var list []relay.Endpoint
 	for i := range servers {
-		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Mode: decide.Ready})
+		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), State: decide.Ready})
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -115,7 +115,7 @@
 		all = append(all, relay.Endpoint{
 			ID:        s.ID,
 			Address:   s.Address,
-			Mode:      w.modes[i],
+			State:     w.modes[i],
 			StartedAt: relay.FromUnixMillis(w.since[i]),
 			Load:      -1,
 		})
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -17,7 +17,7 @@
 			clock := NewManualClock()
 			table := NewRequestTable(&Deployment{}, clock, nil)
 			day := func() time.Time { return clock.Wall(clock.Now()) }
-			old := Endpoint{ID: "old", Mode: decide.Ready, StartedAt: day().Add(-time.Minute)}
+			old := Endpoint{ID: "old", State: decide.Ready, StartedAt: day().Add(-time.Minute)}
 			table.UpdateEndpoints(decide.Cached, []Endpoint{old})
 			before := table.endpoints.byID["old"].startedAt
 			clock.Set(clock.Now() + 20*time.Second)
@@ -26,7 +26,7 @@
 			if everywhere {
 				told = told.Add(step)
 			}
-			young := Endpoint{ID: "new", Mode: decide.Ready, StartedAt: told}
+			young := Endpoint{ID: "new", State: decide.Ready, StartedAt: told}
 			table.UpdateEndpoints(decide.Snapshot, []Endpoint{old, young})
 			if got := table.endpoints.byID["old"].startedAt; got != before {
 				t.Errorf("step %v, everywhere %v: the old server's start moved by %v",
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -86,14 +86,14 @@
 	defer t.mu.Unlock()
 	counts := EndpointCounts{Ejected: int(t.counters.ejected.Load())}
 	for _, s := range t.endpoints.servers {
-		if s.listedMode == decide.Removed {
+		if s.listedState == decide.Removed {
 			continue
 		}
 		counts.Listed++
 		switch {
 		case s.ejectedManually:
 			counts.EjectedManually++
-		case s.listedMode == decide.Ready && s.mode != decide.Ready:
+		case s.listedState == decide.Ready && s.state != decide.Ready:
 			counts.Withheld++
 		}
 	}
--- a/internal/relay/doubles_test.go
+++ b/internal/relay/doubles_test.go
@@ -56,7 +56,7 @@
 // readyEndpoints is a list of servers that are ready.
 func readyEndpoints(ids ...string) (list []Endpoint) {
 	for _, id := range ids {
-		list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1", Mode: decide.Ready})
+		list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1", State: decide.Ready})
 	}
 	return list
 }
--- a/internal/relay/endpoint_lease.go
+++ b/internal/relay/endpoint_lease.go
@@ -81,7 +81,7 @@
 			Msg("endpoint list lease expired, new requests are rejected until discovery answers: check it")
 	}
 	t.endpoints.leaseExpired = expired
-	if event := t.endpoints.refreshModes(); len(event.Endpoints) > 0 {
+	if event := t.endpoints.refreshStates(); len(event.Endpoints) > 0 {
 		t.post(event)
 	}
 }
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -12,7 +12,7 @@
 	Address        string
 	Zone           string
 	Cell           int32
-	Mode           decide.EndpointState
+	State          decide.EndpointState
 	StartedAt      time.Time // the zero time for long ago
 	Load           float64   // load over capacity that the list itself tells, negative if it does not
 	SupportsResume bool      // it takes streams up where they stopped
@@ -31,12 +31,12 @@
 	startedWall time.Time     // as the list has it
 	startedAt   time.Duration // the same on the relay's clock, as of when the list first had it
 
-	listedMode      decide.EndpointState // as the list has it
+	listedState     decide.EndpointState // as the list has it
 	ejectedManually bool                 // by an operator
-	// mode is what the decision module is notified of: a ready server that is ejected manually, or whose
+	// state is what the decision module is notified of: a ready server that is ejected manually, or whose
 	// list's lease has expired, drains.
-	mode      decide.EndpointState
-	unreadyAt time.Duration // when mode was last seen to leave Ready
+	state     decide.EndpointState
+	unreadyAt time.Duration // when state was last seen to leave Ready
 
 	delayNotedAt time.Duration // when the decision module was last notified of a slow message there
 	recorded     recordedEndpoint
@@ -46,7 +46,7 @@
 // recordedEndpoint is what the event recorder last had of a server.
 type recordedEndpoint struct {
 	known     bool
-	mode      decide.EndpointState
+	state      decide.EndpointState
 	startedAt time.Time
 }
 
@@ -98,8 +98,8 @@
 	}
 	for _, s := range l.servers {
 		if !listed[s.ID] {
-			s.listedMode = decide.Removed
-			l.setMode(s)
+			s.listedState = decide.Removed
+			l.setState(s)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 
 // update takes in what a list says of a server.
 func (l *endpointList) update(s *Server, e Endpoint) {
-	s.listedMode = e.Mode
+	s.listedState = e.State
 	s.Load = e.Load
 	s.SupportsResume = e.SupportsResume
 	s.zone = e.Zone
@@ -126,7 +126,7 @@
 	if e.Address != "" { // an entry that removes a server may come without one
 		s.Address = e.Address
 	}
-	l.setMode(s)
+	l.setState(s)
 }
 
 // setEjected sets the servers that are ejected manually, all of them, and returns what that changes for the
@@ -139,52 +139,52 @@
 			continue
 		}
 		s.ejectedManually = ids[s.ID]
-		l.setMode(s)
+		l.setState(s)
 		event.Endpoints = append(event.Endpoints, l.entry(s))
 	}
 	return event
 }
 
-// refreshModes sets the mode of every server as of now, and returns what that changes for the decision
+// refreshStates sets the state of every server as of now, and returns what that changes for the decision
 // module.
-func (l *endpointList) refreshModes() decide.WatchEvent {
+func (l *endpointList) refreshStates() decide.WatchEvent {
 	event := decide.WatchEvent{Kind: decide.LocalDelta}
 	for _, s := range l.servers {
-		if l.setMode(s) {
+		if l.setState(s) {
 			event.Endpoints = append(event.Endpoints, l.entry(s))
 		}
 	}
 	return event
 }
 
-// setMode sets the mode that the decision module is notified of, from all that is known of a server. It tells
-// whether the mode has changed.
-func (l *endpointList) setMode(s *Server) (changed bool) {
-	mode := s.operatorMode()
-	if mode == decide.Ready && l.leaseExpired {
-		mode = decide.Draining
+// setState sets the state that the decision module is notified of, from all that is known of a server. It tells
+// whether the state has changed.
+func (l *endpointList) setState(s *Server) (changed bool) {
+	state := s.operatorState()
+	if state == decide.Ready && l.leaseExpired {
+		state = decide.Draining
 	}
-	if s.mode == decide.Ready && mode != decide.Ready {
+	if s.state == decide.Ready && state != decide.Ready {
 		s.unreadyAt = l.clock.Now()
 	}
-	changed = s.mode != mode
-	s.mode = mode
+	changed = s.state != state
+	s.state = state
 	return changed
 }
 
-// operatorMode returns the server's mode as operators see it: by the list and their own ejections.
-func (s *Server) operatorMode() decide.EndpointState {
-	if s.ejectedManually && s.listedMode == decide.Ready {
+// operatorState returns the server's state as operators see it: by the list and their own ejections.
+func (s *Server) operatorState() decide.EndpointState {
+	if s.ejectedManually && s.listedState == decide.Ready {
 		return decide.Draining
 	}
-	return s.listedMode
+	return s.listedState
 }
 
 // entry returns the server as the decision module gets it.
 func (l *endpointList) entry(s *Server) decide.Endpoint {
 	return decide.Endpoint{
 		Server:        s.Number,
-		State:         s.mode,
+		State:         s.state,
 		Zone:          l.deployment.Zones[s.zone],
 		Cell:          s.cell,
 		RendezvousKey: ServerKey(s.ID),
@@ -203,7 +203,7 @@
 	}
 	// Whoever has a connection to a server that drains now may want to know.
 	for _, r := range t.requests.byID {
-		if r.attempt.inFlight && r.attempt.conn != nil && r.attempt.currentServer().mode != decide.Ready {
+		if r.attempt.inFlight && r.attempt.conn != nil && r.attempt.currentServer().state != decide.Ready {
 			r.attempt.conn.Wake()
 		}
 	}
@@ -224,7 +224,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.endpoints.byID[id]
-	return s != nil && s.mode == decide.Ready
+	return s != nil && s.state == decide.Ready
 }
 
 // EverListed tells whether any list has named a server of that id.
--- a/internal/relay/event_loop.go
+++ b/internal/relay/event_loop.go
@@ -21,10 +21,10 @@
 	Fetch()
 }
 
-// FleetView is what this relay knows of the others. The status that LockStatus returns stands until
+// FleetStatusSource is what this relay knows of the others. The status that LockStatus returns stands until
 // UnlockStatus: whoever changes it waits, so that no decision is made by a share that this relay has said
 // it no longer takes. Neither method may block for long. now is the event loop's instant.
-type FleetView interface {
+type FleetStatusSource interface {
 	LockStatus(now time.Duration) decide.FleetStatus
 	UnlockStatus()
 }
@@ -44,7 +44,7 @@
 // alone owns the module and its timers. One goroutine calls Run, or Step.
 type EventLoop struct {
 	// FleetView is nil where the relays do not know each other. It is set before Run.
-	FleetView FleetView
+	FleetStatus FleetStatusSource
 	// SharedProbing is nil where this relay probes servers for itself. It is set before Run, and with
 	// FleetView only.
 	SharedProbing *SharedProbing
@@ -102,9 +102,9 @@
 		l.SharedProbing.updateParticipants(now)
 		defer l.SharedProbing.sendOutbox() // once the fleet's status is unlocked
 	}
-	if l.FleetView != nil {
+	if l.FleetStatus != nil {
 		l.handle(now, l.lockFleetStatus(now))
-		defer l.FleetView.UnlockStatus()
+		defer l.FleetStatus.UnlockStatus()
 	}
 	l.handleEvents(now, events)
 	l.fireTimers(now)
@@ -114,7 +114,7 @@
 
 // lockFleetStatus returns what this relay knows of the others, which stands until UnlockStatus.
 func (l *EventLoop) lockFleetStatus(now time.Duration) decide.FleetStatus {
-	status := l.FleetView.LockStatus(now)
+	status := l.FleetStatus.LockStatus(now)
 	status.SharesReadings = l.SharedProbing != nil && l.SharedProbing.scheduler.HasPeers()
 	status.SharesPlacements = status.SharesPlacements && status.SharesReadings
 	return status
--- a/internal/relay/event_loop_test.go
+++ b/internal/relay/event_loop_test.go
@@ -27,7 +27,7 @@
 // A request that the decision module gives up on is answered at once, not near its deadline.
 func TestARequestWithoutAServerIsRejectedAtOnce(t *testing.T) {
 	l := newLoopTest(t)
-	l.table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", Mode: decide.Removed}})
+	l.table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", State: decide.Removed}})
 	r := open(l.table, 0)
 	l.advance(10 * time.Millisecond)
 	if state, a := r.State(); state != Ended || a.Kind != Rejected || len(l.dialer.attempts) != 0 {
--- a/internal/relay/guarding.go
+++ b/internal/relay/guarding.go
@@ -34,7 +34,7 @@
 	if s == nil {
 		return guard.ServerStatus{}
 	}
-	return guard.ServerStatus{EverListed: true, Ready: s.mode == decide.Ready, Location: s.location()}
+	return guard.ServerStatus{EverListed: true, Ready: s.state == decide.Ready, Location: s.location()}
 }
 
 // location returns where a server is.
@@ -107,7 +107,7 @@
 		return
 	}
 	now, s := r.table.Clock.Now(), r.attempt.currentServer()
-	pastGrace := s.mode != decide.Ready && now-s.unreadyAt > guard.DrainGrace
+	pastGrace := s.state != decide.Ready && now-s.unreadyAt > guard.DrainGrace
 	if pastGrace || r.table.lease.MayBreakDrainRule(now) {
 		r.recordViolation(guard.NothingNewAfterDrain, s)
 	}
--- a/internal/relay/guarding_test.go
+++ b/internal/relay/guarding_test.go
@@ -33,7 +33,7 @@
 		if !r.Attach(0, &fakeSide{}) || !r.BeginWrite(0) {
 			t.Fatal("the attempt is not let go")
 		}
-		table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", Mode: decide.Draining}})
+		table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", State: decide.Draining}})
 		table.Clock.Set(table.Clock.Now() + heldUp)
 		r.FirstLineWritten(0)
 		if got := table.Violations.Count(guard.NothingNewAfterDrain); got != want {
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -24,21 +24,21 @@
 	})
 }
 
-// recordEndpointChanges records every server whose mode or start has changed since the last record.
+// recordEndpointChanges records every server whose state or start has changed since the last record.
 func (t *RequestTable) recordEndpointChanges() {
 	now := t.Clock.Now()
 	for _, s := range t.endpoints.servers {
-		mode := s.operatorMode()
+		state := s.operatorState()
 		last := s.recorded
-		if last.known && last.mode == mode && last.startedAt.Equal(s.startedWall) {
+		if last.known && last.state == state && last.startedAt.Equal(s.startedWall) {
 			continue
 		}
-		s.recorded = recordedEndpoint{known: true, mode: mode, startedAt: s.startedWall}
+		s.recorded = recordedEndpoint{known: true, state: state, startedAt: s.startedWall}
 		t.Recorder.Put(&recorder.Record{
 			At:        now,
 			Kind:      recorder.EndpointChanged,
 			Server:    int32(s.Number),
-			Mode:      mode,
+			Mode:      state,
 			StartedAt: s.startedAt,
 			Load:      -1,
 		})
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -15,9 +15,9 @@
 	Tenant    decide.Tenant
 	Key       uint64         // 0 for none
 	Group     uint64         // connections of one group share work, 0 for none
-	Hint      float64        // the usual load, 0 if it is not known
+	LoadHint  float64        // the usual load, 0 if it is not known
 	Timeout   time.Duration  // how long the client will wait for its answer
-	Returned  bool           // the client comes back after a break or a migration, or retries
+	Returning bool           // the client comes back after a break or a migration, or retries
 	Ownership OwnershipLease // nil for none
 	Payload   any            // what the front's two sides share; nothing here reads it
 }
@@ -104,9 +104,9 @@
 		Tenant:    r.Tenant,
 		Key:       r.Key,
 		TimeLeft:  left.Round(decisionPrecision),
-		LoadHint:  r.Hint,
+		LoadHint:  r.LoadHint,
 		Group:     r.Group,
-		Returning: r.Returned,
+		Returning: r.Returning,
 	}
 }
 
--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -226,7 +226,7 @@
 }
 
 func (w *modelTest) updateEndpoints() {
-	list := []Endpoint{{ID: "a", Mode: w.modes[0]}, {ID: "b", Mode: w.modes[1]}}
+	list := []Endpoint{{ID: "a", State: w.modes[0]}, {ID: "b", State: w.modes[1]}}
 	w.table.UpdateEndpoints(decide.Snapshot, list)
 }
 
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -72,7 +72,7 @@
 func (r *Request) ServerDraining() bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	return r.attempt.currentServer().mode != decide.Ready
+	return r.attempt.currentServer().state != decide.Ready
 }
 
 // Establish says that the server has taken the connection. It returns the client's end, or nil if the
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -169,7 +169,7 @@
 	defer t.mu.Unlock()
 	ids = make(map[uint64]string, len(t.endpoints.servers))
 	for _, s := range t.endpoints.servers {
-		if s.mode != decide.Ready {
+		if s.state != decide.Ready {
 			continue
 		}
 		key := ServerKey(s.ID)
@@ -184,7 +184,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.endpoints.byID[id]
-	if s == nil || s.mode != decide.Ready {
+	if s == nil || s.state != decide.Ready {
 		return 0, false
 	}
 	return s.Number, true
--- a/internal/simulation/scale/prober.go
+++ b/internal/simulation/scale/prober.go
@@ -48,7 +48,7 @@
 			ID:      fmt.Sprintf("s%04d", i),
 			Address: fmt.Sprintf("127.8.%d.%d:1", i/250, 1+i%250),
 			Zone:    c.Layout.Place(i).Zone,
-			Mode:    decide.Ready,
+			State:   decide.Ready,
 			Load:    -1,
 		})
 	}
@@ -60,7 +60,7 @@
 func (p *prober) start(ctx context.Context, name string, seed uint64, node *gossip.Node) {
 	p.shared = relay.NewSharedProbing(p.table, name, seed, node, func(string) {})
 	loop := relay.NewEventLoop(p.table, seed, p, zerolog.Nop())
-	loop.FleetView = node
+	loop.FleetStatus = node
 	loop.SharedProbing = p.shared
 	go loop.Run(ctx)
 }
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -250,7 +250,7 @@
 			return
 		}
 		for _, endpoint := range list.Endpoints {
-			if endpoint.ID == "" || endpoint.Mode != decide.Removed && endpoint.Address == "" {
+			if endpoint.ID == "" || endpoint.State != decide.Removed && endpoint.Address == "" {
 				t.Errorf("an endpoint without a name or an address came through: %+v", endpoint)
 			}
 		}
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -70,13 +70,13 @@
 		return endpoint, errors.New("instanceId is missing")
 	}
 	lifecycle := string(object.GetStringBytes("lifecycle"))
-	mode, known := lifecycles[lifecycle]
+	state, known := lifecycles[lifecycle]
 	if !known {
 		return endpoint, fmt.Errorf("lifecycle %q", lifecycle)
 	}
-	endpoint.Mode = mode
+	endpoint.State = state
 	if _, _, err := net.SplitHostPort(endpoint.Address); err != nil {
-		if mode == decide.Ready {
+		if state == decide.Ready {
 			return endpoint, fmt.Errorf("hostPort: %w", err)
 		}
 		// That it takes nothing new counts all the same; what is known of its address stays.
--- a/internal/wire/discovery/log.go
+++ b/internal/wire/discovery/log.go
@@ -34,9 +34,9 @@
 	for _, endpoint := range list.Endpoints {
 		switch {
 		case len(draining)+len(gone) >= maxLoggedServers:
-		case endpoint.Mode == decide.Draining:
+		case endpoint.State == decide.Draining:
 			draining = append(draining, endpoint.ID)
-		case endpoint.Mode == decide.Removed:
+		case endpoint.State == decide.Removed:
 			gone = append(gone, endpoint.ID)
 		}
 	}
--- a/internal/wire/platform/frontend.go
+++ b/internal/wire/platform/frontend.go
@@ -157,15 +157,15 @@
 		timeout = min(timeout, longest) // no client of the class waits for longer, whatever it says
 	}
 	open := relay.OpenRequest{
-		Name:     o.id,
-		Class:    class,
-		Tenant:   tenant,
-		Key:      o.key,
-		Group:    o.group,
-		Hint:     o.loadHint,
-		Timeout:  timeout,
-		Returned: o.returned,
-		Payload:  o,
+		Name:      o.id,
+		Class:     class,
+		Tenant:    tenant,
+		Key:       o.key,
+		Group:     o.group,
+		LoadHint:  o.loadHint,
+		Timeout:   timeout,
+		Returning: o.returned,
+		Payload:   o,
 	}
 	if o.resumeToken != "" {
 		stream, err := f.openStream(o)
@@ -173,7 +173,7 @@
 			return relay.OpenRequest{}, "", err
 		}
 		open.Ownership = stream
-		open.Returned = open.Returned || stream.MustWait()
+		open.Returning = open.Returning || stream.MustWait()
 	}
 	return open, o.previousServer, nil
 }
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -159,7 +159,7 @@
 		}
 		t.Cleanup(s.Close)
 		servers = append(servers, s)
-		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Address: s.Address, Mode: decide.Ready})
+		list = append(list, relay.Endpoint{ID: fmt.Sprint("s", i), Address: s.Address, State: decide.Ready})
 	}
 	requests.UpdateEndpoints(decide.Snapshot, list)
 	l := listen(t)
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -99,7 +99,7 @@
 	dialer := &ServerDialer{Clock: clock, ConnectTimeout: time.Second, MaxIdleProbeConns: 4}
 	requests := relay.NewRequestTable(deployment, clock, dialer)
 	requests.UpdateEndpoints(decide.Snapshot, []relay.Endpoint{
-		{ID: "s", Address: newScanFlood(b), Mode: decide.Ready, SupportsResume: true},
+		{ID: "s", Address: newScanFlood(b), State: decide.Ready, SupportsResume: true},
 	})
 	service := resume.New(resume.Config{
 		Relay:              "n",
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -147,7 +147,7 @@
 					ID:        id,
 					Address:   "127.0.0.1:1",
 					Zone:      "hall-a",
-					Mode:      decide.Ready,
+					State:     decide.Ready,
 					StartedAt: clock.Wall(clock.Now() - 500*time.Millisecond),
 				},
 			)
@@ -160,11 +160,11 @@
 			}
 			left := relay.Duration([]float64{0.5, 20, 90, 500}[i%4])
 			ask := relay.OpenRequest{
-				Class:    decide.Class(i % len(site.Settings.Classes)),
-				Tenant:   decide.Tenant(i%3 - 1),
-				Group:    uint64(i % 3),
-				Timeout:  left,
-				Returned: i%5 == 0,
+				Class:     decide.Class(i % len(site.Settings.Classes)),
+				Tenant:    decide.Tenant(i%3 - 1),
+				Group:     uint64(i % 3),
+				Timeout:   left,
+				Returning: i%5 == 0,
 			}
 			calls[x.Open(ask, deaf{})] = clock.Now() + left
 		}
--- a/internal/wire/zookeeper/nodes.go
+++ b/internal/wire/zookeeper/nodes.go
@@ -83,7 +83,7 @@
 		return
 	}
 	delete(c.nodes, name)
-	endpoint.Mode = decide.Removed
+	endpoint.State = decide.Removed
 	c.Requests.UpdateEndpoints(decide.Delta, []relay.Endpoint{endpoint})
 }
 
@@ -130,13 +130,13 @@
 	if load := v.Get("load"); load != nil {
 		endpoint.Load = max(load.GetFloat64(), 0)
 	}
-	switch mode := string(v.GetStringBytes("lifecycle")); mode {
+	switch state := string(v.GetStringBytes("lifecycle")); state {
 	case "Ready", "":
-		endpoint.Mode = decide.Ready
+		endpoint.State = decide.Ready
 	case "Terminating":
-		endpoint.Mode = decide.Draining
+		endpoint.State = decide.Draining
 	default:
-		return endpoint, fmt.Errorf("lifecycle %q", mode)
+		return endpoint, fmt.Errorf("lifecycle %q", state)
 	}
 	if _, _, err := net.SplitHostPort(endpoint.Address); err != nil {
 		return endpoint, fmt.Errorf("address: %w", err)
