--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -46,7 +46,7 @@
 // recordedEndpoint is what the event recorder last had of a server.
 type recordedEndpoint struct {
 	known     bool
-	state      decide.EndpointState
+	state     decide.EndpointState
 	startedAt time.Time
 }
 
