--- a/internal/wire/gossip/transport.go
+++ b/internal/wire/gossip/transport.go
@@ -18,7 +18,8 @@
 	memberlist.NodeAwareTransport
 	traffic *traffic
 	packets chan *memberlist.Packet
-	stop    chan struct{} // closed by Shutdown
+	stop    chan struct{} // closed as Shutdown begins: nothing is handed on any more
+	ended   chan struct{} // closed once the transport has shut down: nothing comes any more
 }
 
 // countedPackets bounds the packets that wait for memberlist.
@@ -31,16 +32,18 @@
 		traffic:            into,
 		packets:            make(chan *memberlist.Packet, countedPackets),
 		stop:               make(chan struct{}),
+		ended:              make(chan struct{}),
 	}
 	go c.passPackets()
 	return c
 }
 
-// passPackets hands what comes on to memberlist, and counts it.
+// passPackets hands what comes on to memberlist, and counts it. From Shutdown on it discards what comes: the
+// transport waits for its packets to be taken, and would never end without a reader.
 func (c *countingTransport) passPackets() {
 	for {
 		select {
-		case <-c.stop:
+		case <-c.ended:
 			return
 		case packet := <-c.NodeAwareTransport.PacketCh():
 			c.traffic.packetsIn.Add(1)
@@ -48,7 +51,6 @@
 			select {
 			case c.packets <- packet:
 			case <-c.stop:
-				return
 			}
 		}
 	}
@@ -72,6 +74,7 @@
 // Shutdown is memberlist's; it calls it once.
 func (c *countingTransport) Shutdown() error {
 	close(c.stop)
+	defer close(c.ended)
 	return c.NodeAwareTransport.Shutdown()
 }
 
