--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestRun(t *testing.T) {
+func TestRunAnswersEveryLine(t *testing.T) {
 	long := `{"tsMs":1,"arrivals":[],"pad":"` + strings.Repeat("x", 3<<20) + `"}`
 	cases := []struct {
 		name, in, out string
--- a/cmd/capersail/main_test.go
+++ b/cmd/capersail/main_test.go
@@ -26,8 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// configure writes the example's configuration with other addresses.
-func configure(t *testing.T, change func(map[string]any)) string {
+// writeConfig writes the example's configuration with other addresses.
+func writeConfig(t *testing.T, change func(map[string]any)) string {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -46,7 +46,7 @@
 	return path
 }
 
-func program(t *testing.T, config string) *exec.Cmd {
+func relayCommand(t *testing.T, config string) *exec.Cmd {
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), "CAPERSAIL_RUN=1", "LB_CONFIG="+config)
 	return cmd
@@ -68,7 +68,7 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-func (c *client) ask(t *testing.T, line, want string) {
+func (c *client) sendAndExpect(t *testing.T, line, want string) {
 	t.Helper()
 	fmt.Fprint(c, line+"\r\n")
 	got, err := c.in.ReadString('\n')
@@ -77,7 +77,7 @@
 	}
 }
 
-const open = "OPEN 9b1f 7f3a c=map-stream,t=acme,d=2000"
+const openLine = "OPEN 9b1f 7f3a c=map-stream,t=acme,d=2000"
 
 type logLine struct{ Message, Listen, Error string }
 
@@ -91,14 +91,14 @@
 	}
 }
 
-// start starts the program and returns its address and, as they come, the messages it logs with their errors.
-func start(t *testing.T, config string) (*exec.Cmd, string, <-chan string) {
+// startRelay starts the program and returns its address and, as they come, the messages it logs with their errors.
+func startRelay(t *testing.T, config string) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
-	return startCmd(t, program(t, config))
+	return startCommand(t, relayCommand(t, config))
 }
 
-// startCmd starts a program that is set up; as start.
-func startCmd(t *testing.T, cmd *exec.Cmd) (*exec.Cmd, string, <-chan string) {
+// startCommand starts a program that is set up; as startRelay.
+func startCommand(t *testing.T, cmd *exec.Cmd) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
 	logs, err := cmd.StderrPipe()
 	if err != nil {
@@ -107,16 +107,16 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	said, address := make(chan string, 1024), make(chan string, 1)
+	messages, address := make(chan string, 1024), make(chan string, 1)
 	go func() {
-		defer close(said)
+		defer close(messages)
 		served := false
 		followLogs(logs, func(l logLine) {
 			if l.Message == "serving" && !served {
 				served = true
 				address <- l.Listen
 			}
-			said <- l.Message + ": " + l.Error
+			messages <- l.Message + ": " + l.Error
 		})
 		if !served {
 			close(address)
@@ -126,11 +126,11 @@
 	if !ok {
 		t.Fatal("the program ended before it served")
 	}
-	return cmd, served, said
+	return cmd, served, messages
 }
 
-// stage is a discovery service that knows one server.
-func stage(t *testing.T, id string) (*fake.Discovery, *fake.EchoServer) {
+// newDiscoveryWithServer is a discovery service that knows one server.
+func newDiscoveryWithServer(t *testing.T, id string) (*fake.Discovery, *fake.EchoServer) {
 	t.Helper()
 	d, err := fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -146,20 +146,20 @@
 }
 
 // The program on its sockets: it serves, follows a drain, and at SIGTERM moves everyone and exits in order.
-func TestProgram(t *testing.T) {
-	d, s := stage(t, "s1")
-	cmd, address, _ := start(t, configure(t, func(c map[string]any) {
+func TestServesAndShutsDownGracefully(t *testing.T) {
+	d, s := newDiscoveryWithServer(t, "s1")
+	cmd, address, _ := startRelay(t, writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
 		c["known"] = json.RawMessage(d.Snapshot())
 	}))
 	c := dial(t, address)
-	c.ask(t, "PING", "PONG")
-	c.ask(t, open, "UP")
-	c.ask(t, "M 1 hello", "M")
+	c.sendAndExpect(t, "PING", "PONG")
+	c.sendAndExpect(t, openLine, "UP")
+	c.sendAndExpect(t, "M 1 hello", "M")
 	if first := <-s.FirstLines; !strings.HasPrefix(first, "OPEN 9b1f 7f3a c=map-stream,t=acme,d=") {
 		t.Errorf("the server was sent %q", first)
 	}
-	dial(t, address).ask(t, "nonsense", "ERR")
+	dial(t, address).sendAndExpect(t, "nonsense", "ERR")
 
 	d.Set("s1", s.Address, "Terminating")
 	for i := 0; ; i++ { // the news takes its time; then nothing new goes there, and what is open stays
@@ -173,7 +173,7 @@
 		}
 		k.Close()
 	}
-	c.ask(t, "M 2 still here", "M")
+	c.sendAndExpect(t, "M 2 still here", "M")
 
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -189,15 +189,15 @@
 
 // SIGHUP: another discovery is followed while connections stand, a file that cannot be used changes nothing,
 // and no SIGHUP ends the program, not even one on top of SIGTERM.
-func TestReload(t *testing.T) {
-	old, s1 := stage(t, "s1")
-	next, s2 := stage(t, "s2")
-	path := configure(t, func(c map[string]any) {
+func TestReloadKeepsConnections(t *testing.T) {
+	old, s1 := newDiscoveryWithServer(t, "s1")
+	next, s2 := newDiscoveryWithServer(t, "s2")
+	path := writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", old.Address
 		c["known"] = json.RawMessage(old.Snapshot())
 	})
-	cmd, address, said := start(t, path)
-	hangUp := func(text []byte, want string) {
+	cmd, address, messages := startRelay(t, path)
+	reload := func(text []byte, want string) {
 		t.Helper()
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -205,7 +205,7 @@
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		for line := range said {
+		for line := range messages {
 			if strings.HasPrefix(line, "reloaded") || strings.HasPrefix(line, "new configuration rejected") {
 				if !strings.Contains(line, want) {
 					t.Errorf("%.40q: %q, want %q", text, line, want)
@@ -216,15 +216,15 @@
 		t.Fatal("the program has ended")
 	}
 	c := dial(t, address)
-	c.ask(t, open, "UP")
+	c.sendAndExpect(t, openLine, "UP")
 	<-s1.FirstLines
 	good, _ := os.ReadFile(path)
-	hangUp(nil, "LB_CONFIG: ")
-	hangUp([]byte(strings.Replace(string(good), old.Address, "nowhere", 1)), "discovery: ")
+	reload(nil, "LB_CONFIG: ")
+	reload([]byte(strings.Replace(string(good), old.Address, "nowhere", 1)), "discovery: ")
 	k := dial(t, address)
-	k.ask(t, strings.Replace(open, "9b1f", "9b20", 1), "UP")
+	k.sendAndExpect(t, strings.Replace(openLine, "9b1f", "9b20", 1), "UP")
 	<-s1.FirstLines
-	hangUp([]byte(strings.Replace(string(good), old.Address, next.Address, 1)), "reloaded")
+	reload([]byte(strings.Replace(string(good), old.Address, next.Address, 1)), "reloaded")
 	for i := 0; len(s2.FirstLines) == 0; i++ { // the news takes its time
 		if i > 2000 {
 			t.Fatal("the new discovery is not followed")
@@ -232,16 +232,16 @@
 		fmt.Fprintf(dial(t, address), "OPEN r%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.ask(t, "M 1 still here", "M")
+	c.sendAndExpect(t, "M 1 still here", "M")
 	cmd.Process.Signal(syscall.SIGTERM)
-	for line := range said {
+	for line := range messages {
 		if strings.HasPrefix(line, "draining") {
 			cmd.Process.Signal(syscall.SIGHUP)
 			break
 		}
 	}
 	go func() {
-		for range said {
+		for range messages {
 			cmd.Process.Signal(syscall.SIGHUP)
 		}
 	}()
@@ -251,7 +251,7 @@
 }
 
 // Bad configuration: one plain message that names the key, and exit 1.
-func TestBadConfiguration(t *testing.T) {
+func TestBadConfigurationNamesTheKey(t *testing.T) {
 	for key, change := range map[string]func(map[string]any){
 		"listen":                         func(c map[string]any) { c["listen"] = "nowhere" },
 		"discovery":                      func(c map[string]any) { c["discovery"] = 7 },
@@ -263,7 +263,7 @@
 		"settings.classes":               func(c map[string]any) { c["settings"] = map[string]any{} },
 		"known":                          func(c map[string]any) { c["known"] = map[string]any{"instances": 7} },
 	} {
-		out, err := program(t, configure(t, change)).CombinedOutput()
+		out, err := relayCommand(t, writeConfig(t, change)).CombinedOutput()
 		exit, ok := err.(*exec.ExitError)
 		if !ok || exit.ExitCode() != 1 || !strings.HasPrefix(string(out), "capersail: "+key+": ") || strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%s: %v, %q", key, err, out)
--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -24,15 +24,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s1.Close)
-	config := configure(t, func(c map[string]any) {
+	config := writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"], c["limits"] = "127.0.0.1:0", address, map[string]any{"sockets": 64}
 		c["known"] = json.RawMessage(`{"generation":1,"reset":true,"instances":[` + fake.Entry("s1", s1.Address, "Ready") + `]}`)
 	})
 	shell := exec.CommandContext(t.Context(), "/bin/sh", "-c", `ulimit -n 64 && exec "$0"`, os.Args[0])
 	shell.Env = append(os.Environ(), "CAPERSAIL_RUN=1", "LB_CONFIG="+config)
-	cmd, relay, said := startCmd(t, shell)
+	cmd, relay, messages := startCommand(t, shell)
 	go func() {
-		for range said {
+		for range messages {
 		}
 	}()
 	idle := func(n int) {
@@ -84,31 +84,31 @@
 
 // SIGTERM in the middle of a drain by hand, and a second one on top of it: who is open is moved, who rests or
 // has sent half a line has a clean end, and the program exits in order.
-func TestTermBesideADrain(t *testing.T) {
-	d, _ := stage(t, "s1")
+func TestSIGTERMDuringManualDrainShutsDownGracefully(t *testing.T) {
+	d, _ := newDiscoveryWithServer(t, "s1")
 	admin := freeAddress(t)
-	cmd, relay, said := start(t, configure(t, func(c map[string]any) {
+	cmd, relay, messages := startRelay(t, writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"], c["admin"] = "127.0.0.1:0", d.Address, admin
 		c["known"] = json.RawMessage(d.Snapshot())
 	}))
 	open1 := dial(t, relay)
-	open1.ask(t, open, "UP")
+	open1.sendAndExpect(t, openLine, "UP")
 	awaitReady(t, admin)
 	rests, half := dial(t, relay), dial(t, relay)
-	rests.ask(t, "PING", "PONG")
+	rests.sendAndExpect(t, "PING", "PONG")
 	fmt.Fprint(half, "OPEN h1 7f3a c=map")
-	if code, _ := call(t, "POST", "http://"+admin+"/ops/drain/start"); code/100 != 2 {
+	if code, _ := callAdmin(t, "POST", "http://"+admin+"/ops/drain/start"); code/100 != 2 {
 		t.Fatalf("drain: %d", code)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	for line := range said {
+	for line := range messages {
 		if strings.HasPrefix(line, "draining") {
 			cmd.Process.Signal(syscall.SIGTERM)
 			break
 		}
 	}
 	go func() {
-		for range said {
+		for range messages {
 		}
 	}()
 	if got, err := open1.in.ReadString('\n'); strings.TrimSpace(got) != "MOVE" {
--- a/cmd/capersail/ops_test.go
+++ b/cmd/capersail/ops_test.go
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// inherit starts the program on a listening socket that the test holds, as the platform does on upgrade days:
+// startOnInheritedSocket starts the program on a listening socket that the test holds, as the platform does on upgrade days:
 // descriptor 3, named by LB_FD. Binding the address again would fail.
-func inherit(t *testing.T, config string, l *net.TCPListener, env ...string) (*exec.Cmd, string, <-chan string) {
+func startOnInheritedSocket(t *testing.T, config string, l *net.TCPListener, env ...string) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
 	f, err := l.File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	cmd := program(t, config)
+	cmd := relayCommand(t, config)
 	cmd.ExtraFiles = []*os.File{f}
 	cmd.Env = append(cmd.Env, append(env, "LB_FD=3")...)
-	cmd, address, said := startCmd(t, cmd)
-	nonblocking(t, l)                // exec made the shared socket blocking; the platform leaves it as the relay set it
+	cmd, address, messages := startCommand(t, cmd)
+	setNonblocking(t, l)             // exec made the shared socket blocking; the platform leaves it as the relay set it
 	logs := make(chan string, 1<<16) // read on, whether the test looks or not: a full pipe would stop the program
 	go func() {
 		defer close(logs)
-		for line := range said {
+		for line := range messages {
 			select {
 			case logs <- line:
 			default:
@@ -41,8 +41,8 @@
 	return cmd, address, logs
 }
 
-// nonblocking sets the socket, as all processes share it, back to non-blocking.
-func nonblocking(t *testing.T, l *net.TCPListener) {
+// setNonblocking sets the socket, as all processes share it, back to non-blocking.
+func setNonblocking(t *testing.T, l *net.TCPListener) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -54,13 +54,13 @@
 // that know one server.
 func platformSocket(t *testing.T) (*net.TCPListener, string) {
 	t.Helper()
-	d, _ := stage(t, "s1")
+	d, _ := newDiscoveryWithServer(t, "s1")
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return l, configure(t, func(c map[string]any) {
+	return l, writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = l.Addr().String(), d.Address
 		c["known"] = json.RawMessage(d.Snapshot())
 	})
@@ -68,14 +68,14 @@
 
 // An upgrade: two processes serve one socket; at SIGTERM the old one moves its clients and stops accepting,
 // and not one connection that comes meanwhile is turned back.
-func TestUpgradeOnInheritedSocket(t *testing.T) {
+func TestUpgradeOnInheritedSocketLosesNoConnection(t *testing.T) {
 	l, config := platformSocket(t)
-	old, _, _ := inherit(t, config, l)
+	old, _, _ := startOnInheritedSocket(t, config, l)
 	c := dial(t, l.Addr().String())
-	c.ask(t, "PING", "PONG")
-	c.ask(t, open, "UP")
+	c.sendAndExpect(t, "PING", "PONG")
+	c.sendAndExpect(t, openLine, "UP")
 
-	next, _, _ := inherit(t, config, l)
+	next, _, _ := startOnInheritedSocket(t, config, l)
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -93,8 +93,8 @@
 				t.Errorf("the old process's client was told %q", got)
 			}
 			k := dial(t, l.Addr().String())
-			k.ask(t, "PING", "PONG")
-			k.ask(t, strings.Replace(open, "9b1f", "after", 1), "UP")
+			k.sendAndExpect(t, "PING", "PONG")
+			k.sendAndExpect(t, strings.Replace(openLine, "9b1f", "after", 1), "UP")
 			next.Process.Signal(syscall.SIGTERM)
 			if err := next.Wait(); err != nil {
 				t.Errorf("the new process ended with %v", err)
@@ -102,7 +102,7 @@
 			return
 		default:
 		}
-		dial(t, l.Addr().String()).ask(t, "PING", "PONG") // whoever takes it answers
+		dial(t, l.Addr().String()).sendAndExpect(t, "PING", "PONG") // whoever takes it answers
 		time.Sleep(10 * time.Millisecond)
 		if i > 2000 {
 			t.Fatal("the old process does not leave")
@@ -110,8 +110,8 @@
 	}
 }
 
-// call makes one call to the second address and returns its status and body.
-func call(t *testing.T, method, url string) (int, string) {
+// callAdmin makes one call to the second address and returns its status and body.
+func callAdmin(t *testing.T, method, url string) (int, string) {
 	t.Helper()
 	req, _ := http.NewRequestWithContext(t.Context(), method, url, nil)
 	res, err := http.DefaultClient.Do(req)
@@ -153,53 +153,53 @@
 
 // The second address: readiness, a drain by hand and its end, a tile server out by hand and back, the
 // figures.
-func TestSecondAddress(t *testing.T) {
-	d, s := stage(t, "s1")
+func TestAdminAddressDrainsEjectsAndReports(t *testing.T) {
+	d, s := newDiscoveryWithServer(t, "s1")
 	ops := "http://" + freeAddress(t)
-	cmd := program(t, configure(t, func(c map[string]any) {
+	cmd := relayCommand(t, writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
 		c["known"] = json.RawMessage(d.Snapshot())
 	}))
 	cmd.Env = append(cmd.Env, "LB_ADMIN="+strings.TrimPrefix(ops, "http://"), "TMPDIR="+t.TempDir())
-	cmd, address, _ := startCmd(t, cmd)
+	cmd, address, _ := startCommand(t, cmd)
 	defer cmd.Process.Kill()
 	awaitReady(t, strings.TrimPrefix(ops, "http://"))
 	c := dial(t, address)
-	c.ask(t, open, "UP")
+	c.sendAndExpect(t, openLine, "UP")
 	<-s.FirstLines
 
-	if code, _ := call(t, "POST", ops+"/ops/drain/start"); code != 200 {
+	if code, _ := callAdmin(t, "POST", ops+"/ops/drain/start"); code != 200 {
 		t.Fatalf("drain: %d", code)
 	}
-	if code, _ := call(t, "GET", ops+"/ops/readiness"); code < 400 {
+	if code, _ := callAdmin(t, "GET", ops+"/ops/readiness"); code < 400 {
 		t.Errorf("ready while draining: %d", code)
 	}
-	dial(t, address).ask(t, "PING", "BUSY")
+	dial(t, address).sendAndExpect(t, "PING", "BUSY")
 	if got, _ := c.in.ReadString('\n'); strings.TrimSpace(got) != "MOVE" {
 		t.Errorf("in a drain the client was told %q", got)
 	}
-	call(t, "POST", ops+"/ops/drain/stop")
-	if code, _ := call(t, "GET", ops+"/ops/readiness"); code != 200 {
+	callAdmin(t, "POST", ops+"/ops/drain/stop")
+	if code, _ := callAdmin(t, "GET", ops+"/ops/readiness"); code != 200 {
 		t.Errorf("not ready after the drain: %d", code)
 	}
-	dial(t, address).ask(t, "PING", "PONG")
+	dial(t, address).sendAndExpect(t, "PING", "PONG")
 
-	if code, _ := call(t, "POST", ops+"/ops/tile-servers/down/nobody"); code != 404 {
+	if code, _ := callAdmin(t, "POST", ops+"/ops/tile-servers/down/nobody"); code != 404 {
 		t.Errorf("a ban of an id never listed: %d", code)
 	}
-	if code, _ := call(t, "POST", ops+"/ops/tile-servers/down/s1"); code != 200 {
+	if code, _ := callAdmin(t, "POST", ops+"/ops/tile-servers/down/s1"); code != 200 {
 		t.Errorf("down: %d", code)
 	}
-	dial(t, address).ask(t, strings.Replace(open, "9b1f", "out", 1), "BUSY") // its only server is out
-	if _, figures := call(t, "GET", ops+"/ops/stats"); !strings.Contains(figures, "relay_cluster_unhealthy 1\n") ||
+	dial(t, address).sendAndExpect(t, strings.Replace(openLine, "9b1f", "out", 1), "BUSY") // its only server is out
+	if _, figures := callAdmin(t, "GET", ops+"/ops/stats"); !strings.Contains(figures, "relay_cluster_unhealthy 1\n") ||
 		!strings.Contains(figures, `relay_answered{group="map-stream"} 1`+"\n") || !strings.Contains(figures, "relay_cluster_size 1\n") {
 		t.Errorf("figures:\n%s", figures)
 	}
-	if code, _ := call(t, "POST", ops+"/ops/tile-servers/up/s1"); code != 200 {
+	if code, _ := callAdmin(t, "POST", ops+"/ops/tile-servers/up/s1"); code != 200 {
 		t.Errorf("up: %d", code)
 	}
-	dial(t, address).ask(t, strings.Replace(open, "9b1f", "back", 1), "UP")
-	if _, figures := call(t, "GET", ops+"/ops/stats"); !strings.Contains(figures, `relay_deferred{group="map-stream"} 1`+"\n") ||
+	dial(t, address).sendAndExpect(t, strings.Replace(openLine, "9b1f", "back", 1), "UP")
+	if _, figures := callAdmin(t, "GET", ops+"/ops/stats"); !strings.Contains(figures, `relay_deferred{group="map-stream"} 1`+"\n") ||
 		!strings.Contains(figures, `relay_sends{group="map-stream"} 2`+"\n") || !strings.Contains(figures, "relay_current 1\n") {
 		t.Errorf("figures:\n%s", figures)
 	}
@@ -208,7 +208,7 @@
 	for i := 0; ; i++ {
 		fmt.Fprintf(dial(t, address), "OPEN dead%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
 		time.Sleep(100 * time.Millisecond)
-		_, figures := call(t, "GET", ops+"/ops/stats")
+		_, figures := callAdmin(t, "GET", ops+"/ops/stats")
 		if strings.Contains(figures, "relay_cluster_unhealthy 1\n") {
 			break
 		}
@@ -220,17 +220,17 @@
 
 // Both processes of an upgrade keep one set of bans: a ban made at either holds at the other, and over the
 // end of the one that made it.
-func TestBansHoldOverUpgrade(t *testing.T) {
+func TestManualEjectionsSurviveUpgrade(t *testing.T) {
 	l, config := platformSocket(t)
 	shared := "TMPDIR=" + t.TempDir()
 	first, second := freeAddress(t), freeAddress(t)
-	old, _, _ := inherit(t, config, l, shared, "LB_ADMIN="+first)
+	old, _, _ := startOnInheritedSocket(t, config, l, shared, "LB_ADMIN="+first)
 	defer old.Process.Kill()
-	next, _, _ := inherit(t, config, l, shared, "LB_ADMIN="+second)
+	next, _, _ := startOnInheritedSocket(t, config, l, shared, "LB_ADMIN="+second)
 	defer next.Process.Kill()
 	awaitReady(t, first)
 	awaitReady(t, second)
-	if code, _ := call(t, "POST", "http://"+first+"/ops/tile-servers/down/s1"); code != 200 {
+	if code, _ := callAdmin(t, "POST", "http://"+first+"/ops/tile-servers/down/s1"); code != 200 {
 		t.Fatalf("down: %d", code)
 	}
 	old.Process.Signal(syscall.SIGTERM)
@@ -248,29 +248,29 @@
 			break
 		}
 	}
-	if code, _ := call(t, "POST", "http://"+second+"/ops/tile-servers/up/s1"); code != 200 {
+	if code, _ := callAdmin(t, "POST", "http://"+second+"/ops/tile-servers/up/s1"); code != 200 {
 		t.Errorf("up: %d", code)
 	}
-	dial(t, l.Addr().String()).ask(t, strings.Replace(open, "9b1f", "back", 1), "UP")
+	dial(t, l.Addr().String()).sendAndExpect(t, strings.Replace(openLine, "9b1f", "back", 1), "UP")
 }
 
 // Readiness waits for a list of servers: without one in the configuration, and with discovery out of reach,
 // the process serves but says no.
-func TestNotReadyWithoutList(t *testing.T) {
+func TestNotReadyWithoutEndpointList(t *testing.T) {
 	ops := freeAddress(t)
-	cmd := program(t, configure(t, func(c map[string]any) {
+	cmd := relayCommand(t, writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"], c["admin"] = "127.0.0.1:0", freeAddress(t), ops
 		delete(c, "known")
 	}))
 	cmd.Env = append(cmd.Env, "TMPDIR="+t.TempDir())
-	cmd, _, said := startCmd(t, cmd)
+	cmd, _, messages := startCommand(t, cmd)
 	defer cmd.Process.Kill()
-	for line := range said {
+	for line := range messages {
 		if strings.HasPrefix(line, "admin address serving") {
 			break
 		}
 	}
-	if code, _ := call(t, "GET", "http://"+ops+"/ops/readiness"); code != 503 {
+	if code, _ := callAdmin(t, "GET", "http://"+ops+"/ops/readiness"); code != 503 {
 		t.Errorf("ready without a list: %d", code)
 	}
 }
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -30,12 +30,12 @@
 		f := newFleet(b, 6, "")
 		var relays []string
 		for i := range 3 {
-			relays = append(relays, f.start(i, 3))
+			relays = append(relays, f.startRelay(i, 3))
 		}
-		f.wait("claim service", f.claims)
-		viewers, stop := f.crowd(200, func(i int) bool { return i%2 == 0 })
+		f.waitFor("claim service", f.ownershipConnected)
+		viewers, stop := f.startViewers(200, func(i int) bool { return i%2 == 0 })
 		collect := func(what string) {
-			f.current(viewers)
+			f.waitUntilCurrent(viewers)
 			for _, with := range []bool{true, false} {
 				var gaps []time.Duration
 				lost := uint64(0)
@@ -51,18 +51,18 @@
 				v.ClearGaps()
 			}
 		}
-		f.current(viewers)
-		f.drainAll()
+		f.waitUntilCurrent(viewers)
+		f.drainAllServers()
 		collect("all servers drained in turn")
 		f.servers[0].Kill()
-		f.list.Set("s0", f.servers[0].Address, "Gone")
+		f.discovery.Set("s0", f.servers[0].Address, "Gone")
 		collect("a server killed")
-		f.gone(relays[1])
-		f.cmds[relays[1]].Process.Signal(syscall.SIGTERM)
-		f.cmds[relays[1]].Wait()
+		f.sendNobodyTo(relays[1])
+		f.commands[relays[1]].Process.Signal(syscall.SIGTERM)
+		f.commands[relays[1]].Wait()
 		collect("a relay left")
-		f.gone(relays[2])
-		f.cmds[relays[2]].Process.Kill()
+		f.sendNobodyTo(relays[2])
+		f.commands[relays[2]].Process.Kill()
 		collect("a relay killed")
 		stop()
 		for _, bad := range f.ledger.Violations() {
@@ -82,15 +82,15 @@
 		for _, s := range f.servers {
 			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow = 700, 0.36, 8600*time.Millisecond
 		}
-		a, other := f.start(0, 2), f.start(1, 2)
-		f.wait("claim service", f.claims)
-		f.gone(other)
+		a, other := f.startRelay(0, 2), f.startRelay(1, 2)
+		f.waitFor("claim service", f.ownershipConnected)
+		f.sendNobodyTo(other)
 		ctx, stop := context.WithCancel(b.Context())
 		var all sync.WaitGroup
 		var viewers []*fake.Viewer
 		for i := range streams {
 			v := &fake.Viewer{Name: fmt.Sprint("v", i), OpenFields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), WaitLimit: 3 * time.Second,
-				UseTokens: true, SendEvery: 2 * time.Second, RelayAddress: f.any}
+				UseTokens: true, SendEvery: 2 * time.Second, RelayAddress: f.randomRelay}
 			viewers = append(viewers, v)
 			all.Go(func() { v.Run(ctx) })
 			time.Sleep(2 * time.Millisecond)
@@ -103,10 +103,10 @@
 			}
 			return n
 		}
-		f.wait("all are served", func() bool { return served() == streams })
+		f.waitFor("all are served", func() bool { return served() == streams })
 		for _, s := range f.servers[:4] { // replaced: the streams move, the successors are cold
 			s.Kill()
-			f.list.Set(s.ID, s.Address, "Gone")
+			f.discovery.Set(s.ID, s.Address, "Gone")
 		}
 		var cold []*fake.ScanServer
 		for i := range 4 {
@@ -116,16 +116,16 @@
 			}
 			b.Cleanup(s.Kill)
 			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow, s.StartedAt = 700, 0.36, 8600*time.Millisecond, time.Now()
-			f.list.SetStarted(s.ID, s.Address, "Ready", s.StartedAt)
+			f.discovery.SetStarted(s.ID, s.Address, "Ready", s.StartedAt)
 			cold = append(cold, s)
 		}
 		f.mu.Lock()
 		f.alive = []string{other}
 		f.mu.Unlock()
-		f.cmds[a].Process.Kill()
+		f.commands[a].Process.Kill()
 		killed, at := time.Now(), f.feed.Newest()
 		back := func(part float64) float64 {
-			f.wait("served again", func() bool {
+			f.waitFor("served again", func() bool {
 				n := 0
 				for _, v := range viewers {
 					if v.Tally().LastScan > at+2 {
--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -13,19 +13,19 @@
 	"capersail/internal/token"
 )
 
-// stream opens a new stream and returns its client, its token, and the generation.
-func (f *fleet) stream(at, name string) (c *client, text, gen string) {
+// openStream opens a new stream and returns its client, its token, and the generation.
+func (f *fleet) openStream(at, name string) (c *client, text, gen string) {
 	f.t.Helper()
 	t := f.t.(*testing.T)
 	c = dial(t, at)
-	c.ask(t, fmt.Sprintf("OPEN %s 7f c=map-stream,t=acme,d=3000,g=5,resume=new", name), "UP")
-	words := c.until(t, "TOKEN")
+	c.sendAndExpect(t, fmt.Sprintf("OPEN %s 7f c=map-stream,t=acme,d=3000,g=5,resume=new", name), "UP")
+	words := c.readUntil(t, "TOKEN")
 	fmt.Fprintf(c, "GOT %s\r\n", words[1])
 	return c, words[2], words[1]
 }
 
-// show opens with a token and returns the first line of the answer, and the client.
-func (f *fleet) show(at, name, text, more string) (string, *client) {
+// presentToken opens with a token and returns the first line of the answer, and the client.
+func (f *fleet) presentToken(at, name, text, more string) (string, *client) {
 	f.t.Helper()
 	c := dial(f.t.(*testing.T), at)
 	fmt.Fprintf(c, "OPEN %s 7f c=map-stream,t=acme,d=3000,g=5,resume=%s%s\r\n", name, text, more)
@@ -33,12 +33,12 @@
 	return strings.TrimSpace(line), c
 }
 
-// comeAgain shows a token until it is served, as a client does that follows the times it is told. Each of
+// resumeWithRetries shows a token until it is served, as a client does that follows the times it is told. Each of
 // them must lie within the session.
-func (f *fleet) comeAgain(at, name, text, more string) (c *client, refusals int) {
+func (f *fleet) resumeWithRetries(at, name, text, more string) (c *client, rejections int) {
 	f.t.Helper()
 	for n := range 100 {
-		answer, c := f.show(at, fmt.Sprint(name, "-", n), text, more)
+		answer, c := f.presentToken(at, fmt.Sprint(name, "-", n), text, more)
 		words := strings.Fields(answer)
 		switch {
 		case len(words) > 0 && words[0] == "UP":
@@ -58,7 +58,7 @@
 	return nil, 0
 }
 
-func (f *fleet) sound() {
+func (f *fleet) checkLedger() {
 	f.t.Helper()
 	for _, bad := range f.ledger.Violations() {
 		f.t.Error(bad)
@@ -66,7 +66,7 @@
 }
 
 // What is no token, or not this stream's, or not now, is refused at once and reaches no server.
-func TestResumeRefusals(t *testing.T) {
+func TestInvalidTokensAreRejected(t *testing.T) {
 	f := newFleet(t, 1, "skew_ms = 100\n")
 	f.feed.Keep = 20
 	f.config = func(c map[string]any) {
@@ -74,11 +74,11 @@
 		s["classes"] = append(s["classes"].([]any), map[string]any{"name": "zoom", "semantics": "free", "aimMs": 800, "deadlineMs": 3200, "worth": 1})
 		s["realms"] = []any{map[string]any{"name": "acme", "portion": 0.5}, map[string]any{"name": "surf", "portion": 0.5}}
 	}
-	at := f.start(0, 1)
-	f.wait("claim service", f.claims)
-	c, text, _ := f.stream(at, "s")
+	at := f.startRelay(0, 1)
+	f.waitFor("claim service", f.ownershipConnected)
+	c, text, _ := f.openStream(at, "s")
 	c.Close()
-	f.wait("given back", func() bool { return held(f.zk) == 0 })
+	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 
 	ring, err := token.NewKeyRing([]token.Key{{ID: "a", Secret: []byte(strings.Repeat("a", 32))}})
 	if err != nil {
@@ -128,7 +128,7 @@
 		}
 		c.Close()
 	}
-	f.wait("given back", func() bool { return held(f.zk) == 0 })
+	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 
 	// 60 MB in place of a token: an answer, and an end. What is read of it is bounded.
 	c = dial(t, at)
@@ -149,25 +149,25 @@
 	}
 
 	// Positions: ahead of what the server has; behind what it keeps.
-	if got, _ := f.show(at, "ahead", text, ",pos=1000000"); got != "ERR resume ahead" {
+	if got, _ := f.presentToken(at, "ahead", text, ",pos=1000000"); got != "ERR resume ahead" {
 		t.Errorf("ahead: %q", got)
 	}
-	f.wait("given back", func() bool { return held(f.zk) == 0 })
-	f.wait("scans that are kept no more", func() bool { return f.feed.Newest() > 30 })
-	c, _ = f.comeAgain(at, "gap", text, ",pos=2")
-	if gap := c.until(t, "GAP"); gap[1] != "3" || gap[2] == "-" {
+	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+	f.waitFor("scans that are kept no more", func() bool { return f.feed.Newest() > 30 })
+	c, _ = f.resumeWithRetries(at, "gap", text, ",pos=2")
+	if gap := c.readUntil(t, "GAP"); gap[1] != "3" || gap[2] == "-" {
 		t.Errorf("behind what is kept: %q", gap)
-	} else if scan := c.until(t, "SCAN"); scan[1] != plus(gap[2], 1) {
+	} else if scan := c.readUntil(t, "SCAN"); scan[1] != addTo(gap[2], 1) {
 		t.Errorf("after %q comes %q", gap, scan)
 	}
 	c.Close()
-	f.wait("given back", func() bool { return held(f.zk) == 0 })
+	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 
 	// A server that has seen a higher generation of the stream refuses a lower one.
 	direct := dial(t, f.servers[0].Address)
-	direct.ask(t, fmt.Sprintf("OPEN x 7f c=map-stream,d=3000,s=%s,gen=99,from=0", good.Stream), "UP")
+	direct.sendAndExpect(t, fmt.Sprintf("OPEN x 7f c=map-stream,d=3000,s=%s,gen=99,from=0", good.Stream), "UP")
 	direct.Close()
-	if got, _ := f.show(at, "stale", text, ""); got != "ERR resume behind" {
+	if got, _ := f.presentToken(at, "stale", text, ""); got != "ERR resume behind" {
 		t.Errorf("a server that refuses a generation: %q", got)
 	}
 	if t.Failed() {
@@ -177,26 +177,26 @@
 	}
 }
 
-func plus(text string, n int) string {
+func addTo(text string, n int) string {
 	x, _ := strconv.Atoi(text)
 	return strconv.Itoa(x + n)
 }
 
 // Keys: a new one seals at once after SIGHUP, an old one opens until it is taken out, and a file that others
 // can read changes nothing.
-func TestKeyRotation(t *testing.T) {
+func TestReloadRotatesKeys(t *testing.T) {
 	f := newFleet(t, 1, "")
-	at := f.start(0, 1)
-	f.wait("claim service", f.claims)
-	c, old, _ := f.stream(at, "s")
+	at := f.startRelay(0, 1)
+	f.waitFor("claim service", f.ownershipConnected)
+	c, old, _ := f.openStream(at, "s")
 	c.Close()
-	hangUp := func(want string) {
+	reload := func(want string) {
 		t.Helper()
 		f.mu.Lock()
 		n := len(f.logs)
 		f.mu.Unlock()
-		f.cmds[at].Process.Signal(syscall.SIGHUP)
-		f.wait(want, func() bool {
+		f.commands[at].Process.Signal(syscall.SIGHUP)
+		f.waitFor(want, func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for _, l := range f.logs[n:] {
@@ -207,66 +207,66 @@
 			return false
 		})
 	}
-	writeKeys(t, f.keys, "b", "a")
-	os.Chmod(f.keys, 0o644)
-	hangUp("mode 0644 lets others at the keys")
-	os.Chmod(f.keys, 0o600)
-	hangUp("reloaded resume")
-	c, _ = f.comeAgain(at, "both", old, "")
-	words := c.until(t, "TOKEN")
+	writeKeys(t, f.keyFile, "b", "a")
+	os.Chmod(f.keyFile, 0o644)
+	reload("mode 0644 lets others at the keys")
+	os.Chmod(f.keyFile, 0o600)
+	reload("reloaded resume")
+	c, _ = f.resumeWithRetries(at, "both", old, "")
+	words := c.readUntil(t, "TOKEN")
 	if !strings.HasPrefix(words[2], "cs1.b.") {
 		t.Errorf("the new key does not seal: %s", words[2])
 	}
 	c.Close()
-	writeKeys(t, f.keys, "b")
-	hangUp("reloaded resume")
-	if got, _ := f.show(at, "old", old, ""); got != "ERR resume token" {
+	writeKeys(t, f.keyFile, "b")
+	reload("reloaded resume")
+	if got, _ := f.presentToken(at, "old", old, ""); got != "ERR resume token" {
 		t.Errorf("sealed by a key that was taken out: %q", got)
 	}
-	c, _ = f.comeAgain(at, "new", words[2], "")
-	c.until(t, "TOKEN")
-	f.sound()
+	c, _ = f.resumeWithRetries(at, "new", words[2], "")
+	c.readUntil(t, "TOKEN")
+	f.checkLedger()
 }
 
 // The old relay is killed: its claim still stands. The client is told at once when to come, within the
 // session, and is then served from where it stopped.
-func TestOldRelayKilled(t *testing.T) {
+func TestStreamResumesAfterItsRelayIsKilled(t *testing.T) {
 	f := newFleet(t, 2, "")
-	a, b := f.start(0, 2), f.start(1, 2)
-	f.wait("claim service", f.claims)
-	c, text, _ := f.stream(a, "s")
-	scan := c.until(t, "SCAN")
-	f.cmds[a].Process.Kill()
-	f.wait("its server sees the end", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
-	c, refusals := f.comeAgain(b, "again", text, ",pos="+scan[1])
-	if refusals == 0 {
+	a, b := f.startRelay(0, 2), f.startRelay(1, 2)
+	f.waitFor("claim service", f.ownershipConnected)
+	c, text, _ := f.openStream(a, "s")
+	scan := c.readUntil(t, "SCAN")
+	f.commands[a].Process.Kill()
+	f.waitFor("its server sees the end", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
+	c, rejections := f.resumeWithRetries(b, "again", text, ",pos="+scan[1])
+	if rejections == 0 {
 		t.Error("the claim of a relay that was killed did not stand")
 	}
-	if next := c.until(t, "SCAN"); next[1] != plus(scan[1], 1) {
+	if next := c.readUntil(t, "SCAN"); next[1] != addTo(scan[1], 1) {
 		t.Errorf("after scan %s comes %s", scan[1], next[1])
 	}
-	f.sound()
+	f.checkLedger()
 }
 
 // A relay that sleeps for longer than its session: its server's lease ends before another relay can win, and
 // once awake it passes nothing on.
-func TestRelaySleepsPastItsSession(t *testing.T) {
+func TestPausedRelayForwardsNothingAfterItsSession(t *testing.T) {
 	f := newFleet(t, 2, "")
-	a, b := f.start(0, 2), f.start(1, 2)
-	f.wait("claim service", f.claims)
-	c, text, _ := f.stream(a, "s")
-	scan := c.until(t, "SCAN")
-	f.cmds[a].Process.Signal(syscall.SIGSTOP)
+	a, b := f.startRelay(0, 2), f.startRelay(1, 2)
+	f.waitFor("claim service", f.ownershipConnected)
+	c, text, _ := f.openStream(a, "s")
+	scan := c.readUntil(t, "SCAN")
+	f.commands[a].Process.Signal(syscall.SIGSTOP)
 	stopped := f.feed.Newest()
-	k, refusals := f.comeAgain(b, "again", text, ",pos="+scan[1])
-	if refusals == 0 {
+	k, rejections := f.resumeWithRetries(b, "again", text, ",pos="+scan[1])
+	if rejections == 0 {
 		t.Error("the claim of a relay that sleeps did not stand")
 	}
-	if next := k.until(t, "SCAN"); next[1] != plus(scan[1], 1) {
+	if next := k.readUntil(t, "SCAN"); next[1] != addTo(scan[1], 1) {
 		t.Errorf("after scan %s comes %s", scan[1], next[1])
 	}
-	f.sound()
-	f.cmds[a].Process.Signal(syscall.SIGCONT)
+	f.checkLedger()
+	f.commands[a].Process.Signal(syscall.SIGCONT)
 	last := ""
 	for {
 		line, err := c.in.ReadString('\n')
@@ -280,28 +280,28 @@
 	if x, _ := strconv.ParseUint(last, 10, 64); x > stopped+1 {
 		t.Errorf("a relay that slept passed scan %s on; %d was the newest before", last, stopped)
 	}
-	k.until(t, "SCAN") // and the stream is not disturbed
-	f.sound()
+	k.readUntil(t, "SCAN") // and the stream is not disturbed
+	f.checkLedger()
 }
 
 // The claim service gone before, during and after; its answers lost; its sessions forgotten.
-func TestClaimServiceGone(t *testing.T) {
+func TestStreamsSurviveOwnershipServiceOutages(t *testing.T) {
 	f := newFleet(t, 2, "")
-	f.zk.SetUnreachable(true)
-	at := f.start(0, 1)
+	f.ownership.SetUnreachable(true)
+	at := f.startRelay(0, 1)
 	c := dial(t, at)
-	c.ask(t, "OPEN s 7f c=map-stream,t=acme,d=3000,g=5,resume=new", "UP") // new streams need no claim to be served
-	c.until(t, "SCAN")
-	f.zk.SetUnreachable(false)
-	words := c.until(t, "TOKEN")
+	c.sendAndExpect(t, "OPEN s 7f c=map-stream,t=acme,d=3000,g=5,resume=new", "UP") // new streams need no claim to be served
+	c.readUntil(t, "SCAN")
+	f.ownership.SetUnreachable(false)
+	words := c.readUntil(t, "TOKEN")
 	fmt.Fprintf(c, "GOT %s\r\n", words[1])
 
-	f.zk.ResetConnections() // a session taken up again costs nothing
-	f.wait("connected again", func() bool { return f.said("ownership service connected") >= 2 })
+	f.ownership.ResetConnections() // a session taken up again costs nothing
+	f.waitFor("connected again", func() bool { return f.countLogs("ownership service connected") >= 2 })
 	for range 3 {
-		c.until(t, "SCAN")
+		c.readUntil(t, "SCAN")
 	}
-	f.zk.SetUnreachable(true) // for longer than claims are trusted: moved, before another could have won
+	f.ownership.SetUnreachable(true) // for longer than claims are trusted: moved, before another could have won
 	last := ""
 	for {
 		line, err := c.in.ReadString('\n')
@@ -314,38 +314,38 @@
 			last = words[1]
 		}
 	}
-	f.wait("its server sees the end", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
-	if got, _ := f.show(at, "down", words[2], ",pos="+last); !strings.HasPrefix(got, "BUSY ") {
+	f.waitFor("its server sees the end", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
+	if got, _ := f.presentToken(at, "down", words[2], ",pos="+last); !strings.HasPrefix(got, "BUSY ") {
 		t.Errorf("while the service is gone: %q", got)
 	}
-	f.zk.SetUnreachable(false)
-	c, _ = f.comeAgain(at, "back", words[2], ",pos="+last)
-	words = c.until(t, "TOKEN")
+	f.ownership.SetUnreachable(false)
+	c, _ = f.resumeWithRetries(at, "back", words[2], ",pos="+last)
+	words = c.readUntil(t, "TOKEN")
 	fmt.Fprintf(c, "GOT %s\r\nM\r\n", words[1])
-	c.until(t, "M")
+	c.readUntil(t, "M")
 
-	f.zk.ExpireSessions() // forgotten while served: moved at once
-	c.until(t, "MOVE")
-	f.zk.DropAnswers(1) // the claim is made, and the answer lost: the node exists and is ours
-	c, _ = f.comeAgain(at, "swallowed", words[2], "")
-	c.until(t, "SCAN")
-	if n := held(f.zk); n != 1 {
+	f.ownership.ExpireSessions() // forgotten while served: moved at once
+	c.readUntil(t, "MOVE")
+	f.ownership.DropAnswers(1) // the claim is made, and the answer lost: the node exists and is ours
+	c, _ = f.resumeWithRetries(at, "swallowed", words[2], "")
+	c.readUntil(t, "SCAN")
+	if n := countOwned(f.ownership); n != 1 {
 		t.Errorf("%d holders", n)
 	}
 	c.Close()
-	f.wait("given back", func() bool { return held(f.zk) == 0 })
-	f.zk.SetFrozen(true) // it answers nothing at all
-	if got, _ := f.show(at, "frozen", words[2], ""); !strings.HasPrefix(got, "BUSY ") {
+	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+	f.ownership.SetFrozen(true) // it answers nothing at all
+	if got, _ := f.presentToken(at, "frozen", words[2], ""); !strings.HasPrefix(got, "BUSY ") {
 		t.Errorf("while the service is frozen: %q", got)
 	}
-	f.zk.SetFrozen(false)
-	c, _ = f.comeAgain(at, "thawed", words[2], "")
-	c.until(t, "SCAN")
-	f.sound()
+	f.ownership.SetFrozen(false)
+	c, _ = f.resumeWithRetries(at, "thawed", words[2], "")
+	c.readUntil(t, "SCAN")
+	f.checkLedger()
 }
 
-// said counts log lines that hold a text.
-func (f *fleet) said(text string) (n int) {
+// countLogs counts log lines that hold a text.
+func (f *fleet) countLogs(text string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, l := range f.logs {
@@ -358,58 +358,58 @@
 
 // The server that a resuming stream is placed on dies, falls silent or drains before it answers. One attempt
 // after the other under one claim: a second relay is refused all the while.
-func TestServerFailsInMidResume(t *testing.T) {
+func TestServerFailureDuringResumeKeepsOwnership(t *testing.T) {
 	for _, how := range []string{"killed", "silent", "draining"} {
 		t.Run(how, func(t *testing.T) {
 			f := newFleet(t, 2, "")
-			a, b := f.start(0, 2), f.start(1, 2)
-			f.wait("claim service", f.claims)
-			c, text, _ := f.stream(a, "s")
-			scan := c.until(t, "SCAN")
+			a, b := f.startRelay(0, 2), f.startRelay(1, 2)
+			f.waitFor("claim service", f.ownershipConnected)
+			c, text, _ := f.openStream(a, "s")
+			scan := c.readUntil(t, "SCAN")
 			c.Close()
-			f.wait("given back", func() bool { return held(f.zk) == 0 })
+			f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 			var once sync.Once
 			met := make(chan string, 1)
 			for _, s := range f.servers {
 				s.OnFirstLine = func(string) {
 					once.Do(func() {
-						got, second := f.show(b, "second", text, "") // in the middle of the first's attempt
+						got, second := f.presentToken(b, "second", text, "") // in the middle of the first's attempt
 						second.Close()
 						met <- got
 						switch how {
 						case "killed":
 							s.Kill()
-							f.list.Set(s.ID, s.Address, "Gone")
+							f.discovery.Set(s.ID, s.Address, "Gone")
 						case "silent":
 							s.SetSilent(true)
-							f.list.Set(s.ID, s.Address, "Gone")
+							f.discovery.Set(s.ID, s.Address, "Gone")
 						case "draining":
 							s.SetRejecting(true)
-							f.list.Set(s.ID, s.Address, "Terminating")
+							f.discovery.Set(s.ID, s.Address, "Terminating")
 						}
 					})
 				}
 			}
-			c, _ = f.comeAgain(a, "first", text, ",pos="+scan[1])
+			c, _ = f.resumeWithRetries(a, "first", text, ",pos="+scan[1])
 			if got := <-met; !strings.HasPrefix(got, "BUSY ") {
 				t.Errorf("at a second relay in mid-resume: %q", got)
 			}
-			if next := c.until(t, "SCAN"); next[1] != plus(scan[1], 1) {
+			if next := c.readUntil(t, "SCAN"); next[1] != addTo(scan[1], 1) {
 				t.Errorf("after scan %s comes %s", scan[1], next[1])
 			}
-			f.sound()
+			f.checkLedger()
 		})
 	}
 }
 
 // Without -resume the fields are a client's own, as ever: they go on to the server, and nothing is added.
-func TestResumeIsOff(t *testing.T) {
-	d, s := stage(t, "s1")
-	_, address, _ := start(t, configure(t, func(c map[string]any) {
+func TestResumeFieldsAreForwardedWhenOff(t *testing.T) {
+	d, s := newDiscoveryWithServer(t, "s1")
+	_, address, _ := startRelay(t, writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
 	}))
 	f := &fleet{t: t}
-	f.wait("listed", func() bool {
+	f.waitFor("listed", func() bool {
 		c := dial(t, address)
 		defer c.Close()
 		fmt.Fprint(c, "OPEN o 7f c=map-stream,t=acme,d=2000,resume=new,pos=7\r\n")
@@ -422,24 +422,24 @@
 }
 
 // What is wrong with the operator's file: one line that names the file and the key, and exit 1.
-func TestBadResumeFile(t *testing.T) {
+func TestBadResumeFileNamesFileAndKey(t *testing.T) {
 	f := newFleet(t, 0, "")
-	good, _ := os.ReadFile(f.file)
-	config := configure(t, func(c map[string]any) { c["listen"] = "127.0.0.1:0" })
+	good, _ := os.ReadFile(f.resumeFile)
+	config := writeConfig(t, func(c map[string]any) { c["listen"] = "127.0.0.1:0" })
 	for name, k := range map[string]struct{ text, want string }{
 		"unknown key": {"colour = 1\n" + string(good), "colour: unknown key"},
-		"no service":  {strings.Replace(string(good), f.zk.Address, "nowhere", 1), "servers: address nowhere"},
+		"no service":  {strings.Replace(string(good), f.ownership.Address, "nowhere", 1), "servers: address nowhere"},
 		"session":     {strings.Replace(string(good), "4000", "300", 1), "session_ms: "},
 		"path":        {strings.Replace(string(good), "/a/streams", "a", 1), "path: "},
 		"renew":       {strings.Replace(string(good), "renew_ms = 500", "renew_ms = 5", 1), "renew_ms: "},
-		"keys":        {strings.Replace(string(good), f.keys, f.keys+"x", 1), "keys: "},
+		"keys":        {strings.Replace(string(good), f.keyFile, f.keyFile+"x", 1), "keys: "},
 		"not TOML":    {"=", "toml: line 1"},
 	} {
-		os.WriteFile(f.file, []byte(k.text), 0o600)
-		cmd := program(t, config)
-		cmd.Args = append(cmd.Args, "-resume", f.file)
+		os.WriteFile(f.resumeFile, []byte(k.text), 0o600)
+		cmd := relayCommand(t, config)
+		cmd.Args = append(cmd.Args, "-resume", f.resumeFile)
 		out, err := cmd.CombinedOutput()
-		if err == nil || !strings.HasPrefix(string(out), "capersail: "+f.file+": "+k.want) || strings.Count(string(out), "\n") != 1 {
+		if err == nil || !strings.HasPrefix(string(out), "capersail: "+f.resumeFile+": "+k.want) || strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%s: %v, %q", name, err, out)
 		}
 	}
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -33,36 +33,36 @@
 
 // fleet is relays as processes, with servers, discovery and the claim service as stand-ins.
 type fleet struct {
-	t       testing.TB
-	zk      *fake.ZooKeeper
-	list    *fake.Discovery
-	feed    *fake.Feed
-	ledger  *fake.Ledger
-	servers []*fake.ScanServer
-	keys    string
-	file    string // resume.toml
+	t          testing.TB
+	ownership  *fake.ZooKeeper
+	discovery  *fake.Discovery
+	feed       *fake.Feed
+	ledger     *fake.Ledger
+	servers    []*fake.ScanServer
+	keyFile    string
+	resumeFile string // resume.toml
 
-	mu     sync.Mutex
-	cmds   map[string]*exec.Cmd // by address
-	alive  []string
-	logs   []string
-	config func(map[string]any)
+	mu       sync.Mutex
+	commands map[string]*exec.Cmd // by address
+	alive    []string
+	logs     []string
+	config   func(map[string]any)
 }
 
 func newFleet(t testing.TB, servers int, extra string) *fleet {
 	t.Helper()
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	f := &fleet{t: t, feed: fake.NewFeed(5000, 50*time.Millisecond, stop), ledger: fake.NewLedger(), cmds: map[string]*exec.Cmd{}}
+	f := &fleet{t: t, feed: fake.NewFeed(5000, 50*time.Millisecond, stop), ledger: fake.NewLedger(), commands: map[string]*exec.Cmd{}}
 	var err error
-	if f.zk, err = fake.NewZooKeeper("/"); err != nil {
+	if f.ownership, err = fake.NewZooKeeper("/"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.zk.Close)
-	if f.list, err = fake.NewDiscovery("127.0.0.1:0"); err != nil {
+	t.Cleanup(f.ownership.Close)
+	if f.discovery, err = fake.NewDiscovery("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	f.list.ExtraFields = `,"resumes":true`
+	f.discovery.ExtraFields = `,"resumes":true`
 	for i := range servers {
 		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", f.feed, f.ledger)
 		if err != nil {
@@ -70,20 +70,20 @@
 		}
 		t.Cleanup(s.Kill)
 		f.servers = append(f.servers, s)
-		f.list.Set(s.ID, s.Address, "Ready")
+		f.discovery.Set(s.ID, s.Address, "Ready")
 	}
 	dir := t.TempDir()
-	f.keys, f.file = filepath.Join(dir, "keys.toml"), filepath.Join(dir, "resume.toml")
-	writeKeys(t, f.keys, "a")
-	text := fmt.Sprintf("servers = [%q]\npath = \"/a/streams\"\nsession_ms = 4000\nkeys = %q\nrenew_ms = 500\n%s", f.zk.Address, f.keys, extra)
-	if err := os.WriteFile(f.file, []byte(text), 0o600); err != nil {
+	f.keyFile, f.resumeFile = filepath.Join(dir, "keys.toml"), filepath.Join(dir, "resume.toml")
+	writeKeys(t, f.keyFile, "a")
+	text := fmt.Sprintf("servers = [%q]\npath = \"/a/streams\"\nsession_ms = 4000\nkeys = %q\nrenew_ms = 500\n%s", f.ownership.Address, f.keyFile, extra)
+	if err := os.WriteFile(f.resumeFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// start starts relay number me of all and returns its address.
-func (f *fleet) start(me, all int) string {
+// startRelay starts relay number me of all and returns its address.
+func (f *fleet) startRelay(me, all int) string {
 	f.t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -93,8 +93,8 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		f.t.Fatal(err)
 	}
-	c["name"], c["listen"], c["discovery"] = fmt.Sprint("n", me), "127.0.0.1:0", f.list.Address
-	c["known"] = json.RawMessage(f.list.Snapshot())
+	c["name"], c["listen"], c["discovery"] = fmt.Sprint("n", me), "127.0.0.1:0", f.discovery.Address
+	c["known"] = json.RawMessage(f.discovery.Snapshot())
 	settings := c["settings"].(map[string]any)
 	settings["balancers"], settings["me"] = all, me
 	if f.config != nil {
@@ -105,7 +105,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	cmd := exec.Command(os.Args[0], "-resume", f.file)
+	cmd := exec.Command(os.Args[0], "-resume", f.resumeFile)
 	cmd.Env = append(os.Environ(), "CAPERSAIL_RUN=1", "LB_CONFIG="+path)
 	logs, err := cmd.StderrPipe()
 	if err != nil {
@@ -127,13 +127,13 @@
 	a := <-address
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cmds[a] = cmd
+	f.commands[a] = cmd
 	f.alive = append(f.alive, a)
 	return a
 }
 
-// gone takes a relay out of those that clients are sent to.
-func (f *fleet) gone(address string) {
+// sendNobodyTo takes a relay out of those that clients are sent to.
+func (f *fleet) sendNobodyTo(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, a := range f.alive {
@@ -143,14 +143,14 @@
 	}
 }
 
-func (f *fleet) any() string {
+func (f *fleet) randomRelay() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.alive[rand.IntN(len(f.alive))]
 }
 
-// wait waits for a condition. Its limit only ends a test that hangs.
-func (f *fleet) wait(what string, ok func() bool) {
+// waitFor waits for a condition. Its limit only ends a test that hangs.
+func (f *fleet) waitFor(what string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -161,7 +161,7 @@
 	}
 }
 
-func (f *fleet) claims() bool {
+func (f *fleet) ownershipConnected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -170,16 +170,16 @@
 			n++
 		}
 	}
-	return n >= len(f.cmds)
+	return n >= len(f.commands)
 }
 
-// crowd starts viewers, those with a token that are wanted to have one. stop ends them all.
-func (f *fleet) crowd(n int, token func(i int) bool) (viewers []*fake.Viewer, stop func()) {
+// startViewers starts viewers, those with a token that are wanted to have one. stop ends them all.
+func (f *fleet) startViewers(n int, token func(i int) bool) (viewers []*fake.Viewer, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for i := range n {
 		v := &fake.Viewer{Name: fmt.Sprint("v", i), OpenFields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), WaitLimit: 3 * time.Second,
-			UseTokens: token(i), SendEvery: 500 * time.Millisecond, RelayAddress: f.any}
+			UseTokens: token(i), SendEvery: 500 * time.Millisecond, RelayAddress: f.randomRelay}
 		viewers = append(viewers, v)
 		all.Go(func() { v.Run(ctx) })
 	}
@@ -188,55 +188,55 @@
 	return viewers, stop
 }
 
-// current waits until every viewer has come past what is newest now.
-func (f *fleet) current(viewers []*fake.Viewer) {
+// waitUntilCurrent waits until every viewer has come past what is newest now.
+func (f *fleet) waitUntilCurrent(viewers []*fake.Viewer) {
 	f.t.Helper()
 	newest := f.feed.Newest() + 3 // what nobody can have yet
 	for _, v := range viewers {
-		f.wait("every stream is served", func() bool { return v.Tally().LastScan >= newest && (!v.UseTokens || v.ResumeToken() != "") })
+		f.waitFor("every stream is served", func() bool { return v.Tally().LastScan >= newest && (!v.UseTokens || v.ResumeToken() != "") })
 	}
 }
 
-// drainAll drains the servers one after the other; each comes back.
-func (f *fleet) drainAll() {
+// drainAllServers drains the servers one after the other; each comes back.
+func (f *fleet) drainAllServers() {
 	f.t.Helper()
 	for _, s := range f.servers {
-		f.list.Set(s.ID, s.Address, "Terminating")
+		f.discovery.Set(s.ID, s.Address, "Terminating")
 		s.SetRejecting(true)
-		f.wait("drained", func() bool { return s.MigrateOneIn(3) == 0 })
+		f.waitFor("drained", func() bool { return s.MigrateOneIn(3) == 0 })
 		s.SetRejecting(false)
-		f.list.Set(s.ID, s.Address, "Ready")
+		f.discovery.Set(s.ID, s.Address, "Ready")
 	}
 }
 
 // Streams of numbered scans through a rolling drain of all servers, a kill, a silence, a relay that is killed
 // and one that leaves: nothing is lost or out of turn, never do two servers serve one stream, and each
 // opening gets one answer.
-func TestMovedStreamsLoseNothing(t *testing.T) {
+func TestMigratedStreamsLoseNothing(t *testing.T) {
 	const streams = 200
 	f := newFleet(t, 6, "")
 	var relays []string
 	for i := range 3 {
-		relays = append(relays, f.start(i, 3))
+		relays = append(relays, f.startRelay(i, 3))
 	}
-	f.wait("claim service", f.claims)
-	viewers, stop := f.crowd(streams, func(int) bool { return true })
-	current := func() { f.current(viewers) }
+	f.waitFor("claim service", f.ownershipConnected)
+	viewers, stop := f.startViewers(streams, func(int) bool { return true })
+	current := func() { f.waitUntilCurrent(viewers) }
 	current()
-	f.drainAll()
+	f.drainAllServers()
 	current()
 	f.servers[0].Kill()
-	f.list.Set("s0", f.servers[0].Address, "Gone")
+	f.discovery.Set("s0", f.servers[0].Address, "Gone")
 	current()
 	f.servers[1].SetSilent(true)
 	current()
 	f.servers[1].SetSilent(false)
-	f.gone(relays[1])
-	f.cmds[relays[1]].Process.Kill()
+	f.sendNobodyTo(relays[1])
+	f.commands[relays[1]].Process.Kill()
 	current()
-	f.gone(relays[2])
-	f.cmds[relays[2]].Process.Signal(syscall.SIGTERM)
-	if err := f.cmds[relays[2]].Wait(); err != nil {
+	f.sendNobodyTo(relays[2])
+	f.commands[relays[2]].Process.Signal(syscall.SIGTERM)
+	if err := f.commands[relays[2]].Wait(); err != nil {
 		t.Errorf("the relay that left ended with %v", err)
 	}
 	current()
@@ -273,10 +273,10 @@
 
 // Tokens shown to two relays at the same instant, and twice at one: one attempt, one service; the others are
 // refused at once. After the stream has gone on, the token is worth nothing.
-func TestTokenReplayedToTwoRelays(t *testing.T) {
+func TestReplayedTokenGetsOneAttempt(t *testing.T) {
 	f := newFleet(t, 3, "")
-	relays := []string{f.start(0, 2), f.start(1, 2)}
-	f.wait("claim service", f.claims)
+	relays := []string{f.startRelay(0, 2), f.startRelay(1, 2)}
+	f.waitFor("claim service", f.ownershipConnected)
 	var inFlight sync.Map // attempts out for a stream, as the servers see them
 	for _, s := range f.servers {
 		s.OnFirstLine = func(line string) {
@@ -292,14 +292,14 @@
 			return fmt.Sprintf("OPEN %s-%d %x c=map-stream,t=acme,d=3000,%s", name, n, i+1, more)
 		}
 		first := dial(t, relays[i%2])
-		first.ask(t, opening(0, "resume=new"), "UP")
-		words := first.until(t, "TOKEN")
+		first.sendAndExpect(t, opening(0, "resume=new"), "UP")
+		words := first.readUntil(t, "TOKEN")
 		fmt.Fprintf(first, "GOT %s\r\n", words[1])
-		stream := f.zk.Nodes("/a/streams/")
+		stream := f.ownership.Nodes("/a/streams/")
 		first.Close()
-		f.wait("the claim is given back", func() bool { return held(f.zk) == 0 })
+		f.waitFor("the claim is given back", func() bool { return countOwned(f.ownership) == 0 })
 		_ = stream
-		before := total(f.servers)
+		before := totalOpenings(f.servers)
 		rng := rand.New(rand.NewPCG(uint64(i), 2))
 		barrier := make(chan struct{})
 		answers := make([]string, 4)
@@ -330,14 +330,14 @@
 				t.Fatalf("seed %d: %q", i, answers)
 			}
 		}
-		if up < 0 || total(f.servers) != before+1 {
-			t.Fatalf("seed %d: %q, %d attempts", i, answers, total(f.servers)-before)
+		if up < 0 || totalOpenings(f.servers) != before+1 {
+			t.Fatalf("seed %d: %q, %d attempts", i, answers, totalOpenings(f.servers)-before)
 		}
-		next := clients[up].until(t, "TOKEN")
+		next := clients[up].readUntil(t, "TOKEN")
 		fmt.Fprintf(clients[up], "GOT %s\r\nM\r\n", next[1])
-		clients[up].until(t, "M") // comes back from the server: GOT was read
+		clients[up].readUntil(t, "M") // comes back from the server: GOT was read
 		clients[up].Close()
-		f.wait("the claim is given back", func() bool { return held(f.zk) == 0 })
+		f.waitFor("the claim is given back", func() bool { return countOwned(f.ownership) == 0 })
 		for k, at := range relays { // its successor has arrived
 			c := dial(t, at)
 			fmt.Fprint(c, opening(k+5, "resume="+words[2])+"\r\n")
@@ -345,7 +345,7 @@
 				t.Fatalf("seed %d: a token used up was answered %q", i, got)
 			}
 		}
-		if total(f.servers) != before+1 {
+		if totalOpenings(f.servers) != before+1 {
 			t.Fatalf("seed %d: a refused token reached a server", i)
 		}
 	}
@@ -354,15 +354,15 @@
 	}
 }
 
-func total(servers []*fake.ScanServer) (n int) {
+func totalOpenings(servers []*fake.ScanServer) (n int) {
 	for _, s := range servers {
 		n += s.Openings()
 	}
 	return n
 }
 
-// held is how many streams are claimed.
-func held(zk *fake.ZooKeeper) (n int) {
+// countOwned is how many streams have an owner.
+func countOwned(zk *fake.ZooKeeper) (n int) {
 	for _, p := range zk.Nodes("/a/streams/") {
 		if strings.HasSuffix(p, "/holder") {
 			n++
@@ -371,8 +371,8 @@
 	return n
 }
 
-// until reads to the next line with a first word.
-func (c *client) until(t *testing.T, want string) []string {
+// readUntil reads to the next line with a first word.
+func (c *client) readUntil(t *testing.T, want string) []string {
 	t.Helper()
 	for {
 		line, err := c.in.ReadString('\n')
--- a/cmd/capersail/timeline_test.go
+++ b/cmd/capersail/timeline_test.go
@@ -12,17 +12,17 @@
 
 // The program with time lines: it answers on its socket, and after kill -9 its store has what was more than a
 // second old. A second daemon on the same file serves all the same.
-func TestTimelineOutlivesAKill(t *testing.T) {
-	d, s := stage(t, "s1")
+func TestTimelineSurvivesKill(t *testing.T) {
+	d, s := newDiscoveryWithServer(t, "s1")
 	dir := t.TempDir()
 	file, socket, db := filepath.Join(dir, "timeline.toml"), filepath.Join(dir, "c.sock"), filepath.Join(dir, "t.db")
 	os.WriteFile(file, fmt.Appendf(nil, "socket = %q\nstore = %q\n", socket, db), 0o600)
-	config := configure(t, func(c map[string]any) {
+	config := writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
 		c["known"] = json.RawMessage(d.Snapshot())
 	})
 	serve := func(more ...string) (*exec.Cmd, string, <-chan string) {
-		cmd := program(t, config)
+		cmd := relayCommand(t, config)
 		cmd.Args = append(cmd.Args, more...)
 		logs, err := cmd.StderrPipe()
 		if err != nil {
@@ -31,40 +31,40 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		address, said := make(chan string, 1), make(chan string, 1024)
+		address, messages := make(chan string, 1), make(chan string, 1024)
 		go followLogs(logs, func(l logLine) {
 			if l.Message == "serving" {
 				address <- l.Listen
 			}
-			said <- l.Message + ": " + l.Error
+			messages <- l.Message + ": " + l.Error
 		})
-		return cmd, <-address, said
+		return cmd, <-address, messages
 	}
 	ask := func(args ...string) string {
-		cmd := program(t, config)
+		cmd := relayCommand(t, config)
 		cmd.Args = append(cmd.Args, append([]string{"timeline"}, args...)...)
 		out, _ := cmd.Output()
 		return string(out)
 	}
 	cmd, address, _ := serve("--timeline", file)
 	for i := range 5 {
-		dial(t, address).ask(t, fmt.Sprintf("OPEN t%d 7f3a c=map-stream,t=acme,d=2000", i), "UP")
+		dial(t, address).sendAndExpect(t, fmt.Sprintf("OPEN t%d 7f3a c=map-stream,t=acme,d=2000", i), "UP")
 		<-s.FirstLines
 	}
 	f := &fleet{t: t}
-	f.wait("its answer on the socket", func() bool { return strings.Contains(ask("--socket", socket, "show", "s1"), "placed 5,") })
-	f.wait("a row in the store", func() bool { // which the daemon has locked: a copy is read
+	f.waitFor("its answer on the socket", func() bool { return strings.Contains(ask("--socket", socket, "show", "s1"), "placed 5,") })
+	f.waitFor("a row in the store", func() bool { // which the daemon has locked: a copy is read
 		text, _ := os.ReadFile(db)
 		os.WriteFile(db+".copy", text, 0o600)
 		return strings.Contains(ask("--store", db+".copy", "show", "s1"), "placed 5,")
 	})
 	other := filepath.Join(dir, "other.toml")
 	os.WriteFile(other, fmt.Appendf(nil, "store = %q\n", db), 0o600)
-	two, address, said := serve("--timeline", other)
-	dial(t, address).ask(t, "OPEN u1 7f3a c=map-stream,t=acme,d=2000", "UP")
-	f.wait("a word about the file", func() bool {
+	two, address, messages := serve("--timeline", other)
+	dial(t, address).sendAndExpect(t, "OPEN u1 7f3a c=map-stream,t=acme,d=2000", "UP")
+	f.waitFor("a word about the file", func() bool {
 		select {
-		case line := <-said:
+		case line := <-messages:
 			return strings.Contains(line, "in use by another process")
 		default:
 			return false
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -156,7 +156,7 @@
 		calls := map[*relay.Request]time.Duration{}
 		for i := range 24 {
 			if len(site.Settings.Classes) == 0 {
-				return // refused at start (TestBadConfiguration)
+				return // refused at start (TestBadConfigurationNamesTheKey)
 			}
 			left := relay.Duration([]float64{0.5, 20, 90, 500}[i%4])
 			ask := relay.OpenRequest{
