--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -43,7 +43,8 @@
 	if got := actionsOf[Forward](r.do(newRequest(20))); len(got) != 1 || got[0].Server != 1 {
 		t.Errorf("placed as %v beside a server that holds ten and has no report", got)
 	}
-	probes := actionsOf[Probe](r.advance(2 * loadWatchInterval).do(TimerFired{Token: timerLoadWatch.token(0)}))
+	watchDue := TimerFired{Token: timerLoadWatch.token(0)}
+	probes := actionsOf[Probe](r.advance(2 * loadWatchInterval).do(watchDue))
 	if !slices.Contains(probes, Probe{Server: 0}) {
 		t.Errorf("the watch asks %v, not the server without a report", probes)
 	}
--- a/decide/rebalance_test.go
+++ b/decide/rebalance_test.go
@@ -68,7 +68,8 @@
 		for on := range ServerID(2) { // where none has been read yet, that is reason enough to look
 			r.do(ProbeResult{Server: on, Report: loadReport(loads[on], 16)})
 		}
-		probes := actionsOf[Probe](r.advance(loadWatchInterval).do(TimerFired{Token: timerLoadWatch.token(0)}))
+		watchDue := TimerFired{Token: timerLoadWatch.token(0)}
+		probes := actionsOf[Probe](r.advance(loadWatchInterval).do(watchDue))
 		if got := len(probes) == 1 && probes[0].Server == 0; got == tells {
 			t.Errorf("delays reported: %v, probes of the watch: %v", tells, probes)
 		}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -55,8 +55,13 @@
 	return relay.EndpointCounts{Listed: 6, EjectedManually: 1, Ejected: 2}
 }
 func (source) GuardStats() relay.GuardStats {
-	return relay.GuardStats{EndpointListAge: 1500 * time.Millisecond, EndpointLeaseExpired: true, Denials: map[string]uint64{"list lapsed": 7}, Rejections: map[string]uint64{"no room": 2},
-		Violations: map[string]uint64{"drain": 0}}
+	return relay.GuardStats{
+		EndpointListAge:      1500 * time.Millisecond,
+		EndpointLeaseExpired: true,
+		Denials:              map[string]uint64{"list lapsed": 7},
+		Rejections:           map[string]uint64{"no room": 2},
+		Violations:           map[string]uint64{"drain": 0},
+	}
 }
 
 func serve(t *testing.T) (string, *fakeRelay) {
@@ -125,9 +130,21 @@
 	base, _ := serve(t)
 	_, text, _ := do(t, "GET", base+"/ops/stats")
 	for _, want := range []string{
-		`relay_answered{group="map-stream"} 812`, `relay_deferred{group="map-stream"} 3`, `relay_errored{group="map-stream"} 1`,
-		`relay_sends{group="map-stream"} 900`, `relay_answered{group="alert-feed"} 5`, "relay_current 14", "relay_cluster_size 6",
-		"relay_cluster_unhealthy 3", "relay_list_age_seconds 1.5", "relay_list_lapsed 1", `relay_denied{why="list lapsed"} 7`, `relay_refusals{why="no room"} 2`, `relay_violations{rule="drain"} 0`, "# TYPE relay_answered counter", "# TYPE relay_current gauge",
+		`relay_answered{group="map-stream"} 812`,
+		`relay_deferred{group="map-stream"} 3`,
+		`relay_errored{group="map-stream"} 1`,
+		`relay_sends{group="map-stream"} 900`,
+		`relay_answered{group="alert-feed"} 5`,
+		"relay_current 14",
+		"relay_cluster_size 6",
+		"relay_cluster_unhealthy 3",
+		"relay_list_age_seconds 1.5",
+		"relay_list_lapsed 1",
+		`relay_denied{why="list lapsed"} 7`,
+		`relay_refusals{why="no room"} 2`,
+		`relay_violations{rule="drain"} 0`,
+		"# TYPE relay_answered counter",
+		"# TYPE relay_current gauge",
 	} {
 		if !strings.Contains(text, want+"\n") {
 			t.Errorf("no %q in\n%s", want, text)
@@ -160,7 +177,8 @@
 		t.Errorf("%d connections held, at most %d wanted", held, MaxConnections)
 	}
 	s.listener.mu.Unlock()
-	for i, c := range silent { // each is closed, pushed out or at the end of its second; an answer (408) is as good
+	// Each is closed, pushed out or at the end of its second; an answer (408) is as good.
+	for i, c := range silent {
 		c.SetReadDeadline(time.Now().Add(30 * time.Second))
 		_, err := bufio.NewReader(c).ReadString('\n')
 		if e, ok := err.(net.Error); ok && e.Timeout() {
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -54,19 +54,25 @@
 	}
 	one := func(name, help string) *prometheus.Desc { return prometheus.NewDesc(name, help, nil, nil) }
 	return &Figures{
-		fronts:           fronts,
-		answered:         byClass("relay_answered", "Requests established, by class, since the process started."),
-		deferred:         byClass("relay_deferred", "Requests rejected: a retry is harmless, by class."),
-		errored:          byClass("relay_errored", "Requests failed, by class."),
-		sends:            byClass("relay_sends", "Attempts whose first line was written to a server, by class."),
-		current:          one("relay_current", "Requests accepted and not ended."),
-		clusterSize:      one("relay_cluster_size", "Servers in the endpoint list."),
-		clusterUnhealthy: one("relay_cluster_unhealthy", "Listed servers that are ejected, manually or as outliers."),
-		listAge:          one("relay_list_age_seconds", "Seconds since discovery was last heard."),
-		listLapsed:       one("relay_list_lapsed", "1 while the endpoint list's lease has expired."),
-		denied:           by("relay_denied", "Attempts and requests that the guard denied, by reason.", "why"),
-		refusals:         by("relay_refusals", "Requests rejected or failed by the decision module, by reason.", "why"),
-		violations:       by("relay_violations", "Invariants violated; each is a fault of the program.", "rule"),
+		fronts: fronts,
+		answered: byClass("relay_answered",
+			"Requests established, by class, since the process started."),
+		deferred: byClass("relay_deferred", "Requests rejected: a retry is harmless, by class."),
+		errored:  byClass("relay_errored", "Requests failed, by class."),
+		sends: byClass("relay_sends",
+			"Attempts whose first line was written to a server, by class."),
+		current:     one("relay_current", "Requests accepted and not ended."),
+		clusterSize: one("relay_cluster_size", "Servers in the endpoint list."),
+		clusterUnhealthy: one("relay_cluster_unhealthy",
+			"Listed servers that are ejected, manually or as outliers."),
+		listAge:    one("relay_list_age_seconds", "Seconds since discovery was last heard."),
+		listLapsed: one("relay_list_lapsed", "1 while the endpoint list's lease has expired."),
+		denied: by("relay_denied",
+			"Attempts and requests that the guard denied, by reason.", "why"),
+		refusals: by("relay_refusals",
+			"Requests rejected or failed by the decision module, by reason.", "why"),
+		violations: by("relay_violations",
+			"Invariants violated; each is a fault of the program.", "rule"),
 	}
 }
 
--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -96,7 +96,12 @@
 		{"port 0", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1:0"} }, "cells[0].contacts[0]"},
 		{"no address", func(p *Plan) { p.Cells[0].Contacts = []string{"0.0.0.0:7946"} },
 			"cells[0].contacts[0]"},
-		{"all of them", func(p *Plan) { p.Number = 0; p.HomeShare = 2; p.Cells[0].Relays = -1; p.Cells[2].Name = "a1" },
+		{"all of them", func(p *Plan) {
+			p.Number = 0
+			p.HomeShare = 2
+			p.Cells[0].Relays = -1
+			p.Cells[2].Name = "a1"
+		},
 			"number home_share cells[0].relays cells[2].name"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -40,7 +40,8 @@
 			all := took + n.until(60*second, n.agreed)
 			slowest, whole = max(slowest, took), max(whole, all)
 			if took > deathKnownWithin || all > 3*Round(len(n.cells)) {
-				t.Errorf("seed %d: the death of %s is known after %.1f s, all directories are whole after %.1f s",
+				t.Errorf("seed %d: the death of %s is known after %.1f s, "+
+					"all directories are whole after %.1f s",
 					seed, victim.name, took.Seconds(), all.Seconds())
 			}
 		}
@@ -91,7 +92,8 @@
 		packets = max(packets, after)
 		directories = max(directories, busiest(g.published, heal, n.now))
 	}
-	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; a representative's busiest second %d packets and %d directories, %.2f of its busiest at rest",
+	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; "+
+		"a representative's busiest second %d packets and %d directories, %.2f of its busiest at rest",
 		took.Seconds(), fresh.Seconds(), packets, directories, most)
 	if took+fresh > 20*second {
 		t.Errorf("agreed after %.1f s, fresh %.1f s later", took.Seconds(), fresh.Seconds())
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -107,7 +107,8 @@
 		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.BudgetShare,
 			e.FarBudgetShare)
 	}
-	own := node.subject.peers.byName[name(1)].Status.RequestRate + node.subject.peers.byName[name(2)].Status.RequestRate
+	peers := node.subject.peers.byName
+	own := peers[name(1)].Status.RequestRate + peers[name(2)].Status.RequestRate
 	node.subject.Handle(now, OtherCells{Relays: 40, RequestRate: 100, OpenConnections: 7, DrainRate: 2,
 		Known: true}, nil)
 	if e = node.subject.Estimate(now); e.Relays != 43 || e.OtherRequestRate != own+100 ||
--- a/internal/fleet/membership/freshness.go
+++ b/internal/fleet/membership/freshness.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// staleListGrace is how long a peer may have a newer endpoint list before this relay polls for it at once.
+	// staleListGrace is how long a peer may have a newer endpoint list before this relay polls for it at
+	// once.
 	staleListGrace = 2 * time.Second
 	// catchUpInterval is the least time between two requests for a newer view.
 	catchUpInterval = 400 * time.Millisecond
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -21,7 +21,8 @@
 	ignoreLimits bool
 }
 
-// unavailableMembers are the members that have failed, as far as this relay knows, or whose status says Leaving.
+// unavailableMembers are the members that have failed, as far as this relay knows, or whose status says
+// Leaving.
 func (n *Node) unavailableMembers() (names []string) {
 	for _, m := range n.view.Entries {
 		if m.In && m.Name != n.cfg.Name && n.peers.byName[m.Name].isUnavailable() {
--- a/internal/fleet/membership/plan.go
+++ b/internal/fleet/membership/plan.go
@@ -157,7 +157,8 @@
 	return n.view.Allocation.Plan, expired || !n.safeguards.awaitsEarlierViews
 }
 
-// JoinedPlan is the newest plan of which this process knows that nobody in the cell acts by an earlier one; 0 for none. Once true it stays true, so it may come late, doubled or out of order.
+// JoinedPlan is the newest plan of which this process knows that nobody in the cell acts by an earlier
+// one; 0 for none. Once true it stays true, so it may come late, doubled or out of order.
 func (n *Node) JoinedPlan() uint64 { return n.plans.joined }
 
 // ActivatedPlan is the newest plan that all its cells are known to have joined, 0 for none.
--- a/internal/fleet/membership/voting.go
+++ b/internal/fleet/membership/voting.go
@@ -13,7 +13,8 @@
 	ballotTimeout = 500 * time.Millisecond
 	// proposerStagger is by how much each voter waits longer than the one before it, before it proposes.
 	proposerStagger = 400 * time.Millisecond
-	// acceptedTimeout is after how long an accepted view is proposed anew, if nobody has said that it is chosen.
+	// acceptedTimeout is after how long an accepted view is proposed anew, if nobody has said that it is
+	// chosen.
 	acceptedTimeout = 600 * time.Millisecond
 )
 
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -203,7 +203,9 @@
 			c.momentsWithout, c.moments = 0, 0
 			c.run(6000)
 			missing := float64(c.momentsWithout) / float64(c.moments)
-			t.Logf("%d relays, %.0f%% lost: at most %.2f probes a second at a server, %.4f without a reading, ages up to %.0f ms", relays, 100*loss, c.maxProbeRate(from, 6000), missing, c.maxUsedAge)
+			t.Logf("%d relays, %.0f%% lost: at most %.2f probes a second at a server, "+
+				"%.4f without a reading, ages up to %.0f ms",
+				relays, 100*loss, c.maxProbeRate(from, 6000), missing, c.maxUsedAge)
 			if most := c.maxProbeRate(from, 5900); most > 2.2 { // clocks run up to 5% fast
 				t.Errorf("%d relays: %.2f probes a second at one server", relays, most)
 			}
--- a/internal/guard/endpoint_lease.go
+++ b/internal/guard/endpoint_lease.go
@@ -7,8 +7,8 @@
 
 // The endpoint list is held on a lease. A change at discovery counts as notified 6 s after it was made,
 // whether or not its watch event arrived, and DrainGrace later nothing new may go to a server that it takes
-// away. A relay that gets nothing from discovery cannot know of such a change, so it acts on its list only for
-// so long that none can count against it, in ms:
+// away. A relay that gets nothing from discovery cannot know of such a change, so it acts on its list only
+// for so long that none can count against it, in ms:
 //
 //	notified at the latest                               6000
 //	+ grace of the rule on drains                         500
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// migrationDelay is how long a manual drain keeps its connections before it migrates them: new connections
-	// come for 0.2 s after the first PING that is answered as not ready, and are migrated at once.
+	// migrationDelay is how long a manual drain keeps its connections before it migrates them: new
+	// connections come for 0.2 s after the first PING that is answered as not ready, and are migrated at
+	// once.
 	migrationDelay = 300 * time.Millisecond
 	// migrationDeadline is when the last of them is migrated; at 4 s a connection still open breaks the rule
 	// on lost ones.
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -24,7 +24,8 @@
 	ejectionsFolder = "capersail-bans"
 )
 
-// Eject ejects a server manually. The ejection is stored, and the decision module notified, before it returns.
+// Eject ejects a server manually. The ejection is stored, and the decision module notified, before it
+// returns.
 func (o *adminTarget) Eject(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -83,7 +83,8 @@
 // quarantined says that a member's readings are left out.
 func (p *membersPart) quarantined(front *frontSeam, name string) {
 	p.log.Warn().Str("member", name).
-		Msg("member quarantined, its load reports are left out for 30 s: check its clock, network and version")
+		Msg("member quarantined, its load reports are left out for 30 s: " +
+			"check its clock, network and version")
 	front.notifyChange(membership.Changed{
 		Kind:  membership.ChangePeer,
 		Name:  name,
--- a/internal/observe/report/text.go
+++ b/internal/observe/report/text.go
@@ -141,8 +141,8 @@
 func writeCounts(w *errorWriter, sum timeline.Interval) {
 	w.printf("  placed %d, retries %d, connected %d, migrated %d, rejected %d, probes %d (%d lost), "+
 		"load reports by gossip %d; set-up 99 %% %.1f ms at worst\n",
-		sum.Placements, sum.Retries, sum.Connections, sum.Migrations, sum.Rejections, sum.Probes, sum.ProbesLost,
-		sum.PeerReadings, sum.Setup[1])
+		sum.Placements, sum.Retries, sum.Connections, sum.Migrations, sum.Rejections,
+		sum.Probes, sum.ProbesLost, sum.PeerReadings, sum.Setup[1])
 	if CountFaults(sum) > 0 {
 		w.printf("  faults:")
 		for status, n := range sum.Ends {
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -368,7 +368,8 @@
 				continue
 			}
 			found = true
-			if a, b := sum(l), sum(k); a.Placements > b.Placements || a.Probes > b.Probes || b.Placements == 0 {
+			a, b := sum(l), sum(k)
+			if a.Placements > b.Placements || a.Probes > b.Probes || b.Placements == 0 {
 				t.Errorf("%s: %d placements and %d probes live, %d and %d kept",
 					l.Name, a.Placements, a.Probes, b.Placements, b.Probes)
 			}
--- a/internal/relay/endpoint_lease.go
+++ b/internal/relay/endpoint_lease.go
@@ -65,7 +65,8 @@
 func (t *RequestTable) noticeProcessStop(now time.Duration) {
 	if stopped := now - t.lease.checkedAt; t.lease.Enabled() && stopped > processStoppedAfter {
 		t.Log.Warn().Float64("stopped_ms", Millis(stopped)).
-			Msg("process was stopped, discovery has to answer anew: look for a pause or overload of the machine")
+			Msg("process was stopped, discovery has to answer anew: " +
+				"look for a pause or overload of the machine")
 		t.lease.ignoreReadsUntil = now + ignoreReadsFor
 	}
 	t.lease.checkedAt = now
--- a/internal/relay/event_loop.go
+++ b/internal/relay/event_loop.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	// sweepInterval is how often the event loop checks for silent servers and an expired lease of the endpoint
-	// list, and how long it waits at most.
+	// sweepInterval is how often the event loop checks for silent servers and an expired lease of the
+	// endpoint list, and how long it waits at most.
 	sweepInterval = 250 * time.Millisecond
 	// backstopDelay is how long after a request's deadline the backstop answers it. The rules allow 20 ms,
 	// and 50 ms more on sockets; the decision module's own answer takes a tick or two.
@@ -223,8 +223,8 @@
 	}
 }
 
-// forward starts an attempt, and notifies the probe scheduler of it. The scheduler answers a placement with no
-// action, so l.actions, which perform is going through, is not written over.
+// forward starts an attempt, and notifies the probe scheduler of it. The scheduler answers a placement with
+// no action, so l.actions, which perform is going through, is not written over.
 func (l *EventLoop) forward(f decide.Forward) {
 	if l.table.Recorder != nil {
 		l.candidates = l.balancer.ProbePool(l.candidates[:0])
--- a/internal/relay/silent_servers.go
+++ b/internal/relay/silent_servers.go
@@ -7,7 +7,8 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file follows how long servers take to answer lines, and finds silent ones: those that send nothing back.
+// This file follows how long servers take to answer lines, and finds silent ones: those that send nothing
+// back.
 
 const (
 	// slowMessageAfter is when an unanswered line counts as a slow message where no class has an objective.
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -82,10 +82,12 @@
 	s.Log.Info().Float64("session_ms", relay.Millis(granted)).Msg("ownership service connected")
 	for i, p := range ancestors(s.Path) { // created by whoever comes first
 		s.session.Create(p, nil, false, func(a zookeeper.Answer) {
-			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists && a.Code != zookeeper.ConnectionLoss
+			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists &&
+				a.Code != zookeeper.ConnectionLoss
 			if failed && i == 0 {
 				s.Log.Error().Int32("code", int32(a.Code)).Str("path", p).
-					Msg("ownership service rejected the path of the records, no stream gets a token: check its rights")
+					Msg("ownership service rejected the path of the records, no stream gets a token: " +
+						"check its rights")
 			}
 		})
 	}
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -159,7 +159,8 @@
 // within for that, and is called once.
 func (s *Service) Close(within time.Duration) { s.session.Close(within) }
 
-// handleEvent lets the Lease act. Only Run's goroutine calls it, so streams are notified of decisions in their order.
+// handleEvent lets the Lease act. Only Run's goroutine calls it, so streams are notified of decisions in
+// their order.
 func (s *Service) handleEvent(ev ownership.Event) {
 	s.actions = s.lease.Handle(s.Clock.Now(), ev, s.actions[:0])
 	s.validUntil.Store(int64(s.lease.ValidUntil()))
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -268,7 +268,8 @@
 // AllServersResume tells whether every server takes streams up, whatever the endpoint list says.
 func (st *Stream) AllServersResume() bool { return st.service.AllServersResume }
 
-// FencingToken is the fencing token that a server gets. A new stream's first is 1, whether or not it is acquired yet.
+// FencingToken is the fencing token that a server gets. A new stream's first is 1, whether or not it
+// is acquired yet.
 func (st *Stream) FencingToken() uint64 { return max(1, st.fencingToken.Load()) }
 
 // SetServer says which server serves it.
--- a/internal/testing/doccheck/log_test.go
+++ b/internal/testing/doccheck/log_test.go
@@ -92,7 +92,8 @@
 	}
 	want := []string{
 		"warn: chained", "error: by constant", "warn: by variable", "warn: by one", "warn: or another",
-		"error: formatted %d", "warn: (no constant text)", "error: (no constant text)", "unknown: level unknown",
+		"error: formatted %d", "warn: (no constant text)", "error: (no constant text)",
+		"unknown: level unknown",
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("found %q, want %q", got, want)
@@ -143,7 +144,8 @@
 			return err
 		}
 		if entry.IsDir() {
-			if slices.Contains([]string{"internal/testing", "internal/simulation", "journal", ".git"}, relative) {
+			skipped := []string{"internal/testing", "internal/simulation", "journal", ".git"}
+			if slices.Contains(skipped, relative) {
 				return filepath.SkipDir
 			}
 			return nil
--- a/internal/testing/expectedfail/judge.go
+++ b/internal/testing/expectedfail/judge.go
@@ -22,8 +22,8 @@
 }
 
 // judge reads the events of go test -json, prints the output of what is not passed over, and returns what is
-// wrong: it is nil if exactly the listed tests have failed, less intermittent ones that passed. The output of a
-// listed test that failed is printed, so that its trace is kept. It fails if the events cannot be read.
+// wrong: it is nil if exactly the listed tests have failed, less intermittent ones that passed. The output of
+// a listed test that failed is printed, so that its trace is kept. It fails if the events cannot be read.
 func judge(events io.Reader, list []expected, out io.Writer) (wrong []string, err error) {
 	runs, wrong, err := readRuns(events, out)
 	if err != nil {
@@ -40,7 +40,8 @@
 		case action == "":
 			wrong = append(wrong, fmt.Sprintf("%s %s is listed and does not exist", e.pkg, e.test))
 		case action == "pass" && e.intermittent:
-			fmt.Fprintf(out, "KNOWN RED, passed in this run: %s %s: %s (%s)\n", e.pkg, e.test, e.cause, e.issue)
+			fmt.Fprintf(out, "KNOWN RED, passed in this run: %s %s: %s (%s)\n",
+				e.pkg, e.test, e.cause, e.issue)
 		default:
 			wrong = append(wrong, fmt.Sprintf("%s %s is listed and ended in %s: take it off the list",
 				e.pkg, e.test, action))
--- a/internal/testing/expectedfail/list.go
+++ b/internal/testing/expectedfail/list.go
@@ -19,7 +19,8 @@
 }
 
 // parse reads the list: `PACKAGE TEST | cause | issue` on each line, the package as a path from the project's
-// root. A cause that begins with "sometimes: " is one of a test that may pass as well. Empty lines are passed over. It fails on any other line, and on a list that is too long.
+// root. A cause that begins with "sometimes: " is one of a test that may pass as well. Empty lines are passed
+// over. It fails on any other line, and on a list that is too long.
 func parse(text string) (list []expected, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
--- a/internal/testing/faultpoint/rules.go
+++ b/internal/testing/faultpoint/rules.go
@@ -14,15 +14,19 @@
 	LateMs     float64  `json:"late_ms"`
 
 	// Of clocks.
-	ClockRate       float64 `json:"rate"`      // of the monotonic clock; 0 for 1
-	WallClockStepMs float64 `json:"step_ms"`   // by which the clock of the day is ahead from the start
-	LeaseMs         float64 `json:"lease_ms"`  // of the lease of a cell that is founded; 0 for the program's
-	CellRate        float64 `json:"cell_rate"` // of the clock between cells, constant over a process; 1 if less
+	ClockRate       float64 `json:"rate"`     // of the monotonic clock; 0 for 1
+	WallClockStepMs float64 `json:"step_ms"`  // by which the clock of the day is ahead from the start
+	LeaseMs         float64 `json:"lease_ms"` // of the lease of a cell that is founded; 0 for the program's
+
+	// CellRate is of the clock between cells, constant over a process; 1 if it is less.
+	CellRate float64 `json:"cell_rate"`
 
 	// Of what is said and believed.
 	NoJointViews    bool    `json:"no_joint"` // views change without a joint one: a protection taken out
 	FalseReports    bool    `json:"lies"`     // load reports that the relay shares have the load FalseLoad
 	FalseLoad       float64 `json:"lie"`
 	NoCorroboration bool    `json:"gullible"` // shared load reports are believed: a protection taken out
-	DigestVersion   int     `json:"digest"`   // digests are of an earlier version if negative, a later if positive
+
+	// DigestVersion has digests be of an earlier version if it is negative, of a later one if positive.
+	DigestVersion int `json:"digest"`
 }
--- a/internal/wire/discovery/client.go
+++ b/internal/wire/discovery/client.go
@@ -66,7 +66,8 @@
 // call.
 type Client struct {
 	// Pushed says that lists come from an agent of this relay's own: the client watches from the start and
-	// for good, and the decision module neither asks for that nor is notified of failures. It is set before Run.
+	// for good, and the decision module neither asks for that nor is notified of failures. It is set before
+	// Run.
 	Pushed bool
 
 	clock        *relay.Clock
--- a/internal/wire/discovery/errors.go
+++ b/internal/wire/discovery/errors.go
@@ -15,8 +15,8 @@
 
 	// errWatchSilent ends a watch that had begun and brings no line any more. What it misses counts as
 	// notified 6 s after it fell silent, so another is opened at once, and the decision module is
-	// notified only if that one fails: its backoff, up to 7.5 s for 300 relays, is for a service that answers too
-	// many.
+	// notified only if that one fails: its backoff, up to 7.5 s for 300 relays, is for a service that answers
+	// too many.
 	errWatchSilent = errors.New("watch fell silent")
 
 	// errUnreachable ends calls whose connections did not come up in time. Discovery has had no work with
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -26,7 +26,12 @@
 		UnreleasedSlots: []int{3, 4},
 		Voters:          []string{"r1", "r2"},
 		Entries: []membership.Member{
-			{Name: "r1", In: true, BudgetShare: membership.FullBudget / 5, OutstandingLimit: membership.FullBudget / 6},
+			{
+				Name:             "r1",
+				In:               true,
+				BudgetShare:      membership.FullBudget / 5,
+				OutstandingLimit: membership.FullBudget / 6,
+			},
 			{Name: "r2", In: true, Idle: true},
 			{Name: "r3", OutstandingLimit: membership.FullBudget / 8},
 		},
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -95,7 +95,8 @@
 		Relays:      estimate.Relays,
 	}
 	if estimate.ShareValidUntil != duration.Forever {
-		line.UntilMillis = line.AtMillis + duration.Millis(estimate.ShareValidUntil-now)/faultpoint.ClockRate()
+		left := duration.Millis(estimate.ShareValidUntil - now)
+		line.UntilMillis = line.AtMillis + left/faultpoint.ClockRate()
 	}
 	n.noteCells(&line, estimate, view)
 	if line.Epoch != lastRecorded.Epoch || line.ViewHash != lastRecorded.ViewHash {
@@ -116,7 +117,11 @@
 }
 
 // noteCells takes down what the relay knows of its cell and of the others. The caller holds the lock.
-func (n *Node) noteCells(line *faultpoint.HistoryLine, estimate membership.FleetEstimate, view *membership.View) {
+func (n *Node) noteCells(
+	line *faultpoint.HistoryLine,
+	estimate membership.FleetEstimate,
+	view *membership.View,
+) {
 	line.FarShare, line.Zones = estimate.FarBudgetShare, estimate.NearZones
 	line.Plan, line.PlanActivated = estimate.Plan, estimate.PlanActivated
 	if view.Allocation == nil {
--- a/internal/wire/gossip/memberlist.go
+++ b/internal/wire/gossip/memberlist.go
@@ -59,8 +59,8 @@
 	return host, port, err
 }
 
-// setTimings sets memberlist's intervals and timeouts. They suit relays of one site: a relay that has died is failed after about
-// 2 s, one that loses a fifth of its packets is not.
+// setTimings sets memberlist's intervals and timeouts. They suit relays of one site: a relay that has died
+// is failed after about 2 s, one that loses a fifth of its packets is not.
 func (n *Node) setTimings(c *memberlist.Config) {
 	c.TCPTimeout = time.Second
 	c.ProbeInterval = 500 * time.Millisecond
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -89,7 +89,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		request := requests.Open(relay.OpenRequest{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}, e)
+		opening := relay.OpenRequest{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}
+		request := requests.Open(opening, e)
 		<-request.Settled()
 		if n := len(servers[0].FirstLines); n > 0 {
 			t.Errorf("%s: %d first lines were forwarded", name, n)
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -28,8 +28,10 @@
 	}{
 		{"without", "OPEN a 0f c=m,d=2000,q=1", "OPEN a 0f c=m,d=70,q=1", "", 0, ""},
 		{"new", "OPEN a 0f c=m,d=2000,resume=new", "OPEN a 0f c=m,d=70", "new", 0, ""},
-		{"first of all", "OPEN a 0f resume=cs1.a.b=,pos=12,c=m,d=2000", "OPEN a 0f c=m,d=70", "cs1.a.b=", 12, ""},
-		{"in the middle", "OPEN a 0f c=m,pos=3,t=x,resume=k,d=2000,g=5", "OPEN a 0f c=m,t=x,d=70,g=5", "k", 3, ""},
+		{"first of all", "OPEN a 0f resume=cs1.a.b=,pos=12,c=m,d=2000",
+			"OPEN a 0f c=m,d=70", "cs1.a.b=", 12, ""},
+		{"in the middle", "OPEN a 0f c=m,pos=3,t=x,resume=k,d=2000,g=5",
+			"OPEN a 0f c=m,t=x,d=70,g=5", "k", 3, ""},
 		{"a position alone", "OPEN a 0f c=m,d=2000,pos=5", "OPEN a 0f c=m,d=70", "", 0, ""},
 		{"empty", "OPEN a 0f c=m,d=2000,resume=", "", "", 0, "is not name=value"},
 		{"negative", "OPEN a 0f c=m,d=2000,resume=k,pos=-4", "", "", 0, "position: "},
@@ -65,7 +67,8 @@
 			go func() {
 				defer conn.Close()
 				in := bufio.NewReader(conn)
-				for line, err := in.ReadString('\n'); strings.HasPrefix(line, "STATS"); line, err = in.ReadString('\n') {
+				line, err := in.ReadString('\n')
+				for ; strings.HasPrefix(line, "STATS"); line, err = in.ReadString('\n') {
 					if fmt.Fprint(conn, "PONG x0=0.1\r\n"); err != nil {
 						return
 					}
@@ -74,7 +77,8 @@
 				go in.WriteTo(new(bytes.Buffer))
 				out := bufio.NewWriterSize(conn, 2048)
 				for n := 1; ; n++ {
-					if _, err := fmt.Fprintf(out, "SCAN %d 0123456789abcdef0123456789abcdef\r\n", n); err != nil {
+					_, err := fmt.Fprintf(out, "SCAN %d 0123456789abcdef0123456789abcdef\r\n", n)
+					if err != nil {
 						return
 					}
 				}
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -115,7 +115,11 @@
 			s.Multi([]Step{CheckStep("/a/x", 7), CreateStep("/a/z", nil, false)}, f)
 		}, BadVersion, nil},
 		{"all or nothing: all", func(f func(Answer)) {
-			s.Multi([]Step{CheckStep("/a/x", 1), SetStep("/a/x", []byte("6"), 1), CreateStep("/a/z", nil, false)}, f)
+			s.Multi([]Step{
+				CheckStep("/a/x", 1),
+				SetStep("/a/x", []byte("6"), 1),
+				CreateStep("/a/z", nil, false),
+			}, f)
 		}, OK, func(a Answer) bool { return a.Stat.Version == 2 }},
 		{"delete", func(f func(Answer)) { s.Delete("/a/z", -1, f) }, OK, nil},
 	} {
