--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -13,10 +13,12 @@
 		fails         bool
 	}{
 		{"end of input is a clean exit", "", "", false},
-		{"one reply a line", "{\"tsMs\":1,\"arrivals\":[]}\n{\"tsMs\":2,\"arrivals\":[]}\n", strings.Repeat("{\"actions\":[]}\n", 2), false},
+		{"one reply a line", "{\"tsMs\":1,\"arrivals\":[]}\n{\"tsMs\":2,\"arrivals\":[]}\n",
+			strings.Repeat("{\"actions\":[]}\n", 2), false},
 		{"a last line without an end", `{"tsMs":1,"arrivals":[]}`, "{\"actions\":[]}\n", false},
 		{"a line longer than the buffer", long + "\n", "{\"actions\":[]}\n", false},
-		{"nothing but replies on the output", "{\"tsMs\":1,\"arrivals\":[]}\nnonsense\n", "{\"actions\":[]}\n", true},
+		{"nothing but replies on the output", "{\"tsMs\":1,\"arrivals\":[]}\nnonsense\n",
+			"{\"actions\":[]}\n", true},
 	}
 	for _, c := range cases {
 		var out bytes.Buffer
--- a/cmd/capersail/main.go
+++ b/cmd/capersail/main.go
@@ -12,6 +12,12 @@
 )
 
 func main() {
-	program := &command.Program{In: os.Stdin, Out: os.Stdout, Err: os.Stderr, Getenv: os.Getenv, Signals: signals.Caught()}
+	program := &command.Program{
+		In:      os.Stdin,
+		Out:     os.Stdout,
+		Err:     os.Stderr,
+		Getenv:  os.Getenv,
+		Signals: signals.Caught(),
+	}
 	os.Exit(command.Main(os.Args[1:], program))
 }
--- a/cmd/capersail/main_test.go
+++ b/cmd/capersail/main_test.go
@@ -46,17 +46,21 @@
 	return path
 }
 
+// relayCommand is the program with a configuration, not started yet.
 func relayCommand(t *testing.T, config string) *exec.Cmd {
+	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), "CAPERSAIL_RUN=1", "LB_CONFIG="+config)
 	return cmd
 }
 
+// client is a connection of a client of the relay.
 type client struct {
 	net.Conn
 	in *bufio.Reader
 }
 
+// dial connects to a relay. The connection is closed when the test ends, and fails after 30 s.
 func dial(t *testing.T, address string) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -68,6 +72,7 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
+// sendAndExpect sends a line and fails the test unless the first word of the answer is want.
 func (c *client) sendAndExpect(t *testing.T, line, want string) {
 	t.Helper()
 	fmt.Fprint(c, line+"\r\n")
@@ -91,7 +96,8 @@
 	}
 }
 
-// startRelay starts the program and returns its address and, as they come, the messages it logs with their errors.
+// startRelay starts the program and returns its address and, as they come, the messages it logs with their
+// errors.
 func startRelay(t *testing.T, config string) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
 	return startCommand(t, relayCommand(t, config))
@@ -145,7 +151,8 @@
 	return d, s
 }
 
-// The program on its sockets: it serves, follows a drain, and at SIGTERM moves everyone and exits in order.
+// The program on its sockets: it serves, follows a server's drain, and at SIGTERM migrates every connection
+// and exits in order.
 func TestServesAndShutsDownGracefully(t *testing.T) {
 	d, s := newDiscoveryWithServer(t, "s1")
 	cmd, address, _ := startRelay(t, writeConfig(t, func(c map[string]any) {
@@ -162,7 +169,8 @@
 	dial(t, address).sendAndExpect(t, "nonsense", "ERR")
 
 	d.Set("s1", s.Address, "Terminating")
-	for i := 0; ; i++ { // the news takes its time; then nothing new goes there, and what is open stays
+	// The watch event takes its time; then nothing new goes there, and what is open stays.
+	for i := 0; ; i++ {
 		k := dial(t, address)
 		fmt.Fprintf(k, "OPEN d%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
 		if got, _ := k.in.ReadString('\n'); strings.HasPrefix(got, "BUSY") {
@@ -225,7 +233,7 @@
 	k.sendAndExpect(t, strings.Replace(openLine, "9b1f", "9b20", 1), "UP")
 	<-s1.FirstLines
 	reload([]byte(strings.Replace(string(good), old.Address, next.Address, 1)), "reloaded")
-	for i := 0; len(s2.FirstLines) == 0; i++ { // the news takes its time
+	for i := 0; len(s2.FirstLines) == 0; i++ { // the watch event takes its time
 		if i > 2000 {
 			t.Fatal("the new discovery is not followed")
 		}
@@ -252,20 +260,26 @@
 
 // Bad configuration: one plain message that names the key, and exit 1.
 func TestBadConfigurationNamesTheKey(t *testing.T) {
+	limits := func(name string, value any) func(map[string]any) {
+		return func(c map[string]any) { c["limits"] = map[string]any{name: value} }
+	}
 	for key, change := range map[string]func(map[string]any){
 		"listen":                         func(c map[string]any) { c["listen"] = "nowhere" },
 		"discovery":                      func(c map[string]any) { c["discovery"] = 7 },
 		"seed":                           func(c map[string]any) { c["seed"] = "no number" },
-		"limits.sockets":                 func(c map[string]any) { c["limits"] = map[string]any{"sockets": -1} },
-		"limits.sockets: 40 are too few": func(c map[string]any) { c["limits"] = map[string]any{"sockets": 40} },
-		"limits.memory_mb":               func(c map[string]any) { c["limits"] = map[string]any{"memory_mb": "64"} },
+		"limits.sockets":                 limits("sockets", -1),
+		"limits.sockets: 40 are too few": limits("sockets", 40),
+		"limits.memory_mb":               limits("memory_mb", "64"),
 		"settings":                       func(c map[string]any) { delete(c, "settings") },
 		"settings.classes":               func(c map[string]any) { c["settings"] = map[string]any{} },
-		"known":                          func(c map[string]any) { c["known"] = map[string]any{"instances": 7} },
+		"known": func(c map[string]any) {
+			c["known"] = map[string]any{"instances": 7}
+		},
 	} {
 		out, err := relayCommand(t, writeConfig(t, change)).CombinedOutput()
 		exit, ok := err.(*exec.ExitError)
-		if !ok || exit.ExitCode() != 1 || !strings.HasPrefix(string(out), "capersail: "+key+": ") || strings.Count(string(out), "\n") != 1 {
+		named := strings.HasPrefix(string(out), "capersail: "+key+": ")
+		if !ok || exit.ExitCode() != 1 || !named || strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%s: %v, %q", key, err, out)
 		}
 	}
--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -15,8 +15,8 @@
 )
 
 // Idle clients take all the descriptors that a relay has while discovery is down: it goes on serving by the
-// list that it has, makes room for whoever asks, and follows discovery when that returns. The machine holds
-// the process to 64 descriptors.
+// list that it has, frees descriptors for whoever asks, and follows discovery when that returns. The machine
+// holds the process to 64 descriptors.
 func TestFullOfIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	address := freeAddress(t) // discovery's, where nobody is yet
 	s1, err := fake.NewEchoServer("127.0.0.1:0", "UP")
@@ -24,9 +24,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s1.Close)
+	entry := fake.Entry("s1", s1.Address, "Ready")
 	config := writeConfig(t, func(c map[string]any) {
-		c["listen"], c["discovery"], c["limits"] = "127.0.0.1:0", address, map[string]any{"sockets": 64}
-		c["known"] = json.RawMessage(`{"generation":1,"reset":true,"instances":[` + fake.Entry("s1", s1.Address, "Ready") + `]}`)
+		c["listen"], c["discovery"] = "127.0.0.1:0", address
+		c["limits"] = map[string]any{"sockets": 64}
+		c["known"] = json.RawMessage(`{"generation":1,"reset":true,"instances":[` + entry + `]}`)
 	})
 	shell := exec.CommandContext(t.Context(), "/bin/sh", "-c", `ulimit -n 64 && exec "$0"`, os.Args[0])
 	shell.Env = append(os.Environ(), "CAPERSAIL_RUN=1", "LB_CONFIG="+config)
@@ -82,8 +84,8 @@
 	}
 }
 
-// SIGTERM in the middle of a drain by hand, and a second one on top of it: who is open is moved, who rests or
-// has sent half a line has a clean end, and the program exits in order.
+// SIGTERM in the middle of a manual drain, and a second one on top of it: an open connection is migrated, one
+// that is idle or has sent half a line is closed cleanly, and the program exits in order.
 func TestSIGTERMDuringManualDrainShutsDownGracefully(t *testing.T) {
 	d, _ := newDiscoveryWithServer(t, "s1")
 	admin := freeAddress(t)
@@ -136,7 +138,11 @@
 		t.Fatalf("%v: %s", err, trace)
 	}
 	caught := strings.Index(string(trace), "init capersail/internal/signals ")
-	for _, later := range []string{"github.com/prometheus/client_golang/prometheus", "github.com/hashicorp/memberlist", "gonum.org/v1/plot"} {
+	for _, later := range []string{
+		"github.com/prometheus/client_golang/prometheus",
+		"github.com/hashicorp/memberlist",
+		"gonum.org/v1/plot",
+	} {
 		if at := strings.Index(string(trace), "init "+later+" "); caught < 0 || at < caught {
 			t.Errorf("%s is initialized at byte %d of the trace, signals at %d", later, at, caught)
 		}
--- a/cmd/capersail/ops_test.go
+++ b/cmd/capersail/ops_test.go
@@ -14,9 +14,11 @@
 	"time"
 )
 
-// startOnInheritedSocket starts the program on a listening socket that the test holds, as the platform does on upgrade days:
-// descriptor 3, named by LB_FD. Binding the address again would fail.
-func startOnInheritedSocket(t *testing.T, config string, l *net.TCPListener, env ...string) (*exec.Cmd, string, <-chan string) {
+// startOnInheritedSocket starts the program on a listening socket that the test holds, as the platform does
+// on upgrade days: descriptor 3, named by LB_FD. Binding the address again would fail.
+func startOnInheritedSocket(
+	t *testing.T, config string, l *net.TCPListener, env ...string,
+) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
 	f, err := l.File()
 	if err != nil {
@@ -27,8 +29,10 @@
 	cmd.ExtraFiles = []*os.File{f}
 	cmd.Env = append(cmd.Env, append(env, "LB_FD=3")...)
 	cmd, address, messages := startCommand(t, cmd)
-	setNonblocking(t, l)             // exec made the shared socket blocking; the platform leaves it as the relay set it
-	logs := make(chan string, 1<<16) // read on, whether the test looks or not: a full pipe would stop the program
+	// exec made the shared socket blocking; the platform leaves it as the relay set it.
+	setNonblocking(t, l)
+	// Read on, whether the test looks or not: a full pipe would stop the program.
+	logs := make(chan string, 1<<16)
 	go func() {
 		defer close(logs)
 		for line := range messages {
@@ -43,6 +47,7 @@
 
 // setNonblocking sets the socket, as all processes share it, back to non-blocking.
 func setNonblocking(t *testing.T, l *net.TCPListener) {
+	t.Helper()
 	raw, err := l.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -66,8 +71,8 @@
 	})
 }
 
-// An upgrade: two processes serve one socket; at SIGTERM the old one moves its clients and stops accepting,
-// and not one connection that comes meanwhile is turned back.
+// An upgrade: two processes serve one socket; at SIGTERM the old one migrates its connections and stops
+// accepting, and not one connection that comes meanwhile is rejected.
 func TestUpgradeOnInheritedSocketLosesNoConnection(t *testing.T) {
 	l, config := platformSocket(t)
 	old, _, _ := startOnInheritedSocket(t, config, l)
@@ -82,7 +87,10 @@
 	exited := make(chan error, 1)
 	go func() { exited <- old.Wait() }()
 	moved := make(chan string, 1)
-	go func() { got, _ := c.in.ReadString('\n'); moved <- strings.TrimSpace(got) }()
+	go func() {
+		got, _ := c.in.ReadString('\n')
+		moved <- strings.TrimSpace(got)
+	}()
 	for i := 0; ; i++ {
 		select {
 		case err := <-exited:
@@ -110,7 +118,7 @@
 	}
 }
 
-// callAdmin makes one call to the second address and returns its status and body.
+// callAdmin makes one call to the admin address and returns its status and body.
 func callAdmin(t *testing.T, method, url string) (int, string) {
 	t.Helper()
 	req, _ := http.NewRequestWithContext(t.Context(), method, url, nil)
@@ -123,7 +131,18 @@
 	return res.StatusCode, string(body)
 }
 
-// awaitReady waits until the second address answers readiness with yes; it listens just after the clients'
+// expectMetrics fails the test if one of the lines is not among the metrics of the admin address.
+func expectMetrics(t *testing.T, ops string, lines ...string) {
+	t.Helper()
+	_, metrics := callAdmin(t, "GET", ops+"/ops/stats")
+	for _, want := range lines {
+		if !strings.Contains(metrics, want+"\n") {
+			t.Errorf("no %q in the metrics:\n%s", want, metrics)
+		}
+	}
+}
+
+// awaitReady waits until the admin address answers readiness with yes; it listens just after the clients'
 // address.
 func awaitReady(t *testing.T, address string) {
 	t.Helper()
@@ -143,6 +162,7 @@
 
 // freeAddress is a loopback address that nobody listens on just now.
 func freeAddress(t *testing.T) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -151,8 +171,7 @@
 	return l.Addr().String()
 }
 
-// The second address: readiness, a drain by hand and its end, a tile server out by hand and back, the
-// figures.
+// The admin address: readiness, a manual drain and its end, a server ejected manually and back, the metrics.
 func TestAdminAddressDrainsEjectsAndReports(t *testing.T) {
 	d, s := newDiscoveryWithServer(t, "s1")
 	ops := "http://" + freeAddress(t)
@@ -190,19 +209,20 @@
 	if code, _ := callAdmin(t, "POST", ops+"/ops/tile-servers/down/s1"); code != 200 {
 		t.Errorf("down: %d", code)
 	}
-	dial(t, address).sendAndExpect(t, strings.Replace(openLine, "9b1f", "out", 1), "BUSY") // its only server is out
-	if _, figures := callAdmin(t, "GET", ops+"/ops/stats"); !strings.Contains(figures, "relay_cluster_unhealthy 1\n") ||
-		!strings.Contains(figures, `relay_answered{group="map-stream"} 1`+"\n") || !strings.Contains(figures, "relay_cluster_size 1\n") {
-		t.Errorf("figures:\n%s", figures)
-	}
+	// The class's only server is ejected.
+	dial(t, address).sendAndExpect(t, strings.Replace(openLine, "9b1f", "out", 1), "BUSY")
+	expectMetrics(t, ops,
+		"relay_cluster_unhealthy 1",
+		`relay_answered{group="map-stream"} 1`,
+		"relay_cluster_size 1")
 	if code, _ := callAdmin(t, "POST", ops+"/ops/tile-servers/up/s1"); code != 200 {
 		t.Errorf("up: %d", code)
 	}
 	dial(t, address).sendAndExpect(t, strings.Replace(openLine, "9b1f", "back", 1), "UP")
-	if _, figures := callAdmin(t, "GET", ops+"/ops/stats"); !strings.Contains(figures, `relay_deferred{group="map-stream"} 1`+"\n") ||
-		!strings.Contains(figures, `relay_sends{group="map-stream"} 2`+"\n") || !strings.Contains(figures, "relay_current 1\n") {
-		t.Errorf("figures:\n%s", figures)
-	}
+	expectMetrics(t, ops,
+		`relay_deferred{group="map-stream"} 1`,
+		`relay_sends{group="map-stream"} 2`,
+		"relay_current 1")
 
 	s.Close() // listed still, and dead: the relay avoids it by its own choice once it has met that
 	for i := 0; ; i++ {
@@ -218,8 +238,8 @@
 	}
 }
 
-// Both processes of an upgrade keep one set of bans: a ban made at either holds at the other, and over the
-// end of the one that made it.
+// Both processes of an upgrade keep one set of manual ejections: one made at either holds at the other, and
+// over the end of the one that made it.
 func TestManualEjectionsSurviveUpgrade(t *testing.T) {
 	l, config := platformSocket(t)
 	shared := "TMPDIR=" + t.TempDir()
@@ -237,7 +257,8 @@
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process ended with %v", err)
 	}
-	for i := 0; ; i++ { // the old one may have taken some before it left; now the new one alone answers
+	// The old one may have taken some before it left; now the new one alone answers.
+	for i := 0; ; i++ {
 		c := dial(t, l.Addr().String())
 		fmt.Fprintf(c, "OPEN out%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
 		got, _ := c.in.ReadString('\n')
@@ -254,7 +275,7 @@
 	dial(t, l.Addr().String()).sendAndExpect(t, strings.Replace(openLine, "9b1f", "back", 1), "UP")
 }
 
-// Readiness waits for a list of servers: without one in the configuration, and with discovery out of reach,
+// Readiness waits for an endpoint list: without one in the configuration, and with discovery out of reach,
 // the process serves but says no.
 func TestNotReadyWithoutEndpointList(t *testing.T) {
 	ops := freeAddress(t)
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -14,6 +14,7 @@
 
 // Long measurements, kept out of CI: go test ./cmd/capersail -run '^$' -bench 'Gap|Mass' -benchtime 1x
 
+// quantile is the quantile q of the durations, in ms; 0 if there are none. It sorts them.
 func quantile(all []time.Duration, q float64) float64 {
 	if len(all) == 0 {
 		return 0
@@ -32,7 +33,7 @@
 		for i := range 3 {
 			relays = append(relays, f.startRelay(i, 3))
 		}
-		f.waitFor("claim service", f.ownershipConnected)
+		f.waitFor("ownership service", f.ownershipConnected)
 		viewers, stop := f.startViewers(200, func(i int) bool { return i%2 == 0 })
 		collect := func(what string) {
 			f.waitUntilCurrent(viewers)
@@ -44,8 +45,9 @@
 						gaps, lost = append(gaps, k.Gaps...), lost+k.Lost
 					}
 				}
-				fmt.Printf("%-28s token %-5v  ends %4d  gap p50 %7.1f ms  p99 %8.1f ms  scans lost so far %d\n", what, with, len(gaps),
-					quantile(gaps, 0.5), quantile(gaps, 0.99), lost)
+				fmt.Printf("%-28s token %-5v  ends %4d  gap p50 %7.1f ms  p99 %8.1f ms  "+
+					"scans lost so far %d\n",
+					what, with, len(gaps), quantile(gaps, 0.5), quantile(gaps, 0.99), lost)
 			}
 			for _, v := range viewers {
 				v.ClearGaps()
@@ -65,9 +67,7 @@
 		f.commands[relays[2]].Process.Kill()
 		collect("a relay killed")
 		stop()
-		for _, bad := range f.ledger.Violations() {
-			b.Error(bad)
-		}
+		f.checkLedger()
 	}
 }
 
@@ -78,19 +78,27 @@
 	const streams = 2000
 	for b.Loop() {
 		f := newFleet(b, 8, "claim_ms = 2000\n")
-		f.config = func(c map[string]any) { c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 16384} }
+		f.config = func(c map[string]any) {
+			c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 16384}
+		}
 		for _, s := range f.servers {
 			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow = 700, 0.36, 8600*time.Millisecond
 		}
 		a, other := f.startRelay(0, 2), f.startRelay(1, 2)
-		f.waitFor("claim service", f.ownershipConnected)
+		f.waitFor("ownership service", f.ownershipConnected)
 		f.sendNobodyTo(other)
 		ctx, stop := context.WithCancel(b.Context())
 		var all sync.WaitGroup
 		var viewers []*fake.Viewer
 		for i := range streams {
-			v := &fake.Viewer{Name: fmt.Sprint("v", i), OpenFields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), WaitLimit: 3 * time.Second,
-				UseTokens: true, SendEvery: 2 * time.Second, RelayAddress: f.randomRelay}
+			v := &fake.Viewer{
+				Name:         fmt.Sprint("v", i),
+				OpenFields:   fmt.Sprintf("%x c=map-stream,t=acme", i+1),
+				WaitLimit:    3 * time.Second,
+				UseTokens:    true,
+				SendEvery:    2 * time.Second,
+				RelayAddress: f.randomRelay,
+			}
 			viewers = append(viewers, v)
 			all.Go(func() { v.Run(ctx) })
 			time.Sleep(2 * time.Millisecond)
@@ -115,7 +123,8 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(s.Kill)
-			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow, s.StartedAt = 700, 0.36, 8600*time.Millisecond, time.Now()
+			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow = 700, 0.36, 8600*time.Millisecond
+			s.StartedAt = time.Now()
 			f.discovery.SetStarted(s.ID, s.Address, "Ready", s.StartedAt)
 			cold = append(cold, s)
 		}
@@ -146,14 +155,14 @@
 			k := v.Tally()
 			busy, lost = busy+k.Busy, lost+k.Lost
 		}
-		fmt.Printf("%d tokens after a relay's death, session 4 s: half served after %.1f s, 99 %% after %.1f s, all after %.1f s; "+
-			"told to come again %.1f times each; scans lost %d; cold servers' peak load %.2f (falls at %.0f for 1.5 s), longest over it %v\n",
+		fmt.Printf("%d tokens after a relay's death, session 4 s: half served after %.1f s, "+
+			"99 %% after %.1f s, all after %.1f s; "+
+			"told to come again %.1f times each; scans lost %d; "+
+			"cold servers' peak load %.2f (falls at %.0f for 1.5 s), longest over it %v\n",
 			streams, half, most, whole, float64(busy)/streams, lost, peak, fake.OverloadFactor, over)
 		stop()
 		all.Wait()
-		for _, bad := range f.ledger.Violations() {
-			b.Error(bad)
-		}
+		f.checkLedger()
 		b.ReportMetric(whole, "s/all")
 		b.ReportMetric(peak, "peak")
 	}
--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -33,8 +33,8 @@
 	return strings.TrimSpace(line), c
 }
 
-// resumeWithRetries shows a token until it is served, as a client does that follows the times it is told. Each of
-// them must lie within the session.
+// resumeWithRetries opens with a token until it is served, as a client does that follows the Retry-After of
+// its rejections. Each must lie within the session.
 func (f *fleet) resumeWithRetries(at, name, text, more string) (c *client, rejections int) {
 	f.t.Helper()
 	for n := range 100 {
@@ -46,7 +46,7 @@
 		case len(words) == 2 && words[0] == "BUSY":
 			ms, err := strconv.Atoi(words[1])
 			if err != nil || ms <= 0 || ms > 4000 {
-				f.t.Fatalf("told to come again by %q", answer)
+				f.t.Fatalf("rejected with the Retry-After %q", answer)
 			}
 			time.Sleep(time.Duration(ms) * time.Millisecond)
 		default:
@@ -58,6 +58,8 @@
 	return nil, 0
 }
 
+// checkLedger fails the test if two servers ever served one stream at once, or its fencing token did
+// not grow.
 func (f *fleet) checkLedger() {
 	f.t.Helper()
 	for _, bad := range f.ledger.Violations() {
@@ -65,17 +67,26 @@
 	}
 }
 
-// What is no token, or not this stream's, or not now, is refused at once and reaches no server.
+// What is no token, or not this stream's, or not now, is rejected at once and reaches no server.
 func TestInvalidTokensAreRejected(t *testing.T) {
 	f := newFleet(t, 1, "skew_ms = 100\n")
 	f.feed.Keep = 20
 	f.config = func(c map[string]any) {
 		s := c["settings"].(map[string]any)
-		s["classes"] = append(s["classes"].([]any), map[string]any{"name": "zoom", "semantics": "free", "aimMs": 800, "deadlineMs": 3200, "worth": 1})
-		s["realms"] = []any{map[string]any{"name": "acme", "portion": 0.5}, map[string]any{"name": "surf", "portion": 0.5}}
+		s["classes"] = append(s["classes"].([]any), map[string]any{
+			"name":       "zoom",
+			"semantics":  "free",
+			"aimMs":      800,
+			"deadlineMs": 3200,
+			"worth":      1,
+		})
+		s["realms"] = []any{
+			map[string]any{"name": "acme", "portion": 0.5},
+			map[string]any{"name": "surf", "portion": 0.5},
+		}
 	}
 	at := f.startRelay(0, 1)
-	f.waitFor("claim service", f.ownershipConnected)
+	f.waitFor("ownership service", f.ownershipConnected)
 	c, text, _ := f.openStream(at, "s")
 	c.Close()
 	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
@@ -98,26 +109,36 @@
 	forged, _ := other.Seal(good)
 	now := time.Now().UnixMilli()
 	before := f.servers[0].Openings()
+	const fields = "c=map-stream,t=acme,d=3000,g=5,resume="
 	for i, k := range []struct{ name, fields, want string }{
-		{"forged", "c=map-stream,t=acme,d=3000,g=5,resume=" + forged, "ERR resume token"},
-		{"cut", "c=map-stream,t=acme,d=3000,g=5,resume=" + text[:len(text)-9], "ERR resume token"},
-		{"no token", "c=map-stream,t=acme,d=3000,g=5,resume=x", "ERR resume token"},
+		{"forged", fields + forged, "ERR resume token"},
+		{"cut", fields + text[:len(text)-9], "ERR resume token"},
+		{"no token", fields + "x", "ERR resume token"},
 		{"another class", "c=zoom,t=acme,d=3000,g=5,resume=" + text, "ERR resume mismatch"},
 		{"another tenant", "c=map-stream,t=surf,d=3000,g=5,resume=" + text, "ERR resume mismatch"},
 		{"another group", "c=map-stream,t=acme,d=3000,g=6,resume=" + text, "ERR resume mismatch"},
-		{"expired", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.ExpiresUnixMs = now - 200 }), "ERR resume expired"},
-		{"from the future", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.IssuedUnixMs = now + 60_000 }), "ERR resume expired"},
-		{"a stream nobody knows", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.Stream[0]++ }), "ERR resume unknown"},
-		{"a generation to come", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.FencingToken = 9 }), "ERR resume unknown"},
-		{"generation 0, which stands for a new stream", "c=map-stream,t=acme,d=3000,g=5,resume=" + forge(func(k *token.Token) { k.FencingToken = 0 }), "ERR resume token"},
-		{"a negative position", "c=map-stream,t=acme,d=3000,g=5,pos=-1,resume=" + text, "ERR resume position"},
-		{"a position that is none", "c=map-stream,t=acme,d=3000,g=5,pos=9223372036854775807,resume=" + text, "ERR resume position"},
+		{"expired", fields + forge(func(k *token.Token) { k.ExpiresUnixMs = now - 200 }),
+			"ERR resume expired"},
+		{"from the future", fields + forge(func(k *token.Token) { k.IssuedUnixMs = now + 60_000 }),
+			"ERR resume expired"},
+		{"a stream nobody knows", fields + forge(func(k *token.Token) { k.Stream[0]++ }),
+			"ERR resume unknown"},
+		{"a generation to come", fields + forge(func(k *token.Token) { k.FencingToken = 9 }),
+			"ERR resume unknown"},
+		{"generation 0, which stands for a new stream",
+			fields + forge(func(k *token.Token) { k.FencingToken = 0 }),
+			"ERR resume token"},
+		{"a negative position",
+			"c=map-stream,t=acme,d=3000,g=5,pos=-1,resume=" + text, "ERR resume position"},
+		{"a position that is none",
+			"c=map-stream,t=acme,d=3000,g=5,pos=9223372036854775807,resume=" + text,
+			"ERR resume position"},
 		{"at and resume", "c=map-stream,t=acme,d=3000,g=5,at=s0,resume=" + text, "ERR bad request"},
-		{"two tokens", "c=map-stream,t=acme,d=3000,g=5,resume=" + text + ",resume=" + forged, "UP"}, // the first counts
+		{"two tokens, of which the first counts", fields + text + ",resume=" + forged, "UP"},
 	} {
 		if k.want == "UP" {
 			if n := f.servers[0].Openings(); n != before {
-				t.Errorf("%d refused openings reached the server", n-before)
+				t.Errorf("%d rejected openings reached the server", n-before)
 			}
 		}
 		c := dial(t, at)
@@ -163,12 +184,13 @@
 	c.Close()
 	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 
-	// A server that has seen a higher generation of the stream refuses a lower one.
+	// A server that has seen a higher fencing token of the stream rejects a lower one.
 	direct := dial(t, f.servers[0].Address)
-	direct.sendAndExpect(t, fmt.Sprintf("OPEN x 7f c=map-stream,d=3000,s=%s,gen=99,from=0", good.Stream), "UP")
+	higher := fmt.Sprintf("OPEN x 7f c=map-stream,d=3000,s=%s,gen=99,from=0", good.Stream)
+	direct.sendAndExpect(t, higher, "UP")
 	direct.Close()
 	if got, _ := f.presentToken(at, "stale", text, ""); got != "ERR resume behind" {
-		t.Errorf("a server that refuses a generation: %q", got)
+		t.Errorf("a server that rejects a fencing token: %q", got)
 	}
 	if t.Failed() {
 		f.mu.Lock()
@@ -177,6 +199,7 @@
 	}
 }
 
+// addTo is the decimal number in text, plus n.
 func addTo(text string, n int) string {
 	x, _ := strconv.Atoi(text)
 	return strconv.Itoa(x + n)
@@ -187,7 +210,7 @@
 func TestReloadRotatesKeys(t *testing.T) {
 	f := newFleet(t, 1, "")
 	at := f.startRelay(0, 1)
-	f.waitFor("claim service", f.ownershipConnected)
+	f.waitFor("ownership service", f.ownershipConnected)
 	c, old, _ := f.openStream(at, "s")
 	c.Close()
 	reload := func(want string) {
@@ -228,19 +251,19 @@
 	f.checkLedger()
 }
 
-// The old relay is killed: its claim still stands. The client is told at once when to come, within the
-// session, and is then served from where it stopped.
+// The old relay is killed: its ownership lease still holds. The client is rejected at once with a Retry-After
+// within the session, and is then served from where it stopped.
 func TestStreamResumesAfterItsRelayIsKilled(t *testing.T) {
 	f := newFleet(t, 2, "")
 	a, b := f.startRelay(0, 2), f.startRelay(1, 2)
-	f.waitFor("claim service", f.ownershipConnected)
+	f.waitFor("ownership service", f.ownershipConnected)
 	c, text, _ := f.openStream(a, "s")
 	scan := c.readUntil(t, "SCAN")
 	f.commands[a].Process.Kill()
 	f.waitFor("its server sees the end", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
 	c, rejections := f.resumeWithRetries(b, "again", text, ",pos="+scan[1])
 	if rejections == 0 {
-		t.Error("the claim of a relay that was killed did not stand")
+		t.Error("the lease of a relay that was killed did not hold")
 	}
 	if next := c.readUntil(t, "SCAN"); next[1] != addTo(scan[1], 1) {
 		t.Errorf("after scan %s comes %s", scan[1], next[1])
@@ -248,19 +271,19 @@
 	f.checkLedger()
 }
 
-// A relay that sleeps for longer than its session: its server's lease ends before another relay can win, and
-// once awake it passes nothing on.
+// A relay that is paused for longer than its session: its server's lease ends before another relay can
+// acquire the stream, and once it runs again it forwards nothing.
 func TestPausedRelayForwardsNothingAfterItsSession(t *testing.T) {
 	f := newFleet(t, 2, "")
 	a, b := f.startRelay(0, 2), f.startRelay(1, 2)
-	f.waitFor("claim service", f.ownershipConnected)
+	f.waitFor("ownership service", f.ownershipConnected)
 	c, text, _ := f.openStream(a, "s")
 	scan := c.readUntil(t, "SCAN")
 	f.commands[a].Process.Signal(syscall.SIGSTOP)
 	stopped := f.feed.Newest()
 	k, rejections := f.resumeWithRetries(b, "again", text, ",pos="+scan[1])
 	if rejections == 0 {
-		t.Error("the claim of a relay that sleeps did not stand")
+		t.Error("the lease of a relay that is paused did not hold")
 	}
 	if next := k.readUntil(t, "SCAN"); next[1] != addTo(scan[1], 1) {
 		t.Errorf("after scan %s comes %s", scan[1], next[1])
@@ -278,19 +301,20 @@
 		}
 	}
 	if x, _ := strconv.ParseUint(last, 10, 64); x > stopped+1 {
-		t.Errorf("a relay that slept passed scan %s on; %d was the newest before", last, stopped)
+		t.Errorf("a relay that was paused forwarded scan %s; %d was the newest before", last, stopped)
 	}
 	k.readUntil(t, "SCAN") // and the stream is not disturbed
 	f.checkLedger()
 }
 
-// The claim service gone before, during and after; its answers lost; its sessions forgotten.
+// The ownership service gone before, during and after; its answers lost; its sessions expired.
 func TestStreamsSurviveOwnershipServiceOutages(t *testing.T) {
 	f := newFleet(t, 2, "")
 	f.ownership.SetUnreachable(true)
 	at := f.startRelay(0, 1)
 	c := dial(t, at)
-	c.sendAndExpect(t, "OPEN s 7f c=map-stream,t=acme,d=3000,g=5,resume=new", "UP") // new streams need no claim to be served
+	// New streams need no ownership lease to be served.
+	c.sendAndExpect(t, "OPEN s 7f c=map-stream,t=acme,d=3000,g=5,resume=new", "UP")
 	c.readUntil(t, "SCAN")
 	f.ownership.SetUnreachable(false)
 	words := c.readUntil(t, "TOKEN")
@@ -301,7 +325,8 @@
 	for range 3 {
 		c.readUntil(t, "SCAN")
 	}
-	f.ownership.SetUnreachable(true) // for longer than claims are trusted: moved, before another could have won
+	// For longer than leases are trusted: migrated, before another relay could have acquired the stream.
+	f.ownership.SetUnreachable(true)
 	last := ""
 	for {
 		line, err := c.in.ReadString('\n')
@@ -324,9 +349,9 @@
 	fmt.Fprintf(c, "GOT %s\r\nM\r\n", words[1])
 	c.readUntil(t, "M")
 
-	f.ownership.ExpireSessions() // forgotten while served: moved at once
+	f.ownership.ExpireSessions() // expired while served: migrated at once
 	c.readUntil(t, "MOVE")
-	f.ownership.DropAnswers(1) // the claim is made, and the answer lost: the node exists and is ours
+	f.ownership.DropAnswers(1) // the lease is acquired, and the answer lost: the node exists and is ours
 	c, _ = f.resumeWithRetries(at, "swallowed", words[2], "")
 	c.readUntil(t, "SCAN")
 	if n := countOwned(f.ownership); n != 1 {
@@ -357,13 +382,13 @@
 }
 
 // The server that a resuming stream is placed on dies, falls silent or drains before it answers. One attempt
-// after the other under one claim: a second relay is refused all the while.
+// after the other under one ownership lease: a second relay is rejected all the while.
 func TestServerFailureDuringResumeKeepsOwnership(t *testing.T) {
 	for _, how := range []string{"killed", "silent", "draining"} {
 		t.Run(how, func(t *testing.T) {
 			f := newFleet(t, 2, "")
 			a, b := f.startRelay(0, 2), f.startRelay(1, 2)
-			f.waitFor("claim service", f.ownershipConnected)
+			f.waitFor("ownership service", f.ownershipConnected)
 			c, text, _ := f.openStream(a, "s")
 			scan := c.readUntil(t, "SCAN")
 			c.Close()
@@ -373,7 +398,8 @@
 			for _, s := range f.servers {
 				s.OnFirstLine = func(string) {
 					once.Do(func() {
-						got, second := f.presentToken(b, "second", text, "") // in the middle of the first's attempt
+						// In the middle of the first's attempt.
+						got, second := f.presentToken(b, "second", text, "")
 						second.Close()
 						met <- got
 						switch how {
@@ -428,18 +454,20 @@
 	config := writeConfig(t, func(c map[string]any) { c["listen"] = "127.0.0.1:0" })
 	for name, k := range map[string]struct{ text, want string }{
 		"unknown key": {"colour = 1\n" + string(good), "colour: unknown key"},
-		"no service":  {strings.Replace(string(good), f.ownership.Address, "nowhere", 1), "servers: address nowhere"},
-		"session":     {strings.Replace(string(good), "4000", "300", 1), "session_ms: "},
-		"path":        {strings.Replace(string(good), "/a/streams", "a", 1), "path: "},
-		"renew":       {strings.Replace(string(good), "renew_ms = 500", "renew_ms = 5", 1), "renew_ms: "},
-		"keys":        {strings.Replace(string(good), f.keyFile, f.keyFile+"x", 1), "keys: "},
-		"not TOML":    {"=", "toml: line 1"},
+		"no service": {strings.Replace(string(good), f.ownership.Address, "nowhere", 1),
+			"servers: address nowhere"},
+		"session":  {strings.Replace(string(good), "4000", "300", 1), "session_ms: "},
+		"path":     {strings.Replace(string(good), "/a/streams", "a", 1), "path: "},
+		"renew":    {strings.Replace(string(good), "renew_ms = 500", "renew_ms = 5", 1), "renew_ms: "},
+		"keys":     {strings.Replace(string(good), f.keyFile, f.keyFile+"x", 1), "keys: "},
+		"not TOML": {"=", "toml: line 1"},
 	} {
 		os.WriteFile(f.resumeFile, []byte(k.text), 0o600)
 		cmd := relayCommand(t, config)
 		cmd.Args = append(cmd.Args, "-resume", f.resumeFile)
 		out, err := cmd.CombinedOutput()
-		if err == nil || !strings.HasPrefix(string(out), "capersail: "+f.resumeFile+": "+k.want) || strings.Count(string(out), "\n") != 1 {
+		named := strings.HasPrefix(string(out), "capersail: "+f.resumeFile+": "+k.want)
+		if err == nil || !named || strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%s: %v, %q", name, err, out)
 		}
 	}
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -24,14 +24,15 @@
 	t.Helper()
 	text := ""
 	for _, id := range ids {
-		text += fmt.Sprintf("[[key]]\nid = %q\nsecret = %q\n", id, base64.StdEncoding.EncodeToString([]byte(strings.Repeat(id, 32)[:32])))
+		secret := []byte(strings.Repeat(id, 32)[:32])
+		text += fmt.Sprintf("[[key]]\nid = %q\nsecret = %q\n", id, base64.StdEncoding.EncodeToString(secret))
 	}
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// fleet is relays as processes, with servers, discovery and the claim service as stand-ins.
+// fleet is relays as processes, with servers, discovery and the ownership service as fakes.
 type fleet struct {
 	t          testing.TB
 	ownership  *fake.ZooKeeper
@@ -49,11 +50,18 @@
 	config   func(map[string]any)
 }
 
+// newFleet starts the fakes, with servers that are listed as ready, and writes the resume file, to which
+// extra is added. Relays are started by startRelay.
 func newFleet(t testing.TB, servers int, extra string) *fleet {
 	t.Helper()
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	f := &fleet{t: t, feed: fake.NewFeed(5000, 50*time.Millisecond, stop), ledger: fake.NewLedger(), commands: map[string]*exec.Cmd{}}
+	f := &fleet{
+		t:        t,
+		feed:     fake.NewFeed(5000, 50*time.Millisecond, stop),
+		ledger:   fake.NewLedger(),
+		commands: map[string]*exec.Cmd{},
+	}
 	var err error
 	if f.ownership, err = fake.NewZooKeeper("/"); err != nil {
 		t.Fatal(err)
@@ -75,7 +83,9 @@
 	dir := t.TempDir()
 	f.keyFile, f.resumeFile = filepath.Join(dir, "keys.toml"), filepath.Join(dir, "resume.toml")
 	writeKeys(t, f.keyFile, "a")
-	text := fmt.Sprintf("servers = [%q]\npath = \"/a/streams\"\nsession_ms = 4000\nkeys = %q\nrenew_ms = 500\n%s", f.ownership.Address, f.keyFile, extra)
+	text := fmt.Sprintf(
+		"servers = [%q]\npath = \"/a/streams\"\nsession_ms = 4000\nkeys = %q\nrenew_ms = 500\n%s",
+		f.ownership.Address, f.keyFile, extra)
 	if err := os.WriteFile(f.resumeFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -143,6 +153,7 @@
 	}
 }
 
+// randomRelay is the address of one of the relays that clients are sent to.
 func (f *fleet) randomRelay() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,6 +172,7 @@
 	}
 }
 
+// ownershipConnected says whether every relay has logged a connection to the ownership service.
 func (f *fleet) ownershipConnected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,12 +190,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for i := range n {
-		v := &fake.Viewer{Name: fmt.Sprint("v", i), OpenFields: fmt.Sprintf("%x c=map-stream,t=acme", i+1), WaitLimit: 3 * time.Second,
-			UseTokens: token(i), SendEvery: 500 * time.Millisecond, RelayAddress: f.randomRelay}
+		v := &fake.Viewer{
+			Name:         fmt.Sprint("v", i),
+			OpenFields:   fmt.Sprintf("%x c=map-stream,t=acme", i+1),
+			WaitLimit:    3 * time.Second,
+			UseTokens:    token(i),
+			SendEvery:    500 * time.Millisecond,
+			RelayAddress: f.randomRelay,
+		}
 		viewers = append(viewers, v)
 		all.Go(func() { v.Run(ctx) })
 	}
-	stop = func() { cancel(); all.Wait() }
+	stop = func() {
+		cancel()
+		all.Wait()
+	}
 	f.t.Cleanup(stop)
 	return viewers, stop
 }
@@ -193,7 +214,9 @@
 	f.t.Helper()
 	newest := f.feed.Newest() + 3 // what nobody can have yet
 	for _, v := range viewers {
-		f.waitFor("every stream is served", func() bool { return v.Tally().LastScan >= newest && (!v.UseTokens || v.ResumeToken() != "") })
+		f.waitFor("every stream is served", func() bool {
+			return v.Tally().LastScan >= newest && (!v.UseTokens || v.ResumeToken() != "")
+		})
 	}
 }
 
@@ -219,7 +242,7 @@
 	for i := range 3 {
 		relays = append(relays, f.startRelay(i, 3))
 	}
-	f.waitFor("claim service", f.ownershipConnected)
+	f.waitFor("ownership service", f.ownershipConnected)
 	viewers, stop := f.startViewers(streams, func(int) bool { return true })
 	current := func() { f.waitUntilCurrent(viewers) }
 	current()
@@ -260,23 +283,21 @@
 			t.Errorf("%s: %d answers to %d openings", v.Name, k.Answers, k.Openings)
 		}
 	}
-	for _, bad := range f.ledger.Violations() {
-		t.Error(bad)
-	}
+	f.checkLedger()
 	_, served := f.ledger.Serving()
 	if moves < streams || served < 2*streams {
 		t.Errorf("%d moves, %d services: too little happened", moves, served)
 	}
-	t.Logf("%d streams, %d services, %d moves, %d breaks, %d times told to come again, %d scans each", streams, served, moves, breaks,
-		busy, f.feed.Newest())
+	t.Logf("%d streams, %d services, %d moves, %d breaks, %d times told to come again, %d scans each",
+		streams, served, moves, breaks, busy, f.feed.Newest())
 }
 
 // Tokens shown to two relays at the same instant, and twice at one: one attempt, one service; the others are
-// refused at once. After the stream has gone on, the token is worth nothing.
+// rejected at once. After the stream has gone on, the token is worth nothing.
 func TestReplayedTokenGetsOneAttempt(t *testing.T) {
 	f := newFleet(t, 3, "")
 	relays := []string{f.startRelay(0, 2), f.startRelay(1, 2)}
-	f.waitFor("claim service", f.ownershipConnected)
+	f.waitFor("ownership service", f.ownershipConnected)
 	var inFlight sync.Map // attempts out for a stream, as the servers see them
 	for _, s := range f.servers {
 		s.OnFirstLine = func(line string) {
@@ -295,10 +316,8 @@
 		first.sendAndExpect(t, opening(0, "resume=new"), "UP")
 		words := first.readUntil(t, "TOKEN")
 		fmt.Fprintf(first, "GOT %s\r\n", words[1])
-		stream := f.ownership.Nodes("/a/streams/")
 		first.Close()
-		f.waitFor("the claim is given back", func() bool { return countOwned(f.ownership) == 0 })
-		_ = stream
+		f.waitFor("the lease is given back", func() bool { return countOwned(f.ownership) == 0 })
 		before := totalOpenings(f.servers)
 		rng := rand.New(rand.NewPCG(uint64(i), 2))
 		barrier := make(chan struct{})
@@ -337,7 +356,7 @@
 		fmt.Fprintf(clients[up], "GOT %s\r\nM\r\n", next[1])
 		clients[up].readUntil(t, "M") // comes back from the server: GOT was read
 		clients[up].Close()
-		f.waitFor("the claim is given back", func() bool { return countOwned(f.ownership) == 0 })
+		f.waitFor("the lease is given back", func() bool { return countOwned(f.ownership) == 0 })
 		for k, at := range relays { // its successor has arrived
 			c := dial(t, at)
 			fmt.Fprint(c, opening(k+5, "resume="+words[2])+"\r\n")
@@ -346,14 +365,13 @@
 			}
 		}
 		if totalOpenings(f.servers) != before+1 {
-			t.Fatalf("seed %d: a refused token reached a server", i)
+			t.Fatalf("seed %d: a rejected token reached a server", i)
 		}
 	}
-	for _, bad := range f.ledger.Violations() {
-		t.Error(bad)
-	}
+	f.checkLedger()
 }
 
+// totalOpenings is how many OPEN lines the servers were sent.
 func totalOpenings(servers []*fake.ScanServer) (n int) {
 	for _, s := range servers {
 		n += s.Openings()
--- a/cmd/capersail/timeline_test.go
+++ b/cmd/capersail/timeline_test.go
@@ -15,7 +15,9 @@
 func TestTimelineSurvivesKill(t *testing.T) {
 	d, s := newDiscoveryWithServer(t, "s1")
 	dir := t.TempDir()
-	file, socket, db := filepath.Join(dir, "timeline.toml"), filepath.Join(dir, "c.sock"), filepath.Join(dir, "t.db")
+	file := filepath.Join(dir, "timeline.toml")
+	socket := filepath.Join(dir, "c.sock")
+	db := filepath.Join(dir, "t.db")
 	os.WriteFile(file, fmt.Appendf(nil, "socket = %q\nstore = %q\n", socket, db), 0o600)
 	config := writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
@@ -52,7 +54,9 @@
 		<-s.FirstLines
 	}
 	f := &fleet{t: t}
-	f.waitFor("its answer on the socket", func() bool { return strings.Contains(ask("--socket", socket, "show", "s1"), "placed 5,") })
+	f.waitFor("its answer on the socket", func() bool {
+		return strings.Contains(ask("--socket", socket, "show", "s1"), "placed 5,")
+	})
 	f.waitFor("a row in the store", func() bool { // which the daemon has locked: a copy is read
 		text, _ := os.ReadFile(db)
 		os.WriteFile(db+".copy", text, 0o600)
@@ -74,7 +78,8 @@
 	two.Wait()
 	cmd.Process.Kill()
 	cmd.Wait()
-	if got := ask("--store", db, "show", "s1"); !strings.Contains(got, "placed 5,") || !strings.Contains(got, "warm") {
+	got := ask("--store", db, "show", "s1")
+	if !strings.Contains(got, "placed 5,") || !strings.Contains(got, "warm") {
 		t.Errorf("after kill -9 the store has %q", got)
 	}
 }
