--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -67,35 +67,34 @@
 	}
 }
 
-// What is no token, or not this stream's, or not now, is rejected at once and reaches no server.
-func TestInvalidTokensAreRejected(t *testing.T) {
-	f := newFleet(t, 1, "skew_ms = 100\n")
-	f.feed.Keep = 20
-	f.config = func(c map[string]any) {
-		s := c["settings"].(map[string]any)
-		s["classes"] = append(s["classes"].([]any), map[string]any{
-			"name":       "zoom",
-			"semantics":  "free",
-			"aimMs":      800,
-			"deadlineMs": 3200,
-			"worth":      1,
-		})
-		s["realms"] = []any{
-			map[string]any{"name": "acme", "portion": 0.5},
-			map[string]any{"name": "surf", "portion": 0.5},
-		}
+// addOtherClassAndTenant adds the class zoom and the tenant surf to a configuration.
+func addOtherClassAndTenant(c map[string]any) {
+	s := c["settings"].(map[string]any)
+	s["classes"] = append(s["classes"].([]any), map[string]any{
+		"name":       "zoom",
+		"semantics":  "free",
+		"aimMs":      800,
+		"deadlineMs": 3200,
+		"worth":      1,
+	})
+	s["realms"] = []any{
+		map[string]any{"name": "acme", "portion": 0.5},
+		map[string]any{"name": "surf", "portion": 0.5},
 	}
-	at := f.startRelay(0, 1)
-	f.waitFor("ownership service", f.ownershipConnected)
-	c, text, _ := f.openStream(at, "s")
-	c.Close()
-	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+}
+
+// opening is an OPEN line's fields, and what it is answered.
+type opening struct{ name, fields, want string }
 
+// invalidOpenings are openings with tokens that are rejected, and last one that is served. text is a valid
+// token of a class map-stream and a tenant acme, sealed by the key a.
+func invalidOpenings(t *testing.T, text string) (openings []opening, good *token.Token) {
+	t.Helper()
 	ring, err := token.NewKeyRing([]token.Key{{ID: "a", Secret: []byte(strings.Repeat("a", 32))}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, err := ring.Open(text)
+	good, err = ring.Open(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,9 +107,8 @@
 	other, _ := token.NewKeyRing([]token.Key{{ID: "a", Secret: make([]byte, 32)}})
 	forged, _ := other.Seal(good)
 	now := time.Now().UnixMilli()
-	before := f.servers[0].Openings()
 	const fields = "c=map-stream,t=acme,d=3000,g=5,resume="
-	for i, k := range []struct{ name, fields, want string }{
+	return []opening{
 		{"forged", fields + forged, "ERR resume token"},
 		{"cut", fields + text[:len(text)-9], "ERR resume token"},
 		{"no token", fields + "x", "ERR resume token"},
@@ -135,24 +133,13 @@
 			"ERR resume position"},
 		{"at and resume", "c=map-stream,t=acme,d=3000,g=5,at=s0,resume=" + text, "ERR bad request"},
 		{"two tokens, of which the first counts", fields + text + ",resume=" + forged, "UP"},
-	} {
-		if k.want == "UP" {
-			if n := f.servers[0].Openings(); n != before {
-				t.Errorf("%d rejected openings reached the server", n-before)
-			}
-		}
-		c := dial(t, at)
-		fmt.Fprintf(c, "OPEN r%d 7f %s\r\n", i, k.fields)
-		got, _ := c.in.ReadString('\n')
-		if got = strings.TrimSpace(got); got != k.want && !(k.want == "UP" && strings.HasPrefix(got, "UP ")) {
-			t.Errorf("%s: %q, want %q", k.name, got, k.want)
-		}
-		c.Close()
-	}
-	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+	}, good
+}
 
-	// 60 MB in place of a token: an answer, and an end. What is read of it is bounded.
-	c = dial(t, at)
+// expectMuchRejected sends 60 MB in place of a token: an answer, and an end. What is read of it is bounded.
+func expectMuchRejected(t *testing.T, at string) {
+	t.Helper()
+	c := dial(t, at)
 	fmt.Fprint(c, "OPEN big 7f c=map-stream,t=acme,d=3000,resume=")
 	blob := make([]byte, 1<<20)
 	for i := range blob {
@@ -168,14 +155,17 @@
 	if got, _ := c.in.ReadString('\n'); !strings.HasPrefix(got, "ERR") {
 		t.Errorf("60 MB were answered %q", got)
 	}
+}
 
-	// Positions: ahead of what the server has; behind what it keeps.
+// expectPositionsChecked opens at positions ahead of what the server has, and behind what it keeps.
+func (f *fleet) expectPositionsChecked(t *testing.T, at, text string) {
+	t.Helper()
 	if got, _ := f.presentToken(at, "ahead", text, ",pos=1000000"); got != "ERR resume ahead" {
 		t.Errorf("ahead: %q", got)
 	}
 	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 	f.waitFor("scans that are kept no more", func() bool { return f.feed.Newest() > 30 })
-	c, _ = f.resumeWithRetries(at, "gap", text, ",pos=2")
+	c, _ := f.resumeWithRetries(at, "gap", text, ",pos=2")
 	if gap := c.readUntil(t, "GAP"); gap[1] != "3" || gap[2] == "-" {
 		t.Errorf("behind what is kept: %q", gap)
 	} else if scan := c.readUntil(t, "SCAN"); scan[1] != addTo(gap[2], 1) {
@@ -183,8 +173,11 @@
 	}
 	c.Close()
 	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+}
 
-	// A server that has seen a higher fencing token of the stream rejects a lower one.
+// expectStaleRejected has a server see a higher fencing token of the stream: it rejects a lower one.
+func (f *fleet) expectStaleRejected(t *testing.T, at, text string, good *token.Token) {
+	t.Helper()
 	direct := dial(t, f.servers[0].Address)
 	higher := fmt.Sprintf("OPEN x 7f c=map-stream,d=3000,s=%s,gen=99,from=0", good.Stream)
 	direct.sendAndExpect(t, higher, "UP")
@@ -192,6 +185,40 @@
 	if got, _ := f.presentToken(at, "stale", text, ""); got != "ERR resume behind" {
 		t.Errorf("a server that rejects a fencing token: %q", got)
 	}
+}
+
+// What is no token, or not this stream's, or not now, is rejected at once and reaches no server.
+func TestInvalidTokensAreRejected(t *testing.T) {
+	f := newFleet(t, 1, "skew_ms = 100\n")
+	f.feed.Keep = 20
+	f.config = addOtherClassAndTenant
+	at := f.startRelay(0, 1)
+	f.waitFor("ownership service", f.ownershipConnected)
+	c, text, _ := f.openStream(at, "s")
+	c.Close()
+	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+
+	openings, good := invalidOpenings(t, text)
+	before := f.servers[0].Openings()
+	for i, k := range openings {
+		if k.want == "UP" {
+			if n := f.servers[0].Openings(); n != before {
+				t.Errorf("%d rejected openings reached the server", n-before)
+			}
+		}
+		c := dial(t, at)
+		fmt.Fprintf(c, "OPEN r%d 7f %s\r\n", i, k.fields)
+		got, _ := c.in.ReadString('\n')
+		if got = strings.TrimSpace(got); got != k.want && !(k.want == "UP" && strings.HasPrefix(got, "UP ")) {
+			t.Errorf("%s: %q, want %q", k.name, got, k.want)
+		}
+		c.Close()
+	}
+	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+
+	expectMuchRejected(t, at)
+	f.expectPositionsChecked(t, at, text)
+	f.expectStaleRejected(t, at, text, good)
 	if t.Failed() {
 		f.mu.Lock()
 		t.Log(strings.Join(f.logs, "\n"))
