--- a/cmd/capersail/timeline_test.go
+++ b/cmd/capersail/timeline_test.go
@@ -24,23 +24,10 @@
 		c["known"] = json.RawMessage(d.Snapshot())
 	})
 	serve := func(more ...string) (*exec.Cmd, string, <-chan string) {
+		t.Helper()
 		cmd := relayCommand(t, config)
 		cmd.Args = append(cmd.Args, more...)
-		logs, err := cmd.StderrPipe()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		address, messages := make(chan string, 1), make(chan string, 1024)
-		go followLogs(logs, func(l logLine) {
-			if l.Message == "serving" {
-				address <- l.Listen
-			}
-			messages <- l.Message + ": " + l.Error
-		})
-		return cmd, <-address, messages
+		return startCommand(t, cmd)
 	}
 	ask := func(args ...string) string {
 		cmd := relayCommand(t, config)
