--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// SIGTERM in the middle of a drain by hand, and a second one on top of it: who is open is moved, who rests or
+// SIGTERM in the middle of a manual drain, and a second one on top of it: who is open is moved, who rests or
 // has sent half a line has a clean end, and the program exits in order.
 func TestTermBesideADrain(t *testing.T) {
 	d, _ := stage(t, "s1")
--- a/cmd/capersail/ops_test.go
+++ b/cmd/capersail/ops_test.go
@@ -151,8 +151,7 @@
 	return l.Addr().String()
 }
 
-// The second address: readiness, a drain by hand and its end, a tile server out by hand and back, the
-// figures.
+// The admin address: readiness, a manual drain and its end, a server ejected and readmitted, the metrics.
 func TestSecondAddress(t *testing.T) {
 	d, s := stage(t, "s1")
 	ops := "http://" + freeAddress(t)
@@ -218,8 +217,8 @@
 	}
 }
 
-// Both processes of an upgrade keep one set of bans: a ban made at either holds at the other, and over the
-// end of the one that made it.
+// Both processes of an upgrade keep one set of manual ejections: one made at either holds at the other, and
+// over the end of the process that made it.
 func TestBansHoldOverUpgrade(t *testing.T) {
 	l, config := platformSocket(t)
 	shared := "TMPDIR=" + t.TempDir()
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -72,8 +72,8 @@
 }
 
 // BenchmarkMassResume kills a relay with 2,000 streams, at the moment at which half of the servers are
-// replaced by cold successors: how long until all are served by the other relay, and how far cold servers are
-// strained.
+// replaced by successors in slow start: how long until all are served by the other relay, and how far servers
+// in slow start are strained.
 func BenchmarkMassResume(b *testing.B) {
 	const streams = 2000
 	for b.Loop() {
@@ -104,7 +104,7 @@
 			return n
 		}
 		f.wait("all are served", func() bool { return served() == streams })
-		for _, s := range f.servers[:4] { // replaced: the streams move, the successors are cold
+		for _, s := range f.servers[:4] { // replaced: the streams move, the successors are in slow start
 			s.Kill()
 			f.list.Set(s.ID, s.Address, "Gone")
 		}
--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// What is no token, or not this stream's, or not now, is refused at once and reaches no server.
+// What is no token, or not this stream's, or not now, is rejected at once and reaches no server.
 func TestResumeRefusals(t *testing.T) {
 	f := newFleet(t, 1, "skew_ms = 100\n")
 	f.feed.Keep = 20
@@ -228,7 +228,7 @@
 	f.sound()
 }
 
-// The old relay is killed: its claim still stands. The client is told at once when to come, within the
+// The old relay is killed: its ownership still stands. The client is told at once when to come, within the
 // session, and is then served from where it stopped.
 func TestOldRelayKilled(t *testing.T) {
 	f := newFleet(t, 2, "")
@@ -357,7 +357,7 @@
 }
 
 // The server that a resuming stream is placed on dies, falls silent or drains before it answers. One attempt
-// after the other under one claim: a second relay is refused all the while.
+// after the other under one ownership: a second relay is rejected all the while.
 func TestServerFailsInMidResume(t *testing.T) {
 	for _, how := range []string{"killed", "silent", "draining"} {
 		t.Run(how, func(t *testing.T) {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -34,8 +34,8 @@
 	Ready() bool
 	// Drain starts or ends a manual drain.
 	Drain(on bool)
-	// Eject ejects a server by hand, Readmit ends that. Either fails with ErrNeverListed for an id that was
-	// never listed; the change is stored before they return.
+	// Eject ejects a server manually, Readmit ends its ejection. Either fails with ErrNeverListed for an id
+	// that was never listed; the change is stored before they return.
 	Eject(id string) error
 	Readmit(id string) error
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// A crowd of callers that hold their connections without a whole call keeps nobody else out, and each of them
-// is let go after a second at most.
+// A crowd of callers that hold their connections without a complete call keeps nobody else out, and each of
+// them is let go after a second at most.
 func TestCrowd(t *testing.T) {
 	base, _, s := serveOn(t)
 	address := strings.TrimPrefix(base, "http://")
@@ -147,7 +147,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		fmt.Fprint(c, "GET /ops/readi") // never a whole call
+		fmt.Fprint(c, "GET /ops/readi") // never a complete call
 		silent = append(silent, c)
 	}
 	for range 10 { // accepted after the crowd, from the same queue
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,10 +1,10 @@
 // Package admin is the operators' address (docs/operate/ops.md): HTTP/1.1, one call a connection, for
-// readiness, metrics, a manual drain and servers ejected by hand. lifecycle starts it and gives it the relay;
+// readiness, metrics, a manual drain and manual ejections. lifecycle starts it and gives it the relay;
 // it owns no state but its connections, and maps the terms of the operators' page to those of the code.
 //
 //	GET  /ops/readiness                 200 while the process is ready to serve, else 503
 //	GET  /ops/stats                     the metrics, in Prometheus's text format
-//	POST /ops/tile-servers/down/ID      eject server ID by hand; 404 if it was never listed
+//	POST /ops/tile-servers/down/ID      eject server ID; 404 if it was never listed
 //	POST /ops/tile-servers/up/ID        readmit server ID
 //	POST /ops/drain/start               migrate clients and reject new requests
 //	POST /ops/drain/stop                serve clients again
--- a/internal/admin/figures.go
+++ b/internal/admin/figures.go
@@ -30,7 +30,7 @@
 //	relay_sends{group}      counter  attempts whose first line was written completely to a server
 //	relay_current           gauge    requests accepted and not ended
 //	relay_cluster_size      gauge    servers in the endpoint list
-//	relay_cluster_unhealthy gauge    of those, the ones ejected, by hand or as outliers
+//	relay_cluster_unhealthy gauge    of those, the ones ejected, manually or as outliers
 //	relay_list_age_seconds  gauge    since discovery was last heard, the longest of all fronts
 //	relay_list_lapsed       gauge    1 while an endpoint list's lease has expired
 //	relay_denied{why}       counter  attempts and requests that the guard denied, by reason
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -34,8 +34,8 @@
 	return got.Fleet, got.Cells, err
 }
 
-// AskLooks asks a running relay what it knows of the others, and of the looks at servers by turns: nil where
-// it takes part in none.
+// AskLooks asks a running relay what it knows of the others, and of the fleet's shared probing: nil where it
+// takes no part.
 func AskLooks(path string) (*membership.Report, *probing.Report, error) {
 	got, err := askFleet(path, question{Fleet: true, Looks: true})
 	return got.Fleet, got.Looks, err
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// sendClaims lets some relays, speakers or not, claim what they know of their own cell.
+// sendClaims lets some relays, representatives or not, claim what they know of their own cell.
 func (f *federation) sendClaims() {
 	for _, c := range f.cells {
 		for i, n := range c.nodes {
--- a/internal/fleet/membership/schedules_test.go
+++ b/internal/fleet/membership/schedules_test.go
@@ -136,11 +136,11 @@
 	return w.agreed()
 }
 
-// longSchedules tells whether the longSchedules schedules are asked for; docs/measurements/members.md has
+// longSchedules tells whether the long schedules are asked for; docs/measurements/members.md has
 // their command and result.
 func longSchedules() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
-// forEachSeed runs a schedule for forEachSeed seed on all cores, and reports the first seeds that fail. A
+// forEachSeed runs a schedule for each seed on all cores, and reports the first seeds that fail. A
 // slice of the long schedules ends before the test's deadline, and says how many were played.
 func forEachSeed(t *testing.T, seeds int, play func(seed uint64) error) {
 	deadline, ends := t.Deadline()
--- a/internal/fleet/membership/world_test.go
+++ b/internal/fleet/membership/world_test.go
@@ -56,7 +56,7 @@
 	copied    *Record // its disk some time ago
 }
 
-// shareUse is a shareUse at a share of a cell's parts, or of the whole, by the world's clock. What is
+// shareUse is a use of a budget at a share of a cell's parts, or of the whole, by the world's clock. What is
 // done by it may take effect up to EffectWithin later.
 type shareUse struct {
 	at, share  float64
--- a/internal/fleet/probing/placements.go
+++ b/internal/fleet/probing/placements.go
@@ -11,7 +11,7 @@
 // connections shorter than a reading's age. Only so many a second fit the rounds; a fleet to which more
 // come goes on guessing by the sum of arrivals, whose spread is small there.
 const (
-	// MaxPlacementRate is up to how many requests a second of the whole fleet placements are shared.
+	// MaxPlacementRate is up to how many requests a second of all the fleet placements are shared.
 	MaxPlacementRate = 200.0
 	// MaxPlacementsPerRound is how many rows a round carries.
 	MaxPlacementsPerRound = 48
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// A zone that the settings do not know is told with its key.
+// A zone that the settings do not know is reported with its key.
 func TestUnknownZoneOfAPlanNamesItsKey(t *testing.T) {
 	m, err := readMembersText(t, goodCells)
 	if err != nil {
--- a/internal/lifecycle/run_test.go
+++ b/internal/lifecycle/run_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A drain by hand keeps its connections while new ones still come, migrates them evenly, and has migrated the
+// A manual drain keeps its connections while new ones still come, migrates them evenly, and has migrated the
 // last of them well before 4 s, when one still open is lost.
 func TestDrainMigratesAllInTime(t *testing.T) {
 	for _, all := range []int{0, 1, 7, 300} {
--- a/internal/lifecycle/xmpp_test.go
+++ b/internal/lifecycle/xmpp_test.go
@@ -418,7 +418,7 @@
 	b.want("end under TLS", c.rest(), "[remote-connection-failed end]")
 }
 
-// After its session has expired the relay reads the whole list again: what vanished meanwhile is gone.
+// After its session has expired the relay reads the complete list again: what vanished meanwhile is gone.
 func TestXMPPSessionExpires(t *testing.T) {
 	b := newXMPPBench(t, "plaintext = true")
 	old := b.server("n1", "")
--- a/internal/manualeject/ejections.go
+++ b/internal/manualeject/ejections.go
@@ -1,4 +1,4 @@
-// Package manualeject keeps which servers operators have ejected by hand, and decides what a call of theirs
+// Package manualeject keeps which servers operators have ejected, and decides what a call of theirs
 // changes. Its rules: a call about an id that was never listed fails; repeated calls are one; one call ends
 // an ejection, whatever the endpoint list says meanwhile; and an ejection outlasts the process.
 //
@@ -19,7 +19,7 @@
 // ErrNeverListed fails a call about an id that no endpoint list has named.
 var ErrNeverListed = errors.New("no such tile server was ever listed")
 
-// Ejections is the set of servers that are ejected by hand. The zero one is empty and ready. Instants are the
+// Ejections is the set of servers that are ejected manually. The zero one is empty and ready. Instants are the
 // caller's, as durations since any one origin.
 type Ejections struct {
 	ejectedAt map[string]time.Duration // by id
--- a/internal/manualeject/stored_test.go
+++ b/internal/manualeject/stored_test.go
@@ -17,8 +17,8 @@
 	"out-c3bcff00":                     "\u00fc\xff\x00",
 }
 
-// The files by which an earlier version kept bans are read to the same ids, and are named the same: a process
-// that replaces another finds its bans, and the one replaced those of its successor.
+// The files by which an earlier version kept ejections are read to the same ids, and are named the same: a
+// process that replaces another finds its ejections, and the one replaced those of its successor.
 func TestStoredBansStayReadable(t *testing.T) {
 	entries, err := os.ReadDir("testdata/bans")
 	if err != nil {
--- a/internal/observe/anomaly/detector.go
+++ b/internal/observe/anomaly/detector.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// server finds or begins what is known of a server. Another one makes room if there are too many.
+// server finds or begins what is known of a server. Another one is evicted if there are too many.
 func (d *Detector) server(name string) *serverState {
 	s := d.servers[name]
 	if s == nil {
--- a/internal/observe/anomaly/detector_test.go
+++ b/internal/observe/anomaly/detector_test.go
@@ -62,7 +62,7 @@
 			s.visible[" list out of reach"] = s.now
 			s.run(400)
 		}
-		s.list(11, decide.Draining, 0) // with word: no event
+		s.list(11, decide.Draining, 0) // announced: no event
 		s.breaks(11, decide.Cancelled)
 		s.run(6000)
 		s.list(11, decide.Removed, 0)
@@ -120,7 +120,7 @@
 	}
 }
 
-// What the whole fleet does at once is one event of the fleet.
+// What all of the fleet does at once is one event of the fleet.
 func TestWhatMostDoIsTheFleets(t *testing.T) {
 	for what, f := range map[Kind]func(h *host){
 		SlowSetup:    func(h *host) { h.slow = 15 },
--- a/internal/observe/anomaly/model_test.go
+++ b/internal/observe/anomaly/model_test.go
@@ -39,7 +39,7 @@
 	next     float64
 	began    []Change
 	visible  map[string]float64 // when a fault could first be seen, by server and kind
-	noticed  map[string]float64 // when its event was told
+	noticed  map[string]float64 // when its event was reported
 	seen     map[string]int     // pieces of evidence so far
 }
 
@@ -114,9 +114,9 @@
 		for ; s.next <= s.now; s.next = max(s.next, s.now-5) + s.rng.ExpFloat64()*1000/rate {
 			s.arrive()
 		}
-		told := len(s.began)
+		reported := len(s.began)
 		s.began = s.detector.Tick(duration(s.now), s.began)
-		for _, c := range s.began[told:] {
+		for _, c := range s.began[reported:] {
 			if c.To == 0 {
 				s.noticed[c.Server+" "+c.Kind.String()] = s.now
 			}
--- a/internal/observe/anomaly/recent.go
+++ b/internal/observe/anomaly/recent.go
@@ -32,7 +32,7 @@
 	return r[len(r)-1]
 }
 
-// appendBounded appends to a list that holds so many at most; the oldest makes room.
+// appendBounded appends to a list that holds so many at most; the oldest is dropped.
 func appendBounded[T any](list []T, x T, most int) []T {
 	if len(list) == most {
 		list = append(list[:0], list[1:]...)
--- a/internal/observe/recorder/record.go
+++ b/internal/observe/recorder/record.go
@@ -23,7 +23,7 @@
 	RequestFailed                           // a request fails
 	MessageDelayed                          // a message took long
 	PeerReading                             // another relay's load report is used: Elapsed is its age
-	RecordsDropped                          // records found no room here
+	RecordsDropped                          // records did not fit and were dropped here
 )
 
 var kindNames = [...]string{
@@ -59,7 +59,7 @@
 	OwnershipLost             // the stream's ownership may be lost
 	DescriptorLimit           // the connection limiter
 	Backstop                  // the relay's own deadline, behind the module's
-	Operator                  // by hand: a drain, or a server ejected
+	Operator                  // manually: a drain, or a server ejected
 )
 
 var initiatorNames = [...]string{
--- a/internal/observe/recorder/recorder.go
+++ b/internal/observe/recorder/recorder.go
@@ -1,7 +1,7 @@
 // Package recorder takes records of what a relay learns and decides, for whoever reads them later.
 //
 // It owns the records' form and the buffer between the relay, which puts them, and package observe/watch,
-// which takes them. To put one never blocks and allocates nothing; what finds no room is dropped and counted.
+// which takes them. To put one never blocks and allocates nothing; what does not fit is dropped and counted.
 package recorder
 
 import (
@@ -37,7 +37,7 @@
 	}
 	halfFull := len(r.records) == cap(r.records)/2
 	r.mu.Unlock()
-	if !halfFull { // the reader looks by itself now and then; waking it is for a burst
+	if !halfFull { // the reader takes records by itself now and then; waking it is for a burst
 		return
 	}
 	select {
@@ -46,11 +46,11 @@
 	}
 }
 
-// Ready receives a value when half of the room is taken.
+// Ready receives a value when the buffer is half full.
 func (r *Recorder) Ready() <-chan struct{} { return r.ready }
 
-// TakeAll returns all records put since the last call, with a RecordsDropped at the end if there was no room
-// for some. spare, a slice from an earlier call or nil, takes the buffer's place.
+// TakeAll returns all records put since the last call, with a RecordsDropped at the end if some did not
+// fit. spare, a slice from an earlier call or nil, takes the buffer's place.
 func (r *Recorder) TakeAll(spare []Record) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/observe/recorder/recorder_test.go
+++ b/internal/observe/recorder/recorder_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A burst of 100,000 records from many writers: what has room is kept, the rest is counted, nobody waits.
+// A burst of 100,000 records from many writers: what fits is kept, the rest is counted, nobody waits.
 func TestBurstIsBoundedAndCounted(t *testing.T) {
 	x := New(4096)
 	var all sync.WaitGroup
--- a/internal/observe/report/report.go
+++ b/internal/observe/report/report.go
@@ -43,7 +43,7 @@
 	At      float64  `json:"at"` // Unix ms
 	Servers []Server `json:"servers"`
 	Dropped uint64   `json:"dropped"`         // records and rows that were not kept
-	Evicted int      `json:"evicted"`         // timelines that had to make room
+	Evicted int      `json:"evicted"`         // timelines that were evicted
 	Store   string   `json:"store,omitempty"` // why the store cannot be written
 }
 
--- a/internal/observe/timeline/timeline_test.go
+++ b/internal/observe/timeline/timeline_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// Ids that come and go by thousands: timelines are bounded, those that are gone make room first, and it is
+// Ids that come and go by thousands: timelines are bounded, those that are gone are evicted first, and it is
 // counted.
 func TestManyServersAreBounded(t *testing.T) {
 	limits := DefaultLimits()
--- a/internal/observe/timeline/timelines.go
+++ b/internal/observe/timeline/timelines.go
@@ -82,7 +82,7 @@
 type Timelines struct {
 	Limits
 	Sink    Sink
-	Evicted int // servers that had to make room
+	Evicted int // servers that were evicted
 
 	wall    func(time.Duration) time.Time
 	servers map[string]*ServerTimeline
@@ -110,7 +110,7 @@
 	return names
 }
 
-// server finds or begins a timeline. Another one makes room if there are too many.
+// server finds or begins a timeline. Another one is evicted if there are too many.
 func (t *Timelines) server(name string) *ServerTimeline {
 	s := t.servers[name]
 	if s == nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// evictedBefore tells whether s makes room before o does.
+// evictedBefore tells whether s is evicted before o.
 func (s *ServerTimeline) evictedBefore(o *ServerTimeline) bool {
 	switch gone, otherGone := s.State() == Gone, o.State() == Gone; {
 	case gone != otherGone:
--- a/internal/observe/watch/event_log.go
+++ b/internal/observe/watch/event_log.go
@@ -53,7 +53,7 @@
 	line.Float64("confidence", e.Confidence).Msg("anomaly began")
 }
 
-// keep replaces the event's beginning by its end, or adds it; the oldest makes room.
+// keep replaces the event's beginning by its end, or adds it; the oldest is dropped where the log is full.
 func (l *eventLog) keep(e anomaly.Event) {
 	i := slices.IndexFunc(l.events, func(o anomaly.Event) bool { return sameEvent(o, e) })
 	if i >= 0 {
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -269,11 +269,11 @@
 	expect(8, anomaly.Unreachable)
 	w.mode(8, decide.Removed)
 	state(8, timeline.Gone)
-	w.mode(9, decide.Draining) // with word: a state, and no event
+	w.mode(9, decide.Draining) // announced: a state, and no event
 	state(9, timeline.Draining)
 	w.servers[9].MigrateOneIn(2)
 	w.since[10] = float64(time.Now().UnixMilli())
-	w.mode(10, decide.Ready) // with word: another process under the same id
+	w.mode(10, decide.Ready) // announced: another process under the same id
 	state(10, timeline.Warming)
 	for range 4 {
 		w.mode(11, decide.Draining)
--- a/internal/observe/watch/watcher.go
+++ b/internal/observe/watch/watcher.go
@@ -44,7 +44,7 @@
 // Watcher is one front's timelines, anomaly detection and rows. Its methods may be called from any goroutine.
 type Watcher struct {
 	Config
-	// Recorder takes what happens. It is handed to the front before that is used.
+	// Recorder takes what happens. The front is given it before it serves.
 	Recorder *recorder.Recorder
 
 	servers ServerNames
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -75,11 +75,11 @@
 // After returns a channel that gets the time once d has passed.
 func (c *Clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// maxMicroseconds bounds what Duration turns over: some 31 years.
+// maxMicroseconds bounds what Duration returns: some 31 years.
 const maxMicroseconds = 1e15
 
-// Duration turns milliseconds of a codec or a setting into a time.Duration. It rounds to whole microseconds,
-// in which the decision module's figures are stated, and bounds what is out of all reason.
+// Duration converts milliseconds of a codec or a setting into a time.Duration. It rounds to microseconds, in
+// which the decision module's figures are stated, and bounds the result by maxMicroseconds.
 func Duration(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	if math.Abs(us) > maxMicroseconds {
@@ -96,19 +96,19 @@
 	return at + d
 }
 
-// Millis turns a time.Duration into milliseconds, for a codec or a log line.
+// Millis converts a time.Duration into milliseconds, for a codec or a log line.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// maxUnixMillis bounds what FromUnixMillis turns over, so that a time.Duration holds all differences: the
+// maxUnixMillis bounds what FromUnixMillis converts, so that a time.Duration holds all differences: the
 // years 1843 to 2096.
 const maxUnixMillis = 4e12
 
-// FromUnixMillis turns Unix time in milliseconds, as codecs have it, into a time; 0 becomes the zero time,
+// FromUnixMillis converts Unix time in milliseconds, as codecs have it, into a time; 0 becomes the zero time,
 // for long ago.
 func FromUnixMillis(ms float64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
-	whole, part := math.Modf(min(max(ms, -maxUnixMillis), maxUnixMillis))
-	return time.UnixMilli(int64(whole)).Add(time.Duration(part * float64(time.Millisecond)))
+	millis, fraction := math.Modf(min(max(ms, -maxUnixMillis), maxUnixMillis))
+	return time.UnixMilli(int64(millis)).Add(time.Duration(fraction * float64(time.Millisecond)))
 }
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// What started before this program did is told on the relay's clock, and long ago stays long ago.
+// What started before this program did is expressed on the relay's clock, and long ago stays long ago.
 func TestFromWall(t *testing.T) {
 	c := NewManualClock()
 	now := float64(c.origin.UnixMilli())
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Two relays, one token: one request goes on to the decision module, the other is told when to retry. The
-// stream is the other's once it is released.
+// Two relays, one token: one request goes on to the decision module, the other is rejected with a time to
+// retry. The stream is the other's once it is released.
 func TestOneOwnerOfTwoRelays(t *testing.T) {
 	zk := newOwnershipService(t)
 	a, b := newRelay(t, zk), newRelay(t, zk)
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -18,10 +18,10 @@
 // noServers is a server side and a discovery that do nothing.
 type noServers struct{}
 
-// StartAttempt is relay.Servers'.
+// StartAttempt is relay.ServerDialer's.
 func (noServers) StartAttempt(*relay.Request, relay.Attempt) {}
 
-// Probe is relay.Servers'.
+// Probe is relay.ServerDialer's.
 func (noServers) Probe(_ relay.Server, _ func(decide.Status, decide.LoadReport)) {}
 
 // Watch is relay.Discovery's.
--- a/internal/simulation/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -219,7 +219,7 @@
 	return h
 }
 
-// readProc reads a file of the relay's in /readProc.
+// readProc reads a file of the relay's process in /proc.
 func (r *relayProcess) readProc(name string) string {
 	r.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", r.pid, name))
@@ -229,7 +229,7 @@
 	return string(text)
 }
 
-// residentBytes is the relay's residentBytes memory, in bytes.
+// residentBytes is the relay's resident memory, in bytes.
 func (r *relayProcess) residentBytes() float64 {
 	r.t.Helper()
 	_, rest, _ := strings.Cut(r.readProc("status"), "VmRSS:")
--- a/internal/simulation/capacity/shutdown_test.go
+++ b/internal/simulation/capacity/shutdown_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Measures what a graceful shutdown costs a relay, and checks that each client is sent away with MOVE.
+// Measures what a graceful shutdown costs a relay, and checks that each client is migrated with MOVE.
 func TestCostOfGracefulShutdown(t *testing.T) {
 	sizes := []int{50, 200}
 	if longRun() {
--- a/internal/simulation/model/client.go
+++ b/internal/simulation/model/client.go
@@ -117,7 +117,7 @@
 	f.After(after, func() { f.openRequest(c) })
 }
 
-// migrate ends a connection politely, if it is still at the server.
+// migrate ends a connection gracefully, if it is still at the server.
 func (f *Fleet) migrate(c *client, s *Server) {
 	if c.server == s && s != nil {
 		f.closeConnection(c, decide.Cancelled)
@@ -125,7 +125,7 @@
 	}
 }
 
-// EmptyRelay empties a relay within a time, as a drain by hand does.
+// EmptyRelay empties a relay within a time, as a manual drain does.
 func (f *Fleet) EmptyRelay(r *Relay, within time.Duration) {
 	for _, c := range f.sortedClients() {
 		if c.relay == r && c.server != nil {
--- a/internal/simulation/model/cold_test.go
+++ b/internal/simulation/model/cold_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The sum of what all relays send to a cold server stays within its budget whatever their number, also
-// where most of them have just been restarted in the middle of a release and their clients come again:
+// The sum of what all relays send to a server in slow start stays within its budget whatever their number,
+// also where most of them have just been restarted in the middle of a release and their clients come again:
 // each relay draws its part, and the draws add up by chance only. The spread is over seeds; beyond N two
-// roots of N and two are put down to chance, and none of these plays uses them up.
+// roots of N and two are put down to chance, and none of these runs uses them up.
 func TestColdBudgetByNumberOfRelays(t *testing.T) {
 	sizes := []int{1, 3, 20, 30}
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
@@ -33,7 +33,7 @@
 								3*time.Second)
 						})
 					}
-					f.Advance(4500 * ms) // two are replaced, and cold
+					f.Advance(4500 * ms) // two are replaced, and in slow start
 					most := f.Relays[:(relays*7+9)/10]
 					for _, r := range most {
 						f.Kill(r)
--- a/internal/simulation/model/discovery.go
+++ b/internal/simulation/model/discovery.go
@@ -26,10 +26,10 @@
 	f.discovery.list[s.Server] = s.Endpoint
 	for _, r := range f.Relays {
 		if life := r.incarnation; r.up && r.watches {
-			news := []decide.Endpoint{s.Endpoint}
+			changed := []decide.Endpoint{s.Endpoint}
 			f.After(f.Between(20*ms, 400*ms), func() {
 				if r.up && r.incarnation == life {
-					f.deliverList(r, decide.Delta, news)
+					f.deliverList(r, decide.Delta, changed)
 				}
 			})
 		}
--- a/internal/simulation/model/many_test.go
+++ b/internal/simulation/model/many_test.go
@@ -152,9 +152,9 @@
 }
 
 // A fleet of relays that know each other, through every hard case: the shares of a budget never add up to
-// more than one, no cold server gets what makes it fall over, no server stands idle for 2 s while clients
-// are refused for want of room, and afterwards all agree again, placements are even over the servers'
-// capacity, and looks grow with servers.
+// more than one, no server in slow start is overloaded, no server stands idle for 2 s while clients
+// are rejected for want of capacity, and afterwards all agree again, placements are even over the servers'
+// capacity, and probes grow with servers.
 func TestManyRelaysAddUpInTheModel(t *testing.T) {
 	for _, what := range slices.Sorted(maps.Keys(troubles)) {
 		t.Run(what, func(t *testing.T) {
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -28,15 +28,15 @@
 	Connections     int     // that are open in the long run
 	Utilisation     float64 // of all servers' capacity that these fill
 	GroupWork       bool    // connections of a group share work
-	Peering         bool    // relays know each other, and probe servers by turns
+	Peering         bool    // relays know each other, and share the probing of servers
 	Loss            float64 // part of the packets between relays that is lost
-	ClockDrift      float64 // by how much relays' clocks run fast or slow at most
+	ClockDrift      float64 // how fast or slow relays' clocks run at most: 0.001 is 1 ms a second
 	GuessPlacements bool    // relays do not tell what they send to servers: it is guessed
 	// Tune changes the module's settings, before any relay starts.
 	Tune func(*decide.Settings)
 }
 
-// Fleet is the whole of it.
+// Fleet is a simulated fleet: relays, servers, clients, discovery and the network between them.
 type Fleet struct {
 	Now     time.Duration
 	Relays  []*Relay
@@ -126,7 +126,7 @@
 	f.meanLifetime = time.Hour
 }
 
-// runInterval notes loads, ends connections whose time has come, and counts time on servers asked too much.
+// runInterval notes loads, ends connections whose time has come, and counts connection time on overloaded servers.
 func (f *Fleet) runInterval() {
 	loads := make([]float64, len(f.Servers))
 	for i, s := range f.Servers {
--- a/internal/simulation/model/model_test.go
+++ b/internal/simulation/model/model_test.go
@@ -53,7 +53,7 @@
 }
 
 // A relay among 80 that gets a request in 20 s must not take it for the 53 a second that all would get if one
-// in 1.5 s came to each: half of them were refused at a fleet that stood at half its load.
+// in 1.5 s came to each: half of them were rejected at a fleet that stood at half its load.
 func TestVastCalmDayRefusesFew(t *testing.T) {
 	asks, refused := 0, 0
 	for seed := range uint64(4) {
@@ -87,8 +87,8 @@
 	}
 }
 
-// On the days that operators fear 80 relays together send no cold server more than makes it fall over,
-// leave few of the new ones idle, and send nothing to a server 500 ms after word that it drains. What
+// On the days that operators fear 80 relays together send no server in slow start what overloads it,
+// leave few of the new ones idle, and send nothing to a server 500 ms after notice that it drains. What
 // makes one fall over is more than N + 3 roots of N + 3 in the time that the settings name, N being what
 // they allow; a tenth of it is left to spare.
 func TestVastHardDays(t *testing.T) {
@@ -149,8 +149,8 @@
 	}
 }
 
-// drainOf plays a drain by hand of one of two relays and returns how many requests came to the other
-// meanwhile, and how many of those it refused for want of room.
+// drainOf plays a manual drain of one of two relays and returns how many requests came to the other
+// meanwhile, and how many of those it rejected for want of capacity.
 func drainOf(t *testing.T, c Config) (asks, refused int, hot float64) {
 	f := fleet(t, c)
 	drains := false
@@ -168,13 +168,13 @@
 }
 
 // While a relay drains, the other takes what comes to both, and takes nobody else to see as much: it used
-// to refuse its peer's clients in bursts, for want of room that nobody else was taking.
+// to reject its peer's clients in bursts, for want of capacity that nobody else was taking.
 func TestDrainingPeerLeavesRoom(t *testing.T) {
 	for _, day := range []struct {
 		servers, conns int
 		part           float64
 	}{{6, 120, 0.5}, {6, 120, 0.6}, {12, 300, 0.6}, {6, 60, 0.6}} {
-		var asks, refused [2]int // without word, and with it
+		var asks, refused [2]int // without notice, and with it
 		var hot [2]float64
 		const seeds = 12
 		for seed := range uint64(seeds) {
--- a/internal/simulation/model/network.go
+++ b/internal/simulation/model/network.go
@@ -21,7 +21,8 @@
 	participantsInterval = 100 * ms
 )
 
-// network is what lies between the relays. It draws for itself, so that the other draws stay the same.
+// network is the network between the relays. It has a random source of its own, so that the other draws stay
+// the same.
 type network struct {
 	cfg       Config
 	rng       *rand.Rand
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -24,7 +24,7 @@
 	up       bool
 	// it was started so many times; what was meant for an earlier life is dropped
 	incarnation  int
-	drainKnownAt []time.Duration   // by server: when it got to know that it drains, -1 if it does not
+	drainKnownAt []time.Duration   // by server: when this relay learnt that it drains, -1 if not
 	list         []decide.Endpoint // its list of servers
 	listChanges  int               // changes of it
 	watches      bool
@@ -71,7 +71,7 @@
 	f.detectFailures(r)
 }
 
-// Drain says that a relay drains by hand, or does no longer.
+// Drain begins or ends a manual drain of a relay.
 func (f *Fleet) Drain(r *Relay, on bool) { r.draining = on }
 
 func (r *Relay) isUnreachable(s *Server) bool { return r.unreachable != nil && r.unreachable(s) }
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -10,7 +10,7 @@
 // setupLatency is how long a connection takes to open.
 const setupLatency = 20 * ms
 
-// State is how a server fares.
+// State is whether a server serves, and how it fails.
 type State uint8
 
 // The states.
@@ -184,8 +184,8 @@
 	if c.server != nil {
 		f.Fatal(fmt.Sprintf("%s: a second attempt for %d while one is out", f.Now, a.ID))
 	}
-	if told := r.drainKnownAt[s.Server]; told >= 0 {
-		f.Tally.LatestDrainSend = max(f.Tally.LatestDrainSend, f.Now-told)
+	if knownAt := r.drainKnownAt[s.Server]; knownAt >= 0 {
+		f.Tally.LatestDrainSend = max(f.Tally.LatestDrainSend, f.Now-knownAt)
 	}
 	c.server = s
 	c.attempt++
--- a/internal/simulation/model/tally.go
+++ b/internal/simulation/model/tally.go
@@ -54,8 +54,8 @@
 // down to chance.
 func (f *Fleet) noteSlowStartSend(s *Server) {
 	rules := f.settings.Rules
-	cold := f.Now - s.StartedAt
-	if s.StartedAt == 0 || cold > rules.SlowStartWindow {
+	uptime := f.Now - s.StartedAt
+	if s.StartedAt == 0 || uptime > rules.SlowStartWindow {
 		return
 	}
 	s.recentSends = append(s.recentSends, f.Now)
--- a/internal/simulation/network/meter.go
+++ b/internal/simulation/network/meter.go
@@ -124,12 +124,12 @@
 // Recorded is what each address has sent and received since Record, in the order of addresses.
 func (n *Network) Recorded() (all []Record) {
 	started := n.started.Load()
-	whole := int((time.Now().UnixNano() - started) / int64(time.Second))
+	fullSeconds := int((time.Now().UnixNano() - started) / int64(time.Second))
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	for address, m := range n.meters {
 		m.mu.Lock()
-		r := Record{Address: address, Seconds: make([]Sample, whole)}
+		r := Record{Address: address, Seconds: make([]Sample, fullSeconds)}
 		if m.started == started {
 			r.Total = m.total
 			copy(r.Seconds, m.seconds)
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -64,7 +64,7 @@
 	meters     map[string]*meter // they outlive endpoints that are started again
 	down       map[string]bool
 	cuts       map[string]cut
-	overflowed atomic.Uint64 // packets that a full endpoint had no room for
+	overflowed atomic.Uint64 // packets that came to a full endpoint
 }
 
 // lossScale is a loss of every packet.
@@ -162,7 +162,7 @@
 	}
 }
 
-// Overflowed is how many packets came to endpoints that had no room: their processes are too slow.
+// Overflowed is how many packets came to endpoints with full queues: their processes are too slow.
 func (n *Network) Overflowed() uint64 { return n.overflowed.Load() }
 
 // route finds the endpoint at an address; reachable is false where nothing comes through to it from the
--- a/internal/simulation/scale/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -22,7 +22,7 @@
 	CellsPerZone int           // divides the relays of each zone; 0 for a flat fleet
 	Dir          string        // for the relays' state files
 	StartSpread  time.Duration // over which the starts are spread
-	Keys         [][]byte      // that seal packets; with any, traffic is not told by kind
+	Keys         [][]byte      // that seal packets; with any, traffic is not counted by kind
 	Servers      int           // whose load reports the relays share; 0 for none
 	Arrivals     float64       // requests a second of each relay, by its status
 	// OnChange, if set, is called with each change at each relay. It must not block.
--- a/internal/simulation/scale/prober.go
+++ b/internal/simulation/scale/prober.go
@@ -73,10 +73,10 @@
 // Fetch is relay.Discovery's.
 func (p *prober) Fetch() { p.table.UpdateEndpoints(decide.Snapshot, p.endpoints) }
 
-// StartAttempt is relay.Servers': there are no clients, so no attempt is made.
+// StartAttempt is relay.ServerDialer's: there are no clients, so no attempt is made.
 func (p *prober) StartAttempt(*relay.Request, relay.Attempt) {}
 
-// Probe is relay.Servers': each server reports a load of its own, which changes a little each second.
+// Probe is relay.ServerDialer's: each server reports a load of its own, which changes a little each second.
 func (p *prober) Probe(s relay.Server, done func(decide.Status, decide.LoadReport)) {
 	load := 0.3 + 0.4*float64(s.Number%16)/16 + 0.02*float64(time.Now().Unix()%3)
 	time.AfterFunc(probeLatency, func() {
--- a/internal/simulation/scale/traffic.go
+++ b/internal/simulation/scale/traffic.go
@@ -95,7 +95,7 @@
 	checksumLength = 5
 )
 
-// countPacket counts a countPacket that is not sealed; a sealed one counts as Others.
+// countPacket counts a packet that is not sealed; a sealed one counts as Others.
 func (t *trafficCounter) countPacket(_ string, b []byte) {
 	size := len(b)
 	if len(b) > 2 && b[0] == typeLabel {
@@ -144,7 +144,7 @@
 	}
 }
 
-// countStream counts what is written to a countStream.
+// countStream counts what is written to a stream.
 func (t *trafficCounter) countStream(_ string, opening []byte, written int) {
 	switch {
 	case len(opening) == 0:
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -6,6 +6,6 @@
 //
 // Whoever appends never waits for a disk: one goroutine writes what has come, in one transaction a second. A
 // disk that is full, read-only or missing is logged once and tried again; meanwhile rows wait in a bounded
-// queue, and those that find no room are counted. After a SIGKILL at most the last second is lost. A
+// queue, and those that do not fit are dropped and counted. After a SIGKILL at most the last second is lost. A
 // transaction is there as a whole or not at all.
 package store
--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -93,7 +93,7 @@
 )
 
 // checkComplete returns ErrDamaged for a file that lacks pages which its newest valid meta page counts. bbolt
-// would map it all the same, and the first look at a page that is not there ends the process.
+// would map it all the same, and the first read of a page that is not there ends the process.
 func checkComplete(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -50,7 +50,7 @@
 	mu       sync.Mutex
 	db       *bolt.DB // nil while there is no file
 	queue    []row
-	dropped  uint64 // rows that found no room
+	dropped  uint64 // rows dropped from a full queue
 	writeErr error
 	newestMs int64 // time of the newest row that was appended
 }
@@ -105,7 +105,7 @@
 	s.enqueue(row{bucket, rowKey(atMs, id), value}, atMs)
 }
 
-// enqueue drops the oldest row that waits if there is no room.
+// enqueue queues a row, in place of the oldest that waits if the queue is full.
 func (s *Store) enqueue(r row, atMs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	s.queue = append(s.queue, r)
 }
 
-// DroppedRows is how many rows found no room since the start.
+// DroppedRows is how many rows a full queue has dropped since the start.
 func (s *Store) DroppedRows() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// requeue puts rows back to the front of the queue; the oldest go where there is no room.
+// requeue puts rows back to the front of the queue; the oldest are dropped where it is full.
 func (s *Store) requeue(rows []row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/cluster/cells.go
+++ b/internal/testing/cluster/cells.go
@@ -73,7 +73,7 @@
 }
 
 // writeMembers writes a relay's members' file anew: what it had at first, and its part of a plan. A relay of
-// a cell with a region has no founders of its own.
+// a cell with a region has no bootstrap size of its own.
 func (fleet *Cluster) writeMembers(i int, hasRegion bool, plan string) error {
 	r := fleet.Relays[i]
 	text := r.membersText
--- a/internal/testing/cluster/loadreports_test.go
+++ b/internal/testing/cluster/loadreports_test.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// watchFor waits, and looks for a server that is idle while requests are rejected.
+// watchFor waits, and checks for a server that is idle while requests are rejected.
 func (m *sharedLoad) watchFor(d time.Duration) {
 	for end := Now() + d; Now() < end; time.Sleep(25 * time.Millisecond) {
 		for i, s := range m.servers {
--- a/internal/testing/cluster/loopback.go
+++ b/internal/testing/cluster/loopback.go
@@ -7,7 +7,7 @@
 	"net"
 )
 
-// loopbackNet is what a cluster has of loopback for itself: a net, and the ports that its relays have there.
+// loopbackNet is a cluster's own part of loopback: a net, and the ports that its relays listen on there.
 type loopbackNet struct {
 	prefix                string // 127.x.y.
 	gossip, listen, admin int
--- a/internal/testing/cluster/operator_test.go
+++ b/internal/testing/cluster/operator_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// checkDrainByHand checks that a drain by hand is listed, and takes the relay's share, and that its end gives
+// checkDrainByHand checks that a manual drain is listed, and takes the relay's share, and that its end gives
 // it back.
 func checkDrainByHand(t *testing.T, fleet *Cluster, awaitWatched func(want string)) {
 	t.Helper()
--- a/internal/testing/fake/feed.go
+++ b/internal/testing/fake/feed.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Feed is the radar that all servers have their scans from: numbered from 1, the newest Keep are to be had.
+// Feed is the source of all servers' scans, which are numbered from 1. The newest Keep are available.
 type Feed struct {
 	Keep uint64
 
--- a/internal/testing/fake/scanserver.go
+++ b/internal/testing/fake/scanserver.go
@@ -19,7 +19,7 @@
 	// Load is what load reports say where Capacity is 0.
 	Load float64
 	// Capacity is how many connections fill the server. During slow start it grows evenly, from the part
-	// SlowStartCapacity at StartedAt to the whole of it after SlowStartWindow.
+	// SlowStartCapacity at StartedAt to all of it after SlowStartWindow.
 	Capacity          float64
 	StartedAt         time.Time
 	SlowStartCapacity float64
--- a/internal/testing/fake/tally.go
+++ b/internal/testing/fake/tally.go
@@ -14,7 +14,7 @@
 	Busy        int // answers BUSY
 	Failed      int // answers other than UP and BUSY
 	Moves       int // connections ended by MOVE
-	Breaks      int // connections ended without a word
+	Breaks      int // connections that ended without an answer, or later without a line to say so
 
 	Scans      uint64 // scans that came in order
 	Lost       uint64 // scans that never came
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -158,7 +158,7 @@
 	})
 }
 
-// FuzzForeignBody: a body that was sealed with the right key but is not what relays write is refused, not
+// FuzzForeignBody: a body that was sealed with the right key but is not what relays write is rejected, not
 // half read.
 func FuzzForeignBody(f *testing.F) {
 	r := ring(f, key("a", 1))
--- a/internal/wire/platform/frontend.go
+++ b/internal/wire/platform/frontend.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// pingAnswer answers a health check. A relay that is drained by hand is to be sent no one new. One that shuts
+// pingAnswer answers a health check. A relay that is drained manually is to be sent no one new. One that shuts
 // down still answers as healthy: in an upgrade the connection of whoever checks may be this process's, while
 // its successor serves the socket.
 func (f *Frontend) pingAnswer() []byte {
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -25,8 +25,8 @@
 }
 
 // A request that has come when its connection is to be ended, and that nobody has read yet, is served: the
-// bad order is made by ending the connection first and reading it after. One that is not whole by then gets a
-// clean end, not a reset.
+// bad order is made by ending the connection first and reading it after. One that is not complete by then gets
+// a clean end, not a reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
 	for name, end := range map[string]func(*connlimit.Permit){
 		"its time is up":       func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -130,7 +130,7 @@
 	return l
 }
 
-// startRelay starts both sides with servers that answer as told, by the id of each.
+// startRelay starts both sides with servers that answer as given, by the id of each.
 func startRelay(
 	t *testing.T, answers ...string,
 ) (address string, requests *relay.RequestTable, servers []*fake.EchoServer) {
@@ -206,7 +206,7 @@
 
 const openingLine = "OPEN a1 0f c=m,d=500"
 
-// PROTOCOL's table: what a server does, and what the client is told of it.
+// PROTOCOL's table: what a server does, and what the client gets.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct{ name, answer, line, want string }{
 		{"up", "UP", openingLine, "UP a1"},
@@ -295,8 +295,8 @@
 // openingWithID is a first line with an id of its own.
 func openingWithID(id string) string { return strings.Replace(openingLine, "a1", id, 1) }
 
-// Beyond the bound on descriptors a client is told so at once. Those that say nothing take no part of it:
-// they make room for whoever comes, and the connections that have asked stay.
+// Beyond the bound on descriptors a client is rejected at once. Those that say nothing take no part of it:
+// they are evicted for whoever comes, and the connections that have asked stay.
 func TestRequestsBeyondTheDescriptorLimitAreRejected(t *testing.T) {
 	address, _, _ := startRelay(t, "UP")
 	var kept []*client
@@ -400,7 +400,7 @@
 	}
 }
 
-// No part of an overlong line goes on to the server of a connection that is up; its client is sent away.
+// No part of an overlong line goes on to the server of a connection that is up; its client is migrated.
 func TestOverlongLineMigratesAnEstablishedClient(t *testing.T) {
 	address, _, _ := startRelay(t, "UP")
 	c := openConnection(t, address, openingLine)
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -13,8 +13,8 @@
 	"capersail/internal/wire/splice"
 )
 
-// The lines of the extension (docs/RESUME.md). All of this file is for requests that have a stream; the
-// others meet a nil once and nothing more.
+// The lines of the extension (docs/RESUME.md). All of this file is for requests that have a stream; for the
+// others streamOf returns nil.
 
 // streamOf returns the request's stream, nil if its client did not ask for one.
 func streamOf(request *relay.Request) *resume.Stream {
--- a/internal/wire/platform/server_dialer.go
+++ b/internal/wire/platform/server_dialer.go
@@ -155,7 +155,7 @@
 				return d.migrate()
 			}
 			d.checkDue = true
-		case !d.mayForward(): // the server's lease expired before this side had a look
+		case !d.mayForward(): // the server's lease expired before this side checked it
 			return d.migrate()
 		default:
 			d.Request.ServerClosed()
@@ -192,7 +192,7 @@
 	d.checkDue = true
 }
 
-// inspect looks at what is to be forwarded. It returns whether the server sends away a client that can
+// inspect looks at what is to be forwarded. It returns whether the server migrates a client that can
 // resume.
 func (d *downstream) inspect(line []byte) (serverMigrates bool) {
 	if !d.midLine {
@@ -222,8 +222,8 @@
 	return decide.Reset, decide.NoLoadReport
 }
 
-// migrate sends the client away. A stream that may go on elsewhere is ended at its server and released first:
-// the client may be at the next relay within a millisecond.
+// migrate sends the client MOVE and closes. A stream that may go on elsewhere is ended at its server and
+// released first: the client may be at the next relay within a millisecond.
 func (d *downstream) migrate() (decide.Status, decide.LoadReport) {
 	releaseStream(d.Half, d.stream)
 	if d.midLine { // nothing can be said within a line
--- a/internal/wire/xmpp/scanner.go
+++ b/internal/wire/xmpp/scanner.go
@@ -24,7 +24,7 @@
 
 const (
 	streamHeader      itemKind = iota // a stream's start tag
-	firstLevelElement                 // a whole element of the stream's first level
+	firstLevelElement                 // a complete element of the stream's first level
 	streamEnd                         // the stream's end tag
 )
 
@@ -157,7 +157,7 @@
 	return s.takeTag(string(tag[1 : len(tag)-1]))
 }
 
-// scanMarkup takes the begin of a CDATA section. Document types and comments are restricted.
+// scanMarkup takes the beginning of a CDATA section. Document types and comments are restricted.
 func (s *scanner) scanMarkup(tag []byte) error {
 	if len(s.openTags) < 2 || len(tag) > len(cdataStart) || cdataStart[:len(tag)] != string(tag) {
 		return errRestricted
--- a/internal/wire/xmpp/stanzas.go
+++ b/internal/wire/xmpp/stanzas.go
@@ -60,7 +60,7 @@
 }
 
 // forwardQueue forwards what the client has queued. While a ping is out and late, and while too much is
-// unconfirmed, it stays queued; all forwards regardless. Its error is the connection's.
+// unconfirmed, it stays queued, unless all is set. Its error is the connection's.
 func (a *attempt) forwardQueue(all bool) error {
 	for {
 		now := a.dialer.Clock.Now()
@@ -95,7 +95,7 @@
 	return n
 }
 
-// nextSilenceCheck is the instant at which the server's silence is to be looked at; 0 is never.
+// nextSilenceCheck is the instant at which the server's silence is to be checked; 0 is never.
 func (a *attempt) nextSilenceCheck() time.Duration {
 	switch {
 	case len(a.unconfirmed) == 0:
@@ -130,7 +130,7 @@
 }
 
 // endStream ends a stream whose server is gone, silent or done. What the server has not confirmed, and what
-// is still queued, comes back to the client as errors: never lost without a word, never sent twice.
+// is still queued, comes back to the client as errors: never lost silently, never sent twice.
 func (a *attempt) endStream(c condition, status decide.Status) decide.Status {
 	a.Request.ServerClosed() // before the client sees the end: its goroutine then reports that it has left
 	back := a.unconfirmed
@@ -153,7 +153,7 @@
 	return status
 }
 
-// migrate sends the client away, after what it has sent so far.
+// migrate ends the client's stream with a reset, after what it has sent so far, so that it opens it again.
 func (a *attempt) migrate(serverSilent bool) decide.Status {
 	if serverSilent || a.pingCovers > 0 || a.forwardQueue(true) != nil {
 		return a.endStream(resetCondition, decide.Reset)
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -105,13 +105,13 @@
 	return func() error { _, err := w.Recv(); return err }, stop
 }
 
-// callUntilReached repeats calls callUntilReached a server is met.
+// callUntilReached repeats calls until a server is reached.
 func (b *harness) callUntilReached(s *server) {
 	b.t.Helper()
 	b.callUntilReachedLosing(s, 0)
 }
 
-// callUntilReachedLosing is until, where up to lost calls may fail as Unavailable: those that were written to
+// callUntilReachedLosing is callUntilReached, where up to lost calls may fail as Unavailable: those that were written to
 // a server as it died, which gRPC does not send again, since they may have run.
 func (b *harness) callUntilReachedLosing(s *server, lost int) {
 	b.t.Helper()
