--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -126,7 +126,8 @@
 	f.meanLifetime = time.Hour
 }
 
-// runInterval notes loads, ends connections whose time has come, and counts connection time on overloaded servers.
+// runInterval notes loads, ends connections whose time has come, and counts connection time on overloaded
+// servers.
 func (f *Fleet) runInterval() {
 	loads := make([]float64, len(f.Servers))
 	for i, s := range f.Servers {
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -111,8 +111,8 @@
 	b.callUntilReachedLosing(s, 0)
 }
 
-// callUntilReachedLosing is callUntilReached, where up to lost calls may fail as Unavailable: those that were written to
-// a server as it died, which gRPC does not send again, since they may have run.
+// callUntilReachedLosing is callUntilReached, where up to lost calls may fail as Unavailable: those that were
+// written to a server as it died, which gRPC does not send again, since they may have run.
 func (b *harness) callUntilReachedLosing(s *server, lost int) {
 	b.t.Helper()
 	for i, before := 0, s.calls.Load(); s.calls.Load() == before; i++ {
