--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -34,11 +34,11 @@
 	return got.Fleet, got.Cells, err
 }
 
-// AskLooks asks a running relay what it knows of the others, and of the looks at servers by turns: nil where
-// it takes part in none.
-func AskLooks(path string) (*membership.Report, *probing.Report, error) {
-	got, err := askFleet(path, question{Fleet: true, Looks: true})
-	return got.Fleet, got.Looks, err
+// AskProbing asks a running relay what it knows of the others, and of the fleet's shared probing: nil where it
+// takes no part.
+func AskProbing(path string) (*membership.Report, *probing.Report, error) {
+	got, err := askFleet(path, question{Fleet: true, Probing: true})
+	return got.Fleet, got.Probing, err
 }
 
 func askFleet(path string, q question) (got reply, err error) {
--- a/internal/control/protocol.go
+++ b/internal/control/protocol.go
@@ -14,8 +14,8 @@
 
 // question is what is asked: of the fleet, or of time lines.
 type question struct {
-	Fleet bool `json:"fleet,omitempty"`
-	Looks bool `json:"looks,omitempty"`
+	Fleet   bool `json:"fleet,omitempty"`
+	Probing bool `json:"looks,omitempty"`
 	report.Query
 }
 
@@ -23,7 +23,7 @@
 type reply struct {
 	Fleet   *membership.Report `json:"fleet,omitempty"`
 	Cells   *cells.Report      `json:"cells,omitempty"`
-	Looks   *probing.Report    `json:"looks,omitempty"`
+	Probing *probing.Report    `json:"looks,omitempty"`
 	Error   string             `json:"error,omitempty"`
 	Reports []*report.Report   `json:"reports,omitempty"`
 	Event   *anomaly.Event     `json:"event,omitempty"`
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -153,9 +153,9 @@
 	}
 	members := s.sources.Fleet.Report()
 	answer := reply{Fleet: &members}
-	if q.Looks && s.sources.Probing != nil {
+	if q.Probing && s.sources.Probing != nil {
 		if known, ok := s.sources.Probing(); ok {
-			answer.Looks = &known
+			answer.Probing = &known
 		}
 	}
 	if s.sources.Cells != nil {
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -49,7 +49,7 @@
 
 func (p *membersPart) name() string { return "members" }
 
-func (p *membersPart) join(front *frontSeam) {
+func (p *membersPart) join(front *frontHooks) {
 	if front.platform == nil {
 		return
 	}
@@ -81,7 +81,7 @@
 }
 
 // quarantined says that a member's readings are left out.
-func (p *membersPart) quarantined(front *frontSeam, name string) {
+func (p *membersPart) quarantined(front *frontHooks, name string) {
 	p.log.Warn().Str("member", name).
 		Msg("member quarantined, its load reports are left out for 30 s: " +
 			"check its clock, network and version")
@@ -94,7 +94,7 @@
 }
 
 // lifecycleState is what a relay says of itself to the others.
-func (s *frontSeam) lifecycleState() membership.Lifecycle {
+func (s *frontHooks) lifecycleState() membership.Lifecycle {
 	switch {
 	case s.requests.ShuttingDown():
 		return membership.Leaving
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -20,7 +20,7 @@
 	// name is for the log and for errors.
 	name() string
 	// join adds the part to a front, before that serves.
-	join(front *frontSeam)
+	join(front *frontHooks)
 	// start begins the part's work, once all fronts are joined. What it starts ends in stop, whatever becomes
 	// of ctx.
 	start(ctx context.Context) error
@@ -48,8 +48,8 @@
 	return fmt.Errorf("%s: LB_CONFIG is not set: only %s", path, only)
 }
 
-// frontSeam is a front as a part may join it.
-type frontSeam struct {
+// frontHooks is a front as a part may join it.
+type frontHooks struct {
 	front           string
 	relay           string // the relay's name
 	requests        *relay.RequestTable
@@ -62,7 +62,7 @@
 }
 
 // notifyChange hands a change in the fleet to the parts that listen.
-func (s *frontSeam) notifyChange(change membership.Changed) {
+func (s *frontHooks) notifyChange(change membership.Changed) {
 	for _, listen := range s.changeListeners {
 		listen(change)
 	}
@@ -93,7 +93,7 @@
 	return all, nil
 }
 
-func (all partList) join(front *frontSeam) {
+func (all partList) join(front *frontHooks) {
 	for _, p := range all {
 		p.join(front)
 	}
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -32,7 +32,7 @@
 	}
 	limiter := connlimit.New(clock, connectionCapacity(c.Sockets, c.Admin != ""), log)
 	front := &platform.Frontend{Requests: requests, Deployment: c.Deployment, Limiter: limiter}
-	seam := &frontSeam{
+	seam := &frontHooks{
 		front:     "platform",
 		relay:     c.Name,
 		requests:  requests,
--- a/internal/lifecycle/resume_part.go
+++ b/internal/lifecycle/resume_part.go
@@ -36,7 +36,7 @@
 
 func (p *resumePart) name() string { return "resume" }
 
-func (p *resumePart) join(front *frontSeam) {
+func (p *resumePart) join(front *frontHooks) {
 	if front.platform == nil {
 		return
 	}
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -38,7 +38,7 @@
 
 func (p *timelinePart) name() string { return "timeline" }
 
-func (p *timelinePart) join(front *frontSeam) {
+func (p *timelinePart) join(front *frontHooks) {
 	c := watch.Config{
 		Relay:      front.relay,
 		Buffer:     p.config.Buffer,
@@ -62,7 +62,7 @@
 
 // openStore opens a front's store: each front has servers of its own, and a file for them. One that cannot be
 // opened is no reason not to serve.
-func (p *timelinePart) openStore(front *frontSeam) *store.Store {
+func (p *timelinePart) openStore(front *frontHooks) *store.Store {
 	file := p.config.Store
 	if len(p.stores) > 0 {
 		file += "." + front.front
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -43,7 +43,7 @@
 		Log:            log,
 	}
 	requests := relay.NewRequestTable(deployment, clock, servers)
-	parts.join(&frontSeam{front: "xmpp", relay: "xmpp", requests: requests, clock: clock})
+	parts.join(&frontHooks{front: "xmpp", relay: "xmpp", requests: requests, clock: clock})
 	endpoints := zookeeper.NewClient(c.ensemble(), requests, log)
 	requests.UpdateEndpoints(decide.Cached, nil)
 	endpoints.Watch() // there is no cached list to begin with
--- a/internal/testing/cluster/membership_test.go
+++ b/internal/testing/cluster/membership_test.go
@@ -124,7 +124,7 @@
 func mixDigests(t *testing.T, fleet *Cluster) {
 	t.Helper()
 	for i := range fleet.Relays {
-		fleet.ChangeFaults(i, func(r *faultpoint.Rules) { r.DigestVersion = []int{0, -1, 1}[i%3] })
+		fleet.ChangeFaults(i, func(r *faultpoint.Rules) { r.StatusVersion = []int{0, -1, 1}[i%3] })
 	}
 	fleet.Kill(1)
 	time.Sleep(500 * time.Millisecond)
--- a/internal/testing/cluster/operator_test.go
+++ b/internal/testing/cluster/operator_test.go
@@ -103,7 +103,7 @@
 			return checkContains(string(text), want)
 		})
 	}
-	checkDrainByHand(t, fleet, awaitWatched)
+	checkManualDrain(t, fleet, awaitWatched)
 	checkDeath(t, fleet, awaitWatched)
 	watch.Process.Signal(syscall.SIGINT)
 	if err := watch.Wait(); err != nil {
@@ -111,9 +111,9 @@
 	}
 }
 
-// checkDrainByHand checks that a drain by hand is listed, and takes the relay's share, and that its end gives
+// checkManualDrain checks that a manual drain is listed, and takes the relay's share, and that its end gives
 // it back.
-func checkDrainByHand(t *testing.T, fleet *Cluster, awaitWatched func(want string)) {
+func checkManualDrain(t *testing.T, fleet *Cluster, awaitWatched func(want string)) {
 	t.Helper()
 	drained := "http://" + fleet.Relays[1].Admin + "/ops/drain/"
 	http.Post(drained+"start", "", nil)
--- a/internal/testing/faultpoint/rules.go
+++ b/internal/testing/faultpoint/rules.go
@@ -28,5 +28,5 @@
 	NoCorroboration bool    `json:"gullible"` // shared load reports are believed: a protection taken out
 
 	// DigestVersion has digests be of an earlier version if it is negative, of a later one if positive.
-	DigestVersion int `json:"digest"`
+	StatusVersion int `json:"digest"`
 }
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -170,7 +170,7 @@
 // adjustStatus makes a status one of an earlier version, which lacks what is not needed, or of a later one,
 // which has more.
 func (n *Node) adjustStatus(d membership.Status) any {
-	version := faultpoint.CurrentRules().DigestVersion
+	version := faultpoint.CurrentRules().StatusVersion
 	if version == 0 {
 		return d
 	}
