--- a/internal/testing/cluster/recordingserver.go
+++ b/internal/testing/cluster/recordingserver.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"sync"
 	"time"
 
@@ -16,6 +17,7 @@
 	mu          sync.Mutex
 	connectedAt []time.Duration
 	probedAt    []time.Duration
+	reported    []float64 // the loads of the reports, as probedAt
 }
 
 // NewRecordingServer starts a server on loopback that runs until Close.
@@ -42,13 +44,29 @@
 // server's capacity, and has probes recorded.
 func (s *RecordingServer) ReportPerConnection(load float64) {
 	s.ReportFrom(func() string {
+		reported := load * float64(s.OpenConnections())
 		s.mu.Lock()
 		s.probedAt = append(s.probedAt, Now())
+		s.reported = append(s.reported, reported)
 		s.mu.Unlock()
-		return fmt.Sprintf("x0=%.4f", load*float64(s.OpenConnections()))
+		return fmt.Sprintf("x0=%.4f", reported)
 	})
 }
 
+// LowestReport returns the lowest load that the server has reported to a probe between two instants, +Inf if it
+// was not probed.
+func (s *RecordingServer) LowestReport(from, to time.Duration) float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	lowest := math.Inf(1)
+	for i, at := range s.probedAt {
+		if at >= from && at < to {
+			lowest = min(lowest, s.reported[i])
+		}
+	}
+	return lowest
+}
+
 // ProbeCount returns how many probes came between two instants.
 func (s *RecordingServer) ProbeCount(from, to time.Duration) int {
 	s.mu.Lock()
