--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -8,8 +8,8 @@
 	// pollRetryInterval is the longest backoff after a failed poll: half of the time in which watch events
 	// have to come.
 	pollRetryInterval = 3 * time.Second
-	// pollsPerPollWithin is how many polls discovery surely works through in Rules.PollWithin.
-	pollsPerPollWithin = 140
+	// pollsPerPollDeadline is how many polls discovery surely works through in Rules.PollDeadline.
+	pollsPerPollDeadline = 140
 	// minPollBackoffTicks is the least base of the backoff, in ticks.
 	minPollBackoffTicks = 100
 )
@@ -40,7 +40,7 @@
 	switch {
 	case kind == Delta || kind == Snapshot:
 		p.consecutivePollFailures = 0
-	case kind == Cached && p.settings.MustSubscribe:
+	case kind == CachedSnapshot && p.settings.MustSubscribe:
 		p.firstPollPending = true
 		p.setTimer(timerDiscovery, firstPollTimer, time.Duration(p.timerPhase*float64(p.pollSpread())))
 	}
@@ -49,8 +49,8 @@
 // pollSpread is how long all relays take to poll discovery, which works through polls in turn, those given up
 // too.
 func (p *discoveryPolling) pollSpread() time.Duration {
-	within := p.settings.Rules.PollWithin
-	return min(within/pollsPerPollWithin*time.Duration(p.fleet.status.Relays), within*3/4)
+	within := p.settings.Rules.PollDeadline
+	return min(within/pollsPerPollDeadline*time.Duration(p.fleet.status.Relays), within*3/4)
 }
 
 // pollDiscovery polls: a timer for it has fired. The first poll is made only once.
--- a/decide/discovery_test.go
+++ b/decide/discovery_test.go
@@ -12,8 +12,8 @@
 	for me := range 10 {
 		set.RelayIndex = me
 		b := New(set, 1)
-		timers := actionsOf[Timer](b.Handle(time.Minute, WatchEvent{Kind: Cached}, nil))
-		if len(timers) != 1 || timers[0].After > set.Rules.PollWithin/2 {
+		timers := actionsOf[Timer](b.Handle(time.Minute, WatchEvent{Kind: CachedSnapshot}, nil))
+		if len(timers) != 1 || timers[0].After > set.Rules.PollDeadline/2 {
 			t.Fatalf("relay %d asks with %v", me, timers)
 		}
 		starts[timers[0].After] = true
@@ -57,7 +57,7 @@
 // The turns of a fleet grow with it, up to a part of the time in which a relay has to poll.
 func TestPollSpreadGrowsWithTheFleet(t *testing.T) {
 	for relays, want := range map[int]time.Duration{
-		1:   10 * time.Second / pollsPerPollWithin,
+		1:   10 * time.Second / pollsPerPollDeadline,
 		70:  5 * time.Second,
 		300: 7500 * ms,
 	} {
@@ -72,7 +72,7 @@
 	set := settings()
 	set.MustSubscribe = true
 	p := &discoveryPolling{environment: testEnvironment(set), fleet: newFleetView(10)}
-	p.recordAnswer(Cached)
+	p.recordAnswer(CachedSnapshot)
 	p.expediteFirstPoll()
 	p.expediteFirstPoll()
 	if n := len(actionsOf[Timer](p.actions)); n != 2 {
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -48,7 +48,7 @@
 // apply takes in a watch event that brings a list. From the moment a server drains or is gone nothing new
 // goes to it (rule 3). One that started within the slow-start window is in slow start.
 func (e *endpointSet) apply(event WatchEvent, now, slowStartWindow time.Duration) {
-	if event.Kind == Snapshot || event.Kind == Cached { // who is not in a complete list is gone
+	if event.Kind == Snapshot || event.Kind == CachedSnapshot { // who is not in a complete list is gone
 		for i := range e.servers {
 			s := &e.servers[i]
 			e.updateEndpoint(Endpoint{Server: ServerID(i), Zone: s.Zone, StartedAt: s.StartedAt})
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -55,7 +55,7 @@
 	rng := rand.New(rand.NewPCG(3, 3))
 	set := newEndpointSet(3)
 	for range 2000 {
-		kind := []WatchKind{Delta, Delta, Delta, LocalDelta, Snapshot, Cached}[rng.IntN(6)]
+		kind := []WatchKind{Delta, Delta, Delta, LocalDelta, Snapshot, CachedSnapshot}[rng.IntN(6)]
 		var list []Endpoint
 		for range rng.IntN(8) {
 			list = append(list, Endpoint{
--- a/decide/events.go
+++ b/decide/events.go
@@ -66,11 +66,11 @@
 
 // The kinds of watch event.
 const (
-	Delta       WatchKind = iota // changed endpoints only
-	Snapshot                     // the complete list
-	Cached                       // the complete list as last held, perhaps old
-	WatchFailed                  // no list: a poll failed or the subscription broke
-	LocalDelta                   // changes that the relay itself knows of; discovery has said nothing
+	Delta          WatchKind = iota // changed endpoints only
+	Snapshot                        // the complete list
+	CachedSnapshot                  // the complete list as last held, perhaps old
+	WatchFailed                     // no list: a poll failed or the subscription broke
+	LocalDelta                      // changes that the relay itself knows of; discovery has said nothing
 )
 
 // LoadReport is what a server says of its load. A field that did not come is negative.
@@ -95,23 +95,23 @@
 	}
 	// Request is a new request; it gets one final answer.
 	Request struct {
-		ID        RequestID
-		Class     Class
-		Tenant    Tenant
-		Key       uint64        // idempotency key, 0 if none
-		TimeLeft  time.Duration // of its client's deadline
-		LoadHint  float64       // usual load, in seconds of work a second, 0 if not known
-		Group     uint64        // connections of one group share work, 0 if none
-		Returning bool          // the client comes back after a break or a migration, or retries
-		Flow      bool          // packets of an open connection reach this relay now
+		ID           RequestID
+		Class        Class
+		Tenant       Tenant
+		Key          uint64        // idempotency key, 0 if none
+		TimeLeft     time.Duration // of its client's deadline
+		LoadHint     float64       // usual load, in seconds of work a second, 0 if not known
+		Group        uint64        // connections of one group share work, 0 if none
+		Returning    bool          // the client comes back after a break or a migration, or retries
+		ExistingFlow bool          // packets of an open connection reach this relay now
 	}
-	// Inherited is a connection that is open through this relay at its start.
-	Inherited struct {
+	// InheritedConnection is a connection that is open through this relay at its start.
+	InheritedConnection struct {
 		Request Request
 		Server  ServerID
 	}
-	// Opened says that an attempt's connection is up.
-	Opened struct {
+	// ConnectionOpened says that an attempt's connection is up.
+	ConnectionOpened struct {
 		ID           RequestID
 		Attempt      int // from 0
 		Server       ServerID
@@ -164,7 +164,7 @@
 		BudgetShare       float64       // this relay's part, 0 to 1, of a slow-start budget in NearZones
 		FarBudgetShare    float64       // its part in other zones
 		NearZones         []Zone        // nil: every zone is near
-		BudgetUntil       time.Duration // both parts are 0 from then on, until another comes; 0 for never
+		BudgetExpiresAt   time.Duration // both parts are 0 from then on, until another comes; 0 for never
 		PeerRequestRate   float64       // requests a second to the other relays, negative if not known
 		PeerConnections   int           // open through the other relays, negative if not known
 		PeerMigrationRate float64       // connections a second that the other relays send away as they drain
@@ -178,16 +178,16 @@
 	}
 )
 
-func (WatchEvent) event()     {}
-func (Request) event()        {}
-func (Inherited) event()      {}
-func (Opened) event()         {}
-func (Outcome) event()        {}
-func (ClientGone) event()     {}
-func (TimerFired) event()     {}
-func (ProbeResult) event()    {}
-func (GossipReading) event()  {}
-func (ConnectionLoad) event() {}
-func (MessageDelay) event()   {}
-func (FleetStatus) event()    {}
-func (PeerMessage) event()    {}
+func (WatchEvent) event()          {}
+func (Request) event()             {}
+func (InheritedConnection) event() {}
+func (ConnectionOpened) event()    {}
+func (Outcome) event()             {}
+func (ClientGone) event()          {}
+func (TimerFired) event()          {}
+func (ProbeResult) event()         {}
+func (GossipReading) event()       {}
+func (ConnectionLoad) event()      {}
+func (MessageDelay) event()        {}
+func (FleetStatus) event()         {}
+func (PeerMessage) event()         {}
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -32,7 +32,7 @@
 // budgetShare is the part, 0 to 1, of a fleet-wide budget for a server of the zone that is this relay's now.
 func (f *fleetView) budgetShare(now time.Duration, zone Zone) float64 {
 	switch {
-	case f.status.BudgetUntil > 0 && now >= f.status.BudgetUntil:
+	case f.status.BudgetExpiresAt > 0 && now >= f.status.BudgetExpiresAt:
 		return 0
 	case f.status.NearZones != nil && !slices.Contains(f.status.NearZones, zone):
 		return f.status.FarBudgetShare
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -21,16 +21,16 @@
 			BudgetShare: 0.25, FarBudgetShare: 0.01, NearZones: []Zone{},
 		}, 0.01, 0.01},
 		"lapsed": {FleetStatus{
-			BudgetShare:    0.25,
-			FarBudgetShare: 0.01,
-			NearZones:      []Zone{1},
-			BudgetUntil:    9 * time.Second,
+			BudgetShare:     0.25,
+			FarBudgetShare:  0.01,
+			NearZones:       []Zone{1},
+			BudgetExpiresAt: 9 * time.Second,
 		}, 0, 0},
 		"not lapsed yet": {FleetStatus{
-			BudgetShare:    0.25,
-			FarBudgetShare: 0.01,
-			NearZones:      []Zone{1},
-			BudgetUntil:    11 * time.Second,
+			BudgetShare:     0.25,
+			FarBudgetShare:  0.01,
+			NearZones:       []Zone{1},
+			BudgetExpiresAt: 11 * time.Second,
 		}, 0.25, 0.01},
 	} {
 		fleet := newFleetView(1)
--- a/decide/golden_draw_test.go
+++ b/decide/golden_draw_test.go
@@ -114,13 +114,13 @@
 		ReportsMessageDelay: c.chance(0.5),
 		MustSubscribe:       c.chance(0.6),
 		Rules: Rules{
-			PollWithin:        goldenPick(c, 0, 5*time.Second, 10*time.Second),
+			PollDeadline:      goldenPick(c, 0, 5*time.Second, 10*time.Second),
 			SlowStartCapacity: goldenPick(c, 0, 0.1, 0.25),
 			SlowStartWindow:   goldenPick(c, 0, 2*time.Second, 8*time.Second, 20*time.Second),
 			OverloadFactor:    goldenPick(c, 2.0, 3.0),
 			OverloadWindow:    goldenPick(c, 0, time.Second, 3*time.Second),
 		},
-		Prices:                  Prices{CrossZone: goldenPick(c, 0, 0.05, 0.5), Probe: 0.002, Move: 0.02},
+		Prices:                  Prices{CrossZone: goldenPick(c, 0, 0.05, 0.5), Probe: 0.002, Migration: 0.02},
 		OverQuotaPriorityWeight: 0.5,
 	}
 	for range goldenPick(c, 0, 1, 2, 4) {
@@ -135,7 +135,7 @@
 func (c *goldenCourse) drawRequest(key uint64, returned bool) Request {
 	r := Request{
 		ID: RequestID(len(c.conns) + 1), Class: Class(c.n(5)), Tenant: Tenant(c.n(5) - 1),
-		Key: key, LoadHint: c.rng.Float64(), Returning: returned, Flow: c.chance(0.1),
+		Key: key, LoadHint: c.rng.Float64(), Returning: returned, ExistingFlow: c.chance(0.1),
 		TimeLeft: goldenPick(c, 2*time.Second, 2*time.Second, time.Second, c.upTo(300*ms), 4*time.Second),
 	}
 	if key == 0 && c.chance(0.7) {
@@ -154,7 +154,7 @@
 	conn := c.conn(r.ID)
 	conn.on, conn.open, conn.attempts = int(on), true, 1
 	c.servers[on].open++
-	c.handle(Inherited{Request: r, Server: on})
+	c.handle(InheritedConnection{Request: r, Server: on})
 	c.after(c.upTo(2*c.life), Outcome{ID: r.ID, Server: on, Status: OK, Closed: true, Report: NoLoadReport})
 }
 
@@ -183,7 +183,7 @@
 		SharesPlacements:  c.chance(0.5),
 	}
 	if c.chance(0.3) {
-		f.BudgetUntil = c.now + c.upTo(5*time.Second)
+		f.BudgetExpiresAt = c.now + c.upTo(5*time.Second)
 	}
 	if c.chance(0.4) {
 		f.NearZones = []Zone{}
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -41,12 +41,12 @@
 type Prices struct {
 	CrossZone float64 // an attempt that crosses zones
 	Probe     float64 // a probe for each first attempt
-	Move      float64 // a migration for each first attempt
+	Migration float64 // a migration for each first attempt
 }
 
 // Rules are the figures of the protocol's four rules.
 type Rules struct {
-	PollWithin        time.Duration // a relay without a subscription for this long counts as notified
+	PollDeadline      time.Duration // a relay without a subscription for this long counts as notified
 	SlowStartCapacity float64       // least part of its capacity, 0 to 1, that a server has at its start
 	SlowStartWindow   time.Duration // from its start on; it is warm no later than this
 	OverloadFactor    float64       // sent more than this multiple of its present capacity
@@ -87,8 +87,8 @@
 	if set.Rules.SlowStartCapacity <= 0 || set.Rules.SlowStartCapacity > 1 {
 		set.Rules.SlowStartCapacity = 1
 	}
-	if set.Rules.PollWithin <= 0 {
-		set.Rules.PollWithin = 10 * time.Second
+	if set.Rules.PollDeadline <= 0 {
+		set.Rules.PollDeadline = 10 * time.Second
 	}
 	if set.Rules.OverloadWindow <= 0 {
 		set.Rules.OverloadWindow = time.Second
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -90,10 +90,10 @@
 func leaseEndpoints(requests *relay.RequestTable, c *Config) {
 	pollWithin := time.Duration(0)
 	if c.Deployment.Settings.MustSubscribe {
-		pollWithin = c.Deployment.Settings.Rules.PollWithin
+		pollWithin = c.Deployment.Settings.Rules.PollDeadline
 	}
 	requests.LeaseEndpointList(pollWithin)
-	requests.UpdateEndpoints(decide.Cached, c.CachedList.Endpoints)
+	requests.UpdateEndpoints(decide.CachedSnapshot, c.CachedList.Endpoints)
 }
 
 // reloadPlatform takes in what of the file can change while the relay runs: discovery's address and the
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -45,7 +45,7 @@
 	requests := relay.NewRequestTable(deployment, clock, servers)
 	parts.join(&frontHooks{front: "xmpp", relay: "xmpp", requests: requests, clock: clock})
 	endpoints := zookeeper.NewClient(c.ensemble(), requests, log)
-	requests.UpdateEndpoints(decide.Cached, nil)
+	requests.UpdateEndpoints(decide.CachedSnapshot, nil)
 	endpoints.Watch() // there is no cached list to begin with
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -116,7 +116,7 @@
 		ConnectTimeout: relay.Duration(c.ConnectMs),
 		Tick:           xmppTick,
 		MustSubscribe:  true,
-		Rules:          decide.Rules{PollWithin: relay.Duration(c.ZooKeeper.SessionMs)},
+		Rules:          decide.Rules{PollDeadline: relay.Duration(c.ZooKeeper.SessionMs)},
 	}
 	for i, class := range c.Class {
 		deployment.Classes[class.Name] = decide.Class(i)
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -18,7 +18,7 @@
 			table := NewRequestTable(&Deployment{}, clock, nil)
 			day := func() time.Time { return clock.Wall(clock.Now()) }
 			old := Endpoint{ID: "old", State: decide.Ready, StartedAt: day().Add(-time.Minute)}
-			table.UpdateEndpoints(decide.Cached, []Endpoint{old})
+			table.UpdateEndpoints(decide.CachedSnapshot, []Endpoint{old})
 			before := table.endpoints.byID["old"].startedAt
 			clock.Set(clock.Now() + 20*time.Second)
 			clock.StepWallClock(step)
--- a/internal/relay/doubles_test.go
+++ b/internal/relay/doubles_test.go
@@ -116,7 +116,7 @@
 		Deadline:                time.Second,
 		MessageLatencyObjective: 50 * time.Millisecond,
 	})
-	table.UpdateEndpoints(decide.Cached, readyEndpoints("a"))
+	table.UpdateEndpoints(decide.CachedSnapshot, readyEndpoints("a"))
 	loop := NewEventLoop(table, 7, &fakeDiscovery{}, zerolog.Nop())
 	loop.Step()
 	return loopTest{EventLoop: loop, dialer: dialer, clock: table.Clock}
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -69,7 +69,7 @@
 	if kind != decide.Delta && kind != decide.WatchFailed {
 		l.removeOthers(list)
 	}
-	l.complete = l.complete || kind == decide.Snapshot || kind == decide.Cached && len(list) > 0
+	l.complete = l.complete || kind == decide.Snapshot || kind == decide.CachedSnapshot && len(list) > 0
 	event := decide.WatchEvent{Kind: kind}
 	for _, e := range list {
 		s := l.byID[e.ID]
--- a/internal/relay/fleet_status.go
+++ b/internal/relay/fleet_status.go
@@ -36,7 +36,7 @@
 		status.NearZones = zoneNumbers(e.NearZones, zoneNumber)
 	}
 	if e.ShareValidUntil != duration.Forever {
-		status.BudgetUntil = (now + e.ShareValidUntil - own).Round(decisionPrecision)
+		status.BudgetExpiresAt = (now + e.ShareValidUntil - own).Round(decisionPrecision)
 	}
 	return status
 }
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -87,10 +87,10 @@
 		}},
 		Tenants: []decide.TenantInfo{{ServiceShare: 0.5}, {ServiceShare: 0.5}},
 		Rules: decide.Rules{
-			PollWithin: 10 * time.Second, SlowStartCapacity: 0.36, SlowStartWindow: 8 * time.Second,
+			PollDeadline: 10 * time.Second, SlowStartCapacity: 0.36, SlowStartWindow: 8 * time.Second,
 			OverloadFactor: 4, OverloadWindow: 1500 * ms,
 		},
-		Prices: decide.Prices{CrossZone: 0.03, Probe: 0.002, Move: 0.02},
+		Prices: decide.Prices{CrossZone: 0.03, Probe: 0.002, Migration: 0.02},
 	}
 	for i := range f.settings.Tenants {
 		f.settings.Tenants[i].ConnectionQuota = float64(cfg.Connections) / cfg.Utilisation * quotaPart / 2
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -56,7 +56,7 @@
 	if f.cfg.Peering {
 		r.startPeering()
 	}
-	f.deliverList(r, decide.Cached, known)
+	f.deliverList(r, decide.CachedSnapshot, known)
 }
 
 // Kill ends a relay with all that it holds; its clients come again.
--- a/internal/wire/discovery/moments_test.go
+++ b/internal/wire/discovery/moments_test.go
@@ -131,7 +131,7 @@
 			address, asked := script(t, c.answers...)
 			x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 			held := relay.Endpoint{ID: "s-1", Address: "127.0.0.1:1", State: decide.Ready}
-			x.UpdateEndpoints(decide.Cached, []relay.Endpoint{held})
+			x.UpdateEndpoints(decide.CachedSnapshot, []relay.Endpoint{held})
 			client := NewClient(address, x, zerolog.Nop())
 			client.timeouts = timeouts{
 				response: 5 * time.Second,
--- a/internal/wire/simulator/mapping_test.go
+++ b/internal/wire/simulator/mapping_test.go
@@ -50,13 +50,13 @@
 			GroupAffinity:           true,
 			ReportsMessageDelay:     true,
 			Rules: decide.Rules{
-				PollWithin:        10 * time.Second,
+				PollDeadline:      10 * time.Second,
 				SlowStartCapacity: 0.31,
 				SlowStartWindow:   6600 * time.Millisecond,
 				OverloadFactor:    3,
 				OverloadWindow:    3 * time.Second,
 			},
-			Prices: decide.Prices{CrossZone: 1.5, Probe: 0.5, Move: 2.5},
+			Prices: decide.Prices{CrossZone: 1.5, Probe: 0.5, Migration: 2.5},
 			Classes: []decide.ClassInfo{
 				{
 					LatencyObjective:        300 * time.Millisecond,
--- a/internal/wire/simulator/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -23,11 +23,11 @@
 //	limits.probes, retryAfter            Settings.Probes, RetryAfter
 //	limits.maxRetryAfterMs               Settings.MaxRetryAfter
 //	limits.connectTimeoutMs              Settings.ConnectTimeout
-//	rules.askWithinMs                    Rules.PollWithin
+//	rules.askWithinMs                    Rules.PollDeadline
 //	rules.startCapacity                  Rules.SlowStartCapacity
 //	rules.coldMs                         Rules.SlowStartWindow
 //	rules.fallMultiple, overloadForMs    Rules.OverloadFactor, OverloadWindow
-//	prices.crossZone, probe, moves       Prices.CrossZone, Probe, Move
+//	prices.crossZone, probe, moves       Prices.CrossZone, Probe, Migration
 //	specifics.groups                     Settings.GroupAffinity
 //	specifics.tellsDelay                 Settings.ReportsMessageDelay
 //	specifics.messageAimMs               ClassInfo.MessageLatencyObjective, by class
@@ -65,7 +65,7 @@
 		ReportsMessageDelay:     object.GetBool("specifics", "tellsDelay"),
 		MustSubscribe:           string(object.GetStringBytes("discovery")) == "ask",
 		Rules: decide.Rules{
-			PollWithin:        durationAt(object, "rules", "askWithinMs"),
+			PollDeadline:      durationAt(object, "rules", "askWithinMs"),
 			SlowStartCapacity: object.GetFloat64("rules", "startCapacity"),
 			SlowStartWindow:   durationAt(object, "rules", "coldMs"),
 			OverloadFactor:    object.GetFloat64("rules", "fallMultiple"),
@@ -74,7 +74,7 @@
 		Prices: decide.Prices{
 			CrossZone: object.GetFloat64("prices", "crossZone"),
 			Probe:     object.GetFloat64("prices", "probe"),
-			Move:      object.GetFloat64("prices", "moves"),
+			Migration: object.GetFloat64("prices", "moves"),
 		},
 	}
 }
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -152,7 +152,7 @@
 				},
 			)
 		}
-		x.UpdateEndpoints(decide.Cached, list)
+		x.UpdateEndpoints(decide.CachedSnapshot, list)
 		calls := map[*relay.Request]time.Duration{}
 		for i := range 24 {
 			if len(site.Settings.Classes) == 0 {
--- a/internal/wire/simulator/vocabulary.go
+++ b/internal/wire/simulator/vocabulary.go
@@ -17,11 +17,11 @@
 	eventStop           eventKind = "crashNow"      // it is gone, with all that it knew
 	eventEndpointList   eventKind = "registry"      // decide.WatchEvent
 	eventRequest        eventKind = "newRequest"    // decide.Request
-	eventInherited      eventKind = "inherited"     // decide.Inherited
+	eventInherited      eventKind = "inherited"     // decide.InheritedConnection
 	eventTimer          eventKind = "alarm"         // decide.TimerFired
 	eventProbeResult    eventKind = "echo"          // decide.ProbeResult
 	eventPeerMessage    eventKind = "fromPeer"      // decide.PeerMessage
-	eventOpened         eventKind = "flowing"       // decide.Opened
+	eventOpened         eventKind = "flowing"       // decide.ConnectionOpened
 	eventNote           eventKind = "interim"       // decide.ConnectionLoad or decide.MessageDelay
 	eventAttemptOutcome eventKind = "closedAttempt" // decide.Outcome
 	eventClientGone     eventKind = "dropped"       // decide.ClientGone
@@ -53,7 +53,7 @@
 var watchKinds = map[uint64]decide.WatchKind{
 	0: decide.Snapshot,
 	2: decide.WatchFailed,
-	3: decide.Cached,
+	3: decide.CachedSnapshot,
 	4: decide.Delta,
 }
 
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -93,7 +93,7 @@
 			ConnectTimeout: t.connect,
 			Tick:           tick,
 			MustSubscribe:  true,
-			Rules:          decide.Rules{PollWithin: t.session},
+			Rules:          decide.Rules{PollDeadline: t.session},
 			Classes: []decide.ClassInfo{{
 				LatencyObjective: t.connect,
 				Deadline:         t.dial,
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -54,7 +54,7 @@
 	requests := relay.NewRequestTable(cfg.deployment(t), clock, servers)
 	ensemble := zookeeper.Ensemble{Addresses: cfg.ZooKeeper, Path: cfg.Path, SessionTimeout: t.session}
 	endpoints := zookeeper.NewClient(ensemble, requests, log)
-	requests.UpdateEndpoints(decide.Cached, nil)
+	requests.UpdateEndpoints(decide.CachedSnapshot, nil)
 	endpoints.Watch()
 	go endpoints.Run(ctx)
 	go relay.NewEventLoop(requests, rand.Uint64(), endpoints, log).Run(ctx)
