--- a/cmd/capersail/main.go
+++ b/cmd/capersail/main.go
@@ -17,7 +17,7 @@
 		Out:     os.Stdout,
 		Err:     os.Stderr,
 		Getenv:  os.Getenv,
-		Signals: signals.Caught(),
+		Signals: signals.Channel(),
 	}
 	os.Exit(command.Main(os.Args[1:], program))
 }
--- a/internal/guard/denial.go
+++ b/internal/guard/denial.go
@@ -7,8 +7,8 @@
 const (
 	// Allowed is the zero Denial: nothing stands in the way.
 	Allowed Denial = iota
-	// NotWaiting: the request has its answer or is established, or the attempt has been canceled.
-	NotWaiting
+	// RequestNotPending: the request has its answer or is established, or the attempt has been canceled.
+	RequestNotPending
 	// AttemptInFlight: another attempt of the request is in flight.
 	AttemptInFlight
 	// AttemptsExhausted: the request has had as many attempts as the settings allow.
@@ -41,7 +41,7 @@
 // denialNames are values of the metric relay_denied's label: operators' dashboards know them.
 var denialNames = [denialCount]string{
 	Allowed:              "allowed",
-	NotWaiting:           "not waiting",
+	RequestNotPending:    "not waiting",
 	AttemptInFlight:      "attempt out",
 	AttemptsExhausted:    "attempts spent",
 	AttemptTimedOut:      "time over",
--- a/internal/guard/endpoint_lease.go
+++ b/internal/guard/endpoint_lease.go
@@ -187,9 +187,9 @@
 // Valid tells whether the list may be acted on now.
 func (l *EndpointLease) Valid(now time.Duration) bool { return !l.enabled || now < l.ValidUntil() }
 
-// MayBreakDrainRule tells whether what is sent by the list now may break the rule on drains: a change
+// MayViolateDrainRule tells whether what is sent by the list now may break the rule on drains: a change
 // whose watch event never came may count as notified, and its DrainGrace be over.
-func (l *EndpointLease) MayBreakDrainRule(now time.Duration) bool {
+func (l *EndpointLease) MayViolateDrainRule(now time.Duration) bool {
 	if l.enabled && l.pushed() && l.answered {
 		return now >= l.pushedValidUntil(pushedViolationLimits)
 	}
--- a/internal/guard/endpoint_lease_test.go
+++ b/internal/guard/endpoint_lease_test.go
@@ -92,7 +92,7 @@
 				t.Errorf("valid until %v, want %v", l.ValidUntil(), c.until)
 			}
 			breaks := c.until + c.margin
-			if l.MayBreakDrainRule(breaks-1) || !l.MayBreakDrainRule(breaks) {
+			if l.MayViolateDrainRule(breaks-1) || !l.MayViolateDrainRule(breaks) {
 				t.Errorf("may break the rule on drains at another time than %v after the expiry", c.margin)
 			}
 		})
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -8,7 +8,7 @@
 
 // Request holds the facts about the request that something is to be done for.
 type Request struct {
-	Waiting         bool // it is this relay's to serve, has no answer, and is not established
+	Pending         bool // it is this relay's to serve, has no answer, and is not established
 	AttemptInFlight bool // the end of an attempt has not been reported
 	MayHaveWritten  bool // the first byte of that attempt may have been written
 	Attempts        int  // started so far
@@ -44,8 +44,8 @@
 // MayAttempt tells whether an attempt may be started: a dial, of which nothing is written yet.
 func MayAttempt(now time.Duration, r Request, to ServerStatus, lease *EndpointLease) Denial {
 	switch {
-	case !r.Waiting:
-		return NotWaiting
+	case !r.Pending:
+		return RequestNotPending
 	case r.OwnershipLost:
 		return OwnershipLost
 	case r.AttemptInFlight:
@@ -67,8 +67,8 @@
 	now, deadline time.Duration, r Request, to ServerStatus, lease *EndpointLease, clientGone bool,
 ) Denial {
 	switch {
-	case !r.Waiting:
-		return NotWaiting
+	case !r.Pending:
+		return RequestNotPending
 	case r.OwnershipLost:
 		return OwnershipLost
 	case now >= deadline:
@@ -146,7 +146,7 @@
 // MayAnswer tells whether a request may be given a final answer: once, and not while a server serves it.
 func MayAnswer(answered, established bool) Denial {
 	if answered || established {
-		return NotWaiting
+		return RequestNotPending
 	}
 	return Allowed
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -9,7 +9,7 @@
 // The facts that the tests begin with: a request that may be attempted, and its server.
 var (
 	listed  = ServerStatus{EverListed: true, Ready: true, Location: Location{"a", 1}}
-	waiting = Request{Waiting: true, Idempotency: decide.IdempotentWithKey, DedupWindow: 1000 * ms}
+	waiting = Request{Pending: true, Idempotency: decide.IdempotentWithKey, DedupWindow: 1000 * ms}
 )
 
 // aLease is a lease that was renewed at 10 s.
@@ -31,7 +31,7 @@
 	}{
 		{"a first attempt", Allowed, func(*Request, *ServerStatus) {}},
 		{"a retry with a key", Allowed, func(r *Request, _ *ServerStatus) { retry(r) }},
-		{"not waiting", NotWaiting, func(r *Request, _ *ServerStatus) { r.Waiting = false }},
+		{"not waiting", RequestNotPending, func(r *Request, _ *ServerStatus) { r.Pending = false }},
 		{"ownership lost", OwnershipLost, func(r *Request, _ *ServerStatus) { r.OwnershipLost = true }},
 		{"to a server that drains", ServerNotReady, func(_ *Request, to *ServerStatus) { to.Ready = false }},
 		{"resumed at a server that drains", Allowed, func(r *Request, to *ServerStatus) {
@@ -73,11 +73,11 @@
 
 func TestMayAttemptOnly(t *testing.T) {
 	lease := aLease()
-	inFlight := Request{Waiting: true, AttemptInFlight: true}
+	inFlight := Request{Pending: true, AttemptInFlight: true}
 	if got := MayAttempt(10_100*ms, inFlight, listed, lease); got != AttemptInFlight {
 		t.Errorf("a second attempt: %v", got)
 	}
-	spent := Request{Waiting: true, Attempts: 2, MaxAttempts: 2}
+	spent := Request{Pending: true, Attempts: 2, MaxAttempts: 2}
 	if got := MayAttempt(10_100*ms, spent, listed, lease); got != AttemptsExhausted {
 		t.Errorf("a third attempt of two: %v", got)
 	}
--- a/internal/guard/invariants.go
+++ b/internal/guard/invariants.go
@@ -10,25 +10,25 @@
 
 // The invariants.
 const (
-	// NothingNewAfterDrain: nothing new goes to a server later than DrainGrace after the watch event by which
+	// NoNewRequestAfterDrain: nothing new goes to a server later than DrainGrace after the watch event by which
 	// it drains or is gone, and nothing by an endpoint list whose lease has long expired.
-	NothingNewAfterDrain Invariant = iota
+	NoNewRequestAfterDrain Invariant = iota
 	// NoDuplicateAttempt: a request has one attempt in flight, and does not run again where it must not.
 	NoDuplicateAttempt
 	// AnswerInTime: a request has its answer at most AnswerSlack after its deadline.
 	AnswerInTime
-	// RejectOnlyIfHarmless: a request that may have run and must not run twice is failed, never rejected.
-	RejectOnlyIfHarmless
+	// RejectOnlyIfRetryHarmless: a request that may have run and must not run twice is failed, never rejected.
+	RejectOnlyIfRetryHarmless
 
 	invariantCount
 )
 
 // invariantNames are values of the metric relay_violations' label: operators' dashboards know them.
 var invariantNames = [invariantCount]string{
-	NothingNewAfterDrain: "drain",
-	NoDuplicateAttempt:   "duplicate",
-	AnswerInTime:         "late",
-	RejectOnlyIfHarmless: "promise",
+	NoNewRequestAfterDrain:    "drain",
+	NoDuplicateAttempt:        "duplicate",
+	AnswerInTime:              "late",
+	RejectOnlyIfRetryHarmless: "promise",
 }
 
 // String returns the invariant's name in logs and metrics, "unknown" for a value that is none.
@@ -37,7 +37,7 @@
 // Invariants returns all invariants.
 func Invariants() []Invariant {
 	var all []Invariant
-	for i := NothingNewAfterDrain; i < invariantCount; i++ {
+	for i := NoNewRequestAfterDrain; i < invariantCount; i++ {
 		all = append(all, i)
 	}
 	return all
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -83,7 +83,7 @@
 		return false
 	}
 	for _, front := range o.fronts {
-		if !front.requests.Accepting() || !front.requests.HasEndpointList() {
+		if !front.requests.AcceptingClients() || !front.requests.HasEndpointList() {
 			return false
 		}
 	}
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -42,7 +42,7 @@
 	began := clock.Now()
 	all := make([]int, len(o.fronts))
 	for i, front := range o.fronts {
-		all[i] = front.requests.MigrateSome(0)
+		all[i] = front.requests.MigrateClients(0)
 	}
 	for {
 		select {
@@ -52,8 +52,8 @@
 		}
 		since, left := clock.Now()-began, 0
 		for i, front := range o.fronts {
-			surplus := front.requests.MigrateSome(0) - keptDuringDrain(all[i], since)
-			left += front.requests.MigrateSome(surplus)
+			surplus := front.requests.MigrateClients(0) - keptDuringDrain(all[i], since)
+			left += front.requests.MigrateClients(surplus)
 		}
 		if since >= migrationDeadline && left == 0 {
 			return // what comes up from now on is migrated at once
--- a/internal/lifecycle/resume_part.go
+++ b/internal/lifecycle/resume_part.go
@@ -72,12 +72,12 @@
 		Relay:              name,
 		Servers:            c.Servers,
 		Path:               c.Path,
-		SessionTimeout:     relay.Duration(c.SessionMs),
-		AcquireTimeout:     relay.Duration(c.AcquireMs),
-		TokenLifetime:      relay.Duration(c.TokenLifetimeMs),
-		TokenRenewInterval: relay.Duration(c.TokenRenewMs),
-		MaxClockSkew:       relay.Duration(c.MaxClockSkewMs),
-		SweepInterval:      relay.Duration(c.SweepEveryMs),
+		SessionTimeout:     relay.DurationFromMillis(c.SessionMs),
+		AcquireTimeout:     relay.DurationFromMillis(c.AcquireMs),
+		TokenLifetime:      relay.DurationFromMillis(c.TokenLifetimeMs),
+		TokenRenewInterval: relay.DurationFromMillis(c.TokenRenewMs),
+		MaxClockSkew:       relay.DurationFromMillis(c.MaxClockSkewMs),
+		SweepInterval:      relay.DurationFromMillis(c.SweepEveryMs),
 		AllServersResume:   c.AllServersResume,
 	}
 }
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -38,10 +38,10 @@
 	r.requests.BeginShutdown()
 	began := clock.Now()
 	span := min(r.longestDeadline, maxServeSpan)
-	all := r.requests.MigrateSome(0)
+	all := r.requests.MigrateClients(0)
 	for now := began; now < began+span+answerGrace; now = clock.Now() {
-		surplus := r.requests.MigrateSome(0) - keptDuringShutdown(all, now-began, span)
-		left := r.requests.MigrateSome(surplus)
+		surplus := r.requests.MigrateClients(0) - keptDuringShutdown(all, now-began, span)
+		left := r.requests.MigrateClients(surplus)
 		if left == 0 && now >= began+minShutdown {
 			break
 		}
@@ -49,7 +49,7 @@
 	}
 	r.listener.Close() // nobody comes any more: see minShutdown
 	r.requests.AnswerAllPending()
-	r.requests.MigrateSome(r.requests.MigrateSome(0))
+	r.requests.MigrateClients(r.requests.MigrateClients(0))
 	r.limiter.Drain()
 	for r.limiter.DescriptorsHeld() > 0 && clock.Now() < began+span+closeGrace {
 		<-clock.After(closePollInterval)
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -49,7 +49,7 @@
 	clock := relay.NewClock()
 	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
 		Classes: []decide.ClassInfo{
-			{LatencyObjective: relay.Duration(300), Deadline: relay.Duration(10_000)},
+			{LatencyObjective: relay.DurationFromMillis(300), Deadline: relay.DurationFromMillis(10_000)},
 		}}}
 	x := relay.NewRequestTable(site, clock, &platform.ServerDialer{Clock: clock})
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -37,9 +37,9 @@
 	clock := relay.NewClock()
 	servers := &xmpp.ServerDialer{
 		Clock:          clock,
-		ConnectTimeout: relay.Duration(c.ConnectMs),
+		ConnectTimeout: relay.DurationFromMillis(c.ConnectMs),
 		ProbeHost:      c.Host[0].To,
-		SilenceTimeout: relay.Duration(c.SilenceMs),
+		SilenceTimeout: relay.DurationFromMillis(c.SilenceMs),
 		Log:            log,
 	}
 	requests := relay.NewRequestTable(deployment, clock, servers)
@@ -112,17 +112,17 @@
 		MaxAttempts:    xmppMaxAttempts,
 		Probes:         true,
 		RetryAfter:     true,
-		MaxRetryAfter:  relay.Duration(c.MaxRetryAfterMs),
-		ConnectTimeout: relay.Duration(c.ConnectMs),
+		MaxRetryAfter:  relay.DurationFromMillis(c.MaxRetryAfterMs),
+		ConnectTimeout: relay.DurationFromMillis(c.ConnectMs),
 		Tick:           xmppTick,
 		MustSubscribe:  true,
-		Rules:          decide.Rules{PollWithin: relay.Duration(c.ZooKeeper.SessionMs)},
+		Rules:          decide.Rules{PollWithin: relay.DurationFromMillis(c.ZooKeeper.SessionMs)},
 	}
 	for i, class := range c.Class {
 		deployment.Classes[class.Name] = decide.Class(i)
 		deployment.Settings.Classes = append(deployment.Settings.Classes, decide.ClassInfo{
-			LatencyObjective: relay.Duration(class.SetupMs),
-			Deadline:         relay.Duration(class.DeadlineMs),
+			LatencyObjective: relay.DurationFromMillis(class.SetupMs),
+			Deadline:         relay.DurationFromMillis(class.DeadlineMs),
 			Idempotency:      decide.NonIdempotent,
 			PriorityWeight:   class.PriorityWeight,
 		})
@@ -146,7 +146,7 @@
 			Class:        deployment.Classes[host.Class],
 			Tenant:       tenantNumber(deployment, host.Tenant),
 			Key:          relay.ServerKey(key),
-			SetupTimeout: relay.Duration(deadlines[host.Class]),
+			SetupTimeout: relay.DurationFromMillis(deadlines[host.Class]),
 		}
 	}
 	tenants := deployment.Settings.Tenants
@@ -174,7 +174,7 @@
 	return zookeeper.Ensemble{
 		Addresses:      c.ZooKeeper.Servers,
 		Path:           c.ZooKeeper.Path,
-		SessionTimeout: relay.Duration(c.ZooKeeper.SessionMs),
+		SessionTimeout: relay.DurationFromMillis(c.ZooKeeper.SessionMs),
 	}
 }
 
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -57,18 +57,18 @@
 			MaxAttempts:    4,
 			Probes:         true,
 			RetryAfter:     true,
-			MaxRetryAfter:  relay.Duration(200),
-			Tick:           relay.Duration(5),
-			ConnectTimeout: relay.Duration(300),
+			MaxRetryAfter:  relay.DurationFromMillis(200),
+			Tick:           relay.DurationFromMillis(5),
+			ConnectTimeout: relay.DurationFromMillis(300),
 			Rules: decide.Rules{
-				SlowStartWindow:   relay.Duration(3000),
+				SlowStartWindow:   relay.DurationFromMillis(3000),
 				SlowStartCapacity: 0.36,
 				OverloadFactor:    4,
-				OverloadWindow:    relay.Duration(1500),
+				OverloadWindow:    relay.DurationFromMillis(1500),
 			},
 			Classes: []decide.ClassInfo{{
-				LatencyObjective: relay.Duration(800),
-				Deadline:         relay.Duration(3000),
+				LatencyObjective: relay.DurationFromMillis(800),
+				Deadline:         relay.DurationFromMillis(3000),
 			}},
 		},
 	}
@@ -116,7 +116,7 @@
 			ID:        s.ID,
 			Address:   s.Address,
 			State:     w.modes[i],
-			StartedAt: relay.FromUnixMillis(w.since[i]),
+			StartedAt: relay.TimeFromUnixMillis(w.since[i]),
 			Load:      -1,
 		})
 	}
--- a/internal/relay/client_side.go
+++ b/internal/relay/client_side.go
@@ -7,11 +7,12 @@
 
 // This file holds the client side's methods of a request.
 
-// Settled returns a channel that is closed once the request is established or ended.
-func (r *Request) Settled() <-chan struct{} { return r.settled }
+// EstablishedOrEnded returns a channel that is closed once the request is established or has ended.
+func (r *Request) EstablishedOrEnded() <-chan struct{} { return r.settled }
 
-// Finished returns a channel that is closed once neither side has anything to do with the request any more.
-func (r *Request) Finished() <-chan struct{} { return r.finished }
+// BothSidesDone returns a channel that is closed once both the client side and the server side have finished
+// with the request.
+func (r *Request) BothSidesDone() <-chan struct{} { return r.finished }
 
 // State returns where the request stands, with the final answer if it ended without being established.
 func (r *Request) State() (State, Answer) {
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -40,11 +40,11 @@
 	return clockStart + c.elapsed()
 }
 
-// FromWall turns the wall time at which something has happened into this clock's instant; the zero time
+// FromWallTime turns the wall time at which something has happened into this clock's instant; the zero time
 // stays 0, for long ago. The wall clock may have been stepped since the process started, here
 // alone or on all machines. So it goes by both readings, that of the start and that of now, and takes the
 // later instant: what has just happened is never taken for old, and nothing lies ahead.
-func (c *Clock) FromWall(at time.Time) time.Duration {
+func (c *Clock) FromWallTime(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
@@ -75,12 +75,12 @@
 // After returns a channel that gets the time once d has passed.
 func (c *Clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// maxMicroseconds bounds what Duration returns: some 31 years.
+// maxMicroseconds bounds the result of DurationFromMillis, to about 31 years.
 const maxMicroseconds = 1e15
 
-// Duration converts milliseconds of a codec or a setting into a time.Duration. It rounds to microseconds, in
-// which the decision module's figures are stated, and bounds the result by maxMicroseconds.
-func Duration(ms float64) time.Duration {
+// DurationFromMillis converts milliseconds from a codec or a setting into a time.Duration. The result is
+// rounded to microseconds, the precision of the decision module's figures, and bounded by maxMicroseconds.
+func DurationFromMillis(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	if math.Abs(us) > maxMicroseconds {
 		us = math.Copysign(maxMicroseconds, us)
@@ -99,13 +99,13 @@
 // Millis converts a time.Duration into milliseconds, for a codec or a log line.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// maxUnixMillis bounds what FromUnixMillis converts, so that a time.Duration holds all differences: the
+// maxUnixMillis bounds what TimeFromUnixMillis converts, so that a time.Duration holds all differences: the
 // years 1843 to 2096.
 const maxUnixMillis = 4e12
 
-// FromUnixMillis converts Unix time in milliseconds, as codecs have it, into a time; 0 becomes the zero time,
-// for long ago.
-func FromUnixMillis(ms float64) time.Time {
+// TimeFromUnixMillis converts a Unix time in milliseconds, as codecs deliver it, into a time.Time. 0 becomes
+// the zero time, which stands for "long ago".
+func TimeFromUnixMillis(ms float64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -46,25 +46,25 @@
 func TestFromWall(t *testing.T) {
 	c := NewManualClock()
 	now := float64(c.origin.UnixMilli())
-	if got := c.FromWall(FromUnixMillis(now - 250)); got != clockStart-250*time.Millisecond {
+	if got := c.FromWallTime(TimeFromUnixMillis(now - 250)); got != clockStart-250*time.Millisecond {
 		t.Errorf("started 250 ms ago: %v", got)
 	}
-	if got := c.FromWall(FromUnixMillis(0)); got != 0 {
+	if got := c.FromWallTime(TimeFromUnixMillis(0)); got != 0 {
 		t.Errorf("long ago: %v", got)
 	}
-	if got := c.FromWall(FromUnixMillis(1e300)); got != c.Now() {
+	if got := c.FromWallTime(TimeFromUnixMillis(1e300)); got != c.Now() {
 		t.Errorf("a start beyond all range ahead counts as %v", got)
 	}
-	if got := c.FromWall(FromUnixMillis(-1e300)); got > 0 {
+	if got := c.FromWallTime(TimeFromUnixMillis(-1e300)); got > 0 {
 		t.Errorf("a start beyond all range ago counts as %v", got)
 	}
-	if got := FromUnixMillis(1764745200000.9997).UnixMilli(); got != 1764745200000 {
+	if got := TimeFromUnixMillis(1764745200000.9997).UnixMilli(); got != 1764745200000 {
 		t.Errorf("a start within a millisecond is told as %d", got)
 	}
 }
 
 func TestDurationRoundsAndIsBounded(t *testing.T) {
-	if got := Duration(1.2346); got != 1235000 {
+	if got := DurationFromMillis(1.2346); got != 1235000 {
 		t.Errorf("1.2346 ms: %v", got)
 	}
 	if got := addTo(time.Hour, math.MaxInt64-time.Minute); got != math.MaxInt64 {
--- a/internal/relay/decisions.go
+++ b/internal/relay/decisions.go
@@ -54,7 +54,7 @@
 		return
 	}
 	if a.Kind == Rejected && !r.mayReject() {
-		r.recordViolation(guard.RejectOnlyIfHarmless, nil)
+		r.recordViolation(guard.RejectOnlyIfRetryHarmless, nil)
 		a.Kind = Failed
 	}
 	t.counters.countReason(a.reason)
--- a/internal/relay/doubles_test.go
+++ b/internal/relay/doubles_test.go
@@ -70,7 +70,7 @@
 
 // open opens a request whose client waits for a second.
 func open(table *RequestTable, class decide.Class) *Request {
-	return table.Open(OpenRequest{Class: class, Timeout: time.Second}, &fakeSide{})
+	return table.Open(RequestParams{Class: class, Timeout: time.Second}, &fakeSide{})
 }
 
 // startFirst starts the first attempt of a request at a server, as the decision module wants it.
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -121,7 +121,7 @@
 	s.cell = e.Cell
 	if !s.startedWall.Equal(e.StartedAt) {
 		s.startedWall = e.StartedAt
-		s.startedAt = l.clock.FromWall(e.StartedAt)
+		s.startedAt = l.clock.FromWallTime(e.StartedAt)
 	}
 	if e.Address != "" { // an entry that removes a server may come without one
 		s.Address = e.Address
--- a/internal/relay/guarding.go
+++ b/internal/relay/guarding.go
@@ -13,7 +13,7 @@
 	settings := &r.table.deployment.Settings
 	class := &settings.Classes[r.Class]
 	return guard.Request{
-		Waiting:         waiting,
+		Pending:         waiting,
 		AttemptInFlight: r.attempt.inFlight,
 		MayHaveWritten:  r.attempt.mayHaveWritten,
 		Attempts:        r.attempts,
@@ -108,7 +108,7 @@
 	}
 	now, s := r.table.Clock.Now(), r.attempt.currentServer()
 	pastGrace := s.state != decide.Ready && now-s.unreadyAt > guard.DrainGrace
-	if pastGrace || r.table.lease.MayBreakDrainRule(now) {
-		r.recordViolation(guard.NothingNewAfterDrain, s)
+	if pastGrace || r.table.lease.MayViolateDrainRule(now) {
+		r.recordViolation(guard.NoNewRequestAfterDrain, s)
 	}
 }
--- a/internal/relay/guarding_test.go
+++ b/internal/relay/guarding_test.go
@@ -36,7 +36,7 @@
 		table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", State: decide.Draining}})
 		table.Clock.Set(table.Clock.Now() + heldUp)
 		r.FirstLineWritten(0)
-		if got := table.Violations.Count(guard.NothingNewAfterDrain); got != want {
+		if got := table.Violations.Count(guard.NoNewRequestAfterDrain); got != want {
 			t.Errorf("held up for %v: %d violations", heldUp, got)
 		}
 		if logged := strings.Contains(log.String(), "invariant violated"); logged != (want > 0) {
@@ -68,8 +68,8 @@
 	r.Attach(0, &fakeSide{})
 	r.BeginWrite(0)
 	table.answer(r.ID, Answer{Kind: Rejected})
-	if _, a := r.State(); a.Kind != Failed || table.Violations.Count(guard.RejectOnlyIfHarmless) != 1 {
-		t.Errorf("answer %v, %d violations", a.Kind, table.Violations.Count(guard.RejectOnlyIfHarmless))
+	if _, a := r.State(); a.Kind != Failed || table.Violations.Count(guard.RejectOnlyIfRetryHarmless) != 1 {
+		t.Errorf("answer %v, %d violations", a.Kind, table.Violations.Count(guard.RejectOnlyIfRetryHarmless))
 	}
 }
 
--- a/internal/relay/operations.go
+++ b/internal/relay/operations.go
@@ -5,7 +5,7 @@
 // This file holds what operators ask of a relay: a drain, and servers to be ejected manually.
 
 // SetDraining starts or ends an operator's drain: while it lasts the relay is not ready, rejects new
-// requests with a Retry-After, and migrates a client as soon as its request is established. MigrateSome
+// requests with a Retry-After, and migrates a client as soon as its request is established. MigrateClients
 // migrates those that are established already.
 func (t *RequestTable) SetDraining(on bool) {
 	t.mu.Lock()
@@ -20,8 +20,8 @@
 	return t.drainedManually
 }
 
-// Accepting tells whether the relay takes new clients: it is neither drained nor shutting down.
-func (t *RequestTable) Accepting() bool {
+// AcceptingClients tells whether the relay takes new clients: it is neither drained nor shutting down.
+func (t *RequestTable) AcceptingClients() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.rejecting()
--- a/internal/relay/operations_test.go
+++ b/internal/relay/operations_test.go
@@ -89,14 +89,14 @@
 func TestADrainRejectsUntilItEnds(t *testing.T) {
 	table, _ := newTestTable(decide.Settings{}, decide.ClassInfo{})
 	table.SetDraining(true)
-	if table.Accepting() || !table.Draining() {
+	if table.AcceptingClients() || !table.Draining() {
 		t.Error("a drained relay accepts")
 	}
 	if r := open(table, 0); r.state != Ended || r.answer.Kind != Rejected {
 		t.Errorf("in a drain a request is %v, %v", r.state, r.answer.Kind)
 	}
 	table.SetDraining(false)
-	if !table.Accepting() {
+	if !table.AcceptingClients() {
 		t.Error("the drain's end is not followed")
 	}
 }
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// LoseOwnership says that the lease may be lost: nothing is sent for the request any more. One that has no
+// OwnershipLost says that the lease may be lost: nothing is sent for the request any more. One that has no
 // answer gets it, with the Retry-After where it is rejected; the client of an established one is migrated.
-func (r *Request) LoseOwnership(retryAfter time.Duration) {
+func (r *Request) OwnershipLost(retryAfter time.Duration) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	r.ownershipLost = true
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -8,8 +8,8 @@
 	"capersail/internal/observe/recorder"
 )
 
-// OpenRequest is what a client asks for, in the numbers that the deployment gives to names.
-type OpenRequest struct {
+// RequestParams is what a client asks for, in the numbers that the deployment gives to names.
+type RequestParams struct {
 	Name      string // by which servers know the request, "" if they do not
 	Class     decide.Class
 	Tenant    decide.Tenant
@@ -36,7 +36,7 @@
 // Request is one request, from its arrival until both sides are done with it. Its fields are the table's,
 // under the table's lock; both sides use its methods, which are safe for use by many goroutines.
 type Request struct {
-	OpenRequest
+	RequestParams
 	ID decide.RequestID
 
 	table      *RequestTable
--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -108,7 +108,7 @@
 	for _, other := range w.models {
 		nameTaken = nameTaken || m.name != "" && other.name == m.name && !other.over()
 	}
-	o := OpenRequest{Name: m.name, Class: decide.Class(who % 2), Timeout: time.Second}
+	o := RequestParams{Name: m.name, Class: decide.Class(who % 2), Timeout: time.Second}
 	if arg >= 128 {
 		m.lease, m.state = &fakeLease{}, AwaitingOwnership
 		o.Ownership = m.lease
@@ -279,7 +279,7 @@
 }
 
 func (w *modelTest) loseOwnership(m *requestModel, _, _ int) {
-	m.request.LoseOwnership(100 * time.Millisecond)
+	m.request.OwnershipLost(100 * time.Millisecond)
 	m.moving = m.moving || m.state == Established
 	kind := Rejected
 	if !m.mayReject() {
@@ -314,13 +314,13 @@
 		if migrating, _ := r.Migrating(); migrating != m.moving {
 			w.Fatalf("request %d: migrating %v", who, migrating)
 		}
-		if m.answered() != isClosed(r.Settled()) {
+		if m.answered() != isClosed(r.EstablishedOrEnded()) {
 			w.Fatalf("request %d in %v: settled is wrong", who, m.state)
 		}
 		if outcomes[r.ID] > m.outcomes {
 			w.Fatalf("request %d: %d outcomes told of %d", who, outcomes[r.ID], m.outcomes)
 		}
-		if _, kept := w.table.requests.byID[r.ID]; kept == m.over() || isClosed(r.Finished()) != m.over() {
+		if _, kept := w.table.requests.byID[r.ID]; kept == m.over() || isClosed(r.BothSidesDone()) != m.over() {
 			w.Fatalf("request %d in %v is kept: %v", who, m.state, kept)
 		}
 	}
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -112,7 +112,7 @@
 
 // Open takes on a request. A relay that shuts down or is drained rejects it at once, and one with the name of
 // another open request fails: to its server it would be a second attempt at that.
-func (t *RequestTable) Open(o OpenRequest, client ClientConn) *Request {
+func (t *RequestTable) Open(o RequestParams, client ClientConn) *Request {
 	r, acquire := t.open(o, client)
 	if acquire { // without the lock: the lease may answer at once
 		o.Ownership.Acquire(r)
@@ -121,7 +121,7 @@
 }
 
 // open takes on a request, and tells whether its ownership lease is to be acquired.
-func (t *RequestTable) open(o OpenRequest, client ClientConn) (r *Request, acquire bool) {
+func (t *RequestTable) open(o RequestParams, client ClientConn) (r *Request, acquire bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r = t.register(o, client)
@@ -142,7 +142,7 @@
 
 // Resume takes on a connection that was open at a server before this relay started. The decision module
 // is notified once it is established again.
-func (t *RequestTable) Resume(o OpenRequest, server string, client ClientConn) *Request {
+func (t *RequestTable) Resume(o RequestParams, server string, client ClientConn) *Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.register(o, client)
@@ -162,15 +162,15 @@
 }
 
 // register keeps a request from its arrival on. The caller holds the lock.
-func (t *RequestTable) register(o OpenRequest, client ClientConn) *Request {
+func (t *RequestTable) register(o RequestParams, client ClientConn) *Request {
 	t.counters.arrived.Add(1)
 	r := &Request{
-		OpenRequest: o,
-		table:       t,
-		clientConn:  client,
-		deadline:    addTo(t.Clock.Now(), o.Timeout),
-		settled:     make(chan struct{}),
-		finished:    make(chan struct{}),
+		RequestParams: o,
+		table:         t,
+		clientConn:    client,
+		deadline:      addTo(t.Clock.Now(), o.Timeout),
+		settled:       make(chan struct{}),
+		finished:      make(chan struct{}),
 	}
 	t.requests.add(r)
 	return r
@@ -186,7 +186,7 @@
 func (t *RequestTable) shutdownRejection() Answer {
 	return Answer{
 		Kind:       Rejected,
-		RetryAfter: shutdownRetryAfter + Duration(Millis(shutdownRetrySpread)*rand.Float64()),
+		RetryAfter: shutdownRetryAfter + DurationFromMillis(Millis(shutdownRetrySpread)*rand.Float64()),
 		decidedBy:  recorder.Shutdown,
 	}
 }
--- a/internal/relay/request_table_test.go
+++ b/internal/relay/request_table_test.go
@@ -26,7 +26,7 @@
 			table, _ := newTestTable(decide.Settings{MaxAttempts: 3}, class)
 			clock := table.Clock
 			table.UpdateEndpoints(decide.Snapshot, readyEndpoints("a", "b"))
-			r := table.Open(OpenRequest{Timeout: 5 * time.Second}, &fakeSide{})
+			r := table.Open(RequestParams{Timeout: 5 * time.Second}, &fakeSide{})
 			startFirst(table, r, 0)
 			clock.Set(clock.Now() + time.Second) // its own dial counts for nothing
 			if !r.Attach(0, &fakeSide{}) || !r.BeginWrite(0) {
@@ -47,7 +47,7 @@
 	for _, allowed := range []bool{false, true} {
 		table, _ := newTestTable(decide.Settings{RetryAfter: allowed}, decide.ClassInfo{})
 		table.BeginShutdown()
-		_, a := table.Open(OpenRequest{Timeout: 500 * time.Millisecond}, &fakeSide{}).State()
+		_, a := table.Open(RequestParams{Timeout: 500 * time.Millisecond}, &fakeSide{}).State()
 		if a.Kind != Rejected || (a.RetryAfter > 0) != allowed {
 			t.Errorf("allowed %v: %+v", allowed, a)
 		}
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -38,9 +38,9 @@
 	return true
 }
 
-// HandshakeClient returns the client's end for a front whose set-up is a conversation, once the attempt has
-// begun; nil if the attempt is no longer wanted.
-func (r *Request) HandshakeClient(attempt int) ClientConn {
+// HandshakeClientConn returns the client's connection to a front whose set-up exchanges messages with the
+// client after the attempt has started. It returns nil if the attempt is no longer wanted.
+func (r *Request) HandshakeClientConn(attempt int) ClientConn {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	if !r.inSetUp(attempt) {
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -17,8 +17,8 @@
 	return t.shuttingDown
 }
 
-// MigrateSome migrates up to n established clients and returns how many requests some side is not done with.
-func (t *RequestTable) MigrateSome(n int) int {
+// MigrateClients migrates up to n established clients and returns how many requests some side is not done with.
+func (t *RequestTable) MigrateClients(n int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.requests.byID {
--- a/internal/relay/sides.go
+++ b/internal/relay/sides.go
@@ -44,7 +44,7 @@
 	// MustWait tells whether the request has to wait for the lease.
 	MustWait() bool
 	// Acquire asks for the lease. It ends in OwnershipAcquired or OwnershipDenied of the request where that
-	// waits; LoseOwnership may follow.
+	// waits; OwnershipLost may follow.
 	Acquire(r *Request)
 	// Release gives the lease back: neither side has anything to do with the request any more.
 	Release()
--- a/internal/resume/harness_test.go
+++ b/internal/resume/harness_test.go
@@ -86,7 +86,7 @@
 
 // open opens a request for a stream.
 func (r *testRelay) open(st *Stream) *relay.Request {
-	return r.table.Open(relay.OpenRequest{Ownership: st, Timeout: 30 * time.Second}, nobody{})
+	return r.table.Open(relay.RequestParams{Ownership: st, Timeout: 30 * time.Second}, nobody{})
 }
 
 // newStreams makes n streams and gives them back; it returns their tokens.
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -242,7 +242,7 @@
 	}
 	st.ownershipLost.Store(true)
 	wait := float64(minRetryAfterLoss) * (1 + rand.Float64())
-	r.LoseOwnership(time.Duration(wait))
+	r.OwnershipLost(time.Duration(wait))
 }
 
 // acquireAnew releases the handle and asks under another. The caller holds the lock.
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -21,6 +21,7 @@
 	return signals
 }
 
-// Caught returns the channel of the signals since the process started, the same one at each call. They are
-// caught until the process ends: a SIGHUP on its way then must not make the program's exit a failure.
-func Caught() <-chan os.Signal { return caught }
+// Channel returns the channel on which the signals caught since the process started are delivered. Every call
+// returns the same channel. Signals stay caught until the process ends, because a SIGHUP that arrives during
+// the exit must not turn it into a failure.
+func Channel() <-chan os.Signal { return caught }
--- a/internal/wire/connlimit/permit.go
+++ b/internal/wire/connlimit/permit.go
@@ -110,6 +110,6 @@
 	p.Half.CloseAndDiscard()
 	p.ReleaseClient()
 	if request != nil {
-		<-request.Finished()
+		<-request.BothSidesDone()
 	}
 }
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -63,7 +63,7 @@
 		Address:        string(object.GetStringBytes("hostPort")),
 		Zone:           string(object.GetStringBytes("zone")),
 		Cell:           int32(object.GetInt("cell")),
-		StartedAt:      relay.FromUnixMillis(object.GetFloat64("startedAtMs")),
+		StartedAt:      relay.TimeFromUnixMillis(object.GetFloat64("startedAtMs")),
 		SupportsResume: object.GetBool("resumes"),
 	}
 	if endpoint.ID == "" {
--- a/internal/wire/platform/frontend.go
+++ b/internal/wire/platform/frontend.go
@@ -132,9 +132,9 @@
 // parseRequest puts a first line into the decision module's numbers. It returns the server that held the
 // connection before the run too, "" for a new request. Its errors are those of the line, an unknownClassError
 // or a resumeError.
-func (f *Frontend) parseRequest(line []byte, lineErr error) (relay.OpenRequest, string, error) {
+func (f *Frontend) parseRequest(line []byte, lineErr error) (relay.RequestParams, string, error) {
 	if lineErr != nil {
-		return relay.OpenRequest{}, "", lineErr
+		return relay.RequestParams{}, "", lineErr
 	}
 	parse := parseOpening
 	if f.Resume != nil {
@@ -142,11 +142,11 @@
 	}
 	o, err := parse(line)
 	if err != nil {
-		return relay.OpenRequest{}, "", err
+		return relay.RequestParams{}, "", err
 	}
 	class, known := f.Deployment.Classes[o.class]
 	if !known {
-		return relay.OpenRequest{}, "", &unknownClassError{o.class}
+		return relay.RequestParams{}, "", &unknownClassError{o.class}
 	}
 	tenant, known := f.Deployment.Tenants[o.tenant]
 	if !known {
@@ -156,7 +156,7 @@
 	if longest := f.Deployment.Settings.Classes[class].Deadline; longest > 0 && o.previousServer == "" {
 		timeout = min(timeout, longest) // no client of the class waits for longer, whatever it says
 	}
-	open := relay.OpenRequest{
+	open := relay.RequestParams{
 		Name:      o.id,
 		Class:     class,
 		Tenant:    tenant,
@@ -170,7 +170,7 @@
 	if o.resumeToken != "" {
 		stream, err := f.openStream(o)
 		if err != nil {
-			return relay.OpenRequest{}, "", err
+			return relay.RequestParams{}, "", err
 		}
 		open.Ownership = stream
 		open.Returning = open.Returning || stream.MustWait()
@@ -192,7 +192,7 @@
 		case errors.Is(err, errLineTooLong): // no part of it is forwarded: its server is not at fault
 			f.Limiter.Log.Warn().Err(err).Msg("overlong client line; client migrated")
 			request.MigrateClient()
-			<-request.Finished()
+			<-request.BothSidesDone()
 			return
 		case len(line) > 0:
 			server := request.ServerConn()
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -89,9 +89,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		opening := relay.OpenRequest{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}
+		opening := relay.RequestParams{Name: "a1", Timeout: 500 * time.Millisecond, Payload: o}
 		request := requests.Open(opening, e)
-		<-request.Settled()
+		<-request.EstablishedOrEnded()
 		if n := len(servers[0].FirstLines); n > 0 {
 			t.Errorf("%s: %d first lines were forwarded", name, n)
 		}
--- a/internal/wire/platform/opening.go
+++ b/internal/wire/platform/opening.go
@@ -128,7 +128,7 @@
 		if err != nil || !digits || !(wait > 0 && wait < maxClientWaitMillis) {
 			return fmt.Errorf("d=%q is not a time to wait", value)
 		}
-		o.clientWait = relay.Duration(wait)
+		o.clientWait = relay.DurationFromMillis(wait)
 	case "g":
 		o.group = parseKey(value)
 	case "h":
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -249,7 +249,7 @@
 		t.Fatal(got)
 	}
 	fmt.Fprint(c, "M 2 unread when the move comes\r\n")
-	requests.MigrateSome(1)
+	requests.MigrateClients(1)
 	got := c.next()
 	for strings.HasPrefix(got, "M ") {
 		got = c.next()
@@ -284,7 +284,7 @@
 	c := openConnection(t, address, openingLine)
 	<-servers[0].FirstLines
 	c.Close()
-	for i := 0; requests.MigrateSome(0) > 0; i++ {
+	for i := 0; requests.MigrateClients(0) > 0; i++ {
 		if i > 1000 {
 			t.Fatal("the call is kept")
 		}
@@ -392,7 +392,7 @@
 		t.Errorf("the first client got %q; %d first lines", got, len(servers[0].FirstLines))
 	}
 	c.Close()
-	for requests.MigrateSome(0) > 0 {
+	for requests.MigrateClients(0) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if got := openConnection(t, address, openingLine).next(); got != "UP a1" {
--- a/internal/wire/simulator/hub.go
+++ b/internal/wire/simulator/hub.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("arrivals: %w", err)
 	}
-	now := relay.Duration(clock)
+	now := relay.DurationFromMillis(clock)
 	h.reply.begin()
 	for i, arrival := range arrivals {
 		if err := h.handleEvent(now, arrival); err != nil {
--- a/internal/wire/simulator/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -119,7 +119,7 @@
 		}
 		info.Idempotency = idempotency
 		if i < len(messageObjectives) {
-			info.MessageLatencyObjective = relay.Duration(messageObjectives[i].GetFloat64())
+			info.MessageLatencyObjective = relay.DurationFromMillis(messageObjectives[i].GetFloat64())
 		}
 		deployment.Classes[string(class.GetStringBytes("name"))] = decide.Class(i)
 		deployment.Settings.Classes = append(deployment.Settings.Classes, info)
@@ -156,5 +156,5 @@
 
 // durationAt reads a number of milliseconds.
 func durationAt(object *fastjson.Value, keys ...string) time.Duration {
-	return relay.Duration(object.GetFloat64(keys...))
+	return relay.DurationFromMillis(object.GetFloat64(keys...))
 }
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -158,8 +158,8 @@
 			if len(site.Settings.Classes) == 0 {
 				return // refused at start (TestBadConfigurationNamesTheKey)
 			}
-			left := relay.Duration([]float64{0.5, 20, 90, 500}[i%4])
-			ask := relay.OpenRequest{
+			left := relay.DurationFromMillis([]float64{0.5, 20, 90, 500}[i%4])
+			ask := relay.RequestParams{
 				Class:     decide.Class(i % len(site.Settings.Classes)),
 				Tenant:    decide.Tenant(i%3 - 1),
 				Group:     uint64(i % 3),
--- a/internal/wire/simulator/values.go
+++ b/internal/wire/simulator/values.go
@@ -50,7 +50,7 @@
 }
 
 // millis reads a number of milliseconds.
-func (v *eventValues) millis(i int) time.Duration { return relay.Duration(v.float(i)) }
+func (v *eventValues) millis(i int) time.Duration { return relay.DurationFromMillis(v.float(i)) }
 
 func (v *eventValues) unsigned(i int) uint64 {
 	value := v.at(i)
--- a/internal/wire/xmpp/frontend.go
+++ b/internal/wire/xmpp/frontend.go
@@ -53,7 +53,7 @@
 		st.sendOutcome(resourceConstraint, encodeRetryAfter(connlimit.RetryAfter))
 	default:
 		half.SetReadUntil(0)
-		request = f.Requests.Open(relay.OpenRequest{
+		request = f.Requests.Open(relay.RequestParams{
 			Class:   host.Class,
 			Tenant:  host.Tenant,
 			Key:     host.Key,
--- a/internal/wire/xmpp/handshake.go
+++ b/internal/wire/xmpp/handshake.go
@@ -59,7 +59,7 @@
 	if status != decide.OK {
 		return status
 	}
-	if a.Request.HandshakeClient(a.Number) == nil {
+	if a.Request.HandshakeClientConn(a.Number) == nil {
 		return decide.Cancelled
 	}
 	if !a.stream.sendFeatures(string(header.raw), stripStartTLS(string(features.raw))) {
--- a/internal/wire/zookeeper/nodes.go
+++ b/internal/wire/zookeeper/nodes.go
@@ -124,7 +124,7 @@
 		Address:   string(v.GetStringBytes("address")),
 		Zone:      string(v.GetStringBytes("zone")),
 		Cell:      int32(v.GetInt("cell")),
-		StartedAt: relay.FromUnixMillis(v.GetFloat64("startedAtMs")),
+		StartedAt: relay.TimeFromUnixMillis(v.GetFloat64("startedAtMs")),
 		Load:      unknownLoad,
 	}
 	if load := v.Get("load"); load != nil {
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -61,7 +61,7 @@
 		case field.millis == 0:
 			*field.to = field.defaultValue
 		case field.millis > 0:
-			*field.to = relay.Duration(field.millis)
+			*field.to = relay.DurationFromMillis(field.millis)
 		default:
 			return timeouts{}, ErrInvalidTime
 		}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -85,12 +85,12 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = min(timeout, time.Until(deadline))
 	}
-	request := d.requests.Open(relay.OpenRequest{
+	request := d.requests.Open(relay.RequestParams{
 		Tenant:  decide.NoTenant,
 		Timeout: max(timeout, minDialTimeout),
 	}, dialWaiter{})
 	select {
-	case <-request.Settled():
+	case <-request.EstablishedOrEnded():
 	case <-ctx.Done():
 		request.ClientClosed(relay.AbortiveClose)
 		return nil, ctx.Err()
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -158,9 +158,9 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	stop()
-	for i := 0; b.dialer.requests.MigrateSome(0) != 1; i++ {
+	for i := 0; b.dialer.requests.MigrateClients(0) != 1; i++ {
 		if i > 3000 {
-			t.Fatalf("%d connections are kept", b.dialer.requests.MigrateSome(0))
+			t.Fatalf("%d connections are kept", b.dialer.requests.MigrateClients(0))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
