--- a/internal/lifecycle/cells.go
+++ b/internal/lifecycle/cells.go
@@ -122,7 +122,7 @@
 	}
 	g.Seeds = cell.Contacts
 	g.BootstrapSize = max(cell.Relays, 1)
-	g.State += "." + m.Cell
+	g.StateFile += "." + m.Cell
 	g.Timing = membership.CellTiming
 }
 
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if g.Cell != "eu-a-1" || g.BootstrapSlot != 3 || g.BootstrapSize != 60 ||
-		g.State != "/var/lib/capersail/members.eu-a-1" || g.Timing != membership.CellTiming ||
+		g.StateFile != "/var/lib/capersail/members.eu-a-1" || g.Timing != membership.CellTiming ||
 		!slices.Equal(g.Seeds, m.Plan.Cells[0].Contacts) || len(g.Zones) != 2 {
 		t.Errorf("%+v", g)
 	}
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -56,13 +56,13 @@
 	c := &p.gossip
 	c.Clock = front.clock
 	c.RefreshEndpoints = front.discovery.RestartWatch
-	c.OnChange = front.notifyChange
+	c.OnMembershipChange = front.notifyChange
 	c.LocalActivity = func() gossip.LocalActivity {
 		return gossip.LocalActivity{
-			Lifecycle:    front.lifecycleState(),
-			Arrivals:     front.requests.Arrivals(),
-			OpenRequests: front.requests.OpenRequests(),
-			ListVersion:  front.discovery.ListVersion(),
+			Lifecycle:           front.lifecycleState(),
+			Arrivals:            front.requests.Arrivals(),
+			OpenRequests:        front.requests.OpenRequests(),
+			EndpointListVersion: front.discovery.ListVersion(),
 		}
 	}
 	if p.config.ShareProbes {
@@ -112,7 +112,7 @@
 		return p.joinErr
 	}
 	if p.config.Socket != "" {
-		sources := control.Sources{Fleet: p.node, Probing: p.sharing.Report, Cells: p.node.Cells}
+		sources := control.Sources{Fleet: p.node, Probing: p.sharing.Report, Cells: p.node.CellsReport}
 		var err error
 		if p.control, err = control.Listen(p.config.Socket, sources, p.log); err != nil {
 			return &ConfigError{File: p.path, Key: "socket", Err: err}
@@ -189,7 +189,7 @@
 		Advertise:        m.Advertise,
 		Seeds:            m.Seeds,
 		Keys:             m.keys,
-		State:            m.State,
+		StateFile:        m.State,
 		BootstrapSlot:    settings.RelayIndex,
 		BootstrapSize:    m.BootstrapSize,
 		ConfiguredRelays: relays,
@@ -208,7 +208,7 @@
 		}
 		m.configureCell(&c)
 	}
-	if !gossip.ValidName(c.Name) {
+	if !gossip.ValidRelayName(c.Name) {
 		return c, keyError("name",
 			"%q of the platform's file cannot be a member's: 1 to 128 bytes that print are wanted", c.Name)
 	}
--- a/internal/simulation/scale/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -118,7 +118,7 @@
 		Site:             "hollow",
 		Zone:             f.relays[i].Place.Zone,
 		Bind:             f.relays[i].Address,
-		State:            filepath.Join(f.cfg.Dir, Name(i)),
+		StateFile:        filepath.Join(f.cfg.Dir, Name(i)),
 		Keys:             f.cfg.Keys,
 		BootstrapSlot:    i,
 		BootstrapSize:    f.cfg.Relays,
@@ -136,14 +136,14 @@
 	}
 	c.LocalActivity = func() gossip.LocalActivity {
 		return gossip.LocalActivity{
-			Lifecycle:    membership.Serving,
-			Arrivals:     uint64(time.Since(startedAt).Seconds() * f.cfg.Arrivals),
-			OpenRequests: 1000,
-			ListVersion:  1,
+			Lifecycle:           membership.Serving,
+			Arrivals:            uint64(time.Since(startedAt).Seconds() * f.cfg.Arrivals),
+			OpenRequests:        1000,
+			EndpointListVersion: 1,
 		}
 	}
 	if f.cfg.OnChange != nil {
-		c.OnChange = func(changed membership.Changed) { f.cfg.OnChange(i, changed) }
+		c.OnMembershipChange = func(changed membership.Changed) { f.cfg.OnChange(i, changed) }
 	}
 	return c
 }
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -20,7 +20,7 @@
 	nodes := f.running()
 	epochs := map[uint64]bool{}
 	for _, node := range nodes {
-		r := node.Estimate()
+		r := node.FleetEstimate()
 		epochs[r.Epoch] = true
 		s.Highest = max(s.Highest, r.Epoch)
 		if r.Epoch > 0 && r.Relays == len(nodes) {
@@ -65,7 +65,7 @@
 		if f.cells != nil {
 			cell = f.cfg.cellOf(i)
 		}
-		estimate := r.node.Estimate()
+		estimate := r.node.FleetEstimate()
 		if epochs[cell] == 0 {
 			epochs[cell] = estimate.Epoch
 		}
--- a/internal/wire/gossip/cell_metrics.go
+++ b/internal/wire/gossip/cell_metrics.go
@@ -56,7 +56,7 @@
 }
 
 func (f cellMetrics) collect(ch chan<- prometheus.Metric, n *Node) {
-	r, ok := n.Cells()
+	r, ok := n.CellsReport()
 	if !ok {
 		return
 	}
@@ -86,7 +86,7 @@
 	gauge(f.activated, float64(r.ActivatedPlan))
 	gauge(f.representative, oneIf(r.Representative == n.cfg.Name))
 	gauge(f.mismatched, mismatched)
-	gauge(f.farShare, n.Estimate().FarBudgetShare)
+	gauge(f.farShare, n.FleetEstimate().FarBudgetShare)
 	gauge(f.directory, seconds(r.DirectoryMs))
 	out, in := n.CellTraffic()
 	count(f.bytes, out, "out")
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// Cells reports what is known of the cells; nothing in a flat fleet without a plan.
-func (n *Node) Cells() (cells.Report, bool) {
+// CellsReport reports what is known of the cells; nothing in a flat fleet without a plan.
+func (n *Node) CellsReport() (cells.Report, bool) {
 	link := n.cells.Load()
 	if link == nil {
 		return cells.Report{}, false
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -78,7 +78,7 @@
 		go node.Run(ctx)
 	}
 	heard := func(n *Node) (count int) {
-		r, _ := n.Cells()
+		r, _ := n.CellsReport()
 		for _, region := range r.Regions {
 			count += region.Known
 		}
@@ -86,7 +86,7 @@
 	}
 	await(t, time.Minute, "two views of three, and each hears of the other", func() bool {
 		for _, n := range all {
-			if inView(n) != 3 || n.Estimate().Phase != membership.PhaseAgreed || heard(n) != 1 {
+			if inView(n) != 3 || n.FleetEstimate().Phase != membership.PhaseAgreed || heard(n) != 1 {
 				return false
 			}
 		}
--- a/internal/wire/gossip/config.go
+++ b/internal/wire/gossip/config.go
@@ -15,10 +15,10 @@
 
 // LocalActivity is what this relay does now, as whoever starts the Node knows it.
 type LocalActivity struct {
-	Lifecycle    membership.Lifecycle
-	Arrivals     uint64 // requests since the process started
-	OpenRequests int
-	ListVersion  int64 // of the endpoint list held
+	Lifecycle           membership.Lifecycle
+	Arrivals            uint64 // requests since the process started
+	OpenRequests        int
+	EndpointListVersion int64 // of the endpoint list held
 }
 
 // Config is what a Node is made from.
@@ -38,7 +38,7 @@
 	// sockets.
 	Transport func(host string, port int, log *log.Logger) (memberlist.NodeAwareTransport, error)
 
-	State            string // the file that the membership.Node's record is kept in
+	StateFile        string // the file that the membership.Node's record is kept in
 	BootstrapSlot    int
 	BootstrapSize    int // slots of view 0
 	ConfiguredRelays int // by the settings
@@ -54,8 +54,8 @@
 	LocalActivity func() LocalActivity
 	// RefreshEndpoints polls for the endpoint list at once; nil for nobody.
 	RefreshEndpoints func()
-	// OnChange is called for each change of the fleet; nil for nobody.
-	OnChange func(membership.Changed)
+	// OnMembershipChange is called for each change of the fleet; nil for nobody.
+	OnMembershipChange func(membership.Changed)
 	// OnProbingEvent is called for what a peer passes on of servers, a probing.ReadingsReceived or
 	// PlacementsReceived; nil for nobody.
 	OnProbingEvent func(event probing.Event)
--- a/internal/wire/gossip/delegate.go
+++ b/internal/wire/gossip/delegate.go
@@ -11,7 +11,7 @@
 	"capersail/internal/fleet/membership"
 )
 
-// errInvalidName refuses a relay whose name ValidName refuses.
+// errInvalidName refuses a relay whose name ValidRelayName refuses.
 var errInvalidName = errors.New("invalid name of a relay")
 
 // delegate is the Node as memberlist sees it. Its methods must not block.
@@ -74,7 +74,7 @@
 // NotifyAlive is memberlist's: a name that nobody could have is no peer, and neither is a relay of another
 // cell.
 func (d *delegate) NotifyAlive(m *memberlist.Node) error {
-	if !ValidName(m.Name) {
+	if !ValidRelayName(m.Name) {
 		d.dropped.count(dropMalformed, errInvalidName.Error())
 		return errInvalidName
 	}
--- a/internal/wire/gossip/envelope.go
+++ b/internal/wire/gossip/envelope.go
@@ -69,7 +69,7 @@
 	if err := cbor.Unmarshal(text, &e); err != nil {
 		return e, errNoEnvelope
 	}
-	if e.Version < 1 || !ValidName(e.From) || e.Incarnation == 0 {
+	if e.Version < 1 || !ValidRelayName(e.From) || e.Incarnation == 0 {
 		return e, errBadHeadFields
 	}
 	return e, nil
@@ -80,8 +80,8 @@
 	return e.Incarnation < other.Incarnation || e.Incarnation == other.Incarnation && e.Seq < other.Seq
 }
 
-// ValidName tells whether a relay may have the name: 1 to 128 bytes that print.
-func ValidName(name string) bool {
+// ValidRelayName tells whether a relay may have the name: 1 to 128 bytes that print.
+func ValidRelayName(name string) bool {
 	unprintable := func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd }
 	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, unprintable)
 }
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -66,7 +66,7 @@
 		c.BootstrapSlot, c.BootstrapSize, c.ConfiguredRelays = i, n, n
 		c.Seed = uint64(i)
 		if notice != nil {
-			c.OnChange = func(ch membership.Changed) { notice(name, ch) }
+			c.OnMembershipChange = func(ch membership.Changed) { notice(name, ch) }
 		}
 		node, err := New(c)
 		if err != nil {
@@ -133,9 +133,9 @@
 	epoch, since := uint64(0), time.Now()
 	await(t, time.Minute, "one view of all, and no other for 3 s", func() bool {
 		for _, node := range all {
-			r := node.Estimate()
+			r := node.FleetEstimate()
 			if r.Phase != membership.PhaseAgreed || r.Epoch != epoch || inView(node) != n {
-				epoch, since = all[0].Estimate().Epoch, time.Now()
+				epoch, since = all[0].FleetEstimate().Epoch, time.Now()
 				return false
 			}
 		}
@@ -455,16 +455,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := n.Estimate(); r.BudgetShare != 0 || strings.Count(said.String(), "\n") != 1 {
+	if r := n.FleetEstimate(); r.BudgetShare != 0 || strings.Count(said.String(), "\n") != 1 {
 		t.Errorf("a record that cannot be read: %+v, said %q", r, said.String())
 	}
 	said.Reset()
-	c.State = filepath.Join(dir, "gone", "state")
+	c.StateFile = filepath.Join(dir, "gone", "state")
 	n, err = New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := n.Estimate(); r.BudgetShare != 0.25 || strings.Count(said.String(), "\n") != 1 {
+	if r := n.FleetEstimate(); r.BudgetShare != 0.25 || strings.Count(said.String(), "\n") != 1 {
 		t.Errorf("no record, and none can be kept: %+v, said %q", r, said.String())
 	}
 	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
@@ -480,7 +480,7 @@
 			Seq:           1,
 		},
 	})
-	if r := n.Estimate(); r.BudgetShare != 0.25 {
+	if r := n.FleetEstimate(); r.BudgetShare != 0.25 {
 		t.Errorf("without a record it pledged: %+v", r)
 	}
 }
@@ -533,19 +533,19 @@
 	first, end := start(0)
 	await(
 		t, 30*time.Second, "a view",
-		func() bool { return inView(first) == 1 && first.Estimate().BudgetShare == 1 },
+		func() bool { return inView(first) == 1 && first.FleetEstimate().BudgetShare == 1 },
 	)
 	second, endSecond := start(1)
 	defer endSecond()
 	for range 20 {
-		if s := second.Estimate().BudgetShare; s != 0 {
+		if s := second.FleetEstimate().BudgetShare; s != 0 {
 			t.Fatalf("the second takes %v beside the first", s)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	end()
-	await(t, 30*time.Second, "its turn", func() bool { return second.Estimate().BudgetShare == 1 })
-	if second.Estimate().Epoch == 0 {
+	await(t, 30*time.Second, "its turn", func() bool { return second.FleetEstimate().BudgetShare == 1 })
+	if second.FleetEstimate().Epoch == 0 {
 		t.Error("the second does not know what the first promised")
 	}
 }
--- a/internal/wire/gossip/helpers_test.go
+++ b/internal/wire/gossip/helpers_test.go
@@ -13,13 +13,13 @@
 	return Config{
 		Name:             name,
 		Site:             "s",
-		State:            state,
+		StateFile:        state,
 		BootstrapSize:    3,
 		ConfiguredRelays: 3,
 		Clock:            relay.NewClock(),
 		Log:              zerolog.Nop(),
 		LocalActivity: func() LocalActivity {
-			return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1}
+			return LocalActivity{Lifecycle: membership.Serving, EndpointListVersion: 1}
 		},
 	}
 }
--- a/internal/wire/gossip/node.go
+++ b/internal/wire/gossip/node.go
@@ -101,7 +101,7 @@
 // no record, and can keep none, goes on by the settings' number and promises nothing.
 func (n *Node) openRecord() {
 	c := n.cfg
-	file, record, err := openRecordFile(c.State, c.Site, n.cell, c.Name)
+	file, record, err := openRecordFile(c.StateFile, c.Site, n.cell, c.Name)
 	slot := c.BootstrapSlot
 	switch {
 	case errors.Is(err, errRecordInUse):
@@ -216,7 +216,7 @@
 func (n *Node) localState(now time.Duration) membership.LocalState {
 	activity := n.cfg.LocalActivity()
 	local := n.meter.LocalState(now, activity.Lifecycle, activity.Arrivals, activity.OpenRequests)
-	local.Zone, local.EndpointListGeneration = n.cfg.Zone, activity.ListVersion
+	local.Zone, local.EndpointListGeneration = n.cfg.Zone, activity.EndpointListVersion
 	if n.leaving {
 		local.Lifecycle = membership.Leaving
 	}
@@ -278,7 +278,7 @@
 		Str("state", change.State).
 		Str("cause", change.Cause).
 		Msg("fleet changed")
-	if n.cfg.OnChange != nil {
-		n.cfg.OnChange(change)
+	if n.cfg.OnMembershipChange != nil {
+		n.cfg.OnMembershipChange(change)
 	}
 }
--- a/internal/wire/gossip/probing_wire.go
+++ b/internal/wire/gossip/probing_wire.go
@@ -182,7 +182,7 @@
 
 // originName is the name that a number in a packet stands for.
 func originName(names []string, number int) (string, error) {
-	if number < 0 || number >= len(names) || !ValidName(names[number]) {
+	if number < 0 || number >= len(names) || !ValidRelayName(names[number]) {
 		return "", errMalformedBatch
 	}
 	return names[number], nil
--- a/internal/wire/gossip/status.go
+++ b/internal/wire/gossip/status.go
@@ -19,8 +19,8 @@
 // UnlockStatus ends what LockStatus began.
 func (n *Node) UnlockStatus() { n.mu.Unlock() }
 
-// Estimate is what this relay takes the fleet for now.
-func (n *Node) Estimate() membership.FleetEstimate {
+// FleetEstimate is what this relay takes the fleet for now.
+func (n *Node) FleetEstimate() membership.FleetEstimate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.membership.Estimate(n.now())
