--- a/internal/command/cells.go
+++ b/internal/command/cells.go
@@ -29,8 +29,8 @@
 	fmt.Fprintln(tab,
 		"CELL\tREGION\tSTATE\tAGE\tSPEAKER\tPLAN\tENTERED\tEPOCH\tRELAYS\tSERVING\tPER S\tHELD\tGONE")
 	for _, region := range known.Regions {
-		for _, c := range region.Rows {
-			if known.Representative == r.Relay || c.Own {
+		for _, c := range region.CellReports {
+			if known.Representative == r.Relay || c.OwnCell {
 				showCell(tab, region.Name, c)
 			}
 		}
@@ -39,9 +39,9 @@
 		return err
 	}
 	showCounts(w, "dropped of cells:", dropZeros(map[string]uint64{
-		"malformed":    known.Dropped.Malformed,
-		"unknown cell": known.Dropped.Unknown,
-		"stale":        known.Dropped.Stale,
+		"malformed":    known.Drops.Malformed,
+		"unknown cell": known.Drops.UnknownCell,
+		"stale":        known.Drops.Stale,
 	}))
 	return nil
 }
@@ -55,7 +55,7 @@
 			continue
 		}
 		fmt.Fprintf(tab, "%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.1f\n",
-			regionName(region.Name), region.Cells, region.Known, region.Relays, region.Serving,
+			regionName(region.Name), region.Cells, region.KnownCells, region.Relays, region.ServingRelays,
 			region.RequestRate, region.OpenConnections, region.DrainRate)
 	}
 	return tab.Flush()
@@ -69,16 +69,16 @@
 // showCell prints the row of one cell.
 func showCell(w io.Writer, region string, c cells.CellReport) {
 	age := "-"
-	if !c.Own && c.AgeMs >= 0 {
+	if !c.OwnCell && c.AgeMs >= 0 {
 		age = ago(float64(c.AgeMs)).String()
 	}
 	plan := fmt.Sprint(c.Plan)
-	if c.Mismatch {
+	if c.PlanMismatch {
 		plan += " (another table)"
 	}
 	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%s\n",
 		c.Name, regionName(region), cellState(c), age, orNobody(c.Representative), plan, c.JoinedPlan, c.Epoch,
-		c.Relays, c.Serving, c.RequestRate, c.OpenConnections, strings.Join(c.Departed, " "))
+		c.Relays, c.ServingRelays, c.RequestRate, c.OpenConnections, strings.Join(c.DepartedRelays, " "))
 }
 
 // cellHeadline returns what the relay knows of its own cell's plan, in a line.
@@ -97,15 +97,15 @@
 			line += ", waits: " + c.Pending
 		}
 	}
-	if known.DirectoryMs >= 0 {
-		line += fmt.Sprintf(", other cells told %s ago", ago(float64(known.DirectoryMs)))
+	if known.DirectoryAgeMs >= 0 {
+		line += fmt.Sprintf(", other cells told %s ago", ago(float64(known.DirectoryAgeMs)))
 	}
 	return line
 }
 
 func cellState(c cells.CellReport) string {
 	switch {
-	case c.Own:
+	case c.OwnCell:
 		return "here"
 	case c.Known:
 		return "heard"
@@ -158,18 +158,18 @@
 	before := map[string]cells.CellReport{}
 	for _, region := range old.Regions {
 		regions[region.Name] = region
-		for _, c := range region.Rows {
+		for _, c := range region.CellReports {
 			before[c.Name] = c
 		}
 	}
 	for _, region := range now.Regions {
-		if was := regions[region.Name]; was.Cells != region.Cells || was.Known != region.Known {
+		if was := regions[region.Name]; was.Cells != region.Cells || was.KnownCells != region.KnownCells {
 			lines = append(lines, fmt.Sprintf("region %s: %d of %d other cells heard",
-				regionName(region.Name), region.Known, region.Cells))
+				regionName(region.Name), region.KnownCells, region.Cells))
 		}
-		for _, c := range region.Rows {
+		for _, c := range region.CellReports {
 			was, known := before[c.Name]
-			if c.Own || known && !cellChanged(was, c) {
+			if c.OwnCell || known && !cellChanged(was, c) {
 				continue
 			}
 			lines = append(lines, fmt.Sprintf("cell %s: %s, speaker %s, plan %d, entered %d",
--- a/internal/command/cells_test.go
+++ b/internal/command/cells_test.go
@@ -11,12 +11,13 @@
 // knownCells is what a relay of cell eu-a-1 knows of a fleet of four cells.
 func knownCells(representative string) *cells.Report {
 	eu := cells.RegionReport{
-		RegionFigures: cells.RegionFigures{
-			Name: "eu", Cells: 1, Known: 1, Relays: 60, Serving: 59, RequestRate: 12.5, OpenConnections: 900,
+		RegionTotals: cells.RegionTotals{
+			Name: "eu", Cells: 1, KnownCells: 1, Relays: 60, ServingRelays: 59,
+			RequestRate: 12.5, OpenConnections: 900,
 		},
-		Rows: []cells.CellReport{
+		CellReports: []cells.CellReport{
 			{
-				Name: "eu-a-1", Own: true, Known: true, Representative: representative,
+				Name: "eu-a-1", OwnCell: true, Known: true, Representative: representative,
 				Plan: 4, JoinedPlan: 4, Relays: 60,
 			},
 			{
@@ -26,15 +27,16 @@
 		},
 	}
 	us := cells.RegionReport{
-		RegionFigures: cells.RegionFigures{Name: "us", Cells: 2, Known: 1, Relays: 120, Serving: 120},
-		Rows: []cells.CellReport{
+		RegionTotals: cells.RegionTotals{Name: "us", Cells: 2, KnownCells: 1,
+			Relays: 120, ServingRelays: 120},
+		CellReports: []cells.CellReport{
 			{
 				Name: "us-a-1", AgeMs: 20_000, Representative: "r130",
-				Plan: 3, JoinedPlan: 3, Relays: 60, Departed: []string{"r140"},
+				Plan: 3, JoinedPlan: 3, Relays: 60, DepartedRelays: []string{"r140"},
 			},
 			{
 				Name: "us-b-1", Known: true, AgeMs: 300, Representative: "r190",
-				Plan: 4, PlanHash: "ab", Mismatch: true, JoinedPlan: 4, Relays: 60,
+				Plan: 4, PlanHash: "ab", PlanMismatch: true, JoinedPlan: 4, Relays: 60,
 			},
 		},
 	}
@@ -46,7 +48,7 @@
 		JoinedPlan:     4,
 		ActivatedPlan:  3,
 		FilePlan:       5,
-		DirectoryMs:    2100,
+		DirectoryAgeMs: 2100,
 		Regions:        []cells.RegionReport{eu, us},
 	}
 }
@@ -123,9 +125,9 @@
 	}
 	now.Representative = "r5"
 	now.ActivatedPlan = 4
-	now.Regions[1].Known = 2
-	now.Regions[1].Rows[0].Known = true
-	now.Regions[0].Rows[1].Representative = "r71"
+	now.Regions[1].KnownCells = 2
+	now.Regions[1].CellReports[0].Known = true
+	now.Regions[0].CellReports[1].Representative = "r71"
 	got := strings.Join(cellChanges(knownCells("r3"), now), "\n")
 	want := strings.Join([]string{
 		"cell eu-a-1: speaker r5",
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -57,9 +57,10 @@
 	}
 	fmt.Fprintf(w, "it looks at %d of %d servers for %d relays: "+
 		"%d looks by turns, %d readings of others taken in\n",
-		mine, len(probed.Servers), probed.Relays, probed.Probes, probed.Received)
-	if len(probed.Quarantined) > 0 {
-		fmt.Fprintln(w, "left out, as two others contradict them:", strings.Join(probed.Quarantined, " "))
+		mine, len(probed.Servers), probed.Relays, probed.Probes, probed.ReadingsReceived)
+	if len(probed.QuarantinedRelays) > 0 {
+		fmt.Fprintln(w, "left out, as two others contradict them:",
+			strings.Join(probed.QuarantinedRelays, " "))
 	}
 	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tab, "SERVER\tZONE\tLOOKED AT\tLOAD\tAGE MS\tREAD BY")
@@ -77,6 +78,6 @@
 	if err := tab.Flush(); err != nil {
 		return err
 	}
-	showCounts(w, "readings left out:", probed.Dropped)
+	showCounts(w, "readings left out:", probed.DroppedByReason)
 	return nil
 }
--- a/internal/fleet/cellplan/check.go
+++ b/internal/fleet/cellplan/check.go
@@ -11,23 +11,23 @@
 // Bounds of a plan.
 const (
 	MaxCells = 256
-	// MaxRelays is of a cell with a region. What each costs is in docs/measurements/capacity.md.
-	MaxRelays         = 64
+	// MaxRegionalRelays is of a cell with a region. What each costs is in docs/measurements/capacity.md.
+	MaxRegionalRelays = 64
 	MaxSpanningRelays = 4096    // relays of a cell that spans all regions
 	MaxContacts       = 16      // of a cell
 	MaxNameBytes      = 64      // bytes of a cell's, region's or zone's name
 	MaxPlanNumber     = 1 << 62 // of a plan; fits the signed integers of the file
 )
 
-// Problem is something in a plan that cannot be, and the key in the file where it stands, from the plan's
+// FieldError is something in a plan that cannot be, and the key in the file where it stands, from the plan's
 // table on.
-type Problem struct {
+type FieldError struct {
 	Key   string // as "cells[3].relays", from 0
 	Cause string
 }
 
 // Error is the key and the cause.
-func (e *Problem) Error() string { return e.Key + ": " + e.Cause }
+func (e *FieldError) Error() string { return e.Key + ": " + e.Cause }
 
 // Check returns every problem of the plan, each a *Problem, joined in the order of the file; nil if it
 // can be used.
@@ -53,7 +53,7 @@
 
 // add notes a problem at a key.
 func (c *checker) add(key, format string, args ...any) {
-	c.problems = append(c.problems, &Problem{Key: key, Cause: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, &FieldError{Key: key, Cause: fmt.Sprintf(format, args...)})
 }
 
 // checkNumbers checks the plan's own fields, and that there is something to divide.
@@ -84,8 +84,8 @@
 func (c *checker) checkCell(i int, cell Cell) {
 	c.checkName(i, cell)
 	c.checkLocation(i, cell)
-	most := MaxRelays
-	if cell.Spanning() {
+	most := MaxRegionalRelays
+	if cell.SpansRegions() {
 		most = MaxSpanningRelays
 	}
 	if cell.Relays < 0 || cell.Relays > most {
@@ -128,7 +128,7 @@
 
 // checkLocation checks where a cell stands: in a region and one of its zones, or nowhere.
 func (c *checker) checkLocation(i int, cell Cell) {
-	if cell.Spanning() {
+	if cell.SpansRegions() {
 		if cell.Zone != "" {
 			c.add(cellKey(i, "region"), "empty, but zone is %q; a cell that spans all regions has neither",
 				cell.Zone)
--- a/internal/fleet/cellplan/plan.go
+++ b/internal/fleet/cellplan/plan.go
@@ -48,11 +48,11 @@
 	Contacts []string `toml:"contacts"`
 }
 
-// Spanning tells whether the cell spans all regions.
-func (c Cell) Spanning() bool { return c.Region == "" }
+// SpansRegions tells whether the cell spans all regions.
+func (c Cell) SpansRegions() bool { return c.Region == "" }
 
-// Find returns the cell of a name.
-func (p Plan) Find(name string) (Cell, bool) {
+// FindCell returns the cell of a name.
+func (p Plan) FindCell(name string) (Cell, bool) {
 	i := slices.IndexFunc(p.Cells, func(c Cell) bool { return c.Name == name })
 	if i < 0 {
 		return Cell{}, false
@@ -60,8 +60,8 @@
 	return p.Cells[i], true
 }
 
-// Names are the names of all cells, in order, also of those that are going away.
-func (p Plan) Names() []string {
+// CellNames are the names of all cells, in order, also of those that are going away.
+func (p Plan) CellNames() []string {
 	names := make([]string, 0, len(p.Cells))
 	for _, c := range p.Cells {
 		names = append(names, c.Name)
@@ -74,7 +74,7 @@
 func (p Plan) Zones(region string) []string {
 	var zones []string
 	for _, c := range p.Cells {
-		if !c.Spanning() && c.Region == region && !slices.Contains(zones, c.Zone) {
+		if !c.SpansRegions() && c.Region == region && !slices.Contains(zones, c.Zone) {
 			zones = append(zones, c.Zone)
 		}
 	}
@@ -82,11 +82,11 @@
 	return zones
 }
 
-// Parts is what a cell may take of the budget of a server: near where the server's zone is one of
+// BudgetShares is what a cell may take of the budget of a server: near where the server's zone is one of
 // nearZones, far elsewhere. Near is never less than far. All are zero for a cell that the plan doesn't
 // name. The plan must have passed Check.
-func (p Plan) Parts(name string) (near, far uint64, nearZones []string) {
-	cell, ok := p.Find(name)
+func (p Plan) BudgetShares(name string) (near, far uint64, nearZones []string) {
+	cell, ok := p.FindCell(name)
 	if !ok {
 		return 0, 0, nil
 	}
@@ -94,8 +94,8 @@
 	return part.near, part.far, part.zones
 }
 
-// Sum is what all cells together may take of the budget of a server in a zone; never over FullBudget.
-func (p Plan) Sum(zone string) uint64 { return sum(p.parts(), zone) }
+// TotalShare is what all cells together may take of the budget of a server in a zone; never over FullBudget.
+func (p Plan) TotalShare(zone string) uint64 { return sum(p.parts(), zone) }
 
 // part is what one cell may take: near in its zones, far elsewhere.
 type part struct {
@@ -109,16 +109,16 @@
 	switch {
 	case weights.all == 0:
 		return part{}
-	case cell.Spanning():
-		everywhere := Portion(FullBudget, weight, weights.all)
+	case cell.SpansRegions():
+		everywhere := MulDiv(FullBudget, weight, weights.all)
 		return part{near: everywhere, far: everywhere}
 	case weight == 0:
 		return part{zones: weights.zones}
 	}
-	rest := Portion(FullBudget, weights.regional, weights.all)
-	home := Portion(rest, p.homeUnits(), FullBudget)
-	far := Portion(rest-home, weight, weights.regional)
-	return part{near: Portion(home, weight, weights.inRegion) + far, far: far, zones: weights.zones}
+	rest := MulDiv(FullBudget, weights.regional, weights.all)
+	home := MulDiv(rest, p.homeUnits(), FullBudget)
+	far := MulDiv(rest-home, weight, weights.regional)
+	return part{near: MulDiv(home, weight, weights.inRegion) + far, far: far, zones: weights.zones}
 }
 
 // parts are those of all cells, in the order of the plan.
@@ -175,7 +175,7 @@
 func (p Plan) CheckSuccessor(current []string) error {
 	var missing []string
 	for _, name := range current {
-		if _, ok := p.Find(name); !ok {
+		if _, ok := p.FindCell(name); !ok {
 			missing = append(missing, name)
 		}
 	}
@@ -183,17 +183,17 @@
 		return nil
 	}
 	slices.Sort(missing)
-	return &MissingCells{Plan: p.Number, Cells: slices.Compact(missing)}
+	return &MissingCellsError{Plan: p.Number, Cells: slices.Compact(missing)}
 }
 
-// MissingCells says that a plan doesn't name cells that hold parts by the plan before.
-type MissingCells struct {
+// MissingCellsError says that a plan doesn't name cells that hold parts by the plan before.
+type MissingCellsError struct {
 	Plan  uint64
 	Cells []string
 }
 
 // Error names the plan and the cells.
-func (e *MissingCells) Error() string {
+func (e *MissingCellsError) Error() string {
 	return "plan " + strconv.FormatUint(e.Plan, 10) +
 		" doesn't name cells that hold a part: " + strings.Join(e.Cells, ", ") +
 		" (name those that go away with relays = 0)"
@@ -211,7 +211,7 @@
 	for _, c := range p.Cells {
 		weight := uint64(c.Relays)
 		w.all += weight
-		if c.Spanning() {
+		if c.SpansRegions() {
 			continue
 		}
 		w.regional += weight
@@ -232,8 +232,8 @@
 	return uint64(math.Floor(share * float64(FullBudget)))
 }
 
-// Portion is amount*part/of, rounded down. Part must not be over of, and of not 0.
-func Portion(amount, part, of uint64) uint64 {
+// MulDiv is amount*part/of, rounded down. Part must not be over of, and of not 0.
+func MulDiv(amount, part, of uint64) uint64 {
 	high, low := bits.Mul64(amount, part)
 	quotient, _ := bits.Div64(high, low, of)
 	return quotient
--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -37,7 +37,7 @@
 		{moving, "a1", 60.0 / 360 * (0.8 + 0.1), 60.0 / 360 * 0.1, "a-1"},
 		{moving, "gone", 0, 0, "b-1 b-2"},
 	} {
-		near, far, zones := c.plan.Parts(c.cell)
+		near, far, zones := c.plan.BudgetShares(c.cell)
 		if math.Abs(float64(near)/float64(FullBudget)-c.near) > 1e-9 ||
 			math.Abs(float64(far)/float64(FullBudget)-c.far) > 1e-9 || strings.Join(zones, " ") != c.zones {
 			t.Errorf("%s: near %.4f far %.4f in %q; want %.4f %.4f in %q", c.cell,
@@ -119,7 +119,7 @@
 		return nil
 	}
 	for _, e := range err.(interface{ Unwrap() []error }).Unwrap() {
-		var problem *Problem
+		var problem *FieldError
 		if errors.As(e, &problem) {
 			keys = append(keys, problem.Key)
 		}
@@ -156,7 +156,7 @@
 	if err := p.CheckSuccessor([]string{"a1", "b1"}); err != nil {
 		t.Error(err)
 	}
-	var missing *MissingCells
+	var missing *MissingCellsError
 	if err := p.CheckSuccessor([]string{"z", "a1", "c1", "z"}); !errors.As(err, &missing) ||
 		strings.Join(missing.Cells, " ") != "c1 z" {
 		t.Error(err)
@@ -177,12 +177,12 @@
 		for _, c := range p.Cells {
 			zones[c.Zone] = true
 			positive = positive && c.Relays > 0
-			if near, far, _ := p.Parts(c.Name); near < far {
+			if near, far, _ := p.BudgetShares(c.Name); near < far {
 				t.Fatal(seed, c.Name, "holds less near than far")
 			}
 		}
 		for zone := range zones {
-			sum := p.Sum(zone)
+			sum := p.TotalShare(zone)
 			if most = max(most, sum); sum > FullBudget {
 				t.Fatalf("seed %d: %d of %d in %q", seed, sum, FullBudget, zone)
 			}
@@ -204,7 +204,7 @@
 	for i := range 1 + draw.IntN(MaxCells-1) {
 		region := fmt.Sprint("r", draw.IntN(6))
 		p.Cells = append(p.Cells, cell(fmt.Sprint("c", i), region, fmt.Sprint(region, "-", draw.IntN(4)),
-			lowest+draw.IntN(MaxRelays+1-lowest)))
+			lowest+draw.IntN(MaxRegionalRelays+1-lowest)))
 	}
 	if draw.IntN(3) == 0 {
 		p.Cells = append(p.Cells, cell("flat", "", "", 1+draw.IntN(1100)))
--- a/internal/fleet/cells/coordinator.go
+++ b/internal/fleet/cells/coordinator.go
@@ -12,9 +12,9 @@
 
 // DropCounters counts what came from elsewhere and was not taken.
 type DropCounters struct {
-	Malformed uint64 `json:"malformed"`
-	Unknown   uint64 `json:"unknown_cell"` // not named in a plan in force
-	Stale     uint64 `json:"stale"`        // doubled, or overtaken by a newer one
+	Malformed   uint64 `json:"malformed"`
+	UnknownCell uint64 `json:"unknown_cell"` // not named in a plan in force
+	Stale       uint64 `json:"stale"`        // doubled, or overtaken by a newer one
 }
 
 // Coordinator is one relay's part in what cells know of each other. It is not safe for concurrent use.
@@ -69,7 +69,7 @@
 func (c *Coordinator) setLocal(now time.Duration, l LocalCell, out []Action) []Action {
 	before := c.local
 	c.local = l
-	if !slices.Equal(before.Cells, l.Cells) {
+	if !slices.Equal(before.RequiredCells, l.RequiredCells) {
 		c.retainNamedCells(now)
 	}
 	changed := !c.localKnown || !l.sameState(before)
@@ -97,9 +97,9 @@
 // retainNamedCells keeps the other cells that a plan in force names, and forgets all others. Of a view
 // that names more cells than can be none is kept, so that its plan is never activated here.
 func (c *Coordinator) retainNamedCells(now time.Duration) {
-	names := c.plan.Names()
-	if len(c.local.Cells) <= cellplan.MaxCells {
-		names = append(names, c.local.Cells...)
+	names := c.plan.CellNames()
+	if len(c.local.RequiredCells) <= cellplan.MaxCells {
+		names = append(names, c.local.RequiredCells...)
 	}
 	names = slices.DeleteFunc(names, func(name string) bool { return name == c.cfg.Cell })
 	slices.Sort(names)
@@ -115,7 +115,7 @@
 			r = &remote{name: name, summaryAt: -1, rotatedAt: now}
 			c.remotes[name] = r
 		}
-		if cell, ok := c.plan.Find(name); ok {
+		if cell, ok := c.plan.FindCell(name); ok {
 			r.region, r.weight, r.planContacts = cell.Region, cell.Relays, cell.Contacts
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 	r := c.remotes[s.Cell]
 	if r == nil {
-		c.drops.Unknown++
+		c.drops.UnknownCell++
 		return out
 	}
 	if to := c.forwardTarget(now); to != "" && !s.Forwarded {
@@ -157,13 +157,13 @@
 	returned := r.summaryAt < 0 || r.lost
 	r.summary, r.summaryAt, r.contact = s, now, 0
 	if r.announceRepresentative(now, contactRotationRounds*c.round()) {
-		out = append(out, Changed{Kind: RepresentativeChanged, Cell: r.name,
+		out = append(out, CellChanged{Kind: RepresentativeChanged, Cell: r.name,
 			Representative: s.Representative})
 	}
-	if _, ok := c.plan.Find(r.name); !ok {
+	if _, ok := c.plan.FindCell(r.name); !ok {
 		r.region = s.Region
 	}
-	if returned || before.Members != s.Members || before.Serving != s.Serving {
+	if returned || before.Members != s.Members || before.ServingMembers != s.ServingMembers {
 		c.directory.dirty = true
 	}
 	if c.election.representing {
@@ -176,7 +176,7 @@
 	}
 	if returned {
 		r.lost = false
-		out = append(out, Changed{Kind: CellKnown, Cell: r.name, Representative: s.Representative})
+		out = append(out, CellChanged{Kind: CellKnown, Cell: r.name, Representative: s.Representative})
 	}
 	return out
 }
@@ -194,7 +194,7 @@
 		if !r.lost && now-since > limit {
 			r.lost = true
 			c.directory.dirty = true
-			out = append(out, Changed{Kind: CellLost, Cell: name})
+			out = append(out, CellChanged{Kind: CellLost, Cell: name})
 		}
 	}
 	return out
@@ -203,7 +203,7 @@
 // summary is this cell's, under the number drawn last.
 func (c *Coordinator) summary() Summary {
 	l := c.local
-	own, _ := c.plan.Find(c.cfg.Cell)
+	own, _ := c.plan.FindCell(c.cfg.Cell)
 	s := Summary{
 		Cell:            c.cfg.Cell,
 		Region:          own.Region,
@@ -216,7 +216,7 @@
 		JoinedPlan:      l.JoinedPlan,
 		Bootstrapped:    l.Bootstrapped,
 		Members:         l.Members,
-		Serving:         min(l.Serving, l.Members),
+		ServingMembers:  min(l.ServingMembers, l.Members),
 		RequestRate:     l.RequestRate,
 		OpenConnections: l.OpenConnections,
 		DrainRate:       l.DrainRate,
@@ -227,12 +227,12 @@
 		}
 	}
 	left := maxDepartedBytes
-	for _, name := range l.Departed {
+	for _, name := range l.DepartedRelays {
 		left -= len(name) + 2
-		if left < 0 || len(s.Departed) == MaxDeparted {
+		if left < 0 || len(s.DepartedRelays) == MaxDeparted {
 			break
 		}
-		s.Departed = append(s.Departed, name)
+		s.DepartedRelays = append(s.DepartedRelays, name)
 	}
 	return s
 }
--- a/internal/fleet/cells/directory.go
+++ b/internal/fleet/cells/directory.go
@@ -25,8 +25,8 @@
 	seen      sequenceMarks // of those that came
 	seq       uint64        // of this relay's own
 	nextAt    time.Duration
-	dirty     bool            // something in it has changed since it was published
-	inherited []RegionFigures // of the directory before this relay represented the cell
+	dirty     bool           // something in it has changed since it was published
+	inherited []RegionTotals // of the directory before this relay represented the cell
 }
 
 // due is when the next directory may go.
@@ -42,19 +42,19 @@
 	return d.at < 0 || now-d.at > UnknownAfterRounds*directoryInterval
 }
 
-// Figures are sums over the other cells.
-type Figures struct {
-	Relays, Serving int
-	RequestRate     float64
-	OpenConnections int
-	DrainRate       float64
+// Totals are sums over the other cells.
+type Totals struct {
+	Relays, ServingRelays int
+	RequestRate           float64
+	OpenConnections       int
+	DrainRate             float64
 }
 
-// Others are the other cells' figures by what this relay knows: see knownRegions.
-func (c *Coordinator) Others(now time.Duration) (sum Figures) {
+// OtherCellTotals are the other cells' figures by what this relay knows: see knownRegions.
+func (c *Coordinator) OtherCellTotals(now time.Duration) (sum Totals) {
 	for _, r := range c.knownRegions(now) {
 		sum.Relays += r.Relays
-		sum.Serving += r.Serving
+		sum.ServingRelays += r.ServingRelays
 		sum.RequestRate += r.RequestRate
 		sum.OpenConnections += r.OpenConnections
 		sum.DrainRate += r.DrainRate
@@ -64,7 +64,7 @@
 
 // knownRegions are the other cells' figures by region: the representative's by the summaries, any other
 // relay's by the representative's directory, and before there is one by the plan.
-func (c *Coordinator) knownRegions(now time.Duration) []RegionFigures {
+func (c *Coordinator) knownRegions(now time.Duration) []RegionTotals {
 	if c.directory.at < 0 || c.election.representing {
 		return c.regionRows(now)
 	}
@@ -74,24 +74,24 @@
 // regionRows sums the summaries by region. A cell that never sent a summary counts by the plan; where
 // there is one, and the directory before this relay represented its cell tells more of the region, the
 // region counts by that.
-func (c *Coordinator) regionRows(now time.Duration) []RegionFigures {
-	regions := map[string]*RegionFigures{}
+func (c *Coordinator) regionRows(now time.Duration) []RegionTotals {
+	regions := map[string]*RegionTotals{}
 	incomplete := map[string]bool{}
 	for _, name := range c.cellNames {
 		r := c.remotes[name]
 		if regions[r.region] == nil {
-			regions[r.region] = &RegionFigures{Name: r.region}
+			regions[r.region] = &RegionTotals{Name: r.region}
 		}
 		if r.summaryAt < 0 {
 			incomplete[r.region] = true
 		}
 		regions[r.region].add(c.cellFigures(now, r))
 	}
-	rows := make([]RegionFigures, 0, len(regions))
+	rows := make([]RegionTotals, 0, len(regions))
 	for _, row := range regions {
 		rows = append(rows, *row)
 	}
-	slices.SortFunc(rows, func(a, b RegionFigures) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(rows, func(a, b RegionTotals) int { return cmp.Compare(a.Name, b.Name) })
 	for i := range rows {
 		if incomplete[rows[i].Name] {
 			rows[i].atLeast(c.directory.inherited)
@@ -101,17 +101,17 @@
 }
 
 // cellFigures are one other cell's: its last, or those of the plan.
-func (c *Coordinator) cellFigures(now time.Duration, r *remote) RegionFigures {
+func (c *Coordinator) cellFigures(now time.Duration, r *remote) RegionTotals {
 	if r.summaryAt < 0 {
-		return RegionFigures{Cells: 1, Relays: r.weight, Serving: r.weight}
+		return RegionTotals{Cells: 1, Relays: r.weight, ServingRelays: r.weight}
 	}
 	s := r.summary
-	figures := RegionFigures{
-		Cells: 1, Relays: s.Members, Serving: s.Serving,
+	figures := RegionTotals{
+		Cells: 1, Relays: s.Members, ServingRelays: s.ServingMembers,
 		RequestRate: s.RequestRate, OpenConnections: s.OpenConnections, DrainRate: s.DrainRate,
 	}
 	if !c.isUnknown(now, r) {
-		figures.Known = 1
+		figures.KnownCells = 1
 	}
 	return figures
 }
@@ -122,36 +122,36 @@
 }
 
 // add adds other figures of the same region.
-func (r *RegionFigures) add(o RegionFigures) {
+func (r *RegionTotals) add(o RegionTotals) {
 	r.Cells += o.Cells
-	r.Known += o.Known
+	r.KnownCells += o.KnownCells
 	r.Relays += o.Relays
-	r.Serving += o.Serving
+	r.ServingRelays += o.ServingRelays
 	r.RequestRate += o.RequestRate
 	r.OpenConnections += o.OpenConnections
 	r.DrainRate += o.DrainRate
 }
 
 // atLeast raises the figures to those of the region's row among the inherited ones.
-func (r *RegionFigures) atLeast(inherited []RegionFigures) {
-	i := slices.IndexFunc(inherited, func(o RegionFigures) bool { return o.Name == r.Name })
+func (r *RegionTotals) atLeast(inherited []RegionTotals) {
+	i := slices.IndexFunc(inherited, func(o RegionTotals) bool { return o.Name == r.Name })
 	if i < 0 {
 		return
 	}
 	o := inherited[i]
 	r.Relays = max(r.Relays, o.Relays)
-	r.Serving = max(r.Serving, o.Serving)
+	r.ServingRelays = max(r.ServingRelays, o.ServingRelays)
 	r.RequestRate = max(r.RequestRate, o.RequestRate)
 	r.OpenConnections = max(r.OpenConnections, o.OpenConnections)
 	r.DrainRate = max(r.DrainRate, o.DrainRate)
 }
 
 // foldRegions sums the regions beyond what a directory may have in one row.
-func foldRegions(rows []RegionFigures) []RegionFigures {
+func foldRegions(rows []RegionTotals) []RegionTotals {
 	if len(rows) <= MaxRegions {
 		return rows
 	}
-	last := RegionFigures{Name: otherRegions}
+	last := RegionTotals{Name: otherRegions}
 	for _, row := range rows[MaxRegions-1:] {
 		last.add(row)
 	}
--- a/internal/fleet/cells/election.go
+++ b/internal/fleet/cells/election.go
@@ -34,7 +34,7 @@
 		c.becomeRepresentative(now)
 	}
 	c.election.representing = representing
-	return append(out, Changed{Kind: RepresentativeChanged, Cell: c.cfg.Cell, Representative: elected})
+	return append(out, CellChanged{Kind: RepresentativeChanged, Cell: c.cfg.Cell, Representative: elected})
 }
 
 // becomeRepresentative makes this relay the representative: it starts in turn after its own cell's name,
--- a/internal/fleet/cells/evidence.go
+++ b/internal/fleet/cells/evidence.go
@@ -9,11 +9,11 @@
 // requiredCells are the cells that must have joined the view's plan before it is activated; nil if they
 // are not known.
 func (c *Coordinator) requiredCells() []string {
-	if len(c.local.Cells) > 0 {
-		return c.local.Cells
+	if len(c.local.RequiredCells) > 0 {
+		return c.local.RequiredCells
 	}
 	if c.plan.Number == c.local.Plan && c.plan.Hash() == c.local.PlanHash {
-		return c.plan.Names()
+		return c.plan.CellNames()
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 	}
 	c.activatedPlan = plan
 	c.directory.dirty = true
-	return append(out, Changed{Kind: PlanActivated, Cell: c.cfg.Cell, Plan: plan})
+	return append(out, CellChanged{Kind: PlanActivated, Cell: c.cfg.Cell, Plan: plan})
 }
 
 // checkMismatch tells once of a cell that has another table under the number of this cell's plan.
@@ -66,7 +66,7 @@
 	}
 	differs := s.PlanHash != c.local.PlanHash
 	if differs && !r.mismatch {
-		out = append(out, Changed{Kind: PlanMismatch, Cell: r.name, Representative: s.Representative,
+		out = append(out, CellChanged{Kind: PlanMismatch, Cell: r.name, Representative: s.Representative,
 			Plan: s.Plan})
 	}
 	r.mismatch = differs
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -10,7 +10,7 @@
 
 // enter makes a cell's view hold a plan, and say so as joined later.
 func (n *network) enter(g *group, plan cellplan.Plan) {
-	g.plan, g.hash, g.names = plan.Number, plan.Hash(), plan.Names()
+	g.plan, g.hash, g.names = plan.Number, plan.Hash(), plan.CellNames()
 	g.epoch++
 	n.after(15*second, func() { g.joinedPlan = plan.Number })
 }
@@ -89,7 +89,7 @@
 	c, plan := one(t)
 	joined := func(number, hash uint64) LocalCell {
 		return LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: number, PlanHash: hash,
-			Cells: plan.Names(), JoinedPlan: number}
+			RequiredCells: plan.CellNames(), JoinedPlan: number}
 	}
 	before := plan
 	before.Number = 1
@@ -116,7 +116,7 @@
 	}
 	mismatches := 0
 	for _, a := range out {
-		if changed, is := a.(Changed); is && changed.Kind == PlanMismatch && changed.Cell == "c" {
+		if changed, is := a.(CellChanged); is && changed.Kind == PlanMismatch && changed.Cell == "c" {
 			mismatches++
 		}
 	}
@@ -146,7 +146,7 @@
 func TestActivationGoesByTheView(t *testing.T) {
 	c, plan := one(t)
 	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
-		Cells: append(plan.Names(), "gone"), JoinedPlan: 1}
+		RequiredCells: append(plan.CellNames(), "gone"), JoinedPlan: 1}
 	c.Handle(0, l, nil)
 	for _, name := range []string{"b", "c"} {
 		c.Handle(0, SummaryReceived{Summary: heardFrom(plan, name, 1)}, nil)
@@ -173,7 +173,7 @@
 func TestLaterPlanCounts(t *testing.T) {
 	c, plan := one(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
-		Cells: plan.Names(), JoinedPlan: 2}, nil)
+		RequiredCells: plan.CellNames(), JoinedPlan: 2}, nil)
 	later, old := plan, plan
 	later.Number, old.Number = 4, 1
 	c.Handle(0, SummaryReceived{Summary: heardFrom(later, "b", 1)}, nil)
@@ -191,12 +191,12 @@
 func TestTooManyCellsNeverActivate(t *testing.T) {
 	c, plan := one(t)
 	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
-		Cells: plan.Names(), JoinedPlan: 2}
+		RequiredCells: plan.CellNames(), JoinedPlan: 2}
 	for i := range cellplan.MaxCells {
-		l.Cells = append(l.Cells, fmt.Sprint("x", i))
+		l.RequiredCells = append(l.RequiredCells, fmt.Sprint("x", i))
 	}
 	c.Handle(0, l, nil)
-	for _, name := range l.Cells {
+	for _, name := range l.RequiredCells {
 		c.Handle(0, SummaryReceived{Summary: heardFrom(plan, name, 1)}, nil)
 	}
 	if c.ActivatedPlan() != 0 || len(c.remotes) != 2 {
@@ -209,8 +209,8 @@
 func TestBootstrappedCellsAloneNeverActivate(t *testing.T) {
 	c, plan := one(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
-		Cells: plan.Names(), JoinedPlan: 2, Bootstrapped: true}, nil)
-	for _, name := range plan.Names() {
+		RequiredCells: plan.CellNames(), JoinedPlan: 2, Bootstrapped: true}, nil)
+	for _, name := range plan.CellNames() {
 		s := heardFrom(plan, name, 1)
 		s.Bootstrapped = true
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -39,7 +39,7 @@
 			took := n.until(60*second, func() bool { return n.knownEverywhere(g) })
 			all := took + n.until(60*second, n.agreed)
 			slowest, whole = max(slowest, took), max(whole, all)
-			if took > deathKnownWithin || all > 3*Round(len(n.cells)) {
+			if took > deathKnownWithin || all > 3*RoundDuration(len(n.cells)) {
 				t.Errorf("seed %d: the death of %s is known after %.1f s, "+
 					"all directories are whole after %.1f s",
 					seed, victim.name, took.Seconds(), all.Seconds())
@@ -130,7 +130,7 @@
 		rates[len(n.cells)] = float64(sent) / 100
 		t.Logf("%d cells: %.2f packets a second of a representative, at most %d in one; a round takes %.1f s",
 			len(n.cells), rates[len(n.cells)],
-			busiest(n.cells[0].sent, from, n.now), Round(len(n.cells)).Seconds())
+			busiest(n.cells[0].sent, from, n.now), RoundDuration(len(n.cells)).Seconds())
 	}
 	if most := float64(second) / float64(roundPerCell); rates[10] > 2 || rates[34] > most*1.01 ||
 		rates[128] > most*1.01 {
@@ -154,7 +154,7 @@
 	}
 	c := New(0, Config{Name: "relay-eu-north-0-001", Cell: plan.Cells[0].Name, Incarnation: 1 << 40,
 		Plan: plan})
-	l := LocalCell{Members: 64, Serving: 64, Epoch: 1 << 30, Plan: 1234, JoinedPlan: 1234,
+	l := LocalCell{Members: 64, ServingMembers: 64, Epoch: 1 << 30, Plan: 1234, JoinedPlan: 1234,
 		PlanHash: plan.Hash(), RequestRate: 12345.678, OpenConnections: 123456789, DrainRate: 123.456}
 	for i := range 7 {
 		name := fmt.Sprintf("relay-eu-north-0-%03d", i+1)
@@ -162,7 +162,7 @@
 			Alive: true})
 	}
 	for i := range 64 {
-		l.Departed = append(l.Departed, fmt.Sprintf("relay-eu-north-0-%03d", i+1))
+		l.DepartedRelays = append(l.DepartedRelays, fmt.Sprintf("relay-eu-north-0-%03d", i+1))
 	}
 	c.Handle(0, l, nil)
 	c.summarySeq = 1 << 40
@@ -182,12 +182,12 @@
 	if err := directory.Check(); err != nil || len(rows) != 5 || rows[1].Relays != 7*64 {
 		t.Fatal(err, rows)
 	}
-	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes", len(summary.Departed),
+	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes", len(summary.DepartedRelays),
 		size(t, summary), len(rows), size(t, directory))
 	if size(t, summary) > 400 || size(t, directory) > 600 {
 		t.Error("too large")
 	}
-	if len(summary.Contacts) != MaxContacts || len(summary.Departed) < 4 ||
+	if len(summary.Contacts) != MaxContacts || len(summary.DepartedRelays) < 4 ||
 		strings.Join(summary.Contacts,
 			" ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
 		t.Error(summary)
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -39,7 +39,7 @@
 				}
 			}
 			c.Report(now)
-			c.Others(now)
+			c.OtherCellTotals(now)
 			if sent > 1 || len(c.remotes) > 16+16 || len(c.cellNames) != len(c.remotes) ||
 				c.ActivatedPlan() < activated {
 				t.Fatal(sent, len(c.remotes), len(c.cellNames), c.ActivatedPlan(), activated)
@@ -59,18 +59,18 @@
 	kind, a, b := text[0], int(text[1]), int(text[2])
 	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9),
 		Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
-		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a, Serving: b,
+		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a, ServingMembers: b,
 		Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
 	switch kind % 6 {
 	case 0:
-		l := LocalCell{Members: a, Serving: b, Epoch: uint64(a % 3), Plan: uint64(b % 6),
+		l := LocalCell{Members: a, ServingMembers: b, Epoch: uint64(a % 3), Plan: uint64(b % 6),
 			PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 6), RequestRate: float64(a)}
 		for i := range a % 4 {
 			l.Voters = append(l.Voters, Voter{Name: fmt.Sprintf("relay-%d", i),
 				Address: fmt.Sprintf("10.0.0.%d:2", i+1), Alive: b>>i&1 == 1})
 		}
 		for i := range b % 17 {
-			l.Cells = append(l.Cells, fmt.Sprintf("cell-%d", i))
+			l.RequiredCells = append(l.RequiredCells, fmt.Sprintf("cell-%d", i))
 		}
 		return l
 	case 1, 2:
@@ -80,7 +80,7 @@
 			Directory: Directory{Cell: "cell-0", Representative: summary.Representative,
 				Incarnation: summary.Incarnation, Seq: summary.Seq,
 				Epoch: summary.Epoch, ActivatedPlan: uint64(b % 4),
-				Regions: []RegionFigures{{Name: "region-0", Cells: a, Known: b, Relays: a, Serving: b}}}}
+				Regions: []RegionTotals{{Name: "region-0", Cells: a, KnownCells: b, Relays: a, ServingRelays: b}}}}
 	case 4:
 		return PlanChanged{drawnPlan(1+a%16, uint64(1+b%6))}
 	}
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -32,7 +32,7 @@
 	byName    map[string]*relay
 	byAddress map[string]*relay
 	plan      cellplan.Plan
-	changes   map[Change]int
+	changes   map[ChangeKind]int
 	check     func() // after each event; nil for nothing
 	sizes     struct{ summary, directory int }
 	trace     *trace.Trace // of all actions; nil for none
@@ -88,7 +88,7 @@
 // simulated.
 func fleetOf(t *testing.T, seed uint64, zones []int, perZone, relays int) *network {
 	n := &network{t: t, draw: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{},
-		byAddress: map[string]*relay{}, changes: map[Change]int{}}
+		byAddress: map[string]*relay{}, changes: map[ChangeKind]int{}}
 	n.plan.Number = 1
 	for region, count := range zones {
 		for zone := range count {
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	for _, g := range n.cells {
-		g.plan, g.joinedPlan, g.hash, g.names = 1, 1, n.plan.Hash(), n.plan.Names()
+		g.plan, g.joinedPlan, g.hash, g.names = 1, 1, n.plan.Hash(), n.plan.CellNames()
 		for _, r := range g.relays {
 			n.start(r)
 		}
@@ -176,14 +176,14 @@
 		}
 	}
 	n.now = from + limit
-	return duration.Forever
+	return duration.DistantFuture
 }
 
 // local is what a relay knows of its cell.
 func (n *network) local(r *relay) LocalCell {
 	g := r.group
-	l := LocalCell{Members: g.members(), Serving: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash,
-		Cells: g.names, JoinedPlan: g.joinedPlan,
+	l := LocalCell{Members: g.members(), ServingMembers: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash,
+		RequiredCells: g.names, JoinedPlan: g.joinedPlan,
 		RequestRate: 100 * float64(g.members()), OpenConnections: 1000 * g.members()}
 	for _, other := range g.relays {
 		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address, Alive: r.believes(other)})
@@ -223,8 +223,8 @@
 	for _, a := range r.coordinator.Handle(n.now, ev, nil) {
 		n.do(r, a)
 	}
-	next := r.coordinator.Next()
-	if next == duration.Forever {
+	next := r.coordinator.NextTickAt()
+	if next == duration.DistantFuture {
 		return
 	}
 	incarnation, wake := r.incarnation, max(next, n.now)
@@ -257,7 +257,7 @@
 					func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
 			}
 		}
-	case Changed:
+	case CellChanged:
 		n.changes[a.Kind]++
 	}
 }
@@ -301,7 +301,7 @@
 			}
 		}
 		for _, r := range other.relays {
-			holds := func(row RegionFigures) bool { return row.Name == g.region && row.Relays == want }
+			holds := func(row RegionTotals) bool { return row.Name == g.region && row.Relays == want }
 			if r.up && !slices.ContainsFunc(r.coordinator.directory.newest.Regions, holds) {
 				return false
 			}
@@ -325,22 +325,22 @@
 
 // informed tells whether a relay has a true directory.
 func (n *network) informed(r *relay) bool {
-	var want []RegionFigures
+	var want []RegionTotals
 	for _, g := range n.cells {
-		i := slices.IndexFunc(want, func(row RegionFigures) bool { return row.Name == g.region })
+		i := slices.IndexFunc(want, func(row RegionTotals) bool { return row.Name == g.region })
 		if i < 0 {
-			want = append(want, RegionFigures{Name: g.region})
+			want = append(want, RegionTotals{Name: g.region})
 			i = len(want) - 1
 		}
 		if g != r.group {
-			want[i].add(RegionFigures{Cells: 1, Known: 1, Relays: g.members(), Serving: g.members()})
+			want[i].add(RegionTotals{Cells: 1, KnownCells: 1, Relays: g.members(), ServingRelays: g.members()})
 		}
 	}
 	rows := r.coordinator.directory.newest.Regions
-	want = slices.DeleteFunc(want, func(row RegionFigures) bool { return row.Cells == 0 })
-	return slices.EqualFunc(want, rows, func(a, b RegionFigures) bool {
-		return a.Name == b.Name && a.Cells == b.Cells && a.Known == b.Known && a.Relays == b.Relays &&
-			a.Serving == b.Serving
+	want = slices.DeleteFunc(want, func(row RegionTotals) bool { return row.Cells == 0 })
+	return slices.EqualFunc(want, rows, func(a, b RegionTotals) bool {
+		return a.Name == b.Name && a.Cells == b.Cells && a.KnownCells == b.KnownCells && a.Relays == b.Relays &&
+			a.ServingRelays == b.ServingRelays
 	})
 }
 
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -18,43 +18,43 @@
 	JoinedPlan     uint64 `json:"entered"`
 	ActivatedPlan  uint64 `json:"opened"`
 	FilePlan       uint64 `json:"file_plan"`
-	// DirectoryMs is the age of the representative's directory, negative if there is none.
-	DirectoryMs float64        `json:"directory_ms"`
-	Regions     []RegionReport `json:"regions"`
-	Dropped     DropCounters   `json:"dropped"`
+	// DirectoryAgeMs is the age of the representative's directory, negative if there is none.
+	DirectoryAgeMs float64        `json:"directory_ms"`
+	Regions        []RegionReport `json:"regions"`
+	Drops          DropCounters   `json:"dropped"`
 }
 
 // RegionReport is one region in a Report: the other cells' figures, and the cells, this one's own among them.
 type RegionReport struct {
-	RegionFigures
-	Rows []CellReport `json:"rows"`
+	RegionTotals
+	CellReports []CellReport `json:"rows"`
 }
 
 // CellReport is one cell in a Report. At a relay that is no representative most are known by their region's
 // figures only.
 type CellReport struct {
 	Name            string   `json:"cell"`
-	Own             bool     `json:"own,omitempty"`
+	OwnCell         bool     `json:"own,omitempty"`
 	Known           bool     `json:"heard"` // lately
 	AgeMs           float64  `json:"age_ms"`
 	Representative  string   `json:"speaker"`
 	Epoch           uint64   `json:"epoch"`
 	Plan            uint64   `json:"plan"`
 	PlanHash        string   `json:"plan_hash"`
-	Mismatch        bool     `json:"mismatch"` // it has another table under this cell's plan number
+	PlanMismatch    bool     `json:"mismatch"` // it has another table under this cell's plan number
 	JoinedPlan      uint64   `json:"entered"`
 	Relays          int      `json:"relays"`
-	Serving         int      `json:"serving"`
+	ServingRelays   int      `json:"serving"`
 	RequestRate     float64  `json:"per_s"`
 	OpenConnections int      `json:"held"`
 	DrainRate       float64  `json:"sent_per_s"`
-	Departed        []string `json:"departed,omitempty"`
+	DepartedRelays  []string `json:"departed,omitempty"`
 	Contact         string   `json:"contact"` // where the last summary to it went
 }
 
 // Report tells what the Coordinator knows.
 func (c *Coordinator) Report(now time.Duration) Report {
-	own, _ := c.plan.Find(c.cfg.Cell)
+	own, _ := c.plan.FindCell(c.cfg.Cell)
 	report := Report{
 		Cell:           c.cfg.Cell,
 		Region:         own.Region,
@@ -64,14 +64,14 @@
 		JoinedPlan:     c.local.JoinedPlan,
 		ActivatedPlan:  c.activatedPlan,
 		FilePlan:       c.plan.Number,
-		DirectoryMs:    -1,
-		Dropped:        c.drops,
+		DirectoryAgeMs: -1,
+		Drops:          c.drops,
 	}
 	if c.directory.at >= 0 {
-		report.DirectoryMs = duration.Millis(now - c.directory.at)
+		report.DirectoryAgeMs = duration.Millis(now - c.directory.at)
 	}
 	for _, row := range c.knownRegions(now) {
-		report.Regions = append(report.Regions, RegionReport{RegionFigures: row})
+		report.Regions = append(report.Regions, RegionReport{RegionTotals: row})
 	}
 	report.addCell(own.Region, c.ownReport())
 	for _, name := range c.cellNames {
@@ -91,10 +91,10 @@
 		i = find(otherRegions)
 	}
 	if i < 0 {
-		r.Regions = append(r.Regions, RegionReport{RegionFigures: RegionFigures{Name: region}})
+		r.Regions = append(r.Regions, RegionReport{RegionTotals: RegionTotals{Name: region}})
 		i = len(r.Regions) - 1
 	}
-	r.Regions[i].Rows = append(r.Regions[i].Rows, cell)
+	r.Regions[i].CellReports = append(r.Regions[i].CellReports, cell)
 }
 
 // ownReport is this cell's row.
@@ -102,7 +102,7 @@
 	l := c.local
 	return CellReport{
 		Name:            c.cfg.Cell,
-		Own:             true,
+		OwnCell:         true,
 		Known:           true,
 		Representative:  c.election.representative,
 		Epoch:           l.Epoch,
@@ -110,11 +110,11 @@
 		PlanHash:        hex(l.PlanHash),
 		JoinedPlan:      l.JoinedPlan,
 		Relays:          l.Members,
-		Serving:         l.Serving,
+		ServingRelays:   l.ServingMembers,
 		RequestRate:     l.RequestRate,
 		OpenConnections: l.OpenConnections,
 		DrainRate:       l.DrainRate,
-		Departed:        l.Departed,
+		DepartedRelays:  l.DepartedRelays,
 	}
 }
 
@@ -129,14 +129,14 @@
 		Epoch:           s.Epoch,
 		Plan:            s.Plan,
 		PlanHash:        hex(s.PlanHash),
-		Mismatch:        r.mismatch,
+		PlanMismatch:    r.mismatch,
 		JoinedPlan:      s.JoinedPlan,
 		Relays:          s.Members,
-		Serving:         s.Serving,
+		ServingRelays:   s.ServingMembers,
 		RequestRate:     s.RequestRate,
 		OpenConnections: s.OpenConnections,
 		DrainRate:       s.DrainRate,
-		Departed:        s.Departed,
+		DepartedRelays:  s.DepartedRelays,
 		Contact:         r.sentTo,
 	}
 	if r.summaryAt >= 0 {
--- a/internal/fleet/cells/representative_test.go
+++ b/internal/fleet/cells/representative_test.go
@@ -69,7 +69,7 @@
 	said := heardFrom(plan, "b", 5)
 	c.Handle(0, SummaryReceived{Summary: said}, nil)
 	for i, s := range []Summary{said, heardFrom(plan, "b", 4), heardFrom(plan, "b", 3)} {
-		s.Members, s.Serving = 3, 3
+		s.Members, s.ServingMembers = 3, 3
 		c.Handle(second, SummaryReceived{Summary: s}, nil)
 		if c.remotes["b"].summary.Members != 32 {
 			t.Fatalf("old packet %d replaces a newer one", i)
@@ -96,7 +96,7 @@
 func TestSummaryOfAnOlderViewIsStale(t *testing.T) {
 	c, plan := one(t)
 	newer, older := heardFrom(plan, "b", 5), heardFrom(plan, "b", 9)
-	newer.Epoch, older.Epoch, older.Representative, older.Members, older.Serving = 8, 7, "b-2", 2, 2
+	newer.Epoch, older.Epoch, older.Representative, older.Members, older.ServingMembers = 8, 7, "b-2", 2, 2
 	c.Handle(0, SummaryReceived{Summary: newer}, nil)
 	c.Handle(second, SummaryReceived{Summary: older}, nil)
 	if c.remotes["b"].summary.Members != 32 {
@@ -151,7 +151,7 @@
 		})
 	})
 	t.Logf("three of four contacts dead: all known after %.1f s", took.Seconds())
-	if took > 5*Round(3) {
+	if took > 5*RoundDuration(3) {
 		t.Errorf("after %.1f s", took.Seconds())
 	}
 }
@@ -163,16 +163,16 @@
 	cutOff := n.cells[2]
 	n.cut = func(from, to *relay) bool { return (from.group == cutOff) != (to.group == cutOff) }
 	n.pass(60 * second)
-	before := n.cells[0].relays[2].coordinator.Others(n.now)
+	before := n.cells[0].relays[2].coordinator.OtherCellTotals(n.now)
 	n.kill(n.cells[0].relays[0])
 	for range 60 {
 		n.pass(second)
-		if got := n.cells[0].relays[1].coordinator.Others(n.now); got != before {
+		if got := n.cells[0].relays[1].coordinator.OtherCellTotals(n.now); got != before {
 			t.Fatalf("the new representative counts %+v, before with %+v", got, before)
 		}
 	}
 	row := n.cells[0].relays[2].coordinator.directory.newest.Regions[1]
-	if row.Known != 0 || row.Relays != 32 || row.RequestRate != 3200 {
+	if row.KnownCells != 0 || row.Relays != 32 || row.RequestRate != 3200 {
 		t.Errorf("the cut off region is published as %+v", row)
 	}
 }
@@ -205,8 +205,8 @@
 			}
 		}
 	}
-	if sent > 1 || c.Next() <= now {
-		t.Errorf("%d summaries at once, next in %.1f s", sent, (c.Next() - now).Seconds())
+	if sent > 1 || c.NextTickAt() <= now {
+		t.Errorf("%d summaries at once, next in %.1f s", sent, (c.NextTickAt() - now).Seconds())
 	}
 }
 
@@ -216,7 +216,7 @@
 	n := fleetOf(t, 11, large, 2, 1)
 	n.pass(60 * second)
 	g := n.cells[0]
-	round := Round(len(n.cells))
+	round := RoundDuration(len(n.cells))
 	from := n.now
 	g.epoch++
 	n.updateCell(g)
@@ -243,7 +243,7 @@
 	c := New(0, Config{Name: "a-1", Cell: "a", Incarnation: 1, Plan: plan})
 	out := c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 3}, nil)
 	tried := map[string]bool{}
-	for now := time.Duration(0); now < 3*Round(2); now = c.Next() {
+	for now := time.Duration(0); now < 3*RoundDuration(2); now = c.NextTickAt() {
 		for _, a := range c.Handle(now, Tick{}, out) {
 			if send, is := a.(SendSummary); is {
 				tried[send.Address] = true
@@ -270,7 +270,7 @@
 	}
 	r := c.remotes["b"]
 	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins ||
-		len(c.directory.seen) > maxRepresentatives || c.drops.Unknown != 5000 {
+		len(c.directory.seen) > maxRepresentatives || c.drops.UnknownCell != 5000 {
 		t.Error(len(c.remotes), len(r.seen), len(r.planJoins), len(c.directory.seen), c.drops)
 	}
 	c.Handle(0, PlanChanged{cellplan.Plan{Number: 2, Cells: plan.Cells[:2]}}, nil)
@@ -286,13 +286,13 @@
 		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Representative = "" },
 		func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
 		func(s *Summary) { s.JoinedPlan = s.Plan + 1 }, func(s *Summary) { s.Members = -1 },
-		func(s *Summary) { s.Serving = s.Members + 1 },
+		func(s *Summary) { s.ServingMembers = s.Members + 1 },
 		func(s *Summary) { s.RequestRate = math.NaN() }, func(s *Summary) { s.RequestRate = math.Inf(1) },
 		func(s *Summary) { s.DrainRate = -1 }, func(s *Summary) { s.OpenConnections = -1 },
 		func(s *Summary) { s.Contacts = []string{"relay:1"} },
 		func(s *Summary) { s.Contacts = make([]string, 4) },
-		func(s *Summary) { s.Departed = make([]string, 9) },
-		func(s *Summary) { s.Departed = []string{"a\nb"} },
+		func(s *Summary) { s.DepartedRelays = make([]string, 9) },
+		func(s *Summary) { s.DepartedRelays = []string{"a\nb"} },
 	} {
 		s := heardFrom(plan, "b", 1)
 		if s.Check() != nil {
@@ -306,13 +306,13 @@
 	for i, change := range []func(d *Directory){
 		func(d *Directory) { d.Cell = "" }, func(d *Directory) { d.Seq = 0 },
 		func(d *Directory) { d.Regions[0].RequestRate = math.NaN() },
-		func(d *Directory) { d.Regions[0].Known = 3 },
-		func(d *Directory) { d.Regions = make([]RegionFigures, 17) },
+		func(d *Directory) { d.Regions[0].KnownCells = 3 },
+		func(d *Directory) { d.Regions = make([]RegionTotals, 17) },
 		func(d *Directory) { d.Regions[1].Name = "r" }, func(d *Directory) { d.Regions[0].Cells = 1 << 20 },
 		func(d *Directory) { d.ActivatedPlan = math.MaxUint64 },
 	} {
 		d := Directory{Cell: "a", Representative: "a-0", Incarnation: 1, Seq: 1,
-			Regions: []RegionFigures{{Name: "r", Cells: 2, Known: 1}, {Name: "s"}}}
+			Regions: []RegionTotals{{Name: "r", Cells: 2, KnownCells: 1}, {Name: "s"}}}
 		if d.Check() != nil {
 			t.Fatal(d.Check())
 		}
@@ -340,5 +340,5 @@
 func heardFrom(plan cellplan.Plan, cell string, seq uint64) Summary {
 	return Summary{Cell: cell, Region: "r", Representative: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3,
 		Plan: plan.Number, PlanHash: plan.Hash(), JoinedPlan: plan.Number,
-		Members: 32, Serving: 30, RequestRate: 100, OpenConnections: 1000}
+		Members: 32, ServingMembers: 30, RequestRate: 100, OpenConnections: 1000}
 }
--- a/internal/fleet/cells/rounds.go
+++ b/internal/fleet/cells/rounds.go
@@ -38,10 +38,10 @@
 	outOfTurn      bool          // the last summary was
 }
 
-// Round is how long it takes a representative to tell each other cell once, by the number of all cells.
-func Round(cells int) time.Duration { return max(minRound, roundPerCell*time.Duration(cells)) }
+// RoundDuration is how long it takes a representative to tell each other cell once, by the number of all cells.
+func RoundDuration(cells int) time.Duration { return max(minRound, roundPerCell*time.Duration(cells)) }
 
-func (c *Coordinator) round() time.Duration { return Round(len(c.cellNames) + 1) }
+func (c *Coordinator) round() time.Duration { return RoundDuration(len(c.cellNames) + 1) }
 
 // summaryInterval is the time between two summaries.
 func (c *Coordinator) summaryInterval() time.Duration {
@@ -123,10 +123,10 @@
 	return append(out, SendSummary{Address: r.sentTo, Cell: r.name, Summary: c.summary()})
 }
 
-// Next is when the Coordinator wants a Tick; duration.Forever for not before the next event.
-func (c *Coordinator) Next() time.Duration {
+// NextTickAt is when the Coordinator wants a Tick; duration.Forever for not before the next event.
+func (c *Coordinator) NextTickAt() time.Duration {
 	if !c.election.representing {
-		return duration.Forever
+		return duration.DistantFuture
 	}
 	next := c.directory.due()
 	if len(c.cellNames) > 0 {
--- a/internal/fleet/cells/summary.go
+++ b/internal/fleet/cells/summary.go
@@ -34,12 +34,12 @@
 	PlanHash        uint64   `cbor:"8,keyasint,omitempty"` // of that plan's table
 	JoinedPlan      uint64   `cbor:"9,keyasint,omitempty"` // nobody in the cell acts by an earlier plan
 	Members         int      `cbor:"10,keyasint,omitempty"`
-	Serving         int      `cbor:"11,keyasint,omitempty"`
+	ServingMembers  int      `cbor:"11,keyasint,omitempty"`
 	RequestRate     float64  `cbor:"12,keyasint,omitempty"`
 	OpenConnections int      `cbor:"13,keyasint,omitempty"`
 	DrainRate       float64  `cbor:"14,keyasint,omitempty"`
 	Contacts        []string `cbor:"15,keyasint,omitempty"` // the representative first
-	Departed        []string `cbor:"16,keyasint,omitempty"` // relays that went in the last 20 s
+	DepartedRelays  []string `cbor:"16,keyasint,omitempty"` // relays that went in the last 20 s
 	// Forwarded says that a relay that is no representative has sent it on to the one that is; never twice.
 	Forwarded    bool `cbor:"17,keyasint,omitempty"`
 	Bootstrapped bool `cbor:"18,keyasint,omitempty"` // by Plan: the cell has come from no earlier one
@@ -53,17 +53,17 @@
 	Seq            uint64 `cbor:"4,keyasint"`
 	Epoch          uint64 `cbor:"5,keyasint,omitempty"`
 	// ActivatedPlan is the newest plan that every cell is known to have joined.
-	ActivatedPlan uint64          `cbor:"6,keyasint,omitempty"`
-	Regions       []RegionFigures `cbor:"7,keyasint,omitempty"` // without this cell's own figures
+	ActivatedPlan uint64         `cbor:"6,keyasint,omitempty"`
+	Regions       []RegionTotals `cbor:"7,keyasint,omitempty"` // without this cell's own figures
 }
 
-// RegionFigures are sums over the other cells of a region; those of a cell that is unknown are its last.
-type RegionFigures struct {
+// RegionTotals are sums over the other cells of a region; those of a cell that is unknown are its last.
+type RegionTotals struct {
 	Name            string  `cbor:"1,keyasint,omitempty" json:"region"` // "" for cells that span all
 	Cells           int     `cbor:"2,keyasint,omitempty" json:"cells"`
-	Known           int     `cbor:"3,keyasint,omitempty" json:"heard"` // of them, lately
+	KnownCells      int     `cbor:"3,keyasint,omitempty" json:"heard"` // of them, lately
 	Relays          int     `cbor:"4,keyasint,omitempty" json:"relays"`
-	Serving         int     `cbor:"5,keyasint,omitempty" json:"serving"`
+	ServingRelays   int     `cbor:"5,keyasint,omitempty" json:"serving"`
 	RequestRate     float64 `cbor:"6,keyasint,omitempty" json:"per_s"`
 	OpenConnections int     `cbor:"7,keyasint,omitempty" json:"held"`
 	DrainRate       float64 `cbor:"8,keyasint,omitempty" json:"sent_per_s"`
@@ -83,9 +83,9 @@
 	case !validCellName(s.Cell) || s.Region != "" && !validCellName(s.Region),
 		!validName(s.Representative) || s.Incarnation == 0 || s.Seq == 0,
 		s.Plan > cellplan.MaxPlanNumber || s.JoinedPlan > s.Plan,
-		!validFigures(s.Members, s.Serving, s.OpenConnections, s.RequestRate, s.DrainRate),
+		!validFigures(s.Members, s.ServingMembers, s.OpenConnections, s.RequestRate, s.DrainRate),
 		len(s.Contacts) > MaxContacts || slices.ContainsFunc(s.Contacts, invalidAddress),
-		len(s.Departed) > MaxDeparted || slices.ContainsFunc(s.Departed, invalidName):
+		len(s.DepartedRelays) > MaxDeparted || slices.ContainsFunc(s.DepartedRelays, invalidName):
 		return ErrInvalidSummary
 	}
 	return nil
@@ -116,10 +116,10 @@
 }
 
 // valid tells whether a region's row could be true by itself.
-func (r RegionFigures) valid() bool {
+func (r RegionTotals) valid() bool {
 	return (r.Name == "" || validCellName(r.Name)) &&
-		r.Known >= 0 && r.Known <= r.Cells && r.Cells <= maxCells &&
-		validFigures(r.Relays, r.Serving, r.OpenConnections, r.RequestRate, r.DrainRate)
+		r.KnownCells >= 0 && r.KnownCells <= r.Cells && r.Cells <= maxCells &&
+		validFigures(r.Relays, r.ServingRelays, r.OpenConnections, r.RequestRate, r.DrainRate)
 }
 
 // validFigures tells whether a cell's or region's figures could be true.
--- a/internal/fleet/cells/trace_test.go
+++ b/internal/fleet/cells/trace_test.go
@@ -17,7 +17,7 @@
 		t.Put("forward", a.To, a.Summary)
 	case PublishDirectory:
 		t.Put("directory", a.Directory)
-	case Changed:
+	case CellChanged:
 		t.Put("changed", uint8(a.Kind), a.Cell, a.Representative, a.Plan)
 	}
 }
--- a/internal/fleet/cells/types.go
+++ b/internal/fleet/cells/types.go
@@ -29,15 +29,15 @@
 	// LocalCell is what this relay knows of its own cell; it comes on each change, and about once a
 	// second for the figures.
 	LocalCell struct {
-		Voters   []Voter // of the view, in its order
-		Members  int     // of the view
-		Serving  int     // of them
-		Epoch    uint64  // of the view
-		Plan     uint64  // of the view's Allocation, 0 for none
-		PlanHash uint64
+		Voters         []Voter // of the view, in its order
+		Members        int     // of the view
+		ServingMembers int     // of them
+		Epoch          uint64  // of the view
+		Plan           uint64  // of the view's Allocation, 0 for none
+		PlanHash       uint64
 		// of the view's Allocation: all that must have joined Plan before it is activated; nil to go by the
 		// file's
-		Cells []string
+		RequiredCells []string
 		// JoinedPlan is the newest plan that nobody in the cell acts by an earlier one of: the view's, once
 		// that view is so old that every lease by an older one has expired. Never over Plan.
 		JoinedPlan      uint64
@@ -45,7 +45,7 @@
 		RequestRate     float64 // requests a second at its relays
 		OpenConnections int     // connections
 		DrainRate       float64 // connections a second that they send away
-		Departed        []string
+		DepartedRelays  []string
 	}
 	// SummaryReceived is a summary that came from another cell, or from a relay of this cell that has
 	// forwarded it.
@@ -87,9 +87,9 @@
 	}
 	// PublishDirectory tells all relays of this cell.
 	PublishDirectory struct{ Directory Directory }
-	// Changed is for the log and metrics.
-	Changed struct {
-		Kind           Change
+	// CellChanged is for the log and metrics.
+	CellChanged struct {
+		Kind           ChangeKind
 		Cell           string
 		Representative string // of the cell, where that has changed
 		Plan           uint64 // that is activated, or has another table
@@ -99,14 +99,14 @@
 func (SendSummary) action()      {}
 func (ForwardSummary) action()   {}
 func (PublishDirectory) action() {}
-func (Changed) action()          {}
+func (CellChanged) action()      {}
 
-// Change is the kind of a Changed.
-type Change uint8
+// ChangeKind is the kind of a Changed.
+type ChangeKind uint8
 
 // The changes.
 const (
-	RepresentativeChanged Change = iota + 1 // a cell has another representative
+	RepresentativeChanged ChangeKind = iota + 1 // a cell has another representative
 	// CellLost: no summary of a cell has come for UnknownAfterRounds rounds; its last figures stand.
 	CellLost
 	CellKnown // a summary of a cell has come for the first time, or again
@@ -125,7 +125,7 @@
 }
 
 // String is the text of logs and reports.
-func (c Change) String() string {
+func (c ChangeKind) String() string {
 	if int(c) < len(changeTexts) {
 		return changeTexts[c]
 	}
--- a/internal/fleet/duration/duration.go
+++ b/internal/fleet/duration/duration.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Never is an instant before all others.
-const Never = time.Duration(math.MinInt64)
+// DistantPast is an instant before all others.
+const DistantPast = time.Duration(math.MinInt64)
 
-// Forever is an instant after all others.
-const Forever = time.Duration(math.MaxInt64)
+// DistantFuture is an instant after all others.
+const DistantFuture = time.Duration(math.MaxInt64)
 
 // Scale multiplies a duration by a factor, to the nearest nanosecond; what a Duration cannot hold becomes
 // Never or Forever.
@@ -19,9 +19,9 @@
 	scaled := math.Round(float64(d) * factor)
 	switch {
 	case scaled >= math.MaxInt64:
-		return Forever
+		return DistantFuture
 	case scaled <= math.MinInt64:
-		return Never
+		return DistantPast
 	}
 	return time.Duration(scaled)
 }
--- a/internal/fleet/duration/duration_test.go
+++ b/internal/fleet/duration/duration_test.go
@@ -17,10 +17,10 @@
 		{4 * time.Second, 0.95, 3800 * time.Millisecond},
 		{3, 0.5, 2},
 		{-3, 0.5, -2},
-		{Forever, 1, Forever},
-		{Forever, 2, Forever},
-		{Never, 1, Never},
-		{Forever, -2, Never},
+		{DistantFuture, 1, DistantFuture},
+		{DistantFuture, 2, DistantFuture},
+		{DistantPast, 1, DistantPast},
+		{DistantFuture, -2, DistantPast},
 		{time.Second, 0, 0},
 	} {
 		if got := Scale(c.d, c.factor); got != c.want {
--- a/internal/fleet/membership/allocation.go
+++ b/internal/fleet/membership/allocation.go
@@ -74,7 +74,8 @@
 // bootstrapAllocation is that of the first view of a cell. Under plan 1 nothing can have come before; under a
 // later one the cell holds nothing until the plan is activated.
 func bootstrapAllocation(plan *cellplan.Plan, cell string, leaseMillis uint32) *Allocation {
-	a := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Cells: plan.Names(), LeaseMillis: leaseMillis}
+	a := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Cells: plan.CellNames(),
+		LeaseMillis: leaseMillis}
 	if plan.Number == 1 {
 		return a.activated(plan, cell)
 	}
@@ -85,9 +86,10 @@
 // joined is the Allocation by which a cell joins a plan: of each part the lesser of what it held and
 // what it is to hold.
 func (a *Allocation) joined(plan *cellplan.Plan, cell string) *Allocation {
-	near, far, zones := plan.Parts(cell)
+	near, far, zones := plan.BudgetShares(cell)
 	next := &Allocation{
-		Plan: plan.Number, PlanHash: plan.Hash(), Near: near, Far: far, NearZones: zones, Cells: plan.Names(),
+		Plan: plan.Number, PlanHash: plan.Hash(), Near: near, Far: far, NearZones: zones,
+		Cells: plan.CellNames(),
 	}
 	if a == nil {
 		return next
@@ -96,7 +98,7 @@
 	next.Near, next.Far = min(near, a.Near), min(far, a.Far)
 	wasFar := func(zone string) bool { return !slices.Contains(a.NearZones, zone) }
 	next.NearZones = slices.DeleteFunc(slices.Clone(zones), wasFar)
-	next.Cells = slices.Compact(slices.Sorted(slices.Values(append(plan.Names(), a.Cells...))))
+	next.Cells = slices.Compact(slices.Sorted(slices.Values(append(plan.CellNames(), a.Cells...))))
 	return next
 }
 
@@ -104,7 +106,7 @@
 func (a *Allocation) activated(plan *cellplan.Plan, cell string) *Allocation {
 	next := *a
 	next.Activated = true
-	next.Near, next.Far, next.NearZones = plan.Parts(cell)
+	next.Near, next.Far, next.NearZones = plan.BudgetShares(cell)
 	next.Cells = nil
 	for _, c := range plan.Cells {
 		if c.Relays > 0 {
@@ -157,7 +159,7 @@
 		return share, share
 	}
 	of := func(part uint64) float64 {
-		return fraction(cellplan.Portion(uint64(share*float64(FullBudget)), part, FullBudget))
+		return fraction(cellplan.MulDiv(uint64(share*float64(FullBudget)), part, FullBudget))
 	}
 	return of(a.Near), of(a.Far)
 }
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -55,7 +55,7 @@
 	held := (&Allocation{Plan: 1, LeaseMillis: 8000}).activated(before, "east")
 	held.Plan = before.Number
 	joined := held.joined(after, "east")
-	near, far, _ := after.Parts("east")
+	near, far, _ := after.BudgetShares("east")
 	if joined.Activated || joined.Plan != 3 || joined.Near != min(near, held.Near) ||
 		joined.Far != min(far, held.Far) || joined.LeaseMillis != 8000 {
 		t.Errorf("joined as %+v, holding %+v", joined, held)
@@ -101,7 +101,7 @@
 		!e.PlanActivated {
 		t.Errorf("with nothing known of the others: %+v", e)
 	}
-	near, far, _ := twoCells(1, 3, 1).Parts("east")
+	near, far, _ := twoCells(1, 3, 1).BudgetShares("east")
 	if math.Abs(e.BudgetShare*3-float64(near)/float64(FullBudget)) > 1e-9 ||
 		math.Abs(e.FarBudgetShare*3-float64(far)/float64(FullBudget)) > 1e-9 || e.NearZones[0] != "east-1" {
 		t.Errorf("three shares of near %d and far %d are %v and %v each", near, far, e.BudgetShare,
--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -14,8 +14,8 @@
 	// BudgetShare.
 	FarBudgetShare float64
 	NearZones      []string // nil without cells: everywhere
-	// ShareValidUntil is when the shares expire unless they are renewed; duration.Forever if they need no
-	// renewal.
+	// ShareValidUntil is when the shares expire unless they are renewed; duration.DistantFuture if they need
+	// no renewal.
 	ShareValidUntil  time.Duration
 	ShareReason      string
 	OwnRequestRate   float64 // requests a second that this relay sees
--- a/internal/fleet/membership/federation_faults_test.go
+++ b/internal/fleet/membership/federation_faults_test.go
@@ -216,7 +216,7 @@
 // distributePlan tells some of the relays the newest plan.
 func (f *federation) distributePlan(part float64) {
 	for _, c := range f.cells {
-		if _, named := f.plan.Find(c.name); !named {
+		if _, named := f.plan.FindCell(c.name); !named {
 			continue
 		}
 		for i, n := range c.nodes {
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -329,7 +329,7 @@
 				if next == nil {
 					next = f.plan
 				}
-				if _, named := next.Find(c.name); named && next != n.subject.plans.file {
+				if _, named := next.FindCell(c.name); named && next != n.subject.plans.file {
 					n.cfg.Plan = next
 					c.feed(i, PlanChanged{Plan: next})
 				}
@@ -345,7 +345,7 @@
 
 func (f *federation) allActivated() error {
 	for _, c := range f.cells {
-		if cell, named := f.plan.Find(c.name); !named || cell.Relays == 0 {
+		if cell, named := f.plan.FindCell(c.name); !named || cell.Relays == 0 {
 			continue
 		}
 		if err := c.agreed(); err != nil {
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -154,16 +154,16 @@
 	released := n.record.SlotReleased && n.safeguards.releasesSlots
 	switch {
 	case !released && slices.Contains(n.view.UnreleasedSlots, n.slot.number):
-		return fraction(n.view.slotShare()), duration.Forever,
+		return fraction(n.view.slotShare()), duration.DistantFuture,
 			"its slot's, by the configured number of relays"
 	case !n.record.SlotReleased:
-		return 0, duration.Forever, "none: it has no slot, and no view grants it a share"
+		return 0, duration.DistantFuture, "none: it has no slot, and no view grants it a share"
 	case !member.In:
-		return 0, duration.Forever, "none: it has released its slot and is in no view yet"
+		return 0, duration.DistantFuture, "none: it has released its slot and is in no view yet"
 	case n.local.Lifecycle == Leaving:
-		return 0, duration.Forever, "none: it is leaving"
+		return 0, duration.DistantFuture, "none: it is leaving"
 	case !n.lease.valid(now):
-		return 0, duration.Forever, "none: its lease has expired"
+		return 0, duration.DistantFuture, "none: its lease has expired"
 	}
 	return fraction(member.BudgetShare), n.lease.validUntil, "granted in the view"
 }
--- a/internal/fleet/membership/lease_test.go
+++ b/internal/fleet/membership/lease_test.go
@@ -12,7 +12,7 @@
 func TestLeaseCountsFromHalfOfTheVoters(t *testing.T) {
 	const validFor = 3 * time.Second
 	view := &View{Voters: []string{"a", "b", "c", "d", "e"}}
-	l := lease{renewalSentAt: map[string]time.Duration{}, validUntil: duration.Never}
+	l := lease{renewalSentAt: map[string]time.Duration{}, validUntil: duration.DistantPast}
 	for _, step := range []struct {
 		voter        string
 		sentAt, want time.Duration // want 0 for no lease
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -70,7 +70,7 @@
 		slot:       slot{number: cfg.BootstrapSlot, releasedAt: now},
 		peers:      peerTable{self: cfg.Name, byName: map[string]*Peer{}},
 		voting:     voting{changeWantedSince: -1, viewAcceptedAt: -1},
-		lease:      lease{renewalSentAt: map[string]time.Duration{}, validUntil: duration.Never},
+		lease:      lease{renewalSentAt: map[string]time.Duration{}, validUntil: duration.DistantPast},
 		deferred:   deferredRenewals{},
 		plans:      planState{file: cfg.Plan, cell: cfg.Cell, adoptedAt: now},
 		phases:     phaseState{agreedAt: -1},
--- a/internal/fleet/membership/plan.go
+++ b/internal/fleet/membership/plan.go
@@ -27,7 +27,7 @@
 	}
 	next := current.joined(plan, n.plans.cell)
 	if !n.safeguards.jointPlans {
-		next.Near, next.Far, next.NearZones = plan.Parts(n.plans.cell)
+		next.Near, next.Far, next.NearZones = plan.BudgetShares(n.plans.cell)
 	}
 	return next, PendingCells
 }
--- a/internal/fleet/membership/world_test.go
+++ b/internal/fleet/membership/world_test.go
@@ -252,7 +252,7 @@
 // countedUnitsIn is the most that may take effect now at servers of a zone, in units of FullBudget.
 func (n *node) countedUnitsIn(zone string) (units uint64) {
 	for _, l := range n.uses {
-		units = max(units, cellplan.Portion(uint64(l.share*float64(FullBudget)), l.allocation.part(zone),
+		units = max(units, cellplan.MulDiv(uint64(l.share*float64(FullBudget)), l.allocation.part(zone),
 			FullBudget))
 	}
 	return units
--- a/internal/fleet/probing/corroborate.go
+++ b/internal/fleet/probing/corroborate.go
@@ -20,7 +20,7 @@
 	}
 	age := o.readingAge(r, sc.now)
 	if age > MaxReadingAge {
-		return TooOld
+		return DropTooOld
 	}
 	kept := &keptReading{Reading: r, readAt: sc.now - age}
 	if !s.keepNewest(kept) { // it has come before
@@ -31,10 +31,10 @@
 	sc.checkOrigins(s)
 	if !sc.skipCorroboration && sc.isQuarantined(r.Origin) {
 		s.forget(kept)
-		return Quarantined
+		return DropQuarantined
 	}
 	if corroborated == nil {
-		return Uncorroborated
+		return DropUncorroborated
 	}
 	sc.useReading(s, corroborated)
 	return ""
@@ -44,15 +44,15 @@
 func checkReading(r Reading, s *server, o *origin) DropReason {
 	switch {
 	case s == nil || o == nil:
-		return UnknownOrigin
+		return DropUnknownOrigin
 	case !plausible(r):
-		return Impossible
+		return DropImplausible
 	case placementLoad(r) < 0:
-		return NoLoad
+		return DropNoLoad
 	case r.Started != s.Started:
-		return OtherIncarnation
+		return DropOtherIncarnation
 	case r.Incarnation < o.incarnation:
-		return TooOld
+		return DropTooOld
 	}
 	return ""
 }
@@ -177,5 +177,5 @@
 		return
 	}
 	o.quarantinedUntil, o.strikes = sc.now+quarantineFor, 0
-	sc.emit(Quarantine{Name: name})
+	sc.emit(RelayQuarantined{Name: name})
 }
--- a/internal/fleet/probing/drops.go
+++ b/internal/fleet/probing/drops.go
@@ -6,13 +6,13 @@
 
 // The reasons.
 const (
-	TooOld           DropReason = "too old"
-	Impossible       DropReason = "impossible"
-	UnknownOrigin    DropReason = "unknown server or relay"
-	OtherIncarnation DropReason = "another process of the server"
-	Quarantined      DropReason = "of a doubted relay"
-	Uncorroborated   DropReason = "not borne out"
-	NoLoad           DropReason = "without a load"
+	DropTooOld           DropReason = "too old"
+	DropImplausible      DropReason = "impossible"
+	DropUnknownOrigin    DropReason = "unknown server or relay"
+	DropOtherIncarnation DropReason = "another process of the server"
+	DropQuarantined      DropReason = "of a doubted relay"
+	DropUncorroborated   DropReason = "not borne out"
+	DropNoLoad           DropReason = "without a load"
 )
 
 // counters are since the start, for reports and metrics.
--- a/internal/fleet/probing/event.go
+++ b/internal/fleet/probing/event.go
@@ -44,11 +44,11 @@
 		To       string
 		Readings []Reading
 	}
-	// Quarantine is for the log: a relay's readings are left out for a while.
-	Quarantine struct{ Name string }
+	// RelayQuarantined is for the log: a relay's readings are left out for a while.
+	RelayQuarantined struct{ Name string }
 )
 
-func (Probe) action()        {}
-func (UseReading) action()   {}
-func (SendReadings) action() {}
-func (Quarantine) action()   {}
+func (Probe) action()            {}
+func (UseReading) action()       {}
+func (SendReadings) action()     {}
+func (RelayQuarantined) action() {}
--- a/internal/fleet/probing/placements.go
+++ b/internal/fleet/probing/placements.go
@@ -38,15 +38,15 @@
 	}
 	// PlacementsReceived is what a peer has passed on.
 	PlacementsReceived struct {
-		From string
-		Rows []PlacementDelta
+		From   string
+		Deltas []PlacementDelta
 	}
 	// PeerPlacement is what another relay has sent to a server.
 	PeerPlacement struct{ PlacementDelta }
 	// SendPlacements passes rows on.
 	SendPlacements struct {
-		To   string
-		Rows []PlacementDelta
+		To     string
+		Deltas []PlacementDelta
 	}
 )
 
@@ -84,13 +84,13 @@
 	case p.Origin == sc.self:
 		return ""
 	case o == nil || sc.servers[p.ServerKey] == nil:
-		return UnknownOrigin
+		return DropUnknownOrigin
 	case p.Delta == 0 || p.Delta > maxPlacementDelta || p.Delta < -maxPlacementDelta || p.Age < 0:
-		return Impossible
+		return DropImplausible
 	case p.Age > MaxReadingAge:
-		return TooOld
+		return DropTooOld
 	case sc.isQuarantined(p.Origin):
-		return Quarantined
+		return DropQuarantined
 	case !o.placementDedup.Accept(p.Incarnation, p.Seq):
 		return ""
 	}
--- a/internal/fleet/probing/placements_test.go
+++ b/internal/fleet/probing/placements_test.go
@@ -54,7 +54,7 @@
 			case SendPlacements:
 				if to := at[a.To]; rng.Float64() > 0.1 {
 					act(to, now, schedulers[to].Handle(now+5*time.Millisecond,
-						PlacementsReceived{From: rs[i].Name, Rows: a.Rows}, nil))
+						PlacementsReceived{From: rs[i].Name, Deltas: a.Deltas}, nil))
 				}
 			}
 		}
@@ -88,17 +88,17 @@
 		why    DropReason
 		change func(p *PlacementDelta)
 	}{
-		{UnknownOrigin, func(p *PlacementDelta) { p.Origin = "stranger" }},
-		{UnknownOrigin, func(p *PlacementDelta) { p.ServerKey++ }},
-		{Impossible, func(p *PlacementDelta) { p.Delta = 0 }},
-		{Impossible, func(p *PlacementDelta) { p.Delta = 1 << 40 }},
-		{Impossible, func(p *PlacementDelta) { p.Age = math.MinInt64 }},
-		{TooOld, func(p *PlacementDelta) { p.Age = MaxReadingAge + 1 }},
+		{DropUnknownOrigin, func(p *PlacementDelta) { p.Origin = "stranger" }},
+		{DropUnknownOrigin, func(p *PlacementDelta) { p.ServerKey++ }},
+		{DropImplausible, func(p *PlacementDelta) { p.Delta = 0 }},
+		{DropImplausible, func(p *PlacementDelta) { p.Delta = 1 << 40 }},
+		{DropImplausible, func(p *PlacementDelta) { p.Age = math.MinInt64 }},
+		{DropTooOld, func(p *PlacementDelta) { p.Age = MaxReadingAge + 1 }},
 	} {
 		p, k := good, schedulers[0]
 		c.change(&p)
 		if before := k.counters.dropped[c.why]; len(k.Handle(9*time.Second,
-			PlacementsReceived{From: "r2", Rows: []PlacementDelta{p}}, nil)) > 0 ||
+			PlacementsReceived{From: "r2", Deltas: []PlacementDelta{p}}, nil)) > 0 ||
 			k.counters.dropped[c.why] != before+1 {
 			t.Errorf("%s: %v", c.why, k.counters.dropped)
 		}
--- a/internal/fleet/probing/reading.go
+++ b/internal/fleet/probing/reading.go
@@ -26,11 +26,11 @@
 	// maxGossipRounds is how many rounds carry one reading: enough for it to come round, few enough that the
 	// newest go first.
 	maxGossipRounds = 3
-	// AgreeAbsolute and AgreeRelative say how far two readings of one server may lie apart and still agree:
+	// AbsoluteAgreementTolerance and AgreeRelative say how far two readings of one server may lie apart and still agree:
 	// reports are noisy, and a server takes several connections between two probes.
-	AgreeAbsolute = 0.2
-	// AgreeRelative is the part of the higher one.
-	AgreeRelative = 0.2
+	AbsoluteAgreementTolerance = 0.2
+	// RelativeAgreementTolerance is the part of the higher one.
+	RelativeAgreementTolerance = 0.2
 	// maxStrikes is how many readings that two others contradict put a relay in quarantine, for
 	// quarantineFor. Two that are corroborated take one strike back, as one that always tells the same is
 	// right now and then.
@@ -42,10 +42,10 @@
 
 // LoadReport is what a server's report says. A field that did not come is negative.
 type LoadReport struct {
-	Load     float64 // 1 is as much as the server can do
-	Inflight float64 // requests
-	Errors   float64 // a second
-	Busy     float64 // part of its processors' time
+	Load            float64 // 1 is as much as the server can do
+	InFlight        float64 // requests
+	ErrorsPerSecond float64 // a second
+	CPUUtilization  float64 // part of its processors' time
 }
 
 // Reading is what one relay read at one server.
@@ -69,17 +69,17 @@
 }
 
 // placementLoad is what placements go by.
-func placementLoad(r Reading) float64 { return max(r.LoadReport.Load, r.Busy) }
+func placementLoad(r Reading) float64 { return max(r.LoadReport.Load, r.CPUUtilization) }
 
 // agree tells whether two readings of one server corroborate each other.
 func agree(a, b Reading) bool {
 	x, y := placementLoad(a), placementLoad(b)
-	return math.Abs(x-y) <= AgreeAbsolute+AgreeRelative*max(x, y, 0)
+	return math.Abs(x-y) <= AbsoluteAgreementTolerance+RelativeAgreementTolerance*max(x, y, 0)
 }
 
 // plausible tells whether a server could have reported this.
 func plausible(r Reading) bool {
-	for _, x := range []float64{r.LoadReport.Load, r.Inflight, r.Errors, r.Busy} {
+	for _, x := range []float64{r.LoadReport.Load, r.InFlight, r.ErrorsPerSecond, r.CPUUtilization} {
 		if math.IsNaN(x) || x < -1 || x > 1e6 {
 			return false
 		}
--- a/internal/fleet/probing/report.go
+++ b/internal/fleet/probing/report.go
@@ -9,12 +9,12 @@
 
 // Report is what is known of the probes, for operators.
 type Report struct {
-	Relays      int               `json:"relays"` // that take part, this one too
-	Probes      uint64            `json:"looks"`  // made by turns
-	Received    uint64            `json:"taken"`  // readings of others that were new here
-	Quarantined []string          `json:"doubted"`
-	Dropped     map[string]uint64 `json:"dropped"`
-	Servers     []ServerReport    `json:"servers"`
+	Relays            int               `json:"relays"` // that take part, this one too
+	Probes            uint64            `json:"looks"`  // made by turns
+	ReadingsReceived  uint64            `json:"taken"`  // readings of others that were new here
+	QuarantinedRelays []string          `json:"doubted"`
+	DroppedByReason   map[string]uint64 `json:"dropped"`
+	Servers           []ServerReport    `json:"servers"`
 }
 
 // ServerReport is one server in a Report.
@@ -32,20 +32,20 @@
 // Report tells what the Scheduler knows.
 func (sc *Scheduler) Report(now time.Duration) Report {
 	report := Report{
-		Relays:   len(sc.peerNames) + 1,
-		Probes:   sc.counters.probes,
-		Received: sc.counters.received,
-		Dropped:  map[string]uint64{},
+		Relays:           len(sc.peerNames) + 1,
+		Probes:           sc.counters.probes,
+		ReadingsReceived: sc.counters.received,
+		DroppedByReason:  map[string]uint64{},
 	}
 	for reason, count := range sc.counters.dropped {
-		report.Dropped[string(reason)] = count
+		report.DroppedByReason[string(reason)] = count
 	}
 	for name, o := range sc.relays {
 		if now < o.quarantinedUntil {
-			report.Quarantined = append(report.Quarantined, name)
+			report.QuarantinedRelays = append(report.QuarantinedRelays, name)
 		}
 	}
-	slices.Sort(report.Quarantined)
+	slices.Sort(report.QuarantinedRelays)
 	for _, s := range sc.serverList {
 		report.Servers = append(report.Servers, s.report(now))
 	}
@@ -58,7 +58,7 @@
 		ServerKey: s.Key, Zone: s.Zone, Assigned: s.rank >= 0, Rank: s.rank,
 		Load: -1, AgeMs: -1, Origin: s.usedOrigin,
 	}
-	if s.usedReadAt != duration.Never {
+	if s.usedReadAt != duration.DistantPast {
 		row.AgeMs = duration.Millis(now - s.usedReadAt)
 	}
 	for _, kept := range s.newestByOrigin {
--- a/internal/fleet/probing/scheduler.go
+++ b/internal/fleet/probing/scheduler.go
@@ -79,7 +79,7 @@
 	case LocalPlacement:
 		sc.notePlacement(e)
 	case PlacementsReceived:
-		for _, p := range e.Rows {
+		for _, p := range e.Deltas {
 			sc.counters.drop(sc.acceptPlacement(p), 1)
 		}
 	case Tick:
@@ -96,7 +96,7 @@
 // acceptReadings takes in what a peer has passed on.
 func (sc *Scheduler) acceptReadings(e ReadingsReceived) {
 	if sc.relays[e.From] == nil {
-		sc.counters.drop(UnknownOrigin, len(e.Readings))
+		sc.counters.drop(DropUnknownOrigin, len(e.Readings))
 		return
 	}
 	for _, r := range e.Readings {
@@ -116,7 +116,7 @@
 		}
 		o := sc.relays[r.Name]
 		if o == nil {
-			o = &origin{quarantinedUntil: duration.Never}
+			o = &origin{quarantinedUntil: duration.DistantPast}
 		}
 		relays[r.Name] = o
 		sc.peerNames = append(sc.peerNames, r.Name)
@@ -127,7 +127,7 @@
 	for i, described := range e.Servers {
 		s := old[described.Key]
 		if s == nil || s.Started != described.Started {
-			s = &server{probedAt: duration.Never, usedReadAt: duration.Never}
+			s = &server{probedAt: duration.DistantPast, usedReadAt: duration.DistantPast}
 		}
 		s.Server, s.rank = described, e.Assignment.rank(i, sc.self)
 		sc.servers[s.Key] = s
@@ -144,7 +144,7 @@
 		return
 	}
 	s.probedAt = sc.now
-	if max(e.LoadReport.Load, e.Busy) < 0 {
+	if max(e.LoadReport.Load, e.CPUUtilization) < 0 {
 		return
 	}
 	own := Reading{
@@ -173,7 +173,7 @@
 	if s.rank < 0 || now < s.probedAt+ProbeInterval {
 		return false
 	}
-	newest := duration.Never
+	newest := duration.DistantPast
 	for _, kept := range s.newestByOrigin {
 		newest = max(newest, kept.readAt)
 	}
@@ -195,7 +195,7 @@
 			sc.emit(SendReadings{To: sc.peerNames[i], Readings: readings})
 		}
 		if len(rows) > 0 {
-			sc.emit(SendPlacements{To: sc.peerNames[i], Rows: rows})
+			sc.emit(SendPlacements{To: sc.peerNames[i], Deltas: rows})
 		}
 	}
 }
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -99,7 +99,7 @@
 				c.inTransit = append(c.inTransit, l)
 			} else if l.rows != nil && !c.down[l.to] {
 				c.carryOut(l.to, c.schedulers[l.to].Handle(c.localTime(l.to),
-					PlacementsReceived{From: c.relays[l.from].Name, Rows: l.rows}, nil))
+					PlacementsReceived{From: c.relays[l.from].Name, Deltas: l.rows}, nil))
 			} else if !c.down[l.to] {
 				c.carryOut(l.to, c.schedulers[l.to].Handle(c.localTime(l.to),
 					ReadingsReceived{From: c.relays[l.from].Name, Readings: l.readings}, nil))
@@ -131,7 +131,7 @@
 			for to, r := range c.relays {
 				if r.Name == a.To && c.rng.Float64() >= c.loss {
 					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, nil,
-						a.Rows})
+						a.Deltas})
 				}
 			}
 		case Probe:
@@ -141,7 +141,7 @@
 				load = c.loads[a.ServerKey] * (1 + 0.05*c.rng.NormFloat64())
 			}
 			c.schedulers[i].Handle(c.localTime(i), OwnReading{ServerKey: a.ServerKey,
-				LoadReport: LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1}}, nil)
+				LoadReport: LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, nil)
 			c.noteUsed(i, a.ServerKey, c.now, load)
 		case SendReadings:
 			for to, r := range c.relays {
@@ -234,12 +234,12 @@
 			}
 			c.falseLoad[4] = lie
 			c.run(12_000)
-			if misled := c.maxError > 2*(AgreeAbsolute+AgreeRelative); misled != trust {
+			if misled := c.maxError > 2*(AbsoluteAgreementTolerance+RelativeAgreementTolerance); misled != trust {
 				t.Errorf("lie %v, all believed %v: believed what was %.2f off", lie, trust, c.maxError)
 			}
 			quarantined := 0
 			for i, k := range c.schedulers {
-				if d := k.Report(c.localTime(i)).Quarantined; len(d) == 1 && d[0] == "r4" {
+				if d := k.Report(c.localTime(i)).QuarantinedRelays; len(d) == 1 && d[0] == "r4" {
 					quarantined++
 				} else if len(d) > 0 && i != 4 {
 					t.Errorf("r%d quarantines %v", i, d)
@@ -262,16 +262,16 @@
 		why    DropReason
 		change func(r *Reading)
 	}{
-		{Uncorroborated, func(*Reading) {}},
-		{OtherIncarnation, func(r *Reading) { r.Started = 49 }},
-		{OtherIncarnation, func(r *Reading) { r.Started = 51 }},
-		{Impossible, func(r *Reading) { r.LoadReport.Load = math.NaN() }},
-		{Impossible, func(r *Reading) { r.LoadReport.Load = -7 }},
-		{NoLoad, func(r *Reading) { r.LoadReport.Load = -1 }},
-		{Impossible, func(r *Reading) { r.Age = -1 }},
-		{TooOld, func(r *Reading) { r.Age = MaxReadingAge + 1 }},
-		{UnknownOrigin, func(r *Reading) { r.Origin = "stranger" }},
-		{UnknownOrigin, func(r *Reading) { r.ServerKey++ }},
+		{DropUncorroborated, func(*Reading) {}},
+		{DropOtherIncarnation, func(r *Reading) { r.Started = 49 }},
+		{DropOtherIncarnation, func(r *Reading) { r.Started = 51 }},
+		{DropImplausible, func(r *Reading) { r.LoadReport.Load = math.NaN() }},
+		{DropImplausible, func(r *Reading) { r.LoadReport.Load = -7 }},
+		{DropNoLoad, func(r *Reading) { r.LoadReport.Load = -1 }},
+		{DropImplausible, func(r *Reading) { r.Age = -1 }},
+		{DropTooOld, func(r *Reading) { r.Age = MaxReadingAge + 1 }},
+		{DropUnknownOrigin, func(r *Reading) { r.Origin = "stranger" }},
+		{DropUnknownOrigin, func(r *Reading) { r.ServerKey++ }},
 	} {
 		k := New("r0", 1)
 		k.Handle(0, ParticipantsChanged{Relays: rs, Incarnation: 1, Servers: ss,
@@ -321,8 +321,8 @@
 			c.run(2300)
 			for i, k := range c.schedulers {
 				r := k.Report(c.localTime(i))
-				if len(r.Quarantined) > 0 {
-					t.Fatalf("r%d quarantines %v", i, r.Quarantined)
+				if len(r.QuarantinedRelays) > 0 {
+					t.Fatalf("r%d quarantines %v", i, r.QuarantinedRelays)
 				}
 				for _, row := range r.Servers {
 					if math.Abs(row.Load-c.loads[row.ServerKey]) > 0.6 {
@@ -330,9 +330,9 @@
 							c.loads[row.ServerKey])
 					}
 				}
-				if left := r.Dropped[string(TooOld)]; left > r.Received/50 {
+				if left := r.DroppedByReason[string(DropTooOld)]; left > r.ReadingsReceived/50 {
 					t.Errorf("clocks %v apart: r%d left %d readings out as too old, took %d", 2*drift, i,
-						left, r.Received)
+						left, r.ReadingsReceived)
 				}
 			}
 		}
--- a/internal/fleet/probing/trace_test.go
+++ b/internal/fleet/probing/trace_test.go
@@ -23,14 +23,14 @@
 		for _, r := range a.Readings {
 			reading(r)
 		}
-	case Quarantine:
+	case RelayQuarantined:
 		t.Put("quarantine", a.Name)
 	case PeerPlacement:
 		t.Put("placement")
 		row(a.PlacementDelta)
 	case SendPlacements:
 		t.Put("placements", a.To)
-		for _, r := range a.Rows {
+		for _, r := range a.Deltas {
 			row(r)
 		}
 	}
--- a/internal/lifecycle/cells.go
+++ b/internal/lifecycle/cells.go
@@ -29,13 +29,13 @@
 	if m.Plan == nil {
 		return cellplan.Cell{}
 	}
-	cell, _ := m.Plan.Find(m.Cell)
+	cell, _ := m.Plan.FindCell(m.Cell)
 	return cell
 }
 
 // inRegion tells whether the relay is of a cell of a region. Else it goes by the flat fleet's rules, on the
 // wire and on disk, also where a plan gives the flat fleet a part.
-func (m *MembersConfig) inRegion() bool { return m.Plan != nil && !m.ownCell().Spanning() }
+func (m *MembersConfig) inRegion() bool { return m.Plan != nil && !m.ownCell().SpansRegions() }
 
 // checkCells finds what is wrong with the cells of a file.
 func (m *MembersConfig) checkCells(problems *configProblems) {
@@ -47,7 +47,7 @@
 	}
 	for _, err := range joinedErrors(m.Plan.Check()) {
 		key := "plan"
-		var problem *cellplan.Problem
+		var problem *cellplan.FieldError
 		if errors.As(err, &problem) {
 			key, err = "plan."+problem.Key, errors.New(problem.Cause)
 		}
@@ -79,7 +79,7 @@
 		return
 	}
 	for i, cell := range m.Plan.Cells {
-		problems.addIf(cell.Spanning(), planKey(i, "region"),
+		problems.addIf(cell.SpansRegions(), planKey(i, "region"),
 			"not set; a plan with a flat fleet in it has a number from 2 up")
 		problems.addIf(cell.Relays == 0, planKey(i, "relays"),
 			"none, and by plan 1 there is nothing that a cell could hand over")
@@ -93,7 +93,7 @@
 			"not set, but there is a [plan]: the name of this relay's cell is wanted")
 		return
 	}
-	_, known := m.Plan.Find(m.Cell)
+	_, known := m.Plan.FindCell(m.Cell)
 	problems.addIf(!known, "cell", "%q is none of the plan's", m.Cell)
 	problems.addIf(strings.ContainsRune(m.Cell, filepath.Separator), "cell",
 		"%q has a %c, and the state file is called after it", m.Cell, filepath.Separator)
@@ -117,7 +117,7 @@
 	if m.BootstrapSlot != nil {
 		g.BootstrapSlot = *m.BootstrapSlot
 	}
-	if cell.Spanning() {
+	if cell.SpansRegions() {
 		return
 	}
 	g.Seeds = cell.Contacts
--- a/internal/lifecycle/probing_metrics.go
+++ b/internal/lifecycle/probing_metrics.go
@@ -55,9 +55,9 @@
 	}
 	gauge(f.relays, float64(r.Relays))
 	count(f.probes, r.Probes)
-	count(f.taken, r.Received)
-	for why, n := range r.Dropped {
+	count(f.taken, r.ReadingsReceived)
+	for why, n := range r.DroppedByReason {
 		count(f.dropped, n, why)
 	}
-	gauge(f.quarantined, float64(len(r.Quarantined)))
+	gauge(f.quarantined, float64(len(r.QuarantinedRelays)))
 }
--- a/internal/relay/fleet_status.go
+++ b/internal/relay/fleet_status.go
@@ -35,7 +35,7 @@
 		status.FarBudgetShare = e.FarBudgetShare
 		status.NearZones = zoneNumbers(e.NearZones, zoneNumber)
 	}
-	if e.ShareValidUntil != duration.Forever {
+	if e.ShareValidUntil != duration.DistantFuture {
 		status.BudgetUntil = (now + e.ShareValidUntil - own).Round(decisionPrecision)
 	}
 	return status
--- a/internal/relay/fleet_status_test.go
+++ b/internal/relay/fleet_status_test.go
@@ -20,7 +20,7 @@
 	estimate := membership.FleetEstimate{
 		BudgetShare:     0.3,
 		FarBudgetShare:  0.02,
-		ShareValidUntil: duration.Forever,
+		ShareValidUntil: duration.DistantFuture,
 		NearZones:       []string{"a", "unknown here", "b"},
 		Plan:            4,
 	}
@@ -32,7 +32,8 @@
 	if got := ToFleetStatus(0, 0, estimate, nil); got.NearZones == nil || len(got.NearZones) > 0 {
 		t.Errorf("in a cell with no numbers all is far, not %+v", got)
 	}
-	flat := membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.3, ShareValidUntil: duration.Forever}
+	flat := membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.3,
+		ShareValidUntil: duration.DistantFuture}
 	if got := ToFleetStatus(0, 0, flat, nil); got.NearZones != nil || got.BudgetShare != 0.3 {
 		t.Errorf("without cells: %+v", got)
 	}
--- a/internal/relay/probe_scheduling.go
+++ b/internal/relay/probe_scheduling.go
@@ -71,7 +71,7 @@
 				age := a.Age.Round(decisionPrecision)
 				l.handle(now, decide.GossipReading{Server: id, Age: age, PlacementDelta: a.Delta})
 			}
-		case probing.Quarantine:
+		case probing.RelayQuarantined:
 			s.onQuarantine(a.Name)
 		default:
 			s.outbox = append(s.outbox, a)
@@ -87,7 +87,7 @@
 	}
 	age, report := u.Age.Round(decisionPrecision), u.Reading.LoadReport
 	if l.table.Recorder != nil {
-		l.table.recordPeerReading(id, age, max(report.Load, report.Busy))
+		l.table.recordPeerReading(id, age, max(report.Load, report.CPUUtilization))
 	}
 	l.handle(now, decide.GossipReading{Server: id, Age: age, Report: fromPeerReport(report)})
 }
@@ -95,10 +95,10 @@
 // toPeerReport turns a load report into the form that relays send each other.
 func toPeerReport(r decide.LoadReport) probing.LoadReport {
 	return probing.LoadReport{
-		Load:     r.Load,
-		Inflight: r.InFlight,
-		Errors:   r.ErrorsPerSecond,
-		Busy:     r.CPUUtilization,
+		Load:            r.Load,
+		InFlight:        r.InFlight,
+		ErrorsPerSecond: r.ErrorsPerSecond,
+		CPUUtilization:  r.CPUUtilization,
 	}
 }
 
@@ -106,8 +106,8 @@
 func fromPeerReport(r probing.LoadReport) decide.LoadReport {
 	return decide.LoadReport{
 		Load:            r.Load,
-		InFlight:        r.Inflight,
-		ErrorsPerSecond: r.Errors,
-		CPUUtilization:  r.Busy,
+		InFlight:        r.InFlight,
+		ErrorsPerSecond: r.ErrorsPerSecond,
+		CPUUtilization:  r.CPUUtilization,
 	}
 }
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -204,7 +204,7 @@
 		case probing.SendReadings:
 			s.peers.SendReadings(a.To, a.Readings)
 		case probing.SendPlacements:
-			s.peers.SendPlacements(a.To, a.Rows)
+			s.peers.SendPlacements(a.To, a.Deltas)
 		}
 	}
 	s.outbox = s.outbox[:0]
--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -149,9 +149,9 @@
 			}
 		case probing.SendPlacements:
 			f.count("tells of placements")
-			rows := slices.Clone(a.Rows)
-			f.gossip(r, a.To, probing.PlacementsReceived{From: r.Name, Rows: rows})
-		case probing.Quarantine:
+			rows := slices.Clone(a.Deltas)
+			f.gossip(r, a.To, probing.PlacementsReceived{From: r.Name, Deltas: rows})
+		case probing.RelayQuarantined:
 			f.count("doubts of " + a.Name)
 		case probing.SendReadings:
 			f.count("tells")
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -112,7 +112,7 @@
 		}
 		f.stepScheduler(r, probing.OwnReading{
 			ServerKey:  f.Servers[e.Server].RendezvousKey,
-			LoadReport: probing.LoadReport{Load: load, Inflight: -1, Errors: -1, Busy: -1},
+			LoadReport: probing.LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1},
 		})
 	}
 }
--- a/internal/testing/cluster/loadreports_test.go
+++ b/internal/testing/cluster/loadreports_test.go
@@ -350,7 +350,7 @@
 		if s.ID == id {
 			lowest := s.LowestReport(Now()-reportSpan, Now())
 			m.t.Logf("%s reported %.3f at the least", id, lowest)
-			return lowest <= probing.AgreeAbsolute+probing.AgreeRelative*lowest
+			return lowest <= probing.AbsoluteAgreementTolerance+probing.RelativeAgreementTolerance*lowest
 		}
 	}
 	m.t.Errorf("no such server: %q", line)
--- a/internal/wire/gossip/cell_log.go
+++ b/internal/wire/gossip/cell_log.go
@@ -10,7 +10,7 @@
 )
 
 // logCellChange says what has changed among cells, with its cause.
-func (n *Node) logCellChange(link *cellLink, change cells.Changed) {
+func (n *Node) logCellChange(link *cellLink, change cells.CellChanged) {
 	cause := n.cellChangeCause(link, change)
 	if change.Kind == cells.RepresentativeChanged && change.Cell == link.cell {
 		link.representative = change.Representative
@@ -34,7 +34,7 @@
 }
 
 // cellChangeCause is why a cell has changed.
-func (n *Node) cellChangeCause(link *cellLink, change cells.Changed) string {
+func (n *Node) cellChangeCause(link *cellLink, change cells.CellChanged) string {
 	switch change.Kind {
 	case cells.RepresentativeChanged:
 		if change.Cell == link.cell {
--- a/internal/wire/gossip/cell_metrics.go
+++ b/internal/wire/gossip/cell_metrics.go
@@ -68,16 +68,16 @@
 	}
 	mismatched := 0.0
 	for _, region := range r.Regions {
-		for _, c := range region.Rows {
-			if c.Mismatch {
+		for _, c := range region.CellReports {
+			if c.PlanMismatch {
 				mismatched++
 			}
 		}
 		if region.Cells == 0 {
 			continue
 		}
-		gauge(f.cells, float64(region.Known), region.Name, "heard")
-		gauge(f.cells, float64(region.Cells-region.Known), region.Name, "unheard")
+		gauge(f.cells, float64(region.KnownCells), region.Name, "heard")
+		gauge(f.cells, float64(region.Cells-region.KnownCells), region.Name, "unheard")
 		gauge(f.relays, float64(region.Relays), region.Name)
 	}
 	gauge(f.plan, float64(r.Plan))
@@ -87,11 +87,11 @@
 	gauge(f.representative, oneIf(r.Representative == n.cfg.Name))
 	gauge(f.mismatched, mismatched)
 	gauge(f.farShare, n.Estimate().FarBudgetShare)
-	gauge(f.directory, seconds(r.DirectoryMs))
+	gauge(f.directory, seconds(r.DirectoryAgeMs))
 	out, in := n.CellTraffic()
 	count(f.bytes, out, "out")
 	count(f.bytes, in, "in")
-	count(f.dropped, r.Dropped.Malformed, "malformed")
-	count(f.dropped, r.Dropped.Unknown, "unknown cell")
-	count(f.dropped, r.Dropped.Stale, "stale")
+	count(f.dropped, r.Drops.Malformed, "malformed")
+	count(f.dropped, r.Drops.UnknownCell, "unknown cell")
+	count(f.dropped, r.Drops.Stale, "stale")
 }
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -114,9 +114,9 @@
 func (n *Node) nextCellTick() time.Duration {
 	link := n.cells.Load()
 	if link == nil {
-		return duration.Forever
+		return duration.DistantFuture
 	}
-	return min(link.nextReportAt, n.nodeTime(link.coordinator.Next()))
+	return min(link.nextReportAt, n.nodeTime(link.coordinator.NextTickAt()))
 }
 
 // noteMembershipChange notes a change in the membership, which is reported without waiting for the next round
@@ -159,7 +159,7 @@
 // updateOtherCells hands what is known of the other cells to the membership.Node.
 func (n *Node) updateOtherCells(link *cellLink) {
 	n.mu.Lock()
-	others := link.coordinator.Others(n.cellTime(n.now()))
+	others := link.coordinator.OtherCellTotals(n.cellTime(n.now()))
 	activated := link.coordinator.ActivatedPlan()
 	allocation := n.membership.View().Allocation
 	n.mu.Unlock()
@@ -194,7 +194,7 @@
 		case cells.PublishDirectory:
 			link.othersKnown = true
 			n.publishDirectory(link, a.Directory)
-		case cells.Changed:
+		case cells.CellChanged:
 			n.logCellChange(link, a)
 			// At the next report the membership.Node is notified of the other cells, and of a plan activated.
 			link.nextReportAt = n.now()
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -80,7 +80,7 @@
 	heard := func(n *Node) (count int) {
 		r, _ := n.Cells()
 		for _, region := range r.Regions {
-			count += region.Known
+			count += region.KnownCells
 		}
 		return count
 	}
@@ -133,7 +133,7 @@
 		Incarnation:    4,
 		Seq:            1,
 		Members:        3,
-		Serving:        3,
+		ServingMembers: 3,
 	}
 	fromWest, err := encodeEnvelope("he", 4, 8, kindSummary, summary)
 	if err != nil {
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -168,20 +168,20 @@
 	return cells.Summary{
 		Cell: "east", Region: "e", Representative: "r1", Incarnation: 4, Seq: 9, Epoch: 41,
 		Plan: 3, PlanHash: 0xfedcba9876543210, JoinedPlan: 2,
-		Members: 12, Serving: 11, RequestRate: 1234.5, OpenConnections: 77, DrainRate: 1.5,
-		Contacts: []string{"10.0.0.1:7946", "10.0.0.2:7946"}, Departed: []string{"r9"},
+		Members: 12, ServingMembers: 11, RequestRate: 1234.5, OpenConnections: 77, DrainRate: 1.5,
+		Contacts: []string{"10.0.0.1:7946", "10.0.0.2:7946"}, DepartedRelays: []string{"r9"},
 		Forwarded: true, Bootstrapped: true,
 	}
 }
 
 func fullDirectory() cells.Directory {
 	return cells.Directory{Cell: "east", Representative: "r1", Incarnation: 4, Seq: 2, Epoch: 41,
-		ActivatedPlan: 3, Regions: []cells.RegionFigures{
+		ActivatedPlan: 3, Regions: []cells.RegionTotals{
 			{
 				Cells:           1,
-				Known:           1,
+				KnownCells:      1,
 				Relays:          4,
-				Serving:         4,
+				ServingRelays:   4,
 				RequestRate:     2,
 				OpenConnections: 1,
 				DrainRate:       0.25,
@@ -197,14 +197,15 @@
 			Incarnation: 4,
 			ReadAt:      1234 * time.Millisecond,
 			Age:         56 * time.Millisecond,
-			LoadReport:  probing.LoadReport{Load: 0.5, Inflight: 3, Errors: 0.125, Busy: 0.25},
+			LoadReport: probing.LoadReport{Load: 0.5, InFlight: 3, ErrorsPerSecond: 0.125,
+				CPUUtilization: 0.25},
 		},
 		{
 			ServerKey:   2,
 			Origin:      "r2",
 			Incarnation: 1,
 			ReadAt:      99 * time.Second,
-			LoadReport:  probing.LoadReport{Load: 1.5, Inflight: -1, Errors: -1, Busy: -1},
+			LoadReport:  probing.LoadReport{Load: 1.5, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1},
 		},
 		{
 			ServerKey:   3,
@@ -212,7 +213,7 @@
 			Incarnation: 4,
 			ReadAt:      time.Millisecond,
 			Age:         1999 * time.Millisecond,
-			LoadReport:  probing.LoadReport{Load: -1, Inflight: 0, Errors: 0, Busy: 2},
+			LoadReport:  probing.LoadReport{Load: -1, InFlight: 0, ErrorsPerSecond: 0, CPUUtilization: 2},
 		},
 	}
 }
--- a/internal/wire/gossip/config.go
+++ b/internal/wire/gossip/config.go
@@ -67,7 +67,7 @@
 	if c.Plan == nil {
 		return ""
 	}
-	if cell, _ := c.Plan.Find(c.Cell); cell.Spanning() {
+	if cell, _ := c.Plan.FindCell(c.Cell); cell.SpansRegions() {
 		return ""
 	}
 	return c.Cell
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -94,7 +94,7 @@
 		Share:       estimate.BudgetShare,
 		Relays:      estimate.Relays,
 	}
-	if estimate.ShareValidUntil != duration.Forever {
+	if estimate.ShareValidUntil != duration.DistantFuture {
 		left := duration.Millis(estimate.ShareValidUntil - now)
 		line.UntilMillis = line.AtMillis + left/faultpoint.ClockRate()
 	}
@@ -133,7 +133,7 @@
 	}
 	line.Cell, line.Representative = link.cell, link.representative
 	for _, region := range link.coordinator.Report(n.cellTime(n.now())).Regions {
-		line.KnownCells += region.Known
+		line.KnownCells += region.KnownCells
 	}
 }
 
@@ -161,7 +161,8 @@
 	readings = slices.Clone(readings)
 	for i := range readings {
 		if readings[i].Origin == n.cfg.Name {
-			readings[i].LoadReport = probing.LoadReport{Load: r.FalseLoad, Inflight: -1, Errors: -1, Busy: -1}
+			readings[i].LoadReport = probing.LoadReport{Load: r.FalseLoad, InFlight: -1, ErrorsPerSecond: -1,
+				CPUUtilization: -1}
 		}
 	}
 	return readings
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -369,7 +369,8 @@
 			Incarnation: 3,
 			ReadAt:      1234 * time.Millisecond,
 			Age:         20 * time.Millisecond,
-			LoadReport:  probing.LoadReport{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25},
+			LoadReport: probing.LoadReport{Load: 0.5, InFlight: -1, ErrorsPerSecond: 0,
+				CPUUtilization: 1.25},
 		},
 	}
 	bad := encodePlacements(rows)
@@ -389,7 +390,7 @@
 		n.receive(text, true) // a replay
 	}
 	want := []probing.Event{
-		probing.PlacementsReceived{From: "peer", Rows: rows},
+		probing.PlacementsReceived{From: "peer", Deltas: rows},
 		probing.ReadingsReceived{From: "peer", Readings: readings},
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/wire/gossip/local_cell.go
+++ b/internal/wire/gossip/local_cell.go
@@ -29,7 +29,7 @@
 	}
 	if a := view.Allocation; a != nil {
 		local.Plan, local.PlanHash = a.Plan, a.PlanHash
-		local.Cells, local.Bootstrapped = a.Cells, a.Bootstrapped
+		local.RequiredCells, local.Bootstrapped = a.Cells, a.Bootstrapped
 	}
 	for _, name := range view.MemberNames() {
 		n.addMember(&local, name, peers[name])
@@ -41,7 +41,7 @@
 			Alive:   name == n.cfg.Name || countsAsAlive(peers[name].Health),
 		})
 	}
-	local.Departed = link.recentDepartures(now)
+	local.DepartedRelays = link.recentDepartures(now)
 	return local, true
 }
 
@@ -50,12 +50,12 @@
 	local.Members++
 	if name == n.cfg.Name {
 		if n.lastLocal.Lifecycle == membership.Serving {
-			local.Serving++
+			local.ServingMembers++
 		}
 		return
 	}
 	if peer.Status.Lifecycle == membership.Serving {
-		local.Serving++
+		local.ServingMembers++
 	}
 	if countsAsAlive(peer.Health) {
 		local.RequestRate += peer.Status.RequestRate
--- a/internal/wire/gossip/node.go
+++ b/internal/wire/gossip/node.go
@@ -154,7 +154,7 @@
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for meteredAt := duration.Never; ; {
+	for meteredAt := duration.DistantPast; ; {
 		select {
 		case <-ctx.Done():
 			gossiping.Wait()
--- a/internal/wire/gossip/probing_wire.go
+++ b/internal/wire/gossip/probing_wire.go
@@ -57,7 +57,7 @@
 func decodeBatch(e envelope) (probing.Event, error) {
 	if e.Kind == kindPlacements {
 		rows, err := decodePlacements(e.Body)
-		return probing.PlacementsReceived{From: e.From, Rows: rows}, err
+		return probing.PlacementsReceived{From: e.From, Deltas: rows}, err
 	}
 	readings, err := decodeReadings(e.Body)
 	return probing.ReadingsReceived{From: e.From, Readings: readings}, err
@@ -73,9 +73,9 @@
 			ReadAt:      int64(r.ReadAt / time.Millisecond),
 			Age:         int64(r.Age / time.Millisecond),
 			Load:        toThousandths(r.LoadReport.Load),
-			InFlight:    toThousandths(r.Inflight),
-			Errors:      toThousandths(r.Errors),
-			Busy:        toThousandths(r.Busy),
+			InFlight:    toThousandths(r.InFlight),
+			Errors:      toThousandths(r.ErrorsPerSecond),
+			Busy:        toThousandths(r.CPUUtilization),
 		}
 	})
 }
@@ -94,10 +94,10 @@
 			ReadAt:      duration.FromMillis(float64(r.ReadAt)),
 			Age:         duration.FromMillis(float64(r.Age)),
 			LoadReport: probing.LoadReport{
-				Load:     fromThousandths(r.Load),
-				Inflight: fromThousandths(r.InFlight),
-				Errors:   fromThousandths(r.Errors),
-				Busy:     fromThousandths(r.Busy),
+				Load:            fromThousandths(r.Load),
+				InFlight:        fromThousandths(r.InFlight),
+				ErrorsPerSecond: fromThousandths(r.Errors),
+				CPUUtilization:  fromThousandths(r.Busy),
 			},
 		}, nil
 	}
--- a/internal/wire/gossip/talk_cost_test.go
+++ b/internal/wire/gossip/talk_cost_test.go
@@ -115,8 +115,9 @@
 			r.scheduler.Handle(
 				c.now,
 				probing.OwnReading{
-					ServerKey:  a.ServerKey,
-					LoadReport: probing.LoadReport{Load: load, Inflight: 12, Errors: -1, Busy: -1},
+					ServerKey: a.ServerKey,
+					LoadReport: probing.LoadReport{Load: load, InFlight: 12, ErrorsPerSecond: -1,
+						CPUUtilization: -1},
 				},
 				nil,
 			)
@@ -130,7 +131,7 @@
 				r.readings += r.post(a.To, kindReadings, encodeReadings(some))
 			}
 		case probing.SendPlacements:
-			r.placed += r.post(a.To, kindPlacements, encodePlacements(a.Rows))
+			r.placed += r.post(a.To, kindPlacements, encodePlacements(a.Deltas))
 		}
 	}
 }
