--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -135,10 +135,10 @@
 		b.arrivals.recordRequest()
 		b.retry.budget.earn(r.Tenant)
 		b.dispatch.probeThenPlace(r)
-	case InheritedConnection:
+	case Inherited:
 		b.requests.trackInherited(e)
 		b.rebalance.scheduleLoadWatch()
-	case ConnectionOpened:
+	case Opened:
 		b.recordOpened(e)
 	case Outcome:
 		b.recordOutcome(e)
@@ -172,7 +172,7 @@
 	b.dispatch.releaseListWaiters()
 }
 
-func (b *Balancer) recordOpened(e ConnectionOpened) {
+func (b *Balancer) recordOpened(e Opened) {
 	b.timeouts.recordSetupLatency(e.SetupLatency)
 	b.endpoints.stateOf(e.Server).health.consecutiveErrors = 0
 	r := b.requests.requests[e.ID]
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -47,7 +47,7 @@
 		if groups {
 			r.Group = 1 + uint64(i)%500
 		}
-		y.in(InheritedConnection{Request: r, Server: at})
+		y.in(Inherited{Request: r, Server: at})
 		y.ends, y.at = append(y.ends, y.id), append(y.at, at)
 	}
 	return y
@@ -68,8 +68,7 @@
 				Report:  loadReport(load, -1),
 			}, y.backlog)
 		case Forward:
-			y.backlog = y.b.Handle(y.now,
-				ConnectionOpened{ID: a.ID, Server: a.Server, SetupLatency: 5 * ms}, y.backlog)
+			y.backlog = y.b.Handle(y.now, Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * ms}, y.backlog)
 			y.ends, y.at = append(y.ends, a.ID), append(y.at, a.Server)
 		case Timer:
 			if kind, _ := splitToken(a.Token); kind == timerLoadWatch { // the only one that matters here
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -5,7 +5,7 @@
 //
 // A Balancer owns what one relay knows to decide by: the endpoint list as applied, the requests and
 // connections of this relay, load readings, ejections, retry tokens. Nothing of it survives a restart;
-// what has to is handed in again as events (InheritedConnection, a WatchEvent of kind CachedSnapshot).
+// what has to is handed in again as events (Inherited, a WatchEvent of kind CachedSnapshot).
 //
 // # Who calls it
 //
--- a/decide/driver_test.go
+++ b/decide/driver_test.go
@@ -127,7 +127,7 @@
 }
 
 func (r *relay) open(id RequestID, on ServerID) {
-	r.do(ConnectionOpened{ID: id, Server: on, SetupLatency: 20 * ms})
+	r.do(Opened{ID: id, Server: on, SetupLatency: 20 * ms})
 }
 
 // withConnections opens n connections of a relay on one server and n on the next.
@@ -136,7 +136,7 @@
 	for i := range n {
 		for on := range ServerID(2) {
 			id := RequestID(1000 + 2*i + int(on))
-			r.do(InheritedConnection{Request: newRequest(id), Server: on})
+			r.do(Inherited{Request: newRequest(id), Server: on})
 		}
 	}
 	r.place(newRequest(1), loads)
--- a/decide/events.go
+++ b/decide/events.go
@@ -105,13 +105,13 @@
 		Returning    bool          // the client comes back after a break or a migration, or retries
 		ExistingFlow bool          // packets of an open connection reach this relay now
 	}
-	// InheritedConnection is a connection that is open through this relay at its start.
-	InheritedConnection struct {
+	// Inherited is a connection that is open through this relay at its start.
+	Inherited struct {
 		Request Request
 		Server  ServerID
 	}
-	// ConnectionOpened says that an attempt's connection is up.
-	ConnectionOpened struct {
+	// Opened says that an attempt's connection is up.
+	Opened struct {
 		ID           RequestID
 		Attempt      int // from 0
 		Server       ServerID
@@ -178,16 +178,16 @@
 	}
 )
 
-func (WatchEvent) event()          {}
-func (Request) event()             {}
-func (InheritedConnection) event() {}
-func (ConnectionOpened) event()    {}
-func (Outcome) event()             {}
-func (ClientGone) event()          {}
-func (TimerFired) event()          {}
-func (ProbeResult) event()         {}
-func (GossipReading) event()       {}
-func (ConnectionLoad) event()      {}
-func (MessageDelay) event()        {}
-func (FleetStatus) event()         {}
-func (PeerMessage) event()         {}
+func (WatchEvent) event()     {}
+func (Request) event()        {}
+func (Inherited) event()      {}
+func (Opened) event()         {}
+func (Outcome) event()        {}
+func (ClientGone) event()     {}
+func (TimerFired) event()     {}
+func (ProbeResult) event()    {}
+func (GossipReading) event()  {}
+func (ConnectionLoad) event() {}
+func (MessageDelay) event()   {}
+func (FleetStatus) event()    {}
+func (PeerMessage) event()    {}
--- a/decide/golden_course_test.go
+++ b/decide/golden_course_test.go
@@ -132,7 +132,7 @@
 // deliver gives the Balancer an event that has come due, after what the course itself knows of it.
 func (c *goldenCourse) deliver(ev Event) {
 	switch e := ev.(type) {
-	case ConnectionOpened:
+	case Opened:
 		conn := c.conn(e.ID)
 		if conn.over {
 			return
@@ -222,7 +222,7 @@
 	case c.chance(0.01):
 		end.Status = goldenPick(c, Reset, Cancelled, Superseded)
 	default:
-		c.after(took, ConnectionOpened{ID: a.ID, Attempt: end.Attempt, Server: a.Server, SetupLatency: took})
+		c.after(took, Opened{ID: a.ID, Attempt: end.Attempt, Server: a.Server, SetupLatency: took})
 		took += c.upTo(2 * c.life)
 		end.Status, end.Closed = goldenPick(c, OK, OK, OK, Reset, Cancelled), c.chance(0.97)
 		conn.over = false
@@ -404,7 +404,7 @@
 	case 0:
 		c.handle(PeerMessage{From: 1, Data: []byte("word")})
 	case 1:
-		c.handle(ConnectionOpened{ID: unknown, Server: c.anyServer(), SetupLatency: c.upTo(time.Second)})
+		c.handle(Opened{ID: unknown, Server: c.anyServer(), SetupLatency: c.upTo(time.Second)})
 	case 2:
 		c.handle(Outcome{ID: unknown, Server: c.anyServer(), Status: Reset})
 	case 3:
--- a/decide/golden_draw_test.go
+++ b/decide/golden_draw_test.go
@@ -154,7 +154,7 @@
 	conn := c.conn(r.ID)
 	conn.on, conn.open, conn.attempts = int(on), true, 1
 	c.servers[on].open++
-	c.handle(InheritedConnection{Request: r, Server: on})
+	c.handle(Inherited{Request: r, Server: on})
 	c.after(c.upTo(2*c.life), Outcome{ID: r.ID, Server: on, Status: OK, Closed: true, Report: NoLoadReport})
 }
 
--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -36,7 +36,7 @@
 	set.Relays, set.Tenants[0].ConnectionQuota = 3, 60
 	r := newRelay(t, set, 1, 2)
 	for id := RequestID(1); id <= 10; id++ {
-		r.do(InheritedConnection{Request: newRequest(id), Server: 0})
+		r.do(Inherited{Request: newRequest(id), Server: 0})
 	}
 	r.do(ProbeResult{Server: 0, Latency: ms, Report: NoLoadReport})
 	r.do(ProbeResult{Server: 1, Latency: ms, Report: loadReport(0.3, -1)})
@@ -75,7 +75,7 @@
 			}
 			for _, s := range actionsOf[Forward](acts) {
 				on[s.Server]++
-				r.do(ConnectionOpened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
+				r.do(Opened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
 			}
 		}
 		return on
--- a/decide/rebalance_test.go
+++ b/decide/rebalance_test.go
@@ -82,7 +82,7 @@
 	set.Relays, set.Tenants[0].ConnectionQuota, set.ReportsMessageDelay = 1, 100, false
 	r := newRelay(t, set, 1, 4)
 	for id := RequestID(1); id <= 30; id++ {
-		r.do(InheritedConnection{Request: newRequest(id), Server: 0})
+		r.do(Inherited{Request: newRequest(id), Server: 0})
 	}
 	moved := 0
 	for range 4 {
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -62,7 +62,7 @@
 }
 
 // trackInherited enters a connection that is open through this relay at its start.
-func (t *requestTable) trackInherited(e InheritedConnection) {
+func (t *requestTable) trackInherited(e Inherited) {
 	r := t.trackRequest(e.Request)
 	r.attempts, r.phase, r.server = 1, phaseOpen, e.Server
 	t.addConnection(r)
--- a/decide/requests_test.go
+++ b/decide/requests_test.go
@@ -42,7 +42,7 @@
 // Only what was sent counts against a server's slow-start budget, not what was inherited.
 func TestInheritedConnectionsAreNoAttempts(t *testing.T) {
 	table := newTestRequests()
-	table.trackInherited(InheritedConnection{Request: newRequest(1), Server: 2})
+	table.trackInherited(Inherited{Request: newRequest(1), Server: 2})
 	s := table.endpoints.stateOf(2)
 	if len(s.connections) != 1 || table.ownConnections != 1 || len(s.slowStart.recentAttempts) != 0 {
 		t.Errorf("%d connections, %d attempts", len(s.connections), len(s.slowStart.recentAttempts))
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -111,7 +111,7 @@
 		end.Status = TimedOut
 		w.later(limit, end)
 	case status == OK || status == Cancelled || status == Superseded || status == TimedOut:
-		w.later(took, ConnectionOpened{ID: a.ID, Attempt: end.Attempt, Server: a.Server, SetupLatency: took})
+		w.later(took, Opened{ID: a.ID, Attempt: end.Attempt, Server: a.Server, SetupLatency: took})
 		end.Status, end.Closed = []Status{OK, Reset}[w.rng.IntN(2)], true
 		w.later(took+time.Duration(w.rng.IntN(5000))*ms, end)
 	default:
@@ -151,7 +151,7 @@
 		w.now = w.pending[next].at
 		w.pending = append(w.pending[:next], w.pending[next+1:]...)
 		switch e := ev.(type) {
-		case ConnectionOpened:
+		case Opened:
 			j := w.jobs[e.ID]
 			if j.over {
 				continue
@@ -252,7 +252,7 @@
 		req := newRequest(id)
 		req.Key = uint64(id)
 		r.advance(ms).do(req)
-		r.do(ConnectionOpened{ID: 1 << 40, SetupLatency: 20 * ms})
+		r.do(Opened{ID: 1 << 40, SetupLatency: 20 * ms})
 	}
 	failures := &r.b.rejections.keyFailures
 	if n := len(failures.recent) + len(failures.previous); n > 2*failingKeysKept || n < failingKeysKept {
--- a/decide/setup_timeout_test.go
+++ b/decide/setup_timeout_test.go
@@ -21,7 +21,7 @@
 	for _, c := range cases {
 		r := newRelay(t, settings(), 1, 2)
 		for _, took := range c.samples {
-			r.do(ConnectionOpened{ID: 999, SetupLatency: took})
+			r.do(Opened{ID: 999, SetupLatency: took})
 		}
 		req := newRequest(1)
 		req.TimeLeft = c.left
@@ -39,7 +39,7 @@
 	last := func(opens bool) (timeout time.Duration) {
 		r := newRelay(t, settings(), 4, 6)
 		for range 64 {
-			r.do(ConnectionOpened{ID: 999, SetupLatency: 40 * ms})
+			r.do(Opened{ID: 999, SetupLatency: 40 * ms})
 		}
 		for id := RequestID(1); id < 8; id++ {
 			sends := actionsOf[Forward](r.answer(r.advance(3*time.Second).do(newRequest(id)), loads))
@@ -55,7 +55,7 @@
 				Report: NoLoadReport,
 			})
 			if opens {
-				r.do(ConnectionOpened{ID: 999, SetupLatency: 40 * ms})
+				r.do(Opened{ID: 999, SetupLatency: 40 * ms})
 			}
 		}
 		return timeout
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -95,7 +95,7 @@
 			}
 		}
 		for _, s := range actionsOf[Forward](acts) {
-			r.do(ConnectionOpened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
+			r.do(Opened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
 			if s.Server == 4 {
 				sent++
 			}
--- a/internal/relay/event_loop_test.go
+++ b/internal/relay/event_loop_test.go
@@ -52,7 +52,7 @@
 // A decision module that panics on one event goes on with the next.
 func TestTheEventLoopOutlivesAPanic(t *testing.T) {
 	l := newLoopTest(t)
-	l.handle(l.clock.Now(), decide.ConnectionOpened{Server: -1})
+	l.handle(l.clock.Now(), decide.Opened{Server: -1})
 	r := open(l.table, 0)
 	l.advance(20 * time.Millisecond)
 	if state, _ := r.State(); state != Attempting {
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -101,10 +101,10 @@
 // else too. The caller holds the lock.
 func (r *Request) postEstablished() {
 	if r.resumed {
-		r.table.post(decide.InheritedConnection{Request: r.decisionRequest(), Server: r.attempt.Server.Number})
+		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.attempt.Server.Number})
 		return
 	}
-	r.table.post(decide.ConnectionOpened{
+	r.table.post(decide.Opened{
 		ID:           r.ID,
 		Attempt:      r.attempt.Number,
 		Server:       r.attempt.Server.Number,
--- a/internal/simulation/capacity/decisions_test.go
+++ b/internal/simulation/capacity/decisions_test.go
@@ -70,7 +70,7 @@
 		b.lastID++
 		request := decide.Request{ID: b.lastID, TimeLeft: time.Hour, Group: 1 + uint64(i%groupCount)}
 		server := decide.ServerID(i % servers)
-		b.handle(decide.InheritedConnection{Request: request, Server: server})
+		b.handle(decide.Inherited{Request: request, Server: server})
 		b.hold(b.lastID, server)
 	}
 	return b
@@ -99,7 +99,7 @@
 			result := decide.ProbeResult{Server: a.Server, Latency: time.Millisecond, Report: loadReport(a.Server)}
 			b.actions = b.balancer.Handle(b.now, result, b.actions)
 		case decide.Forward:
-			opened := decide.ConnectionOpened{ID: a.ID, Server: a.Server, SetupLatency: 5 * time.Millisecond}
+			opened := decide.Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * time.Millisecond}
 			b.actions = b.balancer.Handle(b.now, opened, b.actions)
 			b.hold(a.ID, a.Server)
 		}
--- a/internal/simulation/model/client.go
+++ b/internal/simulation/model/client.go
@@ -63,7 +63,7 @@
 				Group: uint64(group)}}
 		f.requests[c.req.ID], s.connections[c], s.idleSince = c, true, -1
 		r.connections++
-		f.deliver(r, r.incarnation, decide.InheritedConnection{Request: c.req, Server: s.Server})
+		f.deliver(r, r.incarnation, decide.Inherited{Request: c.req, Server: s.Server})
 		c.req.TimeLeft = 2 * time.Second
 	}
 }
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -216,7 +216,7 @@
 		f.noteSlowStartSend(s)
 		c.endsAt = f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime))
 		f.Tally.Waits = append(f.Tally.Waits, f.Now-c.openedAt)
-		f.deliverLater(r, setupLatency, decide.ConnectionOpened{
+		f.deliverLater(r, setupLatency, decide.Opened{
 			ID: a.ID, Attempt: c.attempt, Server: s.Server, SetupLatency: setupLatency,
 		})
 	}
--- a/internal/wire/simulator/events.go
+++ b/internal/wire/simulator/events.go
@@ -29,7 +29,7 @@
 		if err != nil || request == nil {
 			return nil, err
 		}
-		return decide.InheritedConnection{Request: *request, Server: h.serverID(to, v.requiredText(10))}, nil
+		return decide.Inherited{Request: *request, Server: h.serverID(to, v.requiredText(10))}, nil
 	case eventTimer:
 		return decide.TimerFired{Token: v.unsigned(2)}, nil
 	case eventProbeResult:
@@ -48,7 +48,7 @@
 	request := to.request(v.requiredText(2))
 	switch kind {
 	case eventOpened:
-		event = decide.ConnectionOpened{
+		event = decide.Opened{
 			ID:           request.id,
 			Attempt:      int(v.unsigned(3)),
 			Server:       h.serverID(to, v.requiredText(4)),
--- a/internal/wire/simulator/vocabulary.go
+++ b/internal/wire/simulator/vocabulary.go
@@ -17,11 +17,11 @@
 	eventStop           eventKind = "crashNow"      // it is gone, with all that it knew
 	eventEndpointList   eventKind = "registry"      // decide.WatchEvent
 	eventRequest        eventKind = "newRequest"    // decide.Request
-	eventInherited      eventKind = "inherited"     // decide.InheritedConnection
+	eventInherited      eventKind = "inherited"     // decide.Inherited
 	eventTimer          eventKind = "alarm"         // decide.TimerFired
 	eventProbeResult    eventKind = "echo"          // decide.ProbeResult
 	eventPeerMessage    eventKind = "fromPeer"      // decide.PeerMessage
-	eventOpened         eventKind = "flowing"       // decide.ConnectionOpened
+	eventOpened         eventKind = "flowing"       // decide.Opened
 	eventNote           eventKind = "interim"       // decide.ConnectionLoad or decide.MessageDelay
 	eventAttemptOutcome eventKind = "closedAttempt" // decide.Outcome
 	eventClientGone     eventKind = "dropped"       // decide.ClientGone
