--- a/internal/command/cells.go
+++ b/internal/command/cells.go
@@ -91,10 +91,10 @@
 	line += fmt.Sprintf(", entered %d, open %d", known.JoinedPlan, known.ActivatedPlan)
 	if c := r.Cell; c != nil {
 		if c.Plan > 0 {
-			line += fmt.Sprintf(", near %.4f, far %.4f of a budget", c.Near, c.Far)
+			line += fmt.Sprintf(", near %.4f, far %.4f of a budget", c.NearBudget, c.FarBudget)
 		}
-		if c.Pending != membership.PlanActive.String() {
-			line += ", waits: " + c.Pending
+		if c.PendingReason != membership.PlanActive.String() {
+			line += ", waits: " + c.PendingReason
 		}
 	}
 	if known.DirectoryMs >= 0 {
--- a/internal/command/cells_test.go
+++ b/internal/command/cells_test.go
@@ -104,7 +104,7 @@
 	t.Helper()
 	var shown strings.Builder
 	waits := membership.PendingCells.String()
-	own := &membership.CellReport{Plan: 4, Near: 0.25, Far: 0.01, Pending: waits}
+	own := &membership.CellReport{Plan: 4, NearBudget: 0.25, FarBudget: 0.01, PendingReason: waits}
 	if err := showCells(&shown, &membership.Report{Relay: relay, Cell: own}, knownCells("r3")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -121,7 +121,7 @@
 func headline(r *membership.Report) string {
 	line := fmt.Sprintf("%s at %s: %s, epoch %d", r.Relay, r.Site, r.Phase, r.Epoch)
 	if r.Epoch > 0 {
-		line += " (" + r.Hash + ")"
+		line += " (" + r.ViewHash + ")"
 	}
 	line += fmt.Sprintf(", %d relays, share %.4f: %s", r.Relays, r.BudgetShare, r.ShareReason)
 	if r.UnreleasedSlots > 0 {
@@ -133,8 +133,9 @@
 // showMembers prints a row for each relay.
 func showMembers(w io.Writer, r *membership.Report) error {
 	fmt.Fprintln(w, headline(r))
-	if r.AgreedMs > 2000 {
-		fmt.Fprintf(w, "agreed last %s ago\n", (time.Duration(r.AgreedMs) * time.Millisecond).Round(time.Second))
+	if r.SinceAgreedMs > 2000 {
+		fmt.Fprintf(w, "agreed last %s ago\n",
+			(time.Duration(r.SinceAgreedMs) * time.Millisecond).Round(time.Second))
 	}
 	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tab,
@@ -148,14 +149,14 @@
 			view += ", voter"
 		}
 		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%s\t%s\t%.4f\t%.4f\t%d\t%d\t%.1f\t%d\t%s\n",
-			m.Name, m.State, ago(float64(m.SinceMs)), m.Lifecycle, m.Zone, view,
+			m.Name, m.State, ago(float64(m.StateAgeMs)), m.Lifecycle, m.Zone, view,
 			m.BudgetShare, max(m.BudgetShare, m.OutstandingLimit), m.Epoch, m.Incarnation,
 			m.RequestRate, m.OpenConnections, m.Source)
 	}
 	if err := tab.Flush(); err != nil {
 		return err
 	}
-	showCounts(w, "dropped:", r.Dropped)
+	showCounts(w, "dropped:", r.DroppedPackets)
 	return nil
 }
 
--- a/internal/fleet/membership/acceptor.go
+++ b/internal/fleet/membership/acceptor.go
@@ -8,19 +8,19 @@
 
 // onMessage takes in a message of a peer, or of this relay to itself.
 func (n *Node) onMessage(from string, m Message) {
-	if from != n.cfg.Name && n.peers.entry(from, n.now).Status.Incarnation > m.From {
+	if from != n.cfg.Name && n.peers.entry(from, n.now).Status.Incarnation > m.FromIncarnation {
 		return // from a process that is known to have ended
 	}
 	switch m.Kind {
 	case Learn:
 		n.adoptView(m.View)
-	case Renewed:
+	case LeaseRenewed:
 		n.onRenewed(from, m)
 	case Reject:
 		n.onReject(from, m)
 	case Promise, Accepted:
 		n.onAnswer(from, m)
-	case Renew, Prepare, Accept:
+	case RenewLease, Prepare, Accept:
 		n.onVoterRequest(from, m)
 	}
 }
@@ -28,7 +28,7 @@
 // onRenewed takes in a voter's renewal of the lease.
 func (n *Node) onRenewed(from string, m Message) {
 	sentAt := duration.FromMillis(m.SentAtMillis)
-	if m.To != n.record.Incarnation || sentAt > n.now || !slices.Contains(n.view.Voters, from) {
+	if m.ToIncarnation != n.record.Incarnation || sentAt > n.now || !slices.Contains(n.view.Voters, from) {
 		return
 	}
 	n.lease.noteRenewal(from, sentAt)
@@ -56,16 +56,16 @@
 		n.send(from, Message{Kind: Learn, View: n.view})
 		return
 	case m.Epoch > n.view.Epoch:
-		if m.Kind == Renew {
+		if m.Kind == RenewLease {
 			n.deferred[from] = m
 		}
-		n.send(from, Message{Kind: Reject, Epoch: n.view.Epoch, To: m.From})
+		n.send(from, Message{Kind: Reject, Epoch: n.view.Epoch, ToIncarnation: m.FromIncarnation})
 		return
 	case !n.isVoter():
 		return
 	}
 	switch m.Kind {
-	case Renew:
+	case RenewLease:
 		n.answerRenew(from, m)
 	case Prepare:
 		n.answerPrepare(from, m)
@@ -83,8 +83,9 @@
 		n.send(from, Message{Kind: Learn, View: n.view})
 		return
 	}
-	if n.record.Accepted == nil && (m.Plan == plan || !checks) {
-		n.send(from, Message{Kind: Renewed, Epoch: m.Epoch, SentAtMillis: m.SentAtMillis, To: m.From})
+	if n.record.AcceptedView == nil && (m.Plan == plan || !checks) {
+		n.send(from, Message{Kind: LeaseRenewed, Epoch: m.Epoch, SentAtMillis: m.SentAtMillis,
+			ToIncarnation: m.FromIncarnation})
 	}
 }
 
@@ -96,8 +97,8 @@
 	}
 	n.saveRecord()
 	n.send(from, Message{
-		Kind: Promise, Epoch: m.Epoch, Ballot: m.Ballot, To: m.From,
-		AcceptedBallot: n.record.AcceptedBallot, View: n.record.Accepted,
+		Kind: Promise, Epoch: m.Epoch, Ballot: m.Ballot, ToIncarnation: m.FromIncarnation,
+		AcceptedBallot: n.record.AcceptedBallot, View: n.record.AcceptedView,
 		Unavailable: append(n.unavailableMembers(), n.unavailableOf(m.Joining)...),
 	})
 }
@@ -113,12 +114,13 @@
 	}
 	n.voting.viewAcceptedAt = n.now
 	n.saveRecord()
-	n.send(from, Message{Kind: Accepted, Epoch: m.Epoch, Ballot: m.Ballot, To: m.From})
+	n.send(from, Message{Kind: Accepted, Epoch: m.Epoch, Ballot: m.Ballot, ToIncarnation: m.FromIncarnation})
 }
 
 // rejectBallot answers that a higher ballot is promised.
 func (n *Node) rejectBallot(from string, m Message) {
-	n.send(from, Message{Kind: Reject, Epoch: m.Epoch, Ballot: n.record.Promised, To: m.From})
+	n.send(from, Message{Kind: Reject, Epoch: m.Epoch, Ballot: n.record.PromisedBallot,
+		ToIncarnation: m.FromIncarnation})
 }
 
 // voterName is the name by which a relay votes in the view held.
--- a/internal/fleet/membership/allocation.go
+++ b/internal/fleet/membership/allocation.go
@@ -15,9 +15,9 @@
 	PlanHash uint64 `cbor:"2,keyasint"`
 	// Activated says that every cell had joined the plan: the parts are the plan's in full. While it is not,
 	// they are the lesser of this plan's and those before.
-	Activated bool   `cbor:"3,keyasint,omitempty"`
-	Near      uint64 `cbor:"4,keyasint,omitempty"` // of FullBudget, for servers in NearZones
-	Far       uint64 `cbor:"5,keyasint,omitempty"` // of FullBudget, for all others; never over Near
+	Activated  bool   `cbor:"3,keyasint,omitempty"`
+	NearBudget uint64 `cbor:"4,keyasint,omitempty"` // of FullBudget, for servers in NearZones
+	FarBudget  uint64 `cbor:"5,keyasint,omitempty"` // of FullBudget, for all others; never over Near
 	// NearZones and Cells are in order. Cells are all that may hold a part by this plan or by the one before.
 	NearZones []string `cbor:"6,keyasint,omitempty"`
 	Cells     []string `cbor:"7,keyasint,omitempty"`
@@ -87,13 +87,14 @@
 func (a *Allocation) joined(plan *cellplan.Plan, cell string) *Allocation {
 	near, far, zones := plan.Parts(cell)
 	next := &Allocation{
-		Plan: plan.Number, PlanHash: plan.Hash(), Near: near, Far: far, NearZones: zones, Cells: plan.Names(),
+		Plan: plan.Number, PlanHash: plan.Hash(), NearBudget: near, FarBudget: far, NearZones: zones,
+		Cells: plan.Names(),
 	}
 	if a == nil {
 		return next
 	}
 	next.LeaseMillis = a.LeaseMillis
-	next.Near, next.Far = min(near, a.Near), min(far, a.Far)
+	next.NearBudget, next.FarBudget = min(near, a.NearBudget), min(far, a.FarBudget)
 	wasFar := func(zone string) bool { return !slices.Contains(a.NearZones, zone) }
 	next.NearZones = slices.DeleteFunc(slices.Clone(zones), wasFar)
 	next.Cells = slices.Compact(slices.Sorted(slices.Values(append(plan.Names(), a.Cells...))))
@@ -104,7 +105,7 @@
 func (a *Allocation) activated(plan *cellplan.Plan, cell string) *Allocation {
 	next := *a
 	next.Activated = true
-	next.Near, next.Far, next.NearZones = plan.Parts(cell)
+	next.NearBudget, next.FarBudget, next.NearZones = plan.Parts(cell)
 	next.Cells = nil
 	for _, c := range plan.Cells {
 		if c.Relays > 0 {
@@ -122,7 +123,7 @@
 	}
 	return a.Plan == b.Plan && a.PlanHash == b.PlanHash &&
 		a.Activated == b.Activated && a.Bootstrapped == b.Bootstrapped &&
-		a.Near == b.Near && a.Far == b.Far && a.LeaseMillis == b.LeaseMillis &&
+		a.NearBudget == b.NearBudget && a.FarBudget == b.FarBudget && a.LeaseMillis == b.LeaseMillis &&
 		slices.Equal(a.NearZones, b.NearZones) && slices.Equal(a.Cells, b.Cells)
 }
 
@@ -132,11 +133,11 @@
 		return true
 	}
 	for _, zone := range a.NearZones {
-		if a.Near > b.part(zone) {
+		if a.NearBudget > b.part(zone) {
 			return false
 		}
 	}
-	return a.Far <= b.Far
+	return a.FarBudget <= b.FarBudget
 }
 
 // part is what the cell may take of the budget of a server in a zone.
@@ -145,9 +146,9 @@
 	case a == nil:
 		return FullBudget
 	case slices.Contains(a.NearZones, zone):
-		return a.Near
+		return a.NearBudget
 	}
-	return a.Far
+	return a.FarBudget
 }
 
 // budgetShares are what a relay with a share of its cell's part may take of the budgets of near and of
@@ -159,7 +160,7 @@
 	of := func(part uint64) float64 {
 		return fraction(cellplan.Portion(uint64(share*float64(FullBudget)), part, FullBudget))
 	}
-	return of(a.Near), of(a.Far)
+	return of(a.NearBudget), of(a.FarBudget)
 }
 
 // summary is an Allocation in a few words.
@@ -188,7 +189,7 @@
 	if a.LeaseMillis != 0 && (a.LeaseMillis < minLeaseMillis || a.LeaseMillis > maxLeaseMillis) {
 		return false
 	}
-	return a.Plan > 0 && a.Near >= a.Far && a.Near <= FullBudget &&
+	return a.Plan > 0 && a.NearBudget >= a.FarBudget && a.NearBudget <= FullBudget &&
 		validNames(a.NearZones, maxZones) && validNames(a.Cells, maxCells)
 }
 
--- a/internal/fleet/membership/allocation_test.go
+++ b/internal/fleet/membership/allocation_test.go
@@ -23,8 +23,8 @@
 	}{
 		"as it is":              {func(*Allocation) {}, true},
 		"no plan":               {func(a *Allocation) { a.Plan = 0 }, false},
-		"near under far":        {func(a *Allocation) { a.Near, a.Far = 1, 2 }, false},
-		"over the whole":        {func(a *Allocation) { a.Near = FullBudget + 1 }, false},
+		"near under far":        {func(a *Allocation) { a.NearBudget, a.FarBudget = 1, 2 }, false},
+		"over the whole":        {func(a *Allocation) { a.NearBudget = FullBudget + 1 }, false},
 		"zones out of order":    {func(a *Allocation) { a.NearZones = []string{"b", "a"} }, false},
 		"a zone twice":          {func(a *Allocation) { a.NearZones = []string{"a", "a"} }, false},
 		"a cell with no name":   {func(a *Allocation) { a.Cells = []string{""} }, false},
@@ -56,21 +56,21 @@
 	held.Plan = before.Number
 	joined := held.joined(after, "east")
 	near, far, _ := after.Parts("east")
-	if joined.Activated || joined.Plan != 3 || joined.Near != min(near, held.Near) ||
-		joined.Far != min(far, held.Far) || joined.LeaseMillis != 8000 {
+	if joined.Activated || joined.Plan != 3 || joined.NearBudget != min(near, held.NearBudget) ||
+		joined.FarBudget != min(far, held.FarBudget) || joined.LeaseMillis != 8000 {
 		t.Errorf("joined as %+v, holding %+v", joined, held)
 	}
-	if activated := joined.activated(after, "east"); !activated.Activated || activated.Near != near ||
-		activated.Far != far || len(activated.Cells) != 2 {
+	if activated := joined.activated(after, "east"); !activated.Activated || activated.NearBudget != near ||
+		activated.FarBudget != far || len(activated.Cells) != 2 {
 		t.Errorf("activated as %+v", activated)
 	}
 	if flat := (*Allocation)(nil).joined(twoCells(2, 3, 1), "east"); flat.Plan != 2 ||
-		flat.Near >= FullBudget ||
+		flat.NearBudget >= FullBudget ||
 		flat.Activated {
 		t.Errorf("a flat fleet enters as %+v", flat)
 	}
-	if first := bootstrapAllocation(twoCells(2, 3, 1), "east", 0); first.Activated || first.Near > 0 ||
-		first.Far > 0 {
+	if first := bootstrapAllocation(twoCells(2, 3, 1), "east", 0); first.Activated || first.NearBudget > 0 ||
+		first.FarBudget > 0 {
 		t.Errorf("a cell that is bootstrapped by plan 2 holds %+v", first)
 	}
 }
@@ -132,7 +132,7 @@
 			t.Fatalf("an older program takes %v of the whole", share)
 		}
 	}
-	if w.nodes[0].subject.View().Member(name(2)).In {
+	if w.nodes[0].subject.View().Entry(name(2)).IsMember {
 		t.Error("it is still in the view")
 	}
 	w.kill(2)
--- a/internal/fleet/membership/chain.go
+++ b/internal/fleet/membership/chain.go
@@ -32,11 +32,11 @@
 	if n.slot.number >= v.BootstrapSize {
 		n.slot.number = -1
 	}
-	n.record.Accepted, n.record.AcceptedBallot = nil, Ballot{}
+	n.record.AcceptedView, n.record.AcceptedBallot = nil, Ballot{}
 	n.voting.viewAdopted()
 	n.lease.nextRenewalAt = n.now
 	n.saveRecord()
-	n.emit(Changed{Kind: ChangeView, State: v.summary()})
+	n.emit(StateChanged{Kind: ChangeView, State: v.summary()})
 	n.publish(true)
 	n.answerDeferredRenewals()
 }
--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -59,7 +59,7 @@
 func (n *Node) addMembers(e *FleetEstimate) {
 	e.Relays, e.OtherRequestRate, e.OtherConnections = 0, 0, 0
 	for _, m := range n.view.Entries {
-		if !m.In {
+		if !m.IsMember {
 			continue
 		}
 		e.Relays++
@@ -67,7 +67,7 @@
 			continue
 		}
 		status := n.peers.byName[m.Name].Status
-		if status.Lifecycle == Serving {
+		if status.Lifecycle == LifecycleServing {
 			e.OtherRequestRate += status.RequestRate
 		}
 		e.OtherConnections += status.OpenConnections
@@ -84,7 +84,7 @@
 // addDrains adds the connections that drains send away, members' or not.
 func (n *Node) addDrains(e *FleetEstimate, now time.Duration) {
 	for _, p := range n.peers.sorted {
-		if p.Status.Lifecycle >= Draining && now-p.StatusAt < drainStatusValidFor {
+		if p.Status.Lifecycle >= LifecycleDraining && now-p.StatusAt < drainStatusValidFor {
 			e.DrainRate += p.Status.DrainRate
 		}
 	}
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -87,17 +87,17 @@
 type Action interface{ action() }
 
 type (
-	// Save keeps a Record.
-	Save struct{ Record Record }
-	// Send sends a message.
-	Send struct {
+	// SaveRecord keeps a Record.
+	SaveRecord struct{ Record Record }
+	// SendMessage sends a message.
+	SendMessage struct {
 		To string
 		Message
 	}
-	// Publish sends this relay's status to all peers.
-	Publish struct{ Status Status }
-	// Changed is for the log: the view, the phase or a peer's state has changed.
-	Changed struct {
+	// PublishStatus sends this relay's status to all peers.
+	PublishStatus struct{ Status Status }
+	// StateChanged is for the log: the view, the phase or a peer's state has changed.
+	StateChanged struct {
 		Kind  ChangeKind
 		Name  string // the peer
 		State string
@@ -107,8 +107,8 @@
 	RefreshEndpointList struct{ Generation int64 }
 )
 
-func (Save) action()                {}
-func (Send) action()                {}
-func (Publish) action()             {}
-func (Changed) action()             {}
+func (SaveRecord) action()          {}
+func (SendMessage) action()         {}
+func (PublishStatus) action()       {}
+func (StateChanged) action()        {}
 func (RefreshEndpointList) action() {}
--- a/internal/fleet/membership/federation_faults_test.go
+++ b/internal/fleet/membership/federation_faults_test.go
@@ -102,11 +102,11 @@
 // deafenOne lets a relay drain and come back, so that the shares of the others in its cell shrink, and
 // one of them get nothing of that until all leases have run out.
 func (f *federation) deafenOne(c *cellWorld, i int) {
-	c.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
-	f.run(duration.Millis(WaitOut) + 5000*f.rng.Float64())
+	c.feed(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
+	f.run(duration.Millis(EarlierViewsExpireAfter) + 5000*f.rng.Float64())
 	c.deafenNext = true
-	c.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
-	f.run(2 * duration.Millis(WaitOut))
+	c.feed(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
+	f.run(2 * duration.Millis(EarlierViewsExpireAfter))
 	c.deafenNext = false
 	for _, n := range c.nodes {
 		n.deaf = false
@@ -178,8 +178,8 @@
 func (c *cellWorld) mayBeOld(i int) bool {
 	newest := 0
 	for j, n := range c.nodes {
-		if v := n.disk.View; v == nil || v.Allocation != nil || n.disk.Accepted != nil &&
-			n.disk.Accepted.Allocation != nil {
+		if v := n.disk.View; v == nil || v.Allocation != nil || n.disk.AcceptedView != nil &&
+			n.disk.AcceptedView.Allocation != nil {
 			return false
 		}
 		if n.up && !n.olderProgram && j != i && !n.stopped {
@@ -204,7 +204,7 @@
 // votesSomewhere tells whether a relay votes in a view that any relay holds, or has accepted one.
 func votesSomewhere(nodes []*node, name string) bool {
 	for _, n := range nodes {
-		for _, v := range []*View{n.disk.View, n.disk.Accepted} {
+		for _, v := range []*View{n.disk.View, n.disk.AcceptedView} {
 			if v == nil || slices.Contains(v.Voters, name) {
 				return true
 			}
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -64,7 +64,7 @@
 }
 
 func oldRecord(r Record) Record {
-	r.View, r.Accepted = oldView(r.View), oldView(r.Accepted)
+	r.View, r.AcceptedView = oldView(r.View), oldView(r.AcceptedView)
 	return r
 }
 
@@ -309,7 +309,7 @@
 			if n.stopped {
 				c.resume(i)
 			}
-			if !n.up || n.olderProgram || n.subject.local.Lifecycle != Serving {
+			if !n.up || n.olderProgram || n.subject.local.Lifecycle != LifecycleServing {
 				c.kill(i)
 				n.olderProgram = false
 				c.start(i)
--- a/internal/fleet/membership/flat_test.go
+++ b/internal/fleet/membership/flat_test.go
@@ -11,9 +11,9 @@
 // flatView is a view of a fleet without cells, with something in every field.
 func flatView() *View {
 	return &View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{4}, Voters: []string{"r1", "r2"},
-		Entries: []Member{
-			{Name: "r1", In: true, BudgetShare: FullBudget / 4, OutstandingLimit: FullBudget / 5},
-			{Name: "r2", In: true, Idle: true}, {Name: "r3", OutstandingLimit: FullBudget / 8}}}
+		Entries: []ViewEntry{
+			{Name: "r1", IsMember: true, BudgetShare: FullBudget / 4, OutstandingLimit: FullBudget / 5},
+			{Name: "r2", IsMember: true, Draining: true}, {Name: "r3", OutstandingLimit: FullBudget / 8}}}
 }
 
 // What a relay of a fleet without cells says and keeps is to the byte what it was before there were
@@ -27,9 +27,9 @@
 		Seed: 1}, Record{Incarnation: 2, SlotReleased: true, View: view})
 	var status Status
 	for _, action := range node.Handle(2*time.Second,
-		LocalState{Lifecycle: Serving, Zone: "z1", RequestRate: 12.5, OpenConnections: 3,
+		LocalState{Lifecycle: LifecycleServing, Zone: "z1", RequestRate: 12.5, OpenConnections: 3,
 			EndpointListGeneration: 9}, nil) {
-		if published, ok := action.(Publish); ok {
+		if published, ok := action.(PublishStatus); ok {
 			status = published.Status
 		}
 	}
@@ -43,14 +43,15 @@
 		"status": {status,
 			"ad01010203030104627a3105fb4029000000000000060307090807091bf31adecf8544099d0a050b" +
 				"000cf50d01"},
-		"record": {Record{Incarnation: 3, SlotReleased: true, Promised: Ballot{4, "r2"},
-			AcceptedBallot: Ballot{4, "r2"}, Accepted: view, View: view},
+		"record": {Record{Incarnation: 3, SlotReleased: true, PromisedBallot: Ballot{4, "r2"},
+			AcceptedBallot: Ballot{4, "r2"}, AcceptedView: view, View: view},
 			"a6010302f503a201040262723204a201040262723205a5010702050381040483a40162723102f503" +
 				"1b0000004000000000041b0000003333333333a30162723202f505f5a201627233041b0000002000" +
 				"000000058262723162723206a5010702050381040483a40162723102f5031b000000400000000004" +
 				"1b0000003333333333a30162723202f505f5a201627233041b000000200000000005826272316272" +
 				"32"},
-		"renewal": {Message{Kind: Renew, Epoch: 7, SentAtMillis: 1234.5, From: 3, BootstrapSlot: 0},
+		"renewal": {Message{Kind: RenewLease, Epoch: 7, SentAtMillis: 1234.5,
+			FromIncarnation: 3, BootstrapSlot: 0},
 			"a70101020703fb40934a000000000005a20100026006a20100026009030a00"},
 	} {
 		got, err := cbor.Marshal(c.value)
--- a/internal/fleet/membership/formation_test.go
+++ b/internal/fleet/membership/formation_test.go
@@ -22,11 +22,11 @@
 	w.kill(3)
 	w.run(failAfter*1.5 + 2000)
 	for _, n := range w.nodes {
-		if n.up && n.subject.View().Member(name(3)).In {
+		if n.up && n.subject.View().Entry(name(3)).IsMember {
 			t.Errorf("%s still has the killed one in its view", n.cfg.Name)
 		}
 	}
-	w.run(duration.Millis(WaitOut) + 2000)
+	w.run(duration.Millis(EarlierViewsExpireAfter) + 2000)
 	if err := w.agreed(); err != nil {
 		t.Fatal(err)
 	}
@@ -49,8 +49,8 @@
 	n := New(0, Config{Name: "me", BootstrapSize: 3, ConfiguredRelays: 3}, Record{})
 	asked := func(from, to time.Duration, list int64) (count int) {
 		for now := from; now < to; now += 100 * time.Millisecond {
-			for _, a := range n.Handle(now, LocalState{Lifecycle: Serving, EndpointListGeneration: list},
-				nil) {
+			for _, a := range n.Handle(now, LocalState{Lifecycle: LifecycleServing,
+				EndpointListGeneration: list}, nil) {
 				if _, ok := a.(RefreshEndpointList); ok {
 					count++
 				}
@@ -58,7 +58,7 @@
 		}
 		return count
 	}
-	n.Handle(0, PeerHealth{"peer", Alive}, nil)
+	n.Handle(0, PeerHealth{"peer", HealthAlive}, nil)
 	n.Handle(0, StatusReceived{"peer", Status{Incarnation: 1, Seq: 1, BootstrapSize: 3, BootstrapSlot: 1,
 		EndpointListGeneration: 5}}, nil)
 	if n := asked(100*time.Millisecond, 1500*time.Millisecond, 4) + asked(1500*time.Millisecond,
--- a/internal/fleet/membership/freshness.go
+++ b/internal/fleet/membership/freshness.go
@@ -25,7 +25,7 @@
 func (n *Node) refreshEndpointList() {
 	newest := int64(0)
 	for _, p := range n.peers.sorted {
-		if p.hasStatus() && p.Health == Alive {
+		if p.hasStatus() && p.Health == HealthAlive {
 			newest = max(newest, p.Status.EndpointListGeneration)
 		}
 	}
@@ -46,7 +46,7 @@
 	}
 	var ahead *Peer
 	for _, p := range n.peers.sorted {
-		if p.Health != Alive || !p.hasStatus() || p.Status.Epoch <= n.view.Epoch {
+		if p.Health != HealthAlive || !p.hasStatus() || p.Status.Epoch <= n.view.Epoch {
 			continue
 		}
 		if ahead == nil || p.Status.Epoch > ahead.Status.Epoch {
--- a/internal/fleet/membership/interleaving_test.go
+++ b/internal/fleet/membership/interleaving_test.go
@@ -49,16 +49,16 @@
 	n := l.nodes[i]
 	for _, a := range n.subject.Handle(l.now, ev, nil) {
 		switch a := a.(type) {
-		case Save:
+		case SaveRecord:
 			n.disk = a.Record
-		case Send:
+		case SendMessage:
 			for j, m := range l.nodes {
 				if m.cfg.Name == a.To {
 					l.wires = append(l.wires, packet{0, i, j,
 						MessageReceived{From: n.cfg.Name, Message: a.Message}})
 				}
 			}
-		case Publish:
+		case PublishStatus:
 			for j := range l.nodes {
 				if j != i {
 					l.wires = append(l.wires, packet{0, i, j,
@@ -101,7 +101,8 @@
 			})
 		}
 	}
-	for _, wait := range []time.Duration{450 * time.Millisecond, WaitOut + 10*time.Millisecond} {
+	for _, wait := range []time.Duration{450 * time.Millisecond,
+		EarlierViewsExpireAfter + 10*time.Millisecond} {
 		visit(func(c *interleaving) {
 			c.now += wait
 			for i := range c.nodes {
@@ -116,7 +117,7 @@
 		n.subject.Start(c.now, nil)
 		n.disk = n.subject.record
 		for i := range c.nodes[1:] {
-			c.feed(0, PeerHealth{c.nodes[i+1].cfg.Name, Alive})
+			c.feed(0, PeerHealth{c.nodes[i+1].cfg.Name, HealthAlive})
 		}
 	})
 	return played, most
@@ -149,8 +150,8 @@
 	}
 	cutOff := func(joint bool) *interleaving { // the third is taken for gone, and its lease is good still
 		l := smallInterleaving(true, joint)
-		l.feed(0, PeerHealth{name(2), Failed})
-		l.feed(1, PeerHealth{name(2), Failed})
+		l.feed(0, PeerHealth{name(2), HealthFailed})
+		l.feed(1, PeerHealth{name(2), HealthFailed})
 		return l
 	}
 	for what, l := range map[string]*interleaving{"bootstrapping": smallInterleaving(false, true),
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -27,8 +27,8 @@
 	MaxEffectDelay = 250 * time.Millisecond
 	// RenewInterval leaves three attempts in the time that a lease is valid.
 	RenewInterval = time.Second
-	// WaitOut is how long after a view's adoption nobody acts by an earlier one any more.
-	WaitOut = leaseMillis * (1 + MaxClockDrift) * time.Millisecond
+	// EarlierViewsExpireAfter is how long after a view's adoption nobody acts by an earlier one any more.
+	EarlierViewsExpireAfter = leaseMillis * (1 + MaxClockDrift) * time.Millisecond
 )
 
 // lease is this relay's right to act by its share of the view held, renewed by half of the voters.
@@ -87,7 +87,7 @@
 // releaseSlot releases this relay's slot, once a majority that can make a view is alive. From
 // the moment that is on disk the relay takes nothing but what a view grants.
 func (n *Node) releaseSlot() {
-	if n.record.SlotReleased || n.storageFailed || n.local.Lifecycle == Leaving {
+	if n.record.SlotReleased || n.storageFailed || n.local.Lifecycle == LifecycleLeaving {
 		return
 	}
 	if n.votersAlive() < n.view.majority() && !n.joinsOlderFleet() {
@@ -100,19 +100,19 @@
 
 // joinsOlderFleet tells whether this relay holds no view yet, and a peer does.
 func (n *Node) joinsOlderFleet() bool {
-	holdsView := func(p *Peer) bool { return p.Health == Alive && p.hasStatus() && p.Status.Epoch > 0 }
+	holdsView := func(p *Peer) bool { return p.Health == HealthAlive && p.hasStatus() && p.Status.Epoch > 0 }
 	return n.view.Epoch == 0 && slices.ContainsFunc(n.peers.sorted, holdsView)
 }
 
 // renewLease asks the voters to renew the lease, where that is due.
 func (n *Node) renewLease() {
-	if n.view.Epoch == 0 || !n.view.Member(n.cfg.Name).In || n.now < n.lease.nextRenewalAt ||
+	if n.view.Epoch == 0 || !n.view.Entry(n.cfg.Name).IsMember || n.now < n.lease.nextRenewalAt ||
 		n.storageFailed {
 		return
 	}
 	n.lease.nextRenewalAt = n.now + duration.Scale(RenewInterval, n.leaseScale())
 	renew := Message{
-		Kind: Renew, Epoch: n.view.Epoch, Plan: n.view.Allocation.plan(),
+		Kind: RenewLease, Epoch: n.view.Epoch, Plan: n.view.Allocation.plan(),
 		SentAtMillis: duration.Millis(n.now),
 	}
 	for _, v := range n.view.Voters {
@@ -150,7 +150,7 @@
 // budgetShare is what this relay may take now of its cell's part, or of the full budget without cells, until
 // when, and why.
 func (n *Node) budgetShare(now time.Duration) (share float64, until time.Duration, reason string) {
-	member := n.view.Member(n.cfg.Name)
+	member := n.view.Entry(n.cfg.Name)
 	released := n.record.SlotReleased && n.safeguards.releasesSlots
 	switch {
 	case !released && slices.Contains(n.view.UnreleasedSlots, n.slot.number):
@@ -158,9 +158,9 @@
 			"its slot's, by the configured number of relays"
 	case !n.record.SlotReleased:
 		return 0, duration.Forever, "none: it has no slot, and no view grants it a share"
-	case !member.In:
+	case !member.IsMember:
 		return 0, duration.Forever, "none: it has released its slot and is in no view yet"
-	case n.local.Lifecycle == Leaving:
+	case n.local.Lifecycle == LifecycleLeaving:
 		return 0, duration.Forever, "none: it is leaving"
 	case !n.lease.valid(now):
 		return 0, duration.Forever, "none: its lease has expired"
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -17,9 +17,9 @@
 type Record struct {
 	Incarnation    uint64 `cbor:"1,keyasint"`
 	SlotReleased   bool   `cbor:"2,keyasint"`
-	Promised       Ballot `cbor:"3,keyasint"`
+	PromisedBallot Ballot `cbor:"3,keyasint"`
 	AcceptedBallot Ballot `cbor:"4,keyasint"`
-	Accepted       *View  `cbor:"5,keyasint,omitempty"` // the view after the one held
+	AcceptedView   *View  `cbor:"5,keyasint,omitempty"` // the view after the one held
 	// View is the newest that is known to be chosen; nil for view 0.
 	View *View `cbor:"6,keyasint,omitempty"`
 }
@@ -27,10 +27,10 @@
 // promise notes that nothing by a lower ballot is accepted any more; it tells whether the ballot is not
 // too low itself.
 func (r *Record) promise(b Ballot) bool {
-	if b.less(r.Promised) {
+	if b.less(r.PromisedBallot) {
 		return false
 	}
-	r.Promised = b
+	r.PromisedBallot = b
 	return true
 }
 
@@ -39,19 +39,19 @@
 	if !r.promise(b) {
 		return false
 	}
-	r.AcceptedBallot, r.Accepted = b, view
+	r.AcceptedBallot, r.AcceptedView = b, view
 	return true
 }
 
-// Kind is the kind of a message between two relays.
-type Kind uint8
+// MessageKind is the kind of a message between two relays.
+type MessageKind uint8
 
 // The messages.
 const (
-	// Renew asks a voter to renew the sender's lease in Epoch; SentAtMillis is by the sender's clock.
-	Renew Kind = iota + 1
-	// Renewed is the voter's yes, with SentAtMillis as it came.
-	Renewed
+	// RenewLease asks a voter to renew the sender's lease in Epoch; SentAtMillis is by the sender's clock.
+	RenewLease MessageKind = iota + 1
+	// LeaseRenewed is the voter's yes, with SentAtMillis as it came.
+	LeaseRenewed
 	// Prepare asks whether the sender may propose by Ballot what follows Epoch, and who of the members and of
 	// Joining is unavailable.
 	Prepare
@@ -70,16 +70,16 @@
 
 // Message is what one relay's Node says to another's. It is encoded as it stands.
 type Message struct {
-	Kind           Kind     `cbor:"1,keyasint"`
-	Epoch          uint64   `cbor:"2,keyasint"`
-	SentAtMillis   float64  `cbor:"3,keyasint,omitempty"`
-	To             uint64   `cbor:"4,keyasint,omitempty"` // the incarnation that an answer is for
-	Ballot         Ballot   `cbor:"5,keyasint,omitempty"`
-	AcceptedBallot Ballot   `cbor:"6,keyasint,omitempty"`
-	View           *View    `cbor:"7,keyasint,omitempty"`
-	Unavailable    []string `cbor:"8,keyasint,omitempty"`
-	From           uint64   `cbor:"9,keyasint"` // the sender's incarnation
-	BootstrapSlot  int      `cbor:"10,keyasint"`
-	Plan           uint64   `cbor:"11,keyasint,omitempty"` // of a Renew: the plan that the asker's view has
-	Joining        []string `cbor:"12,keyasint,omitempty"` // of a Prepare: whom the sender would take in
+	Kind            MessageKind `cbor:"1,keyasint"`
+	Epoch           uint64      `cbor:"2,keyasint"`
+	SentAtMillis    float64     `cbor:"3,keyasint,omitempty"`
+	ToIncarnation   uint64      `cbor:"4,keyasint,omitempty"` // the incarnation that an answer is for
+	Ballot          Ballot      `cbor:"5,keyasint,omitempty"`
+	AcceptedBallot  Ballot      `cbor:"6,keyasint,omitempty"`
+	View            *View       `cbor:"7,keyasint,omitempty"`
+	Unavailable     []string    `cbor:"8,keyasint,omitempty"`
+	FromIncarnation uint64      `cbor:"9,keyasint"` // the sender's incarnation
+	BootstrapSlot   int         `cbor:"10,keyasint"`
+	Plan            uint64      `cbor:"11,keyasint,omitempty"` // of a Renew: the plan that the asker's view has
+	Joining         []string    `cbor:"12,keyasint,omitempty"` // of a Prepare: whom the sender would take in
 }
--- a/internal/fleet/membership/meter.go
+++ b/internal/fleet/membership/meter.go
@@ -34,7 +34,7 @@
 	if elapsed := now - m.readAt; m.readAt > 0 && elapsed > 0 {
 		arrived := float64(arrivals - m.arrivals)
 		m.requestRate = smooth(m.requestRate, perSecond(arrived, elapsed), elapsed, requestRateWindow)
-		if lifecycle >= Draining {
+		if lifecycle >= LifecycleDraining {
 			gone := float64(max(m.openConnections-openConnections, 0))
 			drainRate = smooth(m.drainRate, perSecond(gone, elapsed), elapsed, drainRateWindow)
 		}
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -25,14 +25,14 @@
 // or whose status says Leaving.
 func (n *Node) unavailableMembers() (names []string) {
 	for _, m := range n.view.Entries {
-		if !m.In || m.Name == n.cfg.Name {
+		if !m.IsMember || m.Name == n.cfg.Name {
 			continue
 		}
 		if n.peers.byName[m.Name].isUnavailable() || n.isUnheard(m.Name) {
 			names = append(names, m.Name)
 		}
 	}
-	if n.local.Lifecycle == Leaving && n.view.Member(n.cfg.Name).In {
+	if n.local.Lifecycle == LifecycleLeaving && n.view.Entry(n.cfg.Name).IsMember {
 		names = append(names, n.cfg.Name)
 	}
 	return names
@@ -42,7 +42,7 @@
 func (n *Node) isUnheard(member string) bool {
 	since := n.startedAt
 	if p := n.peers.byName[member]; p != nil {
-		if p.Health != Unknown {
+		if p.Health != HealthUnknown {
 			return false
 		}
 		since = p.HealthSince
@@ -54,7 +54,7 @@
 // status says Leaving.
 func (n *Node) unavailableOf(names []string) (unavailable []string) {
 	for _, name := range names {
-		if n.peers.byName[name].isUnavailable() && !n.view.Member(name).In {
+		if n.peers.byName[name].isUnavailable() && !n.view.Entry(name).IsMember {
 			unavailable = append(unavailable, name)
 		}
 	}
@@ -67,8 +67,8 @@
 	request = viewRequest{idle: map[string]bool{}, withinShare: map[string]bool{}}
 	for _, name := range n.candidates() {
 		status := n.candidateStatus(name)
-		was := n.view.Member(name)
-		if was.In {
+		was := n.view.Entry(name)
+		if was.IsMember {
 			if unavailable(name) || n.isOutdatedMember(status) {
 				changed = true
 				continue
@@ -82,10 +82,10 @@
 			}
 			changed = true
 		}
-		idle := status.Lifecycle == Draining
+		idle := status.Lifecycle == LifecycleDraining
 		request.members = append(request.members, name)
 		request.idle[name] = idle
-		changed = changed || was.In && idle != was.Idle
+		changed = changed || was.IsMember && idle != was.Draining
 	}
 	n.noteWithinShare(&request)
 	if len(request.members) == 0 {
@@ -102,7 +102,7 @@
 func (n *Node) candidates() []string {
 	names := append([]string{n.cfg.Name}, n.view.MemberNames()...)
 	for _, p := range n.peers.sorted {
-		if p.Health == Alive && n.sameChain(p) {
+		if p.Health == HealthAlive && n.sameChain(p) {
 			names = append(names, p.Name)
 		}
 	}
@@ -120,10 +120,10 @@
 		return p.Status
 	}
 	status := Status{BootstrapSlot: -1}
-	if m := n.view.Member(name); m.In {
+	if m := n.view.Entry(name); m.IsMember {
 		status.SlotReleased = true
-		if m.Idle {
-			status.Lifecycle = Draining
+		if m.Draining {
+			status.Lifecycle = LifecycleDraining
 		}
 	}
 	return status
@@ -137,7 +137,7 @@
 // mayJoin tells whether a relay that is in no view may come into the next: it has released its slot, and
 // what it took of that can take no effect any more.
 func (n *Node) mayJoin(name string, s Status) bool {
-	if !s.SlotReleased || s.Lifecycle == Leaving || !n.isEligible(s) {
+	if !s.SlotReleased || s.Lifecycle == LifecycleLeaving || !n.isEligible(s) {
 		return false
 	}
 	return !n.releasesSlotByJoining(name, s) || n.hasTakenEffect(n.slotReleasedAtOf(name))
@@ -168,7 +168,7 @@
 }
 
 // isWithinShare tells whether a relay is known to take no more than its share of the view held.
-func (n *Node) isWithinShare(m Member) bool {
+func (n *Node) isWithinShare(m ViewEntry) bool {
 	if m.OutstandingLimit <= m.BudgetShare {
 		return true
 	}
@@ -198,7 +198,7 @@
 func (v *View) improves(w viewRequest) bool {
 	n := v.next(w)
 	for _, s := range n.Entries {
-		if s.In && s.BudgetShare > v.Member(s.Name).BudgetShare {
+		if s.IsMember && s.BudgetShare > v.Entry(s.Name).BudgetShare {
 			return true
 		}
 	}
@@ -220,13 +220,15 @@
 	for _, m := range v.Entries {
 		in, limit := slices.Contains(request.members, m.Name), v.limitAfter(m, request)
 		if in || limit > 0 {
-			next := Member{Name: m.Name, In: in, OutstandingLimit: limit, Idle: request.idle[m.Name]}
+			next := ViewEntry{Name: m.Name, IsMember: in, OutstandingLimit: limit,
+				Draining: request.idle[m.Name]}
 			n.Entries = append(n.Entries, next)
 		}
 	}
 	for _, name := range request.members {
 		if i, known := n.find(name); !known {
-			n.Entries = slices.Insert(n.Entries, i, Member{Name: name, In: true, Idle: request.idle[name]})
+			n.Entries = slices.Insert(n.Entries, i,
+				ViewEntry{Name: name, IsMember: true, Draining: request.idle[name]})
 		}
 	}
 	n.divide()
@@ -234,7 +236,7 @@
 }
 
 // limitAfter is the most that a relay may take by this view or an earlier one, once the next is adopted.
-func (v *View) limitAfter(m Member, request viewRequest) uint64 {
+func (v *View) limitAfter(m ViewEntry, request viewRequest) uint64 {
 	switch {
 	case request.ignoreLimits && !slices.Contains(request.members, m.Name):
 		return 0
@@ -253,7 +255,7 @@
 	}
 	for i := range v.Entries {
 		m := &v.Entries[i]
-		if !m.In || m.Idle {
+		if !m.IsMember || m.Draining {
 			continue
 		}
 		m.BudgetShare = min(target, m.OutstandingLimit)
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -77,7 +77,7 @@
 		safeguards: allSafeguards(),
 	}
 	n.record.Incarnation++
-	if rec.Accepted != nil {
+	if rec.AcceptedView != nil {
 		n.voting.viewAcceptedAt = now
 	}
 	if n.view == nil {
@@ -117,7 +117,7 @@
 		}
 	case MessageReceived:
 		n.onMessage(e.From, e.Message)
-		if e.Kind == Renew || e.Kind == Renewed { // most of what comes, and nothing but the lease hangs on it
+		if e.Kind == RenewLease || e.Kind == LeaseRenewed { // most of what comes, and nothing but the lease hangs on it
 			return n.actions
 		}
 	case LocalState:
@@ -142,8 +142,8 @@
 	minTickInterval = 10 * time.Millisecond
 )
 
-// Next is when a Tick is due at the latest.
-func (n *Node) Next() time.Duration {
+// NextTickAt is when a Tick is due at the latest.
+func (n *Node) NextTickAt() time.Duration {
 	next := n.now + maxTickInterval
 	if n.lease.valid(n.now) {
 		next = min(next, n.lease.validUntil)
@@ -169,25 +169,25 @@
 // saveRecord wants the record kept; nothing once that has failed.
 func (n *Node) saveRecord() {
 	if !n.storageFailed {
-		n.emit(Save{n.record})
+		n.emit(SaveRecord{n.record})
 	}
 }
 
 // send sends a message; one to this relay itself is taken in at once.
 func (n *Node) send(to string, m Message) {
-	m.From, m.BootstrapSlot = n.record.Incarnation, n.slot.number
+	m.FromIncarnation, m.BootstrapSlot = n.record.Incarnation, n.slot.number
 	if to == n.cfg.Name {
 		n.onMessage(to, m)
 		return
 	}
-	n.emit(Send{to, m})
+	n.emit(SendMessage{to, m})
 }
 
 // Incarnation is this process's.
 func (n *Node) Incarnation() uint64 { return n.record.Incarnation }
 
-// Hash is the view's.
-func (n *Node) Hash() uint64 { return n.viewHash }
+// ViewHash is the view's.
+func (n *Node) ViewHash() uint64 { return n.viewHash }
 
 // View returns the view held.
 func (n *Node) View() *View { return n.view }
@@ -195,5 +195,5 @@
 // Phase returns how far it is agreed.
 func (n *Node) Phase() Phase { return n.phases.phase }
 
-// AgreedAt is when the view was last agreed or settling, negative for never.
-func (n *Node) AgreedAt() time.Duration { return n.phases.agreedAt }
+// LastAgreedAt is when the view was last agreed or settling, negative for never.
+func (n *Node) LastAgreedAt() time.Duration { return n.phases.agreedAt }
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -18,16 +18,17 @@
 
 // The states of health.
 const (
-	Unknown   Health = iota
-	Alive            // it answers
-	Suspected        // it does not answer, and may yet refute
-	Failed           // it did not refute
-	Left             // it said that it goes
+	HealthUnknown   Health = iota
+	HealthAlive            // it answers
+	HealthSuspected        // it does not answer, and may yet refute
+	HealthFailed           // it did not refute
+	HealthLeft             // it said that it goes
 )
 
 // healthTexts are the states as reports and metrics name them.
 var healthTexts = [...]string{
-	Unknown: "unheard", Alive: "alive", Suspected: "suspected", Failed: "failed", Left: "left",
+	HealthUnknown: "unheard", HealthAlive: "alive", HealthSuspected: "suspected",
+	HealthFailed: "failed", HealthLeft: "left",
 }
 
 // String is the text of logs and reports.
@@ -79,12 +80,12 @@
 		return true
 	}
 	p := t.byName[name]
-	return p != nil && (p.Health == Alive || p.Health == Suspected)
+	return p != nil && (p.Health == HealthAlive || p.Health == HealthSuspected)
 }
 
 // anyAlive tells whether any other relay is known to be alive.
 func (t *peerTable) anyAlive() bool {
-	return slices.ContainsFunc(t.sorted, func(p *Peer) bool { return p.Health == Alive })
+	return slices.ContainsFunc(t.sorted, func(p *Peer) bool { return p.Health == HealthAlive })
 }
 
 // hasStatus tells whether a status of the peer has come.
@@ -95,7 +96,8 @@
 	if p == nil {
 		return false
 	}
-	return p.Health == Failed || p.Health == Left || p.hasStatus() && p.Status.Lifecycle == Leaving
+	return p.Health == HealthFailed || p.Health == HealthLeft ||
+		p.hasStatus() && p.Status.Lifecycle == LifecycleLeaving
 }
 
 // Peers returns what is known of all others, in the order of names.
@@ -114,10 +116,10 @@
 		return
 	}
 	p.Health, p.HealthSince = e.Health, n.now
-	if e.Health == Alive { // a peer that is new here knows no status of this relay either
+	if e.Health == HealthAlive { // a peer that is new here knows no status of this relay either
 		n.publisher.publishBy(n.now + newPeerStatusDelay)
 	}
-	n.emit(Changed{Kind: ChangePeer, Name: e.Name, State: e.Health.String(), Cause: "failure detection"})
+	n.emit(StateChanged{Kind: ChangePeer, Name: e.Name, State: e.Health.String(), Cause: "failure detection"})
 }
 
 // onStatus takes in a status and tells whether anything may follow from it: most bring only new figures.
@@ -138,9 +140,10 @@
 	}
 	switch {
 	case status.Incarnation > p.Status.Incarnation:
-		n.emit(Changed{Kind: ChangePeer, Name: p.Name, State: "back", Cause: "a higher incarnation"})
+		n.emit(StateChanged{Kind: ChangePeer, Name: p.Name, State: "back", Cause: "a higher incarnation"})
 	case status.Lifecycle != p.Status.Lifecycle:
-		n.emit(Changed{Kind: ChangePeer, Name: p.Name, State: status.Lifecycle.String(), Cause: "its status"})
+		n.emit(StateChanged{Kind: ChangePeer, Name: p.Name, State: status.Lifecycle.String(),
+			Cause: "its status"})
 	}
 }
 
--- a/internal/fleet/membership/peers_test.go
+++ b/internal/fleet/membership/peers_test.go
@@ -25,7 +25,7 @@
 	if !table.isAlive(name(5)) || table.isAlive(name(1)) || table.isAlive("stranger") || table.anyAlive() {
 		t.Error("alive before anything is known")
 	}
-	table.byName[name(1)].Health = Suspected
+	table.byName[name(1)].Health = HealthSuspected
 	if !table.isAlive(name(1)) || table.anyAlive() {
 		t.Error("a suspected peer counts as there, and not as alive")
 	}
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -46,7 +46,7 @@
 		return
 	}
 	n.phases.phase = phase
-	n.emit(Changed{Kind: ChangePhase, State: phase.String(), Cause: cause})
+	n.emit(StateChanged{Kind: ChangePhase, State: phase.String(), Cause: cause})
 }
 
 // currentPhase is the phase of the moment, and why.
@@ -55,7 +55,7 @@
 		return n.phaseBeforeViews()
 	}
 	quorum := n.votersAlive() >= n.view.majority()
-	member := n.view.Member(n.cfg.Name).In
+	member := n.view.Entry(n.cfg.Name).IsMember
 	expired := n.now >= n.lease.validUntil
 	switch {
 	case !member && quorum:
--- a/internal/fleet/membership/plan.go
+++ b/internal/fleet/membership/plan.go
@@ -27,7 +27,7 @@
 	}
 	next := current.joined(plan, n.plans.cell)
 	if !n.safeguards.jointPlans {
-		next.Near, next.Far, next.NearZones = plan.Parts(n.plans.cell)
+		next.NearBudget, next.FarBudget, next.NearZones = plan.Parts(n.plans.cell)
 	}
 	return next, PendingCells
 }
@@ -182,7 +182,7 @@
 	if next.Activated {
 		n.plans.noteActivated(next.Plan)
 	}
-	n.emit(Changed{Kind: ChangePlan, State: next.summary()})
+	n.emit(StateChanged{Kind: ChangePlan, State: next.summary()})
 }
 
 // restoresAllocation tells whether a view is the one held, which an older program has kept without its
--- a/internal/fleet/membership/proposer.go
+++ b/internal/fleet/membership/proposer.go
@@ -33,7 +33,7 @@
 	if !takeover && n.awaitsBootstrapVoters() {
 		return
 	}
-	p := n.voting.start(n.cfg.Name, n.record.Promised, n.now)
+	p := n.voting.start(n.cfg.Name, n.record.PromisedBallot, n.now)
 	n.sendToVoters(Message{
 		Kind: Prepare, Epoch: n.view.Epoch, Ballot: p.ballot, Joining: n.view.joining(request.members),
 	})
@@ -77,7 +77,8 @@
 // onAnswer counts a voter's promise or acceptance.
 func (n *Node) onAnswer(from string, m Message) {
 	p, voter := n.voting.proposal, n.voterName(from, m.BootstrapSlot)
-	if p == nil || m.Epoch != n.view.Epoch || m.Ballot != p.ballot || m.To != n.record.Incarnation {
+	if p == nil || m.Epoch != n.view.Epoch || m.Ballot != p.ballot ||
+		m.ToIncarnation != n.record.Incarnation {
 		return
 	}
 	if !slices.Contains(n.view.Voters, voter) {
--- a/internal/fleet/membership/renewal_test.go
+++ b/internal/fleet/membership/renewal_test.go
@@ -38,7 +38,7 @@
 		w.run(15000)
 		held := map[int]bool{}
 		for k := range changes {
-			lifecycle := []Lifecycle{Draining, Serving}[k%2]
+			lifecycle := []Lifecycle{LifecycleDraining, LifecycleServing}[k%2]
 			state := LocalState{Lifecycle: lifecycle, RequestRate: 10, EndpointListGeneration: 1}
 			w.feed(3, state)
 			if i := w.runNotingExpiry(viewEvery, held); i >= 0 {
@@ -59,7 +59,7 @@
 // of that view. Guards against renewals of a view that the voter does not hold.
 func TestVoterAnswersRenewalOnceItHoldsTheView(t *testing.T) {
 	view := func(epoch uint64) *View {
-		entries := []Member{{Name: "a", In: true}, {Name: "b", In: true}}
+		entries := []ViewEntry{{Name: "a", IsMember: true}, {Name: "b", IsMember: true}}
 		return &View{Epoch: epoch, BootstrapSize: 2, Entries: entries, Voters: []string{"a", "b"}}
 	}
 	for what, c := range map[string]struct {
@@ -74,14 +74,14 @@
 		t.Run(what, func(t *testing.T) {
 			n := New(0, Config{Name: "b", BootstrapSize: 2}, Record{SlotReleased: true, View: view(1)})
 			n.Start(0, nil)
-			ask := Message{Kind: Renew, Epoch: c.asked, SentAtMillis: 7, From: 1}
-			learn := Message{Kind: Learn, View: view(c.adopted), From: 1}
+			ask := Message{Kind: RenewLease, Epoch: c.asked, SentAtMillis: 7, FromIncarnation: 1}
+			learn := Message{Kind: Learn, View: view(c.adopted), FromIncarnation: 1}
 			actions := n.Handle(time.Millisecond, MessageReceived{"a", ask}, nil)
 			actions = n.Handle(2*time.Millisecond, MessageReceived{"a", learn}, actions)
 			got := 0
 			for _, action := range actions {
-				send, ok := action.(Send)
-				if !ok || send.Kind != Renewed {
+				send, ok := action.(SendMessage)
+				if !ok || send.Kind != LeaseRenewed {
 					continue
 				}
 				got++
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -11,20 +11,20 @@
 
 // Report is what is known of the fleet at one relay, for operators.
 type Report struct {
-	Relay string `json:"relay"`
-	Site  string `json:"site"`
-	Phase string `json:"phase"`
-	Epoch uint64 `json:"epoch"`
-	Hash  string `json:"hash"`
-	// AgreedMs is since the view was agreed last, negative for never.
-	AgreedMs         float64           `json:"agreed_ms"`
+	Relay    string `json:"relay"`
+	Site     string `json:"site"`
+	Phase    string `json:"phase"`
+	Epoch    uint64 `json:"epoch"`
+	ViewHash string `json:"hash"`
+	// SinceAgreedMs is since the view was agreed last, negative for never.
+	SinceAgreedMs    float64           `json:"agreed_ms"`
 	Relays           int               `json:"relays"` // in the fleet, as this relay counts them
 	BudgetShare      float64           `json:"share"`  // of a budget of the fleet
 	ShareReason      string            `json:"why"`
 	OtherRequestRate float64           `json:"others_per_s"` // requests at the others, negative if not known
 	UnreleasedSlots  int               `json:"unclaimed"`    // slots that their owners keep
 	Members          []MemberReport    `json:"members"`
-	Dropped          map[string]uint64 `json:"dropped"` // packets, by reason
+	DroppedPackets   map[string]uint64 `json:"dropped"` // packets, by reason
 	Cell             *CellReport       `json:"cell,omitempty"`
 }
 
@@ -34,12 +34,12 @@
 	Plan           uint64   `json:"plan"`
 	PlanHash       string   `json:"plan_hash"`
 	Activated      bool     `json:"open"`
-	Near           float64  `json:"near"`
-	Far            float64  `json:"far"`
+	NearBudget     float64  `json:"near"`
+	FarBudget      float64  `json:"far"`
 	NearZones      []string `json:"near_zones"`
 	FarBudgetShare float64  `json:"far_share"` // this relay's
 	FilePlan       uint64   `json:"file_plan"`
-	Pending        string   `json:"waits"`
+	PendingReason  string   `json:"waits"`
 }
 
 // cellReport is what the relay knows of its plan; nil without cells.
@@ -48,14 +48,15 @@
 	if a == nil && n.plans.file == nil {
 		return nil
 	}
-	c := &CellReport{Name: n.plans.cell, Pending: n.PlanPending().String(), FarBudgetShare: e.FarBudgetShare}
+	c := &CellReport{Name: n.plans.cell, PendingReason: n.PlanPending().String(),
+		FarBudgetShare: e.FarBudgetShare}
 	if n.plans.file != nil {
 		c.FilePlan = n.plans.file.Number
 	}
 	if a != nil {
 		c.Plan, c.PlanHash = a.Plan, strconv.FormatUint(a.PlanHash, 16)
 		c.Activated, c.NearZones = a.Activated, a.NearZones
-		c.Near, c.Far = fraction(a.Near), fraction(a.Far)
+		c.NearBudget, c.FarBudget = fraction(a.NearBudget), fraction(a.FarBudget)
 	}
 	return c
 }
@@ -70,7 +71,7 @@
 	Voter            bool    `json:"voter"`
 	BudgetShare      float64 `json:"share"`
 	OutstandingLimit float64 `json:"bound"`    // it may still take so much by an older view
-	SinceMs          float64 `json:"since_ms"` // of the state
+	StateAgeMs       float64 `json:"since_ms"` // of the state
 	Source           string  `json:"how"`
 	Epoch            uint64  `json:"epoch"` // that it says it holds
 	Incarnation      uint64  `json:"incarnation"`
@@ -85,8 +86,8 @@
 		Relay:            n.cfg.Name,
 		Phase:            e.Phase.String(),
 		Epoch:            e.Epoch,
-		Hash:             strconv.FormatUint(n.viewHash, 16),
-		AgreedMs:         -1,
+		ViewHash:         strconv.FormatUint(n.viewHash, 16),
+		SinceAgreedMs:    -1,
 		Relays:           e.Relays,
 		BudgetShare:      e.BudgetShare,
 		ShareReason:      e.ShareReason,
@@ -95,20 +96,21 @@
 		Cell:             n.cellReport(e),
 	}
 	if n.phases.agreedAt >= 0 {
-		report.AgreedMs = duration.Millis(now - n.phases.agreedAt)
+		report.SinceAgreedMs = duration.Millis(now - n.phases.agreedAt)
 	}
 	own := n.memberReport(n.cfg.Name, n.status())
-	own.State, own.Source, own.SinceMs = "here", "itself", duration.Millis(now-n.startedAt)
+	own.State, own.Source, own.StateAgeMs = "here", "itself", duration.Millis(now-n.startedAt)
 	report.Members = append(report.Members, own)
 	for _, p := range n.peers.sorted {
 		row := n.memberReport(p.Name, p.Status)
-		row.State, row.Source, row.SinceMs = p.Health.String(), p.source(), duration.Millis(now-p.HealthSince)
+		row.State, row.Source, row.StateAgeMs = p.Health.String(), p.source(),
+			duration.Millis(now-p.HealthSince)
 		report.Members = append(report.Members, row)
 	}
 	for _, m := range n.view.Entries {
 		if n.peers.byName[m.Name] == nil && m.Name != n.cfg.Name {
 			row := n.memberReport(m.Name, Status{BootstrapSlot: -1})
-			row.State, row.Source, row.SinceMs = Unknown.String(), "the view",
+			row.State, row.Source, row.StateAgeMs = HealthUnknown.String(), "the view",
 				duration.Millis(now-n.startedAt)
 			report.Members = append(report.Members, row)
 		}
@@ -119,12 +121,12 @@
 
 // memberReport is a relay's row, by the view held and its status.
 func (n *Node) memberReport(name string, status Status) MemberReport {
-	m := n.view.Member(name)
+	m := n.view.Entry(name)
 	return MemberReport{
 		Name:             name,
 		Lifecycle:        status.Lifecycle.String(),
 		Zone:             status.Zone,
-		Member:           m.In,
+		Member:           m.IsMember,
 		Voter:            slices.Contains(n.view.Voters, n.voterName(name, status.BootstrapSlot)),
 		BudgetShare:      fraction(m.BudgetShare),
 		OutstandingLimit: fraction(m.OutstandingLimit),
@@ -140,7 +142,7 @@
 	switch {
 	case !p.hasStatus():
 		return "failure detection, no status yet"
-	case p.Health == Unknown:
+	case p.Health == HealthUnknown:
 		return "its status, by gossip"
 	}
 	return "failure detection"
--- a/internal/fleet/membership/safeguards.go
+++ b/internal/fleet/membership/safeguards.go
@@ -33,7 +33,7 @@
 func allSafeguards() safeguards {
 	return safeguards{
 		jointViews: true, releasesSlots: true,
-		leaseDuration: LeaseDuration, waitOut: WaitOut,
+		leaseDuration: LeaseDuration, waitOut: EarlierViewsExpireAfter,
 		safetyMargin: LeaseSafetyMargin, maxEffectDelay: MaxEffectDelay,
 		jointPlans: true, awaitsCells: true, awaitsEarlierViews: true, inSequence: true, checksVersions: true,
 	}
--- a/internal/fleet/membership/schedules_test.go
+++ b/internal/fleet/membership/schedules_test.go
@@ -14,10 +14,10 @@
 // nothing of that until all leases have run out.
 func (w *world) deafenOne(i int) {
 	clear(w.partitioned)
-	w.feed(i, LocalState{Lifecycle: Draining, RequestRate: 10, EndpointListGeneration: 1})
+	w.feed(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
 	w.run(6000 + 1000*w.rng.Float64())
 	w.deafenNext = true
-	w.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
+	w.feed(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
 	w.run(6000)
 	w.deafenNext = false
 	for _, n := range w.nodes {
@@ -93,7 +93,9 @@
 			clear(w.partitioned)
 		case 9:
 			if x.up && !x.stopped {
-				w.feed(i, LocalState{Lifecycle: []Lifecycle{Serving, Draining, Leaving}[w.rng.IntN(3)],
+				w.feed(i, LocalState{
+					Lifecycle: []Lifecycle{LifecycleServing, LifecycleDraining,
+						LifecycleLeaving}[w.rng.IntN(3)],
 					RequestRate: 10, EndpointListGeneration: 1})
 			}
 		// a relay comes to serve, and at the moment of the view that shrinks the others' shares one of them
@@ -122,7 +124,7 @@
 		case n.stopped:
 			w.resume(i)
 		}
-		if n.subject.local.Lifecycle != Serving { // who has said that it leaves goes, and comes back
+		if n.subject.local.Lifecycle != LifecycleServing { // who has said that it leaves goes, and comes back
 			w.kill(i)
 			w.start(i)
 		}
--- a/internal/fleet/membership/slot_test.go
+++ b/internal/fleet/membership/slot_test.go
@@ -11,13 +11,13 @@
 	n := New(0, Config{Name: "r3", BootstrapSlot: 3, BootstrapSize: 4, ConfiguredRelays: 4}, Record{})
 	n.Start(0, nil)
 	view := &View{Epoch: 1, BootstrapSize: 2, Voters: []string{"r0"},
-		Entries: []Member{{Name: "r0", In: true, BudgetShare: FullBudget}}}
+		Entries: []ViewEntry{{Name: "r0", IsMember: true, BudgetShare: FullBudget}}}
 	if err := view.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for _, a := range n.Handle(time.Millisecond,
-		MessageReceived{From: "r0", Message: Message{Kind: Learn, View: view, From: 1}}, nil) {
-		if p, ok := a.(Publish); ok && p.Status.Epoch == 1 && p.Status.BootstrapSlot != -1 {
+		MessageReceived{From: "r0", Message: Message{Kind: Learn, View: view, FromIncarnation: 1}}, nil) {
+		if p, ok := a.(PublishStatus); ok && p.Status.Epoch == 1 && p.Status.BootstrapSlot != -1 {
 			t.Errorf("size %d, slot %d", p.Status.BootstrapSize, p.Status.BootstrapSlot)
 		}
 	}
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -20,14 +20,15 @@
 
 // The stages of a relay's lifecycle.
 const (
-	Starting Lifecycle = iota // it has no list of servers yet
-	Serving                   // it takes clients
-	Draining                  // it is drained manually
-	Leaving                   // it takes nothing any more and will go
+	LifecycleStarting Lifecycle = iota // it has no list of servers yet
+	LifecycleServing                   // it takes clients
+	LifecycleDraining                  // it is drained manually
+	LifecycleLeaving                   // it takes nothing any more and will go
 )
 
 var lifecycleTexts = [...]string{
-	Starting: "starting", Serving: "serving", Draining: "draining", Leaving: "leaving",
+	LifecycleStarting: "starting", LifecycleServing: "serving",
+	LifecycleDraining: "draining", LifecycleLeaving: "leaving",
 }
 
 // String is the text of logs and reports.
@@ -46,7 +47,7 @@
 	OpenConnections        int       `cbor:"6,keyasint"` // connections
 	EndpointListGeneration int64     `cbor:"7,keyasint"` // generation of its list of servers
 	Epoch                  uint64    `cbor:"8,keyasint"` // of the view that it holds, on its disk
-	Hash                   uint64    `cbor:"9,keyasint"` // of that view
+	ViewHash               uint64    `cbor:"9,keyasint"` // of that view
 	BootstrapSize          int       `cbor:"10,keyasint"`
 	BootstrapSlot          int       `cbor:"11,keyasint"` // from 0; negative for none
 	SlotReleased           bool      `cbor:"12,keyasint"` // its slot is the fleet's to divide
@@ -101,7 +102,7 @@
 		OpenConnections:        n.local.OpenConnections,
 		EndpointListGeneration: n.local.EndpointListGeneration,
 		Epoch:                  n.view.Epoch,
-		Hash:                   n.viewHash,
+		ViewHash:               n.viewHash,
 		BootstrapSize:          n.view.BootstrapSize,
 		BootstrapSlot:          n.slot.number,
 		SlotReleased:           n.record.SlotReleased,
@@ -152,5 +153,5 @@
 	if status.DrainRate > 0 {
 		n.publisher.nextAt = n.now + drainStatusInterval
 	}
-	n.emit(Publish{status})
+	n.emit(PublishStatus{status})
 }
--- a/internal/fleet/membership/text_test.go
+++ b/internal/fleet/membership/text_test.go
@@ -5,8 +5,8 @@
 // Every enumeration has a text for each value, and says an unknown one by its number.
 func TestEnumerationsHaveTexts(t *testing.T) {
 	for got, want := range map[string]string{
-		Health(Left).String(): "left", Health(9).String(): "unknown 9",
-		Lifecycle(Leaving).String(): "leaving", Lifecycle(9).String(): "unknown 9",
+		Health(HealthLeft).String(): "left", Health(9).String(): "unknown 9",
+		Lifecycle(LifecycleLeaving).String(): "leaving", Lifecycle(9).String(): "unknown 9",
 		PhaseCutOff.String(): "cut off", Phase(9).String(): "unknown 9",
 		ChangePlan.String(): "plan", ChangeKind(9).String(): "unknown 9",
 		PendingView.String(): "no view is agreed", PlanPendingReason(99).String(): "unknown 99",
--- a/internal/fleet/membership/trace_test.go
+++ b/internal/fleet/membership/trace_test.go
@@ -11,21 +11,21 @@
 func record(t *trace.Trace, relay int, share float64, a Action) {
 	t.Action(relay, share)
 	switch a := a.(type) {
-	case Save:
+	case SaveRecord:
 		r := a.Record
-		t.Put("save", r.Incarnation, r.SlotReleased, r.Promised, r.AcceptedBallot, viewHash(r.Accepted),
-			viewHash(r.View))
-	case Send:
-		t.Put("send", a.To, uint8(a.Kind), a.Epoch, a.Message.To, a.Ballot, a.AcceptedBallot,
+		t.Put("save", r.Incarnation, r.SlotReleased, r.PromisedBallot, r.AcceptedBallot,
+			viewHash(r.AcceptedView), viewHash(r.View))
+	case SendMessage:
+		t.Put("send", a.To, uint8(a.Kind), a.Epoch, a.Message.ToIncarnation, a.Ballot, a.AcceptedBallot,
 			viewHash(a.View),
-			a.Unavailable, a.From, a.BootstrapSlot, a.Plan)
-	case Publish:
+			a.Unavailable, a.FromIncarnation, a.BootstrapSlot, a.Plan)
+	case PublishStatus:
 		s := a.Status
 		t.Put("publish", s.Version, s.Incarnation, uint8(s.Lifecycle), s.Zone, s.RequestRate,
 			s.OpenConnections,
-			s.EndpointListGeneration, s.Epoch, s.Hash)
+			s.EndpointListGeneration, s.Epoch, s.ViewHash)
 		t.Put(s.BootstrapSize, s.BootstrapSlot, s.SlotReleased, s.Seq, s.DrainRate, s.ActivatedPlan)
-	case Changed:
+	case StateChanged:
 		t.Put("changed", uint8(a.Kind), a.Name)
 	case RefreshEndpointList:
 		t.Put("refresh", a.Generation)
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -19,30 +19,30 @@
 // costs each member seven packets, however large the fleet.
 const MaxVoters = 7
 
-// Member is one relay in a view.
-type Member struct {
+// ViewEntry is one relay in a view.
+type ViewEntry struct {
 	Name string `cbor:"1,keyasint"`
-	// In says that it is a member; else it has gone, and only its outstanding limit is left.
-	In bool `cbor:"2,keyasint,omitempty"`
+	// IsMember says that it is a member; else it has gone, and only its outstanding limit is left.
+	IsMember bool `cbor:"2,keyasint,omitempty"`
 	// BudgetShare is what it takes by this view, OutstandingLimit the most that it may take by any view
 	// that may still be acted on; both of FullBudget.
 	BudgetShare      uint64 `cbor:"3,keyasint,omitempty"`
 	OutstandingLimit uint64 `cbor:"4,keyasint,omitempty"`
-	// Idle says that it is drained manually: a member that is due no share.
-	Idle bool `cbor:"5,keyasint,omitempty"`
+	// Draining says that it is drained manually: a member that is due no share.
+	Draining bool `cbor:"5,keyasint,omitempty"`
 }
 
 // maxShare is what the relay may take, whichever of the views it acts on.
-func (m Member) maxShare() uint64 { return max(m.BudgetShare, m.OutstandingLimit) }
+func (m ViewEntry) maxShare() uint64 { return max(m.BudgetShare, m.OutstandingLimit) }
 
 // View is one link of the chain of views. It is never changed once made.
 type View struct {
 	Epoch         uint64 `cbor:"1,keyasint"`
 	BootstrapSize int    `cbor:"2,keyasint"` // slots of view 0
 	// UnreleasedSlots are the slots that their relays have not released: the share of each is its owner's.
-	UnreleasedSlots []int    `cbor:"3,keyasint,omitempty"`
-	Entries         []Member `cbor:"4,keyasint,omitempty"` // in the order of names
-	Voters          []string `cbor:"5,keyasint"`
+	UnreleasedSlots []int       `cbor:"3,keyasint,omitempty"`
+	Entries         []ViewEntry `cbor:"4,keyasint,omitempty"` // in the order of names
+	Voters          []string    `cbor:"5,keyasint"`
 	// Allocation is the part of the budgets that the shares divide; nil for all of FullBudget.
 	Allocation *Allocation `cbor:"6,keyasint,omitempty"`
 }
@@ -68,24 +68,24 @@
 // fraction is an amount in units of FullBudget as a part of it, 0 to 1.
 func fraction(amount uint64) float64 { return float64(amount) / float64(FullBudget) }
 
-// Member returns a relay's entry; the zero one if it has none.
-func (v *View) Member(name string) Member {
+// Entry returns a relay's entry; the zero one if it has none.
+func (v *View) Entry(name string) ViewEntry {
 	if i, ok := v.find(name); ok {
 		return v.Entries[i]
 	}
-	return Member{}
+	return ViewEntry{}
 }
 
 // find is where a relay's entry is, or would be.
 func (v *View) find(name string) (int, bool) {
-	byName := func(m Member, name string) int { return strings.Compare(m.Name, name) }
+	byName := func(m ViewEntry, name string) int { return strings.Compare(m.Name, name) }
 	return slices.BinarySearchFunc(v.Entries, name, byName)
 }
 
 // MemberNames are the names of the view's members, in order.
 func (v *View) MemberNames() (names []string) {
 	for _, s := range v.Entries {
-		if s.In {
+		if s.IsMember {
 			names = append(names, s.Name)
 		}
 	}
@@ -95,17 +95,17 @@
 // joining are those of some relays that are no members.
 func (v *View) joining(names []string) (joining []string) {
 	for _, name := range names {
-		if !v.Member(name).In {
+		if !v.Entry(name).IsMember {
 			joining = append(joining, name)
 		}
 	}
 	return joining
 }
 
-// Serving is how many members take clients.
-func (v *View) Serving() (n int) {
+// ServingMembers is how many members take clients.
+func (v *View) ServingMembers() (n int) {
 	for _, s := range v.Entries {
-		if s.In && !s.Idle {
+		if s.IsMember && !s.Draining {
 			n++
 		}
 	}
@@ -124,7 +124,7 @@
 
 // targetShare is the share that each member that serves is due.
 func (v *View) targetShare() uint64 {
-	return (FullBudget - v.unreleasedShare()) / uint64(max(v.Serving(), 1))
+	return (FullBudget - v.unreleasedShare()) / uint64(max(v.ServingMembers(), 1))
 }
 
 // Settled tells whether every share is at its target.
@@ -134,7 +134,7 @@
 	}
 	due := v.targetShare()
 	for _, s := range v.Entries {
-		if s.In && s.BudgetShare != due && !s.Idle || !s.In && s.OutstandingLimit > 0 {
+		if s.IsMember && s.BudgetShare != due && !s.Draining || !s.IsMember && s.OutstandingLimit > 0 {
 			return false
 		}
 	}
@@ -155,13 +155,14 @@
 	for _, s := range v.Entries {
 		put(s.Name)
 		shares := strconv.FormatUint(s.BudgetShare, 10) + " " + strconv.FormatUint(s.OutstandingLimit, 10)
-		put(strconv.FormatBool(s.In) + shares)
+		put(strconv.FormatBool(s.IsMember) + shares)
 	}
 	for _, n := range v.Voters {
 		put(n)
 	}
 	if a := v.Allocation; a != nil {
-		for _, number := range []uint64{a.Plan, a.PlanHash, a.Near, a.Far, uint64(a.LeaseMillis)} {
+		for _, number := range []uint64{a.Plan, a.PlanHash, a.NearBudget, a.FarBudget,
+			uint64(a.LeaseMillis)} {
 			put(strconv.FormatUint(number, 10))
 		}
 		put(strconv.FormatBool(a.Activated))
@@ -260,7 +261,7 @@
 		return false
 	}
 	for i, name := range v.Voters {
-		if !v.Member(name).In || slices.Contains(v.Voters[:i], name) {
+		if !v.Entry(name).IsMember || slices.Contains(v.Voters[:i], name) {
 			return false
 		}
 	}
--- a/internal/fleet/membership/voting.go
+++ b/internal/fleet/membership/voting.go
@@ -111,7 +111,7 @@
 			unavailable++
 		}
 	}
-	if view.Member(name).In {
+	if view.Entry(name).IsMember {
 		return unavailable >= view.majority()
 	}
 	return len(p.promises)-unavailable < view.majority()
--- a/internal/fleet/membership/voting_test.go
+++ b/internal/fleet/membership/voting_test.go
@@ -76,10 +76,10 @@
 	var r Record
 	view := &View{Epoch: 1}
 	if !r.promise(Ballot{2, "b"}) || r.promise(Ballot{2, "a"}) || r.accept(Ballot{1, "z"}, view) ||
-		r.Accepted != nil {
+		r.AcceptedView != nil {
 		t.Errorf("a lower ballot counted: %+v", r)
 	}
-	if !r.accept(Ballot{2, "b"}, view) || r.Accepted != view || r.AcceptedBallot != r.Promised {
+	if !r.accept(Ballot{2, "b"}, view) || r.AcceptedView != view || r.AcceptedBallot != r.PromisedBallot {
 		t.Errorf("the promised ballot did not count: %+v", r)
 	}
 }
--- a/internal/fleet/membership/world_test.go
+++ b/internal/fleet/membership/world_test.go
@@ -110,7 +110,7 @@
 	acts := n.subject.Start(n.clock(w.now), nil)
 	n.updateShare(w.now)
 	w.carryOut(i, acts)
-	w.feed(i, LocalState{Lifecycle: Serving, RequestRate: 10, EndpointListGeneration: 1})
+	w.feed(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
 }
 
 func (w *world) kill(i int) { w.nodes[i].up = false }
@@ -175,15 +175,15 @@
 	for _, a := range acts {
 		record(w.trace, i, w.nodes[i].share, a)
 		switch a := a.(type) {
-		case Save:
+		case SaveRecord:
 			w.nodes[i].disk = a.Record
-		case Send:
+		case SendMessage:
 			for j, n := range w.nodes {
 				if n.cfg.Name == a.To {
 					w.post(i, j, MessageReceived{From: name(i), Message: a.Message})
 				}
 			}
-		case Publish:
+		case PublishStatus:
 			for j := range w.nodes {
 				if j != i {
 					w.post(i, j, StatusReceived{Name: name(i), Status: a.Status})
@@ -292,17 +292,17 @@
 			switch {
 			case reached:
 				delete(n.unreachableSince, j)
-				if known != Alive {
-					n.detected[j] = Alive
-					w.feed(i, PeerHealth{name(j), Alive})
+				if known != HealthAlive {
+					n.detected[j] = HealthAlive
+					w.feed(i, PeerHealth{name(j), HealthAlive})
 				}
-			case known == Alive:
+			case known == HealthAlive:
 				if n.unreachableSince[j] == 0 {
 					n.unreachableSince[j] = w.now
 				}
 				if w.now >= n.unreachableSince[j]+failAfter*(0.5+w.rng.Float64()) {
-					n.detected[j] = Failed
-					w.feed(i, PeerHealth{name(j), Failed})
+					n.detected[j] = HealthFailed
+					w.feed(i, PeerHealth{name(j), HealthFailed})
 				}
 			}
 		}
@@ -339,7 +339,8 @@
 			w.detectFailures()
 		}
 		for i, n := range w.nodes {
-			if n.up && !n.stopped && n.clock(w.now) >= n.subject.Next()-duration.FromMillis(w.tickLead) {
+			if n.up && !n.stopped &&
+				n.clock(w.now) >= n.subject.NextTickAt()-duration.FromMillis(w.tickLead) {
 				w.feed(i, Tick{})
 			}
 		}
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -85,7 +85,7 @@
 	p.log.Warn().Str("member", name).
 		Msg("member quarantined, its load reports are left out for 30 s: " +
 			"check its clock, network and version")
-	front.notifyChange(membership.Changed{
+	front.notifyChange(membership.StateChanged{
 		Kind:  membership.ChangePeer,
 		Name:  name,
 		State: "doubted",
@@ -97,13 +97,13 @@
 func (s *frontHooks) lifecycleState() membership.Lifecycle {
 	switch {
 	case s.requests.ShuttingDown():
-		return membership.Leaving
+		return membership.LifecycleLeaving
 	case s.requests.Draining():
-		return membership.Draining
+		return membership.LifecycleDraining
 	case !s.requests.HasEndpointList():
-		return membership.Starting
+		return membership.LifecycleStarting
 	}
-	return membership.Serving
+	return membership.LifecycleServing
 }
 
 // start runs the node in a context of its own: it is there until the fronts have left.
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -58,11 +58,11 @@
 	discovery       *discovery.Client       // nil for other fronts
 	fleet           relay.FleetStatusSource // a part's to set; nil where relays do not know each other
 	sharedProbing   *relay.SharedProbing    // the same; nil where each probes servers for itself
-	changeListeners []func(membership.Changed)
+	changeListeners []func(membership.StateChanged)
 }
 
 // notifyChange hands a change in the fleet to the parts that listen.
-func (s *frontHooks) notifyChange(change membership.Changed) {
+func (s *frontHooks) notifyChange(change membership.StateChanged) {
 	for _, listen := range s.changeListeners {
 		listen(change)
 	}
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -55,7 +55,7 @@
 	watcher := watch.New(c, front.requests, front.clock, p.log)
 	front.requests.Recorder = watcher.Recorder
 	p.watchers = append(p.watchers, watcher)
-	front.changeListeners = append(front.changeListeners, func(change membership.Changed) {
+	front.changeListeners = append(front.changeListeners, func(change membership.StateChanged) {
 		watcher.RelayChanged(change.Name, change.State, change.Cause)
 	})
 }
--- a/internal/simulation/model/network.go
+++ b/internal/simulation/model/network.go
@@ -103,18 +103,18 @@
 	if r == o || !r.up {
 		return
 	}
-	want, after := membership.Alive, f.network.delay(maxJoinDelay)
+	want, after := membership.HealthAlive, f.network.delay(maxJoinDelay)
 	if !o.up || f.network.partitioned(r, o) {
-		want, after = membership.Failed, f.network.between(minFailureDelay, maxFailureDelay)
+		want, after = membership.HealthFailed, f.network.between(minFailureDelay, maxFailureDelay)
 	}
-	if r.health[o] == want || want == membership.Failed && r.health[o] == membership.Unknown {
+	if r.health[o] == want || want == membership.HealthFailed && r.health[o] == membership.HealthUnknown {
 		return
 	}
 	own, others := r.incarnation, o.incarnation
 	f.After(after, func() {
 		sameLives := r.up && r.incarnation == own && o.incarnation == others
 		reachable := o.up && !f.network.partitioned(r, o)
-		if sameLives && reachable == (want == membership.Alive) && r.health[o] != want {
+		if sameLives && reachable == (want == membership.HealthAlive) && r.health[o] != want {
 			r.health[o] = want
 			f.stepNode(r, membership.PeerHealth{Name: o.Name, Health: want})
 		}
--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -64,16 +64,16 @@
 	}
 	if f.Now >= meteredAt+membership.MeterInterval {
 		meteredAt = f.Now
-		lifecycle := membership.Serving
+		lifecycle := membership.LifecycleServing
 		if r.draining {
-			lifecycle = membership.Draining
+			lifecycle = membership.LifecycleDraining
 		}
 		local := r.meter.LocalState(r.localTime(), lifecycle, r.arrived, r.connections)
 		local.EndpointListGeneration = 1
 		f.stepNode(r, local)
 	}
 	f.stepNode(r, membership.Tick{})
-	next := duration.Scale(r.node.Next()-r.localTime(), 1/r.clockRate).Round(time.Microsecond)
+	next := duration.Scale(r.node.NextTickAt()-r.localTime(), 1/r.clockRate).Round(time.Microsecond)
 	f.After(max(next, ms), func() { f.runMembership(r, life, meteredAt) })
 }
 
@@ -193,13 +193,13 @@
 func (f *Fleet) carryOutNode(r *Relay, actions []membership.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case membership.Save:
+		case membership.SaveRecord:
 			r.record = a.Record
-		case membership.Send:
+		case membership.SendMessage:
 			to := f.relayByName(a.To)
 			received := membership.MessageReceived{From: r.Name, Message: a.Message}
 			f.sendLater(r, to, maxPacketDelay, func() { f.stepNode(to, received) })
-		case membership.Publish:
+		case membership.PublishStatus:
 			received := membership.StatusReceived{Name: r.Name, Status: a.Status}
 			for _, to := range f.Relays {
 				if to != r {
--- a/internal/simulation/scale/envelope.go
+++ b/internal/simulation/scale/envelope.go
@@ -53,8 +53,8 @@
 	if len(b) < 3 || b[0]>>5 != 5 || b[1] != 1 { // a map whose first key is the Message's Kind
 		return Others
 	}
-	switch membership.Kind(b[2]) {
-	case membership.Renew, membership.Renewed:
+	switch membership.MessageKind(b[2]) {
+	case membership.RenewLease, membership.LeaseRenewed:
 		return Leases
 	}
 	return Consensus
--- a/internal/simulation/scale/events_test.go
+++ b/internal/simulation/scale/events_test.go
@@ -19,10 +19,10 @@
 	learnedAfter map[int]time.Duration // by relay, from killedAt on; nil before expect
 }
 
-func (d *deathWatch) record(relay int, c membership.Changed) {
+func (d *deathWatch) record(relay int, c membership.StateChanged) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	gone := c.State == membership.Failed.String() || c.State == membership.Left.String()
+	gone := c.State == membership.HealthFailed.String() || c.State == membership.HealthLeft.String()
 	if c.Kind != membership.ChangePeer || c.Name != d.awaited || !gone || d.learnedAfter == nil {
 		return
 	}
--- a/internal/simulation/scale/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -26,7 +26,7 @@
 	Servers      int           // whose load reports the relays share; 0 for none
 	Arrivals     float64       // requests a second of each relay, by its status
 	// OnChange, if set, is called with each change at each relay. It must not block.
-	OnChange func(relay int, c membership.Changed)
+	OnChange func(relay int, c membership.StateChanged)
 }
 
 // Relay is one relay without client sockets.
@@ -136,14 +136,14 @@
 	}
 	c.LocalActivity = func() gossip.LocalActivity {
 		return gossip.LocalActivity{
-			Lifecycle:    membership.Serving,
+			Lifecycle:    membership.LifecycleServing,
 			Arrivals:     uint64(time.Since(startedAt).Seconds() * f.cfg.Arrivals),
 			OpenRequests: 1000,
 			ListVersion:  1,
 		}
 	}
 	if f.cfg.OnChange != nil {
-		c.OnChange = func(changed membership.Changed) { f.cfg.OnChange(i, changed) }
+		c.OnChange = func(changed membership.StateChanged) { f.cfg.OnChange(i, changed) }
 	}
 	return c
 }
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -38,7 +38,7 @@
 func (f *Fleet) Dropped() map[string]uint64 {
 	sum := map[string]uint64{}
 	for _, node := range f.running() {
-		for reason, n := range node.Report().Dropped {
+		for reason, n := range node.Report().DroppedPackets {
 			sum[reason] += n
 		}
 	}
--- a/internal/simulation/scale/traffic_test.go
+++ b/internal/simulation/scale/traffic_test.go
@@ -17,8 +17,8 @@
 		}
 		return append([]byte{typeUser}, text...)
 	}
-	message := func(k membership.Kind) []byte {
-		return envelope(envelopeMessage, membership.Message{Kind: k, Epoch: 3, From: 1})
+	message := func(k membership.MessageKind) []byte {
+		return envelope(envelopeMessage, membership.Message{Kind: k, Epoch: 3, FromIncarnation: 1})
 	}
 	ofCell := func(cell any, kind int, body any) []byte {
 		return envelope(envelopeOfCell, []any{cell, kind, body})
@@ -32,8 +32,8 @@
 		"nack":             {[]byte{typeNack}, Probes},
 		"alive":            {[]byte{4, 1}, Liveness},
 		"status":           {envelope(envelopeStatus, map[int]int{1: 1}), Statuses},
-		"renew":            {message(membership.Renew), Leases},
-		"renewed":          {message(membership.Renewed), Leases},
+		"renew":            {message(membership.RenewLease), Leases},
+		"renewed":          {message(membership.LeaseRenewed), Leases},
 		"accept":           {message(membership.Accept), Consensus},
 		"load reports":     {envelope(envelopeReadings, []int{}), LoadReports},
 		"placements":       {envelope(envelopePlaced, []int{}), Placements},
@@ -42,7 +42,7 @@
 		"cell directory":   {envelope(envelopeDirectory, 1), CellDirectories},
 		"status of a cell": {ofCell(7, envelopeStatus, 1), Statuses},
 		"renew of a cell": {
-			ofCell(uint32(1)<<31, envelopeMessage, membership.Message{Kind: membership.Renew}),
+			ofCell(uint32(1)<<31, envelopeMessage, membership.Message{Kind: membership.RenewLease}),
 			Leases,
 		},
 		"unknown message": {[]byte{99}, Others},
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -121,7 +121,7 @@
 
 // noteMembershipChange notes a change in the membership, which is reported without waiting for the next round
 // of figures.
-func (l *cellLink) noteMembershipChange(change membership.Changed, now time.Duration) {
+func (l *cellLink) noteMembershipChange(change membership.StateChanged, now time.Duration) {
 	if l == nil {
 		return
 	}
@@ -129,7 +129,7 @@
 	if change.Kind != membership.ChangePeer {
 		return
 	}
-	if change.State == membership.Failed.String() || change.State == membership.Left.String() {
+	if change.State == membership.HealthFailed.String() || change.State == membership.HealthLeft.String() {
 		l.departed[change.Name] = departure{now, change.State}
 	} else {
 		delete(l.departed, change.Name)
--- a/internal/wire/gossip/config.go
+++ b/internal/wire/gossip/config.go
@@ -55,7 +55,7 @@
 	// RefreshEndpoints polls for the endpoint list at once; nil for nobody.
 	RefreshEndpoints func()
 	// OnChange is called for each change of the fleet; nil for nobody.
-	OnChange func(membership.Changed)
+	OnChange func(membership.StateChanged)
 	// OnProbingEvent is called for what a peer passes on of servers, a probing.ReadingsReceived or
 	// PlacementsReceived; nil for nobody.
 	OnProbingEvent func(event probing.Event)
--- a/internal/wire/gossip/delegate.go
+++ b/internal/wire/gossip/delegate.go
@@ -62,10 +62,10 @@
 }
 
 // NotifyJoin is memberlist's.
-func (d *delegate) NotifyJoin(m *memberlist.Node) { d.noteHealth(m, membership.Alive) }
+func (d *delegate) NotifyJoin(m *memberlist.Node) { d.noteHealth(m, membership.HealthAlive) }
 
 // NotifyUpdate is memberlist's.
-func (d *delegate) NotifyUpdate(m *memberlist.Node) { d.noteHealth(m, membership.Alive) }
+func (d *delegate) NotifyUpdate(m *memberlist.Node) { d.noteHealth(m, membership.HealthAlive) }
 
 // NotifyLeave is memberlist's, for one that failed and for one that said so. It does not tell which: the
 // relay's own status does.
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -88,7 +88,7 @@
 		Name:        n.cfg.Name,
 		Incarnation: n.membership.Incarnation(),
 		Epoch:       estimate.Epoch,
-		ViewHash:    n.membership.Hash(),
+		ViewHash:    n.membership.ViewHash(),
 		Phase:       estimate.Phase.String(),
 		Settled:     view.Settled(),
 		Share:       estimate.BudgetShare,
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -45,7 +45,7 @@
 
 // fleet starts n Nodes on a simulated network, in lots, and ends them with the test.
 func fleet(
-	t *testing.T, simnet *network.Network, n int, notice func(at string, c membership.Changed),
+	t *testing.T, simnet *network.Network, n int, notice func(at string, c membership.StateChanged),
 ) []*Node {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -66,7 +66,7 @@
 		c.BootstrapSlot, c.BootstrapSize, c.ConfiguredRelays = i, n, n
 		c.Seed = uint64(i)
 		if notice != nil {
-			c.OnChange = func(ch membership.Changed) { notice(name, ch) }
+			c.OnChange = func(ch membership.StateChanged) { notice(name, ch) }
 		}
 		node, err := New(c)
 		if err != nil {
@@ -108,7 +108,7 @@
 	simnet := network.New(network.Config{})
 	var failed, views atomic.Int64
 	var quiet atomic.Bool
-	all := fleet(t, simnet, n, func(_ string, c membership.Changed) {
+	all := fleet(t, simnet, n, func(_ string, c membership.StateChanged) {
 		switch {
 		case !quiet.Load():
 		case c.Kind == membership.ChangePeer && c.State == "failed":
@@ -244,7 +244,7 @@
 	return membership.Status{
 		Version:       1,
 		Incarnation:   4,
-		Lifecycle:     membership.Serving,
+		Lifecycle:     membership.LifecycleServing,
 		RequestRate:   2,
 		BootstrapSize: 3,
 		BootstrapSlot: 1,
@@ -266,18 +266,19 @@
 		return text
 	}
 	renew := sealed(
-		kindMessage, 4, 9, membership.Message{Kind: membership.Renew, Epoch: 1, From: 4, BootstrapSlot: 1},
+		kindMessage, 4, 9, membership.Message{Kind: membership.RenewLease, Epoch: 1,
+			FromIncarnation: 4, BootstrapSlot: 1},
 	)
 	nan := good7()
 	nan.RequestRate = -1
 	huge := membership.Message{
-		Kind: membership.Learn,
-		From: 4,
+		Kind:            membership.Learn,
+		FromIncarnation: 4,
 		View: &membership.View{
 			Epoch:         1,
 			BootstrapSize: 3,
 			Voters:        []string{"x"},
-			Entries:       []membership.Member{{Name: "x", In: true, BudgetShare: 1 << 63}},
+			Entries:       []membership.ViewEntry{{Name: "x", IsMember: true, BudgetShare: 1 << 63}},
 		},
 	}
 	for what, c := range map[string]struct {
@@ -292,7 +293,8 @@
 		"a status of another's number":   {sealed(kindStatus, 4, 8, good7()), dropMalformed},
 		"a view whose shares are absurd": {sealed(kindMessage, 4, 10, huge), dropMalformed},
 		"a choice without a view": {
-			sealed(kindMessage, 4, 11, membership.Message{Kind: membership.Learn, From: 4}), dropMalformed,
+			sealed(kindMessage, 4, 11, membership.Message{Kind: membership.Learn,
+				FromIncarnation: 4}), dropMalformed,
 		},
 		"a kind of a later version": {sealed(77, 4, 12, 1), dropUnknown},
 	} {
@@ -332,7 +334,7 @@
 			continue
 		}
 		d := (<-n.inbox).(membership.StatusReceived).Status
-		if d.Lifecycle != membership.Serving || !d.SlotReleased {
+		if d.Lifecycle != membership.LifecycleServing || !d.SlotReleased {
 			t.Errorf("%s of the status: %+v", v.what, d)
 		}
 	}
@@ -342,7 +344,7 @@
 func TestStatusStaysSmall(t *testing.T) {
 	d := good7()
 	d.Zone = strings.Repeat("z", 20)
-	d.Incarnation, d.Epoch, d.Hash, d.Seq = 1<<40, 1<<40, 1<<63, 1<<40
+	d.Incarnation, d.Epoch, d.ViewHash, d.Seq = 1<<40, 1<<40, 1<<63, 1<<40
 	d.RequestRate, d.DrainRate = 12345.67, 999.9
 	d.OpenConnections, d.EndpointListGeneration = 1<<20, 1<<60
 	text, err := encodeEnvelope(strings.Repeat("n", 40), d.Incarnation, d.Seq, kindStatus, d)
@@ -467,7 +469,7 @@
 	if r := n.Estimate(); r.BudgetShare != 0.25 || strings.Count(said.String(), "\n") != 1 {
 		t.Errorf("no record, and none can be kept: %+v, said %q", r, said.String())
 	}
-	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
+	n.handle(membership.PeerHealth{Name: "peer", Health: membership.HealthAlive})
 	n.handle(membership.StatusReceived{
 		Name: "peer",
 		Status: membership.Status{
@@ -489,7 +491,7 @@
 func TestRecordThatCannotBeKeptEndsVoting(t *testing.T) {
 	n := lone(t)
 	n.record.path = filepath.Join(t.TempDir(), "gone", "state")
-	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
+	n.handle(membership.PeerHealth{Name: "peer", Health: membership.HealthAlive})
 	n.handle(membership.StatusReceived{
 		Name: "peer",
 		Status: membership.Status{
--- a/internal/wire/gossip/helpers_test.go
+++ b/internal/wire/gossip/helpers_test.go
@@ -19,7 +19,7 @@
 		Clock:            relay.NewClock(),
 		Log:              zerolog.Nop(),
 		LocalActivity: func() LocalActivity {
-			return LocalActivity{Lifecycle: membership.Serving, ListVersion: 1}
+			return LocalActivity{Lifecycle: membership.LifecycleServing, ListVersion: 1}
 		},
 	}
 }
--- a/internal/wire/gossip/local_cell.go
+++ b/internal/wire/gossip/local_cell.go
@@ -49,12 +49,12 @@
 func (n *Node) addMember(local *cells.LocalCell, name string, peer membership.Peer) {
 	local.Members++
 	if name == n.cfg.Name {
-		if n.lastLocal.Lifecycle == membership.Serving {
+		if n.lastLocal.Lifecycle == membership.LifecycleServing {
 			local.Serving++
 		}
 		return
 	}
-	if peer.Status.Lifecycle == membership.Serving {
+	if peer.Status.Lifecycle == membership.LifecycleServing {
 		local.Serving++
 	}
 	if countsAsAlive(peer.Health) {
@@ -79,7 +79,7 @@
 
 // countsAsAlive tells whether a relay counts as there: a suspicion may yet be refuted.
 func countsAsAlive(health membership.Health) bool {
-	return health == membership.Alive || health == membership.Suspected
+	return health == membership.HealthAlive || health == membership.HealthSuspected
 }
 
 // address is where a relay of this cell is heard, "" if that isn't known.
--- a/internal/wire/gossip/metrics.go
+++ b/internal/wire/gossip/metrics.go
@@ -75,7 +75,7 @@
 	for phase := membership.PhaseStarting; phase <= membership.PhaseCutOff; phase++ {
 		gauge(f.phase, oneIf(phase.String() == report.Phase), phase.String())
 	}
-	gauge(f.agreed, seconds(report.AgreedMs))
+	gauge(f.agreed, seconds(report.SinceAgreedMs))
 	gauge(f.share, report.BudgetShare)
 	for reason := range dropReasonCount {
 		count(f.dropped, f.node.dropped.total[reason].Load(), reason.String())
--- a/internal/wire/gossip/moves_test.go
+++ b/internal/wire/gossip/moves_test.go
@@ -121,7 +121,8 @@
 	await(t, 10*time.Second, "all are there", func() bool { return counted() && r3.counts("r0") })
 	stop()
 	for _, n := range others {
-		await(t, 5*time.Second, "it counts as left", func() bool { return n.healthOf("r2") == membership.Left })
+		await(t, 5*time.Second, "it counts as left",
+			func() bool { return n.healthOf("r2") == membership.HealthLeft })
 		if missing := n.peers.missingAddresses(n.peers.settledAddresses()); len(missing) > 0 {
 			t.Errorf("%s would join %v", n.cfg.Name, missing)
 		}
@@ -139,5 +140,5 @@
 			return peer.Health
 		}
 	}
-	return membership.Unknown
+	return membership.HealthUnknown
 }
--- a/internal/wire/gossip/node.go
+++ b/internal/wire/gossip/node.go
@@ -204,7 +204,7 @@
 func (n *Node) nextTick() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return min(n.membership.Next(), n.nextCellTick())
+	return min(n.membership.NextTickAt(), n.nextCellTick())
 }
 
 // Wait waits for the end of Run.
@@ -218,7 +218,7 @@
 	local := n.meter.LocalState(now, activity.Lifecycle, activity.Arrivals, activity.OpenRequests)
 	local.Zone, local.EndpointListGeneration = n.cfg.Zone, activity.ListVersion
 	if n.leaving {
-		local.Lifecycle = membership.Leaving
+		local.Lifecycle = membership.LifecycleLeaving
 	}
 	n.lastLocal = local
 	return local
@@ -246,18 +246,18 @@
 func (n *Node) execute(actions []membership.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case membership.Save:
+		case membership.SaveRecord:
 			if err := n.record.save(a.Record); err != nil {
 				n.log.Error().Err(err).
 					Msg("record cannot be kept, no votes any more: mend its folder and restart")
 				n.handle(membership.RecordNotSaved{})
 				return
 			}
-		case membership.Send:
+		case membership.SendMessage:
 			n.send(a.To, a.Message)
-		case membership.Publish:
+		case membership.PublishStatus:
 			n.publish(a.Status)
-		case membership.Changed:
+		case membership.StateChanged:
 			n.noteChange(a)
 		case membership.RefreshEndpointList:
 			n.log.Info().Int64("generation", a.Generation).
@@ -270,7 +270,7 @@
 }
 
 // noteChange says what has changed in the fleet.
-func (n *Node) noteChange(change membership.Changed) {
+func (n *Node) noteChange(change membership.StateChanged) {
 	n.cells.Load().noteMembershipChange(change, n.now())
 	n.log.Info().
 		Str("what", change.Kind.String()).
--- a/internal/wire/gossip/peers.go
+++ b/internal/wire/gossip/peers.go
@@ -59,12 +59,12 @@
 	}
 	delete(t.moved, node.Name)
 	switch known := t.nodes[node.Name] != nil; {
-	case known && health == membership.Alive:
+	case known && health == membership.HealthAlive:
 		if !t.alive[node.Name] { // a new process: what the one before said does not count
 			delete(t.leaving, node.Name)
 		}
 		t.alive[node.Name] = true
-	case known && health == membership.Left:
+	case known && health == membership.HealthLeft:
 		t.leaving[node.Name] = true
 		delete(t.alive, node.Name)
 	default:
@@ -77,7 +77,7 @@
 func (t *peerTable) noteLifecycle(name string, lifecycle membership.Lifecycle) (left bool) {
 	t.Lock()
 	defer t.Unlock()
-	if lifecycle != membership.Leaving {
+	if lifecycle != membership.LifecycleLeaving {
 		delete(t.leaving, name)
 		return false
 	}
@@ -90,9 +90,9 @@
 	t.Lock()
 	defer t.Unlock()
 	if t.leaving[name] {
-		return membership.Left
+		return membership.HealthLeft
 	}
-	return membership.Failed
+	return membership.HealthFailed
 }
 
 // noteMoved notes that a relay answers from another cell, and tells whether it counted as there until now.
--- a/internal/wire/gossip/peers_test.go
+++ b/internal/wire/gossip/peers_test.go
@@ -19,11 +19,11 @@
 func TestMissingRelaysAreThoseToJoin(t *testing.T) {
 	peers := newPeerTable()
 	for i, name := range []string{"alive", "failed", "left", "moved"} {
-		peers.noteHealth(peerNode(name, uint16(1+i)), membership.Alive)
+		peers.noteHealth(peerNode(name, uint16(1+i)), membership.HealthAlive)
 	}
-	peers.noteHealth(peerNode("failed", 2), membership.Failed)
-	peers.noteHealth(peerNode("left", 3), membership.Left)
-	peers.noteHealth(peerNode("moved", 4), membership.Failed)
+	peers.noteHealth(peerNode("failed", 2), membership.HealthFailed)
+	peers.noteHealth(peerNode("left", 3), membership.HealthLeft)
+	peers.noteHealth(peerNode("moved", 4), membership.HealthFailed)
 	peers.noteOtherCell("127.0.0.1:4")
 	missing := func() []string {
 		found := peers.missingAddresses(peers.settledAddresses())
@@ -37,8 +37,8 @@
 	if got := missing(); !slices.Equal(got, []string{"127.0.0.1:2", "127.0.0.1:4"}) {
 		t.Errorf("missing once a status has come: %v", got)
 	}
-	peers.noteHealth(peerNode("failed", 2), membership.Alive)
-	peers.noteHealth(peerNode("moved", 4), membership.Alive)
+	peers.noteHealth(peerNode("failed", 2), membership.HealthAlive)
+	peers.noteHealth(peerNode("moved", 4), membership.HealthAlive)
 	if got := missing(); len(got) != 0 {
 		t.Errorf("missing when all are back: %v", got)
 	}
--- a/internal/wire/gossip/probe_ack.go
+++ b/internal/wire/gossip/probe_ack.go
@@ -25,8 +25,8 @@
 	}
 	switch moved := string(cell) != d.cell; {
 	case moved && d.peers.noteMoved(m.Name):
-		(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: membership.Failed})
+		(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: membership.HealthFailed})
 	case !moved && d.peers.noteBack(m.Name):
-		(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: membership.Alive})
+		(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: membership.HealthAlive})
 	}
 }
--- a/internal/wire/gossip/probing.go
+++ b/internal/wire/gossip/probing.go
@@ -20,7 +20,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	view := n.membership.View()
-	if view.Epoch == 0 || !view.Member(n.cfg.Name).In {
+	if view.Epoch == 0 || !view.Entry(n.cfg.Name).IsMember {
 		return nil, n.membership.Incarnation()
 	}
 	zones := map[string]string{n.cfg.Name: n.cfg.Zone}
--- a/internal/wire/gossip/receive.go
+++ b/internal/wire/gossip/receive.go
@@ -49,7 +49,7 @@
 	}
 	n.enqueueEvent(membership.StatusReceived{Name: e.From, Status: status})
 	if n.peers.noteLifecycle(e.From, status.Lifecycle) {
-		n.enqueueEvent(membership.PeerHealth{Name: e.From, Health: membership.Left})
+		n.enqueueEvent(membership.PeerHealth{Name: e.From, Health: membership.HealthLeft})
 	}
 	if forward {
 		n.mesh.broadcasts.add(e.From, text)
@@ -60,7 +60,7 @@
 func (n *Node) receiveMessage(e envelope) {
 	var message membership.Message
 	err := cbor.Unmarshal(e.Body, &message)
-	if err != nil || !validMessage(message) || message.From != e.Incarnation {
+	if err != nil || !validMessage(message) || message.FromIncarnation != e.Incarnation {
 		n.dropped.count(dropMalformed, "malformed message")
 		return
 	}
--- a/internal/wire/gossip/record_file.go
+++ b/internal/wire/gossip/record_file.go
@@ -100,7 +100,7 @@
 	if err := cbor.Unmarshal(k.Record, &rec); err != nil {
 		return rec, fmt.Errorf("%s: %w", d.path, err)
 	}
-	for _, v := range []*membership.View{rec.View, rec.Accepted} {
+	for _, v := range []*membership.View{rec.View, rec.AcceptedView} {
 		if v != nil {
 			if err := v.Check(); err != nil {
 				return rec, fmt.Errorf("%s: %w", d.path, err)
--- a/internal/wire/gossip/status.go
+++ b/internal/wire/gossip/status.go
@@ -31,10 +31,10 @@
 	n.mu.Lock()
 	r := n.membership.Report(n.now())
 	n.mu.Unlock()
-	r.Site, r.Dropped = n.cfg.Site, map[string]uint64{}
+	r.Site, r.DroppedPackets = n.cfg.Site, map[string]uint64{}
 	for reason := range dropReasonCount {
 		if total := n.dropped.total[reason].Load(); total > 0 {
-			r.Dropped[reason.String()] = total
+			r.DroppedPackets[reason.String()] = total
 		}
 	}
 	return r
