--- a/internal/fleet/cellplan/check.go
+++ b/internal/fleet/cellplan/check.go
@@ -51,8 +51,8 @@
 	problems []error
 }
 
-// add notes a problem at a key.
-func (c *checker) add(key, format string, args ...any) {
+// addProblem notes a problem at a key.
+func (c *checker) addProblem(key, format string, args ...any) {
 	c.problems = append(c.problems, &FieldError{Key: key, Cause: fmt.Sprintf(format, args...)})
 }
 
@@ -60,13 +60,13 @@
 func (c *checker) checkNumbers() {
 	p := c.plan
 	if p.Number < 1 || p.Number > MaxPlanNumber {
-		c.add("number", "%d is not from 1 to %d", p.Number, MaxPlanNumber)
+		c.addProblem("number", "%d is not from 1 to %d", p.Number, MaxPlanNumber)
 	}
 	if math.IsNaN(p.HomeShare) || p.HomeShare < 0 || p.HomeShare > 1 {
-		c.add("home_share", "%v is not over 0 and at most 1", p.HomeShare)
+		c.addProblem("home_share", "%v is not over 0 and at most 1", p.HomeShare)
 	}
 	if len(p.Cells) == 0 || len(p.Cells) > MaxCells {
-		c.add("cells", "%d cells; from 1 to %d can be", len(p.Cells), MaxCells)
+		c.addProblem("cells", "%d cells; from 1 to %d can be", len(p.Cells), MaxCells)
 		return
 	}
 	total := 0
@@ -76,7 +76,7 @@
 		}
 	}
 	if total == 0 {
-		c.add("cells", "no cell has relays")
+		c.addProblem("cells", "no cell has relays")
 	}
 }
 
@@ -89,7 +89,7 @@
 		most = MaxSpanningRelays
 	}
 	if cell.Relays < 0 || cell.Relays > most {
-		c.add(cellKey(i, "relays"), "%d relays in cell %q; from 0 to %d can be", cell.Relays, cell.Name, most)
+		c.addProblem(cellKey(i, "relays"), "%d relays in cell %q; from 0 to %d can be", cell.Relays, cell.Name, most)
 	}
 	c.checkContacts(i, cell)
 }
@@ -100,11 +100,11 @@
 // checkName checks that a cell's name is one, and no other's.
 func (c *checker) checkName(i int, cell Cell) {
 	if cause := nameProblem(cell.Name); cause != "" {
-		c.add(cellKey(i, "name"), "%s", cause)
+		c.addProblem(cellKey(i, "name"), "%s", cause)
 		return
 	}
 	if before, taken := c.names[cell.Name]; taken {
-		c.add(cellKey(i, "name"), "%q is also the name of cells[%d]", cell.Name, before)
+		c.addProblem(cellKey(i, "name"), "%q is also the name of cells[%d]", cell.Name, before)
 		return
 	}
 	c.names[cell.Name] = i
@@ -113,15 +113,15 @@
 // checkContacts checks that other cells can reach the cell.
 func (c *checker) checkContacts(i int, cell Cell) {
 	if len(cell.Contacts) > MaxContacts {
-		c.add(cellKey(i, "contacts"), "%d contacts; at most %d", len(cell.Contacts), MaxContacts)
+		c.addProblem(cellKey(i, "contacts"), "%d contacts; at most %d", len(cell.Contacts), MaxContacts)
 		return
 	}
 	if len(cell.Contacts) == 0 && cell.Relays > 0 && len(c.plan.Cells) > 1 {
-		c.add(cellKey(i, "contacts"), "none: no other cell could reach %q", cell.Name)
+		c.addProblem(cellKey(i, "contacts"), "none: no other cell could reach %q", cell.Name)
 	}
 	for j, contact := range cell.Contacts {
 		if cause := contactProblem(contact); cause != "" {
-			c.add(fmt.Sprintf("cells[%d].contacts[%d]", i, j), "%s", cause)
+			c.addProblem(fmt.Sprintf("cells[%d].contacts[%d]", i, j), "%s", cause)
 		}
 	}
 }
@@ -130,21 +130,21 @@
 func (c *checker) checkLocation(i int, cell Cell) {
 	if cell.SpansRegions() {
 		if cell.Zone != "" {
-			c.add(cellKey(i, "region"), "empty, but zone is %q; a cell that spans all regions has neither",
+			c.addProblem(cellKey(i, "region"), "empty, but zone is %q; a cell that spans all regions has neither",
 				cell.Zone)
 		}
 		return
 	}
 	if cause := nameProblem(cell.Region); cause != "" {
-		c.add(cellKey(i, "region"), "%s", cause)
+		c.addProblem(cellKey(i, "region"), "%s", cause)
 		return
 	}
 	if cause := nameProblem(cell.Zone); cause != "" {
-		c.add(cellKey(i, "zone"), "%s", cause)
+		c.addProblem(cellKey(i, "zone"), "%s", cause)
 		return
 	}
 	if region, known := c.regions[cell.Zone]; known && region != cell.Region {
-		c.add(cellKey(i, "zone"), "%q is in region %q and in %q", cell.Zone, region, cell.Region)
+		c.addProblem(cellKey(i, "zone"), "%q is in region %q and in %q", cell.Zone, region, cell.Region)
 		return
 	}
 	c.regions[cell.Zone] = cell.Region
@@ -152,19 +152,19 @@
 
 // checkSums checks, by adding up the parts, that no budget is given away more than once.
 func (c *checker) checkSums() {
-	parts := c.plan.parts()
+	shares := c.plan.cellShares()
 	summed := map[string]bool{}
 	for i, cell := range c.plan.Cells {
-		if parts[i].near < parts[i].far {
-			c.add(fmt.Sprintf("cells[%d]", i),
-				"%q would hold less near (%d) than far (%d)", cell.Name, parts[i].near, parts[i].far)
+		if shares[i].near < shares[i].far {
+			c.addProblem(fmt.Sprintf("cells[%d]", i),
+				"%q would hold less near (%d) than far (%d)", cell.Name, shares[i].near, shares[i].far)
 		}
 		if summed[cell.Zone] {
 			continue
 		}
 		summed[cell.Zone] = true
-		if total := sum(parts, cell.Zone); total > FullBudget {
-			c.add(fmt.Sprintf("cells[%d].zone", i),
+		if total := sumShares(shares, cell.Zone); total > FullBudget {
+			c.addProblem(fmt.Sprintf("cells[%d].zone", i),
 				"the cells would hold %d of %d of a server in %q", total, FullBudget, cell.Zone)
 		}
 	}
--- a/internal/fleet/cellplan/plan.go
+++ b/internal/fleet/cellplan/plan.go
@@ -90,56 +90,56 @@
 	if !ok {
 		return 0, 0, nil
 	}
-	part := p.part(cell, p.weigh(cell.Region))
-	return part.near, part.far, part.zones
+	part := p.cellShare(cell, p.regionWeights(cell.Region))
+	return part.near, part.far, part.nearZones
 }
 
 // TotalShare is what all cells together may take of the budget of a server in a zone; never over FullBudget.
-func (p Plan) TotalShare(zone string) uint64 { return sum(p.parts(), zone) }
+func (p Plan) TotalShare(zone string) uint64 { return sumShares(p.cellShares(), zone) }
 
-// part is what one cell may take: near in its zones, far elsewhere.
-type part struct {
+// cellShare is what one cell may take: near in its zones, far elsewhere.
+type cellShare struct {
 	near, far uint64
-	zones     []string
+	nearZones []string
 }
 
-// part is what a cell may take, by the weights around it.
-func (p Plan) part(cell Cell, weights weights) part {
+// cellShare is what a cell may take, by the weights around it.
+func (p Plan) cellShare(cell Cell, weights weights) cellShare {
 	weight := uint64(cell.Relays)
 	switch {
-	case weights.all == 0:
-		return part{}
+	case weights.total == 0:
+		return cellShare{}
 	case cell.SpansRegions():
-		everywhere := MulDiv(FullBudget, weight, weights.all)
-		return part{near: everywhere, far: everywhere}
+		everywhere := MulDiv(FullBudget, weight, weights.total)
+		return cellShare{near: everywhere, far: everywhere}
 	case weight == 0:
-		return part{zones: weights.zones}
+		return cellShare{nearZones: weights.zones}
 	}
-	rest := MulDiv(FullBudget, weights.regional, weights.all)
+	rest := MulDiv(FullBudget, weights.regional, weights.total)
 	home := MulDiv(rest, p.homeUnits(), FullBudget)
 	far := MulDiv(rest-home, weight, weights.regional)
-	return part{near: MulDiv(home, weight, weights.inRegion) + far, far: far, zones: weights.zones}
+	return cellShare{near: MulDiv(home, weight, weights.inRegion) + far, far: far, nearZones: weights.zones}
 }
 
-// parts are those of all cells, in the order of the plan.
-func (p Plan) parts() []part {
+// cellShares are those of all cells, in the order of the plan.
+func (p Plan) cellShares() []cellShare {
 	regions := map[string]weights{}
-	parts := make([]part, 0, len(p.Cells))
+	parts := make([]cellShare, 0, len(p.Cells))
 	for _, c := range p.Cells {
 		w, known := regions[c.Region]
 		if !known {
-			w = p.weigh(c.Region)
+			w = p.regionWeights(c.Region)
 			regions[c.Region] = w
 		}
-		parts = append(parts, p.part(c, w))
+		parts = append(parts, p.cellShare(c, w))
 	}
 	return parts
 }
 
-// sum is what all parts together are of the budget of a server in a zone.
-func sum(parts []part, zone string) (total uint64) {
+// sumShares is what all parts together are of the budget of a server in a zone.
+func sumShares(parts []cellShare, zone string) (total uint64) {
 	for _, part := range parts {
-		if slices.Contains(part.zones, zone) {
+		if slices.Contains(part.nearZones, zone) {
 			total += part.near
 		} else {
 			total += part.far
@@ -202,15 +202,15 @@
 // weights are sums over cells: of all, of those that have a region, and of those of one region, which
 // stand in zones.
 type weights struct {
-	all, regional, inRegion uint64
-	zones                   []string
+	total, regional, inRegion uint64
+	zones                     []string
 }
 
-// weigh sums the weights around a region.
-func (p Plan) weigh(region string) (w weights) {
+// regionWeights sums the weights around a region.
+func (p Plan) regionWeights(region string) (w weights) {
 	for _, c := range p.Cells {
 		weight := uint64(c.Relays)
-		w.all += weight
+		w.total += weight
 		if c.SpansRegions() {
 			continue
 		}
--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -10,29 +10,29 @@
 	"testing"
 )
 
-func cell(name, region, zone string, relays int) Cell {
+func newCell(name, region, zone string, relays int) Cell {
 	return Cell{Name: name, Region: region, Zone: zone, Relays: relays, Contacts: []string{"10.0.0.1:7946"}}
 }
 
-func three() Plan {
-	return Plan{Number: 1, Cells: []Cell{cell("a1", "a", "a-1", 30), cell("a2", "a", "a-2", 10),
-		cell("b1", "b", "b-1", 40)}}
+func threeCellPlan() Plan {
+	return Plan{Number: 1, Cells: []Cell{newCell("a1", "a", "a-1", 30), newCell("a2", "a", "a-2", 10),
+		newCell("b1", "b", "b-1", 40)}}
 }
 
-func TestPartsOfCells(t *testing.T) {
+func TestBudgetSharesOfCells(t *testing.T) {
 	moving := Plan{Number: 2, HomeShare: 0.8,
-		Cells: []Cell{cell("flat", "", "", 300), cell("a1", "a", "a-1", 30), cell("b1", "b", "b-1", 30),
-			cell("gone", "b", "b-2", 0)}}
+		Cells: []Cell{newCell("flat", "", "", 300), newCell("a1", "a", "a-1", 30), newCell("b1", "b", "b-1", 30),
+			newCell("gone", "b", "b-2", 0)}}
 	for _, c := range []struct {
 		plan      Plan
 		cell      string
 		near, far float64
 		zones     string
 	}{
-		{three(), "a1", 0.9*30/40 + 0.1*30/80, 0.1 * 30 / 80, "a-1 a-2"},
-		{three(), "a2", 0.9*10/40 + 0.1*10/80, 0.1 * 10 / 80, "a-1 a-2"},
-		{three(), "b1", 0.9 + 0.1*40/80, 0.1 * 40 / 80, "b-1"},
-		{three(), "nobody", 0, 0, ""},
+		{threeCellPlan(), "a1", 0.9*30/40 + 0.1*30/80, 0.1 * 30 / 80, "a-1 a-2"},
+		{threeCellPlan(), "a2", 0.9*10/40 + 0.1*10/80, 0.1 * 10 / 80, "a-1 a-2"},
+		{threeCellPlan(), "b1", 0.9 + 0.1*40/80, 0.1 * 40 / 80, "b-1"},
+		{threeCellPlan(), "nobody", 0, 0, ""},
 		{moving, "flat", 300.0 / 360, 300.0 / 360, ""},
 		{moving, "a1", 60.0 / 360 * (0.8 + 0.1), 60.0 / 360 * 0.1, "a-1"},
 		{moving, "gone", 0, 0, "b-1 b-2"},
@@ -57,7 +57,7 @@
 		{"good", func(*Plan) {}, ""},
 		{"a cell alone needs no contacts",
 			func(p *Plan) { p.Cells = p.Cells[:1]; p.Cells[0].Contacts = nil }, ""},
-		{"a flat fleet is moved", func(p *Plan) { p.Cells = append(p.Cells, cell("flat", "", "", 300)) }, ""},
+		{"a flat fleet is moved", func(p *Plan) { p.Cells = append(p.Cells, newCell("flat", "", "", 300)) }, ""},
 		{"no number", func(p *Plan) { p.Number = 0 }, "number"},
 		{"number too high", func(p *Plan) { p.Number = 1 << 63 }, "number"},
 		{"home share over 1", func(p *Plan) { p.HomeShare = 1.1 }, "home_share"},
@@ -66,7 +66,7 @@
 		{"no cells", func(p *Plan) { p.Cells = nil }, "cells"},
 		{"too many cells", func(p *Plan) {
 			for i := range MaxCells {
-				p.Cells = append(p.Cells, cell(fmt.Sprint("c", i), "a", "a-1", 1))
+				p.Cells = append(p.Cells, newCell(fmt.Sprint("c", i), "a", "a-1", 1))
 			}
 		}, "cells"},
 		{"nobody has relays", func(p *Plan) {
@@ -85,7 +85,7 @@
 		{"too many relays", func(p *Plan) { p.Cells[0].Relays = 65 }, "cells[0].relays"},
 		{"too many relays of a flat cell", func(p *Plan) {
 			p.Cells = append(p.Cells,
-				cell("flat", "", "", 4097))
+				newCell("flat", "", "", 4097))
 		}, "cells[3].relays"},
 		{"no contacts", func(p *Plan) { p.Cells[0].Contacts = nil }, "cells[0].contacts"},
 		{"too many contacts", func(p *Plan) { p.Cells[0].Contacts = make([]string, 17) },
@@ -105,16 +105,16 @@
 			"number home_share cells[0].relays cells[2].name"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := three()
+			p := threeCellPlan()
 			c.change(&p)
-			if keys := strings.Join(keysOf(p.Check()), " "); keys != c.keys {
+			if keys := strings.Join(problemKeys(p.Check()), " "); keys != c.keys {
 				t.Errorf("problems at %q, want %q: %v", keys, c.keys, p.Check())
 			}
 		})
 	}
 }
 
-func keysOf(err error) (keys []string) {
+func problemKeys(err error) (keys []string) {
 	if err == nil {
 		return nil
 	}
@@ -128,8 +128,8 @@
 }
 
 func TestHashTellsTablesApart(t *testing.T) {
-	base := three().Hash()
-	same := three()
+	base := threeCellPlan().Hash()
+	same := threeCellPlan()
 	slices.Reverse(same.Cells)
 	same.HomeShare = DefaultHomeShare
 	same.Cells[0].Contacts = []string{"10.9.9.9:1"}
@@ -143,7 +143,7 @@
 		func(p *Plan) { p.Cells[0].Zone = "a-2" },
 		func(p *Plan) { p.Cells[0].Relays++ },
 	} {
-		p := three()
+		p := threeCellPlan()
 		change(&p)
 		if p.Hash() == base {
 			t.Error("change", i, "is not seen in the hash")
@@ -152,7 +152,7 @@
 }
 
 func TestSuccessorNamesAllHolders(t *testing.T) {
-	p := three()
+	p := threeCellPlan()
 	if err := p.CheckSuccessor([]string{"a1", "b1"}); err != nil {
 		t.Error(err)
 	}
@@ -164,11 +164,11 @@
 }
 
 // For no zone do the cells hold more than the whole, and nearly all of it where somebody is near.
-func TestSumsOfDrawnPlans(t *testing.T) {
+func TestTotalShareOfRandomPlans(t *testing.T) {
 	least, most := FullBudget, uint64(0)
 	for seed := range uint64(500) {
 		draw := rand.New(rand.NewPCG(seed, 7))
-		p := drawn(draw)
+		p := randomPlan(draw)
 		if err := p.Check(); err != nil {
 			t.Fatal(seed, err)
 		}
@@ -198,18 +198,18 @@
 		float64(most)/float64(FullBudget))
 }
 
-func drawn(draw *rand.Rand) Plan {
+func randomPlan(draw *rand.Rand) Plan {
 	p := Plan{Number: 1 + draw.Uint64N(9), HomeShare: draw.Float64()}
 	lowest := draw.IntN(2)
 	for i := range 1 + draw.IntN(MaxCells-1) {
 		region := fmt.Sprint("r", draw.IntN(6))
-		p.Cells = append(p.Cells, cell(fmt.Sprint("c", i), region, fmt.Sprint(region, "-", draw.IntN(4)),
+		p.Cells = append(p.Cells, newCell(fmt.Sprint("c", i), region, fmt.Sprint(region, "-", draw.IntN(4)),
 			lowest+draw.IntN(MaxRegionalRelays+1-lowest)))
 	}
 	if draw.IntN(3) == 0 {
-		p.Cells = append(p.Cells, cell("flat", "", "", 1+draw.IntN(1100)))
+		p.Cells = append(p.Cells, newCell("flat", "", "", 1+draw.IntN(1100)))
 	}
-	if p.weigh("").all == 0 {
+	if p.regionWeights("").total == 0 {
 		p.Cells[0].Relays = 1
 	}
 	return p
--- a/internal/fleet/cells/coordinator.go
+++ b/internal/fleet/cells/coordinator.go
@@ -25,11 +25,11 @@
 	cfg             Config
 	plan            cellplan.Plan // the file's
 	local           LocalCell
-	localKnown      bool // a LocalCell has come
-	remotes         map[string]*remote
+	localCellKnown  bool // a LocalCell has come
+	remotes         map[string]*remoteCell
 	cellNames       []string
 	election        election
-	pace            pacer
+	pacer           pacer
 	summarySeq      uint64
 	nextLostCheckAt time.Duration
 	directory       directoryState
@@ -39,7 +39,7 @@
 
 // New returns a Coordinator that knows only its plan, which has to have passed Check.
 func New(now time.Duration, cfg Config) *Coordinator {
-	c := &Coordinator{cfg: cfg, remotes: map[string]*remote{}, directory: directoryState{at: -1}}
+	c := &Coordinator{cfg: cfg, remotes: map[string]*remoteCell{}, directory: directoryState{updatedAt: -1}}
 	c.setPlan(now, cfg.Plan)
 	return c
 }
@@ -48,7 +48,7 @@
 func (c *Coordinator) Handle(now time.Duration, ev Event, out []Action) []Action {
 	switch ev := ev.(type) {
 	case LocalCell:
-		out = c.setLocal(now, ev, out)
+		out = c.updateLocalCell(now, ev, out)
 	case SummaryReceived:
 		out = c.receiveSummary(now, ev.Summary, out)
 	case DirectoryReceived:
@@ -57,24 +57,24 @@
 		c.setPlan(now, ev.Plan)
 		out = c.checkActivation(out)
 	}
-	if !c.election.representing {
+	if !c.election.isRepresentative {
 		return out
 	}
-	out = c.checkLost(now, out)
+	out = c.detectLostCells(now, out)
 	out = c.publishDirectoryDue(now, out)
 	return c.sendSummaryDue(now, out)
 }
 
-// setLocal takes in what is known of this relay's own cell.
-func (c *Coordinator) setLocal(now time.Duration, l LocalCell, out []Action) []Action {
+// updateLocalCell takes in what is known of this relay's own cell.
+func (c *Coordinator) updateLocalCell(now time.Duration, l LocalCell, out []Action) []Action {
 	before := c.local
 	c.local = l
 	if !slices.Equal(before.RequiredCells, l.RequiredCells) {
 		c.retainNamedCells(now)
 	}
-	changed := !c.localKnown || !l.sameState(before)
-	c.localKnown = true
-	represented := c.election.representing
+	changed := !c.localCellKnown || !l.hasSameState(before)
+	c.localCellKnown = true
+	represented := c.election.isRepresentative
 	out = c.electRepresentative(now, out)
 	if represented && changed {
 		c.expedite(now)
@@ -82,8 +82,8 @@
 	return c.checkActivation(out)
 }
 
-// sameState tells whether two LocalCells differ at most in what other cells need not know at once.
-func (l LocalCell) sameState(old LocalCell) bool {
+// hasSameState tells whether two LocalCells differ at most in what other cells need not know at once.
+func (l LocalCell) hasSameState(old LocalCell) bool {
 	return l.Members == old.Members && l.Epoch == old.Epoch &&
 		l.Plan == old.Plan && l.JoinedPlan == old.JoinedPlan
 }
@@ -112,14 +112,14 @@
 	for _, name := range c.cellNames {
 		r := c.remotes[name]
 		if r == nil {
-			r = &remote{name: name, summaryAt: -1, rotatedAt: now}
+			r = &remoteCell{name: name, summaryAt: -1, contactRotatedAt: now}
 			c.remotes[name] = r
 		}
 		if cell, ok := c.plan.FindCell(name); ok {
 			r.region, r.weight, r.planContacts = cell.Region, cell.Relays, cell.Contacts
 		}
 	}
-	c.pace.expeditedLeft = min(c.pace.expeditedLeft, len(c.cellNames))
+	c.pacer.expeditedLeft = min(c.pacer.expeditedLeft, len(c.cellNames))
 	c.directory.dirty = true
 }
 
@@ -139,23 +139,23 @@
 		forwarded.Forwarded = true
 		out = append(out, ForwardSummary{To: to, Summary: forwarded})
 	}
-	r.notePlans(s)
+	r.recordJoinedPlan(s)
 	out = c.checkMismatch(r, s, out)
 	out = c.checkActivation(out)
-	return c.updateFigures(now, r, s, out)
+	return c.updateRemoteCell(now, r, s, out)
 }
 
-// updateFigures takes a summary's figures for the cell's, if it is the newest.
-func (c *Coordinator) updateFigures(now time.Duration, r *remote, s Summary, out []Action) []Action {
+// updateRemoteCell takes a summary's figures for the cell's, if it is the newest.
+func (c *Coordinator) updateRemoteCell(now time.Duration, r *remoteCell, s Summary, out []Action) []Action {
 	unknown := c.isUnknown(now, r)
-	ofLaggards := s.Epoch < r.summary.Epoch && !unknown // of a part of the cell that is behind
-	if !r.acceptSummary(now, s, unknown) || ofLaggards {
+	fromOldView := s.Epoch < r.summary.Epoch && !unknown // of a part of the cell that is behind
+	if !r.acceptSummary(now, s, unknown) || fromOldView {
 		c.drops.Stale++
 		return out
 	}
 	before := r.summary
-	returned := r.summaryAt < 0 || r.lost
-	r.summary, r.summaryAt, r.contact = s, now, 0
+	returned := r.summaryAt < 0 || r.reportedLost
+	r.summary, r.summaryAt, r.contactIndex = s, now, 0
 	if r.announceRepresentative(now, contactRotationRounds*c.round()) {
 		out = append(out, CellChanged{Kind: RepresentativeChanged, Cell: r.name,
 			Representative: s.Representative})
@@ -166,23 +166,23 @@
 	if returned || before.Members != s.Members || before.ServingMembers != s.ServingMembers {
 		c.directory.dirty = true
 	}
-	if c.election.representing {
+	if c.election.isRepresentative {
 		if r.sentElsewhere(s) {
 			r.expedited = true // its representative is another now, which may know nothing yet
 		}
-		if r.lost {
+		if r.reportedLost {
 			c.expedite(now)
 		}
 	}
 	if returned {
-		r.lost = false
+		r.reportedLost = false
 		out = append(out, CellChanged{Kind: CellKnown, Cell: r.name, Representative: s.Representative})
 	}
 	return out
 }
 
-// checkLost tells of cells that have become unknown.
-func (c *Coordinator) checkLost(now time.Duration, out []Action) []Action {
+// detectLostCells tells of cells that have become unknown.
+func (c *Coordinator) detectLostCells(now time.Duration, out []Action) []Action {
 	if now < c.nextLostCheckAt {
 		return out
 	}
@@ -190,9 +190,9 @@
 	limit := UnknownAfterRounds * c.round()
 	for _, name := range c.cellNames {
 		r := c.remotes[name]
-		since := max(r.summaryAt, c.election.since)
-		if !r.lost && now-since > limit {
-			r.lost = true
+		since := max(r.summaryAt, c.election.representingSince)
+		if !r.reportedLost && now-since > limit {
+			r.reportedLost = true
 			c.directory.dirty = true
 			out = append(out, CellChanged{Kind: CellLost, Cell: name})
 		}
--- a/internal/fleet/cells/directory.go
+++ b/internal/fleet/cells/directory.go
@@ -20,26 +20,26 @@
 // directoryState is the newest directory of this cell, this relay's own where it represents the cell, and
 // the pace of publishing it.
 type directoryState struct {
-	newest    Directory
-	at        time.Duration // when it came or was published, negative for never
-	seen      sequenceMarks // of those that came
-	seq       uint64        // of this relay's own
-	nextAt    time.Duration
-	dirty     bool           // something in it has changed since it was published
-	inherited []RegionTotals // of the directory before this relay represented the cell
+	newest           Directory
+	updatedAt        time.Duration // when it came or was published, negative for never
+	seenMarks        sequenceMarks // of those that came
+	seq              uint64        // of this relay's own
+	nextPublishAt    time.Duration
+	dirty            bool           // something in it has changed since it was published
+	inheritedRegions []RegionTotals // of the directory before this relay represented the cell
 }
 
-// due is when the next directory may go.
-func (d *directoryState) due() time.Duration {
+// publishDueAt is when the next directory may go.
+func (d *directoryState) publishDueAt() time.Duration {
 	if d.dirty {
-		return d.nextAt - directoryInterval + minDirectoryInterval
+		return d.nextPublishAt - directoryInterval + minDirectoryInterval
 	}
-	return d.nextAt
+	return d.nextPublishAt
 }
 
-// isSilent tells whether no directory has come for long.
-func (d *directoryState) isSilent(now time.Duration) bool {
-	return d.at < 0 || now-d.at > UnknownAfterRounds*directoryInterval
+// isOverdue tells whether no directory has come for long.
+func (d *directoryState) isOverdue(now time.Duration) bool {
+	return d.updatedAt < 0 || now-d.updatedAt > UnknownAfterRounds*directoryInterval
 }
 
 // Totals are sums over the other cells.
@@ -65,16 +65,16 @@
 // knownRegions are the other cells' figures by region: the representative's by the summaries, any other
 // relay's by the representative's directory, and before there is one by the plan.
 func (c *Coordinator) knownRegions(now time.Duration) []RegionTotals {
-	if c.directory.at < 0 || c.election.representing {
-		return c.regionRows(now)
+	if c.directory.updatedAt < 0 || c.election.isRepresentative {
+		return c.regionTotals(now)
 	}
 	return c.directory.newest.Regions
 }
 
-// regionRows sums the summaries by region. A cell that never sent a summary counts by the plan; where
+// regionTotals sums the summaries by region. A cell that never sent a summary counts by the plan; where
 // there is one, and the directory before this relay represented its cell tells more of the region, the
 // region counts by that.
-func (c *Coordinator) regionRows(now time.Duration) []RegionTotals {
+func (c *Coordinator) regionTotals(now time.Duration) []RegionTotals {
 	regions := map[string]*RegionTotals{}
 	incomplete := map[string]bool{}
 	for _, name := range c.cellNames {
@@ -85,7 +85,7 @@
 		if r.summaryAt < 0 {
 			incomplete[r.region] = true
 		}
-		regions[r.region].add(c.cellFigures(now, r))
+		regions[r.region].add(c.cellTotals(now, r))
 	}
 	rows := make([]RegionTotals, 0, len(regions))
 	for _, row := range regions {
@@ -94,14 +94,14 @@
 	slices.SortFunc(rows, func(a, b RegionTotals) int { return cmp.Compare(a.Name, b.Name) })
 	for i := range rows {
 		if incomplete[rows[i].Name] {
-			rows[i].atLeast(c.directory.inherited)
+			rows[i].raiseTo(c.directory.inheritedRegions)
 		}
 	}
 	return foldRegions(rows)
 }
 
-// cellFigures are one other cell's: its last, or those of the plan.
-func (c *Coordinator) cellFigures(now time.Duration, r *remote) RegionTotals {
+// cellTotals are one other cell's: its last, or those of the plan.
+func (c *Coordinator) cellTotals(now time.Duration, r *remoteCell) RegionTotals {
 	if r.summaryAt < 0 {
 		return RegionTotals{Cells: 1, Relays: r.weight, ServingRelays: r.weight}
 	}
@@ -117,7 +117,7 @@
 }
 
 // isUnknown tells whether no summary of a cell has come for long.
-func (c *Coordinator) isUnknown(now time.Duration, r *remote) bool {
+func (c *Coordinator) isUnknown(now time.Duration, r *remoteCell) bool {
 	return r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
 }
 
@@ -132,8 +132,8 @@
 	r.DrainRate += o.DrainRate
 }
 
-// atLeast raises the figures to those of the region's row among the inherited ones.
-func (r *RegionTotals) atLeast(inherited []RegionTotals) {
+// raiseTo raises the figures to those of the region's row among the inherited ones.
+func (r *RegionTotals) raiseTo(inherited []RegionTotals) {
 	i := slices.IndexFunc(inherited, func(o RegionTotals) bool { return o.Name == r.Name })
 	if i < 0 {
 		return
@@ -158,9 +158,9 @@
 	return append(rows[:MaxRegions-1], last)
 }
 
-// informed tells whether a representative has a summary of all cells, or has had the time to get them.
-func (c *Coordinator) informed(now time.Duration) bool {
-	if now-c.election.since >= duration.Scale(c.round(), informedAfterRounds) {
+// readyToPublish tells whether a representative has a summary of all cells, or has had the time to get them.
+func (c *Coordinator) readyToPublish(now time.Duration) bool {
+	if now-c.election.representingSince >= duration.Scale(c.round(), readyToPublishAfterRounds) {
 		return true
 	}
 	unknown := func(name string) bool { return c.isUnknown(now, c.remotes[name]) }
@@ -170,11 +170,11 @@
 // publishDirectoryDue publishes the directory, if it is due and tells enough.
 func (c *Coordinator) publishDirectoryDue(now time.Duration, out []Action) []Action {
 	d := &c.directory
-	if now < d.due() {
+	if now < d.publishDueAt() {
 		return out
 	}
-	d.nextAt = now + directoryInterval
-	if !c.informed(now) { // checked again after minDirectoryInterval, as it is dirty
+	d.nextPublishAt = now + directoryInterval
+	if !c.readyToPublish(now) { // checked again after minDirectoryInterval, as it is dirty
 		return out
 	}
 	d.seq++
@@ -185,9 +185,9 @@
 		Seq:            d.seq,
 		Epoch:          c.local.Epoch,
 		ActivatedPlan:  c.activatedPlan,
-		Regions:        c.regionRows(now),
+		Regions:        c.regionTotals(now),
 	}
-	d.at = now
+	d.updatedAt = now
 	d.dirty = false
 	return append(out, PublishDirectory{d.newest})
 }
@@ -205,16 +205,16 @@
 	out = c.activatePlan(received.ActivatedPlan, out)
 	d := &c.directory
 	mark := sequenceMark{received.Representative, received.Incarnation, received.Seq, now}
-	newer := d.seen.isNewer(mark) && received.Epoch >= d.newest.Epoch
-	if !newer && !d.isSilent(now) {
+	newer := d.seenMarks.isNewer(mark) && received.Epoch >= d.newest.Epoch
+	if !newer && !d.isOverdue(now) {
 		c.drops.Stale++
 		return out
 	}
-	d.seen.note(mark)
-	if c.election.representing {
-		c.election.other, c.election.otherAt = received.Representative, now
+	d.seenMarks.record(mark)
+	if c.election.isRepresentative {
+		c.election.otherRepresentative, c.election.otherDirectoryAt = received.Representative, now
 		return out
 	}
-	d.newest, d.at = received, now
+	d.newest, d.updatedAt = received, now
 	return out
 }
--- a/internal/fleet/cells/evidence.go
+++ b/internal/fleet/cells/evidence.go
@@ -30,7 +30,7 @@
 			return false
 		}
 		r := c.remotes[name]
-		return r == nil || !r.joined(l.Plan, l.PlanHash)
+		return r == nil || !r.hasJoined(l.Plan, l.PlanHash)
 	}
 	if len(names) == 0 || slices.ContainsFunc(names, missing) || !c.anyCellContinued(names) {
 		return out
@@ -44,7 +44,7 @@
 func (c *Coordinator) anyCellContinued(names []string) bool {
 	hasContinued := func(name string) bool {
 		r := c.remotes[name]
-		return r != nil && r.continued(c.local.Plan, c.local.PlanHash)
+		return r != nil && r.hasContinuedInto(c.local.Plan, c.local.PlanHash)
 	}
 	return !c.local.Bootstrapped || slices.ContainsFunc(names, hasContinued)
 }
@@ -60,15 +60,15 @@
 }
 
 // checkMismatch tells once of a cell that has another table under the number of this cell's plan.
-func (c *Coordinator) checkMismatch(r *remote, s Summary, out []Action) []Action {
+func (c *Coordinator) checkMismatch(r *remoteCell, s Summary, out []Action) []Action {
 	if s.Plan != c.local.Plan || s.Plan == 0 {
 		return out
 	}
 	differs := s.PlanHash != c.local.PlanHash
-	if differs && !r.mismatch {
+	if differs && !r.planMismatch {
 		out = append(out, CellChanged{Kind: PlanMismatch, Cell: r.name, Representative: s.Representative,
 			Plan: s.Plan})
 	}
-	r.mismatch = differs
+	r.planMismatch = differs
 	return out
 }
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -10,36 +10,36 @@
 	"capersail/internal/fleet/duration"
 )
 
-// deathKnownWithin is how long after a cell's view has changed every other cell may take to know it.
-const deathKnownWithin = 20 * second
+// maxDeathPropagation is how long after a cell's view has changed every other cell may take to know it.
+const maxDeathPropagation = 20 * second
 
 // A death is known in all other cells within 20 s of its cell's view, also where it is the
 // representative's and a packet in a hundred is lost. A cell that has lost its representative has a whole
 // directory again within three rounds.
-func TestDeathElsewhereIsKnown(t *testing.T) {
+func TestDeathIsKnownInOtherCells(t *testing.T) {
 	slowest, whole, deaths := time.Duration(0), time.Duration(0), 0
 	for seed := range uint64(6) {
-		n := fleetOf(t, seed, large, 2, 4)
-		n.loss, n.double = 0.01, 0.02
-		if n.until(60*second, n.agreed) > 40*second {
+		n := newFleet(t, seed, largeLayout, 2, 4)
+		n.lossRate, n.duplicateRate = 0.01, 0.02
+		if n.advanceUntil(60*second, n.converged) > 40*second {
 			t.Fatal("no agreement at the start")
 		}
 		for i := range 10 {
-			g := n.cells[n.draw.IntN(len(n.cells))]
-			n.pass(duration.Scale(15*second, n.draw.Float64()))
+			g := n.cells[n.rng.IntN(len(n.cells))]
+			n.advance(duration.Scale(15*second, n.rng.Float64()))
 			victim := g.representative()
 			if i%2 == 1 {
 				victim = g.relays[len(g.relays)-1]
 			}
-			if !victim.up || g.members() < g.padding+2 {
+			if !victim.running || g.members() < g.padding+2 {
 				continue
 			}
 			n.kill(victim)
 			deaths++
-			took := n.until(60*second, func() bool { return n.knownEverywhere(g) })
-			all := took + n.until(60*second, n.agreed)
+			took := n.advanceUntil(60*second, func() bool { return n.knownEverywhere(g) })
+			all := took + n.advanceUntil(60*second, n.converged)
 			slowest, whole = max(slowest, took), max(whole, all)
-			if took > deathKnownWithin || all > 3*RoundDuration(len(n.cells)) {
+			if took > maxDeathPropagation || all > 3*RoundDuration(len(n.cells)) {
 				t.Errorf("seed %d: the death of %s is known after %.1f s, "+
 					"all directories are whole after %.1f s",
 					seed, victim.name, took.Seconds(), all.Seconds())
@@ -53,44 +53,44 @@
 // A region that was cut off for ten minutes, both ways or one way, is agreed with everywhere within 20 s,
 // and no representative sends more than three times of what it does at rest in any second.
 func TestRegionComesBack(t *testing.T) {
-	in := func(r *relay) bool { return r.group.region == "region-0" }
+	in := func(r *relay) bool { return r.cell.region == "region-0" }
 	for name, cut := range map[string]func(from, to *relay) bool{
 		"both ways": func(from, to *relay) bool { return in(from) != in(to) },
 		"out":       func(from, to *relay) bool { return in(from) && !in(to) },
 		"in":        func(from, to *relay) bool { return !in(from) && in(to) },
 	} {
-		t.Run(name, func(t *testing.T) { regionComesBack(t, cut) })
+		t.Run(name, func(t *testing.T) { testRegionComesBack(t, cut) })
 	}
 }
 
-func regionComesBack(t *testing.T, cut func(from, to *relay) bool) {
-	n := fleetOf(t, 5, large, 2, 4)
-	n.pass(120 * second)
-	if !n.agreed() {
+func testRegionComesBack(t *testing.T, cut func(from, to *relay) bool) {
+	n := newFleet(t, 5, largeLayout, 2, 4)
+	n.advance(120 * second)
+	if !n.converged() {
 		t.Fatal("no agreement at the start")
 	}
 	rest := n.now
-	n.pass(120 * second)
-	n.cut = cut
-	n.pass(10 * second)
+	n.advance(120 * second)
+	n.isCut = cut
+	n.advance(10 * second)
 	n.kill(n.cells[0].representative())
 	n.kill(n.cells[20].representative())
-	n.pass(590 * second)
-	if n.agreed() || n.changes[CellLost] == 0 {
+	n.advance(590 * second)
+	if n.converged() || n.changes[CellLost] == 0 {
 		t.Fatal("the cut isn't seen")
 	}
-	n.cut = nil
+	n.isCut = nil
 	heal := n.now
-	took := n.until(60*second, n.agreed)
-	fresh := n.until(60*second, func() bool { return n.fresh(heal) })
-	n.pass(30 * second)
+	took := n.advanceUntil(60*second, n.converged)
+	fresh := n.advanceUntil(60*second, func() bool { return n.allSummariesSince(heal) })
+	n.advance(30 * second)
 	most, packets, directories := 0.0, 0, 0
 	for _, g := range n.cells {
-		calm := busiest(g.sent, rest, rest+120*second)
-		after := busiest(g.sent, heal, n.now)
+		calm := maxPerSecond(g.sent, rest, rest+120*second)
+		after := maxPerSecond(g.sent, heal, n.now)
 		most = max(most, float64(after)/float64(max(calm, 1)))
 		packets = max(packets, after)
-		directories = max(directories, busiest(g.published, heal, n.now))
+		directories = max(directories, maxPerSecond(g.published, heal, n.now))
 	}
 	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; "+
 		"a representative's busiest second %d packets and %d directories, %.2f of its busiest at rest",
@@ -103,8 +103,8 @@
 	}
 }
 
-// fresh tells whether every representative has a summary of every cell since a moment.
-func (n *network) fresh(since time.Duration) bool {
+// allSummariesSince tells whether every representative has a summary of every cell since a moment.
+func (n *network) allSummariesSince(since time.Duration) bool {
 	for _, g := range n.cells {
 		for _, r := range g.representative().coordinator.remotes {
 			if r.summaryAt < since {
@@ -121,16 +121,16 @@
 	for _, c := range []struct {
 		zones   []int
 		perZone int
-	}{{[]int{2, 2, 1}, 2}, {large, 2}, {[]int{8, 8, 8, 8}, 4}} {
-		n := fleetOf(t, 2, c.zones, c.perZone, 1)
-		n.pass(30 * second)
+	}{{[]int{2, 2, 1}, 2}, {largeLayout, 2}, {[]int{8, 8, 8, 8}, 4}} {
+		n := newFleet(t, 2, c.zones, c.perZone, 1)
+		n.advance(30 * second)
 		from := n.now
-		n.pass(100 * second)
-		sent := during(n.cells[0].sent, from, n.now)
+		n.advance(100 * second)
+		sent := countBetween(n.cells[0].sent, from, n.now)
 		rates[len(n.cells)] = float64(sent) / 100
 		t.Logf("%d cells: %.2f packets a second of a representative, at most %d in one; a round takes %.1f s",
 			len(n.cells), rates[len(n.cells)],
-			busiest(n.cells[0].sent, from, n.now), RoundDuration(len(n.cells)).Seconds())
+			maxPerSecond(n.cells[0].sent, from, n.now), RoundDuration(len(n.cells)).Seconds())
 	}
 	if most := float64(second) / float64(roundPerCell); rates[10] > 2 || rates[34] > most*1.01 ||
 		rates[128] > most*1.01 {
@@ -176,15 +176,15 @@
 			fmt.Sprintf("%s-%d", cell.Name, i), 1
 		c.Handle(second, SummaryReceived{Summary: other}, nil)
 	}
-	rows := c.regionRows(second)
+	rows := c.regionTotals(second)
 	directory := Directory{Cell: c.cfg.Cell, Representative: c.cfg.Name, Incarnation: 1 << 40, Seq: 1 << 40,
 		Epoch: 1 << 30, ActivatedPlan: 1234, Regions: rows}
 	if err := directory.Check(); err != nil || len(rows) != 5 || rows[1].Relays != 7*64 {
 		t.Fatal(err, rows)
 	}
 	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes", len(summary.DepartedRelays),
-		size(t, summary), len(rows), size(t, directory))
-	if size(t, summary) > 400 || size(t, directory) > 600 {
+		encodedSize(t, summary), len(rows), encodedSize(t, directory))
+	if encodedSize(t, summary) > 400 || encodedSize(t, directory) > 600 {
 		t.Error("too large")
 	}
 	if len(summary.Contacts) != MaxContacts || len(summary.DepartedRelays) < 4 ||
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -21,13 +21,13 @@
 	}
 	f.Add(long)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		plan := drawnPlan(3, 2)
+		plan := regionalPlan(3, 2)
 		c := New(0, Config{Name: "relay-0", Cell: "cell-0", Incarnation: 1, Plan: plan})
 		now, activated := time.Duration(0), uint64(0)
 		for ; len(text) >= 4; text = text[4:] {
 			now += (time.Duration(text[3]) - 40) * 100 * time.Millisecond
 			sent := 0
-			for _, a := range c.Handle(now, drawnEvent(text), nil) {
+			for _, a := range c.Handle(now, eventFromBytes(text), nil) {
 				if send, is := a.(SendSummary); is {
 					sent++
 					if send.Summary.Check() != nil || send.Address == "" {
@@ -46,7 +46,7 @@
 			}
 			activated = c.ActivatedPlan()
 			for _, r := range c.remotes {
-				if len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins {
+				if len(r.seenMarks) > maxRepresentatives || len(r.planJoins) > maxPlanJoins {
 					t.Fatal("memory of a cell grows")
 				}
 			}
@@ -54,8 +54,8 @@
 	})
 }
 
-// drawnEvent makes an event of four bytes.
-func drawnEvent(text []byte) Event {
+// eventFromBytes makes an event of four bytes.
+func eventFromBytes(text []byte) Event {
 	kind, a, b := text[0], int(text[1]), int(text[2])
 	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9),
 		Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
@@ -82,13 +82,13 @@
 				Epoch: summary.Epoch, ActivatedPlan: uint64(b % 4),
 				Regions: []RegionTotals{{Name: "region-0", Cells: a, KnownCells: b, Relays: a, ServingRelays: b}}}}
 	case 4:
-		return PlanChanged{drawnPlan(1+a%16, uint64(1+b%6))}
+		return PlanChanged{regionalPlan(1+a%16, uint64(1+b%6))}
 	}
 	return Tick{}
 }
 
-// drawnPlan is of so many cells in three regions.
-func drawnPlan(cells int, number uint64) cellplan.Plan {
+// regionalPlan is of so many cells in three regions.
+func regionalPlan(cells int, number uint64) cellplan.Plan {
 	plan := cellplan.Plan{Number: number}
 	for i := range cells {
 		region := fmt.Sprintf("region-%d", i%3)
--- a/internal/fleet/cells/marks.go
+++ b/internal/fleet/cells/marks.go
@@ -35,8 +35,8 @@
 	return i < 0 || s[i].less(m)
 }
 
-// note remembers a mark in place of its representative's last, or of the oldest where there are too many.
-func (s *sequenceMarks) note(m sequenceMark) {
+// record remembers a mark in place of its representative's last, or of the oldest where there are too many.
+func (s *sequenceMarks) record(m sequenceMark) {
 	if i := s.find(m.representative); i >= 0 {
 		*s = slices.Delete(*s, i, i+1)
 	} else if len(*s) == maxRepresentatives {
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -20,48 +20,48 @@
 // network is a simulated network of cells on a set clock: packets between relays are delayed, lost,
 // doubled and so reordered, and cut where a test says so.
 type network struct {
-	t         *testing.T
-	now       time.Duration
-	events    events
-	order     int
-	draw      *rand.Rand
-	loss      float64
-	double    float64
-	cut       func(from, to *relay) bool // nil for nowhere
-	cells     []*group
-	byName    map[string]*relay
-	byAddress map[string]*relay
-	plan      cellplan.Plan
-	changes   map[ChangeKind]int
-	check     func() // after each event; nil for nothing
-	sizes     struct{ summary, directory int }
-	trace     *trace.Trace // of all actions; nil for none
+	t             *testing.T
+	now           time.Duration
+	events        events
+	order         int
+	rng           *rand.Rand
+	lossRate      float64
+	duplicateRate float64
+	isCut         func(from, to *relay) bool // nil for nowhere
+	cells         []*simulatedCell
+	byName        map[string]*relay
+	byAddress     map[string]*relay
+	plan          cellplan.Plan
+	changes       map[ChangeKind]int
+	afterEvent    func() // after each event; nil for nothing
+	sizes         struct{ summary, directory int }
+	trace         *trace.Trace // of all actions; nil for none
 }
 
-// group is a cell with what its view says.
-type group struct {
-	name       string
-	region     string
-	relays     []*relay
-	padding    int // members that aren't simulated
-	epoch      uint64
-	plan       uint64
-	hash       uint64
-	joinedPlan uint64
-	names      []string // of the view's Allocation
+// simulatedCell is a cell with what its view says.
+type simulatedCell struct {
+	name          string
+	region        string
+	relays        []*relay
+	padding       int // members that aren't simulated
+	epoch         uint64
+	plan          uint64
+	hash          uint64
+	joinedPlan    uint64
+	requiredCells []string // of the view's Allocation
 
 	sent, published []time.Duration // when its relays sent summaries to other cells, and directories
 }
 
 type relay struct {
-	group       *group
-	name        string
-	address     string
-	incarnation uint64
-	up          bool
-	coordinator *Coordinator
-	wake        time.Duration
-	believes    func(r *relay) bool
+	cell          *simulatedCell
+	name          string
+	address       string
+	incarnation   uint64
+	running       bool
+	coordinator   *Coordinator
+	wakeAt        time.Duration
+	believesAlive func(r *relay) bool
 }
 
 type event struct {
@@ -84,10 +84,10 @@
 	return last
 }
 
-// fleetOf makes cells in regions of the given numbers of zones, perZone in each zone, with so many relays
+// newFleet makes cells in regions of the given numbers of zones, perZone in each zone, with so many relays
 // simulated.
-func fleetOf(t *testing.T, seed uint64, zones []int, perZone, relays int) *network {
-	n := &network{t: t, draw: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{},
+func newFleet(t *testing.T, seed uint64, zones []int, perZone, relays int) *network {
+	n := &network{t: t, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{},
 		byAddress: map[string]*relay{}, changes: map[ChangeKind]int{}}
 	n.plan.Number = 1
 	for region, count := range zones {
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	for _, g := range n.cells {
-		g.plan, g.joinedPlan, g.hash, g.names = 1, 1, n.plan.Hash(), n.plan.CellNames()
+		g.plan, g.joinedPlan, g.hash, g.requiredCells = 1, 1, n.plan.Hash(), n.plan.CellNames()
 		for _, r := range g.relays {
 			n.start(r)
 		}
@@ -116,14 +116,14 @@
 }
 
 func (n *network) addCell(region, zone, i, relays int) {
-	g := &group{region: fmt.Sprintf("region-%d", region), epoch: 3, padding: 32 - relays}
+	g := &simulatedCell{region: fmt.Sprintf("region-%d", region), epoch: 3, padding: 32 - relays}
 	g.name = fmt.Sprintf("region-%d-%c-%d", region, 'a'+zone, i)
 	cell := cellplan.Cell{Name: g.name, Region: g.region, Zone: fmt.Sprintf("region-%d-%c", region, 'a'+zone),
 		Relays: 32}
 	for j := range relays {
 		address := fmt.Sprintf("10.%d.%d.%d:7946", len(n.cells), zone, j+1)
-		r := &relay{group: g, name: fmt.Sprintf("%s-relay-%02d", g.name, j), address: address,
-			believes: func(r *relay) bool { return r.up }}
+		r := &relay{cell: g, name: fmt.Sprintf("%s-relay-%02d", g.name, j), address: address,
+			believesAlive: func(r *relay) bool { return r.running }}
 		g.relays = append(g.relays, r)
 		n.byName[r.name], n.byAddress[address] = r, r
 		cell.Contacts = append(cell.Contacts, address)
@@ -135,9 +135,9 @@
 // start makes a new process of a relay.
 func (n *network) start(r *relay) {
 	r.incarnation++
-	r.up, r.wake = true, -1
-	r.coordinator = New(n.now, Config{Name: r.name, Cell: r.group.name, Incarnation: r.incarnation,
-		Plan: n.plan, Seed: n.draw.Uint64()})
+	r.running, r.wakeAt = true, -1
+	r.coordinator = New(n.now, Config{Name: r.name, Cell: r.cell.name, Incarnation: r.incarnation,
+		Plan: n.plan, Seed: n.rng.Uint64()})
 }
 
 func (n *network) after(delay time.Duration, do func()) {
@@ -152,20 +152,20 @@
 	})
 }
 
-// pass lets time pass.
-func (n *network) pass(span time.Duration) { n.until(span, func() bool { return false }) }
+// advance lets time advance.
+func (n *network) advance(span time.Duration) { n.advanceUntil(span, func() bool { return false }) }
 
-// until lets time pass until something holds, and returns how long that took; duration.Forever if it
+// advanceUntil lets time pass advanceUntil something holds, and returns how long that took; duration.Forever if it
 // didn't within the limit. It checks every tenth of a second.
-func (n *network) until(limit time.Duration, holds func() bool) time.Duration {
+func (n *network) advanceUntil(limit time.Duration, holds func() bool) time.Duration {
 	from := n.now
 	nextCheck := n.now
 	for len(n.events) > 0 && n.events[0].at <= from+limit {
 		e := heap.Pop(&n.events).(event)
 		n.now = e.at
 		e.do()
-		if n.check != nil {
-			n.check()
+		if n.afterEvent != nil {
+			n.afterEvent()
 		}
 		if n.now < nextCheck {
 			continue
@@ -181,28 +181,28 @@
 
 // local is what a relay knows of its cell.
 func (n *network) local(r *relay) LocalCell {
-	g := r.group
+	g := r.cell
 	l := LocalCell{Members: g.members(), ServingMembers: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash,
-		RequiredCells: g.names, JoinedPlan: g.joinedPlan,
+		RequiredCells: g.requiredCells, JoinedPlan: g.joinedPlan,
 		RequestRate: 100 * float64(g.members()), OpenConnections: 1000 * g.members()}
 	for _, other := range g.relays {
-		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address, Alive: r.believes(other)})
+		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address, Alive: r.believesAlive(other)})
 	}
 	return l
 }
 
-func (g *group) members() (count int) {
+func (g *simulatedCell) members() (count int) {
 	for _, r := range g.relays {
-		if r.up {
+		if r.running {
 			count++
 		}
 	}
 	return count + g.padding
 }
 
-func (g *group) representative() *relay {
+func (g *simulatedCell) representative() *relay {
 	for _, r := range g.relays {
-		if r.up {
+		if r.running {
 			return r
 		}
 	}
@@ -210,50 +210,50 @@
 }
 
 // updateCell tells the relays of a cell how it is.
-func (n *network) updateCell(g *group) {
+func (n *network) updateCell(g *simulatedCell) {
 	for _, r := range g.relays {
 		n.handle(r, n.local(r))
 	}
 }
 
 func (n *network) handle(r *relay, ev Event) {
-	if !r.up {
+	if !r.running {
 		return
 	}
 	for _, a := range r.coordinator.Handle(n.now, ev, nil) {
-		n.do(r, a)
+		n.execute(r, a)
 	}
 	next := r.coordinator.NextTickAt()
 	if next == duration.DistantFuture {
 		return
 	}
 	incarnation, wake := r.incarnation, max(next, n.now)
-	if wake == r.wake {
+	if wake == r.wakeAt {
 		return // it is on its way
 	}
-	r.wake = wake
+	r.wakeAt = wake
 	n.after(wake-n.now, func() {
-		if r.wake == wake && r.incarnation == incarnation {
+		if r.wakeAt == wake && r.incarnation == incarnation {
 			n.handle(r, Tick{})
 		}
 	})
 }
 
-func (n *network) do(r *relay, a Action) {
+func (n *network) execute(r *relay, a Action) {
 	record(n.trace, r, a)
 	switch a := a.(type) {
 	case SendSummary:
-		r.group.sent = append(r.group.sent, n.now)
-		n.sizes.summary = max(n.sizes.summary, size(n.t, a.Summary))
+		r.cell.sent = append(r.cell.sent, n.now)
+		n.sizes.summary = max(n.sizes.summary, encodedSize(n.t, a.Summary))
 		n.packet(r, n.byAddress[a.Address], SummaryReceived{From: r.name, Summary: a.Summary})
 	case ForwardSummary:
 		n.packet(r, n.byName[a.To], SummaryReceived{From: r.name, Summary: a.Summary})
 	case PublishDirectory:
-		r.group.published = append(r.group.published, n.now)
-		n.sizes.directory = max(n.sizes.directory, size(n.t, a.Directory))
-		for _, other := range r.group.relays {
+		r.cell.published = append(r.cell.published, n.now)
+		n.sizes.directory = max(n.sizes.directory, encodedSize(n.t, a.Directory))
+		for _, other := range r.cell.relays {
 			if other != r { // gossip passes it on several times, so that hardly any is lost
-				n.after(100*time.Millisecond+duration.Scale(400*time.Millisecond, n.draw.Float64()),
+				n.after(100*time.Millisecond+duration.Scale(400*time.Millisecond, n.rng.Float64()),
 					func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
 			}
 		}
@@ -268,28 +268,28 @@
 		n.t.Fatal("a packet to nobody")
 	}
 	copies := 1
-	if n.draw.Float64() < n.double {
+	if n.rng.Float64() < n.duplicateRate {
 		copies = 2
 	}
 	for range copies {
-		if n.draw.Float64() < n.loss || n.cut != nil && n.cut(from, to) {
+		if n.rng.Float64() < n.lossRate || n.isCut != nil && n.isCut(from, to) {
 			continue
 		}
-		n.after(10*time.Millisecond+duration.Scale(140*time.Millisecond, n.draw.Float64()),
+		n.after(10*time.Millisecond+duration.Scale(140*time.Millisecond, n.rng.Float64()),
 			func() { n.handle(to, ev) })
 	}
 }
 
 // kill ends a relay; its cell's view leaves it out after a while.
 func (n *network) kill(r *relay) {
-	r.up = false
-	r.group.epoch++
-	n.updateCell(r.group)
+	r.running = false
+	r.cell.epoch++
+	n.updateCell(r.cell)
 }
 
 // knownEverywhere tells whether every relay of the other cells has a directory with the true number of
 // relays in a cell's region.
-func (n *network) knownEverywhere(g *group) bool {
+func (n *network) knownEverywhere(g *simulatedCell) bool {
 	for _, other := range n.cells {
 		if other == g {
 			continue
@@ -302,7 +302,7 @@
 		}
 		for _, r := range other.relays {
 			holds := func(row RegionTotals) bool { return row.Name == g.region && row.Relays == want }
-			if r.up && !slices.ContainsFunc(r.coordinator.directory.newest.Regions, holds) {
+			if r.running && !slices.ContainsFunc(r.coordinator.directory.newest.Regions, holds) {
 				return false
 			}
 		}
@@ -310,12 +310,12 @@
 	return true
 }
 
-// agreed tells whether every relay has a directory with all other cells known and their true numbers of
+// converged tells whether every relay has a directory with all other cells known and their true numbers of
 // relays.
-func (n *network) agreed() bool {
+func (n *network) converged() bool {
 	for _, g := range n.cells {
 		for _, r := range g.relays {
-			if r.up && !n.informed(r) {
+			if r.running && !n.hasTrueDirectory(r) {
 				return false
 			}
 		}
@@ -323,8 +323,8 @@
 	return true
 }
 
-// informed tells whether a relay has a true directory.
-func (n *network) informed(r *relay) bool {
+// hasTrueDirectory tells whether a relay has a true directory.
+func (n *network) hasTrueDirectory(r *relay) bool {
 	var want []RegionTotals
 	for _, g := range n.cells {
 		i := slices.IndexFunc(want, func(row RegionTotals) bool { return row.Name == g.region })
@@ -332,7 +332,7 @@
 			want = append(want, RegionTotals{Name: g.region})
 			i = len(want) - 1
 		}
-		if g != r.group {
+		if g != r.cell {
 			want[i].add(RegionTotals{Cells: 1, KnownCells: 1, Relays: g.members(), ServingRelays: g.members()})
 		}
 	}
@@ -344,8 +344,8 @@
 	})
 }
 
-// busiest is the most events in any second of a span.
-func busiest(times []time.Duration, from, to time.Duration) (most int) {
+// maxPerSecond is the most events in any second of a span.
+func maxPerSecond(times []time.Duration, from, to time.Duration) (most int) {
 	for i, t := range times {
 		if t < from || t >= to {
 			continue
@@ -361,8 +361,8 @@
 	return most
 }
 
-// during counts the events of a span.
-func during(times []time.Duration, from, to time.Duration) (count int) {
+// countBetween counts the events of a span.
+func countBetween(times []time.Duration, from, to time.Duration) (count int) {
 	for _, t := range times {
 		if t >= from && t < to {
 			count++
@@ -371,7 +371,7 @@
 	return count
 }
 
-func size(t *testing.T, v any) int {
+func encodedSize(t *testing.T, v any) int {
 	text, err := cbor.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
@@ -379,5 +379,5 @@
 	return len(text)
 }
 
-// large is the fleet that the package is made for: 34 cells in 5 regions and 17 zones.
-var large = []int{4, 4, 3, 3, 3}
+// largeLayout is the fleet that the package is made for: 34 cells in 5 regions and 17 zones.
+var largeLayout = []int{4, 4, 3, 3, 3}
--- a/internal/fleet/cells/remote.go
+++ b/internal/fleet/cells/remote.go
@@ -8,28 +8,28 @@
 // maxPlanJoins is how many of a cell's words to have joined a plan are remembered.
 const maxPlanJoins = 4
 
-// remote is what is known of another cell.
-type remote struct {
+// remoteCell is what is known of another cell.
+type remoteCell struct {
 	name         string
 	region       string
 	weight       int // its relays by the plan
 	planContacts []string
 
-	summary   Summary       // the newest
-	summaryAt time.Duration // when it came, negative for never
-	lost      bool          // it was reported as lost
-	seen      sequenceMarks
-	lastStale sequenceMark // the last that was not newer; see acceptSummary
+	summary      Summary       // the newest
+	summaryAt    time.Duration // when it came, negative for never
+	reportedLost bool          // it was reported as lost
+	seenMarks    sequenceMarks
+	lastRejected sequenceMark // the last that was not newer; see acceptSummary
 
 	joinedThrough uint64 // it has been through all plans up to this one
 	planJoins     []planJoin
-	mismatch      bool // it was reported as having another table
+	planMismatch  bool // it was reported as having another table
 
-	contact                 int // index in addresses()
-	rotatedAt               time.Duration
-	sentTo                  string // the last address, "" for none since this relay represents its cell
+	contactIndex            int // index in addresses()
+	contactRotatedAt        time.Duration
+	lastAddress             string // the last address, "" for none since this relay represents its cell
 	expedited               bool   // its summary is due out of turn
-	sentEarly               bool   // it got one out of turn since its last turn
+	sentOutOfTurn           bool   // it got one out of turn since its last turn
 	announcedRepresentative string // that was reported last
 }
 
@@ -41,7 +41,7 @@
 }
 
 // addresses are where the cell may be reached: what it says itself before what the plan says.
-func (r *remote) addresses() []string {
+func (r *remoteCell) addresses() []string {
 	all := slices.Clone(r.summary.Contacts)
 	for _, address := range r.planContacts {
 		if !slices.Contains(all, address) {
@@ -52,48 +52,48 @@
 }
 
 // sentElsewhere tells whether the last summary went to another address than that of a summary's sender.
-func (r *remote) sentElsewhere(s Summary) bool {
-	return len(s.Contacts) > 0 && r.sentTo != "" && r.sentTo != s.Contacts[0]
+func (r *remoteCell) sentElsewhere(s Summary) bool {
+	return len(s.Contacts) > 0 && r.lastAddress != "" && r.lastAddress != s.Contacts[0]
 }
 
-// address is where the next summary goes, "" if there is nowhere. Another contact is taken when nothing
+// nextAddress is where the next summary goes, "" if there is nowhere. Another contact is taken when nothing
 // has been heard for two rounds, and then each round; each time, while nothing has been heard since this
-// relay represents its cell: the other cell doesn't know its address yet.
-func (r *remote) address(now, round, representingSince time.Duration) string {
+// relay represents its cell: the other cell doesn't know its nextAddress yet.
+func (r *remoteCell) nextAddress(now, round, representingSince time.Duration) string {
 	all := r.addresses()
 	if len(all) == 0 {
 		return ""
 	}
-	silent := now-r.summaryAt > contactRotationRounds*round && now-r.rotatedAt >= round
-	unanswered := r.summaryAt < representingSince && r.sentTo != ""
+	silent := now-r.summaryAt > contactRotationRounds*round && now-r.contactRotatedAt >= round
+	unanswered := r.summaryAt < representingSince && r.lastAddress != ""
 	if silent || unanswered {
-		r.contact++
-		r.rotatedAt = now
+		r.contactIndex++
+		r.contactRotatedAt = now
 	}
-	return all[r.contact%len(all)]
+	return all[r.contactIndex%len(all)]
 }
 
 // acceptSummary tells whether a summary is newer than what is known of its representative, and notes it.
 // A representative that has lost its numbers would never be newer: once the cell is unknown, one whose
 // old numbers rise is taken as it is.
-func (r *remote) acceptSummary(now time.Duration, s Summary, unknown bool) bool {
+func (r *remoteCell) acceptSummary(now time.Duration, s Summary, unknown bool) bool {
 	mark := sequenceMark{s.Representative, s.Incarnation, s.Seq, now}
-	if !r.seen.isNewer(mark) {
-		rises := r.lastStale.representative == s.Representative && r.lastStale.less(mark)
-		r.lastStale = mark
+	if !r.seenMarks.isNewer(mark) {
+		rises := r.lastRejected.representative == s.Representative && r.lastRejected.less(mark)
+		r.lastRejected = mark
 		if !unknown || !rises {
 			return false
 		}
 	}
-	r.seen.note(mark)
-	r.lastStale = sequenceMark{}
+	r.seenMarks.record(mark)
+	r.lastRejected = sequenceMark{}
 	return true
 }
 
 // announceRepresentative tells whether it is to be reported that the cell has another representative:
 // the one announced before has been silent for a while. Two that represent it at once would be announced
 // each time.
-func (r *remote) announceRepresentative(now, silence time.Duration) bool {
+func (r *remoteCell) announceRepresentative(now, silence time.Duration) bool {
 	current := r.summary.Representative
 	if current == r.announcedRepresentative {
 		return false
@@ -101,7 +101,7 @@
 	heardLately := func(m sequenceMark) bool {
 		return m.representative == r.announcedRepresentative && now-m.receivedAt <= silence
 	}
-	if slices.ContainsFunc(r.seen, heardLately) {
+	if slices.ContainsFunc(r.seenMarks, heardLately) {
 		return false
 	}
 	first := r.announcedRepresentative == ""
@@ -109,11 +109,11 @@
 	return !first
 }
 
-// notePlans keeps what a summary tells of plans joined. It is true whenever it comes, so that also an old
+// recordJoinedPlan keeps what a summary tells of plans joined. It is true whenever it comes, so that also an old
 // summary counts, and nothing takes it back. A cell joins a plan only after the one before has been
 // activated, by all cells with one table, so that whoever is in a later plan has been through the earlier
 // ones.
-func (r *remote) notePlans(s Summary) {
+func (r *remoteCell) recordJoinedPlan(s Summary) {
 	if s.JoinedPlan == 0 {
 		return
 	}
@@ -133,13 +133,13 @@
 	r.planJoins = append(r.planJoins, join)
 }
 
-// joined tells whether the cell is known to have joined a plan with this table.
-func (r *remote) joined(plan, hash uint64) bool {
+// hasJoined tells whether the cell is known to have hasJoined a plan with this table.
+func (r *remoteCell) hasJoined(plan, hash uint64) bool {
 	byTable := func(j planJoin) bool { return j.plan == plan && j.hash == hash }
 	return r.joinedThrough >= plan || slices.ContainsFunc(r.planJoins, byTable)
 }
 
-// continued tells whether the cell is known to have come into a plan with this table from the plan before.
-func (r *remote) continued(plan, hash uint64) bool {
+// hasContinuedInto tells whether the cell is known to have come into a plan with this table from the plan before.
+func (r *remoteCell) hasContinuedInto(plan, hash uint64) bool {
 	return r.joinedThrough >= plan || slices.Contains(r.planJoins, planJoin{plan, hash, false})
 }
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -60,15 +60,15 @@
 		Region:         own.Region,
 		Representative: c.election.representative,
 		Plan:           c.local.Plan,
-		PlanHash:       hex(c.local.PlanHash),
+		PlanHash:       formatHash(c.local.PlanHash),
 		JoinedPlan:     c.local.JoinedPlan,
 		ActivatedPlan:  c.activatedPlan,
 		FilePlan:       c.plan.Number,
 		DirectoryAgeMs: -1,
 		Drops:          c.drops,
 	}
-	if c.directory.at >= 0 {
-		report.DirectoryAgeMs = duration.Millis(now - c.directory.at)
+	if c.directory.updatedAt >= 0 {
+		report.DirectoryAgeMs = duration.Millis(now - c.directory.updatedAt)
 	}
 	for _, row := range c.knownRegions(now) {
 		report.Regions = append(report.Regions, RegionReport{RegionTotals: row})
@@ -107,7 +107,7 @@
 		Representative:  c.election.representative,
 		Epoch:           l.Epoch,
 		Plan:            l.Plan,
-		PlanHash:        hex(l.PlanHash),
+		PlanHash:        formatHash(l.PlanHash),
 		JoinedPlan:      l.JoinedPlan,
 		Relays:          l.Members,
 		ServingRelays:   l.ServingMembers,
@@ -119,7 +119,7 @@
 }
 
 // cellReport is another cell's row.
-func (c *Coordinator) cellReport(now time.Duration, r *remote) CellReport {
+func (c *Coordinator) cellReport(now time.Duration, r *remoteCell) CellReport {
 	s := r.summary
 	report := CellReport{
 		Name:            r.name,
@@ -128,8 +128,8 @@
 		Representative:  s.Representative,
 		Epoch:           s.Epoch,
 		Plan:            s.Plan,
-		PlanHash:        hex(s.PlanHash),
-		PlanMismatch:    r.mismatch,
+		PlanHash:        formatHash(s.PlanHash),
+		PlanMismatch:    r.planMismatch,
 		JoinedPlan:      s.JoinedPlan,
 		Relays:          s.Members,
 		ServingRelays:   s.ServingMembers,
@@ -137,7 +137,7 @@
 		OpenConnections: s.OpenConnections,
 		DrainRate:       s.DrainRate,
 		DepartedRelays:  s.DepartedRelays,
-		Contact:         r.sentTo,
+		Contact:         r.lastAddress,
 	}
 	if r.summaryAt >= 0 {
 		report.AgeMs = duration.Millis(now - r.summaryAt)
@@ -145,4 +145,4 @@
 	return report
 }
 
-func hex(hash uint64) string { return strconv.FormatUint(hash, 16) }
+func formatHash(hash uint64) string { return strconv.FormatUint(hash, 16) }
--- a/internal/fleet/cells/representative_test.go
+++ b/internal/fleet/cells/representative_test.go
@@ -11,30 +11,30 @@
 	"capersail/internal/fleet/duration"
 )
 
-// small is three cells in two regions.
-var small = []int{2, 1}
+// smallLayout is three cells in two regions.
+var smallLayout = []int{2, 1}
 
 // Two relays that both believe to represent their cell do no harm: all stay agreed, no change is reported
 // again and again.
 func TestTwoRepresentativesAtOnceAgree(t *testing.T) {
-	n := fleetOf(t, 3, small, 1, 3)
-	n.loss, n.double = 0.05, 0.1
-	n.pass(60 * second)
+	n := newFleet(t, 3, smallLayout, 1, 3)
+	n.lossRate, n.duplicateRate = 0.05, 0.1
+	n.advance(60 * second)
 	g := n.cells[0]
 	first := g.relays[0]
-	g.relays[1].believes = func(r *relay) bool { return r != first }
+	g.relays[1].believesAlive = func(r *relay) bool { return r != first }
 	n.updateCell(g)
-	n.pass(20 * second)
-	if !g.relays[0].coordinator.election.representing || !g.relays[1].coordinator.election.representing {
+	n.advance(20 * second)
+	if !g.relays[0].coordinator.election.isRepresentative || !g.relays[1].coordinator.election.isRepresentative {
 		t.Fatal("there are no two speakers")
 	}
 	reported := n.changes[RepresentativeChanged]
 	for range 30 {
-		n.pass(10 * second)
-		if !n.agreed() {
+		n.advance(10 * second)
+		if !n.converged() {
 			for _, r := range n.byName {
-				t.Log(n.now, r.name, n.informed(r), r.coordinator.election.representing,
-					r.coordinator.election.other,
+				t.Log(n.now, r.name, n.hasTrueDirectory(r), r.coordinator.election.isRepresentative,
+					r.coordinator.election.otherRepresentative,
 					r.coordinator.directory.newest)
 			}
 			t.Fatal("two speakers break the agreement")
@@ -47,28 +47,28 @@
 }
 
 // A representative that comes back with numbers lower than it has sent is taken again, but no old packet is.
-func TestRepresentativeWithOldNumbersIsHeardAgain(t *testing.T) {
-	n := fleetOf(t, 4, small, 1, 1)
-	n.pass(60 * second)
+func TestRepresentativeWithOldNumbersIsAcceptedAgain(t *testing.T) {
+	n := newFleet(t, 4, smallLayout, 1, 1)
+	n.advance(60 * second)
 	g := n.cells[0]
 	n.kill(g.relays[0])
-	n.pass(60 * second)
+	n.advance(60 * second)
 	if n.changes[CellLost] == 0 {
 		t.Fatal("the cell isn't missed")
 	}
 	g.relays[0].incarnation = 0 // its next process is its first once more
 	n.start(g.relays[0])
 	n.updateCell(g)
-	if took := n.until(60*second, n.agreed); took > 25*second {
+	if took := n.advanceUntil(60*second, n.converged); took > 25*second {
 		t.Errorf("taken again after %.1f s", took.Seconds())
 	}
 }
 
 func TestOldPacketsDoNotMakeACellKnown(t *testing.T) {
-	c, plan := one(t)
-	said := heardFrom(plan, "b", 5)
+	c, plan := newTestCoordinator(t)
+	said := summaryOf(plan, "b", 5)
 	c.Handle(0, SummaryReceived{Summary: said}, nil)
-	for i, s := range []Summary{said, heardFrom(plan, "b", 4), heardFrom(plan, "b", 3)} {
+	for i, s := range []Summary{said, summaryOf(plan, "b", 4), summaryOf(plan, "b", 3)} {
 		s.Members, s.ServingMembers = 3, 3
 		c.Handle(second, SummaryReceived{Summary: s}, nil)
 		if c.remotes["b"].summary.Members != 32 {
@@ -81,12 +81,12 @@
 	// Nor does one that comes long after, nor its double: only a representative that goes on telling.
 	late := 1000 * second
 	for range 3 {
-		c.Handle(late, SummaryReceived{Summary: heardFrom(plan, "b", 2)}, nil)
+		c.Handle(late, SummaryReceived{Summary: summaryOf(plan, "b", 2)}, nil)
 	}
 	if c.remotes["b"].summaryAt != 0 {
 		t.Error("a doubled old packet makes a dead cell live")
 	}
-	c.Handle(late, SummaryReceived{Summary: heardFrom(plan, "b", 3)}, nil)
+	c.Handle(late, SummaryReceived{Summary: summaryOf(plan, "b", 3)}, nil)
 	if c.remotes["b"].summaryAt != late {
 		t.Error("a representative that has lost its numbers is never taken again")
 	}
@@ -94,8 +94,8 @@
 
 // What a part of a cell with an older view tells doesn't replace what the newer one does.
 func TestSummaryOfAnOlderViewIsStale(t *testing.T) {
-	c, plan := one(t)
-	newer, older := heardFrom(plan, "b", 5), heardFrom(plan, "b", 9)
+	c, plan := newTestCoordinator(t)
+	newer, older := summaryOf(plan, "b", 5), summaryOf(plan, "b", 9)
 	newer.Epoch, older.Epoch, older.Representative, older.Members, older.ServingMembers = 8, 7, "b-2", 2, 2
 	c.Handle(0, SummaryReceived{Summary: newer}, nil)
 	c.Handle(second, SummaryReceived{Summary: older}, nil)
@@ -112,15 +112,15 @@
 // A relay that is no representative forwards a summary to the one that is, and one that was forwarded to
 // nobody.
 func TestSummaryIsForwardedOnce(t *testing.T) {
-	c, plan := one(t)
+	c, plan := newTestCoordinator(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-0", Alive: true}, {Name: "a-1", Alive: true}},
 		Members: 2}, nil)
-	out := c.Handle(second, SummaryReceived{Summary: heardFrom(plan, "b", 1)}, nil)
+	out := c.Handle(second, SummaryReceived{Summary: summaryOf(plan, "b", 1)}, nil)
 	i := slices.IndexFunc(out, func(a Action) bool { _, is := a.(ForwardSummary); return is })
 	if i < 0 || out[i].(ForwardSummary).To != "a-0" || !out[i].(ForwardSummary).Summary.Forwarded {
 		t.Fatal(out)
 	}
-	passed := heardFrom(plan, "b", 2)
+	passed := summaryOf(plan, "b", 2)
 	passed.Forwarded = true
 	for _, a := range c.Handle(second, SummaryReceived{Summary: passed}, nil) {
 		if _, is := a.(ForwardSummary); is {
@@ -131,21 +131,21 @@
 
 // When a cell's contact is dead, another is tried until one answers.
 func TestSilentContactsRotate(t *testing.T) {
-	n := fleetOf(t, 8, small, 1, 4)
-	n.pass(60 * second)
+	n := newFleet(t, 8, smallLayout, 1, 4)
+	n.advance(60 * second)
 	g := n.cells[1]
-	isolated := func(r *relay) bool { return r.group == g }
-	n.cut = func(from, to *relay) bool { return isolated(from) != isolated(to) }
-	n.pass(20 * second)
+	isolated := func(r *relay) bool { return r.cell == g }
+	n.isCut = func(from, to *relay) bool { return isolated(from) != isolated(to) }
+	n.advance(20 * second)
 	for _, r := range g.relays[:3] {
 		n.kill(r)
 	}
-	n.pass(100 * second)
+	n.advance(100 * second)
 	// only its own contacts can tell
-	n.cut = func(from, to *relay) bool { return isolated(from) && !isolated(to) }
+	n.isCut = func(from, to *relay) bool { return isolated(from) && !isolated(to) }
 	heal := n.now
-	took := n.until(300*second, func() bool {
-		return !slices.ContainsFunc(n.cells, func(o *group) bool {
+	took := n.advanceUntil(300*second, func() bool {
+		return !slices.ContainsFunc(n.cells, func(o *simulatedCell) bool {
 			return o != g &&
 				g.relays[3].coordinator.remotes[o.name].summaryAt < heal
 		})
@@ -158,15 +158,15 @@
 
 // A new representative doesn't forget the figures of a cell of which it never had a summary.
 func TestNewRepresentativeInheritsFigures(t *testing.T) {
-	n := fleetOf(t, 9, small, 1, 3)
-	n.pass(60 * second)
+	n := newFleet(t, 9, smallLayout, 1, 3)
+	n.advance(60 * second)
 	cutOff := n.cells[2]
-	n.cut = func(from, to *relay) bool { return (from.group == cutOff) != (to.group == cutOff) }
-	n.pass(60 * second)
+	n.isCut = func(from, to *relay) bool { return (from.cell == cutOff) != (to.cell == cutOff) }
+	n.advance(60 * second)
 	before := n.cells[0].relays[2].coordinator.OtherCellTotals(n.now)
 	n.kill(n.cells[0].relays[0])
 	for range 60 {
-		n.pass(second)
+		n.advance(second)
 		if got := n.cells[0].relays[1].coordinator.OtherCellTotals(n.now); got != before {
 			t.Fatalf("the new representative counts %+v, before with %+v", got, before)
 		}
@@ -178,14 +178,14 @@
 }
 
 // A new representative tells nothing of the other cells before it knows of them.
-func TestNewRepresentativeHearsBeforeItPublishes(t *testing.T) {
-	n := fleetOf(t, 12, small, 1, 3)
-	n.pass(60 * second)
+func TestNewRepresentativeWaitsForSummariesBeforePublishing(t *testing.T) {
+	n := newFleet(t, 12, smallLayout, 1, 3)
+	n.advance(60 * second)
 	g := n.cells[0]
 	n.kill(g.relays[0])
 	for range 300 {
-		n.pass(second / 10)
-		if !n.informed(g.relays[1]) || !n.informed(g.relays[2]) {
+		n.advance(second / 10)
+		if !n.hasTrueDirectory(g.relays[1]) || !n.hasTrueDirectory(g.relays[2]) {
 			t.Fatalf("published to its cell: %+v", g.relays[2].coordinator.directory.newest)
 		}
 	}
@@ -193,8 +193,8 @@
 
 // A representative that was stopped for a while doesn't make up for what it has missed.
 func TestNoBurstAfterAPause(t *testing.T) {
-	n := fleetOf(t, 10, large, 2, 1)
-	n.pass(60 * second)
+	n := newFleet(t, 10, largeLayout, 2, 1)
+	n.advance(60 * second)
 	c := n.cells[0].relays[0].coordinator
 	now := n.now + 500*second
 	sent := 0
@@ -213,20 +213,20 @@
 // A change soon after another is sent in an expedited round of its own, once a round has passed since the
 // last.
 func TestSecondChangeIsExpeditedAfterARound(t *testing.T) {
-	n := fleetOf(t, 11, large, 2, 1)
-	n.pass(60 * second)
+	n := newFleet(t, 11, largeLayout, 2, 1)
+	n.advance(60 * second)
 	g := n.cells[0]
 	round := RoundDuration(len(n.cells))
 	from := n.now
 	g.epoch++
 	n.updateCell(g)
-	n.pass(second)
+	n.advance(second)
 	g.epoch++
 	n.updateCell(g)
-	n.pass(3 * round)
+	n.advance(3 * round)
 	for i, want := range []int{33, 33, 0} { // a quick round, the second, and none more
 		start := from + time.Duration(i)*round
-		sent := during(g.sent, start, start+duration.Scale(round, 0.45))
+		sent := countBetween(g.sent, start, start+duration.Scale(round, 0.45))
 		if want == 33 && sent < want || want == 0 && sent > 16 {
 			t.Errorf("round %d: %d summaries in its first 0.45", i, sent)
 		}
@@ -258,9 +258,9 @@
 
 // Only cells that a plan in force names are kept, whatever comes.
 func TestMemoryIsBounded(t *testing.T) {
-	c, plan := one(t)
+	c, plan := newTestCoordinator(t)
 	for i := range 5000 {
-		s := heardFrom(plan, "b", uint64(i+1))
+		s := summaryOf(plan, "b", uint64(i+1))
 		s.Cell = fmt.Sprint("x", i)
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
 		s.Cell, s.Representative, s.Plan, s.JoinedPlan, s.PlanHash = "b", fmt.Sprint("s", i), 7, 7, uint64(i)
@@ -269,9 +269,9 @@
 			Incarnation: 1, Seq: 1}}, nil)
 	}
 	r := c.remotes["b"]
-	if len(c.remotes) != 2 || len(r.seen) > maxRepresentatives || len(r.planJoins) > maxPlanJoins ||
-		len(c.directory.seen) > maxRepresentatives || c.drops.UnknownCell != 5000 {
-		t.Error(len(c.remotes), len(r.seen), len(r.planJoins), len(c.directory.seen), c.drops)
+	if len(c.remotes) != 2 || len(r.seenMarks) > maxRepresentatives || len(r.planJoins) > maxPlanJoins ||
+		len(c.directory.seenMarks) > maxRepresentatives || c.drops.UnknownCell != 5000 {
+		t.Error(len(c.remotes), len(r.seenMarks), len(r.planJoins), len(c.directory.seenMarks), c.drops)
 	}
 	c.Handle(0, PlanChanged{cellplan.Plan{Number: 2, Cells: plan.Cells[:2]}}, nil)
 	if len(c.remotes) != 1 || c.remotes["b"] != r {
@@ -281,7 +281,7 @@
 
 // What can't be is not taken.
 func TestChecksRejectWhatCannotBe(t *testing.T) {
-	_, plan := one(t)
+	_, plan := newTestCoordinator(t)
 	for i, change := range []func(s *Summary){
 		func(s *Summary) { s.Cell = "" }, func(s *Summary) { s.Representative = "" },
 		func(s *Summary) { s.Seq = 0 }, func(s *Summary) { s.Incarnation = 0 },
@@ -294,7 +294,7 @@
 		func(s *Summary) { s.DepartedRelays = make([]string, 9) },
 		func(s *Summary) { s.DepartedRelays = []string{"a\nb"} },
 	} {
-		s := heardFrom(plan, "b", 1)
+		s := summaryOf(plan, "b", 1)
 		if s.Check() != nil {
 			t.Fatal(s.Check())
 		}
@@ -323,8 +323,8 @@
 	}
 }
 
-// one is a relay of cell a that knows nothing yet, beside cells b and c.
-func one(t *testing.T) (*Coordinator, cellplan.Plan) {
+// newTestCoordinator is a relay of cell a that knows nothing yet, beside cells b and c.
+func newTestCoordinator(t *testing.T) (*Coordinator, cellplan.Plan) {
 	plan := cellplan.Plan{Number: 2}
 	for i, name := range []string{"a", "b", "c"} {
 		plan.Cells = append(plan.Cells, cellplan.Cell{Name: name, Region: "r", Zone: "z", Relays: 32,
@@ -336,8 +336,8 @@
 	return New(0, Config{Name: "a-1", Cell: "a", Incarnation: 1, Plan: plan}), plan
 }
 
-// heardFrom is a summary of a cell that has joined the plan.
-func heardFrom(plan cellplan.Plan, cell string, seq uint64) Summary {
+// summaryOf is a summary of a cell that has joined the plan.
+func summaryOf(plan cellplan.Plan, cell string, seq uint64) Summary {
 	return Summary{Cell: cell, Region: "r", Representative: cell + "-0", Incarnation: 1, Seq: seq, Epoch: 3,
 		Plan: plan.Number, PlanHash: plan.Hash(), JoinedPlan: plan.Number,
 		Members: 32, ServingMembers: 30, RequestRate: 100, OpenConnections: 1000}
--- a/internal/fleet/cells/summary.go
+++ b/internal/fleet/cells/summary.go
@@ -83,7 +83,7 @@
 	case !validCellName(s.Cell) || s.Region != "" && !validCellName(s.Region),
 		!validName(s.Representative) || s.Incarnation == 0 || s.Seq == 0,
 		s.Plan > cellplan.MaxPlanNumber || s.JoinedPlan > s.Plan,
-		!validFigures(s.Members, s.ServingMembers, s.OpenConnections, s.RequestRate, s.DrainRate),
+		!validTotals(s.Members, s.ServingMembers, s.OpenConnections, s.RequestRate, s.DrainRate),
 		len(s.Contacts) > MaxContacts || slices.ContainsFunc(s.Contacts, invalidAddress),
 		len(s.DepartedRelays) > MaxDeparted || slices.ContainsFunc(s.DepartedRelays, invalidName):
 		return ErrInvalidSummary
@@ -119,11 +119,11 @@
 func (r RegionTotals) valid() bool {
 	return (r.Name == "" || validCellName(r.Name)) &&
 		r.KnownCells >= 0 && r.KnownCells <= r.Cells && r.Cells <= maxCells &&
-		validFigures(r.Relays, r.ServingRelays, r.OpenConnections, r.RequestRate, r.DrainRate)
+		validTotals(r.Relays, r.ServingRelays, r.OpenConnections, r.RequestRate, r.DrainRate)
 }
 
-// validFigures tells whether a cell's or region's figures could be true.
-func validFigures(relays, serving, openConnections int, requestRate, drainRate float64) bool {
+// validTotals tells whether a cell's or region's figures could be true.
+func validTotals(relays, serving, openConnections int, requestRate, drainRate float64) bool {
 	return relays >= 0 && relays <= maxRelays*maxCells && serving >= 0 && serving <= relays &&
 		openConnections >= 0 && openConnections <= maxConnections &&
 		validRate(requestRate) && validRate(drainRate)
--- a/internal/fleet/cells/trace_test.go
+++ b/internal/fleet/cells/trace_test.go
@@ -27,25 +27,25 @@
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var recording trace.Recording
 	for seed := range uint64(40) {
-		n := fleetOf(t, seed, []int{2, 1 + int(seed%3)}, 1+int(seed%2), 3)
+		n := newFleet(t, seed, []int{2, 1 + int(seed%3)}, 1+int(seed%2), 3)
 		n.trace = trace.New()
-		n.loss, n.double = 0.1*float64(seed%3), 0.05*float64(seed%2)
+		n.lossRate, n.duplicateRate = 0.1*float64(seed%3), 0.05*float64(seed%2)
 		for i := range 6 {
-			n.pass(duration.Scale(25*second, n.draw.Float64()))
-			g := n.cells[n.draw.IntN(len(n.cells))]
-			switch r := g.relays[n.draw.IntN(len(g.relays))]; {
+			n.advance(duration.Scale(25*second, n.rng.Float64()))
+			g := n.cells[n.rng.IntN(len(n.cells))]
+			switch r := g.relays[n.rng.IntN(len(g.relays))]; {
 			case i == 3:
-				n.cut = func(from, to *relay) bool { return from.group == g && to.group != g }
+				n.isCut = func(from, to *relay) bool { return from.cell == g && to.cell != g }
 			case i == 4:
-				n.cut = nil
-			case r.up:
+				n.isCut = nil
+			case r.running:
 				n.kill(r)
 			default:
 				n.start(r)
 				n.updateCell(g)
 			}
 		}
-		n.pass(30 * second)
+		n.advance(30 * second)
 		recording.Add("cells", seed, n.trace)
 	}
 	recording.Compare(t)
--- a/internal/fleet/probing/assign.go
+++ b/internal/fleet/probing/assign.go
@@ -47,17 +47,17 @@
 	for _, r := range relays {
 		t.relays = append(t.relays, r.Name)
 	}
-	each := min(ProbersPerServer, len(relays))
-	if each == 0 {
+	probersPerServer := min(ProbersPerServer, len(relays))
+	if probersPerServer == 0 {
 		return t
 	}
-	mean := float64(each*len(servers)) / float64(len(relays))
+	mean := float64(probersPerServer*len(servers)) / float64(len(relays))
 	a := assigner{
-		relays:   relays,
-		seeds:    make([]uint64, len(relays)),
-		assigned: make([]int32, len(relays)),
-		most:     max(int32(mean*(1+assignmentSlack)+0.999), 1),
-		each:     each,
+		relays:     relays,
+		seeds:      make([]uint64, len(relays)),
+		assigned:   make([]int32, len(relays)),
+		maxServers: max(int32(mean*(1+assignmentSlack)+0.999), 1),
+		each:       probersPerServer,
 	}
 	for i, r := range relays {
 		a.seeds[i] = hashName(r.Name)
@@ -76,11 +76,11 @@
 
 // assigner is an Assignment in the making.
 type assigner struct {
-	relays   []Relay
-	seeds    []uint64 // by relay: the hash of its name
-	assigned []int32  // by relay: servers so far
-	most     int32    // servers that a relay is to be given
-	each     int      // probers of a server
+	relays     []Relay
+	seeds      []uint64 // by relay: the hash of its name
+	assigned   []int32  // by relay: servers so far
+	maxServers int32    // servers that a relay is to be given
+	each       int      // probers of a server
 }
 
 // chooseProbers picks a server's probers: up to each-1 of its zone, the rest of others, what is short
@@ -89,7 +89,7 @@
 func (a *assigner) chooseProbers(s Server) []int32 {
 	picked := make([]int32, 0, a.each)
 	near := func(i int) bool { return a.relays[i].Zone == s.Zone }
-	hasCapacity := func(i int) bool { return a.assigned[i] < a.most }
+	hasCapacity := func(i int) bool { return a.assigned[i] < a.maxServers }
 	picked = a.pick(picked, max(a.each-1, 1), s, func(i int) bool { return near(i) && hasCapacity(i) })
 	picked = a.pick(picked, a.each, s, func(i int) bool { return !near(i) && hasCapacity(i) })
 	picked = a.pick(picked, a.each, s, hasCapacity)
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is so many relays and servers, evenly over zones.
-func fleet(relays, servers, zones int) (rs []Relay, ss []Server) {
+// newFleet is so many relays and servers, evenly over zones.
+func newFleet(relays, servers, zones int) (rs []Relay, ss []Server) {
 	for i := range relays {
 		rs = append(rs, Relay{fmt.Sprintf("r%d", i), fmt.Sprintf("z%d", i%zones)})
 	}
@@ -20,8 +20,8 @@
 	return rs, ss
 }
 
-// check tells what of a table is not as promised.
-func check(t interface{ Errorf(string, ...any) }, rs []Relay, ss []Server, table *Assignment) {
+// checkAssignment tells what of a table is not as promised.
+func checkAssignment(t interface{ Errorf(string, ...any) }, rs []Relay, ss []Server, table *Assignment) {
 	zone, parts, inZone := map[string]string{}, map[string]int{}, map[string]int{}
 	for _, r := range rs {
 		zone[r.Name] = r.Zone
@@ -57,11 +57,11 @@
 func TestAssignIsFair(t *testing.T) {
 	for _, size := range [][3]int{{1, 3, 1}, {2, 3, 1}, {3, 5000, 3}, {9, 12, 3}, {300, 90, 3}, {1000, 3, 3},
 		{1000, 5000, 5}} {
-		rs, ss := fleet(size[0], size[1], size[2])
-		check(t, rs, ss, Assign(rs, ss))
+		rs, ss := newFleet(size[0], size[1], size[2])
+		checkAssignment(t, rs, ss, Assign(rs, ss))
 	}
 	rapid.Check(t, func(r *rapid.T) {
-		rs, ss := fleet(rapid.IntRange(1, 60).Draw(r, "relays"), rapid.IntRange(3, 120).Draw(r, "servers"), 1)
+		rs, ss := newFleet(rapid.IntRange(1, 60).Draw(r, "relays"), rapid.IntRange(3, 120).Draw(r, "servers"), 1)
 		for i := range rs {
 			rs[i].Zone = rapid.SampledFrom([]string{"a", "a", "a", "b", "c"}).Draw(r, "zone")
 		}
@@ -69,7 +69,7 @@
 			ss[i].Zone = rapid.SampledFrom([]string{"a", "b", "b", "d"}).Draw(r, "zone")
 		}
 		table := Assign(rs, ss)
-		check(r, rs, ss, table)
+		checkAssignment(r, rs, ss, table)
 		other := Assign(rapid.Permutation(rs).Draw(r, "order"), ss)
 		for i := range ss {
 			if !slices.Equal(table.Probers(i), other.Probers(i)) {
@@ -82,7 +82,7 @@
 
 // Where zones have enough relays, two of a server's three probers are of its zone and one is not.
 func TestAssignKeepsZones(t *testing.T) {
-	rs, ss := fleet(30, 60, 3)
+	rs, ss := newFleet(30, 60, 3)
 	table, zone := Assign(rs, ss), map[string]string{}
 	for _, r := range rs {
 		zone[r.Name] = r.Zone
@@ -103,7 +103,7 @@
 // One relay more or less, or one server, changes few others' probers.
 func TestAssignChangesLittle(t *testing.T) {
 	for _, size := range [][2]int{{9, 60}, {30, 90}, {300, 90}, {300, 2000}} {
-		rs, ss := fleet(size[0], size[1], 3)
+		rs, ss := newFleet(size[0], size[1], 3)
 		before := Assign(rs, ss)
 		moved := func(table *Assignment, ss []Server, gone string) (n int) {
 			for i := range ss {
@@ -130,7 +130,7 @@
 
 func BenchmarkAssign(b *testing.B) {
 	for _, size := range [][2]int{{300, 90}, {1000, 5000}} {
-		rs, ss := fleet(size[0], size[1], 3)
+		rs, ss := newFleet(size[0], size[1], 3)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
 				Assign(rs, ss)
--- a/internal/fleet/probing/corroborate.go
+++ b/internal/fleet/probing/corroborate.go
@@ -18,7 +18,7 @@
 	if reason := checkReading(r, s, o); reason != "" {
 		return reason
 	}
-	age := o.readingAge(r, sc.now)
+	age := o.estimateAge(r, sc.now)
 	if age > MaxReadingAge {
 		return DropTooOld
 	}
@@ -28,7 +28,7 @@
 	}
 	sc.counters.received++
 	corroborated := sc.corroborate(s, kept)
-	sc.checkOrigins(s)
+	sc.detectContradictions(s)
 	if !sc.skipCorroboration && sc.isQuarantined(r.Origin) {
 		s.forget(kept)
 		return DropQuarantined
@@ -68,10 +68,10 @@
 	sc.emit(UseReading{used})
 }
 
-// readingAge is how old a reading is: what it says, or more where it came later than others of its origin
+// estimateAge is how old a reading is: what it says, or more where it came later than others of its origin
 // have. The quickest message counts for less the longer ago it was, as far as two clocks can part; a
 // window instead would take the readings of a slow clock for older than they are.
-func (o *origin) readingAge(r Reading, now time.Duration) time.Duration {
+func (o *origin) estimateAge(r Reading, now time.Duration) time.Duration {
 	if o.incarnation != r.Incarnation {
 		o.incarnation, o.clockKnown = r.Incarnation, false
 	}
@@ -88,7 +88,7 @@
 func (s *server) keepNewest(kept *keptReading) bool {
 	ofOrigin := func(o *keptReading) bool { return o.Origin == kept.Origin }
 	if i := slices.IndexFunc(s.newestByOrigin, ofOrigin); i >= 0 {
-		if !s.newestByOrigin[i].before(kept) {
+		if !s.newestByOrigin[i].isOlderThan(kept) {
 			return false
 		}
 		s.newestByOrigin = slices.Delete(s.newestByOrigin, i, i+1)
@@ -105,8 +105,8 @@
 	s.newestByOrigin = slices.DeleteFunc(s.newestByOrigin, func(o *keptReading) bool { return o == kept })
 }
 
-// before tells whether a reading was made before another of the same origin, by its clock.
-func (k *keptReading) before(o *keptReading) bool {
+// isOlderThan tells whether a reading was made isOlderThan another of the same origin, by its clock.
+func (k *keptReading) isOlderThan(o *keptReading) bool {
 	return k.Incarnation < o.Incarnation || k.Incarnation == o.Incarnation && k.ReadAt < o.ReadAt
 }
 
@@ -143,39 +143,39 @@
 	return o != nil && sc.now < o.quarantinedUntil
 }
 
-// checkOrigins compares readings that have one of another origin on either side in time, and no more than
+// detectContradictions compares readings that have one of another origin on either side in time, and no more than
 // a step of a load can come between: where those two agree with each other and not with it, its origin
 // has reported nonsense. A reading that only older ones contradict counts for nothing: it may be the first to
 // see a load change.
-func (sc *Scheduler) checkOrigins(s *server) {
+func (sc *Scheduler) detectContradictions(s *server) {
 	for i := 1; i < len(s.newestByOrigin)-1; i++ { // the youngest come first
 		after, kept, before := s.newestByOrigin[i-1], s.newestByOrigin[i], s.newestByOrigin[i+1]
 		o := sc.relays[kept.Origin]
-		if kept.checked || o == nil || !sc.mayJudge(after, before) {
+		if kept.checked || o == nil || !sc.comparable(after, before) {
 			continue
 		}
 		kept.checked = true
 		switch {
 		case agree(kept.Reading, after.Reading) || agree(kept.Reading, before.Reading):
-			o.strikes = max(o.strikes-0.5, 0)
+			o.contradictions = max(o.contradictions-0.5, 0)
 		case agree(after.Reading, before.Reading):
-			sc.strike(kept.Origin, o)
+			sc.countContradiction(kept.Origin, o)
 		}
 	}
 }
 
-// mayJudge tells whether two readings may judge one between them.
-func (sc *Scheduler) mayJudge(after, before *keptReading) bool {
+// comparable tells whether two readings may judge one between them.
+func (sc *Scheduler) comparable(after, before *keptReading) bool {
 	return !sc.isQuarantined(after.Origin) && !sc.isQuarantined(before.Origin) &&
 		after.readAt-before.readAt <= corroborationSpan
 }
 
-// strike counts a contradicted reading of a relay, and puts it in quarantine for too many.
-func (sc *Scheduler) strike(name string, o *origin) {
-	o.strikes++
-	if o.strikes < maxStrikes || sc.now < o.quarantinedUntil {
+// countContradiction counts a contradicted reading of a relay, and puts it in quarantine for too many.
+func (sc *Scheduler) countContradiction(name string, o *origin) {
+	o.contradictions++
+	if o.contradictions < maxContradictions || sc.now < o.quarantinedUntil {
 		return
 	}
-	o.quarantinedUntil, o.strikes = sc.now+quarantineFor, 0
+	o.quarantinedUntil, o.contradictions = sc.now+quarantineDuration, 0
 	sc.emit(RelayQuarantined{Name: name})
 }
--- a/internal/fleet/probing/placements.go
+++ b/internal/fleet/probing/placements.go
@@ -58,21 +58,21 @@
 // gossipedPlacement is one that is passed on still.
 type gossipedPlacement struct {
 	PlacementDelta
-	placedAt time.Duration
-	rounds   int // that have carried it
+	placedAt   time.Duration
+	roundsSent int // that have carried it
 }
 
 // placements are what this relay passes on of placements, its own and others'.
 type placements struct {
-	pending  map[uint64]int // connections sent to servers since the last round, less those that ended
-	gossiped []gossipedPlacement
-	seq      uint64 // of the newest of its own
+	pendingDeltas map[uint64]int // connections sent to servers since the last round, less those that ended
+	gossiped      []gossipedPlacement
+	seq           uint64 // of the newest of its own
 }
 
 // notePlacement gathers this relay's own until its next round.
 func (sc *Scheduler) notePlacement(e LocalPlacement) {
 	if sc.HasPeers() && sc.servers[e.ServerKey] != nil {
-		sc.placements.pending[e.ServerKey] += e.Delta
+		sc.placements.pendingDeltas[e.ServerKey] += e.Delta
 	}
 }
 
@@ -108,16 +108,16 @@
 	for i := len(p.gossiped) - 1; i >= 0; i-- { // the newest first
 		g := &p.gossiped[i]
 		age := sc.now - g.placedAt
-		if age > MaxReadingAge/2 || g.rounds >= maxGossipRounds || len(batch) >= MaxPlacementsPerRound {
-			g.rounds = maxGossipRounds
+		if age > MaxReadingAge/2 || g.roundsSent >= maxGossipRounds || len(batch) >= MaxPlacementsPerRound {
+			g.roundsSent = maxGossipRounds
 			continue
 		}
-		g.rounds++
+		g.roundsSent++
 		row := g.PlacementDelta
 		row.Age = age
 		batch = append(batch, row)
 	}
-	done := func(g gossipedPlacement) bool { return g.rounds >= maxGossipRounds }
+	done := func(g gossipedPlacement) bool { return g.roundsSent >= maxGossipRounds }
 	p.gossiped = slices.DeleteFunc(p.gossiped, done)
 	return batch
 }
@@ -126,7 +126,7 @@
 func (sc *Scheduler) gossipOwnPlacements() {
 	p := &sc.placements
 	for _, s := range sc.serverList {
-		delta := min(max(p.pending[s.Key], -maxPlacementDelta), maxPlacementDelta)
+		delta := min(max(p.pendingDeltas[s.Key], -maxPlacementDelta), maxPlacementDelta)
 		if delta == 0 {
 			continue
 		}
@@ -136,5 +136,5 @@
 		}
 		p.gossiped = append(p.gossiped, gossipedPlacement{own, sc.now, 0})
 	}
-	clear(p.pending)
+	clear(p.pendingDeltas)
 }
--- a/internal/fleet/probing/placements_test.go
+++ b/internal/fleet/probing/placements_test.go
@@ -8,7 +8,7 @@
 )
 
 // A Window takes each number once, in any order, up to 64 behind.
-func TestWindow(t *testing.T) {
+func TestDedupWindow(t *testing.T) {
 	for seed := range uint64(50) {
 		rng, w, seen := rand.New(rand.NewPCG(seed, 1)), DedupWindow{}, map[uint64]bool{}
 		for high := uint64(100); high < 400; high++ {
@@ -27,7 +27,7 @@
 // What each relay sends to a server comes to every other once, though packets are lost and come by many
 // ways; what makes no sense is left out for its reason.
 func TestPlacementsAreSummed(t *testing.T) {
-	rs, ss := fleet(9, 12, 3)
+	rs, ss := newFleet(9, 12, 3)
 	rng := rand.New(rand.NewPCG(3, 3))
 	table := Assign(rs, ss)
 	schedulers, sent, got := make([]*Scheduler, len(rs)), make([]int, len(ss)), make([][]int, len(rs))
--- a/internal/fleet/probing/reading.go
+++ b/internal/fleet/probing/reading.go
@@ -31,11 +31,11 @@
 	AbsoluteAgreementTolerance = 0.2
 	// RelativeAgreementTolerance is the part of the higher one.
 	RelativeAgreementTolerance = 0.2
-	// maxStrikes is how many readings that two others contradict put a relay in quarantine, for
+	// maxContradictions is how many readings that two others contradict put a relay in quarantine, for
 	// quarantineFor. Two that are corroborated take one strike back, as one that always tells the same is
 	// right now and then.
-	maxStrikes    = 4.0
-	quarantineFor = 30 * time.Second
+	maxContradictions  = 4.0
+	quarantineDuration = 30 * time.Second
 	// MaxClockDrift is by how much the clocks of two relays may part in a time, one 5% fast and one 5% slow.
 	MaxClockDrift = 1.05/0.95 - 1
 )
@@ -63,9 +63,9 @@
 // keptReading is a reading as it is kept: readAt is when it was made, by this relay's clock.
 type keptReading struct {
 	Reading
-	readAt  time.Duration
-	rounds  int  // that have carried it
-	checked bool // it has been corroborated or contradicted
+	readAt     time.Duration
+	roundsSent int  // that have carried it
+	checked    bool // it has been corroborated or contradicted
 }
 
 // placementLoad is what placements go by.
--- a/internal/fleet/probing/scheduler.go
+++ b/internal/fleet/probing/scheduler.go
@@ -26,7 +26,7 @@
 	clockOffsetAt    time.Duration // when that came
 	clockKnown       bool          // a message has come in this incarnation
 	placementDedup   DedupWindow
-	strikes          float64 // contradicted readings, less half of the corroborated ones
+	contradictions   float64 // contradicted readings, less half of the corroborated ones
 	quarantinedUntil time.Duration
 }
 
@@ -58,7 +58,7 @@
 		rng:        rand.New(rand.NewPCG(seed, 0x737562736574)),
 		servers:    map[uint64]*server{},
 		relays:     map[string]*origin{},
-		placements: placements{pending: map[uint64]int{}},
+		placements: placements{pendingDeltas: map[uint64]int{}},
 		counters:   counters{dropped: map[DropReason]uint64{}},
 	}
 }
@@ -84,7 +84,7 @@
 		}
 	case Tick:
 		if sc.HasPeers() {
-			sc.probeDue()
+			sc.probeDueServers()
 			sc.gossip()
 		}
 	}
@@ -155,8 +155,8 @@
 	s.usedReadAt, s.usedOrigin = sc.now, sc.self
 }
 
-// probeDue probes the servers whose turn it is.
-func (sc *Scheduler) probeDue() {
+// probeDueServers probes the servers whose turn it is.
+func (sc *Scheduler) probeDueServers() {
 	for _, s := range sc.serverList {
 		if s.isProbeDue(sc.now) {
 			s.probedAt = sc.now
@@ -206,18 +206,18 @@
 	var fresh []*keptReading
 	for _, s := range sc.serverList {
 		for _, kept := range s.newestByOrigin {
-			if kept.rounds < maxGossipRounds && sc.now-kept.readAt < MaxReadingAge {
+			if kept.roundsSent < maxGossipRounds && sc.now-kept.readAt < MaxReadingAge {
 				fresh = append(fresh, kept)
 			}
 		}
 	}
 	slices.SortStableFunc(fresh, func(a, b *keptReading) int {
-		return cmp.Or(cmp.Compare(a.rounds, b.rounds), cmp.Compare(b.readAt, a.readAt))
+		return cmp.Or(cmp.Compare(a.roundsSent, b.roundsSent), cmp.Compare(b.readAt, a.readAt))
 	})
 	fresh = fresh[:min(len(fresh), MaxReadingsPerRound)]
 	batch := make([]Reading, len(fresh))
 	for i, kept := range fresh {
-		kept.rounds++
+		kept.roundsSent++
 		batch[i] = kept.Reading
 		batch[i].Age = sc.now - kept.readAt
 	}
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -14,26 +14,26 @@
 // simulatedFleet is many Schedulers on a set clock, with a net that loses and delays, and servers whose
 // loads wander.
 type simulatedFleet struct {
-	rng            *rand.Rand
-	now            float64
-	relays         []Relay
-	servers        []Server
-	schedulers     []*Scheduler
-	clockRate      []float64 // of each relay's clock
-	down           map[int]bool
-	inTransit      []packet
-	loads          map[uint64]float64
-	falseLoad      map[int]float64 // a relay that tells this load of every server
-	loss           float64
-	cut            func(a, b int) bool
-	probeTimes     map[uint64][]float64
-	maxUsedAge     float64 // greatest age at which something was believed
-	maxError       float64 // greatest difference of what was believed to what the server had then or since
-	momentsWithout int     // moments at which a relay had no usable reading of a server, over all
-	moments        int
-	usedAt         [][]float64 // by relay and server: when the reading believed was taken
-	loadHistory    map[uint64][]float64
-	trace          *trace.Trace // of all actions; nil for none
+	rng                   *rand.Rand
+	now                   float64
+	relays                []Relay
+	servers               []Server
+	schedulers            []*Scheduler
+	clockRate             []float64 // of each relay's clock
+	down                  map[int]bool
+	inTransit             []packet
+	loads                 map[uint64]float64
+	falseLoad             map[int]float64 // a relay that tells this load of every server
+	lossRate              float64
+	isCut                 func(a, b int) bool
+	probeTimes            map[uint64][]float64
+	maxUsedAge            float64 // greatest age at which something was believed
+	maxError              float64 // greatest difference of what was believed to what the server had then or since
+	samplesWithoutReading int     // moments at which a relay had no usable reading of a server, over all
+	samples               int
+	usedAt                [][]float64 // by relay and server: when the reading believed was taken
+	loadHistory           map[uint64][]float64
+	trace                 *trace.Trace // of all actions; nil for none
 }
 
 type packet struct {
@@ -43,10 +43,10 @@
 	rows     []PlacementDelta // in place of readings
 }
 
-const step = 25.0
+const stepMillis = 25.0
 
 func newSimulatedFleet(seed uint64, relays, servers int) *simulatedFleet {
-	rs, ss := fleet(relays, servers, 3)
+	rs, ss := newFleet(relays, servers, 3)
 	c := &simulatedFleet{rng: rand.New(rand.NewPCG(seed, 7)), relays: rs, servers: ss, down: map[int]bool{},
 		loads: map[uint64]float64{}, falseLoad: map[int]float64{}, probeTimes: map[uint64][]float64{},
 		loadHistory: map[uint64][]float64{}}
@@ -58,12 +58,12 @@
 	for _, s := range ss {
 		c.loads[s.Key] = c.rng.Float64()
 	}
-	c.view()
+	c.updateView()
 	return c
 }
 
-// view hands all that run the view of just them.
-func (c *simulatedFleet) view() {
+// updateView hands all that run the updateView of just them.
+func (c *simulatedFleet) updateView() {
 	var up []Relay
 	for i, r := range c.relays {
 		if !c.down[i] {
@@ -83,11 +83,11 @@
 }
 
 func (c *simulatedFleet) run(ms float64) {
-	spots := map[uint64]int{}
+	serverIndex := map[uint64]int{}
 	for i, s := range c.servers {
-		spots[s.Key] = i
+		serverIndex[s.Key] = i
 	}
-	for end := c.now + ms; c.now < end; c.now += step {
+	for end := c.now + ms; c.now < end; c.now += stepMillis {
 		for _, s := range c.servers {
 			c.loads[s.Key] = math.Abs(c.loads[s.Key] + 0.01*c.rng.NormFloat64())
 			c.loadHistory[s.Key] = append(c.loadHistory[s.Key], c.loads[s.Key])
@@ -98,10 +98,10 @@
 			if l.at > c.now {
 				c.inTransit = append(c.inTransit, l)
 			} else if l.rows != nil && !c.down[l.to] {
-				c.carryOut(l.to, c.schedulers[l.to].Handle(c.localTime(l.to),
+				c.execute(l.to, c.schedulers[l.to].Handle(c.localTime(l.to),
 					PlacementsReceived{From: c.relays[l.from].Name, Deltas: l.rows}, nil))
 			} else if !c.down[l.to] {
-				c.carryOut(l.to, c.schedulers[l.to].Handle(c.localTime(l.to),
+				c.execute(l.to, c.schedulers[l.to].Handle(c.localTime(l.to),
 					ReadingsReceived{From: c.relays[l.from].Name, Readings: l.readings}, nil))
 			}
 		}
@@ -110,26 +110,26 @@
 				continue
 			}
 			if c.trace != nil {
-				c.place(i)
+				c.placeAtRandom(i)
 			}
-			c.carryOut(i, k.Handle(c.localTime(i), Tick{}, nil))
+			c.execute(i, k.Handle(c.localTime(i), Tick{}, nil))
 			for j := range c.servers {
-				c.moments++
+				c.samples++
 				if c.now-c.usedAt[i][j] > duration.Millis(MaxReadingAge) {
-					c.momentsWithout++
+					c.samplesWithoutReading++
 				}
 			}
 		}
 	}
 }
 
-func (c *simulatedFleet) carryOut(i int, acts []Action) {
+func (c *simulatedFleet) execute(i int, acts []Action) {
 	for _, a := range acts {
 		record(c.trace, i, a)
 		switch a := a.(type) {
 		case SendPlacements:
 			for to, r := range c.relays {
-				if r.Name == a.To && c.rng.Float64() >= c.loss {
+				if r.Name == a.To && c.rng.Float64() >= c.lossRate {
 					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to, nil,
 						a.Deltas})
 				}
@@ -142,22 +142,22 @@
 			}
 			c.schedulers[i].Handle(c.localTime(i), OwnReading{ServerKey: a.ServerKey,
 				LoadReport: LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, nil)
-			c.noteUsed(i, a.ServerKey, c.now, load)
+			c.recordUsed(i, a.ServerKey, c.now, load)
 		case SendReadings:
 			for to, r := range c.relays {
-				if r.Name == a.To && c.rng.Float64() >= c.loss && (c.cut == nil || !c.cut(i, to)) {
+				if r.Name == a.To && c.rng.Float64() >= c.lossRate && (c.isCut == nil || !c.isCut(i, to)) {
 					c.inTransit = append(c.inTransit, packet{c.now + 1 + 20*c.rng.Float64(), i, to,
 						a.Readings, nil})
 				}
 			}
 		case UseReading:
 			c.maxUsedAge = max(c.maxUsedAge, duration.Millis(a.Age))
-			c.noteUsed(i, a.ServerKey, c.now-duration.Millis(a.Age)/c.clockRate[i], placementLoad(a.Reading))
+			c.recordUsed(i, a.ServerKey, c.now-duration.Millis(a.Age)/c.clockRate[i], placementLoad(a.Reading))
 		}
 	}
 }
 
-func (c *simulatedFleet) noteUsed(i int, spot uint64, taken, load float64) {
+func (c *simulatedFleet) recordUsed(i int, spot uint64, taken, load float64) {
 	for j, s := range c.servers {
 		if s.Key == spot {
 			c.usedAt[i][j] = max(c.usedAt[i][j], taken)
@@ -168,7 +168,7 @@
 	}
 	off := math.Inf(1)
 	for _, x := range c.loadHistory[spot][max(0,
-		len(c.loadHistory[spot])-int(2*duration.Millis(MaxReadingAge)/step)):] {
+		len(c.loadHistory[spot])-int(2*duration.Millis(MaxReadingAge)/stepMillis)):] {
 		off = min(off, math.Abs(load-x))
 	}
 	c.maxError = max(c.maxError, off)
@@ -197,12 +197,12 @@
 	for _, relays := range []int{2, 9, 30, 300} {
 		for _, loss := range []float64{0.01, 0.1}[relays/300:] {
 			c := newSimulatedFleet(uint64(relays), relays, 30)
-			c.loss = loss
+			c.lossRate = loss
 			c.run(3000)
 			from := c.now
-			c.momentsWithout, c.moments = 0, 0
+			c.samplesWithoutReading, c.samples = 0, 0
 			c.run(6000)
-			missing := float64(c.momentsWithout) / float64(c.moments)
+			missing := float64(c.samplesWithoutReading) / float64(c.samples)
 			t.Logf("%d relays, %.0f%% lost: at most %.2f probes a second at a server, "+
 				"%.4f without a reading, ages up to %.0f ms",
 				relays, 100*loss, c.maxProbeRate(from, 6000), missing, c.maxUsedAge)
@@ -222,7 +222,7 @@
 
 // One relay that tells that all servers are empty, or full, moves nobody's belief beyond what readings
 // may differ by, and is quarantined. With all that is received taken for true, the same check finds it out.
-func TestOneLiarMovesNobody(t *testing.T) {
+func TestFalseReportsOfOneRelayAreOutvoted(t *testing.T) {
 	for _, lie := range []float64{0, 3} {
 		for _, trust := range []bool{false, true} {
 			c := newSimulatedFleet(11, 9, 12)
@@ -254,7 +254,7 @@
 
 // What readings are left out, each for its reason.
 func TestImplausibleReadingsAreLeftOut(t *testing.T) {
-	rs, ss := fleet(4, 1, 1)
+	rs, ss := newFleet(4, 1, 1)
 	ss[0].Started = 50
 	good := Reading{ServerKey: ss[0].Key, Started: 50, Origin: "r1", Incarnation: 1,
 		ReadAt: 100 * time.Millisecond, Age: 10 * time.Millisecond, LoadReport: LoadReport{0.5, -1, -1, -1}}
--- a/internal/fleet/probing/trace_test.go
+++ b/internal/fleet/probing/trace_test.go
@@ -36,11 +36,11 @@
 	}
 }
 
-// place lets a relay send to a server now and then, or something end there.
-func (c *simulatedFleet) place(relay int) {
+// placeAtRandom lets a relay send to a server now and then, or something end there.
+func (c *simulatedFleet) placeAtRandom(relay int) {
 	if c.rng.IntN(4) == 0 {
 		s := c.servers[c.rng.IntN(len(c.servers))]
-		c.carryOut(relay, c.schedulers[relay].Handle(c.localTime(relay),
+		c.execute(relay, c.schedulers[relay].Handle(c.localTime(relay),
 			LocalPlacement{ServerKey: s.Key, Delta: 1 - 2*c.rng.IntN(2)}, nil))
 	}
 }
@@ -53,17 +53,17 @@
 	for seed := range uint64(40) {
 		c := newSimulatedFleet(seed, 2+int(seed%11), 1+int(seed%17))
 		c.trace = trace.New()
-		c.loss = 0.1 * float64(seed%3)
+		c.lossRate = 0.1 * float64(seed%3)
 		if seed%4 == 0 {
 			c.falseLoad[0] = 3
 		}
 		c.run(4000)
 		c.down[1] = true
-		c.view()
+		c.updateView()
 		c.run(1500)
 		c.down[1] = false
 		c.servers[0].Started++
-		c.view()
+		c.updateView()
 		c.run(4000)
 		recording.Add("probing", seed, c.trace)
 	}
--- a/internal/fleet/probing/window.go
+++ b/internal/fleet/probing/window.go
@@ -3,7 +3,7 @@
 // DedupWindow remembers which numbers of a sender have come: all up to 64 below the highest. The zero
 // DedupWindow is ready.
 type DedupWindow struct {
-	incarnation, high, seen uint64
+	incarnation, highest, seenBits uint64
 }
 
 // Accept tells whether a number of a sender's incarnation is new, and notes it.
@@ -15,12 +15,12 @@
 		*w = DedupWindow{incarnation: incarnation}
 	}
 	switch {
-	case seq > w.high:
-		w.seen, w.high = w.seen<<min(seq-w.high, 64)|1, seq
+	case seq > w.highest:
+		w.seenBits, w.highest = w.seenBits<<min(seq-w.highest, 64)|1, seq
 		return true
-	case w.high-seq >= 64 || w.seen>>(w.high-seq)&1 == 1:
+	case w.highest-seq >= 64 || w.seenBits>>(w.highest-seq)&1 == 1:
 		return false
 	}
-	w.seen |= 1 << (w.high - seq)
+	w.seenBits |= 1 << (w.highest - seq)
 	return true
 }
