--- a/decide/actions.go
+++ b/decide/actions.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// RejectReason says why a request got no server. It is for metrics and time lines; nothing is decided by it.
+// RejectReason is why a request was rejected or failed. It is used in metrics and time lines only; no
+// decision depends on it.
 type RejectReason uint8
 
-// The reasons.
+// The reasons of a rejection or a failure.
 const (
 	NoReason             RejectReason = iota
-	NoServer                          // none is listed, not ejected and allowed
-	NoCapacity                        // the best one found has no capacity left, or others will fill it
-	AttemptsExhausted                 // its attempt failed, and no retry is planned any more
-	RetryBudgetExhausted              // its attempt failed, and its tenant has no retry token
-	DeadlineNear                      // its attempt failed too near its deadline
-	MayHaveRun                        // its attempt may have run, and the class may not run twice
-	rejectReasons
+	NoServer                          // no server is listed, not ejected and eligible
+	NoCapacity                        // the best server found has no capacity left for this relay
+	AttemptsExhausted                 // the attempt failed, and no further retry is planned
+	RetryBudgetExhausted              // the attempt failed, and the tenant has no retry token
+	DeadlineNear                      // the attempt failed too close to the request's deadline
+	MayHaveRun                        // the attempt may have run, and the request's class must not run twice
+	rejectReasonCount
 )
 
-// rejectReasonNames are the names that metrics and time lines have.
-var rejectReasonNames = [rejectReasons]string{
+// rejectReasonNames are the names of the reasons in metrics and time lines.
+var rejectReasonNames = [rejectReasonCount]string{
 	NoReason:             "",
 	NoServer:             "no server",
 	NoCapacity:           "no room",
@@ -28,15 +29,16 @@
 	MayHaveRun:           "may have run",
 }
 
-// String is the reason as metrics and time lines have it.
+// String returns the name of the reason in metrics and time lines.
 func (r RejectReason) String() string {
-	if r >= rejectReasons {
+	if r >= rejectReasonCount {
 		return "unknown"
 	}
 	return rejectReasonNames[r]
 }
 
-// Action is something that a Balancer wants done. The types that implement it are all in this file.
+// Action is an output of a Balancer, to be carried out by its caller. All types that implement it are in this
+// file.
 type Action interface{ action() }
 
 type (
@@ -44,45 +46,45 @@
 	Forward struct {
 		ID      RequestID
 		Server  ServerID
-		Timeout time.Duration // for the set-up of its connection
+		Timeout time.Duration // for the set-up of the connection
 	}
-	// Reject is a final answer: no, and a new attempt does no harm.
+	// Reject is a final answer: the request was not served, and a new attempt is safe.
 	Reject struct {
 		ID         RequestID
-		RetryAfter time.Duration // 0 for none
+		RetryAfter time.Duration // 0 if the client is told no time
 		Reason     RejectReason
 	}
-	// Fail is a final answer that promises nothing: the request may have run.
+	// Fail is a final answer after which a new attempt may not be safe: the request may have run.
 	Fail struct {
 		ID     RequestID
 		Reason RejectReason
 	}
-	// Migrate ends an open connection gracefully; its client reconnects.
+	// Migrate ends an open connection gracefully, so that its client reconnects.
 	Migrate struct{ ID RequestID }
 	// Probe asks a server for its load.
 	Probe struct{ Server ServerID }
-	// Timer asks for a TimerFired with the token.
+	// Timer requests a TimerFired with the token.
 	Timer struct {
 		After time.Duration
 		Token uint64
 	}
-	// Subscribe polls discovery, for changes from now on.
+	// Subscribe polls discovery and subscribes to later changes.
 	Subscribe struct{}
-	// FetchSnapshot asks discovery for the complete list once.
+	// FetchSnapshot requests the complete list from discovery once.
 	FetchSnapshot struct{}
-	// CancelAttempt stops the wait for an attempt.
+	// CancelAttempt stops waiting for an attempt.
 	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
 	}
 	// CloseIdleConnections closes this relay's idle connections to a server.
 	CloseIdleConnections struct{ Server ServerID }
-	// SendToPeer sends bytes to a peer, or to all of them if Peer is negative.
+	// SendToPeer sends bytes to another relay, or to all of them if Peer is negative.
 	SendToPeer struct {
 		Peer int
 		Data []byte
 	}
-	// Log adds a line to the report.
+	// Log writes a line to the log.
 	Log struct{ Text string }
 )
 
--- a/decide/arrivals.go
+++ b/decide/arrivals.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// arrivalRate measures how often requests come to this relay.
+// arrivalRate measures the rate of requests to this relay.
 type arrivalRate struct {
 	*environment
 	requestsTotal   float64       // since the start
-	recentRequests  float64       // of the last overload window, fading exponentially
-	recentUpdatedAt time.Duration // when recentRequests was last faded
+	recentRequests  float64       // of the last overload window, decaying exponentially
+	recentUpdatedAt time.Duration // when the decay of recentRequests was last applied
 }
 
 // recordRequest counts a request.
 func (a *arrivalRate) recordRequest() {
 	a.requestsTotal++
-	a.fade()
+	a.decay()
 	a.recentRequests++
 }
 
-// requestRate is how many requests a second come here now: those of the last overload window, and one that
-// counts for the time in which one comes at this relay's usual rate. Where a relay gets a request in ten
-// seconds, the one that it just got would else stand for as many as fit the window.
+// requestRate is the present rate in requests per second: the requests of the last overload window plus one,
+// over the window plus the mean interval between requests since the start. Without that interval, a single
+// request at a relay that gets one in ten seconds would count as a rate of one per window.
 func (a *arrivalRate) requestRate() float64 {
-	a.fade()
+	a.decay()
 	window := a.settings.Rules.OverloadWindow.Seconds()
-	usualGap := (a.uptime().Seconds() + window) / max(a.requestsTotal, 1)
-	return (1 + a.recentRequests) / (usualGap + window)
+	meanInterval := (a.uptime().Seconds() + window) / max(a.requestsTotal, 1)
+	return (1 + a.recentRequests) / (meanInterval + window)
 }
 
-// meanConnectionLife is how long a connection stays open, in seconds, by those open now and those that have
-// come.
+// meanConnectionLife is the mean time in seconds that a connection stays open: own connections over the mean
+// request rate since the start (Little's law).
 func (a *arrivalRate) meanConnectionLife(ownConnections int) float64 {
 	return float64(ownConnections) * a.uptime().Seconds() / (a.requestsTotal + 1)
 }
 
-func (a *arrivalRate) fade() {
+// decay reduces recentRequests by the time since its last update.
+func (a *arrivalRate) decay() {
 	window := a.settings.Rules.OverloadWindow.Seconds()
 	a.recentRequests *= math.Exp(-(a.now - a.recentUpdatedAt).Seconds() / window)
 	a.recentUpdatedAt = a.now
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Balancer makes one relay's decisions. It routes each event to the parts that it concerns; what they decide
-// stands in their files. It is not safe for use by several goroutines at once.
+// Balancer makes one relay's decisions. It passes each event to the parts that it concerns; each part decides
+// in its own file. It is not safe for concurrent use.
 type Balancer struct {
 	*environment
 
-	// What is known.
+	// State that decisions are based on.
 	endpoints *endpointSet
 	requests  *requestTable
 	fleet     *fleetView
@@ -16,7 +16,7 @@
 	pool      *probePool
 	timeouts  *setupTimeouts
 
-	// What is decided by it.
+	// Rules that decide.
 	outliers   *outlierRule
 	dispatch   *dispatcher
 	retry      *retryRule
@@ -25,8 +25,8 @@
 	rebalance  *rebalancer
 }
 
-// New returns the Balancer of a relay that has just started. Settings that make no sense are replaced by the
-// nearest that do. The same settings, seed and events bring the same actions.
+// New returns the Balancer of a relay that has just started. Invalid settings are replaced by the nearest
+// valid ones. The same settings, seed and events produce the same actions.
 func New(settings Settings, seed uint64) *Balancer {
 	settings = validSettings(settings)
 	env := newEnvironment(settings, seed)
@@ -64,13 +64,13 @@
 		fleet:       fleet,
 		load:        load,
 		outliers:    b.outliers,
-		probeRTT:    firstProbeRoundTrip,
+		probeRTT:    initialProbeRTT,
 	}
 	b.buildPlacement()
 	return b
 }
 
-// buildPlacement puts together the parts that choose servers, from those that New has made.
+// buildPlacement constructs the parts that choose servers, from the parts that New has constructed.
 func (b *Balancer) buildPlacement() {
 	affinity := &groupAffinity{environment: b.environment, endpoints: b.endpoints}
 	admit := &admission{
@@ -122,9 +122,9 @@
 	}
 }
 
-// Handle takes one event and appends what is to be done about it to out, which it returns. now is the time
-// since an origin of the caller's choice, the same as that of the events' times, and never less than at the
-// last call.
+// Handle processes one event, appends the actions to carry out to out, and returns it. now is the time since
+// an origin of the caller's choice, the same origin as that of the times in events, and must not decrease
+// from call to call.
 func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
 	b.begin(now, out)
 	switch e := ev.(type) {
@@ -133,13 +133,13 @@
 	case Request:
 		r := b.requests.trackRequest(e)
 		b.arrivals.recordRequest()
-		b.retry.budget.earn(r.Tenant)
+		b.retry.budget.addTokens(r.Tenant)
 		b.dispatch.probeThenPlace(r)
 	case InheritedConnection:
-		b.requests.trackInherited(e)
-		b.rebalance.scheduleLoadWatch()
+		b.requests.trackInheritedConnection(e)
+		b.rebalance.scheduleLoadCheck()
 	case ConnectionOpened:
-		b.recordOpened(e)
+		b.recordConnectionOpened(e)
 	case Outcome:
 		b.recordOutcome(e)
 	case ClientGone:
@@ -167,12 +167,12 @@
 		b.polling.recordPollFailure()
 		return
 	}
-	b.polling.recordAnswer(e.Kind)
+	b.polling.recordListEvent(e.Kind)
 	b.endpoints.apply(e, b.now, b.settings.Rules.SlowStartWindow)
 	b.dispatch.releaseListWaiters()
 }
 
-func (b *Balancer) recordOpened(e ConnectionOpened) {
+func (b *Balancer) recordConnectionOpened(e ConnectionOpened) {
 	b.timeouts.recordSetupLatency(e.SetupLatency)
 	b.endpoints.stateOf(e.Server).health.consecutiveErrors = 0
 	r := b.requests.requests[e.ID]
@@ -181,10 +181,11 @@
 	}
 	r.phase = phaseOpen
 	b.rejections.keyFailures.clearFailures(r.Key)
-	b.rebalance.scheduleLoadWatch()
+	b.rebalance.scheduleLoadCheck()
 }
 
-// recordOutcome ends an attempt. If it was never opened, its request gets a retry or a final answer.
+// recordOutcome ends an attempt. If its connection was never opened, the request gets a retry or a final
+// answer.
 func (b *Balancer) recordOutcome(e Outcome) {
 	r := b.requests.requests[e.ID]
 	if r == nil || r.attempts == 0 {
@@ -197,7 +198,7 @@
 		b.requests.endRequest(r)
 		return
 	}
-	b.requests.recordRun(r, e)
+	b.requests.recordPossibleRun(r, e)
 	b.retry.retryOrReject(r)
 }
 
@@ -210,9 +211,9 @@
 func (b *Balancer) resumeTimer(token uint64) {
 	switch kind, id := splitToken(token); kind {
 	case timerRequest:
-		b.dispatch.resume(RequestID(id))
-	case timerLoadWatch:
-		b.rebalance.watchLoad()
+		b.dispatch.resumeRequest(RequestID(id))
+	case timerLoadCheck:
+		b.rebalance.checkLoad()
 	case timerDiscovery:
 		b.polling.pollDiscovery(id)
 	case timerMigrate:
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -72,7 +72,7 @@
 				ConnectionOpened{ID: a.ID, Server: a.Server, SetupLatency: 5 * ms}, y.backlog)
 			y.ends, y.at = append(y.ends, a.ID), append(y.at, a.Server)
 		case Timer:
-			if kind, _ := splitToken(a.Token); kind == timerLoadWatch { // the only one that matters here
+			if kind, _ := splitToken(a.Token); kind == timerLoadCheck { // the only one that matters here
 				y.alarms = append(y.alarms, due{y.now + a.After, a.Token})
 			}
 		}
--- a/decide/discovery_test.go
+++ b/decide/discovery_test.go
@@ -72,9 +72,9 @@
 	set := settings()
 	set.MustSubscribe = true
 	p := &discoveryPolling{environment: testEnvironment(set), fleet: newFleetView(10)}
-	p.recordAnswer(CachedSnapshot)
-	p.expediteFirstPoll()
-	p.expediteFirstPoll()
+	p.recordListEvent(CachedSnapshot)
+	p.advanceFirstPoll()
+	p.advanceFirstPoll()
 	if n := len(actionsOf[Timer](p.actions)); n != 2 {
 		t.Fatalf("%d timers, want one in turn and one before", n)
 	}
@@ -97,7 +97,7 @@
 		listed       int
 		first, await bool
 	}{{0, false, true}, {3, true, false}, {3, false, false}, {0, false, false}} {
-		if got := p.recordList(c.listed); got != c.first || p.awaitsFirstList() != c.await {
+		if got := p.recordListedServers(c.listed); got != c.first || p.awaitsFirstList() != c.await {
 			t.Errorf("list %d: first %v, awaited %v", i, got, p.awaitsFirstList())
 		}
 	}
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// probesAwaitedForList marks a request that waits for the first endpoint list: so many results of probes
-// never come.
+// probesAwaitedForList marks a request that waits for the first endpoint list: a number of probe results that
+// is never reached.
 const probesAwaitedForList = 1 << 30
 
 // dispatcher takes each request from its arrival to an attempt or a final answer.
@@ -20,25 +20,26 @@
 	rejections *rejectionRule
 }
 
-// probeThenPlace places a request at once if there are fresh readings; else servers are probed first.
+// probeThenPlace places a request at once if there are enough fresh readings, or else after probes.
 func (d *dispatcher) probeThenPlace(r *request) {
 	r.probesAwaited = d.probeCandidates(r.Group)
 	d.queueOrPlace(r)
 }
 
-// probeCandidates has servers probed for a connection of a group, or of none (0), and returns how many
-// results are worth waiting for.
+// probeCandidates probes servers for a connection of a group, or of no group (0), and returns how many
+// results to wait for.
 func (d *dispatcher) probeCandidates(group uint64) (awaited int) {
 	switch {
 	case !d.settings.Probes:
 		return 0
 	case group != 0:
-		return d.pool.topUpReadings(d.affinity.groupSubset(group, 1), probesPerPlacement, false)
+		return d.pool.refreshReadings(d.affinity.groupSubset(group, 1), probesPerPlacement, false)
 	}
-	return d.pool.topUpHomeZone()
+	return d.pool.refreshHomeZone()
 }
 
-// queueOrPlace has a request wait for the probes that it awaits, for a quarter of the time left at the most.
+// queueOrPlace queues a request until the probes it awaits have results, for at most a quarter of its time
+// left.
 func (d *dispatcher) queueOrPlace(r *request) {
 	wait := min((r.deadline-d.now)/4, d.pool.probeWait())
 	if r.probesAwaited == 0 || wait < d.settings.Tick {
@@ -48,8 +49,8 @@
 	d.requests.queueRequest(r, wait)
 }
 
-// placeRequest decides a request that has waited long enough: it is forwarded, rejected, or waits on for
-// probes of servers farther off.
+// placeRequest decides a request that no longer waits: it is forwarded, rejected, or queued again for probes
+// of more distant servers.
 func (d *dispatcher) placeRequest(r *request) {
 	pick, cost := d.placement.pickCheapest(r)
 	if d.tryOtherZone(r, cost) {
@@ -78,9 +79,9 @@
 	d.emit(Forward{ID: r.ID, Server: to, Timeout: d.timeouts.setupTimeout(r)})
 }
 
-// tryOtherZone has servers of another zone probed for a request, once, where its own zone is lost or so
-// loaded that to cross costs less; the first reading from there will do. It returns whether the request waits
-// for it, or is decided.
+// tryOtherZone probes servers of one other zone for a request, once, if the home zone has no eligible server
+// or is so loaded that crossing zones costs less. The first reading from there is enough to decide. It
+// reports whether the request has been queued or decided.
 func (d *dispatcher) tryOtherZone(r *request, cost float64) bool {
 	settings := &d.settings
 	if r.triedOtherZone || !settings.Probes || settings.Zones <= 1 || cost <= settings.Prices.CrossZone {
@@ -88,7 +89,7 @@
 	}
 	r.triedOtherZone = true
 	other := (settings.Zone + 1 + Zone(d.rng.IntN(settings.Zones-1))) % Zone(settings.Zones)
-	awaited := d.pool.topUpReadings(d.endpoints.serversByZone[other], probesPerPlacement/2, true)
+	awaited := d.pool.refreshReadings(d.endpoints.serversByZone[other], probesPerPlacement/2, true)
 	if r.probesAwaited = min(1, awaited); r.probesAwaited == 0 {
 		return false
 	}
@@ -96,28 +97,28 @@
 	return true
 }
 
-// widenSubset has as many more servers of its group's rendezvous order probed for a request whose subset is
-// full, once. It returns whether the request goes on so.
+// widenSubset doubles the subset of the group of a request whose subset is full, once, and probes the servers
+// added. It reports whether the request has been queued or decided.
 func (d *dispatcher) widenSubset(r *request) bool {
 	if r.Group == 0 || r.subsetWidened > 0 {
 		return false
 	}
 	r.subsetWidened = 1
-	r.probesAwaited = d.pool.topUpReadings(d.affinity.groupSubset(r.Group, 2), probesPerPlacement, false)
+	r.probesAwaited = d.pool.refreshReadings(d.affinity.groupSubset(r.Group, 2), probesPerPlacement, false)
 	d.queueOrPlace(r)
 	return true
 }
 
-// awaitFirstList holds a request of a relay that has just started until its first endpoint list has a
-// server to use, once and for half of the time that is left; false if there is nothing to wait for. The
-// first poll is made sooner for it: a relay that starts alone need not wait for its phase offset.
+// awaitFirstList queues a request of a relay that has just started until the first endpoint list with a ready
+// server, once and for half of its time left. It reports false if there is no list to wait for. The first
+// poll is moved forward, so that a relay that starts alone need not wait for its phase offset.
 func (d *dispatcher) awaitFirstList(r *request) bool {
 	if r.awaitedFirstList || !d.polling.awaitsFirstList() {
 		return false
 	}
-	d.polling.expediteFirstPoll()
+	d.polling.advanceFirstPoll()
 	wait := (r.deadline - d.now) / 2
-	if wait < max(d.settings.Tick, d.polling.pollSpread()/2) { // the list would come too late
+	if wait < max(d.settings.Tick, d.polling.pollSpread()/2) { // the list would arrive too late
 		return false
 	}
 	r.awaitedFirstList, r.probesAwaited = true, probesAwaitedForList
@@ -125,9 +126,9 @@
 	return true
 }
 
-// releaseListWaiters goes on with the requests that wait for the first endpoint list, if there is one now.
+// releaseListWaiters continues the requests that wait for the first endpoint list, once it has come.
 func (d *dispatcher) releaseListWaiters() {
-	if !d.polling.recordList(d.endpoints.listedCount()) {
+	if !d.polling.recordListedServers(d.endpoints.listedCount()) {
 		return
 	}
 	for _, r := range slices.Clone(d.requests.queuedRequests) {
@@ -138,8 +139,8 @@
 	}
 }
 
-// countProbeResult goes on with the requests for which this was the last result that they awaited. Some
-// wait on meanwhile, for another zone's.
+// countProbeResult counts one probe result for every queued request, and places the requests that have all
+// the results they await.
 func (d *dispatcher) countProbeResult() {
 	for _, r := range slices.Clone(d.requests.queuedRequests) {
 		if r.probesAwaited--; r.probesAwaited < 1 {
@@ -149,8 +150,8 @@
 	}
 }
 
-// resume goes on with a request whose timer has fired.
-func (d *dispatcher) resume(id RequestID) {
+// resumeRequest continues a request whose timer has fired.
+func (d *dispatcher) resumeRequest(id RequestID) {
 	r := d.requests.requests[id]
 	if r == nil || d.now < r.wakeAt {
 		return
--- a/decide/driver_test.go
+++ b/decide/driver_test.go
@@ -143,11 +143,11 @@
 	return r
 }
 
-// watchLoad lets the watch probe once more and returns what was done about the answers.
-func (r *relay) watchLoad(loads map[ServerID]float64) []Action {
+// checkLoad lets the watch probe once more and returns what was done about the answers.
+func (r *relay) checkLoad(loads map[ServerID]float64) []Action {
 	// A request keeps the pool fresh.
-	acts := r.answer(r.advance(loadWatchInterval).do(newRequest(RequestID(r.now))), loads)
-	return r.answer(append(acts, r.do(TimerFired{Token: timerLoadWatch.token(0)})...), loads)
+	acts := r.answer(r.advance(loadCheckInterval).do(newRequest(RequestID(r.now))), loads)
+	return r.answer(append(acts, r.do(TimerFired{Token: timerLoadCheck.token(0)})...), loads)
 }
 
 // testEnvironment is that of a relay that has run for a minute.
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// serverState is what this relay knows of one server. Each part belongs to one rule, in the file beside it.
+// serverState is what this relay knows of one server. Each field belongs to the rule in the file named beside
+// it.
 type serverState struct {
 	Endpoint
-	zoneIndex         int         // endpoints.go: place in its zone's list, -1 if nothing new may go there
+	zoneIndex         int         // endpoints.go: index in its zone's list, -1 if it may not get new attempts
 	connections       []RequestID // requests.go: own attempts in flight and open connections
 	reading           reading     // load.go
 	inPool            bool        // probes.go
 	probePendingUntil time.Duration
 	health            health    // outlier.go
 	slowStart         slowStart // slow_start.go
-	excessConnections int       // rebalance.go: own connections that are to move from here
+	excessConnections int       // rebalance.go: number of own connections that are to migrate
 }
 
-// endpointSet is the endpoint list as this relay applies it.
+// endpointSet is the endpoint list as applied by this relay.
 //
-// Invariant: a server is in serversByZone, at zoneIndex of its zone, exactly while it is listed as ready in
-// a zone of the settings; a server outside of it gets nothing new.
+// Invariant: a server is in serversByZone, at zoneIndex of its zone, if and only if it is listed as ready in
+// a zone of the settings; any other server gets no new attempts.
 type endpointSet struct {
 	servers        []serverState // by ServerID
-	serversByZone  [][]ServerID  // the order within a zone means nothing
-	listingVersion uint64        // rises as serversByZone or a rendezvous key in it changes
+	serversByZone  [][]ServerID  // the order within a zone has no meaning
+	listingVersion uint64        // incremented when serversByZone or a rendezvous key in it changes
 }
 
 func newEndpointSet(zones int) *endpointSet {
 	return &endpointSet{serversByZone: make([][]ServerID, zones)}
 }
 
-// stateOf finds a server's state; one that no list has named yet is made, and is given nothing. The pointer
-// holds until the next server is made.
+// stateOf returns a server's state. The state of a server that no list has named yet is created as not
+// listed. The pointer is valid until the next server is created.
 func (e *endpointSet) stateOf(id ServerID) *serverState {
 	for int(id) >= len(e.servers) {
 		e.servers = append(e.servers, serverState{
@@ -45,10 +46,10 @@
 	return &e.servers[id]
 }
 
-// apply takes in a watch event that brings a list. From the moment a server drains or is gone nothing new
-// goes to it (rule 3). One that started within the slow-start window is in slow start.
+// apply updates the set from a watch event that carries a list. A server gets no new attempts as soon as it
+// is draining or removed (rule 3). A server that started within the slow-start window is put into slow start.
 func (e *endpointSet) apply(event WatchEvent, now, slowStartWindow time.Duration) {
-	if event.Kind == Snapshot || event.Kind == CachedSnapshot { // who is not in a complete list is gone
+	if event.Kind == Snapshot || event.Kind == CachedSnapshot { // other servers are removed
 		for i := range e.servers {
 			s := &e.servers[i]
 			e.updateEndpoint(Endpoint{Server: ServerID(i), Zone: s.Zone, StartedAt: s.StartedAt})
@@ -63,7 +64,7 @@
 	}
 }
 
-// updateEndpoint takes in one line of the list.
+// updateEndpoint applies one entry of the list.
 func (e *endpointSet) updateEndpoint(endpoint Endpoint) {
 	s := e.stateOf(endpoint.Server)
 	wasListed, oldKey := s.zoneIndex >= 0, s.RendezvousKey
@@ -85,7 +86,7 @@
 	}
 }
 
-// listedCount is how many servers may be given something new.
+// listedCount is the number of servers that may get new attempts.
 func (e *endpointSet) listedCount() (n int) {
 	for _, zone := range e.serversByZone {
 		n += len(zone)
@@ -93,11 +94,11 @@
 	return n
 }
 
-// swapInZone exchanges two servers of a zone's list.
+// swapInZone swaps two servers of a zone's list.
 func (e *endpointSet) swapInZone(list []ServerID, i, j int) {
 	list[i], list[j] = list[j], list[i]
 	e.servers[list[i]].zoneIndex, e.servers[list[j]].zoneIndex = i, j
 }
 
-// holds tells whether an attempt or a connection of the request is at the server.
-func (s *serverState) holds(id RequestID) bool { return slices.Contains(s.connections, id) }
+// holdsRequest reports whether an attempt or a connection of the request is at the server.
+func (s *serverState) holdsRequest(id RequestID) bool { return slices.Contains(s.connections, id) }
--- a/decide/environment.go
+++ b/decide/environment.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint64
 
 const (
 	timerRequest   timerKind = iota // a queued request's probes or its backoff are due; id: the request's
-	timerLoadWatch                  // the servers that hold own connections are to be checked
+	timerLoadCheck                  // the servers that hold own connections are to be checked; id: 0
 	timerDiscovery                  // discovery is to be polled; id: firstPollTimer or 0
-	timerMigrate                    // probes for a better place are due; id: the server whose excess migrates
-	timerKinds
+	timerMigrate                    // probes of migration targets are due; id: the overloaded server
+	timerKindCount
 )
 
-// token is a timer's token: its kind and an id.
-func (k timerKind) token(id uint64) uint64 { return id*uint64(timerKinds) + uint64(k) }
+// token encodes a timer's kind and an id in the timer's token.
+func (k timerKind) token(id uint64) uint64 { return id*uint64(timerKindCount) + uint64(k) }
 
-// splitToken returns what token has put together.
+// splitToken decodes a token that timerKind.token has encoded.
 func splitToken(token uint64) (kind timerKind, id uint64) {
-	return timerKind(token % uint64(timerKinds)), token / uint64(timerKinds)
+	return timerKind(token % uint64(timerKindCount)), token / uint64(timerKindCount)
 }
 
-// environment is what every rule works with while one event is handled.
+// environment is the state shared by all rules while one event is handled.
 type environment struct {
 	settings   Settings
-	rng        *rand.Rand    // the order of its draws is part of what TestGoldenActions holds
-	timerPhase float64       // 0 to 1, fixed by the relay's number: keeps the fleet's periodic timers apart
-	now        time.Duration // of the event at hand
+	rng        *rand.Rand    // the order of its draws is part of what TestGoldenActions checks
+	timerPhase float64       // 0 to 1, by the relay's number: spreads the fleet's periodic timers
+	now        time.Duration // time of the current event
 	startedAt  time.Duration // time of the first event, -1 before it
-	actions    []Action      // asked for so far
+	actions    []Action      // emitted so far for the current event
 }
 
-// newEnvironment takes settings that validSettings has returned.
+// newEnvironment expects settings that validSettings has returned.
 func newEnvironment(settings Settings, seed uint64) *environment {
 	_, phase := math.Modf(float64(settings.RelayIndex) * math.Phi)
 	return &environment{
@@ -46,7 +46,7 @@
 	}
 }
 
-// begin starts on an event at a time that is not before that of the last.
+// begin starts the handling of an event. now must not be before the time of the previous event.
 func (e *environment) begin(now time.Duration, actions []Action) {
 	e.now, e.actions = now, actions
 	if e.startedAt < 0 {
@@ -54,16 +54,16 @@
 	}
 }
 
-// emit asks for an action.
+// emit appends an action to those that Handle returns.
 func (e *environment) emit(a Action) { e.actions = append(e.actions, a) }
 
-// setTimer asks for a TimerFired with the kind and the id in its token, no sooner than the next batch of
-// events.
+// setTimer requests a TimerFired with the kind and the id in its token, after at least one tick, the least
+// time between two batches of events.
 func (e *environment) setTimer(kind timerKind, id uint64, after time.Duration) {
 	e.emit(Timer{After: max(after, e.settings.Tick), Token: kind.token(id)})
 }
 
-// uptime is how long ago the first event came.
+// uptime is the time since the first event.
 func (e *environment) uptime() time.Duration { return e.now - e.startedAt }
 
 // class returns the settings of a request's class.
--- a/decide/events_test.go
+++ b/decide/events_test.go
@@ -3,17 +3,17 @@
 import "testing"
 
 func TestStatusAndReasonNames(t *testing.T) {
-	for s := OK; s < statuses; s++ {
+	for s := OK; s < statusCount; s++ {
 		if name := s.String(); name == "" || name == "unknown" {
 			t.Errorf("status %d has no name", s)
 		}
 	}
-	for r := NoServer; r < rejectReasons; r++ {
+	for r := NoServer; r < rejectReasonCount; r++ {
 		if name := r.String(); name == "" || name == "unknown" {
 			t.Errorf("reason %d has no name", r)
 		}
 	}
-	if s, r := statuses.String(), rejectReasons.String(); s != "unknown" || r != "unknown" {
+	if s, r := statusCount.String(), rejectReasonCount.String(); s != "unknown" || r != "unknown" {
 		t.Errorf("beyond the last: %q, %q", s, r)
 	}
 	if name := NoReason.String(); name != "" {
@@ -24,7 +24,7 @@
 // Only these prove that a repeat does no harm (rule 2).
 func TestWhatProvesThatAnAttemptNeverRan(t *testing.T) {
 	proof := map[Status]bool{AtCapacity: true, ConnectFailed: true, Superseded: true}
-	for s := OK; s < statuses; s++ {
+	for s := OK; s < statusCount; s++ {
 		if s.NeverRan() != proof[s] {
 			t.Errorf("%v: %v", s, s.NeverRan())
 		}
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// fleetView is what this relay knows of the others.
+// fleetView is what this relay knows of the other relays.
 type fleetView struct {
-	status FleetStatus // the latest
+	status FleetStatus // the latest one received
 }
 
-// newFleetView is the view before the first FleetStatus: as many relays as the settings say, each with an
-// equal share of every budget.
+// newFleetView returns the view before the first FleetStatus: the number of relays in the settings, each with
+// an equal share of every budget.
 func newFleetView(relays int) *fleetView {
 	return &fleetView{status: FleetStatus{
 		Relays:          relays,
@@ -21,7 +21,7 @@
 	}}
 }
 
-// recordFleetStatus takes in what the relays know of each other.
+// recordFleetStatus stores a status, with values out of range replaced by the nearest valid ones.
 func (f *fleetView) recordFleetStatus(status FleetStatus) {
 	status.Relays = max(status.Relays, 1)
 	status.BudgetShare = max(0, min(status.BudgetShare, 1))
@@ -29,7 +29,7 @@
 	f.status = status
 }
 
-// budgetShare is the part, 0 to 1, of a fleet-wide budget for a server of the zone that is this relay's now.
+// budgetShare is this relay's present fraction, 0 to 1, of a fleet-wide budget for a server of the zone.
 func (f *fleetView) budgetShare(now time.Duration, zone Zone) float64 {
 	switch {
 	case f.status.BudgetExpiresAt > 0 && now >= f.status.BudgetExpiresAt:
@@ -40,7 +40,8 @@
 	return f.status.BudgetShare
 }
 
-// fleetConnections is how many connections all relays hold: as they say, or as many each as this one.
+// fleetConnections is the number of connections that all relays hold. If the other relays' number is not
+// known, each is assumed to hold as many as this relay.
 func (f *fleetView) fleetConnections(own int) float64 {
 	if f.status.PeerConnections >= 0 {
 		return float64(own + f.status.PeerConnections)
@@ -48,7 +49,8 @@
 	return float64(own * f.status.Relays)
 }
 
-// fleetRequestRate is how many requests a second come to all relays: as they say, or to each as many as here.
+// fleetRequestRate is the number of requests per second to all relays. If the other relays' rate is not
+// known, each is assumed to get as many as this relay.
 func (f *fleetView) fleetRequestRate(own float64) float64 {
 	if f.status.PeerRequestRate >= 0 {
 		return own + f.status.PeerRequestRate
--- a/decide/idempotency.go
+++ b/decide/idempotency.go
@@ -1,11 +1,11 @@
 package decide
 
-// Idempotency says what a repeat of a request would do.
+// Idempotency is the effect of repeating a request of a class.
 type Idempotency uint8
 
-// The kinds of class by what a repeat does.
+// The kinds of idempotency.
 const (
-	Idempotent        Idempotency = iota // may be repeated and rejected freely
+	Idempotent        Idempotency = iota // may be repeated and rejected at any time
 	IdempotentWithKey                    // servers of the DedupScope drop repeats within the DedupWindow
 	NonIdempotent                        // may be sent again only if no earlier attempt can have run
 )
@@ -13,14 +13,14 @@
 // DedupScope is the set of servers that share the idempotency keys they have seen.
 type DedupScope uint8
 
-// The scopes of a class that is IdempotentWithKey.
+// The scopes that a class with IdempotentWithKey may have.
 const (
 	ScopeAll  DedupScope = iota // all servers
-	ScopeZone                   // those of a zone
-	ScopeCell                   // those of a cell, see Endpoint.Cell
+	ScopeZone                   // servers of one zone
+	ScopeCell                   // servers of one cell, see Endpoint.Cell
 )
 
-// Covers tells whether two servers share the idempotency keys they have seen, by whether they stand in one
+// Covers reports whether two servers share the idempotency keys they have seen, given whether they are in one
 // zone and in one cell.
 func (s DedupScope) Covers(sameZone, sameCell bool) bool {
 	switch s {
@@ -32,8 +32,9 @@
 	return true
 }
 
-// RepeatIsHarmless tells whether, after an attempt that may have run, a repeat by the client does no harm
-// whichever server it reaches: only then may the request be rejected, which says so.
+// RepeatIsHarmless reports whether, after an attempt that may have run, the client may safely repeat the
+// request at any server. Only then may the request be rejected, since a rejection tells the client that a new
+// attempt is safe.
 func (i Idempotency) RepeatIsHarmless(scope DedupScope) bool {
 	switch i {
 	case Idempotent:
--- a/decide/key_failures_test.go
+++ b/decide/key_failures_test.go
@@ -20,13 +20,13 @@
 func TestOldKeysAreForgottenAGenerationAtATime(t *testing.T) {
 	var f keyFailureCounts
 	f.recordFailure(7)
-	for key := range uint64(failingKeysKept) {
+	for key := range uint64(maxFailingKeysPerGeneration) {
 		f.recordFailure(100 + key)
 	}
 	if n := f.recordFailure(7); n != 2 {
 		t.Errorf("forgotten after one generation: %d", n)
 	}
-	for key := range uint64(3 * failingKeysKept) {
+	for key := range uint64(3 * maxFailingKeysPerGeneration) {
 		f.recordFailure(1_000_000 + key)
 	}
 	if n := f.recordFailure(7); n != 1 {
--- a/decide/load.go
+++ b/decide/load.go
@@ -6,79 +6,86 @@
 )
 
 const (
-	// loadReportDelay is how long a connection may be open before load reports count it: servers report
-	// about once a second.
+	// loadReportDelay is the age up to which a connection may be missing from load reports, which servers
+	// update about once per second.
 	loadReportDelay = 700 * time.Millisecond
-	// maxLoadOverQuotaMean is the most that a connection is learnt to add, as a multiple of what the quotas
-	// make of it: a relay that holds few has seen too little.
+	// maxLoadOverQuotaMean bounds the learned load per connection, as a multiple of the estimate from the
+	// quotas: a relay with few connections has too few samples to learn a larger value.
 	maxLoadOverQuotaMean = 2.5
-	// uninformativeConnections is how many own connections at a server tell little of its load.
-	uninformativeConnections = 4
-	// loadLearningWeight is the weight of a new load report in the means that are learnt from.
+	// smoothingConnections is added to the own connections at a server and to their mean, so that small
+	// differences between few connections do not change a guessed load much.
+	smoothingConnections = 4
+	// loadLearningWeight is the weight of a new load report in the moving averages of the load model.
 	loadLearningWeight = 1.0 / 8
-	// peerPlacementsKept bounds what is kept of the other relays' placements at one server.
-	peerPlacementsKept = 1024
-	// maxUnreported bounds what is kept of own placements, and of closes, at one server that is not read.
-	maxUnreported = 1 << 14
-	// slowProbeFactor is how many times the usual a probe takes at a server where work is piled up.
+	// maxUnreportedPeerPlacements bounds the placements of other relays that are stored for a server.
+	maxUnreportedPeerPlacements = 1024
+	// maxUnreportedChanges bounds the own placements, and the closes, that are stored for a server without
+	// new readings.
+	maxUnreportedChanges = 1 << 14
+	// slowProbeFactor is the multiple of the usual probe latency above which a server is taken to have a
+	// backlog.
 	slowProbeFactor = 4
-	// guessedLoadLimit is the most that a server without a load report is guessed at, 0 to 1: one that has
-	// capacity, but is not a better place to migrate to.
-	guessedLoadLimit = rebalanceTargetLoad
+	// maxGuessedLoad bounds the guessed load, 0 to 1, of a server without a load report: such a server has
+	// capacity but is no better target for migrations.
+	maxGuessedLoad = rebalanceTargetLoad
 )
 
-// reading is the last that is known of a server's load, and what has changed there since.
+// reading is the latest known load of a server, and the changes since.
 type reading struct {
-	load                     float64         // asked of the server, over its capacity
-	at                       time.Duration   // when it was taken, -1 if it may not be used
-	loadGuessed              bool            // load comes from no load report
-	unreportedPlacements     []time.Duration // when, own placements that the reading may not count yet
-	unreportedPeerPlacements []time.Duration // the same of other relays', where they share placements
-	unreportedCloses         []time.Duration // the same of connections that are gone
-	messagesLateUntil        time.Duration   // a message was late there: it counts as full until then
+	load                     float64         // load asked of the server over its capacity
+	at                       time.Duration   // when the reading was taken, -1 if it must not be used
+	loadGuessed              bool            // no load report told load; it was guessed
+	unreportedPlacements     []time.Duration // times of own placements that load may not include yet
+	unreportedPeerPlacements []time.Duration // the same for placements of other relays that share them
+	unreportedCloses         []time.Duration // the same for closed connections
+	messagesLateUntil        time.Duration   // a message was late: the server counts as full until then
 }
 
-// invalidate drops the reading: the server is out of the probe pool until the next.
+// invalidate drops the reading, which keeps the server out of the probe pool until its next reading.
 func (r *reading) invalidate() { r.at = -1 }
 
-// usable tells whether there is a reading that has not been dropped.
+// usable reports whether there is a reading that has not been dropped.
 func (r *reading) usable() bool { return r.at >= 0 }
 
 func (r *reading) recordPlacement(at time.Duration) {
 	r.unreportedPlacements = append(r.unreportedPlacements, at)
-	r.boundUnreported()
+	r.trimUnreportedChanges()
 }
 
 func (r *reading) recordClose(at time.Duration) {
 	r.unreportedCloses = append(r.unreportedCloses, at)
-	r.boundUnreported()
+	r.trimUnreportedChanges()
 }
 
-// boundUnreported forgets old placements together with as many old closes, once either list is full: only how
-// many more there are of the one counts where no reading comes. What is over then is forgotten, oldest first.
-func (r *reading) boundUnreported() {
+// trimUnreportedChanges keeps the lists of own placements and closes within maxUnreportedChanges. Once either
+// list is full, it drops the oldest placements together with as many of the oldest closes, which keeps their
+// difference, the only value used while no reading comes. If a list is still too long, its oldest entries are
+// dropped.
+func (r *reading) trimUnreportedChanges() {
 	placements, closes := len(r.unreportedPlacements), len(r.unreportedCloses)
-	if max(placements, closes) <= maxUnreported {
+	if max(placements, closes) <= maxUnreportedChanges {
 		return
 	}
 	pairs := min(placements, closes)
-	placementsKept, closesKept := min(placements-pairs, maxUnreported), min(closes-pairs, maxUnreported)
+	placementsKept, closesKept := min(placements-pairs, maxUnreportedChanges),
+		min(closes-pairs, maxUnreportedChanges)
 	r.unreportedPlacements = slices.Delete(r.unreportedPlacements, 0, placements-placementsKept)
 	r.unreportedCloses = slices.Delete(r.unreportedCloses, 0, closes-closesKept)
 }
 
-// recordPeerPlacements counts what another relay placed there then, or, if negative, what ended.
+// recordPeerPlacements records count connections that another relay placed on the server at a time, or, if
+// count is negative, -count connections that ended.
 func (r *reading) recordPeerPlacements(count int, at time.Duration) {
 	list, n := &r.unreportedPeerPlacements, count
 	if n < 0 {
 		list, n = &r.unreportedCloses, -n
 	}
-	n = min(n, max(peerPlacementsKept-len(*list), 0))
+	n = min(n, max(maxUnreportedPeerPlacements-len(*list), 0))
 	*list = append(*list, slices.Repeat([]time.Duration{at}, n)...)
 }
 
-// dropReported drops the placements and closes that a load report counts: those up to then.
-func (r *reading) dropReported(until time.Duration) {
+// dropReportedChanges drops the placements and closes up to the given time, which a load report includes.
+func (r *reading) dropReportedChanges(until time.Duration) {
 	for _, list := range []*[]time.Duration{
 		&r.unreportedPlacements,
 		&r.unreportedPeerPlacements,
@@ -88,37 +95,39 @@
 	}
 }
 
-// loadModel estimates the load of servers between and without load reports.
+// loadModel estimates the load of servers between load reports and without them.
 type loadModel struct {
 	*environment
 	endpoints                *endpointSet
 	requests                 *requestTable
 	fleet                    *fleetView
 	quota                    quota
-	warmLoadMean             float64       // of warm servers' load reports, fading
-	warmConnectionsMean      float64       // of the connections that these servers held, fading
-	learnedLoadPerConnection float64       // a part of a server's capacity
-	usualProbeLatency        time.Duration // of the probes that are answered in good time
+	warmLoadMean             float64       // moving average of the loads that warm servers report
+	warmConnectionsMean      float64       // moving average of the connections that these servers held
+	learnedLoadPerConnection float64       // as a fraction of a server's capacity
+	usualProbeLatency        time.Duration // moving average that follows decreases faster than increases
 }
 
-// estimatedLoad is a server's load now: its reading, what has changed there since, less its part of what
-// other relays migrate: those connections come here next, and would count twice.
+// estimatedLoad is the present load of a server: its reading plus the changes since then, minus the server's
+// part of the connections that other relays are migrating away. Those connections reach this relay next and
+// would otherwise be counted twice.
 func (m *loadModel) estimatedLoad(s *serverState) float64 {
 	r := &s.reading
 	since := float64(len(r.unreportedPlacements) + len(r.unreportedPeerPlacements) - len(r.unreportedCloses))
 	if migrating := m.fleet.status.PeerMigrationRate; migrating > 0 {
-		unreported := min(m.now-r.at, loadWatchInterval) + loadReportDelay
+		unreported := min(m.now-r.at, loadCheckInterval) + loadReportDelay
 		since -= migrating * unreported.Seconds() / float64(max(m.endpoints.listedCount(), 1))
 	}
 	load := max(r.load+since*m.loadPerConnection(), 0)
-	if m.now < r.messagesLateUntil { // work is piled up there, whatever load is asked of it now
+	if m.now < r.messagesLateUntil { // the server has a backlog, whatever its present load is
 		load = max(load, 1)
 	}
 	return load
 }
 
-// loadPerConnection is what one more connection is taken to add to a server's load, as a part of its
-// capacity. A relay that holds few has seen few: what the quotas say is the least.
+// loadPerConnection is the load that one more connection is assumed to add to a server, as a fraction of its
+// capacity. The estimate from the quotas is its lower bound, as a relay that holds few connections has few
+// samples.
 func (m *loadModel) loadPerConnection() float64 {
 	return max(m.learnedLoadPerConnection, m.quotaLoadPerConnection())
 }
@@ -127,8 +136,9 @@
 	return m.quota.loadPerConnection(m.endpoints.listedCount())
 }
 
-// setReading takes in the load that a report tells, or guesses it where none does.
-func (m *loadModel) setReading(s *serverState, report LoadReport, probeLatency time.Duration) {
+// setReadingLoad sets the load of a server's reading from a load report, or guesses it if the report has
+// none.
+func (m *loadModel) setReadingLoad(s *serverState, report LoadReport, probeLatency time.Duration) {
 	s.reading.load = max(report.Load, report.CPUUtilization)
 	if s.reading.loadGuessed = s.reading.load < 0; s.reading.loadGuessed {
 		s.reading.load = m.guessLoad(s, probeLatency)
@@ -137,24 +147,25 @@
 	}
 }
 
-// guessLoad is the load of a server that reports none. One that answers probes late is overloaded; else
-// what this relay holds there is all there is, as at a start, or, where no quota says what that adds, its
-// part of it.
+// guessLoad estimates the load of a server that reports none. A server that answers probes late is taken for
+// overloaded, provided that no server reports a load. Otherwise, with quotas, every relay is assumed to hold
+// as many connections there as this relay. Without quotas, the own connections there are compared with the
+// mean over all servers.
 func (m *loadModel) guessLoad(s *serverState, probeLatency time.Duration) float64 {
 	if m.recordProbeLatency(probeLatency) && m.warmLoadMean == 0 {
 		return 1
 	}
 	if m.quota.totalConnections > 0 {
 		connections := float64(len(s.connections) * m.fleet.status.Relays)
-		return min(connections*m.quotaLoadPerConnection(), guessedLoadLimit)
+		return min(connections*m.quotaLoadPerConnection(), maxGuessedLoad)
 	}
-	here := float64(len(s.connections)) + uninformativeConnections
-	mean := float64(m.requests.ownConnections/max(m.endpoints.listedCount(), 1)) + uninformativeConnections
-	return min(watchedLoad*here/mean, guessedLoadLimit)
+	here := float64(len(s.connections)) + smoothingConnections
+	mean := float64(m.requests.ownConnections/max(m.endpoints.listedCount(), 1)) + smoothingConnections
+	return min(loadCheckThreshold*here/mean, maxGuessedLoad)
 }
 
-// learnLoadPerConnection follows what a connection adds to a warm server's load: mean load over mean
-// connections held, or what all relays hold where no report counts them.
+// learnLoadPerConnection updates the load that a connection adds to a warm server: mean load over mean
+// connections. If no report counts a server's connections, the mean over all listed servers is used.
 func (m *loadModel) learnLoadPerConnection(s *serverState, report LoadReport) {
 	if m.capacityFraction(s) < 1 {
 		return
@@ -174,17 +185,17 @@
 	}
 }
 
-// recordProbeLatency notes how long a probe took and tells whether that is far longer than usual: work is
-// piled up where it was. Of the usual it learns fast what is shorter and slowly what is longer, as many
+// recordProbeLatency records a probe's latency and reports whether it is far above the usual one, which means
+// that the server has a backlog. The usual latency follows decreases fast and increases slowly, as many
 // servers may be slow at once.
 func (m *loadModel) recordProbeLatency(latency time.Duration) bool {
-	switch before := m.usualProbeLatency; {
-	case before == 0:
+	switch usual := m.usualProbeLatency; {
+	case usual == 0:
 		m.usualProbeLatency = latency
-	case latency < before:
-		m.usualProbeLatency += (latency - before) / 4
+	case latency < usual:
+		m.usualProbeLatency += (latency - usual) / 4
 	default:
-		m.usualProbeLatency += (min(latency, 2*before) - before) / 32
+		m.usualProbeLatency += (min(latency, 2*usual) - usual) / 32
 	}
 	return latency > slowProbeFactor*m.usualProbeLatency+m.settings.Tick
 }
--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -43,8 +43,8 @@
 	if got := actionsOf[Forward](r.do(newRequest(20))); len(got) != 1 || got[0].Server != 1 {
 		t.Errorf("placed as %v beside a server that holds ten and has no report", got)
 	}
-	watchDue := TimerFired{Token: timerLoadWatch.token(0)}
-	probes := actionsOf[Probe](r.advance(2 * loadWatchInterval).do(watchDue))
+	watchDue := TimerFired{Token: timerLoadCheck.token(0)}
+	probes := actionsOf[Probe](r.advance(2 * loadCheckInterval).do(watchDue))
 	if !slices.Contains(probes, Probe{Server: 0}) {
 		t.Errorf("the watch asks %v, not the server without a report", probes)
 	}
@@ -109,7 +109,7 @@
 	}
 	r.recordPeerPlacements(3, 1)
 	r.recordPeerPlacements(-2, 3)
-	r.dropReported(1)
+	r.dropReportedChanges(1)
 	got := [3]int{len(r.unreportedPlacements), len(r.unreportedPeerPlacements), len(r.unreportedCloses)}
 	if want := [3]int{2, 0, 4}; got != want {
 		t.Errorf("left %v of placements, peers' and closes, want %v", got, want)
@@ -119,10 +119,10 @@
 func TestPeerPlacementsAreBounded(t *testing.T) {
 	var r reading
 	for range 3 {
-		r.recordPeerPlacements(peerPlacementsKept/2+1, 0)
+		r.recordPeerPlacements(maxUnreportedPeerPlacements/2+1, 0)
 	}
-	if n := len(r.unreportedPeerPlacements); n != peerPlacementsKept {
-		t.Errorf("%d kept, want %d", n, peerPlacementsKept)
+	if n := len(r.unreportedPeerPlacements); n != maxUnreportedPeerPlacements {
+		t.Errorf("%d kept, want %d", n, maxUnreportedPeerPlacements)
 	}
 }
 
@@ -149,23 +149,23 @@
 func TestUnreadServersTakeBoundedSpace(t *testing.T) {
 	const open = 300
 	var r reading
-	for i := range 4 * maxUnreported {
+	for i := range 4 * maxUnreportedChanges {
 		r.recordPlacement(time.Duration(i))
 		if i >= open {
 			r.recordClose(time.Duration(i))
 		}
 	}
 	placements, closes := len(r.unreportedPlacements), len(r.unreportedCloses)
-	if placements > maxUnreported || closes > maxUnreported {
+	if placements > maxUnreportedChanges || closes > maxUnreportedChanges {
 		t.Errorf("%d placements and %d closes are kept", placements, closes)
 	}
 	if placements-closes != open {
 		t.Errorf("%d are counted as open, not %d", placements-closes, open)
 	}
-	for i := range 4 * maxUnreported { // whatever is never closed, or was not placed here
+	for i := range 4 * maxUnreportedChanges { // whatever is never closed, or was not placed here
 		r.recordClose(time.Duration(i))
 	}
-	if len(r.unreportedCloses) > maxUnreported {
+	if len(r.unreportedCloses) > maxUnreportedChanges {
 		t.Errorf("%d closes are kept", len(r.unreportedCloses))
 	}
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -4,60 +4,63 @@
 
 const (
 	// ejectionBackoff is the base of the time for which a server that answers with errors stays ejected, and
-	// the most that a failed probe costs.
+	// the upper bound of the backoff after a failed probe.
 	ejectionBackoff = 4 * time.Second
 	// maxErrorEjection bounds the time for which a server that answers with errors stays ejected.
 	maxErrorEjection = time.Minute
-	// failuresBeforeReaction is how many failures in a row are no accident: of a server's probes, of set-ups.
-	failuresBeforeReaction = 2
+	// consecutiveFailureThreshold is how many consecutive failures, of a server's probes or of set-ups, are
+	// taken for a fault and not for chance.
+	consecutiveFailureThreshold = 2
 )
 
-// health is what a server's failures say of it.
+// health is the state of a server by its recent failures.
 //
-// An ejected server gets nothing new, but as the last resort of a placement without readings, until a probe
-// succeeds; one that answered attempts with errors only by a probe at or after ejectedUntil.
+// An ejected server gets no new attempts until a probe succeeds, except as the last resort of a placement
+// without readings. For a server that answered attempts with errors, only a probe at or after ejectedUntil
+// counts.
 type health struct {
 	ejected           bool
-	ejectedUntil      time.Duration // no placement has it probed before
-	consecutiveErrors int           // attempts in a row that it answered with an error
-	missedProbes      int           // probes in a row that brought no reading
-	unansweredProbes  int           // and no answer at all
+	ejectedUntil      time.Duration // placements do not probe an ejected server before this time
+	consecutiveErrors int           // consecutive attempts that the server answered with an error
+	missedProbes      int           // consecutive probes without a reading
+	unansweredProbes  int           // consecutive probes without any answer
 }
 
-// inBackoff tells whether the server is ejected and not to be probed yet.
+// inBackoff reports whether the server is ejected and must not be probed yet.
 func (h *health) inBackoff(now time.Duration) bool { return h.ejected && now < h.ejectedUntil }
 
-// answersWithErrors tells whether it answered the latest probe with an error, as one does that drains before
-// the endpoint list tells.
+// answersWithErrors reports whether the server answered its latest probe with an error, as a draining server
+// does before the endpoint list shows that it drains.
 func (h *health) answersWithErrors() bool { return h.missedProbes > h.unansweredProbes }
 
-// silent tells whether the server is taken for dead.
-func (h *health) silent() bool { return h.unansweredProbes >= failuresBeforeReaction }
+// silent reports whether the server is taken for dead.
+func (h *health) silent() bool { return h.unansweredProbes >= consecutiveFailureThreshold }
 
-// outlierRule ejects servers that fail, and takes them back.
+// outlierRule ejects servers that fail, and ends their ejection.
 type outlierRule struct {
 	*environment
 	timeouts *setupTimeouts
 }
 
-// recordAttempt notes how an attempt ended that was in that phase. A server that sends a request back
-// unseen is only out of the pool until its next reading.
+// recordAttempt updates a server's health from the status of an attempt that ended in the given phase of its
+// request. A server that returns a request unprocessed only leaves the pool until its next reading.
 func (o *outlierRule) recordAttempt(s *serverState, status Status, phase requestPhase) {
 	switch status {
 	case Errored, ConnectFailed, TimedOut:
 		if phase == phaseInFlight {
-			o.recordFault(s, status)
+			o.recordFailedAttempt(s, status)
 		}
 	case Reset:
-		o.recordFault(s, status)
+		o.recordFailedAttempt(s, status)
 	case AtCapacity:
 		s.reading.invalidate()
 	}
 }
 
-// recordFault notes an attempt that failed at a server. One that answers fast with errors looks idle and
-// answers probes well, so it also stays ejected for a time that doubles with each failure.
-func (o *outlierRule) recordFault(s *serverState, status Status) {
+// recordFailedAttempt ejects a server after a failed attempt. A server that quickly answers attempts with
+// errors looks idle and answers probes well, so it also stays ejected for a time that doubles with each
+// error.
+func (o *outlierRule) recordFailedAttempt(s *serverState, status Status) {
 	o.ejectServer(s, status)
 	switch status {
 	case TimedOut:
@@ -69,8 +72,8 @@
 	}
 }
 
-// ejectServer takes a failing server out of the probe pool at once. One that no connection can be made to has
-// died, and is in slow start when it comes back, before the endpoint list tells.
+// ejectServer removes a failing server from the probe pool. A server that accepts no connection has died: it
+// will be in slow start when it returns, before the endpoint list shows its restart.
 func (o *outlierRule) ejectServer(s *serverState, status Status) {
 	s.health.ejected = true
 	s.reading.invalidate()
@@ -79,8 +82,8 @@
 	}
 }
 
-// recordProbeSuccess notes that a server answered a probe; it is taken back if its time is over. One that
-// holds next to nothing after a failure is a new process, which the endpoint list will tell of later.
+// recordProbeSuccess records that a server answered a probe, which ends its ejection if its time is over. A
+// server with a very low load after a failure is a new process, before the endpoint list shows its restart.
 func (o *outlierRule) recordProbeSuccess(s *serverState, load, poolLoadMean float64) {
 	h := &s.health
 	if h.ejected && h.consecutiveErrors == 0 && load < poolLoadMean/2 {
@@ -92,8 +95,8 @@
 	}
 }
 
-// recordProbeFailure notes a probe without a reading: the server is ejected, and probed again after a
-// backoff, not on every arrival that meets it.
+// recordProbeFailure records a probe without a reading: the server is ejected, and probed again only after a
+// backoff rather than at each arrival.
 func (o *outlierRule) recordProbeFailure(s *serverState, status Status) {
 	o.ejectServer(s, status)
 	h := &s.health
@@ -103,6 +106,6 @@
 	} else {
 		h.unansweredProbes++
 	}
-	wait := o.jitteredBackoff(readingFreshFor/2, h.missedProbes-failuresBeforeReaction, ejectionBackoff)
+	wait := o.jitteredBackoff(readingTTL/2, h.missedProbes-consecutiveFailureThreshold, ejectionBackoff)
 	h.ejectedUntil = o.now + wait
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -31,7 +31,7 @@
 	r := newRelay(t, settings(), 6, 5)
 	loads, probes := map[ServerID]float64{1: 0.2, 2: 0.2, 3: 0.2, 4: 0.2}, 0 // 0 is silent
 	for id := RequestID(1); id <= 40; id++ {
-		acts := r.answer(r.advance(readingFreshFor+ms).do(newRequest(id)), loads)
+		acts := r.answer(r.advance(readingTTL+ms).do(newRequest(id)), loads)
 		for _, p := range actionsOf[Probe](acts) {
 			if p.Server == 0 {
 				probes++
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -3,19 +3,20 @@
 import "math"
 
 const (
-	// maxCandidates is how many readings a placement compares: among so many drawn at random is one of the
-	// best 3%.
+	// maxCandidates is how many readings a placement compares: of this many drawn at random, the best is very
+	// likely among the best 3% of all.
 	maxCandidates = 128
-	// sharedCandidates is the same where all relays have the same readings: the server that reads least would
-	// get all that comes until the next reading.
-	sharedCandidates = probesPerPlacement / 2
-	// groupSpillLoad is the load, 0 to 1, beyond which a group goes to the next server of its order.
+	// maxSharedCandidates is the same where relays share readings. With more candidates, all relays would
+	// choose the server with the lowest reading until the next one.
+	maxSharedCandidates = probesPerPlacement / 2
+	// groupSpillLoad is the load, 0 to 1, above which a group's connections go to the next server of its
+	// rendezvous order.
 	groupSpillLoad = 0.6
-	// fallbackDraws is how many servers a round of the fallback draws.
-	fallbackDraws = 2 * probesPerPlacement
+	// fallbackDrawsPerRound is how many servers each round of the fallback draws.
+	fallbackDrawsPerRound = 2 * probesPerPlacement
 )
 
-// placement decides which server an attempt goes to.
+// placement chooses the server of an attempt.
 type placement struct {
 	*environment
 	endpoints *endpointSet
@@ -27,22 +28,23 @@
 	budget    *slowStartBudget
 }
 
-// latenessCost is the part of messages that come late at a load, 0 to 1 and more: it grows so steeply as load
-// nears capacity. What crossing zones costs (Prices.CrossZone) is weighed against it.
+// latenessCost is the approximate fraction of messages that are late at a load: load to the fourth power, as
+// lateness rises steeply near capacity. It is compared with the price of crossing zones (Prices.CrossZone).
 func latenessCost(load float64) float64 { return load * load * load * load }
 
-// pickCheapest picks from the pool the server of the least cost, a crossing's price included, or for a
-// group the first of its order below groupSpillLoad; -1 if none may be used. Ties break at random.
+// pickCheapest picks the server with the lowest cost from the pool, including the price of crossing zones;
+// for a group, the first server of its order with a load below groupSpillLoad, or else the one with the
+// lowest cost. It returns -1 if no server is eligible. Ties are broken at random.
 func (p *placement) pickCheapest(r *request) (pick ServerID, cost float64) {
 	p.pool.pruneStaleReadings()
 	candidates, most := p.pool.pool, p.candidateLimit()
 	start := p.rng.IntN(len(p.pool.pool) + 1)
 	grouped := r.Group != 0
-	if grouped { // never to another in the pool: a group that spreads in an overload makes it worse
+	if grouped { // no other servers: spreading a group adds load in an overload
 		candidates, most = p.affinity.groupSubset(r.Group, 1+r.subsetWidened), maxCandidates
 		start = 0
 	}
-	othersLoad := p.othersLoad()
+	unreportedArrivalLoad := p.unreportedArrivalLoad()
 	pick, cost = -1, math.Inf(1)
 	for i := range min(len(candidates), most) {
 		id := candidates[(start+i)%len(candidates)]
@@ -50,7 +52,7 @@
 		if !s.reading.usable() || !p.mayPlaceOn(r, id, s) {
 			continue
 		}
-		load := p.load.estimatedLoad(s) + othersLoad*p.rng.ExpFloat64()
+		load := p.load.estimatedLoad(s) + unreportedArrivalLoad*p.rng.ExpFloat64()
 		if grouped && load < groupSpillLoad {
 			return id, 0
 		}
@@ -61,8 +63,9 @@
 	return pick, cost
 }
 
-// placementCost is what one more connection costs at a server of a load. A server in slow start counts at
-// least the pool's mean, or half of what is admitted, as it looks idle to all relays at once.
+// placementCost is the cost of one more connection at a server with the given load. A server in slow start
+// counts with at least the mean load of the pool, or half of the admission limit if that is lower, as it
+// looks idle to all relays at once.
 func (p *placement) placementCost(s *serverState, load float64) float64 {
 	if p.capacityFraction(s) < 1 {
 		load = max(load, min(p.pool.poolLoadMean, admissionLoadLimit/2))
@@ -74,8 +77,9 @@
 	return cost
 }
 
-// othersLoad is the mean load that a server gets from what comes to all relays while no reading tells of it.
-func (p *placement) othersLoad() float64 {
+// unreportedArrivalLoad is the mean load that a server gets from the requests to all relays that no reading
+// includes yet.
+func (p *placement) unreportedArrivalLoad() float64 {
 	listed := float64(max(p.endpoints.listedCount(), 1))
 	return p.admission.expectedArrivals() * p.load.loadPerConnection() / listed
 }
@@ -83,15 +87,15 @@
 // candidateLimit is how many readings a placement compares.
 func (p *placement) candidateLimit() int {
 	if p.fleet.status.SharesReadings {
-		return sharedCandidates
+		return maxSharedCandidates
 	}
 	return maxCandidates
 }
 
-// mayPlaceOn plans by the rules whether a request may go to a server: never to one that takes nothing new
-// (rule 3), never to the one that just failed it, after an attempt that may have run only to a server that
-// drops the repeat (rule 2), and to one in slow start within its budget (rule 4). internal/guard enforces
-// rules 2 and 3 again right before the act, by what is known then.
+// mayPlaceOn reports whether the rules allow a request on a server: not on a server that gets no new attempts
+// (rule 3), not on the server of the request's latest attempt, after an attempt that may have run only on a
+// server that drops the repeat (rule 2), and on a server in slow start only within its budget (rule 4).
+// internal/guard enforces rules 2 and 3 again immediately before the attempt is sent, by what is known then.
 func (p *placement) mayPlaceOn(r *request, id ServerID, s *serverState) bool {
 	if s.zoneIndex < 0 || r.attempts > 0 && id == r.server {
 		return false
@@ -102,20 +106,22 @@
 	return p.capacityFraction(s) == 1 || p.budget.drawSlowStartBudget(s)
 }
 
-// dropsRepeat tells whether a server knows the idempotency keys of the one where the request may have run,
-// and still remembers its key. Of a class that may not run twice no repeat comes this far.
+// dropsRepeat reports whether a server shares the idempotency keys of the server where the request may have
+// run, and still remembers the request's key. Requests of a non-idempotent class that may have run are not
+// retried, so they do not get here.
 func (p *placement) dropsRepeat(r *request, s *serverState) bool {
 	first, class := &p.endpoints.servers[r.mayHaveRunOn], p.class(r)
 	remembered := p.now-r.mayHaveRunAt < class.DedupWindow
 	return remembered && class.DedupScope.Covers(s.Zone == first.Zone, s.Cell == first.Cell)
 }
 
-// pickFallback is the choice when no reading is left: a warm server at random, first at home and not ejected,
-// then anywhere and not ejected, then any that does not answer with errors; -1 if none is met. So many draws
-// would overspend the budget of one in slow start.
+// pickFallback chooses a server without using readings: a warm server at random, first among servers of the
+// home zone that are not ejected, then among those of any zone, then also among ejected servers that do not
+// answer with errors. It returns -1 if no draw finds one. Servers in slow start are excluded, as this many
+// draws would exceed their budget.
 func (p *placement) pickFallback(r *request) ServerID {
 	for round := range 3 {
-		for range fallbackDraws {
+		for range fallbackDrawsPerRound {
 			zone := p.settings.Zone
 			if round > 0 {
 				zone = Zone(p.rng.IntN(p.settings.Zones))
--- a/decide/probes_test.go
+++ b/decide/probes_test.go
@@ -9,7 +9,7 @@
 func TestReadingsExpire(t *testing.T) {
 	r := newRelay(t, settings(), 1, 4)
 	r.place(newRequest(1), map[ServerID]float64{0: 0.5, 1: 0.5, 2: 0.1, 3: 0.5})
-	r.advance(readingFreshFor + ms)
+	r.advance(readingTTL + ms)
 	if probes := actionsOf[Probe](r.do(newRequest(2))); len(probes) != probesPerPlacement {
 		t.Errorf("%d probes for a stale pool, want %d", len(probes), probesPerPlacement)
 	}
@@ -87,7 +87,7 @@
 	if s := r.b.endpoints.stateOf(failed); !s.health.ejected || s.reading.usable() {
 		t.Error("gossip brought a failed server back")
 	}
-	r.advance(2 * readingFreshFor)
+	r.advance(2 * readingTTL)
 	if acts := r.do(newRequest(2)); len(actionsOf[Probe](acts)) == 0 {
 		t.Errorf("readings of over 2 s ago still count: %v", acts)
 	}
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -1,12 +1,13 @@
 package decide
 
-// quotaCapacityShare is the part of all servers' capacity that the tenants' quotas add up to, 0 to 1.
+// quotaCapacityShare is the fraction, 0 to 1, of all servers' capacity that the sum of the tenants' quotas is
+// assumed to use.
 const quotaCapacityShare = 0.8
 
-// quota estimates what a connection adds to a server's load by what the tenants may hold together.
+// quota estimates the load that a connection adds to a server, from the tenants' connection quotas.
 type quota struct {
-	totalConnections float64 // of all tenants within their quotas, 0 if the settings have none
-	maxListed        int     // servers listed at once so far: a quota does not shrink with a crash
+	totalConnections float64 // sum of the tenants' quotas, 0 if the settings have none
+	maxListedServers int     // most servers listed at once: a crash must not reduce the estimate
 }
 
 func newQuota(tenants []TenantInfo) quota {
@@ -17,12 +18,12 @@
 	return q
 }
 
-// loadPerConnection is what a connection adds, as a part of a server's capacity, 0 where the settings have
-// no quotas.
+// loadPerConnection is the estimated load of a connection as a fraction of a server's capacity, 0 if the
+// settings have no quotas.
 func (q *quota) loadPerConnection(listed int) float64 {
-	q.maxListed = max(q.maxListed, listed)
+	q.maxListedServers = max(q.maxListedServers, listed)
 	if q.totalConnections == 0 {
 		return 0
 	}
-	return quotaCapacityShare * float64(q.maxListed) / q.totalConnections
+	return quotaCapacityShare * float64(q.maxListedServers) / q.totalConnections
 }
--- a/decide/rebalance_test.go
+++ b/decide/rebalance_test.go
@@ -14,7 +14,7 @@
 	r.do(ProbeResult{Server: 0, Report: loadReport(0.6, 12)}) // a pause, no more
 	moves := map[RequestID]bool{}
 	for range 4 {
-		for _, m := range actionsOf[Migrate](r.watchLoad(one)) {
+		for _, m := range actionsOf[Migrate](r.checkLoad(one)) {
 			moves[m.ID] = true
 		}
 	}
@@ -28,7 +28,7 @@
 	}
 	r = withConnections(t, settings(), 4, up)
 	for range 6 {
-		if moved := actionsOf[Migrate](r.watchLoad(nil)); len(moved) > 0 {
+		if moved := actionsOf[Migrate](r.checkLoad(nil)); len(moved) > 0 {
 			t.Fatalf("everything is silent, yet %d were migrated", len(moved))
 		}
 	}
@@ -38,7 +38,7 @@
 	up := map[ServerID]float64{0: 0.6, 1: 0.6, 2: 0.5, 3: 0.5, 4: 0.5, 5: 0.5}
 	r := withConnections(t, settings(), 100, up)
 	hot := map[ServerID]float64{0: 1.0, 1: 0.6, 2: 0.55, 3: 0.55, 4: 0.55, 5: 0.55}
-	if moved := len(actionsOf[Migrate](r.watchLoad(hot))); moved == 0 || moved > 60 {
+	if moved := len(actionsOf[Migrate](r.checkLoad(hot))); moved == 0 || moved > 60 {
 		t.Errorf("%d of 100 migrated at a look; want about the third that is in excess", moved)
 	}
 	// Reports that come late go on telling of an excess that is gone; where delays are reported they decide.
@@ -46,7 +46,7 @@
 	set.ReportsMessageDelay = true
 	r = withConnections(t, set, 100, up)
 	for range 4 {
-		if moved := actionsOf[Migrate](r.watchLoad(hot)); len(moved) > 0 {
+		if moved := actionsOf[Migrate](r.checkLoad(hot)); len(moved) > 0 {
 			t.Fatalf("%d migrations although no message was late", len(moved))
 		}
 	}
@@ -68,8 +68,8 @@
 		for on := range ServerID(2) { // where none has been read yet, that is reason enough to look
 			r.do(ProbeResult{Server: on, Report: loadReport(loads[on], 16)})
 		}
-		watchDue := TimerFired{Token: timerLoadWatch.token(0)}
-		probes := actionsOf[Probe](r.advance(loadWatchInterval).do(watchDue))
+		watchDue := TimerFired{Token: timerLoadCheck.token(0)}
+		probes := actionsOf[Probe](r.advance(loadCheckInterval).do(watchDue))
 		if got := len(probes) == 1 && probes[0].Server == 0; got == tells {
 			t.Errorf("delays reported: %v, probes of the watch: %v", tells, probes)
 		}
--- a/decide/rejection.go
+++ b/decide/rejection.go
@@ -1,14 +1,14 @@
 package decide
 
-// rejectionRule gives the final answers to requests that get no server.
+// rejectionRule gives the final answer to requests that are not served.
 type rejectionRule struct {
 	*environment
 	requests    *requestTable
 	keyFailures keyFailureCounts
 }
 
-// rejectRequest rejects a request, with a Retry-After that grows with the failures of its key here. Where a
-// rejection, which says that a new attempt does no harm, could hide an effect, it fails the request.
+// rejectRequest rejects a request, with a Retry-After that grows with the failures of its key at this relay.
+// A rejection tells the client that a new attempt is safe; if that is not certain, the request fails instead.
 func (rule *rejectionRule) rejectRequest(r *request, reason RejectReason) {
 	class := rule.class(r)
 	failures := rule.keyFailures.recordFailure(r.Key)
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// requestPhase is how far a request has come.
+// requestPhase is the state of a request.
 type requestPhase uint8
 
 const (
-	phaseQueued   requestPhase = iota // waits for probes, or for the first endpoint list
-	phaseBackoff                      // waits for its retry
-	phaseInFlight                     // an attempt is out
+	phaseQueued   requestPhase = iota // waits for probes or for the first endpoint list
+	phaseBackoff                      // waits for the end of a retry's backoff
+	phaseInFlight                     // an attempt is in flight
 	phaseOpen                         // its connection is open
-	phaseDone                         // answered; an attempt may still be out
+	phaseDone                         // has its final answer; an attempt may still be in flight
 )
 
-// request is one that has no final answer yet, or an open connection.
+// request is a request without a final answer, or an open connection.
 type request struct {
 	Request
 	phase            requestPhase
 	deadline         time.Duration
 	server           ServerID      // of the latest attempt, -1 before the first
-	attempts         int           // attempts sent
-	lastSentAt       time.Duration // when the latest was sent
-	wakeAt           time.Duration // a timer that fires before this is from an earlier wait
-	probesAwaited    int           // results of probes that it still waits for
-	triedOtherZone   bool          // it has had another zone probed
+	attempts         int           // number of attempts sent
+	lastSentAt       time.Duration // when the latest attempt was sent
+	wakeAt           time.Duration // a timer that fires before this time belongs to an earlier wait
+	probesAwaited    int           // number of probe results that it still waits for
+	triedOtherZone   bool          // servers of another zone have been probed for it
 	awaitedFirstList bool          // it has waited for the first endpoint list
-	subsetWidened    int           // 1 once its group's subset has been widened for it
-	mayHaveRunOn     ServerID      // not idempotent: server of the first attempt that may have run, or -1
+	subsetWidened    int           // 1 once its group's subset has been widened for it, else 0
+	mayHaveRunOn     ServerID      // unless Idempotent: server of the first attempt that may have run, or -1
 	mayHaveRunAt     time.Duration // when that attempt was sent
 }
 
@@ -38,7 +38,7 @@
 	*environment
 	endpoints      *endpointSet
 	requests       map[RequestID]*request
-	queuedRequests []*request // in phaseQueued, in the order in which they began to wait
+	queuedRequests []*request // in phaseQueued, in the order in which their waits began
 	ownConnections int        // own attempts in flight and open connections, at all servers
 }
 
@@ -46,14 +46,14 @@
 	return &requestTable{environment: env, endpoints: endpoints, requests: map[RequestID]*request{}}
 }
 
-// trackRequest enters a request. A class that the settings do not know becomes the nearest, any tenant that
-// they do not know the one after the last.
+// trackRequest adds a request. A class that is not in the settings becomes the nearest class; a tenant that
+// is not in the settings becomes the index after the last tenant.
 func (t *requestTable) trackRequest(e Request) *request {
 	e.Class = min(max(e.Class, 0), Class(len(t.settings.Classes)-1))
 	if e.Tenant < 0 || int(e.Tenant) >= len(t.settings.Tenants) {
 		e.Tenant = Tenant(len(t.settings.Tenants))
 	}
-	if !t.settings.GroupAffinity { // then a group means nothing here
+	if !t.settings.GroupAffinity { // groups are not used in this deployment
 		e.Group = 0
 	}
 	r := &request{Request: e, deadline: t.now + e.TimeLeft, server: -1, mayHaveRunOn: -1}
@@ -61,30 +61,30 @@
 	return r
 }
 
-// trackInherited enters a connection that is open through this relay at its start.
-func (t *requestTable) trackInherited(e InheritedConnection) {
+// trackInheritedConnection adds a connection that was already open through this relay when it started.
+func (t *requestTable) trackInheritedConnection(e InheritedConnection) {
 	r := t.trackRequest(e.Request)
 	r.attempts, r.phase, r.server = 1, phaseOpen, e.Server
 	t.addConnection(r)
 }
 
-// recordRun notes where an attempt may have run, if that matters to the request's class and is the first.
-func (t *requestTable) recordRun(r *request, e Outcome) {
+// recordPossibleRun records the first attempt that may have run, unless the request's class is idempotent.
+func (t *requestTable) recordPossibleRun(r *request, e Outcome) {
 	if !e.Status.NeverRan() && r.mayHaveRunOn < 0 && t.class(r).Idempotency != Idempotent {
 		r.mayHaveRunOn, r.mayHaveRunAt = e.Server, r.lastSentAt
 	}
 }
 
-// endRequest ends a request; while an attempt is out it is kept for the attempt's outcome.
+// endRequest ends a request. While an attempt is in flight, the request is kept until the attempt's outcome.
 func (t *requestTable) endRequest(r *request) {
 	t.dequeueRequest(r)
 	r.phase = phaseDone
-	if r.server < 0 || !t.endpoints.stateOf(r.server).holds(r.ID) {
+	if r.server < 0 || !t.endpoints.stateOf(r.server).holdsRequest(r.ID) {
 		delete(t.requests, r.ID)
 	}
 }
 
-// queueRequest has a request wait, so long at the most.
+// queueRequest queues a request for at most the given wait.
 func (t *requestTable) queueRequest(r *request, wait time.Duration) {
 	r.phase = phaseQueued
 	r.wakeAt = t.now + wait
@@ -92,7 +92,7 @@
 	t.setTimer(timerRequest, uint64(r.ID), wait)
 }
 
-// dequeueRequest ends a request's wait, if it waits.
+// dequeueRequest removes a request from the queue if it is queued.
 func (t *requestTable) dequeueRequest(r *request) {
 	if i := slices.Index(t.queuedRequests, r); i >= 0 {
 		t.queuedRequests = slices.Delete(t.queuedRequests, i, i+1)
@@ -109,7 +109,7 @@
 	}
 }
 
-// removeConnection takes back what addConnection counted, if it is still there.
+// removeConnection reverts addConnection if the request is still counted.
 func (t *requestTable) removeConnection(r *request) {
 	s := t.endpoints.stateOf(r.server)
 	if i := slices.Index(s.connections, r.ID); i >= 0 {
--- a/decide/requests_test.go
+++ b/decide/requests_test.go
@@ -42,7 +42,7 @@
 // Only what was sent counts against a server's slow-start budget, not what was inherited.
 func TestInheritedConnectionsAreNoAttempts(t *testing.T) {
 	table := newTestRequests()
-	table.trackInherited(InheritedConnection{Request: newRequest(1), Server: 2})
+	table.trackInheritedConnection(InheritedConnection{Request: newRequest(1), Server: 2})
 	s := table.endpoints.stateOf(2)
 	if len(s.connections) != 1 || table.ownConnections != 1 || len(s.slowStart.recentAttempts) != 0 {
 		t.Errorf("%d connections, %d attempts", len(s.connections), len(s.slowStart.recentAttempts))
@@ -66,8 +66,8 @@
 		want   ServerID
 	}{{0, Reset, -1}, {1, ConnectFailed, -1}, {1, Reset, 3}, {2, TimedOut, 3}} {
 		r := table.trackRequest(Request{ID: 1, Class: c.class})
-		table.recordRun(r, Outcome{Server: 3, Status: c.status})
-		table.recordRun(r, Outcome{Server: 4, Status: c.status})
+		table.recordPossibleRun(r, Outcome{Server: 3, Status: c.status})
+		table.recordPossibleRun(r, Outcome{Server: 4, Status: c.status})
 		if r.mayHaveRunOn != c.want {
 			t.Errorf("class %d, %v: may have run on %d, want %d", c.class, c.status, r.mayHaveRunOn, c.want)
 		}
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// retryTokensPerRequest is how many retry tokens a request earns its tenant; a retry costs one.
+	// retryTokensPerRequest is how many retry tokens a request earns its tenant; a retry costs one token.
 	retryTokensPerRequest = 0.2
-	// maxRetryTokens is the most that a tenant saves up: no burst of retries after a calm.
+	// maxRetryTokens bounds the tokens of a tenant, so that a quiet period does not allow a burst of retries.
 	maxRetryTokens = 2.0
-	// plannedAttempts is the most that this module plans for a request, whatever Settings.MaxAttempts allows:
-	// the first and one retry.
-	plannedAttempts = 2
-	// minRetryTicks is the least time left, in ticks, in which a retry can be of use.
+	// maxPlannedAttempts is how many attempts this package plans for a request at most, even if
+	// Settings.MaxAttempts allows more: the first attempt and one retry.
+	maxPlannedAttempts = 2
+	// minRetryTicks is the least time left, in ticks, for which a retry is worthwhile.
 	minRetryTicks = 4
-	// maxBackoffDoublings keeps the shift of a backoff within its type.
+	// maxBackoffDoublings bounds the exponent of a backoff, which avoids an overflow.
 	maxBackoffDoublings = 16
 )
 
-// retryBudget is a bucket of retry tokens for each tenant; the last is that of requests without a tenant.
+// retryBudget holds a bucket of retry tokens for each tenant. The last bucket is that of requests without a
+// tenant.
 type retryBudget struct{ retryTokens []float64 }
 
 func newRetryBudget(tenants int) *retryBudget {
@@ -27,18 +28,18 @@
 	return b
 }
 
-// earn credits a tenant with a request.
-func (b *retryBudget) earn(tenant Tenant) {
+// addTokens credits a tenant with the tokens of one request.
+func (b *retryBudget) addTokens(tenant Tenant) {
 	b.retryTokens[tenant] = min(maxRetryTokens, b.retryTokens[tenant]+retryTokensPerRequest)
 }
 
-// has tells whether a tenant has a token for a retry.
-func (b *retryBudget) has(tenant Tenant) bool { return b.retryTokens[tenant] >= 1 }
+// hasToken reports whether a tenant has a token for a retry.
+func (b *retryBudget) hasToken(tenant Tenant) bool { return b.retryTokens[tenant] >= 1 }
 
-// spend takes a retry's token.
-func (b *retryBudget) spend(tenant Tenant) { b.retryTokens[tenant]-- }
+// spendToken takes the token for one retry.
+func (b *retryBudget) spendToken(tenant Tenant) { b.retryTokens[tenant]-- }
 
-// retryRule decides what follows a failed attempt.
+// retryRule decides whether a failed attempt is retried.
 type retryRule struct {
 	*environment
 	budget     *retryBudget
@@ -46,8 +47,9 @@
 }
 
 // retryOrReject gives a request whose attempt failed its one retry after a backoff, or its final answer. A
-// retry is stopped by the class (rule 2), the clock, the number of attempts or the tenant's budget, in this
-// order. The backoff starts from a quarter of the latency objective and leaves most of the time that is left.
+// retry is prevented by the request's class (rule 2), its deadline, the number of attempts or its tenant's
+// retry budget, checked in this order. The base of the backoff is a quarter of the latency objective; the
+// backoff uses at most a quarter of the time left.
 func (rule *retryRule) retryOrReject(r *request) {
 	left := r.deadline - rule.now
 	wait := rule.jitteredBackoff(rule.class(r).LatencyObjective/4, r.attempts-1, left/4)
@@ -56,19 +58,20 @@
 		rule.rejections.rejectRequest(r, MayHaveRun)
 	case left < minRetryTicks*rule.settings.Tick:
 		rule.rejections.rejectRequest(r, DeadlineNear)
-	case r.attempts >= min(plannedAttempts, rule.settings.MaxAttempts):
+	case r.attempts >= min(maxPlannedAttempts, rule.settings.MaxAttempts):
 		rule.rejections.rejectRequest(r, AttemptsExhausted)
-	case !rule.budget.has(r.Tenant):
+	case !rule.budget.hasToken(r.Tenant):
 		rule.rejections.rejectRequest(r, RetryBudgetExhausted)
 	default:
-		rule.budget.spend(r.Tenant)
+		rule.budget.spendToken(r.Tenant)
 		r.phase, r.wakeAt = phaseBackoff, rule.now+wait
 		rule.setTimer(timerRequest, uint64(r.ID), wait)
 	}
 }
 
-// jitteredBackoff is a full-jitter backoff: anything from 0 to a base that doubles with each failure, capped.
-func (e *environment) jitteredBackoff(base time.Duration, failures int, most time.Duration) time.Duration {
+// jitteredBackoff is an exponential backoff with full jitter: a random time between 0 and base, doubled with
+// each failure, but no more than limit.
+func (e *environment) jitteredBackoff(base time.Duration, failures int, limit time.Duration) time.Duration {
 	doubled := base << max(0, min(failures, maxBackoffDoublings))
-	return time.Duration(e.rng.Float64() * float64(min(most, doubled)))
+	return time.Duration(e.rng.Float64() * float64(min(limit, doubled)))
 }
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -124,21 +124,21 @@
 func TestRetryBudgetIsATokenBucket(t *testing.T) {
 	b := newRetryBudget(2)
 	for range int(maxRetryTokens) {
-		if !b.has(0) {
+		if !b.hasToken(0) {
 			t.Fatal("the burst is less than the bucket")
 		}
-		b.spend(0)
+		b.spendToken(0)
 	}
-	if b.has(0) || !b.has(1) || !b.has(2) {
+	if b.hasToken(0) || !b.hasToken(1) || !b.hasToken(2) {
 		t.Fatal("want an empty bucket, and two full ones")
 	}
-	for n := 1; !b.has(0); n++ {
-		if b.earn(0); n > 6 {
+	for n := 1; !b.hasToken(0); n++ {
+		if b.addTokens(0); n > 6 {
 			t.Fatalf("no token after %d requests", n)
 		}
 	}
 	for range 100 {
-		b.earn(0)
+		b.addTokens(0)
 	}
 	if got := b.retryTokens[0]; got != maxRetryTokens {
 		t.Errorf("saved up %.1f", got)
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -255,10 +255,10 @@
 		r.do(ConnectionOpened{ID: 1 << 40, SetupLatency: 20 * ms})
 	}
 	failures := &r.b.rejections.keyFailures
-	if n := len(failures.recent) + len(failures.previous); n > 2*failingKeysKept || n < failingKeysKept {
+	if n := len(failures.recent) + len(failures.previous); n > 2*maxFailingKeysPerGeneration || n < maxFailingKeysPerGeneration {
 		t.Errorf("%d keys kept", n)
 	}
-	if len(r.b.requests.requests) != 0 || len(r.b.timeouts.setupLatencies) != setupLatenciesKept {
+	if len(r.b.requests.requests) != 0 || len(r.b.timeouts.setupLatencies) != setupLatencySamples {
 		t.Errorf("%d requests and %d set-up times kept",
 			len(r.b.requests.requests), len(r.b.timeouts.setupLatencies))
 	}
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -5,42 +5,46 @@
 	"time"
 )
 
-// slowStartBudgetUse is the part of the fleet-wide budget for a server in slow start that all relays together
-// use, 0 to 1: what they know of each other is late by a report.
-const slowStartBudgetUse = 0.8
+// slowStartBudgetUtilization is the fraction, 0 to 1, of the fleet-wide budget for a server in slow start
+// that all relays together use. The rest is a margin, since what relays know of each other is late by one
+// report.
+const slowStartBudgetUtilization = 0.8
 
-// slowStart is a server's warm-up, and what this relay has sent it within the overload window.
+// slowStart is the state of a server's slow start, and what this relay has sent to it within the overload
+// window.
 type slowStart struct {
-	startedAt      time.Duration   // of the warm-up, -1 if the server is warm
-	recentAttempts []time.Duration // when own attempts were sent, warm or not, within the overload window
-	recentDemand   []time.Duration // when one in slow start was a candidate here, within it
+	startedAt      time.Duration   // start of the slow start, -1 if the server is warm
+	recentAttempts []time.Duration // times of own attempts within the overload window, also to warm servers
+	recentDemand   []time.Duration // times at which the server was a candidate, within that window
 }
 
-// startSlowStart starts a server's warm-up: it is another process now.
+// startSlowStart puts a server into slow start. Its process is new, so its error count and its reading are
+// dropped.
 func (s *serverState) startSlowStart(at time.Duration) {
 	s.slowStart.startedAt = at
 	s.health.consecutiveErrors = 0
 	s.reading.invalidate()
 }
 
-// recordAttempt counts an attempt.
+// recordAttempt records the time of an attempt.
 func (s *slowStart) recordAttempt(now, window time.Duration) {
-	s.recentAttempts = append(dropOlder(s.recentAttempts, now, window), now)
+	s.recentAttempts = append(dropOutsideWindow(s.recentAttempts, now, window), now)
 }
 
-// recentAttemptCount is how many attempts this relay has sent within the window.
+// recentAttemptCount is the number of attempts that this relay has sent within the window.
 func (s *slowStart) recentAttemptCount(now, window time.Duration) float64 {
-	s.recentAttempts = dropOlder(s.recentAttempts, now, window)
+	s.recentAttempts = dropOutsideWindow(s.recentAttempts, now, window)
 	return float64(len(s.recentAttempts))
 }
 
-// recordDemand notes that one more would go there, and tells how many others would have within the window.
+// recordDemand records that the server is a candidate for a placement, and returns how many earlier times it
+// was one within the window.
 func (s *slowStart) recordDemand(now, window time.Duration) float64 {
-	s.recentDemand = append(dropOlder(s.recentDemand, now, window), now)
+	s.recentDemand = append(dropOutsideWindow(s.recentDemand, now, window), now)
 	return float64(len(s.recentDemand) - 1)
 }
 
-// capacityFraction is the part of its capacity, 0 to 1, that the server has at least. It rises linearly from
+// capacityFraction is the least fraction, 0 to 1, of its capacity that the server has. It rises linearly from
 // Rules.SlowStartCapacity to 1 over Rules.SlowStartWindow.
 func (s *slowStart) capacityFraction(now time.Duration, rules *Rules) float64 {
 	if s.startedAt < 0 || now-s.startedAt >= rules.SlowStartWindow {
@@ -50,7 +54,7 @@
 	return start + (1-start)*float64(now-s.startedAt)/float64(rules.SlowStartWindow)
 }
 
-func dropOlder(times []time.Duration, now, window time.Duration) []time.Duration {
+func dropOutsideWindow(times []time.Duration, now, window time.Duration) []time.Duration {
 	return slices.DeleteFunc(times, func(at time.Duration) bool { return now-at >= window })
 }
 
@@ -64,45 +68,46 @@
 	load      *loadModel
 }
 
-// capacityFraction is the part of its capacity, 0 to 1, that a server has at least now.
+// capacityFraction is the least fraction, 0 to 1, of its capacity that a server has now.
 func (e *environment) capacityFraction(s *serverState) float64 {
 	return s.slowStart.capacityFraction(e.now, &e.settings.Rules)
 }
 
-// drawSlowStartBudget draws whether this relay may send a server in slow start one more: its share of what
-// all relays may send together, spread over how often that server is a candidate here now. Chances do not
-// add up, so a surge keeps within it.
+// drawSlowStartBudget draws at random whether this relay may send one more attempt to a server in slow start:
+// its share of the fleet's budget over the rate at which the server is a candidate here. Unlike saved tokens,
+// unused chances do not accumulate, so a surge stays within the budget.
 func (b *slowStartBudget) drawSlowStartBudget(s *serverState) bool {
 	rules := &b.settings.Rules
 	perSecond := b.fleetBudget(s) * b.fleet.budgetShare(b.now, s.Zone)
 	candidates := len(b.endpoints.serversByZone[s.Zone])
-	if b.settings.GroupAffinity || b.fleet.status.SharesReadings { // both draw from all zones
+	if b.settings.GroupAffinity || b.fleet.status.SharesReadings { // candidates come from all zones
 		candidates = b.endpoints.listedCount()
 	}
 	byArrivals := b.arrivals.requestRate() * min(1, probesPerPlacement/float64(candidates))
 	byDemand := s.slowStart.recordDemand(b.now, rules.OverloadWindow) / rules.OverloadWindow.Seconds()
-	encounters := max(byArrivals, byDemand) // a second
-	drawn := b.rng.Float64()*encounters < perSecond
+	candidateRate := max(byArrivals, byDemand) // per second
+	drawn := b.rng.Float64()*candidateRate < perSecond
 	if !drawn {
 		return false
 	}
-	// A surge shows too late in its rate: what was sent counts too. So may this relay's earlier process have.
+	// The rate rises too late in a surge, so the attempts sent are limited too. The window is capped by the
+	// uptime, since an earlier process of this relay may have sent attempts that are not known here.
 	window := min(rules.OverloadWindow, b.uptime())
 	sent := s.slowStart.recentAttemptCount(b.now, rules.OverloadWindow)
 	return sent < 1+perSecond*window.Seconds()
 }
 
-// fleetBudget is how many connections a second all relays together may send to a server in slow start. A
-// warm server holds one for each loadPerConnection of its capacity, and turns them over in a mean life; one
-// in slow start falls over beyond Rules.OverloadFactor times its present part of that.
+// fleetBudget is how many connections per second all relays together may send to a server in slow start. A
+// warm server holds 1/loadPerConnection connections and replaces them once per mean connection life; a server
+// in slow start fails beyond Rules.OverloadFactor times its present fraction of that rate.
 func (b *slowStartBudget) fleetBudget(s *serverState) float64 {
 	perConnection := b.load.loadPerConnection()
-	if perConnection == 0 { // not known: a server that holds the mean is taken for full
+	if perConnection == 0 { // not known: assume that the mean number of connections fills a server
 		listed := float64(b.endpoints.listedCount())
 		connections := b.fleet.fleetConnections(b.requests.ownConnections)
 		perConnection = admissionLoadLimit * listed / max(connections, listed)
 	}
 	rules := &b.settings.Rules
 	life := max(rules.SlowStartWindow.Seconds(), b.arrivals.meanConnectionLife(b.requests.ownConnections))
-	return slowStartBudgetUse * rules.OverloadFactor * b.capacityFraction(s) / perConnection / life
+	return slowStartBudgetUtilization * rules.OverloadFactor * b.capacityFraction(s) / perConnection / life
 }
--- a/decide/view.go
+++ b/decide/view.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// PooledServer is a server of the probe pool as a placement sees it.
+// PooledServer is a server of the probe pool, with the values that a placement uses.
 type PooledServer struct {
 	Server        ServerID
-	EstimatedLoad float64       // now, as a part of its capacity
-	ReadingAge    time.Duration // how long ago its reading was taken
+	EstimatedLoad float64       // at present, as a fraction of the server's capacity
+	ReadingAge    time.Duration // time since its reading was taken
 	InSlowStart   bool
 }
 
-// ProbePool appends the servers with usable readings to out, up to its capacity. It changes nothing.
+// ProbePool appends the servers with usable readings to out, up to the capacity of out. It does not change
+// the Balancer.
 func (b *Balancer) ProbePool(out []PooledServer) []PooledServer {
 	for _, id := range b.pool.pool {
 		if len(out) == cap(out) {
@@ -30,8 +31,8 @@
 	return out
 }
 
-// EjectedCount is how many of the listed servers get nothing now because they failed, answered with errors or
-// were silent.
+// EjectedCount is the number of listed servers that are ejected: they failed, answered with errors or did not
+// answer.
 func (b *Balancer) EjectedCount() (n int) {
 	for _, zone := range b.endpoints.serversByZone {
 		for _, id := range zone {
