--- a/internal/guard/denial.go
+++ b/internal/guard/denial.go
@@ -1,44 +1,46 @@
 package guard
 
-// Denial is the reason why something may not be done now.
+// Denial is the reason why the guard does not permit an action.
 type Denial uint8
 
-// The denials.
+// The reasons for which the guard denies an action.
 const (
-	// Allowed is the zero Denial: nothing stands in the way.
+	// Allowed is the zero Denial: the action is permitted.
 	Allowed Denial = iota
-	// RequestNotPending: the request has its answer or is established, or the attempt has been canceled.
+	// RequestNotPending: the request has been answered or is established, or the attempt has been canceled.
 	RequestNotPending
 	// AttemptInFlight: another attempt of the request is in flight.
 	AttemptInFlight
-	// AttemptsExhausted: the request has had as many attempts as the settings allow.
+	// AttemptsExhausted: the request has used all attempts that the settings allow.
 	AttemptsExhausted
 	// AttemptTimedOut: the attempt's deadline has passed.
 	AttemptTimedOut
-	// ClientGone: the client has closed, or has broken the protocol.
+	// ClientGone: the client has closed its connection, or has violated the protocol.
 	ClientGone
-	// ServerNotReady: the server is draining, manually ejected or gone.
+	// ServerNotReady: the server is draining, manually ejected, or no longer in the endpoint list.
 	ServerNotReady
-	// EndpointLeaseExpired: the endpoint list has not been confirmed for too long.
+	// EndpointLeaseExpired: the lease of the endpoint list has expired, because discovery has not confirmed
+	// the list for too long.
 	EndpointLeaseExpired
-	// MayHaveRun: an earlier attempt may have run, and the request is not idempotent.
+	// MayHaveRun: a server may have executed an earlier attempt, and the request is not idempotent.
 	MayHaveRun
-	// DedupWindowOver: servers no longer recognize a retry by its idempotency key.
+	// DedupWindowOver: the dedup window has ended, so servers no longer recognize a retry by its idempotency
+	// key.
 	DedupWindowOver
-	// OutsideDedupScope: the server does not share idempotency keys with the one that may have run the
-	// request.
+	// OutsideDedupScope: the server does not share idempotency keys with the server that may have executed
+	// the request.
 	OutsideDedupScope
-	// RelayShuttingDown: the relay shuts down, or is drained by an operator.
+	// RelayShuttingDown: the relay is shutting down, or is being drained by an operator.
 	RelayShuttingDown
 	// NameTaken: another open request has the same name.
 	NameTaken
-	// OwnershipLost: the ownership lease of the stream may be lost.
+	// OwnershipLost: this relay may have lost the ownership lease of the request's stream.
 	OwnershipLost
 
 	denialCount
 )
 
-// denialNames are values of the metric relay_denied's label: operators' dashboards know them.
+// denialNames are the label values of the metric relay_denied. Operators' dashboards depend on them.
 var denialNames = [denialCount]string{
 	Allowed:              "allowed",
 	RequestNotPending:    "not waiting",
@@ -56,10 +58,10 @@
 	OwnershipLost:        "claim lapsed",
 }
 
-// String returns the denial's name in logs and metrics, "unknown" for a value that is none.
+// String returns the denial's name in logs and metrics, or "unknown" for an undefined value.
 func (d Denial) String() string { return nameOf(denialNames[:], uint8(d)) }
 
-// Denials returns all denials but Allowed.
+// Denials returns all denials except Allowed.
 func Denials() []Denial {
 	var all []Denial
 	for d := Allowed + 1; d < denialCount; d++ {
@@ -68,7 +70,7 @@
 	return all
 }
 
-// nameOf returns the name of an enumeration's value, "unknown" if it has none.
+// nameOf returns the name of an enumeration value, or "unknown" if the value has no name.
 func nameOf(names []string, value uint8) string {
 	if int(value) >= len(names) {
 		return "unknown"
--- a/internal/guard/doc.go
+++ b/internal/guard/doc.go
@@ -1,17 +1,18 @@
-// Package guard is the one place that decides whether a relay may do something now: start an attempt, write
-// its first byte, reject, answer, or take on a request. Each question is one function ([MayAttempt],
-// [MayWrite], [MayReject], [MayAccept], [MayAnswer]): the caller hands in the facts of that moment and gets
-// a [Denial], [Allowed] if nothing stands in the way. The rules are those of the protocol page.
+// Package guard enforces the rules of the protocol page: it alone decides whether a relay may start an
+// attempt, write the first byte of an attempt, reject, answer, or accept a request. Each check is one
+// function ([MayAttempt], [MayWrite], [MayReject], [MayAnswer], [MayAccept]). The caller passes the current
+// state of the request and the server, and gets a [Denial], which is [Allowed] if the action is permitted.
 //
-// It owns the [EndpointLease], which bounds how old the endpoint list may be by which new requests are
-// placed, and the counters of what was denied ([DenialCounts]) and of what was done against an [Invariant]
-// all the same ([ViolationCounts]): each of those is a fault of this program.
+// The package also contains the [EndpointLease], which limits the age of the endpoint list that new requests
+// are placed by, and the counters of denied actions ([DenialCounts]) and of violations of an [Invariant]
+// ([ViolationCounts]). Every violation is a bug in this program.
 //
-// The request table of internal/relay is the only caller. It asks right before the act and does nothing
-// that is denied. The decision module, decide, plans attempts by the same rules from what it knew when it
-// placed them; this package enforces the rules at the moment of the act. Where one predicate serves both it
-// is decide's: Idempotency.RepeatIsHarmless and DedupScope.Covers.
+// The request table of internal/relay is the only caller. It calls a check immediately before the action and
+// skips the action if it is denied. The decision module (package decide) plans attempts by the same rules,
+// but from what it knew at the time of the placement; package guard applies them at the time of the action.
+// Predicates that both need are declared in package decide: Idempotency.RepeatIsHarmless and
+// DedupScope.Covers.
 //
-// It has no clock, no lock, no goroutine and no I/O: instants are handed in, as time.Durations since any one
-// origin of the caller's monotonic clock.
+// Package guard has no clock, locks, goroutines or I/O. Callers pass instants as time.Durations since a fixed
+// origin of their monotonic clock.
 package guard
--- a/internal/guard/endpoint_lease_test.go
+++ b/internal/guard/endpoint_lease_test.go
@@ -8,11 +8,11 @@
 
 const ms = time.Millisecond
 
-// steps are what happens to a lease.
-type steps []func(*EndpointLease)
+// leaseSteps are the calls that a test makes on a lease.
+type leaseSteps []func(*EndpointLease)
 
-// renewed renews a lease at each of some instants.
-func renewed(at ...time.Duration) func(*EndpointLease) {
+// renewal renews a lease at each of the instants.
+func renewal(at ...time.Duration) func(*EndpointLease) {
 	return func(l *EndpointLease) {
 		for _, t := range at {
 			l.Renew(t)
@@ -20,9 +20,9 @@
 	}
 }
 
-// lost records a loss.
-func lost(at time.Duration, loss DiscoveryLoss) func(*EndpointLease) {
-	return func(l *EndpointLease) { l.RecordLoss(at, loss) }
+// loss records a loss of contact with discovery.
+func loss(at time.Duration, kind DiscoveryLoss) func(*EndpointLease) {
+	return func(l *EndpointLease) { l.RecordLoss(at, kind) }
 }
 
 func TestEndpointLeaseExpiry(t *testing.T) {
@@ -33,54 +33,54 @@
 	for _, c := range []struct {
 		name       string
 		pollWithin time.Duration
-		steps      steps
+		steps      leaseSteps
 		until      time.Duration
-		margin     time.Duration // from the expiry until the rule on drains may be broken
+		margin     time.Duration // from the expiry until the drain rule may be violated
 	}{
 		{"not polled yet", poll, nil, start, polledMargin},
 		{"pushed, silent from the start", pushed, nil, start, polledMargin},
-		{"first call failed", poll, steps{lost(2000*ms, CallFailed)}, start, polledMargin},
-		{"first call refused", poll, steps{lost(2000*ms, ConnectionRefused)},
+		{"first call failed", poll, leaseSteps{loss(2000*ms, CallFailed)}, start, polledMargin},
+		{"first call was refused", poll, leaseSteps{loss(2000*ms, ConnectionRefused)},
 			2000*ms + endpointLeaseTerm, polledMargin},
-		{"on a watch", poll, steps{renewed(2000*ms, 4000*ms)},
+		{"on a watch", poll, leaseSteps{renewal(2000*ms, 4000*ms)},
 			4000*ms + endpointLeaseTerm, polledMargin},
-		{"the watch ended", poll, steps{renewed(2000*ms, 4000*ms), lost(5000*ms, CallFailed)},
+		{"the watch ended", poll, leaseSteps{renewal(2000*ms, 4000*ms), loss(5000*ms, CallFailed)},
 			4000*ms + endpointLeaseTerm, polledMargin},
-		{"down since", poll, steps{renewed(2000 * ms), lost(5000*ms, ConnectionRefused)},
+		{"discovery went down", poll, leaseSteps{renewal(2000 * ms), loss(5000*ms, ConnectionRefused)},
 			5000*ms + endpointLeaseTerm, polledMargin},
-		{"heard again", poll,
-			steps{renewed(2000 * ms), lost(5000*ms, ConnectionRefused), renewed(9000 * ms)},
+		{"discovery was heard again", poll,
+			leaseSteps{renewal(2000 * ms), loss(5000*ms, ConnectionRefused), renewal(9000 * ms)},
 			9000*ms + endpointLeaseTerm, polledMargin},
-		{"settings give less without a watch", 1000 * ms,
-			steps{renewed(2000 * ms), lost(2500*ms, CallFailed)},
+		{"settings shorten the term without a watch", 1000 * ms,
+			leaseSteps{renewal(2000 * ms), loss(2500*ms, CallFailed)},
 			2000*ms + failedCallFactor*1000*ms, polledMargin},
-		{"pushed, on a watch", pushed, steps{renewed(2000*ms, 4000*ms)},
+		{"pushed, on a watch", pushed, leaseSteps{renewal(2000*ms, 4000*ms)},
 			4000*ms + endpointLeaseTerm, polledMargin},
 		{"pushed, fallen silent", pushed,
-			steps{renewed(4000 * ms), lost(7000*ms, WatchSilent), lost(9000*ms, CallFailed)},
+			leaseSteps{renewal(4000 * ms), loss(7000*ms, WatchSilent), loss(9000*ms, CallFailed)},
 			4000*ms + endpointLeaseTerm, polledMargin},
 		{"pushed, the watch ended", pushed,
-			steps{renewed(4000 * ms), lost(5000*ms, CallFailed), lost(5100*ms, CallFailed)},
+			leaseSteps{renewal(4000 * ms), loss(5000*ms, CallFailed), loss(5100*ms, CallFailed)},
 			5000*ms + watchEndedTerm, watchEndedMargin},
-		{"pushed, and was opened again", pushed,
-			steps{renewed(4000 * ms), lost(5000*ms, CallFailed), renewed(5100 * ms)},
+		{"pushed, the watch was opened again", pushed,
+			leaseSteps{renewal(4000 * ms), loss(5000*ms, CallFailed), renewal(5100 * ms)},
 			5100*ms + endpointLeaseTerm, polledMargin},
-		{"pushed, and the agent is down", pushed,
-			steps{renewed(4000 * ms), lost(5000*ms, CallFailed), lost(9000*ms, ConnectionRefused)},
+		{"pushed, the agent is down", pushed,
+			leaseSteps{renewal(4000 * ms), loss(5000*ms, CallFailed), loss(9000*ms, ConnectionRefused)},
 			9000*ms + watchEndedTerm, watchEndedMargin},
 		{"pushed, the agent was down and hangs", pushed,
-			steps{renewed(4000 * ms), lost(5000*ms, ConnectionRefused), lost(9000*ms, CallFailed)},
+			leaseSteps{renewal(4000 * ms), loss(5000*ms, ConnectionRefused), loss(9000*ms, CallFailed)},
 			5000*ms + watchEndedTerm, watchEndedMargin},
 		{"pushed, another agent", pushed,
-			steps{renewed(4000 * ms), lost(5000*ms, AddressChanged), lost(6000*ms, AddressChanged)},
+			leaseSteps{renewal(4000 * ms), loss(5000*ms, AddressChanged), loss(6000*ms, AddressChanged)},
 			5000*ms + addressChangedTerm, addressChangedMargin},
 		{"pushed, another agent late in the silence", pushed,
-			steps{renewed(4000 * ms), lost(8000*ms, AddressChanged)},
+			leaseSteps{renewal(4000 * ms), loss(8000*ms, AddressChanged)},
 			4000*ms + endpointLeaseTerm, polledMargin},
 		{"pushed, another agent after the watch had ended", pushed,
-			steps{renewed(4000 * ms), lost(5000*ms, CallFailed), lost(5050*ms, AddressChanged)},
+			leaseSteps{renewal(4000 * ms), loss(5000*ms, CallFailed), loss(5050*ms, AddressChanged)},
 			5000*ms + watchEndedTerm, watchEndedMargin},
-		{"polled, another address", poll, steps{renewed(4000 * ms), lost(5000*ms, AddressChanged)},
+		{"polled, another address", poll, leaseSteps{renewal(4000 * ms), loss(5000*ms, AddressChanged)},
 			4000*ms + endpointLeaseTerm, polledMargin},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -89,32 +89,33 @@
 				step(&l)
 			}
 			if l.ValidUntil() != c.until || !l.Valid(c.until-1) || l.Valid(c.until) {
-				t.Errorf("valid until %v, want %v", l.ValidUntil(), c.until)
+				t.Errorf("lease is valid until %v, want %v", l.ValidUntil(), c.until)
 			}
-			breaks := c.until + c.margin
-			if l.MayViolateDrainRule(breaks-1) || !l.MayViolateDrainRule(breaks) {
-				t.Errorf("may break the rule on drains at another time than %v after the expiry", c.margin)
+			violatesFrom := c.until + c.margin
+			if l.MayViolateDrainRule(violatesFrom-1) || !l.MayViolateDrainRule(violatesFrom) {
+				t.Errorf("drain rule may be violated at another time than %v after the expiry", c.margin)
 			}
 		})
 	}
 }
 
 func TestADisabledEndpointLeaseNeverExpires(t *testing.T) {
-	var none EndpointLease
-	if !none.Valid(math.MaxInt64) || none.Age(5*ms) != 0 || none.Enabled() {
-		t.Error("a list on no lease expires")
+	var disabled EndpointLease
+	if !disabled.Valid(math.MaxInt64) || disabled.Age(5*ms) != 0 || disabled.Enabled() {
+		t.Error("the zero EndpointLease expires, has an age, or is enabled; want none of these")
 	}
 }
 
-// Whenever discovery falls silent and a call fails, a list that is acted on was heard less than the
-// notification time and the grace ago, less the margins.
-func TestNoListIsActedOnThatMayBeOverruled(t *testing.T) {
+// A relay that stops hearing from discovery must not use its list any more once it may count as notified of a
+// change that it missed: the lease ends before the notification time plus DrainGrace, less the delays that
+// endpointLeaseTerm allows for. The failed call may come at any moment of the silence.
+func TestLeaseExpiresBeforeAMissedChangeMustBeKnown(t *testing.T) {
 	for silence := time.Duration(0); silence < 9000*ms; silence += 50 * ms {
 		l := NewEndpointLease(0, 10_000*ms)
 		l.Renew(3000 * ms)
 		l.RecordLoss(3000*ms+silence/2, CallFailed)
 		if l.Valid(3000*ms+silence) && silence >= 6000*ms+DrainGrace-300*ms-150*ms {
-			t.Fatalf("valid %v after it was confirmed", silence)
+			t.Fatalf("lease is still valid %v after its last renewal, want it to expire earlier", silence)
 		}
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -6,26 +6,26 @@
 	"capersail/decide"
 )
 
-// Request holds the facts about the request that something is to be done for.
+// Request is the state of a request that a check is based on.
 type Request struct {
-	Pending         bool // it is this relay's to serve, has no answer, and is not established
-	AttemptInFlight bool // the end of an attempt has not been reported
+	Pending         bool // it is owned by this relay, and neither answered nor established
+	AttemptInFlight bool // the end of the latest attempt has not been reported
 	MayHaveWritten  bool // the first byte of that attempt may have been written
-	Attempts        int  // started so far
-	MaxAttempts     int  // the settings' bound, 0 for none; decide plans fewer (retry.go)
+	Attempts        int  // number of attempts started so far
+	MaxAttempts     int  // limit from the settings, 0 for none; package decide plans fewer (retry.go)
 
-	MayHaveRun   bool          // an attempt has ended without proof that it never ran
-	MayHaveRunAt time.Duration // when that attempt may have begun to run
-	MayHaveRunOn Location      // of that attempt's server
+	MayHaveRun   bool          // an attempt has ended without proof that the server never executed it
+	MayHaveRunAt time.Duration // earliest instant at which the server may have executed that attempt
+	MayHaveRunOn Location      // location of that attempt's server
 
 	Idempotency decide.Idempotency
 	DedupScope  decide.DedupScope
-	DedupWindow time.Duration // for how long servers recognize a retry
+	DedupWindow time.Duration // how long servers recognize a retry
 
-	// Resumed marks a connection that was open at its server before this relay started: it goes back there
-	// whatever the endpoint list says.
+	// Resumed marks a connection that was open at its server before this relay started. It is re-established
+	// at that server regardless of the endpoint list.
 	Resumed       bool
-	OwnershipLost bool // the ownership lease of its stream may be lost
+	OwnershipLost bool // this relay may have lost the ownership lease of the stream
 }
 
 // Location is the zone and the cell of a server.
@@ -34,15 +34,16 @@
 	Cell int32
 }
 
-// ServerStatus is what the newest endpoint list says of the server that something is to be sent to.
+// ServerStatus is the status of the target server according to the newest endpoint list.
 type ServerStatus struct {
 	EverListed bool
 	Ready      bool
 	Location   Location
 }
 
-// MayAttempt tells whether an attempt may be started: a dial, of which nothing is written yet.
-func MayAttempt(now time.Duration, r Request, to ServerStatus, lease *EndpointLease) Denial {
+// MayAttempt reports whether an attempt may be started, that is, whether the server may be dialled. Writing
+// to the server needs MayWrite in addition.
+func MayAttempt(now time.Duration, r Request, server ServerStatus, lease *EndpointLease) Denial {
 	switch {
 	case !r.Pending:
 		return RequestNotPending
@@ -52,19 +53,20 @@
 		return AttemptInFlight
 	case r.MaxAttempts > 0 && r.Attempts >= r.MaxAttempts:
 		return AttemptsExhausted
-	case !to.EverListed:
+	case !server.EverListed:
 		return ServerNotReady
 	}
-	if denial := mayRetry(now, r, to); denial != Allowed {
+	if denial := mayRetry(now, r, server); denial != Allowed {
 		return denial
 	}
-	return mayUseServer(now, r, to, lease)
+	return mayUseServer(now, r, server, lease)
 }
 
-// MayWrite tells whether the first byte of an attempt that has been dialled may be written. deadline is when
-// the relay gives the attempt up; clientGone, that the client's end has come, read or unread.
+// MayWrite reports whether the first byte of a dialled attempt may be written. deadline is the instant at
+// which the relay abandons the attempt. clientGone says that the client has closed its connection or violated
+// the protocol, even if the client side has not read that yet.
 func MayWrite(
-	now, deadline time.Duration, r Request, to ServerStatus, lease *EndpointLease, clientGone bool,
+	now, deadline time.Duration, r Request, server ServerStatus, lease *EndpointLease, clientGone bool,
 ) Denial {
 	switch {
 	case !r.Pending:
@@ -74,21 +76,21 @@
 	case now >= deadline:
 		return AttemptTimedOut
 	}
-	if denial := mayUseServer(now, r, to, lease); denial != Allowed {
+	if denial := mayUseServer(now, r, server, lease); denial != Allowed {
 		return denial
 	}
 	if clientGone {
 		return ClientGone
 	}
-	return mayRetry(now, r, to)
+	return mayRetry(now, r, server)
 }
 
-// mayUseServer tells whether something new may go to a server.
-func mayUseServer(now time.Duration, r Request, to ServerStatus, lease *EndpointLease) Denial {
+// mayUseServer reports whether new traffic may be sent to a server.
+func mayUseServer(now time.Duration, r Request, server ServerStatus, lease *EndpointLease) Denial {
 	switch {
 	case r.Resumed:
 		return Allowed
-	case !to.Ready:
+	case !server.Ready:
 		return ServerNotReady
 	case !lease.Valid(now):
 		return EndpointLeaseExpired
@@ -96,8 +98,9 @@
 	return Allowed
 }
 
-// mayRetry tells whether a request whose earlier attempt may have run can go to a server.
-func mayRetry(now time.Duration, r Request, to ServerStatus) Denial {
+// mayRetry reports whether a request may be sent to a server even though an earlier attempt may have been
+// executed.
+func mayRetry(now time.Duration, r Request, server ServerStatus) Denial {
 	switch {
 	case !r.MayHaveRun, r.Idempotency == decide.Idempotent:
 		return Allowed
@@ -105,21 +108,21 @@
 		return MayHaveRun
 	case now-r.MayHaveRunAt >= r.DedupWindow:
 		return DedupWindowOver
-	case !recognizesRetry(r, to):
+	case !recognizesRetry(r, server):
 		return OutsideDedupScope
 	}
 	return Allowed
 }
 
-// recognizesRetry tells whether the server shares idempotency keys with the one that may have run the
-// request.
-func recognizesRetry(r Request, to ServerStatus) bool {
-	ran, next := r.MayHaveRunOn, to.Location
+// recognizesRetry reports whether the server shares idempotency keys with the server that may have executed
+// the request.
+func recognizesRetry(r Request, server ServerStatus) bool {
+	ran, next := r.MayHaveRunOn, server.Location
 	return r.DedupScope.Covers(next.Zone == ran.Zone, next.Cell == ran.Cell)
 }
 
-// MayReject tells whether a request may be rejected, which promises the client that a retry is harmless. A
-// request that may not be rejected fails.
+// MayReject reports whether a request may be rejected, which promises the client that a retry is harmless. A
+// request that may not be rejected must be failed instead.
 func MayReject(r Request) Denial {
 	switch {
 	case r.Idempotency == decide.Idempotent:
@@ -132,7 +135,8 @@
 	return Allowed
 }
 
-// MayAccept tells whether the relay may take on a request. shuttingDown holds for a drain by an operator too.
+// MayAccept reports whether the relay may accept a request. shuttingDown is also true while an operator
+// drains the relay.
 func MayAccept(shuttingDown, nameTaken bool) Denial {
 	switch {
 	case nameTaken:
@@ -143,7 +147,8 @@
 	return Allowed
 }
 
-// MayAnswer tells whether a request may be given a final answer: once, and not while a server serves it.
+// MayAnswer reports whether a request may be given a final answer: only once, and not after it has been
+// established.
 func MayAnswer(answered, established bool) Denial {
 	if answered || established {
 		return RequestNotPending
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -6,21 +6,21 @@
 	"capersail/decide"
 )
 
-// The facts that the tests begin with: a request that may be attempted, and its server.
+// The default arguments of the tests: a server that is ready, and a request that may be attempted there.
 var (
-	listed  = ServerStatus{EverListed: true, Ready: true, Location: Location{"a", 1}}
-	waiting = Request{Pending: true, Idempotency: decide.IdempotentWithKey, DedupWindow: 1000 * ms}
+	ready   = ServerStatus{EverListed: true, Ready: true, Location: Location{"a", 1}}
+	pending = Request{Pending: true, Idempotency: decide.IdempotentWithKey, DedupWindow: 1000 * ms}
 )
 
-// aLease is a lease that was renewed at 10 s.
-func aLease() *EndpointLease {
+// newRenewedLease returns a lease that was renewed at 10 s.
+func newRenewedLease() *EndpointLease {
 	lease := NewEndpointLease(0, 0)
 	lease.Renew(10_000 * ms)
 	return &lease
 }
 
 func TestMayAttemptAndMayWriteAgree(t *testing.T) {
-	lease := aLease()
+	lease := newRenewedLease()
 	retry := func(r *Request) {
 		r.MayHaveRun, r.MayHaveRunAt, r.MayHaveRunOn, r.Attempts = true, 9800*ms, Location{"a", 1}, 1
 	}
@@ -29,37 +29,37 @@
 		want   Denial
 		change func(*Request, *ServerStatus)
 	}{
-		{"a first attempt", Allowed, func(*Request, *ServerStatus) {}},
-		{"a retry with a key", Allowed, func(r *Request, _ *ServerStatus) { retry(r) }},
-		{"not waiting", RequestNotPending, func(r *Request, _ *ServerStatus) { r.Pending = false }},
+		{"first attempt", Allowed, func(*Request, *ServerStatus) {}},
+		{"retry with an idempotency key", Allowed, func(r *Request, _ *ServerStatus) { retry(r) }},
+		{"request not pending", RequestNotPending, func(r *Request, _ *ServerStatus) { r.Pending = false }},
 		{"ownership lost", OwnershipLost, func(r *Request, _ *ServerStatus) { r.OwnershipLost = true }},
-		{"to a server that drains", ServerNotReady, func(_ *Request, to *ServerStatus) { to.Ready = false }},
-		{"resumed at a server that drains", Allowed, func(r *Request, to *ServerStatus) {
+		{"server is draining", ServerNotReady, func(_ *Request, to *ServerStatus) { to.Ready = false }},
+		{"resumed at a draining server", Allowed, func(r *Request, to *ServerStatus) {
 			r.Resumed, to.Ready = true, false
 		}},
-		{"a retry of what is not idempotent", MayHaveRun, func(r *Request, _ *ServerStatus) {
+		{"retry of a non-idempotent request", MayHaveRun, func(r *Request, _ *ServerStatus) {
 			retry(r)
 			r.Idempotency = decide.NonIdempotent
 		}},
-		{"a retry after the window", DedupWindowOver, func(r *Request, _ *ServerStatus) {
+		{"retry after the dedup window", DedupWindowOver, func(r *Request, _ *ServerStatus) {
 			retry(r)
 			r.MayHaveRunAt = 9100 * ms
 		}},
-		{"a retry in another zone", OutsideDedupScope, func(r *Request, to *ServerStatus) {
+		{"retry in another zone", OutsideDedupScope, func(r *Request, to *ServerStatus) {
 			retry(r)
 			r.DedupScope, to.Location.Zone = decide.ScopeZone, "b"
 		}},
-		{"a retry in another cell", OutsideDedupScope, func(r *Request, to *ServerStatus) {
+		{"retry in another cell", OutsideDedupScope, func(r *Request, to *ServerStatus) {
 			retry(r)
 			r.DedupScope, to.Location.Cell = decide.ScopeCell, 2
 		}},
-		{"a retry of what is idempotent", Allowed, func(r *Request, _ *ServerStatus) {
+		{"retry of an idempotent request", Allowed, func(r *Request, _ *ServerStatus) {
 			retry(r)
 			r.Idempotency, r.MayHaveRunAt = decide.Idempotent, 0
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, to := waiting, listed
+			r, to := pending, ready
 			c.change(&r, &to)
 			if got := MayAttempt(10_100*ms, r, to, lease); got != c.want {
 				t.Errorf("MayAttempt(%+v, %+v) = %v, want %v", r, to, got, c.want)
@@ -71,31 +71,31 @@
 	}
 }
 
-func TestMayAttemptOnly(t *testing.T) {
-	lease := aLease()
+func TestDenialsByMayAttemptOnly(t *testing.T) {
+	lease := newRenewedLease()
 	inFlight := Request{Pending: true, AttemptInFlight: true}
-	if got := MayAttempt(10_100*ms, inFlight, listed, lease); got != AttemptInFlight {
-		t.Errorf("a second attempt: %v", got)
+	if got := MayAttempt(10_100*ms, inFlight, ready, lease); got != AttemptInFlight {
+		t.Errorf("second attempt while one is in flight: got %v, want AttemptInFlight", got)
 	}
-	spent := Request{Pending: true, Attempts: 2, MaxAttempts: 2}
-	if got := MayAttempt(10_100*ms, spent, listed, lease); got != AttemptsExhausted {
-		t.Errorf("a third attempt of two: %v", got)
+	exhausted := Request{Pending: true, Attempts: 2, MaxAttempts: 2}
+	if got := MayAttempt(10_100*ms, exhausted, ready, lease); got != AttemptsExhausted {
+		t.Errorf("third attempt where two are allowed: got %v, want AttemptsExhausted", got)
 	}
-	if got := MayAttempt(10_100*ms, waiting, ServerStatus{}, lease); got != ServerNotReady {
-		t.Errorf("to a server that no list has named: %v", got)
+	if got := MayAttempt(10_100*ms, pending, ServerStatus{}, lease); got != ServerNotReady {
+		t.Errorf("attempt at a server that was never listed: got %v, want ServerNotReady", got)
 	}
-	if got := MayAttempt(10_000*ms+endpointLeaseTerm, waiting, listed, lease); got != EndpointLeaseExpired {
-		t.Errorf("by a list whose lease has expired: %v", got)
+	if got := MayAttempt(10_000*ms+endpointLeaseTerm, pending, ready, lease); got != EndpointLeaseExpired {
+		t.Errorf("attempt after the endpoint lease expired: got %v, want EndpointLeaseExpired", got)
 	}
 }
 
-func TestMayWriteOnly(t *testing.T) {
-	lease := aLease()
-	if got := MayWrite(11_000*ms, 11_000*ms, waiting, listed, lease, false); got != AttemptTimedOut {
-		t.Errorf("at its deadline: %v", got)
+func TestDenialsByMayWriteOnly(t *testing.T) {
+	lease := newRenewedLease()
+	if got := MayWrite(11_000*ms, 11_000*ms, pending, ready, lease, false); got != AttemptTimedOut {
+		t.Errorf("write at the deadline: got %v, want AttemptTimedOut", got)
 	}
-	if got := MayWrite(10_100*ms, 11_000*ms, waiting, listed, lease, true); got != ClientGone {
-		t.Errorf("for a client that has gone: %v", got)
+	if got := MayWrite(10_100*ms, 11_000*ms, pending, ready, lease, true); got != ClientGone {
+		t.Errorf("write for a client that has gone: got %v, want ClientGone", got)
 	}
 }
 
--- a/internal/guard/invariants.go
+++ b/internal/guard/invariants.go
@@ -5,25 +5,28 @@
 	"time"
 )
 
-// Invariant is a rule of the protocol page that is checked, after each act, as the relay runs.
+// Invariant is a rule of the protocol page that the running relay verifies after each action.
 type Invariant uint8
 
-// The invariants.
+// The invariants that the relay verifies.
 const (
-	// NoNewRequestAfterDrain: nothing new goes to a server later than DrainGrace after the watch event by which
-	// it drains or is gone, and nothing by an endpoint list whose lease has long expired.
+	// NoNewRequestAfterDrain: a relay sends no new request to a server later than DrainGrace after the watch
+	// event that reported the server as draining or removed, or once the endpoint list is so old that such an
+	// event may have been missed (EndpointLease.MayViolateDrainRule).
 	NoNewRequestAfterDrain Invariant = iota
-	// NoDuplicateAttempt: a request has one attempt in flight, and does not run again where it must not.
+	// NoDuplicateAttempt: a request has at most one attempt in flight, and is not executed a second time if
+	// it must not be.
 	NoDuplicateAttempt
-	// AnswerInTime: a request has its answer at most AnswerSlack after its deadline.
+	// AnswerInTime: a request is answered at most AnswerSlack after its deadline.
 	AnswerInTime
-	// RejectOnlyIfRetryHarmless: a request that may have run and must not run twice is failed, never rejected.
+	// RejectOnlyIfRetryHarmless: a request that a server may have executed, and that must not be executed
+	// twice, is failed and never rejected.
 	RejectOnlyIfRetryHarmless
 
 	invariantCount
 )
 
-// invariantNames are values of the metric relay_violations' label: operators' dashboards know them.
+// invariantNames are the label values of the metric relay_violations. Operators' dashboards depend on them.
 var invariantNames = [invariantCount]string{
 	NoNewRequestAfterDrain:    "drain",
 	NoDuplicateAttempt:        "duplicate",
@@ -31,7 +34,7 @@
 	RejectOnlyIfRetryHarmless: "promise",
 }
 
-// String returns the invariant's name in logs and metrics, "unknown" for a value that is none.
+// String returns the invariant's name in logs and metrics, or "unknown" for an undefined value.
 func (i Invariant) String() string { return nameOf(invariantNames[:], uint8(i)) }
 
 // Invariants returns all invariants.
@@ -44,33 +47,35 @@
 }
 
 const (
-	// DrainGrace is how long after a relay is notified that a server drains or is gone the rules still allow
-	// something new there. It only bounds violations: MayWrite denies from the watch event on.
+	// DrainGrace is how long the protocol still allows new requests to a server after the relay has been
+	// notified that the server is draining or removed. It only defines what counts as a violation: MayWrite
+	// denies such requests from the moment of the watch event.
 	DrainGrace = 500 * time.Millisecond
-	// AnswerSlack is how long after a request's deadline its answer may come: 20 ms by the rules, and 50 ms
-	// more on sockets.
+	// AnswerSlack is how late a request may be answered after its deadline: 20 ms by the protocol, plus 50 ms
+	// for the delay of real sockets.
 	AnswerSlack = 70 * time.Millisecond
 )
 
-// maxKinds bounds the kinds that a counter tells apart: it does not compile if there are more of either.
+// maxKinds is the number of kinds that a counter has room for. The constants below do not compile if there
+// are more invariants or denials than that.
 const (
 	maxKinds       = 32
 	_        uint8 = maxKinds - uint8(invariantCount)
 	_        uint8 = maxKinds - uint8(denialCount)
 )
 
-// counter counts by kind since the process started. The zero one is ready; it is safe for use by many
-// goroutines.
+// counter counts events by kind since the start of the process. The zero value is ready for use. A counter is
+// safe for concurrent use.
 type counter[Kind ~uint8] struct{ counts [maxKinds]atomic.Uint64 }
 
-// Add counts one of a kind. A kind that is none is not counted.
+// Add counts one event of a kind. An undefined kind is ignored.
 func (c *counter[Kind]) Add(kind Kind) {
 	if kind < maxKinds {
 		c.counts[kind].Add(1)
 	}
 }
 
-// Count returns how many of a kind there were.
+// Count returns the number of events of a kind.
 func (c *counter[Kind]) Count(kind Kind) uint64 {
 	if kind >= maxKinds {
 		return 0
@@ -78,8 +83,8 @@
 	return c.counts[kind].Load()
 }
 
-// ViolationCounts counts by invariant what was done against it.
+// ViolationCounts counts the violations of each invariant.
 type ViolationCounts = counter[Invariant]
 
-// DenialCounts counts by reason what was denied.
+// DenialCounts counts denied actions by reason.
 type DenialCounts = counter[Denial]
--- a/internal/guard/names_test.go
+++ b/internal/guard/names_test.go
@@ -8,19 +8,19 @@
 		seen[d.String()] = true
 	}
 	if len(seen) != int(denialCount) || seen[""] {
-		t.Errorf("denials without names of their own: %v", seen)
+		t.Errorf("names of the denials are %v, want a unique non-empty name for each", seen)
 	}
 	for _, i := range Invariants() {
 		if i.String() == "" {
-			t.Errorf("invariant %d has no name", i)
+			t.Errorf("invariant %d has an empty name", i)
 		}
 	}
 	for l := DiscoveryLoss(0); l < discoveryLossCount; l++ {
 		if l.String() == "" {
-			t.Errorf("loss %d has no name", l)
+			t.Errorf("discovery loss %d has an empty name", l)
 		}
 	}
 	if s := denialCount.String(); s != "unknown" {
-		t.Errorf("a value that is no denial is called %q", s)
+		t.Errorf("undefined denial has the name %q, want \"unknown\"", s)
 	}
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -10,15 +10,15 @@
 	"capersail/internal/observe/recorder"
 )
 
-// benchSide is an event loop with eight servers on a clock that stands still.
-type benchSide struct {
+// benchLoop is an event loop with eight servers on a clock that stands still.
+type benchLoop struct {
 	loop    *EventLoop
 	dialer  *fakeSide
 	records []recorder.Record
-	spent   time.Duration
+	elapsed time.Duration
 }
 
-func newBenchSide(rec *recorder.Recorder) *benchSide {
+func newBenchLoop(rec *recorder.Recorder) *benchLoop {
 	settings := testSettings()
 	settings.MustSubscribe = false
 	table, dialer := newTestTable(settings, decide.ClassInfo{
@@ -27,11 +27,11 @@
 	})
 	table.Recorder = rec
 	table.UpdateEndpoints(decide.Snapshot, readyEndpoints("a", "b", "c", "d", "e", "f", "g", "h"))
-	return &benchSide{loop: NewEventLoop(table, 7, &fakeDiscovery{}, zerolog.Nop()), dialer: dialer}
+	return &benchLoop{loop: NewEventLoop(table, 7, &fakeDiscovery{}, zerolog.Nop()), dialer: dialer}
 }
 
-// serve carries one request from its opening to its end.
-func (s *benchSide) serve() {
+// serveOneRequest carries one request from its opening to its end.
+func (s *benchLoop) serveOneRequest() {
 	clock := s.loop.table.Clock
 	s.dialer.attempts = s.dialer.attempts[:0]
 	r := open(s.loop.table, 0)
@@ -52,23 +52,23 @@
 // BenchmarkDecision is a request's whole life here, from its opening to its end, with records and without,
 // in turns: what the recorder costs a decision.
 func BenchmarkDecision(b *testing.B) {
-	const each = 2000
-	off, on := newBenchSide(nil), newBenchSide(recorder.New(8192))
+	const batchSize = 2000
+	withoutRecorder, withRecorder := newBenchLoop(nil), newBenchLoop(recorder.New(8192))
 	requests := 0
 	for b.Loop() {
-		for _, s := range []*benchSide{off, on} {
+		for _, s := range []*benchLoop{withoutRecorder, withRecorder} {
 			began := time.Now()
-			for range each {
-				s.serve()
+			for range batchSize {
+				s.serveOneRequest()
 			}
 			if rec := s.loop.table.Recorder; rec != nil {
 				s.records = rec.TakeAll(s.records)
 			}
-			s.spent += time.Since(began)
+			s.elapsed += time.Since(began)
 		}
-		requests += each
+		requests += batchSize
 	}
-	b.ReportMetric(float64(off.spent.Nanoseconds())/float64(requests), "ns/call-off")
-	b.ReportMetric(float64(on.spent.Nanoseconds())/float64(requests), "ns/call-on")
-	b.ReportMetric(off.spent.Seconds()/on.spent.Seconds(), "on/off-rate")
+	b.ReportMetric(float64(withoutRecorder.elapsed.Nanoseconds())/float64(requests), "ns/call-off")
+	b.ReportMetric(float64(withRecorder.elapsed.Nanoseconds())/float64(requests), "ns/call-on")
+	b.ReportMetric(withoutRecorder.elapsed.Seconds()/withRecorder.elapsed.Seconds(), "on/off-rate")
 }
--- a/internal/relay/client_side.go
+++ b/internal/relay/client_side.go
@@ -8,11 +8,11 @@
 // This file holds the client side's methods of a request.
 
 // EstablishedOrEnded returns a channel that is closed once the request is established or has ended.
-func (r *Request) EstablishedOrEnded() <-chan struct{} { return r.settled }
+func (r *Request) EstablishedOrEnded() <-chan struct{} { return r.establishedOrEnded }
 
 // BothSidesDone returns a channel that is closed once both the client side and the server side have finished
 // with the request.
-func (r *Request) BothSidesDone() <-chan struct{} { return r.finished }
+func (r *Request) BothSidesDone() <-chan struct{} { return r.bothSidesDone }
 
 // State returns where the request stands, with the final answer if it ended without being established.
 func (r *Request) State() (State, Answer) {
@@ -28,7 +28,7 @@
 	if r.state != Established {
 		return nil
 	}
-	return r.attempt.conn
+	return r.latest.conn
 }
 
 // FailOnClientError fails a request whose client has broken the protocol while it waited for its answer. It
@@ -46,7 +46,7 @@
 		return false
 	}
 	r.withdrawFromDecision()
-	r.answerFinally(Answer{Kind: Failed, Note: note})
+	r.setFinalAnswer(Answer{Kind: Failed, Note: note})
 	return true
 }
 
@@ -72,13 +72,13 @@
 	switch r.state {
 	case Queued, Attempting, AwaitingOwnership:
 		r.withdrawFromDecision()
-		r.answerFinally(Answer{Kind: NoAnswer})
+		r.setFinalAnswer(Answer{Kind: NoAnswer})
 	case Established:
 		// A server that ended it has the client close too: that is not the client's doing.
-		if !r.established.serverClosed {
+		if !r.connection.serverClosed {
 			r.table.post(decide.ClientGone{ID: r.ID})
 		}
 		r.state = Ended
-		r.attempt.conn.Close(how)
+		r.latest.conn.Close(how)
 	}
 }
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -13,18 +13,18 @@
 // monotonic clock. A clock made by NewManualClock stands still until a test sets it. It is safe for use by
 // many goroutines.
 type Clock struct {
-	origin    time.Time // the wall clock when the clock was made
-	manual    bool
-	manualNow atomic.Int64 // a manual clock's instant
-	wallStep  atomic.Int64 // how far the wall clock is off where the clock is manual
+	wallOrigin time.Time // the wall clock when the clock was made
+	manual     bool
+	manualNow  atomic.Int64 // a manual clock's instant
+	wallOffset atomic.Int64 // how far the wall clock is off where the clock is manual
 }
 
 // NewClock returns a clock that runs.
-func NewClock() *Clock { return &Clock{origin: wallNow()} }
+func NewClock() *Clock { return &Clock{wallOrigin: wallNow()} }
 
 // NewManualClock returns a clock that stands still.
 func NewManualClock() *Clock {
-	c := &Clock{origin: time.Unix(1_000_000_000, 0), manual: true}
+	c := &Clock{wallOrigin: time.Unix(1_000_000_000, 0), manual: true}
 	c.Set(clockStart)
 	return c
 }
@@ -49,25 +49,25 @@
 		return 0
 	}
 	now := c.Now()
-	byStart := clockStart + at.Sub(c.origin.Round(0))
-	byDay := now + at.Sub(c.wall().Round(0))
-	return min(max(byStart, byDay), now)
+	byWallOrigin := clockStart + at.Sub(c.wallOrigin.Round(0))
+	byWallNow := now + at.Sub(c.wall().Round(0))
+	return min(max(byWallOrigin, byWallNow), now)
 }
 
 // wall returns the wall clock's time.
 func (c *Clock) wall() time.Time {
 	if c.manual {
-		return c.Wall(c.Now()).Add(time.Duration(c.wallStep.Load()))
+		return c.Wall(c.Now()).Add(time.Duration(c.wallOffset.Load()))
 	}
 	return wallNow()
 }
 
 // StepWallClock sets by how much the wall clock is off where the clock was made by NewManualClock.
-func (c *Clock) StepWallClock(by time.Duration) { c.wallStep.Store(int64(by)) }
+func (c *Clock) StepWallClock(by time.Duration) { c.wallOffset.Store(int64(by)) }
 
 // Wall turns an instant of this clock into wall time, by the one origin that was read at the start: it does
 // not step with the wall clock.
-func (c *Clock) Wall(at time.Duration) time.Time { return c.origin.Round(0).Add(at - clockStart) }
+func (c *Clock) Wall(at time.Duration) time.Time { return c.wallOrigin.Round(0).Add(at - clockStart) }
 
 // WallDeadline returns the network deadline that falls at an instant of this clock.
 func (c *Clock) WallDeadline(at time.Duration) time.Time { return time.Now().Add(at - c.Now()) }
@@ -88,8 +88,8 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// addTo returns the instant that lies d after at, the last one that there is if that is out of range.
-func addTo(at, d time.Duration) time.Duration {
+// addSaturating returns the instant that lies d after at, the last one that there is if that is out of range.
+func addSaturating(at, d time.Duration) time.Duration {
 	if d > 0 && at > math.MaxInt64-d {
 		return math.MaxInt64
 	}
--- a/internal/relay/clock_test.go
+++ b/internal/relay/clock_test.go
@@ -10,24 +10,24 @@
 
 // A server that has just started is in slow start, and one that has run since before the relay is not made
 // young again, however the clock of the day was stepped: on this machine alone, or on all of them.
-func TestStartsThroughStepsOfTheDay(t *testing.T) {
+func TestServerStartTimeAcrossWallClockSteps(t *testing.T) {
 	const age = 700 * time.Millisecond // of a server's start when the list tells of it
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		for _, everywhere := range []bool{false, true} {
 			clock := NewManualClock()
 			table := NewRequestTable(&Deployment{}, clock, nil)
-			day := func() time.Time { return clock.Wall(clock.Now()) }
-			old := Endpoint{ID: "old", State: decide.Ready, StartedAt: day().Add(-time.Minute)}
-			table.UpdateEndpoints(decide.Cached, []Endpoint{old})
+			wallNowOnClock := func() time.Time { return clock.Wall(clock.Now()) }
+			oldServer := Endpoint{ID: "old", State: decide.Ready, StartedAt: wallNowOnClock().Add(-time.Minute)}
+			table.UpdateEndpoints(decide.Cached, []Endpoint{oldServer})
 			before := table.endpoints.byID["old"].startedAt
 			clock.Set(clock.Now() + 20*time.Second)
 			clock.StepWallClock(step)
-			told := day().Add(-age)
+			startedAt := wallNowOnClock().Add(-age)
 			if everywhere {
-				told = told.Add(step)
+				startedAt = startedAt.Add(step)
 			}
-			young := Endpoint{ID: "new", State: decide.Ready, StartedAt: told}
-			table.UpdateEndpoints(decide.Snapshot, []Endpoint{old, young})
+			newServer := Endpoint{ID: "new", State: decide.Ready, StartedAt: startedAt}
+			table.UpdateEndpoints(decide.Snapshot, []Endpoint{oldServer, newServer})
 			if got := table.endpoints.byID["old"].startedAt; got != before {
 				t.Errorf("step %v, everywhere %v: the old server's start moved by %v",
 					step, everywhere, got-before)
@@ -43,9 +43,9 @@
 }
 
 // What started before this program did is expressed on the relay's clock, and long ago stays long ago.
-func TestFromWall(t *testing.T) {
+func TestFromWallTime(t *testing.T) {
 	c := NewManualClock()
-	now := float64(c.origin.UnixMilli())
+	now := float64(c.wallOrigin.UnixMilli())
 	if got := c.FromWallTime(TimeFromUnixMillis(now - 250)); got != clockStart-250*time.Millisecond {
 		t.Errorf("started 250 ms ago: %v", got)
 	}
@@ -67,7 +67,7 @@
 	if got := DurationFromMillis(1.2346); got != 1235000 {
 		t.Errorf("1.2346 ms: %v", got)
 	}
-	if got := addTo(time.Hour, math.MaxInt64-time.Minute); got != math.MaxInt64 {
+	if got := addSaturating(time.Hour, math.MaxInt64-time.Minute); got != math.MaxInt64 {
 		t.Errorf("an instant out of range: %v", got)
 	}
 }
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -18,14 +18,14 @@
 
 // requestCounters count what became of requests. The table's lock guards what is not atomic.
 type requestCounters struct {
-	arrived    atomic.Uint64 // requests since the process started
-	ejected    atomic.Int64  // servers that the decision module ejects, as of the last sweep
-	byClass    []ClassCounts
-	rejections [decide.MayHaveRun + 1]uint64 // final answers of the decision module, by its reason
+	arrivals       atomic.Uint64 // requests since the process started
+	ejectedServers atomic.Int64  // servers that the decision module ejects, as of the last sweep
+	byClass        []ClassCounts
+	rejections     [decide.MayHaveRun + 1]uint64 // final answers of the decision module, by its reason
 }
 
-// of returns the counters of a class; what is counted for one that is none goes nowhere.
-func (c *requestCounters) of(class decide.Class) *ClassCounts {
+// forClass returns the counters forClass a class; what is counted for one that is none goes nowhere.
+func (c *requestCounters) forClass(class decide.Class) *ClassCounts {
 	if class < 0 || int(class) >= len(c.byClass) {
 		return &ClassCounts{}
 	}
@@ -36,9 +36,9 @@
 func (c *requestCounters) countAnswer(class decide.Class, kind AnswerKind) {
 	switch kind {
 	case Rejected:
-		c.of(class).Rejected++
+		c.forClass(class).Rejected++
 	case Failed:
-		c.of(class).Failed++
+		c.forClass(class).Failed++
 	}
 }
 
@@ -70,7 +70,7 @@
 }
 
 // Arrivals returns how many requests have come since the process started.
-func (t *RequestTable) Arrivals() uint64 { return t.counters.arrived.Load() }
+func (t *RequestTable) Arrivals() uint64 { return t.counters.arrivals.Load() }
 
 // EndpointCounts is what the relay knows of the servers in the endpoint list.
 type EndpointCounts struct {
@@ -84,7 +84,7 @@
 func (t *RequestTable) EndpointCounts() EndpointCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	counts := EndpointCounts{Ejected: int(t.counters.ejected.Load())}
+	counts := EndpointCounts{Ejected: int(t.counters.ejectedServers.Load())}
 	for _, s := range t.endpoints.servers {
 		if s.listedState == decide.Removed {
 			continue
--- a/internal/relay/decisions.go
+++ b/internal/relay/decisions.go
@@ -58,7 +58,7 @@
 		a.Kind = Failed
 	}
 	t.counters.countReason(a.reason)
-	r.answerFinally(a)
+	r.setFinalAnswer(a)
 }
 
 // failOverdue is the backstop behind the decision module: a request that has no answer well after its
@@ -71,7 +71,7 @@
 		return false
 	}
 	t.post(decide.ClientGone{ID: id})
-	r.answerFinally(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.Backstop})
+	r.setFinalAnswer(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.Backstop})
 	return true
 }
 
@@ -89,12 +89,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests.byID[id]
-	if r == nil || r.state != Attempting || r.attempt.Number != attempt {
+	if r == nil || r.state != Attempting || r.latest.Number != attempt {
 		return
 	}
-	r.attempt.canceled = true
-	if r.attempt.conn != nil {
-		r.attempt.conn.Close(GracefulClose)
+	r.latest.canceled = true
+	if r.latest.conn != nil {
+		r.latest.conn.Close(GracefulClose)
 	}
 }
 
--- a/internal/relay/doubles_test.go
+++ b/internal/relay/doubles_test.go
@@ -11,11 +11,11 @@
 
 // fakeSide stands for both wires: it notes what the table asks of it.
 type fakeSide struct {
-	attempts []Attempt
-	probes   int
-	closed   int
-	woken    int
-	gone     bool // the client's end has come, and nobody has read it
+	attempts  []Attempt
+	probes    int
+	closes    int
+	wakes     int
+	hasUnread bool // the client's end has come, and nobody has read it
 }
 
 func (s *fakeSide) StartAttempt(_ *Request, a Attempt) { s.attempts = append(s.attempts, a) }
@@ -26,9 +26,9 @@
 }
 
 func (s *fakeSide) Forward([]byte) error { return nil }
-func (s *fakeSide) Close(CloseKind)      { s.closed++ }
-func (s *fakeSide) Wake()                { s.woken++ }
-func (s *fakeSide) HasUnread() bool      { return s.gone }
+func (s *fakeSide) Close(CloseKind)      { s.closes++ }
+func (s *fakeSide) Wake()                { s.wakes++ }
+func (s *fakeSide) HasUnread() bool      { return s.hasUnread }
 
 // fakeLease stands for an ownership lease that is never answered by itself.
 type fakeLease struct{ acquired, released int }
--- a/internal/relay/endpoint_lease.go
+++ b/internal/relay/endpoint_lease.go
@@ -40,7 +40,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
-	t.noticeProcessStop(now)
+	t.detectProcessStop(now)
 	if now < t.lease.ignoreReadsUntil {
 		return
 	}
@@ -61,8 +61,8 @@
 	t.checkEndpointLease()
 }
 
-// noticeProcessStop notices that the process has been stopped. The caller holds the lock.
-func (t *RequestTable) noticeProcessStop(now time.Duration) {
+// detectProcessStop notices that the process has been stopped. The caller holds the lock.
+func (t *RequestTable) detectProcessStop(now time.Duration) {
 	if stopped := now - t.lease.checkedAt; t.lease.Enabled() && stopped > processStoppedAfter {
 		t.Log.Warn().Float64("stopped_ms", Millis(stopped)).
 			Msg("process was stopped, discovery has to answer anew: " +
--- a/internal/relay/endpoint_lease_test.go
+++ b/internal/relay/endpoint_lease_test.go
@@ -10,12 +10,12 @@
 
 // A process that was stopped wakes over lines that discovery wrote long ago: they confirm nothing. The
 // first line after that does.
-func TestLinesReadAfterAStopConfirmNothing(t *testing.T) {
+func TestLinesReadAfterAProcessStopDoNotRenewTheLease(t *testing.T) {
 	clock := NewManualClock()
 	table := NewRequestTable(&Deployment{}, clock, nil)
 	table.LeaseEndpointList(10 * time.Second)
 	table.UpdateEndpoints(decide.Snapshot, readyEndpoints("s"))
-	pass := func(d time.Duration, stopped bool) {
+	advance := func(d time.Duration, stopped bool) {
 		end := clock.Now() + d
 		for !stopped && clock.Now()+sweepInterval < end {
 			clock.Set(clock.Now() + sweepInterval)
@@ -25,9 +25,9 @@
 	}
 	expired := func() bool { return table.GuardStats().EndpointLeaseExpired }
 	table.RenewEndpointLease()
-	pass(2*time.Second, false)
+	advance(2*time.Second, false)
 	table.RenewEndpointLease()
-	pass(7*time.Second, true)
+	advance(7*time.Second, true)
 	table.RenewEndpointLease() // a line that has waited, read before anything else runs
 	if table.ServerReady("s") && !expired() {
 		t.Error("an old line that is read before the event loop looks confirms the list")
@@ -37,16 +37,16 @@
 	if table.ServerReady("s") || !expired() {
 		t.Error("an old line that is read after the event loop looks confirms the list")
 	}
-	pass(2*time.Second, false)
+	advance(2*time.Second, false)
 	table.RenewEndpointLease()
 	if !table.ServerReady("s") || expired() {
 		t.Error("a line of now does not confirm the list")
 	}
-	pass(5700*time.Millisecond, false)
+	advance(5700*time.Millisecond, false)
 	if !table.ServerReady("s") {
 		t.Error("the lease expires before its time")
 	}
-	pass(500*time.Millisecond, false)
+	advance(500*time.Millisecond, false)
 	table.sweep()
 	if table.ServerReady("s") || !expired() {
 		t.Error("the lease does not expire")
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -38,9 +38,9 @@
 	state     decide.EndpointState
 	unreadyAt time.Duration // when state was last seen to leave Ready
 
-	delayNotedAt time.Duration // when the decision module was last notified of a slow message there
-	recorded     recordedEndpoint
-	current      *Server // the endpoint list's own, of which an attempt holds a copy
+	delayReportedAt time.Duration // when the decision module was last notified of a slow message there
+	lastRecorded    recordedEndpoint
+	listEntry       *Server // the endpoint list's own, of which an attempt holds a copy
 }
 
 // recordedEndpoint is what the event recorder last had of a server.
@@ -59,17 +59,17 @@
 	ejectedIDs map[string]bool
 	// leaseExpired: the list has not been confirmed for too long, and nothing new is sent by it.
 	leaseExpired bool
-	// complete: a snapshot has come from discovery, or a list with entries from the configuration.
-	complete bool
+	// hasList: a snapshot has come from discovery, or a list with entries from the configuration.
+	hasList bool
 }
 
-// apply takes in a list and returns it in the decision module's numbers. Whoever is not in a snapshot is
+// applyList takes in a list and returns it in the decision module's numbers. Whoever is not in a snapshot is
 // removed.
-func (l *endpointList) apply(kind decide.WatchKind, list []Endpoint) decide.WatchEvent {
+func (l *endpointList) applyList(kind decide.WatchKind, list []Endpoint) decide.WatchEvent {
 	if kind != decide.Delta && kind != decide.WatchFailed {
 		l.removeOthers(list)
 	}
-	l.complete = l.complete || kind == decide.Snapshot || kind == decide.Cached && len(list) > 0
+	l.hasList = l.hasList || kind == decide.Snapshot || kind == decide.Cached && len(list) > 0
 	event := decide.WatchEvent{Kind: kind}
 	for _, e := range list {
 		s := l.byID[e.ID]
@@ -77,7 +77,7 @@
 			s = l.add(e.ID)
 		}
 		l.update(s, e)
-		event.Endpoints = append(event.Endpoints, l.entry(s))
+		event.Endpoints = append(event.Endpoints, l.decisionEndpoint(s))
 	}
 	return event
 }
@@ -99,7 +99,7 @@
 	for _, s := range l.servers {
 		if !listed[s.ID] {
 			s.listedState = decide.Removed
-			l.setState(s)
+			l.updateState(s)
 		}
 	}
 }
@@ -126,12 +126,12 @@
 	if e.Address != "" { // an entry that removes a server may come without one
 		s.Address = e.Address
 	}
-	l.setState(s)
+	l.updateState(s)
 }
 
-// setEjected sets the servers that are ejected manually, all of them, and returns what that changes for the
-// decision module.
-func (l *endpointList) setEjected(ids map[string]bool) decide.WatchEvent {
+// setManualEjections sets the servers that are ejected manually, all of them, and returns what that changes
+// for the decision module.
+func (l *endpointList) setManualEjections(ids map[string]bool) decide.WatchEvent {
 	l.ejectedIDs = ids
 	event := decide.WatchEvent{Kind: decide.LocalDelta}
 	for _, s := range l.servers {
@@ -139,8 +139,8 @@
 			continue
 		}
 		s.ejectedManually = ids[s.ID]
-		l.setState(s)
-		event.Endpoints = append(event.Endpoints, l.entry(s))
+		l.updateState(s)
+		event.Endpoints = append(event.Endpoints, l.decisionEndpoint(s))
 	}
 	return event
 }
@@ -150,16 +150,16 @@
 func (l *endpointList) refreshStates() decide.WatchEvent {
 	event := decide.WatchEvent{Kind: decide.LocalDelta}
 	for _, s := range l.servers {
-		if l.setState(s) {
-			event.Endpoints = append(event.Endpoints, l.entry(s))
+		if l.updateState(s) {
+			event.Endpoints = append(event.Endpoints, l.decisionEndpoint(s))
 		}
 	}
 	return event
 }
 
-// setState sets the state that the decision module is notified of, from all that is known of a server. It tells
-// whether the state has changed.
-func (l *endpointList) setState(s *Server) (changed bool) {
+// updateState sets the state that the decision module is notified of, from all that is known of a server. It
+// tells whether the state has changed.
+func (l *endpointList) updateState(s *Server) (changed bool) {
 	state := s.operatorState()
 	if state == decide.Ready && l.leaseExpired {
 		state = decide.Draining
@@ -180,8 +180,8 @@
 	return s.listedState
 }
 
-// entry returns the server as the decision module gets it.
-func (l *endpointList) entry(s *Server) decide.Endpoint {
+// decisionEndpoint returns the server as the decision module gets it.
+func (l *endpointList) decisionEndpoint(s *Server) decide.Endpoint {
 	return decide.Endpoint{
 		Server:        s.Number,
 		State:         s.state,
@@ -197,14 +197,14 @@
 func (t *RequestTable) UpdateEndpoints(kind decide.WatchKind, list []Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.post(t.endpoints.apply(kind, list))
+	t.post(t.endpoints.applyList(kind, list))
 	if t.Recorder != nil {
 		t.recordWatchEvent(kind)
 	}
 	// Whoever has a connection to a server that drains now may want to know.
 	for _, r := range t.requests.byID {
-		if r.attempt.inFlight && r.attempt.conn != nil && r.attempt.currentServer().state != decide.Ready {
-			r.attempt.conn.Wake()
+		if r.latest.inFlight && r.latest.conn != nil && r.latest.currentServer().state != decide.Ready {
+			r.latest.conn.Wake()
 		}
 	}
 }
@@ -239,7 +239,7 @@
 func (t *RequestTable) HasEndpointList() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.endpoints.complete
+	return t.endpoints.hasList
 }
 
 // ServerIDs appends the ids of the servers from a number on, in the order of their numbers.
--- a/internal/relay/event_loop.go
+++ b/internal/relay/event_loop.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		if r, ok := ev.(decide.Request); ok {
-			l.timers.set(timer{dueAt: addTo(now, r.TimeLeft+backstopDelay), request: r.ID})
+			l.timers.set(timer{dueAt: addSaturating(now, r.TimeLeft+backstopDelay), request: r.ID})
 		}
 		l.handle(now, ev)
 	}
@@ -157,7 +157,7 @@
 	}
 	l.sweptAt = now
 	l.table.sweep()
-	l.table.counters.ejected.Store(int64(l.balancer.EjectedCount()))
+	l.table.counters.ejectedServers.Store(int64(l.balancer.EjectedCount()))
 }
 
 // untilNextStep steps the probe scheduler if it is due, and returns how long until the next step.
@@ -210,7 +210,7 @@
 	case decide.Probe:
 		l.table.probe(a.Server)
 	case decide.Timer:
-		l.timers.set(timer{dueAt: addTo(l.table.Clock.Now(), a.After), token: a.Token})
+		l.timers.set(timer{dueAt: addSaturating(l.table.Clock.Now(), a.After), token: a.Token})
 	case decide.Subscribe:
 		l.discovery.Watch()
 	case decide.FetchSnapshot:
--- a/internal/relay/event_loop_test.go
+++ b/internal/relay/event_loop_test.go
@@ -50,7 +50,7 @@
 }
 
 // A decision module that panics on one event goes on with the next.
-func TestTheEventLoopOutlivesAPanic(t *testing.T) {
+func TestTheEventLoopContinuesAfterAPanic(t *testing.T) {
 	l := newLoopTest(t)
 	l.handle(l.clock.Now(), decide.Opened{Server: -1})
 	r := open(l.table, 0)
--- a/internal/relay/fleet_status.go
+++ b/internal/relay/fleet_status.go
@@ -20,7 +20,7 @@
 // nil where the fleet has no cells, and all is far then. A near zone without a number has no server to
 // budget for.
 func ToFleetStatus(
-	now, own time.Duration, e membership.FleetEstimate, zoneNumber func(name string) (decide.Zone, bool),
+	now, nodeNow time.Duration, e membership.FleetEstimate, zoneNumber func(name string) (decide.Zone, bool),
 ) decide.FleetStatus {
 	status := decide.FleetStatus{
 		Relays:            e.Relays,
@@ -36,7 +36,7 @@
 		status.NearZones = zoneNumbers(e.NearZones, zoneNumber)
 	}
 	if e.ShareValidUntil != duration.Forever {
-		status.BudgetUntil = (now + e.ShareValidUntil - own).Round(decisionPrecision)
+		status.BudgetUntil = (now + e.ShareValidUntil - nodeNow).Round(decisionPrecision)
 	}
 	return status
 }
--- a/internal/relay/guarding.go
+++ b/internal/relay/guarding.go
@@ -14,13 +14,13 @@
 	class := &settings.Classes[r.Class]
 	return guard.Request{
 		Pending:         waiting,
-		AttemptInFlight: r.attempt.inFlight,
-		MayHaveWritten:  r.attempt.mayHaveWritten,
-		Attempts:        r.attempts,
+		AttemptInFlight: r.latest.inFlight,
+		MayHaveWritten:  r.latest.mayHaveWritten,
+		Attempts:        r.attemptsStarted,
 		MaxAttempts:     settings.MaxAttempts,
-		MayHaveRun:      r.mayHaveRun.happened,
-		MayHaveRunAt:    r.mayHaveRun.at,
-		MayHaveRunOn:    r.mayHaveRun.on,
+		MayHaveRun:      r.possibleRun.exists,
+		MayHaveRunAt:    r.possibleRun.firstByteAt,
+		MayHaveRunOn:    r.possibleRun.serverLocation,
 		Idempotency:     class.Idempotency,
 		DedupScope:      class.DedupScope,
 		DedupWindow:     class.DedupWindow,
@@ -49,11 +49,11 @@
 
 // mayWrite tells whether the first byte of an attempt may be written.
 func (r *Request) mayWrite(attempt int) guard.Denial {
-	waiting := r.inSetUp(attempt)
+	waiting := r.attemptInSetUp(attempt)
 	clientGone := waiting && r.clientConn.HasUnread()
 	facts, lease := r.guardFacts(waiting), &r.table.lease.EndpointLease
-	server := r.attempt.currentServer().guardStatus()
-	return guard.MayWrite(r.table.Clock.Now(), r.attempt.Deadline, facts, server, lease, clientGone)
+	server := r.latest.currentServer().guardStatus()
+	return guard.MayWrite(r.table.Clock.Now(), r.latest.Deadline, facts, server, lease, clientGone)
 }
 
 // mayReject tells whether a request may be rejected, which promises that a retry is harmless.
@@ -74,7 +74,7 @@
 	}
 	event.Uint64("request", uint64(r.ID)).
 		Str("id", r.Name).
-		Int("attempt", r.attempts).
+		Int("attempt", r.attemptsStarted).
 		Stringer("reason", denial).
 		Msg("denied by the guard")
 }
@@ -94,7 +94,7 @@
 	event.Stringer("invariant", invariant).
 		Uint64("request", uint64(r.ID)).
 		Str("id", r.Name).
-		Int("attempt", r.attempt.Number).
+		Int("attempt", r.latest.Number).
 		Msg("invariant violated: a fault of this program, report it with this line")
 }
 
@@ -103,10 +103,10 @@
 func (r *Request) FirstLineWritten(attempt int) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.attempt.Number != attempt || r.resumed {
+	if r.latest.Number != attempt || r.resumed {
 		return
 	}
-	now, s := r.table.Clock.Now(), r.attempt.currentServer()
+	now, s := r.table.Clock.Now(), r.latest.currentServer()
 	pastGrace := s.state != decide.Ready && now-s.unreadyAt > guard.DrainGrace
 	if pastGrace || r.table.lease.MayViolateDrainRule(now) {
 		r.recordViolation(guard.NoNewRequestAfterDrain, s)
--- a/internal/relay/guarding_test.go
+++ b/internal/relay/guarding_test.go
@@ -23,7 +23,7 @@
 // An operator greps for this line and alarms on the counter: a first line that was held up past the grace
 // of a drain must not go unseen.
 func TestALineWrittenAfterTheDrainGraceIsAViolation(t *testing.T) {
-	for heldUp, want := range map[time.Duration]uint64{
+	for writeDelay, want := range map[time.Duration]uint64{
 		guard.DrainGrace:                    0,
 		guard.DrainGrace + time.Millisecond: 1,
 	} {
@@ -34,13 +34,13 @@
 			t.Fatal("the attempt is not let go")
 		}
 		table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", State: decide.Draining}})
-		table.Clock.Set(table.Clock.Now() + heldUp)
+		table.Clock.Set(table.Clock.Now() + writeDelay)
 		r.FirstLineWritten(0)
 		if got := table.Violations.Count(guard.NoNewRequestAfterDrain); got != want {
-			t.Errorf("held up for %v: %d violations", heldUp, got)
+			t.Errorf("held up for %v: %d violations", writeDelay, got)
 		}
 		if logged := strings.Contains(log.String(), "invariant violated"); logged != (want > 0) {
-			t.Errorf("held up for %v: log %q", heldUp, log)
+			t.Errorf("held up for %v: log %q", writeDelay, log)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 }
 
 // What may have run and must not run twice is failed where the decision module would reject it, and counted.
-func TestARejectionThatPromisesTooMuchIsAViolation(t *testing.T) {
+func TestRejectingARequestThatMayHaveRunIsAViolation(t *testing.T) {
 	table, _ := newLoggingTable(decide.ClassInfo{Idempotency: decide.NonIdempotent})
 	r := open(table, 0)
 	startFirst(table, r, 0)
--- a/internal/relay/operations.go
+++ b/internal/relay/operations.go
@@ -37,7 +37,7 @@
 func (t *RequestTable) SetManualEjections(ids map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	event := t.endpoints.setEjected(ids)
+	event := t.endpoints.setManualEjections(ids)
 	if len(event.Endpoints) == 0 {
 		return
 	}
@@ -46,15 +46,15 @@
 		t.recordEndpointChanges()
 	}
 	for _, r := range t.requests.byID {
-		s := r.attempt.currentServer()
+		s := r.latest.currentServer()
 		if s == nil || !s.ejectedManually {
 			continue
 		}
 		switch {
 		case r.state == Established:
 			r.migrate(recorder.Operator)
-		case r.attempt.inFlight && r.attempt.conn != nil:
-			r.attempt.conn.Wake()
+		case r.latest.inFlight && r.latest.conn != nil:
+			r.latest.conn.Wake()
 		}
 	}
 }
--- a/internal/relay/operations_test.go
+++ b/internal/relay/operations_test.go
@@ -7,18 +7,18 @@
 	"capersail/decide"
 )
 
-// notifiedModes takes the inbox and returns what the decision module was last notified of in it of each
+// takeNotifiedStates takes the inbox and returns what the decision module was last notified of in it of each
 // server.
-func notifiedModes(table *RequestTable) map[decide.ServerID]decide.EndpointState {
-	modes := map[decide.ServerID]decide.EndpointState{}
+func takeNotifiedStates(table *RequestTable) map[decide.ServerID]decide.EndpointState {
+	states := map[decide.ServerID]decide.EndpointState{}
 	for _, ev := range table.takeInbox() {
 		if w, ok := ev.(decide.WatchEvent); ok {
 			for _, e := range w.Endpoints {
-				modes[e.Server] = e.State
+				states[e.Server] = e.State
 			}
 		}
 	}
-	return modes
+	return states
 }
 
 // A server that is ejected manually drains to the decision module, whatever the list says, until it is
@@ -35,7 +35,7 @@
 
 	table.takeInbox()
 	table.SetManualEjections(map[string]bool{"a": true})
-	if m := notifiedModes(table); m[0] != decide.Draining || len(m) != 1 {
+	if m := takeNotifiedStates(table); m[0] != decide.Draining || len(m) != 1 {
 		t.Errorf("notified of %v", m)
 	}
 	if attempting.BeginWrite(0) {
@@ -45,20 +45,20 @@
 		t.Error("a client at a manually ejected server is not migrated")
 	}
 	table.UpdateEndpoints(decide.Snapshot, readyEndpoints("a", "b", "c"))
-	if m := notifiedModes(table); m[0] != decide.Draining || m[1] != decide.Ready {
+	if m := takeNotifiedStates(table); m[0] != decide.Draining || m[1] != decide.Ready {
 		t.Errorf("a new list undoes the ejection: %v", m)
 	}
 	if c := table.EndpointCounts(); c.Listed != 3 || c.EjectedManually != 1 {
 		t.Errorf("counts %+v", c)
 	}
 	table.SetManualEjections(nil)
-	if m := notifiedModes(table); m[0] != decide.Ready || len(m) != 1 {
+	if m := takeNotifiedStates(table); m[0] != decide.Ready || len(m) != 1 {
 		t.Errorf("restored: notified of %v", m)
 	}
 	table.SetManualEjections(map[string]bool{"d": true}) // not listed yet: ejected from its first list on
 	table.takeInbox()
 	table.UpdateEndpoints(decide.Delta, readyEndpoints("d"))
-	if m := notifiedModes(table); m[3] != decide.Draining {
+	if m := takeNotifiedStates(table); m[3] != decide.Draining {
 		t.Errorf("a server listed after its ejection: notified of %v", m)
 	}
 }
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -20,7 +20,7 @@
 	case r.state != AwaitingOwnership:
 		return false
 	case guard.MayAccept(r.table.rejecting(), false) != guard.Allowed:
-		r.answerFinally(r.table.applyRetryAfterSetting(r.table.shutdownRejection()))
+		r.setFinalAnswer(r.table.applyRetryAfterSetting(r.table.shutdownRejection()))
 		return false
 	}
 	r.state = Queued
@@ -33,7 +33,7 @@
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	if r.state == AwaitingOwnership {
-		r.answerFinally(r.table.applyRetryAfterSetting(a))
+		r.setFinalAnswer(r.table.applyRetryAfterSetting(a))
 	}
 }
 
@@ -50,9 +50,9 @@
 			a = Answer{Kind: Failed}
 		}
 		r.table.post(decide.ClientGone{ID: r.ID})
-		r.answerFinally(r.table.applyRetryAfterSetting(a))
+		r.setFinalAnswer(r.table.applyRetryAfterSetting(a))
 	case AwaitingOwnership:
-		r.answerFinally(r.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: retryAfter}))
+		r.setFinalAnswer(r.table.applyRetryAfterSetting(Answer{Kind: Rejected, RetryAfter: retryAfter}))
 	case Established:
 		r.migrate(recorder.OwnershipLost)
 	}
--- a/internal/relay/probe_scheduling.go
+++ b/internal/relay/probe_scheduling.go
@@ -15,7 +15,7 @@
 func (l *EventLoop) routeProbingEvent(now time.Duration, ev decide.Event) (forDecision bool) {
 	switch e := ev.(type) {
 	case peerEvent:
-		l.SharedProbing.queued.Add(-1)
+		l.SharedProbing.queuedBatches.Add(-1)
 		l.stepScheduler(now, e.event)
 		return false
 	case participantsEvent:
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -29,11 +29,11 @@
 	now := t.Clock.Now()
 	for _, s := range t.endpoints.servers {
 		state := s.operatorState()
-		last := s.recorded
+		last := s.lastRecorded
 		if last.known && last.state == state && last.startedAt.Equal(s.startedWall) {
 			continue
 		}
-		s.recorded = recordedEndpoint{known: true, state: state, startedAt: s.startedWall}
+		s.lastRecorded = recordedEndpoint{known: true, state: state, startedAt: s.startedWall}
 		t.Recorder.Put(&recorder.Record{
 			At:        now,
 			Kind:      recorder.EndpointChanged,
@@ -97,19 +97,19 @@
 	case Failed:
 		rec.Kind = recorder.RequestFailed
 	}
-	if r.attempts > 0 {
-		rec.Server = int32(r.attempt.Server.Number)
+	if r.attemptsStarted > 0 {
+		rec.Server = int32(r.latest.Server.Number)
 	}
 	r.table.Recorder.Put(&rec)
 }
 
 // recordPlacement records an attempt, and what else the decision module could have chosen.
 func (r *Request) recordPlacement(candidates []decide.PooledServer) {
-	rec := r.recordOfAttempt(recorder.AttemptStarted, r.attempt.StartedAt)
+	rec := r.recordOfAttempt(recorder.AttemptStarted, r.latest.StartedAt)
 	rec.Load = -1
 	for _, c := range candidates {
 		switch {
-		case c.Server == r.attempt.Server.Number:
+		case c.Server == r.latest.Server.Number:
 			rec.Load = float32(c.EstimatedLoad)
 		case rec.PoolSize < recorder.MaxCandidates:
 			rec.Pool[rec.PoolSize] = recorder.Candidate{
@@ -128,7 +128,7 @@
 func (r *Request) recordEstablished() {
 	now := r.table.Clock.Now()
 	rec := r.recordOfAttempt(recorder.ConnectionUp, now)
-	rec.Elapsed = now - r.attempt.StartedAt
+	rec.Elapsed = now - r.latest.StartedAt
 	r.table.Recorder.Put(&rec)
 }
 
@@ -138,7 +138,7 @@
 		At:        r.table.Clock.Now(),
 		Kind:      recorder.ClientMigrated,
 		Request:   uint64(r.ID),
-		Server:    int32(r.attempt.Server.Number),
+		Server:    int32(r.latest.Server.Number),
 		Initiator: by,
 	})
 }
@@ -149,7 +149,7 @@
 		At:      now,
 		Kind:    recorder.MessageDelayed,
 		Request: uint64(r.ID),
-		Server:  int32(r.attempt.Server.Number),
+		Server:  int32(r.latest.Server.Number),
 		Elapsed: delay,
 	})
 }
@@ -160,25 +160,25 @@
 	now := r.table.Clock.Now()
 	rec := r.recordOfAttempt(recorder.AttemptEnded, now)
 	rec.Status = status
-	rec.Elapsed = now - r.attempt.StartedAt
+	rec.Elapsed = now - r.latest.StartedAt
 	rec.Load = float32(report.Load)
 	rec.Queue = float32(report.InFlight)
 	rec.Errors = float32(report.ErrorsPerSecond)
 	rec.Initiator = r.endedBy()
-	rec.WasConnected = r.established.reached
+	rec.WasConnected = r.connection.wasEstablished
 	r.table.Recorder.Put(&rec)
 }
 
 // endedBy returns who ended the latest attempt.
 func (r *Request) endedBy() recorder.Initiator {
 	switch {
-	case r.established.serverSilent:
+	case r.connection.serverSilent:
 		return recorder.ServerSilent
-	case r.established.migrating:
+	case r.connection.migrating:
 		return recorder.Module
-	case r.state == Ended && !r.established.serverClosed:
+	case r.state == Ended && !r.connection.serverClosed:
 		return recorder.Client
-	case r.attempt.canceled:
+	case r.latest.canceled:
 		return recorder.Module
 	}
 	return recorder.Server
@@ -190,7 +190,7 @@
 		At:      at,
 		Kind:    kind,
 		Request: uint64(r.ID),
-		Server:  int32(r.attempt.Server.Number),
-		Attempt: uint8(min(r.attempt.Number, math.MaxUint8)),
+		Server:  int32(r.latest.Server.Number),
+		Attempt: uint8(min(r.latest.Number, math.MaxUint8)),
 	}
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -44,16 +44,16 @@
 	deadline   time.Duration // until when the client waits
 	resumed    bool          // it was open at its server before this relay started
 
-	state         State
-	answer        Answer
-	settled       chan struct{} // closed once the request is established or ended
-	finished      chan struct{} // closed once both sides are done with it
-	ownershipLost bool          // its ownership lease may be lost
-
-	attempts    int // started so far
-	attempt     latestAttempt
-	mayHaveRun  possibleRun
-	established connectionState
+	state              State
+	answer             Answer
+	establishedOrEnded chan struct{} // closed once the request is established or ended
+	bothSidesDone      chan struct{} // closed once both sides are done with it
+	ownershipLost      bool          // its ownership lease may be lost
+
+	attemptsStarted int // started so far
+	latest          latestAttempt
+	possibleRun     firstPossibleRun
+	connection      connectionState
 }
 
 // latestAttempt is the attempt of a request that was started last, in flight or not.
@@ -61,30 +61,30 @@
 	Attempt
 	inFlight       bool          // the server side has not reported its end
 	mayHaveWritten bool          // its first byte may have been written
-	wroteAt        time.Duration // when the first byte of the latest attempt that wrote one was let go
+	firstByteAt    time.Duration // when the first byte of the latest attempt that wrote one was let go
 	canceled       bool          // it is no longer wanted
 	conn           ServerConn    // nil until the server side has attached it
 }
 
-// possibleRun is the first attempt of a request that ended without proof that it never ran.
-type possibleRun struct {
-	happened bool
-	at       time.Duration // when its first byte was let go
-	on       guard.Location
+// firstPossibleRun is the first attempt of a request that ended without proof that it never ran.
+type firstPossibleRun struct {
+	exists         bool
+	firstByteAt    time.Duration // when its first byte was let go
+	serverLocation guard.Location
 }
 
 // connectionState is what a request is in once it is established.
 type connectionState struct {
-	reached         bool          // it has been established, even if it has ended since
+	wasEstablished  bool          // it has been established, even if it has ended since
 	migrating       bool          // the client is to be sent to another server
 	serverSilent    bool          // because its server brings nothing back
 	serverClosed    bool          // the server ended the connection, before the client did
 	unansweredSince time.Duration // when the oldest line without an answer went to the server, 0 if none
 }
 
-// inSetUp tells whether an attempt is still wanted and not yet established. The caller holds the lock.
-func (r *Request) inSetUp(attempt int) bool {
-	return r.state == Attempting && r.attempt.Number == attempt && !r.attempt.canceled
+// attemptInSetUp tells whether an attempt is still wanted and not yet established. The caller holds the lock.
+func (r *Request) attemptInSetUp(attempt int) bool {
+	return r.state == Attempting && r.latest.Number == attempt && !r.latest.canceled
 }
 
 // nameTaken tells whether another request has the name. The caller holds the lock.
@@ -114,33 +114,33 @@
 // alone. The caller holds the lock.
 func (r *Request) startAttempt(s *Server, timeout time.Duration) {
 	now := r.table.Clock.Now()
-	if r.attempt.inFlight {
+	if r.latest.inFlight {
 		r.recordViolation(guard.NoDuplicateAttempt, s)
 	}
 	deadline := r.deadline
 	if timeout != 0 {
-		deadline = min(deadline, addTo(now, timeout))
+		deadline = min(deadline, addSaturating(now, timeout))
 	}
 	server := *s
-	server.current = s
+	server.listEntry = s
 	r.state = Attempting
-	r.attempt = latestAttempt{
+	r.latest = latestAttempt{
 		Attempt: Attempt{
-			Number:         r.attempts,
+			Number:         r.attemptsStarted,
 			Server:         server,
 			StartedAt:      now,
 			Deadline:       deadline,
 			ClientDeadline: r.deadline,
 		},
-		inFlight: true,
-		wroteAt:  r.attempt.wroteAt,
+		inFlight:    true,
+		firstByteAt: r.latest.firstByteAt,
 	}
-	r.attempts++
-	r.table.dialer.StartAttempt(r, r.attempt.Attempt)
+	r.attemptsStarted++
+	r.table.dialer.StartAttempt(r, r.latest.Attempt)
 }
 
-// answerFinally gives a request that is not established its final answer, once. The caller holds the lock.
-func (r *Request) answerFinally(a Answer) {
+// setFinalAnswer gives a request that is not established its final answer, once. The caller holds the lock.
+func (r *Request) setFinalAnswer(a Answer) {
 	if guard.MayAnswer(r.state == Ended, r.state == Established) != guard.Allowed {
 		return
 	}
@@ -152,13 +152,13 @@
 	}
 	r.state = Ended
 	r.answer = a
-	close(r.settled)
+	close(r.establishedOrEnded)
 	r.table.counters.countAnswer(r.Class, a.Kind)
 	if r.table.Recorder != nil {
 		r.recordAnswer(a)
 	}
-	if r.attempt.inFlight && r.attempt.conn != nil {
-		r.attempt.conn.Close(GracefulClose)
+	if r.latest.inFlight && r.latest.conn != nil {
+		r.latest.conn.Close(GracefulClose)
 	}
 	r.removeIfDone()
 	r.clientConn.Wake()
@@ -166,10 +166,10 @@
 
 // removeIfDone forgets a request that both sides are done with. The caller holds the lock.
 func (r *Request) removeIfDone() {
-	if r.state != Ended || r.attempt.inFlight || !r.table.requests.remove(r) {
+	if r.state != Ended || r.latest.inFlight || !r.table.requests.remove(r) {
 		return
 	}
-	close(r.finished)
+	close(r.bothSidesDone)
 	if r.Ownership != nil { // never before: an attempt in flight holds the lease
 		r.Ownership.Release()
 	}
@@ -178,12 +178,12 @@
 // migrate has the server side send the client of an established request to another server, once. The caller
 // holds the lock.
 func (r *Request) migrate(by recorder.Initiator) {
-	if r.state != Established || r.established.migrating {
+	if r.state != Established || r.connection.migrating {
 		return
 	}
-	r.established.migrating = true
+	r.connection.migrating = true
 	if r.table.Recorder != nil {
 		r.recordMigration(by)
 	}
-	r.attempt.conn.Wake()
+	r.latest.conn.Wake()
 }
--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -17,12 +17,12 @@
 	nonIdempotent bool
 	deadline      time.Duration
 
-	state    State
-	answer   AnswerKind
-	attempts int
-	mayRun   bool
-	moving   bool
-	outcomes int // that the decision module is owed
+	state      State
+	answer     AnswerKind
+	attempts   int
+	mayHaveRun bool
+	migrating  bool
+	outcomes   int // that the decision module is owed
 
 	// Of the latest attempt.
 	server          int
@@ -30,11 +30,11 @@
 	inFlight        bool
 	attached        bool
 	canceled        bool
-	begun           bool
+	writeBegun      bool
 }
 
-// over tells whether neither side has anything to do with the request any more.
-func (m *requestModel) over() bool { return m.state == Ended && !m.inFlight }
+// bothSidesDone tells whether neither side has anything to do with the request any more.
+func (m *requestModel) bothSidesDone() bool { return m.state == Ended && !m.inFlight }
 
 // inSetUp tells whether the latest attempt is wanted and not established.
 func (m *requestModel) inSetUp() bool { return m.state == Attempting && !m.canceled }
@@ -44,11 +44,11 @@
 
 // mayReject tells whether a rejection would be true: a retry is harmless.
 func (m *requestModel) mayReject() bool {
-	return !m.nonIdempotent || !m.mayRun && !(m.inFlight && m.begun)
+	return !m.nonIdempotent || !m.mayHaveRun && !(m.inFlight && m.writeBegun)
 }
 
-// end is the final answer, if the request needs one.
-func (m *requestModel) end(kind AnswerKind) {
+// giveFinalAnswer is the final answer, if the request needs one.
+func (m *requestModel) giveFinalAnswer(kind AnswerKind) {
 	if !m.answered() {
 		m.state, m.answer = Ended, kind
 	}
@@ -61,13 +61,13 @@
 	table        *RequestTable
 	clock        *Clock
 	dialer       *fakeSide
-	modes        [2]decide.EndpointState
+	serverStates [2]decide.EndpointState
 	models       map[int]*requestModel
 	shuttingDown bool
 }
 
-// steps are what may happen, by the number that a seed has for it.
-var steps = [...]func(w *modelTest, m *requestModel, who, arg int){
+// modelSteps are what may happen, by the number that a seed has for it.
+var modelSteps = [...]func(w *modelTest, m *requestModel, who, arg int){
 	0:  (*modelTest).open,
 	1:  (*modelTest).startAttempt,
 	2:  (*modelTest).attach,
@@ -88,7 +88,7 @@
 	17: (*modelTest).denyOwnership,
 	18: (*modelTest).loseOwnership,
 	19: (*modelTest).failByServer,
-	20: (*modelTest).leaveUnread,
+	20: (*modelTest).receiveUnread,
 }
 
 // needsNoRequest tells whether a step is about no request, or a new one.
@@ -106,7 +106,7 @@
 	}
 	nameTaken := false
 	for _, other := range w.models {
-		nameTaken = nameTaken || m.name != "" && other.name == m.name && !other.over()
+		nameTaken = nameTaken || m.name != "" && other.name == m.name && !other.bothSidesDone()
 	}
 	o := RequestParams{Name: m.name, Class: decide.Class(who % 2), Timeout: time.Second}
 	if arg >= 128 {
@@ -127,8 +127,8 @@
 	before, timeout := len(w.dialer.attempts), time.Duration(arg)*time.Millisecond
 	forward := decide.Forward{ID: m.request.ID, Server: decide.ServerID(arg % 2), Timeout: timeout}
 	w.table.startAttempt(forward, nil)
-	ready := w.modes[arg%2] == decide.Ready
-	allowed := m.state == Queued && !m.inFlight && ready && m.attempts < 3 && !(m.mayRun && m.nonIdempotent)
+	ready := w.serverStates[arg%2] == decide.Ready
+	allowed := m.state == Queued && !m.inFlight && ready && m.attempts < 3 && !(m.mayHaveRun && m.nonIdempotent)
 	if allowed != (len(w.dialer.attempts) == before+1) {
 		w.Fatalf("attempt in %+v: started %v", m, !allowed)
 	}
@@ -136,7 +136,7 @@
 		return
 	}
 	m.state, m.server = Attempting, arg%2
-	m.inFlight, m.attached, m.canceled, m.begun = true, false, false, false
+	m.inFlight, m.attached, m.canceled, m.writeBegun = true, false, false, false
 	m.attempts++
 	m.attemptDeadline = m.deadline
 	if arg != 0 {
@@ -153,11 +153,11 @@
 
 func (w *modelTest) beginWrite(m *requestModel, _, _ int) {
 	inTime := w.clock.Now() < m.attemptDeadline
-	want := m.inSetUp() && w.modes[m.server] == decide.Ready && inTime && !m.client.gone
+	want := m.inSetUp() && w.serverStates[m.server] == decide.Ready && inTime && !m.client.hasUnread
 	if got := m.request.BeginWrite(m.attempts - 1); got != want {
 		w.Fatalf("begin in %+v: %v", m, got)
 	}
-	m.begun = m.begun || want
+	m.writeBegun = m.writeBegun || want
 }
 
 func (w *modelTest) establish(m *requestModel, _, _ int) {
@@ -168,7 +168,7 @@
 		w.Fatalf("establish in %+v: %v", m, got)
 	}
 	if m.inSetUp() {
-		m.state, m.moving = Established, w.shuttingDown
+		m.state, m.migrating = Established, w.shuttingDown
 	}
 }
 
@@ -180,7 +180,7 @@
 	}
 	m.inFlight = false
 	m.outcomes++
-	m.mayRun = m.mayRun || !status.NeverRan()
+	m.mayHaveRun = m.mayHaveRun || !status.NeverRan()
 	switch m.state {
 	case Attempting:
 		m.state = Queued
@@ -194,16 +194,16 @@
 	m.state = Ended
 }
 
-func (w *modelTest) leaveUnread(m *requestModel, _, _ int) { m.client.gone = true }
+func (w *modelTest) receiveUnread(m *requestModel, _, _ int) { m.client.hasUnread = true }
 
 func (w *modelTest) migrate(m *requestModel, _, _ int) {
 	w.table.migrate(m.request.ID)
-	m.moving = m.moving || m.state == Established
+	m.migrating = m.migrating || m.state == Established
 }
 
 func (w *modelTest) migrateClient(m *requestModel, _, _ int) {
 	m.request.MigrateClient()
-	m.moving = m.moving || m.state == Established
+	m.migrating = m.migrating || m.state == Established
 }
 
 func (w *modelTest) decisionAnswers(m *requestModel, _, arg int) {
@@ -212,21 +212,21 @@
 	if kind == Rejected && !m.mayReject() {
 		kind = Failed
 	}
-	m.end(kind)
+	m.giveFinalAnswer(kind)
 }
 
 func (w *modelTest) backstopFails(m *requestModel, _, _ int) {
 	w.table.failOverdue(m.request.ID)
-	m.end(Failed)
+	m.giveFinalAnswer(Failed)
 }
 
 func (w *modelTest) listServers(_ *requestModel, who, arg int) {
-	w.modes[who%2] = decide.EndpointState(arg % 3)
+	w.serverStates[who%2] = decide.EndpointState(arg % 3)
 	w.updateEndpoints()
 }
 
 func (w *modelTest) updateEndpoints() {
-	list := []Endpoint{{ID: "a", State: w.modes[0]}, {ID: "b", State: w.modes[1]}}
+	list := []Endpoint{{ID: "a", State: w.serverStates[0]}, {ID: "b", State: w.serverStates[1]}}
 	w.table.UpdateEndpoints(decide.Snapshot, list)
 }
 
@@ -248,13 +248,13 @@
 	if got := m.request.FailOnClientError(); got != !m.answered() {
 		w.Fatalf("client error in %+v: %v", m, got)
 	}
-	m.end(Failed)
+	m.giveFinalAnswer(Failed)
 }
 
 func (w *modelTest) failByServer(m *requestModel, _, _ int) {
 	m.request.FailByServer(m.attempts-1, "no")
 	if m.state == Attempting {
-		m.end(Failed)
+		m.giveFinalAnswer(Failed)
 	}
 }
 
@@ -267,25 +267,25 @@
 	case want:
 		m.state = Queued
 	case m.state == AwaitingOwnership:
-		m.end(Rejected)
+		m.giveFinalAnswer(Rejected)
 	}
 }
 
 func (w *modelTest) denyOwnership(m *requestModel, _, _ int) {
 	m.request.OwnershipDenied(Answer{Kind: Failed})
 	if m.state == AwaitingOwnership {
-		m.end(Failed)
+		m.giveFinalAnswer(Failed)
 	}
 }
 
 func (w *modelTest) loseOwnership(m *requestModel, _, _ int) {
 	m.request.OwnershipLost(100 * time.Millisecond)
-	m.moving = m.moving || m.state == Established
+	m.migrating = m.migrating || m.state == Established
 	kind := Rejected
 	if !m.mayReject() {
 		kind = Failed
 	}
-	m.end(kind)
+	m.giveFinalAnswer(kind)
 }
 
 // check compares every request with its model, and counts the outcomes that the decision module was
@@ -300,18 +300,18 @@
 	for who, m := range w.models {
 		r := m.request
 		state, answer := r.State()
-		if state != m.state || answer.Kind != m.answer || r.attempt.inFlight != m.inFlight {
+		if state != m.state || answer.Kind != m.answer || r.latest.inFlight != m.inFlight {
 			w.Fatalf("after step %d: request %d is %v %+v, in flight %v; want %+v",
-				step, who, state, answer, r.attempt.inFlight, m)
+				step, who, state, answer, r.latest.inFlight, m)
 		}
-		if l := m.lease; l != nil && ((l.released == 1) != m.over() || l.released > l.acquired+1) {
+		if l := m.lease; l != nil && ((l.released == 1) != m.bothSidesDone() || l.released > l.acquired+1) {
 			w.Fatalf("request %d in %v: lease acquired %d times, released %d times",
 				who, m.state, l.acquired, l.released)
 		}
 		if m.state == AwaitingOwnership && m.inFlight {
 			w.Fatalf("request %d has an attempt in flight before its lease is acquired", who)
 		}
-		if migrating, _ := r.Migrating(); migrating != m.moving {
+		if migrating, _ := r.Migrating(); migrating != m.migrating {
 			w.Fatalf("request %d: migrating %v", who, migrating)
 		}
 		if m.answered() != isClosed(r.EstablishedOrEnded()) {
@@ -320,7 +320,7 @@
 		if outcomes[r.ID] > m.outcomes {
 			w.Fatalf("request %d: %d outcomes told of %d", who, outcomes[r.ID], m.outcomes)
 		}
-		if _, kept := w.table.requests.byID[r.ID]; kept == m.over() || isClosed(r.BothSidesDone()) != m.over() {
+		if _, kept := w.table.requests.byID[r.ID]; kept == m.bothSidesDone() || isClosed(r.BothSidesDone()) != m.bothSidesDone() {
 			w.Fatalf("request %d in %v is kept: %v", who, m.state, kept)
 		}
 	}
@@ -371,21 +371,21 @@
 		class := decide.ClassInfo{Idempotency: decide.NonIdempotent}
 		table, dialer := newTestTable(decide.Settings{MaxAttempts: 3}, decide.ClassInfo{}, class)
 		w := &modelTest{
-			T:      t,
-			table:  table,
-			clock:  table.Clock,
-			dialer: dialer,
-			modes:  [2]decide.EndpointState{decide.Ready, decide.Ready},
-			models: map[int]*requestModel{},
+			T:            t,
+			table:        table,
+			clock:        table.Clock,
+			dialer:       dialer,
+			serverStates: [2]decide.EndpointState{decide.Ready, decide.Ready},
+			models:       map[int]*requestModel{},
 		}
 		w.updateEndpoints()
 		for ; len(input) >= 3; input = input[3:] {
-			step, who, arg := int(input[0])%len(steps), int(input[1]%4), int(input[2])
+			step, who, arg := int(input[0])%len(modelSteps), int(input[1]%4), int(input[2])
 			m := w.models[who]
 			if m == nil && !needsNoRequest(step) {
 				continue
 			}
-			steps[step](w, m, who, arg)
+			modelSteps[step](w, m, who, arg)
 			w.check(step)
 		}
 	})
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -128,10 +128,10 @@
 	switch denial := guard.MayAccept(t.rejecting(), r.nameTaken()); {
 	case denial == guard.NameTaken:
 		r.recordDenial(denial, nil)
-		r.answerFinally(Answer{Kind: Failed})
+		r.setFinalAnswer(Answer{Kind: Failed})
 	case denial != guard.Allowed:
 		r.recordDenial(denial, nil)
-		r.answerFinally(t.applyRetryAfterSetting(t.shutdownRejection()))
+		r.setFinalAnswer(t.applyRetryAfterSetting(t.shutdownRejection()))
 	case o.Ownership != nil && o.Ownership.MustWait():
 		r.state = AwaitingOwnership
 	default:
@@ -154,7 +154,7 @@
 	}
 	if denial != guard.Allowed {
 		r.recordDenial(denial, s)
-		r.answerFinally(Answer{Kind: Failed})
+		r.setFinalAnswer(Answer{Kind: Failed})
 		return r
 	}
 	r.startAttempt(s, 0)
@@ -163,14 +163,14 @@
 
 // register keeps a request from its arrival on. The caller holds the lock.
 func (t *RequestTable) register(o RequestParams, client ClientConn) *Request {
-	t.counters.arrived.Add(1)
+	t.counters.arrivals.Add(1)
 	r := &Request{
-		RequestParams: o,
-		table:         t,
-		clientConn:    client,
-		deadline:      addTo(t.Clock.Now(), o.Timeout),
-		settled:       make(chan struct{}),
-		finished:      make(chan struct{}),
+		RequestParams:      o,
+		table:              t,
+		clientConn:         client,
+		deadline:           addSaturating(t.Clock.Now(), o.Timeout),
+		establishedOrEnded: make(chan struct{}),
+		bothSidesDone:      make(chan struct{}),
 	}
 	t.requests.add(r)
 	return r
--- a/internal/relay/request_table_test.go
+++ b/internal/relay/request_table_test.go
@@ -43,7 +43,7 @@
 }
 
 // A relay that shuts down tells a Retry-After only where the settings allow one.
-func TestNoRetryAfterWhereTheSettingsAllowNone(t *testing.T) {
+func TestShutdownRejectionFollowsTheRetryAfterSetting(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		table, _ := newTestTable(decide.Settings{RetryAfter: allowed}, decide.ClassInfo{})
 		table.BeginShutdown()
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -14,10 +14,10 @@
 func (r *Request) Attach(attempt int, conn ServerConn) bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if !r.inSetUp(attempt) {
+	if !r.attemptInSetUp(attempt) {
 		return false
 	}
-	r.attempt.conn = conn
+	r.latest.conn = conn
 	return true
 }
 
@@ -29,12 +29,12 @@
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	if denial := r.mayWrite(attempt); denial != guard.Allowed {
-		r.recordDenial(denial, r.attempt.currentServer())
+		r.recordDenial(denial, r.latest.currentServer())
 		return false
 	}
-	r.attempt.mayHaveWritten = true
-	r.attempt.wroteAt = r.table.Clock.Now()
-	r.table.counters.of(r.Class).Attempts++
+	r.latest.mayHaveWritten = true
+	r.latest.firstByteAt = r.table.Clock.Now()
+	r.table.counters.forClass(r.Class).Attempts++
 	return true
 }
 
@@ -43,7 +43,7 @@
 func (r *Request) HandshakeClientConn(attempt int) ClientConn {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if !r.inSetUp(attempt) {
+	if !r.attemptInSetUp(attempt) {
 		return nil
 	}
 	return r.clientConn
@@ -53,8 +53,8 @@
 func (r *Request) WakeServerSide() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.attempt.conn != nil && r.attempt.inFlight {
-		r.attempt.conn.Wake()
+	if r.latest.conn != nil && r.latest.inFlight {
+		r.latest.conn.Wake()
 	}
 }
 
@@ -63,7 +63,7 @@
 func (r *Request) FailByServer(attempt int, note string) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.state == Attempting && r.attempt.Number == attempt {
+	if r.state == Attempting && r.latest.Number == attempt {
 		r.failWithNote(note)
 	}
 }
@@ -72,7 +72,7 @@
 func (r *Request) ServerDraining() bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	return r.attempt.currentServer().state != decide.Ready
+	return r.latest.currentServer().state != decide.Ready
 }
 
 // Establish says that the server has taken the connection. It returns the client's end, or nil if the
@@ -80,13 +80,13 @@
 func (r *Request) Establish(attempt int) ClientConn {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if !r.inSetUp(attempt) {
+	if !r.attemptInSetUp(attempt) {
 		return nil
 	}
 	r.state = Established
-	r.established.reached = true
-	close(r.settled)
-	r.table.counters.of(r.Class).Established++
+	r.connection.wasEstablished = true
+	close(r.establishedOrEnded)
+	r.table.counters.forClass(r.Class).Established++
 	r.postEstablished()
 	if r.table.Recorder != nil {
 		r.recordEstablished()
@@ -101,14 +101,14 @@
 // else too. The caller holds the lock.
 func (r *Request) postEstablished() {
 	if r.resumed {
-		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.attempt.Server.Number})
+		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.latest.Server.Number})
 		return
 	}
 	r.table.post(decide.Opened{
 		ID:           r.ID,
-		Attempt:      r.attempt.Number,
-		Server:       r.attempt.Server.Number,
-		SetupLatency: (r.table.Clock.Now() - r.attempt.StartedAt).Round(decisionPrecision),
+		Attempt:      r.latest.Number,
+		Server:       r.latest.Server.Number,
+		SetupLatency: (r.table.Clock.Now() - r.latest.StartedAt).Round(decisionPrecision),
 	})
 }
 
@@ -117,7 +117,7 @@
 func (r *Request) ServerClosed() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	r.established.serverClosed = r.state == Established
+	r.connection.serverClosed = r.state == Established
 }
 
 // Migrating tells whether the client is to be sent to another server, and whether that is because its
@@ -125,14 +125,14 @@
 func (r *Request) Migrating() (migrating, serverSilent bool) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	return r.established.migrating, r.established.serverSilent
+	return r.connection.migrating, r.connection.serverSilent
 }
 
 // ReportLoad says that the server has reported the connection's load, in microseconds of work a second.
 func (r *Request) ReportLoad(load float64) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	r.table.post(decide.ConnectionLoad{ID: r.ID, Server: r.attempt.Server.Number, Load: load / 1e6})
+	r.table.post(decide.ConnectionLoad{ID: r.ID, Server: r.latest.Server.Number, Load: load / 1e6})
 }
 
 // EndAttempt ends the attempt, exactly once, after its connection has been closed. A request that was not
@@ -140,20 +140,20 @@
 func (r *Request) EndAttempt(attempt int, status decide.Status, report decide.LoadReport) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if !r.attempt.inFlight || r.attempt.Number != attempt {
+	if !r.latest.inFlight || r.latest.Number != attempt {
 		return
 	}
-	r.attempt.inFlight = false
+	r.latest.inFlight = false
 	if r.table.Recorder != nil {
 		r.recordAttemptEnd(status, report)
 	}
 	// Whatever else it met, one that was called off counts as that.
-	if (r.attempt.canceled || r.state == Ended) && !status.NeverRan() {
+	if (r.latest.canceled || r.state == Ended) && !status.NeverRan() {
 		status = decide.Cancelled
 	}
-	if !r.mayHaveRun.happened && !status.NeverRan() {
-		on := r.attempt.currentServer().location()
-		r.mayHaveRun = possibleRun{happened: true, at: r.attempt.wroteAt, on: on}
+	if !r.possibleRun.exists && !status.NeverRan() {
+		location := r.latest.currentServer().location()
+		r.possibleRun = firstPossibleRun{exists: true, firstByteAt: r.latest.firstByteAt, serverLocation: location}
 	}
 	switch r.state {
 	case Attempting:
@@ -162,7 +162,7 @@
 		r.state = Ended
 	}
 	if r.resumed && r.state == Queued { // the decision module does not know it yet
-		r.answerFinally(Answer{Kind: Failed, Cause: status})
+		r.setFinalAnswer(Answer{Kind: Failed, Cause: status})
 		return
 	}
 	if r.state == Queued {
@@ -176,10 +176,10 @@
 func (r *Request) postOutcome(status decide.Status, report decide.LoadReport) {
 	r.table.post(decide.Outcome{
 		ID:      r.ID,
-		Attempt: r.attempt.Number,
-		Server:  r.attempt.Server.Number,
+		Attempt: r.latest.Number,
+		Server:  r.latest.Server.Number,
 		Status:  status,
-		Elapsed: (r.table.Clock.Now() - r.attempt.StartedAt).Round(decisionPrecision),
+		Elapsed: (r.table.Clock.Now() - r.latest.StartedAt).Round(decisionPrecision),
 		Closed:  r.state == Ended,
 		Report:  report,
 	})
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -28,8 +28,8 @@
 	stepInterval = 25 * time.Millisecond
 	// reportInterval is how often Report is made anew.
 	reportInterval = time.Second
-	// maxQueuedEvents bounds the batches of peers' readings that wait for the event loop; more are dropped.
-	maxQueuedEvents = 256
+	// maxQueuedBatches bounds the batches of peers' readings that wait for the event loop; more are dropped.
+	maxQueuedBatches = 256
 )
 
 // SharedProbing lets a relay and its peers probe servers for each other, by assignment. It is the event
@@ -40,18 +40,18 @@
 	scheduler    *probing.Scheduler
 	onQuarantine func(name string)
 
-	queued atomic.Int64 // batches of peers' readings in the inbox
-	report atomic.Pointer[probing.Report]
+	queuedBatches atomic.Int64 // batches of peers' readings in the inbox
+	report        atomic.Pointer[probing.Report]
 
 	actions   []probing.Action  // scratch of stepScheduler
 	outbox    []probing.Action  // what is to be sent once the fleet's status is unlocked
 	serverIDs map[uint64]string // by ServerKey
 
-	participantsStamp     uint64 // of the participants and the servers that the scheduler has
-	assignmentPending     bool   // an assignment is being made
-	participantsCheckedAt time.Duration
-	steppedAt             time.Duration
-	reportedAt            time.Duration
+	participantsFingerprint uint64 // of the participants and the servers that the scheduler has
+	assignmentPending       bool   // an assignment is being made
+	participantsCheckedAt   time.Duration
+	steppedAt               time.Duration
+	reportedAt              time.Duration
 }
 
 // NewSharedProbing returns what is to be put into an EventLoop and to Receive what peers send.
@@ -83,8 +83,8 @@
 
 // Receive takes what a peer has passed on: probing.ReadingsReceived or probing.PlacementsReceived.
 func (s *SharedProbing) Receive(ev probing.Event) {
-	if s.queued.Add(1) > maxQueuedEvents {
-		s.queued.Add(-1)
+	if s.queuedBatches.Add(1) > maxQueuedBatches {
+		s.queuedBatches.Add(-1)
 		return
 	}
 	s.table.mu.Lock()
@@ -115,10 +115,10 @@
 	relays, incarnation := s.peers.Participants()
 	servers, ids := s.table.readyServers()
 	stamp := fingerprint(relays, incarnation, servers)
-	if stamp == s.participantsStamp {
+	if stamp == s.participantsFingerprint {
 		return
 	}
-	s.participantsStamp, s.assignmentPending = stamp, true
+	s.participantsFingerprint, s.assignmentPending = stamp, true
 	go func() {
 		changed := probing.ParticipantsChanged{
 			Relays:      relays,
--- a/internal/relay/shared_probing_test.go
+++ b/internal/relay/shared_probing_test.go
@@ -11,10 +11,10 @@
 )
 
 // fakePeers are two relays that only listen.
-type fakePeers struct{ asked, readings, placements int }
+type fakePeers struct{ participantCalls, readings, placements int }
 
 func (p *fakePeers) Participants() ([]probing.Relay, uint64) {
-	p.asked++
+	p.participantCalls++
 	return []probing.Relay{{Name: "here", Zone: "z"}, {Name: "there", Zone: "z"}}, 1
 }
 
@@ -65,13 +65,13 @@
 func TestParticipantsAreAssignedOnce(t *testing.T) {
 	l, peers := newSharedLoop(t)
 	l.awaitAssignment(t)
-	stamp := l.SharedProbing.participantsStamp
-	asked := peers.asked
+	stamp := l.SharedProbing.participantsFingerprint
+	asked := peers.participantCalls
 	l.advance(10 * participantsInterval)
-	if got := peers.asked - asked; got < 9 || got > 10 {
+	if got := peers.participantCalls - asked; got < 9 || got > 10 {
 		t.Errorf("asked %d times in ten intervals", got)
 	}
-	if l.SharedProbing.participantsStamp != stamp || l.SharedProbing.assignmentPending {
+	if l.SharedProbing.participantsFingerprint != stamp || l.SharedProbing.assignmentPending {
 		t.Error("the same participants are assigned again")
 	}
 }
@@ -79,7 +79,7 @@
 // A flood of peers' messages must not fill the inbox without end.
 func TestPeersMessagesAreBounded(t *testing.T) {
 	l, _ := newSharedLoop(t)
-	for range maxQueuedEvents + 10 {
+	for range maxQueuedBatches + 10 {
 		l.SharedProbing.Receive(probing.ReadingsReceived{From: "there"})
 	}
 	queued := 0
@@ -88,7 +88,7 @@
 			queued++
 		}
 	}
-	if queued != maxQueuedEvents {
+	if queued != maxQueuedBatches {
 		t.Errorf("%d batches are queued", queued)
 	}
 }
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -17,12 +17,13 @@
 	return t.shuttingDown
 }
 
-// MigrateClients migrates up to n established clients and returns how many requests some side is not done with.
+// MigrateClients migrates up to n established clients and returns how many requests some side is not done
+// with.
 func (t *RequestTable) MigrateClients(n int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.requests.byID {
-		if n > 0 && r.state == Established && !r.established.migrating {
+		if n > 0 && r.state == Established && !r.connection.migrating {
 			r.migrate(recorder.Shutdown)
 			n--
 		}
@@ -41,6 +42,6 @@
 		if !r.mayReject() {
 			kind = Failed
 		}
-		r.answerFinally(Answer{Kind: kind, decidedBy: recorder.Shutdown})
+		r.setFinalAnswer(Answer{Kind: kind, decidedBy: recorder.Shutdown})
 	}
 }
--- a/internal/relay/sides.go
+++ b/internal/relay/sides.go
@@ -61,4 +61,4 @@
 
 // currentServer returns the attempt's server as the newest endpoint list has it, which never drops one; nil
 // before the first attempt.
-func (a *Attempt) currentServer() *Server { return a.Server.current }
+func (a *Attempt) currentServer() *Server { return a.Server.listEntry }
--- a/internal/relay/silent_servers.go
+++ b/internal/relay/silent_servers.go
@@ -16,16 +16,17 @@
 	// silentAfter is when the server of an unanswered line counts as silent: at 7 s its connection would be
 	// lost.
 	silentAfter = 4500 * time.Millisecond
-	// delayNoteInterval is how often at most the decision module is notified of slow messages at one server.
-	delayNoteInterval = time.Second
+	// delayReportInterval is how often at most the decision module is notified of slow messages at one
+	// server.
+	delayReportInterval = time.Second
 )
 
 // LineSent says that a line went to the server; see LineReceived.
 func (r *Request) LineSent() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.established.unansweredSince == 0 {
-		r.established.unansweredSince = r.table.Clock.Now()
+	if r.connection.unansweredSince == 0 {
+		r.connection.unansweredSince = r.table.Clock.Now()
 	}
 }
 
@@ -34,20 +35,20 @@
 func (r *Request) LineReceived() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.established.unansweredSince != 0 {
-		r.noteMessageDelay(r.table.Clock.Now() - r.established.unansweredSince)
-		r.established.unansweredSince = 0
+	if r.connection.unansweredSince != 0 {
+		r.reportSlowMessage(r.table.Clock.Now() - r.connection.unansweredSince)
+		r.connection.unansweredSince = 0
 	}
 }
 
-// noteMessageDelay tells the decision module of a message that took, or takes already, over a third of the
+// reportSlowMessage tells the decision module of a message that took, or takes already, over a third of the
 // shortest objective. The caller holds the lock.
-func (r *Request) noteMessageDelay(delay time.Duration) {
-	now, s := r.table.Clock.Now(), r.attempt.currentServer()
-	if delay <= r.table.deployment.slowMessageThreshold() || now-s.delayNotedAt < delayNoteInterval {
+func (r *Request) reportSlowMessage(delay time.Duration) {
+	now, s := r.table.Clock.Now(), r.latest.currentServer()
+	if delay <= r.table.deployment.slowMessageThreshold() || now-s.delayReportedAt < delayReportInterval {
 		return
 	}
-	s.delayNotedAt = now
+	s.delayReportedAt = now
 	if r.table.Recorder != nil {
 		r.recordMessageDelay(now, delay)
 	}
@@ -72,19 +73,19 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
-	t.noticeProcessStop(now)
+	t.detectProcessStop(now)
 	t.checkEndpointLease()
 	for _, r := range t.requests.byID {
-		if r.state != Established || r.established.unansweredSince == 0 {
+		if r.state != Established || r.connection.unansweredSince == 0 {
 			continue
 		}
-		waited := now - r.established.unansweredSince
+		waited := now - r.connection.unansweredSince
 		if waited < slowMessageAfter {
 			continue
 		}
-		r.noteMessageDelay(waited)
+		r.reportSlowMessage(waited)
 		if waited >= silentAfter {
-			r.established.serverSilent = true
+			r.connection.serverSilent = true
 			r.migrate(recorder.ServerSilent)
 		}
 	}
--- a/internal/relay/silent_servers_test.go
+++ b/internal/relay/silent_servers_test.go
@@ -19,8 +19,8 @@
 	}
 	r.LineSent()
 	l.advance(silentAfter + sweepInterval + 5*time.Millisecond)
-	if migrating, silent := r.Migrating(); !migrating || !silent || server.woken == 0 {
-		t.Fatalf("migrating %v, silent %v, woken %d times", migrating, silent, server.woken)
+	if migrating, silent := r.Migrating(); !migrating || !silent || server.wakes == 0 {
+		t.Fatalf("migrating %v, silent %v, woken %d times", migrating, silent, server.wakes)
 	}
 }
 
@@ -33,7 +33,7 @@
 	r := open(l.table, 0)
 	l.advance(20 * time.Millisecond)
 	establish(r)
-	slow := func() (n int) {
+	takeSlowMessages := func() (n int) {
 		for _, rec := range l.table.Recorder.TakeAll(nil) {
 			if rec.Kind == recorder.MessageDelayed {
 				n++
@@ -42,12 +42,12 @@
 		return n
 	}
 	l.exchangeLines(r)
-	if n := slow(); n > 0 {
+	if n := takeSlowMessages(); n > 0 {
 		t.Errorf("%d messages of 5 ms count as slow", n)
 	}
 	r.LineSent()
 	l.advance(slowMessageAfter + sweepInterval + 5*time.Millisecond)
-	if slow() == 0 {
+	if takeSlowMessages() == 0 {
 		t.Error("a line that nothing came back for does not count as slow")
 	}
 }
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -9,22 +9,22 @@
 
 // timer is an instant at which the decision module wants to be woken, or the backstop checks a request.
 type timer struct {
-	dueAt   time.Duration
-	order   uint64           // those due at once fire in the order in which they were set
-	token   uint64           // of the decision module
-	request decide.RequestID // for the backstop, 0 if the timer is the decision module's
+	dueAt    time.Duration
+	sequence uint64           // those due at once fire in the order in which they were set
+	token    uint64           // of the decision module
+	request  decide.RequestID // for the backstop, 0 if the timer is the decision module's
 }
 
 // timerQueue fires timers in the order of their instants.
 type timerQueue struct {
-	heap      timerHeap
-	lastOrder uint64
+	heap         timerHeap
+	lastSequence uint64
 }
 
 // set adds a timer.
 func (q *timerQueue) set(t timer) {
-	q.lastOrder++
-	t.order = q.lastOrder
+	q.lastSequence++
+	t.sequence = q.lastSequence
 	heap.Push(&q.heap, t)
 }
 
@@ -51,7 +51,7 @@
 
 func (h timerHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.order < b.order
+	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.sequence < b.sequence
 }
 
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,6 +1,7 @@
-// Package signals catches the signals that the program follows. It does so as the package is initialized, and
-// imports next to nothing, so that it comes before almost all other packages: a SIGHUP that is sent to a
-// process that has just started must not end it. internal/lifecycle reads them.
+// Package signals catches the signals that the program handles: SIGTERM, SIGINT and SIGHUP. It does so while
+// the package is initialized, and it imports almost nothing, so that it is initialized before nearly all
+// other packages: a SIGHUP sent to a process that has just started must not end the process.
+// internal/lifecycle reads the signals.
 package signals
 
 import (
@@ -9,13 +10,13 @@
 	"syscall"
 )
 
-// queueSize is how many signals wait while none is read.
+// queueSize is the number of signals that are kept until they are read.
 const queueSize = 8
 
-var caught = catch()
+var caughtSignals = catchSignals()
 
-// catch begins to catch the signals.
-func catch() <-chan os.Signal {
+// catchSignals starts to catch the signals and returns the channel that they are delivered on.
+func catchSignals() <-chan os.Signal {
 	signals := make(chan os.Signal, queueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
@@ -24,4 +25,4 @@
 // Channel returns the channel on which the signals caught since the process started are delivered. Every call
 // returns the same channel. Signals stay caught until the process ends, because a SIGHUP that arrives during
 // the exit must not turn it into a failure.
-func Channel() <-chan os.Signal { return caught }
+func Channel() <-chan os.Signal { return caughtSignals }
