--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -10,7 +10,7 @@
 	"capersail/internal/observe/recorder"
 )
 
-// benchLoop is an event loop with eight servers on a clock that stands still.
+// benchLoop is an event loop with eight servers and a manual clock.
 type benchLoop struct {
 	loop    *EventLoop
 	dialer  *fakeSide
@@ -30,7 +30,7 @@
 	return &benchLoop{loop: NewEventLoop(table, 7, &fakeDiscovery{}, zerolog.Nop()), dialer: dialer}
 }
 
-// serveOneRequest carries one request from its opening to its end.
+// serveOneRequest runs one request from its opening to its end.
 func (s *benchLoop) serveOneRequest() {
 	clock := s.loop.table.Clock
 	s.dialer.attempts = s.dialer.attempts[:0]
@@ -49,8 +49,8 @@
 	s.loop.Step()
 }
 
-// BenchmarkDecision is a request's whole life here, from its opening to its end, with records and without,
-// in turns: what the recorder costs a decision.
+// BenchmarkDecision measures what the event recorder adds to the cost of a request. It runs requests from
+// their opening to their end, in alternating batches with and without a recorder.
 func BenchmarkDecision(b *testing.B) {
 	const batchSize = 2000
 	withoutRecorder, withRecorder := newBenchLoop(nil), newBenchLoop(recorder.New(8192))
--- a/internal/relay/clock_faults.go
+++ b/internal/relay/clock_faults.go
@@ -8,11 +8,12 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// processStart is what the faulty clock showed when the process began.
+// processStart is the time that the skewed clock showed when the process started.
 var processStart = faultpoint.SkewedNow()
 
-// elapsed is how long ago the process began, by a clock that may run fast or slow.
+// elapsed returns the time since the process started, by a clock that a fault point may make run fast or
+// slow.
 func (c *Clock) elapsed() time.Duration { return faultpoint.SkewedNow() - processStart }
 
-// wallNow returns the wall clock's time, which a fault point may have stepped.
+// wallNow returns the current wall time, which a fault point may have stepped.
 func wallNow() time.Time { return time.Now().Add(faultpoint.WallClockStep()) }
--- a/internal/relay/clock_seam.go
+++ b/internal/relay/clock_seam.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// elapsed is how long ago a clock began.
+// elapsed returns the time since the clock was created.
 func (c *Clock) elapsed() time.Duration { return time.Since(c.wallOrigin) }
 
-// wallNow returns the wall clock's time.
+// wallNow returns the current wall time.
 func wallNow() time.Time { return time.Now() }
--- a/internal/relay/corroboration_faults.go
+++ b/internal/relay/corroboration_faults.go
@@ -4,7 +4,7 @@
 
 import "capersail/internal/testing/faultpoint"
 
-// applyCorroborationFault takes out the weighing of what peers tell, where the rules say so.
+// applyCorroborationFault disables the corroboration of peers' readings if the current fault rules say so.
 func (s *SharedProbing) applyCorroborationFault() {
 	s.scheduler.DisableCorroboration(faultpoint.CurrentRules().NoCorroboration)
 }
--- a/internal/relay/corroboration_seam.go
+++ b/internal/relay/corroboration_seam.go
@@ -2,5 +2,6 @@
 
 package relay
 
-// applyCorroborationFault is where tests take out the weighing of what peers tell.
+// applyCorroborationFault does nothing. In builds with the tag faults it can disable the corroboration of
+// peers' readings.
 func (s *SharedProbing) applyCorroborationFault() {}
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -8,23 +8,24 @@
 	"capersail/internal/guard"
 )
 
-// ClassCounts are the figures of one class since the process started.
+// ClassCounts counts events of one class since the process started.
 type ClassCounts struct {
-	Established uint64 // connections
-	Rejected    uint64 // requests whose client was promised that a retry is harmless
-	Failed      uint64 // requests
-	Attempts    uint64 // attempts whose first byte BeginWrite let go
+	Established uint64 // established connections
+	Rejected    uint64 // requests rejected, with the promise that a retry is harmless
+	Failed      uint64 // requests failed, without such a promise
+	Attempts    uint64 // attempts whose first byte BeginWrite permitted
 }
 
-// requestCounters count what became of requests. The table's lock guards what is not atomic.
+// requestCounters counts requests and their final answers. The table's lock guards the fields that are not
+// atomic.
 type requestCounters struct {
-	arrivals       atomic.Uint64 // requests since the process started
-	ejectedServers atomic.Int64  // servers that the decision module ejects, as of the last sweep
+	arrivals       atomic.Uint64 // number of requests since the process started
+	ejectedServers atomic.Int64  // number of servers that the decision module ejects, as of the last sweep
 	byClass        []ClassCounts
-	rejections     [decide.MayHaveRun + 1]uint64 // final answers of the decision module, by its reason
+	rejections     [decide.MayHaveRun + 1]uint64 // final answers of the decision module, by reason
 }
 
-// forClass returns the counters forClass a class; what is counted for one that is none goes nowhere.
+// forClass returns the counters of a class. For an undefined class it returns counters that are discarded.
 func (c *requestCounters) forClass(class decide.Class) *ClassCounts {
 	if class < 0 || int(class) >= len(c.byClass) {
 		return &ClassCounts{}
@@ -32,7 +33,6 @@
 	return &c.byClass[class]
 }
 
-// countAnswer counts a final answer.
 func (c *requestCounters) countAnswer(class decide.Class, kind AnswerKind) {
 	switch kind {
 	case Rejected:
@@ -42,22 +42,23 @@
 	}
 }
 
-// countReason counts a final answer of the decision module that is no server's.
+// countReason counts a final answer of the decision module by its reason. Answers without a reason are not
+// counted.
 func (c *requestCounters) countReason(reason decide.RejectReason) {
 	if reason != decide.NoReason && int(reason) < len(c.rejections) {
 		c.rejections[reason]++
 	}
 }
 
-// ClassCounts returns the figures of each class, in the order of the classes' numbers.
+// ClassCounts returns the counters of all classes, in the order of the class numbers.
 func (t *RequestTable) ClassCounts() []ClassCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]ClassCounts{}, t.counters.byClass...)
 }
 
-// OpenRequests returns how many connections the relay has taken and not ended: those without a final
-// answer, and those that are established.
+// OpenRequests returns the number of requests that have not ended: those without a final answer, and those
+// that are established.
 func (t *RequestTable) OpenRequests() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,15 +70,15 @@
 	return n
 }
 
-// Arrivals returns how many requests have come since the process started.
+// Arrivals returns the number of requests that have arrived since the process started.
 func (t *RequestTable) Arrivals() uint64 { return t.counters.arrivals.Load() }
 
-// EndpointCounts is what the relay knows of the servers in the endpoint list.
+// EndpointCounts counts the servers in the endpoint list by their status.
 type EndpointCounts struct {
-	Listed          int // ready or draining
-	EjectedManually int // of those, by an operator
-	Ejected         int // of those that are ready, by the decision module
-	Withheld        int // of those that are listed as ready, by the guard: the list's lease has expired
+	Listed          int // listed as ready or draining
+	EjectedManually int // listed, and ejected by an operator
+	Ejected         int // ready, and ejected by the decision module
+	Withheld        int // listed as ready, but not used because the lease of the list has expired
 }
 
 // EndpointCounts counts the servers in the endpoint list.
@@ -100,16 +101,16 @@
 	return counts
 }
 
-// GuardStats is what operators see of the guard, since the process started.
+// GuardStats are the statistics of the guard that operators see. Counts start with the process.
 type GuardStats struct {
-	EndpointListAge      time.Duration // since discovery was last heard, 0 where the list is on no lease
+	EndpointListAge      time.Duration // time since discovery was last heard, 0 if the list needs no lease
 	EndpointLeaseExpired bool
-	Denials              map[string]uint64 // by what stood in the way
+	Denials              map[string]uint64 // by the reason for the denial
 	Rejections           map[string]uint64 // by the decision module's reason
 	Violations           map[string]uint64 // by invariant
 }
 
-// GuardStats returns the figures of the guard.
+// GuardStats returns the current statistics of the guard.
 func (t *RequestTable) GuardStats() GuardStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,8 +134,8 @@
 	return stats
 }
 
-// RecordConnLimitRejection counts and records that a client of the class was rejected for want of
-// descriptors, before it became a request.
+// RecordConnLimitRejection counts and records that a client of the class was rejected because no file
+// descriptor was left for it. Such a client never becomes a request.
 func (t *RequestTable) RecordConnLimitRejection(class decide.Class) {
 	t.mu.Lock()
 	t.counters.countAnswer(class, Rejected)
--- a/internal/relay/decisions.go
+++ b/internal/relay/decisions.go
@@ -6,11 +6,12 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file carries out what the decision module wants of requests. The event loop alone calls it.
+// This file carries out the actions of the decision module that concern requests. Only the event loop calls
+// these methods.
 
-// startAttempt starts the next attempt of a request, if the guard permits it. If not, the decision module
-// is notified that the attempt is superseded. candidates are what it could have chosen from, for the
-// recorder.
+// startAttempt starts the next attempt of a request if the guard permits it. Otherwise it notifies the
+// decision module that the attempt is superseded. candidates are the servers that the module chose from; they
+// are recorded.
 func (t *RequestTable) startAttempt(f decide.Forward, candidates []decide.PooledServer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,8 +32,8 @@
 	}
 }
 
-// permitAttempt asks the guard for an attempt and records its denial. A request that is nil is over. The
-// caller holds the lock.
+// permitAttempt asks the guard whether an attempt may be started, and records a denial. r is nil if the
+// request has ended; then it returns false. The caller holds the lock.
 func (t *RequestTable) permitAttempt(r *Request, s *Server) bool {
 	if r == nil {
 		return false
@@ -44,8 +45,8 @@
 	return denial == guard.Allowed
 }
 
-// answer gives a request the decision module's final answer. It comes too late for one that is established
-// or ended.
+// answer gives a request the decision module's final answer. It does nothing if the request is already
+// established or has ended.
 func (t *RequestTable) answer(id decide.RequestID, a Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,8 +62,8 @@
 	r.setFinalAnswer(a)
 }
 
-// failOverdue is the backstop behind the decision module: a request that has no answer well after its
-// deadline fails. It tells whether there was one.
+// failOverdue is the backstop for the decision module: it fails a request that is still unanswered
+// backstopDelay after its deadline. It reports whether the request was unanswered.
 func (t *RequestTable) failOverdue(id decide.RequestID) (overdue bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,7 +76,7 @@
 	return true
 }
 
-// migrate has the server side send a client to another server.
+// migrate makes the server side migrate a client to another server.
 func (t *RequestTable) migrate(id decide.RequestID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,21 +85,21 @@
 	}
 }
 
-// cancelAttempt ends the wait for an attempt.
+// cancelAttempt cancels an attempt that is in flight and not yet established.
 func (t *RequestTable) cancelAttempt(id decide.RequestID, attempt int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests.byID[id]
-	if r == nil || r.state != Attempting || r.latest.Number != attempt {
+	if r == nil || r.state != Attempting || r.lastAttempt.Number != attempt {
 		return
 	}
-	r.latest.canceled = true
-	if r.latest.conn != nil {
-		r.latest.conn.Close(GracefulClose)
+	r.lastAttempt.canceled = true
+	if r.lastAttempt.conn != nil {
+		r.lastAttempt.conn.Close(GracefulClose)
 	}
 }
 
-// probe asks a server for its load, for the decision module.
+// probe probes a server and passes the result to the decision module.
 func (t *RequestTable) probe(id decide.ServerID) {
 	t.mu.Lock()
 	s := *t.endpoints.servers[id]
--- a/internal/relay/deployment.go
+++ b/internal/relay/deployment.go
@@ -6,17 +6,17 @@
 	"capersail/decide"
 )
 
-// Deployment is what a relay is configured with: the decision module's settings, and the numbers that stand
-// for names.
+// Deployment is the configuration of a relay: the settings of the decision module, and the numbers that the
+// module uses in place of names.
 type Deployment struct {
 	Settings  decide.Settings
 	Classes   map[string]decide.Class
 	Tenants   map[string]decide.Tenant
 	Zones     map[string]decide.Zone
-	LoadField string // the report field that tells load over capacity
+	LoadField string // field of a load report that contains load divided by capacity
 }
 
-// ServerKey returns the number that stands for a server's id at every relay.
+// ServerKey returns the key of a server: a hash of its id, which is the same at every relay.
 func ServerKey(id string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(id))
--- a/internal/relay/doubles_test.go
+++ b/internal/relay/doubles_test.go
@@ -9,13 +9,14 @@
 	"capersail/decide"
 )
 
-// fakeSide stands for both wires: it notes what the table asks of it.
+// fakeSide is a test double of both sides: a ServerDialer, a ClientConn and a ServerConn. It counts the calls
+// that the table makes.
 type fakeSide struct {
 	attempts  []Attempt
 	probes    int
 	closes    int
 	wakes     int
-	hasUnread bool // the client's end has come, and nobody has read it
+	hasUnread bool // result of HasUnread
 }
 
 func (s *fakeSide) StartAttempt(_ *Request, a Attempt) { s.attempts = append(s.attempts, a) }
@@ -30,20 +31,20 @@
 func (s *fakeSide) Wake()                { s.wakes++ }
 func (s *fakeSide) HasUnread() bool      { return s.hasUnread }
 
-// fakeLease stands for an ownership lease that is never answered by itself.
+// fakeLease is an ownership lease that counts its calls. Tests call OwnershipAcquired or OwnershipDenied
+// themselves.
 type fakeLease struct{ acquired, released int }
 
 func (l *fakeLease) MustWait() bool   { return true }
 func (l *fakeLease) Acquire(*Request) { l.acquired++ }
 func (l *fakeLease) Release()         { l.released++ }
 
-// fakeDiscovery brings no list.
+// fakeDiscovery is a Discovery that never delivers a list.
 type fakeDiscovery struct{ watches int }
 
 func (d *fakeDiscovery) Watch() { d.watches++ }
 func (d *fakeDiscovery) Fetch() {}
 
-// isClosed tells whether a channel is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -53,7 +54,7 @@
 	}
 }
 
-// readyEndpoints is a list of servers that are ready.
+// readyEndpoints returns an endpoint list of ready servers.
 func readyEndpoints(ids ...string) (list []Endpoint) {
 	for _, id := range ids {
 		list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1", State: decide.Ready})
@@ -61,24 +62,24 @@
 	return list
 }
 
-// newTestTable returns a table of some classes on a clock that stands still, with its server side.
+// newTestTable returns a table with the given classes and a manual clock, and the table's server side.
 func newTestTable(s decide.Settings, classes ...decide.ClassInfo) (*RequestTable, *fakeSide) {
 	s.Classes = classes
 	dialer := &fakeSide{}
 	return NewRequestTable(&Deployment{Settings: s}, NewManualClock(), dialer), dialer
 }
 
-// open opens a request whose client waits for a second.
+// open opens a request with a timeout of 1 s.
 func open(table *RequestTable, class decide.Class) *Request {
 	return table.Open(RequestParams{Class: class, Timeout: time.Second}, &fakeSide{})
 }
 
-// startFirst starts the first attempt of a request at a server, as the decision module wants it.
+// startFirst starts the first attempt of a request at a server, as on a Forward of the decision module.
 func startFirst(table *RequestTable, r *Request, to decide.ServerID) {
 	table.startAttempt(decide.Forward{ID: r.ID, Server: to}, nil)
 }
 
-// establish carries the first attempt of a request through and returns the server side's end.
+// establish establishes a request by its first attempt and returns the server side's connection.
 func establish(r *Request) *fakeSide {
 	conn := &fakeSide{}
 	r.Attach(0, conn)
@@ -87,7 +88,7 @@
 	return conn
 }
 
-// testSettings are those of a relay whose decision module probes one zone.
+// testSettings returns settings of a single relay in one zone, with probing.
 func testSettings() decide.Settings {
 	return decide.Settings{
 		Relays:        1,
@@ -101,14 +102,14 @@
 	}
 }
 
-// loopTest is an event loop on a clock that stands still.
+// loopTest is an event loop with a manual clock.
 type loopTest struct {
 	*EventLoop
 	dialer *fakeSide
 	clock  *Clock
 }
 
-// newLoopTest returns an event loop with one server, of whose list nothing has been confirmed.
+// newLoopTest returns an event loop with one server, from an endpoint list of the configuration.
 func newLoopTest(t *testing.T) loopTest {
 	t.Helper()
 	table, dialer := newTestTable(testSettings(), decide.ClassInfo{
@@ -122,7 +123,7 @@
 	return loopTest{EventLoop: loop, dialer: dialer, clock: table.Clock}
 }
 
-// advance lets time pass in ticks.
+// advance advances the clock tick by tick and steps the loop after each tick.
 func (l loopTest) advance(d time.Duration) {
 	for end := l.clock.Now() + d; l.clock.Now() < end; {
 		l.clock.Set(l.clock.Now() + 5*time.Millisecond)
@@ -130,7 +131,7 @@
 	}
 }
 
-// exchangeLines has a server answer three lines after 5 ms each, 2 s apart.
+// exchangeLines sends three lines, 2 s apart, each of which the server answers after 5 ms.
 func (l loopTest) exchangeLines(r *Request) {
 	for range 3 {
 		r.LineSent()
--- a/internal/relay/endpoint_lease_test.go
+++ b/internal/relay/endpoint_lease_test.go
@@ -8,8 +8,8 @@
 	"capersail/internal/guard"
 )
 
-// A process that was stopped wakes over lines that discovery wrote long ago: they confirm nothing. The
-// first line after that does.
+// When a stopped process continues, it first reads lines that discovery wrote before or during the stop.
+// These lines must not renew the lease of the endpoint list; the first line written after the stop must.
 func TestLinesReadAfterAProcessStopDoNotRenewTheLease(t *testing.T) {
 	clock := NewManualClock()
 	table := NewRequestTable(&Deployment{}, clock, nil)
@@ -28,34 +28,34 @@
 	advance(2*time.Second, false)
 	table.RenewEndpointLease()
 	advance(7*time.Second, true)
-	table.RenewEndpointLease() // a line that has waited, read before anything else runs
+	table.RenewEndpointLease() // an old line, read before the event loop runs
 	if table.ServerReady("s") && !expired() {
-		t.Error("an old line that is read before the event loop looks confirms the list")
+		t.Error("old line read before the event loop ran renewed the lease, want it ignored")
 	}
 	table.sweep()
-	table.RenewEndpointLease() // and one after
+	table.RenewEndpointLease() // another old line, read after the event loop ran
 	if table.ServerReady("s") || !expired() {
-		t.Error("an old line that is read after the event loop looks confirms the list")
+		t.Error("old line read after the event loop ran renewed the lease, want it ignored")
 	}
 	advance(2*time.Second, false)
 	table.RenewEndpointLease()
 	if !table.ServerReady("s") || expired() {
-		t.Error("a line of now does not confirm the list")
+		t.Error("new line did not renew the lease, want it renewed")
 	}
 	advance(5700*time.Millisecond, false)
 	if !table.ServerReady("s") {
-		t.Error("the lease expires before its time")
+		t.Error("lease expired within 5.7 s of its renewal, want it valid")
 	}
 	advance(500*time.Millisecond, false)
 	table.sweep()
 	if table.ServerReady("s") || !expired() {
-		t.Error("the lease does not expire")
+		t.Error("lease is valid 6.2 s after its renewal, want it expired")
 	}
 	if c := table.EndpointCounts(); c.Listed != 1 || c.Withheld != 1 {
-		t.Errorf("of one server on an expired list %d are listed and %d withheld", c.Listed, c.Withheld)
+		t.Errorf("expired lease: got %d listed and %d withheld servers, want 1 and 1", c.Listed, c.Withheld)
 	}
 	table.RecordDiscoveryLoss(guard.ConnectionRefused)
 	if !table.ServerReady("s") {
-		t.Error("a discovery that refuses connections leaves no list in force")
+		t.Error("server not ready after discovery refused a connection, want the lease valid")
 	}
 }
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -6,65 +6,65 @@
 	"capersail/decide"
 )
 
-// Endpoint is one line of the endpoint list, in names.
+// Endpoint is one entry of the endpoint list, as discovery delivers it.
 type Endpoint struct {
 	ID             string
 	Address        string
 	Zone           string
 	Cell           int32
 	State          decide.EndpointState
-	StartedAt      time.Time // the zero time for long ago
-	Load           float64   // load over capacity that the list itself tells, negative if it does not
-	SupportsResume bool      // it takes streams up where they stopped
+	StartedAt      time.Time // start of the server, the zero time for "long ago"
+	Load           float64   // load divided by capacity as the list reports it, negative if it does not
+	SupportsResume bool      // the server can resume interrupted streams
 }
 
-// Server is one server that an endpoint list has named. What is not exported is the table's, under its lock.
+// Server is one server that an endpoint list has named. The table's lock guards the unexported fields.
 type Server struct {
-	Number         decide.ServerID // for this relay's life
+	Number         decide.ServerID // constant for the life of this process
 	ID             string
 	Address        string
-	Load           float64 // as the list had it last, negative if it does not
+	Load           float64 // load divided by capacity from the newest list, negative if the list has none
 	SupportsResume bool
 
 	zone        string
 	cell        int32
-	startedWall time.Time     // as the list has it
-	startedAt   time.Duration // the same on the relay's clock, as of when the list first had it
+	startedWall time.Time     // start of the server, from the list
+	startedAt   time.Duration // startedWall on the relay's clock, converted when the list first reported it
 
-	listedState     decide.EndpointState // as the list has it
-	ejectedManually bool                 // by an operator
-	// state is what the decision module is notified of: a ready server that is ejected manually, or whose
-	// list's lease has expired, drains.
+	listedState     decide.EndpointState // state in the newest list
+	ejectedManually bool                 // ejected by an operator
+	// state is the state that the decision module is notified of. A ready server is draining to the module if
+	// it is ejected manually, or if the lease of the endpoint list has expired.
 	state     decide.EndpointState
-	unreadyAt time.Duration // when state was last seen to leave Ready
+	unreadyAt time.Duration // when state last changed from Ready to another state
 
-	delayReportedAt time.Duration // when the decision module was last notified of a slow message there
+	delayReportedAt time.Duration // when the decision module was last notified of a slow message
 	lastRecorded    recordedEndpoint
-	listEntry       *Server // the endpoint list's own, of which an attempt holds a copy
+	listEntry       *Server // this server's entry in endpointList; set in the copy that an attempt holds
 }
 
-// recordedEndpoint is what the event recorder last had of a server.
+// recordedEndpoint is the state of a server that was last passed to the event recorder.
 type recordedEndpoint struct {
 	known     bool
 	state     decide.EndpointState
 	startedAt time.Time
 }
 
-// endpointList holds the newest endpoint list and gives servers their numbers. The table's lock guards it.
+// endpointList contains the newest endpoint list and assigns numbers to servers. The table's lock guards it.
 type endpointList struct {
 	deployment *Deployment
 	clock      *Clock
 	byID       map[string]*Server
-	servers    []*Server // by number; none is ever dropped
+	servers    []*Server // indexed by number; entries are never deleted
 	ejectedIDs map[string]bool
-	// leaseExpired: the list has not been confirmed for too long, and nothing new is sent by it.
+	// leaseExpired says that the lease of the list has expired, so that it is not used for new requests.
 	leaseExpired bool
-	// hasList: a snapshot has come from discovery, or a list with entries from the configuration.
+	// hasList says that discovery has delivered a snapshot, or that the configuration contains endpoints.
 	hasList bool
 }
 
-// applyList takes in a list and returns it in the decision module's numbers. Whoever is not in a snapshot is
-// removed.
+// applyList applies a list or a watch event and returns it as an event for the decision module. A snapshot
+// removes the servers that it does not contain.
 func (l *endpointList) applyList(kind decide.WatchKind, list []Endpoint) decide.WatchEvent {
 	if kind != decide.Delta && kind != decide.WatchFailed {
 		l.removeOthers(list)
@@ -82,7 +82,7 @@
 	return event
 }
 
-// byNumber returns a server by its number, nil if no list has named it.
+// byNumber returns the server with a number, or nil if there is none.
 func (l *endpointList) byNumber(n decide.ServerID) *Server {
 	if n < 0 || int(n) >= len(l.servers) {
 		return nil
@@ -90,7 +90,7 @@
 	return l.servers[n]
 }
 
-// removeOthers removes the servers that a snapshot does not list.
+// removeOthers sets all servers that a snapshot does not contain to removed.
 func (l *endpointList) removeOthers(snapshot []Endpoint) {
 	listed := map[string]bool{}
 	for _, e := range snapshot {
@@ -104,7 +104,7 @@
 	}
 }
 
-// add gives a new server its number.
+// add adds a new server and assigns its number.
 func (l *endpointList) add(id string) *Server {
 	s := &Server{Number: decide.ServerID(len(l.servers)), ID: id, ejectedManually: l.ejectedIDs[id]}
 	l.byID[id] = s
@@ -112,7 +112,7 @@
 	return s
 }
 
-// update takes in what a list says of a server.
+// update applies a list entry to a server.
 func (l *endpointList) update(s *Server, e Endpoint) {
 	s.listedState = e.State
 	s.Load = e.Load
@@ -123,14 +123,14 @@
 		s.startedWall = e.StartedAt
 		s.startedAt = l.clock.FromWallTime(e.StartedAt)
 	}
-	if e.Address != "" { // an entry that removes a server may come without one
+	if e.Address != "" { // an entry that removes a server may have no address
 		s.Address = e.Address
 	}
 	l.updateState(s)
 }
 
-// setManualEjections sets the servers that are ejected manually, all of them, and returns what that changes
-// for the decision module.
+// setManualEjections replaces the set of servers that are ejected manually, and returns the changed servers
+// as an event for the decision module.
 func (l *endpointList) setManualEjections(ids map[string]bool) decide.WatchEvent {
 	l.ejectedIDs = ids
 	event := decide.WatchEvent{Kind: decide.LocalDelta}
@@ -145,8 +145,8 @@
 	return event
 }
 
-// refreshStates sets the state of every server as of now, and returns what that changes for the decision
-// module.
+// refreshStates recomputes the state of every server, and returns the changed servers as an event for the
+// decision module.
 func (l *endpointList) refreshStates() decide.WatchEvent {
 	event := decide.WatchEvent{Kind: decide.LocalDelta}
 	for _, s := range l.servers {
@@ -157,8 +157,8 @@
 	return event
 }
 
-// updateState sets the state that the decision module is notified of, from all that is known of a server. It
-// tells whether the state has changed.
+// updateState recomputes the state of a server that the decision module is notified of. It reports whether
+// the state has changed.
 func (l *endpointList) updateState(s *Server) (changed bool) {
 	state := s.operatorState()
 	if state == decide.Ready && l.leaseExpired {
@@ -172,7 +172,8 @@
 	return changed
 }
 
-// operatorState returns the server's state as operators see it: by the list and their own ejections.
+// operatorState returns the server's state as operators see it: the state in the list, changed by manual
+// ejections.
 func (s *Server) operatorState() decide.EndpointState {
 	if s.ejectedManually && s.listedState == decide.Ready {
 		return decide.Draining
@@ -180,7 +181,7 @@
 	return s.listedState
 }
 
-// decisionEndpoint returns the server as the decision module gets it.
+// decisionEndpoint returns a server in the form that the decision module uses.
 func (l *endpointList) decisionEndpoint(s *Server) decide.Endpoint {
 	return decide.Endpoint{
 		Server:        s.Number,
@@ -192,8 +193,8 @@
 	}
 }
 
-// UpdateEndpoints takes in a list or a watch event: at once for the check before an attempt's first byte,
-// and in turn for the decision module.
+// UpdateEndpoints applies an endpoint list or a watch event. The check before an attempt's first byte uses it
+// at once; the decision module gets it as a queued event.
 func (t *RequestTable) UpdateEndpoints(kind decide.WatchKind, list []Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -201,15 +202,16 @@
 	if t.Recorder != nil {
 		t.recordWatchEvent(kind)
 	}
-	// Whoever has a connection to a server that drains now may want to know.
+	// Wake the server sides whose server is no longer ready, so that they can react to the drain.
 	for _, r := range t.requests.byID {
-		if r.latest.inFlight && r.latest.conn != nil && r.latest.currentServer().state != decide.Ready {
-			r.latest.conn.Wake()
+		if r.lastAttempt.inFlight && r.lastAttempt.conn != nil &&
+			r.lastAttempt.currentServer().state != decide.Ready {
+			r.lastAttempt.conn.Wake()
 		}
 	}
 }
 
-// Server returns what is known of a server by its id; false if no list has named it.
+// Server returns a copy of the server with an id, and false if no list has named it.
 func (t *RequestTable) Server(id string) (Server, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -219,7 +221,8 @@
 	return Server{}, false
 }
 
-// ServerReady tells whether something new may go to a server, by the newest list.
+// ServerReady reports whether new requests may be sent to a server: it is ready in the newest list, not
+// ejected manually, and the lease of the list has not expired.
 func (t *RequestTable) ServerReady(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -227,22 +230,23 @@
 	return s != nil && s.state == decide.Ready
 }
 
-// EverListed tells whether any list has named a server of that id.
+// EverListed reports whether any list has named a server with this id.
 func (t *RequestTable) EverListed(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.endpoints.byID[id] != nil
 }
 
-// HasEndpointList tells whether the relay has a list to go by: a snapshot from discovery, or one with
-// entries from its configuration.
+// HasEndpointList reports whether the relay has an endpoint list: a snapshot from discovery, or endpoints
+// from its configuration.
 func (t *RequestTable) HasEndpointList() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.endpoints.hasList
 }
 
-// ServerIDs appends the ids of the servers from a number on, in the order of their numbers.
+// ServerIDs appends the ids of the servers to out, in the order of their numbers, starting with the number
+// from.
 func (t *RequestTable) ServerIDs(from int, out []string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/enums.go
+++ b/internal/relay/enums.go
@@ -1,21 +1,22 @@
 package relay
 
-// State is where a request stands.
+// State is the state of a request.
 type State uint8
 
-// The states of a request. Queued and Attempting alternate, once for each attempt; Established and Ended are
-// never left for an earlier one.
+// The states of a request. A request alternates between Queued and Attempting, once for each attempt. From
+// Established it only goes to Ended, which is final.
 const (
-	// Queued: no attempt is in flight, and the decision module has the request.
+	// Queued: no attempt is in flight, and the decision module is placing the request.
 	Queued State = iota
 	// Attempting: one attempt is in flight.
 	Attempting
-	// Established: a server has taken the connection.
+	// Established: a server has accepted the connection.
 	Established
-	// Ended: the request has its final answer, or its client has left.
+	// Ended: the request has been given its final answer, its client has left, or its established connection
+	// has ended.
 	Ended
-	// AwaitingOwnership comes before all others, and only where a stream goes on: its ownership lease is not
-	// this relay's yet, and the decision module does not know the request.
+	// AwaitingOwnership is the first state of a request that continues a stream whose ownership lease this
+	// relay has not acquired yet. The decision module does not know the request.
 	AwaitingOwnership
 )
 
@@ -27,44 +28,45 @@
 	AwaitingOwnership: "awaiting ownership",
 }
 
-// String returns the state's name, "unknown" for a value that is none.
+// String returns the state's name, or "unknown" for an undefined value.
 func (s State) String() string { return nameOf(stateNames, uint8(s)) }
 
-// AnswerKind is what a client that is not served gets.
+// AnswerKind is the kind of answer that a client gets if its request is not established.
 type AnswerKind uint8
 
-// The answers.
+// The kinds of answers.
 const (
-	// NoAnswer: none yet, or the client left before it.
+	// NoAnswer: the request has no answer yet, or its client left before the answer.
 	NoAnswer AnswerKind = iota
-	// Rejected promises that a retry by the client is harmless.
+	// Rejected promises the client that a retry is harmless.
 	Rejected
-	// Failed promises nothing.
+	// Failed makes no such promise.
 	Failed
 )
 
 var answerKindNames = []string{NoAnswer: "no answer", Rejected: "rejected", Failed: "failed"}
 
-// String returns the answer's name, "unknown" for a value that is none.
+// String returns the name of the kind, or "unknown" for an undefined value.
 func (k AnswerKind) String() string { return nameOf(answerKindNames, uint8(k)) }
 
-// CloseKind is how one side of a request ended, so that the other side can be ended in the same way.
+// CloseKind is the way in which one side of a request closed, so that the other side can be closed in the
+// same way.
 type CloseKind uint8
 
-// The ways to end.
+// The ways to close a connection.
 const (
-	// GracefulClose ends a connection after what was written.
+	// GracefulClose closes a connection after all written data has been sent.
 	GracefulClose CloseKind = iota
-	// AbortiveClose resets it.
+	// AbortiveClose resets a connection.
 	AbortiveClose
 )
 
 var closeKindNames = []string{GracefulClose: "graceful", AbortiveClose: "abortive"}
 
-// String returns the kind's name, "unknown" for a value that is none.
+// String returns the name of the kind, or "unknown" for an undefined value.
 func (k CloseKind) String() string { return nameOf(closeKindNames, uint8(k)) }
 
-// nameOf returns the name of an enumeration's value, "unknown" if it has none.
+// nameOf returns the name of an enumeration value, or "unknown" if the value has no name.
 func nameOf(names []string, value uint8) string {
 	if int(value) >= len(names) {
 		return "unknown"
--- a/internal/relay/event_loop.go
+++ b/internal/relay/event_loop.go
@@ -13,40 +13,42 @@
 	"capersail/internal/observe/recorder"
 )
 
-// Discovery is where endpoint lists come from. Neither method may block. Each is answered by one call of
-// RequestTable.UpdateEndpoints, of the kind WatchFailed if it could not be done; a watch goes on bringing
-// changes.
+// Discovery is a source of endpoint lists. Its methods must not block. Each call is answered by a call of
+// RequestTable.UpdateEndpoints, with the kind WatchFailed if the list could not be obtained. After Watch,
+// further calls of UpdateEndpoints deliver changes.
 type Discovery interface {
 	Watch()
 	Fetch()
 }
 
-// FleetStatusSource is what this relay knows of the others. The status that LockStatus returns stands until
-// UnlockStatus: whoever changes it waits, so that no decision is made by a share that this relay has said
-// it no longer takes. Neither method may block for long. now is the event loop's instant.
+// FleetStatusSource provides what this relay knows about the other relays of the fleet. The status that
+// LockStatus returns stays valid until UnlockStatus: changes wait until then, so that no decision uses a
+// budget share that this relay has already declared to have given up. Neither method may block for long. now
+// is the current instant of the event loop.
 type FleetStatusSource interface {
 	LockStatus(now time.Duration) decide.FleetStatus
 	UnlockStatus()
 }
 
 const (
-	// sweepInterval is how often the event loop checks for silent servers and an expired lease of the
-	// endpoint list, and how long it waits at most.
+	// sweepInterval is the interval at which the event loop checks for silent servers and for an expired
+	// lease of the endpoint list. It is also the longest time that the loop waits for events.
 	sweepInterval = 250 * time.Millisecond
-	// backstopDelay is how long after a request's deadline the backstop answers it. The rules allow 20 ms,
-	// and 50 ms more on sockets; the decision module's own answer takes a tick or two.
+	// backstopDelay is how long after a request's deadline the backstop answers the request, if the decision
+	// module has not. The protocol allows an answer 20 ms after the deadline, plus 50 ms on real sockets, and
+	// the decision module's own answer may take one or two ticks.
 	backstopDelay = 20 * time.Millisecond
-	// decisionPrecision is what instants and durations are rounded to for the decision module.
+	// decisionPrecision is the unit to which instants and durations are rounded for the decision module.
 	decisionPrecision = time.Microsecond
 )
 
-// EventLoop feeds the decision module with what has come in and is due, and carries out its actions. It
-// alone owns the module and its timers. One goroutine calls Run, or Step.
+// EventLoop passes queued events and due timers to the decision module and carries out the module's actions.
+// It is the only owner of the module and its timers. Run, or Step, is called by a single goroutine.
 type EventLoop struct {
-	// FleetView is nil where the relays do not know each other. It is set before Run.
+	// FleetStatus is nil if this relay is not a member of a fleet. It must be set before Run.
 	FleetStatus FleetStatusSource
-	// SharedProbing is nil where this relay probes servers for itself. It is set before Run, and with
-	// FleetView only.
+	// SharedProbing is nil if this relay does not share probing with others. It must be set before Run, and
+	// only together with FleetStatus.
 	SharedProbing *SharedProbing
 
 	table      *RequestTable
@@ -54,13 +56,14 @@
 	discovery  Discovery
 	log        zerolog.Logger
 	timers     timerQueue
-	tick       time.Duration // least time between two steps
+	tick       time.Duration // minimum time between two steps
 	sweptAt    time.Duration
-	actions    []decide.Action       // scratch of handle
-	candidates []decide.PooledServer // scratch of perform: of the placement under way
+	actions    []decide.Action       // buffer that handle reuses
+	candidates []decide.PooledServer // buffer that forward reuses: the candidates of the current placement
 }
 
-// NewEventLoop returns the event loop of a relay that has just started. seed is the decision module's.
+// NewEventLoop returns the event loop of a relay that has just started. seed is the random seed of the
+// decision module.
 func NewEventLoop(table *RequestTable, seed uint64, discovery Discovery, log zerolog.Logger) *EventLoop {
 	settings := table.deployment.Settings
 	return &EventLoop{
@@ -73,8 +76,8 @@
 	}
 }
 
-// Run steps until the context ends: when something has come in, at most once a tick, as the decision module
-// expects it, and when a timer is due.
+// Run calls Step until the context is canceled: whenever events are queued or a timer is due, but at most
+// once per tick, as the decision module expects.
 func (l *EventLoop) Run(ctx context.Context) {
 	due := time.NewTimer(0)
 	defer due.Stop()
@@ -93,14 +96,14 @@
 	}
 }
 
-// Step handles everything that has come in or is due now, and returns how long until the next step at the
-// latest.
+// Step handles all queued events and all timers that are due. It returns the time after which the next step
+// must take place at the latest.
 func (l *EventLoop) Step() time.Duration {
 	now := l.table.Clock.Now()
 	events := l.table.takeInbox()
 	if l.SharedProbing != nil {
 		l.SharedProbing.updateParticipants(now)
-		defer l.SharedProbing.sendOutbox() // once the fleet's status is unlocked
+		defer l.SharedProbing.sendOutbox() // runs after the fleet status has been unlocked
 	}
 	if l.FleetStatus != nil {
 		l.handle(now, l.lockFleetStatus(now))
@@ -112,7 +115,7 @@
 	return l.untilNextStep(now)
 }
 
-// lockFleetStatus returns what this relay knows of the others, which stands until UnlockStatus.
+// lockFleetStatus returns what this relay knows about the fleet. It stays valid until UnlockStatus.
 func (l *EventLoop) lockFleetStatus(now time.Duration) decide.FleetStatus {
 	status := l.FleetStatus.LockStatus(now)
 	status.SharesReadings = l.SharedProbing != nil && l.SharedProbing.scheduler.HasPeers()
@@ -120,8 +123,8 @@
 	return status
 }
 
-// handleEvents gives the decision module what has come in, less what is the probe scheduler's, and sets the
-// backstop behind each request.
+// handleEvents passes the queued events to the decision module, except for those that only concern the probe
+// scheduler. It sets the backstop timer of each new request.
 func (l *EventLoop) handleEvents(now time.Duration, events []decide.Event) {
 	for _, ev := range events {
 		if l.SharedProbing != nil && !l.routeProbingEvent(now, ev) {
@@ -134,7 +137,7 @@
 	}
 }
 
-// fireTimers handles the timers that are due.
+// fireTimers handles all timers that are due.
 func (l *EventLoop) fireTimers(now time.Duration) {
 	for {
 		due, ok := l.timers.takeDue(now)
@@ -145,12 +148,12 @@
 			l.handle(now, decide.TimerFired{Token: due.token})
 		case l.table.failOverdue(due.request):
 			l.log.Error().Uint64("request", uint64(due.request)).
-				Msg("no answer by the deadline, failed by the backstop: a fault of this program, report it")
+				Msg("backstop failed a request unanswered after its deadline: report this bug in capersail")
 		}
 	}
 }
 
-// sweepIfDue sweeps the request table each sweepInterval.
+// sweepIfDue sweeps the request table once per sweepInterval.
 func (l *EventLoop) sweepIfDue(now time.Duration) {
 	if now-l.sweptAt < sweepInterval {
 		return
@@ -160,7 +163,7 @@
 	l.table.counters.ejectedServers.Store(int64(l.balancer.EjectedCount()))
 }
 
-// untilNextStep steps the probe scheduler if it is due, and returns how long until the next step.
+// untilNextStep steps the probe scheduler if that is due, and returns the time until the next step.
 func (l *EventLoop) untilNextStep(now time.Duration) time.Duration {
 	next := sweepInterval
 	if l.SharedProbing != nil {
@@ -172,15 +175,16 @@
 	return max(next, 0)
 }
 
-// handle gives the decision module one event and carries out its actions. A panic there must not take every
-// open connection down with it: the request that it was about gets its answer from the backstop.
+// handle passes one event to the decision module and carries out the resulting actions. It recovers from a
+// panic, which would otherwise end every open connection of this process. The request that the event was
+// about is answered by the backstop.
 func (l *EventLoop) handle(now time.Duration, ev decide.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			l.log.Error().Str("event", fmt.Sprintf("%T", ev)).
 				Str("panic", fmt.Sprint(p)).
 				Bytes("stack", debug.Stack()).
-				Msg("decision module panicked, the backstop answers its request: report it with the stack")
+				Msg("decision module panicked, backstop answers the request: report this bug with the stack")
 		}
 	}()
 	l.actions = l.balancer.Handle(now.Round(decisionPrecision), ev, l.actions[:0])
@@ -217,14 +221,15 @@
 		l.discovery.Fetch()
 	case decide.Log:
 		l.log.Info().Msg(a.Text)
-	default: // no idle connections but those of probes, and no messages to peers: nothing to do
+	default: // not expected: there are no idle connections but those of probes, and no messages to peers
 		l.log.Warn().Str("action", fmt.Sprintf("%T", action)).
-			Msg("unknown action of the decision module ignored: a fault of this program, report it")
+			Msg("ignored an unknown action of the decision module: report this bug in capersail")
 	}
 }
 
-// forward starts an attempt, and notifies the probe scheduler of it. The scheduler answers a placement with
-// no action, so l.actions, which perform is going through, is not written over.
+// forward starts an attempt and notifies the probe scheduler of the placement. The scheduler returns no
+// action for a local placement, so no nested call of handle overwrites l.actions while handle iterates over
+// it.
 func (l *EventLoop) forward(f decide.Forward) {
 	if l.table.Recorder != nil {
 		l.candidates = l.balancer.ProbePool(l.candidates[:0])
--- a/internal/relay/fleet_status.go
+++ b/internal/relay/fleet_status.go
@@ -9,16 +9,16 @@
 	"capersail/internal/fleet/probing"
 )
 
-// ToFleetStatus turns a fleet's estimate into what the decision module gets. now and own are the
-// same instant: now on the decision module's clock, own on the membership.Node's, of which
-// the estimate is.
+// ToFleetStatus converts an estimate of the fleet into the form that the decision module uses. now and
+// nodeNow are the same instant: now on the clock of the decision module, nodeNow on the clock of the
+// membership.Node that made the estimate.
 //
-// SharesPlacements says whether so little comes to the fleet that relays can tell each other what they
-// send; it holds where they share readings only.
+// The result's SharesPlacements is true if the request rate of the fleet is low enough for relays to tell
+// each other about their placements. It only applies if the relays also share readings.
 //
-// zoneNumber gives the number of a zone's name, false for one that no server or relay here has; it may be
-// nil where the fleet has no cells, and all is far then. A near zone without a number has no server to
-// budget for.
+// zoneNumber returns the number of a zone, or false for a zone in which this relay knows no server and no
+// relay. It may be nil if the fleet has no cells; then every zone counts as far. A near zone without a number
+// contains no server that needs a budget.
 func ToFleetStatus(
 	now, nodeNow time.Duration, e membership.FleetEstimate, zoneNumber func(name string) (decide.Zone, bool),
 ) decide.FleetStatus {
@@ -41,7 +41,8 @@
 	return status
 }
 
-// zoneNumbers returns the numbers of those zones that have one, never nil.
+// zoneNumbers returns the numbers of the named zones, without zones that have no number. The result is never
+// nil.
 func zoneNumbers(names []string, zoneNumber func(name string) (decide.Zone, bool)) []decide.Zone {
 	numbers := []decide.Zone{}
 	if zoneNumber == nil {
--- a/internal/relay/fleet_status_test.go
+++ b/internal/relay/fleet_status_test.go
@@ -9,8 +9,8 @@
 	"capersail/internal/fleet/membership"
 )
 
-// A relay of a cell tells the decision module both shares, and the near zones by their numbers; one without
-// cells has one share.
+// In a fleet with cells, the decision module gets both budget shares and the numbers of the near zones. In a
+// fleet without cells it gets a single share and no near zones.
 func TestFleetStatusNearAndFar(t *testing.T) {
 	numbers := map[string]decide.Zone{"a": 3, "b": 5}
 	zoneNumber := func(name string) (decide.Zone, bool) {
@@ -21,19 +21,19 @@
 		BudgetShare:     0.3,
 		FarBudgetShare:  0.02,
 		ShareValidUntil: duration.Forever,
-		NearZones:       []string{"a", "unknown here", "b"},
+		NearZones:       []string{"a", "unknown zone", "b"},
 		Plan:            4,
 	}
 	got := ToFleetStatus(0, 0, estimate, zoneNumber)
 	near := []decide.Zone{3, 5}
 	if got.BudgetShare != 0.3 || got.FarBudgetShare != 0.02 || !slices.Equal(got.NearZones, near) {
-		t.Errorf("in a cell: %+v", got)
+		t.Errorf("in a cell: got %+v, want the shares 0.3 and 0.02 and the near zones 3 and 5", got)
 	}
 	if got := ToFleetStatus(0, 0, estimate, nil); got.NearZones == nil || len(got.NearZones) > 0 {
-		t.Errorf("in a cell with no numbers all is far, not %+v", got)
+		t.Errorf("in a cell without zone numbers: got %+v, want no near zone, but NearZones not nil", got)
 	}
 	flat := membership.FleetEstimate{BudgetShare: 0.3, FarBudgetShare: 0.3, ShareValidUntil: duration.Forever}
 	if got := ToFleetStatus(0, 0, flat, nil); got.NearZones != nil || got.BudgetShare != 0.3 {
-		t.Errorf("without cells: %+v", got)
+		t.Errorf("without cells: got %+v, want the share 0.3 and NearZones nil", got)
 	}
 }
--- a/internal/relay/guarding.go
+++ b/internal/relay/guarding.go
@@ -5,22 +5,23 @@
 	"capersail/internal/guard"
 )
 
-// This file hands the guard the facts of the moment, and counts and logs what it denies. Callers hold the
-// table's lock.
+// This file calls the guard with the current state of requests, and counts and logs denials and violations.
+// Callers hold the table's lock.
 
-// guardFacts returns the facts about a request.
-func (r *Request) guardFacts(waiting bool) guard.Request {
+// guardFacts returns the state of a request in the form that the guard uses. pending says whether the request
+// is still pending.
+func (r *Request) guardFacts(pending bool) guard.Request {
 	settings := &r.table.deployment.Settings
 	class := &settings.Classes[r.Class]
 	return guard.Request{
-		Pending:         waiting,
-		AttemptInFlight: r.latest.inFlight,
-		MayHaveWritten:  r.latest.mayHaveWritten,
+		Pending:         pending,
+		AttemptInFlight: r.lastAttempt.inFlight,
+		MayHaveWritten:  r.lastAttempt.mayHaveWritten,
 		Attempts:        r.attemptsStarted,
 		MaxAttempts:     settings.MaxAttempts,
 		MayHaveRun:      r.possibleRun.exists,
 		MayHaveRunAt:    r.possibleRun.firstByteAt,
-		MayHaveRunOn:    r.possibleRun.serverLocation,
+		MayHaveRunOn:    r.possibleRun.location,
 		Idempotency:     class.Idempotency,
 		DedupScope:      class.DedupScope,
 		DedupWindow:     class.DedupWindow,
@@ -29,7 +30,8 @@
 	}
 }
 
-// guardStatus returns what the newest endpoint list says of a server, nil for one that no list has named.
+// guardStatus returns the status of a server by the newest endpoint list. s is nil if no list has named the
+// server.
 func (s *Server) guardStatus() guard.ServerStatus {
 	if s == nil {
 		return guard.ServerStatus{}
@@ -37,29 +39,29 @@
 	return guard.ServerStatus{EverListed: true, Ready: s.state == decide.Ready, Location: s.location()}
 }
 
-// location returns where a server is.
+// location returns the zone and the cell of a server.
 func (s *Server) location() guard.Location { return guard.Location{Zone: s.zone, Cell: s.cell} }
 
-// mayAttempt tells whether an attempt of a request at a server may be started; nil is a server that no list
-// has named.
+// mayAttempt asks the guard whether an attempt of the request at a server may be started. s is nil if no list
+// has named the server.
 func (r *Request) mayAttempt(s *Server) guard.Denial {
 	facts, lease := r.guardFacts(r.state == Queued), &r.table.lease.EndpointLease
 	return guard.MayAttempt(r.table.Clock.Now(), facts, s.guardStatus(), lease)
 }
 
-// mayWrite tells whether the first byte of an attempt may be written.
+// mayWrite asks the guard whether the first byte of an attempt may be written.
 func (r *Request) mayWrite(attempt int) guard.Denial {
-	waiting := r.attemptInSetUp(attempt)
-	clientGone := waiting && r.clientConn.HasUnread()
-	facts, lease := r.guardFacts(waiting), &r.table.lease.EndpointLease
-	server := r.latest.currentServer().guardStatus()
-	return guard.MayWrite(r.table.Clock.Now(), r.latest.Deadline, facts, server, lease, clientGone)
+	pending := r.attemptInSetUp(attempt)
+	clientGone := pending && r.clientConn.HasUnread()
+	facts, lease := r.guardFacts(pending), &r.table.lease.EndpointLease
+	server := r.lastAttempt.currentServer().guardStatus()
+	return guard.MayWrite(r.table.Clock.Now(), r.lastAttempt.Deadline, facts, server, lease, clientGone)
 }
 
-// mayReject tells whether a request may be rejected, which promises that a retry is harmless.
+// mayReject reports whether the request may be rejected, which promises the client that a retry is harmless.
 func (r *Request) mayReject() bool { return guard.MayReject(r.guardFacts(true)) == guard.Allowed }
 
-// recordDenial counts and logs that something was not done for a request.
+// recordDenial counts and logs a denial by the guard. s is nil if the denial concerns no server.
 func (r *Request) recordDenial(denial guard.Denial, s *Server) {
 	r.table.Denials.Add(denial)
 	event := r.table.Log.Debug()
@@ -76,10 +78,11 @@
 		Str("id", r.Name).
 		Int("attempt", r.attemptsStarted).
 		Stringer("reason", denial).
-		Msg("denied by the guard")
+		Msg("guard denied an action on a request")
 }
 
-// recordViolation counts and logs what was done against an invariant: a fault of this program.
+// recordViolation counts and logs the violation of an invariant, which is a bug in this program. s is nil if
+// the violation concerns no server.
 func (r *Request) recordViolation(invariant guard.Invariant, s *Server) {
 	r.table.Violations.Add(invariant)
 	event := r.table.Log.Error()
@@ -94,19 +97,20 @@
 	event.Stringer("invariant", invariant).
 		Uint64("request", uint64(r.ID)).
 		Str("id", r.Name).
-		Int("attempt", r.latest.Number).
-		Msg("invariant violated: a fault of this program, report it with this line")
+		Int("attempt", r.lastAttempt.Number).
+		Msg("invariant violated: report this bug in capersail with this line")
 }
 
-// FirstLineWritten says that the complete first line of an attempt has been written. It checks once more,
-// after the act, what BeginWrite checked before it.
+// FirstLineWritten reports that the first line of an attempt has been written completely. It repeats the
+// check of BeginWrite, because the write may have been delayed, and records a violation if the line was
+// written too late.
 func (r *Request) FirstLineWritten(attempt int) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.latest.Number != attempt || r.resumed {
+	if r.lastAttempt.Number != attempt || r.resumed {
 		return
 	}
-	now, s := r.table.Clock.Now(), r.latest.currentServer()
+	now, s := r.table.Clock.Now(), r.lastAttempt.currentServer()
 	pastGrace := s.state != decide.Ready && now-s.unreadyAt > guard.DrainGrace
 	if pastGrace || r.table.lease.MayViolateDrainRule(now) {
 		r.recordViolation(guard.NoNewRequestAfterDrain, s)
--- a/internal/relay/guarding_test.go
+++ b/internal/relay/guarding_test.go
@@ -11,7 +11,7 @@
 	"capersail/internal/guard"
 )
 
-// newLoggingTable returns a table of one class with a server that is ready, and what it logs.
+// newLoggingTable returns a table with one class and one ready server, and the buffer that it logs to.
 func newLoggingTable(class decide.ClassInfo) (*RequestTable, *strings.Builder) {
 	table, _ := newTestTable(decide.Settings{}, class)
 	log := &strings.Builder{}
@@ -20,8 +20,8 @@
 	return table, log
 }
 
-// An operator greps for this line and alarms on the counter: a first line that was held up past the grace
-// of a drain must not go unseen.
+// A first line whose write was delayed until after DrainGrace is a violation. It must be counted and logged,
+// because operators have an alarm on the counter and search for the log message.
 func TestALineWrittenAfterTheDrainGraceIsAViolation(t *testing.T) {
 	for writeDelay, want := range map[time.Duration]uint64{
 		guard.DrainGrace:                    0,
@@ -31,16 +31,17 @@
 		r := open(table, 0)
 		startFirst(table, r, 0)
 		if !r.Attach(0, &fakeSide{}) || !r.BeginWrite(0) {
-			t.Fatal("the attempt is not let go")
+			t.Fatal("Attach or BeginWrite refused the attempt, want it permitted")
 		}
 		table.UpdateEndpoints(decide.Delta, []Endpoint{{ID: "a", State: decide.Draining}})
 		table.Clock.Set(table.Clock.Now() + writeDelay)
 		r.FirstLineWritten(0)
 		if got := table.Violations.Count(guard.NoNewRequestAfterDrain); got != want {
-			t.Errorf("held up for %v: %d violations", writeDelay, got)
+			t.Errorf("write delayed by %v: got %d violations, want 1 only after DrainGrace", writeDelay, got)
 		}
 		if logged := strings.Contains(log.String(), "invariant violated"); logged != (want > 0) {
-			t.Errorf("held up for %v: log %q", writeDelay, log)
+			t.Errorf("write delayed by %v: log is %q, want \"invariant violated\" only after DrainGrace",
+				writeDelay, log)
 		}
 	}
 }
@@ -55,12 +56,13 @@
 		table.Clock.Set(table.Clock.Now() + time.Second + late)
 		table.failOverdue(r.ID)
 		if got := table.Violations.Count(guard.AnswerInTime); got != want {
-			t.Errorf("answered %v late: %d violations", late, got)
+			t.Errorf("answered %v late: got %d violations, want 1 only after AnswerSlack", late, got)
 		}
 	}
 }
 
-// What may have run and must not run twice is failed where the decision module would reject it, and counted.
+// If the decision module rejects a request that may have been executed and must not be executed twice, the
+// request is failed instead, and a violation is counted.
 func TestRejectingARequestThatMayHaveRunIsAViolation(t *testing.T) {
 	table, _ := newLoggingTable(decide.ClassInfo{Idempotency: decide.NonIdempotent})
 	r := open(table, 0)
@@ -69,35 +71,36 @@
 	r.BeginWrite(0)
 	table.answer(r.ID, Answer{Kind: Rejected})
 	if _, a := r.State(); a.Kind != Failed || table.Violations.Count(guard.RejectOnlyIfRetryHarmless) != 1 {
-		t.Errorf("answer %v, %d violations", a.Kind, table.Violations.Count(guard.RejectOnlyIfRetryHarmless))
+		t.Errorf("got answer %v and %d violations, want failed and 1",
+			a.Kind, table.Violations.Count(guard.RejectOnlyIfRetryHarmless))
 	}
 }
 
-// A denied attempt goes back to the decision module as superseded, is counted, and is logged where
-// discovery is to blame.
+// An attempt that is denied because the lease of the endpoint list has expired is counted, and reported to
+// the decision module as superseded. The expiry of the lease is logged.
 func TestAnAttemptByAnExpiredListIsDenied(t *testing.T) {
 	table, log := newLoggingTable(decide.ClassInfo{})
 	r := open(table, 0)
-	startFirst(table, r, 0) // by a list on no lease
+	startFirst(table, r, 0) // the lease is still disabled
 	r.Attach(0, &fakeSide{})
-	table.LeaseEndpointList(10 * time.Second) // not confirmed yet
+	table.LeaseEndpointList(10 * time.Second) // expired until discovery confirms the list
 	if r.BeginWrite(0) {
-		t.Error("a byte is written by a list that was never confirmed")
+		t.Error("BeginWrite permitted an attempt on an expired lease, want it denied")
 	}
 	if got := table.Denials.Count(guard.ServerNotReady); got != 1 {
-		t.Errorf("%d denials", got)
+		t.Errorf("got %d denials with the reason ServerNotReady, want 1", got)
 	}
 	if !strings.Contains(log.String(), "endpoint list lease expired") {
-		t.Errorf("log %q", log)
+		t.Errorf("log is %q, want the message \"endpoint list lease expired\"", log)
 	}
 	second := open(table, 0)
 	table.takeInbox()
 	startFirst(table, second, 0)
 	events := table.takeInbox()
 	if len(events) != 1 {
-		t.Fatalf("%d events", len(events))
+		t.Fatalf("got %d events for the decision module, want 1", len(events))
 	}
 	if o, ok := events[0].(decide.Outcome); !ok || o.Status != decide.Superseded || o.Closed {
-		t.Errorf("told %+v", events[0])
+		t.Errorf("got the event %+v, want an Outcome with Superseded and not Closed", events[0])
 	}
 }
--- a/internal/relay/operations.go
+++ b/internal/relay/operations.go
@@ -2,38 +2,41 @@
 
 import "capersail/internal/observe/recorder"
 
-// This file holds what operators ask of a relay: a drain, and servers to be ejected manually.
+// This file contains the actions that operators can request: draining the relay, and ejecting servers
+// manually.
 
-// SetDraining starts or ends an operator's drain: while it lasts the relay is not ready, rejects new
-// requests with a Retry-After, and migrates a client as soon as its request is established. MigrateClients
-// migrates those that are established already.
+// SetDraining starts or ends a drain by an operator. During a drain the relay is not ready, rejects new
+// requests with a Retry-After, and migrates each client as soon as its request is established. Clients that
+// were established before are migrated by MigrateClients.
 func (t *RequestTable) SetDraining(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.drainedManually = on
 }
 
-// Draining tells whether an operator's drain is on.
+// Draining reports whether the relay is being drained by an operator.
 func (t *RequestTable) Draining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.drainedManually
 }
 
-// AcceptingClients tells whether the relay takes new clients: it is neither drained nor shutting down.
+// AcceptingClients reports whether the relay accepts new clients: it is neither being drained nor shutting
+// down.
 func (t *RequestTable) AcceptingClients() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.rejecting()
 }
 
-// rejecting tells whether new requests are to be rejected. The caller holds the lock.
+// rejecting reports whether the relay rejects new requests. The caller holds the lock.
 func (t *RequestTable) rejecting() bool { return t.shuttingDown || t.drainedManually }
 
-// SetManualEjections takes the ids of the servers that are ejected manually, all of them. To the decision
-// module such a server drains, so it gets nothing new, and the check before an attempt's first byte holds
-// for it as for a drain; established clients there are migrated, since the server is to restart. A server
-// that is not ejected any more counts as the endpoint list has it.
+// SetManualEjections replaces the set of servers that are ejected manually, given by their ids. The decision
+// module sees an ejected server as draining, so the server gets no new requests, and the check before an
+// attempt's first byte treats it like a draining server. Clients established at it are migrated, because
+// operators eject a server in order to restart it. A server that is no longer ejected has the state from the
+// endpoint list again.
 func (t *RequestTable) SetManualEjections(ids map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,15 +49,15 @@
 		t.recordEndpointChanges()
 	}
 	for _, r := range t.requests.byID {
-		s := r.latest.currentServer()
+		s := r.lastAttempt.currentServer()
 		if s == nil || !s.ejectedManually {
 			continue
 		}
 		switch {
 		case r.state == Established:
 			r.migrate(recorder.Operator)
-		case r.latest.inFlight && r.latest.conn != nil:
-			r.latest.conn.Wake()
+		case r.lastAttempt.inFlight && r.lastAttempt.conn != nil:
+			r.lastAttempt.conn.Wake()
 		}
 	}
 }
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -8,11 +8,12 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file holds the methods by which an ownership lease tells a request whether this relay may serve its
-// stream.
+// This file contains the methods by which an ownership lease notifies a request whether this relay may serve
+// its stream.
 
-// OwnershipAcquired says that the stream is this relay's: the request goes to the decision module, as any
-// that comes back. It is false if the request no longer waits for that.
+// OwnershipAcquired reports that this relay owns the stream. The request is passed to the decision module
+// like any other. It returns false if the request no longer waits for its lease, or is rejected because the
+// relay is draining or shutting down.
 func (r *Request) OwnershipAcquired() bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -28,7 +29,8 @@
 	return true
 }
 
-// OwnershipDenied says that the stream is not this relay's, with the answer for the client.
+// OwnershipDenied reports that this relay does not get the ownership of the stream. a is the answer for the
+// client.
 func (r *Request) OwnershipDenied(a Answer) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -37,8 +39,9 @@
 	}
 }
 
-// OwnershipLost says that the lease may be lost: nothing is sent for the request any more. One that has no
-// answer gets it, with the Retry-After where it is rejected; the client of an established one is migrated.
+// OwnershipLost reports that the lease may be lost. From then on nothing is sent to a server for the request.
+// An unanswered request is answered, with retryAfter if it is rejected; the client of an established request
+// is migrated.
 func (r *Request) OwnershipLost(retryAfter time.Duration) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
--- a/internal/relay/probe_scheduling.go
+++ b/internal/relay/probe_scheduling.go
@@ -7,11 +7,10 @@
 	"capersail/internal/fleet/probing"
 )
 
-// This file holds the event loop's part of shared probing: it stands between the scheduler and the decision
-// module.
+// This file connects the probe scheduler of shared probing to the event loop and the decision module.
 
-// routeProbingEvent gives the scheduler what of the inbox concerns it, and tells whether the decision
-// module is to have it too.
+// routeProbingEvent passes a queued event to the scheduler if it concerns the scheduler. It reports whether
+// the event also has to be passed to the decision module.
 func (l *EventLoop) routeProbingEvent(now time.Duration, ev decide.Event) (forDecision bool) {
 	switch e := ev.(type) {
 	case peerEvent:
@@ -34,8 +33,8 @@
 	return true
 }
 
-// stepSchedulerIfDue lets the scheduler see whose turn it is, makes the report anew, and returns how long
-// until the next step.
+// stepSchedulerIfDue makes the scheduler check which probes are due, and updates the report, each at its own
+// interval. It returns the time until the next check.
 func (l *EventLoop) stepSchedulerIfDue(now time.Duration) time.Duration {
 	s := l.SharedProbing
 	if now >= s.steppedAt+stepInterval {
@@ -54,7 +53,8 @@
 	return max(s.steppedAt+stepInterval-now, 0)
 }
 
-// stepScheduler lets the scheduler act. What goes to peers waits until the fleet's status is unlocked.
+// stepScheduler passes an event to the scheduler and carries out the resulting actions. Messages to peers are
+// queued until the fleet status is unlocked.
 func (l *EventLoop) stepScheduler(now time.Duration, ev probing.Event) {
 	s := l.SharedProbing
 	s.actions = s.scheduler.Handle(now, ev, s.actions[:0])
@@ -79,7 +79,7 @@
 	}
 }
 
-// useReading gives the decision module another relay's reading.
+// useReading passes a reading of another relay to the decision module.
 func (l *EventLoop) useReading(now time.Duration, u probing.UseReading) {
 	id, ok := l.table.readyServer(l.SharedProbing.serverIDs[u.ServerKey])
 	if !ok {
@@ -92,7 +92,7 @@
 	l.handle(now, decide.GossipReading{Server: id, Age: age, Report: fromPeerReport(report)})
 }
 
-// toPeerReport turns a load report into the form that relays send each other.
+// toPeerReport converts a load report into the form that relays exchange.
 func toPeerReport(r decide.LoadReport) probing.LoadReport {
 	return probing.LoadReport{
 		Load:     r.Load,
@@ -102,7 +102,7 @@
 	}
 }
 
-// fromPeerReport turns a load report from another relay into the decision module's.
+// fromPeerReport converts a load report of another relay into the form that the decision module uses.
 func fromPeerReport(r probing.LoadReport) decide.LoadReport {
 	return decide.LoadReport{
 		Load:            r.Load,
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -8,10 +8,10 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file makes records for the event recorder. Callers hold the table's lock and have checked that there
-// is a recorder.
+// This file creates records for the event recorder. Callers hold the table's lock and have checked that the
+// recorder is not nil.
 
-// recordWatchEvent records what a list or a watch event has changed.
+// recordWatchEvent records the changes by an endpoint list or a watch event, or a failure to obtain one.
 func (t *RequestTable) recordWatchEvent(kind decide.WatchKind) {
 	if kind != decide.WatchFailed {
 		t.recordEndpointChanges()
@@ -24,7 +24,8 @@
 	})
 }
 
-// recordEndpointChanges records every server whose state or start has changed since the last record.
+// recordEndpointChanges records every server whose state or start time has changed since it was last
+// recorded.
 func (t *RequestTable) recordEndpointChanges() {
 	now := t.Clock.Now()
 	for _, s := range t.endpoints.servers {
@@ -45,7 +46,7 @@
 	}
 }
 
-// recordConnLimitRejection records that a client was rejected for want of descriptors.
+// recordConnLimitRejection records that a client was rejected because no file descriptor was left for it.
 func (t *RequestTable) recordConnLimitRejection() {
 	t.Recorder.Put(&recorder.Record{
 		At:        t.Clock.Now(),
@@ -55,7 +56,7 @@
 	})
 }
 
-// recordProbe records a probe's end.
+// recordProbe records the end of a probe.
 func (t *RequestTable) recordProbe(p decide.ProbeResult) {
 	t.Recorder.Put(&recorder.Record{
 		At:      t.Clock.Now(),
@@ -69,7 +70,7 @@
 	})
 }
 
-// recordPeerReading records that another relay's reading was used.
+// recordPeerReading records that a reading of another relay was used.
 func (t *RequestTable) recordPeerReading(s decide.ServerID, age time.Duration, load float64) {
 	t.Recorder.Put(&recorder.Record{
 		At:      t.Clock.Now() - age,
@@ -80,7 +81,7 @@
 	})
 }
 
-// recordAnswer records a final answer, but of a client that left before it.
+// recordAnswer records a final answer. Nothing is recorded if the client left before it was answered.
 func (r *Request) recordAnswer(a Answer) {
 	rec := recorder.Record{
 		At:        r.table.Clock.Now(),
@@ -98,18 +99,19 @@
 		rec.Kind = recorder.RequestFailed
 	}
 	if r.attemptsStarted > 0 {
-		rec.Server = int32(r.latest.Server.Number)
+		rec.Server = int32(r.lastAttempt.Server.Number)
 	}
 	r.table.Recorder.Put(&rec)
 }
 
-// recordPlacement records an attempt, and what else the decision module could have chosen.
+// recordPlacement records the start of an attempt, with the other servers that the decision module could have
+// chosen.
 func (r *Request) recordPlacement(candidates []decide.PooledServer) {
-	rec := r.recordOfAttempt(recorder.AttemptStarted, r.latest.StartedAt)
+	rec := r.recordOfAttempt(recorder.AttemptStarted, r.lastAttempt.StartedAt)
 	rec.Load = -1
 	for _, c := range candidates {
 		switch {
-		case c.Server == r.latest.Server.Number:
+		case c.Server == r.lastAttempt.Server.Number:
 			rec.Load = float32(c.EstimatedLoad)
 		case rec.PoolSize < recorder.MaxCandidates:
 			rec.Pool[rec.PoolSize] = recorder.Candidate{
@@ -124,43 +126,42 @@
 	r.table.Recorder.Put(&rec)
 }
 
-// recordEstablished records that a request is established.
+// recordEstablished records that the latest attempt has established the request.
 func (r *Request) recordEstablished() {
 	now := r.table.Clock.Now()
 	rec := r.recordOfAttempt(recorder.ConnectionUp, now)
-	rec.Elapsed = now - r.latest.StartedAt
+	rec.Elapsed = now - r.lastAttempt.StartedAt
 	r.table.Recorder.Put(&rec)
 }
 
-// recordMigration records that a client is to be sent to another server.
+// recordMigration records that the migration of a client to another server has started.
 func (r *Request) recordMigration(by recorder.Initiator) {
 	r.table.Recorder.Put(&recorder.Record{
 		At:        r.table.Clock.Now(),
 		Kind:      recorder.ClientMigrated,
 		Request:   uint64(r.ID),
-		Server:    int32(r.latest.Server.Number),
+		Server:    int32(r.lastAttempt.Server.Number),
 		Initiator: by,
 	})
 }
 
-// recordMessageDelay records a slow message.
 func (r *Request) recordMessageDelay(now, delay time.Duration) {
 	r.table.Recorder.Put(&recorder.Record{
 		At:      now,
 		Kind:    recorder.MessageDelayed,
 		Request: uint64(r.ID),
-		Server:  int32(r.latest.Server.Number),
+		Server:  int32(r.lastAttempt.Server.Number),
 		Elapsed: delay,
 	})
 }
 
-// recordAttemptEnd records how an attempt ended, and who ended it: to the decision module a client that has
-// left and a server that sends its clients away look alike.
+// recordAttemptEnd records how the latest attempt ended, and who ended it. The outcome that the decision
+// module gets does not distinguish a client that left from a server that migrates its clients away.
 func (r *Request) recordAttemptEnd(status decide.Status, report decide.LoadReport) {
 	now := r.table.Clock.Now()
 	rec := r.recordOfAttempt(recorder.AttemptEnded, now)
 	rec.Status = status
-	rec.Elapsed = now - r.latest.StartedAt
+	rec.Elapsed = now - r.lastAttempt.StartedAt
 	rec.Load = float32(report.Load)
 	rec.Queue = float32(report.InFlight)
 	rec.Errors = float32(report.ErrorsPerSecond)
@@ -169,7 +170,7 @@
 	r.table.Recorder.Put(&rec)
 }
 
-// endedBy returns who ended the latest attempt.
+// endedBy returns which party ended the latest attempt.
 func (r *Request) endedBy() recorder.Initiator {
 	switch {
 	case r.connection.serverSilent:
@@ -178,19 +179,19 @@
 		return recorder.Module
 	case r.state == Ended && !r.connection.serverClosed:
 		return recorder.Client
-	case r.latest.canceled:
+	case r.lastAttempt.canceled:
 		return recorder.Module
 	}
 	return recorder.Server
 }
 
-// recordOfAttempt returns a record of the latest attempt.
+// recordOfAttempt returns a record with the fields that identify the latest attempt.
 func (r *Request) recordOfAttempt(kind recorder.Kind, at time.Duration) recorder.Record {
 	return recorder.Record{
 		At:      at,
 		Kind:    kind,
 		Request: uint64(r.ID),
-		Server:  int32(r.latest.Server.Number),
-		Attempt: uint8(min(r.latest.Number, math.MaxUint8)),
+		Server:  int32(r.lastAttempt.Server.Number),
+		Attempt: uint8(min(r.lastAttempt.Number, math.MaxUint8)),
 	}
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -8,94 +8,97 @@
 	"capersail/internal/observe/recorder"
 )
 
-// RequestParams is what a client asks for, in the numbers that the deployment gives to names.
+// RequestParams are the parameters of a client's request. Names are replaced by the numbers that the
+// deployment assigns to them.
 type RequestParams struct {
-	Name      string // by which servers know the request, "" if they do not
+	Name      string // name that the servers know the request by, "" for none
 	Class     decide.Class
 	Tenant    decide.Tenant
-	Key       uint64         // 0 for none
-	Group     uint64         // connections of one group share work, 0 for none
-	LoadHint  float64        // the usual load, 0 if it is not known
-	Timeout   time.Duration  // how long the client will wait for its answer
-	Returning bool           // the client comes back after a break or a migration, or retries
+	Key       uint64         // idempotency key, 0 for none
+	Group     uint64         // connections of the same group share work, 0 for none
+	LoadHint  float64        // expected load of the connection, 0 if it is unknown
+	Timeout   time.Duration  // how long the client waits for its answer
+	Returning bool           // the client reconnects after a failure or a migration, or retries
 	Ownership OwnershipLease // nil for none
-	Payload   any            // what the front's two sides share; nothing here reads it
+	Payload   any            // shared by the two sides of the front; not read by this package
 }
 
 // Answer is the final answer to a request that was never established.
 type Answer struct {
 	Kind       AnswerKind
-	RetryAfter time.Duration // with Rejected, 0 for no advice
-	Cause      decide.Status // how its last attempt ended
-	Note       string        // with Failed, what the front may tell the client of the reason
+	RetryAfter time.Duration // when the client should retry; only with Rejected, 0 for no advice
+	Cause      decide.Status // how the last attempt of the request ended
+	Note       string        // reason that the front may tell the client; only with Failed
 
 	reason    decide.RejectReason
 	decidedBy recorder.Initiator
 }
 
-// Request is one request, from its arrival until both sides are done with it. Its fields are the table's,
-// under the table's lock; both sides use its methods, which are safe for use by many goroutines.
+// Request is one request, from its arrival until both the client side and the server side have finished with
+// it. The table's lock guards its fields. Both sides use its methods, which are safe for concurrent use.
 type Request struct {
 	RequestParams
 	ID decide.RequestID
 
 	table      *RequestTable
 	clientConn ClientConn
-	deadline   time.Duration // until when the client waits
-	resumed    bool          // it was open at its server before this relay started
+	deadline   time.Duration // instant until which the client waits
+	resumed    bool          // the connection was open at its server before this relay started
 
 	state              State
 	answer             Answer
-	establishedOrEnded chan struct{} // closed once the request is established or ended
-	bothSidesDone      chan struct{} // closed once both sides are done with it
-	ownershipLost      bool          // its ownership lease may be lost
+	establishedOrEnded chan struct{} // closed once the request is established or has ended
+	bothSidesDone      chan struct{} // closed once both sides have finished with the request
+	ownershipLost      bool          // this relay may have lost the ownership lease
 
-	attemptsStarted int // started so far
-	latest          latestAttempt
-	possibleRun     firstPossibleRun
+	attemptsStarted int
+	lastAttempt     lastAttemptState
+	possibleRun     possibleRun
 	connection      connectionState
 }
 
-// latestAttempt is the attempt of a request that was started last, in flight or not.
-type latestAttempt struct {
+// lastAttemptState is the most recent attempt of a request, in flight or not.
+type lastAttemptState struct {
 	Attempt
-	inFlight       bool          // the server side has not reported its end
-	mayHaveWritten bool          // its first byte may have been written
-	firstByteAt    time.Duration // when the first byte of the latest attempt that wrote one was let go
-	canceled       bool          // it is no longer wanted
-	conn           ServerConn    // nil until the server side has attached it
+	inFlight       bool          // the server side has not reported the end of the attempt
+	mayHaveWritten bool          // the first byte of the attempt may have been written
+	firstByteAt    time.Duration // when BeginWrite last permitted a first byte, of any attempt
+	canceled       bool          // the attempt is no longer wanted
+	conn           ServerConn    // nil until the server side has called Attach
 }
 
-// firstPossibleRun is the first attempt of a request that ended without proof that it never ran.
-type firstPossibleRun struct {
-	exists         bool
-	firstByteAt    time.Duration // when its first byte was let go
-	serverLocation guard.Location
+// possibleRun describes the first attempt of a request that ended without proof that no server executed
+// it.
+type possibleRun struct {
+	exists      bool
+	firstByteAt time.Duration // when BeginWrite permitted the first byte of that attempt
+	location    guard.Location
 }
 
-// connectionState is what a request is in once it is established.
+// connectionState is the state of the connection of an established request.
 type connectionState struct {
-	wasEstablished  bool          // it has been established, even if it has ended since
-	migrating       bool          // the client is to be sent to another server
-	serverSilent    bool          // because its server brings nothing back
-	serverClosed    bool          // the server ended the connection, before the client did
-	unansweredSince time.Duration // when the oldest line without an answer went to the server, 0 if none
+	wasEstablished  bool          // the request has been established, even if it has ended since
+	migrating       bool          // the client is being migrated to another server
+	serverSilent    bool          // the reason for the migration is that the server is silent
+	serverClosed    bool          // the server closed the connection before the client did
+	unansweredSince time.Duration // when the oldest unanswered line was sent to the server, 0 if none
 }
 
-// attemptInSetUp tells whether an attempt is still wanted and not yet established. The caller holds the lock.
+// attemptInSetUp reports whether an attempt is the latest one, is still wanted, and is not established yet.
+// The caller holds the lock.
 func (r *Request) attemptInSetUp(attempt int) bool {
-	return r.state == Attempting && r.latest.Number == attempt && !r.latest.canceled
+	return r.state == Attempting && r.lastAttempt.Number == attempt && !r.lastAttempt.canceled
 }
 
-// nameTaken tells whether another request has the name. The caller holds the lock.
+// nameTaken reports whether another request has the same name. The caller holds the lock.
 func (r *Request) nameTaken() bool {
 	return r.Name != "" && r.table.requests.byName[r.Name] != r
 }
 
-// decisionRequest returns the request as the decision module gets it. The caller holds the lock.
+// decisionRequest returns the request in the form that the decision module uses. The caller holds the lock.
 func (r *Request) decisionRequest() decide.Request {
 	left := r.Timeout
-	if r.Ownership != nil { // it has waited for its lease, while the client's deadline came nearer
+	if r.Ownership != nil { // waiting for the lease has used up part of the timeout
 		left = max(0, r.deadline-r.table.Clock.Now())
 	}
 	return decide.Request{
@@ -110,11 +113,12 @@
 	}
 }
 
-// startAttempt starts an attempt at a server, which is given up after timeout; 0 is the client's deadline
-// alone. The caller holds the lock.
+// startAttempt starts an attempt at a server. The attempt is abandoned after timeout, and at the client's
+// deadline in any case; a timeout of 0 means that only the client's deadline applies. The caller holds the
+// lock.
 func (r *Request) startAttempt(s *Server, timeout time.Duration) {
 	now := r.table.Clock.Now()
-	if r.latest.inFlight {
+	if r.lastAttempt.inFlight {
 		r.recordViolation(guard.NoDuplicateAttempt, s)
 	}
 	deadline := r.deadline
@@ -124,7 +128,7 @@
 	server := *s
 	server.listEntry = s
 	r.state = Attempting
-	r.latest = latestAttempt{
+	r.lastAttempt = lastAttemptState{
 		Attempt: Attempt{
 			Number:         r.attemptsStarted,
 			Server:         server,
@@ -133,13 +137,14 @@
 			ClientDeadline: r.deadline,
 		},
 		inFlight:    true,
-		firstByteAt: r.latest.firstByteAt,
+		firstByteAt: r.lastAttempt.firstByteAt,
 	}
 	r.attemptsStarted++
-	r.table.dialer.StartAttempt(r, r.latest.Attempt)
+	r.table.dialer.StartAttempt(r, r.lastAttempt.Attempt)
 }
 
-// setFinalAnswer gives a request that is not established its final answer, once. The caller holds the lock.
+// setFinalAnswer gives a request its final answer. It does nothing if the request is established or has
+// ended. The caller holds the lock.
 func (r *Request) setFinalAnswer(a Answer) {
 	if guard.MayAnswer(r.state == Ended, r.state == Established) != guard.Allowed {
 		return
@@ -147,7 +152,7 @@
 	if a.Kind != NoAnswer && r.table.Clock.Now()-r.deadline > guard.AnswerSlack {
 		r.recordViolation(guard.AnswerInTime, nil)
 	}
-	if a.Cause == decide.OK { // then what its last attempt met
+	if a.Cause == decide.OK { // no cause is given: use the status of the last attempt
 		a.Cause = r.answer.Cause
 	}
 	r.state = Ended
@@ -157,26 +162,27 @@
 	if r.table.Recorder != nil {
 		r.recordAnswer(a)
 	}
-	if r.latest.inFlight && r.latest.conn != nil {
-		r.latest.conn.Close(GracefulClose)
+	if r.lastAttempt.inFlight && r.lastAttempt.conn != nil {
+		r.lastAttempt.conn.Close(GracefulClose)
 	}
 	r.removeIfDone()
 	r.clientConn.Wake()
 }
 
-// removeIfDone forgets a request that both sides are done with. The caller holds the lock.
+// removeIfDone removes the request from the table if both sides have finished with it. The caller holds the
+// lock.
 func (r *Request) removeIfDone() {
-	if r.state != Ended || r.latest.inFlight || !r.table.requests.remove(r) {
+	if r.state != Ended || r.lastAttempt.inFlight || !r.table.requests.remove(r) {
 		return
 	}
 	close(r.bothSidesDone)
-	if r.Ownership != nil { // never before: an attempt in flight holds the lease
+	if r.Ownership != nil { // not earlier, because an attempt in flight needs the lease
 		r.Ownership.Release()
 	}
 }
 
-// migrate has the server side send the client of an established request to another server, once. The caller
-// holds the lock.
+// migrate makes the server side migrate the client of an established request to another server. It does
+// nothing if the request is not established or is already migrating. The caller holds the lock.
 func (r *Request) migrate(by recorder.Initiator) {
 	if r.state != Established || r.connection.migrating {
 		return
@@ -185,5 +191,5 @@
 	if r.table.Recorder != nil {
 		r.recordMigration(by)
 	}
-	r.latest.conn.Wake()
+	r.lastAttempt.conn.Wake()
 }
--- a/internal/relay/request_model_test.go
+++ b/internal/relay/request_model_test.go
@@ -7,24 +7,24 @@
 	"capersail/decide"
 )
 
-// requestModel is what a request's states are meant to be: plain values, no locks, no channels. Its client
-// waits for a second.
+// requestModel is the expected state of a request, as plain values without locks and channels. Its client
+// waits for 1 s.
 type requestModel struct {
 	request       *Request
 	client        *fakeSide
 	lease         *fakeLease // nil for none
-	name          string     // "" from when another request has it
+	name          string     // "" for none, or if another open request has the name
 	nonIdempotent bool
 	deadline      time.Duration
 
-	state      State
-	answer     AnswerKind
-	attempts   int
-	mayHaveRun bool
-	migrating  bool
-	outcomes   int // that the decision module is owed
+	state     State
+	answer    AnswerKind
+	attempts  int
+	mayRun    bool
+	migrating bool
+	outcomes  int // upper limit of the outcomes that the decision module is notified of
 
-	// Of the latest attempt.
+	// The fields below describe the latest attempt.
 	server          int
 	attemptDeadline time.Duration
 	inFlight        bool
@@ -33,29 +33,29 @@
 	writeBegun      bool
 }
 
-// bothSidesDone tells whether neither side has anything to do with the request any more.
-func (m *requestModel) bothSidesDone() bool { return m.state == Ended && !m.inFlight }
+// done reports whether both sides have finished with the request.
+func (m *requestModel) done() bool { return m.state == Ended && !m.inFlight }
 
-// inSetUp tells whether the latest attempt is wanted and not established.
+// inSetUp reports whether the latest attempt is wanted and not established.
 func (m *requestModel) inSetUp() bool { return m.state == Attempting && !m.canceled }
 
-// answered tells whether the request needs no answer any more.
+// answered reports whether the request is established or has ended, and so needs no answer.
 func (m *requestModel) answered() bool { return m.state == Established || m.state == Ended }
 
-// mayReject tells whether a rejection would be true: a retry is harmless.
+// mayReject reports whether a retry of the request is harmless, as a rejection promises.
 func (m *requestModel) mayReject() bool {
-	return !m.nonIdempotent || !m.mayHaveRun && !(m.inFlight && m.writeBegun)
+	return !m.nonIdempotent || !m.mayRun && !(m.inFlight && m.writeBegun)
 }
 
-// giveFinalAnswer is the final answer, if the request needs one.
+// giveFinalAnswer ends the request with an answer, unless the request needs none.
 func (m *requestModel) giveFinalAnswer(kind AnswerKind) {
 	if !m.answered() {
 		m.state, m.answer = Ended, kind
 	}
 }
 
-// modelTest plays steps to a table and to the models of its requests, of two servers and two classes, the
-// second not idempotent.
+// modelTest applies steps both to a table and to the models of its requests. There are two servers and two
+// classes, of which the second is not idempotent.
 type modelTest struct {
 	*testing.T
 	table        *RequestTable
@@ -66,7 +66,7 @@
 	shuttingDown bool
 }
 
-// modelSteps are what may happen, by the number that a seed has for it.
+// modelSteps are the possible steps. The index of a step is its number in the fuzz input.
 var modelSteps = [...]func(w *modelTest, m *requestModel, who, arg int){
 	0:  (*modelTest).open,
 	1:  (*modelTest).startAttempt,
@@ -91,7 +91,7 @@
 	20: (*modelTest).receiveUnread,
 }
 
-// needsNoRequest tells whether a step is about no request, or a new one.
+// needsNoRequest reports whether a step concerns no existing request.
 func needsNoRequest(step int) bool { return step == 0 || step == 9 || step == 10 || step == 13 }
 
 func (w *modelTest) open(m *requestModel, who, arg int) {
@@ -106,7 +106,7 @@
 	}
 	nameTaken := false
 	for _, other := range w.models {
-		nameTaken = nameTaken || m.name != "" && other.name == m.name && !other.bothSidesDone()
+		nameTaken = nameTaken || m.name != "" && other.name == m.name && !other.done()
 	}
 	o := RequestParams{Name: m.name, Class: decide.Class(who % 2), Timeout: time.Second}
 	if arg >= 128 {
@@ -128,9 +128,9 @@
 	forward := decide.Forward{ID: m.request.ID, Server: decide.ServerID(arg % 2), Timeout: timeout}
 	w.table.startAttempt(forward, nil)
 	ready := w.serverStates[arg%2] == decide.Ready
-	allowed := m.state == Queued && !m.inFlight && ready && m.attempts < 3 && !(m.mayHaveRun && m.nonIdempotent)
+	allowed := m.state == Queued && !m.inFlight && ready && m.attempts < 3 && !(m.mayRun && m.nonIdempotent)
 	if allowed != (len(w.dialer.attempts) == before+1) {
-		w.Fatalf("attempt in %+v: started %v", m, !allowed)
+		w.Fatalf("startAttempt with the model %+v: attempt started is %v, want the opposite", m, !allowed)
 	}
 	if !allowed {
 		return
@@ -146,7 +146,7 @@
 
 func (w *modelTest) attach(m *requestModel, _, _ int) {
 	if got := m.request.Attach(m.attempts-1, &fakeSide{}); got != m.inSetUp() {
-		w.Fatalf("attach in %+v: %v", m, got)
+		w.Fatalf("Attach with the model %+v: got %v, want the opposite", m, got)
 	}
 	m.attached = m.attached || m.inSetUp()
 }
@@ -155,17 +155,17 @@
 	inTime := w.clock.Now() < m.attemptDeadline
 	want := m.inSetUp() && w.serverStates[m.server] == decide.Ready && inTime && !m.client.hasUnread
 	if got := m.request.BeginWrite(m.attempts - 1); got != want {
-		w.Fatalf("begin in %+v: %v", m, got)
+		w.Fatalf("BeginWrite with the model %+v: got %v, want the opposite", m, got)
 	}
 	m.writeBegun = m.writeBegun || want
 }
 
 func (w *modelTest) establish(m *requestModel, _, _ int) {
-	if !m.attached && m.inSetUp() { // no side says so before it has attached
+	if !m.attached && m.inSetUp() { // the server side never calls Establish before Attach
 		return
 	}
 	if got := m.request.Establish(m.attempts-1) != nil; got != m.inSetUp() {
-		w.Fatalf("establish in %+v: %v", m, got)
+		w.Fatalf("Establish with the model %+v: got a client connection %v, want the opposite", m, got)
 	}
 	if m.inSetUp() {
 		m.state, m.migrating = Established, w.shuttingDown
@@ -180,7 +180,7 @@
 	}
 	m.inFlight = false
 	m.outcomes++
-	m.mayHaveRun = m.mayHaveRun || !status.NeverRan()
+	m.mayRun = m.mayRun || !status.NeverRan()
 	switch m.state {
 	case Attempting:
 		m.state = Queued
@@ -246,7 +246,7 @@
 
 func (w *modelTest) failOnClientError(m *requestModel, _, _ int) {
 	if got := m.request.FailOnClientError(); got != !m.answered() {
-		w.Fatalf("client error in %+v: %v", m, got)
+		w.Fatalf("FailOnClientError with the model %+v: got %v, want the opposite", m, got)
 	}
 	m.giveFinalAnswer(Failed)
 }
@@ -261,7 +261,7 @@
 func (w *modelTest) acquireOwnership(m *requestModel, _, _ int) {
 	want := m.state == AwaitingOwnership && !w.shuttingDown
 	if got := m.request.OwnershipAcquired(); got != want {
-		w.Fatalf("ownership acquired in %+v: %v", m, got)
+		w.Fatalf("OwnershipAcquired with the model %+v: got %v, want the opposite", m, got)
 	}
 	switch {
 	case want:
@@ -288,8 +288,8 @@
 	m.giveFinalAnswer(kind)
 }
 
-// check compares every request with its model, and counts the outcomes that the decision module was
-// notified of.
+// check compares every request with its model, and counts the outcomes that the decision module was notified
+// of.
 func (w *modelTest) check(step int) {
 	outcomes := map[decide.RequestID]int{}
 	for _, ev := range w.table.inbox.events {
@@ -300,69 +300,70 @@
 	for who, m := range w.models {
 		r := m.request
 		state, answer := r.State()
-		if state != m.state || answer.Kind != m.answer || r.latest.inFlight != m.inFlight {
-			w.Fatalf("after step %d: request %d is %v %+v, in flight %v; want %+v",
-				step, who, state, answer, r.latest.inFlight, m)
+		if state != m.state || answer.Kind != m.answer || r.lastAttempt.inFlight != m.inFlight {
+			w.Fatalf("after step %d: request %d has state %v, answer %+v, in flight %v; want the model %+v",
+				step, who, state, answer, r.lastAttempt.inFlight, m)
 		}
-		if l := m.lease; l != nil && ((l.released == 1) != m.bothSidesDone() || l.released > l.acquired+1) {
-			w.Fatalf("request %d in %v: lease acquired %d times, released %d times",
+		if l := m.lease; l != nil && ((l.released == 1) != m.done() || l.released > l.acquired+1) {
+			w.Fatalf("request %d in state %v: lease acquired %d, released %d times, want 1 at the end",
 				who, m.state, l.acquired, l.released)
 		}
 		if m.state == AwaitingOwnership && m.inFlight {
-			w.Fatalf("request %d has an attempt in flight before its lease is acquired", who)
+			w.Fatalf("request %d has an attempt in flight before its lease is acquired, want none", who)
 		}
 		if migrating, _ := r.Migrating(); migrating != m.migrating {
-			w.Fatalf("request %d: migrating %v", who, migrating)
+			w.Fatalf("request %d: migrating is %v, want the opposite", who, migrating)
 		}
 		if m.answered() != isClosed(r.EstablishedOrEnded()) {
-			w.Fatalf("request %d in %v: settled is wrong", who, m.state)
+			w.Fatalf("request %d in state %v: EstablishedOrEnded() does not match", who, m.state)
 		}
 		if outcomes[r.ID] > m.outcomes {
-			w.Fatalf("request %d: %d outcomes told of %d", who, outcomes[r.ID], m.outcomes)
+			w.Fatalf("request %d: got %d outcomes, want at most %d", who, outcomes[r.ID], m.outcomes)
 		}
-		if _, kept := w.table.requests.byID[r.ID]; kept == m.bothSidesDone() || isClosed(r.BothSidesDone()) != m.bothSidesDone() {
-			w.Fatalf("request %d in %v is kept: %v", who, m.state, kept)
+		if _, ok := w.table.requests.byID[r.ID]; ok == m.done() || isClosed(r.BothSidesDone()) != m.done() {
+			w.Fatalf("request %d in state %v: in the table %v, want it removed once both sides are done",
+				who, m.state, ok)
 		}
 	}
 }
 
-// requestSeeds are what FuzzRequestsAgainstModel begins with, three bytes a step: what, to which request,
-// with what.
+// requestSeeds is the seed corpus of FuzzRequestsAgainstModel. Each step takes three bytes: the number of the
+// step, the number of the request, and the argument.
 var requestSeeds = []struct {
 	name  string
 	steps []byte
 }{
-	{"established, migrated, over",
+	{"established, migrated, ended",
 		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 7, 0, 0, 5, 0, 0}},
 	{"the server drains during the dial",
 		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 9, 0, 1, 3, 0, 0, 5, 0, 7, 1, 0, 1, 2, 0, 0}},
-	{"the client leaves in set-up",
+	{"the client leaves during set-up",
 		[]byte{0, 0, 0, 1, 0, 0, 6, 0, 0, 5, 0, 0, 8, 0, 1, 8, 0, 0}},
-	{"not idempotent and lost: no second attempt",
+	{"not idempotent, connection lost: no second attempt",
 		[]byte{0, 1, 1, 1, 1, 0, 2, 1, 0, 3, 1, 0, 5, 1, 3, 1, 1, 1, 8, 1, 1}},
-	{"canceled, overdue, a shutdown",
+	{"canceled, overdue, shutdown",
 		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 11, 0, 0, 3, 0, 0, 5, 0, 0, 10, 0, 9, 12, 0, 0, 13, 0, 0, 0, 2, 0}},
-	{"a name that is taken, fails, is free",
+	{"name taken, request fails, name free again",
 		[]byte{0, 0, 1, 1, 0, 0, 0, 1, 1, 14, 0, 0, 0, 2, 1, 5, 0, 0, 0, 3, 1}},
-	{"a client's error once established",
+	{"client error after it is established",
 		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 14, 0, 0, 15, 0, 0, 5, 0, 0}},
-	{"the client has gone, unread",
+	{"client closed, not read yet",
 		[]byte{0, 0, 0, 1, 0, 0, 2, 0, 0, 20, 0, 0, 3, 0, 0, 5, 0, 7, 1, 0, 1, 2, 0, 0, 3, 0, 0}},
 	{"ownership acquired, established, lost",
 		[]byte{0, 0, 128, 1, 0, 0, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 4, 0, 0, 18, 0, 0, 5, 0, 0}},
-	{"the client left, ownership denied, a shutdown",
+	{"client left, ownership denied, shutdown",
 		[]byte{0, 0, 128, 6, 0, 0, 16, 0, 0, 0, 1, 128, 17, 1, 0, 0, 2, 128, 13, 0, 0, 16, 2, 0}},
-	{"ownership lost while it may run",
+	{"ownership lost while the request may run",
 		[]byte{0, 1, 129, 16, 1, 0, 1, 1, 0, 2, 1, 0, 3, 1, 0, 18, 1, 0, 4, 1, 0, 5, 1, 3}},
 	{"failed by the server",
 		[]byte{0, 0, 128, 16, 0, 0, 1, 0, 0, 2, 0, 0, 3, 0, 0, 19, 0, 0, 5, 0, 6}},
-	{"no attempt at a server that drains", []byte("\x8700*00+000")},
-	{"a rejection of what may have run fails", []byte("*10+10B10210")},
+	{"no attempt at a draining server", []byte("\x8700*00+000")},
+	{"rejection of a request that may have run fails it", []byte("*10+10B10210")},
 }
 
-// FuzzRequestsAgainstModel plays random steps to a few requests and checks every one against its model: one
-// final answer, never two attempts in flight, nothing written to a server that drains, one outcome for each
-// attempt.
+// FuzzRequestsAgainstModel applies random steps to a few requests and compares each request with its model.
+// It checks that a request gets one final answer and never has two attempts in flight, that nothing is
+// written to a draining server, and that the decision module gets one outcome for each attempt.
 func FuzzRequestsAgainstModel(f *testing.F) {
 	for _, seed := range requestSeeds {
 		f.Add(seed.steps)
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -12,49 +12,51 @@
 	"capersail/internal/observe/recorder"
 )
 
-// RequestTable is where the client side and the server side of a front meet. Each request has one state,
-// gets one final answer and has at most one attempt in flight; an attempt is checked against the newest
-// endpoint list just before its first byte. It is safe for use by many goroutines; nothing in it blocks.
+// RequestTable holds the requests of a front and connects its client side with its server side. Each request
+// has one state, gets one final answer, and has at most one attempt in flight. An attempt is checked against
+// the newest endpoint list immediately before its first byte is written. A RequestTable is safe for
+// concurrent use, and its methods do not block.
 type RequestTable struct {
 	// Clock is the relay's clock.
 	Clock *Clock
-	// Recorder gets a record of whatever happens; nil for none. It is set before the first use.
+	// Recorder receives a record of each event of a request, a server or a probe. It may be nil, and must be
+	// set before the first use.
 	Recorder *recorder.Recorder
-	// Log gets what the guard denies, and violated invariants. It is set before the first use; the zero one
-	// writes nothing.
+	// Log receives messages about denials, violated invariants and the endpoint lease. It must be set before
+	// the first use; the zero Logger writes nothing.
 	Log zerolog.Logger
-	// Violations counts what was done against an invariant.
+	// Violations counts violated invariants.
 	Violations guard.ViolationCounts
-	// Denials counts what was not done, by what stood in the way.
+	// Denials counts denied actions, by reason.
 	Denials guard.DenialCounts
 
 	deployment *Deployment
 	dialer     ServerDialer
 
-	mu              sync.Mutex // guards all that follows, and every request
+	mu              sync.Mutex // guards the fields below, and every request
 	requests        requestIndex
 	endpoints       endpointList
 	lease           endpointLeaseWatch
 	counters        requestCounters
 	inbox           inbox
-	shuttingDown    bool // at SIGTERM, for good
-	drainedManually bool // by an operator, until the drain is ended
+	shuttingDown    bool // a graceful shutdown has begun; never reset
+	drainedManually bool // an operator is draining the relay
 }
 
-// inbox is what the event loop has not taken yet.
+// inbox is the queue of events for the event loop.
 type inbox struct {
 	events []decide.Event
 	ready  chan struct{} // holds one token while there are events
 }
 
-// requestIndex holds the requests that some side is not done with.
+// requestIndex contains the requests that at least one side has not finished with.
 type requestIndex struct {
 	byID   map[decide.RequestID]*Request
-	byName map[string]*Request // the first of those of a name
+	byName map[string]*Request // the first request with each name
 	lastID decide.RequestID
 }
 
-// add gives a request its number and keeps it.
+// add assigns an ID to a request and adds it to the index.
 func (i *requestIndex) add(r *Request) {
 	i.lastID++
 	r.ID = i.lastID
@@ -64,7 +66,7 @@
 	}
 }
 
-// remove forgets a request; it is false if that was done before.
+// remove removes a request from the index. It returns false if the request was removed before.
 func (i *requestIndex) remove(r *Request) bool {
 	if i.byID[r.ID] != r {
 		return false
@@ -76,7 +78,8 @@
 	return true
 }
 
-// NewRequestTable returns a table without requests, whose endpoint list is on no lease.
+// NewRequestTable returns a table without requests. The lease of its endpoint list is disabled until
+// LeaseEndpointList is called.
 func NewRequestTable(deployment *Deployment, clock *Clock, dialer ServerDialer) *RequestTable {
 	return &RequestTable{
 		Clock:      clock,
@@ -101,7 +104,7 @@
 	}
 }
 
-// takeInbox returns the events that were queued and empties the queue.
+// takeInbox returns the queued events and empties the queue.
 func (t *RequestTable) takeInbox() []decide.Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,17 +113,18 @@
 	return events
 }
 
-// Open takes on a request. A relay that shuts down or is drained rejects it at once, and one with the name of
-// another open request fails: to its server it would be a second attempt at that.
+// Open opens a request. It rejects the request at once if the relay is shutting down or being drained. It
+// fails a request with the name of another open request, because a server would take it for a second attempt
+// of that one.
 func (t *RequestTable) Open(o RequestParams, client ClientConn) *Request {
 	r, acquire := t.open(o, client)
-	if acquire { // without the lock: the lease may answer at once
+	if acquire { // without the lock, because the lease may answer at once
 		o.Ownership.Acquire(r)
 	}
 	return r
 }
 
-// open takes on a request, and tells whether its ownership lease is to be acquired.
+// open opens a request, and reports whether its ownership lease has to be acquired.
 func (t *RequestTable) open(o RequestParams, client ClientConn) (r *Request, acquire bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,8 +144,8 @@
 	return r, o.Ownership != nil && r.state != Ended
 }
 
-// Resume takes on a connection that was open at a server before this relay started. The decision module
-// is notified once it is established again.
+// Resume opens a request for a connection that was open at a server before this relay started. The decision
+// module is notified when the connection is established again.
 func (t *RequestTable) Resume(o RequestParams, server string, client ClientConn) *Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +165,7 @@
 	return r
 }
 
-// register keeps a request from its arrival on. The caller holds the lock.
+// register creates a request and adds it to the table. The caller holds the lock.
 func (t *RequestTable) register(o RequestParams, client ClientConn) *Request {
 	t.counters.arrivals.Add(1)
 	r := &Request{
@@ -176,13 +180,14 @@
 	return r
 }
 
-// A relay that shuts down or is drained has its clients retry soon, at another relay, and not all at once.
+// A relay that is shutting down or being drained makes its clients retry soon, at another relay. The random
+// spread prevents that all clients retry at the same time.
 const (
 	shutdownRetryAfter  = 50 * time.Millisecond
 	shutdownRetrySpread = 100 * time.Millisecond
 )
 
-// shutdownRejection returns the answer of a relay that shuts down or is drained.
+// shutdownRejection returns the answer to new requests while the relay is shutting down or being drained.
 func (t *RequestTable) shutdownRejection() Answer {
 	return Answer{
 		Kind:       Rejected,
@@ -191,7 +196,7 @@
 	}
 }
 
-// applyRetryAfterSetting takes the Retry-After out of an answer where Settings.RetryAfter is off.
+// applyRetryAfterSetting removes the Retry-After from an answer if Settings.RetryAfter is off.
 func (t *RequestTable) applyRetryAfterSetting(a Answer) Answer {
 	if !t.deployment.Settings.RetryAfter {
 		a.RetryAfter = 0
--- a/internal/relay/request_table_test.go
+++ b/internal/relay/request_table_test.go
@@ -7,14 +7,15 @@
 	"capersail/decide"
 )
 
-// A retry is let go only within the window of its key, from when the first attempt that may have run was
-// let go: the decision module reckons by when it wanted an attempt, and a dial can take up the rest. What
-// never ran opens no window.
+// A retry may only be written within the dedup window, which starts with the first byte of the first attempt
+// that a server may have executed. The decision module plans by the time at which it starts an attempt, but
+// the dial of the retry can use up the rest of the window. An attempt that was never executed starts no
+// window.
 func TestNoRetryAfterTheDedupWindow(t *testing.T) {
 	class := decide.ClassInfo{Idempotency: decide.IdempotentWithKey, DedupWindow: 100 * time.Millisecond}
 	for name, c := range map[string]struct {
 		first decide.Status
-		dial  time.Duration // until the second connection stands
+		dial  time.Duration // time that the second attempt takes to connect
 		want  bool
 	}{
 		"inside":         {decide.Reset, 99 * time.Millisecond, true},
@@ -28,28 +29,29 @@
 			table.UpdateEndpoints(decide.Snapshot, readyEndpoints("a", "b"))
 			r := table.Open(RequestParams{Timeout: 5 * time.Second}, &fakeSide{})
 			startFirst(table, r, 0)
-			clock.Set(clock.Now() + time.Second) // its own dial counts for nothing
+			clock.Set(clock.Now() + time.Second) // the dial of the first attempt is not part of the window
 			if !r.Attach(0, &fakeSide{}) || !r.BeginWrite(0) {
-				t.Fatal("the first attempt is not let go")
+				t.Fatal("Attach or BeginWrite refused the first attempt, want it permitted")
 			}
 			r.EndAttempt(0, c.first, decide.NoLoadReport)
 			table.startAttempt(decide.Forward{ID: r.ID, Server: 1}, nil)
 			clock.Set(clock.Now() + c.dial)
 			if got := r.Attach(1, &fakeSide{}) && r.BeginWrite(1); got != c.want {
-				t.Errorf("let go %v", got)
+				t.Errorf("second attempt permitted: got %v, want the opposite", got)
 			}
 		})
 	}
 }
 
-// A relay that shuts down tells a Retry-After only where the settings allow one.
+// A relay that is shutting down sends a Retry-After only if the settings allow one.
 func TestShutdownRejectionFollowsTheRetryAfterSetting(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		table, _ := newTestTable(decide.Settings{RetryAfter: allowed}, decide.ClassInfo{})
 		table.BeginShutdown()
 		_, a := table.Open(RequestParams{Timeout: 500 * time.Millisecond}, &fakeSide{}).State()
 		if a.Kind != Rejected || (a.RetryAfter > 0) != allowed {
-			t.Errorf("allowed %v: %+v", allowed, a)
+			t.Errorf("Retry-After allowed %v: got %+v, want a rejection with a Retry-After only if allowed",
+				allowed, a)
 		}
 	}
 }
@@ -57,13 +59,13 @@
 func TestEveryEnumerationHasNames(t *testing.T) {
 	for state, name := range stateNames {
 		if name == "" || State(state).String() != name {
-			t.Errorf("state %d is called %q", state, name)
+			t.Errorf("state %d has the name %q, want a non-empty name that String returns", state, name)
 		}
 	}
 	if s := State(len(stateNames)).String(); s != "unknown" {
-		t.Errorf("a value that is no state is called %q", s)
+		t.Errorf("undefined state has the name %q, want \"unknown\"", s)
 	}
 	if Rejected.String() != "rejected" || AbortiveClose.String() != "abortive" {
-		t.Errorf("called %v and %v", Rejected, AbortiveClose)
+		t.Errorf("got the names %v and %v, want rejected and abortive", Rejected, AbortiveClose)
 	}
 }
--- a/internal/relay/server_side.go
+++ b/internal/relay/server_side.go
@@ -6,34 +6,34 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file holds the server side's methods of a request. Each names the attempt that it speaks for, by its
-// number.
+// This file contains the methods of Request that the server side calls. A method that concerns one attempt
+// takes the number of that attempt.
 
-// Attach makes the attempt's connection known, before it is dialled. It is false if the attempt is no
-// longer wanted.
+// Attach sets the attempt's connection, before it is dialled. It returns false if the attempt is no longer
+// wanted.
 func (r *Request) Attach(attempt int, conn ServerConn) bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	if !r.attemptInSetUp(attempt) {
 		return false
 	}
-	r.latest.conn = conn
+	r.lastAttempt.conn = conn
 	return true
 }
 
-// BeginWrite is asked just before the attempt's first byte is written. It is false, and nothing may be
-// written, if the guard denies it: a dial takes time, and meanwhile the server may have begun to drain, the
-// client may have gone, the attempt may have been canceled, or the time in which servers recognize a retry
-// may be over.
+// BeginWrite must be called immediately before the attempt's first byte is written. It returns false if the
+// guard denies the write; then nothing may be written. A dial takes time, and meanwhile the server may have
+// started to drain, the client may have gone, the attempt may have been canceled, or the dedup window, within
+// which servers recognize a retry, may have ended.
 func (r *Request) BeginWrite(attempt int) bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	if denial := r.mayWrite(attempt); denial != guard.Allowed {
-		r.recordDenial(denial, r.latest.currentServer())
+		r.recordDenial(denial, r.lastAttempt.currentServer())
 		return false
 	}
-	r.latest.mayHaveWritten = true
-	r.latest.firstByteAt = r.table.Clock.Now()
+	r.lastAttempt.mayHaveWritten = true
+	r.lastAttempt.firstByteAt = r.table.Clock.Now()
 	r.table.counters.forClass(r.Class).Attempts++
 	return true
 }
@@ -49,34 +49,35 @@
 	return r.clientConn
 }
 
-// WakeServerSide wakes the server side, for which the client side has left something in what they share.
+// WakeServerSide wakes the server side, after the client side has put something for it into the shared
+// payload.
 func (r *Request) WakeServerSide() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.latest.conn != nil && r.latest.inFlight {
-		r.latest.conn.Wake()
+	if r.lastAttempt.conn != nil && r.lastAttempt.inFlight {
+		r.lastAttempt.conn.Wake()
 	}
 }
 
-// FailByServer gives the request its final answer from the server's side: the server will never take it,
-// and no other server would. The attempt is to be ended as usual.
+// FailByServer fails the request on behalf of the server: this server refuses the request for good, and so
+// would every other server. note is for the client. The server side still has to call EndAttempt.
 func (r *Request) FailByServer(attempt int, note string) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if r.state == Attempting && r.latest.Number == attempt {
+	if r.state == Attempting && r.lastAttempt.Number == attempt {
 		r.failWithNote(note)
 	}
 }
 
-// ServerDraining tells whether the attempt's server has begun to drain.
+// ServerDraining reports whether the server of the latest attempt is draining or gone.
 func (r *Request) ServerDraining() bool {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	return r.latest.currentServer().state != decide.Ready
+	return r.lastAttempt.currentServer().state != decide.Ready
 }
 
-// Establish says that the server has taken the connection. It returns the client's end, or nil if the
-// attempt is no longer wanted; then it is to be ended.
+// Establish reports that the server has accepted the connection. It returns the client's connection, or nil
+// if the attempt is no longer wanted; then the server side has to end it.
 func (r *Request) Establish(attempt int) ClientConn {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -97,63 +98,67 @@
 	return r.clientConn
 }
 
-// postEstablished tells the decision module that a request is established, and of one that was resumed all
-// else too. The caller holds the lock.
+// postEstablished notifies the decision module that a request is established. A resumed request is new to the
+// module, so its notification contains the whole request. The caller holds the lock.
 func (r *Request) postEstablished() {
 	if r.resumed {
-		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.latest.Server.Number})
+		r.table.post(decide.Inherited{Request: r.decisionRequest(), Server: r.lastAttempt.Server.Number})
 		return
 	}
 	r.table.post(decide.Opened{
 		ID:           r.ID,
-		Attempt:      r.latest.Number,
-		Server:       r.latest.Server.Number,
-		SetupLatency: (r.table.Clock.Now() - r.latest.StartedAt).Round(decisionPrecision),
+		Attempt:      r.lastAttempt.Number,
+		Server:       r.lastAttempt.Server.Number,
+		SetupLatency: (r.table.Clock.Now() - r.lastAttempt.StartedAt).Round(decisionPrecision),
 	})
 }
 
-// ServerClosed says that the server has ended its connection. It comes before the client's is closed: that
-// makes the client's goroutine say that the client has left, and the close would be recorded as the client's.
+// ServerClosed reports that the server has closed its connection. The server side must call it before it
+// closes the client's connection: that close makes the client's goroutine call ClientClosed, and the end of
+// the connection would be attributed to the client.
 func (r *Request) ServerClosed() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	r.connection.serverClosed = r.state == Established
 }
 
-// Migrating tells whether the client is to be sent to another server, and whether that is because its
-// server is silent.
+// Migrating reports whether the client is being migrated to another server, and whether the reason is that
+// its server is silent.
 func (r *Request) Migrating() (migrating, serverSilent bool) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	return r.connection.migrating, r.connection.serverSilent
 }
 
-// ReportLoad says that the server has reported the connection's load, in microseconds of work a second.
+// ReportLoad passes on the load of the connection that the server has reported, in microseconds of work per
+// second.
 func (r *Request) ReportLoad(load float64) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	r.table.post(decide.ConnectionLoad{ID: r.ID, Server: r.latest.Server.Number, Load: load / 1e6})
+	r.table.post(decide.ConnectionLoad{ID: r.ID, Server: r.lastAttempt.Server.Number, Load: load / 1e6})
 }
 
-// EndAttempt ends the attempt, exactly once, after its connection has been closed. A request that was not
-// established goes back to the decision module; for one that was, it is the end.
+// EndAttempt reports the end of the attempt. The server side calls it exactly once, after it has closed the
+// attempt's connection. A request that was not established returns to the decision module; an established
+// request ends.
 func (r *Request) EndAttempt(attempt int, status decide.Status, report decide.LoadReport) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	if !r.latest.inFlight || r.latest.Number != attempt {
+	if !r.lastAttempt.inFlight || r.lastAttempt.Number != attempt {
 		return
 	}
-	r.latest.inFlight = false
+	r.lastAttempt.inFlight = false
 	if r.table.Recorder != nil {
 		r.recordAttemptEnd(status, report)
 	}
-	// Whatever else it met, one that was called off counts as that.
-	if (r.latest.canceled || r.state == Ended) && !status.NeverRan() {
+	// A canceled attempt counts as canceled, whatever status the server side reports, unless that status
+	// proves that it was never executed.
+	if (r.lastAttempt.canceled || r.state == Ended) && !status.NeverRan() {
 		status = decide.Cancelled
 	}
 	if !r.possibleRun.exists && !status.NeverRan() {
-		location := r.latest.currentServer().location()
-		r.possibleRun = firstPossibleRun{exists: true, firstByteAt: r.latest.firstByteAt, serverLocation: location}
+		location := r.lastAttempt.currentServer().location()
+		r.possibleRun = possibleRun{exists: true, firstByteAt: r.lastAttempt.firstByteAt, location: location}
 	}
 	switch r.state {
 	case Attempting:
@@ -161,7 +166,7 @@
 	case Established:
 		r.state = Ended
 	}
-	if r.resumed && r.state == Queued { // the decision module does not know it yet
+	if r.resumed && r.state == Queued { // the decision module does not know this request yet
 		r.setFinalAnswer(Answer{Kind: Failed, Cause: status})
 		return
 	}
@@ -172,14 +177,14 @@
 	r.removeIfDone()
 }
 
-// postOutcome tells the decision module how the latest attempt ended. The caller holds the lock.
+// postOutcome notifies the decision module of how the latest attempt ended. The caller holds the lock.
 func (r *Request) postOutcome(status decide.Status, report decide.LoadReport) {
 	r.table.post(decide.Outcome{
 		ID:      r.ID,
-		Attempt: r.latest.Number,
-		Server:  r.latest.Server.Number,
+		Attempt: r.lastAttempt.Number,
+		Server:  r.lastAttempt.Server.Number,
 		Status:  status,
-		Elapsed: (r.table.Clock.Now() - r.latest.StartedAt).Round(decisionPrecision),
+		Elapsed: (r.table.Clock.Now() - r.lastAttempt.StartedAt).Round(decisionPrecision),
 		Closed:  r.state == Ended,
 		Report:  report,
 	})
--- a/internal/relay/shared_probing.go
+++ b/internal/relay/shared_probing.go
@@ -9,53 +9,54 @@
 	"capersail/internal/fleet/probing"
 )
 
-// Peers is the other relays, as those who probe servers for each other need them. None of its methods may
-// block.
+// Peers gives shared probing access to the other relays. Its methods must not block.
 type Peers interface {
-	// Participants returns who takes part, this relay too, and this relay's incarnation; nobody before any
-	// view is agreed.
+	// Participants returns the relays that share probing, including this one, and this relay's incarnation.
+	// It returns no relay before the first view is agreed.
 	Participants() (relays []probing.Relay, incarnation uint64)
-	// SendReadings passes readings on to one of them.
+	// SendReadings sends readings to a participant.
 	SendReadings(to string, readings []probing.Reading)
-	// SendPlacements passes on what relays have sent to servers.
+	// SendPlacements sends the numbers of placements at servers to a participant.
 	SendPlacements(to string, rows []probing.PlacementDelta)
 }
 
 const (
-	// participantsInterval is how often it is checked who takes part.
+	// participantsInterval is the interval at which the participants are checked for changes.
 	participantsInterval = 100 * time.Millisecond
-	// stepInterval is how often the scheduler checks which probes are due.
+	// stepInterval is the interval at which the scheduler checks which probes are due.
 	stepInterval = 25 * time.Millisecond
-	// reportInterval is how often Report is made anew.
+	// reportInterval is the interval at which the result of Report is updated.
 	reportInterval = time.Second
-	// maxQueuedBatches bounds the batches of peers' readings that wait for the event loop; more are dropped.
+	// maxQueuedBatches limits the batches of peers' readings and placements that wait for the event loop.
+	// Further batches are dropped.
 	maxQueuedBatches = 256
 )
 
-// SharedProbing lets a relay and its peers probe servers for each other, by assignment. It is the event
-// loop's; other goroutines call Receive and Report only.
+// SharedProbing lets a relay and its peers probe servers for each other. Each server is assigned to some of
+// the relays. The event loop owns it; other goroutines may only call Receive and Report.
 type SharedProbing struct {
 	peers        Peers
 	table        *RequestTable
 	scheduler    *probing.Scheduler
 	onQuarantine func(name string)
 
-	queuedBatches atomic.Int64 // batches of peers' readings in the inbox
+	queuedBatches atomic.Int64 // batches of peers in the inbox
 	report        atomic.Pointer[probing.Report]
 
-	actions   []probing.Action  // scratch of stepScheduler
-	outbox    []probing.Action  // what is to be sent once the fleet's status is unlocked
-	serverIDs map[uint64]string // by ServerKey
+	actions   []probing.Action  // buffer that stepScheduler reuses
+	outbox    []probing.Action  // messages to send once the fleet status is unlocked
+	serverIDs map[uint64]string // ids by ServerKey
 
-	participantsFingerprint uint64 // of the participants and the servers that the scheduler has
-	assignmentPending       bool   // an assignment is being made
+	participantsFingerprint uint64 // fingerprint of the participants and servers that were assigned last
+	assignmentPending       bool   // an assignment is being computed
 	participantsCheckedAt   time.Duration
 	steppedAt               time.Duration
 	reportedAt              time.Duration
 }
 
-// NewSharedProbing returns what is to be put into an EventLoop and to Receive what peers send.
-// onQuarantine is called when a relay's readings are left out.
+// NewSharedProbing returns the SharedProbing of a relay, to be set in its EventLoop. relay is the relay's
+// name, seed the random seed of the scheduler. onQuarantine is called with the name of a peer when the
+// scheduler starts to ignore that peer's readings.
 func NewSharedProbing(
 	table *RequestTable, relay string, seed uint64, peers Peers, onQuarantine func(name string),
 ) *SharedProbing {
@@ -68,7 +69,8 @@
 	}
 }
 
-// The inbox has the decision module's events; these two are the event loop's own, on their way through it.
+// The inbox carries events for the decision module. These two types of event also pass through it, but the
+// event loop handles them itself.
 type (
 	peerEvent struct {
 		decide.PeerMessage
@@ -81,7 +83,7 @@
 	}
 )
 
-// Receive takes what a peer has passed on: probing.ReadingsReceived or probing.PlacementsReceived.
+// Receive queues a message of a peer: probing.ReadingsReceived or probing.PlacementsReceived.
 func (s *SharedProbing) Receive(ev probing.Event) {
 	if s.queuedBatches.Add(1) > maxQueuedBatches {
 		s.queuedBatches.Add(-1)
@@ -92,8 +94,8 @@
 	s.table.post(peerEvent{event: ev})
 }
 
-// Report returns what was known within the last reportInterval; false before anything was, or of a nil
-// SharedProbing.
+// Report returns the state of shared probing, which is at most about one reportInterval old. It returns false
+// before the first report, and for a nil SharedProbing.
 func (s *SharedProbing) Report() (probing.Report, bool) {
 	if s == nil {
 		return probing.Report{}, false
@@ -104,9 +106,9 @@
 	return probing.Report{}, false
 }
 
-// updateParticipants checks who takes part and which servers there are. The assignment of a large fleet
-// takes longer than a tick, so it is made beside the event loop, one at a time; it comes back through the
-// inbox.
+// updateParticipants starts a new assignment if the participants or the ready servers have changed. For a
+// large fleet the assignment takes longer than a tick, so it is computed in a goroutine of its own, one at a
+// time. The result returns through the inbox.
 func (s *SharedProbing) updateParticipants(now time.Duration) {
 	if s.assignmentPending || now < s.participantsCheckedAt+participantsInterval {
 		return
@@ -132,7 +134,7 @@
 	}()
 }
 
-// fingerprint tells one set of participants and servers from another. It is never 0.
+// fingerprint returns a hash of the participants and servers, which is never 0.
 func fingerprint(relays []probing.Relay, incarnation uint64, servers []probing.Server) uint64 {
 	h := fnv.New64a()
 	number := func(n uint64) {
@@ -154,8 +156,8 @@
 	return h.Sum64() | 1
 }
 
-// unixMillis turns a server's start into Unix time in milliseconds, 0 for long ago, as relays send it to
-// each other.
+// unixMillis converts the start time of a server into Unix time in milliseconds, as relays send it to each
+// other. 0 stands for "long ago".
 func unixMillis(at time.Time) int64 {
 	if at.IsZero() {
 		return 0
@@ -163,7 +165,7 @@
 	return at.UnixMilli()
 }
 
-// readyServers returns the servers that new connections may go to, and their ids by ServerKey.
+// readyServers returns the servers that are ready for new connections, and their ids by ServerKey.
 func (t *RequestTable) readyServers() (servers []probing.Server, ids map[uint64]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,7 +181,7 @@
 	return servers, ids
 }
 
-// readyServer returns a server's number, while it is listed and ready.
+// readyServer returns the number of a server, and false if the server is not listed or not ready.
 func (t *RequestTable) readyServer(id string) (decide.ServerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,14 +192,14 @@
 	return s.Number, true
 }
 
-// serverKey returns the ServerKey of a server by its number.
+// serverKey returns the ServerKey of the server with a number.
 func (t *RequestTable) serverKey(id decide.ServerID) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return ServerKey(t.endpoints.servers[id].ID)
 }
 
-// sendOutbox passes on what the scheduler wants passed on.
+// sendOutbox sends the queued messages of the scheduler to peers.
 func (s *SharedProbing) sendOutbox() {
 	for _, action := range s.outbox {
 		switch a := action.(type) {
--- a/internal/relay/shared_probing_test.go
+++ b/internal/relay/shared_probing_test.go
@@ -10,7 +10,7 @@
 	"capersail/internal/fleet/probing"
 )
 
-// fakePeers are two relays that only listen.
+// fakePeers is a Peers of two relays, this one and another. It counts its calls.
 type fakePeers struct{ participantCalls, readings, placements int }
 
 func (p *fakePeers) Participants() ([]probing.Relay, uint64) {
@@ -21,7 +21,7 @@
 func (p *fakePeers) SendReadings(string, []probing.Reading)          { p.readings++ }
 func (p *fakePeers) SendPlacements(string, []probing.PlacementDelta) { p.placements++ }
 
-// newSharedLoop returns an event loop that shares probing with another relay, on a clock that stands still.
+// newSharedLoop returns an event loop that shares probing with another relay and has a manual clock.
 func newSharedLoop(t *testing.T) (loopTest, *fakePeers) {
 	t.Helper()
 	table, dialer := newTestTable(testSettings(), decide.ClassInfo{Deadline: time.Second})
@@ -32,36 +32,38 @@
 	return loopTest{EventLoop: loop, dialer: dialer, clock: table.Clock}, peers
 }
 
-// awaitAssignment lets time pass until the assignment, which is made beside the event loop, has come.
+// awaitAssignment steps the loop until the assignment, which is computed in another goroutine, has arrived.
 func (l loopTest) awaitAssignment(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); len(l.SharedProbing.serverIDs) == 0; {
 		if time.Now().After(end) {
-			t.Fatal("no assignment comes")
+			t.Fatal("no assignment arrived within 10 s")
 		}
 		l.advance(5 * time.Millisecond)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A relay that shares probing probes by its assignment and passes on what it read.
+// A relay that shares probing probes the servers assigned to it and sends the readings to its peers.
 func TestSharedProbingProbesAndPassesReadingsOn(t *testing.T) {
 	l, peers := newSharedLoop(t)
 	l.awaitAssignment(t)
 	l.advance(5 * time.Second)
 	if l.dialer.probes == 0 || peers.readings == 0 {
-		t.Errorf("%d probes, %d batches of readings sent", l.dialer.probes, peers.readings)
+		t.Errorf("got %d probes and %d sent batches of readings, want more than 0 of each",
+			l.dialer.probes, peers.readings)
 	}
 	if report, ok := l.SharedProbing.Report(); !ok || len(report.Servers) != 3 {
-		t.Errorf("report %+v, %v", report, ok)
+		t.Errorf("got report %+v, %v; want a report on 3 servers", report, ok)
 	}
 	var off *SharedProbing
 	if _, ok := off.Report(); ok {
-		t.Error("a relay that shares nothing has a report")
+		t.Error("nil SharedProbing returned a report, want none")
 	}
 }
 
-// Who takes part is looked at each participantsInterval, and the same participants are not assigned again.
+// The participants are checked once per participantsInterval, and no new assignment is made while they stay
+// the same.
 func TestParticipantsAreAssignedOnce(t *testing.T) {
 	l, peers := newSharedLoop(t)
 	l.awaitAssignment(t)
@@ -69,14 +71,14 @@
 	asked := peers.participantCalls
 	l.advance(10 * participantsInterval)
 	if got := peers.participantCalls - asked; got < 9 || got > 10 {
-		t.Errorf("asked %d times in ten intervals", got)
+		t.Errorf("participants were checked %d times in ten intervals, want 9 or 10", got)
 	}
 	if l.SharedProbing.participantsFingerprint != stamp || l.SharedProbing.assignmentPending {
-		t.Error("the same participants are assigned again")
+		t.Error("new assignment for unchanged participants, want none")
 	}
 }
 
-// A flood of peers' messages must not fill the inbox without end.
+// The number of queued messages from peers is limited, so that a flood of them cannot fill the memory.
 func TestPeersMessagesAreBounded(t *testing.T) {
 	l, _ := newSharedLoop(t)
 	for range maxQueuedBatches + 10 {
@@ -89,6 +91,6 @@
 		}
 	}
 	if queued != maxQueuedBatches {
-		t.Errorf("%d batches are queued", queued)
+		t.Errorf("got %d queued batches, want maxQueuedBatches", queued)
 	}
 }
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -2,23 +2,23 @@
 
 import "capersail/internal/observe/recorder"
 
-// BeginShutdown begins a graceful shutdown, for good: new requests are rejected, and a client is migrated
-// as soon as its request is established.
+// BeginShutdown begins a graceful shutdown, which cannot be undone. From then on new requests are rejected,
+// and each client is migrated as soon as its request is established.
 func (t *RequestTable) BeginShutdown() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.shuttingDown = true
 }
 
-// ShuttingDown tells whether a graceful shutdown has begun.
+// ShuttingDown reports whether a graceful shutdown has begun.
 func (t *RequestTable) ShuttingDown() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.shuttingDown
 }
 
-// MigrateClients migrates up to n established clients and returns how many requests some side is not done
-// with.
+// MigrateClients migrates up to n established clients. It returns the number of requests that at least one
+// side has not finished with.
 func (t *RequestTable) MigrateClients(n int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,9 +31,9 @@
 	return len(t.requests.byID)
 }
 
-// AnswerAllPending gives every request that has none its final answer, at the end of a relay's life. A
-// rejection promises that a retry is harmless, so it is no answer to what may have run and must not run
-// twice: that fails.
+// AnswerAllPending gives every unanswered request its final answer, just before the process ends. Requests
+// are rejected, which promises that a retry is harmless. A request that may have been executed and must not
+// be executed twice is failed instead.
 func (t *RequestTable) AnswerAllPending() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/silent_servers.go
+++ b/internal/relay/silent_servers.go
@@ -7,21 +7,22 @@
 	"capersail/internal/observe/recorder"
 )
 
-// This file follows how long servers take to answer lines, and finds silent ones: those that send nothing
+// This file measures how long servers take to answer lines, and detects silent servers, which send no line
 // back.
 
 const (
-	// slowMessageAfter is when an unanswered line counts as a slow message where no class has an objective.
+	// slowMessageAfter is the time after which an unanswered line counts as a slow message if no class has a
+	// latency objective for messages.
 	slowMessageAfter = 500 * time.Millisecond
-	// silentAfter is when the server of an unanswered line counts as silent: at 7 s its connection would be
-	// lost.
+	// silentAfter is the time after which the server of an unanswered line counts as silent. The client has
+	// to be migrated before 7 s, when its connection would be lost.
 	silentAfter = 4500 * time.Millisecond
-	// delayReportInterval is how often at most the decision module is notified of slow messages at one
-	// server.
+	// delayReportInterval is the minimum interval between two notifications of the decision module about slow
+	// messages at the same server.
 	delayReportInterval = time.Second
 )
 
-// LineSent says that a line went to the server; see LineReceived.
+// LineSent reports that a line has been sent to the server; see LineReceived.
 func (r *Request) LineSent() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -30,8 +31,8 @@
 	}
 }
 
-// LineReceived says that a line came back from the server. What the oldest unanswered line waited for it is
-// the time that a message takes there now.
+// LineReceived reports that a line has been received from the server. The time since the oldest unanswered
+// line was sent is taken as the server's current message latency.
 func (r *Request) LineReceived() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -41,10 +42,10 @@
 	}
 }
 
-// reportSlowMessage tells the decision module of a message that took, or takes already, over a third of the
-// shortest objective. The caller holds the lock.
+// reportSlowMessage notifies the decision module of a message that has taken, or has already been waiting
+// for, longer than slowMessageThreshold. The caller holds the lock.
 func (r *Request) reportSlowMessage(delay time.Duration) {
-	now, s := r.table.Clock.Now(), r.latest.currentServer()
+	now, s := r.table.Clock.Now(), r.lastAttempt.currentServer()
 	if delay <= r.table.deployment.slowMessageThreshold() || now-s.delayReportedAt < delayReportInterval {
 		return
 	}
@@ -55,7 +56,8 @@
 	r.table.post(decide.MessageDelay{ID: r.ID, Server: s.Number, Delay: delay.Round(decisionPrecision)})
 }
 
-// slowMessageThreshold returns what a message may take that is not slow: a third of the shortest objective.
+// slowMessageThreshold returns the latency above which a message is slow: a third of the shortest latency
+// objective for messages of any class, and at most slowMessageAfter.
 func (d *Deployment) slowMessageThreshold() time.Duration {
 	threshold := slowMessageAfter
 	for _, class := range d.Settings.Classes {
@@ -66,9 +68,9 @@
 	return threshold
 }
 
-// sweep finds connections whose server sends nothing back. TCP reports nothing when a machine vanishes, so
-// the lines without an answer are all there is to go by. It also notices that the process was stopped,
-// and that the lease of the endpoint list has expired.
+// sweep finds established connections whose server is silent. TCP does not report that a machine has
+// vanished, so unanswered lines are the only sign. sweep also detects that the process was stopped, and that
+// the lease of the endpoint list has expired.
 func (t *RequestTable) sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/silent_servers_test.go
+++ b/internal/relay/silent_servers_test.go
@@ -7,7 +7,7 @@
 	"capersail/internal/observe/recorder"
 )
 
-// A line that nothing comes back for tells of a silent server; at 7 s the connection would be lost.
+// A client is migrated off a server that does not answer a line, before its connection would be lost at 7 s.
 func TestAClientIsMigratedOffASilentServer(t *testing.T) {
 	l := newLoopTest(t)
 	r := open(l.table, 0)
@@ -15,17 +15,18 @@
 	server := establish(r)
 	l.exchangeLines(r)
 	if migrating, _ := r.Migrating(); migrating {
-		t.Fatal("migrated off a sound server")
+		t.Fatal("client of a server that answers is migrating, want it to stay")
 	}
 	r.LineSent()
 	l.advance(silentAfter + sweepInterval + 5*time.Millisecond)
 	if migrating, silent := r.Migrating(); !migrating || !silent || server.wakes == 0 {
-		t.Fatalf("migrating %v, silent %v, woken %d times", migrating, silent, server.wakes)
+		t.Fatalf("got migrating %v, server silent %v, %d wakes; want true, true, at least 1",
+			migrating, silent, server.wakes)
 	}
 }
 
-// Where no class has an objective for messages, one that comes back soon is not slow, and one that nothing
-// comes back for is.
+// If no class has a latency objective for messages, a message that is answered soon is not slow, and a
+// message that is not answered is slow.
 func TestSlowMessagesWithoutAnObjective(t *testing.T) {
 	l := newLoopTest(t)
 	l.table.deployment.Settings.Classes[0].MessageLatencyObjective = 0
@@ -43,11 +44,11 @@
 	}
 	l.exchangeLines(r)
 	if n := takeSlowMessages(); n > 0 {
-		t.Errorf("%d messages of 5 ms count as slow", n)
+		t.Errorf("%d messages answered after 5 ms count as slow, want 0", n)
 	}
 	r.LineSent()
 	l.advance(slowMessageAfter + sweepInterval + 5*time.Millisecond)
 	if takeSlowMessages() == 0 {
-		t.Error("a line that nothing came back for does not count as slow")
+		t.Error("unanswered line does not count as a slow message, want it to")
 	}
 }
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -7,12 +7,12 @@
 	"capersail/decide"
 )
 
-// timer is an instant at which the decision module wants to be woken, or the backstop checks a request.
+// timer is a timer of the decision module, or the backstop timer of a request.
 type timer struct {
 	dueAt    time.Duration
-	sequence uint64           // those due at once fire in the order in which they were set
-	token    uint64           // of the decision module
-	request  decide.RequestID // for the backstop, 0 if the timer is the decision module's
+	sequence uint64           // timers due at the same instant fire in the order in which they were set
+	token    uint64           // token of the decision module, passed back to it
+	request  decide.RequestID // request of a backstop timer, 0 for a timer of the decision module
 }
 
 // timerQueue fires timers in the order of their instants.
@@ -21,14 +21,13 @@
 	lastSequence uint64
 }
 
-// set adds a timer.
 func (q *timerQueue) set(t timer) {
 	q.lastSequence++
 	t.sequence = q.lastSequence
 	heap.Push(&q.heap, t)
 }
 
-// takeDue removes the first timer and returns it, false if none is due.
+// takeDue removes and returns the first timer, or returns false if none is due.
 func (q *timerQueue) takeDue(now time.Duration) (timer, bool) {
 	if len(q.heap) == 0 || q.heap[0].dueAt > now {
 		return timer{}, false
@@ -36,7 +35,7 @@
 	return heap.Pop(&q.heap).(timer), true
 }
 
-// nextAt returns when the first timer is due, false if there is none.
+// nextAt returns the instant at which the first timer is due, or false if there is no timer.
 func (q *timerQueue) nextAt() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -44,7 +43,7 @@
 	return q.heap[0].dueAt, true
 }
 
-// timerHeap is a heap.Interface.
+// timerHeap implements heap.Interface, ordered by dueAt and sequence.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
