--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -92,7 +92,7 @@
 	if c.Deployment.Settings.MustSubscribe {
 		pollWithin = c.Deployment.Settings.Rules.PollWithin
 	}
-	requests.LeaseEndpointList(pollWithin)
+	requests.EnableEndpointLease(pollWithin)
 	requests.UpdateEndpoints(decide.Cached, c.CachedList.Endpoints)
 }
 
--- a/internal/relay/client_side.go
+++ b/internal/relay/client_side.go
@@ -68,7 +68,7 @@
 
 // ClientClosed reports that the client has closed its connection. The server's connection is closed in the
 // same way.
-func (r *Request) ClientClosed(how CloseKind) {
+func (r *Request) ClientClosed(kind CloseKind) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	switch r.state {
@@ -82,6 +82,6 @@
 			r.table.post(decide.ClientGone{ID: r.ID})
 		}
 		r.state = Ended
-		r.lastAttempt.conn.Close(how)
+		r.lastAttempt.conn.Close(kind)
 	}
 }
--- a/internal/relay/endpoint_lease.go
+++ b/internal/relay/endpoint_lease.go
@@ -23,10 +23,10 @@
 	ignoreReadsUntil time.Duration // until then, lines may date from a stop and do not renew the lease
 }
 
-// LeaseEndpointList enables the lease of the endpoint list, which RenewEndpointLease renews. While the lease
-// is expired, no new request is forwarded. pollWithin is the poll interval from the settings, 0 where lists
-// are pushed.
-func (t *RequestTable) LeaseEndpointList(pollWithin time.Duration) {
+// EnableEndpointLease enables the lease of the endpoint list, which RenewEndpointLease renews. While the
+// lease is expired, no new request is forwarded. pollWithin is the poll interval from the settings, 0 where
+// lists are pushed.
+func (t *RequestTable) EnableEndpointLease(pollWithin time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
--- a/internal/relay/endpoint_lease_test.go
+++ b/internal/relay/endpoint_lease_test.go
@@ -13,7 +13,7 @@
 func TestLinesReadAfterAProcessStopDoNotRenewTheLease(t *testing.T) {
 	clock := NewManualClock()
 	table := NewRequestTable(&Deployment{}, clock, nil)
-	table.LeaseEndpointList(10 * time.Second)
+	table.EnableEndpointLease(10 * time.Second)
 	table.UpdateEndpoints(decide.Snapshot, readyEndpoints("s"))
 	advance := func(d time.Duration, stopped bool) {
 		end := clock.Now() + d
--- a/internal/relay/guarding_test.go
+++ b/internal/relay/guarding_test.go
@@ -83,7 +83,7 @@
 	r := open(table, 0)
 	startFirst(table, r, 0) // the lease is still disabled
 	r.Attach(0, &fakeSide{})
-	table.LeaseEndpointList(10 * time.Second) // expired until discovery confirms the list
+	table.EnableEndpointLease(10 * time.Second) // expired until discovery confirms the list
 	if r.BeginWrite(0) {
 		t.Error("BeginWrite permitted an attempt on an expired lease, want it denied")
 	}
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -135,13 +135,13 @@
 }
 
 // recordMigration records that the migration of a client to another server has started.
-func (r *Request) recordMigration(by recorder.Initiator) {
+func (r *Request) recordMigration(initiator recorder.Initiator) {
 	r.table.Recorder.Put(&recorder.Record{
 		At:        r.table.Clock.Now(),
 		Kind:      recorder.ClientMigrated,
 		Request:   uint64(r.ID),
 		Server:    int32(r.lastAttempt.Server.Number),
-		Initiator: by,
+		Initiator: initiator,
 	})
 }
 
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -183,13 +183,13 @@
 
 // migrate makes the server side migrate the client of an established request to another server. It does
 // nothing if the request is not established or is already migrating. The caller holds the lock.
-func (r *Request) migrate(by recorder.Initiator) {
+func (r *Request) migrate(initiator recorder.Initiator) {
 	if r.state != Established || r.connection.migrating {
 		return
 	}
 	r.connection.migrating = true
 	if r.table.Recorder != nil {
-		r.recordMigration(by)
+		r.recordMigration(initiator)
 	}
 	r.lastAttempt.conn.Wake()
 }
--- a/internal/relay/request_table.go
+++ b/internal/relay/request_table.go
@@ -79,7 +79,7 @@
 }
 
 // NewRequestTable returns a table without requests. The lease of its endpoint list is disabled until
-// LeaseEndpointList is called.
+// EnableEndpointLease is called.
 func NewRequestTable(deployment *Deployment, clock *Clock, dialer ServerDialer) *RequestTable {
 	return &RequestTable{
 		Clock:      clock,
--- a/internal/relay/sides.go
+++ b/internal/relay/sides.go
@@ -12,7 +12,7 @@
 	Forward(p []byte) error
 	// Close closes the client's connection. Only the server side calls it, after the request has been
 	// established.
-	Close(how CloseKind)
+	Close(kind CloseKind)
 	// Wake notifies the client side that the state of the request has changed. It must not block.
 	Wake()
 	// HasUnread reports whether the client has closed its connection, or sent data that violates the
@@ -25,7 +25,7 @@
 	// Forward writes to the server.
 	Forward(p []byte) error
 	// Close closes the attempt's connection. It must not block.
-	Close(how CloseKind)
+	Close(kind CloseKind)
 	// Wake notifies the server side that the request is to be migrated, that its server has started to drain,
 	// or that the client side has put something into the shared payload. It must not block.
 	Wake()
