--- a/internal/wire/gossip/broadcast_queue.go
+++ b/internal/wire/gossip/broadcast_queue.go
@@ -6,24 +6,26 @@
 	"sync"
 )
 
-// broadcastQueue holds what is gossiped to this relay's peers: the newest message of each name, sent to so
-// many of them that all hear it. It takes the place of memberlist's TransmitLimitedQueue, which numbers its
-// messages anew whenever it runs empty: two of one length may get one number, and then one of them is lost.
-// Its methods may be called by several goroutines.
+// broadcastQueue holds the messages that this relay gossips to its peers: the newest message of each name.
+// Each message is sent transmitLimit times, which is enough for gossip to bring it to all relays.
+//
+// It replaces memberlist's TransmitLimitedQueue, which restarts its message numbers whenever it becomes
+// empty: two messages of the same length may then get the same number, and one of them is lost.
+// Its methods are safe for concurrent use.
 type broadcastQueue struct {
 	retransmitMult int        // see transmitLimit
-	relayCount     func() int // relays there are, this one too
+	relayCount     func() int // number of relays in the cluster, including this one
 
 	mu     sync.Mutex
 	byName map[string]*list.Element
-	tiers  []*list.List // of *queuedBroadcast: by how often it was sent, the oldest first
+	tiers  []*list.List // of *queuedBroadcast, indexed by sendCount; each list is in order of insertion
 }
 
 // queuedBroadcast is one message of a broadcastQueue.
 type queuedBroadcast struct {
-	name string
-	text []byte
-	sent int // how often, which is its tier
+	name      string
+	data      []byte
+	sendCount int // number of transmissions so far; the index of its tier
 }
 
 func newBroadcastQueue(retransmitMult int, relayCount func() int) *broadcastQueue {
@@ -34,19 +36,20 @@
 	}
 }
 
-// add queues a message. An older one of the same name is not sent any more.
-func (q *broadcastQueue) add(name string, text []byte) {
+// add queues a message. It replaces a queued message of the same name.
+func (q *broadcastQueue) add(name string, data []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if old := q.byName[name]; old != nil {
 		q.remove(old)
 	}
-	q.push(&queuedBroadcast{name: name, text: text})
+	q.push(&queuedBroadcast{name: name, data: data})
 }
 
-// take returns messages of limit bytes together at most, each with an overhead, and counts them as sent to
-// one peer. What was sent least often comes first.
-func (q *broadcastQueue) take(overhead, limit int) (texts [][]byte) {
+// take returns messages whose sizes plus an overhead for each add up to at most limit bytes, and counts each
+// as transmitted once. Messages with fewer transmissions come first. A message that has reached transmitLimit
+// is removed from the queue.
+func (q *broadcastQueue) take(overhead, limit int) (messages [][]byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.byName) == 0 {
@@ -55,12 +58,12 @@
 	var taken []*list.Element
 	for _, tier := range q.tiers {
 		for e := tier.Front(); e != nil && limit > overhead; e = e.Next() {
-			text := e.Value.(*queuedBroadcast).text
-			if overhead+len(text) > limit {
+			data := e.Value.(*queuedBroadcast).data
+			if overhead+len(data) > limit {
 				continue
 			}
-			limit -= overhead + len(text)
-			texts = append(texts, text)
+			limit -= overhead + len(data)
+			messages = append(messages, data)
 			taken = append(taken, e)
 		}
 	}
@@ -68,30 +71,30 @@
 	for _, e := range taken {
 		b := e.Value.(*queuedBroadcast)
 		q.remove(e)
-		if b.sent++; b.sent < transmitLimit {
+		if b.sendCount++; b.sendCount < transmitLimit {
 			q.push(b)
 		}
 	}
-	return texts
+	return messages
 }
 
-// transmitLimit is how often a message is sent: retransmitMult times the relays' number of digits, as each
-// peer passes it on as often.
+// transmitLimit returns the number of times that a message is sent: retransmitMult times the logarithm to
+// base 10 of the number of relays plus 1, rounded up. Each peer forwards a message the same number of times.
 func (q *broadcastQueue) transmitLimit() int {
 	return q.retransmitMult * int(math.Ceil(math.Log10(float64(q.relayCount()+1))))
 }
 
-// push puts a message last in its tier. The caller holds the lock.
+// push appends a message to its tier. The caller holds the lock.
 func (q *broadcastQueue) push(b *queuedBroadcast) {
-	for len(q.tiers) <= b.sent {
+	for len(q.tiers) <= b.sendCount {
 		q.tiers = append(q.tiers, list.New())
 	}
-	q.byName[b.name] = q.tiers[b.sent].PushBack(b)
+	q.byName[b.name] = q.tiers[b.sendCount].PushBack(b)
 }
 
-// remove takes a message out. The caller holds the lock.
+// remove deletes a message from the queue. The caller holds the lock.
 func (q *broadcastQueue) remove(e *list.Element) {
 	b := e.Value.(*queuedBroadcast)
-	q.tiers[b.sent].Remove(e)
+	q.tiers[b.sendCount].Remove(e)
 	delete(q.byName, b.name)
 }
--- a/internal/wire/gossip/broadcast_queue_test.go
+++ b/internal/wire/gossip/broadcast_queue_test.go
@@ -10,11 +10,11 @@
 )
 
 // queuedStatuses are the statuses that a Node would broadcast next, as "name seq".
-func queuedStatuses(t *testing.T, n *Node) (queued map[string]bool) {
+func nextBroadcastStatuses(t *testing.T, n *Node) (queued map[string]bool) {
 	t.Helper()
 	queued = map[string]bool{}
-	for _, text := range (*delegate)(n).GetBroadcasts(2, maxPacketBytes) {
-		e, err := decodeEnvelope(text)
+	for _, data := range (*delegate)(n).GetBroadcasts(2, maxPacketBytes) {
+		e, err := decodeEnvelope(data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -34,14 +34,14 @@
 		status := membership.Status{Version: 1, Incarnation: 1, BootstrapSize: 3}
 		for range replaced + 1 {
 			status.Seq++
-			n.publish(status)
+			n.publishStatus(status)
 		}
 		peer, err := encodeEnvelope("r2", 1, status.Seq, kindStatus, status)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.receive(peer, true)
-		queued := queuedStatuses(t, n)
+		n.receiveEnvelope(peer, true)
+		queued := nextBroadcastStatuses(t, n)
 		for _, name := range []string{"r1", "r2"} {
 			if want := fmt.Sprintf("%s %d", name, status.Seq); len(queued) != 2 || !queued[want] {
 				t.Errorf("replaced %d times: %v is queued, without %q", replaced, queued, want)
@@ -50,15 +50,15 @@
 	}
 }
 
-// Each message is taken as often as the fleet's size asks for, those first that were taken least often, and no
-// more of them at once than fit. Guards against messages that never leave, or crowd out others.
+// Each message is taken as often as the fleet's size asks for, those first that were taken least often, and
+// no more of them at once than fit. Guards against messages that never leave, or crowd out others.
 func TestQueueTakesEachMessageSoOften(t *testing.T) {
 	const (
 		overhead = 3
 		size     = 10
 	)
 	q := newBroadcastQueue(2, func() int { return 100 }) // 2 * 3 digits
-	text := func(name string) []byte { return []byte(fmt.Sprintf("%*s", size, name)) }
+	data := func(name string) []byte { return []byte(fmt.Sprintf("%*s", size, name)) }
 	taken := map[string]int{}
 	take := func(limit int) (count int) {
 		for _, one := range q.take(overhead, limit) {
@@ -68,12 +68,12 @@
 		return count
 	}
 	for i := range 5 {
-		q.add(fmt.Sprint(i), text(fmt.Sprint(i)))
+		q.add(fmt.Sprint(i), data(fmt.Sprint(i)))
 	}
 	if n := take(2*(overhead+size) + overhead + size - 1); n != 2 {
 		t.Errorf("%d messages taken where two fit", n)
 	}
-	q.add("new", text("new"))
+	q.add("new", data("new"))
 	take(4 * (overhead + size))
 	if taken["new"] != 1 || taken["2"] != 1 || taken["0"] != 1 {
 		t.Errorf("those that were sent do not come last: %v", taken)
--- a/internal/wire/gossip/cell_envelope.go
+++ b/internal/wire/gossip/cell_envelope.go
@@ -8,92 +8,98 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// The kinds of envelopes of a fleet in cells. A program that knows no cells counts them as unknown and goes
-// on.
+// The envelope kinds that only a fleet divided into cells uses. Versions of the program without support for
+// cells drop such an envelope and count it as unknown.
 const (
-	// kindSummary is another cell's, from its representative; also as a relay of this cell has forwarded it.
+	// kindSummary is a summary of another cell. It comes from that cell's representative, or from a relay of
+	// this cell that forwards it.
 	kindSummary envelopeKind = 5
-	// kindDirectory is what a cell's representative sends its own cell of all cells.
+	// kindDirectory is the directory of all cells that a cell's representative sends to the relays of its own
+	// cell.
 	kindDirectory envelopeKind = 6
-	// kindOfCell holds an envelope's kind and body for relays of one cell only.
-	kindOfCell envelopeKind = 64
+	// kindCellScoped wraps the kind and the body of an envelope that is for the relays of one cell only.
+	kindCellScoped envelopeKind = 64
 )
 
-// cellKey tells the envelopes of one cell from those of others; 0 is a flat fleet's. The cells' relays are
-// kept apart by their names already, see NotifyAlive; the key keeps out what comes late or astray.
-type cellKey uint32
+// cellHash identifies the cell that an envelope belongs to; 0 stands for a flat fleet. NotifyAlive and
+// NotifyMerge keep relays of different cells out of each other's memberlist already, by the cell's name; the
+// hash rejects envelopes that arrive late or at the wrong address.
+type cellHash uint32
 
-func keyOfCell(cell string) cellKey {
+func hashCellName(cell string) cellHash {
 	if cell == "" {
 		return 0
 	}
 	h := fnv.New32a()
 	h.Write([]byte(cell))
-	return max(cellKey(h.Sum32()), 1)
+	return max(cellHash(h.Sum32()), 1)
 }
 
-// cellBody is the body of an envelope of kindOfCell.
-type cellBody struct {
-	_    struct{} `cbor:",toarray"`
-	Cell cellKey
-	Kind envelopeKind
-	Body cbor.RawMessage
+// cellScopedBody is the body of a kindCellScoped envelope.
+type cellScopedBody struct {
+	_        struct{} `cbor:",toarray"`
+	CellHash cellHash
+	Kind     envelopeKind
+	Body     cbor.RawMessage
 }
 
-// encodeForCell makes an envelope for relays of this cell; in a flat fleet that is what encodeEnvelope makes.
+// encodeForCell encodes an envelope for the relays of this relay's cell. In a flat fleet its result is that
+// of encodeEnvelope.
 func (n *Node) encodeForCell(incarnation, seq uint64, kind envelopeKind, body any) ([]byte, error) {
-	if n.key == 0 {
+	if n.cellHash == 0 {
 		return encodeEnvelope(n.cfg.Name, incarnation, seq, kind, body)
 	}
-	text, err := cbor.Marshal(body)
+	data, err := cbor.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	inner := cellBody{Cell: n.key, Kind: kind, Body: text}
-	return encodeEnvelope(n.cfg.Name, incarnation, seq, kindOfCell, inner)
+	inner := cellScopedBody{CellHash: n.cellHash, Kind: kind, Body: data}
+	return encodeEnvelope(n.cfg.Name, incarnation, seq, kindCellScoped, inner)
 }
 
 var (
-	errOtherCell = errors.New("of another cell")
-	errCellBody  = errors.New("malformed envelope of a cell")
+	errOtherCell = errors.New("relay belongs to another cell")
+	errCellBody  = errors.New("malformed body of a cell-scoped envelope")
 )
 
-// unwrapCell gives an envelope the kind and body that it holds. It fails for one that is for another cell's
-// relays.
-func (n *Node) unwrapCell(e envelope) (envelope, error) {
-	if e.Kind != kindOfCell {
-		if n.key != 0 && e.Kind != kindSummary {
+// unwrapCellEnvelope replaces the kind and body of a kindCellScoped envelope by those that it wraps.
+// Envelopes of other kinds are returned unchanged in a flat fleet; in a cell only summaries are, as all
+// others have to be cell-scoped. The error is errOtherCell for an envelope of another cell or of a flat
+// fleet, and errCellBody for a malformed one.
+func (n *Node) unwrapCellEnvelope(e envelope) (envelope, error) {
+	if e.Kind != kindCellScoped {
+		if n.cellHash != 0 && e.Kind != kindSummary {
 			return e, errOtherCell
 		}
 		return e, nil
 	}
-	var c cellBody
-	if err := cbor.Unmarshal(e.Body, &c); err != nil || c.Kind == kindOfCell {
+	var c cellScopedBody
+	if err := cbor.Unmarshal(e.Body, &c); err != nil || c.Kind == kindCellScoped {
 		return e, errCellBody
 	}
-	if c.Cell != n.key {
+	if c.CellHash != n.cellHash {
 		return e, errOtherCell
 	}
 	e.Kind, e.Body = c.Kind, c.Body
 	return e, nil
 }
 
-// unwrapDropReason is what an envelope that unwrapCell refuses is counted as.
-func unwrapDropReason(err error) dropReason {
+// unwrapErrorDropReason maps an error of unwrapCellEnvelope to the reason under which the drop is counted.
+func unwrapErrorDropReason(err error) dropReason {
 	if errors.Is(err, errOtherCell) {
 		return dropForeign
 	}
 	return dropMalformed
 }
 
-// sameCell tells whether a relay is of this relay's cell, by its metadata.
-func (n *Node) sameCell(m *memberlist.Node) bool { return string(m.Meta) == n.cell }
+// inSameCell reports whether a relay's metadata names this relay's cell.
+func (n *Node) inSameCell(m *memberlist.Node) bool { return string(m.Meta) == n.wireCell }
 
-// NotifyMerge is memberlist's, before a relay that joins, or is joined, is merged with: one relay of another
-// cell among its own keeps both fleets as they are.
+// NotifyMerge implements memberlist.MergeDelegate. It refuses the merge with a remote memberlist if any of
+// its relays belongs to another cell, so that cells are never merged.
 func (d *delegate) NotifyMerge(peers []*memberlist.Node) error {
 	for _, m := range peers {
-		if !(*Node)(d).sameCell(m) {
+		if !(*Node)(d).inSameCell(m) {
 			d.dropped.count(dropForeign, m.Name+": "+errOtherCell.Error())
 			return errOtherCell
 		}
--- a/internal/wire/gossip/cell_log.go
+++ b/internal/wire/gossip/cell_log.go
@@ -9,13 +9,13 @@
 	"capersail/internal/fleet/cells"
 )
 
-// logCellChange says what has changed among cells, with its cause.
-func (n *Node) logCellChange(link *cellLink, change cells.Changed) {
-	cause := n.cellChangeCause(link, change)
-	if change.Kind == cells.RepresentativeChanged && change.Cell == link.cell {
-		link.representative = change.Representative
+// logCellChange logs a change of a cell, with its cause.
+func (n *Node) logCellChange(driver *cellDriver, change cells.Changed) {
+	cause := n.cellChangeCause(driver, change)
+	if change.Kind == cells.RepresentativeChanged && change.Cell == driver.cell {
+		driver.representative = change.Representative
 	}
-	facts := func(event *zerolog.Event) {
+	addFields := func(event *zerolog.Event) {
 		event.Str("what", change.Kind.String()).Str("cell", change.Cell)
 		if change.Representative != "" {
 			event.Str("speaker", change.Representative)
@@ -26,48 +26,48 @@
 		event.Str("cause", cause)
 	}
 	if change.Kind == cells.PlanMismatch {
-		n.log.Warn().Func(facts).
-			Msg("cell has another plan under the same number: give both cells the same file")
+		n.log.Warn().Func(addFields).
+			Msg("plan of another cell has the same number and another table: give both cells one plan file")
 		return
 	}
-	n.log.Info().Func(facts).Msg("cell changed")
+	n.log.Info().Func(addFields).Msg("state of a cell changed")
 }
 
-// cellChangeCause is why a cell has changed.
-func (n *Node) cellChangeCause(link *cellLink, change cells.Changed) string {
+// cellChangeCause returns the cause of a change of a cell, for the log.
+func (n *Node) cellChangeCause(driver *cellDriver, change cells.Changed) string {
 	switch change.Kind {
 	case cells.RepresentativeChanged:
-		if change.Cell == link.cell {
-			return n.representativeCause(link, change.Representative)
+		if change.Cell == driver.cell {
+			return n.representativeCause(driver, change.Representative)
 		}
-		return "its summary"
+		return "the cell's summary names another representative"
 	case cells.CellLost:
-		return fmt.Sprintf("no summary for %d rounds", cells.UnknownAfterRounds)
+		return fmt.Sprintf("no summary of the cell received for %d rounds", cells.UnknownAfterRounds)
 	case cells.CellKnown:
-		return "a summary"
+		return "received a summary of the cell"
 	case cells.PlanMismatch:
-		return "its table differs from this cell's; what it says of the plan is not counted"
+		return "the cell's plan table differs from this cell's; its reports about the plan are ignored"
 	case cells.PlanActivated:
-		return "every cell has joined it"
+		return "every cell has joined the plan"
 	}
 	return ""
 }
 
-// representativeCause is why another relay is this cell's representative.
-func (n *Node) representativeCause(link *cellLink, next string) string {
-	before := link.representative
-	if before == "" {
-		return "it is the first voter that is alive"
+// representativeCause returns the cause of a change of this cell's representative to the relay named next.
+func (n *Node) representativeCause(driver *cellDriver, next string) string {
+	previous := driver.representative
+	if previous == "" {
+		return "the new representative is the first voter that is alive"
 	}
-	if before == n.cfg.Name {
-		return next + " comes before this relay among the voters"
+	if previous == n.cfg.Name {
+		return next + " comes before this relay in the list of voters"
 	}
-	if gone, ok := link.departed[before]; ok {
-		return before + " has " + gone.state
+	if departed, ok := driver.departures[previous]; ok {
+		return previous + " has " + departed.state
 	}
-	votes := func(voter cells.Voter) bool { return voter.Name == before }
-	if !slices.ContainsFunc(link.lastReport.Voters, votes) {
-		return before + " is no longer a voter"
+	isPrevious := func(voter cells.Voter) bool { return voter.Name == previous }
+	if !slices.ContainsFunc(driver.lastLocalCell.Voters, isPrevious) {
+		return previous + " is no longer a voter"
 	}
-	return next + " comes before " + before + " among the voters"
+	return next + " comes before " + previous + " in the list of voters"
 }
--- a/internal/wire/gossip/cell_messages.go
+++ b/internal/wire/gossip/cell_messages.go
@@ -7,95 +7,99 @@
 	"capersail/internal/fleet/cells"
 )
 
-// sendSummary sends a summary to an address of another cell, as one packet.
-func (n *Node) sendSummary(link *cellLink, a cells.SendSummary) {
-	list := n.mesh.list.Load()
+// sendSummary sends a summary of this cell to a relay of another cell, as one packet.
+func (n *Node) sendSummary(driver *cellDriver, action cells.SendSummary) {
+	list := n.gossip.list.Load()
 	if list == nil {
 		return
 	}
-	text, err := encodeEnvelope(n.cfg.Name, a.Summary.Incarnation, n.mesh.seq.Add(1), kindSummary, a.Summary)
+	data, err := encodeEnvelope(n.cfg.Name, action.Summary.Incarnation, n.gossip.seq.Add(1), kindSummary,
+		action.Summary)
 	if err != nil {
-		n.log.Error().Err(err).Msg("cell's summary cannot be encoded, not sent: report it with its error")
+		n.log.Error().Err(err).Msg("cannot encode this cell's summary, not sent: report it as a bug")
 		return
 	}
-	link.bytesOut.Add(uint64(len(text)))
-	if err := list.SendToAddress(memberlist.Address{Addr: a.Address}, text); err != nil {
+	driver.bytesOut.Add(uint64(len(data)))
+	if err := list.SendToAddress(memberlist.Address{Addr: action.Address}, data); err != nil {
 		n.dropped.count(dropUnsent, err.Error())
 	}
 }
 
-// publishDirectory broadcasts a directory of all cells to this cell.
-func (n *Node) publishDirectory(link *cellLink, directory cells.Directory) {
-	text, err := n.encodeForCell(directory.Incarnation, n.mesh.seq.Add(1), kindDirectory, directory)
+// publishDirectory broadcasts the directory of all cells to the relays of this cell.
+func (n *Node) publishDirectory(driver *cellDriver, directory cells.Directory) {
+	data, err := n.encodeForCell(directory.Incarnation, n.gossip.seq.Add(1), kindDirectory, directory)
 	if err != nil {
-		n.log.Error().Err(err).Msg("cells' directory cannot be encoded, not sent: report it with its error")
+		n.log.Error().Err(err).Msg("cannot encode the directory of cells, not sent: report it as a bug")
 		return
 	}
-	link.bytesOut.Add(uint64(len(text)))
-	n.mesh.broadcasts.add(directoryBroadcastName, text)
+	driver.bytesOut.Add(uint64(len(data)))
+	n.gossip.broadcasts.add(directoryBroadcastName, data)
 }
 
-// directoryBroadcastName is the name of directories in the broadcastQueue: a newer one replaces an older one,
-// whoever is the representative. No relay has such a name, as those have printable bytes only.
+// directoryBroadcastName is the name of all directories in the broadcastQueue, so that a newer directory
+// replaces an older one even if another relay has become the representative. It cannot be the name of a
+// relay, as relay names have no unprintable bytes.
 const directoryBroadcastName = "\x00directory"
 
-// directoryMark orders the directories of a representative.
-type directoryMark struct{ incarnation, seq uint64 }
+// directoryVersion orders the directories that one representative sends.
+type directoryVersion struct{ incarnation, seq uint64 }
 
-func (m directoryMark) before(o directoryMark) bool {
-	return m.incarnation < o.incarnation || m.incarnation == o.incarnation && m.seq < o.seq
+func (v directoryVersion) olderThan(other directoryVersion) bool {
+	return v.incarnation < other.incarnation || v.incarnation == other.incarnation && v.seq < other.seq
 }
 
-// receiveFromCells takes in a summary or a directory. forward says that a directory is to be passed on.
-func (n *Node) receiveFromCells(e envelope, text []byte, forward bool) {
-	link := n.cells.Load()
-	if link == nil {
-		n.dropped.count(dropUnknown, "of cells, and there is no plan here")
+// receiveCellMessage handles a received summary or directory. forward states whether a directory is
+// broadcast again.
+func (n *Node) receiveCellMessage(e envelope, data []byte, forward bool) {
+	driver := n.cells.Load()
+	if driver == nil {
+		n.dropped.count(dropUnknown, "message between cells, but this relay has no plan of cells")
 		return
 	}
-	link.bytesIn.Add(uint64(len(text)))
+	driver.bytesIn.Add(uint64(len(data)))
 	if e.Kind == kindDirectory {
-		n.receiveDirectory(link, e, text, forward)
+		n.receiveDirectory(driver, e, data, forward)
 	} else {
-		n.receiveSummary(link, e)
+		n.receiveSummary(driver, e)
 	}
 }
 
-// receiveDirectory hands a directory on that is newer than the one known.
-func (n *Node) receiveDirectory(link *cellLink, e envelope, text []byte, forward bool) {
+// receiveDirectory queues a directory for the Coordinator if it is newer than the last one from the same
+// representative.
+func (n *Node) receiveDirectory(driver *cellDriver, e envelope, data []byte, forward bool) {
 	var d cells.Directory
 	err := cbor.Unmarshal(e.Body, &d)
 	if err != nil || d.Check() != nil || d.Representative != e.From || d.Incarnation != e.Incarnation {
 		n.dropped.count(dropMalformed, "malformed directory")
 		return
 	}
-	if !n.peers.noteDirectory(d.Representative, directoryMark{d.Incarnation, d.Seq}) {
-		return // gossip brings each several times
+	if !n.peers.updateDirectory(d.Representative, directoryVersion{d.Incarnation, d.Seq}) {
+		return // gossip delivers each directory several times
 	}
 	if forward {
-		n.mesh.broadcasts.add(directoryBroadcastName, text)
+		n.gossip.broadcasts.add(directoryBroadcastName, data)
 	}
-	n.enqueueCellEvent(link, cells.DirectoryReceived{From: e.From, Directory: d})
+	n.enqueueCellEvent(driver, cells.DirectoryReceived{From: e.From, Directory: d})
 }
 
-// receiveSummary hands a summary on that has not come before: from its representative, or as a relay of this
-// cell has forwarded it.
-func (n *Node) receiveSummary(link *cellLink, e envelope) {
+// receiveSummary queues a summary for the Coordinator unless it is a duplicate. A summary comes from the
+// representative of its cell, or from a relay of this cell that has forwarded it.
+func (n *Node) receiveSummary(driver *cellDriver, e envelope) {
 	var s cells.Summary
 	err := cbor.Unmarshal(e.Body, &s)
-	fromOther := !s.Forwarded
-	own := s.Representative == e.From && s.Incarnation == e.Incarnation
-	if err != nil || s.Check() != nil || fromOther && !own {
+	direct := !s.Forwarded
+	sentByRepresentative := s.Representative == e.From && s.Incarnation == e.Incarnation
+	if err != nil || s.Check() != nil || direct && !sentByRepresentative {
 		n.dropped.count(dropMalformed, "malformed summary")
 		return
 	}
 	sender := e.From
-	if fromOther { // a relay that has changed its cell counts anew
+	if direct { // a relay that moves to another cell restarts its numbering
 		sender = s.Cell + "\x00" + e.From
 	}
 	if !n.peers.isFirstDelivery(sender, e.Incarnation, e.Seq) {
 		n.dropped.count(dropReplayed, e.From)
 		return
 	}
-	n.enqueueCellEvent(link, cells.SummaryReceived{From: e.From, Summary: s})
+	n.enqueueCellEvent(driver, cells.SummaryReceived{From: e.From, Summary: s})
 }
--- a/internal/wire/gossip/cell_metrics.go
+++ b/internal/wire/gossip/cell_metrics.go
@@ -4,19 +4,20 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// cellMetrics are the metrics of cells; none in a flat fleet without a plan. At a relay that isn't its cell's
-// representative those of other cells are the representative's, some seconds old.
+// cellMetrics holds the descriptions of the metrics of cells. A flat fleet without a plan exports none of
+// them. At a relay that is not its cell's representative, the figures of other cells are those of the
+// representative's last directory and a few seconds old.
 //
 //	relay_cells{region,state}          gauge    other cells: heard, or unheard for three rounds
-//	relay_cells_relays{region}         gauge    relays in them
-//	relay_cells_plan                   gauge    number of the plan that this relay's cell goes by
-//	relay_cells_file_plan              gauge    and of the file's
-//	relay_cells_entered                gauge    newest plan that nobody in the cell acts by an earlier one of
+//	relay_cells_relays{region}         gauge    relays in the other cells
+//	relay_cells_plan                   gauge    number of the plan in this cell's view
+//	relay_cells_file_plan              gauge    number of the plan in this relay's plan file
+//	relay_cells_entered                gauge    newest plan: no relay of the cell acts by an earlier one
 //	relay_cells_opened                 gauge    newest plan that every cell has joined
 //	relay_cells_speaker                gauge    1 at the relay that is its cell's representative
-//	relay_cells_mismatched             gauge    other cells with another plan of its number
-//	relay_cells_far_share              gauge    this relay's part of a budget outside its region, 0 to 1
-//	relay_cells_directory_seconds      gauge    since the representative's directory came, -1 for never
+//	relay_cells_mismatched             gauge    other cells with another table under the same plan number
+//	relay_cells_far_share              gauge    this relay's share of a budget outside its region, 0 to 1
+//	relay_cells_directory_seconds      gauge    age of the representative's directory, -1 if there is none
 //	relay_cells_bytes_total{way}       counter  bytes of summaries and directories, out and in
 //	relay_cells_dropped_total{reason}  counter  summaries and directories dropped
 type cellMetrics struct {
@@ -84,7 +85,7 @@
 	gauge(f.filePlan, float64(r.FilePlan))
 	gauge(f.joined, float64(r.JoinedPlan))
 	gauge(f.activated, float64(r.ActivatedPlan))
-	gauge(f.representative, oneIf(r.Representative == n.cfg.Name))
+	gauge(f.representative, boolGauge(r.Representative == n.cfg.Name))
 	gauge(f.mismatched, mismatched)
 	gauge(f.farShare, n.FleetEstimate().FarBudgetShare)
 	gauge(f.directory, seconds(r.DirectoryMs))
--- a/internal/wire/gossip/cells.go
+++ b/internal/wire/gossip/cells.go
@@ -13,41 +13,41 @@
 const (
 	// cellReportInterval is the time between two reports of this cell's figures to the Coordinator.
 	cellReportInterval = time.Second
-	// departureRetention is how long relays that went are named to other cells.
+	// departureRetention is how long relays that have left or failed are reported to other cells.
 	departureRetention = 20 * time.Second
-	// cellInboxSize bounds the summaries and directories that wait.
+	// cellInboxSize bounds the queue of received summaries and directories.
 	cellInboxSize = 512
 )
 
-// cellLink is a Node's part in what cells know of each other. There is none in a flat fleet without a plan:
-// its methods do nothing on nil. All but the inbox and the counts are used by Run only, or under the Node's
-// lock.
-type cellLink struct {
-	cell           string // by the plan, also where the wire has none
-	coordinator    *cells.Coordinator
-	inbox          chan cells.Event
-	lastReport     cells.LocalCell // as the Coordinator heard it last
-	nextReportAt   time.Duration
-	othersKnown    bool                 // figures of other cells have come
-	departed       map[string]departure // by relay
-	representative string               // of this cell
+// cellDriver connects a Node to the cells.Coordinator, which exchanges summaries with other cells. It is nil
+// in a flat fleet without a plan; its methods then do nothing. Fields other than the inbox and the byte
+// counters are used by Run only, or under the Node's lock.
+type cellDriver struct {
+	cell            string // this relay's cell in the plan; set also if Node.wireCell is empty
+	coordinator     *cells.Coordinator
+	inbox           chan cells.Event
+	lastLocalCell   cells.LocalCell // last one handed to the Coordinator
+	nextReportAt    time.Duration
+	otherCellsKnown bool                 // whether figures of other cells have been received
+	departures      map[string]departure // by relay name
+	representative  string               // of this cell
 
 	bytesOut, bytesIn atomic.Uint64 // of summaries and directories, before memberlist's own framing
 }
 
-// departure is a relay that has gone from the cell.
+// departure records when a relay left the cell or failed, and its state since then.
 type departure struct {
 	at    time.Duration
 	state string
 }
 
-// planUpdate is what a reload has brought.
+// planUpdate is a plan from a reload of the settings, with the name of this relay's cell.
 type planUpdate struct {
 	cell string
 	plan cellplan.Plan
 }
 
-// SetPlan hands a new plan over, to be taken in by Run. A plan that waits still is replaced.
+// SetPlan queues a new plan, which Run applies. It replaces a plan that is still queued.
 func (n *Node) SetPlan(cell string, plan cellplan.Plan) {
 	for {
 		select {
@@ -62,9 +62,9 @@
 	}
 }
 
-// applyPlan takes in a plan that a reload has brought.
+// applyPlan applies a plan from a reload to the membership.Node and to the Coordinator.
 func (n *Node) applyPlan(update planUpdate) {
-	n.handle(membership.PlanChanged{Plan: &update.plan, Cell: update.cell})
+	n.handleMembershipEvent(membership.PlanChanged{Plan: &update.plan, Cell: update.cell})
 	if n.cells.Load() == nil {
 		n.startCells(update.cell, update.plan)
 		return
@@ -72,7 +72,7 @@
 	n.handleCellEvent(cells.PlanChanged{Plan: update.plan})
 }
 
-// startCells begins to take part in what cells know of each other.
+// startCells creates the Coordinator, so that this relay takes part in the exchange between cells.
 func (n *Node) startCells(cell string, plan cellplan.Plan) {
 	n.mu.Lock()
 	config := cells.Config{
@@ -82,46 +82,47 @@
 		Plan:        plan,
 		Seed:        n.cfg.Seed,
 	}
-	link := &cellLink{
+	driver := &cellDriver{
 		cell:         cell,
 		coordinator:  cells.New(n.cellTime(n.now()), config),
 		inbox:        make(chan cells.Event, cellInboxSize),
-		departed:     map[string]departure{},
+		departures:   map[string]departure{},
 		nextReportAt: n.now(),
 	}
 	n.mu.Unlock()
-	n.cells.Store(link)
+	n.cells.Store(driver)
 }
 
-// events is the inbox, nil where there are no cells.
-func (l *cellLink) events() <-chan cells.Event {
+// events returns the inbox; for a nil cellDriver it returns nil, a channel that never delivers.
+func (l *cellDriver) events() <-chan cells.Event {
 	if l == nil {
 		return nil
 	}
 	return l.inbox
 }
 
-// enqueueCellEvent queues an event. When the inbox is full it is dropped: all is sent again.
-func (n *Node) enqueueCellEvent(link *cellLink, event cells.Event) {
+// enqueueCellEvent queues an event for the Coordinator. If the inbox is full, the event is dropped and
+// counted: summaries and directories are sent again periodically.
+func (n *Node) enqueueCellEvent(driver *cellDriver, event cells.Event) {
 	select {
-	case link.inbox <- event:
+	case driver.inbox <- event:
 	default:
 		n.dropped.count(dropOverflow, "")
 	}
 }
 
-// nextCellTick is when tickCells is due.
+// nextCellTick returns the time at which tickCells is due.
 func (n *Node) nextCellTick() time.Duration {
-	link := n.cells.Load()
-	if link == nil {
+	driver := n.cells.Load()
+	if driver == nil {
 		return duration.Forever
 	}
-	return min(link.nextReportAt, n.nodeTime(link.coordinator.Next()))
+	return min(driver.nextReportAt, n.nodeTime(driver.coordinator.Next()))
 }
 
-// noteMembershipChange notes a change in the membership, which is reported without waiting for the next round
-// of figures.
-func (l *cellLink) noteMembershipChange(change membership.Changed, now time.Duration) {
+// recordMembershipChange has this cell reported to the Coordinator without waiting for the next interval, and
+// records relays that have left or failed.
+func (l *cellDriver) recordMembershipChange(change membership.Changed, now time.Duration) {
 	if l == nil {
 		return
 	}
@@ -130,94 +131,95 @@
 		return
 	}
 	if change.State == membership.Failed.String() || change.State == membership.Left.String() {
-		l.departed[change.Name] = departure{now, change.State}
+		l.departures[change.Name] = departure{now, change.State}
 	} else {
-		delete(l.departed, change.Name)
+		delete(l.departures, change.Name)
 	}
 }
 
-// tickCells reports this cell to the Coordinator where that is due, and lets time pass for it.
+// tickCells does what is due at the Coordinator: a report of this cell, or else a Tick.
 func (n *Node) tickCells() {
-	link, now := n.cells.Load(), n.now()
-	if link == nil || now < n.nextCellTick() {
+	driver, now := n.cells.Load(), n.now()
+	if driver == nil || now < n.nextCellTick() {
 		return
 	}
-	if now < link.nextReportAt {
+	if now < driver.nextReportAt {
 		n.handleCellEvent(cells.Tick{})
 		return
 	}
-	link.nextReportAt = now + cellReportInterval
-	local, known := n.localCell(link, now)
+	driver.nextReportAt = now + cellReportInterval
+	local, known := n.localCell(driver, now)
 	if !known {
 		return
 	}
-	link.lastReport = local
+	driver.lastLocalCell = local
 	n.handleCellEvent(local)
-	n.updateOtherCells(link)
+	n.updateOtherCells(driver)
 }
 
-// updateOtherCells hands what is known of the other cells to the membership.Node.
-func (n *Node) updateOtherCells(link *cellLink) {
+// updateOtherCells passes the figures of the other cells, and a plan that has been activated, from the
+// Coordinator to the membership.Node.
+func (n *Node) updateOtherCells(driver *cellDriver) {
 	n.mu.Lock()
-	others := link.coordinator.Others(n.cellTime(n.now()))
-	activated := link.coordinator.ActivatedPlan()
+	others := driver.coordinator.Others(n.cellTime(n.now()))
+	activated := driver.coordinator.ActivatedPlan()
 	allocation := n.membership.View().Allocation
 	n.mu.Unlock()
-	n.handle(membership.OtherCells{
+	n.handleMembershipEvent(membership.OtherCells{
 		Relays:          others.Relays,
 		RequestRate:     others.RequestRate,
 		OpenConnections: others.OpenConnections,
 		DrainRate:       others.DrainRate,
-		Known:           link.othersKnown,
+		Known:           driver.otherCellsKnown,
 	})
 	if allocation != nil && !allocation.Activated && activated >= allocation.Plan {
-		n.handle(membership.PlanActivated{Plan: allocation.Plan, Hash: allocation.PlanHash})
+		n.handleMembershipEvent(membership.PlanActivated{Plan: allocation.Plan, Hash: allocation.PlanHash})
 	}
 }
 
-// handleCellEvent lets the Coordinator act, then carries out what it wants.
+// handleCellEvent passes an event to the Coordinator and executes the actions that it returns.
 func (n *Node) handleCellEvent(event cells.Event) {
 	defer n.recordHistory()
-	link := n.cells.Load()
+	driver := n.cells.Load()
 	if _, ok := event.(cells.DirectoryReceived); ok {
-		link.othersKnown = true
+		driver.otherCellsKnown = true
 	}
 	n.mu.Lock()
-	actions := link.coordinator.Handle(n.cellTime(n.now()), event, nil)
+	actions := driver.coordinator.Handle(n.cellTime(n.now()), event, nil)
 	n.mu.Unlock()
 	for _, action := range actions {
 		switch a := action.(type) {
 		case cells.SendSummary:
-			n.sendSummary(link, a)
+			n.sendSummary(driver, a)
 		case cells.ForwardSummary:
-			n.sendTo(a.To, kindSummary, a.Summary)
+			n.sendToPeer(a.To, kindSummary, a.Summary)
 		case cells.PublishDirectory:
-			link.othersKnown = true
-			n.publishDirectory(link, a.Directory)
+			driver.otherCellsKnown = true
+			n.publishDirectory(driver, a.Directory)
 		case cells.Changed:
-			n.logCellChange(link, a)
-			// At the next report the membership.Node is notified of the other cells, and of a plan activated.
-			link.nextReportAt = n.now()
+			n.logCellChange(driver, a)
+			// Have the next tickCells report at once, as only a report updates the membership.Node.
+			driver.nextReportAt = n.now()
 		}
 	}
 }
 
-// CellsReport reports what is known of the cells; nothing in a flat fleet without a plan.
+// CellsReport returns what this relay knows of all cells; false in a flat fleet without a plan.
 func (n *Node) CellsReport() (cells.Report, bool) {
-	link := n.cells.Load()
-	if link == nil {
+	driver := n.cells.Load()
+	if driver == nil {
 		return cells.Report{}, false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return link.coordinator.Report(n.cellTime(n.now())), true
+	return driver.coordinator.Report(n.cellTime(n.now())), true
 }
 
-// CellTraffic is how many bytes of summaries and directories have gone out and come in.
+// CellTraffic returns the bytes of summaries and directories that this relay has sent and received.
 func (n *Node) CellTraffic() (out, in uint64) {
-	link := n.cells.Load()
-	if link == nil {
+	driver := n.cells.Load()
+	if driver == nil {
 		return 0, 0
 	}
-	return link.bytesOut.Load(), link.bytesIn.Load()
+	return driver.bytesOut.Load(), driver.bytesIn.Load()
 }
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -27,20 +27,20 @@
 			Region:   "east",
 			Zone:     "east-a",
 			Relays:   3,
-			Contacts: []string{address(0), address(1)},
+			Contacts: []string{relayAddr(0), relayAddr(1)},
 		},
 		{
 			Name:     "west-1",
 			Region:   "west",
 			Zone:     "west-a",
 			Relays:   3,
-			Contacts: []string{address(3), address(4)},
+			Contacts: []string{relayAddr(3), relayAddr(4)},
 		},
 	}}
 }
 
 // lonelyIn is a Node of a cell that doesn't run.
-func lonelyIn(t *testing.T, cell string, plan *cellplan.Plan) *Node {
+func newIdleNodeInCell(t *testing.T, cell string, plan *cellplan.Plan) *Node {
 	t.Helper()
 	c := testConfig("me", filepath.Join(t.TempDir(), "state"))
 	c.Cell, c.Plan = cell, plan
@@ -66,8 +66,8 @@
 	})
 	for i := range 6 {
 		c := testConfig(fmt.Sprintf("r%d", i), filepath.Join(dir, fmt.Sprint(i)))
-		c.Bind, c.Transport = address(i), simnet.Transport
-		c.Seeds = []string{address(0), address(3), address(4)}
+		c.Bind, c.Transport = relayAddr(i), simnet.Transport
+		c.Seeds = []string{relayAddr(0), relayAddr(3), relayAddr(4)}
 		c.BootstrapSlot, c.ConfiguredRelays, c.Seed = i%3, 6, uint64(i)
 		c.Cell, c.Plan, c.Timing = twoCells().Cells[i/3].Name, twoCells(), membership.CellTiming
 		node, err := New(c)
@@ -84,9 +84,9 @@
 		}
 		return count
 	}
-	await(t, time.Minute, "two views of three, and each hears of the other", func() bool {
+	waitFor(t, time.Minute, "two views of three, and each hears of the other", func() bool {
 		for _, n := range all {
-			if inView(n) != 3 || n.FleetEstimate().Phase != membership.PhaseAgreed || heard(n) != 1 {
+			if viewSize(n) != 3 || n.FleetEstimate().Phase != membership.PhaseAgreed || heard(n) != 1 {
 				return false
 			}
 		}
@@ -108,23 +108,23 @@
 // Envelopes of one cell are nothing to relays of another or of a flat fleet; summaries are, where there is a
 // plan; a flat fleet's envelopes and metadata are what they were before there were cells.
 func TestEnvelopesOfCells(t *testing.T) {
-	flat := lonelyIn(t, "", nil)
-	east, west := lonelyIn(t, "east-1", twoCells()), lonelyIn(t, "west-1", twoCells())
+	flat := newIdleNodeInCell(t, "", nil)
+	east, west := newIdleNodeInCell(t, "east-1", twoCells()), newIdleNodeInCell(t, "west-1", twoCells())
 	east.startCells("east-1", *twoCells())
 	sealed := func(n *Node, k envelopeKind, body any) []byte {
-		text, err := n.encodeForCell(4, 7, k, body)
+		data, err := n.encodeForCell(4, 7, k, body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return bytes.Replace(text, []byte("me"), []byte("he"), 1)
+		return bytes.Replace(data, []byte("me"), []byte("he"), 1)
 	}
-	status := good7()
+	status := sampleStatus()
 	plain, err := encodeEnvelope("he", 4, 7, kindStatus, status)
 	if err != nil || !bytes.Equal(plain, sealed(flat, kindStatus, status)) {
 		t.Errorf("a flat fleet's envelope is %x, not %x; %v", sealed(flat, kindStatus, status), plain, err)
 	}
-	if flat.delegateMeta() != nil || string(east.delegateMeta()) != "east-1" {
-		t.Errorf("metadata: %q, %q", flat.delegateMeta(), east.delegateMeta())
+	if flat.nodeMeta() != nil || string(east.nodeMeta()) != "east-1" {
+		t.Errorf("metadata: %q, %q", flat.nodeMeta(), east.nodeMeta())
 	}
 	summary := cells.Summary{
 		Cell:           "west-1",
@@ -148,7 +148,7 @@
 	for _, one := range []struct {
 		what string
 		to   *Node
-		text []byte
+		data []byte
 		why  dropReason // reasons for taken
 	}{
 		{"its own cell's status", east, sealed(east, kindStatus, status), dropReasonCount},
@@ -159,10 +159,10 @@
 		{"the same again", east, fromWest, dropReplayed},
 		{"a summary of somebody else", east, wrong, dropMalformed},
 		{"a summary without a plan", flat, fromWest, dropUnknown},
-		{"no body of a cell", east, mustSeal(t, "he", kindOfCell, "nonsense"), dropMalformed},
+		{"no body of a cell", east, mustEncode(t, "he", kindCellScoped, "nonsense"), dropMalformed},
 		{
 			"a cell's directory from outside", east,
-			mustSeal(
+			mustEncode(
 				t, "he", kindDirectory,
 				cells.Directory{Cell: "east-1", Representative: "he", Incarnation: 4, Seq: 1},
 			),
@@ -173,7 +173,7 @@
 		for i := range one.to.dropped.total {
 			count += one.to.dropped.total[i].Load()
 		}
-		one.to.receive(one.text, false)
+		one.to.receiveEnvelope(one.data, false)
 		after := uint64(0)
 		for i := range one.to.dropped.total {
 			after += one.to.dropped.total[i].Load()
@@ -197,15 +197,15 @@
 	}
 }
 
-func (n *Node) delegateMeta() []byte { return (*delegate)(n).NodeMeta(memberlist.MetaMaxSize) }
+func (n *Node) nodeMeta() []byte { return (*delegate)(n).NodeMeta(memberlist.MetaMaxSize) }
 
-func mustSeal(t *testing.T, from string, k envelopeKind, body any) []byte {
+func mustEncode(t *testing.T, from string, k envelopeKind, body any) []byte {
 	t.Helper()
-	text, err := encodeEnvelope(from, 4, 99, k, body)
+	data, err := encodeEnvelope(from, 4, 99, k, body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return data
 }
 
 // A relay of another cell, or of a flat fleet, is no peer of a cell's, nor the other way round; a flat fleet
@@ -214,12 +214,12 @@
 	moved := &cellplan.Plan{
 		Number: 2,
 		Cells: append(
-			[]cellplan.Cell{{Name: "flat", Relays: 3, Contacts: []string{address(6)}}}, twoCells().Cells...,
+			[]cellplan.Cell{{Name: "flat", Relays: 3, Contacts: []string{relayAddr(6)}}}, twoCells().Cells...,
 		),
 	}
 	for cell, nodes := range map[string][]*Node{
-		"":       {lonelyIn(t, "", nil), lonelyIn(t, "flat", moved)},
-		"east-1": {lonelyIn(t, "east-1", twoCells()), lonelyIn(t, "east-1", moved)},
+		"":       {newIdleNodeInCell(t, "", nil), newIdleNodeInCell(t, "flat", moved)},
+		"east-1": {newIdleNodeInCell(t, "east-1", twoCells()), newIdleNodeInCell(t, "east-1", moved)},
 	} {
 		for i, n := range nodes {
 			for _, other := range []string{"", "east-1", "west-1"} {
@@ -248,12 +248,12 @@
 			t.Fatal(err)
 		}
 		d.close()
-		text, err := os.ReadFile(path)
+		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fields := map[int]cbor.RawMessage{}
-		err = cbor.Unmarshal(text, &fields)
+		err = cbor.Unmarshal(data, &fields)
 		if err != nil || (fields[6] != nil) != (kept != "") || len(fields) > 6 {
 			t.Errorf("cell %q: %d fields, %v", kept, len(fields), err)
 		}
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -66,7 +66,7 @@
 }
 
 // enteredView is that of a flat fleet that has entered its first plan: the optional fields are not set.
-func enteredView() *membership.View {
+func joinedPlanView() *membership.View {
 	v := proposedView()
 	v.Allocation = &membership.Allocation{Plan: 2, PlanHash: 5}
 	return v
@@ -101,7 +101,7 @@
 			SlotReleased:   true,
 			Promised:       membership.Ballot{Round: 2, Name: "r1"},
 			AcceptedBallot: membership.Ballot{Round: 2, Name: "r1"},
-			Accepted:       enteredView(),
+			Accepted:       joinedPlanView(),
 			View:           agreedView(),
 		}},
 		"cell-first-start": {"east", membership.Record{Incarnation: 1}},
@@ -112,7 +112,7 @@
 			Promised:       membership.Ballot{Round: 12, Name: "r1"},
 			AcceptedBallot: membership.Ballot{Round: 11, Name: "r2"},
 			Accepted:       cellView(),
-			View:           enteredView(),
+			View:           joinedPlanView(),
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -334,7 +334,7 @@
 				Kind:   membership.Accept,
 				Epoch:  7,
 				Ballot: ballot,
-				View:   enteredView(),
+				View:   joinedPlanView(),
 				From:   3,
 			},
 			decode: message,
@@ -383,7 +383,7 @@
 			want:   cells.Directory{Cell: "east", Representative: "r1", Incarnation: 4, Seq: 1},
 			decode: directory,
 		},
-		"status-of-a-cell": {kind: kindOfCell, want: fullStatus(), decode: status},
+		"status-of-a-cell": {kind: kindCellScoped, want: fullStatus(), decode: status},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := &Node{cfg: Config{Name: "r1"}}
@@ -391,26 +391,26 @@
 				c.body = c.want
 			}
 			inner := c.kind
-			if inner == kindOfCell {
-				n.key, inner = keyOfCell("east"), kindStatus
+			if inner == kindCellScoped {
+				n.cellHash, inner = hashCellName("east"), kindStatus
 			}
 			sent, err := n.encodeForCell(4, 9, inner, c.body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			text, err := os.ReadFile(filepath.Join("testdata", "wire", name+".cbor"))
+			data, err := os.ReadFile(filepath.Join("testdata", "wire", name+".cbor"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !bytes.Equal(sent, text) {
-				t.Errorf("sent as %x, was %x", sent, text)
+			if !bytes.Equal(sent, data) {
+				t.Errorf("sent as %x, was %x", sent, data)
 			}
-			e, err := decodeEnvelope(text)
+			e, err := decodeEnvelope(data)
 			if err != nil || e.Kind != c.kind || e.From != "r1" || e.Incarnation != 4 || e.Seq != 9 {
 				t.Fatalf("opened as %+v: %v", e, err)
 			}
-			if c.kind == kindOfCell {
-				if e, err = n.unwrapCell(e); err != nil || e.Kind != kindStatus {
+			if c.kind == kindCellScoped {
+				if e, err = n.unwrapCellEnvelope(e); err != nil || e.Kind != kindStatus {
 					t.Fatalf("unwrapped as %+v: %v", e, err)
 				}
 			}
--- a/internal/wire/gossip/delegate.go
+++ b/internal/wire/gossip/delegate.go
@@ -11,81 +11,84 @@
 	"capersail/internal/fleet/membership"
 )
 
-// errInvalidName refuses a relay whose name ValidRelayName refuses.
-var errInvalidName = errors.New("invalid name of a relay")
+// errInvalidRelayName is the error for a relay whose name ValidRelayName rejects.
+var errInvalidRelayName = errors.New("invalid relay name: not 1 to 128 bytes of printable UTF-8")
 
-// delegate is the Node as memberlist sees it. Its methods must not block.
+// delegate implements memberlist's delegate interfaces for a Node. Its methods must not block.
 type delegate Node
 
-// NodeMeta is memberlist's: the relay's cell, nothing in a flat fleet. Statuses are carried apart, at a rate
-// of their own.
+// NodeMeta implements memberlist.Delegate. The metadata is the relay's cell, empty in a flat fleet. The
+// status is not part of it, as statuses are published at a rate of their own.
 func (d *delegate) NodeMeta(int) []byte {
-	if d.cell == "" {
+	if d.wireCell == "" {
 		return nil
 	}
-	return []byte(d.cell)
+	return []byte(d.wireCell)
 }
 
-// NotifyMsg is memberlist's: a message, or a status that is passed on.
-func (d *delegate) NotifyMsg(b []byte) { (*Node)(d).receive(slices.Clone(b), true) }
+// NotifyMsg implements memberlist.Delegate. It receives an envelope that a peer has sent or broadcast.
+func (d *delegate) NotifyMsg(b []byte) { (*Node)(d).receiveEnvelope(slices.Clone(b), true) }
 
-// GetBroadcasts is memberlist's.
+// GetBroadcasts implements memberlist.Delegate.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.mesh.broadcasts.take(overhead, limit)
+	return d.gossip.broadcasts.take(overhead, limit)
 }
 
-// LocalState is memberlist's: all statuses known, for a relay that joins or has missed some.
+// LocalState implements memberlist.Delegate. It encodes all known statuses, for a relay that joins or has
+// missed some of them.
 func (d *delegate) LocalState(bool) []byte {
-	text, err := cbor.Marshal(d.peers.allStatuses())
+	data, err := cbor.Marshal(d.peers.allStatuses())
 	if err != nil {
 		return nil
 	}
-	return text
+	return data
 }
 
-// MergeRemoteState is memberlist's.
-func (d *delegate) MergeRemoteState(text []byte, _ bool) {
+// MergeRemoteState implements memberlist.Delegate. It receives the statuses that LocalState of a peer
+// encoded.
+func (d *delegate) MergeRemoteState(data []byte, _ bool) {
 	var all [][]byte
-	if err := cbor.Unmarshal(text, &all); err != nil || len(all) > maxPeers {
-		d.dropped.count(dropMalformed, "malformed state")
+	if err := cbor.Unmarshal(data, &all); err != nil || len(all) > maxPeers {
+		d.dropped.count(dropMalformed, "malformed list of statuses in a state exchange")
 		return
 	}
 	for _, status := range all {
-		(*Node)(d).receive(status, false)
+		(*Node)(d).receiveEnvelope(status, false)
 	}
 }
 
-// noteHealth notes what memberlist says of a relay, and notifies the membership.Node.
-func (d *delegate) noteHealth(m *memberlist.Node, health membership.Health) {
-	d.peers.noteHealth(*m, health)
-	(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: health})
+// setHealth records the health that memberlist reports of a relay, and notifies the membership.Node.
+func (d *delegate) setHealth(m *memberlist.Node, health membership.Health) {
+	d.peers.setHealth(*m, health)
+	(*Node)(d).enqueueMembershipEvent(membership.PeerHealth{Name: m.Name, Health: health})
 }
 
-// NotifyJoin is memberlist's.
-func (d *delegate) NotifyJoin(m *memberlist.Node) { d.noteHealth(m, membership.Alive) }
+// NotifyJoin implements memberlist.EventDelegate.
+func (d *delegate) NotifyJoin(m *memberlist.Node) { d.setHealth(m, membership.Alive) }
 
-// NotifyUpdate is memberlist's.
-func (d *delegate) NotifyUpdate(m *memberlist.Node) { d.noteHealth(m, membership.Alive) }
+// NotifyUpdate implements memberlist.EventDelegate.
+func (d *delegate) NotifyUpdate(m *memberlist.Node) { d.setHealth(m, membership.Alive) }
 
-// NotifyLeave is memberlist's, for one that failed and for one that said so. It does not tell which: the
-// relay's own status does.
-func (d *delegate) NotifyLeave(m *memberlist.Node) { d.noteHealth(m, d.peers.goneHealth(m.Name)) }
+// NotifyLeave implements memberlist.EventDelegate. memberlist calls it both for a relay that has failed and
+// for one that has left without telling them apart; the relay's last status does.
+func (d *delegate) NotifyLeave(m *memberlist.Node) { d.setHealth(m, d.peers.exitHealth(m.Name)) }
 
-// NotifyAlive is memberlist's: a name that nobody could have is no peer, and neither is a relay of another
-// cell.
+// NotifyAlive implements memberlist.AliveDelegate. It rejects relays with an invalid name and relays of
+// another cell.
 func (d *delegate) NotifyAlive(m *memberlist.Node) error {
 	if !ValidRelayName(m.Name) {
-		d.dropped.count(dropMalformed, errInvalidName.Error())
-		return errInvalidName
+		d.dropped.count(dropMalformed, errInvalidRelayName.Error())
+		return errInvalidRelayName
 	}
-	if !(*Node)(d).sameCell(m) {
+	if !(*Node)(d).inSameCell(m) {
 		d.dropped.count(dropForeign, m.Name+": "+errOtherCell.Error())
 		return errOtherCell
 	}
 	return nil
 }
 
-// NotifyConflict is memberlist's: two relays of one name.
+// NotifyConflict implements memberlist.ConflictDelegate. It counts a second relay that uses a known name.
 func (d *delegate) NotifyConflict(old, other *memberlist.Node) {
-	d.dropped.count(dropConflict, fmt.Sprintf("%s at %s and %s", old.Name, old.Address(), other.Address()))
+	d.dropped.count(dropConflict,
+		fmt.Sprintf("two relays are named %s: at %s and %s", old.Name, old.Address(), other.Address()))
 }
--- a/internal/wire/gossip/doc.go
+++ b/internal/wire/gossip/doc.go
@@ -1,13 +1,14 @@
-// Package gossip is the driver round internal/fleet/membership and internal/fleet/cells: it lets relays hear
-// of each other by hashicorp/memberlist, carries messages of their membership.Node and cells.Coordinator in
-// envelopes, and keeps the record that a membership.Node wants kept.
+// Package gossip is the driver of internal/fleet/membership and internal/fleet/cells: it connects relays by
+// hashicorp/memberlist, carries the messages of membership.Node and cells.Coordinator in envelopes, and
+// stores the record of the membership.Node on disk.
 //
-// It owns the sockets of gossip, the keys that seal packets, the file of the record with its lock, the table
-// of peers and the counters of what was dropped. The lifecycle package makes a [Node] and runs it; the
-// relay's event loop takes the fleet's status from it (LockStatus), and shared probing sends its readings by
-// it. What a peer sends reaches membership.Node and cells.Coordinator as events, through Run, one after
-// the other.
+// It owns the sockets of gossip, the keys that encrypt packets, the record file with its lock, the table of
+// peers and the counters of dropped messages. The lifecycle package creates a [Node] and runs it. The relay's
+// event loop takes the fleet's status from it (LockStatus), and shared probing sends readings and placements
+// through it. Messages from peers reach membership.Node and cells.Coordinator as events, which Run handles
+// one at a time. Readings and placements do not pass through Run but go to Config.OnProbingEvent.
 //
-// It decides nothing: when to send, what to keep and what a status means is decided by those two. It drops
-// what no relay sends, what came before, and what it has no room for, as all is sent again.
+// The package makes no decisions: membership.Node and cells.Coordinator decide when to send, what to store
+// and what a status means. It drops malformed and duplicate messages, and messages that exceed the size of a
+// queue, as messages are repeated periodically.
 package gossip
--- a/internal/wire/gossip/drop_counters.go
+++ b/internal/wire/gossip/drop_counters.go
@@ -11,36 +11,36 @@
 	"github.com/rs/zerolog"
 )
 
-// dropReason is why something that came, or was to be sent, was dropped.
+// dropReason is the reason why an incoming or outgoing message was dropped.
 type dropReason uint8
 
 const (
-	dropMalformed dropReason = iota // nothing that a relay sends
-	dropUnsealed                    // not sealed with a key of this fleet
-	dropForeign                     // of another site or cell
-	dropReplayed                    // it had come before
-	dropUnknown                     // of a later version
-	dropOverflow                    // more than could be taken in
-	dropConflict                    // a second relay of one name
-	dropUnsent                      // one of this relay's own that could not be sent
+	dropMalformed     dropReason = iota // cannot have been sent by a relay
+	dropUndecryptable                   // not encrypted with a key of this fleet
+	dropForeign                         // from another site or cell
+	dropReplayed                        // duplicate of a message already received
+	dropUnknown                         // of a kind that this relay does not handle
+	dropOverflow                        // a queue was full
+	dropConflict                        // from a second relay of the same name
+	dropUnsent                          // a message of this relay that could not be sent
 	dropOther
 	dropReasonCount
 )
 
-// dropReasonNames are the reasons as metrics and reports have them.
+// dropReasonNames are the names of the reasons in metrics and reports.
 var dropReasonNames = [dropReasonCount]string{
-	dropMalformed: "malformed",
-	dropUnsealed:  "unsealed",
-	dropForeign:   "foreign",
-	dropReplayed:  "replayed",
-	dropUnknown:   "unknown",
-	dropOverflow:  "overrun",
-	dropConflict:  "conflict",
-	dropUnsent:    "unsent",
-	dropOther:     "other",
+	dropMalformed:     "malformed",
+	dropUndecryptable: "unsealed",
+	dropForeign:       "foreign",
+	dropReplayed:      "replayed",
+	dropUnknown:       "unknown",
+	dropOverflow:      "overrun",
+	dropConflict:      "conflict",
+	dropUnsent:        "unsent",
+	dropOther:         "other",
 }
 
-// String is the reason as metrics and reports have it.
+// String returns the name of the reason in metrics and reports.
 func (r dropReason) String() string {
 	if r >= dropReasonCount {
 		return fmt.Sprintf("dropReason(%d)", uint8(r))
@@ -49,13 +49,13 @@
 }
 
 const (
-	// dropLogInterval bounds the log: one line a reason in such a time.
+	// dropLogInterval is the least time between two log lines of the same reason.
 	dropLogInterval = time.Minute
-	// maxDropDetail bounds what a line says of what was dropped, in bytes.
+	// maxDropDetail is the length in bytes after which the detail in a log line is cut.
 	maxDropDetail = 200
 )
 
-// dropCounters counts what was dropped, by reason, and logs some of it.
+// dropCounters counts dropped messages by reason and logs a sample of them.
 type dropCounters struct {
 	log   zerolog.Logger
 	total [dropReasonCount]atomic.Uint64
@@ -66,7 +66,7 @@
 
 func newDropCounters(logger zerolog.Logger) *dropCounters { return &dropCounters{log: logger} }
 
-// count counts one drop; detail says more of it in the log.
+// count counts one dropped message. The detail describes it in the log.
 func (d *dropCounters) count(reason dropReason, detail string) {
 	total := d.total[reason].Add(1)
 	if !d.logDue(reason) {
@@ -76,10 +76,11 @@
 		detail = detail[:maxDropDetail]
 	}
 	d.log.Warn().Str("reason", reason.String()).Uint64("so_far", total).Str("what", detail).
-		Msg("gossip dropped: docs/operate/members.md says what each reason asks for")
+		Msg("gossip message dropped: see docs/operate/members.md for what to do about each reason")
 }
 
-// logDue tells whether a line for the reason is due, and notes that it is written.
+// logDue reports whether dropLogInterval has passed since the last log line of the reason. If so, it records
+// the current time as that of the last line.
 func (d *dropCounters) logDue(reason dropReason) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,14 +92,14 @@
 	return true
 }
 
-// memberlistDrops says by which words memberlist's log tells of a packet that it drops; the first that fits
-// counts.
+// memberlistDrops maps phrases in memberlist's log, its only trace of the packets that it drops, to the
+// reason of the drop. The first match applies.
 var memberlistDrops = []struct {
-	reason dropReason
-	words  []string
+	reason  dropReason
+	phrases []string
 }{
 	{dropForeign, []string{"unacceptable label", "label header"}},
-	{dropUnsealed, []string{"ecrypt"}},
+	{dropUndecryptable, []string{"ecrypt"}},
 	{dropMalformed, []string{
 		"invalid checksum", "ecode", "not supported", "missing message type", "truncated", "decompress",
 		"invalid msgType", "unexpected node", "ailed to receive", "remote state",
@@ -106,15 +107,16 @@
 	{dropOverflow, []string{"queue full", "Too many pending"}},
 }
 
-// logger is memberlist's log: what it says of packets that it drops is counted, the rest is for debugging.
+// logger returns the logger for memberlist. Lines about dropped packets are counted; the others are logged at
+// level debug.
 func (d *dropCounters) logger() *log.Logger { return log.New(d, "", 0) }
 
-// Write takes one line of memberlist's.
+// Write handles one line of memberlist's log.
 func (d *dropCounters) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	for _, drop := range memberlistDrops {
-		for _, words := range drop.words {
-			if strings.Contains(text, words) {
+		for _, phrase := range drop.phrases {
+			if strings.Contains(text, phrase) {
 				d.count(drop.reason, text)
 				return len(line), nil
 			}
--- a/internal/wire/gossip/envelope.go
+++ b/internal/wire/gossip/envelope.go
@@ -10,18 +10,19 @@
 	"capersail/internal/fleet/membership"
 )
 
-// envelopeKind says what the body of an envelope is.
+// envelopeKind identifies the type of an envelope's body.
 type envelopeKind uint8
 
 const (
 	kindStatus     envelopeKind = 1
 	kindMessage    envelopeKind = 2
-	kindReadings   envelopeKind = 3 // load reports of servers; an older version counts it as unknown
-	kindPlacements envelopeKind = 4 // what relays have placed on servers; the same
+	kindReadings   envelopeKind = 3 // load reports of servers; older versions count it as unknown
+	kindPlacements envelopeKind = 4 // placements of relays on servers; older versions count it as unknown
 )
 
-// envelope is what goes over the wire. A status's Seq is the status's own, so that whoever passes it on
-// changes nothing; a message's rises with each, so that one that comes twice is known.
+// envelope is the wire format of all gossip between relays. The Seq of a status envelope is that of the
+// status itself, so that peers can forward the envelope unchanged. For other kinds it rises with each
+// envelope, so that the receiver can detect duplicates.
 type envelope struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint8
@@ -34,19 +35,19 @@
 
 const (
 	envelopeVersion = 1
-	// maxEnvelopeBytes bounds an envelope that is taken in.
+	// maxEnvelopeBytes is the largest envelope that is accepted.
 	maxEnvelopeBytes = 1 << 18
 	maxNameBytes     = 128
 )
 
 var (
-	errOversized     = errors.New("oversized envelope")
-	errNoEnvelope    = errors.New("no envelope")
-	errBadHeadFields = errors.New("malformed envelope")
+	errOversizedEnvelope = errors.New("envelope larger than 256 KiB")
+	errNotEnvelope       = errors.New("message is not a CBOR-encoded envelope")
+	errInvalidHeader     = errors.New("envelope without a valid version, sender or incarnation")
 )
 
 func encodeEnvelope(from string, incarnation, seq uint64, kind envelopeKind, body any) ([]byte, error) {
-	text, err := cbor.Marshal(body)
+	data, err := cbor.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
@@ -56,53 +57,55 @@
 		Incarnation: incarnation,
 		Seq:         seq,
 		Kind:        kind,
-		Body:        text,
+		Body:        data,
 	})
 }
 
-// decodeEnvelope reads an envelope. A later version may hold more, after these fields; what it changes has to
-// be another kind.
-func decodeEnvelope(text []byte) (e envelope, err error) {
-	if len(text) > maxEnvelopeBytes {
-		return e, errOversized
+// decodeEnvelope decodes an envelope and checks its header. A later version of the format may append fields;
+// any other change needs a new envelopeKind.
+func decodeEnvelope(data []byte) (e envelope, err error) {
+	if len(data) > maxEnvelopeBytes {
+		return e, errOversizedEnvelope
 	}
-	if err := cbor.Unmarshal(text, &e); err != nil {
-		return e, errNoEnvelope
+	if err := cbor.Unmarshal(data, &e); err != nil {
+		return e, errNotEnvelope
 	}
 	if e.Version < 1 || !ValidRelayName(e.From) || e.Incarnation == 0 {
-		return e, errBadHeadFields
+		return e, errInvalidHeader
 	}
 	return e, nil
 }
 
-// olderThan tells whether another envelope of the same relay is newer.
+// olderThan reports whether the other envelope of the same relay is newer.
 func (e envelope) olderThan(other envelope) bool {
 	return e.Incarnation < other.Incarnation || e.Incarnation == other.Incarnation && e.Seq < other.Seq
 }
 
-// ValidRelayName tells whether a relay may have the name: 1 to 128 bytes that print.
+// ValidRelayName reports whether a relay may have the name: 1 to 128 bytes of UTF-8 without control
+// characters.
 func ValidRelayName(name string) bool {
 	unprintable := func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd }
 	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, unprintable)
 }
 
 const (
-	maxValidRate  = 1e9     // requests a second
-	maxValidSlots = 1 << 20 // of a fleet
+	maxStatusRate = 1e9     // requests or connections a second
+	maxSlots      = 1 << 20 // bootstrap slots of a fleet
 )
 
-// validStatus tells whether a status could be true.
+// validStatus reports whether the values of a status are possible.
 func validStatus(s membership.Status) bool {
-	rateValid := s.RequestRate >= 0 && !math.IsNaN(s.RequestRate) && s.RequestRate < maxValidRate
-	drainValid := s.DrainRate >= 0 && s.DrainRate < maxValidRate
-	slotValid := s.BootstrapSize >= 1 && s.BootstrapSize <= maxValidSlots && s.BootstrapSlot < s.BootstrapSize
+	rateValid := s.RequestRate >= 0 && !math.IsNaN(s.RequestRate) && s.RequestRate < maxStatusRate
+	drainValid := s.DrainRate >= 0 && s.DrainRate < maxStatusRate
+	slotValid := s.BootstrapSize >= 1 && s.BootstrapSize <= maxSlots && s.BootstrapSlot < s.BootstrapSize
 	return s.Version >= 1 && rateValid && drainValid && slotValid &&
 		s.OpenConnections >= 0 && len(s.Zone) <= maxNameBytes
 }
 
-// validMessage tells whether a message could have been sent by a membership.Node.
+// validMessage reports whether a membership.Node can have sent the message.
 func validMessage(m membership.Message) bool {
-	if math.IsNaN(m.SentAtMillis) || math.IsInf(m.SentAtMillis, 0) || len(m.Unavailable) > maxPeers || len(m.Joining) > maxPeers {
+	if math.IsNaN(m.SentAtMillis) || math.IsInf(m.SentAtMillis, 0) ||
+		len(m.Unavailable) > maxPeers || len(m.Joining) > maxPeers {
 		return false
 	}
 	if m.View == nil {
--- a/internal/wire/gossip/faultpoint.go
+++ b/internal/wire/gossip/faultpoint.go
@@ -11,22 +11,22 @@
 	"capersail/internal/fleet/probing"
 )
 
-// injectFaults is where tests put faults between relays; this program has none.
+// injectFaults returns the transport unchanged. With the build tag faults it adds network faults.
 func (n *Node) injectFaults(t *countingTransport) memberlist.NodeAwareTransport { return t }
 
-// recordHistory is where tests record the relay's estimate of the fleet; this program does not.
+// recordHistory does nothing. With the build tag faults it records the relay's estimate of the fleet.
 func (n *Node) recordHistory() {}
 
-// adjustTiming is where tests have a cell go faster; this program goes by its pace.
+// adjustTiming returns the timing unchanged. With the build tag faults it shortens the leases of a cell.
 func (n *Node) adjustTiming(p membership.Timing) membership.Timing { return p }
 
-// cellTime is the Coordinator's clock by the Node's, and nodeTime the other way round; tests let it run
-// faster.
+// cellTime converts a time of the Node's clock to the Coordinator's, and nodeTime converts it back. The
+// clocks are the same, but with the build tag faults the Coordinator's may run faster.
 func (n *Node) cellTime(now time.Duration) time.Duration { return now }
 func (n *Node) nodeTime(at time.Duration) time.Duration  { return at }
 
-// adjustStatus is where tests make a status one of another version; this program's are its own.
+// adjustStatus returns the status unchanged. With the build tag faults it converts it to another version.
 func (n *Node) adjustStatus(d membership.Status) any { return d }
 
-// falsifyReadings is where tests have a relay tell nonsense.
+// falsifyReadings returns the readings unchanged. With the build tag faults it replaces them by false ones.
 func (n *Node) falsifyReadings(readings []probing.Reading) []probing.Reading { return readings }
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -18,63 +18,65 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// injectFaults puts faults between this relay and the others.
+// injectFaults adds network faults between this relay and the others, as the fault rules say.
 func (n *Node) injectFaults(t *countingTransport) memberlist.NodeAwareTransport {
 	return &faultyTransport{t}
 }
 
 type faultyTransport struct{ *countingTransport }
 
-// WriteTo is memberlist's.
+// WriteTo implements memberlist.Transport.
 func (f *faultyTransport) WriteTo(b []byte, to string) (time.Time, error) {
 	return f.WriteToAddress(b, memberlist.Address{Addr: to})
 }
 
-// WriteToAddress is memberlist's.
+// WriteToAddress implements memberlist.NodeAwareTransport. It drops, delays or duplicates the packet.
 func (f *faultyTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
-	text := append([]byte(nil), b...)
+	data := append([]byte(nil), b...)
 	for _, after := range faultpoint.DrawPacketDelays(to.Addr) {
 		if after <= 0 {
-			f.countingTransport.WriteToAddress(text, to)
+			f.countingTransport.WriteToAddress(data, to)
 			continue
 		}
-		time.AfterFunc(after, func() { f.countingTransport.WriteToAddress(text, to) })
+		time.AfterFunc(after, func() { f.countingTransport.WriteToAddress(data, to) })
 	}
 	return time.Now(), nil
 }
 
-// DialTimeout is memberlist's.
+// DialTimeout implements memberlist.Transport.
 func (f *faultyTransport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
 	return f.DialAddressTimeout(memberlist.Address{Addr: to}, within)
 }
 
-// DialAddressTimeout is memberlist's.
+// DialAddressTimeout implements memberlist.NodeAwareTransport. It times out for an address that the fault
+// rules cut off.
 func (f *faultyTransport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
 	if !faultpoint.CanConnect(to.Addr) {
 		time.Sleep(min(within, 300*time.Millisecond))
-		return nil, errors.New("i/o timeout")
+		return nil, errors.New("injected fault: i/o timeout")
 	}
 	return f.countingTransport.DialAddressTimeout(to, within)
 }
 
-// lastRecorded is what the last line of the history said.
-var lastRecorded faultpoint.HistoryLine
+// lastHistoryLine is the last line that recordHistory recorded.
+var lastHistoryLine faultpoint.HistoryLine
 
-// recordHistory takes down what the relay takes the fleet for, as it changes.
+// recordHistory records the relay's estimate of the fleet if it has changed, or if the last line is more than
+// 1 s old.
 func (n *Node) recordHistory() {
 	if !faultpoint.Recording() {
 		return
 	}
 	line := n.historyLine()
-	sameUntil := math.Abs(line.UntilMillis-lastRecorded.UntilMillis) < 1
-	if sameFacts(line, lastRecorded) && sameUntil && line.AtMillis < lastRecorded.AtMillis+1000 {
+	sameUntil := math.Abs(line.UntilMillis-lastHistoryLine.UntilMillis) < 1
+	if equalExceptTimes(line, lastHistoryLine) && sameUntil && line.AtMillis < lastHistoryLine.AtMillis+1000 {
 		return
 	}
-	lastRecorded = line
+	lastHistoryLine = line
 	faultpoint.Record(line)
 }
 
-// historyLine is what the relay takes the fleet for now.
+// historyLine returns the relay's current estimate of the fleet.
 func (n *Node) historyLine() faultpoint.HistoryLine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,17 +100,17 @@
 		left := duration.Millis(estimate.ShareValidUntil - now)
 		line.UntilMillis = line.AtMillis + left/faultpoint.ClockRate()
 	}
-	n.noteCells(&line, estimate, view)
-	if line.Epoch != lastRecorded.Epoch || line.ViewHash != lastRecorded.ViewHash {
+	n.addCellFields(&line, estimate, view)
+	if line.Epoch != lastHistoryLine.Epoch || line.ViewHash != lastHistoryLine.ViewHash {
 		line.Members = view.MemberNames()
 	} else {
-		line.Members = lastRecorded.Members
+		line.Members = lastHistoryLine.Members
 	}
 	return line
 }
 
-// sameFacts tells whether two lines say the same, but for times.
-func sameFacts(a, b faultpoint.HistoryLine) bool {
+// equalExceptTimes reports whether two lines differ in nothing but times.
+func equalExceptTimes(a, b faultpoint.HistoryLine) bool {
 	sameView := a.Epoch == b.Epoch && a.ViewHash == b.ViewHash && a.Phase == b.Phase
 	sameShare := a.Share == b.Share && a.FarShare == b.FarShare && a.Relays == b.Relays
 	samePlan := a.Plan == b.Plan && a.PlanActivated == b.PlanActivated
@@ -116,8 +118,9 @@
 	return sameView && sameShare && slices.Equal(a.Zones, b.Zones) && samePlan && sameCells
 }
 
-// noteCells takes down what the relay knows of its cell and of the others. The caller holds the lock.
-func (n *Node) noteCells(
+// addCellFields adds to a line what the relay knows of its own cell and of the others. The caller holds the
+// lock.
+func (n *Node) addCellFields(
 	line *faultpoint.HistoryLine,
 	estimate membership.FleetEstimate,
 	view *membership.View,
@@ -127,17 +130,18 @@
 	if view.Allocation == nil {
 		line.FarShare, line.Zones = estimate.BudgetShare, nil
 	}
-	link := n.cells.Load()
-	if link == nil {
+	driver := n.cells.Load()
+	if driver == nil {
 		return
 	}
-	line.Cell, line.Representative = link.cell, link.representative
-	for _, region := range link.coordinator.Report(n.cellTime(n.now())).Regions {
+	line.Cell, line.Representative = driver.cell, driver.representative
+	for _, region := range driver.coordinator.Report(n.cellTime(n.now())).Regions {
 		line.KnownCells += region.Known
 	}
 }
 
-// adjustTiming makes the leases of a cell as short as the rules say.
+// adjustTiming shortens the leases of a cell to the duration in the fault rules, and the interval of statuses
+// in proportion.
 func (n *Node) adjustTiming(p membership.Timing) membership.Timing {
 	if ms := faultpoint.CurrentRules().LeaseMs; ms > 0 && p != (membership.Timing{}) {
 		p.StatusInterval = duration.Scale(p.StatusInterval, ms/duration.Millis(p.LeaseDuration))
@@ -146,13 +150,14 @@
 	return p
 }
 
-// cellClockRate is how much faster the clock between cells runs than the relay's.
+// cellClockRate returns how many times as fast as the relay's clock the Coordinator's clock runs.
 func cellClockRate() float64 { return max(faultpoint.CurrentRules().CellRate, 1) }
 
 func (n *Node) cellTime(now time.Duration) time.Duration { return duration.Scale(now, cellClockRate()) }
 func (n *Node) nodeTime(at time.Duration) time.Duration  { return duration.Scale(at, 1/cellClockRate()) }
 
-// falsifyReadings makes the readings that this relay made itself into what the rules say.
+// falsifyReadings replaces this relay's own readings by the false load in the fault rules, if they ask for
+// that.
 func (n *Node) falsifyReadings(readings []probing.Reading) []probing.Reading {
 	r := faultpoint.CurrentRules()
 	if !r.FalseReports {
@@ -167,16 +172,16 @@
 	return readings
 }
 
-// adjustStatus makes a status one of an earlier version, which lacks what is not needed, or of a later one,
-// which has more.
+// adjustStatus converts a status, as the fault rules say, to that of an earlier version without the optional
+// fields, or to that of a later version with additional fields.
 func (n *Node) adjustStatus(d membership.Status) any {
 	version := faultpoint.CurrentRules().StatusVersion
 	if version == 0 {
 		return d
 	}
-	text, err := cbor.Marshal(d)
+	data, err := cbor.Marshal(d)
 	fields := map[int]any{}
-	if err != nil || cbor.Unmarshal(text, &fields) != nil {
+	if err != nil || cbor.Unmarshal(data, &fields) != nil {
 		return d
 	}
 	if version < 0 {
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -44,7 +44,7 @@
 }
 
 // fleet starts n Nodes on a simulated network, in lots, and ends them with the test.
-func fleet(
+func startFleet(
 	t *testing.T, simnet *network.Network, n int, notice func(at string, c membership.Changed),
 ) []*Node {
 	t.Helper()
@@ -61,8 +61,8 @@
 	for i := range n {
 		name := fmt.Sprintf("r%03d", i)
 		c := testConfig(name, filepath.Join(dir, name))
-		c.Bind, c.Transport = address(i), simnet.Transport
-		c.Seeds = []string{address(0), address(1)}
+		c.Bind, c.Transport = relayAddr(i), simnet.Transport
+		c.Seeds = []string{relayAddr(0), relayAddr(1)}
 		c.BootstrapSlot, c.BootstrapSize, c.ConfiguredRelays = i, n, n
 		c.Seed = uint64(i)
 		if notice != nil {
@@ -78,9 +78,9 @@
 	return all
 }
 
-func address(i int) string { return fmt.Sprintf("127.9.%d.%d:7946", i/250, 1+i%250) }
+func relayAddr(i int) string { return fmt.Sprintf("127.9.%d.%d:7946", i/250, 1+i%250) }
 
-func await(t *testing.T, within time.Duration, what string, ok func() bool) time.Duration {
+func waitFor(t *testing.T, within time.Duration, what string, ok func() bool) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for !ok() {
@@ -92,23 +92,23 @@
 	return time.Since(began)
 }
 
-func inView(n *Node) (in int) {
+func viewSize(n *Node) (in int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.membership.View().MemberNames())
 }
 
 // cost is what one size of fleet costs each of its relays.
-type cost struct{ formed, bytes, cpuMs, told, back, heapMB float64 }
+type fleetCost struct{ formSec, bytesPerSec, cpuMsPerSec, removalSec, rejoinSec, heapMB float64 }
 
 // measure plays a fleet of n on a net that loses a packet in a hundred: how long until it agrees, what it
 // costs, how soon a dead one is out of all views and one that is back is in them. Where one relay takes
 // another for dead that is not, no view may follow: most voters have to say so.
-func measure(t *testing.T, n int, watch time.Duration) (c cost) {
+func measureFleet(t *testing.T, n int, watch time.Duration) (c fleetCost) {
 	simnet := network.New(network.Config{})
 	var failed, views atomic.Int64
 	var quiet atomic.Bool
-	all := fleet(t, simnet, n, func(_ string, c membership.Changed) {
+	all := startFleet(t, simnet, n, func(_ string, c membership.Changed) {
 		switch {
 		case !quiet.Load():
 		case c.Kind == membership.ChangePeer && c.State == "failed":
@@ -120,21 +120,21 @@
 	everybody := func(want int, but *Node) func() bool {
 		return func() bool {
 			for _, node := range all {
-				if node != but && inView(node) != want {
+				if node != but && viewSize(node) != want {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	c.formed = await(t, 2*time.Minute, "one view", everybody(n, nil)).Seconds()
+	c.formSec = waitFor(t, 2*time.Minute, "one view", everybody(n, nil)).Seconds()
 	// Nobody has come or gone once all have held one view, with every share at its target, for 3 s: shares
 	// grow by views that follow the first, and word of a relay that was slow to start may still be under way.
 	epoch, since := uint64(0), time.Now()
-	await(t, time.Minute, "one view of all, and no other for 3 s", func() bool {
+	waitFor(t, time.Minute, "one view of all, and no other for 3 s", func() bool {
 		for _, node := range all {
 			r := node.FleetEstimate()
-			if r.Phase != membership.PhaseAgreed || r.Epoch != epoch || inView(node) != n {
+			if r.Phase != membership.PhaseAgreed || r.Epoch != epoch || viewSize(node) != n {
 				epoch, since = all[0].FleetEstimate().Epoch, time.Now()
 				return false
 			}
@@ -144,18 +144,19 @@
 	simnet.SetLoss(0.01)
 	quiet.Store(true)
 	simnet.Record()
-	cpuAt, began := cpu(), time.Now()
+	cpuAt, began := cpuSeconds(), time.Now()
 	time.Sleep(watch)
 	took := time.Since(began).Seconds()
 	quiet.Store(false)
-	c.bytes, c.cpuMs = sentIn(simnet)/took/float64(n), (cpu()-cpuAt)*1000/took/float64(n)
+	c.bytesPerSec, c.cpuMsPerSec = bytesSent(simnet)/took/float64(n),
+		(cpuSeconds()-cpuAt)*1000/took/float64(n)
 	if views.Load() > 0 {
 		t.Errorf("%d views changed while nobody came or went", views.Load())
 	}
 	simnet.SetDown(all[n/2].cfg.Bind, true)
-	c.told = await(t, time.Minute, "out", everybody(n-1, all[n/2])).Seconds()
+	c.removalSec = waitFor(t, time.Minute, "out", everybody(n-1, all[n/2])).Seconds()
 	simnet.SetDown(all[n/2].cfg.Bind, false)
-	c.back = await(t, time.Minute, "in", everybody(n, nil)).Seconds()
+	c.rejoinSec = waitFor(t, time.Minute, "in", everybody(n, nil)).Seconds()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	c.heapMB = float64(mem.HeapAlloc) / 1e6 / float64(n)
@@ -164,17 +165,17 @@
 		"%d false alarms at single relays, %d views changed by them; "+
 		"a dead one is out of all views after %.1f s, one that is back is in them after %.1f s; "+
 		"heap %.2f MB a relay",
-		n, c.formed, took, took*float64(n)/3600, c.bytes, c.cpuMs,
-		failed.Load(), views.Load(), c.told, c.back, c.heapMB)
+		n, c.formSec, took, took*float64(n)/3600, c.bytesPerSec, c.cpuMsPerSec,
+		failed.Load(), views.Load(), c.removalSec, c.rejoinSec, c.heapMB)
 	return c
 }
 
 // Many members in memory. The long run has 300 for 10 minutes; docs/measurements/members.md has its figures.
 func TestManyMembersAgree(t *testing.T) {
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
-		measure(t, 300, 10*time.Minute)
+		measureFleet(t, 300, 10*time.Minute)
 	} else {
-		measure(t, 30, 3*time.Second)
+		measureFleet(t, 30, 3*time.Second)
 	}
 }
 
@@ -201,11 +202,11 @@
 		}}
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			c := measure(t, n, watch)
-			for i, y := range []float64{c.bytes / 1000, c.cpuMs} {
+			c := measureFleet(t, n, watch)
+			for i, y := range []float64{c.bytesPerSec / 1000, c.cpuMsPerSec} {
 				panels[0].Lines[i] = append(panels[0].Lines[i], plotter.XY{X: float64(n), Y: y})
 			}
-			for i, y := range []float64{c.told, c.back, c.formed} {
+			for i, y := range []float64{c.removalSec, c.rejoinSec, c.formSec} {
 				panels[1].Lines[i] = append(panels[1].Lines[i], plotter.XY{X: float64(n), Y: y})
 			}
 		})
@@ -216,21 +217,21 @@
 }
 
 // sentIn is how many bytes of packets all endpoints have sent since the recording began.
-func sentIn(simnet *network.Network) (sent float64) {
+func bytesSent(simnet *network.Network) (sent float64) {
 	for _, r := range simnet.Recorded() {
 		sent += float64(r.Total.BytesOut)
 	}
 	return sent
 }
 
-func cpu() float64 {
+func cpuSeconds() float64 {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return float64(u.Utime.Sec+u.Stime.Sec) + float64(u.Utime.Usec+u.Stime.Usec)/1e6
 }
 
 // lone is a Node that has not been started, for what it takes in.
-func lone(t *testing.T) *Node {
+func newIdleNode(t *testing.T) *Node {
 	t.Helper()
 	n, err := New(testConfig("me", filepath.Join(t.TempDir(), "state")))
 	if err != nil {
@@ -240,7 +241,7 @@
 	return n
 }
 
-func good7() membership.Status {
+func sampleStatus() membership.Status {
 	return membership.Status{
 		Version:       1,
 		Incarnation:   4,
@@ -257,18 +258,18 @@
 // a later version, with fields that nobody knows here, and one of an earlier one, with fields missing, are
 // taken.
 func TestMalformedAndReplayedEnvelopesAreCounted(t *testing.T) {
-	n := lone(t)
+	n := newIdleNode(t)
 	sealed := func(k envelopeKind, inc, seq uint64, body any) []byte {
-		text, err := encodeEnvelope("peer", inc, seq, k, body)
+		data, err := encodeEnvelope("peer", inc, seq, k, body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return text
+		return data
 	}
 	renew := sealed(
 		kindMessage, 4, 9, membership.Message{Kind: membership.Renew, Epoch: 1, From: 4, BootstrapSlot: 1},
 	)
-	nan := good7()
+	nan := sampleStatus()
 	nan.RequestRate = -1
 	huge := membership.Message{
 		Kind: membership.Learn,
@@ -281,7 +282,7 @@
 		},
 	}
 	for what, c := range map[string]struct {
-		text []byte
+		data []byte
 		r    dropReason
 	}{
 		"noise":                          {[]byte("hello, is anybody there?"), dropMalformed},
@@ -289,7 +290,7 @@
 		"oversized":                      {bytes.Repeat([]byte{0x80}, maxEnvelopeBytes+1), dropMalformed},
 		"cut":                            {renew[:len(renew)/2], dropMalformed},
 		"a status that cannot be":        {sealed(kindStatus, 4, 7, nan), dropMalformed},
-		"a status of another's number":   {sealed(kindStatus, 4, 8, good7()), dropMalformed},
+		"a status of another's number":   {sealed(kindStatus, 4, 8, sampleStatus()), dropMalformed},
 		"a view whose shares are absurd": {sealed(kindMessage, 4, 10, huge), dropMalformed},
 		"a choice without a view": {
 			sealed(kindMessage, 4, 11, membership.Message{Kind: membership.Learn, From: 4}), dropMalformed,
@@ -297,15 +298,15 @@
 		"a kind of a later version": {sealed(77, 4, 12, 1), dropUnknown},
 	} {
 		before := n.dropped.total[c.r].Load()
-		if n.receive(c.text, true); n.dropped.total[c.r].Load() != before+1 || len(n.inbox) != 0 {
+		if n.receiveEnvelope(c.data, true); n.dropped.total[c.r].Load() != before+1 || len(n.inbox) != 0 {
 			t.Errorf(
 				"%s: dropped as %s %d times, %d events", what, dropReasonNames[c.r],
 				n.dropped.total[c.r].Load()-before, len(n.inbox),
 			)
 		}
 	}
-	n.receive(renew, true)
-	n.receive(renew, true)
+	n.receiveEnvelope(renew, true)
+	n.receiveEnvelope(renew, true)
 	if len(n.inbox) != 1 || n.dropped.total[dropReplayed].Load() != 1 {
 		t.Errorf(
 			"a message that came twice: %d events, %d replays", len(n.inbox),
@@ -314,8 +315,8 @@
 	}
 	<-n.inbox
 	fields := map[int]any{}
-	text, _ := cbor.Marshal(good7())
-	cbor.Unmarshal(text, &fields)
+	data, _ := cbor.Marshal(sampleStatus())
+	cbor.Unmarshal(data, &fields)
 	versions := []struct {
 		what   string
 		change func()
@@ -326,7 +327,7 @@
 	for i, v := range versions {
 		v.change()
 		fields[13] = 20 + i
-		n.receive(sealed(kindStatus, 4, uint64(20+i), fields), true)
+		n.receiveEnvelope(sealed(kindStatus, 4, uint64(20+i), fields), true)
 		if len(n.inbox) != 1 {
 			t.Errorf("%s of the digest: %d events", v.what, len(n.inbox))
 			continue
@@ -340,21 +341,21 @@
 
 // A status stays small, whatever it says.
 func TestStatusStaysSmall(t *testing.T) {
-	d := good7()
+	d := sampleStatus()
 	d.Zone = strings.Repeat("z", 20)
 	d.Incarnation, d.Epoch, d.Hash, d.Seq = 1<<40, 1<<40, 1<<63, 1<<40
 	d.RequestRate, d.DrainRate = 12345.67, 999.9
 	d.OpenConnections, d.EndpointListGeneration = 1<<20, 1<<60
-	text, err := encodeEnvelope(strings.Repeat("n", 40), d.Incarnation, d.Seq, kindStatus, d)
-	if err != nil || len(text) > 250 {
-		t.Errorf("%d bytes, %v", len(text), err)
+	data, err := encodeEnvelope(strings.Repeat("n", 40), d.Incarnation, d.Seq, kindStatus, d)
+	if err != nil || len(data) > 250 {
+		t.Errorf("%d bytes, %v", len(data), err)
 	}
 }
 
 // Readings and placements come through as they were told; those of origins that their packet does not name
 // are dropped.
 func TestReadingsAndPlacementsComeThrough(t *testing.T) {
-	n := lone(t)
+	n := newIdleNode(t)
 	var got []probing.Event
 	n.cfg.OnProbingEvent = func(ev probing.Event) { got = append(got, ev) }
 	rows := []probing.PlacementDelta{
@@ -381,12 +382,12 @@
 		{kindPlacements, encodePlacements(rows)}, {kindReadings, encodeReadings(readings)},
 		{kindPlacements, bad},
 	} {
-		text, err := encodeEnvelope("peer", 4, uint64(i+1), c.k, c.body)
+		data, err := encodeEnvelope("peer", 4, uint64(i+1), c.k, c.body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.receive(text, true)
-		n.receive(text, true) // a replay
+		n.receiveEnvelope(data, true)
+		n.receiveEnvelope(data, true) // a replay
 	}
 	want := []probing.Event{
 		probing.PlacementsReceived{From: "peer", Rows: rows},
@@ -433,14 +434,14 @@
 		}
 	}
 	read("s", "me", "")
-	read("elsewhere", "me", "not of me at elsewhere")
-	read("s", "you", "not of you")
+	read("elsewhere", "me", "not of relay me at site elsewhere")
+	read("s", "you", "not of relay you")
 	os.WriteFile(path, good[:len(good)-3], 0o600)
 	read("s", "me", "torn")
 	bent := bytes.Clone(good)
 	bent[len(bent)-2] ^= 1
 	os.WriteFile(path, bent, 0o600)
-	read("s", "me", "sum does not fit")
+	read("s", "me", "checksum of the record does not match")
 	var k storedRecord
 	cbor.Unmarshal(good, &k)
 	k.Version = 2
@@ -467,8 +468,8 @@
 	if r := n.FleetEstimate(); r.BudgetShare != 0.25 || strings.Count(said.String(), "\n") != 1 {
 		t.Errorf("no record, and none can be kept: %+v, said %q", r, said.String())
 	}
-	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
-	n.handle(membership.StatusReceived{
+	n.handleMembershipEvent(membership.PeerHealth{Name: "peer", Health: membership.Alive})
+	n.handleMembershipEvent(membership.StatusReceived{
 		Name: "peer",
 		Status: membership.Status{
 			Version:       1,
@@ -487,10 +488,10 @@
 
 // A disk that fails in the middle of a life: what follows from what could not be kept is not done.
 func TestRecordThatCannotBeKeptEndsVoting(t *testing.T) {
-	n := lone(t)
+	n := newIdleNode(t)
 	n.record.path = filepath.Join(t.TempDir(), "gone", "state")
-	n.handle(membership.PeerHealth{Name: "peer", Health: membership.Alive})
-	n.handle(membership.StatusReceived{
+	n.handleMembershipEvent(membership.PeerHealth{Name: "peer", Health: membership.Alive})
+	n.handleMembershipEvent(membership.StatusReceived{
 		Name: "peer",
 		Status: membership.Status{
 			Version:       1,
@@ -520,7 +521,7 @@
 	state := filepath.Join(t.TempDir(), "state")
 	start := func(at int) (*Node, func()) {
 		c := testConfig("r0", state)
-		c.Bind, c.Transport, c.Seeds = address(at), simnet.Transport, []string{address(0)}
+		c.Bind, c.Transport, c.Seeds = relayAddr(at), simnet.Transport, []string{relayAddr(0)}
 		c.BootstrapSize, c.ConfiguredRelays = 1, 1
 		n, err := New(c)
 		if err != nil {
@@ -531,9 +532,9 @@
 		return n, func() { stop(); n.Wait() }
 	}
 	first, end := start(0)
-	await(
+	waitFor(
 		t, 30*time.Second, "a view",
-		func() bool { return inView(first) == 1 && first.FleetEstimate().BudgetShare == 1 },
+		func() bool { return viewSize(first) == 1 && first.FleetEstimate().BudgetShare == 1 },
 	)
 	second, endSecond := start(1)
 	defer endSecond()
@@ -544,7 +545,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	end()
-	await(t, 30*time.Second, "its turn", func() bool { return second.FleetEstimate().BudgetShare == 1 })
+	waitFor(t, 30*time.Second, "its turn", func() bool { return second.FleetEstimate().BudgetShare == 1 })
 	if second.FleetEstimate().Epoch == 0 {
 		t.Error("the second does not know what the first promised")
 	}
@@ -558,7 +559,7 @@
 	var all []*Node
 	for i := range 3 {
 		c := testConfig(fmt.Sprint("r", i), filepath.Join(t.TempDir(), "state"))
-		c.Bind, c.Transport, c.Seeds = address(i), simnet.Transport, []string{address(0)}
+		c.Bind, c.Transport, c.Seeds = relayAddr(i), simnet.Transport, []string{relayAddr(0)}
 		c.Keys, c.BootstrapSlot = [][]byte{one}, i
 		n, err := New(c)
 		if err != nil {
@@ -573,8 +574,8 @@
 			n.Wait()
 		}
 	}()
-	whole := func() bool { return inView(all[0]) == 3 && inView(all[1]) == 3 && inView(all[2]) == 3 }
-	await(t, 30*time.Second, "one view", whole)
+	whole := func() bool { return viewSize(all[0]) == 3 && viewSize(all[1]) == 3 && viewSize(all[2]) == 3 }
+	waitFor(t, 30*time.Second, "one view", whole)
 	for _, keys := range [][][]byte{{one, two}, {two, one}, {two}} {
 		for _, n := range all {
 			if err := n.SetKeys(keys); err != nil {
@@ -584,8 +585,8 @@
 		time.Sleep(600 * time.Millisecond)
 	}
 	for _, n := range all {
-		if got := n.dropped.total[dropUnsealed].Load(); got > 0 || !whole() {
-			t.Errorf("%s: %d packets could not be opened, %d in the view", n.cfg.Name, got, inView(n))
+		if got := n.dropped.total[dropUndecryptable].Load(); got > 0 || !whole() {
+			t.Errorf("%s: %d packets could not be opened, %d in the view", n.cfg.Name, got, viewSize(n))
 		}
 	}
 	if err := all[0].SetKeys(nil); err == nil {
--- a/internal/wire/gossip/join.go
+++ b/internal/wire/gossip/join.go
@@ -10,28 +10,31 @@
 )
 
 const (
-	// bindRetryInterval is the time between two attempts at a port that is taken.
+	// bindRetryInterval is the time between two attempts to listen on a port that is in use.
 	bindRetryInterval = 5 * time.Second
-	// rejoinInterval is the mean time between two rounds in which a missing relay is joined.
+	// rejoinInterval is the mean time between two rounds. In each round one missing relay is joined.
 	rejoinInterval = 700 * time.Millisecond
-	// seedJoinPeriod is how many such rounds there are to one in which the seeds are joined too.
-	seedJoinPeriod = 5
-	leaveTimeout   = 400 * time.Millisecond
+	// roundsPerSeedJoin is how many rounds there are to one in which seeds are joined too, even if this relay
+	// has peers.
+	roundsPerSeedJoin = 5
+	// leaveTimeout bounds each wait for the news that this relay leaves: for Run to publish it, and for it to
+	// reach a peer.
+	leaveTimeout = 400 * time.Millisecond
 )
 
-// Leave says that this relay goes, and waits a moment for that to spread. The relay takes no budget share
-// from here on.
+// Leave publishes that this relay leaves, and waits for a short time until that has spread. The relay takes
+// no budget share from then on.
 func (n *Node) Leave() {
 	n.publishLeaving()
-	if list := n.mesh.list.Load(); list != nil {
+	if list := n.gossip.list.Load(); list != nil {
 		if err := list.Leave(leaveTimeout); err != nil {
-			n.log.Info().Err(err).Msg("peers may not be notified of the graceful shutdown")
+			n.log.Info().Err(err).Msg("could not notify all peers of the graceful shutdown")
 		}
 	}
 }
 
-// publishLeaving has Run publish that this relay leaves, and waits for that. Where Run has not begun to take
-// part, or has ended, there is nobody to tell.
+// publishLeaving has Run publish that this relay leaves, and waits until that is done. It gives up after
+// leaveTimeout if Run has not joined the other relays yet, and returns at once if Run has ended.
 func (n *Node) publishLeaving() {
 	published := make(chan struct{})
 	select {
@@ -42,31 +45,33 @@
 	}
 }
 
-// relayCount is how many relays there are, for how often a status is passed on.
+// relayCount returns the number of relays that memberlist knows, including this one. The broadcastQueue
+// derives the number of transmissions from it.
 func (n *Node) relayCount() int {
-	if list := n.mesh.list.Load(); list != nil {
+	if list := n.gossip.list.Load(); list != nil {
 		return max(list.NumMembers(), 1)
 	}
 	return 1
 }
 
-// runMemberlist brings memberlist up, and keeps it joined to the others, until the context ends.
+// runMemberlist starts memberlist and keeps it joined to the other relays until the context ends.
 func (n *Node) runMemberlist(ctx context.Context) {
 	list := n.listen(ctx)
 	if list == nil {
 		return
 	}
-	n.mesh.list.Store(list)
-	n.log.Info().Str("bind", n.cfg.Bind).Bool("sealed", n.mesh.keyring != nil).Msg("gossip listening")
+	n.gossip.list.Store(list)
+	n.log.Info().Str("bind", n.cfg.Bind).Bool("sealed", n.gossip.keyring != nil).Msg("gossip listening")
 	defer func() {
 		if err := list.Shutdown(); err != nil {
-			n.log.Info().Err(err).Msg("gossip ended with an error")
+			n.log.Info().Err(err).Msg("error while shutting down gossip")
 		}
 	}()
 	n.keepJoined(ctx, list)
 }
 
-// listen brings memberlist up, again and again while its port is taken; nil if the context ends before that.
+// listen starts memberlist and retries while that fails, as when the port is in use. It returns nil if the
+// context ends first.
 func (n *Node) listen(ctx context.Context) *memberlist.Memberlist {
 	for logged := false; ; logged = true {
 		list, err := n.createMemberlist()
@@ -75,7 +80,7 @@
 		}
 		if !logged {
 			n.log.Error().Err(err).Str("bind", n.cfg.Bind).
-				Msg("gossip cannot listen, serving alone and retrying: free the port or change bind")
+				Msg("gossip cannot listen; serving without peers and retrying: free the port or change bind")
 		}
 		select {
 		case <-ctx.Done():
@@ -85,7 +90,7 @@
 	}
 }
 
-// keepJoined joins relays that are missing, until the context ends.
+// keepJoined joins missing relays, one in each round, until the context ends.
 func (n *Node) keepJoined(ctx context.Context, list *memberlist.Memberlist) {
 	logged := false
 	for round := 0; ; round++ {
@@ -94,7 +99,7 @@
 			if err != nil && !logged && list.NumMembers() == 1 {
 				logged = true
 				n.log.Warn().Str("error", strings.Join(strings.Fields(err.Error()), " ")).Str("seed", target).
-					Msg("seed out of reach, serving alone and retrying: check seeds, keys and the network")
+					Msg("seed out of reach; serving without peers and retrying: check seeds, keys and the network")
 			}
 		}
 		pause := rejoinInterval/2 + time.Duration(rand.Int64N(int64(rejoinInterval)))
@@ -106,32 +111,32 @@
 	}
 }
 
-// join joins the relay at an address, and notes if that is one of another cell.
+// join joins the relay at an address, and records the address if that relay belongs to another cell.
 func (n *Node) join(list *memberlist.Memberlist, address string) error {
 	_, err := list.Join([]string{address})
-	if err != nil && strings.Contains(err.Error(), errOtherCell.Error()) { // memberlist wraps no errors
-		n.peers.noteOtherCell(address)
+	if err != nil && strings.Contains(err.Error(), errOtherCell.Error()) { // memberlist does not wrap errors
+		n.peers.recordOtherCell(address)
 	}
 	return err
 }
 
-// nextJoinTarget is an address to join: that of a relay that was there and is not, or a seed that nobody
-// answers at. After a partition both sides have given each other up, and only a new join heals that. Where a
-// relay of another cell has answered, a while passes before it is tried again: a join costs both sides all
-// they know.
+// nextJoinTarget returns an address to join: that of a relay that is no longer alive, or of a seed without a
+// live relay; "" if there is none. After a network partition both sides have given each other up as failed,
+// and only a new join merges them again. An address where a relay of another cell has answered is not joined
+// again for otherCellRetryInterval, as in a join both sides exchange their complete state.
 func (n *Node) nextJoinTarget(list *memberlist.Memberlist, round int) string {
-	settled := n.peers.settledAddresses()
-	settled[n.cfg.Bind], settled[n.cfg.Advertise] = true, true
+	excluded := n.peers.addressesNotToJoin()
+	excluded[n.cfg.Bind], excluded[n.cfg.Advertise] = true, true
 	var missing []string
-	if list.NumMembers() == 1 || round%seedJoinPeriod == 0 {
+	if list.NumMembers() == 1 || round%roundsPerSeedJoin == 0 {
 		for _, seed := range n.cfg.Seeds {
-			if !settled[seed] {
+			if !excluded[seed] {
 				missing = append(missing, seed)
 			}
 		}
 	}
 	if len(missing) == 0 {
-		missing = n.peers.missingAddresses(settled)
+		missing = n.peers.missingAddresses(excluded)
 	}
 	if len(missing) == 0 {
 		return ""
--- a/internal/wire/gossip/keys.go
+++ b/internal/wire/gossip/keys.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// errSealingFixed refuses to switch sealing on or off: both kinds of packets would be dropped by the other
-// relays.
-var errSealingFixed = errors.New("sealing cannot be switched on or off while the relay runs")
+// errEncryptionFixed is the error for switching encryption on or off in a running relay. It is refused, as
+// relays with encryption and relays without it drop each other's packets.
+var errEncryptionFixed = errors.New("gossip encryption cannot be switched on or off without a restart")
 
-// SetKeys rotates the keys while the Node runs: the first seals from now on, all open.
+// SetKeys replaces the encryption keys while the Node runs. The first key encrypts from now on, and all keys
+// decrypt.
 func (n *Node) SetKeys(keys [][]byte) error {
-	ring := n.mesh.keyring
+	ring := n.gossip.keyring
 	if ring == nil || len(keys) == 0 {
-		return errSealingFixed
+		return errEncryptionFixed
 	}
 	for _, key := range keys {
 		if err := ring.AddKey(key); err != nil {
--- a/internal/wire/gossip/local_cell.go
+++ b/internal/wire/gossip/local_cell.go
@@ -8,8 +8,8 @@
 	"capersail/internal/fleet/membership"
 )
 
-// localCell is what this relay knows of its own cell; nothing before there is a view.
-func (n *Node) localCell(link *cellLink, now time.Duration) (local cells.LocalCell, known bool) {
+// localCell returns what this relay knows of its own cell; known is false until there is a view.
+func (n *Node) localCell(driver *cellDriver, now time.Duration) (local cells.LocalCell, known bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	view := n.membership.View()
@@ -23,33 +23,34 @@
 	local = cells.LocalCell{
 		Epoch:           view.Epoch,
 		JoinedPlan:      n.membership.JoinedPlan(),
-		RequestRate:     n.lastLocal.RequestRate,
-		OpenConnections: n.lastLocal.OpenConnections,
-		DrainRate:       n.lastLocal.DrainRate,
+		RequestRate:     n.lastLocalState.RequestRate,
+		OpenConnections: n.lastLocalState.OpenConnections,
+		DrainRate:       n.lastLocalState.DrainRate,
 	}
 	if a := view.Allocation; a != nil {
 		local.Plan, local.PlanHash = a.Plan, a.PlanHash
 		local.Cells, local.Bootstrapped = a.Cells, a.Bootstrapped
 	}
 	for _, name := range view.MemberNames() {
-		n.addMember(&local, name, peers[name])
+		n.addMemberFigures(&local, name, peers[name])
 	}
 	for _, name := range view.Voters {
 		local.Voters = append(local.Voters, cells.Voter{
 			Name:    name,
-			Address: n.address(name),
+			Address: n.relayAddress(name),
 			Alive:   name == n.cfg.Name || countsAsAlive(peers[name].Health),
 		})
 	}
-	local.Departed = link.recentDepartures(now)
+	local.Departed = driver.recentDepartures(now)
 	return local, true
 }
 
-// addMember adds a member to the figures of its cell; this relay's own are in them already.
-func (n *Node) addMember(local *cells.LocalCell, name string, peer membership.Peer) {
+// addMemberFigures adds a member's figures to those of its cell. Those of this relay are included already,
+// except for the counts of members and of serving relays.
+func (n *Node) addMemberFigures(local *cells.LocalCell, name string, peer membership.Peer) {
 	local.Members++
 	if name == n.cfg.Name {
-		if n.lastLocal.Lifecycle == membership.Serving {
+		if n.lastLocalState.Lifecycle == membership.Serving {
 			local.Serving++
 		}
 		return
@@ -64,11 +65,12 @@
 	}
 }
 
-// recentDepartures are the relays that went a while ago at most, by name. Older ones are forgotten.
-func (l *cellLink) recentDepartures(now time.Duration) (names []string) {
-	for name, departed := range l.departed {
+// recentDepartures returns the names, in order, of the relays that have left or failed within
+// departureRetention. It deletes older departures.
+func (l *cellDriver) recentDepartures(now time.Duration) (names []string) {
+	for name, departed := range l.departures {
 		if now-departed.at > departureRetention {
-			delete(l.departed, name)
+			delete(l.departures, name)
 			continue
 		}
 		names = append(names, name)
@@ -77,13 +79,14 @@
 	return names
 }
 
-// countsAsAlive tells whether a relay counts as there: a suspicion may yet be refuted.
+// countsAsAlive reports whether a relay is counted as alive. A suspected relay is, as it may still refute the
+// suspicion.
 func countsAsAlive(health membership.Health) bool {
 	return health == membership.Alive || health == membership.Suspected
 }
 
-// address is where a relay of this cell is heard, "" if that isn't known.
-func (n *Node) address(name string) string {
+// relayAddress returns the gossip address of a relay of this cell, "" if it is not known.
+func (n *Node) relayAddress(name string) string {
 	if name == n.cfg.Name {
 		if n.cfg.Advertise != "" {
 			return n.cfg.Advertise
--- a/internal/wire/gossip/memberlist.go
+++ b/internal/wire/gossip/memberlist.go
@@ -12,17 +12,17 @@
 const (
 	// cellGossipInterval is the time between memberlist's rounds of gossip within a cell.
 	cellGossipInterval = 200 * time.Millisecond
-	// cellPushPullInterval is the time between two exchanges of complete states within a cell. Each fills a
-	// second with more than 8 KB at both sides, and a relay begins and answers one in this time on average:
-	// in fewer than one second of a hundred.
+	// cellPushPullInterval is the time between two exchanges of complete state within a cell. An exchange
+	// costs each side more than 8 KB within one second. In this interval a relay starts one exchange and
+	// answers one on average, so fewer than one second in a hundred is affected.
 	cellPushPullInterval = 5 * time.Minute
-	// statusRetransmitMult is how often a status is passed on, times log10 of the relays.
+	// statusRetransmitMult is the retransmitMult of the broadcastQueue.
 	statusRetransmitMult = 3
 )
 
-// createMemberlist starts memberlist on its transport.
+// createMemberlist starts memberlist on a new transport.
 func (n *Node) createMemberlist() (*memberlist.Memberlist, error) {
-	host, port, err := splitAddress(n.cfg.Bind)
+	host, port, err := splitHostPort(n.cfg.Bind)
 	if err != nil {
 		return nil, err
 	}
@@ -32,12 +32,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Name, c.Label, c.Keyring = n.cfg.Name, n.cfg.Site, n.mesh.keyring
-	c.Transport = n.injectFaults(countTraffic(transport, n.mesh.traffic))
+	c.Name, c.Label, c.Keyring = n.cfg.Name, n.cfg.Site, n.gossip.keyring
+	c.Transport = n.injectFaults(countTraffic(transport, n.gossip.traffic))
 	c.BindAddr, c.BindPort = host, port
 	c.AdvertiseAddr, c.AdvertisePort = host, port
 	if n.cfg.Advertise != "" {
-		c.AdvertiseAddr, c.AdvertisePort, _ = splitAddress(n.cfg.Advertise)
+		c.AdvertiseAddr, c.AdvertisePort, _ = splitHostPort(n.cfg.Advertise)
 	}
 	n.setTimings(c)
 	d := (*delegate)(n)
@@ -49,8 +49,7 @@
 	return list, nil
 }
 
-// splitAddress splits host:port.
-func splitAddress(address string) (host string, port int, err error) {
+func splitHostPort(address string) (host string, port int, err error) {
 	host, text, err := net.SplitHostPort(address)
 	if err != nil {
 		return "", 0, err
@@ -59,8 +58,8 @@
 	return host, port, err
 }
 
-// setTimings sets memberlist's intervals and timeouts. They suit relays of one site: a relay that has died
-// is failed after about 2 s, one that loses a fifth of its packets is not.
+// setTimings sets memberlist's intervals and timeouts. They are for relays within one site: a crashed relay
+// is declared failed after about 2 s, while one that loses a fifth of its packets is not.
 func (n *Node) setTimings(c *memberlist.Config) {
 	c.TCPTimeout = time.Second
 	c.ProbeInterval = 500 * time.Millisecond
@@ -69,15 +68,16 @@
 	c.SuspicionMult = 3
 	c.SuspicionMaxTimeoutMult = 2
 	c.AwarenessMaxMultiplier = 3
-	// Each relay passes a message on RetransmitMult*log10(n+1) times, rounded up, to one drawn at random: of
-	// 300 relays 300*e^-9 = 0.04 miss one that is passed on 9 times by all, as a refutation is, and take the
-	// suspect for dead; 300*e^-12 = 0.002 at 4.
+	// Each of n relays forwards a message RetransmitMult*ceil(log10(n+1)) times, each time to a relay drawn
+	// at random. With a multiplier of 3 each of 300 relays forwards it 9 times, and 300*e^-9 = 0.04 relays on
+	// average never receive it. If that message is a refutation, such a relay takes the suspected relay for
+	// failed. With a multiplier of 4 only 300*e^-12 = 0.002 relays miss it.
 	c.RetransmitMult = 4
 	c.GossipInterval = 100 * time.Millisecond
 	c.GossipNodes = 3
 	c.PushPullInterval = 15 * time.Second
 	c.GossipToTheDeadTime = 15 * time.Second
-	if n.cell != "" {
+	if n.wireCell != "" {
 		c.GossipInterval, c.PushPullInterval = cellGossipInterval, cellPushPullInterval
 	}
 	c.DeadNodeReclaimTime = time.Second
--- a/internal/wire/gossip/metrics.go
+++ b/internal/wire/gossip/metrics.go
@@ -6,14 +6,14 @@
 	"capersail/internal/fleet/membership"
 )
 
-// fleetCollector is the collector of what this relay knows of the others. Each is read when it is asked for.
+// fleetCollector collects the metrics of the membership and of cells. Values are read at each collection.
 //
 //	relay_members{state}                 gauge    relays by state, this one as "here"
 //	relay_members_in_view                gauge    members of the view
-//	relay_members_epoch                  gauge    of the view
-//	relay_members_phase{phase}           gauge    1 for the phase that is on
-//	relay_members_agreed_seconds         gauge    since the view was agreed last; -1 for never
-//	relay_members_share                  gauge    of a budget of the fleet, 0 to 1
+//	relay_members_epoch                  gauge    epoch of the view
+//	relay_members_phase{phase}           gauge    1 for the current phase, 0 for the others
+//	relay_members_agreed_seconds         gauge    seconds since the view was last agreed, -1 for never
+//	relay_members_share                  gauge    this relay's share of a budget of the fleet, 0 to 1
 //	relay_members_dropped_total{reason}  counter  packets and messages dropped
 //	relay_members_bytes_total{way}       counter  bytes of packets, out and in
 type fleetCollector struct {
@@ -22,7 +22,7 @@
 	cells                                                        cellMetrics
 }
 
-// Collector returns the collector.
+// Collector returns a collector of the Node's metrics.
 func (n *Node) Collector() prometheus.Collector {
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("relay_members"+name, help, labels, nil)
@@ -41,7 +41,7 @@
 	}
 }
 
-// Describe is the collector's.
+// Describe implements prometheus.Collector.
 func (f *fleetCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{
 		f.members, f.inView, f.epoch, f.phase, f.agreed, f.share, f.dropped, f.bytes,
@@ -51,7 +51,7 @@
 	f.cells.describe(ch)
 }
 
-// Collect is the collector's.
+// Collect implements prometheus.Collector.
 func (f *fleetCollector) Collect(ch chan<- prometheus.Metric) {
 	report := f.node.Report()
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
@@ -73,7 +73,7 @@
 	gauge(f.inView, members)
 	gauge(f.epoch, float64(report.Epoch))
 	for phase := membership.PhaseStarting; phase <= membership.PhaseCutOff; phase++ {
-		gauge(f.phase, oneIf(phase.String() == report.Phase), phase.String())
+		gauge(f.phase, boolGauge(phase.String() == report.Phase), phase.String())
 	}
 	gauge(f.agreed, seconds(report.AgreedMs))
 	gauge(f.share, report.BudgetShare)
@@ -86,15 +86,15 @@
 	f.cells.collect(ch, f.node)
 }
 
-// oneIf is a gauge of what is or isn't.
-func oneIf(on bool) float64 {
+// boolGauge returns the value of a gauge for a condition: 1 if it holds, else 0.
+func boolGauge(on bool) float64 {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// seconds is an age in ms as a gauge has it: -1 for never.
+// seconds converts an age in milliseconds, negative for never, to the value of a gauge: seconds, or -1.
 func seconds(ms float64) float64 {
 	if ms < 0 {
 		return -1
--- a/internal/wire/gossip/moves_test.go
+++ b/internal/wire/gossip/moves_test.go
@@ -14,11 +14,11 @@
 
 // startIn starts relay number i in a cell of twoCells and returns it with what has it leave and waits for its
 // end.
-func startIn(
+func startInCell(
 	t *testing.T, simnet *network.Network, dir, cell string, i int, seeds ...string,
 ) (*Node, func()) {
 	t.Helper()
-	node, kill := startToKill(t, simnet, dir, cell, i, seeds...)
+	node, kill := startKillableInCell(t, simnet, dir, cell, i, seeds...)
 	stop := sync.OnceFunc(func() {
 		node.Leave()
 		kill()
@@ -28,12 +28,12 @@
 }
 
 // startToKill starts a relay as startIn does, and returns it with what ends it without a word.
-func startToKill(
+func startKillableInCell(
 	t *testing.T, simnet *network.Network, dir, cell string, i int, seeds ...string,
 ) (*Node, func()) {
 	t.Helper()
 	c := testConfig(fmt.Sprintf("r%d", i), filepath.Join(dir, fmt.Sprintf("%s-%d", cell, i)))
-	c.Bind, c.Transport, c.Seeds = address(i), simnet.Transport, seeds
+	c.Bind, c.Transport, c.Seeds = relayAddr(i), simnet.Transport, seeds
 	c.BootstrapSlot, c.ConfiguredRelays, c.Seed = -1, 6, uint64(i)
 	c.Cell, c.Plan, c.Timing = cell, twoCells(), membership.CellTiming
 	node, err := New(c)
@@ -51,7 +51,7 @@
 }
 
 // counts tells whether a relay counts another one as there.
-func (n *Node) counts(name string) bool {
+func (n *Node) sees(name string) bool {
 	n.peers.Lock()
 	defer n.peers.Unlock()
 	return n.peers.alive[name]
@@ -62,32 +62,32 @@
 // only once they try its address again.
 func TestRelayIsBackFromAnotherCell(t *testing.T) {
 	simnet, dir := network.New(network.Config{}), t.TempDir()
-	r0, _ := startIn(t, simnet, dir, "east-1", 0)
-	r3, _ := startIn(t, simnet, dir, "east-1", 3, address(0))
-	_, stopEast := startIn(t, simnet, dir, "east-1", 2, address(0))
-	await(
+	r0, _ := startInCell(t, simnet, dir, "east-1", 0)
+	r3, _ := startInCell(t, simnet, dir, "east-1", 3, relayAddr(0))
+	_, stopEast := startInCell(t, simnet, dir, "east-1", 2, relayAddr(0))
+	waitFor(
 		t, 10*time.Second, "all are there",
-		func() bool { return r0.counts("r2") && r0.counts("r3") && r3.counts("r2") },
+		func() bool { return r0.sees("r2") && r0.sees("r3") && r3.sees("r2") },
 	)
 	stopEast()
-	_, stopWest := startIn(t, simnet, dir, "west-1", 2)
-	await(
+	_, stopWest := startInCell(t, simnet, dir, "west-1", 2)
+	waitFor(
 		t, 20*time.Second, "the one that moved is missed",
-		func() bool { return !r0.counts("r2") && !r3.counts("r2") },
+		func() bool { return !r0.sees("r2") && !r3.sees("r2") },
 	)
 	time.Sleep(5 * rejoinInterval) // its address has been tried, and a relay of the other cell has answered
 	stopWest()
-	r1, _ := startIn(t, simnet, dir, "east-1", 1, address(0))
-	await(
+	r1, _ := startInCell(t, simnet, dir, "east-1", 1, relayAddr(0))
+	waitFor(
 		t, 10*time.Second, "a new relay is there",
-		func() bool { return r1.counts("r0") && r1.counts("r3") && r0.counts("r1") && r3.counts("r1") },
+		func() bool { return r1.sees("r0") && r1.sees("r3") && r0.sees("r1") && r3.sees("r1") },
 	)
-	startIn(t, simnet, dir, "east-1", 2, address(1))
-	await(
+	startInCell(t, simnet, dir, "east-1", 2, relayAddr(1))
+	waitFor(
 		t, 10*time.Second, "the new relay counts the one that is back",
-		func() bool { return r1.counts("r2") },
+		func() bool { return r1.sees("r2") },
 	)
-	await(t, 10*time.Second, "so do the others", func() bool { return r0.counts("r2") && r3.counts("r2") })
+	waitFor(t, 10*time.Second, "so do the others", func() bool { return r0.sees("r2") && r3.sees("r2") })
 }
 
 // A relay is killed, and at once started in another cell under its name and at its address: those of its old
@@ -95,39 +95,39 @@
 // because its successor in another cell answers for it.
 func TestRelayKilledAndStartedInAnotherCellIsMissed(t *testing.T) {
 	simnet, dir := network.New(network.Config{}), t.TempDir()
-	r0, _ := startIn(t, simnet, dir, "east-1", 0)
-	r3, _ := startIn(t, simnet, dir, "east-1", 3, address(0))
-	_, kill := startToKill(t, simnet, dir, "east-1", 2, address(0))
-	counted := func() bool { return r0.counts("r2") && r3.counts("r2") }
-	await(t, 10*time.Second, "all are there", func() bool { return counted() && r3.counts("r0") })
+	r0, _ := startInCell(t, simnet, dir, "east-1", 0)
+	r3, _ := startInCell(t, simnet, dir, "east-1", 3, relayAddr(0))
+	_, kill := startKillableInCell(t, simnet, dir, "east-1", 2, relayAddr(0))
+	counted := func() bool { return r0.sees("r2") && r3.sees("r2") }
+	waitFor(t, 10*time.Second, "all are there", func() bool { return counted() && r3.sees("r0") })
 	kill()
-	_, kill = startToKill(t, simnet, dir, "west-1", 2)
-	missed := func() bool { return !r0.counts("r2") && !r3.counts("r2") }
-	await(t, 10*time.Second, "the one that moved is missed", missed)
+	_, kill = startKillableInCell(t, simnet, dir, "west-1", 2)
+	missed := func() bool { return !r0.sees("r2") && !r3.sees("r2") }
+	waitFor(t, 10*time.Second, "the one that moved is missed", missed)
 	kill()
-	startIn(t, simnet, dir, "east-1", 2, address(0))
-	await(t, 10*time.Second, "it counts again", counted)
+	startInCell(t, simnet, dir, "east-1", 2, relayAddr(0))
+	waitFor(t, 10*time.Second, "it counts again", counted)
 }
 
 // A relay that leaves by its own word counts as left, is not joined any more, and counts as there again once
 // it is back. Guards against one that counts as failed, which the others try to join for good.
 func TestRelayThatLeavesIsNotJoined(t *testing.T) {
 	simnet, dir := network.New(network.Config{}), t.TempDir()
-	r0, _ := startIn(t, simnet, dir, "east-1", 0)
-	r3, _ := startIn(t, simnet, dir, "east-1", 3, address(0))
-	_, stop := startIn(t, simnet, dir, "east-1", 2, address(0))
+	r0, _ := startInCell(t, simnet, dir, "east-1", 0)
+	r3, _ := startInCell(t, simnet, dir, "east-1", 3, relayAddr(0))
+	_, stop := startInCell(t, simnet, dir, "east-1", 2, relayAddr(0))
 	others := []*Node{r0, r3}
-	counted := func() bool { return r0.counts("r2") && r3.counts("r2") }
-	await(t, 10*time.Second, "all are there", func() bool { return counted() && r3.counts("r0") })
+	counted := func() bool { return r0.sees("r2") && r3.sees("r2") }
+	waitFor(t, 10*time.Second, "all are there", func() bool { return counted() && r3.sees("r0") })
 	stop()
 	for _, n := range others {
-		await(t, 5*time.Second, "it counts as left", func() bool { return n.healthOf("r2") == membership.Left })
-		if missing := n.peers.missingAddresses(n.peers.settledAddresses()); len(missing) > 0 {
+		waitFor(t, 5*time.Second, "it counts as left", func() bool { return n.healthOf("r2") == membership.Left })
+		if missing := n.peers.missingAddresses(n.peers.addressesNotToJoin()); len(missing) > 0 {
 			t.Errorf("%s would join %v", n.cfg.Name, missing)
 		}
 	}
-	startIn(t, simnet, dir, "east-1", 2, address(0))
-	await(t, 10*time.Second, "it is back", counted)
+	startInCell(t, simnet, dir, "east-1", 2, relayAddr(0))
+	waitFor(t, 10*time.Second, "it is back", counted)
 }
 
 // healthOf is what the membership.Node takes a peer for.
--- a/internal/wire/gossip/node.go
+++ b/internal/wire/gossip/node.go
@@ -16,92 +16,94 @@
 )
 
 const (
-	// lockRetryInterval is the time between two attempts at a record that another process of the relay has.
-	lockRetryInterval = 200 * time.Millisecond
-	// inboxSize bounds the membership events that wait for Run.
+	// recordLockRetryInterval is the time between two attempts to lock a record file that another process of
+	// this relay holds.
+	recordLockRetryInterval = 200 * time.Millisecond
+	// inboxSize bounds the queue of membership events.
 	inboxSize = 4096
 )
 
-// Node is one relay among the others.
+// Node connects this relay to the other relays of the fleet.
 type Node struct {
 	cfg    Config
 	log    zerolog.Logger
 	record *recordFile
 
-	mesh    mesh
+	gossip  gossipState
 	peers   *peerTable
 	dropped *dropCounters
 
-	inbox       chan membership.Event
-	batches     chan outgoingBatch // readings on their way out
-	planUpdates chan planUpdate    // plans that a reload has brought
-	stopped     chan struct{}      // closed at the end of Run
-	// leaveRequests are for Run: it publishes that this relay leaves, then closes what it was handed.
+	inbox           chan membership.Event
+	outgoingBatches chan outgoingBatch // readings and placements to be sent
+	planUpdates     chan planUpdate    // at most one, the newest plan that a reload has set
+	stopped         chan struct{}      // closed when Run returns
+	// leaveRequests asks Run to publish that this relay leaves. Run then closes the channel that it received.
 	leaveRequests chan chan struct{}
 
-	// mu is held for each step of the membership.Node, and by LockStatus while decisions are made.
+	// mu guards the membership.Node and the Coordinator. LockStatus holds it while decisions are made.
 	mu         sync.Mutex
 	membership *membership.Node
 
-	cell  string  // as the wire and the disk have it: "" in a flat fleet, also one that a plan gives a part
-	key   cellKey // of cell
-	cells atomic.Pointer[cellLink]
+	wireCell string   // see Config.wireCell
+	cellHash cellHash // of wireCell
+	cells    atomic.Pointer[cellDriver]
 
-	meter     membership.Meter      // only Run uses it
-	lastLocal membership.LocalState // as the membership.Node heard it last
-	leaving   bool                  // Leave has been called; only Run uses it
+	meter          membership.Meter      // used by Run only
+	lastLocalState membership.LocalState // last one handed to the membership.Node
+	leaving        bool                  // whether Leave has been called; used by Run only
 }
 
-// mesh is this relay's part of memberlist, and what goes out by it.
-type mesh struct {
-	list          atomic.Pointer[memberlist.Memberlist] // nil until it listens
+// gossipState holds memberlist and what a Node needs to send by it.
+type gossipState struct {
+	list          atomic.Pointer[memberlist.Memberlist] // nil until memberlist listens
 	broadcasts    *broadcastQueue
-	keyring       *memberlist.Keyring // nil where packets are not sealed
+	keyring       *memberlist.Keyring // nil if packets are not encrypted
 	traffic       *traffic
-	seq           atomic.Uint64 // of the envelopes of this incarnation, but for statuses
-	reliableSends chan struct{} // a token for each message over TCP under way
+	seq           atomic.Uint64 // last Seq of this incarnation's envelopes, except for statuses
+	reliableSends chan struct{} // holds one token for each message that is being sent over TCP
 }
 
-// New reads the record and returns a Node that does not run yet. A record that cannot be read or kept is no
-// reason not to serve: the relay then promises nothing, and goes on by the settings' number. The error is one
-// of the keys.
+// New reads the record and returns a Node that does not run yet. If the record cannot be read or stored, the
+// relay still serves clients but does not vote; see openRecord. New fails only if the keys are invalid.
 func New(c Config) (*Node, error) {
 	if c.Transport == nil {
 		c.Transport = socketTransport
 	}
 	n := &Node{
-		cfg:           c,
-		log:           c.Log,
-		peers:         newPeerTable(),
-		dropped:       newDropCounters(c.Log),
-		inbox:         make(chan membership.Event, inboxSize),
-		batches:       make(chan outgoingBatch, batchQueueSize),
-		planUpdates:   make(chan planUpdate, 1),
-		stopped:       make(chan struct{}),
-		leaveRequests: make(chan chan struct{}),
-		cell:          c.wireCell(),
+		cfg:             c,
+		log:             c.Log,
+		peers:           newPeerTable(),
+		dropped:         newDropCounters(c.Log),
+		inbox:           make(chan membership.Event, inboxSize),
+		outgoingBatches: make(chan outgoingBatch, batchQueueSize),
+		planUpdates:     make(chan planUpdate, 1),
+		stopped:         make(chan struct{}),
+		leaveRequests:   make(chan chan struct{}),
+		wireCell:        c.wireCell(),
 	}
-	n.key = keyOfCell(n.cell)
-	n.mesh.traffic = &traffic{}
-	n.mesh.reliableSends = make(chan struct{}, maxReliableSends)
-	n.mesh.broadcasts = newBroadcastQueue(statusRetransmitMult, n.relayCount)
+	n.cellHash = hashCellName(n.wireCell)
+	n.gossip.traffic = &traffic{}
+	n.gossip.reliableSends = make(chan struct{}, maxReliableSends)
+	n.gossip.broadcasts = newBroadcastQueue(statusRetransmitMult, n.relayCount)
 	if len(c.Keys) > 0 {
 		keyring, err := memberlist.NewKeyring(c.Keys, c.Keys[0])
 		if err != nil {
 			return nil, fmt.Errorf("keys: %w", err)
 		}
-		n.mesh.keyring = keyring
+		n.gossip.keyring = keyring
 	}
 	n.openRecord()
 	return n, nil
 }
 
-// openRecord reads the record and makes the membership.Node; it marks the record as in use if another process
-// of the relay has it still. Whoever cannot read what it may have promised takes no budget share; whoever has
-// no record, and can keep none, goes on by the settings' number and promises nothing.
+// openRecord reads the record and creates the membership.Node. If another process of this relay holds the
+// record file, it marks the record as in use.
+//
+// A relay that cannot read what it may have promised takes no budget share. A relay that has no record and
+// cannot store one does not vote, and takes the budget share that follows from Config.ConfiguredRelays.
 func (n *Node) openRecord() {
 	c := n.cfg
-	file, record, err := openRecordFile(c.StateFile, c.Site, n.cell, c.Name)
+	file, record, err := openRecordFile(c.StateFile, c.Site, n.wireCell, c.Name)
 	slot := c.BootstrapSlot
 	switch {
 	case errors.Is(err, errRecordInUse):
@@ -110,14 +112,15 @@
 			n.record = file
 			return
 		}
-		n.log.Info().Err(err).Msg("record in use by this relay's other process, no budget share till it ends")
+		n.log.Info().Err(err).
+			Msg("record in use by another process of this relay; no budget share until that process exits")
 	case errors.Is(err, errRecordUnusable):
 		slot = -1
 		n.log.Error().Err(err).
-			Msg("record cannot be read, no votes and no budget share: restore the state file and restart")
+			Msg("record cannot be read; no votes and no budget share: restore the state file and restart")
 	case err != nil:
 		n.log.Error().Err(err).
-			Msg("record cannot be kept, no votes, the configured budget share: mend its folder, restart")
+			Msg("record cannot be stored; no votes, configured budget share: repair its folder and restart")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -137,7 +140,7 @@
 	}
 }
 
-// Run takes part until the context ends.
+// Run takes part in the fleet until the context ends. It handles all events, one at a time.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.stopped)
 	if !n.awaitRecord(ctx) {
@@ -161,24 +164,24 @@
 			n.record.close()
 			return
 		case event := <-n.inbox:
-			n.handle(event)
-		case batch := <-n.batches:
+			n.handleMembershipEvent(event)
+		case batch := <-n.outgoingBatches:
 			n.sendBatch(batch)
 			continue
 		case published := <-n.leaveRequests:
 			n.leaving = true
-			n.handle(n.localState(n.now()))
+			n.handleMembershipEvent(n.localState(n.now()))
 			close(published)
 		case update := <-n.planUpdates:
 			n.applyPlan(update)
 		case event := <-n.cells.Load().events():
 			n.handleCellEvent(event)
 		case <-timer.C:
-			n.handle(membership.Tick{})
+			n.handleMembershipEvent(membership.Tick{})
 		}
 		if now := n.now(); now >= meteredAt+membership.MeterInterval {
 			meteredAt = now
-			n.handle(n.localState(now))
+			n.handleMembershipEvent(n.localState(now))
 		}
 		n.tickCells()
 		next := min(n.nextTick(), meteredAt+membership.MeterInterval)
@@ -186,33 +189,33 @@
 	}
 }
 
-// awaitRecord waits until no other process of the relay has the record; false if the context ends before
-// that.
+// awaitRecord waits until no other process of this relay holds the record file. It returns false if the
+// context ends first.
 func (n *Node) awaitRecord(ctx context.Context) bool {
 	for n.record.inUse {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(lockRetryInterval):
+		case <-time.After(recordLockRetryInterval):
 		}
 		n.openRecord()
 	}
 	return true
 }
 
-// nextTick is when the membership.Node or the cells.Coordinator has a Tick due.
+// nextTick returns the time at which the membership.Node needs a Tick or tickCells is due.
 func (n *Node) nextTick() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return min(n.membership.Next(), n.nextCellTick())
 }
 
-// Wait waits for the end of Run.
+// Wait waits until Run has returned.
 func (n *Node) Wait() { <-n.stopped }
 
 func (n *Node) now() time.Duration { return n.cfg.Clock.Now() }
 
-// localState meters what this relay does.
+// localState measures this relay's current state.
 func (n *Node) localState(now time.Duration) membership.LocalState {
 	activity := n.cfg.LocalActivity()
 	local := n.meter.LocalState(now, activity.Lifecycle, activity.Arrivals, activity.OpenRequests)
@@ -220,12 +223,13 @@
 	if n.leaving {
 		local.Lifecycle = membership.Leaving
 	}
-	n.lastLocal = local
+	n.lastLocalState = local
 	return local
 }
 
-// enqueueEvent queues an event. When the inbox is full it is dropped: all is sent again.
-func (n *Node) enqueueEvent(event membership.Event) {
+// enqueueMembershipEvent queues an event for the membership.Node. If the inbox is full, the event is dropped
+// and counted: peers repeat their messages.
+func (n *Node) enqueueMembershipEvent(event membership.Event) {
 	select {
 	case n.inbox <- event:
 	default:
@@ -233,8 +237,9 @@
 	}
 }
 
-// handle lets the membership.Node act, then carries out what it wants, in order.
-func (n *Node) handle(event membership.Event) {
+// handleMembershipEvent passes an event to the membership.Node and executes the actions that it returns, in
+// their order.
+func (n *Node) handleMembershipEvent(event membership.Event) {
 	n.mu.Lock()
 	actions := n.membership.Handle(n.now(), event, nil)
 	n.mu.Unlock()
@@ -242,26 +247,27 @@
 	n.execute(actions)
 }
 
-// execute carries out actions. What follows from a record that could not be kept is not done.
+// execute executes actions in their order. It stops at a Save that fails, so that the relay never acts on a
+// record that is not on disk.
 func (n *Node) execute(actions []membership.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case membership.Save:
 			if err := n.record.save(a.Record); err != nil {
 				n.log.Error().Err(err).
-					Msg("record cannot be kept, no votes any more: mend its folder and restart")
-				n.handle(membership.RecordNotSaved{})
+					Msg("record cannot be stored; no more votes: repair its folder and restart")
+				n.handleMembershipEvent(membership.RecordNotSaved{})
 				return
 			}
 		case membership.Send:
-			n.send(a.To, a.Message)
+			n.sendMessage(a.To, a.Message)
 		case membership.Publish:
-			n.publish(a.Status)
+			n.publishStatus(a.Status)
 		case membership.Changed:
-			n.noteChange(a)
+			n.reportChange(a)
 		case membership.RefreshEndpointList:
 			n.log.Info().Int64("generation", a.Generation).
-				Msg("peer has a newer endpoint list, polling discovery")
+				Msg("a peer has a newer endpoint list; polling discovery")
 			if n.cfg.RefreshEndpoints != nil {
 				n.cfg.RefreshEndpoints()
 			}
@@ -269,15 +275,16 @@
 	}
 }
 
-// noteChange says what has changed in the fleet.
-func (n *Node) noteChange(change membership.Changed) {
-	n.cells.Load().noteMembershipChange(change, n.now())
+// reportChange logs a change of the membership and passes it to the Coordinator's driver and to
+// Config.OnMembershipChange.
+func (n *Node) reportChange(change membership.Changed) {
+	n.cells.Load().recordMembershipChange(change, n.now())
 	n.log.Info().
 		Str("what", change.Kind.String()).
 		Str("member", change.Name).
 		Str("state", change.State).
 		Str("cause", change.Cause).
-		Msg("fleet changed")
+		Msg("membership changed")
 	if n.cfg.OnMembershipChange != nil {
 		n.cfg.OnMembershipChange(change)
 	}
--- a/internal/wire/gossip/peers.go
+++ b/internal/wire/gossip/peers.go
@@ -11,56 +11,57 @@
 )
 
 const (
-	// maxPeers bounds the names known at once.
+	// maxPeers bounds the number of relay names that are tracked.
 	maxPeers = 4096
-	// otherCellRetryInterval is the time between two joins to an address where another cell's relay has
-	// answered, unless the relay that was there is heard of in this cell again.
+	// otherCellRetryInterval is the least time between two joins to an address where a relay of another cell
+	// has answered. A status from the relay known at that address ends the wait.
 	otherCellRetryInterval = time.Minute
 )
 
-// peerTable is what is known of the other relays by memberlist and envelopes. Its lock is held for a look-up
-// only, as memberlist's calls must not wait for the membership.Node.
+// peerTable holds what memberlist and envelopes have told about the other relays. Its lock is held for short
+// accesses only, as calls from memberlist must not wait for the membership.Node.
 type peerTable struct {
 	sync.Mutex
-	// nodes are the relays by name, copies as last heard of: memberlist writes to its own.
+	// nodes maps names to relays as last reported. They are copies, as memberlist modifies its own.
 	nodes map[string]*memberlist.Node
-	alive map[string]bool // those of them that are alive in this cell
-	// moved are those that memberlist has as alive, and that have answered from another cell.
-	moved map[string]bool
-	// leaving are those whose newest status says that they leave. They are not missed, and not joined.
+	alive map[string]bool // names of relays in nodes that are alive in this cell
+	// movedAway holds relays that memberlist takes for alive but that have answered from another cell.
+	movedAway map[string]bool
+	// leaving holds relays whose newest status says that they leave. They do not count as missing and are not
+	// joined.
 	leaving map[string]bool
-	// otherCellAt says when a relay of another cell has answered, by address.
+	// otherCellAt maps an address to the time at which a relay of another cell last answered there.
 	otherCellAt map[string]time.Time
-	statuses    map[string][]byte // the newest envelope of a status, by name, as it came
+	statuses    map[string][]byte // newest status envelope of each relay, encoded as received
 	deliveries  map[string]*probing.DedupWindow
-	// directories are the newest directories, by representative.
-	directories map[string]directoryMark
+	// directories maps a representative to the version of its newest directory.
+	directories map[string]directoryVersion
 }
 
 func newPeerTable() *peerTable {
 	return &peerTable{
 		nodes:       map[string]*memberlist.Node{},
 		alive:       map[string]bool{},
-		moved:       map[string]bool{},
+		movedAway:   map[string]bool{},
 		leaving:     map[string]bool{},
 		otherCellAt: map[string]time.Time{},
 		statuses:    map[string][]byte{},
 		deliveries:  map[string]*probing.DedupWindow{},
-		directories: map[string]directoryMark{},
+		directories: map[string]directoryVersion{},
 	}
 }
 
-// noteHealth notes what memberlist says of a relay.
-func (t *peerTable) noteHealth(node memberlist.Node, health membership.Health) {
+// setHealth records the health that memberlist reports of a relay.
+func (t *peerTable) setHealth(node memberlist.Node, health membership.Health) {
 	t.Lock()
 	defer t.Unlock()
 	if t.nodes[node.Name] != nil || len(t.nodes) < maxPeers {
 		t.nodes[node.Name] = &node
 	}
-	delete(t.moved, node.Name)
+	delete(t.movedAway, node.Name)
 	switch known := t.nodes[node.Name] != nil; {
 	case known && health == membership.Alive:
-		if !t.alive[node.Name] { // a new process: what the one before said does not count
+		if !t.alive[node.Name] { // a new process: the status of the previous one no longer applies
 			delete(t.leaving, node.Name)
 		}
 		t.alive[node.Name] = true
@@ -72,9 +73,9 @@
 	}
 }
 
-// noteLifecycle notes what a relay's newest status says it does, and tells whether that makes one that counts
-// as failed one that has left.
-func (t *peerTable) noteLifecycle(name string, lifecycle membership.Lifecycle) (left bool) {
+// setLifecycle records the lifecycle in a relay's newest status. It returns true if the relay is no longer
+// alive and its status says that it leaves: it then has left, not failed.
+func (t *peerTable) setLifecycle(name string, lifecycle membership.Lifecycle) (left bool) {
 	t.Lock()
 	defer t.Unlock()
 	if lifecycle != membership.Leaving {
@@ -85,8 +86,9 @@
 	return t.nodes[name] != nil && !t.alive[name]
 }
 
-// goneHealth is what a relay that memberlist has as gone counts as.
-func (t *peerTable) goneHealth(name string) membership.Health {
+// exitHealth returns the health of a relay that memberlist reports as gone: Left if its newest status said
+// that it leaves, else Failed.
+func (t *peerTable) exitHealth(name string) membership.Health {
 	t.Lock()
 	defer t.Unlock()
 	if t.leaving[name] {
@@ -95,82 +97,85 @@
 	return membership.Failed
 }
 
-// noteMoved notes that a relay answers from another cell, and tells whether it counted as there until now.
-func (t *peerTable) noteMoved(name string) bool {
+// markMoved records that a relay answers from another cell. It returns true if the relay was alive until now.
+func (t *peerTable) markMoved(name string) bool {
 	t.Lock()
 	defer t.Unlock()
 	if !t.alive[name] {
 		return false
 	}
 	delete(t.alive, name)
-	t.moved[name] = true
+	t.movedAway[name] = true
 	return true
 }
 
-// noteBack notes that a relay answers from this cell, and tells whether it has answered from another before.
-func (t *peerTable) noteBack(name string) bool {
+// markReturned records that a relay answers from this cell. It returns true if the relay was marked as moved.
+func (t *peerTable) markReturned(name string) bool {
 	t.Lock()
 	defer t.Unlock()
-	if !t.moved[name] {
+	if !t.movedAway[name] {
 		return false
 	}
-	delete(t.moved, name)
+	delete(t.movedAway, name)
 	t.alive[name] = true
 	return true
 }
 
-// node is a relay as last heard of, nil if it is not known.
+// node returns a relay as last reported by memberlist, nil if it is not known.
 func (t *peerTable) node(name string) *memberlist.Node {
 	t.Lock()
 	defer t.Unlock()
 	return t.nodes[name]
 }
 
-// setStatus keeps the envelope of this relay's own status.
-func (t *peerTable) setStatus(name string, text []byte) {
+// setStatus stores the envelope of this relay's own status.
+func (t *peerTable) setStatus(name string, data []byte) {
 	t.Lock()
 	defer t.Unlock()
-	t.statuses[name] = text
+	t.statuses[name] = data
 }
 
-// noteStatus keeps the envelope of a peer's status, and tells whether it is newer than the one kept.
-func (t *peerTable) noteStatus(e envelope, text []byte) bool {
+// updateStatus stores the envelope of a peer's status if it is newer than the stored one, and reports whether
+// it is.
+func (t *peerTable) updateStatus(e envelope, data []byte) bool {
 	t.Lock()
 	defer t.Unlock()
-	kept, known := t.statuses[e.From]
+	stored, known := t.statuses[e.From]
 	if known {
-		old, err := decodeEnvelope(kept)
+		old, err := decodeEnvelope(stored)
 		if err == nil && !old.olderThan(e) {
 			return false
 		}
 	} else if len(t.statuses) >= maxPeers {
 		return false
 	}
-	t.statuses[e.From] = text
-	t.backInCell(e.From)
+	t.statuses[e.From] = data
+	t.clearOtherCellMark(e.From)
 	return true
 }
 
-// backInCell has a peer that is missed joined again at once: its status has come, so it is in this cell
-// whatever was found at its address before. The caller holds the lock.
-func (t *peerTable) backInCell(name string) {
+// clearOtherCellMark lets a peer that is not alive be joined again at once. The peer's status has been
+// received, so it is in this cell even if a relay of another cell answered at its address before. The caller
+// holds the lock.
+func (t *peerTable) clearOtherCellMark(name string) {
 	if node := t.nodes[name]; node != nil && !t.alive[name] {
 		delete(t.otherCellAt, node.Address())
 	}
 }
 
-// allStatuses are the envelopes of all statuses known.
+// allStatuses returns the envelopes of all known statuses.
 func (t *peerTable) allStatuses() [][]byte {
 	t.Lock()
 	defer t.Unlock()
 	all := make([][]byte, 0, len(t.statuses))
-	for _, text := range t.statuses {
-		all = append(all, text)
+	for _, data := range t.statuses {
+		all = append(all, data)
 	}
 	return all
 }
 
-// isFirstDelivery tells whether an envelope has not come before. One of a sender too many counts as a replay.
+// isFirstDelivery reports whether an envelope is not a duplicate, and records it. Once maxPeers senders are
+// tracked, it returns false for all envelopes of further senders.
 func (t *peerTable) isFirstDelivery(from string, incarnation, seq uint64) bool {
 	t.Lock()
 	defer t.Unlock()
@@ -185,47 +190,48 @@
 	return window.Accept(incarnation, seq)
 }
 
-// noteDirectory notes a directory, and tells whether it is newer than all of its representative's.
-func (t *peerTable) noteDirectory(representative string, mark directoryMark) bool {
+// updateDirectory records the version of a directory if it is newer than the last one of its representative,
+// and reports whether it is.
+func (t *peerTable) updateDirectory(representative string, version directoryVersion) bool {
 	t.Lock()
 	defer t.Unlock()
 	old, known := t.directories[representative]
-	if known && !old.before(mark) || !known && len(t.directories) >= maxPeers {
+	if known && !old.olderThan(version) || !known && len(t.directories) >= maxPeers {
 		return false
 	}
-	t.directories[representative] = mark
+	t.directories[representative] = version
 	return true
 }
 
-// noteOtherCell notes that a relay of another cell has answered at an address.
-func (t *peerTable) noteOtherCell(address string) {
+// recordOtherCell records that a relay of another cell has answered at an address.
+func (t *peerTable) recordOtherCell(address string) {
 	t.Lock()
 	defer t.Unlock()
 	t.otherCellAt[address] = time.Now()
 }
 
-// settledAddresses are addresses that need no join: of relays that are alive, and for a while of those of
-// another cell.
-func (t *peerTable) settledAddresses() map[string]bool {
+// addressesNotToJoin returns the addresses that are not to be joined: those of relays that are alive, and
+// those where a relay of another cell has answered within otherCellRetryInterval.
+func (t *peerTable) addressesNotToJoin() map[string]bool {
 	t.Lock()
 	defer t.Unlock()
-	settled := map[string]bool{}
+	excluded := map[string]bool{}
 	for address, at := range t.otherCellAt {
-		settled[address] = time.Since(at) < otherCellRetryInterval
+		excluded[address] = time.Since(at) < otherCellRetryInterval
 	}
 	for name := range t.alive {
-		settled[t.nodes[name].Address()] = true
+		excluded[t.nodes[name].Address()] = true
 	}
-	return settled
+	return excluded
 }
 
-// missingAddresses are those of relays that were there and are not, but for those that leave and the settled
-// ones.
-func (t *peerTable) missingAddresses(settled map[string]bool) (missing []string) {
+// missingAddresses returns the addresses of known relays that are not alive, without those that leave and
+// without the excluded ones.
+func (t *peerTable) missingAddresses(excluded map[string]bool) (missing []string) {
 	t.Lock()
 	defer t.Unlock()
 	for name, node := range t.nodes {
-		if !t.alive[name] && !t.leaving[name] && !settled[node.Address()] {
+		if !t.alive[name] && !t.leaving[name] && !excluded[node.Address()] {
 			missing = append(missing, node.Address())
 		}
 	}
--- a/internal/wire/gossip/peers_test.go
+++ b/internal/wire/gossip/peers_test.go
@@ -10,7 +10,7 @@
 	"capersail/internal/fleet/membership"
 )
 
-func peerNode(name string, port uint16) memberlist.Node {
+func memberlistNode(name string, port uint16) memberlist.Node {
 	return memberlist.Node{Name: name, Addr: net.IPv4(127, 0, 0, 1), Port: port}
 }
 
@@ -19,26 +19,26 @@
 func TestMissingRelaysAreThoseToJoin(t *testing.T) {
 	peers := newPeerTable()
 	for i, name := range []string{"alive", "failed", "left", "moved"} {
-		peers.noteHealth(peerNode(name, uint16(1+i)), membership.Alive)
+		peers.setHealth(memberlistNode(name, uint16(1+i)), membership.Alive)
 	}
-	peers.noteHealth(peerNode("failed", 2), membership.Failed)
-	peers.noteHealth(peerNode("left", 3), membership.Left)
-	peers.noteHealth(peerNode("moved", 4), membership.Failed)
-	peers.noteOtherCell("127.0.0.1:4")
+	peers.setHealth(memberlistNode("failed", 2), membership.Failed)
+	peers.setHealth(memberlistNode("left", 3), membership.Left)
+	peers.setHealth(memberlistNode("moved", 4), membership.Failed)
+	peers.recordOtherCell("127.0.0.1:4")
 	missing := func() []string {
-		found := peers.missingAddresses(peers.settledAddresses())
+		found := peers.missingAddresses(peers.addressesNotToJoin())
 		slices.Sort(found)
 		return found
 	}
 	if got := missing(); !slices.Equal(got, []string{"127.0.0.1:2"}) {
 		t.Errorf("missing: %v", got)
 	}
-	peers.noteStatus(envelope{From: "moved", Incarnation: 1, Seq: 1}, nil)
+	peers.updateStatus(envelope{From: "moved", Incarnation: 1, Seq: 1}, nil)
 	if got := missing(); !slices.Equal(got, []string{"127.0.0.1:2", "127.0.0.1:4"}) {
 		t.Errorf("missing once a status has come: %v", got)
 	}
-	peers.noteHealth(peerNode("failed", 2), membership.Alive)
-	peers.noteHealth(peerNode("moved", 4), membership.Alive)
+	peers.setHealth(memberlistNode("failed", 2), membership.Alive)
+	peers.setHealth(memberlistNode("moved", 4), membership.Alive)
 	if got := missing(); len(got) != 0 {
 		t.Errorf("missing when all are back: %v", got)
 	}
@@ -60,15 +60,15 @@
 		{3, 1, true},
 		{2, 7, false},
 	} {
-		text, err := encodeEnvelope("peer", one.incarnation, one.seq, kindStatus, 0)
+		data, err := encodeEnvelope("peer", one.incarnation, one.seq, kindStatus, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e, err := decodeEnvelope(text)
+		e, err := decodeEnvelope(data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if taken := peers.noteStatus(e, text); taken != one.taken {
+		if taken := peers.updateStatus(e, data); taken != one.taken {
 			t.Errorf("incarnation %d, seq %d: taken %v", one.incarnation, one.seq, taken)
 		}
 	}
--- a/internal/wire/gossip/probe_ack.go
+++ b/internal/wire/gossip/probe_ack.go
@@ -9,24 +9,25 @@
 	"capersail/internal/fleet/membership"
 )
 
-// ackCellMark begins what the answer to memberlist's probe carries: the name of the answering relay's cell
-// follows it. Programs that know no cells, or send no mark, carry nothing.
-const ackCellMark = "cell:"
+// ackCellPrefix begins the payload of an answer to memberlist's probe. The name of the answering relay's cell
+// follows. Answers from versions of the program without this payload are empty.
+const ackCellPrefix = "cell:"
 
-// AckPayload is memberlist's: what the answer to a probe carries.
-func (d *delegate) AckPayload() []byte { return []byte(ackCellMark + d.cell) }
+// AckPayload implements memberlist.PingDelegate. It returns the payload of the answer to a probe.
+func (d *delegate) AckPayload() []byte { return []byte(ackCellPrefix + d.wireCell) }
 
-// NotifyPingComplete is memberlist's, once a probe is answered. A relay answers under its name and at its
-// address in whatever cell it is now; memberlist alone would take one that has moved for alive.
+// NotifyPingComplete implements memberlist.PingDelegate and is called when a probe has been answered. A relay
+// that has moved to another cell still answers under its name and at its address, so memberlist by itself
+// would take it for alive in this cell. The payload tells which cell it is in now.
 func (d *delegate) NotifyPingComplete(m *memberlist.Node, _ time.Duration, payload []byte) {
-	cell, marked := bytes.CutPrefix(payload, []byte(ackCellMark))
-	if !marked {
+	cell, found := bytes.CutPrefix(payload, []byte(ackCellPrefix))
+	if !found {
 		return
 	}
-	switch moved := string(cell) != d.cell; {
-	case moved && d.peers.noteMoved(m.Name):
-		(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: membership.Failed})
-	case !moved && d.peers.noteBack(m.Name):
-		(*Node)(d).enqueueEvent(membership.PeerHealth{Name: m.Name, Health: membership.Alive})
+	switch moved := string(cell) != d.wireCell; {
+	case moved && d.peers.markMoved(m.Name):
+		(*Node)(d).enqueueMembershipEvent(membership.PeerHealth{Name: m.Name, Health: membership.Failed})
+	case !moved && d.peers.markReturned(m.Name):
+		(*Node)(d).enqueueMembershipEvent(membership.PeerHealth{Name: m.Name, Health: membership.Alive})
 	}
 }
--- a/internal/wire/gossip/probing.go
+++ b/internal/wire/gossip/probing.go
@@ -4,18 +4,20 @@
 	"capersail/internal/fleet/probing"
 )
 
-// batchQueueSize bounds the batches that wait to be sent; more are dropped, as newer ones follow.
+// batchQueueSize bounds the queue of batches to be sent. Batches in excess of it are dropped, as newer ones
+// follow.
 const batchQueueSize = 64
 
-// outgoingBatch is readings, or rows of placements, on their way to a peer.
+// outgoingBatch holds readings, or rows of placements, to be sent to a peer.
 type outgoingBatch struct {
 	to       string
 	readings []probing.Reading
 	rows     []probing.PlacementDelta
 }
 
-// Participants are the relays that share the probing of servers: the members of the view held, with the zones
-// that their statuses have. Nobody before there is a view that has this relay in it.
+// Participants returns the relays that share the probing of servers, and this relay's incarnation. The relays
+// are the members of the current view, each with the zone in its status. There are none until this relay is a
+// member of a view.
 func (n *Node) Participants() (relays []probing.Relay, incarnation uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,32 +37,32 @@
 	return relays, n.membership.Incarnation()
 }
 
-// SendReadings passes readings on to a peer, when Run comes to it.
+// SendReadings queues readings for a peer; Run sends them.
 func (n *Node) SendReadings(to string, readings []probing.Reading) {
 	n.enqueueBatch(outgoingBatch{to: to, readings: readings})
 }
 
-// SendPlacements passes placements on to a peer, when Run comes to it.
+// SendPlacements queues placements for a peer; Run sends them.
 func (n *Node) SendPlacements(to string, rows []probing.PlacementDelta) {
 	n.enqueueBatch(outgoingBatch{to: to, rows: rows})
 }
 
 func (n *Node) enqueueBatch(batch outgoingBatch) {
 	select {
-	case n.batches <- batch:
+	case n.outgoingBatches <- batch:
 	default:
 		n.dropped.count(dropOverflow, "")
 	}
 }
 
-// sendBatch sends readings and placements, in packets of a size.
+// sendBatch sends a batch: placements in one envelope, readings in envelopes of up to maxReadingsPerPacket.
 func (n *Node) sendBatch(batch outgoingBatch) {
 	if len(batch.rows) > 0 {
-		n.sendTo(batch.to, kindPlacements, encodePlacements(batch.rows))
+		n.sendToPeer(batch.to, kindPlacements, encodePlacements(batch.rows))
 	}
-	for left := batch.readings; len(left) > 0; {
-		some := left[:min(len(left), maxReadingsPerPacket)]
-		left = left[len(some):]
-		n.sendTo(batch.to, kindReadings, encodeReadings(n.falsifyReadings(some)))
+	for rest := batch.readings; len(rest) > 0; {
+		chunk := rest[:min(len(rest), maxReadingsPerPacket)]
+		rest = rest[len(chunk):]
+		n.sendToPeer(batch.to, kindReadings, encodeReadings(n.falsifyReadings(chunk)))
 	}
 }
--- a/internal/wire/gossip/talk_cost_test.go
+++ b/internal/wire/gossip/probing_cost_test.go
@@ -13,82 +13,82 @@
 )
 
 const (
-	talkStep   = 25 * time.Millisecond // between two steps of the set clock
-	talkWarm   = 3 * time.Second       // until all is even
-	placedEach = 200.0                 // requests a second of the whole fleet: what placements are told up to
-	// mostTalk is packets a second out of a relay: a round each 150 ms at most a tenth sooner, to three
+	clockStep     = 25 * time.Millisecond // between two steps of the set clock
+	warmUp        = 3 * time.Second       // until all is even
+	placementRate = 200.0                 // requests a second of the whole fleet: what placements are told up to
+	// maxPacketRate is packets a second out of a relay: a round each 150 ms at most a tenth sooner, to three
 	// peers, of two packets of readings and one of placements.
-	mostTalk = 3 * 3 / 0.135
-	unusable = 0.02 // part of the time that a relay may be without a usable reading of one of few servers
+	maxPacketRate = 3 * 3 / 0.135
+	maxStaleShare = 0.02 // part of the time that a relay may be without a usable reading of one of few servers
 )
 
-// talkCost is what relays say of servers: readings and placements, in sealed packets without the seal's own
-// bytes.
-type talkCost struct {
+// probingCost is what relays say of servers: readings and placements, in sealed packets without the seal's
+// own bytes.
+type probingCost struct {
 	readings, placed float64 // bytes a relay a second
 	packets          float64 // a relay a second
 	processor        float64 // s of processor time a relay a second, packing and weighing
 	without          float64 // part of the time that a relay has no usable reading of a server
 }
 
-// talkers are relays' deciders on a set clock.
-type talkers struct {
-	rng     *rand.Rand // of the requests that are placed
-	relays  []probing.Relay
-	servers []probing.Server
-	all     []*talker
-	number  map[string]int
-	column  map[uint64]int
-	now     time.Duration
-	due     float64 // requests not yet placed
+// probingFleet are relays' deciders on a set clock.
+type probingFleet struct {
+	rng         *rand.Rand // of the requests that are placed
+	relays      []probing.Relay
+	servers     []probing.Server
+	nodes       []*probingRelay
+	relayIndex  map[string]int
+	serverIndex map[uint64]int
+	now         time.Duration
+	unplaced    float64 // requests not yet placed
 }
 
-// talker is one relay: its decider, the time at which it last believed something of each server, and what it
-// has told.
-type talker struct {
-	scheduler *probing.Scheduler
-	name      string
-	rng       *rand.Rand
-	at        []time.Duration
-	out, in   []posted
-	readings  int // bytes told
-	placed    int
-	packets   int
+// probingRelay is one relay: its decider, the time at which it last believed something of each server, and
+// what it has told.
+type probingRelay struct {
+	scheduler      *probing.Scheduler
+	name           string
+	rng            *rand.Rand
+	readingTakenAt []time.Duration
+	out, in        []sentMessage
+	readings       int // bytes told
+	placed         int
+	packets        int
 }
 
-type posted struct {
+type sentMessage struct {
 	to   string
-	text []byte
+	data []byte
 }
 
-func newTalkers(relays, servers int) *talkers {
-	c := &talkers{
-		rng:    rand.New(rand.NewPCG(uint64(relays), uint64(servers))),
-		number: map[string]int{},
-		column: map[uint64]int{},
+func newProbingFleet(relays, servers int) *probingFleet {
+	c := &probingFleet{
+		rng:         rand.New(rand.NewPCG(uint64(relays), uint64(servers))),
+		relayIndex:  map[string]int{},
+		serverIndex: map[uint64]int{},
 	}
 	for i := range relays {
 		name := fmt.Sprint("relay-", i)
-		c.relays, c.number[name] = append(
+		c.relays, c.relayIndex[name] = append(
 			c.relays, probing.Relay{Name: name, Zone: fmt.Sprint("zone-", i%17)},
 		), i
-		c.all = append(
-			c.all,
-			&talker{
-				scheduler: probing.New(name, uint64(i)),
-				name:      name,
-				rng:       rand.New(rand.NewPCG(uint64(i), 3)),
-				at:        make([]time.Duration, servers),
+		c.nodes = append(
+			c.nodes,
+			&probingRelay{
+				scheduler:      probing.New(name, uint64(i)),
+				name:           name,
+				rng:            rand.New(rand.NewPCG(uint64(i), 3)),
+				readingTakenAt: make([]time.Duration, servers),
 			},
 		)
 	}
 	for i := range servers {
 		s := probing.Server{Key: c.rng.Uint64(), Zone: fmt.Sprint("zone-", i%17), Started: 1.8e12}
-		c.servers, c.column[s.Key] = append(c.servers, s), i
+		c.servers, c.serverIndex[s.Key] = append(c.servers, s), i
 	}
 	table := probing.Assign(c.relays, c.servers)
-	for _, r := range c.all {
-		c.act(
+	for _, r := range c.nodes {
+		c.execute(
 			r,
 			r.scheduler.Handle(
 				c.now,
@@ -107,7 +107,7 @@
 
 // act carries out what a relay's decider wants. What it tells goes through the wire's form, and arrives a
 // step later.
-func (c *talkers) act(r *talker, acts []probing.Action) {
+func (c *probingFleet) execute(r *probingRelay, acts []probing.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case probing.Probe:
@@ -120,36 +120,36 @@
 				},
 				nil,
 			)
-			r.at[c.column[a.ServerKey]] = c.now
+			r.readingTakenAt[c.serverIndex[a.ServerKey]] = c.now
 		case probing.UseReading:
-			r.at[c.column[a.ServerKey]] = c.now - a.Age
+			r.readingTakenAt[c.serverIndex[a.ServerKey]] = c.now - a.Age
 		case probing.SendReadings:
 			for rest := a.Readings; len(rest) > 0; {
 				some := rest[:min(len(rest), maxReadingsPerPacket)]
 				rest = rest[len(some):]
-				r.readings += r.post(a.To, kindReadings, encodeReadings(some))
+				r.readings += r.send(a.To, kindReadings, encodeReadings(some))
 			}
 		case probing.SendPlacements:
-			r.placed += r.post(a.To, kindPlacements, encodePlacements(a.Rows))
+			r.placed += r.send(a.To, kindPlacements, encodePlacements(a.Rows))
 		}
 	}
 }
 
 // post seals a message and returns its size.
-func (r *talker) post(to string, k envelopeKind, body any) int {
-	text, err := encodeEnvelope(r.name, 1<<40, 1<<20, k, body)
+func (r *probingRelay) send(to string, k envelopeKind, body any) int {
+	data, err := encodeEnvelope(r.name, 1<<40, 1<<20, k, body)
 	if err != nil {
 		panic(err)
 	}
 	r.packets++
-	r.out = append(r.out, posted{to, text})
-	return len(text)
+	r.out = append(r.out, sentMessage{to, data})
+	return len(data)
 }
 
 // turn is one step of one relay: what has come, then what is due.
-func (c *talkers) turn(r *talker) {
+func (c *probingFleet) runStep(r *probingRelay) {
 	for _, m := range r.in {
-		e, err := decodeEnvelope(m.text)
+		e, err := decodeEnvelope(m.data)
 		if err != nil {
 			panic(err)
 		}
@@ -157,19 +157,19 @@
 		if err != nil {
 			panic(err)
 		}
-		c.act(r, r.scheduler.Handle(c.now, ev, nil))
+		c.execute(r, r.scheduler.Handle(c.now, ev, nil))
 	}
 	r.in = r.in[:0]
-	c.act(r, r.scheduler.Handle(c.now, probing.Tick{}, nil))
+	c.execute(r, r.scheduler.Handle(c.now, probing.Tick{}, nil))
 }
 
 // pass lets time go by, with requests placed all the while. The relays of one step do not meet, so they go
 // side by side.
-func (c *talkers) pass(span time.Duration) {
-	for end := c.now + span; c.now < end; c.now += talkStep {
-		for c.due += placedEach * talkStep.Seconds(); c.due >= 1; c.due-- {
+func (c *probingFleet) advance(span time.Duration) {
+	for end := c.now + span; c.now < end; c.now += clockStep {
+		for c.unplaced += placementRate * clockStep.Seconds(); c.unplaced >= 1; c.unplaced-- {
 			s := c.servers[c.rng.IntN(len(c.servers))]
-			c.all[c.rng.IntN(len(c.all))].scheduler.Handle(
+			c.nodes[c.rng.IntN(len(c.nodes))].scheduler.Handle(
 				c.now, probing.LocalPlacement{ServerKey: s.Key, Delta: 1}, nil,
 			)
 		}
@@ -177,15 +177,15 @@
 		workers := runtime.GOMAXPROCS(0)
 		for w := range workers {
 			wait.Go(func() {
-				for i := w; i < len(c.all); i += workers {
-					c.turn(c.all[i])
+				for i := w; i < len(c.nodes); i += workers {
+					c.runStep(c.nodes[i])
 				}
 			})
 		}
 		wait.Wait()
-		for _, r := range c.all {
+		for _, r := range c.nodes {
 			for _, m := range r.out {
-				to := c.all[c.number[m.to]]
+				to := c.nodes[c.relayIndex[m.to]]
 				to.in = append(to.in, m)
 			}
 			r.out = r.out[:0]
@@ -194,8 +194,8 @@
 }
 
 // told is what all relays have told so far: bytes of readings and of placements, and packets.
-func (c *talkers) told() (readings, placed, packets float64) {
-	for _, r := range c.all {
+func (c *probingFleet) totalSent() (readings, placed, packets float64) {
+	for _, r := range c.nodes {
 		readings += float64(r.readings)
 		placed += float64(r.placed)
 		packets += float64(r.packets)
@@ -204,10 +204,10 @@
 }
 
 // stale is the part of all relays and servers for which there is no usable reading now.
-func (c *talkers) stale() float64 {
+func (c *probingFleet) staleShare() float64 {
 	n := 0
-	for _, r := range c.all {
-		for _, at := range r.at {
+	for _, r := range c.nodes {
+		for _, at := range r.readingTakenAt {
 			if c.now-at > probing.MaxReadingAge {
 				n++
 			}
@@ -216,20 +216,20 @@
 	return float64(n) / float64(len(c.relays)*len(c.servers))
 }
 
-// measureTalk plays so many relays and servers for a time, once all is even.
-func measureTalk(relays, servers int, watch time.Duration) (cost talkCost) {
-	c := newTalkers(relays, servers)
-	c.pass(talkWarm)
+// measureProbing plays so many relays and servers for a time, once all is even.
+func measureProbing(relays, servers int, watch time.Duration) (cost probingCost) {
+	c := newProbingFleet(relays, servers)
+	c.advance(warmUp)
 	const looks = 10
-	readings, placed, packets := c.told()
-	began := cpu()
+	readings, placed, packets := c.totalSent()
+	began := cpuSeconds()
 	for range looks {
-		c.pass(watch / looks)
-		cost.without += c.stale() / looks
+		c.advance(watch / looks)
+		cost.without += c.staleShare() / looks
 	}
 	each := float64(relays) * watch.Seconds()
-	cost.processor = (cpu() - began) / each
-	readings2, placed2, packets2 := c.told()
+	cost.processor = (cpuSeconds() - began) / each
+	readings2, placed2, packets2 := c.totalSent()
 	cost.readings = (readings2 - readings) / each
 	cost.placed = (placed2 - placed) / each
 	cost.packets = (packets2 - packets) / each
@@ -238,7 +238,7 @@
 
 // What relays tell each other of servers, by the number of either: bytes, packets and processor time of one
 // relay, and whether the readings come round.
-func TestCostOfTalk(t *testing.T) {
+func TestCostOfSharedProbing(t *testing.T) {
 	sizes, watch := [][2]int{{10, 30}, {30, 30}}, 2*time.Second
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
 		sizes = [][2]int{
@@ -248,14 +248,14 @@
 	}
 	for _, size := range sizes {
 		t.Run(fmt.Sprintf("relays=%d/servers=%d", size[0], size[1]), func(t *testing.T) {
-			c := measureTalk(size[0], size[1], watch)
+			c := measureProbing(size[0], size[1], watch)
 			t.Logf("%.0f bytes of readings, %.0f of placements, %.1f packets a relay a second; "+
 				"%.2f ms of processor time a relay a second; without a usable reading %.4f of the time",
 				c.readings, c.placed, c.packets, c.processor*1000, c.without)
-			if c.packets > mostTalk {
+			if c.packets > maxPacketRate {
 				t.Errorf("%.1f packets a second out of a relay", c.packets)
 			}
-			if size[1] <= 30 && c.without > unusable {
+			if size[1] <= 30 && c.without > maxStaleShare {
 				t.Errorf("no usable reading %.3f of the time", c.without)
 			}
 		})
--- a/internal/wire/gossip/probing_wire.go
+++ b/internal/wire/gossip/probing_wire.go
@@ -12,48 +12,51 @@
 )
 
 const (
-	// maxReadingsPerPacket bounds a packet of readings: up to 45 bytes each, and the names of their origins.
+	// maxReadingsPerPacket bounds the readings in one packet: each takes up to 45 bytes, and the names of
+	// their origins are added.
 	maxReadingsPerPacket = 20
-	// maxReadingsReceived and maxPlacementsReceived bound what is taken in of one packet, of a later version
-	// too.
+	// maxReadingsReceived and maxPlacementsReceived bound the rows that are accepted in one packet, also from
+	// later versions, which may send more than this one does.
 	maxReadingsReceived   = 4 * maxReadingsPerPacket
 	maxPlacementsReceived = 2 * probing.MaxPlacementsPerRound
 )
 
-// errMalformedBatch is a packet of readings or placements that no relay sends.
-var errMalformedBatch = errors.New("malformed readings or placements")
+// errMalformedBatch is the error for readings or placements that no relay can have sent.
+var errMalformedBatch = errors.New("malformed batch of readings or placements")
 
-// wireBatch is a packet of rows. Their origins are named once, and rows point at them.
+// wireBatch is the wire format of a batch of rows. Each origin's name is listed once, and rows refer to it by
+// its index.
 type wireBatch[Row any] struct {
 	_     struct{} `cbor:",toarray"`
 	Names []string
 	Rows  []Row
 }
 
-// wireReading is one reading: times in whole ms, figures in thousandths, negative for one that did not come.
+// wireReading is the wire format of a reading. Times are in milliseconds, and the figures of the load report
+// in thousandths; a negative figure is missing from the load report.
 type wireReading struct {
 	_                            struct{} `cbor:",toarray"`
 	ServerKey                    uint64
 	Started                      int64
-	Origin                       int // index of its name
+	Origin                       int // index into wireBatch.Names
 	Incarnation                  uint64
 	ReadAt                       int64
 	Age                          int64
 	Load, InFlight, Errors, Busy int64
 }
 
-// wirePlacement is one row of placements, its age in whole ms.
+// wirePlacement is the wire format of a probing.PlacementDelta, with its age in milliseconds.
 type wirePlacement struct {
 	_           struct{} `cbor:",toarray"`
 	ServerKey   uint64
-	Origin      int // index of its name
+	Origin      int // index into wireBatch.Names
 	Incarnation uint64
 	Seq         uint64
 	Delta       int
 	Age         int64
 }
 
-// decodeBatch is what an envelope of readings or placements says. The error is errMalformedBatch.
+// decodeBatch decodes an envelope of readings or placements. Its only error is errMalformedBatch.
 func decodeBatch(e envelope) (probing.Event, error) {
 	if e.Kind == kindPlacements {
 		rows, err := decodePlacements(e.Body)
@@ -132,7 +135,7 @@
 	return decodeRows(body, maxPlacementsReceived, decode)
 }
 
-// encodeRows makes a packet of what it is given, a row each.
+// encodeRows encodes a batch with one row for each item.
 func encodeRows[Item, Row any](items []Item, encode func(Item, *nameTable) Row) (w wireBatch[Row]) {
 	var names nameTable
 	for _, item := range items {
@@ -142,12 +145,12 @@
 	return w
 }
 
-// decodeRows reads a packet of at most so many rows. One bad row makes the packet malformed.
+// decodeRows decodes a batch of up to maxRows rows. One malformed row makes the whole batch malformed.
 func decodeRows[Row, Item any](
-	body []byte, most int, decode func(row Row, names []string) (Item, error),
+	body []byte, maxRows int, decode func(row Row, names []string) (Item, error),
 ) (items []Item, err error) {
 	var w wireBatch[Row]
-	if err := cbor.Unmarshal(body, &w); err != nil || len(w.Rows) > most {
+	if err := cbor.Unmarshal(body, &w); err != nil || len(w.Rows) > maxRows {
 		return nil, errMalformedBatch
 	}
 	for _, row := range w.Rows {
@@ -160,35 +163,35 @@
 	return items, nil
 }
 
-// nameTable gives each name a number, in the order of first mention.
+// nameTable assigns each name an index, in the order of first use.
 type nameTable struct {
 	list    []string
-	numbers map[string]int
+	indexes map[string]int
 }
 
 func (t *nameTable) index(name string) int {
-	number, known := t.numbers[name]
+	i, known := t.indexes[name]
 	if known {
-		return number
+		return i
 	}
-	if t.numbers == nil {
-		t.numbers = map[string]int{}
+	if t.indexes == nil {
+		t.indexes = map[string]int{}
 	}
-	number = len(t.list)
-	t.numbers[name] = number
+	i = len(t.list)
+	t.indexes[name] = i
 	t.list = append(t.list, name)
-	return number
+	return i
 }
 
-// originName is the name that a number in a packet stands for.
-func originName(names []string, number int) (string, error) {
-	if number < 0 || number >= len(names) || !ValidRelayName(names[number]) {
+// originName returns the origin's name at an index of wireBatch.Names, or errMalformedBatch if there is none.
+func originName(names []string, index int) (string, error) {
+	if index < 0 || index >= len(names) || !ValidRelayName(names[index]) {
 		return "", errMalformedBatch
 	}
-	return names[number], nil
+	return names[index], nil
 }
 
-// toThousandths is a figure in thousandths, -1 for none.
+// toThousandths converts a figure to thousandths; -1 stands for a missing figure.
 func toThousandths(x float64) int64 {
 	if x < 0 || math.IsNaN(x) {
 		return -1
@@ -196,7 +199,7 @@
 	return int64(math.Round(min(x, 1e9) * 1000))
 }
 
-// fromThousandths is the way back, -1 for none.
+// fromThousandths converts thousandths to a figure; -1 stands for a missing figure.
 func fromThousandths(x int64) float64 {
 	if x < 0 {
 		return -1
--- a/internal/wire/gossip/receive.go
+++ b/internal/wire/gossip/receive.go
@@ -8,9 +8,10 @@
 	"capersail/internal/fleet/membership"
 )
 
-// receive opens what a peer has sent. forward says that a status or a directory is to be passed on.
-func (n *Node) receive(text []byte, forward bool) {
-	e, err := decodeEnvelope(text)
+// receiveEnvelope decodes and handles an envelope from a peer. forward states whether a status or a directory
+// is broadcast again.
+func (n *Node) receiveEnvelope(data []byte, forward bool) {
+	e, err := decodeEnvelope(data)
 	if err != nil {
 		n.dropped.count(dropMalformed, err.Error())
 		return
@@ -18,45 +19,45 @@
 	if e.From == n.cfg.Name {
 		return
 	}
-	if e, err = n.unwrapCell(e); err != nil {
-		n.dropped.count(unwrapDropReason(err), e.From)
+	if e, err = n.unwrapCellEnvelope(e); err != nil {
+		n.dropped.count(unwrapErrorDropReason(err), e.From)
 		return
 	}
 	switch e.Kind {
 	case kindStatus:
-		n.receiveStatus(e, text, forward)
+		n.receiveStatus(e, data, forward)
 	case kindMessage:
 		n.receiveMessage(e)
 	case kindReadings, kindPlacements:
 		n.receiveBatch(e)
 	case kindSummary, kindDirectory:
-		n.receiveFromCells(e, text, forward)
-	default: // of a later version
+		n.receiveCellMessage(e, data, forward)
+	default: // a kind of a later version
 		n.dropped.count(dropUnknown, strconv.Itoa(int(e.Kind)))
 	}
 }
 
-// receiveStatus hands a status on that is newer than the one known.
-func (n *Node) receiveStatus(e envelope, text []byte, forward bool) {
+// receiveStatus queues a status for the membership.Node if it is newer than the last one of the same relay.
+func (n *Node) receiveStatus(e envelope, data []byte, forward bool) {
 	var status membership.Status
 	err := cbor.Unmarshal(e.Body, &status)
 	if err != nil || !validStatus(status) || status.Incarnation != e.Incarnation || status.Seq != e.Seq {
 		n.dropped.count(dropMalformed, "malformed status")
 		return
 	}
-	if !n.peers.noteStatus(e, text) {
-		return // gossip brings each several times
+	if !n.peers.updateStatus(e, data) {
+		return // gossip delivers each status several times
 	}
-	n.enqueueEvent(membership.StatusReceived{Name: e.From, Status: status})
-	if n.peers.noteLifecycle(e.From, status.Lifecycle) {
-		n.enqueueEvent(membership.PeerHealth{Name: e.From, Health: membership.Left})
+	n.enqueueMembershipEvent(membership.StatusReceived{Name: e.From, Status: status})
+	if n.peers.setLifecycle(e.From, status.Lifecycle) {
+		n.enqueueMembershipEvent(membership.PeerHealth{Name: e.From, Health: membership.Left})
 	}
 	if forward {
-		n.mesh.broadcasts.add(e.From, text)
+		n.gossip.broadcasts.add(e.From, data)
 	}
 }
 
-// receiveMessage hands a message on that has not come before.
+// receiveMessage queues a message for the membership.Node unless it is a duplicate.
 func (n *Node) receiveMessage(e envelope) {
 	var message membership.Message
 	err := cbor.Unmarshal(e.Body, &message)
@@ -68,10 +69,10 @@
 		n.dropped.count(dropReplayed, e.From)
 		return
 	}
-	n.enqueueEvent(membership.MessageReceived{From: e.From, Message: message})
+	n.enqueueMembershipEvent(membership.MessageReceived{From: e.From, Message: message})
 }
 
-// receiveBatch hands readings or placements on that have not come before.
+// receiveBatch passes readings or placements to Config.OnProbingEvent unless they are duplicates.
 func (n *Node) receiveBatch(e envelope) {
 	if n.cfg.OnProbingEvent == nil {
 		return
--- a/internal/wire/gossip/record_file.go
+++ b/internal/wire/gossip/record_file.go
@@ -15,22 +15,23 @@
 	"capersail/internal/fleet/membership"
 )
 
-// recordFile keeps a membership.Node's record in one file, written anew each time: to a second file, synced,
-// then renamed. A lock on a file beside it keeps a second process of the relay from promising things too.
+// recordFile stores a membership.Node's record in a file. Each save writes a second file, syncs it and
+// renames it over the first, so that the file is always complete. A lock on another file beside it prevents a
+// second process of the relay from voting at the same time.
 type recordFile struct {
 	path, site, cell, name string
 	lock                   *os.File
-	inUse                  bool // another process of the relay has it
+	inUse                  bool // whether another process of the relay holds the lock
 }
 
-// storedRecord is the file: the record with whose it is, and a sum over it.
+// storedRecord is the file format: the record, the relay that it belongs to, and the record's checksum.
 type storedRecord struct {
-	Version int             `cbor:"1,keyasint"`
-	Site    string          `cbor:"2,keyasint"`
-	Name    string          `cbor:"3,keyasint"`
-	Sum     uint32          `cbor:"4,keyasint"`
-	Record  cbor.RawMessage `cbor:"5,keyasint"`
-	Cell    string          `cbor:"6,keyasint,omitempty"` // "" in a flat fleet
+	Version  int             `cbor:"1,keyasint"`
+	Site     string          `cbor:"2,keyasint"`
+	Name     string          `cbor:"3,keyasint"`
+	Checksum uint32          `cbor:"4,keyasint"`
+	Record   cbor.RawMessage `cbor:"5,keyasint"`
+	Cell     string          `cbor:"6,keyasint,omitempty"` // "" in a flat fleet
 }
 
 const (
@@ -38,19 +39,20 @@
 	maxRecordBytes = 1 << 20
 )
 
-// errRecordInUse says that another process of the relay runs: in an upgrade, until it has left.
-var errRecordInUse = errors.New("another process of this relay has it")
+// errRecordInUse is the error if another process of this relay holds the lock, as happens during an upgrade
+// until the old process exits.
+var errRecordInUse = errors.New("locked by another process of this relay")
 
-// errRecordUnusable says that there is a record, of which nothing can be known: what the relay has promised,
-// perhaps.
-var errRecordUnusable = errors.New("it cannot be used")
+// errRecordUnusable is the error for an existing record that cannot be read or belongs to another relay. What
+// this relay has promised is then unknown.
+var errRecordUnusable = errors.New("record unusable")
 
-// openRecordFile reads the record; a file that is not there is that of a relay's first start. With an error
-// the file is one in which nothing can be kept.
+// openRecordFile locks and reads the record. If the file does not exist, this is the relay's first start and
+// the record is empty. If there is an error, the returned recordFile rejects all saves.
 func openRecordFile(path, site, cell, name string) (*recordFile, membership.Record, error) {
 	var rec membership.Record
 	fail := func(err error) (*recordFile, membership.Record, error) {
-		return &recordFile{}, rec, fmt.Errorf("state: %w", err)
+		return &recordFile{}, rec, fmt.Errorf("state file: %w", err)
 	}
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -60,17 +62,17 @@
 		lock.Close()
 		return fail(fmt.Errorf("%s: %w", path, errRecordInUse))
 	}
-	d := &recordFile{path: path, site: site, cell: cell, name: name, lock: lock}
-	rec, err = d.load()
+	r := &recordFile{path: path, site: site, cell: cell, name: name, lock: lock}
+	rec, err = r.load()
 	if err != nil {
 		lock.Close()
 		return fail(fmt.Errorf("%w: %w", errRecordUnusable, err))
 	}
-	return d, rec, nil
+	return r, rec, nil
 }
 
-func (d *recordFile) load() (rec membership.Record, err error) {
-	f, err := os.Open(d.path)
+func (r *recordFile) load() (rec membership.Record, err error) {
+	f, err := os.Open(r.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return rec, nil
 	}
@@ -78,88 +80,90 @@
 		return rec, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxRecordBytes))
+	data, err := io.ReadAll(io.LimitReader(f, maxRecordBytes))
 	if err != nil {
 		return rec, err
 	}
-	var k storedRecord
-	if err := cbor.Unmarshal(text, &k); err != nil {
-		return rec, fmt.Errorf("%s: not a record, or a torn one", d.path)
+	var stored storedRecord
+	if err := cbor.Unmarshal(data, &stored); err != nil {
+		return rec, fmt.Errorf("%s: not a membership record, or torn by an incomplete write", r.path)
 	}
 	switch {
-	case k.Version != recordVersion:
-		return rec, fmt.Errorf("%s: version %d; this program writes %d", d.path, k.Version, recordVersion)
-	case k.Site != d.site || k.Name != d.name:
-		return rec, fmt.Errorf("%s: of %s at %s, not of %s at %s", d.path, k.Name, k.Site, d.name, d.site)
-	case k.Cell != d.cell:
-		return rec, fmt.Errorf("%s: of cell %q, not of cell %q; each cell has a record of its own",
-			d.path, k.Cell, d.cell)
-	case crc32.ChecksumIEEE(k.Record) != k.Sum:
-		return rec, fmt.Errorf("%s: its sum does not fit", d.path)
-	}
-	if err := cbor.Unmarshal(k.Record, &rec); err != nil {
-		return rec, fmt.Errorf("%s: %w", d.path, err)
+	case stored.Version != recordVersion:
+		return rec, fmt.Errorf("%s: record has version %d; this program supports version %d",
+			r.path, stored.Version, recordVersion)
+	case stored.Site != r.site || stored.Name != r.name:
+		return rec, fmt.Errorf("%s: record of relay %s at site %s, not of relay %s at site %s",
+			r.path, stored.Name, stored.Site, r.name, r.site)
+	case stored.Cell != r.cell:
+		return rec, fmt.Errorf("%s: record of cell %q, not of cell %q; each cell needs its own state file",
+			r.path, stored.Cell, r.cell)
+	case crc32.ChecksumIEEE(stored.Record) != stored.Checksum:
+		return rec, fmt.Errorf("%s: checksum of the record does not match", r.path)
+	}
+	if err := cbor.Unmarshal(stored.Record, &rec); err != nil {
+		return rec, fmt.Errorf("%s: %w", r.path, err)
 	}
 	for _, v := range []*membership.View{rec.View, rec.Accepted} {
 		if v != nil {
 			if err := v.Check(); err != nil {
-				return rec, fmt.Errorf("%s: %w", d.path, err)
+				return rec, fmt.Errorf("%s: %w", r.path, err)
 			}
 		}
 	}
 	return rec, nil
 }
 
-// save keeps a record before it returns.
-func (d *recordFile) save(rec membership.Record) error {
-	if d.lock == nil {
-		return errors.New("state: nothing can be kept")
+// save writes a record to disk. When it returns without an error, the record is durable.
+func (r *recordFile) save(rec membership.Record) error {
+	if r.lock == nil {
+		return errors.New("state file: not open, record cannot be stored")
 	}
 	body, err := cbor.Marshal(rec)
 	if err != nil {
 		return err
 	}
-	text, err := cbor.Marshal(storedRecord{
-		Version: recordVersion,
-		Site:    d.site,
-		Cell:    d.cell,
-		Name:    d.name,
-		Sum:     crc32.ChecksumIEEE(body),
-		Record:  body,
+	data, err := cbor.Marshal(storedRecord{
+		Version:  recordVersion,
+		Site:     r.site,
+		Cell:     r.cell,
+		Name:     r.name,
+		Checksum: crc32.ChecksumIEEE(body),
+		Record:   body,
 	})
 	if err != nil {
 		return err
 	}
-	if err := d.write(text); err != nil {
-		return fmt.Errorf("state: %w", err)
+	if err := r.write(data); err != nil {
+		return fmt.Errorf("state file: %w", err)
 	}
 	return nil
 }
 
-func (d *recordFile) write(text []byte) (err error) {
-	f, err := os.OpenFile(d.path+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+func (r *recordFile) write(data []byte) (err error) {
+	f, err := os.OpenFile(r.path+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = f.Write(data)
 	if err == nil {
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(d.path+".new", d.path); err != nil {
+	if err := os.Rename(r.path+".new", r.path); err != nil {
 		return err
 	}
-	dir, err := os.Open(filepath.Dir(d.path))
+	dir, err := os.Open(filepath.Dir(r.path))
 	if err != nil {
 		return err
 	}
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func (d *recordFile) close() {
-	if d.lock != nil {
-		d.lock.Close()
+func (r *recordFile) close() {
+	if r.lock != nil {
+		r.lock.Close()
 	}
 }
--- a/internal/wire/gossip/send.go
+++ b/internal/wire/gossip/send.go
@@ -7,62 +7,63 @@
 )
 
 const (
-	// maxPacketBytes bounds a message that goes as one packet; a larger one goes over TCP.
+	// maxPacketBytes is the largest message that is sent as one packet; larger ones are sent over TCP.
 	maxPacketBytes = 1100
-	// maxReliableSends bounds the messages over TCP under way at once.
+	// maxReliableSends bounds the messages that are being sent over TCP at the same time.
 	maxReliableSends = 32
 )
 
-// send carries a membership.Node's message to a peer.
-func (n *Node) send(to string, message membership.Message) { n.sendTo(to, kindMessage, message) }
+// sendMessage sends a message of the membership.Node to a peer.
+func (n *Node) sendMessage(to string, m membership.Message) { n.sendToPeer(to, kindMessage, m) }
 
-// sendTo carries a body to a peer: as one packet, or over TCP where it is too large for that. A peer that is
-// not known gets nothing.
-func (n *Node) sendTo(to string, kind envelopeKind, body any) {
-	list, node := n.mesh.list.Load(), n.peers.node(to)
+// sendToPeer sends a body to a peer: as one packet, or over TCP if the envelope is too large for that. It
+// does nothing for an unknown peer.
+func (n *Node) sendToPeer(to string, kind envelopeKind, body any) {
+	list, node := n.gossip.list.Load(), n.peers.node(to)
 	if list == nil || node == nil {
 		return
 	}
 	n.mu.Lock()
 	incarnation := n.membership.Incarnation()
 	n.mu.Unlock()
-	text, err := n.encodeForCell(incarnation, n.mesh.seq.Add(1), kind, body)
+	data, err := n.encodeForCell(incarnation, n.gossip.seq.Add(1), kind, body)
 	if err != nil {
-		n.log.Error().Err(err).Msg("gossip message cannot be encoded, not sent: report it with its error")
+		n.log.Error().Err(err).Msg("cannot encode a gossip message, not sent: report it as a bug")
 		return
 	}
-	if len(text) > maxPacketBytes {
-		n.sendReliably(list, node, text)
+	if len(data) > maxPacketBytes {
+		n.sendReliably(list, node, data)
 		return
 	}
-	if err := list.SendBestEffort(node, text); err != nil {
+	if err := list.SendBestEffort(node, data); err != nil {
 		n.dropped.count(dropUnsent, err.Error())
 	}
 }
 
-// sendReliably carries a message over TCP, without waiting for it.
-func (n *Node) sendReliably(list *memberlist.Memberlist, node *memberlist.Node, text []byte) {
+// sendReliably sends a message over TCP in the background. It drops the message if maxReliableSends others
+// are being sent.
+func (n *Node) sendReliably(list *memberlist.Memberlist, node *memberlist.Node, data []byte) {
 	select {
-	case n.mesh.reliableSends <- struct{}{}:
+	case n.gossip.reliableSends <- struct{}{}:
 	default:
-		n.dropped.count(dropUnsent, "too many large messages under way")
+		n.dropped.count(dropUnsent, "too many messages are being sent over TCP")
 		return
 	}
 	go func() {
-		defer func() { <-n.mesh.reliableSends }()
-		if err := list.SendReliable(node, text); err != nil {
+		defer func() { <-n.gossip.reliableSends }()
+		if err := list.SendReliable(node, data); err != nil {
 			n.dropped.count(dropUnsent, err.Error())
 		}
 	}()
 }
 
-// publish broadcasts this relay's status.
-func (n *Node) publish(status membership.Status) {
-	text, err := n.encodeForCell(status.Incarnation, status.Seq, kindStatus, n.adjustStatus(status))
+// publishStatus broadcasts this relay's status to its peers.
+func (n *Node) publishStatus(status membership.Status) {
+	data, err := n.encodeForCell(status.Incarnation, status.Seq, kindStatus, n.adjustStatus(status))
 	if err != nil {
-		n.log.Error().Err(err).Msg("status cannot be encoded, not published: report it with its error")
+		n.log.Error().Err(err).Msg("cannot encode this relay's status, not published: report it as a bug")
 		return
 	}
-	n.peers.setStatus(n.cfg.Name, text)
-	n.mesh.broadcasts.add(n.cfg.Name, text)
+	n.peers.setStatus(n.cfg.Name, data)
+	n.gossip.broadcasts.add(n.cfg.Name, data)
 }
--- a/internal/wire/gossip/status.go
+++ b/internal/wire/gossip/status.go
@@ -8,25 +8,25 @@
 	"capersail/internal/relay"
 )
 
-// LockStatus returns the fleet's status for the decision module, by the caller's clock, and keeps it so
-// until UnlockStatus.
+// LockStatus returns the fleet's status for the decision module, with times by the caller's clock. The status
+// does not change until UnlockStatus is called.
 func (n *Node) LockStatus(now time.Duration) decide.FleetStatus {
 	n.mu.Lock()
 	own := n.now()
 	return relay.ToFleetStatus(now, own, n.membership.Estimate(own), n.cfg.zoneNumber)
 }
 
-// UnlockStatus ends what LockStatus began.
+// UnlockStatus releases the lock that LockStatus took.
 func (n *Node) UnlockStatus() { n.mu.Unlock() }
 
-// FleetEstimate is what this relay takes the fleet for now.
+// FleetEstimate returns this relay's current estimate of the fleet and its budget shares.
 func (n *Node) FleetEstimate() membership.FleetEstimate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.membership.Estimate(n.now())
 }
 
-// Report is what this relay knows of the fleet.
+// Report returns what this relay knows of the fleet, for operators.
 func (n *Node) Report() membership.Report {
 	n.mu.Lock()
 	r := n.membership.Report(n.now())
@@ -40,7 +40,7 @@
 	return r
 }
 
-// Traffic is what has gone out and come in, in bytes of packets.
+// Traffic returns the bytes of packets that this relay has sent and received.
 func (n *Node) Traffic() (out, in uint64) {
-	return n.mesh.traffic.bytesOut.Load(), n.mesh.traffic.bytesIn.Load()
+	return n.gossip.traffic.bytesOut.Load(), n.gossip.traffic.bytesIn.Load()
 }
--- a/internal/wire/gossip/transport.go
+++ b/internal/wire/gossip/transport.go
@@ -8,39 +8,40 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// traffic is what has gone out and come in.
+// traffic counts the packets that have been sent and received, and their bytes.
 type traffic struct {
 	packetsOut, bytesOut, packetsIn, bytesIn atomic.Uint64
 }
 
-// countingTransport is memberlist's transport with its traffic counted.
+// countingTransport wraps a memberlist transport and counts its packets.
 type countingTransport struct {
 	memberlist.NodeAwareTransport
 	traffic *traffic
 	packets chan *memberlist.Packet
-	stop    chan struct{} // closed as Shutdown begins: nothing is handed on any more
-	ended   chan struct{} // closed once the transport has shut down: nothing comes any more
+	stop    chan struct{} // closed when Shutdown begins: packets are no longer forwarded
+	ended   chan struct{} // closed when the wrapped transport has shut down: it delivers no more packets
 }
 
-// countedPackets bounds the packets that wait for memberlist.
-const countedPackets = 64
+// packetBufferSize bounds the received packets that memberlist has not read yet.
+const packetBufferSize = 64
 
-// countTraffic counts a transport's traffic into the totals, until Shutdown.
+// countTraffic wraps a transport, and counts its packets in the given totals until Shutdown.
 func countTraffic(t memberlist.NodeAwareTransport, into *traffic) *countingTransport {
 	c := &countingTransport{
 		NodeAwareTransport: t,
 		traffic:            into,
-		packets:            make(chan *memberlist.Packet, countedPackets),
+		packets:            make(chan *memberlist.Packet, packetBufferSize),
 		stop:               make(chan struct{}),
 		ended:              make(chan struct{}),
 	}
-	go c.passPackets()
+	go c.forwardPackets()
 	return c
 }
 
-// passPackets hands what comes on to memberlist, and counts it. From Shutdown on it discards what comes: the
-// transport waits for its packets to be taken, and would never end without a reader.
-func (c *countingTransport) passPackets() {
+// forwardPackets counts received packets and forwards them to memberlist. Once Shutdown has begun it discards
+// packets: the wrapped transport blocks until its packets are read, and without a reader would never shut
+// down.
+func (c *countingTransport) forwardPackets() {
 	for {
 		select {
 		case <-c.ended:
@@ -56,29 +57,29 @@
 	}
 }
 
-// WriteTo is memberlist's.
+// WriteTo implements memberlist.Transport.
 func (c *countingTransport) WriteTo(b []byte, to string) (time.Time, error) {
 	return c.WriteToAddress(b, memberlist.Address{Addr: to})
 }
 
-// WriteToAddress is memberlist's.
+// WriteToAddress implements memberlist.NodeAwareTransport.
 func (c *countingTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	c.traffic.packetsOut.Add(1)
 	c.traffic.bytesOut.Add(uint64(len(b)))
 	return c.NodeAwareTransport.WriteToAddress(b, to)
 }
 
-// PacketCh is memberlist's.
+// PacketCh implements memberlist.Transport.
 func (c *countingTransport) PacketCh() <-chan *memberlist.Packet { return c.packets }
 
-// Shutdown is memberlist's; it calls it once.
+// Shutdown implements memberlist.Transport. memberlist calls it once.
 func (c *countingTransport) Shutdown() error {
 	close(c.stop)
 	defer close(c.ended)
 	return c.NodeAwareTransport.Shutdown()
 }
 
-// socketTransport carries packets by UDP and streams by TCP.
+// socketTransport creates a transport that uses UDP for packets and TCP for streams.
 func socketTransport(host string, port int, logger *log.Logger) (memberlist.NodeAwareTransport, error) {
 	return memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{host},
--- a/internal/wire/gossip/transport_test.go
+++ b/internal/wire/gossip/transport_test.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// busyTransport is a transport that, like memberlist's own, has a packet to hand over as it shuts down, and does
-// not end before somebody has taken it.
+// busyTransport is a transport that, like memberlist's own, has a packet to hand over as it shuts down, and
+// does not end before somebody has taken it.
 type busyTransport struct {
 	memberlist.NodeAwareTransport
 	packets chan *memberlist.Packet
@@ -17,14 +17,14 @@
 func (b *busyTransport) PacketCh() <-chan *memberlist.Packet { return b.packets }
 
 func (b *busyTransport) Shutdown() error {
-	for range 2 * countedPackets {
+	for range 2 * packetBufferSize {
 		b.packets <- &memberlist.Packet{}
 	}
 	return nil
 }
 
-// TestShutdownTakesPacketsUntilTheTransportHasEnded guards against a relay that hangs for ever after SIGTERM: its
-// transport waited to hand over a packet, and nobody took it any more.
+// TestShutdownTakesPacketsUntilTheTransportHasEnded guards against a relay that hangs for ever after SIGTERM:
+// its transport waited to hand over a packet, and nobody took it any more.
 func TestShutdownTakesPacketsUntilTheTransportHasEnded(t *testing.T) {
 	counted := countTraffic(&busyTransport{packets: make(chan *memberlist.Packet)}, &traffic{})
 	ended := make(chan error, 1)
