--- a/internal/wire/gossip/broadcast_queue_test.go
+++ b/internal/wire/gossip/broadcast_queue_test.go
@@ -9,7 +9,7 @@
 	"capersail/internal/fleet/membership"
 )
 
-// queuedStatuses are the statuses that a Node would broadcast next, as "name seq".
+// nextBroadcastStatuses returns the statuses that a Node would broadcast next, as a set of "name seq".
 func nextBroadcastStatuses(t *testing.T, n *Node) (queued map[string]bool) {
 	t.Helper()
 	queued = map[string]bool{}
@@ -23,8 +23,9 @@
 	return queued
 }
 
-// The newest status of each relay is broadcast, however often it was replaced before it could be sent and
-// whatever its length. Guards against a relay's status that is dropped for another relay's.
+// The newest status of each relay is broadcast, no matter how often it was replaced before it could be sent,
+// and no matter how long it is. Guards against a relay's status that is lost because another relay's status
+// takes its place in the queue.
 func TestEachRelaysNewestStatusIsBroadcast(t *testing.T) {
 	for replaced := range uint64(5) {
 		n, err := New(testConfig("r1", filepath.Join(t.TempDir(), "r1")))
@@ -44,15 +45,17 @@
 		queued := nextBroadcastStatuses(t, n)
 		for _, name := range []string{"r1", "r2"} {
 			if want := fmt.Sprintf("%s %d", name, status.Seq); len(queued) != 2 || !queued[want] {
-				t.Errorf("replaced %d times: %v is queued, without %q", replaced, queued, want)
+				t.Errorf("status replaced %d times: queued %v, want two statuses with %q among them",
+					replaced, queued, want)
 			}
 		}
 	}
 }
 
-// Each message is taken as often as the fleet's size asks for, those first that were taken least often, and
-// no more of them at once than fit. Guards against messages that never leave, or crowd out others.
-func TestQueueTakesEachMessageSoOften(t *testing.T) {
+// Each message is transmitted as many times as the number of relays requires. Messages with the fewest
+// transmissions come first, and no more are taken at once than fit into the limit. Guards against messages
+// that stay in the queue for ever or keep others from being sent.
+func TestQueueTransmitsEachMessageUpToLimit(t *testing.T) {
 	const (
 		overhead = 3
 		size     = 10
@@ -71,21 +74,22 @@
 		q.add(fmt.Sprint(i), data(fmt.Sprint(i)))
 	}
 	if n := take(2*(overhead+size) + overhead + size - 1); n != 2 {
-		t.Errorf("%d messages taken where two fit", n)
+		t.Errorf("took %d messages, want 2: that many fit into the limit", n)
 	}
 	q.add("new", data("new"))
 	take(4 * (overhead + size))
 	if taken["new"] != 1 || taken["2"] != 1 || taken["0"] != 1 {
-		t.Errorf("those that were sent do not come last: %v", taken)
+		t.Errorf("transmissions by message: %v, want 1 each of new, 2 and 0: fewest come first", taken)
 	}
 	for take(1000) > 0 {
 	}
 	for name, n := range taken {
 		if n != 6 {
-			t.Errorf("%s was taken %d times", name, n)
+			t.Errorf("message %s was taken %d times, want 6", name, n)
 		}
 	}
 	if len(taken) != 6 || len(q.byName) != 0 {
-		t.Errorf("taken %v, left %d", taken, len(q.byName))
+		t.Errorf("transmissions by message: %v, messages left in the queue: %d; want 6 messages, 0 left",
+			taken, len(q.byName))
 	}
 }
--- a/internal/wire/gossip/cells_test.go
+++ b/internal/wire/gossip/cells_test.go
@@ -19,7 +19,7 @@
 	"capersail/internal/simulation/network"
 )
 
-// twoCells is a plan of two cells of three relays.
+// twoCells returns a plan of two cells of three relays each.
 func twoCells() *cellplan.Plan {
 	return &cellplan.Plan{Number: 1, Cells: []cellplan.Cell{
 		{
@@ -39,7 +39,7 @@
 	}}
 }
 
-// lonelyIn is a Node of a cell that doesn't run.
+// newIdleNodeInCell returns a Node of a cell that does not run.
 func newIdleNodeInCell(t *testing.T, cell string, plan *cellplan.Plan) *Node {
 	t.Helper()
 	c := testConfig("me", filepath.Join(t.TempDir(), "state"))
@@ -52,7 +52,8 @@
 	return n
 }
 
-// Two cells whose seeds name relays of both stay apart, and each hears of the other by summaries.
+// Two cells whose seeds include relays of both are not merged, and each receives the summaries of the other.
+// Guards against a relay that is in the view or the report of another cell.
 func TestCellsAreNotMerged(t *testing.T) {
 	simnet := network.New(network.Config{})
 	ctx, stop := context.WithCancel(context.Background())
@@ -84,7 +85,7 @@
 		}
 		return count
 	}
-	waitFor(t, time.Minute, "two views of three, and each hears of the other", func() bool {
+	waitFor(t, time.Minute, "both cells agree on a view of 3 relays and know the other cell", func() bool {
 		for _, n := range all {
 			if viewSize(n) != 3 || n.FleetEstimate().Phase != membership.PhaseAgreed || heard(n) != 1 {
 				return false
@@ -95,23 +96,24 @@
 	for i, n := range all {
 		r := n.Report()
 		if len(r.Members) != 3 {
-			t.Errorf("r%d knows %d relays", i, len(r.Members))
+			t.Errorf("r%d reports %d relays, want the 3 of its cell", i, len(r.Members))
 		}
 		for _, m := range r.Members {
 			if strings.Compare(m.Name, "r3") < 0 != (i < 3) {
-				t.Errorf("r%d knows %s of the other cell", i, m.Name)
+				t.Errorf("r%d reports %s, want no relay of the other cell", i, m.Name)
 			}
 		}
 	}
 }
 
-// Envelopes of one cell are nothing to relays of another or of a flat fleet; summaries are, where there is a
-// plan; a flat fleet's envelopes and metadata are what they were before there were cells.
+// Relays drop envelopes of another cell, and a flat fleet and a cell drop each other's envelopes. Summaries
+// are accepted from other cells by relays that have a plan. The envelopes and the metadata of a flat fleet
+// have the same form as before the program supported cells.
 func TestEnvelopesOfCells(t *testing.T) {
 	flat := newIdleNodeInCell(t, "", nil)
 	east, west := newIdleNodeInCell(t, "east-1", twoCells()), newIdleNodeInCell(t, "west-1", twoCells())
 	east.startCells("east-1", *twoCells())
-	sealed := func(n *Node, k envelopeKind, body any) []byte {
+	encode := func(n *Node, k envelopeKind, body any) []byte {
 		data, err := n.encodeForCell(4, 7, k, body)
 		if err != nil {
 			t.Fatal(err)
@@ -120,11 +122,13 @@
 	}
 	status := sampleStatus()
 	plain, err := encodeEnvelope("he", 4, 7, kindStatus, status)
-	if err != nil || !bytes.Equal(plain, sealed(flat, kindStatus, status)) {
-		t.Errorf("a flat fleet's envelope is %x, not %x; %v", sealed(flat, kindStatus, status), plain, err)
+	if err != nil || !bytes.Equal(plain, encode(flat, kindStatus, status)) {
+		t.Errorf("envelope of a flat fleet: got %x, want %x; error %v",
+			encode(flat, kindStatus, status), plain, err)
 	}
 	if flat.nodeMeta() != nil || string(east.nodeMeta()) != "east-1" {
-		t.Errorf("metadata: %q, %q", flat.nodeMeta(), east.nodeMeta())
+		t.Errorf("metadata: got %q in a flat fleet and %q in a cell, want none and east-1",
+			flat.nodeMeta(), east.nodeMeta())
 	}
 	summary := cells.Summary{
 		Cell:           "west-1",
@@ -139,9 +143,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	astray := summary
-	astray.Representative = "she" // not the sender
-	wrong, err := encodeEnvelope("he", 4, 9, kindSummary, astray)
+	misattributed := summary
+	misattributed.Representative = "she" // not the sender
+	wrong, err := encodeEnvelope("he", 4, 9, kindSummary, misattributed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,19 +153,19 @@
 		what string
 		to   *Node
 		data []byte
-		why  dropReason // reasons for taken
+		why  dropReason // dropReasonCount for an envelope that is accepted
 	}{
-		{"its own cell's status", east, sealed(east, kindStatus, status), dropReasonCount},
-		{"another cell's status", east, sealed(west, kindStatus, status), dropForeign},
-		{"a flat fleet's status", east, sealed(flat, kindStatus, status), dropForeign},
-		{"a cell's status in a flat fleet", flat, sealed(west, kindStatus, status), dropForeign},
+		{"status of the own cell", east, encode(east, kindStatus, status), dropReasonCount},
+		{"status of another cell", east, encode(west, kindStatus, status), dropForeign},
+		{"status of a flat fleet", east, encode(flat, kindStatus, status), dropForeign},
+		{"status of a cell, received in a flat fleet", flat, encode(west, kindStatus, status), dropForeign},
 		{"a summary", east, fromWest, dropReasonCount},
-		{"the same again", east, fromWest, dropReplayed},
-		{"a summary of somebody else", east, wrong, dropMalformed},
-		{"a summary without a plan", flat, fromWest, dropUnknown},
-		{"no body of a cell", east, mustEncode(t, "he", kindCellScoped, "nonsense"), dropMalformed},
+		{"duplicate of the summary", east, fromWest, dropReplayed},
+		{"summary that names a representative other than the sender", east, wrong, dropMalformed},
+		{"summary received without a plan", flat, fromWest, dropUnknown},
+		{"malformed cell-scoped body", east, mustEncode(t, "he", kindCellScoped, "nonsense"), dropMalformed},
 		{
-			"a cell's directory from outside", east,
+			"directory that is not cell-scoped", east,
 			mustEncode(
 				t, "he", kindDirectory,
 				cells.Directory{Cell: "east-1", Representative: "he", Incarnation: 4, Seq: 1},
@@ -182,7 +186,8 @@
 		counted := taken || one.to.dropped.total[one.why].Load() == before+1
 		if taken != (one.why == dropReasonCount) || !counted {
 			t.Errorf(
-				"%s: taken %v, %d of %s", one.what, taken,
+				"%s: accepted is %v, total of drops for the wanted reason is %d (reason %s)",
+				one.what, taken,
 				one.to.dropped.total[one.why%dropReasonCount].Load(), append(dropReasonNames[:], "")[one.why],
 			)
 		}
@@ -190,10 +195,10 @@
 	select {
 	case ev := <-east.cells.Load().inbox:
 		if got, ok := ev.(cells.SummaryReceived); !ok || got.From != "he" || got.Summary.Cell != "west-1" {
-			t.Errorf("%+v", ev)
+			t.Errorf("event in the inbox of east-1: got %+v, want a SummaryReceived of west-1 from he", ev)
 		}
 	default:
-		t.Error("the summary has not come through")
+		t.Error("inbox of east-1 is empty, want the summary of west-1")
 	}
 }
 
@@ -208,18 +213,18 @@
 	return data
 }
 
-// A relay of another cell, or of a flat fleet, is no peer of a cell's, nor the other way round; a flat fleet
-// that a plan gives a part takes relays without a plan.
+// A cell refuses relays of another cell and of a flat fleet, and a flat fleet refuses relays of a cell. A
+// flat fleet that a plan lists as a cell accepts relays without a plan.
 func TestRelaysOfOtherCellsAreRefused(t *testing.T) {
-	moved := &cellplan.Plan{
+	flatCellPlan := &cellplan.Plan{
 		Number: 2,
 		Cells: append(
 			[]cellplan.Cell{{Name: "flat", Relays: 3, Contacts: []string{relayAddr(6)}}}, twoCells().Cells...,
 		),
 	}
 	for cell, nodes := range map[string][]*Node{
-		"":       {newIdleNodeInCell(t, "", nil), newIdleNodeInCell(t, "flat", moved)},
-		"east-1": {newIdleNodeInCell(t, "east-1", twoCells()), newIdleNodeInCell(t, "east-1", moved)},
+		"":       {newIdleNodeInCell(t, "", nil), newIdleNodeInCell(t, "flat", flatCellPlan)},
+		"east-1": {newIdleNodeInCell(t, "east-1", twoCells()), newIdleNodeInCell(t, "east-1", flatCellPlan)},
 	} {
 		for i, n := range nodes {
 			for _, other := range []string{"", "east-1", "west-1"} {
@@ -227,45 +232,48 @@
 				alive := (*delegate)(n).NotifyAlive(m)
 				merge := (*delegate)(n).NotifyMerge([]*memberlist.Node{{Name: "she", Meta: []byte(cell)}, m})
 				if (alive == nil) != (other == cell) || (merge == nil) != (other == cell) {
-					t.Errorf("relay %d of cell %q, a peer of %q: %v, %v", i, cell, other, alive, merge)
+					t.Errorf("relay %d of cell %q, peer of %q: errors %v and %v, want both iff cells differ",
+						i, cell, other, alive, merge)
 				}
 			}
 		}
 	}
 }
 
-// A record of another cell is refused in one line that names both; a flat fleet's file is what it was before
-// there were cells.
+// A record of another cell is rejected with an error of one line that names both cells. The record file of a
+// flat fleet has the same form as before the program supported cells.
 func TestRecordOfAnotherCell(t *testing.T) {
 	dir := t.TempDir()
-	for _, kept := range []string{"", "east-1"} {
-		path := filepath.Join(dir, "state"+kept)
-		d, _, err := openRecordFile(path, "s", kept, "me")
+	for _, stored := range []string{"", "east-1"} {
+		path := filepath.Join(dir, "state"+stored)
+		file, _, err := openRecordFile(path, "s", stored, "me")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := d.save(membership.Record{Incarnation: 3}); err != nil {
+		if err := file.save(membership.Record{Incarnation: 3}); err != nil {
 			t.Fatal(err)
 		}
-		d.close()
+		file.close()
 		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fields := map[int]cbor.RawMessage{}
 		err = cbor.Unmarshal(data, &fields)
-		if err != nil || (fields[6] != nil) != (kept != "") || len(fields) > 6 {
-			t.Errorf("cell %q: %d fields, %v", kept, len(fields), err)
+		if err != nil || (fields[6] != nil) != (stored != "") || len(fields) > 6 {
+			t.Errorf("record file of cell %q has %d fields, want up to 6, field 6 only in a cell; error %v",
+				stored, len(fields), err)
 		}
-		for _, asked := range []string{"", "east-1", "west-1"} {
-			d, rec, err := openRecordFile(path, "s", asked, "me")
-			d.close()
-			if (err == nil) != (asked == kept) || err == nil && rec.Incarnation != 3 {
-				t.Errorf("of %q, asked as %q: %+v, %v", kept, asked, rec, err)
+		for _, opened := range []string{"", "east-1", "west-1"} {
+			file, rec, err := openRecordFile(path, "s", opened, "me")
+			file.close()
+			if (err == nil) != (opened == stored) || err == nil && rec.Incarnation != 3 {
+				t.Errorf("record of cell %q opened for cell %q: got %+v, %v; want incarnation 3 or an error",
+					stored, opened, rec, err)
 			}
-			want := fmt.Sprintf("of cell %q, not of cell %q", kept, asked)
+			want := fmt.Sprintf("of cell %q, not of cell %q", stored, opened)
 			if err != nil && (!strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("%v", err)
+				t.Errorf("error of another cell's record: got %v, want one line that names both cells", err)
 			}
 		}
 	}
--- a/internal/wire/gossip/compat_test.go
+++ b/internal/wire/gossip/compat_test.go
@@ -15,9 +15,9 @@
 	"capersail/internal/fleet/probing"
 )
 
-// The files under testdata/stored and testdata/wire were written by the program of 2026-12-03, before its
-// names and types were changed. They are never written anew: what has changed in them is what an upgrade
-// would lose.
+// The files under testdata/stored and testdata/wire were written by the version of 2026-12-03, before its
+// names and types were changed. They must never be regenerated: a difference would show that an upgrade loses
+// data.
 
 func agreedView() *membership.View {
 	return &membership.View{
@@ -47,7 +47,7 @@
 		}, {Name: "r2", OutstandingLimit: membership.FullBudget / 9}}}
 }
 
-// cellView is a cell's, with an Allocation that has every field.
+// cellView returns a view of a cell, with an Allocation in which every field is set.
 func cellView() *membership.View {
 	v := proposedView()
 	v.Epoch = 41
@@ -65,15 +65,16 @@
 	return v
 }
 
-// enteredView is that of a flat fleet that has entered its first plan: the optional fields are not set.
+// joinedPlanView returns the view of a flat fleet that has joined its first plan. The optional fields of its
+// Allocation are not set.
 func joinedPlanView() *membership.View {
 	v := proposedView()
 	v.Allocation = &membership.Allocation{Plan: 2, PlanHash: 5}
 	return v
 }
 
-// A member's record that the older program has kept is read to the same values, and kept again as the same
-// bytes: what a relay has promised before an upgrade holds after it, and after the way back.
+// A record that an older version has stored is decoded to the same values and encoded to the same bytes.
+// Guards against a relay that loses its promises in an upgrade or a downgrade.
 func TestRecordsOfTheOlderProgramAreReadAndKept(t *testing.T) {
 	for name, c := range map[string]struct {
 		cell string
@@ -117,33 +118,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join("testdata", "stored", name+".cbor")
-			kept, err := os.ReadFile(file)
+			stored, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
 			path := filepath.Join(t.TempDir(), "state")
-			if err := os.WriteFile(path, kept, 0o600); err != nil {
+			if err := os.WriteFile(path, stored, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			d, got, err := openRecordFile(path, "casa", c.cell, "r1")
+			opened, got, err := openRecordFile(path, "casa", c.cell, "r1")
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(d.close)
+			t.Cleanup(opened.close)
 			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("read as %+v, want %+v", got, c.want)
+				t.Errorf("record decoded as %+v, want %+v", got, c.want)
 			}
-			if err := d.save(got); err != nil {
+			if err := opened.save(got); err != nil {
 				t.Fatal(err)
 			}
-			if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, kept) {
-				t.Errorf("kept again as %x (%v), was %x", again, err, kept)
+			if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, stored) {
+				t.Errorf("record saved as %x (read error %v), want %x", again, err, stored)
 			}
 		})
 	}
 }
 
-// fullStatus has every optional field set.
+// fullStatus returns a status with every optional field set.
 func fullStatus() membership.Status {
 	return membership.Status{
 		Version:                2,
@@ -229,7 +230,7 @@
 		{ServerKey: 2, Origin: "r2", Incarnation: 1, Seq: 11, Delta: -2}}
 }
 
-// decodeBody reads a body to a value of the type that it holds, as messages.go and cells.go do.
+// decodeBody decodes a body to a value of type T, as receive.go and cell_messages.go do.
 func decodeBody[T any](t *testing.T, body []byte) any {
 	t.Helper()
 	var value T
@@ -239,8 +240,8 @@
 	return value
 }
 
-// What the older program sent is read to the same values, and sent again as the same bytes: the two run
-// beside each other in one fleet during an upgrade.
+// A packet that an older version has sent is decoded to the same values, and those are encoded to the same
+// bytes. Both versions run in one fleet during an upgrade.
 func TestPacketsOfTheOlderProgramAreReadAndSent(t *testing.T) {
 	message := decodeBody[membership.Message]
 	status := decodeBody[membership.Status]
@@ -266,7 +267,7 @@
 	for name, c := range map[string]struct {
 		kind   envelopeKind
 		want   any
-		body   any // what is encoded, where that is not the value
+		body   any // the value that is encoded, if it is not want
 		decode func(t *testing.T, body []byte) any
 	}{
 		"status-full": {kind: kindStatus, want: fullStatus(), decode: status},
@@ -403,19 +404,20 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(sent, data) {
-				t.Errorf("sent as %x, was %x", sent, data)
+				t.Errorf("envelope encoded as %x, want %x", sent, data)
 			}
 			e, err := decodeEnvelope(data)
 			if err != nil || e.Kind != c.kind || e.From != "r1" || e.Incarnation != 4 || e.Seq != 9 {
-				t.Fatalf("opened as %+v: %v", e, err)
+				t.Fatalf("envelope decoded as %+v, error %v; want kind as sent, from r1, incarnation 4, seq 9",
+					e, err)
 			}
 			if c.kind == kindCellScoped {
 				if e, err = n.unwrapCellEnvelope(e); err != nil || e.Kind != kindStatus {
-					t.Fatalf("unwrapped as %+v: %v", e, err)
+					t.Fatalf("cell-scoped envelope unwrapped as %+v, error %v; want a status", e, err)
 				}
 			}
 			if got := c.decode(t, e.Body); !reflect.DeepEqual(got, c.want) {
-				t.Errorf("read as %+v, want %+v", got, c.want)
+				t.Errorf("body decoded as %+v, want %+v", got, c.want)
 			}
 		})
 	}
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -26,8 +26,8 @@
 	"capersail/internal/testing/cluster"
 )
 
-// TestMain looks for goroutines that outlive the tests. memberlist's own probes under way end by their
-// deadlines.
+// TestMain fails if goroutines outlive the tests. It waits up to 10 s, as probes of memberlist end only at
+// their deadlines.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	for until := time.Now().Add(10 * time.Second); code == 0; {
@@ -43,14 +43,16 @@
 	os.Exit(code)
 }
 
-// fleet starts n Nodes on a simulated network, in lots, and ends them with the test.
+// startFleet starts n Nodes on a simulated network and stops them when the test ends.
 func startFleet(
-	t *testing.T, simnet *network.Network, n int, notice func(at string, c membership.Changed),
+	t *testing.T, simnet *network.Network, n int, onChange func(at string, c membership.Changed),
 ) []*Node {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	var all []*Node
-	// Made before the Nodes' end is put off: what is put off last is done first, and they write to it.
+	// The Nodes write to this directory. It is created before the cleanup function that stops them is
+	// registered, as cleanup functions run in reverse order: the Nodes must stop before the directory is
+	// removed.
 	dir := t.TempDir()
 	t.Cleanup(func() {
 		stop()
@@ -65,8 +67,8 @@
 		c.Seeds = []string{relayAddr(0), relayAddr(1)}
 		c.BootstrapSlot, c.BootstrapSize, c.ConfiguredRelays = i, n, n
 		c.Seed = uint64(i)
-		if notice != nil {
-			c.OnMembershipChange = func(ch membership.Changed) { notice(name, ch) }
+		if onChange != nil {
+			c.OnMembershipChange = func(ch membership.Changed) { onChange(name, ch) }
 		}
 		node, err := New(c)
 		if err != nil {
@@ -85,7 +87,7 @@
 	began := time.Now()
 	for !ok() {
 		if time.Since(began) > within {
-			t.Fatalf("%s: not within %v", what, within)
+			t.Fatalf("timed out waiting for this: %s (not within %v)", what, within)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -98,12 +100,13 @@
 	return len(n.membership.View().MemberNames())
 }
 
-// cost is what one size of fleet costs each of its relays.
+// fleetCost holds what a fleet costs each of its relays, and how long the fleet takes to form a view, to
+// remove a crashed relay from it and to add one that has returned.
 type fleetCost struct{ formSec, bytesPerSec, cpuMsPerSec, removalSec, rejoinSec, heapMB float64 }
 
-// measure plays a fleet of n on a net that loses a packet in a hundred: how long until it agrees, what it
-// costs, how soon a dead one is out of all views and one that is back is in them. Where one relay takes
-// another for dead that is not, no view may follow: most voters have to say so.
+// measureFleet runs a fleet of n relays on a network that loses 1% of the packets, and measures its cost. It
+// fails if a view changes while no relay crashes or returns: a relay that wrongly takes another for failed
+// must not cause that, as a majority of voters has to agree.
 func measureFleet(t *testing.T, n int, watch time.Duration) (c fleetCost) {
 	simnet := network.New(network.Config{})
 	var failed, views atomic.Int64
@@ -117,21 +120,22 @@
 			views.Add(1)
 		}
 	})
-	everybody := func(want int, but *Node) func() bool {
+	allViewsHave := func(want int, except *Node) func() bool {
 		return func() bool {
 			for _, node := range all {
-				if node != but && viewSize(node) != want {
+				if node != except && viewSize(node) != want {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	c.formSec = waitFor(t, 2*time.Minute, "one view", everybody(n, nil)).Seconds()
-	// Nobody has come or gone once all have held one view, with every share at its target, for 3 s: shares
-	// grow by views that follow the first, and word of a relay that was slow to start may still be under way.
+	c.formSec = waitFor(t, 2*time.Minute, "all relays in all views", allViewsHave(n, nil)).Seconds()
+	// The fleet counts as settled once all relays have held the same agreed view for 3 s. Further views
+	// follow the first one: budget shares grow by them, and a relay that was slow to start may still be
+	// reported.
 	epoch, since := uint64(0), time.Now()
-	waitFor(t, time.Minute, "one view of all, and no other for 3 s", func() bool {
+	waitFor(t, time.Minute, "all relays in one view that does not change for 3 s", func() bool {
 		for _, node := range all {
 			r := node.FleetEstimate()
 			if r.Phase != membership.PhaseAgreed || r.Epoch != epoch || viewSize(node) != n {
@@ -151,26 +155,27 @@
 	c.bytesPerSec, c.cpuMsPerSec = bytesSent(simnet)/took/float64(n),
 		(cpuSeconds()-cpuAt)*1000/took/float64(n)
 	if views.Load() > 0 {
-		t.Errorf("%d views changed while nobody came or went", views.Load())
+		t.Errorf("%d changes of a view while no relay crashed or returned, want none", views.Load())
 	}
 	simnet.SetDown(all[n/2].cfg.Bind, true)
-	c.removalSec = waitFor(t, time.Minute, "out", everybody(n-1, all[n/2])).Seconds()
+	c.removalSec = waitFor(t, time.Minute, "crashed relay in no view", allViewsHave(n-1, all[n/2])).Seconds()
 	simnet.SetDown(all[n/2].cfg.Bind, false)
-	c.rejoinSec = waitFor(t, time.Minute, "in", everybody(n, nil)).Seconds()
+	c.rejoinSec = waitFor(t, time.Minute, "returned relay in all views", allViewsHave(n, nil)).Seconds()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	c.heapMB = float64(mem.HeapAlloc) / 1e6 / float64(n)
 	t.Logf("%d relays hold one view after %.1f s; at 1%% loss over %.0f s (%.1f relay-hours): "+
 		"%.0f bytes of packets and %.2f ms of CPU a relay a second, "+
-		"%d false alarms at single relays, %d views changed by them; "+
-		"a dead one is out of all views after %.1f s, one that is back is in them after %.1f s; "+
+		"%d false reports of a failed relay, %d changes of a view; "+
+		"a crashed relay is out of all views after %.1f s, a returned one is in them after %.1f s; "+
 		"heap %.2f MB a relay",
 		n, c.formSec, took, took*float64(n)/3600, c.bytesPerSec, c.cpuMsPerSec,
 		failed.Load(), views.Load(), c.removalSec, c.rejoinSec, c.heapMB)
 	return c
 }
 
-// Many members in memory. The long run has 300 for 10 minutes; docs/measurements/members.md has its figures.
+// Many relays in one process agree on a view and keep it. The long run has 300 relays for 10 minutes; its
+// figures are in docs/measurements/members.md.
 func TestManyMembersAgree(t *testing.T) {
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
 		measureFleet(t, 300, 10*time.Minute)
@@ -179,10 +184,11 @@
 	}
 }
 
-// What members cost by their number, as a chart: in full into the file that CAPERSAIL_CHART names.
+// Charts the cost of fleets of several sizes. With CAPERSAIL_CHART set, the test measures all sizes and
+// writes the chart to the file that it names.
 func TestCostOfMembers(t *testing.T) {
 	path, sizes, watch := os.Getenv("CAPERSAIL_CHART"), []int{10, 30, 100, 300}, 30*time.Second
-	if path == "" { // one small fleet, to see that the chart is drawn
+	if path == "" { // one small fleet, to check that the chart can be drawn
 		path, sizes, watch = filepath.Join(t.TempDir(), "members.svg"), []int{10}, time.Second
 	}
 	panels := []cluster.Panel{{
@@ -193,11 +199,11 @@
 		Lines: make([]plotter.XYs, 2),
 	},
 		{
-			Title: "How soon all views have it",
+			Title: "How long until all views have changed",
 			X:     "relays",
 			Y:     "s",
 			LogX:  true,
-			Names: []string{"a dead one is out", "one that is back is in", "one view after the start of all"},
+			Names: []string{"crashed relay removed", "returned relay added", "first view after all start"},
 			Lines: make([]plotter.XYs, 3),
 		}}
 	for _, n := range sizes {
@@ -216,7 +222,7 @@
 	}
 }
 
-// sentIn is how many bytes of packets all endpoints have sent since the recording began.
+// bytesSent returns the bytes of packets that all endpoints have sent since the recording began.
 func bytesSent(simnet *network.Network) (sent float64) {
 	for _, r := range simnet.Recorded() {
 		sent += float64(r.Total.BytesOut)
@@ -230,7 +236,7 @@
 	return float64(u.Utime.Sec+u.Stime.Sec) + float64(u.Utime.Usec+u.Stime.Usec)/1e6
 }
 
-// lone is a Node that has not been started, for what it takes in.
+// newIdleNode returns a Node that does not run, for tests of what it receives.
 func newIdleNode(t *testing.T) *Node {
 	t.Helper()
 	n, err := New(testConfig("me", filepath.Join(t.TempDir(), "state")))
@@ -254,24 +260,24 @@
 	}
 }
 
-// What cannot be is dropped and counted by its reason, and the same message twice is taken once; a status of
-// a later version, with fields that nobody knows here, and one of an earlier one, with fields missing, are
-// taken.
+// Malformed envelopes and those of an unknown kind are dropped and counted by reason, and a duplicate message
+// is dropped. Statuses of a later version with unknown fields, and of an earlier version with missing fields,
+// are accepted.
 func TestMalformedAndReplayedEnvelopesAreCounted(t *testing.T) {
 	n := newIdleNode(t)
-	sealed := func(k envelopeKind, inc, seq uint64, body any) []byte {
+	encode := func(k envelopeKind, inc, seq uint64, body any) []byte {
 		data, err := encodeEnvelope("peer", inc, seq, k, body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return data
 	}
-	renew := sealed(
+	renew := encode(
 		kindMessage, 4, 9, membership.Message{Kind: membership.Renew, Epoch: 1, From: 4, BootstrapSlot: 1},
 	)
-	nan := sampleStatus()
-	nan.RequestRate = -1
-	huge := membership.Message{
+	negativeRate := sampleStatus()
+	negativeRate.RequestRate = -1
+	excessiveShare := membership.Message{
 		Kind: membership.Learn,
 		From: 4,
 		View: &membership.View{
@@ -285,22 +291,22 @@
 		data []byte
 		r    dropReason
 	}{
-		"noise":                          {[]byte("hello, is anybody there?"), dropMalformed},
-		"nothing":                        {nil, dropMalformed},
-		"oversized":                      {bytes.Repeat([]byte{0x80}, maxEnvelopeBytes+1), dropMalformed},
-		"cut":                            {renew[:len(renew)/2], dropMalformed},
-		"a status that cannot be":        {sealed(kindStatus, 4, 7, nan), dropMalformed},
-		"a status of another's number":   {sealed(kindStatus, 4, 8, sampleStatus()), dropMalformed},
-		"a view whose shares are absurd": {sealed(kindMessage, 4, 10, huge), dropMalformed},
-		"a choice without a view": {
-			sealed(kindMessage, 4, 11, membership.Message{Kind: membership.Learn, From: 4}), dropMalformed,
+		"plain text":                  {[]byte("hello, is anybody there?"), dropMalformed},
+		"no data":                     {nil, dropMalformed},
+		"oversized":                   {bytes.Repeat([]byte{0x80}, maxEnvelopeBytes+1), dropMalformed},
+		"truncated envelope":          {renew[:len(renew)/2], dropMalformed},
+		"status with a negative rate": {encode(kindStatus, 4, 7, negativeRate), dropMalformed},
+		"status with another seq":     {encode(kindStatus, 4, 8, sampleStatus()), dropMalformed},
+		"view with excessive shares":  {encode(kindMessage, 4, 10, excessiveShare), dropMalformed},
+		"Learn message without a view": {
+			encode(kindMessage, 4, 11, membership.Message{Kind: membership.Learn, From: 4}), dropMalformed,
 		},
-		"a kind of a later version": {sealed(77, 4, 12, 1), dropUnknown},
+		"kind of a later version": {encode(77, 4, 12, 1), dropUnknown},
 	} {
 		before := n.dropped.total[c.r].Load()
 		if n.receiveEnvelope(c.data, true); n.dropped.total[c.r].Load() != before+1 || len(n.inbox) != 0 {
 			t.Errorf(
-				"%s: dropped as %s %d times, %d events", what, dropReasonNames[c.r],
+				"%s: counted as %s %d times and queued %d events, want 1 and 0", what, dropReasonNames[c.r],
 				n.dropped.total[c.r].Load()-before, len(n.inbox),
 			)
 		}
@@ -309,7 +315,7 @@
 	n.receiveEnvelope(renew, true)
 	if len(n.inbox) != 1 || n.dropped.total[dropReplayed].Load() != 1 {
 		t.Errorf(
-			"a message that came twice: %d events, %d replays", len(n.inbox),
+			"message received twice: %d events and %d drops as replayed, want 1 and 1", len(n.inbox),
 			n.dropped.total[dropReplayed].Load(),
 		)
 	}
@@ -327,33 +333,33 @@
 	for i, v := range versions {
 		v.change()
 		fields[13] = 20 + i
-		n.receiveEnvelope(sealed(kindStatus, 4, uint64(20+i), fields), true)
+		n.receiveEnvelope(encode(kindStatus, 4, uint64(20+i), fields), true)
 		if len(n.inbox) != 1 {
-			t.Errorf("%s of the digest: %d events", v.what, len(n.inbox))
+			t.Errorf("status of %s: %d events queued, want 1", v.what, len(n.inbox))
 			continue
 		}
-		d := (<-n.inbox).(membership.StatusReceived).Status
-		if d.Lifecycle != membership.Serving || !d.SlotReleased {
-			t.Errorf("%s of the status: %+v", v.what, d)
+		status := (<-n.inbox).(membership.StatusReceived).Status
+		if status.Lifecycle != membership.Serving || !status.SlotReleased {
+			t.Errorf("status of %s: got %+v, want one that serves and has released its slot", v.what, status)
 		}
 	}
 }
 
-// A status stays small, whatever it says.
+// A status fits into 250 bytes even with large values.
 func TestStatusStaysSmall(t *testing.T) {
-	d := sampleStatus()
-	d.Zone = strings.Repeat("z", 20)
-	d.Incarnation, d.Epoch, d.Hash, d.Seq = 1<<40, 1<<40, 1<<63, 1<<40
-	d.RequestRate, d.DrainRate = 12345.67, 999.9
-	d.OpenConnections, d.EndpointListGeneration = 1<<20, 1<<60
-	data, err := encodeEnvelope(strings.Repeat("n", 40), d.Incarnation, d.Seq, kindStatus, d)
+	status := sampleStatus()
+	status.Zone = strings.Repeat("z", 20)
+	status.Incarnation, status.Epoch, status.Hash, status.Seq = 1<<40, 1<<40, 1<<63, 1<<40
+	status.RequestRate, status.DrainRate = 12345.67, 999.9
+	status.OpenConnections, status.EndpointListGeneration = 1<<20, 1<<60
+	data, err := encodeEnvelope(strings.Repeat("n", 40), status.Incarnation, status.Seq, kindStatus, status)
 	if err != nil || len(data) > 250 {
-		t.Errorf("%d bytes, %v", len(data), err)
+		t.Errorf("envelope of a status has %d bytes, want at most 250; error %v", len(data), err)
 	}
 }
 
-// Readings and placements come through as they were told; those of origins that their packet does not name
-// are dropped.
+// Readings and placements arrive as they were sent. A batch with an origin that its table of names does not
+// have is dropped.
 func TestReadingsAndPlacementsComeThrough(t *testing.T) {
 	n := newIdleNode(t)
 	var got []probing.Event
@@ -373,100 +379,101 @@
 			LoadReport:  probing.LoadReport{Load: 0.5, Inflight: -1, Errors: 0, Busy: 1.25},
 		},
 	}
-	bad := encodePlacements(rows)
-	bad.Rows[1].Origin = 2
+	invalidOrigin := encodePlacements(rows)
+	invalidOrigin.Rows[1].Origin = 2
 	for i, c := range []struct {
 		k    envelopeKind
 		body any
 	}{
 		{kindPlacements, encodePlacements(rows)}, {kindReadings, encodeReadings(readings)},
-		{kindPlacements, bad},
+		{kindPlacements, invalidOrigin},
 	} {
 		data, err := encodeEnvelope("peer", 4, uint64(i+1), c.k, c.body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.receiveEnvelope(data, true)
-		n.receiveEnvelope(data, true) // a replay
+		n.receiveEnvelope(data, true) // the duplicate is dropped
 	}
 	want := []probing.Event{
 		probing.PlacementsReceived{From: "peer", Rows: rows},
 		probing.ReadingsReceived{From: "peer", Readings: readings},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v", got)
+		t.Errorf("events: got %+v, want the placements and the readings as sent", got)
 	}
 	if n.dropped.total[dropMalformed].Load() != 2 || n.dropped.total[dropReplayed].Load() != 2 {
 		t.Errorf(
-			"%d malformed, %d replayed", n.dropped.total[dropMalformed].Load(),
+			"drops: %d malformed and %d replayed, want 2 of each", n.dropped.total[dropMalformed].Load(),
 			n.dropped.total[dropReplayed].Load(),
 		)
 	}
 }
 
-// A record that is torn, of another relay, of another site, of a later version, or that cannot be kept, leads
-// to no promise: the relay says so once and reckons by the settings' number.
+// A record that is truncated or corrupted, or belongs to another relay, another site or a later version, is
+// rejected, and its relay takes no budget share. A relay without a record that cannot store one takes the
+// share that follows from the configured number of relays and does not vote. Both log one line about it.
 func TestUnusableRecordTakesNoShare(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state")
-	d, _, err := openRecordFile(path, "s", "", "me")
+	file, _, err := openRecordFile(path, "s", "", "me")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.save(membership.Record{Incarnation: 7, SlotReleased: true}); err != nil {
+	if err := file.save(membership.Record{Incarnation: 7, SlotReleased: true}); err != nil {
 		t.Fatal(err)
 	}
 	_, _, err = openRecordFile(path, "s", "", "me")
 	if !errors.Is(err, errRecordInUse) || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("opening the record in a second process: got %v, want errRecordInUse", err)
 	}
-	d.close()
-	good, _ := os.ReadFile(path)
-	read := func(site, name, want string) {
+	file.close()
+	valid, _ := os.ReadFile(path)
+	checkOpen := func(site, name, want string) {
 		t.Helper()
-		d, rec, err := openRecordFile(path, site, "", name)
-		d.close()
+		file, rec, err := openRecordFile(path, site, "", name)
+		file.close()
 		switch {
 		case want == "" && (err != nil || rec.Incarnation != 7):
-			t.Errorf("%v, %+v", err, rec)
+			t.Errorf("opening the record: got error %v and %+v, want incarnation 7", err, rec)
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
-			t.Errorf("%v, %+v; want %q", err, rec, want)
+			t.Errorf("opening the record: got error %v and %+v, want an error with %q", err, rec, want)
 		}
 	}
-	read("s", "me", "")
-	read("elsewhere", "me", "not of relay me at site elsewhere")
-	read("s", "you", "not of relay you")
-	os.WriteFile(path, good[:len(good)-3], 0o600)
-	read("s", "me", "torn")
-	bent := bytes.Clone(good)
-	bent[len(bent)-2] ^= 1
-	os.WriteFile(path, bent, 0o600)
-	read("s", "me", "checksum of the record does not match")
-	var k storedRecord
-	cbor.Unmarshal(good, &k)
-	k.Version = 2
-	later, _ := cbor.Marshal(k)
+	checkOpen("s", "me", "")
+	checkOpen("elsewhere", "me", "not of relay me at site elsewhere")
+	checkOpen("s", "you", "not of relay you")
+	os.WriteFile(path, valid[:len(valid)-3], 0o600)
+	checkOpen("s", "me", "torn")
+	corrupted := bytes.Clone(valid)
+	corrupted[len(corrupted)-2] ^= 1
+	os.WriteFile(path, corrupted, 0o600)
+	checkOpen("s", "me", "checksum of the record does not match")
+	var stored storedRecord
+	cbor.Unmarshal(valid, &stored)
+	stored.Version = 2
+	later, _ := cbor.Marshal(stored)
 	os.WriteFile(path, later, 0o600)
-	read("s", "me", "version 2")
+	checkOpen("s", "me", "version 2")
 
-	var said bytes.Buffer
+	var logged bytes.Buffer
 	c := testConfig("me", path)
-	c.BootstrapSize, c.ConfiguredRelays, c.Log = 4, 4, zerolog.New(&said)
+	c.BootstrapSize, c.ConfiguredRelays, c.Log = 4, 4, zerolog.New(&logged)
 	n, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := n.FleetEstimate(); r.BudgetShare != 0 || strings.Count(said.String(), "\n") != 1 {
-		t.Errorf("a record that cannot be read: %+v, said %q", r, said.String())
+	if r := n.FleetEstimate(); r.BudgetShare != 0 || strings.Count(logged.String(), "\n") != 1 {
+		t.Errorf("record cannot be read: got %+v and log %q, want no share and one line", r, logged.String())
 	}
-	said.Reset()
+	logged.Reset()
 	c.StateFile = filepath.Join(dir, "gone", "state")
 	n, err = New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := n.FleetEstimate(); r.BudgetShare != 0.25 || strings.Count(said.String(), "\n") != 1 {
-		t.Errorf("no record, and none can be kept: %+v, said %q", r, said.String())
+	if r := n.FleetEstimate(); r.BudgetShare != 0.25 || strings.Count(logged.String(), "\n") != 1 {
+		t.Errorf("record cannot be stored: got %+v and log %q, want share 0.25, one line", r, logged.String())
 	}
 	n.handleMembershipEvent(membership.PeerHealth{Name: "peer", Health: membership.Alive})
 	n.handleMembershipEvent(membership.StatusReceived{
@@ -482,11 +489,12 @@
 		},
 	})
 	if r := n.FleetEstimate(); r.BudgetShare != 0.25 {
-		t.Errorf("without a record it pledged: %+v", r)
+		t.Errorf("estimate of a relay without a record after a status: got %+v, want share 0.25", r)
 	}
 }
 
-// A disk that fails in the middle of a life: what follows from what could not be kept is not done.
+// When the disk fails while the relay runs, the relay does not act on a record that it could not store.
+// Guards against a relay that publishes a released slot but has forgotten that after a restart.
 func TestRecordThatCannotBeKeptEndsVoting(t *testing.T) {
 	n := newIdleNode(t)
 	n.record.path = filepath.Join(t.TempDir(), "gone", "state")
@@ -504,18 +512,18 @@
 		},
 	})
 	n.peers.Lock()
-	told := n.peers.statuses["me"]
+	published := n.peers.statuses["me"]
 	n.peers.Unlock()
-	if e, err := decodeEnvelope(told); err == nil {
-		var d membership.Status
-		if cbor.Unmarshal(e.Body, &d); d.SlotReleased {
-			t.Error("the relay told that it has pledged, and its disk does not know")
+	if e, err := decodeEnvelope(published); err == nil {
+		var status membership.Status
+		if cbor.Unmarshal(e.Body, &status); status.SlotReleased {
+			t.Error("the relay published that its slot is released, want that only once it is on disk")
 		}
 	}
 }
 
-// In an upgrade two processes of one relay run for a while: the second takes no share and says nothing to
-// anybody until the first has left, then goes on with what that one promised.
+// During an upgrade two processes of one relay run at the same time. The second takes no budget share until
+// the first has ended, and then continues with the record of the first.
 func TestSecondProcessWaitsForTheRecord(t *testing.T) {
 	simnet := network.New(network.Config{})
 	state := filepath.Join(t.TempDir(), "state")
@@ -533,25 +541,27 @@
 	}
 	first, end := start(0)
 	waitFor(
-		t, 30*time.Second, "a view",
+		t, 30*time.Second, "the first process has a view and the whole budget",
 		func() bool { return viewSize(first) == 1 && first.FleetEstimate().BudgetShare == 1 },
 	)
 	second, endSecond := start(1)
 	defer endSecond()
 	for range 20 {
 		if s := second.FleetEstimate().BudgetShare; s != 0 {
-			t.Fatalf("the second takes %v beside the first", s)
+			t.Fatalf("budget share of the second process while the first runs: got %v, want 0", s)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	end()
-	waitFor(t, 30*time.Second, "its turn", func() bool { return second.FleetEstimate().BudgetShare == 1 })
+	waitFor(t, 30*time.Second, "the second process has the whole budget",
+		func() bool { return second.FleetEstimate().BudgetShare == 1 })
 	if second.FleetEstimate().Epoch == 0 {
-		t.Error("the second does not know what the first promised")
+		t.Error("the second process has epoch 0, want the epoch that the first has stored")
 	}
 }
 
-// Keys are rotated while relays run, one after the other, and nobody is lost.
+// Keys are rotated on relays that run, one relay after the other. All packets can still be decrypted and all
+// relays stay in the view.
 func TestKeyRotationLosesNobody(t *testing.T) {
 	simnet := network.New(network.Config{})
 	one, two := bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
@@ -574,8 +584,8 @@
 			n.Wait()
 		}
 	}()
-	whole := func() bool { return viewSize(all[0]) == 3 && viewSize(all[1]) == 3 && viewSize(all[2]) == 3 }
-	waitFor(t, 30*time.Second, "one view", whole)
+	complete := func() bool { return viewSize(all[0]) == 3 && viewSize(all[1]) == 3 && viewSize(all[2]) == 3 }
+	waitFor(t, 30*time.Second, "all relays in all views", complete)
 	for _, keys := range [][][]byte{{one, two}, {two, one}, {two}} {
 		for _, n := range all {
 			if err := n.SetKeys(keys); err != nil {
@@ -585,11 +595,12 @@
 		time.Sleep(600 * time.Millisecond)
 	}
 	for _, n := range all {
-		if got := n.dropped.total[dropUndecryptable].Load(); got > 0 || !whole() {
-			t.Errorf("%s: %d packets could not be opened, %d in the view", n.cfg.Name, got, viewSize(n))
+		if got := n.dropped.total[dropUndecryptable].Load(); got > 0 || !complete() {
+			t.Errorf("%s: %d packets could not be decrypted and its view has %d relays, want 0 and 3",
+				n.cfg.Name, got, viewSize(n))
 		}
 	}
 	if err := all[0].SetKeys(nil); err == nil {
-		t.Error("sealing was switched off")
+		t.Error("SetKeys without keys switched encryption off, want an error")
 	}
 }
--- a/internal/wire/gossip/helpers_test.go
+++ b/internal/wire/gossip/helpers_test.go
@@ -7,8 +7,8 @@
 	"capersail/internal/relay"
 )
 
-// testConfig is the configuration of a relay that serves, by itself; tests change it before they make a Node
-// of it.
+// testConfig returns the configuration of a relay that serves and has no seeds. Tests change it before they
+// create a Node.
 func testConfig(name, state string) Config {
 	return Config{
 		Name:             name,
--- a/internal/wire/gossip/join.go
+++ b/internal/wire/gossip/join.go
@@ -28,7 +28,7 @@
 	n.publishLeaving()
 	if list := n.gossip.list.Load(); list != nil {
 		if err := list.Leave(leaveTimeout); err != nil {
-			n.log.Info().Err(err).Msg("could not notify all peers of the graceful shutdown")
+			n.log.Info().Err(err).Msg("peers may not have been notified of the graceful shutdown")
 		}
 	}
 }
--- a/internal/wire/gossip/peers_test.go
+++ b/internal/wire/gossip/peers_test.go
@@ -14,8 +14,9 @@
 	return memberlist.Node{Name: name, Addr: net.IPv4(127, 0, 0, 1), Port: port}
 }
 
-// A relay that failed is missing until it is alive again; one that left is not, and neither is one at whose
-// address another cell's relay has answered, until its status comes: a join costs both sides all they know.
+// A relay that has failed is missing, and so to be joined, until it is alive again. A relay that has left is
+// not. Neither is one at whose address a relay of another cell has answered, until its status is received: in
+// a join both sides exchange their complete state.
 func TestMissingRelaysAreThoseToJoin(t *testing.T) {
 	peers := newPeerTable()
 	for i, name := range []string{"alive", "failed", "left", "moved"} {
@@ -31,21 +32,21 @@
 		return found
 	}
 	if got := missing(); !slices.Equal(got, []string{"127.0.0.1:2"}) {
-		t.Errorf("missing: %v", got)
+		t.Errorf("missing addresses: got %v, want only 127.0.0.1:2", got)
 	}
 	peers.updateStatus(envelope{From: "moved", Incarnation: 1, Seq: 1}, nil)
 	if got := missing(); !slices.Equal(got, []string{"127.0.0.1:2", "127.0.0.1:4"}) {
-		t.Errorf("missing once a status has come: %v", got)
+		t.Errorf("missing addresses after a status of the moved relay: got %v, want 127.0.0.1:2 and :4", got)
 	}
 	peers.setHealth(memberlistNode("failed", 2), membership.Alive)
 	peers.setHealth(memberlistNode("moved", 4), membership.Alive)
 	if got := missing(); len(got) != 0 {
-		t.Errorf("missing when all are back: %v", got)
+		t.Errorf("missing addresses when all are alive again: got %v, want none", got)
 	}
 }
 
-// An older status never takes the place of a newer one, by incarnation first: gossip brings them in any
-// order.
+// An older status never replaces a newer one: they are ordered by incarnation, then by sequence number.
+// Gossip delivers statuses in any order.
 func TestOnlyNewerStatusesAreTaken(t *testing.T) {
 	peers := newPeerTable()
 	for _, one := range []struct {
@@ -69,22 +70,24 @@
 			t.Fatal(err)
 		}
 		if taken := peers.updateStatus(e, data); taken != one.taken {
-			t.Errorf("incarnation %d, seq %d: taken %v", one.incarnation, one.seq, taken)
+			t.Errorf("status of incarnation %d, seq %d: updateStatus returned %v, want the other value",
+				one.incarnation, one.seq, taken)
 		}
 	}
 }
 
-// Every reason has the name that metrics and reports show, and a value that is none says so.
+// Every drop reason has a name of its own for metrics and reports, and the name of an invalid value contains
+// its number.
 func TestDropReasonsHaveNames(t *testing.T) {
 	seen := map[string]bool{}
 	for reason := range dropReasonCount {
 		name := reason.String()
 		if name == "" || seen[name] {
-			t.Errorf("reason %d is called %q", reason, name)
+			t.Errorf("drop reason %d has the name %q, want a unique name that is not empty", reason, name)
 		}
 		seen[name] = true
 	}
 	if got := dropReasonCount.String(); got != "dropReason(9)" {
-		t.Errorf("a value that is no reason is called %q", got)
+		t.Errorf("name of an invalid drop reason: got %q, want dropReason(9)", got)
 	}
 }
--- a/internal/wire/gossip/probing_cost_test.go
+++ b/internal/wire/gossip/probing_cost_test.go
@@ -13,46 +13,45 @@
 )
 
 const (
-	clockStep     = 25 * time.Millisecond // between two steps of the set clock
-	warmUp        = 3 * time.Second       // until all is even
-	placementRate = 200.0                 // requests a second of the whole fleet: what placements are told up to
-	// maxPacketRate is packets a second out of a relay: a round each 150 ms at most a tenth sooner, to three
-	// peers, of two packets of readings and one of placements.
+	clockStep     = 25 * time.Millisecond // step of the simulated clock
+	warmUp        = 3 * time.Second       // simulated time before the measurement, until traffic is steady
+	placementRate = 200.0                 // requests a second of the whole fleet: probing.MaxPlacementRate
+	// maxPacketRate is the limit of packets a second that a relay sends. A gossip round starts every 150 ms
+	// or up to a tenth sooner, and sends two packets of readings and one of placements to three peers each.
 	maxPacketRate = 3 * 3 / 0.135
-	maxStaleShare = 0.02 // part of the time that a relay may be without a usable reading of one of few servers
+	maxStaleShare = 0.02 // share of the time without a usable reading of a server, with up to 30 servers
 )
 
-// probingCost is what relays say of servers: readings and placements, in sealed packets without the seal's
-// own bytes.
+// probingCost is the cost of sharing readings and placements for each relay. Bytes are those of envelopes,
+// without the overhead of encryption.
 type probingCost struct {
-	readings, placed float64 // bytes a relay a second
-	packets          float64 // a relay a second
-	processor        float64 // s of processor time a relay a second, packing and weighing
-	without          float64 // part of the time that a relay has no usable reading of a server
+	readingBytes, placementBytes float64 // sent a second
+	packets                      float64 // sent a second
+	cpu                          float64 // seconds of CPU time a second, for encoding and decisions
+	staleShare                   float64 // share of the time without a usable reading of a server
 }
 
-// probingFleet are relays' deciders on a set clock.
+// probingFleet is a set of relays' Schedulers on a simulated clock.
 type probingFleet struct {
-	rng         *rand.Rand // of the requests that are placed
+	rng         *rand.Rand // for the placement of requests
 	relays      []probing.Relay
 	servers     []probing.Server
 	nodes       []*probingRelay
 	relayIndex  map[string]int
 	serverIndex map[uint64]int
 	now         time.Duration
-	unplaced    float64 // requests not yet placed
+	unplaced    float64 // requests that are due and not placed yet
 }
 
-// probingRelay is one relay: its decider, the time at which it last believed something of each server, and
-// what it has told.
+// probingRelay is one relay of a probingFleet.
 type probingRelay struct {
 	scheduler      *probing.Scheduler
 	name           string
 	rng            *rand.Rand
-	readingTakenAt []time.Duration
+	readingTakenAt []time.Duration // time of the reading in use, by index of the server
 	out, in        []sentMessage
-	readings       int // bytes told
-	placed         int
+	readingBytes   int // bytes sent so far
+	placementBytes int
 	packets        int
 }
 
@@ -86,7 +85,7 @@
 		s := probing.Server{Key: c.rng.Uint64(), Zone: fmt.Sprint("zone-", i%17), Started: 1.8e12}
 		c.servers, c.serverIndex[s.Key] = append(c.servers, s), i
 	}
-	table := probing.Assign(c.relays, c.servers)
+	assignment := probing.Assign(c.relays, c.servers)
 	for _, r := range c.nodes {
 		c.execute(
 			r,
@@ -96,7 +95,7 @@
 					Relays:      c.relays,
 					Incarnation: 1 << 40,
 					Servers:     c.servers,
-					Assignment:  table,
+					Assignment:  assignment,
 				},
 				nil,
 			),
@@ -105,10 +104,10 @@
 	return c
 }
 
-// act carries out what a relay's decider wants. What it tells goes through the wire's form, and arrives a
+// execute executes the actions of a relay's Scheduler. Messages are encoded as on the wire and arrive one
 // step later.
-func (c *probingFleet) execute(r *probingRelay, acts []probing.Action) {
-	for _, a := range acts {
+func (c *probingFleet) execute(r *probingRelay, actions []probing.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case probing.Probe:
 			load := 0.5 + 0.02*r.rng.NormFloat64()
@@ -125,17 +124,17 @@
 			r.readingTakenAt[c.serverIndex[a.ServerKey]] = c.now - a.Age
 		case probing.SendReadings:
 			for rest := a.Readings; len(rest) > 0; {
-				some := rest[:min(len(rest), maxReadingsPerPacket)]
-				rest = rest[len(some):]
-				r.readings += r.send(a.To, kindReadings, encodeReadings(some))
+				chunk := rest[:min(len(rest), maxReadingsPerPacket)]
+				rest = rest[len(chunk):]
+				r.readingBytes += r.send(a.To, kindReadings, encodeReadings(chunk))
 			}
 		case probing.SendPlacements:
-			r.placed += r.send(a.To, kindPlacements, encodePlacements(a.Rows))
+			r.placementBytes += r.send(a.To, kindPlacements, encodePlacements(a.Rows))
 		}
 	}
 }
 
-// post seals a message and returns its size.
+// send encodes a message, queues it for delivery and returns its size in bytes.
 func (r *probingRelay) send(to string, k envelopeKind, body any) int {
 	data, err := encodeEnvelope(r.name, 1<<40, 1<<20, k, body)
 	if err != nil {
@@ -146,7 +145,7 @@
 	return len(data)
 }
 
-// turn is one step of one relay: what has come, then what is due.
+// runStep runs one step of one relay: it handles the received messages, then a Tick.
 func (c *probingFleet) runStep(r *probingRelay) {
 	for _, m := range r.in {
 		e, err := decodeEnvelope(m.data)
@@ -163,8 +162,8 @@
 	c.execute(r, r.scheduler.Handle(c.now, probing.Tick{}, nil))
 }
 
-// pass lets time go by, with requests placed all the while. The relays of one step do not meet, so they go
-// side by side.
+// advance runs the steps of a time span and places requests at placementRate. Within a step relays do not
+// depend on each other, so they run concurrently.
 func (c *probingFleet) advance(span time.Duration) {
 	for end := c.now + span; c.now < end; c.now += clockStep {
 		for c.unplaced += placementRate * clockStep.Seconds(); c.unplaced >= 1; c.unplaced-- {
@@ -193,17 +192,19 @@
 	}
 }
 
-// told is what all relays have told so far: bytes of readings and of placements, and packets.
-func (c *probingFleet) totalSent() (readings, placed, packets float64) {
+// totalSent returns the bytes of readings and of placements, and the packets, that all relays have sent so
+// far.
+func (c *probingFleet) totalSent() (readings, placements, packets float64) {
 	for _, r := range c.nodes {
-		readings += float64(r.readings)
-		placed += float64(r.placed)
+		readings += float64(r.readingBytes)
+		placements += float64(r.placementBytes)
 		packets += float64(r.packets)
 	}
-	return readings, placed, packets
+	return readings, placements, packets
 }
 
-// stale is the part of all relays and servers for which there is no usable reading now.
+// staleShare returns the share of all pairs of a relay and a server for which the relay has no usable reading
+// now.
 func (c *probingFleet) staleShare() float64 {
 	n := 0
 	for _, r := range c.nodes {
@@ -216,28 +217,30 @@
 	return float64(n) / float64(len(c.relays)*len(c.servers))
 }
 
-// measureProbing plays so many relays and servers for a time, once all is even.
+// measureProbing simulates a number of relays and servers, and returns the cost over the watched time after a
+// warm-up.
 func measureProbing(relays, servers int, watch time.Duration) (cost probingCost) {
 	c := newProbingFleet(relays, servers)
 	c.advance(warmUp)
-	const looks = 10
-	readings, placed, packets := c.totalSent()
-	began := cpuSeconds()
-	for range looks {
-		c.advance(watch / looks)
-		cost.without += c.staleShare() / looks
+	const samples = 10
+	readings, placements, packets := c.totalSent()
+	cpuBefore := cpuSeconds()
+	for range samples {
+		c.advance(watch / samples)
+		cost.staleShare += c.staleShare() / samples
 	}
-	each := float64(relays) * watch.Seconds()
-	cost.processor = (cpuSeconds() - began) / each
-	readings2, placed2, packets2 := c.totalSent()
-	cost.readings = (readings2 - readings) / each
-	cost.placed = (placed2 - placed) / each
-	cost.packets = (packets2 - packets) / each
+	relaySeconds := float64(relays) * watch.Seconds()
+	cost.cpu = (cpuSeconds() - cpuBefore) / relaySeconds
+	readingsAfter, placementsAfter, packetsAfter := c.totalSent()
+	cost.readingBytes = (readingsAfter - readings) / relaySeconds
+	cost.placementBytes = (placementsAfter - placements) / relaySeconds
+	cost.packets = (packetsAfter - packets) / relaySeconds
 	return cost
 }
 
-// What relays tell each other of servers, by the number of either: bytes, packets and processor time of one
-// relay, and whether the readings come round.
+// Measures what sharing readings and placements costs each relay in bytes, packets and CPU time, by the
+// numbers of relays and servers. Guards against more packets than a relay may send, and against readings that
+// do not reach all relays in time.
 func TestCostOfSharedProbing(t *testing.T) {
 	sizes, watch := [][2]int{{10, 30}, {30, 30}}, 2*time.Second
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
@@ -250,13 +253,13 @@
 		t.Run(fmt.Sprintf("relays=%d/servers=%d", size[0], size[1]), func(t *testing.T) {
 			c := measureProbing(size[0], size[1], watch)
 			t.Logf("%.0f bytes of readings, %.0f of placements, %.1f packets a relay a second; "+
-				"%.2f ms of processor time a relay a second; without a usable reading %.4f of the time",
-				c.readings, c.placed, c.packets, c.processor*1000, c.without)
+				"%.2f ms of CPU time a relay a second; without a usable reading %.4f of the time",
+				c.readingBytes, c.placementBytes, c.packets, c.cpu*1000, c.staleShare)
 			if c.packets > maxPacketRate {
-				t.Errorf("%.1f packets a second out of a relay", c.packets)
+				t.Errorf("each relay sent %.1f packets a second, want at most maxPacketRate", c.packets)
 			}
-			if size[1] <= 30 && c.without > maxStaleShare {
-				t.Errorf("no usable reading %.3f of the time", c.without)
+			if size[1] <= 30 && c.staleShare > maxStaleShare {
+				t.Errorf("no usable reading for %.3f of the time, want at most maxStaleShare", c.staleShare)
 			}
 		})
 	}
--- a/internal/wire/gossip/transport_test.go
+++ b/internal/wire/gossip/transport_test.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// busyTransport is a transport that, like memberlist's own, has a packet to hand over as it shuts down, and
-// does not end before somebody has taken it.
+// busyTransport is a transport that, like memberlist's own, still delivers packets while it shuts down and
+// blocks until they are read.
 type busyTransport struct {
 	memberlist.NodeAwareTransport
 	packets chan *memberlist.Packet
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// TestShutdownTakesPacketsUntilTheTransportHasEnded guards against a relay that hangs for ever after SIGTERM:
-// its transport waited to hand over a packet, and nobody took it any more.
+// Shutdown reads packets until the wrapped transport has ended. Guards against a relay that hangs for ever
+// after SIGTERM because its transport waits to deliver a packet that nothing reads.
 func TestShutdownTakesPacketsUntilTheTransportHasEnded(t *testing.T) {
 	counted := countTraffic(&busyTransport{packets: make(chan *memberlist.Packet)}, &traffic{})
 	ended := make(chan error, 1)
@@ -35,6 +35,6 @@
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("the shutdown has not ended after 5 s")
+		t.Fatal("Shutdown did not return within 5 s")
 	}
 }
