--- a/internal/wire/gossip/broadcast_queue.go
+++ b/internal/wire/gossip/broadcast_queue.go
@@ -14,7 +14,7 @@
 // Its methods are safe for concurrent use.
 type broadcastQueue struct {
 	retransmitMult int        // see transmitLimit
-	relayCount     func() int // number of relays in the cluster, including this one
+	relayCount     func() int // number of relays, including this one
 
 	mu     sync.Mutex
 	byName map[string]*list.Element
--- a/internal/wire/gossip/cell_log.go
+++ b/internal/wire/gossip/cell_log.go
@@ -27,7 +27,7 @@
 	}
 	if change.Kind == cells.PlanMismatch {
 		n.log.Warn().Func(addFields).
-			Msg("plan of another cell has the same number and another table: give both cells one plan file")
+			Msg("another cell has a different plan under the same number: give both cells the same file")
 		return
 	}
 	n.log.Info().Func(addFields).Msg("state of a cell changed")
