--- a/internal/wire/gossip/broadcast_queue_test.go
+++ b/internal/wire/gossip/broadcast_queue_test.go
@@ -9,12 +9,12 @@
 	"capersail/internal/fleet/membership"
 )
 
-// queuedStatuses are the statuses that a Node would broadcast next, as "name seq".
-func queuedStatuses(t *testing.T, n *Node) (queued map[string]bool) {
+// nextBroadcastStatuses returns the statuses that a Node would broadcast next, as a set of "name seq".
+func nextBroadcastStatuses(t *testing.T, n *Node) (queued map[string]bool) {
 	t.Helper()
 	queued = map[string]bool{}
-	for _, text := range (*delegate)(n).GetBroadcasts(2, maxPacketBytes) {
-		e, err := decodeEnvelope(text)
+	for _, data := range (*delegate)(n).GetBroadcasts(2, maxPacketBytes) {
+		e, err := decodeEnvelope(data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -23,8 +23,9 @@
 	return queued
 }
 
-// The newest status of each relay is broadcast, however often it was replaced before it could be sent and
-// whatever its length. Guards against a relay's status that is dropped for another relay's.
+// The newest status of each relay is broadcast, no matter how often it was replaced before it could be sent,
+// and no matter how long it is. Guards against a relay's status that is lost because another relay's status
+// takes its place in the queue.
 func TestEachRelaysNewestStatusIsBroadcast(t *testing.T) {
 	for replaced := range uint64(5) {
 		n, err := New(testConfig("r1", filepath.Join(t.TempDir(), "r1")))
@@ -34,31 +35,33 @@
 		status := membership.Status{Version: 1, Incarnation: 1, BootstrapSize: 3}
 		for range replaced + 1 {
 			status.Seq++
-			n.publish(status)
+			n.publishStatus(status)
 		}
 		peer, err := encodeEnvelope("r2", 1, status.Seq, kindStatus, status)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.receive(peer, true)
-		queued := queuedStatuses(t, n)
+		n.receiveEnvelope(peer, true)
+		queued := nextBroadcastStatuses(t, n)
 		for _, name := range []string{"r1", "r2"} {
 			if want := fmt.Sprintf("%s %d", name, status.Seq); len(queued) != 2 || !queued[want] {
-				t.Errorf("replaced %d times: %v is queued, without %q", replaced, queued, want)
+				t.Errorf("status replaced %d times: queued %v, want two statuses with %q among them",
+					replaced, queued, want)
 			}
 		}
 	}
 }
 
-// Each message is taken as often as the fleet's size asks for, those first that were taken least often, and no
-// more of them at once than fit. Guards against messages that never leave, or crowd out others.
-func TestQueueTakesEachMessageSoOften(t *testing.T) {
+// Each message is transmitted as many times as the number of relays requires. Messages with the fewest
+// transmissions come first, and no more are taken at once than fit into the limit. Guards against messages
+// that stay in the queue for ever or keep others from being sent.
+func TestQueueTransmitsEachMessageUpToLimit(t *testing.T) {
 	const (
 		overhead = 3
 		size     = 10
 	)
 	q := newBroadcastQueue(2, func() int { return 100 }) // 2 * 3 digits
-	text := func(name string) []byte { return []byte(fmt.Sprintf("%*s", size, name)) }
+	data := func(name string) []byte { return []byte(fmt.Sprintf("%*s", size, name)) }
 	taken := map[string]int{}
 	take := func(limit int) (count int) {
 		for _, one := range q.take(overhead, limit) {
@@ -68,24 +71,25 @@
 		return count
 	}
 	for i := range 5 {
-		q.add(fmt.Sprint(i), text(fmt.Sprint(i)))
+		q.add(fmt.Sprint(i), data(fmt.Sprint(i)))
 	}
 	if n := take(2*(overhead+size) + overhead + size - 1); n != 2 {
-		t.Errorf("%d messages taken where two fit", n)
+		t.Errorf("took %d messages, want 2: that many fit into the limit", n)
 	}
-	q.add("new", text("new"))
+	q.add("new", data("new"))
 	take(4 * (overhead + size))
 	if taken["new"] != 1 || taken["2"] != 1 || taken["0"] != 1 {
-		t.Errorf("those that were sent do not come last: %v", taken)
+		t.Errorf("transmissions by message: %v, want 1 each of new, 2 and 0: fewest come first", taken)
 	}
 	for take(1000) > 0 {
 	}
 	for name, n := range taken {
 		if n != 6 {
-			t.Errorf("%s was taken %d times", name, n)
+			t.Errorf("message %s was taken %d times, want 6", name, n)
 		}
 	}
 	if len(taken) != 6 || len(q.byName) != 0 {
-		t.Errorf("taken %v, left %d", taken, len(q.byName))
+		t.Errorf("transmissions by message: %v, messages left in the queue: %d; want 6 messages, 0 left",
+			taken, len(q.byName))
 	}
 }
