--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -15,62 +15,63 @@
 	for i := range ServerID(12) {
 		loads[i] = 0.1 + float64(i)/100
 	}
-	spots := map[ServerID]bool{}
+	allServers := map[ServerID]bool{}
 	for group := uint64(1); group < 9; group++ {
-		at := map[ServerID]bool{}
+		used := map[ServerID]bool{}
 		for seed := range uint64(10) {
 			r := newRelay(t, set, seed, 12)
 			req := newRequest(1)
 			req.Group = group
 			on := r.place(req, loads)
-			at[on], spots[on] = true, true
+			used[on], allServers[on] = true, true
 		}
-		if len(at) != 1 {
-			t.Errorf("group %d was spread over %d servers by ten relays", group, len(at))
+		if len(used) != 1 {
+			t.Errorf("ten relays placed group %d on %d servers, want 1", group, len(used))
 		}
 	}
-	if len(spots) < 3 {
-		t.Errorf("eight groups share %d servers", len(spots))
+	if len(allServers) < 3 {
+		t.Errorf("eight groups were placed on %d servers in all, want at least 3", len(allServers))
 	}
-	// In an overload a group must not take whatever has room: each further server pays for it again.
+	// In an overload a group must not spread to all servers with capacity: each further server bears the
+	// group's shared work again.
 	for i := range loads {
 		loads[i] = 0.62
 	}
-	at := map[ServerID]bool{}
+	used := map[ServerID]bool{}
 	for seed := range uint64(60) {
 		r := newRelay(t, set, seed, 12)
-		for i := range ServerID(12) { // everything is in the pool, all but the group's own with more room
-			r.do(ProbeResult{Server: i, Report: loadReport(0.3, 6)})
+		for i := range ServerID(12) { // all are in the pool, the group's own with a higher load
+			r.handle(ProbeResult{Server: i, Report: loadReport(0.3, 6)})
 		}
 		req := newRequest(1)
 		req.Group = 5
 		for _, id := range slices.Clone(r.b.dispatch.affinity.groupSubset(5, 1)) {
-			r.do(ProbeResult{Server: id, Report: loadReport(0.62, 12)})
+			r.handle(ProbeResult{Server: id, Report: loadReport(0.62, 12)})
 		}
 		if on := r.place(req, loads); on >= 0 {
-			at[on] = true
+			used[on] = true
 		}
 	}
-	if len(at) == 0 || len(at) > probesPerPlacement {
-		t.Errorf("a loaded group was spread over %d servers", len(at))
+	if len(used) == 0 || len(used) > probesPerPlacement {
+		t.Errorf("a group with loaded servers was placed on %d servers, want 1 to 4", len(used))
 	}
 }
 
-// A group whose subset is full goes on to the next four of its order before it is rejected: on the days of
-// 300 relays half of all servers stood under half of their load while 300 requests a second were rejected
-// for want of room.
+// A group whose subset is full uses the next four servers of its order before a request is rejected. Without
+// that, in simulations of 300 relays half of all servers stood below half of their capacity while 300
+// requests per second were rejected with NoCapacity.
 func TestFullSubsetIsWidened(t *testing.T) {
 	set := settings()
 	set.GroupAffinity, set.Zones = true, 1
 	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 100, 100
-	for _, room := range []bool{true, false} {
-		on := map[ServerID]bool{}
+	for _, spare := range []bool{true, false} {
+		used := map[ServerID]bool{}
 		for seed := range uint64(20) {
 			r := newRelay(t, set, seed, 12)
 			order, loads := r.b.dispatch.affinity.rankServers(5, groupOrderLen, false), map[ServerID]float64{}
 			for i, id := range order {
 				loads[id] = 0.95
-				if i >= probesPerPlacement && (room || i >= 2*probesPerPlacement) {
+				if i >= probesPerPlacement && (spare || i >= 2*probesPerPlacement) {
 					loads[id] = 0.3
 				}
 			}
@@ -78,20 +79,21 @@
 			req.Group = 5
 			got := r.place(req, loads)
 			if got >= 0 {
-				on[got] = true
+				used[got] = true
 			}
-			if i := slices.Index(order, got); room != (i >= probesPerPlacement && i < 2*probesPerPlacement) {
-				t.Errorf("room in the next four %v: placed at %d of the order", room, i)
+			if i := slices.Index(order, got); spare != (i >= probesPerPlacement && i < 2*probesPerPlacement) {
+				t.Errorf("spare capacity in the next four servers: %v, index in the order: %d",
+					spare, i)
 			}
 		}
-		if room && len(on) > 1 { // and all relays take the same one first
-			t.Errorf("spread over %v", on)
+		if spare && len(used) > 1 { // all relays use the same server first
+			t.Errorf("relays placed the group on servers %v, want one server", used)
 		}
 	}
 }
 
-// A group's subset is the first four by weight of all servers that are listed and well, whatever has been
-// kept of it: through lists that change, failures and their ends.
+// A group's subset is the first four by weight of all servers that are listed and not ejected, whatever part
+// of its order is cached, through changes of the list, ejections and their ends.
 func TestGroupSubsetIsTheBeginningOfTheRendezvousOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	b := New(Settings{Relays: 1, Zones: 3, GroupAffinity: true, Probes: true, Tick: ms}, 1)
@@ -128,12 +130,12 @@
 		slices.SortFunc(want, func(x, y ServerID) int { return cmp.Compare(rank(y), rank(x)) })
 		want = want[:min(len(want), probesPerPlacement)]
 		if !slices.Equal(b.dispatch.affinity.groupSubset(group, 1), want) {
-			t.Fatalf("group %d: %v, want %v", group, b.dispatch.affinity.groupSubset(group, 1), want)
+			t.Fatalf("group %d: subset %v, want %v", group, b.dispatch.affinity.groupSubset(group, 1), want)
 		}
 	}
 }
 
-// A server that comes or goes must not move groups that it is not in the subset of.
+// A server that joins or leaves must not move groups whose subset it is not in.
 func TestRendezvousOrderKeepsWhenAServerGoes(t *testing.T) {
 	set := newEndpointSet(1)
 	for i := range ServerID(20) {
@@ -148,7 +150,7 @@
 	for group, order := range before {
 		want := slices.DeleteFunc(order, func(id ServerID) bool { return id == 7 })
 		if got := a.rankServers(group, 19, false); !slices.Equal(got, want) {
-			t.Fatalf("group %d: %v, want %v", group, got, want)
+			t.Fatalf("group %d: order %v, want %v", group, got, want)
 		}
 	}
 }
--- a/decide/arrivals_test.go
+++ b/decide/arrivals_test.go
@@ -9,26 +9,26 @@
 func TestRequestRateFollowsASurge(t *testing.T) {
 	env := testEnvironment(settings())
 	rate := &arrivalRate{environment: env}
-	for range 60 { // one a second
+	for range 60 { // one per second
 		env.now += time.Second
 		rate.recordRequest()
 	}
 	if got := rate.requestRate(); got < 0.5 || got > 2 {
-		t.Errorf("one request a second: %.2f", got)
+		t.Errorf("rate after a minute of one request per second: %.2f, want 0.5 to 2", got)
 	}
 	for range 100 { // a hundred at once
 		rate.recordRequest()
 	}
 	if got := rate.requestRate(); got < 30 {
-		t.Errorf("a hundred within the window: %.1f", got)
+		t.Errorf("rate after 100 requests at once: %.1f, want at least 30", got)
 	}
 	env.now += 10 * time.Second
 	if got := rate.requestRate(); got > 5 {
-		t.Errorf("ten windows later: %.1f", got)
+		t.Errorf("rate ten windows after the surge: %.1f, want at most 5", got)
 	}
 }
 
-// A relay that gets a request in ten seconds must not take the one it just got for a rate of one a window.
+// A relay that gets one request in ten seconds must not count the latest one as a rate of one per window.
 func TestSingleRequestIsNoSurge(t *testing.T) {
 	env := testEnvironment(settings())
 	rate := &arrivalRate{environment: env}
@@ -37,14 +37,14 @@
 		rate.recordRequest()
 	}
 	if got := rate.requestRate(); got > 0.25 {
-		t.Errorf("a request in ten seconds: %.2f a second", got)
+		t.Errorf("rate with one request in ten seconds: %.2f per second, want at most 0.25", got)
 	}
 }
 
 func TestMeanConnectionLife(t *testing.T) {
 	env := testEnvironment(settings())
 	rate := &arrivalRate{environment: env, requestsTotal: 119}
-	if got := rate.meanConnectionLife(20); math.Abs(got-10) > 1e-9 { // 20 open, 2 a second for a minute
-		t.Errorf("%.1f s, want 10", got)
+	if got := rate.meanConnectionLife(20); math.Abs(got-10) > 1e-9 { // 20 open, 2 per second for a minute
+		t.Errorf("mean connection life: %.1f s, want 10", got)
 	}
 }
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -7,100 +7,101 @@
 	"time"
 )
 
-// busy is a relay under load: 1,000 requests a second, each held for 10 s, on so many servers, all of which
-// answer probes at once with a load that follows what is held there. step is one request and all that comes
-// of it.
-type busy struct {
-	b       *Balancer
-	now     time.Duration
-	id      RequestID
-	groups  bool
-	alarms  []due // in the order in which they are due
-	ends    []RequestID
-	at      []ServerID
-	load    []float64
-	backlog []Action
+// busyRelay is a relay under load: 1,000 requests per second, each held open for 10 s, on servers that answer
+// probes at once with a load that follows the connections they hold. step handles one request and all events
+// that follow from it.
+type busyRelay struct {
+	b            *Balancer
+	now          time.Duration
+	lastID       RequestID
+	groups       bool
+	timers       []dueTimer // in the order in which they expire
+	openRequests []RequestID
+	openServers  []ServerID
+	baseLoads    []float64
+	actions      []Action
 }
 
-type due struct {
+type dueTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-func newBusy(servers int, groups bool) *busy {
+func newBusyRelay(servers int, groups bool) *busyRelay {
 	set := settings()
 	set.Relays, set.GroupAffinity, set.Tick, set.ReportsMessageDelay = 1, groups, 5*ms, false
-	// 10,000 connections are a fifth of all capacity
+	// 10,000 connections use a fifth of all capacity
 	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 20_000, 20_000
-	y := &busy{b: New(set, 1), now: time.Hour, groups: groups, load: make([]float64, servers)}
+	y := &busyRelay{b: New(set, 1), now: time.Hour, groups: groups, baseLoads: make([]float64, servers)}
 	var list []Endpoint
 	for i := range servers {
 		list = append(list, Endpoint{
 			Server: ServerID(i), State: Ready, RendezvousKey: (uint64(i) + 1) * 0x9e3779b97f4a7c15,
 		})
-		y.load[i] = 0.35 + 0.001*float64(i%100)
+		y.baseLoads[i] = 0.35 + 0.001*float64(i%100)
 	}
-	y.in(WatchEvent{Kind: Snapshot, Endpoints: list})
-	for i := range 10_000 { // open before this relay started, spread over all servers
-		y.id++
-		r, at := Request{ID: y.id, Tenant: Tenant(i % 2), TimeLeft: time.Hour}, ServerID(i%servers)
+	y.handle(WatchEvent{Kind: Snapshot, Endpoints: list})
+	for i := range 10_000 { // inherited connections, spread over all servers
+		y.lastID++
+		r, at := Request{ID: y.lastID, Tenant: Tenant(i % 2), TimeLeft: time.Hour}, ServerID(i%servers)
 		if groups {
 			r.Group = 1 + uint64(i)%500
 		}
-		y.in(InheritedConnection{Request: r, Server: at})
-		y.ends, y.at = append(y.ends, y.id), append(y.at, at)
+		y.handle(InheritedConnection{Request: r, Server: at})
+		y.openRequests, y.openServers = append(y.openRequests, y.lastID), append(y.openServers, at)
 	}
 	return y
 }
 
-func (y *busy) in(ev Event) {
-	y.backlog = y.b.Handle(y.now, ev, y.backlog)
-	for len(y.backlog) > 0 {
-		a := y.backlog[0]
-		y.backlog = y.backlog[1:]
+func (y *busyRelay) handle(ev Event) {
+	y.actions = y.b.Handle(y.now, ev, y.actions)
+	for len(y.actions) > 0 {
+		a := y.actions[0]
+		y.actions = y.actions[1:]
 		switch a := a.(type) {
 		case Probe:
 			held := len(y.b.endpoints.servers[a.Server].connections)
-			load := y.load[a.Server] + 0.2*float64(len(y.load)*held)/10_000
-			y.backlog = y.b.Handle(y.now, ProbeResult{
+			load := y.baseLoads[a.Server] + 0.2*float64(len(y.baseLoads)*held)/10_000
+			y.actions = y.b.Handle(y.now, ProbeResult{
 				Server:  a.Server,
 				Latency: ms,
 				Report:  loadReport(load, -1),
-			}, y.backlog)
+			}, y.actions)
 		case Forward:
-			y.backlog = y.b.Handle(y.now,
-				ConnectionOpened{ID: a.ID, Server: a.Server, SetupLatency: 5 * ms}, y.backlog)
-			y.ends, y.at = append(y.ends, a.ID), append(y.at, a.Server)
+			y.actions = y.b.Handle(y.now,
+				ConnectionOpened{ID: a.ID, Server: a.Server, SetupLatency: 5 * ms}, y.actions)
+			y.openRequests, y.openServers = append(y.openRequests, a.ID), append(y.openServers, a.Server)
 		case Timer:
-			if kind, _ := splitToken(a.Token); kind == timerLoadCheck { // the only one that matters here
-				y.alarms = append(y.alarms, due{y.now + a.After, a.Token})
+			if kind, _ := splitToken(a.Token); kind == timerLoadCheck { // other timers are not needed here
+				y.timers = append(y.timers, dueTimer{y.now + a.After, a.Token})
 			}
 		}
 	}
-	y.backlog = y.backlog[:0]
+	y.actions = y.actions[:0]
 }
 
-func (y *busy) step() {
+func (y *busyRelay) step() {
 	y.now += ms
-	for len(y.alarms) > 0 && y.alarms[0].at <= y.now {
-		token := y.alarms[0].token
-		y.alarms = y.alarms[1:]
-		y.in(TimerFired{Token: token})
+	for len(y.timers) > 0 && y.timers[0].at <= y.now {
+		token := y.timers[0].token
+		y.timers = y.timers[1:]
+		y.handle(TimerFired{Token: token})
 	}
-	if len(y.ends) >= 10_000 {
-		y.in(Outcome{ID: y.ends[0], Server: y.at[0], Status: OK, Closed: true, Report: NoLoadReport})
-		y.ends, y.at = y.ends[1:], y.at[1:]
+	if len(y.openRequests) >= 10_000 {
+		y.handle(Outcome{ID: y.openRequests[0], Server: y.openServers[0], Status: OK, Closed: true,
+			Report: NoLoadReport})
+		y.openRequests, y.openServers = y.openRequests[1:], y.openServers[1:]
 	}
-	y.id++
-	r := Request{ID: y.id, Tenant: Tenant(y.id % 2), Key: uint64(y.id), TimeLeft: 2 * time.Second}
+	y.lastID++
+	r := Request{ID: y.lastID, Tenant: Tenant(y.lastID % 2), Key: uint64(y.lastID), TimeLeft: 2 * time.Second}
 	if y.groups {
-		r.Group = 1 + uint64(y.id)%500
+		r.Group = 1 + uint64(y.lastID)%500
 	}
-	y.in(r)
+	y.handle(r)
 }
 
-// What one request costs the module, with all that comes of it, by the number of servers: it must not grow
-// with the fleet.
+// BenchmarkRequest measures the cost of one request, with all events that follow from it, by the number of
+// servers: the cost must not grow with the fleet.
 func BenchmarkRequest(b *testing.B) {
 	for _, groups := range []bool{false, true} {
 		for _, servers := range []int{10, 90, 1000, 5000} {
@@ -108,7 +109,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				y := newBusy(servers, groups)
+				y := newBusyRelay(servers, groups)
 				for range 3_000 {
 					y.step()
 				}
--- a/decide/driver_test.go
+++ b/decide/driver_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// newRelay starts a relay that knows of n ready servers in its own zone.
+// newRelay starts a relay with a list of n ready servers in its own zone.
 func newRelay(t *testing.T, set Settings, seed uint64, n int) *relay {
 	t.Helper()
 	r := &relay{t: t, b: New(set, seed), now: time.Minute}
@@ -71,18 +71,18 @@
 			RendezvousKey: uint64(i+1) * 7919,
 		})
 	}
-	r.do(WatchEvent{Kind: Snapshot, Endpoints: list})
+	r.handle(WatchEvent{Kind: Snapshot, Endpoints: list})
 	return r
 }
 
-func (r *relay) do(ev Event) []Action { return r.b.Handle(r.now, ev, nil) }
+func (r *relay) handle(ev Event) []Action { return r.b.Handle(r.now, ev, nil) }
 
 func (r *relay) advance(d time.Duration) *relay {
 	r.now += d
 	return r
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type A.
 func actionsOf[A Action](acts []Action) (found []A) {
 	for _, a := range acts {
 		if x, ok := a.(A); ok {
@@ -94,14 +94,15 @@
 
 func newRequest(id RequestID) Request { return Request{ID: id, Tenant: 0, TimeLeft: 2 * time.Second} }
 
-// loadReport is a report of a load and of the connections that the server holds, -1 if it does not tell.
+// loadReport returns a report of a load and of the number of connections that the server holds, -1 if not
+// reported.
 func loadReport(load, inFlight float64) LoadReport {
 	return LoadReport{Load: load, InFlight: inFlight, ErrorsPerSecond: -1, CPUUtilization: -1}
 }
 
-// answer gives every probe among the actions the load of its server, until none is left to answer, and
-// returns all actions. A server without a load is silent.
-func (r *relay) answer(acts []Action, loads map[ServerID]float64) []Action {
+// answerProbes answers every probe among the actions, and among the actions that follow, with the load of its
+// server, and returns all actions. A server without a load does not answer.
+func (r *relay) answerProbes(acts []Action, loads map[ServerID]float64) []Action {
 	for i := 0; i < len(acts); i++ {
 		p, ok := acts[i].(Probe)
 		if !ok {
@@ -111,46 +112,46 @@
 		if load, up := loads[p.Server]; up {
 			ev = ProbeResult{Server: p.Server, Latency: 2 * ms, Report: loadReport(load, load*20)}
 		}
-		acts = append(acts, r.do(ev)...)
+		acts = append(acts, r.handle(ev)...)
 	}
 	return acts
 }
 
-// place has a request placed with the given loads and returns where it went, or -1.
+// place handles a request with the given loads and returns the server it was forwarded to, or -1.
 func (r *relay) place(req Request, loads map[ServerID]float64) ServerID {
 	r.t.Helper()
-	sends := actionsOf[Forward](r.answer(r.do(req), loads))
+	sends := actionsOf[Forward](r.answerProbes(r.handle(req), loads))
 	if len(sends) != 1 {
 		return -1
 	}
 	return sends[0].Server
 }
 
-func (r *relay) open(id RequestID, on ServerID) {
-	r.do(ConnectionOpened{ID: id, Server: on, SetupLatency: 20 * ms})
+func (r *relay) openConnection(id RequestID, on ServerID) {
+	r.handle(ConnectionOpened{ID: id, Server: on, SetupLatency: 20 * ms})
 }
 
-// withConnections opens n connections of a relay on one server and n on the next.
-func withConnections(t *testing.T, set Settings, n int, loads map[ServerID]float64) *relay {
+// newRelayWithConnections returns a relay with n inherited connections on each of servers 0 and 1.
+func newRelayWithConnections(t *testing.T, set Settings, n int, loads map[ServerID]float64) *relay {
 	r := newRelay(t, set, 9, 6)
 	for i := range n {
 		for on := range ServerID(2) {
 			id := RequestID(1000 + 2*i + int(on))
-			r.do(InheritedConnection{Request: newRequest(id), Server: on})
+			r.handle(InheritedConnection{Request: newRequest(id), Server: on})
 		}
 	}
 	r.place(newRequest(1), loads)
 	return r
 }
 
-// checkLoad lets the watch probe once more and returns what was done about the answers.
+// checkLoad fires the load check's timer and returns the actions, including those after the probes' answers.
 func (r *relay) checkLoad(loads map[ServerID]float64) []Action {
-	// A request keeps the pool fresh.
-	acts := r.answer(r.advance(loadCheckInterval).do(newRequest(RequestID(r.now))), loads)
-	return r.answer(append(acts, r.do(TimerFired{Token: timerLoadCheck.token(0)})...), loads)
+	// A request refreshes the readings of the pool.
+	acts := r.answerProbes(r.advance(loadCheckInterval).handle(newRequest(RequestID(r.now))), loads)
+	return r.answerProbes(append(acts, r.handle(TimerFired{Token: timerLoadCheck.token(0)})...), loads)
 }
 
-// testEnvironment is that of a relay that has run for a minute.
+// testEnvironment returns the environment of a relay that has run for a minute.
 func testEnvironment(set Settings) *environment {
 	env := newEnvironment(validSettings(set), 1)
 	env.begin(time.Minute, nil)
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -8,27 +8,28 @@
 )
 
 func TestDrainingAndRemovedServersGetNothingNew(t *testing.T) {
-	for _, mode := range []EndpointState{Draining, Removed} {
+	for _, state := range []EndpointState{Draining, Removed} {
 		r := newRelay(t, settings(), 5, 3)
 		loads := map[ServerID]float64{0: 0.1, 1: 0.6, 2: 0.6}
 		r.place(newRequest(1), loads)
-		r.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 0, State: mode}}})
+		r.handle(WatchEvent{Kind: Delta, Endpoints: []Endpoint{{Server: 0, State: state}}})
 		for id := RequestID(2); id < 30; id++ {
 			if got := r.advance(100*ms).place(newRequest(id), loads); got == 0 {
-				t.Fatalf("mode %d: request %d went to it", mode, id)
+				t.Fatalf("server in state %d: request %d was forwarded to it", state, id)
 			}
 		}
 	}
 	r := newRelay(t, settings(), 5, 3)
-	r.do(WatchEvent{Kind: Snapshot, Endpoints: []Endpoint{{Server: 1, State: Ready}}})
+	r.handle(WatchEvent{Kind: Snapshot, Endpoints: []Endpoint{{Server: 1, State: Ready}}})
 	for id := RequestID(1); id < 10; id++ {
 		if got := r.advance(time.Second).place(newRequest(id), map[ServerID]float64{1: 0.3}); got != 1 {
-			t.Fatalf("left out of a snapshot is gone, yet %d was chosen", got)
+			t.Fatalf("a snapshot lists only server 1, but a request was forwarded to %d", got)
 		}
 	}
 }
 
-// checkEndpoints holds the invariant of endpointSet: listed exactly while ready in a zone of the settings.
+// checkEndpoints checks the invariant of endpointSet: a server is listed if and only if it is ready in a zone
+// of the settings.
 func checkEndpoints(t *testing.T, set *endpointSet) {
 	t.Helper()
 	listed := 0
@@ -36,18 +37,20 @@
 		s := &set.servers[i]
 		want := s.State == Ready && int(s.Zone) < len(set.serversByZone)
 		if want != (s.zoneIndex >= 0) {
-			t.Fatalf("server %d, state %d, zone %d: at %d", i, s.State, s.Zone, s.zoneIndex)
+			t.Fatalf(
+				"server %d, state %d, zone %d: listed at index %d, other than its state and zone require",
+				i, s.State, s.Zone, s.zoneIndex)
 		}
 		if !want {
 			continue
 		}
 		listed++
 		if got := set.serversByZone[s.Zone][s.zoneIndex]; got != ServerID(i) {
-			t.Fatalf("server %d is at the place of %d", i, got)
+			t.Fatalf("the zone index of server %d is that of server %d", i, got)
 		}
 	}
 	if n := set.listedCount(); n != listed {
-		t.Fatalf("%d listed, %d places", listed, n)
+		t.Fatalf("%d servers are ready in a zone of the settings, but listedCount() = %d", listed, n)
 	}
 }
 
@@ -61,7 +64,7 @@
 			list = append(list, Endpoint{
 				Server:        ServerID(rng.IntN(20)),
 				State:         EndpointState(rng.IntN(3)),
-				Zone:          Zone(rng.IntN(4)), // one is not in the settings
+				Zone:          Zone(rng.IntN(4)), // zone 3 is not in the settings
 				RendezvousKey: uint64(rng.IntN(3)),
 			})
 		}
@@ -70,7 +73,7 @@
 	}
 }
 
-// What is kept by the version of the listing must not outlive a change of it.
+// Data cached by listing version must not be used after the listing changes.
 func TestListingVersionRisesWithEachChange(t *testing.T) {
 	set := newEndpointSet(2)
 	ready := Endpoint{Server: 1, State: Ready, RendezvousKey: 7}
@@ -83,12 +86,13 @@
 		before := set.listingVersion
 		set.updateEndpoint(step.endpoint)
 		if rose := set.listingVersion > before; rose != step.rises {
-			t.Errorf("step %d: rises %v, want %v", i, rose, step.rises)
+			t.Errorf("step %d: listing version rises %v, want %v", i, rose, step.rises)
 		}
 	}
 }
 
-// A server that started within the window is in slow start, and its reading is of another process.
+// A server that started within the window is in slow start, and its reading, taken from its earlier process,
+// is dropped.
 func TestRestartedServerIsInSlowStart(t *testing.T) {
 	const now, window = time.Hour, 8 * time.Second
 	for name, c := range map[string]struct {
@@ -106,7 +110,8 @@
 		set.apply(WatchEvent{Endpoints: []Endpoint{{State: Ready, StartedAt: c.startedAt}}}, now, window)
 		s := set.stateOf(0)
 		if got := s.slowStart.startedAt >= 0; got != c.want || s.reading.usable() == c.want {
-			t.Errorf("%s: in slow start %v, reading usable %v", name, got, s.reading.usable())
+			t.Errorf("started %s: in slow start %v, reading usable %v, other than in the table",
+				name, got, s.reading.usable())
 		}
 	}
 }
@@ -114,10 +119,10 @@
 func TestStateOfMakesServersThatGetNothing(t *testing.T) {
 	set := newEndpointSet(1)
 	if s := set.stateOf(4); s.zoneIndex >= 0 || s.reading.usable() || s.slowStart.startedAt >= 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("a server not in any list is listed, readable or in slow start: %+v", s)
 	}
 	listed := func(s serverState) bool { return s.zoneIndex >= 0 }
 	if len(set.servers) != 5 || slices.ContainsFunc(set.servers, listed) {
-		t.Errorf("%d servers, or some are listed", len(set.servers))
+		t.Errorf("%d servers created, want 5, none of them listed", len(set.servers))
 	}
 }
--- a/decide/events_test.go
+++ b/decide/events_test.go
@@ -14,19 +14,19 @@
 		}
 	}
 	if s, r := statusCount.String(), rejectReasonCount.String(); s != "unknown" || r != "unknown" {
-		t.Errorf("beyond the last: %q, %q", s, r)
+		t.Errorf("names of values beyond the last: %q, %q, want \"unknown\"", s, r)
 	}
 	if name := NoReason.String(); name != "" {
-		t.Errorf("no reason is %q", name)
+		t.Errorf("name of NoReason is %q, want an empty string", name)
 	}
 }
 
-// Only these prove that a repeat does no harm (rule 2).
+// Only these statuses prove that repeating the request is safe (rule 2).
 func TestWhatProvesThatAnAttemptNeverRan(t *testing.T) {
 	proof := map[Status]bool{AtCapacity: true, ConnectFailed: true, Superseded: true}
 	for s := OK; s < statusCount; s++ {
 		if s.NeverRan() != proof[s] {
-			t.Errorf("%v: %v", s, s.NeverRan())
+			t.Errorf("status %v: NeverRan() = %v, want the opposite", s, s.NeverRan())
 		}
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"capersail/decide"
 )
 
-// A relay with one server asks for its load first, and places the connection by the answer.
+// A relay with one server probes it first, and places the connection by the load that it reports.
 func Example() {
 	b := decide.New(decide.Settings{
 		Relays: 1, Zones: 1, MaxAttempts: 2, Probes: true, Tick: time.Millisecond,
--- a/decide/golden_draw_test.go
+++ b/decide/golden_draw_test.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// newGoldenCourse draws settings, servers and the character of a course.
+// newGoldenCourse draws the settings, the servers and the parameters of a course.
 func newGoldenCourse(t *testing.T, seed uint64) *goldenCourse {
 	c := &goldenCourse{
 		t:    t,
 		rng:  rand.New(rand.NewPCG(seed, 0x601d)),
 		now:  time.Minute,
-		hash: 14695981039346656037, // the offset of FNV-1a
+		hash: 14695981039346656037, // the offset basis of FNV-1a
 	}
 	c.set = c.drawSettings(seed)
-	servers := 1 + c.n(12)
+	servers := 1 + c.intN(12)
 	if seed%4 == 0 {
-		servers = 1 + c.n(60)
+		servers = 1 + c.intN(60)
 	}
-	if seed%40 == 11 { // a pool of more readings than a placement looks at
+	if seed%40 == 11 { // a pool with more readings than a placement compares
 		servers, c.set.GroupAffinity = 300, false
 	}
-	c.perConn = goldenPick(c, 0.002, 0.02, 0.06)
-	c.reports = goldenPick(c, 0, 0, 0, 1, 2, 3)
-	c.answers = goldenPick(c, 0, 1, 2)
+	c.loadPerConn = goldenPick(c, 0.002, 0.02, 0.06)
+	c.reportKind = goldenPick(c, 0, 0, 0, 1, 2, 3)
+	c.discoveryKind = goldenPick(c, 0, 1, 2)
 	c.steps = 1500
-	c.gap = goldenPick(c, 2*ms, 15*ms, 60*ms, 400*ms)
+	c.meanStepInterval = goldenPick(c, 2*ms, 15*ms, 60*ms, 400*ms)
 	c.groups, c.keys = goldenPick(c, 1, 5, 40), goldenPick(c, 3, 200)
-	c.trouble = goldenPick(c, 0, 0.05, 0.3, 0.8)
-	c.life = goldenPick(c, time.Second, 10*time.Second, 200*time.Second)
-	c.weights = [goldenSteps]int{60, 6, 2, 3, 4, 3, 2, 2, 4, 1}
+	c.unhealthyFraction = goldenPick(c, 0, 0.05, 0.3, 0.8)
+	c.meanLife = goldenPick(c, time.Second, 10*time.Second, 200*time.Second)
+	c.weights = [goldenStepCount]int{60, 6, 2, 3, 4, 3, 2, 2, 4, 1}
 	switch seed % 40 {
-	case 11: // a pool that is pruned only now and then
-		c.steps, c.gap, c.trouble = 3000, 2*ms, 0
-		c.weights = [goldenSteps]int{60, 600, 2, 1, 0, 3, 2, 2, 4, 1}
-	case 12: // more failing keys than are remembered
-		servers, c.steps, c.keys, c.trouble = 1, 3500, 1<<40, 1
-	case 13: // more groups than orders are kept of
+	case 11: // a pool that is pruned only at intervals
+		c.steps, c.meanStepInterval, c.unhealthyFraction = 3000, 2*ms, 0
+		c.weights = [goldenStepCount]int{60, 600, 2, 1, 0, 3, 2, 2, 4, 1}
+	case 12: // more failing keys than are stored
+		servers, c.steps, c.keys, c.unhealthyFraction = 1, 3500, 1<<40, 1
+	case 13: // more groups than cached orders
 		servers, c.steps, c.groups, c.set.GroupAffinity, c.set.Probes = 3, 7000, 1<<40, true, true
-	case 14: // groups whose order begins with servers that are ill
-		servers, c.groups, c.set.GroupAffinity, c.set.Probes, c.trouble = 60, 5, true, true, 1
-		c.gap, c.weights = 15*ms, [goldenSteps]int{60, 0, 1, 2, 20, 3, 0, 0, 0, 1}
+	case 14: // groups whose order begins with unhealthy servers
+		servers, c.groups, c.set.GroupAffinity, c.set.Probes, c.unhealthyFraction = 60, 5, true, true, 1
+		c.meanStepInterval, c.weights = 15*ms, [goldenStepCount]int{60, 0, 1, 2, 20, 3, 0, 0, 0, 1}
 	}
-	heat := goldenPick(c, 0, 0.2, 0.5, 0.7, 0.9)
+	minBaseLoad := goldenPick(c, 0, 0.2, 0.5, 0.7, 0.9)
 	for i := range servers {
 		endpoint := Endpoint{
 			Server:        ServerID(i),
 			State:         Ready,
-			Zone:          Zone(c.n(max(c.set.Zones, 1))),
+			Zone:          Zone(c.intN(max(c.set.Zones, 1))),
 			Cell:          int32(i / 2),
 			RendezvousKey: c.rng.Uint64(),
 		}
 		c.servers = append(c.servers, goldenServer{
-			endpoint: endpoint,
-			base:     heat + 0.2*c.rng.Float64(),
-			slow:     goldenPick(c, 2*ms, 2*ms, 8*ms),
+			endpoint:     endpoint,
+			baseLoad:     minBaseLoad + 0.2*c.rng.Float64(),
+			probeLatency: goldenPick(c, 2*ms, 2*ms, 8*ms),
 		})
 	}
 	c.b = New(c.set, seed*7919+1)
 	return c
 }
 
-// goldenClasses are one class of each kind.
+// goldenClasses returns one class of each kind.
 func goldenClasses() []ClassInfo {
 	class := func(objective, deadline time.Duration) ClassInfo {
 		return ClassInfo{LatencyObjective: objective, Deadline: deadline, PriorityWeight: 1}
@@ -83,9 +83,9 @@
 	}
 }
 
-// drawSettings draws settings, or takes such as make no sense.
+// drawSettings draws settings, or returns invalid ones.
 func (c *goldenCourse) drawSettings(seed uint64) Settings {
-	if seed%80 == 79 { // settings that make no sense
+	if seed%80 == 79 { // invalid settings
 		return Settings{
 			RelayIndex:  -3,
 			Relays:      -2,
@@ -99,9 +99,9 @@
 	relays := goldenPick(c, 1, 2, 3, 10, 40, 80, 300)
 	zones := goldenPick(c, 1, 1, 2, 3, 5)
 	set := Settings{
-		RelayIndex:          c.n(relays),
+		RelayIndex:          c.intN(relays),
 		Relays:              relays,
-		Zone:                Zone(c.n(zones)),
+		Zone:                Zone(c.intN(zones)),
 		Zones:               zones,
 		Classes:             goldenClasses(),
 		MaxAttempts:         goldenPick(c, 1, 2, 2, 3, 3),
@@ -120,7 +120,8 @@
 			OverloadFactor:    goldenPick(c, 2.0, 3.0),
 			OverloadWindow:    goldenPick(c, 0, time.Second, 3*time.Second),
 		},
-		Prices:                  Prices{CrossZone: goldenPick(c, 0, 0.05, 0.5), Probe: 0.002, Migration: 0.02},
+		Prices: Prices{CrossZone: goldenPick(c, 0, 0.05, 0.5), Probe: 0.002,
+			Migration: 0.02},
 		OverQuotaPriorityWeight: 0.5,
 	}
 	for range goldenPick(c, 0, 1, 2, 4) {
@@ -131,10 +132,10 @@
 	return set
 }
 
-// drawRequest draws a request, and enters it with the course.
+// drawRequest draws a request and stores it in the course.
 func (c *goldenCourse) drawRequest(key uint64, returned bool) Request {
 	r := Request{
-		ID: RequestID(len(c.conns) + 1), Class: Class(c.n(5)), Tenant: Tenant(c.n(5) - 1),
+		ID: RequestID(len(c.conns) + 1), Class: Class(c.intN(5)), Tenant: Tenant(c.intN(5) - 1),
 		Key: key, LoadHint: c.rng.Float64(), Returning: returned, ExistingFlow: c.chance(0.1),
 		TimeLeft: goldenPick(c, 2*time.Second, 2*time.Second, time.Second, c.upTo(300*ms), 4*time.Second),
 	}
@@ -152,10 +153,11 @@
 	r := c.drawRequest(0, false)
 	on := c.anyServer()
 	conn := c.conn(r.ID)
-	conn.on, conn.open, conn.attempts = int(on), true, 1
+	conn.server, conn.open, conn.attempts = int(on), true, 1
 	c.servers[on].open++
 	c.handle(InheritedConnection{Request: r, Server: on})
-	c.after(c.upTo(2*c.life), Outcome{ID: r.ID, Server: on, Status: OK, Closed: true, Report: NoLoadReport})
+	c.scheduleEvent(c.upTo(2*c.meanLife),
+		Outcome{ID: r.ID, Server: on, Status: OK, Closed: true, Report: NoLoadReport})
 }
 
 func (c *goldenCourse) drawGossip() GossipReading {
@@ -166,7 +168,7 @@
 	case c.chance(0.05):
 		gossip.PlacementDelta = 700
 	default:
-		gossip.PlacementDelta = c.n(7) - 3
+		gossip.PlacementDelta = c.intN(7) - 3
 	}
 	return gossip
 }
@@ -177,7 +179,7 @@
 		BudgetShare:       c.rng.Float64(),
 		FarBudgetShare:    c.rng.Float64() / 10,
 		PeerRequestRate:   goldenPick(c, -1, 0, 20*c.rng.Float64(), 300),
-		PeerConnections:   goldenPick(c, -1, 0, c.n(2000)),
+		PeerConnections:   goldenPick(c, -1, 0, c.intN(2000)),
 		PeerMigrationRate: goldenPick(c, 0, 0, 5*c.rng.Float64()),
 		SharesReadings:    c.chance(0.5),
 		SharesPlacements:  c.chance(0.5),
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// goldenFile holds a line for each seed: the seed, a hash of all that the Balancer answered over that
-// seed's course of events, and how many actions these were.
+// goldenFile has a line for each seed: the seed, a hash of all actions and views that the Balancer returned
+// for that seed's sequence of events, and the number of actions.
 const (
 	goldenFile  = "testdata/golden_actions.txt"
 	goldenSeeds = 320
 )
 
-// A refactoring changes no decision: the same drawn courses of events bring the same actions, and the same
-// views to those who watch, bit by bit and in the same order, random draws included. A change that is meant
-// to decide otherwise writes the file anew, and says so:
+// A refactoring must not change a decision: the same sequences of events must produce the same actions and
+// views, bit by bit and in the same order, including all random draws. A change that is meant to change
+// decisions rewrites the file, and its commit says so:
 //
 //	CAPERSAIL_WRITE_GOLDEN=1 go test ./decide -run TestGoldenActions
 //
-// The hashes hold on amd64; a processor that fuses multiplication and addition may round otherwise.
+// The hashes are valid on amd64; a processor that fuses multiplication and addition may round differently.
 func TestGoldenActions(t *testing.T) {
 	var got strings.Builder
 	for seed := range uint64(goldenSeeds) {
@@ -41,7 +41,7 @@
 	}
 	want, have := strings.Split(string(text), "\n"), strings.Split(got.String(), "\n")
 	if len(want) != len(have) {
-		t.Fatalf("%d lines in %s, %d seeds played", len(want), goldenFile, len(have))
+		t.Fatalf("%d lines in %s, %d wanted, one for each seed", len(want), goldenFile, len(have))
 	}
 	differ := 0
 	for i := range want {
@@ -49,23 +49,23 @@
 			continue
 		}
 		if differ++; differ <= 10 {
-			t.Errorf("seed, hash, actions: %s, want %s", have[i], want[i])
+			t.Errorf("seed, hash, number of actions: %s, want %s", have[i], want[i])
 		}
 	}
 	if differ > 10 {
-		t.Errorf("%d seeds differ in all", differ)
+		t.Errorf("%d seeds differ in total", differ)
 	}
 }
 
-// observe hashes what those see who watch.
+// observe hashes the read-only views of the Balancer.
 func (c *goldenCourse) observe() {
 	c.views = c.b.ProbePool(make([]PooledServer, 0, goldenPick(c, 3, 64, 400)))
-	c.add(uint64(len(c.views)))
+	c.hashNumbers(uint64(len(c.views)))
 	for _, v := range c.views {
-		c.add(uint64(v.Server), math.Float64bits(v.EstimatedLoad))
-		c.add(uint64(v.ReadingAge), goldenBool(v.InSlowStart))
+		c.hashNumbers(uint64(v.Server), math.Float64bits(v.EstimatedLoad))
+		c.hashNumbers(uint64(v.ReadingAge), goldenBool(v.InSlowStart))
 	}
-	c.add(uint64(c.b.EjectedCount()))
+	c.hashNumbers(uint64(c.b.EjectedCount()))
 }
 
 func goldenBool(is bool) uint64 {
@@ -75,40 +75,40 @@
 	return 0
 }
 
-// hashAction writes an action as numbers: names may change, these may not.
+// hashAction hashes an action as numbers, which must not change, while names may.
 func (c *goldenCourse) hashAction(act Action) {
 	switch a := act.(type) {
 	case Forward:
-		c.add(1, uint64(a.ID), uint64(a.Server), uint64(a.Timeout))
+		c.hashNumbers(1, uint64(a.ID), uint64(a.Server), uint64(a.Timeout))
 	case Reject:
-		c.add(2, uint64(a.ID), uint64(a.RetryAfter), uint64(a.Reason))
+		c.hashNumbers(2, uint64(a.ID), uint64(a.RetryAfter), uint64(a.Reason))
 	case Fail:
-		c.add(3, uint64(a.ID), uint64(a.Reason))
+		c.hashNumbers(3, uint64(a.ID), uint64(a.Reason))
 	case Migrate:
-		c.add(4, uint64(a.ID))
+		c.hashNumbers(4, uint64(a.ID))
 	case Probe:
-		c.add(5, uint64(a.Server))
+		c.hashNumbers(5, uint64(a.Server))
 	case Timer:
-		c.add(6, uint64(a.After), a.Token)
+		c.hashNumbers(6, uint64(a.After), a.Token)
 	case Subscribe:
-		c.add(7)
+		c.hashNumbers(7)
 	case FetchSnapshot:
-		c.add(8)
+		c.hashNumbers(8)
 	case CancelAttempt:
-		c.add(9, uint64(a.ID), uint64(a.Attempt))
+		c.hashNumbers(9, uint64(a.ID), uint64(a.Attempt))
 	case CloseIdleConnections:
-		c.add(10, uint64(a.Server))
+		c.hashNumbers(10, uint64(a.Server))
 	case SendToPeer:
-		c.add(11, uint64(a.Peer), uint64(len(a.Data)))
+		c.hashNumbers(11, uint64(a.Peer), uint64(len(a.Data)))
 	case Log:
-		c.add(12, uint64(len(a.Text)))
+		c.hashNumbers(12, uint64(len(a.Text)))
 	default:
-		c.t.Fatal("an action of a type that the golden test does not know")
+		c.t.Fatal("unknown action type: add it to hashAction with a number of its own")
 	}
 }
 
-// add mixes numbers into the hash: FNV-1a over their eight bytes each.
-func (c *goldenCourse) add(numbers ...uint64) {
+// hashNumbers mixes numbers into the hash: FNV-1a over the eight bytes of each.
+func (c *goldenCourse) hashNumbers(numbers ...uint64) {
 	for _, n := range numbers {
 		for range 8 {
 			c.hash = (c.hash ^ n&0xff) * 1099511628211
--- a/decide/idempotency_test.go
+++ b/decide/idempotency_test.go
@@ -15,7 +15,7 @@
 		{ScopeCell, true, false, false},
 	} {
 		if got := c.scope.Covers(c.sameZone, c.sameCell); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("case %+v: got %v, want the opposite", c, got)
 		}
 	}
 }
@@ -33,7 +33,7 @@
 		{NonIdempotent, ScopeAll, false},
 	} {
 		if got := c.kind.RepeatIsHarmless(c.scope); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("case %+v: got %v, want the opposite", c, got)
 		}
 	}
 }
--- a/decide/key_failures.go
+++ b/decide/key_failures.go
@@ -1,7 +1,7 @@
 package decide
 
-// maxFailingKeysPerGeneration bounds the failing keys stored in each of two generations.
-const maxFailingKeysPerGeneration = 1024
+// maxFailingKeys bounds the failing keys stored in each of two generations.
+const maxFailingKeys = 1024
 
 // keyFailureCounts counts the rejections of requests with a key since a connection of that key was last
 // opened. Old keys are dropped a generation at a time.
@@ -14,7 +14,7 @@
 		return 1
 	}
 	n := max(f.recent[key], f.previous[key]) + 1
-	if f.recent == nil || len(f.recent) >= maxFailingKeysPerGeneration {
+	if f.recent == nil || len(f.recent) >= maxFailingKeys {
 		f.recent, f.previous = map[uint64]int{}, f.recent
 	}
 	f.recent[key] = n
--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A report is up to a second old when it is read. Twenty placed within 300 ms once counted for nothing
-// after a probe that brought the old figure again, and the server's overload went unseen for 4 s.
+// A load report may be up to a second old when it is read. Guards against a probe that brings an old report
+// and makes own placements since then count for nothing: twenty placements within 300 ms were forgotten, and
+// the server's overload went unnoticed for 4 s.
 func TestOldReadingDoesNotHidePlacements(t *testing.T) {
 	r := newRelay(t, settings(), 1, 1)
 	r.b.load.learnedLoadPerConnection = 0.05
@@ -16,51 +17,52 @@
 		r.place(newRequest(id), loads)
 	}
 	read := func() float64 {
-		r.do(ProbeResult{Server: 0, Latency: ms, Report: loadReport(0.1, 2)})
+		r.handle(ProbeResult{Server: 0, Latency: ms, Report: loadReport(0.1, 2)})
 		return r.b.load.estimatedLoad(&r.b.endpoints.servers[0])
 	}
 	if got := r.advance(loadReportDelay / 2); read() < 0.2 {
-		t.Errorf("%v after four placements: %v",
+		t.Errorf("estimated load %v after four placements: %v, want at least 0.2",
 			loadReportDelay/2, r.b.load.estimatedLoad(&got.b.endpoints.servers[0]))
 	}
 	if r.advance(loadReportDelay); read() > 0.11 {
-		t.Error("placements are counted beside a reading that counts them")
+		t.Error("placements that the load report includes are still added to it")
 	}
 }
 
-// For its first second or two a server has no report yet. That was taken for a load of 0: clients were
-// migrated off a server at 1.04 onto one with three times its connections. It stays to be read, and counts
-// what is held there.
+// A server has no load report for its first second or two. Guards against taking that for a load of 0:
+// clients were migrated off a server at a load of 1.04 onto one with three times its connections. Such a
+// server must still be probed, and its load is guessed from the connections held there.
 func TestServerWithoutALoadReportIsNotIdle(t *testing.T) {
 	set := settings()
 	set.Relays, set.Tenants[0].ConnectionQuota = 3, 60
 	r := newRelay(t, set, 1, 2)
 	for id := RequestID(1); id <= 10; id++ {
-		r.do(InheritedConnection{Request: newRequest(id), Server: 0})
+		r.handle(InheritedConnection{Request: newRequest(id), Server: 0})
 	}
-	r.do(ProbeResult{Server: 0, Latency: ms, Report: NoLoadReport})
-	r.do(ProbeResult{Server: 1, Latency: ms, Report: loadReport(0.3, -1)})
-	if got := actionsOf[Forward](r.do(newRequest(20))); len(got) != 1 || got[0].Server != 1 {
-		t.Errorf("placed as %v beside a server that holds ten and has no report", got)
+	r.handle(ProbeResult{Server: 0, Latency: ms, Report: NoLoadReport})
+	r.handle(ProbeResult{Server: 1, Latency: ms, Report: loadReport(0.3, -1)})
+	if got := actionsOf[Forward](r.handle(newRequest(20))); len(got) != 1 || got[0].Server != 1 {
+		t.Errorf("forwarded as %v, want to server 1: server 0 holds ten connections and has no load report",
+			got)
 	}
-	watchDue := TimerFired{Token: timerLoadCheck.token(0)}
-	probes := actionsOf[Probe](r.advance(2 * loadCheckInterval).do(watchDue))
+	loadCheckDue := TimerFired{Token: timerLoadCheck.token(0)}
+	probes := actionsOf[Probe](r.advance(2 * loadCheckInterval).handle(loadCheckDue))
 	if !slices.Contains(probes, Probe{Server: 0}) {
-		t.Errorf("the watch asks %v, not the server without a report", probes)
+		t.Errorf("probes of the load check: %v, want one of server 0, which has no load report", probes)
 	}
 }
 
-// Where no report tells a load and no tenant has a quota, every server was reckoned at 0: a relay sent all
-// of a group to the first of its subset, whatever it held there and however long that took to answer, and a
-// server in slow start got what a constant allowed.
+// Without load reports and tenant quotas, every server used to count as idle: a relay placed all connections
+// of a group on the first server of its subset, whatever it held there and however slowly that server
+// answered probes, and a server in slow start got a constant number of connections.
 func TestSpreadsWithoutLoadReports(t *testing.T) {
 	place := func(took func(ServerID) time.Duration) map[ServerID]int {
 		set := settings()
 		set.Tenants, set.GroupAffinity, set.Relays = nil, true, 1
 		r := newRelay(t, set, 3, 8)
-		on := map[ServerID]int{}
+		placed := map[ServerID]int{}
 		for id := RequestID(1); id <= 200; id++ {
-			acts := r.advance(300 * ms).do(Request{
+			acts := r.advance(300 * ms).handle(Request{
 				ID:       id,
 				Tenant:   NoTenant,
 				TimeLeft: 2 * time.Second,
@@ -68,25 +70,27 @@
 			})
 			for i := 0; i < len(acts); i++ {
 				if p, ok := acts[i].(Probe); ok {
-					acts = append(acts, r.do(ProbeResult{
+					acts = append(acts, r.handle(ProbeResult{
 						Server: p.Server, Latency: took(p.Server), Report: NoLoadReport,
 					})...)
 				}
 			}
 			for _, s := range actionsOf[Forward](acts) {
-				on[s.Server]++
-				r.do(ConnectionOpened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
+				placed[s.Server]++
+				r.handle(ConnectionOpened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
 			}
 		}
-		return on
+		return placed
 	}
 	even := place(func(ServerID) time.Duration { return 4 * ms })
 	most, used := 0, 0
 	for _, n := range even {
 		most, used = max(most, n), used+1
 	}
-	if most > 70 || used < 5 { // half of them are one group's, which the first of its subset got all
-		t.Errorf("200 connections of seven groups over eight servers: %v", even)
+	if most > 70 || used < 5 { // one group has half of them; the first server of its subset got all of those
+		t.Errorf(
+			"200 connections of seven groups by server: %v, want at most 70 on one and at least 5 used",
+			even)
 	}
 	late := place(func(id ServerID) time.Duration {
 		if id == 2 {
@@ -95,12 +99,13 @@
 		return 4 * ms
 	})
 	if late[2] > even[2]/2 {
-		t.Errorf("one that takes 120 ms to answer a probe got %d, and %d when it took 4: %v",
+		t.Errorf(
+			"server 2 got %d connections with probes of 120 ms and %d with 4 ms, want at most half: %v",
 			late[2], even[2], late)
 	}
 }
 
-// A load report counts what is older than its delay, and no more.
+// A load report includes the changes that are older than its delay, and no others.
 func TestReadingDropsWhatItCounts(t *testing.T) {
 	var r reading
 	for at := range time.Duration(4) {
@@ -112,7 +117,7 @@
 	r.dropReportedChanges(1)
 	got := [3]int{len(r.unreportedPlacements), len(r.unreportedPeerPlacements), len(r.unreportedCloses)}
 	if want := [3]int{2, 0, 4}; got != want {
-		t.Errorf("left %v of placements, peers' and closes, want %v", got, want)
+		t.Errorf("unreported placements, peer placements and closes left: %v, want %v", got, want)
 	}
 }
 
@@ -122,7 +127,7 @@
 		r.recordPeerPlacements(maxUnreportedPeerPlacements/2+1, 0)
 	}
 	if n := len(r.unreportedPeerPlacements); n != maxUnreportedPeerPlacements {
-		t.Errorf("%d kept, want %d", n, maxUnreportedPeerPlacements)
+		t.Errorf("%d peer placements stored, want %d", n, maxUnreportedPeerPlacements)
 	}
 }
 
@@ -130,22 +135,22 @@
 	m := &loadModel{environment: testEnvironment(settings())}
 	for range 20 {
 		if m.recordProbeLatency(4 * ms) {
-			t.Fatal("the usual is slow")
+			t.Fatal("a probe with the usual latency counts as slow")
 		}
 	}
 	if !m.recordProbeLatency(40 * ms) {
-		t.Error("ten times the usual is not slow")
+		t.Error("a probe with ten times the usual latency does not count as slow")
 	}
-	for range 100 { // everything is slower now
+	for range 100 { // all servers have become slower
 		m.recordProbeLatency(40 * ms)
 	}
 	if m.recordProbeLatency(40 * ms) {
-		t.Error("what all probes take is slow")
+		t.Error("a probe with the latency of all recent probes counts as slow")
 	}
 }
 
-// What a server that is never read has had placed and closed takes bounded space, and what is open there is
-// still counted. Guards against a process that keeps each of its placements for good.
+// The changes stored for a server that is never read take bounded space, and the number of connections open
+// there stays right. Guards against a process that stores every placement for good.
 func TestUnreadServersTakeBoundedSpace(t *testing.T) {
 	const open = 300
 	var r reading
@@ -157,15 +162,16 @@
 	}
 	placements, closes := len(r.unreportedPlacements), len(r.unreportedCloses)
 	if placements > maxUnreportedChanges || closes > maxUnreportedChanges {
-		t.Errorf("%d placements and %d closes are kept", placements, closes)
+		t.Errorf("%d placements and %d closes stored, want at most maxUnreportedChanges of each",
+			placements, closes)
 	}
 	if placements-closes != open {
-		t.Errorf("%d are counted as open, not %d", placements-closes, open)
+		t.Errorf("%d connections count as open, want %d", placements-closes, open)
 	}
-	for i := range 4 * maxUnreportedChanges { // whatever is never closed, or was not placed here
+	for i := range 4 * maxUnreportedChanges { // closes of connections that this relay did not place
 		r.recordClose(time.Duration(i))
 	}
 	if len(r.unreportedCloses) > maxUnreportedChanges {
-		t.Errorf("%d closes are kept", len(r.unreportedCloses))
+		t.Errorf("%d closes stored, want at most maxUnreportedChanges", len(r.unreportedCloses))
 	}
 }
--- a/decide/probes_test.go
+++ b/decide/probes_test.go
@@ -10,30 +10,30 @@
 	r := newRelay(t, settings(), 1, 4)
 	r.place(newRequest(1), map[ServerID]float64{0: 0.5, 1: 0.5, 2: 0.1, 3: 0.5})
 	r.advance(readingTTL + ms)
-	if probes := actionsOf[Probe](r.do(newRequest(2))); len(probes) != probesPerPlacement {
-		t.Errorf("%d probes for a stale pool, want %d", len(probes), probesPerPlacement)
+	if probes := actionsOf[Probe](r.handle(newRequest(2))); len(probes) != probesPerPlacement {
+		t.Errorf("%d probes with a stale pool, want %d", len(probes), probesPerPlacement)
 	}
 }
 
-// Where a message was late work is piled up, whatever load is asked of the server now.
+// A late message means that the server has a backlog, whatever its present load is.
 func TestServerWithLateMessagesCountsAsFull(t *testing.T) {
 	set := settings()
-	set.Relays = 1 // nobody else places anything, so the pick is the least loaded
+	set.Relays = 1 // no other relay places connections, so the pick is the least loaded
 	loads := map[ServerID]float64{0: 0.2, 1: 0.4}
 	r := newRelay(t, set, 3, 2)
 	on := r.place(newRequest(1), loads)
-	r.open(1, on)
-	r.answer(r.do(MessageDelay{ID: 1, Server: on, Delay: 400 * ms}), loads)
+	r.openConnection(1, on)
+	r.answerProbes(r.handle(MessageDelay{ID: 1, Server: on, Delay: 400 * ms}), loads)
 	if got := r.place(newRequest(2), loads); got != 1 {
-		t.Errorf("placed on %d while its messages are late", got)
+		t.Errorf("placed on server %d, want 1: messages of server 0 are late", got)
 	}
 	if got := r.advance(3*time.Second).place(newRequest(3), loads); got != 0 {
-		t.Errorf("placed on %d, though the other has been in time for 3 s", got)
+		t.Errorf("placed on server %d, want 0, whose messages have been on time for 3 s", got)
 	}
 }
 
-// Where a class has no latency objective for messages, none of its messages is late, and its server has the
-// room that it reports.
+// Without a latency objective for messages in a class, none of its messages is late, and its server keeps the
+// capacity that it reports.
 func TestNoMessageIsLateWithoutAnObjective(t *testing.T) {
 	set := settings()
 	set.Relays, set.Classes[0].MessageLatencyObjective = 1, 0
@@ -42,38 +42,40 @@
 	for id := RequestID(1); id <= 6; id++ {
 		on := r.place(newRequest(id), loads)
 		if on < 0 {
-			t.Fatalf("request %d is rejected, at a load of 0.2", id)
+			t.Fatalf("request %d was rejected at a load of 0.2, want a placement", id)
 		}
-		r.open(id, on)
-		r.answer(r.do(MessageDelay{ID: id, Server: on, Delay: 80 * ms}), loads)
+		r.openConnection(id, on)
+		r.answerProbes(r.handle(MessageDelay{ID: id, Server: on, Delay: 80 * ms}), loads)
 	}
 	for _, v := range r.b.ProbePool(make([]PooledServer, 0, 2)) {
 		if v.EstimatedLoad >= 0.6 {
-			t.Errorf("server %d, which reports 0.2, is taken for %.2f", v.Server, v.EstimatedLoad)
+			t.Errorf("server %d reports a load of 0.2 and is estimated at %.2f, want less than 0.6",
+				v.Server, v.EstimatedLoad)
 		}
 	}
 }
 
-// What other relays tell is evidence with an age: it counts while it is young, gives way to what is newer,
-// and says nothing of a server that failed this relay.
+// A reading that another relay shares has an age: it is used while it is fresh, gives way to a newer one, and
+// does not end the ejection of a server by this relay.
 func TestGossipReadingsAgeAndGiveWay(t *testing.T) {
 	r := newRelay(t, settings(), 1, 4)
-	r.do(FleetStatus{Relays: 9, BudgetShare: 1.0 / 9, SharesReadings: true})
+	r.handle(FleetStatus{Relays: 9, BudgetShare: 1.0 / 9, SharesReadings: true})
 	gossip := func(id ServerID, age time.Duration, load float64) {
-		r.do(GossipReading{Server: id, Age: age, Report: loadReport(load, -1)})
+		r.handle(GossipReading{Server: id, Age: age, Report: loadReport(load, -1)})
 	}
 	gossip(0, 300*ms, 0.4)
-	gossip(0, 600*ms, 0.9) // older than what is held
+	gossip(0, 600*ms, 0.9) // older than the stored reading
 	if s := r.b.endpoints.stateOf(0); s.reading.load != 0.4 || s.reading.at != r.now-300*ms {
-		t.Errorf("holds %.1f of %v", s.reading.load, r.now-s.reading.at)
+		t.Errorf("reading with load %.1f and age %v, want 0.4 and 300 ms", s.reading.load, r.now-s.reading.at)
 	}
 	for i := range ServerID(3) {
 		gossip(i+1, 200*ms, 0.4)
 	}
-	if acts := r.do(newRequest(1)); len(actionsOf[Probe](acts)) != 0 || len(actionsOf[Forward](acts)) != 1 {
-		t.Errorf("with all readings at hand: %v", acts)
+	if acts := r.handle(newRequest(1)); len(actionsOf[Probe](acts)) != 0 ||
+		len(actionsOf[Forward](acts)) != 1 {
+		t.Errorf("actions with four fresh readings: %v, want one Forward and no Probe", acts)
 	}
-	r.do(Outcome{
+	r.handle(Outcome{
 		ID:      1,
 		Attempt: 1,
 		Server:  r.b.requests.requests[1].server,
@@ -85,10 +87,10 @@
 	}))
 	gossip(failed, 0, 0.1)
 	if s := r.b.endpoints.stateOf(failed); !s.health.ejected || s.reading.usable() {
-		t.Error("gossip brought a failed server back")
+		t.Error("a shared reading ended the ejection of a server or made its reading usable")
 	}
 	r.advance(2 * readingTTL)
-	if acts := r.do(newRequest(2)); len(actionsOf[Probe](acts)) == 0 {
-		t.Errorf("readings of over 2 s ago still count: %v", acts)
+	if acts := r.handle(newRequest(2)); len(actionsOf[Probe](acts)) == 0 {
+		t.Errorf("actions with readings older than 2 s: %v, want probes", acts)
 	}
 }
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -2,25 +2,26 @@
 
 import "testing"
 
-// A relay that holds few of the connections learnt from its own that each takes a sixth of a server, and
-// rejected most of what came from another at that one's restart. The tenants' quotas bound what it may
-// believe. One that has just started, and has learnt nothing, sent 41 in a row to one server: they stand
-// for it in a pick.
+// The tenants' quotas bound the load per connection that a relay learns. Without that bound, a relay that
+// held few of the connections learned that each uses a sixth of a server, and rejected most requests that
+// came from another relay at its restart. The quotas also stand in for the load per connection at a relay
+// that has just started: without them, one placed 41 connections in a row on one server.
 func TestQuotasBoundLoadPerConnection(t *testing.T) {
 	set := settings()
 	set.Tenants[0].ConnectionQuota, set.Tenants[1].ConnectionQuota = 60, 60
 	r := newRelay(t, set, 1, 5)
 	mean := quotaCapacityShare * 5 / 120.0
 	loads := map[ServerID]float64{0: 0.1, 1: 0.1, 2: 0.1, 3: 0.1, 4: 0.1}
-	counts := map[ServerID]int{}
+	forwards := map[ServerID]int{}
 	for id := RequestID(1); id <= 20; id++ {
-		for _, s := range actionsOf[Forward](r.answer(r.do(newRequest(id)), loads)) {
-			counts[s.Server]++
+		for _, s := range actionsOf[Forward](r.answerProbes(r.handle(newRequest(id)), loads)) {
+			forwards[s.Server]++
 		}
 	}
-	for on, n := range counts {
+	for on, n := range forwards {
 		if n > 8 {
-			t.Errorf("a fresh relay sent %d of 20 to server %d", n, on)
+			t.Errorf("a relay that has just started forwarded %d of 20 requests to server %d, want at most 8",
+				n, on)
 		}
 	}
 	r.b.load.learnedLoadPerConnection, r.b.requests.ownConnections = 0, 3
@@ -30,7 +31,9 @@
 		}, NoLoadReport)
 	}
 	if got := r.b.load.learnedLoadPerConnection; got < mean || got > maxLoadOverQuotaMean*mean+1e-9 {
-		t.Errorf("a connection adds %.3f, by the quotas about %.3f", got, mean)
+		t.Errorf(
+			"learned load per connection %.3f, want 1 to 2.5 times %.3f, the estimate from the quotas",
+			got, mean)
 	}
 }
 
@@ -38,13 +41,13 @@
 	q := newQuota([]TenantInfo{{ConnectionQuota: 30}, {ConnectionQuota: 50}})
 	all := q.loadPerConnection(10)
 	if want := quotaCapacityShare * 10 / 80; all != want {
-		t.Errorf("ten servers: %.3f, want %.3f", all, want)
+		t.Errorf("load per connection with ten servers: %.3f, want %.3f", all, want)
 	}
 	if left := q.loadPerConnection(2); left != all {
-		t.Errorf("after a crash: %.3f, want %.3f", left, all)
+		t.Errorf("load per connection after eight servers have crashed: %.3f, want %.3f", left, all)
 	}
 	none := newQuota(nil)
 	if got := none.loadPerConnection(10); got != 0 {
-		t.Errorf("without quotas: %.3f", got)
+		t.Errorf("load per connection without quotas: %.3f, want 0", got)
 	}
 }
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -13,17 +13,19 @@
 			for id := range RequestID(failures) {
 				req := newRequest(id + 1)
 				req.Key = 42
-				refused := actionsOf[Reject](r.do(req))
-				if len(refused) != 1 || refused[0].RetryAfter > time.Second {
-					t.Fatalf("want one rejection within the cap: %v", refused)
+				rejections := actionsOf[Reject](r.handle(req))
+				if len(rejections) != 1 || rejections[0].RetryAfter > time.Second {
+					t.Fatalf("rejections %v, want one with a Retry-After of at most 1 s", rejections)
 				}
-				last = refused[0]
+				last = rejections[0]
 			}
 			most = max(most, last.RetryAfter)
 		}
 		return most
 	}
 	if once, thrice := longest(1), longest(3); once > 300*ms || thrice <= once {
-		t.Errorf("retry-after up to %v after one failure, %v after three", once, thrice)
+		t.Errorf(
+			"Retry-After of up to %v after one failure and %v after three, want at most 300 ms, then more",
+			once, thrice)
 	}
 }
--- a/decide/requests_test.go
+++ b/decide/requests_test.go
@@ -12,12 +12,12 @@
 	r.server, r.phase = 0, phaseInFlight
 	table.addConnection(r)
 	if table.endRequest(r); table.requests[1] != r || r.phase != phaseDone {
-		t.Fatal("forgotten while its attempt is in flight")
+		t.Fatal("the request was dropped, or is not done, while its attempt is in flight")
 	}
 	table.removeConnection(r)
 	table.removeConnection(r) // a second time changes nothing
 	if table.endRequest(r); len(table.requests) != 0 || table.ownConnections != 0 {
-		t.Errorf("%d requests and %d connections left", len(table.requests), table.ownConnections)
+		t.Errorf("%d requests and %d connections left, want none", len(table.requests), table.ownConnections)
 	}
 }
 
@@ -27,25 +27,27 @@
 	table.queueRequest(r, 20*ms)
 	timers := actionsOf[Timer](table.actions)
 	if len(table.queuedRequests) != 1 || r.wakeAt != table.now+20*ms {
-		t.Fatalf("%d queued, until %v", len(table.queuedRequests), r.wakeAt)
+		t.Fatalf("%d requests queued until %v, want one until 20 ms from now",
+			len(table.queuedRequests), r.wakeAt)
 	}
 	if len(timers) != 1 || timers[0].After != 20*ms {
-		t.Fatalf("timers %v", timers)
+		t.Fatalf("timers %v, want one after 20 ms", timers)
 	}
 	table.dequeueRequest(r)
 	table.dequeueRequest(r)
 	if len(table.queuedRequests) != 0 {
-		t.Error("still queued")
+		t.Error("the request is still queued after dequeueRequest")
 	}
 }
 
-// Only what was sent counts against a server's slow-start budget, not what was inherited.
+// Only attempts that this relay sent count against a server's slow-start budget, not inherited connections.
 func TestInheritedConnectionsAreNoAttempts(t *testing.T) {
 	table := newTestRequests()
 	table.trackInheritedConnection(InheritedConnection{Request: newRequest(1), Server: 2})
 	s := table.endpoints.stateOf(2)
 	if len(s.connections) != 1 || table.ownConnections != 1 || len(s.slowStart.recentAttempts) != 0 {
-		t.Errorf("%d connections, %d attempts", len(s.connections), len(s.slowStart.recentAttempts))
+		t.Errorf("%d connections and %d attempts at the server, want 1 and 0",
+			len(s.connections), len(s.slowStart.recentAttempts))
 	}
 }
 
@@ -53,11 +55,11 @@
 	table := newTestRequests()
 	r := table.trackRequest(Request{ID: 1, Class: 99, Tenant: 99, Group: 5})
 	if r.Class != 2 || r.Tenant != 2 || r.Group != 0 {
-		t.Errorf("class %d, tenant %d, group %d", r.Class, r.Tenant, r.Group)
+		t.Errorf("replaced by class %d, tenant %d, group %d, want 2, 2 and 0", r.Class, r.Tenant, r.Group)
 	}
 }
 
-// Rule 2 goes by the first attempt that may have run, and only where a repeat does harm.
+// Rule 2 depends on the first attempt that may have run, and only for classes that are not idempotent.
 func TestFirstRunIsRecorded(t *testing.T) {
 	table := newTestRequests()
 	for _, c := range []struct {
@@ -69,7 +71,8 @@
 		table.recordPossibleRun(r, Outcome{Server: 3, Status: c.status})
 		table.recordPossibleRun(r, Outcome{Server: 4, Status: c.status})
 		if r.mayHaveRunOn != c.want {
-			t.Errorf("class %d, %v: may have run on %d, want %d", c.class, c.status, r.mayHaveRunOn, c.want)
+			t.Errorf("class %d, status %v: may have run on server %d, want %d",
+				c.class, c.status, r.mayHaveRunOn, c.want)
 		}
 	}
 }
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -11,18 +11,18 @@
 	for seed := range uint64(20) {
 		r := newRelay(t, settings(), seed, 4)
 		first := r.place(newRequest(1), loads)
-		acts := r.advance(10 * ms).do(Outcome{ID: 1, Server: first, Status: Reset, Report: NoLoadReport})
+		acts := r.advance(10 * ms).handle(Outcome{ID: 1, Server: first, Status: Reset, Report: NoLoadReport})
 		timers := actionsOf[Timer](acts)
 		if len(timers) != 1 || timers[0].After > 75*ms {
-			t.Fatalf("no backoff within a quarter of the latency objective: %v", acts)
+			t.Fatalf("actions after a failed attempt: %v, want a backoff of at most 75 ms", acts)
 		}
 		waits[timers[0].After] = true
-		acts = r.answer(r.advance(timers[0].After).do(TimerFired{Token: timers[0].Token}), loads)
+		acts = r.answerProbes(r.advance(timers[0].After).handle(TimerFired{Token: timers[0].Token}), loads)
 		sends := actionsOf[Forward](acts)
 		if len(sends) != 1 || sends[0].Server == first {
-			t.Fatalf("second try: %v, want one on another server than %d", acts, first)
+			t.Fatalf("actions after the backoff: %v, want an attempt on another server than %d", acts, first)
 		}
-		acts = r.advance(10 * ms).do(Outcome{
+		acts = r.advance(10 * ms).handle(Outcome{
 			ID:      1,
 			Attempt: 1,
 			Server:  sends[0].Server,
@@ -30,15 +30,15 @@
 			Report:  NoLoadReport,
 		})
 		if len(actionsOf[Reject](acts)) != 1 || len(actionsOf[Timer](acts)) != 0 {
-			t.Fatalf("after two tries: %v, want a rejection", acts)
+			t.Fatalf("actions after two failed attempts: %v, want a rejection", acts)
 		}
 	}
 	if len(waits) < 10 {
-		t.Errorf("backoff is not jittered: %v", waits)
+		t.Errorf("backoffs of 20 relays: %v, want at least 10 different ones", waits)
 	}
 }
 
-// One tenant's surge of failures must not use up another's retries.
+// A surge of failures of one tenant must not use up the retries of another.
 func TestRetryBudgetIsPerTenant(t *testing.T) {
 	r := newRelay(t, settings(), 1, 8)
 	loads := map[ServerID]float64{}
@@ -52,7 +52,7 @@
 		if on < 0 {
 			t.Fatalf("request %d was not placed", id)
 		}
-		return len(actionsOf[Timer](r.do(Outcome{
+		return len(actionsOf[Timer](r.handle(Outcome{
 			ID:     id,
 			Server: on,
 			Status: AtCapacity,
@@ -66,10 +66,10 @@
 		}
 	}
 	if retries < int(maxRetryTokens) || retries > 6 {
-		t.Errorf("%d of 20 failures were retried; want the burst and a fifth of the rest", retries)
+		t.Errorf("%d of 20 failures were retried, want the saved tokens and a fifth of the rest", retries)
 	}
 	if !fail(21, 1) {
-		t.Error("another tenant's bucket was drained")
+		t.Error("a failure of another tenant was not retried: its tokens were used up")
 	}
 }
 
@@ -79,11 +79,11 @@
 		class  Class
 		status Status
 		retry  bool
-		refuse bool // after the last try
+		reject bool // after the last attempt
 	}{
-		{"safe, may have run", 0, Reset, true, true},
-		{"unsafe, never ran", 1, AtCapacity, true, true},
-		{"unsafe, may have run", 1, Errored, false, false},
+		{"idempotent, may have run", 0, Reset, true, true},
+		{"not idempotent, never ran", 1, AtCapacity, true, true},
+		{"not idempotent, may have run", 1, Errored, false, false},
 		{"keyed, never ran", 2, ConnectFailed, true, true},
 		{"keyed, may have run", 2, Reset, true, false},
 	}
@@ -94,18 +94,19 @@
 			req := newRequest(1)
 			req.Class = c.class
 			on := r.place(req, loads)
-			acts := r.do(Outcome{ID: 1, Server: on, Status: c.status, Report: NoLoadReport})
+			acts := r.handle(Outcome{ID: 1, Server: on, Status: c.status, Report: NoLoadReport})
 			timers := actionsOf[Timer](acts)
 			if (len(timers) == 1) != c.retry {
-				t.Fatalf("%s: %v", c.name, acts)
+				t.Fatalf("%s: actions %v, retried other than wanted", c.name, acts)
 			}
 			if c.retry {
-				acts = r.answer(r.advance(timers[0].After).do(TimerFired{Token: timers[0].Token}), loads)
+				acts = r.answerProbes(
+					r.advance(timers[0].After).handle(TimerFired{Token: timers[0].Token}), loads)
 				for _, s := range actionsOf[Forward](acts) {
 					if c.class == 2 && !c.status.NeverRan() && s.Server/2 != on/2 {
-						t.Fatalf("%s: sent again outside the cell", c.name)
+						t.Fatalf("%s: retried on a server outside the cell", c.name)
 					}
-					acts = r.do(Outcome{
+					acts = r.handle(Outcome{
 						ID:      1,
 						Attempt: 1,
 						Server:  s.Server,
@@ -114,8 +115,8 @@
 					})
 				}
 			}
-			if len(actionsOf[Reject](acts)) == 1 != c.refuse || len(actionsOf[Fail](acts)) == 1 == c.refuse {
-				t.Fatalf("%s: ended with %v", c.name, acts)
+			if len(actionsOf[Reject](acts)) == 1 != c.reject || len(actionsOf[Fail](acts)) == 1 == c.reject {
+				t.Fatalf("%s: ended with %v, want the other final answer", c.name, acts)
 			}
 		}
 	}
@@ -125,23 +126,23 @@
 	b := newRetryBudget(2)
 	for range int(maxRetryTokens) {
 		if !b.hasToken(0) {
-			t.Fatal("the burst is less than the bucket")
+			t.Fatal("a full bucket has fewer than maxRetryTokens tokens")
 		}
 		b.spendToken(0)
 	}
 	if b.hasToken(0) || !b.hasToken(1) || !b.hasToken(2) {
-		t.Fatal("want an empty bucket, and two full ones")
+		t.Fatal("after spending the tokens of tenant 0, want its bucket empty and the two others full")
 	}
 	for n := 1; !b.hasToken(0); n++ {
 		if b.addTokens(0); n > 6 {
-			t.Fatalf("no token after %d requests", n)
+			t.Fatalf("no retry token after %d requests, want one after at most 6", n)
 		}
 	}
 	for range 100 {
 		b.addTokens(0)
 	}
 	if got := b.retryTokens[0]; got != maxRetryTokens {
-		t.Errorf("saved up %.1f", got)
+		t.Errorf("%.1f tokens after 100 requests, want maxRetryTokens", got)
 	}
 }
 
@@ -151,7 +152,7 @@
 		for range 400 {
 			wait := env.jitteredBackoff(100*ms, failures, time.Second)
 			if wait < 0 || wait > time.Second {
-				t.Fatalf("after %d failures: %v", failures, wait)
+				t.Fatalf("backoff after %d failures: %v, want 0 to 1 s", failures, wait)
 			}
 			most = max(most, wait)
 		}
@@ -162,7 +163,7 @@
 		limit    time.Duration
 	}{{-2, 100 * ms}, {0, 100 * ms}, {1, 200 * ms}, {3, 800 * ms}, {4, time.Second}, {1000, time.Second}} {
 		if got := longest(c.failures); got > c.limit || got < c.limit*9/10 {
-			t.Errorf("after %d failures up to %v, want up to %v", c.failures, got, c.limit)
+			t.Errorf("longest backoff after %d failures: %v, want nearly %v", c.failures, got, c.limit)
 		}
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -6,171 +6,174 @@
 	"time"
 )
 
-// world plays a random but legal course of events to one Balancer and watches the rules that one relay
-// can see: an answer for each request in time and only one, at most two attempts and never two at once,
-// nothing to a server that drains or is gone, no repeat or rejection that an effect forbids.
-type world struct {
-	t       *testing.T
-	b       *Balancer
-	set     Settings
-	rng     *rand.Rand
-	now     time.Duration
-	mode    map[ServerID]EndpointState
-	jobs    map[RequestID]*job
-	pending []pending
-	nextID  RequestID
-	sends   int
-	answers int
+// randomCourse plays a random but valid sequence of events to one Balancer and checks the rules that a single
+// relay can observe: exactly one final answer for each request, in time; at most two attempts, never two at
+// once; no attempt on a server that is draining or removed; no repeat and no rejection after an attempt that
+// may have run, unless they are safe.
+type randomCourse struct {
+	t             *testing.T
+	b             *Balancer
+	set           Settings
+	rng           *rand.Rand
+	now           time.Duration
+	states        map[ServerID]EndpointState
+	requestStates map[RequestID]*requestState
+	pending       []pendingEvent
+	nextID        RequestID
+	forwards      int
+	answers       int
 }
 
-type job struct {
-	class    Class
-	deadline time.Duration
-	attempts int
-	out      bool
-	open     bool
-	over     bool
-	mayRun   bool // an attempt ended without proof that it never ran
-	ranOn    ServerID
+type requestState struct {
+	class       Class
+	deadline    time.Duration
+	attempts    int
+	inFlight    bool
+	open        bool
+	done        bool
+	mayHaveRun  bool // an attempt ended without proof that it never ran
+	ranOnServer ServerID
 }
 
-type pending struct {
+type pendingEvent struct {
 	at time.Duration
 	ev Event
 }
 
-func (w *world) later(d time.Duration, ev Event) {
-	w.pending = append(w.pending, pending{w.now + d, ev})
+func (c *randomCourse) scheduleEvent(d time.Duration, ev Event) {
+	c.pending = append(c.pending, pendingEvent{c.now + d, ev})
 }
 
-func (w *world) do(ev Event) {
-	for _, act := range w.b.Handle(w.now, ev, nil) {
+func (c *randomCourse) handle(ev Event) {
+	for _, act := range c.b.Handle(c.now, ev, nil) {
 		switch a := act.(type) {
 		case Forward:
-			w.send(a)
+			c.forward(a)
 		case Reject:
-			j := w.conclude(a.ID, "rejection")
-			if j.mayRun && w.set.Classes[j.class].Idempotency != Idempotent {
-				w.t.Fatalf("request %d rejected although it may have run", a.ID)
+			r := c.recordFinalAnswer(a.ID, "rejection")
+			if r.mayHaveRun && c.set.Classes[r.class].Idempotency != Idempotent {
+				c.t.Fatalf("request %d was rejected although it may have run", a.ID)
 			}
-			if a.RetryAfter > w.set.MaxRetryAfter {
-				w.t.Fatalf("retry-after %v", a.RetryAfter)
+			if a.RetryAfter > c.set.MaxRetryAfter {
+				c.t.Fatalf("Retry-After %v exceeds Settings.MaxRetryAfter", a.RetryAfter)
 			}
 		case Fail:
-			w.conclude(a.ID, "failure")
+			c.recordFinalAnswer(a.ID, "failure")
 		case Migrate:
-			j := w.jobs[a.ID]
-			if j == nil || !j.open || j.over {
-				w.t.Fatalf("move of request %d, which is not open", a.ID)
+			r := c.requestStates[a.ID]
+			if r == nil || !r.open || r.done {
+				c.t.Fatalf("request %d was migrated but has no open connection", a.ID)
 			}
-			j.over = true
-			w.later(ms, Outcome{ID: a.ID, Status: Cancelled, Closed: true, Report: NoLoadReport})
+			r.done = true
+			c.scheduleEvent(ms, Outcome{ID: a.ID, Status: Cancelled, Closed: true, Report: NoLoadReport})
 		case Timer:
-			w.later(a.After, TimerFired{Token: a.Token})
+			c.scheduleEvent(a.After, TimerFired{Token: a.Token})
 		case Probe:
 			p := ProbeResult{Server: a.Server, Latency: 3 * ms, Report: NoLoadReport}
-			switch w.rng.IntN(8) {
+			switch c.rng.IntN(8) {
 			case 0:
 				p.Status = TimedOut
 			case 1:
-				p.Status = []Status{ConnectFailed, AtCapacity, Errored}[w.rng.IntN(3)]
+				p.Status = []Status{ConnectFailed, AtCapacity, Errored}[c.rng.IntN(3)]
 			default:
-				load := w.rng.Float64()
+				load := c.rng.Float64()
 				p.Report = loadReport(load, 20*load)
 			}
-			w.later(time.Duration(w.rng.IntN(100))*ms, p)
+			c.scheduleEvent(time.Duration(c.rng.IntN(100))*ms, p)
 		case Subscribe:
-			w.later(20*ms, WatchEvent{Kind: []WatchKind{Delta, WatchFailed}[w.rng.IntN(2)]})
+			c.scheduleEvent(20*ms, WatchEvent{Kind: []WatchKind{Delta, WatchFailed}[c.rng.IntN(2)]})
 		}
 	}
 }
 
-func (w *world) send(a Forward) {
-	j := w.jobs[a.ID]
-	if j == nil || j.over || j.open || j.out {
-		w.t.Fatalf("send for request %d: %+v", a.ID, j)
+func (c *randomCourse) forward(a Forward) {
+	r := c.requestStates[a.ID]
+	if r == nil || r.done || r.open || r.inFlight {
+		c.t.Fatalf("request %d was forwarded while done, open, in flight or unknown: %+v", a.ID, r)
 	}
-	if w.mode[a.Server] != Ready {
-		w.t.Fatalf("send to server %d in mode %d", a.Server, w.mode[a.Server])
+	if c.states[a.Server] != Ready {
+		c.t.Fatalf("forwarded to server %d, which is in state %d, want Ready", a.Server, c.states[a.Server])
 	}
-	if j.attempts++; j.attempts > 2 {
-		w.t.Fatalf("request %d has %d attempts", a.ID, j.attempts)
+	if r.attempts++; r.attempts > 2 {
+		c.t.Fatalf("request %d has %d attempts, want at most 2", a.ID, r.attempts)
 	}
-	if class := w.set.Classes[j.class]; j.mayRun && class.Idempotency == NonIdempotent ||
-		j.mayRun && class.Idempotency == IdempotentWithKey && a.Server/2 != j.ranOn/2 {
-		w.t.Fatalf("request %d of class %d was repeated on %d", a.ID, j.class, a.Server)
+	if class := c.set.Classes[r.class]; r.mayHaveRun && class.Idempotency == NonIdempotent ||
+		r.mayHaveRun && class.Idempotency == IdempotentWithKey && a.Server/2 != r.ranOnServer/2 {
+		c.t.Fatalf("request %d of class %d may have run and was repeated on server %d",
+			a.ID, r.class, a.Server)
 	}
-	j.out = true
-	w.sends++
-	left := j.deadline - w.now
-	took := time.Duration(w.rng.IntN(600)) * ms
+	r.inFlight = true
+	c.forwards++
+	left := r.deadline - c.now
+	took := time.Duration(c.rng.IntN(600)) * ms
 	limit := min(a.Timeout, left)
-	end := Outcome{ID: a.ID, Attempt: j.attempts - 1, Server: a.Server, Elapsed: took, Report: NoLoadReport}
-	switch status := Status(w.rng.IntN(8)); {
-	case took >= limit: // also the time-out at the deadline, after which the answer is still owed
+	end := Outcome{ID: a.ID, Attempt: r.attempts - 1, Server: a.Server, Elapsed: took, Report: NoLoadReport}
+	switch status := Status(c.rng.IntN(8)); {
+	case took >= limit: // also at the deadline, after which the final answer is still due
 		end.Status = TimedOut
-		w.later(limit, end)
+		c.scheduleEvent(limit, end)
 	case status == OK || status == Cancelled || status == Superseded || status == TimedOut:
-		w.later(took, ConnectionOpened{ID: a.ID, Attempt: end.Attempt, Server: a.Server, SetupLatency: took})
-		end.Status, end.Closed = []Status{OK, Reset}[w.rng.IntN(2)], true
-		w.later(took+time.Duration(w.rng.IntN(5000))*ms, end)
+		c.scheduleEvent(took,
+			ConnectionOpened{ID: a.ID, Attempt: end.Attempt, Server: a.Server, SetupLatency: took})
+		end.Status, end.Closed = []Status{OK, Reset}[c.rng.IntN(2)], true
+		c.scheduleEvent(took+time.Duration(c.rng.IntN(5000))*ms, end)
 	default:
 		end.Status = status
-		w.later(took, end)
+		c.scheduleEvent(took, end)
 	}
 }
 
-func (w *world) conclude(id RequestID, how string) *job {
-	j := w.jobs[id]
-	if j == nil || j.over || j.open || j.out {
-		w.t.Fatalf("%s of request %d: %+v", how, id, j)
+func (c *randomCourse) recordFinalAnswer(id RequestID, how string) *requestState {
+	r := c.requestStates[id]
+	if r == nil || r.done || r.open || r.inFlight {
+		c.t.Fatalf("%s of request %d while done, open, in flight or unknown: %+v", how, id, r)
 	}
-	if w.now > j.deadline+w.set.Tick {
-		w.t.Fatalf("%s of request %d came %v late", how, id, w.now-j.deadline)
+	if c.now > r.deadline+c.set.Tick {
+		c.t.Fatalf("%s of request %d came %v after its deadline", how, id, c.now-r.deadline)
 	}
-	j.over = true
-	w.answers++
-	return j
+	r.done = true
+	c.answers++
+	return r
 }
 
-// deliver hands over what has come due, in order and each at its time.
-func (w *world) deliver() {
-	until := w.now
-	defer func() { w.now = until }()
+// deliverDueEvents delivers the events that are due, in order and each at its time.
+func (c *randomCourse) deliverDueEvents() {
+	until := c.now
+	defer func() { c.now = until }()
 	for {
 		next := -1
-		for i, p := range w.pending {
-			if p.at <= until && (next < 0 || p.at < w.pending[next].at) {
+		for i, p := range c.pending {
+			if p.at <= until && (next < 0 || p.at < c.pending[next].at) {
 				next = i
 			}
 		}
 		if next < 0 {
 			return
 		}
-		ev := w.pending[next].ev
-		w.now = w.pending[next].at
-		w.pending = append(w.pending[:next], w.pending[next+1:]...)
+		ev := c.pending[next].ev
+		c.now = c.pending[next].at
+		c.pending = append(c.pending[:next], c.pending[next+1:]...)
 		switch e := ev.(type) {
 		case ConnectionOpened:
-			j := w.jobs[e.ID]
-			if j.over {
+			r := c.requestStates[e.ID]
+			if r.done {
 				continue
 			}
-			j.open = true
+			r.open = true
 		case Outcome:
-			j := w.jobs[e.ID]
-			j.out = false
-			if !e.Status.NeverRan() && !j.mayRun {
-				j.mayRun, j.ranOn = true, e.Server
+			r := c.requestStates[e.ID]
+			r.inFlight = false
+			if !e.Status.NeverRan() && !r.mayHaveRun {
+				r.mayHaveRun, r.ranOnServer = true, e.Server
 			}
-			if e.Closed && !j.over {
-				w.answers++
+			if e.Closed && !r.done {
+				c.answers++
 			}
-			e.Closed = e.Closed || j.over
-			j.over = j.over || e.Closed
+			e.Closed = e.Closed || r.done
+			r.done = r.done || e.Closed
 			ev = e
 		}
-		w.do(ev)
+		c.handle(ev)
 	}
 }
 
@@ -179,87 +182,88 @@
 		set := settings()
 		set.MustSubscribe = seed%2 == 0
 		set.GroupAffinity = seed%3 == 0
-		w := &world{
-			t:    t,
-			b:    New(set, seed),
-			set:  set,
-			rng:  rand.New(rand.NewPCG(seed, 1)),
-			now:  time.Minute,
-			mode: map[ServerID]EndpointState{},
-			jobs: map[RequestID]*job{},
+		c := &randomCourse{
+			t:             t,
+			b:             New(set, seed),
+			set:           set,
+			rng:           rand.New(rand.NewPCG(seed, 1)),
+			now:           time.Minute,
+			states:        map[ServerID]EndpointState{},
+			requestStates: map[RequestID]*requestState{},
 		}
-		w.b.Handle(w.now, WatchEvent{Kind: CachedSnapshot}, nil)
-		for w.now < 3*time.Minute {
-			w.now += ms * time.Duration(1+w.rng.IntN(20))
-			w.deliver()
-			switch w.rng.IntN(12) {
-			case 0: // a server comes, drains, goes or starts anew
+		c.b.Handle(c.now, WatchEvent{Kind: CachedSnapshot}, nil)
+		for c.now < 3*time.Minute {
+			c.now += ms * time.Duration(1+c.rng.IntN(20))
+			c.deliverDueEvents()
+			switch c.rng.IntN(12) {
+			case 0: // a server is added, drains, is removed or restarts
 				e := Endpoint{
-					Server:    ServerID(w.rng.IntN(12)),
-					State:     EndpointState(w.rng.IntN(3)),
-					StartedAt: w.now * time.Duration(w.rng.IntN(5)/4),
+					Server:    ServerID(c.rng.IntN(12)),
+					State:     EndpointState(c.rng.IntN(3)),
+					StartedAt: c.now * time.Duration(c.rng.IntN(5)/4),
 				}
 				e.Zone, e.Cell = Zone(e.Server%2), int32(e.Server/2)
-				w.mode[e.Server] = e.State
-				w.do(WatchEvent{Kind: Delta, Endpoints: []Endpoint{e}})
+				c.states[e.Server] = e.State
+				c.handle(WatchEvent{Kind: Delta, Endpoints: []Endpoint{e}})
 			case 1, 2, 3:
-				w.nextID++
+				c.nextID++
 				req := Request{
-					ID:       w.nextID,
-					Class:    Class(w.rng.IntN(3)),
-					Tenant:   Tenant(w.rng.IntN(3)) - 1,
-					Key:      uint64(w.rng.IntN(5)),
-					Group:    uint64(w.rng.IntN(4)),
-					TimeLeft: time.Duration(w.rng.IntN(2000)) * ms,
+					ID:       c.nextID,
+					Class:    Class(c.rng.IntN(3)),
+					Tenant:   Tenant(c.rng.IntN(3)) - 1,
+					Key:      uint64(c.rng.IntN(5)),
+					Group:    uint64(c.rng.IntN(4)),
+					TimeLeft: time.Duration(c.rng.IntN(2000)) * ms,
 				}
-				w.jobs[req.ID] = &job{class: req.Class, deadline: w.now + req.TimeLeft}
-				w.do(req)
-			case 4: // a client leaves
-				id := RequestID(w.rng.IntN(int(w.nextID) + 1))
-				if j := w.jobs[id]; j != nil && !j.over {
-					j.over = true
-					w.answers++
-					w.do(ClientGone{ID: id})
+				c.requestStates[req.ID] = &requestState{class: req.Class, deadline: c.now + req.TimeLeft}
+				c.handle(req)
+			case 4: // a client disconnects
+				id := RequestID(c.rng.IntN(int(c.nextID) + 1))
+				if r := c.requestStates[id]; r != nil && !r.done {
+					r.done = true
+					c.answers++
+					c.handle(ClientGone{ID: id})
 				}
 			}
-			for id, j := range w.jobs {
-				if !j.over && !j.open && w.now > j.deadline+50*ms {
-					t.Fatalf("seed %d: request %d was never answered: %+v", seed, id, j)
+			for id, r := range c.requestStates {
+				if !r.done && !r.open && c.now > r.deadline+50*ms {
+					t.Fatalf("seed %d: request %d was never answered: %+v", seed, id, r)
 				}
 			}
 		}
-		if w.sends < 150 || w.answers < 500 {
-			t.Fatalf("seed %d: only %d sends and %d answers; the course is too tame to show anything",
-				seed, w.sends, w.answers)
+		if c.forwards < 150 || c.answers < 500 {
+			t.Fatalf("seed %d: %d forwards and %d answers, want at least 150 and 500 for a meaningful test",
+				seed, c.forwards, c.answers)
 		}
-		for w.now < 4*time.Minute { // let all end
-			w.now += 20 * ms
-			w.deliver()
+		for c.now < 4*time.Minute { // let all requests end
+			c.now += 20 * ms
+			c.deliverDueEvents()
 		}
-		if n := len(w.b.requests.requests); n != 0 {
-			t.Errorf("seed %d: %d requests are still kept after all have ended", seed, n)
+		if n := len(c.b.requests.requests); n != 0 {
+			t.Errorf("seed %d: %d requests stored after all have ended, want none", seed, n)
 		}
-		if n := len(w.b.requests.queuedRequests) + w.b.requests.ownConnections; n != 0 {
-			t.Errorf("seed %d: %d waiting or held after all have ended", seed, n)
+		if n := len(c.b.requests.queuedRequests) + c.b.requests.ownConnections; n != 0 {
+			t.Errorf("seed %d: %d queued requests and own connections after all have ended, want none",
+				seed, n)
 		}
 	}
 }
 
-// Nothing may grow with the length of the day: not the keys, not the requests, not the samples.
+// The stored keys, requests and samples must not grow with the run time.
 func TestMemoryIsBounded(t *testing.T) {
 	r := newRelay(t, settings(), 1, 0)
 	for id := RequestID(1); id < 20000; id++ {
 		req := newRequest(id)
 		req.Key = uint64(id)
-		r.advance(ms).do(req)
-		r.do(ConnectionOpened{ID: 1 << 40, SetupLatency: 20 * ms})
+		r.advance(ms).handle(req)
+		r.handle(ConnectionOpened{ID: 1 << 40, SetupLatency: 20 * ms})
 	}
 	failures := &r.b.rejections.keyFailures
-	if n := len(failures.recent) + len(failures.previous); n > 2*maxFailingKeysPerGeneration || n < maxFailingKeysPerGeneration {
-		t.Errorf("%d keys kept", n)
+	if n := len(failures.recent) + len(failures.previous); n > 2*maxFailingKeys || n < maxFailingKeys {
+		t.Errorf("%d failing keys stored, want 1 to 2 generations of maxFailingKeys", n)
 	}
 	if len(r.b.requests.requests) != 0 || len(r.b.timeouts.setupLatencies) != setupLatencySamples {
-		t.Errorf("%d requests and %d set-up times kept",
+		t.Errorf("%d requests and %d set-up latencies stored, want 0 and setupLatencySamples",
 			len(r.b.requests.requests), len(r.b.timeouts.setupLatencies))
 	}
 }
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Rule 4: whatever they have saved up and however they surge, all relays together keep to a part of the
-// budget. Before, each relay saved a token and all spent theirs at once.
+// Rule 4: however long relays have been idle and however they surge, all of them together stay within a
+// fraction of the budget. Guards against relays that each save up a token and spend it at the same time.
 func TestFleetStaysWithinSlowStartBudget(t *testing.T) {
 	for name, found := range map[string]Status{
-		"listed with its start":            OK,
-		"found dead before":                ConnectFailed,
-		"silent before, now holds nothing": TimedOut, // the list tells of its restart seconds later
+		"listed with its start time":      OK,
+		"refused connections before":      ConnectFailed,
+		"silent before, now without load": TimedOut, // the list shows its restart seconds later
 	} {
 		set, sent := settings(), 0
 		set.Relays = 200
@@ -19,33 +19,34 @@
 			set.RelayIndex = relay
 			r := newRelay(t, set, uint64(relay), 5)
 			loads := map[ServerID]float64{0: 0.5, 1: 0.55, 2: 0.55, 3: 0.55, 4: 0.55}
-			r.place(newRequest(1), loads) // 1/40 of a server a connection
+			r.place(newRequest(1), loads) // a connection adds 1/40 of a server's capacity
 			r.advance(5 * time.Second)
 			if found == OK {
-				r.do(WatchEvent{
+				r.handle(WatchEvent{
 					Kind:      Delta,
 					Endpoints: []Endpoint{{Server: 0, State: Ready, StartedAt: time.Minute + 5*time.Second}},
 				})
 			} else {
-				r.do(ProbeResult{Server: 0, Status: found, Report: NoLoadReport})
-				r.do(ProbeResult{Server: 0, Report: loadReport(0, 0)})
+				r.handle(ProbeResult{Server: 0, Status: found, Report: NoLoadReport})
+				r.handle(ProbeResult{Server: 0, Report: loadReport(0, 0)})
 			}
 			r.advance(2 * time.Second)
-			loads[0] = 0 // it looks idle to everybody
+			loads[0] = 0 // it looks idle to every relay
 			if r.place(newRequest(2), loads) == 0 {
 				sent++
 			}
 		}
-		// 20 connections fill it, it turns them over in 8 s at the most and stands at 0.44 of that: 3.3 in
-		// the second that breaks the rule.
+		// 20 connections fill the server, their mean life counts as 8 s, and the server is at 0.44 of its
+		// capacity: 3.3 connections within the overload window of one second overload it.
 		if sent == 0 || sent > 5 {
-			t.Errorf("%s: 200 relays sent a server in slow start %d connections in one moment", name, sent)
+			t.Errorf("%s: 200 relays sent %d connections at once to a server in slow start, want 1 to 5",
+				name, sent)
 		}
 	}
 }
 
-// A relay that has just started and finds only servers in slow start must not take what their few connections
-// weigh in the first moments for what a connection costs.
+// A relay that has just started and finds only servers in slow start must not learn the load of a connection
+// from the few that these servers hold in their first moments.
 func TestNewRelaySparesServersInSlowStart(t *testing.T) {
 	sent := 0
 	for me := range 10 {
@@ -56,68 +57,72 @@
 		for i := range ServerID(6) {
 			list = append(list, Endpoint{Server: i, State: Ready, StartedAt: r.now - time.Second})
 		}
-		r.do(WatchEvent{Kind: Snapshot, Endpoints: list})
+		r.handle(WatchEvent{Kind: Snapshot, Endpoints: list})
 		for id := RequestID(1); id <= 6; id++ {
-			acts := r.advance(50 * ms).do(newRequest(id))
+			acts := r.advance(50 * ms).handle(newRequest(id))
 			for i := 0; i < len(acts); i++ {
 				if p, ok := acts[i].(Probe); ok {
-					acts = append(acts, r.do(ProbeResult{Server: p.Server, Latency: 2 * ms,
+					acts = append(acts, r.handle(ProbeResult{Server: p.Server, Latency: 2 * ms,
 						Report: loadReport(0.003, 3)})...)
 				}
 			}
 			sent += len(actionsOf[Forward](acts))
 		}
 	}
-	if sent > 12 { // about one connection a server in the second that breaks the rule
-		t.Errorf("ten new relays sent six servers in slow start %d connections in 0.3 s", sent)
+	if sent > 12 { // about one connection per server within the overload window overloads it
+		t.Errorf("ten new relays sent %d connections in 0.3 s to six servers in slow start, want at most 12",
+			sent)
 	}
 }
 
-// A fresh server of such a site warms up with more than a trickle, and with less than what fills it.
+// Without load reports and quotas, a server in slow start gets more than a constant few connections, and
+// fewer than fill it.
 func TestSlowStartWithoutLoadReports(t *testing.T) {
 	set := settings()
 	set.Tenants, set.Relays, set.Rules.OverloadWindow = nil, 1, 3*time.Second
 	r := newRelay(t, set, 5, 4)
 	sent := 0
 	for id := RequestID(1); id <= 600; id++ {
-		if id == 400 { // the four hold 400 now
-			r.do(WatchEvent{
+		if id == 400 { // the four servers hold 400 connections now
+			r.handle(WatchEvent{
 				Kind:      Delta,
 				Endpoints: []Endpoint{{Server: 4, State: Ready, RendezvousKey: 99, StartedAt: r.now}},
 			})
 		}
-		acts := r.advance(20 * ms).do(Request{ID: id, Tenant: NoTenant, TimeLeft: 2 * time.Second})
+		acts := r.advance(20 * ms).handle(Request{ID: id, Tenant: NoTenant, TimeLeft: 2 * time.Second})
 		for i := 0; i < len(acts); i++ {
 			if p, ok := acts[i].(Probe); ok {
-				acts = append(acts, r.do(ProbeResult{
+				acts = append(acts, r.handle(ProbeResult{
 					Server: p.Server, Latency: 4 * ms, Report: NoLoadReport,
 				})...)
 			}
 		}
 		for _, s := range actionsOf[Forward](acts) {
-			r.do(ConnectionOpened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
+			r.handle(ConnectionOpened{ID: id, Server: s.Server, SetupLatency: 10 * ms})
 			if s.Server == 4 {
 				sent++
 			}
 		}
 	}
-	if sent < 8 || sent > 60 { // in 4 s; the constant allowed 3
-		t.Errorf("%d connections in 4 s to a server that has just started, where the others hold 100 each",
+	if sent < 8 || sent > 60 { // a constant number of connections allowed 3 in 4 s
+		t.Errorf(
+			"%d connections in 4 s to a server that has just started, want 8 to 60: the others hold 100 each",
 			sent)
 	}
 }
 
-// A group that has lost its server comes to one server in slow start at once, and who is rejected comes
-// again: a relay of many that is asked for that server time and again must not go by how often its mean
-// request comes there. By that it let every one through.
+// The connections of a group that has lost its server all go to one server in slow start, and rejected
+// clients return. A relay for which that server is a candidate again and again must count this demand, and
+// not how often the server would be one by the mean rate of requests: by that rate it let every request
+// through.
 func TestSlowStartBudgetCountsDemand(t *testing.T) {
-	through := 0
+	allowed := 0
 	for me := range 20 {
 		set := settings()
 		set.Relays, set.RelayIndex, set.GroupAffinity = 20, me, true
 		set.Tenants[0].ConnectionQuota = 100
 		r := newRelay(t, set, 1, 24)
-		r.do(WatchEvent{
+		r.handle(WatchEvent{
 			Kind:      Delta,
 			Endpoints: []Endpoint{{Server: 24, State: Ready, RendezvousKey: 99, StartedAt: r.now}},
 		})
@@ -125,18 +130,18 @@
 			r.advance(5 * ms)
 			r.b.now = r.now
 			if r.b.dispatch.placement.budget.drawSlowStartBudget(r.b.endpoints.stateOf(24)) {
-				through++
+				allowed++
 			}
 		}
 	}
-	if through == 0 || through > 60 {
-		t.Errorf("20 relays let %d of 1200 through in 0.3 s", through)
+	if allowed == 0 || allowed > 60 {
+		t.Errorf("20 relays allowed %d of 1200 attempts in 0.3 s, want 1 to 60", allowed)
 	}
 }
 
-// The budget of a server in slow start is spread over how often requests meet it: with groups four of all
-// servers are met, not four of a zone's. A third of the budget was used where there are three zones, and
-// new servers stayed empty.
+// The budget of a server in slow start is spread over how often the server is a candidate: with groups, the
+// candidates are four of all servers, not four of one zone. Guards against counting one zone only: with three
+// zones, a third of the budget was used and new servers stayed empty.
 func TestSlowStartBudgetReckonsWithAllZones(t *testing.T) {
 	draws := func(groups bool) (n int) {
 		set := settings()
@@ -153,7 +158,7 @@
 			})
 		}
 		list[0].StartedAt = r.now
-		r.do(WatchEvent{Kind: Snapshot, Endpoints: list})
+		r.handle(WatchEvent{Kind: Snapshot, Endpoints: list})
 		for range 2000 {
 			if r.b.dispatch.placement.budget.drawSlowStartBudget(r.b.endpoints.stateOf(0)) {
 				n++
@@ -162,7 +167,9 @@
 		return n
 	}
 	if with, without := draws(true), draws(false); with < without*5/2 || with > without*7/2 || with == 2000 {
-		t.Errorf("%d draws of 2000 with groups, %d without", with, without)
+		t.Errorf(
+			"%d of 2000 draws allowed with groups and %d without, want about three times as many",
+			with, without)
 	}
 }
 
@@ -179,7 +186,7 @@
 	} {
 		s := slowStart{startedAt: c.startedAt}
 		if got := s.capacityFraction(c.now, &rules); got != c.want {
-			t.Errorf("%v after its start: %.3f, want %.3f", c.now-c.startedAt, got, c.want)
+			t.Errorf("capacity %v after the start: %.3f, want %.3f", c.now-c.startedAt, got, c.want)
 		}
 	}
 }
@@ -189,11 +196,11 @@
 	for i := range 5 {
 		at := time.Duration(i) * 400 * ms
 		s.recordAttempt(at, time.Second)
-		if others := s.recordDemand(at, time.Second); others != float64(min(i, 2)) {
-			t.Errorf("at %v it was asked for %v times more", at, others)
+		if earlier := s.recordDemand(at, time.Second); earlier != float64(min(i, 2)) {
+			t.Errorf("earlier demand within the window at %v: %v, want at most 2", at, earlier)
 		}
 	}
 	if n := s.recentAttemptCount(2*time.Second, time.Second); n != 2 { // those at 1.2 s and 1.6 s
-		t.Errorf("%v attempts of the last second, want 2", n)
+		t.Errorf("%v attempts within the last second, want 2", n)
 	}
 }
