--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -16,7 +16,7 @@
 	pool      *probePool
 	timeouts  *setupTimeouts
 
-	// Rules that decide.
+	// Parts that decide.
 	outliers   *outlierRule
 	dispatch   *dispatcher
 	retry      *retryRule
--- a/decide/discovery_test.go
+++ b/decide/discovery_test.go
@@ -25,7 +25,8 @@
 		}
 		for range 8 {
 			timers = actionsOf[Timer](b.Handle(2*time.Minute, WatchEvent{Kind: WatchFailed}, nil))
-			if len(timers) != 1 || timers[0].After > 3*time.Second { // pollRetryInterval
+			// 3 s is half of the 6 s in which watch events have to come.
+			if len(timers) != 1 || timers[0].After > 3*time.Second {
 				t.Fatalf("timers after a failed poll: %v, want one of at most 3 s", timers)
 			}
 		}
