--- a/internal/fleet/cellplan/plan.go
+++ b/internal/fleet/cellplan/plan.go
@@ -1,8 +1,10 @@
-// Package cellplan is the table by which the cells of a fleet divide its budgets. A cell is a group of
-// relays that agree among themselves on their shares; what the cell as a whole may take is written in a
-// numbered plan in the operators' file. The package checks plans and does their sums, in whole units so
-// that no rounding can take the sum over one. It keeps no state and does no I/O; internal/lifecycle reads
-// plans, internal/fleet/membership acts by them.
+// Package cellplan defines the plan by which the cells of a fleet divide its budgets. A cell is a group of
+// relays that agree among themselves on their budget shares; the budget share of the cell as a whole is set
+// by a numbered plan in the operators' file.
+//
+// The package validates plans and computes the cells' budget shares, in integer units so that rounding cannot
+// take their sum above the full budget. It keeps no state and does no I/O: internal/lifecycle reads the plans
+// and internal/fleet/membership applies them.
 package cellplan
 
 import (
@@ -15,19 +17,19 @@
 	"strings"
 )
 
-// FullBudget is a fleet-wide budget in the units that parts are counted in.
+// FullBudget is a whole fleet-wide budget, in the units of the cells' budget shares.
 const FullBudget uint64 = 1 << 40
 
-// DefaultHomeShare is the home share of a plan that names none.
+// DefaultHomeShare is the home share of a plan that sets none.
 const DefaultHomeShare = 0.9
 
-// Plan divides every budget among cells. For a server in a zone of some region, HomeShare of its budget
-// is divided by weight among the cells of that region, and the rest by weight among all cells with a
-// region. Of a server in a zone where no region's cell stands only that rest is divided.
+// Plan divides every budget among cells. For a server in a zone of a region that has cells, HomeShare of its
+// budget is divided by weight among the cells of that region, and the rest by weight among all cells with a
+// region. For a server in any other zone, only that rest is divided.
 type Plan struct {
-	// Number is from 1, and higher with each change of names, regions, zones, weights or home share.
+	// Number starts at 1 and must rise with each change of names, regions, zones, weights or home share.
 	Number uint64 `toml:"number"`
-	// HomeShare is over 0 and at most 1; 0 for DefaultHomeShare.
+	// HomeShare is above 0 and at most 1; 0 selects DefaultHomeShare.
 	HomeShare float64 `toml:"home_share"`
 	Cells     []Cell  `toml:"cells"`
 }
@@ -35,23 +37,23 @@
 // Cell is one cell of a plan.
 type Cell struct {
 	Name string `toml:"name"`
-	// Region and Zone say where its relays stand. A cell with neither spans all regions, as a flat fleet
-	// does while it is moved into cells: it takes its weight's part of every budget, and the other cells
-	// divide what is left.
+	// Region and Zone are the location of the cell's relays. A cell with neither spans all regions, as a flat
+	// fleet does while it is being moved into cells: it takes its weight's share of every budget, and the
+	// other cells divide the rest.
 	Region string `toml:"region"`
 	Zone   string `toml:"zone"`
-	// Relays is how many relays the cell is bootstrapped with, and its weight; 0 for a cell that is going
-	// away.
+	// Relays is the number of relays that the cell is bootstrapped with, and its weight. It is 0 for a cell
+	// that is being removed.
 	Relays int `toml:"relays"`
-	// Contacts are where its relays can be reached at first, "ip:port". They are not part of the Hash: no
-	// part follows from them.
+	// Contacts are the initial addresses of the cell's relays, as "ip:port". Hash leaves them out, as no
+	// budget share depends on them.
 	Contacts []string `toml:"contacts"`
 }
 
-// SpansRegions tells whether the cell spans all regions.
+// SpansRegions reports whether the cell spans all regions.
 func (c Cell) SpansRegions() bool { return c.Region == "" }
 
-// FindCell returns the cell of a name.
+// FindCell returns the cell with the given name.
 func (p Plan) FindCell(name string) (Cell, bool) {
 	i := slices.IndexFunc(p.Cells, func(c Cell) bool { return c.Name == name })
 	if i < 0 {
@@ -60,7 +62,7 @@
 	return p.Cells[i], true
 }
 
-// CellNames are the names of all cells, in order, also of those that are going away.
+// CellNames returns the names of all cells in sorted order, including cells that are being removed.
 func (p Plan) CellNames() []string {
 	names := make([]string, 0, len(p.Cells))
 	for _, c := range p.Cells {
@@ -70,7 +72,7 @@
 	return names
 }
 
-// Zones are the zones in which cells of a region stand, in order.
+// Zones returns the zones of a region's cells, in sorted order.
 func (p Plan) Zones(region string) []string {
 	var zones []string
 	for _, c := range p.Cells {
@@ -82,28 +84,29 @@
 	return zones
 }
 
-// BudgetShares is what a cell may take of the budget of a server: near where the server's zone is one of
-// nearZones, far elsewhere. Near is never less than far. All are zero for a cell that the plan doesn't
-// name. The plan must have passed Check.
+// BudgetShares returns what a cell may take of the budget of a server, in units of FullBudget: near if the
+// server's zone is one of nearZones, far otherwise. Near is never less than far. All results are zero for a
+// cell that the plan does not name. The plan must have passed Check.
 func (p Plan) BudgetShares(name string) (near, far uint64, nearZones []string) {
 	cell, ok := p.FindCell(name)
 	if !ok {
 		return 0, 0, nil
 	}
-	part := p.cellShare(cell, p.regionWeights(cell.Region))
-	return part.near, part.far, part.nearZones
+	share := p.cellShare(cell, p.regionWeights(cell.Region))
+	return share.near, share.far, share.nearZones
 }
 
-// TotalShare is what all cells together may take of the budget of a server in a zone; never over FullBudget.
+// TotalShare returns what all cells together may take of the budget of a server in a zone. It is at most
+// FullBudget.
 func (p Plan) TotalShare(zone string) uint64 { return sumShares(p.cellShares(), zone) }
 
-// cellShare is what one cell may take: near in its zones, far elsewhere.
+// cellShare is what one cell may take of a server's budget: near in nearZones, far elsewhere.
 type cellShare struct {
 	near, far uint64
 	nearZones []string
 }
 
-// cellShare is what a cell may take, by the weights around it.
+// cellShare computes the budget share of a cell from the weights of its region.
 func (p Plan) cellShare(cell Cell, weights weights) cellShare {
 	weight := uint64(cell.Relays)
 	switch {
@@ -121,24 +124,24 @@
 	return cellShare{near: MulDiv(home, weight, weights.inRegion) + far, far: far, nearZones: weights.zones}
 }
 
-// cellShares are those of all cells, in the order of the plan.
+// cellShares returns the budget shares of all cells, in the order of the plan.
 func (p Plan) cellShares() []cellShare {
 	regions := map[string]weights{}
-	parts := make([]cellShare, 0, len(p.Cells))
+	shares := make([]cellShare, 0, len(p.Cells))
 	for _, c := range p.Cells {
 		w, known := regions[c.Region]
 		if !known {
 			w = p.regionWeights(c.Region)
 			regions[c.Region] = w
 		}
-		parts = append(parts, p.cellShare(c, w))
+		shares = append(shares, p.cellShare(c, w))
 	}
-	return parts
+	return shares
 }
 
-// sumShares is what all parts together are of the budget of a server in a zone.
-func sumShares(parts []cellShare, zone string) (total uint64) {
-	for _, part := range parts {
+// sumShares returns the sum of the shares of the budget of a server in a zone.
+func sumShares(shares []cellShare, zone string) (total uint64) {
+	for _, part := range shares {
 		if slices.Contains(part.nearZones, zone) {
 			total += part.near
 		} else {
@@ -148,8 +151,8 @@
 	return total
 }
 
-// Hash tells two different tables apart that have been given one number by mistake. The order of the
-// cells, and their contacts, do not matter.
+// Hash identifies the plan's contents, to detect two different plans that were given the same number by
+// mistake. It does not depend on the order of the cells or on their contacts.
 func (p Plan) Hash() uint64 {
 	h := fnv.New64a()
 	put := func(s string) {
@@ -169,9 +172,10 @@
 	return h.Sum64()
 }
 
-// CheckSuccessor tells whether the plan may follow on one, or two, by which the current cells hold parts:
-// it has to name them all, those that are to go with no relays, because a cell that is not named is never
-// waited for. The error is a *MissingCells.
+// CheckSuccessor reports whether the plan may follow the plans under which the current cells hold budget
+// shares, of which there may be one or two. The plan has to name all of those cells, with no relays for those
+// to be removed, because activation does not wait for a cell that the plan does not name. The error is a
+// *MissingCellsError.
 func (p Plan) CheckSuccessor(current []string) error {
 	var missing []string
 	for _, name := range current {
@@ -186,7 +190,7 @@
 	return &MissingCellsError{Plan: p.Number, Cells: slices.Compact(missing)}
 }
 
-// MissingCellsError says that a plan doesn't name cells that hold parts by the plan before.
+// MissingCellsError reports that a plan does not name cells that hold budget shares under the previous plan.
 type MissingCellsError struct {
 	Plan  uint64
 	Cells []string
@@ -195,18 +199,18 @@
 // Error names the plan and the cells.
 func (e *MissingCellsError) Error() string {
 	return "plan " + strconv.FormatUint(e.Plan, 10) +
-		" doesn't name cells that hold a part: " + strings.Join(e.Cells, ", ") +
-		" (name those that go away with relays = 0)"
+		" does not name cells that hold a budget share: " + strings.Join(e.Cells, ", ") +
+		" (list cells to be removed with relays = 0)"
 }
 
-// weights are sums over cells: of all, of those that have a region, and of those of one region, which
-// stand in zones.
+// weights are sums of cell weights: over all cells, over the cells with a region, and over the cells of one
+// region, whose zones are listed.
 type weights struct {
 	total, regional, inRegion uint64
 	zones                     []string
 }
 
-// regionWeights sums the weights around a region.
+// regionWeights sums the weights that the budget shares of a region's cells depend on.
 func (p Plan) regionWeights(region string) (w weights) {
 	for _, c := range p.Cells {
 		weight := uint64(c.Relays)
@@ -223,7 +227,7 @@
 	return w
 }
 
-// homeUnits is the home share in units of FullBudget.
+// homeUnits returns the home share in units of FullBudget.
 func (p Plan) homeUnits() uint64 {
 	share := p.HomeShare
 	if share == 0 {
@@ -232,7 +236,7 @@
 	return uint64(math.Floor(share * float64(FullBudget)))
 }
 
-// MulDiv is amount*part/of, rounded down. Part must not be over of, and of not 0.
+// MulDiv returns amount*part/of, rounded down, without overflow. It requires part <= of and of > 0.
 func MulDiv(amount, part, of uint64) uint64 {
 	high, low := bits.Mul64(amount, part)
 	quotient, _ := bits.Div64(high, low, of)
--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -10,18 +10,23 @@
 	"testing"
 )
 
+// newCell returns a cell with one contact.
 func newCell(name, region, zone string, relays int) Cell {
 	return Cell{Name: name, Region: region, Zone: zone, Relays: relays, Contacts: []string{"10.0.0.1:7946"}}
 }
 
+// threeCellPlan returns a valid plan with two cells in region a and one in region b.
 func threeCellPlan() Plan {
 	return Plan{Number: 1, Cells: []Cell{newCell("a1", "a", "a-1", 30), newCell("a2", "a", "a-2", 10),
 		newCell("b1", "b", "b-1", 40)}}
 }
 
+// The budget shares follow the formula: the home share by weight within the region, the rest by weight among
+// all cells with a region.
 func TestBudgetSharesOfCells(t *testing.T) {
 	moving := Plan{Number: 2, HomeShare: 0.8,
-		Cells: []Cell{newCell("flat", "", "", 300), newCell("a1", "a", "a-1", 30), newCell("b1", "b", "b-1", 30),
+		Cells: []Cell{newCell("flat", "", "", 300), newCell("a1", "a", "a-1", 30),
+			newCell("b1", "b", "b-1", 30),
 			newCell("gone", "b", "b-2", 0)}}
 	for _, c := range []struct {
 		plan      Plan
@@ -40,14 +45,15 @@
 		near, far, zones := c.plan.BudgetShares(c.cell)
 		if math.Abs(float64(near)/float64(FullBudget)-c.near) > 1e-9 ||
 			math.Abs(float64(far)/float64(FullBudget)-c.far) > 1e-9 || strings.Join(zones, " ") != c.zones {
-			t.Errorf("%s: near %.4f far %.4f in %q; want %.4f %.4f in %q", c.cell,
+			t.Errorf("BudgetShares(%s): near %.4f, far %.4f, zones %q; want near %.4f, far %.4f, zones %q",
+				c.cell,
 				float64(near)/float64(FullBudget),
 				float64(far)/float64(FullBudget), zones, c.near, c.far, c.zones)
 		}
 	}
 }
 
-// Every problem is reported, each with its key.
+// Check reports every invalid value, each with its key.
 func TestCheckTellsEveryProblem(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -57,7 +63,8 @@
 		{"good", func(*Plan) {}, ""},
 		{"a cell alone needs no contacts",
 			func(p *Plan) { p.Cells = p.Cells[:1]; p.Cells[0].Contacts = nil }, ""},
-		{"a flat fleet is moved", func(p *Plan) { p.Cells = append(p.Cells, newCell("flat", "", "", 300)) }, ""},
+		{"a flat fleet is moved", func(p *Plan) { p.Cells = append(p.Cells, newCell("flat", "", "", 300)) },
+			""},
 		{"no number", func(p *Plan) { p.Number = 0 }, "number"},
 		{"number too high", func(p *Plan) { p.Number = 1 << 63 }, "number"},
 		{"home share over 1", func(p *Plan) { p.HomeShare = 1.1 }, "home_share"},
@@ -108,12 +115,13 @@
 			p := threeCellPlan()
 			c.change(&p)
 			if keys := strings.Join(problemKeys(p.Check()), " "); keys != c.keys {
-				t.Errorf("problems at %q, want %q: %v", keys, c.keys, p.Check())
+				t.Errorf("Check() reports keys %q, want %q; errors: %v", keys, c.keys, p.Check())
 			}
 		})
 	}
 }
 
+// problemKeys returns the keys of the errors that Check has joined.
 func problemKeys(err error) (keys []string) {
 	if err == nil {
 		return nil
@@ -127,6 +135,7 @@
 	return keys
 }
 
+// The hash differs for plans with different contents, and ignores what does not change the budget shares.
 func TestHashTellsTablesApart(t *testing.T) {
 	base := threeCellPlan().Hash()
 	same := threeCellPlan()
@@ -134,7 +143,7 @@
 	same.HomeShare = DefaultHomeShare
 	same.Cells[0].Contacts = []string{"10.9.9.9:1"}
 	if same.Hash() != base {
-		t.Error("the order, the contacts or a default that is written out change the hash")
+		t.Error("hash changed with the cell order, contacts or explicit default home share; want the same")
 	}
 	for i, change := range []func(p *Plan){
 		func(p *Plan) { p.Number++ }, func(p *Plan) { p.HomeShare = 0.5 },
@@ -146,31 +155,34 @@
 		p := threeCellPlan()
 		change(&p)
 		if p.Hash() == base {
-			t.Error("change", i, "is not seen in the hash")
+			t.Error("change", i, "of the plan left the hash unchanged, want a different one")
 		}
 	}
 }
 
+// A plan that omits a cell holding a budget share is rejected with the omitted cells' names.
 func TestSuccessorNamesAllHolders(t *testing.T) {
 	p := threeCellPlan()
 	if err := p.CheckSuccessor([]string{"a1", "b1"}); err != nil {
-		t.Error(err)
+		t.Error("CheckSuccessor of cells that the plan names:", err)
 	}
 	var missing *MissingCellsError
 	if err := p.CheckSuccessor([]string{"z", "a1", "c1", "z"}); !errors.As(err, &missing) ||
 		strings.Join(missing.Cells, " ") != "c1 z" {
-		t.Error(err)
+		t.Error("CheckSuccessor with unknown cells c1 and z: want a *MissingCellsError that lists them, got",
+			err)
 	}
 }
 
-// For no zone do the cells hold more than the whole, and nearly all of it where somebody is near.
+// In no zone do the cells' budget shares add up to more than the full budget. In zones that have cells, at
+// least 97% of it is shared out if all cells have relays.
 func TestTotalShareOfRandomPlans(t *testing.T) {
 	least, most := FullBudget, uint64(0)
 	for seed := range uint64(500) {
 		draw := rand.New(rand.NewPCG(seed, 7))
 		p := randomPlan(draw)
 		if err := p.Check(); err != nil {
-			t.Fatal(seed, err)
+			t.Fatal("random plan of seed", seed, "is invalid:", err)
 		}
 		zones := map[string]bool{"elsewhere": true}
 		positive := true
@@ -178,26 +190,30 @@
 			zones[c.Zone] = true
 			positive = positive && c.Relays > 0
 			if near, far, _ := p.BudgetShares(c.Name); near < far {
-				t.Fatal(seed, c.Name, "holds less near than far")
+				t.Fatal(seed, c.Name, "has a smaller budget share near than far")
 			}
 		}
 		for zone := range zones {
 			sum := p.TotalShare(zone)
 			if most = max(most, sum); sum > FullBudget {
-				t.Fatalf("seed %d: %d of %d in %q", seed, sum, FullBudget, zone)
+				t.Fatalf("seed %d: budget shares add up to %d, more than the full budget %d, in zone %q",
+					seed, sum, FullBudget, zone)
 			}
 			if !positive || zone == "elsewhere" || zone == "" {
 				continue
 			}
 			if least = min(least, sum); float64(sum) < 0.97*float64(FullBudget) {
-				t.Fatalf("seed %d: only %.3f in %q", seed, float64(sum)/float64(FullBudget), zone)
+				t.Fatalf("seed %d: budget shares add up to %.3f of the budget in zone %q, want at least 0.97",
+					seed, float64(sum)/float64(FullBudget), zone)
 			}
 		}
 	}
-	t.Logf("from %.9f to %.9f of the whole", float64(least)/float64(FullBudget),
+	t.Logf("budget shares add up to between %.9f and %.9f of the budget in a zone",
+		float64(least)/float64(FullBudget),
 		float64(most)/float64(FullBudget))
 }
 
+// randomPlan returns a random valid plan.
 func randomPlan(draw *rand.Rand) Plan {
 	p := Plan{Number: 1 + draw.Uint64N(9), HomeShare: draw.Float64()}
 	lowest := draw.IntN(2)
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -48,7 +48,8 @@
 					number)
 			}
 			n.isCut = nil
-			took := n.advanceUntil(60*second, func() bool { return n.activatedCount(number) == n.runningCount() })
+			took := n.advanceUntil(60*second,
+				func() bool { return n.activatedCount(number) == n.runningCount() })
 			t.Logf("seed %d: plan %d is open everywhere %.1f s after the heal", seed, number, took.Seconds())
 			if took > 30*second {
 				t.Error("too late")
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -182,7 +182,8 @@
 	if err := directory.Check(); err != nil || len(rows) != 5 || rows[1].Relays != 7*64 {
 		t.Fatal(err, rows)
 	}
-	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes", len(summary.DepartedRelays),
+	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes",
+		len(summary.DepartedRelays),
 		encodedSize(t, summary), len(rows), encodedSize(t, directory))
 	if encodedSize(t, summary) > 400 || encodedSize(t, directory) > 600 {
 		t.Error("too large")
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -59,8 +59,8 @@
 	kind, a, b := text[0], int(text[1]), int(text[2])
 	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9),
 		Incarnation: uint64(1 + b%2), Seq: uint64(1 + b), Epoch: uint64(a % 3),
-		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a, ServingMembers: b,
-		Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
+		Plan: uint64(b % 6), PlanHash: uint64(a % 3), JoinedPlan: uint64(b % 5), Members: a,
+		ServingMembers: b, Contacts: []string{fmt.Sprintf("10.0.0.%d:1", a)}, Forwarded: a > 200}
 	switch kind % 6 {
 	case 0:
 		l := LocalCell{Members: a, ServingMembers: b, Epoch: uint64(a % 3), Plan: uint64(b % 6),
@@ -80,7 +80,8 @@
 			Directory: Directory{Cell: "cell-0", Representative: summary.Representative,
 				Incarnation: summary.Incarnation, Seq: summary.Seq,
 				Epoch: summary.Epoch, ActivatedPlan: uint64(b % 4),
-				Regions: []RegionTotals{{Name: "region-0", Cells: a, KnownCells: b, Relays: a, ServingRelays: b}}}}
+				Regions: []RegionTotals{{Name: "region-0", Cells: a, KnownCells: b, Relays: a,
+					ServingRelays: b}}}}
 	case 4:
 		return PlanChanged{regionalPlan(1+a%16, uint64(1+b%6))}
 	}
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -186,7 +186,8 @@
 		RequiredCells: g.requiredCells, JoinedPlan: g.joinedPlan,
 		RequestRate: 100 * float64(g.members()), OpenConnections: 1000 * g.members()}
 	for _, other := range g.relays {
-		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address, Alive: r.believesAlive(other)})
+		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address,
+			Alive: r.believesAlive(other)})
 	}
 	return l
 }
@@ -333,7 +334,8 @@
 			i = len(want) - 1
 		}
 		if g != r.cell {
-			want[i].add(RegionTotals{Cells: 1, KnownCells: 1, Relays: g.members(), ServingRelays: g.members()})
+			want[i].add(RegionTotals{Cells: 1, KnownCells: 1, Relays: g.members(),
+				ServingRelays: g.members()})
 		}
 	}
 	rows := r.coordinator.directory.newest.Regions
--- a/internal/fleet/duration/duration.go
+++ b/internal/fleet/duration/duration.go
@@ -1,5 +1,5 @@
-// Package duration has the arithmetic of time that the fleet's deciders share: durations times a factor,
-// and milliseconds at the edge to messages and reports.
+// Package duration provides the arithmetic on time.Duration values that the fleet packages share: scaling by
+// a factor, and conversion to and from the milliseconds used in messages and reports.
 package duration
 
 import (
@@ -13,8 +13,8 @@
 // DistantFuture is an instant after all others.
 const DistantFuture = time.Duration(math.MaxInt64)
 
-// Scale multiplies a duration by a factor, to the nearest nanosecond; what a Duration cannot hold becomes
-// Never or Forever.
+// Scale multiplies a duration by a factor, rounded to the nearest nanosecond. A result that a time.Duration
+// cannot hold saturates to DistantPast or DistantFuture.
 func Scale(d time.Duration, factor float64) time.Duration {
 	scaled := math.Round(float64(d) * factor)
 	switch {
@@ -26,11 +26,11 @@
 	return time.Duration(scaled)
 }
 
-// Millis is a duration in milliseconds, as messages and reports have it.
+// Millis returns a duration in milliseconds, the unit of messages and reports.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// FromMillis is the way back from Millis, to the nearest nanosecond. What is out of all reason is cut to
-// 36 years, so that sums of a few don't overflow.
+// FromMillis converts milliseconds to a duration, rounded to the nearest nanosecond. Values beyond 36 years
+// are clamped, so that adding a few of them does not overflow.
 func FromMillis(ms float64) time.Duration {
 	const most = 1 << 60
 	return time.Duration(math.Round(min(max(ms*float64(time.Millisecond), -most), most)))
--- a/internal/fleet/duration/duration_test.go
+++ b/internal/fleet/duration/duration_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Scale rounds to the nearest nanosecond and keeps to what a Duration holds: an overflow would put an
-// instant before all others in place of after them.
+// Scale rounds to the nearest nanosecond and saturates: an overflow would wrap a distant future instant to
+// one in the past.
 func TestScaleRoundsAndSaturates(t *testing.T) {
 	for _, c := range []struct {
 		d      time.Duration
@@ -24,20 +24,21 @@
 		{time.Second, 0, 0},
 	} {
 		if got := Scale(c.d, c.factor); got != c.want {
-			t.Errorf("%d times %v is %d, want %d", c.d, c.factor, got, c.want)
+			t.Errorf("Scale(%d, %v) = %d, want %d", c.d, c.factor, got, c.want)
 		}
 	}
 }
 
-// A time goes through milliseconds and back without change, and one out of all reason leaves room for sums.
+// Durations survive the conversion to milliseconds and back, and out-of-range values are clamped so that
+// their sum does not overflow.
 func TestMillisAndBack(t *testing.T) {
 	for _, d := range []time.Duration{0, 1, -1, 1234567, time.Hour + 1, 1<<52 + 1, -time.Minute} {
 		if got := FromMillis(Millis(d)); got != d {
-			t.Errorf("%d came back as %d", d, got)
+			t.Errorf("FromMillis(Millis(%d)) = %d, want the same duration", d, got)
 		}
 	}
 	if high, low := FromMillis(math.MaxFloat64), FromMillis(-math.MaxFloat64); high != 1<<60 ||
 		low != -1<<60 || high+high < high {
-		t.Errorf("out of bounds: %d and %d", high, low)
+		t.Errorf("clamped to %d and %d, want 1<<60 and -1<<60 ns", high, low)
 	}
 }
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -61,7 +61,8 @@
 		checkAssignment(t, rs, ss, Assign(rs, ss))
 	}
 	rapid.Check(t, func(r *rapid.T) {
-		rs, ss := newFleet(rapid.IntRange(1, 60).Draw(r, "relays"), rapid.IntRange(3, 120).Draw(r, "servers"), 1)
+		rs, ss := newFleet(rapid.IntRange(1, 60).Draw(r, "relays"), rapid.IntRange(3, 120).Draw(r, "servers"),
+			1)
 		for i := range rs {
 			rs[i].Zone = rapid.SampledFrom([]string{"a", "a", "a", "b", "c"}).Draw(r, "zone")
 		}
--- a/internal/fleet/probing/scheduler_test.go
+++ b/internal/fleet/probing/scheduler_test.go
@@ -141,7 +141,8 @@
 				load = c.loads[a.ServerKey] * (1 + 0.05*c.rng.NormFloat64())
 			}
 			c.schedulers[i].Handle(c.localTime(i), OwnReading{ServerKey: a.ServerKey,
-				LoadReport: LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}}, nil)
+				LoadReport: LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}},
+				nil)
 			c.recordUsed(i, a.ServerKey, c.now, load)
 		case SendReadings:
 			for to, r := range c.relays {
@@ -152,7 +153,8 @@
 			}
 		case UseReading:
 			c.maxUsedAge = max(c.maxUsedAge, duration.Millis(a.Age))
-			c.recordUsed(i, a.ServerKey, c.now-duration.Millis(a.Age)/c.clockRate[i], placementLoad(a.Reading))
+			c.recordUsed(i, a.ServerKey, c.now-duration.Millis(a.Age)/c.clockRate[i],
+				placementLoad(a.Reading))
 		}
 	}
 }
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -149,12 +149,12 @@
 	for want, text := range map[string]string{
 		`cell: "eu-a-1" is named, but there is no [plan]`: goodMembers + `cell = "eu-a-1"`,
 		`place: only a relay of a cell has one`:           goodMembers + `place = 1`,
-		`plan.cells: 0 cells; from 1 to 256 can be`:       goodMembers + "cell = \"x\"\n[plan]\nnumber = 2",
+		`plan.cells: 0 cells; from 1 to 256 are allowed`:  goodMembers + "cell = \"x\"\n[plan]\nnumber = 2",
 		`line 7`: goodMembers + "[plan]\nnumber = \"two\"",
 		`plan.cells: no cell has relays`: strings.NewReplacer(
 			"number = 1", "number = 2", "relays = 60", "", "relays = 40", "",
 		).Replace(goodCells),
-		`plan.cells: 257 cells; from 1 to 256 can be`: goodCells + strings.Repeat("[[plan.cells]]\n", 255),
+		`plan.cells: 257 cells; from 1 to 256 are allowed`: goodCells + strings.Repeat("[[plan.cells]]\n", 255),
 	} {
 		if _, err := readMembersText(t, text); !strings.Contains(errText(err), want) {
 			t.Errorf("%q: %v", want, err)
