--- a/internal/fleet/probing/assign.go
+++ b/internal/fleet/probing/assign.go
@@ -5,40 +5,41 @@
 	"slices"
 )
 
-// Relay is one that takes part.
+// Relay is a relay that takes part in probing.
 type Relay struct {
 	Name string
 	Zone string
 }
 
-// Server is one that is to be probed.
+// Server is a server to be probed.
 type Server struct {
-	Key     uint64 // its number, the same at every relay
+	Key     uint64 // identifies the server, with the same value at every relay
 	Zone    string
-	Started int64 // when its process started, Unix ms; 0 for long ago
+	Started int64 // start time of the server's process in Unix ms; 0 if unknown or long ago
 }
 
-// ProbersPerServer is how many relays probe each server: three, so that one that reports nonsense is
-// outvoted by two.
+// ProbersPerServer is the number of relays that probe each server. With three, the readings of one faulty
+// relay are outvoted by the other two.
 const ProbersPerServer = 3
 
-// assignmentSlack is how much more than the mean a relay may be given to probe, as a part of the mean.
-// With none, whoever comes last gets what is left over, and one relay more or less moves much.
+// assignmentSlack is the fraction by which a relay's number of servers may exceed the mean. Without slack,
+// the servers handled last get whatever relays are left, and adding or removing one relay moves many
+// assignments.
 const assignmentSlack = 0.25
 
-// Assignment says who probes which server.
+// Assignment holds the probers of each server.
 type Assignment struct {
 	relays  []string
-	probers [][]int32 // by server, as given: the relays that probe it, in the order in which they were chosen
+	probers [][]int32 // by index of the server: indices of its probers in the order of choice
 }
 
-// Assign gives each server ProbersPerServer relays, or all where there are fewer. Each server takes the
-// relays that rank highest in an order of its own (rendezvous hashing), those of its zone first, but none
-// that has its fill: so the relays' parts are even, and one relay or server more or less changes few
-// others. Whoever is given the same lists gets the same Assignment, whatever the order they come in.
+// Assign chooses ProbersPerServer relays for each server, or all relays if there are fewer. Each server takes
+// the relays that rank highest in its rendezvous order, first those of its zone, and skips relays that have
+// reached their maximum. The load is therefore even, and adding or removing one relay or server changes few
+// other assignments. The result does not depend on the order of the lists.
 //
-// At least one prober is of another zone where there is one: a zone that is cut off is seen by those
-// outside as what it is, and two of three are near, where a probe costs no crossing.
+// At least one prober is in another zone, if there is one, so that a zone that is cut off is also observed
+// from outside. The other two are in the server's zone, where a probe does not cross zones.
 func Assign(relays []Relay, servers []Server) *Assignment {
 	relays = slices.Clone(relays)
 	slices.SortFunc(relays, func(a, b Relay) int { return cmp.Compare(a.Name, b.Name) })
@@ -53,11 +54,11 @@
 	}
 	mean := float64(probersPerServer*len(servers)) / float64(len(relays))
 	a := assigner{
-		relays:     relays,
-		seeds:      make([]uint64, len(relays)),
-		assigned:   make([]int32, len(relays)),
-		maxServers: max(int32(mean*(1+assignmentSlack)+0.999), 1),
-		each:       probersPerServer,
+		relays:           relays,
+		seeds:            make([]uint64, len(relays)),
+		assignedCount:    make([]int32, len(relays)),
+		maxServers:       max(int32(mean*(1+assignmentSlack)+0.999), 1),
+		probersPerServer: probersPerServer,
 	}
 	for i, r := range relays {
 		a.seeds[i] = hashName(r.Name)
@@ -74,29 +75,30 @@
 	return t
 }
 
-// assigner is an Assignment in the making.
+// assigner is the state of one call of Assign.
 type assigner struct {
-	relays     []Relay
-	seeds      []uint64 // by relay: the hash of its name
-	assigned   []int32  // by relay: servers so far
-	maxServers int32    // servers that a relay is to be given
-	each       int      // probers of a server
+	relays           []Relay
+	seeds            []uint64 // by relay: hash of its name
+	assignedCount    []int32  // by relay: number of servers assigned so far
+	maxServers       int32    // per relay
+	probersPerServer int      // probers of a server
 }
 
-// chooseProbers picks a server's probers: up to each-1 of its zone, the rest of others, what is short
-// from anywhere; all of relays that have capacity first. The last resort, a relay that has none, is
-// needed only where rounding leaves none elsewhere.
+// chooseProbers chooses the probers of a server: up to probersPerServer-1 in its zone, then relays of other
+// zones, then relays of any zone. Only relays below the maximum are considered, unless rounding leaves too
+// few of them.
 func (a *assigner) chooseProbers(s Server) []int32 {
-	picked := make([]int32, 0, a.each)
+	picked := make([]int32, 0, a.probersPerServer)
 	near := func(i int) bool { return a.relays[i].Zone == s.Zone }
-	hasCapacity := func(i int) bool { return a.assigned[i] < a.maxServers }
-	picked = a.pick(picked, max(a.each-1, 1), s, func(i int) bool { return near(i) && hasCapacity(i) })
-	picked = a.pick(picked, a.each, s, func(i int) bool { return !near(i) && hasCapacity(i) })
-	picked = a.pick(picked, a.each, s, hasCapacity)
-	return a.pick(picked, a.each, s, func(int) bool { return true })
+	hasCapacity := func(i int) bool { return a.assignedCount[i] < a.maxServers }
+	picked = a.pick(picked, max(a.probersPerServer-1, 1), s,
+		func(i int) bool { return near(i) && hasCapacity(i) })
+	picked = a.pick(picked, a.probersPerServer, s, func(i int) bool { return !near(i) && hasCapacity(i) })
+	picked = a.pick(picked, a.probersPerServer, s, hasCapacity)
+	return a.pick(picked, a.probersPerServer, s, func(int) bool { return true })
 }
 
-// pick adds the relays that rank highest for a server among those that are eligible, until there are so many.
+// pick adds the highest-ranked eligible relays for a server until want relays are picked.
 func (a *assigner) pick(picked []int32, want int, s Server, eligible func(i int) bool) []int32 {
 	for len(picked) < want {
 		best, top := int32(-1), uint64(0)
@@ -109,13 +111,14 @@
 		if best < 0 {
 			break
 		}
-		a.assigned[best]++
+		a.assignedCount[best]++
 		picked = append(picked, best)
 	}
 	return picked
 }
 
-// Probers returns the names of a server's probers, by its place in the list that Assign was given.
+// Probers returns the names of a server's probers. The server is given by its index in the list passed to
+// Assign.
 func (t *Assignment) Probers(server int) []string {
 	out := make([]string, len(t.probers[server]))
 	for i, r := range t.probers[server] {
@@ -124,7 +127,7 @@
 	return out
 }
 
-// rank is a relay's place among a server's probers, negative if it is none.
+// rank returns the position of a relay among a server's probers, or -1 if the relay is not one of them.
 func (t *Assignment) rank(server int, relay string) int {
 	for i, r := range t.probers[server] {
 		if t.relays[r] == relay {
@@ -134,7 +137,7 @@
 	return -1
 }
 
-// hashName is FNV-1a of a name.
+// hashName returns the FNV-1a hash of a name.
 func hashName(s string) uint64 {
 	h := uint64(0xcbf29ce484222325)
 	for i := range len(s) {
@@ -143,7 +146,7 @@
 	return h
 }
 
-// mixBits spreads a number's bits (the finish of splitmix64).
+// mixBits is the finalizer of splitmix64.
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// newFleet is so many relays and servers, evenly over zones.
+// newFleet returns relays and servers spread evenly over zones.
 func newFleet(relays, servers, zones int) (rs []Relay, ss []Server) {
 	for i := range relays {
 		rs = append(rs, Relay{fmt.Sprintf("r%d", i), fmt.Sprintf("z%d", i%zones)})
@@ -20,40 +20,44 @@
 	return rs, ss
 }
 
-// checkAssignment tells what of a table is not as promised.
+// checkAssignment reports a server with duplicate or missing probers, and a relay with many more servers than
+// the mean.
 func checkAssignment(t interface{ Errorf(string, ...any) }, rs []Relay, ss []Server, table *Assignment) {
-	zone, parts, inZone := map[string]string{}, map[string]int{}, map[string]int{}
+	zone, assigned, inZone := map[string]string{}, map[string]int{}, map[string]int{}
 	for _, r := range rs {
 		zone[r.Name] = r.Zone
 		inZone[r.Zone]++
 	}
 	each := min(ProbersPerServer, len(rs))
 	for i, s := range ss {
-		of := table.Probers(i)
+		probers := table.Probers(i)
 		near := 0
-		for j, name := range of {
-			parts[name]++
+		for j, name := range probers {
+			assigned[name]++
 			if zone[name] == s.Zone {
 				near++
 			}
-			if slices.Contains(of[:j], name) {
-				t.Errorf("%d relays, %d servers: %s probes a server twice: %v", len(rs), len(ss), name, of)
+			if slices.Contains(probers[:j], name) {
+				t.Errorf("%d relays, %d servers: relay %s is listed twice among a server's probers %v",
+					len(rs), len(ss), name, probers)
 			}
 		}
-		if len(of) != each {
-			t.Errorf("%d relays, %d servers: %d probe a server, wanted %d", len(rs), len(ss), len(of), each)
+		if len(probers) != each {
+			t.Errorf("%d relays, %d servers: a server has %d probers, want %d", len(rs), len(ss),
+				len(probers), each)
 		}
 	}
 	mean := float64(each*len(ss)) / float64(len(rs))
-	for name, n := range parts {
+	for name, n := range assigned {
 		if float64(n) > math.Ceil(mean*(1+assignmentSlack)+0.001)+1 {
-			t.Errorf("%d relays, %d servers: %s probes %d, the mean is %.1f", len(rs), len(ss), name, n, mean)
+			t.Errorf("%d relays, %d servers: relay %s probes %d servers, too many for a mean of %.1f",
+				len(rs), len(ss), name, n, mean)
 		}
 	}
 }
 
-// At any number of relays and servers each server has as many probers as any other, and no relay much
-// more to probe than the mean; zones of any sizes.
+// For any numbers of relays and servers, and zones of any size, each server has the same number of probers,
+// and no relay has many more servers to probe than the mean.
 func TestAssignIsFair(t *testing.T) {
 	for _, size := range [][3]int{{1, 3, 1}, {2, 3, 1}, {3, 5000, 3}, {9, 12, 3}, {300, 90, 3}, {1000, 3, 3},
 		{1000, 5000, 5}} {
@@ -74,14 +78,15 @@
 		other := Assign(rapid.Permutation(rs).Draw(r, "order"), ss)
 		for i := range ss {
 			if !slices.Equal(table.Probers(i), other.Probers(i)) {
-				r.Errorf("the order of names changes who probes a server: %v, %v", table.Probers(i),
+				r.Errorf("probers of a server are %v in one order of the relays and %v in another",
+					table.Probers(i),
 					other.Probers(i))
 			}
 		}
 	})
 }
 
-// Where zones have enough relays, two of a server's three probers are of its zone and one is not.
+// If zones have enough relays, a server has probers in its own zone and in another one.
 func TestAssignKeepsZones(t *testing.T) {
 	rs, ss := newFleet(30, 60, 3)
 	table, zone := Assign(rs, ss), map[string]string{}
@@ -96,12 +101,13 @@
 			}
 		}
 		if near == 0 || near == ProbersPerServer {
-			t.Errorf("%d of %v are of zone %s", near, table.Probers(i), s.Zone)
+			t.Errorf("%d of the probers %v are in the server's zone %s, want some but not all", near,
+				table.Probers(i), s.Zone)
 		}
 	}
 }
 
-// One relay more or less, or one server, changes few others' probers.
+// Adding or removing one relay or one server changes the probers of few other servers.
 func TestAssignChangesLittle(t *testing.T) {
 	for _, size := range [][2]int{{9, 60}, {30, 90}, {300, 90}, {300, 2000}} {
 		rs, ss := newFleet(size[0], size[1], 3)
@@ -116,15 +122,15 @@
 			}
 			return n
 		}
-		// What was probed by the one that goes must move, and about as much again may.
+		// The removed relay's own assignments have to move, and about as many others may.
 		fair := ProbersPerServer * size[1] / size[0]
 		if n := moved(Assign(rs[1:], ss), ss, rs[0].Name); n > 3*fair+6 {
-			t.Errorf("%v: without one relay %d assignments move that were others', of %d; its own are %d",
+			t.Errorf("%v: removing one relay moves %d assignments of other relays, of %d; it had %d itself",
 				size, n,
 				ProbersPerServer*size[1], fair)
 		}
 		if n := moved(Assign(rs, ss[:len(ss)-1]), ss[:len(ss)-1], ""); n > 3*ProbersPerServer+6 {
-			t.Errorf("%v: without one server %d assignments move, of %d", size, n, ProbersPerServer*size[1])
+			t.Errorf("%v: removing one server moves %d assignments of %d", size, n, ProbersPerServer*size[1])
 		}
 	}
 }
--- a/internal/fleet/probing/corroborate.go
+++ b/internal/fleet/probing/corroborate.go
@@ -8,8 +8,8 @@
 	"capersail/internal/fleet/duration"
 )
 
-// acceptReading weighs a reading that a peer has passed on, and lets the module decide by it if it is
-// corroborated. It returns why the reading is left out, "" if it is not, or was known.
+// acceptReading processes a reading that a peer has passed on, and emits a reading to use if it is
+// corroborated. It returns why the reading is dropped, or "" if it is used or was already known.
 func (sc *Scheduler) acceptReading(r Reading) DropReason {
 	if r.Origin == sc.self {
 		return ""
@@ -23,14 +23,14 @@
 		return DropTooOld
 	}
 	kept := &keptReading{Reading: r, readAt: sc.now - age}
-	if !s.keepNewest(kept) { // it has come before
+	if !s.keepNewest(kept) { // not newer than what is known of this origin
 		return ""
 	}
 	sc.counters.received++
 	corroborated := sc.corroborate(s, kept)
 	sc.detectContradictions(s)
 	if !sc.skipCorroboration && sc.isQuarantined(r.Origin) {
-		s.forget(kept)
+		s.removeReading(kept)
 		return DropQuarantined
 	}
 	if corroborated == nil {
@@ -40,12 +40,13 @@
 	return ""
 }
 
-// checkReading tells why a reading cannot count, whatever others say; s and o are nil if they are not known.
+// checkReading returns why a reading is invalid by itself, or "" if it is valid. s and o are nil if the
+// server or the origin is unknown.
 func checkReading(r Reading, s *server, o *origin) DropReason {
 	switch {
 	case s == nil || o == nil:
 		return DropUnknownOrigin
-	case !plausible(r):
+	case !isPlausible(r):
 		return DropImplausible
 	case placementLoad(r) < 0:
 		return DropNoLoad
@@ -57,7 +58,7 @@
 	return ""
 }
 
-// useReading lets the module decide by a reading, if it is newer than what it decides by now.
+// useReading emits a reading for placements if it is newer than the one in use.
 func (sc *Scheduler) useReading(s *server, kept *keptReading) {
 	if kept.readAt <= s.usedReadAt {
 		return
@@ -68,9 +69,10 @@
 	sc.emit(UseReading{used})
 }
 
-// estimateAge is how old a reading is: what it says, or more where it came later than others of its origin
-// have. The quickest message counts for less the longer ago it was, as far as two clocks can part; a
-// window instead would take the readings of a slow clock for older than they are.
+// estimateAge returns the age of a reading: the age stated in the message, or more if the message was slower
+// than others of the same origin. The fastest message so far is the baseline, and it is trusted less as time
+// passes, by the maximum clock drift between two relays. A sliding window of messages would overestimate the
+// age of readings from a relay with a slow clock.
 func (o *origin) estimateAge(r Reading, now time.Duration) time.Duration {
 	if o.incarnation != r.Incarnation {
 		o.incarnation, o.clockKnown = r.Incarnation, false
@@ -84,7 +86,7 @@
 	return offset - quickest
 }
 
-// keepNewest keeps a reading if it is the newest of its origin, and tells whether it was.
+// keepNewest stores a reading if it is the newest of its origin, and reports whether it is.
 func (s *server) keepNewest(kept *keptReading) bool {
 	ofOrigin := func(o *keptReading) bool { return o.Origin == kept.Origin }
 	if i := slices.IndexFunc(s.newestByOrigin, ofOrigin); i >= 0 {
@@ -100,19 +102,21 @@
 	return true
 }
 
-// forget drops a reading that was kept.
-func (s *server) forget(kept *keptReading) {
+// removeReading removes a stored reading.
+func (s *server) removeReading(kept *keptReading) {
 	s.newestByOrigin = slices.DeleteFunc(s.newestByOrigin, func(o *keptReading) bool { return o == kept })
 }
 
-// isOlderThan tells whether a reading was made isOlderThan another of the same origin, by its clock.
+// isOlderThan reports whether a reading was made before another reading of the same origin, by the origin's
+// clock.
 func (k *keptReading) isOlderThan(o *keptReading) bool {
 	return k.Incarnation < o.Incarnation || k.Incarnation == o.Incarnation && k.ReadAt < o.ReadAt
 }
 
-// corroborate says which reading to decide by now that one has come: that itself where another origin
-// agrees with it, else the median of the newest three, else none. One relay alone is believed by nobody,
-// so one that reports nonsense can neither empty nor flood a server.
+// corroborate returns the reading to use after a reading has arrived: the new reading if a recent reading of
+// another origin agrees with it, otherwise the median of the three newest origins, or nil if there are fewer
+// than three. A reading of one origin alone is never used, so that a faulty relay can neither drain a server
+// nor flood it.
 func (sc *Scheduler) corroborate(s *server, kept *keptReading) *keptReading {
 	if sc.skipCorroboration {
 		return kept
@@ -137,21 +141,22 @@
 	return three[1]
 }
 
-// isQuarantined tells whether a relay's readings are left out.
+// isQuarantined reports whether a relay's readings are currently ignored.
 func (sc *Scheduler) isQuarantined(name string) bool {
 	o := sc.relays[name]
 	return o != nil && sc.now < o.quarantinedUntil
 }
 
-// detectContradictions compares readings that have one of another origin on either side in time, and no more than
-// a step of a load can come between: where those two agree with each other and not with it, its origin
-// has reported nonsense. A reading that only older ones contradict counts for nothing: it may be the first to
-// see a load change.
+// detectContradictions compares each reading with the next younger and the next older reading of other
+// origins. If these two agree with each other and not with the reading between them, a single step of the
+// load cannot explain the difference, and the reading counts as a contradiction against its origin. A reading
+// that only older readings contradict does not count, because its origin may be the first to see a load
+// change.
 func (sc *Scheduler) detectContradictions(s *server) {
-	for i := 1; i < len(s.newestByOrigin)-1; i++ { // the youngest come first
+	for i := 1; i < len(s.newestByOrigin)-1; i++ { // ordered by age, youngest first
 		after, kept, before := s.newestByOrigin[i-1], s.newestByOrigin[i], s.newestByOrigin[i+1]
 		o := sc.relays[kept.Origin]
-		if kept.checked || o == nil || !sc.comparable(after, before) {
+		if kept.checked || o == nil || !sc.canCompare(after, before) {
 			continue
 		}
 		kept.checked = true
@@ -164,13 +169,14 @@
 	}
 }
 
-// comparable tells whether two readings may judge one between them.
-func (sc *Scheduler) comparable(after, before *keptReading) bool {
+// canCompare reports whether a younger and an older reading may be used to check a reading between them.
+func (sc *Scheduler) canCompare(after, before *keptReading) bool {
 	return !sc.isQuarantined(after.Origin) && !sc.isQuarantined(before.Origin) &&
 		after.readAt-before.readAt <= corroborationSpan
 }
 
-// countContradiction counts a contradicted reading of a relay, and puts it in quarantine for too many.
+// countContradiction counts a contradicted reading of a relay, and quarantines the relay when there are too
+// many.
 func (sc *Scheduler) countContradiction(name string, o *origin) {
 	o.contradictions++
 	if o.contradictions < maxContradictions || sc.now < o.quarantinedUntil {
--- a/internal/fleet/probing/corroboration_faults.go
+++ b/internal/fleet/probing/corroboration_faults.go
@@ -2,6 +2,6 @@
 
 package probing
 
-// DisableCorroboration makes the Scheduler believe all that it receives, as tests do to see that they
-// would find out.
+// DisableCorroboration sets whether the Scheduler trusts all readings. Tests use it to show that their checks
+// detect missing corroboration.
 func (sc *Scheduler) DisableCorroboration(disabled bool) { sc.skipCorroboration = disabled }
--- a/internal/fleet/probing/doc.go
+++ b/internal/fleet/probing/doc.go
@@ -1,12 +1,13 @@
-// Package probing decides what each of many relays does of what all need only once: who probes which
-// server, and whose readings are believed.
+// Package probing shares the work of probing servers among the relays of a fleet. It decides which relays
+// probe which server, exchanges the readings by gossip, and decides which readings are trusted.
 //
-// A Scheduler owns what one relay knows of servers' loads, by its own probes and by what peers pass on,
-// and whom of the peers it doesn't believe; Assign says who probes what. Its drivers are the relay's
-// event loop (internal/relay) and internal/simulation/model. It is fed events, takes time as an argument,
-// returns actions, reads no clock and does no I/O. docs/design/fleet.md has the reasons.
+// Assign determines the probers of each server. A Scheduler holds one relay's knowledge of the servers'
+// loads, from its own probes and from readings passed on by peers, and of the peers whose readings it does
+// not trust. Its drivers are the relay's event loop (internal/relay) and internal/simulation/model. It takes
+// events and the time as arguments, returns actions, reads no clock and does no I/O. docs/design/fleet.md
+// gives the reasons for the design.
 //
-// All times are durations since an arbitrary origin of this relay's monotonic clock. A reading carries
-// its origin's own clock only to tell which of two is newer, and how much later than others of that
-// origin it came; no two relays' clocks are compared otherwise.
+// All times are durations since an arbitrary origin of this relay's monotonic clock. A reading carries a time
+// of its origin's clock only to order the readings of that origin, and to estimate how much longer than
+// others it was under way. The clocks of two relays are not compared otherwise.
 package probing
--- a/internal/fleet/probing/drops.go
+++ b/internal/fleet/probing/drops.go
@@ -1,10 +1,10 @@
 package probing
 
-// DropReason is why a reading or a placement that a peer has passed on is left out; "" for one that is
-// not. The texts are those of reports and metrics.
+// DropReason is why a reading or placement received from a peer is dropped, or "" if it is not. Its texts
+// appear in reports and metrics.
 type DropReason string
 
-// The reasons.
+// Reasons for dropping a reading or placement.
 const (
 	DropTooOld           DropReason = "too old"
 	DropImplausible      DropReason = "impossible"
@@ -15,15 +15,15 @@
 	DropNoLoad           DropReason = "without a load"
 )
 
-// counters are since the start, for reports and metrics.
+// counters are totals since the start, for reports and metrics.
 type counters struct {
-	probes   uint64 // made by turns
-	received uint64 // readings of others that were new here
+	probes   uint64 // by this relay, when it was its turn
+	received uint64 // readings of other relays that were new
 	dropped  map[DropReason]uint64
 }
 
-// drop counts what was left out, if it was.
-func (c *counters) drop(reason DropReason, count int) {
+// countDropped counts dropped readings or placements. An empty reason is not counted.
+func (c *counters) countDropped(reason DropReason, count int) {
 	if reason != "" {
 		c.dropped[reason] += uint64(count)
 	}
--- a/internal/fleet/probing/event.go
+++ b/internal/fleet/probing/event.go
@@ -1,28 +1,28 @@
 package probing
 
-// Event is something that a Scheduler has to take in.
+// Event is an input to a Scheduler.
 type Event interface{ event() }
 
 type (
-	// ParticipantsChanged is who takes part, in a view, and which servers there are; Assignment is Assign's
-	// of both.
+	// ParticipantsChanged is sent when the relays of the view or the servers change. Assignment is the result
+	// of Assign for both lists.
 	ParticipantsChanged struct {
 		Relays      []Relay
-		Incarnation uint64 // this relay's incarnation
+		Incarnation uint64 // of this relay
 		Servers     []Server
 		Assignment  *Assignment
 	}
-	// OwnReading is what this relay read itself, whoever wanted it.
+	// OwnReading is a load report that this relay read from a server, for whatever purpose.
 	OwnReading struct {
 		ServerKey uint64
 		LoadReport
 	}
-	// ReadingsReceived is what a peer has passed on.
+	// ReadingsReceived are readings passed on by a peer.
 	ReadingsReceived struct {
 		From     string
 		Readings []Reading
 	}
-	// Tick says that time has passed.
+	// Tick lets the Scheduler do what is due at the current time.
 	Tick struct{}
 )
 
@@ -31,20 +31,20 @@
 func (ReadingsReceived) event()    {}
 func (Tick) event()                {}
 
-// Action is something a Scheduler wants done.
+// Action is an output of a Scheduler for its driver to carry out.
 type Action interface{ action() }
 
 type (
-	// Probe wants a server probed; the answer comes as an OwnReading.
+	// Probe asks for a probe of a server. The result comes back as an OwnReading.
 	Probe struct{ ServerKey uint64 }
-	// UseReading is a reading for the module to decide by.
+	// UseReading is a trusted reading for the decision module.
 	UseReading struct{ Reading }
-	// SendReadings passes readings on.
+	// SendReadings sends readings to a peer.
 	SendReadings struct {
 		To       string
 		Readings []Reading
 	}
-	// RelayQuarantined is for the log: a relay's readings are left out for a while.
+	// RelayQuarantined reports, for the log, that a relay's readings are ignored for a while.
 	RelayQuarantined struct{ Name string }
 )
 
--- a/internal/fleet/probing/placements.go
+++ b/internal/fleet/probing/placements.go
@@ -5,45 +5,49 @@
 	"time"
 )
 
-// Placements are summed and not guessed: each relay tells what it has sent to which server since its last
-// round, less what has ended there, all others get it as they get readings, and each adds what is younger
-// than its reading of that server. The ends count too, or servers would look fuller than they are by all
-// connections shorter than a reading's age. Only so many a second fit the rounds; a fleet to which more
-// come goes on guessing by the sum of arrivals, whose spread is small there.
+// Relays share exact placement counts. Each relay announces, per server, the connections that it has placed
+// since its last gossip round minus those that have ended. The deltas spread like readings, and each relay
+// adds those that are younger than its reading of the server. Ended connections are included because servers
+// would otherwise seem more loaded, by all connections shorter than the age of a reading.
+//
+// A gossip round carries a limited number of deltas. A fleet with a higher request rate keeps estimating
+// placements from the sum of arrivals, whose spread is small at such rates.
 const (
-	// MaxPlacementRate is up to how many requests a second of all the fleet placements are shared.
+	// MaxPlacementRate is the highest request rate of the whole fleet, in requests per second, at which
+	// placements are shared.
 	MaxPlacementRate = 200.0
-	// MaxPlacementsPerRound is how many rows a round carries.
+	// MaxPlacementsPerRound is the maximum number of deltas in a gossip round.
 	MaxPlacementsPerRound = 48
-	// maxPlacementDelta bounds a row, in connections.
+	// maxPlacementDelta is the maximum number of connections in a delta.
 	maxPlacementDelta = 1000
 )
 
-// PlacementDelta is what one relay has sent to one server in one round, less what has ended there.
+// PlacementDelta is the number of connections that one relay has placed at one server in one gossip round,
+// minus those that have ended there.
 type PlacementDelta struct {
 	ServerKey   uint64
 	Origin      string
 	Incarnation uint64
-	Seq         uint64 // of the origin's rows: rises by one
+	Seq         uint64 // numbers the origin's deltas consecutively
 	Delta       int
 	Age         time.Duration
 }
 
 type (
-	// LocalPlacement says that this relay has sent so many connections to a server; negative, that so many
-	// have ended there.
+	// LocalPlacement reports connections that this relay has placed at a server. A negative Delta reports
+	// connections that have ended.
 	LocalPlacement struct {
 		ServerKey uint64
 		Delta     int
 	}
-	// PlacementsReceived is what a peer has passed on.
+	// PlacementsReceived are placements passed on by a peer.
 	PlacementsReceived struct {
 		From   string
 		Deltas []PlacementDelta
 	}
-	// PeerPlacement is what another relay has sent to a server.
+	// PeerPlacement is a placement of another relay, for the decision module.
 	PeerPlacement struct{ PlacementDelta }
-	// SendPlacements passes rows on.
+	// SendPlacements sends placements to a peer.
 	SendPlacements struct {
 		To     string
 		Deltas []PlacementDelta
@@ -55,29 +59,29 @@
 func (PeerPlacement) action()     {}
 func (SendPlacements) action()    {}
 
-// gossipedPlacement is one that is passed on still.
+// gossipedPlacement is a placement that is still being passed on.
 type gossipedPlacement struct {
 	PlacementDelta
 	placedAt   time.Duration
-	roundsSent int // that have carried it
+	roundsSent int // number of gossip rounds that have carried it
 }
 
-// placements are what this relay passes on of placements, its own and others'.
+// placements are the placements that this relay passes on, its own and those of others.
 type placements struct {
-	pendingDeltas map[uint64]int // connections sent to servers since the last round, less those that ended
+	pendingDeltas map[uint64]int // by server: connections placed minus ended since the last round
 	gossiped      []gossipedPlacement
-	seq           uint64 // of the newest of its own
+	seq           uint64 // of this relay's newest delta
 }
 
-// notePlacement gathers this relay's own until its next round.
+// notePlacement adds to this relay's delta for the next gossip round.
 func (sc *Scheduler) notePlacement(e LocalPlacement) {
 	if sc.HasPeers() && sc.servers[e.ServerKey] != nil {
 		sc.placements.pendingDeltas[e.ServerKey] += e.Delta
 	}
 }
 
-// acceptPlacement takes in a row that a peer has passed on. It returns why it is left out, "" if it is
-// not, or was known.
+// acceptPlacement processes a delta passed on by a peer. It returns why the delta is dropped, or "" if it is
+// used or was already known.
 func (sc *Scheduler) acceptPlacement(p PlacementDelta) DropReason {
 	o := sc.relays[p.Origin]
 	switch {
@@ -99,13 +103,12 @@
 	return ""
 }
 
-// placementBatch returns what a round passes on: this relay's own first, then the newest that have not
-// gone round yet.
+// placementBatch returns the deltas for one gossip round, newest first, starting with this relay's own.
 func (sc *Scheduler) placementBatch() []PlacementDelta {
 	sc.gossipOwnPlacements()
 	p := &sc.placements
 	var batch []PlacementDelta
-	for i := len(p.gossiped) - 1; i >= 0; i-- { // the newest first
+	for i := len(p.gossiped) - 1; i >= 0; i-- { // newest first
 		g := &p.gossiped[i]
 		age := sc.now - g.placedAt
 		if age > MaxReadingAge/2 || g.roundsSent >= maxGossipRounds || len(batch) >= MaxPlacementsPerRound {
@@ -122,7 +125,7 @@
 	return batch
 }
 
-// gossipOwnPlacements adds what this relay has sent since the last round to what is passed on.
+// gossipOwnPlacements moves this relay's pending deltas to the placements that are passed on.
 func (sc *Scheduler) gossipOwnPlacements() {
 	p := &sc.placements
 	for _, s := range sc.serverList {
--- a/internal/fleet/probing/report.go
+++ b/internal/fleet/probing/report.go
@@ -7,29 +7,29 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Report is what is known of the probes, for operators.
+// Report is what a relay knows about shared probing, for operators.
 type Report struct {
-	Relays            int               `json:"relays"` // that take part, this one too
-	Probes            uint64            `json:"looks"`  // made by turns
-	ReadingsReceived  uint64            `json:"taken"`  // readings of others that were new here
+	Relays            int               `json:"relays"` // that take part, including this one
+	Probes            uint64            `json:"looks"`  // by this relay, when it was its turn
+	ReadingsReceived  uint64            `json:"taken"`  // readings of other relays that were new
 	QuarantinedRelays []string          `json:"doubted"`
 	DroppedByReason   map[string]uint64 `json:"dropped"`
 	Servers           []ServerReport    `json:"servers"`
 }
 
-// ServerReport is one server in a Report.
+// ServerReport describes one server in a Report.
 type ServerReport struct {
 	ServerKey uint64  `json:"spot"`
-	ID        string  `json:"id"` // its driver's to fill in
+	ID        string  `json:"id"` // filled in by the driver
 	Zone      string  `json:"zone"`
 	Assigned  bool    `json:"mine"` // this relay is one of its probers
-	Rank      int     `json:"rank"` // its place among them
-	Load      float64 `json:"load"` // as believed, negative for unknown
+	Rank      int     `json:"rank"` // of this relay among its probers, or -1
+	Load      float64 `json:"load"` // of the reading in use, or -1 if unknown
 	AgeMs     float64 `json:"age_ms"`
-	Origin    string  `json:"by"` // whose reading that is, "" for none
+	Origin    string  `json:"by"` // relay that made the reading in use, "" for none
 }
 
-// Report tells what the Scheduler knows.
+// Report returns what the Scheduler knows.
 func (sc *Scheduler) Report(now time.Duration) Report {
 	report := Report{
 		Relays:           len(sc.peerNames) + 1,
@@ -52,10 +52,10 @@
 	return report
 }
 
-// report is a server's row.
+// report returns the server's entry of a Report.
 func (s *server) report(now time.Duration) ServerReport {
 	row := ServerReport{
-		ServerKey: s.Key, Zone: s.Zone, Assigned: s.rank >= 0, Rank: s.rank,
+		ServerKey: s.Key, Zone: s.Zone, Assigned: s.proberRank >= 0, Rank: s.proberRank,
 		Load: -1, AgeMs: -1, Origin: s.usedOrigin,
 	}
 	if s.usedReadAt != duration.DistantPast {
--- a/internal/fleet/probing/scheduler.go
+++ b/internal/fleet/probing/scheduler.go
@@ -9,37 +9,37 @@
 	"capersail/internal/fleet/duration"
 )
 
-// server is what is known of one.
+// server is what a relay knows about one server.
 type server struct {
 	Server
-	rank           int // this relay's among the probers, negative if it is none
+	proberRank     int // of this relay among the server's probers, or -1
 	probedAt       time.Duration
-	newestByOrigin []*keptReading // one of each origin, the youngest first
-	usedReadAt     time.Duration  // when the reading that the module decides by was made
-	usedOrigin     string         // and whose it is
+	newestByOrigin []*keptReading // one for each origin, youngest first
+	usedReadAt     time.Duration  // time of the reading in use
+	usedOrigin     string         // origin of the reading in use
 }
 
-// origin is what is known of a relay as one that passes readings on.
+// origin is what a relay knows about a peer as a source of readings and placements.
 type origin struct {
 	incarnation      uint64
-	clockOffset      time.Duration // own clock less the origin's, by its quickest message
-	clockOffsetAt    time.Duration // when that came
-	clockKnown       bool          // a message has come in this incarnation
+	clockOffset      time.Duration // this relay's clock minus the origin's, from its fastest message
+	clockOffsetAt    time.Duration // arrival of that message
+	clockKnown       bool          // a message of this incarnation has arrived
 	placementDedup   DedupWindow
-	contradictions   float64 // contradicted readings, less half of the corroborated ones
+	contradictions   float64 // contradicted readings, minus half of the corroborated ones
 	quarantinedUntil time.Duration
 }
 
-// Scheduler is one relay's part in probing servers by turns. It is not safe for concurrent use.
+// Scheduler schedules one relay's part in shared probing. It is not safe for concurrent use.
 //
-// Invariants: relays has just the others that take part, peerNames their names; servers and serverList
-// have the same servers; now never goes back.
+// Invariants: relays holds exactly the other relays that take part, and peerNames their names; servers and
+// serverList hold the same servers; now never decreases.
 type Scheduler struct {
 	self         string
 	incarnation  uint64
 	rng          *rand.Rand
-	now          time.Duration // of the event that is handled
-	actions      []Action      // of that event, so far
+	now          time.Duration // time of the current event
+	actions      []Action      // emitted for the current event
 	servers      map[uint64]*server
 	serverList   []*server
 	relays       map[string]*origin
@@ -47,11 +47,11 @@
 	nextGossipAt time.Duration
 	placements   placements
 	counters     counters
-	// skipCorroboration, in tests only: all that is received is believed.
+	// skipCorroboration makes the Scheduler trust all readings. Only tests set it.
 	skipCorroboration bool
 }
 
-// New returns the Scheduler of a relay that starts.
+// New returns a Scheduler for a relay that has just started.
 func New(self string, seed uint64) *Scheduler {
 	return &Scheduler{
 		self:       self,
@@ -63,10 +63,10 @@
 	}
 }
 
-// HasPeers tells whether there is anybody to share with.
+// HasPeers reports whether other relays take part.
 func (sc *Scheduler) HasPeers() bool { return len(sc.peerNames) > 0 }
 
-// Handle takes one event and appends what is to be done about it to out.
+// Handle processes one event, appends the resulting actions to out and returns it.
 func (sc *Scheduler) Handle(now time.Duration, ev Event, out []Action) []Action {
 	sc.now, sc.actions = max(now, sc.now), out
 	switch e := ev.(type) {
@@ -80,7 +80,7 @@
 		sc.notePlacement(e)
 	case PlacementsReceived:
 		for _, p := range e.Deltas {
-			sc.counters.drop(sc.acceptPlacement(p), 1)
+			sc.counters.countDropped(sc.acceptPlacement(p), 1)
 		}
 	case Tick:
 		if sc.HasPeers() {
@@ -93,19 +93,19 @@
 
 func (sc *Scheduler) emit(a Action) { sc.actions = append(sc.actions, a) }
 
-// acceptReadings takes in what a peer has passed on.
+// acceptReadings processes readings that a peer has passed on.
 func (sc *Scheduler) acceptReadings(e ReadingsReceived) {
 	if sc.relays[e.From] == nil {
-		sc.counters.drop(DropUnknownOrigin, len(e.Readings))
+		sc.counters.countDropped(DropUnknownOrigin, len(e.Readings))
 		return
 	}
 	for _, r := range e.Readings {
-		sc.counters.drop(sc.acceptReading(r), 1)
+		sc.counters.countDropped(sc.acceptReading(r), 1)
 	}
 }
 
-// updateParticipants takes up who takes part and which servers there are. What is known of a server lives
-// on while its process does.
+// updateParticipants replaces the lists of relays and servers. State of a server is kept as long as its
+// process runs.
 func (sc *Scheduler) updateParticipants(e ParticipantsChanged) {
 	sc.incarnation = e.Incarnation
 	relays := map[string]*origin{}
@@ -129,15 +129,15 @@
 		if s == nil || s.Started != described.Started {
 			s = &server{probedAt: duration.DistantPast, usedReadAt: duration.DistantPast}
 		}
-		s.Server, s.rank = described, e.Assignment.rank(i, sc.self)
+		s.Server, s.proberRank = described, e.Assignment.rank(i, sc.self)
 		sc.servers[s.Key] = s
 		sc.serverList = append(sc.serverList, s)
 	}
 }
 
-// noteOwnReading notes this relay's own reading: it is believed by whoever wanted it, and passed on. A
-// report that tells no load, as a server's first may, is none: it would contradict those that come after
-// it.
+// noteOwnReading stores this relay's own reading of a server, which is used without corroboration and passed
+// on. A report without a load is ignored, as a server's first report may be one: it would contradict the
+// readings that follow it.
 func (sc *Scheduler) noteOwnReading(e OwnReading) {
 	s := sc.servers[e.ServerKey]
 	if s == nil {
@@ -155,7 +155,7 @@
 	s.usedReadAt, s.usedOrigin = sc.now, sc.self
 }
 
-// probeDueServers probes the servers whose turn it is.
+// probeDueServers probes the servers for which it is this relay's turn.
 func (sc *Scheduler) probeDueServers() {
 	for _, s := range sc.serverList {
 		if s.isProbeDue(sc.now) {
@@ -166,22 +166,22 @@
 	}
 }
 
-// isProbeDue tells whether it is this relay's turn to probe a server. Probers take turns without a word
-// about it: each waits until the newest reading is so old, those of a lower rank a little longer, and
-// probes again no sooner than after ProbeInterval.
+// isProbeDue reports whether it is this relay's turn to probe a server. The probers take turns without
+// messages: each waits until the newest reading has reached TurnInterval, plus a delay that grows with its
+// rank. It does not probe again before ProbeInterval has passed, and always probes after twice that time.
 func (s *server) isProbeDue(now time.Duration) bool {
-	if s.rank < 0 || now < s.probedAt+ProbeInterval {
+	if s.proberRank < 0 || now < s.probedAt+ProbeInterval {
 		return false
 	}
 	newest := duration.DistantPast
 	for _, kept := range s.newestByOrigin {
 		newest = max(newest, kept.readAt)
 	}
-	turn := newest + TurnInterval + GossipInterval*time.Duration(s.rank)
+	turn := newest + TurnInterval + GossipInterval*time.Duration(s.proberRank)
 	return now >= turn || now >= s.probedAt+2*ProbeInterval
 }
 
-// gossip passes the newest readings and placements on to some peers drawn at random.
+// gossip sends the newest readings and placements to random peers.
 func (sc *Scheduler) gossip() {
 	if sc.now < sc.nextGossipAt {
 		return
@@ -200,8 +200,8 @@
 	}
 }
 
-// readingBatch is what a round passes on of readings: those that the fewest rounds have carried, the
-// youngest first.
+// readingBatch returns the readings for one gossip round: those that the fewest rounds have carried first,
+// then the youngest first.
 func (sc *Scheduler) readingBatch() []Reading {
 	var fresh []*keptReading
 	for _, s := range sc.serverList {
--- a/internal/fleet/probing/trace_test.go
+++ b/internal/fleet/probing/trace_test.go
@@ -6,8 +6,8 @@
 	"capersail/internal/testing/trace"
 )
 
-// record takes an action down. Times on a clock are left out, as their representation may change; that
-// they are the same shows in when actions come.
+// record adds an action to the trace. Times are left out, as their representation may change; a change in
+// timing shows in the order of the actions.
 func record(t *trace.Trace, relay int, a Action) {
 	t.Action(relay)
 	reading := func(r Reading) { t.Put(r.ServerKey, r.Started, r.Origin, r.Incarnation, r.LoadReport) }
@@ -36,7 +36,7 @@
 	}
 }
 
-// placeAtRandom lets a relay send to a server now and then, or something end there.
+// placeAtRandom sometimes lets a relay place a connection at a server, or end one.
 func (c *simulatedFleet) placeAtRandom(relay int) {
 	if c.rng.IntN(4) == 0 {
 		s := c.servers[c.rng.IntN(len(c.servers))]
@@ -45,9 +45,9 @@
 	}
 }
 
-// Over drawn loads, losses, lies and deaths every relay does the same, in the same order and with the
-// same random draws, as it did when testdata/trace.txt was written: a change that is meant to change no
-// behaviour changes none.
+// Under random loads, packet loss, false reports and stopped relays, every relay emits the actions recorded
+// in testdata/trace.txt, in the same order and with the same random draws. A refactoring must not change
+// them.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var recording trace.Recording
 	for seed := range uint64(40) {
@@ -58,10 +58,10 @@
 			c.falseLoad[0] = 3
 		}
 		c.run(4000)
-		c.down[1] = true
+		c.stopped[1] = true
 		c.updateView()
 		c.run(1500)
-		c.down[1] = false
+		c.stopped[1] = false
 		c.servers[0].Started++
 		c.updateView()
 		c.run(4000)
--- a/internal/fleet/probing/window.go
+++ b/internal/fleet/probing/window.go
@@ -1,12 +1,12 @@
 package probing
 
-// DedupWindow remembers which numbers of a sender have come: all up to 64 below the highest. The zero
-// DedupWindow is ready.
+// DedupWindow detects duplicate sequence numbers of one sender. It covers the highest number received and the
+// 63 numbers below it; older numbers count as duplicates. The zero value is ready to use.
 type DedupWindow struct {
 	incarnation, highest, seenBits uint64
 }
 
-// Accept tells whether a number of a sender's incarnation is new, and notes it.
+// Accept records a sequence number of a sender's incarnation, and reports whether it is new.
 func (w *DedupWindow) Accept(incarnation, seq uint64) bool {
 	switch {
 	case incarnation < w.incarnation:
