--- a/internal/fleet/cellplan/check.go
+++ b/internal/fleet/cellplan/check.go
@@ -134,8 +134,7 @@
 	if cell.SpansRegions() {
 		if cell.Zone != "" {
 			c.addProblem(cellKey(i, "region"),
-				"empty, but zone is %q; set both, or neither for a cell that spans all regions",
-				cell.Zone)
+				"empty, but zone is %q; set both, or neither for a cell that spans all regions", cell.Zone)
 		}
 		return
 	}
--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -26,8 +26,7 @@
 func TestBudgetSharesOfCells(t *testing.T) {
 	moving := Plan{Number: 2, HomeShare: 0.8,
 		Cells: []Cell{newCell("flat", "", "", 300), newCell("a1", "a", "a-1", 30),
-			newCell("b1", "b", "b-1", 30),
-			newCell("gone", "b", "b-2", 0)}}
+			newCell("b1", "b", "b-1", 30), newCell("gone", "b", "b-2", 0)}}
 	for _, c := range []struct {
 		plan      Plan
 		cell      string
@@ -46,8 +45,7 @@
 		if math.Abs(float64(near)/float64(FullBudget)-c.near) > 1e-9 ||
 			math.Abs(float64(far)/float64(FullBudget)-c.far) > 1e-9 || strings.Join(zones, " ") != c.zones {
 			t.Errorf("BudgetShares(%s): near %.4f, far %.4f, zones %q; want near %.4f, far %.4f, zones %q",
-				c.cell,
-				float64(near)/float64(FullBudget),
+				c.cell, float64(near)/float64(FullBudget),
 				float64(far)/float64(FullBudget), zones, c.near, c.far, c.zones)
 		}
 	}
@@ -209,8 +207,7 @@
 		}
 	}
 	t.Logf("budget shares add up to between %.9f and %.9f of the budget in a zone",
-		float64(least)/float64(FullBudget),
-		float64(most)/float64(FullBudget))
+		float64(least)/float64(FullBudget), float64(most)/float64(FullBudget))
 }
 
 // randomPlan returns a random valid plan.
--- a/internal/fleet/cells/coordinator.go
+++ b/internal/fleet/cells/coordinator.go
@@ -7,25 +7,26 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// maxCells bounds the other cells that are kept: those of the file's plan and those of the view's.
+// maxCells limits the number of other cells: those of the plan file and those of the view's plan.
 const maxCells = 2 * cellplan.MaxCells
 
-// DropCounters counts what came from elsewhere and was not taken.
+// DropCounters count received messages that were dropped.
 type DropCounters struct {
 	Malformed   uint64 `json:"malformed"`
-	UnknownCell uint64 `json:"unknown_cell"` // not named in a plan in force
-	Stale       uint64 `json:"stale"`        // doubled, or overtaken by a newer one
+	UnknownCell uint64 `json:"unknown_cell"` // of a cell that no current plan names
+	Stale       uint64 `json:"stale"`        // duplicated, or older than one already received
 }
 
-// Coordinator is one relay's part in what cells know of each other. It is not safe for concurrent use.
+// Coordinator is one relay's part in the exchange between cells. It is not safe for concurrent use.
 //
-// Invariants: remotes has just the other cells that a plan in force names, cellNames their names in
-// order; only the representative sends summaries and publishes directories; activatedPlan never falls.
+// Invariants: remotes holds exactly the other cells that a current plan names, and cellNames their names in
+// sorted order; only the representative sends summaries and publishes directories; activatedPlan never
+// decreases.
 type Coordinator struct {
 	cfg             Config
-	plan            cellplan.Plan // the file's
+	plan            cellplan.Plan // of the plan file
 	local           LocalCell
-	localCellKnown  bool // a LocalCell has come
+	localCellKnown  bool // a LocalCell has been received
 	remotes         map[string]*remoteCell
 	cellNames       []string
 	election        election
@@ -37,14 +38,14 @@
 	drops           DropCounters
 }
 
-// New returns a Coordinator that knows only its plan, which has to have passed Check.
+// New returns a Coordinator that knows only its plan, which must have passed Check.
 func New(now time.Duration, cfg Config) *Coordinator {
 	c := &Coordinator{cfg: cfg, remotes: map[string]*remoteCell{}, directory: directoryState{updatedAt: -1}}
 	c.setPlan(now, cfg.Plan)
 	return c
 }
 
-// Handle takes one event in and appends what is to be done to out.
+// Handle processes one event, appends the resulting actions to out and returns it.
 func (c *Coordinator) Handle(now time.Duration, ev Event, out []Action) []Action {
 	switch ev := ev.(type) {
 	case LocalCell:
@@ -65,12 +66,12 @@
 	return c.sendSummaryDue(now, out)
 }
 
-// updateLocalCell takes in what is known of this relay's own cell.
+// updateLocalCell processes a new state of the relay's own cell.
 func (c *Coordinator) updateLocalCell(now time.Duration, l LocalCell, out []Action) []Action {
 	before := c.local
 	c.local = l
 	if !slices.Equal(before.RequiredCells, l.RequiredCells) {
-		c.retainNamedCells(now)
+		c.updateKnownCells(now)
 	}
 	changed := !c.localCellKnown || !l.hasSameState(before)
 	c.localCellKnown = true
@@ -82,21 +83,22 @@
 	return c.checkActivation(out)
 }
 
-// hasSameState tells whether two LocalCells differ at most in what other cells need not know at once.
+// hasSameState reports whether two LocalCells differ only in what need not be sent to other cells
+// immediately.
 func (l LocalCell) hasSameState(old LocalCell) bool {
 	return l.Members == old.Members && l.Epoch == old.Epoch &&
 		l.Plan == old.Plan && l.JoinedPlan == old.JoinedPlan
 }
 
-// setPlan takes in the file's plan.
+// setPlan replaces the plan of the plan file.
 func (c *Coordinator) setPlan(now time.Duration, p cellplan.Plan) {
 	c.plan = p
-	c.retainNamedCells(now)
+	c.updateKnownCells(now)
 }
 
-// retainNamedCells keeps the other cells that a plan in force names, and forgets all others. Of a view
-// that names more cells than can be none is kept, so that its plan is never activated here.
-func (c *Coordinator) retainNamedCells(now time.Duration) {
+// updateKnownCells keeps the other cells that a current plan names and forgets all others. If the view names
+// more cells than the maximum, none of them is kept, so that its plan is never activated here.
+func (c *Coordinator) updateKnownCells(now time.Duration) {
 	names := c.plan.CellNames()
 	if len(c.local.RequiredCells) <= cellplan.MaxCells {
 		names = append(names, c.local.RequiredCells...)
@@ -123,7 +125,7 @@
 	c.directory.dirty = true
 }
 
-// receiveSummary takes in a summary.
+// receiveSummary processes a summary of another cell.
 func (c *Coordinator) receiveSummary(now time.Duration, s Summary, out []Action) []Action {
 	if s.Check() != nil {
 		c.drops.Malformed++
@@ -145,43 +147,43 @@
 	return c.updateRemoteCell(now, r, s, out)
 }
 
-// updateRemoteCell takes a summary's figures for the cell's, if it is the newest.
+// updateRemoteCell replaces what is known of a cell by a summary if it is the newest.
 func (c *Coordinator) updateRemoteCell(now time.Duration, r *remoteCell, s Summary, out []Action) []Action {
 	unknown := c.isUnknown(now, r)
-	fromOldView := s.Epoch < r.summary.Epoch && !unknown // of a part of the cell that is behind
+	fromOldView := s.Epoch < r.summary.Epoch && !unknown // from relays that still have an older view
 	if !r.acceptSummary(now, s, unknown) || fromOldView {
 		c.drops.Stale++
 		return out
 	}
 	before := r.summary
-	returned := r.summaryAt < 0 || r.reportedLost
+	reappeared := r.summaryAt < 0 || r.reportedLost
 	r.summary, r.summaryAt, r.contactIndex = s, now, 0
-	if r.announceRepresentative(now, contactRotationRounds*c.round()) {
+	if r.recordRepresentative(now, contactRotationRounds*c.round()) {
 		out = append(out, CellChanged{Kind: RepresentativeChanged, Cell: r.name,
 			Representative: s.Representative})
 	}
 	if _, ok := c.plan.FindCell(r.name); !ok {
 		r.region = s.Region
 	}
-	if returned || before.Members != s.Members || before.ServingMembers != s.ServingMembers {
+	if reappeared || before.Members != s.Members || before.ServingMembers != s.ServingMembers {
 		c.directory.dirty = true
 	}
 	if c.election.isRepresentative {
 		if r.sentElsewhere(s) {
-			r.expedited = true // its representative is another now, which may know nothing yet
+			r.summaryDueEarly = true // the cell has a new representative that may know nothing yet
 		}
 		if r.reportedLost {
 			c.expedite(now)
 		}
 	}
-	if returned {
+	if reappeared {
 		r.reportedLost = false
 		out = append(out, CellChanged{Kind: CellKnown, Cell: r.name, Representative: s.Representative})
 	}
 	return out
 }
 
-// detectLostCells tells of cells that have become unknown.
+// detectLostCells reports cells from which no summary has arrived for too long.
 func (c *Coordinator) detectLostCells(now time.Duration, out []Action) []Action {
 	if now < c.nextLostCheckAt {
 		return out
@@ -200,7 +202,7 @@
 	return out
 }
 
-// summary is this cell's, under the number drawn last.
+// summary returns a summary of this cell with the current sequence number.
 func (c *Coordinator) summary() Summary {
 	l := c.local
 	own, _ := c.plan.FindCell(c.cfg.Cell)
@@ -221,7 +223,7 @@
 		OpenConnections: l.OpenConnections,
 		DrainRate:       l.DrainRate,
 	}
-	for _, v := range l.Voters { // this relay is the first that is alive
+	for _, v := range l.Voters { // this relay is the first voter that is alive
 		if (v.Alive || v.Name == c.cfg.Name) && v.Address != "" && len(s.Contacts) < MaxContacts {
 			s.Contacts = append(s.Contacts, v.Address)
 		}
--- a/internal/fleet/cells/directory.go
+++ b/internal/fleet/cells/directory.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// directoryInterval is the time between two directories.
+	// directoryInterval is the time between two directories if nothing changes.
 	directoryInterval = 5 * time.Second
-	// minDirectoryInterval is the least, after a change: 2.5 times the packets of the rest.
+	// minDirectoryInterval is the minimum time between two directories, after a change. It allows 2.5 times
+	// the usual packet rate.
 	minDirectoryInterval = 2 * time.Second
-	// otherRegions is the row in which regions beyond MaxRegions are summed; it sorts after every usual name.
+	// otherRegions names the row that sums the regions beyond MaxRegions. It sorts after every usual name.
 	otherRegions = "\x7e"
 )
 
-// directoryState is the newest directory of this cell, this relay's own where it represents the cell, and
-// the pace of publishing it.
+// directoryState is the newest directory of this cell and the schedule for publishing it. At the
+// representative it is the directory that the relay itself published last.
 type directoryState struct {
 	newest           Directory
-	updatedAt        time.Duration // when it came or was published, negative for never
-	seenMarks        sequenceMarks // of those that came
-	seq              uint64        // of this relay's own
+	updatedAt        time.Duration // when it was received or published, negative for never
+	seenMarks        sequenceMarks // of received directories
+	lastSeq          uint64        // of directories published by this relay
 	nextPublishAt    time.Duration
-	dirty            bool           // something in it has changed since it was published
-	inheritedRegions []RegionTotals // of the directory before this relay represented the cell
+	dirty            bool           // its contents have changed since it was published
+	inheritedRegions []RegionTotals // of the last directory before this relay became representative
 }
 
-// publishDueAt is when the next directory may go.
+// publishDueAt returns when the next directory may be published.
 func (d *directoryState) publishDueAt() time.Duration {
 	if d.dirty {
 		return d.nextPublishAt - directoryInterval + minDirectoryInterval
@@ -37,7 +38,7 @@
 	return d.nextPublishAt
 }
 
-// isOverdue tells whether no directory has come for long.
+// isOverdue reports whether no directory has been received or published for a long time.
 func (d *directoryState) isOverdue(now time.Duration) bool {
 	return d.updatedAt < 0 || now-d.updatedAt > UnknownAfterRounds*directoryInterval
 }
@@ -50,7 +51,7 @@
 	DrainRate             float64
 }
 
-// OtherCellTotals are the other cells' figures by what this relay knows: see knownRegions.
+// OtherCellTotals returns the sums over the other cells, by what this relay knows; see knownRegions.
 func (c *Coordinator) OtherCellTotals(now time.Duration) (sum Totals) {
 	for _, r := range c.knownRegions(now) {
 		sum.Relays += r.Relays
@@ -62,8 +63,8 @@
 	return sum
 }
 
-// knownRegions are the other cells' figures by region: the representative's by the summaries, any other
-// relay's by the representative's directory, and before there is one by the plan.
+// knownRegions returns the totals of the other cells by region. The representative takes them from the
+// summaries, any other relay from the representative's directory, or from the plan while it has no directory.
 func (c *Coordinator) knownRegions(now time.Duration) []RegionTotals {
 	if c.directory.updatedAt < 0 || c.election.isRepresentative {
 		return c.regionTotals(now)
@@ -71,9 +72,9 @@
 	return c.directory.newest.Regions
 }
 
-// regionTotals sums the summaries by region. A cell that never sent a summary counts by the plan; where
-// there is one, and the directory before this relay represented its cell tells more of the region, the
-// region counts by that.
+// regionTotals sums the summaries by region. A cell that has never sent a summary counts with its relays in
+// the plan. A region with such a cell counts at least as in the directory from before this relay became
+// representative.
 func (c *Coordinator) regionTotals(now time.Duration) []RegionTotals {
 	regions := map[string]*RegionTotals{}
 	incomplete := map[string]bool{}
@@ -100,7 +101,7 @@
 	return foldRegions(rows)
 }
 
-// cellTotals are one other cell's: its last, or those of the plan.
+// cellTotals returns the figures of another cell from its last summary, or from the plan if there is none.
 func (c *Coordinator) cellTotals(now time.Duration, r *remoteCell) RegionTotals {
 	if r.summaryAt < 0 {
 		return RegionTotals{Cells: 1, Relays: r.weight, ServingRelays: r.weight}
@@ -116,12 +117,12 @@
 	return figures
 }
 
-// isUnknown tells whether no summary of a cell has come for long.
+// isUnknown reports whether no summary of a cell has arrived for UnknownAfterRounds rounds.
 func (c *Coordinator) isUnknown(now time.Duration, r *remoteCell) bool {
 	return r.summaryAt < 0 || now-r.summaryAt > UnknownAfterRounds*c.round()
 }
 
-// add adds other figures of the same region.
+// add adds the figures of another cell or region.
 func (r *RegionTotals) add(o RegionTotals) {
 	r.Cells += o.Cells
 	r.KnownCells += o.KnownCells
@@ -132,7 +133,7 @@
 	r.DrainRate += o.DrainRate
 }
 
-// raiseTo raises the figures to those of the region's row among the inherited ones.
+// raiseTo raises each figure to at least that of the same region in inherited.
 func (r *RegionTotals) raiseTo(inherited []RegionTotals) {
 	i := slices.IndexFunc(inherited, func(o RegionTotals) bool { return o.Name == r.Name })
 	if i < 0 {
@@ -146,7 +147,7 @@
 	r.DrainRate = max(r.DrainRate, o.DrainRate)
 }
 
-// foldRegions sums the regions beyond what a directory may have in one row.
+// foldRegions sums the regions beyond MaxRegions into one row.
 func foldRegions(rows []RegionTotals) []RegionTotals {
 	if len(rows) <= MaxRegions {
 		return rows
@@ -158,7 +159,8 @@
 	return append(rows[:MaxRegions-1], last)
 }
 
-// readyToPublish tells whether a representative has a summary of all cells, or has had the time to get them.
+// readyToPublish reports whether a representative has a current summary of every cell, or has waited long
+// enough for them.
 func (c *Coordinator) readyToPublish(now time.Duration) bool {
 	if now-c.election.representingSince >= duration.Scale(c.round(), readyToPublishAfterRounds) {
 		return true
@@ -167,22 +169,22 @@
 	return !slices.ContainsFunc(c.cellNames, unknown)
 }
 
-// publishDirectoryDue publishes the directory, if it is due and tells enough.
+// publishDirectoryDue publishes the directory if it is due and complete enough.
 func (c *Coordinator) publishDirectoryDue(now time.Duration, out []Action) []Action {
 	d := &c.directory
 	if now < d.publishDueAt() {
 		return out
 	}
 	d.nextPublishAt = now + directoryInterval
-	if !c.readyToPublish(now) { // checked again after minDirectoryInterval, as it is dirty
+	if !c.readyToPublish(now) { // dirty is set, so this is checked again after minDirectoryInterval
 		return out
 	}
-	d.seq++
+	d.lastSeq++
 	d.newest = Directory{
 		Cell:           c.cfg.Cell,
 		Representative: c.cfg.Name,
 		Incarnation:    c.cfg.Incarnation,
-		Seq:            d.seq,
+		Seq:            d.lastSeq,
 		Epoch:          c.local.Epoch,
 		ActivatedPlan:  c.activatedPlan,
 		Regions:        c.regionTotals(now),
@@ -192,8 +194,8 @@
 	return append(out, PublishDirectory{d.newest})
 }
 
-// receiveDirectory takes in a directory of this cell's representative. That a plan is activated counts
-// whenever it comes.
+// receiveDirectory processes a directory of this cell's representative. Its activated plan counts even if the
+// directory itself is stale.
 func (c *Coordinator) receiveDirectory(now time.Duration, received Directory, out []Action) []Action {
 	if received.Check() != nil || received.Cell != c.cfg.Cell {
 		c.drops.Malformed++
--- a/internal/fleet/cells/election.go
+++ b/internal/fleet/cells/election.go
@@ -8,17 +8,18 @@
 	"capersail/internal/fleet/duration"
 )
 
-// election is who represents this cell: the first voter that is alive, by each relay's own belief. Two
-// may believe that they are it for a while, which costs packets and nothing else.
+// election is the state of choosing the representative: the first voter that this relay believes to be alive.
+// For a while two relays may each believe to be the representative, which costs extra packets and has no
+// other effect.
 type election struct {
 	representative      string        // "" for none
-	isRepresentative    bool          // this relay is it
-	representingSince   time.Duration // this relay became it, the last time
-	otherRepresentative string        // another relay of this cell that represents it too, "" for none
-	otherDirectoryAt    time.Duration // when its directory came
+	isRepresentative    bool          // whether this relay is the representative
+	representingSince   time.Duration // when this relay last became the representative
+	otherRepresentative string        // another relay of this cell that acts as representative, "" for none
+	otherDirectoryAt    time.Duration // when its last directory arrived
 }
 
-// electRepresentative makes the first voter that is alive the representative.
+// electRepresentative chooses the first voter that is alive.
 func (c *Coordinator) electRepresentative(now time.Duration, out []Action) []Action {
 	elected := ""
 	isAlive := func(v Voter) bool { return v.Alive || v.Name == c.cfg.Name }
@@ -37,8 +38,8 @@
 	return append(out, CellChanged{Kind: RepresentativeChanged, Cell: c.cfg.Cell, Representative: elected})
 }
 
-// becomeRepresentative makes this relay the representative: it starts in turn after its own cell's name,
-// and tells all soon.
+// becomeRepresentative starts this relay's work as representative. Its first round is expedited, and begins
+// with the cell that follows its own by name.
 func (c *Coordinator) becomeRepresentative(now time.Duration) {
 	c.election.representingSince = now
 	c.directory.inheritedRegions = c.directory.newest.Regions
@@ -49,13 +50,13 @@
 	}
 	draw := rand.New(rand.NewPCG(c.cfg.Seed, c.cfg.Incarnation))
 	own, _ := slices.BinarySearch(c.cellNames, c.cfg.Cell)
-	c.pacer.position = own + len(c.cellNames) - 1 // nextInTurn goes one on
+	c.pacer.lastIndex = own + len(c.cellNames) - 1 // nextInTurn advances it by one
 	c.pacer.nextSummaryAt = now + duration.Scale(c.summaryInterval(), draw.Float64())
 	c.expedite(now)
 }
 
-// forwardTarget is a relay of this cell that a summary is to be forwarded to: the representative or,
-// where two believe that they are it, the other one; "" for none.
+// forwardTarget returns the relay of this cell to which a summary is to be forwarded: the representative or,
+// if this relay and another one both act as representative, the other one. It returns "" for none.
 func (c *Coordinator) forwardTarget(now time.Duration) string {
 	e := c.election
 	if !e.isRepresentative {
--- a/internal/fleet/cells/evidence.go
+++ b/internal/fleet/cells/evidence.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// ActivatedPlan is the newest plan that every cell is known to have joined, by this relay or another; 0
-// for none. It never falls.
+// ActivatedPlan returns the newest plan that this relay or another one knows every cell to have joined, or 0
+// for none. It never decreases.
 func (c *Coordinator) ActivatedPlan() uint64 { return c.activatedPlan }
 
-// requiredCells are the cells that must have joined the view's plan before it is activated; nil if they
-// are not known.
+// requiredCells returns the cells that must have joined the view's plan before it is activated, or nil if
+// they are not known.
 func (c *Coordinator) requiredCells() []string {
 	if len(c.local.RequiredCells) > 0 {
 		return c.local.RequiredCells
@@ -38,9 +38,9 @@
 	return c.activatePlan(l.Plan, out)
 }
 
-// anyCellContinued tells whether some cell has come into this cell's plan from the one before. Only such
-// a cell knows who held a part by that, and has joined none that leaves one out: cells that are all
-// bootstrapped by a plan never activate it.
+// anyCellContinued reports whether some cell has joined this cell's plan from the previous plan. Only such a
+// cell knows which cells held a budget share under the previous plan, and it joins no plan that omits one of
+// them. If all cells are bootstrapped with a plan, it is therefore never activated.
 func (c *Coordinator) anyCellContinued(names []string) bool {
 	hasContinued := func(name string) bool {
 		r := c.remotes[name]
@@ -49,7 +49,7 @@
 	return !c.local.Bootstrapped || slices.ContainsFunc(names, hasContinued)
 }
 
-// activatePlan notes that a plan is activated.
+// activatePlan records that a plan is activated.
 func (c *Coordinator) activatePlan(plan uint64, out []Action) []Action {
 	if plan <= c.activatedPlan {
 		return out
@@ -59,7 +59,7 @@
 	return append(out, CellChanged{Kind: PlanActivated, Cell: c.cfg.Cell, Plan: plan})
 }
 
-// checkMismatch tells once of a cell that has another table under the number of this cell's plan.
+// checkMismatch reports, once, a cell that has a plan with this cell's plan number but different contents.
 func (c *Coordinator) checkMismatch(r *remoteCell, s Summary, out []Action) []Action {
 	if s.Plan != c.local.Plan || s.Plan == 0 {
 		return out
--- a/internal/fleet/cells/evidence_test.go
+++ b/internal/fleet/cells/evidence_test.go
@@ -8,29 +8,29 @@
 	"capersail/internal/fleet/duration"
 )
 
-// joinPlan makes a cell's view hold a plan, and say so as joined later.
+// joinPlan gives a cell's view a plan, which the cell reports as joined 15 s later.
 func (n *network) joinPlan(g *simulatedCell, plan cellplan.Plan) {
 	g.plan, g.hash, g.requiredCells = plan.Number, plan.Hash(), plan.CellNames()
 	g.epoch++
 	n.after(15*second, func() { g.joinedPlan = plan.Number })
 }
 
-// A plan is activated nowhere before every cell has joined it, and everywhere soon after, while packets are
-// lost, doubled, held up and sent again, and one cell is cut off for a while.
+// No relay activates a plan before every cell has joined it, and all relays activate it soon afterwards,
+// while packets are lost, duplicated, delayed and reordered and one cell is cut off for a while.
 func TestPlanActivatesAfterAllHaveJoined(t *testing.T) {
 	for seed := range uint64(4) {
 		n := newFleet(t, seed, []int{2, 2}, 2, 3)
 		n.lossRate, n.duplicateRate = 0.05, 0.2
 		n.advance(60 * second)
-		early := false
+		activatedEarly := false
 		next := n.plan
 		n.afterEvent = func() {
-			all := true
+			allJoined := true
 			for _, g := range n.cells {
-				all = all && g.joinedPlan >= next.Number
+				allJoined = allJoined && g.joinedPlan >= next.Number
 			}
 			for _, r := range n.byName {
-				early = early || !all && r.coordinator.ActivatedPlan() >= next.Number
+				activatedEarly = activatedEarly || !allJoined && r.coordinator.ActivatedPlan() >= next.Number
 			}
 		}
 		for number := uint64(2); number <= 4; number++ {
@@ -43,16 +43,17 @@
 			n.advance(50 * second)
 			n.kill(n.cells[0].representative())
 			n.advance(10 * second)
-			if open := n.activatedCount(number); open != 0 {
-				t.Fatalf("seed %d: %d relays hold plan %d for open while a cell is cut off", seed, open,
-					number)
+			if activated := n.activatedCount(number); activated != 0 {
+				t.Fatalf("seed %d: %d relays activated plan %d while a cell is cut off, want 0", seed,
+					activated, number)
 			}
 			n.isCut = nil
 			took := n.advanceUntil(60*second,
 				func() bool { return n.activatedCount(number) == n.runningCount() })
-			t.Logf("seed %d: plan %d is open everywhere %.1f s after the heal", seed, number, took.Seconds())
+			t.Logf("seed %d: plan %d is activated at all relays %.1f s after the cut ended", seed, number,
+				took.Seconds())
 			if took > 30*second {
-				t.Error("too late")
+				t.Error("plan was activated later than 30 s after the cut ended")
 			}
 			for _, r := range n.cells[0].relays {
 				if !r.running {
@@ -60,12 +61,13 @@
 				}
 			}
 		}
-		if early {
+		if activatedEarly {
 			t.Errorf("seed %d: a plan was activated before all cells had joined it", seed)
 		}
 	}
 }
 
+// activatedCount returns the number of running relays that have activated a plan.
 func (n *network) activatedCount(plan uint64) (count int) {
 	for _, r := range n.byName {
 		if r.running && r.coordinator.ActivatedPlan() >= plan {
@@ -75,6 +77,7 @@
 	return count
 }
 
+// runningCount returns the number of running relays.
 func (n *network) runningCount() (count int) {
 	for _, r := range n.byName {
 		if r.running {
@@ -84,8 +87,8 @@
 	return count
 }
 
-// Word of a plan joined is never taken back by an old or doubled summary, and never made from one of
-// another table.
+// Evidence that a cell has joined a plan is not revoked by an old or duplicated summary, and a summary with a
+// different plan of the same number is not counted.
 func TestEvidenceIsMonotone(t *testing.T) {
 	c, plan := newTestCoordinator(t)
 	joined := func(number, hash uint64) LocalCell {
@@ -99,21 +102,21 @@
 	c.Handle(0, SummaryReceived{Summary: old}, nil)
 	newer := old
 	newer.Seq = 3
-	c.Handle(0, SummaryReceived{Summary: newer}, nil) // of a part of the cell that is behind
+	c.Handle(0, SummaryReceived{Summary: newer}, nil) // from relays of b that still have the older plan
 	other := plan
 	other.HomeShare = 0.5
 	c.Handle(0, SummaryReceived{Summary: summaryOf(other, "b", 4)}, nil)
 	c.Handle(0, joined(2, plan.Hash()), nil)
 	c.Handle(0, SummaryReceived{Summary: old}, nil)
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("activated though nothing came from cell c")
+		t.Fatal("plan was activated without a summary of cell c")
 	}
 	wrong := summaryOf(other, "c", 1)
 	out := c.Handle(0, SummaryReceived{Summary: wrong}, nil)
 	wrong.Seq++
 	out = c.Handle(0, SummaryReceived{Summary: wrong}, out)
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("another table is counted")
+		t.Fatal("plan was activated although cell c has a different plan of that number")
 	}
 	mismatches := 0
 	for _, a := range out {
@@ -122,28 +125,28 @@
 		}
 	}
 	if mismatches != 1 {
-		t.Error("the mismatch is reported", mismatches, "times")
+		t.Error("plan mismatch should be reported once, was reported", mismatches, "times")
 	}
-	waiting := summaryOf(plan, "c", 3) // it holds the plan, but somebody may still act by the one before
+	waiting := summaryOf(plan, "c", 3) // a relay of c may still act by the previous plan
 	waiting.JoinedPlan = 1
 	c.Handle(0, SummaryReceived{Summary: waiting}, nil)
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("a cell counts that isn't quiet")
+		t.Fatal("plan was activated although cell c has not joined it")
 	}
 	c.Handle(0, SummaryReceived{Summary: summaryOf(plan, "c", 2)}, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Fatal("what an overtaken packet says is true too, but it isn't counted")
+		t.Fatal("plan was not activated although a late summary says that cell c has joined it")
 	}
 	c.Handle(0, joined(3, 77), nil)
 	c.Handle(0, DirectoryReceived{Directory: Directory{Cell: "a", Representative: "a-0", Incarnation: 1,
 		Seq: 1, ActivatedPlan: 1}}, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Error("what was open is taken back")
+		t.Error("activated plan changed after a directory with an older one")
 	}
 }
 
-// A cell that is missing from the file's plan, but not from the view's, is waited for; and nobody opens a
-// plan that this cell hasn't joined itself.
+// Activation waits for a cell that the view's plan names and the file's plan does not, and for this cell
+// itself.
 func TestActivationGoesByTheView(t *testing.T) {
 	c, plan := newTestCoordinator(t)
 	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
@@ -155,22 +158,23 @@
 	l.JoinedPlan = 2
 	c.Handle(0, l, nil)
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("a cell of the plan before isn't waited for")
+		t.Fatal("plan was activated without a cell that only the view's plan names")
 	}
 	l.JoinedPlan = 1
 	c.Handle(0, l, nil)
 	c.Handle(0, SummaryReceived{Summary: summaryOf(plan, "gone", 1)}, nil)
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("activated though this cell hasn't joined the plan")
+		t.Fatal("plan was activated although this cell has not joined it")
 	}
 	l.JoinedPlan = 2
 	c.Handle(0, l, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Error("not activated though all have joined")
+		t.Error("plan was not activated although all cells have joined it")
 	}
 }
 
-// A cell that has joined a later plan has been through the one before, also when an old summary comes after.
+// A cell that has joined a later plan counts as having joined the earlier one, even if an old summary arrives
+// afterwards.
 func TestLaterPlanCounts(t *testing.T) {
 	c, plan := newTestCoordinator(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
@@ -180,15 +184,15 @@
 	c.Handle(0, SummaryReceived{Summary: summaryOf(later, "b", 1)}, nil)
 	c.Handle(0, SummaryReceived{Summary: summaryOf(old, "b", 2)}, nil)
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("open without cell c")
+		t.Fatal("plan was activated without cell c")
 	}
 	c.Handle(0, SummaryReceived{Summary: summaryOf(plan, "c", 1)}, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Error("an old summary takes back that a cell is past the plan")
+		t.Error("plan was not activated after an old summary of a cell that is past the plan")
 	}
 }
 
-// A view that names more cells than are kept is never activated.
+// The plan of a view that names more cells than the maximum is never activated.
 func TestTooManyCellsNeverActivate(t *testing.T) {
 	c, plan := newTestCoordinator(t)
 	l := LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
@@ -201,12 +205,13 @@
 		c.Handle(0, SummaryReceived{Summary: summaryOf(plan, name, 1)}, nil)
 	}
 	if c.ActivatedPlan() != 0 || len(c.remotes) != 2 {
-		t.Error("activated", c.ActivatedPlan(), "with", len(c.remotes), "cells kept")
+		t.Error("activated", c.ActivatedPlan(), "with", len(c.remotes), "other cells kept, want 0 and 2")
 	}
 }
 
-// A plan that only cells bootstrapped by it have joined is not activated: none of them knows who held a
-// part by the plan before. Once one is known that has come from there, it is.
+// A plan that only cells bootstrapped with it have joined is not activated, because none of them knows which
+// cells held a budget share under the previous plan. It is activated once a cell is known that has joined it
+// from the previous plan.
 func TestBootstrappedCellsAloneNeverActivate(t *testing.T) {
 	c, plan := newTestCoordinator(t)
 	c.Handle(0, LocalCell{Voters: []Voter{{Name: "a-1"}}, Members: 32, Plan: 2, PlanHash: plan.Hash(),
@@ -217,10 +222,10 @@
 		c.Handle(0, SummaryReceived{Summary: s}, nil)
 	}
 	if c.ActivatedPlan() != 0 {
-		t.Fatal("open though nobody has come from the plan before")
+		t.Fatal("plan was activated although no cell has joined it from the previous plan")
 	}
 	c.Handle(0, SummaryReceived{Summary: summaryOf(plan, "b", 2)}, nil)
 	if c.ActivatedPlan() != 2 {
-		t.Error("not activated though one has come from the plan before, and all have joined")
+		t.Error("plan was not activated although all cells have joined it, one from the previous plan")
 	}
 }
--- a/internal/fleet/cells/fleet_test.go
+++ b/internal/fleet/cells/fleet_test.go
@@ -10,19 +10,19 @@
 	"capersail/internal/fleet/duration"
 )
 
-// maxDeathPropagation is how long after a cell's view has changed every other cell may take to know it.
+// maxDeathPropagation is the maximum time for a change of a cell's view to reach every other cell.
 const maxDeathPropagation = 20 * second
 
-// A death is known in all other cells within 20 s of its cell's view, also where it is the
-// representative's and a packet in a hundred is lost. A cell that has lost its representative has a whole
-// directory again within three rounds.
+// The failure of a relay is known in all other cells within 20 s of the change of its cell's view, even if
+// the relay was the representative and 1% of packets are lost. A cell that has lost its representative has a
+// complete directory again within three rounds.
 func TestDeathIsKnownInOtherCells(t *testing.T) {
-	slowest, whole, deaths := time.Duration(0), time.Duration(0), 0
+	slowestKnown, slowestConverged, deaths := time.Duration(0), time.Duration(0), 0
 	for seed := range uint64(6) {
 		n := newFleet(t, seed, largeLayout, 2, 4)
 		n.lossRate, n.duplicateRate = 0.01, 0.02
 		if n.advanceUntil(60*second, n.converged) > 40*second {
-			t.Fatal("no agreement at the start")
+			t.Fatal("cells did not converge within 40 s of the start")
 		}
 		for i := range 10 {
 			g := n.cells[n.rng.IntN(len(n.cells))]
@@ -38,38 +38,39 @@
 			deaths++
 			took := n.advanceUntil(60*second, func() bool { return n.knownEverywhere(g) })
 			all := took + n.advanceUntil(60*second, n.converged)
-			slowest, whole = max(slowest, took), max(whole, all)
+			slowestKnown, slowestConverged = max(slowestKnown, took), max(slowestConverged, all)
 			if took > maxDeathPropagation || all > 3*RoundDuration(len(n.cells)) {
-				t.Errorf("seed %d: the death of %s is known after %.1f s, "+
-					"all directories are whole after %.1f s",
+				t.Errorf("seed %d: the failure of %s is known in all cells after %.1f s, "+
+					"all directories are complete after %.1f s, want at most 20 s and three rounds",
 					seed, victim.name, took.Seconds(), all.Seconds())
 			}
 		}
 	}
-	t.Logf("%d deaths: known in every other cell after %.1f s at most, all directories whole after %.1f s",
-		deaths, slowest.Seconds(), whole.Seconds())
+	t.Logf("%d failures: known in all cells after at most %.1f s, all directories complete after %.1f s",
+		deaths, slowestKnown.Seconds(), slowestConverged.Seconds())
 }
 
-// A region that was cut off for ten minutes, both ways or one way, is agreed with everywhere within 20 s,
-// and no representative sends more than three times of what it does at rest in any second.
+// After a region was cut off for ten minutes, in both directions or in one, all cells converge within 20 s,
+// and no representative sends more than three times its steady packet rate in any second.
 func TestRegionComesBack(t *testing.T) {
-	in := func(r *relay) bool { return r.cell.region == "region-0" }
+	inRegion := func(r *relay) bool { return r.cell.region == "region-0" }
 	for name, cut := range map[string]func(from, to *relay) bool{
-		"both ways": func(from, to *relay) bool { return in(from) != in(to) },
-		"out":       func(from, to *relay) bool { return in(from) && !in(to) },
-		"in":        func(from, to *relay) bool { return !in(from) && in(to) },
+		"both ways": func(from, to *relay) bool { return inRegion(from) != inRegion(to) },
+		"out":       func(from, to *relay) bool { return inRegion(from) && !inRegion(to) },
+		"in":        func(from, to *relay) bool { return !inRegion(from) && inRegion(to) },
 	} {
-		t.Run(name, func(t *testing.T) { testRegionComesBack(t, cut) })
+		t.Run(name, func(t *testing.T) { testRegionRecovery(t, cut) })
 	}
 }
 
-func testRegionComesBack(t *testing.T, cut func(from, to *relay) bool) {
+// testRegionRecovery cuts and heals the network with one kind of cut.
+func testRegionRecovery(t *testing.T, cut func(from, to *relay) bool) {
 	n := newFleet(t, 5, largeLayout, 2, 4)
 	n.advance(120 * second)
 	if !n.converged() {
-		t.Fatal("no agreement at the start")
+		t.Fatal("cells did not converge within 120 s of the start")
 	}
-	rest := n.now
+	steadyFrom := n.now
 	n.advance(120 * second)
 	n.isCut = cut
 	n.advance(10 * second)
@@ -77,33 +78,36 @@
 	n.kill(n.cells[20].representative())
 	n.advance(590 * second)
 	if n.converged() || n.changes[CellLost] == 0 {
-		t.Fatal("the cut isn't seen")
+		t.Fatal("cut region was not reported as lost")
 	}
 	n.isCut = nil
-	heal := n.now
+	healedAt := n.now
 	took := n.advanceUntil(60*second, n.converged)
-	fresh := n.advanceUntil(60*second, func() bool { return n.allSummariesSince(heal) })
+	allRenewed := n.advanceUntil(60*second, func() bool { return n.allSummariesSince(healedAt) })
 	n.advance(30 * second)
 	most, packets, directories := 0.0, 0, 0
 	for _, g := range n.cells {
-		calm := maxPerSecond(g.sent, rest, rest+120*second)
-		after := maxPerSecond(g.sent, heal, n.now)
-		most = max(most, float64(after)/float64(max(calm, 1)))
-		packets = max(packets, after)
-		directories = max(directories, maxPerSecond(g.published, heal, n.now))
-	}
-	t.Logf("agreed %.1f s after the heal, all summaries fresh %.1f s after that; "+
-		"a representative's busiest second %d packets and %d directories, %.2f of its busiest at rest",
-		took.Seconds(), fresh.Seconds(), packets, directories, most)
-	if took+fresh > 20*second {
-		t.Errorf("agreed after %.1f s, fresh %.1f s later", took.Seconds(), fresh.Seconds())
+		steadyMax := maxPerSecond(g.sent, steadyFrom, steadyFrom+120*second)
+		healedMax := maxPerSecond(g.sent, healedAt, n.now)
+		most = max(most, float64(healedMax)/float64(max(steadyMax, 1)))
+		packets = max(packets, healedMax)
+		directories = max(directories, maxPerSecond(g.published, healedAt, n.now))
+	}
+	t.Logf("converged %.1f s after the cut ended, all summaries renewed %.1f s after that; "+
+		"at most %d packets and %d directories in a second, %.2f times the steady maximum",
+		took.Seconds(), allRenewed.Seconds(), packets, directories, most)
+	if took+allRenewed > 20*second {
+		t.Errorf("converged after %.1f s and all summaries renewed %.1f s later, want 20 s together",
+			took.Seconds(), allRenewed.Seconds())
 	}
 	if most > 3 || directories > 1 {
-		t.Errorf("%.2f times the packets of the rest, %d directories in a second", most, directories)
+		t.Errorf("%.2f times the steady packet rate and %d directories in a second, want at most 3 and 1",
+			most, directories)
 	}
 }
 
-// allSummariesSince tells whether every representative has a summary of every cell since a moment.
+// allSummariesSince reports whether every representative has a summary of every cell that arrived at or after
+// since.
 func (n *network) allSummariesSince(since time.Duration) bool {
 	for _, g := range n.cells {
 		for _, r := range g.representative().coordinator.remotes {
@@ -115,7 +119,7 @@
 	return true
 }
 
-// A representative's packets a second hardly grow with the number of cells.
+// The packet rate of a representative hardly grows with the number of cells.
 func TestPaceByNumberOfCells(t *testing.T) {
 	rates := map[int]float64{}
 	for _, c := range []struct {
@@ -128,17 +132,17 @@
 		n.advance(100 * second)
 		sent := countBetween(n.cells[0].sent, from, n.now)
 		rates[len(n.cells)] = float64(sent) / 100
-		t.Logf("%d cells: %.2f packets a second of a representative, at most %d in one; a round takes %.1f s",
+		t.Logf("%d cells: %.2f packets per second of a representative, at most %d in one; round takes %.1f s",
 			len(n.cells), rates[len(n.cells)],
 			maxPerSecond(n.cells[0].sent, from, n.now), RoundDuration(len(n.cells)).Seconds())
 	}
 	if most := float64(second) / float64(roundPerCell); rates[10] > 2 || rates[34] > most*1.01 ||
 		rates[128] > most*1.01 {
-		t.Error(rates)
+		t.Error("packets per second of a representative, by number of cells:", rates)
 	}
 }
 
-// What goes between cells and inside one fits its packet, with long names and large numbers.
+// Summaries and directories fit their packets, even with long names and large numbers.
 func TestMessagesFitTheirPackets(t *testing.T) {
 	plan := cellplan.Plan{Number: 1234}
 	for region := range 5 {
@@ -180,17 +184,16 @@
 	directory := Directory{Cell: c.cfg.Cell, Representative: c.cfg.Name, Incarnation: 1 << 40, Seq: 1 << 40,
 		Epoch: 1 << 30, ActivatedPlan: 1234, Regions: rows}
 	if err := directory.Check(); err != nil || len(rows) != 5 || rows[1].Relays != 7*64 {
-		t.Fatal(err, rows)
+		t.Fatal("directory of 5 regions with 7*64 relays each: got", err, rows)
 	}
-	t.Logf("a summary with %d departed: %d bytes; a directory of %d regions: %d bytes",
-		len(summary.DepartedRelays),
-		encodedSize(t, summary), len(rows), encodedSize(t, directory))
+	t.Logf("summary with %d departed relays: %d bytes; directory of %d regions: %d bytes",
+		len(summary.DepartedRelays), encodedSize(t, summary), len(rows), encodedSize(t, directory))
 	if encodedSize(t, summary) > 400 || encodedSize(t, directory) > 600 {
-		t.Error("too large")
+		t.Error("encoded summary or directory is too large, want at most 400 and 600 bytes")
 	}
 	if len(summary.Contacts) != MaxContacts || len(summary.DepartedRelays) < 4 ||
 		strings.Join(summary.Contacts,
 			" ") != "100.100.100.100:17946 100.100.100.101:17946 100.100.100.102:17946" {
-		t.Error(summary)
+		t.Error("summary has wrong contacts or too few departed relays:", summary)
 	}
 }
--- a/internal/fleet/cells/fuzz_test.go
+++ b/internal/fleet/cells/fuzz_test.go
@@ -8,9 +8,9 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// FuzzCoordinator hands a Coordinator events drawn from bytes, sane and not, at times that also go back:
-// it never panics, keeps no more than what a plan in force names, sends one summary at a time, and what
-// is open never falls.
+// FuzzCoordinator sends a Coordinator events made from the input, valid and invalid, at times that may also
+// go back. The Coordinator must not panic, keeps no more cells than the current plans name, sends at most one
+// summary at a time, and its activated plan never decreases.
 func FuzzCoordinator(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte("\x00\x01\x02\x03\x10\x20\x30\x40\x04\x04\x04\x04\x01\x01\x01\x01\x02\x07\xff\x00"))
@@ -31,30 +31,31 @@
 				if send, is := a.(SendSummary); is {
 					sent++
 					if send.Summary.Check() != nil || send.Address == "" {
-						t.Fatalf("a summary that nobody would take: %+v", send)
+						t.Fatalf("sent an invalid summary or one without an address: %+v", send)
 					}
 				}
 				if publish, is := a.(PublishDirectory); is && publish.Directory.Check() != nil {
-					t.Fatalf("a directory that nobody would take: %+v", publish.Directory)
+					t.Fatalf("published an invalid directory: %+v", publish.Directory)
 				}
 			}
 			c.Report(now)
 			c.OtherCellTotals(now)
 			if sent > 1 || len(c.remotes) > 16+16 || len(c.cellNames) != len(c.remotes) ||
 				c.ActivatedPlan() < activated {
-				t.Fatal(sent, len(c.remotes), len(c.cellNames), c.ActivatedPlan(), activated)
+				t.Fatal("summaries, other cells, their names, activated plan, previous one:", sent,
+					len(c.remotes), len(c.cellNames), c.ActivatedPlan(), activated)
 			}
 			activated = c.ActivatedPlan()
 			for _, r := range c.remotes {
 				if len(r.seenMarks) > maxRepresentatives || len(r.planJoins) > maxPlanJoins {
-					t.Fatal("memory of a cell grows")
+					t.Fatal("a cell's representatives or plan joins exceed their maximum")
 				}
 			}
 		}
 	})
 }
 
-// eventFromBytes makes an event of four bytes.
+// eventFromBytes makes an event from four bytes.
 func eventFromBytes(text []byte) Event {
 	kind, a, b := text[0], int(text[1]), int(text[2])
 	summary := Summary{Cell: fmt.Sprintf("cell-%d", a%20), Representative: fmt.Sprintf("relay-%d", b%9),
@@ -88,7 +89,7 @@
 	return Tick{}
 }
 
-// regionalPlan is of so many cells in three regions.
+// regionalPlan returns a plan with cells in three regions.
 func regionalPlan(cells int, number uint64) cellplan.Plan {
 	plan := cellplan.Plan{Number: number}
 	for i := range cells {
--- a/internal/fleet/cells/marks.go
+++ b/internal/fleet/cells/marks.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxRepresentatives is of how many representatives of a cell the numbers are remembered.
+// maxRepresentatives is the number of representatives per cell whose sequence numbers are remembered.
 const maxRepresentatives = 4
 
-// sequenceMark is the highest number received of a representative.
+// sequenceMark is the highest sequence number received from a representative.
 type sequenceMark struct {
 	representative string
 	incarnation    uint64
@@ -16,26 +16,26 @@
 	receivedAt     time.Duration
 }
 
-// less tells whether a mark is of an earlier message than another of the same representative.
-func (m sequenceMark) less(o sequenceMark) bool {
+// isBefore reports whether a message was sent before another one of the same representative.
+func (m sequenceMark) isBefore(o sequenceMark) bool {
 	return m.incarnation < o.incarnation || m.incarnation == o.incarnation && m.seq < o.seq
 }
 
-// sequenceMarks are those of a cell's representatives, the one received last at the end.
+// sequenceMarks are the marks of a cell's representatives, ordered by the time of receipt.
 type sequenceMarks []sequenceMark
 
-// find is where a representative's mark is, negative for none.
+// find returns the index of a representative's mark, or -1.
 func (s sequenceMarks) find(representative string) int {
 	return slices.IndexFunc(s, func(m sequenceMark) bool { return m.representative == representative })
 }
 
-// isNewer tells whether a mark is over what is remembered of its representative.
+// isNewer reports whether a message is newer than all that were received from its representative.
 func (s sequenceMarks) isNewer(m sequenceMark) bool {
 	i := s.find(m.representative)
-	return i < 0 || s[i].less(m)
+	return i < 0 || s[i].isBefore(m)
 }
 
-// record remembers a mark in place of its representative's last, or of the oldest where there are too many.
+// record replaces the mark of a representative, or the oldest mark if there are too many.
 func (s *sequenceMarks) record(m sequenceMark) {
 	if i := s.find(m.representative); i >= 0 {
 		*s = slices.Delete(*s, i, i+1)
--- a/internal/fleet/cells/network_test.go
+++ b/internal/fleet/cells/network_test.go
@@ -17,8 +17,8 @@
 
 const second = time.Second
 
-// network is a simulated network of cells on a set clock: packets between relays are delayed, lost,
-// doubled and so reordered, and cut where a test says so.
+// network simulates cells on a simulated clock. Packets between relays are delayed, lost and duplicated, and
+// therefore reordered, and are blocked where a test says so.
 type network struct {
 	t             *testing.T
 	now           time.Duration
@@ -27,30 +27,30 @@
 	rng           *rand.Rand
 	lossRate      float64
 	duplicateRate float64
-	isCut         func(from, to *relay) bool // nil for nowhere
+	isCut         func(from, to *relay) bool // reports whether packets are blocked; nil for none
 	cells         []*simulatedCell
 	byName        map[string]*relay
 	byAddress     map[string]*relay
 	plan          cellplan.Plan
 	changes       map[ChangeKind]int
-	afterEvent    func() // after each event; nil for nothing
+	afterEvent    func() // called after each event unless nil
 	sizes         struct{ summary, directory int }
-	trace         *trace.Trace // of all actions; nil for none
+	trace         *trace.Trace // of all actions, or nil
 }
 
-// simulatedCell is a cell with what its view says.
+// simulatedCell is a cell and the state of its view.
 type simulatedCell struct {
 	name          string
 	region        string
 	relays        []*relay
-	padding       int // members that aren't simulated
+	padding       int // members that are not simulated
 	epoch         uint64
 	plan          uint64
 	hash          uint64
 	joinedPlan    uint64
 	requiredCells []string // of the view's Allocation
 
-	sent, published []time.Duration // when its relays sent summaries to other cells, and directories
+	sent, published []time.Duration // when its relays sent summaries, and directories
 }
 
 type relay struct {
@@ -84,8 +84,8 @@
 	return last
 }
 
-// newFleet makes cells in regions of the given numbers of zones, perZone in each zone, with so many relays
-// simulated.
+// newFleet returns a network of cells. The regions have the given numbers of zones, each zone has perZone
+// cells, and each cell has the given number of simulated relays.
 func newFleet(t *testing.T, seed uint64, zones []int, perZone, relays int) *network {
 	n := &network{t: t, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*relay{},
 		byAddress: map[string]*relay{}, changes: map[ChangeKind]int{}}
@@ -132,7 +132,7 @@
 	n.plan.Cells = append(n.plan.Cells, cell)
 }
 
-// start makes a new process of a relay.
+// start starts a new process of a relay.
 func (n *network) start(r *relay) {
 	r.incarnation++
 	r.running, r.wakeAt = true, -1
@@ -152,11 +152,12 @@
 	})
 }
 
-// advance lets time advance.
+// advance advances the simulated time.
 func (n *network) advance(span time.Duration) { n.advanceUntil(span, func() bool { return false }) }
 
-// advanceUntil lets time pass advanceUntil something holds, and returns how long that took; duration.Forever if it
-// didn't within the limit. It checks every tenth of a second.
+// advanceUntil advances the simulated time until a condition holds and returns how long that took, or
+// duration.DistantFuture if it did not hold within the limit. It checks the condition every tenth of a
+// second.
 func (n *network) advanceUntil(limit time.Duration, holds func() bool) time.Duration {
 	from := n.now
 	nextCheck := n.now
@@ -179,11 +180,11 @@
 	return duration.DistantFuture
 }
 
-// local is what a relay knows of its cell.
+// local returns what a relay knows of its cell.
 func (n *network) local(r *relay) LocalCell {
 	g := r.cell
-	l := LocalCell{Members: g.members(), ServingMembers: g.members(), Epoch: g.epoch, Plan: g.plan, PlanHash: g.hash,
-		RequiredCells: g.requiredCells, JoinedPlan: g.joinedPlan,
+	l := LocalCell{Members: g.members(), ServingMembers: g.members(), Epoch: g.epoch,
+		Plan: g.plan, PlanHash: g.hash, RequiredCells: g.requiredCells, JoinedPlan: g.joinedPlan,
 		RequestRate: 100 * float64(g.members()), OpenConnections: 1000 * g.members()}
 	for _, other := range g.relays {
 		l.Voters = append(l.Voters, Voter{Name: other.name, Address: other.address,
@@ -210,7 +211,7 @@
 	return nil
 }
 
-// updateCell tells the relays of a cell how it is.
+// updateCell sends the state of a cell to its relays.
 func (n *network) updateCell(g *simulatedCell) {
 	for _, r := range g.relays {
 		n.handle(r, n.local(r))
@@ -230,7 +231,7 @@
 	}
 	incarnation, wake := r.incarnation, max(next, n.now)
 	if wake == r.wakeAt {
-		return // it is on its way
+		return // the tick is already scheduled
 	}
 	r.wakeAt = wake
 	n.after(wake-n.now, func() {
@@ -253,7 +254,7 @@
 		r.cell.published = append(r.cell.published, n.now)
 		n.sizes.directory = max(n.sizes.directory, encodedSize(n.t, a.Directory))
 		for _, other := range r.cell.relays {
-			if other != r { // gossip passes it on several times, so that hardly any is lost
+			if other != r { // gossip sends it several times, so that losses are rare
 				n.after(100*time.Millisecond+duration.Scale(400*time.Millisecond, n.rng.Float64()),
 					func() { n.handle(other, DirectoryReceived{From: r.name, Directory: a.Directory}) })
 			}
@@ -263,10 +264,10 @@
 	}
 }
 
-// packet carries an event from relay to relay, or not, or twice.
+// packet delivers an event from one relay to another, with delay, loss and duplication.
 func (n *network) packet(from, to *relay, ev Event) {
 	if to == nil {
-		n.t.Fatal("a packet to nobody")
+		n.t.Fatal("packet to an unknown relay or address")
 	}
 	copies := 1
 	if n.rng.Float64() < n.duplicateRate {
@@ -281,14 +282,14 @@
 	}
 }
 
-// kill ends a relay; its cell's view leaves it out after a while.
+// kill stops a relay and removes it from its cell's view.
 func (n *network) kill(r *relay) {
 	r.running = false
 	r.cell.epoch++
 	n.updateCell(r.cell)
 }
 
-// knownEverywhere tells whether every relay of the other cells has a directory with the true number of
+// knownEverywhere reports whether every relay of the other cells has a directory with the correct number of
 // relays in a cell's region.
 func (n *network) knownEverywhere(g *simulatedCell) bool {
 	for _, other := range n.cells {
@@ -311,8 +312,7 @@
 	return true
 }
 
-// converged tells whether every relay has a directory with all other cells known and their true numbers of
-// relays.
+// converged reports whether every relay has a correct directory.
 func (n *network) converged() bool {
 	for _, g := range n.cells {
 		for _, r := range g.relays {
@@ -324,7 +324,8 @@
 	return true
 }
 
-// hasTrueDirectory tells whether a relay has a true directory.
+// hasTrueDirectory reports whether a relay's directory has all other cells as known, with their correct
+// numbers of relays.
 func (n *network) hasTrueDirectory(r *relay) bool {
 	var want []RegionTotals
 	for _, g := range n.cells {
@@ -341,12 +342,12 @@
 	rows := r.coordinator.directory.newest.Regions
 	want = slices.DeleteFunc(want, func(row RegionTotals) bool { return row.Cells == 0 })
 	return slices.EqualFunc(want, rows, func(a, b RegionTotals) bool {
-		return a.Name == b.Name && a.Cells == b.Cells && a.KnownCells == b.KnownCells && a.Relays == b.Relays &&
-			a.ServingRelays == b.ServingRelays
+		return a.Name == b.Name && a.Cells == b.Cells && a.KnownCells == b.KnownCells &&
+			a.Relays == b.Relays && a.ServingRelays == b.ServingRelays
 	})
 }
 
-// maxPerSecond is the most events in any second of a span.
+// maxPerSecond returns the maximum number of events in any second of a span.
 func maxPerSecond(times []time.Duration, from, to time.Duration) (most int) {
 	for i, t := range times {
 		if t < from || t >= to {
@@ -363,7 +364,7 @@
 	return most
 }
 
-// countBetween counts the events of a span.
+// countBetween returns the number of events in a span.
 func countBetween(times []time.Duration, from, to time.Duration) (count int) {
 	for _, t := range times {
 		if t >= from && t < to {
@@ -373,6 +374,7 @@
 	return count
 }
 
+// encodedSize returns the size of a message in CBOR.
 func encodedSize(t *testing.T, v any) int {
 	text, err := cbor.Marshal(v)
 	if err != nil {
@@ -381,5 +383,5 @@
 	return len(text)
 }
 
-// largeLayout is the fleet that the package is made for: 34 cells in 5 regions and 17 zones.
+// largeLayout is the fleet size that the package is designed for: 34 cells in 5 regions and 17 zones.
 var largeLayout = []int{4, 4, 3, 3, 3}
--- a/internal/fleet/cells/remote.go
+++ b/internal/fleet/cells/remote.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// maxPlanJoins is how many of a cell's words to have joined a plan are remembered.
+// maxPlanJoins is the number of plan joins remembered per cell.
 const maxPlanJoins = 4
 
 // remoteCell is what is known of another cell.
 type remoteCell struct {
 	name         string
 	region       string
-	weight       int // its relays by the plan
+	weight       int // number of its relays in the plan
 	planContacts []string
 
-	summary      Summary       // the newest
-	summaryAt    time.Duration // when it came, negative for never
-	reportedLost bool          // it was reported as lost
+	summary      Summary       // the newest one received
+	summaryAt    time.Duration // when summary arrived, negative for never
+	reportedLost bool
 	seenMarks    sequenceMarks
-	lastRejected sequenceMark // the last that was not newer; see acceptSummary
+	lastRejected sequenceMark // the last mark that was not newer; see acceptSummary
 
-	joinedThrough uint64 // it has been through all plans up to this one
+	joinedThrough uint64 // the cell has joined all plans up to this number
 	planJoins     []planJoin
-	planMismatch  bool // it was reported as having another table
+	planMismatch  bool // a PlanMismatch was reported
 
-	contactIndex            int // index in addresses()
+	contactIndex            int // in addresses()
 	contactRotatedAt        time.Duration
-	lastAddress             string // the last address, "" for none since this relay represents its cell
-	expedited               bool   // its summary is due out of turn
-	sentOutOfTurn           bool   // it got one out of turn since its last turn
-	announcedRepresentative string // that was reported last
+	lastAddress             string // last destination, "" for none since this relay became representative
+	summaryDueEarly         bool   // its next summary is due out of turn
+	sentOutOfTurn           bool   // it was sent a summary out of turn since its last turn
+	announcedRepresentative string // the representative that was reported last
 }
 
-// planJoin is a cell's word that nobody there acts by an earlier plan than this one, and the table that
-// it has under the number.
+// planJoin records a cell's statement that none of its relays acts by an earlier plan, with the hash of the
+// plan's contents at that cell.
 type planJoin struct {
 	plan, hash   uint64
-	bootstrapped bool // by the plan: the cell has come from no earlier one
+	bootstrapped bool // the cell was bootstrapped with the plan and has joined no earlier one
 }
 
-// addresses are where the cell may be reached: what it says itself before what the plan says.
+// addresses returns the addresses of the cell: first the contacts of its last summary, then those of the
+// plan.
 func (r *remoteCell) addresses() []string {
 	all := slices.Clone(r.summary.Contacts)
 	for _, address := range r.planContacts {
@@ -51,14 +52,15 @@
 	return all
 }
 
-// sentElsewhere tells whether the last summary went to another address than that of a summary's sender.
+// sentElsewhere reports whether the last summary went to an address other than that of the sender of s.
 func (r *remoteCell) sentElsewhere(s Summary) bool {
 	return len(s.Contacts) > 0 && r.lastAddress != "" && r.lastAddress != s.Contacts[0]
 }
 
-// nextAddress is where the next summary goes, "" if there is nowhere. Another contact is taken when nothing
-// has been heard for two rounds, and then each round; each time, while nothing has been heard since this
-// relay represents its cell: the other cell doesn't know its nextAddress yet.
+// nextAddress returns the address for the next summary, or "" if there is none. It moves on to the next
+// contact once the cell has been silent for two rounds, and then once per round. It moves on each time as
+// long as nothing has arrived since this relay became representative, because the other cell does not know
+// this relay's address yet.
 func (r *remoteCell) nextAddress(now, round, representingSince time.Duration) string {
 	all := r.addresses()
 	if len(all) == 0 {
@@ -73,13 +75,13 @@
 	return all[r.contactIndex%len(all)]
 }
 
-// acceptSummary tells whether a summary is newer than what is known of its representative, and notes it.
-// A representative that has lost its numbers would never be newer: once the cell is unknown, one whose
-// old numbers rise is taken as it is.
+// acceptSummary reports whether a summary is newer than those received from its representative, and records
+// it. A representative that has lost its sequence numbers would never be accepted again. Therefore, once the
+// cell is unknown, a summary with an old number is accepted if it is higher than the one rejected before.
 func (r *remoteCell) acceptSummary(now time.Duration, s Summary, unknown bool) bool {
 	mark := sequenceMark{s.Representative, s.Incarnation, s.Seq, now}
 	if !r.seenMarks.isNewer(mark) {
-		rises := r.lastRejected.representative == s.Representative && r.lastRejected.less(mark)
+		rises := r.lastRejected.representative == s.Representative && r.lastRejected.isBefore(mark)
 		r.lastRejected = mark
 		if !unknown || !rises {
 			return false
@@ -90,18 +92,19 @@
 	return true
 }
 
-// announceRepresentative tells whether it is to be reported that the cell has another representative:
-// the one announced before has been silent for a while. Two that represent it at once would be announced
-// each time.
-func (r *remoteCell) announceRepresentative(now, silence time.Duration) bool {
+// recordRepresentative records the sender of the last summary as the cell's representative, and reports
+// whether the change is to be announced; the first representative is not. It waits until the representative
+// announced before has been silent for a while; otherwise two relays that act as representative at the same
+// time would be announced alternately.
+func (r *remoteCell) recordRepresentative(now, silence time.Duration) bool {
 	current := r.summary.Representative
 	if current == r.announcedRepresentative {
 		return false
 	}
-	heardLately := func(m sequenceMark) bool {
+	heardRecently := func(m sequenceMark) bool {
 		return m.representative == r.announcedRepresentative && now-m.receivedAt <= silence
 	}
-	if slices.ContainsFunc(r.seenMarks, heardLately) {
+	if slices.ContainsFunc(r.seenMarks, heardRecently) {
 		return false
 	}
 	first := r.announcedRepresentative == ""
@@ -109,10 +112,10 @@
 	return !first
 }
 
-// recordJoinedPlan keeps what a summary tells of plans joined. It is true whenever it comes, so that also an old
-// summary counts, and nothing takes it back. A cell joins a plan only after the one before has been
-// activated, by all cells with one table, so that whoever is in a later plan has been through the earlier
-// ones.
+// recordJoinedPlan records the plan that a cell has joined, according to a summary. The statement remains
+// true, so it counts even in an old summary, and nothing revokes it. A cell joins a plan only after
+// the previous one was activated, and so joined by all cells with the same contents; a cell in a later plan
+// has therefore joined all earlier ones.
 func (r *remoteCell) recordJoinedPlan(s Summary) {
 	if s.JoinedPlan == 0 {
 		return
@@ -133,13 +136,14 @@
 	r.planJoins = append(r.planJoins, join)
 }
 
-// hasJoined tells whether the cell is known to have hasJoined a plan with this table.
+// hasJoined reports whether the cell is known to have joined a plan with this hash.
 func (r *remoteCell) hasJoined(plan, hash uint64) bool {
-	byTable := func(j planJoin) bool { return j.plan == plan && j.hash == hash }
-	return r.joinedThrough >= plan || slices.ContainsFunc(r.planJoins, byTable)
+	matches := func(j planJoin) bool { return j.plan == plan && j.hash == hash }
+	return r.joinedThrough >= plan || slices.ContainsFunc(r.planJoins, matches)
 }
 
-// hasContinuedInto tells whether the cell is known to have come into a plan with this table from the plan before.
+// hasContinuedInto reports whether the cell is known to have joined a plan with this hash from the previous
+// plan.
 func (r *remoteCell) hasContinuedInto(plan, hash uint64) bool {
 	return r.joinedThrough >= plan || slices.Contains(r.planJoins, planJoin{plan, hash, false})
 }
--- a/internal/fleet/cells/report.go
+++ b/internal/fleet/cells/report.go
@@ -8,7 +8,7 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Report is what is known of the cells at one relay, for operators.
+// Report is what a relay knows about the cells, for operators.
 type Report struct {
 	Cell           string `json:"cell"`
 	Region         string `json:"region"`
@@ -24,24 +24,24 @@
 	Drops          DropCounters   `json:"dropped"`
 }
 
-// RegionReport is one region in a Report: the other cells' figures, and the cells, this one's own among them.
+// RegionReport is one region in a Report: the totals of the other cells, and the cells including this one.
 type RegionReport struct {
 	RegionTotals
 	CellReports []CellReport `json:"rows"`
 }
 
-// CellReport is one cell in a Report. At a relay that is no representative most are known by their region's
-// figures only.
+// CellReport is one cell in a Report. At a relay that is not the representative, most cells are known only
+// through the totals of their region.
 type CellReport struct {
 	Name            string   `json:"cell"`
 	OwnCell         bool     `json:"own,omitempty"`
-	Known           bool     `json:"heard"` // lately
+	Known           bool     `json:"heard"` // a summary arrived recently
 	AgeMs           float64  `json:"age_ms"`
 	Representative  string   `json:"speaker"`
 	Epoch           uint64   `json:"epoch"`
 	Plan            uint64   `json:"plan"`
 	PlanHash        string   `json:"plan_hash"`
-	PlanMismatch    bool     `json:"mismatch"` // it has another table under this cell's plan number
+	PlanMismatch    bool     `json:"mismatch"` // its plan has this cell's plan number but different contents
 	JoinedPlan      uint64   `json:"entered"`
 	Relays          int      `json:"relays"`
 	ServingRelays   int      `json:"serving"`
@@ -49,10 +49,10 @@
 	OpenConnections int      `json:"held"`
 	DrainRate       float64  `json:"sent_per_s"`
 	DepartedRelays  []string `json:"departed,omitempty"`
-	Contact         string   `json:"contact"` // where the last summary to it went
+	Contact         string   `json:"contact"` // address to which the last summary was sent
 }
 
-// Report tells what the Coordinator knows.
+// Report returns what the Coordinator knows.
 func (c *Coordinator) Report(now time.Duration) Report {
 	own, _ := c.plan.FindCell(c.cfg.Cell)
 	report := Report{
@@ -81,7 +81,7 @@
 	return report
 }
 
-// addCell adds a cell to its region's rows, or to those of the last row where regions are summed.
+// addCell adds a cell to its region, or to the last region if the regions beyond MaxRegions are summed.
 func (r *Report) addCell(region string, cell CellReport) {
 	find := func(name string) int {
 		return slices.IndexFunc(r.Regions, func(row RegionReport) bool { return row.Name == name })
@@ -97,7 +97,7 @@
 	r.Regions[i].CellReports = append(r.Regions[i].CellReports, cell)
 }
 
-// ownReport is this cell's row.
+// ownReport returns the entry of this cell.
 func (c *Coordinator) ownReport() CellReport {
 	l := c.local
 	return CellReport{
@@ -118,7 +118,7 @@
 	}
 }
 
-// cellReport is another cell's row.
+// cellReport returns the entry of another cell.
 func (c *Coordinator) cellReport(now time.Duration, r *remoteCell) CellReport {
 	s := r.summary
 	report := CellReport{
--- a/internal/fleet/cells/rounds.go
+++ b/internal/fleet/cells/rounds.go
@@ -7,54 +7,57 @@
 )
 
 const (
-	// minRound is the shortest round. A round gets longer by roundPerCell, so that a representative's
-	// packets a second don't grow with the fleet.
+	// minRound is the minimum duration of a round. Beyond it a round takes roundPerCell for each cell, so
+	// that a representative's packet rate does not grow with the fleet.
 	minRound     = 5 * time.Second
 	roundPerCell = 300 * time.Millisecond
-	// expeditedRoundFraction of a round is an expedited one, at least minExpeditedRound: 2.5 times the packets a
-	// second, once.
+	// expeditedRoundFraction is the duration of an expedited round as a fraction of a normal round; it takes
+	// at least minExpeditedRound. For one round this sends 2.5 times as many packets per second.
 	expeditedRoundFraction = 0.4
 	minExpeditedRound      = 2 * time.Second
-	// contactRotationRounds without a word let a cell's next contact be taken.
+	// contactRotationRounds is the number of rounds without a summary from a cell after which its next
+	// contact is used.
 	contactRotationRounds = 2
-	// UnknownAfterRounds without a word make a cell unknown.
+	// UnknownAfterRounds is the number of rounds without a summary after which a cell is unknown.
 	UnknownAfterRounds = 3
-	// lostCheckInterval is the time between two checks for cells that have become unknown.
+	// lostCheckInterval is the time between two checks for lost cells.
 	lostCheckInterval = time.Second
-	// readyToPublishAfterRounds a new representative has the summaries of all cells that can be reached.
+	// readyToPublishAfterRounds is the number of rounds after which a new representative has received the
+	// summaries of all cells that can be reached.
 	readyToPublishAfterRounds = 1.2
 )
 
-// pacer spreads summaries evenly over a round: one cell at a time, in turn.
+// pacer spreads summaries evenly over a round: it sends to one cell at a time, in turn.
 //
-// Invariants: of two summaries at most one is out of turn, so that the round goes on; an expedited round
-// begins at most once in the time of a round.
+// Invariants: of two consecutive summaries at most one is out of turn, so that the round makes progress; at
+// most one expedited round starts within the duration of a round.
 type pacer struct {
 	nextSummaryAt   time.Duration
-	position        int           // in the names of the cells: whose turn it was last
-	expeditedLeft   int           // so many summaries are left of an expedited round
-	nextExpediteAt  time.Duration // no other expedited round before this
-	expeditePending bool          // one is due then
-	lastOutOfTurn   bool          // the last summary was
+	lastIndex       int           // in the names of the cells: the last one that had its turn
+	expeditedLeft   int           // number of summaries left in an expedited round
+	nextExpediteAt  time.Duration // earliest start of the next expedited round
+	expeditePending bool          // another expedited round is due at nextExpediteAt
+	lastOutOfTurn   bool          // the last summary was sent out of turn
 }
 
-// RoundDuration is how long it takes a representative to tell each other cell once, by the number of all cells.
+// RoundDuration returns how long a representative takes to send one summary to each other cell, given the
+// number of all cells.
 func RoundDuration(cells int) time.Duration { return max(minRound, roundPerCell*time.Duration(cells)) }
 
 func (c *Coordinator) round() time.Duration { return RoundDuration(len(c.cellNames) + 1) }
 
-// summaryInterval is the time between two summaries.
+// summaryInterval returns the time between two summaries.
 func (c *Coordinator) summaryInterval() time.Duration {
 	round := c.round()
 	if c.pacer.expeditedLeft > 0 {
 		round = max(minExpeditedRound, duration.Scale(round, expeditedRoundFraction))
 	}
 	cells := time.Duration(max(len(c.cellNames), 1))
-	return (round + cells - 1) / cells // rounded up: a cell's next turn comes no sooner than a round later
+	return (round + cells - 1) / cells // rounded up, so that a cell's next turn is at least a round later
 }
 
-// expedite starts an expedited round, at most one in the time of a round: what comes sooner after is sent
-// in the ordinary round first.
+// expedite starts an expedited round, at most once within the duration of a round. A change that follows
+// sooner is sent in the normal round first, and in another expedited round as soon as one may start.
 func (c *Coordinator) expedite(now time.Duration) {
 	if now < c.pacer.nextExpediteAt {
 		c.pacer.expeditePending = true
@@ -66,7 +69,7 @@
 	c.pacer.nextSummaryAt = min(c.pacer.nextSummaryAt, now+c.summaryInterval())
 }
 
-// sendSummaryDue sends what is due. After a pause it doesn't make up for what it has missed.
+// sendSummaryDue sends a summary if one is due. Summaries missed during a pause are not made up for.
 func (c *Coordinator) sendSummaryDue(now time.Duration, out []Action) []Action {
 	if len(c.cellNames) == 0 || now < c.pacer.nextSummaryAt {
 		return out
@@ -82,12 +85,12 @@
 	return out
 }
 
-// sendNextSummary sends to a cell out of turn, if one is waiting and the last was in turn, else to the
-// next in turn.
+// sendNextSummary sends a summary to a cell that is due out of turn, if there is one and the last summary was
+// in turn, and otherwise to the next cell in turn.
 func (c *Coordinator) sendNextSummary(now time.Duration, out []Action) []Action {
 	c.pacer.lastOutOfTurn = !c.pacer.lastOutOfTurn
 	for _, name := range c.cellNames {
-		if r := c.remotes[name]; r.expedited && c.pacer.lastOutOfTurn {
+		if r := c.remotes[name]; r.summaryDueEarly && c.pacer.lastOutOfTurn {
 			r.sentOutOfTurn = true
 			return c.sendSummaryTo(now, r, out)
 		}
@@ -96,15 +99,15 @@
 	return c.sendSummaryTo(now, c.nextInTurn(), out)
 }
 
-// nextInTurn is the cell whose turn it is. One that was sent to out of turn is passed over once, so that a
-// round takes no longer.
+// nextInTurn returns the cell whose turn it is. A cell that was sent a summary out of turn is skipped once,
+// so that the round does not take longer.
 func (c *Coordinator) nextInTurn() *remoteCell {
 	for {
 		if c.pacer.expeditedLeft > 0 {
 			c.pacer.expeditedLeft--
 		}
-		c.pacer.position = (c.pacer.position + 1) % len(c.cellNames)
-		r := c.remotes[c.cellNames[c.pacer.position]]
+		c.pacer.lastIndex = (c.pacer.lastIndex + 1) % len(c.cellNames)
+		r := c.remotes[c.cellNames[c.pacer.lastIndex]]
 		if !r.sentOutOfTurn {
 			return r
 		}
@@ -112,9 +115,9 @@
 	}
 }
 
-// sendSummaryTo sends a summary to a cell, if there is an address for it.
+// sendSummaryTo sends a summary to a cell, if an address is known.
 func (c *Coordinator) sendSummaryTo(now time.Duration, r *remoteCell, out []Action) []Action {
-	r.expedited = false
+	r.summaryDueEarly = false
 	r.lastAddress = r.nextAddress(now, c.round(), c.election.representingSince)
 	if r.lastAddress == "" {
 		return out
@@ -123,7 +126,8 @@
 	return append(out, SendSummary{Address: r.lastAddress, Cell: r.name, Summary: c.summary()})
 }
 
-// NextTickAt is when the Coordinator wants a Tick; duration.Forever for not before the next event.
+// NextTickAt returns when the Coordinator needs a Tick, or duration.DistantFuture if it needs none before the
+// next event.
 func (c *Coordinator) NextTickAt() time.Duration {
 	if !c.election.isRepresentative {
 		return duration.DistantFuture
--- a/internal/fleet/cells/trace_test.go
+++ b/internal/fleet/cells/trace_test.go
@@ -7,7 +7,7 @@
 	"capersail/internal/testing/trace"
 )
 
-// record takes an action down.
+// record adds an action to the trace.
 func record(t *trace.Trace, r *relay, a Action) {
 	t.Action(r.name)
 	switch a := a.(type) {
@@ -22,8 +22,8 @@
 	}
 }
 
-// Over drawn deaths, losses and cuts every relay does the same, in the same order, as it did when
-// testdata/trace.txt was written: a change that is meant to change no behaviour changes none.
+// Under random failures, packet loss and cuts, every relay emits the actions recorded in testdata/trace.txt,
+// in the same order. A refactoring must not change them.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var recording trace.Recording
 	for seed := range uint64(40) {
--- a/internal/fleet/cells/types.go
+++ b/internal/fleet/cells/types.go
@@ -6,61 +6,60 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// Config is what a Coordinator is configured with.
+// Config is the configuration of a Coordinator.
 type Config struct {
 	Name        string // of this relay
-	Cell        string // of its cell
+	Cell        string // the relay's cell
 	Incarnation uint64 // of this process; rises with each start
 	Plan        cellplan.Plan
-	Seed        uint64 // of the first moment in a round, so that not all cells send at once
+	Seed        uint64 // chooses when in a round the first summary is sent, to spread the cells
 }
 
 // Voter is a voter of the cell's view.
 type Voter struct {
 	Name    string
-	Address string // "ip:port" where other cells reach it, "" if it isn't known
-	Alive   bool   // as this relay believes; itself always
+	Address string // "ip:port" at which other cells reach it, "" if unknown
+	Alive   bool   // as seen by this relay; always true for itself
 }
 
-// Event is something that a Coordinator has to take in.
+// Event is an input to a Coordinator.
 type Event interface{ event() }
 
 type (
-	// LocalCell is what this relay knows of its own cell; it comes on each change, and about once a
-	// second for the figures.
+	// LocalCell is the state of the relay's own cell. It is sent on each change, and about once a second to
+	// update the load figures.
 	LocalCell struct {
-		Voters         []Voter // of the view, in its order
+		Voters         []Voter // of the view, in the view's order
 		Members        int     // of the view
-		ServingMembers int     // of them
+		ServingMembers int     // members of the view that are serving
 		Epoch          uint64  // of the view
-		Plan           uint64  // of the view's Allocation, 0 for none
+		Plan           uint64  // number of the plan in the view's Allocation, 0 for none
 		PlanHash       uint64
-		// of the view's Allocation: all that must have joined Plan before it is activated; nil to go by the
-		// file's
+		// RequiredCells are the cells in the view's Allocation, which all must have joined Plan before it is
+		// activated. If nil, the plan file's cells are used.
 		RequiredCells []string
-		// JoinedPlan is the newest plan that nobody in the cell acts by an earlier one of: the view's, once
-		// that view is so old that every lease by an older one has expired. Never over Plan.
+		// JoinedPlan is the newest plan such that no relay of the cell acts by an earlier plan: the view's,
+		// once the view is old enough for every lease of an older view to have expired. It is at most Plan.
 		JoinedPlan      uint64
-		Bootstrapped    bool    // by Plan, and has come from no earlier one
-		RequestRate     float64 // requests a second at its relays
-		OpenConnections int     // connections
-		DrainRate       float64 // connections a second that they send away
+		Bootstrapped    bool    // the cell was bootstrapped with Plan and has joined no earlier plan
+		RequestRate     float64 // requests per second at the cell's relays
+		OpenConnections int
+		DrainRate       float64 // connections per second that its relays migrate away
 		DepartedRelays  []string
 	}
-	// SummaryReceived is a summary that came from another cell, or from a relay of this cell that has
-	// forwarded it.
+	// SummaryReceived is a summary from another cell, received directly or forwarded by a relay of this cell.
 	SummaryReceived struct {
 		From    string
 		Summary Summary
 	}
-	// DirectoryReceived is a directory that came from a relay of this cell.
+	// DirectoryReceived is a directory from a relay of this cell.
 	DirectoryReceived struct {
 		From      string
 		Directory Directory
 	}
-	// PlanChanged says that the file has another plan, or other contacts.
+	// PlanChanged reports that the plan file has a different plan or different contacts.
 	PlanChanged struct{ Plan cellplan.Plan }
-	// Tick says that time has passed; see Next.
+	// Tick lets the Coordinator do what is due at the current time; see NextTickAt.
 	Tick struct{}
 )
 
@@ -70,29 +69,29 @@
 func (PlanChanged) event()       {}
 func (Tick) event()              {}
 
-// Action is something a Coordinator wants done.
+// Action is an output of a Coordinator for its driver to carry out.
 type Action interface{ action() }
 
 type (
-	// SendSummary sends a summary to an address of another cell, as one packet.
+	// SendSummary sends a summary to an address in another cell, in one packet.
 	SendSummary struct {
 		Address string
-		Cell    string // of the receiver
+		Cell    string // the receiving cell
 		Summary Summary
 	}
 	// ForwardSummary forwards a summary to the representative of this cell.
 	ForwardSummary struct {
-		To      string // the representative's name
+		To      string // name of the representative
 		Summary Summary
 	}
-	// PublishDirectory tells all relays of this cell.
+	// PublishDirectory sends the directory to all relays of this cell.
 	PublishDirectory struct{ Directory Directory }
-	// CellChanged is for the log and metrics.
+	// CellChanged reports a change for the log and the metrics.
 	CellChanged struct {
 		Kind           ChangeKind
 		Cell           string
-		Representative string // of the cell, where that has changed
-		Plan           uint64 // that is activated, or has another table
+		Representative string // of the cell, if it has one that is known
+		Plan           uint64 // the plan that was activated, or whose contents differ
 	}
 )
 
@@ -101,21 +100,23 @@
 func (PublishDirectory) action() {}
 func (CellChanged) action()      {}
 
-// ChangeKind is the kind of a Changed.
+// ChangeKind is the kind of a CellChanged.
 type ChangeKind uint8
 
-// The changes.
+// The kinds of changes.
 const (
-	RepresentativeChanged ChangeKind = iota + 1 // a cell has another representative
-	// CellLost: no summary of a cell has come for UnknownAfterRounds rounds; its last figures stand.
+	RepresentativeChanged ChangeKind = iota + 1 // the cell has another representative
+	// CellLost means that no summary of the cell has arrived for UnknownAfterRounds rounds. Its last figures
+	// are kept.
 	CellLost
-	CellKnown // a summary of a cell has come for the first time, or again
-	// PlanMismatch: a cell has another table under the number of this cell's plan, and does not count.
+	CellKnown // a summary of the cell has arrived, for the first time or after it was lost
+	// PlanMismatch means that the cell has a plan with the same number as this cell's but different contents.
+	// It is not counted as having joined the plan.
 	PlanMismatch
 	PlanActivated // every cell is known to have joined the plan
 )
 
-// changeTexts are the changes as log lines have them.
+// changeTexts are the texts of the kinds in logs and reports.
 var changeTexts = [...]string{
 	RepresentativeChanged: "speaker changed",
 	CellLost:              "cell lost",
@@ -124,7 +125,7 @@
 	PlanActivated:         "plan opened",
 }
 
-// String is the text of logs and reports.
+// String returns the text for logs and reports.
 func (c ChangeKind) String() string {
 	if int(c) < len(changeTexts) {
 		return changeTexts[c]
--- a/internal/fleet/probing/assign_test.go
+++ b/internal/fleet/probing/assign_test.go
@@ -79,8 +79,7 @@
 		for i := range ss {
 			if !slices.Equal(table.Probers(i), other.Probers(i)) {
 				r.Errorf("probers of a server are %v in one order of the relays and %v in another",
-					table.Probers(i),
-					other.Probers(i))
+					table.Probers(i), other.Probers(i))
 			}
 		}
 	})
