--- a/internal/fleet/cellplan/plan_test.go
+++ b/internal/fleet/cellplan/plan_test.go
@@ -59,22 +59,22 @@
 		keys   string
 	}{
 		{"good", func(*Plan) {}, ""},
-		{"a cell alone needs no contacts",
+		{"single cell without contacts",
 			func(p *Plan) { p.Cells = p.Cells[:1]; p.Cells[0].Contacts = nil }, ""},
-		{"a flat fleet is moved", func(p *Plan) { p.Cells = append(p.Cells, newCell("flat", "", "", 300)) },
+		{"flat fleet being moved", func(p *Plan) { p.Cells = append(p.Cells, newCell("flat", "", "", 300)) },
 			""},
 		{"no number", func(p *Plan) { p.Number = 0 }, "number"},
 		{"number too high", func(p *Plan) { p.Number = 1 << 63 }, "number"},
 		{"home share over 1", func(p *Plan) { p.HomeShare = 1.1 }, "home_share"},
 		{"home share below 0", func(p *Plan) { p.HomeShare = -0.1 }, "home_share"},
-		{"home share no number", func(p *Plan) { p.HomeShare = math.NaN() }, "home_share"},
+		{"home share not a number", func(p *Plan) { p.HomeShare = math.NaN() }, "home_share"},
 		{"no cells", func(p *Plan) { p.Cells = nil }, "cells"},
 		{"too many cells", func(p *Plan) {
 			for i := range MaxCells {
 				p.Cells = append(p.Cells, newCell(fmt.Sprint("c", i), "a", "a-1", 1))
 			}
 		}, "cells"},
-		{"nobody has relays", func(p *Plan) {
+		{"no relays in any cell", func(p *Plan) {
 			for i := range p.Cells {
 				p.Cells[i].Relays = 0
 			}
@@ -101,7 +101,7 @@
 		{"port 0", func(p *Plan) { p.Cells[0].Contacts = []string{"10.0.0.1:0"} }, "cells[0].contacts[0]"},
 		{"no address", func(p *Plan) { p.Cells[0].Contacts = []string{"0.0.0.0:7946"} },
 			"cells[0].contacts[0]"},
-		{"all of them", func(p *Plan) {
+		{"several at once", func(p *Plan) {
 			p.Number = 0
 			p.HomeShare = 2
 			p.Cells[0].Relays = -1
