--- a/internal/fleet/membership/acceptor.go
+++ b/internal/fleet/membership/acceptor.go
@@ -6,36 +6,37 @@
 	"capersail/internal/fleet/duration"
 )
 
-// onMessage takes in a message of a peer, or of this relay to itself.
+// onMessage handles a message from a peer, or from this relay to itself.
 func (n *Node) onMessage(from string, m Message) {
 	if from != n.cfg.Name && n.peers.entry(from, n.now).Status.Incarnation > m.FromIncarnation {
-		return // from a process that is known to have ended
+		return // the sending process has ended: its relay runs with a higher incarnation
 	}
 	switch m.Kind {
 	case Learn:
 		n.adoptView(m.View)
 	case LeaseRenewed:
-		n.onRenewed(from, m)
+		n.onLeaseRenewed(from, m)
 	case Reject:
 		n.onReject(from, m)
 	case Promise, Accepted:
-		n.onAnswer(from, m)
+		n.onVoterAnswer(from, m)
 	case RenewLease, Prepare, Accept:
 		n.onVoterRequest(from, m)
 	}
 }
 
-// onRenewed takes in a voter's renewal of the lease.
-func (n *Node) onRenewed(from string, m Message) {
+// onLeaseRenewed extends the lease by a voter's renewal.
+func (n *Node) onLeaseRenewed(from string, m Message) {
 	sentAt := duration.FromMillis(m.SentAtMillis)
 	if m.ToIncarnation != n.record.Incarnation || sentAt > n.now || !slices.Contains(n.view.Voters, from) {
 		return
 	}
 	n.lease.noteRenewal(from, sentAt)
-	n.lease.extend(n.view, n.leaseValidFor())
+	n.lease.extend(n.view, n.leaseValidity())
 }
 
-// onReject sends the view to a peer that is behind it, and gives up a proposal whose ballot is too low.
+// onReject sends the view to a peer that holds an older one, and abandons this relay's proposal if the peer
+// has promised a higher ballot.
 func (n *Node) onReject(from string, m Message) {
 	if m.Epoch < n.view.Epoch {
 		n.send(from, Message{Kind: Learn, View: n.view})
@@ -46,8 +47,8 @@
 	}
 }
 
-// onVoterRequest answers as a voter. Whoever is behind is sent the view; whoever is ahead is asked for it
-// by a Reject.
+// onVoterRequest answers a request to this relay as a voter. A sender that holds an older view is sent the
+// newer one; a sender that holds a newer view is asked for it by a Reject.
 func (n *Node) onVoterRequest(from string, m Message) {
 	switch {
 	case n.storageFailed:
@@ -57,7 +58,7 @@
 		return
 	case m.Epoch > n.view.Epoch:
 		if m.Kind == RenewLease {
-			n.deferred[from] = m
+			n.deferredRenewals[from] = m
 		}
 		n.send(from, Message{Kind: Reject, Epoch: n.view.Epoch, ToIncarnation: m.FromIncarnation})
 		return
@@ -66,7 +67,7 @@
 	}
 	switch m.Kind {
 	case RenewLease:
-		n.answerRenew(from, m)
+		n.answerRenewLease(from, m)
 	case Prepare:
 		n.answerPrepare(from, m)
 	case Accept:
@@ -74,11 +75,11 @@
 	}
 }
 
-// answerRenew renews a member's lease, unless the next view may be chosen already: no lease of an old
-// view may be renewed after that.
-func (n *Node) answerRenew(from string, m Message) {
-	plan, checks := n.view.Allocation.plan(), n.safeguards.checksVersions
-	// the asker's program knows of no Allocation, and would take its share of the full budget
+// answerRenewLease renews a member's lease, unless this voter has accepted the next view: that view may be
+// chosen already, and from then on no lease of an older view may be renewed.
+func (n *Node) answerRenewLease(from string, m Message) {
+	plan, checks := n.view.Allocation.planNumber(), n.safeguards.checksVersions
+	// The program of the sender knows no Allocation, and would take its share of the full budget.
 	if m.Plan < plan && checks {
 		n.send(from, Message{Kind: Learn, View: n.view})
 		return
@@ -89,7 +90,8 @@
 	}
 }
 
-// answerPrepare promises to accept nothing by a lower ballot, and says what it has accepted.
+// answerPrepare promises to accept no view by a lower ballot, and reports the view that this voter has
+// accepted.
 func (n *Node) answerPrepare(from string, m Message) {
 	if !n.record.promise(m.Ballot) {
 		n.rejectBallot(from, m)
@@ -99,11 +101,11 @@
 	n.send(from, Message{
 		Kind: Promise, Epoch: m.Epoch, Ballot: m.Ballot, ToIncarnation: m.FromIncarnation,
 		AcceptedBallot: n.record.AcceptedBallot, View: n.record.AcceptedView,
-		Unavailable: append(n.unavailableMembers(), n.unavailableOf(m.Joining)...),
+		Unavailable: append(n.unavailableMembers(), n.unavailableNonMembers(m.Joining)...),
 	})
 }
 
-// answerAccept accepts a view that may follow the one held.
+// answerAccept accepts a view that is a valid successor of the view held.
 func (n *Node) answerAccept(from string, m Message) {
 	if m.View == nil || m.View.Epoch != m.Epoch+1 || !n.isValidSuccessor(m.View.Allocation) {
 		return
@@ -117,13 +119,13 @@
 	n.send(from, Message{Kind: Accepted, Epoch: m.Epoch, Ballot: m.Ballot, ToIncarnation: m.FromIncarnation})
 }
 
-// rejectBallot answers that a higher ballot is promised.
+// rejectBallot answers that this voter has promised a higher ballot.
 func (n *Node) rejectBallot(from string, m Message) {
 	n.send(from, Message{Kind: Reject, Epoch: m.Epoch, Ballot: n.record.PromisedBallot,
 		ToIncarnation: m.FromIncarnation})
 }
 
-// voterName is the name by which a relay votes in the view held.
+// voterName returns the name by which a relay votes in the view held.
 func (n *Node) voterName(name string, slot int) string {
 	if n.view.Epoch == 0 {
 		return slotVoterName(slot)
@@ -131,8 +133,8 @@
 	return name
 }
 
-// voterRelay is the relay that a voter is, "" for one that is not known.
-func (n *Node) voterRelay(voter string) string {
+// relayOfVoter returns the name of the relay that votes under a voter name, or "" if it is not known.
+func (n *Node) relayOfVoter(voter string) string {
 	if n.view.Epoch > 0 {
 		return voter
 	}
@@ -150,15 +152,15 @@
 	return ""
 }
 
-// isVoter tells whether this relay is a voter of the view that it holds, and able to keep what it votes.
+// isVoter reports whether this relay is a voter of the view held and can store its votes.
 func (n *Node) isVoter() bool {
 	return !n.storageFailed && slices.Contains(n.view.Voters, n.voterName(n.cfg.Name, n.slot.number))
 }
 
-// votersAlive is how many voters of the view held are taken for alive.
-func (n *Node) votersAlive() (count int) {
+// aliveVoterCount returns how many voters of the view held count as alive.
+func (n *Node) aliveVoterCount() (count int) {
 	for _, v := range n.view.Voters {
-		if name := n.voterRelay(v); name != "" && n.peers.isAlive(name) {
+		if name := n.relayOfVoter(v); name != "" && n.peers.isAlive(name) {
 			count++
 		}
 	}
--- a/internal/fleet/membership/allocation.go
+++ b/internal/fleet/membership/allocation.go
@@ -7,41 +7,43 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// Allocation is the part of every budget that a cell's relays divide among themselves, by a numbered
-// plan. It is in the view, so that a relay acts by it whatever its file says. docs/design/cells.md has
-// the rules and why the sum over all cells is never over one. It is never changed once made.
+// Allocation is the part of every budget that the relays of a cell divide among themselves, by a numbered
+// plan. It is part of the view, so that a relay acts by it whatever plan its members file has.
+// docs/design/cells.md has the rules, and the reason why the sum over all cells never exceeds the full
+// budget. An Allocation is never changed once it is made.
 type Allocation struct {
 	Plan     uint64 `cbor:"1,keyasint"`
 	PlanHash uint64 `cbor:"2,keyasint"`
-	// Activated says that every cell had joined the plan: the parts are the plan's in full. While it is not,
-	// they are the lesser of this plan's and those before.
+	// Activated says that every cell has joined the plan, so that the budgets are those of the plan in full.
+	// Until then they are the lesser of this plan's and the previous ones'.
 	Activated  bool   `cbor:"3,keyasint,omitempty"`
 	NearBudget uint64 `cbor:"4,keyasint,omitempty"` // of FullBudget, for servers in NearZones
-	FarBudget  uint64 `cbor:"5,keyasint,omitempty"` // of FullBudget, for all others; never over Near
-	// NearZones and Cells are in order. Cells are all that may hold a part by this plan or by the one before.
+	FarBudget  uint64 `cbor:"5,keyasint,omitempty"` // of FullBudget, for other servers; at most NearBudget
+	// NearZones and Cells are sorted. Cells lists all cells that may hold a budget by this plan or by the
+	// previous one.
 	NearZones []string `cbor:"6,keyasint,omitempty"`
 	Cells     []string `cbor:"7,keyasint,omitempty"`
-	// LeaseMillis is the time of a lease in ms, 0 for LeaseDuration. It is the same in all views of
-	// a chain: what a holder trusts and what the others wait must be one number.
+	// LeaseMillis is the lease duration in ms, 0 for LeaseDuration. It is the same in all views of a chain,
+	// because the holder of a lease and the relays that wait for its end must use the same duration.
 	LeaseMillis uint32 `cbor:"8,keyasint,omitempty"`
-	// Bootstrapped says that the cell was bootstrapped by this plan, which is not the first: it has come
-	// from no earlier one, and cannot know which cells hold a part by that.
+	// Bootstrapped says that the cell was bootstrapped by this plan, though it is not the first. Such a cell
+	// has joined no earlier plan, and cannot know which cells hold a budget by that.
 	Bootstrapped bool `cbor:"9,keyasint,omitempty"`
 }
 
-// FirstJoinedPlan is the plan that a chain without an Allocation joins. Plan 1 is for fleets that are
-// bootstrapped in cells: a cell that is bootstrapped under it is activated at once.
+// FirstJoinedPlan is the number of the plan that a chain without an Allocation joins. Plan 1 is for fleets
+// that are bootstrapped in cells: a cell that is bootstrapped under it is activated at once.
 const FirstJoinedPlan = 2
 
-// plan is the number of the plan acted by, 0 for none.
-func (a *Allocation) plan() uint64 {
+// planNumber returns the number of the plan that the cell acts by, 0 for none.
+func (a *Allocation) planNumber() uint64 {
 	if a == nil {
 		return 0
 	}
 	return a.Plan
 }
 
-// leaseMillis is the time of a lease in ms, 0 for the flat fleet's.
+// leaseMillis returns the lease duration in ms, 0 for that of a fleet without cells.
 func (a *Allocation) leaseMillis() uint32 {
 	if a == nil {
 		return 0
@@ -49,42 +51,42 @@
 	return a.LeaseMillis
 }
 
-// isBy tells whether an Allocation is by a plan.
-func (a *Allocation) isBy(plan *cellplan.Plan) bool {
+// matchesPlan reports whether the Allocation was made by a plan: by its number and its hash.
+func (a *Allocation) matchesPlan(plan *cellplan.Plan) bool {
 	return plan != nil && plan.Number == a.Plan && plan.Hash() == a.PlanHash
 }
 
-// successor is the only plan that may be joined next. A plan that was skipped would be taken by the
-// others for joined, though the cell might hold more than its part by it.
-func (a *Allocation) successor() uint64 {
+// successorPlan returns the number of the only plan that may be joined next. If a plan were skipped, the
+// other cells would count it as joined, though this cell might hold more than its budget by it.
+func (a *Allocation) successorPlan() uint64 {
 	if a == nil {
 		return FirstJoinedPlan
 	}
 	return a.Plan + 1
 }
 
-// holders are the cells that may hold a part; of a flat fleet only itself.
-func (a *Allocation) holders(cell string) []string {
+// holderCells returns the cells that may hold a budget: only the cell itself in a fleet without cells.
+func (a *Allocation) holderCells(cell string) []string {
 	if a == nil {
 		return []string{cell}
 	}
 	return a.Cells
 }
 
-// bootstrapAllocation is that of the first view of a cell. Under plan 1 nothing can have come before; under a
-// later one the cell holds nothing until the plan is activated.
+// bootstrapAllocation returns the Allocation of a cell's first view. Under plan 1 no other plan can have come
+// before. Under a later plan the cell holds no budget until the plan is activated.
 func bootstrapAllocation(plan *cellplan.Plan, cell string, leaseMillis uint32) *Allocation {
 	a := &Allocation{Plan: plan.Number, PlanHash: plan.Hash(), Cells: plan.Names(), LeaseMillis: leaseMillis}
 	if plan.Number == 1 {
-		return a.activated(plan, cell)
+		return a.afterActivation(plan, cell)
 	}
 	a.Bootstrapped = true
 	return a
 }
 
-// joined is the Allocation by which a cell joins a plan: of each part the lesser of what it held and
-// what it is to hold.
-func (a *Allocation) joined(plan *cellplan.Plan, cell string) *Allocation {
+// afterJoining returns the Allocation by which a cell joins a plan: each budget is the lesser of the one that
+// the cell held and the one that the plan gives it.
+func (a *Allocation) afterJoining(plan *cellplan.Plan, cell string) *Allocation {
 	near, far, zones := plan.Parts(cell)
 	next := &Allocation{
 		Plan: plan.Number, PlanHash: plan.Hash(), NearBudget: near, FarBudget: far, NearZones: zones,
@@ -101,8 +103,8 @@
 	return next
 }
 
-// activated is the Allocation by which a cell that has joined a plan takes its parts in full.
-func (a *Allocation) activated(plan *cellplan.Plan, cell string) *Allocation {
+// afterActivation returns the Allocation by which a cell that has joined a plan takes its budgets in full.
+func (a *Allocation) afterActivation(plan *cellplan.Plan, cell string) *Allocation {
 	next := *a
 	next.Activated = true
 	next.NearBudget, next.FarBudget, next.NearZones = plan.Parts(cell)
@@ -116,7 +118,7 @@
 	return &next
 }
 
-// equal tells whether two Allocations are alike.
+// equal reports whether two Allocations have the same content.
 func (a *Allocation) equal(b *Allocation) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -127,21 +129,21 @@
 		slices.Equal(a.NearZones, b.NearZones) && slices.Equal(a.Cells, b.Cells)
 }
 
-// atMost tells whether an Allocation gives nowhere more than another.
-func (a *Allocation) atMost(b *Allocation) bool {
+// isAtMost reports whether the Allocation gives no zone a larger budget than another Allocation does.
+func (a *Allocation) isAtMost(b *Allocation) bool {
 	if b == nil {
 		return true
 	}
 	for _, zone := range a.NearZones {
-		if a.NearBudget > b.part(zone) {
+		if a.NearBudget > b.budgetIn(zone) {
 			return false
 		}
 	}
 	return a.FarBudget <= b.FarBudget
 }
 
-// part is what the cell may take of the budget of a server in a zone.
-func (a *Allocation) part(zone string) uint64 {
+// budgetIn returns what the cell may take of the budget of a server in a zone, in units of FullBudget.
+func (a *Allocation) budgetIn(zone string) uint64 {
 	switch {
 	case a == nil:
 		return FullBudget
@@ -151,19 +153,19 @@
 	return a.FarBudget
 }
 
-// budgetShares are what a relay with a share of its cell's part may take of the budgets of near and of
-// far servers.
+// budgetShares returns which fractions of the budgets of near and of far servers a relay may take that has
+// the given share of its cell's budget.
 func (a *Allocation) budgetShares(share float64) (near, far float64) {
 	if a == nil {
 		return share, share
 	}
-	of := func(part uint64) float64 {
-		return fraction(cellplan.Portion(uint64(share*float64(FullBudget)), part, FullBudget))
+	toShare := func(budget uint64) float64 {
+		return fraction(cellplan.Portion(uint64(share*float64(FullBudget)), budget, FullBudget))
 	}
-	return of(a.NearBudget), of(a.FarBudget)
+	return toShare(a.NearBudget), toShare(a.FarBudget)
 }
 
-// summary is an Allocation in a few words.
+// summary describes the Allocation for the log.
 func (a *Allocation) summary() string {
 	state := " entered"
 	if a.Activated {
@@ -172,7 +174,7 @@
 	return "plan " + strconv.FormatUint(a.Plan, 10) + state
 }
 
-// Bounds of an Allocation that comes from elsewhere.
+// Bounds of an Allocation that another relay has sent.
 const (
 	maxZones       = 256
 	maxCells       = 2 * cellplan.MaxCells
@@ -181,8 +183,8 @@
 	maxLeaseMillis = 60_000
 )
 
-// valid tells whether an Allocation that came from elsewhere could be.
-func (a *Allocation) valid() bool {
+// isValid reports whether an Allocation that another relay has sent is within the bounds.
+func (a *Allocation) isValid() bool {
 	if a == nil {
 		return true
 	}
@@ -193,9 +195,10 @@
 		validNames(a.NearZones, maxZones) && validNames(a.Cells, maxCells)
 }
 
-// validNames tells whether names could be those of zones or cells: up to so many, in order, none twice.
-func validNames(names []string, most int) bool {
-	if len(names) > most {
+// validNames reports whether names can be a list of zones or cells: at most maxCount, sorted, without
+// duplicates, and none empty or too long.
+func validNames(names []string, maxCount int) bool {
+	if len(names) > maxCount {
 		return false
 	}
 	for i, name := range names {
--- a/internal/fleet/membership/cells_test.go
+++ b/internal/fleet/membership/cells_test.go
@@ -8,7 +8,7 @@
 func TestManyCellsNeverExceedOne(t *testing.T) {
 	t.Parallel()
 	from, count := seeds(t, 3)
-	forEachSeed(t, count, func(seed uint64) error { return playMany(from + seed).healed() })
+	forEachSeed(t, count, func(seed uint64) error { return playManyCells(from + seed).healAndCheck() })
 }
 
 // The promise over all cells: in no zone do all relays together take more than the whole, whatever plans
@@ -16,7 +16,7 @@
 func TestCellsNeverExceedOne(t *testing.T) {
 	t.Parallel()
 	from, count := seeds(t, 150)
-	forEachSeed(t, count, func(seed uint64) error { return playSmall(from+seed, nil).healed() })
+	forEachSeed(t, count, func(seed uint64) error { return playFewCells(from+seed, nil).healAndCheck() })
 }
 
 // Each protection taken out is found out by the same schedules.
@@ -27,7 +27,7 @@
 		"waiting for all cells":   func(n *Node) { n.safeguards.awaitsCells = false },
 		"waiting for older views": func(n *Node) { n.safeguards.awaitsEarlierViews = false },
 		"the rule of versions":    func(n *Node) { n.safeguards.checksVersions = false },
-		"the sequence of plans":   func(n *Node) { n.safeguards.inSequence = false },
+		"the sequence of plans":   func(n *Node) { n.safeguards.plansInSequence = false },
 		"the joint view":          func(n *Node) { n.safeguards.jointViews = false },
 		"the grace":               func(n *Node) { n.safeguards.safetyMargin = 0 },
 		"the wait for the effect": func(n *Node) { n.safeguards.maxEffectDelay = 0 },
@@ -40,7 +40,7 @@
 				first = 120
 			}
 			for seed := first; seed < 1500; seed++ {
-				if f := playSmall(seed, without); f.maxSum > FullBudget {
+				if f := playFewCells(seed, without); f.maxSum > FullBudget {
 					t.Logf("without %s all cells take %.3f at seed %d", what,
 						float64(f.maxSum)/float64(FullBudget), seed)
 					return
--- a/internal/fleet/membership/chain.go
+++ b/internal/fleet/membership/chain.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// chain is the newest view that this relay knows to be chosen.
+// chain holds the newest view that this relay knows to be chosen.
 //
-// Invariants: the epoch never falls; the view is the record's, or view 0 if that has none; viewHash is
-// its Hash.
+// Invariants: the epoch never falls; the view is that of the record, or view 0 if the record has none;
+// viewHash is the hash of the view.
 type chain struct {
 	view          *View
 	viewHash      uint64
-	viewAdoptedAt time.Duration // by this process, or when it started
+	viewAdoptedAt time.Duration // when this process adopted it, or when the process started
 }
 
-// adoptView takes up a view that is chosen. One that is no newer is left alone, but for the one held with
-// the Allocation that an older program has dropped.
+// adoptView makes a chosen view the one held. A view that is not newer is ignored, with one exception: if an
+// older program has stored the view held without its Allocation, the same view with it is taken.
 func (n *Node) adoptView(v *View) {
 	if n.restoresAllocation(v) {
-		n.holdView(v)
+		n.setView(v)
 		n.plans.adoptedAt = n.now
 		n.saveRecord()
 		n.publish(true)
@@ -25,15 +25,15 @@
 	if v == nil || v.Epoch <= n.view.Epoch || len(v.Voters) == 0 || v.BootstrapSize < 1 {
 		return
 	}
-	n.adoptAllocation(v.Allocation)
-	n.holdView(v)
+	n.noteAllocation(v.Allocation)
+	n.setView(v)
 	n.viewAdoptedAt = n.now
-	// a chain that was bootstrapped with fewer: this relay has none of its slots
+	// The chain was bootstrapped with fewer slots than this relay's number: the relay has none of them.
 	if n.slot.number >= v.BootstrapSize {
 		n.slot.number = -1
 	}
 	n.record.AcceptedView, n.record.AcceptedBallot = nil, Ballot{}
-	n.voting.viewAdopted()
+	n.voting.onViewAdopted()
 	n.lease.nextRenewalAt = n.now
 	n.saveRecord()
 	n.emit(StateChanged{Kind: ChangeView, State: v.summary()})
@@ -41,7 +41,7 @@
 	n.answerDeferredRenewals()
 }
 
-// holdView makes a view the one held, in the record too.
-func (n *Node) holdView(v *View) {
+// setView makes a view the one held, and puts it into the record.
+func (n *Node) setView(v *View) {
 	n.view, n.record.View, n.viewHash = v, v, v.Hash()
 }
--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -1,17 +1,18 @@
-// Package membership decides who is in the fleet and what share of a fleet-wide budget each relay may take.
+// Package membership decides which relays are in the fleet, and what share of each fleet-wide budget a relay
+// may take.
 //
-// A Node is one relay's part in that. It owns the view that the relay holds, its votes on the next one,
-// the lease by which it acts on its share, what it knows of its peers, and in a fleet of cells its part
-// in joining and activating plans. Views are chosen by Paxos among a few voters (proposer.go,
-// acceptor.go, voting.go), each giving shares that with all earlier views add up to the full budget at most
-// (nextview.go), and shares are held under leases (lease.go). What keeps the sum is listed in
-// safeguards.go; docs/design/members.md has the promise, the reasons and the proof's outline,
-// docs/design/cells.md those of cells.
+// A Node is the part of one relay. It holds the relay's view, its votes on the next one, the lease by which
+// the relay may use its share, what is known of the peers, and in a fleet of cells the relay's part in
+// joining and activating plans. Views are chosen by Paxos among a few voters (proposer.go, acceptor.go,
+// voting.go). The shares of a view and of all earlier views together add up to at most the full budget
+// (nextview.go), and a relay holds its share under a lease (lease.go). safeguards.go lists the rules that
+// keep this sum; docs/design/members.md has the guarantee, the reasons and an outline of the proof,
+// docs/design/cells.md those for cells.
 //
-// Its drivers are internal/wire/gossip and internal/simulation/model: they feed it events and the time,
-// and carry out its actions in their order. It does no I/O, reads no clock, starts no goroutine, and
-// never acts on what a Save that failed was to keep.
+// A Node is driven by internal/wire/gossip and by internal/simulation/model: they pass it events and the
+// time, and carry out its actions in their order. A Node does no I/O, reads no clock and starts no goroutine,
+// and does nothing that follows from a record that could not be stored.
 //
-// All times are durations since an arbitrary origin of one relay's monotonic clock; no two relays' clocks
-// are ever compared.
+// All times are durations since an arbitrary origin of one relay's monotonic clock. Clocks of two relays are
+// never compared.
 package membership
--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// FleetEstimate is what this relay knows of the fleet and may take of its budgets now.
+// FleetEstimate is what this relay knows of the fleet, and what it may take of the fleet's budgets now.
 type FleetEstimate struct {
 	Phase  Phase
 	Epoch  uint64 // of the view held
-	Relays int    // that are there, this one too
-	// BudgetShare is this relay's part of a fleet-wide budget, 0 to 1; where there are cells, of the
-	// budget of a server in NearZones.
+	Relays int    // how many relays there are, this one included
+	// BudgetShare is this relay's part of a fleet-wide budget, 0 to 1. In a fleet of cells it applies to
+	// servers in NearZones.
 	BudgetShare float64
-	// FarBudgetShare is its part of the budget of a server outside NearZones. Without cells it is
-	// BudgetShare.
+	// FarBudgetShare is this relay's part of the budget of a server outside NearZones. Without cells it
+	// equals BudgetShare.
 	FarBudgetShare float64
-	NearZones      []string // nil without cells: everywhere
-	// ShareValidUntil is when the shares expire unless they are renewed; duration.Forever if they need no
+	NearZones      []string // nil without cells: all zones are near
+	// ShareValidUntil is when the shares expire unless they are renewed, or duration.Forever if they need no
 	// renewal.
 	ShareValidUntil  time.Duration
 	ShareReason      string
-	OwnRequestRate   float64 // requests a second that this relay sees
-	OtherRequestRate float64 // requests a second that the others see; negative where it is not known
-	OtherConnections int     // open connections at the others; negative where it is not known
-	DrainRate        float64 // connections a second that others send away, as they drain or leave
-	Plan             uint64  // that the cell acts by, 0 without cells
+	OwnRequestRate   float64 // requests per second at this relay
+	OtherRequestRate float64 // requests per second at all other relays; negative if not known
+	OtherConnections int     // open connections at all other relays; negative if not known
+	DrainRate        float64 // connections per second that other relays close while they drain or leave
+	Plan             uint64  // the plan that the cell acts by, 0 without cells
 	PlanActivated    bool
 }
 
-// Estimate returns the FleetEstimate of the moment. The shares are to be asked for, or held against
+// Estimate returns the FleetEstimate at a time. The caller must ask for the shares, or compare the time with
 // ShareValidUntil, right before each use.
 func (n *Node) Estimate(now time.Duration) FleetEstimate {
 	now = max(now, n.now)
@@ -34,7 +34,7 @@
 		Phase:            n.phases.phase,
 		Epoch:            n.view.Epoch,
 		Relays:           max(n.cfg.ConfiguredRelays, 1),
-		OwnRequestRate:   n.local.RequestRate,
+		OwnRequestRate:   n.localState.RequestRate,
 		OtherRequestRate: -1,
 		OtherConnections: -1,
 	}
@@ -47,23 +47,23 @@
 	if n.view.Epoch == 0 {
 		return e
 	}
-	n.addMembers(&e)
-	n.addDrains(&e, now)
+	n.addMemberLoad(&e)
+	n.addDrainRates(&e, now)
 	if n.view.Allocation != nil {
-		n.addOtherCells(&e)
+		n.addOtherCellLoad(&e)
 	}
 	return e
 }
 
-// addMembers counts the members, and adds up what they do.
-func (n *Node) addMembers(e *FleetEstimate) {
+// addMemberLoad counts the members and adds up their load.
+func (n *Node) addMemberLoad(e *FleetEstimate) {
 	e.Relays, e.OtherRequestRate, e.OtherConnections = 0, 0, 0
 	for _, m := range n.view.Entries {
 		if !m.IsMember {
 			continue
 		}
 		e.Relays++
-		if m.Name == n.cfg.Name || !n.countsFigures(n.peers.byName[m.Name]) {
+		if m.Name == n.cfg.Name || !n.countsLoadOf(n.peers.byName[m.Name]) {
 			continue
 		}
 		status := n.peers.byName[m.Name].Status
@@ -75,14 +75,14 @@
 	e.Relays = max(e.Relays, 1)
 }
 
-// countsFigures tells whether a member's figures count: those of one that is not alive only while this
-// relay is cut off, as it cannot tell then.
-func (n *Node) countsFigures(p *Peer) bool {
+// countsLoadOf reports whether the load in a member's last status counts. That of a member that is not alive
+// counts only while this relay is cut off, as it cannot know then whether the member still runs.
+func (n *Node) countsLoadOf(p *Peer) bool {
 	return p.hasStatus() && (n.peers.isAlive(p.Name) || n.phases.phase == PhaseCutOff)
 }
 
-// addDrains adds the connections that drains send away, members' or not.
-func (n *Node) addDrains(e *FleetEstimate, now time.Duration) {
+// addDrainRates adds the connections per second that draining relays close, members or not.
+func (n *Node) addDrainRates(e *FleetEstimate, now time.Duration) {
 	for _, p := range n.peers.sorted {
 		if p.Status.Lifecycle >= LifecycleDraining && now-p.StatusAt < drainStatusValidFor {
 			e.DrainRate += p.Status.DrainRate
@@ -90,9 +90,9 @@
 	}
 }
 
-// addOtherCells adds what the other cells do, by their last summaries. Until there is any the configured
-// number of relays holds, and nothing is known of what they do.
-func (n *Node) addOtherCells(e *FleetEstimate) {
+// addOtherCellLoad adds the load of the other cells by their last summaries. Until a summary has arrived the
+// configured number of relays is used, and the load of other relays is not known.
+func (n *Node) addOtherCellLoad(e *FleetEstimate) {
 	others := n.plans.otherCells
 	if !others.Known {
 		e.Relays = max(e.Relays, n.cfg.ConfiguredRelays)
--- a/internal/fleet/membership/federation_faults_test.go
+++ b/internal/fleet/membership/federation_faults_test.go
@@ -11,8 +11,8 @@
 	"capersail/internal/fleet/duration"
 )
 
-// drawnPlan is a plan that may follow: cells merge, one splits, weights and the home share change.
-func (f *federation) drawnPlan() cellplan.Plan {
+// randomNextPlan is a plan that may follow: cells merge, one splits, weights and the home share change.
+func (f *federation) randomNextPlan() cellplan.Plan {
 	next := cellplan.Plan{Number: f.plan.Number + 1, HomeShare: 0.5 + 0.5*f.rng.Float64()}
 	live := []int{}
 	for _, c := range f.plan.Cells {
@@ -36,8 +36,8 @@
 	case 1: // one splits
 		if len(f.cells) < 6 || len(f.cells) < len(live)+2 {
 			part := next.Cells[i]
-			f.cellsMade++
-			part.Name = fmt.Sprintf("c%d", f.cellsMade)
+			f.addedCells++
+			part.Name = fmt.Sprintf("c%d", f.addedCells)
 			if part.Region == "" {
 				part.Region, part.Zone = "east", "east-0"
 			}
@@ -48,11 +48,11 @@
 	return next
 }
 
-// drawnCells plays one schedule of faults and plans.
-func drawnCells(regions, zones, relays int, flat bool, seed uint64, steps int,
+// playCells plays one schedule of faults and plans.
+func playCells(regions, zones, relays int, flat bool, seed uint64, steps int,
 	change func(*Node)) *federation {
 	f := newFederation(seed, change)
-	f.play(regions, zones, relays, flat, steps)
+	f.bootstrapAndInjectFaults(regions, zones, relays, flat, steps)
 	return f
 }
 
@@ -62,11 +62,11 @@
 		zones: []string{"nobody's"}, withoutSafeguard: change}
 }
 
-func (f *federation) play(regions, zones, relays int, flat bool, steps int) {
+func (f *federation) bootstrapAndInjectFaults(regions, zones, relays int, flat bool, steps int) {
 	f.bootstrap(regions, zones, relays, flat)
 	f.run(6000 * f.rng.Float64())
 	for range steps {
-		f.fault(f.cells[f.rng.IntN(len(f.cells))], relays)
+		f.injectFault(f.cells[f.rng.IntN(len(f.cells))], relays)
 		if f.rng.IntN(2) == 0 {
 			f.run(300 * f.rng.Float64())
 		} else {
@@ -75,76 +75,76 @@
 	}
 }
 
-// fault is one step of a schedule.
-func (f *federation) fault(c *cellWorld, relays int) {
-	i := f.rng.IntN(len(c.nodes))
+// injectFault is one step of a schedule.
+func (f *federation) injectFault(c *simulatedCell, relays int) {
+	i := f.rng.IntN(len(c.relays))
 	switch x := f.rng.IntN(16); {
 	case x < 2: // the operators write a plan, and some relays get it at once
 		// a cell whose first view is by plan 2 waits for one that has come from plan 1
 		if f.plan.Number == 1 && !f.allBootstrapped() {
 			return
 		}
-		f.publishPlan(f.drawnPlan())
+		f.publishPlan(f.randomNextPlan())
 		f.distributePlan(0.5)
 		f.newCells(relays)
 	case x < 6: // more get it
 		f.distributePlan(0.7)
 		f.newCells(relays)
 	case x < 11:
-		f.faultOfRelay(c, i, x-6)
+		f.injectRelayFault(c, i, x-6)
 	case x == 11: // a relay gets nothing of the next view
-		f.deafenOne(c, i)
+		f.drainAndBlockInbound(c, i)
 	default:
-		f.faultOfNet(c, x-12)
+		f.injectNetworkFault(c, x-12)
 	}
 }
 
-// deafenOne lets a relay drain and come back, so that the shares of the others in its cell shrink, and
+// drainAndBlockInbound lets a relay drain and come back, so that the shares of the others in its cell shrink, and
 // one of them get nothing of that until all leases have run out.
-func (f *federation) deafenOne(c *cellWorld, i int) {
-	c.feed(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
+func (f *federation) drainAndBlockInbound(c *simulatedCell, i int) {
+	c.handle(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
 	f.run(duration.Millis(EarlierViewsExpireAfter) + 5000*f.rng.Float64())
-	c.deafenNext = true
-	c.feed(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
+	c.blockInboundNext = true
+	c.handle(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
 	f.run(2 * duration.Millis(EarlierViewsExpireAfter))
-	c.deafenNext = false
-	for _, n := range c.nodes {
-		n.deaf = false
+	c.blockInboundNext = false
+	for _, n := range c.relays {
+		n.inboundBlocked = false
 	}
 }
 
-func (f *federation) faultOfRelay(c *cellWorld, i, kind int) {
-	n := c.nodes[i]
+func (f *federation) injectRelayFault(c *simulatedCell, i, kind int) {
+	n := c.relays[i]
 	switch kind {
 	case 0:
 		c.kill(i)
 	case 1, 2: // back, by the same program, an older or the newest
 		c.kill(i)
-		n.olderProgram = f.rng.IntN(3) == 0 && c.mayBeOld(i)
+		n.olderProgram = f.rng.IntN(3) == 0 && c.mayRunOlderProgram(i)
 		c.start(i)
 	case 3: // a relay that doesn't vote comes back with an old disk
-		if old, ok := c.oldDisk(i); ok {
+		if old, ok := c.staleRecord(i); ok {
 			c.kill(i)
-			n.disk = old
+			n.savedRecord = old
 			c.start(i)
 		}
 	case 4:
-		if n.up {
-			n.stopped = true
+		if n.running {
+			n.paused = true
 		}
 	}
 }
 
-func (f *federation) faultOfNet(c *cellWorld, kind int) {
+func (f *federation) injectNetworkFault(c *simulatedCell, kind int) {
 	switch kind {
 	case 0: // relays that were stopped go on
-		for j, n := range c.nodes {
-			if n.up && n.stopped {
+		for j, n := range c.relays {
+			if n.running && n.paused {
 				c.resume(j)
 			}
 		}
 	case 1: // a cell's net is cut in two
-		of := make([]bool, len(c.nodes))
+		of := make([]bool, len(c.relays))
 		for j := range of {
 			of[j] = f.rng.IntN(2) == 0
 		}
@@ -165,46 +165,46 @@
 		clear(f.partitioned)
 		for _, c := range f.cells {
 			clear(c.partitioned)
-			for _, n := range c.nodes {
-				n.deaf = false
+			for _, n := range c.relays {
+				n.inboundBlocked = false
 			}
 		}
 	}
 }
 
-// mayBeOld tells whether a relay may come back by a program from before cells: it is of a flat fleet that
+// mayRunOlderProgram tells whether a relay may come back by a program from before cells: it is of a flat fleet that
 // holds no plan yet, and of its relays most run the newest. What is not promised where more go back,
 // docs/design/cells.md says.
-func (c *cellWorld) mayBeOld(i int) bool {
+func (c *simulatedCell) mayRunOlderProgram(i int) bool {
 	newest := 0
-	for j, n := range c.nodes {
-		if v := n.disk.View; v == nil || v.Allocation != nil || n.disk.AcceptedView != nil &&
-			n.disk.AcceptedView.Allocation != nil {
+	for j, n := range c.relays {
+		if v := n.savedRecord.View; v == nil || v.Allocation != nil || n.savedRecord.AcceptedView != nil &&
+			n.savedRecord.AcceptedView.Allocation != nil {
 			return false
 		}
-		if n.up && !n.olderProgram && j != i && !n.stopped {
+		if n.running && !n.olderProgram && j != i && !n.paused {
 			newest++
 		}
 	}
 	return newest >= 3
 }
 
-// oldDisk is what a relay kept some time ago, if it has voted on nothing since. Of every relay a copy is
+// staleRecord is what a relay kept some time ago, if it has voted on nothing since. Of every relay a copy is
 // kept now and then.
-func (c *cellWorld) oldDisk(i int) (Record, bool) {
-	n := c.nodes[i]
-	if n.copied == nil || votesSomewhere(c.nodes, n.cfg.Name) {
-		copied := n.disk
-		n.copied = &copied
+func (c *simulatedCell) staleRecord(i int) (Record, bool) {
+	n := c.relays[i]
+	if n.earlierRecord == nil || votesInAnyView(c.relays, n.cfg.Name) {
+		copied := n.savedRecord
+		n.earlierRecord = &copied
 		return Record{}, false
 	}
-	return *n.copied, true
+	return *n.earlierRecord, true
 }
 
-// votesSomewhere tells whether a relay votes in a view that any relay holds, or has accepted one.
-func votesSomewhere(nodes []*node, name string) bool {
+// votesInAnyView tells whether a relay votes in a view that any relay holds, or has accepted one.
+func votesInAnyView(nodes []*simulatedRelay, name string) bool {
 	for _, n := range nodes {
-		for _, v := range []*View{n.disk.View, n.disk.AcceptedView} {
+		for _, v := range []*View{n.savedRecord.View, n.savedRecord.AcceptedView} {
 			if v == nil || slices.Contains(v.Voters, name) {
 				return true
 			}
@@ -219,11 +219,11 @@
 		if _, named := f.plan.Find(c.name); !named {
 			continue
 		}
-		for i, n := range c.nodes {
+		for i, n := range c.relays {
 			if f.rng.Float64() < part {
 				n.cfg.Plan = f.plan
 				if !n.olderProgram {
-					c.feed(i, PlanChanged{Plan: f.plan})
+					c.handle(i, PlanChanged{Plan: f.plan})
 				}
 			}
 		}
@@ -243,11 +243,11 @@
 	return from, int(to - from)
 }
 
-// playSmall is a schedule of two to four cells of three or four relays.
-func playSmall(seed uint64, change func(*Node)) *federation {
+// playFewCells is a schedule of two to four cells of three or four relays.
+func playFewCells(seed uint64, change func(*Node)) *federation {
 	regions := 1 + int(seed%2)
-	return drawnCells(regions, regions*(1+int(seed/2%2)), 3+int(seed/4%2), seed%3 == 0, seed, 24, change)
+	return playCells(regions, regions*(1+int(seed/2%2)), 3+int(seed/4%2), seed%3 == 0, seed, 24, change)
 }
 
-// playMany is a schedule of 17 cells in five regions.
-func playMany(seed uint64) *federation { return drawnCells(5, 17, 3, seed%3 == 0, seed, 24, nil) }
+// playManyCells is a schedule of 17 cells in five regions.
+func playManyCells(seed uint64) *federation { return playCells(5, 17, 3, seed%3 == 0, seed, 24, nil) }
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -17,7 +17,7 @@
 	rng              *rand.Rand
 	now              float64
 	seed             uint64
-	cells            []*cellWorld
+	cells            []*simulatedCell
 	claims           []joinClaim
 	partitioned      map[[2]string]bool // from one region to another: no claims go
 	plan             *cellplan.Plan     // the newest that the operators have written
@@ -26,12 +26,12 @@
 	maxSum           uint64   // the greatest sum met in a zone
 	maxSumZone       string   // where
 	withoutSafeguard func(*Node)
-	cellsMade        int // cells so far, for their names
+	addedCells       int // cells so far, for their names
 	trace            *trace.Trace
 }
 
-type cellWorld struct {
-	*world
+type simulatedCell struct {
+	*simulatedFleet
 	name, region string
 }
 
@@ -45,16 +45,16 @@
 	bootstrapped bool // the cell was bootstrapped by the plan
 }
 
-// withoutAllocation is an event as a program from before cells reads it.
-func withoutAllocation(ev Event) Event {
+// eventWithoutAllocation is an event as a program from before cells reads it.
+func eventWithoutAllocation(ev Event) Event {
 	if m, ok := ev.(MessageReceived); ok && m.View != nil {
-		m.View = oldView(m.View)
+		m.View = viewWithoutAllocation(m.View)
 		return m
 	}
 	return ev
 }
 
-func oldView(v *View) *View {
+func viewWithoutAllocation(v *View) *View {
 	if v == nil {
 		return nil
 	}
@@ -63,27 +63,27 @@
 	return &without
 }
 
-func oldRecord(r Record) Record {
-	r.View, r.AcceptedView = oldView(r.View), oldView(r.AcceptedView)
+func recordWithoutAllocation(r Record) Record {
+	r.View, r.AcceptedView = viewWithoutAllocation(r.View), viewWithoutAllocation(r.AcceptedView)
 	return r
 }
 
 // addCell makes a cell of relays that don't run yet. Without a plan it is a flat fleet.
-func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *cellWorld {
-	w := newWorld(relays, relays, f.seed*1000+uint64(len(f.cells)))
+func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *simulatedCell {
+	w := newSimulatedFleet(relays, relays, f.seed*1000+uint64(len(f.cells)))
 	w.now, w.withoutSafeguard = f.now, f.withoutSafeguard
 	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)],
 		StatusInterval: CellTiming.StatusInterval}
-	for _, n := range w.nodes {
+	for _, n := range w.relays {
 		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
 		n.clockOffset -= f.now * n.clockRate
 	}
-	w.loss, w.duplication = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
+	w.lossRate, w.duplicationRate = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
 	if f.trace != nil {
 		w.trace = f.trace
-		w.spreadClocks()
+		w.randomizeClockRates()
 	}
-	c := &cellWorld{w, name, region}
+	c := &simulatedCell{w, name, region}
 	f.cells = append(f.cells, c)
 	return c
 }
@@ -109,19 +109,19 @@
 		for _, c := range f.cells {
 			c.run(f.now - c.now)
 		}
-		f.deliver()
+		f.deliverClaims()
 		if int(f.now)%500 == 0 {
 			f.sendClaims()
 		}
-		f.check()
+		f.updateMaxSum()
 	}
 }
 
-func (f *federation) check() {
+func (f *federation) updateMaxSum() {
 	for _, zone := range f.zones {
 		sum := uint64(0)
 		for _, c := range f.cells {
-			for _, n := range c.nodes {
+			for _, n := range c.relays {
 				sum += n.countedUnitsIn(zone)
 			}
 		}
@@ -134,35 +134,35 @@
 // sendClaims lets some relays, representatives or not, claim what they know of their own cell.
 func (f *federation) sendClaims() {
 	for _, c := range f.cells {
-		for i, n := range c.nodes {
-			if !n.up || n.stopped || f.rng.IntN(3) > 0 {
+		for i, n := range c.relays {
+			if !n.running || n.paused || f.rng.IntN(3) > 0 {
 				continue
 			}
 			f.activateIfJoined(c, i)
-			plan, a := n.subject.JoinedPlan(), n.subject.View().Allocation
+			plan, a := n.node.JoinedPlan(), n.node.View().Allocation
 			if plan == 0 || a == nil || a.Plan != plan {
 				continue
 			}
 			for to, other := range f.cells {
 				if other != c {
-					f.claims = append(f.claims, joinClaim{f.deliveryTime(), c.name, plan, a.PlanHash, to,
-						f.rng.IntN(len(other.nodes)), a.Bootstrapped})
+					f.claims = append(f.claims, joinClaim{f.claimDeliveryTime(), c.name, plan, a.PlanHash, to,
+						f.rng.IntN(len(other.relays)), a.Bootstrapped})
 				}
 			}
 		}
 	}
 }
 
-// deliveryTime is when a claim that is sent now comes.
-func (f *federation) deliveryTime() float64 {
+// claimDeliveryTime is when a claim that is sent now comes.
+func (f *federation) claimDeliveryTime() float64 {
 	if f.rng.IntN(20) == 0 {
 		return f.now + 30_000*f.rng.Float64()
 	}
 	return f.now + 10 + 100*f.rng.Float64()
 }
 
-// deliver brings the claims that are due, and lets relays draw their conclusion.
-func (f *federation) deliver() {
+// deliverClaims brings the claims that are due, and lets relays draw their conclusion.
+func (f *federation) deliverClaims() {
 	kept := f.claims[:0]
 	for _, c := range f.claims {
 		if c.at > f.now {
@@ -175,7 +175,7 @@
 		}
 		if f.rng.IntN(10) == 0 {
 			again := c
-			again.at = f.deliveryTime()
+			again.at = f.claimDeliveryTime()
 			kept = append(kept, again)
 		}
 		f.receiveClaim(to, c)
@@ -193,9 +193,9 @@
 }
 
 // receiveClaim lets a relay take a claim in. One for another table under the number is not counted.
-func (f *federation) receiveClaim(to *cellWorld, c joinClaim) {
-	n := to.nodes[c.to]
-	if plan := f.plans[c.plan]; !n.up || n.stopped || n.olderProgram || plan == nil || plan.Hash() != c.hash {
+func (f *federation) receiveClaim(to *simulatedCell, c joinClaim) {
+	n := to.relays[c.to]
+	if plan := f.plans[c.plan]; !n.running || n.paused || n.olderProgram || plan == nil || plan.Hash() != c.hash {
 		return
 	}
 	if n.joinedPlans == nil {
@@ -203,17 +203,17 @@
 	}
 	n.joinedPlans[c.from] = max(n.joinedPlans[c.from], c.plan)
 	if !c.bootstrapped {
-		n.continued = max(n.continued, c.plan)
+		n.continuedPlan = max(n.continuedPlan, c.plan)
 	}
 	f.activateIfJoined(to, c.to)
 }
 
 // activateIfJoined lets a relay tell its Node that every cell has joined the view's plan, if all claims
 // have come.
-func (f *federation) activateIfJoined(c *cellWorld, i int) {
-	n := c.nodes[i]
-	a := n.subject.View().Allocation
-	if n.olderProgram || a == nil || a.Activated || n.subject.JoinedPlan() < a.Plan {
+func (f *federation) activateIfJoined(c *simulatedCell, i int) {
+	n := c.relays[i]
+	a := n.node.View().Allocation
+	if n.olderProgram || a == nil || a.Activated || n.node.JoinedPlan() < a.Plan {
 		return
 	}
 	for _, cell := range a.Cells {
@@ -221,16 +221,16 @@
 			return
 		}
 	}
-	if a.Bootstrapped && n.continued < a.Plan { // nobody knows who held a part by the plan before
+	if a.Bootstrapped && n.continuedPlan < a.Plan { // nobody knows who held a part by the plan before
 		return
 	}
-	c.feed(i, PlanActivated{Plan: a.Plan, Hash: a.PlanHash})
+	c.handle(i, PlanActivated{Plan: a.Plan, Hash: a.PlanHash})
 }
 
 // allBootstrapped tells whether every cell has a view, as operators see it.
 func (f *federation) allBootstrapped() bool {
 	for _, c := range f.cells {
-		if !slices.ContainsFunc(c.nodes, func(n *node) bool { return n.disk.View != nil }) {
+		if !slices.ContainsFunc(c.relays, func(n *simulatedRelay) bool { return n.savedRecord.View != nil }) {
 			return false
 		}
 	}
@@ -240,8 +240,8 @@
 // anyActivated tells whether the newest plan is open anywhere, as operators see it.
 func (f *federation) anyActivated() bool {
 	for _, c := range f.cells {
-		for _, n := range c.nodes {
-			if a := n.disk.View; a != nil && a.Allocation != nil && a.Allocation.Activated &&
+		for _, n := range c.relays {
+			if a := n.savedRecord.View; a != nil && a.Allocation != nil && a.Allocation.Activated &&
 				a.Allocation.Plan >= f.plan.Number {
 				return true
 			}
@@ -275,8 +275,8 @@
 		f.newCells(relays)
 	}
 	for _, c := range f.cells {
-		for i, n := range c.nodes {
-			if !n.up {
+		for i, n := range c.relays {
+			if !n.running {
 				n.olderProgram = c.name == "flat" && f.rng.IntN(6) == 0
 				c.start(i)
 			}
@@ -288,9 +288,9 @@
 func (f *federation) newCells(relays int) {
 	for _, c := range f.plan.Cells {
 		if c.Relays > 0 && !slices.ContainsFunc(f.cells,
-			func(w *cellWorld) bool { return w.name == c.Name }) {
+			func(w *simulatedCell) bool { return w.name == c.Name }) {
 			w := f.addCell(c.Name, c.Region, relays, f.plan)
-			for i := range w.nodes {
+			for i := range w.relays {
 				w.start(i)
 			}
 		}
@@ -303,13 +303,13 @@
 	clear(f.partitioned)
 	for _, c := range f.cells {
 		clear(c.partitioned)
-		c.loss, c.duplication = 0, 0
-		for i, n := range c.nodes {
-			n.deaf = false
-			if n.stopped {
+		c.lossRate, c.duplicationRate = 0, 0
+		for i, n := range c.relays {
+			n.inboundBlocked = false
+			if n.paused {
 				c.resume(i)
 			}
-			if !n.up || n.olderProgram || n.subject.local.Lifecycle != LifecycleServing {
+			if !n.running || n.olderProgram || n.node.localState.Lifecycle != LifecycleServing {
 				c.kill(i)
 				n.olderProgram = false
 				c.start(i)
@@ -321,56 +321,56 @@
 	// 2 s each; every plan waits until leases of 8 s have run out, and for claims of which a fifth is lost
 	for range 30 + 15*len(f.plans) {
 		for _, c := range f.cells {
-			for i, n := range c.nodes {
-				next := f.plans[n.subject.View().Allocation.successor()]
-				if a := n.subject.View().Allocation; a != nil && !a.Activated {
+			for i, n := range c.relays {
+				next := f.plans[n.node.View().Allocation.successorPlan()]
+				if a := n.node.View().Allocation; a != nil && !a.Activated {
 					next = f.plans[a.Plan]
 				}
 				if next == nil {
 					next = f.plan
 				}
-				if _, named := next.Find(c.name); named && next != n.subject.plans.file {
+				if _, named := next.Find(c.name); named && next != n.node.plans.filePlan {
 					n.cfg.Plan = next
-					c.feed(i, PlanChanged{Plan: next})
+					c.handle(i, PlanChanged{Plan: next})
 				}
 			}
 		}
 		f.run(2000)
-		if err = f.allActivated(); err == nil {
+		if err = f.checkAllActivated(); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func (f *federation) allActivated() error {
+func (f *federation) checkAllActivated() error {
 	for _, c := range f.cells {
 		if cell, named := f.plan.Find(c.name); !named || cell.Relays == 0 {
 			continue
 		}
-		if err := c.agreed(); err != nil {
+		if err := c.checkAgreement(); err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
-		if a := c.nodes[0].subject.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
+		if a := c.relays[0].node.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
 			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a,
-				c.nodes[0].subject.plans.file.Number,
-				f.plan.Number, c.nodes[0].subject.PlanPending())
+				c.relays[0].node.plans.filePlan.Number,
+				f.plan.Number, c.relays[0].node.PlanPending())
 		}
 	}
 	return nil
 }
 
-func (f *federation) exceeds() error {
+func (f *federation) checkMaxSum() error {
 	if f.maxSum <= FullBudget {
 		return nil
 	}
 	var state strings.Builder
 	for _, c := range f.cells {
-		for _, n := range c.nodes {
-			if n.subject != nil {
-				fmt.Fprintf(&state, "\n%s %s up %v old %v share %.3f epoch %d %+v", c.name, n.cfg.Name, n.up,
+		for _, n := range c.relays {
+			if n.node != nil {
+				fmt.Fprintf(&state, "\n%s %s up %v old %v share %.3f epoch %d %+v", c.name, n.cfg.Name, n.running,
 					n.olderProgram,
-					n.share, n.subject.View().Epoch, n.subject.View().Allocation)
+					n.share, n.node.View().Epoch, n.node.View().Allocation)
 			}
 		}
 	}
@@ -378,10 +378,10 @@
 		state.String())
 }
 
-// healed ends the faults, and tells whether the promise was kept and the newest plan is open.
-func (f *federation) healed() error {
+// healAndCheck ends the faults, and tells whether the promise was kept and the newest plan is open.
+func (f *federation) healAndCheck() error {
 	err := f.heal()
-	if exceeds := f.exceeds(); exceeds != nil {
+	if exceeds := f.checkMaxSum(); exceeds != nil {
 		return exceeds
 	}
 	if err != nil {
--- a/internal/fleet/membership/flapping_test.go
+++ b/internal/fleet/membership/flapping_test.go
@@ -6,7 +6,7 @@
 )
 
 // partitionPair cuts two relays off from each other, both ways.
-func (w *world) partitionPair(a, b int) {
+func (w *simulatedFleet) partitionPair(a, b int) {
 	w.partitioned[[2]int{a, b}] = true
 	w.partitioned[[2]int{b, a}] = true
 }
@@ -21,18 +21,18 @@
 	for _, relays := range []int{4, 5, 8} {
 		for without := 1; without < relays-1; without++ {
 			for seed := range uint64(6) {
-				w := newWorld(relays, relays, seed)
-				for i := range w.nodes {
+				w := newSimulatedFleet(relays, relays, seed)
+				for i := range w.relays {
 					w.start(i)
 				}
 				w.run(15_000)
-				before := w.epoch
+				before := w.highestEpoch
 				for i := range without {
 					w.partitionPair(relays-1, i)
 				}
 				w.run(differFor)
 				name := fmt.Sprintf("%d relays, %d of them without the last, seed %d", relays, without, seed)
-				if changes := w.epoch - before; changes > mostEpochs {
+				if changes := w.highestEpoch - before; changes > mostEpochs {
 					t.Errorf("%s: %d views in %v s", name, changes, differFor/1000)
 				}
 				if w.maxSum > 1 {
@@ -47,8 +47,8 @@
 // Guards against a dead member that stays for good because too few voters saw it die.
 func TestDeadMembersGoThoughARestartedVoterNeverHeardThem(t *testing.T) {
 	for seed := range uint64(10) {
-		w := newWorld(5, 5, seed)
-		for i := range w.nodes {
+		w := newSimulatedFleet(5, 5, seed)
+		for i := range w.relays {
 			w.start(i)
 		}
 		w.run(15_000)
@@ -57,7 +57,7 @@
 		}
 		w.start(2)
 		w.run(15_000)
-		if err := w.agreed(); err != nil {
+		if err := w.checkAgreement(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
--- a/internal/fleet/membership/formation_test.go
+++ b/internal/fleet/membership/formation_test.go
@@ -11,31 +11,31 @@
 // Relays that start together agree on one view, leave a killed one out and take it in again, and their
 // shares never add up to more than one.
 func TestFleetForms(t *testing.T) {
-	w := newWorld(7, 7, 1)
-	for i := range w.nodes {
+	w := newSimulatedFleet(7, 7, 1)
+	for i := range w.relays {
 		w.start(i)
 	}
 	w.run(6000)
-	if err := w.agreed(); err != nil {
+	if err := w.checkAgreement(); err != nil {
 		t.Fatal(err)
 	}
 	w.kill(3)
-	w.run(failAfter*1.5 + 2000)
-	for _, n := range w.nodes {
-		if n.up && n.subject.View().Entry(name(3)).IsMember {
+	w.run(failureTimeout*1.5 + 2000)
+	for _, n := range w.relays {
+		if n.running && n.node.View().Entry(relayName(3)).IsMember {
 			t.Errorf("%s still has the killed one in its view", n.cfg.Name)
 		}
 	}
 	w.run(duration.Millis(EarlierViewsExpireAfter) + 2000)
-	if err := w.agreed(); err != nil {
+	if err := w.checkAgreement(); err != nil {
 		t.Fatal(err)
 	}
-	if got := w.nodes[0].subject.Estimate(w.nodes[0].clock(w.now)).BudgetShare; math.Abs(got-1.0/6) > 1e-6 {
+	if got := w.relays[0].node.Estimate(w.relays[0].clock(w.now)).BudgetShare; math.Abs(got-1.0/6) > 1e-6 {
 		t.Errorf("a share of six is %v", got)
 	}
 	w.start(3)
 	w.run(8000)
-	if err := w.agreed(); err != nil {
+	if err := w.checkAgreement(); err != nil {
 		t.Fatal(err)
 	}
 	if w.maxSum > 1 {
--- a/internal/fleet/membership/freshness.go
+++ b/internal/fleet/membership/freshness.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// staleListGrace is how long a peer may have a newer endpoint list before this relay polls for it at
-	// once.
+	// staleListGrace is for how long a peer may have a newer endpoint list before this relay polls for it.
 	staleListGrace = 2 * time.Second
-	// catchUpInterval is the least time between two requests for a newer view.
-	catchUpInterval = 400 * time.Millisecond
+	// viewRequestInterval is the minimum time between two requests for a newer view.
+	viewRequestInterval = 400 * time.Millisecond
 )
 
-// freshness keeps the pace of asking for what peers are known to have newer.
-type freshness struct {
-	nextCatchUpAt time.Duration // not before this is a view asked for
-	refreshListAt time.Duration // from when on a newer endpoint list at a peer is polled for
+// refreshTimers limits how often this relay asks for a view or an endpoint list that a peer has newer.
+type refreshTimers struct {
+	nextViewRequestAt time.Duration // earliest time of the next request for a view
+	refreshListAt     time.Duration // when to poll if a peer still has a newer endpoint list
 }
 
-// refreshEndpointList wants the endpoint list polled at once when a peer has had a newer one for a
-// while: a watch event reaches all within moments, unless this relay's watch has gone silent.
-func (n *Node) refreshEndpointList() {
+// refreshStaleEndpointList asks for the endpoint list to be polled when a peer has had a newer one for a
+// while. A watch event reaches all relays within moments, so this happens only if this relay's watch delivers
+// nothing any more.
+func (n *Node) refreshStaleEndpointList() {
 	newest := int64(0)
 	for _, p := range n.peers.sorted {
 		if p.hasStatus() && p.Health == HealthAlive {
 			newest = max(newest, p.Status.EndpointListGeneration)
 		}
 	}
-	own := n.local.EndpointListGeneration
+	own := n.localState.EndpointListGeneration
 	switch {
 	case newest <= own || own == 0:
-		n.freshness.refreshListAt = n.now + duration.Scale(staleListGrace, 1+n.rng.Float64()/2)
-	case n.now >= n.freshness.refreshListAt:
-		n.freshness.refreshListAt = n.now + duration.Scale(4*staleListGrace, 1+n.rng.Float64()/2)
+		n.refreshTimers.refreshListAt = n.now + duration.Scale(staleListGrace, 1+n.rng.Float64()/2)
+	case n.now >= n.refreshTimers.refreshListAt:
+		n.refreshTimers.refreshListAt = n.now + duration.Scale(4*staleListGrace, 1+n.rng.Float64()/2)
 		n.emit(RefreshEndpointList{newest})
 	}
 }
 
-// catchUp asks the peer that holds the newest view for it, if nobody has sent it.
-func (n *Node) catchUp() {
-	if n.now < n.freshness.nextCatchUpAt {
+// requestNewerView asks the peer that holds the newest view for it, if no peer has sent it.
+func (n *Node) requestNewerView() {
+	if n.now < n.refreshTimers.nextViewRequestAt {
 		return
 	}
 	var ahead *Peer
@@ -54,7 +54,7 @@
 		}
 	}
 	if ahead != nil {
-		n.freshness.nextCatchUpAt = n.now + catchUpInterval
+		n.refreshTimers.nextViewRequestAt = n.now + viewRequestInterval
 		n.send(ahead.Name, Message{Kind: Reject, Epoch: n.view.Epoch})
 	}
 }
--- a/internal/fleet/membership/interleaving_test.go
+++ b/internal/fleet/membership/interleaving_test.go
@@ -13,17 +13,17 @@
 
 // interleaving is a world whose every step is chosen: which packet arrives next, or that time passes.
 type interleaving struct {
-	now   time.Duration
-	nodes []*node
-	wires []packet
+	now     time.Duration
+	relays  []*simulatedRelay
+	packets []packet
 }
 
 func (l *interleaving) clone() *interleaving {
-	c := &interleaving{now: l.now, wires: slices.Clone(l.wires)}
-	for _, n := range l.nodes {
+	c := &interleaving{now: l.now, packets: slices.Clone(l.packets)}
+	for _, n := range l.relays {
 		m := *n
-		m.subject = n.subject.clone()
-		c.nodes = append(c.nodes, &m)
+		m.node = n.node.clone()
+		c.relays = append(c.relays, &m)
 	}
 	return c
 }
@@ -33,7 +33,7 @@
 	c.rng, c.actions = rand.New(rand.NewPCG(n.cfg.Seed, 3)), nil
 	c.peers = peerTable{self: n.peers.self, byName: map[string]*Peer{}}
 	c.lease.renewalSentAt = maps.Clone(n.lease.renewalSentAt)
-	c.deferred = maps.Clone(n.deferred)
+	c.deferredRenewals = maps.Clone(n.deferredRenewals)
 	for name, p := range n.peers.byName {
 		*c.peers.entry(name, n.now) = *p
 	}
@@ -45,23 +45,23 @@
 	return &c
 }
 
-func (l *interleaving) feed(i int, ev Event) {
-	n := l.nodes[i]
-	for _, a := range n.subject.Handle(l.now, ev, nil) {
+func (l *interleaving) handle(i int, ev Event) {
+	n := l.relays[i]
+	for _, a := range n.node.Handle(l.now, ev, nil) {
 		switch a := a.(type) {
 		case SaveRecord:
-			n.disk = a.Record
+			n.savedRecord = a.Record
 		case SendMessage:
-			for j, m := range l.nodes {
+			for j, m := range l.relays {
 				if m.cfg.Name == a.To {
-					l.wires = append(l.wires, packet{0, i, j,
+					l.packets = append(l.packets, packet{0, i, j,
 						MessageReceived{From: n.cfg.Name, Message: a.Message}})
 				}
 			}
 		case PublishStatus:
-			for j := range l.nodes {
+			for j := range l.relays {
 				if j != i {
-					l.wires = append(l.wires, packet{0, i, j,
+					l.packets = append(l.packets, packet{0, i, j,
 						StatusReceived{Name: n.cfg.Name, Status: a.Status}})
 				}
 			}
@@ -70,8 +70,8 @@
 }
 
 func (l *interleaving) sum() (sum float64) {
-	for _, n := range l.nodes {
-		sum += n.subject.Estimate(l.now).BudgetShare
+	for _, n := range l.relays {
+		sum += n.node.Estimate(l.now).BudgetShare
 	}
 	return sum
 }
@@ -92,12 +92,12 @@
 		played, most = played+n, max(most, sum)
 	}
 	met := map[string]bool{}
-	for i, p := range l.wires {
+	for i, p := range l.packets {
 		if id := fmt.Sprintf("%+v", p); !met[id] { // two packets alike make one step
 			met[id] = true
 			visit(func(c *interleaving) {
-				c.wires = slices.Delete(c.wires, i, i+1)
-				c.feed(p.to, p.ev)
+				c.packets = slices.Delete(c.packets, i, i+1)
+				c.handle(p.to, p.event)
 			})
 		}
 	}
@@ -105,28 +105,28 @@
 		EarlierViewsExpireAfter + 10*time.Millisecond} {
 		visit(func(c *interleaving) {
 			c.now += wait
-			for i := range c.nodes {
-				c.feed(i, Tick{})
+			for i := range c.relays {
+				c.handle(i, Tick{})
 			}
 		})
 	}
 	visit(func(c *interleaving) { // the first is killed and back
-		n := c.nodes[0]
-		n.subject = New(c.now, n.cfg, n.disk)
-		n.subject.safeguards.jointViews = c.nodes[1].subject.safeguards.jointViews
-		n.subject.Start(c.now, nil)
-		n.disk = n.subject.record
-		for i := range c.nodes[1:] {
-			c.feed(0, PeerHealth{c.nodes[i+1].cfg.Name, HealthAlive})
+		n := c.relays[0]
+		n.node = New(c.now, n.cfg, n.savedRecord)
+		n.node.safeguards.jointViews = c.relays[1].node.safeguards.jointViews
+		n.node.Start(c.now, nil)
+		n.savedRecord = n.node.record
+		for i := range c.relays[1:] {
+			c.handle(0, PeerHealth{c.relays[i+1].cfg.Name, HealthAlive})
 		}
 	})
 	return played, most
 }
 
-// smallInterleaving returns a world of three that have agreed, or of three that have just met.
-func smallInterleaving(agreed, joint bool) *interleaving {
-	w := newWorld(3, 3, 5)
-	for i, n := range w.nodes {
+// newInterleaving returns a world of three that have agreed, or of three that have just met.
+func newInterleaving(agreed, joint bool) *interleaving {
+	w := newSimulatedFleet(3, 3, 5)
+	for i, n := range w.relays {
 		n.clockRate, n.clockOffset = 1, 0
 		w.start(i)
 	}
@@ -135,9 +135,9 @@
 	} else {
 		w.run(50)
 	}
-	l := &interleaving{now: duration.FromMillis(w.now), nodes: w.nodes}
-	for _, n := range l.nodes {
-		n.subject.safeguards.jointViews = joint
+	l := &interleaving{now: duration.FromMillis(w.now), relays: w.relays}
+	for _, n := range l.relays {
+		n.node.safeguards.jointViews = joint
 	}
 	return l
 }
@@ -149,14 +149,14 @@
 		depth = 6
 	}
 	cutOff := func(joint bool) *interleaving { // the third is taken for gone, and its lease is good still
-		l := smallInterleaving(true, joint)
-		l.feed(0, PeerHealth{name(2), HealthFailed})
-		l.feed(1, PeerHealth{name(2), HealthFailed})
+		l := newInterleaving(true, joint)
+		l.handle(0, PeerHealth{relayName(2), HealthFailed})
+		l.handle(1, PeerHealth{relayName(2), HealthFailed})
 		return l
 	}
-	for what, l := range map[string]*interleaving{"bootstrapping": smallInterleaving(false, true),
+	for what, l := range map[string]*interleaving{"bootstrapping": newInterleaving(false, true),
 		"cut off": cutOff(true),
-		"agreed":  smallInterleaving(true, true)} {
+		"agreed":  newInterleaving(true, true)} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			played, most := l.explore(depth)
--- a/internal/fleet/membership/leftout_test.go
+++ b/internal/fleet/membership/leftout_test.go
@@ -20,7 +20,7 @@
 	f.publishPlan(cellplan.Plan{Number: 2, HomeShare: 0.9, Cells: []cellplan.Cell{founded}})
 	f.newCells(3)
 	f.run(60_000)
-	if err := f.exceeds(); err != nil {
+	if err := f.checkMaxSum(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/fleet/membership/meter.go
+++ b/internal/fleet/membership/meter.go
@@ -7,26 +7,26 @@
 	"capersail/internal/fleet/duration"
 )
 
-// MeterInterval is how often a Meter is to be read.
+// MeterInterval is the time between two readings of a Meter.
 const MeterInterval = 250 * time.Millisecond
 
 const (
 	requestRateWindow = 2 * time.Second        // over which arrivals are smoothed
-	drainRateWindow   = 400 * time.Millisecond // over which connections that go are smoothed
-	minDrainRate      = 0.1                    // connections a second; less counts as none
+	drainRateWindow   = 400 * time.Millisecond // over which closed connections are smoothed
+	minDrainRate      = 0.1                    // connections per second; a lower rate counts as 0
 )
 
-// Meter makes the rates that a relay tells of itself from counts that only rise. The zero Meter is ready.
+// Meter computes the rates in a relay's status from counters that only rise. The zero Meter is ready for use.
 type Meter struct {
-	readAt          time.Duration // 0 for never
+	readAt          time.Duration // time of the last reading, 0 for never
 	arrivals        uint64
 	openConnections int
-	requestRate     float64 // a second
-	drainRate       float64 // a second
+	requestRate     float64 // per second
+	drainRate       float64 // connections per second
 }
 
-// LocalState is what a relay does now: arrivals are all requests that have come to it, openConnections
-// what it holds.
+// LocalState reads the meter and returns the relay's state. arrivals counts all requests that the relay has
+// received so far; openConnections is how many connections it holds now.
 func (m *Meter) LocalState(
 	now time.Duration, lifecycle Lifecycle, arrivals uint64, openConnections int,
 ) LocalState {
@@ -51,12 +51,12 @@
 	}
 }
 
-// perSecond is a count over a span as a rate.
+// perSecond returns a count over a time span as a rate per second.
 func perSecond(count float64, span time.Duration) float64 {
 	return count / duration.Millis(span) * 1000
 }
 
-// smooth moves a rate towards the newest one, exponentially over a window.
+// smooth returns the exponentially weighted average of a rate and its newest value, over a window.
 func smooth(rate, newest float64, elapsed, window time.Duration) float64 {
 	weight := 1 - math.Exp(-duration.Millis(elapsed)/duration.Millis(window))
 	return rate + weight*(newest-rate)
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -7,22 +7,23 @@
 	"capersail/internal/fleet/duration"
 )
 
-// viewRequest is what the next view is to be made of.
-type viewRequest struct {
-	members       []string // in the order of names
-	idle          map[string]bool
-	releasedSlots []int // by relays that come into the view
+// viewSpec says what the next view is to be made of.
+type viewSpec struct {
+	members       []string // sorted
+	draining      map[string]bool
+	releasedSlots []int // slots released by the relays that join the view
 	allocation    *Allocation
-	// earlierViewsExpired: nobody can act by an earlier view than the one held any more.
+	// earlierViewsExpired: no relay can act by an earlier view than the one held any more.
 	earlierViewsExpired bool
-	// withinShare has the relays that are known to take no more than their share of the view held.
+	// withinShare holds the relays that are known to take no more than their share of the view held.
 	withinShare map[string]bool
-	// ignoreLimits, in tests only: whoever is out of the view takes nothing, as if it knew.
+	// ignoreLimits, for tests only: a relay that leaves the view counts as taking nothing, as if it knew at
+	// once.
 	ignoreLimits bool
 }
 
-// unavailableMembers are the members that have failed, as far as this relay knows, that it has never heard,
-// or whose status says Leaving.
+// unavailableMembers returns the members that this relay takes for failed, that it has never heard from, or
+// whose status says LifecycleLeaving.
 func (n *Node) unavailableMembers() (names []string) {
 	for _, m := range n.view.Entries {
 		if !m.IsMember || m.Name == n.cfg.Name {
@@ -32,13 +33,14 @@
 			names = append(names, m.Name)
 		}
 	}
-	if n.local.Lifecycle == LifecycleLeaving && n.view.Entry(n.cfg.Name).IsMember {
+	if n.localState.Lifecycle == LifecycleLeaving && n.view.Entry(n.cfg.Name).IsMember {
 		names = append(names, n.cfg.Name)
 	}
 	return names
 }
 
-// isUnheard tells whether a member was never alive here, though this relay has been there for a while.
+// isUnheard reports whether a member has never been alive here, though this relay has been running for a
+// while.
 func (n *Node) isUnheard(member string) bool {
 	since := n.startedAt
 	if p := n.peers.byName[member]; p != nil {
@@ -50,9 +52,9 @@
 	return n.now >= since+unheardTimeout
 }
 
-// unavailableOf are those of some relays, of no view, that have failed, as far as this relay knows, or whose
-// status says Leaving.
-func (n *Node) unavailableOf(names []string) (unavailable []string) {
+// unavailableNonMembers returns those of some relays that are no members and that this relay takes for
+// failed, or whose status says LifecycleLeaving.
+func (n *Node) unavailableNonMembers(names []string) (unavailable []string) {
 	for _, name := range names {
 		if n.peers.byName[name].isUnavailable() && !n.view.Entry(name).IsMember {
 			unavailable = append(unavailable, name)
@@ -61,10 +63,10 @@
 	return unavailable
 }
 
-// nextViewRequest is what the next view is to be made of, if some members are unavailable; changed says
-// whether it differs from the view held.
-func (n *Node) nextViewRequest(unavailable func(name string) bool) (request viewRequest, changed bool) {
-	request = viewRequest{idle: map[string]bool{}, withinShare: map[string]bool{}}
+// nextViewSpec returns what the next view is to be made of if some members are unavailable. changed reports
+// whether that differs from the view held.
+func (n *Node) nextViewSpec(unavailable func(name string) bool) (spec viewSpec, changed bool) {
+	spec = viewSpec{draining: map[string]bool{}, withinShare: map[string]bool{}}
 	for _, name := range n.candidates() {
 		status := n.candidateStatus(name)
 		was := n.view.Entry(name)
@@ -78,27 +80,27 @@
 				continue
 			}
 			if n.releasesSlotByJoining(name, status) {
-				request.releasedSlots = append(request.releasedSlots, status.BootstrapSlot)
+				spec.releasedSlots = append(spec.releasedSlots, status.BootstrapSlot)
 			}
 			changed = true
 		}
-		idle := status.Lifecycle == LifecycleDraining
-		request.members = append(request.members, name)
-		request.idle[name] = idle
-		changed = changed || was.IsMember && idle != was.Draining
+		draining := status.Lifecycle == LifecycleDraining
+		spec.members = append(spec.members, name)
+		spec.draining[name] = draining
+		changed = changed || was.IsMember && draining != was.Draining
 	}
-	n.noteWithinShare(&request)
-	if len(request.members) == 0 {
-		return request, false
+	n.noteWithinShare(&spec)
+	if len(spec.members) == 0 {
+		return spec, false
 	}
-	request.allocation, _ = n.nextAllocation()
-	changed = changed || !request.allocation.equal(n.view.Allocation)
-	improvable := request.earlierViewsExpired && !n.view.Settled()
-	return request, changed || improvable && n.view.improves(request)
+	spec.allocation, _ = n.nextAllocation()
+	changed = changed || !spec.allocation.equal(n.view.Allocation)
+	improvable := spec.earlierViewsExpired && !n.view.Settled()
+	return spec, changed || improvable && n.view.improves(spec)
 }
 
-// candidates are those who may be in the next view, in the order of names: this relay, the members, and the
-// peers that are alive and of this chain.
+// candidates returns the relays that may be in the next view, sorted: this relay, the members, and the peers
+// that are alive and of this chain.
 func (n *Node) candidates() []string {
 	names := append([]string{n.cfg.Name}, n.view.MemberNames()...)
 	for _, p := range n.peers.sorted {
@@ -110,8 +112,8 @@
 	return slices.Compact(names)
 }
 
-// candidateStatus is what is known of a candidate. Of a member without a status since this process started
-// the view has enough.
+// candidateStatus returns the status of a candidate. For a member that has sent no status since this process
+// started it is derived from the view.
 func (n *Node) candidateStatus(name string) Status {
 	if name == n.cfg.Name {
 		return n.status()
@@ -129,45 +131,46 @@
 	return status
 }
 
-// isOutdatedMember tells whether a member of a cell's view has come back by a program that knows no plans.
+// isOutdatedMember reports whether a member of a cell's view has restarted with a program that knows no
+// plans.
 func (n *Node) isOutdatedMember(s Status) bool {
 	return s.Incarnation > 0 && n.view.Allocation != nil && !n.isEligible(s)
 }
 
-// mayJoin tells whether a relay that is in no view may come into the next: it has released its slot, and
-// what it took of that can take no effect any more.
+// mayJoin reports whether a relay that is not a member may join the next view: it has released its slot, and
+// whatever it did by the slot's share has taken effect.
 func (n *Node) mayJoin(name string, s Status) bool {
 	if !s.SlotReleased || s.Lifecycle == LifecycleLeaving || !n.isEligible(s) {
 		return false
 	}
-	return !n.releasesSlotByJoining(name, s) || n.hasTakenEffect(n.slotReleasedAtOf(name))
+	return !n.releasesSlotByJoining(name, s) || n.hasTakenEffect(n.slotReleaseTime(name))
 }
 
-// releasesSlotByJoining tells whether a relay that comes into the view brings the slot that it has released.
+// releasesSlotByJoining reports whether a relay that joins the view brings in the slot that it has released.
 func (n *Node) releasesSlotByJoining(name string, s Status) bool {
-	_, known := n.view.find(name)
+	_, known := n.view.findEntry(name)
 	sameChain := s.BootstrapSize == n.view.BootstrapSize
 	return !known && sameChain && slices.Contains(n.view.UnreleasedSlots, s.BootstrapSlot)
 }
 
-// noteWithinShare notes who is known to act by no earlier view than the one held. A status that says so is
-// good for ever, as what is held is on disk.
-func (n *Node) noteWithinShare(request *viewRequest) {
+// noteWithinShare fills in which relays are known to act by no earlier view than the one held. A status that
+// says so stays true, as the view that a relay reports is on its disk.
+func (n *Node) noteWithinShare(spec *viewSpec) {
 	all := true
 	for _, m := range n.view.Entries {
 		if n.isWithinShare(m) {
-			request.withinShare[m.Name] = true
+			spec.withinShare[m.Name] = true
 		} else {
 			all = false
 		}
 	}
 	joint := n.safeguards.jointViews
 	expired := n.now >= n.viewAdoptedAt+n.earlierViewsExpireAfter()
-	request.earlierViewsExpired = all || expired || !joint
-	request.ignoreLimits = !joint
+	spec.earlierViewsExpired = all || expired || !joint
+	spec.ignoreLimits = !joint
 }
 
-// isWithinShare tells whether a relay is known to take no more than its share of the view held.
+// isWithinShare reports whether a relay is known to take no more than its share of the view held.
 func (n *Node) isWithinShare(m ViewEntry) bool {
 	if m.OutstandingLimit <= m.BudgetShare {
 		return true
@@ -179,76 +182,77 @@
 	return p.hasStatus() && p.Status.Epoch >= n.view.Epoch && n.hasTakenEffect(p.EpochSince)
 }
 
-// hasTakenEffect tells whether all that a relay did by its share before since has taken effect. Since is
-// when it is known to have stopped, by this relay's clock.
+// hasTakenEffect reports whether everything that a relay did by its share before a time has taken effect.
+// since is when the relay is known to have stopped, by this relay's clock.
 func (n *Node) hasTakenEffect(since time.Duration) bool {
 	return n.now >= since+duration.Scale(n.safeguards.maxEffectDelay, 1+MaxClockDrift)
 }
 
-// slotReleasedAtOf is when a relay that has released its slot was first known to have.
-func (n *Node) slotReleasedAtOf(name string) time.Duration {
+// slotReleaseTime returns when a relay that has released its slot was first known to have released it.
+func (n *Node) slotReleaseTime(name string) time.Duration {
 	if p := n.peers.byName[name]; name != n.cfg.Name && p != nil {
 		return p.SlotReleasedAt
 	}
 	return n.slot.releasedAt
 }
 
-// improves tells whether the next view would bring a share nearer to its target, or let an outstanding
-// limit go.
-func (v *View) improves(w viewRequest) bool {
-	n := v.next(w)
-	for _, s := range n.Entries {
-		if s.IsMember && s.BudgetShare > v.Entry(s.Name).BudgetShare {
+// improves reports whether the next view would bring a share nearer to its target, or would end an
+// outstanding limit.
+func (v *View) improves(spec viewSpec) bool {
+	next := v.nextView(spec)
+	for _, m := range next.Entries {
+		if m.IsMember && m.BudgetShare > v.Entry(m.Name).BudgetShare {
 			return true
 		}
 	}
-	return len(n.Entries) < len(v.Entries)
+	return len(next.Entries) < len(v.Entries)
 }
 
-// next makes the view that follows. The sum of maxShare over all entries and of the slots not released
-// stays within FullBudget: what any relay may take by this view or an earlier one is its outstanding
-// limit there, and shares beyond these limits are given only from what no limit holds.
-func (v *View) next(request viewRequest) *View {
-	released := func(slot int) bool { return slices.Contains(request.releasedSlots, slot) }
-	n := &View{
+// nextView makes the view that follows. The sum of maxShare over all entries and of the unreleased slots
+// stays within FullBudget: the outstanding limit of a relay is the most that it may take by this view or an
+// earlier one, and shares above these limits are given only from what no limit holds.
+func (v *View) nextView(spec viewSpec) *View {
+	released := func(slot int) bool { return slices.Contains(spec.releasedSlots, slot) }
+	next := &View{
 		Epoch:           v.Epoch + 1,
 		BootstrapSize:   v.BootstrapSize,
-		Allocation:      request.allocation,
+		Allocation:      spec.allocation,
 		UnreleasedSlots: slices.DeleteFunc(slices.Clone(v.UnreleasedSlots), released),
-		Voters:          nextVoters(v.Voters, request.members),
+		Voters:          nextVoters(v.Voters, spec.members),
 	}
 	for _, m := range v.Entries {
-		in, limit := slices.Contains(request.members, m.Name), v.limitAfter(m, request)
+		in, limit := slices.Contains(spec.members, m.Name), v.outstandingLimitAfter(m, spec)
 		if in || limit > 0 {
-			next := ViewEntry{Name: m.Name, IsMember: in, OutstandingLimit: limit,
-				Draining: request.idle[m.Name]}
-			n.Entries = append(n.Entries, next)
+			entry := ViewEntry{Name: m.Name, IsMember: in, OutstandingLimit: limit,
+				Draining: spec.draining[m.Name]}
+			next.Entries = append(next.Entries, entry)
 		}
 	}
-	for _, name := range request.members {
-		if i, known := n.find(name); !known {
-			n.Entries = slices.Insert(n.Entries, i,
-				ViewEntry{Name: name, IsMember: true, Draining: request.idle[name]})
+	for _, name := range spec.members {
+		if i, known := next.findEntry(name); !known {
+			next.Entries = slices.Insert(next.Entries, i,
+				ViewEntry{Name: name, IsMember: true, Draining: spec.draining[name]})
 		}
 	}
-	n.divide()
-	return n
+	next.assignShares()
+	return next
 }
 
-// limitAfter is the most that a relay may take by this view or an earlier one, once the next is adopted.
-func (v *View) limitAfter(m ViewEntry, request viewRequest) uint64 {
+// outstandingLimitAfter returns the most that a relay may still take by this view or an earlier one, once the
+// next view is adopted.
+func (v *View) outstandingLimitAfter(m ViewEntry, spec viewSpec) uint64 {
 	switch {
-	case request.ignoreLimits && !slices.Contains(request.members, m.Name):
+	case spec.ignoreLimits && !slices.Contains(spec.members, m.Name):
 		return 0
-	case request.earlierViewsExpired || request.withinShare[m.Name]:
+	case spec.earlierViewsExpired || spec.withinShare[m.Name]:
 		return m.BudgetShare
 	}
 	return m.maxShare()
 }
 
-// divide gives each member that serves its share: up to its outstanding limit at once, beyond that from
+// assignShares gives each serving member its share: up to its outstanding limit at once, and above it from
 // what no limit holds.
-func (v *View) divide() {
+func (v *View) assignShares() {
 	target, free := v.targetShare(), FullBudget-v.unreleasedShare()
 	for _, m := range v.Entries {
 		free -= m.OutstandingLimit
@@ -265,21 +269,22 @@
 	}
 }
 
-// nextVoters keeps the voters that stay and fills up: an odd number, but both of two.
-func nextVoters(old, members []string) (out []string) {
-	n := min(len(members), MaxVoters)
-	if n > 2 && n%2 == 0 {
-		n--
+// nextVoters keeps the voters that are still members and fills up with other members. The number of voters is
+// odd, except that a fleet of two has two.
+func nextVoters(old, members []string) (voters []string) {
+	count := min(len(members), MaxVoters)
+	if count > 2 && count%2 == 0 {
+		count--
 	}
 	for _, name := range old {
-		if len(out) < n && slices.Contains(members, name) {
-			out = append(out, name)
+		if len(voters) < count && slices.Contains(members, name) {
+			voters = append(voters, name)
 		}
 	}
 	for _, name := range members {
-		if len(out) < n && !slices.Contains(out, name) {
-			out = append(out, name)
+		if len(voters) < count && !slices.Contains(voters, name) {
+			voters = append(voters, name)
 		}
 	}
-	return out
+	return voters
 }
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// newPeerStatusDelay is how soon a status follows once a new peer is alive.
+// newPeerStatusDelay is how soon this relay publishes its status once a new peer is alive.
 const newPeerStatusDelay = 100 * time.Millisecond
 
-// unheardTimeout is how long a member may be unheard before it counts as unavailable. Failure detection finds
-// a living one sooner, and never tells of one that had failed before this process started.
+// unheardTimeout is how long a member may stay unheard before it counts as unavailable. Failure detection
+// finds a running member sooner, and reports nothing about one that failed before this process started.
 const unheardTimeout = 5 * time.Second
 
-// Health is what the failure detection knows of a peer.
+// Health is the state of a peer as failure detection sees it.
 type Health uint8
 
 // The states of health.
 const (
 	HealthUnknown   Health = iota
 	HealthAlive            // it answers
-	HealthSuspected        // it does not answer, and may yet refute
-	HealthFailed           // it did not refute
-	HealthLeft             // it said that it goes
+	HealthSuspected        // it does not answer, and may still refute the suspicion
+	HealthFailed           // it did not refute the suspicion
+	HealthLeft             // it announced that it leaves
 )
 
-// healthTexts are the states as reports and metrics name them.
+// healthTexts names the states in reports and metrics.
 var healthTexts = [...]string{
 	HealthUnknown: "unheard", HealthAlive: "alive", HealthSuspected: "suspected",
 	HealthFailed: "failed", HealthLeft: "left",
 }
 
-// String is the text of logs and reports.
+// String returns the text for logs and reports.
 func (h Health) String() string {
 	return textOf(healthTexts[:], uint8(h))
 }
 
-// Peer is what is known of another relay. Instants are on this relay's clock.
+// Peer is what is known of another relay. Times are on this relay's clock.
 type Peer struct {
 	Name        string
 	Health      Health
 	HealthSince time.Duration
 	Status      Status
-	StatusAt    time.Duration // when the status came, negative for never
-	// EpochSince is since when its statuses have named their epoch, SlotReleasedAt since when they have said
-	// what they say of its slot.
+	StatusAt    time.Duration // when the last status arrived, negative for never
+	// EpochSince is since when the peer's statuses have had their present epoch; SlotReleasedAt is since when
+	// they have had their present SlotReleased.
 	EpochSince, SlotReleasedAt time.Duration
 }
 
-// peerTable is what is known of the other relays.
+// peerTable holds what is known of the other relays.
 //
-// Invariants: sorted has every relay of byName but this one, in the order of names, so that a Node with
-// the same past does the same; entries are never removed.
+// Invariants: sorted holds every relay of byName but this one, sorted by name, so that a Node with the same
+// history acts the same; entries are never removed.
 type peerTable struct {
 	self   string
 	byName map[string]*Peer
 	sorted []*Peer
 }
 
-// entry finds a relay's entry, or makes one that nothing is known of yet.
+// entry returns the entry of a relay, and adds an empty one if there is none.
 func (t *peerTable) entry(name string, now time.Duration) *Peer {
 	if p := t.byName[name]; p != nil {
 		return p
@@ -73,8 +73,8 @@
 	return p
 }
 
-// isAlive tells whether a relay counts as there: this one does, and one that is suspected, as it may yet
-// refute that.
+// isAlive reports whether a relay counts as alive: this one does, and so does a suspected one, which may
+// still refute the suspicion.
 func (t *peerTable) isAlive(name string) bool {
 	if name == t.self {
 		return true
@@ -83,15 +83,15 @@
 	return p != nil && (p.Health == HealthAlive || p.Health == HealthSuspected)
 }
 
-// anyAlive tells whether any other relay is known to be alive.
+// anyAlive reports whether any other relay is known to be alive.
 func (t *peerTable) anyAlive() bool {
 	return slices.ContainsFunc(t.sorted, func(p *Peer) bool { return p.Health == HealthAlive })
 }
 
-// hasStatus tells whether a status of the peer has come.
+// hasStatus reports whether a status of the peer has arrived.
 func (p *Peer) hasStatus() bool { return p != nil && p.StatusAt >= 0 }
 
-// isUnavailable tells whether the peer has failed or left, or its status says Leaving.
+// isUnavailable reports whether the peer has failed or left, or its status says LifecycleLeaving.
 func (p *Peer) isUnavailable() bool {
 	if p == nil {
 		return false
@@ -100,7 +100,7 @@
 		p.hasStatus() && p.Status.Lifecycle == LifecycleLeaving
 }
 
-// Peers returns what is known of all others, in the order of names.
+// Peers returns what is known of all other relays, sorted by name.
 func (n *Node) Peers() []Peer {
 	out := make([]Peer, len(n.peers.sorted))
 	for i, p := range n.peers.sorted {
@@ -109,32 +109,33 @@
 	return out
 }
 
-// onPeerHealth takes in what the failure detection has found of a peer.
+// onPeerHealth records what failure detection has found of a peer.
 func (n *Node) onPeerHealth(e PeerHealth) {
 	p := n.peers.entry(e.Name, n.now)
 	if e.Name == n.cfg.Name || p.Health == e.Health {
 		return
 	}
 	p.Health, p.HealthSince = e.Health, n.now
-	if e.Health == HealthAlive { // a peer that is new here knows no status of this relay either
+	if e.Health == HealthAlive { // the new peer has no status of this relay yet
 		n.publisher.publishBy(n.now + newPeerStatusDelay)
 	}
 	n.emit(StateChanged{Kind: ChangePeer, Name: e.Name, State: e.Health.String(), Cause: "failure detection"})
 }
 
-// onStatus takes in a status and tells whether anything may follow from it: most bring only new figures.
+// onStatus records a peer's status and reports whether the Node may have to act on it: most statuses bring
+// only new load figures.
 func (n *Node) onStatus(e StatusReceived) (mayAct bool) {
 	p := n.peers.entry(e.Name, n.now)
 	if e.Name == n.cfg.Name || !e.Status.newerThan(p.Status) {
 		return false
 	}
 	n.plans.noteActivated(e.Status.ActivatedPlan)
-	n.reportPeerStatus(p, e.Status)
-	return p.takeStatus(e.Status, n.now)
+	n.emitPeerChange(p, e.Status)
+	return p.setStatus(e.Status, n.now)
 }
 
-// reportPeerStatus tells people of a peer that is back or does something else now.
-func (n *Node) reportPeerStatus(p *Peer, status Status) {
+// emitPeerChange reports for the log that a peer has restarted or changed its lifecycle.
+func (n *Node) emitPeerChange(p *Peer, status Status) {
 	if !p.hasStatus() {
 		return
 	}
@@ -147,8 +148,8 @@
 	}
 }
 
-// takeStatus takes a status for the peer's, and tells whether anything in it has changed but figures.
-func (p *Peer) takeStatus(status Status, now time.Duration) (changed bool) {
+// setStatus records a status as the peer's newest, and reports whether anything but load figures has changed.
+func (p *Peer) setStatus(status Status, now time.Duration) (changed bool) {
 	old, first := p.Status, !p.hasStatus()
 	changed = first || !status.sameState(old)
 	if first || status.Epoch != old.Epoch {
@@ -161,8 +162,8 @@
 	return changed
 }
 
-// sameChain tells whether a peer's status is of this relay's chain: view 0 is the same to those who
-// bootstrap alike.
+// sameChain reports whether a peer's status is of this relay's chain. View 0 is the same for all relays that
+// bootstrap with the same size.
 func (n *Node) sameChain(p *Peer) bool {
 	return p.hasStatus() && (p.Status.Epoch > 0 || p.Status.BootstrapSize == n.view.BootstrapSize)
 }
--- a/internal/fleet/membership/peers_test.go
+++ b/internal/fleet/membership/peers_test.go
@@ -11,22 +11,22 @@
 // The peers are in the order of names whatever order they come in, this relay is none of them, and an
 // entry stays the same.
 func TestPeersAreInTheOrderOfNames(t *testing.T) {
-	table := peerTable{self: name(5), byName: map[string]*Peer{}}
+	table := peerTable{self: relayName(5), byName: map[string]*Peer{}}
 	for _, i := range rand.New(rand.NewPCG(1, 1)).Perm(20) {
-		if p := table.entry(name(i), time.Second); p != table.entry(name(i), 2*time.Second) || p.hasStatus() {
+		if p := table.entry(relayName(i), time.Second); p != table.entry(relayName(i), 2*time.Second) || p.hasStatus() {
 			t.Errorf("%s has two entries, or a status: %+v", p.Name, p)
 		}
 	}
 	inOrder := slices.IsSortedFunc(table.sorted,
 		func(a, b *Peer) int { return strings.Compare(a.Name, b.Name) })
-	if len(table.sorted) != 19 || !inOrder || slices.Contains(table.sorted, table.byName[name(5)]) {
+	if len(table.sorted) != 19 || !inOrder || slices.Contains(table.sorted, table.byName[relayName(5)]) {
 		t.Errorf("%d peers, in order %v", len(table.sorted), inOrder)
 	}
-	if !table.isAlive(name(5)) || table.isAlive(name(1)) || table.isAlive("stranger") || table.anyAlive() {
+	if !table.isAlive(relayName(5)) || table.isAlive(relayName(1)) || table.isAlive("stranger") || table.anyAlive() {
 		t.Error("alive before anything is known")
 	}
-	table.byName[name(1)].Health = HealthSuspected
-	if !table.isAlive(name(1)) || table.anyAlive() {
+	table.byName[relayName(1)].Health = HealthSuspected
+	if !table.isAlive(relayName(1)) || table.anyAlive() {
 		t.Error("a suspected peer counts as there, and not as alive")
 	}
 }
@@ -51,17 +51,17 @@
 		}
 	}
 	p := Peer{StatusAt: -1}
-	if !p.takeStatus(old, time.Second) || p.EpochSince != time.Second {
+	if !p.setStatus(old, time.Second) || p.EpochSince != time.Second {
 		t.Errorf("the first status: %+v", p)
 	}
 	figures := old
 	figures.RequestRate = 7
-	if p.takeStatus(figures, 2*time.Second) || p.EpochSince != time.Second || p.StatusAt != 2*time.Second {
+	if p.setStatus(figures, 2*time.Second) || p.EpochSince != time.Second || p.StatusAt != 2*time.Second {
 		t.Errorf("new figures only: %+v", p)
 	}
 	released := figures
 	released.SlotReleased = true
-	if !p.takeStatus(released, 3*time.Second) || p.SlotReleasedAt != 3*time.Second ||
+	if !p.setStatus(released, 3*time.Second) || p.SlotReleasedAt != 3*time.Second ||
 		p.EpochSince != time.Second {
 		t.Errorf("its slot released: %+v", p)
 	}
--- a/internal/fleet/membership/phase.go
+++ b/internal/fleet/membership/phase.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// startupWait is how long a relay waits for an alive peer before its phase is PhaseAlone.
+// startupWait is how long a relay waits for an alive peer before its phase becomes PhaseAlone, and how long a
+// member waits for its first lease in a new view before its phase becomes PhaseCutOff.
 const startupWait = 1500 * time.Millisecond
 
-// Phase is how far a relay's view is agreed.
+// Phase says how far a relay's view is agreed.
 type Phase uint8
 
-// The phases, as docs/operate/members.md explains them.
+// The phases. docs/operate/members.md explains them.
 const (
 	PhaseStarting Phase = iota
 	PhaseAlone
@@ -25,18 +26,18 @@
 	PhaseCutOff:   "cut off",
 }
 
-// String is the text of logs and reports.
+// String returns the text for logs and reports.
 func (p Phase) String() string {
 	return textOf(phaseTexts[:], uint8(p))
 }
 
-// phaseState is the phase last named, and when the fleet was last agreed.
+// phaseState holds the phase last reported, and when the fleet was last agreed.
 type phaseState struct {
 	phase    Phase
 	agreedAt time.Duration // negative for never
 }
 
-// updatePhase names the phase, for the log and for what the relay does by it.
+// updatePhase sets the phase and reports a change of it for the log.
 func (n *Node) updatePhase() {
 	phase, cause := n.currentPhase()
 	if phase == PhaseAgreed || phase == PhaseSettling {
@@ -49,19 +50,19 @@
 	n.emit(StateChanged{Kind: ChangePhase, State: phase.String(), Cause: cause})
 }
 
-// currentPhase is the phase of the moment, and why.
+// currentPhase returns the phase at this time, and why.
 func (n *Node) currentPhase() (phase Phase, cause string) {
 	if n.view.Epoch == 0 {
-		return n.phaseBeforeViews()
+		return n.phaseWithoutView()
 	}
-	quorum := n.votersAlive() >= n.view.majority()
+	quorum := n.aliveVoterCount() >= n.view.majority()
 	member := n.view.Entry(n.cfg.Name).IsMember
 	expired := n.now >= n.lease.validUntil
 	switch {
 	case !member && quorum:
-		return PhaseStarting, "not in the view"
+		return PhaseStarting, "the relay is not in the view"
 	case member && expired && n.now < n.viewAdoptedAt+startupWait && quorum:
-		return PhaseSettling, "its lease is awaited"
+		return PhaseSettling, "waiting for the first lease"
 	case !quorum:
 		return PhaseCutOff, "too few voters are alive"
 	case member && expired:
@@ -69,11 +70,11 @@
 	case n.view.Settled():
 		return PhaseAgreed, "every share is at its target"
 	}
-	return PhaseSettling, "a share waits for others to shrink"
+	return PhaseSettling, "a share waits until those of other relays have shrunk"
 }
 
-// phaseBeforeViews is the phase while no view is agreed.
-func (n *Node) phaseBeforeViews() (phase Phase, cause string) {
+// phaseWithoutView returns the phase while no view is agreed, and why.
+func (n *Node) phaseWithoutView() (phase Phase, cause string) {
 	switch {
 	case n.peers.anyAlive():
 		return PhaseStarting, "no view is agreed yet"
--- a/internal/fleet/membership/proposer.go
+++ b/internal/fleet/membership/proposer.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// bootstrapWait is how long those who bootstrap wait for each other before they make the first view.
+	// bootstrapWait is how long the relays that bootstrap a fleet wait for each other before they make the
+	// first view.
 	bootstrapWait = 700 * time.Millisecond
-	// bootstrapWaitMax is when a majority makes it at the latest.
+	// bootstrapWaitMax is when a majority makes the first view at the latest.
 	bootstrapWaitMax = 3 * time.Second
 )
 
-// propose begins a ballot for the next view once there is need and it is this voter's turn.
+// propose starts a ballot for the next view if one is needed and it is this voter's turn.
 func (n *Node) propose() {
 	if n.voting.timedOut(n.now) {
 		n.voting.abandon(n.now, n.rng)
@@ -20,39 +21,39 @@
 	if n.voting.proposal != nil || n.now < n.voting.nextProposalAt || !n.isVoter() {
 		return
 	}
-	own := n.unavailableMembers()
-	request, changed := n.nextViewRequest(func(name string) bool { return slices.Contains(own, name) })
+	ownUnavailable := n.unavailableMembers()
+	spec, changed := n.nextViewSpec(func(name string) bool { return slices.Contains(ownUnavailable, name) })
 	takeover := n.voting.takeoverDue(n.now)
 	n.voting.noteChangeWanted(changed || takeover, n.now)
 	if !changed && !takeover {
 		return
 	}
-	if n.now < n.voting.changeWantedSince+n.proposerDelay() || n.votersAlive() < n.view.majority() {
+	if n.now < n.voting.changeWantedSince+n.proposerDelay() || n.aliveVoterCount() < n.view.majority() {
 		return
 	}
 	if !takeover && n.awaitsBootstrapVoters() {
 		return
 	}
-	p := n.voting.start(n.cfg.Name, n.record.PromisedBallot, n.now)
+	p := n.voting.startProposal(n.cfg.Name, n.record.PromisedBallot, n.now)
 	n.sendToVoters(Message{
-		Kind: Prepare, Epoch: n.view.Epoch, Ballot: p.ballot, Joining: n.view.joining(request.members),
+		Kind: Prepare, Epoch: n.view.Epoch, Ballot: p.ballot, Joining: n.view.nonMembers(spec.members),
 	})
 }
 
-// awaitsBootstrapVoters tells whether those who bootstrap the fleet should wait for more of them.
+// awaitsBootstrapVoters reports whether a relay that bootstraps the fleet should wait for more voters.
 func (n *Node) awaitsBootstrapVoters() bool {
 	if n.view.Epoch > 0 {
 		return false
 	}
 	waited := n.now - n.voting.changeWantedSince
-	return waited < bootstrapWait || waited < bootstrapWaitMax && n.votersAlive() < len(n.view.Voters)
+	return waited < bootstrapWait || waited < bootstrapWaitMax && n.aliveVoterCount() < len(n.view.Voters)
 }
 
-// proposerDelay is how long this voter lets those before it go first.
+// proposerDelay returns how long this voter waits so that the alive voters before it can propose first.
 func (n *Node) proposerDelay() time.Duration {
 	wait := time.Duration(0)
 	for _, v := range n.view.Voters {
-		name := n.voterRelay(v)
+		name := n.relayOfVoter(v)
 		if name == n.cfg.Name {
 			break
 		}
@@ -63,19 +64,19 @@
 	return wait
 }
 
-// sendToVoters sends a proposal's message to all voters, as long as it stands: this relay's own answer
-// may end it.
+// sendToVoters sends a message of the proposal to all voters. It stops when this relay's own answer has ended
+// the proposal.
 func (n *Node) sendToVoters(m Message) {
 	view, p := n.view, n.voting.proposal
 	for _, v := range view.Voters {
-		if name := n.voterRelay(v); name != "" && n.view == view && n.voting.proposal == p {
+		if name := n.relayOfVoter(v); name != "" && n.view == view && n.voting.proposal == p {
 			n.send(name, m)
 		}
 	}
 }
 
-// onAnswer counts a voter's promise or acceptance.
-func (n *Node) onAnswer(from string, m Message) {
+// onVoterAnswer counts a voter's promise or acceptance.
+func (n *Node) onVoterAnswer(from string, m Message) {
 	p, voter := n.voting.proposal, n.voterName(from, m.BootstrapSlot)
 	if p == nil || m.Epoch != n.view.Epoch || m.Ballot != p.ballot ||
 		m.ToIncarnation != n.record.Incarnation {
@@ -85,24 +86,25 @@
 		return
 	}
 	switch {
-	case m.Kind == Promise && p.proposed == nil:
+	case m.Kind == Promise && p.proposedView == nil:
 		p.addPromise(voter, m)
 		if len(p.promises) >= n.view.majority() {
 			n.proposeView(p)
 		}
-	case m.Kind == Accepted && p.proposed != nil:
+	case m.Kind == Accepted && p.proposedView != nil:
 		p.acceptances[voter] = true
 		if len(p.acceptances) >= n.view.majority() {
-			n.announceView(p.proposed)
+			n.announceView(p.proposedView)
 		}
 	}
 }
 
-// proposeView asks the voters to accept a view: what may have been chosen already, or else what this
-// relay wants and a majority of the voters has evidence for. Until they have, more promises are awaited.
+// proposeView asks the voters to accept a view: the one that may have been chosen already, or else the one
+// that this relay wants as far as a majority of the voters confirms it. Until a majority does, it waits for
+// more promises.
 func (n *Node) proposeView(p *proposal) {
-	if p.proposed = p.highestAccepted; p.proposed == nil {
-		request, changed := n.nextViewRequest(func(name string) bool {
+	if p.proposedView = p.highestAcceptedView; p.proposedView == nil {
+		spec, changed := n.nextViewSpec(func(name string) bool {
 			return p.reportsUnavailable(name, n.view)
 		})
 		if !changed {
@@ -111,12 +113,12 @@
 			}
 			return
 		}
-		p.proposed = n.view.next(request)
+		p.proposedView = n.view.nextView(spec)
 	}
-	n.sendToVoters(Message{Kind: Accept, Epoch: n.view.Epoch, Ballot: p.ballot, View: p.proposed})
+	n.sendToVoters(Message{Kind: Accept, Epoch: n.view.Epoch, Ballot: p.ballot, View: p.proposedView})
 }
 
-// announceView adopts a view that is chosen, and tells all members of it and of the one before.
+// announceView adopts a chosen view and sends it to all members of it and of the view before.
 func (n *Node) announceView(chosen *View) {
 	before := n.view
 	n.adoptView(chosen)
--- a/internal/fleet/membership/renewal_test.go
+++ b/internal/fleet/membership/renewal_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// runNotingExpiry lets time pass and returns the first relay whose lease has expired at a member that held
+// runUntilLeaseExpires lets time pass and returns the first relay whose lease has expired at a member that held
 // one before, and -1 if there is none.
-func (w *world) runNotingExpiry(ms float64, held map[int]bool) (relay int) {
+func (w *simulatedFleet) runUntilLeaseExpires(ms float64, held map[int]bool) (relay int) {
 	relay = -1
 	for until := w.now + ms; w.now < until; {
 		w.run(10)
-		for i, n := range w.nodes {
-			valid := n.subject.lease.valid(n.clock(w.now))
+		for i, n := range w.relays {
+			valid := n.node.lease.valid(n.clock(w.now))
 			if held[i] && !valid && relay < 0 {
 				relay = i
 			}
@@ -30,9 +30,9 @@
 		changes   = 20
 	)
 	for seed := range uint64(20) {
-		w := newWorld(4, 4, seed)
+		w := newSimulatedFleet(4, 4, seed)
 		w.learnDelay = 40
-		for i := range w.nodes {
+		for i := range w.relays {
 			w.start(i)
 		}
 		w.run(15000)
@@ -40,14 +40,14 @@
 		for k := range changes {
 			lifecycle := []Lifecycle{LifecycleDraining, LifecycleServing}[k%2]
 			state := LocalState{Lifecycle: lifecycle, RequestRate: 10, EndpointListGeneration: 1}
-			w.feed(3, state)
-			if i := w.runNotingExpiry(viewEvery, held); i >= 0 {
-				t.Errorf("seed %d: the lease of %s has expired after %d changes", seed, name(i), k+1)
+			w.handle(3, state)
+			if i := w.runUntilLeaseExpires(viewEvery, held); i >= 0 {
+				t.Errorf("seed %d: the lease of %s has expired after %d changes", seed, relayName(i), k+1)
 				break
 			}
 		}
-		if w.epoch < changes {
-			t.Errorf("seed %d: %d views only", seed, w.epoch)
+		if w.highestEpoch < changes {
+			t.Errorf("seed %d: %d views only", seed, w.highestEpoch)
 		}
 		if w.maxSum > 1 {
 			t.Errorf("seed %d: the shares added up to %v", seed, w.maxSum)
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -9,22 +9,22 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Report is what is known of the fleet at one relay, for operators.
+// Report is what one relay knows of the fleet, for operators.
 type Report struct {
 	Relay    string `json:"relay"`
 	Site     string `json:"site"`
 	Phase    string `json:"phase"`
 	Epoch    uint64 `json:"epoch"`
 	ViewHash string `json:"hash"`
-	// SinceAgreedMs is since the view was agreed last, negative for never.
+	// SinceAgreedMs is the time since the view was last agreed, negative for never.
 	SinceAgreedMs    float64           `json:"agreed_ms"`
 	Relays           int               `json:"relays"` // in the fleet, as this relay counts them
-	BudgetShare      float64           `json:"share"`  // of a budget of the fleet
+	BudgetShare      float64           `json:"share"`  // part of a fleet-wide budget, 0 to 1
 	ShareReason      string            `json:"why"`
-	OtherRequestRate float64           `json:"others_per_s"` // requests at the others, negative if not known
-	UnreleasedSlots  int               `json:"unclaimed"`    // slots that their owners keep
+	OtherRequestRate float64           `json:"others_per_s"` // negative if not known
+	UnreleasedSlots  int               `json:"unclaimed"`    // number of slots that are not released
 	Members          []MemberReport    `json:"members"`
-	DroppedPackets   map[string]uint64 `json:"dropped"` // packets, by reason
+	DroppedPackets   map[string]uint64 `json:"dropped"` // by reason
 	Cell             *CellReport       `json:"cell,omitempty"`
 }
 
@@ -37,21 +37,21 @@
 	NearBudget     float64  `json:"near"`
 	FarBudget      float64  `json:"far"`
 	NearZones      []string `json:"near_zones"`
-	FarBudgetShare float64  `json:"far_share"` // this relay's
+	FarBudgetShare float64  `json:"far_share"` // of this relay
 	FilePlan       uint64   `json:"file_plan"`
 	PendingReason  string   `json:"waits"`
 }
 
-// cellReport is what the relay knows of its plan; nil without cells.
+// cellReport returns what the relay knows of its plan, nil without cells.
 func (n *Node) cellReport(e FleetEstimate) *CellReport {
 	a := n.view.Allocation
-	if a == nil && n.plans.file == nil {
+	if a == nil && n.plans.filePlan == nil {
 		return nil
 	}
 	c := &CellReport{Name: n.plans.cell, PendingReason: n.PlanPending().String(),
 		FarBudgetShare: e.FarBudgetShare}
-	if n.plans.file != nil {
-		c.FilePlan = n.plans.file.Number
+	if n.plans.filePlan != nil {
+		c.FilePlan = n.plans.filePlan.Number
 	}
 	if a != nil {
 		c.Plan, c.PlanHash = a.Plan, strconv.FormatUint(a.PlanHash, 16)
@@ -61,25 +61,25 @@
 	return c
 }
 
-// MemberReport is one relay in a Report.
+// MemberReport describes one relay in a Report.
 type MemberReport struct {
 	Name             string  `json:"name"`
-	State            string  `json:"state"` // this relay's own: "here"
+	State            string  `json:"state"` // "here" for this relay itself
 	Lifecycle        string  `json:"doing"`
 	Zone             string  `json:"zone"`
-	Member           bool    `json:"member"` // of the view
+	Member           bool    `json:"member"` // whether it is a member of the view
 	Voter            bool    `json:"voter"`
 	BudgetShare      float64 `json:"share"`
-	OutstandingLimit float64 `json:"bound"`    // it may still take so much by an older view
-	StateAgeMs       float64 `json:"since_ms"` // of the state
+	OutstandingLimit float64 `json:"bound"`    // what it may still take by an older view
+	StateAgeMs       float64 `json:"since_ms"` // time in State
 	Source           string  `json:"how"`
-	Epoch            uint64  `json:"epoch"` // that it says it holds
+	Epoch            uint64  `json:"epoch"` // of the view that it reports to hold
 	Incarnation      uint64  `json:"incarnation"`
 	RequestRate      float64 `json:"per_s"`
 	OpenConnections  int     `json:"held"`
 }
 
-// Report tells what the Node knows. Site and Dropped are its driver's to fill in.
+// Report returns what the Node knows of the fleet. The driver of the Node fills in Site and DroppedPackets.
 func (n *Node) Report(now time.Duration) Report {
 	e := n.Estimate(now)
 	report := Report{
@@ -119,7 +119,7 @@
 	return report
 }
 
-// memberReport is a relay's row, by the view held and its status.
+// memberReport returns the report on a relay, made from the view held and from its status.
 func (n *Node) memberReport(name string, status Status) MemberReport {
 	m := n.view.Entry(name)
 	return MemberReport{
@@ -137,7 +137,7 @@
 	}
 }
 
-// source is how this relay knows of a peer.
+// source says how this relay knows of a peer.
 func (p *Peer) source() string {
 	switch {
 	case !p.hasStatus():
--- a/internal/fleet/membership/schedules_test.go
+++ b/internal/fleet/membership/schedules_test.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// deafenOne lets a relay drain and come back, so that the others' shares shrink, and one of them get
+// drainAndBlockInbound lets a relay drain and come back, so that the others' shares shrink, and one of them get
 // nothing of that until all leases have run out.
-func (w *world) deafenOne(i int) {
+func (w *simulatedFleet) drainAndBlockInbound(i int) {
 	clear(w.partitioned)
-	w.feed(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
+	w.handle(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
 	w.run(6000 + 1000*w.rng.Float64())
-	w.deafenNext = true
-	w.feed(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
+	w.blockInboundNext = true
+	w.handle(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
 	w.run(6000)
-	w.deafenNext = false
-	for _, n := range w.nodes {
-		n.deaf = false
+	w.blockInboundNext = false
+	for _, n := range w.relays {
+		n.inboundBlocked = false
 	}
 }
 
 // partition cuts the net in two or three.
-func (w *world) partition() {
-	n := len(w.nodes)
+func (w *simulatedFleet) partition() {
+	n := len(w.relays)
 	parts, of := 2+w.rng.IntN(2), make([]int, n)
 	for j := range of {
 		of[j] = w.rng.IntN(parts)
@@ -39,19 +39,19 @@
 	}
 }
 
-// drawnSchedule plays one schedule of faults.
-func drawnSchedule(n, bootstrapSize int, seed uint64, steps int, change func(*Node)) *world {
+// playRandomSchedule plays one schedule of faults.
+func playRandomSchedule(n, bootstrapSize int, seed uint64, steps int, change func(*Node)) *simulatedFleet {
 	bootstrapSize = min(bootstrapSize, n)
-	w := newWorld(n, bootstrapSize, seed)
+	w := newSimulatedFleet(n, bootstrapSize, seed)
 	w.withoutSafeguard = change
-	w.play(bootstrapSize, seed, steps)
+	w.injectFaults(bootstrapSize, seed, steps)
 	return w
 }
 
-// play plays one schedule of faults.
-func (w *world) play(bootstrapSize int, seed uint64, steps int) {
-	n := len(w.nodes)
-	w.loss, w.duplication = 0.2*w.rng.Float64()*float64(seed%2), 0.1*float64(seed%3)/2
+// injectFaults plays one schedule of faults.
+func (w *simulatedFleet) injectFaults(bootstrapSize int, seed uint64, steps int) {
+	n := len(w.relays)
+	w.lossRate, w.duplicationRate = 0.2*w.rng.Float64()*float64(seed%2), 0.1*float64(seed%3)/2
 	for i := range n {
 		if i < bootstrapSize || w.rng.IntN(2) == 0 {
 			w.start(i)
@@ -62,25 +62,25 @@
 	}
 	for range steps {
 		i := w.rng.IntN(n)
-		switch x := w.nodes[i]; w.rng.IntN(12) {
+		switch x := w.relays[i]; w.rng.IntN(12) {
 		case 0:
 			w.kill(i)
 		case 1, 2:
-			if !x.up {
+			if !x.running {
 				w.start(i)
 			}
 		case 3:
-			if x.up {
+			if x.running {
 				w.kill(i)
 				w.run(300 * w.rng.Float64())
 				w.start(i)
 			}
 		case 4:
-			if x.up {
-				x.stopped = true
+			if x.running {
+				x.paused = true
 			}
 		case 5:
-			if x.up && x.stopped {
+			if x.running && x.paused {
 				w.resume(i)
 			}
 		case 6: // a partition: each to one of two or three
@@ -92,8 +92,8 @@
 		case 8:
 			clear(w.partitioned)
 		case 9:
-			if x.up && !x.stopped {
-				w.feed(i, LocalState{
+			if x.running && !x.paused {
+				w.handle(i, LocalState{
 					Lifecycle: []Lifecycle{LifecycleServing, LifecycleDraining,
 						LifecycleLeaving}[w.rng.IntN(3)],
 					RequestRate: 10, EndpointListGeneration: 1})
@@ -101,8 +101,8 @@
 		// a relay comes to serve, and at the moment of the view that shrinks the others' shares one of them
 		// goes deaf
 		case 10:
-			if x.up && !x.stopped {
-				w.deafenOne(i)
+			if x.running && !x.paused {
+				w.drainAndBlockInbound(i)
 			}
 		}
 		if w.rng.IntN(2) == 0 {
@@ -114,28 +114,28 @@
 }
 
 // heal ends all faults and waits for agreement.
-func (w *world) heal(within float64) error {
+func (w *simulatedFleet) heal(within float64) error {
 	clear(w.partitioned)
-	w.loss, w.duplication = 0, 0
-	for i, n := range w.nodes {
+	w.lossRate, w.duplicationRate = 0, 0
+	for i, n := range w.relays {
 		switch {
-		case !n.up:
+		case !n.running:
 			w.start(i)
-		case n.stopped:
+		case n.paused:
 			w.resume(i)
 		}
-		if n.subject.local.Lifecycle != LifecycleServing { // who has said that it leaves goes, and comes back
+		if n.node.localState.Lifecycle != LifecycleServing { // who has said that it leaves goes, and comes back
 			w.kill(i)
 			w.start(i)
 		}
 	}
 	for until := w.now + within; w.now < until; {
 		w.run(500)
-		if w.agreed() == nil {
+		if w.checkAgreement() == nil {
 			return nil
 		}
 	}
-	return w.agreed()
+	return w.checkAgreement()
 }
 
 // longSchedules tells whether the long schedules are asked for; docs/measurements/members.md has
@@ -183,12 +183,12 @@
 	}
 	play := func(n, bootstrapSize, steps int, heal float64) func(uint64) error {
 		return func(seed uint64) error {
-			w := drawnSchedule(n+int(seed%4), bootstrapSize+int(seed%3), seed, steps, nil)
+			w := playRandomSchedule(n+int(seed%4), bootstrapSize+int(seed%3), seed, steps, nil)
 			if err := w.heal(heal); err != nil {
 				return fmt.Errorf("after the heal: %w", err)
 			}
 			if w.maxSum > 1 {
-				return fmt.Errorf("the shares of %d relays added up to %v", len(w.nodes), w.maxSum)
+				return fmt.Errorf("the shares of %d relays added up to %v", len(w.relays), w.maxSum)
 			}
 			return nil
 		}
@@ -201,7 +201,7 @@
 func TestSharesNeedTheirProtections(t *testing.T) {
 	for what, without := range map[string]func(*Node){
 		"the joint view": func(k *Node) { k.safeguards.jointViews = false },
-		"the wait":       func(k *Node) { k.safeguards.waitOut = 300 * time.Millisecond },
+		"the wait":       func(k *Node) { k.safeguards.earlierViewsExpireAfter = 300 * time.Millisecond },
 		"the grant":      func(k *Node) { k.safeguards.leaseDuration = time.Minute },
 		"the grace":      func(k *Node) { k.safeguards.safetyMargin = 0 },
 		"the effect":     func(k *Node) { k.safeguards.maxEffectDelay = 0 },
@@ -209,7 +209,7 @@
 	} {
 		found := uint64(0)
 		for seed := uint64(1); seed < 3000 && found == 0; seed++ {
-			if drawnSchedule(3+int(seed%4), 2+int(seed%3), seed, 30, without).maxSum > 1+1e-9 {
+			if playRandomSchedule(3+int(seed%4), 2+int(seed%3), seed, 30, without).maxSum > 1+1e-9 {
 				found = seed
 			}
 		}
--- a/internal/fleet/membership/seam_faults.go
+++ b/internal/fleet/membership/seam_faults.go
@@ -2,6 +2,6 @@
 
 package membership
 
-// DisableJointViews takes the joint view out: shares grow without regard to what others may still take.
-// Only tests want it, to see that they find out.
+// DisableJointViews switches off the rule jointViews: shares grow without regard to what other relays may
+// still take. Only tests call it, to check that they detect the violation.
 func (n *Node) DisableJointViews() { n.safeguards.jointViews = false }
--- a/internal/fleet/membership/text.go
+++ b/internal/fleet/membership/text.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// textOf is the text of an enumeration's value; one that the table does not have is said by its number.
+// textOf returns the text of an enumeration's value, or a text with its number if the table has none.
 func textOf(texts []string, value uint8) string {
 	if int(value) < len(texts) {
 		return texts[value]
--- a/internal/fleet/membership/timing.go
+++ b/internal/fleet/membership/timing.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Timing is how often a relay says what it says again. The zero Timing is the flat fleet's.
+// Timing sets how often a relay repeats its renewals and statuses. The zero Timing is that of a flat fleet.
 type Timing struct {
-	// LeaseDuration is for the bootstrap of a cell: the chain keeps it in its views, and all its relays
-	// act by that. Renewals come a quarter of it apart.
+	// LeaseDuration applies when a cell is bootstrapped: the chain keeps it in its views, and all relays of
+	// the chain act by that. Renewals are sent at intervals of a quarter of it.
 	LeaseDuration time.Duration
-	// StatusInterval is the least time between two statuses that differ in figures only.
+	// StatusInterval is the minimum time between two statuses that differ only in load figures.
 	StatusInterval time.Duration
 }
 
-// withFlatDefaults fills in what is not set.
+// withFlatDefaults returns the Timing with unset values replaced by those of a flat fleet.
 func (p Timing) withFlatDefaults() Timing {
 	if p.LeaseDuration <= 0 {
 		p.LeaseDuration = LeaseDuration
@@ -22,8 +22,8 @@
 	return p
 }
 
-// CellTiming is the timing inside a cell.
+// CellTiming is the Timing inside a cell.
 var CellTiming = Timing{LeaseDuration: 8 * time.Second, StatusInterval: 10 * time.Second}
 
-// flatStatusInterval is the StatusInterval of the flat fleet.
+// flatStatusInterval is the StatusInterval of a flat fleet.
 const flatStatusInterval = time.Second
--- a/internal/fleet/membership/trace_test.go
+++ b/internal/fleet/membership/trace_test.go
@@ -6,9 +6,9 @@
 	"capersail/internal/testing/trace"
 )
 
-// record takes an action down, with the share that its relay has at that moment. Times on a clock are
+// traceAction takes an action down, with the share that its relay has at that moment. Times on a clock are
 // left out, as their representation may change; that they are the same shows in when actions come.
-func record(t *trace.Trace, relay int, share float64, a Action) {
+func traceAction(t *trace.Trace, relay int, share float64, a Action) {
 	t.Action(relay, share)
 	switch a := a.(type) {
 	case SaveRecord:
@@ -39,12 +39,12 @@
 	return v.Hash()
 }
 
-// spreadClocks gives each relay's clock a rate drawn at random, and Ticks a moment of their own: of
+// randomizeClockRates gives each relay's clock a rate drawn at random, and Ticks a moment of their own: of
 // clocks that run at the very bounds many timers end at the moment of an event, and whether they have
 // ended then is a matter of rounding.
-func (w *world) spreadClocks() {
+func (w *simulatedFleet) randomizeClockRates() {
 	w.tickLead = 9.7
-	for _, n := range w.nodes {
+	for _, n := range w.relays {
 		n.clockRate = 1 + MaxClockDrift*(2*w.rng.Float64()-1)
 	}
 }
@@ -56,17 +56,17 @@
 	var recording trace.Recording
 	for seed := range uint64(120) {
 		relays := 2 + int(seed%6)
-		w := newWorld(relays, min(relays, 5), seed)
+		w := newSimulatedFleet(relays, min(relays, 5), seed)
 		w.trace = trace.New()
-		w.spreadClocks()
-		w.play(min(relays, 5), seed, 16)
+		w.randomizeClockRates()
+		w.injectFaults(min(relays, 5), seed, 16)
 		recording.Add("flat", seed, w.trace)
 	}
 	for seed := range uint64(24) {
 		f := newFederation(seed, nil)
 		f.trace = trace.New()
 		regions := 1 + int(seed%2)
-		f.play(regions, regions*(1+int(seed/2%2)), 3, seed%3 == 0, 16)
+		f.bootstrapAndInjectFaults(regions, regions*(1+int(seed/2%2)), 3, seed%3 == 0, 16)
 		recording.Add("cells", seed, f.trace)
 	}
 	recording.Compare(t)
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -11,43 +11,45 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// FullBudget is a fleet-wide budget, in the units that shares are counted in: integers add up
-// without error.
+// FullBudget is a whole fleet-wide budget in the units of shares. Shares are integers, so that they add up
+// without rounding errors.
 const FullBudget = cellplan.FullBudget
 
-// MaxVoters is how many members of a view vote at most: three of seven may fail at once, and a renewal
-// costs each member seven packets, however large the fleet.
+// MaxVoters is the maximum number of members of a view that vote: with seven voters three may fail at once,
+// and a renewal costs each member seven packets, however large the fleet is.
 const MaxVoters = 7
 
-// ViewEntry is one relay in a view.
+// ViewEntry is the entry of one relay in a view.
 type ViewEntry struct {
 	Name string `cbor:"1,keyasint"`
-	// IsMember says that it is a member; else it has gone, and only its outstanding limit is left.
+	// IsMember says that the relay is a member. Otherwise it has left the view, and only its outstanding
+	// limit remains.
 	IsMember bool `cbor:"2,keyasint,omitempty"`
-	// BudgetShare is what it takes by this view, OutstandingLimit the most that it may take by any view
-	// that may still be acted on; both of FullBudget.
+	// BudgetShare is what the relay takes by this view; OutstandingLimit is the most that it may take by any
+	// view that a relay may still act by. Both are in units of FullBudget.
 	BudgetShare      uint64 `cbor:"3,keyasint,omitempty"`
 	OutstandingLimit uint64 `cbor:"4,keyasint,omitempty"`
-	// Draining says that it is drained manually: a member that is due no share.
+	// Draining says that the relay is drained manually: it stays a member but gets no share.
 	Draining bool `cbor:"5,keyasint,omitempty"`
 }
 
-// maxShare is what the relay may take, whichever of the views it acts on.
+// maxShare returns the most that the relay may take, whichever of the views it acts by.
 func (m ViewEntry) maxShare() uint64 { return max(m.BudgetShare, m.OutstandingLimit) }
 
-// View is one link of the chain of views. It is never changed once made.
+// View is one view in the chain of views. It is never changed once it is made.
 type View struct {
 	Epoch         uint64 `cbor:"1,keyasint"`
-	BootstrapSize int    `cbor:"2,keyasint"` // slots of view 0
-	// UnreleasedSlots are the slots that their relays have not released: the share of each is its owner's.
+	BootstrapSize int    `cbor:"2,keyasint"` // number of slots of view 0
+	// UnreleasedSlots are the slots that their relays have not released. The share of such a slot belongs to
+	// its relay.
 	UnreleasedSlots []int       `cbor:"3,keyasint,omitempty"`
-	Entries         []ViewEntry `cbor:"4,keyasint,omitempty"` // in the order of names
+	Entries         []ViewEntry `cbor:"4,keyasint,omitempty"` // sorted by name
 	Voters          []string    `cbor:"5,keyasint"`
-	// Allocation is the part of the budgets that the shares divide; nil for all of FullBudget.
+	// Allocation is the part of the budgets that the shares divide, nil for all of FullBudget.
 	Allocation *Allocation `cbor:"6,keyasint,omitempty"`
 }
 
-// bootstrapView is view 0: slots only. Its voters are named by slot.
+// bootstrapView returns view 0, which has only slots. Its voters are named by slot.
 func bootstrapView(size int) *View {
 	v := &View{BootstrapSize: size}
 	for slot := range size {
@@ -59,30 +61,30 @@
 	return v
 }
 
-// slotVoterName is how a voter of view 0 is called; no relay has such a name.
+// slotVoterName returns the name of a voter of view 0. No relay can have such a name.
 func slotVoterName(slot int) string { return "\x00" + strconv.Itoa(slot) }
 
-// slotShare is the share of a slot.
+// slotShare returns the share of one slot.
 func (v *View) slotShare() uint64 { return FullBudget / uint64(v.BootstrapSize) }
 
-// fraction is an amount in units of FullBudget as a part of it, 0 to 1.
+// fraction returns an amount in units of FullBudget as a fraction, 0 to 1.
 func fraction(amount uint64) float64 { return float64(amount) / float64(FullBudget) }
 
-// Entry returns a relay's entry; the zero one if it has none.
+// Entry returns a relay's entry, or the zero ViewEntry if the relay has none.
 func (v *View) Entry(name string) ViewEntry {
-	if i, ok := v.find(name); ok {
+	if i, ok := v.findEntry(name); ok {
 		return v.Entries[i]
 	}
 	return ViewEntry{}
 }
 
-// find is where a relay's entry is, or would be.
-func (v *View) find(name string) (int, bool) {
+// findEntry returns the index of a relay's entry, or the index at which to insert it, and whether it exists.
+func (v *View) findEntry(name string) (int, bool) {
 	byName := func(m ViewEntry, name string) int { return strings.Compare(m.Name, name) }
 	return slices.BinarySearchFunc(v.Entries, name, byName)
 }
 
-// MemberNames are the names of the view's members, in order.
+// MemberNames returns the names of the view's members, sorted.
 func (v *View) MemberNames() (names []string) {
 	for _, s := range v.Entries {
 		if s.IsMember {
@@ -92,8 +94,8 @@
 	return names
 }
 
-// joining are those of some relays that are no members.
-func (v *View) joining(names []string) (joining []string) {
+// nonMembers returns those of some relays that are not members.
+func (v *View) nonMembers(names []string) (joining []string) {
 	for _, name := range names {
 		if !v.Entry(name).IsMember {
 			joining = append(joining, name)
@@ -102,7 +104,7 @@
 	return joining
 }
 
-// ServingMembers is how many members take clients.
+// ServingMembers returns how many members are not drained.
 func (v *View) ServingMembers() (n int) {
 	for _, s := range v.Entries {
 		if s.IsMember && !s.Draining {
@@ -112,22 +114,23 @@
 	return n
 }
 
-// majority of the voters choose the next view.
+// majority returns how many voters must accept the next view for it to be chosen.
 func (v *View) majority() int { return len(v.Voters)/2 + 1 }
 
-// half of the voters, rounded up, renew a lease: they and a majority have one in common, and both halves
-// of a fleet that is cut in two go on with what they have.
-func (v *View) half() int { return (len(v.Voters) + 1) / 2 }
+// leaseQuorum returns how many voters must renew a lease: half of them, rounded up. Any such half has a voter
+// in common with any majority, and after a partition into two equal halves both keep the shares that they
+// have.
+func (v *View) leaseQuorum() int { return (len(v.Voters) + 1) / 2 }
 
-// unreleasedShare is what the owners of unreleased slots keep.
+// unreleasedShare returns the sum of the shares of the unreleased slots.
 func (v *View) unreleasedShare() uint64 { return v.slotShare() * uint64(len(v.UnreleasedSlots)) }
 
-// targetShare is the share that each member that serves is due.
+// targetShare returns the share that each serving member is to get in the end.
 func (v *View) targetShare() uint64 {
 	return (FullBudget - v.unreleasedShare()) / uint64(max(v.ServingMembers(), 1))
 }
 
-// Settled tells whether every share is at its target.
+// Settled reports whether every share is at its target.
 func (v *View) Settled() bool {
 	if v.Epoch == 0 {
 		return false
@@ -141,7 +144,7 @@
 	return true
 }
 
-// Hash tells two views of one epoch apart.
+// Hash distinguishes two views of one epoch.
 func (v *View) Hash() uint64 {
 	h := fnv.New64a()
 	put := func(s string) {
@@ -172,7 +175,7 @@
 	return h.Sum64()
 }
 
-// summary is a view in a few words.
+// summary describes the view for the log.
 func (v *View) summary() string {
 	b := []byte("epoch ")
 	b = appendUint(b, v.Epoch)
@@ -186,7 +189,7 @@
 	return string(b)
 }
 
-// appendUint appends a number's digits.
+// appendUint appends a number in decimal digits.
 func appendUint(b []byte, n uint64) []byte {
 	if n >= 10 {
 		b = appendUint(b, n/10)
@@ -194,44 +197,44 @@
 	return append(b, byte('0'+n%10))
 }
 
-// maxEntries bounds a view that comes from elsewhere.
+// maxEntries bounds the entries and the slots of a view that another relay has sent.
 const maxEntries = 1 << 16
 
-// ErrInvalidView is what Check finds of a view that no relay can have made.
+// ErrInvalidView is the error of Check for a view that no relay can have made.
 var ErrInvalidView = errors.New("invalid view")
 
-// Check tells what of a view that came from elsewhere could not be: an ErrInvalidView with its reason.
+// Check returns an ErrInvalidView with the reason if a view that another relay has sent cannot be valid.
 func (v *View) Check() error {
-	if reason := v.problem(); reason != "" {
+	if reason := v.invalidReason(); reason != "" {
 		return fmt.Errorf("%w: %s", ErrInvalidView, reason)
 	}
 	return nil
 }
 
-// problem is what is wrong with a view, "" if nothing is.
-func (v *View) problem() string {
+// invalidReason returns what is wrong with a view, "" if nothing is.
+func (v *View) invalidReason() string {
 	switch {
 	case v.Epoch == 0:
-		return "no epoch"
+		return "the epoch is 0"
 	case v.BootstrapSize < 1 || v.BootstrapSize > maxEntries:
-		return "bootstrap size out of bounds"
+		return "the bootstrap size is out of bounds"
 	case len(v.Entries) > maxEntries:
 		return "too many entries"
-	case !v.Allocation.valid():
+	case !v.Allocation.isValid():
 		return "invalid allocation"
 	case v.Allocation != nil && len(v.UnreleasedSlots) > 0:
-		return "an allocation beside unreleased slots"
+		return "an allocation and unreleased slots exclude each other"
 	case !v.validSlots():
 		return "invalid unreleased slots"
 	case !v.validEntries():
-		return "invalid entries, or shares over the full budget"
+		return "invalid entries, or shares that add up to more than the full budget"
 	case !v.validVoters():
 		return "invalid voters"
 	}
 	return ""
 }
 
-// validSlots tells whether the unreleased slots are of view 0, in order, none twice.
+// validSlots reports whether the unreleased slots are slots of view 0, sorted and without duplicates.
 func (v *View) validSlots() bool {
 	for i, slot := range v.UnreleasedSlots {
 		if slot < 0 || slot >= v.BootstrapSize || i > 0 && v.UnreleasedSlots[i-1] >= slot {
@@ -241,7 +244,7 @@
 	return true
 }
 
-// validEntries tells whether the entries are in order, and what all relays may take is within FullBudget.
+// validEntries reports whether the entries are sorted, and what all relays may take is within FullBudget.
 func (v *View) validEntries() bool {
 	sum := v.unreleasedShare()
 	for i, m := range v.Entries {
@@ -255,7 +258,7 @@
 	return true
 }
 
-// validVoters tells whether the voters are members, none twice, and not too many.
+// validVoters reports whether the voters are members, without duplicates, and not too many.
 func (v *View) validVoters() bool {
 	if len(v.Voters) == 0 || len(v.Voters) > MaxVoters {
 		return false
--- a/internal/fleet/membership/voting_test.go
+++ b/internal/fleet/membership/voting_test.go
@@ -28,12 +28,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var v voting
-			p := v.start("me", Ballot{}, 0)
+			p := v.startProposal("me", Ballot{}, 0)
 			for i, m := range c.promises {
 				p.addPromise([]string{"a", "b"}[i], m)
 			}
-			if p.highestAccepted != c.want || len(p.promises) != len(c.promises) {
-				t.Errorf("took %+v of %d promises, want %+v", p.highestAccepted, len(p.promises), c.want)
+			if p.highestAcceptedView != c.want || len(p.promises) != len(c.promises) {
+				t.Errorf("took %+v of %d promises, want %+v", p.highestAcceptedView, len(p.promises), c.want)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 func TestProposalsByRisingBallots(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	v := voting{changeWantedSince: -1, viewAcceptedAt: -1}
-	first := v.start("me", Ballot{Round: 4}, time.Second)
+	first := v.startProposal("me", Ballot{Round: 4}, time.Second)
 	if first.ballot != (Ballot{5, "me"}) || v.timedOut(time.Second+ballotTimeout-1) ||
 		!v.timedOut(time.Second+ballotTimeout) {
 		t.Errorf("the first proposal is %+v", first)
@@ -55,7 +55,7 @@
 		t.Errorf("after giving up: %+v", v)
 	}
 	v.highestRound = 9
-	if second := v.start("me", Ballot{Round: 4}, 2*time.Second); second.ballot.Round != 10 {
+	if second := v.startProposal("me", Ballot{Round: 4}, 2*time.Second); second.ballot.Round != 10 {
 		t.Errorf("the second ballot is %+v", second.ballot)
 	}
 	v.noteChangeWanted(true, 3*time.Second)
@@ -65,7 +65,7 @@
 		!v.takeoverDue(3*time.Second+acceptedTimeout) {
 		t.Errorf("wanted and accepted: %+v", v)
 	}
-	if v.viewAdopted(); v.proposal != nil || v.changeWantedSince >= 0 || v.takeoverDue(time.Hour) {
+	if v.onViewAdopted(); v.proposal != nil || v.changeWantedSince >= 0 || v.takeoverDue(time.Hour) {
 		t.Errorf("after a view was adopted: %+v", v)
 	}
 }
