--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -85,7 +85,7 @@
 func BenchmarkQuery(b *testing.B) {
 	const servers, rows = 200, 24 * 360
 	path := filepath.Join(b.TempDir(), "t.db")
-	s, err := store.Open(path, store.Options{MaxQueue: 1 << 22}, zerolog.Nop())
+	s, err := store.Open(path, store.Options{MaxQueuedRows: 1 << 22}, zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -6,10 +6,10 @@
 	e := l.streams[a.Stream]
 	switch {
 	case a.FencingToken != 0 && !l.canAcquire():
-		l.emit(Rejected{a.Handle, ErrServiceUnreachable, l.retryAfter(ErrServiceUnreachable)})
+		l.emit(AcquisitionRejected{a.Handle, ErrServiceUnreachable, l.retryAfter(ErrServiceUnreachable)})
 		return
 	case e != nil && e.taken():
-		l.emit(Rejected{a.Handle, ErrAlreadyOwned, l.retryAfter(ErrAlreadyOwned)})
+		l.emit(AcquisitionRejected{a.Handle, ErrAlreadyOwned, l.retryAfter(ErrAlreadyOwned)})
 		return
 	case e == nil:
 		e = &entry{stream: a.Stream, phase: waitingForService}
@@ -107,5 +107,5 @@
 	e.desired = e.record
 	e.answered = true
 	delete(l.undecided, e.handle)
-	l.emit(Acquired{Handle: e.handle, FencingToken: e.record.FencingToken})
+	l.emit(StreamAcquired{Handle: e.handle, FencingToken: e.record.FencingToken})
 }
--- a/internal/ownership/action.go
+++ b/internal/ownership/action.go
@@ -19,12 +19,13 @@
 	Record  Record
 }
 
-// Acquired says that the caller owns the stream, with this fencing token, until it releases it or
+// StreamAcquired says that the caller owns the stream, with this fencing token, until it releases it or
 // LeaseExpired comes.
-type Acquired struct{ Handle, FencingToken uint64 }
+type StreamAcquired struct{ Handle, FencingToken uint64 }
 
-// Rejected says that the caller does not get the stream. RetryAfter is 0 if a retry would not help.
-type Rejected struct {
+// AcquisitionRejected says that the caller does not get the stream. RetryAfter is 0 if a retry would not
+// help.
+type AcquisitionRejected struct {
 	Handle     uint64
 	Reason     RejectReason
 	RetryAfter time.Duration
@@ -34,14 +35,14 @@
 // it.
 type LeaseExpired struct{ Handle uint64 }
 
-// Released says that another relay can acquire the stream of a handle that was released.
-type Released struct{ Handle uint64 }
+// StreamReleased says that another relay can acquire the stream of a handle that was released.
+type StreamReleased struct{ Handle uint64 }
 
-func (Request) action()      {}
-func (Acquired) action()     {}
-func (Rejected) action()     {}
-func (LeaseExpired) action() {}
-func (Released) action()     {}
+func (Request) action()             {}
+func (StreamAcquired) action()      {}
+func (AcquisitionRejected) action() {}
+func (LeaseExpired) action()        {}
+func (StreamReleased) action()      {}
 
 // RequestKind is what is asked of the service.
 type RequestKind uint8
--- a/internal/ownership/entry.go
+++ b/internal/ownership/entry.go
@@ -30,7 +30,7 @@
 
 	callerState
 	callerReplaced bool   // the acquisition under way was for an earlier caller, whose token was another
-	releasing      uint64 // handle of the caller that waits for Released, 0 for none
+	releasing      uint64 // handle of the caller that waits for StreamReleased, 0 for none
 
 	record         Record // as the service has it, or will once the acquisition under way is done
 	version        int32  // of the record
@@ -44,7 +44,7 @@
 // callerState is who wants or has an entry's stream.
 type callerState struct {
 	handle        uint64 // 0 for nobody
-	answered      bool   // with Acquired
+	answered      bool   // with StreamAcquired
 	fencingToken  uint64 // of its client's token, 0 for a new stream
 	deadline      time.Duration
 	expiresUnixMs int64 // for the record
--- a/internal/ownership/event.go
+++ b/internal/ownership/event.go
@@ -9,8 +9,8 @@
 // Event is something that a Lease is notified of.
 type Event interface{ event() }
 
-// Acquire asks for a stream. It is answered by one Acquired or one Rejected; only a new stream's may wait for
-// the service without bound.
+// Acquire asks for a stream. It is answered by one StreamAcquired or one AcquisitionRejected; only a new
+// stream's may wait for the service without bound.
 type Acquire struct {
 	Handle        uint64 // names the caller; never used twice
 	Stream        token.StreamID
@@ -20,7 +20,7 @@
 }
 
 // Release says that the caller is done with a handle: the stream's last connection to a server is closed. It
-// is answered by one Released.
+// is answered by one StreamReleased.
 type Release struct{ Handle uint64 }
 
 // ExtendRecord moves the end of an owned stream's record. With TokenDelivered, the client is known to have
@@ -45,8 +45,8 @@
 // SessionExpired says that the service has forgotten the session, and its holder nodes with it.
 type SessionExpired struct{}
 
-// Renewed says that something sent at SentAt was answered: the session's timeout began no earlier.
-type Renewed struct{ SentAt time.Duration }
+// SessionRenewed says that something sent at SentAt was answered: the session's timeout began no earlier.
+type SessionRenewed struct{ SentAt time.Duration }
 
 // Reply ends a Request.
 type Reply struct {
@@ -66,6 +66,6 @@
 func (SessionConnected) event()    {}
 func (SessionDisconnected) event() {}
 func (SessionExpired) event()      {}
-func (Renewed) event()             {}
+func (SessionRenewed) event()      {}
 func (Reply) event()               {}
 func (Tick) event()                {}
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -12,11 +12,13 @@
 //
 // Its invariants, which the model test checks against an adversary:
 //
-//   - One owner: Acquired is emitted only for a holder that this session created, and only before ValidUntil.
-//     Every owned stream has LeaseExpired at ValidUntil, ExpiryMargin before another relay can acquire it.
+//   - One owner: StreamAcquired is emitted only for a holder that this session created, and only before
+//     ValidUntil. Every owned stream has LeaseExpired at ValidUntil, ExpiryMargin before another relay can
+//     acquire it.
 //   - Fencing: the token of each acquisition of a stream is higher than that of the one before, and a
 //     client's token below the record's MinFencingToken is never acquired with.
-//   - One answer: each Acquire has one Acquired or one Rejected, and nothing after a Release but Released.
+//   - One answer: each Acquire has one StreamAcquired or one AcquisitionRejected, and nothing after a Release
+//     but StreamReleased.
 //   - Own nodes only: a holder is deleted only if this session owns it. One that may be this session's,
 //     because a reply is missing, is checked before anything else is done with its stream.
 //   - Bounded memory: an entry lives while it has a caller, a request under way, or a holder to clean up.
@@ -91,7 +93,7 @@
 func (l *Lease) Handle(now time.Duration, ev Event, out []Action) []Action {
 	l.now, l.actions = now, out
 	// After a clock jump, or a sleep of the process, the lease expires before the event has its effect.
-	// Renewed and SessionConnected are of before that sleep and are taken first.
+	// SessionRenewed and SessionConnected are of before that sleep and are taken first.
 	l.renew(ev)
 	l.expireLease()
 	switch e := ev.(type) {
--- a/internal/ownership/model_adversary_test.go
+++ b/internal/ownership/model_adversary_test.go
@@ -78,7 +78,7 @@
 	}
 	f := r.wire[0]
 	r.wire = r.wire[1:]
-	w.deliver(i, Renewed{f.sentAt})
+	w.deliver(i, SessionRenewed{f.sentAt})
 	if f.request.ID != 0 {
 		w.deliver(i, f.reply)
 	}
--- a/internal/ownership/model_world_test.go
+++ b/internal/ownership/model_world_test.go
@@ -128,9 +128,9 @@
 				w.fail("a request without a connection: %+v", a)
 			}
 			r.wire = append(r.wire, &inFlight{request: a, sentAt: now})
-		case Acquired:
+		case StreamAcquired:
 			w.acquired(r.callers[a.Handle], a)
-		case Rejected:
+		case AcquisitionRejected:
 			w.checkRejected(r.callers[a.Handle], a)
 			delete(r.callers, a.Handle)
 		case LeaseExpired:
@@ -145,7 +145,7 @@
 }
 
 // acquired checks that a caller is answered once, that fencing tokens rise, and that no stale token acquires.
-func (w *world) acquired(c *caller, a Acquired) {
+func (w *world) acquired(c *caller, a StreamAcquired) {
 	if c.answers++; c.answers > 1 {
 		w.fail("two answers for %+v", c)
 	}
@@ -164,7 +164,7 @@
 
 // checkRejected checks that a caller is answered once, and told to retry where that can help, within a
 // session.
-func (w *world) checkRejected(c *caller, a Rejected) {
+func (w *world) checkRejected(c *caller, a AcquisitionRejected) {
 	if c.answers++; c.answers > 1 {
 		w.fail("two answers for %+v", c)
 	}
--- a/internal/ownership/reject.go
+++ b/internal/ownership/reject.go
@@ -55,7 +55,7 @@
 // created for it stays the entry's to clean up.
 func (l *Lease) reject(e *entry, reason RejectReason) {
 	if !e.answered {
-		l.emit(Rejected{Handle: e.handle, Reason: reason, RetryAfter: l.retryAfter(reason)})
+		l.emit(AcquisitionRejected{Handle: e.handle, Reason: reason, RetryAfter: l.retryAfter(reason)})
 	}
 	l.detachCaller(e)
 	if e.phase == waitingForService {
--- a/internal/ownership/release.go
+++ b/internal/ownership/release.go
@@ -4,14 +4,14 @@
 func (l *Lease) handleRelease(handle uint64) {
 	e := l.byHandle[handle]
 	if e == nil {
-		l.emit(Released{handle})
+		l.emit(StreamReleased{handle})
 		return
 	}
 	l.detachCaller(e)
 	switch e.phase {
 	case waitingForService, sessionLost:
 		l.removeEntry(e)
-		l.emit(Released{handle})
+		l.emit(StreamReleased{handle})
 	case owned, expired:
 		e.releasing = handle
 		if l.connected {
@@ -20,7 +20,7 @@
 			e.phase = uncertain
 		}
 	default: // the reply to the request under way finds no caller
-		l.emit(Released{handle})
+		l.emit(StreamReleased{handle})
 	}
 }
 
@@ -49,7 +49,7 @@
 // acquires the stream, else the stream is forgotten.
 func (l *Lease) continueWithoutHolder(e *entry) {
 	if e.releasing != 0 {
-		l.emit(Released{e.releasing})
+		l.emit(StreamReleased{e.releasing})
 		e.releasing = 0
 	}
 	if e.handle == 0 {
--- a/internal/ownership/session.go
+++ b/internal/ownership/session.go
@@ -3,7 +3,7 @@
 // renew notes when the session was last proven to stand.
 func (l *Lease) renew(ev Event) {
 	switch e := ev.(type) {
-	case Renewed:
+	case SessionRenewed:
 		l.renewedAt = max(l.renewedAt, e.SentAt)
 	case SessionConnected:
 		if e.SessionID == l.sessionID {
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -111,7 +111,7 @@
 
 // Answered notifies the Lease that something sent at that time was answered.
 func (e *sessionEvents) Answered(sentAt time.Duration) {
-	(*Service)(e).enqueue(ownership.Renewed{SentAt: sentAt})
+	(*Service)(e).enqueue(ownership.SessionRenewed{SentAt: sentAt})
 }
 
 // ancestors lists a path and those above it, the topmost first.
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -21,8 +21,8 @@
 	r.resumeStreams(t, old[:1]) // owned since long ago
 	r.setWallClock(now)
 	r.service.Sweep(t.Context())
-	if left := zk.Nodes("/a/streams/"); len(left) != 2+1+1 || r.service.Stats().Swept != 2 {
-		t.Errorf("%d swept, left: %q", r.service.Stats().Swept, left)
+	if left := zk.Nodes("/a/streams/"); len(left) != 2+1+1 || r.service.Stats().RecordsSwept != 2 {
+		t.Errorf("%d swept, left: %q", r.service.Stats().RecordsSwept, left)
 	}
 }
 
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -32,7 +32,8 @@
 
 // Stats count since the start: streams acquired, rejected by reason and expired, and records swept.
 type Stats struct {
-	Acquired, AlreadyOwned, StaleToken, UnknownStream, ServiceUnreachable, TimedOut, Expired, Swept uint64
+	Acquired, AlreadyOwned, StaleToken, UnknownStream, ServiceUnreachable, TimedOut,
+	LeasesExpired, RecordsSwept uint64
 }
 
 // Service is one relay's. Its methods never block, but for Run, Sweep and Close.
@@ -168,17 +169,17 @@
 		switch a := act.(type) {
 		case ownership.Request:
 			s.sendRequest(a)
-		case ownership.Acquired:
+		case ownership.StreamAcquired:
 			s.increment(&s.stats.Acquired)
 			s.streams[a.Handle].handleAcquired(a.FencingToken)
-		case ownership.Rejected:
+		case ownership.AcquisitionRejected:
 			s.handleRejected(a)
 		case ownership.LeaseExpired:
-			s.increment(&s.stats.Expired)
+			s.increment(&s.stats.LeasesExpired)
 			if st := s.streams[a.Handle]; st != nil {
 				st.handleLeaseExpired()
 			}
-		case ownership.Released:
+		case ownership.StreamReleased:
 			if st := s.streams[a.Handle]; st != nil {
 				delete(s.streams, a.Handle)
 				st.markReleased()
@@ -188,7 +189,7 @@
 }
 
 // handleRejected answers a stream whose acquisition was rejected.
-func (s *Service) handleRejected(a ownership.Rejected) {
+func (s *Service) handleRejected(a ownership.AcquisitionRejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
 	answer := relay.Answer{Kind: relay.Rejected, RetryAfter: a.RetryAfter}
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -64,7 +64,7 @@
 		}
 		s.session.Delete(record, a.Stat.Version, func(a zookeeper.Answer) {
 			if a.Code == zookeeper.OK {
-				s.increment(&s.stats.Swept)
+				s.increment(&s.stats.RecordsSwept)
 			}
 			done()
 		})
--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -62,7 +62,7 @@
 			return nil
 		}
 		if v := b.Get(versionKey); len(v) == 1 && v[0] > FormatVersion {
-			return fmt.Errorf("%w (%d; this is %d)", ErrNewer, v[0], FormatVersion)
+			return fmt.Errorf("%w (%d; this is %d)", ErrNewerVersion, v[0], FormatVersion)
 		}
 		return nil
 	})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,23 +13,23 @@
 // FormatVersion is what this program writes. A file of a higher one is rejected.
 const FormatVersion = 1
 
-// defaultQueue is Options.MaxQueue where that is 0.
+// defaultQueue is Options.MaxQueuedRows where that is 0.
 const defaultQueue = 65536
 
 // Why a file cannot be used.
 var (
-	ErrNewer   = errors.New("written by a newer version")
-	ErrInUse   = errors.New("in use by another process")
-	ErrDamaged = errors.New("damaged")
-	ErrNotOpen = errors.New("not open")
+	ErrNewerVersion = errors.New("written by a newer version")
+	ErrInUse        = errors.New("in use by another process")
+	ErrDamaged      = errors.New("damaged")
+	ErrNotOpen      = errors.New("not open")
 )
 
 // Options bound a store.
 type Options struct {
-	MaxBytes int64         // of the file; the oldest rows go beyond it; 0 for no bound
-	MaxAge   time.Duration // of rows, by their own times against the newest; 0 for no bound
-	MaxQueue int           // rows that wait to be written; 0 for 65536
-	ReadOnly bool
+	MaxBytes      int64         // of the file; the oldest rows go beyond it; 0 for no bound
+	MaxAge        time.Duration // of rows, by their own times against the newest; 0 for no bound
+	MaxQueuedRows int           // rows that wait to be written; 0 for 65536
+	ReadOnly      bool
 }
 
 // row is one row on its way to the file.
@@ -55,11 +55,11 @@
 	newestMs int64 // time of the newest row that was appended
 }
 
-// Open opens or makes a file. The error names it; ErrNewer and ErrDamaged want a person. The Store is
+// Open opens or makes a file. The error names it; ErrNewerVersion and ErrDamaged want a person. The Store is
 // returned with an error too: one that is Run goes on trying.
 func Open(path string, o Options, log zerolog.Logger) (*Store, error) {
-	if o.MaxQueue == 0 {
-		o.MaxQueue = defaultQueue
+	if o.MaxQueuedRows == 0 {
+		o.MaxQueuedRows = defaultQueue
 	}
 	s := &Store{Options: o, path: path, log: log, flushRequests: make(chan chan struct{})}
 	return s, s.open()
@@ -110,7 +110,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.newestMs = max(s.newestMs, atMs)
-	if len(s.queue) >= s.MaxQueue {
+	if len(s.queue) >= s.MaxQueuedRows {
 		s.queue = append(s.queue[:0], s.queue[1:]...)
 		s.dropped++
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -153,7 +153,7 @@
 		return tx.Bucket(metaBucket).Put(versionKey, []byte{FormatVersion + 1})
 	})
 	db.Close()
-	if _, err := Open(path, Options{}, zerolog.Nop()); !errors.Is(err, ErrNewer) {
+	if _, err := Open(path, Options{}, zerolog.Nop()); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("of a newer version: %v", err)
 	}
 }
@@ -161,7 +161,7 @@
 // No disk, then one: rows wait in a bounded queue, and are written once there is a file.
 func TestRowsWaitForADisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
-	s, err := Open(filepath.Join(dir, "s.db"), Options{MaxQueue: 10}, zerolog.Nop())
+	s, err := Open(filepath.Join(dir, "s.db"), Options{MaxQueuedRows: 10}, zerolog.Nop())
 	if err == nil {
 		t.Fatal("opened in a folder that is not there")
 	}
@@ -185,7 +185,7 @@
 
 // Rows over the age go, and the oldest where the file is over its size; state has no age.
 func TestAgeAndSizeAreBounded(t *testing.T) {
-	byAge := Options{MaxAge: 500 * time.Millisecond, MaxQueue: 1 << 20}
+	byAge := Options{MaxAge: 500 * time.Millisecond, MaxQueuedRows: 1 << 20}
 	s := openStore(t, filepath.Join(t.TempDir(), "s.db"), byAge)
 	for i := range 2000 {
 		s.Append("rows", int64(i), "a", nil)
@@ -198,7 +198,7 @@
 	if v, _ := s.Get("state", "kept"); v == nil {
 		t.Error("state has no age")
 	}
-	s = openStore(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxBytes: 1 << 20, MaxQueue: 1 << 20})
+	s = openStore(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxBytes: 1 << 20, MaxQueuedRows: 1 << 20})
 	for i := range 100 {
 		for j := range 100 {
 			s.Append("rows", int64(i*100+j), "a", bytes.Repeat([]byte{1}, 1000))
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -100,7 +100,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queue = append(rows, s.queue...)
-	if over := len(s.queue) - s.MaxQueue; over > 0 {
+	if over := len(s.queue) - s.MaxQueuedRows; over > 0 {
 		s.queue = s.queue[over:]
 		s.dropped += uint64(over)
 	}
--- a/internal/token/ring.go
+++ b/internal/token/ring.go
@@ -87,8 +87,8 @@
 	return m
 }()
 
-// Seal makes the token's text. It returns ErrTooLong if the class and the tenant have names that no token can
-// hold; names of machines are cut.
+// Seal makes the token's text. It returns ErrNamesTooLong if the class and the tenant have names that no
+// token can hold; names of machines are cut.
 func (r *KeyRing) Seal(t *Token) (string, error) {
 	short := *t
 	short.Server, short.Relay = truncateName(t.Server), truncateName(t.Relay)
@@ -100,7 +100,7 @@
 	c := r.ciphers[r.sealingID]
 	sealedLen := c.NonceSize() + len(body) + c.Overhead()
 	if len(head)+base64.RawURLEncoding.EncodedLen(sealedLen) > MaxTokenLen {
-		return "", ErrTooLong
+		return "", ErrNamesTooLong
 	}
 	nonce := make([]byte, c.NonceSize(), sealedLen)
 	if _, err := io.ReadFull(r.random, nonce); err != nil {
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -17,12 +17,12 @@
 
 // Why a token is rejected by Open or Check, or cannot be made by Seal.
 var (
-	ErrMalformed  = errors.New("malformed token")
-	ErrUnknownKey = errors.New("token sealed by an unknown key")
-	ErrForged     = errors.New("token not authentic")
-	ErrExpired    = errors.New("token expired")
-	ErrMismatch   = errors.New("token of another stream")
-	ErrTooLong    = errors.New("names too long for a token")
+	ErrMalformed       = errors.New("malformed token")
+	ErrUnknownKey      = errors.New("token sealed by an unknown key")
+	ErrForged          = errors.New("token not authentic")
+	ErrExpired         = errors.New("token expired")
+	ErrRequestMismatch = errors.New("token of another stream")
+	ErrNamesTooLong    = errors.New("names too long for a token")
 )
 
 // StreamID names a stream at all relays and servers. It is random and says nothing.
@@ -63,15 +63,15 @@
 	return Binding{Class: t.Class, Tenant: t.Tenant, Key: t.Key, Group: t.Group}
 }
 
-// Check tells whether the token is for such a request now; it returns ErrExpired or ErrMismatch if not. Wall
-// clocks may differ by skew.
+// Check tells whether the token is for such a request now; it returns ErrExpired or ErrRequestMismatch if
+// not. Wall clocks may differ by skew.
 func (t *Token) Check(request Binding, now time.Time, skew time.Duration) error {
 	nowMs, skewMs := now.UnixMilli(), skew.Milliseconds()
 	switch {
 	case nowMs > t.ExpiresUnixMs+skewMs || nowMs < t.IssuedUnixMs-skewMs:
 		return ErrExpired
 	case t.Binding() != request:
-		return ErrMismatch
+		return ErrRequestMismatch
 	}
 	return nil
 }
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("long names of machines: %d bytes, %v", len(text), err)
 	}
 	long.Tenant = strings.Repeat("t", 300)
-	if _, err := old.Seal(long); !errors.Is(err, ErrTooLong) {
+	if _, err := old.Seal(long); !errors.Is(err, ErrNamesTooLong) {
 		t.Errorf("a tenant of 300 bytes: %v", err)
 	}
 }
@@ -118,10 +118,10 @@
 		want    error
 	}{
 		{"as given", own, at, nil},
-		{"another class", other(func(b *Binding) { b.Class = "zoom" }), at, ErrMismatch},
-		{"another tenant", other(func(b *Binding) { b.Tenant = "surf" }), at, ErrMismatch},
-		{"another key", other(func(b *Binding) { b.Key = 1 }), at, ErrMismatch},
-		{"another group", other(func(b *Binding) { b.Group = 1 }), at, ErrMismatch},
+		{"another class", other(func(b *Binding) { b.Class = "zoom" }), at, ErrRequestMismatch},
+		{"another tenant", other(func(b *Binding) { b.Tenant = "surf" }), at, ErrRequestMismatch},
+		{"another key", other(func(b *Binding) { b.Key = 1 }), at, ErrRequestMismatch},
+		{"another group", other(func(b *Binding) { b.Group = 1 }), at, ErrRequestMismatch},
 		{"late within the skew", own, k.ExpiresUnixMs + 900, nil},
 		{"expired", own, k.ExpiresUnixMs + 1001, ErrExpired},
 		{"from the future", own, k.IssuedUnixMs - 1001, ErrExpired},
@@ -169,7 +169,7 @@
 		buf := c.Seal(make([]byte, 24), make([]byte, 24), body, []byte(head))
 		text := head + base64.RawURLEncoding.EncodeToString(buf)
 		if got, err := r.Open(text); err == nil {
-			if _, err := r.Seal(got); err != nil && !errors.Is(err, ErrTooLong) {
+			if _, err := r.Seal(got); err != nil && !errors.Is(err, ErrNamesTooLong) {
 				t.Error(err)
 			}
 		}
