--- a/internal/ownership/acquire.go
+++ b/internal/ownership/acquire.go
@@ -1,56 +1,57 @@
 package ownership
 
-// handleAcquire takes a caller's wish for a stream. An entry without a caller is one whose holder is being
-// deleted or checked: the new caller waits for that.
+// handleAcquire starts an acquisition, or rejects it if the stream is in use or the service cannot be
+// reached. An entry without a caller is one whose holder is still being deleted or checked; the new caller
+// waits until that has finished.
 func (l *Lease) handleAcquire(a Acquire) {
 	e := l.streams[a.Stream]
 	switch {
 	case a.FencingToken != 0 && !l.canAcquire():
 		l.emit(AcquisitionRejected{a.Handle, ErrServiceUnreachable, l.retryAfter(ErrServiceUnreachable)})
 		return
-	case e != nil && e.taken():
+	case e != nil && e.inUse():
 		l.emit(AcquisitionRejected{a.Handle, ErrAlreadyOwned, l.retryAfter(ErrAlreadyOwned)})
 		return
 	case e == nil:
-		e = &entry{stream: a.Stream, phase: waitingForService}
+		e = &streamEntry{stream: a.Stream, phase: phaseWaitingForService}
 		l.streams[a.Stream] = e
 	}
 	l.attachCaller(e, a)
-	e.callerReplaced = e.phase == acquiring
-	if e.phase == waitingForService {
+	e.callerReplaced = e.phase == phaseAcquiring
+	if e.phase == phaseWaitingForService {
 		l.startAcquisition(e)
 	}
 }
 
-// taken tells whether the stream has a caller, or one that is still ending it.
-func (e *entry) taken() bool {
-	return e.handle != 0 || e.phase == expired || e.phase == sessionLost
+// inUse reports whether the stream has a caller, including one that is ending it after the lease was lost.
+func (e *streamEntry) inUse() bool {
+	return e.callerHandle != 0 || e.phase == phaseLeaseExpired || e.phase == phaseSessionLost
 }
 
-// startAcquisition begins to acquire a stream that no request is under way for. A new stream is created; one
-// that is resumed has its record read first.
-func (l *Lease) startAcquisition(e *entry) {
+// startAcquisition begins to acquire a stream for which no request is in flight. The record of a new stream
+// is created; the record of a resumed stream is read first.
+func (l *Lease) startAcquisition(e *streamEntry) {
 	switch {
 	case !l.canAcquire():
-		e.phase = waitingForService
-	case e.fencingToken == 0 && !e.createSent:
+		e.phase = phaseWaitingForService
+	case e.clientFencingToken == 0 && !e.createSent:
 		e.createSent = true
 		e.record = Record{FencingToken: 1, ExpiresUnixMs: e.expiresUnixMs}
-		l.enterPhase(e, acquiring, CreateAndAcquire, e.record)
+		l.enterPhase(e, phaseAcquiring, CreateAndAcquire, e.record)
 	default:
-		l.enterPhase(e, readingRecord, ReadRecord, Record{})
+		l.enterPhase(e, phaseReadingRecord, ReadRecord, Record{})
 	}
 }
 
-// handleReadReply goes on with an acquisition once the stream's record is known: it is rejected by the
-// fencing token of the client's token, or asks for the holder.
-func (l *Lease) handleReadReply(e *entry, r Reply) {
-	isNew := e.fencingToken == 0
+// handleReadReply continues an acquisition after the stream's record was read. It rejects the caller if the
+// fencing token of the client's resume token does not fit the record, and otherwise requests the holder node.
+func (l *Lease) handleReadReply(e *streamEntry, r Reply) {
+	isNew := e.clientFencingToken == 0
 	switch {
-	case e.handle == 0:
+	case e.callerHandle == 0:
 		l.removeEntry(e)
 	case r.Code == NoReply && isNew:
-		e.phase = waitingForService
+		e.phase = phaseWaitingForService
 	case r.Code == NoReply, r.Code == ServiceError:
 		l.rejectAndRemove(e, ErrServiceUnreachable)
 	case r.Code == NotFound && isNew:
@@ -58,54 +59,55 @@
 		l.startAcquisition(e)
 	case r.Code == NotFound:
 		l.rejectAndRemove(e, ErrUnknownStream)
-	case !isNew && e.fencingToken < r.Record.MinFencingToken:
+	case !isNew && e.clientFencingToken < r.Record.MinFencingToken:
 		l.rejectAndRemove(e, ErrStaleToken)
-	case e.fencingToken > r.Record.FencingToken:
+	case e.clientFencingToken > r.Record.FencingToken:
 		l.rejectAndRemove(e, ErrUnknownStream)
 	default:
 		e.version = r.Version
 		e.record = r.Record
 		e.record.FencingToken++
 		e.record.ExpiresUnixMs = max(e.record.ExpiresUnixMs, e.expiresUnixMs)
-		l.enterPhase(e, acquiring, UpdateAndAcquire, e.record)
+		l.enterPhase(e, phaseAcquiring, UpdateAndAcquire, e.record)
 	}
 }
 
-// handleAcquireReply ends an acquisition, or cleans up after one that nobody wants any more.
-func (l *Lease) handleAcquireReply(e *entry, r Reply) {
-	orphaned := e.handle == 0 || e.callerReplaced
+// handleAcquireReply ends an acquisition. If its caller has gone or was replaced, it deletes the holder node
+// that the acquisition created.
+func (l *Lease) handleAcquireReply(e *streamEntry, r Reply) {
+	orphaned := e.callerHandle == 0 || e.callerReplaced
 	e.callerReplaced = false
 	switch {
 	case r.Code == NoReply, r.Code == ServiceError:
-		e.phase = uncertain
+		e.phase = phaseHolderUncertain
 	case r.Code != OK && orphaned:
 		l.continueWithoutHolder(e)
-	case r.Code != OK && e.fencingToken == 0: // a new stream's record exists, by a reply that was lost
+	case r.Code != OK && e.clientFencingToken == 0: // an earlier request without a reply created the record
 		l.startAcquisition(e)
 	case r.Code == NotFound:
 		l.rejectAndRemove(e, ErrUnknownStream)
 	case r.Code != OK:
 		l.rejectAndRemove(e, ErrAlreadyOwned)
 	case orphaned:
-		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
-	case !l.canAcquire(): // a reply that took too long proves nothing about now
-		if e.fencingToken != 0 {
+		l.enterPhase(e, phaseDeletingHolder, DeleteHolder, Record{})
+	case !l.canAcquire(): // the lease expired before the reply arrived
+		if e.clientFencingToken != 0 {
 			l.reject(e, ErrTimedOut)
 		}
-		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+		l.enterPhase(e, phaseDeletingHolder, DeleteHolder, Record{})
 	default:
 		l.grantOwnership(e, r.Version)
 	}
 }
 
-// grantOwnership gives the caller the stream, whose holder this session has created.
-func (l *Lease) grantOwnership(e *entry, version int32) {
-	e.phase = owned
+// grantOwnership notifies the caller that it owns the stream; this session has created its holder node.
+func (l *Lease) grantOwnership(e *streamEntry, version int32) {
+	e.phase = phaseOwned
 	e.version = version
 	e.versionUnknown = false
-	e.updateID = 0
-	e.desired = e.record
-	e.answered = true
-	delete(l.undecided, e.handle)
-	l.emit(StreamAcquired{Handle: e.handle, FencingToken: e.record.FencingToken})
+	e.updateRequestID = 0
+	e.desiredRecord = e.record
+	e.acquiredEmitted = true
+	delete(l.pendingResumes, e.callerHandle)
+	l.emit(StreamAcquired{Handle: e.callerHandle, FencingToken: e.record.FencingToken})
 }
--- a/internal/ownership/action.go
+++ b/internal/ownership/action.go
@@ -7,23 +7,24 @@
 	"capersail/internal/token"
 )
 
-// Action is something that a Lease wants done.
+// Action is an instruction of a Lease to the code that drives it.
 type Action interface{ action() }
 
-// Request is a request to the service. Requests are sent in the order in which they are emitted.
+// Request is a request to the ownership service. Requests must be sent in the order in which they are
+// emitted.
 type Request struct {
 	ID      uint64
 	Kind    RequestKind
 	Stream  token.StreamID
-	Version int32 // that the record must have
+	Version int32 // version that the record must have for the request to succeed
 	Record  Record
 }
 
-// StreamAcquired says that the caller owns the stream, with this fencing token, until it releases it or
-// LeaseExpired comes.
+// StreamAcquired tells the caller that it owns the stream under FencingToken, until it releases the stream or
+// receives LeaseExpired.
 type StreamAcquired struct{ Handle, FencingToken uint64 }
 
-// AcquisitionRejected says that the caller does not get the stream. RetryAfter is 0 if a retry would not
+// AcquisitionRejected tells the caller that the stream was not acquired. RetryAfter is 0 if a retry would not
 // help.
 type AcquisitionRejected struct {
 	Handle     uint64
@@ -31,11 +32,11 @@
 	RetryAfter time.Duration
 }
 
-// LeaseExpired says that ownership may be lost: the caller ends the stream within ExpiryMargin, then releases
-// it.
+// LeaseExpired tells the caller that its ownership may be lost. The caller must end the stream within
+// ExpiryMargin and then release it.
 type LeaseExpired struct{ Handle uint64 }
 
-// StreamReleased says that another relay can acquire the stream of a handle that was released.
+// StreamReleased tells the caller that other relays can now acquire the stream that it released.
 type StreamReleased struct{ Handle uint64 }
 
 func (Request) action()             {}
@@ -44,16 +45,16 @@
 func (LeaseExpired) action()        {}
 func (StreamReleased) action()      {}
 
-// RequestKind is what is asked of the service.
+// RequestKind is the operation that a Request asks for.
 type RequestKind uint8
 
-// The requests to the service. The holder is the ephemeral node under a stream's record.
+// The kinds of requests. The holder is the ephemeral node below a stream's record.
 const (
-	ReadRecord       RequestKind = iota // the record and its version
-	CreateAndAcquire                    // one transaction: create the record, create the holder
-	UpdateAndAcquire                    // one transaction: set the record of Version, create the holder
-	CheckHolder                         // who owns the holder, after a sync
-	DeleteHolder                        // the holder
+	ReadRecord       RequestKind = iota // read the record and its version
+	CreateAndAcquire                    // create the record and the holder, atomically
+	UpdateAndAcquire                    // if the record has Version: set it, create the holder, atomically
+	CheckHolder                         // sync, then read which session owns the holder
+	DeleteHolder                        // delete the holder
 	UpdateRecord                        // set the record if it has Version
 )
 
@@ -66,20 +67,20 @@
 	UpdateRecord:     "update record",
 }
 
-// String names the kind.
+// String returns the name of the kind.
 func (k RequestKind) String() string { return nameOf(requestKindNames[:], int(k), "request kind") }
 
-// ReplyCode is how a request to the service ended.
+// ReplyCode is the result of a request to the ownership service.
 type ReplyCode uint8
 
 // The reply codes.
 const (
 	OK              ReplyCode = iota
-	NotFound                  // no record; of CheckHolder and DeleteHolder no holder
-	AlreadyExists             // the holder, or of CreateAndAcquire the record, exists
-	VersionMismatch           // another relay has changed the record meanwhile
-	NoReply                   // it may have been done, or may not
-	ServiceError              // failed for a reason that says nothing of the ownership
+	NotFound                  // no record; for CheckHolder and DeleteHolder: no holder
+	AlreadyExists             // the holder exists; for CreateAndAcquire also: the record exists
+	VersionMismatch           // another relay has changed the record in the meantime
+	NoReply                   // the connection was lost; the request may or may not have been executed
+	ServiceError              // failed for a reason that does not tell who owns the stream
 )
 
 var replyCodeNames = [...]string{
@@ -91,10 +92,11 @@
 	ServiceError:    "service error",
 }
 
-// String names the code.
+// String returns the name of the code.
 func (c ReplyCode) String() string { return nameOf(replyCodeNames[:], int(c), "reply code") }
 
-// nameOf is a value's name in its type's table, and the number of one that is not there.
+// nameOf returns the name of a value from its type's table, or the number of a value that is not in the
+// table.
 func nameOf(names []string, value int, what string) string {
 	if value < len(names) {
 		return names[value]
--- a/internal/ownership/entry.go
+++ b/internal/ownership/entry.go
@@ -7,93 +7,95 @@
 	"capersail/internal/token"
 )
 
-// phase is where a stream stands.
+// phase is the state of a stream at this relay.
 type phase uint8
 
 const (
-	waitingForService phase = iota // a new stream, until the service can be asked
-	readingRecord                  // ReadRecord is under way
-	acquiring                      // CreateAndAcquire or UpdateAndAcquire is under way
-	uncertain                      // the holder may exist and be ours: it is checked once connected
-	checkingHolder                 // CheckHolder is under way
-	owned                          // the caller may serve it
-	expired                        // may be lost; the caller is ending it
-	sessionLost                    // surely lost; the caller is ending it
-	deletingHolder                 // DeleteHolder is under way
+	phaseWaitingForService phase = iota // a new stream; the service cannot be reached yet
+	phaseReadingRecord                  // ReadRecord is in flight
+	phaseAcquiring                      // CreateAndAcquire or UpdateAndAcquire is in flight
+	phaseHolderUncertain                // this session may own a holder, which is checked once connected
+	phaseCheckingHolder                 // CheckHolder is in flight
+	phaseOwned                          // the caller may serve the stream
+	phaseLeaseExpired                   // ownership may be lost; the caller is ending the stream
+	phaseSessionLost                    // ownership is lost; the caller is ending the stream
+	phaseDeletingHolder                 // DeleteHolder is in flight
 )
 
-// entry is one stream at this relay.
-type entry struct {
+// streamEntry is the state of one stream at this relay.
+type streamEntry struct {
 	stream    token.StreamID
 	phase     phase
-	requestID uint64 // that the phase waits for
+	requestID uint64 // request whose reply the phase waits for
 
 	callerState
-	callerReplaced bool   // the acquisition under way was for an earlier caller, whose token was another
-	releasing      uint64 // handle of the caller that waits for StreamReleased, 0 for none
+	callerReplaced  bool   // the acquisition in flight was started by an earlier caller with another token
+	releasingHandle uint64 // handle of the caller that waits for StreamReleased; 0 for none
 
-	record         Record // as the service has it, or will once the acquisition under way is done
+	record         Record // as stored by the service, or as the acquisition in flight will store it
 	version        int32  // of the record
-	versionUnknown bool   // a reply to an update is missing: it is read before the next
+	versionUnknown bool   // the reply to an update was lost: the record is read before the next update
 
-	desired    Record // what an owned stream's record is to become
-	updateSent Record // what the UpdateRecord under way makes of it
-	updateID   uint64 // of the ReadRecord or UpdateRecord that leads to it, 0 if none is under way
+	desiredRecord   Record // contents that the record of an owned stream is to get
+	sentRecord      Record // contents in the UpdateRecord that is in flight
+	updateRequestID uint64 // the ReadRecord or UpdateRecord in flight for an update; 0 for none
 }
 
-// callerState is who wants or has an entry's stream.
+// callerState describes the caller that is acquiring or owns an entry's stream.
 type callerState struct {
-	handle        uint64 // 0 for nobody
-	answered      bool   // with StreamAcquired
-	fencingToken  uint64 // of its client's token, 0 for a new stream
-	deadline      time.Duration
-	expiresUnixMs int64 // for the record
-	createSent    bool  // a new stream's CreateAndAcquire was sent: its record may exist
+	callerHandle       uint64 // 0 for no caller
+	acquiredEmitted    bool   // StreamAcquired was emitted for this caller
+	clientFencingToken uint64 // from the client's resume token; 0 for a new stream
+	deadline           time.Duration
+	expiresUnixMs      int64 // expiry time to store in the record
+	createSent         bool  // CreateAndAcquire was sent for a new stream, so its record may exist
 }
 
-// attachCaller makes the entry one of a new caller's.
-func (l *Lease) attachCaller(e *entry, a Acquire) {
+// attachCaller assigns the entry to a new caller.
+func (l *Lease) attachCaller(e *streamEntry, a Acquire) {
 	e.callerState = callerState{
-		handle:        a.Handle,
-		fencingToken:  a.FencingToken,
-		deadline:      a.Deadline,
-		expiresUnixMs: a.ExpiresUnixMs,
+		callerHandle:       a.Handle,
+		clientFencingToken: a.FencingToken,
+		deadline:           a.Deadline,
+		expiresUnixMs:      a.ExpiresUnixMs,
 	}
 	l.byHandle[a.Handle] = e
 	if a.FencingToken != 0 {
-		l.undecided[a.Handle] = e
+		l.pendingResumes[a.Handle] = e
 	}
 }
 
-// detachCaller separates an entry from its caller, whose token and times stand for what is still under way.
-func (l *Lease) detachCaller(e *entry) {
-	delete(l.byHandle, e.handle)
-	delete(l.undecided, e.handle)
-	e.handle, e.answered = 0, false
+// detachCaller separates an entry from its caller. The caller's fencing token and times are kept, as requests
+// that are still in flight use them.
+func (l *Lease) detachCaller(e *streamEntry) {
+	delete(l.byHandle, e.callerHandle)
+	delete(l.pendingResumes, e.callerHandle)
+	e.callerHandle, e.acquiredEmitted = 0, false
 }
 
-// removeEntry forgets a stream.
-func (l *Lease) removeEntry(e *entry) {
+// removeEntry deletes a stream's entry.
+func (l *Lease) removeEntry(e *streamEntry) {
 	if l.streams[e.stream] == e {
 		delete(l.streams, e.stream)
 	}
-	if e.handle != 0 {
+	if e.callerHandle != 0 {
 		l.detachCaller(e)
 	}
 }
 
-// entriesWhere lists entries by stream id, so that a Lease with the same past does the same.
-func (l *Lease) entriesWhere(wanted func(*entry) bool) (all []*entry) {
+// entriesWhere returns the matching entries in the order of their stream ids, so that a Lease is
+// deterministic: the same events lead to the same actions.
+func (l *Lease) entriesWhere(matches func(*streamEntry) bool) (all []*streamEntry) {
 	for _, e := range l.streams {
-		if wanted(e) {
+		if matches(e) {
 			all = append(all, e)
 		}
 	}
-	slices.SortFunc(all, func(a, b *entry) int { return slices.Compare(a.stream[:], b.stream[:]) })
+	slices.SortFunc(all, func(a, b *streamEntry) int { return slices.Compare(a.stream[:], b.stream[:]) })
 	return all
 }
 
-// sortedEntries lists all entries by stream id.
-func (l *Lease) sortedEntries() []*entry {
-	return l.entriesWhere(func(*entry) bool { return true })
+// sortedEntries returns all entries in the order of their stream ids.
+func (l *Lease) sortedEntries() []*streamEntry {
+	return l.entriesWhere(func(*streamEntry) bool { return true })
 }
--- a/internal/ownership/event.go
+++ b/internal/ownership/event.go
@@ -6,58 +6,59 @@
 	"capersail/internal/token"
 )
 
-// Event is something that a Lease is notified of.
+// Event is an input of a Lease.
 type Event interface{ event() }
 
-// Acquire asks for a stream. It is answered by one StreamAcquired or one AcquisitionRejected; only a new
-// stream's may wait for the service without bound.
+// Acquire requests ownership of a stream. It is answered by one StreamAcquired or one AcquisitionRejected.
+// For a new stream the answer may take as long as the service is unreachable.
 type Acquire struct {
-	Handle        uint64 // names the caller; never used twice
+	Handle        uint64 // identifies the caller; never reused
 	Stream        token.StreamID
-	FencingToken  uint64        // of the client's token; 0 for a new stream
-	Deadline      time.Duration // instant at which a stream that is resumed is rejected at the latest
-	ExpiresUnixMs int64         // for the record
+	FencingToken  uint64        // from the client's resume token; 0 for a new stream
+	Deadline      time.Duration // instant at which the acquisition of a resumed stream is rejected
+	ExpiresUnixMs int64         // expiry time to store in the record
 }
 
-// Release says that the caller is done with a handle: the stream's last connection to a server is closed. It
-// is answered by one StreamReleased.
+// Release gives up a handle. The caller must have closed the stream's last connection to a server. It is
+// answered by one StreamReleased.
 type Release struct{ Handle uint64 }
 
-// ExtendRecord moves the end of an owned stream's record. With TokenDelivered, the client is known to have
-// the token of this acquisition, and earlier ones become stale.
+// ExtendRecord sets a later expiry time for the record of an owned stream. TokenDelivered means that the
+// client is known to have the resume token of this acquisition, so that earlier tokens become stale.
 type ExtendRecord struct {
 	Handle         uint64
 	TokenDelivered bool
 	ExpiresUnixMs  int64
 }
 
-// SessionConnected says that a session stands, a new one or one taken up again, by a request sent at SentAt.
+// SessionConnected reports that a new or resumed session is connected; the request for it was sent at SentAt.
 type SessionConnected struct {
 	SessionID int64
-	Timeout   time.Duration // as the service granted it
+	Timeout   time.Duration // as granted by the service
 	SentAt    time.Duration
 }
 
-// SessionDisconnected says that no replies come. Every request without a reply has been replied to with
-// NoReply.
+// SessionDisconnected reports that the connection to the service was lost. The driver has passed a Reply with
+// NoReply for every request that had no reply.
 type SessionDisconnected struct{}
 
-// SessionExpired says that the service has forgotten the session, and its holder nodes with it.
+// SessionExpired reports that the service has expired the session and deleted its holder nodes.
 type SessionExpired struct{}
 
-// SessionRenewed says that something sent at SentAt was answered: the session's timeout began no earlier.
+// SessionRenewed reports that the service has answered a message sent at SentAt, so the session's timeout
+// runs from SentAt or later.
 type SessionRenewed struct{ SentAt time.Duration }
 
-// Reply ends a Request.
+// Reply is the service's reply to a Request.
 type Reply struct {
 	RequestID    uint64
 	Code         ReplyCode
-	Version      int32  // of the record after the request
-	Record       Record // of ReadRecord
-	OwnerSession int64  // of CheckHolder: the session that owns the holder
+	Version      int32  // version of the record after the request
+	Record       Record // for ReadRecord: the record
+	OwnerSession int64  // for CheckHolder: the session that owns the holder
 }
 
-// Tick says that time has passed; NextTick says when the next is due.
+// Tick lets a Lease act on the passing of time; NextTick returns when the next one is due.
 type Tick struct{}
 
 func (Acquire) event()             {}
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -7,81 +7,83 @@
 	"capersail/internal/token"
 )
 
-// Lease is one relay's ownership of streams, all under the lease of one session with the service. It is a
-// state machine: events in, actions out. It is not safe for concurrent use.
+// Lease manages one relay's ownership of streams, all of which depend on the lease of one session with the
+// ownership service. It is a state machine that takes events and returns actions. It is not safe for
+// concurrent use.
 //
-// Its invariants, which the model test checks against an adversary:
+// Its invariants, which the model test checks under random faults:
 //
 //   - One owner: StreamAcquired is emitted only for a holder that this session created, and only before
-//     ValidUntil. Every owned stream has LeaseExpired at ValidUntil, ExpiryMargin before another relay can
-//     acquire it.
-//   - Fencing: the token of each acquisition of a stream is higher than that of the one before, and a
-//     client's token below the record's MinFencingToken is never acquired with.
-//   - One answer: each Acquire has one StreamAcquired or one AcquisitionRejected, and nothing after a Release
-//     but StreamReleased.
-//   - Own nodes only: a holder is deleted only if this session owns it. One that may be this session's,
-//     because a reply is missing, is checked before anything else is done with its stream.
-//   - Bounded memory: an entry lives while it has a caller, a request under way, or a holder to clean up.
+//     ValidUntil. LeaseExpired is emitted for every owned stream at ValidUntil, which is ExpiryMargin before
+//     another relay can acquire the stream.
+//   - Fencing: each acquisition of a stream gets a higher fencing token than the one before, and a client's
+//     token below the record's MinFencingToken never acquires the stream.
+//   - One answer: each Acquire gets one StreamAcquired or one AcquisitionRejected, and after a Release only
+//     StreamReleased follows.
+//   - Own nodes only: a holder is deleted only if this session owns it. If a reply was lost, so that this
+//     session may own the holder, the holder is checked before anything else is done with its stream.
+//   - Bounded memory: an entry exists only while it has a caller, a request in flight, or a holder to clean
+//     up.
 type Lease struct {
 	rng *rand.Rand
 
-	streams       map[token.StreamID]*entry
-	byHandle      map[uint64]*entry // entries with a caller, by its handle
-	undecided     map[uint64]*entry // those whose caller is to be rejected at its deadline
-	pending       map[uint64]*entry // by the id of a request that is under way
-	lastRequestID uint64
+	streams         map[token.StreamID]*streamEntry
+	byHandle        map[uint64]*streamEntry // entries that have a caller, by its handle
+	pendingResumes  map[uint64]*streamEntry // resuming callers by handle, until answered
+	pendingRequests map[uint64]*streamEntry // by the id of the request in flight
+	lastRequestID   uint64
 
-	margin         time.Duration // ExpiryMargin; less in the test that the model finds such a fault
+	expiryMargin   time.Duration // ExpiryMargin; 0 in the test that the model detects a short margin
 	sessionID      int64         // 0 without a session
 	sessionTimeout time.Duration
-	renewedAt      time.Duration // when the newest request that was answered was sent
+	renewedAt      time.Duration // send time of the newest message that was answered
 	connected      bool
 
-	now     time.Duration // of the event that is handled
-	actions []Action      // that it has led to
+	now     time.Duration // time of the event being handled
+	actions []Action      // actions emitted for the event being handled
 }
 
-// New returns a Lease without a session. The seed is that of the retry times.
+// New returns a Lease without a session. The seed is for the random retry times.
 func New(seed uint64) *Lease {
 	return &Lease{
-		rng:       rand.New(rand.NewPCG(seed, 0x636c61696d)),
-		streams:   map[token.StreamID]*entry{},
-		byHandle:  map[uint64]*entry{},
-		undecided: map[uint64]*entry{},
-		pending:   map[uint64]*entry{},
-		margin:    ExpiryMargin,
+		rng:             rand.New(rand.NewPCG(seed, 0x636c61696d)),
+		streams:         map[token.StreamID]*streamEntry{},
+		byHandle:        map[uint64]*streamEntry{},
+		pendingResumes:  map[uint64]*streamEntry{},
+		pendingRequests: map[uint64]*streamEntry{},
+		expiryMargin:    ExpiryMargin,
 	}
 }
 
-// ValidUntil is the instant from which on the lease is not trusted; 0 without a session.
+// ValidUntil returns the instant from which on the lease is no longer trusted; 0 without a session.
 func (l *Lease) ValidUntil() time.Duration {
 	if l.sessionID == 0 {
 		return 0
 	}
-	return l.renewedAt + l.sessionTimeout - l.sessionTimeout/ClockDriftDivisor - l.margin
+	return l.renewedAt + l.sessionTimeout - l.sessionTimeout/ClockDriftDivisor - l.expiryMargin
 }
 
-// OwnedCount is how many streams this relay owns now.
+// OwnedCount returns the number of streams that this relay owns now.
 func (l *Lease) OwnedCount() (n int) {
 	for _, e := range l.streams {
-		if e.phase == owned {
+		if e.phase == phaseOwned {
 			n++
 		}
 	}
 	return n
 }
 
-// StreamCount is how many streams the Lease has an entry of, in any phase.
+// StreamCount returns the number of streams with an entry, in any phase.
 func (l *Lease) StreamCount() int { return len(l.streams) }
 
-// NextTick is the instant at which a Tick is due at the latest: the lease expires, or a caller's deadline
-// passes.
+// NextTick returns the latest instant for the next Tick: one tickInterval from now, or earlier if the lease
+// expires or a caller's deadline passes before.
 func (l *Lease) NextTick() time.Duration {
 	next := l.now + tickInterval
 	if until := l.ValidUntil(); until > l.now {
 		next = min(next, until)
 	}
-	for _, e := range l.undecided {
+	for _, e := range l.pendingResumes {
 		if e.deadline > l.now {
 			next = min(next, e.deadline)
 		}
@@ -89,12 +91,13 @@
 	return next
 }
 
-// Handle takes one event at an instant and appends what is to be done about it to out.
+// Handle processes one event at the instant now and returns out with the resulting actions appended.
 func (l *Lease) Handle(now time.Duration, ev Event, out []Action) []Action {
 	l.now, l.actions = now, out
-	// After a clock jump, or a sleep of the process, the lease expires before the event has its effect.
-	// SessionRenewed and SessionConnected are of before that sleep and are taken first.
-	l.renew(ev)
+	// If the process has slept or its clock has jumped, the lease must expire before the event takes effect.
+	// A renewal by SessionRenewed or SessionConnected carries its own earlier send time, so it is noted
+	// first.
+	l.noteSessionRenewal(ev)
 	l.expireLease()
 	switch e := ev.(type) {
 	case Acquire:
@@ -117,62 +120,65 @@
 	return l.actions
 }
 
-// canAcquire tells whether a stream that is acquired now could be served.
+// canAcquire reports whether the service is connected and the lease is valid, so that a stream acquired now
+// could be served.
 func (l *Lease) canAcquire() bool { return l.connected && l.now < l.ValidUntil() }
 
 func (l *Lease) emit(a Action) { l.actions = append(l.actions, a) }
 
-// sendRequest asks the service for something about an entry's stream, and returns the request's id.
-func (l *Lease) sendRequest(e *entry, kind RequestKind, r Record) uint64 {
+// sendRequest emits a request to the service for an entry's stream and returns the request's id.
+func (l *Lease) sendRequest(e *streamEntry, kind RequestKind, r Record) uint64 {
 	l.lastRequestID++
-	l.pending[l.lastRequestID] = e
+	l.pendingRequests[l.lastRequestID] = e
 	l.emit(Request{ID: l.lastRequestID, Kind: kind, Stream: e.stream, Version: e.version, Record: r})
 	return l.lastRequestID
 }
 
-// enterPhase puts an entry into a phase and sends the request that the phase waits for.
-func (l *Lease) enterPhase(e *entry, p phase, kind RequestKind, r Record) {
+// enterPhase moves an entry to a phase and sends the request that the phase waits for.
+func (l *Lease) enterPhase(e *streamEntry, p phase, kind RequestKind, r Record) {
 	e.phase = p
 	e.requestID = l.sendRequest(e, kind, r)
 }
 
-// handleReply takes a request's reply to what waits for it. One that nothing waits for any more is ignored.
+// handleReply passes a reply to the handler of the phase that waits for it. A reply that no phase waits for
+// is ignored.
 func (l *Lease) handleReply(r Reply) {
-	e := l.pending[r.RequestID]
+	e := l.pendingRequests[r.RequestID]
 	if e == nil {
 		return
 	}
-	delete(l.pending, r.RequestID)
+	delete(l.pendingRequests, r.RequestID)
 	switch {
-	case r.RequestID == e.updateID:
+	case r.RequestID == e.updateRequestID:
 		l.handleUpdateReply(e, r)
 	case r.RequestID != e.requestID:
-	case e.phase == readingRecord:
+	case e.phase == phaseReadingRecord:
 		l.handleReadReply(e, r)
-	case e.phase == acquiring:
+	case e.phase == phaseAcquiring:
 		l.handleAcquireReply(e, r)
-	case e.phase == checkingHolder:
+	case e.phase == phaseCheckingHolder:
 		l.handleCheckReply(e, r)
-	case e.phase == deletingHolder:
+	case e.phase == phaseDeletingHolder:
 		l.handleDeleteReply(e, r)
 	}
 }
 
-// handleTick rejects callers whose deadline has passed, and goes on with what had to wait.
+// handleTick rejects callers whose deadline has passed, and continues acquisitions and checks that had to
+// wait.
 func (l *Lease) handleTick() {
-	late := func(e *entry) bool { return l.undecided[e.handle] == e && l.now >= e.deadline }
-	waits := func(e *entry) bool { return e.phase == waitingForService && l.canAcquire() }
-	// The service failed to say who owns the holder.
-	unchecked := func(e *entry) bool { return e.phase == uncertain && l.connected }
-	due := l.entriesWhere(func(e *entry) bool { return late(e) || waits(e) || unchecked(e) })
+	late := func(e *streamEntry) bool { return l.pendingResumes[e.callerHandle] == e && l.now >= e.deadline }
+	canStart := func(e *streamEntry) bool { return e.phase == phaseWaitingForService && l.canAcquire() }
+	// An earlier check failed, so the owner of the holder is still unknown.
+	needsCheck := func(e *streamEntry) bool { return e.phase == phaseHolderUncertain && l.connected }
+	due := l.entriesWhere(func(e *streamEntry) bool { return late(e) || canStart(e) || needsCheck(e) })
 	for _, e := range due {
 		switch {
 		case late(e):
 			l.reject(e, ErrTimedOut)
-		case waits(e):
+		case canStart(e):
 			l.startAcquisition(e)
-		case unchecked(e):
-			l.enterPhase(e, checkingHolder, CheckHolder, Record{})
+		case needsCheck(e):
+			l.enterPhase(e, phaseCheckingHolder, CheckHolder, Record{})
 		}
 	}
 }
--- a/internal/ownership/margin_test.go
+++ b/internal/ownership/margin_test.go
@@ -6,13 +6,14 @@
 	"capersail/internal/wire/splice"
 )
 
-// The margin has room for one write to a stuck client. Were a write to take longer, two relays could serve
-// one stream.
+// Guards against an expiry margin that is shorter than a write to a client that does not read: two relays
+// could then serve one stream.
 func TestMarginCoversAWriteToAStuckClient(t *testing.T) {
-	if write := splice.WriteTimeout; write > stuckWrite {
-		t.Errorf("a write takes up to %v, the margin has %v for it", write, stuckWrite)
+	if write := splice.WriteTimeout; write > stuckWriteTimeout {
+		t.Errorf("a write to a stuck client takes up to %v, but ExpiryMargin includes only %v for it", write,
+			stuckWriteTimeout)
 	}
-	if sum := stuckWrite + tickInterval + spare; sum != ExpiryMargin {
-		t.Errorf("the parts make %v, the margin is %v", sum, ExpiryMargin)
+	if sum := stuckWriteTimeout + tickInterval + expirySlack; sum != ExpiryMargin {
+		t.Errorf("the parts of ExpiryMargin add up to %v, ExpiryMargin is %v", sum, ExpiryMargin)
 	}
 }
--- a/internal/ownership/model_adversary_test.go
+++ b/internal/ownership/model_adversary_test.go
@@ -3,66 +3,67 @@
 import "time"
 
 const (
-	modelStep    = 50 * time.Millisecond  // in which time passes
-	modelTick    = 250 * time.Millisecond // between two ticks of a relay
-	modelEnding  = 950 * time.Millisecond // for which a stuck client holds up the end of a stream
-	modelStarved = 8 * time.Second
+	modelStep         = 50 * time.Millisecond  // time between two looks at all relays
+	modelTick         = 250 * time.Millisecond // between two ticks of a relay
+	modelReleaseDelay = 950 * time.Millisecond // time that a stuck client delays the end of a stream
+	modelStarvation   = 8 * time.Second        // longer than modelSession
 )
 
-// upTo draws a duration.
-func (w *world) upTo(most time.Duration) time.Duration { return scale(most, w.rng.Float64()) }
+// randomUpTo returns a random duration of less than limit.
+func (m *model) randomUpTo(limit time.Duration) time.Duration { return scale(limit, m.rng.Float64()) }
 
-// disconnect cuts a relay's connection. What was under way may still be done; no reply comes.
-func (w *world) disconnect(i int) {
-	r := w.relays[i]
+// disconnect closes a relay's connection to the service. Requests in flight may still be executed, but their
+// replies are lost.
+func (m *model) disconnect(i int) {
+	r := m.relays[i]
 	if !r.connected {
 		return
 	}
-	for n := w.rng.IntN(len(r.wire) + 1); n > 0; n-- {
-		w.serve(i)
+	for n := m.rng.IntN(len(r.requests) + 1); n > 0; n-- {
+		m.executeNextRequest(i)
 	}
-	wire := r.wire
-	r.connected, r.wire = false, nil
-	for _, f := range wire {
-		w.deliver(i, Reply{RequestID: f.request.ID, Code: NoReply})
+	unanswered := r.requests
+	r.connected, r.requests = false, nil
+	for _, f := range unanswered {
+		m.deliver(i, Reply{RequestID: f.request.ID, Code: NoReply})
 	}
-	w.deliver(i, SessionDisconnected{})
+	m.deliver(i, SessionDisconnected{})
 }
 
-// connect takes up a relay's session, or begins another if that has expired.
-func (w *world) connect(i int) {
-	r := w.relays[i]
+// connect resumes a relay's session, or starts a new one if it has expired.
+func (m *model) connect(i int) {
+	r := m.relays[i]
 	if r.connected {
 		return
 	}
-	if _, stands := w.svc.heard[r.session]; !stands {
+	if _, alive := m.svc.seenAt[r.session]; !alive {
 		if r.session != 0 {
 			r.session = 0
-			w.deliver(i, SessionExpired{})
+			m.deliver(i, SessionExpired{})
 		}
-		w.svc.sessions++
-		r.session = w.svc.sessions
+		m.svc.lastSession++
+		r.session = m.svc.lastSession
 	}
-	w.svc.heard[r.session] = w.svc.now
+	m.svc.seenAt[r.session] = m.svc.now
 	r.connected = true
-	w.deliver(i, SessionConnected{r.session, modelSession, w.local(r)})
+	m.deliver(i, SessionConnected{r.session, modelSession, m.localTime(r)})
 }
 
-// serve lets the service do a relay's next request.
-func (w *world) serve(i int) {
-	r := w.relays[i]
-	for _, f := range r.wire {
+// executeNextRequest lets the service execute a relay's next request.
+func (m *model) executeNextRequest(i int) {
+	r := m.relays[i]
+	for _, f := range r.requests {
 		if f.done {
 			continue
 		}
-		if _, stands := w.svc.heard[r.session]; !stands {
-			return // it would close the connection
+		if _, alive := m.svc.seenAt[r.session]; !alive {
+			return // the service would close the connection of an expired session
 		}
-		w.svc.heard[r.session] = w.svc.now
+		m.svc.seenAt[r.session] = m.svc.now
 		if f.request.ID != 0 {
-			f.reply = w.svc.do(r.session, f.request)
-			if f.reply.Code == holderOfAnother {
-				w.fail("relay %d deletes another's holder: %+v", i, f.request)
+			f.reply = m.svc.execute(r.session, f.request)
+			if f.reply.Code == holderOwnedByOther {
+				m.fail("relay %d deletes the holder of another session: %+v", i, f.request)
 			}
 		}
 		f.done = true
@@ -70,184 +71,185 @@
 	}
 }
 
-// deliverReply lets a relay have its next reply.
-func (w *world) deliverReply(i int) {
-	r := w.relays[i]
-	if len(r.wire) == 0 || !r.wire[0].done {
+// deliverNextReply passes a relay its next reply.
+func (m *model) deliverNextReply(i int) {
+	r := m.relays[i]
+	if len(r.requests) == 0 || !r.requests[0].done {
 		return
 	}
-	f := r.wire[0]
-	r.wire = r.wire[1:]
-	w.deliver(i, SessionRenewed{f.sentAt})
+	f := r.requests[0]
+	r.requests = r.requests[1:]
+	m.deliver(i, SessionRenewed{f.sentAt})
 	if f.request.ID != 0 {
-		w.deliver(i, f.reply)
+		m.deliver(i, f.reply)
 	}
 }
 
-// wake ends a relay's sleep. What it slept past the end of its lease forwards no line again, as it looks at
-// the clock before each; its connections to servers stand until it has ended them.
-func (w *world) wake(i int) {
-	r := w.relays[i]
+// wakeRelay ends a relay's pause. Streams whose lease ended during the pause no longer forward lines, as the
+// relay checks the clock before each line; their connections to servers stay open until the relay ends them.
+func (m *model) wakeRelay(i int) {
+	r := m.relays[i]
 	r.paused = false
 	for _, c := range r.callers {
-		c.sleptPastLease = c.sleptPastLease || c.owned && w.local(r) >= r.lease.ValidUntil()
+		c.sleptPastLease = c.sleptPastLease || c.owned && m.localTime(r) >= r.lease.ValidUntil()
 	}
-	w.deliver(i, Tick{})
+	m.deliver(i, Tick{})
 }
 
-// pass lets time go by in steps in which every relay that is awake looks at its clock and its callers.
-func (w *world) pass(d time.Duration) {
-	for end := w.svc.now + d; w.svc.now < end; {
-		w.svc.now += min(modelStep, end-w.svc.now)
-		w.svc.expire()
-		w.checkSingleOwner()
-		for i, r := range w.relays {
+// advanceTime lets time pass in steps of modelStep. In each step every relay that is not paused checks its
+// clock and its callers.
+func (m *model) advanceTime(d time.Duration) {
+	for end := m.svc.now + d; m.svc.now < end; {
+		m.svc.now += min(modelStep, end-m.svc.now)
+		m.svc.expireSessions()
+		m.checkSingleOwner()
+		for i, r := range m.relays {
 			if !r.paused {
-				w.awake(i)
+				m.runAwakeRelay(i)
 			}
 		}
 	}
 }
 
-// awake is what a relay does as time passes.
-func (w *world) awake(i int) {
-	r := w.relays[i]
-	if _, stands := w.svc.heard[r.session]; r.connected && !stands {
-		w.disconnect(i)
+// runAwakeRelay does what a relay that is not paused does as time passes.
+func (m *model) runAwakeRelay(i int) {
+	r := m.relays[i]
+	if _, alive := m.svc.seenAt[r.session]; r.connected && !alive {
+		m.disconnect(i)
 	}
-	w.releaseExpired(i)
-	if w.local(r)-r.tickedAt < modelTick {
+	m.releaseExpired(i)
+	if m.localTime(r)-r.lastTick < modelTick {
 		return
 	}
-	r.tickedAt = w.local(r)
-	w.deliver(i, Tick{})
-	if r.connected && len(r.wire) < 20 {
-		r.wire = append(r.wire, &inFlight{sentAt: r.tickedAt}) // a ping
+	r.lastTick = m.localTime(r)
+	m.deliver(i, Tick{})
+	if r.connected && len(r.requests) < 20 {
+		r.requests = append(r.requests, &inFlightRequest{sentAt: r.lastTick}) // a ping
 	}
 }
 
-// releaseExpired ends callers whose lease has expired, once a stuck client may hold them up no longer.
-func (w *world) releaseExpired(i int) {
-	r := w.relays[i]
-	for _, c := range r.sorted() {
-		if c.expiredAt != 0 && w.local(r)-c.expiredAt >= modelEnding {
-			w.release(i, c)
+// releaseExpired releases callers whose lease has expired, modelReleaseDelay after the expiry.
+func (m *model) releaseExpired(i int) {
+	r := m.relays[i]
+	for _, c := range r.sortedCallers() {
+		if c.expiredAt != 0 && m.localTime(r)-c.expiredAt >= modelReleaseDelay {
+			m.release(i, c)
 		}
 	}
 }
 
-// step is one move of the adversary.
-func (w *world) step() {
-	i := w.rng.IntN(len(w.relays))
-	r, s := w.relays[i], w.rng.IntN(len(w.streams))
-	if r.paused && w.rng.IntN(8) != 0 {
-		w.pass(w.upTo(300 * time.Millisecond))
+// randomStep executes one random operation or fault.
+func (m *model) randomStep() {
+	i := m.rng.IntN(len(m.relays))
+	r, s := m.relays[i], m.rng.IntN(len(m.streams))
+	if r.paused && m.rng.IntN(8) != 0 {
+		m.advanceTime(m.randomUpTo(300 * time.Millisecond))
 		return
 	}
 	if r.paused {
-		w.wake(i)
+		m.wakeRelay(i)
 		return
 	}
-	switch w.rng.IntN(20) {
+	switch m.rng.IntN(20) {
 	case 0:
-		if w.rng.IntN(4*w.calm) == 0 {
-			w.disconnect(i)
+		if m.rng.IntN(4*m.faultRarity) == 0 {
+			m.disconnect(i)
 		}
 	case 1, 2:
-		w.connect(i)
+		m.connect(i)
 	case 3:
-		if w.rng.IntN(6*w.calm) == 0 {
+		if m.rng.IntN(6*m.faultRarity) == 0 {
 			r.paused = true
 		}
 	case 4:
-		w.pass(w.upTo(400 * time.Millisecond / time.Duration(w.calm)))
+		m.advanceTime(m.randomUpTo(400 * time.Millisecond / time.Duration(m.faultRarity)))
 	case 6:
-		if w.rng.IntN(10*w.calm) == 0 {
-			w.pass(w.upTo(8 * time.Second))
+		if m.rng.IntN(10*m.faultRarity) == 0 {
+			m.advanceTime(m.randomUpTo(8 * time.Second))
 		}
-		if w.rng.IntN(4*w.calm) == 0 {
-			w.starve(i, s)
+		if m.rng.IntN(4*m.faultRarity) == 0 {
+			m.starveRelay(i, s)
 		}
 	case 7, 8, 9:
-		w.open(i, s)
-	case 5, 10: // a caller is done, or its client has left before it was answered
-		if all := r.sorted(); len(all) > 0 {
-			w.release(i, all[0])
+		m.openStream(i, s)
+	case 5, 10: // a caller is finished, or its client has disconnected before the answer
+		if all := r.sortedCallers(); len(all) > 0 {
+			m.release(i, all[0])
 		}
 	case 11, 12:
-		w.extend(i)
+		m.extendRecords(i)
 	case 13, 14, 15, 16:
-		w.serve(i)
+		m.executeNextRequest(i)
 	default:
-		w.deliverReply(i)
+		m.deliverNextReply(i)
 	}
 }
 
-// open begins a stream that no relay knows, or shows one of the newest tokens, now and then with a fencing
-// token that was never given.
-func (w *world) open(i, s int) {
-	if known := w.tokens[s]; len(known) > 0 {
+// openStream starts a new stream, or resumes one with one of its newest three tokens, sometimes with a
+// fencing token that was never issued.
+func (m *model) openStream(i, s int) {
+	if known := m.tokens[s]; len(known) > 0 {
 		newest := len(known) - 1
-		shown := known[max(0, newest-w.rng.IntN(3))]
-		forged := uint64(w.rng.IntN(12) / 11)
-		w.acquire(i, s, shown+forged)
+		shown := known[max(0, newest-m.rng.IntN(3))]
+		forged := uint64(m.rng.IntN(12) / 11)
+		m.acquire(i, s, shown+forged)
 		return
 	}
-	fresh := w.svc.nodes[w.streams[s]] == nil
-	for _, o := range w.relays {
+	fresh := m.svc.nodes[m.streams[s]] == nil
+	for _, o := range m.relays {
 		for _, c := range o.callers {
-			fresh = fresh && c.stream != s // no two relays make the same id
+			fresh = fresh && c.stream != s // two relays never create the same stream id
 		}
 	}
-	if fresh && len(w.relays[i].callers) == 0 {
-		w.acquire(i, s, 0)
+	if fresh && len(m.relays[i].callers) == 0 {
+		m.acquire(i, s, 0)
 	}
 }
 
-// extend moves the ends of all records of a relay's owned streams; the client may have confirmed its token.
-func (w *world) extend(i int) {
-	for _, c := range w.relays[i].sorted() {
+// extendRecords extends the records of all streams that a relay owns, at random with TokenDelivered.
+func (m *model) extendRecords(i int) {
+	for _, c := range m.relays[i].sortedCallers() {
 		if c.owned && c.expiredAt == 0 {
-			delivered := w.rng.IntN(2) == 0
-			expires := 1<<40 + int64(w.rng.IntN(3))
-			w.deliver(i, ExtendRecord{c.handle, delivered, expires})
+			delivered := m.rng.IntN(2) == 0
+			expires := 1<<40 + int64(m.rng.IntN(3))
+			m.deliver(i, ExtendRecord{c.handle, delivered, expires})
 		}
 	}
 }
 
-// starve answers one relay nothing for longer than its session, while another is served at once and keeps
-// trying to acquire what the first owns: it looks for the moment between the one's end and the other's
-// beginning.
-func (w *world) starve(starved, s int) {
-	i := (starved + 1) % len(w.relays)
-	r := w.relays[i]
-	for end := w.svc.now + modelStarved; w.svc.now < end && !r.paused; {
-		w.connect(i)
+// starveRelay answers no request of one relay for longer than its session, while another relay is answered at
+// once and keeps trying to acquire the stream that the first one owns. It tests the interval between the end
+// of the first ownership and the start of the second.
+func (m *model) starveRelay(starved, s int) {
+	i := (starved + 1) % len(m.relays)
+	r := m.relays[i]
+	for end := m.svc.now + modelStarvation; m.svc.now < end && !r.paused; {
+		m.connect(i)
 		for range 4 {
-			w.serve(i)
-			w.deliverReply(i)
+			m.executeNextRequest(i)
+			m.deliverNextReply(i)
 		}
-		if known := w.tokens[s]; len(known) > 0 && len(r.callers) == 0 {
-			w.acquire(i, s, known[len(known)-1])
+		if known := m.tokens[s]; len(known) > 0 && len(r.callers) == 0 {
+			m.acquire(i, s, known[len(known)-1])
 		}
-		w.pass(modelStep)
+		m.advanceTime(modelStep)
 	}
 }
 
-// runWithoutFaults ends all faults for a while.
-func (w *world) runWithoutFaults(d time.Duration) {
+// runWithoutFaults lets time pass with all relays awake, connected and answered.
+func (m *model) runWithoutFaults(d time.Duration) {
 	for range d / modelStep {
-		w.pass(modelStep)
-		for i, r := range w.relays {
+		m.advanceTime(modelStep)
+		for i, r := range m.relays {
 			if r.paused {
-				w.wake(i)
+				m.wakeRelay(i)
 			}
-			w.connect(i)
-			for len(r.wire) > 0 && r.connected {
-				before := len(r.wire)
-				w.serve(i)
-				w.deliverReply(i)
-				if len(r.wire) >= before && !r.wire[0].done {
+			m.connect(i)
+			for len(r.requests) > 0 && r.connected {
+				before := len(r.requests)
+				m.executeNextRequest(i)
+				m.deliverNextReply(i)
+				if len(r.requests) >= before && !r.requests[0].done {
 					break
 				}
 			}
--- a/internal/ownership/model_service_test.go
+++ b/internal/ownership/model_service_test.go
@@ -8,31 +8,31 @@
 
 const modelSession = 6000 * time.Millisecond
 
-// holderOfAnother is the reply code of a DeleteHolder that would take another relay's ownership away.
-const holderOfAnother = ServiceError + 1
+// holderOwnedByOther is the model's reply code for a DeleteHolder that would delete another session's holder.
+const holderOwnedByOther = ServiceError + 1
 
-// service is the model's ownership service.
-type service struct {
-	nodes    map[token.StreamID]*node
-	heard    map[int64]time.Duration // by session: when something last came
-	sessions int64
-	now      time.Duration
+// modelService is the model's ownership modelService.
+type modelService struct {
+	nodes       map[token.StreamID]*modelNode
+	seenAt      map[int64]time.Duration // by session: time of the last message
+	lastSession int64
+	now         time.Duration
 }
 
-// node is a record and its holder.
-type node struct {
+// modelNode is a record with its holder.
+type modelNode struct {
 	record  Record
 	version int32
-	owner   int64 // session of the holder, 0 if there is none
+	owner   int64 // session that owns the holder; 0 if there is none
 }
 
-// expire ends sessions that were silent for their timeout, and deletes their holders.
-func (s *service) expire() {
-	for id, at := range s.heard {
+// expireSessions expires sessions that sent nothing for modelSession, and deletes their holders.
+func (s *modelService) expireSessions() {
+	for id, at := range s.seenAt {
 		if s.now-at < modelSession {
 			continue
 		}
-		delete(s.heard, id)
+		delete(s.seenAt, id)
 		for _, n := range s.nodes {
 			if n.owner == id {
 				n.owner = 0
@@ -41,15 +41,15 @@
 	}
 }
 
-// do does one request of a session.
-func (s *service) do(session int64, q Request) Reply {
+// execute executes one request of a session.
+func (s *modelService) execute(session int64, q Request) Reply {
 	r := Reply{RequestID: q.ID}
 	n := s.nodes[q.Stream]
 	switch {
 	case q.Kind == CreateAndAcquire && n != nil:
 		r.Code = AlreadyExists
 	case q.Kind == CreateAndAcquire:
-		s.nodes[q.Stream] = &node{record: q.Record, owner: session}
+		s.nodes[q.Stream] = &modelNode{record: q.Record, owner: session}
 	case n == nil:
 		r.Code = NotFound
 	case q.Kind == ReadRecord:
@@ -69,7 +69,7 @@
 	case q.Kind == CheckHolder:
 		r.OwnerSession = n.owner
 	case q.Kind == DeleteHolder && n.owner != session:
-		r.Code = holderOfAnother
+		r.Code = holderOwnedByOther
 	case q.Kind == DeleteHolder:
 		n.owner = 0
 	}
--- a/internal/ownership/record.go
+++ b/internal/ownership/record.go
@@ -5,23 +5,23 @@
 	"errors"
 )
 
-// recordVersion is the first byte of a record; recordLen is the length of one of this version.
+// Encoding of a record.
 const (
-	recordVersion = 1
-	recordLen     = 1 + 3*8
+	recordVersion = 1       // first byte of a record
+	recordLen     = 1 + 3*8 // bytes in a record of this version
 )
 
-// ErrRecordFormat says that stored bytes are not a record of this version.
-var ErrRecordFormat = errors.New("not an ownership record of this version")
+// ErrRecordFormat means that stored bytes are not a record of this version.
+var ErrRecordFormat = errors.New("ownership record has an unsupported version or a wrong length")
 
-// Record is what the service keeps of a stream. It outlives sessions and relays.
+// Record is the state of a stream that the service stores. It outlives sessions and relays.
 type Record struct {
-	FencingToken    uint64 // of the newest owner; it rises by one with each acquisition
-	MinFencingToken uint64 // lower ones are stale: a client is known to have a later one
-	ExpiresUnixMs   int64  // Unix time in ms; after this no client's token of the stream is valid
+	FencingToken    uint64 // of the newest owner; increases by one with each acquisition
+	MinFencingToken uint64 // lower tokens are stale, as the client is known to have a later one
+	ExpiresUnixMs   int64  // Unix time in ms after which no resume token of the stream is valid
 }
 
-// Marshal encodes a record as the service keeps it: a version byte, then big-endian numbers.
+// Marshal encodes a record for storage: a version byte, then the fields as big-endian 64-bit numbers.
 func (r Record) Marshal() []byte {
 	b := append(make([]byte, 0, recordLen), recordVersion)
 	b = binary.BigEndian.AppendUint64(b, r.FencingToken)
@@ -29,7 +29,7 @@
 	return binary.BigEndian.AppendUint64(b, uint64(r.ExpiresUnixMs))
 }
 
-// ParseRecord decodes a record; ErrRecordFormat if it is none of this version.
+// ParseRecord decodes a stored record. It returns ErrRecordFormat for anything but a record of this version.
 func ParseRecord(b []byte) (Record, error) {
 	if len(b) != recordLen || b[0] != recordVersion {
 		return Record{}, ErrRecordFormat
--- a/internal/ownership/reject.go
+++ b/internal/ownership/reject.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// RejectReason is why an acquisition is rejected. It is an error, to be compared with errors.Is.
+// RejectReason is the reason why an acquisition is rejected. It is an error, to be compared with errors.Is.
 type RejectReason uint8
 
-// The reasons. ErrStaleToken and ErrUnknownStream are final for the client's token; after the others it stays
-// valid.
+// The reasons. After ErrStaleToken and ErrUnknownStream the client's resume token can never be used again;
+// after the other reasons it stays valid.
 const (
-	ErrAlreadyOwned       RejectReason = iota // owned, being acquired or ended, by any relay
-	ErrStaleToken                             // a client is known to have a later token
-	ErrUnknownStream                          // no such record, or it never had that fencing token
-	ErrServiceUnreachable                     // the service cannot be asked now
-	ErrTimedOut                               // no reply by the deadline
+	ErrAlreadyOwned       RejectReason = iota // a relay owns the stream, or is acquiring or ending it
+	ErrStaleToken                             // the client is known to have a later token
+	ErrUnknownStream                          // the stream has no record, or never had that fencing token
+	ErrServiceUnreachable                     // the ownership service cannot be reached
+	ErrTimedOut                               // the service did not reply by the deadline
 )
 
 var rejectReasons = [...]string{
@@ -23,26 +23,26 @@
 	ErrTimedOut:           "acquisition timed out",
 }
 
-// Error names the reason.
+// Error returns the name of the reason.
 func (r RejectReason) Error() string { return nameOf(rejectReasons[:], int(r), "reject reason") }
 
-// Retry times are drawn at random, as the streams of a relay that died all come at once.
+// Retry times are random, as all streams of a failed relay are resumed at the same time.
 const (
-	// minOwnedRetry and ownedRetryDivisor: a stream that is owned is retried after 1 to 2 times the larger of
-	// minOwnedRetry and the session's timeout over ownedRetryDivisor. That is within the session in which a
-	// dead relay's ownership ends.
+	// minOwnedRetry and ownedRetryDivisor set the retry time for a stream that is already owned: 1 to 2 times
+	// the larger of minOwnedRetry and the session timeout divided by ownedRetryDivisor. The client thus
+	// retries before the ownership of a failed relay expires with its session.
 	minOwnedRetry     = 100 * time.Millisecond
 	ownedRetryDivisor = 8
-	// minServiceRetry: the service is retried after 1 to 3 times as much.
+	// minServiceRetry sets the retry time for an unreachable or slow service: 1 to 3 times minServiceRetry.
 	minServiceRetry = 500 * time.Millisecond
 )
 
-// retryAfter is when the client is to retry; 0 if a retry would not help.
+// retryAfter returns the time after which the client should retry; 0 if a retry would not help.
 func (l *Lease) retryAfter(reason RejectReason) time.Duration {
 	switch reason {
 	case ErrAlreadyOwned:
-		least := max(minOwnedRetry, l.sessionTimeout/ownedRetryDivisor)
-		return scale(least, 1+l.rng.Float64())
+		base := max(minOwnedRetry, l.sessionTimeout/ownedRetryDivisor)
+		return scale(base, 1+l.rng.Float64())
 	case ErrServiceUnreachable, ErrTimedOut:
 		return scale(minServiceRetry, 1+2*l.rng.Float64())
 	}
@@ -51,20 +51,20 @@
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// reject answers the entry's caller, unless it has its answer, and detaches it. A holder that may have been
-// created for it stays the entry's to clean up.
-func (l *Lease) reject(e *entry, reason RejectReason) {
-	if !e.answered {
-		l.emit(AcquisitionRejected{Handle: e.handle, Reason: reason, RetryAfter: l.retryAfter(reason)})
+// reject rejects the entry's caller, unless it already received StreamAcquired, and detaches it. The entry
+// stays if a holder may have been created for the caller, so that the holder is cleaned up.
+func (l *Lease) reject(e *streamEntry, reason RejectReason) {
+	if !e.acquiredEmitted {
+		l.emit(AcquisitionRejected{Handle: e.callerHandle, Reason: reason, RetryAfter: l.retryAfter(reason)})
 	}
 	l.detachCaller(e)
-	if e.phase == waitingForService {
+	if e.phase == phaseWaitingForService {
 		l.removeEntry(e)
 	}
 }
 
-// rejectAndRemove rejects a caller for whom nothing was created at the service.
-func (l *Lease) rejectAndRemove(e *entry, reason RejectReason) {
+// rejectAndRemove rejects a caller for which no holder was created, and removes its entry.
+func (l *Lease) rejectAndRemove(e *streamEntry, reason RejectReason) {
 	l.reject(e, reason)
 	l.removeEntry(e)
 }
--- a/internal/ownership/release.go
+++ b/internal/ownership/release.go
@@ -1,6 +1,6 @@
 package ownership
 
-// handleRelease separates a caller from its stream, and deletes the holder if the stream was acquired.
+// handleRelease detaches a caller from its stream, and deletes the holder if the stream was acquired.
 func (l *Lease) handleRelease(handle uint64) {
 	e := l.byHandle[handle]
 	if e == nil {
@@ -9,50 +9,51 @@
 	}
 	l.detachCaller(e)
 	switch e.phase {
-	case waitingForService, sessionLost:
+	case phaseWaitingForService, phaseSessionLost:
 		l.removeEntry(e)
 		l.emit(StreamReleased{handle})
-	case owned, expired:
-		e.releasing = handle
+	case phaseOwned, phaseLeaseExpired:
+		e.releasingHandle = handle
 		if l.connected {
-			l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+			l.enterPhase(e, phaseDeletingHolder, DeleteHolder, Record{})
 		} else {
-			e.phase = uncertain
+			e.phase = phaseHolderUncertain
 		}
-	default: // the reply to the request under way finds no caller
+	default: // the reply to the request in flight will find no caller and clean up
 		l.emit(StreamReleased{handle})
 	}
 }
 
-// handleCheckReply goes on once it is known whether this session owns the holder.
-func (l *Lease) handleCheckReply(e *entry, r Reply) {
+// handleCheckReply deletes the holder if this session owns it, and otherwise continues without a holder.
+func (l *Lease) handleCheckReply(e *streamEntry, r Reply) {
 	switch {
 	case r.Code == OK && r.OwnerSession == l.sessionID:
-		l.enterPhase(e, deletingHolder, DeleteHolder, Record{})
+		l.enterPhase(e, phaseDeletingHolder, DeleteHolder, Record{})
 	case r.Code == OK, r.Code == NotFound:
 		l.continueWithoutHolder(e)
 	default:
-		e.phase = uncertain
+		e.phase = phaseHolderUncertain
 	}
 }
 
-// handleDeleteReply goes on once the holder is deleted, or may not be.
-func (l *Lease) handleDeleteReply(e *entry, r Reply) {
+// handleDeleteReply continues without a holder once it is deleted; if the result is unknown, the holder has
+// to be checked.
+func (l *Lease) handleDeleteReply(e *streamEntry, r Reply) {
 	if r.Code == OK || r.Code == NotFound {
 		l.continueWithoutHolder(e)
 	} else {
-		e.phase = uncertain
+		e.phase = phaseHolderUncertain
 	}
 }
 
-// continueWithoutHolder is for an entry for which this session surely has no holder: a caller that waits
-// acquires the stream, else the stream is forgotten.
-func (l *Lease) continueWithoutHolder(e *entry) {
-	if e.releasing != 0 {
-		l.emit(StreamReleased{e.releasing})
-		e.releasing = 0
+// continueWithoutHolder handles an entry for which this session has no holder for certain: it confirms a
+// pending release, then acquires the stream for a waiting caller, or removes the entry if there is none.
+func (l *Lease) continueWithoutHolder(e *streamEntry) {
+	if e.releasingHandle != 0 {
+		l.emit(StreamReleased{e.releasingHandle})
+		e.releasingHandle = 0
 	}
-	if e.handle == 0 {
+	if e.callerHandle == 0 {
 		l.removeEntry(e)
 		return
 	}
--- a/internal/ownership/session.go
+++ b/internal/ownership/session.go
@@ -1,7 +1,8 @@
 package ownership
 
-// renew notes when the session was last proven to stand.
-func (l *Lease) renew(ev Event) {
+// noteSessionRenewal updates the send time of the newest message that the service has answered in this
+// session.
+func (l *Lease) noteSessionRenewal(ev Event) {
 	switch e := ev.(type) {
 	case SessionRenewed:
 		l.renewedAt = max(l.renewedAt, e.SentAt)
@@ -12,8 +13,8 @@
 	}
 }
 
-// handleSessionConnected takes up a session. Nothing of an earlier session is left in a new one; in the same
-// one, holders that may be ours are checked first.
+// handleSessionConnected starts a new session or resumes the current one. A new session owns no holders. In a
+// resumed session, holders that it may own are checked before they are used.
 func (l *Lease) handleSessionConnected(c SessionConnected) {
 	if c.SessionID != l.sessionID {
 		l.endSession()
@@ -24,42 +25,42 @@
 	l.sessionID, l.sessionTimeout, l.connected = c.SessionID, c.Timeout, true
 	for _, e := range l.sortedEntries() {
 		switch e.phase {
-		case uncertain:
-			l.enterPhase(e, checkingHolder, CheckHolder, Record{})
-		case waitingForService:
+		case phaseHolderUncertain:
+			l.enterPhase(e, phaseCheckingHolder, CheckHolder, Record{})
+		case phaseWaitingForService:
 			l.startAcquisition(e)
-		case owned:
+		case phaseOwned:
 			l.updateRecord(e)
 		}
 	}
 }
 
-// expireLease ends the trust in all owned streams once ValidUntil has come.
+// expireLease emits LeaseExpired for all owned streams once ValidUntil is reached.
 func (l *Lease) expireLease() {
 	if l.sessionID == 0 || l.now < l.ValidUntil() {
 		return
 	}
 	for _, e := range l.sortedEntries() {
-		if e.phase == owned {
-			e.phase = expired
-			l.emit(LeaseExpired{e.handle})
+		if e.phase == phaseOwned {
+			e.phase = phaseLeaseExpired
+			l.emit(LeaseExpired{e.callerHandle})
 		}
 	}
 }
 
-// endSession forgets the session. Its holders are gone, or were never created.
+// endSession ends the current session. The service has deleted the session's holders, or never created them.
 func (l *Lease) endSession() {
 	l.sessionID, l.connected = 0, false
 	for _, e := range l.sortedEntries() {
 		switch e.phase {
-		case owned:
-			e.phase = sessionLost
-			l.emit(LeaseExpired{e.handle})
-		case expired:
-			e.phase = sessionLost
-		case sessionLost, waitingForService:
+		case phaseOwned:
+			e.phase = phaseSessionLost
+			l.emit(LeaseExpired{e.callerHandle})
+		case phaseLeaseExpired:
+			e.phase = phaseSessionLost
+		case phaseSessionLost, phaseWaitingForService:
 		default:
-			delete(l.pending, e.requestID) // a reply that still comes is the old session's
+			delete(l.pendingRequests, e.requestID) // a reply that arrives later belongs to the old session
 			l.continueWithoutHolder(e)
 		}
 	}
--- a/internal/ownership/stored_test.go
+++ b/internal/ownership/stored_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// storedRecords are the records of testdata/records.hex, which the version of 2026-12-03 wrote, line by line.
+// storedRecords are the records in testdata/records.hex, line by line, written by the version of 2026-12-03.
 var storedRecords = []Record{
 	{},
 	{FencingToken: 1, ExpiresUnixMs: 1_800_000_000_000},
@@ -23,8 +23,8 @@
 	{FencingToken: 2, MinFencingToken: 1, ExpiresUnixMs: -1},
 }
 
-// Records that an earlier version left at the ownership service are read to the same values, and written to
-// the same bytes: relays of both versions share them while a fleet is replaced.
+// Guards against a change of the record encoding. Relays of two versions share the records during an upgrade,
+// so stored records must decode to the same values and encode to the same bytes.
 func TestStoredRecordsStayReadable(t *testing.T) {
 	text, err := os.ReadFile("testdata/records.hex")
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	lines := strings.Fields(string(text))
 	if len(lines) != len(storedRecords) {
-		t.Fatalf("%d records in the file, %d expected", len(lines), len(storedRecords))
+		t.Fatalf("%d records in testdata/records.hex, want %d", len(lines), len(storedRecords))
 	}
 	for i, line := range lines {
 		stored, err := hex.DecodeString(line)
@@ -40,15 +40,15 @@
 			t.Fatal(err)
 		}
 		if got, err := ParseRecord(stored); err != nil || got != storedRecords[i] {
-			t.Errorf("record %d: read as %+v, %v, want %+v", i, got, err, storedRecords[i])
+			t.Errorf("record %d: decoded as %+v, error %v, want %+v", i, got, err, storedRecords[i])
 		}
 		if written := storedRecords[i].Marshal(); !bytes.Equal(written, stored) {
-			t.Errorf("record %d: written as %x, want %x", i, written, stored)
+			t.Errorf("record %d: encoded as %x, want %x", i, written, stored)
 		}
 	}
 }
 
-// What is not a record of this version is none: nothing is guessed from it.
+// Bytes that are not a record of this version are rejected as a whole; no field is read from them.
 func TestForeignRecordsAreRejected(t *testing.T) {
 	good := storedRecords[2].Marshal()
 	newer := bytes.Clone(good)
@@ -61,7 +61,7 @@
 		"the version only": good[:1],
 	} {
 		if r, err := ParseRecord(stored); !errors.Is(err, ErrRecordFormat) {
-			t.Errorf("%s: read as %+v, %v", name, r, err)
+			t.Errorf("%s: decoded as %+v, error %v, want ErrRecordFormat", name, r, err)
 		}
 	}
 }
--- a/internal/ownership/update.go
+++ b/internal/ownership/update.go
@@ -1,61 +1,62 @@
 package ownership
 
-// handleExtendRecord notes what an owned stream's record is to become.
+// handleExtendRecord sets the contents that an owned stream's record is to get, and starts the update.
 func (l *Lease) handleExtendRecord(x ExtendRecord) {
 	e := l.byHandle[x.Handle]
-	if e == nil || e.phase != owned {
+	if e == nil || e.phase != phaseOwned {
 		return
 	}
-	e.desired.FencingToken = e.record.FencingToken
+	e.desiredRecord.FencingToken = e.record.FencingToken
 	if x.TokenDelivered {
-		e.desired.MinFencingToken = e.record.FencingToken
+		e.desiredRecord.MinFencingToken = e.record.FencingToken
 	}
-	e.desired.ExpiresUnixMs = max(e.desired.ExpiresUnixMs, x.ExpiresUnixMs)
+	e.desiredRecord.ExpiresUnixMs = max(e.desiredRecord.ExpiresUnixMs, x.ExpiresUnixMs)
 	l.updateRecord(e)
 }
 
-// updateRecord writes the record if it is to change. The relay that owns a stream is the only one that writes
-// its record, so the version is known unless a reply is missing.
-func (l *Lease) updateRecord(e *entry) {
-	underWay := e.updateID != 0
+// updateRecord writes the record if its contents have to change. Only the relay that owns a stream writes its
+// record, so the version is known unless a reply was lost.
+func (l *Lease) updateRecord(e *streamEntry) {
+	inFlight := e.updateRequestID != 0
 	switch {
-	case underWay || e.phase != owned || !l.connected || e.desired == e.record:
+	case inFlight || e.phase != phaseOwned || !l.connected || e.desiredRecord == e.record:
 	case e.versionUnknown:
-		e.updateID = l.sendRequest(e, ReadRecord, Record{})
+		e.updateRequestID = l.sendRequest(e, ReadRecord, Record{})
 	default:
-		e.updateSent = e.desired
-		e.updateID = l.sendRequest(e, UpdateRecord, e.updateSent)
+		e.sentRecord = e.desiredRecord
+		e.updateRequestID = l.sendRequest(e, UpdateRecord, e.sentRecord)
 	}
 }
 
-// handleUpdateReply takes the reply to a read or an update of an owned stream's record.
-func (l *Lease) handleUpdateReply(e *entry, r Reply) {
-	e.updateID = 0
-	if e.phase != owned {
+// handleUpdateReply handles the reply to a ReadRecord or UpdateRecord for an owned stream.
+func (l *Lease) handleUpdateReply(e *streamEntry, r Reply) {
+	e.updateRequestID = 0
+	if e.phase != phaseOwned {
 		return
 	}
 	switch r.Code {
 	case OK:
 		l.adoptRecord(e, r)
 	case NoReply:
-		e.versionUnknown = true // handleSessionConnected goes on
+		e.versionUnknown = true // handleSessionConnected retries the update
 		return
 	case VersionMismatch:
 		e.versionUnknown = true
 	default:
-		return // the next ExtendRecord goes on
+		return // the next ExtendRecord retries the update
 	}
 	l.updateRecord(e)
 }
 
-// adoptRecord takes the record from the reply to its read, or as the update has made it.
-func (l *Lease) adoptRecord(e *entry, r Reply) {
+// adoptRecord stores the entry's new record: from the reply to ReadRecord, or the contents that UpdateRecord
+// wrote.
+func (l *Lease) adoptRecord(e *streamEntry, r Reply) {
 	e.version = r.Version
 	if !e.versionUnknown {
-		e.record = e.updateSent
+		e.record = e.sentRecord
 		return
 	}
 	e.versionUnknown = false
 	e.record = r.Record
-	e.desired.MinFencingToken = max(e.desired.MinFencingToken, r.Record.MinFencingToken)
+	e.desiredRecord.MinFencingToken = max(e.desiredRecord.MinFencingToken, r.Record.MinFencingToken)
 }
--- a/internal/resume/harness_test.go
+++ b/internal/resume/harness_test.go
@@ -13,15 +13,15 @@
 	"capersail/internal/token"
 )
 
-// nobody is both sides of every request: it takes all and says nothing.
-type nobody struct{}
+// noopPeer is both sides of every request: it takes all and says nothing.
+type noopPeer struct{}
 
-func (nobody) StartAttempt(*relay.Request, relay.Attempt)                 {}
-func (nobody) Probe(relay.Server, func(decide.Status, decide.LoadReport)) {}
-func (nobody) Forward([]byte) error                                       { return nil }
-func (nobody) Close(relay.CloseKind)                                      {}
-func (nobody) HasUnread() bool                                            { return false }
-func (nobody) Wake()                                                      {}
+func (noopPeer) StartAttempt(*relay.Request, relay.Attempt)                 {}
+func (noopPeer) Probe(relay.Server, func(decide.Status, decide.LoadReport)) {}
+func (noopPeer) Forward([]byte) error                                       { return nil }
+func (noopPeer) Close(relay.CloseKind)                                      {}
+func (noopPeer) HasUnread() bool                                            { return false }
+func (noopPeer) Wake()                                                      {}
 
 // testRelay is a Service with a request table, without sockets but for the ownership service's.
 type testRelay struct {
@@ -51,7 +51,7 @@
 		MaxClockSkew:       time.Second,
 	}
 	r := &testRelay{
-		table:   relay.NewRequestTable(deployment, clock, nobody{}),
+		table:   relay.NewRequestTable(deployment, clock, noopPeer{}),
 		service: New(c, keys, clock, zerolog.Nop()),
 	}
 	go r.service.Run(t.Context())
@@ -84,9 +84,9 @@
 	r.service.wallNow = func() time.Time { return time.UnixMilli(unixMs) }
 }
 
-// open opens a request for a stream.
-func (r *testRelay) open(st *Stream) *relay.Request {
-	return r.table.Open(relay.RequestParams{Ownership: st, Timeout: 30 * time.Second}, nobody{})
+// openRequest opens a request for a stream.
+func (r *testRelay) openRequest(st *Stream) *relay.Request {
+	return r.table.Open(relay.RequestParams{Ownership: st, Timeout: 30 * time.Second}, noopPeer{})
 }
 
 // newStreams makes n streams and gives them back; it returns their tokens.
@@ -97,7 +97,7 @@
 	for range n {
 		st := r.service.NewStream(StreamRequest{Class: "m"})
 		streams = append(streams, st)
-		requests = append(requests, r.open(st))
+		requests = append(requests, r.openRequest(st))
 	}
 	eventually(t, "acquired", func() bool { return r.service.Stats().Acquired >= uint64(n) })
 	for i, st := range streams {
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		requests = append(requests, r.open(st))
+		requests = append(requests, r.openRequest(st))
 	}
 	return requests
 }
--- a/internal/resume/issue.go
+++ b/internal/resume/issue.go
@@ -9,7 +9,7 @@
 
 // issuedToken is what is remembered of the token that the client was given last.
 type issuedToken struct {
-	at           time.Duration
+	issuedAt     time.Duration
 	position     uint64
 	fencingToken uint64 // 0 for none yet
 }
@@ -24,11 +24,11 @@
 	if owned == 0 {
 		return false
 	}
-	if st.issued.fencingToken != owned {
+	if st.lastIssued.fencingToken != owned {
 		return true
 	}
-	age := st.service.Clock.Now() - st.issued.at
-	moved := st.issued.position != st.position.Load()
+	age := st.service.Clock.Now() - st.lastIssued.issuedAt
+	moved := st.lastIssued.position != st.position.Load()
 	return age >= st.service.TokenRenewInterval && moved || age >= st.service.TokenLifetime/2
 }
 
@@ -37,8 +37,8 @@
 	s := st.service
 	now := s.Clock.Now()
 	next := now + s.TokenRenewInterval
-	if st.issued.fencingToken != 0 {
-		due := st.issued.at + min(s.TokenRenewInterval, s.TokenLifetime/2)
+	if st.lastIssued.fencingToken != 0 {
+		due := st.lastIssued.issuedAt + min(s.TokenRenewInterval, s.TokenLifetime/2)
 		next = max(now+time.Millisecond, due)
 	}
 	if st.serverLease.supported && st.fencingToken.Load() != 0 {
@@ -68,7 +68,7 @@
 		IssuedUnixMs:  wallNow.UnixMilli(),
 		ExpiresUnixMs: wallNow.Add(s.TokenLifetime).UnixMilli(),
 	})
-	st.issued = issuedToken{at: now, position: position, fencingToken: owned}
+	st.lastIssued = issuedToken{issuedAt: now, position: position, fencingToken: owned}
 	if err != nil {
 		s.Log.Error().Err(err).Str("class", st.Class).Str("tenant", st.Tenant).
 			Msg("token not sealed, the stream cannot be resumed: shorten the names of its class and tenant")
@@ -85,7 +85,7 @@
 	defer st.mu.Unlock()
 	end := st.recordEnd()
 	slack := st.service.TokenLifetime / recordSlackDivisor
-	if st.ended || end-st.recordExpiresUnixMs <= slack.Milliseconds() {
+	if st.requestEnded || end-st.recordExpiresUnixMs <= slack.Milliseconds() {
 		return
 	}
 	st.recordExpiresUnixMs = end
@@ -99,10 +99,10 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	current := owned != 0 && fencingToken == owned && st.tokenIssued.Load()
-	if !current || st.deliveredToken == owned || st.ended {
+	if !current || st.confirmedFencingToken == owned || st.requestEnded {
 		return
 	}
-	st.deliveredToken = owned
+	st.confirmedFencingToken = owned
 	st.service.enqueue(ownership.ExtendRecord{
 		Handle:         st.handle,
 		TokenDelivered: true,
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -55,7 +55,7 @@
 	r := newRelay(t, zk)
 	withoutToken := r.service.NewStream(StreamRequest{Class: "m"})
 	withToken := r.service.NewStream(StreamRequest{Class: "m"})
-	a, b := r.open(withoutToken), r.open(withToken)
+	a, b := r.openRequest(withoutToken), r.openRequest(withToken)
 	eventually(t, "acquired", func() bool {
 		return withoutToken.fencingToken.Load() == 1 && withToken.fencingToken.Load() == 1
 	})
--- a/internal/resume/server_lease.go
+++ b/internal/resume/server_lease.go
@@ -29,7 +29,7 @@
 // none: a new stream has no token out that another relay could be shown.
 func (st *Stream) BeginAttempt(supported bool) time.Duration {
 	st.serverLease = serverLease{supported: supported}
-	if st.shownToken == 0 {
+	if st.shownFencingToken == 0 {
 		return 0
 	}
 	return st.ServerLease()
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -52,7 +52,7 @@
 	streams map[uint64]*Stream // by handle
 	actions []ownership.Action
 
-	wake chan struct{} // holds a token while the inbox is not empty
+	inboxSignal chan struct{} // holds a token while the inbox is not empty
 
 	mu         sync.Mutex
 	inbox      []any // ownership.Event, or a func for Run
@@ -63,13 +63,13 @@
 // New returns a Service that Run begins.
 func New(c Config, keys *token.KeyRing, clock *relay.Clock, log zerolog.Logger) *Service {
 	s := &Service{
-		Config:  c,
-		Clock:   clock,
-		Log:     log,
-		wallNow: time.Now,
-		lease:   ownership.New(rand.Uint64()),
-		streams: map[uint64]*Stream{},
-		wake:    make(chan struct{}, 1),
+		Config:      c,
+		Clock:       clock,
+		Log:         log,
+		wallNow:     time.Now,
+		lease:       ownership.New(rand.Uint64()),
+		streams:     map[uint64]*Stream{},
+		inboxSignal: make(chan struct{}, 1),
 	}
 	s.Path = path.Clean(c.Path)
 	s.keys.Store(keys)
@@ -107,7 +107,7 @@
 	s.inbox = append(s.inbox, ev)
 	s.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case s.inboxSignal <- struct{}{}:
 	default:
 	}
 }
@@ -140,7 +140,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.inboxSignal:
 		case <-timer.C:
 			s.handleEvent(ownership.Tick{})
 		}
--- a/internal/resume/stored_test.go
+++ b/internal/resume/stored_test.go
@@ -14,8 +14,8 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// storedWall is the time of day at which testdata was written, by the version of 2026-12-03.
-const storedWall = 1_800_000_000_000
+// storedUnixMs is the time of day at which testdata was written, by the version of 2026-12-03.
+const storedUnixMs = 1_800_000_000_000
 
 // The streams of testdata: one whose token was never confirmed, one in its second generation with both tokens
 // confirmed, and one that is being served.
@@ -40,8 +40,8 @@
 	return pairs
 }
 
-// nodes reads what the ownership service keeps below /a/streams, each node's data in hex by its path.
-func (r *testRelay) nodes(t *testing.T, paths []string) map[string]string {
+// readNodes reads what the ownership service keeps below /a/streams, each node's data in hex by its path.
+func (r *testRelay) readNodes(t *testing.T, paths []string) map[string]string {
 	t.Helper()
 	data := map[string]string{}
 	for _, p := range paths {
@@ -56,12 +56,12 @@
 	return data
 }
 
-// begin opens a stream of a known id and waits for its ownership.
-func (r *testRelay) begin(t *testing.T, id token.StreamID) (*Stream, *relay.Request) {
+// openNewStream opens a stream of a known id and waits for its ownership.
+func (r *testRelay) openNewStream(t *testing.T, id token.StreamID) (*Stream, *relay.Request) {
 	t.Helper()
 	st := r.service.NewStream(StreamRequest{Class: "m", Tenant: "acme", Key: 5, Group: 6})
 	st.ID = id
-	call := r.open(st)
+	call := r.openRequest(st)
 	eventually(t, "acquired", func() bool { return st.fencingToken.Load() == 1 })
 	return st, call
 }
@@ -69,14 +69,14 @@
 // writeStored lets a relay write the nodes and tokens of testdata.
 func (r *testRelay) writeStored(t *testing.T) (tokens map[string]string) {
 	t.Helper()
-	r.setWallClock(storedWall)
+	r.setWallClock(storedUnixMs)
 	tokens = map[string]string{}
-	fresh, call := r.begin(t, storedFresh)
+	fresh, call := r.openNewStream(t, storedFresh)
 	tokens["fresh-1"] = fresh.IssueToken()
 	call.ClientClosed(relay.GracefulClose)
 	<-fresh.released
 
-	first, call := r.begin(t, storedTwice)
+	first, call := r.openNewStream(t, storedTwice)
 	first.SetPosition(41)
 	tokens["twice-1"] = first.IssueToken()
 	first.ConfirmToken(1)
@@ -86,14 +86,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	call = r.open(second)
+	call = r.openRequest(second)
 	eventually(t, "acquired again", func() bool { return second.fencingToken.Load() == 2 })
 	tokens["twice-2"] = second.IssueToken()
 	second.ConfirmToken(2)
 	call.ClientClosed(relay.GracefulClose)
 	<-second.released
 
-	served, _ := r.begin(t, storedServed)
+	served, _ := r.openNewStream(t, storedServed)
 	tokens["served-1"] = served.IssueToken()
 	return tokens
 }
@@ -110,7 +110,7 @@
 	if stored := slices.Sorted(maps.Keys(want)); !slices.Equal(paths, stored) {
 		t.Fatalf("nodes %q, want %q", paths, stored)
 	}
-	if got := r.nodes(t, paths); !maps.Equal(got, want) {
+	if got := r.readNodes(t, paths); !maps.Equal(got, want) {
 		t.Errorf("nodes %q, want %q", got, want)
 	}
 }
@@ -120,7 +120,7 @@
 func TestStoredStreamsGoOn(t *testing.T) {
 	zk := newOwnershipService(t)
 	r := newRelay(t, zk)
-	r.setWallClock(storedWall)
+	r.setWallClock(storedUnixMs)
 	for p, data := range storedLines(t, "nodes.txt") {
 		if strings.HasSuffix(p, "/holder") {
 			continue // it went with its session
@@ -157,7 +157,7 @@
 			if st.ID != c.stream || st.FirstScan != c.from {
 				t.Errorf("stream %v from %d, want %v from %d", st.ID, st.FirstScan, c.stream, c.from)
 			}
-			call := r.open(st)
+			call := r.openRequest(st)
 			eventually(t, "an answer", func() bool { return stateOf(call) != relay.AwaitingOwnership })
 			state, answer := call.State()
 			switch {
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -53,17 +53,17 @@
 	ID        token.StreamID
 	FirstScan uint64 // the first scan wanted, 0 for whatever comes
 
-	service       *Service
-	shownToken    uint64        // fencing token of the token shown, 0 for a new stream
-	fencingToken  atomic.Uint64 // of this ownership, 0 until it is acquired
-	ownershipLost atomic.Bool
-	tokenIssued   atomic.Bool // a token was given out: the stream may be at another relay one day
-	position      atomic.Uint64
-	released      chan struct{}
-	releaseOnce   sync.Once
+	service           *Service
+	shownFencingToken uint64        // fencing token of the token shown, 0 for a new stream
+	fencingToken      atomic.Uint64 // of this ownership, 0 until it is acquired
+	ownershipLost     atomic.Bool
+	tokenIssued       atomic.Bool // a token was given out: the stream may be at another relay one day
+	position          atomic.Uint64
+	released          chan struct{}
+	releaseOnce       sync.Once
 
 	serverName  string // for tokens
-	issued      issuedToken
+	lastIssued  issuedToken
 	serverLease serverLease
 
 	mu          sync.Mutex
@@ -72,11 +72,11 @@
 
 // acquisition is a stream's part in its ownership, at one handle after the other.
 type acquisition struct {
-	request             *relay.Request
-	handle              uint64 // 0 for none
-	ended               bool   // the request is done with the stream
-	deliveredToken      uint64 // fencing token of the token that the client has confirmed
-	recordExpiresUnixMs int64  // as this relay last requested
+	request               *relay.Request
+	handle                uint64 // 0 for none
+	requestEnded          bool   // the request is done with the stream
+	confirmedFencingToken uint64 // fencing token of the token that the client has confirmed
+	recordExpiresUnixMs   int64  // as this relay last requested
 }
 
 // NewStream is a new stream. It is served whether or not the ownership service can be reached; its token
@@ -126,19 +126,19 @@
 		return nil, &RejectError{NoteInvalidPosition, errLastPosition}
 	}
 	st := &Stream{
-		StreamRequest: r,
-		ID:            t.Stream,
-		FirstScan:     r.Position + 1,
-		service:       s,
-		shownToken:    t.FencingToken,
-		released:      make(chan struct{}),
+		StreamRequest:     r,
+		ID:                t.Stream,
+		FirstScan:         r.Position + 1,
+		service:           s,
+		shownFencingToken: t.FencingToken,
+		released:          make(chan struct{}),
 	}
 	st.position.Store(r.Position)
 	return st, nil
 }
 
 // MustWait tells whether the request waits for its ownership: only a stream that another relay may have does.
-func (st *Stream) MustWait() bool { return st.shownToken != 0 }
+func (st *Stream) MustWait() bool { return st.shownFencingToken != 0 }
 
 // Acquire asks for the ownership.
 func (st *Stream) Acquire(r *relay.Request) {
@@ -150,7 +150,7 @@
 
 // acquire asks for the ownership under a new handle. The caller holds the lock.
 func (st *Stream) acquire(within time.Duration) {
-	if st.ended {
+	if st.requestEnded {
 		return
 	}
 	s := st.service
@@ -159,7 +159,7 @@
 	a := ownership.Acquire{
 		Handle:        st.handle,
 		Stream:        st.ID,
-		FencingToken:  st.shownToken,
+		FencingToken:  st.shownFencingToken,
 		Deadline:      s.Clock.Now() + within,
 		ExpiresUnixMs: st.recordExpiresUnixMs,
 	}
@@ -180,10 +180,10 @@
 func (st *Stream) Release() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.ended {
+	if st.requestEnded {
 		return
 	}
-	st.ended = true
+	st.requestEnded = true
 	if st.handle == 0 {
 		st.markReleased()
 		return
@@ -211,7 +211,7 @@
 	st.mu.Lock()
 	r := st.request
 	st.mu.Unlock()
-	if st.shownToken != 0 {
+	if st.shownFencingToken != 0 {
 		r.OwnershipAcquired()
 	} else {
 		r.WakeServerSide() // its token can be given out
@@ -232,9 +232,9 @@
 func (st *Stream) handleLeaseExpired() {
 	st.mu.Lock()
 	r := st.request
-	onlyHere := st.shownToken == 0 && !st.tokenIssued.Load() && !st.ended
+	onlyHere := st.shownFencingToken == 0 && !st.tokenIssued.Load() && !st.requestEnded
 	if onlyHere {
-		st.acquireAnew()
+		st.reacquire()
 	}
 	st.mu.Unlock()
 	if onlyHere {
@@ -245,8 +245,8 @@
 	r.OwnershipLost(time.Duration(wait))
 }
 
-// acquireAnew releases the handle and asks under another. The caller holds the lock.
-func (st *Stream) acquireAnew() {
+// reacquire releases the handle and asks under another. The caller holds the lock.
+func (st *Stream) reacquire() {
 	s, old := st.service, st.handle
 	st.fencingToken.Store(0)
 	s.enqueue(func() {
@@ -259,7 +259,7 @@
 // MayForward tells whether a line may still be forwarded. It is asked before each: a process that slept past
 // the end of its lease must not forward what it had read before.
 func (st *Stream) MayForward() bool {
-	if !st.tokenIssued.Load() && st.shownToken == 0 {
+	if !st.tokenIssued.Load() && st.shownFencingToken == 0 {
 		return true
 	}
 	return !st.ownershipLost.Load() && st.service.Clock.Now() < st.service.ValidUntil()
--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -81,12 +81,12 @@
 // A meta page of bbolt's: 16 bytes of page header, then magic, version, page size, flags (4 bytes each), root
 // (16), freelist, pages, transaction and checksum (8 each). The first two pages of a file are meta pages.
 const (
-	metaLen        = 80
-	metaSummedFrom = 16
-	metaPageSizeAt = 24
-	metaPagesAt    = 56
-	metaTxAt       = 64
-	metaSumAt      = 72
+	metaLen             = 80
+	metaChecksumStart   = 16
+	metaPageSizeOffset  = 24
+	metaPageCountOffset = 56
+	metaTxIDOffset      = 64
+	metaChecksumOffset  = 72
 
 	minPageSize = 512
 	maxPageSize = 1 << 16
@@ -110,7 +110,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %d bytes", ErrDamaged, info.Size())
 	}
-	pageSize := int64(binary.LittleEndian.Uint32(first[metaPageSizeAt:]))
+	pageSize := int64(binary.LittleEndian.Uint32(first[metaPageSizeOffset:]))
 	if pageSize < minPageSize || pageSize > maxPageSize {
 		pageSize = int64(os.Getpagesize())
 	}
@@ -120,9 +120,9 @@
 	}
 	pages, newestTx := uint64(0), uint64(0)
 	for _, meta := range [][]byte{first, second} {
-		tx := binary.LittleEndian.Uint64(meta[metaTxAt:])
+		tx := binary.LittleEndian.Uint64(meta[metaTxIDOffset:])
 		if validMeta(meta) && tx >= newestTx {
-			newestTx, pages = tx, binary.LittleEndian.Uint64(meta[metaPagesAt:])
+			newestTx, pages = tx, binary.LittleEndian.Uint64(meta[metaPageCountOffset:])
 		}
 	}
 	if int64(pages)*pageSize > info.Size() {
@@ -140,6 +140,6 @@
 // validMeta tells whether a meta page has the checksum that bbolt gives it.
 func validMeta(meta []byte) bool {
 	h := fnv.New64a()
-	h.Write(meta[metaSummedFrom:metaSumAt])
-	return binary.LittleEndian.Uint64(meta[metaSumAt:]) == h.Sum64()
+	h.Write(meta[metaChecksumStart:metaChecksumOffset])
+	return binary.LittleEndian.Uint64(meta[metaChecksumOffset:]) == h.Sum64()
 }
--- a/internal/store/state_test.go
+++ b/internal/store/state_test.go
@@ -7,14 +7,14 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Put queues a value that is state, not history: it has no age. Nothing but tests writes any yet; a file may
+// PutState queues a value that is state, not history: it has no age. Nothing but tests writes any yet; a file may
 // hold some, and the bounds pass them by.
-func (s *Store) Put(bucket, id string, value []byte) {
+func (s *Store) PutState(bucket, id string, value []byte) {
 	s.enqueue(row{string(statePrefix) + bucket, []byte(id), value}, 0)
 }
 
-// Get reads a value that was Put; nil if there is none.
-func (s *Store) Get(bucket, id string) (value []byte, err error) {
+// GetState reads a value that was Put; nil if there is none.
+func (s *Store) GetState(bucket, id string) (value []byte, err error) {
 	db := s.database()
 	if db == nil {
 		return nil, fmt.Errorf("%s: %w", s.path, ErrNotOpen)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,8 +13,8 @@
 // FormatVersion is what this program writes. A file of a higher one is rejected.
 const FormatVersion = 1
 
-// defaultQueue is Options.MaxQueuedRows where that is 0.
-const defaultQueue = 65536
+// defaultMaxQueuedRows is Options.MaxQueuedRows where that is 0.
+const defaultMaxQueuedRows = 65536
 
 // Why a file cannot be used.
 var (
@@ -59,7 +59,7 @@
 // returned with an error too: one that is Run goes on trying.
 func Open(path string, o Options, log zerolog.Logger) (*Store, error) {
 	if o.MaxQueuedRows == 0 {
-		o.MaxQueuedRows = defaultQueue
+		o.MaxQueuedRows = defaultMaxQueuedRows
 	}
 	s := &Store{Options: o, path: path, log: log, flushRequests: make(chan chan struct{})}
 	return s, s.open()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -43,7 +43,7 @@
 		s.Append("steps", int64(i), fmt.Sprint("s", i%3), []byte{byte(i)})
 	}
 	s.Append("steps", 7, "s1", []byte("over"))
-	s.Put("state", "list", []byte("x"))
+	s.PutState("state", "list", []byte("x"))
 	s.writeQueue()
 	if n := countRows(t, s, "steps"); n != 100 {
 		t.Errorf("%d rows", n)
@@ -56,7 +56,7 @@
 	if fmt.Sprint(got) != "[6s0false 7s1true 8s2false]" {
 		t.Error(got)
 	}
-	if v, err := s.Get("state", "list"); string(v) != "x" || err != nil {
+	if v, err := s.GetState("state", "list"); string(v) != "x" || err != nil {
 		t.Errorf("%q, %v", v, err)
 	}
 }
@@ -190,12 +190,12 @@
 	for i := range 2000 {
 		s.Append("rows", int64(i), "a", nil)
 	}
-	s.Put("state", "kept", []byte{1})
+	s.PutState("state", "kept", []byte{1})
 	s.writeQueue()
 	if n := countRows(t, s, "rows"); n != 501 {
 		t.Errorf("%d rows within 500 ms", n)
 	}
-	if v, _ := s.Get("state", "kept"); v == nil {
+	if v, _ := s.GetState("state", "kept"); v == nil {
 		t.Error("state has no age")
 	}
 	s = openStore(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxBytes: 1 << 20, MaxQueuedRows: 1 << 20})
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -50,7 +50,7 @@
 					t.Errorf("%s: %q, %v, want %q", bucket, got, err, want)
 				}
 			}
-			if v, err := s.Get("state", "list"); string(v) != "kept" || err != nil {
+			if v, err := s.GetState("state", "list"); string(v) != "kept" || err != nil {
 				t.Errorf("state: %q, %v", v, err)
 			}
 			if o.ReadOnly {
--- a/internal/token/ring.go
+++ b/internal/token/ring.go
@@ -71,8 +71,8 @@
 // SealingKeyID is the id of the key that seals.
 func (r *KeyRing) SealingKeyID() string { return r.sealingID }
 
-// strictDecoding rejects what no relay writes: an unknown or repeated field is a token of another version.
-var strictDecoding = func() cbor.DecMode {
+// strictDecMode rejects what no relay writes: an unknown or repeated field is a token of another version.
+var strictDecMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
@@ -137,7 +137,7 @@
 		return nil, ErrForged
 	}
 	t := &Token{}
-	if err := strictDecoding.Unmarshal(body, t); err != nil {
+	if err := strictDecMode.Unmarshal(body, t); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return t, nil
--- a/internal/token/stored_test.go
+++ b/internal/token/stored_test.go
@@ -32,10 +32,10 @@
 	},
 }
 
-// counting gives nonces that are known: 0, 1, 2 and so on, byte after byte.
-type counting struct{ next byte }
+// countingReader gives nonces that are known: 0, 1, 2 and so on, byte after byte.
+type countingReader struct{ next byte }
 
-func (c *counting) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = c.next
 		c.next++
@@ -57,7 +57,7 @@
 	if r.SealingKeyID() != "k2" {
 		t.Fatalf("%q seals, want the file's first key", r.SealingKeyID())
 	}
-	r.sealingID, r.random = seals, &counting{}
+	r.sealingID, r.random = seals, &countingReader{}
 	return r
 }
 
@@ -85,7 +85,7 @@
 			t.Errorf("token %d: sealed as %s, %v, want %s", i, sealed, err, line)
 		}
 	}
-	other := ring(t, Key{"k2", bytes.Repeat([]byte{9}, 32)})
+	other := newTestRing(t, Key{"k2", bytes.Repeat([]byte{9}, 32)})
 	if _, err := other.Open(lines[0]); !errors.Is(err, ErrForged) {
 		t.Errorf("under another secret: %v", err)
 	}
@@ -104,7 +104,7 @@
 	if !strings.Contains(string(text), base64.StdEncoding.EncodeToString(secret)) {
 		t.Fatal("the file does not hold the secret of bytes 0 to 31")
 	}
-	sealed, err := ring(t, Key{"k2", secret}).Seal(&storedTokens[0])
+	sealed, err := newTestRing(t, Key{"k2", secret}).Seal(&storedTokens[0])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-func key(id string, fill byte) Key { return Key{id, bytes.Repeat([]byte{fill}, 32)} }
+func testKey(id string, fill byte) Key { return Key{id, bytes.Repeat([]byte{fill}, 32)} }
 
-func ring(t testing.TB, keys ...Key) *KeyRing {
+func newTestRing(t testing.TB, keys ...Key) *KeyRing {
 	t.Helper()
 	r, err := NewKeyRing(keys)
 	if err != nil {
@@ -21,8 +21,8 @@
 	return r
 }
 
-// sample is a token with fields as large as they get.
-func sample() *Token {
+// sampleToken is a token with fields as large as they get.
+func sampleToken() *Token {
 	return &Token{
 		Stream:        NewStreamID(),
 		FencingToken:  7,
@@ -41,8 +41,8 @@
 // What was sealed opens as it was, under its own ring and one with a newer key; no nonce is used twice; and
 // names of machines are cut rather than make a token too long.
 func TestSealedTokenOpensUnchanged(t *testing.T) {
-	old, next := ring(t, key("a", 1)), ring(t, key("b", 2), key("a", 1))
-	want := sample()
+	old, next := newTestRing(t, testKey("a", 1)), newTestRing(t, testKey("b", 2), testKey("a", 1))
+	want := sampleToken()
 	text, err := old.Seal(want)
 	if err != nil || len(text) > MaxTokenLen {
 		t.Fatalf("%d bytes, %v", len(text), err)
@@ -58,7 +58,7 @@
 	if again, _ := old.Seal(want); again == text {
 		t.Error("a nonce was used twice")
 	}
-	long := sample()
+	long := sampleToken()
 	long.Server, long.Relay = strings.Repeat("s", 300), strings.Repeat("r", 300)
 	if text, err := old.Seal(long); err != nil || len(text) > MaxTokenLen {
 		t.Errorf("long names of machines: %d bytes, %v", len(text), err)
@@ -73,10 +73,10 @@
 
 // A text that no relay of ours sealed is rejected, with the reason that tells an operator why.
 func TestForeignTextIsRejected(t *testing.T) {
-	r := ring(t, key("a", 1))
-	text, _ := r.Seal(sample())
-	removed, _ := ring(t, key("z", 3)).Seal(sample())
-	sameID, _ := ring(t, key("a", 9)).Seal(sample())
+	r := newTestRing(t, testKey("a", 1))
+	text, _ := r.Seal(sampleToken())
+	removed, _ := newTestRing(t, testKey("z", 3)).Seal(sampleToken())
+	sameID, _ := newTestRing(t, testKey("a", 9)).Seal(sampleToken())
 	flip := []byte(text) // another digit of the same alphabet: what is not base64url has the wrong form
 	if flip[40]++; !strings.ContainsRune(base64url, rune(flip[40])) {
 		flip[40] = 'b'
@@ -103,7 +103,7 @@
 
 // A token is good for its own request and its own time only, within the skew of wall clocks.
 func TestTokenIsBoundToItsRequest(t *testing.T) {
-	k := sample()
+	k := sampleToken()
 	own := k.Binding()
 	other := func(change func(b *Binding)) Binding {
 		b := own
@@ -135,8 +135,8 @@
 
 // A token cut anywhere opens nowhere.
 func TestTruncatedTokenIsRejected(t *testing.T) {
-	r := ring(t, key("a", 1))
-	text, _ := r.Seal(sample())
+	r := newTestRing(t, testKey("a", 1))
+	text, _ := r.Seal(sampleToken())
 	for n := range text {
 		if got, err := r.Open(text[:n]); err == nil {
 			t.Fatalf("cut to %d bytes it opens as %+v", n, got)
@@ -146,8 +146,8 @@
 
 // FuzzOpen: no text makes Open panic, and what opens is what was sealed, one text for each token.
 func FuzzOpen(f *testing.F) {
-	r := ring(f, key("a", 1), key("b", 2))
-	text, _ := r.Seal(sample())
+	r := newTestRing(f, testKey("a", 1), testKey("b", 2))
+	text, _ := r.Seal(sampleToken())
 	f.Add(text)
 	f.Add("cs1.b." + text[6:])
 	f.Add(text[:len(text)-1])
@@ -161,7 +161,7 @@
 // FuzzForeignBody: a body that was sealed with the right key but is not what relays write is rejected, not
 // half read.
 func FuzzForeignBody(f *testing.F) {
-	r := ring(f, key("a", 1))
+	r := newTestRing(f, testKey("a", 1))
 	f.Add([]byte{0xa1, 0x02, 0x07})
 	f.Add([]byte{0xa2, 0x02, 0x07, 0x02, 0x08})
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -177,7 +177,7 @@
 }
 
 func BenchmarkTokenSeal(b *testing.B) {
-	r, k := ring(b, key("a", 1)), sample()
+	r, k := newTestRing(b, testKey("a", 1)), sampleToken()
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Seal(k)
@@ -185,8 +185,8 @@
 }
 
 func BenchmarkTokenOpen(b *testing.B) {
-	r := ring(b, key("a", 1))
-	text, _ := r.Seal(sample())
+	r := newTestRing(b, testKey("a", 1))
+	text, _ := r.Seal(sampleToken())
 	b.ReportMetric(float64(len(text)), "bytes")
 	b.ReportAllocs()
 	for b.Loop() {
