--- a/internal/resume/doc.go
+++ b/internal/resume/doc.go
@@ -1,14 +1,14 @@
-// Package resume lets a stream go on at another relay: a client shows a sealed token with its last position,
-// and the relay that acquires the stream's ownership serves it.
+// Package resume lets a client resume a stream at another relay: the client presents a sealed resume token
+// with its last position, and the relay that acquires ownership of the stream serves it.
 //
-// A Service owns one relay's part: the session with the ownership service, the ownership.Lease that it feeds,
-// the key ring of the tokens, and the streams that this relay has or asks for. A Stream is one of them: the
-// relay.Request's ownership, the fencing token and lease that its server gets, and when the client is given
-// its next token.
+// A Service holds one relay's state: the session with the ownership service, the ownership.Lease that it
+// drives, the key ring for tokens, and the streams that this relay owns or is acquiring. A Stream is one of
+// these. It holds the ownership of its relay.Request, the fencing token and lease for its server, and the
+// time of the client's next token.
 //
-// The fronts call it (wire/platform writes its lines), package lifecycle starts, reloads and closes it. It
-// writes no wire of a front, decides nothing about ownership itself (package ownership does) and places no
-// request.
+// The client protocols call this package (wire/platform writes its lines); package lifecycle starts, reloads
+// and closes it. This package writes no protocol lines, leaves decisions about ownership to package
+// ownership, and places no requests.
 //
-// docs/design/resume.md has the reasons, docs/RESUME.md the platform's lines.
+// docs/design/resume.md explains the design, docs/RESUME.md the lines of the platform protocol.
 package resume
--- a/internal/resume/harness_test.go
+++ b/internal/resume/harness_test.go
@@ -13,7 +13,7 @@
 	"capersail/internal/token"
 )
 
-// noopPeer is both sides of every request: it takes all and says nothing.
+// noopPeer is the client and the server side of every request. It accepts everything and sends nothing.
 type noopPeer struct{}
 
 func (noopPeer) StartAttempt(*relay.Request, relay.Attempt)                 {}
@@ -23,13 +23,13 @@
 func (noopPeer) HasUnread() bool                                            { return false }
 func (noopPeer) Wake()                                                      {}
 
-// testRelay is a Service with a request table, without sockets but for the ownership service's.
+// testRelay is a Service with a request table. Its only sockets are the connections to the ownership service.
 type testRelay struct {
 	table   *relay.RequestTable
 	service *Service
 }
 
-// newRelay returns a relay that is connected to the ownership service, until the test ends.
+// newRelay returns a relay that is connected to the ownership service until the test ends.
 func newRelay(t testing.TB, zk *fake.ZooKeeper) *testRelay {
 	t.Helper()
 	keys, err := token.NewKeyRing([]token.Key{{ID: "a", Secret: bytes.Repeat([]byte{1}, 32)}})
@@ -59,12 +59,12 @@
 	return r
 }
 
-// eventually waits for a condition, for a minute at most.
+// eventually waits for a condition, for at most a minute.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(200 * time.Microsecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: never", what)
+			t.Fatalf("%s: condition not met within 60 s", what)
 		}
 	}
 }
@@ -79,17 +79,17 @@
 	return zk
 }
 
-// setWallClock sets the relay's wall clock to a Unix time in ms, at which it stands.
+// setWallClock stops the relay's wall clock at a Unix time in ms.
 func (r *testRelay) setWallClock(unixMs int64) {
 	r.service.wallNow = func() time.Time { return time.UnixMilli(unixMs) }
 }
 
-// openRequest opens a request for a stream.
+// openRequest opens the request of a stream.
 func (r *testRelay) openRequest(st *Stream) *relay.Request {
 	return r.table.Open(relay.RequestParams{Ownership: st, Timeout: 30 * time.Second}, noopPeer{})
 }
 
-// newStreams makes n streams and gives them back; it returns their tokens.
+// newStreams creates n streams, issues a token for each and releases them. It returns the tokens.
 func (r *testRelay) newStreams(t testing.TB, n int) (tokens []string) {
 	t.Helper()
 	var requests []*relay.Request
@@ -110,7 +110,7 @@
 	return tokens
 }
 
-// startResuming opens requests with tokens, all at once.
+// startResuming opens one request for each token, without waiting for the acquisitions.
 func (r *testRelay) startResuming(t testing.TB, tokens []string) (requests []*relay.Request) {
 	t.Helper()
 	for _, text := range tokens {
@@ -123,7 +123,7 @@
 	return requests
 }
 
-// resumeStreams opens requests with tokens, and waits until each has its ownership or its answer.
+// resumeStreams opens one request for each token, and waits until each is acquired or answered.
 func (r *testRelay) resumeStreams(t testing.TB, tokens []string) []*relay.Request {
 	t.Helper()
 	requests := r.startResuming(t, tokens)
--- a/internal/resume/issue.go
+++ b/internal/resume/issue.go
@@ -7,18 +7,20 @@
 	"capersail/internal/token"
 )
 
-// issuedToken is what is remembered of the token that the client was given last.
+// issuedToken describes the newest token that was issued to the client.
 type issuedToken struct {
 	issuedAt     time.Duration
 	position     uint64
-	fencingToken uint64 // 0 for none yet
+	fencingToken uint64 // 0 before the first token
 }
 
-// recordSlackDivisor: a record's end is moved once it has fallen behind by a token's lifetime over this.
+// recordSlackDivisor limits the writes of a record: its expiry time is extended only when the extension
+// exceeds TokenLifetime divided by recordSlackDivisor.
 const recordSlackDivisor = 4
 
-// TokenDue tells whether a token is to be given out now: the first of an ownership at once, then with each
-// TokenRenewInterval in which the position has moved, and before the one that the client has is too old.
+// TokenDue reports whether a token has to be issued now. The first token of an ownership is due at once.
+// Later ones are due after TokenRenewInterval if the position has changed, and after half of TokenLifetime in
+// any case, so that the client's token does not expire.
 func (st *Stream) TokenDue() bool {
 	owned := st.fencingToken.Load()
 	if owned == 0 {
@@ -32,7 +34,7 @@
 	return age >= st.service.TokenRenewInterval && moved || age >= st.service.TokenLifetime/2
 }
 
-// NextCheck is the instant at which TokenDue and ServerLease are to be asked again at the latest.
+// NextCheck returns the latest instant for the next calls of TokenDue and ServerLease.
 func (st *Stream) NextCheck() time.Duration {
 	s := st.service
 	now := s.Clock.Now()
@@ -47,7 +49,8 @@
 	return next
 }
 
-// IssueToken seals a token of now for the client; "" if there is none to give.
+// IssueToken returns a sealed token with the current position for the client. It returns "" if this relay
+// does not own the stream or the token cannot be sealed.
 func (st *Stream) IssueToken() string {
 	owned := st.fencingToken.Load()
 	if owned == 0 || st.ownershipLost.Load() {
@@ -71,7 +74,7 @@
 	st.lastIssued = issuedToken{issuedAt: now, position: position, fencingToken: owned}
 	if err != nil {
 		s.Log.Error().Err(err).Str("class", st.Class).Str("tenant", st.Tenant).
-			Msg("token not sealed, the stream cannot be resumed: shorten the names of its class and tenant")
+			Msg("resume token not sealed, stream cannot be resumed: shorten the class and tenant names")
 		return ""
 	}
 	st.tokenIssued.Store(true)
@@ -79,7 +82,7 @@
 	return text
 }
 
-// extendRecord moves the record's end with the tokens that are given out.
+// extendRecord extends the record's expiry time so that the record outlives the tokens that are issued.
 func (st *Stream) extendRecord() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -92,8 +95,8 @@
 	st.service.enqueue(ownership.ExtendRecord{Handle: st.handle, ExpiresUnixMs: end})
 }
 
-// ConfirmToken says that the client has the token of an ownership: those of earlier ones are stale from then
-// on.
+// ConfirmToken notes that the client has received the token of the ownership with this fencing token. Tokens
+// of earlier ownerships become stale.
 func (st *Stream) ConfirmToken(fencingToken uint64) {
 	owned := st.fencingToken.Load()
 	st.mu.Lock()
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -9,12 +9,13 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// recordPath is the node of a stream's record, and holderPath the ephemeral node of its owner below it.
+// recordPath returns the path of the node with a stream's record.
 func (s *Service) recordPath(stream string) string { return s.Path + "/" + stream }
 
+// holderPath returns the path of the ephemeral holder node below a record.
 func holderPath(record string) string { return record + "/holder" }
 
-// replyCodes are the codes that package ownership tells apart.
+// replyCodes maps the ZooKeeper codes that package ownership distinguishes; all others are ServiceError.
 var replyCodes = map[zookeeper.Code]ownership.ReplyCode{
 	zookeeper.OK:             ownership.OK,
 	zookeeper.NoNode:         ownership.NotFound,
@@ -23,7 +24,7 @@
 	zookeeper.ConnectionLoss: ownership.NoReply,
 }
 
-// sendRequest puts the Lease's request to the ownership service; the reply becomes an event.
+// sendRequest sends a request of the Lease to the ownership service, and enqueues the reply as an event.
 func (s *Service) sendRequest(q ownership.Request) {
 	record := s.recordPath(q.Stream.String())
 	holder := holderPath(record)
@@ -51,21 +52,21 @@
 	}
 }
 
-// replyOf is the service's answer as the Lease takes it. A record that cannot be read is an error of the
-// service's.
+// replyOf converts an answer of the ownership service to a Reply for the Lease. A record that cannot be
+// decoded counts as ServiceError.
 func (s *Service) replyOf(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
 	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.Owner}
 	code, known := replyCodes[a.Code]
 	if !known {
 		s.Log.Warn().Int32("code", int32(a.Code)).Str("node", node).
-			Msg("ownership service rejected a request, it is retried: look its code up in ZooKeeper's pages")
+			Msg("ownership service rejected a request, it is retried: look up the code in ZooKeeper's manual")
 		code = ownership.ServiceError
 	}
 	if q.Kind == ownership.ReadRecord && code == ownership.OK {
 		var err error
 		if r.Record, err = ownership.ParseRecord(a.Data); err != nil {
 			s.Log.Warn().Err(err).Str("node", node).
-				Msg("ownership record ignored: a newer relay may write the same path")
+				Msg("ownership record ignored: check whether relays of a newer version use this path")
 			code = ownership.ServiceError
 		}
 	}
@@ -73,21 +74,21 @@
 	return r
 }
 
-// sessionEvents is the Service as its session sees it.
+// sessionEvents implements the event interface of the ZooKeeper session for a Service.
 type sessionEvents Service
 
-// Connected makes the path on which records lie, if need be, and notifies the Lease.
+// Connected creates the path of the records if it does not exist, and notifies the Lease.
 func (e *sessionEvents) Connected(session int64, granted, sentAt time.Duration) {
 	s := (*Service)(e)
 	s.Log.Info().Float64("session_ms", relay.Millis(granted)).Msg("ownership service connected")
-	for i, p := range ancestors(s.Path) { // created by whoever comes first
+	for i, p := range ancestors(s.Path) { // created by the first relay that connects
 		s.session.Create(p, nil, false, func(a zookeeper.Answer) {
 			failed := a.Code != zookeeper.OK && a.Code != zookeeper.NodeExists &&
 				a.Code != zookeeper.ConnectionLoss
 			if failed && i == 0 {
 				s.Log.Error().Int32("code", int32(a.Code)).Str("path", p).
 					Msg("ownership service rejected the path of the records, no stream gets a token: " +
-						"check its rights")
+						"check the relay's permissions for the path")
 			}
 		})
 	}
@@ -98,23 +99,23 @@
 	})
 }
 
-// Disconnected notifies the Lease that no replies come.
+// Disconnected notifies the Lease that the connection was lost, so that no more replies arrive.
 func (e *sessionEvents) Disconnected() { (*Service)(e).enqueue(ownership.SessionDisconnected{}) }
 
-// Expired notifies the Lease that the session is gone.
+// Expired notifies the Lease that the session has expired.
 func (e *sessionEvents) Expired() {
 	s := (*Service)(e)
 	s.Log.Warn().
-		Msg("ownership service session expired, streams with tokens are migrated: check it and this machine")
+		Msg("ownership service session expired, streams with tokens are migrated: check service and host")
 	s.enqueue(ownership.SessionExpired{})
 }
 
-// Answered notifies the Lease that something sent at that time was answered.
+// Answered notifies the Lease that the service has answered a message sent at sentAt.
 func (e *sessionEvents) Answered(sentAt time.Duration) {
 	(*Service)(e).enqueue(ownership.SessionRenewed{SentAt: sentAt})
 }
 
-// ancestors lists a path and those above it, the topmost first.
+// ancestors returns a path and all of its parents below the root, topmost first.
 func ancestors(p string) []string {
 	if p == "/" || p == "." {
 		return nil
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -7,7 +7,8 @@
 	"capersail/internal/relay"
 )
 
-// Records whose tokens have expired are removed; those that are owned, or whose tokens are valid still, stay.
+// A sweep removes records whose tokens have expired. Records of owned streams and records with valid tokens
+// stay.
 func TestSweepRemovesExpiredRecordsOnly(t *testing.T) {
 	zk := newOwnershipService(t)
 	now := time.Now().UnixMilli()
@@ -18,38 +19,39 @@
 	r.setWallClock(now)
 	r.newStreams(t, 2)
 	r.setWallClock(longAgo)
-	r.resumeStreams(t, old[:1]) // owned since long ago
+	r.resumeStreams(t, old[:1]) // owned, with an expired record
 	r.setWallClock(now)
 	r.service.Sweep(t.Context())
 	if left := zk.Nodes("/a/streams/"); len(left) != 2+1+1 || r.service.Stats().RecordsSwept != 2 {
-		t.Errorf("%d swept, left: %q", r.service.Stats().RecordsSwept, left)
+		t.Errorf("%d records swept, want 2; nodes left: %q, want 4", r.service.Stats().RecordsSwept, left)
 	}
 }
 
-// Two relays, one token: one request goes on to the decision module, the other is rejected with a time to
-// retry. The stream is the other's once it is released.
+// Guards against two relays that own one stream at the same time. Of two requests with the same token, the
+// first is queued and the second is rejected with a retry time. After the release the second relay can
+// acquire the stream.
 func TestOneOwnerOfTwoRelays(t *testing.T) {
 	zk := newOwnershipService(t)
 	a, b := newRelay(t, zk), newRelay(t, zk)
 	tokens := a.newStreams(t, 1)
 	first := a.resumeStreams(t, tokens)[0]
 	if state := stateOf(first); state != relay.Queued {
-		t.Fatalf("state %v", state)
+		t.Fatalf("request at the first relay is in state %v, want Queued", state)
 	}
 	second := b.resumeStreams(t, tokens)[0]
 	_, answer := second.State()
 	if answer.Kind != relay.Rejected || answer.RetryAfter <= 0 || answer.RetryAfter > 4*time.Second {
-		t.Errorf("%+v", answer)
+		t.Errorf("answer of the second relay is %+v, want Rejected with RetryAfter of up to 4 s", answer)
 	}
 	first.ClientClosed(relay.GracefulClose)
 	eventually(t, "released", func() bool { return len(zk.Nodes("/a/streams/")) == 1 })
 	if state := stateOf(b.resumeStreams(t, tokens)[0]); state != relay.Queued {
-		t.Errorf("state %v", state)
+		t.Errorf("request after the release is in state %v, want Queued", state)
 	}
 }
 
-// A stream whose session expires before a token was given out is served on, and acquired anew; with a token
-// it is ended, as another relay may have it.
+// When the session expires, a stream without an issued token is still served and is acquired again. A stream
+// with an issued token ends, as another relay may have acquired it.
 func TestExpiredSessionEndsStreamsWithTokens(t *testing.T) {
 	zk := newOwnershipService(t)
 	r := newRelay(t, zk)
@@ -63,16 +65,17 @@
 	zk.ExpireSessions()
 	eventually(t, "ended", func() bool { return stateOf(b) == relay.Ended })
 	if withToken.MayForward() || withToken.IssueToken() != "" {
-		t.Error("a stream whose lease has expired is still served")
+		t.Error("a stream with an issued token is still served after its session expired")
 	}
 	eventually(t, "acquired anew", func() bool { return withoutToken.fencingToken.Load() == 2 })
 	if state := stateOf(a); state != relay.Queued || !withoutToken.MayForward() {
-		t.Errorf("without a token out: state %v, may forward %v", state, withoutToken.MayForward())
+		t.Errorf("stream without an issued token: state %v, want Queued; may forward %v, want true", state,
+			withoutToken.MayForward())
 	}
 }
 
-// Acquisitions do not wait for one another's replies: the service says nothing before it has all 200
-// requests.
+// Acquisitions do not wait for each other's replies. The ownership service holds all answers back until it
+// has received 200 requests, so acquisitions that wait for each other would never finish.
 func TestAcquisitionsArePipelined(t *testing.T) {
 	zk := newOwnershipService(t)
 	r := newRelay(t, zk)
@@ -82,12 +85,12 @@
 		eventually(t, "acquired", func() bool { return stateOf(q) == relay.Queued })
 	}
 	if s := r.service.Stats(); s.Acquired != 400 {
-		t.Errorf("%+v", s)
+		t.Errorf("got stats %+v, want 400 acquired", s)
 	}
 }
 
-// BenchmarkAcquisitions measures acquisitions a second where every reply of the service takes 1 ms, all at
-// once and one by one.
+// BenchmarkAcquisitions measures acquisitions per second with a service that takes 1 ms for each reply, for
+// all streams at once and one by one.
 func BenchmarkAcquisitions(b *testing.B) {
 	const n = 2000
 	zk := newOwnershipService(b)
@@ -115,7 +118,7 @@
 			}
 			b.ReportMetric(float64(acquired)/spent.Seconds(), "claims/s")
 			if s := r.service.Stats(); s.AlreadyOwned+s.TimedOut+s.ServiceUnreachable > 0 {
-				b.Errorf("%+v", s)
+				b.Errorf("stats %+v, want no rejections", s)
 			}
 		})
 	}
--- a/internal/resume/server_lease.go
+++ b/internal/resume/server_lease.go
@@ -6,27 +6,29 @@
 	"capersail/internal/ownership"
 )
 
-// serverLease is the lease of a stream's server: how long it may serve on without hearing from this relay.
+// serverLease is the state of the leases for a stream's server. A lease is the time for which the server may
+// continue to serve the stream without a message from this relay.
 type serverLease struct {
-	supported bool          // the server takes leases
-	sentAt    time.Duration // of the last one
+	supported bool          // the server accepts leases
+	sentAt    time.Duration // time of the last lease sent
 }
 
-// leasesPerSession: a server's lease is renewed so often in a session.
+// leasesPerSession is how often a server's lease is renewed within SessionTimeout.
 const leasesPerSession = 8
 
 func (s *Service) leaseRenewInterval() time.Duration { return s.SessionTimeout / leasesPerSession }
 
-// serverLeaseMargin is by how much a server's lease outlasts this relay's, so that the client is migrated
-// before its server ends the stream. The other half of the margin is for the lease's way to the
-// server.
+// serverLeaseMargin is the time by which a server's lease outlasts this relay's lease, so that the client is
+// migrated before its server ends the stream. The other half of ExpiryMargin is for the transmission of the
+// lease to the server.
 const serverLeaseMargin = ownership.ExpiryMargin / 2
 
-// minServerLease is the shortest lease, as 0 stands for none.
+// minServerLease is the shortest lease that is sent; 0 means no lease.
 const minServerLease = time.Millisecond
 
-// BeginAttempt begins an attempt at a server, which takes leases or not. It returns the first lease, 0 for
-// none: a new stream has no token out that another relay could be shown.
+// BeginAttempt starts an attempt at a server; supported tells whether the server accepts leases. It returns
+// the first lease, 0 for none. A new stream needs none, as its client has no token yet to resume it at
+// another relay.
 func (st *Stream) BeginAttempt(supported bool) time.Duration {
 	st.serverLease = serverLease{supported: supported}
 	if st.shownFencingToken == 0 {
@@ -35,9 +37,9 @@
 	return st.ServerLease()
 }
 
-// ServerLease is for how long the server may serve on without hearing from this relay; 0 if no lease
-// is due now. Without it, a relay that is stopped would leave its server serving while the next relay's does
-// too.
+// ServerLease returns the time for which the server may continue without a message from this relay; 0 if no
+// lease is due now. Without leases, the server of a stopped relay would continue to serve the stream while
+// the server of the next relay serves it too.
 func (st *Stream) ServerLease() time.Duration {
 	s := st.service
 	now := s.Clock.Now()
--- a/internal/resume/service.go
+++ b/internal/resume/service.go
@@ -16,27 +16,28 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// Config is what a Service is set to.
+// Config contains the settings of a Service.
 type Config struct {
-	Relay              string   // this relay's name, for holder nodes and tokens
+	Relay              string   // this relay's name, written to holder nodes and tokens
 	Servers            []string // addresses of the ownership service
-	Path               string   // under which the service keeps a node for each stream
+	Path               string   // path below which the service stores a node for each stream
 	SessionTimeout     time.Duration
-	AcquireTimeout     time.Duration // a stream that is not acquired by then is rejected
+	AcquireTimeout     time.Duration // a resumed stream that is not acquired within it is rejected
 	TokenLifetime      time.Duration
-	TokenRenewInterval time.Duration // a client has its position in a token at least so often
-	MaxClockSkew       time.Duration // by which relays' wall clocks may differ
-	SweepInterval      time.Duration // between two searches for records without a valid token; 0 for none
-	AllServersResume   bool          // every server takes streams up, whatever the endpoint list says
+	TokenRenewInterval time.Duration // time after which a changed position is sent in a new token
+	MaxClockSkew       time.Duration // difference allowed between the wall clocks of relays
+	SweepInterval      time.Duration // mean time between two sweeps of expired records; 0 for no sweeps
+	AllServersResume   bool          // every server can resume streams, whatever the endpoint list says
 }
 
-// Stats count since the start: streams acquired, rejected by reason and expired, and records swept.
+// Stats contains counters since the start: streams acquired, acquisitions rejected by reason, leases expired
+// and records swept.
 type Stats struct {
 	Acquired, AlreadyOwned, StaleToken, UnknownStream, ServiceUnreachable, TimedOut,
 	LeasesExpired, RecordsSwept uint64
 }
 
-// Service is one relay's. Its methods never block, but for Run, Sweep and Close.
+// Service manages the resumable streams of one relay. Its methods do not block, except Run, Sweep and Close.
 type Service struct {
 	Config
 	Clock *relay.Clock
@@ -44,23 +45,23 @@
 
 	wallNow    func() time.Time
 	keys       atomic.Pointer[token.KeyRing]
-	validUntil atomic.Int64 // the lease's, as a time.Duration
+	validUntil atomic.Int64 // ValidUntil of the lease, as a time.Duration
 	session    *zookeeper.Session
 
-	// Run's goroutine alone uses these.
+	// These fields are used only by Run's goroutine.
 	lease   *ownership.Lease
 	streams map[uint64]*Stream // by handle
 	actions []ownership.Action
 
-	inboxSignal chan struct{} // holds a token while the inbox is not empty
+	inboxSignal chan struct{} // holds an element while the inbox is not empty
 
 	mu         sync.Mutex
-	inbox      []any // ownership.Event, or a func for Run
+	inbox      []any // each an ownership.Event, or a func() that Run calls
 	lastHandle uint64
 	stats      Stats
 }
 
-// New returns a Service that Run begins.
+// New returns a Service, which starts working when Run is called.
 func New(c Config, keys *token.KeyRing, clock *relay.Clock, log zerolog.Logger) *Service {
 	s := &Service{
 		Config:      c,
@@ -77,8 +78,8 @@
 	return s
 }
 
-// SetKeys replaces the key ring: its first key seals from now on, and tokens of keys that it lacks are
-// rejected.
+// SetKeys replaces the key ring. New tokens are sealed with its first key, and tokens sealed with a key that
+// the ring does not contain are rejected.
 func (s *Service) SetKeys(keys *token.KeyRing) { s.keys.Store(keys) }
 
 // SetServers replaces the addresses of the ownership service.
@@ -97,11 +98,11 @@
 	s.mu.Unlock()
 }
 
-// ValidUntil is the instant from which on this relay's ownership is not trusted. It falls behind the clock
-// while the ownership service answers nothing, and while this process sleeps.
+// ValidUntil returns the instant from which on this relay's ownership is not trusted. The clock passes it if
+// the ownership service does not answer for too long, or if this process is suspended.
 func (s *Service) ValidUntil() time.Duration { return time.Duration(s.validUntil.Load()) }
 
-// enqueue leaves an event, or a function, to Run.
+// enqueue adds an event or a function to the inbox, for Run to handle.
 func (s *Service) enqueue(ev any) {
 	s.mu.Lock()
 	s.inbox = append(s.inbox, ev)
@@ -120,7 +121,7 @@
 	return batch
 }
 
-// nextHandle is a handle that was never used.
+// nextHandle returns a handle that was never used.
 func (s *Service) nextHandle() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +129,8 @@
 	return s.lastHandle
 }
 
-// Run keeps the session and the ownership until the context ends, and with it the goroutines that it starts.
+// Run maintains the session and the ownership of streams until the context ends. The goroutines that it
+// starts end with the context too.
 func (s *Service) Run(ctx context.Context) {
 	go s.session.Run(ctx)
 	if s.SweepInterval > 0 {
@@ -156,12 +158,12 @@
 	}
 }
 
-// Close ends the session, and with it all ownership at once, as the process ends. It waits no longer than
-// within for that, and is called once.
+// Close closes the session, which releases all owned streams at once, when the process ends. It waits for
+// that no longer than within, and must be called only once.
 func (s *Service) Close(within time.Duration) { s.session.Close(within) }
 
-// handleEvent lets the Lease act. Only Run's goroutine calls it, so streams are notified of decisions in
-// their order.
+// handleEvent passes an event to the Lease and executes the resulting actions. Only Run's goroutine calls it,
+// so streams are notified in the order of the actions.
 func (s *Service) handleEvent(ev ownership.Event) {
 	s.actions = s.lease.Handle(s.Clock.Now(), ev, s.actions[:0])
 	s.validUntil.Store(int64(s.lease.ValidUntil()))
@@ -188,7 +190,7 @@
 	}
 }
 
-// handleRejected answers a stream whose acquisition was rejected.
+// handleRejected counts a rejected acquisition and passes the answer to its stream.
 func (s *Service) handleRejected(a ownership.AcquisitionRejected) {
 	st := s.streams[a.Handle]
 	delete(s.streams, a.Handle)
--- a/internal/resume/stored_test.go
+++ b/internal/resume/stored_test.go
@@ -14,18 +14,18 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// storedUnixMs is the time of day at which testdata was written, by the version of 2026-12-03.
+// storedUnixMs is the Unix time in ms at which the version of 2026-12-03 wrote the files in testdata.
 const storedUnixMs = 1_800_000_000_000
 
-// The streams of testdata: one whose token was never confirmed, one in its second generation with both tokens
-// confirmed, and one that is being served.
+// The streams in testdata: one whose token was never confirmed, one that was acquired twice with both tokens
+// confirmed, and one that is still owned.
 var (
 	storedFresh  = token.StreamID{0xa0, 15: 1}
 	storedTwice  = token.StreamID{0xb0, 15: 2}
 	storedServed = token.StreamID{0xc0, 15: 3}
 )
 
-// storedLines reads the lines of a file of testdata as pairs of words.
+// storedLines reads the lines of a file in testdata as pairs of words.
 func storedLines(t *testing.T, name string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(path.Join("testdata", name))
@@ -40,7 +40,7 @@
 	return pairs
 }
 
-// readNodes reads what the ownership service keeps below /a/streams, each node's data in hex by its path.
+// readNodes reads nodes from the ownership service, and returns each node's data in hex by its path.
 func (r *testRelay) readNodes(t *testing.T, paths []string) map[string]string {
 	t.Helper()
 	data := map[string]string{}
@@ -49,14 +49,14 @@
 		r.service.session.Get(p, func(a zookeeper.Answer) { answers <- a })
 		a := <-answers
 		if a.Code != zookeeper.OK {
-			t.Fatalf("%s: code %v", p, a.Code)
+			t.Fatalf("node %s: got code %v, want OK", p, a.Code)
 		}
 		data[p] = hex.EncodeToString(a.Data)
 	}
 	return data
 }
 
-// openNewStream opens a stream of a known id and waits for its ownership.
+// openNewStream opens a new stream with the given id and waits until it is acquired.
 func (r *testRelay) openNewStream(t *testing.T, id token.StreamID) (*Stream, *relay.Request) {
 	t.Helper()
 	st := r.service.NewStream(StreamRequest{Class: "m", Tenant: "acme", Key: 5, Group: 6})
@@ -66,7 +66,7 @@
 	return st, call
 }
 
-// writeStored lets a relay write the nodes and tokens of testdata.
+// writeStored lets a relay write the same nodes as in testdata, and returns the tokens that it issued.
 func (r *testRelay) writeStored(t *testing.T) (tokens map[string]string) {
 	t.Helper()
 	r.setWallClock(storedUnixMs)
@@ -98,8 +98,8 @@
 	return tokens
 }
 
-// The nodes that a relay writes have the paths and the bytes of an earlier version's: relays of both share
-// them while a fleet is replaced.
+// Guards against a change of the node paths or the record encoding. Relays of two versions share the nodes
+// during an upgrade, so the paths and the bytes must be the same as those of the earlier version.
 func TestNodesAreWrittenAsBefore(t *testing.T) {
 	want := storedLines(t, "nodes.txt")
 	zk := newOwnershipService(t)
@@ -108,22 +108,22 @@
 	paths := zk.Nodes("/a/streams/")
 	slices.Sort(paths)
 	if stored := slices.Sorted(maps.Keys(want)); !slices.Equal(paths, stored) {
-		t.Fatalf("nodes %q, want %q", paths, stored)
+		t.Fatalf("got node paths %q, want %q", paths, stored)
 	}
 	if got := r.readNodes(t, paths); !maps.Equal(got, want) {
-		t.Errorf("nodes %q, want %q", got, want)
+		t.Errorf("got node data %q, want %q", got, want)
 	}
 }
 
-// Streams whose records and tokens an earlier version wrote go on, and those tokens that it had made
-// worthless stay so.
+// Streams with records and tokens from an earlier version can be resumed, and tokens that were stale there
+// stay stale.
 func TestStoredStreamsGoOn(t *testing.T) {
 	zk := newOwnershipService(t)
 	r := newRelay(t, zk)
 	r.setWallClock(storedUnixMs)
 	for p, data := range storedLines(t, "nodes.txt") {
 		if strings.HasSuffix(p, "/holder") {
-			continue // it went with its session
+			continue // an ephemeral node, deleted with its session
 		}
 		stored, err := hex.DecodeString(data)
 		if err != nil {
@@ -132,7 +132,7 @@
 		created := make(chan zookeeper.Code, 1)
 		r.service.session.Create(p, stored, false, func(a zookeeper.Answer) { created <- a.Code })
 		if code := <-created; code != zookeeper.OK {
-			t.Fatalf("%s: code %v", p, code)
+			t.Fatalf("node %s: got code %v, want OK", p, code)
 		}
 	}
 	tokens := storedLines(t, "tokens.txt")
@@ -140,7 +140,7 @@
 	for _, c := range []struct {
 		token        string
 		stream       token.StreamID
-		fencingToken uint64 // of the ownership that it begins, 0 if it is final
+		fencingToken uint64 // of the new ownership; 0 if the token is rejected for good
 		from         uint64
 		note         string
 	}{
@@ -155,7 +155,8 @@
 				t.Fatal(err)
 			}
 			if st.ID != c.stream || st.FirstScan != c.from {
-				t.Errorf("stream %v from %d, want %v from %d", st.ID, st.FirstScan, c.stream, c.from)
+				t.Errorf("got stream %v from scan %d, want %v from scan %d", st.ID, st.FirstScan, c.stream,
+					c.from)
 			}
 			call := r.openRequest(st)
 			eventually(t, "an answer", func() bool { return stateOf(call) != relay.AwaitingOwnership })
@@ -163,10 +164,11 @@
 			switch {
 			case c.fencingToken == 0:
 				if state != relay.Ended || answer.Kind != relay.Failed || answer.Note != c.note {
-					t.Errorf("state %v, %+v", state, answer)
+					t.Errorf("got state %v, answer %+v; want Ended, Failed and the note of this case", state, answer)
 				}
 			case state != relay.Queued || st.FencingToken() != c.fencingToken:
-				t.Errorf("state %v, fencing token %d, want %d", state, st.FencingToken(), c.fencingToken)
+				t.Errorf("state %v, want Queued; fencing token %d, want %d", state, st.FencingToken(),
+					c.fencingToken)
 			}
 		})
 	}
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -12,32 +12,33 @@
 	"capersail/internal/token"
 )
 
-// The notes that say to a client why its stream cannot go on. All are final: the client begins a new stream.
-// Their texts are the platform's.
+// Notes that tell a client why its stream cannot be resumed. All are final: the client has to start a new
+// stream. The platform protocol defines their texts.
 const (
-	NoteInvalidToken    = "token"    // not a token, or sealed by no key of ours
-	NoteExpired         = "expired"  // its time is over
-	NoteMismatch        = "mismatch" // of another class, tenant, key or group
-	NoteStaleToken      = "behind"   // a later token is known to have arrived
-	NoteUnknownStream   = "unknown"  // the ownership service has no such stream
-	NoteInvalidPosition = "position" // not a position, or one from before the stream
-	NotePositionAhead   = "ahead"    // a position that the server has not come to
+	NoteInvalidToken    = "token"    // not a token, or sealed with a key that the key ring does not contain
+	NoteExpired         = "expired"  // the token has expired
+	NoteMismatch        = "mismatch" // the token is for another class, tenant, key or group
+	NoteStaleToken      = "behind"   // the client is known to have received a later token
+	NoteUnknownStream   = "unknown"  // the ownership service has no record of the stream
+	NoteInvalidPosition = "position" // not a position, or one before the start of the stream
+	NotePositionAhead   = "ahead"    // a position that the server has not reached yet
 )
 
 var (
-	errNoFencingToken = errors.New("token without a fencing token")
-	errLastPosition   = errors.New("no scan can follow that position")
+	errNoFencingToken = errors.New("resume token contains no fencing token")
+	errLastPosition   = errors.New("position is the maximum value, so no scan can follow it")
 )
 
-// releaseTimeout is how long an end waits for its stream to be another relay's to acquire: without that the
-// client could be at the next relay first, and be rejected there.
+// releaseTimeout is the longest wait for the release of a stream before its client is sent away. Without this
+// wait, the client could reach the next relay before the release and be rejected there.
 const releaseTimeout = 150 * time.Millisecond
 
-// minRetryAfterLoss: a client whose stream's ownership was lost retries after 1 to 2 times as much.
+// minRetryAfterLoss sets the retry time for a client whose stream lost its ownership: 1 to 2 times this
+// value.
 const minRetryAfterLoss = 500 * time.Millisecond
 
-// StreamRequest is what a client asks for: the request that its token must be of, and the last scan that it
-// has.
+// StreamRequest contains the properties of a client's request, which its token must match, and the last scan
+// that the client has received.
 type StreamRequest struct {
 	Class, Tenant string
 	Key, Group    uint64
@@ -45,24 +46,24 @@
 	HasPosition   bool
 }
 
-// Stream is a stream at this relay: its ownership, its server's lease and its client's tokens. It implements
-// relay.OwnershipLease. One goroutine, that which forwards lines to the client, calls SetPosition, TokenDue,
-// NextCheck, BeginAttempt, ServerLease and IssueToken.
+// Stream is a stream at this relay, with its ownership, its server's lease and its client's tokens. It
+// implements relay.OwnershipLease. SetPosition, TokenDue, NextCheck, BeginAttempt, ServerLease and IssueToken
+// may be called only by the goroutine that forwards lines to the client.
 type Stream struct {
 	StreamRequest
 	ID        token.StreamID
-	FirstScan uint64 // the first scan wanted, 0 for whatever comes
+	FirstScan uint64 // the first scan that the client needs; 0 for any
 
 	service           *Service
-	shownFencingToken uint64        // fencing token of the token shown, 0 for a new stream
-	fencingToken      atomic.Uint64 // of this ownership, 0 until it is acquired
+	shownFencingToken uint64        // from the client's resume token; 0 for a new stream
+	fencingToken      atomic.Uint64 // of this ownership; 0 until it is acquired
 	ownershipLost     atomic.Bool
-	tokenIssued       atomic.Bool // a token was given out: the stream may be at another relay one day
+	tokenIssued       atomic.Bool // a token was issued, so that another relay may acquire the stream
 	position          atomic.Uint64
 	released          chan struct{}
 	releaseOnce       sync.Once
 
-	serverName  string // for tokens
+	serverName  string // written to tokens
 	lastIssued  issuedToken
 	serverLease serverLease
 
@@ -70,17 +71,17 @@
 	acquisition // guarded by mu
 }
 
-// acquisition is a stream's part in its ownership, at one handle after the other.
+// acquisition is the state of a stream's ownership. Each attempt to acquire the stream has a new handle.
 type acquisition struct {
 	request               *relay.Request
-	handle                uint64 // 0 for none
-	requestEnded          bool   // the request is done with the stream
-	confirmedFencingToken uint64 // fencing token of the token that the client has confirmed
-	recordExpiresUnixMs   int64  // as this relay last requested
+	handle                uint64 // of the current attempt; 0 for none
+	requestEnded          bool   // the request has released the stream
+	confirmedFencingToken uint64 // fencing token of the newest token that the client has confirmed
+	recordExpiresUnixMs   int64  // as last requested by this relay
 }
 
-// NewStream is a new stream. It is served whether or not the ownership service can be reached; its token
-// follows.
+// NewStream returns a new stream. It is served even while the ownership service cannot be reached; its first
+// token is issued once the stream is acquired.
 func (s *Service) NewStream(r StreamRequest) *Stream {
 	st := &Stream{StreamRequest: r, ID: token.NewStreamID(), service: s, released: make(chan struct{})}
 	if r.HasPosition {
@@ -90,25 +91,25 @@
 	return st
 }
 
-// RejectError says why a stream cannot be resumed.
+// RejectError is the reason why a stream cannot be resumed.
 type RejectError struct {
-	Note string // for the client, one of the notes
+	Note string // text for the client, one of the Note constants
 	Err  error
 }
 
-// Error is what Err says.
+// Error returns the text of Err.
 func (e *RejectError) Error() string { return e.Err.Error() }
 
 // Unwrap returns Err.
 func (e *RejectError) Unwrap() error { return e.Err }
 
-// ResumeStream is a stream that goes on by a token. An error is a *RejectError.
+// ResumeStream returns the stream of a resume token. An error is a *RejectError.
 func (s *Service) ResumeStream(text string, r StreamRequest) (*Stream, error) {
 	t, err := s.keys.Load().Open(text)
 	if err != nil {
 		return nil, &RejectError{NoteInvalidToken, err}
 	}
-	if t.FencingToken == 0 { // inside it stands for a new stream, which nothing is checked for
+	if t.FencingToken == 0 { // package ownership would treat 0 as a new stream, without checks
 		return nil, &RejectError{NoteInvalidToken, errNoFencingToken}
 	}
 	bound := token.Binding{Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group}
@@ -119,7 +120,7 @@
 	case err != nil:
 		return nil, &RejectError{NoteMismatch, err}
 	}
-	if !r.HasPosition { // what the relay that gave it had forwarded
+	if !r.HasPosition { // start after the last scan forwarded when the token was issued
 		r.Position = t.Position
 	}
 	if r.Position == 1<<64-1 {
@@ -137,10 +138,11 @@
 	return st, nil
 }
 
-// MustWait tells whether the request waits for its ownership: only a stream that another relay may have does.
+// MustWait reports whether the request has to wait for its ownership. Only resumed streams wait, as another
+// relay may own them.
 func (st *Stream) MustWait() bool { return st.shownFencingToken != 0 }
 
-// Acquire asks for the ownership.
+// Acquire requests ownership of the stream for a request.
 func (st *Stream) Acquire(r *relay.Request) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -148,7 +150,7 @@
 	st.acquire(min(st.service.AcquireTimeout, r.Timeout))
 }
 
-// acquire asks for the ownership under a new handle. The caller holds the lock.
+// acquire requests ownership under a new handle. The caller must hold st.mu.
 func (st *Stream) acquire(within time.Duration) {
 	if st.requestEnded {
 		return
@@ -169,14 +171,14 @@
 	})
 }
 
-// recordEnd is when a record may go that is written now: no token that is given out in a lifetime from now on
-// is valid then.
+// recordEnd returns the expiry time, as Unix time in ms, for a record that is written now. Any token issued
+// within the next TokenLifetime has expired by then.
 func (st *Stream) recordEnd() int64 {
 	s := st.service
 	return s.wallNow().Add(2*s.TokenLifetime + s.MaxClockSkew).UnixMilli()
 }
 
-// Release gives the ownership back. A second call does nothing more.
+// Release releases the ownership. Further calls have no effect.
 func (st *Stream) Release() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -191,11 +193,11 @@
 	st.service.enqueue(ownership.Release{Handle: st.handle})
 }
 
-// markReleased says that another relay can acquire the stream, or that this one never had.
+// markReleased notes that another relay can acquire the stream, or that this relay never owned it.
 func (st *Stream) markReleased() { st.releaseOnce.Do(func() { close(st.released) }) }
 
-// ReleaseAndWait gives the ownership back before the client is sent away, and waits for that for at most
-// releaseTimeout. The stream's connection to its server must be closed.
+// ReleaseAndWait releases the ownership before the client is sent away, and waits up to releaseTimeout until
+// it is released. The stream's connection to its server must be closed before the call.
 func (st *Stream) ReleaseAndWait() {
 	st.Release()
 	select {
@@ -204,8 +206,8 @@
 	}
 }
 
-// handleAcquired is called when the stream has become this relay's. Run's goroutine calls it, as the next
-// two.
+// handleAcquired is called when this relay has acquired the stream. Run's goroutine calls handleAcquired,
+// handleRejected and handleLeaseExpired.
 func (st *Stream) handleAcquired(fencingToken uint64) {
 	st.fencingToken.Store(fencingToken)
 	st.mu.Lock()
@@ -214,11 +216,11 @@
 	if st.shownFencingToken != 0 {
 		r.OwnershipAcquired()
 	} else {
-		r.WakeServerSide() // its token can be given out
+		r.WakeServerSide() // its first token can be issued now
 	}
 }
 
-// handleRejected is called when the stream has not become this relay's.
+// handleRejected is called when the acquisition of the stream was rejected.
 func (st *Stream) handleRejected(a relay.Answer) {
 	st.mu.Lock()
 	r := st.request
@@ -227,17 +229,18 @@
 	r.OwnershipDenied(a)
 }
 
-// handleLeaseExpired is called when the ownership may be lost: the stream ends here. A stream
-// of which no token is out cannot be another relay's; it is served on and acquired anew.
+// handleLeaseExpired is called when the ownership may be lost, and ends the stream at this relay. A stream
+// without an issued token cannot have been acquired by another relay: it is still served and is acquired
+// again.
 func (st *Stream) handleLeaseExpired() {
 	st.mu.Lock()
 	r := st.request
-	onlyHere := st.shownFencingToken == 0 && !st.tokenIssued.Load() && !st.requestEnded
-	if onlyHere {
+	noTokenIssued := st.shownFencingToken == 0 && !st.tokenIssued.Load() && !st.requestEnded
+	if noTokenIssued {
 		st.reacquire()
 	}
 	st.mu.Unlock()
-	if onlyHere {
+	if noTokenIssued {
 		return
 	}
 	st.ownershipLost.Store(true)
@@ -245,7 +248,7 @@
 	r.OwnershipLost(time.Duration(wait))
 }
 
-// reacquire releases the handle and asks under another. The caller holds the lock.
+// reacquire releases the handle and requests ownership under a new one. The caller must hold st.mu.
 func (st *Stream) reacquire() {
 	s, old := st.service, st.handle
 	st.fencingToken.Store(0)
@@ -256,8 +259,8 @@
 	st.acquire(s.AcquireTimeout)
 }
 
-// MayForward tells whether a line may still be forwarded. It is asked before each: a process that slept past
-// the end of its lease must not forward what it had read before.
+// MayForward reports whether a line may still be forwarded. It must be called before each line, as a process
+// that was suspended until after the end of its lease must not forward the lines that it had read before.
 func (st *Stream) MayForward() bool {
 	if !st.tokenIssued.Load() && st.shownFencingToken == 0 {
 		return true
@@ -265,18 +268,18 @@
 	return !st.ownershipLost.Load() && st.service.Clock.Now() < st.service.ValidUntil()
 }
 
-// AllServersResume tells whether every server takes streams up, whatever the endpoint list says.
+// AllServersResume reports whether every server can resume streams, whatever the endpoint list says.
 func (st *Stream) AllServersResume() bool { return st.service.AllServersResume }
 
-// FencingToken is the fencing token that a server gets. A new stream's first is 1, whether or not it
-// is acquired yet.
+// FencingToken returns the fencing token for a server. The first fencing token of a new stream is 1, even
+// before the stream is acquired.
 func (st *Stream) FencingToken() uint64 { return max(1, st.fencingToken.Load()) }
 
-// SetServer says which server serves it.
+// SetServer sets the id of the server that serves the stream.
 func (st *Stream) SetServer(id string) { st.serverName = id }
 
-// SetPosition says that a scan has gone to the client.
+// SetPosition sets the last scan that was forwarded to the client.
 func (st *Stream) SetPosition(scan uint64) { st.position.Store(scan) }
 
-// Position is the last scan that went to the client.
+// Position returns the last scan that was forwarded to the client.
 func (st *Stream) Position() uint64 { return st.position.Load() }
--- a/internal/resume/sweep.go
+++ b/internal/resume/sweep.go
@@ -9,11 +9,12 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// sweepConcurrency is how many records a sweep reads at once; acquisitions wait behind them for no longer.
+// sweepConcurrency is how many records a sweep reads at once. It limits how long acquisitions wait behind the
+// requests of a sweep.
 const sweepConcurrency = 64
 
-// sweepLoop removes records whose last token has expired, each relay at times of its own, until the context
-// ends.
+// sweepLoop removes records whose last token has expired, until the context ends. The interval is random, so
+// that relays do not sweep at the same time.
 func (s *Service) sweepLoop(ctx context.Context) {
 	for {
 		wait := time.Duration(float64(s.SweepInterval) * (0.5 + rand.Float64()))
@@ -26,8 +27,8 @@
 	}
 }
 
-// Sweep checks every record once. It returns when the last answer has come, no answer has come for a
-// session's timeout, or the context has ended.
+// Sweep checks every record once. It returns when the last answer has arrived, when no answer has arrived for
+// SessionTimeout, or when the context has ended.
 func (s *Service) Sweep(ctx context.Context) {
 	names := make(chan []string, 1)
 	s.session.Children(s.Path, func(a zookeeper.Answer) { names <- a.Children })
@@ -40,7 +41,7 @@
 		}
 		s.sweepRecord(s.recordPath(name), func() { <-slots })
 	}
-	for range sweepConcurrency { // the last answers
+	for range sweepConcurrency { // wait for the last answers
 		select {
 		case <-ctx.Done():
 			return
@@ -51,9 +52,9 @@
 	}
 }
 
-// sweepRecord removes a record if no valid token of its stream is left, and calls done. It removes the
-// version that it read, so a stream that is acquired meanwhile stays; one that is owned cannot be removed, as
-// it has a child.
+// sweepRecord removes a record if no token of its stream is valid any more, and calls done. It deletes only
+// the version that it has read, so that the record of a stream that is acquired in the meantime stays. The
+// record of an owned stream cannot be deleted, as it has a child node.
 func (s *Service) sweepRecord(record string, done func()) {
 	s.session.Get(record, func(a zookeeper.Answer) {
 		r, err := ownership.ParseRecord(a.Data)
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,11 +1,11 @@
-// Package store keeps rows that outlive a process, in one file of an embedded database (bbolt).
+// Package store persists rows in one file of an embedded database (bbolt), so that they outlive the process.
 //
-// A Store owns the file, the queue of rows on their way to it, and the bounds of age and size. Package
-// observe/watch appends and scans; package lifecycle opens and runs one; commands scan one read-only. It
-// knows nothing of what a row's value says.
+// A Store manages the file, the queue of rows that are not written yet, and the bounds on age and size.
+// Package observe/watch appends and scans rows, package lifecycle opens and runs a Store, and commands scan
+// one read-only. This package does not interpret the values of rows.
 //
-// Whoever appends never waits for a disk: one goroutine writes what has come, in one transaction a second. A
-// disk that is full, read-only or missing is logged once and tried again; meanwhile rows wait in a bounded
-// queue, and those that do not fit are dropped and counted. After a SIGKILL at most the last second is lost. A
-// transaction is there as a whole or not at all.
+// Append never waits for the disk: one goroutine writes the queued rows, in one transaction per second. If
+// the disk is full, read-only or missing, the failure is logged once and the write is retried. Meanwhile rows
+// stay in a bounded queue, and rows that do not fit are dropped and counted. A SIGKILL loses at most the last
+// second. A transaction is written completely or not at all.
 package store
--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -13,7 +13,8 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// lockTimeout is how long another process may keep the file's lock before it is ErrInUse.
+// lockTimeout is the longest wait for the file's lock. If another process holds it longer, opening the file
+// fails with ErrInUse.
 const lockTimeout = 200 * time.Millisecond
 
 var (
@@ -21,7 +22,7 @@
 	versionKey = []byte("version")
 )
 
-// openFile opens the database, and marks the file with FormatVersion unless it is read only.
+// openFile opens the database and, unless readOnly is set, writes FormatVersion to it.
 func openFile(path string, readOnly bool) (*bolt.DB, error) {
 	if err := checkComplete(path); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -42,7 +43,7 @@
 	return db, nil
 }
 
-// openError is an error of the database's in this package's terms.
+// openError converts an error of bbolt to ErrInUse or ErrDamaged where it applies.
 func openError(err error) error {
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
@@ -62,7 +63,8 @@
 			return nil
 		}
 		if v := b.Get(versionKey); len(v) == 1 && v[0] > FormatVersion {
-			return fmt.Errorf("%w (%d; this is %d)", ErrNewerVersion, v[0], FormatVersion)
+			return fmt.Errorf("%w: file format %d, this program supports up to %d", ErrNewerVersion, v[0],
+				FormatVersion)
 		}
 		return nil
 	})
@@ -78,8 +80,9 @@
 	})
 }
 
-// A meta page of bbolt's: 16 bytes of page header, then magic, version, page size, flags (4 bytes each), root
-// (16), freelist, pages, transaction and checksum (8 each). The first two pages of a file are meta pages.
+// Layout of a bbolt meta page, with offsets in bytes: a page header of 16 bytes, then magic, version, page
+// size and flags (4 bytes each), root (16), freelist, page count, transaction id and checksum (8 each). The
+// first two pages of a file are meta pages.
 const (
 	metaLen             = 80
 	metaChecksumStart   = 16
@@ -92,8 +95,8 @@
 	maxPageSize = 1 << 16
 )
 
-// checkComplete returns ErrDamaged for a file that lacks pages which its newest valid meta page counts. bbolt
-// would map it all the same, and the first read of a page that is not there ends the process.
+// checkComplete returns ErrDamaged for a file that is shorter than the page count in its newest valid meta
+// page. bbolt maps such a file without an error, and the first read of a missing page then ends the process.
 func checkComplete(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -108,7 +111,7 @@
 	}
 	first, err := readMeta(f, 0)
 	if err != nil {
-		return fmt.Errorf("%w: %d bytes", ErrDamaged, info.Size())
+		return fmt.Errorf("%w: %d bytes are too few for a database", ErrDamaged, info.Size())
 	}
 	pageSize := int64(binary.LittleEndian.Uint32(first[metaPageSizeOffset:]))
 	if pageSize < minPageSize || pageSize > maxPageSize {
@@ -116,7 +119,7 @@
 	}
 	second, err := readMeta(f, pageSize)
 	if err != nil {
-		return fmt.Errorf("%w: %d bytes", ErrDamaged, info.Size())
+		return fmt.Errorf("%w: %d bytes are too few for a database", ErrDamaged, info.Size())
 	}
 	pages, newestTx := uint64(0), uint64(0)
 	for _, meta := range [][]byte{first, second} {
@@ -126,7 +129,8 @@
 		}
 	}
 	if int64(pages)*pageSize > info.Size() {
-		return fmt.Errorf("%w: %d pages, and room for %d", ErrDamaged, pages, info.Size()/pageSize)
+		return fmt.Errorf("%w: %d pages expected, file has room for %d", ErrDamaged, pages,
+			info.Size()/pageSize)
 	}
 	return nil
 }
@@ -137,7 +141,7 @@
 	return meta, err
 }
 
-// validMeta tells whether a meta page has the checksum that bbolt gives it.
+// validMeta reports whether the checksum of a meta page is correct.
 func validMeta(meta []byte) bool {
 	h := fnv.New64a()
 	h.Write(meta[metaChecksumStart:metaChecksumOffset])
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -7,13 +7,13 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// ScanFunc takes a row of a scan, whose value is valid only during the call. It returns false to end the
-// scan.
+// ScanFunc is called for each row of a scan. The value is valid only during the call. It returns false to end
+// the scan.
 type ScanFunc func(atMs int64, id string, value []byte) bool
 
-// Scan calls fn with each row of a bucket whose time lies in [fromMs, toMs], in order of time, until it
-// returns false. Rows that are queued are not among them. The value is valid only during the call. A bucket
-// that does not exist has no rows; a file that is not open is ErrNotOpen.
+// Scan calls fn for each row of a bucket with a time in [fromMs, toMs], in order of time, until fn returns
+// false. Rows that are still queued are not included. The value is valid only during the call. A bucket that
+// does not exist has no rows. If the file is not open, Scan returns ErrNotOpen.
 func (s *Store) Scan(bucket string, fromMs, toMs int64, fn ScanFunc) error {
 	db := s.database()
 	if db == nil {
--- a/internal/store/state_test.go
+++ b/internal/store/state_test.go
@@ -7,13 +7,13 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// PutState queues a value that is state, not history: it has no age. Nothing but tests writes any yet; a file may
-// hold some, and the bounds pass them by.
+// PutState queues a value of state, which has no time. Only tests write state so far, but a file may contain
+// it, and the limits on age and size must not remove it.
 func (s *Store) PutState(bucket, id string, value []byte) {
 	s.enqueue(row{string(statePrefix) + bucket, []byte(id), value}, 0)
 }
 
-// GetState reads a value that was Put; nil if there is none.
+// GetState returns a value that PutState has written; nil if there is none.
 func (s *Store) GetState(bucket, id string) (value []byte, err error) {
 	db := s.database()
 	if db == nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,7 +15,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// countRows counts the rows of a bucket that are written.
+// countRows returns the number of rows of a bucket in the file.
 func countRows(t *testing.T, s *Store, bucket string) (n int) {
 	t.Helper()
 	if err := s.Scan(bucket, 0, 1<<60, func(int64, string, []byte) bool { n++; return true }); err != nil {
@@ -24,7 +24,7 @@
 	return n
 }
 
-// openStore opens a store that nobody runs, until the test ends.
+// openStore opens a store without running it, and closes it when the test ends.
 func openStore(t *testing.T, path string, o Options) *Store {
 	t.Helper()
 	s, err := Open(path, o, zerolog.Nop())
@@ -35,7 +35,7 @@
 	return s
 }
 
-// Rows are read in order of time, then of id; one with the same time and id is written over.
+// Rows are read in order of time, then of id; a row with the same time and id as an earlier one replaces it.
 func TestRowsAreReadInOrderOfTime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s := openStore(t, path, Options{})
@@ -46,7 +46,7 @@
 	s.PutState("state", "list", []byte("x"))
 	s.writeQueue()
 	if n := countRows(t, s, "steps"); n != 100 {
-		t.Errorf("%d rows", n)
+		t.Errorf("got %d rows, want 100", n)
 	}
 	var got []string
 	s.Scan("steps", 6, 8, func(at int64, id string, v []byte) bool {
@@ -54,15 +54,16 @@
 		return true
 	})
 	if fmt.Sprint(got) != "[6s0false 7s1true 8s2false]" {
-		t.Error(got)
+		t.Error("wrong rows in scan of times 6 to 8:", got)
 	}
 	if v, err := s.GetState("state", "list"); string(v) != "x" || err != nil {
-		t.Errorf("%q, %v", v, err)
+		t.Errorf("got state %q, error %v, want x", v, err)
 	}
 }
 
-// What was written is there after a torn write: the file as any prefix of the last transaction leaves it,
-// data pages first, then the meta page, opens with all rows of the transaction before it, or of both.
+// Guards against the loss of earlier rows after a torn write, as when the power fails during a transaction. A
+// file with any prefix of the last transaction's bytes, data pages first, then the meta page, must open with
+// the rows of the transaction before, or of both.
 func TestTornWriteLosesNoEarlierTransaction(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.db")
@@ -81,16 +82,16 @@
 	page := os.Getpagesize()
 	torn := make([]byte, len(after))
 	copy(torn, before)
-	check := func(what string, full bool) {
+	check := func(name string, full bool) {
 		p := filepath.Join(dir, "torn.db")
 		os.WriteFile(p, torn, 0o600)
 		s, err := Open(p, Options{}, zerolog.Nop())
 		if err != nil {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: store does not open: %v", name, err)
 		}
 		defer s.Close()
 		if n := countRows(t, s, "rows"); n != 300 && n != 350 || full && n != 350 {
-			t.Fatalf("%s: %d rows", what, n)
+			t.Fatalf("%s: got %d rows, want 300 or 350, all 350 in the complete file", name, n)
 		}
 	}
 	cuts := 0
@@ -100,24 +101,24 @@
 		}
 		torn[at] = after[at]
 		if cuts++; cuts%64 == 1 {
-			check(fmt.Sprint("data cut at ", at), false)
+			check(fmt.Sprint("data pages written up to byte ", at), false)
 		}
 	}
 	for at := range 2 * page {
 		if torn[at] != after[at] {
 			torn[at] = after[at]
-			check(fmt.Sprint("meta cut at ", at), false)
+			check(fmt.Sprint("meta page written up to byte ", at), false)
 			cuts++
 		}
 	}
 	check("whole", true)
 	if cuts < 100 {
-		t.Errorf("only %d bytes differ", cuts)
+		t.Errorf("only %d bytes differ between the transactions, want at least 100", cuts)
 	}
 }
 
-// A file that another process has, that is damaged or of a newer version is rejected with a reason that tells
-// them apart.
+// A file that is in use by another process, damaged or of a newer version is rejected with an error that
+// tells which.
 func TestUnusableFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.db")
@@ -128,7 +129,7 @@
 	s.writeQueue()
 	_, err := Open(path, Options{}, zerolog.Nop())
 	if !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), path) {
-		t.Errorf("a second daemon: %v", err)
+		t.Errorf("file in use: got error %v, want ErrInUse with the path", err)
 	}
 	s.Close()
 	good, _ := os.ReadFile(path)
@@ -144,7 +145,7 @@
 	} {
 		os.WriteFile(path, k.text, 0o600)
 		if _, err := Open(path, Options{}, zerolog.Nop()); !errors.Is(err, k.want) {
-			t.Errorf("%s: %v", k.name, err)
+			t.Errorf("%s: got error %v, want ErrDamaged", k.name, err)
 		}
 	}
 	os.WriteFile(path, good, 0o600)
@@ -154,23 +155,24 @@
 	})
 	db.Close()
 	if _, err := Open(path, Options{}, zerolog.Nop()); !errors.Is(err, ErrNewerVersion) {
-		t.Errorf("of a newer version: %v", err)
+		t.Errorf("file of a newer version: got error %v, want ErrNewerVersion", err)
 	}
 }
 
-// No disk, then one: rows wait in a bounded queue, and are written once there is a file.
+// While the file cannot be opened, rows wait in a bounded queue. They are written once it can be opened.
 func TestRowsWaitForADisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
 	s, err := Open(filepath.Join(dir, "s.db"), Options{MaxQueuedRows: 10}, zerolog.Nop())
 	if err == nil {
-		t.Fatal("opened in a folder that is not there")
+		t.Fatal("store opened in a folder that does not exist")
 	}
 	for i := range 25 {
 		s.Append("rows", int64(i), "a", nil)
 	}
 	s.writeQueue()
 	if s.WriteError() == nil || s.DroppedRows() != 15 {
-		t.Errorf("failing %v, %d dropped", s.WriteError(), s.DroppedRows())
+		t.Errorf("got write error %v and %d dropped rows, want an error and 15", s.WriteError(),
+			s.DroppedRows())
 	}
 	os.Mkdir(dir, 0o700)
 	if err := s.open(); err != nil {
@@ -179,11 +181,11 @@
 	defer s.Close()
 	s.writeQueue()
 	if n := countRows(t, s, "rows"); n != 10 || s.WriteError() != nil {
-		t.Errorf("%d rows, %v", n, s.WriteError())
+		t.Errorf("got %d rows, write error %v, want 10 rows and no error", n, s.WriteError())
 	}
 }
 
-// Rows over the age go, and the oldest where the file is over its size; state has no age.
+// Rows older than MaxAge are removed, and the oldest rows if the file is larger than MaxBytes. State is kept.
 func TestAgeAndSizeAreBounded(t *testing.T) {
 	byAge := Options{MaxAge: 500 * time.Millisecond, MaxQueuedRows: 1 << 20}
 	s := openStore(t, filepath.Join(t.TempDir(), "s.db"), byAge)
@@ -193,10 +195,10 @@
 	s.PutState("state", "kept", []byte{1})
 	s.writeQueue()
 	if n := countRows(t, s, "rows"); n != 501 {
-		t.Errorf("%d rows within 500 ms", n)
+		t.Errorf("got %d rows within 500 ms of the newest, want 501", n)
 	}
 	if v, _ := s.GetState("state", "kept"); v == nil {
-		t.Error("state has no age")
+		t.Error("state was removed by the age limit")
 	}
 	s = openStore(t, filepath.Join(t.TempDir(), "s.db"), Options{MaxBytes: 1 << 20, MaxQueuedRows: 1 << 20})
 	for i := range 100 {
@@ -206,16 +208,16 @@
 		s.writeQueue()
 	}
 	if info, _ := os.Stat(s.path); info.Size() > 4<<20 {
-		t.Errorf("%d bytes of 10 MB", info.Size())
+		t.Errorf("file has %d bytes after 10 MB of rows, want at most 4 MiB", info.Size())
 	}
 	last := int64(0)
 	s.Scan("rows", 0, 1<<60, func(at int64, _ string, _ []byte) bool { last = at; return true })
 	if last != 9999 {
-		t.Errorf("the newest row is of %d", last)
+		t.Errorf("the newest row has time %d, want 9999", last)
 	}
 }
 
-// Run writes what is left at its end, so that a graceful shutdown loses no row.
+// Run writes the queued rows before it returns, so that a graceful shutdown loses no row.
 func TestRunWritesTheRestAtItsEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, err := Open(path, Options{}, zerolog.Nop())
@@ -228,12 +230,12 @@
 	s.Append("rows", 1, "a", nil)
 	s.Flush()
 	if n := countRows(t, s, "rows"); n != 1 {
-		t.Errorf("%d rows", n)
+		t.Errorf("got %d rows after Flush, want 1", n)
 	}
 	s.Append("rows", 2, "a", nil)
 	stop()
 	<-ended
 	if n := countRows(t, openStore(t, path, Options{ReadOnly: true}), "rows"); n != 2 {
-		t.Errorf("%d rows after the end", n)
+		t.Errorf("got %d rows after Run has returned, want 2", n)
 	}
 }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// storedFile is a copy of testdata/v1.db, which the version of 2026-12-03 wrote.
+// storedFile returns the path of a copy of testdata/v1.db, which the version of 2026-12-03 wrote.
 func storedFile(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/v1.db")
@@ -30,8 +30,8 @@
 	"bands": {`1800000000500 "a\x00b" "\x00\x01\xff"`, `4611686018427387903 "last" "x"`},
 }
 
-// A store that an earlier version wrote is read to the same rows and values, by a daemon and by a command
-// that only reads, and goes on being written.
+// Guards against a change of the file format. A store written by an earlier version must give the same rows
+// and values, read-write and read-only, and must accept further rows.
 func TestStoredFileStaysReadable(t *testing.T) {
 	for _, o := range []Options{{}, {ReadOnly: true}} {
 		t.Run(fmt.Sprint("read only ", o.ReadOnly), func(t *testing.T) {
@@ -47,11 +47,11 @@
 					return true
 				})
 				if err != nil || !slices.Equal(got, want) {
-					t.Errorf("%s: %q, %v, want %q", bucket, got, err, want)
+					t.Errorf("bucket %s: got rows %q, error %v, want %q", bucket, got, err, want)
 				}
 			}
 			if v, err := s.GetState("state", "list"); string(v) != "kept" || err != nil {
-				t.Errorf("state: %q, %v", v, err)
+				t.Errorf("got state %q, error %v, want kept", v, err)
 			}
 			if o.ReadOnly {
 				return
@@ -60,7 +60,7 @@
 			s.Append("steps", 1_800_000_020_000, "s1", []byte("new"))
 			s.writeQueue()
 			if n := countRows(t, s, "steps"); n != len(storedRows["steps"])+1 {
-				t.Errorf("%d rows after one was written over and one added", n)
+				t.Errorf("got %d rows after one was replaced and one added, want one more than before", n)
 			}
 		})
 	}
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -12,15 +12,17 @@
 const (
 	writeInterval  = time.Second
 	reopenInterval = 5 * time.Second
-	// evictionDivisor: when the file is over MaxBytes, each bucket's oldest rows go, one in so many.
+	// evictionDivisor: if the file is larger than MaxBytes, the oldest 1/evictionDivisor of the rows of each
+	// bucket is evicted.
 	evictionDivisor = 10
-	// maxRemovedPerTx rows of a bucket are removed in one transaction, so that it stays short.
+	// maxRemovedPerTx is the maximum number of rows removed from a bucket in one transaction, which keeps the
+	// transaction short.
 	maxRemovedPerTx = 20_000
-	// statePrefix marks buckets whose values have no age: they are never evicted.
+	// statePrefix marks buckets with state, whose values have no time and are never evicted.
 	statePrefix = '='
 )
 
-// Run writes until the context ends, then writes what is left and closes the file.
+// Run writes queued rows until the context ends, then writes the remaining rows and closes the file.
 func (s *Store) Run(ctx context.Context) {
 	ticker := time.NewTicker(writeInterval)
 	defer ticker.Stop()
@@ -48,14 +50,15 @@
 	}
 }
 
-// Flush waits until what was appended before it is written, or cannot be. Run must be running.
+// Flush waits until one write of all rows appended before has succeeded or failed. Run must be running.
 func (s *Store) Flush() {
 	flushed := make(chan struct{})
 	s.flushRequests <- flushed
 	<-flushed
 }
 
-// writeQueue writes the queue in one transaction. Rows whose transaction fails go back to its front.
+// writeQueue writes the queued rows in one transaction. If it fails, the rows are put back at the front of
+// the queue.
 func (s *Store) writeQueue() {
 	s.mu.Lock()
 	db, rows, newestMs := s.db, s.queue, s.newestMs
@@ -64,7 +67,7 @@
 	if len(rows) == 0 {
 		return
 	}
-	if db == nil { // writeErr says why, since open
+	if db == nil { // open has set writeErr
 		s.requeue(rows)
 		return
 	}
@@ -95,7 +98,7 @@
 	return nil
 }
 
-// requeue puts rows back to the front of the queue; the oldest are dropped where it is full.
+// requeue puts rows back at the front of the queue and drops the oldest rows that exceed its limit.
 func (s *Store) requeue(rows []row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,19 +109,20 @@
 	}
 }
 
-// writeFailed notes why rows cannot be written, and logs it the first time.
+// writeFailed notes the error because of which rows cannot be written. It logs the first of successive
+// errors.
 func (s *Store) writeFailed(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.writeErr
+	previous := s.writeErr
 	s.writeErr = fmt.Errorf("%s: %w", s.path, err)
-	if before == nil {
+	if previous == nil {
 		s.log.Error().Err(s.writeErr).
-			Msg("store write failed, rows are kept in memory and retried: check the disk")
+			Msg("store write failed, rows are kept in memory and retried: check the disk of the store file")
 	}
 }
 
-// writeSucceeded notes that rows can be written, and logs it if they could not be.
+// writeSucceeded notes that rows can be written, and logs it after a failure.
 func (s *Store) writeSucceeded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +132,8 @@
 	s.writeErr = nil
 }
 
-// enforceBounds removes rows that are older than MaxAge, and the oldest of each bucket where the file is over
-// MaxBytes.
+// enforceBounds removes rows that are older than MaxAge, and the oldest rows of each bucket if the file is
+// larger than MaxBytes.
 func (s *Store) enforceBounds(tx *bolt.Tx, newestMs int64) error {
 	oldest := rowKey(newestMs-s.MaxAge.Milliseconds(), "")
 	free := int64(tx.DB().Stats().FreePageN * tx.DB().Info().PageSize)
@@ -148,13 +152,13 @@
 	})
 }
 
-// removeOldest removes a bucket's rows from the oldest on, while goes says so, and no more than
+// removeOldest removes rows from a bucket, oldest first, while shouldRemove returns true, up to
 // maxRemovedPerTx.
-func removeOldest(b *bolt.Bucket, goes func(key []byte, removed int) bool) error {
+func removeOldest(b *bolt.Bucket, shouldRemove func(key []byte, removed int) bool) error {
 	c := b.Cursor()
 	for removed := range maxRemovedPerTx {
 		key, _ := c.First()
-		if key == nil || !goes(key, removed) {
+		if key == nil || !shouldRemove(key, removed) {
 			return nil
 		}
 		if err := c.Delete(); err != nil {
--- a/internal/token/keyfile.go
+++ b/internal/token/keyfile.go
@@ -9,13 +9,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// MaxKeyFileSize bounds a key file, in bytes.
+// MaxKeyFileSize is the maximum size of a key file in bytes.
 const MaxKeyFileSize = 64 << 10
 
-// forbiddenKeyFileMode are the permission bits that a key file must not have.
+// forbiddenKeyFileMode contains the permission bits that a key file must not have: all bits for group and
+// others.
 const forbiddenKeyFileMode fs.FileMode = 0o077
 
-// CheckKeyFileMode rejects a key file that others than its owner can read or write.
+// CheckKeyFileMode rejects a key file that users other than its owner can access, that is not a regular file
+// or that is too large.
 func CheckKeyFileMode(info fs.FileInfo) error {
 	switch {
 	case !info.Mode().IsRegular():
@@ -23,12 +25,12 @@
 	case info.Mode().Perm()&forbiddenKeyFileMode != 0:
 		return fmt.Errorf("mode %04o lets others at the keys; 0600 is wanted", info.Mode().Perm())
 	case info.Size() > MaxKeyFileSize:
-		return fmt.Errorf("%d bytes; at most %d are wanted", info.Size(), MaxKeyFileSize)
+		return fmt.Errorf("key file has %d bytes; the maximum is %d", info.Size(), MaxKeyFileSize)
 	}
 	return nil
 }
 
-// keyFile is a key file's content.
+// keyFile is the content of a key file.
 type keyFile struct {
 	Key []struct {
 		ID     string `toml:"id"`
@@ -36,17 +38,17 @@
 	} `toml:"key"`
 }
 
-// ParseKeyFile reads a key file: [[key]] tables with id and secret, 32 bytes as standard base64. The first
-// seals. Errors name the key and never show a secret.
+// ParseKeyFile parses a key file, which contains [[key]] tables with an id and a secret of 32 bytes in
+// standard base64. The first key seals new tokens. Errors name the key and never contain a secret.
 func ParseKeyFile(text []byte) (*KeyRing, error) {
 	var file keyFile
 	meta, err := toml.Decode(string(text), &file)
 	if err != nil {
 		var p toml.ParseError
-		if errors.As(err, &p) { // its own text shows the line, and with it perhaps a secret
-			return nil, fmt.Errorf("line %d: not TOML", p.Position.Line)
+		if errors.As(err, &p) { // the text of err contains the line, which may contain a secret
+			return nil, fmt.Errorf("line %d: not valid TOML", p.Position.Line)
 		}
-		return nil, errors.New("key: a table with id and secret, both text, is wanted")
+		return nil, errors.New("key: must be a [[key]] table with id and secret, both strings")
 	}
 	for _, key := range meta.Undecoded() {
 		return nil, fmt.Errorf("%s: unknown key", key)
@@ -55,7 +57,7 @@
 	for i, k := range file.Key {
 		secret, err := base64.StdEncoding.DecodeString(k.Secret)
 		if err != nil {
-			return nil, fmt.Errorf("key %d (%s): secret: not base64", i+1, k.ID)
+			return nil, fmt.Errorf("key %d (%s): secret: not valid base64", i+1, k.ID)
 		}
 		keys[i] = Key{ID: k.ID, Secret: secret}
 	}
--- a/internal/token/ring.go
+++ b/internal/token/ring.go
@@ -14,36 +14,39 @@
 )
 
 const (
-	// MaxTokenLen bounds a token as text. A client's first line has 4 KiB for all its fields.
+	// MaxTokenLen is the maximum length of a token's text in bytes. A client's first line, with all its
+	// fields, is limited to 4 KiB.
 	MaxTokenLen = 400
 
-	// maxNameLen bounds the names of servers and relays in a token, which only help an operator's eye.
+	// maxNameLen is the maximum length in bytes of the names of the server and the relay in a token. They
+	// only help operators; nothing depends on them.
 	maxNameLen = 40
 
-	// maxKeyIDLen bounds a key's id.
+	// maxKeyIDLen is the maximum length of a key's id in bytes.
 	maxKeyIDLen = 16
 
 	tokenPrefix = "cs1."
 	keyIDChars  = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_"
 )
 
-// Key is one key of a ring.
+// Key is a key of a KeyRing.
 type Key struct {
 	ID     string // 1 to 16 letters, digits, - and _
 	Secret []byte // 32 bytes
 }
 
-// KeyRing is a set of keys. The first seals; all open. It is immutable: a new key file makes a new KeyRing.
+// KeyRing is a set of keys. The first key seals tokens; every key can open them. A KeyRing is immutable: a
+// reload of the key file creates a new one.
 type KeyRing struct {
 	sealingID string
 	ciphers   map[string]cipher.AEAD // by key id
-	random    io.Reader              // of nonces
+	random    io.Reader              // source of nonces
 }
 
-// NewKeyRing checks keys and makes a ring of them. Errors name the key and never show a secret.
+// NewKeyRing checks keys and returns a ring of them. Errors name the key and never contain a secret.
 func NewKeyRing(keys []Key) (*KeyRing, error) {
 	if len(keys) == 0 {
-		return nil, errors.New("key: at least one is wanted")
+		return nil, errors.New("key: at least one key is required")
 	}
 	r := &KeyRing{
 		sealingID: keys[0].ID,
@@ -52,15 +55,15 @@
 	}
 	for i, k := range keys {
 		if k.ID == "" || len(k.ID) > maxKeyIDLen || strings.Trim(k.ID, keyIDChars) != "" {
-			return nil, fmt.Errorf("key %d: id: %q is not 1 to %d of letters, digits, - and _", i+1, k.ID,
+			return nil, fmt.Errorf("key %d: id: %q must be 1 to %d letters, digits, - or _", i+1, k.ID,
 				maxKeyIDLen)
 		}
 		if r.ciphers[k.ID] != nil {
-			return nil, fmt.Errorf("key %d: id: %q stands twice", i+1, k.ID)
+			return nil, fmt.Errorf("key %d: id: %q is used twice", i+1, k.ID)
 		}
 		c, err := chacha20poly1305.NewX(k.Secret)
 		if err != nil {
-			return nil, fmt.Errorf("key %d (%s): secret: %d bytes, %d are wanted", i+1, k.ID, len(k.Secret),
+			return nil, fmt.Errorf("key %d (%s): secret: %d bytes, must be %d", i+1, k.ID, len(k.Secret),
 				chacha20poly1305.KeySize)
 		}
 		r.ciphers[k.ID] = c
@@ -68,10 +71,11 @@
 	return r, nil
 }
 
-// SealingKeyID is the id of the key that seals.
+// SealingKeyID returns the id of the key that seals new tokens.
 func (r *KeyRing) SealingKeyID() string { return r.sealingID }
 
-// strictDecMode rejects what no relay writes: an unknown or repeated field is a token of another version.
+// strictDecMode decodes only what a relay of this version writes. It rejects unknown and repeated fields, as
+// such a token is from another version.
 var strictDecMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -82,19 +86,19 @@
 		IndefLength:       cbor.IndefLengthForbidden,
 	}.DecMode()
 	if err != nil {
-		panic(err) // constants only: cannot fail at run time what passes its tests
+		panic(err) // the options are constants, so any run of the tests would show an error here
 	}
 	return m
 }()
 
-// Seal makes the token's text. It returns ErrNamesTooLong if the class and the tenant have names that no
-// token can hold; names of machines are cut.
+// Seal returns the sealed text of a token. It returns ErrNamesTooLong if the names of the class and the
+// tenant do not fit into a token; the names of the server and the relay are truncated instead.
 func (r *KeyRing) Seal(t *Token) (string, error) {
-	short := *t
-	short.Server, short.Relay = truncateName(t.Server), truncateName(t.Relay)
-	body, err := cbor.Marshal(&short)
+	truncated := *t
+	truncated.Server, truncated.Relay = truncateName(t.Server), truncateName(t.Relay)
+	body, err := cbor.Marshal(&truncated)
 	if err != nil {
-		return "", fmt.Errorf("token: %w", err)
+		return "", fmt.Errorf("encode token: %w", err)
 	}
 	head := tokenPrefix + r.sealingID + "."
 	c := r.ciphers[r.sealingID]
@@ -104,7 +108,7 @@
 	}
 	nonce := make([]byte, c.NonceSize(), sealedLen)
 	if _, err := io.ReadFull(r.random, nonce); err != nil {
-		return "", fmt.Errorf("token: nonce: %w", err)
+		return "", fmt.Errorf("generate nonce for token: %w", err)
 	}
 	sealed := c.Seal(nonce, nonce, body, []byte(head))
 	return head + base64.RawURLEncoding.EncodeToString(sealed), nil
@@ -112,8 +116,8 @@
 
 func truncateName(name string) string { return name[:min(len(name), maxNameLen)] }
 
-// Open takes a token's text apart. It returns ErrMalformed, ErrUnknownKey or ErrForged for what is none of
-// this ring's, and never looks at more than MaxTokenLen bytes.
+// Open decrypts and decodes a token's text. It returns ErrMalformed, ErrUnknownKey or ErrForged for a text
+// that was not sealed with a key of this ring, and decodes no text of more than MaxTokenLen bytes.
 func (r *KeyRing) Open(text string) (*Token, error) {
 	if len(text) > MaxTokenLen || !strings.HasPrefix(text, tokenPrefix) {
 		return nil, ErrMalformed
@@ -126,7 +130,7 @@
 	if c == nil {
 		return nil, ErrUnknownKey
 	}
-	// Strict: else the spare bits of the last digit make several texts of one token.
+	// Strict rejects non-zero padding bits in the last digit; otherwise one token would have several texts.
 	sealed, err := base64.RawURLEncoding.Strict().DecodeString(encoded)
 	if err != nil || strings.ContainsAny(encoded, "\r\n") || len(sealed) < c.NonceSize()+c.Overhead() {
 		return nil, ErrMalformed
--- a/internal/token/stored_test.go
+++ b/internal/token/stored_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// storedTokens are the tokens of testdata/tokens.txt, which the version of 2026-12-03 sealed, line by line:
-// the first two under the first key of testdata/keys.toml, the third under its second.
+// storedTokens are the tokens in testdata/tokens.txt, line by line, sealed by the version of 2026-12-03: the
+// first two with the first key in testdata/keys.toml, the third with the second key.
 var storedTokens = []Token{
 	{
 		Stream:       StreamID{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 255},
@@ -32,7 +32,7 @@
 	},
 }
 
-// countingReader gives nonces that are known: 0, 1, 2 and so on, byte after byte.
+// countingReader returns the bytes 0, 1, 2 and so on, as known nonces.
 type countingReader struct{ next byte }
 
 func (c *countingReader) Read(p []byte) (int, error) {
@@ -43,8 +43,8 @@
 	return len(p), nil
 }
 
-// storedRing is the ring of testdata/keys.toml, with the key that seals and nonces that are known.
-func storedRing(t *testing.T, seals string) *KeyRing {
+// storedRing returns the ring of testdata/keys.toml, with the key that seals and known nonces.
+func storedRing(t *testing.T, keyID string) *KeyRing {
 	t.Helper()
 	text, err := os.ReadFile("testdata/keys.toml")
 	if err != nil {
@@ -55,14 +55,14 @@
 		t.Fatal(err)
 	}
 	if r.SealingKeyID() != "k2" {
-		t.Fatalf("%q seals, want the file's first key", r.SealingKeyID())
+		t.Fatalf("sealing key is %q, want k2, the first key in the file", r.SealingKeyID())
 	}
-	r.sealingID, r.random = seals, &countingReader{}
+	r.sealingID, r.random = keyID, &countingReader{}
 	return r
 }
 
-// Tokens that an earlier version gave out open to the same values, and with the same nonce the same text is
-// sealed: clients keep them over an upgrade of the relays.
+// Guards against a change of the token format. Clients keep their tokens during an upgrade of the relays, so
+// tokens from an earlier version must open to the same values, and the same nonce must give the same text.
 func TestStoredTokensStayReadable(t *testing.T) {
 	text, err := os.ReadFile("testdata/tokens.txt")
 	if err != nil {
@@ -70,28 +70,28 @@
 	}
 	lines := strings.Fields(string(text))
 	if len(lines) != len(storedTokens) {
-		t.Fatalf("%d tokens in the file, %d expected", len(lines), len(storedTokens))
+		t.Fatalf("%d tokens in testdata/tokens.txt, want %d", len(lines), len(storedTokens))
 	}
 	for i, line := range lines {
-		seals := "k2"
+		keyID := "k2"
 		if i == 2 {
-			seals = "k1"
+			keyID = "k1"
 		}
-		r := storedRing(t, seals)
+		r := storedRing(t, keyID)
 		if got, err := r.Open(line); err != nil || *got != storedTokens[i] {
-			t.Errorf("token %d: opens as %+v, %v, want %+v", i, got, err, storedTokens[i])
+			t.Errorf("token %d: opened as %+v, error %v, want %+v", i, got, err, storedTokens[i])
 		}
 		if sealed, err := r.Seal(&storedTokens[i]); err != nil || sealed != line {
-			t.Errorf("token %d: sealed as %s, %v, want %s", i, sealed, err, line)
+			t.Errorf("token %d: sealed as %s, error %v, want %s", i, sealed, err, line)
 		}
 	}
 	other := newTestRing(t, Key{"k2", bytes.Repeat([]byte{9}, 32)})
 	if _, err := other.Open(lines[0]); !errors.Is(err, ErrForged) {
-		t.Errorf("under another secret: %v", err)
+		t.Errorf("opened with another secret: got error %v, want ErrForged", err)
 	}
 }
 
-// The secrets of a stored key file are read byte for byte.
+// The secret in a stored key file is decoded without a changed byte.
 func TestStoredKeysAreReadExactly(t *testing.T) {
 	secret := make([]byte, 32)
 	for i := range secret {
@@ -102,13 +102,13 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), base64.StdEncoding.EncodeToString(secret)) {
-		t.Fatal("the file does not hold the secret of bytes 0 to 31")
+		t.Fatal("testdata/keys.toml does not contain the secret with the bytes 0 to 31")
 	}
 	sealed, err := newTestRing(t, Key{"k2", secret}).Seal(&storedTokens[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := storedRing(t, "k2").Open(sealed); err != nil || *got != storedTokens[0] {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("token opened as %+v, error %v, want the first stored token", got, err)
 	}
 }
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -1,11 +1,12 @@
-// Package token seals what a relay knows of a stream into a text that a client keeps and shows to any relay
-// that has the same keys. It owns the form of tokens and of key files; package resume issues and checks
-// tokens, package lifecycle reads the key file. It does no I/O and never reads a clock: instants are
-// arguments, and stored as Unix times in milliseconds.
+// Package token seals the state of a stream into a text, the resume token. A client keeps the token and
+// presents it to any relay that has the same keys. This package defines the formats of tokens and key files;
+// package resume issues and checks tokens, and package lifecycle reads the key file. This package does no I/O
+// and never reads a clock: times are arguments, and are stored as Unix times in milliseconds.
 //
-// A token is "cs1.KEYID.BODY": BODY is base64url of a 24-byte nonce and the XChaCha20-Poly1305 sealing
-// (draft-irtf-cfrg-xchacha) of a CBOR map (RFC 8949) with small integer keys. What stands before the body is
-// authenticated with it. Nonces are random: 192 bits never repeat in a key's life.
+// A token is "cs1.KEYID.BODY". BODY is the base64url encoding of a 24-byte nonce and a CBOR map (RFC 8949)
+// with small integer keys, which is sealed with XChaCha20-Poly1305 (draft-irtf-cfrg-xchacha). The part before
+// BODY is authenticated as additional data. Nonces are random; with 192 bits they do not repeat while a key
+// is in use.
 package token
 
 import (
@@ -15,56 +16,58 @@
 	"time"
 )
 
-// Why a token is rejected by Open or Check, or cannot be made by Seal.
+// Errors returned by Open, Check and Seal.
 var (
-	ErrMalformed       = errors.New("malformed token")
-	ErrUnknownKey      = errors.New("token sealed by an unknown key")
-	ErrForged          = errors.New("token not authentic")
-	ErrExpired         = errors.New("token expired")
-	ErrRequestMismatch = errors.New("token of another stream")
-	ErrNamesTooLong    = errors.New("names too long for a token")
+	ErrMalformed       = errors.New("resume token is malformed")
+	ErrUnknownKey      = errors.New("resume token is sealed with a key that is not in the key file")
+	ErrForged          = errors.New("resume token is not authentic")
+	ErrExpired         = errors.New("resume token is expired or not valid yet")
+	ErrRequestMismatch = errors.New("resume token belongs to another class, tenant, key or group")
+	ErrNamesTooLong    = errors.New("names of class and tenant are too long for a resume token")
 )
 
-// StreamID names a stream at all relays and servers. It is random and says nothing.
+// StreamID identifies a stream at all relays and servers. It is random and carries no information.
 type StreamID [16]byte
 
-// NewStreamID makes an id for a new stream.
+// NewStreamID returns a random id for a new stream.
 func NewStreamID() (id StreamID) {
-	rand.Read(id[:]) // never fails: crypto/rand ends the program instead
+	rand.Read(id[:]) // never returns an error: crypto/rand ends the program instead
 	return id
 }
 
-// String writes the id in hex, as node paths and servers have it.
+// String returns the id in hex, as used in node paths and sent to servers.
 func (id StreamID) String() string { return fmt.Sprintf("%x", id[:]) }
 
-// Token is what is sealed. Class and Tenant are names, as numbers differ between configurations.
+// Token is the content of a resume token. It contains the names of the class and the tenant, as their numbers
+// differ between configurations.
 type Token struct {
 	Stream        StreamID `cbor:"1,keyasint"`
-	FencingToken  uint64   `cbor:"2,keyasint"` // of the ownership under which it was issued
+	FencingToken  uint64   `cbor:"2,keyasint"` // of the ownership under which the token was issued
 	Class         string   `cbor:"3,keyasint"`
 	Tenant        string   `cbor:"4,keyasint,omitempty"`
 	Key           uint64   `cbor:"5,keyasint,omitempty"`
 	Group         uint64   `cbor:"6,keyasint,omitempty"`
-	Position      uint64   `cbor:"7,keyasint"` // the last scan forwarded when it was issued
+	Position      uint64   `cbor:"7,keyasint"` // last scan forwarded when the token was issued
 	Server        string   `cbor:"8,keyasint,omitempty"`
 	Relay         string   `cbor:"9,keyasint,omitempty"`
 	IssuedUnixMs  int64    `cbor:"10,keyasint"`
 	ExpiresUnixMs int64    `cbor:"11,keyasint"`
 }
 
-// Binding is the request that a token is for: with any other it is worth nothing.
+// Binding contains the properties of the request that a token is bound to. The token is rejected with any
+// other request.
 type Binding struct {
 	Class, Tenant string
 	Key, Group    uint64
 }
 
-// Binding is what the token is bound to.
+// Binding returns the properties that the token is bound to.
 func (t *Token) Binding() Binding {
 	return Binding{Class: t.Class, Tenant: t.Tenant, Key: t.Key, Group: t.Group}
 }
 
-// Check tells whether the token is for such a request now; it returns ErrExpired or ErrRequestMismatch if
-// not. Wall clocks may differ by skew.
+// Check returns nil if the token is valid for the request at the time now, and otherwise ErrExpired or
+// ErrRequestMismatch. The wall clocks of relays may differ by skew.
 func (t *Token) Check(request Binding, now time.Time, skew time.Duration) error {
 	nowMs, skewMs := now.UnixMilli(), skew.Milliseconds()
 	switch {
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-// sampleToken is a token with fields as large as they get.
+// sampleToken returns a token in which all fields are set, most numbers to their maximum.
 func sampleToken() *Token {
 	return &Token{
 		Stream:        NewStreamID(),
@@ -38,48 +38,49 @@
 	}
 }
 
-// What was sealed opens as it was, under its own ring and one with a newer key; no nonce is used twice; and
-// names of machines are cut rather than make a token too long.
+// A sealed token opens to the same values with its own ring and with one that has a newer key. No nonce is
+// used twice, and long names of server and relay are truncated instead of making the token too long.
 func TestSealedTokenOpensUnchanged(t *testing.T) {
 	old, next := newTestRing(t, testKey("a", 1)), newTestRing(t, testKey("b", 2), testKey("a", 1))
 	want := sampleToken()
 	text, err := old.Seal(want)
 	if err != nil || len(text) > MaxTokenLen {
-		t.Fatalf("%d bytes, %v", len(text), err)
+		t.Fatalf("sealed token has %d bytes, error %v; want at most MaxTokenLen bytes", len(text), err)
 	}
 	for name, r := range map[string]*KeyRing{"its own ring": old, "a ring with a newer key": next} {
 		if got, err := r.Open(text); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("opened with %s: got %+v, error %v, want the sealed token", name, got, err)
 		}
 	}
 	if newer, _ := next.Seal(want); !strings.HasPrefix(newer, "cs1.b.") {
-		t.Errorf("a new key must seal at once: %s", newer)
+		t.Errorf("token is not sealed with the first key of the ring: %s", newer)
 	}
 	if again, _ := old.Seal(want); again == text {
-		t.Error("a nonce was used twice")
+		t.Error("two tokens have the same text, so a nonce was used twice")
 	}
 	long := sampleToken()
 	long.Server, long.Relay = strings.Repeat("s", 300), strings.Repeat("r", 300)
 	if text, err := old.Seal(long); err != nil || len(text) > MaxTokenLen {
-		t.Errorf("long names of machines: %d bytes, %v", len(text), err)
+		t.Errorf("long names of server and relay: token has %d bytes, error %v", len(text), err)
 	}
 	long.Tenant = strings.Repeat("t", 300)
 	if _, err := old.Seal(long); !errors.Is(err, ErrNamesTooLong) {
-		t.Errorf("a tenant of 300 bytes: %v", err)
+		t.Errorf("tenant name of 300 bytes: got error %v, want ErrNamesTooLong", err)
 	}
 }
 
 const base64url = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 
-// A text that no relay of ours sealed is rejected, with the reason that tells an operator why.
+// A text that was not sealed by a relay with the same keys is rejected, with an error that tells operators
+// why.
 func TestForeignTextIsRejected(t *testing.T) {
 	r := newTestRing(t, testKey("a", 1))
 	text, _ := r.Seal(sampleToken())
 	removed, _ := newTestRing(t, testKey("z", 3)).Seal(sampleToken())
 	sameID, _ := newTestRing(t, testKey("a", 9)).Seal(sampleToken())
-	flip := []byte(text) // another digit of the same alphabet: what is not base64url has the wrong form
-	if flip[40]++; !strings.ContainsRune(base64url, rune(flip[40])) {
-		flip[40] = 'b'
+	flipped := []byte(text) // with another digit of the alphabet; other characters would give ErrMalformed
+	if flipped[40]++; !strings.ContainsRune(base64url, rune(flipped[40])) {
+		flipped[40] = 'b'
 	}
 	for _, c := range []struct {
 		name, in string
@@ -88,7 +89,7 @@
 		{"empty", "", ErrMalformed},
 		{"cut to its head", "cs1.a.", ErrMalformed},
 		{"without key", "cs1.", ErrMalformed},
-		{"a byte changed", string(flip), ErrForged},
+		{"a byte changed", string(flipped), ErrForged},
 		{"of another version", "cs2" + text[3:], ErrMalformed},
 		{"by a key taken out", removed, ErrUnknownKey},
 		{"by another key of that id", sameID, ErrForged},
@@ -96,12 +97,13 @@
 		{"60 MB, of which nothing is decoded", "cs1.a." + strings.Repeat("A", 60<<20), ErrMalformed},
 	} {
 		if _, err := r.Open(c.in); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// A token is good for its own request and its own time only, within the skew of wall clocks.
+// A token is valid only for its own request and until it expires, with a tolerance for the skew of wall
+// clocks.
 func TestTokenIsBoundToItsRequest(t *testing.T) {
 	k := sampleToken()
 	own := k.Binding()
@@ -128,23 +130,23 @@
 	} {
 		err := k.Check(c.request, time.UnixMilli(c.now), time.Second)
 		if !errors.Is(err, c.want) || c.want == nil && err != nil {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// A token cut anywhere opens nowhere.
+// A token that is truncated at any length is rejected.
 func TestTruncatedTokenIsRejected(t *testing.T) {
 	r := newTestRing(t, testKey("a", 1))
 	text, _ := r.Seal(sampleToken())
 	for n := range text {
 		if got, err := r.Open(text[:n]); err == nil {
-			t.Fatalf("cut to %d bytes it opens as %+v", n, got)
+			t.Fatalf("token truncated to %d bytes opened as %+v, want an error", n, got)
 		}
 	}
 }
 
-// FuzzOpen: no text makes Open panic, and what opens is what was sealed, one text for each token.
+// FuzzOpen checks that no text makes Open panic, and that only the exact text of a sealed token opens.
 func FuzzOpen(f *testing.F) {
 	r := newTestRing(f, testKey("a", 1), testKey("b", 2))
 	text, _ := r.Seal(sampleToken())
@@ -153,13 +155,13 @@
 	f.Add(text[:len(text)-1])
 	f.Fuzz(func(t *testing.T, in string) {
 		if got, err := r.Open(in); err == nil && in != text {
-			t.Errorf("%q opens as %+v", in, got)
+			t.Errorf("text %q, which was not sealed, opened as %+v", in, got)
 		}
 	})
 }
 
-// FuzzForeignBody: a body that was sealed with the right key but is not what relays write is rejected, not
-// half read.
+// FuzzForeignBody checks that a body which is sealed with the right key either opens to a token that can be
+// sealed again or is rejected as a whole.
 func FuzzForeignBody(f *testing.F) {
 	r := newTestRing(f, testKey("a", 1))
 	f.Add([]byte{0xa1, 0x02, 0x07})
@@ -170,7 +172,7 @@
 		text := head + base64.RawURLEncoding.EncodeToString(buf)
 		if got, err := r.Open(text); err == nil {
 			if _, err := r.Seal(got); err != nil && !errors.Is(err, ErrNamesTooLong) {
-				t.Error(err)
+				t.Errorf("opened token %+v cannot be sealed again: %v", got, err)
 			}
 		}
 	})
