--- a/internal/ownership/model_adversary_test.go
+++ b/internal/ownership/model_faults_test.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	modelStep         = 50 * time.Millisecond  // time between two looks at all relays
+	modelStep         = 50 * time.Millisecond  // time between two checks of all relays
 	modelTick         = 250 * time.Millisecond // between two ticks of a relay
 	modelReleaseDelay = 950 * time.Millisecond // time that a stuck client delays the end of a stream
 	modelStarvation   = 8 * time.Second        // longer than modelSession
@@ -91,7 +91,7 @@
 	r := m.relays[i]
 	r.paused = false
 	for _, c := range r.callers {
-		c.sleptPastLease = c.sleptPastLease || c.owned && m.localTime(r) >= r.lease.ValidUntil()
+		c.pausedPastLease = c.pausedPastLease || c.owned && m.localTime(r) >= r.lease.ValidUntil()
 	}
 	m.deliver(i, Tick{})
 }
@@ -190,9 +190,9 @@
 func (m *model) openStream(i, s int) {
 	if known := m.tokens[s]; len(known) > 0 {
 		newest := len(known) - 1
-		shown := known[max(0, newest-m.rng.IntN(3))]
+		clientToken := known[max(0, newest-m.rng.IntN(3))]
 		forged := uint64(m.rng.IntN(12) / 11)
-		m.acquire(i, s, shown+forged)
+		m.acquire(i, s, clientToken+forged)
 		return
 	}
 	fresh := m.svc.nodes[m.streams[s]] == nil
--- a/internal/ownership/model_test.go
+++ b/internal/ownership/model_test.go
@@ -12,15 +12,15 @@
 
 // caller is one request for a stream at one relay.
 type caller struct {
-	handle         uint64
-	stream         int
-	shownToken     uint64
-	askedAt        time.Duration
-	answers        int
-	owned          bool
-	sleptPastLease bool // its relay was paused when the lease ended
-	fencingToken   uint64
-	expiredAt      time.Duration // local time; 0 if the lease has not expired
+	handle          uint64
+	stream          int
+	clientToken     uint64
+	requestedAt     time.Duration
+	answers         int
+	owned           bool
+	pausedPastLease bool // its relay was paused when the lease ended
+	fencingToken    uint64
+	expiredAt       time.Duration // local time; 0 if the lease has not expired
 }
 
 // inFlightRequest is a request to the service that has no delivered reply yet. A ping has the id 0.
@@ -157,8 +157,8 @@
 			m.newestToken[c.stream])
 	}
 	stored := m.svc.nodes[m.streams[c.stream]].record
-	if c.shownToken != 0 && c.shownToken < stored.MinFencingToken {
-		m.fail("acquired with client token %d, below MinFencingToken %d", c.shownToken,
+	if c.clientToken != 0 && c.clientToken < stored.MinFencingToken {
+		m.fail("acquired with client token %d, below MinFencingToken %d", c.clientToken,
 			stored.MinFencingToken)
 	}
 	m.newestToken[c.stream] = a.FencingToken
@@ -182,7 +182,7 @@
 // mayServe reports whether a caller's stream may be served at this instant. A paused relay counts until the
 // last line that it forwarded, just before its lease expired, has been written for certain.
 func (m *model) mayServe(r *modelRelay, c *caller) bool {
-	if !c.owned || c.sleptPastLease {
+	if !c.owned || c.pausedPastLease {
 		return false
 	}
 	return !r.paused || m.localTime(r) < r.lease.ValidUntil()+r.lease.expiryMargin
@@ -205,15 +205,15 @@
 }
 
 // acquire adds a caller at a relay and requests a stream for it.
-func (m *model) acquire(i, s int, shownToken uint64) *caller {
+func (m *model) acquire(i, s int, clientToken uint64) *caller {
 	m.lastHandle++
 	r := m.relays[i]
-	c := &caller{handle: m.lastHandle, stream: s, shownToken: shownToken, askedAt: m.svc.now}
+	c := &caller{handle: m.lastHandle, stream: s, clientToken: clientToken, requestedAt: m.svc.now}
 	r.callers[c.handle] = c
 	m.deliver(i, Acquire{
 		Handle:        c.handle,
 		Stream:        m.streams[s],
-		FencingToken:  shownToken,
+		FencingToken:  clientToken,
 		Deadline:      m.localTime(r) + 500*time.Millisecond,
 		ExpiresUnixMs: 1 << 40,
 	})
--- a/internal/ownership/reject.go
+++ b/internal/ownership/reject.go
@@ -29,8 +29,8 @@
 // Retry times are random, as all streams of a failed relay are resumed at the same time.
 const (
 	// minOwnedRetry and ownedRetryDivisor set the retry time for a stream that is already owned: 1 to 2 times
-	// the larger of minOwnedRetry and the session timeout divided by ownedRetryDivisor. The client thus
-	// retries before the ownership of a failed relay expires with its session.
+	// the larger of minOwnedRetry and the session timeout divided by ownedRetryDivisor. This is
+	// shorter than a session timeout, after which the ownership of a failed relay ends.
 	minOwnedRetry     = 100 * time.Millisecond
 	ownedRetryDivisor = 8
 	// minServiceRetry sets the retry time for an unreachable or slow service: 1 to 3 times minServiceRetry.
--- a/internal/ownership/session.go
+++ b/internal/ownership/session.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// handleSessionConnected starts a new session or resumes the current one. A new session owns no holders. In a
-// resumed session, holders that it may own are checked before they are used.
+// handleSessionConnected starts a new session or resumes the current one. A new session owns no holders. For
+// a resumed session, uncertain holders are checked before anything else is done with their streams.
 func (l *Lease) handleSessionConnected(c SessionConnected) {
 	if c.SessionID != l.sessionID {
 		l.endSession()
--- a/internal/resume/resume_test.go
+++ b/internal/resume/resume_test.go
@@ -67,7 +67,7 @@
 	if withToken.MayForward() || withToken.IssueToken() != "" {
 		t.Error("a stream with an issued token is still served after its session expired")
 	}
-	eventually(t, "acquired anew", func() bool { return withoutToken.fencingToken.Load() == 2 })
+	eventually(t, "acquired again", func() bool { return withoutToken.fencingToken.Load() == 2 })
 	if state := stateOf(a); state != relay.Queued || !withoutToken.MayForward() {
 		t.Errorf("stream without an issued token: state %v, want Queued; may forward %v, want true", state,
 			withoutToken.MayForward())
--- a/internal/resume/server_lease.go
+++ b/internal/resume/server_lease.go
@@ -31,7 +31,7 @@
 // another relay.
 func (st *Stream) BeginAttempt(supported bool) time.Duration {
 	st.serverLease = serverLease{supported: supported}
-	if st.shownFencingToken == 0 {
+	if st.clientFencingToken == 0 {
 		return 0
 	}
 	return st.ServerLease()
--- a/internal/resume/stored_test.go
+++ b/internal/resume/stored_test.go
@@ -117,7 +117,7 @@
 
 // Streams with records and tokens from an earlier version can be resumed, and tokens that were stale there
 // stay stale.
-func TestStoredStreamsGoOn(t *testing.T) {
+func TestStoredStreamsCanBeResumed(t *testing.T) {
 	zk := newOwnershipService(t)
 	r := newRelay(t, zk)
 	r.setWallClock(storedUnixMs)
@@ -164,7 +164,8 @@
 			switch {
 			case c.fencingToken == 0:
 				if state != relay.Ended || answer.Kind != relay.Failed || answer.Note != c.note {
-					t.Errorf("got state %v, answer %+v; want Ended, Failed and the note of this case", state, answer)
+					t.Errorf("got state %v, answer %+v; want Ended, Failed and the note of this case", state,
+						answer)
 				}
 			case state != relay.Queued || st.FencingToken() != c.fencingToken:
 				t.Errorf("state %v, want Queued; fencing token %d, want %d", state, st.FencingToken(),
--- a/internal/resume/stream.go
+++ b/internal/resume/stream.go
@@ -54,14 +54,14 @@
 	ID        token.StreamID
 	FirstScan uint64 // the first scan that the client needs; 0 for any
 
-	service           *Service
-	shownFencingToken uint64        // from the client's resume token; 0 for a new stream
-	fencingToken      atomic.Uint64 // of this ownership; 0 until it is acquired
-	ownershipLost     atomic.Bool
-	tokenIssued       atomic.Bool // a token was issued, so that another relay may acquire the stream
-	position          atomic.Uint64
-	released          chan struct{}
-	releaseOnce       sync.Once
+	service            *Service
+	clientFencingToken uint64        // from the client's resume token; 0 for a new stream
+	fencingToken       atomic.Uint64 // of this ownership; 0 until it is acquired
+	ownershipLost      atomic.Bool
+	tokenIssued        atomic.Bool // a token was issued, so that another relay may acquire the stream
+	position           atomic.Uint64
+	released           chan struct{}
+	releaseOnce        sync.Once
 
 	serverName  string // written to tokens
 	lastIssued  issuedToken
@@ -127,12 +127,12 @@
 		return nil, &RejectError{NoteInvalidPosition, errLastPosition}
 	}
 	st := &Stream{
-		StreamRequest:     r,
-		ID:                t.Stream,
-		FirstScan:         r.Position + 1,
-		service:           s,
-		shownFencingToken: t.FencingToken,
-		released:          make(chan struct{}),
+		StreamRequest:      r,
+		ID:                 t.Stream,
+		FirstScan:          r.Position + 1,
+		service:            s,
+		clientFencingToken: t.FencingToken,
+		released:           make(chan struct{}),
 	}
 	st.position.Store(r.Position)
 	return st, nil
@@ -140,7 +140,7 @@
 
 // MustWait reports whether the request has to wait for its ownership. Only resumed streams wait, as another
 // relay may own them.
-func (st *Stream) MustWait() bool { return st.shownFencingToken != 0 }
+func (st *Stream) MustWait() bool { return st.clientFencingToken != 0 }
 
 // Acquire requests ownership of the stream for a request.
 func (st *Stream) Acquire(r *relay.Request) {
@@ -161,7 +161,7 @@
 	a := ownership.Acquire{
 		Handle:        st.handle,
 		Stream:        st.ID,
-		FencingToken:  st.shownFencingToken,
+		FencingToken:  st.clientFencingToken,
 		Deadline:      s.Clock.Now() + within,
 		ExpiresUnixMs: st.recordExpiresUnixMs,
 	}
@@ -213,7 +213,7 @@
 	st.mu.Lock()
 	r := st.request
 	st.mu.Unlock()
-	if st.shownFencingToken != 0 {
+	if st.clientFencingToken != 0 {
 		r.OwnershipAcquired()
 	} else {
 		r.WakeServerSide() // its first token can be issued now
@@ -235,7 +235,7 @@
 func (st *Stream) handleLeaseExpired() {
 	st.mu.Lock()
 	r := st.request
-	noTokenIssued := st.shownFencingToken == 0 && !st.tokenIssued.Load() && !st.requestEnded
+	noTokenIssued := st.clientFencingToken == 0 && !st.tokenIssued.Load() && !st.requestEnded
 	if noTokenIssued {
 		st.reacquire()
 	}
@@ -262,7 +262,7 @@
 // MayForward reports whether a line may still be forwarded. It must be called before each line, as a process
 // that was suspended until after the end of its lease must not forward the lines that it had read before.
 func (st *Stream) MayForward() bool {
-	if !st.tokenIssued.Load() && st.shownFencingToken == 0 {
+	if !st.tokenIssued.Load() && st.clientFencingToken == 0 {
 		return true
 	}
 	return !st.ownershipLost.Load() && st.service.Clock.Now() < st.service.ValidUntil()
