--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -25,7 +25,7 @@
 	clock := relay.NewClock()
 	requests := newPlatformRequests(c, clock, log)
 	endpoints := discovery.NewClient(c.Discovery, requests, log)
-	endpoints.Pushed = !settings.MustSubscribe
+	endpoints.LocalAgent = !settings.MustSubscribe
 	listener, inherited, err := listen(c)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	}
 	parts.join(seam)
 	leaseEndpoints(requests, c)
-	if inherited && !endpoints.Pushed {
+	if inherited && !endpoints.LocalAgent {
 		endpoints.Watch() // in an upgrade this relay starts alone: it need not wait for its phase offset
 	}
 	go endpoints.Run(ctx, c.CachedList.Version)
--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -54,7 +54,7 @@
 // replyOf is the service's answer as the Lease takes it. A record that cannot be read is an error of the
 // service's.
 func (s *Service) replyOf(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
-	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.Owner}
+	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.EphemeralOwner}
 	code, known := replyCodes[a.Code]
 	if !known {
 		s.Log.Warn().Int32("code", int32(a.Code)).Str("node", node).
@@ -109,8 +109,8 @@
 	s.enqueue(ownership.SessionExpired{})
 }
 
-// Answered notifies the Lease that something sent at that time was answered.
-func (e *sessionEvents) Answered(sentAt time.Duration) {
+// AnswerReceived notifies the Lease that something sent at that time was answered.
+func (e *sessionEvents) AnswerReceived(sentAt time.Duration) {
 	(*Service)(e).enqueue(ownership.Renewed{SentAt: sentAt})
 }
 
--- a/internal/wire/connlimit/limiter.go
+++ b/internal/wire/connlimit/limiter.go
@@ -20,9 +20,9 @@
 const (
 	// RetryAfter is when a client comes again whose request the limit has rejected.
 	RetryAfter = 500 * time.Millisecond
-	// RequestWithin is how long after its acceptance a connection without a request is closed. What the
+	// RequestTimeout is how long after its acceptance a connection without a request is closed. What the
 	// client sends meanwhile does not renew it: one that says nothing useful is owed a close within 3 s.
-	RequestWithin = 2 * time.Second
+	RequestTimeout = 2 * time.Second
 	// socketBufferBytes bounds the kernel's buffer of a client's connection, each way. Left to itself it
 	// grows to megabytes for a client that sends without end, hundreds of times over.
 	socketBufferBytes = 32 << 10
@@ -128,15 +128,15 @@
 		l.evictOldestIdle()
 	}
 	permit := &Permit{
-		Half:          &splice.Half{Conn: conn, Clock: l.Clock},
-		RequestUntil:  l.Clock.Now() + RequestWithin,
-		limiter:       l,
-		clientCounted: true,
+		Conn:            &splice.Conn{NetConn: conn, Clock: l.Clock},
+		RequestDeadline: l.Clock.Now() + RequestTimeout,
+		limiter:         l,
+		clientCounted:   true,
 	}
 	permit.idleElement = l.idlePermits.PushBack(permit)
 	l.descriptorsHeld++
 	if l.draining {
-		permit.Half.Wake()
+		permit.Conn.Wake()
 	}
 	return permit
 }
@@ -153,7 +153,7 @@
 	l.idlePermits.Remove(oldest)
 	permit.evicted = true
 	l.evicting++
-	permit.Half.CloseNow()
+	permit.Conn.CloseNow()
 }
 
 // requestLimit is how many descriptors requests may hold. The caller holds the lock.
@@ -169,7 +169,7 @@
 	defer l.mu.Unlock()
 	l.draining = true
 	for e := l.idlePermits.Front(); e != nil; e = e.Next() {
-		e.Value.(*Permit).Half.Wake()
+		e.Value.(*Permit).Conn.Wake()
 	}
 }
 
--- a/internal/wire/connlimit/limiter_test.go
+++ b/internal/wire/connlimit/limiter_test.go
@@ -129,7 +129,7 @@
 	}
 	for i, v := range m.all {
 		differs := v.client != v.permit.clientCounted || v.evicted != v.permit.evicted
-		if differs || v.evicted && !v.permit.Half.ClosingNow() || v.conn.closed {
+		if differs || v.evicted && !v.permit.Conn.ClosingNow() || v.conn.closed {
 			t.Fatalf("permit %d: %+v, closed %v", i, v, v.conn.closed)
 		}
 	}
--- a/internal/wire/connlimit/permit.go
+++ b/internal/wire/connlimit/permit.go
@@ -11,9 +11,9 @@
 // Permit is one client's connection, as its Limiter counts it. The goroutine that serves the connection calls
 // its methods.
 type Permit struct {
-	Half *splice.Half
-	// RequestUntil is the instant of the limiter's clock by which the client must have brought its request.
-	RequestUntil time.Duration
+	Conn *splice.Conn
+	// RequestDeadline is the instant of the limiter's clock by which the client must have brought its request.
+	RequestDeadline time.Duration
 
 	// The limiter's lock guards what follows.
 	limiter        *Limiter
@@ -107,7 +107,7 @@
 // request's connection to a server is closed too; nil is for a client that brought no request.
 func (p *Permit) CloseAndRelease(request *relay.Request) {
 	p.ReleaseRequest()
-	p.Half.CloseAndDiscard()
+	p.Conn.CloseAndDiscard()
 	p.ReleaseClient()
 	if request != nil {
 		<-request.BothSidesDone()
--- a/internal/wire/discovery/client.go
+++ b/internal/wire/discovery/client.go
@@ -65,10 +65,10 @@
 // Client polls and watches discovery. The decision module says when; it also draws the backoff after a failed
 // call.
 type Client struct {
-	// Pushed says that lists come from an agent of this relay's own: the client watches from the start and
+	// LocalAgent says that lists come from an agent of this relay's own: the client watches from the start and
 	// for good, and the decision module neither asks for that nor is notified of failures. It is set before
 	// Run.
-	Pushed bool
+	LocalAgent bool
 
 	clock        *relay.Clock
 	log          zerolog.Logger
@@ -139,7 +139,7 @@
 
 // Run carries polls out, one after the other, until the context ends. version is that of the list held.
 func (c *Client) Run(ctx context.Context, version int64) {
-	watch, again := c.Pushed, c.Pushed
+	watch, again := c.LocalAgent, c.LocalAgent
 	for restarting := false; ; restarting = c.target.restartPending() {
 		if !restarting && !again {
 			select {
@@ -172,7 +172,7 @@
 	case retriedAtOnce(err):
 		c.log.Info().Err(err).Msg("retrying discovery at once")
 		return true
-	case c.Pushed:
+	case c.LocalAgent:
 		c.log.Info().Err(err).Msg("agent's watch ended, opening another")
 		select {
 		case <-ctx.Done():
--- a/internal/wire/discovery/moments_test.go
+++ b/internal/wire/discovery/moments_test.go
@@ -200,13 +200,13 @@
 
 // A relay with an agent of its own, which pushes lists, watches without being asked to and opens each watch
 // that ends anew: what the agent has counts as notified whether or not a watch is open. The module hears of
-// no failure; its backoff is for a service that others call too. Without Pushed nothing was ever asked for,
+// no failure; its backoff is for a service that others call too. Without LocalAgent nothing was ever asked for,
 // and the list of the start stood for the day.
 func TestPushedListsAreWatchedForGood(t *testing.T) {
 	address, asked := script(t, "RESET", whole(42, "s-1")+"RESET", "RESET", "RESET", whole(43, "s-9"))
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
-	client.Pushed = true
+	client.LocalAgent = true
 	client.to.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
 		if x.UpdateEndpoints(kind, list); kind == decide.WatchFailed {
 			t.Error("the module was told of a failure")
--- a/internal/wire/platform/frontend.go
+++ b/internal/wire/platform/frontend.go
@@ -43,11 +43,11 @@
 
 // serveClient speaks with one client until its connection is closed, and that to its server too.
 func (f *Frontend) serveClient(permit *connlimit.Permit) {
-	lines := newLineReader(permit.Half.Conn)
-	permit.Half.SetReadUntil(permit.RequestUntil)
+	lines := newLineReader(permit.Conn.NetConn)
+	permit.Conn.SetReadDeadline(permit.RequestDeadline)
 	request := f.acceptRequest(permit, lines)
 	if request != nil {
-		f.forwardFromClient(request, permit.Half, lines)
+		f.forwardFromClient(request, permit.Conn, lines)
 	}
 	permit.CloseAndRelease(request)
 }
@@ -55,7 +55,7 @@
 // acceptRequest takes a connection up to its request. Nil means that it has its answer, or that none is due:
 // it brought nothing in time, or was evicted.
 func (f *Frontend) acceptRequest(permit *connlimit.Permit, lines *lineReader) *relay.Request {
-	half := permit.Half
+	half := permit.Conn
 	// Once cut off, only what has come counts: the time is up, the connection is evicted or the relay shuts
 	// down.
 	cutOff := false
@@ -94,7 +94,7 @@
 func (f *Frontend) openFromLine(
 	permit *connlimit.Permit, lines *lineReader, line []byte, lineErr error,
 ) *relay.Request {
-	half := permit.Half
+	half := permit.Conn
 	open, previousServer, err := f.parseRequest(line, lineErr)
 	if err == nil && lines.buffered.Buffered() > 0 {
 		err = errUnexpectedLine
@@ -108,7 +108,7 @@
 		half.Forward(encodeRejected(connlimit.RetryAfter))
 		return nil
 	}
-	half.SetReadUntil(0)
+	half.SetReadDeadline(0)
 	if previousServer != "" {
 		return f.Requests.Resume(open, previousServer, half)
 	}
@@ -116,7 +116,7 @@
 }
 
 // rejectLine answers a line that cannot be read, or may not come now.
-func (f *Frontend) rejectLine(half *splice.Half, line []byte, err error) {
+func (f *Frontend) rejectLine(half *splice.Conn, line []byte, err error) {
 	f.Limiter.Log.Warn().
 		Err(err).
 		Bytes("line", line[:min(len(line), loggedLineBytes)]).
@@ -180,7 +180,7 @@
 
 // forwardFromClient reads the client until its end. Before the request is established a wake means an answer;
 // after that the server side writes to the client, and this goroutine only forwards what the client sends.
-func (f *Frontend) forwardFromClient(request *relay.Request, half *splice.Half, lines *lineReader) {
+func (f *Frontend) forwardFromClient(request *relay.Request, half *splice.Conn, lines *lineReader) {
 	stream := streamOf(request)
 	for {
 		line, err := lines.readLine()
@@ -208,16 +208,16 @@
 				writeAnswer(request, half)
 				return
 			}
-			half.SetReadUntil(0)
+			half.SetReadDeadline(0)
 		default:
-			request.ClientClosed(splice.EndingOf(err))
+			request.ClientClosed(splice.CloseKindOf(err))
 			return
 		}
 	}
 }
 
 // writeAnswer writes the final answer of a request that was not established; nothing if it was.
-func writeAnswer(request *relay.Request, half *splice.Half) {
+func writeAnswer(request *relay.Request, half *splice.Conn) {
 	switch _, answer := request.State(); answer.Kind {
 	case relay.Rejected:
 		half.Forward(encodeRejected(answer.RetryAfter))
--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/moments_test.go
@@ -15,7 +15,7 @@
 )
 
 // awaitUnread waits until a peer's bytes or end have come, which loopback brings in its own time.
-func awaitUnread(t *testing.T, e *splice.Half) {
+func awaitUnread(t *testing.T, e *splice.Conn) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -29,9 +29,9 @@
 // a clean end, not a reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
 	for name, end := range map[string]func(*connlimit.Permit){
-		"its time is up":       func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
-		"it is evicted":        func(p *connlimit.Permit) { p.Half.CloseNow() },
-		"the relay shuts down": func(p *connlimit.Permit) { p.Half.Wake() },
+		"its time is up":       func(p *connlimit.Permit) { p.RequestDeadline = time.Millisecond },
+		"it is evicted":        func(p *connlimit.Permit) { p.Conn.CloseNow() },
+		"the relay shuts down": func(p *connlimit.Permit) { p.Conn.Wake() },
 	} {
 		for line, want := range map[string]string{
 			openingLine + "\r\n": "UP a1",
@@ -48,7 +48,7 @@
 			l := listen(t)
 			go f.Limiter.Serve(l, func(p *connlimit.Permit) {
 				if line != "" {
-					awaitUnread(t, p.Half)
+					awaitUnread(t, p.Conn)
 				}
 				end(p)
 				f.serveClient(p)
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { own.Close() })
-		e := &splice.Half{Conn: own, Clock: requests.Clock}
+		e := &splice.Conn{NetConn: own, Clock: requests.Clock}
 		leave(client.(*net.TCPConn))
 		awaitUnread(t, e)
 		o, err := parseOpening([]byte(openingLine))
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -328,7 +328,7 @@
 	var all []*client
 	for _, say := range []string{"", "PING\r\n", "half a li"} {
 		c := connect(t, address)
-		c.SetDeadline(time.Now().Add(4 * connlimit.RequestWithin))
+		c.SetDeadline(time.Now().Add(4 * connlimit.RequestTimeout))
 		fmt.Fprint(c, say)
 		all = append(all, c)
 	}
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -70,7 +70,7 @@
 
 // renewServerLease tells the server how long it may serve on, if that is due. It comes before a stream's
 // first token: from then on another relay may be shown one.
-func renewServerLease(server *splice.Half, stream *resume.Stream) {
+func renewServerLease(server *splice.Conn, stream *resume.Stream) {
 	if stream == nil {
 		return
 	}
@@ -82,7 +82,7 @@
 
 // encodeEstablished makes the server's answer with what the client is to know beyond it: a gap, and its
 // token.
-func encodeEstablished(server *splice.Half, stream *resume.Stream, serverName string, answer []byte) []byte {
+func encodeEstablished(server *splice.Conn, stream *resume.Stream, serverName string, answer []byte) []byte {
 	out := append([]byte(nil), answer...)
 	first, stated := parseFirstScan(answer)
 	switch {
@@ -168,10 +168,10 @@
 }
 
 // releaseStream ends a stream at its server, and only then lets another relay acquire it.
-func releaseStream(server *splice.Half, stream *resume.Stream) {
+func releaseStream(server *splice.Conn, stream *resume.Stream) {
 	if stream != nil {
 		server.Close(relay.GracefulClose)
-		server.Conn.Close()
+		server.NetConn.Close()
 		stream.ReleaseAndWait()
 	}
 }
--- a/internal/wire/platform/server_dialer.go
+++ b/internal/wire/platform/server_dialer.go
@@ -50,11 +50,11 @@
 	resumeFields, resumable := encodeResumeFields(a.Request, a.Attempt.Attempt)
 	clientWait := a.Deadline - a.dialer.Clock.Now()
 	line := a.Request.Payload.(*opening).encode(clientWait, resumeFields)
-	if a.Half.Forward(line) != nil {
+	if a.Conn.Forward(line) != nil {
 		return decide.ConnectFailed, decide.NoLoadReport
 	}
 	a.Request.FirstLineWritten(a.Number)
-	a.lines = newLineReader(a.Half.Conn)
+	a.lines = newLineReader(a.Conn.NetConn)
 	answer, status := a.awaitAnswer()
 	if status != decide.OK {
 		return status, decide.NoLoadReport
@@ -83,7 +83,7 @@
 // awaitAnswer reads the server's first line. A status other than OK says why there is none.
 func (a *attempt) awaitAnswer() ([]byte, decide.Status) {
 	for {
-		a.Half.SetReadUntil(a.Deadline)
+		a.Conn.SetReadDeadline(a.Deadline)
 		line, err := a.lines.readLine()
 		switch {
 		case err == nil:
@@ -91,9 +91,9 @@
 		case !splice.TimedOut(err):
 			return nil, decide.Reset
 		}
-		a.Half.ClearWake() // before the checks below: a wake that comes after them must not be lost
+		a.Conn.ClearWake() // before the checks below: a wake that comes after them must not be lost
 		switch {
-		case a.Half.Closed():
+		case a.Conn.Closed():
 			return nil, decide.Cancelled
 		case a.dialer.Clock.Now() >= a.Deadline:
 			return nil, decide.TimedOut
@@ -112,7 +112,7 @@
 	d := &downstream{attempt: a, client: client, stream: streamOf(a.Request), checkDue: true}
 	d.closeStatus, d.closeReport = decide.Reset, decide.NoLoadReport
 	if d.stream != nil {
-		established = encodeEstablished(a.Half, d.stream, a.Server.ID, established)
+		established = encodeEstablished(a.Conn, d.stream, a.Server.ID, established)
 	}
 	return d.run(established)
 }
@@ -136,7 +136,7 @@
 			return d.migrate()
 		}
 		if d.client.Forward(line) != nil { // a client that takes nothing for so long has left
-			releaseStream(d.Half, d.stream)
+			releaseStream(d.Conn, d.stream)
 			d.client.Close(relay.AbortiveClose)
 			return decide.Cancelled, d.closeReport
 		}
@@ -149,8 +149,8 @@
 				return d.migrate()
 			}
 		case splice.TimedOut(err):
-			d.Half.ClearWake()
-			if d.Half.Closed() { // the client has left, and the server took its time to end too
+			d.Conn.ClearWake()
+			if d.Conn.Closed() { // the client has left, and the server took its time to end too
 				return decide.Cancelled, d.closeReport
 			}
 			if migrating, _ := d.Request.Migrating(); migrating {
@@ -161,8 +161,8 @@
 			return d.migrate()
 		default:
 			d.Request.ServerClosed()
-			releaseStream(d.Half, d.stream)
-			d.client.Close(splice.EndingOf(err))
+			releaseStream(d.Conn, d.stream)
+			d.client.Close(splice.CloseKindOf(err))
 			return d.closeStatus, d.closeReport
 		}
 	}
@@ -174,8 +174,8 @@
 		return
 	}
 	d.checkDue = false
-	renewServerLease(d.Half, d.stream)
-	d.Half.SetReadUntil(nextStreamCheck(d.stream))
+	renewServerLease(d.Conn, d.stream)
+	d.Conn.SetReadDeadline(nextStreamCheck(d.stream))
 }
 
 func (d *downstream) mayForward() bool { return d.stream == nil || d.stream.MayForward() }
@@ -189,7 +189,7 @@
 	if !d.stream.TokenDue() {
 		return
 	}
-	renewServerLease(d.Half, d.stream)
+	renewServerLease(d.Conn, d.stream)
 	d.client.Forward(encodeToken(d.stream))
 	d.checkDue = true
 }
@@ -227,7 +227,7 @@
 // migrate sends the client MOVE and closes. A stream that may go on elsewhere is ended at its server and
 // released first: the client may be at the next relay within a millisecond.
 func (d *downstream) migrate() (decide.Status, decide.LoadReport) {
-	releaseStream(d.Half, d.stream)
+	releaseStream(d.Conn, d.stream)
 	if d.midLine { // nothing can be said within a line
 		d.client.Close(relay.AbortiveClose)
 		return decide.Cancelled, d.closeReport
--- a/internal/wire/splice/attempt.go
+++ b/internal/wire/splice/attempt.go
@@ -12,7 +12,7 @@
 type Attempt struct {
 	relay.Attempt
 	Request *relay.Request
-	Half    *Half // the connection to the server
+	Conn    *Conn // the connection to the server
 }
 
 // Run dials the attempt's server, lets converse speak on the connection until the attempt is over, and ends
@@ -23,8 +23,8 @@
 ) bool {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	a.Half = &Half{Clock: clock, Stop: stop}
-	if !a.Request.Attach(a.Number, a.Half) {
+	a.Conn = &Conn{Clock: clock, CancelDial: stop}
+	if !a.Request.Attach(a.Number, a.Conn) {
 		a.Request.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return false
 	}
@@ -38,7 +38,7 @@
 		return false
 	}
 	defer conn.Close()
-	if !a.Half.Attach(conn) || !a.Request.BeginWrite(a.Number) {
+	if !a.Conn.Attach(conn) || !a.Request.BeginWrite(a.Number) {
 		// The server is to see the close before the decision module hears of the end and may dispatch again.
 		conn.Close()
 		a.Request.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
@@ -47,7 +47,7 @@
 	status, load := converse()
 	// Closed before the end is reported: an attempt that still stands while the next one is made would be a
 	// second copy.
-	a.Half.Close(relay.GracefulClose)
+	a.Conn.Close(relay.GracefulClose)
 	conn.Close()
 	a.Request.EndAttempt(a.Number, status, load)
 	return true
--- a/internal/wire/splice/half.go
+++ b/internal/wire/splice/conn.go
@@ -25,70 +25,70 @@
 	lingerBytes = 256 << 10
 )
 
-// Half is one of the two connections of a request. Its methods may be called by several goroutines; only one
+// Conn is one of the two connections of a request. Its methods may be called by several goroutines; only one
 // of them reads. A wake is sticky: reads return at once until ClearWake. A write never waits longer than
-// WriteTimeout. Once closed, a Half stays closed.
-type Half struct {
-	mu     sync.Mutex
-	Conn   net.Conn // nil while it is dialled
-	Clock  *relay.Clock
-	Stop   func() // ends the dial, if there is one
-	woken  bool
-	closed bool
+// WriteTimeout. Once closed, a Conn stays closed.
+type Conn struct {
+	mu         sync.Mutex
+	NetConn    net.Conn // nil while it is dialled
+	Clock      *relay.Clock
+	CancelDial func() // ends the dial, if there is one
+	woken      bool
+	closed     bool
 	// closeNowSignal is closed by CloseNow; nil until somebody waits for it.
 	closeNowSignal chan struct{}
 	closingNow     bool
 }
 
-// Attach sets the connection once it is dialled. It tells whether the Half is still open.
-func (e *Half) Attach(conn net.Conn) bool {
+// Attach sets the connection once it is dialled. It tells whether the connection is still open.
+func (e *Conn) Attach(conn net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Conn = conn
+	e.NetConn = conn
 	return !e.closed
 }
 
-// SetReadUntil sets at which instant of the clock a read returns at the latest; 0 is never. It has no effect
+// SetReadDeadline sets at which instant of the clock a read returns at the latest; 0 is never. It has no effect
 // after a wake.
-func (e *Half) SetReadUntil(at time.Duration) {
+func (e *Conn) SetReadDeadline(at time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.woken || e.closed:
 	case at == 0:
-		e.Conn.SetReadDeadline(time.Time{})
+		e.NetConn.SetReadDeadline(time.Time{})
 	default:
-		e.Conn.SetReadDeadline(e.Clock.WallDeadline(at))
+		e.NetConn.SetReadDeadline(e.Clock.WallDeadline(at))
 	}
 }
 
 // Closed tells whether Close was called: by the request's other side, or because the attempt is cancelled.
-func (e *Half) Closed() bool {
+func (e *Conn) Closed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.closed
 }
 
 // ClearWake lets reads wait again after a Wake.
-func (e *Half) ClearWake() {
+func (e *Conn) ClearWake() {
 	e.mu.Lock()
 	e.woken = false
 	e.mu.Unlock()
 }
 
 // Wake makes the goroutine that reads the connection look at its request.
-func (e *Half) Wake() {
+func (e *Conn) Wake() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.woken = true
-	if e.Conn != nil && !e.closed {
-		e.Conn.SetReadDeadline(time.Unix(1, 0))
+	if e.NetConn != nil && !e.closed {
+		e.NetConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
 // CloseNow makes the goroutine that reads the connection close it without any wait, even one for the peer's
 // end.
-func (e *Half) CloseNow() {
+func (e *Conn) CloseNow() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closingNow {
@@ -96,20 +96,20 @@
 	}
 	e.woken, e.closingNow = true, true
 	close(e.closeNowChannel())
-	if e.Conn != nil {
-		e.Conn.SetDeadline(time.Unix(1, 0))
+	if e.NetConn != nil {
+		e.NetConn.SetDeadline(time.Unix(1, 0))
 	}
 }
 
 // ClosingNow tells whether CloseNow was called.
-func (e *Half) ClosingNow() bool {
+func (e *Conn) ClosingNow() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.closingNow
 }
 
 // closeNowChannel is the channel that CloseNow closes. The caller holds the lock.
-func (e *Half) closeNowChannel() chan struct{} {
+func (e *Conn) closeNowChannel() chan struct{} {
 	if e.closeNowSignal == nil {
 		e.closeNowSignal = make(chan struct{})
 	}
@@ -117,34 +117,34 @@
 }
 
 // Forward writes to the connection. Its error is the network's.
-func (e *Half) Forward(p []byte) error {
-	e.Conn.SetWriteDeadline(e.Clock.WallDeadline(e.Clock.Now() + WriteTimeout))
-	_, err := e.Conn.Write(p)
+func (e *Conn) Forward(p []byte) error {
+	e.NetConn.SetWriteDeadline(e.Clock.WallDeadline(e.Clock.Now() + WriteTimeout))
+	_, err := e.NetConn.Write(p)
 	return err
 }
 
 // Close ends the connection: cleanly, with a bounded wait for the peer's end, or with a reset. It is
 // idempotent. The goroutine that reads the connection releases the descriptor.
-func (e *Half) Close(how relay.CloseKind) {
+func (e *Conn) Close(how relay.CloseKind) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
 		return
 	}
 	e.closed = true
-	if e.Stop != nil {
-		e.Stop()
+	if e.CancelDial != nil {
+		e.CancelDial()
 	}
-	half, ok := e.Conn.(interface{ CloseWrite() error }) // TCP and TLS have it
+	half, ok := e.NetConn.(interface{ CloseWrite() error }) // TCP and TLS have it
 	switch {
-	case e.Conn == nil:
+	case e.NetConn == nil:
 	case ok && how == relay.GracefulClose:
 		half.CloseWrite()
 		if !e.closingNow {
-			e.Conn.SetReadDeadline(e.Clock.WallDeadline(e.Clock.Now() + lingerFor))
+			e.NetConn.SetReadDeadline(e.Clock.WallDeadline(e.Clock.Now() + lingerFor))
 		}
 	default:
-		raw := e.Conn
+		raw := e.NetConn
 		if t, ok := raw.(*tls.Conn); ok {
 			raw = t.NetConn()
 		}
@@ -158,10 +158,10 @@
 // CloseAndDiscard closes cleanly, discards what still comes until the peer's end, the bounded wait or
 // CloseNow, and releases the descriptor. A peer that goes on sending is left to its full buffers until then,
 // so that it can read the last line first.
-func (e *Half) CloseAndDiscard() {
+func (e *Conn) CloseAndDiscard() {
 	began := e.Clock.Now()
 	e.Close(relay.GracefulClose)
-	if n, err := io.Copy(io.Discard, io.LimitReader(e.Conn, lingerBytes)); n == lingerBytes && err == nil {
+	if n, err := io.Copy(io.Discard, io.LimitReader(e.NetConn, lingerBytes)); n == lingerBytes && err == nil {
 		e.mu.Lock()
 		closeNow := e.closeNowChannel()
 		e.mu.Unlock()
@@ -173,5 +173,5 @@
 	if e.ClosingNow() { // a close over unread bytes would send a reset, which may overtake the last line
 		e.ReadPending()
 	}
-	e.Conn.Close()
+	e.NetConn.Close()
 }
--- a/internal/wire/splice/half_test.go
+++ b/internal/wire/splice/conn_test.go
@@ -13,7 +13,7 @@
 )
 
 // newPair returns the two ends of one TCP connection.
-func newPair(t *testing.T) (*Half, *net.TCPConn) {
+func newPair(t *testing.T) (*Conn, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,11 +29,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { peer.Close(); own.Close() })
-	return &Half{Conn: own, Clock: relay.NewClock()}, peer.(*net.TCPConn)
+	return &Conn{NetConn: own, Clock: relay.NewClock()}, peer.(*net.TCPConn)
 }
 
 // awaitUnread waits until something has come, which loopback brings in its own time.
-func awaitUnread(t *testing.T, e *Half) {
+func awaitUnread(t *testing.T, e *Conn) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -74,8 +74,8 @@
 	e, peer := newPair(t)
 	peer.Write([]byte("line\r\n"))
 	awaitUnread(t, e)
-	e.SetReadUntil(e.Clock.Now() - time.Millisecond)
-	if n, err := e.Conn.Read(make([]byte, 9)); n != 0 || !TimedOut(err) {
+	e.SetReadDeadline(e.Clock.Now() - time.Millisecond)
+	if n, err := e.NetConn.Read(make([]byte, 9)); n != 0 || !TimedOut(err) {
 		t.Fatalf("the premise: %d, %v", n, err)
 	}
 	if got := string(e.ReadPending()); got != "line\r\n" {
--- a/internal/wire/splice/dial.go
+++ b/internal/wire/splice/dial.go
@@ -43,8 +43,8 @@
 	return DialStatus(err)
 }
 
-// EndingOf is how a connection ended whose read returned err: cleanly after io.EOF, abortively otherwise.
-func EndingOf(err error) relay.CloseKind {
+// CloseKindOf is how a connection ended whose read returned err: cleanly after io.EOF, abortively otherwise.
+func CloseKindOf(err error) relay.CloseKind {
 	if errors.Is(err, io.EOF) {
 		return relay.GracefulClose
 	}
--- a/internal/wire/xmpp/frontend.go
+++ b/internal/wire/xmpp/frontend.go
@@ -37,10 +37,10 @@
 
 // serveClient speaks with one client until its connection is closed, and that to its server too.
 func (f *Frontend) serveClient(permit *connlimit.Permit) {
-	half := permit.Half
+	half := permit.Conn
 	st := newStream(half)
-	half.SetReadUntil(permit.RequestUntil)
-	reader, host, err := f.negotiate(st, permit.RequestUntil)
+	half.SetReadDeadline(permit.RequestDeadline)
+	reader, host, err := f.negotiate(st, permit.RequestDeadline)
 	var request *relay.Request
 	switch {
 	case err != nil:
@@ -52,7 +52,7 @@
 		f.Requests.RecordConnLimitRejection(host.Class)
 		st.sendOutcome(resourceConstraint, encodeRetryAfter(connlimit.RetryAfter))
 	default:
-		half.SetReadUntil(0)
+		half.SetReadDeadline(0)
 		request = f.Requests.Open(relay.RequestParams{
 			Class:   host.Class,
 			Tenant:  host.Tenant,
@@ -68,7 +68,7 @@
 // negotiate takes the client's start tag, after STARTTLS where there is a certificate; all of it until an
 // instant that no step renews. Its errors are a streamError and those of the connection.
 func (f *Frontend) negotiate(st *stream, until time.Duration) (*itemReader, Host, error) {
-	reader := newItemReader(st.client.Conn)
+	reader := newItemReader(st.client.NetConn)
 	host, err := f.readHeader(st, reader)
 	config := f.TLS.Load()
 	if err != nil || config == nil {
@@ -83,7 +83,7 @@
 	if err := st.write([]byte(proceedTLS)); err != nil {
 		return reader, host, err
 	}
-	secure := tls.Server(st.client.Conn, config)
+	secure := tls.Server(st.client.NetConn, config)
 	ctx, stop := context.WithTimeout(context.Background(), until-f.Requests.Clock.Now())
 	defer stop()
 	if err := secure.HandshakeContext(ctx); err != nil {
@@ -91,7 +91,7 @@
 	}
 	st.client.Attach(secure)
 	st.headerSent = false // the client begins a new stream, and is owed a new start tag
-	st.client.SetReadUntil(until)
+	st.client.SetReadDeadline(until)
 	reader = newItemReader(secure)
 	host, err = f.readHeader(st, reader)
 	return reader, host, err
@@ -144,14 +144,14 @@
 				writeAnswer(st, answer)
 				return
 			}
-			st.client.SetReadUntil(0)
+			st.client.SetReadDeadline(0)
 		case conditionOf(err) != noCondition:
 			f.Limiter.Log.Warn().Err(err).Str("to", st.host).Msg("malformed client stanza; stream ended")
 			st.sendOutcome(conditionOf(err), "")
 			request.ClientClosed(relay.GracefulClose)
 			return
 		default:
-			forwardClientClose(request, st, splice.EndingOf(err))
+			forwardClientClose(request, st, splice.CloseKindOf(err))
 			return
 		}
 	}
--- a/internal/wire/xmpp/handshake.go
+++ b/internal/wire/xmpp/handshake.go
@@ -24,7 +24,7 @@
 
 // converse speaks with the server until the attempt is over. Load reports come from the server's own node.
 func (a *attempt) converse() (decide.Status, decide.LoadReport) {
-	a.reader = newItemReader(a.Half.Conn)
+	a.reader = newItemReader(a.Conn.NetConn)
 	return a.setUp(), decide.NoLoadReport
 }
 
@@ -34,11 +34,11 @@
 // readItem reads the server's next item, until an instant; 0 is never. Its errors are errWoken and those of
 // itemReader.readItem.
 func (a *attempt) readItem(until time.Duration) (item, error) {
-	a.Half.SetReadUntil(until)
+	a.Conn.SetReadDeadline(until)
 	it, err := a.reader.readItem()
 	if splice.TimedOut(err) {
-		a.Half.ClearWake()
-		if until == 0 || a.dialer.Clock.Now() < until || a.Half.Closed() {
+		a.Conn.ClearWake()
+		if until == 0 || a.dialer.Clock.Now() < until || a.Conn.Closed() {
 			return it, errWoken
 		}
 	}
@@ -48,7 +48,7 @@
 // setUp carries the stream to the features after SASL. Until the client's SASL bytes go out nothing has run:
 // whatever happens, the attempt may be made again elsewhere, and is reported as one that never connected.
 func (a *attempt) setUp() decide.Status {
-	if a.Half.Forward(append([]byte(xmlDeclaration), a.stream.clientHeader.raw...)) != nil {
+	if a.Conn.Forward(append([]byte(xmlDeclaration), a.stream.clientHeader.raw...)) != nil {
 		return decide.ConnectFailed
 	}
 	header, status := a.readExpected(streamHeader, "stream:stream")
@@ -75,7 +75,7 @@
 		it, err := a.readItem(a.Deadline)
 		woken := errors.Is(err, errWoken)
 		switch {
-		case woken && a.Half.Closed():
+		case woken && a.Conn.Closed():
 			return it, decide.Cancelled
 		case woken && a.Request.ServerDraining():
 			return it, decide.Superseded
@@ -112,7 +112,7 @@
 		}
 		it, err := s.readItem(s.ClientDeadline)
 		if errors.Is(err, errWoken) {
-			if s.Half.Closed() {
+			if s.Conn.Closed() {
 				return decide.Cancelled
 			}
 			continue
@@ -135,13 +135,13 @@
 func (s *saslExchange) forwardFromClient() (status decide.Status, over bool) {
 	for it, ok := s.stream.pop(); ok; it, ok = s.stream.pop() {
 		if it.kind == streamEnd {
-			s.Half.Forward(it.raw)
+			s.Conn.Forward(it.raw)
 			s.stream.sendOutcome(noCondition, "")
 			s.Request.ClientClosed(relay.GracefulClose)
 			return decide.Cancelled, true
 		}
 		s.forwarded = true
-		if s.Half.Forward(it.raw) != nil {
+		if s.Conn.Forward(it.raw) != nil {
 			return decide.Reset, true
 		}
 	}
--- a/internal/wire/xmpp/stanzas.go
+++ b/internal/wire/xmpp/stanzas.go
@@ -31,8 +31,8 @@
 		}
 		woken := errors.Is(err, errWoken)
 		switch {
-		case woken && a.Half.Closed():
-			a.Half.Forward([]byte(streamEndTag))
+		case woken && a.Conn.Closed():
+			a.Conn.Forward([]byte(streamEndTag))
 			return decide.Cancelled
 		case woken:
 		case splice.TimedOut(err):
@@ -45,7 +45,7 @@
 		case err != nil:
 			return a.endStream(remoteConnectionFailed, decide.Reset)
 		case it.kind == streamEnd:
-			a.Half.Forward([]byte(streamEndTag))
+			a.Conn.Forward([]byte(streamEndTag))
 			return a.endStream(noCondition, decide.OK)
 		case it.name == "stream:error":
 			a.stream.write(it.raw)
@@ -75,7 +75,7 @@
 			a.lastConfirmedAt = now
 		}
 		a.unconfirmed = append(a.unconfirmed, it)
-		if err := a.Half.Forward(it.raw); err != nil { // a part of a stanza is none: it is bounced too
+		if err := a.Conn.Forward(it.raw); err != nil { // a part of a stanza is none: it is bounced too
 			return err
 		}
 	}
@@ -113,7 +113,7 @@
 	a.pingsSent++
 	a.pingCovers = len(a.unconfirmed)
 	ping := fmt.Sprintf("<iq type='get' id='%s'><ping xmlns='urn:xmpp:ping'/></iq>", a.pingID())
-	return a.Half.Forward([]byte(ping))
+	return a.Conn.Forward([]byte(ping))
 }
 
 // pingID is the id of the ping that was sent last.
@@ -158,6 +158,6 @@
 	if serverSilent || a.pingCovers > 0 || a.forwardQueue(true) != nil {
 		return a.endStream(resetCondition, decide.Reset)
 	}
-	a.Half.Forward([]byte(streamEndTag))
+	a.Conn.Forward([]byte(streamEndTag))
 	return a.endStream(resetCondition, decide.Cancelled)
 }
--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -25,7 +25,7 @@
 // stream is what the two sides of one request share: the client's writing end and the queue of what the
 // client sends. The server side alone takes from the queue, so no item is ever sent twice.
 type stream struct {
-	client       *splice.Half
+	client       *splice.Conn
 	clientHeader item   // the client's start tag
 	host         string // the host it asked for
 
@@ -40,7 +40,7 @@
 	features    string    // as the client was sent them, "" if it was not
 }
 
-func newStream(client *splice.Half) *stream {
+func newStream(client *splice.Conn) *stream {
 	st := &stream{client: client}
 	st.changed = sync.NewCond(&st.mu)
 	return st
@@ -149,17 +149,17 @@
 // clientHalf is the client's end as the request table knows it. Its wake says that the request is over, which
 // a client side that waits for space in the queue must be notified of too.
 type clientHalf struct {
-	*splice.Half
+	*splice.Conn
 	stream *stream
 }
 
 // Wake lets the client side write the answer.
 func (c clientHalf) Wake() {
 	c.stream.markEnded()
-	c.Half.Wake()
+	c.Conn.Wake()
 }
 
 // HasUnread tells of the client's end only: it may send something at any time.
-func (c clientHalf) HasUnread() bool { return c.Half.PeerClosed() }
+func (c clientHalf) HasUnread() bool { return c.Conn.PeerClosed() }
 
 var _ relay.ClientConn = clientHalf{}
--- a/internal/wire/zookeeper/answers.go
+++ b/internal/wire/zookeeper/answers.go
@@ -15,9 +15,9 @@
 
 // Stat is what of a node's state is used here.
 type Stat struct {
-	Version  int32
-	Owner    int64 // the session of an ephemeral node, 0 of others
-	Children int32
+	Version        int32
+	EphemeralOwner int64 // the session of an ephemeral node, 0 of others
+	NumChildren    int32
 }
 
 // Answer is the answer to one request.
@@ -75,9 +75,9 @@
 	d.skip(32) // czxid, mzxid, ctime, mtime
 	s.Version = d.i32()
 	d.skip(8) // cversion, aversion
-	s.Owner = d.i64()
+	s.EphemeralOwner = d.i64()
 	d.skip(4) // data length
-	s.Children = d.i32()
+	s.NumChildren = d.i32()
 	d.skip(8) // pzxid
 	return s
 }
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -37,8 +37,8 @@
 	Disconnected()
 	// Expired: the service has forgotten the session.
 	Expired()
-	// Answered: something sent at sentAt was answered.
-	Answered(sentAt time.Duration)
+	// AnswerReceived: something sent at sentAt was answered.
+	AnswerReceived(sentAt time.Duration)
 }
 
 // Session keeps one session with a service, over connections to any of its addresses. Requests are pipelined:
--- a/internal/wire/zookeeper/session_conn.go
+++ b/internal/wire/zookeeper/session_conn.go
@@ -153,7 +153,7 @@
 	sentAt := s.pingsSentAt[0]
 	s.pingsSentAt = s.pingsSentAt[1:]
 	s.mu.Unlock()
-	s.Events.Answered(sentAt)
+	s.Events.AnswerReceived(sentAt)
 	return nil
 }
 
@@ -167,7 +167,7 @@
 	s.pending[0] = request{} // so that its body can be freed
 	s.pending = s.pending[1:]
 	s.mu.Unlock()
-	s.Events.Answered(r.sentAt)
+	s.Events.AnswerReceived(r.sentAt)
 	answer := decodeAnswer(r.op, code, d)
 	if d.truncated {
 		r.done(Answer{Code: ConnectionLoss})
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -32,9 +32,9 @@
 	w.mu.Unlock()
 	w.add("connected for %v ms", granted.Milliseconds())
 }
-func (w *eventLog) Disconnected()          { w.add("disconnected") }
-func (w *eventLog) Expired()               { w.add("expired") }
-func (w *eventLog) Answered(time.Duration) {}
+func (w *eventLog) Disconnected()                { w.add("disconnected") }
+func (w *eventLog) Expired()                     { w.add("expired") }
+func (w *eventLog) AnswerReceived(time.Duration) {}
 
 func (w *eventLog) wait(t *testing.T, want string, times int) {
 	t.Helper()
@@ -104,7 +104,7 @@
 		{"set an old version", func(f func(Answer)) { s.Set("/a/x", []byte("4"), 0, f) }, BadVersion, nil},
 		{"a child of its own", func(f func(Answer)) { s.Create("/a/x/holder", nil, true, f) }, OK, nil},
 		{"exists", func(f func(Answer)) { s.Exists("/a/x/holder", f) }, OK, func(a Answer) bool {
-			return a.Stat.Owner != 0
+			return a.Stat.EphemeralOwner != 0
 		}},
 		{"delete with a child", func(f func(Answer)) { s.Delete("/a/x", -1, f) }, NotEmpty, nil},
 		{"children", func(f func(Answer)) { s.Children("/a/x", f) }, OK, func(a Answer) bool {
