--- a/internal/wire/connlimit/limiter.go
+++ b/internal/wire/connlimit/limiter.go
@@ -1,6 +1,7 @@
-// Package connlimit bounds what clients may take of this relay: descriptors, time without a request, kernel
-// buffers and log lines. Both fronts take their connections from it. It never closes a connection itself:
-// only the goroutine that reads one can tell whether its last line has come.
+// Package connlimit limits the resources that clients may use on this relay: descriptors, time without a
+// request, kernel buffers and log lines. Both front ends accept their connections through it. It never closes
+// a connection itself: only the goroutine that reads a connection can tell whether its last line has been
+// received.
 package connlimit
 
 import (
@@ -18,49 +19,50 @@
 )
 
 const (
-	// RetryAfter is when a client comes again whose request the limit has rejected.
+	// RetryAfter is the time after which a client should retry a request that the limit has rejected.
 	RetryAfter = 500 * time.Millisecond
-	// RequestTimeout is how long after its acceptance a connection without a request is closed. What the
-	// client sends meanwhile does not renew it: one that says nothing useful is owed a close within 3 s.
+	// RequestTimeout is how long after its acceptance a connection without a request is closed. Data that the
+	// client sends meanwhile does not extend it: the protocol promises a client without a valid request a
+	// close within 3 s.
 	RequestTimeout = 2 * time.Second
-	// socketBufferBytes bounds the kernel's buffer of a client's connection, each way. Left to itself it
-	// grows to megabytes for a client that sends without end, hundreds of times over.
+	// socketBufferBytes is the size of the kernel's buffers of a client's connection, for each direction.
+	// Without it the kernel lets the buffer of a client that sends continuously grow to megabytes, and there
+	// may be hundreds of such clients.
 	socketBufferBytes = 32 << 10
-	// idleReserveFraction of the descriptors is kept for connections without a request and for those that are
-	// being rejected. They evict one another, the oldest first.
+	// idleReserveFraction of the descriptors is reserved for connections without a request and for those that
+	// are being rejected. When it is used up, the oldest of them is evicted for the next one.
 	idleReserveFraction = 1.0 / 8
 	minIdleReserve      = 8
-	// MaxEvicting bounds the evicted connections that have not closed yet; beyond it nothing is
-	// accepted. Each takes no longer than its goroutine takes to look once at what has come.
+	// MaxEvicting bounds the evicted connections that have not closed yet. At the bound no connection is
+	// accepted. An evicted connection closes as soon as its goroutine has checked the received data once.
 	MaxEvicting = 8
-	// logLinesPerSecond bounds the log lines that clients' faults may cause.
+	// logLinesPerSecond bounds the log lines that faulty clients can cause.
 	logLinesPerSecond = 5
 	// acceptRetryDelay is the pause after a failed accept.
 	acceptRetryDelay = 5 * time.Millisecond
-	// requestCost is how many descriptors a request holds: the client's and its server's.
+	// requestCost is how many descriptors a request holds: one for the client, one for the server.
 	requestCost = 2
 )
 
-// Limiter counts the descriptors that clients hold, with those of their connections to servers. Invariants,
-// under mu: descriptorsHeld - evicting never exceeds descriptorLimit by more than the connection just
-// accepted, and requestDescriptors leaves the idle reserve free. Its methods may be called by several
-// goroutines.
+// Limiter counts the descriptors of clients' connections and of their requests' connections to servers.
+// Invariants, under mu: descriptorsHeld - evicting exceeds descriptorLimit at most by the connection just
+// accepted, and requestDescriptors leaves the idle reserve free. Its methods may be called concurrently.
 type Limiter struct {
 	Clock *relay.Clock
-	// Log is for clients' faults. It is sampled, as a client must not write the log at full speed.
+	// Log receives messages about faulty clients. It is sampled, so that clients cannot flood the log.
 	Log zerolog.Logger
 
 	mu                 sync.Mutex
 	descriptorLimit    int
 	descriptorsHeld    int
-	requestDescriptors int       // of those held, the ones of requests
-	idlePermits        list.List // of *Permit without a request, or with their answer; the oldest first
-	evicting           int       // of those held, the ones of evicted connections
-	evictionDone       sync.Cond // signalled as evicting falls
-	draining           bool      // connections that bring no request now are closed
+	requestDescriptors int       // those of descriptorsHeld that requests hold
+	idlePermits        list.List // of *Permit: before the request or after its end, oldest first
+	evicting           int       // those of descriptorsHeld that evicted connections hold
+	evictionDone       sync.Cond // signalled when evicting decreases
+	draining           bool      // connections without a request are closed
 }
 
-// New returns a limiter for descriptorLimit descriptors.
+// New returns a Limiter that allows descriptorLimit descriptors.
 func New(clock *relay.Clock, descriptorLimit int, log zerolog.Logger) *Limiter {
 	sampled := log.Sample(&zerolog.BurstSampler{Burst: logLinesPerSecond, Period: time.Second})
 	l := &Limiter{Clock: clock, Log: sampled}
@@ -69,15 +71,15 @@
 	return l
 }
 
-// SetDescriptorLimit changes how many descriptors there are. Requests beyond the new limit stay.
+// SetDescriptorLimit changes the number of descriptors allowed. Requests beyond the new limit are not ended.
 func (l *Limiter) SetDescriptorLimit(descriptorLimit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.descriptorLimit = descriptorLimit
 }
 
-// Serve accepts until the listener is closed, which is no error, and gives each connection to serve in a
-// goroutine of its own. The permit is released when serve returns.
+// Serve accepts connections until the listener is closed, and then returns nil. It calls serve for each
+// connection in a new goroutine, and releases the permit when serve returns.
 func (l *Limiter) Serve(listener net.Listener, serve func(*Permit)) error {
 	for {
 		l.awaitEvictions()
@@ -98,11 +100,12 @@
 			defer permit.release()
 			serve(permit)
 		}()
-		// The goroutine reads what has come before the next connection can evict this one.
+		// Let the goroutine read the data already received before the next connection can evict this one.
 		runtime.Gosched()
 	}
 }
 
+// awaitEvictions blocks while MaxEvicting evicted connections have not closed.
 func (l *Limiter) awaitEvictions() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,16 +114,18 @@
 	}
 }
 
-// recoverFromAccept has one idle connection give its descriptor up: none is left, whatever the count says.
+// recoverFromAccept evicts the oldest idle connection after a failed accept and pauses for acceptRetryDelay.
+// The process is out of descriptors, whatever the limiter has counted.
 func (l *Limiter) recoverFromAccept(err error) {
 	l.Log.Warn().Err(err).
-		Msg("accept failed, the oldest idle connection is evicted: compare limits.sockets with ulimit -n")
+		Msg("accept failed, evicting the oldest idle connection: compare limits.sockets with ulimit -n")
 	l.mu.Lock()
 	l.evictOldestIdle()
 	l.mu.Unlock()
 	time.Sleep(acceptRetryDelay)
 }
 
+// admitConnection counts a new connection and returns its permit. At the limit it evicts the oldest idle one.
 func (l *Limiter) admitConnection(conn net.Conn) *Permit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,9 +146,8 @@
 	return permit
 }
 
-// evictOldestIdle tells the oldest idle connection to close, if there is one. Its own goroutine closes it:
-// closed from here, over a line that nobody had read, the client would get a reset. The caller holds the
-// lock.
+// evictOldestIdle makes the goroutine of the oldest idle connection, if there is one, close it. If it were
+// closed here with a received line unread, the client would get a reset. The caller must hold mu.
 func (l *Limiter) evictOldestIdle() {
 	oldest := l.idlePermits.Front()
 	if oldest == nil {
@@ -156,14 +160,14 @@
 	permit.Conn.CloseNow()
 }
 
-// requestLimit is how many descriptors requests may hold. The caller holds the lock.
+// requestLimit returns how many descriptors requests may hold. The caller must hold mu.
 func (l *Limiter) requestLimit() int {
 	reserve := max(minIdleReserve, int(float64(l.descriptorLimit)*idleReserveFraction))
 	return l.descriptorLimit - reserve
 }
 
-// Drain closes every connection that has no request, now and from now on; one that brings a request first is
-// served. It is for a relay that shuts down.
+// Drain wakes every connection without a request, present and future, so that it is closed unless it has sent
+// a request by then, which is served. It is called when the relay shuts down.
 func (l *Limiter) Drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,7 +177,7 @@
 	}
 }
 
-// DescriptorsHeld is how many descriptors clients and their connections to servers hold.
+// DescriptorsHeld returns how many descriptors clients' connections and their connections to servers hold.
 func (l *Limiter) DescriptorsHeld() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/connlimit/limiter_test.go
+++ b/internal/wire/connlimit/limiter_test.go
@@ -11,23 +11,23 @@
 	"capersail/internal/relay"
 )
 
-// modelPermit is what a permit is meant to be.
+// modelPermit is the expected state of a Permit.
 type modelPermit struct {
 	permit  *Permit
 	conn    *conn
-	client  bool // its descriptor is held
-	request bool // it may not be evicted
-	evicted bool // it has been told to close
+	client  bool // the descriptor of the client's connection is held
+	request bool // it holds a request and may not be evicted
+	evicted bool // it has been evicted and must close
 	server  bool // the descriptor of its connection to a server is held
 }
 
-// limiterModel is what a Limiter is meant to count.
+// limiterModel is the expected state of a Limiter.
 type limiterModel struct {
 	all      []*modelPermit
-	idle     []*modelPermit // the oldest first
-	held     int            // descriptors
-	requests int            // descriptors of requests
-	evicted  int            // connections that have been told to close
+	idle     []*modelPermit // oldest first
+	held     int            // descriptors held
+	requests int            // those of held that requests hold
+	evicted  int            // evicted connections that have not closed yet
 }
 
 const modelDescriptorLimit = 12
@@ -63,12 +63,13 @@
 
 func (m *limiterModel) acquireRequest(t *testing.T, v *modelPermit) {
 	t.Helper()
-	if v.request || v.server || !v.client { // a connection asks once, and before it is closed
+	if v.request || v.server || !v.client { // a connection makes one request, before it is closed
 		return
 	}
 	may := m.requests+2 <= modelDescriptorLimit-minIdleReserve
 	if got := v.permit.AcquireRequest(); got != may {
-		t.Fatalf("request admitted: %v with %d descriptors of requests, %+v", got, m.requests, v)
+		t.Fatalf("AcquireRequest returned %v with %d request descriptors held, want the opposite: %+v",
+			got, m.requests, v)
 	}
 	if !may {
 		return
@@ -115,22 +116,24 @@
 	}
 }
 
-// compare checks the limiter's counts, and each permit, against the model.
+// compare checks the limiter's counts and each permit against the model.
 func (m *limiterModel) compare(t *testing.T, limiter *Limiter) {
 	t.Helper()
 	got := [...]int{
 		limiter.descriptorsHeld, limiter.requestDescriptors, limiter.idlePermits.Len(), limiter.evicting,
 	}
 	if want := [...]int{m.held, m.requests, len(m.idle), m.evicted}; got != want {
-		t.Fatalf("held, of requests, idle, told to close: %d, want %d", got, want)
+		t.Fatalf("descriptors held, request descriptors, idle, evicting: %d, want %d", got, want)
 	}
 	if m.held-m.evicted > modelDescriptorLimit+1 {
-		t.Fatalf("%d held of %d, %d of them told to close", m.held, modelDescriptorLimit, m.evicted)
+		t.Fatalf("%d descriptors held with limit %d, %d of them evicted; want at most one over the limit",
+			m.held, modelDescriptorLimit, m.evicted)
 	}
 	for i, v := range m.all {
 		differs := v.client != v.permit.clientCounted || v.evicted != v.permit.evicted
 		if differs || v.evicted && !v.permit.Conn.ClosingNow() || v.conn.closed {
-			t.Fatalf("permit %d: %+v, closed %v", i, v, v.conn.closed)
+			t.Fatalf("permit %d differs from the model, or the limiter closed its connection: %+v, closed %v",
+				i, v, v.conn.closed)
 		}
 	}
 }
@@ -143,10 +146,10 @@
 func (c *conn) Close() error                { c.closed = true; return nil }
 func (c *conn) SetDeadline(time.Time) error { return nil }
 
-// FuzzLimiterAgainstModel plays random steps to the permits of a small limiter and checks its counts against
-// a model: what is held stays within the limit but for those that have been told to close, the oldest idle
-// connection is evicted, and a request's never is. The limiter itself closes none: only the goroutine that
-// reads a connection can tell whether its last line has come.
+// FuzzLimiterAgainstModel applies random operations to the permits of a small limiter and compares its counts
+// with a model: the descriptors held stay within the limit, evicted connections aside; the oldest idle
+// connection is evicted, and never one with a request. The limiter itself closes no connection, as only the
+// goroutine that reads a connection can tell whether its last line has been received.
 func FuzzLimiterAgainstModel(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 1, 0, 1, 1, 0, 0, 2, 0, 3, 0, 4, 0, 0, 0})
 	f.Add(append(make([]byte, 22), 1, 9, 1, 10, 4, 9, 0, 0, 0, 0))
@@ -165,7 +168,7 @@
 	})
 }
 
-// step does one thing to one permit.
+// step applies one operation to a permit and to its model.
 func (m *limiterModel) step(t *testing.T, kind byte, v *modelPermit) {
 	t.Helper()
 	switch kind {
--- a/internal/wire/connlimit/permit.go
+++ b/internal/wire/connlimit/permit.go
@@ -8,24 +8,25 @@
 	"capersail/internal/wire/splice"
 )
 
-// Permit is one client's connection, as its Limiter counts it. The goroutine that serves the connection calls
-// its methods.
+// Permit is a client's connection together with the descriptors that its Limiter counts for it. Only the
+// goroutine that serves the connection calls its methods.
 type Permit struct {
 	Conn *splice.Conn
-	// RequestDeadline is the instant of the limiter's clock by which the client must have brought its request.
+	// RequestDeadline is the instant of the limiter's clock by which the client must have sent its request.
 	RequestDeadline time.Duration
 
-	// The limiter's lock guards what follows.
+	// The fields below are guarded by the limiter's mu.
 	limiter        *Limiter
-	idleElement    *list.Element // among the limiter's idlePermits
+	idleElement    *list.Element // element of the limiter's idlePermits
 	clientCounted  bool          // the client's descriptor is counted
-	requestCounted bool          // and counts as a request's
-	evicted        bool          // the connection is to close
+	requestCounted bool          // the connection counts as part of a request
+	evicted        bool          // the connection must close
 	serverCounted  bool          // the descriptor of its connection to a server is counted
 }
 
-// AcquireRequest takes the second descriptor that a request needs; false if requests hold all they may. From
-// then on the connection is not evicted, even if it was to be.
+// AcquireRequest counts the second descriptor that a request needs, and reports whether the limit on the
+// descriptors of requests allows it. If it does, the connection cannot be evicted any more, and a pending
+// eviction is cancelled.
 func (p *Permit) AcquireRequest() bool {
 	l := p.limiter
 	l.mu.Lock()
@@ -45,21 +46,23 @@
 	return true
 }
 
-// ReleaseRequest says that the client has its answer, or its end: only the close is still to come.
+// ReleaseRequest marks the connection as idle, which means evictable: the request has been answered or has
+// ended, and the client's connection only needs to be closed.
 func (p *Permit) ReleaseRequest() {
 	p.limiter.mu.Lock()
 	defer p.limiter.mu.Unlock()
 	p.returnToIdle()
 }
 
-// ReleaseClient says that the client's connection is closed; that to its server may last a little longer.
+// ReleaseClient stops counting the descriptor of the client's connection, which has been closed. The
+// connection to the server may still be open.
 func (p *Permit) ReleaseClient() {
 	p.limiter.mu.Lock()
 	defer p.limiter.mu.Unlock()
 	p.releaseClient()
 }
 
-// release takes everything out of the count that is still in it.
+// release stops counting all descriptors of the permit that are still counted.
 func (p *Permit) release() {
 	p.limiter.mu.Lock()
 	defer p.limiter.mu.Unlock()
@@ -71,7 +74,8 @@
 	}
 }
 
-// releaseClient takes the client's own descriptor out of the count. The caller holds the lock.
+// releaseClient stops counting the descriptor of the client's connection. The caller must hold the limiter's
+// mu.
 func (p *Permit) releaseClient() {
 	p.returnToIdle()
 	if !p.clientCounted {
@@ -83,7 +87,7 @@
 	p.limiter.idlePermits.Remove(p.idleElement)
 }
 
-// cancelEviction takes the connection out of those that are evicted. The caller holds the lock.
+// cancelEviction stops counting the connection as evicted. The caller must hold the limiter's mu.
 func (p *Permit) cancelEviction() {
 	if !p.evicted {
 		return
@@ -93,7 +97,7 @@
 	p.limiter.evictionDone.Signal()
 }
 
-// returnToIdle puts a request's connection among the idle. The caller holds the lock.
+// returnToIdle makes the connection of a request idle again. The caller must hold the limiter's mu.
 func (p *Permit) returnToIdle() {
 	if !p.requestCounted {
 		return
@@ -103,8 +107,8 @@
 	p.idleElement = p.limiter.idlePermits.PushBack(p)
 }
 
-// CloseAndRelease closes the client's connection cleanly and gives its descriptors back. It waits until the
-// request's connection to a server is closed too; nil is for a client that brought no request.
+// CloseAndRelease closes the client's connection gracefully and releases its descriptor. It then waits until
+// the request's connection to a server is closed too. request is nil if the client sent none.
 func (p *Permit) CloseAndRelease(request *relay.Request) {
 	p.ReleaseRequest()
 	p.Conn.CloseAndDiscard()
--- a/internal/wire/discovery/call.go
+++ b/internal/wire/discovery/call.go
@@ -12,41 +12,42 @@
 	"capersail/decide"
 )
 
-// bodyBuffer is how much of a body is read at once, in bytes.
-const bodyBuffer = 64 << 10
+// bodyBufferBytes is the size of the read buffer of a response's body.
+const bodyBufferBytes = 64 << 10
 
-// response is what a call has brought: its first list, or an error.
+// response is the result of a call up to its first list, or up to an error.
 type response struct {
-	callID  uint64        // numbers the calls of the process
+	callID  uint64        // sequence number of the call in this process
 	attempt int           // 0, or 1 for the hedged call
-	latency time.Duration // until its first list or its error
-	err     error         // no first list came
+	latency time.Duration // time until the first list or the error
+	err     error         // set if the call failed before its first list
 
-	connected bool // the connection came up
-	conn      net.Conn
-	lists     objectReader
-	first     []byte // the first list's text
-	firstErr  error  // what came with it, as the end of a body does
-	close     func() // ends the call
+	connected    bool // the connection was established
+	conn         net.Conn
+	lists        objectReader
+	firstList    []byte // text of the first list
+	firstListErr error  // error read together with the first list, such as io.EOF
+	close        func() // cancels the call and closes its connection
 }
 
-// streamLists makes one call and takes in every list that it brings, until the call ends.
+// streamLists makes one call and applies every list that it delivers, until the call ends. It updates
+// version.
 func (c *Client) streamLists(ctx context.Context, address, path string, version *int64) error {
-	r := c.openHedged(ctx, address, path)
+	r := c.openHedgedCall(ctx, address, path)
 	defer r.close()
 	if r.err != nil {
 		return r.callError()
 	}
-	text, err := r.first, r.firstErr
+	text, err := r.firstList, r.firstListErr
 	for first := true; ; first = false {
 		ended := errors.Is(err, io.EOF)
 		if len(text) > 0 && (err == nil || ended) {
-			if err := c.takeList(r, text, first, address, version); err != nil {
+			if err := c.applyList(r, text, first, address, version); err != nil {
 				return err
 			}
 		}
 		if err == nil {
-			c.to.onContact()
+			c.consumer.onContact()
 		}
 		switch {
 		case ended:
@@ -61,8 +62,9 @@
 	}
 }
 
-// takeList takes in one list of a call, the first of it or a later one.
-func (c *Client) takeList(r *response, text []byte, first bool, address string, version *int64) error {
+// applyList parses a list of a call, passes it to the consumer and updates version. first says that it is the
+// first list of the call.
+func (c *Client) applyList(r *response, text []byte, first bool, address string, version *int64) error {
 	list, err := ParseList(string(text), c.log)
 	if err != nil {
 		return err
@@ -70,7 +72,7 @@
 	if first && !list.Complete && list.Version < *version {
 		return errOlderVersion
 	}
-	if !c.confirmation.accepts(list, *version, c.to.listedServers(), address) {
+	if !c.confirmation.accepts(list, *version, c.consumer.listedServers(), address) {
 		return errUnconfirmed
 	}
 	c.logList(r, list, *version)
@@ -80,15 +82,15 @@
 	if list.Complete {
 		kind = decide.Snapshot
 	}
-	c.to.deliver(kind, list.Endpoints)
+	c.consumer.deliver(kind, list.Endpoints)
 	return nil
 }
 
-// openHedged makes a call and waits for the first list of its response. A call that hangs says nothing of
-// discovery, and to give it up would throw away a response that is only slow: a hedged call is made beside
-// it, once, and the first response counts. A call that fails at once is not hedged, as discovery may have too
-// many callers.
-func (c *Client) openHedged(ctx context.Context, address, path string) *response {
+// openHedgedCall makes a call and waits for the first list of its response. If the call hangs, a second
+// (hedged) call is made in parallel, and the first response is used: a hanging call is no sign of a fault of
+// discovery, and cancelling it could discard a response that is only slow. A call that fails at once is not
+// hedged, as discovery may be overloaded by its callers.
+func (c *Client) openHedgedCall(ctx context.Context, address, path string) *response {
 	responses := make(chan *response, 2)
 	var cancels []func()
 	start := func() {
@@ -130,7 +132,8 @@
 	}
 }
 
-// openCall makes one call, up to the first list of its response. The connection is closed with the context.
+// openCall makes one call and reads the first list of its response. The connection is closed when the context
+// ends.
 func (c *Client) openCall(ctx context.Context, address, path string) *response {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -144,20 +147,20 @@
 		r.err = fmt.Errorf("send request: %w", err)
 		return r
 	}
-	body, err := readHead(bufio.NewReaderSize(conn, maxHeadLine))
+	body, err := readHeader(bufio.NewReaderSize(conn, maxHeaderLineBytes))
 	if err != nil {
 		r.err = err
 		return r
 	}
-	r.lists = objectReader{bufio.NewReaderSize(body, bodyBuffer)}
-	r.first, r.firstErr = r.lists.next()
-	if r.firstErr != nil && !errors.Is(r.firstErr, io.EOF) {
-		r.err = fmt.Errorf("read: %w", r.firstErr)
+	r.lists = objectReader{bufio.NewReaderSize(body, bodyBufferBytes)}
+	r.firstList, r.firstListErr = r.lists.next()
+	if r.firstListErr != nil && !errors.Is(r.firstListErr, io.EOF) {
+		r.err = fmt.Errorf("read: %w", r.firstListErr)
 	}
 	return r
 }
 
-// setDeadline bounds what is read from and written to a connection from now on.
+// setDeadline sets the deadline of all reads and writes of the connection, relative to now.
 func (c *Client) setDeadline(conn net.Conn, after time.Duration) {
 	conn.SetDeadline(c.clock.WallDeadline(c.clock.Now() + after))
 }
--- a/internal/wire/discovery/client.go
+++ b/internal/wire/discovery/client.go
@@ -14,119 +14,123 @@
 	"capersail/internal/relay"
 )
 
-// A watch event counts as notified 6 s after discovery could be reached, or after a watch fell silent,
-// whatever failed meanwhile. These timeouts, and the backoff of at most 3 s that the decision module draws
-// after a failed call, add up to less:
+// By the protocol a relay counts as notified of a watch event 6 s after discovery became reachable, or after
+// a watch fell silent, whatever else failed meanwhile. The timeouts below, and the backoff of at most 3 s
+// that the decision module draws after a failed call, add up to less:
 //
-//	a watch falls silent, and the call that replaces it hangs: silenceTimeout + hedgeDelay = 4.5 s
-//	reached just after a call began that hangs:                hedgeDelay                  = 1.5 s
-//	reached just after the last of two calls could not begin:  dialTimeout + 3 s           = 4.5 s
+//	a watch falls silent, and the call that replaces it hangs:  silenceTimeout + hedgeDelay = 4.5 s
+//	reachable just after a call began that hangs:               hedgeDelay                  = 1.5 s
+//	reachable just after the second of two failing dials began: dialTimeout + 3 s           = 4.5 s
 //
-// and to each the time of the response.
+// The duration of the response is added to each.
 //
-// A fleet whose calls discovery cannot work through in 3 s waits for longer: docs/operate/fleet.md has that
-// sum.
+// If discovery takes more than 3 s to answer the calls of a whole fleet, relays wait longer:
+// docs/operate/fleet.md has that calculation.
 const (
-	// dialTimeout is how long a connection may take to come up.
+	// dialTimeout bounds the dial of a connection.
 	dialTimeout = 1500 * time.Millisecond
-	// responseTimeout is how long a response may take to begin: discovery works through calls in turn.
+	// responseTimeout bounds the time until a response begins. It allows for a queue of calls, as discovery
+	// answers them one after the other.
 	responseTimeout = 4 * time.Second
-	// hedgeDelay is how long a call goes without a response before a second one is made beside it.
+	// hedgeDelay is how long a call may go without a response before a second one is made in parallel.
 	hedgeDelay = 1500 * time.Millisecond
-	// silenceTimeout is how long a watch may bring no line: a live one brings a line at least every 2 s.
+	// silenceTimeout is how long a watch may deliver no line. A working watch delivers one at least every 2
+	// s.
 	silenceTimeout = 3 * time.Second
-	// agentRetryDelay is how long after a failed call to the relay's own agent the next one is made. What the
-	// agent has counts as notified whether or not a watch is open, and nobody else calls it.
+	// agentRetryDelay is the pause before the next call to the relay's own agent after one has ended. It is
+	// short because the relay counts as notified of the agent's changes even while no watch is open, and
+	// because the agent has no other callers.
 	agentRetryDelay = 100 * time.Millisecond
 )
 
-// maxQueuedPolls bounds the polls that wait while a call is out.
+// maxQueuedPolls bounds the polls that are queued while a call is in progress.
 const maxQueuedPolls = 8
 
-// timeouts bound one call; tests have shorter ones.
+// timeouts are the time limits of a call. Tests set shorter ones.
 type timeouts struct {
 	response time.Duration // until a response begins
-	hedge    time.Duration // until a second call is made beside the first
+	hedge    time.Duration // until a second call is made in parallel to the first
 	silence  time.Duration // between two lines of a watch
 }
 
-// consumer is what a Client feeds: the relay's request table.
+// consumer receives the lists and the state of the watch. Outside of tests it is the relay's request table.
 type consumer struct {
-	// deliver hands over a list, or the failure of a poll.
+	// deliver passes a list, or with decide.WatchFailed the failure of a poll.
 	deliver func(decide.WatchKind, []relay.Endpoint)
-	// onContact says that discovery has sent something on a call that stands.
+	// onContact is called when data from discovery has arrived on an open call.
 	onContact func()
-	// onLoss says that a call has ended or brought nothing.
+	// onLoss is called when a call has ended or failed.
 	onLoss func(reason guard.DiscoveryLoss)
-	// listedServers is the number of servers in the list held.
+	// listedServers returns the number of servers in the current endpoint list.
 	listedServers func() int
 }
 
-// Client polls and watches discovery. The decision module says when; it also draws the backoff after a failed
-// call.
+// Client polls and watches discovery. The decision module decides when, and draws the backoff after a failed
+// call. All methods but Run may be called concurrently.
 type Client struct {
-	// LocalAgent says that lists come from an agent of this relay's own: the client watches from the start and
-	// for good, and the decision module neither asks for that nor is notified of failures. It is set before
-	// Run.
+	// LocalAgent says that discovery is an agent of this relay alone, which pushes lists to it. The client
+	// then watches from the start and reopens the watch whenever it ends; the decision module neither
+	// requests the watch nor is notified of failures. It must be set before Run.
 	LocalAgent bool
 
 	clock        *relay.Clock
 	log          zerolog.Logger
-	to           consumer
+	consumer     consumer
 	timeouts     timeouts
-	target       target
-	polls        chan bool        // true for a watch, false for one complete list
-	confirmation listConfirmation // only Run uses it
+	target       callTarget
+	polls        chan bool        // true: watch; false: fetch one complete list
+	confirmation listConfirmation // used only by Run
 
-	listVersion atomic.Int64  // of the newest list taken in
+	listVersion atomic.Int64  // version of the newest list applied
 	callCount   atomic.Uint64 // calls made since the process started
 }
 
-// NewClient returns a client of discovery at an address, which feeds a request table.
+// NewClient returns a client of discovery at address that passes lists to table.
 func NewClient(address string, table *relay.RequestTable, log zerolog.Logger) *Client {
 	return &Client{
 		clock: table.Clock,
 		log:   log,
-		to: consumer{
+		consumer: consumer{
 			deliver:       table.UpdateEndpoints,
 			onContact:     table.RenewEndpointLease,
 			onLoss:        table.RecordDiscoveryLoss,
 			listedServers: func() int { return table.EndpointCounts().Listed },
 		},
 		timeouts: timeouts{response: responseTimeout, hedge: hedgeDelay, silence: silenceTimeout},
-		target:   newTarget(address),
+		target:   newCallTarget(address),
 		polls:    make(chan bool, maxQueuedPolls),
 	}
 }
 
-// SetAddress follows discovery to another address at once. The call that is out is ended, and the decision
-// module is not notified: nothing has failed, and a backoff would delay watch events that count as
-// notified 4 s later.
-func (c *Client) SetAddress(address string) { c.target.set(address) }
+// SetAddress changes the address of discovery. The call in progress is cancelled and another is made at once.
+// The decision module is not notified: nothing has failed, and its backoff would delay watch events of which
+// the relay counts as notified 4 s after the change.
+func (c *Client) SetAddress(address string) { c.target.setAddress(address) }
 
-// RestartWatch ends the call that is out and watches anew at once: the watch that stands may have gone silent
-// unnoticed. The decision module is not notified, as nothing has failed.
+// RestartWatch cancels the call in progress and opens a new watch at once, for when the open watch may have
+// fallen silent unnoticed. The decision module is not notified, as nothing has failed.
 func (c *Client) RestartWatch() { c.target.restartCall() }
 
-// ListVersion is the version of the newest list taken in, 0 before the first.
+// ListVersion returns the version of the newest list applied, or 0 before the first.
 func (c *Client) ListVersion() int64 { return c.listVersion.Load() }
 
-// Watch asks for watch events from now on.
+// Watch requests a watch. It does not block.
 func (c *Client) Watch() { c.requestPoll(true) }
 
-// Fetch asks for one complete list.
+// Fetch requests one complete list. It does not block.
 func (c *Client) Fetch() { c.requestPoll(false) }
 
 func (c *Client) requestPoll(watch bool) {
 	select {
 	case c.polls <- watch:
-	default: // so many polls wait already that one more brings nothing new; each is answered once
-		go c.to.deliver(decide.WatchFailed, nil)
+	default: // the queue is full, and each poll must be answered once: report this one as failed
+		go c.consumer.deliver(decide.WatchFailed, nil)
 	}
 }
 
-// discardQueuedPolls drops what was asked for while a call was out. Its end answers that too: each answer
-// makes the decision module poll once more, so answering twice would have it poll twice as often for good.
+// discardQueuedPolls discards the polls that were requested while a call was in progress; the end of the call
+// answers them too. Each answer makes the decision module poll once more, so that a second answer would
+// double its rate of polls permanently.
 func (c *Client) discardQueuedPolls() {
 	for {
 		select {
@@ -137,7 +141,8 @@
 	}
 }
 
-// Run carries polls out, one after the other, until the context ends. version is that of the list held.
+// Run executes polls, one after the other, until the context ends. version is that of the current list, which
+// may be cached from before the start.
 func (c *Client) Run(ctx context.Context, version int64) {
 	watch, again := c.LocalAgent, c.LocalAgent
 	for restarting := false; ; restarting = c.target.restartPending() {
@@ -145,7 +150,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-c.target.restart:
+			case <-c.target.restartSignal:
 				restarting = true
 			case watch = <-c.polls:
 			}
@@ -157,23 +162,24 @@
 		if ctx.Err() != nil {
 			return
 		}
-		c.to.onLoss(c.target.lossReason(err))
-		if again = c.afterCall(ctx, watch, err); ctx.Err() != nil {
+		c.consumer.onLoss(c.target.lossReason(err))
+		if again = c.handleCallEnd(ctx, watch, err); ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// afterCall does what the end of a call asks for, and tells whether another is to be made at once.
-func (c *Client) afterCall(ctx context.Context, watch bool, err error) (again bool) {
+// handleCallEnd logs the end of a call and notifies the decision module if necessary. It reports whether Run
+// must make another call at once.
+func (c *Client) handleCallEnd(ctx context.Context, watch bool, err error) (retryNow bool) {
 	switch {
 	case c.target.restartPending():
 		return false
-	case retriedAtOnce(err):
-		c.log.Info().Err(err).Msg("retrying discovery at once")
+	case mayRetryImmediately(err):
+		c.log.Info().Err(err).Msg("discovery call failed, retrying at once")
 		return true
 	case c.LocalAgent:
-		c.log.Info().Err(err).Msg("agent's watch ended, opening another")
+		c.log.Info().Err(err).Msg("watch of the local agent ended, opening another")
 		select {
 		case <-ctx.Done():
 		case <-c.clock.After(agentRetryDelay):
@@ -182,22 +188,22 @@
 	case watch || err != nil:
 		c.log.Info().Err(err).Bool("watch", watch).Msg("discovery call ended")
 		c.discardQueuedPolls()
-		c.to.deliver(decide.WatchFailed, nil)
+		c.consumer.deliver(decide.WatchFailed, nil)
 	}
 	return false
 }
 
 const endpointsPath = "/v1/endpoints"
 
-// watchPath asks for the watch events after a version.
+// watchPath returns the path that requests the watch events after a version.
 func watchPath(version int64) string {
 	return fmt.Sprintf("%s?watch=1&after=%d", endpointsPath, version)
 }
 
-// poll makes the calls that one poll stands for. At another address too a watch is opened after the version
-// held, in one call: all relays' discovery is one service, and one that cannot tell what changed after that
-// version sends the complete list (protocol). A complete list and then a watch would be two calls, the first
-// a costly one for a service that all relays of a fleet begin to call.
+// poll makes the calls of one poll. A watch is opened after the current version, also at a new address, which
+// takes one call: discovery is one service for all relays, and by the protocol an instance that cannot tell
+// the changes since that version sends the complete list. Fetching the complete list first would take a
+// second call, and an expensive one for a service that all relays of a fleet start to call at the same time.
 func (c *Client) poll(ctx context.Context, address string, watch bool, version *int64) error {
 	if watch && *version != unknownVersion {
 		err := c.streamLists(ctx, address, watchPath(*version), version)
--- a/internal/wire/discovery/confirm.go
+++ b/internal/wire/discovery/confirm.go
@@ -1,16 +1,17 @@
 package discovery
 
-// listConfirmation holds back a complete list that takes back what is known: one without any server, or of an
-// older version than the one held from the same address. A service that has begun anew sends such a list
-// rightly; a replica that lags behind, or has not read its servers yet, does not. So another call is made at
-// once, and what two in a row say is taken in.
+// listConfirmation defers a complete list that would discard current information: one without any server, or
+// with an older version than the last one applied from the same address. Such a list is correct from a
+// service that has been restarted from scratch, but wrong from a replica that lags behind or has not loaded
+// its servers yet. Therefore another call is made at once, and the list is applied if the second call
+// delivers such a list too.
 type listConfirmation struct {
-	address string // that the list held came from
-	pending bool   // one was held back, and no list has been taken in since
+	address string // source of the last list applied
+	pending bool   // a list was deferred, and none has been applied since
 }
 
-// accepts tells whether a list from an address is to be taken in by one that holds so many servers of a
-// version.
+// accepts reports whether a list from address may be applied, where the current list has the given version
+// and number of servers. If not, the next list is accepted.
 func (c *listConfirmation) accepts(list *EndpointList, version int64, servers int, address string) bool {
 	older := version != unknownVersion && list.Version < version && c.address == address
 	empty := len(list.Endpoints) == 0 && servers > 0
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -16,7 +16,7 @@
 	"capersail/internal/relay"
 )
 
-const ready = `{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","lifecycle":"Ready"}`
+const readyEndpointJSON = `{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","lifecycle":"Ready"}`
 
 func TestParseListSkipsMalformedEndpoints(t *testing.T) {
 	cases := []struct {
@@ -24,34 +24,36 @@
 		endpoints int
 		fails     bool
 	}{
-		{"nothing has changed", `{"generation":3,"reset":false,"instances":[]}`, 0, false},
-		{"one", `{"generation":3,"reset":true,"instances":[` + ready + `]}`, 1, false},
-		{"gone without an address", `{"instances":[{"instanceId":"s-1","lifecycle":"Gone"}]}`, 1, false},
-		{"draining at no address",
+		{"no changes", `{"generation":3,"reset":false,"instances":[]}`, 0, false},
+		{"one", `{"generation":3,"reset":true,"instances":[` + readyEndpointJSON + `]}`, 1, false},
+		{"removed without an address", `{"instances":[{"instanceId":"s-1","lifecycle":"Gone"}]}`, 1, false},
+		{"draining with a malformed address",
 			`{"instances":[{"instanceId":"s-1","lifecycle":"Terminating","hostPort":"nowhere"}]}`, 1, false},
-		{"draining with no address",
+		{"draining without an address",
 			`{"instances":[{"instanceId":"s-1","lifecycle":"Terminating"}]}`, 1, false},
-		{"bad ones are skipped", `{"instances":[{"instanceId":7},{"lifecycle":"Ready"},3,` + ready + `,` +
+		{"malformed ones are skipped", `{"instances":[{"instanceId":7},{"lifecycle":"Ready"},3,` +
+			readyEndpointJSON + `,` +
 			`{"instanceId":"x","lifecycle":"Ready","hostPort":"nowhere"},` +
 			`{"instanceId":"x","lifecycle":"Odd"}]}`, 1, false},
 		{"not an array", `{"instances":7}`, 0, true},
 		{"not an object", `[]`, 0, true},
-		{"cut off", `{"instances":[`, 0, true},
+		{"truncated list", `{"instances":[`, 0, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			list, err := ParseList(c.in, zerolog.Nop())
 			if (err != nil) != c.fails || errors.Is(err, errMalformedList) != c.fails {
-				t.Errorf("%+v, %v", list, err)
+				t.Errorf("ParseList returned %+v and error %v, want errMalformedList as in the case", list, err)
 			}
 			if err == nil && len(list.Endpoints) != c.endpoints {
-				t.Errorf("%+v", list)
+				t.Errorf("ParseList returned %+v, want the number of endpoints of the case", list)
 			}
 		})
 	}
 }
 
-// A watch whose first line brings no change stays open; what comes later, however the chunks fall, counts.
+// A watch whose first line contains no change stays open, and later events are applied, also where an event
+// is split over several chunks.
 func TestWatchTakesInEventsAcrossChunks(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +74,7 @@
 		}
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		text := `{"generation":5,"reset":false,"instances":[]}` + "\n\n" +
-			`{"generation":6,"reset":false,"instances":[` + ready + "]}\n"
+			`{"generation":6,"reset":false,"instances":[` + readyEndpointJSON + "]}\n"
 		for i := 0; i < len(text); i += 7 {
 			part := text[i:min(i+7, len(text))]
 			fmt.Fprintf(conn, "%x;x=y\r\n%s\r\n", len(part), part)
@@ -87,17 +89,17 @@
 		t.Fatal(err)
 	}
 	if got := <-asked; !strings.HasPrefix(got, "GET "+path+" HTTP/1.1") {
-		t.Errorf("asked %q", got)
+		t.Errorf("request line %q, want a GET of the watch path", got)
 	}
 	if s, ok := x.Server("s-1"); !ok || s.Number != 0 || version != 6 {
-		t.Errorf("the change was not taken in: %+v, %v, version %d", s, ok, version)
+		t.Errorf("server s-1: %+v, listed %v, version %d; want number 0, listed, version 6", s, ok, version)
 	}
 }
 
-// At another address discovery is polled at once, in one call: for what changed after the version held, to
-// which a service that does not know that version answers with the complete list. One that answers with
-// changes of an older version counts its own, and is asked for all of it. The end of the old watch is no
-// failure.
+// After a change of the address discovery is watched there at once, with one call, after the current version.
+// A service that does not know that version answers with the complete list. One that answers with changes of
+// an older version counts its versions independently, and its complete list is fetched. The end of the old
+// watch is not reported as a failure.
 func TestNewAddressIsWatchedFromTheVersionHeld(t *testing.T) {
 	asked := make(chan string, 8)
 	service := func(generation int, knows bool) string {
@@ -107,7 +109,7 @@
 		}
 		t.Cleanup(func() { l.Close() })
 		go func() {
-			var open []net.Conn // or the collector closes them, and watches end
+			var open []net.Conn // keeps the connections from being garbage-collected, which would close them
 			for {
 				conn, err := l.Accept()
 				if err != nil {
@@ -139,51 +141,51 @@
 	var said strings.Builder
 	c := NewClient(service(70, false), x, zerolog.New(&said))
 	var failures atomic.Int32
-	c.to.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
+	c.consumer.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
 		if kind == decide.WatchFailed {
 			failures.Add(1)
 		}
 	}
 	go c.Run(t.Context(), 41)
 	c.Watch()
-	c.Watch() // a poll that waits while a watch is out is answered with it
-	// want waits for a call, and until what it brings has been taken in: a move in between would ask after
-	// the version before.
+	c.Watch() // a poll queued during a watch is answered with the end of that watch
+	// want waits for a call and until its list has been applied. If the address changed before that, the next
+	// call would ask for changes after the previous version.
 	want := func(path string, version int64) {
 		t.Helper()
 		if got := <-asked; got != path {
-			t.Errorf("asked for %q, want %q", got, path)
+			t.Errorf("path requested is %q, want %q", got, path)
 		}
 		deadline := time.Now().Add(10 * time.Second)
 		for ; version > 0 && c.ListVersion() != version; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("generation %d, want %d", c.ListVersion(), version)
+				t.Fatalf("list version %d after 10 s, want %d", c.ListVersion(), version)
 			}
 		}
 	}
 	want("/v1/endpoints?watch=1&after=41", 70)
-	c.SetAddress(service(71, true)) // the same service's
+	c.SetAddress(service(71, true)) // another instance of the same service
 	want("/v1/endpoints?watch=1&after=70", 71)
-	c.SetAddress(service(7, true)) // another one, which takes our version for its own
+	c.SetAddress(service(7, true)) // another service, which takes the version in the request for its own
 	want("/v1/endpoints?watch=1&after=71", 0)
 	want("/v1/endpoints", 7)
 	want("/v1/endpoints?watch=1&after=7", 7)
-	c.RestartWatch() // out of turn: the watch may have gone silent
+	c.RestartWatch() // as when the watch may have fallen silent
 	want("/v1/endpoints?watch=1&after=7", 7)
-	c.SetAddress("127.0.0.1:1") // nobody is there: that is a failure, told once
+	c.SetAddress("127.0.0.1:1") // nothing listens there: a failure, notified once
 	for failures.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c.SetAddress(service(8, false)) // and the list there is still unknown
+	c.SetAddress(service(8, false)) // does not know the version in the request
 	want("/v1/endpoints?watch=1&after=7", 8)
 	if n := failures.Load(); n != 1 {
-		t.Errorf("the module was told of %d failures: %s", n, said.String())
+		t.Errorf("the decision module was notified of %d failures, want 1; log: %s", n, said.String())
 	}
 }
 
-// A watch that has begun and falls silent is opened anew at once, after the version that came last, and the
-// module's backoff of up to 7.5 s is not waited for: what was missed counts as notified 6 s later. One that
-// is silent from its begin is a failure, once a second call beside it has been silent too.
+// A watch that falls silent after its first list is reopened at once, after the version received last,
+// without the decision module's backoff of up to 7.5 s, as the relay counts as notified of the missed events
+// after 6 s. A watch without a first list is a failure, once a hedged call has been silent too.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -192,7 +194,7 @@
 	defer l.Close()
 	asked := make(chan string, 8)
 	go func() {
-		var open []net.Conn // or the collector closes them, and they are not silent
+		var open []net.Conn // keeps the connections from being garbage-collected, which would close them
 		for n := 0; ; n++ {
 			conn, err := l.Accept()
 			if err != nil {
@@ -219,7 +221,7 @@
 		silence:  700 * time.Millisecond,
 	}
 	failed := make(chan int, 8)
-	c.to.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
+	c.consumer.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
 		if kind == decide.WatchFailed {
 			failed <- len(asked)
 		}
@@ -227,22 +229,22 @@
 	go c.Run(t.Context(), 41)
 	c.Watch()
 	if n := <-failed; n != 4 {
-		t.Errorf("the module was told of a failure after %d calls", n)
+		t.Errorf("the decision module was notified of a failure after %d calls, want 4", n)
 	}
 	for _, want := range []string{"after=41", "after=50", "after=51", "after=51"} {
 		select {
 		case got := <-asked:
 			if !strings.HasSuffix(got, want) {
-				t.Errorf("asked for %q, want %q", got, want)
+				t.Errorf("path requested is %q, want the suffix %q", got, want)
 			}
 		default:
-			t.Errorf("not asked for %q", want)
+			t.Errorf("no call for %q, want one", want)
 		}
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(`{"generation":3,"reset":true,"instances":[` + ready + `]}`)
+	f.Add(`{"generation":3,"reset":true,"instances":[` + readyEndpointJSON + `]}`)
 	f.Add(`{"instances":[{}]}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		list, err := ParseList(text, zerolog.Nop())
@@ -251,7 +253,7 @@
 		}
 		for _, endpoint := range list.Endpoints {
 			if endpoint.ID == "" || endpoint.State != decide.Removed && endpoint.Address == "" {
-				t.Errorf("an endpoint without a name or an address came through: %+v", endpoint)
+				t.Errorf("ParseList returned an endpoint without an ID or an address: %+v", endpoint)
 			}
 		}
 	})
--- a/internal/wire/discovery/doc.go
+++ b/internal/wire/discovery/doc.go
@@ -1,12 +1,13 @@
-// Package discovery polls and watches the platform's endpoint list: HTTP/1.1 over net and bufio, JSON objects
-// in a chunked body.
+// Package discovery is the client of the platform's discovery service. It polls and watches the endpoint
+// list: HTTP/1.1 over net and bufio, with JSON objects in a chunked body.
 //
-// It owns the connection to discovery, the version of the newest list taken in, and the address that
-// discovery has now. The lifecycle package makes its [Client], starts [Client.Run] and moves it to another
-// address on a reload; the relay's event loop asks it for a watch or a fetch. Lists and the state of the
-// watch go to the relay's request table.
+// The package owns the connection to discovery, the version of the newest list applied, and the current
+// address of discovery. Package lifecycle creates its [Client], starts [Client.Run] and changes the address
+// on a reload; the relay's event loop requests a watch or a fetch. Lists and the state of the watch are
+// passed to the relay's request table.
 //
-// It never decides when to poll after a failure, and never places a request: the decision module does both.
-// The one exception is a call that says nothing of discovery's load (a silent watch, a connection that did
-// not come up), which is made again at once.
+// It does not decide when to poll after a failure, and does not place requests: the decision module does
+// both. The exceptions are a call whose failure is no sign that discovery is overloaded (a silent watch, a
+// connection that was not established in time) and a list that a second call has to confirm: after those the
+// next call is made at once.
 package discovery
--- a/internal/wire/discovery/errors.go
+++ b/internal/wire/discovery/errors.go
@@ -9,45 +9,45 @@
 )
 
 var (
-	// errOlderVersion ends a watch whose first watch event is of a version before the one held: this service
-	// counts its own.
-	errOlderVersion = errors.New("watch event of an older version than the list held")
+	// errOlderVersion ends a watch whose first watch event has an older version than the current list: the
+	// service at this address counts its versions independently.
+	errOlderVersion = errors.New("watch event has an older version than the current list")
 
-	// errWatchSilent ends a watch that had begun and brings no line any more. What it misses counts as
-	// notified 6 s after it fell silent, so another is opened at once, and the decision module is
-	// notified only if that one fails: its backoff, up to 7.5 s for 300 relays, is for a service that answers
-	// too many.
-	errWatchSilent = errors.New("watch fell silent")
+	// errWatchSilent ends a watch that has delivered lists and then no line for silenceTimeout. The relay
+	// counts as notified of the events missed 6 s after the silence began, so another watch is opened at
+	// once, and the decision module is notified only if that one fails: its backoff, up to 7.5 s for 300
+	// relays, is for a service that is overloaded.
+	errWatchSilent = errors.New("watch fell silent: no line within the silence time-out")
 
-	// errUnreachable ends calls whose connections did not come up in time. Discovery has had no work with
-	// them, and the time that they took paces them: another is made at once, so that the first to get through
-	// is no backoff late.
-	errUnreachable = errors.New("discovery unreachable")
+	// errUnreachable ends a poll whose dials timed out. The dials put no load on discovery and their
+	// time-outs limit the rate of calls, so another call is made at once. With a backoff the first successful
+	// call would come later than necessary.
+	errUnreachable = errors.New("discovery unreachable: dial timed out")
 
-	// errConnectionRefused ends a call whose connection was refused: discovery does not serve.
+	// errConnectionRefused ends a call whose connection was refused: discovery is down.
 	errConnectionRefused = errors.New("discovery refused the connection")
 
-	// errUnconfirmed ends a call that brought a list which a second call has to confirm.
-	errUnconfirmed = errors.New("list takes back what is known, to be confirmed by a second call")
+	// errUnconfirmed ends a call that delivered a list which a second call has to confirm.
+	errUnconfirmed = errors.New("empty or older list than the current one: a second call must confirm it")
 
-	// errMalformedList is a list that is no JSON of the protocol.
-	errMalformedList = errors.New("malformed list")
+	// errMalformedList is the error of a list that is not valid JSON of the protocol.
+	errMalformedList = errors.New("malformed endpoint list")
 )
 
-// statusError is a response with another status than 200.
+// statusError is the error of a response with a status other than 200.
 type statusError struct{ code string }
 
-func (e statusError) Error() string { return "discovery answered " + e.code }
+func (e statusError) Error() string { return "discovery answered with HTTP status " + e.code }
 
-// retriedAtOnce tells whether another call is made at once after an error: it says nothing of discovery's
-// load.
-func retriedAtOnce(err error) bool {
+// mayRetryImmediately reports whether another call is made at once after err, because err is no sign that
+// discovery is overloaded.
+func mayRetryImmediately(err error) bool {
 	return errors.Is(err, errWatchSilent) || errors.Is(err, errUnconfirmed) || errors.Is(err, errUnreachable)
 }
 
-// callError is what a call without a response ends with. Only a refused connection shows that discovery is
-// down: a response of 503 and a reset may as well be those of one that serves others and has too many callers
-// (protocol, Discovery).
+// callError classifies the error of a call that delivered no list. Only a refused connection shows that
+// discovery is down: a reset, or a response with status 503, may also come from a service that is overloaded
+// and still answers other relays (protocol, Discovery).
 func (r *response) callError() error {
 	switch {
 	case timedOut(r.err) && !r.connected:
@@ -58,11 +58,11 @@
 	return r.err
 }
 
-// deadlineExceeded tells whether this side's deadline ended a read. ETIMEDOUT is the kernel's: the connection
-// is broken.
+// deadlineExceeded reports whether a read ended by the deadline that this client has set. It is false for
+// ETIMEDOUT, by which the kernel reports a broken connection.
 func deadlineExceeded(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// timedOut tells whether time ran out, on this side or in the kernel.
+// timedOut reports whether err is a time-out, of this client or of the kernel.
 func timedOut(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
--- a/internal/wire/discovery/moments_test.go
+++ b/internal/wire/discovery/faulty_calls_test.go
@@ -18,10 +18,11 @@
 	"capersail/internal/relay"
 )
 
-// script plays discovery: each call is answered by the next of its answers, the last one for good. An answer
-// is the body of a watch; "HANG" says nothing at all, "RESET" ends the connection, and a body that ends in
-// "HANG" or "RESET" does so after it. It returns the address, and what was asked for.
-func script(t *testing.T, answers ...string) (string, <-chan string) {
+// startScriptedDiscovery starts a fake discovery that gives each call the next of the answers, and the last
+// one to all calls after it. An answer is the body of a watch. "HANG" sends nothing, "RESET" closes the
+// connection, and a body with one of them as its suffix is sent before that. It returns the address, and a
+// channel with the paths requested.
+func startScriptedDiscovery(t *testing.T, answers ...string) (string, <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +53,7 @@
 			body, resets := strings.CutSuffix(body, "RESET")
 			if body != "" {
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-				for i := 0; i < len(body); i += 11 { // boundaries of chunks fall anywhere
+				for i := 0; i < len(body); i += 11 { // chunk boundaries do not match the lines
 					part := body[i:min(i+11, len(body))]
 					fmt.Fprintf(conn, "%x\r\n%s\r\n", len(part), part)
 				}
@@ -61,7 +62,7 @@
 			switch {
 			case resets:
 				conn.Close()
-			case !hangs: // it stands, and brings its empty lines
+			case !hangs: // the watch stays open and delivers empty lines
 				go func() {
 					for {
 						time.Sleep(50 * time.Millisecond)
@@ -76,8 +77,8 @@
 	return l.Addr().String(), asked
 }
 
-// whole is a whole list of a version with these servers, all ready.
-func whole(version int, ids ...string) string {
+// snapshotJSON returns a complete list of a version with these servers, all ready.
+func snapshotJSON(version int, ids ...string) string {
 	var list []string
 	for _, id := range ids {
 		const endpoint = `{"instanceId":%q,"hostPort":"127.0.0.1:1","zone":"{a\"}","lifecycle":"Ready"}`
@@ -87,48 +88,50 @@
 	return fmt.Sprintf("{\"generation\":%d,\"reset\":true,\"instances\":[%s]}\n", version, all)
 }
 
-// indented spreads a list over lines, an empty one among them.
-func indented(list string) string {
+// indentJSON spreads a list over several lines, one of them empty.
+func indentJSON(list string) string {
 	return strings.NewReplacer("{\"", "{\n\n  \"", ",", ",\n\t", "]", "\n]", "}\n", "\n}\n").Replace(list)
 }
 
-// What comes of calls at their rarest moments. The list held is s-1 of version 41, and each case says what is
-// held in the end, how many calls that took, and whether the module heard of a failure before it.
-func TestListIsTakenInWhateverACallBrings(t *testing.T) {
+// The new list is applied although calls before it hang, are reset, or deliver truncated, empty, old or
+// malformed lists. The client starts with server s-1 of version 41, and ends with s-9 of version 50. Each
+// case says how many calls that takes at least, and whether the decision module is notified of a failure
+// before it.
+func TestListIsAppliedDespiteFaultyCalls(t *testing.T) {
 	change := `{"generation":50,"reset":false,"instances":[` +
 		`{"instanceId":"s-9","hostPort":"127.0.0.1:9","lifecycle":"Ready"}]}` + "\n"
-	good := whole(50, "s-9")
+	good := snapshotJSON(50, "s-9")
 	for name, c := range map[string]struct {
 		answers []string
 		calls   int
 		failed  bool
 	}{
-		"as it should be":                      {[]string{good}, 1, false},
-		"indented":                             {[]string{indented(good)}, 1, false},
-		"indented changes":                     {[]string{indented(change)}, 1, false},
+		"no fault":                             {[]string{good}, 1, false},
+		"indented":                             {[]string{indentJSON(good)}, 1, false},
+		"an indented delta":                    {[]string{indentJSON(change)}, 1, false},
 		"the first call hangs":                 {[]string{"HANG", good}, 2, false},
 		"the first call hangs in the middle":   {[]string{good[:30] + "HANG", good}, 2, false},
-		"an indented list hangs in the middle": {[]string{indented(good)[:40] + "HANG", good}, 2, false},
+		"an indented list hangs in the middle": {[]string{indentJSON(good)[:40] + "HANG", good}, 2, false},
 		"the first call is reset":              {[]string{"RESET", good}, 2, true},
-		"a list cut short":                     {[]string{good[:len(good)-9] + "RESET", good}, 2, true},
+		"a truncated list":                     {[]string{good[:len(good)-9] + "RESET", good}, 2, true},
 		"silent, and the next call hangs": {
-			[]string{whole(45, "s-1") + "HANG", "HANG", good}, 3, false,
+			[]string{snapshotJSON(45, "s-1") + "HANG", "HANG", good}, 3, false,
 		},
 		"silent in the middle of a line": {
-			[]string{whole(45, "s-1") + change[:20] + "HANG", good}, 2, false,
+			[]string{snapshotJSON(45, "s-1") + change[:20] + "HANG", good}, 2, false,
 		},
-		"empty, and the next is not": {[]string{whole(42), good}, 2, false},
+		"empty, and the next is not": {[]string{snapshotJSON(42), good}, 2, false},
 		"of an old version, and the next is not": {
-			[]string{whole(45, "s-2"), whole(7, "s-3"), good}, 1, false,
+			[]string{snapshotJSON(45, "s-2"), snapshotJSON(7, "s-3"), good}, 1, false,
 		},
-		"no list at all: garbage": {[]string{"}{\n", good}, 2, true},
-		"a list that does not end, in lines or so": {
+		"a malformed list": {[]string{"}{\n", good}, 2, true},
+		"a list without an end": {
 			[]string{"{" + strings.Repeat("\n", 5000) + "HANG", good}, 2, false,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, asked := script(t, c.answers...)
+			address, asked := startScriptedDiscovery(t, c.answers...)
 			x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 			held := relay.Endpoint{ID: "s-1", Address: "127.0.0.1:1", State: decide.Ready}
 			x.UpdateEndpoints(decide.CachedSnapshot, []relay.Endpoint{held})
@@ -140,19 +143,19 @@
 			}
 			failures, empty := 0, false
 			var mu sync.Mutex
-			client.to.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
+			client.consumer.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
 				mu.Lock()
 				defer mu.Unlock()
 				if x.UpdateEndpoints(kind, list); kind == decide.WatchFailed {
 					failures++
-					client.Watch() // as the module would, after its backoff
+					client.Watch() // as the decision module would do, after its backoff
 				}
 				empty = empty || x.EndpointCounts().Listed == 0
 			}
 			go client.Run(t.Context(), 41)
 			client.Watch()
 			if strings.HasPrefix(name, "of an old version") {
-				// From the address that gave a newer one: in its own call.
+				// An older list is deferred only after a newer one from the same address, in another call.
 				for client.ListVersion() != 45 {
 					time.Sleep(time.Millisecond)
 				}
@@ -161,27 +164,27 @@
 			until := time.Now().Add(20 * time.Second)
 			for ; client.ListVersion() != 50; time.Sleep(time.Millisecond) {
 				if g := client.ListVersion(); g == 7 {
-					t.Fatal("an old list was taken at its word")
+					t.Fatal("list of old version 7 was applied without confirmation")
 				}
 				if time.Now().After(until) {
-					t.Fatalf("generation %d after 20 s, %d calls", client.ListVersion(), len(asked))
+					t.Fatalf("version %d after 20 s and %d calls, want 50", client.ListVersion(), len(asked))
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			if s, ok := x.Server("s-9"); !ok || s.ID != "s-9" || empty {
-				t.Errorf("the list in the end: %v, empty once: %v", ok, empty)
+				t.Errorf("s-9 is listed at the end: %v, the list was empty: %v; want true, false", ok, empty)
 			}
 			if (failures > 0) != c.failed || len(asked) < c.calls {
-				t.Errorf("%d failures told, %d calls", failures, len(asked))
+				t.Errorf("notified of %d failures after %d calls, want as in the case", failures, len(asked))
 			}
 		})
 	}
 }
 
-// What takes back what is known is taken in once a second call says the same.
+// An empty list is applied once a second call has delivered an empty list too.
 func TestListIsTakenInOnceConfirmed(t *testing.T) {
-	address, asked := script(t, whole(42, "s-1"), whole(43), whole(43))
+	address, asked := startScriptedDiscovery(t, snapshotJSON(42, "s-1"), snapshotJSON(43), snapshotJSON(43))
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
 	go client.Run(t.Context(), 41)
@@ -194,22 +197,23 @@
 		time.Sleep(time.Millisecond)
 	}
 	if n := len(asked); n != 3 || x.EndpointCounts().Listed != 0 {
-		t.Errorf("%d calls, %d servers listed", n, x.EndpointCounts().Listed)
+		t.Errorf("%d calls and %d servers listed, want 3 and 0", n, x.EndpointCounts().Listed)
 	}
 }
 
-// A relay with an agent of its own, which pushes lists, watches without being asked to and opens each watch
-// that ends anew: what the agent has counts as notified whether or not a watch is open. The module hears of
-// no failure; its backoff is for a service that others call too. Without LocalAgent nothing was ever asked for,
-// and the list of the start stood for the day.
-func TestPushedListsAreWatchedForGood(t *testing.T) {
-	address, asked := script(t, "RESET", whole(42, "s-1")+"RESET", "RESET", "RESET", whole(43, "s-9"))
+// A relay with a local agent, which pushes lists, opens the watch without a request of the decision module
+// and reopens it whenever it ends, as the relay counts as notified of the agent's changes even while no watch
+// is open. The decision module is notified of no failure, as its backoff is for a service with several
+// callers. Guards against a relay that never calls its agent and keeps the list of its start all day.
+func TestLocalAgentIsWatchedPermanently(t *testing.T) {
+	address, asked := startScriptedDiscovery(t, "RESET", snapshotJSON(42, "s-1")+"RESET",
+		"RESET", "RESET", snapshotJSON(43, "s-9"))
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
 	client.LocalAgent = true
-	client.to.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
+	client.consumer.deliver = func(kind decide.WatchKind, list []relay.Endpoint) {
 		if x.UpdateEndpoints(kind, list); kind == decide.WatchFailed {
-			t.Error("the module was told of a failure")
+			t.Error("the decision module was notified of a failure, want none for a local agent")
 		}
 	}
 	go client.Run(t.Context(), 41)
@@ -217,7 +221,7 @@
 		select {
 		case <-asked:
 		case <-time.After(10 * time.Second):
-			t.Fatal("not asked in 10 s")
+			t.Fatal("no call to discovery within 10 s")
 		}
 	}
 	for client.ListVersion() != 43 {
@@ -225,8 +229,9 @@
 	}
 }
 
-// Only this side's deadline says that a watch is silent. A connection that the kernel gives up is broken, as
-// one that is reset is: what a relay's own agent has then counts as notified at once.
+// Only the deadline that the client has set means that a watch is silent. A connection that the kernel has
+// given up with ETIMEDOUT is broken, like one that was reset, and a relay counts as notified at once of the
+// changes at its local agent.
 func TestBrokenConnectionIsNoSilentWatch(t *testing.T) {
 	for err, want := range map[error]bool{
 		os.ErrDeadlineExceeded: true,
@@ -237,7 +242,7 @@
 	} {
 		read := &net.OpError{Op: "read", Net: "tcp", Err: err}
 		if got := deadlineExceeded(read); got != want {
-			t.Errorf("%v: %v", err, got)
+			t.Errorf("deadlineExceeded for %v is %v, want the opposite", err, got)
 		}
 	}
 }
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -12,43 +12,43 @@
 	"capersail/internal/relay"
 )
 
-// unknownVersion is the version of a list that cannot be compared with others.
+// unknownVersion says that the version of the current list cannot be compared with those of the service.
 const unknownVersion = -1
 
-// EndpointList is one list of discovery's: what it knew at some time, or what changed.
+// EndpointList is a list received from discovery: a snapshot or a delta.
 type EndpointList struct {
 	Version   int64
-	Complete  bool // it replaces the list held; else it changes it
+	Complete  bool // the list is a snapshot, which replaces the current list; else a delta
 	Endpoints []relay.Endpoint
 }
 
-// The protocol's names of an endpoint's lifecycle.
+// lifecycles maps the protocol's names of an endpoint's lifecycle to its state.
 var lifecycles = map[string]decide.EndpointState{
 	"Ready":       decide.Ready,
 	"Terminating": decide.Draining,
 	"Gone":        decide.Removed,
 }
 
-// ParseList reads one list, as discovery sends it or as a relay's configuration holds it. An endpoint that
-// makes no sense is logged and skipped: one bad line must not hide what is said of all other servers. An
-// error is errMalformedList.
+// ParseList parses a list as discovery sends it or as a relay's configuration contains it. Malformed
+// endpoints are logged and skipped, so that one of them does not hide the others. Errors wrap
+// errMalformedList.
 func ParseList(text string, log zerolog.Logger) (*EndpointList, error) {
 	object, err := fastjson.Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformedList, err)
 	}
-	// An empty array is a list too: a watch that has missed nothing begins with one. fastjson gives nil for
-	// it, as for no array at all, so the type is what counts.
+	// An empty array is valid: a watch without missed events begins with one. GetArray returns nil both for
+	// it and for a value of another type, so the type is checked here.
 	instances := object.Get("instances")
 	if object.Type() != fastjson.TypeObject || instances != nil && instances.Type() != fastjson.TypeArray {
-		return nil, fmt.Errorf("%w: not an object with an array of instances", errMalformedList)
+		return nil, fmt.Errorf("%w: want an object with an array \"instances\"", errMalformedList)
 	}
 	list := &EndpointList{Version: object.GetInt64("generation"), Complete: object.GetBool("reset")}
-	for _, one := range object.GetArray("instances") {
-		endpoint, err := parseEndpoint(one)
+	for _, instance := range object.GetArray("instances") {
+		endpoint, err := parseEndpoint(instance)
 		if err != nil {
-			log.Warn().Err(err).Str("entry", one.String()).
-				Msg("malformed endpoint in the list skipped, its server stays as it was: check discovery")
+			log.Warn().Err(err).Str("entry", instance.String()).
+				Msg("malformed endpoint in the list skipped, its server keeps its state: check discovery")
 			continue
 		}
 		list.Endpoints = append(list.Endpoints, endpoint)
@@ -56,7 +56,7 @@
 	return list, nil
 }
 
-// parseEndpoint reads one endpoint of a list.
+// parseEndpoint parses an endpoint of a list.
 func parseEndpoint(object *fastjson.Value) (relay.Endpoint, error) {
 	endpoint := relay.Endpoint{
 		ID:             string(object.GetStringBytes("instanceId")),
@@ -72,14 +72,15 @@
 	lifecycle := string(object.GetStringBytes("lifecycle"))
 	state, known := lifecycles[lifecycle]
 	if !known {
-		return endpoint, fmt.Errorf("lifecycle %q", lifecycle)
+		return endpoint, fmt.Errorf("unknown lifecycle %q", lifecycle)
 	}
 	endpoint.State = state
 	if _, _, err := net.SplitHostPort(endpoint.Address); err != nil {
 		if state == decide.Ready {
 			return endpoint, fmt.Errorf("hostPort: %w", err)
 		}
-		// That it takes nothing new counts all the same; what is known of its address stays.
+		// The state is applied all the same, as the server takes no new requests. The table keeps the address
+		// that it has.
 		endpoint.Address = ""
 	}
 	return endpoint, nil
--- a/internal/wire/discovery/log.go
+++ b/internal/wire/discovery/log.go
@@ -7,11 +7,11 @@
 	"capersail/internal/relay"
 )
 
-// maxLoggedServers bounds the servers that the log line of a list names.
+// maxLoggedServers bounds the servers named in the log message of a list.
 const maxLoggedServers = 16
 
-// logCall logs how one call began to be answered, or why it was not. A call that was given up, as another one
-// has been answered or the client follows discovery elsewhere, is not logged.
+// logCall logs the result of a call up to its first list. A cancelled call is not logged: another one was
+// answered first, or the client was moved to another address or restarted.
 func (c *Client) logCall(ctx context.Context, r *response, path string) {
 	if ctx.Err() != nil {
 		return
@@ -25,10 +25,11 @@
 		Str("path", path).
 		Bool("second", r.attempt > 0).
 		Float64("took_ms", relay.Millis(r.latency)).
-		Msg("discovery call")
+		Msg("discovery call answered or failed")
 }
 
-// logList logs that a list is taken in, with the servers that it drains or removes.
+// logList logs a list that is applied, with the servers that it drains or removes. held is the version of the
+// list before it.
 func (c *Client) logList(r *response, list *EndpointList, held int64) {
 	var draining, gone []string
 	for _, endpoint := range list.Endpoints {
@@ -51,10 +52,10 @@
 		Msg(listMessage(list))
 }
 
-// listMessage tells a complete list from a watch event.
+// listMessage returns the log message for a list: a complete list or a watch event.
 func listMessage(list *EndpointList) string {
 	if list.Complete {
-		return "endpoint list taken in"
+		return "complete endpoint list applied"
 	}
-	return "watch event taken in"
+	return "watch event applied"
 }
--- a/internal/wire/discovery/objects.go
+++ b/internal/wire/discovery/objects.go
@@ -6,17 +6,17 @@
 	"errors"
 )
 
-// maxListBytes bounds one list.
+// maxListBytes is the maximum size of a list.
 const maxListBytes = 8 << 20
 
-// errListTooLarge ends a call whose list is over maxListBytes.
-var errListTooLarge = errors.New("list over 8 MB")
+// errListTooLarge ends a call whose list is longer than maxListBytes.
+var errListTooLarge = errors.New("endpoint list is longer than the maximum of 8 MiB")
 
-// objectReader reads JSON objects that each end with their line, be it on one line or indented over several.
+// objectReader splits a stream into JSON objects. Each begins on a new line and may span several lines.
 type objectReader struct{ r *bufio.Reader }
 
-// next returns the next object, or nothing for an empty line. With an error it returns what has come of one
-// so far.
+// next returns the text of the next object, or nothing for an empty line. With an error it returns the part
+// of the object that was read before it.
 func (o *objectReader) next() (text []byte, err error) {
 	var nesting jsonNesting
 	for {
@@ -25,7 +25,7 @@
 		if len(text) > maxListBytes {
 			return nil, errListTooLarge
 		}
-		nesting.read(part)
+		nesting.update(part)
 		if errors.Is(err, bufio.ErrBufferFull) || err == nil && nesting.depth > 0 {
 			continue
 		}
@@ -33,22 +33,23 @@
 	}
 }
 
-// jsonNesting follows how deep in objects and arrays a text is.
+// jsonNesting tracks how deep a position in a JSON text is nested in objects and arrays.
 type jsonNesting struct {
-	depth   int
-	quoted  bool // within a string
-	escaped bool // after a backslash in it
+	depth    int
+	inString bool // inside a string
+	escaped  bool // after a backslash in a string
 }
 
-func (n *jsonNesting) read(text []byte) {
+// update advances the position by text.
+func (n *jsonNesting) update(text []byte) {
 	for _, b := range text {
 		switch {
 		case n.escaped:
 			n.escaped = false
-		case n.quoted:
-			n.escaped, n.quoted = b == '\\', b != '"'
+		case n.inString:
+			n.escaped, n.inString = b == '\\', b != '"'
 		case b == '"':
-			n.quoted = true
+			n.inString = true
 		case b == '{', b == '[':
 			n.depth++
 		case b == '}', b == ']':
--- a/internal/wire/discovery/target.go
+++ b/internal/wire/discovery/target.go
@@ -8,23 +8,23 @@
 	"capersail/internal/guard"
 )
 
-// target is the address that calls go to, and the call that is out. Any goroutine may change it; only Run
-// begins calls.
-type target struct {
-	restart chan struct{} // holds one token while a restart of the call waits to be taken up
+// callTarget holds the address for calls and the cancellation of the call in progress. Any goroutine may
+// change the address; only Run begins calls.
+type callTarget struct {
+	restartSignal chan struct{} // holds a token while a restart of the call is pending
 
 	mu             sync.Mutex
 	address        string
 	addressChanged bool               // since the last call began
-	cancelCall     context.CancelFunc // ends the call that is out; nil before the first
+	cancelCall     context.CancelFunc // cancels the call in progress; nil before the first
 }
 
-func newTarget(address string) target {
-	return target{address: address, restart: make(chan struct{}, 1)}
+func newCallTarget(address string) callTarget {
+	return callTarget{address: address, restartSignal: make(chan struct{}, 1)}
 }
 
-// set changes the address, and restarts the call if that is another one.
-func (t *target) set(address string) {
+// setAddress changes the address and restarts the call, unless the address is the current one.
+func (t *callTarget) setAddress(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if address == t.address {
@@ -34,16 +34,17 @@
 	t.restartLocked()
 }
 
-// restartCall ends the call that is out and has Run make another at once.
-func (t *target) restartCall() {
+// restartCall cancels the call in progress and makes Run begin another at once.
+func (t *callTarget) restartCall() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.restartLocked()
 }
 
-func (t *target) restartLocked() {
+// restartLocked is restartCall for callers that hold mu.
+func (t *callTarget) restartLocked() {
 	select {
-	case t.restart <- struct{}{}:
+	case t.restartSignal <- struct{}{}:
 	default:
 	}
 	if t.cancelCall != nil {
@@ -51,28 +52,29 @@
 	}
 }
 
-// restartPending tells whether a restart waits to be taken up.
-func (t *target) restartPending() bool { return len(t.restart) > 0 }
+// restartPending reports whether a restart has been requested and not begun yet.
+func (t *callTarget) restartPending() bool { return len(t.restartSignal) > 0 }
 
-// beginCall takes up the present address for one call, and tells whether a restart was waiting.
-func (t *target) beginCall(ctx context.Context) (call context.Context, address string, restarted bool) {
+// beginCall returns the context and the address of a new call, and whether a restart was pending, which the
+// call fulfils.
+func (t *callTarget) beginCall(ctx context.Context) (call context.Context, address string, restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	call, t.cancelCall = context.WithCancel(ctx)
 	t.addressChanged = false
 	select {
-	case <-t.restart:
+	case <-t.restartSignal:
 		restarted = true
 	default:
 	}
 	return call, t.address, restarted
 }
 
-// endCall gives back what the call held. Only Run calls it, after beginCall.
-func (t *target) endCall() { t.cancelCall() }
+// endCall releases the context of the call. Only Run calls it, after beginCall.
+func (t *callTarget) endCall() { t.cancelCall() }
 
-// lossReason is why a call that ended with an error is over.
-func (t *target) lossReason(err error) guard.DiscoveryLoss {
+// lossReason classifies why a call ended, by its error and by changes of the address since it began.
+func (t *callTarget) lossReason(err error) guard.DiscoveryLoss {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
--- a/internal/wire/splice/attempt.go
+++ b/internal/wire/splice/attempt.go
@@ -8,18 +8,18 @@
 	"capersail/internal/relay"
 )
 
-// Attempt is one attempt of a request, as the server side of a protocol makes it.
+// Attempt is one attempt of a request, made by the server side of a protocol.
 type Attempt struct {
 	relay.Attempt
 	Request *relay.Request
 	Conn    *Conn // the connection to the server
 }
 
-// Run dials the attempt's server, lets converse speak on the connection until the attempt is over, and ends
-// the attempt, exactly once. connectTimeout bounds the dial beside the attempt's deadline; 0 is no bound. Run
-// returns whether converse was called.
+// Run dials the attempt's server, calls exchange, which uses the connection until the attempt is over, and
+// ends the attempt exactly once. The dial is bounded by the attempt's deadline and, unless it is 0, by
+// connectTimeout. Run reports whether exchange was called.
 func (a *Attempt) Run(
-	clock *relay.Clock, connectTimeout time.Duration, converse func() (decide.Status, decide.LoadReport),
+	clock *relay.Clock, connectTimeout time.Duration, exchange func() (decide.Status, decide.LoadReport),
 ) bool {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -39,14 +39,15 @@
 	}
 	defer conn.Close()
 	if !a.Conn.Attach(conn) || !a.Request.BeginWrite(a.Number) {
-		// The server is to see the close before the decision module hears of the end and may dispatch again.
+		// Close first, so that the server sees the close before the decision module is notified of the end
+		// and may dispatch the request again.
 		conn.Close()
 		a.Request.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		return false
 	}
-	status, load := converse()
-	// Closed before the end is reported: an attempt that still stands while the next one is made would be a
-	// second copy.
+	status, load := exchange()
+	// Close before the end is reported: otherwise the next attempt could begin while this one is still open,
+	// and the request would be at two servers.
 	a.Conn.Close(relay.GracefulClose)
 	conn.Close()
 	a.Request.EndAttempt(a.Number, status, load)
--- a/internal/wire/splice/conn.go
+++ b/internal/wire/splice/conn.go
@@ -1,6 +1,6 @@
-// Package splice is one TCP or TLS connection as the two sides of a request share it: the goroutine that
-// reads it, the other side's goroutine, which writes and ends it, and the event loop, which wakes it. It
-// knows no protocol.
+// Package splice provides the TCP and TLS connections that the two sides of a request share. One goroutine
+// reads a connection, the goroutine of the request's other side writes to it and closes it, and the event
+// loop wakes its reader. The package is independent of the protocol on the connection.
 package splice
 
 import (
@@ -13,138 +13,140 @@
 	"capersail/internal/relay"
 )
 
-// WriteTimeout bounds every write: a peer that takes nothing for so long has its connection ended.
+// WriteTimeout bounds every write. A connection whose peer does not read for this long is closed.
 const WriteTimeout = time.Second
 
 const (
-	// lingerFor is how long a connection that was closed cleanly waits for its peer's end. A close over
-	// unread bytes makes the kernel send a reset, which can overtake and destroy the last line written.
-	lingerFor = 500 * time.Millisecond
-	// lingerBytes bounds what is read and discarded meanwhile: a client that sends at full speed costs
-	// processor time.
+	// lingerTimeout is how long a connection that was closed gracefully waits for its peer to close. Closing
+	// a socket with unread data makes the kernel send a reset, which can make the peer lose the last line
+	// written.
+	lingerTimeout = 500 * time.Millisecond
+	// lingerBytes bounds the data that is read and discarded during that time, as a client that sends at
+	// full speed costs processor time.
 	lingerBytes = 256 << 10
 )
 
-// Conn is one of the two connections of a request. Its methods may be called by several goroutines; only one
-// of them reads. A wake is sticky: reads return at once until ClearWake. A write never waits longer than
-// WriteTimeout. Once closed, a Conn stays closed.
+// Conn is one of the two connections of a request: the client's or the one to the server. Its methods may be
+// called concurrently, but only one goroutine may read. After Wake, reads return at once until ClearWake is
+// called. A write takes at most WriteTimeout. A closed Conn cannot be reopened.
 type Conn struct {
 	mu         sync.Mutex
-	NetConn    net.Conn // nil while it is dialled
+	NetConn    net.Conn // nil until the dial has succeeded
 	Clock      *relay.Clock
-	CancelDial func() // ends the dial, if there is one
+	CancelDial func() // cancels the dial; nil if there is none
 	woken      bool
 	closed     bool
-	// closeNowSignal is closed by CloseNow; nil until somebody waits for it.
+	// closeNowSignal is closed by CloseNow. It is nil until closeNowChannel is first called.
 	closeNowSignal chan struct{}
 	closingNow     bool
 }
 
-// Attach sets the connection once it is dialled. It tells whether the connection is still open.
-func (e *Conn) Attach(conn net.Conn) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.NetConn = conn
-	return !e.closed
+// Attach sets the network connection after the dial. It reports whether the Conn has not been closed
+// meanwhile.
+func (c *Conn) Attach(conn net.Conn) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.NetConn = conn
+	return !c.closed
 }
 
-// SetReadDeadline sets at which instant of the clock a read returns at the latest; 0 is never. It has no effect
-// after a wake.
-func (e *Conn) SetReadDeadline(at time.Duration) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+// SetReadDeadline sets the instant of the clock at which reads time out; 0 means never. It has no effect
+// between Wake and ClearWake, or on a closed Conn.
+func (c *Conn) SetReadDeadline(at time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
-	case e.woken || e.closed:
+	case c.woken || c.closed:
 	case at == 0:
-		e.NetConn.SetReadDeadline(time.Time{})
+		c.NetConn.SetReadDeadline(time.Time{})
 	default:
-		e.NetConn.SetReadDeadline(e.Clock.WallDeadline(at))
+		c.NetConn.SetReadDeadline(c.Clock.WallDeadline(at))
 	}
 }
 
-// Closed tells whether Close was called: by the request's other side, or because the attempt is cancelled.
-func (e *Conn) Closed() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.closed
+// Closed reports whether Close was called, by the request's other side or because the attempt was cancelled.
+func (c *Conn) Closed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closed
 }
 
-// ClearWake lets reads wait again after a Wake.
-func (e *Conn) ClearWake() {
-	e.mu.Lock()
-	e.woken = false
-	e.mu.Unlock()
+// ClearWake lets reads block again after Wake.
+func (c *Conn) ClearWake() {
+	c.mu.Lock()
+	c.woken = false
+	c.mu.Unlock()
 }
 
-// Wake makes the goroutine that reads the connection look at its request.
-func (e *Conn) Wake() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.woken = true
-	if e.NetConn != nil && !e.closed {
-		e.NetConn.SetReadDeadline(time.Unix(1, 0))
+// Wake interrupts the goroutine that reads the connection, so that it checks the state of its request.
+func (c *Conn) Wake() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.woken = true
+	if c.NetConn != nil && !c.closed {
+		c.NetConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// CloseNow makes the goroutine that reads the connection close it without any wait, even one for the peer's
-// end.
-func (e *Conn) CloseNow() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.closingNow {
+// CloseNow makes the goroutine that reads the connection close it immediately, without waiting for the peer
+// to close.
+func (c *Conn) CloseNow() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closingNow {
 		return
 	}
-	e.woken, e.closingNow = true, true
-	close(e.closeNowChannel())
-	if e.NetConn != nil {
-		e.NetConn.SetDeadline(time.Unix(1, 0))
+	c.woken, c.closingNow = true, true
+	close(c.closeNowChannel())
+	if c.NetConn != nil {
+		c.NetConn.SetDeadline(time.Unix(1, 0))
 	}
 }
 
-// ClosingNow tells whether CloseNow was called.
-func (e *Conn) ClosingNow() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.closingNow
+// ClosingNow reports whether CloseNow was called.
+func (c *Conn) ClosingNow() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closingNow
 }
 
-// closeNowChannel is the channel that CloseNow closes. The caller holds the lock.
-func (e *Conn) closeNowChannel() chan struct{} {
-	if e.closeNowSignal == nil {
-		e.closeNowSignal = make(chan struct{})
+// closeNowChannel returns the channel that CloseNow closes. The caller must hold mu.
+func (c *Conn) closeNowChannel() chan struct{} {
+	if c.closeNowSignal == nil {
+		c.closeNowSignal = make(chan struct{})
 	}
-	return e.closeNowSignal
+	return c.closeNowSignal
 }
 
-// Forward writes to the connection. Its error is the network's.
-func (e *Conn) Forward(p []byte) error {
-	e.NetConn.SetWriteDeadline(e.Clock.WallDeadline(e.Clock.Now() + WriteTimeout))
-	_, err := e.NetConn.Write(p)
+// Forward writes p to the connection. It returns the error of the network connection unchanged.
+func (c *Conn) Forward(p []byte) error {
+	c.NetConn.SetWriteDeadline(c.Clock.WallDeadline(c.Clock.Now() + WriteTimeout))
+	_, err := c.NetConn.Write(p)
 	return err
 }
 
-// Close ends the connection: cleanly, with a bounded wait for the peer's end, or with a reset. It is
-// idempotent. The goroutine that reads the connection releases the descriptor.
-func (e *Conn) Close(how relay.CloseKind) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.closed {
+// Close closes the connection: gracefully, with a bounded wait for the peer to close, or with a reset. It is
+// idempotent. After a graceful close the goroutine that reads the connection must release the descriptor.
+func (c *Conn) Close(how relay.CloseKind) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
 		return
 	}
-	e.closed = true
-	if e.CancelDial != nil {
-		e.CancelDial()
+	c.closed = true
+	if c.CancelDial != nil {
+		c.CancelDial()
 	}
-	half, ok := e.NetConn.(interface{ CloseWrite() error }) // TCP and TLS have it
+	half, ok := c.NetConn.(interface{ CloseWrite() error }) // implemented by TCP and TLS connections
 	switch {
-	case e.NetConn == nil:
+	case c.NetConn == nil:
 	case ok && how == relay.GracefulClose:
 		half.CloseWrite()
-		if !e.closingNow {
-			e.NetConn.SetReadDeadline(e.Clock.WallDeadline(e.Clock.Now() + lingerFor))
+		if !c.closingNow {
+			c.NetConn.SetReadDeadline(c.Clock.WallDeadline(c.Clock.Now() + lingerTimeout))
 		}
 	default:
-		raw := e.NetConn
+		raw := c.NetConn
 		if t, ok := raw.(*tls.Conn); ok {
 			raw = t.NetConn()
 		}
@@ -155,23 +157,24 @@
 	}
 }
 
-// CloseAndDiscard closes cleanly, discards what still comes until the peer's end, the bounded wait or
-// CloseNow, and releases the descriptor. A peer that goes on sending is left to its full buffers until then,
-// so that it can read the last line first.
-func (e *Conn) CloseAndDiscard() {
-	began := e.Clock.Now()
-	e.Close(relay.GracefulClose)
-	if n, err := io.Copy(io.Discard, io.LimitReader(e.NetConn, lingerBytes)); n == lingerBytes && err == nil {
-		e.mu.Lock()
-		closeNow := e.closeNowChannel()
-		e.mu.Unlock()
+// CloseAndDiscard closes the connection gracefully, discards incoming data until the peer closes,
+// lingerTimeout has passed or CloseNow is called, and releases the descriptor. After lingerBytes it stops
+// reading but still waits, so that a peer that sends on into full buffers can read the last line before the
+// close.
+func (c *Conn) CloseAndDiscard() {
+	began := c.Clock.Now()
+	c.Close(relay.GracefulClose)
+	if n, err := io.Copy(io.Discard, io.LimitReader(c.NetConn, lingerBytes)); n == lingerBytes && err == nil {
+		c.mu.Lock()
+		closeNow := c.closeNowChannel()
+		c.mu.Unlock()
 		select {
-		case <-e.Clock.After(began + lingerFor - e.Clock.Now()):
+		case <-c.Clock.After(began + lingerTimeout - c.Clock.Now()):
 		case <-closeNow:
 		}
 	}
-	if e.ClosingNow() { // a close over unread bytes would send a reset, which may overtake the last line
-		e.ReadPending()
+	if c.ClosingNow() { // a close with unread data would send a reset: see lingerTimeout
+		c.ReadPending()
 	}
-	e.NetConn.Close()
+	c.NetConn.Close()
 }
--- a/internal/wire/splice/conn_test.go
+++ b/internal/wire/splice/conn_test.go
@@ -12,7 +12,7 @@
 	"capersail/internal/relay"
 )
 
-// newPair returns the two ends of one TCP connection.
+// newPair returns the two ends of one TCP connection over loopback.
 func newPair(t *testing.T) (*Conn, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,75 +32,77 @@
 	return &Conn{NetConn: own, Clock: relay.NewClock()}, peer.(*net.TCPConn)
 }
 
-// awaitUnread waits until something has come, which loopback brings in its own time.
+// awaitUnread waits until data or the end of the stream has been received, as loopback delivers with a delay.
 func awaitUnread(t *testing.T, e *Conn) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("nothing comes")
+			t.Fatal("no data received within 10 s")
 		}
 	}
 }
 
-// What has come and nobody has read is seen without a wait, whatever the read deadline, and is not consumed
-// by a look.
+// HasUnread and PeerClosed report received data and the end of the stream without blocking, whatever the read
+// deadline is, and consume neither.
 func TestUnreadIsSeenAndNotConsumed(t *testing.T) {
 	for name, c := range map[string]struct {
 		does  func(peer *net.TCPConn)
 		ended bool
 	}{
 		"bytes":             {func(p *net.TCPConn) { p.Write([]byte("x")) }, false},
-		"an end":            {func(p *net.TCPConn) { p.Close() }, true},
+		"a close":           {func(p *net.TCPConn) { p.Close() }, true},
 		"a half-close":      {func(p *net.TCPConn) { p.CloseWrite() }, true},
 		"a reset":           {func(p *net.TCPConn) { p.SetLinger(0); p.Close() }, true},
-		"bytes, then a end": {func(p *net.TCPConn) { p.Write([]byte("x")); p.Close() }, false},
+		"bytes, then close": {func(p *net.TCPConn) { p.Write([]byte("x")); p.Close() }, false},
 	} {
 		e, peer := newPair(t)
 		if e.HasUnread() || e.PeerClosed() {
-			t.Errorf("%s: before it", name)
+			t.Errorf("%s: HasUnread or PeerClosed is true before the peer's action, want both false", name)
 		}
 		c.does(peer)
 		e.Wake()
 		awaitUnread(t, e)
 		if !e.HasUnread() || e.PeerClosed() != c.ended {
-			t.Errorf("%s: pending %v, ended %v", name, e.HasUnread(), e.PeerClosed())
+			t.Errorf("%s: HasUnread %v, want true; PeerClosed %v, want true only for the end of the stream",
+				name, e.HasUnread(), e.PeerClosed())
 		}
 	}
 }
 
-// A read whose deadline has passed does not look, so what came before it would be lost: ReadPending returns
-// it.
+// ReadPending returns data that was received before the read deadline passed. An ordinary read after the
+// deadline returns no data, so that the last line of a client would be lost.
 func TestReadPendingAfterTheDeadline(t *testing.T) {
 	e, peer := newPair(t)
 	peer.Write([]byte("line\r\n"))
 	awaitUnread(t, e)
 	e.SetReadDeadline(e.Clock.Now() - time.Millisecond)
 	if n, err := e.NetConn.Read(make([]byte, 9)); n != 0 || !TimedOut(err) {
-		t.Fatalf("the premise: %d, %v", n, err)
+		t.Fatalf("read after the deadline: %d bytes and error %v, want 0 bytes and a time-out", n, err)
 	}
 	if got := string(e.ReadPending()); got != "line\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("ReadPending returned %q, want the line sent", got)
 	}
 	if got := e.ReadPending(); len(got) != 0 {
-		t.Errorf("%q, with nothing there", got)
+		t.Errorf("second ReadPending returned %q, want nothing", got)
 	}
 }
 
-// CloseNow ends a linger behind a peer that sends without end, and the last line written arrives. The clock
-// goes back by a minute once the linger has begun, so without CloseNow it would last as long.
+// CloseNow ends the wait of CloseAndDiscard for a peer that keeps sending, and the last line written still
+// arrives. The clock is set back by a minute once the wait has begun, so that the wait would last a minute
+// without CloseNow.
 func TestCloseNowEndsALinger(t *testing.T) {
 	e, peer := newPair(t)
 	e.Clock = relay.NewManualClock()
 	e.Forward([]byte("BUSY\r\n"))
 	done := make(chan struct{})
 	go func() { defer close(done); e.CloseAndDiscard() }()
-	// Up to the half-close, after which it lingers.
+	// Returns at the half-close; CloseAndDiscard then waits for the peer to close.
 	if got, err := io.ReadAll(peer); err != nil || string(got) != "BUSY\r\n" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("peer read %q with error %v, want BUSY and EOF", got, err)
 	}
 	e.Clock.Set(e.Clock.Now() - time.Minute)
 	peer.Write(make([]byte, lingerBytes))
-	for e.HasUnread() { // until all that it reads of a flood has been read
+	for e.HasUnread() { // until CloseAndDiscard has read lingerBytes, after which it only waits
 		time.Sleep(time.Millisecond)
 	}
 	e.CloseNow()
@@ -108,12 +110,12 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Error("it lingers on")
+		t.Error("CloseAndDiscard did not return within 10 s of CloseNow")
 	}
 }
 
-// What this machine is short of for a moment, or its own missing route, says nothing of the server: taken for
-// its failure it would eject all servers at once.
+// A dial that fails for lack of resources on this machine, or of a route, is not attributed to the server.
+// Otherwise such a failure would eject all servers at once.
 func TestDialStatusSparesTheServerForLocalErrors(t *testing.T) {
 	for err, want := range map[error]decide.Status{
 		syscall.EMFILE: decide.Superseded, syscall.ENFILE: decide.Superseded,
@@ -127,7 +129,7 @@
 	} {
 		dial := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 		if got := DialStatus(dial); got != want {
-			t.Errorf("%v: %v, want %v", err, got, want)
+			t.Errorf("DialStatus(%v) is %v, want %v", err, got, want)
 		}
 	}
 }
--- a/internal/wire/splice/descriptor.go
+++ b/internal/wire/splice/descriptor.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// pendingBytes is the length of the longest line.
-const pendingBytes = 4096
+// maxPendingBytes is the maximum length of a line of the protocols.
+const maxPendingBytes = 4096
 
-// ReadPending returns what has come and not been read, up to pendingBytes, without a wait. A read whose
-// deadline has passed looks at nothing: a last line that came before a close would be discarded unseen. Every
-// later read returns at once.
-func (e *Conn) ReadPending() []byte {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.NetConn.SetReadDeadline(time.Unix(1, 0))
-	p := make([]byte, pendingBytes)
-	n := e.controlDescriptor(func(fd int) (int, error) { return syscall.Read(fd, p) })
+// ReadPending returns received data that has not been read yet, up to maxPendingBytes, without blocking. An
+// ordinary read whose deadline has passed returns no data, so that a last line received before a close would
+// be lost. Every later read times out at once.
+func (c *Conn) ReadPending() []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.NetConn.SetReadDeadline(time.Unix(1, 0))
+	p := make([]byte, maxPendingBytes)
+	n := c.controlDescriptor(func(fd int) (int, error) { return syscall.Read(fd, p) })
 	return p[:max(n, 0)]
 }
 
-// HasUnread tells, without a wait, whether bytes of the peer, or its end, have come that nobody has read yet.
-func (e *Conn) HasUnread() bool { return e.peek() >= 0 }
+// HasUnread reports, without blocking, whether data or the end of the stream (EOF or a reset) has been
+// received and not been read yet.
+func (c *Conn) HasUnread() bool { return c.peek() >= 0 }
 
-// PeerClosed tells, without a wait, whether the peer's end is the next thing to read.
-func (e *Conn) PeerClosed() bool { return e.peek() == 0 }
+// PeerClosed reports, without blocking, whether the next read would return the end of the stream.
+func (c *Conn) PeerClosed() bool { return c.peek() == 0 }
 
-// peek returns how many bytes can be read at once (1 for any), 0 at the peer's end, and a negative number if
-// nothing has come.
-func (e *Conn) peek() int {
+// peek returns 1 if data can be read without blocking, 0 at the end of the stream, and a negative number if
+// nothing has been received.
+func (c *Conn) peek() int {
 	p := make([]byte, 1)
-	return e.controlDescriptor(func(fd int) (int, error) {
+	return c.controlDescriptor(func(fd int) (int, error) {
 		n, _, err := syscall.Recvfrom(fd, p, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if errors.Is(err, syscall.ECONNRESET) {
 			return 0, nil
@@ -41,10 +42,10 @@
 	})
 }
 
-// controlDescriptor makes one call on the connection's descriptor, which must not wait, again after EINTR. It
-// returns a negative number where the call failed or there is no descriptor.
-func (e *Conn) controlDescriptor(call func(fd int) (int, error)) int {
-	conn := e.NetConn
+// controlDescriptor makes one non-blocking system call on the connection's descriptor, and repeats it after
+// EINTR. It returns the call's result, or a negative number if the call failed or there is no descriptor.
+func (c *Conn) controlDescriptor(call func(fd int) (int, error)) int {
+	conn := c.NetConn
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
 	}
--- a/internal/wire/splice/dial.go
+++ b/internal/wire/splice/dial.go
@@ -13,8 +13,8 @@
 	"capersail/internal/relay"
 )
 
-// localErrors are what a dial fails with for want of something on this machine: a descriptor, memory, a
-// route.
+// localErrors are the errors of a dial that failed because this machine lacks a descriptor, memory, a port, a
+// route or the permission.
 var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
@@ -22,8 +22,8 @@
 	syscall.EPERM,
 }
 
-// DialStatus is the outcome of an attempt whose dial failed. A failure of this machine says nothing of the
-// server: taken for the server's it would eject a healthy one.
+// DialStatus returns the outcome of an attempt whose dial failed with err. An error of this machine is not
+// attributed to the server, as that could eject a healthy server.
 func DialStatus(err error) decide.Status {
 	for _, errno := range localErrors {
 		if errors.Is(err, errno) {
@@ -33,8 +33,8 @@
 	return decide.ConnectFailed
 }
 
-// ProbeStatus is DialStatus for a health check, which tells a server that does not answer from one that
-// refuses the connection.
+// ProbeStatus is DialStatus for probes. It also distinguishes a server that does not answer the dial from one
+// that refuses the connection.
 func ProbeStatus(err error) decide.Status {
 	var slow net.Error
 	if errors.As(err, &slow) && slow.Timeout() {
@@ -43,7 +43,8 @@
 	return DialStatus(err)
 }
 
-// CloseKindOf is how a connection ended whose read returned err: cleanly after io.EOF, abortively otherwise.
+// CloseKindOf returns how the peer closed a connection whose read returned err: gracefully if err is io.EOF,
+// abortively otherwise.
 func CloseKindOf(err error) relay.CloseKind {
 	if errors.Is(err, io.EOF) {
 		return relay.GracefulClose
@@ -51,14 +52,14 @@
 	return relay.AbortiveClose
 }
 
-// TimedOut tells whether a deadline or a Wake cut a read short.
+// TimedOut reports whether err is that of a read interrupted by its deadline or by Conn.Wake.
 func TimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// minDialTimeout is what a dial gets at least, however near its deadline is.
+// minDialTimeout is the minimum time-out of a dial, however near its deadline is.
 const minDialTimeout = time.Millisecond
 
-// Dial connects within a timeout, of minDialTimeout at least. TCP keep-alive stays off: the protocols have
-// their own. Its error is the network's, for DialStatus and ProbeStatus.
+// Dial connects to addr within the time-out, or minDialTimeout if that is longer. TCP keep-alive is off, as
+// the protocols have their own. Errors are not wrapped, for DialStatus and ProbeStatus.
 func Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	timeout = max(timeout, minDialTimeout)
 	if err := awaitReachable(ctx, addr, timeout); err != nil {
@@ -69,5 +70,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return makeCuttable(conn, addr), nil
+	return wrapFaulty(conn, addr), nil
 }
--- a/internal/wire/splice/faultpoint.go
+++ b/internal/wire/splice/faultpoint.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// awaitReachable is where tests keep servers out of reach; this program does not.
+// awaitReachable simulates unreachable servers in builds with the tag faults; here it returns at once.
 func awaitReachable(context.Context, string, time.Duration) error { return nil }
 
-// makeCuttable is where tests cut connections; this program does not.
-func makeCuttable(conn net.Conn, _ string) net.Conn { return conn }
+// wrapFaulty simulates network partitions in builds with the tag faults; here it returns conn.
+func wrapFaulty(conn net.Conn, _ string) net.Conn { return conn }
--- a/internal/wire/splice/faultpoint_faults.go
+++ b/internal/wire/splice/faultpoint_faults.go
@@ -13,7 +13,8 @@
 	"capersail/internal/testing/faultpoint"
 )
 
-// awaitReachable waits in vain, until the timeout, for a server that the rules keep out of reach.
+// awaitReachable returns nil if the fault rules let addr be reached. Otherwise it fails after the time-out or
+// when the context ends.
 func awaitReachable(ctx context.Context, addr string, timeout time.Duration) error {
 	if faultpoint.CanConnect(addr) {
 		return nil
@@ -26,45 +27,46 @@
 	}
 }
 
-// makeCuttable wraps a connection that the rules may cut.
-func makeCuttable(conn net.Conn, addr string) net.Conn { return &cuttable{Conn: conn, addr: addr} }
+// wrapFaulty wraps a connection that the fault rules may partition.
+func wrapFaulty(conn net.Conn, addr string) net.Conn { return &faultyConn{Conn: conn, addr: addr} }
 
-// cuttable transfers nothing while its other side is out of reach, and is reset once it is back: what was
-// lost is lost.
-type cuttable struct {
+// faultyConn transfers no data while its peer is unreachable by the fault rules. Once the peer is
+// reachable again the connection is reset, as the data of that time is lost.
+type faultyConn struct {
 	net.Conn
-	addr string
-	lost atomic.Bool
+	addr     string
+	dataLost atomic.Bool
 }
 
-func (c *cuttable) cut() bool {
+// partitioned reports whether the peer is unreachable now, and records that data is lost if it is.
+func (c *faultyConn) partitioned() bool {
 	if !faultpoint.CanConnect(c.addr) {
-		c.lost.Store(true)
+		c.dataLost.Store(true)
 		return true
 	}
 	return false
 }
 
-// Read returns nothing while the other side is out of reach.
-func (c *cuttable) Read(b []byte) (int, error) {
+// Read discards the data that it reads while the peer is unreachable.
+func (c *faultyConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
 		switch {
-		case c.cut() && err == nil:
+		case c.partitioned() && err == nil:
 			continue
-		case c.lost.Load() && err == nil:
+		case c.dataLost.Load() && err == nil:
 			return 0, syscall.ECONNRESET
 		}
 		return n, err
 	}
 }
 
-// Write loses what is written while the other side is out of reach.
-func (c *cuttable) Write(b []byte) (int, error) {
+// Write discards the data that is written while the peer is unreachable.
+func (c *faultyConn) Write(b []byte) (int, error) {
 	switch {
-	case c.cut():
+	case c.partitioned():
 		return len(b), nil
-	case c.lost.Load():
+	case c.dataLost.Load():
 		return 0, syscall.ECONNRESET
 	}
 	return c.Conn.Write(b)
--- a/internal/wire/zookeeper/client.go
+++ b/internal/wire/zookeeper/client.go
@@ -25,7 +25,7 @@
 	return slices.Equal(e.Addresses, o.Addresses) && e.Path == o.Path && e.SessionTimeout == o.SessionTimeout
 }
 
-func (e Ensemble) clean() Ensemble {
+func (e Ensemble) normalized() Ensemble {
 	e.Path = strings.TrimRight(e.Path, "/")
 	return e
 }
@@ -41,27 +41,27 @@
 	watchWanted     chan struct{}
 	ensembleChanged chan struct{} // holds one token while a new ensemble waits to be followed
 
-	mu        sync.Mutex
-	wanted    Ensemble           // guarded by mu
-	closeConn context.CancelFunc // ends the connection that is open; guarded by mu
+	mu             sync.Mutex
+	wantedEnsemble Ensemble           // guarded by mu
+	closeConn      context.CancelFunc // ends the connection that is open; guarded by mu
 
-	state       sessionState
-	refusals    refusals
-	nextAddress int
-	nodes       map[string]relay.Endpoint // by name
+	state           sessionState
+	connectFailures connectFailures
+	nextAddress     int
+	endpointsByNode map[string]relay.Endpoint // by name
 }
 
 // NewClient returns a client of a service.
 func NewClient(e Ensemble, requests *relay.RequestTable, log zerolog.Logger) *Client {
-	e = e.clean()
+	e = e.normalized()
 	return &Client{
 		Ensemble:        e,
-		wanted:          e,
+		wantedEnsemble:  e,
 		Requests:        requests,
 		Log:             log,
 		watchWanted:     make(chan struct{}, 1),
 		ensembleChanged: make(chan struct{}, 1),
-		nodes:           map[string]relay.Endpoint{},
+		endpointsByNode: map[string]relay.Endpoint{},
 	}
 }
 
@@ -69,13 +69,13 @@
 // the decision module is not notified of it: nothing has failed, and the servers known stay until the new
 // endpoint list is there.
 func (c *Client) SetEnsemble(e Ensemble) {
-	e = e.clean()
+	e = e.normalized()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e.equal(c.wanted) {
+	if e.equal(c.wantedEnsemble) {
 		return
 	}
-	c.wanted = e
+	c.wantedEnsemble = e
 	select {
 	case c.ensembleChanged <- struct{}{}:
 	default:
@@ -93,8 +93,8 @@
 	case <-c.ensembleChanged:
 	default:
 	}
-	if !c.wanted.equal(c.Ensemble) {
-		c.Ensemble = c.wanted
+	if !c.wantedEnsemble.equal(c.Ensemble) {
+		c.Ensemble = c.wantedEnsemble
 		c.state = sessionState{}
 		c.nextAddress = 0
 	}
@@ -102,17 +102,17 @@
 	return ctx
 }
 
-// noteEnd notes why a connection, or an attempt at one, has ended. Where the session has expired, or is
-// refused, the next one begins a new session. After errExpired it is to have heard of all changes that the
-// client has seen, so that the list goes back to no older one.
-func (c *Client) noteEnd(err error, now time.Duration) {
+// recordConnectionEnd notes why a connection, or an attempt at one, has ended. Where the session has expired,
+// or is refused, the next one begins a new session. After errExpired it is to have heard of all changes that
+// the client has seen, so that the list goes back to no older one.
+func (c *Client) recordConnectionEnd(err error, now time.Duration) {
 	switch {
 	case errors.Is(err, errExpired):
 		c.state.sessionID, c.state.password = 0, nil
-		c.refusals = refusals{}
-	case c.refusals.exhaustedBy(err, now, len(c.Addresses), c.SessionTimeout):
+		c.connectFailures = connectFailures{}
+	case c.connectFailures.recordFailure(err, now, len(c.Addresses), c.SessionTimeout):
 		c.state = sessionState{}
-		c.refusals = refusals{}
+		c.connectFailures = connectFailures{}
 	}
 }
 
@@ -148,7 +148,7 @@
 		case <-c.watchWanted:
 		default:
 		}
-		c.noteEnd(err, c.Requests.Clock.Now())
+		c.recordConnectionEnd(err, c.Requests.Clock.Now())
 		c.Log.Info().Err(err).Msg("endpoint watch ended; polling with backoff")
 		c.Requests.UpdateEndpoints(decide.WatchFailed, nil)
 	}
--- a/internal/wire/zookeeper/client_test.go
+++ b/internal/wire/zookeeper/client_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// A client whose session has expired begins another at a service that has lost the changes it has seen. Guards
-// against an endpoint list that is never read again, as every replica refuses the client.
+// A client whose session has expired begins another at a service that has lost the changes it has seen.
+// Guards against an endpoint list that is never read again, as every replica refuses the client.
 func TestClientBeginsAnewWhereEveryReplicaIsBehind(t *testing.T) {
 	zk, err := fake.NewZooKeeper("/a")
 	if err != nil {
@@ -58,7 +58,7 @@
 
 // A client asks for all changes that it has seen until every address has been asked for a session's time, and
 // one has refused. Guards against an endpoint list that goes back to an older one.
-func TestClientKeepsToTheChangesSeen(t *testing.T) {
+func TestClientKeepsLastZxidUntilRefused(t *testing.T) {
 	refused, unreachable := &refusedError{errors.New("EOF")}, errors.New("dial: connection refused")
 	const timeout = time.Second
 	for name, c := range map[string]struct {
@@ -78,10 +78,10 @@
 		client.state = sessionState{sessionID: 7, password: []byte("x"), lastZxid: 5}
 		for i, end := range c.ends {
 			if end == nil {
-				client.refusals = refusals{}
+				client.connectFailures = connectFailures{}
 				continue
 			}
-			client.noteEnd(end, time.Duration(i)*timeout/2)
+			client.recordConnectionEnd(end, time.Duration(i)*timeout/2)
 		}
 		if begins := client.state.lastZxid == 0; begins != c.begins {
 			t.Errorf("%s: begins anew %v", name, begins)
--- a/internal/wire/zookeeper/codec.go
+++ b/internal/wire/zookeeper/codec.go
@@ -72,13 +72,13 @@
 	truncated bool
 }
 
-// longestField is the most that callers take of a field without looking at truncated first.
-const longestField = 8
+// maxFixedFieldBytes is the most that callers take of a field without looking at truncated first.
+const maxFixedFieldBytes = 8
 
 func (d *decoder) take(n int) []byte {
 	if n < 0 || n > len(d.rest) {
 		d.truncated, d.rest = true, nil
-		return make([]byte, longestField)
+		return make([]byte, maxFixedFieldBytes)
 	}
 	p := d.rest[:n]
 	d.rest = d.rest[n:]
--- a/internal/wire/zookeeper/conn.go
+++ b/internal/wire/zookeeper/conn.go
@@ -46,9 +46,9 @@
 // readFrame reads one frame, until an instant of the clock. A read that a deadline cuts short before its
 // first byte loses nothing. Its errors are the connection's, and that of a frame of no sensible length.
 func (n *conn) readFrame(until time.Duration) ([]byte, error) {
-	const headBytes = 4
+	const lengthBytes = 4
 	n.SetReadDeadline(n.clock.WallDeadline(until))
-	head, err := n.buffered.Peek(headBytes)
+	head, err := n.buffered.Peek(lengthBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 	if size < 0 || size > maxFrameBytes {
 		return nil, fmt.Errorf("frame of %d bytes", size)
 	}
-	n.buffered.Discard(headBytes)
+	n.buffered.Discard(lengthBytes)
 	p := make([]byte, size)
 	_, err = io.ReadFull(n.buffered, p)
 	return p, err
--- a/internal/wire/zookeeper/nodes.go
+++ b/internal/wire/zookeeper/nodes.go
@@ -40,15 +40,15 @@
 		return err
 	}
 	if n.snapshotDue { // who is not there any more is missing from the snapshot published below
-		c.nodes = map[string]relay.Endpoint{}
+		c.endpointsByNode = map[string]relay.Endpoint{}
 	}
-	for name := range c.nodes {
+	for name := range c.endpointsByNode {
 		if !present[name] {
 			c.removeNode(name)
 		}
 	}
 	for name := range present {
-		if _, known := c.nodes[name]; known {
+		if _, known := c.endpointsByNode[name]; known {
 			continue
 		}
 		if err := c.fetchNode(n, name); err != nil {
@@ -69,8 +69,8 @@
 		return
 	}
 	n.snapshotDue = false
-	list := make([]relay.Endpoint, 0, len(c.nodes))
-	for _, endpoint := range c.nodes {
+	list := make([]relay.Endpoint, 0, len(c.endpointsByNode))
+	for _, endpoint := range c.endpointsByNode {
 		list = append(list, endpoint)
 	}
 	c.Requests.UpdateEndpoints(decide.Snapshot, list)
@@ -78,11 +78,11 @@
 
 // removeNode publishes that a node is gone. An ephemeral node vanishes with its server's session.
 func (c *Client) removeNode(name string) {
-	endpoint, known := c.nodes[name]
+	endpoint, known := c.endpointsByNode[name]
 	if !known {
 		return
 	}
-	delete(c.nodes, name)
+	delete(c.endpointsByNode, name)
 	endpoint.State = decide.Removed
 	c.Requests.UpdateEndpoints(decide.Delta, []relay.Endpoint{endpoint})
 }
@@ -104,7 +104,7 @@
 		c.removeNode(name)
 		return
 	}
-	c.nodes[name] = endpoint
+	c.endpointsByNode[name] = endpoint
 	if !n.snapshotDue {
 		c.Requests.UpdateEndpoints(decide.Delta, []relay.Endpoint{endpoint})
 	}
--- a/internal/wire/zookeeper/refusals.go
+++ b/internal/wire/zookeeper/refusals.go
@@ -14,22 +14,22 @@
 
 func (e *refusedError) Unwrap() error { return e.err }
 
-// refusals are what has become of the attempts to connect since the last connection.
-type refusals struct {
-	since    time.Duration // of the first
-	attempts int
-	refused  bool // of them, at least one was refused
+// connectFailures are what has become of the attempts to connect since the last connection.
+type connectFailures struct {
+	firstAt    time.Duration // of the first
+	attempts   int
+	anyRefused bool // of them, at least one was refused
 }
 
-// exhaustedBy notes why an attempt has failed, and tells whether a session without the changes that the
+// recordFailure notes why an attempt has failed, and tells whether a session without the changes that the
 // client has seen has to do: all addresses have been asked for a session's time, so that the session is over,
 // at least one has refused, and no one has accepted. The service may have been restored from a copy.
-func (r *refusals) exhaustedBy(err error, now time.Duration, addresses int, timeout time.Duration) bool {
+func (r *connectFailures) recordFailure(err error, now time.Duration, addresses int, timeout time.Duration) bool {
 	if r.attempts == 0 {
-		r.since = now
+		r.firstAt = now
 	}
 	r.attempts++
 	var refused *refusedError
-	r.refused = r.refused || errors.As(err, &refused)
-	return r.refused && r.attempts >= addresses && now >= r.since+timeout
+	r.anyRefused = r.anyRefused || errors.As(err, &refused)
+	return r.anyRefused && r.attempts >= addresses && now >= r.firstAt+timeout
 }
--- a/internal/wire/zookeeper/requests.go
+++ b/internal/wire/zookeeper/requests.go
@@ -70,13 +70,13 @@
 
 func encodeCreate(path string, data []byte, ephemeral bool) encoder {
 	const (
-		accessRules    = 1
+		aclEntries     = 1
 		allPermissions = 31
 		persistentFlag = 0
 		ephemeralFlag  = 1
 	)
 	b := encoder{}.bytes([]byte(path)).bytes(data)
-	b = b.i32(accessRules).i32(allPermissions).bytes([]byte("world")).bytes([]byte("anyone"))
+	b = b.i32(aclEntries).i32(allPermissions).bytes([]byte("world")).bytes([]byte("anyone"))
 	if ephemeral {
 		return b.i32(ephemeralFlag)
 	}
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -49,10 +49,10 @@
 	Log     zerolog.Logger
 	Events  Events
 
-	closeOnce  sync.Once
-	writerWake chan struct{} // holds a token while there may be something to write
-	state      sessionState  // of Run alone
-	refusals   refusals      // the same
+	closeOnce       sync.Once
+	writerWake      chan struct{}   // holds a token while there may be something to write
+	state           sessionState    // of Run alone
+	connectFailures connectFailures // the same
 
 	mu          sync.Mutex // guards what follows
 	addresses   []string
@@ -60,11 +60,11 @@
 	closeConn   context.CancelFunc // ends the connection that is open
 	connected   bool               // requests are taken
 	closing     bool
-	outstanding
+	outstandingRequests
 }
 
-// outstanding is what a connection owes answers to.
-type outstanding struct {
+// outstandingRequests is what a connection owes answers to.
+type outstandingRequests struct {
 	unsent      []request
 	pending     []request       // written, without an answer, the oldest first
 	pingsSentAt []time.Duration // of those without an answer, the oldest first
@@ -128,8 +128,8 @@
 }
 
 // Close ends the session at the service, and with it its ephemeral nodes, and waits for that no longer than a
-// timeout. Without it they stay until the session's time-out. Whoever calls it beside or after the first waits
-// no longer than that.
+// timeout. Without it they stay until the session's time-out. Whoever calls it beside or after the first
+// waits no longer than that.
 func (s *Session) Close(timeout time.Duration) {
 	s.closeOnce.Do(func() { s.close(timeout) })
 }
@@ -155,10 +155,10 @@
 		s.mu.Lock()
 		closing, addresses := s.closing, len(s.addresses)
 		s.mu.Unlock()
-		refused := s.refusals.exhaustedBy(err, s.Clock.Now(), addresses, s.Timeout)
+		refused := s.connectFailures.recordFailure(err, s.Clock.Now(), addresses, s.Timeout)
 		if refused || errors.Is(err, errExpired) {
 			s.state = sessionState{}
-			s.refusals = refusals{}
+			s.connectFailures = connectFailures{}
 			s.Events.Expired()
 		}
 		if ctx.Err() != nil || closing {
--- a/internal/wire/zookeeper/session_conn.go
+++ b/internal/wire/zookeeper/session_conn.go
@@ -13,10 +13,10 @@
 	errUnexpectedPing = errors.New("answer to a ping that was not sent")
 )
 
-// orderError says that an answer came that no request is due for.
-type orderError struct{ xid int32 }
+// xidError says that an answer came that no request is due for.
+type xidError struct{ xid int32 }
 
-func (e *orderError) Error() string { return fmt.Sprintf("answer to request %d out of turn", e.xid) }
+func (e *xidError) Error() string { return fmt.Sprintf("answer to request %d out of order", e.xid) }
 
 // runConnection holds one connection to its end, and returns why it ended.
 func (s *Session) runConnection(ctx context.Context) error {
@@ -43,7 +43,7 @@
 		return err
 	}
 	s.state = granted
-	s.refusals = refusals{}
+	s.connectFailures = connectFailures{}
 	s.mu.Lock()
 	s.connected, s.lastXid = true, 0
 	s.mu.Unlock()
@@ -161,7 +161,7 @@
 	s.mu.Lock()
 	if len(s.pending) == 0 || s.pending[0].xid != xid {
 		s.mu.Unlock()
-		return &orderError{xid}
+		return &xidError{xid}
 	}
 	r := s.pending[0]
 	s.pending[0] = request{} // so that its body can be freed
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -16,14 +16,14 @@
 // eventLog records what happens to a session.
 type eventLog struct {
 	mu       sync.Mutex
-	what     []string
+	events   []string
 	sessions []int64
 }
 
 func (w *eventLog) add(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.what = append(w.what, fmt.Sprintf(format, args...))
+	w.events = append(w.events, fmt.Sprintf(format, args...))
 }
 
 func (w *eventLog) Connected(session int64, granted, _ time.Duration) {
@@ -36,12 +36,12 @@
 func (w *eventLog) Expired()                     { w.add("expired") }
 func (w *eventLog) AnswerReceived(time.Duration) {}
 
-func (w *eventLog) wait(t *testing.T, want string, times int) {
+func (w *eventLog) awaitEvent(t *testing.T, want string, times int) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		w.mu.Lock()
 		n := 0
-		for _, what := range w.what {
+		for _, what := range w.events {
 			if what == want {
 				n++
 			}
@@ -51,18 +51,18 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%q never came %d times: %q", want, times, w.what)
+			t.Fatalf("%q never came %d times: %q", want, times, w.events)
 		}
 	}
 }
 
 func startSession(t *testing.T) (*fake.ZooKeeper, *Session, *eventLog) {
 	t.Helper()
-	return startSessionOf(t, time.Second)
+	return startSessionWithTimeout(t, time.Second)
 }
 
-// startSessionOf starts a session of a time-out.
-func startSessionOf(t *testing.T, timeout time.Duration) (*fake.ZooKeeper, *Session, *eventLog) {
+// startSessionWithTimeout starts a session of a time-out.
+func startSessionWithTimeout(t *testing.T, timeout time.Duration) (*fake.ZooKeeper, *Session, *eventLog) {
 	t.Helper()
 	zk, err := fake.NewZooKeeper("/a")
 	if err != nil {
@@ -72,12 +72,12 @@
 	w := &eventLog{}
 	s := NewSession([]string{zk.Address}, timeout, relay.NewClock(), w, zerolog.Nop())
 	go s.Run(t.Context())
-	w.wait(t, fmt.Sprintf("connected for %d ms", timeout.Milliseconds()), 1)
+	w.awaitEvent(t, fmt.Sprintf("connected for %d ms", timeout.Milliseconds()), 1)
 	return zk, s, w
 }
 
-// await makes a request and waits for its answer.
-func await(f func(done func(Answer))) Answer {
+// awaitAnswer makes a request and waits for its answer.
+func awaitAnswer(f func(done func(Answer))) Answer {
 	c := make(chan Answer, 1)
 	f(func(a Answer) { c <- a })
 	return <-c
@@ -129,7 +129,7 @@
 		}, OK, func(a Answer) bool { return a.Stat.Version == 2 }},
 		{"delete", func(f func(Answer)) { s.Delete("/a/z", -1, f) }, OK, nil},
 	} {
-		if a := await(k.do); a.Code != k.want || k.also != nil && !k.also(a) {
+		if a := awaitAnswer(k.do); a.Code != k.want || k.also != nil && !k.also(a) {
 			t.Errorf("%d, %s: %+v, want code %d", i, k.name, a, k.want)
 		}
 	}
@@ -147,34 +147,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	await(func(f func(Answer)) { s.Create("/a/mine", nil, true, f) })
+	awaitAnswer(func(f func(Answer)) { s.Create("/a/mine", nil, true, f) })
 	s.mu.Lock()
 	s.addresses = append(s.addresses, second)
 	s.mu.Unlock()
 	zk.Close() // the first address is gone for good
-	w.wait(t, "connected for 1000 ms", 2)
+	w.awaitEvent(t, "connected for 1000 ms", 2)
 	if w.sessions[0] != w.sessions[1] || len(zk.Nodes("/a/mine")) != 1 {
 		t.Errorf("sessions %v, %q", w.sessions, zk.Nodes("/a"))
 	}
 	zk.DropAnswers(1)
-	swallowed := await(func(f func(Answer)) { s.Multi([]Step{CreateStep("/a/lost", nil, true)}, f) })
+	swallowed := awaitAnswer(func(f func(Answer)) { s.Multi([]Step{CreateStep("/a/lost", nil, true)}, f) })
 	if swallowed.Code != ConnectionLoss {
 		t.Errorf("an answer that never came: %+v", swallowed)
 	}
 	if len(zk.Nodes("/a/lost")) != 1 {
 		t.Error("and yet it was done")
 	}
-	w.wait(t, "connected for 1000 ms", 3)
+	w.awaitEvent(t, "connected for 1000 ms", 3)
 	zk.ExpireSessions()
-	w.wait(t, "expired", 1)
-	w.wait(t, "connected for 1000 ms", 4)
+	w.awaitEvent(t, "expired", 1)
+	w.awaitEvent(t, "connected for 1000 ms", 4)
 	if w.sessions[3] == w.sessions[2] {
 		t.Error("a forgotten session was taken up")
 	}
 	s.SetAddresses([]string{second}) // as at a reload
-	w.wait(t, "connected for 1000 ms", 5)
+	w.awaitEvent(t, "connected for 1000 ms", 5)
 	zk.SetFrozen(true) // silence ends a connection, too, and everything out is answered
-	if a := await(func(f func(Answer)) { s.Get("/a", f) }); a.Code != ConnectionLoss {
+	if a := awaitAnswer(func(f func(Answer)) { s.Get("/a", f) }); a.Code != ConnectionLoss {
 		t.Errorf("from a frozen service: %+v", a)
 	}
 	zk.SetFrozen(false)
@@ -188,24 +188,24 @@
 	f.Fuzz(func(_ *testing.T, op int32, p []byte) { decodeAnswer(op, OK, &decoder{rest: p}) })
 }
 
-// A session that every address refuses for its whole time is over, and another begins. Guards against ownership
-// that cannot be had again once the service has lost changes that the session has seen.
+// A session that every address refuses for its whole time is over, and another begins. Guards against
+// ownership that cannot be had again once the service has lost changes that the session has seen.
 func TestSessionBeginsAnewWhereEveryReplicaIsBehind(t *testing.T) {
 	zk, s, w := startSession(t)
-	if a := await(func(f func(Answer)) { s.Create("/a/x", nil, false, f) }); a.Code != OK {
+	if a := awaitAnswer(func(f func(Answer)) { s.Create("/a/x", nil, false, f) }); a.Code != OK {
 		t.Fatalf("create: %+v", a)
 	}
 	zk.SetBehind(1)
 	zk.ResetConnections()
-	w.wait(t, "expired", 1)
-	w.wait(t, "connected for 1000 ms", 2)
+	w.awaitEvent(t, "expired", 1)
+	w.awaitEvent(t, "connected for 1000 ms", 2)
 }
 
 // A second Close returns at once where the first has waited in vain, and with it where they come together.
 // Guards against a shutdown that waits out its time twice for a service that does not answer.
 func TestSecondCloseDoesNotWait(t *testing.T) {
 	const timeout = 10 * time.Second
-	zk, s, _ := startSessionOf(t, 4*timeout)
+	zk, s, _ := startSessionWithTimeout(t, 4*timeout)
 	zk.SetFrozen(true)
 	t.Cleanup(func() { zk.SetFrozen(false) })
 	began := time.Now()
--- a/internal/wire/zookeeper/watch.go
+++ b/internal/wire/zookeeper/watch.go
@@ -12,8 +12,8 @@
 	// watchDivisor: a session's time-out divided by it bounds a watch's dials and writes, and is the time
 	// between two pings.
 	watchDivisor = 3
-	// watchSilenceDivisors: a service that is silent for so many parts of the time-out has lost the session.
-	watchSilenceDivisors = 2
+	// watchSilenceParts: a service that is silent for so many parts of the time-out has lost the session.
+	watchSilenceParts = 2
 	// watchBufferBytes is how much of a watch's connection is read at once.
 	watchBufferBytes = 4096
 )
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	c.state = granted
-	c.refusals = refusals{}
+	c.connectFailures = connectFailures{}
 	return &watchConn{
 		conn:        n,
 		timeout:     granted.timeout,
@@ -76,7 +76,7 @@
 	if n.childrenXid, err = n.sendWatch(opGetChildren, c.Path); err != nil {
 		return err
 	}
-	silenceTimeout := n.timeout * watchSilenceDivisors / watchDivisor
+	silenceTimeout := n.timeout * watchSilenceParts / watchDivisor
 	lastFrameAt := n.clock.Now()
 	for {
 		p, err := n.readFrame(n.clock.Now() + n.timeout/watchDivisor)
