--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -43,7 +43,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			list, err := ParseList(c.in, zerolog.Nop())
 			if (err != nil) != c.fails || errors.Is(err, errMalformedList) != c.fails {
-				t.Errorf("ParseList returned %+v and error %v, want errMalformedList as in the case", list, err)
+				t.Errorf("ParseList returned %+v, error %v; want errMalformedList as in the case", list, err)
 			}
 			if err == nil && len(list.Endpoints) != c.endpoints {
 				t.Errorf("ParseList returned %+v, want the number of endpoints of the case", list)
--- a/internal/wire/zookeeper/answers.go
+++ b/internal/wire/zookeeper/answers.go
@@ -1,26 +1,26 @@
 package zookeeper
 
-// Code is how a request ended: 0, an error of the service's (negative), or ConnectionLoss.
+// Code is the result of a request: OK, an error code of ZooKeeper (negative), or ConnectionLoss.
 type Code int32
 
-// The codes that callers tell apart.
+// The codes that callers distinguish.
 const (
 	OK             Code = 0
 	NoNode         Code = codeNoNode
 	BadVersion     Code = codeBadVersion
 	NodeExists     Code = codeNodeExists
 	NotEmpty       Code = codeNotEmpty
-	ConnectionLoss Code = 1 // no answer came: it may have been done, or may not
+	ConnectionLoss Code = 1 // no answer was received: the request may or may not have been executed
 )
 
-// Stat is what of a node's state is used here.
+// Stat is the part of a node's metadata that is used here.
 type Stat struct {
 	Version        int32
-	EphemeralOwner int64 // the session of an ephemeral node, 0 of others
+	EphemeralOwner int64 // session of an ephemeral node, 0 for other nodes
 	NumChildren    int32
 }
 
-// Answer is the answer to one request.
+// Answer is the answer to a request.
 type Answer struct {
 	Code     Code
 	Stat     Stat
@@ -28,7 +28,7 @@
 	Children []string
 }
 
-// decodeAnswer reads what comes after an answer's header. What is truncated is for the caller to see.
+// decodeAnswer decodes the body of an answer to an operation. The caller must check d.truncated.
 func decodeAnswer(op int32, code Code, d *decoder) Answer {
 	a := Answer{Code: code}
 	if code != OK {
@@ -50,12 +50,12 @@
 	return a
 }
 
-// decodeMulti reads the results of a transaction. Of one that failed all results are errors: 0 before the
-// step that cannot be done, its code, and codeRuntimeInconsistency after it.
+// decodeMulti decodes the results of a transaction. If it failed, all results are errors: OK for the steps
+// before the one that failed, the code of that step, and codeRuntimeInconsistency for the steps after it.
 func decodeMulti(d *decoder) (a Answer) {
 	for {
 		kind, last := d.i32(), d.flag()
-		d.i32() // the code, again
+		d.i32() // the error code, which the body of an error repeats
 		switch {
 		case d.truncated || last:
 			return a
--- a/internal/wire/zookeeper/client.go
+++ b/internal/wire/zookeeper/client.go
@@ -14,44 +14,45 @@
 	"capersail/internal/relay"
 )
 
-// Ensemble says which service is followed, and which of its paths.
+// Ensemble is the address of a ZooKeeper ensemble and of an endpoint list in it.
 type Ensemble struct {
 	Addresses      []string
-	Path           string
-	SessionTimeout time.Duration // to ask for
+	Path           string        // parent of the endpoints' nodes
+	SessionTimeout time.Duration // requested of the service, which may grant another
 }
 
 func (e Ensemble) equal(o Ensemble) bool {
 	return slices.Equal(e.Addresses, o.Addresses) && e.Path == o.Path && e.SessionTimeout == o.SessionTimeout
 }
 
+// normalized returns e with a Path without trailing slashes.
 func (e Ensemble) normalized() Ensemble {
 	e.Path = strings.TrimRight(e.Path, "/")
 	return e
 }
 
-// Client follows one path. It implements relay.Discovery: the decision module says when to watch again after
-// a failure, with jitter. Watch, Fetch and SetEnsemble may be called by any goroutine; the rest is Run's
-// alone.
+// Client watches the endpoint list at a path. It implements relay.Discovery: after a failure the decision
+// module decides when to watch again, with jitter. Watch, Fetch and SetEnsemble may be called concurrently;
+// all fields without another guard are used only by Run.
 type Client struct {
-	Ensemble // followed now
+	Ensemble // watched now
 	Requests *relay.RequestTable
 	Log      zerolog.Logger
 
 	watchWanted     chan struct{}
-	ensembleChanged chan struct{} // holds one token while a new ensemble waits to be followed
+	ensembleChanged chan struct{} // holds a token while a change of the ensemble is pending
 
 	mu             sync.Mutex
-	wantedEnsemble Ensemble           // guarded by mu
-	closeConn      context.CancelFunc // ends the connection that is open; guarded by mu
+	wantedEnsemble Ensemble           // to watch from the next connection on; guarded by mu
+	closeConn      context.CancelFunc // closes the open connection; guarded by mu
 
 	state           sessionState
 	connectFailures connectFailures
 	nextAddress     int
-	endpointsByNode map[string]relay.Endpoint // by name
+	endpointsByNode map[string]relay.Endpoint // by the name of the node
 }
 
-// NewClient returns a client of a service.
+// NewClient returns a client that watches the endpoint list of e and passes it to requests.
 func NewClient(e Ensemble, requests *relay.RequestTable, log zerolog.Logger) *Client {
 	e = e.normalized()
 	return &Client{
@@ -65,9 +66,9 @@
 	}
 }
 
-// SetEnsemble follows another service, or another path, at once. The connection that is open is closed, and
-// the decision module is not notified of it: nothing has failed, and the servers known stay until the new
-// endpoint list is there.
+// SetEnsemble changes the ensemble or the path at once. The open connection is closed, and the decision
+// module is not notified of that: nothing has failed, and the current endpoint list stays valid until the new
+// one has been read.
 func (c *Client) SetEnsemble(e Ensemble) {
 	e = e.normalized()
 	c.mu.Lock()
@@ -85,7 +86,8 @@
 	}
 }
 
-// beginConnection takes up the wanted service. Another one knows nothing of the session that there was.
+// beginConnection switches to the wanted ensemble and returns the context of the next connection. If the
+// ensemble has changed, the session is discarded, as another ensemble does not know it.
 func (c *Client) beginConnection(ctx context.Context) context.Context {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,32 +104,33 @@
 	return ctx
 }
 
-// recordConnectionEnd notes why a connection, or an attempt at one, has ended. Where the session has expired,
-// or is refused, the next one begins a new session. After errExpired it is to have heard of all changes that
-// the client has seen, so that the list goes back to no older one.
+// recordConnectionEnd records why a connection, or an attempt to connect, has ended. If the session has
+// expired or has been refused for its whole time-out, the next connection begins a new session. After
+// errExpired lastZxid is kept, so that only a replica with all changes that the client has seen accepts the
+// new session, and the endpoint list does not go back to an older one.
 func (c *Client) recordConnectionEnd(err error, now time.Duration) {
 	switch {
 	case errors.Is(err, errExpired):
 		c.state.sessionID, c.state.password = 0, nil
 		c.connectFailures = connectFailures{}
-	case c.connectFailures.recordFailure(err, now, len(c.Addresses), c.SessionTimeout):
+	case c.connectFailures.record(err, now, len(c.Addresses), c.SessionTimeout):
 		c.state = sessionState{}
 		c.connectFailures = connectFailures{}
 	}
 }
 
-// Watch asks for the endpoint list and for changes from now on.
+// Watch requests the endpoint list and its changes. It does not block.
 func (c *Client) Watch() {
 	select {
 	case c.watchWanted <- struct{}{}:
-	default: // one is waiting already
+	default: // a request is pending already
 	}
 }
 
-// Fetch asks for the complete endpoint list: a watch begins with it.
+// Fetch requests the complete endpoint list, by a watch, which begins with it.
 func (c *Client) Fetch() { c.Watch() }
 
-// Run follows the path whenever a watch is asked for, until the context ends.
+// Run opens a watch whenever one is requested, until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	for {
 		select {
@@ -144,12 +147,12 @@
 		if len(c.ensembleChanged) > 0 {
 			continue
 		}
-		select { // what was asked for meanwhile is answered by this end too
+		select { // a watch requested meanwhile is answered by this end too
 		case <-c.watchWanted:
 		default:
 		}
 		c.recordConnectionEnd(err, c.Requests.Clock.Now())
-		c.Log.Info().Err(err).Msg("endpoint watch ended; polling with backoff")
+		c.Log.Info().Err(err).Msg("watch of the endpoint list ended, polling with backoff")
 		c.Requests.UpdateEndpoints(decide.WatchFailed, nil)
 	}
 }
--- a/internal/wire/zookeeper/client_test.go
+++ b/internal/wire/zookeeper/client_test.go
@@ -11,7 +11,8 @@
 	"capersail/internal/testing/fake"
 )
 
-// startClient follows a service's path, and asks for a watch again whenever there is none.
+// startClient starts a Client on the path /a of zk that requests a watch every 10 ms, and returns its request
+// table.
 func startClient(t *testing.T, zk *fake.ZooKeeper) *relay.RequestTable {
 	t.Helper()
 	requests := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
@@ -27,18 +28,19 @@
 	return requests
 }
 
-// awaitReady waits until a server is ready by the endpoint list.
+// awaitReady waits until the endpoint list says that a server is ready.
 func awaitReady(t *testing.T, requests *relay.RequestTable, id string) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !requests.ServerReady(id); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%s is not ready within 10 s", id)
+			t.Fatalf("server %s is not ready after 10 s, want ready", id)
 		}
 	}
 }
 
-// A client whose session has expired begins another at a service that has lost the changes it has seen.
-// Guards against an endpoint list that is never read again, as every replica refuses the client.
+// A client whose session has expired begins a new session at a service that has lost changes that the client
+// has seen. Guards against a client that every replica refuses forever, so that it never reads the endpoint
+// list again.
 func TestClientBeginsAnewWhereEveryReplicaIsBehind(t *testing.T) {
 	zk, err := fake.NewZooKeeper("/a")
 	if err != nil {
@@ -52,22 +54,23 @@
 	zk.SetBehind(1)
 	zk.ExpireSessions()
 	zk.SetNode("n2", node)
-	zk.SetBehind(2) // also of what has come since
+	zk.SetBehind(2) // also behind the change made since
 	awaitReady(t, requests, "n2")
 }
 
-// A client asks for all changes that it has seen until every address has been asked for a session's time, and
-// one has refused. Guards against an endpoint list that goes back to an older one.
+// A client keeps lastZxid, and so accepts only replicas with all changes that it has seen, until all
+// addresses have been tried for the session time-out and one has refused. Guards against an endpoint list
+// that goes back to an older one.
 func TestClientKeepsLastZxidUntilRefused(t *testing.T) {
 	refused, unreachable := &refusedError{errors.New("EOF")}, errors.New("dial: connection refused")
 	const timeout = time.Second
 	for name, c := range map[string]struct {
-		ends   []error // one each half of timeout
-		begins bool    // a session without the changes seen is begun
+		ends   []error // one for each half of timeout
+		begins bool    // a new session without lastZxid is begun
 	}{
 		"expired":                 {[]error{errExpired}, false},
-		"nobody is there":         {[]error{unreachable, unreachable, unreachable, unreachable}, false},
-		"refused too short":       {[]error{refused, refused}, false},
+		"never reachable":         {[]error{unreachable, unreachable, unreachable, unreachable}, false},
+		"refused too briefly":     {[]error{refused, refused}, false},
 		"refused":                 {[]error{refused, refused, refused}, true},
 		"refused by one of two":   {[]error{unreachable, refused, unreachable}, true},
 		"expired and refused":     {[]error{errExpired, refused, refused, refused}, true},
@@ -84,7 +87,7 @@
 			client.recordConnectionEnd(end, time.Duration(i)*timeout/2)
 		}
 		if begins := client.state.lastZxid == 0; begins != c.begins {
-			t.Errorf("%s: begins anew %v", name, begins)
+			t.Errorf("%s: lastZxid was given up: %v, want the opposite", name, begins)
 		}
 	}
 }
--- a/internal/wire/zookeeper/codec.go
+++ b/internal/wire/zookeeper/codec.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// errTruncated says that a frame ended before its fields did.
+// errTruncated is the error of a frame that is shorter than its fields.
 var errTruncated = errors.New("frame truncated")
 
 // The operations of ZooKeeper's client protocol that are used here.
@@ -21,38 +21,38 @@
 	opCheck       = 13
 	opMulti       = 14
 	opClose       = -11
-	opMultiError  = -1 // of a result, and of the header that ends a transaction
+	opMultiError  = -1 // type of an error result, and of the header that ends a transaction
 )
 
-// The xids of what is no answer to a numbered request.
+// The xids of frames that do not answer a numbered request.
 const (
 	xidEvent = -1
 	xidPing  = -2
 )
 
-// The protocol's error codes.
+// The error codes of the protocol.
 const (
 	codeNoNode               = -101
 	codeBadVersion           = -103
 	codeNodeExists           = -110
 	codeNotEmpty             = -111
-	codeRuntimeInconsistency = -2 // of the steps of a transaction that were not come to
+	codeRuntimeInconsistency = -2 // result of the steps of a transaction after the one that failed
 )
 
-// The states and kinds of events.
+// The session state and the types of events.
 const (
 	stateExpired     = -112
 	eventNodeDeleted = 2
 	eventDataChanged = 3
 )
 
-// maxFrameBytes is the longest frame that is read.
+// maxFrameBytes is the maximum length of a frame that is read.
 const maxFrameBytes = 4 << 20
 
 // requestHeaderBytes is the length of an xid and an operation.
 const requestHeaderBytes = 8
 
-// encoder writes fields one after the other.
+// encoder appends encoded fields to a frame.
 type encoder []byte
 
 func (b encoder) i32(x int32) encoder    { return binary.BigEndian.AppendUint32(b, uint32(x)) }
@@ -66,15 +66,17 @@
 	return append(b, 0)
 }
 
-// decoder takes fields apart. After the first that is truncated, all are zero.
+// decoder reads the fields of a frame. After the first truncated field all fields are read as zero.
 type decoder struct {
 	rest      []byte
 	truncated bool
 }
 
-// maxFixedFieldBytes is the most that callers take of a field without looking at truncated first.
+// maxFixedFieldBytes is the length of the longest fixed-length field. take returns so many bytes even if the
+// frame is truncated, as callers index its result before they check truncated.
 const maxFixedFieldBytes = 8
 
+// take returns the next n bytes, or zero bytes if the frame is truncated.
 func (d *decoder) take(n int) []byte {
 	if n < 0 || n > len(d.rest) {
 		d.truncated, d.rest = true, nil
--- a/internal/wire/zookeeper/conn.go
+++ b/internal/wire/zookeeper/conn.go
@@ -14,17 +14,17 @@
 	"capersail/internal/wire/splice"
 )
 
-// errExpired says that the service has forgotten the session, and with it every watch.
+// errExpired says that the session has expired at the service, and with it every watch and ephemeral node.
 var errExpired = errors.New("session expired")
 
-// conn is one connection of a session.
+// conn is a connection of a session.
 type conn struct {
 	net.Conn
 	buffered *bufio.Reader
 	clock    *relay.Clock
 }
 
-// dialConn connects, and closes the connection when the context ends.
+// dialConn connects to address. The connection is closed when the context ends.
 func dialConn(
 	ctx context.Context, address string, timeout time.Duration, clock *relay.Clock, bufferBytes int,
 ) (*conn, error) {
@@ -36,15 +36,16 @@
 	return &conn{Conn: raw, buffered: bufio.NewReaderSize(raw, bufferBytes), clock: clock}, nil
 }
 
-// writeFrame writes one frame. Its error is the connection's.
+// writeFrame writes b as one frame. Errors of the connection are returned unchanged.
 func (n *conn) writeFrame(b encoder, timeout time.Duration) error {
 	n.SetWriteDeadline(n.clock.WallDeadline(n.clock.Now() + timeout))
 	_, err := n.Write(append(encoder{}.i32(int32(len(b))), b...))
 	return err
 }
 
-// readFrame reads one frame, until an instant of the clock. A read that a deadline cuts short before its
-// first byte loses nothing. Its errors are the connection's, and that of a frame of no sensible length.
+// readFrame reads one frame; until is the deadline on the clock. If the deadline passes before the frame's
+// length has been received, no data is lost and the call can be repeated. Errors of the connection are
+// returned unchanged; a frame with an invalid length is an error too.
 func (n *conn) readFrame(until time.Duration) ([]byte, error) {
 	const lengthBytes = 4
 	n.SetReadDeadline(n.clock.WallDeadline(until))
@@ -54,7 +55,7 @@
 	}
 	size := int32(binary.BigEndian.Uint32(head))
 	if size < 0 || size > maxFrameBytes {
-		return nil, fmt.Errorf("frame of %d bytes", size)
+		return nil, fmt.Errorf("invalid frame length of %d bytes", size)
 	}
 	n.buffered.Discard(lengthBytes)
 	p := make([]byte, size)
@@ -63,22 +64,24 @@
 }
 
 const (
-	// handshakeDivisor: a session's time-out divided by it is how long each part of a handshake may take.
+	// The session time-out divided by handshakeDivisor bounds the write of a connect request and the wait for
+	// its response.
 	handshakeDivisor = 3
 	passwordBytes    = 16
 	protocolVersion  = 0
 )
 
-// sessionState is what either side says of a session when a connection begins.
+// sessionState is the state of a session that the connect request and its response contain.
 type sessionState struct {
 	sessionID int64 // 0 for a new session
 	password  []byte
-	lastZxid  int64
-	timeout   time.Duration // wanted, then granted; whole milliseconds on the wire
+	lastZxid  int64         // of the newest change that this client has seen
+	timeout   time.Duration // requested, then granted; whole milliseconds on the wire
 }
 
-// handshake begins or takes up a session on a new connection, and returns it as it was granted. Its errors
-// are errExpired, if the service knows the session no more, a refusedError, and the connection's.
+// handshake begins or resumes a session on a new connection, and returns the state that the service has
+// granted. It fails with errExpired if the session has expired, with a refusedError if the service closes the
+// connection without a response, and with errors of the connection.
 func (n *conn) handshake(state sessionState) (sessionState, error) {
 	if state.password == nil {
 		state.password = make([]byte, passwordBytes)
@@ -92,17 +95,17 @@
 		bytes(state.password).
 		flag(false)
 	if err := n.writeFrame(request, timeout); err != nil {
-		return state, fmt.Errorf("connect request: %w", err)
+		return state, fmt.Errorf("write connect request: %w", err)
 	}
 	p, err := n.readFrame(n.clock.Now() + timeout)
 	switch {
 	case splice.TimedOut(err):
-		return state, fmt.Errorf("connect response: %w", err)
+		return state, fmt.Errorf("read connect response: %w", err)
 	case err != nil:
 		return state, &refusedError{err}
 	}
 	d := &decoder{rest: p}
-	d.i32() // the version
+	d.i32() // the protocol version
 	granted := d.i32()
 	id := d.i64()
 	password := d.bytes()
--- a/internal/wire/zookeeper/nodes.go
+++ b/internal/wire/zookeeper/nodes.go
@@ -11,7 +11,8 @@
 	"capersail/internal/relay"
 )
 
-// handleEvent asks again for what a watch says has changed; a watch fires once, and asking sets it again.
+// handleEvent requests again the data that has changed by a watch event. A watch fires once, and the request
+// sets it again.
 func (c *Client) handleEvent(n *watchConn, kind int32, path string) (err error) {
 	name := strings.TrimPrefix(path, c.Path+"/")
 	switch {
@@ -27,19 +28,21 @@
 	return err
 }
 
+// fetchNode requests the data of a node, with a watch.
 func (c *Client) fetchNode(n *watchConn, name string) error {
 	xid, err := n.sendWatch(opGetData, c.Path+"/"+name)
 	n.nodeByXid[xid] = name
 	return err
 }
 
-// handleChildren compares the children with those known. On a new connection all data is read again.
+// handleChildren handles the list of children: it removes nodes that are gone and requests the data of new
+// ones. On a new connection the data of all nodes is requested.
 func (c *Client) handleChildren(n *watchConn, d *decoder, code int32) error {
 	present, err := readChildren(d, code)
 	if err != nil {
 		return err
 	}
-	if n.snapshotDue { // who is not there any more is missing from the snapshot published below
+	if n.snapshotDue { // nodes that are gone are left out of the snapshot published below
 		c.endpointsByNode = map[string]relay.Endpoint{}
 	}
 	for name := range c.endpointsByNode {
@@ -63,7 +66,8 @@
 	return err
 }
 
-// publishSnapshot publishes the complete endpoint list once all data of a new connection is there.
+// publishSnapshot publishes the complete endpoint list once the data of all nodes has been read on a new
+// connection.
 func (c *Client) publishSnapshot(n *watchConn) {
 	if !n.snapshotDue || len(n.nodeByXid) > 0 {
 		return
@@ -76,7 +80,8 @@
 	c.Requests.UpdateEndpoints(decide.Snapshot, list)
 }
 
-// removeNode publishes that a node is gone. An ephemeral node vanishes with its server's session.
+// removeNode publishes that a node is gone, with the state Removed. An ephemeral node is deleted when the
+// session of its server ends.
 func (c *Client) removeNode(name string) {
 	endpoint, known := c.endpointsByNode[name]
 	if !known {
@@ -87,7 +92,8 @@
 	c.Requests.UpdateEndpoints(decide.Delta, []relay.Endpoint{endpoint})
 }
 
-// handleNodeData takes one node's data. A server whose data makes no sense is not used.
+// handleNodeData handles the data of a node. A server whose data is malformed is removed from the endpoint
+// list.
 func (c *Client) handleNodeData(n *watchConn, name string, d *decoder, code int32) {
 	defer c.publishSnapshot(n)
 	if code == codeNoNode {
@@ -100,7 +106,7 @@
 			Err(err).
 			Int32("code", code).
 			Str("node", name).
-			Msg("malformed endpoint node; server not used until its node is rewritten")
+			Msg("malformed endpoint node, server not used until its node is rewritten: check the server")
 		c.removeNode(name)
 		return
 	}
@@ -110,14 +116,14 @@
 	}
 }
 
-// unknownLoad stands for a load that a node does not state.
+// unknownLoad is the load of an endpoint whose node does not state one.
 const unknownLoad = -1
 
-// parseNode reads a node's JSON.
+// parseNode parses the JSON of a node.
 func parseNode(name string, data []byte) (relay.Endpoint, error) {
 	v, err := fastjson.ParseBytes(data)
 	if err != nil {
-		return relay.Endpoint{}, fmt.Errorf("data: %w", err)
+		return relay.Endpoint{}, fmt.Errorf("parse JSON: %w", err)
 	}
 	endpoint := relay.Endpoint{
 		ID:        name,
@@ -136,7 +142,7 @@
 	case "Terminating":
 		endpoint.State = decide.Draining
 	default:
-		return endpoint, fmt.Errorf("lifecycle %q", state)
+		return endpoint, fmt.Errorf("unknown lifecycle %q", state)
 	}
 	if _, _, err := net.SplitHostPort(endpoint.Address); err != nil {
 		return endpoint, fmt.Errorf("address: %w", err)
--- a/internal/wire/zookeeper/refusals.go
+++ b/internal/wire/zookeeper/refusals.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// refusedError says that the service has ended the connection in place of an answer to the handshake, as one
-// does that has not heard of all the changes that the client has seen.
+// refusedError says that the service has closed the connection instead of answering the connect request. A
+// replica does so if it has not received all changes that the client has seen.
 type refusedError struct{ err error }
 
-func (e *refusedError) Error() string { return fmt.Sprintf("connect response: %v", e.err) }
+func (e *refusedError) Error() string { return fmt.Sprintf("connect request refused: %v", e.err) }
 
 func (e *refusedError) Unwrap() error { return e.err }
 
-// connectFailures are what has become of the attempts to connect since the last connection.
+// connectFailures counts the failed attempts to connect since the last connection.
 type connectFailures struct {
-	firstAt    time.Duration // of the first
+	firstAt    time.Duration // time of the first failure
 	attempts   int
-	anyRefused bool // of them, at least one was refused
+	anyRefused bool // at least one attempt ended with a refusedError
 }
 
-// recordFailure notes why an attempt has failed, and tells whether a session without the changes that the
-// client has seen has to do: all addresses have been asked for a session's time, so that the session is over,
-// at least one has refused, and no one has accepted. The service may have been restored from a copy.
-func (r *connectFailures) recordFailure(err error, now time.Duration, addresses int, timeout time.Duration) bool {
+// record records why an attempt to connect has failed, and reports whether the session and the changes
+// that the client has seen must be given up. They must if all addresses have been tried for the session
+// time-out, so that the session has expired, at least one has refused, and none has accepted. The service may
+// have been restored from a backup.
+func (r *connectFailures) record(err error, now time.Duration, addresses int, timeout time.Duration) bool {
 	if r.attempts == 0 {
 		r.firstAt = now
 	}
--- a/internal/wire/zookeeper/requests.go
+++ b/internal/wire/zookeeper/requests.go
@@ -1,65 +1,67 @@
 package zookeeper
 
-// Each request is answered by a call of done, once: with the service's code, or ConnectionLoss.
+// Each request below calls done exactly once: with the code of the service, or with ConnectionLoss.
 
-// Get reads a node's data.
+// Get reads the data and the metadata of a node.
 func (s *Session) Get(path string, done func(Answer)) {
 	s.enqueue(opGetData, encoder{}.bytes([]byte(path)).flag(false), done)
 }
 
-// Exists reads a node's state.
+// Exists reads the metadata of a node.
 func (s *Session) Exists(path string, done func(Answer)) {
 	s.enqueue(opExists, encoder{}.bytes([]byte(path)).flag(false), done)
 }
 
-// Sync makes what is read after it no older than the moment at which the service takes it.
+// Sync waits until the replica has received all changes that the service had committed when it processed the
+// request. Reads after it return no older state.
 func (s *Session) Sync(path string, done func(Answer)) {
 	s.enqueue(opSync, encoder{}.bytes([]byte(path)), done)
 }
 
-// Children lists a node's children.
+// Children lists the names of a node's children.
 func (s *Session) Children(path string, done func(Answer)) {
 	s.enqueue(opGetChildren, encoder{}.bytes([]byte(path)).flag(false), done)
 }
 
-// Create makes a node: exclusively, as every create is. An ephemeral one goes with the session.
+// Create creates a node, and fails with NodeExists if it exists. An ephemeral node is deleted when the
+// session ends.
 func (s *Session) Create(path string, data []byte, ephemeral bool, done func(Answer)) {
 	s.enqueue(opCreate, encodeCreate(path, data, ephemeral), done)
 }
 
-// Set writes a node's data if it has the version; -1 is any.
+// Set replaces the data of a node if the node has the version; -1 matches any version.
 func (s *Session) Set(path string, data []byte, version int32, done func(Answer)) {
 	s.enqueue(opSetData, encodeSet(path, data, version), done)
 }
 
-// Delete removes a node if it has the version; -1 is any.
+// Delete deletes a node if the node has the version; -1 matches any version.
 func (s *Session) Delete(path string, version int32, done func(Answer)) {
 	s.enqueue(opDelete, encoder{}.bytes([]byte(path)).i32(version), done)
 }
 
-// Step is one part of a transaction.
+// Step is an operation of a transaction.
 type Step struct {
 	op   int32
 	body encoder
 }
 
-// CreateStep is Create in a transaction.
+// CreateStep returns a Create as a step of a transaction.
 func CreateStep(path string, data []byte, ephemeral bool) Step {
 	return Step{opCreate, encodeCreate(path, data, ephemeral)}
 }
 
-// SetStep is Set in a transaction.
+// SetStep returns a Set as a step of a transaction.
 func SetStep(path string, data []byte, version int32) Step {
 	return Step{opSetData, encodeSet(path, data, version)}
 }
 
-// CheckStep fails a transaction unless the node has the version.
+// CheckStep returns a step that fails unless the node has the version.
 func CheckStep(path string, version int32) Step {
 	return Step{opCheck, encoder{}.bytes([]byte(path)).i32(version)}
 }
 
-// Multi does all steps or none. The answer's code is that of the first step that cannot be done, its Stat
-// that of the last SetStep.
+// Multi executes all steps atomically, or none if one of them fails. The answer has the code of the step that
+// failed, or the Stat of the last SetStep.
 func (s *Session) Multi(steps []Step, done func(Answer)) {
 	body := encoder{}
 	for _, step := range steps {
--- a/internal/wire/zookeeper/session.go
+++ b/internal/wire/zookeeper/session.go
@@ -13,65 +13,72 @@
 )
 
 const (
-	// A session's time-out divided by pingDivisor is how long it may go without a request. Ownership is
-	// trusted by what was answered last, so pings come more often than a session needs to live.
+	// The session time-out divided by pingDivisor is the interval between pings when nothing else is written.
+	// It is shorter than the session needs to stay alive, because a relay relies on its ownership only for a
+	// time after the last answer.
 	pingDivisor = 6
-	// Divided by silenceDivisor, how long a service may be silent before another address is tried.
+	// The session time-out divided by silenceDivisor is how long the service may send nothing before another
+	// address is tried.
 	silenceDivisor = 2
-	// Divided by dialDivisor and writeDivisor, how long a dial and a write may take.
+	// The session time-out divided by dialDivisor and writeDivisor bounds a dial and a write.
 	dialDivisor  = 6
 	writeDivisor = 3
-	// batchBytes of requests are written at once at most.
+	// batchBytes is the size from which a batch of requests is written without adding more to it.
 	batchBytes = 64 << 10
-	// minReconnectBackoff is the pause before the next address is tried. It doubles, each with jitter.
+	// minReconnectBackoff is the first pause before the next address is tried. Each pause doubles the last
+	// one, up to maxReconnectBackoff.
 	minReconnectBackoff = 50 * time.Millisecond
 	maxReconnectBackoff = time.Second
-	minReconnectJitter  = 0.5 // of a pause; the most is one more
+	// minReconnectJitter is the smallest factor by which a pause is multiplied; the largest is one more.
+	minReconnectJitter = 0.5
 )
 
-// Events is notified of what happens to a session, in order and from one goroutine, as answers are.
+// Events receives the events of a session. Its methods are called in order and by one goroutine, which also
+// calls the done functions of answered requests.
 type Events interface {
-	// Connected: a session, new or resumed, was granted its time-out by a request sent at sentAt.
+	// Connected is called when a session has been begun or resumed by a connect request sent at sentAt.
+	// granted is its time-out.
 	Connected(session int64, granted, sentAt time.Duration)
-	// Disconnected: every request without an answer has been answered ConnectionLoss.
+	// Disconnected is called when the connection has ended, after every request without an answer has failed
+	// with ConnectionLoss.
 	Disconnected()
-	// Expired: the service has forgotten the session.
+	// Expired is called when the session has expired or must be given up.
 	Expired()
-	// AnswerReceived: something sent at sentAt was answered.
+	// AnswerReceived is called when a request or ping sent at sentAt has been answered.
 	AnswerReceived(sentAt time.Duration)
 }
 
-// Session keeps one session with a service, over connections to any of its addresses. Requests are pipelined:
-// they are written together, without waiting for one another's answers, and answered in their order.
+// Session keeps one session with a service, over one connection at a time to any of its addresses. Requests
+// are pipelined: they are written in batches without waiting for answers, and answered in their order.
 type Session struct {
-	Timeout time.Duration // the session time-out to ask for
+	Timeout time.Duration // session time-out to request
 	Clock   *relay.Clock
 	Log     zerolog.Logger
 	Events  Events
 
 	closeOnce       sync.Once
-	writerWake      chan struct{}   // holds a token while there may be something to write
-	state           sessionState    // of Run alone
-	connectFailures connectFailures // the same
+	writerWake      chan struct{}   // holds a token while there may be requests to write
+	state           sessionState    // used only by Run
+	connectFailures connectFailures // used only by Run
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	addresses   []string
 	nextAddress int
-	closeConn   context.CancelFunc // ends the connection that is open
-	connected   bool               // requests are taken
+	closeConn   context.CancelFunc // closes the open connection
+	connected   bool               // requests are accepted
 	closing     bool
 	outstandingRequests
 }
 
-// outstandingRequests is what a connection owes answers to.
+// outstandingRequests are the requests and pings of a connection that have not been answered.
 type outstandingRequests struct {
 	unsent      []request
-	pending     []request       // written, without an answer, the oldest first
-	pingsSentAt []time.Duration // of those without an answer, the oldest first
+	pending     []request       // written and not answered, oldest first
+	pingsSentAt []time.Duration // of the pings not answered, oldest first
 	lastXid     int32
 }
 
-// request is one request, encoded but for its xid.
+// request is a request whose body is encoded. Its xid is assigned when it is written.
 type request struct {
 	op     int32
 	body   encoder
@@ -80,7 +87,7 @@
 	done   func(Answer)
 }
 
-// NewSession returns a session that Run begins.
+// NewSession returns a Session, which is begun by Run.
 func NewSession(
 	addresses []string, timeout time.Duration, clock *relay.Clock, events Events, log zerolog.Logger,
 ) *Session {
@@ -95,8 +102,8 @@
 	}
 }
 
-// SetAddresses follows another list of addresses. The connection that is open is closed; the session goes on
-// if the addresses are the same service's.
+// SetAddresses changes the addresses of the service. The open connection is closed. The session is resumed if
+// the new addresses belong to the same service.
 func (s *Session) SetAddresses(addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,8 +113,8 @@
 	}
 }
 
-// enqueue queues a request; done is called once, with ConnectionLoss where there is no answer. It never
-// blocks.
+// enqueue queues a request and does not block. done is called exactly once, with ConnectionLoss if there is
+// no answer.
 func (s *Session) enqueue(op int32, body encoder, done func(Answer)) {
 	s.mu.Lock()
 	if !s.connected || s.closing && op != opClose {
@@ -127,9 +134,9 @@
 	}
 }
 
-// Close ends the session at the service, and with it its ephemeral nodes, and waits for that no longer than a
-// timeout. Without it they stay until the session's time-out. Whoever calls it beside or after the first
-// waits no longer than that.
+// Close ends the session at the service, which deletes its ephemeral nodes, and waits for that at most for
+// the time-out. Without Close the nodes remain until the session expires. Concurrent calls return together
+// with the first one, later calls at once.
 func (s *Session) Close(timeout time.Duration) {
 	s.closeOnce.Do(func() { s.close(timeout) })
 }
@@ -146,7 +153,7 @@
 	}
 }
 
-// Run keeps the session until the context ends, or Close has ended it.
+// Run keeps the session until the context ends or Close is called.
 func (s *Session) Run(ctx context.Context) {
 	for pause := minReconnectBackoff; ctx.Err() == nil; {
 		startedAt := s.Clock.Now()
@@ -155,7 +162,7 @@
 		s.mu.Lock()
 		closing, addresses := s.closing, len(s.addresses)
 		s.mu.Unlock()
-		refused := s.connectFailures.recordFailure(err, s.Clock.Now(), addresses, s.Timeout)
+		refused := s.connectFailures.record(err, s.Clock.Now(), addresses, s.Timeout)
 		if refused || errors.Is(err, errExpired) {
 			s.state = sessionState{}
 			s.connectFailures = connectFailures{}
@@ -164,7 +171,8 @@
 		if ctx.Err() != nil || closing {
 			return
 		}
-		s.Log.Warn().Err(err).Msg("ownership service connection ended")
+		s.Log.Warn().Err(err).
+			Msg("connection to the ownership service ended, reconnecting: check the service if this repeats")
 		if s.Clock.Now()-startedAt > maxReconnectBackoff || errors.Is(err, errExpired) {
 			pause = minReconnectBackoff
 		}
@@ -177,7 +185,7 @@
 	}
 }
 
-// failOutstanding answers everything that has no answer with ConnectionLoss.
+// failOutstanding ends all requests that have not been answered with ConnectionLoss.
 func (s *Session) failOutstanding() {
 	s.mu.Lock()
 	wasConnected := s.connected
--- a/internal/wire/zookeeper/session_conn.go
+++ b/internal/wire/zookeeper/session_conn.go
@@ -8,17 +8,17 @@
 )
 
 var (
-	errNoAddress      = errors.New("no address of the service")
+	errNoAddress      = errors.New("no address of the ownership service is configured")
 	errSessionClosed  = errors.New("session closed")
-	errUnexpectedPing = errors.New("answer to a ping that was not sent")
+	errUnexpectedPing = errors.New("answer to a ping without an outstanding ping")
 )
 
-// xidError says that an answer came that no request is due for.
+// xidError says that an answer does not have the xid of the oldest outstanding request.
 type xidError struct{ xid int32 }
 
 func (e *xidError) Error() string { return fmt.Sprintf("answer to request %d out of order", e.xid) }
 
-// runConnection holds one connection to its end, and returns why it ended.
+// runConnection opens a connection, uses it until it ends, and returns why it ended.
 func (s *Session) runConnection(ctx context.Context) error {
 	s.mu.Lock()
 	ctx, s.closeConn = context.WithCancel(ctx)
@@ -61,8 +61,8 @@
 	return err
 }
 
-// writeLoop writes what is queued, all of it together, and a ping when nothing was written for an interval.
-// It ends with the context, or with the connection's error.
+// writeLoop writes queued requests in batches, and a ping when nothing has been written for pingInterval. It
+// returns nil when the context ends, or the error of the connection.
 func (s *Session) writeLoop(ctx context.Context, n *conn, pingInterval time.Duration) error {
 	lastWriteAt := s.Clock.Now()
 	for {
@@ -87,8 +87,8 @@
 	}
 }
 
-// takeBatch moves queued requests to those that wait for their answers. It returns them encoded, or a ping if
-// there are none and it is due, and whether more are queued.
+// takeBatch moves queued requests to the pending ones and returns them encoded. If there are none and a ping
+// is due, it returns a ping. more reports whether requests are still queued.
 func (s *Session) takeBatch(pingDueAt time.Duration) (batch encoder, now time.Duration, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 	return batch, now, len(s.unsent) > 0
 }
 
-// readLoop takes answers and events until the connection ends, and returns why.
+// readLoop handles answers and events until the connection ends, and returns why it ended.
 func (s *Session) readLoop(n *conn) error {
 	for {
 		p, err := n.readFrame(s.Clock.Now() + s.state.timeout/silenceDivisor)
@@ -123,7 +123,7 @@
 	}
 }
 
-// handleFrame takes one frame: an event, or the answer to a ping or a request.
+// handleFrame handles a frame: an event, or the answer to a ping or a request.
 func (s *Session) handleFrame(d *decoder) error {
 	xid, zxid, code := d.i32(), d.i64(), Code(d.i32())
 	if zxid > 0 {
@@ -133,7 +133,7 @@
 	case d.truncated:
 		return errTruncated
 	case xid == xidEvent:
-		d.i32() // the kind
+		d.i32() // the event type
 		if d.i32() == stateExpired {
 			return errExpired
 		}
@@ -164,7 +164,7 @@
 		return &xidError{xid}
 	}
 	r := s.pending[0]
-	s.pending[0] = request{} // so that its body can be freed
+	s.pending[0] = request{} // allows its body to be garbage-collected
 	s.pending = s.pending[1:]
 	s.mu.Unlock()
 	s.Events.AnswerReceived(r.sentAt)
--- a/internal/wire/zookeeper/watch.go
+++ b/internal/wire/zookeeper/watch.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// watchDivisor: a session's time-out divided by it bounds a watch's dials and writes, and is the time
-	// between two pings.
+	// The session time-out divided by watchDivisor bounds the dial and the writes of a watch, and is the
+	// interval between its pings.
 	watchDivisor = 3
-	// watchSilenceParts: a service that is silent for so many parts of the time-out has lost the session.
+	// watchSilenceParts is how many of these parts of the session time-out the service may send nothing.
+	// After that the connection is given up, as the service may have lost the session.
 	watchSilenceParts = 2
-	// watchBufferBytes is how much of a watch's connection is read at once.
+	// watchBufferBytes is the size of the read buffer of a watch's connection.
 	watchBufferBytes = 4096
 )
 
-// watchConn is a connection of a Client, and what it has asked for on it.
+// watchConn is a connection of a Client, with the requests outstanding on it.
 type watchConn struct {
 	*conn
 	timeout         time.Duration // of the session
 	lastXid         int32
-	nodeByXid       map[int32]string // data asked for and not answered, by xid
-	childrenXid     int32            // xid of the children asked for, 0 if none
-	childrenChanged bool             // they have changed meanwhile
+	nodeByXid       map[int32]string // node names of the outstanding data requests, by xid
+	childrenXid     int32            // xid of the outstanding request for children, 0 if none
+	childrenChanged bool             // the children have changed since that request
 	snapshotDue     bool             // the complete list has not been published yet
 }
 
-// sendWatch sends a request for a path with its watch and returns the xid.
+// sendWatch sends a request that reads path and sets a watch on it. It returns the request's xid.
 func (n *watchConn) sendWatch(op int32, path string) (int32, error) {
 	n.lastXid++
 	request := encoder{}.i32(n.lastXid).i32(op).bytes([]byte(path)).flag(true)
@@ -40,7 +41,7 @@
 	return n.writeFrame(encoder{}.i32(xidPing).i32(opPing), n.timeout/watchDivisor)
 }
 
-// connect connects to the next address and begins or takes up the session.
+// connect connects to the next address and begins or resumes the session.
 func (c *Client) connect(ctx context.Context) (*watchConn, error) {
 	address := c.Addresses[c.nextAddress%len(c.Addresses)]
 	c.nextAddress++
@@ -65,8 +66,8 @@
 	}, nil
 }
 
-// watchPath holds one connection: it reads the complete list, then every change, and pings. It returns why
-// the connection ended.
+// watchPath opens a connection and reads the complete endpoint list and then every change, with pings, until
+// the connection ends. It returns why the connection ended.
 func (c *Client) watchPath(ctx context.Context) error {
 	n, err := c.connect(ctx)
 	if err != nil {
@@ -96,7 +97,7 @@
 	}
 }
 
-// handleFrame takes one frame: an event, or the answer to a request.
+// handleFrame handles a frame: an event, or the answer to a request.
 func (c *Client) handleFrame(n *watchConn, d *decoder) error {
 	xid, zxid, code := d.i32(), d.i64(), d.i32()
 	if zxid > 0 {
@@ -112,7 +113,7 @@
 		return c.handleEvent(n, kind, path)
 	case n.childrenXid:
 		if code != int32(OK) && code != codeNoNode {
-			return fmt.Errorf("children of %s: error %d", c.Path, code)
+			return fmt.Errorf("list children of %s: ZooKeeper error code %d", c.Path, code)
 		}
 		n.childrenXid = 0
 		return c.handleChildren(n, d, code)
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// readChildren reads the names of a path's children.
+// readChildren decodes the names of the children of a node. A node that does not exist has none.
 func readChildren(d *decoder, code int32) (map[string]bool, error) {
 	present := map[string]bool{}
 	if code != int32(OK) {
@@ -141,7 +142,7 @@
 		present[string(d.bytes())] = true
 	}
 	if d.truncated {
-		return nil, fmt.Errorf("list of children: %w", errTruncated)
+		return nil, fmt.Errorf("decode list of children: %w", errTruncated)
 	}
 	return present, nil
 }
