--- a/internal/resume/nodes.go
+++ b/internal/resume/nodes.go
@@ -55,7 +55,7 @@
 // replyOf converts an answer of the ownership service to a Reply for the Lease. A record that cannot be
 // decoded counts as ServiceError.
 func (s *Service) replyOf(q ownership.Request, node string, a zookeeper.Answer) ownership.Reply {
-	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.Owner}
+	r := ownership.Reply{RequestID: q.ID, Version: a.Stat.Version, OwnerSession: a.Stat.EphemeralOwner}
 	code, known := replyCodes[a.Code]
 	if !known {
 		s.Log.Warn().Int32("code", int32(a.Code)).Str("node", node).
@@ -110,8 +110,8 @@
 	s.enqueue(ownership.SessionExpired{})
 }
 
-// Answered notifies the Lease that the service has answered a message sent at sentAt.
-func (e *sessionEvents) Answered(sentAt time.Duration) {
+// AnswerReceived notifies the Lease that the service has answered a message sent at sentAt.
+func (e *sessionEvents) AnswerReceived(sentAt time.Duration) {
 	(*Service)(e).enqueue(ownership.SessionRenewed{SentAt: sentAt})
 }
 
--- /dev/null
+++ b/internal/wire/splice/conn.go
@@ -0,0 +1,180 @@
+// Package splice provides the TCP and TLS connections that the two sides of a request share. One goroutine
+// reads a connection, the goroutine of the request's other side writes to it and closes it, and the event
+// loop wakes its reader. The package is independent of the protocol on the connection.
+package splice
+
+import (
+	"crypto/tls"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"capersail/internal/relay"
+)
+
+// WriteTimeout bounds every write. A connection whose peer does not read for this long is closed.
+const WriteTimeout = time.Second
+
+const (
+	// lingerTimeout is how long a connection that was closed gracefully waits for its peer to close. Closing
+	// a socket with unread data makes the kernel send a reset, which can make the peer lose the last line
+	// written.
+	lingerTimeout = 500 * time.Millisecond
+	// lingerBytes bounds the data that is read and discarded during that time, as a client that sends at
+	// full speed costs processor time.
+	lingerBytes = 256 << 10
+)
+
+// Conn is one of the two connections of a request: the client's or the one to the server. Its methods may be
+// called concurrently, but only one goroutine may read. After Wake, reads return at once until ClearWake is
+// called. A write takes at most WriteTimeout. A closed Conn cannot be reopened.
+type Conn struct {
+	mu         sync.Mutex
+	NetConn    net.Conn // nil until the dial has succeeded
+	Clock      *relay.Clock
+	CancelDial func() // cancels the dial; nil if there is none
+	woken      bool
+	closed     bool
+	// closeNowSignal is closed by CloseNow. It is nil until closeNowChannel is first called.
+	closeNowSignal chan struct{}
+	closingNow     bool
+}
+
+// Attach sets the network connection after the dial. It reports whether the Conn has not been closed
+// meanwhile.
+func (c *Conn) Attach(conn net.Conn) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.NetConn = conn
+	return !c.closed
+}
+
+// SetReadDeadline sets the instant of the clock at which reads time out; 0 means never. It has no effect
+// between Wake and ClearWake, or on a closed Conn.
+func (c *Conn) SetReadDeadline(at time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch {
+	case c.woken || c.closed:
+	case at == 0:
+		c.NetConn.SetReadDeadline(time.Time{})
+	default:
+		c.NetConn.SetReadDeadline(c.Clock.WallDeadline(at))
+	}
+}
+
+// Closed reports whether Close was called, by the request's other side or because the attempt was cancelled.
+func (c *Conn) Closed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closed
+}
+
+// ClearWake lets reads block again after Wake.
+func (c *Conn) ClearWake() {
+	c.mu.Lock()
+	c.woken = false
+	c.mu.Unlock()
+}
+
+// Wake interrupts the goroutine that reads the connection, so that it checks the state of its request.
+func (c *Conn) Wake() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.woken = true
+	if c.NetConn != nil && !c.closed {
+		c.NetConn.SetReadDeadline(time.Unix(1, 0))
+	}
+}
+
+// CloseNow makes the goroutine that reads the connection close it immediately, without waiting for the peer
+// to close.
+func (c *Conn) CloseNow() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closingNow {
+		return
+	}
+	c.woken, c.closingNow = true, true
+	close(c.closeNowChannel())
+	if c.NetConn != nil {
+		c.NetConn.SetDeadline(time.Unix(1, 0))
+	}
+}
+
+// ClosingNow reports whether CloseNow was called.
+func (c *Conn) ClosingNow() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closingNow
+}
+
+// closeNowChannel returns the channel that CloseNow closes. The caller must hold mu.
+func (c *Conn) closeNowChannel() chan struct{} {
+	if c.closeNowSignal == nil {
+		c.closeNowSignal = make(chan struct{})
+	}
+	return c.closeNowSignal
+}
+
+// Forward writes p to the connection. It returns the error of the network connection unchanged.
+func (c *Conn) Forward(p []byte) error {
+	c.NetConn.SetWriteDeadline(c.Clock.WallDeadline(c.Clock.Now() + WriteTimeout))
+	_, err := c.NetConn.Write(p)
+	return err
+}
+
+// Close closes the connection: gracefully, with a bounded wait for the peer to close, or with a reset. It is
+// idempotent. After a graceful close the goroutine that reads the connection must release the descriptor.
+func (c *Conn) Close(how relay.CloseKind) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return
+	}
+	c.closed = true
+	if c.CancelDial != nil {
+		c.CancelDial()
+	}
+	half, ok := c.NetConn.(interface{ CloseWrite() error }) // implemented by TCP and TLS connections
+	switch {
+	case c.NetConn == nil:
+	case ok && how == relay.GracefulClose:
+		half.CloseWrite()
+		if !c.closingNow {
+			c.NetConn.SetReadDeadline(c.Clock.WallDeadline(c.Clock.Now() + lingerTimeout))
+		}
+	default:
+		raw := c.NetConn
+		if t, ok := raw.(*tls.Conn); ok {
+			raw = t.NetConn()
+		}
+		if tcp, ok := raw.(*net.TCPConn); ok {
+			tcp.SetLinger(0)
+		}
+		raw.Close()
+	}
+}
+
+// CloseAndDiscard closes the connection gracefully, discards incoming data until the peer closes,
+// lingerTimeout has passed or CloseNow is called, and releases the descriptor. After lingerBytes it stops
+// reading but still waits, so that a peer that sends on into full buffers can read the last line before the
+// close.
+func (c *Conn) CloseAndDiscard() {
+	began := c.Clock.Now()
+	c.Close(relay.GracefulClose)
+	if n, err := io.Copy(io.Discard, io.LimitReader(c.NetConn, lingerBytes)); n == lingerBytes && err == nil {
+		c.mu.Lock()
+		closeNow := c.closeNowChannel()
+		c.mu.Unlock()
+		select {
+		case <-c.Clock.After(began + lingerTimeout - c.Clock.Now()):
+		case <-closeNow:
+		}
+	}
+	if c.ClosingNow() { // a close with unread data would send a reset: see lingerTimeout
+		c.ReadPending()
+	}
+	c.NetConn.Close()
+}
