--- a/internal/fleet/membership/federation_faults_test.go
+++ b/internal/fleet/membership/federation_faults_test.go
@@ -11,13 +11,15 @@
 	"capersail/internal/fleet/duration"
 )
 
-// randomNextPlan is a plan that may follow: cells merge, one splits, weights and the home share change.
+// randomNextPlan returns a plan that may follow the newest: cells merge, a cell splits, the relays per cell
+// and the home share change.
 func (f *federation) randomNextPlan() cellplan.Plan {
 	next := cellplan.Plan{Number: f.plan.Number + 1, HomeShare: 0.5 + 0.5*f.rng.Float64()}
 	live := []int{}
 	for _, c := range f.plan.Cells {
 		if c.Relays == 0 {
-			// only then may it be left out: a cell that is bootstrapped by the next plan couldn't know of it
+			// Until the newest plan is activated somewhere, this cell stays in the plan with no relays: a
+			// cell that is bootstrapped by the next plan could not know of it.
 			if !f.anyActivated() {
 				next.Cells = append(next.Cells, c)
 			}
@@ -48,7 +50,7 @@
 	return next
 }
 
-// playCells plays one schedule of faults and plans.
+// playCells plays one random schedule of faults and plans.
 func playCells(regions, zones, relays int, flat bool, seed uint64, steps int,
 	change func(*Node)) *federation {
 	f := newFederation(seed, change)
@@ -80,27 +82,27 @@
 	i := f.rng.IntN(len(c.relays))
 	switch x := f.rng.IntN(16); {
 	case x < 2: // the operators write a plan, and some relays get it at once
-		// a cell whose first view is by plan 2 waits for one that has come from plan 1
+		// A cell whose first view is by plan 2 waits for a cell that has joined it from plan 1.
 		if f.plan.Number == 1 && !f.allBootstrapped() {
 			return
 		}
 		f.publishPlan(f.randomNextPlan())
 		f.distributePlan(0.5)
 		f.newCells(relays)
-	case x < 6: // more get it
+	case x < 6: // more relays get the newest plan
 		f.distributePlan(0.7)
 		f.newCells(relays)
 	case x < 11:
 		f.injectRelayFault(c, i, x-6)
-	case x == 11: // a relay gets nothing of the next view
+	case x == 11: // a relay does not receive the next view
 		f.drainAndBlockInbound(c, i)
 	default:
 		f.injectNetworkFault(c, x-12)
 	}
 }
 
-// drainAndBlockInbound lets a relay drain and come back, so that the shares of the others in its cell shrink, and
-// one of them get nothing of that until all leases have run out.
+// drainAndBlockInbound drains a relay and lets it serve again, so that the shares of the other relays in its
+// cell shrink. One of these gets no packets from the new view on until all leases have expired.
 func (f *federation) drainAndBlockInbound(c *simulatedCell, i int) {
 	c.handle(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
 	f.run(duration.Millis(EarlierViewsExpireAfter) + 5000*f.rng.Float64())
@@ -118,11 +120,11 @@
 	switch kind {
 	case 0:
 		c.kill(i)
-	case 1, 2: // back, by the same program, an older or the newest
+	case 1, 2: // a restart with the same program, an older one or the newest
 		c.kill(i)
 		n.olderProgram = f.rng.IntN(3) == 0 && c.mayRunOlderProgram(i)
 		c.start(i)
-	case 3: // a relay that doesn't vote comes back with an old disk
+	case 3: // a relay that does not vote restarts with an old record
 		if old, ok := c.staleRecord(i); ok {
 			c.kill(i)
 			n.savedRecord = old
@@ -137,13 +139,13 @@
 
 func (f *federation) injectNetworkFault(c *simulatedCell, kind int) {
 	switch kind {
-	case 0: // relays that were stopped go on
+	case 0: // paused relays resume
 		for j, n := range c.relays {
 			if n.running && n.paused {
 				c.resume(j)
 			}
 		}
-	case 1: // a cell's net is cut in two
+	case 1: // a cell's network is split in two
 		of := make([]bool, len(c.relays))
 		for j := range of {
 			of[j] = f.rng.IntN(2) == 0
@@ -153,7 +155,7 @@
 				c.partitioned[[2]int{a, b}] = of[a] != of[b]
 			}
 		}
-	case 2: // nothing reaches a region, or nothing comes out of it, or both
+	case 2: // a region loses its inbound or outbound claims, or both
 		way := f.rng.IntN(3)
 		for _, other := range f.cells {
 			if other.region != c.region {
@@ -172,9 +174,9 @@
 	}
 }
 
-// mayRunOlderProgram tells whether a relay may come back by a program from before cells: it is of a flat fleet that
-// holds no plan yet, and of its relays most run the newest. What is not promised where more go back,
-// docs/design/cells.md says.
+// mayRunOlderProgram reports whether a relay may restart with a program that knows no cells: it is of a flat
+// fleet that holds no plan yet, and most of the fleet's relays run the newest program. docs/design/cells.md
+// says what is not guaranteed if more relays go back.
 func (c *simulatedCell) mayRunOlderProgram(i int) bool {
 	newest := 0
 	for j, n := range c.relays {
@@ -189,8 +191,8 @@
 	return newest >= 3
 }
 
-// staleRecord is what a relay kept some time ago, if it has voted on nothing since. Of every relay a copy is
-// kept now and then.
+// staleRecord returns an earlier record of a relay, if the relay has voted on nothing since it was stored. A
+// copy of each relay's record is taken now and then.
 func (c *simulatedCell) staleRecord(i int) (Record, bool) {
 	n := c.relays[i]
 	if n.earlierRecord == nil || votesInAnyView(c.relays, n.cfg.Name) {
@@ -201,7 +203,7 @@
 	return *n.earlierRecord, true
 }
 
-// votesInAnyView tells whether a relay votes in a view that any relay holds, or has accepted one.
+// votesInAnyView reports whether a relay is a voter of a view that any relay holds or has accepted.
 func votesInAnyView(nodes []*simulatedRelay, name string) bool {
 	for _, n := range nodes {
 		for _, v := range []*View{n.savedRecord.View, n.savedRecord.AcceptedView} {
@@ -213,7 +215,7 @@
 	return false
 }
 
-// distributePlan tells some of the relays the newest plan.
+// distributePlan gives the newest plan to some of the relays.
 func (f *federation) distributePlan(part float64) {
 	for _, c := range f.cells {
 		if _, named := f.plan.Find(c.name); !named {
@@ -230,7 +232,8 @@
 	}
 }
 
-// seeds are those of a slice of the long schedules: CAPERSAIL_SEEDS=from-to, and how many there are.
+// seeds returns the first seed and the number of seeds to play: CAPERSAIL_SEEDS=from-to selects a range of
+// the long schedules.
 func seeds(t *testing.T, usual int) (from uint64, count int) {
 	text := os.Getenv("CAPERSAIL_SEEDS")
 	if text == "" {
@@ -238,16 +241,16 @@
 	}
 	var to uint64
 	if _, err := fmt.Sscanf(text, "%d-%d", &from, &to); err != nil || to < from {
-		t.Fatalf("CAPERSAIL_SEEDS=%q is not from-to", text)
+		t.Fatalf("CAPERSAIL_SEEDS is %q, want two numbers as in 0-100", text)
 	}
 	return from, int(to - from)
 }
 
-// playFewCells is a schedule of two to four cells of three or four relays.
+// playFewCells plays a schedule with two to four cells of three or four relays.
 func playFewCells(seed uint64, change func(*Node)) *federation {
 	regions := 1 + int(seed%2)
 	return playCells(regions, regions*(1+int(seed/2%2)), 3+int(seed/4%2), seed%3 == 0, seed, 24, change)
 }
 
-// playManyCells is a schedule of 17 cells in five regions.
+// playManyCells plays a schedule with 17 cells in five regions.
 func playManyCells(seed uint64) *federation { return playCells(5, 17, 3, seed%3 == 0, seed, 24, nil) }
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -11,22 +11,23 @@
 	"capersail/internal/testing/trace"
 )
 
-// federation is a fleet of several cells on one set clock. Each cell has its own net, as world has it;
-// between cells go only claims to have joined plans, late, doubled, out of order, or lost.
+// federation is a fleet of several cells on one simulated clock. Each cell has its own network, as in
+// simulatedFleet. Between cells only claims to have joined plans are sent. They may arrive late, twice, out
+// of order, or not at all.
 type federation struct {
 	rng              *rand.Rand
 	now              float64
 	seed             uint64
 	cells            []*simulatedCell
 	claims           []joinClaim
-	partitioned      map[[2]string]bool // from one region to another: no claims go
+	partitioned      map[[2]string]bool // no claims get from the first region to the second
 	plan             *cellplan.Plan     // the newest that the operators have written
 	plans            map[uint64]*cellplan.Plan
-	zones            []string // of all plans so far, and one where nobody stands
-	maxSum           uint64   // the greatest sum met in a zone
-	maxSumZone       string   // where
+	zones            []string // of all plans so far, and one that no cell is in
+	maxSum           uint64   // the greatest sum seen in any zone, in units of FullBudget
+	maxSumZone       string   // the zone with the greatest sum
 	withoutSafeguard func(*Node)
-	addedCells       int // cells so far, for their names
+	addedCells       int // by splits so far, for the names of the new cells
 	trace            *trace.Trace
 }
 
@@ -35,7 +36,7 @@
 	name, region string
 }
 
-// joinClaim is what a cell says of a plan that it has joined, on its way to one relay of another cell.
+// joinClaim is a cell's claim to have joined a plan, on its way to one relay of another cell.
 type joinClaim struct {
 	at           float64
 	from         string
@@ -45,7 +46,7 @@
 	bootstrapped bool // the cell was bootstrapped by the plan
 }
 
-// eventWithoutAllocation is an event as a program from before cells reads it.
+// eventWithoutAllocation returns an event as a program that knows no cells reads it.
 func eventWithoutAllocation(ev Event) Event {
 	if m, ok := ev.(MessageReceived); ok && m.View != nil {
 		m.View = viewWithoutAllocation(m.View)
@@ -68,22 +69,22 @@
 	return r
 }
 
-// addCell makes a cell of relays that don't run yet. Without a plan it is a flat fleet.
+// addCell adds a cell of relays that are not running yet. Without a plan it is a flat fleet.
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *simulatedCell {
-	w := newSimulatedFleet(relays, relays, f.seed*1000+uint64(len(f.cells)))
-	w.now, w.withoutSafeguard = f.now, f.withoutSafeguard
+	sim := newSimulatedFleet(relays, relays, f.seed*1000+uint64(len(f.cells)))
+	sim.now, sim.withoutSafeguard = f.now, f.withoutSafeguard
 	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)],
 		StatusInterval: CellTiming.StatusInterval}
-	for _, n := range w.relays {
+	for _, n := range sim.relays {
 		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
 		n.clockOffset -= f.now * n.clockRate
 	}
-	w.lossRate, w.duplicationRate = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
+	sim.lossRate, sim.duplicationRate = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
 	if f.trace != nil {
-		w.trace = f.trace
-		w.randomizeClockRates()
+		sim.trace = f.trace
+		sim.randomizeClockRates()
 	}
-	c := &simulatedCell{w, name, region}
+	c := &simulatedCell{sim, name, region}
 	f.cells = append(f.cells, c)
 	return c
 }
@@ -102,7 +103,8 @@
 	}
 }
 
-// run lets time pass, and checks the promise every 10 ms: nothing that takes effect is forgotten sooner.
+// run advances the time, and sums up the shares every 10 ms. Whatever takes effect counts for longer than
+// that.
 func (f *federation) run(ms float64) {
 	for until := f.now + ms; f.now < until; {
 		f.now += 10
@@ -131,7 +133,8 @@
 	}
 }
 
-// sendClaims lets some relays, representatives or not, claim what they know of their own cell.
+// sendClaims lets some relays, representatives or not, send what they know of the plan that their own cell
+// has joined.
 func (f *federation) sendClaims() {
 	for _, c := range f.cells {
 		for i, n := range c.relays {
@@ -153,7 +156,7 @@
 	}
 }
 
-// claimDeliveryTime is when a claim that is sent now comes.
+// claimDeliveryTime returns when a claim that is sent now arrives.
 func (f *federation) claimDeliveryTime() float64 {
 	if f.rng.IntN(20) == 0 {
 		return f.now + 30_000*f.rng.Float64()
@@ -161,7 +164,7 @@
 	return f.now + 10 + 100*f.rng.Float64()
 }
 
-// deliverClaims brings the claims that are due, and lets relays draw their conclusion.
+// deliverClaims delivers the claims that are due to their relays.
 func (f *federation) deliverClaims() {
 	kept := f.claims[:0]
 	for _, c := range f.claims {
@@ -192,10 +195,12 @@
 	return ""
 }
 
-// receiveClaim lets a relay take a claim in. One for another table under the number is not counted.
+// receiveClaim records a claim at a relay. A claim for a plan of the same number with other content is
+// ignored.
 func (f *federation) receiveClaim(to *simulatedCell, c joinClaim) {
 	n := to.relays[c.to]
-	if plan := f.plans[c.plan]; !n.running || n.paused || n.olderProgram || plan == nil || plan.Hash() != c.hash {
+	if plan := f.plans[c.plan]; !n.running || n.paused || n.olderProgram ||
+		plan == nil || plan.Hash() != c.hash {
 		return
 	}
 	if n.joinedPlans == nil {
@@ -208,8 +213,8 @@
 	f.activateIfJoined(to, c.to)
 }
 
-// activateIfJoined lets a relay tell its Node that every cell has joined the view's plan, if all claims
-// have come.
+// activateIfJoined sends a relay's Node a PlanActivated event if claims of all other cells of the view's plan
+// have arrived.
 func (f *federation) activateIfJoined(c *simulatedCell, i int) {
 	n := c.relays[i]
 	a := n.node.View().Allocation
@@ -221,13 +226,13 @@
 			return
 		}
 	}
-	if a.Bootstrapped && n.continuedPlan < a.Plan { // nobody knows who held a part by the plan before
+	if a.Bootstrapped && n.continuedPlan < a.Plan { // the cells of the previous plan are not known
 		return
 	}
 	c.handle(i, PlanActivated{Plan: a.Plan, Hash: a.PlanHash})
 }
 
-// allBootstrapped tells whether every cell has a view, as operators see it.
+// allBootstrapped reports whether every cell has a view, as operators see it.
 func (f *federation) allBootstrapped() bool {
 	for _, c := range f.cells {
 		if !slices.ContainsFunc(c.relays, func(n *simulatedRelay) bool { return n.savedRecord.View != nil }) {
@@ -237,7 +242,7 @@
 	return true
 }
 
-// anyActivated tells whether the newest plan is open anywhere, as operators see it.
+// anyActivated reports whether the newest plan is activated in any cell, as operators see it.
 func (f *federation) anyActivated() bool {
 	for _, c := range f.cells {
 		for _, n := range c.relays {
@@ -250,7 +255,8 @@
 	return false
 }
 
-// bootstrap makes the first plan and its cells; half of the fleets are flat at first.
+// bootstrap publishes the first plan and starts its cells. With flat set, a flat fleet runs first and the
+// plan divides it.
 func (f *federation) bootstrap(regions, zones, relays int, flat bool) {
 	plan := cellplan.Plan{Number: 1, HomeShare: 0.9}
 	if flat {
@@ -284,21 +290,21 @@
 	}
 }
 
-// newCells starts those that the newest plan names and that are not there yet, under that plan.
+// newCells starts the cells that the newest plan names and that do not run yet.
 func (f *federation) newCells(relays int) {
 	for _, c := range f.plan.Cells {
 		if c.Relays > 0 && !slices.ContainsFunc(f.cells,
-			func(w *simulatedCell) bool { return w.name == c.Name }) {
-			w := f.addCell(c.Name, c.Region, relays, f.plan)
-			for i := range w.relays {
-				w.start(i)
+			func(sim *simulatedCell) bool { return sim.name == c.Name }) {
+			sim := f.addCell(c.Name, c.Region, relays, f.plan)
+			for i := range sim.relays {
+				sim.start(i)
 			}
 		}
 	}
 }
 
-// heal ends all faults, gives every cell the plans that it has not joined one by one, and waits until
-// the newest is open everywhere.
+// heal ends all faults, gives every cell the plans that it has not joined one by one, and waits until the
+// newest is activated everywhere.
 func (f *federation) heal() error {
 	clear(f.partitioned)
 	for _, c := range f.cells {
@@ -318,7 +324,8 @@
 	}
 	f.newCells(3)
 	var err error
-	// 2 s each; every plan waits until leases of 8 s have run out, and for claims of which a fifth is lost
+	// Each round takes 2 s. Every plan waits until leases of 8 s have expired, and for claims of which a
+	// fifth is lost.
 	for range 30 + 15*len(f.plans) {
 		for _, c := range f.cells {
 			for i, n := range c.relays {
@@ -349,10 +356,11 @@
 			continue
 		}
 		if err := c.checkAgreement(); err != nil {
-			return fmt.Errorf("%s: %w", c.name, err)
+			return fmt.Errorf("cell %s: %w", c.name, err)
 		}
 		if a := c.relays[0].node.View().Allocation; a == nil || a.Plan != f.plan.Number || !a.Activated {
-			return fmt.Errorf("%s: %+v, file %d, newest %d; %s", c.name, a,
+			return fmt.Errorf("cell %s: got %+v, plan %d in its file, want plan %d activated; pending: %s",
+				c.name, a,
 				c.relays[0].node.plans.filePlan.Number,
 				f.plan.Number, c.relays[0].node.PlanPending())
 		}
@@ -368,24 +376,26 @@
 	for _, c := range f.cells {
 		for _, n := range c.relays {
 			if n.node != nil {
-				fmt.Fprintf(&state, "\n%s %s up %v old %v share %.3f epoch %d %+v", c.name, n.cfg.Name, n.running,
-					n.olderProgram,
+				fmt.Fprintf(&state, "\ncell %s relay %s: running %v, older %v, share %.3f, epoch %d, %+v",
+					c.name, n.cfg.Name, n.running, n.olderProgram,
 					n.share, n.node.View().Epoch, n.node.View().Allocation)
 			}
 		}
 	}
-	return fmt.Errorf("in zone %s all cells took %.6f%s", f.maxSumZone, float64(f.maxSum)/float64(FullBudget),
+	return fmt.Errorf("in zone %s all cells took %.6f of the budget, want at most 1; relays:%s",
+		f.maxSumZone, float64(f.maxSum)/float64(FullBudget),
 		state.String())
 }
 
-// healAndCheck ends the faults, and tells whether the promise was kept and the newest plan is open.
+// healAndCheck ends the faults, and returns an error if the sum of shares exceeded the full budget or the
+// newest plan is not activated everywhere.
 func (f *federation) healAndCheck() error {
 	err := f.heal()
 	if exceeds := f.checkMaxSum(); exceeds != nil {
 		return exceeds
 	}
 	if err != nil {
-		return fmt.Errorf("after the heal: %w", err)
+		return fmt.Errorf("after all faults have ended: %w", err)
 	}
 	return nil
 }
--- a/internal/fleet/membership/flat_test.go
+++ b/internal/fleet/membership/flat_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// flatView is a view of a fleet without cells, with something in every field.
+// flatView returns a view of a flat fleet with a value in every field.
 func flatView() *View {
 	return &View{Epoch: 7, BootstrapSize: 5, UnreleasedSlots: []int{4}, Voters: []string{"r1", "r2"},
 		Entries: []ViewEntry{
@@ -16,12 +16,12 @@
 			{Name: "r2", IsMember: true, Draining: true}, {Name: "r3", OutstandingLimit: FullBudget / 8}}}
 }
 
-// What a relay of a fleet without cells says and keeps is to the byte what it was before there were
-// cells, so that programs from before and after may run in one fleet.
+// The encoding of what a relay of a flat fleet sends and stores must stay byte for byte as it was before
+// cells were introduced, so that older and newer programs can run in one fleet.
 func TestFlatBytesAreAsBeforeCells(t *testing.T) {
 	view := flatView()
 	if got, want := view.Hash(), uint64(17517558683486390685); got != want {
-		t.Errorf("the hash is %d, and was %d", got, want)
+		t.Errorf("the hash of the view is %d, want %d", got, want)
 	}
 	node := New(time.Second, Config{Name: "r1", BootstrapSlot: 0, BootstrapSize: 5, ConfiguredRelays: 5,
 		Seed: 1}, Record{Incarnation: 2, SlotReleased: true, View: view})
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 		if hex.EncodeToString(got) != c.want {
-			t.Errorf("a %s is %x, and was %s", name, got, c.want)
+			t.Errorf("encoding of a %s: got %x, want %s", name, got, c.want)
 		}
 	}
 }
--- a/internal/fleet/membership/interleaving_test.go
+++ b/internal/fleet/membership/interleaving_test.go
@@ -11,7 +11,8 @@
 	"capersail/internal/fleet/duration"
 )
 
-// interleaving is a world whose every step is chosen: which packet arrives next, or that time passes.
+// interleaving is a simulated fleet whose every step is chosen: which packet arrives next, or that time
+// passes.
 type interleaving struct {
 	now     time.Duration
 	relays  []*simulatedRelay
@@ -76,14 +77,15 @@
 	return sum
 }
 
-// explore plays every sequence of so many steps and returns how many there were and the greatest sum met.
+// explore plays every sequence of a number of steps. It returns how many sequences there were and the
+// greatest sum of shares seen.
 func (l *interleaving) explore(depth int) (played int, most float64) {
 	most = l.sum()
 	if depth == 0 {
 		return 1, most
 	}
 	visit := func(step func(*interleaving)) {
-		if most > 1+1e-9 { // that is enough
+		if most > 1+1e-9 { // a violation is found: stop
 			return
 		}
 		c := l.clone()
@@ -93,7 +95,7 @@
 	}
 	met := map[string]bool{}
 	for i, p := range l.packets {
-		if id := fmt.Sprintf("%+v", p); !met[id] { // two packets alike make one step
+		if id := fmt.Sprintf("%+v", p); !met[id] { // equal packets lead to the same step
 			met[id] = true
 			visit(func(c *interleaving) {
 				c.packets = slices.Delete(c.packets, i, i+1)
@@ -110,7 +112,7 @@
 			}
 		})
 	}
-	visit(func(c *interleaving) { // the first is killed and back
+	visit(func(c *interleaving) { // the first relay is killed and restarts
 		n := c.relays[0]
 		n.node = New(c.now, n.cfg, n.savedRecord)
 		n.node.safeguards.jointViews = c.relays[1].node.safeguards.jointViews
@@ -123,32 +125,34 @@
 	return played, most
 }
 
-// newInterleaving returns a world of three that have agreed, or of three that have just met.
+// newInterleaving returns three relays that have agreed on a view, or that have just met.
 func newInterleaving(agreed, joint bool) *interleaving {
-	w := newSimulatedFleet(3, 3, 5)
-	for i, n := range w.relays {
+	sim := newSimulatedFleet(3, 3, 5)
+	for i, n := range sim.relays {
 		n.clockRate, n.clockOffset = 1, 0
-		w.start(i)
+		sim.start(i)
 	}
 	if agreed {
-		w.run(8000)
+		sim.run(8000)
 	} else {
-		w.run(50)
+		sim.run(50)
 	}
-	l := &interleaving{now: duration.FromMillis(w.now), relays: w.relays}
+	l := &interleaving{now: duration.FromMillis(sim.now), relays: sim.relays}
 	for _, n := range l.relays {
 		n.node.safeguards.jointViews = joint
 	}
 	return l
 }
 
-// Every interleaving of three relays to a depth: packets in any order or never, time, a kill and a restart.
+// The shares of three relays must not exceed 1 in any sequence of steps up to a depth: packets that arrive in
+// any order or never, time that passes, a kill and a restart.
 func TestEveryInterleaving(t *testing.T) {
 	depth := 5
 	if longSchedules() {
 		depth = 6
 	}
-	cutOff := func(joint bool) *interleaving { // the third is taken for gone, and its lease is good still
+	// The third relay counts as failed, but its lease is still valid.
+	cutOff := func(joint bool) *interleaving {
 		l := newInterleaving(true, joint)
 		l.handle(0, PeerHealth{relayName(2), HealthFailed})
 		l.handle(1, PeerHealth{relayName(2), HealthFailed})
@@ -162,14 +166,14 @@
 			played, most := l.explore(depth)
 			t.Logf("%d sequences of %d steps, the shares add up to %.6f at most", played, depth, most)
 			if most > 1 {
-				t.Errorf("the shares add up to %v", most)
+				t.Errorf("the shares add up to %v, want 1 at most", most)
 			}
 		})
 	}
 	t.Run("without the joint view", func(t *testing.T) {
 		t.Parallel()
 		if _, most := cutOff(false).explore(5); most <= 1+1e-9 {
-			t.Error("no sequence was found in which the shares exceed one")
+			t.Error("without the joint view no sequence exceeded a sum of 1, want at least one to detect it")
 		}
 	})
 }
--- a/internal/fleet/membership/leftout_test.go
+++ b/internal/fleet/membership/leftout_test.go
@@ -7,9 +7,9 @@
 	"capersail/internal/fleet/cellplan"
 )
 
-// A plan that names only cells that are bootstrapped by it must not be activated while a cell that it
-// leaves out holds its part by the plan before. The cells that it names can't know of that one, so they
-// wait for one that has come from the plan before.
+// A plan may leave out a cell that holds a budget by the previous plan, and name only cells that are
+// bootstrapped by it. These cells cannot know of the one left out, so the plan must not be activated before a
+// cell has joined it from the previous plan.
 func TestPlanThatLeavesOutAHolder(t *testing.T) {
 	f := &federation{rng: rand.New(rand.NewPCG(1, 7)), partitioned: map[[2]string]bool{},
 		plans: map[uint64]*cellplan.Plan{}, zones: []string{"nobody's"}}
--- a/internal/fleet/membership/renewal_test.go
+++ b/internal/fleet/membership/renewal_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// runUntilLeaseExpires lets time pass and returns the first relay whose lease has expired at a member that held
-// one before, and -1 if there is none.
-func (w *simulatedFleet) runUntilLeaseExpires(ms float64, held map[int]bool) (relay int) {
+// runAndFindExpiredLease advances the time. It returns the first relay whose lease expires although held says
+// that the relay had one, or -1 if there is none, and keeps held up to date.
+func (sim *simulatedFleet) runAndFindExpiredLease(ms float64, held map[int]bool) (relay int) {
 	relay = -1
-	for until := w.now + ms; w.now < until; {
-		w.run(10)
-		for i, n := range w.relays {
-			valid := n.node.lease.valid(n.clock(w.now))
+	for until := sim.now + ms; sim.now < until; {
+		sim.run(10)
+		for i, n := range sim.relays {
+			valid := n.node.lease.valid(n.clock(sim.now))
 			if held[i] && !valid && relay < 0 {
 				relay = i
 			}
@@ -22,41 +22,43 @@
 	return relay
 }
 
-// A relay that adopts each view before the voters do keeps its lease while views follow each other sooner
-// than renewals do. Guards against renewals that are lost because they reach voters that are a view behind.
+// A relay that adopts each view before the voters do must keep its lease when views follow each other faster
+// than renewals. Guards against renewals that are lost because they reach voters that hold the view before.
 func TestLeaseOutlastsQuickViewChanges(t *testing.T) {
 	const (
 		viewEvery = 900.0 // ms, less than RenewInterval
 		changes   = 20
 	)
 	for seed := range uint64(20) {
-		w := newSimulatedFleet(4, 4, seed)
-		w.learnDelay = 40
-		for i := range w.relays {
-			w.start(i)
+		sim := newSimulatedFleet(4, 4, seed)
+		sim.learnDelay = 40
+		for i := range sim.relays {
+			sim.start(i)
 		}
-		w.run(15000)
+		sim.run(15000)
 		held := map[int]bool{}
 		for k := range changes {
 			lifecycle := []Lifecycle{LifecycleDraining, LifecycleServing}[k%2]
 			state := LocalState{Lifecycle: lifecycle, RequestRate: 10, EndpointListGeneration: 1}
-			w.handle(3, state)
-			if i := w.runUntilLeaseExpires(viewEvery, held); i >= 0 {
-				t.Errorf("seed %d: the lease of %s has expired after %d changes", seed, relayName(i), k+1)
+			sim.handle(3, state)
+			if i := sim.runAndFindExpiredLease(viewEvery, held); i >= 0 {
+				t.Errorf("seed %d: the lease of %s has expired after %d changes of the view, want it kept",
+					seed, relayName(i), k+1)
 				break
 			}
 		}
-		if w.highestEpoch < changes {
-			t.Errorf("seed %d: %d views only", seed, w.highestEpoch)
+		if sim.highestEpoch < changes {
+			t.Errorf("seed %d: got %d views, want 20 at least", seed, sim.highestEpoch)
 		}
-		if w.maxSum > 1 {
-			t.Errorf("seed %d: the shares added up to %v", seed, w.maxSum)
+		if sim.maxSum > 1 {
+			t.Errorf("seed %d: the shares added up to %v, want 1 at most", seed, sim.maxSum)
 		}
 	}
 }
 
-// A voter that is behind answers a renewal once it holds the asker's view, as of when it was asked, and only
-// of that view. Guards against renewals of a view that the voter does not hold.
+// A voter that gets a renewal request for a view that it does not hold yet answers when it adopts just that
+// view, and repeats the time at which the request was sent. Guards against renewals by a voter that does not
+// hold the view.
 func TestVoterAnswersRenewalOnceItHoldsTheView(t *testing.T) {
 	view := func(epoch uint64) *View {
 		entries := []ViewEntry{{Name: "a", IsMember: true}, {Name: "b", IsMember: true}}
@@ -86,11 +88,11 @@
 				}
 				got++
 				if send.To != "a" || send.SentAtMillis != 7 || send.Epoch != c.adopted {
-					t.Errorf("answered %+v", send)
+					t.Errorf("got the answer %+v, want one to a, with its time 7 and the adopted epoch", send)
 				}
 			}
 			if got != c.want {
-				t.Errorf("%d renewals, want %d", got, c.want)
+				t.Errorf("got %d renewals, want %d", got, c.want)
 			}
 		})
 	}
--- a/internal/fleet/membership/schedules_test.go
+++ b/internal/fleet/membership/schedules_test.go
@@ -10,70 +10,70 @@
 	"time"
 )
 
-// drainAndBlockInbound lets a relay drain and come back, so that the others' shares shrink, and one of them get
-// nothing of that until all leases have run out.
-func (w *simulatedFleet) drainAndBlockInbound(i int) {
-	clear(w.partitioned)
-	w.handle(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
-	w.run(6000 + 1000*w.rng.Float64())
-	w.blockInboundNext = true
-	w.handle(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
-	w.run(6000)
-	w.blockInboundNext = false
-	for _, n := range w.relays {
+// drainAndBlockInbound drains a relay and lets it serve again, so that the shares of the other relays shrink.
+// One of these gets no packets from the new view on until all leases have expired.
+func (sim *simulatedFleet) drainAndBlockInbound(i int) {
+	clear(sim.partitioned)
+	sim.handle(i, LocalState{Lifecycle: LifecycleDraining, RequestRate: 10, EndpointListGeneration: 1})
+	sim.run(6000 + 1000*sim.rng.Float64())
+	sim.blockInboundNext = true
+	sim.handle(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
+	sim.run(6000)
+	sim.blockInboundNext = false
+	for _, n := range sim.relays {
 		n.inboundBlocked = false
 	}
 }
 
-// partition cuts the net in two or three.
-func (w *simulatedFleet) partition() {
-	n := len(w.relays)
-	parts, of := 2+w.rng.IntN(2), make([]int, n)
+// partition splits the network into two or three parts.
+func (sim *simulatedFleet) partition() {
+	n := len(sim.relays)
+	parts, of := 2+sim.rng.IntN(2), make([]int, n)
 	for j := range of {
-		of[j] = w.rng.IntN(parts)
+		of[j] = sim.rng.IntN(parts)
 	}
 	for a := range n {
 		for b := range n {
-			w.partitioned[[2]int{a, b}] = of[a] != of[b]
+			sim.partitioned[[2]int{a, b}] = of[a] != of[b]
 		}
 	}
 }
 
-// playRandomSchedule plays one schedule of faults.
+// playRandomSchedule plays one random schedule of faults on a new fleet.
 func playRandomSchedule(n, bootstrapSize int, seed uint64, steps int, change func(*Node)) *simulatedFleet {
 	bootstrapSize = min(bootstrapSize, n)
-	w := newSimulatedFleet(n, bootstrapSize, seed)
-	w.withoutSafeguard = change
-	w.injectFaults(bootstrapSize, seed, steps)
-	return w
+	sim := newSimulatedFleet(n, bootstrapSize, seed)
+	sim.withoutSafeguard = change
+	sim.injectFaults(bootstrapSize, seed, steps)
+	return sim
 }
 
-// injectFaults plays one schedule of faults.
-func (w *simulatedFleet) injectFaults(bootstrapSize int, seed uint64, steps int) {
-	n := len(w.relays)
-	w.lossRate, w.duplicationRate = 0.2*w.rng.Float64()*float64(seed%2), 0.1*float64(seed%3)/2
+// injectFaults starts some of the relays and plays one random schedule of faults.
+func (sim *simulatedFleet) injectFaults(bootstrapSize int, seed uint64, steps int) {
+	n := len(sim.relays)
+	sim.lossRate, sim.duplicationRate = 0.2*sim.rng.Float64()*float64(seed%2), 0.1*float64(seed%3)/2
 	for i := range n {
-		if i < bootstrapSize || w.rng.IntN(2) == 0 {
-			w.start(i)
+		if i < bootstrapSize || sim.rng.IntN(2) == 0 {
+			sim.start(i)
 		}
-		if w.rng.IntN(3) == 0 {
-			w.run(200 * w.rng.Float64())
+		if sim.rng.IntN(3) == 0 {
+			sim.run(200 * sim.rng.Float64())
 		}
 	}
 	for range steps {
-		i := w.rng.IntN(n)
-		switch x := w.relays[i]; w.rng.IntN(12) {
+		i := sim.rng.IntN(n)
+		switch x := sim.relays[i]; sim.rng.IntN(12) {
 		case 0:
-			w.kill(i)
+			sim.kill(i)
 		case 1, 2:
 			if !x.running {
-				w.start(i)
+				sim.start(i)
 			}
 		case 3:
 			if x.running {
-				w.kill(i)
-				w.run(300 * w.rng.Float64())
-				w.start(i)
+				sim.kill(i)
+				sim.run(300 * sim.rng.Float64())
+				sim.start(i)
 			}
 		case 4:
 			if x.running {
@@ -81,69 +81,69 @@
 			}
 		case 5:
 			if x.running && x.paused {
-				w.resume(i)
+				sim.resume(i)
 			}
-		case 6: // a partition: each to one of two or three
-			w.partition()
-		case 7: // one way
+		case 6: // each relay goes into one of two or three partitions
+			sim.partition()
+		case 7: // packets are lost in one direction
 			for range 1 + n/3 {
-				w.partitioned[[2]int{i, w.rng.IntN(n)}] = true
+				sim.partitioned[[2]int{i, sim.rng.IntN(n)}] = true
 			}
 		case 8:
-			clear(w.partitioned)
+			clear(sim.partitioned)
 		case 9:
 			if x.running && !x.paused {
-				w.handle(i, LocalState{
+				sim.handle(i, LocalState{
 					Lifecycle: []Lifecycle{LifecycleServing, LifecycleDraining,
-						LifecycleLeaving}[w.rng.IntN(3)],
+						LifecycleLeaving}[sim.rng.IntN(3)],
 					RequestRate: 10, EndpointListGeneration: 1})
 			}
-		// a relay comes to serve, and at the moment of the view that shrinks the others' shares one of them
-		// goes deaf
+		// A relay starts to serve. When the first relay adopts the view that shrinks the other shares, one of
+		// the others stops receiving packets.
 		case 10:
 			if x.running && !x.paused {
-				w.drainAndBlockInbound(i)
+				sim.drainAndBlockInbound(i)
 			}
 		}
-		if w.rng.IntN(2) == 0 {
-			w.run(300 * w.rng.Float64())
+		if sim.rng.IntN(2) == 0 {
+			sim.run(300 * sim.rng.Float64())
 		} else {
-			w.run(5000 * w.rng.Float64())
+			sim.run(5000 * sim.rng.Float64())
 		}
 	}
 }
 
-// heal ends all faults and waits for agreement.
-func (w *simulatedFleet) heal(within float64) error {
-	clear(w.partitioned)
-	w.lossRate, w.duplicationRate = 0, 0
-	for i, n := range w.relays {
+// heal ends all faults and waits until the relays agree on a view.
+func (sim *simulatedFleet) heal(within float64) error {
+	clear(sim.partitioned)
+	sim.lossRate, sim.duplicationRate = 0, 0
+	for i, n := range sim.relays {
 		switch {
 		case !n.running:
-			w.start(i)
+			sim.start(i)
 		case n.paused:
-			w.resume(i)
+			sim.resume(i)
 		}
-		if n.node.localState.Lifecycle != LifecycleServing { // who has said that it leaves goes, and comes back
-			w.kill(i)
-			w.start(i)
+		if n.node.localState.Lifecycle != LifecycleServing { // a draining or leaving relay restarts
+			sim.kill(i)
+			sim.start(i)
 		}
 	}
-	for until := w.now + within; w.now < until; {
-		w.run(500)
-		if w.checkAgreement() == nil {
+	for until := sim.now + within; sim.now < until; {
+		sim.run(500)
+		if sim.checkAgreement() == nil {
 			return nil
 		}
 	}
-	return w.checkAgreement()
+	return sim.checkAgreement()
 }
 
-// longSchedules tells whether the long schedules are asked for; docs/measurements/members.md has
-// their command and result.
+// longSchedules reports whether the long schedules are requested. docs/measurements/members.md has the
+// command and the result.
 func longSchedules() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
-// forEachSeed runs a schedule for each seed on all cores, and reports the first seeds that fail. A
-// slice of the long schedules ends before the test's deadline, and says how many were played.
+// forEachSeed plays a schedule for each seed on all cores and reports the first seeds that fail. The long
+// schedules end before the test's deadline; the log says how many were played.
 func forEachSeed(t *testing.T, seeds int, play func(seed uint64) error) {
 	deadline, ends := t.Deadline()
 	var next atomic.Uint64
@@ -171,11 +171,11 @@
 	t.Logf("%d of %d schedules played, %d failed", played.Load(), seeds, bad.Load())
 }
 
-// spareTime is how long before a test's deadline no schedule is begun any more.
+// spareTime is how long before the test's deadline the last schedule may start.
 const spareTime = 25 * time.Second
 
-// The promise, over drawn schedules: a few relays in many, fifty in some. After each the faults end, and
-// all agree.
+// The shares never add up to more than 1 in random schedules of faults, with a few relays in many schedules
+// and with fifty in some. After each schedule the faults end, and all relays must agree on a view.
 func TestSharesNeverExceedOne(t *testing.T) {
 	few, fifty := 600, 12
 	if longSchedules() {
@@ -183,12 +183,13 @@
 	}
 	play := func(n, bootstrapSize, steps int, heal float64) func(uint64) error {
 		return func(seed uint64) error {
-			w := playRandomSchedule(n+int(seed%4), bootstrapSize+int(seed%3), seed, steps, nil)
-			if err := w.heal(heal); err != nil {
-				return fmt.Errorf("after the heal: %w", err)
+			sim := playRandomSchedule(n+int(seed%4), bootstrapSize+int(seed%3), seed, steps, nil)
+			if err := sim.heal(heal); err != nil {
+				return fmt.Errorf("after all faults have ended: %w", err)
 			}
-			if w.maxSum > 1 {
-				return fmt.Errorf("the shares of %d relays added up to %v", len(w.relays), w.maxSum)
+			if sim.maxSum > 1 {
+				return fmt.Errorf("the shares of %d relays added up to %v, want 1 at most",
+					len(sim.relays), sim.maxSum)
 			}
 			return nil
 		}
@@ -197,15 +198,15 @@
 	t.Run("fifty", func(t *testing.T) { forEachSeed(t, fifty, play(50, 20, 12, 40000)) })
 }
 
-// Each protection taken out is found out by the same schedules.
+// The schedules of TestSharesNeverExceedOne must detect it when any one of the safeguards is switched off.
 func TestSharesNeedTheirProtections(t *testing.T) {
 	for what, without := range map[string]func(*Node){
-		"the joint view": func(k *Node) { k.safeguards.jointViews = false },
-		"the wait":       func(k *Node) { k.safeguards.earlierViewsExpireAfter = 300 * time.Millisecond },
-		"the grant":      func(k *Node) { k.safeguards.leaseDuration = time.Minute },
-		"the grace":      func(k *Node) { k.safeguards.safetyMargin = 0 },
-		"the effect":     func(k *Node) { k.safeguards.maxEffectDelay = 0 },
-		"the pledge":     func(k *Node) { k.safeguards.releasesSlots = false },
+		"the joint view":     func(n *Node) { n.safeguards.jointViews = false },
+		"the waiting time":   func(n *Node) { n.safeguards.earlierViewsExpireAfter = 300 * time.Millisecond },
+		"the lease duration": func(n *Node) { n.safeguards.leaseDuration = time.Minute },
+		"the safety margin":  func(n *Node) { n.safeguards.safetyMargin = 0 },
+		"the effect delay":   func(n *Node) { n.safeguards.maxEffectDelay = 0 },
+		"the slot release":   func(n *Node) { n.safeguards.releasesSlots = false },
 	} {
 		found := uint64(0)
 		for seed := uint64(1); seed < 3000 && found == 0; seed++ {
@@ -214,8 +215,8 @@
 			}
 		}
 		if found == 0 {
-			t.Errorf("without %s no schedule was found in which the shares exceed one", what)
+			t.Errorf("without %s no schedule exceeded a sum of 1, want at least one to detect it", what)
 		}
-		t.Logf("without %s the shares exceed one at seed %d", what, found)
+		t.Logf("without %s the shares exceed 1 at seed %d (0 for none)", what, found)
 	}
 }
--- a/internal/fleet/membership/simulated_fleet_test.go
+++ b/internal/fleet/membership/simulated_fleet_test.go
@@ -11,25 +11,26 @@
 	"capersail/internal/testing/trace"
 )
 
-// simulatedFleet is a fleet in memory: Nodes on one set clock, each with a clock of its own that runs fast or
-// slow, and a network that loses, delays, doubles and cuts. Nothing in it is left to chance but by its
-// seed.
+// simulatedFleet is a fleet in memory: Nodes on one simulated clock, each with a clock of its own that runs
+// fast or slow, and a network that loses, delays, duplicates and partitions. Everything random in it follows
+// from its seed.
 type simulatedFleet struct {
 	rng              *rand.Rand
 	now              float64
 	relays           []*simulatedRelay
 	packets          []packet
-	partitioned      map[[2]int]bool // from, to
+	partitioned      map[[2]int]bool // from sender to receiver
 	lossRate         float64
-	maxDelay         float64 // most delay of a packet
-	learnDelay       float64 // how much longer a chosen view takes, in ms: it is large, and goes over TCP
+	maxDelay         float64 // maximum delay of a packet, in ms
+	learnDelay       float64 // extra delay of a Learn message, in ms, as it is large and sent over TCP
 	duplicationRate  float64
-	maxSum           float64     // the greatest sum of shares met
-	withoutSafeguard func(*Node) // takes a protection out
-	highestEpoch     uint64      // the highest that anybody has held
-	// one that does not hold the next view when the first adopts it gets nothing any more
+	maxSum           float64     // the greatest sum of shares seen
+	withoutSafeguard func(*Node) // switches a safeguard off
+	highestEpoch     uint64      // highest epoch that any relay has held
+	// blockInboundNext: when the first relay adopts the next view, one relay that does not hold it stops
+	// receiving.
 	blockInboundNext bool
-	tickLead         float64      // how long before Next a Tick may come, in ms
+	tickLead         float64      // how long before NextTickAt a Tick may come, in ms
 	trace            *trace.Trace // of all actions; nil for none
 }
 
@@ -39,26 +40,26 @@
 	savedRecord      Record
 	running          bool
 	paused           bool
-	clockRate        float64 // of its clock
-	clockOffset      float64 // what its clock read at the world's 0
-	pausedEvents     []Event // came while it was stopped
+	clockRate        float64 // rate of its clock
+	clockOffset      float64 // reading of its clock at the fleet's time 0, in ms
+	pausedEvents     []Event // arrived while it was paused
 	detectedHealth   map[int]Health
-	unreachableSince map[int]float64 // since when a peer is not reached
+	unreachableSince map[int]float64 // by peer: since when it is not reached
 	leaving          bool
-	inboundBlocked   bool          // no packet comes to it, and it is taken for alive
+	inboundBlocked   bool          // receives no packets, but counts as alive
 	share            float64       // as of its last event
 	shareValidUntil  time.Duration // on its clock
 	allocation       *Allocation
 	shareUses        []shareUse
-	olderProgram     bool              // its program is from before cells
-	joinedPlans      map[string]uint64 // by cell: the newest plan that it is said to have joined
-	// the newest plan that some cell is said to have come into from the one before
+	olderProgram     bool              // its program knows no cells
+	joinedPlans      map[string]uint64 // by cell: the newest plan that it claims to have joined
+	// continuedPlan is the newest plan that some cell claims to have joined from the previous plan.
 	continuedPlan uint64
-	earlierRecord *Record // its disk some time ago
+	earlierRecord *Record // a copy of savedRecord from some time ago
 }
 
-// shareUse is a use of a budget at a share of a cell's parts, or of the whole, by the world's clock. What is
-// done by it may take effect up to EffectWithin later.
+// shareUse is a use of a budget by a share of the cell's budget, or of the full budget, on the fleet's clock.
+// What the relay does by it may take effect up to MaxEffectDelay later.
 type shareUse struct {
 	at, share  float64
 	allocation *Allocation
@@ -73,50 +74,49 @@
 func relayName(i int) string { return fmt.Sprintf("r%02d", i) }
 
 func newSimulatedFleet(n, bootstrapSize int, seed uint64) *simulatedFleet {
-	w := &simulatedFleet{rng: rand.New(rand.NewPCG(seed, 1)), partitioned: map[[2]int]bool{}, maxDelay: 20,
+	sim := &simulatedFleet{rng: rand.New(rand.NewPCG(seed, 1)), partitioned: map[[2]int]bool{}, maxDelay: 20,
 		tickLead: 10}
 	for i := range n {
-		rate := 1 + MaxClockDrift*(2*w.rng.Float64()-1)
-		if seed%2 == 0 { // as far apart as may be
-			rate = 1 + MaxClockDrift*float64(2*w.rng.IntN(2)-1)
+		rate := 1 + MaxClockDrift*(2*sim.rng.Float64()-1)
+		if seed%2 == 0 { // each clock at one of the bounds
+			rate = 1 + MaxClockDrift*float64(2*sim.rng.IntN(2)-1)
 		}
-		w.relays = append(w.relays, &simulatedRelay{cfg: Config{Name: relayName(i), BootstrapSlot: i,
+		sim.relays = append(sim.relays, &simulatedRelay{cfg: Config{Name: relayName(i), BootstrapSlot: i,
 			BootstrapSize:    bootstrapSize,
 			ConfiguredRelays: bootstrapSize, Seed: seed + uint64(i)},
-			clockRate: rate, clockOffset: 1000 * w.rng.Float64()})
+			clockRate: rate, clockOffset: 1000 * sim.rng.Float64()})
 	}
-	return w
+	return sim
 }
 
-// clock is what its clock reads at a moment of the world, in ms.
+// clock returns the reading of the relay's clock at a time of the fleet in ms.
 func (n *simulatedRelay) clock(now float64) time.Duration {
 	return duration.FromMillis(n.clockOffset + now*n.clockRate)
 }
 
-func (w *simulatedFleet) start(i int) {
-	n := w.relays[i]
-	n.running, n.paused, n.leaving, n.pausedEvents, n.detectedHealth, n.unreachableSince = true, false, false, nil,
-		map[int]Health{},
-		map[int]float64{}
+func (sim *simulatedFleet) start(i int) {
+	n := sim.relays[i]
+	n.running, n.paused, n.leaving, n.pausedEvents, n.detectedHealth, n.unreachableSince = true, false,
+		false, nil, map[int]Health{}, map[int]float64{}
 	cfg := n.cfg
 	if n.olderProgram {
 		cfg.Plan, n.savedRecord = nil, recordWithoutAllocation(n.savedRecord)
 	}
-	n.node, n.joinedPlans, n.continuedPlan = New(n.clock(w.now), cfg, n.savedRecord), nil, 0
+	n.node, n.joinedPlans, n.continuedPlan = New(n.clock(sim.now), cfg, n.savedRecord), nil, 0
 	n.node.safeguards.checksVersions = !n.olderProgram
-	if w.withoutSafeguard != nil {
-		w.withoutSafeguard(n.node)
+	if sim.withoutSafeguard != nil {
+		sim.withoutSafeguard(n.node)
 	}
-	acts := n.node.Start(n.clock(w.now), nil)
-	n.updateShare(w.now)
-	w.applyActions(i, acts)
-	w.handle(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
+	acts := n.node.Start(n.clock(sim.now), nil)
+	n.updateShare(sim.now)
+	sim.applyActions(i, acts)
+	sim.handle(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
 }
 
-func (w *simulatedFleet) kill(i int) { w.relays[i].running = false }
+func (sim *simulatedFleet) kill(i int) { sim.relays[i].running = false }
 
-func (w *simulatedFleet) handle(i int, ev Event) {
-	n := w.relays[i]
+func (sim *simulatedFleet) handle(i int, ev Event) {
+	n := sim.relays[i]
 	switch {
 	case !n.running:
 	case n.paused:
@@ -127,133 +127,135 @@
 		if n.olderProgram {
 			ev = eventWithoutAllocation(ev)
 		}
-		acts := n.node.Handle(n.clock(w.now), ev, nil)
-		n.updateShare(w.now)
-		w.updateMaxSum()
-		if epoch := n.node.View().Epoch; epoch > w.highestEpoch {
-			w.highestEpoch = epoch
-			w.blockInboundIfDue(i)
+		acts := n.node.Handle(n.clock(sim.now), ev, nil)
+		n.updateShare(sim.now)
+		sim.updateMaxSum()
+		if epoch := n.node.View().Epoch; epoch > sim.highestEpoch {
+			sim.highestEpoch = epoch
+			sim.blockInboundIfDue(i)
 		}
-		w.applyActions(i, acts)
+		sim.applyActions(i, acts)
 	}
 }
 
-// blockInboundIfDue lets nothing come any more to one relay that holds an earlier view than the newest, if that is
-// what is to happen. The others take it for alive still, so nothing but time lets its limit go.
-func (w *simulatedFleet) blockInboundIfDue(first int) {
-	if !w.blockInboundNext || w.highestEpoch < 2 {
+// blockInboundIfDue stops all packets to one relay that holds an earlier view than the newest, if that is
+// requested. The other relays still take it for alive, so only the passing of time ends its outstanding
+// limit.
+func (sim *simulatedFleet) blockInboundIfDue(first int) {
+	if !sim.blockInboundNext || sim.highestEpoch < 2 {
 		return
 	}
 	var behind []int
-	for j, n := range w.relays {
-		if n.running && !n.paused && j != first && n.node.View().Epoch < w.highestEpoch {
+	for j, n := range sim.relays {
+		if n.running && !n.paused && j != first && n.node.View().Epoch < sim.highestEpoch {
 			behind = append(behind, j)
 		}
 	}
 	if len(behind) == 0 {
 		return
 	}
-	w.blockInboundNext = false
-	j := behind[w.rng.IntN(len(behind))]
-	w.relays[j].inboundBlocked = true
-	w.packets = slices.DeleteFunc(w.packets, func(p packet) bool { return p.to == j })
+	sim.blockInboundNext = false
+	j := behind[sim.rng.IntN(len(behind))]
+	sim.relays[j].inboundBlocked = true
+	sim.packets = slices.DeleteFunc(sim.packets, func(p packet) bool { return p.to == j })
 }
 
-func (w *simulatedFleet) resume(i int) {
-	n := w.relays[i]
+func (sim *simulatedFleet) resume(i int) {
+	n := sim.relays[i]
 	n.paused = false
-	n.updateShare(w.now)
-	w.updateMaxSum()
+	n.updateShare(sim.now)
+	sim.updateMaxSum()
 	queue := n.pausedEvents
 	n.pausedEvents = nil
 	for _, ev := range queue {
-		w.handle(i, ev)
+		sim.handle(i, ev)
 	}
 }
 
-func (w *simulatedFleet) applyActions(i int, acts []Action) {
+func (sim *simulatedFleet) applyActions(i int, acts []Action) {
 	for _, a := range acts {
-		traceAction(w.trace, i, w.relays[i].share, a)
+		traceAction(sim.trace, i, sim.relays[i].share, a)
 		switch a := a.(type) {
 		case SaveRecord:
-			w.relays[i].savedRecord = a.Record
+			sim.relays[i].savedRecord = a.Record
 		case SendMessage:
-			for j, n := range w.relays {
+			for j, n := range sim.relays {
 				if n.cfg.Name == a.To {
-					w.sendPacket(i, j, MessageReceived{From: relayName(i), Message: a.Message})
+					sim.sendPacket(i, j, MessageReceived{From: relayName(i), Message: a.Message})
 				}
 			}
 		case PublishStatus:
-			for j := range w.relays {
+			for j := range sim.relays {
 				if j != i {
-					w.sendPacket(i, j, StatusReceived{Name: relayName(i), Status: a.Status})
+					sim.sendPacket(i, j, StatusReceived{Name: relayName(i), Status: a.Status})
 				}
 			}
 		}
 	}
 }
 
-func (w *simulatedFleet) sendPacket(from, to int, ev Event) {
-	for again := true; again; again = w.rng.Float64() < w.duplicationRate {
-		if w.partitioned[[2]int{from, to}] || w.relays[to].inboundBlocked || w.rng.Float64() < w.lossRate {
+func (sim *simulatedFleet) sendPacket(from, to int, ev Event) {
+	for again := true; again; again = sim.rng.Float64() < sim.duplicationRate {
+		if sim.partitioned[[2]int{from, to}] || sim.relays[to].inboundBlocked ||
+			sim.rng.Float64() < sim.lossRate {
 			continue
 		}
-		delay := 1 + w.maxDelay*w.rng.Float64()
+		delay := 1 + sim.maxDelay*sim.rng.Float64()
 		if m, ok := ev.(MessageReceived); ok && m.Kind == Learn {
-			delay += w.learnDelay
+			delay += sim.learnDelay
 		}
-		if w.duplicationRate > 0 && w.rng.Float64() < 0.02 {
-			delay += 8000 * w.rng.Float64() // an old packet, still under way
+		if sim.duplicationRate > 0 && sim.rng.Float64() < 0.02 {
+			delay += 8000 * sim.rng.Float64() // an old packet, still on its way
 		}
-		w.packets = append(w.packets, packet{w.now + delay, from, to, ev})
+		sim.packets = append(sim.packets, packet{sim.now + delay, from, to, ev})
 	}
 }
 
-// updateMaxSum is the promise: each relay reads its share at every moment, and what it does by that counts
-// for EffectWithin from then on, also where it is stopped or killed meanwhile. A share changes with an
-// event, or lapses.
-func (w *simulatedFleet) updateMaxSum() {
+// updateMaxSum sums up the shares. Each relay uses its share at every moment, and what it does by the share
+// counts for MaxEffectDelay from then on, also if the relay is paused or killed meanwhile. A share changes
+// with an event, or expires.
+func (sim *simulatedFleet) updateMaxSum() {
 	sum := 0.0
-	for _, n := range w.relays {
-		if n.running && !n.paused && n.clock(w.now) < n.shareValidUntil {
-			n.noteUse(w.now)
+	for _, n := range sim.relays {
+		if n.running && !n.paused && n.clock(sim.now) < n.shareValidUntil {
+			n.noteUse(sim.now)
 		}
-		sum += n.countedShare(w.now)
+		sum += n.countedShare(sim.now)
 	}
-	if sum > w.maxSum {
-		w.maxSum = sum
+	if sum > sim.maxSum {
+		sim.maxSum = sum
 	}
 }
 
-// noteUse takes down a use of the share. Of several only those are kept that may count most at some later
-// moment: by one Allocation their shares fall.
+// noteUse records a use of the share. It drops the earlier uses that can count no more than the new one:
+// those by the same Allocation with an equal or lower share.
 func (n *simulatedRelay) noteUse(now float64) {
 	last := len(n.shareUses) - 1
 	if last >= 0 && n.shareUses[last].allocation == n.allocation && n.shareUses[last].share == n.share {
 		n.shareUses[last].at = now
 		return
 	}
-	n.shareUses = slices.DeleteFunc(n.shareUses, func(l shareUse) bool {
-		return l.allocation == n.allocation &&
-			l.share <= n.share
+	n.shareUses = slices.DeleteFunc(n.shareUses, func(use shareUse) bool {
+		return use.allocation == n.allocation &&
+			use.share <= n.share
 	})
 	n.shareUses = append(n.shareUses, shareUse{now, n.share, n.allocation})
 }
 
-// countedShare is the greatest share by which something may take effect now.
+// countedShare returns the greatest share by which something may take effect now.
 func (n *simulatedRelay) countedShare(now float64) (share float64) {
 	n.forgetUses(now)
-	for _, l := range n.shareUses {
-		share = max(share, l.share)
+	for _, use := range n.shareUses {
+		share = max(share, use.share)
 	}
 	return share
 }
 
-// countedUnitsIn is the most that may take effect now at servers of a zone, in units of FullBudget.
+// countedUnitsIn returns the most that may take effect now at servers of a zone, in units of FullBudget.
 func (n *simulatedRelay) countedUnitsIn(zone string) (units uint64) {
-	for _, l := range n.shareUses {
-		units = max(units, cellplan.Portion(uint64(l.share*float64(FullBudget)), l.allocation.budgetIn(zone),
-			FullBudget))
+	for _, use := range n.shareUses {
+		units = max(units, cellplan.Portion(uint64(use.share*float64(FullBudget)),
+			use.allocation.budgetIn(zone), FullBudget))
 	}
 	return units
 }
@@ -265,7 +267,7 @@
 	}
 }
 
-// updateShare takes down a node's share after an event.
+// updateShare records a relay's share after an event.
 func (n *simulatedRelay) updateShare(now float64) {
 	n.share, n.shareValidUntil, _ = n.node.budgetShare(n.clock(now))
 	n.allocation = n.node.View().Allocation
@@ -274,55 +276,57 @@
 	}
 }
 
-// detect stands for the failure detector: whoever is cut off both ways, down or stopped for failureTimeout is
-// failed, by each relay's own sight. It may be wrong, and late, as the real one may.
+// failureTimeout, in ms, is after how long the simulated failure detector takes a relay for failed that is
+// down, paused or unreachable. Each relay detects failures on its own, with a random factor, so that
+// detection may be wrong or late as in the real one.
 const failureTimeout = 2000.0
 
-func (w *simulatedFleet) detectFailures() {
-	for i, n := range w.relays {
+func (sim *simulatedFleet) detectFailures() {
+	for i, n := range sim.relays {
 		if !n.running || n.paused {
 			continue
 		}
-		for j, p := range w.relays {
+		for j, p := range sim.relays {
 			if i == j {
 				continue
 			}
-			reached := p.running && !p.paused && !w.partitioned[[2]int{i, j}] && !w.partitioned[[2]int{j, i}]
+			reached := p.running && !p.paused && !sim.partitioned[[2]int{i, j}] &&
+				!sim.partitioned[[2]int{j, i}]
 			known := n.detectedHealth[j]
 			switch {
 			case reached:
 				delete(n.unreachableSince, j)
 				if known != HealthAlive {
 					n.detectedHealth[j] = HealthAlive
-					w.handle(i, PeerHealth{relayName(j), HealthAlive})
+					sim.handle(i, PeerHealth{relayName(j), HealthAlive})
 				}
 			case known == HealthAlive:
 				if n.unreachableSince[j] == 0 {
-					n.unreachableSince[j] = w.now
+					n.unreachableSince[j] = sim.now
 				}
-				if w.now >= n.unreachableSince[j]+failureTimeout*(0.5+w.rng.Float64()) {
+				if sim.now >= n.unreachableSince[j]+failureTimeout*(0.5+sim.rng.Float64()) {
 					n.detectedHealth[j] = HealthFailed
-					w.handle(i, PeerHealth{relayName(j), HealthFailed})
+					sim.handle(i, PeerHealth{relayName(j), HealthFailed})
 				}
 			}
 		}
 	}
 }
 
-// run lets time pass.
-func (w *simulatedFleet) run(ms float64) {
-	for until := w.now + ms; w.now < until; {
-		w.now += 10
-		due := w.packets[:0:0]
-		left := w.packets[:0]
-		for _, p := range w.packets {
-			if p.at <= w.now {
+// run advances the time in steps of 10 ms.
+func (sim *simulatedFleet) run(ms float64) {
+	for until := sim.now + ms; sim.now < until; {
+		sim.now += 10
+		due := sim.packets[:0:0]
+		left := sim.packets[:0]
+		for _, p := range sim.packets {
+			if p.at <= sim.now {
 				due = append(due, p)
 			} else {
 				left = append(left, p)
 			}
 		}
-		w.packets = left
+		sim.packets = left
 		slices.SortStableFunc(due, func(a, b packet) int {
 			switch {
 			case a.at < b.at:
@@ -333,31 +337,31 @@
 			return 0
 		})
 		for _, p := range due {
-			w.handle(p.to, p.event)
+			sim.handle(p.to, p.event)
 		}
-		if int(w.now)%100 == 0 {
-			w.detectFailures()
+		if int(sim.now)%100 == 0 {
+			sim.detectFailures()
 		}
-		for i, n := range w.relays {
+		for i, n := range sim.relays {
 			if n.running && !n.paused &&
-				n.clock(w.now) >= n.node.NextTickAt()-duration.FromMillis(w.tickLead) {
-				w.handle(i, Tick{})
+				n.clock(sim.now) >= n.node.NextTickAt()-duration.FromMillis(sim.tickLead) {
+				sim.handle(i, Tick{})
 			}
 		}
-		w.updateMaxSum()
+		sim.updateMaxSum()
 	}
 }
 
-// checkAgreement tells whether all that are up hold one view of just them, settled.
-func (w *simulatedFleet) checkAgreement() error {
+// checkAgreement returns an error unless all running relays hold one settled view of just them.
+func (sim *simulatedFleet) checkAgreement() error {
 	var ref *View
 	up := 0
-	for _, n := range w.relays {
+	for _, n := range sim.relays {
 		if n.running {
 			up++
 		}
 	}
-	for _, n := range w.relays {
+	for _, n := range sim.relays {
 		if !n.running {
 			continue
 		}
@@ -367,9 +371,8 @@
 		}
 		if v.Hash() != ref.Hash() || len(v.MemberNames()) != up || !v.Settled() ||
 			n.node.Phase() != PhaseAgreed {
-			return fmt.Errorf("%s: %s, %s, %d members, settled %v; %d are up", n.cfg.Name, n.node.Phase(),
-				v.summary(),
-				len(v.MemberNames()), v.Settled(), up)
+			return fmt.Errorf("relay %s: phase %s, %s, %d members, settled %v; want one settled view of %d",
+				n.cfg.Name, n.node.Phase(), v.summary(), len(v.MemberNames()), v.Settled(), up)
 		}
 	}
 	return nil
--- a/internal/fleet/membership/text_test.go
+++ b/internal/fleet/membership/text_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Every enumeration has a text for each value, and says an unknown one by its number.
+// Every enumeration has a text for each of its values, and shows an unknown value by its number.
 func TestEnumerationsHaveTexts(t *testing.T) {
 	for got, want := range map[string]string{
 		Health(HealthLeft).String(): "left", Health(9).String(): "unknown 9",
@@ -12,12 +12,12 @@
 		PendingView.String(): "no view is agreed", PlanPendingReason(99).String(): "unknown 99",
 	} {
 		if got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("got the text %q, want %q", got, want)
 		}
 	}
 	for r := range PlanPendingReason(len(planPendingTexts)) {
 		if r.String() == "" {
-			t.Errorf("no text for %d", r)
+			t.Errorf("the PlanPendingReason %d has no text", r)
 		}
 	}
 }
--- a/internal/fleet/membership/trace_test.go
+++ b/internal/fleet/membership/trace_test.go
@@ -6,8 +6,8 @@
 	"capersail/internal/testing/trace"
 )
 
-// traceAction takes an action down, with the share that its relay has at that moment. Times on a clock are
-// left out, as their representation may change; that they are the same shows in when actions come.
+// traceAction records an action in the trace, with the share that its relay holds at that moment. Times are
+// left out, as their representation may change; a changed time shows in when actions are emitted.
 func traceAction(t *trace.Trace, relay int, share float64, a Action) {
 	t.Action(relay, share)
 	switch a := a.(type) {
@@ -39,28 +39,27 @@
 	return v.Hash()
 }
 
-// randomizeClockRates gives each relay's clock a rate drawn at random, and Ticks a moment of their own: of
-// clocks that run at the very bounds many timers end at the moment of an event, and whether they have
-// ended then is a matter of rounding.
-func (w *simulatedFleet) randomizeClockRates() {
-	w.tickLead = 9.7
-	for _, n := range w.relays {
-		n.clockRate = 1 + MaxClockDrift*(2*w.rng.Float64()-1)
+// randomizeClockRates gives each relay's clock a random rate, and sets a lead time of Ticks that is not a
+// multiple of the time step. With clocks that run exactly at the bounds, many timers end at the time of an
+// event, and rounding decides whether they have ended.
+func (sim *simulatedFleet) randomizeClockRates() {
+	sim.tickLead = 9.7
+	for _, n := range sim.relays {
+		n.clockRate = 1 + MaxClockDrift*(2*sim.rng.Float64()-1)
 	}
 }
 
-// Over drawn schedules of faults every relay does the same, in the same order and with the same random
-// draws, as it did when testdata/trace.txt was written: a change that is meant to change no behaviour
-// changes none.
+// In random schedules of faults, every relay does the same in the same order and with the same random draws
+// as when testdata/trace.txt was recorded. Guards against a refactoring that changes behaviour.
 func TestActionsAreThoseRecorded(t *testing.T) {
 	var recording trace.Recording
 	for seed := range uint64(120) {
 		relays := 2 + int(seed%6)
-		w := newSimulatedFleet(relays, min(relays, 5), seed)
-		w.trace = trace.New()
-		w.randomizeClockRates()
-		w.injectFaults(min(relays, 5), seed, 16)
-		recording.Add("flat", seed, w.trace)
+		sim := newSimulatedFleet(relays, min(relays, 5), seed)
+		sim.trace = trace.New()
+		sim.randomizeClockRates()
+		sim.injectFaults(min(relays, 5), seed, 16)
+		recording.Add("flat", seed, sim.trace)
 	}
 	for seed := range uint64(24) {
 		f := newFederation(seed, nil)
