--- a/internal/fleet/membership/federation_faults_test.go
+++ b/internal/fleet/membership/federation_faults_test.go
@@ -31,20 +31,20 @@
 	}
 	i := live[f.rng.IntN(len(live))]
 	switch f.rng.IntN(3) {
-	case 0: // two merge
+	case 0: // two cells merge
 		if j := live[f.rng.IntN(len(live))]; j != i {
 			next.Cells[i].Relays, next.Cells[j].Relays = next.Cells[i].Relays+next.Cells[j].Relays, 0
 		}
-	case 1: // one splits
+	case 1: // a cell splits
 		if len(f.cells) < 6 || len(f.cells) < len(live)+2 {
-			part := next.Cells[i]
+			newCell := next.Cells[i]
 			f.addedCells++
-			part.Name = fmt.Sprintf("c%d", f.addedCells)
-			if part.Region == "" {
-				part.Region, part.Zone = "east", "east-0"
+			newCell.Name = fmt.Sprintf("c%d", f.addedCells)
+			if newCell.Region == "" {
+				newCell.Region, newCell.Zone = "east", "east-0"
 			}
-			part.Contacts = []string{"127.0.0.1:1"}
-			next.Cells = append(next.Cells, part)
+			newCell.Contacts = []string{"127.0.0.1:1"}
+			next.Cells = append(next.Cells, newCell)
 		}
 	}
 	return next
@@ -52,16 +52,16 @@
 
 // playCells plays one random schedule of faults and plans.
 func playCells(regions, zones, relays int, flat bool, seed uint64, steps int,
-	change func(*Node)) *federation {
-	f := newFederation(seed, change)
+	withoutSafeguard func(*Node)) *federation {
+	f := newFederation(seed, withoutSafeguard)
 	f.bootstrapAndInjectFaults(regions, zones, relays, flat, steps)
 	return f
 }
 
-func newFederation(seed uint64, change func(*Node)) *federation {
+func newFederation(seed uint64, withoutSafeguard func(*Node)) *federation {
 	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, partitioned: map[[2]string]bool{},
 		plans: map[uint64]*cellplan.Plan{},
-		zones: []string{"nobody's"}, withoutSafeguard: change}
+		zones: []string{"nobody's"}, withoutSafeguard: withoutSafeguard}
 }
 
 func (f *federation) bootstrapAndInjectFaults(regions, zones, relays int, flat bool, steps int) {
@@ -82,7 +82,8 @@
 	i := f.rng.IntN(len(c.relays))
 	switch x := f.rng.IntN(16); {
 	case x < 2: // the operators write a plan, and some relays get it at once
-		// A cell whose first view is by plan 2 waits for a cell that has joined it from plan 1.
+		// A cell whose first view is by plan 2 waits for a cell that has joined it from plan 1, so every cell
+		// must have a view first.
 		if f.plan.Number == 1 && !f.allBootstrapped() {
 			return
 		}
@@ -146,24 +147,24 @@
 			}
 		}
 	case 1: // a cell's network is split in two
-		of := make([]bool, len(c.relays))
-		for j := range of {
-			of[j] = f.rng.IntN(2) == 0
+		side := make([]bool, len(c.relays))
+		for j := range side {
+			side[j] = f.rng.IntN(2) == 0
 		}
-		for a := range of {
-			for b := range of {
-				c.partitioned[[2]int{a, b}] = of[a] != of[b]
+		for a := range side {
+			for b := range side {
+				c.partitioned[[2]int{a, b}] = side[a] != side[b]
 			}
 		}
 	case 2: // a region loses its inbound or outbound claims, or both
-		way := f.rng.IntN(3)
+		direction := f.rng.IntN(3)
 		for _, other := range f.cells {
 			if other.region != c.region {
-				f.partitioned[[2]string{c.region, other.region}] = way != 0
-				f.partitioned[[2]string{other.region, c.region}] = way != 1
+				f.partitioned[[2]string{c.region, other.region}] = direction != 0
+				f.partitioned[[2]string{other.region, c.region}] = direction != 1
 			}
 		}
-	case 3:
+	case 3: // all partitions end
 		clear(f.partitioned)
 		for _, c := range f.cells {
 			clear(c.partitioned)
@@ -247,9 +248,10 @@
 }
 
 // playFewCells plays a schedule with two to four cells of three or four relays.
-func playFewCells(seed uint64, change func(*Node)) *federation {
+func playFewCells(seed uint64, withoutSafeguard func(*Node)) *federation {
 	regions := 1 + int(seed%2)
-	return playCells(regions, regions*(1+int(seed/2%2)), 3+int(seed/4%2), seed%3 == 0, seed, 24, change)
+	return playCells(regions, regions*(1+int(seed/2%2)), 3+int(seed/4%2), seed%3 == 0, seed, 24,
+		withoutSafeguard)
 }
 
 // playManyCells plays a schedule with 17 cells in five regions.
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -73,10 +73,10 @@
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *simulatedCell {
 	sim := newSimulatedFleet(relays, relays, f.seed*1000+uint64(len(f.cells)))
 	sim.now, sim.withoutSafeguard = f.now, f.withoutSafeguard
-	pace := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)],
+	timing := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)],
 		StatusInterval: CellTiming.StatusInterval}
 	for _, n := range sim.relays {
-		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, pace
+		n.cfg.Cell, n.cfg.Plan, n.cfg.Timing = name, plan, timing
 		n.clockOffset -= f.now * n.clockRate
 	}
 	sim.lossRate, sim.duplicationRate = 0.2*f.rng.Float64()*float64(f.seed%2), 0.05*float64(f.seed%3)
@@ -103,8 +103,8 @@
 	}
 }
 
-// run advances the time, and sums up the shares every 10 ms. Whatever takes effect counts for longer than
-// that.
+// run advances the time, and sums up the shares every 10 ms. No use of a share can be missed, as each counts
+// for longer than that.
 func (f *federation) run(ms float64) {
 	for until := f.now + ms; f.now < until; {
 		f.now += 10
--- a/internal/fleet/membership/freshness.go
+++ b/internal/fleet/membership/freshness.go
@@ -44,17 +44,17 @@
 	if n.now < n.refreshTimers.nextViewRequestAt {
 		return
 	}
-	var ahead *Peer
+	var newestPeer *Peer
 	for _, p := range n.peers.sorted {
 		if p.Health != HealthAlive || !p.hasStatus() || p.Status.Epoch <= n.view.Epoch {
 			continue
 		}
-		if ahead == nil || p.Status.Epoch > ahead.Status.Epoch {
-			ahead = p
+		if newestPeer == nil || p.Status.Epoch > newestPeer.Status.Epoch {
+			newestPeer = p
 		}
 	}
-	if ahead != nil {
+	if newestPeer != nil {
 		n.refreshTimers.nextViewRequestAt = n.now + viewRequestInterval
-		n.send(ahead.Name, Message{Kind: Reject, Epoch: n.view.Epoch})
+		n.send(newestPeer.Name, Message{Kind: Reject, Epoch: n.view.Epoch})
 	}
 }
--- a/internal/fleet/membership/interleaving_test.go
+++ b/internal/fleet/membership/interleaving_test.go
@@ -19,9 +19,9 @@
 	packets []packet
 }
 
-func (l *interleaving) clone() *interleaving {
-	c := &interleaving{now: l.now, packets: slices.Clone(l.packets)}
-	for _, n := range l.relays {
+func (x *interleaving) clone() *interleaving {
+	c := &interleaving{now: x.now, packets: slices.Clone(x.packets)}
+	for _, n := range x.relays {
 		m := *n
 		m.node = n.node.clone()
 		c.relays = append(c.relays, &m)
@@ -46,23 +46,23 @@
 	return &c
 }
 
-func (l *interleaving) handle(i int, ev Event) {
-	n := l.relays[i]
-	for _, a := range n.node.Handle(l.now, ev, nil) {
+func (x *interleaving) handle(i int, ev Event) {
+	n := x.relays[i]
+	for _, a := range n.node.Handle(x.now, ev, nil) {
 		switch a := a.(type) {
 		case SaveRecord:
 			n.savedRecord = a.Record
 		case SendMessage:
-			for j, m := range l.relays {
+			for j, m := range x.relays {
 				if m.cfg.Name == a.To {
-					l.packets = append(l.packets, packet{0, i, j,
+					x.packets = append(x.packets, packet{0, i, j,
 						MessageReceived{From: n.cfg.Name, Message: a.Message}})
 				}
 			}
 		case PublishStatus:
-			for j := range l.relays {
+			for j := range x.relays {
 				if j != i {
-					l.packets = append(l.packets, packet{0, i, j,
+					x.packets = append(x.packets, packet{0, i, j,
 						StatusReceived{Name: n.cfg.Name, Status: a.Status}})
 				}
 			}
@@ -70,33 +70,33 @@
 	}
 }
 
-func (l *interleaving) sum() (sum float64) {
-	for _, n := range l.relays {
-		sum += n.node.Estimate(l.now).BudgetShare
+func (x *interleaving) sum() (sum float64) {
+	for _, n := range x.relays {
+		sum += n.node.Estimate(x.now).BudgetShare
 	}
 	return sum
 }
 
 // explore plays every sequence of a number of steps. It returns how many sequences there were and the
 // greatest sum of shares seen.
-func (l *interleaving) explore(depth int) (played int, most float64) {
-	most = l.sum()
+func (x *interleaving) explore(depth int) (played int, maxSum float64) {
+	maxSum = x.sum()
 	if depth == 0 {
-		return 1, most
+		return 1, maxSum
 	}
 	visit := func(step func(*interleaving)) {
-		if most > 1+1e-9 { // a violation is found: stop
+		if maxSum > 1+1e-9 { // a violation is found: stop
 			return
 		}
-		c := l.clone()
+		c := x.clone()
 		step(c)
 		n, sum := c.explore(depth - 1)
-		played, most = played+n, max(most, sum)
+		played, maxSum = played+n, max(maxSum, sum)
 	}
-	met := map[string]bool{}
-	for i, p := range l.packets {
-		if id := fmt.Sprintf("%+v", p); !met[id] { // equal packets lead to the same step
-			met[id] = true
+	seen := map[string]bool{}
+	for i, p := range x.packets {
+		if id := fmt.Sprintf("%+v", p); !seen[id] { // equal packets lead to the same step
+			seen[id] = true
 			visit(func(c *interleaving) {
 				c.packets = slices.Delete(c.packets, i, i+1)
 				c.handle(p.to, p.event)
@@ -122,7 +122,7 @@
 			c.handle(0, PeerHealth{c.relays[i+1].cfg.Name, HealthAlive})
 		}
 	})
-	return played, most
+	return played, maxSum
 }
 
 // newInterleaving returns three relays that have agreed on a view, or that have just met.
@@ -137,11 +137,11 @@
 	} else {
 		sim.run(50)
 	}
-	l := &interleaving{now: duration.FromMillis(sim.now), relays: sim.relays}
-	for _, n := range l.relays {
+	x := &interleaving{now: duration.FromMillis(sim.now), relays: sim.relays}
+	for _, n := range x.relays {
 		n.node.safeguards.jointViews = joint
 	}
-	return l
+	return x
 }
 
 // The shares of three relays must not exceed 1 in any sequence of steps up to a depth: packets that arrive in
@@ -153,26 +153,26 @@
 	}
 	// The third relay counts as failed, but its lease is still valid.
 	cutOff := func(joint bool) *interleaving {
-		l := newInterleaving(true, joint)
-		l.handle(0, PeerHealth{relayName(2), HealthFailed})
-		l.handle(1, PeerHealth{relayName(2), HealthFailed})
-		return l
+		x := newInterleaving(true, joint)
+		x.handle(0, PeerHealth{relayName(2), HealthFailed})
+		x.handle(1, PeerHealth{relayName(2), HealthFailed})
+		return x
 	}
-	for what, l := range map[string]*interleaving{"bootstrapping": newInterleaving(false, true),
+	for what, x := range map[string]*interleaving{"bootstrapping": newInterleaving(false, true),
 		"cut off": cutOff(true),
 		"agreed":  newInterleaving(true, true)} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			played, most := l.explore(depth)
-			t.Logf("%d sequences of %d steps, the shares add up to %.6f at most", played, depth, most)
-			if most > 1 {
-				t.Errorf("the shares add up to %v, want 1 at most", most)
+			played, maxSum := x.explore(depth)
+			t.Logf("%d sequences of %d steps, the shares add up to %.6f at most", played, depth, maxSum)
+			if maxSum > 1 {
+				t.Errorf("the shares add up to %v, want 1 at most", maxSum)
 			}
 		})
 	}
 	t.Run("without the joint view", func(t *testing.T) {
 		t.Parallel()
-		if _, most := cutOff(false).explore(5); most <= 1+1e-9 {
+		if _, maxSum := cutOff(false).explore(5); maxSum <= 1+1e-9 {
 			t.Error("without the joint view no sequence exceeded a sum of 1, want at least one to detect it")
 		}
 	})
--- a/internal/fleet/membership/leftout_test.go
+++ b/internal/fleet/membership/leftout_test.go
@@ -15,9 +15,9 @@
 		plans: map[uint64]*cellplan.Plan{}, zones: []string{"nobody's"}}
 	f.bootstrap(1, 1, 3, false)
 	f.run(20_000)
-	founded := cellplan.Cell{Name: "founded", Region: "east", Zone: "east-0", Relays: 3,
+	newCell := cellplan.Cell{Name: "founded", Region: "east", Zone: "east-0", Relays: 3,
 		Contacts: []string{"127.0.0.1:1"}}
-	f.publishPlan(cellplan.Plan{Number: 2, HomeShare: 0.9, Cells: []cellplan.Cell{founded}})
+	f.publishPlan(cellplan.Plan{Number: 2, HomeShare: 0.9, Cells: []cellplan.Cell{newCell}})
 	f.newCells(3)
 	f.run(60_000)
 	if err := f.checkMaxSum(); err != nil {
--- a/internal/fleet/membership/nextview.go
+++ b/internal/fleet/membership/nextview.go
@@ -69,8 +69,8 @@
 	spec = viewSpec{draining: map[string]bool{}, withinShare: map[string]bool{}}
 	for _, name := range n.candidates() {
 		status := n.candidateStatus(name)
-		was := n.view.Entry(name)
-		if was.IsMember {
+		entry := n.view.Entry(name)
+		if entry.IsMember {
 			if unavailable(name) || n.isOutdatedMember(status) {
 				changed = true
 				continue
@@ -87,7 +87,7 @@
 		draining := status.Lifecycle == LifecycleDraining
 		spec.members = append(spec.members, name)
 		spec.draining[name] = draining
-		changed = changed || was.IsMember && draining != was.Draining
+		changed = changed || entry.IsMember && draining != entry.Draining
 	}
 	n.noteWithinShare(&spec)
 	if len(spec.members) == 0 {
@@ -156,18 +156,18 @@
 // noteWithinShare fills in which relays are known to act by no earlier view than the one held. A status that
 // says so stays true, as the view that a relay reports is on its disk.
 func (n *Node) noteWithinShare(spec *viewSpec) {
-	all := true
+	allWithinShare := true
 	for _, m := range n.view.Entries {
 		if n.isWithinShare(m) {
 			spec.withinShare[m.Name] = true
 		} else {
-			all = false
+			allWithinShare = false
 		}
 	}
-	joint := n.safeguards.jointViews
+	jointViews := n.safeguards.jointViews
 	expired := n.now >= n.viewAdoptedAt+n.earlierViewsExpireAfter()
-	spec.earlierViewsExpired = all || expired || !joint
-	spec.ignoreLimits = !joint
+	spec.earlierViewsExpired = allWithinShare || expired || !jointViews
+	spec.ignoreLimits = !jointViews
 }
 
 // isWithinShare reports whether a relay is known to take no more than its share of the view held.
@@ -221,9 +221,9 @@
 		Voters:          nextVoters(v.Voters, spec.members),
 	}
 	for _, m := range v.Entries {
-		in, limit := slices.Contains(spec.members, m.Name), v.outstandingLimitAfter(m, spec)
-		if in || limit > 0 {
-			entry := ViewEntry{Name: m.Name, IsMember: in, OutstandingLimit: limit,
+		isMember, limit := slices.Contains(spec.members, m.Name), v.outstandingLimitAfter(m, spec)
+		if isMember || limit > 0 {
+			entry := ViewEntry{Name: m.Name, IsMember: isMember, OutstandingLimit: limit,
 				Draining: spec.draining[m.Name]}
 			next.Entries = append(next.Entries, entry)
 		}
@@ -253,9 +253,9 @@
 // assignShares gives each serving member its share: up to its outstanding limit at once, and above it from
 // what no limit holds.
 func (v *View) assignShares() {
-	target, free := v.targetShare(), FullBudget-v.unreleasedShare()
+	target, unassigned := v.targetShare(), FullBudget-v.unreleasedShare()
 	for _, m := range v.Entries {
-		free -= m.OutstandingLimit
+		unassigned -= m.OutstandingLimit
 	}
 	for i := range v.Entries {
 		m := &v.Entries[i]
@@ -263,9 +263,9 @@
 			continue
 		}
 		m.BudgetShare = min(target, m.OutstandingLimit)
-		grow := min(target-m.BudgetShare, free)
-		m.BudgetShare += grow
-		free -= grow
+		growth := min(target-m.BudgetShare, unassigned)
+		m.BudgetShare += growth
+		unassigned -= growth
 	}
 }
 
--- a/internal/fleet/membership/plan.go
+++ b/internal/fleet/membership/plan.go
@@ -16,8 +16,8 @@
 		return bootstrapAllocation(plan, n.plans.cell, n.bootstrapLeaseMillis()), PendingView
 	}
 	if current != nil && !current.Activated && n.allCellsJoined(current.Plan) {
-		if table := n.plans.planOf(current); table != nil {
-			return current.afterActivation(table, n.plans.cell), PlanActive
+		if heldPlan := n.plans.planOf(current); heldPlan != nil {
+			return current.afterActivation(heldPlan, n.plans.cell), PlanActive
 		}
 	}
 	if plan == nil || plan.Number <= current.planNumber() {
@@ -40,7 +40,7 @@
 	case current == nil || current.Activated:
 		return PlanActive
 	case n.allCellsJoined(current.Plan):
-		return PendingTable
+		return PendingPlanFile
 	}
 	return PendingCells
 }
@@ -119,8 +119,8 @@
 	if !activates || !n.allCellsJoined(next.Plan) {
 		return false
 	}
-	table := n.plans.planOf(current)
-	return table == nil || next.equal(current.afterActivation(table, n.plans.cell))
+	heldPlan := n.plans.planOf(current)
+	return heldPlan == nil || next.equal(current.afterActivation(heldPlan, n.plans.cell))
 }
 
 // isValidJoin reports whether a cell may join the next plan by an Allocation.
--- a/internal/fleet/membership/planstate.go
+++ b/internal/fleet/membership/planstate.go
@@ -46,8 +46,8 @@
 	if s.cell == "" {
 		s.cell = e.Cell
 	}
-	if table := s.planOf(current); table != nil {
-		s.previousPlan = table
+	if heldPlan := s.planOf(current); heldPlan != nil {
+		s.previousPlan = heldPlan
 	}
 	s.filePlan = e.Plan
 }
@@ -65,7 +65,7 @@
 const (
 	PlanActive        PlanPendingReason = iota // the plan is active
 	PendingCells                               // adopted, but not all cells are known to have joined it
-	PendingTable                               // all cells have joined the view's plan; the file has another
+	PendingPlanFile                            // all cells have joined the view's plan; the file has another
 	PendingSequence                            // the file's plan skips a number
 	PendingActivation                          // the previous plan is not activated yet
 	PendingUpgrade                             // a member has published no status of version 2
@@ -77,7 +77,7 @@
 var planPendingTexts = [...]string{
 	PlanActive:        "in force",
 	PendingCells:      "not all cells have entered it",
-	PendingTable:      "the file has another table",
+	PendingPlanFile:   "the file has another table",
 	PendingSequence:   "it is not the number that follows",
 	PendingActivation: "the plan before is not open",
 	PendingUpgrade:    "a member's program is too old",
--- a/internal/fleet/membership/proposer.go
+++ b/internal/fleet/membership/proposer.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// proposeView asks the voters to accept a view: the one that may have been chosen already, or else the one
-// that this relay wants as far as a majority of the voters confirms it. Until a majority does, it waits for
-// more promises.
+// proposeView asks the voters to accept a view: the one that may have been chosen already, or else a new one
+// with the changes that this relay wants and for which a majority of the voters has evidence. Without such
+// changes it waits for more promises, and abandons the proposal once all voters have promised.
 func (n *Node) proposeView(p *proposal) {
 	if p.proposedView = p.highestAcceptedView; p.proposedView == nil {
 		spec, changed := n.nextViewSpec(func(name string) bool {
--- a/internal/fleet/membership/schedules_test.go
+++ b/internal/fleet/membership/schedules_test.go
@@ -28,22 +28,23 @@
 // partition splits the network into two or three parts.
 func (sim *simulatedFleet) partition() {
 	n := len(sim.relays)
-	parts, of := 2+sim.rng.IntN(2), make([]int, n)
-	for j := range of {
-		of[j] = sim.rng.IntN(parts)
+	parts, partOf := 2+sim.rng.IntN(2), make([]int, n)
+	for j := range partOf {
+		partOf[j] = sim.rng.IntN(parts)
 	}
 	for a := range n {
 		for b := range n {
-			sim.partitioned[[2]int{a, b}] = of[a] != of[b]
+			sim.partitioned[[2]int{a, b}] = partOf[a] != partOf[b]
 		}
 	}
 }
 
 // playRandomSchedule plays one random schedule of faults on a new fleet.
-func playRandomSchedule(n, bootstrapSize int, seed uint64, steps int, change func(*Node)) *simulatedFleet {
+func playRandomSchedule(n, bootstrapSize int, seed uint64, steps int,
+	withoutSafeguard func(*Node)) *simulatedFleet {
 	bootstrapSize = min(bootstrapSize, n)
 	sim := newSimulatedFleet(n, bootstrapSize, seed)
-	sim.withoutSafeguard = change
+	sim.withoutSafeguard = withoutSafeguard
 	sim.injectFaults(bootstrapSize, seed, steps)
 	return sim
 }
--- a/internal/fleet/membership/simulated_fleet_test.go
+++ b/internal/fleet/membership/simulated_fleet_test.go
@@ -107,9 +107,9 @@
 	if sim.withoutSafeguard != nil {
 		sim.withoutSafeguard(n.node)
 	}
-	acts := n.node.Start(n.clock(sim.now), nil)
+	actions := n.node.Start(n.clock(sim.now), nil)
 	n.updateShare(sim.now)
-	sim.applyActions(i, acts)
+	sim.applyActions(i, actions)
 	sim.handle(i, LocalState{Lifecycle: LifecycleServing, RequestRate: 10, EndpointListGeneration: 1})
 }
 
@@ -127,14 +127,14 @@
 		if n.olderProgram {
 			ev = eventWithoutAllocation(ev)
 		}
-		acts := n.node.Handle(n.clock(sim.now), ev, nil)
+		actions := n.node.Handle(n.clock(sim.now), ev, nil)
 		n.updateShare(sim.now)
 		sim.updateMaxSum()
 		if epoch := n.node.View().Epoch; epoch > sim.highestEpoch {
 			sim.highestEpoch = epoch
 			sim.blockInboundIfDue(i)
 		}
-		sim.applyActions(i, acts)
+		sim.applyActions(i, actions)
 	}
 }
 
@@ -165,15 +165,15 @@
 	n.paused = false
 	n.updateShare(sim.now)
 	sim.updateMaxSum()
-	queue := n.pausedEvents
+	events := n.pausedEvents
 	n.pausedEvents = nil
-	for _, ev := range queue {
+	for _, ev := range events {
 		sim.handle(i, ev)
 	}
 }
 
-func (sim *simulatedFleet) applyActions(i int, acts []Action) {
-	for _, a := range acts {
+func (sim *simulatedFleet) applyActions(i int, actions []Action) {
+	for _, a := range actions {
 		traceAction(sim.trace, i, sim.relays[i].share, a)
 		switch a := a.(type) {
 		case SaveRecord:
@@ -318,15 +318,15 @@
 	for until := sim.now + ms; sim.now < until; {
 		sim.now += 10
 		due := sim.packets[:0:0]
-		left := sim.packets[:0]
+		remaining := sim.packets[:0]
 		for _, p := range sim.packets {
 			if p.at <= sim.now {
 				due = append(due, p)
 			} else {
-				left = append(left, p)
+				remaining = append(remaining, p)
 			}
 		}
-		sim.packets = left
+		sim.packets = remaining
 		slices.SortStableFunc(due, func(a, b packet) int {
 			switch {
 			case a.at < b.at:
@@ -354,11 +354,11 @@
 
 // checkAgreement returns an error unless all running relays hold one settled view of just them.
 func (sim *simulatedFleet) checkAgreement() error {
-	var ref *View
-	up := 0
+	var reference *View
+	runningCount := 0
 	for _, n := range sim.relays {
 		if n.running {
-			up++
+			runningCount++
 		}
 	}
 	for _, n := range sim.relays {
@@ -366,13 +366,13 @@
 			continue
 		}
 		v := n.node.View()
-		if ref == nil {
-			ref = v
+		if reference == nil {
+			reference = v
 		}
-		if v.Hash() != ref.Hash() || len(v.MemberNames()) != up || !v.Settled() ||
+		if v.Hash() != reference.Hash() || len(v.MemberNames()) != runningCount || !v.Settled() ||
 			n.node.Phase() != PhaseAgreed {
 			return fmt.Errorf("relay %s: phase %s, %s, %d members, settled %v; want one settled view of %d",
-				n.cfg.Name, n.node.Phase(), v.summary(), len(v.MemberNames()), v.Settled(), up)
+				n.cfg.Name, n.node.Phase(), v.summary(), len(v.MemberNames()), v.Settled(), runningCount)
 		}
 	}
 	return nil
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -86,9 +86,9 @@
 
 // MemberNames returns the names of the view's members, sorted.
 func (v *View) MemberNames() (names []string) {
-	for _, s := range v.Entries {
-		if s.IsMember {
-			names = append(names, s.Name)
+	for _, m := range v.Entries {
+		if m.IsMember {
+			names = append(names, m.Name)
 		}
 	}
 	return names
@@ -105,13 +105,13 @@
 }
 
 // ServingMembers returns how many members are not drained.
-func (v *View) ServingMembers() (n int) {
-	for _, s := range v.Entries {
-		if s.IsMember && !s.Draining {
-			n++
+func (v *View) ServingMembers() (count int) {
+	for _, m := range v.Entries {
+		if m.IsMember && !m.Draining {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // majority returns how many voters must accept the next view for it to be chosen.
@@ -135,9 +135,9 @@
 	if v.Epoch == 0 {
 		return false
 	}
-	due := v.targetShare()
-	for _, s := range v.Entries {
-		if s.IsMember && s.BudgetShare != due && !s.Draining || !s.IsMember && s.OutstandingLimit > 0 {
+	target := v.targetShare()
+	for _, m := range v.Entries {
+		if m.IsMember && m.BudgetShare != target && !m.Draining || !m.IsMember && m.OutstandingLimit > 0 {
 			return false
 		}
 	}
@@ -147,21 +147,21 @@
 // Hash distinguishes two views of one epoch.
 func (v *View) Hash() uint64 {
 	h := fnv.New64a()
-	put := func(s string) {
-		h.Write([]byte(s))
+	put := func(text string) {
+		h.Write([]byte(text))
 		h.Write([]byte{0})
 	}
 	put(strconv.FormatUint(v.Epoch, 10))
-	for _, p := range v.UnreleasedSlots {
-		put(strconv.Itoa(p))
+	for _, slot := range v.UnreleasedSlots {
+		put(strconv.Itoa(slot))
 	}
-	for _, s := range v.Entries {
-		put(s.Name)
-		shares := strconv.FormatUint(s.BudgetShare, 10) + " " + strconv.FormatUint(s.OutstandingLimit, 10)
-		put(strconv.FormatBool(s.IsMember) + shares)
+	for _, m := range v.Entries {
+		put(m.Name)
+		shares := strconv.FormatUint(m.BudgetShare, 10) + " " + strconv.FormatUint(m.OutstandingLimit, 10)
+		put(strconv.FormatBool(m.IsMember) + shares)
 	}
-	for _, n := range v.Voters {
-		put(n)
+	for _, voter := range v.Voters {
+		put(voter)
 	}
 	if a := v.Allocation; a != nil {
 		for _, number := range []uint64{a.Plan, a.PlanHash, a.NearBudget, a.FarBudget,
