--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	r := &fakeRelay{ready: true, out: map[string]bool{}}
 	figures := prometheus.NewRegistry()
-	figures.MustRegister(NewFigures(Front{Source: source{}, Classes: []string{"map-stream", "alert-feed"}}))
+	figures.MustRegister(NewCollector(Front{Source: source{}, Classes: []string{"map-stream", "alert-feed"}}))
 	s, err := Listen("127.0.0.1:0", r, figures, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/admin/figures.go
+++ b/internal/admin/metrics.go
@@ -6,8 +6,8 @@
 	"capersail/internal/relay"
 )
 
-// Source is one front's request table as the metrics read it.
-type Source interface {
+// MetricsSource is one front's request table as the metrics read it.
+type MetricsSource interface {
 	ClassCounts() []relay.ClassCounts // by class number, since the process started
 	OpenRequests() int                // requests accepted and not ended
 	EndpointCounts() relay.EndpointCounts
@@ -16,11 +16,11 @@
 
 // Front is a Source with the names of its classes, by number.
 type Front struct {
-	Source  Source
+	Source  MetricsSource
 	Classes []string
 }
 
-// Figures is the Prometheus collector of the relay's metrics. Each is read from the fronts when it is
+// Collector is the Prometheus collector of the relay's metrics. Each is read from the fronts when it is
 // collected: there is no goroutine and no timer. It maps the terms of the code to the metric names that
 // operators use:
 //
@@ -36,7 +36,7 @@
 //	relay_denied{why}       counter  attempts and requests that the guard denied, by reason
 //	relay_refusals{why}     counter  requests that the decision module rejected or failed, by reason
 //	relay_violations{rule}  counter  invariants violated: each is a fault of this program
-type Figures struct {
+type Collector struct {
 	fronts                                 []Front
 	answered, deferred, errored, sends     *prometheus.Desc
 	current, clusterSize, clusterUnhealthy *prometheus.Desc
@@ -44,8 +44,8 @@
 	denied, refusals, violations           *prometheus.Desc
 }
 
-// NewFigures returns the collector of the fronts' metrics.
-func NewFigures(fronts ...Front) *Figures {
+// NewCollector returns the collector of the fronts' metrics.
+func NewCollector(fronts ...Front) *Collector {
 	byClass := func(name, help string) *prometheus.Desc {
 		return prometheus.NewDesc(name, help, []string{"group"}, nil)
 	}
@@ -53,7 +53,7 @@
 		return prometheus.NewDesc(name, help, []string{label}, nil)
 	}
 	one := func(name, help string) *prometheus.Desc { return prometheus.NewDesc(name, help, nil, nil) }
-	return &Figures{
+	return &Collector{
 		fronts: fronts,
 		answered: byClass("relay_answered",
 			"Requests established, by class, since the process started."),
@@ -77,7 +77,7 @@
 }
 
 // Describe sends the descriptions of all metrics.
-func (f *Figures) Describe(ch chan<- *prometheus.Desc) {
+func (f *Collector) Describe(ch chan<- *prometheus.Desc) {
 	all := []*prometheus.Desc{
 		f.answered, f.deferred, f.errored, f.sends,
 		f.current, f.clusterSize, f.clusterUnhealthy,
@@ -90,14 +90,14 @@
 }
 
 // Collect reads every front. Classes of the same name in two fronts are added up.
-func (f *Figures) Collect(ch chan<- prometheus.Metric) {
+func (f *Collector) Collect(ch chan<- prometheus.Metric) {
 	f.collectClasses(ch)
 	f.collectTotals(ch)
 	f.collectGuard(ch)
 }
 
 // collectClasses sends the counters of the classes.
-func (f *Figures) collectClasses(ch chan<- prometheus.Metric) {
+func (f *Collector) collectClasses(ch chan<- prometheus.Metric) {
 	byName := map[string]*relay.ClassCounts{}
 	var order []string
 	for _, front := range f.fronts {
@@ -136,7 +136,7 @@
 }
 
 // collectTotals sends the gauges of requests and servers.
-func (f *Figures) collectTotals(ch chan<- prometheus.Metric) {
+func (f *Collector) collectTotals(ch chan<- prometheus.Metric) {
 	open, listed, ejected := 0, 0, 0
 	for _, front := range f.fronts {
 		open += front.Source.OpenRequests()
@@ -153,7 +153,7 @@
 }
 
 // collectGuard sends what the guard of every front has counted.
-func (f *Figures) collectGuard(ch chan<- prometheus.Metric) {
+func (f *Collector) collectGuard(ch chan<- prometheus.Metric) {
 	age, lapsed := 0.0, 0.0
 	sums := map[*prometheus.Desc]map[string]float64{f.denied: {}, f.refusals: {}, f.violations: {}}
 	for _, fr := range f.fronts {
--- a/internal/command/demo_deployment.go
+++ b/internal/command/demo_deployment.go
@@ -173,7 +173,7 @@
 
 // report returns the relay's time line.
 func (d *demoDeployment) report() (report.Report, error) {
-	all, err := control.Ask(d.socket, report.Query{})
+	all, err := control.QueryTimelines(d.socket, report.Query{})
 	if err != nil {
 		return report.Report{}, err
 	}
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			fleet, probed, err := control.AskProbing(path)
+			fleet, probed, err := control.QueryProbing(path)
 			if err != nil {
 				return exitError{NoAnswer, err}
 			}
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		r, known, err := control.AskFleet(path)
+		r, known, err := control.QueryFleet(path)
 		if err != nil {
 			return nil, nil, exitError{NoAnswer, err}
 		}
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -177,10 +177,10 @@
 			return err
 		}
 		if s.socket == "" {
-			s.socket = t.Socket
+			s.socket = t.ControlSocket
 		}
 		if s.store == "" {
-			s.store = t.Store
+			s.store = t.StoreFile
 		}
 	}
 	if s.socket == "" && s.store == "" {
@@ -231,7 +231,7 @@
 	}
 	var noAnswer error
 	if s.socket != "" {
-		all, err := control.Ask(s.socket, q)
+		all, err := control.QueryTimelines(s.socket, q)
 		if err == nil {
 			return all, nil
 		}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -19,24 +19,24 @@
 	replyTimeout = 5 * time.Second // for the first reply; events may take any time
 )
 
-// Ask asks a running relay.
-func Ask(path string, q report.Query) ([]*report.Report, error) {
+// QueryTimelines asks a running relay.
+func QueryTimelines(path string, q report.Query) ([]*report.Report, error) {
 	q.Follow = false
 	var got []*report.Report
 	err := ask(path, q, func(r reply) bool { got = r.Reports; return false })
 	return got, err
 }
 
-// AskFleet asks a running relay what it knows of the others, and of the fleet's cells: nil where there are
+// QueryFleet asks a running relay what it knows of the others, and of the fleet's cells: nil where there are
 // none.
-func AskFleet(path string) (*membership.Report, *cells.Report, error) {
+func QueryFleet(path string) (*membership.Report, *cells.Report, error) {
 	got, err := askFleet(path, question{Fleet: true})
 	return got.Fleet, got.Cells, err
 }
 
-// AskProbing asks a running relay what it knows of the others, and of the fleet's shared probing: nil where it
+// QueryProbing asks a running relay what it knows of the others, and of the fleet's shared probing: nil where it
 // takes no part.
-func AskProbing(path string) (*membership.Report, *probing.Report, error) {
+func QueryProbing(path string) (*membership.Report, *probing.Report, error) {
 	got, err := askFleet(path, question{Fleet: true, Probing: true})
 	return got.Fleet, got.Probing, err
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -28,16 +28,16 @@
 	maxQuestionBytes = 64 << 10
 )
 
-// ErrInUse says that another daemon answers on the socket.
-var ErrInUse = errors.New("another daemon answers there")
+// ErrSocketInUse says that another daemon answers on the socket.
+var ErrSocketInUse = errors.New("another daemon answers there")
 
-// Fleet is what a relay knows of the others.
-type Fleet interface{ Report() membership.Report }
+// FleetReporter is what a relay knows of the others.
+type FleetReporter interface{ Report() membership.Report }
 
 // Sources is what a socket can be asked for.
 type Sources struct {
 	Watchers []*watch.Watcher
-	Fleet    Fleet // nil without members
+	Fleet    FleetReporter // nil without members
 	// Probing reports the fleet's shared probing; nil without it.
 	Probing func() (probing.Report, bool)
 	// Cells reports the fleet's cells; nil without a plan.
@@ -56,11 +56,11 @@
 }
 
 // Listen begins to answer on the socket at path. A socket that a dead daemon has left is replaced; where
-// another daemon answers, the error is ErrInUse.
+// another daemon answers, the error is ErrSocketInUse.
 func Listen(path string, sources Sources, log zerolog.Logger) (*Server, error) {
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
-		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
+		return nil, fmt.Errorf("%s: %w", path, ErrSocketInUse)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode().Type() == os.ModeSocket {
 		os.Remove(path)
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -69,7 +69,7 @@
 // newRegistry registers the metrics of the fronts and of the parts.
 func newRegistry(sources []admin.Front, more []prometheus.Collector) (*prometheus.Registry, error) {
 	registry := prometheus.NewRegistry()
-	for _, collector := range append([]prometheus.Collector{admin.NewFigures(sources...)}, more...) {
+	for _, collector := range append([]prometheus.Collector{admin.NewCollector(sources...)}, more...) {
 		if err := registry.Register(collector); err != nil {
 			return nil, err
 		}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -21,9 +21,9 @@
 	Discovery string
 	// Admin is the operators' admin address, "" where it is off: `admin` of the file, or $LB_ADMIN.
 	Admin string
-	// FD is the descriptor of a listening socket that the platform holds for the clients' address and hands
+	// ListenFD is the descriptor of a listening socket that the platform holds for the clients' address and hands
 	// to every process of the relay ($LB_FD), or -1 where the relay binds the address itself.
-	FD         int
+	ListenFD   int
 	Seed       uint64
 	MemoryMB   int // 0 for no limit
 	Sockets    int // 0 for no limit
@@ -57,7 +57,7 @@
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
 	}
-	if c.FD, err = readDescriptor(getenv("LB_FD")); err != nil {
+	if c.ListenFD, err = readDescriptor(getenv("LB_FD")); err != nil {
 		return nil, err
 	}
 	if c.Seed, err = readSeed(string(object.GetStringBytes("seed"))); err != nil {
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -83,7 +83,7 @@
 
 // applyEjections hands the ejections to every front. The caller holds the lock.
 func (o *adminTarget) applyEjections() {
-	ejected := o.ejections.Set()
+	ejected := o.ejections.IDSet()
 	for _, front := range o.fronts {
 		front.requests.SetManualEjections(ejected)
 	}
--- a/internal/lifecycle/members_config.go
+++ b/internal/lifecycle/members_config.go
@@ -14,9 +14,9 @@
 	Bind          string   `toml:"bind"`
 	Advertise     string   `toml:"tell"`
 	Seeds         []string `toml:"seeds"`
-	Keys          string   `toml:"keys"`
-	State         string   `toml:"state"`
-	Socket        string   `toml:"socket"`
+	KeysFile      string   `toml:"keys"`
+	StateFile     string   `toml:"state"`
+	ControlSocket string   `toml:"socket"`
 	Zone          string   `toml:"zone"`
 	BootstrapSize int      `toml:"founders"`
 	ShareProbes   bool     `toml:"looks"`
@@ -43,13 +43,13 @@
 	problems.addIf(m.Site == "" || len(m.Site) > maxSiteBytes, "site",
 		"from 1 to %d bytes; relays of other sites are never merged with", maxSiteBytes)
 	m.checkAddresses(problems)
-	problems.addIf(!filepath.IsAbs(m.State), "state", "%q is not a path from / on", m.State)
-	checkSocket(problems, m.Socket)
+	problems.addIf(!filepath.IsAbs(m.StateFile), "state", "%q is not a path from / on", m.StateFile)
+	checkSocket(problems, m.ControlSocket)
 	problems.addIf(m.BootstrapSize < 0 || m.BootstrapSize > maxBootstrapSize, "founders",
 		"from 1 to %d, or 0 for the settings' number", maxBootstrapSize)
-	if m.Keys != "" {
+	if m.KeysFile != "" {
 		var err error
-		m.keys, err = readGossipKeys(m.Keys)
+		m.keys, err = readGossipKeys(m.KeysFile)
 		problems.add("keys", err)
 	}
 	m.checkCells(problems)
@@ -62,7 +62,7 @@
 	problems.add("bind", err)
 	if err == nil {
 		ip := net.ParseIP(host)
-		problems.addIf(m.Keys == "" && !ip.IsLoopback(), "bind",
+		problems.addIf(m.KeysFile == "" && !ip.IsLoopback(), "bind",
 			"%s is not a loopback address, and without keys no other is allowed", host)
 		problems.addIf(ip.IsUnspecified() && m.Advertise == "", "tell",
 			"has to be set where bind is no one address that others can reach")
@@ -105,6 +105,6 @@
 // restartOnly is what of the file a reload does not take in.
 func (m *MembersConfig) restartOnly() string {
 	return fmt.Sprint(
-		m.Site, m.Bind, m.Advertise, m.Seeds, m.State, m.Socket,
+		m.Site, m.Bind, m.Advertise, m.Seeds, m.StateFile, m.ControlSocket,
 		m.Zone, m.BootstrapSize, m.ShareProbes)
 }
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -111,10 +111,10 @@
 	if p.joinErr != nil {
 		return p.joinErr
 	}
-	if p.config.Socket != "" {
+	if p.config.ControlSocket != "" {
 		sources := control.Sources{Fleet: p.node, Probing: p.sharing.Report, Cells: p.node.CellsReport}
 		var err error
-		if p.control, err = control.Listen(p.config.Socket, sources, p.log); err != nil {
+		if p.control, err = control.Listen(p.config.ControlSocket, sources, p.log); err != nil {
 			return &ConfigError{File: p.path, Key: "socket", Err: err}
 		}
 	}
@@ -168,7 +168,7 @@
 func (p *membersPart) stop() {
 	if p.control != nil {
 		p.control.Close()
-		os.Remove(p.config.Socket)
+		os.Remove(p.config.ControlSocket)
 	}
 	if p.end != nil {
 		p.end()
@@ -189,7 +189,7 @@
 		Advertise:        m.Advertise,
 		Seeds:            m.Seeds,
 		Keys:             m.keys,
-		StateFile:        m.State,
+		StateFile:        m.StateFile,
 		BootstrapSlot:    settings.RelayIndex,
 		BootstrapSize:    m.BootstrapSize,
 		ConfiguredRelays: relays,
--- a/internal/lifecycle/resume_part.go
+++ b/internal/lifecycle/resume_part.go
@@ -56,10 +56,10 @@
 	}
 	return func() {
 		p.service.SetKeys(next.keyRing)
-		p.service.SetServers(next.Servers)
+		p.service.SetServers(next.OwnershipServers)
 		p.log.Info().
 			Str("sealing", next.keyRing.SealingKeyID()).
-			Strs("claims", next.Servers).
+			Strs("claims", next.OwnershipServers).
 			Bool("needs_restart", next.restartOnly() != p.config.restartOnly()).
 			Msg("reloaded resume")
 	}, nil
@@ -70,14 +70,14 @@
 func (c *ResumeConfig) serviceConfig(name string) resume.Config {
 	return resume.Config{
 		Relay:              name,
-		Servers:            c.Servers,
-		Path:               c.Path,
+		Servers:            c.OwnershipServers,
+		Path:               c.OwnershipPath,
 		SessionTimeout:     relay.DurationFromMillis(c.SessionMs),
 		AcquireTimeout:     relay.DurationFromMillis(c.AcquireMs),
 		TokenLifetime:      relay.DurationFromMillis(c.TokenLifetimeMs),
 		TokenRenewInterval: relay.DurationFromMillis(c.TokenRenewMs),
 		MaxClockSkew:       relay.DurationFromMillis(c.MaxClockSkewMs),
-		SweepInterval:      relay.DurationFromMillis(c.SweepEveryMs),
+		SweepInterval:      relay.DurationFromMillis(c.SweepIntervalMs),
 		AllServersResume:   c.AllServersResume,
 	}
 }
--- a/internal/lifecycle/timeline_config.go
+++ b/internal/lifecycle/timeline_config.go
@@ -9,27 +9,27 @@
 
 // TimelineConfig is the operator's file for time lines; deploy/timeline.toml says what each key means.
 type TimelineConfig struct {
-	Socket     string `toml:"socket"`
-	Store      string `toml:"store"`
-	StoreMB    int64  `toml:"store_mb"`
-	StoreHours int64  `toml:"store_hours"`
-	Buffer     int    `toml:"buffer"`
-	Servers    int    `toml:"servers"`
+	ControlSocket string `toml:"socket"`
+	StoreFile     string `toml:"store"`
+	StoreMB       int64  `toml:"store_mb"`
+	StoreHours    int64  `toml:"store_hours"`
+	BufferRecords int    `toml:"buffer"`
+	MaxServers    int    `toml:"servers"`
 }
 
 // ReadTimelineConfig reads the file. The error joins a *ConfigError for each problem.
 func ReadTimelineConfig(path string) (*TimelineConfig, error) {
-	t := &TimelineConfig{StoreMB: 256, StoreHours: 72, Buffer: 8192, Servers: 512}
+	t := &TimelineConfig{StoreMB: 256, StoreHours: 72, BufferRecords: 8192, MaxServers: 512}
 	problems, err := decodeFile(path, t)
 	if err != nil {
 		return nil, err
 	}
-	checkSocket(problems, t.Socket)
-	problems.addIf(t.Store != "" && !filepath.IsAbs(t.Store), "store", "%q is not a path from / on", t.Store)
+	checkSocket(problems, t.ControlSocket)
+	problems.addIf(t.StoreFile != "" && !filepath.IsAbs(t.StoreFile), "store", "%q is not a path from / on", t.StoreFile)
 	problems.addIf(t.StoreMB < 4 || t.StoreMB > 1<<20, "store_mb", "from 4 to 1048576")
 	problems.addIf(t.StoreHours < 1 || t.StoreHours > 24*366, "store_hours", "from 1 to 8784")
-	problems.addIf(t.Buffer < 64 || t.Buffer > 1<<20, "buffer", "from 64 to 1048576 records")
-	problems.addIf(t.Servers < 1 || t.Servers > 100_000, "servers", "from 1 to 100000")
+	problems.addIf(t.BufferRecords < 64 || t.BufferRecords > 1<<20, "buffer", "from 64 to 1048576 records")
+	problems.addIf(t.MaxServers < 1 || t.MaxServers > 100_000, "servers", "from 1 to 100000")
 	return t, problems.err()
 }
 
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -41,15 +41,15 @@
 func (p *timelinePart) join(front *frontHooks) {
 	c := watch.Config{
 		Relay:      front.relay,
-		Buffer:     p.config.Buffer,
+		Buffer:     p.config.BufferRecords,
 		Limits:     timeline.DefaultLimits(),
-		MaxServers: p.config.Servers,
+		MaxServers: p.config.MaxServers,
 	}
-	c.Limits.MaxServers = p.config.Servers
+	c.Limits.MaxServers = p.config.MaxServers
 	if front.platform == nil {
 		c.Relay = front.front
 	}
-	if p.config.Store != "" {
+	if p.config.StoreFile != "" {
 		c.Store = p.openStore(front)
 	}
 	watcher := watch.New(c, front.requests, front.clock, p.log)
@@ -63,7 +63,7 @@
 // openStore opens a front's store: each front has servers of its own, and a file for them. One that cannot be
 // opened is no reason not to serve.
 func (p *timelinePart) openStore(front *frontHooks) *store.Store {
-	file := p.config.Store
+	file := p.config.StoreFile
 	if len(p.stores) > 0 {
 		file += "." + front.front
 	}
@@ -86,11 +86,11 @@
 	for _, w := range p.watchers {
 		p.running.Go(func() { w.Run(ctx) })
 	}
-	if p.config.Socket == "" {
+	if p.config.ControlSocket == "" {
 		return nil
 	}
 	var err error
-	p.control, err = control.Listen(p.config.Socket, control.Sources{Watchers: p.watchers}, p.log)
+	p.control, err = control.Listen(p.config.ControlSocket, control.Sources{Watchers: p.watchers}, p.log)
 	if err != nil {
 		return &ConfigError{File: p.path, Key: "socket", Err: err}
 	}
@@ -103,7 +103,7 @@
 	}
 	if p.control != nil {
 		p.control.Close()
-		os.Remove(p.config.Socket)
+		os.Remove(p.config.ControlSocket)
 	}
 	for _, w := range p.watchers {
 		w.Fold()
--- a/internal/lifecycle/xmpp_config.go
+++ b/internal/lifecycle/xmpp_config.go
@@ -9,8 +9,8 @@
 // XMPPConfig is the operator's file for the XMPP front.
 type XMPPConfig struct {
 	Listen          string        `toml:"listen"`
-	Certificate     string        `toml:"certificate"`
-	Key             string        `toml:"key"`
+	CertificateFile string        `toml:"certificate"`
+	KeyFile         string        `toml:"key"`
 	Plaintext       bool          `toml:"plaintext"`
 	Sockets         int           `toml:"sockets"`
 	Zone            string        `toml:"zone"`
@@ -21,8 +21,8 @@
 	ConnectMs       float64       `toml:"connect_ms"`
 	MaxRetryAfterMs float64       `toml:"max_retry_after_ms"`
 	ZooKeeper       xmppZooKeeper `toml:"zookeeper"`
-	Class           []xmppClass   `toml:"class"`
-	Host            []xmppHost    `toml:"host"`
+	Classes         []xmppClass   `toml:"class"`
+	Hosts           []xmppHost    `toml:"host"`
 }
 
 // xmppZooKeeper says where the endpoint list is.
@@ -68,13 +68,13 @@
 	c.checkClasses(problems)
 	_, _, err := net.SplitHostPort(c.Listen)
 	problems.add("listen", err)
-	problems.addIf(c.Certificate == "" && !c.Plaintext, "certificate",
+	problems.addIf(c.CertificateFile == "" && !c.Plaintext, "certificate",
 		"not set, and plaintext is not allowed")
-	problems.addIf((c.Certificate == "") != (c.Key == ""), "key", "certificate and key go together")
+	problems.addIf((c.CertificateFile == "") != (c.KeyFile == ""), "key", "certificate and key go together")
 	problems.addIf(len(c.ZooKeeper.Servers) == 0, "zookeeper.servers", "at least one is wanted")
 	problems.addIf(!strings.HasPrefix(c.ZooKeeper.Path, "/"), "zookeeper.path", "a path from / on is wanted")
 	problems.addIf(!(c.ZooKeeper.SessionMs >= 100), "zookeeper.session_ms", "100 at least")
-	problems.addIf(len(c.Host) == 0, "host", "at least one is wanted")
+	problems.addIf(len(c.Hosts) == 0, "host", "at least one is wanted")
 	problems.addIf(!(c.SilenceMs >= 100 && c.SilenceMs <= 7000), "silent_ms", "from 100 to 7000")
 	problems.addIf(!(c.ConnectMs > 0), "connect_ms", "more than 0")
 	problems.addIf(c.Sockets < minSockets, "sockets", "%d at least", minSockets)
@@ -83,12 +83,12 @@
 // checkClasses finds what is wrong with the classes, and hosts that name none of them.
 func (c *XMPPConfig) checkClasses(problems *configProblems) {
 	known := map[string]bool{}
-	for _, class := range c.Class {
+	for _, class := range c.Classes {
 		good := class.Name != "" && class.SetupMs > 0 && class.DeadlineMs >= class.SetupMs
 		problems.addIf(!good, "class", "name, setup_ms and a deadline_ms no shorter are wanted")
 		known[class.Name] = true
 	}
-	for _, host := range c.Host {
+	for _, host := range c.Hosts {
 		problems.addIf(host.To == "" || !known[host.Class], "host.class",
 			"%q of host %q is no class of this file", host.Class, host.To)
 	}
@@ -98,5 +98,5 @@
 func (c *XMPPConfig) restartOnly() string {
 	return fmt.Sprint(
 		c.Listen, c.Zone, c.Zones, c.RelayIndex, c.Relays, c.SilenceMs, c.ConnectMs, c.MaxRetryAfterMs,
-		c.Class, c.Host)
+		c.Classes, c.Hosts)
 }
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -38,7 +38,7 @@
 	servers := &xmpp.ServerDialer{
 		Clock:          clock,
 		ConnectTimeout: relay.DurationFromMillis(c.ConnectMs),
-		ProbeHost:      c.Host[0].To,
+		ProbeHost:      c.Hosts[0].To,
 		SilenceTimeout: relay.DurationFromMillis(c.SilenceMs),
 		Log:            log,
 	}
@@ -118,7 +118,7 @@
 		MustSubscribe:  true,
 		Rules:          decide.Rules{PollDeadline: relay.DurationFromMillis(c.ZooKeeper.SessionMs)},
 	}
-	for i, class := range c.Class {
+	for i, class := range c.Classes {
 		deployment.Classes[class.Name] = decide.Class(i)
 		deployment.Settings.Classes = append(deployment.Settings.Classes, decide.ClassInfo{
 			LatencyObjective: relay.DurationFromMillis(class.SetupMs),
@@ -133,11 +133,11 @@
 // hosts are the hosts by name. It numbers their tenants, who share the service alike.
 func (c *XMPPConfig) hosts(deployment *relay.Deployment) map[string]xmpp.Host {
 	deadlines := map[string]float64{} // by class, in ms
-	for _, class := range c.Class {
+	for _, class := range c.Classes {
 		deadlines[class.Name] = class.DeadlineMs
 	}
 	hosts := map[string]xmpp.Host{}
-	for _, host := range c.Host {
+	for _, host := range c.Hosts {
 		key := host.Key
 		if key == "" {
 			key = host.To
@@ -180,10 +180,10 @@
 
 // tlsConfig loads what STARTTLS needs; nil only where plaintext is allowed.
 func (c *XMPPConfig) tlsConfig() (*tls.Config, error) {
-	if c.Certificate == "" {
+	if c.CertificateFile == "" {
 		return nil, nil
 	}
-	pair, err := tls.LoadX509KeyPair(c.Certificate, c.Key)
+	pair, err := tls.LoadX509KeyPair(c.CertificateFile, c.KeyFile)
 	if err != nil {
 		return nil, &ConfigError{Key: "certificate", Err: err}
 	}
--- a/internal/manualeject/ejections.go
+++ b/internal/manualeject/ejections.go
@@ -75,8 +75,8 @@
 	return changed
 }
 
-// Set returns the ids that are ejected, as a set.
-func (e *Ejections) Set() map[string]bool {
+// IDSet returns the ids that are ejected, as a set.
+func (e *Ejections) IDSet() map[string]bool {
 	ejected := make(map[string]bool, len(e.ejectedAt))
 	for id := range e.ejectedAt {
 		ejected[id] = true
--- a/internal/manualeject/ejections_test.go
+++ b/internal/manualeject/ejections_test.go
@@ -34,8 +34,8 @@
 	if changed, err := e.Readmit("s1", true); changed || err != nil {
 		t.Errorf("readmitted again: %v, %v", changed, err)
 	}
-	if len(e.Set()) != 0 {
-		t.Errorf("still ejected: %v", e.Set())
+	if len(e.IDSet()) != 0 {
+		t.Errorf("still ejected: %v", e.IDSet())
 	}
 }
 
