--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	// callTimeout bounds a complete call and the writing of its answer: operators are owed every answer
-	// within 1 s, beside callers that hold a connection for 4 s without a complete call.
+	// callTimeout bounds reading a complete call, and writing its response. Every call has to be answered
+	// within 1 s, even while other callers hold a connection for 4 s without sending a complete call.
 	callTimeout = time.Second
-	// MaxConnections bounds the connections that are open at once. Beyond it the oldest one that has not sent
-	// a complete call is closed: a crowd of silent callers then evicts only each other.
+	// MaxConnections bounds the connections that are open at once. A connection over the limit closes the
+	// oldest one that has not sent a complete call, so that many silent callers evict only each other.
 	MaxConnections = 32
 )
 
-// ErrNeverListed answers a call about a server that was never listed.
+// ErrNeverListed is returned for a server that has never been in an endpoint list.
 var ErrNeverListed = manualeject.ErrNeverListed
 
-// Relay is what the admin page asks of the relay. Its methods must not block for long.
+// Relay is the relay as the admin address controls it. Its methods must not block for long: a call has to be
+// answered within 1 s.
 type Relay interface {
-	// Ready tells whether the process serves and is neither draining nor shutting down.
+	// Ready reports whether the process serves and is neither draining nor shutting down.
 	Ready() bool
 	// Drain starts or ends a manual drain.
 	Drain(on bool)
-	// Eject ejects a server manually, Readmit ends its ejection. Either fails with ErrNeverListed for an id
-	// that was never listed; the change is stored before they return.
+	// Eject ejects a server manually, and Readmit ends its ejection. Both fail with ErrNeverListed for an id
+	// that was never listed, and store the change before they return.
 	Eject(id string) error
 	Readmit(id string) error
 }
 
-// Server serves the admin page.
+// Server serves the admin address.
 type Server struct {
 	http     *http.Server
 	listener *boundedListener
@@ -48,17 +49,17 @@
 	log      zerolog.Logger
 }
 
-// Listen binds the address. The metrics are those that figures gathers.
-func Listen(address string, relay Relay, figures prometheus.Gatherer, log zerolog.Logger) (*Server, error) {
+// Listen binds the address and returns its server; Serve answers the calls. The metrics come from gatherer.
+func Listen(address string, relay Relay, gatherer prometheus.Gatherer, log zerolog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	bounded := &boundedListener{Listener: l, limit: MaxConnections, silent: map[net.Conn]bool{}}
+	bounded := &boundedListener{Listener: l, limit: MaxConnections, awaitingCall: map[net.Conn]bool{}}
 	s := &Server{relay: relay, log: log, listener: bounded}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", s.handleReadiness)
-	metrics := promhttp.HandlerFor(figures, promhttp.HandlerOpts{ErrorHandling: promhttp.ContinueOnError})
+	metrics := promhttp.HandlerFor(gatherer, promhttp.HandlerOpts{ErrorHandling: promhttp.ContinueOnError})
 	mux.Handle("GET /ops/stats", metrics)
 	mux.HandleFunc("POST /ops/tile-servers/down/{id}", s.ejectionHandler(relay.Eject))
 	mux.HandleFunc("POST /ops/tile-servers/up/{id}", s.ejectionHandler(relay.Readmit))
@@ -77,10 +78,10 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers calls until Close.
+// Serve answers calls until Close is called. The error is that of a listener that has failed.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("admin: %w", err)
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// Close stops listening and ends every connection.
+// Close stops listening and closes every connection.
 func (s *Server) Close() error { return s.http.Shutdown(closedContext()) }
 
 func closedContext() context.Context {
@@ -97,7 +98,7 @@
 	return ctx
 }
 
-// closeAfterCall makes every answer the last one of its connection.
+// closeAfterCall has the connection closed after every response.
 func closeAfterCall(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Connection", "close")
@@ -121,16 +122,16 @@
 	}
 }
 
-func (s *Server) ejectionHandler(do func(string) error) http.HandlerFunc {
+func (s *Server) ejectionHandler(change func(string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
-		err := do(id)
+		err := change(id)
 		switch {
 		case errors.Is(err, ErrNeverListed):
 			http.Error(w, err.Error(), http.StatusNotFound)
 		case err != nil:
 			s.log.Error().Err(err).Str("server", id).
-				Msg("manual ejection cannot be stored, nothing has changed: mend the folder in $TMPDIR")
+				Msg("manual ejection not stored, no change: make capersail-bans in $TMPDIR writable")
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 		default:
 			call := strings.TrimPrefix(r.URL.Path, "/ops/tile-servers/")
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,9 +18,9 @@
 )
 
 type fakeRelay struct {
-	mu    sync.Mutex
-	ready bool
-	out   map[string]bool
+	mu      sync.Mutex
+	ready   bool
+	ejected map[string]bool
 }
 
 func (r *fakeRelay) Ready() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ready }
@@ -35,26 +35,26 @@
 	if id != "s1" {
 		return fmt.Errorf("down %s: %w", id, ErrNeverListed)
 	}
-	r.out[id] = true
+	r.ejected[id] = true
 	return nil
 }
 func (r *fakeRelay) Readmit(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.out, id)
+	delete(r.ejected, id)
 	return nil
 }
 
-type source struct{}
+type fakeStats struct{}
 
-func (source) ClassCounts() []relay.ClassCounts {
+func (fakeStats) ClassCounts() []relay.ClassCounts {
 	return []relay.ClassCounts{{Established: 812, Rejected: 3, Failed: 1, Attempts: 900}, {Established: 5}}
 }
-func (source) OpenRequests() int { return 14 }
-func (source) EndpointCounts() relay.EndpointCounts {
+func (fakeStats) OpenRequests() int { return 14 }
+func (fakeStats) EndpointCounts() relay.EndpointCounts {
 	return relay.EndpointCounts{Listed: 6, EjectedManually: 1, Ejected: 2}
 }
-func (source) GuardStats() relay.GuardStats {
+func (fakeStats) GuardStats() relay.GuardStats {
 	return relay.GuardStats{
 		EndpointListAge:      1500 * time.Millisecond,
 		EndpointLeaseExpired: true,
@@ -64,17 +64,18 @@
 	}
 }
 
-func serve(t *testing.T) (string, *fakeRelay) {
-	base, r, _ := serveOn(t)
+func startServer(t *testing.T) (string, *fakeRelay) {
+	base, r, _ := startServerAndGet(t)
 	return base, r
 }
 
-func serveOn(t *testing.T) (string, *fakeRelay, *Server) {
+func startServerAndGet(t *testing.T) (string, *fakeRelay, *Server) {
 	t.Helper()
-	r := &fakeRelay{ready: true, out: map[string]bool{}}
-	figures := prometheus.NewRegistry()
-	figures.MustRegister(NewCollector(Front{Source: source{}, Classes: []string{"map-stream", "alert-feed"}}))
-	s, err := Listen("127.0.0.1:0", r, figures, zerolog.Nop())
+	r := &fakeRelay{ready: true, ejected: map[string]bool{}}
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(NewCollector(Front{Source: fakeStats{},
+		Classes: []string{"map-stream", "alert-feed"}}))
+	s, err := Listen("127.0.0.1:0", r, registry, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +84,7 @@
 	return "http://" + s.Addr().String(), r, s
 }
 
-func do(t *testing.T, method, url string) (int, string, bool) {
+func call(t *testing.T, method, url string) (int, string, bool) {
 	t.Helper()
 	req, _ := http.NewRequest(method, url, nil)
 	res, err := http.DefaultClient.Do(req)
@@ -96,7 +97,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	base, r := serve(t)
+	base, r := startServer(t)
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -113,22 +114,22 @@
 		{"GET", "/ops/tile-servers/up/s1", 405},
 		{"GET", "/ops/nothing", 404},
 	} {
-		code, _, closed := do(t, c.method, base+c.path)
+		code, _, closed := call(t, c.method, base+c.path)
 		if code != c.want {
-			t.Errorf("%s %s: %d, want %d", c.method, c.path, code, c.want)
+			t.Errorf("%s %s: got status %d, want %d", c.method, c.path, code, c.want)
 		}
 		if !closed {
-			t.Errorf("%s %s: the connection is kept; one call a connection", c.method, c.path)
+			t.Errorf("%s %s: the connection was kept open, want it closed after one call", c.method, c.path)
 		}
 	}
-	if len(r.out) != 0 {
-		t.Errorf("out: %v", r.out)
+	if len(r.ejected) != 0 {
+		t.Errorf("still ejected after readmission: %v, want none", r.ejected)
 	}
 }
 
-func TestFigures(t *testing.T) {
-	base, _ := serve(t)
-	_, text, _ := do(t, "GET", base+"/ops/stats")
+func TestMetrics(t *testing.T) {
+	base, _ := startServer(t)
+	_, text, _ := call(t, "GET", base+"/ops/stats")
 	for _, want := range []string{
 		`relay_answered{group="map-stream"} 812`,
 		`relay_deferred{group="map-stream"} 3`,
@@ -147,15 +148,15 @@
 		"# TYPE relay_current gauge",
 	} {
 		if !strings.Contains(text, want+"\n") {
-			t.Errorf("no %q in\n%s", want, text)
+			t.Errorf("metrics lack the line %q; got\n%s", want, text)
 		}
 	}
 }
 
-// A crowd of callers that hold their connections without a complete call keeps nobody else out, and each of
-// them is let go after a second at most.
-func TestCrowd(t *testing.T) {
-	base, _, s := serveOn(t)
+// Callers that hold more connections than the limit without sending a complete call must not keep other
+// callers out, and each of these connections is closed within callTimeout.
+func TestSilentCallersDoNotBlockOthers(t *testing.T) {
+	base, _, s := startServerAndGet(t)
 	address := strings.TrimPrefix(base, "http://")
 	var silent []net.Conn
 	for range 3 * MaxConnections {
@@ -164,25 +165,25 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		fmt.Fprint(c, "GET /ops/readi") // never a complete call
+		fmt.Fprint(c, "GET /ops/readi") // an incomplete call
 		silent = append(silent, c)
 	}
-	for range 10 { // accepted after the crowd, from the same queue
-		if code, _, _ := do(t, "GET", base+"/ops/readiness"); code != 200 {
-			t.Fatalf("beside a crowd: %d", code)
+	for range 10 { // accepted after the silent callers, from the same queue
+		if code, _, _ := call(t, "GET", base+"/ops/readiness"); code != 200 {
+			t.Fatalf("readiness beside silent callers: got status %d, want 200", code)
 		}
 	}
 	s.listener.mu.Lock()
-	if held := len(s.listener.silent); held > MaxConnections {
-		t.Errorf("%d connections held, at most %d wanted", held, MaxConnections)
+	if held := len(s.listener.awaitingCall); held > MaxConnections {
+		t.Errorf("%d connections are open, want at most %d", held, MaxConnections)
 	}
 	s.listener.mu.Unlock()
-	// Each is closed, pushed out or at the end of its second; an answer (408) is as good.
+	// Each is closed, by eviction or by its timeout; a response with status 408 is accepted too.
 	for i, c := range silent {
 		c.SetReadDeadline(time.Now().Add(30 * time.Second))
 		_, err := bufio.NewReader(c).ReadString('\n')
 		if e, ok := err.(net.Error); ok && e.Timeout() {
-			t.Fatalf("silent caller %d is held", i)
+			t.Fatalf("the connection of silent caller %d was not closed within 30 s", i)
 		}
 	}
 }
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,6 +1,7 @@
-// Package admin is the operators' address (docs/operate/ops.md): HTTP/1.1, one call a connection, for
-// readiness, metrics, a manual drain and manual ejections. lifecycle starts it and gives it the relay;
-// it owns no state but its connections, and maps the terms of the operators' page to those of the code.
+// Package admin serves the admin address for operators (docs/operate/ops.md): HTTP/1.1 with one call per
+// connection, for readiness, metrics, a manual drain and manual ejections. Package lifecycle starts it and
+// passes it the relay. The package has no state except its connections, and translates the terms of the
+// operators' page into those of the code.
 //
 //	GET  /ops/readiness                 200 while the process is ready to serve, else 503
 //	GET  /ops/stats                     the metrics, in Prometheus's text format
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -7,36 +7,36 @@
 	"sync"
 )
 
-// arrivalsFactor times the limit is how long the queue of arrivals grows before those that are closed or have
-// called leave it.
+// arrivalsFactor is a multiple of the connection limit. A longer queue of arrivals is purged of connections
+// that are closed or have sent a complete call.
 const arrivalsFactor = 4
 
-// boundedListener holds at most limit connections. When a new one would be one too many, the oldest that has
-// not yet sent a complete call is closed.
+// boundedListener keeps at most limit connections open. A new connection over the limit closes the oldest one
+// that has not sent a complete call.
 type boundedListener struct {
 	net.Listener
 	limit int
 
-	mu       sync.Mutex
-	silent   map[net.Conn]bool // the open connections; true while no complete call has come
-	arrivals []net.Conn        // oldest first; those closed or no longer silent are skipped
+	mu           sync.Mutex
+	awaitingCall map[net.Conn]bool // open connections; true until a complete call has arrived
+	arrivals     []net.Conn        // oldest first; may include connections closed or no longer awaited
 }
 
-// trackState follows each connection through the HTTP server.
+// trackState records the state that the HTTP server reports for a connection.
 func (b *boundedListener) trackState(c net.Conn, st http.ConnState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch st {
 	case http.StateActive:
-		if _, ok := b.silent[c]; ok {
-			b.silent[c] = false
+		if _, ok := b.awaitingCall[c]; ok {
+			b.awaitingCall[c] = false
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(b.silent, c)
+		delete(b.awaitingCall, c)
 	}
 }
 
-// Accept waits for a connection, and evicts a silent one where it would be one too many.
+// Accept waits for a connection. At the limit it first closes one that has not sent a complete call.
 func (b *boundedListener) Accept() (net.Conn, error) {
 	c, err := b.Listener.Accept()
 	if err != nil {
@@ -44,22 +44,23 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.evictSilent()
-	b.silent[c] = true
+	b.evictAwaitingCall()
+	b.awaitingCall[c] = true
 	b.arrivals = append(b.arrivals, c)
 	if len(b.arrivals) > arrivalsFactor*b.limit {
-		b.arrivals = slices.DeleteFunc(b.arrivals, func(o net.Conn) bool { return !b.silent[o] })
+		b.arrivals = slices.DeleteFunc(b.arrivals, func(o net.Conn) bool { return !b.awaitingCall[o] })
 	}
 	return c, nil
 }
 
-// evictSilent closes the oldest silent connections until one more has a place. The caller holds the lock.
-func (b *boundedListener) evictSilent() {
-	for len(b.silent) >= b.limit && len(b.arrivals) > 0 {
+// evictAwaitingCall closes the oldest connections without a complete call until one more may be opened. The
+// caller holds the lock.
+func (b *boundedListener) evictAwaitingCall() {
+	for len(b.awaitingCall) >= b.limit && len(b.arrivals) > 0 {
 		oldest := b.arrivals[0]
 		b.arrivals = b.arrivals[1:]
-		if b.silent[oldest] {
-			delete(b.silent, oldest)
+		if b.awaitingCall[oldest] {
+			delete(b.awaitingCall, oldest)
 			oldest.Close()
 		}
 	}
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -6,22 +6,22 @@
 	"capersail/internal/relay"
 )
 
-// MetricsSource is one front's request table as the metrics read it.
+// MetricsSource is the request table of one front, from which the metrics are read.
 type MetricsSource interface {
-	ClassCounts() []relay.ClassCounts // by class number, since the process started
-	OpenRequests() int                // requests accepted and not ended
+	ClassCounts() []relay.ClassCounts // by class number, counted since the process started
+	OpenRequests() int                // accepted and not ended
 	EndpointCounts() relay.EndpointCounts
 	GuardStats() relay.GuardStats
 }
 
-// Front is a Source with the names of its classes, by number.
+// Front is a front's MetricsSource and the names of the front's classes, by class number.
 type Front struct {
 	Source  MetricsSource
 	Classes []string
 }
 
-// Collector is the Prometheus collector of the relay's metrics. Each is read from the fronts when it is
-// collected: there is no goroutine and no timer. It maps the terms of the code to the metric names that
+// Collector is the Prometheus collector of the relay's metrics. It reads the metrics from the fronts when
+// they are scraped, without a goroutine or a timer, and maps the terms of the code to the metric names that
 // operators use:
 //
 //	relay_answered{group}   counter  requests established, by class
@@ -30,21 +30,21 @@
 //	relay_sends{group}      counter  attempts whose first line was written completely to a server
 //	relay_current           gauge    requests accepted and not ended
 //	relay_cluster_size      gauge    servers in the endpoint list
-//	relay_cluster_unhealthy gauge    of those, the ones ejected, manually or as outliers
-//	relay_list_age_seconds  gauge    since discovery was last heard, the longest of all fronts
+//	relay_cluster_unhealthy gauge    listed servers that are ejected, manually or as outliers
+//	relay_list_age_seconds  gauge    time since discovery last answered, the longest of all fronts
 //	relay_list_lapsed       gauge    1 while an endpoint list's lease has expired
 //	relay_denied{why}       counter  attempts and requests that the guard denied, by reason
 //	relay_refusals{why}     counter  requests that the decision module rejected or failed, by reason
-//	relay_violations{rule}  counter  invariants violated: each is a fault of this program
+//	relay_violations{rule}  counter  invariants violated: each violation is a bug in this program
 type Collector struct {
-	fronts                                 []Front
-	answered, deferred, errored, sends     *prometheus.Desc
-	current, clusterSize, clusterUnhealthy *prometheus.Desc
-	listAge, listLapsed                    *prometheus.Desc
-	denied, refusals, violations           *prometheus.Desc
+	fronts                                      []Front
+	established, rejected, failed, attempts     *prometheus.Desc
+	openRequests, listedServers, ejectedServers *prometheus.Desc
+	endpointListAge, endpointLeaseExpired       *prometheus.Desc
+	denials, rejections, violations             *prometheus.Desc
 }
 
-// NewCollector returns the collector of the fronts' metrics.
+// NewCollector returns a collector of the metrics of all fronts.
 func NewCollector(fronts ...Front) *Collector {
 	byClass := func(name, help string) *prometheus.Desc {
 		return prometheus.NewDesc(name, help, []string{"group"}, nil)
@@ -55,21 +55,21 @@
 	one := func(name, help string) *prometheus.Desc { return prometheus.NewDesc(name, help, nil, nil) }
 	return &Collector{
 		fronts: fronts,
-		answered: byClass("relay_answered",
+		established: byClass("relay_answered",
 			"Requests established, by class, since the process started."),
-		deferred: byClass("relay_deferred", "Requests rejected: a retry is harmless, by class."),
-		errored:  byClass("relay_errored", "Requests failed, by class."),
-		sends: byClass("relay_sends",
+		rejected: byClass("relay_deferred", "Requests rejected: a retry is harmless, by class."),
+		failed:   byClass("relay_errored", "Requests failed, by class."),
+		attempts: byClass("relay_sends",
 			"Attempts whose first line was written to a server, by class."),
-		current:     one("relay_current", "Requests accepted and not ended."),
-		clusterSize: one("relay_cluster_size", "Servers in the endpoint list."),
-		clusterUnhealthy: one("relay_cluster_unhealthy",
+		openRequests:  one("relay_current", "Requests accepted and not ended."),
+		listedServers: one("relay_cluster_size", "Servers in the endpoint list."),
+		ejectedServers: one("relay_cluster_unhealthy",
 			"Listed servers that are ejected, manually or as outliers."),
-		listAge:    one("relay_list_age_seconds", "Seconds since discovery was last heard."),
-		listLapsed: one("relay_list_lapsed", "1 while the endpoint list's lease has expired."),
-		denied: by("relay_denied",
+		endpointListAge:      one("relay_list_age_seconds", "Seconds since discovery was last heard."),
+		endpointLeaseExpired: one("relay_list_lapsed", "1 while the endpoint list's lease has expired."),
+		denials: by("relay_denied",
 			"Attempts and requests that the guard denied, by reason.", "why"),
-		refusals: by("relay_refusals",
+		rejections: by("relay_refusals",
 			"Requests rejected or failed by the decision module, by reason.", "why"),
 		violations: by("relay_violations",
 			"Invariants violated; each is a fault of the program.", "rule"),
@@ -79,17 +79,17 @@
 // Describe sends the descriptions of all metrics.
 func (f *Collector) Describe(ch chan<- *prometheus.Desc) {
 	all := []*prometheus.Desc{
-		f.answered, f.deferred, f.errored, f.sends,
-		f.current, f.clusterSize, f.clusterUnhealthy,
-		f.listAge, f.listLapsed,
-		f.denied, f.refusals, f.violations,
+		f.established, f.rejected, f.failed, f.attempts,
+		f.openRequests, f.listedServers, f.ejectedServers,
+		f.endpointListAge, f.endpointLeaseExpired,
+		f.denials, f.rejections, f.violations,
 	}
 	for _, desc := range all {
 		ch <- desc
 	}
 }
 
-// Collect reads every front. Classes of the same name in two fronts are added up.
+// Collect sends the metrics of all fronts. The counters of a class that several fronts have are added up.
 func (f *Collector) Collect(ch chan<- prometheus.Metric) {
 	f.collectClasses(ch)
 	f.collectTotals(ch)
@@ -120,14 +120,14 @@
 	}
 	for _, name := range order {
 		sum := byName[name]
-		counter(f.answered, sum.Established, name)
-		counter(f.deferred, sum.Rejected, name)
-		counter(f.errored, sum.Failed, name)
-		counter(f.sends, sum.Attempts, name)
+		counter(f.established, sum.Established, name)
+		counter(f.rejected, sum.Rejected, name)
+		counter(f.failed, sum.Failed, name)
+		counter(f.attempts, sum.Attempts, name)
 	}
 }
 
-// className is the name of a class by its number.
+// className returns the name of a class, "unknown" for a number that the front has no name for.
 func (f Front) className(class int) string {
 	if class < len(f.Classes) {
 		return f.Classes[class]
@@ -147,25 +147,26 @@
 	gauge := func(desc *prometheus.Desc, value int) {
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value))
 	}
-	gauge(f.current, open)
-	gauge(f.clusterSize, listed)
-	gauge(f.clusterUnhealthy, min(ejected, listed))
+	gauge(f.openRequests, open)
+	gauge(f.listedServers, listed)
+	gauge(f.ejectedServers, min(ejected, listed))
 }
 
-// collectGuard sends what the guard of every front has counted.
+// collectGuard sends the metrics of the guards, added up over the fronts; the endpoint list's age is the
+// greatest.
 func (f *Collector) collectGuard(ch chan<- prometheus.Metric) {
 	age, lapsed := 0.0, 0.0
-	sums := map[*prometheus.Desc]map[string]float64{f.denied: {}, f.refusals: {}, f.violations: {}}
+	sums := map[*prometheus.Desc]map[string]float64{f.denials: {}, f.rejections: {}, f.violations: {}}
 	for _, fr := range f.fronts {
-		figures := fr.Source.GuardStats()
-		age = max(age, figures.EndpointListAge.Seconds())
-		if figures.EndpointLeaseExpired {
+		stats := fr.Source.GuardStats()
+		age = max(age, stats.EndpointListAge.Seconds())
+		if stats.EndpointLeaseExpired {
 			lapsed = 1
 		}
 		byDesc := map[*prometheus.Desc]map[string]uint64{
-			f.denied:     figures.Denials,
-			f.refusals:   figures.Rejections,
-			f.violations: figures.Violations,
+			f.denials:    stats.Denials,
+			f.rejections: stats.Rejections,
+			f.violations: stats.Violations,
 		}
 		for desc, counts := range byDesc {
 			for label, n := range counts {
@@ -173,8 +174,8 @@
 			}
 		}
 	}
-	ch <- prometheus.MustNewConstMetric(f.listAge, prometheus.GaugeValue, age)
-	ch <- prometheus.MustNewConstMetric(f.listLapsed, prometheus.GaugeValue, lapsed)
+	ch <- prometheus.MustNewConstMetric(f.endpointListAge, prometheus.GaugeValue, age)
+	ch <- prometheus.MustNewConstMetric(f.endpointLeaseExpired, prometheus.GaugeValue, lapsed)
 	for desc, counts := range sums {
 		for label, n := range counts {
 			ch <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, n, label)
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -16,43 +16,44 @@
 
 const (
 	dialTimeout  = time.Second
-	replyTimeout = 5 * time.Second // for the first reply; events may take any time
+	replyTimeout = 5 * time.Second // for the first reply; there is no limit on the wait for events
 )
 
-// QueryTimelines asks a running relay.
+// QueryTimelines returns the timelines of the relay whose control socket is at path.
 func QueryTimelines(path string, q report.Query) ([]*report.Report, error) {
 	q.Follow = false
 	var got []*report.Report
-	err := ask(path, q, func(r reply) bool { got = r.Reports; return false })
+	err := sendQuery(path, q, func(r reply) bool { got = r.Reports; return false })
 	return got, err
 }
 
-// QueryFleet asks a running relay what it knows of the others, and of the fleet's cells: nil where there are
-// none.
+// QueryFleet returns the relay's report on the fleet's members and its report on the fleet's cells, which is
+// nil if there are no cells.
 func QueryFleet(path string) (*membership.Report, *cells.Report, error) {
-	got, err := askFleet(path, question{Fleet: true})
+	got, err := sendFleetQuery(path, query{Fleet: true})
 	return got.Fleet, got.Cells, err
 }
 
-// QueryProbing asks a running relay what it knows of the others, and of the fleet's shared probing: nil where it
-// takes no part.
+// QueryProbing returns the relay's report on the fleet's members and its report on shared probing, which is
+// nil if the relay does not share probes.
 func QueryProbing(path string) (*membership.Report, *probing.Report, error) {
-	got, err := askFleet(path, question{Fleet: true, Probing: true})
+	got, err := sendFleetQuery(path, query{Fleet: true, Probing: true})
 	return got.Fleet, got.Probing, err
 }
 
-func askFleet(path string, q question) (got reply, err error) {
-	err = ask(path, q, func(r reply) bool { got = r; return false })
+func sendFleetQuery(path string, q query) (got reply, err error) {
+	err = sendQuery(path, q, func(r reply) bool { got = r; return false })
 	if err == nil && got.Fleet == nil {
-		err = errors.New("the relay's answer: nothing of the fleet")
+		err = errors.New("the relay's reply has no report on the fleet")
 	}
 	return got, err
 }
 
-// Follow asks and goes on with events, until fn returns false or the relay ends.
+// Follow passes the timelines of a relay to begin, and then each new event to fn, until fn returns false or
+// the relay closes the connection.
 func Follow(path string, q report.Query, begin func([]*report.Report), fn func(anomaly.Event) bool) error {
 	q.Follow = true
-	return ask(path, q, func(r reply) bool {
+	return sendQuery(path, q, func(r reply) bool {
 		if r.Event != nil {
 			return fn(*r.Event)
 		}
@@ -61,11 +62,11 @@
 	})
 }
 
-// ask sends a question and gives each reply to fn, until fn returns false.
-func ask(path string, q any, fn func(reply) bool) error {
+// sendQuery sends a query and passes each reply to fn, until fn returns false.
+func sendQuery(path string, q any, fn func(reply) bool) error {
 	conn, err := net.DialTimeout("unix", path, dialTimeout)
 	if err != nil {
-		return fmt.Errorf("no relay answers: %w", err)
+		return fmt.Errorf("no relay answers on the socket: %w", err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(replyTimeout))
@@ -75,7 +76,7 @@
 	for in := json.NewDecoder(conn); ; {
 		var r reply
 		if err := in.Decode(&r); err != nil {
-			return fmt.Errorf("the relay's answer: %w", err)
+			return fmt.Errorf("reading the relay's reply: %w", err)
 		}
 		if r.Error != "" {
 			return errors.New(r.Error)
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,6 +1,7 @@
-// Package control is the socket on which a running relay is asked: a unix socket of mode 0600, one question
-// and its answer a connection, both JSON on a line. A question that follows events gets one event a line,
-// until it ends.
+// Package control is the server and the client of a relay's control socket, a unix socket of mode 0600 on
+// which a running relay is queried. Each connection carries one query and its reply, each a line of JSON. A
+// query that follows events is answered by one more line per event, until the client closes the connection.
 //
-// lifecycle listens; the command line asks. The package only reads what a relay knows, and never changes it.
+// Package lifecycle runs the server, and the command line is the client. Queries only read the state of the
+// relay and never change it.
 package control
--- a/internal/control/fields_test.go
+++ b/internal/control/fields_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRepliesKeepTheirFields guards against a renamed field that would change what operators' scripts read
-// from the socket and from the command line's JSON.
+// TestRepliesKeepTheirFields guards against a renamed or retyped JSON field, which would break operators'
+// scripts that read the socket or the JSON output of the command line.
 func TestRepliesKeepTheirFields(t *testing.T) {
 	want, err := os.ReadFile("testdata/fields.txt")
 	if err != nil {
@@ -17,13 +17,14 @@
 	}
 	var got strings.Builder
 	listFields(&got, "reply", reflect.TypeFor[reply]())
-	listFields(&got, "question", reflect.TypeFor[question]())
+	// The recorded file lists the query type under the name "question".
+	listFields(&got, "question", reflect.TypeFor[query]())
 	if got.String() != string(want) {
-		t.Errorf("the fields are\n%s\nand were\n%s", got.String(), want)
+		t.Errorf("JSON fields of reply and query: got\n%s\nwant\n%s", got.String(), want)
 	}
 }
 
-// listFields writes a line for each JSON field below a type: its path and its kind.
+// listFields writes one line for each JSON field of a type, nested ones included: its path and its kind.
 func listFields(out *strings.Builder, path string, of reflect.Type) {
 	switch of.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map, reflect.Array:
--- a/internal/control/protocol.go
+++ b/internal/control/protocol.go
@@ -12,14 +12,14 @@
 	"capersail/internal/observe/report"
 )
 
-// question is what is asked: of the fleet, or of time lines.
-type question struct {
+// query asks for the state of the fleet, or for timelines.
+type query struct {
 	Fleet   bool `json:"fleet,omitempty"`
 	Probing bool `json:"looks,omitempty"`
 	report.Query
 }
 
-// reply is what comes back on a line.
+// reply is one line of the server's answer.
 type reply struct {
 	Fleet   *membership.Report `json:"fleet,omitempty"`
 	Cells   *cells.Report      `json:"cells,omitempty"`
@@ -29,7 +29,7 @@
 	Event   *anomaly.Event     `json:"event,omitempty"`
 }
 
-// replyWriter writes replies, each within writeTimeout.
+// replyWriter writes replies to a connection, each within writeTimeout.
 type replyWriter struct{ net.Conn }
 
 func (w replyWriter) send(r reply) error {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -21,42 +21,43 @@
 )
 
 const (
-	questionTimeout  = time.Second // for the question
-	writeTimeout     = time.Second // for each write: a caller that reads nothing for so long is closed
+	queryTimeout     = time.Second // to read the query
+	writeTimeout     = time.Second // for each reply; a client that does not read is disconnected
 	acceptRetryDelay = 100 * time.Millisecond
 	maxConnections   = 16
-	maxQuestionBytes = 64 << 10
+	maxQueryBytes    = 64 << 10
 )
 
-// ErrSocketInUse says that another daemon answers on the socket.
-var ErrSocketInUse = errors.New("another daemon answers there")
+// ErrSocketInUse is returned by Listen if another daemon answers on the socket.
+var ErrSocketInUse = errors.New("another daemon answers on this socket")
 
-// FleetReporter is what a relay knows of the others.
+// FleetReporter reports the state of the fleet's members as the relay sees them.
 type FleetReporter interface{ Report() membership.Report }
 
-// Sources is what a socket can be asked for.
+// Sources provides the data that queries on a socket return.
 type Sources struct {
 	Watchers []*watch.Watcher
-	Fleet    FleetReporter // nil without members
-	// Probing reports the fleet's shared probing; nil without it.
+	Fleet    FleetReporter // nil where relays do not know each other
+	// Probing reports on shared probing; nil where each relay probes servers for itself.
 	Probing func() (probing.Report, bool)
-	// Cells reports the fleet's cells; nil without a plan.
+	// Cells reports on the fleet's cells; nil without a plan.
 	Cells func() (cells.Report, bool)
 }
 
-// Server answers questions, maxConnections at once. Listen starts its goroutines, Close ends them.
+// Server answers queries on up to maxConnections connections at once. Listen starts its goroutines, and Close
+// ends them.
 type Server struct {
-	listener net.Listener
-	sources  Sources
-	log      zerolog.Logger
-	slots    chan struct{} // holds one element a connection
+	listener        net.Listener
+	sources         Sources
+	log             zerolog.Logger
+	connectionSlots chan struct{} // holds one element per open connection
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
-// Listen begins to answer on the socket at path. A socket that a dead daemon has left is replaced; where
-// another daemon answers, the error is ErrSocketInUse.
+// Listen starts a server on the socket at path. It replaces a socket that a dead process has left behind. If
+// another daemon answers on the socket, the error is ErrSocketInUse.
 func Listen(path string, sources Sources, log zerolog.Logger) (*Server, error) {
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
@@ -65,24 +66,24 @@
 	if info, err := os.Lstat(path); err == nil && info.Mode().Type() == os.ModeSocket {
 		os.Remove(path)
 	}
-	old := syscall.Umask(0o177) // the mode from the first moment on, not by a chmod after it
+	old := syscall.Umask(0o177) // sets the mode when the socket is created; a chmod would come later
 	l, err := net.Listen("unix", path)
 	syscall.Umask(old)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		listener: l,
-		sources:  sources,
-		log:      log,
-		slots:    make(chan struct{}, maxConnections),
-		conns:    map[net.Conn]bool{},
+		listener:        l,
+		sources:         sources,
+		log:             log,
+		connectionSlots: make(chan struct{}, maxConnections),
+		conns:           map[net.Conn]bool{},
 	}
-	go s.accept()
+	go s.acceptLoop()
 	return s, nil
 }
 
-// Close stops listening and closes all connections. It is idempotent.
+// Close stops listening and closes all connections. It may be called more than once.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -92,7 +93,7 @@
 	}
 }
 
-func (s *Server) accept() {
+func (s *Server) acceptLoop() {
 	for {
 		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -103,7 +104,7 @@
 			continue
 		}
 		select {
-		case s.slots <- struct{}{}:
+		case s.connectionSlots <- struct{}{}:
 		default:
 			conn.Close()
 			continue
@@ -112,24 +113,24 @@
 		s.conns[conn] = true
 		s.mu.Unlock()
 		go func() {
-			s.serve(conn)
+			s.serveConn(conn)
 			conn.Close()
 			s.mu.Lock()
 			delete(s.conns, conn)
 			s.mu.Unlock()
-			<-s.slots
+			<-s.connectionSlots
 		}()
 	}
 }
 
-func (s *Server) serve(conn net.Conn) {
-	conn.SetReadDeadline(time.Now().Add(questionTimeout))
-	in := bufio.NewReaderSize(conn, maxQuestionBytes)
+func (s *Server) serveConn(conn net.Conn) {
+	conn.SetReadDeadline(time.Now().Add(queryTimeout))
+	in := bufio.NewReaderSize(conn, maxQueryBytes)
 	out := replyWriter{conn}
-	q, err := readQuestion(in)
+	q, err := readQuery(in)
 	switch {
 	case err != nil:
-		out.send(reply{Error: "no question: " + err.Error()})
+		out.send(reply{Error: "cannot read the query: " + err.Error()})
 	case q.Fleet:
 		out.send(s.fleetReply(q))
 	case q.Follow:
@@ -139,7 +140,7 @@
 	}
 }
 
-func readQuestion(in *bufio.Reader) (q question, err error) {
+func readQuery(in *bufio.Reader) (q query, err error) {
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return q, err
@@ -147,9 +148,9 @@
 	return q, json.Unmarshal(line, &q)
 }
 
-func (s *Server) fleetReply(q question) reply {
+func (s *Server) fleetReply(q query) reply {
 	if s.sources.Fleet == nil {
-		return reply{Error: "this socket tells nothing of the fleet"}
+		return reply{Error: "this socket has no data on the fleet; query the socket that members.toml names"}
 	}
 	members := s.sources.Fleet.Report()
 	answer := reply{Fleet: &members}
@@ -166,21 +167,21 @@
 	return answer
 }
 
-func (s *Server) timelineReply(q question) (r reply) {
+func (s *Server) timelineReply(q query) (r reply) {
 	for _, w := range s.sources.Watchers {
 		r.Reports = append(r.Reports, w.Report(q.Query))
 	}
 	return r
 }
 
-// follow sends a report and then events until the caller ends. It follows before it reports: what begins
-// meanwhile is sent twice rather than not at all.
-func (s *Server) follow(q question, conn net.Conn, in *bufio.Reader, out replyWriter) {
+// follow sends the timelines and then events, until the client closes the connection. It subscribes to events
+// before it reads the timelines, so that an event that begins in between is sent twice rather than lost.
+func (s *Server) follow(q query, conn net.Conn, in *bufio.Reader, out replyWriter) {
 	var events []<-chan anomaly.Event
 	for _, w := range s.sources.Watchers {
 		c, stop := w.Follow()
 		if c == nil {
-			out.send(reply{Error: "too many follow already"})
+			out.send(reply{Error: "too many clients follow events already"})
 			return
 		}
 		defer stop()
@@ -190,7 +191,7 @@
 		return
 	}
 	ended := make(chan struct{})
-	go func() { // the caller says nothing more: whatever is read is its end
+	go func() { // the client sends nothing more: the read returns once it hangs up
 		conn.SetReadDeadline(time.Time{})
 		in.ReadByte()
 		close(ended)
@@ -208,8 +209,8 @@
 	}
 }
 
-// mergeEvents passes the events of several channels into one, by a goroutine each that ends with its channel
-// or once ended is closed.
+// mergeEvents merges the events of several channels into one. It starts a goroutine per channel, which
+// returns when that channel or ended is closed.
 func mergeEvents(events []<-chan anomaly.Event, ended <-chan struct{}) <-chan anomaly.Event {
 	merged := make(chan anomaly.Event)
 	for _, c := range events {
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -18,9 +18,9 @@
 // adminSockets are the descriptors that the admin address may hold; the clients have them less.
 const adminSockets = admin.MaxConnections
 
-// adminTarget is the relay as its operators' admin address sees it: every front, the manual ejections and
+// adminRelay is the relay as its operators' admin address sees it: every front, the manual ejections and
 // the manual drain.
-type adminTarget struct {
+type adminRelay struct {
 	fronts       []*runningFront
 	serving      atomic.Bool
 	ejectionsDir string // where ejections are kept
@@ -35,14 +35,14 @@
 // one replaces hold from the start.
 func startAdmin(
 	ctx context.Context, address string, fronts []*runningFront, sources []admin.Front,
-	more []prometheus.Collector, log zerolog.Logger,
-) (*adminTarget, error) {
-	o := &adminTarget{fronts: fronts, ejectionsDir: filepath.Join(os.TempDir(), ejectionsFolder), log: log}
+	partMetrics []prometheus.Collector, log zerolog.Logger,
+) (*adminRelay, error) {
+	o := &adminRelay{fronts: fronts, ejectionsDir: filepath.Join(os.TempDir(), ejectionsFolder), log: log}
 	if err := os.MkdirAll(o.ejectionsDir, 0o700); err != nil {
 		return nil, fmt.Errorf("admin: ejections cannot be kept: %w", err)
 	}
 	o.reloadEjections()
-	registry, err := newRegistry(sources, more)
+	registry, err := newRegistry(sources, partMetrics)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
@@ -67,9 +67,9 @@
 }
 
 // newRegistry registers the metrics of the fronts and of the parts.
-func newRegistry(sources []admin.Front, more []prometheus.Collector) (*prometheus.Registry, error) {
+func newRegistry(sources []admin.Front, partMetrics []prometheus.Collector) (*prometheus.Registry, error) {
 	registry := prometheus.NewRegistry()
-	for _, collector := range append([]prometheus.Collector{admin.NewCollector(sources...)}, more...) {
+	for _, collector := range append([]prometheus.Collector{admin.NewCollector(sources...)}, partMetrics...) {
 		if err := registry.Register(collector); err != nil {
 			return nil, err
 		}
@@ -78,7 +78,7 @@
 }
 
 // Ready tells whether the relay serves, has an endpoint list, and neither drains nor shuts down.
-func (o *adminTarget) Ready() bool {
+func (o *adminRelay) Ready() bool {
 	if !o.serving.Load() {
 		return false
 	}
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -15,7 +15,7 @@
 	"capersail/internal/relay"
 )
 
-const goodCells = goodMembers + `
+const cellsConfig = membersConfig + `
 cell = "eu-a-1"
 place = 3
 
@@ -49,7 +49,7 @@
 
 // A good plan is read; a file without one has no cell.
 func TestMembersFileWithAPlanIsRead(t *testing.T) {
-	m, err := readMembersText(t, goodCells)
+	m, err := readMembersText(t, cellsConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,13 +57,13 @@
 		len(m.Plan.Cells) != 2 || m.Plan.Cells[1].Relays != 40 {
 		t.Errorf("%+v, %+v", m, m.Plan)
 	}
-	if m, err := readMembersText(t, goodMembers); err != nil || m.Plan != nil || m.Cell != "" {
+	if m, err := readMembersText(t, membersConfig); err != nil || m.Plan != nil || m.Cell != "" {
 		t.Errorf("%+v, %v", m, err)
 	}
 	flat := strings.NewReplacer(
 		`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `relays = 60`, `relays = 300`,
 		`place = 3`, ``,
-	).Replace(goodCells)
+	).Replace(cellsConfig)
 	if m, err := readMembersText(t, flat); err != nil || m.inRegion() || m.BootstrapSlot != nil {
 		t.Errorf("%+v, %v", m, err)
 	}
@@ -71,7 +71,7 @@
 
 // In a cell the plan's contacts stand in for seeds, and the state file is the cell's own.
 func TestRelayOfACellGoesByItsPlan(t *testing.T) {
-	m, err := readMembersText(t, strings.Replace(goodCells, `seeds = ["127.0.0.1:7946"]`, ``, 1))
+	m, err := readMembersText(t, strings.Replace(cellsConfig, `seeds = ["127.0.0.1:7946"]`, ``, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 		`plan.cells[1].contacts: 17 contacts; at most 16`: {`"127.0.1.1:7946"`,
 			strings.TrimSuffix(strings.Repeat(`"127.0.1.1:1",`, 17), ",")},
 	} {
-		_, err := readMembersText(t, strings.Replace(goodCells, change[0], change[1], 1))
+		_, err := readMembersText(t, strings.Replace(cellsConfig, change[0], change[1], 1))
 		found := false
 		for line := range strings.SplitSeq(errText(err), "\n") {
 			found = found || strings.Contains(line, want) && strings.Contains(line, "members.toml: ")
@@ -147,14 +147,14 @@
 		}
 	}
 	for want, text := range map[string]string{
-		`cell: "eu-a-1" is named, but there is no [plan]`: goodMembers + `cell = "eu-a-1"`,
-		`place: only a relay of a cell has one`:           goodMembers + `place = 1`,
-		`plan.cells: 0 cells; from 1 to 256 can be`:       goodMembers + "cell = \"x\"\n[plan]\nnumber = 2",
-		`line 7`: goodMembers + "[plan]\nnumber = \"two\"",
+		`cell: "eu-a-1" is named, but there is no [plan]`: membersConfig + `cell = "eu-a-1"`,
+		`place: only a relay of a cell has one`:           membersConfig + `place = 1`,
+		`plan.cells: 0 cells; from 1 to 256 can be`:       membersConfig + "cell = \"x\"\n[plan]\nnumber = 2",
+		`line 7`: membersConfig + "[plan]\nnumber = \"two\"",
 		`plan.cells: no cell has relays`: strings.NewReplacer(
 			"number = 1", "number = 2", "relays = 60", "", "relays = 40", "",
-		).Replace(goodCells),
-		`plan.cells: 257 cells; from 1 to 256 can be`: goodCells + strings.Repeat("[[plan.cells]]\n", 255),
+		).Replace(cellsConfig),
+		`plan.cells: 257 cells; from 1 to 256 can be`: cellsConfig + strings.Repeat("[[plan.cells]]\n", 255),
 	} {
 		if _, err := readMembersText(t, text); !strings.Contains(errText(err), want) {
 			t.Errorf("%q: %v", want, err)
@@ -183,7 +183,7 @@
 
 // A zone that the settings do not know is reported with its key.
 func TestUnknownZoneOfAPlanNamesItsKey(t *testing.T) {
-	m, err := readMembersText(t, goodCells)
+	m, err := readMembersText(t, cellsConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,31 +199,32 @@
 // A reload takes in contacts, a first plan for a flat fleet, and a plan with a higher number; nothing else of
 // the plan.
 func TestReloadTakesInOnlyWhatCanChange(t *testing.T) {
-	change := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(goodCells) }
+	change := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(cellsConfig) }
 	flatPlan := change(`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `place = 3`, ``)
 	for what, one := range map[string]struct{ old, next, want string }{
-		"no plan":        {goodMembers, goodMembers, ""},
-		"the same":       {goodCells, goodCells, ""},
-		"other contacts": {goodCells, change("127.0.0.2:7946", "127.0.0.3:7946"), ""},
+		"no plan":        {membersConfig, membersConfig, ""},
+		"the same":       {cellsConfig, cellsConfig, ""},
+		"other contacts": {cellsConfig, change("127.0.0.2:7946", "127.0.0.3:7946"), ""},
 		"a higher number": {
-			goodCells, change("number = 1", "number = 2", "relays = 40", "relays = 20"), "",
+			cellsConfig, change("number = 1", "number = 2", "relays = 40", "relays = 20"), "",
 		},
-		"a flat fleet": {goodMembers, flatPlan, ""},
-		"taken out":    {goodCells, goodMembers, "plan: it can't be taken out while the relay runs"},
+		"a flat fleet": {membersConfig, flatPlan, ""},
+		"taken out":    {cellsConfig, membersConfig, "plan: it can't be taken out while the relay runs"},
 		"another cell": {
-			goodCells, change(`cell = "eu-a-1"`, `cell = "us-b-1"`),
+			cellsConfig, change(`cell = "eu-a-1"`, `cell = "us-b-1"`),
 			"cell: a relay changes its cell by a restart",
 		},
-		"a cell from flat": {goodMembers, goodCells, `cell: "eu-a-1" has a region`},
+		"a cell from flat": {membersConfig, cellsConfig, `cell: "eu-a-1" has a region`},
 		"a lower number": {
-			change("number = 1", "number = 2"), goodCells, "plan.number: 1 is below 2, which this relay has",
+			change("number = 1", "number = 2"), cellsConfig,
+			"plan.number: 1 is below 2, which this relay has",
 		},
 		"changed, no number": {
-			goodCells, change("relays = 40", "relays = 20"),
+			cellsConfig, change("relays = 40", "relays = 20"),
 			"plan.number: 1 is the number of the plan that this relay has, but",
 		},
 		"another home share": {
-			goodCells, change("number = 1", "number = 1\nhome_share = 0.8"),
+			cellsConfig, change("number = 1", "number = 1\nhome_share = 0.8"),
 			"plan.number: 1 is the number of the plan that this relay has, but",
 		},
 	} {
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -21,8 +21,8 @@
 	Discovery string
 	// Admin is the operators' admin address, "" where it is off: `admin` of the file, or $LB_ADMIN.
 	Admin string
-	// ListenFD is the descriptor of a listening socket that the platform holds for the clients' address and hands
-	// to every process of the relay ($LB_FD), or -1 where the relay binds the address itself.
+	// ListenFD is the descriptor of a listening socket that the platform holds for the clients' address and
+	// hands to every process of the relay ($LB_FD), or -1 where the relay binds the address itself.
 	ListenFD   int
 	Seed       uint64
 	MemoryMB   int // 0 for no limit
@@ -147,25 +147,25 @@
 			return keyError("limits."+key, "%s is not a number from 0 on", limit)
 		}
 	}
-	least := minSockets
+	minimum := minSockets
 	if c.Admin != "" {
-		least += adminSockets
+		minimum += adminSockets
 	}
-	if c.Sockets > 0 && c.Sockets < least {
-		return keyError("limits.sockets", "%d are too few: %d at least are wanted", c.Sockets, least)
+	if c.Sockets > 0 && c.Sockets < minimum {
+		return keyError("limits.sockets", "%d are too few: %d at least are wanted", c.Sockets, minimum)
 	}
 	return nil
 }
 
 var (
-	errNoObject  = errors.New("an object is wanted")
+	errNotObject = errors.New("an object is wanted")
 	errNoClasses = errors.New("at least one class is wanted")
 )
 
 // readSettings turns the settings into the deployment.
 func (c *Config) readSettings(settings *fastjson.Value) error {
 	if settings == nil || settings.Type() != fastjson.TypeObject {
-		return &ConfigError{Key: "settings", Err: errNoObject}
+		return &ConfigError{Key: "settings", Err: errNotObject}
 	}
 	if len(settings.GetArray("classes")) == 0 {
 		return &ConfigError{Key: "settings.classes", Err: errNoClasses}
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -13,7 +13,7 @@
 )
 
 // Drain starts or ends a manual drain. Calling it twice the same way does nothing more.
-func (o *adminTarget) Drain(on bool) {
+func (o *adminRelay) Drain(on bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -34,7 +34,7 @@
 
 // migrateConnections migrates every open connection of a drain, evenly from migrationDelay to
 // migrationDeadline, unless the drain ends first.
-func (o *adminTarget) migrateConnections(stop <-chan struct{}) {
+func (o *adminRelay) migrateConnections(stop <-chan struct{}) {
 	if len(o.fronts) == 0 {
 		return
 	}
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -26,7 +26,7 @@
 
 // Eject ejects a server manually. The ejection is stored, and the decision module notified, before it
 // returns.
-func (o *adminTarget) Eject(id string) error {
+func (o *adminRelay) Eject(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	changed, err := o.ejections.Eject(o.now(), id, o.knowsServer(id))
@@ -42,7 +42,7 @@
 }
 
 // Readmit readmits a server that was ejected manually.
-func (o *adminTarget) Readmit(id string) error {
+func (o *adminRelay) Readmit(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	ejectedFor, _ := o.ejections.EjectedFor(o.now(), id)
@@ -63,16 +63,16 @@
 }
 
 // ejectionFile is where a server's ejection is kept.
-func (o *adminTarget) ejectionFile(id string) string {
+func (o *adminRelay) ejectionFile(id string) string {
 	return filepath.Join(o.ejectionsDir, manualeject.FileName(id))
 }
 
 // now is the instant on the relay's clock.
-func (o *adminTarget) now() time.Duration { return o.fronts[0].requests.Clock.Now() }
+func (o *adminRelay) now() time.Duration { return o.fronts[0].requests.Clock.Now() }
 
 // knowsServer tells whether any front has ever had the server in its endpoint list. The caller holds the
 // lock.
-func (o *adminTarget) knowsServer(id string) bool {
+func (o *adminRelay) knowsServer(id string) bool {
 	for _, front := range o.fronts {
 		if front.requests.EverListed(id) {
 			return true
@@ -82,7 +82,7 @@
 }
 
 // applyEjections hands the ejections to every front. The caller holds the lock.
-func (o *adminTarget) applyEjections() {
+func (o *adminRelay) applyEjections() {
 	ejected := o.ejections.IDSet()
 	for _, front := range o.fronts {
 		front.requests.SetManualEjections(ejected)
@@ -91,7 +91,7 @@
 
 // followEjections reads the kept ejections every ejectionPollInterval until ctx ends: another process of the
 // relay may have changed them.
-func (o *adminTarget) followEjections(ctx context.Context) {
+func (o *adminRelay) followEjections(ctx context.Context) {
 	clock := o.fronts[0].requests.Clock
 	for {
 		select {
@@ -104,7 +104,7 @@
 }
 
 // reloadEjections reads the stored ejections, and hands them to the fronts if they have changed.
-func (o *adminTarget) reloadEjections() {
+func (o *adminRelay) reloadEjections() {
 	// Before the folder is read: an ejection of this process's own must not be undone by an older reading.
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lifecycle/front.go
+++ b/internal/lifecycle/front.go
@@ -47,7 +47,7 @@
 	// inherited: the listening socket is the platform's, and lives on in the process that follows this one.
 	inherited       bool
 	limiter         *connlimit.Limiter
-	serveFailed     chan error    // has the error that ended the listener
+	serveErr        chan error    // has the error that ended the listener
 	longestDeadline time.Duration // of its classes
 	// reload reads the front's file again and takes it in. Nothing has changed if it fails.
 	reload func() error
--- a/internal/lifecycle/listen.go
+++ b/internal/lifecycle/listen.go
@@ -39,10 +39,10 @@
 	return l, true, nil
 }
 
-// closeShared closes a listener whose socket other processes hold too. Where one of them has made the socket
-// blocking, an accept in progress goes on in the kernel, holds the close, and would take a client's connection
-// while this process exits. It is given one of this process's own instead.
-func closeShared(l net.Listener) {
+// closeSharedListener closes a listener whose socket other processes hold too. Where one of them has made
+// the socket blocking, an accept in progress goes on in the kernel, holds the close, and would take a
+// client's connection while this process exits. It is given one of this process's own instead.
+func closeSharedListener(l net.Listener) {
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
--- a/internal/lifecycle/members_config.go
+++ b/internal/lifecycle/members_config.go
@@ -102,8 +102,8 @@
 	return host, nil
 }
 
-// restartOnly is what of the file a reload does not take in.
-func (m *MembersConfig) restartOnly() string {
+// restartOnlySettings is what of the file a reload does not take in.
+func (m *MembersConfig) restartOnlySettings() string {
 	return fmt.Sprint(
 		m.Site, m.Bind, m.Advertise, m.Seeds, m.StateFile, m.ControlSocket,
 		m.Zone, m.BootstrapSize, m.ShareProbes)
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -24,11 +24,11 @@
 	gossip   gossip.Config
 	log      zerolog.Logger
 
-	node    *gossip.Node
-	sharing *relay.SharedProbing // nil where each relay probes servers for itself
-	joinErr error
-	control *control.Server    // nil without a socket
-	end     context.CancelFunc // ends the node; nil before start
+	node          *gossip.Node
+	sharedProbing *relay.SharedProbing // nil where each relay probes servers for itself
+	joinErr       error
+	control       *control.Server    // nil without a socket
+	cancel        context.CancelFunc // ends the node; nil before start
 }
 
 func newMembersPart(path string, platform *Config, log zerolog.Logger) (part, error) {
@@ -66,7 +66,7 @@
 		}
 	}
 	if p.config.ShareProbes {
-		c.OnProbingEvent = func(event probing.Event) { p.sharing.Receive(event) }
+		c.OnProbingEvent = func(event probing.Event) { p.sharedProbing.Receive(event) }
 	}
 	p.node, p.joinErr = gossip.New(*c)
 	if p.joinErr != nil {
@@ -74,14 +74,14 @@
 	}
 	front.fleet = p.node
 	if p.config.ShareProbes {
-		quarantined := func(name string) { p.quarantined(front, name) }
-		p.sharing = relay.NewSharedProbing(front.requests, c.Name, c.Seed, p.node, quarantined)
-		front.sharedProbing = p.sharing
+		quarantined := func(name string) { p.reportQuarantine(front, name) }
+		p.sharedProbing = relay.NewSharedProbing(front.requests, c.Name, c.Seed, p.node, quarantined)
+		front.sharedProbing = p.sharedProbing
 	}
 }
 
-// quarantined says that a member's readings are left out.
-func (p *membersPart) quarantined(front *frontHooks, name string) {
+// reportQuarantine says that a member's readings are left out.
+func (p *membersPart) reportQuarantine(front *frontHooks, name string) {
 	p.log.Warn().Str("member", name).
 		Msg("member quarantined, its load reports are left out for 30 s: " +
 			"check its clock, network and version")
@@ -112,20 +112,20 @@
 		return p.joinErr
 	}
 	if p.config.ControlSocket != "" {
-		sources := control.Sources{Fleet: p.node, Probing: p.sharing.Report, Cells: p.node.CellsReport}
+		sources := control.Sources{Fleet: p.node, Probing: p.sharedProbing.Report, Cells: p.node.CellsReport}
 		var err error
 		if p.control, err = control.Listen(p.config.ControlSocket, sources, p.log); err != nil {
 			return &ConfigError{File: p.path, Key: "socket", Err: err}
 		}
 	}
 	ctx, end := context.WithCancel(context.Background())
-	p.end = end
+	p.cancel = end
 	go p.node.Run(ctx)
 	return nil
 }
 
 func (p *membersPart) metrics() []prometheus.Collector {
-	return []prometheus.Collector{p.node.Collector(), newProbingMetrics(p.sharing.Report)}
+	return []prometheus.Collector{p.node.Collector(), newProbingMetrics(p.sharedProbing.Report)}
 }
 
 func (p *membersPart) reload() (apply func(), err error) {
@@ -134,7 +134,7 @@
 		return nil, err
 	}
 	if (len(next.keys) > 0) != (len(p.config.keys) > 0) {
-		return nil, &ConfigError{File: p.path, Key: "keys", Err: errSealingFixed}
+		return nil, &ConfigError{File: p.path, Key: "keys", Err: errEncryptionFixed}
 	}
 	err = errors.Join(p.config.checkReload(next), next.checkZones(zoneNames(p.platform)))
 	if err != nil {
@@ -143,7 +143,7 @@
 	return func() { p.apply(next) }, nil
 }
 
-var errSealingFixed = errors.New("sealing cannot be switched on or off while the relay runs")
+var errEncryptionFixed = errors.New("sealing cannot be switched on or off while the relay runs")
 
 // apply takes a checked file in.
 func (p *membersPart) apply(next *MembersConfig) {
@@ -159,7 +159,7 @@
 	}
 	p.log.Info().
 		Int("keys", len(next.keys)).
-		Bool("needs_restart", next.restartOnly() != p.config.restartOnly()).
+		Bool("needs_restart", next.restartOnlySettings() != p.config.restartOnlySettings()).
 		Msg("reloaded members")
 }
 
@@ -170,8 +170,8 @@
 		p.control.Close()
 		os.Remove(p.config.ControlSocket)
 	}
-	if p.end != nil {
-		p.end()
+	if p.cancel != nil {
+		p.cancel()
 		p.node.Wait()
 	}
 }
--- a/internal/lifecycle/members_test.go
+++ b/internal/lifecycle/members_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const goodMembers = `
+const membersConfig = `
 site = "casa"
 bind = "127.0.0.1:7946"
 seeds = ["127.0.0.1:7946"]
@@ -33,11 +33,11 @@
 		}
 		return ReadMembersConfig(path)
 	}
-	if m, err := read(goodMembers); err != nil || m.Site != "casa" {
+	if m, err := read(membersConfig); err != nil || m.Site != "casa" {
 		t.Errorf("%+v, %v", m, err)
 	}
 	one, two := "AAAAAAAAAAAAAAAAAAAAAA==", "AQAAAAAAAAAAAAAAAAAAAA=="
-	withKeys := goodMembers + `keys = "` + keys("# seals\n"+one+"\n\n"+two+"\n", 0o600) + `"`
+	withKeys := membersConfig + `keys = "` + keys("# seals\n"+one+"\n\n"+two+"\n", 0o600) + `"`
 	if m, err := read(withKeys); err != nil || len(m.keys) != 2 {
 		t.Errorf("%+v, %v", m, err)
 	}
@@ -59,7 +59,7 @@
 		"no such file":                      {`site`, "keys = \"/nowhere\"\nsite"},
 		"mode 0644 lets others at the keys": {`site`, `keys = "` + keys(one, 0o644) + "\"\nsite"},
 	} {
-		_, err := read(strings.Replace(goodMembers, change[0], change[1], 1))
+		_, err := read(strings.Replace(membersConfig, change[0], change[1], 1))
 		found := false
 		for _, line := range strings.Split(errText(err), "\n") {
 			found = found || strings.Contains(line, want) && strings.Contains(line, "members.toml: ")
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -35,13 +35,13 @@
 	stop()
 }
 
-// noPart is what a part has in common that only joins and starts, to be embedded.
-type noPart struct{}
+// partDefaults is what a part has in common that only joins and starts, to be embedded.
+type partDefaults struct{}
 
-func (noPart) metrics() []prometheus.Collector { return nil }
-func (noPart) reload() (func(), error)         { return nil, nil }
-func (noPart) leave()                          {}
-func (noPart) stop()                           {}
+func (partDefaults) metrics() []prometheus.Collector { return nil }
+func (partDefaults) reload() (func(), error)         { return nil, nil }
+func (partDefaults) leave()                          {}
+func (partDefaults) stop()                           {}
 
 // errNeedsPlatform is a part's file without the platform's front, which alone does such a thing.
 func errNeedsPlatform(path, only string) error {
@@ -50,8 +50,8 @@
 
 // frontHooks is a front as a part may join it.
 type frontHooks struct {
-	front           string
-	relay           string // the relay's name
+	frontName       string
+	relayName       string // the relay's name
 	requests        *relay.RequestTable
 	clock           *relay.Clock
 	platform        *platform.Frontend      // nil for other fronts
@@ -72,14 +72,14 @@
 type partList []part
 
 // readParts reads the files of all parts that are on. It is the one place where the parts are listed.
-func readParts(from Sources, c *Config, log zerolog.Logger) (all partList, err error) {
+func readParts(sources Sources, c *Config, log zerolog.Logger) (all partList, err error) {
 	for _, kind := range []struct {
 		file string
 		read func(path string, c *Config, log zerolog.Logger) (part, error)
 	}{
-		{from.Resume, newResumePart},
-		{from.Timeline, newTimelinePart},
-		{from.Members, newMembersPart},
+		{sources.Resume, newResumePart},
+		{sources.Timeline, newTimelinePart},
+		{sources.Members, newMembersPart},
 	} {
 		if kind.file == "" {
 			continue
@@ -122,7 +122,7 @@
 		apply, err := p.reload()
 		switch {
 		case err != nil:
-			log.Error().Err(err).Str("part", p.name()).Msg(configRejected)
+			log.Error().Err(err).Str("part", p.name()).Msg(configRejectedMessage)
 		case apply != nil:
 			apply()
 		}
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -16,7 +16,7 @@
 // startPlatform starts the platform's front with an event loop and a client of discovery of its own, which
 // end with ctx.
 func startPlatform(
-	ctx context.Context, from Sources, c *Config, parts partList, log zerolog.Logger,
+	ctx context.Context, sources Sources, c *Config, parts partList, log zerolog.Logger,
 ) (*runningFront, error) {
 	// The simulator's note of slow messages has no line on the sockets: the decision module is to know that a
 	// load report is all it will get.
@@ -32,33 +32,33 @@
 	}
 	limiter := connlimit.New(clock, connectionCapacity(c.Sockets, c.Admin != ""), log)
 	front := &platform.Frontend{Requests: requests, Deployment: c.Deployment, Limiter: limiter}
-	seam := &frontHooks{
-		front:     "platform",
-		relay:     c.Name,
+	hooks := &frontHooks{
+		frontName: "platform",
+		relayName: c.Name,
 		requests:  requests,
 		clock:     clock,
 		platform:  front,
 		discovery: endpoints,
 	}
-	parts.join(seam)
-	leaseEndpoints(requests, c)
+	parts.join(hooks)
+	startEndpointLease(requests, c)
 	if inherited && !endpoints.Pushed {
 		endpoints.Watch() // in an upgrade this relay starts alone: it need not wait for its phase offset
 	}
 	go endpoints.Run(ctx, c.CachedList.Version)
 	loop := relay.NewEventLoop(requests, c.Seed, endpoints, log)
-	loop.FleetStatus, loop.SharedProbing = seam.fleet, seam.sharedProbing
+	loop.FleetStatus, loop.SharedProbing = hooks.fleet, hooks.sharedProbing
 	go loop.Run(ctx)
 	r := &runningFront{
 		requests:        requests,
 		listener:        listener,
 		inherited:       inherited,
 		limiter:         limiter,
-		serveFailed:     make(chan error, 1),
+		serveErr:        make(chan error, 1),
 		longestDeadline: longestDeadline(c.Deployment),
 	}
-	r.reload = func() error { return reloadPlatform(from, c, endpoints, limiter, log) }
-	go func() { r.serveFailed <- front.Serve(listener) }()
+	r.reload = func() error { return reloadPlatform(sources, c, endpoints, limiter, log) }
+	go func() { r.serveErr <- front.Serve(listener) }()
 	logServing(c, r, log)
 	return r, nil
 }
@@ -86,8 +86,8 @@
 	return requests
 }
 
-// leaseEndpoints begins the lease of the endpoint list, and takes in the list held last.
-func leaseEndpoints(requests *relay.RequestTable, c *Config) {
+// startEndpointLease begins the lease of the endpoint list, and takes in the list held last.
+func startEndpointLease(requests *relay.RequestTable, c *Config) {
 	pollWithin := time.Duration(0)
 	if c.Deployment.Settings.MustSubscribe {
 		pollWithin = c.Deployment.Settings.Rules.PollDeadline
@@ -99,9 +99,9 @@
 // reloadPlatform takes in what of the file can change while the relay runs: discovery's address and the
 // limits.
 func reloadPlatform(
-	from Sources, c *Config, endpoints *discovery.Client, limiter *connlimit.Limiter, log zerolog.Logger,
+	sources Sources, c *Config, endpoints *discovery.Client, limiter *connlimit.Limiter, log zerolog.Logger,
 ) error {
-	next, err := ReadConfig(from.Getenv, log)
+	next, err := ReadConfig(sources.Getenv, log)
 	if err != nil {
 		return err
 	}
--- a/internal/lifecycle/probing_metrics.go
+++ b/internal/lifecycle/probing_metrics.go
@@ -15,8 +15,8 @@
 //	relay_looks_left_out_total{reason} counter  readings of others that were left out
 //	relay_looks_doubted                gauge    quarantined relays, whose readings are left out
 type probingMetrics struct {
-	report                                      func() (probing.Report, bool)
-	relays, probes, taken, dropped, quarantined *prometheus.Desc
+	report                                         func() (probing.Report, bool)
+	relays, probes, received, dropped, quarantined *prometheus.Desc
 }
 
 func newProbingMetrics(report func() (probing.Report, bool)) *probingMetrics {
@@ -24,9 +24,9 @@
 		return prometheus.NewDesc("relay_looks"+name, help, labels, nil)
 	}
 	return &probingMetrics{report: report,
-		relays: d("_relays", "Relays that share readings, this one too."),
-		probes: d("_total", "Probes of servers made for all relays."),
-		taken:  d("_taken_total", "Readings of other relays that were new here."),
+		relays:   d("_relays", "Relays that share readings, this one too."),
+		probes:   d("_total", "Probes of servers made for all relays."),
+		received: d("_taken_total", "Readings of other relays that were new here."),
 		dropped: d("_left_out_total",
 			"Readings of other relays that were left out, by reason.", "reason"),
 		quarantined: d("_doubted",
@@ -36,7 +36,7 @@
 
 // Describe is the collector's.
 func (f *probingMetrics) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{f.relays, f.probes, f.taken, f.dropped, f.quarantined} {
+	for _, d := range []*prometheus.Desc{f.relays, f.probes, f.received, f.dropped, f.quarantined} {
 		ch <- d
 	}
 }
@@ -55,7 +55,7 @@
 	}
 	gauge(f.relays, float64(r.Relays))
 	count(f.probes, r.Probes)
-	count(f.taken, r.ReadingsReceived)
+	count(f.received, r.ReadingsReceived)
 	for why, n := range r.DroppedByReason {
 		count(f.dropped, n, why)
 	}
--- a/internal/lifecycle/resume_config.go
+++ b/internal/lifecycle/resume_config.go
@@ -63,7 +63,8 @@
 	const week = 7 * 86_400_000
 	minSession, margin := relay.Millis(ownership.MinSessionTimeout), relay.Millis(ownership.ExpiryMargin)
 	problems.addIf(len(c.OwnershipServers) == 0, "servers", "at least one is wanted")
-	problems.addIf(!cleanPath(c.OwnershipPath), "path", "%q is not a path from / on without a / at its end", c.OwnershipPath)
+	problems.addIf(!isCleanPath(c.OwnershipPath), "path",
+		"%q is not an absolute path below / without a / at its end or an empty element", c.OwnershipPath)
 	problems.addIf(!(c.SessionMs >= minSession && c.SessionMs <= 120_000), "session_ms",
 		"from %v to 120000; ownership is trusted for 0.95 of it less %v", minSession, margin)
 	problems.addIf(!(c.TokenLifetimeMs >= 10_000 && c.TokenLifetimeMs <= week), "token_life_ms",
@@ -77,15 +78,15 @@
 	problems.addIf(c.KeysFile == "", "keys", "not set; it names the file of the tokens' keys")
 }
 
-// cleanPath tells whether a path of the ownership service is absolute, not the root, and without an empty
+// isCleanPath tells whether a path of the ownership service is absolute, not the root, and without an empty
 // part.
-func cleanPath(path string) bool {
+func isCleanPath(path string) bool {
 	return strings.HasPrefix(path, "/") && path != "/" &&
 		!strings.HasSuffix(path, "/") && !strings.Contains(path, "//")
 }
 
-// restartOnly is what of the file a reload does not take in.
-func (c *ResumeConfig) restartOnly() string {
+// restartOnlySettings is what of the file a reload does not take in.
+func (c *ResumeConfig) restartOnlySettings() string {
 	return fmt.Sprint(
 		c.OwnershipPath, c.SessionMs, c.TokenLifetimeMs, c.TokenRenewMs,
 		c.AcquireMs, c.MaxClockSkewMs, c.SweepIntervalMs, c.AllServersResume)
--- a/internal/lifecycle/resume_part.go
+++ b/internal/lifecycle/resume_part.go
@@ -16,7 +16,7 @@
 
 // resumePart is moving with a token. It joins the platform's front only.
 type resumePart struct {
-	noPart
+	partDefaults
 	path    string
 	config  *ResumeConfig
 	log     zerolog.Logger
@@ -40,7 +40,7 @@
 	if front.platform == nil {
 		return
 	}
-	p.service = resume.New(p.config.serviceConfig(front.relay), p.config.keyRing, front.clock, p.log)
+	p.service = resume.New(p.config.serviceConfig(front.relayName), p.config.keyRing, front.clock, p.log)
 	front.platform.Resume = p.service
 }
 
@@ -60,7 +60,7 @@
 		p.log.Info().
 			Str("sealing", next.keyRing.SealingKeyID()).
 			Strs("claims", next.OwnershipServers).
-			Bool("needs_restart", next.restartOnly() != p.config.restartOnly()).
+			Bool("needs_restart", next.restartOnlySettings() != p.config.restartOnlySettings()).
 			Msg("reloaded resume")
 	}, nil
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -12,8 +12,8 @@
 	"capersail/internal/admin"
 )
 
-// configRejected is logged for a file that SIGHUP has found unusable.
-const configRejected = "new configuration rejected, the old one stays in force: " +
+// configRejectedMessage is logged for a file that SIGHUP has found unusable.
+const configRejectedMessage = "new configuration rejected, the old one stays in force: " +
 	"mend the file and send SIGHUP again"
 
 // Sources say where the configuration comes from.
@@ -32,8 +32,8 @@
 // Run serves until SIGTERM or SIGINT, then migrates everyone, answers pending requests, and returns. At
 // SIGHUP it reads its files again. Either of the two fronts may be absent. An error is a *ConfigError, a part
 // or a front that cannot start, or a listener that has failed.
-func Run(ctx context.Context, from Sources, signals <-chan os.Signal, log zerolog.Logger) error {
-	p := &process{from: from, log: log, serveFailed: make(chan error, 2)}
+func Run(ctx context.Context, sources Sources, signals <-chan os.Signal, log zerolog.Logger) error {
+	p := &process{sources: sources, log: log, serveErr: make(chan error, 2)}
 	if err := p.readConfigs(); err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	if err := p.start(ctx); err != nil {
 		return err
 	}
-	if err := p.followSignals(ctx, signals); err != nil {
+	if err := p.handleSignals(ctx, signals); err != nil {
 		return err
 	}
 	p.shutDown(signals)
@@ -53,47 +53,47 @@
 
 // process is the relay's process: its configuration, fronts and parts.
 type process struct {
-	from     Sources
+	sources  Sources
 	log      zerolog.Logger
 	platform *Config     // nil without the platform's front
 	xmpp     *XMPPConfig // nil without the XMPP front
 	parts    partList
 
-	fronts      []*runningFront
-	serveFailed chan error // has the error that ended a front's listener
+	fronts   []*runningFront
+	serveErr chan error // has the error that ended a front's listener
 }
 
 // readConfigs reads and checks all files.
 func (p *process) readConfigs() (err error) {
-	if p.from.XMPP != "" {
-		if p.xmpp, err = ReadXMPPConfig(p.from.XMPP); err != nil {
+	if p.sources.XMPP != "" {
+		if p.xmpp, err = ReadXMPPConfig(p.sources.XMPP); err != nil {
 			return err
 		}
 	}
-	if p.from.XMPP == "" || p.from.Getenv("LB_CONFIG") != "" {
-		if p.platform, err = ReadConfig(p.from.Getenv, p.log); err != nil {
+	if p.sources.XMPP == "" || p.sources.Getenv("LB_CONFIG") != "" {
+		if p.platform, err = ReadConfig(p.sources.Getenv, p.log); err != nil {
 			return err
 		}
 	}
-	p.parts, err = readParts(p.from, p.platform, p.log)
+	p.parts, err = readParts(p.sources, p.platform, p.log)
 	return err
 }
 
 // start starts the fronts, joined by the parts, then the parts, then the admin address.
 func (p *process) start(ctx context.Context) error {
 	if p.platform != nil {
-		front, err := startPlatform(ctx, p.from, p.platform, p.parts, p.log)
+		front, err := startPlatform(ctx, p.sources, p.platform, p.parts, p.log)
 		if err != nil {
 			return err
 		}
-		p.add(front)
+		p.addFront(front)
 	}
 	if p.xmpp != nil {
-		front, err := startXMPP(ctx, p.from, p.xmpp, p.parts, p.log)
+		front, err := startXMPP(ctx, p.sources, p.xmpp, p.parts, p.log)
 		if err != nil {
 			return fmt.Errorf("xmpp: %w", err)
 		}
-		p.add(front)
+		p.addFront(front)
 	}
 	if err := p.parts.start(ctx); err != nil {
 		return err
@@ -110,14 +110,14 @@
 	return nil
 }
 
-func (p *process) add(front *runningFront) {
+func (p *process) addFront(front *runningFront) {
 	p.fronts = append(p.fronts, front)
-	go func() { p.serveFailed <- <-front.serveFailed }()
+	go func() { p.serveErr <- <-front.serveErr }()
 }
 
-// followSignals reloads at SIGHUP, until it is time to shut down. A file that cannot be used changes nothing.
+// handleSignals reloads at SIGHUP, until it is time to shut down. A file that cannot be used changes nothing.
 // The error is that of a listener that has failed.
-func (p *process) followSignals(ctx context.Context, signals <-chan os.Signal) error {
+func (p *process) handleSignals(ctx context.Context, signals <-chan os.Signal) error {
 	for {
 		select {
 		case s := <-signals:
@@ -128,7 +128,7 @@
 			p.reload()
 		case <-ctx.Done():
 			return nil
-		case err := <-p.serveFailed:
+		case err := <-p.serveErr:
 			return fmt.Errorf("accept: %w", err)
 		}
 	}
@@ -138,7 +138,7 @@
 func (p *process) reload() {
 	for _, front := range p.fronts {
 		if err := front.reload(); err != nil {
-			p.log.Error().Err(err).Msg(configRejected)
+			p.log.Error().Err(err).Msg(configRejectedMessage)
 		}
 	}
 	p.parts.reload(p.log)
@@ -154,7 +154,7 @@
 			fronts.Go(func() {
 				if front.inherited {
 					// The successor accepts from the same queue: nothing that comes is rejected.
-					go closeShared(front.listener)
+					go closeSharedListener(front.listener)
 				}
 				shutDownFront(front)
 				front.listener.Close()
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -13,9 +13,9 @@
 	maxServeSpan = 3 * time.Second
 	// keepOpenFraction is the part of that time in which no connection is migrated.
 	keepOpenFraction = 0.7
-	// minShutdown is how long the front goes on accepting: new connections come for up to 400 ms after
+	// minAcceptSpan is how long the front goes on accepting: new connections come for up to 400 ms after
 	// SIGTERM.
-	minShutdown = 700 * time.Millisecond
+	minAcceptSpan = 700 * time.Millisecond
 	// answerGrace after the serve span every pending request has its answer.
 	answerGrace = 300 * time.Millisecond
 	// closeGrace after the serve span every connection is closed.
@@ -42,7 +42,7 @@
 	for now := began; now < began+span+answerGrace; now = clock.Now() {
 		surplus := r.requests.MigrateClients(0) - keptDuringShutdown(all, now-began, span)
 		left := r.requests.MigrateClients(surplus)
-		if left == 0 && now >= began+minShutdown {
+		if left == 0 && now >= began+minAcceptSpan {
 			break
 		}
 		<-clock.After(migrationInterval)
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -17,28 +17,28 @@
 	"capersail/internal/wire/platform"
 )
 
-// starved hands out connections that nobody reads before they are let go, as on a relay with no processor
-// time.
-type starved struct {
+// starvedListener hands out connections that nobody reads before they are let go, as on a relay with no
+// processor time.
+type starvedListener struct {
 	net.Listener
-	let chan struct{}
+	release chan struct{}
 }
 
 type starvedConn struct {
 	*net.TCPConn
-	let chan struct{}
+	release chan struct{}
 }
 
-func (l *starved) Accept() (net.Conn, error) {
+func (l *starvedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &starvedConn{conn.(*net.TCPConn), l.let}, nil
+	return &starvedConn{conn.(*net.TCPConn), l.release}, nil
 }
 
 func (c *starvedConn) Read(p []byte) (int, error) {
-	<-c.let
+	<-c.release
 	return c.TCPConn.Read(p)
 }
 
@@ -47,21 +47,21 @@
 // process would go over unread bytes, and reset them.
 func TestShutdownAnswersWhatHasCome(t *testing.T) {
 	clock := relay.NewClock()
-	site := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
+	deployment := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
 		Classes: []decide.ClassInfo{
 			{LatencyObjective: relay.DurationFromMillis(300), Deadline: relay.DurationFromMillis(10_000)},
 		}}}
-	x := relay.NewRequestTable(site, clock, &platform.ServerDialer{Clock: clock})
+	requests := relay.NewRequestTable(deployment, clock, &platform.ServerDialer{Clock: clock})
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &starved{inner, make(chan struct{})}
-	door := connlimit.New(clock, 24, zerolog.Nop())
-	go (&platform.Frontend{Requests: x, Deployment: site, Limiter: door}).Serve(l)
+	l := &starvedListener{inner, make(chan struct{})}
+	limiter := connlimit.New(clock, 24, zerolog.Nop())
+	go (&platform.Frontend{Requests: requests, Deployment: deployment, Limiter: limiter}).Serve(l)
 	var clients []net.Conn
-	said := []string{"OPEN a0 0f c=m,d=500\r\n", "OPEN a1 0f c=m,d=500\r\n", "OPEN a2 0f c=m,d=5", ""}
-	for _, text := range said {
+	sent := []string{"OPEN a0 0f c=m,d=500\r\n", "OPEN a1 0f c=m,d=500\r\n", "OPEN a2 0f c=m,d=5", ""}
+	for _, text := range sent {
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -71,16 +71,16 @@
 		fmt.Fprint(c, text)
 		clients = append(clients, c)
 	}
-	for door.DescriptorsHeld() < len(said) {
+	for limiter.DescriptorsHeld() < len(sent) {
 		time.Sleep(time.Millisecond)
 	}
-	left := make(chan struct{})
+	shutdownDone := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(shutdownDone)
 		shutDownFront(&runningFront{
-			requests:        x,
+			requests:        requests,
 			listener:        l,
-			limiter:         door,
+			limiter:         limiter,
 			longestDeadline: 10 * time.Second,
 		})
 	}()
@@ -93,21 +93,21 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	select {
-	case <-left:
+	case <-shutdownDone:
 		t.Fatal("it is over, and four connections are open")
 	default:
 	}
-	close(l.let)
+	close(l.release)
 	for i, c := range clients {
 		got, err := io.ReadAll(bufio.NewReader(c))
 		want := i < 2
 		if err != nil || strings.HasPrefix(string(got), "BUSY") != want || !want && len(got) > 0 {
-			t.Errorf("%q was answered %q, %v", said[i], got, err)
+			t.Errorf("%q was answered %q, %v", sent[i], got, err)
 		}
 		c.Close()
 	}
-	<-left
-	if door.DescriptorsHeld() != 0 {
-		t.Errorf("%d descriptors are held after it", door.DescriptorsHeld())
+	<-shutdownDone
+	if limiter.DescriptorsHeld() != 0 {
+		t.Errorf("%d descriptors are held after it", limiter.DescriptorsHeld())
 	}
 }
--- a/internal/lifecycle/timeline_config.go
+++ b/internal/lifecycle/timeline_config.go
@@ -25,7 +25,8 @@
 		return nil, err
 	}
 	checkSocket(problems, t.ControlSocket)
-	problems.addIf(t.StoreFile != "" && !filepath.IsAbs(t.StoreFile), "store", "%q is not a path from / on", t.StoreFile)
+	problems.addIf(t.StoreFile != "" && !filepath.IsAbs(t.StoreFile), "store",
+		"%q is not an absolute path", t.StoreFile)
 	problems.addIf(t.StoreMB < 4 || t.StoreMB > 1<<20, "store_mb", "from 4 to 1048576")
 	problems.addIf(t.StoreHours < 1 || t.StoreHours > 24*366, "store_hours", "from 1 to 8784")
 	problems.addIf(t.BufferRecords < 64 || t.BufferRecords > 1<<20, "buffer", "from 64 to 1048576 records")
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -16,16 +16,16 @@
 
 // timelinePart is the servers' time lines. It joins every front.
 type timelinePart struct {
-	noPart
+	partDefaults
 	path   string
 	config *TimelineConfig
 	log    zerolog.Logger
 
-	watchers []*watch.Watcher // one a front
-	stores   []*store.Store   // one a front, none without a store
-	control  *control.Server  // nil without a socket
-	running  sync.WaitGroup
-	end      context.CancelFunc // ends the watchers and stores; nil before start
+	watchers   []*watch.Watcher // one a front
+	stores     []*store.Store   // one a front, none without a store
+	control    *control.Server  // nil without a socket
+	goroutines sync.WaitGroup
+	cancel     context.CancelFunc // ends the watchers and stores; nil before start
 }
 
 func newTimelinePart(path string, _ *Config, log zerolog.Logger) (part, error) {
@@ -40,14 +40,14 @@
 
 func (p *timelinePart) join(front *frontHooks) {
 	c := watch.Config{
-		Relay:      front.relay,
+		Relay:      front.relayName,
 		Buffer:     p.config.BufferRecords,
 		Limits:     timeline.DefaultLimits(),
 		MaxServers: p.config.MaxServers,
 	}
 	c.Limits.MaxServers = p.config.MaxServers
 	if front.platform == nil {
-		c.Relay = front.front
+		c.Relay = front.frontName
 	}
 	if p.config.StoreFile != "" {
 		c.Store = p.openStore(front)
@@ -65,7 +65,7 @@
 func (p *timelinePart) openStore(front *frontHooks) *store.Store {
 	file := p.config.StoreFile
 	if len(p.stores) > 0 {
-		file += "." + front.front
+		file += "." + front.frontName
 	}
 	opened, err := store.Open(file, p.config.options(), p.log)
 	if err != nil {
@@ -79,12 +79,12 @@
 // start runs watchers and stores in a context of their own: what comes last is folded and written too.
 func (p *timelinePart) start(context.Context) error {
 	ctx, end := context.WithCancel(context.Background())
-	p.end = end
+	p.cancel = end
 	for _, s := range p.stores {
-		p.running.Go(func() { s.Run(ctx) })
+		p.goroutines.Go(func() { s.Run(ctx) })
 	}
 	for _, w := range p.watchers {
-		p.running.Go(func() { w.Run(ctx) })
+		p.goroutines.Go(func() { w.Run(ctx) })
 	}
 	if p.config.ControlSocket == "" {
 		return nil
@@ -98,7 +98,7 @@
 }
 
 func (p *timelinePart) stop() {
-	if p.end == nil {
+	if p.cancel == nil {
 		return
 	}
 	if p.control != nil {
@@ -112,6 +112,6 @@
 	for _, s := range p.stores {
 		s.Flush()
 	}
-	p.end()
-	p.running.Wait()
+	p.cancel()
+	p.goroutines.Wait()
 }
--- a/internal/lifecycle/xmpp_config.go
+++ b/internal/lifecycle/xmpp_config.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// restartOnly is what of the file a reload does not take in: the module's settings and the address.
-func (c *XMPPConfig) restartOnly() string {
+// restartOnlySettings is what of the file a reload does not take in: the module's settings and the address.
+func (c *XMPPConfig) restartOnlySettings() string {
 	return fmt.Sprint(
 		c.Listen, c.Zone, c.Zones, c.RelayIndex, c.Relays, c.SilenceMs, c.ConnectMs, c.MaxRetryAfterMs,
 		c.Classes, c.Hosts)
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -27,7 +27,7 @@
 // startXMPP starts the XMPP front with an event loop and a client of ZooKeeper of its own, which end with
 // ctx.
 func startXMPP(
-	ctx context.Context, from Sources, c *XMPPConfig, parts partList, log zerolog.Logger,
+	ctx context.Context, sources Sources, c *XMPPConfig, parts partList, log zerolog.Logger,
 ) (*runningFront, error) {
 	deployment, hosts := c.Deployment()
 	secure, err := c.tlsConfig()
@@ -43,7 +43,7 @@
 		Log:            log,
 	}
 	requests := relay.NewRequestTable(deployment, clock, servers)
-	parts.join(&frontHooks{front: "xmpp", relay: "xmpp", requests: requests, clock: clock})
+	parts.join(&frontHooks{frontName: "xmpp", relayName: "xmpp", requests: requests, clock: clock})
 	endpoints := zookeeper.NewClient(c.ensemble(), requests, log)
 	requests.UpdateEndpoints(decide.CachedSnapshot, nil)
 	endpoints.Watch() // there is no cached list to begin with
@@ -60,11 +60,11 @@
 		requests:        requests,
 		listener:        listener,
 		limiter:         limiter,
-		serveFailed:     make(chan error, 1),
+		serveErr:        make(chan error, 1),
 		longestDeadline: longestDeadline(deployment),
 	}
-	r.reload = func() error { return reloadXMPP(from.XMPP, c, front, endpoints, limiter, log) }
-	go func() { r.serveFailed <- front.Serve(listener) }()
+	r.reload = func() error { return reloadXMPP(sources.XMPP, c, front, endpoints, limiter, log) }
+	go func() { r.serveErr <- front.Serve(listener) }()
 	log.Info().Str("listen", listener.Addr().String()).Msg("serving XMPP")
 	return r, nil
 }
@@ -88,7 +88,7 @@
 	limiter.SetDescriptorLimit(connectionCapacity(next.Sockets, false))
 	log.Info().
 		Strs("zookeeper", next.ZooKeeper.Servers).
-		Bool("needs_restart", next.restartOnly() != c.restartOnly()).
+		Bool("needs_restart", next.restartOnlySettings() != c.restartOnlySettings()).
 		Msg("reloaded XMPP")
 	return nil
 }
--- a/internal/lifecycle/xmpp_test.go
+++ b/internal/lifecycle/xmpp_test.go
@@ -25,16 +25,16 @@
 	"capersail/internal/testing/fake"
 )
 
-// xmppBench is the XMPP front with stand-ins for all it speaks to.
-type xmppBench struct {
-	t       *testing.T
-	zk      *fake.ZooKeeper
-	address string
-	relay   *runningFront
-	path    string // of the operator's file
+// xmppFixture is the XMPP front with stand-ins for all it speaks to.
+type xmppFixture struct {
+	t          *testing.T
+	zk         *fake.ZooKeeper
+	address    string
+	front      *runningFront
+	configPath string // of the operator's file
 }
 
-const operatorText = `listen = "127.0.0.1:0"
+const xmppConfigText = `listen = "127.0.0.1:0"
 silent_ms = 400
 connect_ms = 2000
 zone = "a"
@@ -53,13 +53,13 @@
 class = "alerts"
 `
 
-func newXMPPBench(t *testing.T, security string) *xmppBench {
+func newXMPPFixture(t *testing.T, security string) *xmppFixture {
 	zk, err := fake.NewZooKeeper("/alerts")
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "xmpp.toml")
-	if err := os.WriteFile(path, fmt.Appendf(nil, operatorText, security, zk.Address), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, xmppConfigText, security, zk.Address), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	o, err := ReadXMPPConfig(path)
@@ -73,19 +73,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.listener.Close() })
-	return &xmppBench{t, zk, r.listener.Addr().String(), r, path}
+	return &xmppFixture{t, zk, r.listener.Addr().String(), r, path}
 }
 
-// server starts an XMPP server with a node of its own, and waits until the relay has read that.
-func (b *xmppBench) server(name, hold string) *fake.XMPP {
+// startServer starts an XMPP startServer with a node of its own, and waits until the relay has read that.
+func (b *xmppFixture) startServer(name, hold string) *fake.XMPP {
 	s, err := fake.NewXMPP(hold)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(s.Kill)
-	b.node(name, s, "Ready")
+	b.setNode(name, s, "Ready")
 	for i := 0; ; i++ {
-		if _, ok := b.relay.requests.Server(name); ok {
+		if _, ok := b.front.requests.Server(name); ok {
 			return s
 		}
 		if i > 1000 {
@@ -95,41 +95,41 @@
 	}
 }
 
-func (b *xmppBench) node(name string, s *fake.XMPP, lifecycle string) {
+func (b *xmppFixture) setNode(name string, s *fake.XMPP, lifecycle string) {
 	b.zk.SetNode(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q,"zone":"a"}`, s.Address, lifecycle))
 }
 
 // client is an XMPP client whose reads are by encoding/xml.
 type client struct {
 	net.Conn
-	d    *xml.Decoder
-	seen []string // names of what came at the stream's first level, errors with their conditions and ids
+	d        *xml.Decoder
+	received []string // names of what came at the stream's first level, errors with their conditions and ids
 }
 
-const startStream = "<?xml version='1.0'?>" +
+const streamHeader = "<?xml version='1.0'?>" +
 	"<stream:stream to='alerts.example' version='1.0' xmlns='jabber:client' " +
 	"xmlns:stream='http://etherx.jabber.org/streams'>"
 
-func (b *xmppBench) dial() *client {
+func (b *xmppFixture) dial() *client {
 	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(func() { conn.Close() })
 	c := &client{Conn: conn}
-	c.restart()
+	c.openStream()
 	return c
 }
 
-func (c *client) restart() {
+func (c *client) openStream() {
 	c.SetDeadline(time.Now().Add(30 * time.Second))
 	c.d = xml.NewDecoder(c)
-	fmt.Fprint(c, startStream)
+	fmt.Fprint(c, streamHeader)
 }
 
-// next returns the next first-level element's name, "end" for a stream that was closed in order, or
-// "broken". A stream error is named by its condition, a bounced stanza by its id.
-func (c *client) next() string {
+// nextElement returns the nextElement first-level element's name, "end" for a stream that was closed in
+// order, or "broken". A stream error is named by its condition, a bounced stanza by its id.
+func (c *client) nextElement() string {
 	for {
 		t, err := c.d.Token()
 		if err != nil {
@@ -165,15 +165,15 @@
 		case name == "message":
 			name += " " + el.ID
 		}
-		c.seen = append(c.seen, name)
+		c.received = append(c.received, name)
 		return name
 	}
 }
 
-// rest reads to the end and returns what came.
-func (c *client) rest() (all []string) {
+// readToEnd reads to the end and returns what came.
+func (c *client) readToEnd() (all []string) {
 	for {
-		n := c.next()
+		n := c.nextElement()
 		all = append(all, n)
 		if n == "end" || n == "broken" {
 			return all
@@ -181,32 +181,32 @@
 	}
 }
 
-const auth = "<auth xmlns='urn:ietf:params:xml:ns:xmpp-sasl' mechanism='PLAIN'>AGEAYg==</auth>"
+const authElement = "<auth xmlns='urn:ietf:params:xml:ns:xmpp-sasl' mechanism='PLAIN'>AGEAYg==</auth>"
 
-// up sets the stream up and returns "up", or what came instead.
-func (c *client) up() string {
-	if n := c.next(); n != "features" {
+// setUpStream sets the stream setUpStream and returns "setUpStream", or what came instead.
+func (c *client) setUpStream() string {
+	if n := c.nextElement(); n != "features" {
 		return n
 	}
-	fmt.Fprint(c, auth)
-	if n := c.next(); n != "success" {
+	fmt.Fprint(c, authElement)
+	if n := c.nextElement(); n != "success" {
 		return n
 	}
-	c.restart()
-	if n := c.next(); n != "features" {
+	c.openStream()
+	if n := c.nextElement(); n != "features" {
 		return n
 	}
 	return "up"
 }
 
-func (b *xmppBench) want(what string, got, want any) {
+func (b *xmppFixture) checkEqual(what string, got, want any) {
 	b.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		b.t.Errorf("%s: %v, want %v", what, got, want)
 	}
 }
 
-func await(t *testing.T, s *fake.XMPP, want string) {
+func waitForStage(t *testing.T, s *fake.XMPP, want string) {
 	t.Helper()
 	select {
 	case got := <-s.Stages:
@@ -219,22 +219,22 @@
 }
 
 func TestXMPPServesAndRefuses(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
-	b.want("no server is listed", b.dial().rest(), "[resource-constraint+retry-after end]")
-	s := b.server("n1", "")
+	b := newXMPPFixture(t, "plaintext = true")
+	b.checkEqual("no server is listed", b.dial().readToEnd(), "[resource-constraint+retry-after end]")
+	s := b.startServer("n1", "")
 	c := b.dial()
-	b.want("set-up", c.up(), "up")
+	b.checkEqual("set-up", c.setUpStream(), "up")
 	fmt.Fprint(c, "<message id='m1' to='x'><body>a</body></message><message id='m2'/>")
-	b.want("echo", c.next()+c.next(), "message m1message m2")
+	b.checkEqual("echo", c.nextElement()+c.nextElement(), "message m1message m2")
 	fmt.Fprint(c, "</stream:stream>")
-	b.want("an orderly end", c.rest(), "[end]")
+	b.checkEqual("an orderly end", c.readToEnd(), "[end]")
 	for what, c := range map[string]struct{ send, want string }{
-		"unknown host":  {strings.Replace(startStream, "alerts", "else", 1), "host-unknown"},
+		"unknown host":  {strings.Replace(streamHeader, "alerts", "else", 1), "host-unknown"},
 		"document type": {"<!DOCTYPE x>", "restricted-xml"},
 		"instruction":   {"<?php x?>", "restricted-xml"},
 		"not a stream":  {"<a></b>", "bad-format"},
 		"other version": {
-			strings.Replace(startStream, "1.0' xmlns", "0.9' xmlns", 1), "unsupported-version",
+			strings.Replace(streamHeader, "1.0' xmlns", "0.9' xmlns", 1), "unsupported-version",
 		},
 		"a tag without end": {"<stream:stream a='" + strings.Repeat("x", 70<<10) + "'>", "policy-violation"},
 	} {
@@ -245,7 +245,7 @@
 		k := &client{Conn: conn, d: xml.NewDecoder(conn)}
 		conn.SetDeadline(time.Now().Add(30 * time.Second))
 		fmt.Fprint(conn, c.send)
-		b.want(what, k.rest()[0], c.want)
+		b.checkEqual(what, k.readToEnd()[0], c.want)
 		conn.Close()
 	}
 	s.Kill()
@@ -253,53 +253,54 @@
 
 // Until SASL bytes reach a server, a lost attempt is made again elsewhere and the client notices nothing.
 func TestXMPPRetriesBeforeSASL(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
-	dead := b.server("n1", "header")
+	b := newXMPPFixture(t, "plaintext = true")
+	dead := b.startServer("n1", "header")
 	c := b.dial()
-	await(t, dead, "header") // a probe or the attempt: both are held there
-	b.server("n2", "")
+	waitForStage(t, dead, "header") // a probe or the attempt: both are held there
+	b.startServer("n2", "")
 	dead.Kill()
-	if got := c.up(); got != "up" && got != "resource-constraint+retry-after" {
+	if got := c.setUpStream(); got != "up" && got != "resource-constraint+retry-after" {
 		t.Errorf("the stream got %q", got)
 	}
 	for range 3 {
-		b.want("the next streams", b.dial().up(), "up")
+		b.checkEqual("the next streams", b.dial().setUpStream(), "up")
 	}
 }
 
 func TestXMPPKilledServer(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
-	s := b.server("n1", "")
+	b := newXMPPFixture(t, "plaintext = true")
+	s := b.startServer("n1", "")
 	c := b.dial()
-	b.want("set-up", c.up(), "up")
+	b.checkEqual("set-up", c.setUpStream(), "up")
 	s.Kill()
-	b.want("its server was killed", c.rest(), "[remote-connection-failed end]")
+	b.checkEqual("its server was killed", c.readToEnd(), "[remote-connection-failed end]")
 }
 
 func TestXMPPKilledMidSASL(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
-	s := b.server("n1", "auth")
+	b := newXMPPFixture(t, "plaintext = true")
+	s := b.startServer("n1", "auth")
 	c := b.dial()
-	b.want("features", c.next(), "features")
-	fmt.Fprint(c, auth)
-	await(t, s, "auth")
+	b.checkEqual("features", c.nextElement(), "features")
+	fmt.Fprint(c, authElement)
+	waitForStage(t, s, "auth")
 	s.Kill()
-	b.want("nothing is repeated once SASL bytes are out", c.rest(), "[remote-connection-failed end]")
+	b.checkEqual("stream whose server was killed after SASL bytes were sent", c.readToEnd(),
+		"[remote-connection-failed end]")
 }
 
 // Stanzas that a silent server has not confirmed come back as errors, each once.
 func TestXMPPSilentServer(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
-	s := b.server("n1", "")
+	b := newXMPPFixture(t, "plaintext = true")
+	s := b.startServer("n1", "")
 	c := b.dial()
-	b.want("set-up", c.up(), "up")
+	b.checkEqual("set-up", c.setUpStream(), "up")
 	s.SetSilent()
 	var want []string
 	for i := range 150 {
 		fmt.Fprintf(c, "<message id='m%d' to='x'/>", i)
 		want = append(want, fmt.Sprintf("bounced m%d", i))
 	}
-	got := c.rest()
+	got := c.readToEnd()
 	if n := len(got); n < 2 || got[n-1] != "end" || got[n-2] != "connection-timeout" && got[n-2] != "reset" {
 		t.Fatalf("the stream ended with %v", got)
 	}
@@ -311,23 +312,24 @@
 }
 
 func TestXMPPDrainMidSASL(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
-	s := b.server("n1", "auth")
+	b := newXMPPFixture(t, "plaintext = true")
+	s := b.startServer("n1", "auth")
 	c := b.dial()
-	b.want("features", c.next(), "features")
-	fmt.Fprint(c, auth)
-	await(t, s, "auth")
-	b.node("n1", s, "Terminating")
-	b.want("its server began to drain", c.rest(), "[reset end]")
-	b.want("and gets nothing new", b.dial().rest(), "[resource-constraint+retry-after end]")
+	b.checkEqual("features", c.nextElement(), "features")
+	fmt.Fprint(c, authElement)
+	waitForStage(t, s, "auth")
+	b.setNode("n1", s, "Terminating")
+	b.checkEqual("its server began to drain", c.readToEnd(), "[reset end]")
+	b.checkEqual("and gets nothing new", b.dial().readToEnd(), "[resource-constraint+retry-after end]")
 }
 
 // Streams on three servers, of which one is killed, one goes silent and one drains in the middle of SASL,
 // and a relay that leaves: every stream has exactly one outcome.
 func TestXMPPEveryStreamHasOneOutcome(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
+	b := newXMPPFixture(t, "plaintext = true")
 	servers := []*fake.XMPP{
-		b.server("n1", ""), b.server("n2", ""), b.server("n3", "auth"), b.server("n4", ""),
+		b.startServer("n1", ""), b.startServer("n2", ""),
+		b.startServer("n3", "auth"), b.startServer("n4", ""),
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -336,20 +338,20 @@
 	for range 40 {
 		c := b.dial()
 		all.Go(func() {
-			first := c.next()
+			first := c.nextElement()
 			ready <- true
 			if first == "features" {
-				fmt.Fprint(c, auth)
-				if c.next() == "success" {
-					c.restart()
+				fmt.Fprint(c, authElement)
+				if c.nextElement() == "success" {
+					c.openStream()
 					fmt.Fprint(c, "<message id='m'/>")
 				}
 			}
-			if len(c.seen) == 0 || c.seen[len(c.seen)-1] != "end" {
-				c.rest()
+			if len(c.received) == 0 || c.received[len(c.received)-1] != "end" {
+				c.readToEnd()
 			}
 			finals := 0
-			for _, n := range c.seen {
+			for _, n := range c.received {
 				switch strings.TrimSuffix(n, "+retry-after") {
 				case "reset", "remote-connection-failed", "connection-timeout", "resource-constraint":
 					finals++
@@ -358,9 +360,9 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if finals != 1 {
-				t.Errorf("a stream saw %v", c.seen)
+				t.Errorf("a stream saw %v", c.received)
 			}
-			outcomes[c.seen[len(c.seen)-1]]++
+			outcomes[c.received[len(c.received)-1]]++
 		})
 	}
 	for range 40 {
@@ -368,8 +370,8 @@
 	}
 	servers[0].Kill()
 	servers[1].SetSilent()
-	b.node("n3", servers[2], "Terminating")
-	all.Go(func() { shutDownFront(b.relay) })
+	b.setNode("n3", servers[2], "Terminating")
+	all.Go(func() { shutDownFront(b.front) })
 	all.Wait()
 	t.Log(outcomes)
 }
@@ -398,63 +400,63 @@
 			t.Fatal(err)
 		}
 	}
-	b := newXMPPBench(
+	b := newXMPPFixture(
 		t, fmt.Sprintf("certificate = %q\nkey = %q", filepath.Join(dir, "c"), filepath.Join(dir, "k")),
 	)
-	s := b.server("n1", "")
+	s := b.startServer("n1", "")
 	plain := b.dial()
-	b.want("features", plain.next(), "features")
-	fmt.Fprint(plain, auth)
-	b.want("SASL without TLS", plain.rest(), "[policy-violation end]")
+	b.checkEqual("features", plain.nextElement(), "features")
+	fmt.Fprint(plain, authElement)
+	b.checkEqual("SASL without TLS", plain.readToEnd(), "[policy-violation end]")
 	c := b.dial()
-	b.want("features", c.next(), "features")
+	b.checkEqual("features", c.nextElement(), "features")
 	fmt.Fprint(c, "<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>")
-	b.want("answer", c.next(), "proceed")
+	b.checkEqual("answer", c.nextElement(), "proceed")
 	secure := tls.Client(c.Conn, &tls.Config{InsecureSkipVerify: true})
 	c.Conn = secure
-	c.restart()
-	b.want("set-up under TLS", c.up(), "up")
+	c.openStream()
+	b.checkEqual("set-up under TLS", c.setUpStream(), "up")
 	s.Kill()
-	b.want("end under TLS", c.rest(), "[remote-connection-failed end]")
+	b.checkEqual("end under TLS", c.readToEnd(), "[remote-connection-failed end]")
 }
 
 // After its session has expired the relay reads the complete list again: what vanished meanwhile is gone.
 func TestXMPPSessionExpires(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
-	old := b.server("n1", "")
-	b.want("set-up", b.dial().up(), "up")
+	b := newXMPPFixture(t, "plaintext = true")
+	old := b.startServer("n1", "")
+	b.checkEqual("set-up", b.dial().setUpStream(), "up")
 	b.zk.ExpireSessions()
 	b.zk.SetNode("n1", "")
-	b.server("n2", "")
+	b.startServer("n2", "")
 	old.Kill()
-	b.want("set-up at the new one", b.dial().up(), "up")
+	b.checkEqual("set-up at the new one", b.dial().setUpStream(), "up")
 	b.zk.SetNode("bad", "no JSON")
-	b.server("n3", "")
+	b.startServer("n3", "")
 }
 
 // A reload follows another service of ephemeral nodes: the streams that stand live on, new ones go to its
 // servers, and what it does not list is gone. A file that cannot be used changes nothing, and the error names
 // its key.
 func TestXMPPReload(t *testing.T) {
-	b := newXMPPBench(t, "plaintext = true")
-	b.server("n1", "")
+	b := newXMPPFixture(t, "plaintext = true")
+	b.startServer("n1", "")
 	c := b.dial()
-	b.want("set-up", c.up(), "up")
+	b.checkEqual("set-up", c.setUpStream(), "up")
 	other, err := fake.NewZooKeeper("/alerts")
 	if err != nil {
 		t.Fatal(err)
 	}
 	reload := func(text []byte) error {
-		if err := os.WriteFile(b.path, text, 0o600); err != nil {
+		if err := os.WriteFile(b.configPath, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return b.relay.reload()
+		return b.front.reload()
 	}
 	for key, text := range map[string]string{
-		"session_ms":        strings.Replace(operatorText, "3000", "'soon'", 1),
-		"zookeeper.servers": strings.Replace(operatorText, `servers = ["%s"]`, "", 1) + "#%s",
+		"session_ms":        strings.Replace(xmppConfigText, "3000", "'soon'", 1),
+		"zookeeper.servers": strings.Replace(xmppConfigText, `servers = ["%s"]`, "", 1) + "#%s",
 		"certificate": strings.Replace(
-			operatorText, "%s", "certificate = 'none'\nkey = 'none'\n#%s", 1,
+			xmppConfigText, "%s", "certificate = 'none'\nkey = 'none'\n#%s", 1,
 		),
 	} {
 		err := reload(fmt.Appendf(nil, text, "plaintext = true", other.Address))
@@ -462,14 +464,14 @@
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	b.want("a stream at the old server", b.dial().up(), "up")
-	if err := reload(fmt.Appendf(nil, operatorText, "plaintext = true", other.Address)); err != nil {
+	b.checkEqual("a stream at the old server", b.dial().setUpStream(), "up")
+	if err := reload(fmt.Appendf(nil, xmppConfigText, "plaintext = true", other.Address)); err != nil {
 		t.Fatal(err)
 	}
 	b.zk = other
-	b.server("n2", "")
+	b.startServer("n2", "")
 	for i := 0; ; i++ { // until the new list has come n1 may still be given streams
-		if !b.relay.requests.ServerReady("n1") {
+		if !b.front.requests.ServerReady("n1") {
 			break
 		}
 		if i > 1000 {
@@ -477,7 +479,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	b.want("a stream at the new server", b.dial().up(), "up")
+	b.checkEqual("a stream at the new server", b.dial().setUpStream(), "up")
 	fmt.Fprint(c, "<message id='m1' to='x'/>")
-	b.want("the old stream lives on", c.next(), "message m1")
+	b.checkEqual("the old stream lives on", c.nextElement(), "message m1")
 }
--- a/internal/manualeject/stored_test.go
+++ b/internal/manualeject/stored_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// storedEjections are the files of testdata/bans, which the version of 2026-12-03 wrote, and the ids that they
-// stand for.
+// storedEjections maps the file names in testdata/bans, which the version of 2026-12-03 wrote, to the ids
+// that they encode.
 var storedEjections = map[string]string{
 	"out-":                             "",
 	"out-732d3562653261303763":         "s-5be2a07c",
@@ -17,8 +17,8 @@
 	"out-c3bcff00":                     "\u00fc\xff\x00",
 }
 
-// The files by which an earlier version kept ejections are read to the same ids, and are named the same: a
-// process that replaces another finds its ejections, and the one replaced those of its successor.
+// The files of an earlier version must decode to the same ids and keep their names: during an upgrade the new
+// process reads the ejections of the old one, and the old process those of the new one.
 func TestStoredEjectionsStayReadable(t *testing.T) {
 	entries, err := os.ReadDir("testdata/bans")
 	if err != nil {
@@ -29,23 +29,23 @@
 		want, known := storedEjections[e.Name()]
 		id, ok := IDFromFileName(e.Name())
 		if !known || !ok || id != want {
-			t.Errorf("%s: read as %q, %v, want %q", e.Name(), id, ok, want)
+			t.Errorf("IDFromFileName(%s): got %q, %v, want %q, true", e.Name(), id, ok, want)
 		}
 		ids = append(ids, id)
 		if info, err := os.Stat(filepath.Join("testdata/bans", e.Name())); err != nil || info.Size() != 0 {
-			t.Errorf("%s: %v; the name says all", e.Name(), err)
+			t.Errorf("%s: error %v, or the file is not empty; want an empty file", e.Name(), err)
 		}
 	}
 	var b Ejections
 	if !b.Replace(1000, ids) {
-		t.Error("stored bans change nothing")
+		t.Error("Replace by the stored ejections: got false (no change), want true")
 	}
 	if got := b.IDs(); len(got) != len(storedEjections) || !slices.Contains(got, "s-5be2a07c") {
-		t.Errorf("bans: %q", got)
+		t.Errorf("ids after Replace: got %q, want those of storedEjections", got)
 	}
 	for name, id := range storedEjections {
 		if got := FileName(id); got != name {
-			t.Errorf("%q is kept as %q, want %q", id, got, name)
+			t.Errorf("FileName(%q): got %q, want %q", id, got, name)
 		}
 	}
 }
