--- a/internal/lifecycle/resume_part.go
+++ b/internal/lifecycle/resume_part.go
@@ -16,7 +16,7 @@
 
 // resumePart is moving with a token. It joins the platform's front only.
 type resumePart struct {
-	noPart
+	partDefaults
 	path    string
 	config  *ResumeConfig
 	log     zerolog.Logger
@@ -40,7 +40,7 @@
 	if front.platform == nil {
 		return
 	}
-	p.service = resume.New(p.config.serviceConfig(front.relay), p.config.keyRing, front.clock, p.log)
+	p.service = resume.New(p.config.serviceConfig(front.relayName), p.config.keyRing, front.clock, p.log)
 	front.platform.Resume = p.service
 }
 
@@ -56,11 +56,11 @@
 	}
 	return func() {
 		p.service.SetKeys(next.keyRing)
-		p.service.SetServers(next.Servers)
+		p.service.SetServers(next.OwnershipServers)
 		p.log.Info().
 			Str("sealing", next.keyRing.SealingKeyID()).
-			Strs("claims", next.Servers).
-			Bool("needs_restart", next.restartOnly() != p.config.restartOnly()).
+			Strs("claims", next.OwnershipServers).
+			Bool("needs_restart", next.restartOnlySettings() != p.config.restartOnlySettings()).
 			Msg("reloaded resume")
 	}, nil
 }
@@ -70,14 +70,14 @@
 func (c *ResumeConfig) serviceConfig(name string) resume.Config {
 	return resume.Config{
 		Relay:              name,
-		Servers:            c.Servers,
-		Path:               c.Path,
+		Servers:            c.OwnershipServers,
+		Path:               c.OwnershipPath,
 		SessionTimeout:     relay.DurationFromMillis(c.SessionMs),
 		AcquireTimeout:     relay.DurationFromMillis(c.AcquireMs),
 		TokenLifetime:      relay.DurationFromMillis(c.TokenLifetimeMs),
 		TokenRenewInterval: relay.DurationFromMillis(c.TokenRenewMs),
 		MaxClockSkew:       relay.DurationFromMillis(c.MaxClockSkewMs),
-		SweepInterval:      relay.DurationFromMillis(c.SweepEveryMs),
+		SweepInterval:      relay.DurationFromMillis(c.SweepIntervalMs),
 		AllServersResume:   c.AllServersResume,
 	}
 }
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -16,16 +16,16 @@
 
 // timelinePart is the servers' time lines. It joins every front.
 type timelinePart struct {
-	noPart
+	partDefaults
 	path   string
 	config *TimelineConfig
 	log    zerolog.Logger
 
-	watchers []*watch.Watcher // one a front
-	stores   []*store.Store   // one a front, none without a store
-	control  *control.Server  // nil without a socket
-	running  sync.WaitGroup
-	end      context.CancelFunc // ends the watchers and stores; nil before start
+	watchers   []*watch.Watcher // one a front
+	stores     []*store.Store   // one a front, none without a store
+	control    *control.Server  // nil without a socket
+	goroutines sync.WaitGroup
+	cancel     context.CancelFunc // ends the watchers and stores; nil before start
 }
 
 func newTimelinePart(path string, _ *Config, log zerolog.Logger) (part, error) {
@@ -40,16 +40,16 @@
 
 func (p *timelinePart) join(front *frontHooks) {
 	c := watch.Config{
-		Relay:      front.relay,
-		Buffer:     p.config.Buffer,
+		Relay:      front.relayName,
+		Buffer:     p.config.BufferRecords,
 		Limits:     timeline.DefaultLimits(),
-		MaxServers: p.config.Servers,
+		MaxServers: p.config.MaxServers,
 	}
-	c.Limits.MaxServers = p.config.Servers
+	c.Limits.MaxServers = p.config.MaxServers
 	if front.platform == nil {
-		c.Relay = front.front
+		c.Relay = front.frontName
 	}
-	if p.config.Store != "" {
+	if p.config.StoreFile != "" {
 		c.Store = p.openStore(front)
 	}
 	watcher := watch.New(c, front.requests, front.clock, p.log)
@@ -63,9 +63,9 @@
 // openStore opens a front's store: each front has servers of its own, and a file for them. One that cannot be
 // opened is no reason not to serve.
 func (p *timelinePart) openStore(front *frontHooks) *store.Store {
-	file := p.config.Store
+	file := p.config.StoreFile
 	if len(p.stores) > 0 {
-		file += "." + front.front
+		file += "." + front.frontName
 	}
 	opened, err := store.Open(file, p.config.options(), p.log)
 	if err != nil {
@@ -79,18 +79,18 @@
 // start runs watchers and stores in a context of their own: what comes last is folded and written too.
 func (p *timelinePart) start(context.Context) error {
 	ctx, end := context.WithCancel(context.Background())
-	p.end = end
+	p.cancel = end
 	for _, s := range p.stores {
-		p.running.Go(func() { s.Run(ctx) })
+		p.goroutines.Go(func() { s.Run(ctx) })
 	}
 	for _, w := range p.watchers {
-		p.running.Go(func() { w.Run(ctx) })
+		p.goroutines.Go(func() { w.Run(ctx) })
 	}
-	if p.config.Socket == "" {
+	if p.config.ControlSocket == "" {
 		return nil
 	}
 	var err error
-	p.control, err = control.Listen(p.config.Socket, control.Sources{Watchers: p.watchers}, p.log)
+	p.control, err = control.Listen(p.config.ControlSocket, control.Sources{Watchers: p.watchers}, p.log)
 	if err != nil {
 		return &ConfigError{File: p.path, Key: "socket", Err: err}
 	}
@@ -98,12 +98,12 @@
 }
 
 func (p *timelinePart) stop() {
-	if p.end == nil {
+	if p.cancel == nil {
 		return
 	}
 	if p.control != nil {
 		p.control.Close()
-		os.Remove(p.config.Socket)
+		os.Remove(p.config.ControlSocket)
 	}
 	for _, w := range p.watchers {
 		w.Fold()
@@ -112,6 +112,6 @@
 	for _, s := range p.stores {
 		s.Flush()
 	}
-	p.end()
-	p.running.Wait()
+	p.cancel()
+	p.goroutines.Wait()
 }
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -27,7 +27,7 @@
 // startXMPP starts the XMPP front with an event loop and a client of ZooKeeper of its own, which end with
 // ctx.
 func startXMPP(
-	ctx context.Context, from Sources, c *XMPPConfig, parts partList, log zerolog.Logger,
+	ctx context.Context, sources Sources, c *XMPPConfig, parts partList, log zerolog.Logger,
 ) (*runningFront, error) {
 	deployment, hosts := c.Deployment()
 	secure, err := c.tlsConfig()
@@ -38,12 +38,12 @@
 	servers := &xmpp.ServerDialer{
 		Clock:          clock,
 		ConnectTimeout: relay.DurationFromMillis(c.ConnectMs),
-		ProbeHost:      c.Host[0].To,
+		ProbeHost:      c.Hosts[0].To,
 		SilenceTimeout: relay.DurationFromMillis(c.SilenceMs),
 		Log:            log,
 	}
 	requests := relay.NewRequestTable(deployment, clock, servers)
-	parts.join(&frontHooks{front: "xmpp", relay: "xmpp", requests: requests, clock: clock})
+	parts.join(&frontHooks{frontName: "xmpp", relayName: "xmpp", requests: requests, clock: clock})
 	endpoints := zookeeper.NewClient(c.ensemble(), requests, log)
 	requests.UpdateEndpoints(decide.CachedSnapshot, nil)
 	endpoints.Watch() // there is no cached list to begin with
@@ -60,11 +60,11 @@
 		requests:        requests,
 		listener:        listener,
 		limiter:         limiter,
-		serveFailed:     make(chan error, 1),
+		serveErr:        make(chan error, 1),
 		longestDeadline: longestDeadline(deployment),
 	}
-	r.reload = func() error { return reloadXMPP(from.XMPP, c, front, endpoints, limiter, log) }
-	go func() { r.serveFailed <- front.Serve(listener) }()
+	r.reload = func() error { return reloadXMPP(sources.XMPP, c, front, endpoints, limiter, log) }
+	go func() { r.serveErr <- front.Serve(listener) }()
 	log.Info().Str("listen", listener.Addr().String()).Msg("serving XMPP")
 	return r, nil
 }
@@ -88,7 +88,7 @@
 	limiter.SetDescriptorLimit(connectionCapacity(next.Sockets, false))
 	log.Info().
 		Strs("zookeeper", next.ZooKeeper.Servers).
-		Bool("needs_restart", next.restartOnly() != c.restartOnly()).
+		Bool("needs_restart", next.restartOnlySettings() != c.restartOnlySettings()).
 		Msg("reloaded XMPP")
 	return nil
 }
@@ -118,7 +118,7 @@
 		MustSubscribe:  true,
 		Rules:          decide.Rules{PollDeadline: relay.DurationFromMillis(c.ZooKeeper.SessionMs)},
 	}
-	for i, class := range c.Class {
+	for i, class := range c.Classes {
 		deployment.Classes[class.Name] = decide.Class(i)
 		deployment.Settings.Classes = append(deployment.Settings.Classes, decide.ClassInfo{
 			LatencyObjective: relay.DurationFromMillis(class.SetupMs),
@@ -133,11 +133,11 @@
 // hosts are the hosts by name. It numbers their tenants, who share the service alike.
 func (c *XMPPConfig) hosts(deployment *relay.Deployment) map[string]xmpp.Host {
 	deadlines := map[string]float64{} // by class, in ms
-	for _, class := range c.Class {
+	for _, class := range c.Classes {
 		deadlines[class.Name] = class.DeadlineMs
 	}
 	hosts := map[string]xmpp.Host{}
-	for _, host := range c.Host {
+	for _, host := range c.Hosts {
 		key := host.Key
 		if key == "" {
 			key = host.To
@@ -180,10 +180,10 @@
 
 // tlsConfig loads what STARTTLS needs; nil only where plaintext is allowed.
 func (c *XMPPConfig) tlsConfig() (*tls.Config, error) {
-	if c.Certificate == "" {
+	if c.CertificateFile == "" {
 		return nil, nil
 	}
-	pair, err := tls.LoadX509KeyPair(c.Certificate, c.Key)
+	pair, err := tls.LoadX509KeyPair(c.CertificateFile, c.KeyFile)
 	if err != nil {
 		return nil, &ConfigError{Key: "certificate", Err: err}
 	}
