--- a/internal/wire/platform/moments_test.go
+++ b/internal/wire/platform/connection_end_test.go
@@ -14,24 +14,24 @@
 	"capersail/internal/wire/splice"
 )
 
-// awaitUnread waits until a peer's bytes or end have come, which loopback brings in its own time.
+// awaitUnread waits until bytes or the close of the peer have arrived, which on loopback takes some time.
 func awaitUnread(t *testing.T, e *splice.Half) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !e.HasUnread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("nothing comes")
+			t.Fatal("got neither bytes nor a close from the peer within 10 s")
 		}
 	}
 }
 
-// A request that has come when its connection is to be ended, and that nobody has read yet, is served: the
-// bad order is made by ending the connection first and reading it after. One that is not complete by then gets
-// a clean end, not a reset.
+// A request that has been received but not yet read when the relay ends its connection must be served. The
+// test forces this order: it ends the connection first and reads it afterwards. A connection whose first line
+// is incomplete at that point must be closed cleanly, not reset.
 func TestRequestAtTheEndOfItsConnection(t *testing.T) {
 	for name, end := range map[string]func(*connlimit.Permit){
-		"its time is up":       func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
-		"it is evicted":        func(p *connlimit.Permit) { p.Half.CloseNow() },
-		"the relay shuts down": func(p *connlimit.Permit) { p.Half.Wake() },
+		"request deadline passed": func(p *connlimit.Permit) { p.RequestUntil = time.Millisecond },
+		"connection evicted":      func(p *connlimit.Permit) { p.Half.CloseNow() },
+		"relay shutting down":     func(p *connlimit.Permit) { p.Half.Wake() },
 	} {
 		for line, want := range map[string]string{
 			openingLine + "\r\n": "UP a1",
@@ -56,14 +56,14 @@
 			c := connect(t, l.Addr().String())
 			fmt.Fprint(c, line)
 			if got := c.next(); got != want {
-				t.Errorf("%s, %q: %q, want %q", name, line, got, want)
+				t.Errorf("%s, client sent %q: got answer %q, want %q", name, line, got, want)
 			}
 		}
 	}
 }
 
-// Nothing is sent for a client that has gone, though its side has had no time to read that: here nobody ever
-// reads it.
+// A request must not be forwarded once its client has closed, even if the client side has not read the close
+// yet. In this test nothing reads the client's connection.
 func TestNothingIsForwardedForAClosedClient(t *testing.T) {
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"a close":      func(c *net.TCPConn) { c.Close() },
@@ -93,7 +93,7 @@
 		request := requests.Open(opening, e)
 		<-request.EstablishedOrEnded()
 		if n := len(servers[0].FirstLines); n > 0 {
-			t.Errorf("%s: %d first lines were forwarded", name, n)
+			t.Errorf("client ended by %s: got %d first lines at the server, want none", name, n)
 		}
 	}
 }
--- a/internal/wire/platform/frontend.go
+++ b/internal/wire/platform/frontend.go
@@ -13,35 +13,37 @@
 )
 
 const (
-	// maxPingsPerClient is how many pings a connection may begin with. Each costs an answer.
+	// maxPingsPerClient is how many pings a connection may send before its request. It bounds the answers
+	// that a client without a request can cause.
 	maxPingsPerClient = 16
-	// loggedLineBytes is how much of a malformed line the log is given.
+	// loggedLineBytes is how much of a rejected line is logged.
 	loggedLineBytes = 80
 )
 
-// errUnexpectedLine: a client waits for the answer to its first line. What comes before that is nobody's to
-// read, and forwarded it would be another request's line to the server.
-var errUnexpectedLine = errors.New("lines before the answer")
+// errUnexpectedLine is the error of a client that sends lines before its first line has been answered. No
+// server is attached at that point, and a server to which such a line was forwarded would take it as the
+// first line of another request.
+var errUnexpectedLine = errors.New("client sent another line before its first line was answered")
 
-// unknownClassError names a class that the deployment does not have.
+// unknownClassError is the error of a first line whose class is not configured in the deployment.
 type unknownClassError struct{ class string }
 
-func (e *unknownClassError) Error() string { return fmt.Sprintf("unknown class %q", e.class) }
+func (e *unknownClassError) Error() string { return fmt.Sprintf("class %q is not configured", e.class) }
 
-// Frontend is the client side: it speaks with each client in a goroutine of its own.
+// Frontend is the client side of the protocol. It serves each client in a separate goroutine.
 type Frontend struct {
 	Requests   *relay.RequestTable
 	Deployment *relay.Deployment
 	Limiter    *connlimit.Limiter
-	// Resume lets streams go on elsewhere; nil where that is off.
+	// Resume handles resumable streams; nil if they are disabled.
 	Resume *resume.Service
 }
 
-// Serve accepts until the listener is closed, which is no error. A goroutine serves each connection, and ends
-// with it.
+// Serve accepts connections until the listener is closed, which is not an error. Each connection is served by
+// a goroutine that ends with the connection.
 func (f *Frontend) Serve(l net.Listener) error { return f.Limiter.Serve(l, f.serveClient) }
 
-// serveClient speaks with one client until its connection is closed, and that to its server too.
+// serveClient serves one client until its connection and the one to its server are closed.
 func (f *Frontend) serveClient(permit *connlimit.Permit) {
 	lines := newLineReader(permit.Half.Conn)
 	permit.Half.SetReadUntil(permit.RequestUntil)
@@ -52,17 +54,17 @@
 	permit.CloseAndRelease(request)
 }
 
-// acceptRequest takes a connection up to its request. Nil means that it has its answer, or that none is due:
-// it brought nothing in time, or was evicted.
+// acceptRequest reads a connection up to its first line and opens the request. It returns nil if the line was
+// answered with a rejection or a failure, or if no request came in time or before an eviction.
 func (f *Frontend) acceptRequest(permit *connlimit.Permit, lines *lineReader) *relay.Request {
 	half := permit.Half
-	// Once cut off, only what has come counts: the time is up, the connection is evicted or the relay shuts
-	// down.
-	cutOff := false
+	// interrupted is set once the deadline has passed, the connection is evicted or the relay shuts down.
+	// From then on only bytes that were received before are read.
+	interrupted := false
 	for range maxPingsPerClient {
 		line, err := lines.readLine()
-		if splice.TimedOut(err) && !cutOff {
-			cutOff = true
+		if splice.TimedOut(err) && !interrupted {
+			interrupted = true
 			lines.prepend(half.ReadPending())
 			line, err = lines.readLine()
 		}
@@ -79,9 +81,9 @@
 	return nil
 }
 
-// pingAnswer answers a health check. A relay that is drained manually is to be sent no one new. One that shuts
-// down still answers as healthy: in an upgrade the connection of whoever checks may be this process's, while
-// its successor serves the socket.
+// pingAnswer returns the answer to a health check. A relay that is drained manually answers BUSY, so that it
+// gets no new clients. A relay that shuts down still answers PONG: during an upgrade the health check's
+// connection may belong to this process while its successor already accepts on the socket.
 func (f *Frontend) pingAnswer() []byte {
 	if f.Requests.Draining() {
 		return encodeLine(wordRejected)
@@ -89,13 +91,13 @@
 	return encodeLine(wordPong)
 }
 
-// openFromLine opens the request of a client's first line, which may be too long. It returns nil once it has
-// answered a line that opens none.
+// openFromLine opens the request of a client's first line. lineErr is errLineTooLong if the line is too long.
+// If the line opens no request, openFromLine answers it and returns nil.
 func (f *Frontend) openFromLine(
 	permit *connlimit.Permit, lines *lineReader, line []byte, lineErr error,
 ) *relay.Request {
 	half := permit.Half
-	open, previousServer, err := f.parseRequest(line, lineErr)
+	params, previousServer, err := f.parseRequest(line, lineErr)
 	if err == nil && lines.buffered.Buffered() > 0 {
 		err = errUnexpectedLine
 	}
@@ -103,24 +105,24 @@
 		f.rejectLine(half, line, err)
 		return nil
 	}
-	if !permit.AcquireRequest() { // better a rejection at once than an accept that fails
-		f.Requests.RecordConnLimitRejection(open.Class)
+	if !permit.AcquireRequest() { // rejects now, as running out of descriptors would make later accepts fail
+		f.Requests.RecordConnLimitRejection(params.Class)
 		half.Forward(encodeRejected(connlimit.RetryAfter))
 		return nil
 	}
 	half.SetReadUntil(0)
 	if previousServer != "" {
-		return f.Requests.Resume(open, previousServer, half)
+		return f.Requests.Resume(params, previousServer, half)
 	}
-	return f.Requests.Open(open, half)
+	return f.Requests.Open(params, half)
 }
 
-// rejectLine answers a line that cannot be read, or may not come now.
+// rejectLine logs a malformed or unexpected line and answers it with ERR.
 func (f *Frontend) rejectLine(half *splice.Half, line []byte, err error) {
 	f.Limiter.Log.Warn().
 		Err(err).
 		Bytes("line", line[:min(len(line), loggedLineBytes)]).
-		Msg("malformed client line; request failed")
+		Msg("client line rejected with ERR; compare it with the protocol and the configured classes")
 	var cannotResume *resumeError
 	if errors.As(err, &cannotResume) {
 		half.Forward(encodeResumeFailed(cannotResume.note))
@@ -129,9 +131,9 @@
 	half.Forward(encodeLine(wordFailed, "bad", "request"))
 }
 
-// parseRequest puts a first line into the decision module's numbers. It returns the server that held the
-// connection before the run too, "" for a new request. Its errors are those of the line, an unknownClassError
-// or a resumeError.
+// parseRequest parses a first line and maps its names to the numbers of the decision module. It also returns
+// the server that had the connection before this relay started, "" for a new request. The error is lineErr, a
+// syntax error of the line, an unknownClassError or a resumeError.
 func (f *Frontend) parseRequest(line []byte, lineErr error) (relay.RequestParams, string, error) {
 	if lineErr != nil {
 		return relay.RequestParams{}, "", lineErr
@@ -154,9 +156,9 @@
 	}
 	timeout := o.clientWait
 	if longest := f.Deployment.Settings.Classes[class].Deadline; longest > 0 && o.previousServer == "" {
-		timeout = min(timeout, longest) // no client of the class waits for longer, whatever it says
+		timeout = min(timeout, longest) // the deadline of the class limits the wait that a client asks for
 	}
-	open := relay.RequestParams{
+	params := relay.RequestParams{
 		Name:      o.id,
 		Class:     class,
 		Tenant:    tenant,
@@ -172,25 +174,28 @@
 		if err != nil {
 			return relay.RequestParams{}, "", err
 		}
-		open.Ownership = stream
-		open.Returning = open.Returning || stream.MustWait()
+		params.Ownership = stream
+		params.Returning = params.Returning || stream.MustWait()
 	}
-	return open, o.previousServer, nil
+	return params, o.previousServer, nil
 }
 
-// forwardFromClient reads the client until its end. Before the request is established a wake means an answer;
-// after that the server side writes to the client, and this goroutine only forwards what the client sends.
+// forwardFromClient reads the client until its connection ends and forwards its lines. Before the request is
+// established, a wake means that the request has its answer, which this goroutine writes. After that only the
+// server side writes to the client.
 func (f *Frontend) forwardFromClient(request *relay.Request, half *splice.Half, lines *lineReader) {
 	stream := streamOf(request)
 	for {
 		line, err := lines.readLine()
 		switch {
-		case stream != nil && err == nil && confirmToken(stream, line): // the relay's line, whenever it comes
+		case stream != nil && err == nil && confirmToken(stream, line): // for the relay only, at any time
 		case len(line) > 0 && request.FailOnClientError():
 			f.rejectLine(half, line, errUnexpectedLine)
 			return
-		case errors.Is(err, errLineTooLong): // no part of it is forwarded: its server is not at fault
-			f.Limiter.Log.Warn().Err(err).Msg("overlong client line; client migrated")
+		case errors.Is(err, errLineTooLong): // nothing is forwarded: the server is not at fault
+			f.Limiter.Log.Warn().
+				Err(err).
+				Msg("client line exceeds 4 KiB; client migrated; check what the client sends")
 			request.MigrateClient()
 			<-request.BothSidesDone()
 			return
@@ -201,7 +206,7 @@
 				return
 			}
 			request.LineSent()
-			server.Forward(line) // if that fails, the server side meets the same break and ends both
+			server.Forward(line) // an error also reaches the server side, which closes both connections
 		case splice.TimedOut(err):
 			half.ClearWake()
 			if state, _ := request.State(); state == relay.Ended || half.Closed() {
@@ -216,7 +221,7 @@
 	}
 }
 
-// writeAnswer writes the final answer of a request that was not established; nothing if it was.
+// writeAnswer writes the final answer of a request that was not established. It does nothing otherwise.
 func writeAnswer(request *relay.Request, half *splice.Half) {
 	switch _, answer := request.State(); answer.Kind {
 	case relay.Rejected:
--- a/internal/wire/platform/lines.go
+++ b/internal/wire/platform/lines.go
@@ -8,33 +8,34 @@
 	"net"
 )
 
-// maxLineBytes is the longest line the protocol knows, its end included.
+// maxLineBytes is the longest line that the protocol allows, including its terminator.
 const maxLineBytes = 4096
 
-var errLineTooLong = errors.New("line over 4 KiB")
+var errLineTooLong = errors.New("line exceeds 4096 bytes")
 
-// lineReader reads lines from a connection. A read that a deadline cuts short loses nothing.
+// lineReader reads lines from a connection. If a read deadline expires in the middle of a line, the bytes
+// read so far are kept for the next call.
 type lineReader struct {
 	conn     net.Conn
 	buffered *bufio.Reader
-	partial  []byte // the line that a deadline cut short
+	partial  []byte // start of a line whose read was interrupted by a deadline
 }
 
 func newLineReader(conn net.Conn) *lineReader {
 	return &lineReader{conn: conn, buffered: bufio.NewReaderSize(conn, maxLineBytes)}
 }
 
-// prepend puts bytes that were read past the reader in front of what comes next. All that was buffered has
-// been returned.
+// prepend makes the reader return p, which was read from the connection directly, before further bytes of the
+// connection. The buffer must be empty.
 func (l *lineReader) prepend(p []byte) {
 	if len(p) > 0 {
 		l.buffered = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(p), l.conn), maxLineBytes)
 	}
 }
 
-// readLine returns the next line, its end included, valid until the next call. With errLineTooLong it returns
-// the part of a longer one that has come so far; the rest follows as if it were a line. Other errors are the
-// connection's, and come without a line.
+// readLine returns the next line including its terminator; it is valid until the next call. If the line is
+// too long, readLine returns the part received so far and errLineTooLong; the rest is returned by later calls
+// as if it were a line. Any other error is an error of the connection and comes without a line.
 func (l *lineReader) readLine() ([]byte, error) {
 	part, err := l.buffered.ReadSlice('\n')
 	switch {
@@ -49,7 +50,7 @@
 	return nil, err
 }
 
-// takePartial returns the line that a deadline cut short, with what has come since.
+// takePartial returns the interrupted line followed by part, and resets the partial line.
 func (l *lineReader) takePartial(part []byte) []byte {
 	line := append(l.partial, part...)
 	l.partial = l.partial[:0]
--- a/internal/wire/platform/opening.go
+++ b/internal/wire/platform/opening.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// previousServerTimeout is how long a connection from before the run may take to be established.
+	// previousServerTimeout is how long a connection that existed before this relay started may take to be
+	// established again at its previous server.
 	previousServerTimeout = 40 * time.Second
-	// maxPosition is the last scan that can be asked for: servers count in 63 bits.
+	// maxPosition is the last scan that a client can name: servers number scans with 63 bits.
 	maxPosition = 1<<63 - 2
-	// maxClientWaitMillis and maxLoadHint bound what is taken for a figure.
+	// maxClientWaitMillis and maxLoadHint are the upper bounds, exclusive, of fields d and h.
 	maxClientWaitMillis = 1e9
 	maxLoadHint         = 1e12
 )
 
-// opening is a client's first line, taken apart. It is forwarded unchanged but for the client's wait.
+// opening is a client's parsed first line. It is forwarded unchanged except for the client's wait, field d.
 type opening struct {
 	id             string
-	beforeWait     string // the line before the figure of d; all of it if there is none
-	afterWait      string
+	beforeWait     string // the line up to the value of d; the whole line if there is no d
+	afterWait      string // the line after the value of d
 	class, tenant  string
 	key, group     uint64
 	loadHint       float64
 	clientWait     time.Duration // in whole microseconds
-	returned       bool          // the client has been here, or elsewhere, before
-	previousServer string        // the one that held the connection before the run
-	resumeToken    string        // a token, or "new"; "" if the stream is never to go on elsewhere
-	position       uint64
+	returned       bool          // the client has opened this request before, at any relay
+	previousServer string        // ID of the server that had the connection before this relay started
+	resumeToken    string        // a token or newStreamToken; "" if the stream is not resumable
+	position       uint64        // the last scan that the client received
 	hasPosition    bool
 }
 
-// newStreamToken is what a client sends that has no token yet.
+// newStreamToken is what a client without a token sends to start a resumable stream.
 const newStreamToken = "new"
 
-// parseResumableOpening reads a first line where tokens are on. Their two fields are the relay's own, and are
-// not forwarded. A position that cannot be read is a resumeError.
+// parseResumableOpening parses a first line where resume tokens are enabled. The fields resume and pos are
+// for the relay and are removed from the forwarded line. An invalid position gives a resumeError.
 func parseResumableOpening(line []byte) (*opening, error) {
 	text := strings.TrimRight(string(line), "\r\n")
 	at := strings.LastIndexByte(text, ' ') + 1
@@ -63,30 +64,30 @@
 	}
 	o.resumeToken = token
 	if o.previousServer != "" {
-		return nil, errors.New("resume and at exclude one another")
+		return nil, errors.New("fields resume and at exclude one another; a client may send only one")
 	}
 	if position == "" {
 		return o, nil
 	}
 	if o.position, err = strconv.ParseUint(position, 10, 64); err != nil || o.position > maxPosition {
-		err := fmt.Errorf("pos=%q is not the number of a scan", position)
+		err := fmt.Errorf("field pos=%q is not a scan number between 0 and 2^63-2", position)
 		return nil, &resumeError{note: resume.NoteInvalidPosition, err: err}
 	}
 	o.hasPosition = true
 	return o, nil
 }
 
-// parseOpening reads `OPEN id key name=value,...`. Whatever is not of that form is never forwarded: a server
-// would answer SYNTAX.
+// parseOpening parses `OPEN id key name=value,...`. A line of any other form must not be forwarded: the
+// server would answer SYNTAX.
 func parseOpening(line []byte) (*opening, error) {
 	text := strings.TrimRight(string(line), "\r\n")
 	parts := strings.Split(text, " ")
 	if len(parts) != 4 || parts[0] != wordOpen || parts[1] == "" || parts[2] == "" {
-		return nil, errors.New("not of the form OPEN id key fields")
+		return nil, errors.New("line is not of the form OPEN id key name=value[,name=value]")
 	}
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] == 0x7f {
-			return nil, errors.New("control character")
+			return nil, errors.New("line contains a control character")
 		}
 	}
 	o := &opening{id: parts[1], key: parseKey(parts[2])}
@@ -106,16 +107,16 @@
 	}
 	switch {
 	case o.class == "":
-		return nil, errors.New("c is missing")
+		return nil, errors.New("field c (class) is missing")
 	case o.beforeWait == "" && o.previousServer == "":
-		return nil, errors.New("d is missing")
-	case o.beforeWait == "": // a connection from before the run may wait as long as the rules let it
+		return nil, errors.New("field d (the client's wait in ms) is missing")
+	case o.beforeWait == "": // a connection to a previous server names no wait
 		o.beforeWait, o.clientWait = text, previousServerTimeout
 	}
 	return o, nil
 }
 
-// setField takes one field. Those that this relay does not know are the server's.
+// setField stores the value of one field. Fields unknown to this relay are for the server and are ignored.
 func (o *opening) setField(name, value string) error {
 	switch name {
 	case "c":
@@ -126,7 +127,8 @@
 		wait, err := strconv.ParseFloat(value, 64)
 		digits := strings.Trim(value, "0123456789.") == ""
 		if err != nil || !digits || !(wait > 0 && wait < maxClientWaitMillis) {
-			return fmt.Errorf("d=%q is not a time to wait", value)
+			return fmt.Errorf("field d=%q is not a wait in ms: want a decimal number above 0 and below 1e9",
+				value)
 		}
 		o.clientWait = relay.DurationFromMillis(wait)
 	case "g":
@@ -134,7 +136,7 @@
 	case "h":
 		hint, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(hint >= 0 && hint < maxLoadHint) {
-			return fmt.Errorf("h=%q is not a load", value)
+			return fmt.Errorf("field h=%q is not a load: want a number of at least 0 and below 1e12", value)
 		}
 		o.loadHint = hint
 	case "r", "again":
@@ -145,11 +147,12 @@
 	return nil
 }
 
-// encode makes the line for a server that is given clientWait, with what more it is to know.
-func (o *opening) encode(clientWait time.Duration, more string) []byte {
+// encode returns the line for a server: the client's line with clientWait as its wait (at least 1 ms) and
+// with extraFields appended.
+func (o *opening) encode(clientWait time.Duration, extraFields string) []byte {
 	if !strings.HasSuffix(o.beforeWait, "d=") {
-		return []byte(o.beforeWait + more + "\r\n")
+		return []byte(o.beforeWait + extraFields + "\r\n")
 	}
 	wait := strconv.FormatInt(max(1, clientWait.Milliseconds()), 10)
-	return []byte(o.beforeWait + wait + o.afterWait + more + "\r\n")
+	return []byte(o.beforeWait + wait + o.afterWait + extraFields + "\r\n")
 }
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -20,22 +20,22 @@
 
 func TestOpeningIsForwardedUnchangedButForItsWait(t *testing.T) {
 	cases := []struct {
-		name, in, out string // what is forwarded with 70 ms left; "" if nothing may be
+		name, in, out string // out is the line forwarded with 70 ms left; "" if the line must be rejected
 	}{
-		{"as clients send it", "OPEN a1 0f c=m,t=x,d=2000,g=5c", "OPEN a1 0f c=m,t=x,d=70,g=5c\r\n"},
+		{"common fields", "OPEN a1 0f c=m,t=x,d=2000,g=5c", "OPEN a1 0f c=m,t=x,d=70,g=5c\r\n"},
 		{"d at the end", "OPEN a1 0f c=m,d=2000", "OPEN a1 0f c=m,d=70\r\n"},
 		{"unknown fields stay", "OPEN a1 0f c=m,d=9,q=z,again=1,h=2.5",
 			"OPEN a1 0f c=m,d=70,q=z,again=1,h=2.5\r\n"},
-		{"from before the run", "OPEN a1 0f c=m,at=s-1", "OPEN a1 0f c=m,at=s-1\r\n"},
+		{"previous server", "OPEN a1 0f c=m,at=s-1", "OPEN a1 0f c=m,at=s-1\r\n"},
 		{"no class", "OPEN a1 0f d=2000", ""},
-		{"no wait", "OPEN a1 0f c=m", ""},
-		{"a wait that is none", "OPEN a1 0f c=m,d=NaN", ""},
-		{"a negative wait", "OPEN a1 0f c=m,d=-1", ""},
+		{"wait missing", "OPEN a1 0f c=m", ""},
+		{"wait not a number", "OPEN a1 0f c=m,d=NaN", ""},
+		{"negative wait", "OPEN a1 0f c=m,d=-1", ""},
 		{"a field without a value", "OPEN a1 0f c=m,d=7,x", ""},
-		{"too few parts", "OPEN a1 c=m,d=7", ""},
-		{"two blanks", "OPEN a1  0f c=m,d=7", ""},
+		{"key missing", "OPEN a1 c=m,d=7", ""},
+		{"two spaces", "OPEN a1  0f c=m,d=7", ""},
 		{"control character", "OPEN a1 0f c=m,d=7,x=\x01", ""},
-		{"another word", "SHUT a1 0f c=m,d=7", ""},
+		{"other first word", "SHUT a1 0f c=m,d=7", ""},
 	}
 	for _, c := range cases {
 		o, err := parseOpening([]byte(c.in + "\r\n"))
@@ -44,12 +44,12 @@
 			got = string(o.encode(70*time.Millisecond, ""))
 		}
 		if got != c.out {
-			t.Errorf("%s: %q, %v", c.name, got, err)
+			t.Errorf("%s: got forwarded line %q, error %v", c.name, got, err)
 		}
 	}
 }
 
-// Whatever a client sends, what is forwarded is its own line but for d.
+// For any input, the forwarded line must equal the client's line except for field d.
 func FuzzOpeningIsForwardedUnchangedButForItsWait(f *testing.F) {
 	f.Add("OPEN a1 0f c=m,t=x,d=2000,g=5c")
 	f.Add("OPEN a1 0f c=m,d=1,d=2")
@@ -61,12 +61,13 @@
 		again, err := parseOpening(o.encode(70*time.Millisecond, ""))
 		differs := err != nil || again.class != o.class || again.previousServer != o.previousServer
 		if differs || o.previousServer == "" && again.clientWait != 70*time.Millisecond {
-			t.Errorf("%q is forwarded as %q: %v", line, o.encode(70*time.Millisecond, ""), err)
+			t.Errorf("line %q was changed beyond field d: forwarded as %q, parse error %v",
+				line, o.encode(70*time.Millisecond, ""), err)
 		}
 	})
 }
 
-// A read that a deadline cuts short loses nothing, and a line over 4 KiB comes in parts.
+// A read that is interrupted by a deadline must lose no bytes, and a line over 4 KiB is returned in parts.
 func TestCutReadsLoseNothing(t *testing.T) {
 	a, b := net.Pipe()
 	in := newLineReader(a)
@@ -80,12 +81,12 @@
 	}()
 	a.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if line, err := in.readLine(); err == nil || len(line) != 0 {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("half a line: got %q, error %v, want no line and a time-out", line, err)
 	}
 	a.SetReadDeadline(time.Time{})
 	close(step)
 	if line, err := in.readLine(); string(line) != "half a line\r\n" || err != nil {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("rest of the line: got %q, error %v, want the whole line", line, err)
 	}
 	got := ""
 	for {
@@ -96,7 +97,7 @@
 		}
 	}
 	if got != long+"\n" {
-		t.Errorf("%d bytes of a long line", len(got))
+		t.Errorf("got %d bytes of a line over 4 KiB, want all of it unchanged", len(got))
 	}
 }
 
@@ -105,7 +106,7 @@
 func (noDiscovery) Watch() {}
 func (noDiscovery) Fetch() {}
 
-// newDeployment is one of a single relay and the one class m.
+// newDeployment returns a deployment with a single relay and the single class m.
 func newDeployment(class decide.ClassInfo) *relay.Deployment {
 	return &relay.Deployment{
 		Classes: map[string]decide.Class{"m": 0},
@@ -119,7 +120,7 @@
 	}
 }
 
-// listen listens on a port of this machine until the test ends.
+// listen listens on a free loopback port until the test ends.
 func listen(t testing.TB) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,7 +131,8 @@
 	return l
 }
 
-// startRelay starts both sides with servers that answer as given, by the id of each.
+// startRelay starts a relay with one server for each answer. Server i has the id "s<i>" and answers first
+// lines with answers[i].
 func startRelay(
 	t *testing.T, answers ...string,
 ) (address string, requests *relay.RequestTable, servers []*fake.EchoServer) {
@@ -192,7 +194,7 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// next returns the next line, "end" after a clean end, or "broken".
+// next returns the next line, "end" after a clean close, or "broken" after any other error.
 func (c *client) next() string {
 	line, err := c.in.ReadString('\n')
 	switch {
@@ -206,47 +208,50 @@
 
 const openingLine = "OPEN a1 0f c=m,d=500"
 
-// PROTOCOL's table: what a server does, and what the client gets.
+// Checks the answer that a client gets for each answer of a server and each malformed first line, as the
+// table in PROTOCOL defines them.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct{ name, answer, line, want string }{
 		{"up", "UP", openingLine, "UP a1"},
 		{"rejected", "BUSY", openingLine, "BUSY"},
 		{"error", "ERR", openingLine, "BUSY"},
-		{"ended without an answer", "-", openingLine, "BUSY"},
+		{"closed without an answer", "-", openingLine, "BUSY"},
 		{"silent", "", openingLine, "BUSY"},
 		{"ping", "UP", "PING", "PONG"},
 		{"unknown class", "UP", "OPEN a1 0f c=z,d=500", "ERR bad request"},
 		{"bad first line", "UP", "GET / HTTP/1.1", "ERR bad request"},
 		{"a first line over 4 KiB", "UP", openingLine + ",x=" + strings.Repeat("x", 5000), "ERR bad request"},
-		{"a connection from before the run", "UP", "OPEN a1 0f c=m,at=s0", "UP a1"},
-		{"one whose server is unknown", "UP", "OPEN a1 0f c=m,at=s9", "ERR"},
+		{"previous server known", "UP", "OPEN a1 0f c=m,at=s0", "UP a1"},
+		{"previous server unknown", "UP", "OPEN a1 0f c=m,at=s9", "ERR"},
 	} {
 		address, _, servers := startRelay(t, c.answer)
 		got, _, _ := strings.Cut(openConnection(t, address, c.line).next(), " ")
 		want, _, _ := strings.Cut(c.want, " ")
 		if got != want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: got answer %q, want %q", c.name, got, c.want)
 		}
 		if len(servers[0].FirstLines) > 2 || want == "ERR" && len(servers[0].FirstLines) > 0 {
-			t.Errorf("%s: the server was sent %d first lines", c.name, len(servers[0].FirstLines))
+			t.Errorf("%s: got %d first lines at the server, want at most 2, or none after ERR",
+				c.name, len(servers[0].FirstLines))
 		}
 	}
 }
 
-// Once up, lines pass both ways unchanged; MOVE stands between two of them, and both sides are closed.
+// Once a request is established, lines are forwarded unchanged both ways. MOVE must be sent between two
+// lines, and then both connections are closed.
 func TestMigrationFallsBetweenLines(t *testing.T) {
 	address, requests, servers := startRelay(t, "UP")
 	c := openConnection(t, address, openingLine)
 	if got := c.next(); got != "UP a1" {
-		t.Fatal(got)
+		t.Fatalf("got answer %q, want UP a1", got)
 	}
 	fmt.Fprint(c, "M 1 first\r\n")
 	if got := c.next(); got != "M 1 first" {
-		t.Fatal(got)
+		t.Fatalf("got line %q, want the client's line back", got)
 	}
 	servers[0].Broadcast("LOAD 12.5", false)
 	if got := c.next(); got != "LOAD 12.5" {
-		t.Fatal(got)
+		t.Fatalf("got line %q, want LOAD 12.5", got)
 	}
 	fmt.Fprint(c, "M 2 unread when the move comes\r\n")
 	requests.MigrateClients(1)
@@ -255,30 +260,32 @@
 		got = c.next()
 	}
 	if got != "MOVE" || c.next() != "end" {
-		t.Errorf("after the move: %q", got)
+		t.Errorf("after the migration: got line %q, want MOVE and then a clean close", got)
 	}
 }
 
-// A server's end reaches the client in the same way: after its last line, or as a break.
+// A server's close must reach the client in the same form: a graceful close after the last line, a reset as a
+// reset.
 func TestServerCloseReachesTheClient(t *testing.T) {
 	address, _, servers := startRelay(t, "UP")
 	c := openConnection(t, address, openingLine)
 	c.next()
 	servers[0].Broadcast("BYE x0=0.5", true)
 	if a, b := c.next(), c.next(); a != "BYE x0=0.5" || b != "end" {
-		t.Errorf("%q, %q", a, b)
+		t.Errorf("after the server's graceful close: got lines %q, %q, want BYE x0=0.5 and a clean close",
+			a, b)
 	}
-	c = openConnection(t, address, openingWithID("a2")) // the first may still hold its name
+	c = openConnection(t, address, openingWithID("a2")) // a1 may still be in use by the first request
 	if got := c.next(); got != "UP a2" {
-		t.Fatal(got)
+		t.Fatalf("got answer %q, want UP a2", got)
 	}
 	servers[0].Close()
 	if got := c.next(); got != "broken" {
-		t.Errorf("a reset came as %q", got)
+		t.Errorf("after the server's reset: got %q, want broken", got)
 	}
 }
 
-// A client that leaves in the middle of its set-up takes its attempt along.
+// A client that closes while its request has an open attempt must end that attempt.
 func TestClientCloseEndsItsAttempt(t *testing.T) {
 	address, requests, servers := startRelay(t, "")
 	c := openConnection(t, address, openingLine)
@@ -286,17 +293,17 @@
 	c.Close()
 	for i := 0; requests.MigrateClients(0) > 0; i++ {
 		if i > 1000 {
-			t.Fatal("the call is kept")
+			t.Fatal("the request is still kept 5 s after its client closed")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// openingWithID is a first line with an id of its own.
+// openingWithID returns openingLine with the given request id.
 func openingWithID(id string) string { return strings.Replace(openingLine, "a1", id, 1) }
 
-// Beyond the bound on descriptors a client is rejected at once. Those that say nothing take no part of it:
-// they are evicted for whoever comes, and the connections that have asked stay.
+// Requests beyond the limit on descriptors must be rejected at once. Connections without a request do not
+// count against the limit: they are evicted for new connections, and connections with a request are kept.
 func TestRequestsBeyondTheDescriptorLimitAreRejected(t *testing.T) {
 	address, _, _ := startRelay(t, "UP")
 	var kept []*client
@@ -310,26 +317,27 @@
 		}
 		c := openConnection(t, address, openingWithID(fmt.Sprint("c", i)))
 		if got, _, _ := strings.Cut(c.next(), " "); got != want {
-			t.Errorf("client %d: %q", i, got)
+			t.Errorf("client %d: got answer %q, want UP for the first 8 and BUSY for the last", i, got)
 		}
 		kept = append(kept, c)
 	}
 	for i, c := range kept[:8] {
 		fmt.Fprint(c, "M\r\n")
 		if got := c.next(); got != "M" {
-			t.Errorf("client %d was pushed out: %q", i, got)
+			t.Errorf("client %d with a request was evicted: got %q, want its line back", i, got)
 		}
 	}
 }
 
-// A connection that brings no request is closed well within the 3 s it is owed that; pings do not renew it.
+// A connection without a request must be closed well within the 3 s that a client has for its request; pings
+// must not extend that time.
 func TestConnectionsWithoutARequestAreClosed(t *testing.T) {
 	address, _, _ := startRelay(t, "UP")
 	var all []*client
-	for _, say := range []string{"", "PING\r\n", "half a li"} {
+	for _, text := range []string{"", "PING\r\n", "half a li"} {
 		c := connect(t, address)
 		c.SetDeadline(time.Now().Add(4 * connlimit.RequestWithin))
-		fmt.Fprint(c, say)
+		fmt.Fprint(c, text)
 		all = append(all, c)
 	}
 	for _, c := range all {
@@ -338,21 +346,21 @@
 			got = c.next()
 		}
 		if got != "end" {
-			t.Errorf("%q", got)
+			t.Errorf("connection without a request: got %q, want a clean close", got)
 		}
 	}
 }
 
-// What a client may not do is answered ERR, whatever else waits on the connection, and never reaches a
-// server.
+// Malformed or unexpected client lines must be answered with ERR, whatever else the connection holds, and
+// must never reach a server.
 func TestMalformedLinesAreNeverForwarded(t *testing.T) {
 	for name, lines := range map[string]string{
-		"a good line behind what cannot be read": "frob\r\n" + openingLine,
-		"hundreds at once":                       strings.Repeat(openingLine+"\r\n", 300),
-		"a line before the answer":               openingLine + "\r\nM 1",
-		"a line without end":                     strings.Repeat("k", 8<<20),
-		"a wait that is no number":               "OPEN a1 0f c=m,d=0x10",
-		"pings, then garbage":                    "PING\r\nfrob",
+		"malformed line before a valid one": "frob\r\n" + openingLine,
+		"300 first lines at once":           strings.Repeat(openingLine+"\r\n", 300),
+		"line before the answer":            openingLine + "\r\nM 1",
+		"line without terminator":           strings.Repeat("k", 8<<20),
+		"hexadecimal wait":                  "OPEN a1 0f c=m,d=0x10",
+		"ping before a malformed line":      "PING\r\nfrob",
 	} {
 		address, _, servers := startRelay(t, "UP")
 		c := openConnection(t, address, "PING")
@@ -363,50 +371,54 @@
 			got = c.next()
 		}
 		if got != "ERR bad request" || len(servers[0].FirstLines) > 0 {
-			t.Errorf("%s: %.40q, %d first lines forwarded", name, got, len(servers[0].FirstLines))
+			t.Errorf("%s: got answer %.40q and %d first lines at the server, want ERR bad request and none",
+				name, got, len(servers[0].FirstLines))
 		}
 	}
 	address, _, servers := startRelay(t, "")
 	c := openConnection(t, address, openingLine)
 	<-servers[0].FirstLines
-	fmt.Fprint(c, "M 1 while its attempt is out\r\n")
+	fmt.Fprint(c, "M 1 during the attempt\r\n")
 	if got := c.next(); got != "ERR bad request" {
-		t.Errorf("a line while the attempt is out: %q", got)
+		t.Errorf("line during the attempt: got answer %q, want ERR bad request", got)
 	}
 }
 
-// An id is one client's while its request stands: to the server another would be a second attempt at it.
+// While a request exists, a second client must not open one with the same id: the server would take it as a
+// second attempt of the first request.
 func TestOneRequestPerID(t *testing.T) {
 	address, requests, servers := startRelay(t, "UP")
 	c := openConnection(t, address, openingLine)
 	if got := c.next(); got != "UP a1" {
-		t.Fatal(got)
+		t.Fatalf("got answer %q, want UP a1", got)
 	}
 	for _, line := range []string{openingLine, "OPEN a1 0f c=m,at=s0"} {
 		if got := openConnection(t, address, line).next(); got != "ERR" {
-			t.Errorf("%s: %q", line, got)
+			t.Errorf("second client with line %s: got answer %q, want ERR", line, got)
 		}
 	}
 	fmt.Fprint(c, "M 1\r\n")
 	if got := c.next(); got != "M 1" || len(servers[0].FirstLines) != 1 {
-		t.Errorf("the first client got %q; %d first lines", got, len(servers[0].FirstLines))
+		t.Errorf("first client: got line %q and %d first lines at the server, want M 1 and 1",
+			got, len(servers[0].FirstLines))
 	}
 	c.Close()
 	for requests.MigrateClients(0) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if got := openConnection(t, address, openingLine).next(); got != "UP a1" {
-		t.Errorf("once it is free: %q", got)
+		t.Errorf("after the first request ended: got answer %q, want UP a1", got)
 	}
 }
 
-// No part of an overlong line goes on to the server of a connection that is up; its client is migrated.
+// No part of an overlong line may be forwarded to the server of an established request; the client is
+// migrated.
 func TestOverlongLineMigratesAnEstablishedClient(t *testing.T) {
 	address, _, _ := startRelay(t, "UP")
 	c := openConnection(t, address, openingLine)
 	c.next()
 	go fmt.Fprint(c, strings.Repeat("k", 4<<20))
 	if got := c.next(); got != "MOVE" {
-		t.Errorf("%.40q", got)
+		t.Errorf("after an overlong line: got %.40q, want MOVE", got)
 	}
 }
--- a/internal/wire/platform/probe.go
+++ b/internal/wire/platform/probe.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// probeTimeout is how long a probe's answer is waited for. It tells a silent machine from a slow one.
+	// probeTimeout is how long a probe waits for its answer. A server that takes longer counts as silent.
 	probeTimeout = 200 * time.Millisecond
-	// defaultIdleProbeLifetime is how long an unused connection for probes stays open, and its goroutine
-	// lives. Servers that a deploy has replaced are probed no more, and each would hold both for good.
+	// defaultIdleProbeLifetime is how long the connection and the goroutine for probes of one server are kept
+	// after the last probe. Without this bound a server that a deploy has replaced would keep both forever.
 	defaultIdleProbeLifetime = 10 * time.Second
-	// probeQueueLength: the decision module never has more probes of one server under way.
+	// probeQueueLength is the most probes of one server that the decision module has in progress at once.
 	probeQueueLength = 4
 )
 
-// probeRequest is one probe that a server's goroutine is to make.
+// probeRequest is one queued probe of a server.
 type probeRequest struct {
 	address string
 	done    func(decide.Status, decide.LoadReport)
 }
 
-// Probe asks a server for its load, on a connection that is reused from one probe to the next. It does not
-// block; done is called once. A server that is probed has one goroutine, until idleProbeLifetime after the
-// last probe.
+// Probe asks a server for its load on a connection that is reused between probes. It does not block; done is
+// called exactly once. Each probed server has one goroutine, which ends idleProbeLifetime after the last
+// probe.
 func (s *ServerDialer) Probe(server relay.Server, done func(decide.Status, decide.LoadReport)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,13 +44,13 @@
 	}
 	select {
 	case queue <- probeRequest{server.Address, done}:
-	default: // nothing was sent
+	default: // the queue is full: no probe is sent
 		go done(decide.Superseded, decide.NoLoadReport)
 	}
 }
 
-// probeLoop owns the connection for probes of one server. It ends once the server has not been probed for a
-// while.
+// probeLoop owns the connection for probes of one server. It returns once the server has not been probed for
+// the idle lifetime.
 func (s *ServerDialer) probeLoop(server decide.ServerID, queue <-chan probeRequest) {
 	var conn probeConn
 	var idle <-chan time.Time
@@ -69,7 +69,7 @@
 	}
 }
 
-// removeProbeQueue removes a server's queue, unless a probe has come into it meanwhile.
+// removeProbeQueue removes a server's queue and returns true, unless a probe has been queued in the meantime.
 func (s *ServerDialer) removeProbeQueue(server decide.ServerID, queue <-chan probeRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,8 +80,8 @@
 	return true
 }
 
-// probe makes one probe, once more if the connection turns out to have been closed while it was idle: that
-// says nothing of the server.
+// probe makes one probe. It retries once on a new connection if a reused connection fails other than by a
+// time-out: a connection that was closed while idle says nothing about the server's state.
 func (s *ServerDialer) probe(conn *probeConn, address string) (decide.Status, decide.LoadReport) {
 	if conn.address != address {
 		s.closeProbeConn(conn)
@@ -98,7 +98,7 @@
 	return status, report
 }
 
-// probeConn is a connection for probes; the zero value is none.
+// probeConn is a connection for probes. The zero value has no open connection.
 type probeConn struct {
 	conn    net.Conn
 	lines   *lineReader
@@ -113,8 +113,8 @@
 	c.conn = nil
 }
 
-// probeOnce asks for one load report, until an instant of the clock. After any error, which is the network's,
-// the connection is closed.
+// probeOnce asks for one load report and waits for it until deadline, a time of s.Clock. Errors are network
+// errors; after an error the connection is closed.
 func (s *ServerDialer) probeOnce(
 	c *probeConn, address string, deadline time.Duration,
 ) (decide.Status, decide.LoadReport, error) {
--- a/internal/wire/platform/resume.go
+++ b/internal/wire/platform/resume.go
@@ -13,16 +13,17 @@
 	"capersail/internal/wire/splice"
 )
 
-// The lines of the extension (docs/RESUME.md). All of this file is for requests that have a stream; for the
-// others streamOf returns nil.
+// This file implements the protocol extension for resumable streams (docs/RESUME.md). It concerns only
+// requests that have a stream; for all others streamOf returns nil.
 
-// streamOf returns the request's stream, nil if its client did not ask for one.
+// streamOf returns the request's stream, or nil if its client did not ask for a resumable stream.
 func streamOf(request *relay.Request) *resume.Stream {
 	stream, _ := request.Ownership.(*resume.Stream)
 	return stream
 }
 
-// openStream returns the stream that an opening asks for. A token that is rejected is a resumeError.
+// openStream returns the stream that a first line asks for, new or resumed. A rejected token gives a
+// resumeError.
 func (f *Frontend) openStream(o *opening) (*resume.Stream, error) {
 	request := resume.StreamRequest{
 		Class:       o.class,
@@ -43,14 +44,15 @@
 	return stream, err
 }
 
-// resumeRejections is what a server's answer that it cannot resume means to the client.
+// resumeRejections maps the answers of a server that cannot resume a stream to the notes that the client
+// receives.
 var resumeRejections = map[string]string{
-	wordStaleToken: resume.NoteStaleToken,
-	wordAhead:      resume.NotePositionAhead,
+	wordStaleToken:    resume.NoteStaleToken,
+	wordPositionAhead: resume.NotePositionAhead,
 }
 
-// encodeResumeFields makes what a server that resumes streams is sent beyond the client's line. It returns
-// whether this server is such a one.
+// encodeResumeFields returns the fields that are appended to the first line for a server that supports
+// resume, and whether the attempt's server does.
 func encodeResumeFields(request *relay.Request, a relay.Attempt) (fields string, resumable bool) {
 	stream := streamOf(request)
 	if stream == nil {
@@ -68,27 +70,28 @@
 	return fields, true
 }
 
-// renewServerLease tells the server how long it may serve on, if that is due. It comes before a stream's
-// first token: from then on another relay may be shown one.
+// renewServerLease sends the server the duration for which it may continue to serve the stream, if a renewal
+// is due. It must be sent before the stream's first token: once the client has a token, another relay may
+// acquire the stream.
 func renewServerLease(server *splice.Half, stream *resume.Stream) {
 	if stream == nil {
 		return
 	}
 	if lease := stream.ServerLease(); lease > 0 {
-		// If that fails, the goroutine that reads the server meets the same break.
+		// An error is not handled here: the goroutine that reads the server gets it too.
 		server.Forward(encodeLine(wordServerLease, strconv.FormatInt(lease.Milliseconds(), 10)))
 	}
 }
 
-// encodeEstablished makes the server's answer with what the client is to know beyond it: a gap, and its
-// token.
+// encodeEstablished returns the server's answer, followed by a GAP line if scans are missing and a TOKEN line
+// if a token is due.
 func encodeEstablished(server *splice.Half, stream *resume.Stream, serverName string, answer []byte) []byte {
 	out := append([]byte(nil), answer...)
 	first, stated := parseFirstScan(answer)
 	switch {
 	case stated && stream.FirstScan != 0 && first > stream.FirstScan:
 		out = fmt.Appendf(out, "%s %d %d\r\n", wordGap, stream.FirstScan, first-1)
-	case !stated && stream.FirstScan != 0: // its server does not number scans, or does not go back
+	case !stated && stream.FirstScan != 0: // the server does not number scans or cannot send old ones
 		out = fmt.Appendf(out, "%s %d -\r\n", wordGap, stream.FirstScan)
 	}
 	if stated {
@@ -99,7 +102,7 @@
 	return append(out, encodeToken(stream)...)
 }
 
-// parseFirstScan returns the scan with which a server says that it begins.
+// parseFirstScan returns the number of the first scan that a server will send, if its answer states one.
 func parseFirstScan(answer []byte) (first uint64, stated bool) {
 	for _, field := range strings.Fields(string(answer)) {
 		if text, ok := strings.CutPrefix(field, "from="); ok {
@@ -110,7 +113,7 @@
 	return first, stated
 }
 
-// encodeToken makes the line that gives a token; empty if there is none to give, or no stream.
+// encodeToken returns a TOKEN line with a new token. It returns nil without a stream or without a token.
 func encodeToken(stream *resume.Stream) []byte {
 	if stream == nil {
 		return nil
@@ -122,12 +125,12 @@
 	return encodeLine(wordToken, strconv.FormatUint(stream.FencingToken(), 10), text)
 }
 
-// maxPositionDigits bounds what is read of a scan's number, which fits a uint64.
+// maxPositionDigits is how many digits of a scan number are read, so that the number fits into a uint64.
 const maxPositionDigits = 19
 
 var scanPrefix = []byte(wordScan + " ")
 
-// recordPosition notes the scan that went to the client, if a line is one.
+// recordPosition sets the stream's position if the line, which was forwarded to the client, is a scan.
 func recordPosition(stream *resume.Stream, line []byte) {
 	rest, ok := bytes.CutPrefix(line, scanPrefix)
 	if !ok {
@@ -143,8 +146,8 @@
 	}
 }
 
-// nextStreamCheck is the instant at which the goroutine that forwards lines checks its stream at the latest;
-// 0 is never.
+// nextStreamCheck returns the latest time at which the goroutine that forwards lines must check the stream; 0
+// means never.
 func nextStreamCheck(stream *resume.Stream) time.Duration {
 	if stream == nil {
 		return 0
@@ -154,8 +157,8 @@
 
 var confirmPrefix = []byte(wordConfirmToken + " ")
 
-// confirmToken takes the client's line that says it has a token, and returns whether the line is one: no
-// server reads it.
+// confirmToken handles a GOT line, with which the client confirms a token. It returns whether the line is
+// one; GOT lines are not forwarded to the server.
 func confirmToken(stream *resume.Stream, line []byte) bool {
 	rest, ok := bytes.CutPrefix(line, confirmPrefix)
 	if !ok {
@@ -167,7 +170,8 @@
 	return true
 }
 
-// releaseStream ends a stream at its server, and only then lets another relay acquire it.
+// releaseStream closes the connection to the stream's server and then releases the stream's ownership, so
+// that another relay can acquire the stream only after the server has been disconnected.
 func releaseStream(server *splice.Half, stream *resume.Stream) {
 	if stream != nil {
 		server.Close(relay.GracefulClose)
--- a/internal/wire/platform/resume_test.go
+++ b/internal/wire/platform/resume_test.go
@@ -19,7 +19,8 @@
 	"capersail/internal/wire/connlimit"
 )
 
-// What a first line turns into where tokens are on: the relay's two fields are never forwarded.
+// With resume tokens enabled, the fields resume and pos of a first line are for the relay only and must not
+// be forwarded.
 func TestResumeFieldsAreNotForwarded(t *testing.T) {
 	for _, c := range []struct {
 		name, in, out, token string
@@ -28,33 +29,35 @@
 	}{
 		{"without", "OPEN a 0f c=m,d=2000,q=1", "OPEN a 0f c=m,d=70,q=1", "", 0, ""},
 		{"new", "OPEN a 0f c=m,d=2000,resume=new", "OPEN a 0f c=m,d=70", "new", 0, ""},
-		{"first of all", "OPEN a 0f resume=cs1.a.b=,pos=12,c=m,d=2000",
+		{"token field first", "OPEN a 0f resume=cs1.a.b=,pos=12,c=m,d=2000",
 			"OPEN a 0f c=m,d=70", "cs1.a.b=", 12, ""},
-		{"in the middle", "OPEN a 0f c=m,pos=3,t=x,resume=k,d=2000,g=5",
+		{"fields in the middle", "OPEN a 0f c=m,pos=3,t=x,resume=k,d=2000,g=5",
 			"OPEN a 0f c=m,t=x,d=70,g=5", "k", 3, ""},
 		{"a position alone", "OPEN a 0f c=m,d=2000,pos=5", "OPEN a 0f c=m,d=70", "", 0, ""},
 		{"empty", "OPEN a 0f c=m,d=2000,resume=", "", "", 0, "is not name=value"},
 		{"negative", "OPEN a 0f c=m,d=2000,resume=k,pos=-4", "", "", 0, "position: "},
 		{"past all scans", "OPEN a 0f c=m,d=2000,resume=k,pos=9223372036854775807", "", "", 0, "position: "},
-		{"with at", "OPEN a 0f c=m,resume=k,at=s", "", "", 0, "exclude"},
+		{"token with previous server", "OPEN a 0f c=m,resume=k,at=s", "", "", 0, "exclude"},
 		{"no fields", "OPEN a 0f", "", "", 0, "form"},
 	} {
 		o, err := parseResumableOpening([]byte(c.in + "\r\n"))
 		if err != nil {
 			if c.fails == "" || !strings.Contains(err.Error(), c.fails) {
-				t.Errorf("%s: %v", c.name, err)
+				t.Errorf("%s: got parse error %v", c.name, err)
 			}
 			continue
 		}
 		got := strings.TrimSpace(string(o.encode(70*time.Millisecond, "")))
 		wrongPosition := o.resumeToken != "" && o.position != c.position
 		if got != c.out || o.resumeToken != c.token || wrongPosition || c.fails != "" {
-			t.Errorf("%s: %q, token %q, position %d", c.name, got, o.resumeToken, o.position)
+			t.Errorf("%s: got forwarded line %q, token %q, position %d",
+				c.name, got, o.resumeToken, o.position)
 		}
 	}
 }
 
-// newScanFlood is a server that says UP and then scans as fast as they are taken.
+// newScanFlood starts a server that answers UP and then sends scans as fast as they are read. It returns its
+// address.
 func newScanFlood(b *testing.B) string {
 	b.Helper()
 	l := listen(b)
@@ -88,8 +91,8 @@
 	return l.Addr().String()
 }
 
-// BenchmarkLines: lines a second to one client, with the extension off, on but not asked for, and with a
-// token. Run it several times; the kinds take turns.
+// BenchmarkLines measures the lines per second to one client with resume tokens disabled, enabled but not
+// requested, and requested. The three cases alternate. Run it several times, as single results vary.
 func BenchmarkLines(b *testing.B) {
 	zk, err := fake.NewZooKeeper("/")
 	if err != nil {
@@ -144,7 +147,7 @@
 			n++
 			fmt.Fprintf(conn, "OPEN %d 7f c=m,d=3000%s\r\n", n, k.more)
 			in := bufio.NewReaderSize(conn, 64<<10)
-			for range 2000 { // until it runs evenly, and has its token
+			for range 2000 { // warm-up: reaches a steady rate and receives the token
 				in.ReadSlice('\n')
 			}
 			began := time.Now()
--- a/internal/wire/platform/server_dialer.go
+++ b/internal/wire/platform/server_dialer.go
@@ -12,41 +12,41 @@
 	"capersail/internal/wire/splice"
 )
 
-// ServerDialer is the server side: it dials, forwards lines to clients, classifies how attempts end, and
-// probes. It implements relay.ServerDialer.
+// ServerDialer is the server side of the protocol. It dials servers, forwards their lines to clients, reports
+// the status with which each attempt ends, and probes servers. It implements relay.ServerDialer.
 type ServerDialer struct {
 	Clock             *relay.Clock
-	ConnectTimeout    time.Duration // of a dial, beside the attempt's deadline; 0 for none
-	LoadField         string        // of a load report, the one that tells load over capacity
-	MaxIdleProbeConns int64
+	ConnectTimeout    time.Duration // limit of a dial besides the attempt's deadline; 0 means none
+	LoadField         string        // field of a load report that holds load divided by capacity
+	MaxIdleProbeConns int64         // idle connections for probes, over all servers
 
 	mu             sync.Mutex
 	probeQueues    map[decide.ServerID]chan probeRequest // guarded by mu
 	idleProbeConns atomic.Int64
-	// idleProbeLifetime is in place of defaultIdleProbeLifetime where tests set it.
+	// idleProbeLifetime replaces defaultIdleProbeLifetime in tests; 0 means the default.
 	idleProbeLifetime time.Duration
 }
 
-// StartAttempt makes one attempt in a goroutine of its own, which ends with it.
+// StartAttempt makes one attempt in a new goroutine, which ends with the attempt.
 func (s *ServerDialer) StartAttempt(request *relay.Request, a relay.Attempt) {
 	go s.runAttempt(request, a)
 }
 
 func (s *ServerDialer) runAttempt(request *relay.Request, a relay.Attempt) {
 	made := &attempt{Attempt: splice.Attempt{Attempt: a, Request: request}, dialer: s}
-	made.Run(s.Clock, s.ConnectTimeout, made.converse)
+	made.Run(s.Clock, s.ConnectTimeout, made.runProtocol)
 }
 
-// attempt is one connection to a server, for a request.
+// attempt is one attempt of a request with its connection to a server.
 type attempt struct {
 	splice.Attempt
 	dialer *ServerDialer
 	lines  *lineReader
 }
 
-// converse sends the first line and follows the connection to its end. What each of the server's lines means
-// is PROTOCOL's table.
-func (a *attempt) converse() (decide.Status, decide.LoadReport) {
+// runProtocol sends the first line, handles the server's answer and forwards lines until the connection ends.
+// PROTOCOL's table defines what each answer of the server means.
+func (a *attempt) runProtocol() (decide.Status, decide.LoadReport) {
 	resumeFields, resumable := encodeResumeFields(a.Request, a.Attempt.Attempt)
 	clientWait := a.Deadline - a.dialer.Clock.Now()
 	line := a.Request.Payload.(*opening).encode(clientWait, resumeFields)
@@ -63,7 +63,7 @@
 	switch first, rest := splitFirstWord(answer); first {
 	case wordEstablished:
 		return a.forwardToClient(answer)
-	case wordStaleToken, wordAhead:
+	case wordStaleToken, wordPositionAhead:
 		if !resumable {
 			return decide.Errored, decide.NoLoadReport
 		}
@@ -80,7 +80,7 @@
 	}
 }
 
-// awaitAnswer reads the server's first line. A status other than OK says why there is none.
+// awaitAnswer reads the server's first line. If there is none, the status is not OK and gives the reason.
 func (a *attempt) awaitAnswer() ([]byte, decide.Status) {
 	for {
 		a.Half.SetReadUntil(a.Deadline)
@@ -91,42 +91,42 @@
 		case !splice.TimedOut(err):
 			return nil, decide.Reset
 		}
-		a.Half.ClearWake() // before the checks below: a wake that comes after them must not be lost
+		a.Half.ClearWake() // before the checks below, so that a wake after them is not lost
 		switch {
 		case a.Half.Closed():
 			return nil, decide.Cancelled
 		case a.dialer.Clock.Now() >= a.Deadline:
 			return nil, decide.TimedOut
 		}
-		// The server has begun to drain: what was sent in time goes on.
+		// The wake was for a drain of the server: an attempt whose first line was sent before it continues.
 	}
 }
 
-// forwardToClient forwards lines from the server to the client until one side ends, or the client is
+// forwardToClient forwards lines from the server to the client until one side closes or the client is
 // migrated.
 func (a *attempt) forwardToClient(established []byte) (decide.Status, decide.LoadReport) {
 	client := a.Request.Establish(a.Number)
 	if client == nil {
 		return decide.Cancelled, decide.NoLoadReport
 	}
-	d := &downstream{attempt: a, client: client, stream: streamOf(a.Request), checkDue: true}
-	d.closeStatus, d.closeReport = decide.Reset, decide.NoLoadReport
-	if d.stream != nil {
-		established = encodeEstablished(a.Half, d.stream, a.Server.ID, established)
+	down := &downstream{attempt: a, client: client, stream: streamOf(a.Request), streamCheckDue: true}
+	down.closeStatus, down.closeReport = decide.Reset, decide.NoLoadReport
+	if down.stream != nil {
+		established = encodeEstablished(a.Half, down.stream, a.Server.ID, established)
 	}
-	return d.run(established)
+	return down.run(established)
 }
 
-// downstream carries an established request's lines from its server to its client. It alone writes to that
-// client, so whatever it adds stands between two lines.
+// downstream forwards the lines of an established request from its server to its client. Nothing else writes
+// to that client, so the lines that downstream adds never split another line.
 type downstream struct {
 	*attempt
-	client      relay.ClientConn
-	stream      *resume.Stream // nil if the client asked for no token
-	closeStatus decide.Status  // what the server's close would mean now
-	closeReport decide.LoadReport
-	midLine     bool // what was read last was a part of a line over 4 KiB
-	checkDue    bool // the stream's lease and read deadline are to be renewed
+	client         relay.ClientConn
+	stream         *resume.Stream    // nil if the client asked for no token
+	closeStatus    decide.Status     // status of the attempt if the server closes now
+	closeReport    decide.LoadReport // load report of the attempt if the server closes now
+	midLine        bool              // the last read returned a part of a line over 4 KiB
+	streamCheckDue bool              // the server's lease and the read deadline must be renewed
 }
 
 func (d *downstream) run(line []byte) (decide.Status, decide.LoadReport) {
@@ -135,7 +135,7 @@
 		if !d.mayForward() {
 			return d.migrate()
 		}
-		if d.client.Forward(line) != nil { // a client that takes nothing for so long has left
+		if d.client.Forward(line) != nil { // the client is gone, or does not read
 			releaseStream(d.Half, d.stream)
 			d.client.Close(relay.AbortiveClose)
 			return decide.Cancelled, d.closeReport
@@ -150,13 +150,13 @@
 			}
 		case splice.TimedOut(err):
 			d.Half.ClearWake()
-			if d.Half.Closed() { // the client has left, and the server took its time to end too
+			if d.Half.Closed() { // the client closed, and the server did not end in time
 				return decide.Cancelled, d.closeReport
 			}
 			if migrating, _ := d.Request.Migrating(); migrating {
 				return d.migrate()
 			}
-			d.checkDue = true
+			d.streamCheckDue = true
 		case !d.mayForward(): // the server's lease expired before this side checked it
 			return d.migrate()
 		default:
@@ -168,19 +168,19 @@
 	}
 }
 
-// checkStream renews the server's lease and the instant of the next check, if that is due.
+// checkStream renews the server's lease and sets the time of the next check, if a check is due.
 func (d *downstream) checkStream() {
-	if !d.checkDue {
+	if !d.streamCheckDue {
 		return
 	}
-	d.checkDue = false
+	d.streamCheckDue = false
 	renewServerLease(d.Half, d.stream)
 	d.Half.SetReadUntil(nextStreamCheck(d.stream))
 }
 
 func (d *downstream) mayForward() bool { return d.stream == nil || d.stream.MayForward() }
 
-// recordForwarded gives the client a token if one is due after a line.
+// recordForwarded records the position of a forwarded line and sends the client a new token if one is due.
 func (d *downstream) recordForwarded(line []byte) {
 	if d.stream == nil || d.midLine {
 		return
@@ -191,11 +191,11 @@
 	}
 	renewServerLease(d.Half, d.stream)
 	d.client.Forward(encodeToken(d.stream))
-	d.checkDue = true
+	d.streamCheckDue = true
 }
 
-// inspect looks at what is to be forwarded. It returns whether the server migrates a client that can
-// resume.
+// inspect examines a line, or a part of one, before it is forwarded. It returns true if the server migrates a
+// client that can resume.
 func (d *downstream) inspect(line []byte) (serverMigrates bool) {
 	if !d.midLine {
 		d.closeStatus, d.closeReport = d.inspectLine(line)
@@ -207,7 +207,8 @@
 	return false
 }
 
-// inspectLine returns what the server's close would mean after a line.
+// inspectLine reports load and activity to the request, and returns the status and load report of the attempt
+// if the server closes after this line.
 func (d *downstream) inspectLine(line []byte) (decide.Status, decide.LoadReport) {
 	switch first, rest := splitFirstWord(line); first {
 	case wordLoad:
@@ -224,11 +225,11 @@
 	return decide.Reset, decide.NoLoadReport
 }
 
-// migrate sends the client MOVE and closes. A stream that may go on elsewhere is ended at its server and
-// released first: the client may be at the next relay within a millisecond.
+// migrate sends the client MOVE and closes its connection. A resumable stream is closed at its server and
+// released before that: the client may reach the next relay within a millisecond.
 func (d *downstream) migrate() (decide.Status, decide.LoadReport) {
 	releaseStream(d.Half, d.stream)
-	if d.midLine { // nothing can be said within a line
+	if d.midLine { // MOVE would become part of an unfinished line
 		d.client.Close(relay.AbortiveClose)
 		return decide.Cancelled, d.closeReport
 	}
--- a/internal/wire/platform/wire.go
+++ b/internal/wire/platform/wire.go
@@ -14,36 +14,37 @@
 
 // The first words of the protocol's lines.
 const (
-	wordOpen         = "OPEN"  // a client opens a request
-	wordPing         = "PING"  // a client's health check of this relay
-	wordPong         = "PONG"  // the answer to a health check, or a load report
-	wordEstablished  = "UP"    // the request is established
-	wordRejected     = "BUSY"  // rejected, with the milliseconds until a retry where there are any
-	wordFailed       = "ERR"   // failed for good
-	wordMigrate      = "MOVE"  // the client is to open its request again
-	wordClosing      = "BYE"   // the server closes gracefully, with a load report
-	wordLoad         = "LOAD"  // the server's load, for the client too
-	wordProbe        = "STATS" // a probe for load
-	wordNoReport     = "NO"    // the answer of a server that makes no load reports
-	wordScan         = "SCAN"  // a numbered line of a stream
-	wordGap          = "GAP"   // scans that the client misses
-	wordToken        = "TOKEN" // a token that lets the stream go on elsewhere
-	wordConfirmToken = "GOT"   // the client has a token
-	wordServerLease  = "KEEP"  // how long the server may serve on
-	wordStaleToken   = "STALE" // the server has seen a newer fencing token
-	wordAhead        = "AHEAD" // the server has not come to the position
+	wordOpen          = "OPEN"  // client: opens a request
+	wordPing          = "PING"  // client: health check of this relay
+	wordPong          = "PONG"  // answer to a health check, or to a probe with a load report
+	wordEstablished   = "UP"    // server: the request is established
+	wordRejected      = "BUSY"  // the request is rejected; may carry the milliseconds until a retry
+	wordFailed        = "ERR"   // the request has failed and must not be retried
+	wordMigrate       = "MOVE"  // the client must open its request again (migration)
+	wordClosing       = "BYE"   // server: graceful close, with a load report
+	wordLoad          = "LOAD"  // server: its load; forwarded to the client as well
+	wordProbe         = "STATS" // relay: probe that asks a server for a load report
+	wordNoReport      = "NO"    // answer to a probe by a server without load reports
+	wordScan          = "SCAN"  // server: numbered line of a stream
+	wordGap           = "GAP"   // relay: range of scans that the client will not receive
+	wordToken         = "TOKEN" // relay: resume token with which the stream can continue at another server
+	wordConfirmToken  = "GOT"   // client: confirms that it received a token
+	wordServerLease   = "KEEP"  // relay: duration for which the server may continue to serve the stream
+	wordStaleToken    = "STALE" // server: it has seen a newer fencing token
+	wordPositionAhead = "AHEAD" // server: the requested position is beyond its latest scan
 )
 
-// splitFirstWord splits a line into its first word and the rest, without its end.
+// splitFirstWord splits a line into its first word and the rest, without the line terminator.
 func splitFirstWord(line []byte) (first, rest string) {
 	first, rest, _ = strings.Cut(string(bytes.TrimRight(line, "\r\n")), " ")
 	return first, rest
 }
 
-// encodeLine makes a line of words.
+// encodeLine returns the line that consists of words, separated by spaces and terminated by CRLF.
 func encodeLine(words ...string) []byte { return []byte(strings.Join(words, " ") + "\r\n") }
 
-// encodeRejected makes the answer of a rejected request. 0 names no time to wait.
+// encodeRejected returns the answer to a rejected request. If retryAfter is 0, the answer names no time to
+// wait.
 func encodeRejected(retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return encodeLine(wordRejected)
@@ -51,11 +52,12 @@
 	return encodeLine(wordRejected, strconv.Itoa(int(math.Ceil(relay.Millis(retryAfter)))))
 }
 
-// encodeResumeFailed makes the answer of a stream that cannot go on here.
+// encodeResumeFailed returns the answer for a stream that cannot be resumed at this relay. note is the reason
+// that the client receives.
 func encodeResumeFailed(note string) []byte { return encodeLine(wordFailed, "resume", note) }
 
-// parseLoadReport reads a load report, `x0=0.61,qps=33`. loadField names the field that tells load over
-// capacity. What cannot be read is left out.
+// parseLoadReport parses a load report such as `x0=0.61,qps=33`. loadField names the field that holds load
+// divided by capacity. Fields that are malformed or unknown are skipped.
 func parseLoadReport(text, loadField string) decide.LoadReport {
 	report := decide.NoLoadReport
 	for _, field := range strings.Split(text, ",") {
@@ -78,7 +80,7 @@
 	return report
 }
 
-// parseKey reads the hexadecimal figures of keys and groups; any other text stands for a number too.
+// parseKey parses a key or a group as a hexadecimal number. Any other text is hashed to a number.
 func parseKey(text string) uint64 {
 	if x, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return x
@@ -86,9 +88,9 @@
 	return relay.ServerKey(text)
 }
 
-// resumeError is an error whose note is the client's to know.
+// resumeError is an error of a resume request whose note is sent to the client.
 type resumeError struct {
-	note string // one of package resume's
+	note string // one of the Note constants of package resume
 	err  error
 }
 
