--- a/internal/wire/connlimit/limiter_test.go
+++ b/internal/wire/connlimit/limiter_test.go
@@ -14,7 +14,7 @@
 // modelPermit is the expected state of a Permit.
 type modelPermit struct {
 	permit  *Permit
-	conn    *conn
+	conn    *fakeConn
 	client  bool // the descriptor of the client's connection is held
 	request bool // it holds a request and may not be evicted
 	evicted bool // it has been evicted and must close
@@ -54,7 +54,7 @@
 	if m.held-m.evicted >= modelDescriptorLimit && len(m.idle) > 0 {
 		m.evictOldest()
 	}
-	c := &conn{}
+	c := &fakeConn{}
 	v := &modelPermit{permit: limiter.admitConnection(c), conn: c, client: true}
 	m.all = append(m.all, v)
 	m.idle = append(m.idle, v)
@@ -138,13 +138,13 @@
 	}
 }
 
-type conn struct {
+type fakeConn struct {
 	net.Conn
 	closed bool
 }
 
-func (c *conn) Close() error                { c.closed = true; return nil }
-func (c *conn) SetDeadline(time.Time) error { return nil }
+func (c *fakeConn) Close() error                { c.closed = true; return nil }
+func (c *fakeConn) SetDeadline(time.Time) error { return nil }
 
 // FuzzLimiterAgainstModel applies random operations to the permits of a small limiter and compares its counts
 // with a model: the descriptors held stay within the limit, evicted connections aside; the oldest idle
--- a/internal/wire/discovery/call.go
+++ b/internal/wire/discovery/call.go
@@ -108,19 +108,19 @@
 	}
 	start()
 	hedge := c.clock.After(c.timeouts.hedge)
-	for open := 1; ; {
+	for openCalls := 1; ; {
 		var r *response
 		select {
 		case <-hedge:
 		case r = <-responses:
-			open--
+			openCalls--
 		}
 		if len(cancels) == 1 && (r == nil || timedOut(r.err)) {
 			hedge = nil
 			start()
-			open++
+			openCalls++
 		}
-		if r == nil || r.err != nil && open > 0 {
+		if r == nil || r.err != nil && openCalls > 0 {
 			continue
 		}
 		for attempt, cancel := range cancels {
--- a/internal/wire/discovery/client.go
+++ b/internal/wire/discovery/client.go
@@ -34,8 +34,7 @@
 	responseTimeout = 4 * time.Second
 	// hedgeDelay is how long a call may go without a response before a second one is made in parallel.
 	hedgeDelay = 1500 * time.Millisecond
-	// silenceTimeout is how long a watch may deliver no line. A working watch delivers one at least every 2
-	// s.
+	// silenceTimeout is how long a watch may deliver no line. A working watch delivers one every 2 s or less.
 	silenceTimeout = 3 * time.Second
 	// agentRetryDelay is the pause before the next call to the relay's own agent after one has ended. It is
 	// short because the relay counts as notified of the agent's changes even while no watch is open, and
@@ -144,9 +143,9 @@
 // Run executes polls, one after the other, until the context ends. version is that of the current list, which
 // may be cached from before the start.
 func (c *Client) Run(ctx context.Context, version int64) {
-	watch, again := c.LocalAgent, c.LocalAgent
+	watch, retryNow := c.LocalAgent, c.LocalAgent
 	for restarting := false; ; restarting = c.target.restartPending() {
-		if !restarting && !again {
+		if !restarting && !retryNow {
 			select {
 			case <-ctx.Done():
 				return
@@ -163,7 +162,7 @@
 			return
 		}
 		c.consumer.onLoss(c.target.lossReason(err))
-		if again = c.handleCallEnd(ctx, watch, err); ctx.Err() != nil {
+		if retryNow = c.handleCallEnd(ctx, watch, err); ctx.Err() != nil {
 			return
 		}
 	}
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	asked := make(chan string, 4)
+	requestLines := make(chan string, 4)
 	go func() {
 		conn, err := l.Accept()
 		if err != nil {
@@ -69,7 +69,7 @@
 		defer conn.Close()
 		r := bufio.NewReader(conn)
 		first, _ := r.ReadString('\n')
-		asked <- first
+		requestLines <- first
 		for line := first; strings.TrimSpace(line) != ""; line, _ = r.ReadString('\n') {
 		}
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -88,7 +88,7 @@
 	if err := c.streamLists(t.Context(), l.Addr().String(), path, &version); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-asked; !strings.HasPrefix(got, "GET "+path+" HTTP/1.1") {
+	if got := <-requestLines; !strings.HasPrefix(got, "GET "+path+" HTTP/1.1") {
 		t.Errorf("request line %q, want a GET of the watch path", got)
 	}
 	if s, ok := x.Server("s-1"); !ok || s.Number != 0 || version != 6 {
@@ -101,7 +101,7 @@
 // an older version counts its versions independently, and its complete list is fetched. The end of the old
 // watch is not reported as a failure.
 func TestNewAddressIsWatchedFromTheVersionHeld(t *testing.T) {
-	asked := make(chan string, 8)
+	requestedPaths := make(chan string, 8)
 	service := func(generation int, knows bool) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -132,14 +132,14 @@
 				} else {
 					fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 				}
-				asked <- strings.Fields(first)[1]
+				requestedPaths <- strings.Fields(first)[1]
 			}
 		}()
 		return l.Addr().String()
 	}
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
-	var said strings.Builder
-	c := NewClient(service(70, false), x, zerolog.New(&said))
+	var logText strings.Builder
+	c := NewClient(service(70, false), x, zerolog.New(&logText))
 	var failures atomic.Int32
 	c.consumer.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
 		if kind == decide.WatchFailed {
@@ -153,7 +153,7 @@
 	// call would ask for changes after the previous version.
 	want := func(path string, version int64) {
 		t.Helper()
-		if got := <-asked; got != path {
+		if got := <-requestedPaths; got != path {
 			t.Errorf("path requested is %q, want %q", got, path)
 		}
 		deadline := time.Now().Add(10 * time.Second)
@@ -179,7 +179,7 @@
 	c.SetAddress(service(8, false)) // does not know the version in the request
 	want("/v1/endpoints?watch=1&after=7", 8)
 	if n := failures.Load(); n != 1 {
-		t.Errorf("the decision module was notified of %d failures, want 1; log: %s", n, said.String())
+		t.Errorf("the decision module was notified of %d failures, want 1; log: %s", n, logText.String())
 	}
 }
 
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	asked := make(chan string, 8)
+	requestedPaths := make(chan string, 8)
 	go func() {
 		var open []net.Conn // keeps the connections from being garbage-collected, which would close them
 		for n := 0; ; n++ {
@@ -210,7 +210,7 @@
 				list := fmt.Sprintf("{\"generation\":%d,\"reset\":true,\"instances\":[]}\n", 50+n)
 				fmt.Fprintf(conn, "%x\r\n%s\r\n", len(list), list)
 			}
-			asked <- strings.Fields(first)[1]
+			requestedPaths <- strings.Fields(first)[1]
 		}
 	}()
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
@@ -223,7 +223,7 @@
 	failed := make(chan int, 8)
 	c.consumer.deliver = func(kind decide.WatchKind, _ []relay.Endpoint) {
 		if kind == decide.WatchFailed {
-			failed <- len(asked)
+			failed <- len(requestedPaths)
 		}
 	}
 	go c.Run(t.Context(), 41)
@@ -233,7 +233,7 @@
 	}
 	for _, want := range []string{"after=41", "after=50", "after=51", "after=51"} {
 		select {
-		case got := <-asked:
+		case got := <-requestedPaths:
 			if !strings.HasSuffix(got, want) {
 				t.Errorf("path requested is %q, want the suffix %q", got, want)
 			}
--- a/internal/wire/discovery/faulty_calls_test.go
+++ b/internal/wire/discovery/faulty_calls_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := make(chan string, 64)
+	paths := make(chan string, 64)
 	var mu sync.Mutex
 	var open []net.Conn
 	t.Cleanup(func() {
@@ -58,7 +58,7 @@
 					fmt.Fprintf(conn, "%x\r\n%s\r\n", len(part), part)
 				}
 			}
-			asked <- strings.Fields(first)[1]
+			paths <- strings.Fields(first)[1]
 			switch {
 			case resets:
 				conn.Close()
@@ -74,7 +74,7 @@
 			}
 		}
 	}()
-	return l.Addr().String(), asked
+	return l.Addr().String(), paths
 }
 
 // snapshotJSON returns a complete list of a version with these servers, all ready.
@@ -131,7 +131,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, asked := startScriptedDiscovery(t, c.answers...)
+			address, paths := startScriptedDiscovery(t, c.answers...)
 			x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 			held := relay.Endpoint{ID: "s-1", Address: "127.0.0.1:1", State: decide.Ready}
 			x.UpdateEndpoints(decide.CachedSnapshot, []relay.Endpoint{held})
@@ -167,7 +167,7 @@
 					t.Fatal("list of old version 7 was applied without confirmation")
 				}
 				if time.Now().After(until) {
-					t.Fatalf("version %d after 20 s and %d calls, want 50", client.ListVersion(), len(asked))
+					t.Fatalf("version %d after 20 s and %d calls, want 50", client.ListVersion(), len(paths))
 				}
 			}
 			mu.Lock()
@@ -175,8 +175,8 @@
 			if s, ok := x.Server("s-9"); !ok || s.ID != "s-9" || empty {
 				t.Errorf("s-9 is listed at the end: %v, the list was empty: %v; want true, false", ok, empty)
 			}
-			if (failures > 0) != c.failed || len(asked) < c.calls {
-				t.Errorf("notified of %d failures after %d calls, want as in the case", failures, len(asked))
+			if (failures > 0) != c.failed || len(paths) < c.calls {
+				t.Errorf("notified of %d failures after %d calls, want as in the case", failures, len(paths))
 			}
 		})
 	}
@@ -184,7 +184,7 @@
 
 // An empty list is applied once a second call has delivered an empty list too.
 func TestListIsTakenInOnceConfirmed(t *testing.T) {
-	address, asked := startScriptedDiscovery(t, snapshotJSON(42, "s-1"), snapshotJSON(43), snapshotJSON(43))
+	address, paths := startScriptedDiscovery(t, snapshotJSON(42, "s-1"), snapshotJSON(43), snapshotJSON(43))
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
 	go client.Run(t.Context(), 41)
@@ -196,7 +196,7 @@
 	for client.ListVersion() != 43 {
 		time.Sleep(time.Millisecond)
 	}
-	if n := len(asked); n != 3 || x.EndpointCounts().Listed != 0 {
+	if n := len(paths); n != 3 || x.EndpointCounts().Listed != 0 {
 		t.Errorf("%d calls and %d servers listed, want 3 and 0", n, x.EndpointCounts().Listed)
 	}
 }
@@ -206,7 +206,7 @@
 // is open. The decision module is notified of no failure, as its backoff is for a service with several
 // callers. Guards against a relay that never calls its agent and keeps the list of its start all day.
 func TestLocalAgentIsWatchedPermanently(t *testing.T) {
-	address, asked := startScriptedDiscovery(t, "RESET", snapshotJSON(42, "s-1")+"RESET",
+	address, paths := startScriptedDiscovery(t, "RESET", snapshotJSON(42, "s-1")+"RESET",
 		"RESET", "RESET", snapshotJSON(43, "s-9"))
 	x := relay.NewRequestTable(&relay.Deployment{}, relay.NewClock(), nil)
 	client := NewClient(address, x, zerolog.Nop())
@@ -219,7 +219,7 @@
 	go client.Run(t.Context(), 41)
 	for range 5 {
 		select {
-		case <-asked:
+		case <-paths:
 		case <-time.After(10 * time.Second):
 			t.Fatal("no call to discovery within 10 s")
 		}
--- a/internal/wire/splice/conn.go
+++ b/internal/wire/splice/conn.go
@@ -137,11 +137,11 @@
 	if c.CancelDial != nil {
 		c.CancelDial()
 	}
-	half, ok := c.NetConn.(interface{ CloseWrite() error }) // implemented by TCP and TLS connections
+	halfCloser, ok := c.NetConn.(interface{ CloseWrite() error }) // implemented by TCP and TLS connections
 	switch {
 	case c.NetConn == nil:
 	case ok && how == relay.GracefulClose:
-		half.CloseWrite()
+		halfCloser.CloseWrite()
 		if !c.closingNow {
 			c.NetConn.SetReadDeadline(c.Clock.WallDeadline(c.Clock.Now() + lingerTimeout))
 		}
--- a/internal/wire/zookeeper/watch.go
+++ b/internal/wire/zookeeper/watch.go
@@ -22,7 +22,7 @@
 // watchConn is a connection of a Client, with the requests outstanding on it.
 type watchConn struct {
 	*conn
-	timeout         time.Duration // of the session
+	timeout         time.Duration // session time-out granted
 	lastXid         int32
 	nodeByXid       map[int32]string // node names of the outstanding data requests, by xid
 	childrenXid     int32            // xid of the outstanding request for children, 0 if none
