--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -15,31 +15,32 @@
 	"capersail/internal/manualeject"
 )
 
-// adminSockets are the descriptors that the admin address may hold; the clients have them less.
+// adminSockets is the number of descriptors reserved for the admin address. They are not available to
+// clients.
 const adminSockets = admin.MaxConnections
 
-// adminRelay is the relay as its operators' admin address sees it: every front, the manual ejections and
-// the manual drain.
+// adminRelay is the relay as the admin address controls it: all fronts, the manual ejections and the manual
+// drain.
 type adminRelay struct {
 	fronts       []*runningFront
 	serving      atomic.Bool
-	ejectionsDir string // where ejections are kept
+	ejectionsDir string // the folder in which ejections are stored
 	log          zerolog.Logger
 
 	mu            sync.Mutex
 	ejections     manualeject.Ejections
-	stopMigration chan struct{} // closed to end the drain that migrates connections; nil when there is none
+	stopMigration chan struct{} // closed to end the migration of a manual drain; nil without a drain
 }
 
-// startAdmin serves the admin address until ctx ends. The ejections kept in $TMPDIR by a process that this
-// one replaces hold from the start.
+// startAdmin serves the admin address until ctx ends. Ejections that the process replaced by this one has
+// stored in $TMPDIR are in force from the start.
 func startAdmin(
 	ctx context.Context, address string, fronts []*runningFront, sources []admin.Front,
 	partMetrics []prometheus.Collector, log zerolog.Logger,
 ) (*adminRelay, error) {
 	o := &adminRelay{fronts: fronts, ejectionsDir: filepath.Join(os.TempDir(), ejectionsFolder), log: log}
 	if err := os.MkdirAll(o.ejectionsDir, 0o700); err != nil {
-		return nil, fmt.Errorf("admin: ejections cannot be kept: %w", err)
+		return nil, fmt.Errorf("admin: cannot create the folder for ejections in $TMPDIR: %w", err)
 	}
 	o.reloadEjections()
 	registry, err := newRegistry(sources, partMetrics)
@@ -50,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Before anybody else can change the ejections: from here on they are read under the lock only.
+	// The ejections are read without the lock here, which is safe only until the server accepts calls.
 	log.Info().
 		Str("admin", server.Addr().String()).
 		Strs("out", o.ejections.IDs()).
@@ -58,7 +59,7 @@
 	go func() {
 		if err := server.Serve(); err != nil {
 			log.Error().Err(err).
-				Msg("admin address stopped, clients are served on: restart the relay to have it back")
+				Msg("admin address stopped, clients are still served: restart the relay to restore it")
 		}
 	}()
 	context.AfterFunc(ctx, func() { server.Close() })
@@ -66,7 +67,7 @@
 	return o, nil
 }
 
-// newRegistry registers the metrics of the fronts and of the parts.
+// newRegistry returns a registry with the metrics of the fronts and of the parts.
 func newRegistry(sources []admin.Front, partMetrics []prometheus.Collector) (*prometheus.Registry, error) {
 	registry := prometheus.NewRegistry()
 	for _, collector := range append([]prometheus.Collector{admin.NewCollector(sources...)}, partMetrics...) {
@@ -77,7 +78,7 @@
 	return registry, nil
 }
 
-// Ready tells whether the relay serves, has an endpoint list, and neither drains nor shuts down.
+// Ready reports whether the relay serves, has an endpoint list, and is neither draining nor shutting down.
 func (o *adminRelay) Ready() bool {
 	if !o.serving.Load() {
 		return false
--- a/internal/lifecycle/cells_test.go
+++ b/internal/lifecycle/cells_test.go
@@ -37,7 +37,7 @@
 contacts = ["127.0.1.1:7946"]
 `
 
-// readMembersText reads a members' file of a text.
+// readMembersText writes a text to a members file and reads it.
 func readMembersText(t *testing.T, text string) (*MembersConfig, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "members.toml")
@@ -47,7 +47,7 @@
 	return ReadMembersConfig(path)
 }
 
-// A good plan is read; a file without one has no cell.
+// A valid plan is read; a file without a plan has no cell.
 func TestMembersFileWithAPlanIsRead(t *testing.T) {
 	m, err := readMembersText(t, cellsConfig)
 	if err != nil {
@@ -55,21 +55,21 @@
 	}
 	if m.Cell != "eu-a-1" || *m.BootstrapSlot != 3 || m.Plan.Number != 1 ||
 		len(m.Plan.Cells) != 2 || m.Plan.Cells[1].Relays != 40 {
-		t.Errorf("%+v, %+v", m, m.Plan)
+		t.Errorf("file with a plan: got %+v with plan %+v, want the cells of cellsConfig", m, m.Plan)
 	}
 	if m, err := readMembersText(t, membersConfig); err != nil || m.Plan != nil || m.Cell != "" {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("file without a plan: got %+v, %v, want no plan and no cell", m, err)
 	}
 	flat := strings.NewReplacer(
 		`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `relays = 60`, `relays = 300`,
 		`place = 3`, ``,
 	).Replace(cellsConfig)
 	if m, err := readMembersText(t, flat); err != nil || m.inRegion() || m.BootstrapSlot != nil {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("plan of a flat fleet: got %+v, %v, want no region and no place", m, err)
 	}
 }
 
-// In a cell the plan's contacts stand in for seeds, and the state file is the cell's own.
+// A relay of a cell uses the plan's contacts as its seeds, and a state file of the cell's own.
 func TestRelayOfACellGoesByItsPlan(t *testing.T) {
 	m, err := readMembersText(t, strings.Replace(cellsConfig, `seeds = ["127.0.0.1:7946"]`, ``, 1))
 	if err != nil {
@@ -86,25 +86,25 @@
 	if g.Cell != "eu-a-1" || g.BootstrapSlot != 3 || g.BootstrapSize != 60 ||
 		g.StateFile != "/var/lib/capersail/members.eu-a-1" || g.Timing != membership.CellTiming ||
 		!slices.Equal(g.Seeds, m.Plan.Cells[0].Contacts) || len(g.Zones) != 2 {
-		t.Errorf("%+v", g)
+		t.Errorf("gossip configuration: got %+v, want the values of cell eu-a-1", g)
 	}
 	delete(c.Deployment.Zones, "us-b")
 	_, err = m.gossipConfig(c, zerolog.Nop())
 	if !strings.Contains(errText(err), `plan.cells[1].zone: "us-b"`) {
-		t.Errorf("%v", err)
+		t.Errorf("zone missing in the settings: got error %v, want one on plan.cells[1].zone", err)
 	}
 }
 
-// Each mistake in a plan is one line that names its key.
+// Each problem of a plan is reported on a line of its own that names the key.
 func TestPlanProblemsNameTheirKeys(t *testing.T) {
 	for want, change := range map[string][2]string{
 		`cell: not set, but there is a [plan]`: {`cell = "eu-a-1"`, ``},
-		`cell: "eu-a-2" is none of the plan's`: {
+		`cell: "eu-a-2" is not a cell of the plan`: {
 			`cell = "eu-a-1"`, `cell = "eu-a-2"`,
 		},
-		`place: not set; this relay's number within cell "eu-a-1"`: {`place = 3`, ``},
-		`place: -1 is not from 0 to 10000`:                         {`place = 3`, `place = -1`},
-		`founders: in a cell the plan's relays found it`: {
+		`place: not set; set it to this relay's number within cell "eu-a-1"`: {`place = 3`, ``},
+		`place: -1 is not from 0 to 10000`:                                   {`place = 3`, `place = -1`},
+		`founders: not allowed for a cell`: {
 			`cell = "eu-a-1"`, "cell = \"eu-a-1\"\nfounders = 60",
 		},
 		`plan.number: 0 is not from 1 to`: {`number = 1`, ``},
@@ -124,12 +124,12 @@
 		`plan.cells[1].zone: empty`:                                {`zone = "us-b"`, ``},
 		`plan.cells[1].zone: "eu-a" is in region "eu" and in "us"`: {`zone = "us-b"`, `zone = "eu-a"`},
 		`plan.cells[1].region: empty, but zone is "us-b"`:          {`region = "us"`, ``},
-		`plan.cells[1].region: not set; a plan with a flat fleet in it`: {
+		`plan.cells[1].region: not set, which stands for the flat fleet; a plan`: {
 			"region = \"us\"\nzone = \"us-b\"", ``,
 		},
 		`plan.cells[0].relays: 65 relays in cell "eu-a-1"; from 0 to 64`: {`relays = 60`, `relays = 65`},
 		`plan.cells[0].relays: -1 relays in cell "eu-a-1"`:               {`relays = 60`, `relays = -1`},
-		`plan.cells[0].relays: none, and by plan 1`:                      {`relays = 60`, ``},
+		`plan.cells[0].relays: 0, but in plan 1`:                         {`relays = 60`, ``},
 		`plan.cells[1].contacts: none: no other cell could reach`: {
 			`contacts = ["127.0.1.1:7946"]`, ``,
 		},
@@ -143,13 +143,13 @@
 			found = found || strings.Contains(line, want) && strings.Contains(line, "members.toml: ")
 		}
 		if !found {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("want a line with %q that names the file; got %v", want, err)
 		}
 	}
 	for want, text := range map[string]string{
-		`cell: "eu-a-1" is named, but there is no [plan]`: membersConfig + `cell = "eu-a-1"`,
-		`place: only a relay of a cell has one`:           membersConfig + `place = 1`,
-		`plan.cells: 0 cells; from 1 to 256 can be`:       membersConfig + "cell = \"x\"\n[plan]\nnumber = 2",
+		`cell: "eu-a-1" is set, but there is no [plan]`: membersConfig + `cell = "eu-a-1"`,
+		`place: set, but there is no [plan]`:            membersConfig + `place = 1`,
+		`plan.cells: 0 cells; from 1 to 256 can be`:     membersConfig + "cell = \"x\"\n[plan]\nnumber = 2",
 		`line 7`: membersConfig + "[plan]\nnumber = \"two\"",
 		`plan.cells: no cell has relays`: strings.NewReplacer(
 			"number = 1", "number = 2", "relays = 60", "", "relays = 40", "",
@@ -157,19 +157,19 @@
 		`plan.cells: 257 cells; from 1 to 256 can be`: cellsConfig + strings.Repeat("[[plan.cells]]\n", 255),
 	} {
 		if _, err := readMembersText(t, text); !strings.Contains(errText(err), want) {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("want an error with %q; got %v", want, err)
 		}
 	}
 }
 
-// The file that is shipped can be read, as it stands and with its plan taken in.
+// The shipped members file can be read as it is, and with the commented-out keys of its plan enabled.
 func TestShippedMembersFileIsRead(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/members.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if m, err := readMembersText(t, string(text)); err != nil || m.Plan != nil {
-		t.Errorf("as it stands: %v", err)
+		t.Errorf("shipped file: got error %v or a plan, want neither", err)
 	}
 	const keys = `cell|place|number|home_share|name|region|relays|contacts`
 	setting := regexp.MustCompile(`(?m)^# (` + keys + `|\[+plan.*)( =|$)`)
@@ -177,11 +177,11 @@
 	with = regexp.MustCompile(`(?m)(region = "halls"\n)# zone`).ReplaceAllString(with, "${1}zone")
 	m, err := readMembersText(t, with)
 	if err != nil || m.Plan == nil || len(m.Plan.Cells) != 1 || m.Plan.Cells[0].Zone != "hall-a" {
-		t.Errorf("with its plan: %v", err)
+		t.Errorf("shipped file with its plan: got error %v, want one cell in zone hall-a", err)
 	}
 }
 
-// A zone that the settings do not know is reported with its key.
+// A zone of the plan that the platform's settings do not have is reported with its key.
 func TestUnknownZoneOfAPlanNamesItsKey(t *testing.T) {
 	m, err := readMembersText(t, cellsConfig)
 	if err != nil {
@@ -190,14 +190,14 @@
 	if err := m.checkZones([]string{"eu-a", "us-b"}); err != nil {
 		t.Error(err)
 	}
-	want := `plan.cells[1].zone: "us-b" is none of the settings' zones`
+	want := `plan.cells[1].zone: "us-b" is not a zone of the platform's settings`
 	if err := m.checkZones([]string{"eu-a"}); errText(err) != want {
 		t.Error(err)
 	}
 }
 
-// A reload takes in contacts, a first plan for a flat fleet, and a plan with a higher number; nothing else of
-// the plan.
+// A reload accepts other contacts, a first plan for a flat fleet, and a plan with a higher number, but no
+// other change of the cell or the plan.
 func TestReloadTakesInOnlyWhatCanChange(t *testing.T) {
 	change := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(cellsConfig) }
 	flatPlan := change(`number = 1`, `number = 2`, `region = "eu"`, ``, `zone = "eu-a"`, ``, `place = 3`, ``)
@@ -209,23 +209,23 @@
 			cellsConfig, change("number = 1", "number = 2", "relays = 40", "relays = 20"), "",
 		},
 		"a flat fleet": {membersConfig, flatPlan, ""},
-		"taken out":    {cellsConfig, membersConfig, "plan: it can't be taken out while the relay runs"},
+		"taken out":    {cellsConfig, membersConfig, "plan: it cannot be removed while the relay runs"},
 		"another cell": {
 			cellsConfig, change(`cell = "eu-a-1"`, `cell = "us-b-1"`),
-			"cell: a relay changes its cell by a restart",
+			"cell: a relay changes its cell only by a restart",
 		},
 		"a cell from flat": {membersConfig, cellsConfig, `cell: "eu-a-1" has a region`},
 		"a lower number": {
 			change("number = 1", "number = 2"), cellsConfig,
-			"plan.number: 1 is below 2, which this relay has",
+			"plan.number: 1 is lower than 2, the number of this relay's plan",
 		},
 		"changed, no number": {
 			cellsConfig, change("relays = 40", "relays = 20"),
-			"plan.number: 1 is the number of the plan that this relay has, but",
+			"plan.number: 1 is also the number of this relay's plan, but",
 		},
 		"another home share": {
 			cellsConfig, change("number = 1", "number = 1\nhome_share = 0.8"),
-			"plan.number: 1 is the number of the plan that this relay has, but",
+			"plan.number: 1 is also the number of this relay's plan, but",
 		},
 	} {
 		old, err := readMembersText(t, one.old)
@@ -238,7 +238,7 @@
 		}
 		got := old.checkReload(next)
 		if (got == nil) != (one.want == "") || !strings.HasPrefix(errText(got), one.want) {
-			t.Errorf("%s: %v", what, got)
+			t.Errorf("reload with %s: got error %v, want prefix from the table", what, got)
 		}
 	}
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -14,15 +14,16 @@
 	"capersail/internal/wire/simulator"
 )
 
-// Config is the platform's configuration of a relay.
+// Config is the configuration that the platform gives a relay.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	// Admin is the operators' admin address, "" where it is off: `admin` of the file, or $LB_ADMIN.
+	// Admin is the admin address for operators, from the key `admin` or from $LB_ADMIN; "" turns it off.
 	Admin string
-	// ListenFD is the descriptor of a listening socket that the platform holds for the clients' address and
-	// hands to every process of the relay ($LB_FD), or -1 where the relay binds the address itself.
+	// ListenFD is the descriptor of a listening socket for the clients' address ($LB_FD), which the
+	// platform keeps open and passes to every process of the relay; -1 if the relay binds the address
+	// itself.
 	ListenFD   int
 	Seed       uint64
 	MemoryMB   int // 0 for no limit
@@ -30,11 +31,11 @@
 	CachedList *discovery.EndpointList
 	Deployment *relay.Deployment
 
-	settingsText string // as the file has them, to tell whether a new file changes them
+	settingsText string // JSON of the settings, to detect that a new file changes them
 }
 
-// ReadConfig reads the platform's configuration: the file that LB_CONFIG names, and the variables that stand
-// in for keys it lacks. An error is a *ConfigError.
+// ReadConfig reads the platform's configuration: the file that LB_CONFIG names, and environment variables for
+// keys that are not in the file. The error is a *ConfigError.
 func ReadConfig(getenv func(string) string, log zerolog.Logger) (*Config, error) {
 	object, err := readPlatformFile(getenv("LB_CONFIG"))
 	if err != nil {
@@ -78,7 +79,7 @@
 // readPlatformFile reads the file that LB_CONFIG names.
 func readPlatformFile(path string) (*fastjson.Value, error) {
 	if path == "" {
-		return nil, keyError("LB_CONFIG", "not set; it names the configuration file")
+		return nil, keyError("LB_CONFIG", "not set: set it to the path of the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -89,12 +90,12 @@
 		return nil, keyError("LB_CONFIG", "%s: %w", path, err)
 	}
 	if object.Type() != fastjson.TypeObject {
-		return nil, keyError("LB_CONFIG", "%s: an object is wanted", path)
+		return nil, keyError("LB_CONFIG", "%s: the file is not a JSON object", path)
 	}
 	return object, nil
 }
 
-// checkAddresses finds an address that is no host and port. The admin address may be off.
+// checkAddresses fails for an address that is not host:port. The admin address may be missing.
 func (c *Config) checkAddresses() error {
 	for _, a := range []struct {
 		key, value string
@@ -114,32 +115,32 @@
 	return nil
 }
 
-// readDescriptor reads LB_FD, -1 where it is not set.
+// readDescriptor parses the value of LB_FD, and returns -1 if it is empty.
 func readDescriptor(text string) (int, error) {
 	if text == "" {
 		return -1, nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 0 {
-		return -1, keyError("LB_FD", "%q is not a descriptor", text)
+		return -1, keyError("LB_FD", "%q is not a file descriptor: want an integer from 0 on", text)
 	}
 	return fd, nil
 }
 
-// readSeed reads a hexadecimal number, 0 where there is none.
+// readSeed parses a hexadecimal number, and returns 0 for an empty text.
 func readSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return 0, keyError("seed", "%q is not a hexadecimal number of 64 bits", text)
+		return 0, keyError("seed", "%q is not a hexadecimal number of at most 64 bits", text)
 	}
 	return seed, nil
 }
 
-// checkLimits finds a limit that is no number from 0 on, and one on descriptors that is too low to serve
-// with.
+// checkLimits fails for a limit that is not a number from 0 on, and for a limit on descriptors that is too
+// low to serve clients.
 func (c *Config) checkLimits(object *fastjson.Value) error {
 	for _, key := range []string{"cores", "memory_mb", "sockets"} {
 		limit := object.Get("limits", key)
@@ -152,17 +153,17 @@
 		minimum += adminSockets
 	}
 	if c.Sockets > 0 && c.Sockets < minimum {
-		return keyError("limits.sockets", "%d are too few: %d at least are wanted", c.Sockets, minimum)
+		return keyError("limits.sockets", "%d are too few: at least %d are needed", c.Sockets, minimum)
 	}
 	return nil
 }
 
 var (
-	errNotObject = errors.New("an object is wanted")
-	errNoClasses = errors.New("at least one class is wanted")
+	errNotObject = errors.New("missing or not a JSON object")
+	errNoClasses = errors.New("at least one class is needed")
 )
 
-// readSettings turns the settings into the deployment.
+// readSettings decodes the settings into the deployment.
 func (c *Config) readSettings(settings *fastjson.Value) error {
 	if settings == nil || settings.Type() != fastjson.TypeObject {
 		return &ConfigError{Key: "settings", Err: errNotObject}
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// readCachedList reads the endpoint list that the platform held last; an empty one where there is none.
+// readCachedList decodes the last endpoint list that the platform knew. It returns an empty list if there is
+// none.
 func readCachedList(known *fastjson.Value, log zerolog.Logger) (*discovery.EndpointList, error) {
 	if known == nil {
 		return &discovery.EndpointList{}, nil
--- a/internal/lifecycle/config_errors.go
+++ b/internal/lifecycle/config_errors.go
@@ -7,14 +7,14 @@
 	"github.com/BurntSushi/toml"
 )
 
-// ConfigError is a key of a configuration file, or a variable of the environment, whose value cannot be used.
+// ConfigError is an error in the value of a key of a configuration file or of an environment variable.
 type ConfigError struct {
-	File string // "" where the text has no file: the platform's configuration is named by the key
+	File string // "" for the platform's configuration, where the key is enough
 	Key  string
 	Err  error
 }
 
-// Error is the file, the key and the cause on one line.
+// Error returns the file, the key and the cause on one line.
 func (e *ConfigError) Error() string {
 	text := e.Key + ": " + e.Err.Error()
 	if e.File != "" {
@@ -23,26 +23,26 @@
 	return text
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// keyError says what is wrong with a key's value. The format may wrap an error.
+// keyError returns the error of a key of the platform's configuration. The format may wrap an error.
 func keyError(key, format string, args ...any) *ConfigError {
 	return &ConfigError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// errUnknownKey is a key that a file has and nobody reads: a misspelt one, mostly.
+// errUnknownKey is the error of a key that the program does not know, which is misspelt in most cases.
 var errUnknownKey = errors.New("unknown key")
 
-// configProblems are the problems of an operator's file, each with its key, in the order in which they were
-// found.
+// configProblems collects the problems of an operator's file in the order in which they are found, each as a
+// *ConfigError.
 type configProblems struct {
 	file string
 	all  []error
 }
 
-// decodeFile reads an operator's file. Keys that it does not know are problems; only what is no TOML is an
-// error.
+// decodeFile decodes an operator's file. Unknown keys are added to the problems; the error is for a file that
+// cannot be read or decoded.
 func decodeFile(path string, into any) (*configProblems, error) {
 	meta, err := toml.DecodeFile(path, into)
 	if err != nil {
@@ -55,24 +55,24 @@
 	return p, nil
 }
 
-// add notes a problem with a key; nil for none.
+// add adds a problem with a key, unless err is nil.
 func (p *configProblems) add(key string, err error) {
 	if err != nil {
 		p.all = append(p.all, &ConfigError{File: p.file, Key: key, Err: err})
 	}
 }
 
-// addIf notes a problem with a key, if there is one.
+// addIf adds a problem with a key if wrong is true.
 func (p *configProblems) addIf(wrong bool, key, format string, args ...any) {
 	if wrong {
 		p.add(key, fmt.Errorf(format, args...))
 	}
 }
 
-// err has every problem, a line each; nil if there is none.
+// err returns all problems joined, one per line, or nil if there are none.
 func (p *configProblems) err() error { return errors.Join(p.all...) }
 
-// first is the problem that was found first, nil if there is none.
+// first returns the problem that was found first, or nil if there are none.
 func (p *configProblems) first() error {
 	if len(p.all) == 0 {
 		return nil
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -1,13 +1,15 @@
-// Package lifecycle reads the configuration, starts the parts of a relay, follows signals, and shuts it down.
+// Package lifecycle reads the configuration of a relay, starts the relay's subsystems, handles signals, and
+// shuts the relay down.
 //
-// It owns the files' settings and their checks (a [ConfigError] names file and key), the order in which
-// fronts and parts start and end, the graceful shutdown, and what the operators' admin address can do: a
-// manual drain and manual ejections. The command package calls [Run]; the commands that check files call the
-// Read functions.
+// It is responsible for the configuration files and their checks (a [ConfigError] names the file and the
+// key), the order in which fronts and parts start and stop, the graceful shutdown, and the operations of
+// the admin address: a manual drain and manual ejections. Package command calls [Run]; its commands that
+// check files call the Read functions.
 //
-// Everything beside the fronts is a part (part.go): its settings and their check, then join, start, reload,
-// leave, stop. Nobody but [Run] starts or ends one.
+// A front accepts the connections of clients of one protocol. Every optional subsystem next to the fronts
+// is a part (part.go), with settings, a check of these, and the methods join, start, reload, leave and
+// stop. Only [Run] starts and stops parts.
 //
-// It never decides where a request goes: that is the decision module's, whose event loop each front has for
-// itself.
+// The package never chooses a server for a request. That is the task of the decision module; each front runs
+// one in an event loop of its own.
 package lifecycle
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// migrationDelay is how long a manual drain keeps its connections before it migrates them: new
-	// connections come for 0.2 s after the first PING that is answered as not ready, and are migrated at
-	// once.
+	// migrationDelay is the time from the start of a manual drain to its first migration. New connections
+	// still arrive until 0.2 s after the first PING that is answered as not ready; they are migrated as
+	// soon as they are established.
 	migrationDelay = 300 * time.Millisecond
-	// migrationDeadline is when the last of them is migrated; at 4 s a connection still open breaks the rule
-	// on lost ones.
+	// migrationDeadline is the time from the start of a manual drain to its last migration. A connection
+	// that is still open at 4 s counts as lost.
 	migrationDeadline = 2500 * time.Millisecond
 )
 
-// Drain starts or ends a manual drain. Calling it twice the same way does nothing more.
+// Drain starts or ends a manual drain. It has no effect if the drain has been started or ended already.
 func (o *adminRelay) Drain(on bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -32,8 +32,8 @@
 	}
 }
 
-// migrateConnections migrates every open connection of a drain, evenly from migrationDelay to
-// migrationDeadline, unless the drain ends first.
+// migrateConnections migrates all open connections, spread evenly between migrationDelay and
+// migrationDeadline. It returns early if stop is closed, because the drain has ended.
 func (o *adminRelay) migrateConnections(stop <-chan struct{}) {
 	if len(o.fronts) == 0 {
 		return
@@ -56,12 +56,13 @@
 			left += front.requests.MigrateClients(surplus)
 		}
 		if since >= migrationDeadline && left == 0 {
-			return // what comes up from now on is migrated at once
+			return // a request established from now on is migrated at once
 		}
 	}
 }
 
-// keptDuringDrain is how many of all connections a manual drain still keeps, by the time since its begin.
+// keptDuringDrain returns how many of all connections are not to be migrated yet, by the time since the start
+// of a manual drain.
 func keptDuringDrain(all int, since time.Duration) int {
 	return fractionOf(all, float64(migrationDeadline-since)/float64(migrationDeadline-migrationDelay))
 }
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -15,17 +15,16 @@
 )
 
 const (
-	// ejectionPollInterval is how often the ejections that another process of the relay may have changed are
-	// read. An ejection must be in force 500 ms after its call is answered: this leaves four readings
-	// and the time for the decision module to act.
+	// ejectionPollInterval is the interval at which the stored ejections are read, as another process of the
+	// relay may have changed them. An ejection has to be in force 500 ms after its call is answered: the
+	// interval allows for four reads and the time that the decision module needs.
 	ejectionPollInterval = 100 * time.Millisecond
-	// ejectionsFolder is where ejections are kept in $TMPDIR, which the processes of one relay share in an
-	// upgrade.
+	// ejectionsFolder is the folder below $TMPDIR in which ejections are stored. The processes of one relay
+	// share $TMPDIR during an upgrade.
 	ejectionsFolder = "capersail-bans"
 )
 
-// Eject ejects a server manually. The ejection is stored, and the decision module notified, before it
-// returns.
+// Eject ejects a server manually. It stores the ejection and notifies the decision module before it returns.
 func (o *adminRelay) Eject(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -35,13 +34,14 @@
 	}
 	if err := os.WriteFile(o.ejectionFile(id), nil, 0o600); err != nil {
 		o.ejections.Readmit(id, true)
-		return fmt.Errorf("ejection cannot be kept: %w", err)
+		return fmt.Errorf("ejection not stored: %w", err)
 	}
 	o.applyEjections()
 	return nil
 }
 
-// Readmit readmits a server that was ejected manually.
+// Readmit ends the manual ejection of a server. It removes the stored ejection and notifies the decision
+// module before it returns.
 func (o *adminRelay) Readmit(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -56,21 +56,21 @@
 		Msg("manual ejection ended, server readmitted")
 	if err := os.Remove(o.ejectionFile(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		o.ejections.Eject(o.now(), id, true)
-		return fmt.Errorf("ejection cannot be ended: %w", err)
+		return fmt.Errorf("ejection not ended, its file cannot be removed: %w", err)
 	}
 	o.applyEjections()
 	return nil
 }
 
-// ejectionFile is where a server's ejection is kept.
+// ejectionFile returns the path of the file that stores a server's ejection.
 func (o *adminRelay) ejectionFile(id string) string {
 	return filepath.Join(o.ejectionsDir, manualeject.FileName(id))
 }
 
-// now is the instant on the relay's clock.
+// now returns the time on the clock of the first front.
 func (o *adminRelay) now() time.Duration { return o.fronts[0].requests.Clock.Now() }
 
-// knowsServer tells whether any front has ever had the server in its endpoint list. The caller holds the
+// knowsServer reports whether any front has ever had the server in its endpoint list. The caller holds the
 // lock.
 func (o *adminRelay) knowsServer(id string) bool {
 	for _, front := range o.fronts {
@@ -81,7 +81,7 @@
 	return false
 }
 
-// applyEjections hands the ejections to every front. The caller holds the lock.
+// applyEjections passes the ejections to every front. The caller holds the lock.
 func (o *adminRelay) applyEjections() {
 	ejected := o.ejections.IDSet()
 	for _, front := range o.fronts {
@@ -89,8 +89,8 @@
 	}
 }
 
-// followEjections reads the kept ejections every ejectionPollInterval until ctx ends: another process of the
-// relay may have changed them.
+// followEjections reads the stored ejections every ejectionPollInterval until ctx ends, as another process of
+// the relay may have changed them.
 func (o *adminRelay) followEjections(ctx context.Context) {
 	clock := o.fronts[0].requests.Clock
 	for {
@@ -103,15 +103,16 @@
 	}
 }
 
-// reloadEjections reads the stored ejections, and hands them to the fronts if they have changed.
+// reloadEjections reads the stored ejections, and passes them to the fronts if they have changed.
 func (o *adminRelay) reloadEjections() {
-	// Before the folder is read: an ejection of this process's own must not be undone by an older reading.
+	// The lock is taken before the folder is read. Otherwise an ejection that this process stores meanwhile
+	// would be undone by the older content.
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	entries, err := os.ReadDir(o.ejectionsDir)
 	if err != nil {
 		o.log.Error().Err(err).
-			Msg("manual ejections cannot be read, those known stay in force: mend the folder in $TMPDIR")
+			Msg("manual ejections not read, known ones stay: make capersail-bans in $TMPDIR readable")
 		return
 	}
 	var ids []string
--- a/internal/lifecycle/front.go
+++ b/internal/lifecycle/front.go
@@ -10,25 +10,28 @@
 	"capersail/internal/wire/connlimit"
 )
 
-// Descriptors: what the platform's limit allows is shared out among these and the clients with their
-// connections to servers.
+// The platform limits the descriptors of the process. These numbers are subtracted from the limit; the rest
+// is for clients and their connections to servers.
 const (
-	// reservedSockets serve no client: the runtime's, the log's, discovery's, two addresses of it.
+	// reservedSockets are the descriptors that serve no client: those of the runtime, of the log, and of the
+	// connections to discovery, at up to two addresses.
 	reservedSockets = 16
-	// probeSockets are connections kept for probes; a deployment with more servers dials for some probes.
+	// probeSockets are connections that are kept open for probes. With more servers than this, some probes
+	// open a connection of their own.
 	probeSockets = 16
-	// minSockets is what a configuration has to allow, and adminSockets more with an admin address.
+	// minSockets is the lowest limit that a configuration may set; with an admin address it is higher by
+	// adminSockets.
 	minSockets = 64
-	// unlimitedSockets is the number of descriptors where no limit is set.
+	// unlimitedSockets is the number of descriptors for clients if no limit is set.
 	unlimitedSockets = 1 << 20
 )
 
-// rejectionLogBurst bounds the log lines a second of what the guard rejects.
+// rejectionLogBurst is the maximum number of log lines per second about rejections by the guard.
 const rejectionLogBurst = 20
 
-// applyRuntimeLimits fits the runtime into the machine: one core, and a heap that stays under the memory
-// limit, which the kernel enforces by killing the relay. nil leaves the runtime alone: the operator's machine
-// is not the platform's.
+// applyRuntimeLimits restricts the Go runtime to the platform's limits: one core, and a heap that stays
+// below the memory limit, because the kernel kills a relay that exceeds it. Without a platform's
+// configuration (nil) the relay runs on an operator's machine, and the runtime keeps its defaults.
 func applyRuntimeLimits(c *Config) {
 	if c == nil {
 		return
@@ -40,16 +43,16 @@
 	}
 }
 
-// runningFront is one front with its event loop.
+// runningFront is a front that serves clients, with its event loop.
 type runningFront struct {
 	requests *relay.RequestTable
 	listener net.Listener
-	// inherited: the listening socket is the platform's, and lives on in the process that follows this one.
+	// inherited is true if the listening socket belongs to the platform; it stays open in the next process.
 	inherited       bool
 	limiter         *connlimit.Limiter
-	serveErr        chan error    // has the error that ended the listener
-	longestDeadline time.Duration // of its classes
-	// reload reads the front's file again and takes it in. Nothing has changed if it fails.
+	serveErr        chan error    // receives the error that ended the listener
+	longestDeadline time.Duration // the longest of its classes
+	// reload reads the front's file again and applies it. If it fails, nothing has changed.
 	reload func() error
 }
 
@@ -60,8 +63,8 @@
 	return longest
 }
 
-// connectionCapacity is how many descriptors clients, and their connections to servers, may have; the admin
-// address, where it is on, holds some of the rest.
+// connectionCapacity returns how many descriptors are left for clients and their connections to servers,
+// given the limit of the process (0 for none). The admin address, if it is on, uses some of the others.
 func connectionCapacity(sockets int, adminOn bool) int {
 	if sockets == 0 {
 		return unlimitedSockets
@@ -73,7 +76,7 @@
 	return capacity
 }
 
-// classNames are the names of the classes, by number.
+// classNames returns the names of the classes, by class number.
 func classNames(deployment *relay.Deployment) []string {
 	names := make([]string, len(deployment.Settings.Classes))
 	for name, class := range deployment.Classes {
--- a/internal/lifecycle/members_config.go
+++ b/internal/lifecycle/members_config.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// MembersConfig is the operator's file for relays that know each other; deploy/members.toml says what each
-// key means.
+// MembersConfig is the operator's file for relays that are members of a fleet. The keys are described in
+// deploy/members.toml.
 type MembersConfig struct {
 	Site          string   `toml:"site"`
 	Bind          string   `toml:"bind"`
@@ -26,14 +26,14 @@
 }
 
 const (
-	// maxBootstrapSize bounds the slots of a fleet; so many relays are far beyond what gossip is made for.
+	// maxBootstrapSize bounds the number of bootstrap slots. Gossip is designed for far fewer relays.
 	maxBootstrapSize = 10_000
 	maxSiteBytes     = 100
 	maxSocketPath    = 100 // bytes
 )
 
-// ReadMembersConfig reads the file and the keys that it names. The error joins a *ConfigError for each
-// problem.
+// ReadMembersConfig reads and checks the file and the key file that it names. The error joins a *ConfigError
+// for each problem.
 func ReadMembersConfig(path string) (*MembersConfig, error) {
 	m := &MembersConfig{ShareProbes: true}
 	problems, err := decodeFile(path, m)
@@ -41,12 +41,12 @@
 		return nil, err
 	}
 	problems.addIf(m.Site == "" || len(m.Site) > maxSiteBytes, "site",
-		"from 1 to %d bytes; relays of other sites are never merged with", maxSiteBytes)
+		"from 1 to %d bytes are needed; relays of different sites never form one fleet", maxSiteBytes)
 	m.checkAddresses(problems)
-	problems.addIf(!filepath.IsAbs(m.StateFile), "state", "%q is not a path from / on", m.StateFile)
+	problems.addIf(!filepath.IsAbs(m.StateFile), "state", "%q is not an absolute path", m.StateFile)
 	checkSocket(problems, m.ControlSocket)
 	problems.addIf(m.BootstrapSize < 0 || m.BootstrapSize > maxBootstrapSize, "founders",
-		"from 1 to %d, or 0 for the settings' number", maxBootstrapSize)
+		"want 1 to %d, or 0 for the number of relays in the settings", maxBootstrapSize)
 	if m.KeysFile != "" {
 		var err error
 		m.keys, err = readGossipKeys(m.KeysFile)
@@ -56,22 +56,22 @@
 	return m, problems.err()
 }
 
-// checkAddresses finds what is wrong with the addresses of this relay and of the seeds.
+// checkAddresses adds the problems of the addresses of this relay and of the seeds.
 func (m *MembersConfig) checkAddresses(problems *configProblems) {
 	host, err := checkAddress(m.Bind)
 	problems.add("bind", err)
 	if err == nil {
 		ip := net.ParseIP(host)
 		problems.addIf(m.KeysFile == "" && !ip.IsLoopback(), "bind",
-			"%s is not a loopback address, and without keys no other is allowed", host)
+			"%s is not a loopback address; any other address needs the setting keys", host)
 		problems.addIf(ip.IsUnspecified() && m.Advertise == "", "tell",
-			"has to be set where bind is no one address that others can reach")
+			"has to be set, as other relays cannot reach the address of bind")
 	}
 	if m.Advertise != "" {
 		_, err := checkAddress(m.Advertise)
 		problems.add("tell", err)
 	}
-	problems.addIf(len(m.Seeds) == 0 && !m.inRegion(), "seeds", "at least one is wanted")
+	problems.addIf(len(m.Seeds) == 0 && !m.inRegion(), "seeds", "at least one is needed")
 	for i, seed := range m.Seeds {
 		if _, err := checkAddress(seed); err != nil {
 			problems.add("seeds", fmt.Errorf("entry %d: %w", i+1, err))
@@ -79,15 +79,15 @@
 	}
 }
 
-// checkSocket finds what is wrong with the path of a control socket; "" is none.
+// checkSocket adds the problems of the path of a control socket; "" turns the socket off.
 func checkSocket(problems *configProblems, path string) {
-	problems.addIf(path != "" && !filepath.IsAbs(path), "socket", "%q is not a path from / on", path)
+	problems.addIf(path != "" && !filepath.IsAbs(path), "socket", "%q is not an absolute path", path)
 	problems.addIf(len(path) > maxSocketPath, "socket",
-		"over %d bytes; the kernel takes no more", maxSocketPath)
+		"longer than %d bytes, the limit for the path of a unix socket", maxSocketPath)
 }
 
-// checkAddress checks host:port, the host an IP address: there is no name lookup in the way of a relay that
-// starts.
+// checkAddress checks an address of the form host:port. The host has to be an IP address, so that the start
+// of a relay does not depend on name resolution.
 func checkAddress(address string) (host string, err error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -102,7 +102,8 @@
 	return host, nil
 }
 
-// restartOnlySettings is what of the file a reload does not take in.
+// restartOnlySettings returns the values of the settings that change only by a restart, as one text to
+// compare.
 func (m *MembersConfig) restartOnlySettings() string {
 	return fmt.Sprint(
 		m.Site, m.Bind, m.Advertise, m.Seeds, m.StateFile, m.ControlSocket,
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -16,7 +16,7 @@
 	"capersail/internal/wire/gossip"
 )
 
-// membersPart is relays that know each other. It joins the platform's front only.
+// membersPart makes the relay a member of a fleet. It joins only the platform's front.
 type membersPart struct {
 	path     string
 	platform *Config
@@ -25,15 +25,15 @@
 	log      zerolog.Logger
 
 	node          *gossip.Node
-	sharedProbing *relay.SharedProbing // nil where each relay probes servers for itself
+	sharedProbing *relay.SharedProbing // nil if each relay probes servers for itself
 	joinErr       error
 	control       *control.Server    // nil without a socket
-	cancel        context.CancelFunc // ends the node; nil before start
+	cancel        context.CancelFunc // stops the node; nil before start
 }
 
 func newMembersPart(path string, platform *Config, log zerolog.Logger) (part, error) {
 	if platform == nil {
-		return nil, errNeedsPlatform(path, "relays of the platform's front know each other")
+		return nil, errNeedsPlatform(path, "a relay with the platform's front can be a member")
 	}
 	config, err := ReadMembersConfig(path)
 	if err != nil {
@@ -80,10 +80,10 @@
 	}
 }
 
-// reportQuarantine says that a member's readings are left out.
+// reportQuarantine logs that the readings of a member are ignored, and notifies the parts that listen.
 func (p *membersPart) reportQuarantine(front *frontHooks, name string) {
 	p.log.Warn().Str("member", name).
-		Msg("member quarantined, its load reports are left out for 30 s: " +
+		Msg("member quarantined, its load reports are ignored for 30 s: " +
 			"check its clock, network and version")
 	front.notifyChange(membership.StateChanged{
 		Kind:  membership.ChangePeer,
@@ -93,7 +93,7 @@
 	})
 }
 
-// lifecycleState is what a relay says of itself to the others.
+// lifecycleState returns the state of this relay that it announces to the other members.
 func (s *frontHooks) lifecycleState() membership.Lifecycle {
 	switch {
 	case s.requests.ShuttingDown():
@@ -106,7 +106,7 @@
 	return membership.LifecycleServing
 }
 
-// start runs the node in a context of its own: it is there until the fronts have left.
+// start runs the node in a context of its own, because the node has to run until the fronts have shut down.
 func (p *membersPart) start(context.Context) error {
 	if p.joinErr != nil {
 		return p.joinErr
@@ -143,14 +143,14 @@
 	return func() { p.apply(next) }, nil
 }
 
-var errEncryptionFixed = errors.New("sealing cannot be switched on or off while the relay runs")
+var errEncryptionFixed = errors.New("gossip encryption is switched on or off only by a restart of the relay")
 
-// apply takes a checked file in.
+// apply applies a file that has been checked.
 func (p *membersPart) apply(next *MembersConfig) {
 	if len(next.keys) > 0 {
 		if err := p.node.SetKeys(next.keys); err != nil {
 			p.log.Error().Err(err).
-				Msg("gossip keys not rotated, the old ones stay in force: mend the file, send SIGHUP")
+				Msg("gossip keys not rotated, old keys stay in force: correct the key file, send SIGHUP")
 		}
 	}
 	if next.Plan != nil {
@@ -176,7 +176,8 @@
 	}
 }
 
-// gossipConfig is what the file and the settings make of a relay. An error is a *ConfigError without a file.
+// gossipConfig returns the configuration of gossip by the file and the platform's settings. The error is a
+// *ConfigError without a file.
 func (m *MembersConfig) gossipConfig(platform *Config, log zerolog.Logger) (gossip.Config, error) {
 	settings := platform.Deployment.Settings
 	relays := max(settings.Relays, 1)
@@ -210,12 +211,12 @@
 	}
 	if !gossip.ValidRelayName(c.Name) {
 		return c, keyError("name",
-			"%q of the platform's file cannot be a member's: 1 to 128 bytes that print are wanted", c.Name)
+			"%q in the platform's file is not a valid member name: want 1 to 128 printable bytes", c.Name)
 	}
 	return c, nil
 }
 
-// zoneName is the name of the relay's own zone by the settings, "" if they give none.
+// zoneName returns the name of the relay's own zone in the platform's settings, or "" if they have none.
 func zoneName(platform *Config) (own string) {
 	for name, zone := range platform.Deployment.Zones {
 		if zone == platform.Deployment.Settings.Zone {
--- a/internal/lifecycle/members_test.go
+++ b/internal/lifecycle/members_test.go
@@ -15,7 +15,7 @@
 state = "/var/lib/capersail/members"
 `
 
-// Each mistake in the file of members is one line that names its key, and all of them are found at once.
+// All problems of a members file are reported at once, each on a line of its own that names the key.
 func TestMembersFileProblemsNameTheirKeys(t *testing.T) {
 	dir := t.TempDir()
 	keys := func(text string, mode os.FileMode) string {
@@ -34,12 +34,12 @@
 		return ReadMembersConfig(path)
 	}
 	if m, err := read(membersConfig); err != nil || m.Site != "casa" {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("valid file: got %+v, %v, want site casa and no error", m, err)
 	}
 	one, two := "AAAAAAAAAAAAAAAAAAAAAA==", "AQAAAAAAAAAAAAAAAAAAAA=="
 	withKeys := membersConfig + `keys = "` + keys("# seals\n"+one+"\n\n"+two+"\n", 0o600) + `"`
 	if m, err := read(withKeys); err != nil || len(m.keys) != 2 {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("file with keys: got %+v, %v, want two keys and no error", m, err)
 	}
 	for want, change := range map[string][2]string{
 		"site: from 1 to 100 bytes":                 {`site = "casa"`, ``},
@@ -50,11 +50,11 @@
 		`tell: address here: missing port`:          {`site`, "tell = \"here\"\nsite"},
 		"seeds: at least one":                       {`seeds = ["127.0.0.1:7946"]`, ``},
 		"seeds: entry 2: ":                          {`seeds = [`, `seeds = ["127.0.0.1:1", "x",`},
-		`state: "members" is not a path`:            {`"/var/lib/capersail/members"`, `"members"`},
-		"socket: over 100 bytes": {
+		`state: "members" is not an absolute path`:  {`"/var/lib/capersail/members"`, `"members"`},
+		"socket: longer than 100 bytes": {
 			`site`, `socket = "/` + strings.Repeat("x", 101) + "\"\nsite",
 		},
-		"founders: from 1 to 10000":         {`site`, "founders = -1\nsite"},
+		"founders: want 1 to 10000":         {`site`, "founders = -1\nsite"},
 		"sead: unknown key":                 {`site`, "sead = 1\nsite"},
 		"no such file":                      {`site`, "keys = \"/nowhere\"\nsite"},
 		"mode 0644 lets others at the keys": {`site`, `keys = "` + keys(one, 0o644) + "\"\nsite"},
@@ -65,27 +65,27 @@
 			found = found || strings.Contains(line, want) && strings.Contains(line, "members.toml: ")
 		}
 		if !found {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("want a line with %q that names the file; got %v", want, err)
 		}
 	}
 	for want, text := range map[string]string{
 		"line 2: not base64":             one + "\n???\n",
-		"line 1: 3 bytes":                "AAAA\n",
-		"line 2: the key is there twice": one + "\n" + one,
-		"no key":                         "# none\n",
+		"line 1: the key has 3 bytes":    "AAAA\n",
+		"line 2: the key is a duplicate": one + "\n" + one,
+		"the file has no key":            "# none\n",
 	} {
 		_, err := readGossipKeys(keys(text, 0o600))
 		if !strings.Contains(errText(err), want) || strings.Contains(errText(err), one) {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("want an error with %q and without the key; got %v", want, err)
 		}
 	}
 	_, err := read("founders = -1\nsite = \"\"\nbind = \"x\"\n")
 	if strings.Count(errText(err), "\n") != 4 {
-		t.Errorf("not all mistakes at once: %v", err)
+		t.Errorf("file with several problems: got %v, want each of them on a line", err)
 	}
 	var problem *ConfigError
 	if !errors.As(err, &problem) || problem.Key != "site" || filepath.Base(problem.File) != "members.toml" {
-		t.Errorf("the first problem is no ConfigError with its file and key: %+v", problem)
+		t.Errorf("first problem: got %+v, want a ConfigError with file members.toml and key site", problem)
 	}
 }
 
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -13,29 +13,30 @@
 	"capersail/internal/wire/platform"
 )
 
-// part is a subsystem beside the fronts, with an operator's file of its own. Its settings are read and
-// checked before there is a part at all (readParts). The methods are called in the order in which they stand,
-// each once; reload any number of times between start and leave.
+// part is an optional subsystem next to the fronts, with an operator's file of its own. The file is read and
+// checked before the part is created (readParts). The methods are called in the order in which they are
+// declared, each once, except that reload may be called any number of times between start and leave.
 type part interface {
-	// name is for the log and for errors.
+	// name returns the name of the part in logs and errors.
 	name() string
-	// join adds the part to a front, before that serves.
+	// join connects the part to a front, before the front serves. It is called once for each front.
 	join(front *frontHooks)
-	// start begins the part's work, once all fronts are joined. What it starts ends in stop, whatever becomes
-	// of ctx.
+	// start starts the part, after it has joined all fronts. What it starts runs until stop, even if ctx ends
+	// earlier.
 	start(ctx context.Context) error
-	// metrics are shown on the admin address, where that is on.
+	// metrics returns the collectors for the admin address. It is called only if that address is on.
 	metrics() []prometheus.Collector
-	// reload reads the file again and checks it. Nothing has changed before apply is called, or if it fails;
-	// a nil apply stands for a part that cannot change while the relay runs.
+	// reload reads the file again and checks it. The part changes only when apply is called. A nil apply
+	// means that the part cannot change while the relay runs.
 	reload() (apply func(), err error)
-	// leave follows the shutdown of the fronts.
+	// leave is called after the fronts have shut down.
 	leave()
-	// stop ends the part, at the very end; also one that was never started.
+	// stop stops the part, just before the process ends. It is also called if the part was never started.
 	stop()
 }
 
-// partDefaults is what a part has in common that only joins and starts, to be embedded.
+// partDefaults implements the methods that a part may leave empty. A part that does not need all of them
+// embeds it.
 type partDefaults struct{}
 
 func (partDefaults) metrics() []prometheus.Collector { return nil }
@@ -43,35 +44,37 @@
 func (partDefaults) leave()                          {}
 func (partDefaults) stop()                           {}
 
-// errNeedsPlatform is a part's file without the platform's front, which alone does such a thing.
+// errNeedsPlatform returns the error for the file of a part that needs the platform's front, if that front is
+// off. The text only ends the sentence with what needs the platform's front.
 func errNeedsPlatform(path, only string) error {
 	return fmt.Errorf("%s: LB_CONFIG is not set: only %s", path, only)
 }
 
-// frontHooks is a front as a part may join it.
+// frontHooks is the access that a part has to a front when it joins the front.
 type frontHooks struct {
 	frontName       string
-	relayName       string // the relay's name
+	relayName       string // the name of the relay
 	requests        *relay.RequestTable
 	clock           *relay.Clock
 	platform        *platform.Frontend      // nil for other fronts
 	discovery       *discovery.Client       // nil for other fronts
-	fleet           relay.FleetStatusSource // a part's to set; nil where relays do not know each other
-	sharedProbing   *relay.SharedProbing    // the same; nil where each probes servers for itself
+	fleet           relay.FleetStatusSource // set by a part; nil if the relay is not a member of a fleet
+	sharedProbing   *relay.SharedProbing    // set by a part; nil if each relay probes for itself
 	changeListeners []func(membership.StateChanged)
 }
 
-// notifyChange hands a change in the fleet to the parts that listen.
+// notifyChange passes a change in the fleet to the parts that have added a listener.
 func (s *frontHooks) notifyChange(change membership.StateChanged) {
 	for _, listen := range s.changeListeners {
 		listen(change)
 	}
 }
 
-// partList is the parts that are on.
+// partList is the list of the parts that are on.
 type partList []part
 
-// readParts reads the files of all parts that are on. It is the one place where the parts are listed.
+// readParts reads the files of all parts that are on, and returns the parts. It is the only place that
+// lists all kinds of parts.
 func readParts(sources Sources, c *Config, log zerolog.Logger) (all partList, err error) {
 	for _, kind := range []struct {
 		file string
@@ -99,7 +102,7 @@
 	}
 }
 
-// start starts the parts in their order, up to the first that fails.
+// start starts the parts in order, and stops at the first that fails.
 func (all partList) start(ctx context.Context) error {
 	for _, p := range all {
 		if err := p.start(ctx); err != nil {
@@ -116,7 +119,7 @@
 	return out
 }
 
-// reload has each part take its file in; a file that cannot be used changes nothing for its part.
+// reload has each part read its file again and apply it. A part whose file is rejected stays unchanged.
 func (all partList) reload(log zerolog.Logger) {
 	for _, p := range all {
 		apply, err := p.reload()
--- a/internal/lifecycle/platform.go
+++ b/internal/lifecycle/platform.go
@@ -13,13 +13,13 @@
 	"capersail/internal/wire/platform"
 )
 
-// startPlatform starts the platform's front with an event loop and a client of discovery of its own, which
-// end with ctx.
+// startPlatform starts the platform's front, with its own event loop and discovery client, which stop when
+// ctx ends.
 func startPlatform(
 	ctx context.Context, sources Sources, c *Config, parts partList, log zerolog.Logger,
 ) (*runningFront, error) {
-	// The simulator's note of slow messages has no line on the sockets: the decision module is to know that a
-	// load report is all it will get.
+	// The simulator reports slow messages, but the platform's protocol has no line for them. The setting
+	// tells the decision module that it gets load reports only.
 	c.Deployment.Settings.ReportsMessageDelay = false
 	settings := c.Deployment.Settings
 	clock := relay.NewClock()
@@ -43,7 +43,7 @@
 	parts.join(hooks)
 	startEndpointLease(requests, c)
 	if inherited && !endpoints.Pushed {
-		endpoints.Watch() // in an upgrade this relay starts alone: it need not wait for its phase offset
+		endpoints.Watch() // in an upgrade only this relay starts: no phase offset is needed
 	}
 	go endpoints.Run(ctx, c.CachedList.Version)
 	loop := relay.NewEventLoop(requests, c.Seed, endpoints, log)
@@ -63,7 +63,7 @@
 	return r, nil
 }
 
-// logServing logs that the platform's front serves.
+// logServing logs that the platform's front accepts connections.
 func logServing(c *Config, r *runningFront, log zerolog.Logger) {
 	log.Info().
 		Str("name", c.Name).
@@ -73,7 +73,7 @@
 		Msg("serving")
 }
 
-// newPlatformRequests makes the request table with the side that opens connections to servers.
+// newPlatformRequests returns the request table of the platform's front, with the dialer for its servers.
 func newPlatformRequests(c *Config, clock *relay.Clock, log zerolog.Logger) *relay.RequestTable {
 	servers := &platform.ServerDialer{
 		Clock:             clock,
@@ -86,7 +86,7 @@
 	return requests
 }
 
-// startEndpointLease begins the lease of the endpoint list, and takes in the list held last.
+// startEndpointLease starts the lease of the endpoint list, and loads the cached list.
 func startEndpointLease(requests *relay.RequestTable, c *Config) {
 	pollWithin := time.Duration(0)
 	if c.Deployment.Settings.MustSubscribe {
@@ -96,8 +96,8 @@
 	requests.UpdateEndpoints(decide.CachedSnapshot, c.CachedList.Endpoints)
 }
 
-// reloadPlatform takes in what of the file can change while the relay runs: discovery's address and the
-// limits.
+// reloadPlatform reads the file again and applies the values that can change while the relay runs: the
+// address of discovery and the limits.
 func reloadPlatform(
 	sources Sources, c *Config, endpoints *discovery.Client, limiter *connlimit.Limiter, log zerolog.Logger,
 ) error {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// needsRestart tells whether a file has values that a reload does not take in.
+// needsRestart reports whether a new configuration changes values that need a restart.
 func (c *Config) needsRestart(next *Config) bool {
 	return next.Name != c.Name || next.Listen != c.Listen || next.settingsText != c.settingsText
 }
--- a/internal/lifecycle/probing_metrics.go
+++ b/internal/lifecycle/probing_metrics.go
@@ -6,14 +6,14 @@
 	"capersail/internal/fleet/probing"
 )
 
-// probingMetrics is the collector of what is known of probes that relays share: each server has its probers,
-// who gossip their readings. Each metric is read when it is asked for.
+// probingMetrics is the collector of the metrics of shared probing, where some relays probe each server and
+// gossip the readings to the others. The metrics are read when they are scraped.
 //
-//	relay_looks_relays                 gauge    that share readings, this one too; 1 for nobody else
-//	relay_looks_total                  counter  probes made for all
-//	relay_looks_taken_total            counter  readings of others that were new here
-//	relay_looks_left_out_total{reason} counter  readings of others that were left out
-//	relay_looks_doubted                gauge    quarantined relays, whose readings are left out
+//	relay_looks_relays                 gauge    relays that share readings, including this one
+//	relay_looks_total                  counter  probes of servers that this relay made for all relays
+//	relay_looks_taken_total            counter  readings of other relays that this relay did not have yet
+//	relay_looks_left_out_total{reason} counter  readings of other relays that were ignored, by reason
+//	relay_looks_doubted                gauge    quarantined relays, whose readings are ignored
 type probingMetrics struct {
 	report                                         func() (probing.Report, bool)
 	relays, probes, received, dropped, quarantined *prometheus.Desc
@@ -34,14 +34,14 @@
 	}
 }
 
-// Describe is the collector's.
+// Describe sends the descriptions of all metrics.
 func (f *probingMetrics) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{f.relays, f.probes, f.received, f.dropped, f.quarantined} {
 		ch <- d
 	}
 }
 
-// Collect is the collector's.
+// Collect sends the metrics, or none while there is no report.
 func (f *probingMetrics) Collect(ch chan<- prometheus.Metric) {
 	r, ok := f.report()
 	if !ok {
--- a/internal/lifecycle/resume_config.go
+++ b/internal/lifecycle/resume_config.go
@@ -10,7 +10,8 @@
 	"capersail/internal/token"
 )
 
-// ResumeConfig is the operator's file for moving with a token; deploy/resume.toml says what each key means.
+// ResumeConfig is the operator's file for streams that are resumed with a token. The keys are described in
+// deploy/resume.toml.
 type ResumeConfig struct {
 	OwnershipServers []string `toml:"servers"`
 	OwnershipPath    string   `toml:"path"`
@@ -26,8 +27,8 @@
 	keyRing *token.KeyRing
 }
 
-// ReadResumeConfig reads the file and the keys that it names. An error is a *ConfigError for the first
-// problem.
+// ReadResumeConfig reads and checks the file and the key file that it names. The error is the *ConfigError
+// of the first problem.
 func ReadResumeConfig(path string) (*ResumeConfig, error) {
 	c := &ResumeConfig{
 		OwnershipPath:   "/capersail/streams",
@@ -53,8 +54,8 @@
 	return c, nil
 }
 
-// check finds what is wrong with the values. What is no number fails each comparison, so ranges are asked
-// for, not their outside.
+// check adds the problems of the values. NaN fails every comparison, so the conditions test for values
+// inside the range.
 func (c *ResumeConfig) check(problems *configProblems) {
 	for _, address := range c.OwnershipServers {
 		_, _, err := net.SplitHostPort(address)
@@ -62,30 +63,31 @@
 	}
 	const week = 7 * 86_400_000
 	minSession, margin := relay.Millis(ownership.MinSessionTimeout), relay.Millis(ownership.ExpiryMargin)
-	problems.addIf(len(c.OwnershipServers) == 0, "servers", "at least one is wanted")
+	problems.addIf(len(c.OwnershipServers) == 0, "servers", "at least one is needed")
 	problems.addIf(!isCleanPath(c.OwnershipPath), "path",
 		"%q is not an absolute path below / without a / at its end or an empty element", c.OwnershipPath)
 	problems.addIf(!(c.SessionMs >= minSession && c.SessionMs <= 120_000), "session_ms",
-		"from %v to 120000; ownership is trusted for 0.95 of it less %v", minSession, margin)
+		"want %v to 120000; the ownership lease lasts 0.95 of the value minus %v", minSession, margin)
 	problems.addIf(!(c.TokenLifetimeMs >= 10_000 && c.TokenLifetimeMs <= week), "token_life_ms",
-		"from 10000 to %d (a week)", week)
+		"want 10000 to %d (a week)", week)
 	problems.addIf(!(c.TokenRenewMs >= 200 && c.TokenRenewMs <= c.TokenLifetimeMs/2), "renew_ms",
-		"from 200 to half of token_life_ms")
-	problems.addIf(!(c.AcquireMs >= 10 && c.AcquireMs <= 10_000), "claim_ms", "from 10 to 10000")
-	problems.addIf(!(c.MaxClockSkewMs >= 0 && c.MaxClockSkewMs <= 600_000), "skew_ms", "from 0 to 600000")
+		"want 200 to half of token_life_ms")
+	problems.addIf(!(c.AcquireMs >= 10 && c.AcquireMs <= 10_000), "claim_ms", "want 10 to 10000")
+	problems.addIf(!(c.MaxClockSkewMs >= 0 && c.MaxClockSkewMs <= 600_000), "skew_ms", "want 0 to 600000")
 	problems.addIf(!(c.SweepIntervalMs == 0 || c.SweepIntervalMs >= 1000), "sweep_ms",
-		"1000 at least, or 0 for never")
-	problems.addIf(c.KeysFile == "", "keys", "not set; it names the file of the tokens' keys")
+		"want at least 1000, or 0 to turn sweeps off")
+	problems.addIf(c.KeysFile == "", "keys", "not set: set it to the path of the key file for tokens")
 }
 
-// isCleanPath tells whether a path of the ownership service is absolute, not the root, and without an empty
-// part.
+// isCleanPath reports whether a path of the ownership service is absolute, is not the root, and has no empty
+// element.
 func isCleanPath(path string) bool {
 	return strings.HasPrefix(path, "/") && path != "/" &&
 		!strings.HasSuffix(path, "/") && !strings.Contains(path, "//")
 }
 
-// restartOnlySettings is what of the file a reload does not take in.
+// restartOnlySettings returns the values of the settings that change only by a restart, as one text to
+// compare.
 func (c *ResumeConfig) restartOnlySettings() string {
 	return fmt.Sprint(
 		c.OwnershipPath, c.SessionMs, c.TokenLifetimeMs, c.TokenRenewMs,
--- a/internal/lifecycle/resume_part.go
+++ b/internal/lifecycle/resume_part.go
@@ -10,11 +10,11 @@
 	"capersail/internal/resume"
 )
 
-// ownershipCloseTimeout is how long the end of the session with the ownership service is waited for; it ends
-// by itself too, but later.
+// ownershipCloseTimeout bounds the wait for the session with the ownership service to be closed. A session
+// that is not closed in time expires later by itself.
 const ownershipCloseTimeout = 150 * time.Millisecond
 
-// resumePart is moving with a token. It joins the platform's front only.
+// resumePart lets clients resume their streams with a token. It joins only the platform's front.
 type resumePart struct {
 	partDefaults
 	path    string
@@ -25,7 +25,7 @@
 
 func newResumePart(path string, platform *Config, log zerolog.Logger) (part, error) {
 	if platform == nil {
-		return nil, errNeedsPlatform(path, "the platform's front moves with a token")
+		return nil, errNeedsPlatform(path, "the platform's front can resume streams with a token")
 	}
 	config, err := ReadResumeConfig(path)
 	if err != nil {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -12,26 +12,27 @@
 	"capersail/internal/admin"
 )
 
-// configRejectedMessage is logged for a file that SIGHUP has found unusable.
+// configRejectedMessage is the log message for a file that is rejected at SIGHUP.
 const configRejectedMessage = "new configuration rejected, the old one stays in force: " +
-	"mend the file and send SIGHUP again"
+	"correct the file and send SIGHUP again"
 
-// Sources say where the configuration comes from.
+// Sources names the sources of the configuration.
 type Sources struct {
-	// Getenv is asked for LB_CONFIG, which names the platform's file, and for what stands in for its keys.
+	// Getenv returns the value of an environment variable: LB_CONFIG, which names the platform's file, or one
+	// that is used for a key that is not in the file.
 	Getenv func(string) string
 
-	// The operators' files; what has none is off.
+	// The paths of the operators' files. A front or part without a file is off.
 
 	XMPP     string // the XMPP front
-	Resume   string // streams with tokens, which can be resumed
-	Timeline string // time lines of servers
-	Members  string // relays that know each other
+	Resume   string // streams that are resumed with a token
+	Timeline string // timelines of servers
+	Members  string // membership of a fleet
 }
 
-// Run serves until SIGTERM or SIGINT, then migrates everyone, answers pending requests, and returns. At
-// SIGHUP it reads its files again. Either of the two fronts may be absent. An error is a *ConfigError, a part
-// or a front that cannot start, or a listener that has failed.
+// Run serves until SIGTERM or SIGINT. Then it migrates all clients, answers the pending requests, and
+// returns. At SIGHUP it reads its files again. One of the two fronts may be off. The error is a
+// *ConfigError, or that of a front or part that cannot start, or that of a listener that has failed.
 func Run(ctx context.Context, sources Sources, signals <-chan os.Signal, log zerolog.Logger) error {
 	p := &process{sources: sources, log: log, serveErr: make(chan error, 2)}
 	if err := p.readConfigs(); err != nil {
@@ -51,19 +52,19 @@
 	return nil
 }
 
-// process is the relay's process: its configuration, fronts and parts.
+// process is the state of the relay's process: its configuration, fronts and parts.
 type process struct {
 	sources  Sources
 	log      zerolog.Logger
-	platform *Config     // nil without the platform's front
-	xmpp     *XMPPConfig // nil without the XMPP front
+	platform *Config     // nil if the platform's front is off
+	xmpp     *XMPPConfig // nil if the XMPP front is off
 	parts    partList
 
 	fronts   []*runningFront
-	serveErr chan error // has the error that ended a front's listener
+	serveErr chan error // receives the error that ended a front's listener
 }
 
-// readConfigs reads and checks all files.
+// readConfigs reads and checks all configuration files.
 func (p *process) readConfigs() (err error) {
 	if p.sources.XMPP != "" {
 		if p.xmpp, err = ReadXMPPConfig(p.sources.XMPP); err != nil {
@@ -79,7 +80,7 @@
 	return err
 }
 
-// start starts the fronts, joined by the parts, then the parts, then the admin address.
+// start starts the fronts, which the parts join, then the parts, then the admin address.
 func (p *process) start(ctx context.Context) error {
 	if p.platform != nil {
 		front, err := startPlatform(ctx, p.sources, p.platform, p.parts, p.log)
@@ -115,8 +116,8 @@
 	go func() { p.serveErr <- <-front.serveErr }()
 }
 
-// handleSignals reloads at SIGHUP, until it is time to shut down. A file that cannot be used changes nothing.
-// The error is that of a listener that has failed.
+// handleSignals reloads the configuration at SIGHUP, and returns nil when the relay has to shut down. The
+// error is that of a listener that has failed.
 func (p *process) handleSignals(ctx context.Context, signals <-chan os.Signal) error {
 	for {
 		select {
@@ -134,7 +135,7 @@
 	}
 }
 
-// reload has every front and part read its file again.
+// reload has every front and part read its file again. A file that is rejected changes nothing.
 func (p *process) reload() {
 	for _, front := range p.fronts {
 		if err := front.reload(); err != nil {
@@ -144,7 +145,7 @@
 	p.parts.reload(p.log)
 }
 
-// shutDown drains every front, then has the parts leave. Signals that come meanwhile change nothing.
+// shutDown shuts down all fronts at once, and then has the parts leave. It ignores further signals.
 func (p *process) shutDown(signals <-chan os.Signal) {
 	done := make(chan struct{})
 	go func() {
@@ -153,7 +154,8 @@
 		for _, front := range p.fronts {
 			fronts.Go(func() {
 				if front.inherited {
-					// The successor accepts from the same queue: nothing that comes is rejected.
+					// The new process accepts from the same queue, so this one can stop accepting at once,
+					// and no connection is rejected.
 					go closeSharedListener(front.listener)
 				}
 				shutDownFront(front)
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -5,34 +5,37 @@
 	"time"
 )
 
-// The graceful shutdown of a front, from SIGTERM on. The platform sends SIGKILL at the earliest 700 ms after
-// the time that all pending requests have to be answered by: the front's longest deadline, or maxServeSpan,
-// and answerGrace.
+// Times of the graceful shutdown of a front, from SIGTERM on. Open connections are served for the serve
+// span, which is the front's longest deadline, but at most maxServeSpan. All pending requests have to be
+// answered by the end of the serve span plus answerGrace. The platform sends SIGKILL 700 ms after that at
+// the earliest.
 const (
-	// maxServeSpan bounds the time that open connections have: a longer deadline counts as this.
+	// maxServeSpan bounds the serve span.
 	maxServeSpan = 3 * time.Second
-	// keepOpenFraction is the part of that time in which no connection is migrated.
+	// keepOpenFraction is the first part of the serve span, in which no connection is migrated.
 	keepOpenFraction = 0.7
-	// minAcceptSpan is how long the front goes on accepting: new connections come for up to 400 ms after
-	// SIGTERM.
+	// minAcceptSpan is the shortest time for which the front continues to accept connections. Clients open
+	// new ones for up to 400 ms after SIGTERM.
 	minAcceptSpan = 700 * time.Millisecond
-	// answerGrace after the serve span every pending request has its answer.
+	// answerGrace is the time after the serve span by which every pending request is answered.
 	answerGrace = 300 * time.Millisecond
-	// closeGrace after the serve span every connection is closed.
+	// closeGrace is the time after the serve span at which the shutdown stops waiting for connections to
+	// close.
 	closeGrace = 600 * time.Millisecond
 
 	migrationInterval = 50 * time.Millisecond
 	closePollInterval = 5 * time.Millisecond
 )
 
-// shutDownFront goes on accepting, migrates everyone, and sees that every pending request has its answer
-// before SIGKILL. It ends once every connection has been closed from this side, in order: a process that ends
-// over a line that nobody has read, or over an answer that the client has not taken, resets the connection,
-// and the client has nothing.
+// shutDownFront continues to accept connections, migrates all clients, and answers every pending request
+// before SIGKILL. It returns when this side has closed every connection in order, or at the end of
+// closeGrace. Otherwise the end of the process would reset connections that have unread input or an answer
+// that the client has not received yet, and these clients would get no answer.
 //
-// Open connections are served for most of the time there is, and migrated evenly over the rest. In a rolling
-// restart the relay before this one may be down still: whoever is migrated at once finds no relay to come to.
-// And all at once they would find every server loaded, as load reports are a second old and still count them.
+// Open connections are served for most of the serve span and migrated evenly over the rest of it, for two
+// reasons. In a rolling restart the relay that was restarted before this one may still be down, and a
+// client that is migrated at once would find no relay. And clients that are migrated all at once would find
+// every server loaded, because load reports are a second old and still count their connections.
 func shutDownFront(r *runningFront) {
 	clock := r.requests.Clock
 	r.requests.BeginShutdown()
@@ -47,7 +50,7 @@
 		}
 		<-clock.After(migrationInterval)
 	}
-	r.listener.Close() // nobody comes any more: see minShutdown
+	r.listener.Close() // no client connects any more: see minAcceptSpan
 	r.requests.AnswerAllPending()
 	r.requests.MigrateClients(r.requests.MigrateClients(0))
 	r.limiter.Drain()
@@ -56,8 +59,8 @@
 	}
 }
 
-// keptDuringShutdown is how many of all connections may still be open at a time since the begin of a shutdown
-// that has such a span.
+// keptDuringShutdown returns how many of all connections are not to be migrated yet, by the time since the
+// start of a shutdown with the given serve span.
 func keptDuringShutdown(all int, since, span time.Duration) int {
 	if span <= 0 { // no class has a deadline: SIGKILL may come 700 ms after SIGTERM
 		return 0
@@ -65,7 +68,7 @@
 	return fractionOf(all, float64(span-since)/(float64(span)*(1-keepOpenFraction)))
 }
 
-// fractionOf is a fraction of all, rounded up, the fraction bounded to 0 and 1.
+// fractionOf returns all times the fraction, rounded up. The fraction is limited to the range from 0 to 1.
 func fractionOf(all int, fraction float64) int {
 	return int(math.Ceil(float64(all) * max(0, min(fraction, 1))))
 }
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -17,7 +17,7 @@
 	"capersail/internal/wire/platform"
 )
 
-// starvedListener hands out connections that nobody reads before they are let go, as on a relay with no
+// starvedListener accepts connections whose reads block until release is closed, as on a relay that gets no
 // processor time.
 type starvedListener struct {
 	net.Listener
@@ -42,10 +42,10 @@
 	return c.TCPConn.Read(p)
 }
 
-// A shutdown ends when every connection has been closed from this side, in order. Requests that have come and
-// that nobody has read when it has nothing else to do are answered, and who rests gets a clean end: the
-// process would go over unread bytes, and reset them.
-func TestShutdownAnswersWhatHasCome(t *testing.T) {
+// A shutdown must not return before this side has closed every connection in order: a process that exits
+// with unread input resets the connection, and the client gets no answer. Requests that have arrived but
+// have not been read are answered, and idle connections are closed cleanly.
+func TestShutdownAnswersReceivedRequests(t *testing.T) {
 	clock := relay.NewClock()
 	deployment := &relay.Deployment{Classes: map[string]decide.Class{"m": 0}, Settings: decide.Settings{
 		Classes: []decide.ClassInfo{
@@ -84,7 +84,7 @@
 			longestDeadline: 10 * time.Second,
 		})
 	}()
-	for { // until it has nothing to do but wait for these
+	for { // until the shutdown has closed its listener and waits only for these clients
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
 			break
@@ -94,7 +94,7 @@
 	}
 	select {
 	case <-shutdownDone:
-		t.Fatal("it is over, and four connections are open")
+		t.Fatal("shutdown returned while four connections were open, want it to wait for them")
 	default:
 	}
 	close(l.release)
@@ -102,12 +102,13 @@
 		got, err := io.ReadAll(bufio.NewReader(c))
 		want := i < 2
 		if err != nil || strings.HasPrefix(string(got), "BUSY") != want || !want && len(got) > 0 {
-			t.Errorf("%q was answered %q, %v", sent[i], got, err)
+			t.Errorf("answer to %q: got %q, error %v; want BUSY for a complete line, else nothing",
+				sent[i], got, err)
 		}
 		c.Close()
 	}
 	<-shutdownDone
 	if limiter.DescriptorsHeld() != 0 {
-		t.Errorf("%d descriptors are held after it", limiter.DescriptorsHeld())
+		t.Errorf("%d descriptors held after the shutdown, want 0", limiter.DescriptorsHeld())
 	}
 }
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -14,18 +14,18 @@
 	"capersail/internal/store"
 )
 
-// timelinePart is the servers' time lines. It joins every front.
+// timelinePart records the timelines of servers. It joins every front.
 type timelinePart struct {
 	partDefaults
 	path   string
 	config *TimelineConfig
 	log    zerolog.Logger
 
-	watchers   []*watch.Watcher // one a front
-	stores     []*store.Store   // one a front, none without a store
+	watchers   []*watch.Watcher // one per front
+	stores     []*store.Store   // one per front; empty without a store
 	control    *control.Server  // nil without a socket
 	goroutines sync.WaitGroup
-	cancel     context.CancelFunc // ends the watchers and stores; nil before start
+	cancel     context.CancelFunc // stops the watchers and stores; nil before start
 }
 
 func newTimelinePart(path string, _ *Config, log zerolog.Logger) (part, error) {
@@ -60,8 +60,8 @@
 	})
 }
 
-// openStore opens a front's store: each front has servers of its own, and a file for them. One that cannot be
-// opened is no reason not to serve.
+// openStore opens the store of a front. Each front has its own servers, and thus its own file. If the store
+// cannot be opened, the relay still serves.
 func (p *timelinePart) openStore(front *frontHooks) *store.Store {
 	file := p.config.StoreFile
 	if len(p.stores) > 0 {
@@ -70,13 +70,14 @@
 	opened, err := store.Open(file, p.config.options(), p.log)
 	if err != nil {
 		p.log.Error().Err(err).
-			Msg("store cannot be opened, timelines stay in memory and it is retried: mend the file")
+			Msg("store not opened, timelines stay in memory, open is retried: correct the file")
 	}
 	p.stores = append(p.stores, opened)
 	return opened
 }
 
-// start runs watchers and stores in a context of their own: what comes last is folded and written too.
+// start runs the watchers and stores in a context of their own, so that the last records are folded and
+// written as well.
 func (p *timelinePart) start(context.Context) error {
 	ctx, end := context.WithCancel(context.Background())
 	p.cancel = end
--- a/internal/lifecycle/xmpp_config.go
+++ b/internal/lifecycle/xmpp_config.go
@@ -25,7 +25,7 @@
 	Hosts           []xmppHost    `toml:"host"`
 }
 
-// xmppZooKeeper says where the endpoint list is.
+// xmppZooKeeper says where in ZooKeeper the endpoint list is.
 type xmppZooKeeper struct {
 	Servers   []string `toml:"servers"`
 	Path      string   `toml:"path"`
@@ -40,15 +40,15 @@
 	PriorityWeight float64 `toml:"worth"`
 }
 
-// xmppHost says of whom the streams to a host name are.
+// xmppHost assigns the streams to a host name to a class and a tenant.
 type xmppHost struct {
 	To     string `toml:"to"`
 	Class  string `toml:"class"`
 	Tenant string `toml:"tenant"`
-	Key    string `toml:"key"` // of the rendezvous order, "" for the name
+	Key    string `toml:"key"` // of the rendezvous order; "" for the host name
 }
 
-// ReadXMPPConfig reads the operator's file. An error is a *ConfigError for the first problem.
+// ReadXMPPConfig reads and checks the operator's file. The error is the *ConfigError of the first problem.
 func ReadXMPPConfig(path string) (*XMPPConfig, error) {
 	c := &XMPPConfig{Relays: 1, SilenceMs: 5000, ConnectMs: 1000, MaxRetryAfterMs: 5000, Sockets: 1024}
 	problems, err := decodeFile(path, c)
@@ -62,39 +62,41 @@
 	return c, nil
 }
 
-// check finds what is wrong with the values. What is no number fails each comparison, so ranges are asked
-// for, not their outside.
+// check adds the problems of the values. NaN fails every comparison, so the conditions test for values
+// inside the range.
 func (c *XMPPConfig) check(problems *configProblems) {
 	c.checkClasses(problems)
 	_, _, err := net.SplitHostPort(c.Listen)
 	problems.add("listen", err)
 	problems.addIf(c.CertificateFile == "" && !c.Plaintext, "certificate",
-		"not set, and plaintext is not allowed")
-	problems.addIf((c.CertificateFile == "") != (c.KeyFile == ""), "key", "certificate and key go together")
-	problems.addIf(len(c.ZooKeeper.Servers) == 0, "zookeeper.servers", "at least one is wanted")
-	problems.addIf(!strings.HasPrefix(c.ZooKeeper.Path, "/"), "zookeeper.path", "a path from / on is wanted")
-	problems.addIf(!(c.ZooKeeper.SessionMs >= 100), "zookeeper.session_ms", "100 at least")
-	problems.addIf(len(c.Hosts) == 0, "host", "at least one is wanted")
-	problems.addIf(!(c.SilenceMs >= 100 && c.SilenceMs <= 7000), "silent_ms", "from 100 to 7000")
-	problems.addIf(!(c.ConnectMs > 0), "connect_ms", "more than 0")
-	problems.addIf(c.Sockets < minSockets, "sockets", "%d at least", minSockets)
+		"not set, which is allowed only with plaintext = true")
+	problems.addIf((c.CertificateFile == "") != (c.KeyFile == ""), "key",
+		"set certificate and key, or neither")
+	problems.addIf(len(c.ZooKeeper.Servers) == 0, "zookeeper.servers", "at least one is needed")
+	problems.addIf(!strings.HasPrefix(c.ZooKeeper.Path, "/"), "zookeeper.path", "want an absolute path")
+	problems.addIf(!(c.ZooKeeper.SessionMs >= 100), "zookeeper.session_ms", "want at least 100")
+	problems.addIf(len(c.Hosts) == 0, "host", "at least one is needed")
+	problems.addIf(!(c.SilenceMs >= 100 && c.SilenceMs <= 7000), "silent_ms", "want 100 to 7000")
+	problems.addIf(!(c.ConnectMs > 0), "connect_ms", "want more than 0")
+	problems.addIf(c.Sockets < minSockets, "sockets", "want at least %d", minSockets)
 }
 
-// checkClasses finds what is wrong with the classes, and hosts that name none of them.
+// checkClasses adds the problems of the classes and of hosts whose class does not exist.
 func (c *XMPPConfig) checkClasses(problems *configProblems) {
 	known := map[string]bool{}
 	for _, class := range c.Classes {
 		good := class.Name != "" && class.SetupMs > 0 && class.DeadlineMs >= class.SetupMs
-		problems.addIf(!good, "class", "name, setup_ms and a deadline_ms no shorter are wanted")
+		problems.addIf(!good, "class", "want name, setup_ms above 0, deadline_ms not below setup_ms")
 		known[class.Name] = true
 	}
 	for _, host := range c.Hosts {
 		problems.addIf(host.To == "" || !known[host.Class], "host.class",
-			"%q of host %q is no class of this file", host.Class, host.To)
+			"%q of host %q is not a class of this file", host.Class, host.To)
 	}
 }
 
-// restartOnlySettings is what of the file a reload does not take in: the module's settings and the address.
+// restartOnlySettings returns the values of the settings that change only by a restart, as one text to
+// compare.
 func (c *XMPPConfig) restartOnlySettings() string {
 	return fmt.Sprint(
 		c.Listen, c.Zone, c.Zones, c.RelayIndex, c.Relays, c.SilenceMs, c.ConnectMs, c.MaxRetryAfterMs,
--- a/internal/lifecycle/xmpp_front.go
+++ b/internal/lifecycle/xmpp_front.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// xmppMaxAttempts bounds the attempts of one set-up; only one that has sent no SASL bytes is made again.
+	// xmppMaxAttempts bounds the attempts for a request. A retry is made only if no SASL bytes have been
+	// sent.
 	xmppMaxAttempts = 2
 	// xmppTick is the granularity of the decision module's timers.
 	xmppTick = 5 * time.Millisecond
 )
 
-// startXMPP starts the XMPP front with an event loop and a client of ZooKeeper of its own, which end with
-// ctx.
+// startXMPP starts the XMPP front, with its own event loop and ZooKeeper client, which stop when ctx ends.
 func startXMPP(
 	ctx context.Context, sources Sources, c *XMPPConfig, parts partList, log zerolog.Logger,
 ) (*runningFront, error) {
@@ -46,7 +46,7 @@
 	parts.join(&frontHooks{frontName: "xmpp", relayName: "xmpp", requests: requests, clock: clock})
 	endpoints := zookeeper.NewClient(c.ensemble(), requests, log)
 	requests.UpdateEndpoints(decide.CachedSnapshot, nil)
-	endpoints.Watch() // there is no cached list to begin with
+	endpoints.Watch() // there is no cached list to start with
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -69,8 +69,8 @@
 	return r, nil
 }
 
-// reloadXMPP takes in what of the file can change while the relay runs: the certificate, ZooKeeper's
-// addresses, the limit.
+// reloadXMPP reads the file again and applies the values that can change while the relay runs: the
+// certificate, the addresses of ZooKeeper and the limit.
 func reloadXMPP(
 	path string, c *XMPPConfig, front *xmpp.Frontend, endpoints *zookeeper.Client, limiter *connlimit.Limiter,
 	log zerolog.Logger,
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Deployment turns the file into the decision module's settings, and the hosts by name. Every class is
-// non-idempotent there: once a client's SASL bytes have reached a server a lost set-up is final.
+// Deployment returns the decision module's settings for the file, and the hosts by name. Every class is
+// non-idempotent: once SASL bytes of a client have reached a server, a failed attempt is not retried.
 func (c *XMPPConfig) Deployment() (*relay.Deployment, map[string]xmpp.Host) {
 	deployment := &relay.Deployment{
 		Classes: map[string]decide.Class{},
@@ -130,7 +130,7 @@
 	return deployment, c.hosts(deployment)
 }
 
-// hosts are the hosts by name. It numbers their tenants, who share the service alike.
+// hosts returns the hosts by name. It adds their tenants to the deployment, with equal shares of the service.
 func (c *XMPPConfig) hosts(deployment *relay.Deployment) map[string]xmpp.Host {
 	deadlines := map[string]float64{} // by class, in ms
 	for _, class := range c.Classes {
@@ -156,7 +156,7 @@
 	return hosts
 }
 
-// tenantNumber numbers a tenant, the first time that it is named; "" is none.
+// tenantNumber returns the number of a tenant, and adds the tenant if it is new; NoTenant for "".
 func tenantNumber(deployment *relay.Deployment, name string) decide.Tenant {
 	if name == "" {
 		return decide.NoTenant
@@ -178,7 +178,8 @@
 	}
 }
 
-// tlsConfig loads what STARTTLS needs; nil only where plaintext is allowed.
+// tlsConfig loads the certificate for STARTTLS. It returns nil without a certificate, which check allows
+// only with plaintext.
 func (c *XMPPConfig) tlsConfig() (*tls.Config, error) {
 	if c.CertificateFile == "" {
 		return nil, nil
--- a/internal/lifecycle/xmpp_test.go
+++ b/internal/lifecycle/xmpp_test.go
@@ -25,13 +25,13 @@
 	"capersail/internal/testing/fake"
 )
 
-// xmppFixture is the XMPP front with stand-ins for all it speaks to.
+// xmppFixture is an XMPP front with a fake ZooKeeper; the test adds fake servers and clients.
 type xmppFixture struct {
 	t          *testing.T
 	zk         *fake.ZooKeeper
 	address    string
 	front      *runningFront
-	configPath string // of the operator's file
+	configPath string // of the configuration file
 }
 
 const xmppConfigText = `listen = "127.0.0.1:0"
@@ -62,13 +62,13 @@
 	if err := os.WriteFile(path, fmt.Appendf(nil, xmppConfigText, security, zk.Address), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	o, err := ReadXMPPConfig(path)
+	config, err := ReadXMPPConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	r, err := startXMPP(ctx, Sources{XMPP: path}, o, nil, zerolog.Nop())
+	r, err := startXMPP(ctx, Sources{XMPP: path}, config, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	return &xmppFixture{t, zk, r.listener.Addr().String(), r, path}
 }
 
-// startServer starts an XMPP startServer with a node of its own, and waits until the relay has read that.
+// startServer starts an XMPP server, adds its node to ZooKeeper, and waits until the relay has read the node.
 func (b *xmppFixture) startServer(name, hold string) *fake.XMPP {
 	s, err := fake.NewXMPP(hold)
 	if err != nil {
@@ -89,7 +89,7 @@
 			return s
 		}
 		if i > 1000 {
-			b.t.Fatal("the relay does not read the node")
+			b.t.Fatal("the relay did not list the server within 10 s of its node's creation")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -99,11 +99,11 @@
 	b.zk.SetNode(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q,"zone":"a"}`, s.Address, lifecycle))
 }
 
-// client is an XMPP client whose reads are by encoding/xml.
+// client is an XMPP client that parses the stream with encoding/xml.
 type client struct {
 	net.Conn
 	d        *xml.Decoder
-	received []string // names of what came at the stream's first level, errors with their conditions and ids
+	received []string // results of nextElement for each element
 }
 
 const streamHeader = "<?xml version='1.0'?>" +
@@ -127,8 +127,8 @@
 	fmt.Fprint(c, streamHeader)
 }
 
-// nextElement returns the nextElement first-level element's name, "end" for a stream that was closed in
-// order, or "broken". A stream error is named by its condition, a bounced stanza by its id.
+// nextElement returns the name of the next top-level element, "end" for a stream that was closed in order, or
+// "broken". For a stream error it returns the condition, and for a bounced stanza "bounced" and the id.
 func (c *client) nextElement() string {
 	for {
 		t, err := c.d.Token()
@@ -170,7 +170,7 @@
 	}
 }
 
-// readToEnd reads to the end and returns what came.
+// readToEnd reads to the end of the stream, and returns the results of nextElement.
 func (c *client) readToEnd() (all []string) {
 	for {
 		n := c.nextElement()
@@ -183,7 +183,8 @@
 
 const authElement = "<auth xmlns='urn:ietf:params:xml:ns:xmpp-sasl' mechanism='PLAIN'>AGEAYg==</auth>"
 
-// setUpStream sets the stream setUpStream and returns "setUpStream", or what came instead.
+// setUpStream authenticates and opens the second stream. It returns "up", or the element that came instead of
+// the expected one.
 func (c *client) setUpStream() string {
 	if n := c.nextElement(); n != "features" {
 		return n
@@ -202,7 +203,7 @@
 func (b *xmppFixture) checkEqual(what string, got, want any) {
 	b.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		b.t.Errorf("%s: %v, want %v", what, got, want)
+		b.t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
@@ -214,20 +215,21 @@
 			got = <-s.Stages
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatalf("the server never saw %q", want)
+		t.Fatalf("the server did not reach stage %q within 20 s", want)
 	}
 }
 
 func TestXMPPServesAndRefuses(t *testing.T) {
 	b := newXMPPFixture(t, "plaintext = true")
-	b.checkEqual("no server is listed", b.dial().readToEnd(), "[resource-constraint+retry-after end]")
+	b.checkEqual("stream without a listed server", b.dial().readToEnd(),
+		"[resource-constraint+retry-after end]")
 	s := b.startServer("n1", "")
 	c := b.dial()
 	b.checkEqual("set-up", c.setUpStream(), "up")
 	fmt.Fprint(c, "<message id='m1' to='x'><body>a</body></message><message id='m2'/>")
 	b.checkEqual("echo", c.nextElement()+c.nextElement(), "message m1message m2")
 	fmt.Fprint(c, "</stream:stream>")
-	b.checkEqual("an orderly end", c.readToEnd(), "[end]")
+	b.checkEqual("stream closed by the client", c.readToEnd(), "[end]")
 	for what, c := range map[string]struct{ send, want string }{
 		"unknown host":  {strings.Replace(streamHeader, "alerts", "else", 1), "host-unknown"},
 		"document type": {"<!DOCTYPE x>", "restricted-xml"},
@@ -251,19 +253,20 @@
 	s.Kill()
 }
 
-// Until SASL bytes reach a server, a lost attempt is made again elsewhere and the client notices nothing.
+// An attempt that fails before SASL bytes have reached the server is retried at another server, and the
+// client does not notice the failure.
 func TestXMPPRetriesBeforeSASL(t *testing.T) {
 	b := newXMPPFixture(t, "plaintext = true")
 	dead := b.startServer("n1", "header")
 	c := b.dial()
-	waitForStage(t, dead, "header") // a probe or the attempt: both are held there
+	waitForStage(t, dead, "header") // a probe or the attempt, as the server holds both at this stage
 	b.startServer("n2", "")
 	dead.Kill()
 	if got := c.setUpStream(); got != "up" && got != "resource-constraint+retry-after" {
-		t.Errorf("the stream got %q", got)
+		t.Errorf("stream whose first server was killed: got %q, want up or resource-constraint", got)
 	}
 	for range 3 {
-		b.checkEqual("the next streams", b.dial().setUpStream(), "up")
+		b.checkEqual("stream after the kill", b.dial().setUpStream(), "up")
 	}
 }
 
@@ -273,7 +276,7 @@
 	c := b.dial()
 	b.checkEqual("set-up", c.setUpStream(), "up")
 	s.Kill()
-	b.checkEqual("its server was killed", c.readToEnd(), "[remote-connection-failed end]")
+	b.checkEqual("stream whose server was killed", c.readToEnd(), "[remote-connection-failed end]")
 }
 
 func TestXMPPKilledMidSASL(t *testing.T) {
@@ -288,7 +291,7 @@
 		"[remote-connection-failed end]")
 }
 
-// Stanzas that a silent server has not confirmed come back as errors, each once.
+// Each stanza that a silent server has not confirmed is returned to the client as an error, exactly once.
 func TestXMPPSilentServer(t *testing.T) {
 	b := newXMPPFixture(t, "plaintext = true")
 	s := b.startServer("n1", "")
@@ -302,12 +305,12 @@
 	}
 	got := c.readToEnd()
 	if n := len(got); n < 2 || got[n-1] != "end" || got[n-2] != "connection-timeout" && got[n-2] != "reset" {
-		t.Fatalf("the stream ended with %v", got)
+		t.Fatalf("last elements of the stream: got %v, want connection-timeout or reset, then end", got)
 	}
 	got = got[:len(got)-2]
-	// What is beyond the queue was never taken from the socket.
+	// Stanzas that did not fit into the relay's queue were never read from the socket, and are not returned.
 	if len(got) < 64 || !slices.Equal(got, want[:len(got)]) {
-		t.Errorf("bounced %v", got)
+		t.Errorf("bounced stanzas: got %v, want the first 64 or more in order", got)
 	}
 }
 
@@ -319,12 +322,13 @@
 	fmt.Fprint(c, authElement)
 	waitForStage(t, s, "auth")
 	b.setNode("n1", s, "Terminating")
-	b.checkEqual("its server began to drain", c.readToEnd(), "[reset end]")
-	b.checkEqual("and gets nothing new", b.dial().readToEnd(), "[resource-constraint+retry-after end]")
+	b.checkEqual("stream in SASL whose server starts to drain", c.readToEnd(), "[reset end]")
+	b.checkEqual("new stream while the only server drains", b.dial().readToEnd(),
+		"[resource-constraint+retry-after end]")
 }
 
-// Streams on three servers, of which one is killed, one goes silent and one drains in the middle of SASL,
-// and a relay that leaves: every stream has exactly one outcome.
+// One server is killed, one goes silent, one drains during SASL, and the relay shuts down. Each stream must
+// still get exactly one outcome.
 func TestXMPPEveryStreamHasOneOutcome(t *testing.T) {
 	b := newXMPPFixture(t, "plaintext = true")
 	servers := []*fake.XMPP{
@@ -360,7 +364,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if finals != 1 {
-				t.Errorf("a stream saw %v", c.received)
+				t.Errorf("stream with other than one outcome: got elements %v", c.received)
 			}
 			outcomes[c.received[len(c.received)-1]]++
 		})
@@ -415,12 +419,13 @@
 	secure := tls.Client(c.Conn, &tls.Config{InsecureSkipVerify: true})
 	c.Conn = secure
 	c.openStream()
-	b.checkEqual("set-up under TLS", c.setUpStream(), "up")
+	b.checkEqual("set-up over TLS", c.setUpStream(), "up")
 	s.Kill()
-	b.checkEqual("end under TLS", c.readToEnd(), "[remote-connection-failed end]")
+	b.checkEqual("stream over TLS whose server was killed", c.readToEnd(), "[remote-connection-failed end]")
 }
 
-// After its session has expired the relay reads the complete list again: what vanished meanwhile is gone.
+// After its ZooKeeper session has expired, the relay reads the complete list again, so that servers that have
+// disappeared meanwhile are removed.
 func TestXMPPSessionExpires(t *testing.T) {
 	b := newXMPPFixture(t, "plaintext = true")
 	old := b.startServer("n1", "")
@@ -429,14 +434,14 @@
 	b.zk.SetNode("n1", "")
 	b.startServer("n2", "")
 	old.Kill()
-	b.checkEqual("set-up at the new one", b.dial().setUpStream(), "up")
+	b.checkEqual("set-up at the new server", b.dial().setUpStream(), "up")
 	b.zk.SetNode("bad", "no JSON")
 	b.startServer("n3", "")
 }
 
-// A reload follows another service of ephemeral nodes: the streams that stand live on, new ones go to its
-// servers, and what it does not list is gone. A file that cannot be used changes nothing, and the error names
-// its key.
+// A reload can change to another ZooKeeper ensemble. Open streams continue, new streams go to the servers
+// listed there, and servers that are not listed there are removed. A file that is rejected changes nothing,
+// and the error names the key.
 func TestXMPPReload(t *testing.T) {
 	b := newXMPPFixture(t, "plaintext = true")
 	b.startServer("n1", "")
@@ -461,25 +466,25 @@
 	} {
 		err := reload(fmt.Appendf(nil, text, "plaintext = true", other.Address))
 		if err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("reload with a bad %s: got error %v, want one that names the key", key, err)
 		}
 	}
-	b.checkEqual("a stream at the old server", b.dial().setUpStream(), "up")
+	b.checkEqual("stream at the old server", b.dial().setUpStream(), "up")
 	if err := reload(fmt.Appendf(nil, xmppConfigText, "plaintext = true", other.Address)); err != nil {
 		t.Fatal(err)
 	}
 	b.zk = other
 	b.startServer("n2", "")
-	for i := 0; ; i++ { // until the new list has come n1 may still be given streams
+	for i := 0; ; i++ { // n1 may get streams until the new list has arrived
 		if !b.front.requests.ServerReady("n1") {
 			break
 		}
 		if i > 1000 {
-			t.Fatal("what the new service does not list is kept")
+			t.Fatal("server n1, which the new ensemble does not list, is still ready after 5 s")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	b.checkEqual("a stream at the new server", b.dial().setUpStream(), "up")
+	b.checkEqual("stream at the new server", b.dial().setUpStream(), "up")
 	fmt.Fprint(c, "<message id='m1' to='x'/>")
-	b.checkEqual("the old stream lives on", c.nextElement(), "message m1")
+	b.checkEqual("echo on the stream opened before the reload", c.nextElement(), "message m1")
 }
