--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -77,12 +77,12 @@
 }
 
 // Describe sends the descriptions of all metrics.
-func (f *Collector) Describe(ch chan<- *prometheus.Desc) {
+func (c *Collector) Describe(ch chan<- *prometheus.Desc) {
 	all := []*prometheus.Desc{
-		f.established, f.rejected, f.failed, f.attempts,
-		f.openRequests, f.listedServers, f.ejectedServers,
-		f.endpointListAge, f.endpointLeaseExpired,
-		f.denials, f.rejections, f.violations,
+		c.established, c.rejected, c.failed, c.attempts,
+		c.openRequests, c.listedServers, c.ejectedServers,
+		c.endpointListAge, c.endpointLeaseExpired,
+		c.denials, c.rejections, c.violations,
 	}
 	for _, desc := range all {
 		ch <- desc
@@ -90,17 +90,17 @@
 }
 
 // Collect sends the metrics of all fronts. The counters of a class that several fronts have are added up.
-func (f *Collector) Collect(ch chan<- prometheus.Metric) {
-	f.collectClasses(ch)
-	f.collectTotals(ch)
-	f.collectGuard(ch)
+func (c *Collector) Collect(ch chan<- prometheus.Metric) {
+	c.collectClasses(ch)
+	c.collectTotals(ch)
+	c.collectGuard(ch)
 }
 
 // collectClasses sends the counters of the classes.
-func (f *Collector) collectClasses(ch chan<- prometheus.Metric) {
+func (c *Collector) collectClasses(ch chan<- prometheus.Metric) {
 	byName := map[string]*relay.ClassCounts{}
 	var order []string
-	for _, front := range f.fronts {
+	for _, front := range c.fronts {
 		for i, counts := range front.Source.ClassCounts() {
 			name := front.className(i)
 			sum := byName[name]
@@ -120,10 +120,10 @@
 	}
 	for _, name := range order {
 		sum := byName[name]
-		counter(f.established, sum.Established, name)
-		counter(f.rejected, sum.Rejected, name)
-		counter(f.failed, sum.Failed, name)
-		counter(f.attempts, sum.Attempts, name)
+		counter(c.established, sum.Established, name)
+		counter(c.rejected, sum.Rejected, name)
+		counter(c.failed, sum.Failed, name)
+		counter(c.attempts, sum.Attempts, name)
 	}
 }
 
@@ -136,9 +136,9 @@
 }
 
 // collectTotals sends the gauges of requests and servers.
-func (f *Collector) collectTotals(ch chan<- prometheus.Metric) {
+func (c *Collector) collectTotals(ch chan<- prometheus.Metric) {
 	open, listed, ejected := 0, 0, 0
-	for _, front := range f.fronts {
+	for _, front := range c.fronts {
 		open += front.Source.OpenRequests()
 		endpoints := front.Source.EndpointCounts()
 		listed += endpoints.Listed
@@ -147,26 +147,26 @@
 	gauge := func(desc *prometheus.Desc, value int) {
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value))
 	}
-	gauge(f.openRequests, open)
-	gauge(f.listedServers, listed)
-	gauge(f.ejectedServers, min(ejected, listed))
+	gauge(c.openRequests, open)
+	gauge(c.listedServers, listed)
+	gauge(c.ejectedServers, min(ejected, listed))
 }
 
 // collectGuard sends the metrics of the guards, added up over the fronts; the endpoint list's age is the
 // greatest.
-func (f *Collector) collectGuard(ch chan<- prometheus.Metric) {
+func (c *Collector) collectGuard(ch chan<- prometheus.Metric) {
 	age, lapsed := 0.0, 0.0
-	sums := map[*prometheus.Desc]map[string]float64{f.denials: {}, f.rejections: {}, f.violations: {}}
-	for _, fr := range f.fronts {
+	sums := map[*prometheus.Desc]map[string]float64{c.denials: {}, c.rejections: {}, c.violations: {}}
+	for _, fr := range c.fronts {
 		stats := fr.Source.GuardStats()
 		age = max(age, stats.EndpointListAge.Seconds())
 		if stats.EndpointLeaseExpired {
 			lapsed = 1
 		}
 		byDesc := map[*prometheus.Desc]map[string]uint64{
-			f.denials:    stats.Denials,
-			f.rejections: stats.Rejections,
-			f.violations: stats.Violations,
+			c.denials:    stats.Denials,
+			c.rejections: stats.Rejections,
+			c.violations: stats.Violations,
 		}
 		for desc, counts := range byDesc {
 			for label, n := range counts {
@@ -174,8 +174,8 @@
 			}
 		}
 	}
-	ch <- prometheus.MustNewConstMetric(f.endpointListAge, prometheus.GaugeValue, age)
-	ch <- prometheus.MustNewConstMetric(f.endpointLeaseExpired, prometheus.GaugeValue, lapsed)
+	ch <- prometheus.MustNewConstMetric(c.endpointListAge, prometheus.GaugeValue, age)
+	ch <- prometheus.MustNewConstMetric(c.endpointLeaseExpired, prometheus.GaugeValue, lapsed)
 	for desc, counts := range sums {
 		for label, n := range counts {
 			ch <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, n, label)
--- a/internal/lifecycle/admin.go
+++ b/internal/lifecycle/admin.go
@@ -38,23 +38,23 @@
 	ctx context.Context, address string, fronts []*runningFront, sources []admin.Front,
 	partMetrics []prometheus.Collector, log zerolog.Logger,
 ) (*adminRelay, error) {
-	o := &adminRelay{fronts: fronts, ejectionsDir: filepath.Join(os.TempDir(), ejectionsFolder), log: log}
-	if err := os.MkdirAll(o.ejectionsDir, 0o700); err != nil {
+	a := &adminRelay{fronts: fronts, ejectionsDir: filepath.Join(os.TempDir(), ejectionsFolder), log: log}
+	if err := os.MkdirAll(a.ejectionsDir, 0o700); err != nil {
 		return nil, fmt.Errorf("admin: cannot create the folder for ejections in $TMPDIR: %w", err)
 	}
-	o.reloadEjections()
+	a.reloadEjections()
 	registry, err := newRegistry(sources, partMetrics)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	server, err := admin.Listen(address, o, registry, log)
+	server, err := admin.Listen(address, a, registry, log)
 	if err != nil {
 		return nil, err
 	}
 	// The ejections are read without the lock here, which is safe only until the server accepts calls.
 	log.Info().
 		Str("admin", server.Addr().String()).
-		Strs("out", o.ejections.IDs()).
+		Strs("out", a.ejections.IDs()).
 		Msg("admin address serving")
 	go func() {
 		if err := server.Serve(); err != nil {
@@ -63,8 +63,8 @@
 		}
 	}()
 	context.AfterFunc(ctx, func() { server.Close() })
-	go o.followEjections(ctx)
-	return o, nil
+	go a.followEjections(ctx)
+	return a, nil
 }
 
 // newRegistry returns a registry with the metrics of the fronts and of the parts.
@@ -79,11 +79,11 @@
 }
 
 // Ready reports whether the relay serves, has an endpoint list, and is neither draining nor shutting down.
-func (o *adminRelay) Ready() bool {
-	if !o.serving.Load() {
+func (a *adminRelay) Ready() bool {
+	if !a.serving.Load() {
 		return false
 	}
-	for _, front := range o.fronts {
+	for _, front := range a.fronts {
 		if !front.requests.AcceptingClients() || !front.requests.HasEndpointList() {
 			return false
 		}
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -13,20 +13,20 @@
 )
 
 // Drain starts or ends a manual drain. It has no effect if the drain has been started or ended already.
-func (o *adminRelay) Drain(on bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (a *adminRelay) Drain(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	switch {
-	case on && o.stopMigration == nil:
-		o.stopMigration = make(chan struct{})
-		for _, front := range o.fronts {
+	case on && a.stopMigration == nil:
+		a.stopMigration = make(chan struct{})
+		for _, front := range a.fronts {
 			front.requests.SetDraining(true)
 		}
-		go o.migrateConnections(o.stopMigration)
-	case !on && o.stopMigration != nil:
-		close(o.stopMigration)
-		o.stopMigration = nil
-		for _, front := range o.fronts {
+		go a.migrateConnections(a.stopMigration)
+	case !on && a.stopMigration != nil:
+		close(a.stopMigration)
+		a.stopMigration = nil
+		for _, front := range a.fronts {
 			front.requests.SetDraining(false)
 		}
 	}
@@ -34,14 +34,14 @@
 
 // migrateConnections migrates all open connections, spread evenly between migrationDelay and
 // migrationDeadline. It returns early if stop is closed, because the drain has ended.
-func (o *adminRelay) migrateConnections(stop <-chan struct{}) {
-	if len(o.fronts) == 0 {
+func (a *adminRelay) migrateConnections(stop <-chan struct{}) {
+	if len(a.fronts) == 0 {
 		return
 	}
-	clock := o.fronts[0].requests.Clock
+	clock := a.fronts[0].requests.Clock
 	began := clock.Now()
-	all := make([]int, len(o.fronts))
-	for i, front := range o.fronts {
+	all := make([]int, len(a.fronts))
+	for i, front := range a.fronts {
 		all[i] = front.requests.MigrateClients(0)
 	}
 	for {
@@ -51,7 +51,7 @@
 		case <-clock.After(migrationInterval):
 		}
 		since, left := clock.Now()-began, 0
-		for i, front := range o.fronts {
+		for i, front := range a.fronts {
 			surplus := front.requests.MigrateClients(0) - keptDuringDrain(all[i], since)
 			left += front.requests.MigrateClients(surplus)
 		}
--- a/internal/lifecycle/ejections.go
+++ b/internal/lifecycle/ejections.go
@@ -25,55 +25,55 @@
 )
 
 // Eject ejects a server manually. It stores the ejection and notifies the decision module before it returns.
-func (o *adminRelay) Eject(id string) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	changed, err := o.ejections.Eject(o.now(), id, o.knowsServer(id))
+func (a *adminRelay) Eject(id string) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	changed, err := a.ejections.Eject(a.now(), id, a.knowsServer(id))
 	if err != nil || !changed {
 		return err
 	}
-	if err := os.WriteFile(o.ejectionFile(id), nil, 0o600); err != nil {
-		o.ejections.Readmit(id, true)
+	if err := os.WriteFile(a.ejectionFile(id), nil, 0o600); err != nil {
+		a.ejections.Readmit(id, true)
 		return fmt.Errorf("ejection not stored: %w", err)
 	}
-	o.applyEjections()
+	a.applyEjections()
 	return nil
 }
 
 // Readmit ends the manual ejection of a server. It removes the stored ejection and notifies the decision
 // module before it returns.
-func (o *adminRelay) Readmit(id string) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	ejectedFor, _ := o.ejections.EjectedFor(o.now(), id)
-	changed, err := o.ejections.Readmit(id, o.knowsServer(id))
+func (a *adminRelay) Readmit(id string) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	ejectedFor, _ := a.ejections.EjectedFor(a.now(), id)
+	changed, err := a.ejections.Readmit(id, a.knowsServer(id))
 	if err != nil || !changed {
 		return err
 	}
-	o.log.Info().
+	a.log.Info().
 		Str("server", id).
 		Float64("out_ms", relay.Millis(ejectedFor)).
 		Msg("manual ejection ended, server readmitted")
-	if err := os.Remove(o.ejectionFile(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		o.ejections.Eject(o.now(), id, true)
+	if err := os.Remove(a.ejectionFile(id)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		a.ejections.Eject(a.now(), id, true)
 		return fmt.Errorf("ejection not ended, its file cannot be removed: %w", err)
 	}
-	o.applyEjections()
+	a.applyEjections()
 	return nil
 }
 
 // ejectionFile returns the path of the file that stores a server's ejection.
-func (o *adminRelay) ejectionFile(id string) string {
-	return filepath.Join(o.ejectionsDir, manualeject.FileName(id))
+func (a *adminRelay) ejectionFile(id string) string {
+	return filepath.Join(a.ejectionsDir, manualeject.FileName(id))
 }
 
 // now returns the time on the clock of the first front.
-func (o *adminRelay) now() time.Duration { return o.fronts[0].requests.Clock.Now() }
+func (a *adminRelay) now() time.Duration { return a.fronts[0].requests.Clock.Now() }
 
 // knowsServer reports whether any front has ever had the server in its endpoint list. The caller holds the
 // lock.
-func (o *adminRelay) knowsServer(id string) bool {
-	for _, front := range o.fronts {
+func (a *adminRelay) knowsServer(id string) bool {
+	for _, front := range a.fronts {
 		if front.requests.EverListed(id) {
 			return true
 		}
@@ -82,36 +82,36 @@
 }
 
 // applyEjections passes the ejections to every front. The caller holds the lock.
-func (o *adminRelay) applyEjections() {
-	ejected := o.ejections.IDSet()
-	for _, front := range o.fronts {
+func (a *adminRelay) applyEjections() {
+	ejected := a.ejections.IDSet()
+	for _, front := range a.fronts {
 		front.requests.SetManualEjections(ejected)
 	}
 }
 
 // followEjections reads the stored ejections every ejectionPollInterval until ctx ends, as another process of
 // the relay may have changed them.
-func (o *adminRelay) followEjections(ctx context.Context) {
-	clock := o.fronts[0].requests.Clock
+func (a *adminRelay) followEjections(ctx context.Context) {
+	clock := a.fronts[0].requests.Clock
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-clock.After(ejectionPollInterval):
 		}
-		o.reloadEjections()
+		a.reloadEjections()
 	}
 }
 
 // reloadEjections reads the stored ejections, and passes them to the fronts if they have changed.
-func (o *adminRelay) reloadEjections() {
+func (a *adminRelay) reloadEjections() {
 	// The lock is taken before the folder is read. Otherwise an ejection that this process stores meanwhile
 	// would be undone by the older content.
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	entries, err := os.ReadDir(o.ejectionsDir)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	entries, err := os.ReadDir(a.ejectionsDir)
 	if err != nil {
-		o.log.Error().Err(err).
+		a.log.Error().Err(err).
 			Msg("manual ejections not read, known ones stay: make capersail-bans in $TMPDIR readable")
 		return
 	}
@@ -122,8 +122,8 @@
 		}
 	}
 	sort.Strings(ids)
-	if o.ejections.Replace(o.now(), ids) {
-		o.log.Info().Strs("out", ids).Msg("manual ejections changed")
-		o.applyEjections()
+	if a.ejections.Replace(a.now(), ids) {
+		a.log.Info().Strs("out", ids).Msg("manual ejections changed")
+		a.applyEjections()
 	}
 }
--- a/internal/lifecycle/members_part.go
+++ b/internal/lifecycle/members_part.go
@@ -94,13 +94,13 @@
 }
 
 // lifecycleState returns the state of this relay that it announces to the other members.
-func (s *frontHooks) lifecycleState() membership.Lifecycle {
+func (h *frontHooks) lifecycleState() membership.Lifecycle {
 	switch {
-	case s.requests.ShuttingDown():
+	case h.requests.ShuttingDown():
 		return membership.LifecycleLeaving
-	case s.requests.Draining():
+	case h.requests.Draining():
 		return membership.LifecycleDraining
-	case !s.requests.HasEndpointList():
+	case !h.requests.HasEndpointList():
 		return membership.LifecycleStarting
 	}
 	return membership.LifecycleServing
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/part.go
@@ -64,8 +64,8 @@
 }
 
 // notifyChange passes a change in the fleet to the parts that have added a listener.
-func (s *frontHooks) notifyChange(change membership.StateChanged) {
-	for _, listen := range s.changeListeners {
+func (h *frontHooks) notifyChange(change membership.StateChanged) {
+	for _, listen := range h.changeListeners {
 		listen(change)
 	}
 }
--- a/internal/lifecycle/probing_metrics.go
+++ b/internal/lifecycle/probing_metrics.go
@@ -35,15 +35,15 @@
 }
 
 // Describe sends the descriptions of all metrics.
-func (f *probingMetrics) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{f.relays, f.probes, f.received, f.dropped, f.quarantined} {
+func (m *probingMetrics) Describe(ch chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{m.relays, m.probes, m.received, m.dropped, m.quarantined} {
 		ch <- d
 	}
 }
 
 // Collect sends the metrics, or none while there is no report.
-func (f *probingMetrics) Collect(ch chan<- prometheus.Metric) {
-	r, ok := f.report()
+func (m *probingMetrics) Collect(ch chan<- prometheus.Metric) {
+	r, ok := m.report()
 	if !ok {
 		return
 	}
@@ -53,11 +53,11 @@
 	count := func(d *prometheus.Desc, n uint64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(n), labels...)
 	}
-	gauge(f.relays, float64(r.Relays))
-	count(f.probes, r.Probes)
-	count(f.received, r.ReadingsReceived)
+	gauge(m.relays, float64(r.Relays))
+	count(m.probes, r.Probes)
+	count(m.received, r.ReadingsReceived)
 	for why, n := range r.DroppedByReason {
-		count(f.dropped, n, why)
+		count(m.dropped, n, why)
 	}
-	gauge(f.quarantined, float64(len(r.QuarantinedRelays)))
+	gauge(m.quarantined, float64(len(r.QuarantinedRelays)))
 }
