--- a/internal/wire/xmpp/conditions.go
+++ b/internal/wire/xmpp/conditions.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// condition is a stream error of RFC 6120 by its name; noCondition ends a stream without an error.
+// condition is the name of a stream error condition of RFC 6120. noCondition closes a stream without an
+// error.
 type condition string
 
 const (
@@ -14,29 +15,29 @@
 	notWellFormed          condition = "not-well-formed"
 	policyViolation        condition = "policy-violation"
 	remoteConnectionFailed condition = "remote-connection-failed"
-	resetCondition         condition = "reset" // the client is to open its stream again
+	resetCondition         condition = "reset" // the client must open its stream again
 	resourceConstraint     condition = "resource-constraint"
 	restrictedXML          condition = "restricted-xml"
 	unsupportedVersion     condition = "unsupported-version"
 )
 
-// streamError is an error in what a peer has sent, for which RFC 6120 has a condition.
+// streamError is an error in what a peer has sent, with its stream error condition of RFC 6120.
 type streamError struct{ condition condition }
 
 func (e *streamError) Error() string { return string(e.condition) }
 
-// The scanner's errors.
+// The errors of the scanner.
 var (
 	errNotWellFormed = &streamError{notWellFormed}
 	errRestricted    = &streamError{restrictedXML}
 	errTooLarge      = &streamError{policyViolation}
 )
 
-// conditionOf tells a streamError from an error of the connection, for which it returns noCondition.
+// conditionOf returns the condition of a streamError, and noCondition for any other error.
 func conditionOf(err error) condition {
-	var wrong *streamError
-	if errors.As(err, &wrong) {
-		return wrong.condition
+	var streamErr *streamError
+	if errors.As(err, &streamErr) {
+		return streamErr.condition
 	}
 	return noCondition
 }
--- a/internal/wire/xmpp/encode.go
+++ b/internal/wire/xmpp/encode.go
@@ -26,7 +26,7 @@
 		"'><required/></starttls></stream:features>"
 )
 
-// encodeHeader makes the relay's own start tag, where no server's has come.
+// encodeHeader returns the stream start tag that the relay sends to a client before it has one of a server.
 func encodeHeader(from string) string {
 	id := make([]byte, 8)
 	rand.Read(id)
@@ -35,24 +35,24 @@
 		escape(from), hex.EncodeToString(id), clientNamespace, streamsNamespace)
 }
 
-// encodeClientHeader makes the start tag of a stream that the relay opens itself.
+// encodeClientHeader returns the start tag of a stream that the relay opens to a server, for a probe.
 func encodeClientHeader(to string) string {
 	return fmt.Sprintf("<stream:stream to='%s' version='1.0' xmlns='%s' xmlns:stream='%s'>",
 		escape(to), clientNamespace, streamsNamespace)
 }
 
-// encodeRetryAfter makes the child of a rejection that tells the client when to retry.
+// encodeRetryAfter returns the child element of a stream error that tells a rejected client when to retry.
 func encodeRetryAfter(retryAfter time.Duration) string {
 	ms := int(math.Ceil(relay.Millis(retryAfter)))
 	return fmt.Sprintf("<retry-after xmlns='%s' ms='%d'/>", retryNamespace, ms)
 }
 
-// escape makes text that stood in one kind of quotes fit for single ones. It was scanned before, so what
-// other escapes it holds stay as they are.
+// escape escapes the text of an attribute value, which may have been in double quotes, for use in single
+// quotes. The scanner has checked the text, so its existing escapes are kept.
 func escape(text string) string { return strings.NewReplacer("'", "&apos;", "<", "&lt;").Replace(text) }
 
-// encodeBounce makes the error that answers a stanza which no server will take, or "" where none may be sent:
-// an error is never answered, nor a reply.
+// encodeBounce returns the error stanza that answers an undeliverable stanza. It returns "" for stanzas that
+// must not be answered with an error: errors, results and other elements than message, presence and iq.
 func encodeBounce(it item) string {
 	if it.kind != firstLevelElement || it.attrs["type"] == "error" || it.attrs["type"] == "result" {
 		return ""
@@ -72,8 +72,8 @@
 	return b.String()
 }
 
-// stripStartTLS takes the server's own offer of STARTTLS out of its features: the relay has ended TLS, or the
-// operator's file says that there is none.
+// stripStartTLS removes the server's offer of STARTTLS from its features: the relay terminates TLS, or the
+// operator's file allows plaintext.
 func stripStartTLS(features string) string {
 	i := strings.Index(features, "<starttls")
 	if i < 0 {
--- a/internal/wire/xmpp/frontend.go
+++ b/internal/wire/xmpp/frontend.go
@@ -14,28 +14,28 @@
 	"capersail/internal/wire/splice"
 )
 
-// Host is what the operator's file says of one host that clients name.
+// Host is the configuration of one host that clients may name, from the operator's file.
 type Host struct {
 	Class        decide.Class
 	Tenant       decide.Tenant
 	Key          uint64
-	SetupTimeout time.Duration // until a stream must be established
+	SetupTimeout time.Duration // limit for establishing a stream
 }
 
-// Frontend is the client side: it speaks with each client in a goroutine of its own.
+// Frontend is the client side of the protocol. It serves each client in a separate goroutine.
 type Frontend struct {
 	Requests *relay.RequestTable
 	Hosts    map[string]Host
 	Limiter  *connlimit.Limiter
-	// TLS is for new connections; nil only where the operator's file allows plaintext.
+	// TLS is the configuration for new connections. It is nil only if the operator's file allows plaintext.
 	TLS atomic.Pointer[tls.Config]
 }
 
-// Serve accepts until the listener is closed, which is no error. A goroutine serves each connection, and ends
-// with it.
+// Serve accepts connections until the listener is closed, which is not an error. Each connection is served by
+// a goroutine that ends with the connection.
 func (f *Frontend) Serve(l net.Listener) error { return f.Limiter.Serve(l, f.serveClient) }
 
-// serveClient speaks with one client until its connection is closed, and that to its server too.
+// serveClient serves one client until its connection and the one to its server are closed.
 func (f *Frontend) serveClient(permit *connlimit.Permit) {
 	half := permit.Half
 	st := newStream(half)
@@ -47,7 +47,7 @@
 		f.Limiter.Log.Warn().
 			Err(err).
 			Str("to", st.host).
-			Msg("client stream rejected before a request was opened")
+			Msg("client stream rejected before a request was opened; check the client's host name and TLS")
 	case !permit.AcquireRequest():
 		f.Requests.RecordConnLimitRejection(host.Class)
 		st.sendOutcome(resourceConstraint, encodeRetryAfter(connlimit.RetryAfter))
@@ -65,8 +65,8 @@
 	permit.CloseAndRelease(request)
 }
 
-// negotiate takes the client's start tag, after STARTTLS where there is a certificate; all of it until an
-// instant that no step renews. Its errors are a streamError and those of the connection.
+// negotiate reads the client's start tag, after STARTTLS if TLS is configured. until is the deadline for all
+// steps together. The error is a streamError or an error of the connection.
 func (f *Frontend) negotiate(st *stream, until time.Duration) (*itemReader, Host, error) {
 	reader := newItemReader(st.client.Conn)
 	host, err := f.readHeader(st, reader)
@@ -76,56 +76,58 @@
 	}
 	st.write([]byte(xmlDeclaration + encodeHeader(st.host) + requireTLS))
 	it, err := reader.readItem()
-	if err != nil || it.name != "starttls" || !reader.drained() { // bytes before the handshake are nobody's
+	if err != nil || it.name != "starttls" || !reader.drained() { // no plaintext may follow STARTTLS
 		st.sendOutcome(policyViolation, "")
-		return reader, host, fmt.Errorf("no STARTTLS but %q: %w", it.name, err)
+		return reader, host, fmt.Errorf("client sent %q or further bytes instead of STARTTLS alone: %w",
+			it.name, err)
 	}
 	if err := st.write([]byte(proceedTLS)); err != nil {
 		return reader, host, err
 	}
-	secure := tls.Server(st.client.Conn, config)
-	ctx, stop := context.WithTimeout(context.Background(), until-f.Requests.Clock.Now())
-	defer stop()
-	if err := secure.HandshakeContext(ctx); err != nil {
-		return reader, host, fmt.Errorf("TLS: %w", err)
+	tlsConn := tls.Server(st.client.Conn, config)
+	ctx, cancel := context.WithTimeout(context.Background(), until-f.Requests.Clock.Now())
+	defer cancel()
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
+		return reader, host, fmt.Errorf("TLS handshake with the client: %w", err)
 	}
-	st.client.Attach(secure)
-	st.headerSent = false // the client begins a new stream, and is owed a new start tag
+	st.client.Attach(tlsConn)
+	st.headerSent = false // the client starts a new stream and must be sent a new start tag
 	st.client.SetReadUntil(until)
-	reader = newItemReader(secure)
+	reader = newItemReader(tlsConn)
 	host, err = f.readHeader(st, reader)
 	return reader, host, err
 }
 
-// readHeader takes one start tag and finds its host.
+// readHeader reads one start tag and returns the configuration of its host. It answers an invalid start tag
+// with a stream error.
 func (f *Frontend) readHeader(st *stream, reader *itemReader) (Host, error) {
 	it, err := reader.readItem()
-	wrong := noCondition
+	violation := noCondition
 	switch {
 	case err != nil:
-		if wrong = conditionOf(err); wrong == noCondition {
+		if violation = conditionOf(err); violation == noCondition {
 			return Host{}, err
 		}
 	case it.kind != streamHeader || it.name != "stream:stream":
-		wrong = badFormat
+		violation = badFormat
 	case it.attrs["xmlns:stream"] != streamsNamespace || it.attrs["xmlns"] != clientNamespace:
-		wrong = invalidNamespace
+		violation = invalidNamespace
 	case it.attrs["version"] != "1.0":
-		wrong = unsupportedVersion
+		violation = unsupportedVersion
 	}
 	st.clientHeader, st.host = it, it.attrs["to"]
 	host, known := f.Hosts[st.host]
-	if wrong == noCondition && !known {
-		wrong = hostUnknown
+	if violation == noCondition && !known {
+		violation = hostUnknown
 	}
-	if wrong != noCondition {
-		st.sendOutcome(wrong, "")
-		return host, &streamError{wrong}
+	if violation != noCondition {
+		st.sendOutcome(violation, "")
+		return host, &streamError{violation}
 	}
 	return host, nil
 }
 
-// forwardFromClient reads the client until its end, and queues what it sends for the server side.
+// forwardFromClient reads the client until its connection ends and queues its items for the server side.
 func (f *Frontend) forwardFromClient(request *relay.Request, st *stream, reader *itemReader) {
 	defer st.markEnded()
 	for {
@@ -146,7 +148,10 @@
 			}
 			st.client.SetReadUntil(0)
 		case conditionOf(err) != noCondition:
-			f.Limiter.Log.Warn().Err(err).Str("to", st.host).Msg("malformed client stanza; stream ended")
+			f.Limiter.Log.Warn().
+				Err(err).
+				Str("to", st.host).
+				Msg("client stanza rejected and stream closed with an error; check what the client sends")
 			st.sendOutcome(conditionOf(err), "")
 			request.ClientClosed(relay.GracefulClose)
 			return
@@ -157,29 +162,29 @@
 	}
 }
 
-// forwardClientClose ends the request of a client that has closed its connection. After a graceful close
-// there may be stanzas in the queue: they are forwarded first.
-func forwardClientClose(request *relay.Request, st *stream, how relay.CloseKind) {
+// forwardClientClose ends the request of a client that has closed its connection. After a graceful close the
+// stanzas that are still in the queue are forwarded first.
+func forwardClientClose(request *relay.Request, st *stream, closeKind relay.CloseKind) {
 	state, _ := request.State()
-	if how == relay.GracefulClose && state == relay.Established {
+	if closeKind == relay.GracefulClose && state == relay.Established {
 		if st.push(item{kind: streamEnd, raw: []byte(streamEndTag)}) {
 			request.WakeServerSide()
 			st.awaitEnd()
 		}
 	}
-	request.ClientClosed(how)
+	request.ClientClosed(closeKind)
 }
 
-// writeAnswer writes the final answer of a stream that was not established; nothing if it was.
+// writeAnswer writes the final answer of a stream that was not established. It does nothing otherwise.
 func writeAnswer(st *stream, answer relay.Answer) {
 	switch answer.Kind {
 	case relay.Rejected:
 		st.sendOutcome(resourceConstraint, encodeRetryAfter(answer.RetryAfter))
 	case relay.Failed:
-		set := st.streamCondition()
+		preset := st.streamCondition()
 		switch {
-		case set != noCondition:
-			st.sendOutcome(set, "")
+		case preset != noCondition:
+			st.sendOutcome(preset, "")
 		case answer.Cause == decide.TimedOut:
 			st.sendOutcome(connectionTimeout, "")
 		default:
--- a/internal/wire/xmpp/handshake.go
+++ b/internal/wire/xmpp/handshake.go
@@ -9,30 +9,32 @@
 	"capersail/internal/wire/splice"
 )
 
-// attempt is one connection to a server, for a request.
+// attempt is one attempt of a request with its connection to a server.
 type attempt struct {
 	splice.Attempt
 	dialer *ServerDialer
 	stream *stream
 	reader *itemReader
 
-	unconfirmed     []item        // written to the server, which has not shown yet that it took them
-	lastConfirmedAt time.Duration // of the oldest: when it was written, or the server sent something since
-	pingCovers      int           // how many of them stood before the ping that is out; 0 if none is
+	unconfirmed     []item        // written to the server, which has not confirmed them yet
+	lastConfirmedAt time.Duration // when the oldest of them was written or the server last sent something
+	pingCovers      int           // how many of them were written before the unanswered ping; 0 without one
 	pingsSent       int
 }
 
-// converse speaks with the server until the attempt is over. Load reports come from the server's own node.
-func (a *attempt) converse() (decide.Status, decide.LoadReport) {
+// runProtocol runs the attempt until it is over. It returns no load report: load reports come from the
+// server's node in the endpoint list.
+func (a *attempt) runProtocol() (decide.Status, decide.LoadReport) {
 	a.reader = newItemReader(a.Half.Conn)
 	return a.setUp(), decide.NoLoadReport
 }
 
-// errWoken says that the request has something new: an item in its queue, a migration, or a drain.
+// errWoken is returned by readItem when the server side was woken: an item is in the request's queue, the
+// client is to be migrated or the server drains.
 var errWoken = errors.New("woken")
 
-// readItem reads the server's next item, until an instant; 0 is never. Its errors are errWoken and those of
-// itemReader.readItem.
+// readItem reads the server's next item. until is the deadline; 0 means none. The error is errWoken or an
+// error of itemReader.readItem.
 func (a *attempt) readItem(until time.Duration) (item, error) {
 	a.Half.SetReadUntil(until)
 	it, err := a.reader.readItem()
@@ -45,8 +47,9 @@
 	return it, err
 }
 
-// setUp carries the stream to the features after SASL. Until the client's SASL bytes go out nothing has run:
-// whatever happens, the attempt may be made again elsewhere, and is reported as one that never connected.
+// setUp runs the handshake with the server and the SASL exchange, and then forwards stanzas. Until the
+// client's SASL bytes are sent, the server has run nothing for the client: a failure before that is reported
+// as ConnectFailed, so that the attempt may be retried at another server.
 func (a *attempt) setUp() decide.Status {
 	if a.Half.Forward(append([]byte(xmlDeclaration), a.stream.clientHeader.raw...)) != nil {
 		return decide.ConnectFailed
@@ -69,7 +72,8 @@
 	return sasl.run()
 }
 
-// readExpected reads one item before SASL, until the attempt's deadline.
+// readExpected reads the one item, of the given kind and name, that the server must send next before SASL. It
+// waits until the attempt's deadline.
 func (a *attempt) readExpected(kind itemKind, name string) (item, decide.Status) {
 	for {
 		it, err := a.readItem(a.Deadline)
@@ -88,18 +92,19 @@
 	}
 }
 
-// saslExchange forwards SASL both ways, until the features of the restarted stream.
+// saslExchange forwards SASL both ways until the server sends the features of the restarted stream.
 type saslExchange struct {
 	*attempt
-	forwarded bool // something of the client's went to the server
-	succeeded bool
-	restarted bool // the server's stream
+	forwarded bool // an item of the client has been sent to the server
+	succeeded bool // the server has sent SASL success
+	restarted bool // the server has restarted its stream
 }
 
 func (s *saslExchange) run() decide.Status {
 	for {
-		// A server that has begun to drain gets nothing new. Before SASL the attempt is simply not made; a
-		// stream in the middle of it cannot be taken elsewhere, and its client is to open it again.
+		// A draining server is sent nothing new. Before the client's first SASL item the attempt is reported
+		// as superseded. During SASL the stream cannot move to another server, so the client must open it
+		// again.
 		if s.Request.ServerDraining() {
 			if !s.forwarded {
 				return decide.Superseded
@@ -118,7 +123,7 @@
 			continue
 		}
 		if err != nil || it.kind == streamEnd {
-			return s.failed(err)
+			return s.failureStatus(err)
 		}
 		if it.name == "stream:features" && s.restarted {
 			return s.establish(it)
@@ -131,7 +136,8 @@
 	}
 }
 
-// forwardFromClient forwards what the client has queued. It returns whether the attempt is over.
+// forwardFromClient forwards the client's queued items. It returns whether the attempt is over, and its
+// status.
 func (s *saslExchange) forwardFromClient() (status decide.Status, over bool) {
 	for it, ok := s.stream.pop(); ok; it, ok = s.stream.pop() {
 		if it.kind == streamEnd {
@@ -148,10 +154,11 @@
 	return decide.OK, false
 }
 
-// failed is the status of an exchange that ended with an error, or with the server's end tag if that is nil.
-func (s *saslExchange) failed(err error) decide.Status {
+// failureStatus returns the status of an exchange that failed with err, or was ended by the server if err is
+// nil.
+func (s *saslExchange) failureStatus(err error) decide.Status {
 	switch {
-	case splice.TimedOut(err) && !s.forwarded: // the client did nothing with the features: no server's fault
+	case splice.TimedOut(err) && !s.forwarded: // the client sent nothing after the features
 		s.stream.setCondition(connectionTimeout)
 		return decide.Cancelled
 	case splice.TimedOut(err):
@@ -163,7 +170,7 @@
 	}
 }
 
-// establish hands the stream over to stanzas with the features after SASL.
+// establish sends the client the features after SASL and forwards stanzas from then on.
 func (s *saslExchange) establish(features item) decide.Status {
 	if s.Request.Establish(s.Number) == nil {
 		return decide.Cancelled
--- a/internal/wire/xmpp/item_reader.go
+++ b/internal/wire/xmpp/item_reader.go
@@ -2,24 +2,25 @@
 
 import "net"
 
-// readBufferBytes is how much is read at once.
+// readBufferBytes is the size of one read from the connection.
 const readBufferBytes = 4096
 
-// itemReader reads items from a connection. A read that a deadline cuts short loses nothing.
+// itemReader reads items from a connection. If a read deadline expires in the middle of an item, the bytes
+// read so far are kept for the next call.
 type itemReader struct {
 	conn    net.Conn
 	scanner scanner
 	items   []item
 	buffer  []byte
-	err     error // of the scanner; it comes after the items before it
+	err     error // the scanner's error, returned after the items that precede it
 }
 
 func newItemReader(conn net.Conn) *itemReader {
 	return &itemReader{conn: conn, buffer: make([]byte, readBufferBytes)}
 }
 
-// readItem returns the next item. Its errors are a streamError, after which nothing more comes, and those of
-// the connection.
+// readItem returns the next item. The error is a streamError, which all later calls return too, or an error
+// of the connection.
 func (r *itemReader) readItem() (item, error) {
 	for len(r.items) == 0 {
 		if r.err != nil {
@@ -36,7 +37,8 @@
 	return it, nil
 }
 
-// drained tells whether everything that was read has been taken, as before a TLS handshake it must be.
+// drained reports whether no byte that was read is left over. This must hold before a TLS handshake, as bytes
+// before the handshake were sent in plaintext.
 func (r *itemReader) drained() bool {
 	return len(r.items) == 0 && len(r.scanner.item) == 0 && r.err == nil
 }
--- a/internal/wire/xmpp/scanner.go
+++ b/internal/wire/xmpp/scanner.go
@@ -2,24 +2,24 @@
 
 import "strings"
 
-// The bounds on what one peer may make the relay hold.
+// The limits on what the relay buffers for one peer.
 const (
-	maxDepth            = 32
+	maxDepth            = 32 // nested elements, the stream included
 	maxItemBytes        = 64 << 10
 	maxEntityBytes      = 8
 	maxDeclarationBytes = 256
 )
 
 const (
-	blanks              = " \t\r\n"
+	whitespace          = " \t\r\n"
 	cdataStart          = "<![CDATA["
 	cdataEnd            = "]]>"
 	declaration         = "<?xml"
-	ownEntities         = " amp lt gt quot apos " // those that XML itself defines
+	predefinedEntities  = " amp lt gt quot apos " // those that XML predefines
 	minDeclarationBytes = len("<?xml?>")
 )
 
-// itemKind says what an item is.
+// itemKind is the kind of an item.
 type itemKind uint8
 
 const (
@@ -28,7 +28,7 @@
 	streamEnd                         // the stream's end tag
 )
 
-// item is one thing that a stream brings: its text as it came, and its outermost tag taken apart.
+// item is one unit of a stream: its text as received, and the name and attributes of its outermost tag.
 type item struct {
 	kind  itemKind
 	raw   []byte
@@ -36,32 +36,33 @@
 	attrs map[string]string
 }
 
-// scanner cuts a stream into items. It takes bytes as they come, so a read may end anywhere. It rejects what
-// RFC 6120 restricts: document types, processing instructions, comments, entities of one's own.
+// scanner splits a stream into items. It processes single bytes, so a read may end anywhere in an item. It
+// rejects what RFC 6120 restricts: document types, processing instructions, comments and entities that XML
+// does not predefine.
 type scanner struct {
-	item        []byte // the item that is being read
-	tagStart    int    // where its latest tag begins
+	item        []byte // the text so far of the current item
+	tagStart    int    // offset in item of the latest tag
 	mode        scanMode
-	quote       byte // that an attribute's value began with, 0 outside of values
-	entityStart int  // where an entity begins
-	openTags    []string
-	started     bool // something has come: an XML declaration is allowed no more
-	restarted   bool // the stream has been restarted, as it is once after SASL
-	outermost   item // the outermost tag of the item
+	quote       byte     // the quote that began the current attribute value; 0 outside of values
+	entityStart int      // offset in item of the current entity's name
+	openTags    []string // names of the open elements, outermost first
+	started     bool     // a tag or XML declaration was read: no declaration may follow before a restart
+	restarted   bool     // the stream has been restarted, which happens once, after SASL
+	outermost   item     // kind, name and attributes of the current item's outermost tag
 }
 
-// scanMode says what the scanner is within.
+// scanMode is the syntactic context of the next byte.
 type scanMode uint8
 
 const (
 	inText scanMode = iota
 	inTag
-	inData // CDATA
+	inData // a CDATA section
 	inEntity
 )
 
-// feed takes bytes and returns the items that they complete. Its error is a streamError; nothing may be fed
-// after it.
+// feed processes bytes and returns the items that they complete. The error is a streamError; feed must not be
+// called after an error.
 func (s *scanner) feed(p []byte) (items []item, err error) {
 	for _, c := range p {
 		it, err := s.scanByte(c)
@@ -75,13 +76,13 @@
 	return items, nil
 }
 
-// scanByte takes one byte and returns the item that it completes, if it does.
+// scanByte processes one byte and returns the item that it completes, or nil.
 func (s *scanner) scanByte(c byte) (*item, error) {
-	if c < ' ' && !isBlank(c) {
+	if c < ' ' && !isWhitespace(c) {
 		return nil, errNotWellFormed
 	}
-	if s.mode == inText && len(s.openTags) < 2 && c != '<' { // between items only blanks may stand
-		if isBlank(c) {
+	if s.mode == inText && len(s.openTags) < 2 && c != '<' { // between items only whitespace is allowed
+		if isWhitespace(c) {
 			return nil, nil
 		}
 		return nil, errNotWellFormed
@@ -110,9 +111,9 @@
 	return nil, nil
 }
 
-func isBlank(c byte) bool { return strings.IndexByte(blanks, c) >= 0 }
+func isWhitespace(c byte) bool { return strings.IndexByte(whitespace, c) >= 0 }
 
-// scanEntity takes a byte of an entity.
+// scanEntity processes a byte of an entity.
 func (s *scanner) scanEntity(c byte) error {
 	if c != ';' {
 		if len(s.item)-s.entityStart > maxEntityBytes || c == '<' {
@@ -121,7 +122,7 @@
 		return nil
 	}
 	name := string(s.item[s.entityStart : len(s.item)-1])
-	known := strings.HasPrefix(name, "#") || strings.Contains(ownEntities, " "+name+" ")
+	known := strings.HasPrefix(name, "#") || strings.Contains(predefinedEntities, " "+name+" ")
 	if !known || name == "" {
 		return errRestricted
 	}
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// scanTag takes a byte of a tag.
+// scanTag processes a byte of a tag and returns the item that it completes, or nil.
 func (s *scanner) scanTag(c byte) (*item, error) {
 	tag := s.item[s.tagStart:]
 	switch {
@@ -154,10 +155,10 @@
 		return nil, nil
 	}
 	s.started, s.mode = true, inText
-	return s.takeTag(string(tag[1 : len(tag)-1]))
+	return s.handleTag(string(tag[1 : len(tag)-1]))
 }
 
-// scanMarkup takes the beginning of a CDATA section. Document types and comments are restricted.
+// scanMarkup processes the beginning of a CDATA section. It rejects document types and comments.
 func (s *scanner) scanMarkup(tag []byte) error {
 	if len(s.openTags) < 2 || len(tag) > len(cdataStart) || cdataStart[:len(tag)] != string(tag) {
 		return errRestricted
@@ -168,7 +169,8 @@
 	return nil
 }
 
-// scanDeclaration takes a byte of an XML declaration, as it may stand before a stream and before its restart.
+// scanDeclaration processes a byte of an XML declaration, which is allowed before a stream and before its
+// restart.
 func (s *scanner) scanDeclaration(tag []byte, c byte) error {
 	restart := len(s.openTags) == 1 && s.tagStart == 0 && !s.restarted
 	other := len(tag) > len(declaration) && string(tag[:len(declaration)]) != declaration
@@ -185,15 +187,15 @@
 	return nil
 }
 
-// takeTag takes a complete tag, without its brackets, and returns the item that it completes, if it does.
-func (s *scanner) takeTag(tag string) (*item, error) {
+// handleTag processes a complete tag, without its brackets, and returns the item that it completes, or nil.
+func (s *scanner) handleTag(tag string) (*item, error) {
 	if name, end := strings.CutPrefix(tag, "/"); end {
-		return s.takeEndTag(strings.TrimRight(name, blanks))
+		return s.handleEndTag(strings.TrimRight(name, whitespace))
 	}
-	return s.takeStartTag(tag)
+	return s.handleStartTag(tag)
 }
 
-func (s *scanner) takeEndTag(name string) (*item, error) {
+func (s *scanner) handleEndTag(name string) (*item, error) {
 	if len(s.openTags) == 0 || s.openTags[len(s.openTags)-1] != name {
 		return nil, errNotWellFormed
 	}
@@ -201,14 +203,14 @@
 	switch len(s.openTags) {
 	case 0:
 		s.outermost = item{kind: streamEnd, name: name}
-		return s.takeItem(), nil
+		return s.completeItem(), nil
 	case 1:
-		return s.takeItem(), nil
+		return s.completeItem(), nil
 	}
 	return nil, nil
 }
 
-func (s *scanner) takeStartTag(tag string) (*item, error) {
+func (s *scanner) handleStartTag(tag string) (*item, error) {
 	text, empty := strings.CutSuffix(tag, "/")
 	name, attrs, err := parseTag(text)
 	if err != nil {
@@ -225,7 +227,7 @@
 		case 0:
 			return nil, errNotWellFormed
 		case 1:
-			return s.takeItem(), nil
+			return s.completeItem(), nil
 		}
 		return nil, nil
 	}
@@ -235,23 +237,23 @@
 	s.openTags = append(s.openTags, name)
 	if len(s.openTags) == 1 {
 		s.outermost.kind = streamHeader
-		return s.takeItem(), nil
+		return s.completeItem(), nil
 	}
 	return nil, nil
 }
 
-// takeItem returns the item that has just been completed.
-func (s *scanner) takeItem() *item {
+// completeItem returns the current item, which is complete, and prepares for the next one.
+func (s *scanner) completeItem() *item {
 	it := s.outermost
 	it.raw = append([]byte(nil), s.item...)
 	s.item = s.item[:0]
 	return &it
 }
 
-// parseTag takes a start tag apart.
+// parseTag parses a start tag, without its brackets, into its name and attributes.
 func parseTag(tag string) (name string, attrs map[string]string, err error) {
 	name = tag
-	if i := strings.IndexAny(tag, blanks); i >= 0 {
+	if i := strings.IndexAny(tag, whitespace); i >= 0 {
 		name, tag = tag[:i], tag[i:]
 	} else {
 		tag = ""
@@ -260,11 +262,11 @@
 		return "", nil, errNotWellFormed
 	}
 	attrs = map[string]string{}
-	for tag = strings.Trim(tag, blanks); tag != ""; tag = strings.TrimLeft(tag, blanks) {
+	for tag = strings.Trim(tag, whitespace); tag != ""; tag = strings.TrimLeft(tag, whitespace) {
 		key, rest, ok := strings.Cut(tag, "=")
-		key, rest = strings.TrimRight(key, blanks), strings.TrimLeft(rest, blanks)
+		key, rest = strings.TrimRight(key, whitespace), strings.TrimLeft(rest, whitespace)
 		quoted := rest != "" && (rest[0] == '"' || rest[0] == '\'')
-		if !ok || key == "" || strings.ContainsAny(key, blanks+"'\"") || !quoted {
+		if !ok || key == "" || strings.ContainsAny(key, whitespace+"'\"") || !quoted {
 			return "", nil, errNotWellFormed
 		}
 		end := strings.IndexByte(rest[1:], rest[0])
--- a/internal/wire/xmpp/scanner_test.go
+++ b/internal/wire/xmpp/scanner_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzItemsDoNotDependOnReads checks that where reads end makes no difference, and that the bounds hold.
+// FuzzItemsDoNotDependOnReads checks that the items do not depend on where reads end, and that the limits
+// hold.
 func FuzzItemsDoNotDependOnReads(f *testing.F) {
 	const start = "<?xml version='1.0'?><stream:stream to='a'>"
 	f.Add([]byte(start + "<message id='1'><body>a&lt;<![CDATA[</x>]]></body></message></stream:stream>"))
@@ -15,19 +16,21 @@
 	f.Add([]byte(start + "<a><!-- no --></a>"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var whole, bytes scanner
-		all, err := whole.feed(text)
-		var each []item
-		var eachErr error
-		for i := 0; i < len(text) && eachErr == nil; i++ {
+		wholeItems, wholeErr := whole.feed(text)
+		var byteItems []item
+		var bytesErr error
+		for i := 0; i < len(text) && bytesErr == nil; i++ {
 			var more []item
-			more, eachErr = bytes.feed(text[i : i+1])
-			each = append(each, more...)
+			more, bytesErr = bytes.feed(text[i : i+1])
+			byteItems = append(byteItems, more...)
 		}
-		if fmt.Sprint(all, err) != fmt.Sprint(each, eachErr) {
-			t.Errorf("at once %v %v, byte by byte %v %v", all, err, each, eachErr)
+		if fmt.Sprint(wholeItems, wholeErr) != fmt.Sprint(byteItems, bytesErr) {
+			t.Errorf("got items %v and error %v from one read, but %v and %v byte by byte",
+				wholeItems, wholeErr, byteItems, bytesErr)
 		}
 		if len(whole.item) > maxItemBytes || len(whole.openTags) > maxDepth {
-			t.Errorf("%d bytes, depth %d", len(whole.item), len(whole.openTags))
+			t.Errorf("got an item of %d bytes at depth %d, above maxItemBytes or maxDepth",
+				len(whole.item), len(whole.openTags))
 		}
 	})
 }
--- a/internal/wire/xmpp/server_dialer.go
+++ b/internal/wire/xmpp/server_dialer.go
@@ -11,20 +11,21 @@
 	"capersail/internal/wire/splice"
 )
 
-// minConnectTimeout is what a dial gets at least, however little the operator's file allows it.
+// minConnectTimeout is the shortest time-out of a dial, whatever the operator's file says.
 const minConnectTimeout = time.Millisecond
 
-// ServerDialer is the server side: it dials, carries set-up and stanzas, classifies how attempts end, and
-// notices silence. It implements relay.ServerDialer.
+// ServerDialer is the server side of the protocol. It dials servers, runs the handshake and SASL, forwards
+// stanzas, detects silent servers and reports the status with which each attempt ends. It implements
+// relay.ServerDialer.
 type ServerDialer struct {
 	Clock          *relay.Clock
-	ConnectTimeout time.Duration // of a dial, beside the attempt's deadline, and of a probe
-	ProbeHost      string        // the host that a probe's stream names
-	SilenceTimeout time.Duration // a server that has confirmed nothing for so long is lost
+	ConnectTimeout time.Duration // limit of a dial besides the attempt's deadline, and of a probe
+	ProbeHost      string        // the host named in the start tag of a probe
+	SilenceTimeout time.Duration // a server that confirms nothing for this long counts as lost
 	Log            zerolog.Logger
 }
 
-// StartAttempt makes one attempt in a goroutine of its own, which ends with it.
+// StartAttempt makes one attempt in a new goroutine, which ends with the attempt.
 func (s *ServerDialer) StartAttempt(request *relay.Request, a relay.Attempt) {
 	go s.runAttempt(request, a)
 }
@@ -32,14 +33,14 @@
 func (s *ServerDialer) runAttempt(request *relay.Request, a relay.Attempt) {
 	st := request.Payload.(*stream)
 	made := &attempt{Attempt: splice.Attempt{Attempt: a, Request: request}, dialer: s, stream: st}
-	conversed := made.Run(s.Clock, max(s.ConnectTimeout, minConnectTimeout), made.converse)
-	if state, _ := request.State(); conversed && state == relay.Ended {
+	protocolRan := made.Run(s.Clock, max(s.ConnectTimeout, minConnectTimeout), made.runProtocol)
+	if state, _ := request.State(); protocolRan && state == relay.Ended {
 		st.markEnded()
 	}
 }
 
-// Probe opens a stream and waits for the server's start tag. It does not block; done is called once. Load
-// comes from the server's own node.
+// Probe opens a stream and waits for the server's start tag. It does not block; done is called exactly once.
+// The reported load is that of the server's node in the endpoint list.
 func (s *ServerDialer) Probe(server relay.Server, done func(decide.Status, decide.LoadReport)) {
 	go func() { done(s.probe(server)) }()
 }
@@ -53,7 +54,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(s.Clock.WallDeadline(s.Clock.Now() + s.ConnectTimeout))
-	conn.Write([]byte(xmlDeclaration + encodeClientHeader(s.ProbeHost))) // the read meets the same error
+	conn.Write([]byte(xmlDeclaration + encodeClientHeader(s.ProbeHost))) // the read returns the same error
 	it, err := newItemReader(conn).readItem()
 	switch {
 	case splice.TimedOut(err):
--- a/internal/wire/xmpp/stanzas.go
+++ b/internal/wire/xmpp/stanzas.go
@@ -10,16 +10,16 @@
 	"capersail/internal/wire/splice"
 )
 
-// A server that confirms nothing is sent a ping after a fifth of the silence that it is given up for, and is
-// forwarded no more once the ping is out at two fifths.
+// A server that confirms nothing is sent a ping after 1/5 of SilenceTimeout. From 2/5 of SilenceTimeout
+// without an answer to the ping, no more stanzas are forwarded to it. At SilenceTimeout it counts as lost.
 const (
 	pingAfterParts      = 1
 	pingOverdueParts    = 2
 	silenceTimeoutParts = 5
 )
 
-// forwardStanzas forwards stanzas until one side ends or the client is migrated. It alone writes to both
-// ends, so whatever it adds stands between two stanzas.
+// forwardStanzas forwards stanzas until one side closes or the client is migrated. Nothing else writes to
+// either connection, so what it adds never splits a stanza.
 func (a *attempt) forwardStanzas() decide.Status {
 	for {
 		if a.forwardQueue(false) != nil {
@@ -59,12 +59,12 @@
 	}
 }
 
-// forwardQueue forwards what the client has queued. While a ping is out and late, and while too much is
-// unconfirmed, it stays queued, unless all is set. Its error is the connection's.
+// forwardQueue forwards the client's queued items. While mustHoldQueue holds, the items stay queued unless
+// all is set. Errors are errors of the connection.
 func (a *attempt) forwardQueue(all bool) error {
 	for {
 		now := a.dialer.Clock.Now()
-		if !all && a.mustHold(now) {
+		if !all && a.mustHoldQueue(now) {
 			return nil
 		}
 		it, ok := a.stream.pop()
@@ -75,14 +75,15 @@
 			a.lastConfirmedAt = now
 		}
 		a.unconfirmed = append(a.unconfirmed, it)
-		if err := a.Half.Forward(it.raw); err != nil { // a part of a stanza is none: it is bounced too
+		if err := a.Half.Forward(it.raw); err != nil { // a partly written stanza is bounced too
 			return err
 		}
 	}
 }
 
-// mustHold tells whether the server has to confirm something before it is forwarded more.
-func (a *attempt) mustHold(now time.Duration) bool {
+// mustHoldQueue reports whether forwarding must wait for the server to confirm items: a ping is overdue or
+// too many items are unconfirmed.
+func (a *attempt) mustHoldQueue(now time.Duration) bool {
 	overdue := a.dialer.SilenceTimeout * pingOverdueParts / silenceTimeoutParts
 	pingLate := a.pingCovers > 0 && now-a.lastConfirmedAt >= overdue
 	return pingLate || len(a.unconfirmed) >= maxQueuedItems || totalBytes(a.unconfirmed) >= maxQueuedBytes
@@ -95,7 +96,7 @@
 	return n
 }
 
-// nextSilenceCheck is the instant at which the server's silence is to be checked; 0 is never.
+// nextSilenceCheck returns the time at which the server must be checked for silence; 0 means never.
 func (a *attempt) nextSilenceCheck() time.Duration {
 	switch {
 	case len(a.unconfirmed) == 0:
@@ -107,8 +108,8 @@
 	}
 }
 
-// sendPing asks the server for a sign of life (XEP-0199). Stanzas are taken in order, so its answer confirms
-// all that went before it. Its error is the connection's.
+// sendPing sends the server a ping (XEP-0199). A server processes stanzas in order, so the answer confirms
+// all stanzas sent before the ping. Errors are errors of the connection.
 func (a *attempt) sendPing() error {
 	a.pingsSent++
 	a.pingCovers = len(a.unconfirmed)
@@ -116,11 +117,11 @@
 	return a.Half.Forward([]byte(ping))
 }
 
-// pingID is the id of the ping that was sent last.
+// pingID returns the id of the latest ping.
 func (a *attempt) pingID() string { return fmt.Sprintf("capersail-%d-%d", a.Request.ID, a.pingsSent) }
 
-// takePong takes the answer to the relay's own ping, and returns whether the item is one; an error is as good
-// as a result.
+// takePong handles the answer to the relay's ping and returns whether the item is one. An error answer
+// confirms as much as a result.
 func (a *attempt) takePong(it item) bool {
 	if it.name != "iq" || a.pingCovers == 0 || it.attrs["id"] != a.pingID() {
 		return false
@@ -129,21 +130,22 @@
 	return true
 }
 
-// endStream ends a stream whose server is gone, silent or done. What the server has not confirmed, and what
-// is still queued, comes back to the client as errors: never lost silently, never sent twice.
+// endStream ends a stream whose server is lost, silent or has closed it. Unconfirmed and queued stanzas are
+// returned to the client as errors, so that none is lost silently or sent twice.
 func (a *attempt) endStream(c condition, status decide.Status) decide.Status {
-	a.Request.ServerClosed() // before the client sees the end: its goroutine then reports that it has left
-	back := a.unconfirmed
-	if status == decide.OK || status == decide.Cancelled { // it ended its stream after what it had read
-		back = nil
+	// Before the client sees the end of its stream, after which its goroutine reports a close by the client.
+	a.Request.ServerClosed()
+	bounced := a.unconfirmed
+	if status == decide.OK || status == decide.Cancelled { // it had processed what it read
+		bounced = nil
 	}
 	for it, ok := a.stream.pop(); ok; it, ok = a.stream.pop() {
 		if it.kind == streamEnd {
 			c = noCondition
 		}
-		back = append(back, it)
+		bounced = append(bounced, it)
 	}
-	for _, it := range back {
+	for _, it := range bounced {
 		if text := encodeBounce(it); text != "" {
 			a.stream.write([]byte(text))
 		}
@@ -153,7 +155,8 @@
 	return status
 }
 
-// migrate ends the client's stream with a reset, after what it has sent so far, so that it opens it again.
+// migrate forwards what the client has sent so far and then ends its stream with the condition reset, so that
+// the client opens it again.
 func (a *attempt) migrate(serverSilent bool) decide.Status {
 	if serverSilent || a.pingCovers > 0 || a.forwardQueue(true) != nil {
 		return a.endStream(resetCondition, decide.Reset)
--- a/internal/wire/xmpp/stream.go
+++ b/internal/wire/xmpp/stream.go
@@ -10,7 +10,7 @@
 	"capersail/internal/wire/splice"
 )
 
-// streamCondition returns the condition to end with, noCondition if none was set.
+// streamCondition returns the condition set by setCondition, or noCondition.
 func (st *stream) streamCondition() condition {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -18,26 +18,26 @@
 }
 
 const (
-	maxQueuedItems = 64        // that wait for the server, or that it has not confirmed
-	maxQueuedBytes = 128 << 10 // of each: a few big stanzas are as much as many small ones
+	maxQueuedItems = 64        // limit of items in the queue, and of unconfirmed items
+	maxQueuedBytes = 128 << 10 // limit of bytes for each of them, as stanzas differ in size
 )
 
-// stream is what the two sides of one request share: the client's writing end and the queue of what the
-// client sends. The server side alone takes from the queue, so no item is ever sent twice.
+// stream is the state that the two sides of one request share: writing to the client, and the queue of items
+// that the client has sent. Only the server side removes items from the queue, so no item is sent twice.
 type stream struct {
 	client       *splice.Half
-	clientHeader item   // the client's start tag
-	host         string // the host it asked for
+	clientHeader item   // the client's latest start tag
+	host         string // the host that the start tag names
 
-	mu          sync.Mutex // guards what follows
-	changed     *sync.Cond // signalled as the queue shrinks or the stream ends
+	mu          sync.Mutex // guards the fields below
+	changed     *sync.Cond // signalled when the queue shrinks or the stream ends
 	queue       []item
 	queuedBytes int
 	ended       bool
-	headerSent  bool      // the client has a start tag
-	outcomeSent bool      // the client has its one outcome
-	condition   condition // to end with, where the answer's kind is not enough
-	features    string    // as the client was sent them, "" if it was not
+	headerSent  bool      // a start tag has been sent to the client
+	outcomeSent bool      // the outcome has been sent to the client; nothing is sent after it
+	condition   condition // overrides the stream error that follows from the request's answer
+	features    string    // the features sent to the client; "" if none were sent
 }
 
 func newStream(client *splice.Half) *stream {
@@ -46,8 +46,8 @@
 	return st
 }
 
-// push queues an item from the client, and waits while the queue is full: the client's own socket then
-// holds the rest. It is false once the stream has ended.
+// push queues an item from the client. It blocks while the queue is full, so that the client's connection is
+// not read. It returns false once the stream has ended.
 func (st *stream) push(it item) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -62,7 +62,7 @@
 	return true
 }
 
-// pop takes the oldest item of the queue, if there is one.
+// pop removes and returns the oldest item of the queue, if there is one.
 func (st *stream) pop() (item, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -76,7 +76,7 @@
 	return it, true
 }
 
-// setCondition sets the condition of an outcome that is still to be sent. The first stays.
+// setCondition sets the condition of the outcome, unless one is set already.
 func (st *stream) setCondition(c condition) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// write sends complete items to the client; after its outcome nothing more.
+// write sends complete items to the client. After the outcome it returns net.ErrClosed.
 func (st *stream) write(p []byte) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -96,8 +96,9 @@
 	return st.client.Forward(p)
 }
 
-// sendFeatures sends the client a server's start tag and features, once. A retry's must be the same, or it
-// returns false: the client has chosen its mechanism by the first.
+// sendFeatures sends the client a server's start tag and features. Only the first call sends them. A retry at
+// another server must have the same features, otherwise sendFeatures returns false: the client may have
+// chosen its SASL mechanism from the first ones.
 func (st *stream) sendFeatures(header, features string) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -108,9 +109,9 @@
 	return !st.outcomeSent && st.client.Forward([]byte(xmlDeclaration+header+features)) == nil
 }
 
-// sendOutcome sends the client its one outcome: the end of the stream, after a stream error, with a child
-// more, if there is a condition.
-func (st *stream) sendOutcome(c condition, more string) {
+// sendOutcome sends the client the outcome of its stream, once: the stream's end tag, preceded by a stream
+// error if there is a condition. extraChild is a further child element of the error, or "".
+func (st *stream) sendOutcome(c condition, extraChild string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.outcomeSent {
@@ -123,13 +124,13 @@
 		b.WriteString(xmlDeclaration + encodeHeader(st.host))
 	}
 	if c != noCondition {
-		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", c, errorsNamespace, more)
+		fmt.Fprintf(&b, "<stream:error><%s xmlns='%s'/>%s</stream:error>", c, errorsNamespace, extraChild)
 	}
 	b.WriteString(streamEndTag)
 	st.client.Forward([]byte(b.String()))
 }
 
-// awaitEnd returns once the stream has ended.
+// awaitEnd blocks until the stream has ended.
 func (st *stream) awaitEnd() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -138,7 +139,7 @@
 	}
 }
 
-// markEnded ends the stream for whoever waits.
+// markEnded marks the stream as ended and releases goroutines blocked in push or awaitEnd.
 func (st *stream) markEnded() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -146,20 +147,20 @@
 	st.changed.Broadcast()
 }
 
-// clientHalf is the client's end as the request table knows it. Its wake says that the request is over, which
-// a client side that waits for space in the queue must be notified of too.
+// clientHalf is the client's connection as the request table uses it. The table wakes it when the request is
+// over; a client side that is blocked in push must be released then too.
 type clientHalf struct {
 	*splice.Half
 	stream *stream
 }
 
-// Wake lets the client side write the answer.
+// Wake makes the client side check its request and write the answer.
 func (c clientHalf) Wake() {
 	c.stream.markEnded()
 	c.Half.Wake()
 }
 
-// HasUnread tells of the client's end only: it may send something at any time.
+// HasUnread reports only whether the client has closed: an XMPP client may send stanzas at any time.
 func (c clientHalf) HasUnread() bool { return c.Half.PeerClosed() }
 
 var _ relay.ClientConn = clientHalf{}
