--- a/internal/wire/simulator/actions.go
+++ b/internal/wire/simulator/actions.go
@@ -9,48 +9,48 @@
 	"capersail/decide"
 )
 
-// writeAction writes what the module wants, and notes what it means for the requests that are tracked.
-func (h *Hub) writeAction(from *instance, action decide.Action) {
-	w, number := &h.reply, from.number
+// writeAction writes one action of the decision module and updates the requests that are tracked.
+func (h *Hub) writeAction(inst *instance, action decide.Action) {
+	w, number := &h.reply, inst.number
 	switch a := action.(type) {
 	case decide.Forward:
 		w.beginAction(actionForward, number)
-		w.text(from.requestName(a.ID))
+		w.text(inst.requestName(a.ID))
 		w.duration(a.Timeout)
-		w.text(h.serverName(from, a.Server))
-		from.byID[a.ID].openAttempts++
+		w.text(h.serverName(inst, a.Server))
+		inst.byID[a.ID].openAttempts++
 	case decide.Reject:
 		w.beginAction(actionReject, number)
-		w.text(from.requestName(a.ID))
+		w.text(inst.requestName(a.ID))
 		w.duration(a.RetryAfter)
-		from.finish(a.ID)
+		inst.finish(a.ID)
 	case decide.Fail:
 		w.beginAction(actionFail, number)
-		w.text(from.requestName(a.ID))
-		from.finish(a.ID)
+		w.text(inst.requestName(a.ID))
+		inst.finish(a.ID)
 	case decide.Migrate:
 		w.beginAction(actionMigrate, number)
-		w.text(from.requestName(a.ID))
-		from.finish(a.ID)
+		w.text(inst.requestName(a.ID))
+		inst.finish(a.ID)
 	case decide.CancelAttempt:
 		w.beginAction(actionCancelAttempt, number)
-		w.text(from.requestName(a.ID))
+		w.text(inst.requestName(a.ID))
 		w.unsigned(uint64(a.Attempt))
 	case decide.Probe:
 		w.beginAction(actionProbe, number)
-		w.text(h.serverName(from, a.Server))
+		w.text(h.serverName(inst, a.Server))
 	case decide.CloseIdleConnections:
 		w.beginAction(actionCloseIdle, number)
-		w.text(h.serverName(from, a.Server))
+		w.text(h.serverName(inst, a.Server))
 	default:
-		h.writeOwnAction(from, action)
+		h.writeInstanceAction(inst, action)
 	}
 	w.endAction()
 }
 
-// writeOwnAction writes an action that concerns no request and no server.
-func (h *Hub) writeOwnAction(from *instance, action decide.Action) {
-	w, number := &h.reply, from.number
+// writeInstanceAction writes an action that concerns neither a request nor a server.
+func (h *Hub) writeInstanceAction(inst *instance, action decide.Action) {
+	w, number := &h.reply, inst.number
 	switch a := action.(type) {
 	case decide.Timer:
 		w.beginAction(actionTimer, number)
@@ -73,33 +73,33 @@
 		w.beginAction(actionLog, number)
 		w.text(a.Text)
 	default:
-		panic(fmt.Sprintf("no wire for %T", action))
+		panic(fmt.Sprintf("action of type %T has no encoding in the simulator's protocol", action))
 	}
 }
 
-// replyWriter builds a reply. It keeps its buffer from one to the next.
+// replyWriter builds replies. It reuses its buffer.
 type replyWriter struct {
-	buffer []byte
-	some   bool // an action has been written
+	buffer     []byte
+	hasActions bool // an action has been written to the current reply
 }
 
 func (w *replyWriter) begin() {
 	w.buffer = append(w.buffer[:0], `{"actions":[`...)
-	w.some = false
+	w.hasActions = false
 }
 
-// end is the whole reply, valid until the next begin.
+// end completes the reply and returns it; it is valid until the next begin.
 func (w *replyWriter) end() []byte {
 	w.buffer = append(w.buffer, "]}\n"...)
 	return w.buffer
 }
 
-// beginAction begins an action of an instance; its values follow, then endAction.
+// beginAction starts an action of an instance. Its values are written next, then endAction completes it.
 func (w *replyWriter) beginAction(kind actionKind, instance int) {
-	if w.some {
+	if w.hasActions {
 		w.buffer = append(w.buffer, ',')
 	}
-	w.some = true
+	w.hasActions = true
 	w.buffer = append(w.buffer, '[', '"')
 	w.buffer = append(w.buffer, kind...)
 	w.buffer = append(w.buffer, '"')
@@ -116,13 +116,14 @@
 	w.buffer = strconv.AppendBool(append(w.buffer, ','), x)
 }
 
-// duration writes milliseconds, rounded up to the simulator's microseconds, so that no timer comes early.
+// duration writes a number of milliseconds, rounded up to the simulator's resolution of 1 µs, so that no
+// timer fires early.
 func (w *replyWriter) duration(d time.Duration) {
 	us := (d + time.Microsecond - 1) / time.Microsecond
 	w.buffer = strconv.AppendFloat(append(w.buffer, ','), float64(us)/1000, 'f', -1, 64)
 }
 
-// text writes a string. Names from the wire hardly ever need escapes.
+// text writes a string. Names on the wire rarely need escapes.
 func (w *replyWriter) text(s string) {
 	w.buffer = append(w.buffer, ',', '"')
 	for i := range len(s) {
--- a/internal/wire/simulator/hub.go
+++ b/internal/wire/simulator/hub.go
@@ -10,14 +10,14 @@
 	"capersail/internal/relay"
 )
 
-// Hub hosts many instances of the decision module. They share the spelling of servers' names and nothing
-// else. It is for one goroutine.
+// Hub hosts many instances of the decision module. The instances share only the numbering of server names. A
+// Hub must not be used by several goroutines at once.
 type Hub struct {
 	parser    fastjson.Parser
-	instances map[int]*instance // nil for one that was stopped
+	instances map[int]*instance // by number; nil for an instance that was stopped
 	servers   serverNames
-	endpoints []decide.Endpoint // reused from list to list
-	actions   []decide.Action   // reused from event to event
+	endpoints []decide.Endpoint // reused by decodeList
+	actions   []decide.Action   // reused by handle
 	reply     replyWriter
 }
 
@@ -26,27 +26,28 @@
 	return &Hub{instances: map[int]*instance{}, servers: serverNames{numbers: map[string]int{}}}
 }
 
-// HandleBatch takes one line and returns the reply, newline included; it is valid until the next call. An
-// error means that the line is not of the dialect; what stood before the fault has been taken in.
+// HandleBatch handles one line and returns the reply including its newline; the reply is valid until the next
+// call. An error means that the line does not follow the protocol; the events before the malformed one have
+// been handled.
 func (h *Hub) HandleBatch(line []byte) (reply []byte, err error) {
 	batch, err := h.parser.ParseBytes(line)
 	if err != nil {
-		return nil, fmt.Errorf("not JSON: %w", err)
+		return nil, fmt.Errorf("batch is not valid JSON: %w", err)
 	}
 	if batch.Type() != fastjson.TypeObject {
-		return nil, fmt.Errorf("a batch must be an object, not %s", batch.Type())
+		return nil, fmt.Errorf("batch is a JSON %s, want an object", batch.Type())
 	}
 	clock, err := finiteNumber(batch.Get("tsMs"))
 	if err != nil {
-		return nil, fmt.Errorf("tsMs: %w", err)
+		return nil, fmt.Errorf("batch key tsMs: %w", err)
 	}
 	list := batch.Get("arrivals")
 	if list == nil {
-		return nil, fmt.Errorf("arrivals are missing")
+		return nil, fmt.Errorf("batch has no key arrivals")
 	}
 	arrivals, err := list.Array()
 	if err != nil {
-		return nil, fmt.Errorf("arrivals: %w", err)
+		return nil, fmt.Errorf("batch key arrivals: %w", err)
 	}
 	now := relay.DurationFromMillis(clock)
 	h.reply.begin()
@@ -58,11 +59,12 @@
 	return h.reply.end(), nil
 }
 
-// handleEvent takes one arrival: an array of the event's name, the instance's number and values by position.
+// handleEvent handles one arrival: an array of the event's name, the instance's number and values by
+// position.
 func (h *Hub) handleEvent(now time.Duration, arrival *fastjson.Value) error {
 	values, err := arrival.Array()
 	if err != nil || len(values) < 2 {
-		return fmt.Errorf("an event must be an array of a name and an instance")
+		return fmt.Errorf("event is not an array that begins with a name and an instance number")
 	}
 	name, err := values[0].StringBytes()
 	if err != nil {
@@ -71,38 +73,38 @@
 	kind := eventKind(name)
 	number, err := values[1].Int()
 	if err != nil {
-		return fmt.Errorf("%s: instance: %w", kind, err)
+		return fmt.Errorf("%s: instance number: %w", kind, err)
 	}
 	v := &eventValues{values: values}
 	if kind == eventStart {
 		return h.start(number, v)
 	}
-	to, started := h.instances[number]
+	inst, started := h.instances[number]
 	switch {
 	case !started:
-		return fmt.Errorf("%s: instance %d was never started", kind, number)
+		return fmt.Errorf("%s: instance %d has not been started", kind, number)
 	case kind == eventStop:
 		h.instances[number] = nil
 		return nil
 	}
-	event, err := h.decodeEvent(to, kind, v)
+	event, err := h.decodeEvent(inst, kind, v)
 	if err == nil {
 		err = v.err
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", kind, err)
 	}
-	if to != nil && event != nil {
-		h.handle(to, now, event)
+	if inst != nil && event != nil {
+		h.handle(inst, now, event)
 	}
 	return nil
 }
 
-// start begins an instance, or begins it anew.
+// start starts an instance, or replaces it by a new one.
 func (h *Hub) start(number int, v *eventValues) error {
 	settings := v.at(3)
 	if settings == nil || settings.Type() != fastjson.TypeObject {
-		return fmt.Errorf("%s: profileData must be an object", eventStart)
+		return fmt.Errorf("%s: value 3 (profileData) must be a JSON object", eventStart)
 	}
 	seed := v.unsigned(2)
 	if v.err != nil {
@@ -112,32 +114,33 @@
 	return nil
 }
 
-// handle lets the module act. A panic there is told to the simulator, which ends the day with its text.
-func (h *Hub) handle(to *instance, now time.Duration, event decide.Event) {
+// handle passes an event to the decision module and writes its actions. A panic of the module is reported to
+// the simulator, which ends the simulation with its text.
+func (h *Hub) handle(inst *instance, now time.Duration, event decide.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.beginAction(actionPanicked, to.number)
+			h.reply.beginAction(actionPanicked, inst.number)
 			h.reply.text(fmt.Sprint(p))
 			h.reply.endAction()
 		}
 	}()
-	h.actions = to.balancer.Handle(now, event, h.actions[:0])
+	h.actions = inst.balancer.Handle(now, event, h.actions[:0])
 	for _, action := range h.actions {
-		h.writeAction(to, action)
+		h.writeAction(inst, action)
 	}
 	switch event := event.(type) {
 	case decide.Outcome:
-		to.forgetFinished(event.ID)
+		inst.forgetFinished(event.ID)
 	case decide.ClientGone:
-		to.forgetFinished(event.ID)
+		inst.forgetFinished(event.ID)
 	}
 }
 
-// serverNames numbers the servers' names in the order of first mention in this process.
+// serverNames numbers the names of servers in the order in which they first appear in this process.
 type serverNames struct {
 	numbers map[string]int
 	names   []string
-	keys    []uint64 // of the rendezvous order: hashes of the names
+	keys    []uint64 // hashes of the names, for the rendezvous order
 }
 
 func (s *serverNames) number(name []byte) int {
@@ -152,12 +155,13 @@
 	return number
 }
 
-// serverID numbers a name, first for the hub, to hash it once, then for the instance.
-func (h *Hub) serverID(of *instance, name []byte) decide.ServerID {
-	return of.serverID(h.servers.number(name))
+// serverID returns the instance's number of a server. The hub numbers the name first, so that it is hashed
+// only once.
+func (h *Hub) serverID(inst *instance, name []byte) decide.ServerID {
+	return inst.serverID(h.servers.number(name))
 }
 
-// serverName is the name of an instance's server.
-func (h *Hub) serverName(of *instance, id decide.ServerID) string {
-	return h.servers.names[of.hubNumbers[id]]
+// serverName returns the name of an instance's server.
+func (h *Hub) serverName(inst *instance, id decide.ServerID) string {
+	return h.servers.names[inst.hubNumbers[id]]
 }
--- a/internal/wire/simulator/instance.go
+++ b/internal/wire/simulator/instance.go
@@ -7,27 +7,27 @@
 	"capersail/internal/relay"
 )
 
-// instance is one decision module with its own numbering of everything, so that its decisions do not depend
-// on which other instances this process hosts.
+// instance is one decision module with its own numbering of servers and requests, so that its decisions do
+// not depend on which other instances this process hosts.
 type instance struct {
 	number     int
 	balancer   *decide.Balancer
 	deployment *relay.Deployment
 
-	serverIDs  []decide.ServerID // by the hub's number, -1 for a server not met yet
-	hubNumbers []int             // by server id
+	serverIDs  []decide.ServerID // by the hub's number; -1 for a server not seen yet
+	hubNumbers []int             // by server ID
 
 	requests map[string]*trackedRequest
 	byID     map[decide.RequestID]*trackedRequest
 	lastID   decide.RequestID
 }
 
-// trackedRequest is a request that either side may still name.
+// trackedRequest is a request that events or actions may still name.
 type trackedRequest struct {
 	id           decide.RequestID
 	name         string
-	openAttempts int // attempts whose outcome has not come
-	finished     bool
+	openAttempts int  // attempts without an outcome so far
+	finished     bool // the request is over; attempts may still be open
 }
 
 // newInstance starts an instance from its settings.
@@ -40,8 +40,8 @@
 	return n
 }
 
-// emptyInstance stands for one that was stopped: whatever is still under way for it is void. It has no
-// balancer.
+// emptyInstance returns an instance without a balancer. It stands for an instance that was stopped, whose
+// events are decoded but ignored.
 func emptyInstance() *instance {
 	return &instance{
 		deployment: &relay.Deployment{},
@@ -50,7 +50,7 @@
 	}
 }
 
-// serverID numbers a server of the hub's for this instance.
+// serverID returns this instance's number of a server, given the hub's number.
 func (n *instance) serverID(hubNumber int) decide.ServerID {
 	for hubNumber >= len(n.serverIDs) {
 		n.serverIDs = append(n.serverIDs, -1)
@@ -62,7 +62,7 @@
 	return n.serverIDs[hubNumber]
 }
 
-// track numbers a request that begins.
+// track starts to track a new request and returns its ID.
 func (n *instance) track(name string, openAttempts int) decide.RequestID {
 	n.lastID++
 	r := &trackedRequest{id: n.lastID, name: name, openAttempts: openAttempts}
@@ -70,7 +70,7 @@
 	return r.id
 }
 
-// request is the request of a name, a zero one if nobody may name it any more.
+// request returns the tracked request of a name, or a zero trackedRequest if there is none.
 func (n *instance) request(name []byte) *trackedRequest {
 	if r := n.requests[string(name)]; r != nil {
 		return r
@@ -78,7 +78,7 @@
 	return &trackedRequest{}
 }
 
-// requestName is the name of a request, "" if nobody may name it any more.
+// requestName returns the name of a tracked request, or "" if it is not tracked.
 func (n *instance) requestName(id decide.RequestID) string {
 	if r := n.byID[id]; r != nil {
 		return r.name
@@ -86,7 +86,7 @@
 	return ""
 }
 
-// finish notes that a request has its final answer.
+// finish marks a request as finished, as it has its final answer.
 func (n *instance) finish(id decide.RequestID) {
 	if r := n.byID[id]; r != nil {
 		r.finished = true
@@ -94,7 +94,7 @@
 	n.forgetFinished(id)
 }
 
-// forgetFinished forgets a request that nobody will name again.
+// forgetFinished stops tracking a request that is finished and has no open attempts.
 func (n *instance) forgetFinished(id decide.RequestID) {
 	if r := n.byID[id]; r != nil && r.finished && r.openAttempts <= 0 {
 		delete(n.byID, id)
--- a/internal/wire/simulator/mapping_test.go
+++ b/internal/wire/simulator/mapping_test.go
@@ -11,8 +11,8 @@
 	"capersail/internal/relay"
 )
 
-// Every key of the settings lands in the field that the table of DecodeSettings names: a word that is mapped
-// twice or not at all would change decisions without an error.
+// Every key of the settings must be decoded into the field named in the table of DecodeSettings. A key that
+// is mapped to a wrong field, or to none, would change decisions without an error.
 func TestEachSettingsKeyBecomesItsField(t *testing.T) {
 	const text = `{"me":2,"balancers":7,"zone":"south","areas":["north","south"],"discovery":"ask",
 		"quantumMs":4,"overShareWorth":0.25,
@@ -89,6 +89,6 @@
 	}
 	got := DecodeSettings(fastjson.MustParse(text))
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("DecodeSettings:\ngot  %+v\nwant %+v", got, want)
 	}
 }
--- a/internal/wire/simulator/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -10,13 +10,13 @@
 	"capersail/internal/relay"
 )
 
-// DecodeSettings reads the settings object, which the simulator's first message and a real relay's
-// configuration share. Keys that are absent count as 0, unknown ones are skipped. What a key becomes:
+// DecodeSettings decodes the settings object, which is part of the simulator's first message and of a relay's
+// configuration. Absent keys count as 0; unknown keys are ignored. The keys are mapped as follows:
 //
 //	me                                   Settings.RelayIndex
 //	balancers                            Settings.Relays
 //	zone, areas                          Settings.Zone, Zones; Deployment.Zones by name
-//	discovery                            Settings.MustSubscribe for "ask"; else lists are pushed
+//	discovery                            Settings.MustSubscribe if "ask"; otherwise lists are pushed
 //	quantumMs                            Settings.Tick
 //	overShareWorth                       Settings.OverQuotaPriorityWeight
 //	limits.mostTries                     Settings.MaxAttempts
@@ -32,7 +32,7 @@
 //	specifics.tellsDelay                 Settings.ReportsMessageDelay
 //	specifics.messageAimMs               ClassInfo.MessageLatencyObjective, by class
 //	specifics.tenantQuotaConnections     TenantInfo.ConnectionQuota, by tenant
-//	specifics.reportX0, reportX1         Deployment.LoadField, the one that begins with "load"
+//	specifics.reportX0, reportX1         Deployment.LoadField: x0 or x1, whose text begins with "load"
 //	classes: name                        Deployment.Classes
 //	classes: aimMs, deadlineMs           ClassInfo.LatencyObjective, Deadline
 //	classes: worth                       ClassInfo.PriorityWeight
@@ -49,7 +49,7 @@
 	return deployment
 }
 
-// decodeScalars reads what is neither a zone, a class nor a tenant.
+// decodeScalars decodes the settings that do not belong to a zone, class or tenant.
 func decodeScalars(object *fastjson.Value) decide.Settings {
 	return decide.Settings{
 		RelayIndex:              object.GetInt("me"),
@@ -79,7 +79,7 @@
 	}
 }
 
-// decodeZones numbers the zones in their order, and finds the relay's own.
+// decodeZones numbers the zones in their order and finds the relay's own zone.
 func decodeZones(object *fastjson.Value, deployment *relay.Deployment) {
 	deployment.Zones = map[string]decide.Zone{}
 	for i, zone := range object.GetArray("areas") {
@@ -89,7 +89,8 @@
 	deployment.Settings.Zone = deployment.Zones[string(object.GetStringBytes("zone"))]
 }
 
-// The words of classes. A class whose semantics are not known to be harmless is not repeated.
+// The words in the settings of classes. A class with other semantics is decide.NonIdempotent, so that its
+// requests are not retried when they may have run.
 var (
 	idempotencies = map[string]decide.Idempotency{
 		"free":    decide.Idempotent,
@@ -140,8 +141,8 @@
 	}
 }
 
-// decodeLoadKey finds which value of a load report is load over capacity: the settings say so in words only.
-// The later of two keys wins that both say so.
+// decodeLoadKey returns the key of the load report value that is load divided by capacity. The settings
+// describe it only by a text that begins with "load"; if both keys have one, the later key is returned.
 func decodeLoadKey(object *fastjson.Value) (key string) {
 	for _, one := range []struct{ key, meaning string }{
 		{"x0", string(object.GetStringBytes("specifics", "reportX0"))},
@@ -154,7 +155,7 @@
 	return key
 }
 
-// durationAt reads a number of milliseconds.
+// durationAt returns the value of a key in milliseconds as a duration.
 func durationAt(object *fastjson.Value, keys ...string) time.Duration {
 	return relay.DurationFromMillis(object.GetFloat64(keys...))
 }
--- a/internal/wire/simulator/settings_test.go
+++ b/internal/wire/simulator/settings_test.go
@@ -15,45 +15,45 @@
 	"capersail/internal/relay"
 )
 
-// wires are three servers: one takes what comes, one loses it, one says nothing. Probes are answered with no
-// report.
-type wires struct {
-	clock *relay.Clock
-	out   map[*relay.Request]relay.Attempt
+// fakeServers simulates discovery and three servers: "a" establishes each request, "b" resets it and "c" does
+// not answer. Probes of "a" and "b" succeed without a load report; probes of "c" time out.
+type fakeServers struct {
+	clock    *relay.Clock
+	attempts map[*relay.Request]relay.Attempt
 }
 
-type deaf struct{}
+type silentConn struct{}
 
-func (deaf) Forward([]byte) error  { return nil }
-func (deaf) Close(relay.CloseKind) {}
-func (deaf) Wake()                 {}
-func (deaf) HasUnread() bool       { return false }
+func (silentConn) Forward([]byte) error  { return nil }
+func (silentConn) Close(relay.CloseKind) {}
+func (silentConn) Wake()                 {}
+func (silentConn) HasUnread() bool       { return false }
 
-func (w *wires) StartAttempt(c *relay.Request, a relay.Attempt) { w.out[c] = a }
-func (w *wires) Probe(s relay.Server, done func(decide.Status, decide.LoadReport)) {
+func (f *fakeServers) StartAttempt(request *relay.Request, a relay.Attempt) { f.attempts[request] = a }
+func (f *fakeServers) Probe(s relay.Server, done func(decide.Status, decide.LoadReport)) {
 	if s.ID != "c" {
 		go done(decide.OK, decide.NoLoadReport)
 	} else {
 		go done(decide.TimedOut, decide.NoLoadReport)
 	}
 }
-func (w *wires) Watch() {}
-func (w *wires) Fetch() {}
+func (f *fakeServers) Watch() {}
+func (f *fakeServers) Fetch() {}
 
-// turn lets each attempt that is out come to its end, if it has one.
-func (w *wires) turn() {
-	for c, a := range w.out {
+// step ends or establishes each open attempt, except attempts at "c" before their deadline.
+func (f *fakeServers) step() {
+	for request, a := range f.attempts {
 		switch {
-		case a.Server.ID == "c" && w.clock.Now() < a.Deadline:
-		case !c.Attach(a.Number, deaf{}) || !c.BeginWrite(a.Number):
-			delete(w.out, c)
-			c.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
+		case a.Server.ID == "c" && f.clock.Now() < a.Deadline:
+		case !request.Attach(a.Number, silentConn{}) || !request.BeginWrite(a.Number):
+			delete(f.attempts, request)
+			request.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
 		case a.Server.ID == "a":
-			delete(w.out, c)
-			c.Establish(a.Number)
+			delete(f.attempts, request)
+			request.Establish(a.Number)
 		default:
-			delete(w.out, c)
-			c.EndAttempt(
+			delete(f.attempts, request)
+			request.EndAttempt(
 				a.Number, map[string]decide.Status{"b": decide.Reset, "c": decide.TimedOut}[a.Server.ID],
 				decide.NoLoadReport,
 			)
@@ -61,10 +61,11 @@
 	}
 }
 
-// spoil returns settings in which one thing is not as any site has it: each key in turn left out, nought,
-// negative, enormous, of another type, an empty list, an empty text.
-func spoil(v any, path string, each func(path string)) {
-	swap := func(key string, old any, set func(any), drop func()) {
+// forEachInvalidSetting calls each for every variant of the settings v in which one value is unusual: absent,
+// 0, negative, very large, of another type, or empty. It passes a description of the variant, and restores
+// the value afterwards.
+func forEachInvalidSetting(v any, path string, each func(path string)) {
+	substitute := func(key string, old any, set func(any), drop func()) {
 		for name, x := range map[string]any{
 			"0":          0,
 			"-1":         -1,
@@ -80,25 +81,25 @@
 		}
 		if drop != nil {
 			drop()
-			each(path + key + " is left out")
+			each(path + key + " is absent")
 		}
 		set(old)
-		spoil(old, path+key+".", each)
+		forEachInvalidSetting(old, path+key+".", each)
 	}
 	switch v := v.(type) {
 	case map[string]any:
 		for key, old := range v {
-			swap(key, old, func(x any) { v[key] = x }, func() { delete(v, key) })
+			substitute(key, old, func(x any) { v[key] = x }, func() { delete(v, key) })
 		}
 	case []any:
 		for i, old := range v {
-			swap(fmt.Sprint(i), old, func(x any) { v[i] = x }, nil)
+			substitute(fmt.Sprint(i), old, func(x any) { v[i] = x }, nil)
 		}
 	}
 }
 
-// Whatever a customer's settings lack or say, each request gets its one answer in time, the module does not
-// panic, and the loop comes to rest between its timers.
+// With any settings, however wrong, each request must get one answer in time, the decision module must not
+// panic, and the event loop must sleep between its timers.
 func TestAnySettingsAnswerInTime(t *testing.T) {
 	text, err := os.ReadFile("../../../examples/config.json")
 	if err != nil {
@@ -125,24 +126,24 @@
 			"name": "guarded", "aimMs": 40.0, "deadlineMs": 90.0,
 			"semantics": "guarded", "group": "cell", "windowMs": 30.0,
 		})
-	n := 0
-	play := func(what string) {
-		n++
-		now, _ := json.Marshal(settings)
-		v, err := fastjson.ParseBytes(now)
+	count := 0
+	testSettings := func(variant string) {
+		count++
+		variantJSON, _ := json.Marshal(settings)
+		v, err := fastjson.ParseBytes(variantJSON)
 		if err != nil {
 			t.Fatal(err)
 		}
-		site := DecodeSettings(v)
+		deployment := DecodeSettings(v)
 		clock := relay.NewManualClock()
-		w := &wires{clock, map[*relay.Request]relay.Attempt{}}
-		x := relay.NewRequestTable(site, clock, w)
+		servers := &fakeServers{clock, map[*relay.Request]relay.Attempt{}}
+		requests := relay.NewRequestTable(deployment, clock, servers)
 		var log strings.Builder
-		core := relay.NewEventLoop(x, 3, w, zerolog.New(&log))
-		var list []relay.Endpoint
+		loop := relay.NewEventLoop(requests, 3, servers, zerolog.New(&log))
+		var endpoints []relay.Endpoint
 		for _, id := range []string{"a", "b", "c"} {
-			list = append(
-				list,
+			endpoints = append(
+				endpoints,
 				relay.Endpoint{
 					ID:        id,
 					Address:   "127.0.0.1:1",
@@ -152,44 +153,46 @@
 				},
 			)
 		}
-		x.UpdateEndpoints(decide.CachedSnapshot, list)
-		calls := map[*relay.Request]time.Duration{}
+		requests.UpdateEndpoints(decide.CachedSnapshot, endpoints)
+		pending := map[*relay.Request]time.Duration{}
 		for i := range 24 {
-			if len(site.Settings.Classes) == 0 {
-				return // refused at start (TestBadConfigurationNamesTheKey)
+			if len(deployment.Settings.Classes) == 0 {
+				return // a relay does not start with these settings (TestBadConfigurationNamesTheKey)
 			}
-			left := relay.DurationFromMillis([]float64{0.5, 20, 90, 500}[i%4])
-			ask := relay.RequestParams{
-				Class:     decide.Class(i % len(site.Settings.Classes)),
+			timeout := relay.DurationFromMillis([]float64{0.5, 20, 90, 500}[i%4])
+			params := relay.RequestParams{
+				Class:     decide.Class(i % len(deployment.Settings.Classes)),
 				Tenant:    decide.Tenant(i%3 - 1),
 				Group:     uint64(i % 3),
-				Timeout:   left,
+				Timeout:   timeout,
 				Returning: i%5 == 0,
 			}
-			calls[x.Open(ask, deaf{})] = clock.Now() + left
+			pending[requests.Open(params, silentConn{})] = clock.Now() + timeout
 		}
-		for steps := 0; len(calls) > 0; steps++ {
-			next := core.Step()
-			w.turn()
-			for c, deadline := range calls {
-				if state, _ := c.State(); state == relay.Established || state == relay.Ended {
-					delete(calls, c)
+		for steps := 0; len(pending) > 0; steps++ {
+			next := loop.Step()
+			servers.step()
+			for request, deadline := range pending {
+				if state, _ := request.State(); state == relay.Established || state == relay.Ended {
+					delete(pending, request)
 				} else if clock.Now() > deadline+50*time.Millisecond {
-					t.Errorf("%s: no answer %v after the deadline", what, clock.Now()-deadline)
+					t.Errorf("settings where %s: got no answer %v after the deadline of a request",
+						variant, clock.Now()-deadline)
 					return
 				}
 			}
 			if steps > 20_000 || next < 0 {
-				t.Errorf("%s: the loop does not come to rest: next in %v", what, next)
+				t.Errorf("settings where %s: event loop does not come to rest: got next step in %v",
+					variant, next)
 				return
 			}
 			clock.Set(clock.Now() + max(min(next, 5*time.Millisecond), 50*time.Microsecond))
 		}
 		if text := log.String(); strings.Contains(text, "panic") {
-			t.Errorf("%s: %.300s", what, text)
+			t.Errorf("settings where %s: got a panic in the log: %.300s", variant, text)
 		}
 	}
-	play("as they are")
-	spoil(settings, "", play)
-	t.Logf("%d settings", n)
+	testSettings("all are valid")
+	forEachInvalidSetting(settings, "", testSettings)
+	t.Logf("%d variants of the settings tested", count)
 }
--- a/internal/wire/simulator/values.go
+++ b/internal/wire/simulator/values.go
@@ -12,19 +12,19 @@
 )
 
 var (
-	errNameMissing   = errors.New("a name is missing")
-	errNumberMissing = errors.New("a number is missing")
-	errNumberRange   = errors.New("number out of range")
+	errNameMissing   = errors.New("required name is missing or empty")
+	errNumberMissing = errors.New("required number is missing")
+	errNumberRange   = errors.New("number is NaN or infinite")
 )
 
-// eventValues reads an event's values by position. One that is absent or null counts as 0, false or "". The
-// first value that is not what it should be is kept in err.
+// eventValues reads an event's values by position. A value that is absent or null counts as 0, false or "".
+// err is the error of the first value of a wrong type.
 type eventValues struct {
 	values []*fastjson.Value
 	err    error
 }
 
-// at is the value at a position, nil if it is absent or null.
+// at returns the value at a position, or nil if it is absent or null.
 func (v *eventValues) at(i int) *fastjson.Value {
 	if i >= len(v.values) || v.values[i].Type() == fastjson.TypeNull {
 		return nil
@@ -32,7 +32,7 @@
 	return v.values[i]
 }
 
-// fail notes what is wrong with a value; nil for nothing.
+// fail records the error of a value, unless err is nil or an earlier error is recorded.
 func (v *eventValues) fail(i int, err error) {
 	if err != nil && v.err == nil {
 		v.err = fmt.Errorf("value %d: %w", i, err)
@@ -49,7 +49,7 @@
 	return x
 }
 
-// millis reads a number of milliseconds.
+// millis reads a value in milliseconds.
 func (v *eventValues) millis(i int) time.Duration { return relay.DurationFromMillis(v.float(i)) }
 
 func (v *eventValues) unsigned(i int) uint64 {
@@ -74,7 +74,7 @@
 
 func (v *eventValues) text(i int) []byte {
 	value := v.at(i)
-	if value == nil || value.Type() == fastjson.TypeNumber { // an absent tenant may be 0
+	if value == nil || value.Type() == fastjson.TypeNumber { // an absent tenant may be sent as 0
 		return nil
 	}
 	text, err := value.StringBytes()
@@ -90,7 +90,7 @@
 	return text
 }
 
-// finiteNumber reads a number that is none of NaN and the infinities.
+// finiteNumber reads a number. NaN, infinities and an absent value are errors.
 func finiteNumber(value *fastjson.Value) (float64, error) {
 	if value == nil {
 		return 0, errNumberMissing
--- a/internal/wire/simulator/vocabulary.go
+++ b/internal/wire/simulator/vocabulary.go
@@ -6,15 +6,15 @@
 	"capersail/decide"
 )
 
-// This file maps the dialect's words to the field's terms. No other file of the program spells them, but for
-// the keys of the settings, whose table stands in settings.go.
+// This file maps the words of the simulator's protocol to the terms of this program. Only the keys of the
+// settings are elsewhere: settings.go has their table.
 
 // eventKind is the first value of an arrival.
 type eventKind string
 
 const (
-	eventStart          eventKind = "powerOn"       // an instance starts, with its seed and settings
-	eventStop           eventKind = "crashNow"      // it is gone, with all that it knew
+	eventStart          eventKind = "powerOn"       // start an instance with a seed and settings
+	eventStop           eventKind = "crashNow"      // stop an instance and drop its state
 	eventEndpointList   eventKind = "registry"      // decide.WatchEvent
 	eventRequest        eventKind = "newRequest"    // decide.Request
 	eventInherited      eventKind = "inherited"     // decide.Inherited
@@ -43,13 +43,13 @@
 	actionFetchSnapshot actionKind = "readList"      // decide.FetchSnapshot
 	actionSendToPeer    actionKind = "announce"      // decide.SendToPeer
 	actionLog           actionKind = "print"         // decide.Log
-	actionPanicked      actionKind = "broken"        // the module has panicked
+	actionPanicked      actionKind = "broken"        // the decision module panicked
 )
 
-// allPeers is what a decide.SendToPeer to everybody names.
+// allPeers is the peer of a decide.SendToPeer that is addressed to all peers.
 const allPeers = "all"
 
-// The forms of an endpoint list.
+// watchKinds maps the kinds of endpoint lists.
 var watchKinds = map[uint64]decide.WatchKind{
 	0: decide.Snapshot,
 	2: decide.WatchFailed,
@@ -57,14 +57,14 @@
 	4: decide.Delta,
 }
 
-// The states of an endpoint.
+// endpointStates maps the states of endpoints.
 var endpointStates = map[uint64]decide.EndpointState{
 	0: decide.Removed,
 	1: decide.Ready,
 	2: decide.Draining,
 }
 
-// The statuses of attempts and probes.
+// statuses maps the statuses of attempts and probes.
 var statuses = map[uint64]decide.Status{
 	200: decide.OK,
 	408: decide.TimedOut,
@@ -80,41 +80,41 @@
 const (
 	attributeLoadHint = 1
 	attributeFlow     = 8
-	// attributesReturning: the request has been migrated here, or comes a second time.
+	// attributesReturning are the bits of a request that was migrated here or is sent a second time.
 	attributesReturning = 2 | 16
 )
 
 // The kinds of an eventNote.
 const (
-	noteLoad  = 1 // an amount of load, in millionths
-	noteDelay = 2 // an amount of delay, in ms
+	noteLoad  = 1 // load, in millionths
+	noteDelay = 2 // delay, in ms
 )
 
-// The keys of a load report, besides the one that the settings name.
+// The keys of a load report, besides the load field, which the settings name.
 const (
 	reportInFlight = "rif"
 	reportErrors   = "fail_rate"
 	reportCPU      = "busy"
 )
 
-// wordError is a word or number of the dialect that this program does not know.
-type wordError struct {
-	what string // what it was to be
-	got  any
+// unknownWordError is the error of a word or number of the protocol that this program does not know.
+type unknownWordError struct {
+	what  string // what the word should denote, such as "event"
+	value any    // the word or number received
 }
 
-func (e wordError) Error() string {
-	if text, ok := e.got.(string); ok {
+func (e unknownWordError) Error() string {
+	if text, ok := e.value.(string); ok {
 		return fmt.Sprintf("unknown %s %q", e.what, text)
 	}
-	return fmt.Sprintf("unknown %s %v", e.what, e.got)
+	return fmt.Sprintf("unknown %s %v", e.what, e.value)
 }
 
-// lookUp finds what a number of the dialect stands for.
+// lookUp returns the meaning of a number of the protocol. what names the kind of number in the error.
 func lookUp[T any](table map[uint64]T, what string, number uint64) (T, error) {
 	found, known := table[number]
 	if !known {
-		return found, wordError{what, number}
+		return found, unknownWordError{what, number}
 	}
 	return found, nil
 }
