--- a/examples/resume/main.go
+++ b/examples/resume/main.go
@@ -1,6 +1,6 @@
-// Command resume shows a stream that moves with its resume token: two relays, three servers and an ownership
-// service on loopback, and one client that watches numbered scans while a server drains and its relay is
-// killed.
+// Command resume demonstrates a stream that is resumed with a token. It runs two relays, three servers and an
+// ownership service on loopback, and one client that receives numbered scans while its server drains and its
+// relay is killed.
 package main
 
 import (
@@ -21,8 +21,8 @@
 )
 
 func main() {
-	relay := flag.String("relay", "bin/capersail", "the relay's `program`")
-	every := flag.Duration("every", 4*time.Second, "time between two disturbances")
+	relay := flag.String("relay", "bin/capersail", "`program` of the relay")
+	every := flag.Duration("every", 4*time.Second, "time between two faults")
 	flag.Parse()
 	if err := run(*relay, *every); err != nil {
 		fmt.Fprintln(os.Stderr, "resume:", err)
@@ -43,16 +43,16 @@
       "askWithinMs": 10000, "coldMs": 8600, "fallMultiple": 4, "overloadForMs": 1500,
       "startCapacity": 0.36}}}`
 
-// deployment is what the example runs on loopback.
+// deployment is the processes and fakes that the example runs on loopback.
 type deployment struct {
-	dir       string // for the relays' files
-	program   string // of the relays
+	dir       string // directory for the relays' files
+	program   string // path of the relay program
 	discovery *fake.Discovery
 	ledger    *fake.Ledger
 	servers   map[string]*fake.ScanServer
-	serving   atomic.Value // the ID of the server that has the stream
+	serving   atomic.Value // ID of the server that serves the stream
 	relays    []*exec.Cmd
-	addresses []string // of the relays
+	addresses []string // of the relays, by index
 }
 
 func run(program string, every time.Duration) error {
@@ -70,11 +70,11 @@
 	if err := d.startRelays(ctx); err != nil {
 		return err
 	}
-	d.play(ctx, every)
+	d.runScenario(ctx, every)
 	return nil
 }
 
-// startServers starts discovery and three servers of one feed of scans.
+// startServers starts a discovery service and three servers that send the same feed of scans.
 func (d *deployment) startServers(ctx context.Context) (err error) {
 	d.discovery, err = fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -91,7 +91,7 @@
 		}
 		s.OnFirstLine = func(line string) {
 			d.serving.Store(s.ID)
-			fmt.Printf("  %s was sent: ...%s\n", s.ID, line[max(0, len(line)-100):])
+			fmt.Printf("  %s received first line: ...%s\n", s.ID, line[max(0, len(line)-100):])
 		}
 		d.servers[s.ID] = s
 		d.discovery.Set(s.ID, s.Address, "Ready")
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// startRelays starts two relays that share an ownership service and keys. They end with the context.
+// startRelays starts two relays that share an ownership service and token keys. They run until ctx is
+// canceled.
 func (d *deployment) startRelays(ctx context.Context) error {
 	resumeFile, err := d.writeResumeFile()
 	if err != nil {
@@ -119,7 +120,7 @@
 		cmd := exec.CommandContext(ctx, d.program, "-resume", resumeFile)
 		cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
 		if err := cmd.Start(); err != nil {
-			return fmt.Errorf("%w; `go build -o bin/ ./cmd/...` builds it", err)
+			return fmt.Errorf("start relay: %w; build its program with `go build -o bin/ ./cmd/...`", err)
 		}
 		d.relays = append(d.relays, cmd)
 		d.addresses = append(d.addresses, address)
@@ -127,8 +128,8 @@
 	return nil
 }
 
-// writeResumeFile starts the ownership service and writes the operator's file that names it, whose path it
-// returns.
+// writeResumeFile starts the ownership service and writes the operator's file that configures it. It returns
+// the path of the file.
 func (d *deployment) writeResumeFile() (string, error) {
 	zk, err := fake.NewZooKeeper("/")
 	if err != nil {
@@ -147,10 +148,11 @@
 	return file, os.WriteFile(file, []byte(text), 0o600)
 }
 
-// play runs a client through a drain and a relay's death, and prints what it saw.
-func (d *deployment) play(ctx context.Context, every time.Duration) {
-	var relay atomic.Int32 // that the client connects to
-	v := &fake.Viewer{
+// runScenario runs a client while its server drains and its relay is killed, and prints what the client
+// received.
+func (d *deployment) runScenario(ctx context.Context, every time.Duration) {
+	var relay atomic.Int32 // index of the relay that the client connects to
+	viewer := &fake.Viewer{
 		Name:         "demo",
 		OpenFields:   "7f3a c=map-stream,t=acme",
 		WaitLimit:    3 * time.Second,
@@ -159,32 +161,32 @@
 		RelayAddress: func() string { return d.addresses[relay.Load()] },
 		OnEvent:      func(text string) { fmt.Println("  client:", text) },
 	}
-	go v.Run(ctx)
-	fmt.Println("two relays, three servers, one stream of scans, one each 100 ms")
+	go viewer.Run(ctx)
+	fmt.Println("two relays, three servers, one stream with a scan every 100 ms")
 	time.Sleep(every)
 
 	id := d.serving.Load().(string)
-	fmt.Printf("%s drains and sends its clients away\n", id)
+	fmt.Printf("%s drains and migrates its clients\n", id)
 	d.discovery.Set(id, d.servers[id].Address, "Terminating")
 	d.servers[id].SetRejecting(true)
 	d.servers[id].MigrateOneIn(2)
 	time.Sleep(every)
 
-	fmt.Println("the relay is killed with -9; the client goes to the other, which waits for its lease")
+	fmt.Println("the client's relay is killed; the other waits for the lease and resumes the stream")
 	relay.Store(1)
 	d.relays[0].Process.Kill()
 	time.Sleep(every + 6*time.Second)
 
-	t := v.Tally()
+	t := viewer.Tally()
 	longestGap := slices.Max(append(t.Gaps, 0))
-	fmt.Printf("%d scans up to number %d: %d lost, %d out of turn; longest gap %v\n",
+	fmt.Printf("%d scans up to number %d: %d lost, %d out of order; longest gap %v\n",
 		t.Scans, t.LastScan, t.Lost, t.Disorder, longestGap.Round(time.Millisecond))
 	for _, violation := range d.ledger.Violations() {
-		fmt.Println("must not happen:", violation)
+		fmt.Println("invariant violated:", violation)
 	}
 }
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns a loopback address with a free port.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy is all that a newcomer needs round one relay: discovery, and two servers that return every
-// line. It writes no files; examples/config.json names its addresses.
+// Command toy runs what one relay needs to be tried out: a discovery service and two servers that echo every
+// line. It writes no files. examples/config.json contains its addresses.
 package main
 
 import (
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	address := flag.String("discovery", "127.0.0.1:8500", "discovery's `address`")
+	address := flag.String("discovery", "127.0.0.1:8500", "`address` to listen on as discovery service")
 	flag.Parse()
 	if err := run(*address); err != nil {
 		fmt.Fprintln(os.Stderr, "toy:", err)
@@ -19,7 +19,7 @@
 	}
 }
 
-// run starts all and returns only if that fails.
+// run starts the discovery service and the servers. It returns only if one fails to start.
 func run(address string) error {
 	discovery, err := fake.NewDiscovery(address)
 	if err != nil {
@@ -34,13 +34,13 @@
 		discovery.Set(id, server.Address, "Ready")
 		go printFirstLines(id, server)
 	}
-	fmt.Println("discovery at", discovery.Address)
+	fmt.Println("discovery listens at", discovery.Address)
 	select {}
 }
 
-// printFirstLines prints what opens a connection, for as long as the process runs.
+// printFirstLines prints the first line of each connection to a server, until the process ends.
 func printFirstLines(id string, server *fake.EchoServer) {
 	for line := range server.FirstLines {
-		fmt.Printf("%s took %s\n", id, line)
+		fmt.Printf("%s received first line %s\n", id, line)
 	}
 }
--- a/plugin/attempt.go
+++ b/plugin/attempt.go
@@ -9,14 +9,14 @@
 	"capersail/internal/wire/splice"
 )
 
-// serverDialer is the server side as the event loop sees it. It implements relay.ServerDialer.
+// serverDialer dials and probes servers for the event loop. It implements relay.ServerDialer.
 type serverDialer struct {
 	clock          *relay.Clock
-	connectTimeout time.Duration // of an attempt's dial, beside its deadline, and of a probe
-	drainTimeout   time.Duration // of a placed connection's calls in flight
+	connectTimeout time.Duration // limit of a dial besides the attempt's deadline, and of a probe
+	drainTimeout   time.Duration // limit for calls in flight on a connection to a draining server
 }
 
-// StartAttempt makes one attempt in a goroutine of its own, which ends once the connection is placed or
+// StartAttempt makes one attempt in a new goroutine, which ends once the connection is established or has
 // failed.
 func (s *serverDialer) StartAttempt(request *relay.Request, a relay.Attempt) {
 	go s.runAttempt(request, a)
@@ -35,7 +35,7 @@
 		request.EndAttempt(a.Number, splice.DialStatus(err), decide.NoLoadReport)
 		return
 	}
-	placed.Conn = raw // BeginWrite and Establish order this before every use by the client side
+	placed.Conn = raw // BeginWrite and Establish synchronize this with every use by the client side
 	if !request.BeginWrite(a.Number) || request.Establish(a.Number) == nil {
 		raw.Close()
 		request.EndAttempt(a.Number, decide.Superseded, decide.NoLoadReport)
@@ -44,8 +44,8 @@
 	placed.markEstablished()
 }
 
-// Probe asks whether a server takes connections. It does not block; done is called once. Load comes from the
-// server's own node.
+// Probe checks whether a server accepts connections. It does not block; done is called exactly once. The
+// reported load is that of the server's node.
 func (s *serverDialer) Probe(server relay.Server, done func(decide.Status, decide.LoadReport)) {
 	go func() { done(s.probe(server)) }()
 }
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -8,32 +8,32 @@
 	"capersail/internal/relay"
 )
 
-// The errors of a Config that New does not take.
+// The errors of New for an invalid Config.
 var (
-	ErrNoServers   = errors.New("plugin: ZooKeeper and Path must be set")
-	ErrInvalidTime = errors.New("plugin: times must be positive")
+	ErrNoServers   = errors.New("plugin: Config.ZooKeeper is empty or Config.Path does not begin with a slash")
+	ErrInvalidTime = errors.New("plugin: times in Config must be positive, or 0 for the default")
 )
 
-// Config says where the servers are found and how long things may take, in milliseconds. Only ZooKeeper and
-// Path are needed.
+// Config is the configuration of a Dialer. Only ZooKeeper and Path are required. Fields that end in Ms are
+// time-outs in milliseconds.
 type Config struct {
-	ZooKeeper []string // addresses of the service of ephemeral nodes
-	Path      string   // whose children are the servers
-	SessionMs float64  // 6000 if 0
+	ZooKeeper []string // addresses of the ZooKeeper servers
+	Path      string   // ZooKeeper node whose children are the servers
+	SessionMs float64  // of the ZooKeeper session, 6000 if 0
 	Zone      string   // this client's zone, one of Zones
-	Zones     []string
-	ConnectMs float64 // for one attempt, 1000 if 0
-	DialMs    float64 // for a dial with its retry, 5000 if 0
-	DrainMs   float64 // how long calls in flight may keep a connection to a draining server, 10000 if 0
-	Clients   int     // how many clients place connections as this one does, 1 if 0
+	Zones     []string // names of all zones
+	ConnectMs float64  // for one attempt, 1000 if 0
+	DialMs    float64  // for a dial including its retry, 5000 if 0
+	DrainMs   float64  // for calls in flight on a connection to a draining server, 10000 if 0
+	Clients   int      // number of clients with the same servers, including this one, 1 if 0
 }
 
-// timeouts are a Config's times.
+// timeouts are the times of a Config, with defaults filled in.
 type timeouts struct {
 	session, connect, dial, drain time.Duration
 }
 
-// The times of a Config that does not name them.
+// The defaults of the times of a Config.
 const (
 	defaultSessionTimeout = 6 * time.Second
 	defaultConnectTimeout = time.Second
@@ -41,7 +41,7 @@
 	defaultDrainTimeout   = 10 * time.Second
 )
 
-// timeouts checks the Config and returns its times. Its errors are ErrNoServers and ErrInvalidTime.
+// timeouts checks the Config and returns its times. The error is ErrNoServers or ErrInvalidTime.
 func (c *Config) timeouts() (timeouts, error) {
 	if len(c.ZooKeeper) == 0 || len(c.Path) == 0 || c.Path[0] != '/' {
 		return timeouts{}, ErrNoServers
@@ -74,7 +74,7 @@
 	tick        = time.Millisecond
 )
 
-// deployment is that of one client: a single class, without tenants.
+// deployment returns the deployment of one client. It has a single class and no tenants.
 func (c *Config) deployment(t timeouts) *relay.Deployment {
 	zones := map[string]decide.Zone{}
 	for i, zone := range c.Zones {
--- a/plugin/conn.go
+++ b/plugin/conn.go
@@ -11,8 +11,9 @@
 	"capersail/internal/relay"
 )
 
-// placedConn is a placed connection. It follows the server's frames, so that it can put a GOAWAY between two
-// of them when the server begins to drain: gRPC then ends it after the calls in flight.
+// placedConn is a connection to the server that the decision module chose. It tracks the boundaries of the
+// server's frames, so that it can insert a GOAWAY frame when the server begins to drain. gRPC then closes the
+// connection after the calls in flight.
 type placedConn struct {
 	net.Conn
 	request      *relay.Request
@@ -20,28 +21,28 @@
 	stopDial     func()
 	drainTimeout time.Duration
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	frames       frameTracker
-	established  bool // gRPC has it, or may
-	ended        bool
-	woken        bool
-	draining     bool // a GOAWAY is to be put in
+	established  bool // the connection may have been returned to gRPC
+	ended        bool // Close has been called
+	woken        bool // wake has been called
+	draining     bool // a GOAWAY must be inserted, unless goAwaySent
 	goAwaySent   bool
-	injected     []byte // what is left to be read of a frame that was put in
+	injected     []byte // the part of the inserted GOAWAY that has not been read yet
 	drainTimer   *time.Timer
-	serverClosed bool
+	serverClosed bool // a read has failed
 }
 
-// serverConn is a placed connection as the event loop knows it, which calls it with its own lock held.
+// serverConn is a placedConn as the event loop uses it. The event loop calls its methods with a lock held.
 type serverConn struct{ *placedConn }
 
-// Forward is never used: gRPC writes by itself.
+// Forward is never used, as gRPC writes to the connection directly.
 func (s serverConn) Forward(p []byte) error {
 	_, err := s.placedConn.Write(p)
 	return err
 }
 
-// Close ends the dial or the connection; gRPC meets the end and reports it.
+// Close cancels the dial or closes the connection. gRPC gets an error and reports it.
 func (s serverConn) Close(relay.CloseKind) {
 	s.stopDial()
 	s.mu.Lock()
@@ -51,16 +52,16 @@
 	}
 }
 
-// Wake makes the connection look at its request.
+// Wake makes the connection check whether it must drain.
 func (s serverConn) Wake() { s.wake() }
 
-// markEstablished takes up a wake that came during the dial.
+// markEstablished marks the connection as established and handles a wake that came during the dial.
 func (c *placedConn) markEstablished() {
 	c.mu.Lock()
 	c.established = true
 	woken := c.woken
 	c.mu.Unlock()
-	if state, _ := c.request.State(); state == relay.Ended { // the dial's caller left just now
+	if state, _ := c.request.State(); state == relay.Ended { // the caller of Dial gave up in the meantime
 		c.Close()
 	}
 	if woken {
@@ -68,7 +69,8 @@
 	}
 }
 
-// wake has a goroutine of its own check whether the connection is to drain: whoever wakes may hold its lock.
+// wake checks in a new goroutine whether the connection must drain. The caller may hold a lock that the check
+// needs.
 func (c *placedConn) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,8 +80,8 @@
 	}
 }
 
-// checkDrain begins to drain if the request is to be migrated or its server drains. A pending read is cut
-// short to put the GOAWAY in.
+// checkDrain starts to drain the connection if the request is to be migrated or its server drains. It
+// interrupts a pending read, so that the GOAWAY can be inserted.
 func (c *placedConn) checkDrain() {
 	if migrating, _ := c.request.Migrating(); !migrating && !c.request.ServerDraining() {
 		return
@@ -94,7 +96,8 @@
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Close ends the connection for gRPC and reports the end, once. It is idempotent. Its error is the network's.
+// Close closes the connection and reports the end of the attempt. Further calls do nothing. Errors are
+// network errors.
 func (c *placedConn) Close() error {
 	c.mu.Lock()
 	if c.ended {
@@ -118,7 +121,8 @@
 	return err
 }
 
-// Read reads what the server sends, and a GOAWAY once the connection drains. Its error is the network's.
+// Read reads from the server. Once the connection drains, it also returns a GOAWAY frame. Errors are network
+// errors.
 func (c *placedConn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -135,14 +139,15 @@
 	}
 }
 
-// beginRead puts the GOAWAY in if that is due, or bounds the read to come.
+// beginRead copies the GOAWAY to p if it is due, and returns the number of bytes copied. Otherwise it returns
+// the limit of the next read.
 func (c *placedConn) beginRead(p []byte) (injected, limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.draining && !c.goAwaySent && c.frames.betweenFrames() {
 		c.goAwaySent, c.injected = true, goAwayFrame
 	}
-	if c.draining { // the deadline that cut a read short has done its work: the frame's rest is waited for
+	if c.draining { // clears the deadline set by checkDrain, as the rest of the frame must be read
 		c.Conn.SetReadDeadline(time.Time{})
 	}
 	if len(c.injected) > 0 {
@@ -153,20 +158,21 @@
 	return 0, c.frames.limitRead(len(p))
 }
 
-// endRead returns whether the read was cut short to look at a drain, and is to be made again.
-func (c *placedConn) endRead(p []byte, err error) (cutShort bool) {
+// endRead records the result of a read. It returns true if the read was interrupted by checkDrain and must be
+// repeated.
+func (c *placedConn) endRead(p []byte, err error) (interrupted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.frames.noteRead(p)
-	cutShort = errors.Is(err, os.ErrDeadlineExceeded) && c.draining && len(p) == 0
-	c.serverClosed = c.serverClosed || err != nil && !cutShort
-	return cutShort
+	c.frames.recordRead(p)
+	interrupted = errors.Is(err, os.ErrDeadlineExceeded) && c.draining && len(p) == 0
+	c.serverClosed = c.serverClosed || err != nil && !interrupted
+	return interrupted
 }
 
-// Write writes to the server. Its error is the network's.
+// Write writes to the server. Errors are network errors.
 func (c *placedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.frames.noteWrite(p)
+	c.frames.recordWrite(p)
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
--- a/plugin/frames.go
+++ b/plugin/frames.go
@@ -5,30 +5,30 @@
 	"encoding/binary"
 )
 
-// clientPreface is what an HTTP/2 client writes first. Behind TLS it cannot be seen.
+// clientPreface is the first thing that an HTTP/2 client writes. With TLS it is encrypted.
 var clientPreface = []byte("PRI * HTTP/2.0\r\n")
 
-// goAwayFrame is the frame with which an HTTP/2 server ends a connection in order: no new streams, those
-// there are go on.
+// goAwayFrame is the frame with which an HTTP/2 server closes a connection gracefully: the client opens no
+// new streams, and existing streams continue.
 var goAwayFrame = []byte{0, 0, 8, 7, 0, 0, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0, 0, 0, 0}
 
 const (
 	frameHeaderBytes = 9
-	frameLengthBytes = 3 // of a header, the first
+	frameLengthBytes = 3 // size of the length field, which begins a header
 )
 
-// frameTracker follows the HTTP/2 frames that a server sends, so that something can be put between two of
-// them.
+// frameTracker tracks the boundaries of the HTTP/2 frames that a server sends, so that a frame can be
+// inserted between two of them.
 type frameTracker struct {
-	prefaceSeen  bool
-	plaintext    bool   // HTTP/2 without TLS: frames can be told apart
-	settingsDone bool   // the first frame, which must be the server's own settings, has come
-	header       []byte // what has come of the current frame's header
-	bodyLeft     int    // bytes of the current frame's body still to come
+	prefaceSeen  bool   // the client has written its first bytes
+	plaintext    bool   // HTTP/2 without TLS, whose frames can be parsed
+	settingsDone bool   // the first frame, which must be the server's SETTINGS, has been read
+	header       []byte // the part of the current frame's header that has been read
+	bodyLeft     int    // bytes of the current frame's body that have not been read
 }
 
-// noteWrite looks at what the client writes.
-func (t *frameTracker) noteWrite(p []byte) {
+// recordWrite checks whether the client's first bytes are the HTTP/2 preface.
+func (t *frameTracker) recordWrite(p []byte) {
 	if t.prefaceSeen || len(p) == 0 {
 		return
 	}
@@ -36,12 +36,12 @@
 	t.plaintext = bytes.HasPrefix(p, clientPreface[:min(len(p), len(clientPreface))])
 }
 
-// betweenFrames tells whether a frame may be put in now.
+// betweenFrames reports whether a frame may be inserted now.
 func (t *frameTracker) betweenFrames() bool {
 	return t.plaintext && t.settingsDone && t.bodyLeft == 0 && len(t.header) == 0
 }
 
-// limitRead bounds a read, so that it ends where a frame's header or body does.
+// limitRead limits a read to n bytes and to the end of the current frame's header or body.
 func (t *frameTracker) limitRead(n int) int {
 	switch {
 	case !t.plaintext:
@@ -53,8 +53,8 @@
 	}
 }
 
-// noteRead looks at what the server has sent, as limitRead allowed it.
-func (t *frameTracker) noteRead(p []byte) {
+// recordRead updates the position in the current frame after a read that limitRead limited.
+func (t *frameTracker) recordRead(p []byte) {
 	if !t.plaintext || len(p) == 0 {
 		return
 	}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -1,11 +1,12 @@
-// Package plugin is the relay's core inside an RPC client: a dialer for grpc-go, whose connections the
-// decision module places on servers that are ephemeral nodes.
+// Package plugin embeds the relay's decision module in an RPC client. It is a dialer for grpc-go: the
+// decision module chooses a server for each connection. The servers are registered as ephemeral nodes in
+// ZooKeeper.
 //
 //	d, err := plugin.New(plugin.Config{ZooKeeper: addresses, Path: "/rpc/servers"}, log)
 //	conn, err := grpc.NewClient("passthrough:///rpc", grpc.WithContextDialer(d.Dial), ...)
 //
-// When a server begins to drain, its connections end after their calls in flight or a bounded wait, and
-// gRPC dials again through the core.
+// When a server begins to drain, its connections are closed after their calls in flight or after a bounded
+// wait, and gRPC dials again through the Dialer.
 package plugin
 
 import (
@@ -23,26 +24,27 @@
 	"capersail/internal/wire/zookeeper"
 )
 
-// Dialer places connections. It is safe for use by many goroutines.
+// Dialer chooses a server for each connection and dials it. It is safe for concurrent use.
 type Dialer struct {
 	requests    *relay.RequestTable
 	dialTimeout time.Duration
 	stop        context.CancelFunc
 }
 
-// ErrUnreachable says that a dial has tried servers, and that none could be reached.
-var ErrUnreachable = errors.New("no server could be reached")
+// ErrUnreachable is returned by Dial if servers were tried and none could be reached.
+var ErrUnreachable = errors.New("plugin: none of the servers tried could be reached")
 
-// RefusedError says that the dial was rejected: no server takes the connection now.
+// RefusedError is returned by Dial if no server accepts connections now. RetryAfter is the time to wait
+// before the next dial.
 type RefusedError struct{ RetryAfter time.Duration }
 
-// Error names the time to wait.
+// Error returns a text with the time to wait.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("rejected: retry after %v", e.RetryAfter)
+	return fmt.Sprintf("plugin: dial rejected, no server accepts connections; retry after %v", e.RetryAfter)
 }
 
-// New starts the core of one client, with goroutines that Close ends. Its errors are ErrNoServers and
-// ErrInvalidTime.
+// New starts the decision module of one client, with goroutines that run until Close. The error is
+// ErrNoServers or ErrInvalidTime.
 func New(cfg Config, log zerolog.Logger) (*Dialer, error) {
 	t, err := cfg.timeouts()
 	if err != nil {
@@ -61,13 +63,13 @@
 	return &Dialer{requests: requests, dialTimeout: t.dial, stop: stop}, nil
 }
 
-// Close ends the core. Open connections go on; dials fail.
+// Close stops the Dialer. Open connections stay open; further dials fail.
 func (d *Dialer) Close() {
 	d.requests.BeginShutdown()
 	d.stop()
 }
 
-// dialWaiter is the client side's end of a dial. It learns the end from the request itself.
+// dialWaiter is the client connection of a dial. It does nothing, as Dial waits for the request itself.
 type dialWaiter struct{}
 
 func (dialWaiter) Forward([]byte) error  { return nil }
@@ -75,11 +77,12 @@
 func (dialWaiter) Wake()                 {}
 func (dialWaiter) HasUnread() bool       { return false }
 
-// minDialTimeout is what a dial gets at least, however near its context's deadline is.
+// minDialTimeout is the shortest time-out of a dial, even if its context's deadline is nearer.
 const minDialTimeout = time.Millisecond
 
-// Dial is for grpc.WithContextDialer. The target is not looked at: the core knows where the servers are. Its
-// errors are a RefusedError, ErrUnreachable and the context's.
+// Dial dials a server chosen by the decision module. It is for grpc.WithContextDialer. The target is ignored,
+// as the servers are found in ZooKeeper. The error is a RefusedError, ErrUnreachable or the error of the
+// context.
 func (d *Dialer) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	timeout := d.dialTimeout
 	if deadline, ok := ctx.Deadline(); ok {
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -20,7 +20,7 @@
 	"capersail/internal/testing/fake"
 )
 
-// server is a grpc-go server that counts its unary calls; what it serves is gRPC's own health service.
+// server is a grpc-go server of gRPC's health service. It counts its unary calls.
 type server struct {
 	*grpc.Server
 	address string
@@ -78,52 +78,53 @@
 	return &harness{t, zk, d, pb.NewHealthClient(conn)}
 }
 
-func (b *harness) setNode(name string, s *server, lifecycle string) {
-	b.zk.SetNode(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q}`, s.address, lifecycle))
+func (h *harness) setNode(name string, s *server, lifecycle string) {
+	h.zk.SetNode(name, fmt.Sprintf(`{"address":%q,"lifecycle":%q}`, s.address, lifecycle))
 }
 
-func (b *harness) call() {
-	b.t.Helper()
-	ctx, stop := context.WithTimeout(b.t.Context(), 30*time.Second)
+func (h *harness) call() {
+	h.t.Helper()
+	ctx, stop := context.WithTimeout(h.t.Context(), 30*time.Second)
 	defer stop()
-	if _, err := b.Check(ctx, &pb.HealthCheckRequest{}); err != nil {
-		b.t.Fatal(err)
+	if _, err := h.Check(ctx, &pb.HealthCheckRequest{}); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-// openStream begins a call that stays in flight and returns its receiving end.
-func (b *harness) openStream() (func() error, context.CancelFunc) {
-	b.t.Helper()
-	ctx, stop := context.WithTimeout(b.t.Context(), 30*time.Second)
-	w, err := b.Watch(ctx, &pb.HealthCheckRequest{})
+// openStream starts a streaming call that stays in flight. It returns its receive function and its cancel
+// function.
+func (h *harness) openStream() (func() error, context.CancelFunc) {
+	h.t.Helper()
+	ctx, stop := context.WithTimeout(h.t.Context(), 30*time.Second)
+	w, err := h.Watch(ctx, &pb.HealthCheckRequest{})
 	if err == nil {
 		_, err = w.Recv()
 	}
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return func() error { _, err := w.Recv(); return err }, stop
 }
 
-// callUntilReached repeats calls until a server is reached.
-func (b *harness) callUntilReached(s *server) {
-	b.t.Helper()
-	b.callUntilReachedLosing(s, 0)
+// callUntilReached repeats calls until one reaches the server s.
+func (h *harness) callUntilReached(s *server) {
+	h.t.Helper()
+	h.callUntilReachedLosing(s, 0)
 }
 
-// callUntilReachedLosing is callUntilReached, where up to lost calls may fail as Unavailable: those that were
-// written to a server as it died, which gRPC does not send again, since they may have run.
-func (b *harness) callUntilReachedLosing(s *server, lost int) {
-	b.t.Helper()
+// callUntilReachedLosing is like callUntilReached, but up to lost calls may fail with Unavailable. gRPC does
+// not retry calls that were written to a server as it died, since they may have run.
+func (h *harness) callUntilReachedLosing(s *server, lost int) {
+	h.t.Helper()
 	for i, before := 0, s.calls.Load(); s.calls.Load() == before; i++ {
 		if i > 3000 {
-			b.t.Fatal("calls never reach the other server")
+			h.t.Fatal("no call reached the wanted server in 3000 calls")
 		}
-		ctx, stop := context.WithTimeout(b.t.Context(), 30*time.Second)
-		_, err := b.Check(ctx, &pb.HealthCheckRequest{})
+		ctx, stop := context.WithTimeout(h.t.Context(), 30*time.Second)
+		_, err := h.Check(ctx, &pb.HealthCheckRequest{})
 		stop()
 		if err != nil && (status.Code(err) != codes.Unavailable || lost == 0) {
-			b.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		if err != nil {
 			lost--
@@ -132,74 +133,76 @@
 	}
 }
 
-// A drain lets the call in flight go on, brings new ones elsewhere, and ends the connection after it.
+// When a server drains, the call in flight must continue, new calls must go to other servers, and the
+// connection must be closed after the call in flight.
 func TestDrainLetsCallsInFlightEnd(t *testing.T) {
-	b := newHarness(t, 20_000)
+	h := newHarness(t, 20_000)
 	one, two := newServer(t), newServer(t)
-	b.setNode("one", one, "Ready")
-	b.call()
-	recv, stop := b.openStream()
+	h.setNode("one", one, "Ready")
+	h.call()
+	recv, stop := h.openStream()
 	defer stop()
-	b.setNode("two", two, "Ready")
-	b.setNode("one", one, "Terminating")
-	b.callUntilReached(two)
+	h.setNode("two", two, "Ready")
+	h.setNode("one", one, "Terminating")
+	h.callUntilReached(two)
 	before := one.calls.Load()
 	for range 20 {
-		b.call()
+		h.call()
 	}
 	if one.calls.Load() != before {
-		t.Error("a draining server was given new calls")
+		t.Error("draining server got new calls, want none")
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- recv() }()
 	select {
 	case err := <-ended:
-		t.Fatalf("the call in flight was cut off: %v", err)
+		t.Fatalf("call in flight on a draining server: got error %v, want it to continue", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	stop()
-	for i := 0; b.dialer.requests.MigrateClients(0) != 1; i++ {
+	for i := 0; h.dialer.requests.MigrateClients(0) != 1; i++ {
 		if i > 3000 {
-			t.Fatalf("%d connections are kept", b.dialer.requests.MigrateClients(0))
+			t.Fatalf("after the call in flight ended: got %d connections, want 1",
+				h.dialer.requests.MigrateClients(0))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// The wait for calls in flight is bounded.
+// A draining connection must be closed after DrainMs, even if calls are in flight.
 func TestDrainIsBounded(t *testing.T) {
-	b := newHarness(t, 100)
+	h := newHarness(t, 100)
 	one, two := newServer(t), newServer(t)
-	b.setNode("one", one, "Ready")
-	recv, stop := b.openStream()
+	h.setNode("one", one, "Ready")
+	recv, stop := h.openStream()
 	defer stop()
-	b.setNode("two", two, "Ready")
-	b.setNode("one", one, "Terminating")
+	h.setNode("two", two, "Ready")
+	h.setNode("one", one, "Terminating")
 	if err := recv(); status.Code(err) != codes.Unavailable {
-		t.Errorf("the call in flight ended with %v", err)
+		t.Errorf("call in flight after DrainMs: got error %v, want code Unavailable", err)
 	}
-	b.callUntilReached(two)
+	h.callUntilReached(two)
 }
 
-// gRPC dials again through the core once a server has died.
+// After a server has died, gRPC must dial again through the Dialer and reach the other server.
 func TestKilledServerIsReplaced(t *testing.T) {
-	b := newHarness(t, 1000)
+	h := newHarness(t, 1000)
 	one, two := newServer(t), newServer(t)
-	b.setNode("one", one, "Ready")
-	b.call()
-	b.setNode("two", two, "Ready")
+	h.setNode("one", one, "Ready")
+	h.call()
+	h.setNode("two", two, "Ready")
 	one.Stop()
-	b.callUntilReachedLosing(two, 1)
+	h.callUntilReachedLosing(two, 1)
 }
 
 func TestDialWithoutServersIsRejected(t *testing.T) {
-	b := newHarness(t, 1000)
-	_, err := b.dialer.Dial(t.Context(), "")
+	h := newHarness(t, 1000)
+	_, err := h.dialer.Dial(t.Context(), "")
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
-		t.Fatalf("without a server: %v", err)
+		t.Fatalf("dial without servers: got error %v, want a RefusedError", err)
 	}
 	if _, err := New(Config{}, zerolog.Nop()); !errors.Is(err, ErrNoServers) {
-		t.Errorf("a configuration without addresses: %v", err)
+		t.Errorf("New without ZooKeeper addresses: got error %v, want ErrNoServers", err)
 	}
 }
