--- a/internal/wire/platform/connection_end_test.go
+++ b/internal/wire/platform/connection_end_test.go
@@ -65,7 +65,7 @@
 // A request must not be forwarded once its client has closed, even if the client side has not read the close
 // yet. In this test nothing reads the client's connection.
 func TestNothingIsForwardedForAClosedClient(t *testing.T) {
-	for name, leave := range map[string]func(c *net.TCPConn){
+	for name, closeClient := range map[string]func(c *net.TCPConn){
 		"a close":      func(c *net.TCPConn) { c.Close() },
 		"a half-close": func(c *net.TCPConn) { c.CloseWrite() },
 		"a reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -77,13 +77,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		own, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { own.Close() })
-		e := &splice.Half{Conn: own, Clock: requests.Clock}
-		leave(client.(*net.TCPConn))
+		t.Cleanup(func() { accepted.Close() })
+		e := &splice.Half{Conn: accepted, Clock: requests.Clock}
+		closeClient(client.(*net.TCPConn))
 		awaitUnread(t, e)
 		o, err := parseOpening([]byte(openingLine))
 		if err != nil {
--- a/internal/wire/platform/server_dialer.go
+++ b/internal/wire/platform/server_dialer.go
@@ -33,8 +33,8 @@
 }
 
 func (s *ServerDialer) runAttempt(request *relay.Request, a relay.Attempt) {
-	made := &attempt{Attempt: splice.Attempt{Attempt: a, Request: request}, dialer: s}
-	made.Run(s.Clock, s.ConnectTimeout, made.runProtocol)
+	current := &attempt{Attempt: splice.Attempt{Attempt: a, Request: request}, dialer: s}
+	current.Run(s.Clock, s.ConnectTimeout, current.runProtocol)
 }
 
 // attempt is one attempt of a request with its connection to a server.
--- a/internal/wire/xmpp/server_dialer.go
+++ b/internal/wire/xmpp/server_dialer.go
@@ -32,8 +32,8 @@
 
 func (s *ServerDialer) runAttempt(request *relay.Request, a relay.Attempt) {
 	st := request.Payload.(*stream)
-	made := &attempt{Attempt: splice.Attempt{Attempt: a, Request: request}, dialer: s, stream: st}
-	protocolRan := made.Run(s.Clock, max(s.ConnectTimeout, minConnectTimeout), made.runProtocol)
+	current := &attempt{Attempt: splice.Attempt{Attempt: a, Request: request}, dialer: s, stream: st}
+	protocolRan := current.Run(s.Clock, max(s.ConnectTimeout, minConnectTimeout), current.runProtocol)
 	if state, _ := request.State(); protocolRan && state == relay.Ended {
 		st.markEnded()
 	}
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -10,7 +10,7 @@
 
 // The errors of New for an invalid Config.
 var (
-	ErrNoServers   = errors.New("plugin: Config.ZooKeeper is empty or Config.Path does not begin with a slash")
+	ErrNoServers   = errors.New("plugin: Config.ZooKeeper is empty or Config.Path has no leading slash")
 	ErrInvalidTime = errors.New("plugin: times in Config must be positive, or 0 for the default")
 )
 
