--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -259,7 +259,7 @@
 	}
 	writeKeys(t, f.keyFile, "b", "a")
 	os.Chmod(f.keyFile, 0o644)
-	reload("mode 0644 lets others at the keys")
+	reload("mode 0644 lets other users access the keys")
 	os.Chmod(f.keyFile, 0o600)
 	reload("reloaded resume")
 	c, _ = f.resumeWithRetries(at, "both", old, "")
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -16,9 +16,9 @@
 
 // The exit codes, 0 aside.
 const (
-	Failed   = 1 // a configuration that cannot be used, or what was to be done could not be
-	Usage    = 2 // the command line
-	NoAnswer = 3 // no relay answers, and no store has what is asked for
+	ExitFailure  = 1 // a configuration that cannot be used, or what was to be done could not be
+	ExitUsage    = 2 // the command line
+	ExitNoAnswer = 3 // no relay answers, and no store has what is asked for
 )
 
 // exitError is an error with its exit code.
@@ -55,7 +55,7 @@
 	if errors.As(err, &e) {
 		return e.code
 	}
-	return Failed
+	return ExitFailure
 }
 
 // doubleDashes returns arguments in which flags of the first versions, written with one dash, have two.
@@ -75,7 +75,7 @@
 	if err == nil {
 		return nil
 	}
-	return exitError{Usage, err}
+	return exitError{ExitUsage, err}
 }
 
 // checkArguments has what a check of arguments says be an error of the command line.
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -89,25 +89,25 @@
 		{"version", []string{"version"}, 0, ""},
 		{"help", []string{"help"}, 0, ""},
 		{"completion", []string{"completion", "bash"}, 0, ""},
-		{"no configuration", nil, Failed, "LB_CONFIG: not set"},
-		{"an unknown flag", []string{"--colour"}, Usage, "unknown flag: --colour"},
-		{"an unknown level", []string{"--log-level", "loud"}, Usage, "log-level: "},
-		{"an argument too many", []string{"version", "x"}, Usage, "unknown command"},
-		{"of an old flag, the file", []string{"-xmpp", missing}, Failed, missing},
-		{"nowhere to ask", []string{"timeline", "list"}, Usage, "one of --config"},
-		{"nobody answers", []string{"timeline", "list", "--socket", missing}, NoAnswer, "no relay answers"},
-		{"no store", []string{"timeline", "list", "--store", missing}, NoAnswer, missing},
+		{"no configuration", nil, ExitFailure, "LB_CONFIG: not set"},
+		{"an unknown flag", []string{"--colour"}, ExitUsage, "unknown flag: --colour"},
+		{"an unknown level", []string{"--log-level", "loud"}, ExitUsage, "log-level: "},
+		{"an argument too many", []string{"version", "x"}, ExitUsage, "unknown command"},
+		{"of an old flag, the file", []string{"-xmpp", missing}, ExitFailure, missing},
+		{"nowhere to ask", []string{"timeline", "list"}, ExitUsage, "one of --config"},
+		{"nobody answers", []string{"timeline", "list", "--socket", missing}, ExitNoAnswer, "no relay answers"},
+		{"no store", []string{"timeline", "list", "--store", missing}, ExitNoAnswer, missing},
 		{
 			"a time that is none",
 			[]string{"timeline", "list", "--store", missing, "--from", "noon"},
-			Usage, "from: ",
+			ExitUsage, "from: ",
 		},
 		{
 			"a format that is none",
 			[]string{"timeline", "export", "--store", missing, "--format", "gif"},
-			Usage, "format: ",
+			ExitUsage, "format: ",
 		},
-		{"nobody listens", []string{"client", "127.0.0.1:1"}, Failed, "connection refused"},
+		{"nobody listens", []string{"client", "127.0.0.1:1"}, ExitFailure, "connection refused"},
 	} {
 		code, _, errs := run(c.args...)
 		oneLine := strings.Count(errs, "\n") == 1 && strings.HasPrefix(errs, "capersail: ")
@@ -158,7 +158,7 @@
 		t.Errorf("%v, %v", img, err)
 	}
 	code, _, errs := run("timeline", "--store", path, "export", "--from", "2030-01-01T00:00:00Z", "-o", file)
-	if code != Failed || !strings.Contains(errs, "nothing to draw") {
+	if code != ExitFailure || !strings.Contains(errs, "nothing to draw") {
 		t.Errorf("an empty picture: %d, %q", code, errs)
 	}
 }
@@ -178,7 +178,7 @@
 			t.Errorf("no %q in %q", want, errs)
 		}
 	}
-	if code != Failed {
+	if code != ExitFailure {
 		t.Errorf("exit %d", code)
 	}
 	code, out, errs := run("config", "check",
@@ -187,7 +187,7 @@
 		t.Errorf("%d, %q, %q", code, out, errs)
 	}
 	code, _, errs = run("config", "check", write("x.toml", "nothing = 1\n"))
-	if code != Failed || !strings.Contains(errs, "no key says what it is for") {
+	if code != ExitFailure || !strings.Contains(errs, "no key says what it is for") {
 		t.Errorf("%d, %q", code, errs)
 	}
 }
@@ -222,7 +222,7 @@
 	}
 	os.WriteFile(script, []byte("> PING\n< NEVER\n"), 0o600)
 	code, _, errs = run("client", l.Addr().String(), "--script", script, "--within", "50ms")
-	if code != Failed || !strings.Contains(errs, script+":2: waiting for NEVER") {
+	if code != ExitFailure || !strings.Contains(errs, script+":2: waiting for NEVER") {
 		t.Errorf("%d, %q", code, errs)
 	}
 }
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -34,7 +34,7 @@
 			}
 			fleet, probed, err := control.QueryProbing(path)
 			if err != nil {
-				return exitError{NoAnswer, err}
+				return exitError{ExitNoAnswer, err}
 			}
 			return showFleet(p.Out, fleet, probed)
 		},
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -37,7 +37,7 @@
 		}
 		r, known, err := control.QueryFleet(path)
 		if err != nil {
-			return nil, nil, exitError{NoAnswer, err}
+			return nil, nil, exitError{ExitNoAnswer, err}
 		}
 		return r, known, nil
 	}
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -238,14 +238,14 @@
 		noAnswer = err
 	}
 	if s.store == "" {
-		return nil, exitError{NoAnswer, noAnswer}
+		return nil, exitError{ExitNoAnswer, noAnswer}
 	}
 	if _, err := os.Stat(s.store); err != nil {
-		return nil, exitError{NoAnswer, err}
+		return nil, exitError{ExitNoAnswer, err}
 	}
 	db, err := store.Open(s.store, store.Options{ReadOnly: true}, zerolog.Nop())
 	if err != nil {
-		return nil, exitError{NoAnswer, err}
+		return nil, exitError{ExitNoAnswer, err}
 	}
 	defer db.Close()
 	r, err := watch.FromStore(db, q)
@@ -277,5 +277,5 @@
 		_, err := fmt.Fprintln(w, report.FormatEvent(e))
 		return err == nil
 	})
-	return exitError{NoAnswer, err}
+	return exitError{ExitNoAnswer, err}
 }
--- a/internal/lifecycle/members_test.go
+++ b/internal/lifecycle/members_test.go
@@ -54,10 +54,10 @@
 		"socket: over 100 bytes": {
 			`site`, `socket = "/` + strings.Repeat("x", 101) + "\"\nsite",
 		},
-		"founders: from 1 to 10000":         {`site`, "founders = -1\nsite"},
-		"sead: unknown key":                 {`site`, "sead = 1\nsite"},
-		"no such file":                      {`site`, "keys = \"/nowhere\"\nsite"},
-		"mode 0644 lets others at the keys": {`site`, `keys = "` + keys(one, 0o644) + "\"\nsite"},
+		"founders: from 1 to 10000":                  {`site`, "founders = -1\nsite"},
+		"sead: unknown key":                          {`site`, "sead = 1\nsite"},
+		"no such file":                               {`site`, "keys = \"/nowhere\"\nsite"},
+		"mode 0644 lets other users access the keys": {`site`, `keys = "` + keys(one, 0o644) + "\"\nsite"},
 	} {
 		_, err := read(strings.Replace(membersConfig, change[0], change[1], 1))
 		found := false
--- a/internal/token/keyfile.go
+++ b/internal/token/keyfile.go
@@ -23,7 +23,7 @@
 	case !info.Mode().IsRegular():
 		return fmt.Errorf("not a regular file (%s)", info.Mode())
 	case info.Mode().Perm()&forbiddenKeyFileMode != 0:
-		return fmt.Errorf("mode %04o lets others at the keys; 0600 is wanted", info.Mode().Perm())
+		return fmt.Errorf("mode %04o lets other users access the keys; want 0600", info.Mode().Perm())
 	case info.Size() > MaxKeyFileSize:
 		return fmt.Errorf("key file has %d bytes; the maximum is %d", info.Size(), MaxKeyFileSize)
 	}
