--- a/internal/command/screen.go
+++ b/internal/command/screen.go
@@ -143,7 +143,7 @@
 // showFleet writes the rows round the selected one, and the latest events.
 func (m screen) showFleet(w io.Writer) {
 	const aroundRows, latestEvents = 12, 6
-	fmt.Fprintf(w, "%s  %s\n", m.report.Relay, report.FormatClock(m.report.At))
+	fmt.Fprintf(w, "%s  %s\n", m.report.RelayName, report.FormatClock(m.report.At))
 	var table bytes.Buffer
 	m.report.WriteList(&table)
 	rows := strings.Split(strings.TrimRight(table.String(), "\n"), "\n")
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -248,7 +248,7 @@
 		return nil, exitError{NoAnswer, err}
 	}
 	defer db.Close()
-	r, err := watch.FromStore(db, q)
+	r, err := watch.ReportFromStore(db, q)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -179,7 +179,7 @@
 func (s *Server) follow(q query, conn net.Conn, in *bufio.Reader, out replyWriter) {
 	var events []<-chan anomaly.Event
 	for _, w := range s.sources.Watchers {
-		c, stop := w.Follow()
+		c, stop := w.FollowEvents()
 		if c == nil {
 			out.send(reply{Error: "too many clients follow events already"})
 			return
--- a/internal/lifecycle/timeline_part.go
+++ b/internal/lifecycle/timeline_part.go
@@ -40,14 +40,14 @@
 
 func (p *timelinePart) join(front *frontHooks) {
 	c := watch.Config{
-		Relay:      front.relayName,
-		Buffer:     p.config.BufferRecords,
-		Limits:     timeline.DefaultLimits(),
-		MaxServers: p.config.MaxServers,
+		RelayName:    front.relayName,
+		RecordBuffer: p.config.BufferRecords,
+		Limits:       timeline.DefaultLimits(),
+		MaxServers:   p.config.MaxServers,
 	}
 	c.Limits.MaxServers = p.config.MaxServers
 	if front.platform == nil {
-		c.Relay = front.frontName
+		c.RelayName = front.frontName
 	}
 	if p.config.StoreFile != "" {
 		c.Store = p.openStore(front)
@@ -56,7 +56,7 @@
 	front.requests.Recorder = watcher.Recorder
 	p.watchers = append(p.watchers, watcher)
 	front.changeListeners = append(front.changeListeners, func(change membership.StateChanged) {
-		watcher.RelayChanged(change.Name, change.State, change.Cause)
+		watcher.RecordRelayChange(change.Name, change.State, change.Cause)
 	})
 }
 
@@ -106,7 +106,7 @@
 		os.Remove(p.config.ControlSocket)
 	}
 	for _, w := range p.watchers {
-		w.Fold()
+		w.ApplyRecords()
 		w.WriteOpenRows()
 	}
 	for _, s := range p.stores {
--- a/internal/observe/anomaly/detector.go
+++ b/internal/observe/anomaly/detector.go
@@ -215,8 +215,8 @@
 	return ended
 }
 
-// Active lists the events that last, the fleet's first.
-func (d *Detector) Active() (all []Event) {
+// ActiveEvents lists the events that last, the fleet's first.
+func (d *Detector) ActiveEvents() (all []Event) {
 	for _, s := range append([]*serverState{d.fleet}, d.order...) {
 		for _, e := range s.events {
 			if e.current != nil {
--- a/internal/observe/anomaly/detector_test.go
+++ b/internal/observe/anomaly/detector_test.go
@@ -86,7 +86,7 @@
 				t.Errorf("seed %d: %q at %.0f did not happen", seed, what, from)
 			}
 		}
-		if left := s.detector.Active(); len(left) != 0 {
+		if left := s.detector.ActiveEvents(); len(left) != 0 {
 			t.Errorf("seed %d: still there long after: %+v", seed, left)
 		}
 		ends := map[string]int{}
@@ -160,9 +160,9 @@
 	d := New(50, time.Unix(0, 0).Add)
 	for i := range 20_000 {
 		at := 1000*time.Second + time.Duration(i)*10*time.Millisecond
-		r := recorder.Record{At: at, Kind: recorder.EndpointChanged, Mode: decide.Ready, StartedAt: at}
+		r := recorder.Record{At: at, Kind: recorder.EndpointChanged, EndpointState: decide.Ready, StartedAt: at}
 		d.Observe(fmt.Sprint("id", i), &r)
-		r = recorder.Record{At: at + 5*time.Millisecond, Kind: recorder.EndpointChanged, Mode: decide.Removed}
+		r = recorder.Record{At: at + 5*time.Millisecond, Kind: recorder.EndpointChanged, EndpointState: decide.Removed}
 		d.Observe(fmt.Sprint("id", i), &r)
 		if out := d.Tick(r.At, nil); len(out) != 0 {
 			t.Fatalf("%+v", out)
--- a/internal/observe/anomaly/model_test.go
+++ b/internal/observe/anomaly/model_test.go
@@ -63,7 +63,7 @@
 	for i := range hosts {
 		h := &host{name: fmt.Sprint("s", i), listed: true, capacity: 90 + 40*s.rng.Float64()}
 		s.hosts = append(s.hosts, h)
-		s.put(i, recorder.Record{Kind: recorder.EndpointChanged, Mode: decide.Ready})
+		s.put(i, recorder.Record{Kind: recorder.EndpointChanged, EndpointState: decide.Ready})
 	}
 	return s
 }
@@ -79,7 +79,7 @@
 
 func (s *scene) list(i int, mode decide.EndpointState, since float64) {
 	s.hosts[i].listed = mode == decide.Ready
-	s.put(i, recorder.Record{Kind: recorder.EndpointChanged, Mode: mode, StartedAt: duration(since)})
+	s.put(i, recorder.Record{Kind: recorder.EndpointChanged, EndpointState: mode, StartedAt: duration(since)})
 }
 
 // run lets time pass, 5 ms at a time.
--- a/internal/observe/anomaly/server.go
+++ b/internal/observe/anomaly/server.go
@@ -97,7 +97,7 @@
 			s.observeServerEnd(r)
 		}
 	case recorder.ClientMigrated:
-		if r.Initiator == recorder.ServerSilent {
+		if r.Initiator == recorder.ServerUnresponsive {
 			s.missedProbes = max(s.missedProbes, probesMissedMin)
 		}
 	}
@@ -106,14 +106,14 @@
 // observeEndpoint takes what the endpoint list says. A server that leaves, or another process, begins without
 // a past.
 func (s *serverState) observeEndpoint(r *recorder.Record) {
-	ready := r.Mode == decide.Ready
+	ready := r.EndpointState == decide.Ready
 	if s.listed && ready != (s.mode == decide.Ready) {
 		s.happened.flaps.add(r.At)
 	}
 	if !ready || r.StartedAt != s.startedAt {
 		s.forgetPast()
 	}
-	s.listed, s.mode, s.startedAt = true, r.Mode, r.StartedAt
+	s.listed, s.mode, s.startedAt = true, r.EndpointState, r.StartedAt
 }
 
 func (s *serverState) forgetPast() {
--- a/internal/observe/chart/chart.go
+++ b/internal/observe/chart/chart.go
@@ -23,8 +23,8 @@
 // MaxPanels bounds a picture.
 const MaxPanels = 24
 
-// ErrEmpty says that there is nothing to draw.
-var ErrEmpty = errors.New("nothing to draw: no steps in the time asked for")
+// ErrNothingToDraw says that there is nothing to draw.
+var ErrNothingToDraw = errors.New("nothing to draw: no steps in the time asked for")
 
 var stateColors = map[string]color.Color{
 	"listed":   color.RGBA{200, 200, 200, 255},
@@ -59,11 +59,11 @@
 	rowHeight    = 4.2 * vg.Centimeter
 )
 
-// Write draws a report as "png" or "svg". The error is ErrEmpty where nothing happened in the time asked for.
+// Write draws a report as "png" or "svg". The error is ErrNothingToDraw where nothing happened in the time asked for.
 func Write(w io.Writer, r *report.Report, format string) error {
 	servers, axes := drawnServers(r)
 	if len(servers) == 0 || axes.to <= axes.from {
-		return ErrEmpty
+		return ErrNothingToDraw
 	}
 	omitted := max(0, len(servers)-MaxPanels)
 	servers = servers[:len(servers)-omitted]
--- a/internal/observe/recorder/record.go
+++ b/internal/observe/recorder/record.go
@@ -50,29 +50,29 @@
 
 // The initiators.
 const (
-	Nobody          Initiator = iota
-	Server                    // the server
-	Client                    // the client
-	Module                    // the decision module
-	Shutdown                  // this relay shuts down
-	ServerSilent              // its server brings nothing back
-	OwnershipLost             // the stream's ownership may be lost
-	DescriptorLimit           // the connection limiter
-	Backstop                  // the relay's own deadline, behind the module's
-	Operator                  // manually: a drain, or a server ejected
+	NoInitiator        Initiator = iota
+	Server                       // the server
+	Client                       // the client
+	Module                       // the decision module
+	Shutdown                     // this relay shuts down
+	ServerUnresponsive           // its server brings nothing back
+	OwnershipLost                // the stream's ownership may be lost
+	DescriptorLimit              // the connection limiter
+	BackstopDeadline             // the relay's own deadline, behind the module's
+	Operator                     // manually: a drain, or a server ejected
 )
 
 var initiatorNames = [...]string{
-	Nobody:          "",
-	Server:          "server",
-	Client:          "client",
-	Module:          "module",
-	Shutdown:        "leaving",
-	ServerSilent:    "silence",
-	OwnershipLost:   "claim",
-	DescriptorLimit: "door",
-	Backstop:        "late",
-	Operator:        "operator",
+	NoInitiator:        "",
+	Server:             "server",
+	Client:             "client",
+	Module:             "module",
+	Shutdown:           "leaving",
+	ServerUnresponsive: "silence",
+	OwnershipLost:      "claim",
+	DescriptorLimit:    "door",
+	BackstopDeadline:   "late",
+	Operator:           "operator",
 }
 
 // String names the initiator as it is shown.
@@ -88,10 +88,10 @@
 
 // Candidate is another server that a placement could have gone to.
 type Candidate struct {
-	Server    int32   // its number
-	Load      float32 // as estimated
-	AgeMs     float32 // of the reading behind it
-	WarmingUp bool
+	Server      int32   // its number
+	Load        float32 // as estimated
+	AgeMs       float32 // of the reading behind it
+	InSlowStart bool
 }
 
 // MaxCandidates is how many of a placement's candidates are kept.
@@ -104,21 +104,21 @@
 	Elapsed   time.Duration // of a set-up, a probe, a message, a reading's age
 	StartedAt time.Duration // EndpointChanged: when the server says it started, 0 for long ago
 
-	Request   uint64
-	Server    int32 // its number, -1 for none
-	Kind      Kind
-	Status    decide.Status
-	Mode      decide.EndpointState
-	Reason    decide.RejectReason
-	Initiator Initiator
-
-	Load   float32
-	Queue  float32
-	Errors float32 // a second
-	Count  uint32  // RecordsDropped
-
-	Attempt      uint8 // from 0
-	WasConnected bool  // AttemptEnded: the connection stood
-	PoolSize     uint8 // how many of Pool are set
-	Pool         [MaxCandidates]Candidate
+	Request       uint64
+	Server        int32 // its number, -1 for none
+	Kind          Kind
+	Status        decide.Status
+	EndpointState decide.EndpointState
+	Reason        decide.RejectReason
+	Initiator     Initiator
+
+	Load            float32
+	QueueLength     float32
+	ErrorsPerSecond float32 // a second
+	Count           uint32  // RecordsDropped
+
+	Attempt        uint8 // from 0
+	WasConnected   bool  // AttemptEnded: the connection stood
+	CandidateCount uint8 // how many of Candidates are set
+	Candidates     [MaxCandidates]Candidate
 }
--- a/internal/observe/recorder/recorder_test.go
+++ b/internal/observe/recorder/recorder_test.go
@@ -68,7 +68,7 @@
 func BenchmarkRecord(b *testing.B) {
 	x := New(1 << 14)
 	var spare []Record
-	r := Record{Kind: AttemptStarted, Server: 3, PoolSize: 4}
+	r := Record{Kind: AttemptStarted, Server: 3, CandidateCount: 4}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if x.Put(&r); i&0x1fff == 0 {
--- a/internal/observe/report/counts.go
+++ b/internal/observe/report/counts.go
@@ -18,7 +18,7 @@
 
 // CountFaults counts the ends of attempts that a server is to blame for.
 func CountFaults(interval timeline.Interval) (n uint32) {
-	for i, count := range interval.Ends {
+	for i, count := range interval.EndsByStatus {
 		switch decide.Status(i) {
 		case decide.OK, decide.Superseded, decide.Cancelled:
 		default:
@@ -38,11 +38,11 @@
 			known += n
 		}
 	}
-	for reason, n := range interval.RejectReasons.Module {
+	for reason, n := range interval.RejectReasons.ByReason {
 		add(decide.RejectReason(reason).String(), n)
 	}
-	for i, n := range interval.RejectReasons.Relay[recorder.Nobody+1:] {
-		initiator := recorder.Nobody + 1 + recorder.Initiator(i)
+	for i, n := range interval.RejectReasons.ByInitiator[recorder.NoInitiator+1:] {
+		initiator := recorder.NoInitiator + 1 + recorder.Initiator(i)
 		add(initiator.String(), n)
 	}
 	if interval.Rejections > known { // also those of a store that was written before reasons were kept
--- a/internal/observe/report/report.go
+++ b/internal/observe/report/report.go
@@ -39,12 +39,12 @@
 
 // Report is the answer to a Query.
 type Report struct {
-	Relay   string   `json:"relay"`
-	At      float64  `json:"at"` // Unix ms
-	Servers []Server `json:"servers"`
-	Dropped uint64   `json:"dropped"`         // records and rows that were not kept
-	Evicted int      `json:"evicted"`         // timelines that were evicted
-	Store   string   `json:"store,omitempty"` // why the store cannot be written
+	RelayName        string   `json:"relay"`
+	At               float64  `json:"at"` // Unix ms
+	Servers          []Server `json:"servers"`
+	DroppedEntries   uint64   `json:"dropped"`         // records and rows that were not kept
+	EvictedTimelines int      `json:"evicted"`         // timelines that were evicted
+	StoreError       string   `json:"store,omitempty"` // why the store cannot be written
 }
 
 // AddEvents puts events on their servers' timelines.
@@ -63,8 +63,8 @@
 	slices.SortFunc(r.Servers, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Restrict drops what lies outside of the time asked for.
-func (r *Report) Restrict(q Query) {
+// RestrictTime drops what lies outside of the time asked for.
+func (r *Report) RestrictTime(q Query) {
 	to := q.To
 	if to == 0 {
 		to = endOfTime
--- a/internal/observe/report/report_test.go
+++ b/internal/observe/report/report_test.go
@@ -13,9 +13,9 @@
 // too.
 func TestRejectionsAreShownByReason(t *testing.T) {
 	step := timeline.Interval{From: 1e6, Width: 1000, Rejections: 10}
-	step.RejectReasons.Module[decide.NoCapacity] = 4
-	step.RejectReasons.Module[decide.RetryBudgetExhausted] = 2
-	step.RejectReasons.Relay[recorder.DescriptorLimit] = 1
+	step.RejectReasons.ByReason[decide.NoCapacity] = 4
+	step.RejectReasons.ByReason[decide.RetryBudgetExhausted] = 2
+	step.RejectReasons.ByInitiator[recorder.DescriptorLimit] = 1
 	r := Report{Servers: []Server{{Name: timeline.FleetName, Intervals: []timeline.Interval{step}}}}
 	var shown, table strings.Builder
 	if err := r.WriteDrawing(&shown, 60); err != nil {
--- a/internal/observe/report/text.go
+++ b/internal/observe/report/text.go
@@ -78,11 +78,11 @@
 
 // writeOmissions says what is not shown.
 func (r *Report) writeOmissions(w *errorWriter) {
-	if r.Dropped > 0 || r.Evicted > 0 {
-		w.printf("not kept: %d records, %d timelines\n", r.Dropped, r.Evicted)
+	if r.DroppedEntries > 0 || r.EvictedTimelines > 0 {
+		w.printf("not kept: %d records, %d timelines\n", r.DroppedEntries, r.EvictedTimelines)
 	}
-	if r.Store != "" {
-		w.printf("the store cannot be written: %s\n", r.Store)
+	if r.StoreError != "" {
+		w.printf("the store cannot be written: %s\n", r.StoreError)
 	}
 }
 
@@ -145,7 +145,7 @@
 		sum.Probes, sum.ProbesLost, sum.PeerReadings, sum.Setup[1])
 	if CountFaults(sum) > 0 {
 		w.printf("  faults:")
-		for status, n := range sum.Ends {
+		for status, n := range sum.EndsByStatus {
 			if n > 0 {
 				w.printf(" %s %d", decide.Status(status), n)
 			}
--- a/internal/observe/timeline/apply.go
+++ b/internal/observe/timeline/apply.go
@@ -43,7 +43,7 @@
 	case recorder.AttemptEnded:
 		s.openConnections = max(0, s.openConnections-1)
 		if r.Initiator == recorder.Server {
-			i.Ends[min(r.Status, decide.Superseded)]++
+			i.EndsByStatus[min(r.Status, decide.Superseded)]++
 			t.applyServerEnd(s, r)
 		}
 	case recorder.ClientMigrated:
@@ -53,7 +53,7 @@
 	case recorder.MessageDelayed:
 		i.SlowestMessage = max(i.SlowestMessage, float32(millis(r.Elapsed)))
 	case recorder.RecordsDropped:
-		i.Dropped += r.Count
+		i.DroppedRecords += r.Count
 	}
 	i.OpenConnections = s.openConnections
 }
@@ -73,8 +73,8 @@
 // applyEndpoint takes what the endpoint list says. A server that comes, comes back or has started anew begins
 // without a past.
 func (t *Timelines) applyEndpoint(s *ServerTimeline, r *recorder.Record) {
-	s.mode = r.Mode
-	switch r.Mode {
+	s.mode = r.EndpointState
+	switch r.EndpointState {
 	case decide.Draining:
 		t.enterState(s, r.At, Draining, "list")
 		return
--- a/internal/observe/timeline/interval.go
+++ b/internal/observe/timeline/interval.go
@@ -19,7 +19,7 @@
 	Connections     uint32       `cbor:"5,keyasint,omitempty" json:"ups"`
 	Migrations      uint32       `cbor:"6,keyasint,omitempty" json:"moves"`
 	Rejections      uint32       `cbor:"7,keyasint,omitempty" json:"refusals"` // and failures
-	Ends            [8]uint32    `cbor:"8,keyasint" json:"ends"`               // by the server; index: status
+	EndsByStatus    [8]uint32    `cbor:"8,keyasint" json:"ends"`               // by the server; index: status
 	Probes          uint32       `cbor:"9,keyasint,omitempty" json:"probes"`
 	ProbesLost      uint32       `cbor:"10,keyasint,omitempty" json:"probes_lost"`
 	OpenConnections int32        `cbor:"11,keyasint,omitempty" json:"held"` // at its end
@@ -27,7 +27,7 @@
 	Readings        uint32       `cbor:"13,keyasint,omitempty" json:"readings"`
 	Setup           [3]float32   `cbor:"14,keyasint" json:"setup_ms"` // median, 99 %, most
 	SlowestMessage  float32      `cbor:"15,keyasint,omitempty" json:"message_ms"`
-	Dropped         uint32       `cbor:"16,keyasint,omitempty" json:"dropped"` // records
+	DroppedRecords  uint32       `cbor:"16,keyasint,omitempty" json:"dropped"` // records
 	Merged          bool         `cbor:"17,keyasint,omitempty" json:"merged"`  // Setup has the worst
 	PeerReadings    uint32       `cbor:"18,keyasint,omitempty" json:"told"`    // of other relays
 	RejectReasons   RejectCounts `cbor:"19,keyasint" json:"refusals_by_reason"`
@@ -35,26 +35,26 @@
 
 // RejectCounts counts rejections and failures by their reason.
 type RejectCounts struct {
-	Module [decide.MayHaveRun + 1]uint32 `cbor:"1,keyasint" json:"module"` // by the module's reason
-	Relay  [recorder.Operator + 1]uint32 `cbor:"2,keyasint" json:"relay"`  // without one, by who decided
+	ByReason    [decide.MayHaveRun + 1]uint32 `cbor:"1,keyasint" json:"module"` // by the module's reason
+	ByInitiator [recorder.Operator + 1]uint32 `cbor:"2,keyasint" json:"relay"`  // without one, by who decided
 }
 
 // add counts the reason of one record of a rejection or a failure.
 func (c *RejectCounts) add(r *recorder.Record) {
 	if r.Reason != decide.NoReason {
-		c.Module[min(r.Reason, decide.MayHaveRun)]++
+		c.ByReason[min(r.Reason, decide.MayHaveRun)]++
 	} else {
-		c.Relay[min(r.Initiator, recorder.Operator)]++
+		c.ByInitiator[min(r.Initiator, recorder.Operator)]++
 	}
 }
 
 // merge adds the counts of another interval.
 func (c *RejectCounts) merge(other *RejectCounts) {
-	for reason, n := range other.Module {
-		c.Module[reason] += n
+	for reason, n := range other.ByReason {
+		c.ByReason[reason] += n
 	}
-	for by, n := range other.Relay {
-		c.Relay[by] += n
+	for by, n := range other.ByInitiator {
+		c.ByInitiator[by] += n
 	}
 }
 
@@ -169,11 +169,11 @@
 	a.Rejections += b.Rejections
 	a.Probes += b.Probes
 	a.ProbesLost += b.ProbesLost
-	a.Dropped += b.Dropped
+	a.DroppedRecords += b.DroppedRecords
 	a.PeerReadings += b.PeerReadings
 	a.RejectReasons.merge(&b.RejectReasons)
-	for i := range a.Ends {
-		a.Ends[i] += b.Ends[i]
+	for i := range a.EndsByStatus {
+		a.EndsByStatus[i] += b.EndsByStatus[i]
 	}
 	a.OpenConnections = b.OpenConnections
 	a.mergeLoad(&b)
--- a/internal/observe/timeline/timeline_test.go
+++ b/internal/observe/timeline/timeline_test.go
@@ -25,7 +25,7 @@
 
 // endpointAt, probeOf and endOf are the records that change a server's state.
 func endpointAt(mode decide.EndpointState, startedAt time.Duration) recorder.Record {
-	return recorder.Record{Kind: recorder.EndpointChanged, Mode: mode, StartedAt: startedAt}
+	return recorder.Record{Kind: recorder.EndpointChanged, EndpointState: mode, StartedAt: startedAt}
 }
 
 func probeOf(s decide.Status) recorder.Record {
@@ -179,11 +179,11 @@
 		r := endpointAt(decide.Ready, 0)
 		r.At = began + time.Duration(i)*time.Millisecond
 		b.Apply(fmt.Sprint("id", i), &r)
-		r.Mode = decide.Removed
+		r.EndpointState = decide.Removed
 		b.Apply(fmt.Sprint("id", i), &r)
 	}
-	if n := len(b.Names()); n != 20 || b.Evicted != 5010-20 {
-		t.Errorf("%d timelines, %d evicted", n, b.Evicted)
+	if n := len(b.ServerNames()); n != 20 || b.EvictedServers != 5010-20 {
+		t.Errorf("%d timelines, %d evicted", n, b.EvictedServers)
 	}
 	for i := range 10 {
 		if b.Server(fmt.Sprint("stays", i)) == nil {
@@ -196,7 +196,7 @@
 func TestIntervalCountsItsRecords(t *testing.T) {
 	b := newTimelines(DefaultLimits())
 	applyAll(b, "s", time.Millisecond, []recorder.Record{
-		{Kind: recorder.EndpointChanged, Mode: decide.Ready},
+		{Kind: recorder.EndpointChanged, EndpointState: decide.Ready},
 		{Kind: recorder.ProbeEnded, Load: 0.2},
 		{Kind: recorder.PeerReading, Load: 0.6},
 		{Kind: recorder.ProbeEnded, Load: -1},
@@ -216,7 +216,7 @@
 	i := s.Intervals()[0]
 	if i.Load != [3]float32{0.2, 0.4, 0.6} || i.Placements != 2 || i.Retries != 1 || i.Probes != 3 ||
 		i.PeerReadings != 1 || i.ProbesLost != 1 || i.OpenConnections != 0 ||
-		i.Ends[decide.Reset] != 1 || i.Ends[decide.Cancelled] != 0 ||
+		i.EndsByStatus[decide.Reset] != 1 || i.EndsByStatus[decide.Cancelled] != 0 ||
 		i.SlowestMessage != 70 || i.Migrations != 1 || i.Rejections != 1 ||
 		i.Setup[0] < 4.9 || i.Setup[0] > 5.1 || i.Setup[2] < 99 || i.Setup[2] > 101 {
 		t.Errorf("%+v", i)
@@ -242,10 +242,10 @@
 		return all
 	}
 	var onServer, ofFleet RejectCounts
-	onServer.Module[decide.AttemptsExhausted], onServer.Module[decide.MayHaveRun] = 1, 1
-	ofFleet.Module = onServer.Module
-	ofFleet.Module[decide.NoCapacity], ofFleet.Module[decide.NoServer] = 2, 1
-	ofFleet.Relay[recorder.DescriptorLimit] = 1
+	onServer.ByReason[decide.AttemptsExhausted], onServer.ByReason[decide.MayHaveRun] = 1, 1
+	ofFleet.ByReason = onServer.ByReason
+	ofFleet.ByReason[decide.NoCapacity], ofFleet.ByReason[decide.NoServer] = 2, 1
+	ofFleet.ByInitiator[recorder.DescriptorLimit] = 1
 	if i := sum("s"); i.Rejections != 2 || i.RejectReasons != onServer {
 		t.Errorf("the server's: %d, %+v", i.Rejections, i.RejectReasons)
 	}
--- a/internal/observe/timeline/timelines.go
+++ b/internal/observe/timeline/timelines.go
@@ -81,8 +81,8 @@
 // Timelines are those of all servers and of the fleet. They are not safe for concurrent use.
 type Timelines struct {
 	Limits
-	Sink    Sink
-	Evicted int // servers that were evicted
+	Sink           Sink
+	EvictedServers int // servers that were evicted
 
 	wall    func(time.Duration) time.Time
 	servers map[string]*ServerTimeline
@@ -100,8 +100,8 @@
 // Server finds a server's timeline; nil if there is none.
 func (t *Timelines) Server(name string) *ServerTimeline { return t.servers[name] }
 
-// Names lists the servers in order; FleetName among them if anything concerned the fleet.
-func (t *Timelines) Names() []string {
+// ServerNames lists the servers in order; FleetName among them if anything concerned the fleet.
+func (t *Timelines) ServerNames() []string {
 	names := make([]string, 0, len(t.servers))
 	for name := range t.servers {
 		names = append(names, name)
@@ -140,7 +140,7 @@
 	if first != nil {
 		t.completeNewest(first)
 		delete(t.servers, first.Name)
-		t.Evicted++
+		t.EvictedServers++
 	}
 }
 
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -26,7 +26,7 @@
 	const servers = 200
 	clock := relay.NewManualClock()
 	x := relay.NewRequestTable(&relay.Deployment{}, clock, nil)
-	config := Config{Buffer: 1 << 15, Limits: timeline.DefaultLimits(), MaxServers: servers}
+	config := Config{RecordBuffer: 1 << 15, Limits: timeline.DefaultLimits(), MaxServers: servers}
 	w := New(config, x, clock, zerolog.Nop())
 	x.Recorder = w.Recorder
 	var list []relay.Endpoint
@@ -37,7 +37,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	x.UpdateEndpoints(decide.Snapshot, list)
-	w.Fold()
+	w.ApplyRecords()
 	now, n := clock.Now(), 0
 	for b.Loop() { // a second of each server's life: three connections and a probe
 		for i := range servers {
@@ -71,7 +71,7 @@
 		n += servers * 10
 		now += time.Second
 		clock.Set(now)
-		w.Fold()
+		w.ApplyRecords()
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -124,7 +124,7 @@
 	defer s.Close()
 	read := func(q report.Query, want int) float64 {
 		began := time.Now()
-		r, err := FromStore(s, q)
+		r, err := ReportFromStore(s, q)
 		if err != nil || len(r.Servers) != want {
 			b.Fatal(err, len(r.Servers))
 		}
--- a/internal/observe/watch/query.go
+++ b/internal/observe/watch/query.go
@@ -11,24 +11,24 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &report.Report{
-		Relay:   w.Relay,
-		At:      w.unixMs(w.clock.Now()),
-		Dropped: w.recordsDropped,
-		Evicted: w.timelines.Evicted,
+		RelayName:        w.RelayName,
+		At:               w.unixMs(w.clock.Now()),
+		DroppedEntries:   w.recordsDropped,
+		EvictedTimelines: w.timelines.EvictedServers,
 	}
 	if w.Store != nil {
 		if err := w.Store.WriteError(); err != nil {
-			r.Store = err.Error()
+			r.StoreError = err.Error()
 		}
-		r.Dropped += w.Store.DroppedRows()
+		r.DroppedEntries += w.Store.DroppedRows()
 	}
-	for _, name := range w.timelines.Names() {
+	for _, name := range w.timelines.ServerNames() {
 		if q.Includes(name) {
 			r.Servers = append(r.Servers, w.reportServer(name))
 		}
 	}
-	r.AddEvents(w.events.withCurrent(w.detector.Active()), q)
-	r.Restrict(q)
+	r.AddEvents(w.events.withCurrent(w.detector.ActiveEvents()), q)
+	r.RestrictTime(q)
 	return r
 }
 
--- a/internal/observe/watch/read_store.go
+++ b/internal/observe/watch/read_store.go
@@ -17,9 +17,9 @@
 // noUpperBound is later than any row, Unix ms.
 const noUpperBound = 1<<62 - 1
 
-// FromStore answers a query from a store, of a daemon that need not run. It fails if the store cannot be read
+// ReportFromStore answers a query from a store, of a daemon that need not run. It fails if the store cannot be read
 // or a row cannot be decoded.
-func FromStore(s *store.Store, q report.Query) (*report.Report, error) {
+func ReportFromStore(s *store.Store, q report.Query) (*report.Report, error) {
 	reader := storeReader{
 		store:   s,
 		query:   q,
@@ -125,6 +125,6 @@
 		result.Servers = append(result.Servers, *r.servers[name])
 	}
 	result.AddEvents(r.events, r.query)
-	result.Restrict(r.query)
+	result.RestrictTime(r.query)
 	return result
 }
--- a/internal/observe/watch/stored_test.go
+++ b/internal/observe/watch/stored_test.go
@@ -50,7 +50,7 @@
 		Connections:     4,
 		Migrations:      5,
 		Rejections:      6,
-		Ends:            [8]uint32{1, 2, 3, 4, 5, 6, 7, 8},
+		EndsByStatus:    [8]uint32{1, 2, 3, 4, 5, 6, 7, 8},
 		Probes:          9,
 		ProbesLost:      10,
 		OpenConnections: 11,
@@ -58,15 +58,15 @@
 		Readings:        12,
 		Setup:           [3]float32{1.5, 2.5, 3.5},
 		SlowestMessage:  4.5,
-		Dropped:         13,
+		DroppedRecords:  13,
 		Merged:          true,
 		PeerReadings:    14,
 	}
-	for i := range full.RejectReasons.Module {
-		full.RejectReasons.Module[i] = uint32(100 + i)
+	for i := range full.RejectReasons.ByReason {
+		full.RejectReasons.ByReason[i] = uint32(100 + i)
 	}
-	for i := range full.RejectReasons.Relay {
-		full.RejectReasons.Relay[i] = uint32(200 + i)
+	for i := range full.RejectReasons.ByInitiator {
+		full.RejectReasons.ByInitiator[i] = uint32(200 + i)
 	}
 	rows.addInterval("s1", full)
 	full.From += 2000
@@ -152,7 +152,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := FromStore(s, q)
+		r, err := ReportFromStore(s, q)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -78,7 +78,7 @@
 		LoadField:         "x0",
 		MaxIdleProbeConns: 64,
 	})
-	config := Config{Relay: "n", Buffer: 8192, Limits: timeline.DefaultLimits(), MaxServers: 100, Store: s}
+	config := Config{RelayName: "n", RecordBuffer: 8192, Limits: timeline.DefaultLimits(), MaxServers: 100, Store: s}
 	w := &deploymentUnderTest{t: t, x: x, w: New(config, x, clock, zerolog.Nop())}
 	x.Recorder = w.w.Recorder
 	for i := range servers {
@@ -314,8 +314,8 @@
 			t.Errorf("did not happen: %s", report.FormatEvent(e))
 		}
 	}
-	if r := w.w.Report(report.Query{}); r.Dropped != 0 {
-		t.Errorf("%d records were dropped", r.Dropped)
+	if r := w.w.Report(report.Query{}); r.DroppedEntries != 0 {
+		t.Errorf("%d records were dropped", r.DroppedEntries)
 	}
 	t.Logf("%d kinds of event and 5 of state on 14 servers in %.0f s",
 		len(expected), time.Since(began).Seconds())
@@ -354,7 +354,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	kept, err := FromStore(s, report.Query{})
+	kept, err := ReportFromStore(s, report.Query{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/observe/watch/watcher.go
+++ b/internal/observe/watch/watcher.go
@@ -16,8 +16,8 @@
 // foldEvery is the longest time between two folds.
 const foldEvery = 100 * time.Millisecond
 
-// ServerNames tells the ids of the servers that records name by number; a relay.RequestTable does.
-type ServerNames interface {
+// ServerIDLister tells the ids of the servers that records name by number; a relay.RequestTable does.
+type ServerIDLister interface {
 	// ServerIDs appends the ids of the servers from a number on, in the order of their numbers.
 	ServerIDs(from int, out []string) []string
 }
@@ -34,11 +34,11 @@
 
 // Config says what is kept.
 type Config struct {
-	Relay      string          // its name in reports
-	Buffer     int             // records that may wait to be folded
-	Limits     timeline.Limits // of the timelines in memory
-	MaxServers int             // servers that anomalies are looked for at
-	Store      *store.Store    // nil for none
+	RelayName    string          // its name in reports
+	RecordBuffer int             // records that may wait to be folded
+	Limits       timeline.Limits // of the timelines in memory
+	MaxServers   int             // servers that anomalies are looked for at
+	Store        *store.Store    // nil for none
 }
 
 // Watcher is one front's timelines, anomaly detection and rows. Its methods may be called from any goroutine.
@@ -47,7 +47,7 @@
 	// Recorder takes what happens. The front is given it before it serves.
 	Recorder *recorder.Recorder
 
-	servers ServerNames
+	servers ServerIDLister
 	clock   Clock
 
 	mu             sync.Mutex // guards what follows
@@ -62,10 +62,10 @@
 }
 
 // New returns a Watcher of one front, with a Recorder for it.
-func New(c Config, servers ServerNames, clock Clock, log zerolog.Logger) *Watcher {
+func New(c Config, servers ServerIDLister, clock Clock, log zerolog.Logger) *Watcher {
 	w := &Watcher{
 		Config:    c,
-		Recorder:  recorder.New(c.Buffer),
+		Recorder:  recorder.New(c.RecordBuffer),
 		servers:   servers,
 		clock:     clock,
 		timelines: timeline.New(c.Limits, clock.Wall),
@@ -92,18 +92,18 @@
 	for {
 		select {
 		case <-ctx.Done():
-			w.Fold()
+			w.ApplyRecords()
 			w.WriteOpenRows()
 			return
 		case <-w.Recorder.Ready():
 		case <-w.clock.After(foldEvery):
 		}
-		w.Fold()
+		w.ApplyRecords()
 	}
 }
 
-// Fold applies the records that the recorder has.
-func (w *Watcher) Fold() {
+// ApplyRecords applies the records that the recorder has.
+func (w *Watcher) ApplyRecords() {
 	w.mu.Lock() // before TakeAll: the shutdown folds beside Run, and the spare slice may be in one hand only
 	defer w.mu.Unlock()
 	records := w.Recorder.TakeAll(w.spareRecords)
@@ -151,9 +151,9 @@
 	}
 }
 
-// RelayChanged puts a change of another relay on the list of events: what it is now, and how that is known.
+// RecordRelayChange puts a change of another relay on the list of events: what it is now, and how that is known.
 // The name is empty for this relay.
-func (w *Watcher) RelayChanged(relay, state, cause string) {
+func (w *Watcher) RecordRelayChange(relay, state, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	what := "relay " + relay + ": " + state
@@ -185,9 +185,9 @@
 	w.rows.writeAll()
 }
 
-// Follow returns a channel of events as they begin and end. It is closed when its reader is too slow; nil if
+// FollowEvents returns a channel of events as they begin and end. It is closed when its reader is too slow; nil if
 // there are too many. Call stop at the end; a second call does nothing.
-func (w *Watcher) Follow() (events <-chan anomaly.Event, stop func()) {
+func (w *Watcher) FollowEvents() (events <-chan anomaly.Event, stop func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	follower := w.events.addFollower()
--- a/internal/relay/decisions.go
+++ b/internal/relay/decisions.go
@@ -72,7 +72,7 @@
 		return false
 	}
 	t.post(decide.ClientGone{ID: id})
-	r.setFinalAnswer(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.Backstop})
+	r.setFinalAnswer(Answer{Kind: Failed, Cause: decide.TimedOut, decidedBy: recorder.BackstopDeadline})
 	return true
 }
 
--- a/internal/relay/recording.go
+++ b/internal/relay/recording.go
@@ -36,12 +36,12 @@
 		}
 		s.lastRecorded = recordedEndpoint{known: true, state: state, startedAt: s.startedWall}
 		t.Recorder.Put(&recorder.Record{
-			At:        now,
-			Kind:      recorder.EndpointChanged,
-			Server:    int32(s.Number),
-			Mode:      state,
-			StartedAt: s.startedAt,
-			Load:      -1,
+			At:            now,
+			Kind:          recorder.EndpointChanged,
+			Server:        int32(s.Number),
+			EndpointState: state,
+			StartedAt:     s.startedAt,
+			Load:          -1,
 		})
 	}
 }
@@ -59,14 +59,14 @@
 // recordProbe records the end of a probe.
 func (t *RequestTable) recordProbe(p decide.ProbeResult) {
 	t.Recorder.Put(&recorder.Record{
-		At:      t.Clock.Now(),
-		Kind:    recorder.ProbeEnded,
-		Server:  int32(p.Server),
-		Status:  p.Status,
-		Elapsed: p.Latency,
-		Load:    float32(p.Report.Load),
-		Queue:   float32(p.Report.InFlight),
-		Errors:  float32(p.Report.ErrorsPerSecond),
+		At:              t.Clock.Now(),
+		Kind:            recorder.ProbeEnded,
+		Server:          int32(p.Server),
+		Status:          p.Status,
+		Elapsed:         p.Latency,
+		Load:            float32(p.Report.Load),
+		QueueLength:     float32(p.Report.InFlight),
+		ErrorsPerSecond: float32(p.Report.ErrorsPerSecond),
 	})
 }
 
@@ -113,14 +113,14 @@
 		switch {
 		case c.Server == r.lastAttempt.Server.Number:
 			rec.Load = float32(c.EstimatedLoad)
-		case rec.PoolSize < recorder.MaxCandidates:
-			rec.Pool[rec.PoolSize] = recorder.Candidate{
-				Server:    int32(c.Server),
-				Load:      float32(c.EstimatedLoad),
-				AgeMs:     float32(Millis(c.ReadingAge)),
-				WarmingUp: c.InSlowStart,
+		case rec.CandidateCount < recorder.MaxCandidates:
+			rec.Candidates[rec.CandidateCount] = recorder.Candidate{
+				Server:      int32(c.Server),
+				Load:        float32(c.EstimatedLoad),
+				AgeMs:       float32(Millis(c.ReadingAge)),
+				InSlowStart: c.InSlowStart,
 			}
-			rec.PoolSize++
+			rec.CandidateCount++
 		}
 	}
 	r.table.Recorder.Put(&rec)
@@ -163,8 +163,8 @@
 	rec.Status = status
 	rec.Elapsed = now - r.lastAttempt.StartedAt
 	rec.Load = float32(report.Load)
-	rec.Queue = float32(report.InFlight)
-	rec.Errors = float32(report.ErrorsPerSecond)
+	rec.QueueLength = float32(report.InFlight)
+	rec.ErrorsPerSecond = float32(report.ErrorsPerSecond)
 	rec.Initiator = r.endedBy()
 	rec.WasConnected = r.connection.wasEstablished
 	r.table.Recorder.Put(&rec)
@@ -174,7 +174,7 @@
 func (r *Request) endedBy() recorder.Initiator {
 	switch {
 	case r.connection.serverSilent:
-		return recorder.ServerSilent
+		return recorder.ServerUnresponsive
 	case r.connection.migrating:
 		return recorder.Module
 	case r.state == Ended && !r.connection.serverClosed:
--- a/internal/relay/silent_servers.go
+++ b/internal/relay/silent_servers.go
@@ -88,7 +88,7 @@
 		r.reportSlowMessage(waited)
 		if waited >= silentAfter {
 			r.connection.serverSilent = true
-			r.migrate(recorder.ServerSilent)
+			r.migrate(recorder.ServerUnresponsive)
 		}
 	}
 }
