--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -14,13 +14,13 @@
 // by its own clock:
 //
 //	valid until       = time the renewal was sent + LeaseDuration*(1-MaxClockDrift) - LeaseSafetyMargin
-//	a limit waits     = LeaseDuration*(1+MaxClockDrift) from the adoption of the new view
+//	limits end after  = LeaseDuration*(1+MaxClockDrift) from the adoption of the new view
 //	LeaseSafetyMargin = MaxEffectDelay + 250 ms of reserve
 const (
 	// LeaseDuration is the lease duration of a flat fleet. An Allocation may set another.
 	LeaseDuration   = flatLeaseMillis * time.Millisecond
 	flatLeaseMillis = 4000
-	// MaxClockDrift is by which fraction a relay's clock may run fast or slow.
+	// MaxClockDrift is the fraction by which a relay's clock may run fast or slow.
 	MaxClockDrift     = 1.0 / 20
 	LeaseSafetyMargin = MaxEffectDelay + 250*time.Millisecond
 	// MaxEffectDelay is the longest time from reading the share until whatever is done by it has taken
