--- a/internal/fleet/membership/estimate.go
+++ b/internal/fleet/membership/estimate.go
@@ -14,8 +14,8 @@
 	// equals BudgetShare.
 	FarBudgetShare float64
 	NearZones      []string // nil without cells: all zones are near
-	// ShareValidUntil is when the shares expire unless they are renewed, or duration.DistantFuture if they need
-	// no renewal.
+	// ShareValidUntil is when the shares expire unless they are renewed, or duration.DistantFuture if they
+	// need no renewal.
 	ShareValidUntil  time.Duration
 	ShareReason      string
 	OwnRequestRate   float64 // requests per second at this relay
--- a/internal/fleet/membership/federation_faults_test.go
+++ b/internal/fleet/membership/federation_faults_test.go
@@ -50,18 +50,19 @@
 	return next
 }
 
-// playCells plays one random schedule of faults and plans.
+// playCells plays one random schedule of faults and plans. disableSafeguard switches one safeguard off on
+// each Node; nil for none.
 func playCells(regions, zones, relays int, flat bool, seed uint64, steps int,
-	withoutSafeguard func(*Node)) *federation {
-	f := newFederation(seed, withoutSafeguard)
+	disableSafeguard func(*Node)) *federation {
+	f := newFederation(seed, disableSafeguard)
 	f.bootstrapAndInjectFaults(regions, zones, relays, flat, steps)
 	return f
 }
 
-func newFederation(seed uint64, withoutSafeguard func(*Node)) *federation {
+func newFederation(seed uint64, disableSafeguard func(*Node)) *federation {
 	return &federation{rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, partitioned: map[[2]string]bool{},
 		plans: map[uint64]*cellplan.Plan{},
-		zones: []string{"nobody's"}, withoutSafeguard: withoutSafeguard}
+		zones: []string{"nobody's"}, disableSafeguard: disableSafeguard}
 }
 
 func (f *federation) bootstrapAndInjectFaults(regions, zones, relays int, flat bool, steps int) {
@@ -248,10 +249,10 @@
 }
 
 // playFewCells plays a schedule with two to four cells of three or four relays.
-func playFewCells(seed uint64, withoutSafeguard func(*Node)) *federation {
+func playFewCells(seed uint64, disableSafeguard func(*Node)) *federation {
 	regions := 1 + int(seed%2)
 	return playCells(regions, regions*(1+int(seed/2%2)), 3+int(seed/4%2), seed%3 == 0, seed, 24,
-		withoutSafeguard)
+		disableSafeguard)
 }
 
 // playManyCells plays a schedule with 17 cells in five regions.
--- a/internal/fleet/membership/federation_test.go
+++ b/internal/fleet/membership/federation_test.go
@@ -23,11 +23,11 @@
 	partitioned      map[[2]string]bool // no claims get from the first region to the second
 	plan             *cellplan.Plan     // the newest that the operators have written
 	plans            map[uint64]*cellplan.Plan
-	zones            []string // of all plans so far, and one that no cell is in
-	maxSum           uint64   // the greatest sum seen in any zone, in units of FullBudget
-	maxSumZone       string   // the zone with the greatest sum
-	withoutSafeguard func(*Node)
-	addedCells       int // by splits so far, for the names of the new cells
+	zones            []string    // of all plans so far, and one that no cell is in
+	maxSum           uint64      // the greatest sum seen in any zone, in units of FullBudget
+	maxSumZone       string      // the zone with the greatest sum
+	disableSafeguard func(*Node) // switches one safeguard of a Node off; nil for none
+	addedCells       int         // by splits so far, for the names of the new cells
 	trace            *trace.Trace
 }
 
@@ -72,7 +72,7 @@
 // addCell adds a cell of relays that are not running yet. Without a plan it is a flat fleet.
 func (f *federation) addCell(name, region string, relays int, plan *cellplan.Plan) *simulatedCell {
 	sim := newSimulatedFleet(relays, relays, f.seed*1000+uint64(len(f.cells)))
-	sim.now, sim.withoutSafeguard = f.now, f.withoutSafeguard
+	sim.now, sim.disableSafeguard = f.now, f.disableSafeguard
 	timing := Timing{LeaseDuration: []time.Duration{LeaseDuration, CellTiming.LeaseDuration}[f.rng.IntN(2)],
 		StatusInterval: CellTiming.StatusInterval}
 	for _, n := range sim.relays {
--- a/internal/fleet/membership/interleaving_test.go
+++ b/internal/fleet/membership/interleaving_test.go
@@ -11,16 +11,17 @@
 	"capersail/internal/fleet/duration"
 )
 
-// interleaving is a simulated fleet whose every step is chosen: which packet arrives next, or that time
-// passes.
-type interleaving struct {
+// explorationState is one state of a simulated fleet in the exhaustive exploration of all sequences of steps.
+// The exploration chooses each step: which packet arrives next, that time passes, or that the first relay is
+// killed and restarts.
+type explorationState struct {
 	now     time.Duration
 	relays  []*simulatedRelay
 	packets []packet
 }
 
-func (x *interleaving) clone() *interleaving {
-	c := &interleaving{now: x.now, packets: slices.Clone(x.packets)}
+func (x *explorationState) clone() *explorationState {
+	c := &explorationState{now: x.now, packets: slices.Clone(x.packets)}
 	for _, n := range x.relays {
 		m := *n
 		m.node = n.node.clone()
@@ -46,7 +47,7 @@
 	return &c
 }
 
-func (x *interleaving) handle(i int, ev Event) {
+func (x *explorationState) handle(i int, ev Event) {
 	n := x.relays[i]
 	for _, a := range n.node.Handle(x.now, ev, nil) {
 		switch a := a.(type) {
@@ -70,7 +71,7 @@
 	}
 }
 
-func (x *interleaving) sum() (sum float64) {
+func (x *explorationState) sum() (sum float64) {
 	for _, n := range x.relays {
 		sum += n.node.Estimate(x.now).BudgetShare
 	}
@@ -79,12 +80,12 @@
 
 // explore plays every sequence of a number of steps. It returns how many sequences there were and the
 // greatest sum of shares seen.
-func (x *interleaving) explore(depth int) (played int, maxSum float64) {
+func (x *explorationState) explore(depth int) (played int, maxSum float64) {
 	maxSum = x.sum()
 	if depth == 0 {
 		return 1, maxSum
 	}
-	visit := func(step func(*interleaving)) {
+	visit := func(step func(*explorationState)) {
 		if maxSum > 1+1e-9 { // a violation is found: stop
 			return
 		}
@@ -97,7 +98,7 @@
 	for i, p := range x.packets {
 		if id := fmt.Sprintf("%+v", p); !seen[id] { // equal packets lead to the same step
 			seen[id] = true
-			visit(func(c *interleaving) {
+			visit(func(c *explorationState) {
 				c.packets = slices.Delete(c.packets, i, i+1)
 				c.handle(p.to, p.event)
 			})
@@ -105,14 +106,14 @@
 	}
 	for _, wait := range []time.Duration{450 * time.Millisecond,
 		EarlierViewsExpireAfter + 10*time.Millisecond} {
-		visit(func(c *interleaving) {
+		visit(func(c *explorationState) {
 			c.now += wait
 			for i := range c.relays {
 				c.handle(i, Tick{})
 			}
 		})
 	}
-	visit(func(c *interleaving) { // the first relay is killed and restarts
+	visit(func(c *explorationState) { // the first relay is killed and restarts
 		n := c.relays[0]
 		n.node = New(c.now, n.cfg, n.savedRecord)
 		n.node.safeguards.jointViews = c.relays[1].node.safeguards.jointViews
@@ -125,8 +126,9 @@
 	return played, maxSum
 }
 
-// newInterleaving returns three relays that have agreed on a view, or that have just met.
-func newInterleaving(agreed, joint bool) *interleaving {
+// newExplorationState returns the state of three relays that have agreed on a view, or that have just
+// started. joint switches the safeguard jointViews on.
+func newExplorationState(agreed, joint bool) *explorationState {
 	sim := newSimulatedFleet(3, 3, 5)
 	for i, n := range sim.relays {
 		n.clockRate, n.clockOffset = 1, 0
@@ -137,7 +139,7 @@
 	} else {
 		sim.run(50)
 	}
-	x := &interleaving{now: duration.FromMillis(sim.now), relays: sim.relays}
+	x := &explorationState{now: duration.FromMillis(sim.now), relays: sim.relays}
 	for _, n := range x.relays {
 		n.node.safeguards.jointViews = joint
 	}
@@ -152,15 +154,15 @@
 		depth = 6
 	}
 	// The third relay counts as failed, but its lease is still valid.
-	cutOff := func(joint bool) *interleaving {
-		x := newInterleaving(true, joint)
+	cutOff := func(joint bool) *explorationState {
+		x := newExplorationState(true, joint)
 		x.handle(0, PeerHealth{relayName(2), HealthFailed})
 		x.handle(1, PeerHealth{relayName(2), HealthFailed})
 		return x
 	}
-	for what, x := range map[string]*interleaving{"bootstrapping": newInterleaving(false, true),
+	for what, x := range map[string]*explorationState{"bootstrapping": newExplorationState(false, true),
 		"cut off": cutOff(true),
-		"agreed":  newInterleaving(true, true)} {
+		"agreed":  newExplorationState(true, true)} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			played, maxSum := x.explore(depth)
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -9,48 +9,49 @@
 	"capersail/internal/fleet/duration"
 )
 
-// Lease times. A voter that has accepted the next view renews no lease of the view before, so that no lease
-// of an old view is renewed once the new one is chosen. The holder of a lease stops using its share in time
-// by its own clock:
+// Lease times. A voter that has accepted the next view renews no lease of the current view any more, so that
+// no lease of an old view is renewed once a new view is chosen. A member stops using its share of the old
+// view, by its own clock, before any other relay counts the limits of the old view as ended:
 //
 //	valid until       = time the renewal was sent + LeaseDuration*(1-MaxClockDrift) - LeaseSafetyMargin
 //	limits end after  = LeaseDuration*(1+MaxClockDrift) from the adoption of the new view
 //	LeaseSafetyMargin = MaxEffectDelay + 250 ms of reserve
 const (
-	// LeaseDuration is the lease duration of a flat fleet. An Allocation may set another.
+	// LeaseDuration is the lease duration of a flat fleet. An Allocation may set another duration.
 	LeaseDuration   = flatLeaseMillis * time.Millisecond
 	flatLeaseMillis = 4000
 	// MaxClockDrift is the fraction by which a relay's clock may run fast or slow.
 	MaxClockDrift     = 1.0 / 20
 	LeaseSafetyMargin = MaxEffectDelay + 250*time.Millisecond
-	// MaxEffectDelay is the longest time from reading the share until whatever is done by it has taken
-	// effect.
+	// MaxEffectDelay is the longest time from when a relay reads its share until everything that the relay
+	// does by that share has taken effect.
 	MaxEffectDelay = 250 * time.Millisecond
-	// RenewInterval is the time between two renewals of a lease. It leaves three attempts while a lease is
-	// valid.
+	// RenewInterval is the time between two renewals of a lease. It allows three attempts at a renewal while
+	// a lease is valid.
 	RenewInterval = time.Second
-	// EarlierViewsExpireAfter is the time after the adoption of a view from which on no relay acts by an
-	// earlier view.
+	// EarlierViewsExpireAfter is the time from the adoption of a view until no relay acts by an earlier view
+	// any more, with the lease duration of a flat fleet.
 	EarlierViewsExpireAfter = flatLeaseMillis * (1 + MaxClockDrift) * time.Millisecond
 )
 
-// lease is this relay's right to use its share of the view held. It is renewed by half of the voters.
+// lease is this relay's right to use its share of the current view. At least half of the voters must renew
+// the lease.
 //
-// Invariants: validUntil never falls. It rises only to the time until which half of the voters of the view
-// held have renewed the lease, counted from when the relay asked them.
+// Invariants: validUntil never falls. It rises only to the time until which half of the voters of the current
+// view have renewed the lease, where each renewal counts from when this relay sent the request.
 type lease struct {
-	renewalSentAt map[string]time.Duration // by voter: when the newest request that it has answered was sent
+	renewalSentAt map[string]time.Duration // by voter: send time of the newest answered request
 	validUntil    time.Duration            // the share may be used before this time
 	nextRenewalAt time.Duration
 }
 
-// noteRenewal records that a voter has answered a renewal request that was sent at a time.
+// noteRenewal records that a voter has answered the renewal request that this relay sent at sentAt.
 func (l *lease) noteRenewal(voter string, sentAt time.Duration) {
 	l.renewalSentAt[voter] = max(l.renewalSentAt[voter], sentAt)
 }
 
-// extend sets validUntil to the time until which half of the voters of a view have renewed the lease, each
-// for a duration from when it was asked.
+// extend raises validUntil to the time until which half of the voters of a view have renewed the lease. A
+// renewal is valid for validFor from when this relay sent the request.
 func (l *lease) extend(view *View, validFor time.Duration) {
 	sent := make([]time.Duration, 0, MaxVoters)
 	for _, v := range view.Voters {
@@ -66,15 +67,16 @@
 	l.validUntil = max(l.validUntil, sent[need-1]+validFor)
 }
 
-// valid reports whether the share may be used.
+// valid reports whether the lease is valid at a time. Only then may the share be used.
 func (l *lease) valid(now time.Duration) bool { return now < l.validUntil }
 
-// deferredRenewals holds, by member, its newest RenewLease for a view that this voter does not hold yet.
+// deferredRenewals maps a member to its newest RenewLease message for a view that this voter has not adopted
+// yet.
 type deferredRenewals map[string]Message
 
-// answerDeferredRenewals answers, once a view is adopted, the members that have asked for a renewal by that
-// view earlier. To them it looks as if the request had been on its way until now: a renewal counts from when
-// it was sent.
+// answerDeferredRenewals answers the deferred requests to renew a lease of the current view, once this relay
+// has adopted that view. For a member the late answer is the same as that to a request that was delayed by
+// the network: a renewal counts from when the member sent the request.
 func (n *Node) answerDeferredRenewals() {
 	for _, member := range slices.Sorted(maps.Keys(n.deferredRenewals)) {
 		renew := n.deferredRenewals[member]
@@ -88,8 +90,9 @@
 	}
 }
 
-// releaseSlot releases this relay's slot once a majority that can agree on a view is alive. After the release
-// is on disk the relay takes only what a view grants it.
+// releaseSlot releases this relay's bootstrap slot once the alive voters are a majority, which can agree on a
+// view, or once a peer has adopted a view. When the release is on disk, this relay uses only the share that a
+// view grants it.
 func (n *Node) releaseSlot() {
 	if n.record.SlotReleased || n.storageFailed || n.localState.Lifecycle == LifecycleLeaving {
 		return
@@ -102,13 +105,14 @@
 	n.publish(true)
 }
 
-// joinsExistingFleet reports whether this relay holds no view yet while a peer does.
+// joinsExistingFleet reports whether this relay has adopted no view yet while a peer that is alive has
+// adopted one.
 func (n *Node) joinsExistingFleet() bool {
 	holdsView := func(p *Peer) bool { return p.Health == HealthAlive && p.hasStatus() && p.Status.Epoch > 0 }
 	return n.view.Epoch == 0 && slices.ContainsFunc(n.peers.sorted, holdsView)
 }
 
-// renewLease asks the voters to renew the lease when a renewal is due.
+// renewLease asks the voters to renew this relay's lease when a renewal is due.
 func (n *Node) renewLease() {
 	if n.view.Epoch == 0 || !n.view.Entry(n.cfg.Name).IsMember || n.now < n.lease.nextRenewalAt ||
 		n.storageFailed {
@@ -124,7 +128,8 @@
 	}
 }
 
-// leaseScale returns the lease duration of this chain as a multiple of that of a flat fleet.
+// leaseScale returns the lease duration of this relay's chain of views as a multiple of the lease duration of
+// a flat fleet.
 func (n *Node) leaseScale() float64 {
 	if a := n.view.Allocation; a != nil && a.LeaseMillis > 0 {
 		return float64(a.LeaseMillis) / flatLeaseMillis
@@ -132,28 +137,29 @@
 	return 1
 }
 
-// leaseValidity returns for how long a renewal holds, from when it was asked for.
+// leaseValidity returns how long, by this relay's clock, a renewal of the lease is valid, counted from when
+// this relay sent the request.
 func (n *Node) leaseValidity() time.Duration {
 	byOwnClock := duration.Scale(n.safeguards.leaseDuration, n.leaseScale()*(1-MaxClockDrift))
 	return byOwnClock - n.safeguards.safetyMargin
 }
 
-// earlierViewsExpireAfter returns the time after the adoption of a view from which on no relay acts by an
-// earlier view. It grows with the lease duration.
+// earlierViewsExpireAfter returns the time from the adoption of a view until no relay acts by an earlier view
+// any more. This time is proportional to the lease duration.
 func (n *Node) earlierViewsExpireAfter() time.Duration {
 	return duration.Scale(n.safeguards.earlierViewsExpireAfter, n.leaseScale())
 }
 
-// BudgetShare returns what fraction of a budget this relay may take now. In a fleet of cells it is that of a
-// server in the cell's near zones.
+// BudgetShare returns which fraction of a fleet-wide budget this relay may use now. In a fleet of cells the
+// fraction applies to the budgets of servers in the cell's near zones.
 func (n *Node) BudgetShare(now time.Duration) float64 {
 	share, _, _ := n.budgetShare(max(now, n.now))
 	near, _ := n.view.Allocation.budgetShares(share)
 	return near
 }
 
-// budgetShare returns what fraction this relay may take now of its cell's budget, or of the full budget
-// without cells, until when, and why.
+// budgetShare returns which fraction of its cell's budget, or in a flat fleet of the full budget, this relay
+// may use now, until when the fraction is valid, and the reason for its size.
 func (n *Node) budgetShare(now time.Duration) (share float64, until time.Duration, reason string) {
 	member := n.view.Entry(n.cfg.Name)
 	released := n.record.SlotReleased && n.safeguards.releasesSlots
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -9,9 +9,10 @@
 // newPeerStatusDelay is how soon this relay publishes its status once a new peer is alive.
 const newPeerStatusDelay = 100 * time.Millisecond
 
-// unheardTimeout is how long a member may stay unheard before it counts as unavailable. Failure detection
-// finds a running member sooner, and reports nothing about one that failed before this process started.
-const unheardTimeout = 5 * time.Second
+// firstHealthReportTimeout is how long failure detection may report no health of a member before the member
+// counts as unavailable. Failure detection finds a running member sooner, and reports nothing about a member
+// that failed before this process started.
+const firstHealthReportTimeout = 5 * time.Second
 
 // Health is the state of a peer as failure detection sees it.
 type Health uint8
--- a/internal/fleet/membership/schedules_test.go
+++ b/internal/fleet/membership/schedules_test.go
@@ -39,12 +39,13 @@
 	}
 }
 
-// playRandomSchedule plays one random schedule of faults on a new fleet.
+// playRandomSchedule plays one random schedule of faults on a new fleet. disableSafeguard switches one
+// safeguard off on each Node; nil for none.
 func playRandomSchedule(n, bootstrapSize int, seed uint64, steps int,
-	withoutSafeguard func(*Node)) *simulatedFleet {
+	disableSafeguard func(*Node)) *simulatedFleet {
 	bootstrapSize = min(bootstrapSize, n)
 	sim := newSimulatedFleet(n, bootstrapSize, seed)
-	sim.withoutSafeguard = withoutSafeguard
+	sim.disableSafeguard = disableSafeguard
 	sim.injectFaults(bootstrapSize, seed, steps)
 	return sim
 }
--- a/internal/fleet/membership/simulated_fleet_test.go
+++ b/internal/fleet/membership/simulated_fleet_test.go
@@ -25,7 +25,7 @@
 	learnDelay       float64 // extra delay of a Learn message, in ms, as it is large and sent over TCP
 	duplicationRate  float64
 	maxSum           float64     // the greatest sum of shares seen
-	withoutSafeguard func(*Node) // switches a safeguard off
+	disableSafeguard func(*Node) // switches one safeguard of a Node off; nil for none
 	highestEpoch     uint64      // highest epoch that any relay has held
 	// blockInboundNext: when the first relay adopts the next view, one relay that does not hold it stops
 	// receiving.
@@ -50,7 +50,7 @@
 	share            float64       // as of its last event
 	shareValidUntil  time.Duration // on its clock
 	allocation       *Allocation
-	shareUses        []shareUse
+	recentBudgetUses []budgetUse       // those that may still take effect, oldest first
 	olderProgram     bool              // its program knows no cells
 	joinedPlans      map[string]uint64 // by cell: the newest plan that it claims to have joined
 	// continuedPlan is the newest plan that some cell claims to have joined from the previous plan.
@@ -58,9 +58,10 @@
 	earlierRecord *Record // a copy of savedRecord from some time ago
 }
 
-// shareUse is a use of a budget by a share of the cell's budget, or of the full budget, on the fleet's clock.
-// What the relay does by it may take effect up to MaxEffectDelay later.
-type shareUse struct {
+// budgetUse records that a relay used a share of a budget at a time on the fleet's clock: of its cell's
+// budget by an Allocation, or of the full budget if the Allocation is nil. What the relay did by that share
+// may take effect up to MaxEffectDelay later.
+type budgetUse struct {
 	at, share  float64
 	allocation *Allocation
 }
@@ -104,8 +105,8 @@
 	}
 	n.node, n.joinedPlans, n.continuedPlan = New(n.clock(sim.now), cfg, n.savedRecord), nil, 0
 	n.node.safeguards.checksVersions = !n.olderProgram
-	if sim.withoutSafeguard != nil {
-		sim.withoutSafeguard(n.node)
+	if sim.disableSafeguard != nil {
+		sim.disableSafeguard(n.node)
 	}
 	actions := n.node.Start(n.clock(sim.now), nil)
 	n.updateShare(sim.now)
@@ -230,22 +231,23 @@
 // noteUse records a use of the share. It drops the earlier uses that can count no more than the new one:
 // those by the same Allocation with an equal or lower share.
 func (n *simulatedRelay) noteUse(now float64) {
-	last := len(n.shareUses) - 1
-	if last >= 0 && n.shareUses[last].allocation == n.allocation && n.shareUses[last].share == n.share {
-		n.shareUses[last].at = now
+	last := len(n.recentBudgetUses) - 1
+	if last >= 0 && n.recentBudgetUses[last].allocation == n.allocation &&
+		n.recentBudgetUses[last].share == n.share {
+		n.recentBudgetUses[last].at = now
 		return
 	}
-	n.shareUses = slices.DeleteFunc(n.shareUses, func(use shareUse) bool {
+	n.recentBudgetUses = slices.DeleteFunc(n.recentBudgetUses, func(use budgetUse) bool {
 		return use.allocation == n.allocation &&
 			use.share <= n.share
 	})
-	n.shareUses = append(n.shareUses, shareUse{now, n.share, n.allocation})
+	n.recentBudgetUses = append(n.recentBudgetUses, budgetUse{now, n.share, n.allocation})
 }
 
 // countedShare returns the greatest share by which something may take effect now.
 func (n *simulatedRelay) countedShare(now float64) (share float64) {
 	n.forgetUses(now)
-	for _, use := range n.shareUses {
+	for _, use := range n.recentBudgetUses {
 		share = max(share, use.share)
 	}
 	return share
@@ -253,7 +255,7 @@
 
 // countedUnitsIn returns the most that may take effect now at servers of a zone, in units of FullBudget.
 func (n *simulatedRelay) countedUnitsIn(zone string) (units uint64) {
-	for _, use := range n.shareUses {
+	for _, use := range n.recentBudgetUses {
 		units = max(units, cellplan.MulDiv(uint64(use.share*float64(FullBudget)),
 			use.allocation.budgetIn(zone), FullBudget))
 	}
@@ -262,8 +264,8 @@
 
 // forgetUses drops the uses by which nothing may take effect any more.
 func (n *simulatedRelay) forgetUses(now float64) {
-	for len(n.shareUses) > 0 && n.shareUses[0].at+duration.Millis(MaxEffectDelay) < now {
-		n.shareUses = n.shareUses[1:]
+	for len(n.recentBudgetUses) > 0 && n.recentBudgetUses[0].at+duration.Millis(MaxEffectDelay) < now {
+		n.recentBudgetUses = n.recentBudgetUses[1:]
 	}
 }
 
