--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -23,30 +23,30 @@
 
 // run answers each line until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	lines := bufio.NewReaderSize(in, 1<<20)
+	input := bufio.NewReaderSize(in, 1<<20)
 	hub := simulator.NewHub()
-	var long []byte // a line longer than the buffer
-	for n := 1; ; {
-		part, err := lines.ReadSlice('\n')
+	var longLine []byte // a line longer than the buffer
+	for lineNumber := 1; ; {
+		part, err := input.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			long = append(long, part...)
+			longLine = append(longLine, part...)
 			continue
 		}
 		line := part
-		if len(long) > 0 {
-			long = append(long, part...)
-			line = long
+		if len(longLine) > 0 {
+			longLine = append(longLine, part...)
+			line = longLine
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			reply, bad := hub.HandleBatch(line)
-			if bad != nil {
-				return fmt.Errorf("line %d: %w", n, bad)
+			reply, batchErr := hub.HandleBatch(line)
+			if batchErr != nil {
+				return fmt.Errorf("line %d: %w", lineNumber, batchErr)
 			}
 			if _, err := out.Write(reply); err != nil {
 				return err
 			}
 		}
-		long, n = long[:0], n+1
+		longLine, lineNumber = longLine[:0], lineNumber+1
 		if err == io.EOF {
 			return nil
 		}
--- a/cmd/capersail/main_test.go
+++ b/cmd/capersail/main_test.go
@@ -86,8 +86,8 @@
 
 type logLine struct{ Message, Listen, Error string }
 
-// followLogs reads a program's log to its end.
-func followLogs(logs io.Reader, each func(logLine)) {
+// forEachLogLine reads a program's log to its end.
+func forEachLogLine(logs io.Reader, each func(logLine)) {
 	for lines := bufio.NewScanner(logs); lines.Scan(); {
 		var l logLine
 		if json.Unmarshal(lines.Bytes(), &l) == nil {
@@ -106,11 +106,11 @@
 // startCommand starts a program that is set up; as startRelay.
 func startCommand(t *testing.T, cmd *exec.Cmd) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
-	return startDisturbed(t, cmd, func(*os.Process) {})
+	return startCommandWith(t, cmd, func(*os.Process) {})
 }
 
-// startDisturbed is startCommand with something that is done to the process as soon as there is one.
-func startDisturbed(
+// startCommandWith is startCommand with something that is done to the process as soon as there is one.
+func startCommandWith(
 	t *testing.T, cmd *exec.Cmd, disturb func(*os.Process),
 ) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
@@ -126,7 +126,7 @@
 	go func() {
 		defer close(messages)
 		served := false
-		followLogs(logs, func(l logLine) {
+		forEachLogLine(logs, func(l logLine) {
 			if l.Message == "serving" && !served {
 				served = true
 				address <- l.Listen
--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -22,7 +22,7 @@
 // Idle clients take all the descriptors that a relay has while discovery is down: it goes on serving by the
 // list that it has, frees descriptors for whoever asks, and follows discovery when that returns. The machine
 // holds the process to 64 descriptors.
-func TestFullOfIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestDescriptorsExhaustedByIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	address := freeAddress(t) // discovery's, where nobody is yet
 	s1, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
@@ -42,7 +42,7 @@
 		for range messages {
 		}
 	}()
-	idle := func(n int) {
+	openIdleClients := func(n int) {
 		for range n {
 			c, err := net.Dial("tcp", relay)
 			if err != nil {
@@ -51,19 +51,19 @@
 			t.Cleanup(func() { c.Close() })
 		}
 	}
-	ask := func(i int) string {
+	openRequest := func(i int) string {
 		c := dial(t, relay)
 		defer c.Close()
 		fmt.Fprintf(c, "OPEN i%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
 		got, _ := c.in.ReadString('\n')
 		return strings.Fields(got + " -")[0]
 	}
-	idle(200)
+	openIdleClients(200)
 	for i := range 5 {
-		if got := ask(i); got != "UP" {
+		if got := openRequest(i); got != "UP" {
 			t.Errorf("request %d behind 200 idle clients was answered %q", i, got)
 		}
-		idle(20)
+		openIdleClients(20)
 	}
 	s2, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
@@ -76,8 +76,8 @@
 	}
 	d.Set("s2", s2.Address, "Ready") // and s1 is gone
 	for i, until := 100, time.Now().Add(20*time.Second); len(s2.FirstLines) == 0; i++ {
-		idle(10)
-		ask(i)
+		openIdleClients(10)
+		openRequest(i)
 		if time.Now().After(until) {
 			t.Fatal("discovery's return was not found in 20 s")
 		}
@@ -101,9 +101,9 @@
 	open1 := dial(t, relay)
 	open1.sendAndExpect(t, openLine, "UP")
 	awaitReady(t, admin)
-	rests, half := dial(t, relay), dial(t, relay)
-	rests.sendAndExpect(t, "PING", "PONG")
-	fmt.Fprint(half, "OPEN h1 7f3a c=map")
+	idle, partial := dial(t, relay), dial(t, relay)
+	idle.sendAndExpect(t, "PING", "PONG")
+	fmt.Fprint(partial, "OPEN h1 7f3a c=map")
 	if code, _ := callAdmin(t, "POST", "http://"+admin+"/ops/drain/start"); code/100 != 2 {
 		t.Fatalf("drain: %d", code)
 	}
@@ -121,7 +121,7 @@
 	if got, err := open1.in.ReadString('\n'); strings.TrimSpace(got) != "MOVE" {
 		t.Errorf("who is open was told %q, %v", got, err)
 	}
-	for name, c := range map[string]*client{"who rests": rests, "who sent half a line": half} {
+	for name, c := range map[string]*client{"who rests": idle, "who sent half a line": partial} {
 		if got, err := c.in.ReadString('\n'); got != "" || err == nil || err.Error() != "EOF" {
 			t.Errorf("%s: %q, %v", name, got, err)
 		}
@@ -174,22 +174,22 @@
 
 // A process that is started as it is deployed survives SIGHUP at each moment of its start, but for the first
 // of its shell. Guards against a reload that ends a relay which has just been started.
-func TestReloadDuringStartEndsNoProcess(t *testing.T) {
+func TestReloadDuringStartDoesNotEndTheProcess(t *testing.T) {
 	discovery, _ := newDiscoveryWithServer(t, "s1")
 	config := writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", discovery.Address
 	})
-	const moments, apart = 12, 300 * time.Microsecond
-	for moment := range moments {
+	const delays, apart = 12, 300 * time.Microsecond
+	for moment := range delays {
 		disturb := func(process *os.Process) {
-			awaitProgram(t, process)
+			awaitExec(t, process)
 			for until := time.Now().Add(time.Duration(moment) * apart); time.Now().Before(until); {
 			}
 			for range 3 {
 				process.Signal(syscall.SIGHUP)
 			}
 		}
-		cmd, address, messages := startDisturbed(t, deployedCommand(t, config), disturb)
+		cmd, address, messages := startCommandWith(t, deployedCommand(t, config), disturb)
 		go func() {
 			for range messages {
 			}
@@ -202,8 +202,8 @@
 	}
 }
 
-// awaitProgram waits until a process's shell has become the program.
-func awaitProgram(t *testing.T, process *os.Process) {
+// awaitExec waits until a process's shell has become the program.
+func awaitExec(t *testing.T, process *os.Process) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
 		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", process.Pid))
@@ -224,9 +224,9 @@
 		c["known"] = json.RawMessage(discovery.Snapshot())
 	})
 	const (
-		moments, apart = 6, 7 * time.Millisecond
-		within         = 10 * time.Second
-		clientsCome    = 400 * time.Millisecond // after SIGTERM, by the platform
+		moments, apart   = 6, 7 * time.Millisecond
+		exitTimeout      = 10 * time.Second
+		clientsStopAfter = 400 * time.Millisecond // after SIGTERM, by the platform
 	)
 	for moment := range moments {
 		cmd := relayCommand(t, config)
@@ -242,13 +242,13 @@
 		for range 2 {
 			cmd.Process.Signal(syscall.SIGTERM)
 		}
-		time.AfterFunc(clientsCome, end)
-		stuck := time.AfterFunc(within, func() { cmd.Process.Kill() })
+		time.AfterFunc(clientsStopAfter, end)
+		stuck := time.AfterFunc(exitTimeout, func() { cmd.Process.Kill() })
 		err := cmd.Wait()
 		stuck.Stop()
 		status := cmd.ProcessState.Sys().(syscall.WaitStatus)
-		byTerm := status.Signaled() && status.Signal() == syscall.SIGTERM
-		if serving := strings.Contains(log.String(), `"serving"`); err != nil && (serving || !byTerm) {
+		endedBySIGTERM := status.Signaled() && status.Signal() == syscall.SIGTERM
+		if serving := strings.Contains(log.String(), `"serving"`); err != nil && (serving || !endedBySIGTERM) {
 			t.Errorf("SIGTERM at moment %d: %v, serving %v\n%s", moment, err, serving, log)
 		}
 		if text := <-lost; text != "" {
--- a/cmd/capersail/ops_test.go
+++ b/cmd/capersail/ops_test.go
@@ -30,7 +30,7 @@
 	cmd.Env = append(cmd.Env, append(env, "LB_FD=3")...)
 	cmd, address, messages := startCommand(t, cmd)
 	// exec made the shared socket blocking; the platform leaves it as the relay set it.
-	setBlocking(t, l, false)
+	setSocketBlocking(t, l, false)
 	// Read on, whether the test looks or not: a full pipe would stop the program.
 	logs := make(chan string, 1<<16)
 	go func() {
@@ -45,8 +45,8 @@
 	return cmd, address, logs
 }
 
-// setBlocking makes the socket, as all processes share it, blocking or not.
-func setBlocking(t *testing.T, l *net.TCPListener, blocking bool) {
+// setSocketBlocking makes the socket, as all processes share it, blocking or not.
+func setSocketBlocking(t *testing.T, l *net.TCPListener, blocking bool) {
 	t.Helper()
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -55,9 +55,9 @@
 	raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), !blocking) })
 }
 
-// platformSocket is a listening socket held as the platform holds it, and a configuration for relays on it
+// newInheritableSocket is a listening socket held as the platform holds it, and a configuration for relays on it
 // that know one server.
-func platformSocket(t *testing.T) (*net.TCPListener, string) {
+func newInheritableSocket(t *testing.T) (*net.TCPListener, string) {
 	t.Helper()
 	d, _ := newDiscoveryWithServer(t, "s1")
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -74,7 +74,7 @@
 // An upgrade: two processes serve one socket; at SIGTERM the old one migrates its connections and stops
 // accepting, and not one connection that comes meanwhile is rejected.
 func TestUpgradeOnInheritedSocketLosesNoConnection(t *testing.T) {
-	l, config := platformSocket(t)
+	l, config := newInheritableSocket(t)
 	old, _, _ := startOnInheritedSocket(t, config, l)
 	c := dial(t, l.Addr().String())
 	c.sendAndExpect(t, "PING", "PONG")
@@ -121,16 +121,16 @@
 // Whoever else holds the socket has made it blocking, so that an accept of the relay's waits in the kernel: a
 // relay that leaves takes no connection any more all the same. Guards against a connection that an old process
 // accepts as it exits, and nobody answers.
-func TestLeavingRelayTakesNoConnectionByABlockedAccept(t *testing.T) {
-	l, config := platformSocket(t)
+func TestShutdownAcceptsNoConnectionOnABlockingSocket(t *testing.T) {
+	l, config := newInheritableSocket(t)
 	old, _, _ := startOnInheritedSocket(t, config, l)
-	setBlocking(t, l, true)
+	setSocketBlocking(t, l, true)
 	dial(t, l.Addr().String()).sendAndExpect(t, "PING", "PONG") // the accept after this one blocks
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(500 * time.Millisecond) // it has stopped accepting
-	setBlocking(t, l, false)
+	setSocketBlocking(t, l, false)
 	dial(t, l.Addr().String())
 	l.SetDeadline(time.Now().Add(5 * time.Second))
 	conn, err := l.Accept()
@@ -266,7 +266,7 @@
 // Both processes of an upgrade keep one set of manual ejections: one made at either holds at the other, and
 // over the end of the one that made it.
 func TestManualEjectionsSurviveUpgrade(t *testing.T) {
-	l, config := platformSocket(t)
+	l, config := newInheritableSocket(t)
 	shared := "TMPDIR=" + t.TempDir()
 	first, second := freeAddress(t), freeAddress(t)
 	old, _, _ := startOnInheritedSocket(t, config, l, shared, "LB_ADMIN="+first)
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -35,8 +35,8 @@
 		}
 		f.waitFor("ownership service", f.ownershipConnected)
 		viewers, stop := f.startViewers(200, func(i int) bool { return i%2 == 0 })
-		collect := func(what string) {
-			f.waitUntilCurrent(viewers)
+		collect := func(event string) {
+			f.waitUntilViewersCurrent(viewers)
 			for _, with := range []bool{true, false} {
 				var gaps []time.Duration
 				lost := uint64(0)
@@ -47,23 +47,23 @@
 				}
 				fmt.Printf("%-28s token %-5v  ends %4d  gap p50 %7.1f ms  p99 %8.1f ms  "+
 					"scans lost so far %d\n",
-					what, with, len(gaps), quantile(gaps, 0.5), quantile(gaps, 0.99), lost)
+					event, with, len(gaps), quantile(gaps, 0.5), quantile(gaps, 0.99), lost)
 			}
 			for _, v := range viewers {
 				v.ClearGaps()
 			}
 		}
-		f.waitUntilCurrent(viewers)
+		f.waitUntilViewersCurrent(viewers)
 		f.drainAllServers()
 		collect("all servers drained in turn")
 		f.servers[0].Kill()
 		f.discovery.Set("s0", f.servers[0].Address, "Gone")
 		collect("a server killed")
-		f.sendNobodyTo(relays[1])
+		f.removeFromRotation(relays[1])
 		f.commands[relays[1]].Process.Signal(syscall.SIGTERM)
 		f.commands[relays[1]].Wait()
 		collect("a relay left")
-		f.sendNobodyTo(relays[2])
+		f.removeFromRotation(relays[2])
 		f.commands[relays[2]].Process.Kill()
 		collect("a relay killed")
 		stop()
@@ -78,7 +78,7 @@
 	const streams = 2000
 	for b.Loop() {
 		f := newFleet(b, 8, "claim_ms = 2000\n")
-		f.config = func(c map[string]any) {
+		f.changeConfig = func(c map[string]any) {
 			c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 16384}
 		}
 		for _, s := range f.servers {
@@ -86,7 +86,7 @@
 		}
 		a, other := f.startRelay(0, 2), f.startRelay(1, 2)
 		f.waitFor("ownership service", f.ownershipConnected)
-		f.sendNobodyTo(other)
+		f.removeFromRotation(other)
 		ctx, stop := context.WithCancel(b.Context())
 		var all sync.WaitGroup
 		var viewers []*fake.Viewer
@@ -129,11 +129,11 @@
 			cold = append(cold, s)
 		}
 		f.mu.Lock()
-		f.alive = []string{other}
+		f.rotation = []string{other}
 		f.mu.Unlock()
 		f.commands[a].Process.Kill()
 		killed, at := time.Now(), f.feed.Newest()
-		back := func(part float64) float64 {
+		secondsUntilServed := func(fraction float64) float64 {
 			f.waitFor("served again", func() bool {
 				n := 0
 				for _, v := range viewers {
@@ -141,11 +141,11 @@
 						n++
 					}
 				}
-				return float64(n) >= part*streams
+				return float64(n) >= fraction*streams
 			})
 			return time.Since(killed).Seconds()
 		}
-		half, most, whole := back(0.5), back(0.99), back(1)
+		half, most, whole := secondsUntilServed(0.5), secondsUntilServed(0.99), secondsUntilServed(1)
 		peak, over, busy, lost := 0.0, time.Duration(0), 0, uint64(0)
 		for _, s := range cold {
 			p, o := s.PeakLoad()
--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -83,12 +83,12 @@
 	}
 }
 
-// opening is an OPEN line's fields, and what it is answered.
-type opening struct{ name, fields, want string }
+// openingCase is an OPEN line's fields, and what it is answered.
+type openingCase struct{ name, fields, want string }
 
 // invalidOpenings are openings with tokens that are rejected, and last one that is served. text is a valid
 // token of a class map-stream and a tenant acme, sealed by the key a.
-func invalidOpenings(t *testing.T, text string) (openings []opening, good *token.Token) {
+func invalidOpenings(t *testing.T, text string) (openings []openingCase, good *token.Token) {
 	t.Helper()
 	ring, err := token.NewKeyRing([]token.Key{{ID: "a", Secret: []byte(strings.Repeat("a", 32))}})
 	if err != nil {
@@ -108,7 +108,7 @@
 	forged, _ := other.Seal(good)
 	now := time.Now().UnixMilli()
 	const fields = "c=map-stream,t=acme,d=3000,g=5,resume="
-	return []opening{
+	return []openingCase{
 		{"forged", fields + forged, "ERR resume token"},
 		{"cut", fields + text[:len(text)-9], "ERR resume token"},
 		{"no token", fields + "x", "ERR resume token"},
@@ -136,8 +136,8 @@
 	}, good
 }
 
-// expectMuchRejected sends 60 MB in place of a token: an answer, and an end. What is read of it is bounded.
-func expectMuchRejected(t *testing.T, at string) {
+// expectOversizedTokenRejected sends 60 MB in place of a token: an answer, and an end. What is read of it is bounded.
+func expectOversizedTokenRejected(t *testing.T, at string) {
 	t.Helper()
 	c := dial(t, at)
 	fmt.Fprint(c, "OPEN big 7f c=map-stream,t=acme,d=3000,resume=")
@@ -157,8 +157,8 @@
 	}
 }
 
-// expectPositionsChecked opens at positions ahead of what the server has, and behind what it keeps.
-func (f *fleet) expectPositionsChecked(t *testing.T, at, text string) {
+// expectUnservablePositionsReported opens at positions ahead of what the server has, and behind what it keeps.
+func (f *fleet) expectUnservablePositionsReported(t *testing.T, at, text string) {
 	t.Helper()
 	if got, _ := f.presentToken(at, "ahead", text, ",pos=1000000"); got != "ERR resume ahead" {
 		t.Errorf("ahead: %q", got)
@@ -168,15 +168,15 @@
 	c, _ := f.resumeWithRetries(at, "gap", text, ",pos=2")
 	if gap := c.readUntil(t, "GAP"); gap[1] != "3" || gap[2] == "-" {
 		t.Errorf("behind what is kept: %q", gap)
-	} else if scan := c.readUntil(t, "SCAN"); scan[1] != addTo(gap[2], 1) {
+	} else if scan := c.readUntil(t, "SCAN"); scan[1] != addToNumber(gap[2], 1) {
 		t.Errorf("after %q comes %q", gap, scan)
 	}
 	c.Close()
 	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 }
 
-// expectStaleRejected has a server see a higher fencing token of the stream: it rejects a lower one.
-func (f *fleet) expectStaleRejected(t *testing.T, at, text string, good *token.Token) {
+// expectStaleTokenRejected has a server see a higher fencing token of the stream: it rejects a lower one.
+func (f *fleet) expectStaleTokenRejected(t *testing.T, at, text string, good *token.Token) {
 	t.Helper()
 	direct := dial(t, f.servers[0].Address)
 	higher := fmt.Sprintf("OPEN x 7f c=map-stream,d=3000,s=%s,gen=99,from=0", good.Stream)
@@ -191,7 +191,7 @@
 func TestInvalidTokensAreRejected(t *testing.T) {
 	f := newFleet(t, 1, "skew_ms = 100\n")
 	f.feed.Keep = 20
-	f.config = addOtherClassAndTenant
+	f.changeConfig = addOtherClassAndTenant
 	at := f.startRelay(0, 1)
 	f.waitFor("ownership service", f.ownershipConnected)
 	c, text, _ := f.openStream(at, "s")
@@ -216,9 +216,9 @@
 	}
 	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 
-	expectMuchRejected(t, at)
-	f.expectPositionsChecked(t, at, text)
-	f.expectStaleRejected(t, at, text, good)
+	expectOversizedTokenRejected(t, at)
+	f.expectUnservablePositionsReported(t, at, text)
+	f.expectStaleTokenRejected(t, at, text, good)
 	if t.Failed() {
 		f.mu.Lock()
 		t.Log(strings.Join(f.logs, "\n"))
@@ -226,8 +226,8 @@
 	}
 }
 
-// addTo is the decimal number in text, plus n.
-func addTo(text string, n int) string {
+// addToNumber is the decimal number in text, plus n.
+func addToNumber(text string, n int) string {
 	x, _ := strconv.Atoi(text)
 	return strconv.Itoa(x + n)
 }
@@ -292,7 +292,7 @@
 	if rejections == 0 {
 		t.Error("the lease of a relay that was killed did not hold")
 	}
-	if next := c.readUntil(t, "SCAN"); next[1] != addTo(scan[1], 1) {
+	if next := c.readUntil(t, "SCAN"); next[1] != addToNumber(scan[1], 1) {
 		t.Errorf("after scan %s comes %s", scan[1], next[1])
 	}
 	f.checkLedger()
@@ -312,7 +312,7 @@
 	if rejections == 0 {
 		t.Error("the lease of a relay that is paused did not hold")
 	}
-	if next := k.readUntil(t, "SCAN"); next[1] != addTo(scan[1], 1) {
+	if next := k.readUntil(t, "SCAN"); next[1] != addToNumber(scan[1], 1) {
 		t.Errorf("after scan %s comes %s", scan[1], next[1])
 	}
 	f.checkLedger()
@@ -421,14 +421,14 @@
 			c.Close()
 			f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 			var once sync.Once
-			met := make(chan string, 1)
+			secondAnswer := make(chan string, 1)
 			for _, s := range f.servers {
 				s.OnFirstLine = func(string) {
 					once.Do(func() {
 						// In the middle of the first's attempt.
 						got, second := f.presentToken(b, "second", text, "")
 						second.Close()
-						met <- got
+						secondAnswer <- got
 						switch how {
 						case "killed":
 							s.Kill()
@@ -444,10 +444,10 @@
 				}
 			}
 			c, _ = f.resumeWithRetries(a, "first", text, ",pos="+scan[1])
-			if got := <-met; !strings.HasPrefix(got, "BUSY ") {
+			if got := <-secondAnswer; !strings.HasPrefix(got, "BUSY ") {
 				t.Errorf("at a second relay in mid-resume: %q", got)
 			}
-			if next := c.readUntil(t, "SCAN"); next[1] != addTo(scan[1], 1) {
+			if next := c.readUntil(t, "SCAN"); next[1] != addToNumber(scan[1], 1) {
 				t.Errorf("after scan %s comes %s", scan[1], next[1])
 			}
 			f.checkLedger()
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -43,11 +43,11 @@
 	keyFile    string
 	resumeFile string // resume.toml
 
-	mu       sync.Mutex
-	commands map[string]*exec.Cmd // by address
-	alive    []string
-	logs     []string
-	config   func(map[string]any)
+	mu           sync.Mutex
+	commands     map[string]*exec.Cmd // by address
+	rotation     []string
+	logs         []string
+	changeConfig func(map[string]any)
 }
 
 // newFleet starts the fakes, with servers that are listed as ready, and writes the resume file, to which
@@ -107,8 +107,8 @@
 	c["known"] = json.RawMessage(f.discovery.Snapshot())
 	settings := c["settings"].(map[string]any)
 	settings["balancers"], settings["me"] = all, me
-	if f.config != nil {
-		f.config(c)
+	if f.changeConfig != nil {
+		f.changeConfig(c)
 	}
 	text, _ = json.Marshal(c)
 	path := filepath.Join(f.t.TempDir(), "config.json")
@@ -126,7 +126,7 @@
 	}
 	f.t.Cleanup(func() { cmd.Process.Kill() })
 	address := make(chan string, 1)
-	go followLogs(logs, func(l logLine) {
+	go forEachLogLine(logs, func(l logLine) {
 		if l.Message == "serving" {
 			address <- l.Listen
 		}
@@ -138,17 +138,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.commands[a] = cmd
-	f.alive = append(f.alive, a)
+	f.rotation = append(f.rotation, a)
 	return a
 }
 
-// sendNobodyTo takes a relay out of those that clients are sent to.
-func (f *fleet) sendNobodyTo(address string) {
+// removeFromRotation takes a relay out of those that clients are sent to.
+func (f *fleet) removeFromRotation(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i, a := range f.alive {
+	for i, a := range f.rotation {
 		if a == address {
-			f.alive = append(append([]string(nil), f.alive[:i]...), f.alive[i+1:]...)
+			f.rotation = append(append([]string(nil), f.rotation[:i]...), f.rotation[i+1:]...)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 func (f *fleet) randomRelay() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.alive[rand.IntN(len(f.alive))]
+	return f.rotation[rand.IntN(len(f.rotation))]
 }
 
 // waitFor waits for a condition. Its limit only ends a test that hangs.
@@ -209,8 +209,8 @@
 	return viewers, stop
 }
 
-// waitUntilCurrent waits until every viewer has come past what is newest now.
-func (f *fleet) waitUntilCurrent(viewers []*fake.Viewer) {
+// waitUntilViewersCurrent waits until every viewer has come past what is newest now.
+func (f *fleet) waitUntilViewersCurrent(viewers []*fake.Viewer) {
 	f.t.Helper()
 	newest := f.feed.Newest() + 3 // what nobody can have yet
 	for _, v := range viewers {
@@ -244,25 +244,25 @@
 	}
 	f.waitFor("ownership service", f.ownershipConnected)
 	viewers, stop := f.startViewers(streams, func(int) bool { return true })
-	current := func() { f.waitUntilCurrent(viewers) }
-	current()
+	waitUntilCurrent := func() { f.waitUntilViewersCurrent(viewers) }
+	waitUntilCurrent()
 	f.drainAllServers()
-	current()
+	waitUntilCurrent()
 	f.servers[0].Kill()
 	f.discovery.Set("s0", f.servers[0].Address, "Gone")
-	current()
+	waitUntilCurrent()
 	f.servers[1].SetSilent(true)
-	current()
+	waitUntilCurrent()
 	f.servers[1].SetSilent(false)
-	f.sendNobodyTo(relays[1])
+	f.removeFromRotation(relays[1])
 	f.commands[relays[1]].Process.Kill()
-	current()
-	f.sendNobodyTo(relays[2])
+	waitUntilCurrent()
+	f.removeFromRotation(relays[2])
 	f.commands[relays[2]].Process.Signal(syscall.SIGTERM)
 	if err := f.commands[relays[2]].Wait(); err != nil {
 		t.Errorf("the relay that left ended with %v", err)
 	}
-	current()
+	waitUntilCurrent()
 	stop()
 	moves, breaks, busy := 0, 0, 0
 	for _, v := range viewers {
@@ -329,11 +329,11 @@
 			if i%5 == 4 { // twice and more at one relay
 				at = relays[0]
 			}
-			late := time.Duration(rng.IntN(3)) * time.Millisecond
+			delay := time.Duration(rng.IntN(3)) * time.Millisecond
 			clients[k] = dial(t, at)
 			all.Go(func() {
 				<-barrier
-				time.Sleep(late)
+				time.Sleep(delay)
 				fmt.Fprint(clients[k], opening(k+1, "resume="+words[2]+",pos=1")+"\r\n")
 				answers[k], _ = clients[k].in.ReadString('\n')
 			})
--- a/cmd/capersail/timeline_test.go
+++ b/cmd/capersail/timeline_test.go
@@ -29,7 +29,7 @@
 		cmd.Args = append(cmd.Args, more...)
 		return startCommand(t, cmd)
 	}
-	ask := func(args ...string) string {
+	runTimeline := func(args ...string) string {
 		cmd := relayCommand(t, config)
 		cmd.Args = append(cmd.Args, append([]string{"timeline"}, args...)...)
 		out, _ := cmd.Output()
@@ -42,16 +42,16 @@
 	}
 	f := &fleet{t: t}
 	f.waitFor("its answer on the socket", func() bool {
-		return strings.Contains(ask("--socket", socket, "show", "s1"), "placed 5,")
+		return strings.Contains(runTimeline("--socket", socket, "show", "s1"), "placed 5,")
 	})
 	f.waitFor("a row in the store", func() bool { // which the daemon has locked: a copy is read
 		text, _ := os.ReadFile(db)
 		os.WriteFile(db+".copy", text, 0o600)
-		return strings.Contains(ask("--store", db+".copy", "show", "s1"), "placed 5,")
+		return strings.Contains(runTimeline("--store", db+".copy", "show", "s1"), "placed 5,")
 	})
 	other := filepath.Join(dir, "other.toml")
 	os.WriteFile(other, fmt.Appendf(nil, "store = %q\n", db), 0o600)
-	two, address, messages := serve("--timeline", other)
+	second, address, messages := serve("--timeline", other)
 	dial(t, address).sendAndExpect(t, "OPEN u1 7f3a c=map-stream,t=acme,d=2000", "UP")
 	f.waitFor("a word about the file", func() bool {
 		select {
@@ -61,11 +61,11 @@
 			return false
 		}
 	})
-	two.Process.Kill() // before it tries the file again
-	two.Wait()
+	second.Process.Kill() // before it tries the file again
+	second.Wait()
 	cmd.Process.Kill()
 	cmd.Wait()
-	got := ask("--store", db, "show", "s1")
+	got := runTimeline("--store", db, "show", "s1")
 	if !strings.Contains(got, "placed 5,") || !strings.Contains(got, "warm") {
 		t.Errorf("after kill -9 the store has %q", got)
 	}
--- a/internal/command/cells.go
+++ b/internal/command/cells.go
@@ -11,26 +11,28 @@
 	"capersail/internal/fleet/membership"
 )
 
-// showCells prints a row for each region, and for each cell that the relay knows of by itself; nothing
-// without cells.
-func showCells(w io.Writer, r *membership.Report, known *cells.Report) error {
-	if known == nil {
+// showCells prints a row for each region and a row for each cell. Only the cell's representative knows the
+// other cells one by one: another relay prints the row of its own cell. It prints nothing if the relay has no
+// cells.
+func showCells(w io.Writer, r *membership.Report, cellReport *cells.Report) error {
+	if cellReport == nil {
 		return nil
 	}
 	fmt.Fprintln(w)
-	fmt.Fprintln(w, cellHeadline(r, known))
-	if err := showRegions(w, known); err != nil {
+	fmt.Fprintln(w, cellHeadline(r, cellReport))
+	if err := showRegions(w, cellReport); err != nil {
 		return err
 	}
-	if known.Representative != r.Relay {
-		fmt.Fprintf(w, "cells one by one are known at the speaker, %s\n", orNobody(known.Representative))
+	if cellReport.Representative != r.Relay {
+		fmt.Fprintf(w, "cells one by one are known at the speaker, %s\n",
+			nameOrNobody(cellReport.Representative))
 	}
 	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tab,
 		"CELL\tREGION\tSTATE\tAGE\tSPEAKER\tPLAN\tENTERED\tEPOCH\tRELAYS\tSERVING\tPER S\tHELD\tGONE")
-	for _, region := range known.Regions {
+	for _, region := range cellReport.Regions {
 		for _, c := range region.CellReports {
-			if known.Representative == r.Relay || c.OwnCell {
+			if cellReport.Representative == r.Relay || c.OwnCell {
 				showCell(tab, region.Name, c)
 			}
 		}
@@ -39,19 +41,19 @@
 		return err
 	}
 	showCounts(w, "dropped of cells:", dropZeros(map[string]uint64{
-		"malformed":    known.Drops.Malformed,
-		"unknown cell": known.Drops.UnknownCell,
-		"stale":        known.Drops.Stale,
+		"malformed":    cellReport.Drops.Malformed,
+		"unknown cell": cellReport.Drops.UnknownCell,
+		"stale":        cellReport.Drops.Stale,
 	}))
 	return nil
 }
 
-// showRegions prints a row for each region with other cells.
-func showRegions(w io.Writer, known *cells.Report) error {
+// showRegions prints a row for each region that has cells other than the relay's own.
+func showRegions(w io.Writer, cellReport *cells.Report) error {
 	tab := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tab, "OTHER CELLS OF\tCELLS\tHEARD\tRELAYS\tSERVING\tPER S\tHELD\tSENT AWAY PER S")
-	for _, region := range known.Regions {
-		if region.Cells == 0 { // the relay's own cell only
+	for _, region := range cellReport.Regions {
+		if region.Cells == 0 { // the region has no cell but the relay's own
 			continue
 		}
 		fmt.Fprintf(tab, "%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.1f\n",
@@ -61,34 +63,37 @@
 	return tab.Flush()
 }
 
-// ago returns a time in ms, rounded for reading.
-func ago(ms float64) time.Duration {
+// roundedDuration returns a duration given in ms, rounded to 100 ms for display.
+func roundedDuration(ms float64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond)
 }
 
-// showCell prints the row of one cell.
+// showCell prints the row of one cell of a region.
 func showCell(w io.Writer, region string, c cells.CellReport) {
 	age := "-"
 	if !c.OwnCell && c.AgeMs >= 0 {
-		age = ago(float64(c.AgeMs)).String()
+		age = roundedDuration(float64(c.AgeMs)).String()
 	}
 	plan := fmt.Sprint(c.Plan)
 	if c.PlanMismatch {
 		plan += " (another table)"
 	}
 	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%s\n",
-		c.Name, regionName(region), cellState(c), age, orNobody(c.Representative), plan, c.JoinedPlan, c.Epoch,
-		c.Relays, c.ServingRelays, c.RequestRate, c.OpenConnections, strings.Join(c.DepartedRelays, " "))
+		c.Name, regionName(region), cellState(c), age, nameOrNobody(c.Representative), plan, c.JoinedPlan,
+		c.Epoch, c.Relays, c.ServingRelays, c.RequestRate, c.OpenConnections,
+		strings.Join(c.DepartedRelays, " "))
 }
 
-// cellHeadline returns what the relay knows of its own cell's plan, in a line.
-func cellHeadline(r *membership.Report, known *cells.Report) string {
+// cellHeadline returns one line with the relay's own cell: its representative, its plan, and its shares of a
+// budget.
+func cellHeadline(r *membership.Report, cellReport *cells.Report) string {
 	line := fmt.Sprintf("cell %s of %s: speaker %s, plan %d",
-		known.Cell, regionName(known.Region), orNobody(known.Representative), known.Plan)
-	if known.FilePlan != known.Plan {
-		line += fmt.Sprintf(" (the file has %d)", known.FilePlan)
+		cellReport.Cell, regionName(cellReport.Region), nameOrNobody(cellReport.Representative),
+		cellReport.Plan)
+	if cellReport.FilePlan != cellReport.Plan {
+		line += fmt.Sprintf(" (the file has %d)", cellReport.FilePlan)
 	}
-	line += fmt.Sprintf(", entered %d, open %d", known.JoinedPlan, known.ActivatedPlan)
+	line += fmt.Sprintf(", entered %d, open %d", cellReport.JoinedPlan, cellReport.ActivatedPlan)
 	if c := r.Cell; c != nil {
 		if c.Plan > 0 {
 			line += fmt.Sprintf(", near %.4f, far %.4f of a budget", c.NearBudget, c.FarBudget)
@@ -97,8 +102,8 @@
 			line += ", waits: " + c.PendingReason
 		}
 	}
-	if known.DirectoryAgeMs >= 0 {
-		line += fmt.Sprintf(", other cells told %s ago", ago(float64(known.DirectoryAgeMs)))
+	if cellReport.DirectoryAgeMs >= 0 {
+		line += fmt.Sprintf(", other cells told %s ago", roundedDuration(float64(cellReport.DirectoryAgeMs)))
 	}
 	return line
 }
@@ -122,14 +127,14 @@
 	return region
 }
 
-func orNobody(relay string) string {
+func nameOrNobody(relay string) string {
 	if relay == "" {
 		return "nobody"
 	}
 	return relay
 }
 
-// dropZeros deletes the counts that are 0, and returns the others.
+// dropZeros deletes the entries of counts that are 0, and returns counts.
 func dropZeros(counts map[string]uint64) map[string]uint64 {
 	for reason, n := range counts {
 		if n == 0 {
@@ -139,7 +144,7 @@
 	return counts
 }
 
-// cellChanges returns the differences between two answers of a relay as to cells, a line each.
+// cellChanges returns one line for each difference between two cell reports of a relay. old may be nil.
 func cellChanges(old, now *cells.Report) (lines []string) {
 	if now == nil {
 		return nil
@@ -148,7 +153,7 @@
 		old = &cells.Report{}
 	}
 	if old.Representative != now.Representative {
-		lines = append(lines, fmt.Sprintf("cell %s: speaker %s", now.Cell, orNobody(now.Representative)))
+		lines = append(lines, fmt.Sprintf("cell %s: speaker %s", now.Cell, nameOrNobody(now.Representative)))
 	}
 	if planChanged(old, now) {
 		lines = append(lines, fmt.Sprintf("cell %s: plan %d, entered %d, open %d, the file has %d",
@@ -173,7 +178,7 @@
 				continue
 			}
 			lines = append(lines, fmt.Sprintf("cell %s: %s, speaker %s, plan %d, entered %d",
-				c.Name, cellState(c), orNobody(c.Representative), c.Plan, c.JoinedPlan))
+				c.Name, cellState(c), nameOrNobody(c.Representative), c.Plan, c.JoinedPlan))
 		}
 	}
 	return lines
@@ -184,7 +189,7 @@
 		old.JoinedPlan != now.JoinedPlan || old.ActivatedPlan != now.ActivatedPlan
 }
 
-func cellChanged(was, now cells.CellReport) bool {
-	return was.Representative != now.Representative || was.Plan != now.Plan ||
-		was.JoinedPlan != now.JoinedPlan || cellState(was) != cellState(now)
+func cellChanged(old, now cells.CellReport) bool {
+	return old.Representative != now.Representative || old.Plan != now.Plan ||
+		old.JoinedPlan != now.JoinedPlan || cellState(old) != cellState(now)
 }
--- a/internal/command/cells_test.go
+++ b/internal/command/cells_test.go
@@ -8,8 +8,8 @@
 	"capersail/internal/fleet/membership"
 )
 
-// knownCells is what a relay of cell eu-a-1 knows of a fleet of four cells.
-func knownCells(representative string) *cells.Report {
+// fourCellReport returns the cell report of a relay of cell eu-a-1 in a fleet of four cells.
+func fourCellReport(representative string) *cells.Report {
 	eu := cells.RegionReport{
 		RegionTotals: cells.RegionTotals{
 			Name: "eu", Cells: 1, KnownCells: 1, Relays: 60, ServingRelays: 59,
@@ -53,8 +53,8 @@
 	}
 }
 
-// The list has a line for each region, and at the representative one for each cell; elsewhere it says whom to
-// ask.
+// The list has a row for each region. At the cell's representative it has a row for each cell too; at another
+// relay it names the representative to query.
 func TestShowCells(t *testing.T) {
 	for _, c := range []struct {
 		relay string
@@ -85,29 +85,30 @@
 			not: "us-a-1",
 		},
 	} {
-		text := shownCells(t, c.relay)
+		text := cellListText(t, c.relay)
 		for _, want := range c.lines {
 			if !strings.Contains(text, "\n"+want+"\n") {
-				t.Errorf("at %s no line %q in\n%s", c.relay, want, text)
+				t.Errorf("cells shown by %s: got no line %q in\n%s", c.relay, want, text)
 			}
 		}
 		if strings.Contains(text, c.not) {
-			t.Errorf("at %s %q is in\n%s", c.relay, c.not, text)
+			t.Errorf("cells shown by %s: got unwanted %q in\n%s", c.relay, c.not, text)
 		}
 	}
 	var nothing strings.Builder
 	if err := showCells(&nothing, &membership.Report{}, nil); err != nil || nothing.Len() > 0 {
-		t.Errorf("without cells: %q, %v", nothing.String(), err)
+		t.Errorf("showCells without cells: got %q, error %v; want no output", nothing.String(), err)
 	}
 }
 
-// shownCells returns what a relay shows of cells, with single spaces.
-func shownCells(t *testing.T, relay string) string {
+// cellListText returns what showCells prints for a relay, with each run of spaces reduced to one.
+func cellListText(t *testing.T, relay string) string {
 	t.Helper()
 	var shown strings.Builder
 	waits := membership.PendingCells.String()
 	own := &membership.CellReport{Plan: 4, NearBudget: 0.25, FarBudget: 0.01, PendingReason: waits}
-	if err := showCells(&shown, &membership.Report{Relay: relay, Cell: own}, knownCells("r3")); err != nil {
+	if err := showCells(&shown, &membership.Report{Relay: relay, Cell: own},
+		fourCellReport("r3")); err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
@@ -117,18 +118,18 @@
 	return b.String()
 }
 
-// Each change is one line, once.
+// Each change between two reports gives one line.
 func TestCellChanges(t *testing.T) {
-	now := knownCells("r3")
-	if got := cellChanges(now, knownCells("r3")); len(got) > 0 {
-		t.Errorf("nothing has changed, but %q", got)
+	now := fourCellReport("r3")
+	if got := cellChanges(now, fourCellReport("r3")); len(got) > 0 {
+		t.Errorf("cellChanges of equal reports: got %q, want none", got)
 	}
 	now.Representative = "r5"
 	now.ActivatedPlan = 4
 	now.Regions[1].KnownCells = 2
 	now.Regions[1].CellReports[0].Known = true
 	now.Regions[0].CellReports[1].Representative = "r71"
-	got := strings.Join(cellChanges(knownCells("r3"), now), "\n")
+	got := strings.Join(cellChanges(fourCellReport("r3"), now), "\n")
 	want := strings.Join([]string{
 		"cell eu-a-1: speaker r5",
 		"cell eu-a-1: plan 4, entered 4, open 4, the file has 5",
@@ -137,12 +138,12 @@
 		"cell us-a-1: heard, speaker r130, plan 3, entered 3",
 	}, "\n")
 	if got != want {
-		t.Errorf("%s", got)
+		t.Errorf("cellChanges: got\n%s\nwant\n%s", got, want)
 	}
 	if got := cellChanges(nil, now); len(got) != 7 {
-		t.Errorf("at first: %q", got)
+		t.Errorf("cellChanges from no report: got %q, want 7 lines", got)
 	}
 	if got := cellChanges(now, nil); got != nil {
-		t.Errorf("without cells: %q", got)
+		t.Errorf("cellChanges to no report: got %q, want nil", got)
 	}
 }
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -14,15 +14,15 @@
 
 func (p *Program) clientCommand() *cobra.Command {
 	var script string
-	var within time.Duration
+	var stepTimeout time.Duration
 	c := &cobra.Command{
 		Use:   "client ADDRESS",
-		Short: "Open a connection and speak by hand, or play a script",
-		Long: `Open a connection and speak by hand: what is typed goes out line by line, what comes back is printed.
+		Short: "Open a connection and send lines interactively or from a script",
+		Long: `Open a connection, send each line of standard input and print what the other side sends.
 
-A script has one step a line: "> TEXT" sends TEXT, "< WORD" waits for a line whose first word is WORD,
-"wait 1s" pauses; lines that begin with # are left out.`,
-		Args: checkArguments(cobra.ExactArgs(1)),
+A script has one step per line: "> TEXT" sends TEXT, "< WORD" waits for a line whose first word is WORD,
+"wait 1s" pauses; empty lines and lines that begin with # are ignored.`,
+		Args: validateArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error {
 			conn, err := net.Dial("tcp", args[0])
 			if err != nil {
@@ -36,15 +36,16 @@
 			if err != nil {
 				return err
 			}
-			return p.playScript(conn, script, string(text), within)
+			return p.playScript(conn, script, string(text), stepTimeout)
 		},
 	}
-	c.Flags().StringVar(&script, "script", "", "`file` to play")
-	c.Flags().DurationVar(&within, "within", 10*time.Second, "how long a step may wait")
+	c.Flags().StringVar(&script, "script", "", "script `file` to run instead of reading standard input")
+	c.Flags().DurationVar(&stepTimeout, "within", 10*time.Second, "time-out of a step that waits for a line")
 	return c
 }
 
-// runInteractive sends what is typed, line by line, and prints what comes back until the other side closes.
+// runInteractive sends the lines of p.In to the connection and prints what the connection returns, until the
+// other side closes it.
 func (p *Program) runInteractive(conn net.Conn) error {
 	go func() {
 		for lines := bufio.NewScanner(p.In); lines.Scan(); {
@@ -58,19 +59,19 @@
 	return err
 }
 
-// playScript plays a script's steps. An error names the script and the line.
-func (p *Program) playScript(conn net.Conn, name, text string, within time.Duration) error {
+// playScript runs the steps of a script in order. An error names the script and the line.
+func (p *Program) playScript(conn net.Conn, name, text string, stepTimeout time.Duration) error {
 	in := bufio.NewReader(conn)
 	for i, step := range strings.Split(text, "\n") {
-		if err := p.playStep(conn, in, strings.TrimSpace(step), within); err != nil {
+		if err := p.playStep(conn, in, strings.TrimSpace(step), stepTimeout); err != nil {
 			return fmt.Errorf("%s:%d: %w", name, i+1, err)
 		}
 	}
 	return nil
 }
 
-// playStep plays one step of a script.
-func (p *Program) playStep(conn net.Conn, in *bufio.Reader, step string, within time.Duration) error {
+// playStep runs one step of a script.
+func (p *Program) playStep(conn net.Conn, in *bufio.Reader, step string, stepTimeout time.Duration) error {
 	word, rest, _ := strings.Cut(step, " ")
 	switch {
 	case step == "" || word[0] == '#':
@@ -87,13 +88,13 @@
 		time.Sleep(d)
 		return nil
 	case word == "<":
-		conn.SetReadDeadline(time.Now().Add(within))
+		conn.SetReadDeadline(time.Now().Add(stepTimeout))
 		return p.awaitWord(in, rest)
 	}
-	return fmt.Errorf("%q is no step: >, < or wait", word)
+	return fmt.Errorf("unknown script step %q; want >, < or wait", word)
 }
 
-// awaitWord prints lines up to the first that begins with a word.
+// awaitWord reads and prints lines up to and including the first whose first word is word.
 func (p *Program) awaitWord(in *bufio.Reader, word string) error {
 	for {
 		line, err := in.ReadString('\n')
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -14,14 +14,14 @@
 	"capersail/internal/lifecycle"
 )
 
-// The exit codes, 0 aside.
+// Exit codes for errors. The exit code of a command that succeeds is 0.
 const (
-	ExitFailure  = 1 // a configuration that cannot be used, or what was to be done could not be
-	ExitUsage    = 2 // the command line
-	ExitNoAnswer = 3 // no relay answers, and no store has what is asked for
+	ExitFailure  = 1 // invalid configuration, or the command failed
+	ExitUsage    = 2 // invalid command line
+	ExitNoAnswer = 3 // no relay answers, and no store has the requested data
 )
 
-// exitError is an error with its exit code.
+// exitError is an error with the exit code that Main returns for it.
 type exitError struct {
 	code int
 	error
@@ -29,18 +29,18 @@
 
 func (e exitError) Unwrap() error { return e.error }
 
-// Program is what a command has of the process that it runs in.
+// Program holds the standard streams, the environment and the signals of the process that runs a command.
 type Program struct {
 	In       io.Reader
 	Out, Err io.Writer
 	Getenv   func(string) string
-	Signals  <-chan os.Signal // that end the relay, or have it reload
+	Signals  <-chan os.Signal // shut the relay down or make it reload its configuration
 }
 
-// Main runs a command line and returns the exit code.
+// Main runs the command that args name, prints its error to p.Err and returns the exit code.
 func Main(args []string, p *Program) int {
 	root := p.rootCommand()
-	root.SetArgs(doubleDashes(args))
+	root.SetArgs(normalizeLegacyFlags(args))
 	root.SetIn(p.In)
 	root.SetOut(p.Out)
 	root.SetErr(p.Err)
@@ -58,8 +58,9 @@
 	return ExitFailure
 }
 
-// doubleDashes returns arguments in which flags of the first versions, written with one dash, have two.
-func doubleDashes(args []string) []string {
+// normalizeLegacyFlags returns a copy of args in which the flags -xmpp and -resume, which the first versions
+// accepted with a single dash, have two dashes.
+func normalizeLegacyFlags(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
 		out[i] = a
@@ -70,7 +71,7 @@
 	return out
 }
 
-// usageError returns an error of the command line, nil for nil.
+// usageError wraps an error with the exit code ExitUsage. It returns nil for nil.
 func usageError(err error) error {
 	if err == nil {
 		return nil
@@ -78,20 +79,20 @@
 	return exitError{ExitUsage, err}
 }
 
-// checkArguments has what a check of arguments says be an error of the command line.
-func checkArguments(check cobra.PositionalArgs) cobra.PositionalArgs {
+// validateArgs wraps a check of positional arguments so that its errors have the exit code ExitUsage.
+func validateArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error { return usageError(check(cmd, args)) }
 }
 
-// rootCommand returns the program's command, which serves, with all others below it.
+// rootCommand returns the program's root command, which runs the relay, with all subcommands.
 func (p *Program) rootCommand() *cobra.Command {
 	root := p.serveCommand("capersail", "A relay for long-lived connections")
-	root.Long = root.Short + ". Without a command it serves, as LB_CONFIG and the flags say."
+	root.Long = root.Short + ". Without a command it runs the relay, configured by LB_CONFIG and the flags."
 	root.SilenceUsage = true
 	root.SilenceErrors = true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(
-		p.serveCommand("serve", "Serve, as LB_CONFIG and the flags say"),
+		p.serveCommand("serve", "Run the relay, configured by LB_CONFIG and the flags"),
 		p.demoCommand(),
 		p.configCommand(),
 		p.timelineCommand(),
@@ -110,9 +111,9 @@
 	c := &cobra.Command{
 		Use:   use,
 		Short: short,
-		Args:  checkArguments(cobra.NoArgs),
+		Args:  validateArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			log, err := p.logger(level, format)
+			log, err := p.newLogger(level, format)
 			if err != nil {
 				return err
 			}
@@ -121,21 +122,22 @@
 		},
 	}
 	flags := c.Flags()
-	flags.StringVar(&sources.XMPP, "xmpp", "", "operator's `file` for the XMPP front; off without it")
-	flags.StringVar(&sources.Resume, "resume", "", "operator's `file` for resume tokens; off without it")
-	flags.StringVar(&sources.Timeline, "timeline", "", "operator's `file` for time lines; off without it")
+	flags.StringVar(&sources.XMPP, "xmpp", "", "configuration `file` of the XMPP front; off if not set")
+	flags.StringVar(&sources.Resume, "resume", "", "configuration `file` of resume tokens; off if not set")
+	flags.StringVar(&sources.Timeline, "timeline", "", "configuration `file` of time lines; off if not set")
 	flags.StringVar(&sources.Members, "members", "",
-		"operator's `file` for relays that know each other; off without it")
-	flags.StringVar(&level, "log-level", "info", "least `level` that is logged: debug, info, warn, error")
-	flags.StringVar(&format, "log-format", "json", "json or text")
+		"configuration `file` of the fleet membership of relays; off if not set")
+	flags.StringVar(&level, "log-level", "info", "minimum `level` to log: debug, info, warn or error")
+	flags.StringVar(&format, "log-format", "json", "log format: json or text")
 	return c
 }
 
-// logger returns the relay's log on standard error.
-func (p *Program) logger(level, format string) (zerolog.Logger, error) {
+// newLogger returns a logger that writes to standard error, with a minimum level and a format, json or text.
+func (p *Program) newLogger(level, format string) (zerolog.Logger, error) {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
-		return zerolog.Nop(), usageError(fmt.Errorf("log-level: %q is no level", level))
+		return zerolog.Nop(), usageError(
+			fmt.Errorf("log-level: unknown level %q; want debug, info, warn or error", level))
 	}
 	out := p.Err
 	switch format {
@@ -143,7 +145,8 @@
 	case "text":
 		out = zerolog.ConsoleWriter{Out: p.Err, NoColor: true, TimeFormat: "15:04:05.000"}
 	default:
-		return zerolog.Nop(), usageError(fmt.Errorf("log-format: %q is neither json nor text", format))
+		return zerolog.Nop(), usageError(
+			fmt.Errorf("log-format: unknown format %q; want json or text", format))
 	}
 	return zerolog.New(out).Level(l).With().Timestamp().Logger(), nil
 }
@@ -152,14 +155,14 @@
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
-		Args:  checkArguments(cobra.NoArgs),
+		Args:  validateArgs(cobra.NoArgs),
 		Run: func(*cobra.Command, []string) {
 			fmt.Fprintln(p.Out, "capersail", versionText())
 		},
 	}
 }
 
-// versionText returns what the build says of itself.
+// versionText returns the module version, the VCS revision and the Go version that the binary was built with.
 func versionText() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -19,16 +19,17 @@
 	"capersail/internal/store"
 )
 
-// run runs a command line.
-func run(args ...string) (code int, out, errs string) {
+// runCommand runs a command line and returns its exit code, standard output and standard error.
+func runCommand(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	getenv := func(string) string { return "" }
 	code = Main(args, &Program{In: strings.NewReader(""), Out: &o, Err: &e, Getenv: getenv})
 	return code, o.String(), e.String()
 }
 
-// night is a store with a server that fell silent.
-func night(t *testing.T) string {
+// newStoreWithSilentServer returns the path of a time line store with two servers, of which s-2 stopped
+// answering probes.
+func newStoreWithSilentServer(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "night.db")
 	s, err := store.Open(path, store.Options{}, zerolog.Nop())
@@ -77,14 +78,14 @@
 	return path
 }
 
-// The exit code says what kind an error is, and its text is one line.
+// The exit code gives the kind of error, and the error is printed as one line.
 func TestExitCodes(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
 	for _, c := range []struct {
 		name string
 		args []string
 		code int
-		says string
+		want string
 	}{
 		{"version", []string{"version"}, 0, ""},
 		{"help", []string{"help"}, 0, ""},
@@ -92,37 +93,37 @@
 		{"no configuration", nil, ExitFailure, "LB_CONFIG: not set"},
 		{"an unknown flag", []string{"--colour"}, ExitUsage, "unknown flag: --colour"},
 		{"an unknown level", []string{"--log-level", "loud"}, ExitUsage, "log-level: "},
-		{"an argument too many", []string{"version", "x"}, ExitUsage, "unknown command"},
-		{"of an old flag, the file", []string{"-xmpp", missing}, ExitFailure, missing},
-		{"nowhere to ask", []string{"timeline", "list"}, ExitUsage, "one of --config"},
-		{"nobody answers", []string{"timeline", "list", "--socket", missing}, ExitNoAnswer, "no relay answers"},
+		{"an extra argument", []string{"version", "x"}, ExitUsage, "unknown command"},
+		{"a missing file of a flag with a single dash", []string{"-xmpp", missing}, ExitFailure, missing},
+		{"no socket and no store", []string{"timeline", "list"}, ExitUsage, "one of --config"},
+		{"no relay", []string{"timeline", "list", "--socket", missing}, ExitNoAnswer, "no relay answers"},
 		{"no store", []string{"timeline", "list", "--store", missing}, ExitNoAnswer, missing},
 		{
-			"a time that is none",
+			"an invalid time",
 			[]string{"timeline", "list", "--store", missing, "--from", "noon"},
 			ExitUsage, "from: ",
 		},
 		{
-			"a format that is none",
+			"an unknown format",
 			[]string{"timeline", "export", "--store", missing, "--format", "gif"},
 			ExitUsage, "format: ",
 		},
-		{"nobody listens", []string{"client", "127.0.0.1:1"}, ExitFailure, "connection refused"},
+		{"a client without a listener", []string{"client", "127.0.0.1:1"}, ExitFailure, "connection refused"},
 	} {
-		code, _, errs := run(c.args...)
+		code, _, errs := runCommand(c.args...)
 		oneLine := strings.Count(errs, "\n") == 1 && strings.HasPrefix(errs, "capersail: ")
-		if code != c.code || !strings.Contains(errs, c.says) || code != 0 && !oneLine {
-			t.Errorf("%s: exit %d, %q", c.name, code, errs)
+		if code != c.code || !strings.Contains(errs, c.want) || code != 0 && !oneLine {
+			t.Errorf("%s: exit code %d, standard error %q; want %d, %q", c.name, code, errs, c.code, c.want)
 		}
 	}
 }
 
-// A store of a bad night, read without a relay: as text, events, JSON, CSV and pictures.
+// A store is read without a relay, and written as text, events, JSON, CSV and charts.
 func TestTimelineFromAStore(t *testing.T) {
-	path := night(t)
+	path := newStoreWithSilentServer(t)
 	for _, c := range []struct {
-		args []string
-		says []string
+		args     []string
+		contains []string
 	}{
 		{[]string{"list"}, []string{"s-1", "s-2", "silent"}},
 		{[]string{"show", "s-2"}, []string{"s-2  silent", "2 probes without an answer", "! 08:01:40.000"}},
@@ -132,22 +133,22 @@
 		{[]string{"export", "--format", "csv", "s-1"}, []string{"server,from_ms", "s-1,1800000000000,10000"}},
 		{[]string{"export", "--format", "svg"}, []string{"<svg", "silent"}},
 	} {
-		code, out, errs := run(append([]string{"timeline", "--store", path}, c.args...)...)
+		code, out, errs := runCommand(append([]string{"timeline", "--store", path}, c.args...)...)
 		if code != 0 {
-			t.Errorf("%v: exit %d, %s", c.args, code, errs)
+			t.Errorf("timeline %v: exit code %d, want 0: %s", c.args, code, errs)
 		}
-		for _, want := range c.says {
+		for _, want := range c.contains {
 			if !strings.Contains(out, want) {
-				t.Errorf("%v: no %q in %.600q", c.args, want, out)
+				t.Errorf("timeline %v: got no %q in %.600q", c.args, want, out)
 			}
 		}
-		if c.says == nil && out != "" {
-			t.Errorf("%v: %q", c.args, out)
+		if c.contains == nil && out != "" {
+			t.Errorf("timeline %v: got %q, want no output", c.args, out)
 		}
 	}
 	file := filepath.Join(t.TempDir(), "night.png")
-	if code, _, errs := run("timeline", "--store", path, "export", "-o", file); code != 0 {
-		t.Fatal(errs)
+	if code, _, errs := runCommand("timeline", "--store", path, "export", "-o", file); code != 0 {
+		t.Fatalf("timeline export -o: exit code %d, want 0: %s", code, errs)
 	}
 	f, err := os.Open(file)
 	if err != nil {
@@ -155,15 +156,16 @@
 	}
 	defer f.Close()
 	if img, err := png.Decode(f); err != nil || img.Bounds().Dx() < 600 || img.Bounds().Dy() < 200 {
-		t.Errorf("%v, %v", img, err)
+		t.Errorf("exported chart: image %v, error %v; want at least 600 x 200 pixels", img, err)
 	}
-	code, _, errs := run("timeline", "--store", path, "export", "--from", "2030-01-01T00:00:00Z", "-o", file)
+	code, _, errs := runCommand("timeline", "--store", path, "export",
+		"--from", "2030-01-01T00:00:00Z", "-o", file)
 	if code != ExitFailure || !strings.Contains(errs, "nothing to draw") {
-		t.Errorf("an empty picture: %d, %q", code, errs)
+		t.Errorf("export of an empty period: got exit code %d, %q; want 1, nothing to draw", code, errs)
 	}
 }
 
-// Each problem of a file is named with the file and the key.
+// Each problem in a file is reported with the file and the key.
 func TestConfigCheck(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -172,27 +174,27 @@
 		return path
 	}
 	bad := write("timeline.toml", "socket = \"here\"\nstore_mb = 1\nbuffer = 7\ncolour = 1\n")
-	code, _, errs := run("config", "check", bad)
+	code, _, errs := runCommand("config", "check", bad)
 	for _, want := range []string{"socket: ", "store_mb: ", "buffer: ", "colour: unknown key"} {
 		if !strings.Contains(errs, bad+": "+want) {
-			t.Errorf("no %q in %q", want, errs)
+			t.Errorf("config check: got no error %q in %q", want, errs)
 		}
 	}
 	if code != ExitFailure {
-		t.Errorf("exit %d", code)
+		t.Errorf("config check of an invalid file: got exit code %d, want 1", code)
 	}
-	code, out, errs := run("config", "check",
+	code, out, errs := runCommand("config", "check",
 		"../../examples/config.json", "../../deploy/timeline.toml", "../../deploy/xmpp.toml")
 	if code != 0 || strings.Count(out, "good") != 3 {
-		t.Errorf("%d, %q, %q", code, out, errs)
+		t.Errorf("config check of valid files: got exit code %d, output %q, error %q; want 0", code, out, errs)
 	}
-	code, _, errs = run("config", "check", write("x.toml", "nothing = 1\n"))
-	if code != ExitFailure || !strings.Contains(errs, "no key says what it is for") {
-		t.Errorf("%d, %q", code, errs)
+	code, _, errs = runCommand("config", "check", write("x.toml", "nothing = 1\n"))
+	if code != ExitFailure || !strings.Contains(errs, "unknown kind of file; want keys of") {
+		t.Errorf("config check of an unknown kind of file: got exit code %d, %q; want 1", code, errs)
 	}
 }
 
-// A script sends and waits as its steps say, and an error names the step.
+// A client script sends and waits as its steps say, and an error names the script and the line of the step.
 func TestClientScript(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -216,18 +218,20 @@
 	}()
 	script := filepath.Join(t.TempDir(), "s")
 	os.WriteFile(script, []byte("# greets\n> PING\n< PONG\n"), 0o600)
-	code, out, errs := run("client", l.Addr().String(), "--script", script)
+	code, out, errs := runCommand("client", l.Addr().String(), "--script", script)
 	if code != 0 || out != "> PING\n< NOISE\n< PONG 7\n" {
-		t.Errorf("%d, %q, %q", code, out, errs)
+		t.Errorf("client script: got exit code %d, output %q, error %q; want 0 and all lines",
+			code, out, errs)
 	}
 	os.WriteFile(script, []byte("> PING\n< NEVER\n"), 0o600)
-	code, _, errs = run("client", l.Addr().String(), "--script", script, "--within", "50ms")
+	code, _, errs = runCommand("client", l.Addr().String(), "--script", script, "--within", "50ms")
 	if code != ExitFailure || !strings.Contains(errs, script+":2: waiting for NEVER") {
-		t.Errorf("%d, %q", code, errs)
+		t.Errorf("client script whose step times out: got exit code %d, %q; want 1", code, errs)
 	}
 }
 
-// A reader that hangs on the socket is disconnected, others are answered, and the socket is its owner's only.
+// Clients of the control socket that send nothing are disconnected and do not keep others from an answer. The
+// socket is accessible to its owner only, and a second process cannot listen on it.
 func TestControlSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	s, err := control.Listen(path, control.Sources{}, zerolog.Nop())
@@ -236,27 +240,27 @@
 	}
 	defer s.Close()
 	if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 {
-		t.Errorf("mode %o", info.Mode().Perm())
+		t.Errorf("control socket: mode %o, want 600", info.Mode().Perm())
 	}
 	if _, err := control.Listen(path, control.Sources{}, zerolog.Nop()); err == nil {
-		t.Error("two daemons on one socket")
+		t.Error("a second listener on the same control socket succeeded, want an error")
 	}
-	var hanging []net.Conn
-	for range 40 { // more than are served at once; they send nothing
+	var idleConns []net.Conn
+	for range 40 { // more than the socket serves at once; they send nothing
 		if conn, err := net.Dial("unix", path); err == nil {
-			hanging = append(hanging, conn)
+			idleConns = append(idleConns, conn)
 		}
 	}
 	ok := false
 	end := time.Now().Add(30 * time.Second)
 	for ; !ok && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		code, _, _ := run("timeline", "list", "--socket", path)
+		code, _, _ := runCommand("timeline", "list", "--socket", path)
 		ok = code == 0
 	}
 	if !ok {
-		t.Error("those that hang keep the socket")
+		t.Error("idle connections block the control socket: no query succeeded in 30 s")
 	}
-	for _, c := range hanging {
+	for _, c := range idleConns {
 		c.Close()
 	}
 }
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -16,11 +16,11 @@
 )
 
 func (p *Program) configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Look at configuration files"}
+	c := &cobra.Command{Use: "config", Short: "Check configuration files"}
 	c.AddCommand(&cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check files of any kind; each problem is a line that names the file and the key",
-		Args:  checkArguments(cobra.MinimumNArgs(1)),
+		Short: "Check files of any kind; print one line per problem, with the file and the key",
+		Args:  validateArgs(cobra.MinimumNArgs(1)),
 		RunE: func(_ *cobra.Command, files []string) error {
 			var errs []error
 			for _, f := range files {
@@ -37,7 +37,7 @@
 	return c
 }
 
-// checkFile reads a file as what its form and its keys say it is, and returns its kind.
+// checkFile determines a file's kind from its format and its keys, checks the file and returns the kind.
 func (p *Program) checkFile(path string) (kind string, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -70,11 +70,11 @@
 		_, err = lifecycle.ReadTimelineConfig(path)
 		return "timeline", err
 	}
-	return "", fmt.Errorf("%s: no key says what it is for: zookeeper, host and class are of the XMPP front, "+
-		"site, seeds and founders of members, keys of resume tokens, socket and store of time lines", path)
+	return "", fmt.Errorf("%s: unknown kind of file; want keys of XMPP (zookeeper, host, class), members "+
+		"(site, seeds, founders), resume tokens (keys, servers) or time lines (socket, store, buffer)", path)
 }
 
-// checkPlatformFile reads a file as the relay reads the one that LB_CONFIG names. An error names the file.
+// checkPlatformFile checks a file as the relay reads the file named by LB_CONFIG. An error names the file.
 func (p *Program) checkPlatformFile(path string) error {
 	getenv := func(key string) string {
 		if key == "LB_CONFIG" {
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -14,34 +14,35 @@
 )
 
 func (p *Program) demoCommand() *cobra.Command {
-	var every time.Duration
-	var picture, keep string
+	var interval time.Duration
+	var chartFile, storeFile string
 	c := &cobra.Command{
 		Use: "demo",
-		Short: "Run it all on loopback: discovery, servers, a relay, clients, a drain, a kill; " +
+		Short: "Run discovery, servers, a relay and clients on loopback, with a drain and failures; " +
 			"then show the time line",
-		Args: checkArguments(cobra.NoArgs),
+		Args: validateArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return p.runDemo(cmd.Context(), every, picture, keep)
+			return p.runDemo(cmd.Context(), interval, chartFile, storeFile)
 		},
 	}
-	c.Flags().DurationVar(&every, "every", 5*time.Second, "time between two things that happen")
-	c.Flags().StringVar(&picture, "picture", "", "also draw the time line into this `file`, PNG or SVG")
-	c.Flags().StringVar(&keep, "store", "",
-		"keep the time line in this `file`, for `capersail timeline --store`")
+	c.Flags().DurationVar(&interval, "every", 5*time.Second, "time between two events of the demo")
+	c.Flags().StringVar(&chartFile, "picture", "", "also draw the time line to this `file`, PNG or SVG")
+	c.Flags().StringVar(&storeFile, "store", "",
+		"store the time line in this `file`, for `capersail timeline --store`")
 	return c
 }
 
-// runDemo runs the demo. Its relay is the complete one, started as the program starts it.
-func (p *Program) runDemo(ctx context.Context, every time.Duration, picture, keep string) error {
+// runDemo runs the demo: it starts a deployment, injects failures, prints the time line and, if chartFile is
+// set, draws it. The demo's relay is the complete one, started by lifecycle.Run as the program starts it.
+func (p *Program) runDemo(ctx context.Context, interval time.Duration, chartFile, storeFile string) error {
 	if ctx == nil {
 		ctx = context.Background()
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	if keep != "" {
+	if storeFile != "" {
 		var err error
-		if keep, err = filepath.Abs(keep); err != nil {
+		if storeFile, err = filepath.Abs(storeFile); err != nil {
 			return err
 		}
 	}
@@ -50,31 +51,31 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	deployment, err := startDemoDeployment(ctx, dir, keep)
+	deployment, err := startDemoDeployment(ctx, dir, storeFile)
 	if err != nil {
 		return err
 	}
 	defer deployment.killServers()
-	p.printLine("a relay at %s, discovery, five servers, forty clients that watch scans "+
-		"and come back again and again", deployment.address)
-	leave := deployment.startClients(ctx)
-	defer leave()
-	p.disturbServers(ctx, deployment, every)
-	all, err := deployment.report()
+	p.printLine("started a relay at %s, discovery, five servers and forty clients that receive scans "+
+		"and reconnect repeatedly", deployment.address)
+	stopClients := deployment.startClients(ctx)
+	defer stopClients()
+	p.runFailures(ctx, deployment, interval)
+	timelines, err := deployment.report()
 	if err != nil {
 		return err
 	}
-	p.printLine("\nits time line:\n")
-	if err := all.WriteDrawing(p.Out, 60); err != nil {
+	p.printLine("\nthe relay's time line:\n")
+	if err := timelines.WriteDrawing(p.Out, 60); err != nil {
 		return err
 	}
-	if picture != "" {
-		if err := drawReport(all, picture); err != nil {
+	if chartFile != "" {
+		if err := drawReport(timelines, chartFile); err != nil {
 			return err
 		}
-		p.printLine("drawn into %s", picture)
+		p.printLine("time line drawn to %s", chartFile)
 	}
-	leave()
+	stopClients()
 	return deployment.stop()
 }
 
@@ -82,31 +83,32 @@
 	fmt.Fprintf(p.Out, format+"\n", args...)
 }
 
-// disturbServers drains one server, kills one and has one fall silent, in turn.
-func (p *Program) disturbServers(ctx context.Context, deployment *demoDeployment, every time.Duration) {
+// runFailures drains one server, kills another and makes a third stop responding, in this order, and prints
+// each event.
+func (p *Program) runFailures(ctx context.Context, deployment *demoDeployment, interval time.Duration) {
 	drained := deployment.servers[0]
 	killed := deployment.servers[1]
 	silent := deployment.servers[2]
-	pause(ctx, every)
-	p.printLine("server-0 drains: the list says so, and it sends its clients away")
+	sleepContext(ctx, interval)
+	p.printLine("server-0 drains: the endpoint list marks it as terminating, and it migrates its clients")
 	deployment.discovery.Set(drained.ID, drained.Address, "Terminating")
 	drained.SetRejecting(true)
 	for drained.MigrateOneIn(3) > 0 && ctx.Err() == nil {
-		pause(ctx, every/20)
+		sleepContext(ctx, interval/20)
 	}
-	pause(ctx, every)
-	p.printLine("server-1 is killed; the list does not know yet")
+	sleepContext(ctx, interval)
+	p.printLine("server-1 is killed; the endpoint list still has it as ready")
 	killed.Kill()
-	pause(ctx, every)
-	p.printLine("server-2 falls silent, without a reset")
+	sleepContext(ctx, interval)
+	p.printLine("server-2 stops responding; its connections stay open")
 	silent.SetSilent(true)
-	pause(ctx, 2*every)
+	sleepContext(ctx, 2*interval)
 	silent.SetSilent(false)
 	deployment.discovery.Set(killed.ID, killed.Address, "Gone")
-	pause(ctx, every)
+	sleepContext(ctx, interval)
 }
 
-// drawReport draws a time line into a file, PNG or SVG by its name.
+// drawReport draws a time line to a file, as PNG or SVG by the file name's extension.
 func drawReport(r report.Report, path string) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -119,8 +121,8 @@
 	return f.Close()
 }
 
-// pause waits for a time, or until the context ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleepContext returns after d or when the context ends, whichever is first.
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/command/demo_deployment.go
+++ b/internal/command/demo_deployment.go
@@ -32,39 +32,40 @@
       "askWithinMs": 10000, "coldMs": 8600, "fallMultiple": 4, "overloadForMs": 1500, "startCapacity": 0.36},
     "specifics": {"reportX0": "load asked of the server over what it can do"}}}`
 
-// The demo's size.
+// Size of the demo.
 const (
 	demoServers  = 5
 	demoClients  = 40
-	demoCapacity = 24 // connections that fill a server
+	demoCapacity = 24 // connections at which a server is at full load
 )
 
-// demoDeployment is all that the demo runs on loopback.
+// demoDeployment is what the demo runs on loopback: discovery, servers and a relay.
 type demoDeployment struct {
-	address   string // the relay's
-	socket    string // of the relay's time line
+	address   string // of the relay, for clients
+	socket    string // the relay's control socket
 	discovery *fake.Discovery
 	servers   []*fake.ScanServer
-	signals   chan os.Signal // to the relay
-	ended     chan error     // gets the relay's end
+	signals   chan os.Signal // signals sent to the relay
+	exited    chan error     // receives the result of lifecycle.Run
 }
 
 // startDemoDeployment starts discovery, servers and a relay whose files are in dir. They run until the
-// context ends, or stop and killServers. keep is the path of the time line's store, "" for none.
-func startDemoDeployment(ctx context.Context, dir, keep string) (*demoDeployment, error) {
+// context ends, or until stop and killServers are called. storeFile is the path of the time line's store, ""
+// for none.
+func startDemoDeployment(ctx context.Context, dir, storeFile string) (*demoDeployment, error) {
 	d := &demoDeployment{
 		socket:  filepath.Join(dir, "control.sock"),
 		signals: make(chan os.Signal, 1),
-		ended:   make(chan error, 1),
+		exited:  make(chan error, 1),
 	}
-	if err := d.start(ctx, dir, keep); err != nil {
+	if err := d.start(ctx, dir, storeFile); err != nil {
 		d.killServers()
 		return nil, err
 	}
 	return d, nil
 }
 
-func (d *demoDeployment) start(ctx context.Context, dir, keep string) error {
+func (d *demoDeployment) start(ctx context.Context, dir, storeFile string) error {
 	if err := d.startServers(ctx); err != nil {
 		return err
 	}
@@ -80,7 +81,7 @@
 		return err
 	}
 	timeline := filepath.Join(dir, "timeline.toml")
-	text = fmt.Sprintf("socket = %q\nstore = %q\n", d.socket, keep)
+	text = fmt.Sprintf("socket = %q\nstore = %q\n", d.socket, storeFile)
 	if err := os.WriteFile(timeline, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -92,13 +93,13 @@
 	}
 	go func() {
 		sources := lifecycle.Sources{Getenv: getenv, Timeline: timeline}
-		d.ended <- lifecycle.Run(ctx, sources, d.signals, zerolog.Nop())
+		d.exited <- lifecycle.Run(ctx, sources, d.signals, zerolog.Nop())
 	}()
 	return d.awaitReady(ctx)
 }
 
-// awaitReady waits until the relay accepts clients and answers with its time line. It fails if the relay or
-// the context ends.
+// awaitReady waits until the relay accepts clients and returns its time line on the control socket. It fails
+// if the relay or the context ends first.
 func (d *demoDeployment) awaitReady(ctx context.Context) error {
 	for {
 		conn, err := net.Dial("tcp", d.address)
@@ -111,14 +112,14 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-d.ended:
+		case err := <-d.exited:
 			return err
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// startServers starts discovery and the servers.
+// startServers starts discovery and the servers, and lists the servers as ready.
 func (d *demoDeployment) startServers(ctx context.Context) (err error) {
 	d.discovery, err = fake.NewDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -138,15 +139,15 @@
 	return nil
 }
 
-// startClients starts the clients, each of which watches for some seconds and comes back. What it returns
-// ends them.
-func (d *demoDeployment) startClients(ctx context.Context) (leave func()) {
-	watching, stop := context.WithCancel(ctx)
+// startClients starts the clients, each of which opens connections one after the other, for some seconds
+// each. The function that it returns stops the clients and waits for them.
+func (d *demoDeployment) startClients(ctx context.Context) (stopClients func()) {
+	clientsCtx, stop := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	for i := range demoClients {
 		clients.Go(func() {
-			for n := 0; watching.Err() == nil; n++ {
-				d.watchOnce(watching, i, n)
+			for n := 0; clientsCtx.Err() == nil; n++ {
+				d.runConnection(clientsCtx, i, n)
 			}
 		})
 	}
@@ -156,8 +157,8 @@
 	}
 }
 
-// watchOnce is the n-th visit of client i, 2 to 7.3 s long.
-func (d *demoDeployment) watchOnce(ctx context.Context, i, n int) {
+// runConnection runs the n-th connection of client i, for 2 to 7.3 s.
+func (d *demoDeployment) runConnection(ctx context.Context, i, n int) {
 	length := time.Duration(2000+137*((i*7+n*11)%40)) * time.Millisecond
 	ctx, done := context.WithTimeout(ctx, length)
 	defer done()
@@ -171,25 +172,25 @@
 	v.Run(ctx)
 }
 
-// report returns the relay's time line.
+// report queries the relay for its time line.
 func (d *demoDeployment) report() (report.Report, error) {
 	all, err := control.QueryTimelines(d.socket, report.Query{})
 	if err != nil {
 		return report.Report{}, err
 	}
 	if len(all) == 0 {
-		return report.Report{}, errors.New("the relay has no time line")
+		return report.Report{}, errors.New("relay returned no time line")
 	}
 	return *all[0], nil
 }
 
-// stop shuts the relay down gracefully, and returns its error.
+// stop shuts the relay down gracefully and returns the error of lifecycle.Run.
 func (d *demoDeployment) stop() error {
 	d.signals <- syscall.SIGTERM
-	return <-d.ended
+	return <-d.exited
 }
 
-// killServers ends the servers at once. It may be called again.
+// killServers stops the servers at once. It may be called more than once.
 func (d *demoDeployment) killServers() {
 	for _, s := range d.servers {
 		s.Kill()
--- a/internal/command/demo_test.go
+++ b/internal/command/demo_test.go
@@ -8,21 +8,22 @@
 	"capersail/internal/observe/timeline"
 )
 
-// The demo's first phase is quiet: five servers, at a third of their load, reject fewer than one request in
-// twenty. It lasts until each client has come twice, so the clock has no part in the verdict.
-func TestQuietDemoRefusesFew(t *testing.T) {
+// In the demo's first phase nothing fails: five servers at a third of their capacity reject fewer than one
+// request in twenty. The phase lasts until the clients have made two requests each on average, so that the
+// result does not depend on the machine's speed.
+func TestUndisturbedDemoRejectsFewRequests(t *testing.T) {
 	ctx := t.Context()
 	deployment, err := startDemoDeployment(ctx, t.TempDir(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer deployment.killServers()
-	leave := deployment.startClients(ctx)
-	defer leave()
+	stopClients := deployment.startClients(ctx)
+	defer stopClients()
 	var placed, rejected uint32
 	var fleet timeline.Interval
 	for placed+rejected < 2*demoClients {
-		pause(ctx, 200*time.Millisecond)
+		sleepContext(ctx, 200*time.Millisecond)
 		r, err := deployment.report()
 		if err != nil {
 			t.Fatal(err)
@@ -40,10 +41,11 @@
 	}
 	t.Logf("placed %d, rejected %d:%s", placed, rejected, report.RejectionsByReason(fleet))
 	if rejected*20 >= placed {
-		t.Errorf("placed %d, rejected %d:%s", placed, rejected, report.RejectionsByReason(fleet))
+		t.Errorf("placed %d, rejected %d:%s; want fewer than 1 in 20 rejected",
+			placed, rejected, report.RejectionsByReason(fleet))
 	}
-	leave()
+	stopClients()
 	if err := deployment.stop(); err != nil {
-		t.Error(err)
+		t.Errorf("stopping the demo: %v", err)
 	}
 }
--- a/internal/command/doc.go
+++ b/internal/command/doc.go
@@ -1,8 +1,8 @@
-// Package command is the command line of the program: it reads arguments, runs the relay or asks a running
-// one, and prints. It owns the commands, their flags and help texts, and the exit codes; cmd/capersail calls
-// Main.
+// Package command implements the program's command line: it parses arguments, runs the relay or queries a
+// running one, and prints the result. It owns the commands, their flags and help texts, and the exit codes;
+// cmd/capersail calls Main.
 //
-// It decides nothing about requests: `serve` is lifecycle.Run, and the commands for operators go through
-// internal/control or read a store. Errors are lines on standard error; the exit code says what kind they
-// are.
+// The package makes no decision about requests: `serve` calls lifecycle.Run, and the commands for operators
+// query a relay through internal/control or read a store. Errors are printed as lines on standard error; the
+// exit code gives the kind of error.
 package command
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -20,17 +20,17 @@
 	"capersail/internal/fleet/membership"
 )
 
-// membersCommand returns the commands that ask a relay what it knows of the others.
+// membersCommand returns the commands that query a relay for what it knows of the other relays.
 func (p *Program) membersCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "members",
-		Short: "What a relay knows of the others",
-		Long: `What a relay knows of the others: who is there, how far they agree, and what share this relay takes.
-The relay is asked on its socket, named by --config (the file that the relay has as --members) or by
---socket.`,
+		Short: "What a relay knows of the other relays",
+		Long: `What a relay knows of the other relays: their states, whether they agree on the view, and this
+relay's budget share. The relay is queried on its control socket, given by --config (the file that the relay
+was started with as --members) or by --socket.`,
 	}
 	socket := addSocketFlags(c)
-	ask := func() (*membership.Report, *cells.Report, error) {
+	queryFleet := func() (*membership.Report, *cells.Report, error) {
 		path, err := socket()
 		if err != nil {
 			return nil, nil, err
@@ -43,40 +43,41 @@
 	}
 	list := &cobra.Command{
 		Use:   "list",
-		Short: "Every relay of its cell: its state, since when, how it is known, its share; then regions and cells",
-		Args:  checkArguments(cobra.NoArgs),
+		Short: "List the relays of its cell with state, age, source and budget share; then regions and cells",
+		Args:  validateArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
-			r, known, err := ask()
+			r, known, err := queryFleet()
 			if err != nil {
 				return err
 			}
 			return errors.Join(showMembers(p.Out, r), showCells(p.Out, r, known))
 		},
 	}
-	var every time.Duration
+	var interval time.Duration
 	watch := &cobra.Command{
 		Use:   "watch",
-		Short: "A line for each change, until interrupted",
-		Args:  checkArguments(cobra.NoArgs),
+		Short: "Print a line for each change, until interrupted",
+		Args:  validateArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			return p.watchMembers(ctx, ask, every)
+			return p.watchMembers(ctx, queryFleet, interval)
 		},
 	}
-	watch.Flags().DurationVar(&every, "every", 500*time.Millisecond, "how often the relay is asked")
+	watch.Flags().DurationVar(&interval, "every", 500*time.Millisecond, "interval between queries")
 	c.AddCommand(list, watch)
 	return c
 }
 
-// watchMembers prints a line for each change of a relay's answers until the context ends, or none comes.
+// watchMembers queries a relay at an interval and prints a line for each change. It returns nil when the
+// context ends, and an error when the relay does not answer.
 func (p *Program) watchMembers(
-	ctx context.Context, ask func() (*membership.Report, *cells.Report, error), every time.Duration,
+	ctx context.Context, queryFleet func() (*membership.Report, *cells.Report, error), interval time.Duration,
 ) error {
 	var last *membership.Report
 	var lastCells *cells.Report
 	for {
-		r, known, err := ask()
+		r, known, err := queryFleet()
 		if err != nil {
 			return err
 		}
@@ -88,37 +89,37 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// addSocketFlags gives a command the flags that say which relay is asked, and returns a function that finds
-// the path of its socket.
+// addSocketFlags adds the flags that select the relay to query, and returns a function that gives the path of
+// the relay's control socket.
 func addSocketFlags(c *cobra.Command) func() (string, error) {
 	var socket, config string
-	c.PersistentFlags().StringVar(&config, "config", "", "the relay's `file` for members")
-	c.PersistentFlags().StringVar(&socket, "socket", "", "`path` of a running relay's socket")
+	c.PersistentFlags().StringVar(&config, "config", "", "the relay's configuration `file` for members")
+	c.PersistentFlags().StringVar(&socket, "socket", "", "`path` of a running relay's control socket")
 	return func() (string, error) {
 		switch {
 		case socket != "":
 			return socket, nil
 		case config == "":
-			return "", usageError(fmt.Errorf("--config or --socket is wanted"))
+			return "", usageError(fmt.Errorf("no relay to query; set --config or --socket"))
 		}
 		var file struct{ Socket string }
 		if _, err := toml.DecodeFile(config, &file); err != nil {
 			return "", fmt.Errorf("%s: %w", config, err)
 		}
 		if file.Socket == "" {
-			return "", fmt.Errorf("%s: socket: not set, so the relay cannot be asked", config)
+			return "", fmt.Errorf("%s: socket: not set; the relay can be queried only with a socket", config)
 		}
 		return file.Socket, nil
 	}
 }
 
-// headline returns a relay's own state in a line.
-func headline(r *membership.Report) string {
+// relayHeadline returns one line with the relay's own state: phase, epoch, number of relays and budget share.
+func relayHeadline(r *membership.Report) string {
 	line := fmt.Sprintf("%s at %s: %s, epoch %d", r.Relay, r.Site, r.Phase, r.Epoch)
 	if r.Epoch > 0 {
 		line += " (" + r.ViewHash + ")"
@@ -130,9 +131,9 @@
 	return line
 }
 
-// showMembers prints a row for each relay.
+// showMembers prints the relay's own state, a row for each relay, and the counts of dropped packets.
 func showMembers(w io.Writer, r *membership.Report) error {
-	fmt.Fprintln(w, headline(r))
+	fmt.Fprintln(w, relayHeadline(r))
 	if r.SinceAgreedMs > 2000 {
 		fmt.Fprintf(w, "agreed last %s ago\n",
 			(time.Duration(r.SinceAgreedMs) * time.Millisecond).Round(time.Second))
@@ -149,7 +150,7 @@
 			view += ", voter"
 		}
 		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%s\t%s\t%.4f\t%.4f\t%d\t%d\t%.1f\t%d\t%s\n",
-			m.Name, m.State, ago(float64(m.StateAgeMs)), m.Lifecycle, m.Zone, view,
+			m.Name, m.State, roundedDuration(float64(m.StateAgeMs)), m.Lifecycle, m.Zone, view,
 			m.BudgetShare, max(m.BudgetShare, m.OutstandingLimit), m.Epoch, m.Incarnation,
 			m.RequestRate, m.OpenConnections, m.Source)
 	}
@@ -160,8 +161,8 @@
 	return nil
 }
 
-// showCounts prints a line of what was left out, by reason; none where nothing was.
-func showCounts(w io.Writer, what string, counts map[string]uint64) {
+// showCounts prints one line of counts by reason, after a label. It prints nothing if there are no counts.
+func showCounts(w io.Writer, label string, counts map[string]uint64) {
 	if len(counts) == 0 {
 		return
 	}
@@ -170,13 +171,13 @@
 		all = append(all, fmt.Sprintf("%s %d", reason, n))
 	}
 	sort.Strings(all)
-	fmt.Fprintln(w, what, strings.Join(all, ", "))
+	fmt.Fprintln(w, label, strings.Join(all, ", "))
 }
 
-// memberChanges returns the differences between two answers of a relay, a line each.
+// memberChanges returns one line for each difference between two member reports of a relay. old may be nil.
 func memberChanges(old, now *membership.Report) (lines []string) {
 	if old == nil || old.Phase != now.Phase || old.Epoch != now.Epoch || old.BudgetShare != now.BudgetShare {
-		lines = append(lines, headline(now))
+		lines = append(lines, relayHeadline(now))
 	}
 	before := map[string]membership.MemberReport{}
 	if old != nil {
@@ -202,7 +203,7 @@
 	return lines
 }
 
-func memberChanged(was, now membership.MemberReport) bool {
-	return was.State != now.State || was.Lifecycle != now.Lifecycle || was.Member != now.Member ||
-		was.Incarnation != now.Incarnation
+func memberChanged(old, now membership.MemberReport) bool {
+	return old.State != now.State || old.Lifecycle != now.Lifecycle || old.Member != now.Member ||
+		old.Incarnation != now.Incarnation
 }
--- a/internal/command/screen.go
+++ b/internal/command/screen.go
@@ -19,13 +19,13 @@
 func (p *Program) watchCommand(s *reportSource) *cobra.Command {
 	return &cobra.Command{
 		Use:   "watch [SERVER...]",
-		Short: "The fleet as it goes: a terminal interface, or events through a pipe",
-		Args:  checkArguments(cobra.ArbitraryArgs),
+		Short: "Watch the fleet in a terminal interface; print events if the output is no terminal",
+		Args:  validateArgs(cobra.ArbitraryArgs),
 		RunE: func(_ *cobra.Command, servers []string) error {
 			if f, ok := p.Out.(*os.File); !ok || !isatty.IsTerminal(f.Fd()) {
 				return s.follow(p.Out, servers)
 			}
-			if _, err := s.readReports(servers); err != nil { // one plain line rather than an empty screen
+			if _, err := s.readReports(servers); err != nil { // reported before the screen opens, as one line
 				return err
 			}
 			first := screen{source: s, servers: servers, width: 100, height: 30}
@@ -35,27 +35,27 @@
 	}
 }
 
-// screen is the terminal interface: the fleet, or one server of it in detail, and the latest events.
+// screen is the model of the terminal interface: the fleet with its latest events, or one server in detail.
 type screen struct {
 	source        *reportSource
-	servers       []string // that are shown; none for all
+	servers       []string // names of the servers to show; none for all
 	width, height int
-	selected      int  // the row of the selected server
-	detailed      bool // the selected server is shown in detail
+	selected      int  // index of the selected server in listedServers
+	showDetail    bool // the selected server is shown in detail
 	report        *report.Report
-	err           error // of the newest answer, nil for a good one
+	err           error // error of the latest query, nil if it succeeded
 }
 
-// reportMsg is an answer.
+// reportMsg carries the result of a query.
 type reportMsg struct {
 	report *report.Report
 	err    error
 }
 
-// reloadMsg says that it is time for the next answer.
+// reloadMsg triggers the next query.
 type reloadMsg time.Time
 
-// loadReport reads the next answer.
+// loadReport queries the report source and returns the result as a reportMsg.
 func (m screen) loadReport() tea.Msg {
 	all, err := m.source.readReports(m.servers)
 	if err != nil {
@@ -68,10 +68,10 @@
 	return tea.Tick(time.Second, func(t time.Time) tea.Msg { return reloadMsg(t) })
 }
 
-// Init is bubbletea's.
+// Init implements tea.Model: it starts the first query.
 func (m screen) Init() tea.Cmd { return m.loadReport }
 
-// Update is bubbletea's.
+// Update implements tea.Model: it handles window sizes, reports, the reload timer and keys.
 func (m screen) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -86,30 +86,30 @@
 	case reloadMsg:
 		return m, m.loadReport
 	case tea.KeyMsg:
-		return m.press(msg.String())
+		return m.handleKey(msg.String())
 	}
 	return m, nil
 }
 
-// press handles a key.
-func (m screen) press(key string) (tea.Model, tea.Cmd) {
+// handleKey handles a key press.
+func (m screen) handleKey(key string) (tea.Model, tea.Cmd) {
 	switch key {
 	case "q", "ctrl+c":
 		return m, tea.Quit
 	case "up", "k":
 		m.selected = max(0, m.selected-1)
 	case "down", "j":
-		m.selected = min(max(0, len(m.serverLines())-1), m.selected+1)
+		m.selected = min(max(0, len(m.listedServers())-1), m.selected+1)
 	case "enter", "right", "l":
-		m.detailed = true
+		m.showDetail = true
 	case "esc", "left", "h":
-		m.detailed = false
+		m.showDetail = false
 	}
 	return m, nil
 }
 
-// serverLines returns the servers of the newest answer, without the fleet's own line.
-func (m screen) serverLines() (all []report.Server) {
+// listedServers returns the servers of the latest report, without the entry that stands for the whole fleet.
+func (m screen) listedServers() (all []report.Server) {
 	if m.report == nil {
 		return nil
 	}
@@ -121,26 +121,26 @@
 	return all
 }
 
-// View is bubbletea's.
+// View implements tea.Model: it renders the fleet or the selected server, and a line that explains the keys.
 func (m screen) View() string {
 	var b bytes.Buffer
-	switch lines := m.serverLines(); {
+	switch servers := m.listedServers(); {
 	case m.report == nil:
-		fmt.Fprintln(&b, "asking ...")
-	case m.detailed && m.selected < len(lines):
-		one := *m.report
-		one.Servers = lines[m.selected : m.selected+1]
-		one.WriteDrawing(&b, max(20, m.width-50))
+		fmt.Fprintln(&b, "loading ...")
+	case m.showDetail && m.selected < len(servers):
+		detail := *m.report
+		detail.Servers = servers[m.selected : m.selected+1]
+		detail.WriteDrawing(&b, max(20, m.width-50))
 	default:
 		m.showFleet(&b)
 	}
 	if m.err != nil {
-		fmt.Fprintln(&b, "last answer is old:", m.err)
+		fmt.Fprintln(&b, "the latest query failed, so this report is old:", m.err)
 	}
-	return m.fit(b.String()) + "\nup/down choose, enter in depth, esc back, q quit"
+	return m.truncate(b.String()) + "\nup/down select, enter details, esc back, q quit"
 }
 
-// showFleet writes the rows round the selected one, and the latest events.
+// showFleet writes the rows around the selected server, and the latest events.
 func (m screen) showFleet(w io.Writer) {
 	const aroundRows, latestEvents = 12, 6
 	fmt.Fprintf(w, "%s  %s\n", m.report.Relay, report.FormatClock(m.report.At))
@@ -166,8 +166,8 @@
 	}
 }
 
-// fit cuts a text to the screen, but for its last line.
-func (m screen) fit(text string) string {
+// truncate cuts a text to the screen's width and height, less one line for the explanation of the keys.
+func (m screen) truncate(text string) string {
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	if len(lines) > m.height-1 {
 		lines = lines[:m.height-1]
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -22,36 +22,36 @@
 	"capersail/internal/store"
 )
 
-// reportSource says where reports of time lines are read, and which part of them.
+// reportSource selects where time line reports are read from, and for which period.
 type reportSource struct {
 	config, socket, store string
 	since                 time.Duration
 	from, to              string
 }
 
-// timelineCommand returns the commands that read time lines.
+// timelineCommand returns the commands that read time lines from a relay or a store.
 func (p *Program) timelineCommand() *cobra.Command {
 	var s reportSource
 	c := &cobra.Command{
 		Use:   "timeline",
-		Short: "What servers did, and what was decided about them",
-		Long: `What servers did, and what was decided about them. A running relay is asked on its socket; if none
-answers, its store is read. Both are named by --config (the file that the relay has as --timeline), or by
---socket and --store.`,
+		Short: "History of servers and of the relay's decisions about them",
+		Long: `History of servers and of the relay's decisions about them. A running relay is queried on its
+control socket; if no relay answers, its store is read. Both paths are given by --config (the file that the
+relay was started with as --timeline), or by --socket and --store.`,
 	}
 	flags := c.PersistentFlags()
-	flags.StringVar(&s.config, "config", "", "the relay's `file` for time lines")
-	flags.StringVar(&s.socket, "socket", "", "`path` of a running relay's socket")
-	flags.StringVar(&s.store, "store", "", "`path` of a store")
-	flags.DurationVar(&s.since, "since", 0, "only the last so long, such as 90m")
-	flags.StringVar(&s.from, "from", "", "only from this `time` on: 2026-12-01T04:30:00Z, or Unix ms")
+	flags.StringVar(&s.config, "config", "", "the relay's configuration `file` for time lines")
+	flags.StringVar(&s.socket, "socket", "", "`path` of a running relay's control socket")
+	flags.StringVar(&s.store, "store", "", "`path` of a time line store")
+	flags.DurationVar(&s.since, "since", 0, "only the latest period of this length, such as 90m")
+	flags.StringVar(&s.from, "from", "", "only from this `time`: RFC 3339 (2026-12-01T04:30:00Z) or Unix ms")
 	flags.StringVar(&s.to, "to", "", "only up to this `time`")
 	list := &cobra.Command{
 		Use:   "list",
-		Short: "One line a server",
-		Args:  checkArguments(cobra.NoArgs),
+		Short: "Print one line per server",
+		Args:  validateArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
-			return s.eachReport(nil, func(r *report.Report) error { return r.WriteList(p.Out) })
+			return s.forEachReport(nil, func(r *report.Report) error { return r.WriteList(p.Out) })
 		},
 	}
 	c.AddCommand(list, p.showCommand(&s), p.eventsCommand(&s), p.watchCommand(&s), p.exportCommand(&s))
@@ -62,13 +62,14 @@
 	width := 60
 	c := &cobra.Command{
 		Use:   "show [SERVER...]",
-		Short: "A line drawn in the terminal",
-		Args:  checkArguments(cobra.ArbitraryArgs),
+		Short: "Draw the time lines of servers in the terminal",
+		Args:  validateArgs(cobra.ArbitraryArgs),
 		RunE: func(_ *cobra.Command, servers []string) error {
-			return s.eachReport(servers, func(r *report.Report) error { return r.WriteDrawing(p.Out, width) })
+			return s.forEachReport(servers,
+				func(r *report.Report) error { return r.WriteDrawing(p.Out, width) })
 		},
 	}
-	c.Flags().IntVar(&width, "width", width, "characters for the load")
+	c.Flags().IntVar(&width, "width", width, "width of the load graph in characters")
 	return c
 }
 
@@ -76,19 +77,19 @@
 	var follow bool
 	c := &cobra.Command{
 		Use:   "events [SERVER...]",
-		Short: "Anomalies of servers",
-		Args:  checkArguments(cobra.ArbitraryArgs),
+		Short: "Print anomalies of servers",
+		Args:  validateArgs(cobra.ArbitraryArgs),
 		RunE: func(_ *cobra.Command, servers []string) error {
 			if follow {
 				return s.follow(p.Out, servers)
 			}
-			return s.eachReport(servers, func(r *report.Report) error {
+			return s.forEachReport(servers, func(r *report.Report) error {
 				printEvents(p.Out, r)
 				return nil
 			})
 		},
 	}
-	c.Flags().BoolVarP(&follow, "follow", "f", false, "go on with events as they come")
+	c.Flags().BoolVarP(&follow, "follow", "f", false, "keep running and print new events as they occur")
 	return c
 }
 
@@ -98,8 +99,8 @@
 	}
 }
 
-// eachReport calls f with each report of servers, all servers if none is named.
-func (s *reportSource) eachReport(servers []string, f func(*report.Report) error) error {
+// forEachReport calls f with each report of the named servers, or of all servers if none is named.
+func (s *reportSource) forEachReport(servers []string, f func(*report.Report) error) error {
 	all, err := s.readReports(servers)
 	if err != nil {
 		return err
@@ -116,8 +117,8 @@
 	var format, out string
 	c := &cobra.Command{
 		Use:   "export [SERVER...]",
-		Short: "Write JSON lines, CSV, or a picture (PNG, SVG)",
-		Args:  checkArguments(cobra.ArbitraryArgs),
+		Short: "Write time lines as JSON lines, CSV, or a chart (PNG, SVG)",
+		Args:  validateArgs(cobra.ArbitraryArgs),
 		RunE: func(_ *cobra.Command, servers []string) error {
 			if format == "" {
 				format = strings.TrimPrefix(filepath.Ext(out), ".")
@@ -136,12 +137,12 @@
 			return writeReport(out, all[0], write)
 		},
 	}
-	c.Flags().StringVar(&format, "format", "", "json, csv, png or svg; else by the output's name")
-	c.Flags().StringVarP(&out, "output", "o", "", "`file`; standard output without it")
+	c.Flags().StringVar(&format, "format", "", "json, csv, png or svg; the output's extension if not set")
+	c.Flags().StringVarP(&out, "output", "o", "", "output `file`; standard output if not set")
 	return c
 }
 
-// reportWriter returns what writes a report in a format. It fails for a format that there is not.
+// reportWriter returns the function that writes a report in a format. It fails for an unknown format.
 func reportWriter(format string) (func(io.Writer, *report.Report) error, error) {
 	switch format {
 	case "json", "jsonl":
@@ -151,10 +152,10 @@
 	case "png", "svg":
 		return func(w io.Writer, r *report.Report) error { return chart.Write(w, r, format) }, nil
 	}
-	return nil, usageError(fmt.Errorf("format: %q is none of json, csv, png, svg", format))
+	return nil, usageError(fmt.Errorf("format: unknown format %q; want json, csv, png or svg", format))
 }
 
-// writeReport writes a report to a file, and leaves none if that fails.
+// writeReport writes a report to a file. It removes the file if writing fails.
 func writeReport(path string, r *report.Report, write func(io.Writer, *report.Report) error) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -168,9 +169,9 @@
 	return f.Close()
 }
 
-// resolve takes socket and store from the configuration where they are not named. It fails if neither is
-// known.
-func (s *reportSource) resolve() error {
+// resolvePaths takes the paths of the socket and the store from the configuration file, where flags don't set
+// them. It fails if neither path is known.
+func (s *reportSource) resolvePaths() error {
 	if s.config != "" {
 		t, err := lifecycle.ReadTimelineConfig(s.config)
 		if err != nil {
@@ -184,12 +185,13 @@
 		}
 	}
 	if s.socket == "" && s.store == "" {
-		return usageError(errors.New("one of --config, --socket and --store is wanted"))
+		return usageError(errors.New("no relay or store to read; set one of --config, --socket and --store"))
 	}
 	return nil
 }
 
-// parseTime reads a time, as RFC 3339 or in Unix ms, and returns it in Unix ms; 0 for "". name is the flag's.
+// parseTime parses the value of the flag name, a time in RFC 3339 or Unix ms, and returns it in Unix ms. It
+// returns 0 for "".
 func parseTime(name, text string) (float64, error) {
 	if text == "" {
 		return 0, nil
@@ -199,14 +201,14 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		err := fmt.Errorf("%s: %q is neither a time like 2026-12-01T04:30:00Z nor Unix ms", name, text)
+		err := fmt.Errorf("%s: invalid time %q; want RFC 3339 (2026-12-01T04:30:00Z) or Unix ms", name, text)
 		return 0, usageError(err)
 	}
 	return float64(t.UnixMilli()), nil
 }
 
-// query returns what is asked for by the flags.
-func (s *reportSource) query(servers []string) (q report.Query, err error) {
+// buildQuery returns the query for the named servers and the period that the flags select.
+func (s *reportSource) buildQuery(servers []string) (q report.Query, err error) {
 	q.Servers = servers
 	if q.From, err = parseTime("from", s.from); err != nil {
 		return q, err
@@ -220,12 +222,12 @@
 	return q, nil
 }
 
-// readReports asks the relay, and reads the store if none answers.
+// readReports queries the relay, and reads the store if no relay answers.
 func (s *reportSource) readReports(servers []string) ([]*report.Report, error) {
-	if err := s.resolve(); err != nil {
+	if err := s.resolvePaths(); err != nil {
 		return nil, err
 	}
-	q, err := s.query(servers)
+	q, err := s.buildQuery(servers)
 	if err != nil {
 		return nil, err
 	}
@@ -255,12 +257,12 @@
 	return []*report.Report{r}, nil
 }
 
-// follow prints the events that there are, and further ones as they come.
+// follow prints the relay's recorded events, and then new events as they occur.
 func (s *reportSource) follow(w io.Writer, servers []string) error {
-	if err := s.resolve(); err != nil {
+	if err := s.resolvePaths(); err != nil {
 		return err
 	}
-	q, err := s.query(servers)
+	q, err := s.buildQuery(servers)
 	if err != nil {
 		return err
 	}
