--- a/internal/simulation/capacity/burst_test.go
+++ b/internal/simulation/capacity/burst_test.go
@@ -12,17 +12,17 @@
 // reads each line as well.
 func TestBurstOfDeliveries(t *testing.T) {
 	sizes, bursts := []int{100}, 3
-	if longRun() {
+	if isLongRun() {
 		sizes, bursts = []int{273, 546, 1091, 2182}, 20
 	}
 	for _, n := range sizes {
-		discovery, running := startServers(t, servers, servers)
+		discovery, running := startServers(t, serverCount, serverCount)
 		r := startRelay(t, discovery)
 		clients := openClients(t, r.address, nil, n)
 		var took, last []time.Duration
 		before := r.processorTime()
 		for range bursts {
-			each := burst(t, running, clients)
+			each := sendBurst(t, running, clients)
 			took = append(took, each...)
 			last = append(last, slices.Max(each))
 			time.Sleep(100 * time.Millisecond)
@@ -38,7 +38,7 @@
 }
 
 // burst has all servers send a line to all clients at once, and returns how long it took to each.
-func burst(t *testing.T, running []*echoServer, clients []*client) []time.Duration {
+func sendBurst(t *testing.T, running []*echoServer, clients []*client) []time.Duration {
 	t.Helper()
 	took := make([]time.Duration, len(clients))
 	var ends sync.WaitGroup
--- a/internal/simulation/capacity/capacity.go
+++ b/internal/simulation/capacity/capacity.go
@@ -50,7 +50,7 @@
 
 // Reaches returns the size at which the cost comes to a limit, 0 where it is over it from the start, +Inf
 // where it never does.
-func (l Line) Reaches(limit float64) float64 {
+func (l Line) SizeAt(limit float64) float64 {
 	switch {
 	case l.Constant >= limit:
 		return 0
--- a/internal/simulation/capacity/capacity_test.go
+++ b/internal/simulation/capacity/capacity_test.go
@@ -23,7 +23,7 @@
 }
 
 // A line comes to a limit where it says, at 0 if it begins over it, and never if it does not rise.
-func TestReaches(t *testing.T) {
+func TestSizeAt(t *testing.T) {
 	for _, c := range []struct {
 		line        Line
 		limit, want float64
@@ -33,7 +33,7 @@
 		{Line{-1, 10}, 30, math.Inf(1)},
 		{Line{1, 40}, 30, 0},
 	} {
-		if got := c.line.Reaches(c.limit); got != c.want {
+		if got := c.line.SizeAt(c.limit); got != c.want {
 			t.Errorf("%+v reaches %v at %v, want %v", c.line, c.limit, got, c.want)
 		}
 	}
--- a/internal/simulation/capacity/connections_test.go
+++ b/internal/simulation/capacity/connections_test.go
@@ -16,9 +16,9 @@
 	// maxConnectionBytes of heap and stacks may a connection cost: a leaked buffer would show.
 	maxConnectionBytes = 64 << 10
 
-	servers     = 4
-	openAtOnce  = 64
-	echoTimeout = 30 * time.Second
+	serverCount        = 4
+	maxConcurrentOpens = 64
+	echoTimeout        = 30 * time.Second
 )
 
 // client is a client with an open connection.
@@ -34,7 +34,7 @@
 	first := len(clients)
 	clients = append(clients, make([]*client, until-first)...)
 	var opening sync.WaitGroup
-	slots := make(chan struct{}, openAtOnce)
+	slots := make(chan struct{}, maxConcurrentOpens)
 	for i := first; i < until; i++ {
 		slots <- struct{}{}
 		opening.Go(func() {
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	conn.SetDeadline(time.Now().Add(echoTimeout))
-	fmt.Fprintf(conn, "OPEN c%d %x c=map-stream,t=acme,at=s%d\r\n", i, i, i%servers)
+	fmt.Fprintf(conn, "OPEN c%d %x c=map-stream,t=acme,at=s%d\r\n", i, i, i%serverCount)
 	c := &client{conn, bufio.NewReaderSize(conn, 512)}
 	line, err := c.in.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "UP") {
@@ -163,10 +163,10 @@
 // them, and holds descriptors and memory to what they may be.
 func TestCostOfOpenConnections(t *testing.T) {
 	sizes, rest := []int{50, 100, 200}, 200*time.Millisecond
-	if longRun() {
+	if isLongRun() {
 		sizes, rest = []int{1000, 2000, 4000, 8000}, 10*time.Second
 	}
-	r := startRelay(t, startDiscovery(t, servers, servers))
+	r := startRelay(t, startDiscovery(t, serverCount, serverCount))
 	var clients []*client
 	defer func() { closeClients(clients) }()
 	var costs connectionCosts
@@ -243,11 +243,11 @@
 // second.
 func TestCostOfLines(t *testing.T) {
 	connections, watch, rates := 100, time.Second, []float64{200, 400, 800} // lines a second
-	if longRun() {
+	if isLongRun() {
 		connections, watch = 4000, 10*time.Second
 		rates = []float64{2000, 4000, 8000, 16_000, 24_000, 32_000, 48_000}
 	}
-	r := startRelay(t, startDiscovery(t, servers, servers))
+	r := startRelay(t, startDiscovery(t, serverCount, serverCount))
 	clients := openClients(t, r.address, nil, connections)
 	defer closeClients(clients)
 	var cores []Point
--- a/internal/simulation/capacity/decisions_test.go
+++ b/internal/simulation/capacity/decisions_test.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	enoughQuota = 1 << 24 // connections of a tenant: no request is rejected by its quota
-	groupCount  = 5000
+	unlimitedQuota = 1 << 24 // connections of a tenant: no request is rejected by its quota
+	groupCount     = 5000
 )
 
 func newLoadedBalancer(servers, connections int) *loadedBalancer {
@@ -43,7 +43,7 @@
 			Deadline:         3200 * time.Millisecond,
 			PriorityWeight:   1,
 		}},
-		Tenants: []decide.TenantInfo{{ServiceShare: 1, ConnectionQuota: enoughQuota}},
+		Tenants: []decide.TenantInfo{{ServiceShare: 1, ConnectionQuota: unlimitedQuota}},
 		Rules: decide.Rules{
 			PollDeadline:      10 * time.Second,
 			SlowStartCapacity: 0.36,
@@ -71,13 +71,13 @@
 		request := decide.Request{ID: b.lastID, TimeLeft: time.Hour, Group: 1 + uint64(i%groupCount)}
 		server := decide.ServerID(i % servers)
 		b.handle(decide.Inherited{Request: request, Server: server})
-		b.hold(b.lastID, server)
+		b.recordOpen(b.lastID, server)
 	}
 	return b
 }
 
 // hold records an open connection.
-func (b *loadedBalancer) hold(id decide.RequestID, server decide.ServerID) {
+func (b *loadedBalancer) recordOpen(id decide.RequestID, server decide.ServerID) {
 	b.connections = append(b.connections, connection{id, server})
 	b.openByServer[server]++
 }
@@ -101,7 +101,7 @@
 		case decide.Forward:
 			opened := decide.Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * time.Millisecond}
 			b.actions = b.balancer.Handle(b.now, opened, b.actions)
-			b.hold(a.ID, a.Server)
+			b.recordOpen(a.ID, a.Server)
 		}
 	}
 	b.actions = b.actions[:0]
@@ -134,7 +134,7 @@
 func TestCostOfDecisions(t *testing.T) {
 	type size struct{ servers, connections int }
 	sizes, steps := []size{{10, 500}, {100, 500}, {100, 2000}}, 300
-	if longRun() {
+	if isLongRun() {
 		sizes = []size{
 			{10, 10_000}, {90, 10_000}, {330, 10_000}, {1000, 10_000}, {5000, 10_000},
 			{330, 1000}, {330, 20_000}, {330, 52_000}, {330, 75_000},
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -16,19 +16,19 @@
 )
 
 // noServers is a server side and a discovery that do nothing.
-type noServers struct{}
+type noopBackend struct{}
 
 // StartAttempt is relay.ServerDialer's.
-func (noServers) StartAttempt(*relay.Request, relay.Attempt) {}
+func (noopBackend) StartAttempt(*relay.Request, relay.Attempt) {}
 
 // Probe is relay.ServerDialer's.
-func (noServers) Probe(_ relay.Server, _ func(decide.Status, decide.LoadReport)) {}
+func (noopBackend) Probe(_ relay.Server, _ func(decide.Status, decide.LoadReport)) {}
 
 // Watch is relay.Discovery's.
-func (noServers) Watch() {}
+func (noopBackend) Watch() {}
 
 // Fetch is relay.Discovery's.
-func (noServers) Fetch() {}
+func (noopBackend) Fetch() {}
 
 // listText returns endpoints, numbered from one up to another, as discovery sends them.
 func listText(complete bool, from, until int, lifecycle string) string {
@@ -63,8 +63,8 @@
 			}},
 		},
 	}
-	table := relay.NewRequestTable(deployment, relay.NewClock(), noServers{})
-	return &listReader{table, relay.NewEventLoop(table, 7, noServers{}, zerolog.Nop())}
+	table := relay.NewRequestTable(deployment, relay.NewClock(), noopBackend{})
+	return &listReader{table, relay.NewEventLoop(table, 7, noopBackend{}, zerolog.Nop())}
 }
 
 // apply has the event loop parse and apply an endpoint list or an event of it.
@@ -94,7 +94,7 @@
 // and apply, heap; and a change of one server, which must not grow with the list.
 func TestCostOfLists(t *testing.T) {
 	sizes, rounds := []int{100, 200, 400}, 5
-	if longRun() {
+	if isLongRun() {
 		sizes, rounds = []int{90, 330, 1000, 2500, 5000}, 40
 	}
 	var bytes, snapshot, delta, heap []Point
--- a/internal/simulation/capacity/page_test.go
+++ b/internal/simulation/capacity/page_test.go
@@ -11,7 +11,7 @@
 const (
 	pagePath = "../../../docs/CAPACITY.md"
 	// rounding is how far a figure of the page may be from its own sum, as it has three digits.
-	rounding = 0.01
+	roundingTolerance = 0.01
 )
 
 // row is one line of a table, by its column's heading.
@@ -57,7 +57,7 @@
 
 // isNear reports whether a figure is its sum, but for rounding.
 func isNear(figure, sum float64) bool {
-	return math.Abs(figure-sum) <= rounding*math.Abs(sum) || math.Abs(figure-sum) < 1e-9
+	return math.Abs(figure-sum) <= roundingTolerance*math.Abs(sum) || math.Abs(figure-sum) < 1e-9
 }
 
 // What the page works out is slope x size + constant, for both sizes.
--- a/internal/simulation/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -24,18 +24,18 @@
 )
 
 const (
-	runAsRelay = "CAPERSAIL_CAPACITY_RELAY" // set where the test binary stands for the program
-	tickHertz  = 100                        // of the times in /proc/PID/stat
-	waitLimit  = 60 * time.Second
+	runAsRelayEnv = "CAPERSAIL_CAPACITY_RELAY" // set where the test binary stands for the program
+	tickHertz     = 100                        // of the times in /proc/PID/stat
+	waitTimeout   = 60 * time.Second
 )
 
 // longRun reports whether the sizes of the page are to be measured, and not CI's.
-func longRun() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
+func isLongRun() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
 // TestMain has the test binary be the program itself where the environment asks for it. It then writes its
 // heap to standard output at each SIGUSR1.
 func TestMain(m *testing.M) {
-	if os.Getenv(runAsRelay) != "1" {
+	if os.Getenv(runAsRelayEnv) != "1" {
 		os.Exit(m.Run())
 	}
 	caught := make(chan os.Signal, 8)
@@ -132,7 +132,7 @@
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], more...)
 	config := writeConfig(t, discovery)
-	cmd.Env = append(os.Environ(), runAsRelay+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
+	cmd.Env = append(os.Environ(), runAsRelayEnv+"=1", "LB_CONFIG="+config, "TMPDIR="+t.TempDir())
 	r := &relayProcess{
 		t:     t,
 		log:   &logCounter{addresses: map[string]string{}, ready: make(chan struct{})},
@@ -161,7 +161,7 @@
 	case <-r.log.ready:
 	case <-r.ended:
 		t.Fatal("the relay ended before it served")
-	case <-time.After(waitLimit):
+	case <-time.After(waitTimeout):
 		t.Fatal("the relay does not serve")
 	}
 	r.address = r.log.addresses["listen"]
--- a/internal/simulation/capacity/rest_test.go
+++ b/internal/simulation/capacity/rest_test.go
@@ -68,7 +68,7 @@
 // awaitLines waits until the log has more than so many lines.
 func (r *relayProcess) awaitLines(lines int) {
 	r.t.Helper()
-	for until := time.Now().Add(waitLimit); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		if _, now := r.log.count(); now > lines {
 			return
 		}
@@ -86,7 +86,7 @@
 // of its figures; one reload. It holds the log and the figures to what they may be.
 func TestRelayAtRest(t *testing.T) {
 	setups, watch, times := []restSetup{{10, false}, {100, false}, {10, true}}, 500*time.Millisecond, 20
-	if longRun() {
+	if isLongRun() {
 		setups = []restSetup{
 			{10, false}, {90, false}, {330, false}, {1000, false}, {5000, false}, {10, true}, {330, true},
 		}
@@ -97,7 +97,7 @@
 		if setup.members {
 			flags = membersFlag(t)
 		}
-		r := startRelay(t, startDiscovery(t, setup.servers, min(setup.servers, servers)), flags...)
+		r := startRelay(t, startDiscovery(t, setup.servers, min(setup.servers, serverCount)), flags...)
 		time.Sleep(watch / 10) // until the start is over
 		t.Logf("%d servers listed, members %v:", setup.servers, setup.members)
 		r.checkRest(watch)
--- a/internal/simulation/capacity/shutdown_test.go
+++ b/internal/simulation/capacity/shutdown_test.go
@@ -12,11 +12,11 @@
 // Measures what a graceful shutdown costs a relay, and checks that each client is migrated with MOVE.
 func TestCostOfGracefulShutdown(t *testing.T) {
 	sizes := []int{50, 200}
-	if longRun() {
+	if isLongRun() {
 		sizes = []int{1000, 2000, 4000}
 	}
 	for _, n := range sizes {
-		r := startRelay(t, startDiscovery(t, servers, servers))
+		r := startRelay(t, startDiscovery(t, serverCount, serverCount))
 		clients := openClients(t, r.address, nil, n)
 		before := r.processorTime()
 		startedAt := time.Now()
--- a/internal/simulation/model/client.go
+++ b/internal/simulation/model/client.go
@@ -37,18 +37,18 @@
 }
 
 // Arrivals brings so many clients a second from now on.
-func (f *Fleet) Arrivals(rate float64, until time.Duration) {
+func (f *Fleet) ScheduleArrivals(rate float64, until time.Duration) {
 	f.After(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		if f.Now < until {
 			f.newClient()
-			f.Arrivals(rate, until)
+			f.ScheduleArrivals(rate, until)
 		}
 	})
 }
 
 // OpenAll puts connections on the first servers as they stood before the fleet's day, evenly through all
 // relays.
-func (f *Fleet) OpenAll(n, servers int) {
+func (f *Fleet) OpenConnections(n, servers int) {
 	for i := range n {
 		group := 1 + f.rng.IntN(f.groups) // each on two servers
 		at := (2*group + i%2) % servers
@@ -72,21 +72,21 @@
 func (f *Fleet) openRequest(c *client) {
 	r := f.pickRelay()
 	if r == nil {
-		f.After(f.Between(100*ms, 300*ms), func() { f.openRequest(c) })
+		f.After(f.RandomDuration(100*ms, 300*ms), func() { f.openRequest(c) })
 		return
 	}
 	f.count("asks")
 	f.lastID++
 	c.req.ID, c.relay, c.attempt = f.lastID, r, 0
 	f.requests[c.req.ID] = c
-	r.arrived++
+	r.arrivedRequests++
 	f.deliver(r, r.incarnation, c.req)
 }
 
 // pickRelay draws a relay that is up, by weight.
 func (f *Fleet) pickRelay() *Relay {
 	sum := 0.0
-	ok := func(r *Relay) bool { return r.up && (f.FrontAllows == nil || f.FrontAllows(r)) }
+	ok := func(r *Relay) bool { return r.up && (f.FrontAdmits == nil || f.FrontAdmits(r)) }
 	for _, r := range f.Relays {
 		if ok(r) {
 			sum += r.Weight
@@ -105,7 +105,7 @@
 }
 
 // returnDelay draws how long a client takes to come again once its connection has ended.
-func (f *Fleet) returnDelay() time.Duration { return f.Between(170*ms, 1400*ms) }
+func (f *Fleet) returnDelay() time.Duration { return f.RandomDuration(170*ms, 1400*ms) }
 
 // reconnectLater brings a client back to any relay that is up.
 func (f *Fleet) reconnectLater(c *client, after time.Duration) {
@@ -129,7 +129,7 @@
 func (f *Fleet) EmptyRelay(r *Relay, within time.Duration) {
 	for _, c := range f.sortedClients() {
 		if c.relay == r && c.server != nil {
-			f.After(f.Between(within/8, within), func() {
+			f.After(f.RandomDuration(within/8, within), func() {
 				if c.relay == r {
 					f.migrate(c, c.server)
 				}
--- a/internal/simulation/model/cold_test.go
+++ b/internal/simulation/model/cold_test.go
@@ -11,7 +11,7 @@
 // also where most of them have just been restarted in the middle of a release and their clients come again:
 // each relay draws its part, and the draws add up by chance only. The spread is over seeds; beyond N two
 // roots of N and two are put down to chance, and none of these runs uses them up.
-func TestColdBudgetByNumberOfRelays(t *testing.T) {
+func TestSlowStartBudgetByNumberOfRelays(t *testing.T) {
 	sizes := []int{1, 3, 20, 30}
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
 		sizes = append(sizes, 300)
@@ -22,25 +22,25 @@
 				var spent []float64
 				sends, allowed := 0, 0
 				for seed := range uint64(12) {
-					f := fleet(t, Config{Seed: seed, Relays: relays, Servers: 12, Connections: conns,
+					f := newTestFleet(t, Config{Seed: seed, Relays: relays, Servers: 12, Connections: conns,
 						Utilisation: 0.45,
 						GroupWork:   groups})
-					f.Begin()
+					f.StartAll()
 					f.Advance(9 * time.Second)
 					for i := range 6 {
 						f.After(time.Duration(i)*time.Second, func() {
-							f.Replace(f.Servers[i],
+							f.ReplaceServer(f.Servers[i],
 								3*time.Second)
 						})
 					}
 					f.Advance(4500 * ms) // two are replaced, and in slow start
 					most := f.Relays[:(relays*7+9)/10]
 					for _, r := range most {
-						f.Kill(r)
+						f.KillRelay(r)
 					}
 					f.Advance(500 * ms)
 					for _, r := range most {
-						f.Start(r, f.List())
+						f.StartRelay(r, f.EndpointList())
 					}
 					f.Advance(14 * time.Second)
 					spent = append(spent, f.Tally.SlowStartOverrun)
@@ -49,7 +49,7 @@
 							sends++
 						}
 					}
-					if f.Tally.LatestDrainSend > 500*ms {
+					if f.Tally.LatestDrainForward > 500*ms {
 						t.Errorf("%d relays, seed %d: %v", relays, seed, &f.Tally)
 					}
 				}
--- a/internal/simulation/model/discovery.go
+++ b/internal/simulation/model/discovery.go
@@ -16,18 +16,18 @@
 }
 
 // List is the list of servers as discovery has it.
-func (f *Fleet) List() []decide.Endpoint { return slices.Clone(f.discovery.list) }
+func (f *Fleet) EndpointList() []decide.Endpoint { return slices.Clone(f.discovery.list) }
 
 // Announce tells discovery, and a while later all who watch.
-func (f *Fleet) Announce(s *Server, mode decide.EndpointState) {
+func (f *Fleet) AnnounceServer(s *Server, mode decide.EndpointState) {
 	if s.State = mode; mode == decide.Ready && len(s.connections) == 0 {
 		s.idleSince = f.Now
 	}
 	f.discovery.list[s.Server] = s.Endpoint
 	for _, r := range f.Relays {
-		if life := r.incarnation; r.up && r.watches {
+		if life := r.incarnation; r.up && r.watching {
 			changed := []decide.Endpoint{s.Endpoint}
-			f.After(f.Between(20*ms, 400*ms), func() {
+			f.After(f.RandomDuration(20*ms, 400*ms), func() {
 				if r.up && r.incarnation == life {
 					f.deliverList(r, decide.Delta, changed)
 				}
@@ -49,8 +49,8 @@
 	}
 	f.After(wait, func() {
 		if r.up && r.incarnation == life {
-			r.watches = true
-			f.deliverList(r, decide.Snapshot, f.List())
+			r.watching = true
+			f.deliverList(r, decide.Snapshot, f.EndpointList())
 		}
 	})
 }
--- a/internal/simulation/model/figures_test.go
+++ b/internal/simulation/model/figures_test.go
@@ -12,27 +12,27 @@
 
 // What relays send to servers between two readings is summed where they tell it. Where it is guessed,
 // servers are overdriven while six in ten are replaced, and loads lie further apart in the calm.
-func TestPlacementsAreSummedNotGuessed(t *testing.T) {
+func TestSharedPlacementsBeatGuessedOnes(t *testing.T) {
 	var load, hot, worst [2]float64 // guessed, summed
 	const seeds = 3
 	for seed := range uint64(seeds) {
 		for i, guess := range []bool{true, false} {
-			f := fleet(t, Config{Seed: seed, Relays: 60, Servers: 12, Connections: 1200, Utilisation: 0.6,
+			f := newTestFleet(t, Config{Seed: seed, Relays: 60, Servers: 12, Connections: 1200, Utilisation: 0.6,
 				Peering: true, GuessPlacements: guess})
-			f.Begin()
-			f.settle(t, 20*time.Second, "at first")
+			f.StartAll()
+			f.awaitAgreement(t, 20*time.Second, "at first")
 			f.Advance(5 * time.Second)
 			for range 100 {
 				f.Advance(100 * ms)
-				load[i] += f.fullest() / 100 / seeds
+				load[i] += f.maxRelativeLoad() / 100 / seeds
 			}
-			f.Tally.Overloaded, f.Tally.Served = 0, 0
-			troubles["six in ten servers replaced within 7 s"](f)
+			f.Tally.OverloadedTime, f.Tally.ServedTime = 0, 0
+			faultScenarios["six in ten servers replaced within 7 s"](f)
 			for range 60 {
 				f.Advance(100 * ms)
-				worst[i] = max(worst[i], f.fullest())
+				worst[i] = max(worst[i], f.maxRelativeLoad())
 			}
-			hot[i] += f.Tally.OverloadedPart() / seeds
+			hot[i] += f.Tally.OverloadedFraction() / seeds
 		}
 	}
 	t.Logf("guessed: fullest server at %.3f of the mean in the calm, %.2f after a release, overdriven %.4f of the time; summed: %.3f, %.2f, %.4f",
@@ -53,11 +53,11 @@
 	for _, n := range sizes {
 		var each [2]float64
 		for i, talk := range []bool{true, false} {
-			f := fleet(t, Config{Seed: 3, Relays: n, Servers: 30, Connections: 3000, Utilisation: 0.5,
+			f := newTestFleet(t, Config{Seed: 3, Relays: n, Servers: 30, Connections: 3000, Utilisation: 0.5,
 				Peering: talk})
-			f.Begin()
+			f.StartAll()
 			if talk {
-				f.settle(t, 30*time.Second, "at first")
+				f.awaitAgreement(t, 30*time.Second, "at first")
 			}
 			f.Advance(6 * time.Second)
 			before := f.Tally.Counts["probes"]
--- a/internal/simulation/model/many_test.go
+++ b/internal/simulation/model/many_test.go
@@ -13,7 +13,7 @@
 )
 
 // agreed tells whether all that run hold one view of just them, every share at its target.
-func (f *Fleet) agreed() error {
+func (f *Fleet) checkAgreement() error {
 	var ref *membership.View
 	up := 0
 	for _, r := range f.Relays {
@@ -36,10 +36,10 @@
 }
 
 // settle lets time pass until all agree.
-func (f *Fleet) settle(t testing.TB, within time.Duration, when string) {
+func (f *Fleet) awaitAgreement(t testing.TB, within time.Duration, when string) {
 	t.Helper()
 	for until := f.Now + within; ; f.Advance(100 * ms) {
-		err := f.agreed()
+		err := f.checkAgreement()
 		if err == nil {
 			return
 		}
@@ -51,7 +51,7 @@
 
 // spread is the most that a server got of what came in a stretch, over its fair part of what all servers
 // can do, and the most probes a second at one.
-func (f *Fleet) spread(over time.Duration) (most, probes float64) {
+func (f *Fleet) placementSpread(over time.Duration) (most, probes float64) {
 	placed, probed := make([]int, len(f.Servers)), make([]int, len(f.Servers))
 	for i, s := range f.Servers {
 		placed[i], probed[i] = s.Placed, s.Probes
@@ -74,7 +74,7 @@
 }
 
 // fullest is the load of the server that has most of it, over the mean.
-func (f *Fleet) fullest() (most float64) {
+func (f *Fleet) maxRelativeLoad() (most float64) {
 	sum, n := 0.0, 0
 	for _, s := range f.Servers {
 		if s.State == decide.Ready {
@@ -87,34 +87,34 @@
 }
 
 // troubles are the hard cases, for a fleet of any size.
-var troubles = map[string]func(f *Fleet){
+var faultScenarios = map[string]func(f *Fleet){
 	"calm": func(f *Fleet) { f.Advance(6 * time.Second) },
 	"half the relays killed and back at once": func(f *Fleet) {
 		half := f.Relays[:len(f.Relays)/2]
 		for _, r := range half {
-			f.Kill(r)
+			f.KillRelay(r)
 		}
 		f.Advance(300 * ms)
 		for _, r := range half {
-			f.Start(r, f.List())
+			f.StartRelay(r, f.EndpointList())
 		}
 	},
 	"six in ten servers replaced within 7 s": func(f *Fleet) {
 		old := slices.Clone(f.Servers)
 		for i, s := range old[:len(old)*6/10] {
 			f.After(time.Duration(i)*7*time.Second/time.Duration(len(old)*6/10),
-				func() { f.Replace(s, 3*time.Second) })
+				func() { f.ReplaceServer(s, 3*time.Second) })
 		}
 		f.Advance(12 * time.Second)
 	},
 	"the relays' number doubled, then halved": func(f *Fleet) {
 		n := len(f.Relays)
 		for range n {
-			f.Start(f.AddRelay(), f.List())
+			f.StartRelay(f.AddRelay(), f.EndpointList())
 		}
 		f.Advance(12 * time.Second)
 		for _, r := range f.Relays[n:] {
-			f.Kill(r)
+			f.KillRelay(r)
 		}
 	},
 	"a zone cut off for 6 s": func(f *Fleet) {
@@ -125,7 +125,7 @@
 	"one relay with ten times the mean": func(f *Fleet) { f.Relays[1].Weight = 10; f.Advance(6 * time.Second) },
 	"a relay that lies": func(f *Fleet) {
 		lie := 0.0
-		f.Relays[2].Lies = &lie
+		f.Relays[2].ForgedLoad = &lie
 		f.Advance(6 * time.Second)
 	},
 	"two views at once while servers are replaced": func(f *Fleet) {
@@ -135,18 +135,18 @@
 		}
 		f.Partition(parts)
 		for i, s := range slices.Clone(f.Servers)[:len(f.Servers)/3] {
-			f.After(time.Duration(i)*time.Second, func() { f.Replace(s, 2*time.Second) })
+			f.After(time.Duration(i)*time.Second, func() { f.ReplaceServer(s, 2*time.Second) })
 		}
 		f.Advance(9 * time.Second)
 		f.Partition(nil)
 	},
 	"all restarted with no reading": func(f *Fleet) {
 		for _, r := range f.Relays {
-			f.Kill(r)
+			f.KillRelay(r)
 		}
 		f.Advance(200 * ms)
 		for _, r := range f.Relays {
-			f.Start(r, f.List())
+			f.StartRelay(r, f.EndpointList())
 		}
 	},
 }
@@ -155,26 +155,26 @@
 // more than one, no server in slow start is overloaded, no server stands idle for 2 s while clients
 // are rejected for want of capacity, and afterwards all agree again, placements are even over the servers'
 // capacity, and probes grow with servers.
-func TestManyRelaysAddUpInTheModel(t *testing.T) {
-	for _, what := range slices.Sorted(maps.Keys(troubles)) {
+func TestFaultScenariosInTheModel(t *testing.T) {
+	for _, what := range slices.Sorted(maps.Keys(faultScenarios)) {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			f := fleet(t, Config{Seed: 7, Relays: size(), Servers: 15, Connections: 3000, Utilisation: 0.5,
-				Peering: true, Loss: 0.01})
+			f := newTestFleet(t, Config{Seed: 7, Relays: relayCount(), Servers: 15, Connections: 3000, Utilisation: 0.5,
+				Peering: true, PacketLoss: 0.01})
 			for i, s := range f.Servers {
 				s.Capacity = []float64{1, 0.8, 1.2}[i/3%3]
 			}
-			f.Begin()
-			f.settle(t, 20*time.Second, "at first")
+			f.StartAll()
+			f.awaitAgreement(t, 20*time.Second, "at first")
 			f.Advance(4 * time.Second)
 			f.Tally.LongestIdle, f.Tally.SlowStartOverrun = 0, 0
 			refused := f.Tally.Counts["refused: no room"]
-			troubles[what](f)
+			faultScenarios[what](f)
 			through := f.Tally.Counts["refused: no room"] - refused
-			f.settle(t, 25*time.Second, "after it")
+			f.awaitAgreement(t, 25*time.Second, "after it")
 			f.Advance(6 * time.Second)
-			most, probes := f.spread(40 * time.Second)
-			load := f.fullest()
+			most, probes := f.placementSpread(40 * time.Second)
+			load := f.maxRelativeLoad()
 			t.Logf(what+": afterwards %.2f of its fair part of what came to one server, %.2f of the mean load on one, %.2f probes a second at one; %d refused for want of room meanwhile; %v",
 				most, load, probes, through, &f.Tally)
 			// after a fault the ones that stand emptier get more
@@ -185,7 +185,7 @@
 				t.Errorf("one server was probed %.2f times a second", probes)
 			}
 			if f.Tally.MaxBudgetShares > 1+1e-9 || f.Tally.SlowStartOverrun > 1 ||
-				f.Tally.LongestIdle > 2*time.Second || f.Tally.LatestDrainSend > 500*ms {
+				f.Tally.LongestIdle > 2*time.Second || f.Tally.LatestDrainForward > 500*ms {
 				t.Errorf("%v", &f.Tally)
 			}
 		})
@@ -193,7 +193,7 @@
 }
 
 // size is how many relays the hard cases have: as many as go into CI, 300 in long runs.
-func size() int {
+func relayCount() int {
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
 		return 300
 	}
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -16,8 +16,8 @@
 	reportDelay    = 300 * ms // this late
 	// quotaPart is the part of all servers' capacity that the tenants' quotas add up to, as platforms
 	// have it.
-	quotaPart = 0.8
-	startTime = time.Hour // long ago is the beginning of the clock
+	quotaFraction = 0.8
+	startTime     = time.Hour // long ago is the beginning of the clock
 )
 
 // Config says what a Fleet is made of.
@@ -29,11 +29,11 @@
 	Utilisation     float64 // of all servers' capacity that these fill
 	GroupWork       bool    // connections of a group share work
 	Peering         bool    // relays know each other, and share the probing of servers
-	Loss            float64 // part of the packets between relays that is lost
+	PacketLoss      float64 // part of the packets between relays that is lost
 	ClockDrift      float64 // how fast or slow relays' clocks run at most: 0.001 is 1 ms a second
 	GuessPlacements bool    // relays do not tell what they send to servers: it is guessed
 	// Tune changes the module's settings, before any relay starts.
-	Tune func(*decide.Settings)
+	AdjustSettings func(*decide.Settings)
 }
 
 // Fleet is a simulated fleet: relays, servers, clients, discovery and the network between them.
@@ -43,7 +43,7 @@
 	Servers []*Server
 	Tally   Tally
 	// FrontAllows, if set, says whether the front sends a relay a client.
-	FrontAllows func(*Relay) bool
+	FrontAdmits func(*Relay) bool
 	// Fatal is called with what must never happen.
 	Fatal func(what string)
 
@@ -93,10 +93,10 @@
 		Prices: decide.Prices{CrossZone: 0.03, Probe: 0.002, Migration: 0.02},
 	}
 	for i := range f.settings.Tenants {
-		f.settings.Tenants[i].ConnectionQuota = float64(cfg.Connections) / cfg.Utilisation * quotaPart / 2
+		f.settings.Tenants[i].ConnectionQuota = float64(cfg.Connections) / cfg.Utilisation * quotaFraction / 2
 	}
-	if cfg.Tune != nil {
-		cfg.Tune(&f.settings)
+	if cfg.AdjustSettings != nil {
+		cfg.AdjustSettings(&f.settings)
 	}
 	for i := range cfg.Servers {
 		f.AddServer(decide.Zone(i%3), 0)
@@ -110,18 +110,18 @@
 
 // Begin starts all relays with the list as it is, opens the connections that stood before and lets new
 // ones come.
-func (f *Fleet) Begin() {
+func (f *Fleet) StartAll() {
 	f.After(0, f.runInterval)
 	for _, r := range f.Relays {
-		f.Start(r, f.List())
+		f.StartRelay(r, f.EndpointList())
 	}
-	f.OpenAll(f.cfg.Connections, len(f.Servers))
-	f.Arrivals(float64(f.cfg.Connections)/f.meanLifetime.Seconds(), f.Now+time.Hour)
+	f.OpenConnections(f.cfg.Connections, len(f.Servers))
+	f.ScheduleArrivals(float64(f.cfg.Connections)/f.meanLifetime.Seconds(), f.Now+time.Hour)
 }
 
 // BeginIdle starts time only: relays, connections and clients are the caller's to bring, connections last
 // for good.
-func (f *Fleet) BeginIdle() {
+func (f *Fleet) StartIdle() {
 	f.After(0, f.runInterval)
 	f.meanLifetime = time.Hour
 }
@@ -132,9 +132,9 @@
 	loads := make([]float64, len(f.Servers))
 	for i, s := range f.Servers {
 		loads[i] = f.Utilisation(s)
-		f.Tally.Served += loadInterval * time.Duration(len(s.connections))
+		f.Tally.ServedTime += loadInterval * time.Duration(len(s.connections))
 		if loads[i] > 1 {
-			f.Tally.Overloaded += loadInterval * time.Duration(len(s.connections))
+			f.Tally.OverloadedTime += loadInterval * time.Duration(len(s.connections))
 		}
 	}
 	for _, c := range f.sortedClients() {
@@ -146,7 +146,7 @@
 		s.loadHistory = append(s.loadHistory, loads[i])
 	}
 	if f.cfg.Peering {
-		f.noteBudgetShares()
+		f.recordBudgetShares()
 	}
 	f.After(loadInterval, f.runInterval)
 }
--- a/internal/simulation/model/model_test.go
+++ b/internal/simulation/model/model_test.go
@@ -8,15 +8,15 @@
 )
 
 // fleet is a Fleet whose impossible moments fail the test.
-func fleet(t testing.TB, c Config) *Fleet {
+func newTestFleet(t testing.TB, c Config) *Fleet {
 	f := New(c)
 	f.Fatal = func(what string) { t.Fatalf("seed %d: %s", c.Seed, what) }
 	return f
 }
 
 // vast is 80 relays before 12 servers, each with knowledge of its own only.
-func vast(t testing.TB, seed uint64, conns int, part float64) *Fleet {
-	return fleet(t, Config{Seed: seed, Relays: 80, Servers: 12, Connections: conns, Utilisation: part,
+func largeFleet(t testing.TB, seed uint64, conns int, part float64) *Fleet {
+	return newTestFleet(t, Config{Seed: seed, Relays: 80, Servers: 12, Connections: conns, Utilisation: part,
 		GroupWork: true})
 }
 
@@ -24,14 +24,14 @@
 // them are killed and start again with the list that they had. Calls that are given up take discovery's
 // time too: relays that all called within 1.25 s, and again within 0.5 s, 1 s, 2 s, kept each other from
 // the list for 10 s.
-func TestVastCallsDiscoveryInTurns(t *testing.T) {
+func TestRestartedRelaysSpreadDiscoveryCalls(t *testing.T) {
 	for seed := range uint64(4) {
-		f := vast(t, seed, 60, 0.4)
-		f.Begin()
+		f := largeFleet(t, seed, 60, 0.4)
+		f.StartAll()
 		all := func(when string) {
 			f.Advance(9 * time.Second)
 			for i, r := range f.Relays {
-				if !r.watches {
+				if !r.watching {
 					t.Errorf("seed %d: relay %d has no list 9 s after %s; %v", seed, i, when, &f.Tally)
 					break
 				}
@@ -39,11 +39,11 @@
 		}
 		all("the start")
 		for _, r := range f.Relays[:56] {
-			f.Kill(r)
+			f.KillRelay(r)
 		}
 		f.Advance(500 * ms)
 		for _, r := range f.Relays[:56] {
-			f.Start(r, f.List())
+			f.StartRelay(r, f.EndpointList())
 		}
 		all("its restart")
 		if n := f.Tally.Counts["calls failed"]; n > 14 {
@@ -54,11 +54,11 @@
 
 // A relay among 80 that gets a request in 20 s must not take it for the 53 a second that all would get if one
 // in 1.5 s came to each: half of them were rejected at a fleet that stood at half its load.
-func TestVastCalmDayRefusesFew(t *testing.T) {
+func TestLargeFleetRejectsFewAtModerateLoad(t *testing.T) {
 	asks, refused := 0, 0
 	for seed := range uint64(4) {
-		f := vast(t, seed, 100, 0.6)
-		f.Begin()
+		f := largeFleet(t, seed, 100, 0.6)
+		f.StartAll()
 		f.Advance(20 * time.Second)
 		asks += f.Tally.Counts["asks"]
 		refused += f.Tally.Counts["refused: no room"]
@@ -70,18 +70,18 @@
 
 // A relay among 80 that holds one connection probes nobody but its server. It must ask for a better place, or
 // the connections on an overdriven server stay for good while others stand idle.
-func TestVastRelaysMoveOffAnOverdrivenServer(t *testing.T) {
+func TestLargeFleetMigratesFromOverloadedServer(t *testing.T) {
 	for seed := range uint64(4) {
-		f := vast(t, seed, 72, 0.5)
-		f.BeginIdle()
+		f := largeFleet(t, seed, 72, 0.5)
+		f.StartIdle()
 		for _, r := range f.Relays {
-			f.Start(r, f.List())
+			f.StartRelay(r, f.EndpointList())
 		}
-		f.OpenAll(72, 4)
+		f.OpenConnections(72, 4)
 		f.Advance(8 * time.Second)
-		f.Tally.Overloaded, f.Tally.Served = 0, 0
+		f.Tally.OverloadedTime, f.Tally.ServedTime = 0, 0
 		f.Advance(4 * time.Second)
-		if hot := f.Tally.OverloadedPart(); hot > 0.1 {
+		if hot := f.Tally.OverloadedFraction(); hot > 0.1 {
 			t.Errorf("seed %d: %.2f of the time on overdriven servers, 8 s after: %v", seed, hot, &f.Tally)
 		}
 	}
@@ -91,10 +91,10 @@
 // leave few of the new ones idle, and send nothing to a server 500 ms after notice that it drains. What
 // makes one fall over is more than N + 3 roots of N + 3 in the time that the settings name, N being what
 // they allow; a tenth of it is left to spare.
-func TestVastHardDays(t *testing.T) {
+func TestLargeFleetFaultScenarios(t *testing.T) {
 	some := func(f *Fleet, n int) {
 		for i := range n {
-			f.After(time.Duration(i)*time.Second, func() { f.Replace(f.Servers[i], 3*time.Second) })
+			f.After(time.Duration(i)*time.Second, func() { f.ReplaceServer(f.Servers[i], 3*time.Second) })
 		}
 	}
 	days := map[string]func(f *Fleet){
@@ -102,14 +102,14 @@
 		"a zone lost and back cold": func(f *Fleet) {
 			for _, s := range f.Servers[:12] {
 				if s.Zone == 0 {
-					f.Fail(s, Dead)
-					f.After(8*time.Second, func() { f.Restart(s) })
+					f.FailServer(s, Dead)
+					f.After(8*time.Second, func() { f.RestartServer(s) })
 				}
 			}
 		},
 		"replaced beside bad ones": func(f *Fleet) {
-			f.Fail(f.Servers[9], Silent)
-			f.FailWithErrors(f.Servers[10])
+			f.FailServer(f.Servers[9], Silent)
+			f.SetAnsweringErrors(f.Servers[10])
 			f.Servers[11].Capacity = 0.3
 			some(f, 4)
 		},
@@ -123,8 +123,8 @@
 	most, fresh, idle := 0.0, 0, 0
 	for name, day := range days {
 		for seed := range uint64(16) {
-			f := vast(t, seed, 100, 0.4)
-			f.Begin()
+			f := largeFleet(t, seed, 100, 0.4)
+			f.StartAll()
 			f.Advance(9 * time.Second)
 			day(f)
 			f.Advance(18 * time.Second)
@@ -137,7 +137,7 @@
 				}
 			}
 			most = max(most, f.Tally.SlowStartOverrun)
-			if f.Tally.LatestDrainSend > 500*ms || f.Tally.OverloadedPart() > 0.05 {
+			if f.Tally.LatestDrainForward > 500*ms || f.Tally.OverloadedFraction() > 0.05 {
 				t.Errorf("%s: seed %d: %v", name, seed, &f.Tally)
 			}
 		}
@@ -151,25 +151,25 @@
 
 // drainOf plays a manual drain of one of two relays and returns how many requests came to the other
 // meanwhile, and how many of those it rejected for want of capacity.
-func drainOf(t *testing.T, c Config) (asks, refused int, hot float64) {
-	f := fleet(t, c)
+func rejectionsDuringDrain(t *testing.T, c Config) (asks, refused int, hot float64) {
+	f := newTestFleet(t, c)
 	drains := false
-	f.FrontAllows = func(r *Relay) bool { return !drains || r != f.Relays[0] }
-	f.Begin()
+	f.FrontAdmits = func(r *Relay) bool { return !drains || r != f.Relays[0] }
+	f.StartAll()
 	f.Advance(12 * time.Second)
 	drains = true
-	f.Drain(f.Relays[0], true)
+	f.SetDraining(f.Relays[0], true)
 	f.EmptyRelay(f.Relays[0], 2500*ms)
 	asks, refused = f.Tally.Counts["asks"], f.Tally.Counts["refused: no room"]
-	f.Tally.Overloaded, f.Tally.Served = 0, 0
+	f.Tally.OverloadedTime, f.Tally.ServedTime = 0, 0
 	f.Advance(6 * time.Second)
 	return f.Tally.Counts["asks"] - asks, f.Tally.Counts["refused: no room"] - refused,
-		f.Tally.OverloadedPart()
+		f.Tally.OverloadedFraction()
 }
 
 // While a relay drains, the other takes what comes to both, and takes nobody else to see as much: it used
 // to reject its peer's clients in bursts, for want of capacity that nobody else was taking.
-func TestDrainingPeerLeavesRoom(t *testing.T) {
+func TestRelayAcceptsDrainingPeersClients(t *testing.T) {
 	for _, day := range []struct {
 		servers, conns int
 		part           float64
@@ -179,7 +179,7 @@
 		const seeds = 12
 		for seed := range uint64(seeds) {
 			for i, talks := range []bool{false, true} {
-				a, r, h := drainOf(t, Config{Seed: seed, Relays: 2, Servers: day.servers,
+				a, r, h := rejectionsDuringDrain(t, Config{Seed: seed, Relays: 2, Servers: day.servers,
 					Connections: day.conns,
 					Utilisation: day.part, GroupWork: true, Peering: talks})
 				asks[i], refused[i], hot[i] = asks[i]+a, refused[i]+r, hot[i]+h/seeds
--- a/internal/simulation/model/network.go
+++ b/internal/simulation/model/network.go
@@ -67,8 +67,8 @@
 }
 
 // sendLater brings something to a relay, unless it is lost, cut off or there is nobody any more.
-func (f *Fleet) sendLater(from, to *Relay, most time.Duration, do func()) {
-	if to == nil || !to.up || f.network.partitioned(from, to) || f.network.rng.Float64() < f.cfg.Loss {
+func (f *Fleet) deliverMessageLater(from, to *Relay, most time.Duration, do func()) {
+	if to == nil || !to.up || f.network.partitioned(from, to) || f.network.rng.Float64() < f.cfg.PacketLoss {
 		return
 	}
 	life := to.incarnation
@@ -116,7 +116,7 @@
 		reachable := o.up && !f.network.partitioned(r, o)
 		if sameLives && reachable == (want == membership.HealthAlive) && r.health[o] != want {
 			r.health[o] = want
-			f.stepNode(r, membership.PeerHealth{Name: o.Name, Health: want})
+			f.handleNodeEvent(r, membership.PeerHealth{Name: o.Name, Health: want})
 		}
 	})
 }
--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -50,7 +50,7 @@
 	r.node = membership.New(r.localTime(), config, r.record)
 	r.scheduler = probing.New(r.Name, seed)
 	r.meter, r.health, r.schedulerView = membership.Meter{}, map[*Relay]membership.Health{}, nil
-	f.carryOutNode(r, r.node.Start(r.localTime(), nil))
+	f.performNodeActions(r, r.node.Start(r.localTime(), nil))
 	f.After(f.network.delay(maxPacketDelay), func() { f.runMembership(r, life, 0) })
 	f.After(f.network.delay(schedulerInterval), func() { f.runScheduler(r, life, 0) })
 	f.detectFailures(r)
@@ -68,11 +68,11 @@
 		if r.draining {
 			lifecycle = membership.LifecycleDraining
 		}
-		local := r.meter.LocalState(r.localTime(), lifecycle, r.arrived, r.connections)
+		local := r.meter.LocalState(r.localTime(), lifecycle, r.arrivedRequests, r.connections)
 		local.EndpointListGeneration = 1
-		f.stepNode(r, local)
+		f.handleNodeEvent(r, local)
 	}
-	f.stepNode(r, membership.Tick{})
+	f.handleNodeEvent(r, membership.Tick{})
 	next := duration.Scale(r.node.NextTickAt()-r.localTime(), 1/r.clockRate).Round(time.Microsecond)
 	f.After(max(next, ms), func() { f.runMembership(r, life, meteredAt) })
 }
@@ -87,7 +87,7 @@
 		checkedAt = f.Now
 		r.updateParticipants()
 	}
-	f.stepScheduler(r, probing.Tick{})
+	f.handleSchedulerEvent(r, probing.Tick{})
 	f.After(schedulerInterval, func() { f.runScheduler(r, life, checkedAt) })
 }
 
@@ -122,13 +122,13 @@
 		table = probing.Assign(relays, servers)
 		r.fleet.tables[stamp] = table
 	}
-	r.fleet.stepScheduler(r, probing.ParticipantsChanged{
+	r.fleet.handleSchedulerEvent(r, probing.ParticipantsChanged{
 		Relays: relays, Incarnation: uint64(r.incarnation), Servers: servers, Assignment: table,
 	})
 }
 
 // stepScheduler hands an event to a relay's scheduler and does what it wants.
-func (f *Fleet) stepScheduler(r *Relay, ev probing.Event) {
+func (f *Fleet) handleSchedulerEvent(r *Relay, ev probing.Event) {
 	for _, a := range r.scheduler.Handle(r.localTime(), ev, nil) {
 		switch a := a.(type) {
 		case probing.Probe:
@@ -141,36 +141,36 @@
 				report := decide.LoadReport{
 					Load: a.Reading.LoadReport.Load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1,
 				}
-				f.shareReading(r, decide.GossipReading{Server: s.Server, Age: a.Age, Report: report})
+				f.deliverPeerReading(r, decide.GossipReading{Server: s.Server, Age: a.Age, Report: report})
 			}
 		case probing.PeerPlacement:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.shareReading(r, decide.GossipReading{Server: s.Server, Age: a.Age, PlacementDelta: a.Delta})
+				f.deliverPeerReading(r, decide.GossipReading{Server: s.Server, Age: a.Age, PlacementDelta: a.Delta})
 			}
 		case probing.SendPlacements:
 			f.count("tells of placements")
 			rows := slices.Clone(a.Deltas)
-			f.gossip(r, a.To, probing.PlacementsReceived{From: r.Name, Deltas: rows})
+			f.sendToPeer(r, a.To, probing.PlacementsReceived{From: r.Name, Deltas: rows})
 		case probing.RelayQuarantined:
 			f.count("doubts of " + a.Name)
 		case probing.SendReadings:
 			f.count("tells")
 			readings := slices.Clone(a.Readings)
-			f.gossip(r, a.To, probing.ReadingsReceived{From: r.Name, Readings: readings})
+			f.sendToPeer(r, a.To, probing.ReadingsReceived{From: r.Name, Readings: readings})
 		}
 	}
 }
 
 // shareReading gives a relay's module what a peer has read or placed.
-func (f *Fleet) shareReading(r *Relay, reading decide.GossipReading) {
+func (f *Fleet) deliverPeerReading(r *Relay, reading decide.GossipReading) {
 	reading.Age = reading.Age.Round(time.Microsecond) // in which the module's figures are stated
-	f.carryOut(r, r.balancer.Handle(f.Now, reading, nil))
+	f.performActions(r, r.balancer.Handle(f.Now, reading, nil))
 }
 
 // gossip brings an event to another relay's scheduler.
-func (f *Fleet) gossip(from *Relay, name string, ev probing.Event) {
+func (f *Fleet) sendToPeer(from *Relay, name string, ev probing.Event) {
 	to := f.relayByName(name)
-	f.sendLater(from, to, maxPacketDelay, func() { f.stepScheduler(to, ev) })
+	f.deliverMessageLater(from, to, maxPacketDelay, func() { f.handleSchedulerEvent(to, ev) })
 }
 
 // relayNumber is a relay's by its name.
@@ -185,12 +185,12 @@
 func (f *Fleet) relayByName(name string) *Relay { return f.Relays[relayNumber(name)] }
 
 // stepNode gives an event to a relay's membership and does what it wants.
-func (f *Fleet) stepNode(r *Relay, ev membership.Event) {
-	f.carryOutNode(r, r.node.Handle(r.localTime(), ev, nil))
+func (f *Fleet) handleNodeEvent(r *Relay, ev membership.Event) {
+	f.performNodeActions(r, r.node.Handle(r.localTime(), ev, nil))
 }
 
 // carryOutNode does what a relay's membership wants.
-func (f *Fleet) carryOutNode(r *Relay, actions []membership.Action) {
+func (f *Fleet) performNodeActions(r *Relay, actions []membership.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.SaveRecord:
@@ -198,12 +198,12 @@
 		case membership.SendMessage:
 			to := f.relayByName(a.To)
 			received := membership.MessageReceived{From: r.Name, Message: a.Message}
-			f.sendLater(r, to, maxPacketDelay, func() { f.stepNode(to, received) })
+			f.deliverMessageLater(r, to, maxPacketDelay, func() { f.handleNodeEvent(to, received) })
 		case membership.PublishStatus:
 			received := membership.StatusReceived{Name: r.Name, Status: a.Status}
 			for _, to := range f.Relays {
 				if to != r {
-					f.sendLater(r, to, maxStatusDelay, func() { f.stepNode(to, received) })
+					f.deliverMessageLater(r, to, maxStatusDelay, func() { f.handleNodeEvent(to, received) })
 				}
 			}
 		}
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -16,22 +16,22 @@
 	Zone   decide.Zone
 	Weight float64 // of what clients bring, 1 for an even part
 	// Lies, if set, is what it tells of every server's load instead of what it read.
-	Lies *float64
+	ForgedLoad *float64
 
 	fleet    *Fleet
 	index    int
 	balancer *decide.Balancer
 	up       bool
 	// it was started so many times; what was meant for an earlier life is dropped
-	incarnation  int
-	drainKnownAt []time.Duration   // by server: when this relay learnt that it drains, -1 if not
-	list         []decide.Endpoint // its list of servers
-	listChanges  int               // changes of it
-	watches      bool
-	arrived      uint64
-	connections  int
-	draining     bool
-	unreachable  func(*Server) bool // servers that it cannot reach
+	incarnation     int
+	drainKnownAt    []time.Duration   // by server: when this relay learnt that it drains, -1 if not
+	list            []decide.Endpoint // its list of servers
+	listChanges     int               // changes of it
+	watching        bool
+	arrivedRequests uint64
+	connections     int
+	draining        bool
+	unreachable     func(*Server) bool // servers that it cannot reach
 	peering
 }
 
@@ -45,12 +45,12 @@
 }
 
 // Start starts a relay with a list that it had once.
-func (f *Fleet) Start(r *Relay, known []decide.Endpoint) {
+func (f *Fleet) StartRelay(r *Relay, known []decide.Endpoint) {
 	set := f.settings
 	set.RelayIndex, set.Zone = r.index, r.Zone
-	r.up, r.watches, r.draining = true, false, false
+	r.up, r.watching, r.draining = true, false, false
 	r.drainKnownAt, r.list = nil, nil
-	r.arrived, r.connections = 0, 0
+	r.arrivedRequests, r.connections = 0, 0
 	r.incarnation++
 	r.balancer = decide.New(set, uint64(f.Now)+uint64(r.index))
 	if f.cfg.Peering {
@@ -60,7 +60,7 @@
 }
 
 // Kill ends a relay with all that it holds; its clients come again.
-func (f *Fleet) Kill(r *Relay) {
+func (f *Fleet) KillRelay(r *Relay) {
 	r.up = false
 	for _, c := range f.sortedClients() {
 		if c.relay == r {
@@ -72,7 +72,7 @@
 }
 
 // Drain begins or ends a manual drain of a relay.
-func (f *Fleet) Drain(r *Relay, on bool) { r.draining = on }
+func (f *Fleet) SetDraining(r *Relay, on bool) { r.draining = on }
 
 func (r *Relay) isUnreachable(s *Server) bool { return r.unreachable != nil && r.unreachable(s) }
 
@@ -85,7 +85,7 @@
 		f.deliverFleetStatus(r)
 		f.shareEvent(r, ev)
 	}
-	f.carryOut(r, r.balancer.Handle(f.Now, ev, nil))
+	f.performActions(r, r.balancer.Handle(f.Now, ev, nil))
 }
 
 // deliverFleetStatus gives a relay's module what its membership knows of the fleet.
@@ -94,7 +94,7 @@
 	status := relay.ToFleetStatus(f.Now, own, r.node.Estimate(own), nil)
 	status.SharesReadings = r.scheduler.HasPeers()
 	status.SharesPlacements = status.SharesPlacements && status.SharesReadings && !f.cfg.GuessPlacements
-	f.carryOut(r, r.balancer.Handle(f.Now, status, nil))
+	f.performActions(r, r.balancer.Handle(f.Now, status, nil))
 }
 
 // shareEvent gives a relay's scheduler what of an event its peers are to know.
@@ -107,10 +107,10 @@
 			return
 		}
 		load := e.Report.Load
-		if r.Lies != nil {
-			load = *r.Lies
+		if r.ForgedLoad != nil {
+			load = *r.ForgedLoad
 		}
-		f.stepScheduler(r, probing.OwnReading{
+		f.handleSchedulerEvent(r, probing.OwnReading{
 			ServerKey:  f.Servers[e.Server].RendezvousKey,
 			LoadReport: probing.LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1},
 		})
@@ -121,7 +121,7 @@
 // ended there.
 func (f *Fleet) sharePlacement(r *Relay, id decide.ServerID, delta int) {
 	if f.cfg.Peering && !f.cfg.GuessPlacements {
-		f.stepScheduler(r, probing.LocalPlacement{ServerKey: f.Servers[id].RendezvousKey, Delta: delta})
+		f.handleSchedulerEvent(r, probing.LocalPlacement{ServerKey: f.Servers[id].RendezvousKey, Delta: delta})
 	}
 }
 
@@ -150,7 +150,7 @@
 }
 
 // carryOut does what a relay's module wants.
-func (f *Fleet) carryOut(r *Relay, actions []decide.Action) {
+func (f *Fleet) performActions(r *Relay, actions []decide.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case decide.Timer:
@@ -161,17 +161,17 @@
 			f.probe(r, f.Servers[a.Server])
 		case decide.Forward:
 			f.sharePlacement(r, a.Server, 1)
-			f.send(r, a)
+			f.forward(r, a)
 		case decide.Migrate:
 			f.count("moves")
 			c := f.requests[a.ID]
 			f.closeConnection(c, decide.Cancelled)
 			f.reconnectLater(c, f.returnDelay())
 		case decide.Reject:
-			f.noteRejection(a.Reason)
+			f.recordRejection(a.Reason)
 			c := f.requests[a.ID]
 			f.disconnect(c)
-			f.reconnectLater(c, max(f.Between(20*ms, 160*ms), a.RetryAfter/3))
+			f.reconnectLater(c, max(f.RandomDuration(20*ms, 160*ms), a.RetryAfter/3))
 		case decide.Fail:
 			f.Fatal(fmt.Sprintf("%s: a request that may be repeated failed: %+v", f.Now, a))
 		}
--- a/internal/simulation/model/schedule.go
+++ b/internal/simulation/model/schedule.go
@@ -42,6 +42,6 @@
 }
 
 // Between draws a time.
-func (f *Fleet) Between(least, most time.Duration) time.Duration {
+func (f *Fleet) RandomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(f.rng.Float64()*float64(most-least))
 }
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -11,14 +11,14 @@
 const setupLatency = 20 * ms
 
 // State is whether a server serves, and how it fails.
-type State uint8
+type ServerState uint8
 
 // The states.
 const (
-	Healthy State = iota
-	Dead          // rejects connections
-	Silent        // answers nothing
-	Failing       // answers with errors
+	Healthy ServerState = iota
+	Dead                // rejects connections
+	Silent              // answers nothing
+	Failing             // answers with errors
 )
 
 // Server is one server.
@@ -26,11 +26,11 @@
 	decide.Endpoint
 	Capacity         float64 // work a second, once warm
 	MaxConnections   int     // connections it holds, those of probes too; 0 for any number
-	state            State
-	born             time.Duration
+	state            ServerState
+	startedServingAt time.Duration
 	connections      map[*client]bool
 	probeConnections map[*Relay]time.Duration // connections kept for probes, until when
-	recentSends      []time.Duration
+	recentForwards   []time.Duration
 	loadHistory      []float64 // its load at each step
 	Placed           int       // connections that came, in all
 	Probes           int
@@ -69,7 +69,7 @@
 			RendezvousKey: (uint64(id) + 1) * rendezvousFactor, StartedAt: since,
 		},
 		Capacity:         1,
-		born:             f.Now,
+		startedServingAt: f.Now,
 		connections:      map[*client]bool{},
 		probeConnections: map[*Relay]time.Duration{},
 		idleSince:        f.Now,
@@ -89,7 +89,7 @@
 }
 
 // Fail takes a server away, with its connections: it is in the state from now on.
-func (f *Fleet) Fail(s *Server, state State) {
+func (f *Fleet) FailServer(s *Server, state ServerState) {
 	s.state = state
 	for _, c := range f.sortedClients() {
 		if c.server == s {
@@ -100,26 +100,26 @@
 }
 
 // Restart brings a server back as a new process.
-func (f *Fleet) Restart(s *Server) {
-	s.state, s.StartedAt, s.born, s.loadHistory = Healthy, f.Now, f.Now, nil
-	f.Announce(s, decide.Ready)
+func (f *Fleet) RestartServer(s *Server) {
+	s.state, s.StartedAt, s.startedServingAt, s.loadHistory = Healthy, f.Now, f.Now, nil
+	f.AnnounceServer(s, decide.Ready)
 }
 
 // FailWithErrors makes a server answer all with errors.
-func (f *Fleet) FailWithErrors(s *Server) { s.state = Failing }
+func (f *Fleet) SetAnsweringErrors(s *Server) { s.state = Failing }
 
 // Replace drains a server, brings one in slow start in its zone, and stops the old one.
-func (f *Fleet) Replace(s *Server, drain time.Duration) {
-	f.Announce(s, decide.Draining)
+func (f *Fleet) ReplaceServer(s *Server, drain time.Duration) {
+	f.AnnounceServer(s, decide.Draining)
 	for _, c := range f.sortedClients() { // it asks its clients to leave, one by one
 		if c.server == s {
-			f.After(f.Between(0, drain), func() { f.migrate(c, s) })
+			f.After(f.RandomDuration(0, drain), func() { f.migrate(c, s) })
 		}
 	}
 	f.After(drain, func() {
-		f.Fail(s, Dead)
-		f.Announce(s, decide.Removed)
-		f.Announce(f.AddServer(s.Zone, f.Now), decide.Ready)
+		f.FailServer(s, Dead)
+		f.AnnounceServer(s, decide.Removed)
+		f.AnnounceServer(f.AddServer(s.Zone, f.Now), decide.Ready)
 	})
 }
 
@@ -168,7 +168,7 @@
 		ev.Status, ev.Latency = decide.TimedOut, 200*ms
 	case ev.Status == decide.OK:
 		at := (f.Now - reportDelay) / reportInterval * reportInterval
-		if i := int((at - s.born) / loadInterval); at >= s.born && i < len(s.loadHistory) {
+		if i := int((at - s.startedServingAt) / loadInterval); at >= s.startedServingAt && i < len(s.loadHistory) {
 			ev.Report.Load = s.loadHistory[i]
 		} else if s.StartedAt > 0 { // a new one has had nothing
 			ev.Report.Load = 0
@@ -178,14 +178,14 @@
 }
 
 // send carries an attempt out at its server.
-func (f *Fleet) send(r *Relay, a decide.Forward) {
+func (f *Fleet) forward(r *Relay, a decide.Forward) {
 	f.count("sends")
 	s, c := f.Servers[a.Server], f.requests[a.ID]
 	if c.server != nil {
 		f.Fatal(fmt.Sprintf("%s: a second attempt for %d while one is out", f.Now, a.ID))
 	}
 	if knownAt := r.drainKnownAt[s.Server]; knownAt >= 0 {
-		f.Tally.LatestDrainSend = max(f.Tally.LatestDrainSend, f.Now-knownAt)
+		f.Tally.LatestDrainForward = max(f.Tally.LatestDrainForward, f.Now-knownAt)
 	}
 	c.server = s
 	c.attempt++
@@ -213,9 +213,9 @@
 		r.connections++
 		s.Placed++
 		s.idleSince = -1
-		f.noteSlowStartSend(s)
+		f.recordSlowStartForward(s)
 		c.endsAt = f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime))
-		f.Tally.Waits = append(f.Tally.Waits, f.Now-c.openedAt)
+		f.Tally.SetupWaits = append(f.Tally.SetupWaits, f.Now-c.openedAt)
 		f.deliverLater(r, setupLatency, decide.Opened{
 			ID: a.ID, Attempt: c.attempt, Server: s.Server, SetupLatency: setupLatency,
 		})
--- a/internal/simulation/network/delayed.go
+++ b/internal/simulation/network/delayed.go
@@ -8,7 +8,7 @@
 )
 
 // slotWidth is how exact delays are: all packets that are due within one slot arrive together, by one timer.
-const slotWidth = time.Millisecond
+const slotDuration = time.Millisecond
 
 // delivery is a packet on its way.
 type delivery struct {
@@ -28,14 +28,14 @@
 
 // add queues a packet that is due after a delay.
 func (d *delayQueue) add(now time.Time, delay time.Duration, packet delivery) {
-	key := now.Add(delay+slotWidth-1).UnixNano() / int64(slotWidth)
+	key := now.Add(delay+slotDuration-1).UnixNano() / int64(slotDuration)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.slots[key]
 	if s == nil {
 		s = &slot{}
 		d.slots[key] = s
-		time.AfterFunc(time.Duration(key*int64(slotWidth)-now.UnixNano()), func() { d.deliver(key) })
+		time.AfterFunc(time.Duration(key*int64(slotDuration)-now.UnixNano()), func() { d.deliver(key) })
 	}
 	s.due = append(s.due, packet)
 }
--- a/internal/simulation/network/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -12,8 +12,8 @@
 	packetQueueSize = 1024 // packets that wait to be read at an endpoint
 	streamQueueSize = 64   // connections that wait to be accepted there
 
-	labelMark     = 244 // memberlist begins a stream with its label, if it has one
-	openingLength = 96
+	labelMessageType = 244 // memberlist begins a stream with its label, if it has one
+	maxOpeningBytes  = 96
 )
 
 // endpoint is one process on the network: a memberlist.NodeAwareTransport.
@@ -42,7 +42,7 @@
 func (e *endpoint) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	now := time.Now()
 	n := e.network
-	e.meter.packet(now, len(b), 0)
+	e.meter.countPacket(now, len(b), 0)
 	if n.cfg.Inspect != nil {
 		n.cfg.Inspect(e.address, b)
 	}
@@ -64,7 +64,7 @@
 	p.Timestamp = now
 	select {
 	case e.packets <- p:
-		e.meter.packet(now, 0, len(p.Buf))
+		e.meter.countPacket(now, 0, len(p.Buf))
 	default:
 		e.network.overflowed.Add(1)
 	}
@@ -97,7 +97,7 @@
 		time.Sleep(roundTrip)
 	}
 	here, there := net.Pipe()
-	e.meter.connection(time.Now())
+	e.meter.countConnection(time.Now())
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	if n.endpoints[to.Addr] == peer {
@@ -144,11 +144,11 @@
 	}
 	written, err := s.Conn.Write(b)
 	now := time.Now()
-	s.local.meter.stream(now, written, 0)
-	s.remote.meter.stream(now, 0, written)
+	s.local.meter.countStream(now, written, 0)
+	s.remote.meter.countStream(now, 0, written)
 	if inspect := s.local.network.cfg.InspectStream; inspect != nil {
-		if s.opening == nil && len(b) > 0 && b[0] != labelMark {
-			s.opening = bytes.Clone(b[:min(len(b), openingLength)])
+		if s.opening == nil && len(b) > 0 && b[0] != labelMessageType {
+			s.opening = bytes.Clone(b[:min(len(b), maxOpeningBytes)])
 		}
 		inspect(s.local.address, s.opening, written)
 	}
--- a/internal/simulation/network/meter.go
+++ b/internal/simulation/network/meter.go
@@ -75,42 +75,42 @@
 type meter struct {
 	network *Network
 
-	mu      sync.Mutex
-	started int64 // the recording that seconds belong to
-	total   Sample
-	seconds []Sample
+	mu             sync.Mutex
+	recordingStart int64 // the recording that seconds belong to
+	total          Sample
+	seconds        []Sample
 }
 
 // packet counts a packet that goes out or comes in.
-func (m *meter) packet(now time.Time, out, in int) {
+func (m *meter) countPacket(now time.Time, out, in int) {
 	s := Sample{BytesOut: out, BytesIn: in}
 	if out > 0 {
 		s.PacketsOut = 1
 	} else {
 		s.PacketsIn = 1
 	}
-	m.count(now, s)
+	m.add(now, s)
 }
 
 // stream counts bytes of a stream.
-func (m *meter) stream(now time.Time, out, in int) {
-	m.count(now, Sample{StreamOut: out, StreamIn: in})
+func (m *meter) countStream(now time.Time, out, in int) {
+	m.add(now, Sample{StreamOut: out, StreamIn: in})
 }
 
-func (m *meter) connection(now time.Time) { m.count(now, Sample{Connections: 1}) }
+func (m *meter) countConnection(now time.Time) { m.add(now, Sample{Connections: 1}) }
 
 // count adds to the recording that runs, if one does.
-func (m *meter) count(now time.Time, s Sample) {
-	started := m.network.started.Load()
-	if started == 0 {
+func (m *meter) add(now time.Time, s Sample) {
+	recordingStart := m.network.recordingStart.Load()
+	if recordingStart == 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.started != started {
-		m.started, m.total, m.seconds = started, Sample{}, m.seconds[:0]
+	if m.recordingStart != recordingStart {
+		m.recordingStart, m.total, m.seconds = recordingStart, Sample{}, m.seconds[:0]
 	}
-	second := int((now.UnixNano() - started) / int64(time.Second))
+	second := int((now.UnixNano() - recordingStart) / int64(time.Second))
 	for len(m.seconds) <= second {
 		m.seconds = append(m.seconds, Sample{})
 	}
@@ -119,18 +119,18 @@
 }
 
 // Record begins to count anew. Nothing is counted before its first call.
-func (n *Network) Record() { n.started.Store(time.Now().UnixNano()) }
+func (n *Network) StartRecording() { n.recordingStart.Store(time.Now().UnixNano()) }
 
 // Recorded is what each address has sent and received since Record, in the order of addresses.
-func (n *Network) Recorded() (all []Record) {
-	started := n.started.Load()
-	fullSeconds := int((time.Now().UnixNano() - started) / int64(time.Second))
+func (n *Network) Records() (all []Record) {
+	recordingStart := n.recordingStart.Load()
+	fullSeconds := int((time.Now().UnixNano() - recordingStart) / int64(time.Second))
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	for address, m := range n.meters {
 		m.mu.Lock()
 		r := Record{Address: address, Seconds: make([]Sample, fullSeconds)}
-		if m.started == started {
+		if m.recordingStart == recordingStart {
 			r.Total = m.total
 			copy(r.Seconds, m.seconds)
 		}
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -54,21 +54,21 @@
 
 // Network is the simulated network. It is safe for use by many goroutines.
 type Network struct {
-	cfg     Config
-	loss    atomic.Uint64 // in parts of lossScale
-	started atomic.Int64  // of the recording, Unix ns; 0 for none
-	delayed delayQueue
+	cfg            Config
+	loss           atomic.Uint64 // in parts of packetLossScale
+	recordingStart atomic.Int64  // of the recording, Unix ns; 0 for none
+	delayed        delayQueue
 
 	mu         sync.RWMutex
 	endpoints  map[string]*endpoint
-	meters     map[string]*meter // they outlive endpoints that are started again
+	meters     map[string]*meter // they outlive endpoints that are recordingStart again
 	down       map[string]bool
 	cuts       map[string]cut
 	overflowed atomic.Uint64 // packets that came to a full endpoint
 }
 
 // lossScale is a loss of every packet.
-const lossScale = 1 << 20
+const packetLossScale = 1 << 20
 
 // cut stops what goes from one set of endpoints to another.
 type cut struct {
@@ -125,11 +125,11 @@
 }
 
 // SetLoss sets which part of all packets is lost, 0 to 1.
-func (n *Network) SetLoss(part float64) { n.loss.Store(uint64(part * lossScale)) }
+func (n *Network) SetPacketLoss(part float64) { n.loss.Store(uint64(part * packetLossScale)) }
 
 // SetDown takes an endpoint off the network, as if its process had died, or brings it back: its packets
 // are lost, connections to it are rejected.
-func (n *Network) SetDown(address string, down bool) {
+func (n *Network) SetEndpointDown(address string, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if down {
@@ -148,7 +148,7 @@
 }
 
 // CutOff stops packets and connections between some endpoints and all others, both ways, until Heal.
-func (n *Network) CutOff(name string, inside Selector) {
+func (n *Network) Isolate(name string, inside Selector) {
 	n.Cut(name+" out", inside, Not(inside))
 	n.Cut(name+" in", Not(inside), inside)
 }
@@ -163,7 +163,7 @@
 }
 
 // Overflowed is how many packets came to endpoints with full queues: their processes are too slow.
-func (n *Network) Overflowed() uint64 { return n.overflowed.Load() }
+func (n *Network) OverflowedPackets() uint64 { return n.overflowed.Load() }
 
 // route finds the endpoint at an address; reachable is false where nothing comes through to it from the
 // sender.
@@ -185,7 +185,7 @@
 // lost draws whether a packet is lost.
 func (n *Network) lost() bool {
 	loss := n.loss.Load()
-	return loss > 0 && rand.Uint64N(lossScale) < loss
+	return loss > 0 && rand.Uint64N(packetLossScale) < loss
 }
 
 // delay is how long a packet takes from one endpoint to another.
--- a/internal/simulation/network/network_test.go
+++ b/internal/simulation/network/network_test.go
@@ -37,7 +37,7 @@
 }
 
 // arrived reads what has come by now.
-func arrived(at memberlist.NodeAwareTransport) (texts []string) {
+func receivedTexts(at memberlist.NodeAwareTransport) (texts []string) {
 	synctest.Wait()
 	for {
 		select {
@@ -63,11 +63,11 @@
 		send(t, from, "one", there)
 		send(t, from, "two", there)
 		time.Sleep(delay - time.Millisecond)
-		if got := arrived(to); len(got) != 0 {
+		if got := receivedTexts(to); len(got) != 0 {
 			t.Errorf("%q before the delay", got)
 		}
 		time.Sleep(time.Millisecond)
-		if got := arrived(to); len(got) != 2 || got[0] != "one" || got[1] != "two" {
+		if got := receivedTexts(to); len(got) != 2 || got[0] != "one" || got[1] != "two" {
 			t.Errorf("%q after the delay", got)
 		}
 	})
@@ -82,10 +82,10 @@
 			t.Helper()
 			send(t, from, "x", there)
 			send(t, to, "x", here)
-			if got := len(arrived(to)) == 1; got != forth {
+			if got := len(receivedTexts(to)) == 1; got != forth {
 				t.Errorf("%s: forth %v", what, got)
 			}
-			if got := len(arrived(from)) == 1; got != back {
+			if got := len(receivedTexts(from)) == 1; got != back {
 				t.Errorf("%s: back %v", what, got)
 			}
 		}
@@ -96,16 +96,16 @@
 			t.Errorf("a connection whose answers are cut: %v", err)
 		}
 		n.Heal("one way")
-		n.CutOff("both", InZone("b"))
+		n.Isolate("both", InZone("b"))
 		passes("both", false, false)
 		n.Heal("both")
-		n.SetDown(there, true)
+		n.SetEndpointDown(there, true)
 		passes("down", false, false)
 		if _, err := from.DialAddressTimeout(memberlist.Address{Addr: there},
 			time.Second); err != ErrRefused {
 			t.Errorf("a connection to a dead process: %v", err)
 		}
-		n.SetDown(there, false)
+		n.SetEndpointDown(there, false)
 		passes("at last", true, true)
 	})
 }
@@ -116,17 +116,17 @@
 		const sent, part = 2000, 0.25
 		n := New(Config{})
 		from, to := endpoints(t, n)
-		n.SetLoss(part)
-		n.Record()
+		n.SetPacketLoss(part)
+		n.StartRecording()
 		came := 0
 		for range sent {
 			send(t, from, "x", there)
-			came += len(arrived(to))
+			came += len(receivedTexts(to))
 		}
 		if came < sent*65/100 || came > sent*85/100 { // ten standard deviations
 			t.Errorf("%d of %d came", came, sent)
 		}
-		if all := n.Recorded(); all[0].Total.PacketsOut != sent || all[1].Total.PacketsIn != came {
+		if all := n.Records(); all[0].Total.PacketsOut != sent || all[1].Total.PacketsIn != came {
 			t.Errorf("%+v", all)
 		}
 	})
@@ -140,7 +140,7 @@
 		n := New(Config{InspectStream: func(_ string, b []byte, _ int) { opening.Store(string(b)) }})
 		from, to := endpoints(t, n)
 		send(t, from, "before", there)
-		n.Record()
+		n.StartRecording()
 		send(t, from, "12345", there)
 		time.Sleep(time.Second)
 		c, err := from.DialAddressTimeout(memberlist.Address{Addr: there}, time.Second)
@@ -163,7 +163,7 @@
 		time.Sleep(time.Second)
 		send(t, from, "123", there)
 		time.Sleep(time.Second)
-		all := n.Recorded()
+		all := n.Records()
 		want := []Sample{{PacketsOut: 1, BytesOut: 5}, {Connections: 1, StreamOut: 8},
 			{PacketsOut: 1, BytesOut: 3}}
 		if len(all) != 2 || len(all[0].Seconds) != len(want) {
@@ -197,7 +197,7 @@
 		b.Run(delay.String(), func(b *testing.B) {
 			n := New(Config{Place: placeOf, Delay: func(Place, Place) time.Duration { return delay }})
 			from, to := endpoints(b, n)
-			n.Record()
+			n.StartRecording()
 			done := make(chan struct{})
 			go func() {
 				for {
--- a/internal/simulation/scale/calibrate.go
+++ b/internal/simulation/scale/calibrate.go
@@ -22,7 +22,7 @@
 		Delay:   layout.Delay,
 		Inspect: traffic.countPacket,
 	})
-	simulated.Record()
+	simulated.StartRecording()
 	done := make(chan struct{})
 	var readers sync.WaitGroup
 	defer readers.Wait()
--- a/internal/simulation/scale/cost_test.go
+++ b/internal/simulation/scale/cost_test.go
@@ -12,12 +12,12 @@
 
 // What the long tests play, so that each size is a run of its own.
 var (
-	relays   = flag.Int("relays", 100, "relays of the long tests")
-	spreadBy = flag.Duration("spread", 0, "over which the starts of the long tests are spread")
-	servers  = flag.Int("servers", 0, "servers whose load reports the relays of the long tests share")
-	perZone  = flag.Int("cells", 0, "cells in each zone in the long tests; 0 for a flat fleet")
-	watch    = flag.Duration("watch", 101*time.Second, "how long the long tests measure")
-	realTime = flag.Bool("realtime", false, "run the long tests in real time")
+	relays       = flag.Int("relays", 100, "relays of the long tests")
+	startSpread  = flag.Duration("spread", 0, "over which the starts of the long tests are spread")
+	servers      = flag.Int("servers", 0, "servers whose load reports the relays of the long tests share")
+	cellsPerZone = flag.Int("cells", 0, "cells in each zone in the long tests; 0 for a flat fleet")
+	watch        = flag.Duration("watch", 101*time.Second, "how long the long tests measure")
+	realTime     = flag.Bool("realtime", false, "run the long tests in real time")
 )
 
 // inVirtualTime runs f in virtual time, or in real time by the flag.
@@ -60,7 +60,7 @@
 }
 
 // afterForming is how long the statuses of a fleet that has just formed are gossiped.
-const afterForming = 6 * time.Second
+const statusSpreadTime = 6 * time.Second
 
 // measureAtRest measures a fleet at rest while one packet in a hundred is lost.
 func measureAtRest(t *testing.T, c Config, over time.Duration) Figures {
@@ -69,8 +69,8 @@
 	f := startFleet(t, c)
 	defer f.Stop()
 	awaitSettled(t, f)
-	f.Network.SetLoss(0.01)
-	time.Sleep(afterForming)
+	f.Network.SetPacketLoss(0.01)
+	time.Sleep(statusSpreadTime)
 	return f.Measure(over, cost)
 }
 
@@ -126,7 +126,7 @@
 // predicted from smaller ones. The tolerance covers push-pulls and statuses that fall into one window of 16 s
 // and not into the next: the greatest size has a push-pull in 30 s and a status in 2 s. It fails where relays
 // send their statuses every second whatever their number.
-func TestHollowFleetCost(t *testing.T) {
+func TestRelayTrafficFollowsCostModel(t *testing.T) {
 	const over, tolerance, larger = 16 * time.Second, 0.1, 40
 	var measured []Figures
 	for _, n := range []int{8, 16, 24} {
@@ -155,7 +155,7 @@
 		figures := measureAtRest(t, sizeFromFlags(), *watch)
 		fmt.Printf("%s\n%s\n%s", Header(), figures.Row(), figures.KindRows())
 		fmt.Printf("streams opened a second %.3f, goroutines a relay %.1f, packets dropped for want of room %d, ",
-			figures.Streams, figures.Goroutines, figures.Overflowed)
+			figures.Streams, figures.Goroutines, figures.OverflowedPackets)
 		fmt.Printf("real time %.1f s, processor time %.1f s\n",
 			figures.RealTook.Seconds(), figures.RealCPU.Seconds())
 	})
@@ -165,7 +165,7 @@
 func TestForming(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
-		use := startUse()
+		use := startUsage()
 		f := startFleet(t, sizeFromFlags())
 		defer f.Stop()
 		done := make(chan struct{})
@@ -175,26 +175,26 @@
 		fmt.Printf("one view %s after the last start, %v; %s\n", took, err, use)
 		took, err = f.AwaitSettled(time.Minute)
 		fmt.Printf("settled %s after that, %v; %s; dropped %v, for want of room %d\n",
-			took, err, use, f.Dropped(), f.Network.Overflowed())
+			took, err, use, f.Dropped(), f.Network.OverflowedPackets())
 	})
 }
 
 // use is what this process takes of the machine from a point on.
-type use struct {
+type resourceUsage struct {
 	real, cpu time.Duration
 }
 
-func startUse() use { return use{real: machineNow(), cpu: processorTime()} }
+func startUsage() resourceUsage { return resourceUsage{real: machineNow(), cpu: processorTime()} }
 
 // String returns what was taken so far.
-func (u use) String() string {
+func (u resourceUsage) String() string {
 	return fmt.Sprintf("real time %.1f s, processor time %.1f s",
 		(machineNow() - u.real).Seconds(), (processorTime() - u.cpu).Seconds())
 }
 
 // printProgress prints a line a second until done is closed.
-func printProgress(f *Fleet, done <-chan struct{}, use use) {
-	megabytes := func(t Traffic, k Kind) uint64 { return t[k].Bytes / 1e6 }
+func printProgress(f *Fleet, done <-chan struct{}, use resourceUsage) {
+	megabytes := func(t Traffic, k TrafficKind) uint64 { return t[k].Bytes / 1e6 }
 	for startedAt := time.Now(); ; {
 		select {
 		case <-done:
--- a/internal/simulation/scale/envelope.go
+++ b/internal/simulation/scale/envelope.go
@@ -4,34 +4,34 @@
 
 // The kinds of gossip's envelopes, as they are on the wire.
 const (
-	envelopeStatus    = 1
-	envelopeMessage   = 2
-	envelopeReadings  = 3
-	envelopePlaced    = 4
-	envelopeSummary   = 5
-	envelopeDirectory = 6
-	envelopeOfCell    = 64 // holds a kind and a body for one cell
-	envelopeItems     = 6  // Version, From, Incarnation, Seq, Kind, Body
-	ofCellItems       = 3  // Cell, Kind, Body
+	envelopeStatus     = 1
+	envelopeMessage    = 2
+	envelopeReadings   = 3
+	envelopePlacements = 4
+	envelopeSummary    = 5
+	envelopeDirectory  = 6
+	envelopeForCell    = 64 // holds a kind and a body for one cell
+	envelopeItems      = 6  // Version, From, Incarnation, Seq, Kind, Body
+	cellEnvelopeItems  = 3  // Cell, Kind, Body
 )
 
 // envelopeKind returns the kind of an envelope, of which it reads no more than it needs.
-func envelopeKind(b []byte) Kind {
+func envelopeKind(b []byte) TrafficKind {
 	if len(b) == 0 || b[0] != 0x80|envelopeItems {
-		return Others
+		return OtherTraffic
 	}
 	b = b[1:]
 	var value uint64
 	for range envelopeItems - 1 {
 		if value, b = readItem(b); b == nil {
-			return Others
+			return OtherTraffic
 		}
 	}
-	if value == envelopeOfCell && len(b) > 0 && b[0] == 0x80|ofCellItems {
+	if value == envelopeForCell && len(b) > 0 && b[0] == 0x80|cellEnvelopeItems {
 		b = b[1:]
-		for range ofCellItems - 1 {
+		for range cellEnvelopeItems - 1 {
 			if value, b = readItem(b); b == nil {
-				return Others
+				return OtherTraffic
 			}
 		}
 	}
@@ -40,7 +40,7 @@
 		return Statuses
 	case envelopeReadings:
 		return LoadReports
-	case envelopePlaced:
+	case envelopePlacements:
 		return Placements
 	case envelopeSummary:
 		return CellSummaries
@@ -48,10 +48,10 @@
 		return CellDirectories
 	case envelopeMessage:
 	default:
-		return Others
+		return OtherTraffic
 	}
 	if len(b) < 3 || b[0]>>5 != 5 || b[1] != 1 { // a map whose first key is the Message's Kind
-		return Others
+		return OtherTraffic
 	}
 	switch membership.MessageKind(b[2]) {
 	case membership.RenewLease, membership.LeaseRenewed:
--- a/internal/simulation/scale/events_test.go
+++ b/internal/simulation/scale/events_test.go
@@ -12,42 +12,42 @@
 )
 
 // deathWatch records when each relay has learned that one of the others has failed.
-type deathWatch struct {
-	mu           sync.Mutex
-	awaited      string
-	killedAt     time.Time
-	learnedAfter map[int]time.Duration // by relay, from killedAt on; nil before expect
+type failureObserver struct {
+	mu            sync.Mutex
+	awaitedName   string
+	killedAt      time.Time
+	detectedAfter map[int]time.Duration // by relay, from killedAt on; nil before expect
 }
 
-func (d *deathWatch) record(relay int, c membership.StateChanged) {
+func (d *failureObserver) record(relay int, c membership.StateChanged) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	gone := c.State == membership.HealthFailed.String() || c.State == membership.HealthLeft.String()
-	if c.Kind != membership.ChangePeer || c.Name != d.awaited || !gone || d.learnedAfter == nil {
+	if c.Kind != membership.ChangePeer || c.Name != d.awaitedName || !gone || d.detectedAfter == nil {
 		return
 	}
-	if _, known := d.learnedAfter[relay]; !known {
-		d.learnedAfter[relay] = time.Since(d.killedAt)
+	if _, known := d.detectedAfter[relay]; !known {
+		d.detectedAfter[relay] = time.Since(d.killedAt)
 	}
 }
 
 // expect has the death of a relay, which is killed now, recorded.
-func (d *deathWatch) expect(relay int) {
+func (d *failureObserver) expect(relay int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.awaited = Name(relay)
+	d.awaitedName = Name(relay)
 	d.killedAt = time.Now()
-	d.learnedAfter = map[int]time.Duration{}
+	d.detectedAfter = map[int]time.Duration{}
 }
 
 // summary says how soon all relays of the same zone, and all others, knew.
-func (d *deathWatch) summary(f *Fleet, dead int) string {
+func (d *failureObserver) summary(f *Fleet, dead int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var near, far []time.Duration
 	missing := 0
 	for i, r := range f.relays {
-		took, known := d.learnedAfter[i]
+		took, known := d.detectedAfter[i]
 		switch {
 		case i == dead:
 		case !known:
@@ -116,7 +116,7 @@
 }
 
 // restBefore is how long a fleet is measured at rest before an event.
-const restBefore = 20 * time.Second
+const restDuration = 20 * time.Second
 
 // startAtRest starts a fleet and measures it at rest. The caller stops it.
 func startAtRest(t *testing.T, c Config) (f *Fleet, rest Figures, cost time.Duration) {
@@ -124,14 +124,14 @@
 	cost = PacketCost(LargeLayout)
 	f = startFleet(t, c)
 	awaitSettled(t, f)
-	f.Network.SetLoss(0.01)
-	time.Sleep(afterForming)
-	return f, f.Measure(restBefore, cost), cost
+	f.Network.SetPacketLoss(0.01)
+	time.Sleep(statusSpreadTime)
+	return f, f.Measure(restDuration, cost), cost
 }
 
 // sizeFromFlags returns the fleet of the long tests.
 func sizeFromFlags() Config {
-	return Config{Relays: *relays, StartSpread: *spreadBy, Servers: *servers, CellsPerZone: *perZone}
+	return Config{Relays: *relays, StartSpread: *startSpread, Servers: *servers, CellsPerZone: *cellsPerZone}
 }
 
 // printOneView waits for one view and prints how long it took.
@@ -150,7 +150,7 @@
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
 		const restarts, every, away = 6, 10 * time.Second, 2 * time.Second
-		var d deathWatch
+		var d failureObserver
 		c := sizeFromFlags()
 		c.OnChange = d.record
 		f, rest, cost := startAtRest(t, c)
@@ -230,7 +230,7 @@
 		const cutFor = 25 * time.Second
 		region := network.InRegion("region-1")
 		o := f.Observe(cost)
-		f.Network.CutOff("region", region)
+		f.Network.Isolate("region", region)
 		time.Sleep(cutFor)
 		printEvent("a region is cut off", rest, o.End())
 		fmt.Printf("views held at the end of the cut: %+v\n", f.State())
--- a/internal/simulation/scale/figures.go
+++ b/internal/simulation/scale/figures.go
@@ -23,13 +23,13 @@
 	Relays int
 	Took   time.Duration // by the fleet's clock
 
-	Out, In         Distribution     // bytes of payload, in packets and streams
-	WireOut, WireIn Distribution     // the same with the headers of a wire
-	Packets         Distribution     // packets sent
-	Streams         float64          // streams opened
-	Kinds           Traffic          // messages and bytes sent, over all relays and the whole time
-	Overflowed      uint64           // packets dropped at full queues, over all relays and the whole time
-	Seconds         []network.Sample // by second: the sum of all relays
+	Out, In           Distribution     // bytes of payload, in packets and streams
+	WireOut, WireIn   Distribution     // the same with the headers of a wire
+	Packets           Distribution     // packets sent
+	Streams           float64          // streams opened
+	Kinds             Traffic          // messages and bytes sent, over all relays and the whole time
+	OverflowedPackets uint64           // packets dropped at full queues, over all relays and the whole time
+	Seconds           []network.Sample // by second: the sum of all relays
 
 	CPUMillis        float64 // without what the simulated network takes
 	NetworkCPUMillis float64 // what was taken off for it
@@ -61,12 +61,12 @@
 
 // Observe begins to measure. packetCost is what PacketCost returned. There is one Observation at a time.
 func (f *Fleet) Observe(packetCost time.Duration) *Observation {
-	f.Network.Record()
+	f.Network.StartRecording()
 	return &Observation{
 		fleet:            f,
 		packetCost:       packetCost,
 		trafficBefore:    f.traffic.snapshot(),
-		overflowedBefore: f.Network.Overflowed(),
+		overflowedBefore: f.Network.OverflowedPackets(),
 		cpuBefore:        processorTime(),
 		realBefore:       machineNow(),
 		startedAt:        time.Now(),
@@ -78,11 +78,11 @@
 	took := time.Since(o.startedAt)
 	realTook := machineNow() - o.realBefore
 	cpu := processorTime() - o.cpuBefore
-	figures := o.fleet.summarize(o.fleet.Network.Recorded(), took)
+	figures := o.fleet.summarize(o.fleet.Network.Records(), took)
 	figures.RealTook = realTook
 	figures.RealCPU = cpu
 	figures.Kinds = o.fleet.traffic.snapshot().since(o.trafficBefore)
-	figures.Overflowed = o.fleet.Network.Overflowed() - o.overflowedBefore
+	figures.OverflowedPackets = o.fleet.Network.OverflowedPackets() - o.overflowedBefore
 	relaySeconds := took.Seconds() * float64(figures.Relays)
 	networkTime := time.Duration(figures.Packets.Mean * relaySeconds * float64(o.packetCost))
 	figures.NetworkCPUMillis = networkTime.Seconds() * 1000 / relaySeconds
@@ -190,7 +190,7 @@
 }
 
 // KindRate returns how many bytes of a kind each relay sends in a second.
-func (g Figures) KindRate(k Kind) float64 {
+func (g Figures) KindRate(k TrafficKind) float64 {
 	return float64(g.Kinds[k].Bytes) / g.Took.Seconds() / float64(max(g.Relays, 1))
 }
 
@@ -205,7 +205,7 @@
 		}
 		bytes := float64(t.Bytes) / relaySeconds
 		messages := float64(t.Messages) / relaySeconds
-		fmt.Fprintf(&b, "| %d | %s | %.0f | %.2f |\n", g.Relays, Kind(k), bytes, messages)
+		fmt.Fprintf(&b, "| %d | %s | %.0f | %.2f |\n", g.Relays, TrafficKind(k), bytes, messages)
 	}
 	return b.String()
 }
--- a/internal/simulation/scale/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -54,7 +54,7 @@
 }
 
 // seeds is how many relays new ones join by.
-const seeds = 3
+const seedRelays = 3
 
 // Start starts a fleet. It returns once the last relay has been started; Stop ends it.
 func Start(c Config) (*Fleet, error) {
@@ -128,8 +128,8 @@
 		Transport:        f.Network.Transport,
 		Log:              zerolog.Nop(),
 	}
-	for s := range min(seeds, f.cfg.Relays) {
-		c.Seeds = append(c.Seeds, Address(s*f.cfg.Relays/min(seeds, f.cfg.Relays)))
+	for s := range min(seedRelays, f.cfg.Relays) {
+		c.Seeds = append(c.Seeds, Address(s*f.cfg.Relays/min(seedRelays, f.cfg.Relays)))
 	}
 	if f.cells != nil {
 		f.cells.configure(&c, f.cfg.cellOf(i), i)
@@ -161,15 +161,15 @@
 	if leave {
 		node.Leave()
 	} else {
-		f.Network.SetDown(r.Address, true) // what its goroutines still send is dropped
+		f.Network.SetEndpointDown(r.Address, true) // what its goroutines still send is dropped
 	}
 	stop()
 	node.Wait()
-	f.Network.SetDown(r.Address, false)
+	f.Network.SetEndpointDown(r.Address, false)
 }
 
 // memberlistLinger is how long memberlist's own goroutines may go on after its end.
-const memberlistLinger = 40 * time.Second
+const memberlistShutdownTime = 40 * time.Second
 
 // Stop ends all relays, and waits until nothing of them is left.
 func (f *Fleet) Stop() {
@@ -178,7 +178,7 @@
 		stopping.Go(func() { f.StopRelay(i, false) })
 	}
 	stopping.Wait()
-	time.Sleep(memberlistLinger)
+	time.Sleep(memberlistShutdownTime)
 }
 
 // running returns the nodes of the relays that run.
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -77,7 +77,7 @@
 }
 
 // pollEvery is how often a condition is checked while it is awaited.
-const pollEvery = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
 
 // TimeoutError says that a condition did not come to hold in time.
 type TimeoutError struct {
@@ -98,7 +98,7 @@
 		if time.Since(began) > within {
 			return 0, &TimeoutError{what, within, f.State()}
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return time.Since(began), nil
 }
@@ -110,7 +110,7 @@
 
 // SettledAfter is how long a fleet has to hold one view, with all shares at their target, to count as
 // settled.
-const SettledAfter = 3 * time.Second
+const SettlingTime = 3 * time.Second
 
 // AwaitSettled waits until the fleet has settled. It fails with a TimeoutError.
 func (f *Fleet) AwaitSettled(within time.Duration) (time.Duration, error) {
@@ -123,6 +123,6 @@
 			epoch = s.Highest
 			return false
 		}
-		return time.Since(since) >= SettledAfter
+		return time.Since(since) >= SettlingTime
 	})
 }
--- a/internal/simulation/scale/traffic.go
+++ b/internal/simulation/scale/traffic.go
@@ -7,28 +7,28 @@
 )
 
 // Kind is what a message or a part of a packet is for.
-type Kind int
+type TrafficKind int
 
 // The kinds of traffic. Framing is labels, checksums and the lengths of messages that share a packet.
 const (
-	Probes          Kind = iota // memberlist's pings and their answers
-	Liveness                    // who is alive, suspected or dead
-	Statuses                    // relays' own statuses
-	Leases                      // renewals of leases
-	Consensus                   // ballots and views
-	LoadReports                 // of servers
-	Placements                  // connections placed on servers
-	CellSummaries               // between cells
-	CellDirectories             // of all cells, from a cell's representative to its own relays
+	Probes          TrafficKind = iota // memberlist's pings and their answers
+	Liveness                           // who is alive, suspected or dead
+	Statuses                           // relays' own statuses
+	Leases                             // renewals of leases
+	Consensus                          // ballots and views
+	LoadReports                        // of servers
+	Placements                         // connections placed on servers
+	CellSummaries                      // between cells
+	CellDirectories                    // of all cells, from a cell's representative to its own relays
 	Framing
 	PushPull // streams: the whole state, both ways
 	Views    // streams: views too large for a packet
-	Others
-	kindCount
+	OtherTraffic
+	trafficKindCount
 )
 
 // kindNames are as the pages with measurements have them.
-var kindNames = [kindCount]string{
+var trafficKindNames = [trafficKindCount]string{
 	Probes:          "probes",
 	Liveness:        "liveness",
 	Statuses:        "statuses",
@@ -41,18 +41,18 @@
 	Framing:         "framing",
 	PushPull:        "push-pull (streams)",
 	Views:           "views (streams)",
-	Others:          "others",
+	OtherTraffic:    "others",
 }
 
-func (k Kind) String() string {
-	if k < 0 || k >= kindCount {
+func (k TrafficKind) String() string {
+	if k < 0 || k >= trafficKindCount {
 		return fmt.Sprintf("kind %d", int(k))
 	}
-	return kindNames[k]
+	return trafficKindNames[k]
 }
 
 // Traffic is what was sent, by kind.
-type Traffic [kindCount]struct{ Messages, Bytes uint64 }
+type Traffic [trafficKindCount]struct{ Messages, Bytes uint64 }
 
 // since returns what was sent after an earlier Traffic.
 func (t Traffic) since(before Traffic) Traffic {
@@ -64,9 +64,9 @@
 }
 
 // trafficCounter counts what is sent. It is safe for concurrent use.
-type trafficCounter [kindCount]struct{ messages, bytes atomic.Uint64 }
+type trafficCounter [trafficKindCount]struct{ messages, bytes atomic.Uint64 }
 
-func (t *trafficCounter) add(k Kind, bytes int) {
+func (t *trafficCounter) add(k TrafficKind, bytes int) {
 	t[k].messages.Add(1)
 	t[k].bytes.Add(uint64(bytes))
 }
@@ -81,18 +81,18 @@
 
 // memberlist's message types, and the length of its checksum.
 const (
-	typePing       = 0
-	typeIndirect   = 1
-	typeAck        = 2
-	typeSuspect    = 3
-	typeDead       = 5
-	typePushPull   = 6
-	typeCompound   = 7
-	typeUser       = 8
-	typeNack       = 11
-	typeChecksum   = 12
-	typeLabel      = 244
-	checksumLength = 5
+	typePing         = 0
+	typeIndirectPing = 1
+	typeAck          = 2
+	typeSuspect      = 3
+	typeDead         = 5
+	typePushPull     = 6
+	typeCompound     = 7
+	typeUser         = 8
+	typeNack         = 11
+	typeChecksum     = 12
+	typeLabel        = 244
+	checksumLength   = 5
 )
 
 // countPacket counts a packet that is not sealed; a sealed one counts as Others.
@@ -112,7 +112,7 @@
 	parts, counted := int(b[1]), 0
 	lengths := b[2:]
 	if len(lengths) < 2*parts {
-		t.add(Others, size)
+		t.add(OtherTraffic, size)
 		return
 	}
 	rest := lengths[2*parts:]
@@ -131,7 +131,7 @@
 		return
 	}
 	switch b[0] {
-	case typePing, typeIndirect, typeAck, typeNack:
+	case typePing, typeIndirectPing, typeAck, typeNack:
 		t.add(Probes, len(b))
 	case typeUser:
 		t.add(envelopeKind(b[1:]), len(b))
@@ -139,7 +139,7 @@
 		if b[0] >= typeSuspect && b[0] <= typeDead {
 			t.add(Liveness, len(b))
 		} else {
-			t.add(Others, len(b))
+			t.add(OtherTraffic, len(b))
 		}
 	}
 }
--- a/internal/simulation/scale/traffic_test.go
+++ b/internal/simulation/scale/traffic_test.go
@@ -21,11 +21,11 @@
 		return envelope(envelopeMessage, membership.Message{Kind: k, Epoch: 3, FromIncarnation: 1})
 	}
 	ofCell := func(cell any, kind int, body any) []byte {
-		return envelope(envelopeOfCell, []any{cell, kind, body})
+		return envelope(envelopeForCell, []any{cell, kind, body})
 	}
 	for name, c := range map[string]struct {
 		part []byte
-		want Kind
+		want TrafficKind
 	}{
 		"ping":             {[]byte{typePing, 1, 2}, Probes},
 		"ack":              {[]byte{typeAck}, Probes},
@@ -36,8 +36,8 @@
 		"renewed":          {message(membership.LeaseRenewed), Leases},
 		"accept":           {message(membership.Accept), Consensus},
 		"load reports":     {envelope(envelopeReadings, []int{}), LoadReports},
-		"placements":       {envelope(envelopePlaced, []int{}), Placements},
-		"unknown envelope": {envelope(9, 1), Others},
+		"placements":       {envelope(envelopePlacements, []int{}), Placements},
+		"unknown envelope": {envelope(9, 1), OtherTraffic},
 		"cell summary":     {envelope(envelopeSummary, 1), CellSummaries},
 		"cell directory":   {envelope(envelopeDirectory, 1), CellDirectories},
 		"status of a cell": {ofCell(7, envelopeStatus, 1), Statuses},
@@ -45,22 +45,22 @@
 			ofCell(uint32(1)<<31, envelopeMessage, membership.Message{Kind: membership.RenewLease}),
 			Leases,
 		},
-		"unknown message": {[]byte{99}, Others},
-		"cut envelope":    {[]byte{typeUser, 1}, Others},
+		"unknown message": {[]byte{99}, OtherTraffic},
+		"cut envelope":    {[]byte{typeUser, 1}, OtherTraffic},
 	} {
 		t.Run(name, func(t *testing.T) { checkCounted(t, c.part, c.want) })
 	}
 }
 
 // checkCounted checks that a message is counted once by its kind alone, and beside a probe in a packet.
-func checkCounted(t *testing.T, part []byte, want Kind) {
+func checkCounted(t *testing.T, part []byte, want TrafficKind) {
 	t.Helper()
 	var alone trafficCounter
 	alone.countPacket("", part)
 	if got := alone.snapshot(); got[want].Messages != 1 || got[want].Bytes != uint64(len(part)) {
 		t.Errorf("%v: %+v", want, got)
 	}
-	probe := []byte{typeIndirect, 5, 5, 5}
+	probe := []byte{typeIndirectPing, 5, 5, 5}
 	packet := []byte{typeLabel, 2, 'a', 'b', typeChecksum, 0, 0, 0, 0}
 	packet = append(packet, typeCompound, 2, 0, byte(len(probe)), byte(len(part)>>8), byte(len(part)))
 	packet = append(packet, probe...)
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -145,9 +145,9 @@
 		}
 		return time.Since(since) > 3*time.Second
 	})
-	simnet.SetLoss(0.01)
+	simnet.SetPacketLoss(0.01)
 	quiet.Store(true)
-	simnet.Record()
+	simnet.StartRecording()
 	cpuAt, began := cpuSeconds(), time.Now()
 	time.Sleep(watch)
 	took := time.Since(began).Seconds()
@@ -157,9 +157,9 @@
 	if views.Load() > 0 {
 		t.Errorf("%d changes of a view while no relay crashed or returned, want none", views.Load())
 	}
-	simnet.SetDown(all[n/2].cfg.Bind, true)
+	simnet.SetEndpointDown(all[n/2].cfg.Bind, true)
 	c.removalSec = waitFor(t, time.Minute, "crashed relay in no view", allViewsHave(n-1, all[n/2])).Seconds()
-	simnet.SetDown(all[n/2].cfg.Bind, false)
+	simnet.SetEndpointDown(all[n/2].cfg.Bind, false)
 	c.rejoinSec = waitFor(t, time.Minute, "returned relay in all views", allViewsHave(n, nil)).Seconds()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
@@ -224,7 +224,7 @@
 
 // bytesSent returns the bytes of packets that all endpoints have sent since the recording began.
 func bytesSent(simnet *network.Network) (sent float64) {
-	for _, r := range simnet.Recorded() {
+	for _, r := range simnet.Records() {
 		sent += float64(r.Total.BytesOut)
 	}
 	return sent
