--- a/internal/simulation/capacity/burst_test.go
+++ b/internal/simulation/capacity/burst_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Measures how long a line takes to all clients of a relay when their servers send it at once: the last hop
-// of a topic's fan-out, as far as it is built. Each client has its own connection to a server, so the relay
-// reads each line as well.
+// Measures how long a line takes to all clients of a relay when their servers send it at once. This is the
+// last hop of a topic's fan-out, as far as it is built. Each client has its own connection to a server, so
+// the relay also reads each line.
 func TestBurstOfDeliveries(t *testing.T) {
 	sizes, bursts := []int{100}, 3
 	if isLongRun() {
@@ -37,7 +37,8 @@
 	}
 }
 
-// burst has all servers send a line to all clients at once, and returns how long it took to each.
+// sendBurst has all servers send a line to all clients at once, and returns how long it took to reach each
+// client.
 func sendBurst(t *testing.T, running []*echoServer, clients []*client) []time.Duration {
 	t.Helper()
 	took := make([]time.Duration, len(clients))
--- a/internal/simulation/capacity/capacity.go
+++ b/internal/simulation/capacity/capacity.go
@@ -1,7 +1,7 @@
 // Package capacity holds the arithmetic of docs/CAPACITY.md: the sizes that the page computes with, straight
-// lines fitted to measured points, and how far a prediction was off where it was checked. Its tests measure
-// the slopes that the page quotes, on the program itself and on its parts, and check the page's own sums.
-// Only they call it.
+// lines fitted to measured points, and the error of a prediction where one was checked. Its tests measure the
+// slopes that the page quotes, on the program and on its parts, and check the page's own sums. Only its tests
+// use the package.
 package capacity
 
 import (
@@ -9,13 +9,13 @@
 	"math"
 )
 
-// Size is how large a deployment is, over all its relays unless another whole is said.
+// Size is the size of a deployment. Its values are totals over all relays unless a field says otherwise.
 type Size struct {
 	Relays      float64
-	Connections float64 // of clients
-	Deliveries  float64 // lines to clients a second
-	Shards      float64 // of topics
-	Listeners   float64 // of the largest topic
+	Connections float64 // client connections
+	Deliveries  float64 // lines sent to clients a second
+	Shards      float64 // shards of topics
+	Listeners   float64 // listeners of the largest topic
 	Regions     float64
 	Zones       float64
 }
@@ -33,23 +33,23 @@
 	}
 }
 
-// ConnectionsPerRelay returns the mean.
+// ConnectionsPerRelay returns the mean number of connections of a relay.
 func (s Size) ConnectionsPerRelay() float64 { return s.Connections / s.Relays }
 
-// DeliveriesPerRelay returns the mean, in lines a second.
+// DeliveriesPerRelay returns the mean number of lines that a relay delivers in a second.
 func (s Size) DeliveriesPerRelay() float64 { return s.Deliveries / s.Relays }
 
-// Point is one measurement: a value at a size.
+// Point is one measured value at a size.
 type Point struct{ Size, Value float64 }
 
-// Line is a cost by size: Slope x size + Constant.
+// Line is a cost that is linear in the size: Slope x size + Constant.
 type Line struct{ Slope, Constant float64 }
 
 // At returns the cost at a size.
 func (l Line) At(size float64) float64 { return l.Slope*size + l.Constant }
 
-// Reaches returns the size at which the cost comes to a limit, 0 where it is over it from the start, +Inf
-// where it never does.
+// SizeAt returns the size at which the cost reaches a limit: 0 if Constant is at the limit or above, +Inf if
+// the cost never reaches it.
 func (l Line) SizeAt(limit float64) float64 {
 	switch {
 	case l.Constant >= limit:
@@ -60,11 +60,10 @@
 	return (limit - l.Constant) / l.Slope
 }
 
-// errTooFewPoints says that no line can be fitted.
-var errTooFewPoints = errors.New("a line needs two points of different sizes")
+// errTooFewPoints is returned if the points do not determine a line.
+var errTooFewPoints = errors.New("fitting a line needs at least two points of different sizes")
 
-// Fit returns the straight line with the least squared distance to the points. It fails without two points of
-// different sizes.
+// Fit returns the line of least squares through the points. It fails without two points of different sizes.
 func Fit(points []Point) (Line, error) {
 	n := float64(len(points))
 	var meanSize, meanValue float64
@@ -84,6 +83,6 @@
 	return Line{Slope: slope, Constant: meanValue - slope*meanSize}, nil
 }
 
-// RelativeError returns how far a prediction is from what was measured, as a part of the latter: negative
-// where it was too low.
+// RelativeError returns the error of a prediction as a fraction of the measured value; it is negative if the
+// prediction was too low.
 func RelativeError(predicted, measured float64) float64 { return predicted/measured - 1 }
--- a/internal/simulation/capacity/connections_test.go
+++ b/internal/simulation/capacity/connections_test.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// maxConnectionBytes of heap and stacks may a connection cost: a leaked buffer would show.
+	// maxConnectionBytes is the limit on heap and stacks of a connection; it is low enough to show a leaked
+	// buffer.
 	maxConnectionBytes = 64 << 10
 
 	serverCount        = 4
@@ -21,14 +22,13 @@
 	echoTimeout        = 30 * time.Second
 )
 
-// client is a client with an open connection.
+// client is a test client with an open connection.
 type client struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// openClients opens connections beyond those that there are, until there are so many, spread over the
-// servers.
+// openClients opens more connections, spread over the servers, until there are as many as until says.
 func openClients(t *testing.T, address string, clients []*client, until int) []*client {
 	t.Helper()
 	first := len(clients)
@@ -41,7 +41,7 @@
 			defer func() { <-slots }()
 			c, err := openClient(address, i)
 			if err != nil {
-				t.Errorf("connection %d: %v", i, err)
+				t.Errorf("open connection %d: %v", i, err)
 			}
 			clients[i] = c
 		})
@@ -63,21 +63,21 @@
 	c := &client{conn, bufio.NewReaderSize(conn, 512)}
 	line, err := c.in.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "UP") {
-		return c, fmt.Errorf("answer %q, %v", line, err)
+		return c, fmt.Errorf("relay answered %q, want UP; read error %v", line, err)
 	}
 	conn.SetDeadline(time.Time{})
 	return c, nil
 }
 
-// closeClients ends what openClients has opened.
+// closeClients closes the connections that openClients has opened.
 func closeClients(clients []*client) {
 	for _, c := range clients {
 		c.Close()
 	}
 }
 
-// kernelMemory returns the bytes that the kernel holds in objects that it cannot give back, sockets among
-// them, and in socket buffers.
+// kernelMemory returns the kernel's unreclaimable slab memory, which includes sockets, and the memory of TCP
+// socket buffers, in bytes.
 func kernelMemory(t *testing.T) (unreclaimable, buffers float64) {
 	t.Helper()
 	text, err := os.ReadFile("/proc/meminfo")
@@ -93,18 +93,18 @@
 	return unreclaimable * 1024, buffers * float64(os.Getpagesize())
 }
 
-// connectionCosts are a relay's figures at growing numbers of open connections.
+// connectionCosts are the measurements of a relay at growing numbers of open connections.
 type connectionCosts struct {
-	idle          []Point // of a core, at rest
+	idle          []Point // fraction of a core at rest
 	heap          []Point
 	stacks        []Point
 	resident      []Point
 	descriptors   []Point
-	kernelMemory  []Point // of all four ends, which are on this machine
+	kernelMemory  []Point // of all four ends of the sockets, which are on this machine
 	socketBuffers []Point // of all four ends
 }
 
-// measure adds the figures of a relay with so many connections, at rest for a time.
+// measure adds the measurements of a relay with a number of connections, while the relay is at rest.
 func (c *connectionCosts) measure(t *testing.T, r *relayProcess, connections int, rest time.Duration) {
 	t.Helper()
 	h := r.collectHeap()
@@ -128,7 +128,8 @@
 		connections, h.Heap, h.Stack, r.residentBytes(), h.Goroutines, r.descriptorCount(), core)
 }
 
-// log prints the line of each figure, and how well its first two points predict the last.
+// log prints the fitted line of each measurement, and the error with which its first two points predict the
+// last.
 func (c *connectionCosts) log(t *testing.T) {
 	t.Helper()
 	for _, row := range []struct {
@@ -159,8 +160,8 @@
 	return line
 }
 
-// Measures what one open connection costs a relay, in its own memory and in descriptors, by more and more of
-// them, and holds descriptors and memory to what they may be.
+// Measures the memory and descriptors that an open connection costs a relay, at growing numbers of
+// connections, and checks both against their limits.
 func TestCostOfOpenConnections(t *testing.T) {
 	sizes, rest := []int{50, 100, 200}, 200*time.Millisecond
 	if isLongRun() {
@@ -179,21 +180,20 @@
 	}
 	costs.log(t)
 	if each := mustFit(t, costs.descriptors).Slope; each < 1.9 || each > 2.1 {
-		t.Errorf("%.2f descriptors a connection, not its own and its server's", each)
+		t.Errorf("%.2f descriptors a connection, want 2: the client's socket and the server's", each)
 	}
 	if each := mustFit(t, costs.heap).Slope + mustFit(t, costs.stacks).Slope; each > maxConnectionBytes {
-		t.Errorf("%.0f bytes of heap and stacks a connection", each)
+		t.Errorf("%.0f bytes of heap and stacks a connection, want 64 KiB at most", each)
 	}
 }
 
-// quantile returns the value below which a part of all lies.
+// quantile returns the value below which the given fraction of the sorted values lies.
 func quantile(sorted []time.Duration, part float64) time.Duration {
 	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
 }
 
-// measureEcho has each client send a line once an interval. It returns how long each took to come back, the
-// lines passed in a second, two for each that came back, and the part of a core that the relay took
-// meanwhile.
+// measureEcho has each client send a line once an interval. It returns the round-trip times, the lines that
+// the relay passed in a second (two for each round trip), and the fraction of a core that the relay used.
 func measureEcho(
 	t *testing.T, r *relayProcess, clients []*client, interval, watch time.Duration,
 ) (took []time.Duration, lines, core float64) {
@@ -222,7 +222,7 @@
 	return took, 2 * float64(len(took)) / seconds, (r.processorTime() - before).Seconds() / seconds
 }
 
-// echo sends a line each interval until the end, and returns how long each took to come back.
+// echo sends a line each interval until the end, and returns the round-trip times.
 func (c *client) echo(from, end time.Time, interval time.Duration) (took []time.Duration, err error) {
 	for at := from; at.Before(end); at = at.Add(interval) {
 		time.Sleep(time.Until(at))
@@ -239,8 +239,8 @@
 	return took, nil
 }
 
-// Measures what a relay computes for one line passed, and how long a line takes there and back, by lines a
-// second.
+// Measures the CPU time that a relay takes for one line, and the round-trip time of a line, at growing rates
+// of lines.
 func TestCostOfLines(t *testing.T) {
 	connections, watch, rates := 100, time.Second, []float64{200, 400, 800} // lines a second
 	if isLongRun() {
@@ -255,14 +255,15 @@
 		interval := time.Duration(2 * float64(connections) / rate * float64(time.Second))
 		took, lines, core := measureEcho(t, r, clients, interval, watch)
 		if t.Failed() || len(took) < connections/2 {
-			t.Fatalf("at %.0f lines a second %d came back", rate, len(took))
+			t.Fatalf("at %.0f lines a second only %d lines came back, want half the connections at least",
+				rate, len(took))
 		}
 		cores = append(cores, Point{lines, core})
 		t.Logf("%d connections, %.0f lines a second: %.4f of a core, %.1f us a line; "+
 			"there and back p50 %v, p99 %v, most %v",
 			connections, lines, core, core/lines*1e6, quantile(took, 0.5), quantile(took, 0.99), took[len(took)-1])
 	}
-	const fitted = 5 // beyond these rates a relay of one core may have no time left
+	const fitted = 5 // at the higher rates a relay of one core may be saturated
 	cores = cores[:min(len(cores), fitted)]
 	last := cores[len(cores)-1]
 	early, _ := Fit(cores[:len(cores)-1])
--- a/internal/simulation/capacity/decisions_test.go
+++ b/internal/simulation/capacity/decisions_test.go
@@ -8,12 +8,13 @@
 	"capersail/decide"
 )
 
-// loadedBalancer is a decision module with open connections, on which each step is a request and an end.
+// loadedBalancer is a decision module with open connections. Each step opens a request and ends the oldest
+// connection.
 type loadedBalancer struct {
 	balancer     *decide.Balancer
 	now          time.Duration
 	openByServer []int
-	connections  []connection // the oldest first
+	connections  []connection // sorted by age, the oldest first
 	lastID       decide.RequestID
 	actions      []decide.Action
 }
@@ -24,7 +25,7 @@
 }
 
 const (
-	unlimitedQuota = 1 << 24 // connections of a tenant: no request is rejected by its quota
+	unlimitedQuota = 1 << 24 // connections of a tenant, high enough that the quota rejects no request
 	groupCount     = 5000
 )
 
@@ -76,7 +77,7 @@
 	return b
 }
 
-// hold records an open connection.
+// recordOpen records an open connection.
 func (b *loadedBalancer) recordOpen(id decide.RequestID, server decide.ServerID) {
 	b.connections = append(b.connections, connection{id, server})
 	b.openByServer[server]++
@@ -88,7 +89,7 @@
 	return decide.LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}
 }
 
-// handle gives the module one event, and answers its probes and attempts at once.
+// handle passes an event to the decision module, and answers the resulting probes and attempts at once.
 func (b *loadedBalancer) handle(event decide.Event) {
 	b.actions = b.balancer.Handle(b.now, event, b.actions)
 	for len(b.actions) > 0 {
@@ -107,7 +108,7 @@
 	b.actions = b.actions[:0]
 }
 
-// step is one request, and the end of the oldest connection.
+// step ends the oldest connection and opens one request.
 func (b *loadedBalancer) step() {
 	b.now += time.Millisecond
 	oldest := b.connections[0]
@@ -129,8 +130,8 @@
 	})
 }
 
-// Measures what a decision costs by the number of servers and of open connections, and the module's bytes for
-// either, and holds these to what they may be.
+// Measures the time of a decision and the heap of the decision module by the number of servers and of open
+// connections, and checks the heap against its limit.
 func TestCostOfDecisions(t *testing.T) {
 	type size struct{ servers, connections int }
 	sizes, steps := []size{{10, 500}, {100, 500}, {100, 2000}}, 300
@@ -141,7 +142,7 @@
 		}
 		steps = 5000
 	}
-	const maxBytes = 64 << 10 // of heap for a server or a connection; a list kept for each would show
+	const maxBytes = 64 << 10 // limit for a server or a connection; low enough to show a list for each
 	for _, size := range sizes {
 		before := collectedHeap()
 		b := newLoadedBalancer(size.servers, size.connections)
@@ -157,10 +158,11 @@
 		t.Logf("%5d servers, %6d connections: %v a request with its end, heap %.0f bytes",
 			size.servers, size.connections, each, heap)
 		if len(b.connections) < size.connections-steps/5 {
-			t.Errorf("%d connections of %d are left: requests were not served", len(b.connections), size.connections)
+			t.Errorf("%d of %d connections are open: some requests were not served",
+				len(b.connections), size.connections)
 		}
 		if heap > maxBytes*float64(size.servers+size.connections) {
-			t.Errorf("%.0f bytes of heap", heap)
+			t.Errorf("%.0f bytes of heap, want 64 KiB at most for each server and connection", heap)
 		}
 		runtime.KeepAlive(b)
 	}
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -15,22 +15,22 @@
 	"capersail/internal/wire/discovery"
 )
 
-// noServers is a server side and a discovery that do nothing.
+// noopBackend is a dialer of servers and a discovery that do nothing.
 type noopBackend struct{}
 
-// StartAttempt is relay.ServerDialer's.
+// StartAttempt implements relay.ServerDialer.
 func (noopBackend) StartAttempt(*relay.Request, relay.Attempt) {}
 
-// Probe is relay.ServerDialer's.
+// Probe implements relay.ServerDialer.
 func (noopBackend) Probe(_ relay.Server, _ func(decide.Status, decide.LoadReport)) {}
 
-// Watch is relay.Discovery's.
+// Watch implements relay.Discovery.
 func (noopBackend) Watch() {}
 
-// Fetch is relay.Discovery's.
+// Fetch implements relay.Discovery.
 func (noopBackend) Fetch() {}
 
-// listText returns endpoints, numbered from one up to another, as discovery sends them.
+// listText returns the endpoints with numbers from from to until, the latter excluded, in discovery's format.
 func listText(complete bool, from, until int, lifecycle string) string {
 	var entries []string
 	for i := from; i < until; i++ {
@@ -42,7 +42,7 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, until, complete, all)
 }
 
-// listReader is a relay's event loop that endpoint lists are given to.
+// listReader is a relay's event loop that applies endpoint lists.
 type listReader struct {
 	table *relay.RequestTable
 	loop  *relay.EventLoop
@@ -67,7 +67,7 @@
 	return &listReader{table, relay.NewEventLoop(table, 7, noopBackend{}, zerolog.Nop())}
 }
 
-// apply has the event loop parse and apply an endpoint list or an event of it.
+// apply has the event loop parse and apply an endpoint list or a delta of it.
 func (l *listReader) apply(tb testing.TB, text string) {
 	tb.Helper()
 	list, err := discovery.ParseList(text, zerolog.Nop())
@@ -82,7 +82,7 @@
 	l.loop.Step()
 }
 
-// collectedHeap returns the heap's bytes after a garbage collection.
+// collectedHeap returns the bytes of heap after a garbage collection.
 func collectedHeap() float64 {
 	var figures runtime.MemStats
 	runtime.GC()
@@ -90,8 +90,9 @@
 	return float64(figures.HeapAlloc)
 }
 
-// Measures what an endpoint list costs by the number of servers: bytes on the wire, processor time to parse
-// and apply, heap; and a change of one server, which must not grow with the list.
+// Measures the cost of an endpoint list by the number of servers: bytes on the wire, heap, and the time to
+// parse and apply the list and a change of one server. The bytes and the heap of a server are checked against
+// limits.
 func TestCostOfLists(t *testing.T) {
 	sizes, rounds := []int{100, 200, 400}, 5
 	if isLongRun() {
@@ -136,9 +137,9 @@
 			row.what, line.Slope, line.Constant, RelativeError(early.At(last.Size), last.Value))
 	}
 	if slope := mustFit(t, bytes).Slope; slope > 200 {
-		t.Errorf("%.0f bytes a server", slope)
+		t.Errorf("the list has %.0f bytes a server, want 200 at most", slope)
 	}
 	if slope := mustFit(t, heap).Slope; slope > 4000 {
-		t.Errorf("%.0f bytes of heap a server", slope)
+		t.Errorf("the list takes %.0f bytes of heap a server, want 4000 at most", slope)
 	}
 }
--- a/internal/simulation/capacity/page_test.go
+++ b/internal/simulation/capacity/page_test.go
@@ -10,14 +10,15 @@
 
 const (
 	pagePath = "../../../docs/CAPACITY.md"
-	// rounding is how far a figure of the page may be from its own sum, as it has three digits.
+	// roundingTolerance is the accepted relative difference between a figure of the page and the computed
+	// value, as the page rounds to three digits.
 	roundingTolerance = 0.01
 )
 
-// row is one line of a table, by its column's heading.
+// row is a table row, by column heading.
 type row map[string]string
 
-// readTables returns the page's tables, each with its rows.
+// readTables returns the rows of each table on the page.
 func readTables(t *testing.T) (all [][]row) {
 	t.Helper()
 	text, err := os.ReadFile(pagePath)
@@ -37,7 +38,7 @@
 			all = append(all, nil)
 		case strings.HasPrefix(strings.TrimSpace(cells[0]), "---"):
 		case len(cells) != len(heads):
-			t.Errorf("%d cells under %d heads: %s", len(cells), len(heads), line)
+			t.Errorf("table row has %d cells, its heading has %d: %s", len(cells), len(heads), line)
 		default:
 			r := row{}
 			for i, cell := range cells {
@@ -49,18 +50,18 @@
 	return all
 }
 
-// parseNumber reads a figure of the page, as 51,818 or 0.0045.
+// parseNumber parses a figure of the page, such as 51,818 or 0.0045.
 func parseNumber(cell string) (float64, bool) {
 	x, err := strconv.ParseFloat(strings.ReplaceAll(cell, ",", ""), 64)
 	return x, err == nil
 }
 
-// isNear reports whether a figure is its sum, but for rounding.
+// isNear reports whether a figure equals a computed value within roundingTolerance.
 func isNear(figure, sum float64) bool {
 	return math.Abs(figure-sum) <= roundingTolerance*math.Abs(sum) || math.Abs(figure-sum) < 1e-9
 }
 
-// What the page works out is slope x size + constant, for both sizes.
+// Each result on the page is slope x size + constant, for both sizes.
 func TestPageLines(t *testing.T) {
 	checked := 0
 	for _, table := range readTables(t) {
@@ -75,9 +76,10 @@
 				at, hasSize := parseNumber(r[size])
 				figure, hasFigure := parseNumber(r[value])
 				if !hasSize || !hasFigure {
-					t.Errorf("%q: %s is %q, %s is %q", r["what"], size, r[size], value, r[value])
+					t.Errorf("row %q needs a size and a figure: %s is %q, %s is %q",
+						r["what"], size, r[size], value, r[value])
 				} else if !isNear(figure, line.At(at)) {
-					t.Errorf("%q: %s is %s, and %g x %g + %g is %g",
+					t.Errorf("row %q: %s is %s, but %g x %g + %g is %g",
 						r["what"], value, r[value], slope, at, constant, line.At(at))
 				}
 			}
@@ -85,11 +87,11 @@
 		}
 	}
 	if checked < 20 {
-		t.Errorf("%d lines on the page", checked)
+		t.Errorf("checked %d rows with a slope and a constant, want 20 at least", checked)
 	}
 }
 
-// Where a table ends in a sum, it is that of the rows above.
+// A last row named sum is the sum of the rows above it.
 func TestPageSums(t *testing.T) {
 	checked := 0
 	for _, table := range readTables(t) {
@@ -108,30 +110,30 @@
 				sum += x
 			}
 			if !isNear(want, sum) {
-				t.Errorf("sum of %q: %s, and the rows add up to %g", head, cell, sum)
+				t.Errorf("sum of column %q is %s, but its rows add up to %g", head, cell, sum)
 			}
 			checked++
 		}
 	}
 	if checked < 3 {
-		t.Errorf("%d sums on the page", checked)
+		t.Errorf("checked %d sums, want 3 at least", checked)
 	}
 }
 
-// No cell of the page is left blank: what was not run says so.
+// No cell of a table is blank: the page states what was not measured.
 func TestPageHasNoBlanks(t *testing.T) {
 	for _, table := range readTables(t) {
 		for i, r := range table {
 			for head, cell := range r {
 				if cell == "" {
-					t.Errorf("row %d (%v): nothing under %q", i+1, r["what"], head)
+					t.Errorf("row %d (%v) has a blank cell in column %q", i+1, r["what"], head)
 				}
 			}
 		}
 	}
 }
 
-// The sizes that the page names are those of this package.
+// The sizes on the page are those of Target.
 func TestPageSizes(t *testing.T) {
 	target := Target()
 	want := map[string]float64{
@@ -155,11 +157,11 @@
 			}
 			found++
 			if !isNear(figure, size) {
-				t.Errorf("%s: %g, want %g", r["what"], figure, size)
+				t.Errorf("the page has %s as %g, want %g", r["what"], figure, size)
 			}
 		}
 	}
 	if found != len(want) {
-		t.Errorf("%d of %d sizes are on the page", found, len(want))
+		t.Errorf("the page has %d of the %d sizes of Target", found, len(want))
 	}
 }
--- a/internal/simulation/capacity/relay_test.go
+++ b/internal/simulation/capacity/relay_test.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	runAsRelayEnv = "CAPERSAIL_CAPACITY_RELAY" // set where the test binary stands for the program
-	tickHertz     = 100                        // of the times in /proc/PID/stat
+	runAsRelayEnv = "CAPERSAIL_CAPACITY_RELAY" // set for a process of the test binary that runs as the relay
+	tickHertz     = 100                        // clock ticks a second in /proc/PID/stat
 	waitTimeout   = 60 * time.Second
 )
 
-// longRun reports whether the sizes of the page are to be measured, and not CI's.
+// isLongRun reports whether to measure the sizes of the page instead of the smaller ones of CI.
 func isLongRun() bool { return os.Getenv("CAPERSAIL_LONG") == "1" }
 
-// TestMain has the test binary be the program itself where the environment asks for it. It then writes its
-// heap to standard output at each SIGUSR1.
+// TestMain runs the test binary as the relay itself if runAsRelayEnv is set. The relay then writes its heap
+// figures to standard output at each SIGUSR1.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsRelayEnv) != "1" {
 		os.Exit(m.Run())
@@ -63,14 +63,14 @@
 	}))
 }
 
-// heapFigures are a relay's after a garbage collection, in bytes.
+// heapFigures are the memory of a relay after a garbage collection, in bytes, and its goroutines.
 type heapFigures struct {
 	Heap       uint64
 	Stack      uint64
 	Goroutines int
 }
 
-// relayProcess is the program, started for a test.
+// relayProcess is the program in a process of its own, started for a test.
 type relayProcess struct {
 	t           *testing.T
 	pid         int
@@ -79,17 +79,17 @@
 	heapReports *json.Decoder
 	log         *logCounter
 	cmd         *exec.Cmd
-	ended       chan struct{} // its log has ended
+	ended       chan struct{} // closed when the relay's log has ended
 }
 
-// logCounter counts the bytes and lines of a log, and finds the relay's addresses in it.
+// logCounter counts the bytes and lines of a relay's log, and finds the relay's addresses in it.
 type logCounter struct {
 	sync.Mutex
 	bytes      int
 	lines      int
-	otherLines []string          // lines that are not JSON, as a data race is reported
-	addresses  map[string]string // by key: listen and admin
-	ready      chan struct{}     // closed once both addresses are known
+	otherLines []string          // lines that are not JSON, such as reports of data races
+	addresses  map[string]string // by log field: listen and admin
+	ready      chan struct{}     // closed when both addresses are known
 }
 
 // follow reads a log to its end.
@@ -109,7 +109,7 @@
 	}
 }
 
-// setAddress records an address that a line has, the first time. The caller holds the lock.
+// setAddress records the first address that the log has for a key. The caller holds the lock.
 func (l *logCounter) setAddress(key, address string) {
 	if _, known := l.addresses[key]; known || address == "" {
 		return
@@ -120,14 +120,14 @@
 	}
 }
 
-// count returns how many bytes and lines have come.
+// count returns the number of bytes and lines read so far.
 func (l *logCounter) count() (size, lines int) {
 	l.Lock()
 	defer l.Unlock()
 	return l.bytes, l.lines
 }
 
-// startRelay starts the program on loopback, with more arguments, and ends it with the test.
+// startRelay starts the program on loopback with additional arguments, and stops it at the end of the test.
 func startRelay(t *testing.T, discovery *fake.Discovery, more ...string) *relayProcess {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], more...)
@@ -160,17 +160,16 @@
 	select {
 	case <-r.log.ready:
 	case <-r.ended:
-		t.Fatal("the relay ended before it served")
+		t.Fatal("the relay process ended before it logged its addresses")
 	case <-time.After(waitTimeout):
-		t.Fatal("the relay does not serve")
+		t.Fatal("the relay did not log its addresses within 60 s")
 	}
 	r.address = r.log.addresses["listen"]
 	r.admin = r.log.addresses["admin"]
 	return r
 }
 
-// writeConfig writes the example's configuration, with the servers that a discovery has, and returns its
-// path.
+// writeConfig writes the example configuration with the servers of a discovery, and returns its path.
 func writeConfig(t *testing.T, discovery *fake.Discovery) string {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/config.json")
@@ -197,17 +196,17 @@
 	return path
 }
 
-// stop kills the relay, and checks that its log had nothing but log lines.
+// stop kills the relay, and checks that all it wrote to its log were JSON lines.
 func (r *relayProcess) stop() {
 	r.cmd.Process.Kill()
 	<-r.ended
 	r.cmd.Wait()
 	if len(r.log.otherLines) > 0 {
-		r.t.Errorf("the relay wrote what is no log line:\n%s", strings.Join(r.log.otherLines, "\n"))
+		r.t.Errorf("the relay's log has lines that are not JSON:\n%s", strings.Join(r.log.otherLines, "\n"))
 	}
 }
 
-// collectHeap has the relay collect garbage, and returns its heap and stacks.
+// collectHeap has the relay collect garbage, and returns its memory figures.
 func (r *relayProcess) collectHeap() (h heapFigures) {
 	r.t.Helper()
 	if err := syscall.Kill(r.pid, syscall.SIGUSR1); err != nil {
@@ -229,7 +228,7 @@
 	return string(text)
 }
 
-// residentBytes is the relay's resident memory, in bytes.
+// residentBytes returns the relay's resident memory in bytes.
 func (r *relayProcess) residentBytes() float64 {
 	r.t.Helper()
 	_, rest, _ := strings.Cut(r.readProc("status"), "VmRSS:")
@@ -248,29 +247,29 @@
 	return len(entries)
 }
 
-// processorTime returns the time that the relay has computed, in its own code and in the kernel.
+// processorTime returns the relay's user and system CPU time.
 func (r *relayProcess) processorTime() time.Duration {
 	r.t.Helper()
 	text := r.readProc("stat")
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	var ticks float64
-	for _, field := range fields[11:13] { // utime and stime are the 14th and 15th of all
+	for _, field := range fields[11:13] { // utime and stime, fields 14 and 15 of the file
 		n, _ := strconv.ParseFloat(field, 64)
 		ticks += n
 	}
 	return time.Duration(ticks / tickHertz * float64(time.Second))
 }
 
-// echoServer answers probes, accepts every connection, and returns every line. It allocates less than
-// fake.EchoServer.
+// echoServer is a server that answers probes, accepts every connection and echoes every line. It allocates
+// less than fake.EchoServer.
 type echoServer struct {
 	address string
 
 	mu          sync.Mutex
-	connections []net.Conn // accepted ones
+	connections []net.Conn // accepted connections
 }
 
-// broadcast sends a line on every accepted connection, one after the other.
+// broadcast sends a line on each accepted connection, one after the other.
 func (s *echoServer) broadcast(line []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -282,7 +281,7 @@
 	return nil
 }
 
-// startEchoServer starts a server that ends with the test.
+// startEchoServer starts a server that stops at the end of the test.
 func startEchoServer(t *testing.T) *echoServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -330,14 +329,14 @@
 	}
 }
 
-// startDiscovery starts a discovery that lists some servers, the first so many of which run.
+// startDiscovery starts a discovery that lists some servers, and starts the first running of them.
 func startDiscovery(t *testing.T, listed, running int) *fake.Discovery {
 	t.Helper()
 	d, _ := startServers(t, listed, running)
 	return d
 }
 
-// startServers is startDiscovery, and returns the servers that run.
+// startServers does the same as startDiscovery, and also returns the servers that are running.
 func startServers(t *testing.T, listed, running int) (d *fake.Discovery, all []*echoServer) {
 	t.Helper()
 	d, err := fake.NewDiscovery("127.0.0.1:0")
--- a/internal/simulation/capacity/rest_test.go
+++ b/internal/simulation/capacity/rest_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	maxScrapeBytes  = 64 << 10 // bytes of a scrape
-	maxRestLogBytes = 4096     // bytes of log while nothing happens
+	maxScrapeBytes  = 64 << 10 // limit on the bytes of a scrape of the metrics
+	maxRestLogBytes = 4096     // limit on the bytes of log while the relay is at rest
 )
 
-// scrape asks for the figures once, and returns how long they are.
+// scrape requests the metrics once, and returns their length.
 func scrape(t *testing.T, admin string) (bytes int) {
 	t.Helper()
 	answer, err := http.Get("http://" + admin + "/ops/stats")
@@ -32,7 +32,7 @@
 	return len(text)
 }
 
-// membersFlag returns the flag that has a relay find others, of which there are none.
+// membersFlag returns the flag that starts membership on a relay whose only seed is itself.
 func membersFlag(t *testing.T) []string {
 	t.Helper()
 	l, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 	return []string{"--members", path}
 }
 
-// reload has the relay reload its configuration so many times, and returns what one costs it.
+// reload has the relay reload its configuration several times, and returns the mean CPU time of one reload.
 func (r *relayProcess) reload(times int) (processor time.Duration) {
 	r.t.Helper()
 	before := r.processorTime()
@@ -65,7 +65,7 @@
 	return (r.processorTime() - before) / time.Duration(times)
 }
 
-// awaitLines waits until the log has more than so many lines.
+// awaitLines waits until the log has more than the given number of lines.
 func (r *relayProcess) awaitLines(lines int) {
 	r.t.Helper()
 	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -73,17 +73,17 @@
 			return
 		}
 	}
-	r.t.Fatal("the configuration is not reloaded")
+	r.t.Fatal("the relay logged no reload of its configuration within 60 s")
 }
 
-// restSetup is a relay that nothing happens to.
+// restSetup is the setup of a relay that is measured at rest.
 type restSetup struct {
-	servers int // that are listed
+	servers int // listed servers
 	members bool
 }
 
-// Measures what a relay costs at rest by the servers that are listed: processor time, log, memory; one scrape
-// of its figures; one reload. It holds the log and the figures to what they may be.
+// Measures the costs of a relay at rest by the number of listed servers: CPU time, log, memory, one scrape of
+// its metrics and one reload. The lengths of log and metrics are checked against limits.
 func TestRelayAtRest(t *testing.T) {
 	setups, watch, times := []restSetup{{10, false}, {100, false}, {10, true}}, 500*time.Millisecond, 20
 	if isLongRun() {
@@ -98,7 +98,7 @@
 			flags = membersFlag(t)
 		}
 		r := startRelay(t, startDiscovery(t, setup.servers, min(setup.servers, serverCount)), flags...)
-		time.Sleep(watch / 10) // until the start is over
+		time.Sleep(watch / 10) // lets the start finish
 		t.Logf("%d servers listed, members %v:", setup.servers, setup.members)
 		r.checkRest(watch)
 		r.checkScrapes(times)
@@ -106,7 +106,7 @@
 	}
 }
 
-// checkRest measures the relay for a time, and checks how much it logs.
+// checkRest measures the relay at rest, and checks the length of its log.
 func (r *relayProcess) checkRest(watch time.Duration) {
 	r.t.Helper()
 	startedAt, cpu := time.Now(), r.processorTime()
@@ -118,11 +118,11 @@
 		"heap %d, resident %.0f",
 		core, after-before, watch, before, lines, r.collectHeap().Heap, r.residentBytes())
 	if after-before > maxRestLogBytes {
-		r.t.Errorf("%d bytes of log at rest", after-before)
+		r.t.Errorf("%d bytes of log at rest, want 4096 at most", after-before)
 	}
 }
 
-// checkScrapes measures scrapes, and checks how long the figures are.
+// checkScrapes measures scrapes of the metrics, and checks their length.
 func (r *relayProcess) checkScrapes(times int) {
 	r.t.Helper()
 	before := r.processorTime()
@@ -133,6 +133,6 @@
 	each := (r.processorTime() - before).Seconds() * 1000 / float64(times)
 	r.t.Logf("a scrape: %d bytes, %.2f ms of processor time", bytes, each)
 	if bytes > maxScrapeBytes {
-		r.t.Errorf("%d bytes of figures", bytes)
+		r.t.Errorf("a scrape has %d bytes, want 64 KiB at most", bytes)
 	}
 }
--- a/internal/simulation/capacity/shutdown_test.go
+++ b/internal/simulation/capacity/shutdown_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Measures what a graceful shutdown costs a relay, and checks that each client is migrated with MOVE.
+// Measures the cost of a graceful shutdown of a relay, and checks that each client is migrated with MOVE.
 func TestCostOfGracefulShutdown(t *testing.T) {
 	sizes := []int{50, 200}
 	if isLongRun() {
@@ -41,14 +41,14 @@
 		ends.Wait()
 		<-r.ended
 		if err := r.cmd.Wait(); err != nil {
-			t.Errorf("%d connections: %v", n, err)
+			t.Errorf("the relay with %d connections ended with %v, want exit code 0", n, err)
 		}
 		spent := r.cmd.ProcessState.SystemTime() + r.cmd.ProcessState.UserTime() - before
 		t.Logf("%d connections: %d moved, from %v to %v, %v to the end; %v of processor time each",
 			n, moved.Load(), time.Duration(first.Load()), time.Duration(last.Load()),
 			time.Since(startedAt), spent/time.Duration(n))
 		if int(moved.Load()) != n {
-			t.Errorf("%d of %d were sent away with MOVE", moved.Load(), n)
+			t.Errorf("%d of %d clients got MOVE, want all", moved.Load(), n)
 		}
 	}
 }
--- a/internal/simulation/model/client.go
+++ b/internal/simulation/model/client.go
@@ -10,7 +10,7 @@
 
 type client struct {
 	req      decide.Request
-	openedAt time.Duration // first attempt
+	openedAt time.Duration // when the client first tried to connect
 	relay    *Relay
 	server   *Server
 	attempt  int
@@ -18,7 +18,8 @@
 	retries  int
 }
 
-// sortedClients lists the clients in the order of their names, for what is drawn over them.
+// sortedClients returns the clients in the order of their request IDs, so that random draws over them are
+// reproducible.
 func (f *Fleet) sortedClients() (list []*client) {
 	for _, c := range f.requests {
 		list = append(list, c)
@@ -27,7 +28,7 @@
 	return list
 }
 
-// newClient is a new client.
+// newClient creates a client and opens its request.
 func (f *Fleet) newClient() {
 	c := &client{openedAt: f.Now}
 	c.req = decide.Request{
@@ -36,7 +37,7 @@
 	f.openRequest(c)
 }
 
-// Arrivals brings so many clients a second from now on.
+// ScheduleArrivals creates clients at a mean rate a second until a time.
 func (f *Fleet) ScheduleArrivals(rate float64, until time.Duration) {
 	f.After(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		if f.Now < until {
@@ -46,11 +47,11 @@
 	})
 }
 
-// OpenAll puts connections on the first servers as they stood before the fleet's day, evenly through all
-// relays.
+// OpenConnections opens n connections on the first servers, spread evenly over all relays, as connections
+// that are older than the simulation.
 func (f *Fleet) OpenConnections(n, servers int) {
 	for i := range n {
-		group := 1 + f.rng.IntN(f.groups) // each on two servers
+		group := 1 + f.rng.IntN(f.groups) // the connections of a group are on two servers
 		at := (2*group + i%2) % servers
 		if !f.cfg.GroupWork {
 			at = i % servers
@@ -68,7 +69,7 @@
 	}
 }
 
-// openRequest brings a client to a relay that is up, now or as soon as there is one.
+// openRequest sends a client's request to a relay that is up, now or as soon as there is one.
 func (f *Fleet) openRequest(c *client) {
 	r := f.pickRelay()
 	if r == nil {
@@ -83,7 +84,8 @@
 	f.deliver(r, r.incarnation, c.req)
 }
 
-// pickRelay draws a relay that is up, by weight.
+// pickRelay draws a relay that is up and admitted by the front, in proportion to Weight; nil if there is
+// none.
 func (f *Fleet) pickRelay() *Relay {
 	sum := 0.0
 	ok := func(r *Relay) bool { return r.up && (f.FrontAdmits == nil || f.FrontAdmits(r)) }
@@ -104,10 +106,10 @@
 	return last
 }
 
-// returnDelay draws how long a client takes to come again once its connection has ended.
+// returnDelay draws how long a client waits before it reconnects after its connection ended.
 func (f *Fleet) returnDelay() time.Duration { return f.RandomDuration(170*ms, 1400*ms) }
 
-// reconnectLater brings a client back to any relay that is up.
+// reconnectLater opens a client's request again after a delay, at any relay that is up.
 func (f *Fleet) reconnectLater(c *client, after time.Duration) {
 	c.req.Returning = true
 	if c.server == nil && c.retries == 0 {
@@ -117,7 +119,7 @@
 	f.After(after, func() { f.openRequest(c) })
 }
 
-// migrate ends a connection gracefully, if it is still at the server.
+// migrate ends a client's connection gracefully, if it is still at the server, and lets the client reconnect.
 func (f *Fleet) migrate(c *client, s *Server) {
 	if c.server == s && s != nil {
 		f.closeConnection(c, decide.Cancelled)
@@ -125,7 +127,7 @@
 	}
 }
 
-// EmptyRelay empties a relay within a time, as a manual drain does.
+// EmptyRelay migrates all connections of a relay within a time, as a manual drain does.
 func (f *Fleet) EmptyRelay(r *Relay, within time.Duration) {
 	for _, c := range f.sortedClients() {
 		if c.relay == r && c.server != nil {
@@ -138,7 +140,7 @@
 	}
 }
 
-// closeConnection ends a connection and lets its relay know how.
+// closeConnection ends a connection and reports its outcome to the relay.
 func (f *Fleet) closeConnection(c *client, status decide.Status) {
 	outcome := decide.Outcome{
 		ID: c.req.ID, Server: c.server.Server, Status: status, Closed: true, Report: decide.NoLoadReport,
@@ -147,7 +149,7 @@
 	f.disconnect(c)
 }
 
-// disconnect takes a client off its relay and its server, if it has one.
+// disconnect removes a client from its relay and, if it has one, from its server.
 func (f *Fleet) disconnect(c *client) {
 	if c.server != nil {
 		c.relay.connections--
--- a/internal/simulation/model/cold_test.go
+++ b/internal/simulation/model/cold_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The sum of what all relays send to a server in slow start stays within its budget whatever their number,
-// also where most of them have just been restarted in the middle of a release and their clients come again:
-// each relay draws its part, and the draws add up by chance only. The spread is over seeds; beyond N two
-// roots of N and two are put down to chance, and none of these runs uses them up.
+// All relays together send a server in slow start no more than its budget, whatever their number, also when
+// most of them are restarted in the middle of a release and their clients reconnect. Each relay draws its
+// share of the budget at random, so the sum varies by chance: two roots of N and two beyond N are allowed for
+// it, and no run here uses them up. The runs differ in their seeds.
 func TestSlowStartBudgetByNumberOfRelays(t *testing.T) {
 	sizes := []int{1, 3, 20, 30}
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
@@ -19,8 +19,8 @@
 	for _, relays := range sizes {
 		for _, conns := range []int{100, 900} {
 			for _, groups := range []bool{false, true} {
-				var spent []float64
-				sends, allowed := 0, 0
+				var overruns []float64
+				usedServers, newServers := 0, 0
 				for seed := range uint64(12) {
 					f := newTestFleet(t, Config{Seed: seed, Relays: relays, Servers: 12, Connections: conns,
 						Utilisation: 0.45,
@@ -33,33 +33,35 @@
 								3*time.Second)
 						})
 					}
-					f.Advance(4500 * ms) // two are replaced, and in slow start
-					most := f.Relays[:(relays*7+9)/10]
-					for _, r := range most {
+					f.Advance(4500 * ms) // two servers have been replaced, and the new ones are in slow start
+					restarted := f.Relays[:(relays*7+9)/10]
+					for _, r := range restarted {
 						f.KillRelay(r)
 					}
 					f.Advance(500 * ms)
-					for _, r := range most {
+					for _, r := range restarted {
 						f.StartRelay(r, f.EndpointList())
 					}
 					f.Advance(14 * time.Second)
-					spent = append(spent, f.Tally.SlowStartOverrun)
+					overruns = append(overruns, f.Tally.SlowStartOverrun)
 					for _, s := range f.Servers[12:] {
-						if allowed++; s.Placed > 0 {
-							sends++
+						if newServers++; s.Placed > 0 {
+							usedServers++
 						}
 					}
 					if f.Tally.LatestDrainForward > 500*ms {
-						t.Errorf("%d relays, seed %d: %v", relays, seed, &f.Tally)
+						t.Errorf("%d relays, seed %d: forward more than 500 ms after a drain: %v",
+							relays, seed, &f.Tally)
 					}
 				}
-				slices.Sort(spent)
+				slices.Sort(overruns)
 				t.Logf("%3d relays, %d connections, groups %v: of what makes a cold server fall %.2f in half of the plays, %.2f at most; %d of %d new ones in use",
-					relays, conns, groups, spent[len(spent)/2], spent[len(spent)-1], sends, allowed)
-				if spent[len(spent)-1] > 1 || sends*2 < allowed {
-					t.Errorf("%d relays, %d connections, groups %v: %.2f of it; %d of %d in use", relays,
+					relays, conns, groups, overruns[len(overruns)/2], overruns[len(overruns)-1], usedServers, newServers)
+				if overruns[len(overruns)-1] > 1 || usedServers*2 < newServers {
+					t.Errorf("%d relays, %d connections, groups %v: overrun %.2f, want 1; %d of %d new ones used",
+						relays,
 						conns, groups,
-						spent[len(spent)-1], sends, allowed)
+						overruns[len(overruns)-1], usedServers, newServers)
 				}
 			}
 		}
--- a/internal/simulation/model/discovery.go
+++ b/internal/simulation/model/discovery.go
@@ -7,18 +7,20 @@
 	"capersail/decide"
 )
 
-// discovery is the discovery service: one queue for all relays' calls; those given up are worked through too.
+// discovery is the simulated discovery service: one queue for the calls of all relays. A call that its relay
+// has given up still takes its service time.
 type discovery struct {
-	serviceTime time.Duration // for one call
+	serviceTime time.Duration // time to serve one call
 	callTimeout time.Duration // a call that waits longer fails
-	busyUntil   time.Duration // when it is done with all calls that came
+	busyUntil   time.Duration // when all queued calls are served
 	list        []decide.Endpoint
 }
 
-// List is the list of servers as discovery has it.
+// EndpointList returns a copy of discovery's present endpoint list.
 func (f *Fleet) EndpointList() []decide.Endpoint { return slices.Clone(f.discovery.list) }
 
-// Announce tells discovery, and a while later all who watch.
+// AnnounceServer changes a server's state in discovery's list, and notifies each watching relay after a
+// random delay.
 func (f *Fleet) AnnounceServer(s *Server, mode decide.EndpointState) {
 	if s.State = mode; mode == decide.Ready && len(s.connections) == 0 {
 		s.idleSince = f.Now
@@ -36,7 +38,8 @@
 	}
 }
 
-// pollDiscovery queues a relay's call to discovery, which answers with the list in its turn or fails.
+// pollDiscovery queues a relay's call to discovery. The call returns the list when its turn comes, or fails
+// after callTimeout.
 func (f *Fleet) pollDiscovery(r *Relay) {
 	f.count("calls")
 	f.Tally.DiscoveryCalls = append(f.Tally.DiscoveryCalls, f.Now)
--- a/internal/simulation/model/doc.go
+++ b/internal/simulation/model/doc.go
@@ -1,8 +1,8 @@
-// Package model is a fleet on a set clock in one goroutine: many relays, each with the real decision
-// module and, where they know each other, the real deciders of membership and of probing, before servers,
-// clients, a discovery service and a network that are modelled. Everything is drawn from one seed. It
-// counts what all relays did together, which no relay sees.
+// Package model simulates a fleet on a virtual clock in one goroutine. Many relays run the real decision
+// module and, where peering is configured, the real state machines of membership and of shared probing.
+// Servers, clients, the discovery service and the network are modelled. All random choices derive from one
+// seed. The model counts what all relays did together, which no single relay can observe.
 //
-// It serves tests and experiments only; no relay runs it. What is modelled, and what is left out, is in
-// docs/design/fleet.md.
+// Package model serves tests and experiments only; no relay runs it. docs/design/fleet.md says what is
+// modelled and what is left out.
 package model
--- a/internal/simulation/model/figures_test.go
+++ b/internal/simulation/model/figures_test.go
@@ -10,15 +10,16 @@
 	"capersail/internal/testing/cluster"
 )
 
-// What relays send to servers between two readings is summed where they tell it. Where it is guessed,
-// servers are overdriven while six in ten are replaced, and loads lie further apart in the calm.
+// Relays that share their placements keep the servers' loads closer together than relays that estimate their
+// peers' placements from load reports. Estimates overload servers while six in ten are replaced, and spread
+// the loads in normal operation.
 func TestSharedPlacementsBeatGuessedOnes(t *testing.T) {
-	var load, hot, worst [2]float64 // guessed, summed
+	var load, overloaded, worst [2]float64 // guessed, summed
 	const seeds = 3
 	for seed := range uint64(seeds) {
 		for i, guess := range []bool{true, false} {
-			f := newTestFleet(t, Config{Seed: seed, Relays: 60, Servers: 12, Connections: 1200, Utilisation: 0.6,
-				Peering: true, GuessPlacements: guess})
+			f := newTestFleet(t, Config{Seed: seed, Relays: 60, Servers: 12, Connections: 1200,
+				Utilisation: 0.6, Peering: true, GuessPlacements: guess})
 			f.StartAll()
 			f.awaitAgreement(t, 20*time.Second, "at first")
 			f.Advance(5 * time.Second)
@@ -32,18 +33,18 @@
 				f.Advance(100 * ms)
 				worst[i] = max(worst[i], f.maxRelativeLoad())
 			}
-			hot[i] += f.Tally.OverloadedFraction() / seeds
+			overloaded[i] += f.Tally.OverloadedFraction() / seeds
 		}
 	}
 	t.Logf("guessed: fullest server at %.3f of the mean in the calm, %.2f after a release, overdriven %.4f of the time; summed: %.3f, %.2f, %.4f",
-		load[0], worst[0], hot[0], load[1], worst[1], hot[1])
-	if load[1] > load[0] || worst[1] > worst[0] || hot[1] > hot[0] {
-		t.Error("summing is no better than guessing")
+		load[0], worst[0], overloaded[0], load[1], worst[1], overloaded[1])
+	if load[1] > load[0] || worst[1] > worst[0] || overloaded[1] > overloaded[0] {
+		t.Error("shared placements gave a worse spread of load or more overload than estimated ones")
 	}
 }
 
-// Probes a second at a server by the number of relays, with talk and without. With talk they grow with
-// servers only.
+// The probes a second that a server gets grow with the number of relays only where relays do not share
+// readings. The test measures both and bounds the rate with shared readings.
 func TestProbesByRelays(t *testing.T) {
 	sizes := []int{10, 30, 100}
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
@@ -52,11 +53,11 @@
 	lines := make([]plotter.XYs, 2)
 	for _, n := range sizes {
 		var each [2]float64
-		for i, talk := range []bool{true, false} {
+		for i, withPeering := range []bool{true, false} {
 			f := newTestFleet(t, Config{Seed: 3, Relays: n, Servers: 30, Connections: 3000, Utilisation: 0.5,
-				Peering: talk})
+				Peering: withPeering})
 			f.StartAll()
-			if talk {
+			if withPeering {
 				f.awaitAgreement(t, 30*time.Second, "at first")
 			}
 			f.Advance(6 * time.Second)
@@ -67,7 +68,8 @@
 		}
 		t.Logf("%d relays: %.2f probes a second at a server with talk, %.2f without", n, each[0], each[1])
 		if each[0] > 2.1 {
-			t.Errorf("%d relays: %.2f probes a second at a server", n, each[0])
+			t.Errorf("%d relays with shared readings: %.2f probes a second at a server, want 2.1 at most",
+				n, each[0])
 		}
 	}
 	if path := os.Getenv("CAPERSAIL_CHART"); path != "" {
--- a/internal/simulation/model/many_test.go
+++ b/internal/simulation/model/many_test.go
@@ -12,7 +12,8 @@
 	"capersail/internal/fleet/membership"
 )
 
-// agreed tells whether all that run hold one view of just them, every share at its target.
+// checkAgreement returns an error unless all running relays hold one view of exactly these relays, with every
+// budget share at its target.
 func (f *Fleet) checkAgreement() error {
 	var ref *membership.View
 	up := 0
@@ -30,12 +31,12 @@
 		}
 	}
 	if n := len(ref.MemberNames()); n != up {
-		return fmt.Errorf("%d in the view, %d run", n, up)
+		return fmt.Errorf("%d relays in the view, %d running", n, up)
 	}
 	return nil
 }
 
-// settle lets time pass until all agree.
+// awaitAgreement advances the clock until checkAgreement succeeds.
 func (f *Fleet) awaitAgreement(t testing.TB, within time.Duration, when string) {
 	t.Helper()
 	for until := f.Now + within; ; f.Advance(100 * ms) {
@@ -44,13 +45,13 @@
 			return
 		}
 		if f.Now > until {
-			t.Fatalf("%s: not agreed within %s: %v", when, within, err)
+			t.Fatalf("%s: relays do not agree on a view within %s: %v", when, within, err)
 		}
 	}
 }
 
-// spread is the most that a server got of what came in a stretch, over its fair part of what all servers
-// can do, and the most probes a second at one.
+// placementSpread advances the clock by a duration. It returns the greatest share of the placements that a
+// server got, over its share of the capacity, and the greatest rate of probes at a server.
 func (f *Fleet) placementSpread(over time.Duration) (most, probes float64) {
 	placed, probed := make([]int, len(f.Servers)), make([]int, len(f.Servers))
 	for i, s := range f.Servers {
@@ -73,7 +74,7 @@
 	return most, probes
 }
 
-// fullest is the load of the server that has most of it, over the mean.
+// maxRelativeLoad returns the greatest load of a server over the mean load.
 func (f *Fleet) maxRelativeLoad() (most float64) {
 	sum, n := 0.0, 0
 	for _, s := range f.Servers {
@@ -86,7 +87,7 @@
 	return most / sum * float64(n)
 }
 
-// troubles are the hard cases, for a fleet of any size.
+// faultScenarios are faults and hard conditions, for a fleet of any size.
 var faultScenarios = map[string]func(f *Fleet){
 	"calm": func(f *Fleet) { f.Advance(6 * time.Second) },
 	"half the relays killed and back at once": func(f *Fleet) {
@@ -151,16 +152,16 @@
 	},
 }
 
-// A fleet of relays that know each other, through every hard case: the shares of a budget never add up to
-// more than one, no server in slow start is overloaded, no server stands idle for 2 s while clients
-// are rejected for want of capacity, and afterwards all agree again, placements are even over the servers'
-// capacity, and probes grow with servers.
+// A fleet of relays with shared state keeps its bounds through every fault scenario: budget shares never add
+// up to more than one, no server in slow start is overloaded, and no server is idle for 2 s while clients are
+// rejected for want of capacity. Afterwards all relays agree on a view again, placements follow the servers'
+// capacity, and the rate of probes depends on the number of servers only.
 func TestFaultScenariosInTheModel(t *testing.T) {
 	for _, what := range slices.Sorted(maps.Keys(faultScenarios)) {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			f := newTestFleet(t, Config{Seed: 7, Relays: relayCount(), Servers: 15, Connections: 3000, Utilisation: 0.5,
-				Peering: true, PacketLoss: 0.01})
+			f := newTestFleet(t, Config{Seed: 7, Relays: relayCount(), Servers: 15, Connections: 3000,
+				Utilisation: 0.5, Peering: true, PacketLoss: 0.01})
 			for i, s := range f.Servers {
 				s.Capacity = []float64{1, 0.8, 1.2}[i/3%3]
 			}
@@ -168,31 +169,33 @@
 			f.awaitAgreement(t, 20*time.Second, "at first")
 			f.Advance(4 * time.Second)
 			f.Tally.LongestIdle, f.Tally.SlowStartOverrun = 0, 0
-			refused := f.Tally.Counts["refused: no room"]
+			rejectedBefore := f.Tally.Counts["refused: no room"]
 			faultScenarios[what](f)
-			through := f.Tally.Counts["refused: no room"] - refused
+			rejected := f.Tally.Counts["refused: no room"] - rejectedBefore
 			f.awaitAgreement(t, 25*time.Second, "after it")
 			f.Advance(6 * time.Second)
 			most, probes := f.placementSpread(40 * time.Second)
 			load := f.maxRelativeLoad()
 			t.Logf(what+": afterwards %.2f of its fair part of what came to one server, %.2f of the mean load on one, %.2f probes a second at one; %d refused for want of room meanwhile; %v",
-				most, load, probes, through, &f.Tally)
-			// after a fault the ones that stand emptier get more
+				most, load, probes, rejected, &f.Tally)
+			// after a fault, less loaded servers rightly get more placements, so only the calm scenario
+			// checks the spread
 			if what == "calm" && most > 1.25 || load > 1.25 {
-				t.Errorf("one server got %.2f of its fair part, and stands at %.2f of the mean", most, load)
+				t.Errorf("a server got %.2f of its share and has %.2f of the mean load, want 1.25 at most",
+					most, load)
 			}
 			if probes > 2.3 {
-				t.Errorf("one server was probed %.2f times a second", probes)
+				t.Errorf("a server got %.2f probes a second, want 2.3 at most", probes)
 			}
 			if f.Tally.MaxBudgetShares > 1+1e-9 || f.Tally.SlowStartOverrun > 1 ||
 				f.Tally.LongestIdle > 2*time.Second || f.Tally.LatestDrainForward > 500*ms {
-				t.Errorf("%v", &f.Tally)
+				t.Errorf("want shares and overrun 1, idle 2 s and late send 500 ms at most: %v", &f.Tally)
 			}
 		})
 	}
 }
 
-// size is how many relays the hard cases have: as many as go into CI, 300 in long runs.
+// relayCount returns the number of relays in the fault scenarios: 60 in CI, 300 in long runs.
 func relayCount() int {
 	if os.Getenv("CAPERSAIL_LONG") == "1" {
 		return 300
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -11,28 +11,28 @@
 const ms = time.Millisecond
 
 const (
-	loadInterval   = 100 * ms // loads are noted this often
-	reportInterval = 800 * ms // and reported this often
-	reportDelay    = 300 * ms // this late
-	// quotaPart is the part of all servers' capacity that the tenants' quotas add up to, as platforms
-	// have it.
+	loadInterval   = 100 * ms // between two samples of the servers' loads
+	reportInterval = 800 * ms // between two load reports of a server
+	reportDelay    = 300 * ms // age of a load report when a probe returns it
+	// quotaFraction is the sum of the tenants' quotas as a fraction of the capacity of all servers, as on
+	// real platforms.
 	quotaFraction = 0.8
-	startTime     = time.Hour // long ago is the beginning of the clock
+	startTime     = time.Hour // where the clock starts; servers with StartedAt 0 are long past slow start
 )
 
-// Config says what a Fleet is made of.
+// Config configures a Fleet.
 type Config struct {
 	Seed            uint64
 	Relays          int
 	Servers         int
-	Connections     int     // that are open in the long run
-	Utilisation     float64 // of all servers' capacity that these fill
-	GroupWork       bool    // connections of a group share work
-	Peering         bool    // relays know each other, and share the probing of servers
-	PacketLoss      float64 // part of the packets between relays that is lost
-	ClockDrift      float64 // how fast or slow relays' clocks run at most: 0.001 is 1 ms a second
-	GuessPlacements bool    // relays do not tell what they send to servers: it is guessed
-	// Tune changes the module's settings, before any relay starts.
+	Connections     int     // open on average
+	Utilisation     float64 // fraction of all servers' capacity that Connections use
+	GroupWork       bool    // connections of a group share work on a server
+	Peering         bool    // relays run membership and share the probing of servers
+	PacketLoss      float64 // fraction of the packets between relays that is lost
+	ClockDrift      float64 // greatest error of a relay's clock rate: 0.001 is 1 ms a second
+	GuessPlacements bool    // relays do not share their placements: each estimates those of its peers
+	// AdjustSettings, if set, changes the decision module's settings before any relay starts.
 	AdjustSettings func(*decide.Settings)
 }
 
@@ -42,9 +42,9 @@
 	Relays  []*Relay
 	Servers []*Server
 	Tally   Tally
-	// FrontAllows, if set, says whether the front sends a relay a client.
+	// FrontAdmits, if set, reports whether the load balancer in front of the relays sends clients to a relay.
 	FrontAdmits func(*Relay) bool
-	// Fatal is called with what must never happen.
+	// Fatal is called with a description when an invariant of the model is violated.
 	Fatal func(what string)
 
 	cfg            Config
@@ -53,9 +53,9 @@
 	sequence       int
 	events         eventQueue
 	discovery      discovery
-	meanLifetime   time.Duration // mean life of a connection
-	connectionLoad float64       // work a second that a connection asks of a server that does 1 a second
-	groupLoad      float64       // and what its group asks once on each server that holds any of it
+	meanLifetime   time.Duration // mean duration of a connection
+	connectionLoad float64       // work a second that a connection needs of a server of capacity 1
+	groupLoad      float64       // work a second that a group needs once on each server it uses
 	groups         int
 	lastID         decide.RequestID
 	requests       map[decide.RequestID]*client
@@ -63,8 +63,8 @@
 	tables         map[string]*probing.Assignment
 }
 
-// New returns a fleet that has not started. Loads are such that its Connections use the servers up to the
-// Utilisation.
+// New returns a fleet that has not started. The work of a connection is chosen such that Connections use the
+// servers up to Utilisation.
 func New(cfg Config) *Fleet {
 	f := &Fleet{
 		cfg: cfg, Now: startTime, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
@@ -108,8 +108,8 @@
 	return f
 }
 
-// Begin starts all relays with the list as it is, opens the connections that stood before and lets new
-// ones come.
+// StartAll starts all relays with the current endpoint list, opens the configured number of connections and
+// starts the arrival of new clients.
 func (f *Fleet) StartAll() {
 	f.After(0, f.runInterval)
 	for _, r := range f.Relays {
@@ -119,15 +119,15 @@
 	f.ScheduleArrivals(float64(f.cfg.Connections)/f.meanLifetime.Seconds(), f.Now+time.Hour)
 }
 
-// BeginIdle starts time only: relays, connections and clients are the caller's to bring, connections last
-// for good.
+// StartIdle starts the clock only: the caller starts relays, connections and clients, and connections last
+// for an hour on average.
 func (f *Fleet) StartIdle() {
 	f.After(0, f.runInterval)
 	f.meanLifetime = time.Hour
 }
 
-// runInterval notes loads, ends connections whose time has come, and counts connection time on overloaded
-// servers.
+// runInterval samples the servers' loads, ends connections that are due, and adds up connection time on
+// overloaded servers.
 func (f *Fleet) runInterval() {
 	loads := make([]float64, len(f.Servers))
 	for i, s := range f.Servers {
--- a/internal/simulation/model/network.go
+++ b/internal/simulation/model/network.go
@@ -9,50 +9,50 @@
 	"capersail/internal/fleet/membership"
 )
 
-// The network between relays: how late packets and findings are at most. Packets that are lost are the
-// Config's.
+// Delays of the network between relays, and intervals of the relays' periodic tasks. Config.PacketLoss has
+// the loss.
 const (
 	maxPacketDelay       = 20 * ms
 	maxStatusDelay       = 600 * ms
-	minFailureDelay      = 2000 * ms // until a relay that is gone is taken for failed
+	minFailureDelay      = 2000 * ms // until a stopped relay is detected as failed
 	maxFailureDelay      = 2900 * ms
 	maxJoinDelay         = 700 * ms
-	schedulerInterval    = 25 * ms // between two steps of a scheduler, as the event loop has them
+	schedulerInterval    = 25 * ms // between two ticks of a probing scheduler, as in the event loop
 	participantsInterval = 100 * ms
 )
 
-// network is the network between the relays. It has a random source of its own, so that the other draws stay
-// the same.
+// network is the network between the relays. It has a random source of its own, so that its draws do not
+// change those of servers and clients.
 type network struct {
 	cfg       Config
 	rng       *rand.Rand
-	partition []int // of each relay; nil while nobody is cut off
+	partition []int // by relay: the number of its part; nil while there is no partition
 }
 
-// partitioned tells whether two relays are kept apart.
+// partitioned reports whether two relays are in different parts of a partition.
 func (n *network) partitioned(a, b *Relay) bool {
 	return n.partition != nil && n.partition[a.index] != n.partition[b.index]
 }
 
-// delay draws how late something is.
+// delay draws a delay between 1 ms and 1 ms more than most.
 func (n *network) delay(most time.Duration) time.Duration {
 	return n.between(ms, ms+most)
 }
 
-// between draws a time, in whole microseconds.
+// between draws a duration, in whole microseconds.
 func (n *network) between(least, most time.Duration) time.Duration {
 	return (least + duration.Scale(most-least, n.rng.Float64())).Round(time.Microsecond)
 }
 
-// Partition cuts the relays into parts that do not reach each other; nil ends it. Clients and servers stay
-// in reach.
+// Partition divides the relays into parts that cannot reach each other; nil ends the partition. Clients and
+// servers stay reachable.
 func (f *Fleet) Partition(parts []int) {
 	f.network.partition = parts
 	f.detectFailures(nil)
 }
 
-// PartitionZone keeps all relays of other zones from a zone's servers and its relays from all others'
-// servers, and the relays apart; negative ends it.
+// PartitionZone cuts a zone off: relays reach only servers and relays on their own side. A negative zone ends
+// the partition.
 func (f *Fleet) PartitionZone(zone decide.Zone) {
 	var parts []int
 	for _, r := range f.Relays {
@@ -66,7 +66,8 @@
 	f.Partition(parts)
 }
 
-// sendLater brings something to a relay, unless it is lost, cut off or there is nobody any more.
+// deliverMessageLater runs do after a random delay, as the arrival of a message at a relay, unless the
+// message is lost, the relays are partitioned, or the receiver has stopped or restarted.
 func (f *Fleet) deliverMessageLater(from, to *Relay, most time.Duration, do func()) {
 	if to == nil || !to.up || f.network.partitioned(from, to) || f.network.rng.Float64() < f.cfg.PacketLoss {
 		return
@@ -79,8 +80,8 @@
 	})
 }
 
-// detectFailures lets the failure detectors find out who is in reach now, of all relays or of one that
-// has just started or ended: each notices a while later, unless it is over by then.
+// detectFailures updates failure detection for all relays or, if of is not nil, for one that has just started
+// or ended. Each relay notices a change after a delay, unless the change is undone by then.
 func (f *Fleet) detectFailures(of *Relay) {
 	if !f.cfg.Peering {
 		return
@@ -98,7 +99,7 @@
 	}
 }
 
-// detectFailure lets one relay find out whether another is in reach.
+// detectFailure updates a relay's detection of whether one other relay is reachable.
 func (f *Fleet) detectFailure(r, o *Relay) {
 	if r == o || !r.up {
 		return
--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -12,31 +12,31 @@
 	"capersail/internal/fleet/probing"
 )
 
-// peering is what a relay has of the others.
+// peering is a relay's state for membership and shared probing.
 type peering struct {
-	clockRate     float64 // of its clock for membership and probing
+	clockRate     float64 // rate of the relay's clock for membership and probing, relative to the fleet's
 	record        membership.Record
 	node          *membership.Node
 	scheduler     *probing.Scheduler
 	meter         membership.Meter
 	health        map[*Relay]membership.Health
-	schedulerView *membership.View // that the scheduler has, and the change of the list
+	schedulerView *membership.View // the view and the list's change count that the scheduler was last given
 	schedulerList int
 }
 
-// Phase is how far its view is agreed.
+// Phase returns how far the relay's view is agreed.
 func (r *Relay) Phase() membership.Phase { return r.node.Phase() }
 
-// View is the view that it holds.
+// View returns the view that the relay holds.
 func (r *Relay) View() *membership.View { return r.node.View() }
 
-// localTime is the time on the relay's clock for membership and probing, which began at another moment
-// than the others'.
+// localTime returns the time on the relay's clock for membership and probing, whose origin differs from the
+// other relays'.
 func (r *Relay) localTime() time.Duration {
 	return duration.Scale(r.fleet.Now, r.clockRate) + 10*time.Second*time.Duration(r.index%7)
 }
 
-// startPeering starts a relay's part in membership and probing.
+// startPeering starts membership and shared probing of a relay.
 func (r *Relay) startPeering() {
 	f, life := r.fleet, r.incarnation
 	seed := f.cfg.Seed + uint64(r.index)
@@ -56,8 +56,8 @@
 	f.detectFailures(r)
 }
 
-// runMembership lets a relay's membership see the time, now and when it wants to next, while this life of
-// the relay lasts. meteredAt is when the relay last measured what it does.
+// runMembership sends ticks to a relay's membership, at once and each time its next tick is due, until the
+// given incarnation of the relay ends. meteredAt is when the relay last measured its own activity.
 func (f *Fleet) runMembership(r *Relay, life int, meteredAt time.Duration) {
 	if !r.up || r.incarnation != life {
 		return
@@ -77,8 +77,8 @@
 	f.After(max(next, ms), func() { f.runMembership(r, life, meteredAt) })
 }
 
-// runScheduler lets a relay's scheduler see the time, as the event loop does. checkedAt is when the relay
-// last checked who takes part.
+// runScheduler sends a tick to a relay's probing scheduler once every schedulerInterval, as the event loop
+// does. checkedAt is when the relay last compared the scheduler's participants with its view and list.
 func (f *Fleet) runScheduler(r *Relay, life int, checkedAt time.Duration) {
 	if !r.up || r.incarnation != life {
 		return
@@ -91,8 +91,8 @@
 	f.After(schedulerInterval, func() { f.runScheduler(r, life, checkedAt) })
 }
 
-// updateParticipants gives the scheduler the members of the view and the servers of the list, when either
-// has changed. As many relays have the same ones, a table is made once.
+// updateParticipants gives the scheduler the members of the view and the servers of the list when either has
+// changed. Many relays have the same ones, so each assignment table is computed once and shared.
 func (r *Relay) updateParticipants() {
 	view := r.node.View()
 	if view == r.schedulerView && r.listChanges == r.schedulerList {
@@ -127,7 +127,8 @@
 	})
 }
 
-// stepScheduler hands an event to a relay's scheduler and does what it wants.
+// handleSchedulerEvent passes an event to a relay's probing scheduler and performs the actions that it
+// returns.
 func (f *Fleet) handleSchedulerEvent(r *Relay, ev probing.Event) {
 	for _, a := range r.scheduler.Handle(r.localTime(), ev, nil) {
 		switch a := a.(type) {
@@ -145,7 +146,8 @@
 			}
 		case probing.PeerPlacement:
 			if s := f.serverByKey(a.ServerKey); s != nil {
-				f.deliverPeerReading(r, decide.GossipReading{Server: s.Server, Age: a.Age, PlacementDelta: a.Delta})
+				f.deliverPeerReading(r,
+					decide.GossipReading{Server: s.Server, Age: a.Age, PlacementDelta: a.Delta})
 			}
 		case probing.SendPlacements:
 			f.count("tells of placements")
@@ -161,19 +163,19 @@
 	}
 }
 
-// shareReading gives a relay's module what a peer has read or placed.
+// deliverPeerReading passes a peer's reading or placement to a relay's decision module.
 func (f *Fleet) deliverPeerReading(r *Relay, reading decide.GossipReading) {
-	reading.Age = reading.Age.Round(time.Microsecond) // in which the module's figures are stated
+	reading.Age = reading.Age.Round(time.Microsecond) // the module's times are whole microseconds
 	f.performActions(r, r.balancer.Handle(f.Now, reading, nil))
 }
 
-// gossip brings an event to another relay's scheduler.
+// sendToPeer sends an event to another relay's probing scheduler.
 func (f *Fleet) sendToPeer(from *Relay, name string, ev probing.Event) {
 	to := f.relayByName(name)
 	f.deliverMessageLater(from, to, maxPacketDelay, func() { f.handleSchedulerEvent(to, ev) })
 }
 
-// relayNumber is a relay's by its name.
+// relayNumber returns the number in a relay's name, -1 if it has none.
 func relayNumber(name string) int {
 	n, err := strconv.Atoi(name[1:])
 	if err != nil {
@@ -184,12 +186,12 @@
 
 func (f *Fleet) relayByName(name string) *Relay { return f.Relays[relayNumber(name)] }
 
-// stepNode gives an event to a relay's membership and does what it wants.
+// handleNodeEvent passes an event to a relay's membership and performs the actions that it returns.
 func (f *Fleet) handleNodeEvent(r *Relay, ev membership.Event) {
 	f.performNodeActions(r, r.node.Handle(r.localTime(), ev, nil))
 }
 
-// carryOutNode does what a relay's membership wants.
+// performNodeActions performs the actions that a relay's membership returned.
 func (f *Fleet) performNodeActions(r *Relay, actions []membership.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -9,33 +9,34 @@
 	"capersail/internal/relay"
 )
 
-// Relay is one relay: the module, and where relays know each other the deciders of membership and
-// probing, as its core loop has them.
+// Relay is a simulated relay: the real decision module and, where peering is configured, the state machines
+// of membership and probing, driven as the relay's event loop drives them.
 type Relay struct {
 	Name   string
 	Zone   decide.Zone
-	Weight float64 // of what clients bring, 1 for an even part
-	// Lies, if set, is what it tells of every server's load instead of what it read.
+	Weight float64 // share of the new clients, relative to the other relays; 1 by default
+	// ForgedLoad, if set, is the load that the relay reports to its peers for every server, instead of the
+	// load that it read.
 	ForgedLoad *float64
 
 	fleet    *Fleet
 	index    int
 	balancer *decide.Balancer
 	up       bool
-	// it was started so many times; what was meant for an earlier life is dropped
+	// number of the relay's starts; events that were scheduled for an earlier incarnation are dropped
 	incarnation     int
-	drainKnownAt    []time.Duration   // by server: when this relay learnt that it drains, -1 if not
-	list            []decide.Endpoint // its list of servers
-	listChanges     int               // changes of it
+	drainKnownAt    []time.Duration   // by server: when this relay learnt of its drain, -1 if none
+	list            []decide.Endpoint // the relay's endpoint list, by server
+	listChanges     int               // number of changes of list
 	watching        bool
 	arrivedRequests uint64
 	connections     int
 	draining        bool
-	unreachable     func(*Server) bool // servers that it cannot reach
+	unreachable     func(*Server) bool // reports the servers that the relay cannot reach; nil for none
 	peering
 }
 
-// AddRelay adds a relay that does not run yet.
+// AddRelay adds a relay that is not running yet.
 func (f *Fleet) AddRelay() *Relay {
 	i := len(f.Relays)
 	r := &Relay{fleet: f, Name: fmt.Sprintf("r%d", i), index: i, Zone: decide.Zone(i % 3), Weight: 1}
@@ -44,7 +45,7 @@
 	return r
 }
 
-// Start starts a relay with a list that it had once.
+// StartRelay starts a relay with a cached endpoint list.
 func (f *Fleet) StartRelay(r *Relay, known []decide.Endpoint) {
 	set := f.settings
 	set.RelayIndex, set.Zone = r.index, r.Zone
@@ -59,7 +60,7 @@
 	f.deliverList(r, decide.CachedSnapshot, known)
 }
 
-// Kill ends a relay with all that it holds; its clients come again.
+// KillRelay stops a relay and its connections without notice; its clients reconnect.
 func (f *Fleet) KillRelay(r *Relay) {
 	r.up = false
 	for _, c := range f.sortedClients() {
@@ -71,12 +72,13 @@
 	f.detectFailures(r)
 }
 
-// Drain begins or ends a manual drain of a relay.
+// SetDraining begins or ends a manual drain of a relay.
 func (f *Fleet) SetDraining(r *Relay, on bool) { r.draining = on }
 
 func (r *Relay) isUnreachable(s *Server) bool { return r.unreachable != nil && r.unreachable(s) }
 
-// deliver passes an event to a relay's module, in its present life, and does what it wants.
+// deliver passes an event to a relay's decision module and performs the actions that it returns, unless the
+// given incarnation of the relay has ended.
 func (f *Fleet) deliver(r *Relay, life int, ev decide.Event) {
 	if !r.up || r.incarnation != life {
 		return
@@ -88,7 +90,7 @@
 	f.performActions(r, r.balancer.Handle(f.Now, ev, nil))
 }
 
-// deliverFleetStatus gives a relay's module what its membership knows of the fleet.
+// deliverFleetStatus passes the membership's estimate of the fleet to a relay's decision module.
 func (f *Fleet) deliverFleetStatus(r *Relay) {
 	own := r.localTime()
 	status := relay.ToFleetStatus(f.Now, own, r.node.Estimate(own), nil)
@@ -97,7 +99,8 @@
 	f.performActions(r, r.balancer.Handle(f.Now, status, nil))
 }
 
-// shareEvent gives a relay's scheduler what of an event its peers are to know.
+// shareEvent passes the readings and placements in an event to a relay's probing scheduler, which shares them
+// with the relay's peers.
 func (f *Fleet) shareEvent(r *Relay, ev decide.Event) {
 	switch e := ev.(type) {
 	case decide.Outcome:
@@ -117,21 +120,22 @@
 	}
 }
 
-// sharePlacement lets a relay's peers know that it has sent a connection to a server, or that one has
-// ended there.
+// sharePlacement shares with a relay's peers that the relay has placed a connection on a server (delta 1), or
+// that a connection has ended there (delta -1).
 func (f *Fleet) sharePlacement(r *Relay, id decide.ServerID, delta int) {
 	if f.cfg.Peering && !f.cfg.GuessPlacements {
-		f.handleSchedulerEvent(r, probing.LocalPlacement{ServerKey: f.Servers[id].RendezvousKey, Delta: delta})
+		f.handleSchedulerEvent(r,
+			probing.LocalPlacement{ServerKey: f.Servers[id].RendezvousKey, Delta: delta})
 	}
 }
 
-// deliverLater passes an event on after a while, if the relay still lives the same life.
+// deliverLater delivers an event after a delay, unless the relay has stopped or restarted by then.
 func (f *Fleet) deliverLater(r *Relay, d time.Duration, ev decide.Event) {
 	life := r.incarnation
 	f.After(d, func() { f.deliver(r, life, ev) })
 }
 
-// deliverList gives a relay the endpoint list, or what has changed in it.
+// deliverList passes the endpoint list, or changed endpoints of it, to a relay.
 func (f *Fleet) deliverList(r *Relay, kind decide.WatchKind, list []decide.Endpoint) {
 	for _, e := range list {
 		for int(e.Server) >= len(r.drainKnownAt) {
@@ -149,7 +153,7 @@
 	f.deliver(r, r.incarnation, decide.WatchEvent{Kind: kind, Endpoints: list})
 }
 
-// carryOut does what a relay's module wants.
+// performActions performs the actions that a relay's decision module returned.
 func (f *Fleet) performActions(r *Relay, actions []decide.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -173,7 +177,7 @@
 			f.disconnect(c)
 			f.reconnectLater(c, max(f.RandomDuration(20*ms, 160*ms), a.RetryAfter/3))
 		case decide.Fail:
-			f.Fatal(fmt.Sprintf("%s: a request that may be repeated failed: %+v", f.Now, a))
+			f.Fatal(fmt.Sprintf("at %s: a request that may be retried failed: %+v", f.Now, a))
 		}
 	}
 }
--- a/internal/simulation/model/schedule.go
+++ b/internal/simulation/model/schedule.go
@@ -24,13 +24,13 @@
 	return last
 }
 
-// After does something later. What is due at once is done in the order in which it was asked for.
+// After runs do after a delay. Events that are due at the same time run in the order of their After calls.
 func (f *Fleet) After(d time.Duration, do func()) {
 	f.sequence++
 	heap.Push(&f.events, event{f.Now + d, f.sequence, do})
 }
 
-// Advance lets time pass.
+// Advance runs all events that are due within a duration and moves the clock on by it.
 func (f *Fleet) Advance(d time.Duration) {
 	until := f.Now + d
 	for len(f.events) > 0 && f.events[0].at <= until {
@@ -41,7 +41,7 @@
 	f.Now = until
 }
 
-// Between draws a time.
+// RandomDuration draws a duration between two limits.
 func (f *Fleet) RandomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(f.rng.Float64()*float64(most-least))
 }
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -10,10 +10,10 @@
 // setupLatency is how long a connection takes to open.
 const setupLatency = 20 * ms
 
-// State is whether a server serves, and how it fails.
+// ServerState is whether a server works, and how it fails.
 type ServerState uint8
 
-// The states.
+// The states of a server.
 const (
 	Healthy ServerState = iota
 	Dead                // rejects connections
@@ -21,26 +21,26 @@
 	Failing             // answers with errors
 )
 
-// Server is one server.
+// Server is a simulated server.
 type Server struct {
 	decide.Endpoint
 	Capacity         float64 // work a second, once warm
-	MaxConnections   int     // connections it holds, those of probes too; 0 for any number
+	MaxConnections   int     // greatest number of connections, those of probes included; 0 for no limit
 	state            ServerState
-	startedServingAt time.Duration
+	runningSince     time.Duration
 	connections      map[*client]bool
-	probeConnections map[*Relay]time.Duration // connections kept for probes, until when
+	probeConnections map[*Relay]time.Duration // by relay: until when its connection for probes is kept open
 	recentForwards   []time.Duration
-	loadHistory      []float64 // its load at each step
-	Placed           int       // connections that came, in all
+	loadHistory      []float64 // a sample for each loadInterval since runningSince
+	Placed           int       // connections placed on it in all
 	Probes           int
-	idleSince        time.Duration // since when it holds nothing and could, negative if it holds any
+	idleSince        time.Duration // since when it has had no connection; negative while it has any
 }
 
-// Connections is how many connections it holds.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int { return len(s.connections) }
 
-// full tells whether a server holds as many connections as it can, probes' connections too.
+// full reports whether a server has reached MaxConnections, connections of probes included.
 func (s *Server) full(now time.Duration) bool {
 	if s.MaxConnections == 0 {
 		return false
@@ -54,13 +54,14 @@
 	return n >= s.MaxConnections
 }
 
-// rendezvousFactor spreads the servers' keys; rendezvousInverse is its inverse modulo 1<<64.
+// rendezvousFactor spreads the servers' rendezvous keys over 64 bits; rendezvousInverse is its inverse modulo
+// 1<<64.
 const (
 	rendezvousFactor  = 0x9e3779b97f4a7c15
 	rendezvousInverse = 0xf1de83e19937733d
 )
 
-// AddServer adds a server, started at a time or long ago. No relay is notified.
+// AddServer adds a server that started at a time, or long ago if since is 0. No relay is notified.
 func (f *Fleet) AddServer(zone decide.Zone, since time.Duration) *Server {
 	id := decide.ServerID(len(f.Servers))
 	s := &Server{
@@ -69,7 +70,7 @@
 			RendezvousKey: (uint64(id) + 1) * rendezvousFactor, StartedAt: since,
 		},
 		Capacity:         1,
-		startedServingAt: f.Now,
+		runningSince:     f.Now,
 		connections:      map[*client]bool{},
 		probeConnections: map[*Relay]time.Duration{},
 		idleSince:        f.Now,
@@ -79,7 +80,7 @@
 	return s
 }
 
-// serverByKey is the server of a key, nil for none.
+// serverByKey returns the server with a rendezvous key, nil if there is none.
 func (f *Fleet) serverByKey(key uint64) *Server {
 	i := int(key*rendezvousInverse) - 1
 	if i < 0 || i >= len(f.Servers) {
@@ -88,7 +89,7 @@
 	return f.Servers[i]
 }
 
-// Fail takes a server away, with its connections: it is in the state from now on.
+// FailServer puts a server into a failed state and resets its connections.
 func (f *Fleet) FailServer(s *Server, state ServerState) {
 	s.state = state
 	for _, c := range f.sortedClients() {
@@ -99,19 +100,19 @@
 	}
 }
 
-// Restart brings a server back as a new process.
+// RestartServer starts a failed server again as a new process, which is in slow start.
 func (f *Fleet) RestartServer(s *Server) {
-	s.state, s.StartedAt, s.startedServingAt, s.loadHistory = Healthy, f.Now, f.Now, nil
+	s.state, s.StartedAt, s.runningSince, s.loadHistory = Healthy, f.Now, f.Now, nil
 	f.AnnounceServer(s, decide.Ready)
 }
 
-// FailWithErrors makes a server answer all with errors.
+// SetAnsweringErrors makes a server answer every attempt with an error.
 func (f *Fleet) SetAnsweringErrors(s *Server) { s.state = Failing }
 
-// Replace drains a server, brings one in slow start in its zone, and stops the old one.
+// ReplaceServer drains a server, stops it after the drain, and adds a server in slow start in the same zone.
 func (f *Fleet) ReplaceServer(s *Server, drain time.Duration) {
 	f.AnnounceServer(s, decide.Draining)
-	for _, c := range f.sortedClients() { // it asks its clients to leave, one by one
+	for _, c := range f.sortedClients() { // the draining server asks its clients to leave, one by one
 		if c.server == s {
 			f.After(f.RandomDuration(0, drain), func() { f.migrate(c, s) })
 		}
@@ -123,7 +124,7 @@
 	})
 }
 
-// slowStartFactor is the part of its capacity that a server has, by how long it has run.
+// slowStartFactor returns the fraction of its capacity that a server has, by the time since its start.
 func (f *Fleet) slowStartFactor(s *Server) float64 {
 	rules := f.settings.Rules
 	age := f.Now - s.StartedAt
@@ -133,7 +134,7 @@
 	return rules.SlowStartCapacity + (1-rules.SlowStartCapacity)*float64(age)/float64(rules.SlowStartWindow)
 }
 
-// Utilisation is what is asked of a server now, over what it can do now.
+// Utilisation returns the load of a server over its present capacity.
 func (f *Fleet) Utilisation(s *Server) float64 {
 	load := float64(len(s.connections)) * f.connectionLoad
 	if f.cfg.GroupWork {
@@ -146,7 +147,8 @@
 	return load / s.Capacity / f.slowStartFactor(s)
 }
 
-// probe answers with a load that is late, as reports are.
+// probe simulates a relay's probe of a server. The answer has the last load report, which is reportDelay old
+// or older.
 func (f *Fleet) probe(r *Relay, s *Server) {
 	f.count("probes")
 	s.Probes++
@@ -168,21 +170,21 @@
 		ev.Status, ev.Latency = decide.TimedOut, 200*ms
 	case ev.Status == decide.OK:
 		at := (f.Now - reportDelay) / reportInterval * reportInterval
-		if i := int((at - s.startedServingAt) / loadInterval); at >= s.startedServingAt && i < len(s.loadHistory) {
+		if i := int((at - s.runningSince) / loadInterval); at >= s.runningSince && i < len(s.loadHistory) {
 			ev.Report.Load = s.loadHistory[i]
-		} else if s.StartedAt > 0 { // a new one has had nothing
+		} else if s.StartedAt > 0 { // a new server has no load yet
 			ev.Report.Load = 0
 		}
 	}
 	f.deliverLater(r, ev.Latency, ev)
 }
 
-// send carries an attempt out at its server.
+// forward simulates an attempt that a relay forwards to a server.
 func (f *Fleet) forward(r *Relay, a decide.Forward) {
 	f.count("sends")
 	s, c := f.Servers[a.Server], f.requests[a.ID]
 	if c.server != nil {
-		f.Fatal(fmt.Sprintf("%s: a second attempt for %d while one is out", f.Now, a.ID))
+		f.Fatal(fmt.Sprintf("at %s: request %d has two attempts at once", f.Now, a.ID))
 	}
 	if knownAt := r.drainKnownAt[s.Server]; knownAt >= 0 {
 		f.Tally.LatestDrainForward = max(f.Tally.LatestDrainForward, f.Now-knownAt)
--- a/internal/simulation/model/tally.go
+++ b/internal/simulation/model/tally.go
@@ -9,22 +9,23 @@
 	"capersail/decide"
 )
 
-// Tally is what all relays did together.
+// Tally counts what all relays did together.
 type Tally struct {
 	Counts map[string]int
-	// most that a server in slow start was sent, as a part of what overloads it
+	// greatest number of requests that a server in slow start got within the overload window, as a fraction
+	// of what overloads it
 	SlowStartOverrun   float64
-	LatestDrainForward time.Duration   // longest after a drain was known that something new was sent
+	LatestDrainForward time.Duration   // longest time from a relay's notice of a drain to a forward
 	ServedTime         time.Duration   // connection time in all
-	OverloadedTime     time.Duration   // and on servers asked for more than they can do
-	SetupWaits         []time.Duration // from a client's first attempt to its connection
-	DiscoveryCalls     []time.Duration // when discovery was called
-	MaxBudgetShares    float64         // the greatest sum of the relays' shares of a budget
-	// longest that a server held nothing while clients were rejected for want of capacity
+	OverloadedTime     time.Duration   // connection time on servers whose load exceeded their capacity
+	SetupWaits         []time.Duration // times from a client's first attempt to its connection
+	DiscoveryCalls     []time.Duration // times of the calls to discovery
+	MaxBudgetShares    float64         // the greatest sum of the relays' budget shares
+	// longest time that a healthy server had no connections when a request was rejected for want of capacity
 	LongestIdle time.Duration
 }
 
-// MaxCallRate is the greatest number of calls to discovery in any second.
+// MaxCallRate returns the greatest number of calls to discovery in any second.
 func (t *Tally) MaxCallRate() (most int) {
 	for i, at := range t.DiscoveryCalls {
 		n := 0
@@ -38,20 +39,22 @@
 	return most
 }
 
-// OverloadedPart is the part of connection time on servers asked for more than they can do.
+// OverloadedFraction returns the fraction of connection time on servers whose load exceeded their capacity.
 func (t *Tally) OverloadedFraction() float64 {
 	return t.OverloadedTime.Seconds() / max(t.ServedTime.Seconds(), 1e-9)
 }
 
-// String is the Tally in a line.
+// String returns the Tally in a line.
 func (t *Tally) String() string {
 	return fmt.Sprintf("counts %v; overrun %.2f; late send %s; hot %.3f; idle %s; shares %.3f",
-		t.Counts, t.SlowStartOverrun, t.LatestDrainForward, t.OverloadedFraction(), t.LongestIdle, t.MaxBudgetShares)
+		t.Counts, t.SlowStartOverrun, t.LatestDrainForward, t.OverloadedFraction(), t.LongestIdle,
+		t.MaxBudgetShares)
 }
 
-// noteSlowStartSend counts what a server in slow start is sent, as the operators' stricter acceptance has the
-// rule: within a window, against a multiple of what fills it over its warm-up, with two roots and two put
-// down to chance.
+// recordSlowStartForward records a forward to a server in slow start and updates SlowStartOverrun. It follows
+// the operators' stricter acceptance rule: the forwards within OverloadWindow are compared with N, which is
+// OverloadFactor times the forwards that fill the server over its slow start. Two roots of N and two more are
+// allowed for chance.
 func (f *Fleet) recordSlowStartForward(s *Server) {
 	rules := f.settings.Rules
 	uptime := f.Now - s.StartedAt
@@ -67,7 +70,8 @@
 	f.Tally.SlowStartOverrun = max(f.Tally.SlowStartOverrun, float64(len(s.recentForwards))/allowed)
 }
 
-// noteRejection counts a rejection, and how long servers have stood idle that could have taken it.
+// recordRejection counts a rejection and, if it was for want of capacity, updates LongestIdle from the
+// servers that could have taken the request.
 func (f *Fleet) recordRejection(why decide.RejectReason) {
 	f.count("refused: " + why.String())
 	for _, s := range f.Servers {
@@ -77,7 +81,7 @@
 	}
 }
 
-// noteBudgetShares notes the sum of what all relays may take of a budget.
+// recordBudgetShares updates MaxBudgetShares with the present sum of all relays' budget shares.
 func (f *Fleet) recordBudgetShares() {
 	sum := 0.0
 	for _, r := range f.Relays {
--- a/internal/simulation/network/delayed.go
+++ b/internal/simulation/network/delayed.go
@@ -7,10 +7,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// slotWidth is how exact delays are: all packets that are due within one slot arrive together, by one timer.
+// slotDuration is the resolution of delays: all packets that are due within one slot arrive together, by one
+// timer.
 const slotDuration = time.Millisecond
 
-// delivery is a packet on its way.
+// delivery is a packet in transit to an endpoint.
 type delivery struct {
 	to     *endpoint
 	packet *memberlist.Packet
@@ -20,7 +21,7 @@
 	due []delivery
 }
 
-// delayQueue are the packets on their way. It has a timer for each slot that holds any, and no goroutine.
+// delayQueue holds the packets in transit. It has a timer for each slot that holds any, and no goroutine.
 type delayQueue struct {
 	mu    sync.Mutex
 	slots map[int64]*slot
@@ -40,7 +41,7 @@
 	s.due = append(s.due, packet)
 }
 
-// deliver hands over all packets of a slot.
+// deliver passes all packets of a slot to their endpoints.
 func (d *delayQueue) deliver(key int64) {
 	d.mu.Lock()
 	s := d.slots[key]
--- a/internal/simulation/network/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -10,13 +10,13 @@
 
 const (
 	packetQueueSize = 1024 // packets that wait to be read at an endpoint
-	streamQueueSize = 64   // connections that wait to be accepted there
+	streamQueueSize = 64   // connections that wait to be accepted at an endpoint
 
-	labelMessageType = 244 // memberlist begins a stream with its label, if it has one
+	labelMessageType = 244 // type of memberlist's label message, which may begin a stream
 	maxOpeningBytes  = 96
 )
 
-// endpoint is one process on the network: a memberlist.NodeAwareTransport.
+// endpoint is one process's attachment to the network. It implements memberlist.NodeAwareTransport.
 type endpoint struct {
 	network *Network
 	address string
@@ -27,18 +27,18 @@
 	meter   *meter
 }
 
-// FinalAdvertiseAddr is memberlist's.
+// FinalAdvertiseAddr implements memberlist.Transport.
 func (e *endpoint) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	return net.ParseIP(ip), port, nil
 }
 
-// WriteTo is memberlist's.
+// WriteTo implements memberlist.Transport.
 func (e *endpoint) WriteTo(b []byte, to string) (time.Time, error) {
 	return e.WriteToAddress(b, memberlist.Address{Addr: to})
 }
 
-// WriteToAddress is memberlist's. A packet that is lost on its way has been sent, and is counted at its
-// sender.
+// WriteToAddress implements memberlist.NodeAwareTransport. A packet that is lost in transit is still counted
+// as sent, and returns no error.
 func (e *endpoint) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	now := time.Now()
 	n := e.network
@@ -59,7 +59,7 @@
 	return now, nil
 }
 
-// receive puts a packet where memberlist reads it.
+// receive queues a packet for memberlist, or drops and counts it if the queue is full.
 func (e *endpoint) receive(now time.Time, p *memberlist.Packet) {
 	p.Timestamp = now
 	select {
@@ -70,19 +70,19 @@
 	}
 }
 
-// PacketCh is memberlist's.
+// PacketCh implements memberlist.Transport.
 func (e *endpoint) PacketCh() <-chan *memberlist.Packet { return e.packets }
 
-// StreamCh is memberlist's.
+// StreamCh implements memberlist.Transport.
 func (e *endpoint) StreamCh() <-chan net.Conn { return e.streams }
 
-// DialTimeout is memberlist's.
+// DialTimeout implements memberlist.Transport.
 func (e *endpoint) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
 	return e.DialAddressTimeout(memberlist.Address{Addr: to}, timeout)
 }
 
-// DialAddressTimeout is memberlist's. A process that is not there rejects at once, one behind a cut does
-// not answer.
+// DialAddressTimeout implements memberlist.NodeAwareTransport. It fails at once if no endpoint has the
+// address, and after the timeout if a cut separates the endpoints.
 func (e *endpoint) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	n := e.network
 	peer, reachable := n.route(e, to.Addr)
@@ -112,7 +112,7 @@
 	return nil, ErrRefused
 }
 
-// Shutdown is memberlist's: the endpoint is no longer there.
+// Shutdown implements memberlist.Transport. It removes the endpoint from the network.
 func (e *endpoint) Shutdown() error {
 	n := e.network
 	n.mu.Lock()
@@ -130,14 +130,14 @@
 	}
 }
 
-// stream is one end of a connection. It has the delay of its set-up only; what is written during a cut fails.
+// stream is one end of a connection. Only its set-up is delayed; a write during a cut fails.
 type stream struct {
 	net.Conn
 	local, remote *endpoint
-	opening       []byte // of what was written first, a label left out
+	opening       []byte // beginning of the first message written, without a label
 }
 
-// Write counts at both ends.
+// Write writes to the other end, and counts the bytes at both ends.
 func (s *stream) Write(b []byte) (int, error) {
 	if peer, reachable := s.local.network.route(s.local, s.remote.address); peer == nil || !reachable {
 		return 0, ErrTimeout
--- a/internal/simulation/network/meter.go
+++ b/internal/simulation/network/meter.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// What a packet and a connection cost beside their payload on an IPv4 network, so that budgets for a wire
-// can be held against what a relay writes: IP and UDP headers; and for a connection its set-up, end and
-// acknowledgements at each of its two ends.
+// Bytes of headers on an IPv4 network, so that a relay's traffic can be compared with budgets for the wire.
+// PacketHeader is IP and UDP of a packet. ConnectionHeader is the set-up, end and acknowledgements of a
+// connection, at each of its two ends.
 const (
 	PacketHeader     = 28
 	ConnectionHeader = 320
 )
 
-// Sample is what went out of and into an endpoint in some time.
+// Sample counts what an endpoint sent and received in some time.
 type Sample struct {
 	PacketsOut, PacketsIn int
-	BytesOut, BytesIn     int // of packets
-	Connections           int // that the endpoint opened
-	StreamOut, StreamIn   int // bytes of streams
+	BytesOut, BytesIn     int // payload of packets
+	Connections           int // opened by the endpoint
+	StreamOut, StreamIn   int // payload bytes of streams
 }
 
-// Out is all bytes of payload that went out.
+// Out returns all bytes of payload that were sent.
 func (s Sample) Out() int { return s.BytesOut + s.StreamOut }
 
-// In is all bytes of payload that came in.
+// In returns all bytes of payload that were received.
 func (s Sample) In() int { return s.BytesIn + s.StreamIn }
 
-// WireOut is what went out with the headers of a wire.
+// WireOut returns the bytes sent, headers included.
 func (s Sample) WireOut() int {
 	return s.Out() + s.PacketsOut*PacketHeader + s.Connections*ConnectionHeader
 }
 
-// WireIn is what came in with the headers of a wire.
+// WireIn returns the bytes received, headers included.
 func (s Sample) WireIn() int {
 	return s.In() + s.PacketsIn*PacketHeader + s.Connections*ConnectionHeader
 }
 
-// Add adds another Sample's figures.
+// Add adds the counts of another Sample.
 func (s *Sample) Add(o Sample) {
 	s.PacketsOut += o.PacketsOut
 	s.PacketsIn += o.PacketsIn
@@ -49,15 +49,15 @@
 	s.StreamIn += o.StreamIn
 }
 
-// Record is what went through one endpoint since Network.Record.
+// Record is the traffic of one endpoint since Network.StartRecording.
 type Record struct {
 	Address string
 	Total   Sample
-	Seconds []Sample // whole ones only
+	Seconds []Sample // completed seconds only
 }
 
-// Percentile is the value that the given part of all whole seconds stay at or below, by a measure of a
-// Sample.
+// Percentile returns the value that the given fraction of all completed seconds do not exceed, by a measure
+// of a Sample.
 func (r Record) Percentile(part float64, of func(Sample) int) int {
 	if len(r.Seconds) == 0 {
 		return 0
@@ -71,17 +71,17 @@
 	return values[min(max(rank, 0), len(values)-1)]
 }
 
-// meter counts at one address.
+// meter counts the traffic of one address.
 type meter struct {
 	network *Network
 
 	mu             sync.Mutex
-	recordingStart int64 // the recording that seconds belong to
+	recordingStart int64 // start of the recording that total and seconds belong to
 	total          Sample
 	seconds        []Sample
 }
 
-// packet counts a packet that goes out or comes in.
+// countPacket counts a packet that is sent or received.
 func (m *meter) countPacket(now time.Time, out, in int) {
 	s := Sample{BytesOut: out, BytesIn: in}
 	if out > 0 {
@@ -92,14 +92,14 @@
 	m.add(now, s)
 }
 
-// stream counts bytes of a stream.
+// countStream counts bytes of a stream.
 func (m *meter) countStream(now time.Time, out, in int) {
 	m.add(now, Sample{StreamOut: out, StreamIn: in})
 }
 
 func (m *meter) countConnection(now time.Time) { m.add(now, Sample{Connections: 1}) }
 
-// count adds to the recording that runs, if one does.
+// add adds a sample to the current recording, if there is one.
 func (m *meter) add(now time.Time, s Sample) {
 	recordingStart := m.network.recordingStart.Load()
 	if recordingStart == 0 {
@@ -118,10 +118,10 @@
 	m.seconds[max(second, 0)].Add(s)
 }
 
-// Record begins to count anew. Nothing is counted before its first call.
+// StartRecording starts a new recording. Nothing is counted before its first call.
 func (n *Network) StartRecording() { n.recordingStart.Store(time.Now().UnixNano()) }
 
-// Recorded is what each address has sent and received since Record, in the order of addresses.
+// Records returns the traffic of each address since StartRecording, sorted by address.
 func (n *Network) Records() (all []Record) {
 	recordingStart := n.recordingStart.Load()
 	fullSeconds := int((time.Now().UnixNano() - recordingStart) / int64(time.Second))
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -1,7 +1,7 @@
 // Package network is a simulated network in memory for tests of many relays in one process. It carries
-// memberlist's packets and streams between endpoints that have a place, with delay, loss and partitions,
-// and counts what goes in and out of each endpoint, by the second. It uses nothing but package time, so
-// that it runs in the virtual time of testing/synctest too.
+// memberlist's packets and streams between endpoints in regions and zones, with delay, loss and partitions,
+// and counts the traffic of each endpoint by the second. Its only clock is package time, so that it also runs
+// in the virtual time of testing/synctest.
 package network
 
 import (
@@ -17,65 +17,65 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Place is where an endpoint stands.
+// Place is the location of an endpoint.
 type Place struct {
 	Region, Zone string
 }
 
-// Selector tells whether an endpoint is meant.
+// Selector reports whether an endpoint is selected.
 type Selector func(address string, place Place) bool
 
-// InRegion selects a region's endpoints.
+// InRegion selects the endpoints of a region.
 func InRegion(region string) Selector {
 	return func(_ string, p Place) bool { return p.Region == region }
 }
 
-// InZone selects a zone's endpoints.
+// InZone selects the endpoints of a zone.
 func InZone(zone string) Selector { return func(_ string, p Place) bool { return p.Zone == zone } }
 
-// Not selects all but those of another Selector.
+// Not selects all endpoints that another Selector does not select.
 func Not(other Selector) Selector {
 	return func(address string, p Place) bool { return !other(address, p) }
 }
 
-// Config is what a Network is configured with.
+// Config configures a Network.
 type Config struct {
-	// Place tells where an address stands; nil for one place.
+	// Place returns the location of an address; if nil, all endpoints are in one place.
 	Place func(address string) Place
-	// Delay is how long a packet takes one way; nil for none.
+	// Delay returns the one-way delay of a packet; nil for no delay.
 	Delay func(from, to Place) time.Duration
-	// Inspect sees each packet that is sent, lost or not, before it is copied; nil for nobody. It must not
-	// keep or change it.
+	// Inspect, if not nil, is called with each packet that is sent, also if it is lost. It must not keep or
+	// change the packet, which is not copied yet.
 	Inspect func(from string, packet []byte)
-	// InspectStream sees how much is written to a stream at a time, and how the first message on it began
-	// (nil while only a label was written); nil for nobody.
+	// InspectStream, if not nil, is called with the number of bytes of each write to a stream, and with the
+	// beginning of the first message on the stream (nil while only a label was written).
 	InspectStream func(from string, opening []byte, written int)
 }
 
-// Network is the simulated network. It is safe for use by many goroutines.
+// Network is the simulated network. It is safe for concurrent use.
 type Network struct {
 	cfg            Config
-	loss           atomic.Uint64 // in parts of packetLossScale
-	recordingStart atomic.Int64  // of the recording, Unix ns; 0 for none
+	loss           atomic.Uint64 // fraction of packets that is lost, times packetLossScale
+	recordingStart atomic.Int64  // start of the current recording in Unix ns; 0 for none
 	delayed        delayQueue
 
 	mu         sync.RWMutex
 	endpoints  map[string]*endpoint
-	meters     map[string]*meter // they outlive endpoints that are recordingStart again
+	meters     map[string]*meter // by address; kept when an endpoint is shut down and started again
 	down       map[string]bool
 	cuts       map[string]cut
-	overflowed atomic.Uint64 // packets that came to a full endpoint
+	overflowed atomic.Uint64 // packets dropped at endpoints with a full queue
 }
 
-// lossScale is a loss of every packet.
+// packetLossScale is the value of Network.loss at which every packet is lost.
 const packetLossScale = 1 << 20
 
-// cut stops what goes from one set of endpoints to another.
+// cut drops the traffic from one set of endpoints to another.
 type cut struct {
 	from, to Selector
 }
 
-// The errors of a Dial and of streams.
+// Errors of dialling and of writes to streams.
 var (
 	ErrRefused = errors.New("simnet: connection refused")
 	ErrTimeout = errors.New("simnet: i/o timeout")
@@ -94,7 +94,7 @@
 	return n
 }
 
-// Transport adds an endpoint. It has the form that gossip.Config.Transport wants.
+// Transport adds an endpoint. Its signature is that of gossip.Config.Transport.
 func (n *Network) Transport(host string, port int, _ *log.Logger) (memberlist.NodeAwareTransport, error) {
 	address := fmt.Sprintf("%s:%d", host, port)
 	from, err := net.ResolveUDPAddr("udp", address)
@@ -114,7 +114,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.endpoints[address] != nil {
-		return nil, fmt.Errorf("simnet: %s is in use", address)
+		return nil, fmt.Errorf("simnet: address %s is already in use", address)
 	}
 	if e.meter = n.meters[address]; e.meter == nil {
 		e.meter = &meter{network: n}
@@ -124,11 +124,11 @@
 	return e, nil
 }
 
-// SetLoss sets which part of all packets is lost, 0 to 1.
+// SetPacketLoss sets the fraction of packets that is lost, from 0 to 1.
 func (n *Network) SetPacketLoss(part float64) { n.loss.Store(uint64(part * packetLossScale)) }
 
-// SetDown takes an endpoint off the network, as if its process had died, or brings it back: its packets
-// are lost, connections to it are rejected.
+// SetEndpointDown disconnects an endpoint from the network, as if its process had died, or connects it again.
+// While it is down its packets are lost and connections to it are refused.
 func (n *Network) SetEndpointDown(address string, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -139,21 +139,22 @@
 	}
 }
 
-// Cut stops packets and new connections from some endpoints to others, one way, until Heal is called with
-// the same name.
+// Cut stops packets and new connections from some endpoints to others, in this direction only, until Heal is
+// called with the same name.
 func (n *Network) Cut(name string, from, to Selector) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[name] = cut{from, to}
 }
 
-// CutOff stops packets and connections between some endpoints and all others, both ways, until Heal.
+// Isolate stops packets and new connections between some endpoints and all others, in both directions, until
+// Heal is called with the same name.
 func (n *Network) Isolate(name string, inside Selector) {
 	n.Cut(name+" out", inside, Not(inside))
 	n.Cut(name+" in", Not(inside), inside)
 }
 
-// Heal ends a Cut or CutOff.
+// Heal ends a Cut or Isolate.
 func (n *Network) Heal(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -162,11 +163,12 @@
 	}
 }
 
-// Overflowed is how many packets came to endpoints with full queues: their processes are too slow.
+// OverflowedPackets returns how many packets were dropped at endpoints with full queues. A number above 0
+// shows that their processes are too slow.
 func (n *Network) OverflowedPackets() uint64 { return n.overflowed.Load() }
 
-// route finds the endpoint at an address; reachable is false where nothing comes through to it from the
-// sender.
+// route returns the endpoint at an address, nil if there is none or either end is down. reachable is false if
+// a cut separates it from the sender.
 func (n *Network) route(from *endpoint, to string) (peer *endpoint, reachable bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -188,7 +190,7 @@
 	return loss > 0 && rand.Uint64N(packetLossScale) < loss
 }
 
-// delay is how long a packet takes from one endpoint to another.
+// delay returns the one-way delay from one endpoint to another.
 func (n *Network) delay(from, to *endpoint) time.Duration {
 	if n.cfg.Delay == nil {
 		return 0
--- a/internal/simulation/network/network_test.go
+++ b/internal/simulation/network/network_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// arrived reads what has come by now.
+// receivedTexts returns the packets that an endpoint has received by now.
 func receivedTexts(at memberlist.NodeAwareTransport) (texts []string) {
 	synctest.Wait()
 	for {
@@ -49,13 +49,13 @@
 	}
 }
 
-// Packets arrive after their delay, those of one slot in the order in which they were sent.
+// Packets arrive after their delay, and those of one slot in the order in which they were sent.
 func TestDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const delay = 20 * time.Millisecond
 		n := New(Config{Place: placeOf, Delay: func(from, to Place) time.Duration {
 			if from.Region != "north" || to.Region != "south" {
-				t.Errorf("from %v to %v", from, to)
+				t.Errorf("delay of a packet from %v to %v, want from region north to south", from, to)
 			}
 			return delay
 		}})
@@ -64,16 +64,17 @@
 		send(t, from, "two", there)
 		time.Sleep(delay - time.Millisecond)
 		if got := receivedTexts(to); len(got) != 0 {
-			t.Errorf("%q before the delay", got)
+			t.Errorf("got %q before the delay, want nothing", got)
 		}
 		time.Sleep(time.Millisecond)
 		if got := receivedTexts(to); len(got) != 2 || got[0] != "one" || got[1] != "two" {
-			t.Errorf("%q after the delay", got)
+			t.Errorf("got %q after the delay, want one and two", got)
 		}
 	})
 }
 
-// A cut holds one way or both, a dead process is heard by nobody, and both end.
+// A cut stops traffic one way, Isolate both ways, and an endpoint that is down gets and sends nothing. All
+// three can be undone.
 func TestPartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Config{Place: placeOf})
@@ -83,17 +84,17 @@
 			send(t, from, "x", there)
 			send(t, to, "x", here)
 			if got := len(receivedTexts(to)) == 1; got != forth {
-				t.Errorf("%s: forth %v", what, got)
+				t.Errorf("%s: packet from here to there delivered: %v", what, got)
 			}
 			if got := len(receivedTexts(from)) == 1; got != back {
-				t.Errorf("%s: back %v", what, got)
+				t.Errorf("%s: packet from there to here delivered: %v", what, got)
 			}
 		}
 		passes("at first", true, true)
 		n.Cut("one way", InRegion("north"), InZone("b"))
 		passes("one way", false, true)
 		if _, err := to.DialAddressTimeout(memberlist.Address{Addr: here}, time.Second); err != ErrTimeout {
-			t.Errorf("a connection whose answers are cut: %v", err)
+			t.Errorf("dialling while the way back is cut: got error %v, want ErrTimeout", err)
 		}
 		n.Heal("one way")
 		n.Isolate("both", InZone("b"))
@@ -103,14 +104,14 @@
 		passes("down", false, false)
 		if _, err := from.DialAddressTimeout(memberlist.Address{Addr: there},
 			time.Second); err != ErrRefused {
-			t.Errorf("a connection to a dead process: %v", err)
+			t.Errorf("dialling an endpoint that is down: got error %v, want ErrRefused", err)
 		}
 		n.SetEndpointDown(there, false)
 		passes("at last", true, true)
 	})
 }
 
-// Loss takes about its part of the packets, which count as sent.
+// Packet loss drops about its fraction of the packets; lost packets count as sent.
 func TestLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const sent, part = 2000, 0.25
@@ -124,16 +125,16 @@
 			came += len(receivedTexts(to))
 		}
 		if came < sent*65/100 || came > sent*85/100 { // ten standard deviations
-			t.Errorf("%d of %d came", came, sent)
+			t.Errorf("%d of %d packets arrived, want between 65 and 85 in 100", came, sent)
 		}
 		if all := n.Records(); all[0].Total.PacketsOut != sent || all[1].Total.PacketsIn != came {
-			t.Errorf("%+v", all)
+			t.Errorf("the sent or received packets are miscounted: %+v", all)
 		}
 	})
 }
 
-// Bytes and messages are counted by the second, both ways, in packets and in streams; and an endpoint
-// that is started again goes on with its address's figures.
+// Packets, connections and bytes are counted by the second, both ways, in packets and in streams. An endpoint
+// that is started again goes on with the counts of its address.
 func TestRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var opening atomic.Value
@@ -167,7 +168,7 @@
 		want := []Sample{{PacketsOut: 1, BytesOut: 5}, {Connections: 1, StreamOut: 8},
 			{PacketsOut: 1, BytesOut: 3}}
 		if len(all) != 2 || len(all[0].Seconds) != len(want) {
-			t.Fatalf("%+v", all)
+			t.Fatalf("got records %+v, want two endpoints and three seconds", all)
 		}
 		for i, s := range all[0].Seconds {
 			if s != want[i] {
@@ -176,22 +177,23 @@
 		}
 		if in := all[1].Total; in.BytesIn != 8 || in.PacketsIn != 2 || in.StreamIn != 8 ||
 			in.WireIn() != 16+2*PacketHeader {
-			t.Errorf("in: %+v", in)
+			t.Errorf("received traffic is miscounted: %+v", in)
 		}
 		if all[0].Percentile(1, Sample.Out) != 8 || all[0].Percentile(0.5, Sample.Out) != 5 {
-			t.Errorf("percentiles %d and %d", all[0].Percentile(1, Sample.Out),
+			t.Errorf("got percentiles 100 and 50 of %d and %d bytes, want 8 and 5",
+				all[0].Percentile(1, Sample.Out),
 				all[0].Percentile(0.5, Sample.Out))
 		}
 		if opening.Load() != "a stream" {
-			t.Errorf("opening %q", opening.Load())
+			t.Errorf("got opening %q of the stream, want \"a stream\"", opening.Load())
 		}
 		if _, err := n.Transport("127.0.0.1", 1, nil); err == nil {
-			t.Error("one address twice")
+			t.Error("a second endpoint with the same address was accepted, want an error")
 		}
 	})
 }
 
-// What one packet costs, its copy, count and delivery; in real time.
+// Measures the cost of one packet, its copy, count and delivery included, in real time.
 func BenchmarkPacket(b *testing.B) {
 	for _, delay := range []time.Duration{0, 2 * time.Millisecond} {
 		b.Run(delay.String(), func(b *testing.B) {
--- a/internal/simulation/scale/calibrate.go
+++ b/internal/simulation/scale/calibrate.go
@@ -11,9 +11,9 @@
 	"capersail/internal/simulation/network"
 )
 
-// PacketCost measures the processor time that the simulated network takes for a packet, its copy, its
-// counting and its delivery included, on endpoints whose packets are read and dropped; 0 if it cannot be
-// measured. It is called in the kind of time, virtual or real, that the fleet is measured in.
+// PacketCost measures the CPU time that the simulated network takes for a packet, its copy, counting and
+// delivery included, on endpoints that discard the packets they receive. It returns 0 if the time cannot be
+// measured. Call it in the kind of time, virtual or real, in which the fleet is measured.
 func PacketCost(layout Layout) time.Duration {
 	const endpoints, rounds, size = 100, 200, 250
 	var traffic trafficCounter
@@ -50,7 +50,7 @@
 	return (processorTime() - began) / (endpoints * rounds)
 }
 
-// dropPackets reads what comes until done is closed.
+// dropPackets receives and discards packets until done is closed.
 func dropPackets(t memberlist.NodeAwareTransport, done <-chan struct{}) {
 	for {
 		select {
--- a/internal/simulation/scale/celllayout.go
+++ b/internal/simulation/scale/celllayout.go
@@ -9,10 +9,10 @@
 	"capersail/internal/wire/gossip"
 )
 
-// cellLayout is how a fleet is divided into cells: the relays of each zone in CellsPerZone cells.
+// cellLayout is a fleet's division into cells: the relays of each zone are divided into CellsPerZone cells.
 type cellLayout struct {
 	plan    cellplan.Plan
-	members map[string][]int // by cell: its relays
+	members map[string][]int // by cell: the numbers of its relays
 	zones   map[string]decide.Zone
 }
 
@@ -22,7 +22,8 @@
 	return fmt.Sprintf("%s-%c", c.Layout.Place(i).Zone, 'a'+rune(cell))
 }
 
-// contactsPerCell is how many relays of a cell are named to other cells, and to its own as seeds.
+// contactsPerCell is how many relays of a cell are the plan's contacts for other cells, and the seeds of its
+// own relays.
 const contactsPerCell = 3
 
 func newCellLayout(c Config) *cellLayout {
@@ -57,7 +58,7 @@
 	return p
 }
 
-// configure adds relay i's part in the plan to its configuration.
+// configure sets the cell, the plan and the cell's bootstrap slots in the configuration of relay i.
 func (p *cellLayout) configure(c *gossip.Config, cell string, i int) {
 	members := p.members[cell]
 	c.Cell = cell
--- a/internal/simulation/scale/clock.go
+++ b/internal/simulation/scale/clock.go
@@ -6,7 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// machineNow returns the machine's monotonic clock, which virtual time does not change.
+// machineNow returns the machine's monotonic clock, which the virtual time of testing/synctest does not
+// replace.
 func machineNow() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
--- a/internal/simulation/scale/cost_test.go
+++ b/internal/simulation/scale/cost_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// What the long tests play, so that each size is a run of its own.
+// Flags of the long tests, so that each size is measured by a run of its own.
 var (
 	relays       = flag.Int("relays", 100, "relays of the long tests")
 	startSpread  = flag.Duration("spread", 0, "over which the starts of the long tests are spread")
@@ -20,7 +20,7 @@
 	realTime     = flag.Bool("realtime", false, "run the long tests in real time")
 )
 
-// inVirtualTime runs f in virtual time, or in real time by the flag.
+// inVirtualTime runs f in virtual time, or in real time if -realtime is set.
 func inVirtualTime(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	if *realTime {
@@ -30,11 +30,11 @@
 	synctest.Test(t, f)
 }
 
-// skipUnlessLong skips a test that takes minutes.
+// skipUnlessLong skips a test that takes minutes, unless CAPERSAIL_LONG is 1.
 func skipUnlessLong(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CAPERSAIL_LONG") != "1" {
-		t.Skip("CAPERSAIL_LONG=1 plays it")
+		t.Skip("takes minutes; set CAPERSAIL_LONG=1 to run it")
 	}
 }
 
@@ -59,10 +59,11 @@
 	}
 }
 
-// afterForming is how long the statuses of a fleet that has just formed are gossiped.
+// statusSpreadTime is how long a newly formed fleet goes on gossiping its first statuses; measurements at
+// rest start after it.
 const statusSpreadTime = 6 * time.Second
 
-// measureAtRest measures a fleet at rest while one packet in a hundred is lost.
+// measureAtRest measures a fleet at rest with a packet loss of one in a hundred.
 func measureAtRest(t *testing.T, c Config, over time.Duration) Figures {
 	t.Helper()
 	cost := PacketCost(LargeLayout)
@@ -74,16 +75,16 @@
 	return f.Measure(over, cost)
 }
 
-// statusTerm returns how many statuses a flat relay gossips in a second, by the number of relays, as the code
-// has it: each relay sends its own once in max(1 s, 50 ms x relays), and each forwards each 3 x
-// ceil(log10(relays+1)) times.
+// statusTerm returns how many statuses a relay of a flat fleet gossips in a second, by the number of relays.
+// As implemented, each relay sends its own status once in max(1 s, 50 ms x relays), and each relay forwards
+// each status 3 x ceil(log10(relays+1)) times.
 func statusTerm(relays int) float64 {
 	n := float64(relays)
 	return n / max(1, 0.05*n) * 3 * math.Ceil(math.Log10(n+1))
 }
 
-// pushPullTerm returns how many relays' states go out in push-pulls in a second: of all, once in
-// 15 s x (1 + ceil(log2(relays/32))).
+// pushPullTerm returns how many relays' states a relay sends in push-pulls in a second: those of all relays,
+// once in 15 s x (1 + ceil(log2(relays/32))).
 func pushPullTerm(relays int) float64 {
 	n := float64(relays)
 	intervalSeconds := 15.0
@@ -93,14 +94,14 @@
 	return n / intervalSeconds
 }
 
-// costModel says how the bytes that a relay sends in a second depend on the number of relays: a fixed part
-// (probes, leases, framing), and a weight of each term.
+// costModel is the bytes that a relay sends in a second by the number of relays: a fixed part (probes,
+// leases, framing), and the bytes of each unit of statusTerm and pushPullTerm.
 type costModel struct {
 	fixed, status, pushPull float64
 }
 
-// fitCostModel takes the weights from the kinds of traffic at some sizes, each by least squares through the
-// origin.
+// fitCostModel fits the bytes of each term to the kinds of traffic measured at some sizes, by least squares
+// through the origin.
 func fitCostModel(measured []Figures) (p costModel) {
 	var statusXY, statusXX, pushXY, pushXX float64
 	for _, g := range measured {
@@ -122,10 +123,10 @@
 	return p.fixed + p.status*statusTerm(relays) + p.pushPull*pushPullTerm(relays)
 }
 
-// What a relay sends depends on the number of relays as the terms say, and on nothing else: a size is
+// The traffic of a relay depends on the number of relays only as the terms of costModel say: a larger size is
 // predicted from smaller ones. The tolerance covers push-pulls and statuses that fall into one window of 16 s
-// and not into the next: the greatest size has a push-pull in 30 s and a status in 2 s. It fails where relays
-// send their statuses every second whatever their number.
+// and not into the next, since a relay of the largest size has a push-pull in 30 s and a status in 2 s. The
+// test fails if relays send their statuses every second whatever their number.
 func TestRelayTrafficFollowsCostModel(t *testing.T) {
 	const over, tolerance, larger = 16 * time.Second, 0.1, 40
 	var measured []Figures
@@ -144,11 +145,12 @@
 	t.Logf("%d relays: %.0f bytes out a relay a second, predicted %.0f by %+v; 600: %.0f, 1100: %.0f",
 		larger, got, want, model, model.predict(600), model.predict(1100))
 	if math.Abs(got/want-1) > tolerance {
-		t.Errorf("%d relays: %.0f bytes out a relay a second, predicted %.0f", larger, got, want)
+		t.Errorf("%d relays: %.0f bytes out a relay a second, predicted %.0f; want an error of 0.1 at most",
+			larger, got, want)
 	}
 }
 
-// Prints the figures of one size, for docs/measurements/capacity.md.
+// Prints the measured figures of one size, for docs/measurements/capacity.md.
 func TestCostOfSize(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
@@ -161,7 +163,7 @@
 	})
 }
 
-// Prints how a fleet forms, second by second, and what that takes.
+// Prints the progress of a fleet's forming by the second, and the time and CPU that it takes.
 func TestForming(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
@@ -179,14 +181,14 @@
 	})
 }
 
-// use is what this process takes of the machine from a point on.
+// resourceUsage is a start of measuring the real and CPU time that this process takes.
 type resourceUsage struct {
 	real, cpu time.Duration
 }
 
 func startUsage() resourceUsage { return resourceUsage{real: machineNow(), cpu: processorTime()} }
 
-// String returns what was taken so far.
+// String returns the time taken since the start.
 func (u resourceUsage) String() string {
 	return fmt.Sprintf("real time %.1f s, processor time %.1f s",
 		(machineNow() - u.real).Seconds(), (processorTime() - u.cpu).Seconds())
--- a/internal/simulation/scale/envelope.go
+++ b/internal/simulation/scale/envelope.go
@@ -2,7 +2,7 @@
 
 import "capersail/internal/fleet/membership"
 
-// The kinds of gossip's envelopes, as they are on the wire.
+// The kinds of gossip's envelopes on the wire.
 const (
 	envelopeStatus     = 1
 	envelopeMessage    = 2
@@ -15,7 +15,8 @@
 	cellEnvelopeItems  = 3  // Cell, Kind, Body
 )
 
-// envelopeKind returns the kind of an envelope, of which it reads no more than it needs.
+// envelopeKind returns the kind of traffic of an envelope. It decodes no more than the fields that determine
+// the kind.
 func envelopeKind(b []byte) TrafficKind {
 	if len(b) == 0 || b[0] != 0x80|envelopeItems {
 		return OtherTraffic
@@ -50,7 +51,7 @@
 	default:
 		return OtherTraffic
 	}
-	if len(b) < 3 || b[0]>>5 != 5 || b[1] != 1 { // a map whose first key is the Message's Kind
+	if len(b) < 3 || b[0]>>5 != 5 || b[1] != 1 { // not a map whose first key is the Message's Kind
 		return OtherTraffic
 	}
 	switch membership.MessageKind(b[2]) {
@@ -60,8 +61,8 @@
 	return Consensus
 }
 
-// readItem reads a number or a text in CBOR. It returns the number or the text's length, and the rest; nil if
-// the text is cut short or of another type.
+// readItem reads a CBOR number or text. It returns the number or the text's length, and the rest of the
+// bytes, which is nil if the item is truncated or of another type.
 func readItem(b []byte) (value uint64, rest []byte) {
 	if len(b) == 0 {
 		return 0, nil
--- a/internal/simulation/scale/events_test.go
+++ b/internal/simulation/scale/events_test.go
@@ -11,12 +11,12 @@
 	"capersail/internal/simulation/network"
 )
 
-// deathWatch records when each relay has learned that one of the others has failed.
+// failureObserver records when each relay has learned that a killed relay has failed.
 type failureObserver struct {
 	mu            sync.Mutex
 	awaitedName   string
 	killedAt      time.Time
-	detectedAfter map[int]time.Duration // by relay, from killedAt on; nil before expect
+	detectedAfter map[int]time.Duration // by relay: time from killedAt; nil before expect
 }
 
 func (d *failureObserver) record(relay int, c membership.StateChanged) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// expect has the death of a relay, which is killed now, recorded.
+// expect starts recording the failure of a relay that is killed now.
 func (d *failureObserver) expect(relay int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,7 +40,7 @@
 	d.detectedAfter = map[int]time.Duration{}
 }
 
-// summary says how soon all relays of the same zone, and all others, knew.
+// summary returns after what time the relays of the same zone, and all others, learned of the failure.
 func (d *failureObserver) summary(f *Fleet, dead int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,7 +76,7 @@
 	return slices.Max(all).Round(time.Millisecond)
 }
 
-// eventColumns are the heads of the table of printEvent.
+// eventColumns are the column headings of printEvent's table.
 var eventColumns = []string{
 	"event",
 	"relays",
@@ -91,7 +91,7 @@
 	"packets of that second over the rest's",
 }
 
-// printEvent prints what an event has cost, as a row of a table.
+// printEvent prints the cost of an event as a table row.
 func printEvent(what string, rest, g Figures) {
 	var worst network.Sample
 	for _, s := range g.Seconds {
@@ -115,7 +115,7 @@
 	}))
 }
 
-// restBefore is how long a fleet is measured at rest before an event.
+// restDuration is how long a fleet is measured at rest before an event.
 const restDuration = 20 * time.Second
 
 // startAtRest starts a fleet and measures it at rest. The caller stops it.
@@ -129,12 +129,12 @@
 	return f, f.Measure(restDuration, cost), cost
 }
 
-// sizeFromFlags returns the fleet of the long tests.
+// sizeFromFlags returns the configuration that the flags of the long tests select.
 func sizeFromFlags() Config {
 	return Config{Relays: *relays, StartSpread: *startSpread, Servers: *servers, CellsPerZone: *cellsPerZone}
 }
 
-// printOneView waits for one view and prints how long it took.
+// printOneView waits until all relays hold one view, and prints how long it took.
 func printOneView(f *Fleet, what string) {
 	took, err := f.AwaitOneView(time.Minute)
 	if err != nil {
@@ -144,8 +144,8 @@
 	fmt.Printf("%s: one view of all after %.1f s\n", what, took.Seconds())
 }
 
-// Prints what restarts cost, one after the other, as 310 relays restart once a day, played faster; and a
-// relay that dies.
+// Prints the cost of restarts one after the other, scaled to 310 relays that restart once a day, and the cost
+// of a relay that dies.
 func TestEventRestarts(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
@@ -185,7 +185,7 @@
 	})
 }
 
-// Prints what it costs that a zone is lost, and that its relays come back after a while.
+// Prints the cost of the loss of a zone, and of the return of its relays.
 func TestEventZoneLost(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
@@ -220,7 +220,7 @@
 	})
 }
 
-// Prints what it costs that a region is cut off for a while.
+// Prints the cost of a region that is isolated for a while.
 func TestEventRegionCutOff(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
--- a/internal/simulation/scale/figures.go
+++ b/internal/simulation/scale/figures.go
@@ -10,36 +10,36 @@
 	"capersail/internal/simulation/network"
 )
 
-// Distribution is a figure over all relays of a fleet, in bytes or messages a second.
+// Distribution is a rate over all relays of a fleet, in bytes or messages a second.
 type Distribution struct {
-	Mean      float64 // of all relays and seconds
-	MaxMean   float64 // of the relay whose mean is greatest
-	P99       float64 // the 99th of 100 seconds of the relay where that is greatest
+	Mean      float64 // over all relays and seconds
+	MaxMean   float64 // the greatest mean of a relay
+	P99       float64 // the greatest 99th percentile of a relay's seconds
 	MaxSecond float64 // the greatest second of any relay
 }
 
-// Figures are what a fleet costs each of its relays in a second, unless another unit is said.
+// Figures are the costs of a fleet, for each relay and second unless a field says otherwise.
 type Figures struct {
 	Relays int
 	Took   time.Duration // by the fleet's clock
 
-	Out, In           Distribution     // bytes of payload, in packets and streams
-	WireOut, WireIn   Distribution     // the same with the headers of a wire
+	Out, In           Distribution     // bytes of payload in packets and streams
+	WireOut, WireIn   Distribution     // the same with headers
 	Packets           Distribution     // packets sent
 	Streams           float64          // streams opened
 	Kinds             Traffic          // messages and bytes sent, over all relays and the whole time
 	OverflowedPackets uint64           // packets dropped at full queues, over all relays and the whole time
 	Seconds           []network.Sample // by second: the sum of all relays
 
-	CPUMillis        float64 // without what the simulated network takes
-	NetworkCPUMillis float64 // what was taken off for it
+	CPUMillis        float64 // without the CPU time of the simulated network
+	NetworkCPUMillis float64 // CPU time of the simulated network, which CPUMillis leaves out
 	HeapMB, StackMB  float64 // of a relay, after a garbage collection
 	Goroutines       float64 // of a relay
 
-	RealTook, RealCPU time.Duration // what this process took to measure it all
+	RealTook, RealCPU time.Duration // real and CPU time of this process while it measured
 }
 
-// processorTime returns what this process has used.
+// processorTime returns the user and system CPU time of this process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -48,7 +48,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Observation is a time that is being measured.
+// Observation is a measurement that is in progress.
 type Observation struct {
 	fleet            *Fleet
 	packetCost       time.Duration
@@ -59,7 +59,8 @@
 	startedAt        time.Time
 }
 
-// Observe begins to measure. packetCost is what PacketCost returned. There is one Observation at a time.
+// Observe starts a measurement. packetCost is the result of PacketCost. Only one Observation may be in
+// progress at a time.
 func (f *Fleet) Observe(packetCost time.Duration) *Observation {
 	f.Network.StartRecording()
 	return &Observation{
@@ -73,7 +74,7 @@
 	}
 }
 
-// End returns what the time since Observe has cost.
+// End returns the costs of the time since Observe.
 func (o *Observation) End() Figures {
 	took := time.Since(o.startedAt)
 	realTook := machineNow() - o.realBefore
@@ -91,14 +92,14 @@
 	return figures
 }
 
-// Measure waits for a time and returns what it cost.
+// Measure returns the costs of the fleet over a duration, for which it waits.
 func (f *Fleet) Measure(over, packetCost time.Duration) Figures {
 	o := f.Observe(packetCost)
 	time.Sleep(over)
 	return o.End()
 }
 
-// summarize returns the figures of the network's records.
+// summarize returns the traffic figures of the network's records.
 func (f *Fleet) summarize(records []network.Record, took time.Duration) Figures {
 	out := Figures{Relays: len(f.running()), Took: took}
 	connections := 0
@@ -133,7 +134,7 @@
 	return d
 }
 
-// addMemory adds what this process holds, divided by the relays.
+// addMemory sets the memory and goroutines of this process, divided by the number of relays.
 func (g *Figures) addMemory() {
 	runtime.GC()
 	var m runtime.MemStats
@@ -144,7 +145,7 @@
 	g.Goroutines = float64(runtime.NumGoroutine()) / n
 }
 
-// columns are the heads of a table of Rows.
+// columns are the column headings of a table of Rows.
 var columns = []string{
 	"relays",
 	"seconds",
@@ -161,7 +162,7 @@
 	"stacks, MB",
 }
 
-// Header returns the head of a table of Rows in Markdown.
+// Header returns the heading of a table of Rows in Markdown.
 func Header() string { return tableHead(columns) }
 
 func tableHead(columns []string) string {
@@ -189,13 +190,13 @@
 	})
 }
 
-// KindRate returns how many bytes of a kind each relay sends in a second.
+// KindRate returns how many bytes of a kind of traffic each relay sends in a second.
 func (g Figures) KindRate(k TrafficKind) float64 {
 	return float64(g.Kinds[k].Bytes) / g.Took.Seconds() / float64(max(g.Relays, 1))
 }
 
-// KindRows returns the kinds as rows of a table in Markdown: bytes and messages that each relay sends in a
-// second.
+// KindRows returns the kinds of traffic as rows of a Markdown table: bytes and messages that each relay sends
+// in a second.
 func (g Figures) KindRows() string {
 	var b strings.Builder
 	relaySeconds := g.Took.Seconds() * float64(max(g.Relays, 1))
--- a/internal/simulation/scale/fleet.go
+++ b/internal/simulation/scale/fleet.go
@@ -15,27 +15,27 @@
 	"capersail/internal/wire/gossip"
 )
 
-// Config is what a Fleet is made of.
+// Config configures a Fleet.
 type Config struct {
 	Relays       int
 	Layout       Layout
-	CellsPerZone int           // divides the relays of each zone; 0 for a flat fleet
-	Dir          string        // for the relays' state files
-	StartSpread  time.Duration // over which the starts are spread
-	Keys         [][]byte      // that seal packets; with any, traffic is not counted by kind
-	Servers      int           // whose load reports the relays share; 0 for none
-	Arrivals     float64       // requests a second of each relay, by its status
-	// OnChange, if set, is called with each change at each relay. It must not block.
+	CellsPerZone int           // cells that the relays of each zone are divided into; 0 for a flat fleet
+	Dir          string        // directory of the relays' state files
+	StartSpread  time.Duration // time over which the starts of the relays are spread
+	Keys         [][]byte      // keys that encrypt packets; encrypted traffic is not counted by kind
+	Servers      int           // number of servers whose load reports the relays share; 0 for none
+	Arrivals     float64       // requests a second that each relay's status reports
+	// OnChange, if set, is called with each membership change at each relay. It must not block.
 	OnChange func(relay int, c membership.StateChanged)
 }
 
-// Relay is one relay without client sockets.
+// Relay is a relay without client sockets.
 type Relay struct {
 	Index   int
 	Address string
 	Place   network.Place
 
-	// Under the fleet's lock.
+	// Guarded by Fleet.mu.
 	node   *gossip.Node // nil while the relay does not run
 	stop   context.CancelFunc
 	prober *prober // nil if there are no servers
@@ -53,10 +53,10 @@
 	relays []*Relay
 }
 
-// seeds is how many relays new ones join by.
+// seedRelays is the number of relays that a flat fleet's relays use as seeds.
 const seedRelays = 3
 
-// Start starts a fleet. It returns once the last relay has been started; Stop ends it.
+// Start starts a fleet and returns once its last relay has been started. Call Stop to end it.
 func Start(c Config) (*Fleet, error) {
 	f := &Fleet{cfg: c}
 	if c.CellsPerZone > 0 {
@@ -84,7 +84,7 @@
 	return f, nil
 }
 
-// StartRelay starts a relay that does not run. Its goroutines end with StopRelay.
+// StartRelay starts a relay that is not running. Call StopRelay to end its goroutines.
 func (f *Fleet) StartRelay(i int) error {
 	c := f.gossipConfig(i)
 	var p *prober
@@ -94,7 +94,7 @@
 	}
 	node, err := gossip.New(c)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Name, err)
+		return fmt.Errorf("start relay %s: %w", c.Name, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	if p != nil {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// gossipConfig returns the configuration of a relay that starts now.
+// gossipConfig returns the gossip configuration of a relay that starts now.
 func (f *Fleet) gossipConfig(i int) gossip.Config {
 	startedAt := time.Now()
 	c := gossip.Config{
@@ -148,7 +148,8 @@
 	return c
 }
 
-// StopRelay ends a relay, if it runs, and waits for its goroutines. With leave it notifies the others first.
+// StopRelay stops a relay, if it is running, and waits for its goroutines. With leave, the relay first
+// notifies the others.
 func (f *Fleet) StopRelay(i int, leave bool) {
 	f.mu.Lock()
 	r := f.relays[i]
@@ -161,17 +162,17 @@
 	if leave {
 		node.Leave()
 	} else {
-		f.Network.SetEndpointDown(r.Address, true) // what its goroutines still send is dropped
+		f.Network.SetEndpointDown(r.Address, true) // drops what the relay's goroutines still send
 	}
 	stop()
 	node.Wait()
 	f.Network.SetEndpointDown(r.Address, false)
 }
 
-// memberlistLinger is how long memberlist's own goroutines may go on after its end.
+// memberlistShutdownTime is how long memberlist's goroutines may continue after its shutdown.
 const memberlistShutdownTime = 40 * time.Second
 
-// Stop ends all relays, and waits until nothing of them is left.
+// Stop stops all relays and waits until all their goroutines have ended.
 func (f *Fleet) Stop() {
 	var stopping sync.WaitGroup
 	for i := range f.relays {
@@ -181,7 +182,7 @@
 	time.Sleep(memberlistShutdownTime)
 }
 
-// running returns the nodes of the relays that run.
+// running returns the nodes of the relays that are running.
 func (f *Fleet) running() (nodes []*gossip.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/simulation/scale/layout.go
+++ b/internal/simulation/scale/layout.go
@@ -7,22 +7,23 @@
 	"capersail/internal/simulation/network"
 )
 
-// Layout says where relays are: relay i is in zone i modulo Zones, zone z in region z modulo Regions.
+// Layout assigns relays to zones and regions: relay i is in zone i modulo Zones, zone z in region z modulo
+// Regions.
 type Layout struct {
 	Regions, Zones int
 }
 
-// LargeLayout is that of the large fleet: 5 regions and 17 zones.
+// LargeLayout is the layout of the large fleet: 5 regions and 17 zones.
 var LargeLayout = Layout{Regions: 5, Zones: 17}
 
 // One-way delays of packets.
 const (
 	delayInZone   = 250 * time.Microsecond
 	delayInRegion = time.Millisecond
-	delayPerHop   = 20 * time.Millisecond // between regions that are next to each other on a ring
+	delayPerHop   = 20 * time.Millisecond // between adjacent regions, which form a ring
 )
 
-// Place returns where relay i is.
+// Place returns the location of relay i.
 func (l Layout) Place(i int) network.Place {
 	zone := i % l.Zones
 	return network.Place{
@@ -31,7 +32,7 @@
 	}
 }
 
-// Delay returns how long a packet takes from one place to another.
+// Delay returns the one-way delay of a packet between two places.
 func (l Layout) Delay(from, to network.Place) time.Duration {
 	switch {
 	case from.Zone == to.Zone:
@@ -52,7 +53,7 @@
 // Address returns the address that relay i listens on.
 func Address(i int) string { return fmt.Sprintf("%s:%d", hostOf(i), port) }
 
-// port is that of all relays.
+// port is the port of every relay.
 const port = 7946
 
 func hostOf(i int) string { return fmt.Sprintf("127.9.%d.%d", i/250, 1+i%250) }
--- a/internal/simulation/scale/prober.go
+++ b/internal/simulation/scale/prober.go
@@ -13,9 +13,8 @@
 	"capersail/internal/wire/gossip"
 )
 
-// prober is the part of a relay that probes servers, a share of them, and exchanges load reports with other
-// relays: the program's event loop, with an endpoint list that does not change and servers that answer in
-// memory.
+// prober is the part of a relay that probes its share of the servers and exchanges load reports with other
+// relays. It runs the program's event loop with a fixed endpoint list and with servers that answer in memory.
 type prober struct {
 	table     *relay.RequestTable
 	shared    *relay.SharedProbing
@@ -67,16 +66,17 @@
 
 func (p *prober) receive(ev probing.Event) { p.shared.Receive(ev) }
 
-// Watch is relay.Discovery's: the list comes once and does not change.
+// Watch implements relay.Discovery. The endpoint list never changes, so one snapshot is all.
 func (p *prober) Watch() { p.table.UpdateEndpoints(decide.Snapshot, p.endpoints) }
 
-// Fetch is relay.Discovery's.
+// Fetch implements relay.Discovery.
 func (p *prober) Fetch() { p.table.UpdateEndpoints(decide.Snapshot, p.endpoints) }
 
-// StartAttempt is relay.ServerDialer's: there are no clients, so no attempt is made.
+// StartAttempt implements relay.ServerDialer. There are no clients, so no attempt is made.
 func (p *prober) StartAttempt(*relay.Request, relay.Attempt) {}
 
-// Probe is relay.ServerDialer's: each server reports a load of its own, which changes a little each second.
+// Probe implements relay.ServerDialer. Each server reports a load of its own that changes a little each
+// second.
 func (p *prober) Probe(s relay.Server, done func(decide.Status, decide.LoadReport)) {
 	load := 0.3 + 0.4*float64(s.Number%16)/16 + 0.02*float64(time.Now().Unix()%3)
 	time.AfterFunc(probeLatency, func() {
--- a/internal/simulation/scale/state.go
+++ b/internal/simulation/scale/state.go
@@ -7,15 +7,15 @@
 	"capersail/internal/fleet/membership"
 )
 
-// State is how far a fleet has come to one view.
+// State is the progress of a fleet towards one agreed view.
 type State struct {
-	Holding int    // relays that hold a view of just those that run
-	Agreed  int    // of these, relays whose shares have reached their target
-	Epochs  int    // how many different views are held
-	Highest uint64 // the highest epoch
+	Holding int    // relays with a view of exactly the running relays
+	Agreed  int    // relays of these whose budget shares have reached their target
+	Epochs  int    // number of different epochs that relays hold
+	Highest uint64 // the highest epoch that a relay holds
 }
 
-// State returns that of all relays that run.
+// State returns the state of the running relays.
 func (f *Fleet) State() (s State) {
 	nodes := f.running()
 	epochs := map[uint64]bool{}
@@ -34,7 +34,7 @@
 	return s
 }
 
-// Dropped returns how many messages all running relays have dropped, by reason.
+// Dropped returns how many messages the running relays have dropped, by reason.
 func (f *Fleet) Dropped() map[string]uint64 {
 	sum := map[string]uint64{}
 	for _, node := range f.running() {
@@ -45,8 +45,8 @@
 	return sum
 }
 
-// hasOneView reports whether all relays that run hold one view of just them; in cells, whether each holds its
-// cell's view, and knows of just the relays that run elsewhere.
+// hasOneView reports whether all running relays hold one view of exactly these relays. With cells, each has
+// to hold its cell's view and to count exactly the running relays in the whole fleet.
 func (f *Fleet) hasOneView() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,19 +76,19 @@
 	return true
 }
 
-// pollEvery is how often a condition is checked while it is awaited.
+// pollInterval is the interval at which an awaited condition is checked.
 const pollInterval = 100 * time.Millisecond
 
-// TimeoutError says that a condition did not come to hold in time.
+// TimeoutError reports that a condition did not hold in time.
 type TimeoutError struct {
 	What   string // the condition
 	Within time.Duration
-	State  State // of the fleet at the end
+	State  State // state of the fleet at the end
 }
 
-// Error returns the error's text.
+// Error returns the condition, the time limit and the fleet's state.
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("%s: not within %s; %+v", e.What, e.Within, e.State)
+	return fmt.Sprintf("%s not reached within %s; state %+v", e.What, e.Within, e.State)
 }
 
 // await waits until a condition holds, and returns how long that took, or a TimeoutError.
@@ -103,12 +103,13 @@
 	return time.Since(began), nil
 }
 
-// AwaitOneView waits until all relays that run hold one view of just them. It fails with a TimeoutError.
+// AwaitOneView waits until all running relays hold one view of exactly these relays. It fails with a
+// TimeoutError.
 func (f *Fleet) AwaitOneView(within time.Duration) (time.Duration, error) {
 	return f.await(within, "one view of all", f.hasOneView)
 }
 
-// SettledAfter is how long a fleet has to hold one view, with all shares at their target, to count as
+// SettlingTime is how long a fleet has to hold one view, with all budget shares at their target, to count as
 // settled.
 const SettlingTime = 3 * time.Second
 
--- a/internal/simulation/scale/traffic.go
+++ b/internal/simulation/scale/traffic.go
@@ -6,28 +6,28 @@
 	"sync/atomic"
 )
 
-// Kind is what a message or a part of a packet is for.
+// TrafficKind is the purpose of a message or of a part of a packet.
 type TrafficKind int
 
 // The kinds of traffic. Framing is labels, checksums and the lengths of messages that share a packet.
 const (
 	Probes          TrafficKind = iota // memberlist's pings and their answers
-	Liveness                           // who is alive, suspected or dead
+	Liveness                           // which relays are alive, suspected or dead
 	Statuses                           // relays' own statuses
-	Leases                             // renewals of leases
+	Leases                             // lease renewals
 	Consensus                          // ballots and views
-	LoadReports                        // of servers
+	LoadReports                        // load reports of servers
 	Placements                         // connections placed on servers
-	CellSummaries                      // between cells
-	CellDirectories                    // of all cells, from a cell's representative to its own relays
+	CellSummaries                      // summaries that cells exchange
+	CellDirectories                    // directories of all cells, from a representative to its own cell
 	Framing
-	PushPull // streams: the whole state, both ways
-	Views    // streams: views too large for a packet
+	PushPull // streams with the whole state, both ways
+	Views    // streams with views that are too large for a packet
 	OtherTraffic
 	trafficKindCount
 )
 
-// kindNames are as the pages with measurements have them.
+// trafficKindNames are the names in the pages of measurements.
 var trafficKindNames = [trafficKindCount]string{
 	Probes:          "probes",
 	Liveness:        "liveness",
@@ -51,10 +51,10 @@
 	return trafficKindNames[k]
 }
 
-// Traffic is what was sent, by kind.
+// Traffic is the messages and bytes sent, by kind.
 type Traffic [trafficKindCount]struct{ Messages, Bytes uint64 }
 
-// since returns what was sent after an earlier Traffic.
+// since returns the traffic after an earlier Traffic.
 func (t Traffic) since(before Traffic) Traffic {
 	for k := range t {
 		t[k].Messages -= before[k].Messages
@@ -63,7 +63,7 @@
 	return t
 }
 
-// trafficCounter counts what is sent. It is safe for concurrent use.
+// trafficCounter counts sent traffic by kind. It is safe for concurrent use.
 type trafficCounter [trafficKindCount]struct{ messages, bytes atomic.Uint64 }
 
 func (t *trafficCounter) add(k TrafficKind, bytes int) {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// memberlist's message types, and the length of its checksum.
+// Message types of memberlist, and the length of its checksum.
 const (
 	typePing         = 0
 	typeIndirectPing = 1
@@ -95,7 +95,7 @@
 	checksumLength   = 5
 )
 
-// countPacket counts a packet that is not sealed; a sealed one counts as Others.
+// countPacket counts the messages of a packet. An encrypted packet counts as OtherTraffic.
 func (t *trafficCounter) countPacket(_ string, b []byte) {
 	size := len(b)
 	if len(b) > 2 && b[0] == typeLabel {
@@ -125,7 +125,7 @@
 	t[Framing].bytes.Add(uint64(size - counted))
 }
 
-// countMessage counts one of memberlist's messages.
+// countMessage counts one memberlist message.
 func (t *trafficCounter) countMessage(b []byte) {
 	if len(b) == 0 {
 		return
@@ -144,7 +144,7 @@
 	}
 }
 
-// countStream counts what is written to a stream.
+// countStream counts a write to a stream.
 func (t *trafficCounter) countStream(_ string, opening []byte, written int) {
 	switch {
 	case len(opening) == 0:
--- a/internal/simulation/scale/traffic_test.go
+++ b/internal/simulation/scale/traffic_test.go
@@ -8,7 +8,8 @@
 	"capersail/internal/fleet/membership"
 )
 
-// A packet's messages are counted by their kinds, however they share it, and every byte is counted once.
+// The messages of a packet are counted by their kinds, in a packet of their own or a shared one, and every
+// byte is counted once.
 func TestTrafficIsCountedByKind(t *testing.T) {
 	envelope := func(kind int, body any) []byte {
 		text, err := cbor.Marshal([]any{1, "relay", uint64(1) << 40, 7, kind, body})
@@ -52,13 +53,13 @@
 	}
 }
 
-// checkCounted checks that a message is counted once by its kind alone, and beside a probe in a packet.
+// checkCounted checks that a message is counted once and by its kind, alone in a packet and beside a probe.
 func checkCounted(t *testing.T, part []byte, want TrafficKind) {
 	t.Helper()
 	var alone trafficCounter
 	alone.countPacket("", part)
 	if got := alone.snapshot(); got[want].Messages != 1 || got[want].Bytes != uint64(len(part)) {
-		t.Errorf("%v: %+v", want, got)
+		t.Errorf("a message of kind %v alone is miscounted: %+v", want, got)
 	}
 	probe := []byte{typeIndirectPing, 5, 5, 5}
 	packet := []byte{typeLabel, 2, 'a', 'b', typeChecksum, 0, 0, 0, 0}
@@ -73,6 +74,7 @@
 		sum += k.Bytes
 	}
 	if sum != uint64(len(packet)) || got[want].Messages == 0 || got[Probes].Messages == 0 {
-		t.Errorf("%v beside a probe: %+v, %d of %d bytes", want, got, sum, len(packet))
+		t.Errorf("a message of kind %v beside a probe is miscounted: %+v, %d of %d bytes",
+			want, got, sum, len(packet))
 	}
 }
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,8 @@
 #!/bin/sh
-# Formatting, vet, staticcheck, revive (revive.toml), dead code, build and all tests; with the race detector where there is more than one goroutine. Tests that KNOWN-RED.txt
-# lists are passed over and printed; it fails on more than three, on one that does not exist, and on one that passes.
+# Checks formatting, vet, staticcheck, revive (revive.toml) and dead code, builds the program and runs all
+# tests, with the race detector for packages that have more than one goroutine. Failures of the tests listed
+# in KNOWN-RED.txt are printed and tolerated. The script fails if the file lists more than three tests, a test
+# that does not exist, or a test that passes.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
