--- a/internal/simulation/capacity/decisions_test.go
+++ b/internal/simulation/capacity/decisions_test.go
@@ -97,7 +97,8 @@
 		b.actions = b.actions[1:]
 		switch a := action.(type) {
 		case decide.Probe:
-			result := decide.ProbeResult{Server: a.Server, Latency: time.Millisecond, Report: loadReport(a.Server)}
+			result := decide.ProbeResult{Server: a.Server, Latency: time.Millisecond,
+				Report: loadReport(a.Server)}
 			b.actions = b.balancer.Handle(b.now, result, b.actions)
 		case decide.Forward:
 			opened := decide.Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * time.Millisecond}
--- a/internal/simulation/model/discovery.go
+++ b/internal/simulation/model/discovery.go
@@ -27,10 +27,10 @@
 	}
 	f.discovery.list[s.Server] = s.Endpoint
 	for _, r := range f.Relays {
-		if life := r.incarnation; r.up && r.watching {
+		if incarnation := r.incarnation; r.up && r.watching {
 			changed := []decide.Endpoint{s.Endpoint}
 			f.After(f.RandomDuration(20*ms, 400*ms), func() {
-				if r.up && r.incarnation == life {
+				if r.up && r.incarnation == incarnation {
 					f.deliverList(r, decide.Delta, changed)
 				}
 			})
@@ -44,14 +44,14 @@
 	f.count("calls")
 	f.Tally.DiscoveryCalls = append(f.Tally.DiscoveryCalls, f.Now)
 	f.discovery.busyUntil = max(f.discovery.busyUntil, f.Now) + f.discovery.serviceTime
-	wait, life := f.discovery.busyUntil-f.Now, r.incarnation
+	wait, incarnation := f.discovery.busyUntil-f.Now, r.incarnation
 	if wait > f.discovery.callTimeout {
 		f.count("calls failed")
 		f.deliverLater(r, f.discovery.callTimeout, decide.WatchEvent{Kind: decide.WatchFailed})
 		return
 	}
 	f.After(wait, func() {
-		if r.up && r.incarnation == life {
+		if r.up && r.incarnation == incarnation {
 			r.watching = true
 			f.deliverList(r, decide.Snapshot, f.EndpointList())
 		}
--- a/internal/simulation/model/figures_test.go
+++ b/internal/simulation/model/figures_test.go
@@ -13,13 +13,13 @@
 // Relays that share their placements keep the servers' loads closer together than relays that estimate their
 // peers' placements from load reports. Estimates overload servers while six in ten are replaced, and spread
 // the loads in normal operation.
-func TestSharedPlacementsBeatGuessedOnes(t *testing.T) {
-	var load, overloaded, worst [2]float64 // guessed, summed
+func TestSharedPlacementsBeatEstimatedOnes(t *testing.T) {
+	var load, overloaded, worst [2]float64 // with estimated placements, with shared ones
 	const seeds = 3
 	for seed := range uint64(seeds) {
-		for i, guess := range []bool{true, false} {
+		for i, estimate := range []bool{true, false} {
 			f := newTestFleet(t, Config{Seed: seed, Relays: 60, Servers: 12, Connections: 1200,
-				Utilisation: 0.6, Peering: true, GuessPlacements: guess})
+				Utilisation: 0.6, Peering: true, EstimatePlacements: estimate})
 			f.StartAll()
 			f.awaitAgreement(t, 20*time.Second, "at first")
 			f.Advance(5 * time.Second)
--- a/internal/simulation/model/many_test.go
+++ b/internal/simulation/model/many_test.go
@@ -26,8 +26,8 @@
 			ref = r.View()
 		}
 		if r.Phase() != membership.PhaseAgreed || r.View().Hash() != ref.Hash() {
-			return fmt.Errorf("%s is %s in epoch %d, %s holds epoch %d", r.Name, r.Phase(), r.View().Epoch,
-				f.Relays[0].Name, ref.Epoch)
+			return fmt.Errorf("relay %s is %s in epoch %d, relay %s holds epoch %d",
+				r.Name, r.Phase(), r.View().Epoch, f.Relays[0].Name, ref.Epoch)
 		}
 	}
 	if n := len(ref.MemberNames()); n != up {
--- a/internal/simulation/model/model.go
+++ b/internal/simulation/model/model.go
@@ -22,16 +22,16 @@
 
 // Config configures a Fleet.
 type Config struct {
-	Seed            uint64
-	Relays          int
-	Servers         int
-	Connections     int     // open on average
-	Utilisation     float64 // fraction of all servers' capacity that Connections use
-	GroupWork       bool    // connections of a group share work on a server
-	Peering         bool    // relays run membership and share the probing of servers
-	PacketLoss      float64 // fraction of the packets between relays that is lost
-	ClockDrift      float64 // greatest error of a relay's clock rate: 0.001 is 1 ms a second
-	GuessPlacements bool    // relays do not share their placements: each estimates those of its peers
+	Seed               uint64
+	Relays             int
+	Servers            int
+	Connections        int     // open on average
+	Utilisation        float64 // fraction of all servers' capacity that Connections use
+	GroupWork          bool    // connections of a group share work on a server
+	Peering            bool    // relays run membership and share the probing of servers
+	PacketLoss         float64 // fraction of the packets between relays that is lost
+	ClockDrift         float64 // greatest error of a relay's clock rate: 0.001 is 1 ms a second
+	EstimatePlacements bool    // relays do not share their placements: each estimates those of its peers
 	// AdjustSettings, if set, changes the decision module's settings before any relay starts.
 	AdjustSettings func(*decide.Settings)
 }
--- a/internal/simulation/model/model_test.go
+++ b/internal/simulation/model/model_test.go
@@ -111,7 +111,7 @@
 		},
 		"replaced beside bad ones": func(f *Fleet) {
 			f.FailServer(f.Servers[9], Silent)
-			f.SetAnsweringErrors(f.Servers[10])
+			f.FailServerWithErrors(f.Servers[10])
 			f.Servers[11].Capacity = 0.3
 			replaceServers(f, 4)
 		},
@@ -140,7 +140,8 @@
 			}
 			most = max(most, f.Tally.SlowStartOverrun)
 			if f.Tally.LatestDrainForward > 500*ms || f.Tally.OverloadedFraction() > 0.05 {
-				t.Errorf("%s: seed %d: late send over 500 ms or hot over 0.05: %v", name, seed, &f.Tally)
+				t.Errorf("%s: seed %d: late send over 500 ms or hot fraction over 0.05: %v",
+					name, seed, &f.Tally)
 			}
 		}
 	}
@@ -191,8 +192,8 @@
 			}
 		}
 		t.Logf("%d servers, %d connections, load %.1f: %d of %d refused for want of room without word, %d of %d with it; on overdriven servers %.3f and %.3f of the time",
-			scenario.servers, scenario.conns, scenario.part, rejected[0], requests[0], rejected[1], requests[1],
-			overloaded[0], overloaded[1])
+			scenario.servers, scenario.conns, scenario.part, rejected[0], requests[0],
+			rejected[1], requests[1], overloaded[0], overloaded[1])
 		if rejected[1]*4 > rejected[0] {
 			t.Errorf("%d requests rejected with peering, %d without; want a quarter at most",
 				rejected[1], rejected[0])
--- a/internal/simulation/model/network.go
+++ b/internal/simulation/model/network.go
@@ -72,9 +72,9 @@
 	if to == nil || !to.up || f.network.partitioned(from, to) || f.network.rng.Float64() < f.cfg.PacketLoss {
 		return
 	}
-	life := to.incarnation
+	incarnation := to.incarnation
 	f.After(f.network.delay(most), func() {
-		if to.up && to.incarnation == life && !f.network.partitioned(from, to) {
+		if to.up && to.incarnation == incarnation && !f.network.partitioned(from, to) {
 			do()
 		}
 	})
@@ -113,9 +113,9 @@
 	}
 	own, others := r.incarnation, o.incarnation
 	f.After(after, func() {
-		sameLives := r.up && r.incarnation == own && o.incarnation == others
+		sameIncarnations := r.up && r.incarnation == own && o.incarnation == others
 		reachable := o.up && !f.network.partitioned(r, o)
-		if sameLives && reachable == (want == membership.HealthAlive) && r.health[o] != want {
+		if sameIncarnations && reachable == (want == membership.HealthAlive) && r.health[o] != want {
 			r.health[o] = want
 			f.handleNodeEvent(r, membership.PeerHealth{Name: o.Name, Health: want})
 		}
--- a/internal/simulation/model/peering.go
+++ b/internal/simulation/model/peering.go
@@ -38,7 +38,7 @@
 
 // startPeering starts membership and shared probing of a relay.
 func (r *Relay) startPeering() {
-	f, life := r.fleet, r.incarnation
+	f, incarnation := r.fleet, r.incarnation
 	seed := f.cfg.Seed + uint64(r.index)
 	config := membership.Config{
 		Name:             r.Name,
@@ -51,15 +51,15 @@
 	r.scheduler = probing.New(r.Name, seed)
 	r.meter, r.health, r.schedulerView = membership.Meter{}, map[*Relay]membership.Health{}, nil
 	f.performNodeActions(r, r.node.Start(r.localTime(), nil))
-	f.After(f.network.delay(maxPacketDelay), func() { f.runMembership(r, life, 0) })
-	f.After(f.network.delay(schedulerInterval), func() { f.runScheduler(r, life, 0) })
+	f.After(f.network.delay(maxPacketDelay), func() { f.runMembership(r, incarnation, 0) })
+	f.After(f.network.delay(schedulerInterval), func() { f.runScheduler(r, incarnation, 0) })
 	f.detectFailures(r)
 }
 
 // runMembership sends ticks to a relay's membership, at once and each time its next tick is due, until the
 // given incarnation of the relay ends. meteredAt is when the relay last measured its own activity.
-func (f *Fleet) runMembership(r *Relay, life int, meteredAt time.Duration) {
-	if !r.up || r.incarnation != life {
+func (f *Fleet) runMembership(r *Relay, incarnation int, meteredAt time.Duration) {
+	if !r.up || r.incarnation != incarnation {
 		return
 	}
 	if f.Now >= meteredAt+membership.MeterInterval {
@@ -74,13 +74,13 @@
 	}
 	f.handleNodeEvent(r, membership.Tick{})
 	next := duration.Scale(r.node.NextTickAt()-r.localTime(), 1/r.clockRate).Round(time.Microsecond)
-	f.After(max(next, ms), func() { f.runMembership(r, life, meteredAt) })
+	f.After(max(next, ms), func() { f.runMembership(r, incarnation, meteredAt) })
 }
 
 // runScheduler sends a tick to a relay's probing scheduler once every schedulerInterval, as the event loop
 // does. checkedAt is when the relay last compared the scheduler's participants with its view and list.
-func (f *Fleet) runScheduler(r *Relay, life int, checkedAt time.Duration) {
-	if !r.up || r.incarnation != life {
+func (f *Fleet) runScheduler(r *Relay, incarnation int, checkedAt time.Duration) {
+	if !r.up || r.incarnation != incarnation {
 		return
 	}
 	if f.Now >= checkedAt+participantsInterval {
@@ -88,7 +88,7 @@
 		r.updateParticipants()
 	}
 	f.handleSchedulerEvent(r, probing.Tick{})
-	f.After(schedulerInterval, func() { f.runScheduler(r, life, checkedAt) })
+	f.After(schedulerInterval, func() { f.runScheduler(r, incarnation, checkedAt) })
 }
 
 // updateParticipants gives the scheduler the members of the view and the servers of the list when either has
--- a/internal/simulation/model/relay.go
+++ b/internal/simulation/model/relay.go
@@ -79,8 +79,8 @@
 
 // deliver passes an event to a relay's decision module and performs the actions that it returns, unless the
 // given incarnation of the relay has ended.
-func (f *Fleet) deliver(r *Relay, life int, ev decide.Event) {
-	if !r.up || r.incarnation != life {
+func (f *Fleet) deliver(r *Relay, incarnation int, ev decide.Event) {
+	if !r.up || r.incarnation != incarnation {
 		return
 	}
 	if f.cfg.Peering {
@@ -95,7 +95,7 @@
 	own := r.localTime()
 	status := relay.ToFleetStatus(f.Now, own, r.node.Estimate(own), nil)
 	status.SharesReadings = r.scheduler.HasPeers()
-	status.SharesPlacements = status.SharesPlacements && status.SharesReadings && !f.cfg.GuessPlacements
+	status.SharesPlacements = status.SharesPlacements && status.SharesReadings && !f.cfg.EstimatePlacements
 	f.performActions(r, r.balancer.Handle(f.Now, status, nil))
 }
 
@@ -123,7 +123,7 @@
 // sharePlacement shares with a relay's peers that the relay has placed a connection on a server (delta 1), or
 // that a connection has ended there (delta -1).
 func (f *Fleet) sharePlacement(r *Relay, id decide.ServerID, delta int) {
-	if f.cfg.Peering && !f.cfg.GuessPlacements {
+	if f.cfg.Peering && !f.cfg.EstimatePlacements {
 		f.handleSchedulerEvent(r,
 			probing.LocalPlacement{ServerKey: f.Servers[id].RendezvousKey, Delta: delta})
 	}
@@ -131,8 +131,8 @@
 
 // deliverLater delivers an event after a delay, unless the relay has stopped or restarted by then.
 func (f *Fleet) deliverLater(r *Relay, d time.Duration, ev decide.Event) {
-	life := r.incarnation
-	f.After(d, func() { f.deliver(r, life, ev) })
+	incarnation := r.incarnation
+	f.After(d, func() { f.deliver(r, incarnation, ev) })
 }
 
 // deliverList passes the endpoint list, or changed endpoints of it, to a relay.
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -106,8 +106,8 @@
 	f.AnnounceServer(s, decide.Ready)
 }
 
-// SetAnsweringErrors makes a server answer every attempt with an error.
-func (f *Fleet) SetAnsweringErrors(s *Server) { s.state = Failing }
+// FailServerWithErrors makes a server answer every attempt with an error.
+func (f *Fleet) FailServerWithErrors(s *Server) { s.state = Failing }
 
 // ReplaceServer drains a server, stops it after the drain, and adds a server in slow start in the same zone.
 func (f *Fleet) ReplaceServer(s *Server, drain time.Duration) {
@@ -191,25 +191,25 @@
 	}
 	c.server = s
 	c.attempt++
-	over := func(took time.Duration, how decide.Status) {
-		f.count(how.String())
+	endAttempt := func(took time.Duration, status decide.Status) {
+		f.count(status.String())
 		c.server = nil
 		f.deliverLater(r, took, decide.Outcome{
 			ID: a.ID, Attempt: c.attempt, Server: s.Server,
-			Status: how, Elapsed: took, Report: decide.NoLoadReport,
+			Status: status, Elapsed: took, Report: decide.NoLoadReport,
 		})
 	}
 	switch {
 	case s.state == Dead:
-		over(ms, decide.ConnectFailed)
+		endAttempt(ms, decide.ConnectFailed)
 	case s.state == Silent || r.isUnreachable(s):
-		over(min(a.Timeout, f.settings.ConnectTimeout), decide.ConnectFailed)
+		endAttempt(min(a.Timeout, f.settings.ConnectTimeout), decide.ConnectFailed)
 	case s.state == Failing:
-		over(2*ms, decide.Errored)
+		endAttempt(2*ms, decide.Errored)
 	case s.State != decide.Ready:
-		over(ms, decide.AtCapacity)
+		endAttempt(ms, decide.AtCapacity)
 	case s.full(f.Now):
-		over(ms, decide.ConnectFailed)
+		endAttempt(ms, decide.ConnectFailed)
 	default:
 		s.connections[c] = true
 		r.connections++
--- a/internal/simulation/model/cold_test.go
+++ b/internal/simulation/model/slowstart_test.go
@@ -56,9 +56,10 @@
 				}
 				slices.Sort(overruns)
 				t.Logf("%3d relays, %d connections, groups %v: of what makes a cold server fall %.2f in half of the plays, %.2f at most; %d of %d new ones in use",
-					relays, conns, groups, overruns[len(overruns)/2], overruns[len(overruns)-1], usedServers, newServers)
+					relays, conns, groups, overruns[len(overruns)/2], overruns[len(overruns)-1],
+					usedServers, newServers)
 				if overruns[len(overruns)-1] > 1 || usedServers*2 < newServers {
-					t.Errorf("%d relays, %d connections, groups %v: overrun %.2f, want 1; %d of %d new ones used",
+					t.Errorf("%d relays, %d connections, groups %v: overrun %.2f, want 1; %d of %d new used",
 						relays,
 						conns, groups,
 						overruns[len(overruns)-1], usedServers, newServers)
--- a/internal/simulation/scale/cost_test.go
+++ b/internal/simulation/scale/cost_test.go
@@ -12,11 +12,11 @@
 
 // Flags of the long tests, so that each size is measured by a run of its own.
 var (
-	relays       = flag.Int("relays", 100, "relays of the long tests")
-	startSpread  = flag.Duration("spread", 0, "over which the starts of the long tests are spread")
-	servers      = flag.Int("servers", 0, "servers whose load reports the relays of the long tests share")
-	cellsPerZone = flag.Int("cells", 0, "cells in each zone in the long tests; 0 for a flat fleet")
-	watch        = flag.Duration("watch", 101*time.Second, "how long the long tests measure")
+	relays       = flag.Int("relays", 100, "number of relays in the long tests")
+	startSpread  = flag.Duration("spread", 0, "time over which the relays of the long tests are started")
+	servers      = flag.Int("servers", 0, "number of servers whose load reports the relays share in the long tests")
+	cellsPerZone = flag.Int("cells", 0, "number of cells in each zone in the long tests; 0 for a flat fleet")
+	watch        = flag.Duration("watch", 101*time.Second, "duration of a measurement in the long tests")
 	realTime     = flag.Bool("realtime", false, "run the long tests in real time")
 )
 
