--- a/internal/simulation/capacity/burst_test.go
+++ b/internal/simulation/capacity/burst_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Measures how long a line takes to all clients of a relay when their servers send it at once: the last hop
-// of a topic's fan-out, as far as it is built. Each client has its own connection to a server, so the relay
-// reads each line as well.
+// Measures how long a line takes to all clients of a relay when their servers send it at once. This is the
+// last hop of a topic's fan-out, as far as it is built. Each client has its own connection to a server, so
+// the relay also reads each line.
 func TestBurstOfDeliveries(t *testing.T) {
 	sizes, bursts := []int{100}, 3
-	if longRun() {
+	if isLongRun() {
 		sizes, bursts = []int{273, 546, 1091, 2182}, 20
 	}
 	for _, n := range sizes {
-		discovery, running := startServers(t, servers, servers)
+		discovery, running := startServers(t, serverCount, serverCount)
 		r := startRelay(t, discovery)
 		clients := openClients(t, r.address, nil, n)
 		var took, last []time.Duration
 		before := r.processorTime()
 		for range bursts {
-			each := burst(t, running, clients)
+			each := sendBurst(t, running, clients)
 			took = append(took, each...)
 			last = append(last, slices.Max(each))
 			time.Sleep(100 * time.Millisecond)
@@ -37,8 +37,9 @@
 	}
 }
 
-// burst has all servers send a line to all clients at once, and returns how long it took to each.
-func burst(t *testing.T, running []*echoServer, clients []*client) []time.Duration {
+// sendBurst has all servers send a line to all clients at once, and returns how long it took to reach each
+// client.
+func sendBurst(t *testing.T, running []*echoServer, clients []*client) []time.Duration {
 	t.Helper()
 	took := make([]time.Duration, len(clients))
 	var ends sync.WaitGroup
--- a/internal/simulation/capacity/decisions_test.go
+++ b/internal/simulation/capacity/decisions_test.go
@@ -8,12 +8,13 @@
 	"capersail/decide"
 )
 
-// loadedBalancer is a decision module with open connections, on which each step is a request and an end.
+// loadedBalancer is a decision module with open connections. Each step opens a request and ends the oldest
+// connection.
 type loadedBalancer struct {
 	balancer     *decide.Balancer
 	now          time.Duration
 	openByServer []int
-	connections  []connection // the oldest first
+	connections  []connection // sorted by age, the oldest first
 	lastID       decide.RequestID
 	actions      []decide.Action
 }
@@ -24,8 +25,8 @@
 }
 
 const (
-	enoughQuota = 1 << 24 // connections of a tenant: no request is rejected by its quota
-	groupCount  = 5000
+	unlimitedQuota = 1 << 24 // connections of a tenant, high enough that the quota rejects no request
+	groupCount     = 5000
 )
 
 func newLoadedBalancer(servers, connections int) *loadedBalancer {
@@ -43,7 +44,7 @@
 			Deadline:         3200 * time.Millisecond,
 			PriorityWeight:   1,
 		}},
-		Tenants: []decide.TenantInfo{{ServiceShare: 1, ConnectionQuota: enoughQuota}},
+		Tenants: []decide.TenantInfo{{ServiceShare: 1, ConnectionQuota: unlimitedQuota}},
 		Rules: decide.Rules{
 			PollDeadline:      10 * time.Second,
 			SlowStartCapacity: 0.36,
@@ -71,13 +72,13 @@
 		request := decide.Request{ID: b.lastID, TimeLeft: time.Hour, Group: 1 + uint64(i%groupCount)}
 		server := decide.ServerID(i % servers)
 		b.handle(decide.Inherited{Request: request, Server: server})
-		b.hold(b.lastID, server)
+		b.recordOpen(b.lastID, server)
 	}
 	return b
 }
 
-// hold records an open connection.
-func (b *loadedBalancer) hold(id decide.RequestID, server decide.ServerID) {
+// recordOpen records an open connection.
+func (b *loadedBalancer) recordOpen(id decide.RequestID, server decide.ServerID) {
 	b.connections = append(b.connections, connection{id, server})
 	b.openByServer[server]++
 }
@@ -88,7 +89,7 @@
 	return decide.LoadReport{Load: load, InFlight: -1, ErrorsPerSecond: -1, CPUUtilization: -1}
 }
 
-// handle gives the module one event, and answers its probes and attempts at once.
+// handle passes an event to the decision module, and answers the resulting probes and attempts at once.
 func (b *loadedBalancer) handle(event decide.Event) {
 	b.actions = b.balancer.Handle(b.now, event, b.actions)
 	for len(b.actions) > 0 {
@@ -96,18 +97,19 @@
 		b.actions = b.actions[1:]
 		switch a := action.(type) {
 		case decide.Probe:
-			result := decide.ProbeResult{Server: a.Server, Latency: time.Millisecond, Report: loadReport(a.Server)}
+			result := decide.ProbeResult{Server: a.Server, Latency: time.Millisecond,
+				Report: loadReport(a.Server)}
 			b.actions = b.balancer.Handle(b.now, result, b.actions)
 		case decide.Forward:
 			opened := decide.Opened{ID: a.ID, Server: a.Server, SetupLatency: 5 * time.Millisecond}
 			b.actions = b.balancer.Handle(b.now, opened, b.actions)
-			b.hold(a.ID, a.Server)
+			b.recordOpen(a.ID, a.Server)
 		}
 	}
 	b.actions = b.actions[:0]
 }
 
-// step is one request, and the end of the oldest connection.
+// step ends the oldest connection and opens one request.
 func (b *loadedBalancer) step() {
 	b.now += time.Millisecond
 	oldest := b.connections[0]
@@ -129,19 +131,19 @@
 	})
 }
 
-// Measures what a decision costs by the number of servers and of open connections, and the module's bytes for
-// either, and holds these to what they may be.
+// Measures the time of a decision and the heap of the decision module by the number of servers and of open
+// connections, and checks the heap against its limit.
 func TestCostOfDecisions(t *testing.T) {
 	type size struct{ servers, connections int }
 	sizes, steps := []size{{10, 500}, {100, 500}, {100, 2000}}, 300
-	if longRun() {
+	if isLongRun() {
 		sizes = []size{
 			{10, 10_000}, {90, 10_000}, {330, 10_000}, {1000, 10_000}, {5000, 10_000},
 			{330, 1000}, {330, 20_000}, {330, 52_000}, {330, 75_000},
 		}
 		steps = 5000
 	}
-	const maxBytes = 64 << 10 // of heap for a server or a connection; a list kept for each would show
+	const maxBytes = 64 << 10 // limit for a server or a connection; low enough to show a list for each
 	for _, size := range sizes {
 		before := collectedHeap()
 		b := newLoadedBalancer(size.servers, size.connections)
@@ -157,10 +159,11 @@
 		t.Logf("%5d servers, %6d connections: %v a request with its end, heap %.0f bytes",
 			size.servers, size.connections, each, heap)
 		if len(b.connections) < size.connections-steps/5 {
-			t.Errorf("%d connections of %d are left: requests were not served", len(b.connections), size.connections)
+			t.Errorf("%d of %d connections are open: some requests were not served",
+				len(b.connections), size.connections)
 		}
 		if heap > maxBytes*float64(size.servers+size.connections) {
-			t.Errorf("%.0f bytes of heap", heap)
+			t.Errorf("%.0f bytes of heap, want 64 KiB at most for each server and connection", heap)
 		}
 		runtime.KeepAlive(b)
 	}
--- a/internal/simulation/model/server.go
+++ b/internal/simulation/model/server.go
@@ -10,37 +10,37 @@
 // setupLatency is how long a connection takes to open.
 const setupLatency = 20 * ms
 
-// State is whether a server serves, and how it fails.
-type State uint8
+// ServerState is whether a server works, and how it fails.
+type ServerState uint8
 
-// The states.
+// The states of a server.
 const (
-	Healthy State = iota
-	Dead          // rejects connections
-	Silent        // answers nothing
-	Failing       // answers with errors
+	Healthy ServerState = iota
+	Dead                // rejects connections
+	Silent              // answers nothing
+	Failing             // answers with errors
 )
 
-// Server is one server.
+// Server is a simulated server.
 type Server struct {
 	decide.Endpoint
 	Capacity         float64 // work a second, once warm
-	MaxConnections   int     // connections it holds, those of probes too; 0 for any number
-	state            State
-	born             time.Duration
+	MaxConnections   int     // greatest number of connections, those of probes included; 0 for no limit
+	state            ServerState
+	runningSince     time.Duration
 	connections      map[*client]bool
-	probeConnections map[*Relay]time.Duration // connections kept for probes, until when
-	recentSends      []time.Duration
-	loadHistory      []float64 // its load at each step
-	Placed           int       // connections that came, in all
+	probeConnections map[*Relay]time.Duration // by relay: until when its connection for probes is kept open
+	recentForwards   []time.Duration
+	loadHistory      []float64 // a sample for each loadInterval since runningSince
+	Placed           int       // connections placed on it in all
 	Probes           int
-	idleSince        time.Duration // since when it holds nothing and could, negative if it holds any
+	idleSince        time.Duration // since when it has had no connection; negative while it has any
 }
 
-// Connections is how many connections it holds.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int { return len(s.connections) }
 
-// full tells whether a server holds as many connections as it can, probes' connections too.
+// full reports whether a server has reached MaxConnections, connections of probes included.
 func (s *Server) full(now time.Duration) bool {
 	if s.MaxConnections == 0 {
 		return false
@@ -54,13 +54,14 @@
 	return n >= s.MaxConnections
 }
 
-// rendezvousFactor spreads the servers' keys; rendezvousInverse is its inverse modulo 1<<64.
+// rendezvousFactor spreads the servers' rendezvous keys over 64 bits; rendezvousInverse is its inverse modulo
+// 1<<64.
 const (
 	rendezvousFactor  = 0x9e3779b97f4a7c15
 	rendezvousInverse = 0xf1de83e19937733d
 )
 
-// AddServer adds a server, started at a time or long ago. No relay is notified.
+// AddServer adds a server that started at a time, or long ago if since is 0. No relay is notified.
 func (f *Fleet) AddServer(zone decide.Zone, since time.Duration) *Server {
 	id := decide.ServerID(len(f.Servers))
 	s := &Server{
@@ -69,7 +70,7 @@
 			RendezvousKey: (uint64(id) + 1) * rendezvousFactor, StartedAt: since,
 		},
 		Capacity:         1,
-		born:             f.Now,
+		runningSince:     f.Now,
 		connections:      map[*client]bool{},
 		probeConnections: map[*Relay]time.Duration{},
 		idleSince:        f.Now,
@@ -79,7 +80,7 @@
 	return s
 }
 
-// serverByKey is the server of a key, nil for none.
+// serverByKey returns the server with a rendezvous key, nil if there is none.
 func (f *Fleet) serverByKey(key uint64) *Server {
 	i := int(key*rendezvousInverse) - 1
 	if i < 0 || i >= len(f.Servers) {
@@ -88,8 +89,8 @@
 	return f.Servers[i]
 }
 
-// Fail takes a server away, with its connections: it is in the state from now on.
-func (f *Fleet) Fail(s *Server, state State) {
+// FailServer puts a server into a failed state and resets its connections.
+func (f *Fleet) FailServer(s *Server, state ServerState) {
 	s.state = state
 	for _, c := range f.sortedClients() {
 		if c.server == s {
@@ -99,31 +100,31 @@
 	}
 }
 
-// Restart brings a server back as a new process.
-func (f *Fleet) Restart(s *Server) {
-	s.state, s.StartedAt, s.born, s.loadHistory = Healthy, f.Now, f.Now, nil
-	f.Announce(s, decide.Ready)
+// RestartServer starts a failed server again as a new process, which is in slow start.
+func (f *Fleet) RestartServer(s *Server) {
+	s.state, s.StartedAt, s.runningSince, s.loadHistory = Healthy, f.Now, f.Now, nil
+	f.AnnounceServer(s, decide.Ready)
 }
 
-// FailWithErrors makes a server answer all with errors.
-func (f *Fleet) FailWithErrors(s *Server) { s.state = Failing }
+// FailServerWithErrors makes a server answer every attempt with an error.
+func (f *Fleet) FailServerWithErrors(s *Server) { s.state = Failing }
 
-// Replace drains a server, brings one in slow start in its zone, and stops the old one.
-func (f *Fleet) Replace(s *Server, drain time.Duration) {
-	f.Announce(s, decide.Draining)
-	for _, c := range f.sortedClients() { // it asks its clients to leave, one by one
+// ReplaceServer drains a server, stops it after the drain, and adds a server in slow start in the same zone.
+func (f *Fleet) ReplaceServer(s *Server, drain time.Duration) {
+	f.AnnounceServer(s, decide.Draining)
+	for _, c := range f.sortedClients() { // the draining server asks its clients to leave, one by one
 		if c.server == s {
-			f.After(f.Between(0, drain), func() { f.migrate(c, s) })
+			f.After(f.RandomDuration(0, drain), func() { f.migrate(c, s) })
 		}
 	}
 	f.After(drain, func() {
-		f.Fail(s, Dead)
-		f.Announce(s, decide.Removed)
-		f.Announce(f.AddServer(s.Zone, f.Now), decide.Ready)
+		f.FailServer(s, Dead)
+		f.AnnounceServer(s, decide.Removed)
+		f.AnnounceServer(f.AddServer(s.Zone, f.Now), decide.Ready)
 	})
 }
 
-// slowStartFactor is the part of its capacity that a server has, by how long it has run.
+// slowStartFactor returns the fraction of its capacity that a server has, by the time since its start.
 func (f *Fleet) slowStartFactor(s *Server) float64 {
 	rules := f.settings.Rules
 	age := f.Now - s.StartedAt
@@ -133,7 +134,7 @@
 	return rules.SlowStartCapacity + (1-rules.SlowStartCapacity)*float64(age)/float64(rules.SlowStartWindow)
 }
 
-// Utilisation is what is asked of a server now, over what it can do now.
+// Utilisation returns the load of a server over its present capacity.
 func (f *Fleet) Utilisation(s *Server) float64 {
 	load := float64(len(s.connections)) * f.connectionLoad
 	if f.cfg.GroupWork {
@@ -146,7 +147,8 @@
 	return load / s.Capacity / f.slowStartFactor(s)
 }
 
-// probe answers with a load that is late, as reports are.
+// probe simulates a relay's probe of a server. The answer has the last load report, which is reportDelay old
+// or older.
 func (f *Fleet) probe(r *Relay, s *Server) {
 	f.count("probes")
 	s.Probes++
@@ -168,54 +170,54 @@
 		ev.Status, ev.Latency = decide.TimedOut, 200*ms
 	case ev.Status == decide.OK:
 		at := (f.Now - reportDelay) / reportInterval * reportInterval
-		if i := int((at - s.born) / loadInterval); at >= s.born && i < len(s.loadHistory) {
+		if i := int((at - s.runningSince) / loadInterval); at >= s.runningSince && i < len(s.loadHistory) {
 			ev.Report.Load = s.loadHistory[i]
-		} else if s.StartedAt > 0 { // a new one has had nothing
+		} else if s.StartedAt > 0 { // a new server has no load yet
 			ev.Report.Load = 0
 		}
 	}
 	f.deliverLater(r, ev.Latency, ev)
 }
 
-// send carries an attempt out at its server.
-func (f *Fleet) send(r *Relay, a decide.Forward) {
+// forward simulates an attempt that a relay forwards to a server.
+func (f *Fleet) forward(r *Relay, a decide.Forward) {
 	f.count("sends")
 	s, c := f.Servers[a.Server], f.requests[a.ID]
 	if c.server != nil {
-		f.Fatal(fmt.Sprintf("%s: a second attempt for %d while one is out", f.Now, a.ID))
+		f.Fatal(fmt.Sprintf("at %s: request %d has two attempts at once", f.Now, a.ID))
 	}
 	if knownAt := r.drainKnownAt[s.Server]; knownAt >= 0 {
-		f.Tally.LatestDrainSend = max(f.Tally.LatestDrainSend, f.Now-knownAt)
+		f.Tally.LatestDrainForward = max(f.Tally.LatestDrainForward, f.Now-knownAt)
 	}
 	c.server = s
 	c.attempt++
-	over := func(took time.Duration, how decide.Status) {
-		f.count(how.String())
+	endAttempt := func(took time.Duration, status decide.Status) {
+		f.count(status.String())
 		c.server = nil
 		f.deliverLater(r, took, decide.Outcome{
 			ID: a.ID, Attempt: c.attempt, Server: s.Server,
-			Status: how, Elapsed: took, Report: decide.NoLoadReport,
+			Status: status, Elapsed: took, Report: decide.NoLoadReport,
 		})
 	}
 	switch {
 	case s.state == Dead:
-		over(ms, decide.ConnectFailed)
+		endAttempt(ms, decide.ConnectFailed)
 	case s.state == Silent || r.isUnreachable(s):
-		over(min(a.Timeout, f.settings.ConnectTimeout), decide.ConnectFailed)
+		endAttempt(min(a.Timeout, f.settings.ConnectTimeout), decide.ConnectFailed)
 	case s.state == Failing:
-		over(2*ms, decide.Errored)
+		endAttempt(2*ms, decide.Errored)
 	case s.State != decide.Ready:
-		over(ms, decide.AtCapacity)
+		endAttempt(ms, decide.AtCapacity)
 	case s.full(f.Now):
-		over(ms, decide.ConnectFailed)
+		endAttempt(ms, decide.ConnectFailed)
 	default:
 		s.connections[c] = true
 		r.connections++
 		s.Placed++
 		s.idleSince = -1
-		f.noteSlowStartSend(s)
+		f.recordSlowStartForward(s)
 		c.endsAt = f.Now + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime))
-		f.Tally.Waits = append(f.Tally.Waits, f.Now-c.openedAt)
+		f.Tally.SetupWaits = append(f.Tally.SetupWaits, f.Now-c.openedAt)
 		f.deliverLater(r, setupLatency, decide.Opened{
 			ID: a.ID, Attempt: c.attempt, Server: s.Server, SetupLatency: setupLatency,
 		})
--- a/internal/simulation/network/delayed.go
+++ b/internal/simulation/network/delayed.go
@@ -7,10 +7,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// slotWidth is how exact delays are: all packets that are due within one slot arrive together, by one timer.
-const slotWidth = time.Millisecond
+// slotDuration is the resolution of delays: all packets that are due within one slot arrive together, by one
+// timer.
+const slotDuration = time.Millisecond
 
-// delivery is a packet on its way.
+// delivery is a packet in transit to an endpoint.
 type delivery struct {
 	to     *endpoint
 	packet *memberlist.Packet
@@ -20,7 +21,7 @@
 	due []delivery
 }
 
-// delayQueue are the packets on their way. It has a timer for each slot that holds any, and no goroutine.
+// delayQueue holds the packets in transit. It has a timer for each slot that holds any, and no goroutine.
 type delayQueue struct {
 	mu    sync.Mutex
 	slots map[int64]*slot
@@ -28,19 +29,19 @@
 
 // add queues a packet that is due after a delay.
 func (d *delayQueue) add(now time.Time, delay time.Duration, packet delivery) {
-	key := now.Add(delay+slotWidth-1).UnixNano() / int64(slotWidth)
+	key := now.Add(delay+slotDuration-1).UnixNano() / int64(slotDuration)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.slots[key]
 	if s == nil {
 		s = &slot{}
 		d.slots[key] = s
-		time.AfterFunc(time.Duration(key*int64(slotWidth)-now.UnixNano()), func() { d.deliver(key) })
+		time.AfterFunc(time.Duration(key*int64(slotDuration)-now.UnixNano()), func() { d.deliver(key) })
 	}
 	s.due = append(s.due, packet)
 }
 
-// deliver hands over all packets of a slot.
+// deliver passes all packets of a slot to their endpoints.
 func (d *delayQueue) deliver(key int64) {
 	d.mu.Lock()
 	s := d.slots[key]
--- a/internal/simulation/scale/cost_test.go
+++ b/internal/simulation/scale/cost_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// What the long tests play, so that each size is a run of its own.
+// Flags of the long tests, so that each size is measured by a run of its own.
 var (
-	relays   = flag.Int("relays", 100, "relays of the long tests")
-	spreadBy = flag.Duration("spread", 0, "over which the starts of the long tests are spread")
-	servers  = flag.Int("servers", 0, "servers whose load reports the relays of the long tests share")
-	perZone  = flag.Int("cells", 0, "cells in each zone in the long tests; 0 for a flat fleet")
-	watch    = flag.Duration("watch", 101*time.Second, "how long the long tests measure")
-	realTime = flag.Bool("realtime", false, "run the long tests in real time")
+	relays       = flag.Int("relays", 100, "number of relays in the long tests")
+	startSpread  = flag.Duration("spread", 0, "time over which the relays of the long tests are started")
+	servers      = flag.Int("servers", 0, "number of servers whose load reports the relays share in the long tests")
+	cellsPerZone = flag.Int("cells", 0, "number of cells in each zone in the long tests; 0 for a flat fleet")
+	watch        = flag.Duration("watch", 101*time.Second, "duration of a measurement in the long tests")
+	realTime     = flag.Bool("realtime", false, "run the long tests in real time")
 )
 
-// inVirtualTime runs f in virtual time, or in real time by the flag.
+// inVirtualTime runs f in virtual time, or in real time if -realtime is set.
 func inVirtualTime(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	if *realTime {
@@ -30,11 +30,11 @@
 	synctest.Test(t, f)
 }
 
-// skipUnlessLong skips a test that takes minutes.
+// skipUnlessLong skips a test that takes minutes, unless CAPERSAIL_LONG is 1.
 func skipUnlessLong(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CAPERSAIL_LONG") != "1" {
-		t.Skip("CAPERSAIL_LONG=1 plays it")
+		t.Skip("takes minutes; set CAPERSAIL_LONG=1 to run it")
 	}
 }
 
@@ -59,31 +59,32 @@
 	}
 }
 
-// afterForming is how long the statuses of a fleet that has just formed are gossiped.
-const afterForming = 6 * time.Second
+// statusSpreadTime is how long a newly formed fleet goes on gossiping its first statuses; measurements at
+// rest start after it.
+const statusSpreadTime = 6 * time.Second
 
-// measureAtRest measures a fleet at rest while one packet in a hundred is lost.
+// measureAtRest measures a fleet at rest with a packet loss of one in a hundred.
 func measureAtRest(t *testing.T, c Config, over time.Duration) Figures {
 	t.Helper()
 	cost := PacketCost(LargeLayout)
 	f := startFleet(t, c)
 	defer f.Stop()
 	awaitSettled(t, f)
-	f.Network.SetLoss(0.01)
-	time.Sleep(afterForming)
+	f.Network.SetPacketLoss(0.01)
+	time.Sleep(statusSpreadTime)
 	return f.Measure(over, cost)
 }
 
-// statusTerm returns how many statuses a flat relay gossips in a second, by the number of relays, as the code
-// has it: each relay sends its own once in max(1 s, 50 ms x relays), and each forwards each 3 x
-// ceil(log10(relays+1)) times.
+// statusTerm returns how many statuses a relay of a flat fleet gossips in a second, by the number of relays.
+// As implemented, each relay sends its own status once in max(1 s, 50 ms x relays), and each relay forwards
+// each status 3 x ceil(log10(relays+1)) times.
 func statusTerm(relays int) float64 {
 	n := float64(relays)
 	return n / max(1, 0.05*n) * 3 * math.Ceil(math.Log10(n+1))
 }
 
-// pushPullTerm returns how many relays' states go out in push-pulls in a second: of all, once in
-// 15 s x (1 + ceil(log2(relays/32))).
+// pushPullTerm returns how many relays' states a relay sends in push-pulls in a second: those of all relays,
+// once in 15 s x (1 + ceil(log2(relays/32))).
 func pushPullTerm(relays int) float64 {
 	n := float64(relays)
 	intervalSeconds := 15.0
@@ -93,14 +94,14 @@
 	return n / intervalSeconds
 }
 
-// costModel says how the bytes that a relay sends in a second depend on the number of relays: a fixed part
-// (probes, leases, framing), and a weight of each term.
+// costModel is the bytes that a relay sends in a second by the number of relays: a fixed part (probes,
+// leases, framing), and the bytes of each unit of statusTerm and pushPullTerm.
 type costModel struct {
 	fixed, status, pushPull float64
 }
 
-// fitCostModel takes the weights from the kinds of traffic at some sizes, each by least squares through the
-// origin.
+// fitCostModel fits the bytes of each term to the kinds of traffic measured at some sizes, by least squares
+// through the origin.
 func fitCostModel(measured []Figures) (p costModel) {
 	var statusXY, statusXX, pushXY, pushXX float64
 	for _, g := range measured {
@@ -122,11 +123,11 @@
 	return p.fixed + p.status*statusTerm(relays) + p.pushPull*pushPullTerm(relays)
 }
 
-// What a relay sends depends on the number of relays as the terms say, and on nothing else: a size is
+// The traffic of a relay depends on the number of relays only as the terms of costModel say: a larger size is
 // predicted from smaller ones. The tolerance covers push-pulls and statuses that fall into one window of 16 s
-// and not into the next: the greatest size has a push-pull in 30 s and a status in 2 s. It fails where relays
-// send their statuses every second whatever their number.
-func TestHollowFleetCost(t *testing.T) {
+// and not into the next, since a relay of the largest size has a push-pull in 30 s and a status in 2 s. The
+// test fails if relays send their statuses every second whatever their number.
+func TestRelayTrafficFollowsCostModel(t *testing.T) {
 	const over, tolerance, larger = 16 * time.Second, 0.1, 40
 	var measured []Figures
 	for _, n := range []int{8, 16, 24} {
@@ -144,28 +145,29 @@
 	t.Logf("%d relays: %.0f bytes out a relay a second, predicted %.0f by %+v; 600: %.0f, 1100: %.0f",
 		larger, got, want, model, model.predict(600), model.predict(1100))
 	if math.Abs(got/want-1) > tolerance {
-		t.Errorf("%d relays: %.0f bytes out a relay a second, predicted %.0f", larger, got, want)
+		t.Errorf("%d relays: %.0f bytes out a relay a second, predicted %.0f; want an error of 0.1 at most",
+			larger, got, want)
 	}
 }
 
-// Prints the figures of one size, for docs/measurements/capacity.md.
+// Prints the measured figures of one size, for docs/measurements/capacity.md.
 func TestCostOfSize(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
 		figures := measureAtRest(t, sizeFromFlags(), *watch)
 		fmt.Printf("%s\n%s\n%s", Header(), figures.Row(), figures.KindRows())
 		fmt.Printf("streams opened a second %.3f, goroutines a relay %.1f, packets dropped for want of room %d, ",
-			figures.Streams, figures.Goroutines, figures.Overflowed)
+			figures.Streams, figures.Goroutines, figures.OverflowedPackets)
 		fmt.Printf("real time %.1f s, processor time %.1f s\n",
 			figures.RealTook.Seconds(), figures.RealCPU.Seconds())
 	})
 }
 
-// Prints how a fleet forms, second by second, and what that takes.
+// Prints the progress of a fleet's forming by the second, and the time and CPU that it takes.
 func TestForming(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
-		use := startUse()
+		use := startUsage()
 		f := startFleet(t, sizeFromFlags())
 		defer f.Stop()
 		done := make(chan struct{})
@@ -175,26 +177,26 @@
 		fmt.Printf("one view %s after the last start, %v; %s\n", took, err, use)
 		took, err = f.AwaitSettled(time.Minute)
 		fmt.Printf("settled %s after that, %v; %s; dropped %v, for want of room %d\n",
-			took, err, use, f.Dropped(), f.Network.Overflowed())
+			took, err, use, f.Dropped(), f.Network.OverflowedPackets())
 	})
 }
 
-// use is what this process takes of the machine from a point on.
-type use struct {
+// resourceUsage is a start of measuring the real and CPU time that this process takes.
+type resourceUsage struct {
 	real, cpu time.Duration
 }
 
-func startUse() use { return use{real: machineNow(), cpu: processorTime()} }
+func startUsage() resourceUsage { return resourceUsage{real: machineNow(), cpu: processorTime()} }
 
-// String returns what was taken so far.
-func (u use) String() string {
+// String returns the time taken since the start.
+func (u resourceUsage) String() string {
 	return fmt.Sprintf("real time %.1f s, processor time %.1f s",
 		(machineNow() - u.real).Seconds(), (processorTime() - u.cpu).Seconds())
 }
 
 // printProgress prints a line a second until done is closed.
-func printProgress(f *Fleet, done <-chan struct{}, use use) {
-	megabytes := func(t Traffic, k Kind) uint64 { return t[k].Bytes / 1e6 }
+func printProgress(f *Fleet, done <-chan struct{}, use resourceUsage) {
+	megabytes := func(t Traffic, k TrafficKind) uint64 { return t[k].Bytes / 1e6 }
 	for startedAt := time.Now(); ; {
 		select {
 		case <-done:
--- a/internal/simulation/scale/events_test.go
+++ b/internal/simulation/scale/events_test.go
@@ -11,43 +11,43 @@
 	"capersail/internal/simulation/network"
 )
 
-// deathWatch records when each relay has learned that one of the others has failed.
-type deathWatch struct {
-	mu           sync.Mutex
-	awaited      string
-	killedAt     time.Time
-	learnedAfter map[int]time.Duration // by relay, from killedAt on; nil before expect
+// failureObserver records when each relay has learned that a killed relay has failed.
+type failureObserver struct {
+	mu            sync.Mutex
+	awaitedName   string
+	killedAt      time.Time
+	detectedAfter map[int]time.Duration // by relay: time from killedAt; nil before expect
 }
 
-func (d *deathWatch) record(relay int, c membership.StateChanged) {
+func (d *failureObserver) record(relay int, c membership.StateChanged) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	gone := c.State == membership.HealthFailed.String() || c.State == membership.HealthLeft.String()
-	if c.Kind != membership.ChangePeer || c.Name != d.awaited || !gone || d.learnedAfter == nil {
+	if c.Kind != membership.ChangePeer || c.Name != d.awaitedName || !gone || d.detectedAfter == nil {
 		return
 	}
-	if _, known := d.learnedAfter[relay]; !known {
-		d.learnedAfter[relay] = time.Since(d.killedAt)
+	if _, known := d.detectedAfter[relay]; !known {
+		d.detectedAfter[relay] = time.Since(d.killedAt)
 	}
 }
 
-// expect has the death of a relay, which is killed now, recorded.
-func (d *deathWatch) expect(relay int) {
+// expect starts recording the failure of a relay that is killed now.
+func (d *failureObserver) expect(relay int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.awaited = Name(relay)
+	d.awaitedName = Name(relay)
 	d.killedAt = time.Now()
-	d.learnedAfter = map[int]time.Duration{}
+	d.detectedAfter = map[int]time.Duration{}
 }
 
-// summary says how soon all relays of the same zone, and all others, knew.
-func (d *deathWatch) summary(f *Fleet, dead int) string {
+// summary returns after what time the relays of the same zone, and all others, learned of the failure.
+func (d *failureObserver) summary(f *Fleet, dead int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var near, far []time.Duration
 	missing := 0
 	for i, r := range f.relays {
-		took, known := d.learnedAfter[i]
+		took, known := d.detectedAfter[i]
 		switch {
 		case i == dead:
 		case !known:
@@ -76,7 +76,7 @@
 	return slices.Max(all).Round(time.Millisecond)
 }
 
-// eventColumns are the heads of the table of printEvent.
+// eventColumns are the column headings of printEvent's table.
 var eventColumns = []string{
 	"event",
 	"relays",
@@ -91,7 +91,7 @@
 	"packets of that second over the rest's",
 }
 
-// printEvent prints what an event has cost, as a row of a table.
+// printEvent prints the cost of an event as a table row.
 func printEvent(what string, rest, g Figures) {
 	var worst network.Sample
 	for _, s := range g.Seconds {
@@ -115,8 +115,8 @@
 	}))
 }
 
-// restBefore is how long a fleet is measured at rest before an event.
-const restBefore = 20 * time.Second
+// restDuration is how long a fleet is measured at rest before an event.
+const restDuration = 20 * time.Second
 
 // startAtRest starts a fleet and measures it at rest. The caller stops it.
 func startAtRest(t *testing.T, c Config) (f *Fleet, rest Figures, cost time.Duration) {
@@ -124,17 +124,17 @@
 	cost = PacketCost(LargeLayout)
 	f = startFleet(t, c)
 	awaitSettled(t, f)
-	f.Network.SetLoss(0.01)
-	time.Sleep(afterForming)
-	return f, f.Measure(restBefore, cost), cost
+	f.Network.SetPacketLoss(0.01)
+	time.Sleep(statusSpreadTime)
+	return f, f.Measure(restDuration, cost), cost
 }
 
-// sizeFromFlags returns the fleet of the long tests.
+// sizeFromFlags returns the configuration that the flags of the long tests select.
 func sizeFromFlags() Config {
-	return Config{Relays: *relays, StartSpread: *spreadBy, Servers: *servers, CellsPerZone: *perZone}
+	return Config{Relays: *relays, StartSpread: *startSpread, Servers: *servers, CellsPerZone: *cellsPerZone}
 }
 
-// printOneView waits for one view and prints how long it took.
+// printOneView waits until all relays hold one view, and prints how long it took.
 func printOneView(f *Fleet, what string) {
 	took, err := f.AwaitOneView(time.Minute)
 	if err != nil {
@@ -144,13 +144,13 @@
 	fmt.Printf("%s: one view of all after %.1f s\n", what, took.Seconds())
 }
 
-// Prints what restarts cost, one after the other, as 310 relays restart once a day, played faster; and a
-// relay that dies.
+// Prints the cost of restarts one after the other, scaled to 310 relays that restart once a day, and the cost
+// of a relay that dies.
 func TestEventRestarts(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
 		const restarts, every, away = 6, 10 * time.Second, 2 * time.Second
-		var d deathWatch
+		var d failureObserver
 		c := sizeFromFlags()
 		c.OnChange = d.record
 		f, rest, cost := startAtRest(t, c)
@@ -185,7 +185,7 @@
 	})
 }
 
-// Prints what it costs that a zone is lost, and that its relays come back after a while.
+// Prints the cost of the loss of a zone, and of the return of its relays.
 func TestEventZoneLost(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
@@ -220,7 +220,7 @@
 	})
 }
 
-// Prints what it costs that a region is cut off for a while.
+// Prints the cost of a region that is isolated for a while.
 func TestEventRegionCutOff(t *testing.T) {
 	skipUnlessLong(t)
 	inVirtualTime(t, func(t *testing.T) {
@@ -230,7 +230,7 @@
 		const cutFor = 25 * time.Second
 		region := network.InRegion("region-1")
 		o := f.Observe(cost)
-		f.Network.CutOff("region", region)
+		f.Network.Isolate("region", region)
 		time.Sleep(cutFor)
 		printEvent("a region is cut off", rest, o.End())
 		fmt.Printf("views held at the end of the cut: %+v\n", f.State())
