--- a/internal/observe/anomaly/detector_test.go
+++ b/internal/observe/anomaly/detector_test.go
@@ -10,8 +10,8 @@
 	"capersail/internal/observe/recorder"
 )
 
-// kindOf is the kind that a server's anomaly ends with.
-func kindOf(what string) Kind {
+// kindOfLabel is the kind that a server's anomaly ends with.
+func kindOfLabel(what string) Kind {
 	for k := range kindCount {
 		if strings.HasSuffix(what, " "+k.String()) {
 			return k
@@ -28,61 +28,61 @@
 func TestEveryKindIsFoundAlone(t *testing.T) {
 	worst := map[Kind]float64{}
 	for _, seed := range everyKindSeeds {
-		s := newScene(seed, 12)
-		s.swing = 0.5
+		s := newFleetModel(seed, 12)
+		s.rateSwing = 0.5
 		s.run(30_000)
-		if len(s.began) != 0 {
-			t.Fatalf("seed %d: calm at first: %+v", seed, s.began)
+		if len(s.changes) != 0 {
+			t.Fatalf("seed %d: calm at first: %+v", seed, s.changes)
 		}
-		s.hosts[0].silent, s.hosts[1].erring, s.hosts[2].late, s.hosts[3].slow = true, true, true, 12
+		s.servers[0].unresponsive, s.servers[1].failing, s.servers[2].late, s.servers[3].setupFactor = true, true, true, 12
 		s.run(12_000)
-		s.hosts[0].silent, s.hosts[1].erring, s.hosts[2].late, s.hosts[3].slow = false, false, false, 0
+		s.servers[0].unresponsive, s.servers[1].failing, s.servers[2].late, s.servers[3].setupFactor = false, false, false, 0
 		s.run(20_000)
-		s.hosts[4].refusing = true
-		s.fault(5, UnannouncedDrain, func(_ *host) { s.breaks(5, decide.Cancelled) })
-		s.fault(6, UnevenLoad, func(h *host) { h.extra = 0.8 })
-		s.fault(7, FrozenReport, func(h *host) { h.frozen = true })
+		s.servers[4].rejecting = true
+		s.startFault(5, UnannouncedDrain, func(_ *modelServer) { s.endConnections(5, decide.Cancelled) })
+		s.startFault(6, UnevenLoad, func(h *modelServer) { h.extraLoad = 0.8 })
+		s.startFault(7, FrozenReport, func(h *modelServer) { h.frozen = true })
 		s.run(14_000)
-		s.hosts[4].refusing, s.hosts[6].extra, s.hosts[7].frozen = false, 0, false
+		s.servers[4].rejecting, s.servers[6].extraLoad, s.servers[7].frozen = false, 0, false
 		s.run(20_000)
 		for i := 8; i <= 9; i++ {
-			s.hosts[i].dead = true
-			s.breaks(i, decide.Reset)
+			s.servers[i].dead = true
+			s.endConnections(i, decide.Reset)
 		}
 		s.run(3000)
-		s.hosts[9].dead = false
-		s.visible["s9 "+UnannouncedRestart.String()] = s.now
+		s.servers[9].dead = false
+		s.visibleAt["s9 "+UnannouncedRestart.String()] = s.now
 		s.run(4000)
 		for range 4 {
-			s.list(10, decide.Draining, 0)
+			s.setEndpointState(10, decide.Draining, 0)
 			s.run(1500)
-			s.list(10, decide.Ready, 0)
-			s.visible["s10 flapping"] = s.now
+			s.setEndpointState(10, decide.Ready, 0)
+			s.visibleAt["s10 flapping"] = s.now
 			s.run(1500)
 		}
-		s.list(8, decide.Removed, 0) // and now the list says so
+		s.setEndpointState(8, decide.Removed, 0) // and now the list says so
 		for range 3 {
-			s.put(-1, recorder.Record{Kind: recorder.EndpointListUnreachable})
-			s.visible[" list out of reach"] = s.now
+			s.putRecord(-1, recorder.Record{Kind: recorder.EndpointListUnreachable})
+			s.visibleAt[" list out of reach"] = s.now
 			s.run(400)
 		}
-		s.list(11, decide.Draining, 0) // announced: no event
-		s.breaks(11, decide.Cancelled)
+		s.setEndpointState(11, decide.Draining, 0) // announced: no event
+		s.endConnections(11, decide.Cancelled)
 		s.run(6000)
-		s.list(11, decide.Removed, 0)
-		s.list(11, decide.Ready, s.now-100)
+		s.setEndpointState(11, decide.Removed, 0)
+		s.setEndpointState(11, decide.Ready, s.now-100)
 		s.run(120_000)
-		found := s.found()
-		for what, at := range s.visible {
+		found := s.beganAt()
+		for what, at := range s.visibleAt {
 			if _, ok := found[what]; !ok {
 				t.Errorf("seed %d: %q was not found", seed, what)
 				continue
 			}
-			k := kindOf(what)
-			worst[k] = max(worst[k], s.noticed[what]-at)
+			k := kindOfLabel(what)
+			worst[k] = max(worst[k], s.reportedAt[what]-at)
 		}
 		for what, from := range found {
-			if _, ok := s.visible[what]; !ok && what != "s7 uneven load" { // what a frozen report leads to
+			if _, ok := s.visibleAt[what]; !ok && what != "s7 uneven load" { // what a frozen report leads to
 				t.Errorf("seed %d: %q at %.0f did not happen", seed, what, from)
 			}
 		}
@@ -90,7 +90,7 @@
 			t.Errorf("seed %d: still there long after: %+v", seed, left)
 		}
 		ends := map[string]int{}
-		for _, c := range s.began {
+		for _, c := range s.changes {
 			if c.To != 0 {
 				ends[c.Server+c.Kind.String()]++
 			}
@@ -113,12 +113,12 @@
 // Calm days whose load swings and jitters: no event at all.
 func TestCalmDaysHaveNoEvent(t *testing.T) {
 	for seed := range uint64(10) {
-		s := newScene(100+seed, 8+int(seed))
-		s.swing = 0.2 + 0.06*float64(seed)
-		s.jitter = 0.3 + 0.05*float64(seed)
-		s.period = 20_000 + 10_000*float64(seed)
+		s := newFleetModel(100+seed, 8+int(seed))
+		s.rateSwing = 0.2 + 0.06*float64(seed)
+		s.setupSigma = 0.3 + 0.05*float64(seed)
+		s.swingPeriod = 20_000 + 10_000*float64(seed)
 		s.run(180_000)
-		for _, c := range s.began {
+		for _, c := range s.changes {
 			t.Errorf("seed %d: %+v", seed, c)
 		}
 	}
@@ -126,19 +126,19 @@
 
 // What all of the fleet does at once is one event of the fleet.
 func TestWhatMostDoIsTheFleets(t *testing.T) {
-	for what, f := range map[Kind]func(h *host){
-		SlowSetup:    func(h *host) { h.slow = 15 },
-		Unresponsive: func(h *host) { h.silent = true },
-		ErrorBurst:   func(h *host) { h.erring = true },
+	for what, f := range map[Kind]func(h *modelServer){
+		SlowSetup:    func(h *modelServer) { h.setupFactor = 15 },
+		Unresponsive: func(h *modelServer) { h.unresponsive = true },
+		ErrorBurst:   func(h *modelServer) { h.failing = true },
 	} {
-		s := newScene(7, 10)
+		s := newFleetModel(7, 10)
 		s.run(30_000)
-		for _, h := range s.hosts {
+		for _, h := range s.servers {
 			f(h)
 		}
 		s.run(10_000)
 		fleet, single := 0, 0
-		for _, c := range s.began {
+		for _, c := range s.changes {
 			switch {
 			case c.To != 0:
 			case c.Server == "" && c.Kind == what:
@@ -149,7 +149,7 @@
 				t.Errorf("%v: %+v", what, c)
 			}
 		}
-		if fleet != 1 || single > len(s.hosts)/2 {
+		if fleet != 1 || single > len(s.servers)/2 {
 			t.Errorf("%v: %d events of the fleet, %d of servers", what, fleet, single)
 		}
 	}
@@ -168,7 +168,7 @@
 			t.Fatalf("%+v", out)
 		}
 	}
-	if len(d.order) != 50 || len(d.servers) != 50 {
+	if len(d.serverList) != 50 || len(d.servers) != 50 {
 		t.Errorf("%d servers are kept", len(d.servers))
 	}
 }
--- a/internal/observe/anomaly/kind.go
+++ b/internal/observe/anomaly/kind.go
@@ -29,9 +29,9 @@
 // not found here.
 const RelayChanged = kindCount
 
-// kinds has for each kind the name that is shown, and for how long its pattern must be there before its event
+// kindInfos has for each kind the name that is shown, and for how long its pattern must be there before its event
 // begins, and absent before it ends: an event does not flutter.
-var kinds = [kindCount + 1]struct {
+var kindInfos = [kindCount + 1]struct {
 	name       string
 	beginAfter time.Duration
 	endAfter   time.Duration
@@ -53,8 +53,8 @@
 
 // String names the kind as it is shown.
 func (k Kind) String() string {
-	if int(k) < len(kinds) {
-		return kinds[k].name
+	if int(k) < len(kindInfos) {
+		return kindInfos[k].name
 	}
 	return fmt.Sprintf("unknown kind %d", uint8(k))
 }
--- a/internal/observe/anomaly/pattern.go
+++ b/internal/observe/anomaly/pattern.go
@@ -10,29 +10,29 @@
 
 // The figures of the patterns.
 const (
-	burstWindow = 3 * time.Second
-	burstMin    = 4           // so many in burstWindow make a burst
-	rowMin      = 3           // or so many without a success between them
-	rowWindow   = time.Minute // in this
+	burstWindow  = 3 * time.Second
+	minBurst     = 4           // so many in burstWindow make a burst
+	minInARow    = 3           // or so many without a success between them
+	inARowWindow = time.Minute // in this
 
-	probesMissedMin = 2 // in a row
-	lateRepliesMin  = 2 // in a row
+	minMissedProbes = 2 // in a row
+	minLateReplies  = 2 // in a row
 
-	minFrozen      = 4 * time.Second // a report repeats for so long
-	frozenReadsMin = 5               // in so many readings
-	frozenChurnMin = 4               // while so many connections came or went
+	minFrozenTime              = 4 * time.Second // a report repeats for so long
+	minFrozenReadings          = 5               // in so many readings
+	minFrozenConnectionChanges = 4               // while so many connections came or went
 
-	sentAwayMin = 2 // clients, in burstWindow
+	minDisconnectedClients = 2 // clients, in burstWindow
 
-	flapsMin   = 4
+	minFlaps   = 4
 	flapWindow = time.Minute
 
-	unevenBy   = 0.35            // load over the peers' median
-	unevenPart = 0.5             // and of that median
-	freshLoad  = 4 * time.Second // a report that says something of now
+	minExcessLoad         = 0.35            // load over the peers' median
+	minExcessLoadFraction = 0.5             // and of that median
+	maxLoadReportAge      = 4 * time.Second // a report that says something of now
 
-	fullRowMin  = 2 // a server is full so often in a row
-	fullLoadMax = 0.7
+	minAtCapacityInARow = 2 // a server is full so often in a row
+	maxRejectingLoad    = 0.7
 )
 
 // finding is a pattern that is there: its evidence, "" if it is not, and how sure it is, from 0 to 1.
@@ -49,167 +49,167 @@
 	FrozenReport:       (*Detector).findFrozenReport,
 	ErrorBurst:         (*Detector).findErrorBurst,
 	SlowSetup:          (*Detector).findSlowSetup,
-	UnannouncedRestart: (*Detector).findRestart,
-	UnannouncedDrain:   (*Detector).findDrain,
+	UnannouncedRestart: (*Detector).findUnannouncedRestart,
+	UnannouncedDrain:   (*Detector).findUnannouncedDrain,
 	Flapping:           (*Detector).findFlapping,
 	UnevenLoad:         (*Detector).findUnevenLoad,
-	RejectingAll:       (*Detector).findRejecting,
+	RejectingAll:       (*Detector).findRejectingAll,
 }
 
-// find looks for a kind's pattern at a server. Of one that the endpoint list does not have ready only
+// findPattern looks for a kind's pattern at a server. Of one that the endpoint list does not have ready only
 // flapping is.
-func (d *Detector) find(k Kind, s *serverState) finding {
-	if s.mode != decide.Ready && k != Flapping {
+func (d *Detector) findPattern(k Kind, s *serverState) finding {
+	if s.endpointState != decide.Ready && k != Flapping {
 		return finding{}
 	}
 	return patterns[k](d, s)
 }
 
-// grown is the confidence in a pattern of n pieces of evidence where least are wanted.
-func grown(n, least int) float64 { return 1 - math.Pow(0.5, float64(n-least+2)) }
+// evidenceConfidence is the confidence in a pattern of n pieces of evidence where least are wanted.
+func evidenceConfidence(n, least int) float64 { return 1 - math.Pow(0.5, float64(n-least+2)) }
 
 func (d *Detector) findUnresponsive(s *serverState) finding {
-	if s.missedProbes < probesMissedMin {
+	if s.missedProbes < minMissedProbes {
 		return finding{}
 	}
 	return finding{
 		fmt.Sprintf("%d probes in a row without an answer, no reset", s.missedProbes),
-		grown(s.missedProbes, probesMissedMin),
+		evidenceConfidence(s.missedProbes, minMissedProbes),
 	}
 }
 
 // findUnreachable goes by refusals in a row, or, as a relay that ejects the server may not try it for long,
 // by connections that all broke together.
 func (d *Detector) findUnreachable(s *serverState) finding {
-	if s.refusedInARow >= probesMissedMin {
+	if s.refusedConnections >= minMissedProbes {
 		return finding{
-			fmt.Sprintf("%d connections in a row refused; the list has it ready", s.refusedInARow),
-			grown(s.refusedInARow, probesMissedMin),
+			fmt.Sprintf("%d connections in a row refused; the list has it ready", s.refusedConnections),
+			evidenceConfidence(s.refusedConnections, minMissedProbes),
 		}
 	}
-	broken := s.happened.breaks.countSince(s.crash.at - crashWindow)
-	if s.crash.at == 0 || broken < rowMin || s.happened.connections.last() >= s.crash.at {
+	broken := s.history.brokenConnections.countSince(s.crash.at - crashWindow)
+	if s.crash.at == 0 || broken < minInARow || s.history.connections.newest() >= s.crash.at {
 		return finding{}
 	}
 	return finding{
 		fmt.Sprintf("%d connections broke or were refused together, and none stands since; "+
 			"the list has it ready", broken),
-		grown(broken, rowMin),
+		evidenceConfidence(broken, minInARow),
 	}
 }
 
 func (d *Detector) findLateReplies(s *serverState) finding {
 	p := &s.replies
-	if p.late < lateRepliesMin {
+	if p.lateInARow < minLateReplies {
 		return finding{}
 	}
 	return finding{
 		fmt.Sprintf("%d answers in a row over %.0f ms where %.1f are usual, %d with the numbers of before",
-			p.late, millis(p.lateness()), millis(lowerQuartile(p.elapsed)), p.lateOld),
-		grown(p.late, lateRepliesMin),
+			p.lateInARow, millis(p.lateThreshold()), millis(lowerQuartile(p.onTime)), p.lateUnchanged),
+		evidenceConfidence(p.lateInARow, minLateReplies),
 	}
 }
 
 // findFrozenReport leaves a server alone that answers late: that its numbers are old is part of that.
 func (d *Detector) findFrozenReport(s *serverState) finding {
 	r := &s.report
-	repeats := r.at - r.sameSince
-	if s.replies.late > 0 || r.at == 0 ||
-		r.sameReads < frozenReadsMin || repeats < minFrozen || r.churn < frozenChurnMin {
+	repeats := r.at - r.unchangedSince
+	if s.replies.lateInARow > 0 || r.at == 0 ||
+		r.unchangedReadings < minFrozenReadings || repeats < minFrozenTime || r.connectionChanges < minFrozenConnectionChanges {
 		return finding{}
 	}
 	return finding{
 		fmt.Sprintf("load %.3f in %d readings over %.1f s, while %d connections came or went",
-			r.load, r.sameReads, repeats.Seconds(), r.churn),
-		grown(r.churn, frozenChurnMin),
+			r.load, r.unchangedReadings, repeats.Seconds(), r.connectionChanges),
+		evidenceConfidence(r.connectionChanges, minFrozenConnectionChanges),
 	}
 }
 
 // findErrorBurst goes by errors in a window that outnumber connections, or by errors in a row: a relay that
 // ejects the server tries it seldom.
 func (d *Detector) findErrorBurst(s *serverState) finding {
-	h := &s.happened
+	h := &s.history
 	n := h.errors.countSince(d.now - burstWindow)
-	if n >= burstMin && n > h.connections.countSince(h.errors.first(n)) {
-		return finding{fmt.Sprintf("%d errors in %.0f s", n, burstWindow.Seconds()), grown(n, burstMin)}
+	if n >= minBurst && n > h.connections.countSince(h.errors.nthNewest(n)) {
+		return finding{fmt.Sprintf("%d errors in %.0f s", n, burstWindow.Seconds()), evidenceConfidence(n, minBurst)}
 	}
-	if n := h.errors.countSince(max(d.now-rowWindow, h.connections.last())); n >= rowMin {
-		return finding{fmt.Sprintf("%d errors in a row", n), grown(n, rowMin)}
+	if n := h.errors.countSince(max(d.now-inARowWindow, h.connections.newest())); n >= minInARow {
+		return finding{fmt.Sprintf("%d errors in a row", n), evidenceConfidence(n, minInARow)}
 	}
 	return finding{}
 }
 
 func (d *Detector) findSlowSetup(s *serverState) finding {
-	latest, peers := s.setups.latest, medianOfSorted(d.setups)
-	if !s.setups.isSlow() || len(d.setups) <= peersMin || !muchSlower(latest, peers) {
+	latest, peers := s.setups.currentMedian, medianOfSorted(d.peerSetups)
+	if !s.setups.isSlowerThanTypical() || len(d.peerSetups) <= minPeers || !muchSlower(latest, peers) {
 		return finding{}
 	}
 	return finding{
 		fmt.Sprintf("set-ups take %.0f ms; %.0f at %d peers, %.0f before", millis(latest), millis(peers),
-			len(d.setups)-1, millis(s.setups.past())),
+			len(d.peerSetups)-1, millis(s.setups.typicalTime())),
 		0.9,
 	}
 }
 
-func (d *Detector) findRestart(s *serverState) finding {
+func (d *Detector) findUnannouncedRestart(s *serverState) finding {
 	if s.restart.at == 0 || d.now-s.restart.at >= burstWindow {
 		return finding{}
 	}
 	return finding{s.restart.evidence, 0.8}
 }
 
-func (d *Detector) findDrain(s *serverState) finding {
-	n := s.happened.sentAway.countSince(d.now - burstWindow)
-	if n < sentAwayMin {
+func (d *Detector) findUnannouncedDrain(s *serverState) finding {
+	n := s.history.disconnectedClients.countSince(d.now - burstWindow)
+	if n < minDisconnectedClients {
 		return finding{}
 	}
 	return finding{
 		fmt.Sprintf("%d clients sent away in %.0f s; the list has it ready", n, burstWindow.Seconds()),
-		grown(n, sentAwayMin),
+		evidenceConfidence(n, minDisconnectedClients),
 	}
 }
 
 func (d *Detector) findFlapping(s *serverState) finding {
-	n := s.happened.flaps.countSince(d.now - flapWindow)
-	if n < flapsMin {
+	n := s.history.flaps.countSince(d.now - flapWindow)
+	if n < minFlaps {
 		return finding{}
 	}
 	return finding{
 		fmt.Sprintf("out of the list or back %d times in %.0f s", n, flapWindow.Seconds()),
-		grown(n, flapsMin),
+		evidenceConfidence(n, minFlaps),
 	}
 }
 
 // findUnevenLoad leaves a server alone that answers late: its load is that of before, and its peers' is not.
 func (d *Detector) findUnevenLoad(s *serverState) finding {
-	median := medianOfSorted(d.loads)
+	median := medianOfSorted(d.peerLoads)
 	over := s.report.load - median
-	if s.replies.late > 0 || !s.hasFreshLoad(d.now) || len(d.loads) <= peersMin || over <= max(unevenBy, unevenPart*median) {
+	if s.replies.lateInARow > 0 || !s.hasFreshLoad(d.now) || len(d.peerLoads) <= minPeers || over <= max(minExcessLoad, minExcessLoadFraction*median) {
 		return finding{}
 	}
 	return finding{
-		fmt.Sprintf("load %.2f where the median of %d servers is %.2f", s.report.load, len(d.loads), median),
+		fmt.Sprintf("load %.2f where the median of %d servers is %.2f", s.report.load, len(d.peerLoads), median),
 		min(0.95, 0.5+over/2),
 	}
 }
 
-// findRejecting goes by a burst without a connection since, or by a server that is full in a row where its
+// findRejectingAll goes by a burst without a connection since, or by a server that is full in a row where its
 // load says that it is not.
-func (d *Detector) findRejecting(s *serverState) finding {
-	h := &s.happened
-	n := h.full.countSince(d.now - burstWindow)
-	if n >= burstMin && h.connections.countSince(h.full.first(n)) == 0 {
+func (d *Detector) findRejectingAll(s *serverState) finding {
+	h := &s.history
+	n := h.atCapacity.countSince(d.now - burstWindow)
+	if n >= minBurst && h.connections.countSince(h.atCapacity.nthNewest(n)) == 0 {
 		return finding{
 			fmt.Sprintf("full to %d in %.0f s, and it takes none; the list has it ready",
 				n, burstWindow.Seconds()),
-			grown(n, burstMin),
+			evidenceConfidence(n, minBurst),
 		}
 	}
-	n = h.full.countSince(max(d.now-rowWindow, h.connections.last()))
-	if n >= fullRowMin && s.report.load < fullLoadMax {
+	n = h.atCapacity.countSince(max(d.now-inARowWindow, h.connections.newest()))
+	if n >= minAtCapacityInARow && s.report.load < maxRejectingLoad {
 		return finding{
 			fmt.Sprintf("full to %d in a row at a load of %.2f; the list has it ready", n, s.report.load),
-			grown(n, fullRowMin),
+			evidenceConfidence(n, minAtCapacityInARow),
 		}
 	}
 	return finding{}
--- a/internal/observe/anomaly/recent.go
+++ b/internal/observe/anomaly/recent.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// recentKept is how many times a recent remembers.
-const recentKept = 16
+// maxRecentTimes is how many times a recent remembers.
+const maxRecentTimes = 16
 
-// recent remembers when things happened last, the newest last.
-type recent []time.Duration
+// recentTimes remembers when things happened last, the newest last.
+type recentTimes []time.Duration
 
-func (r *recent) add(at time.Duration) { *r = appendBounded(*r, at, recentKept) }
+func (r *recentTimes) add(at time.Duration) { *r = appendBounded(*r, at, maxRecentTimes) }
 
 // countSince counts what happened after an instant.
-func (r recent) countSince(at time.Duration) (n int) {
+func (r recentTimes) countSince(at time.Duration) (n int) {
 	for i := len(r) - 1; i >= 0 && r[i] > at; i-- {
 		n++
 	}
 	return n
 }
 
-// first is when the first of the last n things happened.
-func (r recent) first(n int) time.Duration { return r[len(r)-n] }
+// nthNewest is when the nthNewest of the last n things happened.
+func (r recentTimes) nthNewest(n int) time.Duration { return r[len(r)-n] }
 
-// last is when it happened last; 0 for never.
-func (r recent) last() time.Duration {
+// newest is when it happened newest; 0 for never.
+func (r recentTimes) newest() time.Duration {
 	if len(r) == 0 {
 		return 0
 	}
--- a/internal/observe/chart/chart.go
+++ b/internal/observe/chart/chart.go
@@ -165,7 +165,7 @@
 
 func drawStates(p *plot.Plot, s report.Server, a axes) error {
 	for _, state := range s.States {
-		area := a.box(state.From, state.To, stateLow, stateHigh)
+		area := a.clipBox(state.From, state.To, stateLow, stateHigh)
 		if err := area.draw(p, stateColors[state.Name]); err != nil {
 			return err
 		}
@@ -175,7 +175,7 @@
 
 func drawEvents(p *plot.Plot, s report.Server, a axes) error {
 	for _, e := range s.Events {
-		area := a.box(e.From, e.To, 0, a.highestLoad*eventHeight)
+		area := a.clipBox(e.From, e.To, 0, a.highestLoad*eventHeight)
 		if err := area.draw(p, eventColor); err != nil {
 			return err
 		}
@@ -191,7 +191,7 @@
 
 // drawLoad draws the mean load in pieces: where nothing was read nothing is drawn.
 func drawLoad(p *plot.Plot, s report.Server) error {
-	for _, piece := range loadPieces(s) {
+	for _, piece := range loadSegments(s) {
 		line, err := plotter.NewLine(piece)
 		if err != nil {
 			return err
@@ -203,9 +203,9 @@
 	return nil
 }
 
-// loadPieces are the runs of intervals with readings, apart where more than two intervals between them have
+// loadSegments are the runs of intervals with readings, apart where more than two intervals between them have
 // none.
-func loadPieces(s report.Server) (pieces []plotter.XYs) {
+func loadSegments(s report.Server) (pieces []plotter.XYs) {
 	readTo := 0.0
 	for _, interval := range s.Intervals {
 		if interval.Readings == 0 {
@@ -215,32 +215,34 @@
 			pieces = append(pieces, nil)
 		}
 		last := len(pieces) - 1
-		pieces[last] = append(pieces[last], plotter.XY{X: middle(interval), Y: float64(interval.Load[1])})
+		pieces[last] = append(pieces[last], plotter.XY{X: middleSeconds(interval), Y: float64(interval.Load[1])})
 		readTo = interval.From + interval.Width
 	}
 	return pieces
 }
 
-func middle(interval timeline.Interval) float64 { return seconds(interval.From + interval.Width/2) }
+func middleSeconds(interval timeline.Interval) float64 {
+	return seconds(interval.From + interval.Width/2)
+}
 
 // drawMarks marks the intervals that had placements, and those that had faults.
 func drawMarks(p *plot.Plot, s report.Server, a axes) error {
 	var placements, faults plotter.XYs
 	for _, interval := range s.Intervals {
 		if interval.Placements > 0 {
-			placements = append(placements, plotter.XY{X: middle(interval), Y: placementY})
+			placements = append(placements, plotter.XY{X: middleSeconds(interval), Y: placementY})
 		}
 		if report.CountFaults(interval) > 0 {
-			faults = append(faults, plotter.XY{X: middle(interval), Y: a.highestLoad * faultHeight})
+			faults = append(faults, plotter.XY{X: middleSeconds(interval), Y: a.highestLoad * faultHeight})
 		}
 	}
-	if err := scatter(p, placements, draw.PlusGlyph{}, placementColor); err != nil {
+	if err := drawScatter(p, placements, draw.PlusGlyph{}, placementColor); err != nil {
 		return err
 	}
-	return scatter(p, faults, draw.CrossGlyph{}, faultColor)
+	return drawScatter(p, faults, draw.CrossGlyph{}, faultColor)
 }
 
-func scatter(p *plot.Plot, at plotter.XYs, shape draw.GlyphDrawer, tint color.Color) error {
+func drawScatter(p *plot.Plot, at plotter.XYs, shape draw.GlyphDrawer, tint color.Color) error {
 	if len(at) == 0 {
 		return nil
 	}
@@ -256,8 +258,8 @@
 // box is an area of a panel: from and to in Unix milliseconds, low and high in load.
 type box struct{ from, to, low, high float64 }
 
-// box is the part of an area that lies within the picture's time; to is 0 for what has not ended.
-func (a axes) box(from, to, low, high float64) box {
+// clipBox is the part of an area that lies within the picture's time; to is 0 for what has not ended.
+func (a axes) clipBox(from, to, low, high float64) box {
 	if to == 0 {
 		to = a.to
 	}
--- a/internal/observe/recorder/recorder.go
+++ b/internal/observe/recorder/recorder.go
@@ -15,14 +15,14 @@
 	records   []Record
 	dropped   uint32
 	droppedAt time.Duration // the newest of them
-	ready     chan struct{}
+	halfFull  chan struct{}
 }
 
 // New returns a Recorder that keeps so many records until they are taken.
 func New(capacity int) *Recorder {
 	return &Recorder{
-		records: make([]Record, 0, capacity),
-		ready:   make(chan struct{}, 1),
+		records:  make([]Record, 0, capacity),
+		halfFull: make(chan struct{}, 1),
 	}
 }
 
@@ -41,13 +41,13 @@
 		return
 	}
 	select {
-	case r.ready <- struct{}{}:
+	case r.halfFull <- struct{}{}:
 	default:
 	}
 }
 
 // Ready receives a value when the buffer is half full.
-func (r *Recorder) Ready() <-chan struct{} { return r.ready }
+func (r *Recorder) Ready() <-chan struct{} { return r.halfFull }
 
 // TakeAll returns all records put since the last call, with a RecordsDropped at the end if some did not
 // fit. spare, a slice from an earlier call or nil, takes the buffer's place.
--- a/internal/observe/report/report.go
+++ b/internal/observe/report/report.go
@@ -10,8 +10,8 @@
 	"capersail/internal/observe/timeline"
 )
 
-// endOfTime is later than any row, Unix ms.
-const endOfTime = 1e18
+// noUpperBound is later than any row, Unix ms.
+const noUpperBound = 1e18
 
 // Query says what is asked for. Times are Unix ms, 0 for no bound.
 type Query struct {
@@ -67,7 +67,7 @@
 func (r *Report) RestrictTime(q Query) {
 	to := q.To
 	if to == 0 {
-		to = endOfTime
+		to = noUpperBound
 	}
 	outside := func(from, end float64) bool {
 		ended := end != 0
--- a/internal/observe/report/text.go
+++ b/internal/observe/report/text.go
@@ -11,8 +11,8 @@
 	"capersail/internal/observe/timeline"
 )
 
-// loadMarks show a load from 0 to 1; the first is for no reading.
-const loadMarks = " .:-=+*#%@"
+// loadCharacters show a load from 0 to 1; the first is for no reading.
+const loadCharacters = " .:-=+*#%@"
 
 // FormatClock writes a time of the day in UTC; an open end is three dots.
 func FormatClock(unixMs float64) string {
@@ -42,14 +42,14 @@
 		"server", "state", "open", "load", "placed", "faults", "migrated", "anomalies now")
 	for _, s := range r.Servers {
 		if s.Name != timeline.FleetName {
-			s.writeRow(w)
+			s.writeListRow(w)
 		}
 	}
 	r.writeOmissions(w)
 	return w.err
 }
 
-func (s *Server) writeRow(w *errorWriter) {
+func (s *Server) writeListRow(w *errorWriter) {
 	sum := sumIntervals(s.Intervals)
 	w.printf("%-20s %-9s %5d %6s %7d %7d %8d  %s\n",
 		s.Name, s.State, s.OpenConnections, s.latestLoad(), sum.Placements, CountFaults(sum), sum.Migrations,
@@ -128,8 +128,8 @@
 		if interval.Readings == 0 {
 			continue
 		}
-		level := 1 + int(interval.Load[1]*float32(len(loadMarks)-2))
-		mark := loadMarks[min(len(loadMarks)-1, level)]
+		level := 1 + int(interval.Load[1]*float32(len(loadCharacters)-2))
+		mark := loadCharacters[min(len(loadCharacters)-1, level)]
 		end := column(interval.From + interval.Width)
 		for i := column(interval.From); i <= end && i < width; i++ {
 			row[i] = mark
--- a/internal/observe/timeline/apply.go
+++ b/internal/observe/timeline/apply.go
@@ -8,8 +8,8 @@
 	"capersail/internal/observe/recorder"
 )
 
-// faultsToNotice is how many faults in a row change a server's state.
-const faultsToNotice = 2
+// minFaultsInARow is how many faults in a row change a server's state.
+const minFaultsInARow = 2
 
 // Apply takes one record to its server's timeline; name is that server's. A record of no server is the
 // fleet's.
@@ -18,7 +18,7 @@
 	if r.Server < 0 {
 		name = FleetName
 	}
-	s := t.server(name)
+	s := t.serverTimeline(name)
 	i := t.intervalAt(s, r.At)
 	switch r.Kind {
 	case recorder.EndpointChanged:
@@ -39,7 +39,7 @@
 	case recorder.ConnectionUp:
 		i.Connections++
 		s.setups.RecordValue(max(1, r.Elapsed.Microseconds()))
-		t.noteRecovery(s, r.At, "a connection stands")
+		t.recordRecovery(s, r.At, "a connection stands")
 	case recorder.AttemptEnded:
 		s.openConnections = max(0, s.openConnections-1)
 		if r.Initiator == recorder.Server {
@@ -65,7 +65,7 @@
 	if s.Name == FleetName {
 		return
 	}
-	fleet := t.intervalAt(t.server(FleetName), r.At)
+	fleet := t.intervalAt(t.serverTimeline(FleetName), r.At)
 	fleet.Rejections++
 	fleet.RejectReasons.add(r)
 }
@@ -73,7 +73,7 @@
 // applyEndpoint takes what the endpoint list says. A server that comes, comes back or has started anew begins
 // without a past.
 func (t *Timelines) applyEndpoint(s *ServerTimeline, r *recorder.Record) {
-	s.mode = r.EndpointState
+	s.endpointState = r.EndpointState
 	switch r.EndpointState {
 	case decide.Draining:
 		t.enterState(s, r.At, Draining, "list")
@@ -112,11 +112,11 @@
 			i.addLoad(r.Load)
 		}
 		s.probeAnswered = true
-		t.noteRecovery(s, r.At, "a probe was answered")
+		t.recordRecovery(s, r.At, "a probe was answered")
 	case decide.TimedOut:
 		i.ProbesLost++
 		s.missedProbes++
-		if s.missedProbes >= faultsToNotice && s.mode == decide.Ready {
+		if s.missedProbes >= minFaultsInARow && s.endpointState == decide.Ready {
 			t.enterState(s, r.At, Unresponsive, fmt.Sprintf("%d probes without an answer", s.missedProbes))
 		}
 	case decide.ConnectFailed, decide.Reset:
@@ -139,19 +139,19 @@
 // ready.
 func (t *Timelines) countFailure(s *ServerTimeline, at time.Duration, cause string) {
 	s.failuresInARow++
-	if s.failuresInARow >= faultsToNotice && s.mode == decide.Ready {
+	if s.failuresInARow >= minFaultsInARow && s.endpointState == decide.Ready {
 		t.enterState(s, at, Ejected, cause)
 	}
 }
 
-// noteRecovery ends a state that was a fault, or one in which nothing was known.
-func (t *Timelines) noteRecovery(s *ServerTimeline, at time.Duration, cause string) {
+// recordRecovery ends a state that was a fault, or one in which nothing was known.
+func (t *Timelines) recordRecovery(s *ServerTimeline, at time.Duration, cause string) {
 	s.missedProbes, s.failuresInARow = 0, 0
 	state := s.State()
 	if state != Unresponsive && state != Ejected && state != Listed {
 		return
 	}
-	if s.mode == decide.Ready && t.inSlowStart(s, at) {
+	if s.endpointState == decide.Ready && t.inSlowStart(s, at) {
 		t.enterState(s, at, Warming, "back: "+cause)
 		return
 	}
--- a/internal/observe/timeline/interval.go
+++ b/internal/observe/timeline/interval.go
@@ -69,48 +69,48 @@
 	i.Readings++
 }
 
-// completeAfter is how long after its end an interval is complete: records are applied a moment after they
+// completionDelay is how long after its end an interval is complete: records are applied a moment after they
 // were made.
-const completeAfter = 300 * time.Millisecond
+const completionDelay = 300 * time.Millisecond
 
 // intervalAt finds a server's newest interval for an instant, and completes the one before. An instant from
 // before the newest interval counts in it.
 func (t *Timelines) intervalAt(s *ServerTimeline, at time.Duration) *Interval {
 	width := millis(t.IntervalWidths[0])
-	from := floorTo(t.unixMs(at), width)
+	from := roundDownTo(t.unixMs(at), width)
 	if tier := s.Tiers[0]; len(tier) > 0 && tier[len(tier)-1].From >= from {
 		return &tier[len(tier)-1]
 	}
-	t.completeNewest(s)
+	t.completeNewestInterval(s)
 	s.Tiers[0] = append(s.Tiers[0], Interval{
 		From:            from,
 		Width:           width,
 		OpenConnections: s.openConnections,
 		Load:            [3]float32{-1, -1, -1},
 	})
-	s.newestReported = false
-	t.mergeOldest(s)
+	s.newestGivenToSink = false
+	t.mergeOldestIntervals(s)
 	tier := s.Tiers[0]
 	return &tier[len(tier)-1]
 }
 
-// newestIsOver tells whether no record of a server's newest interval can come any more.
-func (t *Timelines) newestIsOver(s *ServerTimeline, now time.Duration) bool {
+// newestIntervalEnded tells whether no record of a server's newest interval can come any more.
+func (t *Timelines) newestIntervalEnded(s *ServerTimeline, now time.Duration) bool {
 	tier := s.Tiers[0]
 	if len(tier) == 0 {
 		return false
 	}
 	end := tier[len(tier)-1].From + millis(t.IntervalWidths[0])
-	return t.unixMs(now) >= end+millis(completeAfter)
+	return t.unixMs(now) >= end+millis(completionDelay)
 }
 
-// completeNewest completes a server's newest interval and gives it to the sink, once.
-func (t *Timelines) completeNewest(s *ServerTimeline) {
+// completeNewestInterval completes a server's newest interval and gives it to the sink, once.
+func (t *Timelines) completeNewestInterval(s *ServerTimeline) {
 	tier := s.Tiers[0]
-	if len(tier) == 0 || s.newestReported {
+	if len(tier) == 0 || s.newestGivenToSink {
 		return
 	}
-	s.newestReported = true
+	s.newestGivenToSink = true
 	i := &tier[len(tier)-1]
 	i.OpenConnections = s.openConnections
 	if s.setups.TotalCount() > 0 {
@@ -129,13 +129,13 @@
 // CompleteAll completes all intervals, at the end.
 func (t *Timelines) CompleteAll() {
 	for _, s := range t.servers {
-		t.completeNewest(s)
+		t.completeNewestInterval(s)
 	}
 }
 
-// mergeOldest merges the oldest intervals of a tier that is full into the next tier's; the last tier's are
+// mergeOldestIntervals merges the oldest intervals of a tier that is full into the next tier's; the last tier's are
 // discarded.
-func (t *Timelines) mergeOldest(s *ServerTimeline) {
+func (t *Timelines) mergeOldestIntervals(s *ServerTimeline) {
 	for n := range s.Tiers {
 		for len(s.Tiers[n]) > t.IntervalsKept[n] {
 			old := s.Tiers[n][0]
@@ -151,7 +151,7 @@
 
 // mergeInto adds an interval to the last of a tier's, or begins another.
 func mergeInto(tier []Interval, old Interval, width float64) []Interval {
-	from := floorTo(old.From, width)
+	from := roundDownTo(old.From, width)
 	if n := len(tier); n > 0 && tier[n-1].From == from {
 		tier[n-1] = Merge(tier[n-1], old)
 		return tier
@@ -210,7 +210,7 @@
 	return all
 }
 
-func floorTo(x, width float64) float64 { return math.Floor(x/width) * width }
+func roundDownTo(x, width float64) float64 { return math.Floor(x/width) * width }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
--- a/internal/observe/timeline/state.go
+++ b/internal/observe/timeline/state.go
@@ -64,7 +64,7 @@
 	from := t.unixMs(at)
 	if n := len(s.States); n > 0 {
 		s.States[n-1].To = from
-		t.stateChanged(s, s.States[n-1])
+		t.reportStateChange(s, s.States[n-1])
 	}
 	if len(s.States) == t.MaxStatePeriods {
 		s.DiscardedBefore = max(s.DiscardedBefore, s.States[0].To)
@@ -74,10 +74,10 @@
 	s.States = append(s.States, period)
 	s.stateSince = at
 	s.StateChanges++
-	t.stateChanged(s, period)
+	t.reportStateChange(s, period)
 }
 
-func (t *Timelines) stateChanged(s *ServerTimeline, p StatePeriod) {
+func (t *Timelines) reportStateChange(s *ServerTimeline, p StatePeriod) {
 	if t.Sink.StateChanged != nil {
 		t.Sink.StateChanged(s.Name, p)
 	}
--- a/internal/observe/timeline/timeline_test.go
+++ b/internal/observe/timeline/timeline_test.go
@@ -10,39 +10,39 @@
 	"capersail/internal/observe/recorder"
 )
 
-// began is when the tests' records begin; the wall clock of the tests reads the same as the records'.
-const began = 1000 * time.Second
+// recordsStart is when the tests' records begin; the wall clock of the tests reads the same as the records'.
+const recordsStart = 1000 * time.Second
 
 func newTimelines(l Limits) *Timelines { return New(l, time.Unix(0, 0).Add) }
 
 // applyAll applies records of a server, each so long after the one before.
 func applyAll(t *Timelines, name string, step time.Duration, records []recorder.Record) {
 	for i, r := range records {
-		r.At = began + time.Duration(i)*step
+		r.At = recordsStart + time.Duration(i)*step
 		t.Apply(name, &r)
 	}
 }
 
-// endpointAt, probeOf and endOf are the records that change a server's state.
-func endpointAt(mode decide.EndpointState, startedAt time.Duration) recorder.Record {
+// endpointChanged, probeOf and endOf are the records that change a server's state.
+func endpointChanged(mode decide.EndpointState, startedAt time.Duration) recorder.Record {
 	return recorder.Record{Kind: recorder.EndpointChanged, EndpointState: mode, StartedAt: startedAt}
 }
 
-func probeOf(s decide.Status) recorder.Record {
+func probeEnded(s decide.Status) recorder.Record {
 	return recorder.Record{Kind: recorder.ProbeEnded, Status: s, Load: 0.2}
 }
 
-func endOf(s decide.Status) recorder.Record {
+func endedByServer(s decide.Status) recorder.Record {
 	return recorder.Record{Kind: recorder.AttemptEnded, Status: s, Initiator: recorder.Server}
 }
 
 // A server's records lead through its states, and to no other: an operator reads them as what happened.
 func TestRecordsLeadThroughStates(t *testing.T) {
-	ready, draining := endpointAt(decide.Ready, 0), endpointAt(decide.Draining, 0)
-	removed := endpointAt(decide.Removed, 0)
-	restarted := endpointAt(decide.Ready, began)
-	answered, lost := probeOf(decide.OK), probeOf(decide.TimedOut)
-	refused := endOf(decide.ConnectFailed)
+	ready, draining := endpointChanged(decide.Ready, 0), endpointChanged(decide.Draining, 0)
+	removed := endpointChanged(decide.Removed, 0)
+	restarted := endpointChanged(decide.Ready, recordsStart)
+	answered, lost := probeEnded(decide.OK), probeEnded(decide.TimedOut)
+	refused := endedByServer(decide.ConnectFailed)
 	for _, c := range []struct {
 		name    string
 		records []recorder.Record
@@ -104,14 +104,14 @@
 // Slow start ends with its time, counted from the server's start.
 func TestSlowStartEnds(t *testing.T) {
 	b := newTimelines(DefaultLimits())
-	r := endpointAt(decide.Ready, began-2*time.Second)
-	r.At = began
+	r := endpointChanged(decide.Ready, recordsStart-2*time.Second)
+	r.At = recordsStart
 	b.Apply("s", &r)
-	b.Tick(began + 7900*time.Millisecond)
+	b.Tick(recordsStart + 7900*time.Millisecond)
 	if b.Server("s").State() != Warming {
 		t.Error("warm too soon")
 	}
-	b.Tick(began + 8*time.Second)
+	b.Tick(recordsStart + 8*time.Second)
 	if b.Server("s").State() != Warm {
 		t.Error("it never warms up")
 	}
@@ -127,7 +127,7 @@
 		var stored Interval
 		b.Sink.IntervalComplete = func(_ string, i Interval) { stored = Merge(stored, i) }
 		var placedAt []time.Duration
-		now := began
+		now := recordsStart
 		for range 3000 {
 			now += time.Duration(rng.ExpFloat64() * float64(400*time.Millisecond))
 			r := recorder.Record{At: now, Kind: recorder.AttemptStarted}
@@ -154,7 +154,7 @@
 		if kept != want || s.DiscardedBefore == 0 {
 			t.Errorf("seed %d: %d of %d placements since %v", seed, kept, want, s.DiscardedBefore)
 		}
-		b.completeNewest(s)
+		b.completeNewestInterval(s)
 		if stored.Placements != 3000 {
 			t.Errorf("the sink was given %d", stored.Placements)
 		}
@@ -171,13 +171,13 @@
 	limits.MaxServers = 20
 	b := newTimelines(limits)
 	for i := range 10 {
-		r := endpointAt(decide.Ready, 0)
-		r.At = began
+		r := endpointChanged(decide.Ready, 0)
+		r.At = recordsStart
 		b.Apply(fmt.Sprint("stays", i), &r)
 	}
 	for i := range 5000 {
-		r := endpointAt(decide.Ready, 0)
-		r.At = began + time.Duration(i)*time.Millisecond
+		r := endpointChanged(decide.Ready, 0)
+		r.At = recordsStart + time.Duration(i)*time.Millisecond
 		b.Apply(fmt.Sprint("id", i), &r)
 		r.EndpointState = decide.Removed
 		b.Apply(fmt.Sprint("id", i), &r)
@@ -212,7 +212,7 @@
 		{Kind: recorder.ClientMigrated},
 	})
 	s := b.Server("s")
-	b.completeNewest(s)
+	b.completeNewestInterval(s)
 	i := s.Intervals()[0]
 	if i.Load != [3]float32{0.2, 0.4, 0.6} || i.Placements != 2 || i.Retries != 1 || i.Probes != 3 ||
 		i.PeerReadings != 1 || i.ProbesLost != 1 || i.OpenConnections != 0 ||
--- a/internal/observe/timeline/timelines.go
+++ b/internal/observe/timeline/timelines.go
@@ -35,8 +35,8 @@
 
 // Set-up times are kept in a histogram of microseconds, from 1 µs to 2 minutes.
 const (
-	maxSetupMicros = 120_000_000
-	setupDigits    = 2
+	maxSetupMicros         = 120_000_000
+	setupSignificantDigits = 2
 )
 
 // ServerTimeline is one server's, or the fleet's.
@@ -49,17 +49,17 @@
 
 	endpoint
 	health
-	openConnections int32
-	setups          *hdr.Histogram // of the newest interval
-	newestReported  bool           // the newest interval was given to the sink
-	touchedAt       time.Duration
-	stateSince      time.Duration
+	openConnections   int32
+	setups            *hdr.Histogram // of the newest interval
+	newestGivenToSink bool           // the newest interval was given to the sink
+	lastRecordAt      time.Duration
+	stateSince        time.Duration
 }
 
 // endpoint is what the endpoint list says of a server.
 type endpoint struct {
-	mode      decide.EndpointState
-	startedAt time.Duration // 0 for long ago
+	endpointState decide.EndpointState
+	startedAt     time.Duration // 0 for long ago
 }
 
 // health is what probes and connections say of a server.
@@ -110,8 +110,8 @@
 	return names
 }
 
-// server finds or begins a timeline. Another one is evicted if there are too many.
-func (t *Timelines) server(name string) *ServerTimeline {
+// serverTimeline finds or begins a timeline. Another one is evicted if there are too many.
+func (t *Timelines) serverTimeline(name string) *ServerTimeline {
 	s := t.servers[name]
 	if s == nil {
 		if len(t.servers) >= t.MaxServers {
@@ -120,11 +120,11 @@
 		s = &ServerTimeline{
 			Name:   name,
 			Tiers:  make([][]Interval, len(t.IntervalWidths)),
-			setups: hdr.New(1, maxSetupMicros, setupDigits),
+			setups: hdr.New(1, maxSetupMicros, setupSignificantDigits),
 		}
 		t.servers[name] = s
 	}
-	s.touchedAt = t.now
+	s.lastRecordAt = t.now
 	return s
 }
 
@@ -133,24 +133,24 @@
 func (t *Timelines) evictServer() {
 	var first *ServerTimeline
 	for _, s := range t.servers {
-		if s.Name != FleetName && (first == nil || s.evictedBefore(first)) {
+		if s.Name != FleetName && (first == nil || s.evictBefore(first)) {
 			first = s
 		}
 	}
 	if first != nil {
-		t.completeNewest(first)
+		t.completeNewestInterval(first)
 		delete(t.servers, first.Name)
 		t.EvictedServers++
 	}
 }
 
-// evictedBefore tells whether s is evicted before o.
-func (s *ServerTimeline) evictedBefore(o *ServerTimeline) bool {
+// evictBefore tells whether s is evicted before o.
+func (s *ServerTimeline) evictBefore(o *ServerTimeline) bool {
 	switch gone, otherGone := s.State() == Gone, o.State() == Gone; {
 	case gone != otherGone:
 		return gone
-	case s.touchedAt != o.touchedAt:
-		return s.touchedAt < o.touchedAt
+	case s.lastRecordAt != o.lastRecordAt:
+		return s.lastRecordAt < o.lastRecordAt
 	}
 	return s.Name < o.Name
 }
@@ -159,8 +159,8 @@
 func (t *Timelines) Tick(now time.Duration) {
 	t.now = max(t.now, now)
 	for _, s := range t.servers {
-		if t.newestIsOver(s, now) {
-			t.completeNewest(s)
+		if t.newestIntervalEnded(s, now) {
+			t.completeNewestInterval(s)
 		}
 		if s.State() == Warming && now-s.startedAt >= t.SlowStart {
 			t.enterState(s, max(s.startedAt+t.SlowStart, s.stateSince), Warm, "warmed up")
--- a/internal/observe/watch/bench_test.go
+++ b/internal/observe/watch/bench_test.go
@@ -93,11 +93,11 @@
 	ended := make(chan struct{})
 	go func() { s.Run(ctx); close(ended) }()
 	for r := range rows {
-		at := 1.8e12 + float64(r)*rowWidth
+		at := 1.8e12 + float64(r)*rowWidthMs
 		for i := range servers {
 			text, _ := cbor.Marshal(timeline.Interval{
 				From:        at,
-				Width:       rowWidth,
+				Width:       rowWidthMs,
 				Placements:  3,
 				Connections: 3,
 				Probes:      8,
--- a/internal/observe/watch/event_log.go
+++ b/internal/observe/watch/event_log.go
@@ -34,7 +34,7 @@
 // record takes an event that has begun or ended.
 func (l *eventLog) record(e anomaly.Event) {
 	l.logChange(e)
-	l.keep(e)
+	l.keepEvent(e)
 	if l.rows != nil {
 		l.rows.writeEvent(e)
 	}
@@ -53,8 +53,8 @@
 	line.Float64("confidence", e.Confidence).Msg("anomaly began")
 }
 
-// keep replaces the event's beginning by its end, or adds it; the oldest is dropped where the log is full.
-func (l *eventLog) keep(e anomaly.Event) {
+// keepEvent replaces the event's beginning by its end, or adds it; the oldest is dropped where the log is full.
+func (l *eventLog) keepEvent(e anomaly.Event) {
 	i := slices.IndexFunc(l.events, func(o anomaly.Event) bool { return sameEvent(o, e) })
 	if i >= 0 {
 		l.events[i] = e
@@ -96,8 +96,8 @@
 	delete(l.followers, follower)
 }
 
-// withCurrent returns a copy of the events, those that last with the evidence that there is now.
-func (l *eventLog) withCurrent(active []anomaly.Event) []anomaly.Event {
+// eventsWithCurrentEvidence returns a copy of the events, those that last with the evidence that there is now.
+func (l *eventLog) eventsWithCurrentEvidence(active []anomaly.Event) []anomaly.Event {
 	events := slices.Clone(l.events)
 	for _, current := range active {
 		for i, e := range events {
--- a/internal/observe/watch/query.go
+++ b/internal/observe/watch/query.go
@@ -27,7 +27,7 @@
 			r.Servers = append(r.Servers, w.reportServer(name))
 		}
 	}
-	r.AddEvents(w.events.withCurrent(w.detector.ActiveEvents()), q)
+	r.AddEvents(w.events.eventsWithCurrentEvidence(w.detector.ActiveEvents()), q)
 	r.RestrictTime(q)
 	return r
 }
--- a/internal/observe/watch/read_store.go
+++ b/internal/observe/watch/read_store.go
@@ -21,11 +21,11 @@
 // or a row cannot be decoded.
 func ReportFromStore(s *store.Store, q report.Query) (*report.Report, error) {
 	reader := storeReader{
-		store:   s,
-		query:   q,
-		to:      int64(q.To),
-		at:      float64(time.Now().UnixMilli()),
-		servers: map[string]*report.Server{},
+		store:     s,
+		query:     q,
+		to:        int64(q.To),
+		newestEnd: float64(time.Now().UnixMilli()),
+		servers:   map[string]*report.Server{},
 	}
 	if reader.to == 0 {
 		reader.to = noUpperBound
@@ -45,12 +45,12 @@
 
 // storeReader gathers a store's rows to a report.
 type storeReader struct {
-	store   *store.Store
-	query   report.Query
-	to      int64   // Unix ms
-	at      float64 // end of the newest row, Unix ms
-	servers map[string]*report.Server
-	events  []anomaly.Event
+	store     *store.Store
+	query     report.Query
+	to        int64   // Unix ms
+	newestEnd float64 // end of the newest row, Unix ms
+	servers   map[string]*report.Server
+	events    []anomaly.Event
 }
 
 // scan hands the rows of a bucket on, by their times, up to the first that cannot be decoded.
@@ -68,7 +68,7 @@
 	return rowErr
 }
 
-func (r *storeReader) server(name string) *report.Server {
+func (r *storeReader) serverReport(name string) *report.Server {
 	server := r.servers[name]
 	if server == nil {
 		server = &report.Server{Name: name}
@@ -85,9 +85,9 @@
 	if err := cbor.Unmarshal(row, &interval); err != nil {
 		return err
 	}
-	server := r.server(id)
+	server := r.serverReport(id)
 	server.Intervals = append(server.Intervals, interval)
-	r.at = interval.From + interval.Width
+	r.newestEnd = interval.From + interval.Width
 	return nil
 }
 
@@ -100,7 +100,7 @@
 		return err
 	}
 	period.Name = period.State.String()
-	server := r.server(id)
+	server := r.serverReport(id)
 	if n := len(server.States); n > 0 && server.States[n-1].To == 0 { // the daemon ended before it could say
 		server.States[n-1].To = period.From
 	}
@@ -120,7 +120,7 @@
 }
 
 func (r *storeReader) report() *report.Report {
-	result := &report.Report{At: r.at}
+	result := &report.Report{At: r.newestEnd}
 	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
 		result.Servers = append(result.Servers, *r.servers[name])
 	}
--- a/internal/observe/watch/stored_test.go
+++ b/internal/observe/watch/stored_test.go
@@ -19,11 +19,11 @@
 	"capersail/internal/store"
 )
 
-const storedAt = 1_800_000_000_000.0
+const storedStart = 1_800_000_000_000.0
 
-// writeStored writes the rows of testdata/timeline.db, which the version of 2026-12-03 wrote: every state,
+// writeStoredRows writes the rows of testdata/timeline.db, which the version of 2026-12-03 wrote: every state,
 // every kind of event, and a step without a field that is zero.
-func writeStored(t *testing.T, path string) {
+func writeStoredRows(t *testing.T, path string) {
 	t.Helper()
 	s, err := store.Open(path, store.Options{}, zerolog.Nop())
 	if err != nil {
@@ -35,7 +35,7 @@
 	rows := newRowWriter(s, zerolog.Nop())
 	events := newEventLog(rows, zerolog.Nop())
 	for state := timeline.Listed; state <= timeline.Ejected; state++ {
-		from := storedAt + 1000*float64(state)
+		from := storedStart + 1000*float64(state)
 		b := timeline.StatePeriod{State: state, From: from, Cause: fmt.Sprint("cause ", state)}
 		rows.writeState("s1", b)
 		if b.To = from + 1000; state < timeline.Ejected {
@@ -43,7 +43,7 @@
 		}
 	}
 	full := timeline.Interval{
-		From:            storedAt,
+		From:            storedStart,
 		Width:           1000,
 		Placements:      2,
 		Retries:         3,
@@ -74,12 +74,12 @@
 	full.From += 20_000
 	rows.addInterval("s1", full) // into the next
 	noLoad := [3]float32{-1, -1, -1}
-	rows.addInterval(timeline.FleetName, timeline.Interval{From: storedAt, Width: 1000, Load: noLoad})
+	rows.addInterval(timeline.FleetName, timeline.Interval{From: storedStart, Width: 1000, Load: noLoad})
 	for _, line := range []string{"s1", timeline.FleetName} {
 		rows.writeIntervalRow(line, rows.openRows[line])
 	}
 	for kind := anomaly.Kind(0); kind <= anomaly.RelayChanged; kind++ {
-		from := storedAt + 100*float64(kind)
+		from := storedStart + 100*float64(kind)
 		e := anomaly.Event{
 			Server:     "s1",
 			Kind:       kind,
@@ -125,7 +125,7 @@
 // The rows of a time line are written under the keys and in the bytes of an earlier version's.
 func TestTimelineIsWrittenAsBefore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "new.db")
-	writeStored(t, path)
+	writeStoredRows(t, path)
 	want, got := storedRows(t, "testdata/timeline.db"), storedRows(t, path)
 	for _, key := range slices.Sorted(maps.Keys(want)) {
 		if got[key] != want[key] {
@@ -146,7 +146,7 @@
 	defer s.Close()
 	for file, q := range map[string]report.Query{
 		"timeline.json": {},
-		"part.json":     {Servers: []string{"s2"}, From: storedAt, To: storedAt + 1150},
+		"part.json":     {Servers: []string{"s2"}, From: storedStart, To: storedStart + 1150},
 	} {
 		want, err := os.ReadFile(filepath.Join("testdata", file))
 		if err != nil {
@@ -156,16 +156,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := storedReport(t, r); !bytes.Equal(got, want) {
+		if got := encodeReport(t, r); !bytes.Equal(got, want) {
 			t.Errorf("%s: shown as\n%s", file, got)
 		}
 	}
 }
 
-// storedReport is a report as testdata holds it.
-func storedReport(t *testing.T, r *report.Report) []byte {
+// encodeReport is a report as testdata holds it.
+func encodeReport(t *testing.T, r *report.Report) []byte {
 	t.Helper()
-	if len(r.Servers) == 0 || r.At < storedAt {
+	if len(r.Servers) == 0 || r.At < storedStart {
 		t.Errorf("%d servers, at %.0f", len(r.Servers), r.At)
 	}
 	text, err := json.MarshalIndent(r, "", " ")
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -33,13 +33,13 @@
 
 // deploymentUnderTest is a relay in this process, with servers and clients on loopback.
 type deploymentUnderTest struct {
-	t       testing.TB
-	x       *relay.RequestTable
-	w       *Watcher
-	servers []*fake.ScanServer
-	modes   []decide.EndpointState
-	since   []float64
-	relay   string
+	t              testing.TB
+	requests       *relay.RequestTable
+	watcher        *Watcher
+	servers        []*fake.ScanServer
+	endpointStates []decide.EndpointState
+	startedAt      []float64
+	relayAddress   string
 }
 
 func newDeployment(t testing.TB, servers int, s *store.Store) *deploymentUnderTest {
@@ -79,8 +79,8 @@
 		MaxIdleProbeConns: 64,
 	})
 	config := Config{RelayName: "n", RecordBuffer: 8192, Limits: timeline.DefaultLimits(), MaxServers: 100, Store: s}
-	w := &deploymentUnderTest{t: t, x: x, w: New(config, x, clock, zerolog.Nop())}
-	x.Recorder = w.w.Recorder
+	w := &deploymentUnderTest{t: t, requests: x, watcher: New(config, x, clock, zerolog.Nop())}
+	x.Recorder = w.watcher.Recorder
 	for i := range servers {
 		s, err := fake.NewScanServer(fmt.Sprint("s", i), "127.0.0.1:0", feed, ledger)
 		if err != nil {
@@ -89,15 +89,15 @@
 		t.Cleanup(func() { s.Kill() })
 		s.Capacity = 40
 		w.servers = append(w.servers, s)
-		w.modes, w.since = append(w.modes, decide.Ready), append(w.since, 0)
+		w.endpointStates, w.startedAt = append(w.endpointStates, decide.Ready), append(w.startedAt, 0)
 	}
-	w.list()
+	w.updateEndpointList()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	w.relay = l.Addr().String()
+	w.relayAddress = l.Addr().String()
 	frontend := &platform.Frontend{
 		Requests:   x,
 		Deployment: site,
@@ -105,31 +105,31 @@
 	}
 	go frontend.Serve(l)
 	go relay.NewEventLoop(x, 7, noDiscovery{}, zerolog.Nop()).Run(t.Context())
-	go w.w.Run(t.Context())
+	go w.watcher.Run(t.Context())
 	return w
 }
 
-func (w *deploymentUnderTest) list() {
+func (w *deploymentUnderTest) updateEndpointList() {
 	var all []relay.Endpoint
 	for i, s := range w.servers {
 		all = append(all, relay.Endpoint{
 			ID:        s.ID,
 			Address:   s.Address,
-			State:     w.modes[i],
-			StartedAt: relay.TimeFromUnixMillis(w.since[i]),
+			State:     w.endpointStates[i],
+			StartedAt: relay.TimeFromUnixMillis(w.startedAt[i]),
 			Load:      -1,
 		})
 	}
-	w.x.UpdateEndpoints(decide.Snapshot, all)
+	w.requests.UpdateEndpoints(decide.Snapshot, all)
 }
 
-func (w *deploymentUnderTest) mode(i int, m decide.EndpointState) {
-	w.modes[i] = m
-	w.list()
+func (w *deploymentUnderTest) setEndpointState(i int, m decide.EndpointState) {
+	w.endpointStates[i] = m
+	w.updateEndpointList()
 }
 
-// clients come and go until the test ends.
-func (w *deploymentUnderTest) clients(n int) {
+// runClients come and go until the test ends.
+func (w *deploymentUnderTest) runClients(n int) {
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	w.t.Cleanup(func() { stop(); all.Wait() })
@@ -141,7 +141,7 @@
 					OpenFields:   fmt.Sprintf("%x c=m", i+1),
 					WaitLimit:    3 * time.Second,
 					SendEvery:    700 * time.Millisecond,
-					RelayAddress: func() string { return w.relay },
+					RelayAddress: func() string { return w.relayAddress },
 				}
 				stay := time.Duration(400+150*((i*7+k*11)%40)) * time.Millisecond
 				one, done := context.WithTimeout(ctx, stay)
@@ -152,9 +152,9 @@
 	}
 }
 
-// event finds an event that has begun.
-func (w *deploymentUnderTest) event(server string, k anomaly.Kind) *anomaly.Event {
-	for _, s := range w.w.Report(report.Query{}).Servers {
+// findEvent finds an findEvent that has begun.
+func (w *deploymentUnderTest) findEvent(server string, k anomaly.Kind) *anomaly.Event {
+	for _, s := range w.watcher.Report(report.Query{}).Servers {
 		for _, e := range s.Events {
 			if e.Server == server && e.Kind == k {
 				return &e
@@ -164,11 +164,11 @@
 	return nil
 }
 
-func (w *deploymentUnderTest) wait(what string, ok func() bool) {
+func (w *deploymentUnderTest) waitFor(what string, ok func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(120 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			r := w.w.Report(report.Query{})
+			r := w.watcher.Report(report.Query{})
 			for _, e := range r.Events() {
 				w.t.Log(report.FormatEvent(e))
 			}
@@ -185,15 +185,15 @@
 			"plays the same faults in a time of its own")
 	}
 	w := newDeployment(t, 14, nil)
-	w.clients(200)
+	w.runClients(200)
 	began := time.Now()
 	// A relay of this rate probes a server each few seconds. Those that have a past first get the faults that
 	// need one.
 	ups := map[string]uint32{}
-	w.wait("a past for enough servers", func() bool {
+	w.waitFor("a past for enough servers", func() bool {
 		known := 0
-		for _, s := range w.w.Report(report.Query{}).Servers {
-			total := sum(s)
+		for _, s := range w.watcher.Report(report.Query{}).Servers {
+			total := sumIntervals(s)
 			if ups[s.Name] = 0; total.Connections >= 14 && total.Probes >= 6 {
 				ups[s.Name] = total.Connections
 				known++
@@ -215,13 +215,13 @@
 			name = w.servers[i].ID
 		}
 		expected[want{name, k}] = true
-		w.wait(fmt.Sprint(name, " ", k), func() bool { return w.event(name, k) != nil })
+		w.waitFor(fmt.Sprint(name, " ", k), func() bool { return w.findEvent(name, k) != nil })
 	}
 	state := func(i int, s timeline.State) {
-		w.wait(fmt.Sprint(w.servers[i].ID, " ", s), func() bool {
-			w.w.mu.Lock()
-			defer w.w.mu.Unlock()
-			for _, b := range w.w.timelines.Server(w.servers[i].ID).States {
+		w.waitFor(fmt.Sprint(w.servers[i].ID, " ", s), func() bool {
+			w.watcher.mu.Lock()
+			defer w.watcher.mu.Unlock()
+			for _, b := range w.watcher.timelines.Server(w.servers[i].ID).States {
 				if b.State == s {
 					return true
 				}
@@ -258,30 +258,30 @@
 	w.servers[7].SetFaults(fake.ServerFaults{})
 
 	holds := func(name string) {
-		w.wait(name+" holds connections", func() bool {
-			w.w.mu.Lock()
-			defer w.w.mu.Unlock()
-			return w.w.timelines.Server(name).OpenConnections() >= 3
+		w.waitFor(name+" holds connections", func() bool {
+			w.watcher.mu.Lock()
+			defer w.watcher.mu.Unlock()
+			return w.watcher.timelines.Server(name).OpenConnections() >= 3
 		})
 	}
 	holds(w.servers[8].ID)
 	w.servers[8].Kill()
 	expect(8, anomaly.Unreachable)
-	w.mode(8, decide.Removed)
+	w.setEndpointState(8, decide.Removed)
 	state(8, timeline.Gone)
-	w.mode(9, decide.Draining) // announced: a state, and no event
+	w.setEndpointState(9, decide.Draining) // announced: a state, and no event
 	state(9, timeline.Draining)
 	w.servers[9].MigrateOneIn(2)
-	w.since[10] = float64(time.Now().UnixMilli())
-	w.mode(10, decide.Ready) // announced: another process under the same id
+	w.startedAt[10] = float64(time.Now().UnixMilli())
+	w.setEndpointState(10, decide.Ready) // announced: another process under the same id
 	state(10, timeline.Warming)
 	for range 4 {
-		w.mode(11, decide.Draining)
-		w.mode(11, decide.Ready)
+		w.setEndpointState(11, decide.Draining)
+		w.setEndpointState(11, decide.Ready)
 	}
 	expect(11, anomaly.Flapping)
-	w.x.UpdateEndpoints(decide.WatchFailed, nil)
-	w.x.UpdateEndpoints(decide.WatchFailed, nil)
+	w.requests.UpdateEndpoints(decide.WatchFailed, nil)
+	w.requests.UpdateEndpoints(decide.WatchFailed, nil)
 	expect(-1, anomaly.EndpointListUnreachable)
 
 	old := w.servers[12] // dies, and another process takes its address; the list says nothing
@@ -305,7 +305,7 @@
 		{w.servers[7].ID, anomaly.UnevenLoad}:         true,
 		{w.servers[0].ID, anomaly.UnannouncedRestart}: true,
 	}
-	for _, e := range w.w.Report(report.Query{}).Events() {
+	for _, e := range w.watcher.Report(report.Query{}).Events() {
 		k := want{e.Server, e.Kind}
 		if e.From < faults { // when all clients came at once
 			continue
@@ -314,14 +314,14 @@
 			t.Errorf("did not happen: %s", report.FormatEvent(e))
 		}
 	}
-	if r := w.w.Report(report.Query{}); r.DroppedEntries != 0 {
+	if r := w.watcher.Report(report.Query{}); r.DroppedEntries != 0 {
 		t.Errorf("%d records were dropped", r.DroppedEntries)
 	}
 	t.Logf("%d kinds of event and 5 of state on 14 servers in %.0f s",
 		len(expected), time.Since(began).Seconds())
 }
 
-func sum(s report.Server) (t timeline.Interval) {
+func sumIntervals(s report.Server) (t timeline.Interval) {
 	for _, x := range s.Intervals {
 		t = timeline.Merge(t, x)
 	}
@@ -339,13 +339,13 @@
 	closed := make(chan struct{})
 	go func() { s.Run(ctx); close(closed) }()
 	w := newDeployment(t, 4, s)
-	w.clients(20)
+	w.runClients(20)
 	w.servers[0].SetSilent(true)
-	w.wait("silent", func() bool { return w.event("s0", anomaly.Unresponsive) != nil })
+	w.waitFor("silent", func() bool { return w.findEvent("s0", anomaly.Unresponsive) != nil })
 	w.servers[0].SetSilent(false)
-	w.wait("and it ends", func() bool { return w.event("s0", anomaly.Unresponsive).To != 0 })
-	live := w.w.Report(report.Query{})
-	w.w.WriteOpenRows()
+	w.waitFor("and it ends", func() bool { return w.findEvent("s0", anomaly.Unresponsive).To != 0 })
+	live := w.watcher.Report(report.Query{})
+	w.watcher.WriteOpenRows()
 	s.Flush()
 	stop()
 	<-closed
@@ -368,7 +368,7 @@
 				continue
 			}
 			found = true
-			a, b := sum(l), sum(k)
+			a, b := sumIntervals(l), sumIntervals(k)
 			if a.Placements > b.Placements || a.Probes > b.Probes || b.Placements == 0 {
 				t.Errorf("%s: %d placements and %d probes live, %d and %d kept",
 					l.Name, a.Placements, a.Probes, b.Placements, b.Probes)
--- a/internal/observe/watch/watcher.go
+++ b/internal/observe/watch/watcher.go
@@ -13,8 +13,8 @@
 	"capersail/internal/store"
 )
 
-// foldEvery is the longest time between two folds.
-const foldEvery = 100 * time.Millisecond
+// applyInterval is the longest time between two folds.
+const applyInterval = 100 * time.Millisecond
 
 // ServerIDLister tells the ids of the servers that records name by number; a relay.RequestTable does.
 type ServerIDLister interface {
@@ -47,15 +47,15 @@
 	// Recorder takes what happens. The front is given it before it serves.
 	Recorder *recorder.Recorder
 
-	servers ServerIDLister
-	clock   Clock
+	serverIDLister ServerIDLister
+	clock          Clock
 
 	mu             sync.Mutex // guards what follows
 	timelines      *timeline.Timelines
 	detector       *anomaly.Detector
 	events         *eventLog
 	rows           *rowWriter // nil without a store
-	serverNames    []string   // by the numbers that records have
+	serverIDs      []string   // by the numbers that records have
 	recordsDropped uint64
 	spareRecords   []recorder.Record
 	changes        []anomaly.Change
@@ -64,12 +64,12 @@
 // New returns a Watcher of one front, with a Recorder for it.
 func New(c Config, servers ServerIDLister, clock Clock, log zerolog.Logger) *Watcher {
 	w := &Watcher{
-		Config:    c,
-		Recorder:  recorder.New(c.RecordBuffer),
-		servers:   servers,
-		clock:     clock,
-		timelines: timeline.New(c.Limits, clock.Wall),
-		detector:  anomaly.New(c.MaxServers, clock.Wall),
+		Config:         c,
+		Recorder:       recorder.New(c.RecordBuffer),
+		serverIDLister: servers,
+		clock:          clock,
+		timelines:      timeline.New(c.Limits, clock.Wall),
+		detector:       anomaly.New(c.MaxServers, clock.Wall),
 	}
 	if c.Store != nil {
 		w.rows = newRowWriter(c.Store, log)
@@ -96,7 +96,7 @@
 			w.WriteOpenRows()
 			return
 		case <-w.Recorder.Ready():
-		case <-w.clock.After(foldEvery):
+		case <-w.clock.After(applyInterval):
 		}
 		w.ApplyRecords()
 	}
@@ -115,7 +115,7 @@
 }
 
 func (w *Watcher) applyRecord(r *recorder.Record) {
-	name := w.serverName(r.Server)
+	name := w.serverID(r.Server)
 	if r.Kind == recorder.RecordsDropped {
 		w.recordsDropped += uint64(r.Count)
 	}
@@ -124,15 +124,15 @@
 	w.detectAnomalies(r.At)
 }
 
-// serverName is the id of the server that records name by a number, the fleet's where that is negative.
-func (w *Watcher) serverName(number int32) string {
+// serverID is the id of the server that records name by a number, the fleet's where that is negative.
+func (w *Watcher) serverID(number int32) string {
 	if number < 0 {
 		return timeline.FleetName
 	}
-	if int(number) >= len(w.serverNames) {
-		w.serverNames = w.servers.ServerIDs(len(w.serverNames), w.serverNames)
+	if int(number) >= len(w.serverIDs) {
+		w.serverIDs = w.serverIDLister.ServerIDs(len(w.serverIDs), w.serverIDs)
 	}
-	return w.serverNames[number]
+	return w.serverIDs[number]
 }
 
 // detectAnomalies records the events that have begun or ended by an instant.
@@ -147,7 +147,7 @@
 	w.timelines.Tick(at)
 	w.detectAnomalies(at)
 	if w.rows != nil {
-		w.rows.writeEverySecond(w.unixMs(at))
+		w.rows.writeOpenRowsIfDue(w.unixMs(at))
 	}
 }
 
@@ -182,7 +182,7 @@
 		return
 	}
 	w.timelines.CompleteAll()
-	w.rows.writeAll()
+	w.rows.writeOpenRows()
 }
 
 // FollowEvents returns a channel of events as they begin and end. It is closed when its reader is too slow; nil if
