--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/moments_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s1.Close)
-	entry := fake.Entry("s1", s1.Address, "Ready")
+	entry := fake.EndpointJSON("s1", s1.Address, "Ready")
 	config := writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", address
 		c["limits"] = map[string]any{"sockets": 64}
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -41,8 +41,8 @@
 				var gaps []time.Duration
 				lost := uint64(0)
 				for _, v := range viewers {
-					if k := v.Tally(); v.UseTokens == with {
-						gaps, lost = append(gaps, k.Gaps...), lost+k.Lost
+					if k := v.Stats(); v.UseTokens == with {
+						gaps, lost = append(gaps, k.ReconnectGaps...), lost+k.Lost
 					}
 				}
 				fmt.Printf("%-28s token %-5v  ends %4d  gap p50 %7.1f ms  p99 %8.1f ms  "+
@@ -50,7 +50,7 @@
 					what, with, len(gaps), quantile(gaps, 0.5), quantile(gaps, 0.99), lost)
 			}
 			for _, v := range viewers {
-				v.ClearGaps()
+				v.ClearReconnectGaps()
 			}
 		}
 		f.waitUntilCurrent(viewers)
@@ -105,7 +105,7 @@
 		}
 		served := func() (n int) {
 			for _, v := range viewers {
-				if k := v.Tally(); k.LastScan > 0 && v.ResumeToken() != "" {
+				if k := v.Stats(); k.LastScan > 0 && v.ResumeToken() != "" {
 					n++
 				}
 			}
@@ -125,7 +125,7 @@
 			b.Cleanup(s.Kill)
 			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow = 700, 0.36, 8600*time.Millisecond
 			s.StartedAt = time.Now()
-			f.discovery.SetStarted(s.ID, s.Address, "Ready", s.StartedAt)
+			f.discovery.SetWithStartTime(s.ID, s.Address, "Ready", s.StartedAt)
 			cold = append(cold, s)
 		}
 		f.mu.Lock()
@@ -137,7 +137,7 @@
 			f.waitFor("served again", func() bool {
 				n := 0
 				for _, v := range viewers {
-					if v.Tally().LastScan > at+2 {
+					if v.Stats().LastScan > at+2 {
 						n++
 					}
 				}
@@ -152,8 +152,8 @@
 			peak, over = max(peak, p), max(over, o)
 		}
 		for _, v := range viewers {
-			k := v.Tally()
-			busy, lost = busy+k.Busy, lost+k.Lost
+			k := v.Stats()
+			busy, lost = busy+k.Rejected, lost+k.Lost
 		}
 		fmt.Printf("%d tokens after a relay's death, session 4 s: half served after %.1f s, "+
 			"99 %% after %.1f s, all after %.1f s; "+
--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_hard_test.go
@@ -199,10 +199,10 @@
 	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
 
 	openings, good := invalidOpenings(t, text)
-	before := f.servers[0].Openings()
+	before := f.servers[0].FirstLineCount()
 	for i, k := range openings {
 		if k.want == "UP" {
-			if n := f.servers[0].Openings(); n != before {
+			if n := f.servers[0].FirstLineCount(); n != before {
 				t.Errorf("%d rejected openings reached the server", n-before)
 			}
 		}
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -38,7 +38,7 @@
 	ownership  *fake.ZooKeeper
 	discovery  *fake.Discovery
 	feed       *fake.Feed
-	ledger     *fake.Ledger
+	ledger     *fake.StreamTracker
 	servers    []*fake.ScanServer
 	keyFile    string
 	resumeFile string // resume.toml
@@ -59,7 +59,7 @@
 	f := &fleet{
 		t:        t,
 		feed:     fake.NewFeed(5000, 50*time.Millisecond, stop),
-		ledger:   fake.NewLedger(),
+		ledger:   fake.NewStreamTracker(),
 		commands: map[string]*exec.Cmd{},
 	}
 	var err error
@@ -215,7 +215,7 @@
 	newest := f.feed.Newest() + 3 // what nobody can have yet
 	for _, v := range viewers {
 		f.waitFor("every stream is served", func() bool {
-			return v.Tally().LastScan >= newest && (!v.UseTokens || v.ResumeToken() != "")
+			return v.Stats().LastScan >= newest && (!v.UseTokens || v.ResumeToken() != "")
 		})
 	}
 }
@@ -266,21 +266,21 @@
 	stop()
 	moves, breaks, busy := 0, 0, 0
 	for _, v := range viewers {
-		k := v.Tally()
-		moves, breaks, busy = moves+k.Moves, breaks+k.Breaks, busy+k.Busy
-		if k.Lost != 0 || k.Disorder != 0 || k.Failed != 0 {
+		k := v.Stats()
+		moves, breaks, busy = moves+k.Migrations, breaks+k.Disconnects, busy+k.Rejected
+		if k.Lost != 0 || k.OutOfOrder != 0 || k.OtherAnswers != 0 {
 			t.Errorf("%s: %+v", v.Name, k)
 		}
 		unanswered := 0
-		for _, n := range k.Notes {
+		for _, n := range k.Problems {
 			if n == "unanswered by "+relays[1] { // it was killed
 				unanswered++
 			} else {
 				t.Errorf("%s: %s", v.Name, n)
 			}
 		}
-		if k.Answers+unanswered != k.Openings {
-			t.Errorf("%s: %d answers to %d openings", v.Name, k.Answers, k.Openings)
+		if k.Answers+unanswered != k.FirstLinesSent {
+			t.Errorf("%s: %d answers to %d openings", v.Name, k.Answers, k.FirstLinesSent)
 		}
 	}
 	f.checkLedger()
@@ -374,7 +374,7 @@
 // totalOpenings is how many OPEN lines the servers were sent.
 func totalOpenings(servers []*fake.ScanServer) (n int) {
 	for _, s := range servers {
-		n += s.Openings()
+		n += s.FirstLineCount()
 	}
 	return n
 }
--- a/examples/resume/main.go
+++ b/examples/resume/main.go
@@ -48,7 +48,7 @@
 	dir       string // directory for the relays' files
 	program   string // path of the relay program
 	discovery *fake.Discovery
-	ledger    *fake.Ledger
+	ledger    *fake.StreamTracker
 	servers   map[string]*fake.ScanServer
 	serving   atomic.Value // ID of the server that serves the stream
 	relays    []*exec.Cmd
@@ -82,7 +82,7 @@
 	}
 	d.discovery.ExtraFields = `,"resumes":true`
 	feed := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done())
-	d.ledger = fake.NewLedger()
+	d.ledger = fake.NewStreamTracker()
 	d.servers = map[string]*fake.ScanServer{}
 	for i := range 3 {
 		s, err := fake.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, d.ledger)
@@ -177,10 +177,10 @@
 	d.relays[0].Process.Kill()
 	time.Sleep(every + 6*time.Second)
 
-	t := viewer.Tally()
-	longestGap := slices.Max(append(t.Gaps, 0))
+	t := viewer.Stats()
+	longestGap := slices.Max(append(t.ReconnectGaps, 0))
 	fmt.Printf("%d scans up to number %d: %d lost, %d out of order; longest gap %v\n",
-		t.Scans, t.LastScan, t.Lost, t.Disorder, longestGap.Round(time.Millisecond))
+		t.Scans, t.LastScan, t.Lost, t.OutOfOrder, longestGap.Round(time.Millisecond))
 	for _, violation := range d.ledger.Violations() {
 		fmt.Println("invariant violated:", violation)
 	}
--- a/internal/command/demo_deployment.go
+++ b/internal/command/demo_deployment.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	feed := fake.NewFeed(1000, 100*time.Millisecond, ctx.Done())
-	ledger := fake.NewLedger()
+	ledger := fake.NewStreamTracker()
 	for i := range demoServers {
 		s, err := fake.NewScanServer(fmt.Sprint("server-", i), "127.0.0.1:0", feed, ledger)
 		if err != nil {
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -46,7 +46,7 @@
 	t.Helper()
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
-	feed, ledger := fake.NewFeed(1000, 50*time.Millisecond, stop), fake.NewLedger()
+	feed, ledger := fake.NewFeed(1000, 50*time.Millisecond, stop), fake.NewStreamTracker()
 	clock := relay.NewClock()
 	site := &relay.Deployment{
 		Classes:   map[string]decide.Class{"m": 0},
@@ -288,7 +288,7 @@
 	holds(old.ID)
 	old.Kill()
 	expect(12, anomaly.Unreachable)
-	s, err := fake.NewScanServer(old.ID, old.Address, old.Feed, old.Ledger)
+	s, err := fake.NewScanServer(old.ID, old.Address, old.Feed, old.Tracker)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/capacity/lists_test.go
+++ b/internal/simulation/capacity/lists_test.go
@@ -36,7 +36,7 @@
 	for i := from; i < until; i++ {
 		id := fmt.Sprintf("s-%08x", i*2654435761)
 		address := fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255)
-		entries = append(entries, fake.Entry(id, address, lifecycle))
+		entries = append(entries, fake.EndpointJSON(id, address, lifecycle))
 	}
 	all := strings.Join(entries, ",")
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, until, complete, all)
--- a/internal/simulation/model/figures_test.go
+++ b/internal/simulation/model/figures_test.go
@@ -71,7 +71,7 @@
 		}
 	}
 	if path := os.Getenv("CAPERSAIL_CHART"); path != "" {
-		if err := cluster.Paint(path,
+		if err := cluster.WriteChart(path,
 			cluster.Panel{Title: "Probes a second at a server: 30 servers, 75 requests a second in all",
 				X: "relays", Y: "probes a second", LogX: true,
 				Names: []string{"looks by turns", "each for itself (as it stood)"},
--- a/internal/testing/cluster/budget.go
+++ b/internal/testing/cluster/budget.go
@@ -21,10 +21,10 @@
 	return b.OverloadFactor * capacity / b.LoadPerConnection
 }
 
-// PeakUse returns the greatest part of the allowance that was used up at any instant of a slow start, given
+// PeakUsage returns the greatest part of the allowance that was used up at any instant of a slow start, given
 // when connections came and when the server started. Instants at which few connections are allowed do not
 // count, as one more or less says little there.
-func (b SlowStartBudget) PeakUse(came []time.Duration, startedAt time.Duration) (peak float64) {
+func (b SlowStartBudget) PeakUsage(came []time.Duration, startedAt time.Duration) (peak float64) {
 	const fewConnections = 50
 	slices.Sort(came)
 	for i, at := range came {
--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -98,7 +98,7 @@
 	for _, zone := range zones {
 		sum := 0.0
 		for _, n := range latest {
-			sum += n.Taken(zone, n.AtMillis)
+			sum += n.BudgetShareIn(zone, n.AtMillis)
 		}
 		if math.Abs(sum-1) > 0.001 {
 			t.Errorf("the relays take %v of the budgets in %s", sum, zone)
@@ -281,7 +281,7 @@
 	fleet, cells := newRegionCluster(t)
 	for place := range 4 {
 		for _, c := range cells {
-			fleet.Term(c.Relays[place])
+			fleet.Terminate(c.Relays[place])
 		}
 		for _, c := range cells {
 			if err := fleet.Start(c.Relays[place]); err != nil {
@@ -306,7 +306,7 @@
 	t.Parallel()
 	fleet, cells := newRegionCluster(t)
 	move := func(i int) { // the relay's file has its new cell already
-		fleet.Term(i)
+		fleet.Terminate(i)
 		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
@@ -413,8 +413,8 @@
 		t.Fatal(err)
 	}
 	for _, n := range latest {
-		if n.Plan != 0 || math.Abs(n.Share-0.25) > 0.001 {
-			t.Errorf("%s has a share of %v by plan %d", n.Name, n.Share, n.Plan)
+		if n.Plan != 0 || math.Abs(n.NearShare-0.25) > 0.001 {
+			t.Errorf("%s has a share of %v by plan %d", n.Name, n.NearShare, n.Plan)
 		}
 	}
 	removePlans(t, fleet)
@@ -428,7 +428,7 @@
 		if err := fleet.RemovePlan(i); err != nil {
 			t.Fatal(err)
 		}
-		fleet.Term(i)
+		fleet.Terminate(i)
 		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
@@ -451,7 +451,7 @@
 		if err := fleet.WritePlan(number, cells); err != nil {
 			t.Fatal(err)
 		}
-		fleet.Term(i)
+		fleet.Terminate(i)
 		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testing/cluster/chart.go
+++ b/internal/testing/cluster/chart.go
@@ -20,8 +20,8 @@
 	Lines       []plotter.XYs
 }
 
-// Paint writes panels, one under the other, to a file as SVG.
-func Paint(path string, panels ...Panel) error {
+// WriteChart writes panels, one under the other, to a file as SVG.
+func WriteChart(path string, panels ...Panel) error {
 	const width, height = 16 * vg.Centimeter, 7 * vg.Centimeter
 	canvas := vgsvg.New(width, height*vg.Length(len(panels)))
 	plots := make([][]*plot.Plot, len(panels))
--- a/internal/testing/cluster/cluster.go
+++ b/internal/testing/cluster/cluster.go
@@ -15,22 +15,22 @@
 	Program string // the path of the program, as Build returns it
 	Dir     string // where the relays' files go
 
-	Relays     int
-	Founders   int    // 0 for Relays
-	Deployment string // "" for defaultDeployment
-	Keys       string // the key file's text, "" for none
+	Relays        int
+	BootstrapSize int    // 0 for Relays
+	Deployment    string // "" for defaultDeployment
+	Keys          string // the key file's text, "" for none
 
 	Settings map[string]any     // replace those of the example
 	Zones    []string           // in the settings; nil for the example's
 	ZoneOf   func(i int) string // a relay's, one of Zones
 
-	IgnoreHangup   bool             // processes are started with SIGHUP ignored, as they are deployed
-	Admin          bool             // relays listen on their admin addresses
-	Timeline       bool             // relays keep a time line
-	WithoutMembers bool             // relays do not know each other
-	OwnProbes      bool             // relays know each other, but each probes servers for itself
-	Faults         faultpoint.Rules // of each relay's process from its start on, without the seed
-	Unprotected    bool             // a protection is taken out: the shares may add up to over 1
+	IgnoreHangup      bool             // processes are started with SIGHUP ignored, as they are deployed
+	Admin             bool             // relays listen on their admin addresses
+	Timeline          bool             // relays keep a time line
+	WithoutMembership bool             // relays do not know each other
+	SeparateProbes    bool             // relays know each other, but each probes servers for itself
+	Faults            faultpoint.Rules // of each relay's process from its start on, without the seed
+	AllowShareOverrun bool             // a protection is taken out: the shares may add up to over 1
 }
 
 // defaultDeployment is the deployment's name in the members' files.
@@ -53,8 +53,8 @@
 // New lays a cluster out and writes its files; no process runs yet. example is the path of the configuration
 // that the relays' configurations are made from. The caller calls Close.
 func New(layout Layout, example string) (*Cluster, error) {
-	if layout.Founders == 0 {
-		layout.Founders = layout.Relays
+	if layout.BootstrapSize == 0 {
+		layout.BootstrapSize = layout.Relays
 	}
 	if layout.Deployment == "" {
 		layout.Deployment = defaultDeployment
--- a/internal/testing/cluster/config.go
+++ b/internal/testing/cluster/config.go
@@ -59,8 +59,8 @@
 	fmt.Fprintf(&b, "seeds = [%s]\n", strings.Join(seeds, ", "))
 	fmt.Fprintf(&b, "state = %q\n", r.path("state"))
 	fmt.Fprintf(&b, "socket = %q\n", r.Socket)
-	fmt.Fprintf(&b, "founders = %d\n", fleet.Founders)
-	if fleet.OwnProbes {
+	fmt.Fprintf(&b, "founders = %d\n", fleet.BootstrapSize)
+	if fleet.SeparateProbes {
 		b.WriteString("looks = false\n")
 	}
 	if fleet.Keys != "" {
--- a/internal/testing/cluster/endpointlist_test.go
+++ b/internal/testing/cluster/endpointlist_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fleet := newCluster(t, Layout{Relays: 3, WithoutMembers: true}, 0)
+			fleet := newCluster(t, Layout{Relays: 3, WithoutMembership: true}, 0)
 			all := addServers(t, fleet, 3, "x0=0.1")
 			proxy := proxyDiscovery(t, fleet, 0)
 			startAll(t, fleet)
@@ -57,9 +57,9 @@
 			fleet.Relays[1].SetWeight(0)
 			fleet.Relays[2].SetWeight(0)
 			time.Sleep(400 * time.Millisecond)
-			up := tally.Up.Load()
+			up := tally.Accepted.Load()
 			await(t, waitLimit(), "the relay serves again", func() error {
-				if n := tally.Up.Load() - up; n < 20 {
+				if n := tally.Accepted.Load() - up; n < 20 {
 					return fmt.Errorf("%d connections are up", n)
 				}
 				return nil
@@ -75,7 +75,7 @@
 	for _, change := range []string{"Gone", "Terminating"} {
 		t.Run(change, func(t *testing.T) {
 			t.Parallel()
-			fleet := newCluster(t, Layout{Relays: 3, WithoutMembers: true}, 0)
+			fleet := newCluster(t, Layout{Relays: 3, WithoutMembership: true}, 0)
 			all := addServers(t, fleet, 3, "x0=0.1")
 			startAll(t, fleet)
 			startLoad(t, fleet, clientRate, clientHold)
@@ -105,14 +105,14 @@
 // server, and the others are used once discovery has answered.
 func TestNothingNewByTheListOfTheStart(t *testing.T) {
 	fleet := newCluster(t, Layout{
-		Relays:         3,
-		WithoutMembers: true,
-		Settings:       map[string]any{"balancers": 300},
+		Relays:            3,
+		WithoutMembership: true,
+		Settings:          map[string]any{"balancers": 300},
 	}, 0)
 	all := addServers(t, fleet, 3, "x0=0.1")
 	var known []json.RawMessage
 	for _, s := range all {
-		known = append(known, json.RawMessage(fake.Entry(s.ID, s.Address, "Ready")))
+		known = append(known, json.RawMessage(fake.EndpointJSON(s.ID, s.Address, "Ready")))
 	}
 	fleet.Discovery.Set("s0", all[0].Address, "Gone")
 	time.Sleep(notifiedWithin + drainMargin)
--- a/internal/testing/cluster/faults.go
+++ b/internal/testing/cluster/faults.go
@@ -62,7 +62,7 @@
 			LeaseMs:         r.faults.LeaseMs,
 			CellRate:        r.faults.CellRate,
 		}
-		fleet.Cont(i)
+		fleet.Resume(i)
 	}
 	return fleet.ApplyCuts()
 }
--- a/internal/testing/cluster/faultyserver.go
+++ b/internal/testing/cluster/faultyserver.go
@@ -25,13 +25,13 @@
 
 // Arrival is one attempt as it came to a FaultyServer.
 type Arrival struct {
-	ID, Server string
-	At, End    time.Duration // as Now has it; End is 0 while the connection is open
-	MayHaveRun bool          // it was not answered BUSY
+	ID, Server          string
+	ReceivedAt, EndedAt time.Duration // as Now has it; End is 0 while the connection is open
+	MayHaveRun          bool          // it was not answered BUSY
 	// EndedUnread says that the relay had ended the attempt before its first line was read, which had waited
 	// for the time ReadLate.
-	EndedUnread bool
-	ReadLate    time.Duration
+	EndedBeforeRead bool
+	ReadDelay       time.Duration
 	// endedBeforeNext says that the relay had ended the attempt when the request's next one was read.
 	endedBeforeNext bool
 	// EndedByServer says that the server has ended the connection.
@@ -80,7 +80,7 @@
 	defer t.mu.Unlock()
 	for conn, a := range t.open {
 		if a != nil && !a.EndedByServer {
-			a.EndedByServer, a.End = true, Now()
+			a.EndedByServer, a.EndedAt = true, Now()
 		}
 		conn.(*net.TCPConn).SetLinger(0)
 		conn.Close()
@@ -114,7 +114,7 @@
 	defer t.mu.Unlock()
 	delete(t.open, conn)
 	if a != nil && !a.EndedByServer {
-		a.End = Now()
+		a.EndedAt = Now()
 	}
 	conn.Close()
 }
@@ -125,12 +125,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := &Arrival{
-		ID:          id,
-		Server:      t.ID,
-		At:          state.receivedAt,
-		MayHaveRun:  ServerMode(t.mode.Load()) != AnswerBusy,
-		EndedUnread: state.peerEnded,
-		ReadLate:    Now() - state.receivedAt,
+		ID:              id,
+		Server:          t.ID,
+		ReceivedAt:      state.receivedAt,
+		MayHaveRun:      ServerMode(t.mode.Load()) != AnswerBusy,
+		EndedBeforeRead: state.peerEnded,
+		ReadDelay:       Now() - state.receivedAt,
 	}
 	t.arrivals = append(t.arrivals, a)
 	t.attempts.add(a, conn)
--- a/internal/testing/cluster/harness_test.go
+++ b/internal/testing/cluster/harness_test.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		if peak, at := PeakShareSum(all); peak > 1+1e-9 && !layout.Unprotected {
+		if peak, at := PeakShareSum(all); peak > 1+1e-9 && !layout.AllowShareOverrun {
 			t.Errorf("the shares added up to %v:\n%s", peak, FormatHistory(all, at, 6*time.Second))
 		}
 		if t.Failed() {
@@ -82,10 +82,10 @@
 }
 
 // startLoad runs a Load until the test ends, and returns its tally.
-func startLoad(t *testing.T, fleet *Cluster, rate float64, hold time.Duration) *LoadTally {
+func startLoad(t *testing.T, fleet *Cluster, rate float64, hold time.Duration) *LoadStats {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	tally := &LoadTally{}
+	tally := &LoadStats{}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/testing/cluster/history.go
+++ b/internal/testing/cluster/history.go
@@ -84,7 +84,8 @@
 		if since <= -millis(before) || since > 1 {
 			continue
 		}
-		fmt.Fprintf(&b, "%9.1f %s %s%s epoch %d share %.4f", since, n.Name, n.Event, n.Phase, n.Epoch, n.Share)
+		fmt.Fprintf(&b, "%9.1f %s %s%s epoch %d share %.4f",
+			since, n.Name, n.Event, n.Phase, n.Epoch, n.NearShare)
 		if n.Plan > 0 {
 			fmt.Fprintf(&b, " in %v, %.4f elsewhere, by plan %d, activated %v,",
 				n.Zones, n.FarShare, n.Plan, n.PlanActivated)
--- a/internal/testing/cluster/judge.go
+++ b/internal/testing/cluster/judge.go
@@ -29,8 +29,8 @@
 	overlapMargin = 5 * time.Millisecond
 )
 
-// Judge holds what clients and servers saw against the rules of the protocol. It is safe for concurrent use.
-type Judge struct {
+// ProtocolChecker holds what clients and servers saw against the rules of the protocol. It is safe for concurrent use.
+type ProtocolChecker struct {
 	DedupWindow time.Duration // for how long servers recognize a repeat by its idempotency key
 
 	mu            sync.Mutex
@@ -41,9 +41,9 @@
 	processDown   map[int][]*Span // by relay: the process was killed, or stopped
 }
 
-// NewJudge returns a Judge that has recorded nothing.
-func NewJudge(dedupWindow time.Duration) *Judge {
-	return &Judge{
+// NewProtocolChecker returns a Judge that has recorded nothing.
+func NewProtocolChecker(dedupWindow time.Duration) *ProtocolChecker {
+	return &ProtocolChecker{
 		DedupWindow:   dedupWindow,
 		requests:      map[string]*Request{},
 		discoveryLost: map[int][]*Span{},
@@ -52,10 +52,10 @@
 }
 
 // Violations lists what broke a rule, each after the rule's name, given all attempts that arrived at servers.
-func (j *Judge) Violations(arrivals []Arrival) (violations []string) {
+func (j *ProtocolChecker) Violations(arrivals []Arrival) (violations []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	slices.SortFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.ReceivedAt, b.ReceivedAt) })
 	byID := map[string][]Arrival{}
 	for _, a := range arrivals {
 		byID[a.ID] = append(byID[a.ID], a)
@@ -80,29 +80,29 @@
 
 // checkArrival checks one attempt by itself: its request was sent and is still wanted, and its server is in
 // use.
-func (j *Judge) checkArrival(a Arrival) (violations []string) {
+func (j *ProtocolChecker) checkArrival(a Arrival) (violations []string) {
 	r := j.requests[a.ID]
 	if r == nil {
 		return []string{fmt.Sprintf("unknown: %s came to %s, and no client sent it", a.ID, a.Server)}
 	}
 	violations = j.checkDrain(r, a)
-	if r.Closed > 0 && a.At > r.Closed+closeMargin {
+	if r.ClosedAt > 0 && a.ReceivedAt > r.ClosedAt+closeMargin {
 		violations = append(violations, fmt.Sprintf("lost: %s came to %s %.0f ms after its client closed",
-			a.ID, a.Server, millis(a.At-r.Closed)))
+			a.ID, a.Server, millis(a.ReceivedAt-r.ClosedAt)))
 	}
 	return violations
 }
 
 // checkDrain checks an attempt against all absences of its server: while the server is away, no request is
 // placed on it by a relay that counts as notified.
-func (j *Judge) checkDrain(r *Request, a Arrival) (violations []string) {
+func (j *ProtocolChecker) checkDrain(r *Request, a Arrival) (violations []string) {
 	for _, gone := range j.absences {
-		if gone.Server != a.Server || a.At < gone.From {
+		if gone.Server != a.Server || a.ReceivedAt < gone.From {
 			continue
 		}
-		since := a.At - gone.From
-		away := gone.To == 0 || a.At < gone.To
-		sound := !anyOverlaps(j.discoveryLost[r.Relay], gone.From-notifiedWithin, a.At)
+		since := a.ReceivedAt - gone.From
+		away := gone.To == 0 || a.ReceivedAt < gone.To
+		sound := !anyOverlaps(j.discoveryLost[r.Relay], gone.From-notifiedWithin, a.ReceivedAt)
 		notified := since > notifiedWithin+drainMargin || sound && since > deliveredWithin+drainMargin
 		if away && notified {
 			violations = append(violations, fmt.Sprintf("drain: %s of relay %d came to %s %.2f s after it left",
@@ -115,7 +115,7 @@
 // checkDuplicates checks the attempts of one request, in the order of their arrival: one at a time, and none
 // after one that may have run unless the request is idempotent, by a key within the servers' deduplication
 // window.
-func (j *Judge) checkDuplicates(r *Request, attempts []Arrival) (violations []string) {
+func (j *ProtocolChecker) checkDuplicates(r *Request, attempts []Arrival) (violations []string) {
 	for i := 1; i < len(attempts); i++ {
 		first, last := attempts[i-1], attempts[i]
 		if !endsBefore(first, last) {
@@ -133,9 +133,10 @@
 			r.ID, ran.Server))
 	}
 	for _, retry := range attempts[mayHaveRun+1:] {
-		if r.Idempotency == decide.NonIdempotent || retry.At-ran.At > j.DedupWindow+closeMargin {
+		if r.Idempotency == decide.NonIdempotent ||
+			retry.ReceivedAt-ran.ReceivedAt > j.DedupWindow+closeMargin {
 			violations = append(violations, fmt.Sprintf("duplicate: %s ran at %s and came to %s %.0f ms later",
-				r.ID, ran.Server, retry.Server, millis(retry.At-ran.At)))
+				r.ID, ran.Server, retry.Server, millis(retry.ReceivedAt-ran.ReceivedAt)))
 		}
 	}
 	return violations
@@ -145,21 +146,21 @@
 // can tell. One that the relay has ended before a server that is short of processor time came to read it may
 // have.
 func endsBefore(first, next Arrival) bool {
-	if first.EndedUnread && first.ReadLate > overlapMargin {
+	if first.EndedBeforeRead && first.ReadDelay > overlapMargin {
 		return true
 	}
-	return first.endedBeforeNext || first.End > 0 && first.End <= next.At+overlapMargin
+	return first.endedBeforeNext || first.EndedAt > 0 && first.EndedAt <= next.ReceivedAt+overlapMargin
 }
 
 // checkAnswer checks that a request has its answer in time. A process that was killed or stopped meanwhile
 // owes none.
-func (j *Judge) checkAnswer(r *Request) (violations []string) {
+func (j *ProtocolChecker) checkAnswer(r *Request) (violations []string) {
 	const downMargin = 100 * time.Millisecond
-	down := anyOverlaps(j.processDown[r.Relay], r.Sent-downMargin, r.Answered)
-	if r.Sent == 0 || r.Closed > 0 || down {
+	down := anyOverlaps(j.processDown[r.Relay], r.SentAt-downMargin, r.AnsweredAt)
+	if r.SentAt == 0 || r.ClosedAt > 0 || down {
 		return nil
 	}
-	took := r.Answered - r.Sent
+	took := r.AnsweredAt - r.SentAt
 	if r.Answer == "" {
 		return []string{fmt.Sprintf("lost: %s of relay %d was closed on with no answer after %.2f s",
 			r.ID, r.Relay, took.Seconds())}
--- a/internal/testing/cluster/load.go
+++ b/internal/testing/cluster/load.go
@@ -12,26 +12,26 @@
 	"time"
 )
 
-// LoadTally counts what became of a Load's connections. It may be read while the load goes on.
-type LoadTally struct {
-	Up          atomic.Int64
-	Busy        atomic.Int64
-	Other       atomic.Int64 // any other answer, or none
-	Unreachable atomic.Int64 // connections that could not be established
+// LoadStats counts what became of a Load's connections. It may be read while the load goes on.
+type LoadStats struct {
+	Accepted     atomic.Int64
+	Rejected     atomic.Int64
+	OtherAnswers atomic.Int64 // any other answer, or none
+	DialFailures atomic.Int64 // connections that could not be established
 
 	mu         sync.Mutex
 	rejectedAt []time.Duration
 }
 
-// Rejected returns how many requests were answered BUSY between two instants.
-func (t *LoadTally) Rejected(from, to time.Duration) int {
+// RejectedBetween returns how many requests were answered BUSY between two instants.
+func (t *LoadStats) RejectedBetween(from, to time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(between(t.rejectedAt, from, to))
 }
 
-func (t *LoadTally) recordRejection() {
-	t.Busy.Add(1)
+func (t *LoadStats) recordRejection() {
+	t.Rejected.Add(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rejectedAt = append(t.rejectedAt, Now())
@@ -41,7 +41,7 @@
 // that is accepted stays open for the time hold. It returns once all are closed. It connects to loopback
 // only, where all relays are.
 func (fleet *Cluster) Load(
-	ctx context.Context, seed uint64, rate float64, hold time.Duration, tally *LoadTally,
+	ctx context.Context, seed uint64, rate float64, hold time.Duration, tally *LoadStats,
 ) {
 	rng := rand.New(rand.NewPCG(seed, 0x6c6f6164))
 	var requests sync.WaitGroup
@@ -87,11 +87,11 @@
 
 // sendRequest sends one request, and keeps its connection open for the time hold if it is accepted.
 func sendRequest(
-	ctx context.Context, address string, n int, key uint64, hold time.Duration, tally *LoadTally,
+	ctx context.Context, address string, n int, key uint64, hold time.Duration, tally *LoadStats,
 ) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
-		tally.Unreachable.Add(1)
+		tally.DialFailures.Add(1)
 		return
 	}
 	defer conn.Close()
@@ -101,7 +101,7 @@
 	line, _ := bufio.NewReader(conn).ReadString('\n')
 	switch word, _, _ := strings.Cut(strings.TrimSpace(line), " "); word {
 	case "UP":
-		tally.Up.Add(1)
+		tally.Accepted.Add(1)
 		select {
 		case <-ctx.Done():
 		case <-time.After(hold):
@@ -109,6 +109,6 @@
 	case "BUSY":
 		tally.recordRejection()
 	default:
-		tally.Other.Add(1)
+		tally.OtherAnswers.Add(1)
 	}
 }
--- a/internal/testing/cluster/loadreports_test.go
+++ b/internal/testing/cluster/loadreports_test.go
@@ -22,7 +22,7 @@
 	t       *testing.T
 	cluster *Cluster
 	servers []*RecordingServer
-	tally   LoadTally
+	tally   LoadStats
 
 	idleSince     []time.Duration // by server: since when it has no connection, 0 while it has
 	idleViolation string          // a server that was idle too long while requests were rejected, "" for none
@@ -36,7 +36,7 @@
 func newSharedLoad(t *testing.T, layout Layout, change func(*faultpoint.Rules)) *sharedLoad {
 	t.Helper()
 	layout.Relays = 2 * relayCount
-	layout.Founders = relayCount
+	layout.BootstrapSize = relayCount
 	layout.Settings = map[string]any{"specifics": map[string]any{
 		"groups":                 false,
 		"messageAimMs":           []int{50},
@@ -65,7 +65,7 @@
 		}
 	}
 	await(t, waitLimit()+10*time.Second, "at first", m.cluster.checkSettled)
-	if !layout.OwnProbes {
+	if !layout.SeparateProbes {
 		for i := range relayCount {
 			await(t, waitLimit(), "load reports are shared", func() error {
 				return m.checkShown(i, "for 9 relays", "nobody that counts")
@@ -121,7 +121,7 @@
 	if now <= m.idleSince[i]+idleLimit {
 		return
 	}
-	if rejected := m.tally.Rejected(m.idleSince[i], now); rejected > 0 {
+	if rejected := m.tally.RejectedBetween(m.idleSince[i], now); rejected > 0 {
 		m.idleViolation = fmt.Sprintf("%s was idle for %v while %d requests were rejected",
 			s.ID, idleLimit, rejected)
 	}
@@ -172,7 +172,7 @@
 	},
 	"all restarted": func(m *sharedLoad) { m.killAndStart(relayCount) },
 	"a fifth lost, late packets": func(m *sharedLoad) {
-		m.cluster.Play([]Step{{Do: "loss", Value: 0.2}, {Do: "late", Value: 0.1}})
+		m.cluster.RunSchedule([]Step{{Action: "loss", Value: 0.2}, {Action: "late", Value: 0.1}})
 		m.watchFor(5 * time.Second)
 	},
 	"six in twelve replaced": (*sharedLoad).replaceServers,
@@ -224,7 +224,7 @@
 		r.SetWeight(0)
 	}
 	for i := relayCount; i < 2*relayCount; i++ {
-		m.cluster.Term(i)
+		m.cluster.Terminate(i)
 	}
 }
 
@@ -245,7 +245,7 @@
 	}
 	m.watchFor(1500 * time.Millisecond)
 	for _, s := range m.servers[:6] {
-		m.cluster.Discovery.SetStarted(s.ID, s.Address, "Ready", time.Now())
+		m.cluster.Discovery.SetWithStartTime(s.ID, s.Address, "Ready", time.Now())
 	}
 	m.watchFor(9 * time.Second)
 }
@@ -259,7 +259,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			m := newSharedLoad(t, Layout{}, nil)
-			rejected := m.tally.Busy.Load()
+			rejected := m.tally.Rejected.Load()
 			disturb(m)
 			if strings.HasPrefix(name, "a liar") {
 				await(t, waitLimit(), "the liar is left out", func() error {
@@ -268,7 +268,7 @@
 			} else if err := m.cluster.Heal(); err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("rejected %d in the fault", m.tally.Busy.Load()-rejected)
+			t.Logf("rejected %d in the fault", m.tally.Rejected.Load()-rejected)
 			await(t, waitLimit()+5*time.Second, "after the heal", m.cluster.checkSettled)
 			m.watchFor(2 * time.Second)
 			// Some 100 connections come to each server in 10 s: by chance alone one of twelve gets 1.2 of the
@@ -282,12 +282,12 @@
 	}
 	t.Run("each for itself", func(t *testing.T) {
 		t.Parallel()
-		m := newSharedLoad(t, Layout{OwnProbes: true}, nil)
+		m := newSharedLoad(t, Layout{SeparateProbes: true}, nil)
 		from := Now()
 		m.watchFor(8 * time.Second)
 		unfairness, probeRate := m.measure(from, Now())
 		t.Logf("%.2f of its fair part to one server, %.2f probes a second at one; rejected %d of %d",
-			unfairness, probeRate, m.tally.Busy.Load(), m.tally.Up.Load())
+			unfairness, probeRate, m.tally.Rejected.Load(), m.tally.Accepted.Load())
 		if probeRate < 4 {
 			t.Errorf("each for itself: %.2f probes a second at one server, this test would find nothing", probeRate)
 		}
@@ -298,11 +298,11 @@
 // been idle.
 func (m *sharedLoad) checkShares(length time.Duration, maxUnfairness, maxProbeRate float64) {
 	m.t.Helper()
-	from, rejected := Now(), m.tally.Busy.Load()
+	from, rejected := Now(), m.tally.Rejected.Load()
 	m.watchFor(length)
 	unfairness, probeRate := m.measure(from, Now())
 	m.t.Logf("afterwards: %.2f of its fair part to one server, %.2f probes a second at one; rejected %d in %v",
-		unfairness, probeRate, m.tally.Busy.Load()-rejected, length)
+		unfairness, probeRate, m.tally.Rejected.Load()-rejected, length)
 	if unfairness > maxUnfairness {
 		m.t.Errorf("one server got %.2f of its fair part", unfairness)
 	}
--- a/internal/testing/cluster/membership_test.go
+++ b/internal/testing/cluster/membership_test.go
@@ -29,9 +29,9 @@
 	},
 	"stopped, then woken": func(t *testing.T, fleet *Cluster) {
 		t.Helper()
-		fleet.Stop(3)
+		fleet.Suspend(3)
 		await(t, waitLimit(), "out", func() error { return fleet.checkRemoved(3) })
-		fleet.Cont(3)
+		fleet.Resume(3)
 	},
 	"killed and back at once": killAndStart,
 	"killed for good": func(t *testing.T, fleet *Cluster) {
@@ -100,7 +100,7 @@
 func skewClocks(t *testing.T, fleet *Cluster) {
 	t.Helper()
 	for i := range fleet.Relays {
-		fleet.Play([]Step{{Do: "rate", Who: i, Value: []float64{0.95, 1.05, 1}[i%3]}})
+		fleet.RunSchedule([]Step{{Action: "rate", Relay: i, Value: []float64{0.95, 1.05, 1}[i%3]}})
 	}
 	fleet.ChangeFaults(6, func(r *faultpoint.Rules) { r.WallClockStepMs = millis(time.Hour) })
 	fleet.Kill(6)
@@ -138,7 +138,7 @@
 // playOne plays one action, at once.
 func playOne(t *testing.T, fleet *Cluster, action string, value float64) {
 	t.Helper()
-	if err := fleet.Play([]Step{{Do: action, Value: value}}); err != nil {
+	if err := fleet.RunSchedule([]Step{{Action: action, Value: value}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -218,7 +218,7 @@
 
 // A fleet starts in lots, doubles, is restarted two relays at a time, and halves; it agrees after each.
 func TestFleetGrowsAndShrinks(t *testing.T) {
-	fleet := newCluster(t, Layout{Relays: 8, Founders: 4}, 4)
+	fleet := newCluster(t, Layout{Relays: 8, BootstrapSize: 4}, 4)
 	await(t, waitLimit(), "four", fleet.checkSettled)
 	for i := 4; i < 8; i++ {
 		fleet.Start(i)
@@ -232,7 +232,7 @@
 			if pair%2 == 0 {
 				fleet.Kill(2*pair + i)
 			} else {
-				fleet.Term(2*pair + i)
+				fleet.Terminate(2*pair + i)
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -242,14 +242,14 @@
 		await(t, waitLimit(), "after two", fleet.checkAgreed)
 	}
 	for i := 7; i > 3; i-- {
-		fleet.Term(i)
+		fleet.Terminate(i)
 	}
 	await(t, waitLimit()+10*time.Second, "four again", fleet.checkSettled)
 	latest, err := fleet.Latest()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := latest["r0"].Share; s < 0.249 || s > 0.251 {
+	if s := latest["r0"].NearShare; s < 0.249 || s > 0.251 {
 		t.Errorf("a share of four is %v", s)
 	}
 }
--- a/internal/testing/cluster/observations.go
+++ b/internal/testing/cluster/observations.go
@@ -12,10 +12,10 @@
 	ID          string
 	Relay       int
 	Idempotency decide.Idempotency
-	Sent        time.Duration // when its last byte was written; 0 if it never was
+	SentAt      time.Duration // when its last byte was written; 0 if it never was
 	Answer      string        // the first word of its answer, "" for none
-	Answered    time.Duration // when that came, or the connection ended without
-	Closed      time.Duration // when the client closed, 0 if the other side did
+	AnsweredAt  time.Duration // when that came, or the connection ended without
+	ClosedAt    time.Duration // when the client closed, 0 if the other side did
 }
 
 // Absence is a time in which a server was draining or gone by what discovery had.
@@ -39,14 +39,14 @@
 }
 
 // RecordRequest records a request that has ended.
-func (j *Judge) RecordRequest(r Request) {
+func (j *ProtocolChecker) RecordRequest(r Request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.requests[r.ID] = &r
 }
 
-// RecordAbsence records that a server is draining or gone from now on, and back that it is ready again.
-func (j *Judge) RecordAbsence(server string) (back func()) {
+// BeginAbsence records that a server is draining or gone from now on, and back that it is ready again.
+func (j *ProtocolChecker) BeginAbsence(server string) (back func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	a := &Absence{Server: server, From: Now()}
@@ -58,13 +58,17 @@
 	}
 }
 
-// DiscoveryLost records that a relay may not be notified by discovery from now on, and end that it may again.
-func (j *Judge) DiscoveryLost(relay int) (end func()) { return j.beginSpan(j.discoveryLost, relay) }
+// BeginDiscoveryLoss records that a relay may not be notified by discovery from now on, and end that it may again.
+func (j *ProtocolChecker) BeginDiscoveryLoss(relay int) (end func()) {
+	return j.beginSpan(j.discoveryLost, relay)
+}
 
-// ProcessDown records that a relay's process is killed or stopped from now on, and end that this is over.
-func (j *Judge) ProcessDown(relay int) (end func()) { return j.beginSpan(j.processDown, relay) }
+// BeginProcessDown records that a relay's process is killed or stopped from now on, and end that this is over.
+func (j *ProtocolChecker) BeginProcessDown(relay int) (end func()) {
+	return j.beginSpan(j.processDown, relay)
+}
 
-func (j *Judge) beginSpan(spans map[int][]*Span, relay int) (end func()) {
+func (j *ProtocolChecker) beginSpan(spans map[int][]*Span, relay int) (end func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := &Span{From: Now()}
--- a/internal/testing/cluster/operator_test.go
+++ b/internal/testing/cluster/operator_test.go
@@ -204,7 +204,7 @@
 
 // Without the flag a relay knows nobody: it listens on nothing more, and says nothing of members.
 func TestMembersOffCostsNothing(t *testing.T) {
-	fleet := newCluster(t, Layout{Relays: 1, WithoutMembers: true, Admin: true}, 1)
+	fleet := newCluster(t, Layout{Relays: 1, WithoutMembership: true, Admin: true}, 1)
 	r := fleet.Relays[0]
 	var text string
 	await(t, waitLimit(), "figures", func() (err error) {
--- a/internal/testing/cluster/process.go
+++ b/internal/testing/cluster/process.go
@@ -96,7 +96,7 @@
 	if fleet.IgnoreHangup {
 		cmd = exec.Command("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"", fleet.Program)
 	}
-	if !fleet.WithoutMembers {
+	if !fleet.WithoutMembership {
 		cmd.Args = append(cmd.Args, "--members", r.path("members.toml"))
 	}
 	if fleet.Timeline {
@@ -131,13 +131,13 @@
 	fleet.recordEvent(i, "kill")
 }
 
-// Term has a relay's process, if it runs, shut down gracefully, and waits for its end.
-func (fleet *Cluster) Term(i int) {
+// Terminate has a relay's process, if it runs, shut down gracefully, and waits for its end.
+func (fleet *Cluster) Terminate(i int) {
 	r := fleet.Relays[i]
 	if !r.running {
 		return
 	}
-	fleet.Cont(i)
+	fleet.Resume(i)
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	<-r.ended
 	r.running = false
@@ -151,9 +151,9 @@
 	}
 }
 
-// AwaitEnd waits for the end of a relay's process, and kills it if it has not come by then. It reports whether
+// AwaitExit waits for the end of a relay's process, and kills it if it has not come by then. It reports whether
 // the process ended by itself.
-func (fleet *Cluster) AwaitEnd(i int, within time.Duration) bool {
+func (fleet *Cluster) AwaitExit(i int, within time.Duration) bool {
 	r := fleet.Relays[i]
 	if !r.running {
 		return true
@@ -170,8 +170,8 @@
 	}
 }
 
-// AwaitProgram waits until a relay's process is the program, and not the shell before it.
-func (fleet *Cluster) AwaitProgram(i int) {
+// AwaitExec waits until a relay's process is the program, and not the shell before it.
+func (fleet *Cluster) AwaitExec(i int) {
 	r := fleet.Relays[i]
 	link := fmt.Sprintf("/proc/%d/exe", r.cmd.Process.Pid)
 	for {
@@ -183,8 +183,8 @@
 	}
 }
 
-// Stop suspends a relay's process, if it runs.
-func (fleet *Cluster) Stop(i int) {
+// Suspend suspends a relay's process, if it runs.
+func (fleet *Cluster) Suspend(i int) {
 	if r := fleet.Relays[i]; r.running && !r.stopped {
 		r.cmd.Process.Signal(syscall.SIGSTOP)
 		r.stopped = true
@@ -192,8 +192,8 @@
 	}
 }
 
-// Cont resumes a process that Stop has suspended.
-func (fleet *Cluster) Cont(i int) {
+// Resume resumes a process that Stop has suspended.
+func (fleet *Cluster) Resume(i int) {
 	if r := fleet.Relays[i]; r.running && r.stopped {
 		fleet.recordEvent(i, "cont")
 		r.cmd.Process.Signal(syscall.SIGCONT)
--- a/internal/testing/cluster/push_test.go
+++ b/internal/testing/cluster/push_test.go
@@ -61,9 +61,9 @@
 
 // pushLayout is one relay to which an agent of its own pushes endpoint lists.
 var pushLayout = Layout{
-	Relays:         1,
-	WithoutMembers: true,
-	Settings:       map[string]any{"discovery": "push"},
+	Relays:            1,
+	WithoutMembership: true,
+	Settings:          map[string]any{"discovery": "push"},
 }
 
 // A watch that is reset, and opened again at once, costs no request.
@@ -74,18 +74,18 @@
 	startAll(t, fleet)
 	tally := startLoad(t, fleet, clientRate, clientHold)
 	await(t, waitLimit(), "it serves", func() error {
-		if n := tally.Up.Load(); n < 50 {
+		if n := tally.Accepted.Load(); n < 50 {
 			return fmt.Errorf("%d connections have come up", n)
 		}
 		return nil
 	})
-	busy := tally.Busy.Load()
+	busy := tally.Rejected.Load()
 	for range 3 {
 		agent.SetMode(Broken)
 		agent.SetMode(Pass)
 		time.Sleep(time.Second)
 	}
-	if n := tally.Busy.Load() - busy; n > 0 {
+	if n := tally.Rejected.Load() - busy; n > 0 {
 		t.Errorf("%d requests were rejected", n)
 	}
 }
--- a/internal/testing/cluster/recordingserver.go
+++ b/internal/testing/cluster/recordingserver.go
@@ -43,7 +43,7 @@
 // ReportPerConnection makes the load report grow with the open connections, each of which adds a part of the
 // server's capacity, and has probes recorded.
 func (s *RecordingServer) ReportPerConnection(load float64) {
-	s.ReportFrom(func() string {
+	s.SetReportFunc(func() string {
 		reported := load * float64(s.OpenConnections())
 		s.mu.Lock()
 		s.probedAt = append(s.probedAt, Now())
--- a/internal/testing/cluster/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -14,37 +14,40 @@
 // Step is one step of a schedule. It is kept in files as JSON.
 type Step struct {
 	AfterMs float64 `json:"after_ms"`        // since the step before
-	Do      string  `json:"do"`              // the name of one of the actions
-	Who     int     `json:"who,omitempty"`   // the relay's number
-	To      int     `json:"to,omitempty"`    // with cut: the other relay's number
+	Action  string  `json:"do"`              // the name of one of the actions
+	Relay   int     `json:"who,omitempty"`   // the relay's number
+	Target  int     `json:"to,omitempty"`    // with cut: the other relay's number
 	Parts   []int   `json:"parts,omitempty"` // with split: each relay's part
 	Value   float64 `json:"value,omitempty"` // the action's part, time in ms or rate
 }
 
 // actions are what a step can do, by name.
 var actions = map[string]func(fleet *Cluster, s Step) error{
-	"start": func(fleet *Cluster, s Step) error { return fleet.Start(s.Who) },
-	"kill":  func(fleet *Cluster, s Step) error { fleet.Kill(s.Who); return nil },
-	"term":  func(fleet *Cluster, s Step) error { fleet.Term(s.Who); return nil },
-	"stop":  func(fleet *Cluster, s Step) error { fleet.Stop(s.Who); return nil },
-	"cont":  func(fleet *Cluster, s Step) error { fleet.Cont(s.Who); return nil },
+	"start": func(fleet *Cluster, s Step) error { return fleet.Start(s.Relay) },
+	"kill":  func(fleet *Cluster, s Step) error { fleet.Kill(s.Relay); return nil },
+	"term":  func(fleet *Cluster, s Step) error { fleet.Terminate(s.Relay); return nil },
+	"stop":  func(fleet *Cluster, s Step) error { fleet.Suspend(s.Relay); return nil },
+	"cont":  func(fleet *Cluster, s Step) error { fleet.Resume(s.Relay); return nil },
 	"split": func(fleet *Cluster, s Step) error { fleet.Split(s.Parts); return fleet.ApplyCuts() },
-	"cut":   func(fleet *Cluster, s Step) error { fleet.Cut(s.Who, s.To, true); return fleet.ApplyCuts() },
-	"join":  func(fleet *Cluster, _ Step) error { clear(fleet.cuts); return fleet.ApplyCuts() },
+	"cut": func(fleet *Cluster, s Step) error {
+		fleet.Cut(s.Relay, s.Target, true)
+		return fleet.ApplyCuts()
+	},
+	"join": func(fleet *Cluster, _ Step) error { clear(fleet.cuts); return fleet.ApplyCuts() },
 	"loss": func(fleet *Cluster, s Step) error {
-		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Loss = s.Value })
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.LossFraction = s.Value })
 	},
 	"twice": func(fleet *Cluster, s Step) error {
-		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Duplicates = s.Value })
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.DuplicateFraction = s.Value })
 	},
 	"delay": func(fleet *Cluster, s Step) error {
 		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.DelayMs = s.Value })
 	},
 	"late": func(fleet *Cluster, s Step) error {
-		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.Late, r.LateMs = s.Value, 3000 })
+		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.LateFraction, r.LateMs = s.Value, 3000 })
 	},
 	"rate": func(fleet *Cluster, s Step) error {
-		return fleet.ChangeFaults(s.Who, func(r *faultpoint.Rules) { r.ClockRate = s.Value })
+		return fleet.ChangeFaults(s.Relay, func(r *faultpoint.Rules) { r.ClockRate = s.Value })
 	},
 	"heal": func(fleet *Cluster, _ Step) error { return fleet.Heal() },
 }
@@ -59,11 +62,11 @@
 	return nil
 }
 
-// Play carries a schedule out. It fails at the first step that cannot be done.
-func (fleet *Cluster) Play(schedule []Step) error {
+// RunSchedule carries a schedule out. It fails at the first step that cannot be done.
+func (fleet *Cluster) RunSchedule(schedule []Step) error {
 	for _, s := range schedule {
 		time.Sleep(fromMillis(s.AfterMs))
-		act, ok := actions[s.Do]
+		act, ok := actions[s.Action]
 		if !ok || !s.fits(len(fleet.Relays)) {
 			return fmt.Errorf("schedule: step is impossible with %d relays: %+v", len(fleet.Relays), s)
 		}
@@ -77,44 +80,44 @@
 // fits reports whether a step speaks of relays that a cluster of n has.
 func (s Step) fits(n int) bool {
 	has := func(relay int) bool { return relay >= 0 && relay < n }
-	return has(s.Who) && has(s.To) && (s.Do != "split" || len(s.Parts) == n)
+	return has(s.Relay) && has(s.Target) && (s.Action != "split" || len(s.Parts) == n)
 }
 
 // DrawSchedule draws a schedule of faults for n relays that run: the same for the same arguments.
 func DrawSchedule(seed uint64, n, steps int) (all []Step) {
 	rng := rand.New(rand.NewPCG(seed, 0x67726f756e64))
 	for i := range n { // the clocks first: they differ all the while
-		all = append(all, Step{Do: "rate", Who: i, Value: 1 + 0.05*(2*rng.Float64()-1)})
+		all = append(all, Step{Action: "rate", Relay: i, Value: 1 + 0.05*(2*rng.Float64()-1)})
 	}
 	for range steps {
-		s := Step{AfterMs: 200 + 2500*rng.Float64(), Who: rng.IntN(n), To: rng.IntN(n)}
+		s := Step{AfterMs: 200 + 2500*rng.Float64(), Relay: rng.IntN(n), Target: rng.IntN(n)}
 		switch rng.IntN(11) {
 		case 0, 1:
 			parts := 2 + rng.IntN(2)
 			for range n {
 				s.Parts = append(s.Parts, rng.IntN(parts))
 			}
-			s.Do = "split"
+			s.Action = "split"
 		case 2:
-			s.Do = "cut"
+			s.Action = "cut"
 		case 3:
-			s.Do = "join"
+			s.Action = "join"
 		case 4:
-			s.Do, s.Value = []string{"loss", "twice", "late"}[rng.IntN(3)], 0.2*rng.Float64()
+			s.Action, s.Value = []string{"loss", "twice", "late"}[rng.IntN(3)], 0.2*rng.Float64()
 		case 5:
-			s.Do, s.Value = "delay", 100*rng.Float64()
+			s.Action, s.Value = "delay", 100*rng.Float64()
 		case 6:
-			s.Do = "kill"
+			s.Action = "kill"
 		case 7:
-			s.Do = "stop"
+			s.Action = "stop"
 		case 8:
-			s.Do = "term"
+			s.Action = "term"
 		default:
-			s.Do = []string{"start", "cont"}[rng.IntN(2)]
+			s.Action = []string{"start", "cont"}[rng.IntN(2)]
 		}
 		all = append(all, s)
-		if s.Do == "kill" && rng.IntN(2) == 0 { // and back at once
-			all = append(all, Step{AfterMs: 800 * rng.Float64(), Do: "start", Who: s.Who})
+		if s.Action == "kill" && rng.IntN(2) == 0 { // and back at once
+			all = append(all, Step{AfterMs: 800 * rng.Float64(), Action: "start", Relay: s.Relay})
 		}
 	}
 	return all
@@ -135,7 +138,7 @@
 	if err == nil {
 		err = json.Unmarshal(text, &all)
 	}
-	if err == nil && slices.ContainsFunc(all, func(s Step) bool { return actions[s.Do] == nil }) {
+	if err == nil && slices.ContainsFunc(all, func(s Step) bool { return actions[s.Action] == nil }) {
 		err = fmt.Errorf("schedule %s: a step has no known action", path)
 	}
 	return all, err
--- a/internal/testing/cluster/schedule_test.go
+++ b/internal/testing/cluster/schedule_test.go
@@ -51,7 +51,7 @@
 		t.Logf("to play it again: CAPERSAIL_REPLAY=%s go test ./internal/testing/cluster -run TestDrawnSchedules",
 			file)
 	}()
-	if err := fleet.Play(schedule); err != nil {
+	if err := fleet.RunSchedule(schedule); err != nil {
 		t.Fatal(err)
 	}
 	startAll(t, fleet)
--- a/internal/testing/cluster/shares.go
+++ b/internal/testing/cluster/shares.go
@@ -24,7 +24,7 @@
 		for _, zone := range zones {
 			sum := 0.0
 			for _, line := range latest {
-				sum += line.Taken(zone, n.AtMillis)
+				sum += line.BudgetShareIn(zone, n.AtMillis)
 			}
 			if sum > peak {
 				peak = sum
@@ -57,13 +57,13 @@
 			continue
 		}
 		if n.AtMillis <= millis(from) {
-			lowest, until = n.Share, n.UntilMillis
+			lowest, until = n.NearShare, n.UntilMillis
 			continue
 		}
 		if until > 0 && until < n.AtMillis {
 			return 0
 		}
-		lowest, until = min(lowest, n.Share), n.UntilMillis
+		lowest, until = min(lowest, n.NearShare), n.UntilMillis
 	}
 	if until > 0 && until < millis(to) {
 		return 0
--- a/internal/testing/cluster/shares_test.go
+++ b/internal/testing/cluster/shares_test.go
@@ -10,7 +10,7 @@
 // A sum over 1 is found, and none where a share has expired or its process has ended.
 func TestPeakShareSum(t *testing.T) {
 	line := func(at float64, name string, share, until float64) faultpoint.HistoryLine {
-		return faultpoint.HistoryLine{AtMillis: at, Name: name, Share: share, UntilMillis: until}
+		return faultpoint.HistoryLine{AtMillis: at, Name: name, NearShare: share, UntilMillis: until}
 	}
 	for want, all := range map[float64][]faultpoint.HistoryLine{
 		1.5: {line(0, "a", 0.5, 0), line(1, "b", 1, 9)},
@@ -26,13 +26,15 @@
 // Shares add up zone by zone: far ones count elsewhere, near ones in their zones, a flat relay's everywhere.
 func TestPeakShareSumOfZones(t *testing.T) {
 	line := func(at float64, name string, near, far float64, zones ...string) faultpoint.HistoryLine {
-		return faultpoint.HistoryLine{AtMillis: at, Name: name, Share: near, FarShare: far, Zones: zones, Plan: 1}
+		return faultpoint.HistoryLine{
+			AtMillis: at, Name: name, NearShare: near, FarShare: far, Zones: zones, Plan: 1,
+		}
 	}
 	for want, all := range map[float64][]faultpoint.HistoryLine{
 		1:    {line(0, "a", 0.75, 0.25, "x"), line(1, "b", 0.75, 0.25, "y")},
 		1.5:  {line(0, "a", 0.75, 0.25, "x"), line(1, "b", 0.75, 0.25, "x", "y")},
 		0.5:  {line(0, "a", 0.5, 0.5), line(1, "a", 0.25, 0.25)},
-		1.75: {line(0, "a", 0.75, 0.25, "x"), {AtMillis: 1, Name: "b", Share: 1}},
+		1.75: {line(0, "a", 0.75, 0.25, "x"), {AtMillis: 1, Name: "b", NearShare: 1}},
 	} {
 		if got, _ := PeakShareSum(all); got != want {
 			t.Errorf("%v, want %v", got, want)
@@ -47,7 +49,7 @@
 		return faultpoint.HistoryLine{
 			AtMillis:    at,
 			Name:        "a",
-			Share:       share,
+			NearShare:   share,
 			UntilMillis: until,
 			Zones:       []string{"x"},
 			Plan:        1,
--- a/internal/testing/cluster/slowstart_test.go
+++ b/internal/testing/cluster/slowstart_test.go
@@ -21,9 +21,9 @@
 func slowStartUse(t *testing.T, members bool, disturb func(fleet *Cluster)) float64 {
 	t.Helper()
 	fleet := newCluster(t, Layout{
-		Relays:         7,
-		Founders:       1,
-		WithoutMembers: !members,
+		Relays:            7,
+		BootstrapSize:     1,
+		WithoutMembership: !members,
 		Settings: map[string]any{
 			"balancers": 1,
 			"specifics": map[string]any{
@@ -49,13 +49,14 @@
 	}()
 	time.Sleep(700 * time.Millisecond) // in the middle of it
 	startedAt := Now()
-	fleet.Discovery.SetStarted(fresh.ID, fresh.Address, "Ready", time.Now())
+	fleet.Discovery.SetWithStartTime(fresh.ID, fresh.Address, "Ready", time.Now())
 	time.Sleep(slowStartBudget.Window)
 	came := fresh.ConnectedAt(startedAt, startedAt+slowStartBudget.Window)
 	<-playing
-	use := slowStartBudget.PeakUse(came, startedAt)
+	use := slowStartBudget.PeakUsage(came, startedAt)
 	t.Logf("%d connections in slow start, %.2f of the budget; up %d, busy %d, other %d, unreachable %d",
-		len(came), use, tally.Up.Load(), tally.Busy.Load(), tally.Other.Load(), tally.Unreachable.Load())
+		len(came), use, tally.Accepted.Load(), tally.Rejected.Load(), tally.OtherAnswers.Load(),
+		tally.DialFailures.Load())
 	return use
 }
 
@@ -75,7 +76,7 @@
 				if i%2 == 0 {
 					fleet.Kill(i)
 				} else {
-					fleet.Term(i)
+					fleet.Terminate(i)
 				}
 				fleet.Start(i)
 				time.Sleep(800 * time.Millisecond)
@@ -101,7 +102,7 @@
 // With the joint view taken out, the same faults make the shares of processes add up to over one: a relay
 // that is cut off takes its share still when the others have divided it.
 func TestSharesNeedTheJointViewOverProcesses(t *testing.T) {
-	fleet := newCluster(t, Layout{Relays: 5, Unprotected: true}, 0)
+	fleet := newCluster(t, Layout{Relays: 5, AllowShareOverrun: true}, 0)
 	for i := range fleet.Relays {
 		fleet.ChangeFaults(i, func(r *faultpoint.Rules) { r.NoJointViews = true })
 		fleet.Start(i)
--- a/internal/testing/cluster/soak_clients_test.go
+++ b/internal/testing/cluster/soak_clients_test.go
@@ -41,7 +41,7 @@
 	if !writeInPieces(conn, line, rng) {
 		return
 	}
-	r.Sent = Now()
+	r.SentAt = Now()
 	waitLimit := requestDeadline + 2*time.Second
 	leaves := rng.IntN(8) == 0
 	if leaves {
@@ -50,10 +50,10 @@
 	conn.SetReadDeadline(time.Now().Add(waitLimit))
 	in := bufio.NewReader(conn)
 	answer, err := in.ReadString('\n')
-	r.Answered = Now()
+	r.AnsweredAt = Now()
 	r.Answer, _, _ = strings.Cut(strings.TrimSpace(answer), " ")
 	if leaves && err != nil {
-		r.Closed = Now()
+		r.ClosedAt = Now()
 		return
 	}
 	switch {
@@ -75,7 +75,7 @@
 func useStream(
 	ctx context.Context, conn net.Conn, in *bufio.Reader, stream *Stream, length time.Duration, rng *rand.Rand,
 ) {
-	defer func() { stream.Ended = Now() }()
+	defer func() { stream.EndedAt = Now() }()
 	leaveAt := time.Now().Add(length)
 	for n := 0; ctx.Err() == nil && time.Now().Before(leaveAt); n++ {
 		line := fmt.Sprintf("M %d %s\r\n", n, stream.ID)
@@ -85,13 +85,13 @@
 		got, err := in.ReadString('\n')
 		switch took := Now() - sentAt; {
 		case strings.TrimSpace(got) == "MOVE":
-			stream.Ending = Moved
+			stream.Ending = Migrated
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			stream.LateEcho = took
 			return
 		case err != nil:
-			stream.Ending = CutOff
+			stream.Ending = ClosedWithoutMove
 			return
 		case took > echoWithin:
 			stream.LateEcho = max(stream.LateEcho, took)
--- a/internal/testing/cluster/soak_faults_test.go
+++ b/internal/testing/cluster/soak_faults_test.go
@@ -46,7 +46,7 @@
 	if s.pushedLists && (mode == Down || mode == Broken || mode == Hung) {
 		return func() {}
 	}
-	return s.judge.DiscoveryLost(relay)
+	return s.judge.BeginDiscoveryLoss(relay)
 }
 
 // disturbDiscovery disturbs a relay's connections to discovery for a time. Its next poll may be late by what
@@ -69,7 +69,7 @@
 	s.countFault(lifecycle)
 	server := s.servers[i]
 	s.Discovery.Set(server.ID, server.Address, lifecycle)
-	back := s.judge.RecordAbsence(server.ID)
+	back := s.judge.BeginAbsence(server.ID)
 	if lifecycle == "Gone" {
 		server.Reset()
 	}
@@ -113,7 +113,7 @@
 func (s *soak) killRelay(i int) {
 	s.serving[i].Store(false)
 	s.countFault("kill")
-	dead := s.judge.ProcessDown(i)
+	dead := s.judge.BeginProcessDown(i)
 	s.clusterMu.Lock()
 	s.Kill(i)
 	s.clusterMu.Unlock()
@@ -131,7 +131,7 @@
 	}
 	toldAt := time.Now()
 	time.AfterFunc(drawTime(rng, 200*time.Millisecond, 400*time.Millisecond), func() { s.serving[i].Store(false) })
-	if !s.AwaitEnd(i, time.Until(toldAt.Add(requestDeadline+earliestKill))) {
+	if !s.AwaitExit(i, time.Until(toldAt.Add(requestDeadline+earliestKill))) {
 		t.Errorf("relay %d was still running at SIGKILL", i)
 	}
 	s.serving[i].Store(false)
@@ -150,14 +150,14 @@
 		t.Error(err)
 		return
 	}
-	s.AwaitProgram(i)
+	s.AwaitExec(i)
 	time.Sleep(drawTime(rng, 0, 8*time.Millisecond))
 	for range 1 + rng.IntN(3) {
 		s.Signal(i, syscall.SIGHUP)
 	}
 	if rng.IntN(2) == 0 {
 		s.Signal(i, syscall.SIGTERM)
-		if !s.AwaitEnd(i, requestDeadline+earliestKill) {
+		if !s.AwaitExit(i, requestDeadline+earliestKill) {
 			t.Errorf("relay %d did not end by SIGTERM during its start", i)
 		}
 	}
@@ -194,9 +194,9 @@
 	}
 	defer s.processFault[i].Store(false)
 	s.countFault("held up")
-	s.Stop(i)
+	s.Suspend(i)
 	time.Sleep(length)
-	s.Cont(i)
+	s.Resume(i)
 }
 
 // playFaults plays faults, soakFaults at a time, until the context ends.
--- a/internal/testing/cluster/soak_test.go
+++ b/internal/testing/cluster/soak_test.go
@@ -50,7 +50,7 @@
 	clusterMu sync.Mutex // Cluster is not safe for concurrent use
 
 	pushedLists bool // lists come from an agent of each relay's own
-	judge       *Judge
+	judge       *ProtocolChecker
 	proxies     []*Proxy // by relay: before discovery
 	servers     []*FaultyServer
 
@@ -69,15 +69,15 @@
 		settings["discovery"] = "push"
 	}
 	fleet := newCluster(t, Layout{
-		Relays:         soakRelays,
-		WithoutMembers: seed%soakMembersEvery != 0,
-		IgnoreHangup:   true,
-		Settings:       settings,
+		Relays:            soakRelays,
+		WithoutMembership: seed%soakMembersEvery != 0,
+		IgnoreHangup:      true,
+		Settings:          settings,
 	}, 0)
 	s := &soak{
 		Cluster:      fleet,
 		pushedLists:  pushed,
-		judge:        NewJudge(soakDedupWindow),
+		judge:        NewProtocolChecker(soakDedupWindow),
 		serving:      make([]atomic.Bool, soakRelays),
 		processFault: make([]atomic.Bool, soakRelays),
 		removed:      make([]atomic.Bool, soakServers),
@@ -106,7 +106,7 @@
 // readyServers returns the endpoint list's entries while all servers are ready.
 func readyServers(servers []*FaultyServer) (all []json.RawMessage) {
 	for _, server := range servers {
-		all = append(all, json.RawMessage(fake.Entry(server.ID, server.Address, "Ready")))
+		all = append(all, json.RawMessage(fake.EndpointJSON(server.ID, server.Address, "Ready")))
 	}
 	return all
 }
@@ -122,7 +122,7 @@
 	}
 	heard := func() {}
 	if !s.pushedLists { // its first poll has an offset; a watch of its own agent is opened at once
-		heard = s.judge.DiscoveryLost(i)
+		heard = s.judge.BeginDiscoveryLoss(i)
 	}
 	for range 100 {
 		if conn, err := net.DialTimeout("tcp", s.Relays[i].Listen, time.Second); err == nil {
@@ -195,7 +195,7 @@
 	for _, server := range s.servers {
 		arrivals = append(arrivals, server.Arrivals()...)
 	}
-	if !s.WithoutMembers { // newCluster checks the shares of the whole run
+	if !s.WithoutMembership { // newCluster checks the shares of the whole run
 		await(t, waitLimit(), "the shares are at their targets again", s.checkSettled)
 	}
 	broken := s.judge.Violations(arrivals)
--- a/internal/testing/cluster/streams.go
+++ b/internal/testing/cluster/streams.go
@@ -17,7 +17,7 @@
 type Stream struct {
 	ID       string
 	Relay    int
-	Ended    time.Duration
+	EndedAt  time.Duration
 	Ending   StreamEnding
 	LateEcho time.Duration // the longest wait for an echo, where that was over echoWithin; else 0
 }
@@ -27,13 +27,13 @@
 
 // The endings of a stream.
 const (
-	ClientLeft StreamEnding = iota // the client has closed it
-	Moved                          // by MOVE, and then a close
-	CutOff                         // without MOVE
+	ClosedByClient    StreamEnding = iota // the client has closed it
+	Migrated                              // by MOVE, and then a close
+	ClosedWithoutMove                     // without MOVE
 )
 
 // RecordStream records a stream that has ended.
-func (j *Judge) RecordStream(s Stream) {
+func (j *ProtocolChecker) RecordStream(s Stream) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.streams = append(j.streams, s)
@@ -41,20 +41,20 @@
 
 // checkStream checks a stream against the attempt that it came of: it is neither cut off without MOVE while its
 // server goes on, nor held back, nor held on to once its server has ended it.
-func (j *Judge) checkStream(s Stream, attempt Arrival) (violations []string) {
+func (j *ProtocolChecker) checkStream(s Stream, attempt Arrival) (violations []string) {
 	const downMargin = 100 * time.Millisecond
-	if anyOverlaps(j.processDown[s.Relay], s.Ended-downMargin, s.Ended) {
+	if anyOverlaps(j.processDown[s.Relay], s.EndedAt-downMargin, s.EndedAt) {
 		return nil
 	}
-	if s.Ending == CutOff && !attempt.EndedByServer {
+	if s.Ending == ClosedWithoutMove && !attempt.EndedByServer {
 		violations = append(violations, fmt.Sprintf("cut: %s of relay %d was cut off without MOVE at %.2f s",
-			s.ID, s.Relay, s.Ended.Seconds()))
+			s.ID, s.Relay, s.EndedAt.Seconds()))
 	}
 	if s.LateEcho > 0 {
 		violations = append(violations, fmt.Sprintf("held: %s of relay %d waited %.2f s for a line",
 			s.ID, s.Relay, s.LateEcho.Seconds()))
 	}
-	if late := s.Ended - attempt.End; attempt.EndedByServer && late > endedWithin {
+	if late := s.EndedAt - attempt.EndedAt; attempt.EndedByServer && late > endedWithin {
 		violations = append(violations, fmt.Sprintf("held: %s of relay %d ended %.2f s after its server ended it",
 			s.ID, s.Relay, late.Seconds()))
 	}
--- a/internal/testing/fake/discovery.go
+++ b/internal/testing/fake/discovery.go
@@ -59,23 +59,23 @@
 	return d, nil
 }
 
-// Entry returns one endpoint of the list as JSON.
-func Entry(id, address, lifecycle string) string {
+// EndpointJSON returns one endpoint of the list as JSON.
+func EndpointJSON(id, address, lifecycle string) string {
 	const form = `{"instanceId":%q,"hostPort":%q,"zone":"hall-a","lifecycle":%q,"startedAtMs":0}`
 	return fmt.Sprintf(form, id, address, lifecycle)
 }
 
 // Set adds or changes one endpoint and notifies every watch.
 func (d *Discovery) Set(id, address, lifecycle string) {
-	d.SetStarted(id, address, lifecycle, time.Time{})
+	d.SetWithStartTime(id, address, lifecycle, time.Time{})
 }
 
-// SetStarted is Set for a server that started at a time; the zero time stands for long ago.
-func (d *Discovery) SetStarted(id, address, lifecycle string, at time.Time) {
+// SetWithStartTime is Set for a server that started at a time; the zero time stands for long ago.
+func (d *Discovery) SetWithStartTime(id, address, lifecycle string, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
-	entry := Entry(id, address, lifecycle)
+	entry := EndpointJSON(id, address, lifecycle)
 	if !at.IsZero() {
 		entry = strings.Replace(entry, `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, at.UnixMilli()), 1)
 	}
--- a/internal/testing/fake/echoserver.go
+++ b/internal/testing/fake/echoserver.go
@@ -55,8 +55,8 @@
 	s.report = report
 }
 
-// ReportFrom has each probe answered with the load report that fn returns.
-func (s *EchoServer) ReportFrom(fn func() string) {
+// SetReportFunc has each probe answered with the load report that fn returns.
+func (s *EchoServer) SetReportFunc(fn func() string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reportFunc = fn
--- a/internal/testing/fake/ledger.go
+++ b/internal/testing/fake/ledger.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Ledger records, over all servers, who serves each stream in which generation, and which rule that broke.
-type Ledger struct {
+// StreamTracker records, over all servers, who serves each stream in which generation, and which rule that broke.
+type StreamTracker struct {
 	mu                sync.Mutex
 	serving           map[string]*service
 	highestGeneration map[string]uint64
@@ -25,14 +25,14 @@
 	conn       *net.TCPConn
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{serving: map[string]*service{}, highestGeneration: map[string]uint64{}}
+// NewStreamTracker returns an empty ledger.
+func NewStreamTracker() *StreamTracker {
+	return &StreamTracker{serving: map[string]*service{}, highestGeneration: map[string]uint64{}}
 }
 
 // beginService records a service. If another server's connection for the stream still stands at this instant,
 // two servers serve it. The kernel is asked, since a goroutine may be late to read what has come long ago.
-func (l *Ledger) beginService(stream, server string, gen uint64, conn *net.TCPConn) {
+func (l *StreamTracker) beginService(stream, server string, gen uint64, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !isEstablished(conn) { // given up while the server was silent or dead: it serves nobody
@@ -52,7 +52,7 @@
 }
 
 // endService removes a service, unless another has begun since.
-func (l *Ledger) endService(stream string, conn *net.TCPConn) {
+func (l *StreamTracker) endService(stream string, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o := l.serving[stream]; o != nil && o.conn == conn {
@@ -61,14 +61,14 @@
 }
 
 // Violations lists each time two servers served a stream at once, or a generation did not grow.
-func (l *Ledger) Violations() []string {
+func (l *StreamTracker) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.violations)
 }
 
 // Serving returns how many streams are served now, and how many services have begun in all.
-func (l *Ledger) Serving() (now, all int) {
+func (l *StreamTracker) Serving() (now, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.serving), l.served
--- a/internal/testing/fake/scanfaults.go
+++ b/internal/testing/fake/scanfaults.go
@@ -74,8 +74,8 @@
 	return left
 }
 
-// Openings returns how many first lines came, probes not counted.
-func (s *ScanServer) Openings() int {
+// FirstLineCount returns how many first lines came, probes not counted.
+func (s *ScanServer) FirstLineCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.openings
--- a/internal/testing/fake/scanserver.go
+++ b/internal/testing/fake/scanserver.go
@@ -15,7 +15,7 @@
 	ID      string
 	Address string
 	Feed    *Feed
-	Ledger  *Ledger
+	Tracker *StreamTracker
 	// Load is what load reports say where Capacity is 0.
 	Load float64
 	// Capacity is how many connections fill the server. During slow start it grows evenly, from the part
@@ -46,7 +46,7 @@
 }
 
 // NewScanServer starts a server that runs until Kill. It fails if the address cannot be listened on.
-func NewScanServer(id, address string, feed *Feed, ledger *Ledger) (*ScanServer, error) {
+func NewScanServer(id, address string, feed *Feed, ledger *StreamTracker) (*ScanServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 		ID:          id,
 		Address:     l.Addr().String(),
 		Feed:        feed,
-		Ledger:      ledger,
+		Tracker:     ledger,
 		Load:        0.2,
 		listener:    l,
 		connections: map[*net.TCPConn]bool{},
--- a/internal/testing/fake/scanstream.go
+++ b/internal/testing/fake/scanstream.go
@@ -118,13 +118,13 @@
 	if t.stream == "" {
 		fmt.Fprintf(t.conn, "UP %s\r\n", t.id)
 	} else {
-		t.server.Ledger.beginService(t.stream, t.server.ID, t.generation, t.conn)
-		defer t.server.Ledger.endService(t.stream, t.conn)
+		t.server.Tracker.beginService(t.stream, t.server.ID, t.generation, t.conn)
+		defer t.server.Tracker.endService(t.stream, t.conn)
 		fmt.Fprintf(t.conn, "UP %s from=%d\r\n", t.id, from)
 	}
 	// The server ends a leased stream by itself, since a relay that does not renew in time may be stopped.
 	t.leaseTimer = time.AfterFunc(time.Hour, func() {
-		t.server.Ledger.endService(t.stream, t.conn)
+		t.server.Tracker.endService(t.stream, t.conn)
 		t.conn.Close()
 	})
 	defer t.leaseTimer.Stop()
--- a/internal/testing/fake/viewer.go
+++ b/internal/testing/fake/viewer.go
@@ -25,7 +25,7 @@
 
 	mu    sync.Mutex
 	token string // "" while it has none
-	tally Tally
+	tally ViewerStats
 }
 
 // ResumeToken returns the newest resume token, "" for none.
@@ -60,12 +60,12 @@
 	relay := v.RelayAddress()
 	conn, err := net.DialTimeout("tcp", relay, 500*time.Millisecond)
 	if err != nil {
-		v.updateTally(func(t *Tally) { t.Unreachable++ })
+		v.updateTally(func(t *ViewerStats) { t.DialFailures++ })
 		return retryDelay()
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	v.updateTally(func(t *Tally) { t.Openings++ })
+	v.updateTally(func(t *ViewerStats) { t.FirstLinesSent++ })
 	fmt.Fprintf(conn, "OPEN %s-%d %s,d=%d%s\r\n",
 		v.Name, n, v.OpenFields, v.WaitLimit.Milliseconds(), v.resumeFields())
 	conn.SetReadDeadline(time.Now().Add(v.WaitLimit + 3*time.Second))
@@ -75,12 +75,12 @@
 		v.noteUnanswered(ctx, relay)
 		return retryDelay()
 	}
-	v.updateTally(func(t *Tally) { t.Answers++ })
+	v.updateTally(func(t *ViewerStats) { t.Answers++ })
 	v.reportEvent("answered %s", strings.TrimSpace(line))
 	if strings.Fields(line)[0] != "UP" {
 		return v.noteRejection(in, line)
 	}
-	v.updateTally(func(t *Tally) { t.Ups++ })
+	v.updateTally(func(t *ViewerStats) { t.Accepted++ })
 	if v.SendEvery > 0 {
 		stop := make(chan struct{})
 		defer close(stop)
@@ -108,13 +108,13 @@
 // noteUnanswered counts a connection that ended before its answer. One that Run's end cut does not count as
 // opened.
 func (v *Viewer) noteUnanswered(ctx context.Context, relay string) {
-	v.updateTally(func(t *Tally) {
-		t.Breaks++
+	v.updateTally(func(t *ViewerStats) {
+		t.Disconnects++
 		if ctx.Err() != nil {
-			t.Openings--
+			t.FirstLinesSent--
 			return
 		}
-		t.Notes = append(t.Notes, "unanswered by "+relay)
+		t.Problems = append(t.Problems, "unanswered by "+relay)
 	})
 }
 
@@ -122,7 +122,7 @@
 func (v *Viewer) noteRejection(in *bufio.Reader, line string) time.Duration {
 	words := strings.Fields(line)
 	if words[0] == "BUSY" {
-		v.updateTally(func(t *Tally) { t.Busy++ })
+		v.updateTally(func(t *ViewerStats) { t.Rejected++ })
 		v.countSecondAnswer(in)
 		if len(words) > 1 {
 			ms, _ := strconv.Atoi(words[1])
@@ -133,8 +133,8 @@
 	v.countSecondAnswer(in)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.tally.Failed++
-	v.tally.Notes = append(v.tally.Notes, strings.TrimSpace(line))
+	v.tally.OtherAnswers++
+	v.tally.Problems = append(v.tally.Problems, strings.TrimSpace(line))
 	if len(words) > 1 && words[1] == "resume" { // the token is rejected for good
 		v.token = ""
 	}
@@ -160,7 +160,7 @@
 	for first := true; ; {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			v.updateTally(func(t *Tally) { t.Breaks++ })
+			v.updateTally(func(t *ViewerStats) { t.Disconnects++ })
 			v.reportEvent("the connection ended")
 			return retryDelay()
 		}
@@ -179,10 +179,10 @@
 			v.mu.Unlock()
 			fmt.Fprintf(conn, "GOT %s\r\n", words[1])
 		case words[0] == "GAP":
-			v.updateTally(func(t *Tally) { t.Notes = append(t.Notes, strings.TrimSpace(line)) })
+			v.updateTally(func(t *ViewerStats) { t.Problems = append(t.Problems, strings.TrimSpace(line)) })
 		case words[0] == "MOVE":
-			v.updateTally(func(t *Tally) { t.Moves++ })
-			v.reportEvent("notified to move; the last scan was %d", v.Tally().LastScan)
+			v.updateTally(func(t *ViewerStats) { t.Migrations++ })
+			v.reportEvent("notified to move; the last scan was %d", v.Stats().LastScan)
 			return time.Duration(rand.IntN(20)) * time.Millisecond
 		}
 	}
@@ -194,8 +194,8 @@
 	if err != nil {
 		return
 	}
-	v.updateTally(func(t *Tally) {
+	v.updateTally(func(t *ViewerStats) {
 		t.Answers++
-		t.Notes = append(t.Notes, "second answer: "+strings.TrimSpace(line))
+		t.Problems = append(t.Problems, "second answer: "+strings.TrimSpace(line))
 	})
 }
--- a/internal/testing/fake/zkfaults.go
+++ b/internal/testing/fake/zkfaults.go
@@ -51,9 +51,9 @@
 	z.faults.dropAnswers = n
 }
 
-// SetBehind makes the service a replica that has not heard of the newest changes: it refuses clients that have
+// SetReplicaLag makes the service a replica that has not heard of the newest changes: it refuses clients that have
 // seen any of them, as ZooKeeper does. It answers by all that it holds nevertheless.
-func (z *ZooKeeper) SetBehind(changes int64) {
+func (z *ZooKeeper) SetReplicaLag(changes int64) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.faults.behind = changes
--- a/internal/testing/fake/zookeeper.go
+++ b/internal/testing/fake/zookeeper.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// ListenAgain listens on one more address, as another member of the ensemble does, and returns it.
-func (z *ZooKeeper) ListenAgain() (string, error) {
+// AddListener listens on one more address, as another member of the ensemble does, and returns it.
+func (z *ZooKeeper) AddListener() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
--- a/internal/testing/faultpoint/history.go
+++ b/internal/testing/faultpoint/history.go
@@ -11,7 +11,7 @@
 	ViewHash    uint64   `json:"hash"` // of the view
 	Phase       string   `json:"phase"`
 	Settled     bool     `json:"settled"`
-	Share       float64  `json:"share"` // of budgets in the zones that are near
+	NearShare   float64  `json:"share"` // of budgets in the zones that are near
 	FarShare    float64  `json:"far"`   // of budgets elsewhere
 	Zones       []string `json:"zones"` // that are near; nil for all
 	UntilMillis float64  `json:"until"` // when the shares expire, as AtMillis; 0 for never
@@ -31,14 +31,14 @@
 	Event string `json:"event,omitempty"`
 }
 
-// Taken returns the share that the relay may take, at an instant as AtMillis, of the budget of a server in a
+// BudgetShareIn returns the share that the relay may take, at an instant as AtMillis, of the budget of a server in a
 // zone.
-func (n HistoryLine) Taken(zone string, at float64) float64 {
+func (n HistoryLine) BudgetShareIn(zone string, at float64) float64 {
 	switch {
 	case n.UntilMillis > 0 && at >= n.UntilMillis:
 		return 0
 	case n.Plan == 0 || slices.Contains(n.Zones, zone):
-		return n.Share
+		return n.NearShare
 	}
 	return n.FarShare
 }
--- a/internal/testing/faultpoint/network.go
+++ b/internal/testing/faultpoint/network.go
@@ -22,12 +22,12 @@
 	}
 	random.Lock()
 	defer random.Unlock()
-	for again := true; again; again = random.Float64() < r.Duplicates {
-		if random.Float64() < r.Loss {
+	for again := true; again; again = random.Float64() < r.DuplicateFraction {
+		if random.Float64() < r.LossFraction {
 			continue
 		}
 		ms := r.DelayMs * random.Float64()
-		if random.Float64() < r.Late {
+		if random.Float64() < r.LateFraction {
 			ms += r.LateMs
 		}
 		delays = append(delays, time.Duration(ms*float64(time.Millisecond)))
--- a/internal/testing/faultpoint/process.go
+++ b/internal/testing/faultpoint/process.go
@@ -82,11 +82,11 @@
 // CurrentRules returns the rules in force, which are not to be changed.
 func CurrentRules() *Rules { return rules.Load() }
 
-// Recording reports whether a history is kept.
-func Recording() bool { return history != nil }
+// HistoryEnabled reports whether a history is kept.
+func HistoryEnabled() bool { return history != nil }
 
-// Record appends a line to the process's history, if one is kept.
-func Record(line any) {
+// AppendHistory appends a line to the process's history, if one is kept.
+func AppendHistory(line any) {
 	if history == nil {
 		return
 	}
--- a/internal/testing/faultpoint/rules.go
+++ b/internal/testing/faultpoint/rules.go
@@ -5,13 +5,13 @@
 	Seed uint64 `json:"seed"` // of what is drawn, by the first Rules of a process
 
 	// Of packets and connections.
-	Cut        []string `json:"cut"`      // addresses that nothing is sent to
-	CutFrom    []string `json:"cut_from"` // addresses that nothing is received from
-	Loss       float64  `json:"loss"`     // part of the packets that are lost
-	Duplicates float64  `json:"twice"`    // part of the packets that are sent once more
-	DelayMs    float64  `json:"delay_ms"` // each packet takes up to so long, so that they overtake each other
-	Late       float64  `json:"late"`     // part of the packets that take LateMs more
-	LateMs     float64  `json:"late_ms"`
+	Cut               []string `json:"cut"`      // addresses that nothing is sent to
+	CutFrom           []string `json:"cut_from"` // addresses that nothing is received from
+	LossFraction      float64  `json:"loss"`     // part of the packets that are lost
+	DuplicateFraction float64  `json:"twice"`    // part of the packets that are sent once more
+	DelayMs           float64  `json:"delay_ms"` // each packet takes up to so long, so that they overtake each other
+	LateFraction      float64  `json:"late"`     // part of the packets that take LateMs more
+	LateMs            float64  `json:"late_ms"`
 
 	// Of clocks.
 	ClockRate       float64 `json:"rate"`     // of the monotonic clock; 0 for 1
--- a/internal/wire/gossip/faultpoint_faults.go
+++ b/internal/wire/gossip/faultpoint_faults.go
@@ -64,7 +64,7 @@
 // recordHistory records the relay's estimate of the fleet if it has changed, or if the last line is more than
 // 1 s old.
 func (n *Node) recordHistory() {
-	if !faultpoint.Recording() {
+	if !faultpoint.HistoryEnabled() {
 		return
 	}
 	line := n.historyLine()
@@ -73,7 +73,7 @@
 		return
 	}
 	lastHistoryLine = line
-	faultpoint.Record(line)
+	faultpoint.AppendHistory(line)
 }
 
 // historyLine returns the relay's current estimate of the fleet.
@@ -93,7 +93,7 @@
 		ViewHash:    n.membership.ViewHash(),
 		Phase:       estimate.Phase.String(),
 		Settled:     view.Settled(),
-		Share:       estimate.BudgetShare,
+		NearShare:   estimate.BudgetShare,
 		Relays:      estimate.Relays,
 	}
 	if estimate.ShareValidUntil != duration.DistantFuture {
@@ -112,7 +112,7 @@
 // equalExceptTimes reports whether two lines differ in nothing but times.
 func equalExceptTimes(a, b faultpoint.HistoryLine) bool {
 	sameView := a.Epoch == b.Epoch && a.ViewHash == b.ViewHash && a.Phase == b.Phase
-	sameShare := a.Share == b.Share && a.FarShare == b.FarShare && a.Relays == b.Relays
+	sameShare := a.NearShare == b.NearShare && a.FarShare == b.FarShare && a.Relays == b.Relays
 	samePlan := a.Plan == b.Plan && a.PlanActivated == b.PlanActivated
 	sameCells := a.Representative == b.Representative && a.KnownCells == b.KnownCells
 	return sameView && sameShare && slices.Equal(a.Zones, b.Zones) && samePlan && sameCells
--- a/internal/wire/gossip/gossip_test.go
+++ b/internal/wire/gossip/gossip_test.go
@@ -217,7 +217,7 @@
 			}
 		})
 	}
-	if err := cluster.Paint(path, panels...); err != nil {
+	if err := cluster.WriteChart(path, panels...); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/wire/zookeeper/client_test.go
+++ b/internal/wire/zookeeper/client_test.go
@@ -51,10 +51,10 @@
 	zk.SetNode("n1", node)
 	requests := startClient(t, zk)
 	awaitReady(t, requests, "n1")
-	zk.SetBehind(1)
+	zk.SetReplicaLag(1)
 	zk.ExpireSessions()
 	zk.SetNode("n2", node)
-	zk.SetBehind(2) // also behind the change made since
+	zk.SetReplicaLag(2) // also behind the change made since
 	awaitReady(t, requests, "n2")
 }
 
--- a/internal/wire/zookeeper/session_test.go
+++ b/internal/wire/zookeeper/session_test.go
@@ -144,7 +144,7 @@
 // loss end with ConnectionLoss. The expiry of a session is notified.
 func TestSessionSurvivesItsConnection(t *testing.T) {
 	zk, s, w := startSession(t)
-	second, err := zk.ListenAgain()
+	second, err := zk.AddListener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 	if a := awaitAnswer(func(f func(Answer)) { s.Create("/a/x", nil, false, f) }); a.Code != OK {
 		t.Fatalf("create: %+v", a)
 	}
-	zk.SetBehind(1)
+	zk.SetReplicaLag(1)
 	zk.ResetConnections()
 	w.awaitEvent(t, "expired", 1)
 	w.awaitEvent(t, "connected for 1000 ms", 2)
