--- a/internal/testing/cluster/agreement.go
+++ b/internal/testing/cluster/agreement.go
@@ -38,11 +38,11 @@
 	if err != nil {
 		return err
 	}
-	return checkAgreement(latest, running(fleet.Relays), settled)
+	return checkAgreement(latest, runningRelayNames(fleet.Relays), settled)
 }
 
 // running returns the names of the relays that run, sorted as views have them.
-func running(relays []*Relay) (names []string) {
+func runningRelayNames(relays []*Relay) (names []string) {
 	for _, r := range relays {
 		if r.running {
 			names = append(names, r.Name)
@@ -89,7 +89,7 @@
 		for _, i := range c.Relays {
 			relays = append(relays, fleet.Relays[i])
 		}
-		names := running(relays)
+		names := runningRelayNames(relays)
 		if err := checkAgreement(latest, names, true); err != nil {
 			return fmt.Errorf("cell %s: %w", c.Name, err)
 		}
--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -38,7 +38,7 @@
 
 // fastCells has leases last 2 s, and cells hear of each other four times as often. The long run goes by the
 // program's own pace.
-func fastCells() faultpoint.Rules {
+func shortCellTimings() faultpoint.Rules {
 	if longRun() {
 		return faultpoint.Rules{}
 	}
@@ -56,7 +56,7 @@
 		Relays: 12,
 		Zones:  zones,
 		ZoneOf: func(i int) string { return zones[i/4] },
-		Faults: fastCells(),
+		Faults: shortCellTimings(),
 		Admin:  true,
 	}, 0)
 	if err := fleet.WritePlan(1, cells); err != nil {
@@ -147,7 +147,7 @@
 	})
 	for time.Now().Before(end) {
 		for _, i := range []int{0, 3, 4, 11} {
-			checkServes(t, fleet.Relays[i])
+			checkAnswersProbe(t, fleet.Relays[i])
 		}
 		time.Sleep(time.Second)
 	}
@@ -173,7 +173,7 @@
 }
 
 // checkServes checks that a relay answers a client.
-func checkServes(t *testing.T, r *Relay) {
+func checkAnswersProbe(t *testing.T, r *Relay) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Listen)
 	if err != nil {
@@ -391,7 +391,7 @@
 		Relays: 4,
 		Zones:  zones[:1],
 		ZoneOf: func(int) string { return zones[0] },
-		Faults: fastCells(),
+		Faults: shortCellTimings(),
 	}, 4)
 	await(t, cellWaitLimit(), "at first", fleet.checkSettled)
 	flat := Cell{Name: "flat", Relays: []int{0, 1, 2}, Weight: 2}
--- a/internal/testing/cluster/judge.go
+++ b/internal/testing/cluster/checker.go
@@ -13,12 +13,12 @@
 // The times by which a Judge goes are those of the protocol page.
 const (
 	// notifiedWithin is when every relay counts as notified of a change, whether or not the event arrived.
-	notifiedWithin = 6 * time.Second
+	notificationLimit = 6 * time.Second
 	// drainMargin is how long after that requests may still arrive at a server that drains or is gone: the
 	// grace of 500 ms, and 50 ms for the sockets.
 	drainMargin = 550 * time.Millisecond
 	// deliveredWithin is when an event has arrived on a watch that is not disturbed.
-	deliveredWithin = 400 * time.Millisecond
+	eventDeliveryLimit = 400 * time.Millisecond
 	// requestDeadline is the d of every request, and answerMargin how late after it an answer may be.
 	requestDeadline = 2 * time.Second
 	answerMargin    = 500 * time.Millisecond
@@ -29,8 +29,8 @@
 	overlapMargin = 5 * time.Millisecond
 )
 
-// ProtocolChecker holds what clients and servers saw against the rules of the protocol. It is safe for concurrent use.
-type ProtocolChecker struct {
+// Checker holds what clients and servers saw against the rules of the protocol. It is safe for concurrent use.
+type Checker struct {
 	DedupWindow time.Duration // for how long servers recognize a repeat by its idempotency key
 
 	mu            sync.Mutex
@@ -41,9 +41,9 @@
 	processDown   map[int][]*Span // by relay: the process was killed, or stopped
 }
 
-// NewProtocolChecker returns a Judge that has recorded nothing.
-func NewProtocolChecker(dedupWindow time.Duration) *ProtocolChecker {
-	return &ProtocolChecker{
+// NewChecker returns a Judge that has recorded nothing.
+func NewChecker(dedupWindow time.Duration) *Checker {
+	return &Checker{
 		DedupWindow:   dedupWindow,
 		requests:      map[string]*Request{},
 		discoveryLost: map[int][]*Span{},
@@ -52,7 +52,7 @@
 }
 
 // Violations lists what broke a rule, each after the rule's name, given all attempts that arrived at servers.
-func (j *ProtocolChecker) Violations(arrivals []Arrival) (violations []string) {
+func (j *Checker) Violations(arrivals []Arrival) (violations []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	slices.SortFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.ReceivedAt, b.ReceivedAt) })
@@ -80,7 +80,7 @@
 
 // checkArrival checks one attempt by itself: its request was sent and is still wanted, and its server is in
 // use.
-func (j *ProtocolChecker) checkArrival(a Arrival) (violations []string) {
+func (j *Checker) checkArrival(a Arrival) (violations []string) {
 	r := j.requests[a.ID]
 	if r == nil {
 		return []string{fmt.Sprintf("unknown: %s came to %s, and no client sent it", a.ID, a.Server)}
@@ -88,22 +88,22 @@
 	violations = j.checkDrain(r, a)
 	if r.ClosedAt > 0 && a.ReceivedAt > r.ClosedAt+closeMargin {
 		violations = append(violations, fmt.Sprintf("lost: %s came to %s %.0f ms after its client closed",
-			a.ID, a.Server, millis(a.ReceivedAt-r.ClosedAt)))
+			a.ID, a.Server, toMillis(a.ReceivedAt-r.ClosedAt)))
 	}
 	return violations
 }
 
 // checkDrain checks an attempt against all absences of its server: while the server is away, no request is
 // placed on it by a relay that counts as notified.
-func (j *ProtocolChecker) checkDrain(r *Request, a Arrival) (violations []string) {
+func (j *Checker) checkDrain(r *Request, a Arrival) (violations []string) {
 	for _, gone := range j.absences {
 		if gone.Server != a.Server || a.ReceivedAt < gone.From {
 			continue
 		}
 		since := a.ReceivedAt - gone.From
 		away := gone.To == 0 || a.ReceivedAt < gone.To
-		sound := !anyOverlaps(j.discoveryLost[r.Relay], gone.From-notifiedWithin, a.ReceivedAt)
-		notified := since > notifiedWithin+drainMargin || sound && since > deliveredWithin+drainMargin
+		sound := !anyOverlaps(j.discoveryLost[r.Relay], gone.From-notificationLimit, a.ReceivedAt)
+		notified := since > notificationLimit+drainMargin || sound && since > eventDeliveryLimit+drainMargin
 		if away && notified {
 			violations = append(violations, fmt.Sprintf("drain: %s of relay %d came to %s %.2f s after it left",
 				a.ID, r.Relay, a.Server, since.Seconds()))
@@ -115,7 +115,7 @@
 // checkDuplicates checks the attempts of one request, in the order of their arrival: one at a time, and none
 // after one that may have run unless the request is idempotent, by a key within the servers' deduplication
 // window.
-func (j *ProtocolChecker) checkDuplicates(r *Request, attempts []Arrival) (violations []string) {
+func (j *Checker) checkDuplicates(r *Request, attempts []Arrival) (violations []string) {
 	for i := 1; i < len(attempts); i++ {
 		first, last := attempts[i-1], attempts[i]
 		if !endsBefore(first, last) {
@@ -136,7 +136,7 @@
 		if r.Idempotency == decide.NonIdempotent ||
 			retry.ReceivedAt-ran.ReceivedAt > j.DedupWindow+closeMargin {
 			violations = append(violations, fmt.Sprintf("duplicate: %s ran at %s and came to %s %.0f ms later",
-				r.ID, ran.Server, retry.Server, millis(retry.ReceivedAt-ran.ReceivedAt)))
+				r.ID, ran.Server, retry.Server, toMillis(retry.ReceivedAt-ran.ReceivedAt)))
 		}
 	}
 	return violations
@@ -154,7 +154,7 @@
 
 // checkAnswer checks that a request has its answer in time. A process that was killed or stopped meanwhile
 // owes none.
-func (j *ProtocolChecker) checkAnswer(r *Request) (violations []string) {
+func (j *Checker) checkAnswer(r *Request) (violations []string) {
 	const downMargin = 100 * time.Millisecond
 	down := anyOverlaps(j.processDown[r.Relay], r.SentAt-downMargin, r.AnsweredAt)
 	if r.SentAt == 0 || r.ClosedAt > 0 || down {
--- a/internal/testing/cluster/endpointlist_test.go
+++ b/internal/testing/cluster/endpointlist_test.go
@@ -46,7 +46,7 @@
 			time.Sleep(500 * time.Millisecond)
 			fleet.Discovery.Set("s0", all[0].Address, play.change)
 			changed := Now()
-			time.Sleep(notifiedWithin + drainMargin)
+			time.Sleep(notificationLimit + drainMargin)
 			from := Now()
 			time.Sleep(4 * time.Second)
 			if late := all[0].ConnectedAt(from, Now()); len(late) > 0 {
@@ -80,19 +80,19 @@
 			startAll(t, fleet)
 			startLoad(t, fleet, clientRate, clientHold)
 			used := func() error {
-				return checkUsed(all[0], 5)
+				return checkServerUsed(all[0], 5)
 			}
 			await(t, waitLimit(), "s0 is used", used)
 			fleet.Discovery.Set("s0", all[0].Address, change)
 			left := Now()
 			time.Sleep(4 * time.Second)
-			if late := all[0].ConnectedAt(left+deliveredWithin+drainMargin, Now()); len(late) > 0 {
+			if late := all[0].ConnectedAt(left+eventDeliveryLimit+drainMargin, Now()); len(late) > 0 {
 				t.Errorf("%d connections came to s0 while it was %s, the first %.2f s after the event",
 					len(late), change, (late[0] - left).Seconds())
 			}
 			fleet.Discovery.Set("s0", all[0].Address, "Ready")
 			await(t, 2*time.Second, "s0 is used again", used)
-			time.Sleep(left + notifiedWithin + drainMargin + time.Second - Now())
+			time.Sleep(left + notificationLimit + drainMargin + time.Second - Now())
 			if err := used(); err != nil {
 				t.Errorf("when relays count as notified of its leaving without an event: %v", err)
 			}
@@ -115,7 +115,7 @@
 		known = append(known, json.RawMessage(fake.EndpointJSON(s.ID, s.Address, "Ready")))
 	}
 	fleet.Discovery.Set("s0", all[0].Address, "Gone")
-	time.Sleep(notifiedWithin + drainMargin)
+	time.Sleep(notificationLimit + drainMargin)
 	list := map[string]any{"generation": 1, "reset": true, "instances": known}
 	for i := range fleet.Relays {
 		if err := fleet.Reconfigure(i, map[string]any{"known": list}); err != nil {
@@ -125,7 +125,7 @@
 	startAll(t, fleet)
 	startLoad(t, fleet, clientRate, clientHold)
 	await(t, waitLimit(), "the others are used", func() error {
-		return errors.Join(checkUsed(all[1], 10), checkUsed(all[2], 10))
+		return errors.Join(checkServerUsed(all[1], 10), checkServerUsed(all[2], 10))
 	})
 	time.Sleep(7500 * time.Millisecond) // by then every relay has polled
 	if late := all[0].ConnectedAt(0, Now()); len(late) > 0 {
--- a/internal/testing/cluster/harness_test.go
+++ b/internal/testing/cluster/harness_test.go
@@ -9,12 +9,12 @@
 )
 
 // program is the path of the program with its fault injection points, built once.
-var program string
+var programPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err == nil {
-		program, err = Build("../../..", dir)
+		programPath, err = Build("../../..", dir)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -41,7 +41,7 @@
 // never added up to over 1, unless the layout is unprotected.
 func newCluster(t *testing.T, layout Layout, start int) *Cluster {
 	t.Helper()
-	layout.Program = program
+	layout.Program = programPath
 	layout.Dir = t.TempDir()
 	fleet, err := New(layout, "../../../examples/config.json")
 	if err != nil {
@@ -122,7 +122,7 @@
 }
 
 // checkUsed fails unless at least so many connections came to a server in the last second.
-func checkUsed(s *RecordingServer, atLeast int) error {
+func checkServerUsed(s *RecordingServer, atLeast int) error {
 	now := Now()
 	if n := len(s.ConnectedAt(now-time.Second, now)); n < atLeast {
 		return fmt.Errorf("%d connections came to %s in the last second", n, s.ID)
--- a/internal/testing/cluster/history.go
+++ b/internal/testing/cluster/history.go
@@ -18,7 +18,7 @@
 func (fleet *Cluster) recordEvent(i int, event string) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	line := faultpoint.HistoryLine{AtMillis: millis(Now()), Name: fleet.Relays[i].Name, Event: event}
+	line := faultpoint.HistoryLine{AtMillis: toMillis(Now()), Name: fleet.Relays[i].Name, Event: event}
 	fleet.events = append(fleet.events, line)
 }
 
@@ -80,8 +80,8 @@
 func FormatHistory(all []faultpoint.HistoryLine, at, before time.Duration) string {
 	var b strings.Builder
 	for _, n := range all {
-		since := n.AtMillis - millis(at)
-		if since <= -millis(before) || since > 1 {
+		since := n.AtMillis - toMillis(at)
+		if since <= -toMillis(before) || since > 1 {
 			continue
 		}
 		fmt.Fprintf(&b, "%9.1f %s %s%s epoch %d share %.4f",
--- a/internal/testing/cluster/load.go
+++ b/internal/testing/cluster/load.go
@@ -27,7 +27,7 @@
 func (t *LoadStats) RejectedBetween(from, to time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(between(t.rejectedAt, from, to))
+	return len(instantsBetween(t.rejectedAt, from, to))
 }
 
 func (t *LoadStats) recordRejection() {
--- a/internal/testing/cluster/loadreports_test.go
+++ b/internal/testing/cluster/loadreports_test.go
@@ -68,12 +68,12 @@
 	if !layout.SeparateProbes {
 		for i := range relayCount {
 			await(t, waitLimit(), "load reports are shared", func() error {
-				return m.checkShown(i, "for 9 relays", "nobody that counts")
+				return m.checkFleetShow(i, "for 9 relays", "nobody that counts")
 			})
 		}
 	}
 	m.startLoad()
-	m.watchFor(4 * time.Second)
+	m.observe(4 * time.Second)
 	return m
 }
 
@@ -92,7 +92,7 @@
 }
 
 // checkShown fails unless a relay's `fleet show` has one text and, unless that is "", not another.
-func (m *sharedLoad) checkShown(i int, want, not string) error {
+func (m *sharedLoad) checkFleetShow(i int, want, not string) error {
 	out, err := runProgram("fleet", "show", "--socket", m.cluster.Relays[i].Socket)
 	if err != nil || !strings.Contains(out, want) || not != "" && strings.Contains(out, not) {
 		return fmt.Errorf("%s: %v: %s", m.cluster.Relays[i].Name, err, out)
@@ -101,7 +101,7 @@
 }
 
 // watchFor waits, and checks for a server that is idle while requests are rejected.
-func (m *sharedLoad) watchFor(d time.Duration) {
+func (m *sharedLoad) observe(d time.Duration) {
 	for end := Now() + d; Now() < end; time.Sleep(25 * time.Millisecond) {
 		for i, s := range m.servers {
 			m.checkIdle(i, s, Now())
@@ -153,39 +153,39 @@
 }
 
 // loadDisturbances are what nine relays share a load through, by name.
-var loadDisturbances = map[string]func(m *sharedLoad){
+var sharedLoadFaults = map[string]func(m *sharedLoad){
 	"calm": func(*sharedLoad) {},
 	"halves": func(m *sharedLoad) {
 		m.cluster.Split(splitAt(5))
 		m.cluster.ApplyCuts()
-		m.watchFor(5 * time.Second)
+		m.observe(5 * time.Second)
 	},
 	"a zone cut off for 6 s": (*sharedLoad).cutZoneOff,
 	"one relay with ten times the mean": func(m *sharedLoad) {
 		m.cluster.Relays[1].SetWeight(10)
-		m.watchFor(5 * time.Second)
+		m.observe(5 * time.Second)
 	},
 	"the relays' number doubled, then halved": (*sharedLoad).doubleAndHalve,
 	"half killed, back at once": func(m *sharedLoad) {
 		m.killAndStart(5)
-		m.watchFor(time.Second)
+		m.observe(time.Second)
 	},
 	"all restarted": func(m *sharedLoad) { m.killAndStart(relayCount) },
 	"a fifth lost, late packets": func(m *sharedLoad) {
 		m.cluster.RunSchedule([]Step{{Action: "loss", Value: 0.2}, {Action: "late", Value: 0.1}})
-		m.watchFor(5 * time.Second)
+		m.observe(5 * time.Second)
 	},
 	"six in twelve replaced": (*sharedLoad).replaceServers,
 	"a liar: all empty": func(m *sharedLoad) {
 		m.cluster.ChangeFaults(4, func(r *faultpoint.Rules) { r.FalseReports = true })
-		m.watchFor(5 * time.Second)
+		m.observe(5 * time.Second)
 	},
 	"a liar: all full": func(m *sharedLoad) {
 		m.cluster.ChangeFaults(4, func(r *faultpoint.Rules) {
 			r.FalseReports = true
 			r.FalseLoad = 3
 		})
-		m.watchFor(5 * time.Second)
+		m.observe(5 * time.Second)
 	},
 }
 
@@ -207,7 +207,7 @@
 		}
 	}
 	m.cluster.ApplyCuts()
-	m.watchFor(6 * time.Second)
+	m.observe(6 * time.Second)
 }
 
 // doubleAndHalve has the second half of the relays join, take load, and leave.
@@ -219,7 +219,7 @@
 	for _, r := range m.cluster.Relays[relayCount:] {
 		r.SetWeight(1)
 	}
-	m.watchFor(3 * time.Second)
+	m.observe(3 * time.Second)
 	for _, r := range m.cluster.Relays[relayCount:] {
 		r.SetWeight(0)
 	}
@@ -243,11 +243,11 @@
 	for _, s := range m.servers[:6] {
 		m.cluster.Discovery.Set(s.ID, s.Address, "Terminating")
 	}
-	m.watchFor(1500 * time.Millisecond)
+	m.observe(1500 * time.Millisecond)
 	for _, s := range m.servers[:6] {
 		m.cluster.Discovery.SetWithStartTime(s.ID, s.Address, "Ready", time.Now())
 	}
-	m.watchFor(9 * time.Second)
+	m.observe(9 * time.Second)
 }
 
 // Nine relays share a load in a calm and through faults. In the calm no server gets over 1.25 of its fair
@@ -255,7 +255,7 @@
 // again; and no server is idle for 2 s while requests are rejected. A relay that lies in its load reports
 // moves nobody.
 func TestManyRelaysAddUp(t *testing.T) {
-	for name, disturb := range loadDisturbances {
+	for name, disturb := range sharedLoadFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			m := newSharedLoad(t, Layout{}, nil)
@@ -263,14 +263,14 @@
 			disturb(m)
 			if strings.HasPrefix(name, "a liar") {
 				await(t, waitLimit(), "the liar is left out", func() error {
-					return m.checkShown(0, "left out, as two others contradict them: r4", "")
+					return m.checkFleetShow(0, "left out, as two others contradict them: r4", "")
 				})
 			} else if err := m.cluster.Heal(); err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("rejected %d in the fault", m.tally.Rejected.Load()-rejected)
 			await(t, waitLimit()+5*time.Second, "after the heal", m.cluster.checkSettled)
-			m.watchFor(2 * time.Second)
+			m.observe(2 * time.Second)
 			// Some 100 connections come to each server in 10 s: by chance alone one of twelve gets 1.2 of the
 			// mean. After a fault a relay that has just begun still probes for itself now and then.
 			if name == "calm" {
@@ -284,7 +284,7 @@
 		t.Parallel()
 		m := newSharedLoad(t, Layout{SeparateProbes: true}, nil)
 		from := Now()
-		m.watchFor(8 * time.Second)
+		m.observe(8 * time.Second)
 		unfairness, probeRate := m.measure(from, Now())
 		t.Logf("%.2f of its fair part to one server, %.2f probes a second at one; rejected %d of %d",
 			unfairness, probeRate, m.tally.Rejected.Load(), m.tally.Accepted.Load())
@@ -299,7 +299,7 @@
 func (m *sharedLoad) checkShares(length time.Duration, maxUnfairness, maxProbeRate float64) {
 	m.t.Helper()
 	from, rejected := Now(), m.tally.Rejected.Load()
-	m.watchFor(length)
+	m.observe(length)
 	unfairness, probeRate := m.measure(from, Now())
 	m.t.Logf("afterwards: %.2f of its fair part to one server, %.2f probes a second at one; rejected %d in %v",
 		unfairness, probeRate, m.tally.Rejected.Load()-rejected, length)
@@ -323,8 +323,8 @@
 			m := newSharedLoad(t, Layout{}, func(r *faultpoint.Rules) { r.NoCorroboration = gullible })
 			m.cluster.ChangeFaults(4, func(r *faultpoint.Rules) { r.FalseReports = true })
 			believed := ""
-			for until := Now() + 6*time.Second; Now() < until && believed == ""; m.watchFor(200 * time.Millisecond) {
-				for _, line := range m.reportsOfLiar() {
+			for until := Now() + 6*time.Second; Now() < until && believed == ""; m.observe(200 * time.Millisecond) {
+				for _, line := range m.falseReportsShown() {
 					if gullible || !m.isNearlyIdle(line) {
 						believed = line
 					}
@@ -358,7 +358,7 @@
 }
 
 // reportsOfLiar returns the lines of r0's `fleet show` with a load of 0.00 by r4.
-func (m *sharedLoad) reportsOfLiar() (lines []string) {
+func (m *sharedLoad) falseReportsShown() (lines []string) {
 	m.t.Helper()
 	out, err := runProgram("fleet", "show", "--socket", m.cluster.Relays[0].Socket)
 	if err != nil {
--- a/internal/testing/cluster/membership_test.go
+++ b/internal/testing/cluster/membership_test.go
@@ -48,7 +48,7 @@
 			fleet.Start(i)
 		}
 	},
-	"a fifth lost":                 loseAFifth,
+	"a fifth lost":                 loseFifthOfPackets,
 	"clocks 5% off, and a cut":     skewClocks,
 	"delay, doubling, old packets": delayAndDouble,
 	"other versions' digests":      mixDigests,
@@ -73,7 +73,7 @@
 // killAndStart has packets of a relay's first incarnation arrive in its second.
 func killAndStart(t *testing.T, fleet *Cluster) {
 	t.Helper()
-	playOne(t, fleet, "late", 0.1)
+	runStep(t, fleet, "late", 0.1)
 	time.Sleep(500 * time.Millisecond)
 	fleet.Kill(0)
 	time.Sleep(500 * time.Millisecond)
@@ -84,13 +84,13 @@
 }
 
 // loseAFifth loses a fifth of all packets, through which no relay is removed.
-func loseAFifth(t *testing.T, fleet *Cluster) {
+func loseFifthOfPackets(t *testing.T, fleet *Cluster) {
 	t.Helper()
 	lossFor := 12 * time.Second
 	if longRun() {
 		lossFor = time.Minute
 	}
-	playOne(t, fleet, "loss", 0.2)
+	runStep(t, fleet, "loss", 0.2)
 	began := Now()
 	time.Sleep(lossFor)
 	checkNoneRemoved(t, fleet, began)
@@ -102,7 +102,7 @@
 	for i := range fleet.Relays {
 		fleet.RunSchedule([]Step{{Action: "rate", Relay: i, Value: []float64{0.95, 1.05, 1}[i%3]}})
 	}
-	fleet.ChangeFaults(6, func(r *faultpoint.Rules) { r.WallClockStepMs = millis(time.Hour) })
+	fleet.ChangeFaults(6, func(r *faultpoint.Rules) { r.WallClockStepMs = toMillis(time.Hour) })
 	fleet.Kill(6)
 	fleet.Start(6)
 	splitFor6s(0, 0, 0, 0, 1, 1, 1)(t, fleet)
@@ -111,9 +111,9 @@
 // delayAndDouble has packets overtake each other, come twice and come late, over a restart.
 func delayAndDouble(t *testing.T, fleet *Cluster) {
 	t.Helper()
-	playOne(t, fleet, "delay", 80)
-	playOne(t, fleet, "twice", 0.2)
-	playOne(t, fleet, "late", 0.05)
+	runStep(t, fleet, "delay", 80)
+	runStep(t, fleet, "twice", 0.2)
+	runStep(t, fleet, "late", 0.05)
 	fleet.Kill(2)
 	time.Sleep(4 * time.Second)
 	fleet.Start(2)
@@ -136,7 +136,7 @@
 }
 
 // playOne plays one action, at once.
-func playOne(t *testing.T, fleet *Cluster, action string, value float64) {
+func runStep(t *testing.T, fleet *Cluster, action string, value float64) {
 	t.Helper()
 	if err := fleet.RunSchedule([]Step{{Action: action, Value: value}}); err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 		t.Error(err)
 	}
 	for _, h := range history {
-		if h.AtMillis > millis(since) && h.Event == "" && len(h.Members) < len(fleet.Relays) {
+		if h.AtMillis > toMillis(since) && h.Event == "" && len(h.Members) < len(fleet.Relays) {
 			t.Errorf("%s held a view of %v: a relay was removed falsely", h.Name, h.Members)
 			return
 		}
@@ -307,7 +307,7 @@
 // checkDropped fails unless a relay of a fleet says that it has dropped packets for a reason.
 func checkDropped(fleet *Cluster, reason string) error {
 	for _, r := range fleet.Relays {
-		out, _ := exec.Command(program, "members", "list", "--socket", r.Socket).Output()
+		out, _ := exec.Command(programPath, "members", "list", "--socket", r.Socket).Output()
 		if text := string(out); strings.Contains(text, "dropped:") && strings.Contains(text, reason) {
 			return nil
 		}
--- a/internal/testing/cluster/observations.go
+++ b/internal/testing/cluster/observations.go
@@ -39,14 +39,14 @@
 }
 
 // RecordRequest records a request that has ended.
-func (j *ProtocolChecker) RecordRequest(r Request) {
+func (j *Checker) RecordRequest(r Request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.requests[r.ID] = &r
 }
 
 // BeginAbsence records that a server is draining or gone from now on, and back that it is ready again.
-func (j *ProtocolChecker) BeginAbsence(server string) (back func()) {
+func (j *Checker) BeginAbsence(server string) (back func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	a := &Absence{Server: server, From: Now()}
@@ -59,16 +59,14 @@
 }
 
 // BeginDiscoveryLoss records that a relay may not be notified by discovery from now on, and end that it may again.
-func (j *ProtocolChecker) BeginDiscoveryLoss(relay int) (end func()) {
-	return j.beginSpan(j.discoveryLost, relay)
+func (j *Checker) BeginDiscoveryLoss(relay int) (end func()) {
+	return j.addSpan(j.discoveryLost, relay)
 }
 
 // BeginProcessDown records that a relay's process is killed or stopped from now on, and end that this is over.
-func (j *ProtocolChecker) BeginProcessDown(relay int) (end func()) {
-	return j.beginSpan(j.processDown, relay)
-}
+func (j *Checker) BeginProcessDown(relay int) (end func()) { return j.addSpan(j.processDown, relay) }
 
-func (j *ProtocolChecker) beginSpan(spans map[int][]*Span, relay int) (end func()) {
+func (j *Checker) addSpan(spans map[int][]*Span, relay int) (end func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := &Span{From: Now()}
--- a/internal/testing/cluster/operator_test.go
+++ b/internal/testing/cluster/operator_test.go
@@ -16,12 +16,12 @@
 
 // runProgram runs a command of the program and returns what it prints.
 func runProgram(args ...string) (string, error) {
-	out, err := exec.Command(program, args...).CombinedOutput()
+	out, err := exec.Command(programPath, args...).CombinedOutput()
 	return string(out), err
 }
 
 // figures returns a relay's figures as its admin address has them.
-func figures(r *Relay) (string, error) {
+func fetchMetrics(r *Relay) (string, error) {
 	res, err := http.Get("http://" + r.Admin + "/ops/stats")
 	if err != nil {
 		return "", err
@@ -32,8 +32,8 @@
 }
 
 // checkFigures fails unless a relay's figures have lines.
-func checkFigures(r *Relay, want ...string) error {
-	text, err := figures(r)
+func checkMetrics(r *Relay, want ...string) error {
+	text, err := fetchMetrics(r)
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 // startWatch starts `members watch` on a relay, and returns the command and the file that it writes to.
 func startWatch(t *testing.T, r *Relay) (watch *exec.Cmd, file string) {
 	t.Helper()
-	watch = exec.Command(program, "members", "watch", "--socket", r.Socket, "--every", "50ms")
+	watch = exec.Command(programPath, "members", "watch", "--socket", r.Socket, "--every", "50ms")
 	shown, err := os.Create(r.path("watched"))
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 		t.Error(err)
 	}
 	await(t, waitLimit(), "figures", func() error {
-		return checkFigures(first,
+		return checkMetrics(first,
 			`relay_members{state="alive"} 2`,
 			`relay_members_in_view 3`,
 			`relay_members_phase{phase="agreed"} 1`,
@@ -104,7 +104,7 @@
 		})
 	}
 	checkManualDrain(t, fleet, awaitWatched)
-	checkDeath(t, fleet, awaitWatched)
+	checkRelayFailure(t, fleet, awaitWatched)
 	watch.Process.Signal(syscall.SIGINT)
 	if err := watch.Wait(); err != nil {
 		t.Error(err)
@@ -127,12 +127,12 @@
 }
 
 // checkDeath checks that the figures, the log and the time line have the end of a relay.
-func checkDeath(t *testing.T, fleet *Cluster, awaitWatched func(want string)) {
+func checkRelayFailure(t *testing.T, fleet *Cluster, awaitWatched func(want string)) {
 	t.Helper()
 	first := fleet.Relays[0]
 	fleet.Kill(2)
 	await(t, waitLimit(), "the figures have it", func() error {
-		return checkFigures(first, `relay_members{state="failed"} 1`, `relay_members_in_view 2`)
+		return checkMetrics(first, `relay_members{state="failed"} 1`, `relay_members_in_view 2`)
 	})
 	await(t, waitLimit(), "the log has it", func() error {
 		const line = `"member":"r2","state":"failed","cause":"failure detection"`
@@ -170,7 +170,7 @@
 			}
 			return checkContains(list, ": alone, epoch 0", "share 0.3333")
 		})
-		checkServes(t, r)
+		checkAnswersProbe(t, r)
 	}
 	l.Close()
 	fleet.Start(2)
@@ -194,7 +194,7 @@
 	if err := os.WriteFile(r.path("bad.toml"), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(program, "--members", r.path("bad.toml"))
+	cmd := exec.Command(programPath, "--members", r.path("bad.toml"))
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+r.path("config.json"))
 	out, err := cmd.CombinedOutput()
 	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "keys: mode 0644") {
@@ -208,7 +208,7 @@
 	r := fleet.Relays[0]
 	var text string
 	await(t, waitLimit(), "figures", func() (err error) {
-		text, err = figures(r)
+		text, err = fetchMetrics(r)
 		return err
 	})
 	u, err := net.ListenPacket("udp", r.Gossip)
--- a/internal/testing/cluster/process.go
+++ b/internal/testing/cluster/process.go
@@ -38,10 +38,10 @@
 	faults      faultpoint.Rules
 	weight      atomic.Int64 // its part of a Load
 
-	cmd     *exec.Cmd
-	ended   chan struct{} // closed when the process has ended
-	running bool
-	stopped bool // by Stop; it is running still
+	cmd          *exec.Cmd
+	processEnded chan struct{} // closed when the process has ended
+	running      bool
+	stopped      bool // by Stop; it is running still
 }
 
 // SetWeight sets how much of a Load comes to the relay, 1 for an even part and 0 for none. A Load may go on.
@@ -82,11 +82,11 @@
 	}
 	r.running = true
 	r.stopped = false
-	r.ended = make(chan struct{})
+	r.processEnded = make(chan struct{})
 	go func(cmd *exec.Cmd, ended chan struct{}) {
 		cmd.Wait()
 		close(ended)
-	}(r.cmd, r.ended)
+	}(r.cmd, r.processEnded)
 	return nil
 }
 
@@ -125,7 +125,7 @@
 		return
 	}
 	r.cmd.Process.Kill()
-	<-r.ended
+	<-r.processEnded
 	r.running = false
 	r.stopped = false
 	fleet.recordEvent(i, "kill")
@@ -139,7 +139,7 @@
 	}
 	fleet.Resume(i)
 	r.cmd.Process.Signal(syscall.SIGTERM)
-	<-r.ended
+	<-r.processEnded
 	r.running = false
 	fleet.recordEvent(i, "kill")
 }
@@ -159,7 +159,7 @@
 		return true
 	}
 	select {
-	case <-r.ended:
+	case <-r.processEnded:
 		r.running = false
 		r.stopped = false
 		fleet.recordEvent(i, "kill")
--- a/internal/testing/cluster/proxy.go
+++ b/internal/testing/cluster/proxy.go
@@ -22,7 +22,7 @@
 )
 
 // trickleEvery is the time of one byte in Trickle.
-const trickleEvery = 300 * time.Millisecond
+const trickleInterval = 300 * time.Millisecond
 
 // Proxy forwards connections to an address, and fails by its mode.
 type Proxy struct {
@@ -33,16 +33,16 @@
 	mu       sync.Mutex
 	mode     ProxyMode
 	changed  chan struct{} // closed when the mode changes
-	open     map[*proxied]struct{}
+	open     map[*proxiedConn]struct{}
 }
 
 // proxied is one connection through a Proxy.
-type proxied struct {
+type proxiedConn struct {
 	client, server net.Conn
-	tainted        bool // bytes were held back
+	bytesHeldBack  bool // bytes were held back
 }
 
-func (p *proxied) reset() {
+func (p *proxiedConn) reset() {
 	for _, conn := range []net.Conn{p.client, p.server} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
@@ -62,7 +62,7 @@
 		target:   target,
 		listener: l,
 		changed:  make(chan struct{}),
-		open:     map[*proxied]struct{}{},
+		open:     map[*proxiedConn]struct{}{},
 	}
 	go p.serve()
 	return p, nil
@@ -74,10 +74,10 @@
 	defer p.mu.Unlock()
 	for c := range p.open {
 		switch {
-		case mode == Down, mode == Broken, mode == Hung, mode == Pass && c.tainted:
+		case mode == Down, mode == Broken, mode == Hung, mode == Pass && c.bytesHeldBack:
 			c.reset()
 		case mode != Pass:
-			c.tainted = true
+			c.bytesHeldBack = true
 		}
 	}
 	p.mode = mode
@@ -108,15 +108,15 @@
 }
 
 // add registers a connection and returns the mode that it begins in.
-func (p *Proxy) add(c *proxied) ProxyMode {
+func (p *Proxy) add(c *proxiedConn) ProxyMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[c] = struct{}{}
-	c.tainted = p.mode != Pass
+	c.bytesHeldBack = p.mode != Pass
 	return p.mode
 }
 
-func (p *Proxy) remove(c *proxied) {
+func (p *Proxy) remove(c *proxiedConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.open, c)
@@ -124,7 +124,7 @@
 
 func (p *Proxy) forward(conn net.Conn) {
 	defer conn.Close()
-	c := &proxied{client: conn}
+	c := &proxiedConn{client: conn}
 	switch p.add(c) {
 	case Down, Broken:
 		p.reject(conn)
@@ -179,7 +179,7 @@
 				continue
 			case Trickle:
 				size = 1
-				time.Sleep(trickleEvery)
+				time.Sleep(trickleInterval)
 			}
 			if _, err := to.Write(part[:size]); err != nil {
 				return
--- a/internal/testing/cluster/push_test.go
+++ b/internal/testing/cluster/push_test.go
@@ -41,7 +41,7 @@
 			startAll(t, fleet)
 			startLoad(t, fleet, clientRate, clientHold)
 			await(t, waitLimit(), "both serve", func() error {
-				return errors.Join(checkUsed(all[0], 10), checkUsed(all[1], 10))
+				return errors.Join(checkServerUsed(all[0], 10), checkServerUsed(all[1], 10))
 			})
 			fleet.Discovery.Set("s1", all[1].Address, "Ready") // an event comes just before the agent is lost
 			time.Sleep(100 * time.Millisecond)
--- a/internal/testing/cluster/recordingserver.go
+++ b/internal/testing/cluster/recordingserver.go
@@ -71,18 +71,18 @@
 func (s *RecordingServer) ProbeCount(from, to time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(between(s.probedAt, from, to))
+	return len(instantsBetween(s.probedAt, from, to))
 }
 
 // ConnectedAt returns when connections came, of those between two instants.
 func (s *RecordingServer) ConnectedAt(from, to time.Duration) []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return between(s.connectedAt, from, to)
+	return instantsBetween(s.connectedAt, from, to)
 }
 
 // between returns the instants from one on and before another.
-func between(instants []time.Duration, from, to time.Duration) (all []time.Duration) {
+func instantsBetween(instants []time.Duration, from, to time.Duration) (all []time.Duration) {
 	for _, at := range instants {
 		if at >= from && at < to {
 			all = append(all, at)
--- a/internal/testing/cluster/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -16,35 +16,32 @@
 	AfterMs float64 `json:"after_ms"`        // since the step before
 	Action  string  `json:"do"`              // the name of one of the actions
 	Relay   int     `json:"who,omitempty"`   // the relay's number
-	Target  int     `json:"to,omitempty"`    // with cut: the other relay's number
+	Peer    int     `json:"to,omitempty"`    // with cut: the other relay's number
 	Parts   []int   `json:"parts,omitempty"` // with split: each relay's part
 	Value   float64 `json:"value,omitempty"` // the action's part, time in ms or rate
 }
 
 // actions are what a step can do, by name.
-var actions = map[string]func(fleet *Cluster, s Step) error{
+var stepActions = map[string]func(fleet *Cluster, s Step) error{
 	"start": func(fleet *Cluster, s Step) error { return fleet.Start(s.Relay) },
 	"kill":  func(fleet *Cluster, s Step) error { fleet.Kill(s.Relay); return nil },
 	"term":  func(fleet *Cluster, s Step) error { fleet.Terminate(s.Relay); return nil },
 	"stop":  func(fleet *Cluster, s Step) error { fleet.Suspend(s.Relay); return nil },
 	"cont":  func(fleet *Cluster, s Step) error { fleet.Resume(s.Relay); return nil },
 	"split": func(fleet *Cluster, s Step) error { fleet.Split(s.Parts); return fleet.ApplyCuts() },
-	"cut": func(fleet *Cluster, s Step) error {
-		fleet.Cut(s.Relay, s.Target, true)
-		return fleet.ApplyCuts()
-	},
-	"join": func(fleet *Cluster, _ Step) error { clear(fleet.cuts); return fleet.ApplyCuts() },
+	"cut":   func(fleet *Cluster, s Step) error { fleet.Cut(s.Relay, s.Peer, true); return fleet.ApplyCuts() },
+	"join":  func(fleet *Cluster, _ Step) error { clear(fleet.cuts); return fleet.ApplyCuts() },
 	"loss": func(fleet *Cluster, s Step) error {
-		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.LossFraction = s.Value })
+		return fleet.changeFaultsOfAll(func(r *faultpoint.Rules) { r.LossFraction = s.Value })
 	},
 	"twice": func(fleet *Cluster, s Step) error {
-		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.DuplicateFraction = s.Value })
+		return fleet.changeFaultsOfAll(func(r *faultpoint.Rules) { r.DuplicateFraction = s.Value })
 	},
 	"delay": func(fleet *Cluster, s Step) error {
-		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.DelayMs = s.Value })
+		return fleet.changeFaultsOfAll(func(r *faultpoint.Rules) { r.DelayMs = s.Value })
 	},
 	"late": func(fleet *Cluster, s Step) error {
-		return fleet.changeAllFaults(func(r *faultpoint.Rules) { r.LateFraction, r.LateMs = s.Value, 3000 })
+		return fleet.changeFaultsOfAll(func(r *faultpoint.Rules) { r.LateFraction, r.LateMs = s.Value, 3000 })
 	},
 	"rate": func(fleet *Cluster, s Step) error {
 		return fleet.ChangeFaults(s.Relay, func(r *faultpoint.Rules) { r.ClockRate = s.Value })
@@ -53,7 +50,7 @@
 }
 
 // changeAllFaults changes every relay's faults.
-func (fleet *Cluster) changeAllFaults(change func(*faultpoint.Rules)) error {
+func (fleet *Cluster) changeFaultsOfAll(change func(*faultpoint.Rules)) error {
 	for i := range fleet.Relays {
 		if err := fleet.ChangeFaults(i, change); err != nil {
 			return err
@@ -66,8 +63,8 @@
 func (fleet *Cluster) RunSchedule(schedule []Step) error {
 	for _, s := range schedule {
 		time.Sleep(fromMillis(s.AfterMs))
-		act, ok := actions[s.Action]
-		if !ok || !s.fits(len(fleet.Relays)) {
+		act, ok := stepActions[s.Action]
+		if !ok || !s.isValidFor(len(fleet.Relays)) {
 			return fmt.Errorf("schedule: step is impossible with %d relays: %+v", len(fleet.Relays), s)
 		}
 		if err := act(fleet, s); err != nil {
@@ -78,9 +75,9 @@
 }
 
 // fits reports whether a step speaks of relays that a cluster of n has.
-func (s Step) fits(n int) bool {
+func (s Step) isValidFor(n int) bool {
 	has := func(relay int) bool { return relay >= 0 && relay < n }
-	return has(s.Relay) && has(s.Target) && (s.Action != "split" || len(s.Parts) == n)
+	return has(s.Relay) && has(s.Peer) && (s.Action != "split" || len(s.Parts) == n)
 }
 
 // DrawSchedule draws a schedule of faults for n relays that run: the same for the same arguments.
@@ -90,7 +87,7 @@
 		all = append(all, Step{Action: "rate", Relay: i, Value: 1 + 0.05*(2*rng.Float64()-1)})
 	}
 	for range steps {
-		s := Step{AfterMs: 200 + 2500*rng.Float64(), Relay: rng.IntN(n), Target: rng.IntN(n)}
+		s := Step{AfterMs: 200 + 2500*rng.Float64(), Relay: rng.IntN(n), Peer: rng.IntN(n)}
 		switch rng.IntN(11) {
 		case 0, 1:
 			parts := 2 + rng.IntN(2)
@@ -138,7 +135,7 @@
 	if err == nil {
 		err = json.Unmarshal(text, &all)
 	}
-	if err == nil && slices.ContainsFunc(all, func(s Step) bool { return actions[s.Action] == nil }) {
+	if err == nil && slices.ContainsFunc(all, func(s Step) bool { return stepActions[s.Action] == nil }) {
 		err = fmt.Errorf("schedule %s: a step has no known action", path)
 	}
 	return all, err
--- a/internal/testing/cluster/shares.go
+++ b/internal/testing/cluster/shares.go
@@ -53,10 +53,10 @@
 func LowestNearShare(all []faultpoint.HistoryLine, name string, from, to time.Duration) float64 {
 	lowest, until := -1.0, 0.0
 	for _, n := range all {
-		if n.Name != name || n.Event != "" || n.AtMillis > millis(to) {
+		if n.Name != name || n.Event != "" || n.AtMillis > toMillis(to) {
 			continue
 		}
-		if n.AtMillis <= millis(from) {
+		if n.AtMillis <= toMillis(from) {
 			lowest, until = n.NearShare, n.UntilMillis
 			continue
 		}
@@ -65,7 +65,7 @@
 		}
 		lowest, until = min(lowest, n.NearShare), n.UntilMillis
 	}
-	if until > 0 && until < millis(to) {
+	if until > 0 && until < toMillis(to) {
 		return 0
 	}
 	return max(lowest, 0)
--- a/internal/testing/cluster/shares_test.go
+++ b/internal/testing/cluster/shares_test.go
@@ -26,9 +26,8 @@
 // Shares add up zone by zone: far ones count elsewhere, near ones in their zones, a flat relay's everywhere.
 func TestPeakShareSumOfZones(t *testing.T) {
 	line := func(at float64, name string, near, far float64, zones ...string) faultpoint.HistoryLine {
-		return faultpoint.HistoryLine{
-			AtMillis: at, Name: name, NearShare: near, FarShare: far, Zones: zones, Plan: 1,
-		}
+		return faultpoint.HistoryLine{AtMillis: at, Name: name, NearShare: near, FarShare: far,
+			Zones: zones, Plan: 1}
 	}
 	for want, all := range map[float64][]faultpoint.HistoryLine{
 		1:    {line(0, "a", 0.75, 0.25, "x"), line(1, "b", 0.75, 0.25, "y")},
--- a/internal/testing/cluster/shipped_test.go
+++ b/internal/testing/cluster/shipped_test.go
@@ -17,7 +17,7 @@
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	for path, want := range map[string]bool{shipped: false, program: true} {
+	for path, want := range map[string]bool{shipped: false, programPath: true} {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testing/cluster/soak_clients_test.go
+++ b/internal/testing/cluster/soak_clients_test.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	soakStreamEvery = 5 // one accepted connection of so many goes on being used
+	soakStreamInterval = 5 // one accepted connection of so many goes on being used
 	// soakCrowd is how many requests a crowd sends: soakCrowdAtOnce at once, the others at soakCrowdRate.
-	soakCrowd       = 1500
-	soakCrowdAtOnce = 300
-	soakCrowdRate   = 4 * soakRate
-	soakCrowdFirst  = 1 << 20 // the number of its first request
+	soakBurstRequests    = 1500
+	soakBurstAtOnce      = 300
+	soakBurstRate        = 4 * soakRate
+	soakBurstFirstNumber = 1 << 20 // the number of its first request
 )
 
 // sendRequest sends one request and records what became of it.
 func (s *soak) sendRequest(ctx context.Context, n int, rng *rand.Rand) {
 	relay := rng.IntN(soakRelays)
-	if !s.serving[relay].Load() {
+	if !s.acceptsClients[relay].Load() {
 		return
 	}
 	class := rng.IntN(len(soakClasses))
 	r := Request{ID: fmt.Sprintf("q%d", n), Relay: relay, Idempotency: soakIdempotency[class]}
-	defer func() { s.judge.RecordRequest(r) }()
+	defer func() { s.checker.RecordRequest(r) }()
 	conn, err := net.DialTimeout("tcp", s.Relays[relay].Listen, time.Second)
 	if err != nil {
 		return
@@ -58,10 +58,10 @@
 	}
 	switch {
 	case r.Answer != "UP":
-	case rng.IntN(soakStreamEvery) == 0:
+	case rng.IntN(soakStreamInterval) == 0:
 		stream := Stream{ID: r.ID, Relay: relay}
 		useStream(ctx, conn, in, &stream, drawTime(rng, time.Second, 9*time.Second), rng)
-		s.judge.RecordStream(stream)
+		s.checker.RecordStream(stream)
 	default:
 		conn.SetReadDeadline(time.Now().Add(drawTime(rng, 200*time.Millisecond, 1700*time.Millisecond)))
 		for err == nil && ctx.Err() == nil {
@@ -81,7 +81,7 @@
 		line := fmt.Sprintf("M %d %s\r\n", n, stream.ID)
 		sentAt := Now()
 		fmt.Fprint(conn, line) // whatever its end, the read meets it
-		conn.SetReadDeadline(time.Now().Add(5 * echoWithin))
+		conn.SetReadDeadline(time.Now().Add(5 * echoLimit))
 		got, err := in.ReadString('\n')
 		switch took := Now() - sentAt; {
 		case strings.TrimSpace(got) == "MOVE":
@@ -93,7 +93,7 @@
 		case err != nil:
 			stream.Ending = ClosedWithoutMove
 			return
-		case took > echoWithin:
+		case took > echoLimit:
 			stream.LateEcho = max(stream.LateEcho, took)
 		}
 		time.Sleep(drawTime(rng, 20*time.Millisecond, 300*time.Millisecond))
@@ -102,19 +102,19 @@
 
 // sendCrowd sends many requests at once and then, for a while, several times the ordinary rate, as clients do
 // that come back after an outage.
-func (s *soak) sendCrowd(ctx context.Context, seed uint64) {
+func (s *soak) sendBurst(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	send := func(n int) {
 		own := rand.New(rand.NewPCG(seed, 1<<40+uint64(n)))
-		clients.Go(func() { s.sendRequest(ctx, soakCrowdFirst+n, own) })
+		clients.Go(func() { s.sendRequest(ctx, soakBurstFirstNumber+n, own) })
 	}
 	time.Sleep(drawTime(rng, 4*time.Second, 8*time.Second))
 	s.countFault("crowd")
-	for n := range soakCrowd {
-		if n >= soakCrowdAtOnce {
-			time.Sleep(time.Duration(rng.ExpFloat64() / soakCrowdRate * float64(time.Second)))
+	for n := range soakBurstRequests {
+		if n >= soakBurstAtOnce {
+			time.Sleep(time.Duration(rng.ExpFloat64() / soakBurstRate * float64(time.Second)))
 		}
 		send(n)
 	}
--- a/internal/testing/cluster/soak_faults_test.go
+++ b/internal/testing/cluster/soak_faults_test.go
@@ -10,10 +10,10 @@
 )
 
 // earliestKill is how long after the longest deadline SIGKILL may come to a process that was told to leave.
-const earliestKill = 700 * time.Millisecond
+const sigkillMargin = 700 * time.Millisecond
 
 // playFault plays one fault to its end.
-func (s *soak) playFault(t *testing.T, rng *rand.Rand) {
+func (s *soak) injectFault(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	draw := func(from, to time.Duration) time.Duration { return drawTime(rng, from, to) }
 	relay, server := rng.IntN(soakRelays), rng.IntN(soakServers)
@@ -46,7 +46,7 @@
 	if s.pushedLists && (mode == Down || mode == Broken || mode == Hung) {
 		return func() {}
 	}
-	return s.judge.BeginDiscoveryLoss(relay)
+	return s.checker.BeginDiscoveryLoss(relay)
 }
 
 // disturbDiscovery disturbs a relay's connections to discovery for a time. Its next poll may be late by what
@@ -62,14 +62,14 @@
 
 // removeServer takes a server off the endpoint list for a time; one that is gone has died.
 func (s *soak) removeServer(i int, lifecycle string, length time.Duration) {
-	if s.removed[i].Swap(true) {
+	if s.serverRemoved[i].Swap(true) {
 		return
 	}
-	defer s.removed[i].Store(false)
+	defer s.serverRemoved[i].Store(false)
 	s.countFault(lifecycle)
 	server := s.servers[i]
 	s.Discovery.Set(server.ID, server.Address, lifecycle)
-	back := s.judge.BeginAbsence(server.ID)
+	back := s.checker.BeginAbsence(server.ID)
 	if lifecycle == "Gone" {
 		server.Reset()
 	}
@@ -111,9 +111,9 @@
 
 // killRelay ends a relay's process by force.
 func (s *soak) killRelay(i int) {
-	s.serving[i].Store(false)
+	s.acceptsClients[i].Store(false)
 	s.countFault("kill")
-	dead := s.judge.BeginProcessDown(i)
+	dead := s.checker.BeginProcessDown(i)
 	s.clusterMu.Lock()
 	s.Kill(i)
 	s.clusterMu.Unlock()
@@ -130,11 +130,12 @@
 		time.Sleep(drawTime(rng, 0, 30*time.Millisecond))
 	}
 	toldAt := time.Now()
-	time.AfterFunc(drawTime(rng, 200*time.Millisecond, 400*time.Millisecond), func() { s.serving[i].Store(false) })
-	if !s.AwaitExit(i, time.Until(toldAt.Add(requestDeadline+earliestKill))) {
+	time.AfterFunc(drawTime(rng, 200*time.Millisecond, 400*time.Millisecond),
+		func() { s.acceptsClients[i].Store(false) })
+	if !s.AwaitExit(i, time.Until(toldAt.Add(requestDeadline+sigkillMargin))) {
 		t.Errorf("relay %d was still running at SIGKILL", i)
 	}
-	s.serving[i].Store(false)
+	s.acceptsClients[i].Store(false)
 }
 
 // signalDuringStart restarts a relay, and sends it signals in the first milliseconds of its process: SIGHUP
@@ -157,7 +158,7 @@
 	}
 	if rng.IntN(2) == 0 {
 		s.Signal(i, syscall.SIGTERM)
-		if !s.AwaitExit(i, requestDeadline+earliestKill) {
+		if !s.AwaitExit(i, requestDeadline+sigkillMargin) {
 			t.Errorf("relay %d did not end by SIGTERM during its start", i)
 		}
 	}
@@ -200,15 +201,15 @@
 }
 
 // playFaults plays faults, soakFaults at a time, until the context ends.
-func (s *soak) playFaults(ctx context.Context, t *testing.T, seed uint64) {
+func (s *soak) injectFaults(ctx context.Context, t *testing.T, seed uint64) {
 	var faults sync.WaitGroup
 	defer faults.Wait()
-	for i := range soakFaults {
+	for i := range soakConcurrentFaults {
 		rng := rand.New(rand.NewPCG(seed, 1<<32+uint64(i)))
 		faults.Go(func() {
 			for ctx.Err() == nil {
 				time.Sleep(drawTime(rng, 0, 500*time.Millisecond))
-				s.playFault(t, rng)
+				s.injectFault(t, rng)
 			}
 		})
 	}
--- a/internal/testing/cluster/soak_test.go
+++ b/internal/testing/cluster/soak_test.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	soakRelays  = 24
-	soakServers = 10
-	soakRate    = 150.0 // requests a second
-	soakFor     = 22 * time.Second
-	soakFaults  = 9 // faults that go on beside each other
+	soakRelays           = 24
+	soakServers          = 10
+	soakRate             = 150.0 // requests a second
+	soakDuration         = 22 * time.Second
+	soakConcurrentFaults = 9 // faults that go on beside each other
 	// Each of so many seeds has pushed lists, a crowd, and relays that know each other.
-	soakPushEvery    = 3
-	soakCrowdEvery   = 4
-	soakMembersEvery = 5
+	soakPushSeedInterval       = 3
+	soakBurstSeedInterval      = 4
+	soakMembershipSeedInterval = 5
 	// soakDedupWindow is for how long servers recognize a repeat of the class guarded.
 	soakDedupWindow = 1200 * time.Millisecond
 )
@@ -50,37 +50,37 @@
 	clusterMu sync.Mutex // Cluster is not safe for concurrent use
 
 	pushedLists bool // lists come from an agent of each relay's own
-	judge       *ProtocolChecker
+	checker     *Checker
 	proxies     []*Proxy // by relay: before discovery
 	servers     []*FaultyServer
 
-	serving      []atomic.Bool // by relay: clients may connect
-	processFault []atomic.Bool // by relay: a fault of its process goes on
-	removed      []atomic.Bool // by server: it is off the list
-	faultCounts  sync.Map      // by kind: a *atomic.Int64
+	acceptsClients []atomic.Bool // by relay: clients may connect
+	processFault   []atomic.Bool // by relay: a fault of its process goes on
+	serverRemoved  []atomic.Bool // by server: it is off the list
+	faultCounts    sync.Map      // by kind: a *atomic.Int64
 }
 
 // newSoak starts the fleet of a seed.
 func newSoak(t *testing.T, seed uint64) *soak {
 	t.Helper()
 	settings := map[string]any{"classes": soakClasses, "balancers": 300}
-	pushed := seed%soakPushEvery == 0
+	pushed := seed%soakPushSeedInterval == 0
 	if pushed {
 		settings["discovery"] = "push"
 	}
 	fleet := newCluster(t, Layout{
 		Relays:            soakRelays,
-		WithoutMembership: seed%soakMembersEvery != 0,
+		WithoutMembership: seed%soakMembershipSeedInterval != 0,
 		IgnoreHangup:      true,
 		Settings:          settings,
 	}, 0)
 	s := &soak{
-		Cluster:      fleet,
-		pushedLists:  pushed,
-		judge:        NewProtocolChecker(soakDedupWindow),
-		serving:      make([]atomic.Bool, soakRelays),
-		processFault: make([]atomic.Bool, soakRelays),
-		removed:      make([]atomic.Bool, soakServers),
+		Cluster:        fleet,
+		pushedLists:    pushed,
+		checker:        NewChecker(soakDedupWindow),
+		acceptsClients: make([]atomic.Bool, soakRelays),
+		processFault:   make([]atomic.Bool, soakRelays),
+		serverRemoved:  make([]atomic.Bool, soakServers),
 	}
 	attempts := &attemptLog{attempts: map[string][]loggedAttempt{}}
 	for i := range soakServers {
@@ -122,7 +122,7 @@
 	}
 	heard := func() {}
 	if !s.pushedLists { // its first poll has an offset; a watch of its own agent is opened at once
-		heard = s.judge.BeginDiscoveryLoss(i)
+		heard = s.checker.BeginDiscoveryLoss(i)
 	}
 	for range 100 {
 		if conn, err := net.DialTimeout("tcp", s.Relays[i].Listen, time.Second); err == nil {
@@ -131,7 +131,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.serving[i].Store(true)
+	s.acceptsClients[i].Store(true)
 	time.AfterFunc(10*time.Second, heard)
 }
 
@@ -182,13 +182,13 @@
 	t.Logf("this seed alone: CAPERSAIL_SOAK=%d go test -race ./internal/testing/cluster -run 'TestSoak$' -v", seed)
 	s := newSoak(t, seed)
 	time.Sleep(5 * time.Second) // the relays' first polls are spread
-	ctx, stop := context.WithTimeout(t.Context(), soakFor)
+	ctx, stop := context.WithTimeout(t.Context(), soakDuration)
 	defer stop()
 	var all sync.WaitGroup
 	all.Go(func() { s.sendLoad(ctx, seed) })
-	all.Go(func() { s.playFaults(ctx, t, seed) })
-	if seed%soakCrowdEvery == 0 {
-		all.Go(func() { s.sendCrowd(ctx, seed) })
+	all.Go(func() { s.injectFaults(ctx, t, seed) })
+	if seed%soakBurstSeedInterval == 0 {
+		all.Go(func() { s.sendBurst(ctx, seed) })
 	}
 	all.Wait()
 	var arrivals []Arrival
@@ -198,7 +198,7 @@
 	if !s.WithoutMembership { // newCluster checks the shares of the whole run
 		await(t, waitLimit(), "the shares are at their targets again", s.checkSettled)
 	}
-	broken := s.judge.Violations(arrivals)
+	broken := s.checker.Violations(arrivals)
 	for i, text := range broken {
 		if i == 12 {
 			t.Errorf("and %d more", len(broken)-i)
@@ -218,8 +218,8 @@
 		return true
 	})
 	t.Logf("seed %d: %d requests, %d attempts, %d streams, %d faults",
-		seed, len(s.judge.requests), len(arrivals), len(s.judge.streams), faults)
-	if len(s.judge.requests) < 1000 || len(arrivals) < 500 || faults < 20 {
+		seed, len(s.checker.requests), len(arrivals), len(s.checker.streams), faults)
+	if len(s.checker.requests) < 1000 || len(arrivals) < 500 || faults < 20 {
 		t.Error("too little happened for a verdict")
 	}
 }
--- a/internal/testing/cluster/streams.go
+++ b/internal/testing/cluster/streams.go
@@ -8,9 +8,9 @@
 const (
 	// echoWithin is how long a line and its echo may be under way on a sound connection: the platform allows
 	// a second, and a busy machine gets the rest.
-	echoWithin = 1500 * time.Millisecond
+	echoLimit = 1500 * time.Millisecond
 	// endedWithin is when a connection has ended, or was moved, whose server has ended it.
-	endedWithin = 1500 * time.Millisecond
+	endForwardingLimit = 1500 * time.Millisecond
 )
 
 // Stream is an accepted connection that its client has gone on using. Its instants are as Now has them.
@@ -33,7 +33,7 @@
 )
 
 // RecordStream records a stream that has ended.
-func (j *ProtocolChecker) RecordStream(s Stream) {
+func (j *Checker) RecordStream(s Stream) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.streams = append(j.streams, s)
@@ -41,7 +41,7 @@
 
 // checkStream checks a stream against the attempt that it came of: it is neither cut off without MOVE while its
 // server goes on, nor held back, nor held on to once its server has ended it.
-func (j *ProtocolChecker) checkStream(s Stream, attempt Arrival) (violations []string) {
+func (j *Checker) checkStream(s Stream, attempt Arrival) (violations []string) {
 	const downMargin = 100 * time.Millisecond
 	if anyOverlaps(j.processDown[s.Relay], s.EndedAt-downMargin, s.EndedAt) {
 		return nil
@@ -54,7 +54,7 @@
 		violations = append(violations, fmt.Sprintf("held: %s of relay %d waited %.2f s for a line",
 			s.ID, s.Relay, s.LateEcho.Seconds()))
 	}
-	if late := s.EndedAt - attempt.EndedAt; attempt.EndedByServer && late > endedWithin {
+	if late := s.EndedAt - attempt.EndedAt; attempt.EndedByServer && late > endForwardingLimit {
 		violations = append(violations, fmt.Sprintf("held: %s of relay %d ended %.2f s after its server ended it",
 			s.ID, s.Relay, late.Seconds()))
 	}
--- a/internal/testing/cluster/time.go
+++ b/internal/testing/cluster/time.go
@@ -16,7 +16,7 @@
 }
 
 // millis is an instant or a time as histories and schedules write it.
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // fromMillis is the opposite of millis.
 func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/testing/doccheck/log_test.go
+++ b/internal/testing/doccheck/log_test.go
@@ -103,7 +103,7 @@
 // logPageRows are the rows of the page's table, matched by logRow.
 func logPageRows(t *testing.T) (rows [][]string) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(root, logPage))
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, logPage))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,11 +135,11 @@
 	t.Helper()
 	fset := token.NewFileSet()
 	files := map[string][]*ast.File{} // by package's folder
-	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		relative, err := filepath.Rel(root, name)
+		relative, err := filepath.Rel(repositoryRoot, name)
 		if err != nil {
 			return err
 		}
--- a/internal/testing/doccheck/names_test.go
+++ b/internal/testing/doccheck/names_test.go
@@ -14,15 +14,15 @@
 	"testing"
 )
 
-const root = "../../.."
+const repositoryRoot = "../../.."
 
 var (
-	codeSpan   = regexp.MustCompile("`[^`\n]+`")
-	qualified  = regexp.MustCompile(`\b([a-z][a-z0-9]*)\.([A-Z]\w*)(?:\.(\w+))?`)
-	memberOf   = regexp.MustCompile(`(?:^|[^.\w-])([A-Z]\w*)\.([A-Za-z]\w*)`)
-	testName   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
-	treePath   = regexp.MustCompile(`\b(?:internal|decide|cmd|docs|deploy|examples|plugin)/[\w./-]*\w`)
-	fileEnding = regexp.MustCompile(`^(md|txt|toml|json|go|sh|log|svg)$`)
+	codeSpan        = regexp.MustCompile("`[^`\n]+`")
+	qualifiedName   = regexp.MustCompile(`\b([a-z][a-z0-9]*)\.([A-Z]\w*)(?:\.(\w+))?`)
+	memberReference = regexp.MustCompile(`(?:^|[^.\w-])([A-Z]\w*)\.([A-Za-z]\w*)`)
+	testName        = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
+	repositoryPath  = regexp.MustCompile(`\b(?:internal|decide|cmd|docs|deploy|examples|plugin)/[\w./-]*\w`)
+	fileExtension   = regexp.MustCompile(`^(md|txt|toml|json|go|sh|log|svg)$`)
 )
 
 // declarations are the names that the code of the repository declares.
@@ -37,20 +37,20 @@
 // gone.
 func TestPagesNameWhatTheCodeDeclares(t *testing.T) {
 	declared := readDeclarations(t)
-	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	pages, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	nested, err := filepath.Glob(filepath.Join(root, "docs", "*", "*.md"))
+	nested, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", "*", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	pages = append(append(pages, nested...), filepath.Join(root, "README.md"))
+	pages = append(append(pages, nested...), filepath.Join(repositoryRoot, "README.md"))
 	if len(pages) < 20 {
 		t.Fatalf("only %d pages found under docs/", len(pages))
 	}
 	for _, page := range pages {
-		name, err := filepath.Rel(root, page)
+		name, err := filepath.Rel(repositoryRoot, page)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 
 // problems says what a line of a page names that the code does not have.
 func (d declarations) problems(line string) (found []string) {
-	for _, match := range qualified.FindAllStringSubmatch(line, -1) {
+	for _, match := range qualifiedName.FindAllStringSubmatch(line, -1) {
 		names, ours := d.packages[match[1]]
 		switch {
 		case !ours && d.imported[match[1]]:
@@ -94,8 +94,8 @@
 		}
 	}
 	for _, span := range codeSpan.FindAllString(line, -1) {
-		for _, match := range memberOf.FindAllStringSubmatch(span, -1) {
-			if fileEnding.MatchString(match[2]) || d.imported[match[1]] {
+		for _, match := range memberReference.FindAllStringSubmatch(span, -1) {
+			if fileExtension.MatchString(match[2]) || d.imported[match[1]] {
 				continue
 			}
 			if !d.members[match[1]][match[2]] {
@@ -103,8 +103,8 @@
 			}
 		}
 	}
-	for _, name := range treePath.FindAllString(line, -1) {
-		if _, err := os.Stat(filepath.Join(root, name)); err != nil {
+	for _, name := range repositoryPath.FindAllString(line, -1) {
+		if _, err := os.Stat(filepath.Join(repositoryRoot, name)); err != nil {
 			found = append(found, name+": no such file or folder")
 		}
 	}
@@ -119,7 +119,7 @@
 		imported: map[string]bool{},
 		tests:    map[string]bool{},
 	}
-	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
--- a/internal/testing/expectedfail/judge.go
+++ b/internal/testing/expectedfail/evaluate.go
@@ -15,23 +15,23 @@
 }
 
 // run is how the tests of one package went.
-type run struct {
-	ended  string            // the package's last action
-	tests  map[string]string // by test: its last action
-	output map[string]string // by test, "" for the package's own
+type packageRun struct {
+	lastAction string            // the package's last action
+	tests      map[string]string // by test: its last action
+	output     map[string]string // by test, "" for the package's own
 }
 
 // judge reads the events of go test -json, prints the output of what is not passed over, and returns what is
 // wrong: it is nil if exactly the listed tests have failed, less intermittent ones that passed. The output of
 // a listed test that failed is printed, so that its trace is kept. It fails if the events cannot be read.
-func judge(events io.Reader, list []expected, out io.Writer) (wrong []string, err error) {
+func evaluate(events io.Reader, list []listedTest, out io.Writer) (wrong []string, err error) {
 	runs, wrong, err := readRuns(events, out)
 	if err != nil {
 		return nil, err
 	}
 	actions := make([]string, len(list))
 	for pkg, r := range runs {
-		wrong = append(wrong, r.judge(pkg, list, actions, out)...)
+		wrong = append(wrong, r.check(pkg, list, actions, out)...)
 	}
 	for i, e := range list {
 		switch action := actions[i]; {
@@ -52,8 +52,8 @@
 }
 
 // readRuns reads the events, and prints the packages' own output and what is no event.
-func readRuns(events io.Reader, out io.Writer) (runs map[string]*run, wrong []string, err error) {
-	runs = map[string]*run{}
+func readRuns(events io.Reader, out io.Writer) (runs map[string]*packageRun, wrong []string, err error) {
+	runs = map[string]*packageRun{}
 	lines := bufio.NewScanner(events)
 	lines.Buffer(nil, 16<<20)
 	for lines.Scan() {
@@ -64,7 +64,7 @@
 		}
 		r := runs[e.Package]
 		if r == nil {
-			r = &run{tests: map[string]string{}, output: map[string]string{}}
+			r = &packageRun{tests: map[string]string{}, output: map[string]string{}}
 			runs[e.Package] = r
 		}
 		switch {
@@ -76,7 +76,7 @@
 		case e.Action == "build-fail":
 			wrong = append(wrong, "a package does not build")
 		case e.Test == "":
-			r.ended = e.Action
+			r.lastAction = e.Action
 		default:
 			r.tests[e.Test] = e.Action
 		}
@@ -85,10 +85,10 @@
 }
 
 // judge returns what is wrong in one package, and sets the last action of each listed test that it has.
-func (r *run) judge(pkg string, list []expected, actions []string, out io.Writer) (wrong []string) {
+func (r *packageRun) check(pkg string, list []listedTest, actions []string, out io.Writer) (wrong []string) {
 	listedFailed := false
 	for test, action := range r.tests {
-		i := slices.IndexFunc(list, func(e expected) bool { return e.isIn(pkg) && e.test == test })
+		i := slices.IndexFunc(list, func(e listedTest) bool { return e.isInPackage(pkg) && e.test == test })
 		switch {
 		case i >= 0:
 			actions[i] = action
@@ -104,7 +104,7 @@
 			fmt.Fprint(out, r.output[test])
 		}
 	}
-	if r.ended == "fail" && !listedFailed && len(wrong) == 0 {
+	if r.lastAction == "fail" && !listedFailed && len(wrong) == 0 {
 		wrong = append(wrong, pkg+" failed outside its tests")
 	}
 	return wrong
@@ -112,9 +112,9 @@
 
 // isCovered reports whether a test that failed is a part of a listed one, or failed by listed parts of its
 // own only.
-func (r *run) isCovered(list []expected, pkg, test string) bool {
+func (r *packageRun) isCovered(list []listedTest, pkg, test string) bool {
 	isListed := func(name string) bool {
-		return slices.ContainsFunc(list, func(e expected) bool { return e.isIn(pkg) && e.hasPart(name) })
+		return slices.ContainsFunc(list, func(e listedTest) bool { return e.isInPackage(pkg) && e.includes(name) })
 	}
 	if isListed(test) {
 		return true
@@ -124,7 +124,7 @@
 		if action != "fail" || !strings.HasPrefix(name, test+"/") {
 			continue
 		}
-		hasListedPart := slices.ContainsFunc(list, func(e expected) bool {
+		hasListedPart := slices.ContainsFunc(list, func(e listedTest) bool {
 			return strings.HasPrefix(e.test, name+"/")
 		})
 		if !isListed(name) && !hasListedPart {
--- a/internal/testing/expectedfail/main.go
+++ b/internal/testing/expectedfail/main.go
@@ -33,9 +33,9 @@
 	if err != nil {
 		return nil, err
 	}
-	list, err := parse(string(text))
+	list, err := parseList(string(text))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", args[0], err)
 	}
-	return judge(os.Stdin, list, os.Stdout)
+	return evaluate(os.Stdin, list, os.Stdout)
 }
--- a/internal/testing/expectedfail/main_test.go
+++ b/internal/testing/expectedfail/main_test.go
@@ -20,7 +20,7 @@
 		strings.Repeat("a TestX | c | 9\n", 3): 3,
 		strings.Repeat("a TestX | c | 9\n", 4): invalid,
 	} {
-		list, err := parse(text)
+		list, err := parseList(text)
 		if got := len(list); (err != nil) != (want == invalid) || err == nil && got != want {
 			t.Errorf("%q: %d, %v", text, got, err)
 		}
@@ -117,12 +117,12 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			parsed, err := parse(c.list)
+			parsed, err := parseList(c.list)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var out strings.Builder
-			wrong, err := judge(strings.NewReader(asJSON(c.events)), parsed, &out)
+			wrong, err := evaluate(strings.NewReader(eventsAsJSON(c.events)), parsed, &out)
 			if got := strings.Join(wrong, ","); err != nil || got != c.wrong {
 				t.Errorf("%q, %v; want %q", got, err, c.wrong)
 			}
@@ -143,7 +143,7 @@
 
 // asJSON returns events, each a package, a test or "." for the package's own, and an action, as go test -json
 // has them.
-func asJSON(events string) string {
+func eventsAsJSON(events string) string {
 	var b strings.Builder
 	for e := range strings.SplitSeq(events, ";") {
 		p := strings.Fields(e)
--- a/internal/testing/fake/acceptor.go
+++ b/internal/testing/fake/acceptor.go
@@ -33,7 +33,7 @@
 }
 
 // all returns the connections that have come so far.
-func (a *acceptor) all() []net.Conn {
+func (a *acceptor) connections() []net.Conn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.conns)
@@ -42,7 +42,7 @@
 // reset ends it as a process that dies does: connections are reset, new ones refused. It may be called again.
 func (a *acceptor) reset() {
 	a.listener.Close()
-	for _, c := range a.all() {
+	for _, c := range a.connections() {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
--- a/internal/testing/fake/echoserver.go
+++ b/internal/testing/fake/echoserver.go
@@ -77,7 +77,7 @@
 
 // Broadcast sends a line on every connection, and ends them after it if last is set.
 func (s *EchoServer) Broadcast(line string, last bool) {
-	for _, c := range s.acceptor.all() {
+	for _, c := range s.acceptor.connections() {
 		fmt.Fprintf(c, "%s\r\n", line)
 		if last {
 			c.(*net.TCPConn).CloseWrite()
--- a/internal/testing/fake/feed.go
+++ b/internal/testing/fake/feed.go
@@ -9,15 +9,15 @@
 type Feed struct {
 	Keep uint64
 
-	mu     sync.Mutex
-	newest uint64
-	more   *sync.Cond // on mu: newest has grown, or a stream has ended
+	mu      sync.Mutex
+	newest  uint64
+	changed *sync.Cond // on mu: newest has grown, or a stream has ended
 }
 
 // NewFeed returns a feed that makes a scan each period, in a goroutine that ends once stop is closed.
 func NewFeed(keep uint64, period time.Duration, stop <-chan struct{}) *Feed {
 	f := &Feed{Keep: keep, newest: 1}
-	f.more = sync.NewCond(&f.mu)
+	f.changed = sync.NewCond(&f.mu)
 	go f.run(period, stop)
 	return f
 }
@@ -33,14 +33,14 @@
 			f.mu.Lock()
 			f.newest++
 			f.mu.Unlock()
-			f.more.Broadcast()
+			f.changed.Broadcast()
 		}
 	}
 }
 
 // await blocks until scan n has been made and returns true, or false once it finds over closed, which it
 // looks for whenever it is woken: at the latest with the next scan.
-func (f *Feed) await(n uint64, over <-chan struct{}) bool {
+func (f *Feed) waitForScan(n uint64, over <-chan struct{}) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for n > f.newest {
@@ -49,7 +49,7 @@
 			return false
 		default:
 		}
-		f.more.Wait()
+		f.changed.Wait()
 	}
 	return true
 }
--- a/internal/testing/fake/scanfaults.go
+++ b/internal/testing/fake/scanfaults.go
@@ -78,7 +78,7 @@
 func (s *ScanServer) FirstLineCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.openings
+	return s.firstLineCount
 }
 
 // isKilled reports whether Kill was called.
--- a/internal/testing/fake/scanserver.go
+++ b/internal/testing/fake/scanserver.go
@@ -29,10 +29,10 @@
 
 	listener net.Listener
 
-	mu          sync.Mutex
-	connections map[*net.TCPConn]bool // true once the connection's stream is served
-	fences      map[string]uint64     // by stream: the highest generation that came
-	openings    int                   // first lines that came, probes not counted
+	mu             sync.Mutex
+	connections    map[*net.TCPConn]bool // true once the connection's stream is served
+	fencingTokens  map[string]uint64     // by stream: the highest generation that came
+	firstLineCount int                   // first lines that came, probes not counted
 
 	faults    ServerFaults
 	silent    bool
@@ -52,14 +52,14 @@
 		return nil, err
 	}
 	s := &ScanServer{
-		ID:          id,
-		Address:     l.Addr().String(),
-		Feed:        feed,
-		Tracker:     ledger,
-		Load:        0.2,
-		listener:    l,
-		connections: map[*net.TCPConn]bool{},
-		fences:      map[string]uint64{},
+		ID:            id,
+		Address:       l.Addr().String(),
+		Feed:          feed,
+		Tracker:       ledger,
+		Load:          0.2,
+		listener:      l,
+		connections:   map[*net.TCPConn]bool{},
+		fencingTokens: map[string]uint64{},
 	}
 	s.resumed = sync.NewCond(&s.mu)
 	go s.accept()
--- a/internal/testing/fake/scanstream.go
+++ b/internal/testing/fake/scanstream.go
@@ -11,17 +11,17 @@
 )
 
 // opening is what a first line asks for.
-type opening struct {
-	id         string
-	stream     string // "" on a line without one
-	generation uint64 // the stream's fencing token
-	from       uint64 // the first scan wanted, 0 for the next one
-	lease      uint64 // how long the stream may be served without a renewal, in ms; 0 for ever
+type openRequest struct {
+	id          string
+	stream      string // "" on a line without one
+	generation  uint64 // the stream's fencing token
+	firstWanted uint64 // the first scan wanted, 0 for the next one
+	lease       uint64 // how long the stream may be served without a renewal, in ms; 0 for ever
 }
 
-func parseOpening(text string) opening {
+func parseOpenRequest(text string) openRequest {
 	parts := strings.Split(text, " ")
-	o := opening{id: parts[1]}
+	o := openRequest{id: parts[1]}
 	for field := range strings.SplitSeq(parts[len(parts)-1], ",") {
 		switch name, value, _ := strings.Cut(field, "="); name {
 		case "s":
@@ -29,7 +29,7 @@
 		case "gen":
 			o.generation, _ = strconv.ParseUint(value, 10, 64)
 		case "from":
-			o.from, _ = strconv.ParseUint(value, 10, 64)
+			o.firstWanted, _ = strconv.ParseUint(value, 10, 64)
 		case "lease":
 			o.lease, _ = strconv.ParseUint(value, 10, 64)
 		}
@@ -38,8 +38,8 @@
 }
 
 // firstScan returns the number of the first scan to send: the one asked for, or the oldest that is kept.
-func (o opening) firstScan(newest, keep uint64) uint64 {
-	from := o.from
+func (o openRequest) firstScan(newest, keep uint64) uint64 {
+	from := o.firstWanted
 	if from == 0 {
 		from = newest + 1
 	}
@@ -56,9 +56,9 @@
 	if s.isKilled() {
 		return
 	}
-	o := parseOpening(text)
+	o := parseOpenRequest(text)
 	newest := s.Feed.Newest()
-	rejecting, fence, faults := s.noteOpening(o)
+	rejecting, fence, faults := s.recordOpenRequest(o)
 	time.Sleep(faults.UpDelay)
 	switch {
 	case faults.AnswerError:
@@ -70,7 +70,7 @@
 	case o.stream != "" && o.generation < fence:
 		fmt.Fprintf(c, "STALE %d\r\n", fence)
 		return
-	case o.from > newest+1:
+	case o.firstWanted > newest+1:
 		fmt.Fprintf(c, "AHEAD %d\r\n", newest)
 		return
 	}
@@ -79,7 +79,7 @@
 	s.measureLoad()
 	s.mu.Unlock()
 	stream := &scanStream{
-		opening:     o,
+		openRequest: o,
 		server:      s,
 		conn:        c,
 		in:          in,
@@ -90,20 +90,20 @@
 
 // noteOpening counts a first line and raises its stream's fence. It returns the fence from before, and the
 // faults now.
-func (s *ScanServer) noteOpening(o opening) (rejecting bool, fence uint64, faults ServerFaults) {
+func (s *ScanServer) recordOpenRequest(o openRequest) (rejecting bool, fence uint64, faults ServerFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.openings++
-	fence = s.fences[o.stream]
+	s.firstLineCount++
+	fence = s.fencingTokens[o.stream]
 	if o.stream != "" && o.generation > fence {
-		s.fences[o.stream] = o.generation
+		s.fencingTokens[o.stream] = o.generation
 	}
 	return s.rejecting, fence, s.faults
 }
 
 // scanStream is one stream that is served.
 type scanStream struct {
-	opening
+	openRequest
 	server      *ScanServer
 	conn        *net.TCPConn
 	in          *bufio.Reader
@@ -118,13 +118,13 @@
 	if t.stream == "" {
 		fmt.Fprintf(t.conn, "UP %s\r\n", t.id)
 	} else {
-		t.server.Tracker.beginService(t.stream, t.server.ID, t.generation, t.conn)
-		defer t.server.Tracker.endService(t.stream, t.conn)
+		t.server.Tracker.beginServing(t.stream, t.server.ID, t.generation, t.conn)
+		defer t.server.Tracker.endServing(t.stream, t.conn)
 		fmt.Fprintf(t.conn, "UP %s from=%d\r\n", t.id, from)
 	}
 	// The server ends a leased stream by itself, since a relay that does not renew in time may be stopped.
 	t.leaseTimer = time.AfterFunc(time.Hour, func() {
-		t.server.Tracker.endService(t.stream, t.conn)
+		t.server.Tracker.endServing(t.stream, t.conn)
 		t.conn.Close()
 	})
 	defer t.leaseTimer.Stop()
@@ -138,7 +138,7 @@
 // echo returns the client's lines and renews the lease, until the client's side ends.
 func (t *scanStream) echo() {
 	defer close(t.clientEnded)
-	defer t.server.Feed.more.Broadcast()
+	defer t.server.Feed.changed.Broadcast()
 	for {
 		line, err := t.in.ReadString('\n')
 		t.server.waitWhileSilent()
@@ -159,7 +159,7 @@
 // sendScans sends each scan from the given one on.
 func (t *scanStream) sendScans(from uint64) {
 	for next := from; ; next++ {
-		if !t.server.Feed.await(next, t.clientEnded) {
+		if !t.server.Feed.waitForScan(next, t.clientEnded) {
 			return
 		}
 		t.server.waitWhileSilent()
--- a/internal/testing/fake/ledger.go
+++ b/internal/testing/fake/streamtracker.go
@@ -12,14 +12,14 @@
 // StreamTracker records, over all servers, who serves each stream in which generation, and which rule that broke.
 type StreamTracker struct {
 	mu                sync.Mutex
-	serving           map[string]*service
+	serving           map[string]*servingServer
 	highestGeneration map[string]uint64
-	served            int
+	servingCount      int
 	violations        []string
 }
 
 // service is one server that serves a stream.
-type service struct {
+type servingServer struct {
 	server     string
 	generation uint64
 	conn       *net.TCPConn
@@ -27,12 +27,12 @@
 
 // NewStreamTracker returns an empty ledger.
 func NewStreamTracker() *StreamTracker {
-	return &StreamTracker{serving: map[string]*service{}, highestGeneration: map[string]uint64{}}
+	return &StreamTracker{serving: map[string]*servingServer{}, highestGeneration: map[string]uint64{}}
 }
 
 // beginService records a service. If another server's connection for the stream still stands at this instant,
 // two servers serve it. The kernel is asked, since a goroutine may be late to read what has come long ago.
-func (l *StreamTracker) beginService(stream, server string, gen uint64, conn *net.TCPConn) {
+func (l *StreamTracker) beginServing(stream, server string, gen uint64, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !isEstablished(conn) { // given up while the server was silent or dead: it serves nobody
@@ -47,12 +47,12 @@
 			stream, gen, l.highestGeneration[stream]))
 	}
 	l.highestGeneration[stream] = gen
-	l.serving[stream] = &service{server, gen, conn}
-	l.served++
+	l.serving[stream] = &servingServer{server, gen, conn}
+	l.servingCount++
 }
 
 // endService removes a service, unless another has begun since.
-func (l *StreamTracker) endService(stream string, conn *net.TCPConn) {
+func (l *StreamTracker) endServing(stream string, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o := l.serving[stream]; o != nil && o.conn == conn {
@@ -71,7 +71,7 @@
 func (l *StreamTracker) Serving() (now, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.serving), l.served
+	return len(l.serving), l.servingCount
 }
 
 // isEstablished reports whether the kernel holds a connection to be established, ended by neither side.
--- a/internal/testing/fake/viewer.go
+++ b/internal/testing/fake/viewer.go
@@ -25,7 +25,7 @@
 
 	mu    sync.Mutex
 	token string // "" while it has none
-	tally ViewerStats
+	stats ViewerStats
 }
 
 // ResumeToken returns the newest resume token, "" for none.
@@ -60,27 +60,27 @@
 	relay := v.RelayAddress()
 	conn, err := net.DialTimeout("tcp", relay, 500*time.Millisecond)
 	if err != nil {
-		v.updateTally(func(t *ViewerStats) { t.DialFailures++ })
+		v.updateStats(func(t *ViewerStats) { t.DialFailures++ })
 		return retryDelay()
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	v.updateTally(func(t *ViewerStats) { t.FirstLinesSent++ })
+	v.updateStats(func(t *ViewerStats) { t.FirstLinesSent++ })
 	fmt.Fprintf(conn, "OPEN %s-%d %s,d=%d%s\r\n",
 		v.Name, n, v.OpenFields, v.WaitLimit.Milliseconds(), v.resumeFields())
 	conn.SetReadDeadline(time.Now().Add(v.WaitLimit + 3*time.Second))
 	in := bufio.NewReader(conn)
 	line, err := in.ReadString('\n')
 	if err != nil {
-		v.noteUnanswered(ctx, relay)
+		v.recordUnanswered(ctx, relay)
 		return retryDelay()
 	}
-	v.updateTally(func(t *ViewerStats) { t.Answers++ })
+	v.updateStats(func(t *ViewerStats) { t.Answers++ })
 	v.reportEvent("answered %s", strings.TrimSpace(line))
 	if strings.Fields(line)[0] != "UP" {
-		return v.noteRejection(in, line)
+		return v.recordRejection(in, line)
 	}
-	v.updateTally(func(t *ViewerStats) { t.Accepted++ })
+	v.updateStats(func(t *ViewerStats) { t.Accepted++ })
 	if v.SendEvery > 0 {
 		stop := make(chan struct{})
 		defer close(stop)
@@ -98,17 +98,17 @@
 	case !v.UseTokens:
 		return ""
 	case v.token != "":
-		return fmt.Sprintf(",resume=%s,pos=%d", v.token, v.tally.LastScan)
-	case v.tally.LastScan > 0:
-		return fmt.Sprintf(",resume=new,pos=%d", v.tally.LastScan)
+		return fmt.Sprintf(",resume=%s,pos=%d", v.token, v.stats.LastScan)
+	case v.stats.LastScan > 0:
+		return fmt.Sprintf(",resume=new,pos=%d", v.stats.LastScan)
 	}
 	return ",resume=new"
 }
 
 // noteUnanswered counts a connection that ended before its answer. One that Run's end cut does not count as
 // opened.
-func (v *Viewer) noteUnanswered(ctx context.Context, relay string) {
-	v.updateTally(func(t *ViewerStats) {
+func (v *Viewer) recordUnanswered(ctx context.Context, relay string) {
+	v.updateStats(func(t *ViewerStats) {
 		t.Disconnects++
 		if ctx.Err() != nil {
 			t.FirstLinesSent--
@@ -119,22 +119,22 @@
 }
 
 // noteRejection notes an answer other than UP, and returns how long to wait before the next connection.
-func (v *Viewer) noteRejection(in *bufio.Reader, line string) time.Duration {
+func (v *Viewer) recordRejection(in *bufio.Reader, line string) time.Duration {
 	words := strings.Fields(line)
 	if words[0] == "BUSY" {
-		v.updateTally(func(t *ViewerStats) { t.Rejected++ })
-		v.countSecondAnswer(in)
+		v.updateStats(func(t *ViewerStats) { t.Rejected++ })
+		v.recordSecondAnswer(in)
 		if len(words) > 1 {
 			ms, _ := strconv.Atoi(words[1])
 			return time.Duration(ms) * time.Millisecond
 		}
 		return retryDelay()
 	}
-	v.countSecondAnswer(in)
+	v.recordSecondAnswer(in)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.tally.OtherAnswers++
-	v.tally.Problems = append(v.tally.Problems, strings.TrimSpace(line))
+	v.stats.OtherAnswers++
+	v.stats.Problems = append(v.stats.Problems, strings.TrimSpace(line))
 	if len(words) > 1 && words[1] == "resume" { // the token is rejected for good
 		v.token = ""
 	}
@@ -160,7 +160,7 @@
 	for first := true; ; {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			v.updateTally(func(t *ViewerStats) { t.Disconnects++ })
+			v.updateStats(func(t *ViewerStats) { t.Disconnects++ })
 			v.reportEvent("the connection ended")
 			return retryDelay()
 		}
@@ -179,9 +179,9 @@
 			v.mu.Unlock()
 			fmt.Fprintf(conn, "GOT %s\r\n", words[1])
 		case words[0] == "GAP":
-			v.updateTally(func(t *ViewerStats) { t.Problems = append(t.Problems, strings.TrimSpace(line)) })
+			v.updateStats(func(t *ViewerStats) { t.Problems = append(t.Problems, strings.TrimSpace(line)) })
 		case words[0] == "MOVE":
-			v.updateTally(func(t *ViewerStats) { t.Migrations++ })
+			v.updateStats(func(t *ViewerStats) { t.Migrations++ })
 			v.reportEvent("notified to move; the last scan was %d", v.Stats().LastScan)
 			return time.Duration(rand.IntN(20)) * time.Millisecond
 		}
@@ -189,12 +189,12 @@
 }
 
 // countSecondAnswer counts what comes after a final answer as further answers.
-func (v *Viewer) countSecondAnswer(in *bufio.Reader) {
+func (v *Viewer) recordSecondAnswer(in *bufio.Reader) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return
 	}
-	v.updateTally(func(t *ViewerStats) {
+	v.updateStats(func(t *ViewerStats) {
 		t.Answers++
 		t.Problems = append(t.Problems, "second answer: "+strings.TrimSpace(line))
 	})
--- a/internal/testing/fake/tally.go
+++ b/internal/testing/fake/viewerstats.go
@@ -30,20 +30,20 @@
 func (v *Viewer) Stats() ViewerStats {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	t := v.tally
+	t := v.stats
 	t.Problems = slices.Clone(t.Problems)
 	t.ReconnectGaps = slices.Clone(t.ReconnectGaps)
 	return t
 }
 
 // ClearReconnectGaps empties the list of gaps.
-func (v *Viewer) ClearReconnectGaps() { v.updateTally(func(t *ViewerStats) { t.ReconnectGaps = nil }) }
+func (v *Viewer) ClearReconnectGaps() { v.updateStats(func(t *ViewerStats) { t.ReconnectGaps = nil }) }
 
 // updateTally calls f with the counts, under their lock.
-func (v *Viewer) updateTally(f func(t *ViewerStats)) {
+func (v *Viewer) updateStats(f func(t *ViewerStats)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	f(&v.tally)
+	f(&v.stats)
 }
 
 // countScan counts scan x; first is set for the first of a connection.
@@ -51,7 +51,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	t := &v.tally
+	t := &v.stats
 	if t.LastScan != 0 {
 		if first {
 			t.ReconnectGaps = append(t.ReconnectGaps, now.Sub(t.LastScanAt))
--- a/internal/testing/fake/xmpp.go
+++ b/internal/testing/fake/xmpp.go
@@ -54,7 +54,7 @@
 	}
 }
 
-const header = "<?xml version='1.0'?><stream:stream from='alerts.example' id='s1' version='1.0' " +
+const streamHeader = "<?xml version='1.0'?><stream:stream from='alerts.example' id='s1' version='1.0' " +
 	"xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'>"
 
 func (s *XMPP) serve(c net.Conn) {
@@ -75,7 +75,7 @@
 		}
 		switch start.Name.Local {
 		case "stream":
-			s.greet(c, authed)
+			s.answerStreamHeader(c, authed)
 		case "auth":
 			d.Skip()
 			s.Stages <- "auth"
@@ -91,17 +91,18 @@
 }
 
 // greet answers a stream header.
-func (s *XMPP) greet(c net.Conn, authed bool) {
+func (s *XMPP) answerStreamHeader(c net.Conn, authed bool) {
 	switch {
 	case authed:
-		s.send(c, "%s<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>", header)
+		s.send(c, "%s<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>",
+			streamHeader)
 		s.Stages <- "up"
 	case s.HoldAt == "header":
 		s.Stages <- "header"
 	default:
 		s.send(c, "%s<stream:features><starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"+
 			"<mechanisms xmlns='urn:ietf:params:xml:ns:xmpp-sasl'><mechanism>PLAIN</mechanism></mechanisms>"+
-			"</stream:features>", header)
+			"</stream:features>", streamHeader)
 		s.Stages <- "header"
 	}
 }
--- a/internal/testing/fake/zkcodec.go
+++ b/internal/testing/fake/zkcodec.go
@@ -63,6 +63,6 @@
 }
 
 // stat appends the node's facts: of transactions and times, which nobody reads here, none.
-func (n *zkNode) stat(w zkWriter) zkWriter {
+func (n *zkNode) appendStat(w zkWriter) zkWriter {
 	return w.raw(make([]byte, 32)).ints(n.version, 0, 0).long(n.owner).ints(len(n.data), 0).long(0)
 }
--- a/internal/testing/fake/zkconn.go
+++ b/internal/testing/fake/zkconn.go
@@ -53,10 +53,10 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for z.faults.frozen {
-		z.thawed.Wait()
+		z.unfrozen.Wait()
 	}
 	seen := int64(binary.BigEndian.Uint64(hello[4:]))
-	if z.faults.unreachable || seen > z.zxid-z.faults.behind {
+	if z.faults.unreachable || seen > z.zxid-z.faults.replicaLag {
 		return false
 	}
 	s := z.sessions[id]
@@ -73,7 +73,7 @@
 	}
 	s.conn = c
 	s.timeout = time.Duration(timeout) * time.Millisecond
-	s.heardAt = time.Now()
+	s.lastRequestAt = time.Now()
 	c.session = s
 	c.queue(zkWriter{}.ints(0, timeout).long(s.id).text("0123456789abcdef"), time.Time{})
 	return true
@@ -108,7 +108,7 @@
 }
 
 func (c *zkConn) queueEvent(kind int, node string) {
-	c.queue(zkWriter{}.ints(-1).long(-1).ints(0, kind, connected).text(node), time.Time{})
+	c.queue(zkWriter{}.ints(-1).long(-1).ints(0, kind, stateConnected).text(node), time.Time{})
 }
 
 func (c *zkConn) read() ([]byte, error) {
@@ -122,13 +122,13 @@
 }
 
 // connected is the state of a session that each event says.
-const connected = 3
+const stateConnected = 3
 
 // The kinds of a watch's event.
 const (
-	watchDeleted  = 2
-	watchData     = 3
-	watchChildren = 4
+	eventNodeDeleted     = 2
+	eventDataChanged     = 3
+	eventChildrenChanged = 4
 )
 
 // notifyWatches notifies the watches of a path, and ends them.
@@ -137,10 +137,10 @@
 		c := s.conn
 		switch {
 		case c == nil:
-		case kind == watchChildren && p == z.root && c.watchesChildren:
+		case kind == eventChildrenChanged && p == z.root && c.watchesChildren:
 			c.watchesChildren = false
 			c.queueEvent(kind, p)
-		case kind != watchChildren && c.watchedData[p]:
+		case kind != eventChildrenChanged && c.watchedData[p]:
 			delete(c.watchedData, p)
 			c.queueEvent(kind, p)
 		}
--- a/internal/testing/fake/zkfaults.go
+++ b/internal/testing/fake/zkfaults.go
@@ -8,7 +8,7 @@
 	delay       time.Duration // before each answer
 	holdAnswers int           // how many requests must have come before the first of them is answered
 	dropAnswers int           // how many transactions are yet to be done without an answer
-	behind      int64         // how many of the newest changes it has not heard of
+	replicaLag  int64         // how many of the newest changes it has not heard of
 }
 
 // SetUnreachable makes the service unreachable, or reachable again. Sessions go on ageing.
@@ -27,7 +27,7 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.faults.frozen = on
-	z.thawed.Broadcast()
+	z.unfrozen.Broadcast()
 }
 
 // DelayAnswers delays every answer by d. Answers to requests that came together come together.
@@ -56,5 +56,5 @@
 func (z *ZooKeeper) SetReplicaLag(changes int64) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.faults.behind = changes
+	z.faults.replicaLag = changes
 }
--- a/internal/testing/fake/zkrequests.go
+++ b/internal/testing/fake/zkrequests.go
@@ -22,7 +22,7 @@
 )
 
 // ephemeral is the flag of a create whose node ends with its session.
-const ephemeral = 1
+const ephemeralFlag = 1
 
 // The protocol's error codes.
 const (
@@ -40,12 +40,12 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for z.faults.frozen {
-		z.thawed.Wait()
+		z.unfrozen.Wait()
 	}
 	if z.sessions[c.session.id] != c.session || c.session.conn != c || z.faults.unreachable {
 		return false
 	}
-	c.session.heardAt = time.Now()
+	c.session.lastRequestAt = time.Now()
 	in := &zkReader{p}
 	xid, op := in.readInt(), in.readInt()
 	code, body := 0, []byte(nil)
@@ -55,7 +55,7 @@
 		z.endSession(c.session)
 		return false
 	case opMulti:
-		body = z.performAll(c, in)
+		body = z.performTransaction(c, in)
 		if z.faults.dropAnswers > 0 {
 			z.faults.dropAnswers--
 			return false
@@ -63,11 +63,11 @@
 	case opChildren:
 		code, body = z.listChildren(c, in)
 	default:
-		code, body, _ = z.perform(c, op, in)
+		code, body, _ = z.performOperation(c, op, in)
 	}
 	frame := zkWriter{}.ints(xid).long(z.zxid).ints(code).raw(body)
 	if z.faults.holdAnswers > 0 && op != opPing {
-		z.holdBack(c, frame)
+		z.holdAnswer(c, frame)
 		return true
 	}
 	c.queue(frame, time.Now().Add(z.faults.delay))
@@ -75,7 +75,7 @@
 }
 
 // holdBack keeps an answer until there are as many as the fault asks for, and sends them all then.
-func (z *ZooKeeper) holdBack(c *zkConn, frame []byte) {
+func (z *ZooKeeper) holdAnswer(c *zkConn, frame []byte) {
 	c.heldAnswers = append(c.heldAnswers, zkReply{frame: frame})
 	if len(c.heldAnswers) < z.faults.holdAnswers {
 		return
@@ -107,7 +107,7 @@
 
 // perform does one request, or one part of a transaction; undo takes it back. An operation that finds no node
 // still reads its fields, since the next part follows them.
-func (z *ZooKeeper) perform(c *zkConn, op int, in *zkReader) (code int, body []byte, undo func()) {
+func (z *ZooKeeper) performOperation(c *zkConn, op int, in *zkReader) (code int, body []byte, undo func()) {
 	undo = func() {}
 	p := in.readString()
 	n := z.nodes[p]
@@ -127,12 +127,12 @@
 	case opDelete:
 		return z.deleteNode(p, in)
 	case opExists:
-		return 0, n.stat(nil), undo
+		return 0, n.appendStat(nil), undo
 	case opGetData:
 		if in.readBool() {
 			c.watchedData[p] = true
 		}
-		return 0, n.stat(zkWriter{}.text(n.data)), undo
+		return 0, n.appendStat(zkWriter{}.text(n.data)), undo
 	case opSetData:
 		return z.setData(p, in)
 	case opSync:
@@ -166,7 +166,7 @@
 		return zExists, nil, undo
 	}
 	node := &zkNode{data: data}
-	if flags&ephemeral != 0 {
+	if flags&ephemeralFlag != 0 {
 		node.owner = c.session.id
 	}
 	z.addNode(p, node)
@@ -199,6 +199,6 @@
 	z.zxid++
 	n.data = data
 	n.version++
-	z.notifyWatches(p, watchData)
-	return 0, n.stat(nil), func() { *n = was }
+	z.notifyWatches(p, eventDataChanged)
+	return 0, n.appendStat(nil), func() { *n = was }
 }
--- a/internal/testing/fake/zktransaction.go
+++ b/internal/testing/fake/zktransaction.go
@@ -1,7 +1,7 @@
 package fake
 
 // performAll does all parts of a transaction, or none if one fails, and returns their results.
-func (z *ZooKeeper) performAll(c *zkConn, in *zkReader) []byte {
+func (z *ZooKeeper) performTransaction(c *zkConn, in *zkReader) []byte {
 	type part struct {
 		op   int
 		code int
@@ -21,7 +21,7 @@
 			z.skipRequest(op, in)
 		} else {
 			var undo func()
-			done.code, done.body, undo = z.perform(c, op, in)
+			done.code, done.body, undo = z.performOperation(c, op, in)
 			undos = append(undos, undo)
 			failed = done.code != 0
 		}
--- a/internal/testing/fake/zookeeper.go
+++ b/internal/testing/fake/zookeeper.go
@@ -22,7 +22,7 @@
 	lastID   int64 // of a session
 	zxid     int64 // of the newest change
 	faults   zkFaults
-	thawed   *sync.Cond // on mu: faults.frozen has ended
+	unfrozen *sync.Cond // on mu: faults.frozen has ended
 }
 
 type zkNode struct {
@@ -32,10 +32,10 @@
 }
 
 type zkSession struct {
-	id      int64
-	timeout time.Duration
-	heardAt time.Time
-	conn    *zkConn // nil while it has none
+	id            int64
+	timeout       time.Duration
+	lastRequestAt time.Time
+	conn          *zkConn // nil while it has none
 }
 
 // NewZooKeeper starts the service at a free port of loopback; see NewZooKeeperAt.
@@ -55,7 +55,7 @@
 		nodes:    map[string]*zkNode{"/": {}},
 		sessions: map[int64]*zkSession{},
 	}
-	z.thawed = sync.NewCond(&z.mu)
+	z.unfrozen = sync.NewCond(&z.mu)
 	for p := root; p != "/"; p = path.Dir(p) {
 		z.nodes[p] = &zkNode{}
 	}
@@ -70,7 +70,7 @@
 	for range time.Tick(20 * time.Millisecond) {
 		z.mu.Lock()
 		for _, s := range z.sessions {
-			if !z.faults.frozen && time.Since(s.heardAt) >= s.timeout {
+			if !z.faults.frozen && time.Since(s.lastRequestAt) >= s.timeout {
 				z.endSession(s)
 			}
 		}
@@ -120,7 +120,7 @@
 	default:
 		n.data = data
 		n.version++
-		z.notifyWatches(full, watchData)
+		z.notifyWatches(full, eventDataChanged)
 	}
 }
 
@@ -175,7 +175,7 @@
 func (z *ZooKeeper) addNode(p string, n *zkNode) {
 	z.zxid++
 	z.nodes[p] = n
-	z.notifyWatches(path.Dir(p), watchChildren)
+	z.notifyWatches(path.Dir(p), eventChildrenChanged)
 }
 
 func (z *ZooKeeper) removeNode(p string) {
@@ -184,6 +184,6 @@
 	}
 	z.zxid++
 	delete(z.nodes, p)
-	z.notifyWatches(p, watchDeleted)
-	z.notifyWatches(path.Dir(p), watchChildren)
+	z.notifyWatches(p, eventNodeDeleted)
+	z.notifyWatches(path.Dir(p), eventChildrenChanged)
 }
--- a/internal/testing/faultpoint/clock.go
+++ b/internal/testing/faultpoint/clock.go
@@ -11,7 +11,7 @@
 
 // clock is the monotonic clock that the process is shown: it stood at shown when the machine's stood at real,
 // and runs at a rate since.
-var clock struct {
+var skewedClock struct {
 	sync.Mutex
 	real, shown time.Duration
 	rate        float64
@@ -26,45 +26,45 @@
 	return float64(t.Sec)*1000 + float64(t.Nsec)/1e6
 }
 
-func monotonic() time.Duration { return time.Duration(NowMillis() * float64(time.Millisecond)) }
+func monotonicNow() time.Duration { return time.Duration(NowMillis() * float64(time.Millisecond)) }
 
 // setRate changes the rate from now on; 0 and less stand for 1.
-func setRate(rate float64) {
+func setClockRate(rate float64) {
 	if rate <= 0 {
 		rate = 1
 	}
-	clock.Lock()
-	defer clock.Unlock()
-	now := monotonic()
-	clock.shown = shownAt(now)
-	clock.real = now
-	clock.rate = rate
+	skewedClock.Lock()
+	defer skewedClock.Unlock()
+	now := monotonicNow()
+	skewedClock.shown = skewedAt(now)
+	skewedClock.real = now
+	skewedClock.rate = rate
 }
 
 // shownAt returns what the clock shows at an instant of the machine's. The caller holds the lock.
-func shownAt(now time.Duration) time.Duration {
-	if clock.real == 0 {
-		clock.real = now
-		clock.shown = now
+func skewedAt(now time.Duration) time.Duration {
+	if skewedClock.real == 0 {
+		skewedClock.real = now
+		skewedClock.shown = now
 	}
-	return clock.shown + time.Duration(float64(now-clock.real)*clock.rate)
+	return skewedClock.shown + time.Duration(float64(now-skewedClock.real)*skewedClock.rate)
 }
 
 // SkewedNow returns a monotonic clock that runs at the rate of the rules.
 func SkewedNow() time.Duration {
-	clock.Lock()
-	defer clock.Unlock()
-	return shownAt(monotonic())
+	skewedClock.Lock()
+	defer skewedClock.Unlock()
+	return skewedAt(monotonicNow())
 }
 
 // ClockRate returns that of the clock Shown.
 func ClockRate() float64 {
-	clock.Lock()
-	defer clock.Unlock()
-	return clock.rate
+	skewedClock.Lock()
+	defer skewedClock.Unlock()
+	return skewedClock.rate
 }
 
 // WallClockStep returns by how much the clock of the day is ahead.
 func WallClockStep() time.Duration {
-	return time.Duration(rules.Load().WallClockStepMs * float64(time.Millisecond))
+	return time.Duration(currentRules.Load().WallClockStepMs * float64(time.Millisecond))
 }
--- a/internal/testing/trace/trace.go
+++ b/internal/testing/trace/trace.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update-trace", false,
+var updateFlag = flag.Bool("update-trace", false,
 	"record testdata/trace.txt anew, after a change of behaviour that is meant")
 
 // Trace is a hash over actions, in their order. Its methods do nothing on nil.
@@ -54,7 +54,7 @@
 func (r *Recording) Compare(t *testing.T) {
 	t.Helper()
 	file := filepath.Join("testdata", "trace.txt")
-	if *update {
+	if *updateFlag {
 		if err := os.WriteFile(file, []byte(r.lines.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -66,12 +66,13 @@
 	want, got := strings.Split(string(text), "\n"), strings.Split(r.lines.String(), "\n")
 	for i := range max(len(want), len(got)) {
 		if i >= len(want) || i >= len(got) || want[i] != got[i] {
-			t.Fatalf("schedule, seed, actions, hash: %q, recorded %q", at(got, i), at(want, i))
+			t.Fatalf("schedule, seed, actions, hash: got %q, recorded %q (-update-trace records again)",
+				lineOrNothing(got, i), lineOrNothing(want, i))
 		}
 	}
 }
 
-func at(lines []string, i int) string {
+func lineOrNothing(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
 	}
