--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -38,7 +38,7 @@
 
 // fastCells has leases last 2 s, and cells hear of each other four times as often. The long run goes by the
 // program's own pace.
-func fastCells() faultpoint.Rules {
+func shortCellTimings() faultpoint.Rules {
 	if longRun() {
 		return faultpoint.Rules{}
 	}
@@ -56,7 +56,7 @@
 		Relays: 12,
 		Zones:  zones,
 		ZoneOf: func(i int) string { return zones[i/4] },
-		Faults: fastCells(),
+		Faults: shortCellTimings(),
 		Admin:  true,
 	}, 0)
 	if err := fleet.WritePlan(1, cells); err != nil {
@@ -98,7 +98,7 @@
 	for _, zone := range zones {
 		sum := 0.0
 		for _, n := range latest {
-			sum += n.Taken(zone, n.AtMillis)
+			sum += n.BudgetShareIn(zone, n.AtMillis)
 		}
 		if math.Abs(sum-1) > 0.001 {
 			t.Errorf("the relays take %v of the budgets in %s", sum, zone)
@@ -147,7 +147,7 @@
 	})
 	for time.Now().Before(end) {
 		for _, i := range []int{0, 3, 4, 11} {
-			checkServes(t, fleet.Relays[i])
+			checkAnswersProbe(t, fleet.Relays[i])
 		}
 		time.Sleep(time.Second)
 	}
@@ -173,7 +173,7 @@
 }
 
 // checkServes checks that a relay answers a client.
-func checkServes(t *testing.T, r *Relay) {
+func checkAnswersProbe(t *testing.T, r *Relay) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Listen)
 	if err != nil {
@@ -281,7 +281,7 @@
 	fleet, cells := newRegionCluster(t)
 	for place := range 4 {
 		for _, c := range cells {
-			fleet.Term(c.Relays[place])
+			fleet.Terminate(c.Relays[place])
 		}
 		for _, c := range cells {
 			if err := fleet.Start(c.Relays[place]); err != nil {
@@ -306,7 +306,7 @@
 	t.Parallel()
 	fleet, cells := newRegionCluster(t)
 	move := func(i int) { // the relay's file has its new cell already
-		fleet.Term(i)
+		fleet.Terminate(i)
 		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
@@ -391,7 +391,7 @@
 		Relays: 4,
 		Zones:  zones[:1],
 		ZoneOf: func(int) string { return zones[0] },
-		Faults: fastCells(),
+		Faults: shortCellTimings(),
 	}, 4)
 	await(t, cellWaitLimit(), "at first", fleet.checkSettled)
 	flat := Cell{Name: "flat", Relays: []int{0, 1, 2}, Weight: 2}
@@ -413,8 +413,8 @@
 		t.Fatal(err)
 	}
 	for _, n := range latest {
-		if n.Plan != 0 || math.Abs(n.Share-0.25) > 0.001 {
-			t.Errorf("%s has a share of %v by plan %d", n.Name, n.Share, n.Plan)
+		if n.Plan != 0 || math.Abs(n.NearShare-0.25) > 0.001 {
+			t.Errorf("%s has a share of %v by plan %d", n.Name, n.NearShare, n.Plan)
 		}
 	}
 	removePlans(t, fleet)
@@ -428,7 +428,7 @@
 		if err := fleet.RemovePlan(i); err != nil {
 			t.Fatal(err)
 		}
-		fleet.Term(i)
+		fleet.Terminate(i)
 		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
@@ -451,7 +451,7 @@
 		if err := fleet.WritePlan(number, cells); err != nil {
 			t.Fatal(err)
 		}
-		fleet.Term(i)
+		fleet.Terminate(i)
 		if err := fleet.Start(i); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testing/cluster/shares.go
+++ b/internal/testing/cluster/shares.go
@@ -24,7 +24,7 @@
 		for _, zone := range zones {
 			sum := 0.0
 			for _, line := range latest {
-				sum += line.Taken(zone, n.AtMillis)
+				sum += line.BudgetShareIn(zone, n.AtMillis)
 			}
 			if sum > peak {
 				peak = sum
@@ -53,19 +53,19 @@
 func LowestNearShare(all []faultpoint.HistoryLine, name string, from, to time.Duration) float64 {
 	lowest, until := -1.0, 0.0
 	for _, n := range all {
-		if n.Name != name || n.Event != "" || n.AtMillis > millis(to) {
+		if n.Name != name || n.Event != "" || n.AtMillis > toMillis(to) {
 			continue
 		}
-		if n.AtMillis <= millis(from) {
-			lowest, until = n.Share, n.UntilMillis
+		if n.AtMillis <= toMillis(from) {
+			lowest, until = n.NearShare, n.UntilMillis
 			continue
 		}
 		if until > 0 && until < n.AtMillis {
 			return 0
 		}
-		lowest, until = min(lowest, n.Share), n.UntilMillis
+		lowest, until = min(lowest, n.NearShare), n.UntilMillis
 	}
-	if until > 0 && until < millis(to) {
+	if until > 0 && until < toMillis(to) {
 		return 0
 	}
 	return max(lowest, 0)
--- a/internal/testing/fake/echoserver.go
+++ b/internal/testing/fake/echoserver.go
@@ -55,8 +55,8 @@
 	s.report = report
 }
 
-// ReportFrom has each probe answered with the load report that fn returns.
-func (s *EchoServer) ReportFrom(fn func() string) {
+// SetReportFunc has each probe answered with the load report that fn returns.
+func (s *EchoServer) SetReportFunc(fn func() string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reportFunc = fn
@@ -77,7 +77,7 @@
 
 // Broadcast sends a line on every connection, and ends them after it if last is set.
 func (s *EchoServer) Broadcast(line string, last bool) {
-	for _, c := range s.acceptor.all() {
+	for _, c := range s.acceptor.connections() {
 		fmt.Fprintf(c, "%s\r\n", line)
 		if last {
 			c.(*net.TCPConn).CloseWrite()
--- a/internal/testing/fake/scanserver.go
+++ b/internal/testing/fake/scanserver.go
@@ -15,7 +15,7 @@
 	ID      string
 	Address string
 	Feed    *Feed
-	Ledger  *Ledger
+	Tracker *StreamTracker
 	// Load is what load reports say where Capacity is 0.
 	Load float64
 	// Capacity is how many connections fill the server. During slow start it grows evenly, from the part
@@ -29,10 +29,10 @@
 
 	listener net.Listener
 
-	mu          sync.Mutex
-	connections map[*net.TCPConn]bool // true once the connection's stream is served
-	fences      map[string]uint64     // by stream: the highest generation that came
-	openings    int                   // first lines that came, probes not counted
+	mu             sync.Mutex
+	connections    map[*net.TCPConn]bool // true once the connection's stream is served
+	fencingTokens  map[string]uint64     // by stream: the highest generation that came
+	firstLineCount int                   // first lines that came, probes not counted
 
 	faults    ServerFaults
 	silent    bool
@@ -46,20 +46,20 @@
 }
 
 // NewScanServer starts a server that runs until Kill. It fails if the address cannot be listened on.
-func NewScanServer(id, address string, feed *Feed, ledger *Ledger) (*ScanServer, error) {
+func NewScanServer(id, address string, feed *Feed, ledger *StreamTracker) (*ScanServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	s := &ScanServer{
-		ID:          id,
-		Address:     l.Addr().String(),
-		Feed:        feed,
-		Ledger:      ledger,
-		Load:        0.2,
-		listener:    l,
-		connections: map[*net.TCPConn]bool{},
-		fences:      map[string]uint64{},
+		ID:            id,
+		Address:       l.Addr().String(),
+		Feed:          feed,
+		Tracker:       ledger,
+		Load:          0.2,
+		listener:      l,
+		connections:   map[*net.TCPConn]bool{},
+		fencingTokens: map[string]uint64{},
 	}
 	s.resumed = sync.NewCond(&s.mu)
 	go s.accept()
