--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter puts the decision module on the bench's wire: batches on standard input, replies on
-// standard output.
+// Command adapter connects the decision module to the simulator: it reads batches of events from standard
+// input, one per line, and writes the replies to standard output.
 package main
 
 import (
@@ -14,18 +14,18 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // CPU is metered, memory is not
+	debug.SetGCPercent(800) // the simulator measures CPU time, not memory: collect garbage less often
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// run answers each line until the input ends.
+// run writes a reply to each line of the input until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, 1<<20)
 	hub := simulator.NewHub()
-	var longLine []byte // a line longer than the buffer
+	var longLine []byte // the parts of a line that is longer than the reader's buffer
 	for lineNumber := 1; ; {
 		part, err := input.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
--- a/cmd/capersail/main.go
+++ b/cmd/capersail/main.go
@@ -1,7 +1,7 @@
-// Command capersail is the relay and what belongs to it. Without a command it serves the platform's protocol,
-// as LB_CONFIG says; --xmpp FILE adds XMPP, or serves it alone where LB_CONFIG is not set; --resume FILE lets
-// the platform's streams go on elsewhere; --timeline FILE keeps time lines of the servers. `capersail help`
-// has the rest.
+// Command capersail is the relay and its operator tools. Without a command it serves the platform's protocol,
+// configured by LB_CONFIG; --xmpp FILE adds XMPP, or serves it alone if LB_CONFIG is not set; --resume FILE
+// enables resume tokens, with which the platform's streams resume on other servers; --timeline FILE records
+// time lines of the servers. `capersail help` lists all commands and flags.
 package main
 
 import (
--- a/cmd/capersail/main_test.go
+++ b/cmd/capersail/main_test.go
@@ -17,7 +17,8 @@
 	"capersail/internal/testing/fake"
 )
 
-// TestMain lets the test binary stand for the program itself.
+// TestMain runs the program itself, in place of the tests, if CAPERSAIL_RUN is 1: tests start the test binary
+// as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("CAPERSAIL_RUN") == "1" {
 		main()
@@ -26,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// writeConfig writes the example's configuration with other addresses.
+// writeConfig writes the example configuration, changed by change, to a file and returns the file's path.
 func writeConfig(t *testing.T, change func(map[string]any)) string {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
@@ -46,7 +47,7 @@
 	return path
 }
 
-// relayCommand is the program with a configuration, not started yet.
+// relayCommand returns a command that runs the program with a configuration. It does not start the command.
 func relayCommand(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
@@ -54,13 +55,13 @@
 	return cmd
 }
 
-// client is a connection of a client of the relay.
+// client is a client's connection to the relay.
 type client struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// dial connects to a relay. The connection is closed when the test ends, and fails after 30 s.
+// dial connects to a relay. The connection has a deadline of 30 s and is closed when the test ends.
 func dial(t *testing.T, address string) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -78,7 +79,7 @@
 	fmt.Fprint(c, line+"\r\n")
 	got, err := c.in.ReadString('\n')
 	if first, _, _ := strings.Cut(strings.TrimSpace(got), " "); first != want {
-		t.Fatalf("%q was answered %q, %v; want %s", line, got, err, want)
+		t.Fatalf("line %q: got answer %q, error %v; want %s", line, got, err, want)
 	}
 }
 
@@ -86,7 +87,7 @@
 
 type logLine struct{ Message, Listen, Error string }
 
-// forEachLogLine reads a program's log to its end.
+// forEachLogLine reads a program's log to its end and calls each with every line that is JSON.
 func forEachLogLine(logs io.Reader, each func(logLine)) {
 	for lines := bufio.NewScanner(logs); lines.Scan(); {
 		var l logLine
@@ -96,20 +97,21 @@
 	}
 }
 
-// startRelay starts the program and returns its address and, as they come, the messages it logs with their
-// errors.
+// startRelay starts the program and returns its command, its address and a channel of the messages that it
+// logs, each with its error.
 func startRelay(t *testing.T, config string) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
 	return startCommand(t, relayCommand(t, config))
 }
 
-// startCommand starts a program that is set up; as startRelay.
+// startCommand starts the program by a prepared command. It returns the same as startRelay.
 func startCommand(t *testing.T, cmd *exec.Cmd) (*exec.Cmd, string, <-chan string) {
 	t.Helper()
 	return startCommandWith(t, cmd, func(*os.Process) {})
 }
 
-// startCommandWith is startCommand with something that is done to the process as soon as there is one.
+// startCommandWith does the same as startCommand, and calls disturb with the process as soon as it is
+// started.
 func startCommandWith(
 	t *testing.T, cmd *exec.Cmd, disturb func(*os.Process),
 ) (*exec.Cmd, string, <-chan string) {
@@ -139,12 +141,12 @@
 	}()
 	served, ok := <-address
 	if !ok {
-		t.Fatal("the program ended before it served")
+		t.Fatal("the program exited before it logged that it serves")
 	}
 	return cmd, served, messages
 }
 
-// newDiscoveryWithServer is a discovery service that knows one server.
+// newDiscoveryWithServer starts a discovery service and a server that is listed as ready.
 func newDiscoveryWithServer(t *testing.T, id string) (*fake.Discovery, *fake.EchoServer) {
 	t.Helper()
 	d, err := fake.NewDiscovery("127.0.0.1:0")
@@ -160,8 +162,8 @@
 	return d, s
 }
 
-// The program on its sockets: it serves, follows a server's drain, and at SIGTERM migrates every connection
-// and exits in order.
+// The program serves clients over its sockets, sends no new connection to a draining server, and on SIGTERM
+// migrates every connection and exits with code 0.
 func TestServesAndShutsDownGracefully(t *testing.T) {
 	d, s := newDiscoveryWithServer(t, "s1")
 	cmd, address, _ := startRelay(t, writeConfig(t, func(c map[string]any) {
@@ -173,12 +175,12 @@
 	c.sendAndExpect(t, openLine, "UP")
 	c.sendAndExpect(t, "M 1 hello", "M")
 	if first := <-s.FirstLines; !strings.HasPrefix(first, "OPEN 9b1f 7f3a c=map-stream,t=acme,d=") {
-		t.Errorf("the server was sent %q", first)
+		t.Errorf("first line at the server: got %q, want OPEN with the client's fields and a deadline", first)
 	}
 	dial(t, address).sendAndExpect(t, "nonsense", "ERR")
 
 	d.Set("s1", s.Address, "Terminating")
-	// The watch event takes its time; then nothing new goes there, and what is open stays.
+	// After the watch event has arrived, no new connection goes to the server, and open connections stay.
 	for i := 0; ; i++ {
 		k := dial(t, address)
 		fmt.Fprintf(k, "OPEN d%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
@@ -186,7 +188,7 @@
 			break
 		}
 		if i > 1000 {
-			t.Fatal("a draining server is still sent connections")
+			t.Fatal("a draining server still gets new connections after 1000 requests")
 		}
 		k.Close()
 	}
@@ -197,15 +199,15 @@
 	}
 	got, err := c.in.ReadString('\n')
 	if strings.TrimSpace(got) != "MOVE" {
-		t.Errorf("at SIGTERM the client was told %q, %v", got, err)
+		t.Errorf("client at SIGTERM: got %q, error %v; want MOVE", got, err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("the program ended with %v", err)
+		t.Errorf("program after SIGTERM: exited with %v, want no error", err)
 	}
 }
 
-// SIGHUP: another discovery is followed while connections stand, a file that cannot be used changes nothing,
-// and no SIGHUP ends the program, not even one on top of SIGTERM.
+// On SIGHUP the program follows another discovery service and keeps open connections; an invalid file changes
+// nothing. No SIGHUP ends the program, even during a shutdown by SIGTERM.
 func TestReloadKeepsConnections(t *testing.T) {
 	old, s1 := newDiscoveryWithServer(t, "s1")
 	next, s2 := newDiscoveryWithServer(t, "s2")
@@ -225,12 +227,12 @@
 		for line := range messages {
 			if strings.HasPrefix(line, "reloaded") || strings.HasPrefix(line, "new configuration rejected") {
 				if !strings.Contains(line, want) {
-					t.Errorf("%.40q: %q, want %q", text, line, want)
+					t.Errorf("reload of %.40q: got log %q, want %q", text, line, want)
 				}
 				return
 			}
 		}
-		t.Fatal("the program has ended")
+		t.Fatal("the program exited without a log message about the reload")
 	}
 	c := dial(t, address)
 	c.sendAndExpect(t, openLine, "UP")
@@ -242,9 +244,9 @@
 	k.sendAndExpect(t, strings.Replace(openLine, "9b1f", "9b20", 1), "UP")
 	<-s1.FirstLines
 	reload([]byte(strings.Replace(string(good), old.Address, next.Address, 1)), "reloaded")
-	for i := 0; len(s2.FirstLines) == 0; i++ { // the watch event takes its time
+	for i := 0; len(s2.FirstLines) == 0; i++ { // until the watch event has arrived
 		if i > 2000 {
-			t.Fatal("the new discovery is not followed")
+			t.Fatal("no connection at the new discovery's server after 2000 requests")
 		}
 		fmt.Fprintf(dial(t, address), "OPEN r%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
 		time.Sleep(5 * time.Millisecond)
@@ -263,11 +265,11 @@
 		}
 	}()
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("the program ended with %v", err)
+		t.Errorf("program after SIGTERM and SIGHUP: exited with %v, want no error", err)
 	}
 }
 
-// Bad configuration: one plain message that names the key, and exit 1.
+// An invalid configuration gives a message of one line that names the key, and exit code 1.
 func TestBadConfigurationNamesTheKey(t *testing.T) {
 	limits := func(name string, value any) func(map[string]any) {
 		return func(c map[string]any) { c["limits"] = map[string]any{name: value} }
@@ -289,7 +291,7 @@
 		exit, ok := err.(*exec.ExitError)
 		named := strings.HasPrefix(string(out), "capersail: "+key+": ")
 		if !ok || exit.ExitCode() != 1 || !named || strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%s: %v, %q", key, err, out)
+			t.Errorf("invalid %s: got %v, output %q; want exit code 1 and one line", key, err, out)
 		}
 	}
 }
--- a/cmd/capersail/ops_test.go
+++ b/cmd/capersail/ops_test.go
@@ -15,7 +15,7 @@
 )
 
 // startOnInheritedSocket starts the program on a listening socket that the test holds, as the platform does
-// on upgrade days: descriptor 3, named by LB_FD. Binding the address again would fail.
+// for an upgrade: the socket is descriptor 3, given by LB_FD. Binding the address again would fail.
 func startOnInheritedSocket(
 	t *testing.T, config string, l *net.TCPListener, env ...string,
 ) (*exec.Cmd, string, <-chan string) {
@@ -29,9 +29,9 @@
 	cmd.ExtraFiles = []*os.File{f}
 	cmd.Env = append(cmd.Env, append(env, "LB_FD=3")...)
 	cmd, address, messages := startCommand(t, cmd)
-	// exec made the shared socket blocking; the platform leaves it as the relay set it.
+	// exec made the shared socket blocking; the platform leaves it non-blocking, as the relay sets it.
 	setSocketBlocking(t, l, false)
-	// Read on, whether the test looks or not: a full pipe would stop the program.
+	// Read the messages even if the test does not: a full pipe would block the program.
 	logs := make(chan string, 1<<16)
 	go func() {
 		defer close(logs)
@@ -45,7 +45,7 @@
 	return cmd, address, logs
 }
 
-// setSocketBlocking makes the socket, as all processes share it, blocking or not.
+// setSocketBlocking makes the socket blocking or non-blocking for all processes that share it.
 func setSocketBlocking(t *testing.T, l *net.TCPListener, blocking bool) {
 	t.Helper()
 	raw, err := l.SyscallConn()
@@ -55,8 +55,8 @@
 	raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), !blocking) })
 }
 
-// newInheritableSocket is a listening socket held as the platform holds it, and a configuration for relays on it
-// that know one server.
+// newInheritableSocket returns a listening socket, held by the test as the platform holds it, and the path of
+// a configuration for relays on it, with one server.
 func newInheritableSocket(t *testing.T) (*net.TCPListener, string) {
 	t.Helper()
 	d, _ := newDiscoveryWithServer(t, "s1")
@@ -71,8 +71,8 @@
 	})
 }
 
-// An upgrade: two processes serve one socket; at SIGTERM the old one migrates its connections and stops
-// accepting, and not one connection that comes meanwhile is rejected.
+// In an upgrade two processes serve one socket. On SIGTERM the old process migrates its connections and stops
+// accepting, and no connection that a client opens meanwhile is rejected.
 func TestUpgradeOnInheritedSocketLosesNoConnection(t *testing.T) {
 	l, config := newInheritableSocket(t)
 	old, _, _ := startOnInheritedSocket(t, config, l)
@@ -95,32 +95,32 @@
 		select {
 		case err := <-exited:
 			if err != nil {
-				t.Errorf("the old process ended with %v", err)
+				t.Errorf("old process after SIGTERM: exited with %v, want no error", err)
 			}
 			if got := <-moved; got != "MOVE" {
-				t.Errorf("the old process's client was told %q", got)
+				t.Errorf("client of the old process: got %q, want MOVE", got)
 			}
 			k := dial(t, l.Addr().String())
 			k.sendAndExpect(t, "PING", "PONG")
 			k.sendAndExpect(t, strings.Replace(openLine, "9b1f", "after", 1), "UP")
 			next.Process.Signal(syscall.SIGTERM)
 			if err := next.Wait(); err != nil {
-				t.Errorf("the new process ended with %v", err)
+				t.Errorf("new process after SIGTERM: exited with %v, want no error", err)
 			}
 			return
 		default:
 		}
-		dial(t, l.Addr().String()).sendAndExpect(t, "PING", "PONG") // whoever takes it answers
+		dial(t, l.Addr().String()).sendAndExpect(t, "PING", "PONG") // either process may answer
 		time.Sleep(10 * time.Millisecond)
 		if i > 2000 {
-			t.Fatal("the old process does not leave")
+			t.Fatal("the old process did not exit after SIGTERM")
 		}
 	}
 }
 
-// Whoever else holds the socket has made it blocking, so that an accept of the relay's waits in the kernel: a
-// relay that leaves takes no connection any more all the same. Guards against a connection that an old process
-// accepts as it exits, and nobody answers.
+// Another process that shares the socket has made it blocking, so that the relay's accept call waits in the
+// kernel. Even so, a relay that shuts down accepts no further connection. Guards against a connection that an
+// old process accepts while it exits and that no process answers.
 func TestShutdownAcceptsNoConnectionOnABlockingSocket(t *testing.T) {
 	l, config := newInheritableSocket(t)
 	old, _, _ := startOnInheritedSocket(t, config, l)
@@ -129,21 +129,21 @@
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(500 * time.Millisecond) // it has stopped accepting
+	time.Sleep(500 * time.Millisecond) // by then it has stopped accepting
 	setSocketBlocking(t, l, false)
 	dial(t, l.Addr().String())
 	l.SetDeadline(time.Now().Add(5 * time.Second))
 	conn, err := l.Accept()
 	if err != nil {
-		t.Fatalf("the connection went to the relay that leaves: %v", err)
+		t.Fatalf("connection after SIGTERM: accepted by the relay that shuts down: %v", err)
 	}
 	conn.Close()
 	if err := old.Wait(); err != nil {
-		t.Errorf("the old process ended with %v", err)
+		t.Errorf("old process after SIGTERM: exited with %v, want no error", err)
 	}
 }
 
-// callAdmin makes one call to the admin address and returns its status and body.
+// callAdmin sends one request to the admin address and returns the status and the body of the answer.
 func callAdmin(t *testing.T, method, url string) (int, string) {
 	t.Helper()
 	req, _ := http.NewRequestWithContext(t.Context(), method, url, nil)
@@ -156,18 +156,18 @@
 	return res.StatusCode, string(body)
 }
 
-// expectMetrics fails the test if one of the lines is not among the metrics of the admin address.
+// expectMetrics fails the test if one of the lines is missing from the metrics of the admin address.
 func expectMetrics(t *testing.T, ops string, lines ...string) {
 	t.Helper()
 	_, metrics := callAdmin(t, "GET", ops+"/ops/stats")
 	for _, want := range lines {
 		if !strings.Contains(metrics, want+"\n") {
-			t.Errorf("no %q in the metrics:\n%s", want, metrics)
+			t.Errorf("metrics: got no line %q in:\n%s", want, metrics)
 		}
 	}
 }
 
-// awaitReady waits until the admin address answers readiness with yes; it listens just after the clients'
+// awaitReady waits until the admin address reports readiness. The relay opens it shortly after the clients'
 // address.
 func awaitReady(t *testing.T, address string) {
 	t.Helper()
@@ -179,13 +179,13 @@
 			}
 		}
 		if i > 1000 {
-			t.Fatal("never ready")
+			t.Fatal("GET /ops/readiness: no status 200 after 1000 attempts")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// freeAddress is a loopback address that nobody listens on just now.
+// freeAddress returns a loopback address on which no process listens at the moment.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -196,7 +196,8 @@
 	return l.Addr().String()
 }
 
-// The admin address: readiness, a manual drain and its end, a server ejected manually and back, the metrics.
+// The admin address reports readiness and metrics, starts and stops a manual drain, and ejects a server
+// manually and takes it back.
 func TestAdminAddressDrainsEjectsAndReports(t *testing.T) {
 	d, s := newDiscoveryWithServer(t, "s1")
 	ops := "http://" + freeAddress(t)
@@ -213,26 +214,26 @@
 	<-s.FirstLines
 
 	if code, _ := callAdmin(t, "POST", ops+"/ops/drain/start"); code != 200 {
-		t.Fatalf("drain: %d", code)
+		t.Fatalf("POST drain/start: got status %d, want 200", code)
 	}
 	if code, _ := callAdmin(t, "GET", ops+"/ops/readiness"); code < 400 {
-		t.Errorf("ready while draining: %d", code)
+		t.Errorf("readiness in a drain: got status %d, want 400 or above", code)
 	}
 	dial(t, address).sendAndExpect(t, "PING", "BUSY")
 	if got, _ := c.in.ReadString('\n'); strings.TrimSpace(got) != "MOVE" {
-		t.Errorf("in a drain the client was told %q", got)
+		t.Errorf("client in a drain: got %q, want MOVE", got)
 	}
 	callAdmin(t, "POST", ops+"/ops/drain/stop")
 	if code, _ := callAdmin(t, "GET", ops+"/ops/readiness"); code != 200 {
-		t.Errorf("not ready after the drain: %d", code)
+		t.Errorf("readiness after the drain: got status %d, want 200", code)
 	}
 	dial(t, address).sendAndExpect(t, "PING", "PONG")
 
 	if code, _ := callAdmin(t, "POST", ops+"/ops/tile-servers/down/nobody"); code != 404 {
-		t.Errorf("a ban of an id never listed: %d", code)
+		t.Errorf("ejecting a server that was never listed: got status %d, want 404", code)
 	}
 	if code, _ := callAdmin(t, "POST", ops+"/ops/tile-servers/down/s1"); code != 200 {
-		t.Errorf("down: %d", code)
+		t.Errorf("ejecting s1: got status %d, want 200", code)
 	}
 	// The class's only server is ejected.
 	dial(t, address).sendAndExpect(t, strings.Replace(openLine, "9b1f", "out", 1), "BUSY")
@@ -241,7 +242,7 @@
 		`relay_answered{group="map-stream"} 1`,
 		"relay_cluster_size 1")
 	if code, _ := callAdmin(t, "POST", ops+"/ops/tile-servers/up/s1"); code != 200 {
-		t.Errorf("up: %d", code)
+		t.Errorf("taking s1 back: got status %d, want 200", code)
 	}
 	dial(t, address).sendAndExpect(t, strings.Replace(openLine, "9b1f", "back", 1), "UP")
 	expectMetrics(t, ops,
@@ -249,7 +250,7 @@
 		`relay_sends{group="map-stream"} 2`,
 		"relay_current 1")
 
-	s.Close() // listed still, and dead: the relay avoids it by its own choice once it has met that
+	s.Close() // it is dead but still listed: the relay ejects it by itself after failed attempts
 	for i := 0; ; i++ {
 		fmt.Fprintf(dial(t, address), "OPEN dead%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
 		time.Sleep(100 * time.Millisecond)
@@ -258,13 +259,13 @@
 			break
 		}
 		if i == 100 {
-			t.Fatalf("a dead server is not counted as avoided:\n%s", figures)
+			t.Fatalf("metrics: got no relay_cluster_unhealthy 1 for a dead server in:\n%s", figures)
 		}
 	}
 }
 
-// Both processes of an upgrade keep one set of manual ejections: one made at either holds at the other, and
-// over the end of the one that made it.
+// Both processes of an upgrade share one set of manual ejections: an ejection made at one process holds at
+// the other, also after the first has exited.
 func TestManualEjectionsSurviveUpgrade(t *testing.T) {
 	l, config := newInheritableSocket(t)
 	shared := "TMPDIR=" + t.TempDir()
@@ -276,32 +277,32 @@
 	awaitReady(t, first)
 	awaitReady(t, second)
 	if code, _ := callAdmin(t, "POST", "http://"+first+"/ops/tile-servers/down/s1"); code != 200 {
-		t.Fatalf("down: %d", code)
+		t.Fatalf("ejecting s1 at the old process: got status %d, want 200", code)
 	}
 	old.Process.Signal(syscall.SIGTERM)
 	if err := old.Wait(); err != nil {
-		t.Errorf("the old process ended with %v", err)
+		t.Errorf("old process after SIGTERM: exited with %v, want no error", err)
 	}
-	// The old one may have taken some before it left; now the new one alone answers.
+	// The old process has exited: only the new one answers.
 	for i := 0; ; i++ {
 		c := dial(t, l.Addr().String())
 		fmt.Fprintf(c, "OPEN out%d 7f3a c=map-stream,t=acme,d=2000\r\n", i)
 		got, _ := c.in.ReadString('\n')
 		if strings.HasPrefix(got, "UP") {
-			t.Fatal("a server out by hand at the other process is sent a connection")
+			t.Fatal("a server ejected manually at the old process gets a connection from the new one")
 		}
 		if i == 20 {
 			break
 		}
 	}
 	if code, _ := callAdmin(t, "POST", "http://"+second+"/ops/tile-servers/up/s1"); code != 200 {
-		t.Errorf("up: %d", code)
+		t.Errorf("taking s1 back at the new process: got status %d, want 200", code)
 	}
 	dial(t, l.Addr().String()).sendAndExpect(t, strings.Replace(openLine, "9b1f", "back", 1), "UP")
 }
 
-// Readiness waits for an endpoint list: without one in the configuration, and with discovery out of reach,
-// the process serves but says no.
+// Without an endpoint list the process serves but is not ready: here the configuration has no list, and
+// discovery is unreachable.
 func TestNotReadyWithoutEndpointList(t *testing.T) {
 	ops := freeAddress(t)
 	cmd := relayCommand(t, writeConfig(t, func(c map[string]any) {
@@ -317,6 +318,6 @@
 		}
 	}
 	if code, _ := callAdmin(t, "GET", "http://"+ops+"/ops/readiness"); code != 503 {
-		t.Errorf("ready without a list: %d", code)
+		t.Errorf("readiness without an endpoint list: got status %d, want 503", code)
 	}
 }
--- a/cmd/capersail/resume_bench_test.go
+++ b/cmd/capersail/resume_bench_test.go
@@ -12,9 +12,11 @@
 	"capersail/internal/testing/fake"
 )
 
-// Long measurements, kept out of CI: go test ./cmd/capersail -run '^$' -bench 'Gap|Mass' -benchtime 1x
+// These benchmarks are long and are not run in CI. To run them:
+//
+//	go test ./cmd/capersail -run '^$' -bench 'Gap|Mass' -benchtime 1x
 
-// quantile is the quantile q of the durations, in ms; 0 if there are none. It sorts them.
+// quantile sorts the durations and returns their quantile q in ms, 0 if there are none.
 func quantile(all []time.Duration, q float64) float64 {
 	if len(all) == 0 {
 		return 0
@@ -23,9 +25,9 @@
 	return float64(all[min(len(all)-1, int(q*float64(len(all))))].Microseconds()) / 1000
 }
 
-// BenchmarkGap measures the gap on the screen, from the last scan before an end to the first after it, and
-// the scans lost, for viewers with and without a token side by side: servers drain in turn, one is killed, a
-// relay leaves and another is killed.
+// BenchmarkGap measures the gap that a viewer sees, from the last scan before a connection ends to the first
+// scan after it, and the number of scans lost, for viewers with and without tokens side by side. Servers
+// drain in turn, a server is killed, a relay shuts down and another is killed.
 func BenchmarkGap(b *testing.B) {
 	for b.Loop() {
 		f := newFleet(b, 6, "")
@@ -33,7 +35,7 @@
 		for i := range 3 {
 			relays = append(relays, f.startRelay(i, 3))
 		}
-		f.waitFor("ownership service", f.ownershipConnected)
+		f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
 		viewers, stop := f.startViewers(200, func(i int) bool { return i%2 == 0 })
 		collect := func(event string) {
 			f.waitUntilViewersCurrent(viewers)
@@ -62,7 +64,7 @@
 		f.removeFromRotation(relays[1])
 		f.commands[relays[1]].Process.Signal(syscall.SIGTERM)
 		f.commands[relays[1]].Wait()
-		collect("a relay left")
+		collect("a relay shut down")
 		f.removeFromRotation(relays[2])
 		f.commands[relays[2]].Process.Kill()
 		collect("a relay killed")
@@ -71,9 +73,9 @@
 	}
 }
 
-// BenchmarkMassResume kills a relay with 2,000 streams, at the moment at which half of the servers are
-// replaced by successors in slow start: how long until all are served by the other relay, and how far servers
-// in slow start are strained.
+// BenchmarkMassResume kills a relay with 2,000 streams just after half of the servers have been replaced by
+// successors in slow start. It measures how long it takes until the other relay serves all streams, and the
+// peak load of the servers in slow start.
 func BenchmarkMassResume(b *testing.B) {
 	const streams = 2000
 	for b.Loop() {
@@ -85,7 +87,7 @@
 			s.Capacity, s.SlowStartCapacity, s.SlowStartWindow = 700, 0.36, 8600*time.Millisecond
 		}
 		a, other := f.startRelay(0, 2), f.startRelay(1, 2)
-		f.waitFor("ownership service", f.ownershipConnected)
+		f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
 		f.removeFromRotation(other)
 		ctx, stop := context.WithCancel(b.Context())
 		var all sync.WaitGroup
@@ -111,8 +113,8 @@
 			}
 			return n
 		}
-		f.waitFor("all are served", func() bool { return served() == streams })
-		for _, s := range f.servers[:4] { // replaced: the streams move, the successors are cold
+		f.waitFor("every stream to be served", func() bool { return served() == streams })
+		for _, s := range f.servers[:4] { // replaced: their streams move to successors that are in slow start
 			s.Kill()
 			f.discovery.Set(s.ID, s.Address, "Gone")
 		}
@@ -134,7 +136,7 @@
 		f.commands[a].Process.Kill()
 		killed, at := time.Now(), f.feed.Newest()
 		secondsUntilServed := func(fraction float64) float64 {
-			f.waitFor("served again", func() bool {
+			f.waitFor("streams to be served again", func() bool {
 				n := 0
 				for _, v := range viewers {
 					if v.Tally().LastScan > at+2 {
@@ -155,10 +157,10 @@
 			k := v.Tally()
 			busy, lost = busy+k.Busy, lost+k.Lost
 		}
-		fmt.Printf("%d tokens after a relay's death, session 4 s: half served after %.1f s, "+
+		fmt.Printf("%d tokens after a relay was killed, session 4 s: half served after %.1f s, "+
 			"99 %% after %.1f s, all after %.1f s; "+
-			"told to come again %.1f times each; scans lost %d; "+
-			"cold servers' peak load %.2f (falls at %.0f for 1.5 s), longest over it %v\n",
+			"rejected %.1f times each; scans lost %d; "+
+			"peak load of servers in slow start %.2f (they fail at %.0f for 1.5 s), longest above it %v\n",
 			streams, half, most, whole, float64(busy)/streams, lost, peak, fake.OverloadFactor, over)
 		stop()
 		all.Wait()
--- a/cmd/capersail/resume_hard_test.go
+++ b/cmd/capersail/resume_failure_test.go
@@ -13,7 +13,7 @@
 	"capersail/internal/token"
 )
 
-// openStream opens a new stream and returns its client, its token, and the generation.
+// openStream opens a new stream and returns its client, its token and the generation of the token.
 func (f *fleet) openStream(at, name string) (c *client, text, gen string) {
 	f.t.Helper()
 	t := f.t.(*testing.T)
@@ -24,7 +24,7 @@
 	return c, words[2], words[1]
 }
 
-// presentToken opens with a token and returns the first line of the answer, and the client.
+// presentToken sends an opening with a token and returns the first line of the answer, and the client.
 func (f *fleet) presentToken(at, name, text, more string) (string, *client) {
 	f.t.Helper()
 	c := dial(f.t.(*testing.T), at)
@@ -33,8 +33,8 @@
 	return strings.TrimSpace(line), c
 }
 
-// resumeWithRetries opens with a token until it is served, as a client does that follows the Retry-After of
-// its rejections. Each must lie within the session.
+// resumeWithRetries sends openings with a token until one is served, and waits for the Retry-After of each
+// rejection in between. Each Retry-After must be within the session's 4 s.
 func (f *fleet) resumeWithRetries(at, name, text, more string) (c *client, rejections int) {
 	f.t.Helper()
 	for n := range 100 {
@@ -46,20 +46,20 @@
 		case len(words) == 2 && words[0] == "BUSY":
 			ms, err := strconv.Atoi(words[1])
 			if err != nil || ms <= 0 || ms > 4000 {
-				f.t.Fatalf("rejected with the Retry-After %q", answer)
+				f.t.Fatalf("rejection: got %q, want a Retry-After from 1 to 4000 ms", answer)
 			}
 			time.Sleep(time.Duration(ms) * time.Millisecond)
 		default:
-			f.t.Fatalf("%s: %q", name, answer)
+			f.t.Fatalf("opening %s: got answer %q, want UP or BUSY with a Retry-After", name, answer)
 		}
 		c.Close()
 	}
-	f.t.Fatalf("%s is never served", name)
+	f.t.Fatalf("opening %s: not served after 100 attempts", name)
 	return nil, 0
 }
 
-// checkLedger fails the test if two servers ever served one stream at once, or its fencing token did
-// not grow.
+// checkLedger fails the test if two servers ever served one stream at the same time, or if a stream's fencing
+// token did not grow from one service to the next.
 func (f *fleet) checkLedger() {
 	f.t.Helper()
 	for _, bad := range f.ledger.Violations() {
@@ -83,11 +83,11 @@
 	}
 }
 
-// openingCase is an OPEN line's fields, and what it is answered.
+// openingCase is the fields of an OPEN line and the wanted answer.
 type openingCase struct{ name, fields, want string }
 
-// invalidOpenings are openings with tokens that are rejected, and last one that is served. text is a valid
-// token of a class map-stream and a tenant acme, sealed by the key a.
+// invalidOpenings returns openings with tokens that are rejected and, as the last, one that is served. text
+// is a valid token of class map-stream and tenant acme, sealed by key a.
 func invalidOpenings(t *testing.T, text string) (openings []openingCase, good *token.Token) {
 	t.Helper()
 	ring, err := token.NewKeyRing([]token.Key{{ID: "a", Secret: []byte(strings.Repeat("a", 32))}})
@@ -110,7 +110,7 @@
 	const fields = "c=map-stream,t=acme,d=3000,g=5,resume="
 	return []openingCase{
 		{"forged", fields + forged, "ERR resume token"},
-		{"cut", fields + text[:len(text)-9], "ERR resume token"},
+		{"truncated", fields + text[:len(text)-9], "ERR resume token"},
 		{"no token", fields + "x", "ERR resume token"},
 		{"another class", "c=zoom,t=acme,d=3000,g=5,resume=" + text, "ERR resume mismatch"},
 		{"another tenant", "c=map-stream,t=surf,d=3000,g=5,resume=" + text, "ERR resume mismatch"},
@@ -119,24 +119,25 @@
 			"ERR resume expired"},
 		{"from the future", fields + forge(func(k *token.Token) { k.IssuedUnixMs = now + 60_000 }),
 			"ERR resume expired"},
-		{"a stream nobody knows", fields + forge(func(k *token.Token) { k.Stream[0]++ }),
+		{"an unknown stream", fields + forge(func(k *token.Token) { k.Stream[0]++ }),
 			"ERR resume unknown"},
-		{"a generation to come", fields + forge(func(k *token.Token) { k.FencingToken = 9 }),
+		{"a generation not yet issued", fields + forge(func(k *token.Token) { k.FencingToken = 9 }),
 			"ERR resume unknown"},
 		{"generation 0, which stands for a new stream",
 			fields + forge(func(k *token.Token) { k.FencingToken = 0 }),
 			"ERR resume token"},
 		{"a negative position",
 			"c=map-stream,t=acme,d=3000,g=5,pos=-1,resume=" + text, "ERR resume position"},
-		{"a position that is none",
+		{"a position out of range",
 			"c=map-stream,t=acme,d=3000,g=5,pos=9223372036854775807,resume=" + text,
 			"ERR resume position"},
 		{"at and resume", "c=map-stream,t=acme,d=3000,g=5,at=s0,resume=" + text, "ERR bad request"},
-		{"two tokens, of which the first counts", fields + text + ",resume=" + forged, "UP"},
+		{"two tokens, of which the first is used", fields + text + ",resume=" + forged, "UP"},
 	}, good
 }
 
-// expectOversizedTokenRejected sends 60 MB in place of a token: an answer, and an end. What is read of it is bounded.
+// expectOversizedTokenRejected sends 60 MB in place of a token. The relay must answer with ERR: it reads a
+// bounded part of the line.
 func expectOversizedTokenRejected(t *testing.T, at string) {
 	t.Helper()
 	c := dial(t, at)
@@ -153,29 +154,31 @@
 		}
 	}()
 	if got, _ := c.in.ReadString('\n'); !strings.HasPrefix(got, "ERR") {
-		t.Errorf("60 MB were answered %q", got)
+		t.Errorf("token of 60 MB: got answer %q, want ERR", got)
 	}
 }
 
-// expectUnservablePositionsReported opens at positions ahead of what the server has, and behind what it keeps.
+// expectUnservablePositionsReported sends openings at a position ahead of the server's newest scan, which is
+// rejected, and at one older than the scans it keeps, which is answered with the gap.
 func (f *fleet) expectUnservablePositionsReported(t *testing.T, at, text string) {
 	t.Helper()
 	if got, _ := f.presentToken(at, "ahead", text, ",pos=1000000"); got != "ERR resume ahead" {
-		t.Errorf("ahead: %q", got)
+		t.Errorf("position ahead of the newest scan: got %q, want ERR resume ahead", got)
 	}
-	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
-	f.waitFor("scans that are kept no more", func() bool { return f.feed.Newest() > 30 })
+	f.waitFor("the ownership lease to be released", func() bool { return countOwned(f.ownership) == 0 })
+	f.waitFor("position 2 to be older than the scans kept", func() bool { return f.feed.Newest() > 30 })
 	c, _ := f.resumeWithRetries(at, "gap", text, ",pos=2")
 	if gap := c.readUntil(t, "GAP"); gap[1] != "3" || gap[2] == "-" {
-		t.Errorf("behind what is kept: %q", gap)
+		t.Errorf("position older than the scans kept: got %q, want a gap from scan 3", gap)
 	} else if scan := c.readUntil(t, "SCAN"); scan[1] != addToNumber(gap[2], 1) {
-		t.Errorf("after %q comes %q", gap, scan)
+		t.Errorf("after %q: got %q, want the scan that follows the gap", gap, scan)
 	}
 	c.Close()
-	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+	f.waitFor("the ownership lease to be released", func() bool { return countOwned(f.ownership) == 0 })
 }
 
-// expectStaleTokenRejected has a server see a higher fencing token of the stream: it rejects a lower one.
+// expectStaleTokenRejected sends a server a higher fencing token of the stream, after which the server must
+// reject a lower one.
 func (f *fleet) expectStaleTokenRejected(t *testing.T, at, text string, good *token.Token) {
 	t.Helper()
 	direct := dial(t, f.servers[0].Address)
@@ -183,38 +186,39 @@
 	direct.sendAndExpect(t, higher, "UP")
 	direct.Close()
 	if got, _ := f.presentToken(at, "stale", text, ""); got != "ERR resume behind" {
-		t.Errorf("a server that rejects a fencing token: %q", got)
+		t.Errorf("fencing token lower than the server has seen: got %q, want ERR resume behind", got)
 	}
 }
 
-// What is no token, or not this stream's, or not now, is rejected at once and reaches no server.
+// Openings with an invalid token, with a token of another stream or with one that is not valid now are
+// rejected at once and reach no server.
 func TestInvalidTokensAreRejected(t *testing.T) {
 	f := newFleet(t, 1, "skew_ms = 100\n")
 	f.feed.Keep = 20
 	f.changeConfig = addOtherClassAndTenant
 	at := f.startRelay(0, 1)
-	f.waitFor("ownership service", f.ownershipConnected)
+	f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
 	c, text, _ := f.openStream(at, "s")
 	c.Close()
-	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+	f.waitFor("the ownership lease to be released", func() bool { return countOwned(f.ownership) == 0 })
 
 	openings, good := invalidOpenings(t, text)
 	before := f.servers[0].Openings()
 	for i, k := range openings {
 		if k.want == "UP" {
 			if n := f.servers[0].Openings(); n != before {
-				t.Errorf("%d rejected openings reached the server", n-before)
+				t.Errorf("%d openings with an invalid token reached the server, want none", n-before)
 			}
 		}
 		c := dial(t, at)
 		fmt.Fprintf(c, "OPEN r%d 7f %s\r\n", i, k.fields)
 		got, _ := c.in.ReadString('\n')
 		if got = strings.TrimSpace(got); got != k.want && !(k.want == "UP" && strings.HasPrefix(got, "UP ")) {
-			t.Errorf("%s: %q, want %q", k.name, got, k.want)
+			t.Errorf("opening with %s: got %q, want %q", k.name, got, k.want)
 		}
 		c.Close()
 	}
-	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+	f.waitFor("the ownership lease to be released", func() bool { return countOwned(f.ownership) == 0 })
 
 	expectOversizedTokenRejected(t, at)
 	f.expectUnservablePositionsReported(t, at, text)
@@ -226,18 +230,18 @@
 	}
 }
 
-// addToNumber is the decimal number in text, plus n.
+// addToNumber returns the sum of the decimal number in text and n, as text.
 func addToNumber(text string, n int) string {
 	x, _ := strconv.Atoi(text)
 	return strconv.Itoa(x + n)
 }
 
-// Keys: a new one seals at once after SIGHUP, an old one opens until it is taken out, and a file that others
-// can read changes nothing.
+// After SIGHUP the relay seals tokens by the new key at once, and opens tokens of an old key until the key is
+// removed from the file. A key file that other users can read changes nothing.
 func TestReloadRotatesKeys(t *testing.T) {
 	f := newFleet(t, 1, "")
 	at := f.startRelay(0, 1)
-	f.waitFor("ownership service", f.ownershipConnected)
+	f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
 	c, old, _ := f.openStream(at, "s")
 	c.Close()
 	reload := func(want string) {
@@ -265,55 +269,55 @@
 	c, _ = f.resumeWithRetries(at, "both", old, "")
 	words := c.readUntil(t, "TOKEN")
 	if !strings.HasPrefix(words[2], "cs1.b.") {
-		t.Errorf("the new key does not seal: %s", words[2])
+		t.Errorf("token after the new key was added: got %s, want one sealed by key b", words[2])
 	}
 	c.Close()
 	writeKeys(t, f.keyFile, "b")
 	reload("reloaded resume")
 	if got, _ := f.presentToken(at, "old", old, ""); got != "ERR resume token" {
-		t.Errorf("sealed by a key that was taken out: %q", got)
+		t.Errorf("token sealed by a removed key: got %q, want ERR resume token", got)
 	}
 	c, _ = f.resumeWithRetries(at, "new", words[2], "")
 	c.readUntil(t, "TOKEN")
 	f.checkLedger()
 }
 
-// The old relay is killed: its ownership lease still holds. The client is rejected at once with a Retry-After
-// within the session, and is then served from where it stopped.
+// A relay is killed while its ownership lease is still valid. At another relay the client is rejected at once
+// with a Retry-After within the session, and is later served from the position at which it stopped.
 func TestStreamResumesAfterItsRelayIsKilled(t *testing.T) {
 	f := newFleet(t, 2, "")
 	a, b := f.startRelay(0, 2), f.startRelay(1, 2)
-	f.waitFor("ownership service", f.ownershipConnected)
+	f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
 	c, text, _ := f.openStream(a, "s")
 	scan := c.readUntil(t, "SCAN")
 	f.commands[a].Process.Kill()
-	f.waitFor("its server sees the end", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
+	f.waitFor("the stream to end at its server", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
 	c, rejections := f.resumeWithRetries(b, "again", text, ",pos="+scan[1])
 	if rejections == 0 {
-		t.Error("the lease of a relay that was killed did not hold")
+		t.Error("no rejection while the lease of the killed relay is valid, want at least one")
 	}
 	if next := c.readUntil(t, "SCAN"); next[1] != addToNumber(scan[1], 1) {
-		t.Errorf("after scan %s comes %s", scan[1], next[1])
+		t.Errorf("scan after %s: got %s, want the next", scan[1], next[1])
 	}
 	f.checkLedger()
 }
 
-// A relay that is paused for longer than its session: its server's lease ends before another relay can
-// acquire the stream, and once it runs again it forwards nothing.
+// A relay process is paused for longer than its session. The server's lease ends before another relay can
+// acquire the stream, and the paused relay forwards nothing once it continues.
 func TestPausedRelayForwardsNothingAfterItsSession(t *testing.T) {
 	f := newFleet(t, 2, "")
 	a, b := f.startRelay(0, 2), f.startRelay(1, 2)
-	f.waitFor("ownership service", f.ownershipConnected)
+	f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
 	c, text, _ := f.openStream(a, "s")
 	scan := c.readUntil(t, "SCAN")
 	f.commands[a].Process.Signal(syscall.SIGSTOP)
 	stopped := f.feed.Newest()
 	k, rejections := f.resumeWithRetries(b, "again", text, ",pos="+scan[1])
 	if rejections == 0 {
-		t.Error("the lease of a relay that is paused did not hold")
+		t.Error("no rejection while the lease of the paused relay is valid, want at least one")
 	}
 	if next := k.readUntil(t, "SCAN"); next[1] != addToNumber(scan[1], 1) {
-		t.Errorf("after scan %s comes %s", scan[1], next[1])
+		t.Errorf("scan after %s: got %s, want the next", scan[1], next[1])
 	}
 	f.checkLedger()
 	f.commands[a].Process.Signal(syscall.SIGCONT)
@@ -328,13 +332,15 @@
 		}
 	}
 	if x, _ := strconv.ParseUint(last, 10, 64); x > stopped+1 {
-		t.Errorf("a relay that was paused forwarded scan %s; %d was the newest before", last, stopped)
+		t.Errorf("paused relay: forwarded scan %s after it continued; the newest before the pause is %d",
+			last, stopped)
 	}
-	k.readUntil(t, "SCAN") // and the stream is not disturbed
+	k.readUntil(t, "SCAN") // the stream at the other relay continues
 	f.checkLedger()
 }
 
-// The ownership service gone before, during and after; its answers lost; its sessions expired.
+// Streams continue when the ownership service is unreachable before, while and after they are opened, when it
+// loses an answer, when its sessions expire, and when it accepts requests without an answer.
 func TestStreamsSurviveOwnershipServiceOutages(t *testing.T) {
 	f := newFleet(t, 2, "")
 	f.ownership.SetUnreachable(true)
@@ -347,18 +353,20 @@
 	words := c.readUntil(t, "TOKEN")
 	fmt.Fprintf(c, "GOT %s\r\n", words[1])
 
-	f.ownership.ResetConnections() // a session taken up again costs nothing
-	f.waitFor("connected again", func() bool { return f.countLogs("ownership service connected") >= 2 })
+	f.ownership.ResetConnections() // the session is resumed: no stream is disturbed
+	f.waitFor("the relay to reconnect to the ownership service",
+		func() bool { return f.countLogs("ownership service connected") >= 2 })
 	for range 3 {
 		c.readUntil(t, "SCAN")
 	}
-	// For longer than leases are trusted: migrated, before another relay could have acquired the stream.
+	// The service is unreachable for longer than a lease is valid: the relay migrates the stream before
+	// another relay could acquire it.
 	f.ownership.SetUnreachable(true)
 	last := ""
 	for {
 		line, err := c.in.ReadString('\n')
 		if err != nil {
-			t.Fatalf("not moved politely: %v", err)
+			t.Fatalf("stream during the outage: closed without MOVE: %v", err)
 		}
 		if words := strings.Fields(line); words[0] == "MOVE" {
 			break
@@ -366,9 +374,9 @@
 			last = words[1]
 		}
 	}
-	f.waitFor("its server sees the end", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
+	f.waitFor("the stream to end at its server", func() bool { n, _ := f.ledger.Serving(); return n == 0 })
 	if got, _ := f.presentToken(at, "down", words[2], ",pos="+last); !strings.HasPrefix(got, "BUSY ") {
-		t.Errorf("while the service is gone: %q", got)
+		t.Errorf("opening while the service is unreachable: got %q, want BUSY with a Retry-After", got)
 	}
 	f.ownership.SetUnreachable(false)
 	c, _ = f.resumeWithRetries(at, "back", words[2], ",pos="+last)
@@ -376,19 +384,19 @@
 	fmt.Fprintf(c, "GOT %s\r\nM\r\n", words[1])
 	c.readUntil(t, "M")
 
-	f.ownership.ExpireSessions() // expired while served: migrated at once
+	f.ownership.ExpireSessions() // the stream is served: it is migrated at once
 	c.readUntil(t, "MOVE")
-	f.ownership.DropAnswers(1) // the lease is acquired, and the answer lost: the node exists and is ours
+	f.ownership.DropAnswers(1) // the lease is acquired and the answer lost: the node exists
 	c, _ = f.resumeWithRetries(at, "swallowed", words[2], "")
 	c.readUntil(t, "SCAN")
 	if n := countOwned(f.ownership); n != 1 {
-		t.Errorf("%d holders", n)
+		t.Errorf("got %d streams with an owner, want 1", n)
 	}
 	c.Close()
-	f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
-	f.ownership.SetFrozen(true) // it answers nothing at all
+	f.waitFor("the ownership lease to be released", func() bool { return countOwned(f.ownership) == 0 })
+	f.ownership.SetFrozen(true) // it accepts requests and never answers
 	if got, _ := f.presentToken(at, "frozen", words[2], ""); !strings.HasPrefix(got, "BUSY ") {
-		t.Errorf("while the service is frozen: %q", got)
+		t.Errorf("opening while the service does not answer: got %q, want BUSY with a Retry-After", got)
 	}
 	f.ownership.SetFrozen(false)
 	c, _ = f.resumeWithRetries(at, "thawed", words[2], "")
@@ -396,7 +404,7 @@
 	f.checkLedger()
 }
 
-// countLogs counts log lines that hold a text.
+// countLogs returns the number of log lines that contain text.
 func (f *fleet) countLogs(text string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -408,24 +416,25 @@
 	return n
 }
 
-// The server that a resuming stream is placed on dies, falls silent or drains before it answers. One attempt
-// after the other under one ownership lease: a second relay is rejected all the while.
+// The server on which a resuming stream is placed is killed, stops responding or drains before it answers.
+// The relay makes one attempt after the other under one ownership lease; a second relay is rejected
+// meanwhile.
 func TestServerFailureDuringResumeKeepsOwnership(t *testing.T) {
 	for _, how := range []string{"killed", "silent", "draining"} {
 		t.Run(how, func(t *testing.T) {
 			f := newFleet(t, 2, "")
 			a, b := f.startRelay(0, 2), f.startRelay(1, 2)
-			f.waitFor("ownership service", f.ownershipConnected)
+			f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
 			c, text, _ := f.openStream(a, "s")
 			scan := c.readUntil(t, "SCAN")
 			c.Close()
-			f.waitFor("given back", func() bool { return countOwned(f.ownership) == 0 })
+			f.waitFor("the lease to be released", func() bool { return countOwned(f.ownership) == 0 })
 			var once sync.Once
 			secondAnswer := make(chan string, 1)
 			for _, s := range f.servers {
 				s.OnFirstLine = func(string) {
 					once.Do(func() {
-						// In the middle of the first's attempt.
+						// During the first relay's attempt.
 						got, second := f.presentToken(b, "second", text, "")
 						second.Close()
 						secondAnswer <- got
@@ -445,24 +454,25 @@
 			}
 			c, _ = f.resumeWithRetries(a, "first", text, ",pos="+scan[1])
 			if got := <-secondAnswer; !strings.HasPrefix(got, "BUSY ") {
-				t.Errorf("at a second relay in mid-resume: %q", got)
+				t.Errorf("second relay during the resume: got %q, want BUSY with a Retry-After", got)
 			}
 			if next := c.readUntil(t, "SCAN"); next[1] != addToNumber(scan[1], 1) {
-				t.Errorf("after scan %s comes %s", scan[1], next[1])
+				t.Errorf("scan after %s: got %s, want the next", scan[1], next[1])
 			}
 			f.checkLedger()
 		})
 	}
 }
 
-// Without -resume the fields are a client's own, as ever: they go on to the server, and nothing is added.
+// Without --resume the relay does not interpret the fields of resume tokens: it forwards them to the server
+// and adds none.
 func TestResumeFieldsAreForwardedWhenOff(t *testing.T) {
 	d, s := newDiscoveryWithServer(t, "s1")
 	_, address, _ := startRelay(t, writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", d.Address
 	}))
 	f := &fleet{t: t}
-	f.waitFor("listed", func() bool {
+	f.waitFor("the server to be listed", func() bool {
 		c := dial(t, address)
 		defer c.Close()
 		fmt.Fprint(c, "OPEN o 7f c=map-stream,t=acme,d=2000,resume=new,pos=7\r\n")
@@ -470,11 +480,12 @@
 		return strings.HasPrefix(got, "UP")
 	})
 	if first := <-s.FirstLines; !strings.HasSuffix(first, ",resume=new,pos=7") {
-		t.Errorf("the server was sent %q", first)
+		t.Errorf("first line at the server: got %q, want it to end with ,resume=new,pos=7", first)
 	}
 }
 
-// What is wrong with the operator's file: one line that names the file and the key, and exit 1.
+// An invalid resume file gives an error of one line that names the file and the key, and a non-zero exit
+// code.
 func TestBadResumeFileNamesFileAndKey(t *testing.T) {
 	f := newFleet(t, 0, "")
 	good, _ := os.ReadFile(f.resumeFile)
@@ -495,7 +506,8 @@
 		out, err := cmd.CombinedOutput()
 		named := strings.HasPrefix(string(out), "capersail: "+f.resumeFile+": "+k.want)
 		if err == nil || !named || strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%s: %v, %q", name, err, out)
+			t.Errorf("resume file with invalid %s: got %v, output %q; want one line naming the key",
+				name, err, out)
 		}
 	}
 }
--- a/cmd/capersail/resume_test.go
+++ b/cmd/capersail/resume_test.go
@@ -19,7 +19,7 @@
 	"capersail/internal/testing/fake"
 )
 
-// writeKeys writes a key file with keys of the given ids; the first seals.
+// writeKeys writes a key file with keys of the given ids. The relay seals tokens by the first.
 func writeKeys(t testing.TB, path string, ids ...string) {
 	t.Helper()
 	text := ""
@@ -32,7 +32,7 @@
 	}
 }
 
-// fleet is relays as processes, with servers, discovery and the ownership service as fakes.
+// fleet is a set of relay processes, with fakes of the servers, of discovery and of the ownership service.
 type fleet struct {
 	t          testing.TB
 	ownership  *fake.ZooKeeper
@@ -41,17 +41,17 @@
 	ledger     *fake.Ledger
 	servers    []*fake.ScanServer
 	keyFile    string
-	resumeFile string // resume.toml
+	resumeFile string // path of resume.toml
 
 	mu           sync.Mutex
-	commands     map[string]*exec.Cmd // by address
+	commands     map[string]*exec.Cmd // by the relay's address
 	rotation     []string
 	logs         []string
 	changeConfig func(map[string]any)
 }
 
-// newFleet starts the fakes, with servers that are listed as ready, and writes the resume file, to which
-// extra is added. Relays are started by startRelay.
+// newFleet starts the fakes, lists the servers as ready, and writes the resume file, with extra at its end.
+// Relays are started by startRelay.
 func newFleet(t testing.TB, servers int, extra string) *fleet {
 	t.Helper()
 	stop := make(chan struct{})
@@ -92,7 +92,7 @@
 	return f
 }
 
-// startRelay starts relay number me of all and returns its address.
+// startRelay starts the relay with index me and returns its address. all is the number of relays in the fleet.
 func (f *fleet) startRelay(me, all int) string {
 	f.t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
@@ -142,7 +142,7 @@
 	return a
 }
 
-// removeFromRotation takes a relay out of those that clients are sent to.
+// removeFromRotation removes a relay from those that clients connect to.
 func (f *fleet) removeFromRotation(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,26 +153,27 @@
 	}
 }
 
-// randomRelay is the address of one of the relays that clients are sent to.
+// randomRelay returns the address of a random relay of those that clients connect to.
 func (f *fleet) randomRelay() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rotation[rand.IntN(len(f.rotation))]
 }
 
-// waitFor waits for a condition. Its limit only ends a test that hangs.
+// waitFor waits for a condition. Its limit of 60 s serves only to end a test that hangs.
 func (f *fleet) waitFor(what string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.t.Fatalf("%s: never\n%s", what, strings.Join(f.logs[max(0, len(f.logs)-20):], "\n"))
+			f.t.Fatalf("waited 60 s for: %s; last log lines:\n%s",
+				what, strings.Join(f.logs[max(0, len(f.logs)-20):], "\n"))
 		}
 	}
 }
 
-// ownershipConnected says whether every relay has logged a connection to the ownership service.
+// ownershipConnected reports whether every relay has logged a connection to the ownership service.
 func (f *fleet) ownershipConnected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -185,7 +186,7 @@
 	return n >= len(f.commands)
 }
 
-// startViewers starts viewers, those with a token that are wanted to have one. stop ends them all.
+// startViewers starts n viewers. Viewer i uses resume tokens if token(i) is true. stop ends all viewers.
 func (f *fleet) startViewers(n int, token func(i int) bool) (viewers []*fake.Viewer, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -209,32 +210,33 @@
 	return viewers, stop
 }
 
-// waitUntilViewersCurrent waits until every viewer has come past what is newest now.
+// waitUntilViewersCurrent waits until every viewer has received a scan that is newer than all scans at the
+// time of the call, and has a token if it uses tokens.
 func (f *fleet) waitUntilViewersCurrent(viewers []*fake.Viewer) {
 	f.t.Helper()
-	newest := f.feed.Newest() + 3 // what nobody can have yet
+	newest := f.feed.Newest() + 3 // a scan that no viewer can have yet
 	for _, v := range viewers {
-		f.waitFor("every stream is served", func() bool {
+		f.waitFor("every stream to be served", func() bool {
 			return v.Tally().LastScan >= newest && (!v.UseTokens || v.ResumeToken() != "")
 		})
 	}
 }
 
-// drainAllServers drains the servers one after the other; each comes back.
+// drainAllServers drains the servers one after the other and makes each ready again.
 func (f *fleet) drainAllServers() {
 	f.t.Helper()
 	for _, s := range f.servers {
 		f.discovery.Set(s.ID, s.Address, "Terminating")
 		s.SetRejecting(true)
-		f.waitFor("drained", func() bool { return s.MigrateOneIn(3) == 0 })
+		f.waitFor("the server to be drained", func() bool { return s.MigrateOneIn(3) == 0 })
 		s.SetRejecting(false)
 		f.discovery.Set(s.ID, s.Address, "Ready")
 	}
 }
 
-// Streams of numbered scans through a rolling drain of all servers, a kill, a silence, a relay that is killed
-// and one that leaves: nothing is lost or out of turn, never do two servers serve one stream, and each
-// opening gets one answer.
+// Streams of numbered scans survive a rolling drain of all servers, a server that is killed, one that stops
+// responding, a relay that is killed and one that shuts down: no scan is lost or out of order, no two servers
+// serve one stream at the same time, and each opening gets one answer.
 func TestMigratedStreamsLoseNothing(t *testing.T) {
 	const streams = 200
 	f := newFleet(t, 6, "")
@@ -242,7 +244,7 @@
 	for i := range 3 {
 		relays = append(relays, f.startRelay(i, 3))
 	}
-	f.waitFor("ownership service", f.ownershipConnected)
+	f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
 	viewers, stop := f.startViewers(streams, func(int) bool { return true })
 	waitUntilCurrent := func() { f.waitUntilViewersCurrent(viewers) }
 	waitUntilCurrent()
@@ -260,7 +262,7 @@
 	f.removeFromRotation(relays[2])
 	f.commands[relays[2]].Process.Signal(syscall.SIGTERM)
 	if err := f.commands[relays[2]].Wait(); err != nil {
-		t.Errorf("the relay that left ended with %v", err)
+		t.Errorf("relay after SIGTERM: exited with %v, want no error", err)
 	}
 	waitUntilCurrent()
 	stop()
@@ -269,36 +271,37 @@
 		k := v.Tally()
 		moves, breaks, busy = moves+k.Moves, breaks+k.Breaks, busy+k.Busy
 		if k.Lost != 0 || k.Disorder != 0 || k.Failed != 0 {
-			t.Errorf("%s: %+v", v.Name, k)
+			t.Errorf("viewer %s: got %+v, want nothing lost, out of order or failed", v.Name, k)
 		}
 		unanswered := 0
 		for _, n := range k.Notes {
-			if n == "unanswered by "+relays[1] { // it was killed
+			if n == "unanswered by "+relays[1] { // the relay that was killed
 				unanswered++
 			} else {
-				t.Errorf("%s: %s", v.Name, n)
+				t.Errorf("viewer %s: unexpected note %s", v.Name, n)
 			}
 		}
 		if k.Answers+unanswered != k.Openings {
-			t.Errorf("%s: %d answers to %d openings", v.Name, k.Answers, k.Openings)
+			t.Errorf("viewer %s: got %d answers to %d openings, want one each", v.Name, k.Answers, k.Openings)
 		}
 	}
 	f.checkLedger()
 	_, served := f.ledger.Serving()
 	if moves < streams || served < 2*streams {
-		t.Errorf("%d moves, %d services: too little happened", moves, served)
+		t.Errorf("got %d migrations and %d services, want at least 1 and 2 per stream", moves, served)
 	}
-	t.Logf("%d streams, %d services, %d moves, %d breaks, %d times told to come again, %d scans each",
+	t.Logf("%d streams, %d services, %d migrations, %d broken connections, %d rejections, %d scans each",
 		streams, served, moves, breaks, busy, f.feed.Newest())
 }
 
-// Tokens shown to two relays at the same instant, and twice at one: one attempt, one service; the others are
-// rejected at once. After the stream has gone on, the token is worth nothing.
+// A token that is presented to two relays at the same time, or several times to one, gets one attempt and one
+// service; the other openings are rejected at once. Once the stream has a newer token, the old one is
+// rejected.
 func TestReplayedTokenGetsOneAttempt(t *testing.T) {
 	f := newFleet(t, 3, "")
 	relays := []string{f.startRelay(0, 2), f.startRelay(1, 2)}
-	f.waitFor("ownership service", f.ownershipConnected)
-	var inFlight sync.Map // attempts out for a stream, as the servers see them
+	f.waitFor("every relay to connect to the ownership service", f.ownershipConnected)
+	var inFlight sync.Map // number of attempts per stream, counted at the servers
 	for _, s := range f.servers {
 		s.OnFirstLine = func(line string) {
 			_, rest, _ := strings.Cut(line, ",s=")
@@ -317,7 +320,7 @@
 		words := first.readUntil(t, "TOKEN")
 		fmt.Fprintf(first, "GOT %s\r\n", words[1])
 		first.Close()
-		f.waitFor("the lease is given back", func() bool { return countOwned(f.ownership) == 0 })
+		f.waitFor("the ownership lease to be released", func() bool { return countOwned(f.ownership) == 0 })
 		before := totalOpenings(f.servers)
 		rng := rand.New(rand.NewPCG(uint64(i), 2))
 		barrier := make(chan struct{})
@@ -326,7 +329,7 @@
 		var all sync.WaitGroup
 		for k := range 4 {
 			at := relays[k%2]
-			if i%5 == 4 { // twice and more at one relay
+			if i%5 == 4 { // several times to one relay
 				at = relays[0]
 			}
 			delay := time.Duration(rng.IntN(3)) * time.Millisecond
@@ -346,32 +349,33 @@
 			case first == "UP" && up < 0:
 				up = k
 			case first != "BUSY":
-				t.Fatalf("seed %d: %q", i, answers)
+				t.Fatalf("seed %d: got answers %q, want one UP and otherwise BUSY", i, answers)
 			}
 		}
 		if up < 0 || totalOpenings(f.servers) != before+1 {
-			t.Fatalf("seed %d: %q, %d attempts", i, answers, totalOpenings(f.servers)-before)
+			t.Fatalf("seed %d: got answers %q with %d attempts, want one UP and 1 attempt",
+				i, answers, totalOpenings(f.servers)-before)
 		}
 		next := clients[up].readUntil(t, "TOKEN")
 		fmt.Fprintf(clients[up], "GOT %s\r\nM\r\n", next[1])
-		clients[up].readUntil(t, "M") // comes back from the server: GOT was read
+		clients[up].readUntil(t, "M") // the server echoes M, so the relay has read GOT before it
 		clients[up].Close()
-		f.waitFor("the lease is given back", func() bool { return countOwned(f.ownership) == 0 })
-		for k, at := range relays { // its successor has arrived
+		f.waitFor("the ownership lease to be released", func() bool { return countOwned(f.ownership) == 0 })
+		for k, at := range relays { // the client has confirmed the newer token
 			c := dial(t, at)
 			fmt.Fprint(c, opening(k+5, "resume="+words[2])+"\r\n")
 			if got, _ := c.in.ReadString('\n'); strings.TrimSpace(got) != "ERR resume behind" {
-				t.Fatalf("seed %d: a token used up was answered %q", i, got)
+				t.Fatalf("seed %d: used token: got answer %q, want ERR resume behind", i, got)
 			}
 		}
 		if totalOpenings(f.servers) != before+1 {
-			t.Fatalf("seed %d: a rejected token reached a server", i)
+			t.Fatalf("seed %d: an opening with a rejected token reached a server", i)
 		}
 	}
 	f.checkLedger()
 }
 
-// totalOpenings is how many OPEN lines the servers were sent.
+// totalOpenings returns the number of OPEN lines that the servers have received.
 func totalOpenings(servers []*fake.ScanServer) (n int) {
 	for _, s := range servers {
 		n += s.Openings()
@@ -379,7 +383,7 @@
 	return n
 }
 
-// countOwned is how many streams have an owner.
+// countOwned returns the number of streams that have an owner.
 func countOwned(zk *fake.ZooKeeper) (n int) {
 	for _, p := range zk.Nodes("/a/streams/") {
 		if strings.HasSuffix(p, "/holder") {
@@ -389,7 +393,7 @@
 	return n
 }
 
-// readUntil reads to the next line with a first word.
+// readUntil reads up to the next line whose first word is want, and returns the words of that line.
 func (c *client) readUntil(t *testing.T, want string) []string {
 	t.Helper()
 	for {
--- a/cmd/capersail/moments_test.go
+++ b/cmd/capersail/startup_shutdown_test.go
@@ -19,11 +19,11 @@
 	"capersail/internal/testing/fake"
 )
 
-// Idle clients take all the descriptors that a relay has while discovery is down: it goes on serving by the
-// list that it has, frees descriptors for whoever asks, and follows discovery when that returns. The machine
-// holds the process to 64 descriptors.
+// Idle clients use up the relay's descriptors while discovery is down: the relay continues to serve by its
+// endpoint list, frees descriptors for clients with requests, and follows discovery when it is back. The
+// process is limited to 64 descriptors by ulimit.
 func TestDescriptorsExhaustedByIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	address := freeAddress(t) // discovery's, where nobody is yet
+	address := freeAddress(t) // of discovery, which is not started yet
 	s1, err := fake.NewEchoServer("127.0.0.1:0", "UP")
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 	openIdleClients(200)
 	for i := range 5 {
 		if got := openRequest(i); got != "UP" {
-			t.Errorf("request %d behind 200 idle clients was answered %q", i, got)
+			t.Errorf("request %d behind 200 idle clients: got answer %q, want UP", i, got)
 		}
 		openIdleClients(20)
 	}
@@ -74,23 +74,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Set("s2", s2.Address, "Ready") // and s1 is gone
+	d.Set("s2", s2.Address, "Ready") // and not s1
 	for i, until := 100, time.Now().Add(20*time.Second); len(s2.FirstLines) == 0; i++ {
 		openIdleClients(10)
 		openRequest(i)
 		if time.Now().After(until) {
-			t.Fatal("discovery's return was not found in 20 s")
+			t.Fatal("no connection at the server of the restarted discovery in 20 s")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("the program ended with %v", err)
+		t.Errorf("program after SIGTERM: exited with %v, want no error", err)
 	}
 }
 
-// SIGTERM in the middle of a manual drain, and a second one on top of it: an open connection is migrated, one
-// that is idle or has sent half a line is closed cleanly, and the program exits in order.
+// SIGTERM during a manual drain, and another during the shutdown: an open connection is migrated, a
+// connection that is idle or has sent half a line is closed cleanly, and the program exits with code 0.
 func TestSIGTERMDuringManualDrainShutsDownGracefully(t *testing.T) {
 	d, _ := newDiscoveryWithServer(t, "s1")
 	admin := freeAddress(t)
@@ -105,7 +105,7 @@
 	idle.sendAndExpect(t, "PING", "PONG")
 	fmt.Fprint(partial, "OPEN h1 7f3a c=map")
 	if code, _ := callAdmin(t, "POST", "http://"+admin+"/ops/drain/start"); code/100 != 2 {
-		t.Fatalf("drain: %d", code)
+		t.Fatalf("POST drain/start: got status %d, want 2xx", code)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	for line := range messages {
@@ -119,28 +119,28 @@
 		}
 	}()
 	if got, err := open1.in.ReadString('\n'); strings.TrimSpace(got) != "MOVE" {
-		t.Errorf("who is open was told %q, %v", got, err)
+		t.Errorf("client with an open connection: got %q, error %v; want MOVE", got, err)
 	}
-	for name, c := range map[string]*client{"who rests": idle, "who sent half a line": partial} {
+	for name, c := range map[string]*client{"idle client": idle, "client that sent half a line": partial} {
 		if got, err := c.in.ReadString('\n'); got != "" || err == nil || err.Error() != "EOF" {
-			t.Errorf("%s: %q, %v", name, got, err)
+			t.Errorf("%s: got %q, error %v; want EOF", name, got, err)
 		}
 		c.Close()
 	}
 	open1.Close()
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("the program ended with %v", err)
+		t.Errorf("program after two SIGTERMs in a drain: exited with %v, want no error", err)
 	}
 }
 
-// Signals are caught before other packages are initialized, which takes milliseconds: until then a SIGHUP
-// ends the process.
+// Package signals is initialized, and catches signals, before the large packages are. Their initialization
+// takes milliseconds, and a SIGHUP that is not caught ends the process.
 func TestSignalsAreCaughtFirst(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^$")
 	cmd.Env = append(os.Environ(), "GODEBUG=inittrace=1")
 	trace, err := cmd.CombinedOutput()
 	if err != nil {
-		t.Fatalf("%v: %s", err, trace)
+		t.Fatalf("initialization trace: %v: %s", err, trace)
 	}
 	caught := strings.Index(string(trace), "init capersail/internal/signals ")
 	for _, later := range []string{
@@ -149,12 +149,13 @@
 		"gonum.org/v1/plot",
 	} {
 		if at := strings.Index(string(trace), "init "+later+" "); caught < 0 || at < caught {
-			t.Errorf("%s is initialized at byte %d of the trace, signals at %d", later, at, caught)
+			t.Errorf("%s is initialized at byte %d of the trace, package signals at %d; want signals first",
+				later, at, caught)
 		}
 	}
 }
 
-// deployedCommand is the program as deploy/balancer.toml has the platform start it.
+// deployedCommand returns the command by which the platform starts the program, after deploy/balancer.toml.
 func deployedCommand(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
@@ -164,7 +165,7 @@
 	_, line, _ := strings.Cut(string(deploy), "\nrun = \"")
 	line, _, found := strings.Cut(line, "\"\n")
 	if !found || !strings.Contains(line, "bin/capersail") {
-		t.Fatalf("deploy/balancer.toml runs %q", line)
+		t.Fatalf("deploy/balancer.toml: run is %q, want a command with bin/capersail", line)
 	}
 	line = strings.Replace(line, "bin/capersail", os.Args[0], 1)
 	cmd := exec.CommandContext(t.Context(), "sh", "-c", line)
@@ -172,18 +173,18 @@
 	return cmd
 }
 
-// A process that is started as it is deployed survives SIGHUP at each moment of its start, but for the first
-// of its shell. Guards against a reload that ends a relay which has just been started.
+// A process that is started by the deployed command survives SIGHUP at any time of its start once the shell
+// has been replaced by the program. Guards against a reload that ends a relay which has just been started.
 func TestReloadDuringStartDoesNotEndTheProcess(t *testing.T) {
 	discovery, _ := newDiscoveryWithServer(t, "s1")
 	config := writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = "127.0.0.1:0", discovery.Address
 	})
-	const delays, apart = 12, 300 * time.Microsecond
-	for moment := range delays {
+	const steps, stepLength = 12, 300 * time.Microsecond
+	for step := range steps {
 		disturb := func(process *os.Process) {
 			awaitExec(t, process)
-			for until := time.Now().Add(time.Duration(moment) * apart); time.Now().Before(until); {
+			for until := time.Now().Add(time.Duration(step) * stepLength); time.Now().Before(until); {
 			}
 			for range 3 {
 				process.Signal(syscall.SIGHUP)
@@ -197,12 +198,12 @@
 		dial(t, address).sendAndExpect(t, "PING", "PONG")
 		cmd.Process.Signal(syscall.SIGTERM)
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("after SIGHUP at moment %d: %v", moment, err)
+			t.Errorf("SIGHUP at step %d of the start: exited with %v, want no error", step, err)
 		}
 	}
 }
 
-// awaitExec waits until a process's shell has become the program.
+// awaitExec waits until the shell of a process has been replaced by the program.
 func awaitExec(t *testing.T, process *os.Process) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
@@ -211,11 +212,12 @@
 			return
 		}
 	}
-	t.Fatal("the shell does not become the program")
+	t.Fatal("the shell was not replaced by the program in 10 s")
 }
 
-// SIGTERM at any moment of the start ends the process: by the signal before it serves, and in order, with an
-// answer to each request that it has read, once it does. Guards against a start that hangs or loses requests.
+// SIGTERM at any time of the start ends the process. Before the process serves, the signal itself may end it;
+// once it serves, it shuts down gracefully and answers each request that it has read. Guards against a start
+// that hangs or loses requests.
 func TestShutdownDuringStart(t *testing.T) {
 	discovery, _ := newDiscoveryWithServer(t, "s1")
 	address := freeAddress(t)
@@ -224,11 +226,11 @@
 		c["known"] = json.RawMessage(discovery.Snapshot())
 	})
 	const (
-		moments, apart   = 6, 7 * time.Millisecond
-		exitTimeout      = 10 * time.Second
-		clientsStopAfter = 400 * time.Millisecond // after SIGTERM, by the platform
+		steps, stepLength = 6, 7 * time.Millisecond
+		exitTimeout       = 10 * time.Second
+		clientsStopAfter  = 400 * time.Millisecond // after SIGTERM, when the platform sends no more clients
 	)
-	for moment := range moments {
+	for step := range steps {
 		cmd := relayCommand(t, config)
 		log := &bytes.Buffer{}
 		cmd.Stderr = log
@@ -238,7 +240,7 @@
 		lost := make(chan string, 1)
 		clients, end := context.WithCancel(t.Context())
 		go func() { lost <- sendRequests(clients, address) }()
-		time.Sleep(time.Duration(moment) * apart)
+		time.Sleep(time.Duration(step) * stepLength)
 		for range 2 {
 			cmd.Process.Signal(syscall.SIGTERM)
 		}
@@ -248,17 +250,20 @@
 		stuck.Stop()
 		status := cmd.ProcessState.Sys().(syscall.WaitStatus)
 		endedBySIGTERM := status.Signaled() && status.Signal() == syscall.SIGTERM
-		if serving := strings.Contains(log.String(), `"serving"`); err != nil && (serving || !endedBySIGTERM) {
-			t.Errorf("SIGTERM at moment %d: %v, serving %v\n%s", moment, err, serving, log)
+		if serving := strings.Contains(log.String(), `"serving"`); err != nil &&
+			(serving || !endedBySIGTERM) {
+			t.Errorf("SIGTERM at step %d of the start: exited with %v, serving %v\n%s",
+				step, err, serving, log)
 		}
 		if text := <-lost; text != "" {
-			t.Errorf("SIGTERM at moment %d: %s", moment, text)
+			t.Errorf("SIGTERM at step %d of the start: %s", step, text)
 		}
 	}
 }
 
-// sendRequests sends requests, each on a connection of its own, until the context ends. It returns what became
-// of one that was closed on without an answer, "" for none: one that was never read is reset.
+// sendRequests sends requests, each on a connection of its own, until the context ends. It returns a
+// description of the first request whose connection was closed without an answer, "" if there is none. A
+// connection that the relay has not read from is reset instead, which is no error.
 func sendRequests(ctx context.Context, address string) string {
 	for ctx.Err() == nil {
 		conn, err := net.Dial("tcp", address)
@@ -271,7 +276,7 @@
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		conn.Close()
 		if errors.Is(err, io.EOF) {
-			return fmt.Sprintf("a request ended with %q and a close", line)
+			return fmt.Sprintf("request got %q and then end of file, want an answer", line)
 		}
 	}
 	return ""
--- a/cmd/capersail/timeline_test.go
+++ b/cmd/capersail/timeline_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// The program with time lines: it answers on its socket, and after kill -9 its store has what was more than a
-// second old. A second daemon on the same file serves all the same.
+// With time lines on, the program answers on its control socket, and after kill -9 its store has the entries
+// that were more than a second old. A second process with the same store file serves clients, without the
+// store.
 func TestTimelineSurvivesKill(t *testing.T) {
 	d, s := newDiscoveryWithServer(t, "s1")
 	dir := t.TempDir()
@@ -41,10 +42,10 @@
 		<-s.FirstLines
 	}
 	f := &fleet{t: t}
-	f.waitFor("its answer on the socket", func() bool {
+	f.waitFor("the placements on the control socket", func() bool {
 		return strings.Contains(runTimeline("--socket", socket, "show", "s1"), "placed 5,")
 	})
-	f.waitFor("a row in the store", func() bool { // which the daemon has locked: a copy is read
+	f.waitFor("the placements in the store", func() bool { // read from a copy: the program locks the store
 		text, _ := os.ReadFile(db)
 		os.WriteFile(db+".copy", text, 0o600)
 		return strings.Contains(runTimeline("--store", db+".copy", "show", "s1"), "placed 5,")
@@ -53,7 +54,7 @@
 	os.WriteFile(other, fmt.Appendf(nil, "store = %q\n", db), 0o600)
 	second, address, messages := serve("--timeline", other)
 	dial(t, address).sendAndExpect(t, "OPEN u1 7f3a c=map-stream,t=acme,d=2000", "UP")
-	f.waitFor("a word about the file", func() bool {
+	f.waitFor("the log message that the store is in use", func() bool {
 		select {
 		case line := <-messages:
 			return strings.Contains(line, "in use by another process")
@@ -61,12 +62,12 @@
 			return false
 		}
 	})
-	second.Process.Kill() // before it tries the file again
+	second.Process.Kill() // before it tries to open the store again
 	second.Wait()
 	cmd.Process.Kill()
 	cmd.Wait()
 	got := runTimeline("--store", db, "show", "s1")
 	if !strings.Contains(got, "placed 5,") || !strings.Contains(got, "warm") {
-		t.Errorf("after kill -9 the store has %q", got)
+		t.Errorf("store after kill -9: got %q, want 5 placements and state warm", got)
 	}
 }
