--- a/internal/observe/anomaly/detector_test.go
+++ b/internal/observe/anomaly/detector_test.go
@@ -114,7 +114,7 @@
 }
 
 // Swings of the load and jitter of the set-up times without a fault cause no event.
-func TestCalmDaysHaveNoEvent(t *testing.T) {
+func TestNoEventWithoutFault(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newFleetModel(100+seed, 8+int(seed))
 		s.rateSwing = 0.2 + 0.06*float64(seed)
@@ -128,7 +128,7 @@
 }
 
 // An anomaly that all servers have at once is one event of the fleet.
-func TestWhatMostDoIsTheFleets(t *testing.T) {
+func TestAnomalyOfMostServersIsOneFleetEvent(t *testing.T) {
 	for what, f := range map[Kind]func(h *modelServer){
 		SlowSetup:    func(h *modelServer) { h.setupFactor = 15 },
 		Unresponsive: func(h *modelServer) { h.unresponsive = true },
@@ -180,7 +180,7 @@
 }
 
 // An unknown kind, as from a store of another version, is named by its number.
-func TestUnknownKindSaysSo(t *testing.T) {
+func TestUnknownKindIsNamedByNumber(t *testing.T) {
 	if got := Kind(99).String(); got != "unknown kind 99" {
 		t.Error("name of kind 99:", got, "want: unknown kind 99")
 	}
--- a/internal/observe/anomaly/server.go
+++ b/internal/observe/anomaly/server.go
@@ -27,7 +27,7 @@
 	lastRecordAt  time.Duration
 
 	missedProbes       int // in a row
-	refusedConnections int // connections
+	refusedConnections int // in a row
 	report             loadReport
 	replies            probeReplies
 	setups             setupTimes
--- a/internal/observe/timeline/timeline_test.go
+++ b/internal/observe/timeline/timeline_test.go
@@ -91,10 +91,10 @@
 			"[listed warm]",
 		},
 	} {
-		b := newTimelines(DefaultLimits())
-		applyAll(b, "s", 500*time.Millisecond, c.records)
+		timelines := newTimelines(DefaultLimits())
+		applyAll(timelines, "s", 500*time.Millisecond, c.records)
 		var states []string
-		for _, p := range b.Server("s").States {
+		for _, p := range timelines.Server("s").States {
 			states = append(states, p.State.String())
 		}
 		if got := fmt.Sprint(states); got != c.want {
@@ -105,16 +105,16 @@
 
 // Slow start ends once its duration has passed since the server's start.
 func TestSlowStartEnds(t *testing.T) {
-	b := newTimelines(DefaultLimits())
+	timelines := newTimelines(DefaultLimits())
 	r := endpointChanged(decide.Ready, recordsStart-2*time.Second)
 	r.At = recordsStart
-	b.Apply("s", &r)
-	b.Tick(recordsStart + 7900*time.Millisecond)
-	if b.Server("s").State() != Warming {
+	timelines.Apply("s", &r)
+	timelines.Tick(recordsStart + 7900*time.Millisecond)
+	if timelines.Server("s").State() != Warming {
 		t.Error("the server is not warming 9.9 s after its start, want slow start until 10 s")
 	}
-	b.Tick(recordsStart + 8*time.Second)
-	if b.Server("s").State() != Warm {
+	timelines.Tick(recordsStart + 8*time.Second)
+	if timelines.Server("s").State() != Warm {
 		t.Error("the server is not warm 10 s after its start, want warm")
 	}
 }
@@ -126,18 +126,18 @@
 		rng := rand.New(rand.NewPCG(seed, 9))
 		limits := DefaultLimits()
 		limits.IntervalsKept = []int{5, 4, 3}
-		b := newTimelines(limits)
+		timelines := newTimelines(limits)
 		var stored Interval
-		b.Sink.IntervalComplete = func(_ string, i Interval) { stored = Merge(stored, i) }
+		timelines.Sink.IntervalComplete = func(_ string, i Interval) { stored = Merge(stored, i) }
 		var placedAt []time.Duration
 		now := recordsStart
 		for range 3000 {
 			now += time.Duration(rng.ExpFloat64() * float64(400*time.Millisecond))
 			r := recorder.Record{At: now, Kind: recorder.AttemptStarted}
-			b.Apply("s", &r)
+			timelines.Apply("s", &r)
 			placedAt = append(placedAt, now)
 		}
-		s := b.Server("s")
+		s := timelines.Server("s")
 		kept, last := uint32(0), 0.0
 		for _, i := range s.Intervals() {
 			if i.From < last {
@@ -158,7 +158,7 @@
 			t.Errorf("seed %d: got %d of %d placements since DiscardedBefore %v, want all and not 0",
 				seed, kept, want, s.DiscardedBefore)
 		}
-		b.completeNewestInterval(s)
+		timelines.completeNewestInterval(s)
 		if stored.Placements != 3000 {
 			t.Errorf("the sink received %d placements, want 3000", stored.Placements)
 		}
@@ -173,24 +173,24 @@
 func TestManyServersAreBounded(t *testing.T) {
 	limits := DefaultLimits()
 	limits.MaxServers = 20
-	b := newTimelines(limits)
+	timelines := newTimelines(limits)
 	for i := range 10 {
 		r := endpointChanged(decide.Ready, 0)
 		r.At = recordsStart
-		b.Apply(fmt.Sprint("stays", i), &r)
+		timelines.Apply(fmt.Sprint("stays", i), &r)
 	}
 	for i := range 5000 {
 		r := endpointChanged(decide.Ready, 0)
 		r.At = recordsStart + time.Duration(i)*time.Millisecond
-		b.Apply(fmt.Sprint("id", i), &r)
+		timelines.Apply(fmt.Sprint("id", i), &r)
 		r.EndpointState = decide.Removed
-		b.Apply(fmt.Sprint("id", i), &r)
+		timelines.Apply(fmt.Sprint("id", i), &r)
 	}
-	if n := len(b.ServerNames()); n != 20 || b.EvictedServers != 5010-20 {
-		t.Errorf("got %d timelines and %d evictions, want 20 and 4990", n, b.EvictedServers)
+	if n := len(timelines.ServerNames()); n != 20 || timelines.EvictedServers != 5010-20 {
+		t.Errorf("got %d timelines and %d evictions, want 20 and 4990", n, timelines.EvictedServers)
 	}
 	for i := range 10 {
-		if b.Server(fmt.Sprint("stays", i)) == nil {
+		if timelines.Server(fmt.Sprint("stays", i)) == nil {
 			t.Errorf("the timeline of a listed server was evicted before one of a server that is gone")
 		}
 	}
@@ -198,8 +198,8 @@
 
 // An interval summarizes the loads, set-up times, counts and ends of its records.
 func TestIntervalCountsItsRecords(t *testing.T) {
-	b := newTimelines(DefaultLimits())
-	applyAll(b, "s", time.Millisecond, []recorder.Record{
+	timelines := newTimelines(DefaultLimits())
+	applyAll(timelines, "s", time.Millisecond, []recorder.Record{
 		{Kind: recorder.EndpointChanged, EndpointState: decide.Ready},
 		{Kind: recorder.ProbeEnded, Load: 0.2},
 		{Kind: recorder.PeerReading, Load: 0.6},
@@ -215,8 +215,8 @@
 		{Kind: recorder.MessageDelayed, Elapsed: 70 * time.Millisecond},
 		{Kind: recorder.ClientMigrated},
 	})
-	s := b.Server("s")
-	b.completeNewestInterval(s)
+	s := timelines.Server("s")
+	timelines.completeNewestInterval(s)
 	i := s.Intervals()[0]
 	if i.Load != [3]float32{0.2, 0.4, 0.6} || i.Placements != 2 || i.Retries != 1 || i.Probes != 3 ||
 		i.PeerReadings != 1 || i.ProbesLost != 1 || i.OpenConnections != 0 ||
@@ -230,8 +230,8 @@
 // Rejections are counted by reason on the timelines of the server of the last attempt and of the fleet, and
 // merging keeps each count.
 func TestRejectionsAreCountedByReason(t *testing.T) {
-	b := newTimelines(DefaultLimits())
-	applyAll(b, "s", 700*time.Millisecond, []recorder.Record{ // spread over several intervals
+	timelines := newTimelines(DefaultLimits())
+	applyAll(timelines, "s", 700*time.Millisecond, []recorder.Record{ // spread over several intervals
 		{Kind: recorder.RequestRejected, Server: -1, Reason: decide.NoCapacity, Initiator: recorder.Module},
 		{Kind: recorder.RequestRejected, Server: -1, Reason: decide.NoCapacity, Initiator: recorder.Module},
 		{Kind: recorder.RequestRejected, Server: -1, Reason: decide.NoServer, Initiator: recorder.Module},
@@ -240,7 +240,7 @@
 		{Kind: recorder.RequestFailed, Reason: decide.MayHaveRun, Initiator: recorder.Module},
 	})
 	sum := func(name string) (all Interval) {
-		for _, i := range b.Server(name).Intervals() {
+		for _, i := range timelines.Server(name).Intervals() {
 			all = Merge(all, i)
 		}
 		return all
@@ -260,7 +260,7 @@
 }
 
 // An unknown state, as from a store of another version, is named by its number.
-func TestUnknownStateSaysSo(t *testing.T) {
+func TestUnknownStateIsNamedByNumber(t *testing.T) {
 	if got := State(99).String(); got != "unknown state 99" {
 		t.Error("name of state 99:", got, "want: unknown state 99")
 	}
--- a/internal/observe/watch/stored_test.go
+++ b/internal/observe/watch/stored_test.go
@@ -36,10 +36,10 @@
 	events := newEventLog(rows, zerolog.Nop())
 	for state := timeline.Listed; state <= timeline.Ejected; state++ {
 		from := storedStart + 1000*float64(state)
-		b := timeline.StatePeriod{State: state, From: from, Cause: fmt.Sprint("cause ", state)}
-		rows.writeState("s1", b)
-		if b.To = from + 1000; state < timeline.Ejected {
-			rows.writeState("s1", b)
+		period := timeline.StatePeriod{State: state, From: from, Cause: fmt.Sprint("cause ", state)}
+		rows.writeState("s1", period)
+		if period.To = from + 1000; state < timeline.Ejected {
+			rows.writeState("s1", period)
 		}
 	}
 	full := timeline.Interval{
--- a/internal/observe/watch/watch_test.go
+++ b/internal/observe/watch/watch_test.go
@@ -181,7 +181,7 @@
 
 // With scripted faults, several at once, of servers behind a relay on sockets, each fault is on the timeline
 // of its server as an event or a state, and no timeline has a fault that did not happen at its server.
-func TestEveryFaultOnItsTimeLine(t *testing.T) {
+func TestEveryFaultIsOnItsTimeline(t *testing.T) {
 	if os.Getenv("CAPERSAIL_LONG") == "" {
 		t.Skip("runs for minutes: set CAPERSAIL_LONG=1 to run it. In CI anomaly.TestEveryKindIsFoundAlone " +
 			"covers the same faults with a simulated clock")
@@ -219,12 +219,12 @@
 		expected[want{name, k}] = true
 		w.waitFor(fmt.Sprint(name, " ", k), func() bool { return w.findEvent(name, k) != nil })
 	}
-	state := func(i int, s timeline.State) {
+	expectState := func(i int, s timeline.State) {
 		w.waitFor(fmt.Sprint(w.servers[i].ID, " ", s), func() bool {
 			w.watcher.mu.Lock()
 			defer w.watcher.mu.Unlock()
-			for _, b := range w.watcher.timelines.Server(w.servers[i].ID).States {
-				if b.State == s {
+			for _, period := range w.watcher.timelines.Server(w.servers[i].ID).States {
+				if period.State == s {
 					return true
 				}
 			}
@@ -241,7 +241,7 @@
 	expect(1, anomaly.ErrorBurst)
 	expect(2, anomaly.LateProbeReplies)
 	expect(3, anomaly.SlowSetup)
-	state(0, timeline.Unresponsive)
+	expectState(0, timeline.Unresponsive)
 	w.servers[0].SetSilent(false)
 	for i := 1; i <= 3; i++ {
 		w.servers[i].SetFaults(fake.ServerFaults{})
@@ -270,13 +270,13 @@
 	w.servers[8].Kill()
 	expect(8, anomaly.Unreachable)
 	w.setEndpointState(8, decide.Removed)
-	state(8, timeline.Gone)
+	expectState(8, timeline.Gone)
 	w.setEndpointState(9, decide.Draining) // in the endpoint list: a state, no event
-	state(9, timeline.Draining)
+	expectState(9, timeline.Draining)
 	w.servers[9].MigrateOneIn(2)
 	w.startedAt[10] = float64(time.Now().UnixMilli())
 	w.setEndpointState(10, decide.Ready) // in the endpoint list: a new process under the same id
-	state(10, timeline.Warming)
+	expectState(10, timeline.Warming)
 	for range 4 {
 		w.setEndpointState(11, decide.Draining)
 		w.setEndpointState(11, decide.Ready)
@@ -319,7 +319,7 @@
 	if r := w.watcher.Report(report.Query{}); r.DroppedEntries != 0 {
 		t.Errorf("%d records were dropped, want 0", r.DroppedEntries)
 	}
-	t.Logf("%d kinds of event and 5 of state on 14 servers in %.0f s",
+	t.Logf("found %d kinds of event and 5 states on 14 servers in %.0f s",
 		len(expected), time.Since(began).Seconds())
 }
 
@@ -331,7 +331,7 @@
 }
 
 // The store holds the same states, counts and events as the timelines in memory.
-func TestStoreHasTheSame(t *testing.T) {
+func TestStoreMatchesMemory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t.db")
 	s, err := store.Open(path, store.Options{MaxBytes: 1 << 26, MaxAge: time.Hour}, zerolog.Nop())
 	if err != nil {
