--- a/internal/testing/cluster/checker.go
+++ b/internal/testing/cluster/checker.go
@@ -33,21 +33,21 @@
 type Checker struct {
 	DedupWindow time.Duration // for how long servers recognize a repeat by its idempotency key
 
-	mu            sync.Mutex
-	requests      map[string]*Request
-	streams       []Stream
-	absences      []*Absence
-	discoveryLost map[int][]*Span // by relay: discovery was disturbed, or the process had just started
-	processDown   map[int][]*Span // by relay: the process was killed, or stopped
+	mu          sync.Mutex
+	requests    map[string]*Request
+	streams     []Stream
+	absences    []*Absence
+	noDiscovery map[int][]*Span // by relay: discovery was disturbed, or the process had just started
+	processDown map[int][]*Span // by relay: the process was killed, or stopped
 }
 
 // NewChecker returns a Judge that has recorded nothing.
 func NewChecker(dedupWindow time.Duration) *Checker {
 	return &Checker{
-		DedupWindow:   dedupWindow,
-		requests:      map[string]*Request{},
-		discoveryLost: map[int][]*Span{},
-		processDown:   map[int][]*Span{},
+		DedupWindow: dedupWindow,
+		requests:    map[string]*Request{},
+		noDiscovery: map[int][]*Span{},
+		processDown: map[int][]*Span{},
 	}
 }
 
@@ -102,7 +102,7 @@
 		}
 		since := a.ReceivedAt - gone.From
 		away := gone.To == 0 || a.ReceivedAt < gone.To
-		sound := !anyOverlaps(j.discoveryLost[r.Relay], gone.From-notificationLimit, a.ReceivedAt)
+		sound := !anyOverlaps(j.noDiscovery[r.Relay], gone.From-notificationLimit, a.ReceivedAt)
 		notified := since > notificationLimit+drainMargin || sound && since > eventDeliveryLimit+drainMargin
 		if away && notified {
 			violations = append(violations, fmt.Sprintf("drain: %s of relay %d came to %s %.2f s after it left",
--- a/internal/testing/cluster/observations.go
+++ b/internal/testing/cluster/observations.go
@@ -59,9 +59,7 @@
 }
 
 // BeginDiscoveryLoss records that a relay may not be notified by discovery from now on, and end that it may again.
-func (j *Checker) BeginDiscoveryLoss(relay int) (end func()) {
-	return j.addSpan(j.discoveryLost, relay)
-}
+func (j *Checker) BeginDiscoveryLoss(relay int) (end func()) { return j.addSpan(j.noDiscovery, relay) }
 
 // BeginProcessDown records that a relay's process is killed or stopped from now on, and end that this is over.
 func (j *Checker) BeginProcessDown(relay int) (end func()) { return j.addSpan(j.processDown, relay) }
--- a/internal/testing/expectedfail/evaluate.go
+++ b/internal/testing/expectedfail/evaluate.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// event is a line of go test -json.
+// event is one line of the output of go test -json.
 type event struct {
 	Action, Package, Test, Output string
 }
 
-// run is how the tests of one package went.
+// packageRun is the test run of one package.
 type packageRun struct {
-	lastAction string            // the package's last action
-	tests      map[string]string // by test: its last action
-	output     map[string]string // by test, "" for the package's own
+	lastAction string            // last action of the package itself
+	tests      map[string]string // last action by test
+	output     map[string]string // output by test; "" holds the package's own output
 }
 
-// judge reads the events of go test -json, prints the output of what is not passed over, and returns what is
-// wrong: it is nil if exactly the listed tests have failed, less intermittent ones that passed. The output of
-// a listed test that failed is printed, so that its trace is kept. It fails if the events cannot be read.
+// evaluate reads the events of go test -json and returns the problems: none if exactly the listed tests
+// failed, apart from intermittent ones that passed. It prints the output of every test that failed, including
+// listed ones, so that their traces are kept. It fails if the events cannot be read.
 func evaluate(events io.Reader, list []listedTest, out io.Writer) (wrong []string, err error) {
 	runs, wrong, err := readRuns(events, out)
 	if err != nil {
@@ -51,7 +51,8 @@
 	return wrong, nil
 }
 
-// readRuns reads the events, and prints the packages' own output and what is no event.
+// readRuns groups the events by package. It prints the packages' own output and every line that is not an
+// event.
 func readRuns(events io.Reader, out io.Writer) (runs map[string]*packageRun, wrong []string, err error) {
 	runs = map[string]*packageRun{}
 	lines := bufio.NewScanner(events)
@@ -59,7 +60,7 @@
 	for lines.Scan() {
 		var e event
 		if json.Unmarshal(lines.Bytes(), &e) != nil {
-			fmt.Fprintln(out, lines.Text()) // of the tool itself
+			fmt.Fprintln(out, lines.Text()) // output of the go command itself
 			continue
 		}
 		r := runs[e.Package]
@@ -84,7 +85,7 @@
 	return runs, wrong, lines.Err()
 }
 
-// judge returns what is wrong in one package, and sets the last action of each listed test that it has.
+// check returns the problems of one package, and records the last action of each listed test found in it.
 func (r *packageRun) check(pkg string, list []listedTest, actions []string, out io.Writer) (wrong []string) {
 	listedFailed := false
 	for test, action := range r.tests {
@@ -100,7 +101,7 @@
 			wrong = append(wrong, fmt.Sprintf("%s %s failed", pkg, test))
 			fmt.Fprint(out, r.output[test])
 		case action == "run" || action == "pause" || action == "cont":
-			wrong = append(wrong, fmt.Sprintf("%s %s did not come to its end", pkg, test))
+			wrong = append(wrong, fmt.Sprintf("%s %s did not finish", pkg, test))
 			fmt.Fprint(out, r.output[test])
 		}
 	}
@@ -110,8 +111,8 @@
 	return wrong
 }
 
-// isCovered reports whether a test that failed is a part of a listed one, or failed by listed parts of its
-// own only.
+// isCovered reports whether a failed test is a listed test or a subtest of one, or has failed only because of
+// listed subtests.
 func (r *packageRun) isCovered(list []listedTest, pkg, test string) bool {
 	isListed := func(name string) bool {
 		return slices.ContainsFunc(list, func(e listedTest) bool { return e.isInPackage(pkg) && e.includes(name) })
--- a/internal/testing/expectedfail/list.go
+++ b/internal/testing/expectedfail/list.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// maxExpected is how many tests may be listed: a longer list is a habit, not an exception.
+// maxListedTests bounds the list, so that known failures remain exceptions.
 const maxListedTests = 3
 
-// intermittentMark begins the cause of a test that does not fail in every run.
+// intermittentMark is the prefix of the cause of a test that fails only in some runs.
 const intermittentMark = "sometimes: "
 
-// expected is one line of the list: a test that fails for a real fault.
+// listedTest is one entry of the list: a test that fails because of a known fault.
 type listedTest struct {
 	pkg, test    string
 	cause, issue string
-	intermittent bool // it may pass as well: a run that passes is no sign that the fault is gone
+	intermittent bool // the test may also pass, which does not mean that the fault is fixed
 }
 
-// parse reads the list: `PACKAGE TEST | cause | issue` on each line, the package as a path from the project's
-// root. A cause that begins with "sometimes: " is one of a test that may pass as well. Empty lines are passed
-// over. It fails on any other line, and on a list that is too long.
+// parseList reads the list, one entry per line: `PACKAGE TEST | cause | issue`, with the package as a path
+// relative to the project's root. A cause that begins with "sometimes: " marks a test that may also pass.
+// Empty lines are ignored. It fails on any other line, and on a list with more than maxListedTests entries.
 func parseList(text string) (list []listedTest, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
@@ -28,12 +28,12 @@
 		}
 		entry, ok := parseLine(line)
 		if !ok {
-			return nil, fmt.Errorf("line %d: `PACKAGE TEST | cause | issue` is wanted: %s", i+1, line)
+			return nil, fmt.Errorf("line %d: want `PACKAGE TEST | cause | issue`, got: %s", i+1, line)
 		}
 		list = append(list, entry)
 	}
 	if len(list) > maxListedTests {
-		return nil, fmt.Errorf("%d tests are listed, %d at most may be", len(list), maxListedTests)
+		return nil, fmt.Errorf("%d tests are listed; at most %d are allowed", len(list), maxListedTests)
 	}
 	return list, nil
 }
@@ -57,12 +57,12 @@
 	}, true
 }
 
-// isIn reports whether the test's package is the one of a full import path.
+// isInPackage reports whether the test belongs to the package with a full import path.
 func (e listedTest) isInPackage(pkg string) bool {
 	return pkg == e.pkg || strings.HasSuffix(pkg, "/"+e.pkg)
 }
 
-// hasPart reports whether a test of the same package is the listed one, or a subtest of it.
+// includes reports whether a test of the same package is the listed test or a subtest of it.
 func (e listedTest) includes(test string) bool {
 	return e.test == test || strings.HasPrefix(test, e.test+"/")
 }
--- a/internal/testing/expectedfail/main_test.go
+++ b/internal/testing/expectedfail/main_test.go
@@ -104,7 +104,7 @@
 		"a panic ends the package": {
 			events: "p TestRed fail;p TestA run;p . fail",
 			list:   list,
-			wrong:  "p TestA did not come to its end",
+			wrong:  "p TestA did not finish",
 		},
 		"the package fails by itself": {
 			events: "p TestA pass;p . fail",
--- a/internal/testing/fake/acceptor.go
+++ b/internal/testing/fake/acceptor.go
@@ -6,16 +6,16 @@
 	"sync"
 )
 
-// acceptor takes connections on a listener, each served in a goroutine of its own that ends with the
+// acceptor accepts connections on a listener and serves each in its own goroutine, which ends with the
 // connection.
 type acceptor struct {
 	listener net.Listener
 
 	mu    sync.Mutex
-	conns []net.Conn // all that have come
+	conns []net.Conn // all connections accepted so far, including closed ones
 }
 
-// start serves connections until reset.
+// start accepts and serves connections until reset.
 func (a *acceptor) start(listener net.Listener, serve func(net.Conn)) {
 	a.listener = listener
 	go func() {
@@ -32,14 +32,15 @@
 	}()
 }
 
-// all returns the connections that have come so far.
+// connections returns all connections accepted so far.
 func (a *acceptor) connections() []net.Conn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.conns)
 }
 
-// reset ends it as a process that dies does: connections are reset, new ones refused. It may be called again.
+// reset closes the listener and resets all connections, as the death of a process does. It may be called
+// again.
 func (a *acceptor) reset() {
 	a.listener.Close()
 	for _, c := range a.connections() {
--- a/internal/testing/fake/discovery.go
+++ b/internal/testing/fake/discovery.go
@@ -10,27 +10,28 @@
 	"time"
 )
 
-// Discovery is the platform's discovery service: the endpoint list, as a snapshot or watched.
+// Discovery is the platform's discovery service. It serves the endpoint list as a snapshot or as a watch.
 type Discovery struct {
 	Address     string
-	ExtraFields string // added to each endpoint that is set from now on, as JSON with a comma before it
+	ExtraFields string // JSON members, with a leading comma, added to each endpoint set from now on
 
 	mu         sync.Mutex
 	generation int
-	entries    map[string]string // by id: the endpoint's JSON
-	watches    []*discoveryWatch // that are open
+	entries    map[string]string // endpoint as JSON, by id
+	watches    []*discoveryWatch // open watches
 }
 
-// watchQueueLength bounds the events that wait for a watch to be written; beyond it the watch is ended.
+// watchQueueLength bounds the events queued for one watch; a watch whose queue is full is ended.
 const watchQueueLength = 64
 
-// discoveryWatch is an open watch.
+// discoveryWatch is one open watch.
 type discoveryWatch struct {
 	conn   net.Conn
 	events chan string
 }
 
-// notify queues an event. A watch that is not read is ended, as it would miss the event.
+// notify queues an event for the watch. If the queue is full, it ends the watch, because the client would
+// miss the event.
 func (w *discoveryWatch) notify(event string) {
 	select {
 	case w.events <- event:
@@ -39,8 +40,8 @@
 	}
 }
 
-// NewDiscovery starts discovery, which runs for as long as the process does. It fails if the address cannot
-// be listened on.
+// NewDiscovery starts a discovery service that runs until the process ends. It fails if it cannot listen on
+// the address.
 func NewDiscovery(address string) (*Discovery, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -59,18 +60,18 @@
 	return d, nil
 }
 
-// EndpointJSON returns one endpoint of the list as JSON.
+// EndpointJSON returns one entry of the endpoint list as JSON.
 func EndpointJSON(id, address, lifecycle string) string {
 	const form = `{"instanceId":%q,"hostPort":%q,"zone":"hall-a","lifecycle":%q,"startedAtMs":0}`
 	return fmt.Sprintf(form, id, address, lifecycle)
 }
 
-// Set adds or changes one endpoint and notifies every watch.
+// Set adds or changes an endpoint and notifies every watch.
 func (d *Discovery) Set(id, address, lifecycle string) {
 	d.SetWithStartTime(id, address, lifecycle, time.Time{})
 }
 
-// SetWithStartTime is Set for a server that started at a time; the zero time stands for long ago.
+// SetWithStartTime is Set for a server with a start time; the zero time means a start long ago.
 func (d *Discovery) SetWithStartTime(id, address, lifecycle string, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,7 +98,7 @@
 	return d.snapshot()
 }
 
-// snapshot is Snapshot. The caller holds the lock.
+// snapshot implements Snapshot. The caller holds the lock.
 func (d *Discovery) snapshot() string {
 	var all []string
 	for _, e := range d.entries {
@@ -106,7 +107,8 @@
 	return d.message(true, strings.Join(all, ","))
 }
 
-// addWatch opens a watch and returns the snapshot that it goes on from: every later change is an event of it.
+// addWatch opens a watch and returns the snapshot that it starts from: every later change is sent to the
+// watch as an event.
 func (d *Discovery) addWatch(conn net.Conn) (w *discoveryWatch, snapshot string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +141,8 @@
 	w.stream()
 }
 
-// stream sends a watch its events, and an empty line while nothing changes, until its connection fails.
+// stream sends the events of a watch, and an empty line as a heartbeat while nothing changes, until the
+// connection fails.
 func (w *discoveryWatch) stream() {
 	idle := time.NewTicker(2 * time.Second)
 	defer idle.Stop()
--- a/internal/testing/fake/discovery_test.go
+++ b/internal/testing/fake/discovery_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// openWatch opens a watch and returns a reader of its body, past the head.
+// openWatch opens a watch and returns its connection and a reader positioned at the start of the response
+// body.
 func openWatch(t *testing.T, d *Discovery) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Address)
@@ -28,7 +29,7 @@
 	return c, in
 }
 
-// nextGeneration returns that of the next message, heartbeats passed over.
+// nextGeneration returns the generation of the next message. It skips heartbeats.
 func nextGeneration(t *testing.T, in *bufio.Reader) int {
 	t.Helper()
 	for {
@@ -49,8 +50,8 @@
 	}
 }
 
-// A watch brings every change after its snapshot. Guards against a fake that loses the changes made between
-// the two, and so passes for a relay that is not notified.
+// A watch delivers every change after its snapshot. Guards against a fake that loses changes made between the
+// snapshot and the first event, which would hide that a relay is not notified.
 func TestWatchMissesNoChangeAfterItsSnapshot(t *testing.T) {
 	d, err := NewDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -74,7 +75,7 @@
 		c, in := openWatch(t, d)
 		first := nextGeneration(t, in)
 		if next := nextGeneration(t, in); next != first+1 {
-			t.Errorf("the snapshot is of %d, the first event of %d", first, next)
+			t.Errorf("the snapshot has generation %d and the first event %d; want consecutive ones", first, next)
 		}
 		c.Close()
 	}
@@ -82,8 +83,8 @@
 	<-changing
 }
 
-// A watch that is not read holds up no change, and ends. Guards against one stopped relay that keeps the list
-// from all others.
+// A watch that is not read delays no change and is ended. Guards against one stopped relay that blocks the
+// endpoint list for all others.
 func TestWatchThatIsNotReadHoldsUpNothing(t *testing.T) {
 	d, err := NewDiscovery("127.0.0.1:0")
 	if err != nil {
@@ -102,12 +103,12 @@
 	select {
 	case <-changed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("changes wait for a watch that is not read")
+		t.Fatal("Discovery.Set blocked for 10 s because a watch is not read")
 	}
 	for buffer := make([]byte, 1<<20); err == nil; {
 		_, err = c.Read(buffer)
 	}
 	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
-		t.Error("the watch that was not read goes on")
+		t.Error("the watch that was not read is still open")
 	}
 }
--- a/internal/testing/fake/echoserver.go
+++ b/internal/testing/fake/echoserver.go
@@ -8,26 +8,27 @@
 	"sync"
 )
 
-// EchoServer is a server of the platform's protocol that accepts every connection and returns every line.
+// EchoServer is a server of the platform's protocol that accepts every connection and echoes every line.
 type EchoServer struct {
 	Address string
-	// FirstLines gets each first line as it came, probes not counted. Once it is full, connections wait for a
-	// reader.
+	// FirstLines receives the first line of each connection unchanged, except for probes. When it is full,
+	// new connections wait until it is read.
 	FirstLines chan string
 
 	acceptor acceptor
 
-	answer string // to first lines; see NewEchoServer
+	answer string // answer to first lines; see NewEchoServer
 
 	mu              sync.Mutex
-	report          string        // the load report
-	reportFunc      func() string // if set, in report's place
+	report          string        // load report
+	reportFunc      func() string // used instead of report if set
 	openConnections int
 }
 
-// NewEchoServer starts a server, at any port if the address ends in ":0", that runs until Close. It answers
-// first lines with answer and ends the connection, except that "UP" accepts it, "" leaves it unanswered, and
-// "-" ends it without an answer. It fails if the address cannot be listened on.
+// NewEchoServer starts a server that runs until Close, on any free port if the address ends in ":0". It
+// answers each first line with answer and then ends the connection, with three exceptions: "UP" accepts the
+// connection, "" sends no answer, and "-" ends the connection without an answer. It fails if it cannot listen
+// on the address.
 func NewEchoServer(address, answer string) (*EchoServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -43,26 +44,26 @@
 	return s, nil
 }
 
-// Close ends the server and resets its connections. It may be called again.
+// Close stops the server and resets its connections. It may be called again.
 func (s *EchoServer) Close() {
 	s.acceptor.reset()
 }
 
-// SetReport changes the load report that answers probes.
+// SetReport sets the load report that answers probes.
 func (s *EchoServer) SetReport(report string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report = report
 }
 
-// SetReportFunc has each probe answered with the load report that fn returns.
+// SetReportFunc makes the server answer each probe with the load report that fn returns.
 func (s *EchoServer) SetReportFunc(fn func() string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reportFunc = fn
 }
 
-// OpenConnections returns how many connections are accepted and open.
+// OpenConnections returns the number of accepted connections that are open.
 func (s *EchoServer) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +76,7 @@
 	s.openConnections += n
 }
 
-// Broadcast sends a line on every connection, and ends them after it if last is set.
+// Broadcast sends a line on every connection, and then ends the connections if last is set.
 func (s *EchoServer) Broadcast(line string, last bool) {
 	for _, c := range s.acceptor.connections() {
 		fmt.Fprintf(c, "%s\r\n", line)
@@ -120,7 +121,7 @@
 	}
 }
 
-// currentReport returns the load report for a probe.
+// currentReport returns the load report that answers a probe now.
 func (s *EchoServer) currentReport() string {
 	s.mu.Lock()
 	report, reportFunc := s.report, s.reportFunc
--- a/internal/testing/fake/feed.go
+++ b/internal/testing/fake/feed.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Feed is the source of all servers' scans, which are numbered from 1. The newest Keep are available.
+// Feed is the source of the scans of all servers. Scans are numbered from 1, and the newest Keep of them are
+// available.
 type Feed struct {
 	Keep uint64
 
 	mu      sync.Mutex
 	newest  uint64
-	changed *sync.Cond // on mu: newest has grown, or a stream has ended
+	changed *sync.Cond // on mu: signals a new scan or the end of a stream
 }
 
-// NewFeed returns a feed that makes a scan each period, in a goroutine that ends once stop is closed.
+// NewFeed returns a feed that produces one scan per period, in a goroutine that ends when stop is closed.
 func NewFeed(keep uint64, period time.Duration, stop <-chan struct{}) *Feed {
 	f := &Feed{Keep: keep, newest: 1}
 	f.changed = sync.NewCond(&f.mu)
@@ -38,8 +39,8 @@
 	}
 }
 
-// await blocks until scan n has been made and returns true, or false once it finds over closed, which it
-// looks for whenever it is woken: at the latest with the next scan.
+// waitForScan blocks until scan n exists and returns true, or returns false once over is closed. It checks
+// over whenever it is woken, which happens at the next scan at the latest.
 func (f *Feed) waitForScan(n uint64, over <-chan struct{}) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testing/fake/scanfaults.go
+++ b/internal/testing/fake/scanfaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kill ends the server at once and resets its connections, as a process that dies does. It may be called
+// Kill stops the server at once and resets its connections, as the death of a process does. It may be called
 // again.
 func (s *ScanServer) Kill() {
 	s.listener.Close()
@@ -20,7 +20,7 @@
 	s.resumed.Broadcast()
 }
 
-// SetSilent makes the server read and answer nothing, with all connections open, or ends that.
+// SetSilent makes the server stop reading and answering while its connections stay open, or ends that state.
 func (s *ScanServer) SetSilent(on bool) {
 	s.mu.Lock()
 	s.silent = on
@@ -28,13 +28,13 @@
 	s.resumed.Broadcast()
 }
 
-// ServerFaults are ways in which a server misbehaves. The zero value is none.
+// ServerFaults describes how a server misbehaves. The zero value means no fault.
 type ServerFaults struct {
-	ProbeDelay   time.Duration // before each answer to a probe, which has the load of when the fault was set
-	FreezeReport bool          // load reports stay as they were when the fault was set
+	ProbeDelay   time.Duration // delay of probe answers, which carry the load at the time the fault was set
+	FreezeReport bool          // load reports do not change after the fault was set
 	AnswerError  bool          // first lines and probes are answered with ERR
-	UpDelay      time.Duration // before each answer to a first line
-	ExtraLoad    float64       // added to the load in reports
+	UpDelay      time.Duration // delay of answers to first lines
+	ExtraLoad    float64       // added to the load in load reports
 
 	frozenLoad string
 }
@@ -47,14 +47,15 @@
 	s.faults = faults
 }
 
-// SetRejecting makes the server answer BUSY to every first line, as a draining server does, or ends that.
+// SetRejecting makes the server answer every first line with BUSY, as a draining server does, or ends that
+// state.
 func (s *ScanServer) SetRejecting(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rejecting = on
 }
 
-// MigrateOneIn ends one served connection in n with MOVE, and returns how many are left.
+// MigrateOneIn ends one in n served connections with MOVE, and returns how many are left.
 func (s *ScanServer) MigrateOneIn(n int) (left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +75,7 @@
 	return left
 }
 
-// FirstLineCount returns how many first lines came, probes not counted.
+// FirstLineCount returns how many first lines the server has received, not counting probes.
 func (s *ScanServer) FirstLineCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,7 @@
 	return s.killed
 }
 
-// waitWhileSilent blocks until the server is not silent.
+// waitWhileSilent blocks while the server is silent.
 func (s *ScanServer) waitWhileSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/fake/scanload.go
+++ b/internal/testing/fake/scanload.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// A server is overloaded while it holds over OverloadFactor times the connections that it can take, and fails
-// if that lasts for OverloadWindow. The figures are those of the protocol page.
+// A server is overloaded while it holds more than OverloadFactor times the connections that it has capacity
+// for, and fails if that lasts for OverloadWindow. The values are those of the protocol page.
 const (
 	OverloadFactor = 4.0
 	OverloadWindow = 1500 * time.Millisecond
 )
 
-// measureLoad returns the connections that are served over what the server can take now, 1 when it is full,
-// and records the highest. The caller holds the lock.
+// measureLoad returns the number of served connections divided by the current capacity, so that 1 is a full
+// server, and records the peak. The caller holds the lock.
 func (s *ScanServer) measureLoad() float64 {
 	if s.Capacity == 0 {
 		return s.Load
@@ -38,7 +38,7 @@
 	return load
 }
 
-// PeakLoad returns the highest load so far, and the longest time over OverloadFactor.
+// PeakLoad returns the highest load so far, and the longest period over OverloadFactor.
 func (s *ScanServer) PeakLoad() (peak float64, overloaded time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/fake/scanserver.go
+++ b/internal/testing/fake/scanserver.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// ScanServer serves streams of scans by the lines of docs/RESUME.md, and plain connections to clients that
-// name no stream. Its fields are set before the first connection comes.
+// ScanServer serves scan streams by the protocol of docs/RESUME.md, and plain connections to clients that
+// name no stream. Its fields must be set before the first connection.
 type ScanServer struct {
 	ID      string
 	Address string
 	Feed    *Feed
 	Tracker *StreamTracker
-	// Load is what load reports say where Capacity is 0.
+	// Load is the load in load reports if Capacity is 0.
 	Load float64
-	// Capacity is how many connections fill the server. During slow start it grows evenly, from the part
-	// SlowStartCapacity at StartedAt to all of it after SlowStartWindow.
+	// Capacity is the number of connections that fill the server. During slow start it grows linearly, from
+	// the fraction SlowStartCapacity at StartedAt to the full value after SlowStartWindow.
 	Capacity          float64
 	StartedAt         time.Time
 	SlowStartCapacity float64
@@ -30,22 +30,22 @@
 	listener net.Listener
 
 	mu             sync.Mutex
-	connections    map[*net.TCPConn]bool // true once the connection's stream is served
-	fencingTokens  map[string]uint64     // by stream: the highest generation that came
-	firstLineCount int                   // first lines that came, probes not counted
+	connections    map[*net.TCPConn]bool // true once the connection's stream is being served
+	fencingTokens  map[string]uint64     // highest generation received, by stream
+	firstLineCount int                   // first lines received, not counting probes
 
 	faults    ServerFaults
 	silent    bool
-	resumed   *sync.Cond // on mu: silent has ended
+	resumed   *sync.Cond // on mu: signals the end of silent
 	rejecting bool
 	killed    bool
 
 	peakLoad        float64
-	overloadedAt    time.Time // zero while the load is within OverloadFactor
+	overloadedAt    time.Time // zero while the load is at most OverloadFactor
 	longestOverload time.Duration
 }
 
-// NewScanServer starts a server that runs until Kill. It fails if the address cannot be listened on.
+// NewScanServer starts a server that runs until Kill. It fails if it cannot listen on the address.
 func NewScanServer(id, address string, feed *Feed, ledger *StreamTracker) (*ScanServer, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -109,7 +109,7 @@
 	s.mu.Unlock()
 }
 
-// answerProbe returns the answer to a probe, as late as the faults ask for.
+// answerProbe returns the answer to a probe, after the delay that the faults demand.
 func (s *ScanServer) answerProbe() string {
 	s.mu.Lock()
 	faults := s.faults
--- a/internal/testing/fake/scanstream.go
+++ b/internal/testing/fake/scanstream.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// opening is what a first line asks for.
+// openRequest holds the fields of a first line.
 type openRequest struct {
 	id          string
-	stream      string // "" on a line without one
-	generation  uint64 // the stream's fencing token
-	firstWanted uint64 // the first scan wanted, 0 for the next one
-	lease       uint64 // how long the stream may be served without a renewal, in ms; 0 for ever
+	stream      string // "" if the line names no stream
+	generation  uint64 // fencing token of the stream
+	firstWanted uint64 // first scan wanted; 0 means the next one
+	lease       uint64 // how long the stream may be served without a renewal, in ms; 0 means without limit
 }
 
 func parseOpenRequest(text string) openRequest {
@@ -37,7 +37,8 @@
 	return o
 }
 
-// firstScan returns the number of the first scan to send: the one asked for, or the oldest that is kept.
+// firstScan returns the number of the first scan to send: the one asked for, or the oldest that is still
+// available.
 func (o openRequest) firstScan(newest, keep uint64) uint64 {
 	from := o.firstWanted
 	if from == 0 {
@@ -47,7 +48,7 @@
 	return max(from, 1, oldest)
 }
 
-// open answers a first line and serves its stream until that ends.
+// open answers a first line and serves its stream until the stream ends.
 func (s *ScanServer) open(c *net.TCPConn, in *bufio.Reader, text string) {
 	if s.OnFirstLine != nil {
 		s.OnFirstLine(text)
@@ -88,8 +89,8 @@
 	stream.serve(o.firstScan(newest, s.Feed.Keep))
 }
 
-// noteOpening counts a first line and raises its stream's fence. It returns the fence from before, and the
-// faults now.
+// recordOpenRequest counts a first line and raises the fencing token of its stream. It returns the token from
+// before, and the current faults.
 func (s *ScanServer) recordOpenRequest(o openRequest) (rejecting bool, fence uint64, faults ServerFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,19 +102,19 @@
 	return s.rejecting, fence, s.faults
 }
 
-// scanStream is one stream that is served.
+// scanStream is one stream that is being served.
 type scanStream struct {
 	openRequest
 	server      *ScanServer
 	conn        *net.TCPConn
 	in          *bufio.Reader
-	clientEnded chan struct{} // closed once the client's side has ended
-	leaseTimer  *time.Timer   // ends the stream when its lease does
+	clientEnded chan struct{} // closed when the client has ended its side
+	leaseTimer  *time.Timer   // ends the stream when its lease expires
 
 	writeMu sync.Mutex
 }
 
-// serve answers the first line and sends scans until either side ends.
+// serve answers the first line and sends scans until either side ends the stream.
 func (t *scanStream) serve(from uint64) {
 	if t.stream == "" {
 		fmt.Fprintf(t.conn, "UP %s\r\n", t.id)
@@ -122,7 +123,8 @@
 		defer t.server.Tracker.endServing(t.stream, t.conn)
 		fmt.Fprintf(t.conn, "UP %s from=%d\r\n", t.id, from)
 	}
-	// The server ends a leased stream by itself, since a relay that does not renew in time may be stopped.
+	// The server itself ends a stream whose lease has expired, because the relay that failed to renew it may
+	// be stopped.
 	t.leaseTimer = time.AfterFunc(time.Hour, func() {
 		t.server.Tracker.endServing(t.stream, t.conn)
 		t.conn.Close()
@@ -135,7 +137,7 @@
 	t.sendScans(from)
 }
 
-// echo returns the client's lines and renews the lease, until the client's side ends.
+// echo returns the client's lines and renews the lease, until the client ends its side.
 func (t *scanStream) echo() {
 	defer close(t.clientEnded)
 	defer t.server.Feed.changed.Broadcast()
@@ -156,7 +158,7 @@
 	}
 }
 
-// sendScans sends each scan from the given one on.
+// sendScans sends all scans starting with the given one.
 func (t *scanStream) sendScans(from uint64) {
 	for next := from; ; next++ {
 		if !t.server.Feed.waitForScan(next, t.clientEnded) {
--- a/internal/testing/fake/streamtracker.go
+++ b/internal/testing/fake/streamtracker.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// StreamTracker records, over all servers, who serves each stream in which generation, and which rule that broke.
+// StreamTracker records for all servers which server serves each stream in which generation, and every
+// violation of the rules of ownership.
 type StreamTracker struct {
 	mu                sync.Mutex
 	serving           map[string]*servingServer
@@ -18,24 +19,25 @@
 	violations        []string
 }
 
-// service is one server that serves a stream.
+// servingServer is a server that serves a stream.
 type servingServer struct {
 	server     string
 	generation uint64
 	conn       *net.TCPConn
 }
 
-// NewStreamTracker returns an empty ledger.
+// NewStreamTracker returns an empty tracker.
 func NewStreamTracker() *StreamTracker {
 	return &StreamTracker{serving: map[string]*servingServer{}, highestGeneration: map[string]uint64{}}
 }
 
-// beginService records a service. If another server's connection for the stream still stands at this instant,
-// two servers serve it. The kernel is asked, since a goroutine may be late to read what has come long ago.
+// beginServing records that a server begins to serve a stream. If the connection of another server for the
+// stream is still established at this instant, two servers serve the stream, which is a violation. The
+// kernel's state is used, because a goroutine may be late to read the end of its connection.
 func (l *StreamTracker) beginServing(stream, server string, gen uint64, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !isEstablished(conn) { // given up while the server was silent or dead: it serves nobody
+	if !isEstablished(conn) { // the relay ended it while the server was silent or dead, so nobody is served
 		return
 	}
 	if o := l.serving[stream]; o != nil && isEstablished(o.conn) {
@@ -43,7 +45,7 @@
 			stream, server, gen, o.server, o.generation))
 	}
 	if gen <= l.highestGeneration[stream] {
-		l.violations = append(l.violations, fmt.Sprintf("stream %s: generation %d after %d",
+		l.violations = append(l.violations, fmt.Sprintf("stream %s: generation %d after %d; want a higher one",
 			stream, gen, l.highestGeneration[stream]))
 	}
 	l.highestGeneration[stream] = gen
@@ -51,7 +53,7 @@
 	l.servingCount++
 }
 
-// endService removes a service, unless another has begun since.
+// endServing records that a server has stopped serving a stream, unless another server has begun since.
 func (l *StreamTracker) endServing(stream string, conn *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,21 +62,21 @@
 	}
 }
 
-// Violations lists each time two servers served a stream at once, or a generation did not grow.
+// Violations lists each case in which two servers served a stream at once, or a generation did not increase.
 func (l *StreamTracker) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.violations)
 }
 
-// Serving returns how many streams are served now, and how many services have begun in all.
+// Serving returns how many streams are being served now, and how often serving has begun in total.
 func (l *StreamTracker) Serving() (now, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.serving), l.servingCount
 }
 
-// isEstablished reports whether the kernel holds a connection to be established, ended by neither side.
+// isEstablished reports whether the kernel considers a connection established, with neither side closed.
 func isEstablished(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/testing/fake/viewer.go
+++ b/internal/testing/fake/viewer.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// Viewer is a client that watches one stream of scans. It reconnects after every end, with its resume token
-// if it uses tokens.
+// Viewer is a client that watches one scan stream. It reconnects whenever its connection ends, with its
+// resume token if it uses tokens.
 type Viewer struct {
 	Name         string
-	OpenFields   string        // the fields of its first lines, such as class and tenant, without d
-	WaitLimit    time.Duration // how long an answer may take by its first lines, d
-	UseTokens    bool          // it asks for a resume token and reconnects with it
-	SendEvery    time.Duration // the period in which it sends a line, 0 for never
+	OpenFields   string        // fields of its first lines, such as class and tenant, but not d
+	WaitLimit    time.Duration // maximum time until an answer, sent as field d
+	UseTokens    bool          // ask for a resume token and reconnect with it
+	SendEvery    time.Duration // interval at which it sends a line; 0 means never
 	RelayAddress func() string // called before each connection for the address to connect to
-	OnEvent      func(string)  // if set, called with answers, ends and each connection's first scan
+	OnEvent      func(string)  // if set, called for answers, ends and the first scan of connections
 
 	mu    sync.Mutex
-	token string // "" while it has none
+	token string // "" if it has no token
 	stats ViewerStats
 }
 
-// ResumeToken returns the newest resume token, "" for none.
+// ResumeToken returns the newest resume token, or "".
 func (v *Viewer) ResumeToken() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// retryDelay is drawn, so that viewers do not come back together.
+// retryDelay returns a random delay, so that viewers do not reconnect all at once.
 func retryDelay() time.Duration { return time.Duration(10+rand.IntN(60)) * time.Millisecond }
 
 // watchOnce opens the stream and reads it to its end. It returns how long to wait before the next connection.
@@ -90,7 +90,7 @@
 	return v.readStream(conn, in)
 }
 
-// resumeFields returns the fields of the next first line that ask for a token or show one.
+// resumeFields returns the fields of the next first line that request or present a resume token.
 func (v *Viewer) resumeFields() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -105,8 +105,8 @@
 	return ",resume=new"
 }
 
-// noteUnanswered counts a connection that ended before its answer. One that Run's end cut does not count as
-// opened.
+// recordUnanswered counts a connection that ended before its answer. A connection that was closed because the
+// context ended does not count as opened.
 func (v *Viewer) recordUnanswered(ctx context.Context, relay string) {
 	v.updateStats(func(t *ViewerStats) {
 		t.Disconnects++
@@ -118,7 +118,7 @@
 	})
 }
 
-// noteRejection notes an answer other than UP, and returns how long to wait before the next connection.
+// recordRejection records an answer other than UP, and returns how long to wait before the next connection.
 func (v *Viewer) recordRejection(in *bufio.Reader, line string) time.Duration {
 	words := strings.Fields(line)
 	if words[0] == "BUSY" {
@@ -135,13 +135,13 @@
 	defer v.mu.Unlock()
 	v.stats.OtherAnswers++
 	v.stats.Problems = append(v.stats.Problems, strings.TrimSpace(line))
-	if len(words) > 1 && words[1] == "resume" { // the token is rejected for good
+	if len(words) > 1 && words[1] == "resume" { // the token is permanently invalid
 		v.token = ""
 	}
 	return retryDelay()
 }
 
-// sendLines sends a line each period until stop is closed.
+// sendLines sends a line once per interval until stop is closed.
 func (v *Viewer) sendLines(conn net.Conn, stop <-chan struct{}) {
 	tick := time.NewTicker(v.SendEvery)
 	defer tick.Stop()
@@ -188,7 +188,7 @@
 	}
 }
 
-// countSecondAnswer counts what comes after a final answer as further answers.
+// recordSecondAnswer counts a line received after a final answer as another answer.
 func (v *Viewer) recordSecondAnswer(in *bufio.Reader) {
 	line, err := in.ReadString('\n')
 	if err != nil {
--- a/internal/testing/fake/viewerstats.go
+++ b/internal/testing/fake/viewerstats.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// ViewerStats counts what happened to a viewer's connections, and the scans that came over them.
+// ViewerStats counts the connections of a viewer by outcome, and the scans received over them.
 type ViewerStats struct {
 	DialFailures   int // connections that could not be established
 	FirstLinesSent int // connections whose first line was sent
 	Answers        int // answers to first lines
-	Accepted       int // answers UP
-	Rejected       int // answers BUSY
+	Accepted       int // UP answers
+	Rejected       int // BUSY answers
 	OtherAnswers   int // answers other than UP and BUSY
 	Migrations     int // connections ended by MOVE
-	Disconnects    int // connections that ended without an answer, or later without a line to say so
+	Disconnects    int // connections that ended without an answer, or later without MOVE
 
-	Scans      uint64 // scans that came in order
-	Lost       uint64 // scans that never came
-	OutOfOrder uint64 // scans that came again, or after a later one
-	LastScan   uint64 // the number of the last one in order, 0 before the first
+	Scans      uint64 // scans received in order
+	Lost       uint64 // scans never received
+	OutOfOrder uint64 // scans received twice or after a later one
+	LastScan   uint64 // number of the last scan received in order, 0 before the first
 	LastScanAt time.Time
 
-	Problems      []string        // answers that were failures, and gaps that were announced
-	ReconnectGaps []time.Duration // from the last scan of a connection to the first of the next
+	Problems      []string        // failure answers, and gaps that the relay announced
+	ReconnectGaps []time.Duration // from the last scan of a connection to the first scan of the next
 }
 
-// Stats returns a copy of the viewer's counts.
+// Stats returns a copy of the viewer's counters.
 func (v *Viewer) Stats() ViewerStats {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -36,17 +36,17 @@
 	return t
 }
 
-// ClearReconnectGaps empties the list of gaps.
+// ClearReconnectGaps empties the list of reconnect gaps.
 func (v *Viewer) ClearReconnectGaps() { v.updateStats(func(t *ViewerStats) { t.ReconnectGaps = nil }) }
 
-// updateTally calls f with the counts, under their lock.
+// updateStats calls f with the counters while holding their lock.
 func (v *Viewer) updateStats(f func(t *ViewerStats)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	f(&v.stats)
 }
 
-// countScan counts scan x; first is set for the first of a connection.
+// countScan counts scan x; first marks the first scan of a connection.
 func (v *Viewer) countScan(x uint64, first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/testing/fake/xmpp.go
+++ b/internal/testing/fake/xmpp.go
@@ -7,13 +7,15 @@
 	"sync"
 )
 
-// XMPP is a server that accepts any PLAIN authentication and echoes stanzas. Its parser is encoding/xml, so
-// the program's own is checked against another.
+// XMPP is a server that accepts any PLAIN authentication and echoes stanzas. It parses with encoding/xml, so
+// the program's own parser is tested against an independent one.
 type XMPP struct {
 	Address string
-	// HoldAt is the stage at which a connection is answered no more: "header", "auth" or "" for none.
+	// HoldAt is the stage from which the server no longer answers a connection: "header", "auth", or "" for
+	// none.
 	HoldAt string
-	// Stages gets a word at each stage: "header", "auth", "up", and "message ID" for each stanza.
+	// Stages receives one entry per stage of a connection: "header", "auth", "up", and "message ID" for each
+	// stanza.
 	Stages chan string
 
 	acceptor acceptor
@@ -22,7 +24,7 @@
 	silent bool
 }
 
-// NewXMPP starts a server on loopback that runs until Kill. It fails if there is no port to listen on.
+// NewXMPP starts a server on loopback that runs until Kill. It fails if it cannot listen.
 func NewXMPP(hold string) (*XMPP, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,13 +35,13 @@
 	return s, nil
 }
 
-// Kill ends the server as a process that dies does: connections are reset, new ones refused. It may be called
-// again.
+// Kill stops the server as the death of a process does: connections are reset, and new ones are refused. It
+// may be called again.
 func (s *XMPP) Kill() {
 	s.acceptor.reset()
 }
 
-// SetSilent makes the server answer nothing more, on connections that stay open.
+// SetSilent makes the server stop answering on connections, which stay open.
 func (s *XMPP) SetSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +92,7 @@
 	}
 }
 
-// greet answers a stream header.
+// answerStreamHeader answers a stream header.
 func (s *XMPP) answerStreamHeader(c net.Conn, authed bool) {
 	switch {
 	case authed:
@@ -107,7 +109,7 @@
 	}
 }
 
-// answerStanza answers an iq with a result, and any other stanza with an echo.
+// answerStanza answers an iq with a result, and echoes any other stanza.
 func (s *XMPP) answerStanza(c net.Conn, start xml.StartElement) {
 	id := ""
 	for _, a := range start.Attr {
--- a/internal/testing/fake/zkcodec.go
+++ b/internal/testing/fake/zkcodec.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// zkWriter is a frame that is being written. Each method returns it with a field more.
+// zkWriter is a frame under construction. Each method returns the frame with one more field.
 type zkWriter []byte
 
 func (w zkWriter) ints(values ...int) zkWriter {
@@ -31,7 +31,7 @@
 	return append(w, b...)
 }
 
-// zkReader reads a request's fields. It panics on one that is cut short.
+// zkReader reads the fields of a request. It panics if the request is truncated.
 type zkReader struct{ rest []byte }
 
 func (r *zkReader) readInt() int {
@@ -53,7 +53,7 @@
 	return x
 }
 
-// skipACL reads the list of access rights of a create.
+// skipACL skips the access control list of a create request.
 func (r *zkReader) skipACL() {
 	for n := r.readInt(); n > 0; n-- {
 		r.readInt()
@@ -62,7 +62,8 @@
 	}
 }
 
-// stat appends the node's facts: of transactions and times, which nobody reads here, none.
+// appendStat appends the node's stat record. Fields for transactions and times are 0, because the program
+// does not use them.
 func (n *zkNode) appendStat(w zkWriter) zkWriter {
 	return w.raw(make([]byte, 32)).ints(n.version, 0, 0).long(n.owner).ints(len(n.data), 0).long(0)
 }
--- a/internal/testing/fake/zkconn.go
+++ b/internal/testing/fake/zkconn.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// zkConn is one client's connection. Its fields but out belong to the service and are under its lock.
+// zkConn is the connection of one client. All fields except out are protected by the lock of the service.
 type zkConn struct {
 	net.Conn
 	session         *zkSession
 	out             chan zkReply
-	watchesChildren bool            // of the root
-	watchedData     map[string]bool // by path
-	heldAnswers     []zkReply       // by the fault HoldAnswers
+	watchesChildren bool            // a watch of the root's children is set
+	watchedData     map[string]bool // paths with a data watch
+	heldAnswers     []zkReply       // held back by the fault HoldAnswers
 }
 
-// zkReply is a frame to be sent at an instant, at once if that has passed.
+// zkReply is a frame to be sent at a given time, or at once if that time has passed.
 type zkReply struct {
 	frame  []byte
 	sendAt time.Time
 }
 
-// serve answers a connection's requests until it ends. The goroutine that writes ends with it.
+// serve answers the requests of a connection until it ends. The goroutine that writes ends with the
+// connection.
 func (z *ZooKeeper) serve(c *zkConn) {
 	defer c.Close()
 	hello, err := c.read()
@@ -44,9 +45,9 @@
 	}
 }
 
-// connect begins a session or resumes one, and answers the handshake; the answer to a session that is not
-// known has a timeout of 0. It returns false if the connection is to end, as that of a client that has seen
-// later changes than the service.
+// connect creates or resumes a session and answers the handshake. The answer for an unknown session has a
+// timeout of 0. It returns false if the connection must be closed, for example if the client has seen later
+// changes than this service.
 func (z *ZooKeeper) connect(c *zkConn, hello []byte) bool {
 	id := int64(binary.BigEndian.Uint64(hello[16:]))
 	timeout := int(binary.BigEndian.Uint32(hello[12:]))
@@ -79,7 +80,7 @@
 	return true
 }
 
-// disconnect leaves the session without a connection, unless it has another by now.
+// disconnect detaches the connection from its session, unless the session already has another connection.
 func (z *ZooKeeper) disconnect(c *zkConn) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -88,7 +89,7 @@
 	}
 }
 
-// write sends what is queued, each frame when its time has come, until the queue is closed.
+// write sends the queued frames, each at its time, until the queue is closed.
 func (c *zkConn) write() {
 	for r := range c.out {
 		time.Sleep(time.Until(r.sendAt))
@@ -98,7 +99,7 @@
 	}
 }
 
-// queue has a frame sent, and ends the connection if too many wait.
+// queue queues a frame, and closes the connection if the queue is full.
 func (c *zkConn) queue(b []byte, at time.Time) {
 	select {
 	case c.out <- zkReply{zkWriter{}.ints(len(b)).raw(b), at}:
@@ -121,17 +122,17 @@
 	return p, err
 }
 
-// connected is the state of a session that each event says.
+// stateConnected is the session state in every watch event.
 const stateConnected = 3
 
-// The kinds of a watch's event.
+// Event types of watches.
 const (
 	eventNodeDeleted     = 2
 	eventDataChanged     = 3
 	eventChildrenChanged = 4
 )
 
-// notifyWatches notifies the watches of a path, and ends them.
+// notifyWatches notifies the watches of a path and removes them, since a watch fires once.
 func (z *ZooKeeper) notifyWatches(p string, kind int) {
 	for _, s := range z.sessions {
 		c := s.conn
--- a/internal/testing/fake/zkfaults.go
+++ b/internal/testing/fake/zkfaults.go
@@ -5,13 +5,13 @@
 type zkFaults struct {
 	unreachable bool
 	frozen      bool
-	delay       time.Duration // before each answer
-	holdAnswers int           // how many requests must have come before the first of them is answered
-	dropAnswers int           // how many transactions are yet to be done without an answer
-	replicaLag  int64         // how many of the newest changes it has not heard of
+	delay       time.Duration // delay of each answer
+	holdAnswers int           // number of requests that must arrive before the first is answered
+	dropAnswers int           // number of transactions still to be executed without an answer
+	replicaLag  int64         // number of newest changes that this replica has not received
 }
 
-// SetUnreachable makes the service unreachable, or reachable again. Sessions go on ageing.
+// SetUnreachable makes the service unreachable, or reachable again. Sessions continue to time out.
 func (z *ZooKeeper) SetUnreachable(on bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -21,8 +21,7 @@
 	}
 }
 
-// SetFrozen stops the service in the middle of everything: it reads nothing, answers nothing, expires
-// nothing.
+// SetFrozen suspends the service: it reads no request, sends no answer and expires no session.
 func (z *ZooKeeper) SetFrozen(on bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -30,29 +29,29 @@
 	z.unfrozen.Broadcast()
 }
 
-// DelayAnswers delays every answer by d. Answers to requests that came together come together.
+// DelayAnswers delays every answer by d. Requests that arrive together are answered together.
 func (z *ZooKeeper) DelayAnswers(d time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.faults.delay = d
 }
 
-// HoldAnswers answers nothing until n requests, but for pings, have come on one connection.
+// HoldAnswers delays all answers until n requests, not counting pings, have arrived on one connection.
 func (z *ZooKeeper) HoldAnswers(n int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.faults.holdAnswers = n
 }
 
-// DropAnswers does the next n transactions and ends their connections in place of an answer.
+// DropAnswers executes the next n transactions, and closes their connections instead of answering.
 func (z *ZooKeeper) DropAnswers(n int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.faults.dropAnswers = n
 }
 
-// SetReplicaLag makes the service a replica that has not heard of the newest changes: it refuses clients that have
-// seen any of them, as ZooKeeper does. It answers by all that it holds nevertheless.
+// SetReplicaLag makes the service a replica that has not received the newest changes. As ZooKeeper does, it
+// refuses clients that have seen any of them; its answers still reflect all changes.
 func (z *ZooKeeper) SetReplicaLag(changes int64) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
--- a/internal/testing/fake/zkrequests.go
+++ b/internal/testing/fake/zkrequests.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The protocol's operations.
+// Operation codes of the protocol.
 const (
 	opCreate   = 1
 	opDelete   = 2
@@ -21,12 +21,12 @@
 	opClose    = -11
 )
 
-// ephemeral is the flag of a create whose node ends with its session.
+// ephemeralFlag marks a create request whose node is deleted when its session ends.
 const ephemeralFlag = 1
 
-// The protocol's error codes.
+// Error codes of the protocol.
 const (
-	zInconsistent  = -2 // a part of a transaction whose other part failed
+	zInconsistent  = -2 // an operation of a transaction in which another operation failed
 	zUnimplemented = -6
 	zNoNode        = -101
 	zBadVersion    = -103
@@ -35,7 +35,7 @@
 	zNotEmpty      = -111
 )
 
-// answer does one request and queues its answer. It returns false if the connection is to end.
+// answer executes one request and queues its answer. It returns false if the connection must be closed.
 func (z *ZooKeeper) answer(c *zkConn, p []byte) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -74,7 +74,8 @@
 	return true
 }
 
-// holdBack keeps an answer until there are as many as the fault asks for, and sends them all then.
+// holdAnswer keeps an answer until the number of answers that the fault demands has been reached, and then
+// sends all of them.
 func (z *ZooKeeper) holdAnswer(c *zkConn, frame []byte) {
 	c.heldAnswers = append(c.heldAnswers, zkReply{frame: frame})
 	if len(c.heldAnswers) < z.faults.holdAnswers {
@@ -87,7 +88,7 @@
 	z.faults.holdAnswers = 0
 }
 
-// listChildren lists a node's children, and watches them if asked to.
+// listChildren lists the children of a node, and sets a watch if the request asks for one.
 func (z *ZooKeeper) listChildren(c *zkConn, in *zkReader) (code int, body []byte) {
 	dir := in.readString()
 	if z.nodes[dir] == nil {
@@ -105,8 +106,8 @@
 	return 0, zkWriter{}.ints(n).raw(names)
 }
 
-// perform does one request, or one part of a transaction; undo takes it back. An operation that finds no node
-// still reads its fields, since the next part follows them.
+// performOperation executes one request or one operation of a transaction; undo reverts it. An operation on a
+// missing node still consumes its fields, because the next operation follows them.
 func (z *ZooKeeper) performOperation(c *zkConn, op int, in *zkReader) (code int, body []byte, undo func()) {
 	undo = func() {}
 	p := in.readString()
@@ -146,7 +147,7 @@
 	return zUnimplemented, nil, undo
 }
 
-// hasVersion reports whether the node has the version that a request asks for; -1 is any.
+// hasVersion reports whether the node has the requested version; -1 matches any version.
 func (n *zkNode) hasVersion(version int) bool {
 	return version == -1 || version == n.version
 }
--- a/internal/testing/fake/zktransaction.go
+++ b/internal/testing/fake/zktransaction.go
@@ -1,6 +1,7 @@
 package fake
 
-// performAll does all parts of a transaction, or none if one fails, and returns their results.
+// performTransaction executes all operations of a transaction, or none if one fails, and returns their
+// results.
 func (z *ZooKeeper) performTransaction(c *zkConn, in *zkReader) []byte {
 	type part struct {
 		op   int
@@ -41,7 +42,7 @@
 	return out.ints(-1).flag(true).ints(-1)
 }
 
-// skipRequest reads the fields of a part that is not done.
+// skipRequest consumes the fields of an operation that is not executed.
 func (z *ZooKeeper) skipRequest(op int, in *zkReader) {
 	in.readString()
 	switch op {
--- a/internal/testing/fake/zookeeper.go
+++ b/internal/testing/fake/zookeeper.go
@@ -8,41 +8,42 @@
 	"time"
 )
 
-// ZooKeeper is a tree of nodes with sessions, as far as the relay uses one: create, delete, exists, getData,
-// setData, getChildren, sync, multi, pings, watches that fire once, and sessions that end by silence.
+// ZooKeeper is a ZooKeeper service with the features that the relay uses: create, delete, exists, getData,
+// setData, getChildren, sync, multi, pings, one-time watches, and sessions that expire when their client is
+// silent.
 type ZooKeeper struct {
 	Address string
 
-	root     string // the node whose children SetNode writes and watches of children see
+	root     string // parent of the nodes written by SetNode; the only node with child watches
 	listener net.Listener
 
 	mu       sync.Mutex
 	nodes    map[string]*zkNode // by path
 	sessions map[int64]*zkSession
-	lastID   int64 // of a session
-	zxid     int64 // of the newest change
+	lastID   int64 // last session ID given out
+	zxid     int64 // ID of the newest change
 	faults   zkFaults
-	unfrozen *sync.Cond // on mu: faults.frozen has ended
+	unfrozen *sync.Cond // on mu: signals the end of faults.frozen
 }
 
 type zkNode struct {
 	data    string
 	version int
-	owner   int64 // the session that an ephemeral node belongs to, 0 for none
+	owner   int64 // session of an ephemeral node, 0 for other nodes
 }
 
 type zkSession struct {
 	id            int64
 	timeout       time.Duration
 	lastRequestAt time.Time
-	conn          *zkConn // nil while it has none
+	conn          *zkConn // nil while the session has no connection
 }
 
-// NewZooKeeper starts the service at a free port of loopback; see NewZooKeeperAt.
+// NewZooKeeper starts the service on a free loopback port; see NewZooKeeperAt.
 func NewZooKeeper(root string) (*ZooKeeper, error) { return NewZooKeeperAt("127.0.0.1:0", root) }
 
 // NewZooKeeperAt starts the service at an address. The node root and its parents exist from the start. It
-// fails if the address cannot be listened on.
+// fails if it cannot listen on the address.
 func NewZooKeeperAt(address, root string) (*ZooKeeper, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return z, nil
 }
 
-// endSilentSessions ends each session that was silent for its timeout. It runs for as long as the process
-// does, since sessions outlive Close.
+// endSilentSessions expires each session whose client was silent for the session's timeout. It runs until the
+// process ends, because sessions outlive Close.
 func (z *ZooKeeper) endSilentSessions() {
 	for range time.Tick(20 * time.Millisecond) {
 		z.mu.Lock()
@@ -88,7 +89,7 @@
 	}
 }
 
-// AddListener listens on one more address, as another member of the ensemble does, and returns it.
+// AddListener listens on another address, as another member of the ensemble would, and returns that address.
 func (z *ZooKeeper) AddListener() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,7 +99,8 @@
 	return l.Addr().String(), nil
 }
 
-// Close stops listening on Address and ends every connection. Sessions live on for what ListenAgain gave.
+// Close stops listening on Address and closes every connection. Sessions remain valid on the addresses that
+// AddListener returned.
 func (z *ZooKeeper) Close() {
 	z.listener.Close()
 	z.mu.Lock()
@@ -106,8 +108,8 @@
 	z.resetConnections()
 }
 
-// SetNode creates a child of the root or changes its data; "" removes it, as the end of its owner's session
-// does.
+// SetNode creates a child of the root or changes its data. Empty data deletes the node, as the expiry of its
+// owner's session does.
 func (z *ZooKeeper) SetNode(name, data string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -124,7 +126,7 @@
 	}
 }
 
-// Nodes lists the paths of all nodes that begin with a prefix, in no order.
+// Nodes returns the paths of all nodes with a given prefix, in no particular order.
 func (z *ZooKeeper) Nodes(prefix string) (paths []string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -136,7 +138,7 @@
 	return paths
 }
 
-// ExpireSessions ends every session, with its ephemeral nodes.
+// ExpireSessions ends every session and deletes its ephemeral nodes.
 func (z *ZooKeeper) ExpireSessions() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -145,7 +147,7 @@
 	}
 }
 
-// ResetConnections ends every connection; sessions live on.
+// ResetConnections closes every connection; sessions remain valid.
 func (z *ZooKeeper) ResetConnections() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
--- a/internal/testing/faultpoint/clock.go
+++ b/internal/testing/faultpoint/clock.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// clock is the monotonic clock that the process is shown: it stood at shown when the machine's stood at real,
-// and runs at a rate since.
+// skewedClock is the monotonic clock that the process sees: it showed the time shown when the machine's clock
+// showed the time real, and has run at the given rate since.
 var skewedClock struct {
 	sync.Mutex
 	real, shown time.Duration
 	rate        float64
 }
 
-// NowMillis returns the machine's monotonic clock in ms, as HistoryLine.AtMillis has it.
+// NowMillis returns the machine's monotonic clock in ms, the time base of HistoryLine.AtMillis.
 func NowMillis() float64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) != nil {
@@ -28,7 +28,7 @@
 
 func monotonicNow() time.Duration { return time.Duration(NowMillis() * float64(time.Millisecond)) }
 
-// setRate changes the rate from now on; 0 and less stand for 1.
+// setClockRate sets the rate of the skewed clock from now on; a rate of 0 or less means 1.
 func setClockRate(rate float64) {
 	if rate <= 0 {
 		rate = 1
@@ -41,7 +41,7 @@
 	skewedClock.rate = rate
 }
 
-// shownAt returns what the clock shows at an instant of the machine's. The caller holds the lock.
+// skewedAt returns the skewed time at an instant of the machine's clock. The caller holds the lock.
 func skewedAt(now time.Duration) time.Duration {
 	if skewedClock.real == 0 {
 		skewedClock.real = now
@@ -50,21 +50,21 @@
 	return skewedClock.shown + time.Duration(float64(now-skewedClock.real)*skewedClock.rate)
 }
 
-// SkewedNow returns a monotonic clock that runs at the rate of the rules.
+// SkewedNow returns the time of a monotonic clock that runs at the rate set by the fault rules.
 func SkewedNow() time.Duration {
 	skewedClock.Lock()
 	defer skewedClock.Unlock()
 	return skewedAt(monotonicNow())
 }
 
-// ClockRate returns that of the clock Shown.
+// ClockRate returns the rate of the clock behind SkewedNow.
 func ClockRate() float64 {
 	skewedClock.Lock()
 	defer skewedClock.Unlock()
 	return skewedClock.rate
 }
 
-// WallClockStep returns by how much the clock of the day is ahead.
+// WallClockStep returns by how much the wall clock is set ahead.
 func WallClockStep() time.Duration {
 	return time.Duration(currentRules.Load().WallClockStepMs * float64(time.Millisecond))
 }
--- a/internal/testing/faultpoint/doc.go
+++ b/internal/testing/faultpoint/doc.go
@@ -1,9 +1,9 @@
-// Package faultpoint is where tests put faults into a process: between it and other relays or servers, and
-// into its clock. The fault injection points are compiled in by the build tag faults only; the shipped
-// program has none.
+// Package faultpoint injects faults into a process under test: into its connections to other relays and
+// servers, and into its clock. The fault injection points are compiled in with the build tag faults only; the
+// released program contains none.
 //
-// The file that CAPERSAIL_FAULTS names holds the Rules, read again when it changes; CAPERSAIL_HISTORY names a
-// file to which the process appends a HistoryLine for each change of what it goes by. The test cluster
-// (internal/testing/cluster) writes the one and reads the other. The package never decides by itself: without
-// the two files nothing is different.
+// The environment variable CAPERSAIL_FAULTS names a file with Rules, which is read again whenever it changes.
+// CAPERSAIL_HISTORY names a file to which the process appends a HistoryLine whenever its membership state
+// changes. The test cluster (internal/testing/cluster) writes the first file and reads the second. Without
+// the two files the package changes nothing.
 package faultpoint
--- a/internal/testing/faultpoint/network.go
+++ b/internal/testing/faultpoint/network.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// CanConnect reports whether a connection to an address can be made: both ways have to be open.
+// CanConnect reports whether a connection to an address can be established, which needs both directions to be
+// open.
 func CanConnect(address string) bool {
 	r := currentRules.Load()
 	return !slices.Contains(r.Cut, address) && !slices.Contains(r.CutFrom, address)
 }
 
-// DrawPacketDelays draws what becomes of a packet to an address: it returns the delays after which copies of
-// it are to be sent, none if it is lost.
+// DrawPacketDelays decides at random what happens to a packet to an address. It returns one delay for each
+// copy of the packet to send, and none if the packet is lost.
 func DrawPacketDelays(address string) (delays []time.Duration) {
 	r := currentRules.Load()
 	if slices.Contains(r.Cut, address) {
--- a/internal/testing/faultpoint/process.go
+++ b/internal/testing/faultpoint/process.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// readEvery is how often the file with the rules is read.
+// rulesReadInterval is the interval at which the rules file is read.
 const rulesReadInterval = 5 * time.Millisecond
 
-// exitOrphaned is the exit code of a process whose test has gone.
+// exitCodeParentGone is the exit code of a process whose parent, the test, has ended.
 const exitCodeParentGone = 3
 
 var (
 	currentRules atomic.Pointer[Rules]
-	historyFile  *os.File // nil if none is kept
+	historyFile  *os.File // nil if no history is written
 	packetRandom struct {
 		sync.Mutex
 		*rand.Rand
@@ -42,14 +42,14 @@
 	go reader.run(os.Getppid())
 }
 
-// rulesReader follows the file with the rules.
+// rulesReader reads the rules file repeatedly.
 type rulesReader struct {
 	path     string
-	lastText string // the text of the rules in force, "" before the first
+	lastText string // text of the rules in force, "" before the first read
 }
 
-// run reads the file again and again, for as long as the process does. It ends the process once its parent
-// has ended, since whoever runs the test has gone.
+// run reads the file repeatedly until the process ends. It exits the process when the parent process has
+// ended, so that an aborted test leaves no process behind.
 func (r *rulesReader) run(parent int) {
 	for range time.Tick(rulesReadInterval) {
 		r.read()
@@ -59,7 +59,7 @@
 	}
 }
 
-// read puts the file's rules into force, if they are new and complete.
+// read applies the file's rules if they have changed and are valid JSON.
 func (r *rulesReader) read() {
 	text, err := os.ReadFile(r.path)
 	if err != nil || string(text) == r.lastText {
@@ -79,13 +79,13 @@
 	currentRules.Store(&next)
 }
 
-// CurrentRules returns the rules in force, which are not to be changed.
+// CurrentRules returns the rules in force. The caller must not change them.
 func CurrentRules() *Rules { return currentRules.Load() }
 
-// HistoryEnabled reports whether a history is kept.
+// HistoryEnabled reports whether the process writes a history.
 func HistoryEnabled() bool { return historyFile != nil }
 
-// AppendHistory appends a line to the process's history, if one is kept.
+// AppendHistory appends a line to the history file, if the process writes one.
 func AppendHistory(line any) {
 	if historyFile == nil {
 		return
--- a/internal/testing/faultpoint/rules.go
+++ b/internal/testing/faultpoint/rules.go
@@ -1,32 +1,34 @@
 package faultpoint
 
-// Rules are the faults of one process. Parts are of 1, times in ms.
+// Rules are the faults injected into one process. Fractions are between 0 and 1, times are in ms.
 type Rules struct {
-	Seed uint64 `json:"seed"` // of what is drawn, by the first Rules of a process
+	Seed uint64 `json:"seed"` // seeds the random decisions; only the first Rules of a process count
 
-	// Of packets and connections.
-	Cut               []string `json:"cut"`      // addresses that nothing is sent to
-	CutFrom           []string `json:"cut_from"` // addresses that nothing is received from
-	LossFraction      float64  `json:"loss"`     // part of the packets that are lost
-	DuplicateFraction float64  `json:"twice"`    // part of the packets that are sent once more
-	DelayMs           float64  `json:"delay_ms"` // each packet takes up to so long, so that they overtake each other
-	LateFraction      float64  `json:"late"`     // part of the packets that take LateMs more
+	// Faults of packets and connections.
+	Cut               []string `json:"cut"`      // addresses to which nothing is sent
+	CutFrom           []string `json:"cut_from"` // addresses from which nothing is received
+	LossFraction      float64  `json:"loss"`     // fraction of packets that are lost
+	DuplicateFraction float64  `json:"twice"`    // fraction of packets that are sent twice
+	DelayMs           float64  `json:"delay_ms"` // maximum random delay; it reorders packets
+	LateFraction      float64  `json:"late"`     // fraction of packets delayed by another LateMs
 	LateMs            float64  `json:"late_ms"`
 
-	// Of clocks.
-	ClockRate       float64 `json:"rate"`     // of the monotonic clock; 0 for 1
-	WallClockStepMs float64 `json:"step_ms"`  // by which the clock of the day is ahead from the start
-	LeaseMs         float64 `json:"lease_ms"` // of the lease of a cell that is founded; 0 for the program's
+	// Faults of clocks.
+	ClockRate       float64 `json:"rate"`     // rate of the monotonic clock; 0 means 1
+	WallClockStepMs float64 `json:"step_ms"`  // how far the wall clock is ahead from the start
+	LeaseMs         float64 `json:"lease_ms"` // lease of a newly founded cell; 0 means the default
 
-	// CellRate is of the clock between cells, constant over a process; 1 if it is less.
+	// CellRate is the rate of the clock that the gossip between cells uses. It is constant for a process;
+	// values below 1 mean 1.
 	CellRate float64 `json:"cell_rate"`
 
-	// Of what is said and believed.
-	NoJointViews    bool    `json:"no_joint"` // views change without a joint one: a protection taken out
-	FalseReports    bool    `json:"lies"`     // load reports that the relay shares have the load FalseLoad
+	// Faults of messages and of their verification.
+	NoJointViews    bool    `json:"no_joint"` // views change without a joint view: a disabled safeguard
+	FalseReports    bool    `json:"lies"`     // shared load reports of this relay contain FalseLoad
 	FalseLoad       float64 `json:"lie"`
-	NoCorroboration bool    `json:"gullible"` // shared load reports are believed: a protection taken out
+	NoCorroboration bool    `json:"gullible"` // shared load reports need no corroboration: a disabled safeguard
 
-	// DigestVersion has digests be of an earlier version if it is negative, of a later one if positive.
+	// StatusVersion makes the process send status digests of an earlier version if it is negative, and of a
+	// later version if it is positive.
 	StatusVersion int `json:"digest"`
 }
--- a/internal/testing/trace/trace.go
+++ b/internal/testing/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace holds what deciders do in drawn schedules against what they did when a file was recorded,
-// so that a change that is meant to change no behaviour is seen to change none. It serves tests only.
+// Package trace compares the actions of deciders under generated schedules with a recording in testdata, so
+// that a refactoring that changes behaviour is detected. It is used by tests only.
 package trace
 
 import (
@@ -14,18 +14,18 @@
 )
 
 var updateFlag = flag.Bool("update-trace", false,
-	"record testdata/trace.txt anew, after a change of behaviour that is meant")
+	"write testdata/trace.txt anew, after an intended change of behaviour")
 
-// Trace is a hash over actions, in their order. Its methods do nothing on nil.
+// Trace is a hash over a sequence of actions. Its methods do nothing on a nil Trace.
 type Trace struct {
 	hash    hash.Hash64
 	actions int
 }
 
-// New returns a Trace of no actions.
+// New returns a Trace without actions.
 func New() *Trace { return &Trace{hash: fnv.New64a()} }
 
-// Action begins an action, with what says whose it is.
+// Action starts a new action with the given values, which identify its origin.
 func (t *Trace) Action(values ...any) {
 	if t == nil {
 		return
@@ -34,23 +34,23 @@
 	t.Put(values...)
 }
 
-// Put adds values, by their text.
+// Put adds values to the current action; they are hashed in their text form.
 func (t *Trace) Put(values ...any) {
 	if t != nil {
 		fmt.Fprintln(t.hash, values...)
 	}
 }
 
-// Recording is the traces of many schedules, a line each.
+// Recording holds the traces of many schedules, one per line.
 type Recording struct{ lines strings.Builder }
 
-// Add adds the trace of a schedule under its kind and seed.
+// Add adds the trace of one schedule, identified by its kind and seed.
 func (r *Recording) Add(kind string, seed uint64, t *Trace) {
 	fmt.Fprintf(&r.lines, "%s %d %d %016x\n", kind, seed, t.actions, t.hash.Sum64())
 }
 
-// Compare fails the test if the traces are not those of testdata/trace.txt. With -update-trace it writes
-// that file.
+// Compare fails the test if the traces differ from those in testdata/trace.txt. With -update-trace it writes
+// that file first.
 func (r *Recording) Compare(t *testing.T) {
 	t.Helper()
 	file := filepath.Join("testdata", "trace.txt")
--- a/internal/testing/trace/trace_test.go
+++ b/internal/testing/trace/trace_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A trace tells actions apart by their values and their order, and one that is not kept costs nothing.
+// A trace depends on the values and the order of its actions. A nil trace accepts actions and ignores them.
 func TestTraceTellsActionsApart(t *testing.T) {
 	of := func(values ...any) uint64 {
 		tr := New()
@@ -10,20 +10,20 @@
 			tr.Action(v)
 		}
 		if tr.actions != len(values) {
-			t.Errorf("%d actions of %v", tr.actions, values)
+			t.Errorf("got %d actions from %v, want one for each value", tr.actions, values)
 		}
 		return tr.hash.Sum64()
 	}
 	first, again := of("a", "b"), of("a", "b")
 	if first != again || first == of("b", "a") || of("a") == of("a", "a") {
-		t.Error("traces of different actions are alike, or of the same ones differ")
+		t.Error("traces of different actions are equal, or traces of the same actions differ")
 	}
 	var none *Trace
 	none.Action("a")
 	none.Put("b")
 }
 
-// A recording is compared with the file that was recorded: here with one line of one trace.
+// A recording with one trace equals the recorded file.
 func TestRecordingIsCompared(t *testing.T) {
 	tr := New()
 	tr.Action("an action", 1)
