--- a/internal/testing/cluster/agreement.go
+++ b/internal/testing/cluster/agreement.go
@@ -41,7 +41,7 @@
 	return checkAgreement(latest, runningRelayNames(fleet.Relays), settled)
 }
 
-// running returns the names of the relays that run, sorted as views have them.
+// runningRelayNames returns the names of the relays that run, sorted as views have them.
 func runningRelayNames(relays []*Relay) (names []string) {
 	for _, r := range relays {
 		if r.running {
--- a/internal/testing/cluster/cells_test.go
+++ b/internal/testing/cluster/cells_test.go
@@ -36,7 +36,7 @@
 	return cells
 }
 
-// fastCells has leases last 2 s, and cells hear of each other four times as often. The long run goes by the
+// shortCellTimings has leases last 2 s, and cells hear of each other four times as often. The long run goes by the
 // program's own pace.
 func shortCellTimings() faultpoint.Rules {
 	if longRun() {
@@ -172,7 +172,7 @@
 	restartCell(t, fleet, cells)
 }
 
-// checkServes checks that a relay answers a client.
+// checkAnswersProbe checks that a relay answers a client.
 func checkAnswersProbe(t *testing.T, r *Relay) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Listen)
--- a/internal/testing/cluster/checker.go
+++ b/internal/testing/cluster/checker.go
@@ -10,14 +10,14 @@
 	"capersail/decide"
 )
 
-// The times by which a Judge goes are those of the protocol page.
+// The times by which a Checker goes are those of the protocol page.
 const (
-	// notifiedWithin is when every relay counts as notified of a change, whether or not the event arrived.
+	// notificationLimit is when every relay counts as notified of a change, whether or not the event arrived.
 	notificationLimit = 6 * time.Second
 	// drainMargin is how long after that requests may still arrive at a server that drains or is gone: the
 	// grace of 500 ms, and 50 ms for the sockets.
 	drainMargin = 550 * time.Millisecond
-	// deliveredWithin is when an event has arrived on a watch that is not disturbed.
+	// eventDeliveryLimit is when an event has arrived on a watch that is not disturbed.
 	eventDeliveryLimit = 400 * time.Millisecond
 	// requestDeadline is the d of every request, and answerMargin how late after it an answer may be.
 	requestDeadline = 2 * time.Second
@@ -41,7 +41,7 @@
 	processDown map[int][]*Span // by relay: the process was killed, or stopped
 }
 
-// NewChecker returns a Judge that has recorded nothing.
+// NewChecker returns a Checker that has recorded nothing.
 func NewChecker(dedupWindow time.Duration) *Checker {
 	return &Checker{
 		DedupWindow: dedupWindow,
--- a/internal/testing/cluster/faultyserver.go
+++ b/internal/testing/cluster/faultyserver.go
@@ -28,8 +28,8 @@
 	ID, Server          string
 	ReceivedAt, EndedAt time.Duration // as Now has it; End is 0 while the connection is open
 	MayHaveRun          bool          // it was not answered BUSY
-	// EndedUnread says that the relay had ended the attempt before its first line was read, which had waited
-	// for the time ReadLate.
+	// EndedBeforeRead says that the relay had ended the attempt before its first line was read, which had waited
+	// for the time ReadDelay.
 	EndedBeforeRead bool
 	ReadDelay       time.Duration
 	// endedBeforeNext says that the relay had ended the attempt when the request's next one was read.
--- a/internal/testing/cluster/harness_test.go
+++ b/internal/testing/cluster/harness_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// program is the path of the program with its fault injection points, built once.
+// programPath is the path of the program with its fault injection points, built once.
 var programPath string
 
 func TestMain(m *testing.M) {
@@ -121,7 +121,7 @@
 	return all
 }
 
-// checkUsed fails unless at least so many connections came to a server in the last second.
+// checkServerUsed fails unless at least so many connections came to a server in the last second.
 func checkServerUsed(s *RecordingServer, atLeast int) error {
 	now := Now()
 	if n := len(s.ConnectedAt(now-time.Second, now)); n < atLeast {
--- a/internal/testing/cluster/loadreports_test.go
+++ b/internal/testing/cluster/loadreports_test.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// checkShown fails unless a relay's `fleet show` has one text and, unless that is "", not another.
+// checkFleetShow fails unless a relay's `fleet show` has one text and, unless that is "", not another.
 func (m *sharedLoad) checkFleetShow(i int, want, not string) error {
 	out, err := runProgram("fleet", "show", "--socket", m.cluster.Relays[i].Socket)
 	if err != nil || !strings.Contains(out, want) || not != "" && strings.Contains(out, not) {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// watchFor waits, and checks for a server that is idle while requests are rejected.
+// observe waits, and checks for a server that is idle while requests are rejected.
 func (m *sharedLoad) observe(d time.Duration) {
 	for end := Now() + d; Now() < end; time.Sleep(25 * time.Millisecond) {
 		for i, s := range m.servers {
@@ -152,7 +152,7 @@
 	return parts
 }
 
-// loadDisturbances are what nine relays share a load through, by name.
+// sharedLoadFaults are what nine relays share a load through, by name.
 var sharedLoadFaults = map[string]func(m *sharedLoad){
 	"calm": func(*sharedLoad) {},
 	"halves": func(m *sharedLoad) {
@@ -357,7 +357,7 @@
 	return false
 }
 
-// reportsOfLiar returns the lines of r0's `fleet show` with a load of 0.00 by r4.
+// falseReportsShown returns the lines of r0's `fleet show` with a load of 0.00 by r4.
 func (m *sharedLoad) falseReportsShown() (lines []string) {
 	m.t.Helper()
 	out, err := runProgram("fleet", "show", "--socket", m.cluster.Relays[0].Socket)
--- a/internal/testing/cluster/membership_test.go
+++ b/internal/testing/cluster/membership_test.go
@@ -83,7 +83,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-// loseAFifth loses a fifth of all packets, through which no relay is removed.
+// loseFifthOfPackets loses a fifth of all packets, through which no relay is removed.
 func loseFifthOfPackets(t *testing.T, fleet *Cluster) {
 	t.Helper()
 	lossFor := 12 * time.Second
@@ -135,7 +135,7 @@
 	}
 }
 
-// playOne plays one action, at once.
+// runStep plays one action, at once.
 func runStep(t *testing.T, fleet *Cluster, action string, value float64) {
 	t.Helper()
 	if err := fleet.RunSchedule([]Step{{Action: action, Value: value}}); err != nil {
--- a/internal/testing/cluster/operator_test.go
+++ b/internal/testing/cluster/operator_test.go
@@ -20,7 +20,7 @@
 	return string(out), err
 }
 
-// figures returns a relay's figures as its admin address has them.
+// fetchMetrics returns a relay's figures as its admin address has them.
 func fetchMetrics(r *Relay) (string, error) {
 	res, err := http.Get("http://" + r.Admin + "/ops/stats")
 	if err != nil {
@@ -31,7 +31,7 @@
 	return string(text), err
 }
 
-// checkFigures fails unless a relay's figures have lines.
+// checkMetrics fails unless a relay's figures have lines.
 func checkMetrics(r *Relay, want ...string) error {
 	text, err := fetchMetrics(r)
 	if err != nil {
@@ -126,7 +126,7 @@
 	await(t, waitLimit(), "its end too", fleet.checkSettled)
 }
 
-// checkDeath checks that the figures, the log and the time line have the end of a relay.
+// checkRelayFailure checks that the figures, the log and the time line have the end of a relay.
 func checkRelayFailure(t *testing.T, fleet *Cluster, awaitWatched func(want string)) {
 	t.Helper()
 	first := fleet.Relays[0]
--- a/internal/testing/cluster/proxy.go
+++ b/internal/testing/cluster/proxy.go
@@ -15,13 +15,13 @@
 const (
 	Pass    ProxyMode = iota
 	Silent            // connections stay open and new ones are accepted, but nothing passes either way
-	Trickle           // open connections get a byte each trickleEvery; new ones are silent
+	Trickle           // open connections get a byte each trickleInterval; new ones are silent
 	Down              // connections are reset, and new ones are answered 503 at once
 	Broken            // connections are reset, new ones as soon as they have asked
 	Hung              // connections are reset, new ones are accepted and get no answer
 )
 
-// trickleEvery is the time of one byte in Trickle.
+// trickleInterval is the time of one byte in Trickle.
 const trickleInterval = 300 * time.Millisecond
 
 // Proxy forwards connections to an address, and fails by its mode.
@@ -36,7 +36,7 @@
 	open     map[*proxiedConn]struct{}
 }
 
-// proxied is one connection through a Proxy.
+// proxiedConn is one connection through a Proxy.
 type proxiedConn struct {
 	client, server net.Conn
 	bytesHeldBack  bool // bytes were held back
--- a/internal/testing/cluster/recordingserver.go
+++ b/internal/testing/cluster/recordingserver.go
@@ -81,7 +81,7 @@
 	return instantsBetween(s.connectedAt, from, to)
 }
 
-// between returns the instants from one on and before another.
+// instantsBetween returns the instants from one on and before another.
 func instantsBetween(instants []time.Duration, from, to time.Duration) (all []time.Duration) {
 	for _, at := range instants {
 		if at >= from && at < to {
--- a/internal/testing/cluster/schedule.go
+++ b/internal/testing/cluster/schedule.go
@@ -21,7 +21,7 @@
 	Value   float64 `json:"value,omitempty"` // the action's part, time in ms or rate
 }
 
-// actions are what a step can do, by name.
+// stepActions are what a step can do, by name.
 var stepActions = map[string]func(fleet *Cluster, s Step) error{
 	"start": func(fleet *Cluster, s Step) error { return fleet.Start(s.Relay) },
 	"kill":  func(fleet *Cluster, s Step) error { fleet.Kill(s.Relay); return nil },
@@ -49,7 +49,7 @@
 	"heal": func(fleet *Cluster, _ Step) error { return fleet.Heal() },
 }
 
-// changeAllFaults changes every relay's faults.
+// changeFaultsOfAll changes every relay's faults.
 func (fleet *Cluster) changeFaultsOfAll(change func(*faultpoint.Rules)) error {
 	for i := range fleet.Relays {
 		if err := fleet.ChangeFaults(i, change); err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// fits reports whether a step speaks of relays that a cluster of n has.
+// isValidFor reports whether a step speaks of relays that a cluster of n has.
 func (s Step) isValidFor(n int) bool {
 	has := func(relay int) bool { return relay >= 0 && relay < n }
 	return has(s.Relay) && has(s.Peer) && (s.Action != "split" || len(s.Parts) == n)
--- a/internal/testing/cluster/soak_clients_test.go
+++ b/internal/testing/cluster/soak_clients_test.go
@@ -15,7 +15,7 @@
 
 const (
 	soakStreamInterval = 5 // one accepted connection of so many goes on being used
-	// soakCrowd is how many requests a crowd sends: soakCrowdAtOnce at once, the others at soakCrowdRate.
+	// soakBurstRequests is how many requests a crowd sends: soakCrowdAtOnce at once, the others at soakCrowdRate.
 	soakBurstRequests    = 1500
 	soakBurstAtOnce      = 300
 	soakBurstRate        = 4 * soakRate
@@ -100,7 +100,7 @@
 	}
 }
 
-// sendCrowd sends many requests at once and then, for a while, several times the ordinary rate, as clients do
+// sendBurst sends many requests at once and then, for a while, several times the ordinary rate, as clients do
 // that come back after an outage.
 func (s *soak) sendBurst(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/testing/cluster/soak_faults_test.go
+++ b/internal/testing/cluster/soak_faults_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// earliestKill is how long after the longest deadline SIGKILL may come to a process that was told to leave.
+// sigkillMargin is how long after the longest deadline SIGKILL may come to a process that was told to leave.
 const sigkillMargin = 700 * time.Millisecond
 
-// playFault plays one fault to its end.
+// injectFault plays one fault to its end.
 func (s *soak) injectFault(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	draw := func(from, to time.Duration) time.Duration { return drawTime(rng, from, to) }
@@ -200,7 +200,7 @@
 	s.Resume(i)
 }
 
-// playFaults plays faults, soakFaults at a time, until the context ends.
+// injectFaults plays faults, soakFaults at a time, until the context ends.
 func (s *soak) injectFaults(ctx context.Context, t *testing.T, seed uint64) {
 	var faults sync.WaitGroup
 	defer faults.Wait()
--- a/internal/testing/cluster/streams.go
+++ b/internal/testing/cluster/streams.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// echoWithin is how long a line and its echo may be under way on a sound connection: the platform allows
+	// echoLimit is how long a line and its echo may be under way on a sound connection: the platform allows
 	// a second, and a busy machine gets the rest.
 	echoLimit = 1500 * time.Millisecond
-	// endedWithin is when a connection has ended, or was moved, whose server has ended it.
+	// endForwardingLimit is when a connection has ended, or was moved, whose server has ended it.
 	endForwardingLimit = 1500 * time.Millisecond
 )
 
--- a/internal/testing/cluster/time.go
+++ b/internal/testing/cluster/time.go
@@ -15,7 +15,7 @@
 	return time.Duration(t.Nano())
 }
 
-// millis is an instant or a time as histories and schedules write it.
+// toMillis is an instant or a time as histories and schedules write it.
 func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // fromMillis is the opposite of millis.
--- a/internal/testing/expectedfail/main_test.go
+++ b/internal/testing/expectedfail/main_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// asJSON returns events, each a package, a test or "." for the package's own, and an action, as go test -json
+// eventsAsJSON returns events, each a package, a test or "." for the package's own, and an action, as go test -json
 // has them.
 func eventsAsJSON(events string) string {
 	var b strings.Builder
